--- a/brain/brain.go
+++ b/brain/brain.go
@@ -106,6 +106,9 @@
 	return b
 }
 
+// Reconfigure takes over changed settings. What New derived from the earlier ones stays.
+func (b *Brain) Reconfigure(settings map[string]any) { b.brief = settings }
+
 func (b *Brain) groupKinds() {
 	own, _ := b.brief["kind_own_zone"].([]any)
 	for i, kind := range b.kinds {
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -98,6 +98,9 @@
 	return orders
 }
 
+// Reconfigure does nothing: the policies read no settings.
+func (p *policy) Reconfigure(map[string]any) {}
+
 func (p *policy) table(proxy int) int {
 	if p.own {
 		return proxy + 1
--- a/internal/pilot/core.go
+++ b/internal/pilot/core.go
@@ -17,7 +17,11 @@
 
 // Decider is what decides; brain.Brain is the one that ships.
 type Decider interface {
+	// Handle takes in what happened by nowMs and returns what is to be done about it.
 	Handle(nowMs float64, notes []brain.Note) []brain.Order
+	// Reconfigure takes over changed settings: all of them, changed and not. What was derived from the settings at the
+	// start (zones, request kinds, parts of a zone) stays as it is.
+	Reconfigure(settings map[string]any)
 }
 
 // Stream carries messages to one proxy. Send must not block; an error ends the stream, as does Close.
@@ -328,6 +332,7 @@
 		return append(notes, brain.Gossip{From: in.From, Text: in.Text})
 	case Retermed:
 		maps.Copy(c.plan.Terms, in.Terms)
+		c.plan.Decider.Reconfigure(c.plan.Terms)
 		c.Channel.Reterm(in.Terms)
 	default:
 		return c.relayedNote(notes, in)
--- a/internal/pilot/core_test.go
+++ b/internal/pilot/core_test.go
@@ -36,6 +36,9 @@
 	return o
 }
 
+// Reconfigure keeps nothing: what the settings hold is looked at in the plan.
+func (s *script) Reconfigure(map[string]any) {}
+
 // fake stands for a proxy's stream, the list, the prober and the peers.
 type fake struct {
 	sent   []*wire.Orders
--- a/internal/pilot/relayed_test.go
+++ b/internal/pilot/relayed_test.go
@@ -127,3 +127,6 @@
 	s.orders = nil
 	return o
 }
+
+// Reconfigure does nothing.
+func (s *scripted) Reconfigure(map[string]any) {}
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -422,3 +422,6 @@
 type plainPanic struct{}
 
 func (plainPanic) Handle(float64, []brain.Note) []brain.Order { panic("index out of range") }
+
+// Reconfigure does nothing.
+func (plainPanic) Reconfigure(map[string]any) {}
--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/rehearsal/rehearsal_test.go
@@ -46,6 +46,8 @@
 	spoil func(nowMs float64, orders []brain.Order) []brain.Order
 }
 
+func (m *meddler) Reconfigure(settings map[string]any) { m.brain.Reconfigure(settings) }
+
 func (m *meddler) Handle(nowMs float64, notes []brain.Note) []brain.Order {
 	return m.spoil(nowMs, m.brain.Handle(nowMs, notes))
 }
--- a/recovery/explore_test.go
+++ b/recovery/explore_test.go
@@ -32,6 +32,9 @@
 	joined map[int]bool // and not bound yet
 }
 
+// Reconfigure does nothing.
+func (c *clerk) Reconfigure(map[string]any) {}
+
 func (c *clerk) Handle(_ float64, notes []brain.Note) (out []brain.Order) {
 	for _, n := range notes {
 		switch n := n.(type) {
