--- a/brain/brain.go
+++ b/brain/brain.go
@@ -61,7 +61,7 @@
 
 type Brain struct {
 	inbox
-	brief           briefing
+	settings        Settings
 	gathers, parts  int     // parts: tables that a zone's proxies are dealt to, for each group
 	now, knee, mean float64 // mean: of the loads heard
 	chance          float64 // one by how many proxies of one rate would spread reqs as evenly as all
@@ -72,7 +72,7 @@
 	actors          []*inbox
 	sender          *sender
 	groups          []kindGroup
-	kinds           []briefing // what was told of each req kind
+	kinds           []RequestClass // of the settings at the start
 	proxies         map[int]Joined
 	seen, usual     map[int]float64 // reqs that came by the proxies' zone, and ordinarily do, fading
 	asked           map[int]float64 // reqs by kind, fading
@@ -82,21 +82,17 @@
 
 type kindGroup struct {
 	mask            int
-	machines, zones []any
+	machines, zones IndexList
 	ownZone         bool
 }
 
 func New(seed int64, terms map[string]any) *Brain {
-	b := &Brain{brief: terms, proxies: map[int]Joined{}, demand: map[int]float64{}, seen: map[int]float64{},
+	parsed, _ := ParseSettings(terms) // New may not fail: what is wrong has its default
+	b := &Brain{settings: parsed, kinds: parsed.Classes, proxies: map[int]Joined{}, demand: map[int]float64{}, seen: map[int]float64{},
 		usual: map[int]float64{}, asked: map[int]float64{}, joined: map[int]float64{}}
 	// T, the load at which a penalty starts to grow: the less crossing zones costs, the sooner it pays.
-	b.knee = math.Min(0.85, 0.5+2*b.brief.num("cross_zone", 0.1))
-	kinds, _ := terms["req_kinds"].([]any)
-	for _, k := range kinds[:min(len(kinds), 31)] {
-		kind, _ := k.(map[string]any)
-		b.kinds = append(b.kinds, kind)
-	}
-	if b.brief.num("slices", 0) == 0 { // sites with slices are not planned: stored owners stay
+	b.knee = math.Min(0.85, 0.5+2*b.settings.CrossZoneCost)
+	if !b.settings.Sliced { // sites with slices are not planned: stored owners stay
 		b.groupKinds()
 	}
 	b.parts = b.dealtTo()
@@ -107,15 +103,16 @@
 }
 
 // Reconfigure takes over changed settings. What New derived from the earlier ones stays.
-func (b *Brain) Reconfigure(settings map[string]any) { b.brief = settings }
+func (b *Brain) Reconfigure(settings map[string]any) {
+	b.settings, _ = ParseSettings(settings) // as New does
+}
 
 func (b *Brain) groupKinds() {
-	own, _ := b.brief["kind_own_zone"].([]any)
 	for i, kind := range b.kinds {
-		g := kindGroup{ownZone: i < len(own) && own[i] == true}
-		g.machines, _ = kind["only_machines"].([]any)
-		g.zones, _ = kind["only_zones"].([]any)
-		same := func(h kindGroup) bool { h.mask = 0; return fmt.Sprint(h) == fmt.Sprint(g) }
+		g := kindGroup{ownZone: kind.OwnZoneOnly, machines: kind.OnlyMachines, zones: kind.OnlyZones}
+		same := func(h kindGroup) bool {
+			return h.ownZone == g.ownZone && slices.Equal(h.machines, g.machines) && slices.Equal(h.zones, g.zones)
+		}
 		if !slices.ContainsFunc(b.groups, same) {
 			b.groups = append(b.groups, g)
 		}
@@ -125,12 +122,11 @@
 
 // dealtTo is the number of parts of a zone's proxies: one, unless an endpoint can't take connections of all.
 func (b *Brain) dealtTo() int {
-	zones, _ := b.brief["zones"].([]any)
-	proxies := b.brief.num("proxy_count", 1)
-	if proxies <= ample*b.brief.num("conns_least", math.MaxFloat64) {
+	proxies := b.settings.ProxyCount.Or(1)
+	if proxies <= ample*b.settings.LeastConnections.Or(math.MaxFloat64) {
 		return 1
 	}
-	return max(1, min(mostParts, int(proxies)/(leastUsers*max(1, len(zones)*len(b.groups)))))
+	return max(1, min(mostParts, int(proxies)/(leastUsers*max(1, b.settings.ZoneCount*len(b.groups)))))
 }
 
 func (b *Brain) slot(p Joined) int { return p.Zone*b.parts + p.Proxy%b.parts } // its zone and part
@@ -141,14 +137,14 @@
 func (b *Brain) work(g int) float64 {
 	own, all := 0.0, 1e-9
 	for k, kind := range b.kinds {
-		w := (b.asked[k] + enoughReqs) * kind.num("response_target", 1000)
+		w := (b.asked[k] + enoughReqs) * kind.ResponseTargetMs
 		own, all = own+pick(b.groups[g].mask&(1<<k) != 0, w, 0), all+w
 	}
 	return own / all
 }
 
 func (g *kindGroup) open(zone int, o *offer) bool {
-	return (!g.ownZone || o.Zone == zone) && holds(g.machines, o.Machine) && holds(g.zones, o.Zone)
+	return (!g.ownZone || o.Zone == zone) && g.machines.Has(o.Machine) && g.zones.Has(o.Zone)
 }
 
 func (b *Brain) say(format string, args ...any) { b.order(Log{fmt.Sprintf(format, args...)}) }
@@ -159,8 +155,8 @@
 	b.now, b.orders = math.Max(b.now, nowMs), nil
 	if !b.woken { // each pilot gathers at its own point of the window
 		b.woken = true
-		b.order(WakeAt{b.now + gatherMs*(1+b.brief.num("rank", 0)/b.brief.num("instances", 1))/2, "gather"})
-		if b.brief["discovery"] == "on_request" {
+		b.order(WakeAt{b.now + gatherMs*(1+b.settings.Rank/b.settings.Instances)/2, "gather"})
+		if b.settings.DiscoveryOnRequest {
 			b.order(Watch{On: true})
 		}
 	}
@@ -228,7 +224,7 @@
 		squares += rate * rate
 	}
 	many := float64(len(b.proxies)) / math.Max(1e-9, b.demand[-1]*b.demand[-1]) * squares
-	b.chance = math.Max(1, many) / b.brief.num("proxy_count", 1)
+	b.chance = math.Max(1, many) / b.settings.ProxyCount.Or(1)
 	b.mean = b.knee / 2
 	for _, be := range b.bes {
 		b.mean += pick(be.heard > b.now-staleMs, be.load-b.mean, 0) / float64(len(b.bes)+1)
@@ -408,8 +404,8 @@
 }
 
 func (b *Brain) part() float64 {
-	part := math.Min(1, float64(len(b.proxies))/b.brief.num("proxy_count", 1))
-	return pick(b.brief["by_zone"] == true, 1, part)
+	part := math.Min(1, float64(len(b.proxies))/b.settings.ProxyCount.Or(1))
+	return pick(b.settings.ZonesKeptWhole, 1, part)
 }
 
 func (e *endpoint) gather(n gather) {
@@ -419,13 +415,13 @@
 	speed, seen := e.speeds.mean()
 	heard := e.b.now-e.heard < staleMs && e.load >= 0
 	o := offer{Entry: e.Entry, load: pick(heard, e.load, e.b.mean)}
-	age, from := (e.b.now-e.Started)/e.b.brief.num("cold", 10000), e.b.brief.num("cold_from", 0.1)
+	age, from := (e.b.now-e.Started)/e.b.settings.WarmUpMs, e.b.settings.WarmUpStart
 	o.warmth = pick(e.Started == 0, 1, math.Min(1, from+(1-from)*math.Max(0, age)))
 	if n.step {
 		load := math.Min(1.5, o.load) * pick(heard, e.hindsight(), 1)
 		e.price = math.Max(0, math.Min(priciest, e.price+e.step()*(load*load-e.b.knee*e.b.knee)))
-		every := int(pick(seen < 8, 1, e.b.brief.num("instances", 1)))
-		if e.b.brief["probing"] == true && e.Phase == Ready && (e.b.gathers+e.Endpoint)%max(1, every) == 0 {
+		every := int(pick(seen < 8, 1, e.b.settings.Instances))
+		if e.b.settings.HealthChecks && e.Phase == Ready && (e.b.gathers+e.Endpoint)%max(1, every) == 0 {
 			e.b.order(Probe{Endpoint: e.Endpoint})
 		}
 	}
@@ -514,7 +510,7 @@
 			weights[o.Zone] += w
 			costs[o.Zone] += (1 - single) * w * o.price
 			load, sum = load+w*o.load, sum+w
-			served += pick(r.b.brief["by_zone"] != true || r.b.demand[o.Zone] > 0, w, 0)
+			served += pick(!r.b.settings.ZonesKeptWhole || r.b.demand[o.Zone] > 0, w, 0)
 		}
 	}
 	key := func(zone int) float64 {
@@ -534,7 +530,7 @@
 
 // foresight prices the home zone so that it keeps the demand that fills it to the target, ahead of reports.
 func (r *region) foresight(mean, part, own float64) float64 {
-	if fields, _ := r.b.brief["fields"].([]any); !slices.Contains(fields, any("util")) {
+	if !r.b.settings.ReportsUtilization {
 		mean = math.Max(mean, r.b.knee) // a short queue doesn't tell how full it is
 	}
 	seen := r.b.part()
@@ -585,7 +581,7 @@
 	for i, l := range lines {
 		apart += math.Abs(l.x - old[i]/sum)
 	}
-	return apart + math.Sqrt(count*float64(len(r.b.regions))*r.b.chance/r.b.brief.num("standing", 1e-9))
+	return apart + math.Sqrt(count*float64(len(r.b.regions))*r.b.chance/r.b.settings.StandingLines)
 }
 
 // deal gives each of a group's tables a run of the zone's own lines, mostly all, and one of those spilt that
@@ -598,9 +594,9 @@
 		ready += pick(r.offers[l.be].Phase == Ready && r.offers[l.be].trust > 0, 1, 0)
 		count[l.away], sum[l.away] = count[l.away]+pick(used[i] > 0, 1, 0), sum[l.away]+used[i]
 	}
-	proxies := r.b.brief.num("proxy_count", 1) // were all to come here at once, all have their tables in time
-	told := r.b.brief.num("lines_per_s", 1e6)*r.b.brief.num("drain_grace", 2000)/1000/proxies - r.b.sender.head()
-	most := math.Min(told, ample*r.b.brief.num("conns_least", 1e9)*ready/proxies)
+	proxies := r.b.settings.ProxyCount.Or(1) // were all to come here at once, all have their tables in time
+	told := r.b.settings.LinesPerSecond.Or(1e6)*r.b.settings.DrainGraceMs/1000/proxies - r.b.sender.head()
+	most := math.Min(told, ample*r.b.settings.LeastConnections.Or(1e9)*ready/proxies)
 	for k, room := range []float64{most, most - count[0]} {
 		want := math.Max(1, math.Min(parts, parts*math.Max(room-1, leastLines)/math.Max(count[k], 1)))
 		if want = pick(room >= count[k], parts, want); want == parts || math.Abs(want-r.runs[2*g+k]) > 0.7 {
@@ -645,9 +641,9 @@
 		lines = append(lines, l)
 	}
 	near = math.Max(near, sum/float64(len(r.b.regions))) // the last of a zone is no giant
-	few := math.Max(1, rush) * load / chill / r.b.brief.num("fall_multiple", 1)
-	few *= math.Max(near, sum*(r.b.joined[r.zone]-leastUsers)/r.b.brief.num("proxy_count", 1e9))
-	if r.b.brief.num("ejects_after", 0) > 0 && few > 0.8 {
+	few := math.Max(1, rush) * load / chill / r.b.settings.OverloadMultiple
+	few *= math.Max(near, sum*(r.b.joined[r.zone]-leastUsers)/r.b.settings.ProxyCount.Or(1e9))
+	if r.b.settings.ProxiesEject && few > 0.8 {
 		ease := math.Max(0, math.Min(math.Min(1, 3-few), math.Min(1-4*r.failing, (0.85-load)/0.2)))
 		cold, bend = math.Min(cold, ease), 3-2*ease
 	}
@@ -708,21 +704,21 @@
 	if (before == 0) != (r.sheds[g] == 0) {
 		r.b.say("zone %d kinds %b: denying %.2f load %.2f fail %.2f", r.zone, mask, r.sheds[g], load, r.failing)
 	}
-	usual, some := r.b.brief.num("retry_default", 0), r.failing > fewFail && r.failing < mostFail
-	again := r.b.brief.num("first_wait", 1) <= 1 && some && load*(1+r.failing) < roomy // else it mostly fails
-	left, asked, by := r.sheds[g]*float64(bits.OnesCount(uint(mask))), 1e-9, r.b.brief["admission"]
+	usual, some := float64(r.b.settings.DefaultRetry), r.failing > fewFail && r.failing < mostFail
+	again := r.b.settings.FirstRetryWait <= 1 && some && load*(1+r.failing) < roomy // else it mostly fails
+	left, asked, by := r.sheds[g]*float64(bits.OnesCount(uint(mask))), 1e-9, r.b.settings.Admission
 	for k := range r.b.kinds {
 		asked += r.b.asked[k] + enoughReqs
 	}
 	for _, k := range order {
 		if mask&(1<<k) != 0 {
-			cut := pick(by == "share" || by == "rate", math.Min(1-leastLevel, left), 0)
+			cut := pick(by == AdmitByShare || by == AdmitByRate, math.Min(1-leastLevel, left), 0)
 			left -= cut
-			level := pick(by == "rate", noLimit, math.Round(20*(1-cut))/20) // few steps, few messages
-			if rate := each / asked * (r.b.asked[k] + enoughReqs); by == "rate" && cut*rate > 0 {
+			level := pick(by == AdmitByRate, noLimit, math.Round(20*(1-cut))/20) // few steps, few messages
+			if rate := each / asked * (r.b.asked[k] + enoughReqs); by == AdmitByRate && cut*rate > 0 {
 				level = math.Exp2(math.Round(4*math.Log2(-rate*math.Log(cut))) / 4) // proxies spread exponentially
 			}
-			way := pick(again && r.b.kinds[k]["repeats"] == "replayable", 2, usual)
+			way := pick(again && r.b.kinds[k].Retryable, 2, usual)
 			for p := range r.b.parts {
 				r.b.sender.post(Admit{r.b.table(r.zone*r.b.parts+p, g), 1 << k, int(way), level})
 			}
@@ -733,7 +729,7 @@
 func (b *Brain) byPayoff() (order []int) {
 	var worth []float64
 	for k, of := range b.kinds {
-		order, worth = append(order, k), append(worth, of.num("payoff", 1)/of.num("response_target", 1000))
+		order, worth = append(order, k), append(worth, of.PriorityWeight/of.ResponseTargetMs)
 	}
 	sort.SliceStable(order, func(i, j int) bool { return worth[order[i]] < worth[order[j]] })
 	return order
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -16,6 +16,7 @@
 type bench struct {
 	t        *testing.T
 	b        *Brain
+	terms    map[string]any
 	now      float64
 	lines    map[int]map[int]float64
 	out      map[int]bool
@@ -45,7 +46,7 @@
 	if change != nil {
 		change(terms, entries)
 	}
-	p := &bench{t: t, b: New(1, terms), lines: map[int]map[int]float64{}, out: map[int]bool{},
+	p := &bench{t: t, b: New(1, terms), terms: terms, lines: map[int]map[int]float64{}, out: map[int]bool{},
 		levels: map[string]Admit{}, bound: map[int][]Bind{}}
 	p.step(Listing{Mode: Remembered, Entries: entries})
 	p.step(Joined{Proxy: 0, Zone: 0, Rate: 20}, Joined{Proxy: 1, Zone: 1, Rate: 20})
@@ -666,15 +667,15 @@
 			p.gather(4, func() []Note { return tries(0, 20, 0, 0.4, 0, 1, 2, 3) })
 			require.Len(t, p.bound[0], 1)
 			c.again.Rate = 20
-			p.b.sender.window.estimate = p.b.brief.num("backlog", 0) / 3 // no room to bind anew at once
+			p.b.sender.window.estimate = p.b.settings.BacklogLines / 3 // no room to bind anew at once
 			p.step(c.again)
-			p.b.sender.window.estimate = p.b.brief.num("backlog", 0) / 3
+			p.b.sender.window.estimate = p.b.settings.BacklogLines / 3
 			assert.Equal(t, c.mayCount, p.b.sender.proxies[0].bound, "its lines cost")
 			p.now += 100
 			marks, orders := []int{}, p.step(append(c.between, Listing{Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 9}}})...)
 			if c.between != nil { // said halfway through the grace
 				p.now += 1100
-				p.b.sender.window.estimate = 2 * p.b.brief.num("backlog", 0) // nothing that can wait goes out
+				p.b.sender.window.estimate = 2 * p.b.settings.BacklogLines // nothing that can wait goes out
 				orders = p.step()
 				require.Contains(t, orders, Withdraw{1, true})
 				assert.True(t, slices.ContainsFunc(orders, func(o Order) bool { _, binds := o.(Bind); return binds }),
@@ -769,7 +770,7 @@
 // table bound over them left nothing to pick (the rehearsal's empty-start served 0.07 of its first seconds).
 func TestEmptyListBindsNobody(t *testing.T) {
 	p := pilot(t, nil)
-	empty := &bench{t: t, b: New(1, p.b.brief), lines: map[int]map[int]float64{}, out: map[int]bool{},
+	empty := &bench{t: t, b: New(1, p.terms), lines: map[int]map[int]float64{}, out: map[int]bool{},
 		levels: map[string]Admit{}, bound: map[int][]Bind{}}
 	empty.step(Joined{Proxy: 0, Zone: 0, Rate: 20})
 	empty.gather(3, nil)
--- a/brain/helper.go
+++ b/brain/helper.go
@@ -1,19 +1,5 @@
 package brain
 
-import (
-	"math"
-	"slices"
-)
-
-// briefing is what was told at the start, as a plain map.
-type briefing map[string]any
-
-// num returns a figure that was told, or the fallback where none above 0 was.
-func (t briefing) num(name string, fallback float64) float64 {
-	v, _ := t[name].(float64)
-	return pick(v > 0 && !math.IsInf(v, 0), v, fallback)
-}
-
 // inbox keeps an actor's notes until the loop empties it.
 type inbox struct {
 	waiting []any
@@ -29,6 +15,3 @@
 	}
 	return no
 }
-
-// holds returns whether a list of indices names one; an empty list names all.
-func holds(list []any, i int) bool { return len(list) == 0 || slices.Contains(list, any(float64(i))) }
--- a/brain/sender.go
+++ b/brain/sender.go
@@ -13,7 +13,6 @@
 // Figures of what is sent.
 const (
 	bindMs = 100.0 // between two tries to bind proxies that wait for room
-	lateMs = 500.0 // longest way of a message, where the settings tell of none
 )
 
 // sender keeps what proxies have been sent and orders what they get next.
@@ -103,11 +102,11 @@
 
 func (c *sender) gone(endpoint int) bool { _, out := c.out[endpoint]; return out }
 
-func (c *sender) head() float64 { return c.b.brief.num("head_lines", 4) + 1 } // of a message, with its mark
+func (c *sender) head() float64 { return c.b.settings.HeaderLines + 1 } // of a message, with its mark
 
 func (c *sender) flush() {
 	before := c.window.written
-	c.window.pass(c.b.now, c.b.brief.num("lines_per_s", 1000)/1000)
+	c.window.pass(c.b.now, c.b.settings.LinesPerSecond.Or(1000)/1000)
 	turns := slices.DeleteFunc(slices.Clone(c.tables), func(t *table) bool {
 		return !t.solved && !(c.reopened && t.owed > 0)
 	})
@@ -143,7 +142,7 @@
 	if k.since == 0 {
 		k.since = math.Max(c.b.now, 1e-3)
 		c.b.say("channel full: %d drains wait, %.0f lines in flight of %.0f, %d marks kept, last answer %.0f ms ago",
-			owed, c.window.inFlight(), c.b.brief.num("backlog", 1000), len(c.window.batches), c.b.now-c.window.heardAt)
+			owed, c.window.inFlight(), c.b.settings.BacklogLines, len(c.window.batches), c.b.now-c.window.heardAt)
 	}
 	if c.window.stalled == 0 && !marked {
 		c.probe()
@@ -152,7 +151,7 @@
 
 // probe binds one proxy anew to the tables it is on, once a probe is due: the smallest batch whose answer tells all.
 func (c *sender) probe() {
-	due := c.window.probeAt(2 * c.b.brief.num("late_most", lateMs))
+	due := c.window.probeAt(2 * c.b.settings.DeliveryMs)
 	if due > c.b.now {
 		if c.blocked.wake != due {
 			c.blocked.wake = due
@@ -209,8 +208,8 @@
 }
 
 func (c *sender) bindAll() {
-	waits, lit, heads := maps.Clone(c.proxies), map[int]bool{}, c.head()/c.b.brief.num("lines_per_s", 1000)
-	heads *= c.b.brief.num("proxy_count", 1) / c.b.brief.num("instances", 1) / float64(len(c.b.regions))
+	waits, lit, heads := maps.Clone(c.proxies), map[int]bool{}, c.head()/c.b.settings.LinesPerSecond.Or(1000)
+	heads *= c.b.settings.ProxyCount.Or(1) / c.b.settings.Instances / float64(len(c.b.regions))
 	maps.DeleteFunc(waits, func(_ int, p *proxy) bool { return p.served })
 	names := slices.Sorted(maps.Keys(waits))
 	for _, e := range c.b.bes {
@@ -225,7 +224,7 @@
 		if lines == 0 || c.b.regions[p.Zone].amiss < heavy*math.Min(1, heads) { // heads: s of the channel
 			continue // what it stands with is better than nothing, or as good
 		}
-		if waiting := c.window.estimate; waiting > 0 && waiting+cost > 0.3*c.b.brief.num("backlog", 1000) {
+		if waiting := c.window.estimate; waiting > 0 && waiting+cost > 0.3*c.b.settings.BacklogLines {
 			if c.bindWake <= c.b.now {
 				c.bindWake = c.b.now + bindMs
 				c.b.order(WakeAt{c.bindWake, "bind"})
@@ -253,7 +252,7 @@
 			delete(c.withdrawnAt, i)
 		}
 	}
-	half, answered, written := c.b.brief.num("drain_grace", 2000)/2, len(c.each) > 0, c.window.written
+	half, answered, written := c.b.settings.DrainGraceMs/2, len(c.each) > 0, c.window.written
 	for _, i := range slices.Sorted(maps.Keys(c.out)) {
 		zone, cost, due := c.b.bes[i].Zone, 0.0, len(waits) == 0 && c.withdrawnAt[i] == 0
 		lines := func(p *proxy) float64 { // what it costs at one that may hold it: of its zone, or spilt to it
@@ -271,7 +270,7 @@
 		if cost > 0 && last+c.pace() > c.b.now {
 			continue
 		}
-		if cost > 0 && c.window.inFlight()+cost >= c.b.brief.num("backlog", 1000) {
+		if cost > 0 && c.window.inFlight()+cost >= c.b.settings.BacklogLines {
 			c.blocked.withdrawals++
 			continue
 		}
@@ -294,7 +293,7 @@
 	if p == nil {
 		return
 	}
-	if _, cost := c.cost(p); c.window.inFlight()+cost < c.b.brief.num("backlog", 1000) {
+	if _, cost := c.cost(p); c.window.inFlight()+cost < c.b.settings.BacklogLines {
 		p.probed = c.b.now
 		c.bind(p)
 	}
@@ -302,11 +301,11 @@
 
 // pace is how far apart messages to a proxy are, so that half as many again stay within their limit.
 func (c *sender) pace() float64 {
-	return 1.5 * c.b.brief.num("messages_over", 10000) / c.b.brief.num("messages_most", math.MaxFloat64)
+	return 1.5 * c.b.settings.MessageSpanMs / c.b.settings.MessageLimit
 }
 
 func (c *sender) cold(endpoint int) bool {
-	return c.b.bes[endpoint].Started != 0 && c.b.now-c.b.bes[endpoint].Started < c.b.brief.num("cold", 10000)
+	return c.b.bes[endpoint].Started != 0 && c.b.now-c.b.bes[endpoint].Started < c.b.settings.WarmUpMs
 }
 
 // push writes a used table's differences, the largest first, while there is room or less than half stands.
@@ -322,7 +321,7 @@
 	}
 	t.solved = false
 	head, written := c.head(), 0.0
-	lines := (c.b.brief.num("backlog", 1000)/3-c.window.estimate)/math.Max(users, 1e-9) - head
+	lines := (c.b.settings.BacklogLines/3-c.window.estimate)/math.Max(users, 1e-9) - head
 	lines = pick(users > 0 && t.pushed+c.pace() > c.b.now, 0, lines)
 	for _, k := range slices.Sorted(maps.Keys(t.levels)) {
 		if lines >= 1 && t.told[k] != t.levels[k] {
@@ -330,7 +329,7 @@
 			c.b.order(t.levels[k])
 		}
 	}
-	whole := users * float64(c.b.parts*len(t.want)) / c.b.brief.num("lines_per_s", 1000) // the zone's tables
+	whole := users * float64(c.b.parts*len(t.want)) / c.b.settings.LinesPerSecond.Or(1000) // the zone's tables
 	off := tolerance + thrift*math.Min(1, whole)
 	gaps, kept, full, apart := map[int]float64{}, 0.0, 0.0, 0.0
 	for _, k := range slices.Sorted(maps.Keys(t.want)) {
@@ -342,14 +341,14 @@
 			apart += gaps[k]
 		}
 	}
-	if at := users * float64(c.b.parts) * head / c.b.brief.num("lines_per_s", 1000); written == 0 &&
+	if at := users * float64(c.b.parts) * head / c.b.settings.LinesPerSecond.Or(1000); written == 0 &&
 		apart < heavy*math.Min(1, at)*full {
 		clear(gaps) // their heads would cost more than they bring
 	}
 	order := slices.Sorted(maps.Keys(gaps))
 	sort.SliceStable(order, func(i, j int) bool { return gaps[order[i]] > gaps[order[j]] })
 	for _, k := range order {
-		fits := users == 0 || c.window.inFlight()+users*(written+head+1) < c.b.brief.num("backlog", 1000)
+		fits := users == 0 || c.window.inFlight()+users*(written+head+1) < c.b.settings.BacklogLines
 		if !fits && gaps[k] >= math.MaxFloat64/2 {
 			t.owed++ // a drain, or one that has started again: goes out as soon as there is room
 			continue
--- /dev/null
+++ b/brain/settings.go
@@ -0,0 +1,272 @@
+package brain
+
+// This file turns the settings of a deployment, a map of names to values, into typed values with their
+// defaults. Behind ParseSettings nothing in this package looks a setting up by its name.
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"slices"
+)
+
+// Defaults of settings that a deployment may leave out. Three numbers have none of their own, as each formula needs
+// another stand-in for them: see Optional.
+const (
+	defaultInstances         = 1.0
+	defaultStandingLines     = 1e-9 // as few as that stray so far from any plan that all tables are assigned
+	defaultCrossZoneCost     = 0.1
+	defaultWarmUpMs          = 10000.0
+	defaultWarmUpStart       = 0.1
+	defaultOverloadMultiple  = 1.0
+	defaultFirstRetryWait    = 1.0
+	defaultHeaderLines       = 4.0
+	defaultBacklogLines      = 1000.0
+	defaultMessageSpanMs     = 10000.0
+	defaultDrainGraceMs      = 2000.0
+	defaultDeliveryMs        = 500.0
+	defaultPriorityWeight    = 1.0
+	defaultResponseTargetMs  = 1000.0
+	noMessageLimit           = math.MaxFloat64 // messages that a proxy may get where the settings bound them not
+	maxClasses               = 31              // request classes that fit the bit masks of the commands
+	indexOfNothing           = -1              // stands in an IndexList for an element that is no index
+	reportFieldUtilization   = "util"          // of a load report; the names of the others are in load.go
+	discoveryOnRequest       = "on_request"
+	repeatableWithoutEffects = "replayable"
+)
+
+// Settings is all that is configured of the deployment. Times are in milliseconds. A number that is missing, not
+// above zero, infinite or of another type takes the default named beside it.
+type Settings struct {
+	// The controllers, of which this planner serves one.
+	Instances float64 // how many there are; default 1
+	Rank      float64 // of this one among them, from 0
+
+	// The fleet.
+	ProxyCount         Optional // proxies of all controllers together
+	ZoneCount          int      // zones that are named
+	ZonesKeptWhole     bool     // the proxies of a zone all join one controller, which sees the zone's whole demand
+	Sliced             bool     // requests go by slices of a key space, whose stored owners the planner lets be
+	StandingLines      float64  // lines of the tables that proxies hold before any is assigned to them; default 1e-9
+	DiscoveryOnRequest bool     // changes of the endpoint list come only after a Watch
+
+	// The endpoints.
+	LeastConnections   Optional // that the endpoint with the lowest limit takes
+	CrossZoneCost      float64  // of a request that leaves its zone, in the deployment's prices; default 0.1
+	WarmUpMs           float64  // from its start until an endpoint can do its normal work; default 10 s
+	WarmUpStart        float64  // part of that work that it can do at its start; default 0.1
+	OverloadMultiple   float64  // multiple of what it can do at which an endpoint falls over; default 1
+	HealthChecks       bool     // endpoints may be checked by the controller
+	ReportsUtilization bool     // load reports hold a utilization, which shows load before queues do
+
+	// The proxies' own behavior.
+	ProxiesEject   bool    // proxies avoid endpoints that have failed several times in a row
+	DefaultRetry   int     // retry policy of proxies that have received none
+	FirstRetryWait float64 // before a retry, in units of the class's response target; default 1
+	Admission      AdmissionMode
+
+	// The channel to the proxies.
+	LinesPerSecond Optional // that it carries
+	BacklogLines   float64  // that may wait in it; default 1000
+	HeaderLines    float64  // that a message costs beside those it brings; default 4
+	MessageLimit   float64  // messages that a proxy may get within MessageSpanMs; default: no limit
+	MessageSpanMs  float64  // default 10 s
+	DeliveryMs     float64  // longest way of a message; default 500 ms
+	DrainGraceMs   float64  // from the notice that an endpoint drains until its connections are cut; default 2 s
+
+	Classes []RequestClass
+}
+
+// RequestClass is what is configured of one class of requests.
+type RequestClass struct {
+	PriorityWeight   float64   // relative value of an answer; default 1
+	ResponseTargetMs float64   // by when an answer is due; default 1 s
+	Retryable        bool      // a repetition does no harm, also after an attempt that may have run
+	OwnZoneOnly      bool      // only endpoints of the requests' own zone may serve it
+	OnlyMachines     IndexList // machine types that may serve it
+	OnlyZones        IndexList // zones whose endpoints may serve it
+}
+
+// AdmissionMode says in which form proxies take admission levels.
+type AdmissionMode string
+
+// The modes in which load can be shed. With any other value nothing is.
+const (
+	AdmitByShare AdmissionMode = "share" // the part of the requests that is admitted
+	AdmitByRate  AdmissionMode = "rate"  // requests a second that each proxy admits
+)
+
+// Optional is a number above zero that the settings may lack; it is 0 then.
+type Optional float64
+
+// Or returns the number, or the fallback where the settings lack it.
+func (o Optional) Or(fallback float64) float64 {
+	if o > 0 {
+		return float64(o)
+	}
+	return fallback
+}
+
+// IndexList names some zones or machine types by their indices; an empty list names all.
+type IndexList []int
+
+// Has returns whether the list names an index.
+func (l IndexList) Has(index int) bool {
+	return len(l) == 0 || slices.Contains(l, index)
+}
+
+// SettingError reports a setting whose value has the wrong type, so that its default stands.
+type SettingError struct {
+	Key  string // with the place of an element in a list, as in req_kinds[2].payoff
+	Want string // the type that is needed
+	Got  any
+}
+
+// Error implements the error interface.
+func (e *SettingError) Error() string {
+	return fmt.Sprintf("setting %s: want %s, got %T", e.Key, e.Want, e.Got)
+}
+
+// ParseSettings reads settings out of a map of names to values. Its error joins a SettingError for each value of the
+// wrong type; the settings returned with it have the defaults there. A null counts as missing.
+func ParseSettings(raw map[string]any) (Settings, error) {
+	r := &settingsReader{raw: raw}
+	s := Settings{}
+	r.readFleet(&s)
+	r.readEndpoints(&s)
+	r.readProxies(&s)
+	r.readChannel(&s)
+	s.Classes = r.classes()
+	return s, errors.Join(r.errs...)
+}
+
+// settingsReader reads typed values out of a map and collects complaints.
+type settingsReader struct {
+	raw    map[string]any
+	prefix string // of keys in complaints
+	errs   []error
+}
+
+// readFleet reads the settings of the controllers and the fleet.
+func (r *settingsReader) readFleet(s *Settings) {
+	s.Instances = r.number("instances").Or(defaultInstances)
+	s.Rank = r.number("rank").Or(0)
+	s.ProxyCount = r.number("proxy_count")
+	s.ZoneCount = len(value[[]any](r, "zones", "a list"))
+	s.ZonesKeptWhole = value[bool](r, "by_zone", "true or false")
+	s.Sliced = r.number("slices") > 0
+	s.StandingLines = r.number("standing").Or(defaultStandingLines)
+	s.DiscoveryOnRequest = value[string](r, "discovery", "a string") == discoveryOnRequest
+}
+
+// readEndpoints reads the settings of the endpoints.
+func (r *settingsReader) readEndpoints(s *Settings) {
+	s.LeastConnections = r.number("conns_least")
+	s.CrossZoneCost = r.number("cross_zone").Or(defaultCrossZoneCost)
+	s.WarmUpMs = r.number("cold").Or(defaultWarmUpMs)
+	s.WarmUpStart = r.number("cold_from").Or(defaultWarmUpStart)
+	s.OverloadMultiple = r.number("fall_multiple").Or(defaultOverloadMultiple)
+	s.HealthChecks = value[bool](r, "probing", "true or false")
+	for i, element := range value[[]any](r, "fields", "a list") {
+		if element == reportFieldUtilization {
+			s.ReportsUtilization = true
+		} else if _, ok := element.(string); !ok {
+			r.complain(fmt.Sprintf("fields[%d]", i), "a string", element)
+		}
+	}
+}
+
+// readProxies reads the settings of the proxies' own behavior.
+func (r *settingsReader) readProxies(s *Settings) {
+	s.ProxiesEject = r.number("ejects_after") > 0
+	s.DefaultRetry = int(r.number("retry_default"))
+	s.FirstRetryWait = r.number("first_wait").Or(defaultFirstRetryWait)
+	s.Admission = AdmissionMode(value[string](r, "admission", "a string"))
+}
+
+// readChannel reads the settings of the channel to the proxies.
+func (r *settingsReader) readChannel(s *Settings) {
+	s.LinesPerSecond = r.number("lines_per_s")
+	s.BacklogLines = r.number("backlog").Or(defaultBacklogLines)
+	s.HeaderLines = r.number("head_lines").Or(defaultHeaderLines)
+	s.MessageLimit = r.number("messages_most").Or(noMessageLimit)
+	s.MessageSpanMs = r.number("messages_over").Or(defaultMessageSpanMs)
+	s.DeliveryMs = r.number("late_most").Or(defaultDeliveryMs)
+	s.DrainGraceMs = r.number("drain_grace").Or(defaultDrainGraceMs)
+}
+
+// classes reads the request classes. What is no map of settings counts as a class without settings.
+func (r *settingsReader) classes() []RequestClass {
+	list := value[[]any](r, "req_kinds", "a list")
+	ownZone := value[[]any](r, "kind_own_zone", "a list")
+	var classes []RequestClass
+	for i, element := range list[:min(len(list), maxClasses)] {
+		key := fmt.Sprintf("req_kinds[%d]", i)
+		raw, ok := element.(map[string]any)
+		if !ok {
+			r.complain(key, "a map", element)
+		}
+		of := &settingsReader{raw: raw, prefix: r.prefix + key + "."}
+		class := of.class()
+		r.errs = append(r.errs, of.errs...)
+		if i < len(ownZone) {
+			class.OwnZoneOnly = ownZone[i] == true
+		}
+		classes = append(classes, class)
+	}
+	return classes
+}
+
+// class reads one request class.
+func (r *settingsReader) class() RequestClass {
+	return RequestClass{
+		PriorityWeight:   r.number("payoff").Or(defaultPriorityWeight),
+		ResponseTargetMs: r.number("response_target").Or(defaultResponseTargetMs),
+		Retryable:        value[string](r, "repeats", "a string") == repeatableWithoutEffects,
+		OnlyMachines:     r.indices("only_machines"),
+		OnlyZones:        r.indices("only_zones"),
+	}
+}
+
+// number reads a number; it is missing where the value is not above zero, infinite or no number.
+func (r *settingsReader) number(key string) Optional {
+	number := value[float64](r, key, "a number")
+	if number > 0 && !math.IsInf(number, 0) {
+		return Optional(number)
+	}
+	return 0
+}
+
+// indices reads a list of indices. An element that is none names nothing, but the list counts as not empty.
+func (r *settingsReader) indices(key string) IndexList {
+	var list IndexList
+	for i, element := range value[[]any](r, key, "a list") {
+		number, ok := element.(float64)
+		index := int(number)
+		if !ok || float64(index) != number || index < 0 {
+			r.complain(fmt.Sprintf("%s[%d]", key, i), "an index", element)
+			index = indexOfNothing
+		}
+		list = append(list, index)
+	}
+	return list
+}
+
+// complain notes a value of the wrong type.
+func (r *settingsReader) complain(key, want string, got any) {
+	r.errs = append(r.errs, &SettingError{Key: r.prefix + key, Want: want, Got: got})
+}
+
+// value reads a value of one type; a missing one and one of another type are the type's zero value.
+func value[T any](r *settingsReader, key, want string) T {
+	var none T
+	raw, set := r.raw[key]
+	if !set || raw == nil {
+		return none
+	}
+	typed, ok := raw.(T)
+	if !ok {
+		r.complain(key, want, raw)
+	}
+	return typed
+}
