--- a/brain/settings_test.go
+++ b/brain/settings_test.go
@@ -110,15 +110,15 @@
 	raw := map[string]any{"backlog": 100.0, "cross_zone": 0.1, "conns_least": 10.0, "proxy_count": 300.0,
 		"req_kinds": []any{map[string]any{"payoff": 2.0}}}
 	p := New(1, raw)
-	target, subsets := p.knee, p.parts
+	target, subsets := p.targetLoad, p.subsetsOfZone
 	require.Greater(t, subsets, 1)
 	raw["backlog"], raw["cross_zone"], raw["conns_least"], raw["req_kinds"] = 200.0, 0.0, 1e6, []any{}
 	assert.Equal(t, 100.0, p.settings.BacklogLines, "the map is not read any more")
 	p.Reconfigure(raw)
 	assert.Equal(t, 200.0, p.settings.BacklogLines)
 	assert.Equal(t, 1e6, p.settings.LeastConnections.Or(0))
-	assert.Equal(t, target, p.knee)
-	assert.Equal(t, subsets, p.parts)
-	assert.Len(t, p.kinds, 1)
+	assert.Equal(t, target, p.targetLoad)
+	assert.Equal(t, subsets, p.subsetsOfZone)
+	assert.Len(t, p.classes, 1)
 	assert.Len(t, p.groups, 1)
 }
