--- /dev/null
+++ b/brain/admission_test.go
@@ -0,0 +1,72 @@
+package brain
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+func TestLoadShedding(t *testing.T) {
+	full := func() []Note {
+		return append(attempts(0, 10, 10, 1, 0, 1, 2, 3, 4, 5), Demand{Proxy: 0, Kind: 0, Reqs: 10}, Demand{Proxy: 0, Kind: 1, Reqs: 10})
+	}
+	p := newHarness(t, nil)
+	p.rounds(8, full)
+	low, ok := p.admission["0/1"]
+	require.True(t, ok, "overload denies the kind with the least payoff for its time")
+	assert.Less(t, low.Level, 0.9)
+	assert.LessOrEqual(t, low.Again, 1, "no kind is tried again after a try that may have run")
+	if high, ok := p.admission["0/2"]; ok {
+		assert.GreaterOrEqual(t, high.Level, low.Level)
+	}
+	p.rounds(50, func() []Note { return attempts(0, 10, 0, 0.3, 0, 1, 2, 3, 4, 5) })
+	assert.Equal(t, 1.0, p.admission["0/1"].Level)
+	none := newHarness(t, func(terms map[string]any, _ []Entry) { terms["admission"] = "off" })
+	none.rounds(8, full)
+	for _, l := range none.admission {
+		assert.Equal(t, 1.0, l.Level, "ways of trying again are told, levels are not")
+	}
+}
+
+// TestLoadSheddingByRate guards proxies that take levels as rates of their own: a share of 1, told as one req a second, had them
+// deny four of five reqs of a customer whose proxies bring 24 (calm+mass of seed 3 with 30 nodes, one zone, admission by rate).
+func TestLoadSheddingByRate(t *testing.T) {
+	demand := func() []Note {
+		return []Note{Demand{Proxy: 0, Kind: 0, Reqs: 15, SpanMs: 1000}, Demand{Proxy: 0, Kind: 1, Reqs: 5, SpanMs: 1000}}
+	}
+	p := newHarness(t, func(terms map[string]any, _ []Entry) { terms["admission"], terms["retry_default"] = "rate", 1.0 })
+	p.rounds(8, func() []Note { return append(attempts(0, 10, 2, 0.3, 0, 1, 2, 3, 4, 5), demand()...) })
+	require.Equal(t, 2, p.admission["0/1"].Again, "some are tried again")
+	assert.Greater(t, p.admission["0/1"].Level, 1000.0, "and all are let in")
+	p.rounds(3, func() []Note { return append(attempts(0, 10, 10, 1, 0, 1, 2, 3, 4, 5), demand()...) })
+	assert.Less(t, p.admission["0/1"].Level, 15.0, "overload denies the kind with the least payoff for its time")
+	assert.Greater(t, p.admission["0/1"].Level, 0.5)
+	assert.GreaterOrEqual(t, p.admission["0/2"].Level, 5.0, "and the other not yet")
+	p.rounds(50, func() []Note { return append(attempts(0, 10, 0, 0.3, 0, 1, 2, 3, 4, 5), demand()...) })
+	assert.Greater(t, p.admission["0/1"].Level, 1000.0, "then all are let in again")
+	p = newHarness(t, func(terms map[string]any, _ []Entry) { terms["admission"] = "rate" })
+	p.rounds(30, func() []Note { return attempts(0, 10, 10, 1, 0, 1, 2, 3, 4, 5) })
+	for _, l := range p.admission {
+		assert.Greater(t, l.Level, 0.0, "no zone without reqs is closed")
+	}
+}
+
+func TestRetryPolicy(t *testing.T) {
+	for name, c := range map[string]struct {
+		util, firstWait float64
+		failed, want    int
+	}{
+		"some fail, load is modest": {0.3, 0.8, 2, 2},
+		"none fail":                 {0.3, 0.8, 0, 1},
+		"load is high":              {0.8, 0.8, 2, 1},
+		"it would come too late":    {0.3, 1.2, 2, 1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			p := newHarness(t, func(terms map[string]any, _ []Entry) { terms["first_wait"] = c.firstWait })
+			p.rounds(6, func() []Note { return attempts(0, 10, c.failed, c.util, 0, 1, 2, 3, 4, 5) })
+			assert.Equal(t, c.want, p.admission["0/1"].Again)
+			assert.Equal(t, 1, p.admission["0/2"].Again, "never what is non-replayable")
+		})
+	}
+}
--- /dev/null
+++ b/brain/planner.go
@@ -0,0 +1,190 @@
+package brain
+
+// This file is the frame of the planner: events in, control rounds, commands out. The planner is a sub-controller of
+// the ACCO algorithm ("A Distributed Hybrid Load Management Model for Anycast CDNs", section IV-A). Its regions are
+// the zones of the proxies that joined it. Once in a round each endpoint steps its penalty (penalty.go) and each
+// region solves for its shares anew (region.go); the publisher sends the proxies what changed (publisher.go).
+// docs/design.md says what was changed of the algorithm, and why.
+
+import (
+	"fmt"
+	"maps"
+	"math"
+	"slices"
+)
+
+type Brain struct {
+	mailbox
+	settings                  Settings
+	rounds, subsetsOfZone     int     // parts: tables that a zone's proxies are dealt to, for each group
+	now, targetLoad, meanLoad float64 // mean: of the loads heard
+	concentration             float64 // one by how many proxies of one rate would spread reqs as evenly as all
+	speeds                    histogram
+	started                   bool
+	endpoints                 []*endpoint
+	regions                   []*region
+	actors                    []*mailbox
+	publisher                 *publisher
+	groups                    []classGroup
+	classes                   []RequestClass // of the settings at the start
+	proxies                   map[int]Joined
+	observed, baseline        map[int]float64 // reqs that came by the proxies' zone, and ordinarily do, fading
+	byClass                   map[int]float64 // reqs by kind, fading
+	rates, proxiesOfZone      map[int]float64 // by zone of the proxies: reqs a second (at -1 of all), how many
+	commands                  []Order
+}
+
+func New(seed int64, terms map[string]any) *Brain {
+	parsed, _ := ParseSettings(terms) // New may not fail: what is wrong has its default
+	b := &Brain{settings: parsed, classes: parsed.Classes, proxies: map[int]Joined{}, rates: map[int]float64{}, observed: map[int]float64{},
+		baseline: map[int]float64{}, byClass: map[int]float64{}, proxiesOfZone: map[int]float64{}}
+	// T, the load at which a penalty starts to grow: the less crossing zones costs, the sooner it pays.
+	b.targetLoad = math.Min(0.85, 0.5+2*b.settings.CrossZoneCost)
+	if !b.settings.Sliced { // sites with slices are not planned: stored owners stay
+		b.groupClasses()
+	}
+	b.subsetsOfZone = b.countSubsets()
+	b.publisher = &publisher{planner: b, proxies: map[int]*proxyState{}, unavailable: map[int]float64{}, linesSinceAck: map[int]float64{},
+		excludedAt: map[int]float64{}}
+	b.take, b.publisher.take, b.actors = b.receive, b.publisher.receive, []*mailbox{&b.mailbox, &b.publisher.mailbox}
+	return b
+}
+
+// Reconfigure takes over changed settings. What New derived from the earlier ones stays.
+func (b *Brain) Reconfigure(settings map[string]any) {
+	b.settings, _ = ParseSettings(settings) // as New does
+}
+
+func (b *Brain) logf(format string, args ...any) { b.command(Log{fmt.Sprintf(format, args...)}) }
+
+func (b *Brain) command(o Order) { b.commands = append(b.commands, o) }
+
+func (b *Brain) Handle(nowMs float64, notes []Note) []Order {
+	b.now, b.commands = math.Max(b.now, nowMs), nil
+	if !b.started { // each pilot gathers at its own point of the window
+		b.started = true
+		b.command(WakeAt{b.now + roundMs*(1+b.settings.Rank/b.settings.Instances)/2, "gather"})
+		if b.settings.DiscoveryOnRequest {
+			b.command(Watch{On: true})
+		}
+	}
+	for _, n := range notes {
+		b.dispatch(n)
+	}
+	b.deliverAll()
+	b.publisher.flush()
+	return b.commands
+}
+
+func (b *Brain) dispatch(n Note) {
+	switch n := n.(type) {
+	case Listing:
+		b.updateList(n)
+	case Alarm:
+		if n.Name == "gather" {
+			b.rounds++
+			b.command(WakeAt{b.now + roundMs, "gather"})
+			b.controlRound(true)
+		}
+	case Probed:
+		b.endpoint(n.Endpoint).enqueue(n)
+	case Met: // counts that began before the endpoint started again tell of the process that is gone
+		if at := b.endpoint(n.Endpoint).Started; at != 0 && at > b.now-n.SpanMs {
+			n.Tries, n.Failed = 0, 0
+		}
+		b.endpoint(n.Endpoint).enqueue(n)
+		b.region(n.Zone).enqueue(n)
+	default: // who is joined, what comes to them and what they applied
+		b.enqueue(n)
+		b.publisher.enqueue(n)
+	}
+}
+
+func (b *Brain) updateList(l Listing) {
+	if l.Mode == ListFailed {
+		b.command(Watch{On: true})
+		return
+	}
+	named := map[int]bool{}
+	for _, e := range l.Entries {
+		named[e.Endpoint] = true
+		b.region(e.Zone)
+		b.endpoint(e.Endpoint).enqueue(e)
+	}
+	for i, be := range b.endpoints {
+		if gone := be.Entry; l.Mode != Changes && be.listed && !named[i] {
+			gone.Phase = Gone
+			be.enqueue(gone)
+		}
+	}
+	b.controlRound(false)
+}
+
+func (b *Brain) controlRound(step bool) {
+	b.deliverAll()
+	squares := 0.0
+	clear(b.proxiesOfZone)
+	clear(b.rates) // ordinary rates, corrected by what the sums of the last seconds show
+	for _, i := range slices.Sorted(maps.Keys(b.proxies)) {
+		z := b.proxies[i].Zone
+		rate := b.proxies[i].Rate * b.surge(z)
+		b.rates[z], b.rates[-1], b.proxiesOfZone[z] = b.rates[z]+rate, b.rates[-1]+rate, b.proxiesOfZone[z]+1
+		squares += rate * rate
+	}
+	many := float64(len(b.proxies)) / math.Max(1e-9, b.rates[-1]*b.rates[-1]) * squares
+	b.concentration = math.Max(1, many) / b.settings.ProxyCount.Or(1)
+	b.meanLoad = b.targetLoad / 2
+	for _, be := range b.endpoints {
+		b.meanLoad += pick(be.updatedAt > b.now-staleMs, be.load-b.meanLoad, 0) / float64(len(b.endpoints)+1)
+		be.enqueue(roundStart{step})
+	}
+	b.deliverAll()
+	for _, r := range b.regions {
+		r.enqueue(roundStart{step})
+	}
+}
+
+func (b *Brain) receive(note any) {
+	switch n := note.(type) {
+	case Joined:
+		b.proxies[n.Proxy] = n
+		b.region(n.Zone)
+	case Left:
+		delete(b.proxies, n.Proxy)
+	case Demand:
+		if p, ours := b.proxies[n.Proxy]; ours {
+			b.observed[p.Zone] = demandFade*b.observed[p.Zone] + float64(n.Reqs)
+			b.byClass[n.Kind] = demandFade*b.byClass[n.Kind] + float64(n.Reqs)
+			b.baseline[p.Zone] = demandFade*b.baseline[p.Zone] + p.Rate*n.SpanMs/1000/float64(len(b.classes))
+		}
+	}
+}
+
+func (b *Brain) endpoint(i int) *endpoint {
+	for len(b.endpoints) <= i {
+		e := &endpoint{planner: b, Entry: Entry{Endpoint: len(b.endpoints)}, load: -1, updatedAt: -staleMs,
+			health: map[int]*zoneHealth{}, plans: append([]map[int]float64{{}}, make([]map[int]float64, reportDelayRounds+1)...)}
+		e.take = e.receive
+		b.endpoints, b.actors = append(b.endpoints, e), append(b.actors, &e.mailbox)
+	}
+	return b.endpoints[i]
+}
+
+func (b *Brain) region(zone int) *region {
+	for len(b.regions) <= zone {
+		r := &region{planner: b, zone: len(b.regions), candidates: map[int]*candidate{}, shed: map[int]float64{},
+			latency: map[int]float64{}, runLengths: map[int]float64{}}
+		r.take = r.receive
+		b.regions, b.actors = append(b.regions, r), append(b.actors, &r.mailbox)
+		for range len(b.groups) * b.subsetsOfZone {
+			b.publisher.tables = append(b.publisher.tables, &table{number: len(b.publisher.tables), sent: map[int]float64{},
+				admissionSent: map[int]Admit{}, admissionWanted: map[int]Admit{}, wanted: map[int]float64{}})
+		}
+	}
+	return b.regions[zone]
+}
+
+func (b *Brain) demandSeen() float64 {
+	part := math.Min(1, float64(len(b.proxies))/b.settings.ProxyCount.Or(1))
+	return pick(b.settings.ZonesKeptWhole, 1, part)
+}
--- /dev/null
+++ b/brain/planner_test.go
@@ -0,0 +1,117 @@
+package brain
+
+import (
+	"math"
+	"slices"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// TestFullSize holds 300 endpoints in three zones and 200 proxies on one pilot, half of them come at once.
+func TestFullSize(t *testing.T) {
+	var list []Entry
+	for i := range 300 {
+		list = append(list, Entry{Endpoint: i, Zone: i % 3, Weight: 3})
+	}
+	crowd := func(from, to int) (notes []Note) {
+		for i := from; i < to; i++ {
+			notes = append(notes, Joined{Proxy: i, Zone: i % 3, Rate: 10})
+		}
+		return notes
+	}
+	run := func() (all []Order) {
+		p := &harness{t: t, planner: New(1, map[string]any{"lines_per_s": 4000.0, "head_lines": 4.0, "backlog": 8000.0,
+			"messages_most": 30.0, "messages_over": 10000.0, "proxy_count": 200.0, "req_kinds": []any{map[string]any{}}}),
+			weights: map[int]map[int]float64{}, excluded: map[int]bool{}, admission: map[string]Admit{}, assigned: map[int][]Bind{}}
+		queue, written, marks := 0.0, map[int]int{}, []Note(nil)
+		for tick := range 400 {
+			p.now = float64(tick) * 50
+			notes := []Note{Alarm{"bind"}}
+			if queue == 0 { // all has left the channel
+				notes, marks = append(notes, marks...), nil
+			}
+			switch {
+			case tick == 0:
+				notes = append(notes, append([]Note{Listing{Mode: Remembered, Entries: list}}, crowd(0, 100)...)...)
+			case tick == 200: // the rest comes over, as a tenth of the endpoints goes
+				gone := slices.Clone(list[:30])
+				for i := range gone {
+					gone[i].Phase = Gone
+				}
+				notes = append(notes, append(crowd(100, 200), Listing{Mode: Changes, Entries: gone})...)
+			case tick%20 == 0:
+				bad := int(pick(tick < 100, 5, 0)) // endpoint 33 goes out and comes back
+				notes = append(notes, append(attempts(0, 3, 0, 0.5, 99, 102), attempts(0, 5-bad, bad, 0.1, 33)...)...)
+				notes = append(notes, Alarm{"gather"})
+			}
+			orders := p.step(notes...)
+			all = append(all, orders...)
+			for _, o := range orders {
+				switch o := o.(type) {
+				case Mark:
+					marks = append(marks, Applied{Number: o.Number})
+				case Bind:
+					queue += 5 + float64(len(p.weights[o.Table]))
+					written[o.Proxy]++
+				case SetLine:
+					for i, b := range p.assigned {
+						queue += pick(b[0].Table == o.Table, 1, 0)
+						written[i] += int(pick(b[0].Table == o.Table && tick%20 == 0, 1, 0)) / max(1, p.written)
+					}
+				}
+			}
+			assert.Less(t, queue, 8000.0, "tick %d", tick)
+			queue = math.Max(0, queue-4000*0.05)
+		}
+		assert.Len(t, p.assigned, 200, "everybody is bound in the end")
+		for _, w := range written {
+			assert.LessOrEqual(t, w, 30)
+		}
+		for i := range 30 {
+			assert.Zero(t, p.weights[i%3][i], "what is gone is in no table")
+		}
+		assert.NotZero(t, p.weights[0][33], "a trial's line is small, but it is sent")
+		return all
+	}
+	assert.Equal(t, run(), run())
+}
+
+func TestMalformedInput(t *testing.T) {
+	for name, c := range map[string]struct {
+		terms map[string]any
+		notes []Note
+	}{
+		"nothing told":       {map[string]any{}, []Note{Joined{Proxy: 1, Zone: 2}, Alarm{"gather"}, Left{Proxy: 7}}},
+		"no endpoint":        {map[string]any{"req_kinds": []any{map[string]any{}}}, []Note{Joined{}, Alarm{"gather"}, Listing{Mode: Whole}}},
+		"one, weight 0":      {map[string]any{"req_kinds": []any{map[string]any{}}}, []Note{Listing{Mode: Whole, Entries: []Entry{{}}}, Joined{}, Joined{}, Alarm{"gather"}}},
+		"all draining":       {map[string]any{"req_kinds": []any{map[string]any{}}}, []Note{Listing{Entries: []Entry{{Phase: Draining}}}, Joined{}, Alarm{"gather"}}},
+		"unknown endpoint":   {map[string]any{"req_kinds": []any{map[string]any{}}}, []Note{Met{Endpoint: 9, Zone: 3, Tries: 5}, Probed{Endpoint: 4}, Alarm{"gather"}}},
+		"sums of strangers":  {map[string]any{"req_kinds": []any{map[string]any{}}}, []Note{Demand{Proxy: 9, Reqs: 500, SpanMs: 1000}, Applied{Proxy: 9, Number: 70000}, Gossip{}, Probed{Endpoint: 900, Load: Load{"util": 1, "rate": 5}}, Alarm{"gather"}}},
+		"slices":             {map[string]any{"slices": 64.0, "req_kinds": []any{map[string]any{}}}, []Note{Joined{}, SliceCharge{}, SliceLine{}, Alarm{"gather"}}},
+		"list must be asked": {map[string]any{"discovery": "on_request"}, []Note{Listing{Mode: ListFailed}}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			p := &harness{t: t, planner: New(3, c.terms), weights: map[int]map[int]float64{}, excluded: map[int]bool{},
+				admission: map[string]Admit{}, assigned: map[int][]Bind{}}
+			p.step(c.notes...)
+			p.now = -5
+			p.rounds(3, nil)
+			if c.terms["slices"] != nil {
+				assert.Empty(t, p.assigned)
+			}
+		})
+	}
+}
+
+func TestSameEventsSameCommands(t *testing.T) {
+	run := func() (all []Order) {
+		p := newHarness(t, nil)
+		for w := range 15 {
+			p.now += roundMs
+			all = append(all, p.step(append(attempts(w%2, 7, w%4, 0.2*float64(w%6), 0, 1, 2, 3, 4, 5), Alarm{"gather"})...)...)
+		}
+		return all
+	}
+	assert.Equal(t, run(), run())
+}
--- /dev/null
+++ b/brain/zonecost_test.go
@@ -0,0 +1,37 @@
+package brain
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestSpillover(t *testing.T) {
+	all := []int{0, 1, 2, 3, 4, 5}
+	for name, c := range map[string]struct {
+		loads             func() []Note
+		windows           int
+		ownLeast, ownMost float64
+	}{
+		"no reports: own zone alone":       {nil, 5, 1, 1},
+		"modest load: own zone alone":      {func() []Note { return attempts(0, 10, 0, 0.4, all...) }, 10, 1, 1},
+		"own zone overfull: it spills":     {func() []Note { return append(attempts(0, 10, 0, 1, 0, 1), attempts(0, 2, 0, 0.2, 2, 3, 4, 5)...) }, 12, 0.1, 0.9},
+		"all overfull alike: home is best": {func() []Note { return attempts(0, 10, 0, 1, all...) }, 12, 0.5, 1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			p := newHarness(t, nil)
+			p.rounds(c.windows, c.loads)
+			own := p.share(0, 0, 1)
+			assert.GreaterOrEqual(t, own, c.ownLeast-1e-9)
+			assert.LessOrEqual(t, own, c.ownMost+1e-9)
+		})
+	}
+}
+
+func TestForecastSpillsBeforeReports(t *testing.T) {
+	p := newHarness(t, nil)
+	p.step(Joined{Proxy: 2, Zone: 0, Rate: 200})
+	p.rounds(3, func() []Note { return attempts(0, 10, 0, 0.7, 0, 1, 2, 3, 4, 5) })
+	assert.Less(t, p.share(0, 0, 1), 0.9, "a zone with most of the demand")
+	assert.Equal(t, 1.0, p.share(1, 2, 3))
+}
