--- a/brain/admission.go
+++ b/brain/admission.go
@@ -42,7 +42,8 @@
 			}
 			way := pick(again && r.planner.classes[k].Retryable, 2, usual)
 			for p := range r.planner.subsetsOfZone {
-				r.planner.publisher.enqueue(Admit{r.planner.tableNumber(r.zone*r.planner.subsetsOfZone+p, g), 1 << k, int(way), level})
+				r.planner.publisher.mailbox.enqueue(wantedAdmission{Admit{r.planner.tableNumber(r.zone*r.planner.subsetsOfZone+p, g), 1 << k,
+					int(way), level}})
 			}
 		}
 	}
--- a/brain/endpoint.go
+++ b/brain/endpoint.go
@@ -5,7 +5,7 @@
 import "math"
 
 type endpoint struct {
-	mailbox
+	mailbox mailbox[endpointMessage]
 	Entry
 	planner                  *Brain
 	listed, restarted        bool    // again: it has started anew
@@ -18,7 +18,7 @@
 	plans                    []map[int]float64 // its part of each zone's table, now and some gathers ago
 }
 
-func (e *endpoint) receive(note any) {
+func (e *endpoint) receive(note endpointMessage) {
 	switch n := note.(type) {
 	case Entry:
 		e.updateEntry(n)
@@ -28,8 +28,8 @@
 		e.takeReport(n.Load)
 	case Probed:
 		e.takeReport(n.Load)
-	case SetLine:
-		e.plans[0][n.Table] = n.Weight
+	case plannedShare:
+		e.plans[0][n.plan] = n.share
 	case roundStart:
 		e.controlRound(n)
 	}
@@ -40,7 +40,7 @@
 		e.health, e.penalty, e.load, e.updatedAt, e.residence, e.restarted = map[int]*zoneHealth{}, 0, -1, -staleMs, 0, true
 	}
 	if out := n.Phase != Ready; out != (e.listed && e.Phase != Ready) {
-		e.planner.publisher.enqueue(Withdraw{n.Endpoint, out})
+		e.planner.publisher.mailbox.enqueue(availability{n.Endpoint, !out})
 	}
 	e.Entry, e.listed = n, true
 }
@@ -74,6 +74,7 @@
 			v.attempts, v.failures = v.attempts*countFade, v.failures*countFade
 		}
 		o.trust = pick(v.ejected, 0, v.trust)
-		r.enqueue(o)
+		offer := o
+		r.mailbox.enqueue(&offer)
 	}
 }
--- a/brain/mailbox.go
+++ b/brain/mailbox.go
@@ -4,26 +4,100 @@
 // publisher, each endpoint and each region are actors: a message waits in the receiver's mailbox until it is
 // delivered, so that the order of all work, and with it of the commands, follows from the events alone.
 
-type roundStart struct{ timed bool }
+// actor is whoever has a mailbox.
+type actor interface {
+	// deliver hands the actor the messages that wait; it returns whether there were any.
+	deliver() bool
+}
+
+// mailbox keeps an actor's messages until they are delivered.
+type mailbox[M any] struct {
+	waiting []M
+	receive func(message M)
+}
+
+// enqueue adds a message.
+func (m *mailbox[M]) enqueue(message M) { m.waiting = append(m.waiting, message) }
 
-func (b *Brain) deliverAll() {
-	for busy := true; busy; {
-		busy = false
-		for i := 0; i < len(b.actors); i++ { // they may grow meanwhile
-			notes := b.actors[i].waiting
-			b.actors[i].waiting = nil
-			for _, n := range notes {
-				b.actors[i].take(n)
-				busy = true
+// deliver implements actor. Messages that are posted meanwhile wait for the next delivery.
+func (m *mailbox[M]) deliver() bool {
+	messages := m.waiting
+	m.waiting = nil
+	for _, message := range messages {
+		m.receive(message)
+	}
+	return len(messages) > 0
+}
+
+// deliverAll delivers messages, actor by actor in the order in which they came to be, until none waits.
+func (p *Brain) deliverAll() {
+	for delivered := true; delivered; {
+		delivered = false
+		for i := 0; i < len(p.actors); i++ { // a delivery may add actors
+			if p.actors[i].deliver() {
+				delivered = true
 			}
 		}
 	}
 }
 
-// mailbox keeps an actor's notes until the loop empties it.
-type mailbox struct {
-	waiting []any
-	take    func(note any)
+// plannerMessage is what the planner takes: Joined, Left or Demand.
+type plannerMessage interface{ toPlanner() }
+
+func (Joined) toPlanner() {}
+func (Left) toPlanner()   {}
+func (Demand) toPlanner() {}
+
+// endpointMessage is what an endpoint takes: Entry, Met, Probed, plannedShare or roundStart.
+type endpointMessage interface{ toEndpoint() }
+
+func (Entry) toEndpoint()        {}
+func (Met) toEndpoint()          {}
+func (Probed) toEndpoint()       {}
+func (plannedShare) toEndpoint() {}
+func (roundStart) toEndpoint()   {}
+
+// regionMessage is what a region takes: Met, *candidate or roundStart.
+type regionMessage interface{ toRegion() }
+
+func (Met) toRegion()        {}
+func (*candidate) toRegion() {}
+func (roundStart) toRegion() {}
+
+// publisherMessage is what the publisher takes: Joined, Left, Applied, Stalled, wantedWeight, wantedAdmission or
+// availability.
+type publisherMessage interface{ toPublisher() }
+
+func (Joined) toPublisher()          {}
+func (Left) toPublisher()            {}
+func (Applied) toPublisher()         {}
+func (Stalled) toPublisher()         {}
+func (wantedWeight) toPublisher()    {}
+func (wantedAdmission) toPublisher() {}
+func (availability) toPublisher()    {}
+
+// roundStart begins a control round. Rounds of the timer step penalties, health and admission; the others only bring
+// the tables up to a changed endpoint list.
+type roundStart struct{ timed bool }
+
+// plannedShare informs an endpoint which part of a region's requests of a class group is planned for it, in requests of
+// the region's ordinary demand.
+type plannedShare struct {
+	plan  int // region and group, as planNumber lays them out
+	share float64
+}
+
+// wantedWeight gives the publisher the weight that a table's line should have; 0: it should have none.
+type wantedWeight struct {
+	table, endpoint int
+	weight          float64
 }
 
-func (i *mailbox) enqueue(note any) { i.waiting = append(i.waiting, note) }
+// wantedAdmission gives the publisher the admission level that a table should have for a class.
+type wantedAdmission struct{ command Admit }
+
+// availability informs the publisher that an endpoint drains or is gone, or that it is ready again.
+type availability struct {
+	endpoint int
+	ready    bool
+}
--- a/brain/planner.go
+++ b/brain/planner.go
@@ -14,7 +14,7 @@
 )
 
 type Brain struct {
-	mailbox
+	mailbox                   mailbox[plannerMessage]
 	settings                  Settings
 	rounds, subsetsOfZone     int     // parts: tables that a zone's proxies are dealt to, for each group
 	now, targetLoad, meanLoad float64 // mean: of the loads heard
@@ -23,7 +23,7 @@
 	started                   bool
 	endpoints                 []*endpoint
 	regions                   []*region
-	actors                    []*mailbox
+	actors                    []actor
 	publisher                 *publisher
 	groups                    []classGroup
 	classes                   []RequestClass // of the settings at the start
@@ -46,7 +46,9 @@
 	b.subsetsOfZone = b.countSubsets()
 	b.publisher = &publisher{planner: b, proxies: map[int]*proxyState{}, unavailable: map[int]float64{}, linesSinceAck: map[int]float64{},
 		excludedAt: map[int]float64{}}
-	b.take, b.publisher.take, b.actors = b.receive, b.publisher.receive, []*mailbox{&b.mailbox, &b.publisher.mailbox}
+	b.mailbox.receive = b.receive
+	b.publisher.mailbox.receive = b.publisher.receive
+	b.actors = []actor{&b.mailbox, &b.publisher.mailbox}
 	return b
 }
 
@@ -87,16 +89,25 @@
 			b.controlRound(true)
 		}
 	case Probed:
-		b.endpoint(n.Endpoint).enqueue(n)
+		b.endpoint(n.Endpoint).mailbox.enqueue(n)
 	case Met: // counts that began before the endpoint started again tell of the process that is gone
 		if at := b.endpoint(n.Endpoint).Started; at != 0 && at > b.now-n.SpanMs {
 			n.Tries, n.Failed = 0, 0
 		}
-		b.endpoint(n.Endpoint).enqueue(n)
-		b.region(n.Zone).enqueue(n)
-	default: // who is joined, what comes to them and what they applied
-		b.enqueue(n)
-		b.publisher.enqueue(n)
+		b.endpoint(n.Endpoint).mailbox.enqueue(n)
+		b.region(n.Zone).mailbox.enqueue(n)
+	case Joined:
+		b.mailbox.enqueue(n)
+		b.publisher.mailbox.enqueue(n)
+	case Left:
+		b.mailbox.enqueue(n)
+		b.publisher.mailbox.enqueue(n)
+	case Demand:
+		b.mailbox.enqueue(n)
+	case Applied:
+		b.publisher.mailbox.enqueue(n)
+	case Stalled:
+		b.publisher.mailbox.enqueue(n)
 	}
 }
 
@@ -109,12 +120,12 @@
 	for _, e := range l.Entries {
 		named[e.Endpoint] = true
 		b.region(e.Zone)
-		b.endpoint(e.Endpoint).enqueue(e)
+		b.endpoint(e.Endpoint).mailbox.enqueue(e)
 	}
 	for i, be := range b.endpoints {
 		if gone := be.Entry; l.Mode != Changes && be.listed && !named[i] {
 			gone.Phase = Gone
-			be.enqueue(gone)
+			be.mailbox.enqueue(gone)
 		}
 	}
 	b.controlRound(false)
@@ -136,15 +147,15 @@
 	b.meanLoad = b.targetLoad / 2
 	for _, be := range b.endpoints {
 		b.meanLoad += pick(be.updatedAt > b.now-staleMs, be.load-b.meanLoad, 0) / float64(len(b.endpoints)+1)
-		be.enqueue(roundStart{step})
+		be.mailbox.enqueue(roundStart{step})
 	}
 	b.deliverAll()
 	for _, r := range b.regions {
-		r.enqueue(roundStart{step})
+		r.mailbox.enqueue(roundStart{step})
 	}
 }
 
-func (b *Brain) receive(note any) {
+func (b *Brain) receive(note plannerMessage) {
 	switch n := note.(type) {
 	case Joined:
 		b.proxies[n.Proxy] = n
@@ -164,7 +175,7 @@
 	for len(b.endpoints) <= i {
 		e := &endpoint{planner: b, Entry: Entry{Endpoint: len(b.endpoints)}, load: -1, updatedAt: -staleMs,
 			health: map[int]*zoneHealth{}, plans: append([]map[int]float64{{}}, make([]map[int]float64, reportDelayRounds+1)...)}
-		e.take = e.receive
+		e.mailbox.receive = e.receive
 		b.endpoints, b.actors = append(b.endpoints, e), append(b.actors, &e.mailbox)
 	}
 	return b.endpoints[i]
@@ -174,7 +185,7 @@
 	for len(b.regions) <= zone {
 		r := &region{planner: b, zone: len(b.regions), candidates: map[int]*candidate{}, shed: map[int]float64{},
 			latency: map[int]float64{}, runLengths: map[int]float64{}}
-		r.take = r.receive
+		r.mailbox.receive = r.receive
 		b.regions, b.actors = append(b.regions, r), append(b.actors, &r.mailbox)
 		for range len(b.groups) * b.subsetsOfZone {
 			b.publisher.tables = append(b.publisher.tables, &table{number: len(b.publisher.tables), sent: map[int]float64{},
--- a/brain/publisher.go
+++ b/brain/publisher.go
@@ -13,7 +13,7 @@
 
 // publisher keeps what proxies have been sent and orders what they get next.
 type publisher struct {
-	mailbox
+	mailbox             mailbox[publisherMessage]
 	planner             *Brain
 	window              sendWindow
 	tables              []*table // by number: the slot's times the groups, and the group's
@@ -37,15 +37,15 @@
 	number                         int
 }
 
-func (c *publisher) receive(note any) {
+func (c *publisher) receive(note publisherMessage) {
 	switch n := note.(type) {
-	case SetLine:
-		c.tables[n.Table].wanted[n.Endpoint], c.tables[n.Table].planned = n.Weight, true
-	case Admit:
-		c.tables[n.Table].admissionWanted[n.Kinds] = n
-	case Withdraw:
-		if c.unavailable[n.Endpoint] = c.planner.now; !n.Out {
-			delete(c.unavailable, n.Endpoint)
+	case wantedWeight:
+		c.tables[n.table].wanted[n.endpoint], c.tables[n.table].planned = n.weight, true
+	case wantedAdmission:
+		c.tables[n.command.Table].admissionWanted[n.command.Kinds] = n.command
+	case availability:
+		if c.unavailable[n.endpoint] = c.planner.now; n.ready {
+			delete(c.unavailable, n.endpoint)
 		}
 	case Joined:
 		old := c.proxies[n.Proxy]
--- a/brain/region.go
+++ b/brain/region.go
@@ -17,7 +17,7 @@
 }
 
 type region struct {
-	mailbox
+	mailbox     mailbox[regionMessage]
 	planner     *Brain
 	zone        int
 	candidates  map[int]*candidate
@@ -29,15 +29,15 @@
 	divergence  float64         // part of the reqs that go elsewhere than planned, or in, while tables are standing
 }
 
-func (r *region) receive(note any) {
+func (r *region) receive(note regionMessage) {
 	switch n := note.(type) {
 	case Met:
 		if o := r.candidates[n.Endpoint]; o != nil && n.MeanMs > 0 {
 			old := r.latency[o.Zone]
 			r.latency[o.Zone] += (n.MeanMs - old) * pick(old > 0, 0.125, 1)
 		}
-	case candidate:
-		r.candidates[n.Endpoint] = &n
+	case *candidate:
+		r.candidates[n.Endpoint] = n
 	case roundStart:
 		r.controlRound(n.timed)
 	}
@@ -62,7 +62,7 @@
 		for _, l := range lines { // the fullest line stands still, so that spill alone moves few others
 			unit = math.Max(unit, l.share/math.Max(l.weight, 1e-9))
 			load += l.share * math.Min(1, r.candidates[l.endpoint].load)
-			r.planner.endpoints[l.endpoint].enqueue(SetLine{r.planner.tableNumber(r.zone, g), l.endpoint, l.share * rush})
+			r.planner.endpoints[l.endpoint].mailbox.enqueue(plannedShare{r.planner.tableNumber(r.zone, g), l.share * rush})
 		}
 		r.assignSubsets(g, lines, unit)
 		if step {
--- a/brain/subset.go
+++ b/brain/subset.go
@@ -52,7 +52,7 @@
 				math.Max(0, math.Min(at[k]+mass, from+width-1)-math.Max(at[k], from-1))
 			in := over > pick(t.sent[l.endpoint] > 0, leavePart, enterPart)*math.Min(mass, width)
 			part := pick(width < 1, math.Ceil(3*over/mass)/3, 1) * r.runLengths[2*g] / r.runLengths[2*g+k]
-			r.planner.publisher.enqueue(SetLine{t.number, l.endpoint, pick(in, l.share/unit*part, 0)})
+			r.planner.publisher.mailbox.enqueue(wantedWeight{t.number, l.endpoint, pick(in, l.share/unit*part, 0)})
 			at[k] += mass
 		}
 	}
