--- a/brain/admission.go
+++ b/brain/admission.go
@@ -17,7 +17,7 @@
 // updateAdmission denies reqs of a group overloaded as a whole, least payoff for their target (a guess at work) first.
 func (r *region) updateAdmission(g int, load float64) {
 	order, mask, before := r.planner.shedOrder(), r.planner.groups[g].mask, r.shed[g]
-	each := r.planner.rates[r.zone] / math.Max(1, r.planner.proxiesOfZone[r.zone]) // reqs a second of a proxy
+	each := r.planner.demand.perProxy(r.zone) // reqs a second of a proxy
 	if load > fullLoad || load > r.planner.targetLoad && r.failureRate > 0.2 {
 		r.shed[g] = math.Min(0.9, before+(1-before)*(shedStep+r.failureRate/8))
 	} else if load < fullLoad-0.05 {
@@ -30,14 +30,14 @@
 	again := r.planner.settings.FirstRetryWait <= 1 && some && load*(1+r.failureRate) < maxRetryLoad // else it mostly fails
 	left, asked, by := r.shed[g]*float64(bits.OnesCount(uint(mask))), 1e-9, r.planner.settings.Admission
 	for k := range r.planner.classes {
-		asked += r.planner.byClass[k] + priorRequests
+		asked += r.planner.demand.ofClass(k)
 	}
 	for _, k := range order {
 		if mask&(1<<k) != 0 {
 			cut := pick(by == AdmitByShare || by == AdmitByRate, math.Min(1-minAdmitted, left), 0)
 			left -= cut
 			level := pick(by == AdmitByRate, unlimitedRate, math.Round(20*(1-cut))/20) // few steps, few messages
-			if rate := each / asked * (r.planner.byClass[k] + priorRequests); by == AdmitByRate && cut*rate > 0 {
+			if rate := each / asked * r.planner.demand.ofClass(k); by == AdmitByRate && cut*rate > 0 {
 				level = math.Exp2(math.Round(4*math.Log2(-rate*math.Log(cut))) / 4) // proxies spread exponentially
 			}
 			way := pick(again && r.planner.classes[k].Retryable, 2, usual)
--- a/brain/classgroup.go
+++ b/brain/classgroup.go
@@ -30,7 +30,7 @@
 func (b *Brain) workPart(g int) float64 {
 	own, all := 0.0, 1e-9
 	for k, kind := range b.classes {
-		w := (b.byClass[k] + priorRequests) * kind.ResponseTargetMs
+		w := b.demand.ofClass(k) * kind.ResponseTargetMs
 		own, all = own+pick(b.groups[g].mask&(1<<k) != 0, w, 0), all+w
 	}
 	return own / all
--- a/brain/constants.go
+++ b/brain/constants.go
@@ -7,7 +7,6 @@
 	gradientLength    = 1.5    // length of the gradient loop, in units of the own zone's part
 	staleMs           = 5000.0 // a load report older than this counts as unheard
 	reportDelayRounds = 3      // gathers until a report shows what a table changed
-	priorRequests     = 20.0   // reqs that tell as much of a zone's demand as its proxies' ordinary rates
 	countFade         = 0.6    // what a gather leaves of the counts before it
 	speedsOfEndpoint  = 24     // speeds that a histogram holds of an endpoint before it is halved
 	fullQueue         = 10.0   // a queue that counts as much as a whole load on top of a full one
@@ -17,14 +16,14 @@
 // In sets: own penalty against the zone's, reports against earlier ones, parts of a share for a trial and
 // worth a line; margin of latency, cost of a rank; waits for trials; load
 // that denies, steps, what stays; failures and load to try again at; gap that is sent, more for a table of a
-// second, fading of demand.
+// second.
 const (
 	ownPenaltyPart, latestReportGain, trialTrust, minSharePart = 0.4, 0.7, 0.12, 0.05
 	latencyStep, zoneCostStep                                  = 1.3, 0.2
 	firstEjectionMs, maxEjectionMs, ejectionGrowth             = 2000.0, 20000.0, 2.0
 	fullLoad, shedStep, shedRelease, minAdmitted               = 0.9, 0.06, 0.92, 0.1
 	minRetryFailureRate, maxRetryFailureRate, maxRetryLoad     = 0.02, 0.5, 0.7
-	tolerance, channelTolerance, demandFade                    = 0.12, 0.2, 0.97
+	tolerance, channelTolerance                                = 0.12, 0.2
 )
 
 // Part of the connections that the least endpoint takes; most parts of a zone, proxies of one; least lines
--- a/brain/membership.go
+++ b/brain/membership.go
@@ -25,7 +25,7 @@
 	for i, l := range lines {
 		apart += math.Abs(l.share - old[i]/sum)
 	}
-	return apart + math.Sqrt(count*float64(len(r.planner.regions))*r.planner.concentration/r.planner.settings.StandingLines)
+	return apart + math.Sqrt(count*float64(len(r.planner.regions))*r.planner.demand.concentration/r.planner.settings.StandingLines)
 }
 
 type proxyState struct {
--- a/brain/penalty.go
+++ b/brain/penalty.go
@@ -17,7 +17,7 @@
 func (e *endpoint) reportCorrection() float64 {
 	then, now := 0.0, 0.0
 	for _, t := range slices.Sorted(maps.Keys(e.plans[0])) {
-		d := e.planner.rates[t/len(e.planner.groups)] / e.planner.surge(t/len(e.planner.groups))
+		d := e.planner.demand.rates[t/len(e.planner.groups)] / e.planner.demand.surge(t/len(e.planner.groups))
 		then, now = then+d*e.plans[reportDelayRounds+1][t], now+d*e.plans[0][t]
 	}
 	e.plans = slices.Insert(e.plans[:reportDelayRounds+1], 0, maps.Clone(e.plans[0]))
--- a/brain/planner.go
+++ b/brain/planner.go
@@ -8,9 +8,7 @@
 
 import (
 	"fmt"
-	"maps"
 	"math"
-	"slices"
 )
 
 type Brain struct {
@@ -18,7 +16,6 @@
 	settings                  Settings
 	rounds, subsetsOfZone     int     // parts: tables that a zone's proxies are dealt to, for each group
 	now, targetLoad, meanLoad float64 // mean: of the loads heard
-	concentration             float64 // one by how many proxies of one rate would spread reqs as evenly as all
 	speeds                    histogram
 	started                   bool
 	endpoints                 []*endpoint
@@ -28,16 +25,13 @@
 	groups                    []classGroup
 	classes                   []RequestClass // of the settings at the start
 	proxies                   map[int]Joined
-	observed, baseline        map[int]float64 // reqs that came by the proxies' zone, and ordinarily do, fading
-	byClass                   map[int]float64 // reqs by kind, fading
-	rates, proxiesOfZone      map[int]float64 // by zone of the proxies: reqs a second (at -1 of all), how many
+	demand                    demand
 	commands                  []Order
 }
 
 func New(seed int64, terms map[string]any) *Brain {
 	parsed, _ := ParseSettings(terms) // New may not fail: what is wrong has its default
-	b := &Brain{settings: parsed, classes: parsed.Classes, proxies: map[int]Joined{}, rates: map[int]float64{}, observed: map[int]float64{},
-		baseline: map[int]float64{}, byClass: map[int]float64{}, proxiesOfZone: map[int]float64{}}
+	b := &Brain{settings: parsed, classes: parsed.Classes, proxies: map[int]Joined{}, demand: newDemand()}
 	// T, the load at which a penalty starts to grow: the less crossing zones costs, the sooner it pays.
 	b.targetLoad = math.Min(0.85, 0.5+2*b.settings.CrossZoneCost)
 	if !b.settings.Sliced { // sites with slices are not planned: stored owners stay
@@ -133,17 +127,7 @@
 
 func (b *Brain) controlRound(step bool) {
 	b.deliverAll()
-	squares := 0.0
-	clear(b.proxiesOfZone)
-	clear(b.rates) // ordinary rates, corrected by what the sums of the last seconds show
-	for _, i := range slices.Sorted(maps.Keys(b.proxies)) {
-		z := b.proxies[i].Zone
-		rate := b.proxies[i].Rate * b.surge(z)
-		b.rates[z], b.rates[-1], b.proxiesOfZone[z] = b.rates[z]+rate, b.rates[-1]+rate, b.proxiesOfZone[z]+1
-		squares += rate * rate
-	}
-	many := float64(len(b.proxies)) / math.Max(1e-9, b.rates[-1]*b.rates[-1]) * squares
-	b.concentration = math.Max(1, many) / b.settings.ProxyCount.Or(1)
+	b.demand.update(b.proxies, b.settings.ProxyCount.Or(1))
 	b.meanLoad = b.targetLoad / 2
 	for _, be := range b.endpoints {
 		b.meanLoad += pick(be.updatedAt > b.now-staleMs, be.load-b.meanLoad, 0) / float64(len(b.endpoints)+1)
@@ -164,9 +148,7 @@
 		delete(b.proxies, n.Proxy)
 	case Demand:
 		if p, ours := b.proxies[n.Proxy]; ours {
-			b.observed[p.Zone] = demandFade*b.observed[p.Zone] + float64(n.Reqs)
-			b.byClass[n.Kind] = demandFade*b.byClass[n.Kind] + float64(n.Reqs)
-			b.baseline[p.Zone] = demandFade*b.baseline[p.Zone] + p.Rate*n.SpanMs/1000/float64(len(b.classes))
+			b.demand.observe(n, p, len(b.classes))
 		}
 	}
 }
--- a/brain/region.go
+++ b/brain/region.go
@@ -58,7 +58,7 @@
 		lines, own := r.allocations(g)
 		solveShares(lines, own)
 		r.divergence = math.Max(r.divergence, r.planDivergence(g, lines)+r.shed[g])
-		load, unit, rush := 0.0, 1e-9, r.planner.surge(r.zone)
+		load, unit, rush := 0.0, 1e-9, r.planner.demand.surge(r.zone)
 		for _, l := range lines { // the fullest line stands still, so that spill alone moves few others
 			unit = math.Max(unit, l.share/math.Max(l.weight, 1e-9))
 			load += l.share * math.Min(1, r.candidates[l.endpoint].load)
--- a/brain/slowstart.go
+++ b/brain/slowstart.go
@@ -13,7 +13,7 @@
 func (r *region) allocations(g int) (lines []allocation, own float64) {
 	costs, own, load := r.priceZones(g)
 	sum, near, chill, trusted, chilled, tried := 1e-9, 1e-9, 1e-9, 0.0, 0.0, 1e-9
-	rush := r.planner.surge(r.zone)                                                       // who is refused comes again
+	rush := r.planner.demand.surge(r.zone)                                                // who is refused comes again
 	cold, bend := pick(r.planner.rounds < 5, 0, (1-r.failureRate)/math.Max(1, rush)), 1.0 // a fresh pilot: none
 	for _, i := range slices.Sorted(maps.Keys(r.candidates)) {
 		o, l := r.candidates[i], allocation{endpoint: i, ring: int(pick(r.candidates[i].Zone == r.zone, 0, 1))}
@@ -28,7 +28,7 @@
 	}
 	near = math.Max(near, sum/float64(len(r.planner.regions))) // the last of a zone is no giant
 	few := math.Max(1, rush) * load / chill / r.planner.settings.OverloadMultiple
-	few *= math.Max(near, sum*(r.planner.proxiesOfZone[r.zone]-minSubsetProxies)/r.planner.settings.ProxyCount.Or(1e9))
+	few *= math.Max(near, sum*(r.planner.demand.proxiesOfZone[r.zone]-minSubsetProxies)/r.planner.settings.ProxyCount.Or(1e9))
 	if r.planner.settings.ProxiesEject && few > 0.8 {
 		ease := math.Max(0, math.Min(math.Min(1, 3-few), math.Min(1-4*r.failureRate, (0.85-load)/0.2)))
 		cold, bend = math.Min(cold, ease), 3-2*ease
--- a/brain/zonecost.go
+++ b/brain/zonecost.go
@@ -20,7 +20,7 @@
 			weights[o.Zone] += w
 			costs[o.Zone] += (1 - ownPenaltyPart) * w * o.penalty
 			load, sum = load+w*o.load, sum+w
-			served += pick(!r.planner.settings.ZonesKeptWhole || r.planner.rates[o.Zone] > 0, w, 0)
+			served += pick(!r.planner.settings.ZonesKeptWhole || r.planner.demand.rates[o.Zone] > 0, w, 0)
 		}
 	}
 	key := func(zone int) float64 {
@@ -44,7 +44,7 @@
 		mean = math.Max(mean, r.planner.targetLoad) // a short queue doesn't tell how full it is
 	}
 	seen := r.planner.demandSeen()
-	crowd := seen*r.planner.rates[r.zone]/math.Max(part*r.planner.rates[-1], 1e-9) + 1 - seen
+	crowd := seen*r.planner.demand.rates[r.zone]/math.Max(part*r.planner.demand.total, 1e-9) + 1 - seen
 	stay := math.Max(r.planner.targetLoad, mean) / math.Max(mean*crowd, 1e-9)
 	return pick(stay < 1, math.Max(0, 1-(stay-own)/(gradientLength*math.Max(1-own, 0.1))), 0)
 }
