--- a/brain/constants.go
+++ b/brain/constants.go
@@ -7,23 +7,21 @@
 	gradientLength    = 1.5    // length of the gradient loop, in units of the own zone's part
 	staleMs           = 5000.0 // a load report older than this counts as unheard
 	reportDelayRounds = 3      // gathers until a report shows what a table changed
-	countFade         = 0.6    // what a gather leaves of the counts before it
 	speedsOfEndpoint  = 24     // speeds that a histogram holds of an endpoint before it is halved
 	fullQueue         = 10.0   // a queue that counts as much as a whole load on top of a full one
 	unlimitedRate     = 1e6    // reqs a second of a proxy that all let in
 )
 
-// In sets: own penalty against the zone's, reports against earlier ones, parts of a share for a trial and
-// worth a line; margin of latency, cost of a rank; waits for trials; load
+// In sets: own penalty against the zone's, reports against earlier ones, part of a share
+// worth a line; margin of latency, cost of a rank; load
 // that denies, steps, what stays; failures and load to try again at; gap that is sent, more for a table of a
 // second.
 const (
-	ownPenaltyPart, latestReportGain, trialTrust, minSharePart = 0.4, 0.7, 0.12, 0.05
-	latencyStep, zoneCostStep                                  = 1.3, 0.2
-	firstEjectionMs, maxEjectionMs, ejectionGrowth             = 2000.0, 20000.0, 2.0
-	fullLoad, shedStep, shedRelease, minAdmitted               = 0.9, 0.06, 0.92, 0.1
-	minRetryFailureRate, maxRetryFailureRate, maxRetryLoad     = 0.02, 0.5, 0.7
-	tolerance, channelTolerance                                = 0.12, 0.2
+	ownPenaltyPart, latestReportGain, minSharePart         = 0.4, 0.7, 0.05
+	latencyStep, zoneCostStep                              = 1.3, 0.2
+	fullLoad, shedStep, shedRelease, minAdmitted           = 0.9, 0.06, 0.92, 0.1
+	minRetryFailureRate, maxRetryFailureRate, maxRetryLoad = 0.02, 0.5, 0.7
+	tolerance, channelTolerance                            = 0.12, 0.2
 )
 
 // Part of the connections that the least endpoint takes; most parts of a zone, proxies of one; least lines
--- a/brain/endpoint.go
+++ b/brain/endpoint.go
@@ -23,8 +23,7 @@
 	case Entry:
 		e.updateEntry(n)
 	case Met:
-		v, tries, bad := e.healthIn(n.Zone), float64(n.Tries), float64(n.Failed)
-		v.answered, v.failed, v.attempts, v.failures = v.answered+math.Max(0, tries-bad), v.failed+bad, v.attempts+tries, v.failures+bad
+		e.healthIn(n.Zone).count(n)
 		e.takeReport(n.Load)
 	case Probed:
 		e.takeReport(n.Load)
@@ -71,7 +70,6 @@
 		o.attempts, o.failures = v.attempts, v.failures
 		if n.timed {
 			e.updateHealth(r, v)
-			v.attempts, v.failures = v.attempts*countFade, v.failures*countFade
 		}
 		o.trust = pick(v.ejected, 0, v.trust)
 		offer := o
