--- a/brain/classgroup.go
+++ b/brain/classgroup.go
@@ -48,5 +48,5 @@
 			left -= r.planner.workPart(h) * r.groupWeight[g] / math.Max(r.groupWeight[h], 1e-9)
 		}
 	}
-	return o.Weight * math.Max(left, 0.05)
+	return o.weight * math.Max(left, 0.05)
 }
--- a/brain/endpoint.go
+++ b/brain/endpoint.go
@@ -4,75 +4,133 @@
 
 import "math"
 
+// endpoint is an actor: it keeps what is known of one endpoint, and offers it to the regions in each round. What is
+// known of load and health is of one incarnation of the process, and goes when the endpoint starts again.
 type endpoint struct {
+	Entry   // as last listed
 	mailbox mailbox[endpointMessage]
-	Entry
-	planner                  *Brain
-	listed, restarted        bool    // again: it has started anew
-	load, updatedAt          float64 // of the last reports: load (below 0: none), and when
-	penalty                  float64 // the penalty lambda
-	interval                 float64 // how far apart its reports are
-	residence, bestResidence float64 // of a req in hand, by Little's law, now and at best
-	speeds                   histogram
-	health                   map[int]*zoneHealth
-	plans                    []map[int]float64 // its part of each zone's table, now and some gathers ago
+	planner *Brain
+
+	listed    bool
+	restarted bool // it has started anew since it was first listed
+	load      loadEstimate
+	penalty   float64             // lambda of the paper
+	health    map[int]*zoneHealth // by the zone of the proxies that saw it
+	plans     planHistory
+}
+
+// newEndpoint returns an endpoint of which nothing is known.
+func newEndpoint(p *Brain, index int) *endpoint {
+	e := &endpoint{Entry: Entry{Endpoint: index}, planner: p, load: newLoadEstimate(), plans: newPlanHistory(),
+		health: map[int]*zoneHealth{}}
+	e.mailbox.receive = e.receive
+	return e
 }
 
-func (e *endpoint) receive(note endpointMessage) {
-	switch n := note.(type) {
+// receive takes in a message to the endpoint.
+func (e *endpoint) receive(message endpointMessage) {
+	switch message := message.(type) {
 	case Entry:
-		e.updateEntry(n)
+		e.updateEntry(message)
 	case Met:
-		e.healthIn(n.Zone).count(n)
-		e.takeReport(n.Load)
+		e.healthIn(message.Zone).count(message)
+		e.takeReport(message.Load)
 	case Probed:
-		e.takeReport(n.Load)
+		e.takeReport(message.Load)
 	case plannedShare:
-		e.plans[0][n.plan] = n.share
+		e.plans.set(message.plan, message.share)
 	case roundStart:
-		e.controlRound(n)
+		e.controlRound(message.timed)
 	}
 }
 
-func (e *endpoint) updateEntry(n Entry) {
-	if e.listed && n.Started != e.Started {
-		e.health, e.penalty, e.load, e.updatedAt, e.residence, e.restarted = map[int]*zoneHealth{}, 0, -1, -staleMs, 0, true
+// updateEntry takes in what the list says, and forgets all about an incarnation that is gone.
+func (e *endpoint) updateEntry(entry Entry) {
+	if e.listed && entry.Started != e.Started {
+		e.health = map[int]*zoneHealth{}
+		e.penalty = 0
+		e.load.reset()
+		e.restarted = true
 	}
-	if out := n.Phase != Ready; out != (e.listed && e.Phase != Ready) {
-		e.planner.publisher.mailbox.enqueue(availability{n.Endpoint, !out})
+	wasReady := !e.listed || e.Phase == Ready
+	if ready := entry.Phase == Ready; ready != wasReady {
+		e.planner.publisher.mailbox.enqueue(availability{entry.Endpoint, ready})
+	}
+	e.Entry = entry
+	e.listed = true
+}
+
+// takeReport takes in a load report.
+func (e *endpoint) takeReport(report Load) {
+	e.countSpeed(report)
+	if load, known := e.load.fromReport(report); known {
+		e.load.add(load, e.planner.now)
 	}
-	e.Entry, e.listed = n, true
 }
 
-func (e *endpoint) controlRound(n roundStart) {
+// controlRound brings the endpoint up to date and offers it to each region as a candidate.
+func (e *endpoint) controlRound(timed bool) {
 	if !e.listed {
 		return
 	}
-	speed, seen := e.speeds.mean()
-	heard := e.planner.now-e.updatedAt < staleMs && e.load >= 0
-	o := candidate{Entry: e.Entry, load: pick(heard, e.load, e.planner.meanLoad)}
-	age, from := (e.planner.now-e.Started)/e.planner.settings.WarmUpMs, e.planner.settings.WarmUpStart
-	o.warmUp = pick(e.Started == 0, 1, math.Min(1, from+(1-from)*math.Max(0, age)))
-	if n.timed {
-		load := math.Min(1.5, o.load) * pick(heard, e.reportCorrection(), 1)
-		e.penalty = math.Max(0, math.Min(maxPenalty, e.penalty+e.penaltyStep()*(load*load-e.planner.targetLoad*e.planner.targetLoad)))
-		every := int(pick(seen < 8, 1, e.planner.settings.Instances))
-		if e.planner.settings.HealthChecks && e.Phase == Ready && (e.planner.rounds+e.Endpoint)%max(1, every) == 0 {
-			e.planner.command(Probe{Endpoint: e.Endpoint})
-		}
+	fresh := e.load.isFresh(e.planner.now)
+	load := e.planner.load.mean // an endpoint without recent reports counts as average
+	if fresh {
+		load = e.load.value
 	}
-	o.penalty, o.Weight = e.penalty, pick(e.Weight > 0, e.Weight, 1)
-	if usual, _ := e.planner.speeds.mean(); speed > 0 { // shrunk while few reports are in
-		o.Weight *= math.Pow(math.Max(0.4, math.Min(2.5, speed/usual)), seen/(seen+2))
+	if timed {
+		e.stepPenalty(load, fresh)
+		e.checkHealth()
 	}
+	offer := candidate{Entry: e.Entry, load: load, penalty: e.penalty, weight: e.effectiveWeight(),
+		warmUp: e.planner.warmUp(e.Started)}
 	for _, r := range e.planner.regions {
-		v := e.healthIn(r.zone)
-		o.attempts, o.failures = v.attempts, v.failures
-		if n.timed {
-			e.updateHealth(r, v)
-		}
-		o.trust = pick(v.ejected, 0, v.trust)
-		offer := o
-		r.mailbox.enqueue(&offer)
+		e.offerTo(r, offer, timed)
+	}
+}
+
+// offerTo offers the endpoint to a region, with its health as the region's own proxies see it.
+func (e *endpoint) offerTo(r *region, offer candidate, timed bool) {
+	health := e.healthIn(r.zone)
+	offer.attempts = health.attempts
+	offer.failures = health.failures
+	if timed {
+		e.updateHealth(r, health)
+	}
+	offer.trust = health.trust
+	if health.ejected {
+		offer.trust = 0
+	}
+	r.mailbox.enqueue(&offer)
+}
+
+// checkHealth orders a health check where the deployment allows for them. Controllers take turns at an endpoint, once
+// enough is known of its speed.
+func (e *endpoint) checkHealth() {
+	if !e.planner.settings.HealthChecks || e.Phase != Ready {
+		return
+	}
+	every := 1
+	if _, reports := e.load.speeds.mean(); reports >= enoughSpeeds {
+		every = max(1, int(e.planner.settings.Instances))
+	}
+	if (e.planner.rounds+e.Endpoint)%every == 0 {
+		e.planner.command(Probe{Endpoint: e.Endpoint})
+	}
+}
+
+// effectiveWeight returns the listed weight, corrected by the speed that load reports show against the usual speed. The
+// correction is bounded, and small while few reports are in.
+func (e *endpoint) effectiveWeight() float64 {
+	weight := 1.0
+	if e.Weight > 0 {
+		weight = e.Weight
+	}
+	speed, reports := e.load.speeds.mean()
+	if speed <= 0 {
+		return weight
 	}
+	usual, _ := e.planner.load.speeds.mean()
+	correction := math.Max(minSpeedCorrection, math.Min(maxSpeedCorrection, speed/usual))
+	return weight * math.Pow(correction, reports/(reports+priorSpeeds))
 }
--- a/brain/load_test.go
+++ b/brain/load_test.go
@@ -38,7 +38,7 @@
 			}
 			assert.Equal(t, c.denies, least < 1)
 			assert.Equal(t, c.price, p.planner.endpoints[0].penalty > 0.1)
-			assert.False(t, math.IsNaN(p.planner.endpoints[0].load))
+			assert.False(t, math.IsNaN(p.planner.endpoints[0].load.value))
 		})
 	}
 }
--- a/brain/membership.go
+++ b/brain/membership.go
@@ -18,7 +18,7 @@
 	for i, l := range lines {
 		o := r.candidates[l.endpoint]
 		mine := pick(o.Zone == r.zone && r.planner.groups[g].mayUse(r.zone, o), 1, 0)
-		old[i] = mine * pick(o.Started == 0, o.Weight, 0)
+		old[i] = mine * pick(o.Started == 0, o.weight, 0)
 		sum, count = sum+old[i], count+pick(old[i] > 0, 1, 0)
 		apart += mine * pick(o.Phase != Ready, worthwhileGap/2, pick(r.planner.endpoints[l.endpoint].restarted && o.warmUp < 1, worthwhileGap, 0))
 	}
--- a/brain/outlier.go
+++ b/brain/outlier.go
@@ -97,8 +97,8 @@
 		return false
 	}
 	now := e.planner.now
-	overloaded := e.load > e.planner.targetLoad && now-e.updatedAt < staleMs
-	silent := h.answered < fewAnswers && now-e.updatedAt > silenceMs
+	overloaded := e.load.value > e.planner.targetLoad && e.load.age(now) < staleMs
+	silent := h.answered < fewAnswers && e.load.age(now) > silenceMs
 	bound := (baseFailureRate + zoneFailureRateFactor*r.failureRate) * (h.answered + h.failed)
 	return h.failed > bound && !overloaded || silent
 }
--- a/brain/penalty.go
+++ b/brain/penalty.go
@@ -13,17 +13,96 @@
 	"slices"
 )
 
-// reportCorrection scales a load report by what the tables changed since, at today's demand, or penalties swing.
-func (e *endpoint) reportCorrection() float64 {
-	then, now := 0.0, 0.0
-	for _, t := range slices.Sorted(maps.Keys(e.plans[0])) {
-		d := e.planner.demand.rates[t/len(e.planner.groups)] / e.planner.demand.surge(t/len(e.planner.groups))
-		then, now = then+d*e.plans[reportDelayRounds+1][t], now+d*e.plans[0][t]
+const (
+	// penaltyGain is theta of the step, for a round.
+	penaltyGain = 0.25
+
+	// maxPenalty bounds lambda. Above the cost of every zone a penalty says no more, and a higher one is slow to fall.
+	maxPenalty = 1.1
+
+	// maxPenalizedLoad bounds B in the step: one report of a long queue should not jam an endpoint.
+	maxPenalizedLoad = 1.5
+
+	// reportDelayRounds is the number of rounds until a load report shows what a table changed.
+	reportDelayRounds = 3
+
+	// The correction of a report for plans that changed since lies between these, since plans are no more than that.
+	minReportCorrection = 0.25
+	maxReportCorrection = 4.0
+)
+
+// stepPenalty takes one step of the penalty. The history of plans moves on with each step, also if the last report is
+// stale.
+func (e *endpoint) stepPenalty(load float64, fresh bool) {
+	correction := e.reportCorrection()
+	load = math.Min(maxPenalizedLoad, load)
+	if fresh {
+		load *= correction
 	}
-	e.plans = slices.Insert(e.plans[:reportDelayRounds+1], 0, maps.Clone(e.plans[0]))
-	return pick(then > 0, 1+e.planner.demandSeen()*(math.Max(0.25, math.Min(4, now/math.Max(then, 1e-9)))-1), 1)
+	target := e.planner.targetLoad
+	penalty := e.penalty + e.penaltyStep()*(load*load-target*target)
+	e.penalty = math.Max(0, math.Min(maxPenalty, penalty))
 }
 
+// penaltyStep returns theta, scaled by the part of the demand that is this planner's business, and by how many reports
+// there are in a round: one that is looked at in several rounds counts once.
 func (e *endpoint) penaltyStep() float64 {
-	return penaltyGain * e.planner.demandSeen() * math.Min(1, roundMs/math.Max(e.interval, 1)) // one looked at often counts once
+	return penaltyGain * e.planner.demandSeen() * math.Min(1, roundMs/math.Max(e.load.interval, 1))
+}
+
+// reportCorrection returns the factor that brings a load report up to date: how the plans changed the endpoint's load
+// since the report was made, at the present ordinary demand. Without it a penalty goes on rising after the plan has
+// moved requests away, and swings.
+func (e *endpoint) reportCorrection() float64 {
+	p := e.planner
+	reported, present := 0.0, 0.0
+	for _, plan := range e.plans.known() {
+		zone := p.zoneOfPlan(plan)
+		ordinary := p.demand.rates[zone] / p.demand.surge(zone)
+		reported += ordinary * e.plans.reported(plan)
+		present += ordinary * e.plans.present(plan)
+	}
+	e.plans.advance()
+	correction := 1.0
+	if reported > 0 {
+		change := present / math.Max(reported, 1e-9)
+		bounded := math.Max(minReportCorrection, math.Min(maxReportCorrection, change))
+		correction = 1 + p.demandSeen()*(bounded-1)
+	}
+	return correction
 }
+
+// planHistory keeps the shares of an endpoint in the regions' plans, by plan number: the present ones first, then those
+// of the rounds before, back to the plans under which the latest reports were made.
+type planHistory []map[int]float64
+
+// newPlanHistory returns a history without any plan.
+func newPlanHistory() planHistory {
+	history := make(planHistory, reportDelayRounds+2)
+	history[0] = map[int]float64{}
+	return history
+}
+
+// set notes the endpoint's share in a present plan.
+func (h planHistory) set(plan int, share float64) { h[0][plan] = share }
+
+// known returns the numbers of the plans that the endpoint has been in, in order.
+func (h planHistory) known() []int { return slices.Sorted(maps.Keys(h[0])) }
+
+// present returns the endpoint's share in a present plan.
+func (h planHistory) present(plan int) float64 { return h[0][plan] }
+
+// reported returns the endpoint's share in a plan when the latest reports were made.
+func (h planHistory) reported(plan int) float64 { return h[reportDelayRounds+1][plan] }
+
+// advance begins a new round with the present plans.
+func (h planHistory) advance() {
+	copy(h[1:], h[:len(h)-1])
+	h[0] = maps.Clone(h[1])
+}
+
+// planNumber returns the number of a region's plan for a class group, by which endpoints keep their shares of it.
+func (p *Brain) planNumber(zone, group int) int { return zone*len(p.groups) + group }
+
+// zoneOfPlan returns the zone of the region whose plan has a number.
+func (p *Brain) zoneOfPlan(plan int) int { return plan / len(p.groups) }
--- a/brain/penalty_test.go
+++ b/brain/penalty_test.go
@@ -33,7 +33,7 @@
 				return nil
 			})
 			e := p.planner.endpoints[0]
-			assert.InDelta(t, float64(c.every)*roundMs, math.Max(e.interval, roundMs), 0.3*roundMs)
+			assert.InDelta(t, float64(c.every)*roundMs, math.Max(e.load.interval, roundMs), 0.3*roundMs)
 			assert.InDelta(t, penaltyGain*p.planner.demandSeen()/float64(c.every), e.penaltyStep(), 0.3*penaltyGain*p.planner.demandSeen()/float64(c.every))
 		})
 	}
--- a/brain/planner.go
+++ b/brain/planner.go
@@ -12,21 +12,21 @@
 )
 
 type Brain struct {
-	mailbox                   mailbox[plannerMessage]
-	settings                  Settings
-	rounds, subsetsOfZone     int     // parts: tables that a zone's proxies are dealt to, for each group
-	now, targetLoad, meanLoad float64 // mean: of the loads heard
-	speeds                    histogram
-	started                   bool
-	endpoints                 []*endpoint
-	regions                   []*region
-	actors                    []actor
-	publisher                 *publisher
-	groups                    []classGroup
-	classes                   []RequestClass // of the settings at the start
-	proxies                   map[int]Joined
-	demand                    demand
-	commands                  []Order
+	mailbox               mailbox[plannerMessage]
+	settings              Settings
+	rounds, subsetsOfZone int // parts: tables that a zone's proxies are dealt to, for each group
+	now, targetLoad       float64
+	load                  fleetLoad
+	started               bool
+	endpoints             []*endpoint
+	regions               []*region
+	actors                []actor
+	publisher             *publisher
+	groups                []classGroup
+	classes               []RequestClass // of the settings at the start
+	proxies               map[int]Joined
+	demand                demand
+	commands              []Order
 }
 
 func New(seed int64, terms map[string]any) *Brain {
@@ -128,9 +128,8 @@
 func (b *Brain) controlRound(step bool) {
 	b.deliverAll()
 	b.demand.update(b.proxies, b.settings.ProxyCount.Or(1))
-	b.meanLoad = b.targetLoad / 2
+	b.load.update(b.endpoints, b.targetLoad, b.now)
 	for _, be := range b.endpoints {
-		b.meanLoad += pick(be.updatedAt > b.now-staleMs, be.load-b.meanLoad, 0) / float64(len(b.endpoints)+1)
 		be.mailbox.enqueue(roundStart{step})
 	}
 	b.deliverAll()
@@ -155,9 +154,7 @@
 
 func (b *Brain) endpoint(i int) *endpoint {
 	for len(b.endpoints) <= i {
-		e := &endpoint{planner: b, Entry: Entry{Endpoint: len(b.endpoints)}, load: -1, updatedAt: -staleMs,
-			health: map[int]*zoneHealth{}, plans: append([]map[int]float64{{}}, make([]map[int]float64, reportDelayRounds+1)...)}
-		e.mailbox.receive = e.receive
+		e := newEndpoint(b, len(b.endpoints))
 		b.endpoints, b.actors = append(b.endpoints, e), append(b.actors, &e.mailbox)
 	}
 	return b.endpoints[i]
--- a/brain/region.go
+++ b/brain/region.go
@@ -13,7 +13,13 @@
 
 type candidate struct {
 	Entry
-	penalty, trust, load, warmUp, attempts, failures float64 // tries by the zone's proxies, fading
+	weight   float64 // listed, corrected by the speed that reports show
+	load     float64
+	penalty  float64
+	warmUp   float64 // part of its normal work that it can do so soon after its start
+	trust    float64 // part of its normal weight that its health allows; 0: ejected
+	attempts float64 // of the zone's proxies, fading
+	failures float64 // of these
 }
 
 type region struct {
@@ -50,7 +56,7 @@
 		o := r.candidates[i]
 		tries, fails = tries+o.attempts, fails+o.failures
 		for g, group := range r.planner.groups {
-			r.groupWeight[g] += pick(o.Phase == Ready && group.mayUse(r.zone, o), o.Weight, 0)
+			r.groupWeight[g] += pick(o.Phase == Ready && group.mayUse(r.zone, o), o.weight, 0)
 		}
 	}
 	r.failureRate, r.divergence = pick(step, fails/math.Max(8, tries), r.failureRate), 0
@@ -62,7 +68,7 @@
 		for _, l := range lines { // the fullest line stands still, so that spill alone moves few others
 			unit = math.Max(unit, l.share/math.Max(l.weight, 1e-9))
 			load += l.share * math.Min(1, r.candidates[l.endpoint].load)
-			r.planner.endpoints[l.endpoint].mailbox.enqueue(plannedShare{r.planner.tableNumber(r.zone, g), l.share * rush})
+			r.planner.endpoints[l.endpoint].mailbox.enqueue(plannedShare{r.planner.planNumber(r.zone, g), l.share * rush})
 		}
 		r.assignSubsets(g, lines, unit)
 		if step {
--- a/brain/slowstart.go
+++ b/brain/slowstart.go
@@ -51,3 +51,14 @@
 func (c *publisher) isWarmingUp(endpoint int) bool {
 	return c.planner.endpoints[endpoint].Started != 0 && c.planner.now-c.planner.endpoints[endpoint].Started < c.planner.settings.WarmUpMs
 }
+
+// warmUp returns the part of its normal work that an endpoint can do that started at a time: it rises evenly from the
+// configured start to 1 within the configured time. A start of 0 is long ago.
+func (p *Brain) warmUp(started float64) float64 {
+	if started == 0 {
+		return 1
+	}
+	age := (p.now - started) / p.settings.WarmUpMs
+	from := p.settings.WarmUpStart
+	return math.Min(1, from+(1-from)*math.Max(0, age))
+}
