--- a/brain/classgroup.go
+++ b/brain/classgroup.go
@@ -7,46 +7,75 @@
 	"slices"
 )
 
+const (
+	// scarcerWeight is the part of a group's endpoint weight below which another group counts as open to fewer.
+	scarcerWeight = 0.99
+
+	// minWeightLeft is the part of an endpoint's weight that classes open to fewer endpoints leave to the others at
+	// least.
+	minWeightLeft = 0.05
+)
+
+// classGroup is request classes that the same endpoints may serve.
 type classGroup struct {
-	mask                    int
-	onlyMachines, onlyZones IndexList
-	ownZoneOnly             bool
+	mask         int // a bit for each class
+	ownZoneOnly  bool
+	onlyMachines IndexList
+	onlyZones    IndexList
 }
 
-func (b *Brain) groupClasses() {
-	for i, kind := range b.classes {
-		g := classGroup{ownZoneOnly: kind.OwnZoneOnly, onlyMachines: kind.OnlyMachines, onlyZones: kind.OnlyZones}
-		same := func(h classGroup) bool {
-			return h.ownZoneOnly == g.ownZoneOnly && slices.Equal(h.onlyMachines, g.onlyMachines) && slices.Equal(h.onlyZones, g.onlyZones)
+// groupClasses groups classes, in the order of each group's first.
+func groupClasses(classes []RequestClass) []classGroup {
+	var groups []classGroup
+	for i, class := range classes {
+		at := slices.IndexFunc(groups, func(g classGroup) bool { return g.isFor(class) })
+		if at < 0 {
+			at = len(groups)
+			groups = append(groups, classGroup{ownZoneOnly: class.OwnZoneOnly, onlyMachines: class.OnlyMachines,
+				onlyZones: class.OnlyZones})
 		}
-		if !slices.ContainsFunc(b.groups, same) {
-			b.groups = append(b.groups, g)
-		}
-		b.groups[slices.IndexFunc(b.groups, same)].mask |= 1 << i
+		groups[at].mask |= 1 << i
 	}
+	return groups
 }
 
-// workPart is a group's part of all work: its reqs, times their response targets for want of a better guess.
-func (b *Brain) workPart(g int) float64 {
-	own, all := 0.0, 1e-9
-	for k, kind := range b.classes {
-		w := b.demand.ofClass(k) * kind.ResponseTargetMs
-		own, all = own+pick(b.groups[g].mask&(1<<k) != 0, w, 0), all+w
-	}
-	return own / all
+// isFor returns whether the group's endpoints are those that may serve a class.
+func (g *classGroup) isFor(class RequestClass) bool {
+	return g.ownZoneOnly == class.OwnZoneOnly && slices.Equal(g.onlyMachines, class.OnlyMachines) &&
+		slices.Equal(g.onlyZones, class.OnlyZones)
 }
 
-func (g *classGroup) mayUse(zone int, o *candidate) bool {
-	return (!g.ownZoneOnly || o.Zone == zone) && g.onlyMachines.Has(o.Machine) && g.onlyZones.Has(o.Zone)
+// has returns whether a class is of the group.
+func (g *classGroup) has(class int) bool { return g.mask&(1<<class) != 0 }
+
+// mayUse returns whether an endpoint may serve the group's requests that come to a zone's proxies.
+func (g *classGroup) mayUse(zone int, c *candidate) bool {
+	return (!g.ownZoneOnly || c.Zone == zone) && g.onlyMachines.Has(c.Machine) && g.onlyZones.Has(c.Zone)
+}
+
+// workPart returns a group's part of all work. The work of a request is taken to go with its class's response target,
+// for want of a better guess.
+func (p *Brain) workPart(group int) float64 {
+	own := 0.0
+	all := 1e-9
+	for i, class := range p.classes {
+		work := p.demand.ofClass(i) * class.ResponseTargetMs
+		if p.groups[group].has(i) {
+			own += work
+		}
+		all += work
+	}
+	return own / all
 }
 
-// weightFor is what an endpoint has left for a group when req kinds open to fewer endpoints have had theirs.
-func (r *region) weightFor(g int, o *candidate) float64 {
+// weightFor returns what an endpoint has left for a group once groups that fewer endpoints may serve have had theirs.
+func (r *region) weightFor(group int, c *candidate) float64 {
 	left := 1.0
-	for h := range r.planner.groups {
-		if r.groupWeight[h] < 0.99*r.groupWeight[g] && r.planner.groups[h].mayUse(r.zone, o) {
-			left -= r.planner.workPart(h) * r.groupWeight[g] / math.Max(r.groupWeight[h], 1e-9)
+	for other := range r.planner.groups {
+		scarcer := r.groupWeight[other] < scarcerWeight*r.groupWeight[group]
+		if scarcer && r.planner.groups[other].mayUse(r.zone, c) {
+			left -= r.planner.workPart(other) * r.groupWeight[group] / math.Max(r.groupWeight[other], 1e-9)
 		}
 	}
-	return o.weight * math.Max(left, 0.05)
+	return c.weight * math.Max(left, minWeightLeft)
 }
--- a/brain/constants.go
+++ b/brain/constants.go
@@ -7,13 +7,10 @@
 	unlimitedRate  = 1e6    // reqs a second of a proxy that all let in
 )
 
-// In sets: own penalty against the zone's, part of a share
-// worth a line; margin of latency, cost of a rank; load
-// that denies, steps, what stays; failures and load to try again at; gap that is sent, more for a table of a
+// In sets: part of a share worth a line; load that denies, steps, what stays; failures and load to try again at; gap that is sent, more for a table of a
 // second.
 const (
-	ownPenaltyPart, minSharePart                           = 0.4, 0.05
-	latencyStep, zoneCostStep                              = 1.3, 0.2
+	minSharePart                                           = 0.05
 	fullLoad, shedStep, shedRelease, minAdmitted           = 0.9, 0.06, 0.92, 0.1
 	minRetryFailureRate, maxRetryFailureRate, maxRetryLoad = 0.02, 0.5, 0.7
 	tolerance, channelTolerance                            = 0.12, 0.2
--- a/brain/planner.go
+++ b/brain/planner.go
@@ -35,7 +35,7 @@
 	// T, the load at which a penalty starts to grow: the less crossing zones costs, the sooner it pays.
 	b.targetLoad = math.Min(0.85, 0.5+2*b.settings.CrossZoneCost)
 	if !b.settings.Sliced { // sites with slices are not planned: stored owners stay
-		b.groupClasses()
+		b.groups = groupClasses(b.classes)
 	}
 	b.subsetsOfZone = b.countSubsets()
 	b.publisher = &publisher{planner: b, proxies: map[int]*proxyState{}, unavailable: map[int]float64{}, linesSinceAck: map[int]float64{},
--- a/brain/slowstart.go
+++ b/brain/slowstart.go
@@ -11,7 +11,8 @@
 
 // allocations lists a group's endpoints, cold ones and trials capped; without a trusted warm one all are in.
 func (r *region) allocations(g int) (lines []allocation, own float64) {
-	costs, own, load := r.priceZones(g)
+	prices := r.priceZones(g, slices.Sorted(maps.Keys(r.candidates)))
+	costs, load := prices.byZone, prices.load
 	sum, near, chill, trusted, chilled, tried := 1e-9, 1e-9, 1e-9, 0.0, 0.0, 1e-9
 	rush := r.planner.demand.surge(r.zone)                                                // who is refused comes again
 	cold, bend := pick(r.planner.rounds < 5, 0, (1-r.failureRate)/math.Max(1, rush)), 1.0 // a fresh pilot: none
@@ -45,7 +46,7 @@
 	for i := range lines { // what caps leave over falls to trials: one that fails harms less than a cold one
 		lines[i].limit *= pick(r.candidates[lines[i].endpoint].warmUp < 1, 1, math.Max(1, (1-chilled)/tried))
 	}
-	return lines, own
+	return lines, prices.homePart
 }
 
 func (c *publisher) isWarmingUp(endpoint int) bool {
