--- a/brain/constants.go
+++ b/brain/constants.go
@@ -2,7 +2,7 @@
 
 const (
 	roundMs        = 1000.0 // the gather window: reports are about this far apart
-	gradientLength = 1.5    // length of the gradient loop, in units of the own zone's part
+	settlingRounds = 5      // in which a planner that has just started knows too little to load endpoints that warm up
 	staleMs        = 5000.0 // a load report older than this counts as unheard
 	unlimitedRate  = 1e6    // reqs a second of a proxy that all let in
 )
--- a/brain/drain.go
+++ b/brain/drain.go
@@ -26,7 +26,7 @@
 		}
 	}
 	for _, i := range slices.Sorted(maps.Keys(c.excludedAt)) { // standing lines would fell a cold one
-		if !c.isUnavailable(i) && (len(waits) == 0 || !c.isWarmingUp(i)) {
+		if !c.isUnavailable(i) && (len(waits) == 0 || !c.planner.isWarmingUp(i)) {
 			c.planner.command(Withdraw{i, false})
 			c.lastExclusionChange = c.planner.now
 			delete(c.excludedAt, i)
--- a/brain/planner.go
+++ b/brain/planner.go
@@ -162,9 +162,7 @@
 
 func (b *Brain) region(zone int) *region {
 	for len(b.regions) <= zone {
-		r := &region{planner: b, zone: len(b.regions), candidates: map[int]*candidate{}, shed: map[int]float64{},
-			latency: map[int]float64{}, runLengths: map[int]float64{}}
-		r.mailbox.receive = r.receive
+		r := newRegion(b, len(b.regions))
 		b.regions, b.actors = append(b.regions, r), append(b.actors, &r.mailbox)
 		for range len(b.groups) * b.subsetsOfZone {
 			b.publisher.tables = append(b.publisher.tables, &table{number: len(b.publisher.tables), sent: map[int]float64{},
--- a/brain/publisher.go
+++ b/brain/publisher.go
@@ -114,7 +114,7 @@
 		want, sent := t.wanted[k], t.sent[k]
 		kept, full = kept+pick(c.isUnavailable(k), 0, sent), full+want
 		if gap := math.Abs(sent - want); gap > off*math.Max(sent, want) {
-			rash := c.isWarmingUp(k) && want < sent/2 // one that has started again with its old weight falls over meanwhile
+			rash := c.planner.isWarmingUp(k) && want < sent/2 // one that has started again with its old weight falls over meanwhile
 			gaps[k] = pick(c.isUnavailable(k), math.MaxFloat64, pick(rash, math.MaxFloat64/2, gap))
 			apart += gaps[k]
 		}
--- a/brain/region.go
+++ b/brain/region.go
@@ -11,6 +11,33 @@
 	"slices"
 )
 
+const (
+	// latencyGain is the weight of the latest mean latency of a zone against the mean of those before.
+	latencyGain = 0.125
+
+	// fewAttempts bounds the failure rate where attempts are fewer: two that failed are no half of all.
+	fewAttempts = 8.0
+)
+
+// region is an actor: it keeps what a zone's proxies are offered and see, and plans for them.
+type region struct {
+	mailbox mailbox[regionMessage]
+	planner *Brain
+	zone    int
+
+	candidates  map[int]*candidate // by endpoint
+	latency     map[int]float64    // ms, as seen by the zone's proxies, by the zone of the endpoints
+	failureRate float64            // part of the attempts of the zone's proxies that fail
+
+	shed       map[int]float64 // part of the requests that is rejected, by group
+	runLengths map[int]float64 // tables that an endpoint is in, by twice the group and ring; see subset.go
+
+	// As of the last plan.
+	groupWeight []float64 // of the ready endpoints that each group may use
+	divergence  float64   // see planDivergence
+}
+
+// candidate is an endpoint as a region sees it in a round.
 type candidate struct {
 	Entry
 	weight   float64 // listed, corrected by the speed that reports show
@@ -22,57 +49,110 @@
 	failures float64 // of these
 }
 
-type region struct {
-	mailbox     mailbox[regionMessage]
-	planner     *Brain
-	zone        int
-	candidates  map[int]*candidate
-	latency     map[int]float64 // heard, by zone of the endpoints
-	failureRate float64         // part of the tries that fail
-	shed        map[int]float64 // part of the reqs to be denied, by group
-	runLengths  map[int]float64 // tables that an endpoint is in, by group
-	groupWeight []float64       // weight of the endpoints open to each group
-	divergence  float64         // part of the reqs that go elsewhere than planned, or in, while tables are standing
+// newRegion returns the region of a zone.
+func newRegion(p *Brain, zone int) *region {
+	r := &region{planner: p, zone: zone, candidates: map[int]*candidate{}, latency: map[int]float64{},
+		shed: map[int]float64{}, runLengths: map[int]float64{}}
+	r.mailbox.receive = r.receive
+	return r
 }
 
-func (r *region) receive(note regionMessage) {
-	switch n := note.(type) {
+// receive takes in a message to the region.
+func (r *region) receive(message regionMessage) {
+	switch message := message.(type) {
 	case Met:
-		if o := r.candidates[n.Endpoint]; o != nil && n.MeanMs > 0 {
-			old := r.latency[o.Zone]
-			r.latency[o.Zone] += (n.MeanMs - old) * pick(old > 0, 0.125, 1)
-		}
+		r.measureLatency(message)
 	case *candidate:
-		r.candidates[n.Endpoint] = n
+		r.candidates[message.Endpoint] = message
 	case roundStart:
-		r.controlRound(n.timed)
+		r.controlRound(message.timed)
 	}
 }
 
-func (r *region) controlRound(step bool) {
-	groups, tries, fails := len(r.planner.groups), 0.0, 0.0
-	r.groupWeight = make([]float64, groups)
-	for _, i := range slices.Sorted(maps.Keys(r.candidates)) {
-		o := r.candidates[i]
-		tries, fails = tries+o.attempts, fails+o.failures
-		for g, group := range r.planner.groups {
-			r.groupWeight[g] += pick(o.Phase == Ready && group.mayUse(r.zone, o), o.weight, 0)
+// measureLatency takes in the mean latency that the zone's proxies saw at an endpoint.
+func (r *region) measureLatency(stats Met) {
+	c := r.candidates[stats.Endpoint]
+	if c != nil && stats.MeanMs > 0 {
+		mean := r.latency[c.Zone]
+		gain := 1.0
+		if mean > 0 {
+			gain = latencyGain
 		}
+		r.latency[c.Zone] += (stats.MeanMs - mean) * gain
 	}
-	r.failureRate, r.divergence = pick(step, fails/math.Max(8, tries), r.failureRate), 0
-	for g := range r.planner.groups {
-		lines, own := r.allocations(g)
-		solveShares(lines, own)
-		r.divergence = math.Max(r.divergence, r.planDivergence(g, lines)+r.shed[g])
-		load, unit, rush := 0.0, 1e-9, r.planner.demand.surge(r.zone)
-		for _, l := range lines { // the fullest line stands still, so that spill alone moves few others
-			unit = math.Max(unit, l.share/math.Max(l.weight, 1e-9))
-			load += l.share * math.Min(1, r.candidates[l.endpoint].load)
-			r.planner.endpoints[l.endpoint].mailbox.enqueue(plannedShare{r.planner.planNumber(r.zone, g), l.share * rush})
-		}
-		r.assignSubsets(g, lines, unit)
-		if step {
-			r.updateAdmission(g, load)
+}
+
+// candidateIndices returns the endpoints that are offered, in ascending order.
+func (r *region) candidateIndices() []int { return slices.Sorted(maps.Keys(r.candidates)) }
+
+// controlRound plans anew for each class group.
+func (r *region) controlRound(timed bool) {
+	indices := r.candidateIndices()
+	if timed {
+		r.updateFailureRate(indices)
+	}
+	r.updateGroupWeights(indices)
+	r.divergence = 0
+	for group := range r.planner.groups {
+		r.planGroup(group, indices, timed)
+	}
+}
+
+// updateFailureRate takes the part of the attempts that fail anew.
+func (r *region) updateFailureRate(indices []int) {
+	attempts := 0.0
+	failures := 0.0
+	for _, i := range indices {
+		attempts += r.candidates[i].attempts
+		failures += r.candidates[i].failures
+	}
+	r.failureRate = failures / math.Max(fewAttempts, attempts)
+}
+
+// updateGroupWeights sums up the weight of the endpoints that each group may use.
+func (r *region) updateGroupWeights(indices []int) {
+	r.groupWeight = make([]float64, len(r.planner.groups))
+	for _, i := range indices {
+		c := r.candidates[i]
+		for group := range r.planner.groups {
+			if c.Phase == Ready && r.planner.groups[group].mayUse(r.zone, c) {
+				r.groupWeight[group] += c.weight
+			}
 		}
 	}
 }
+
+// planGroup solves for the shares of a class group and passes them on to the endpoints, and to the publisher as lines
+// of tables.
+func (r *region) planGroup(group int, indices []int, timed bool) {
+	costs := r.priceZones(group, indices)
+	allocations := r.allocations(group, indices, costs)
+	solveShares(allocations, costs.homePart)
+	r.divergence = math.Max(r.divergence, r.planDivergence(group, allocations)+r.shed[group])
+	r.announceShares(group, allocations)
+	r.assignSubsets(group, allocations, weightUnit(allocations))
+	if timed {
+		r.updateAdmission(group, r.plannedLoad(allocations))
+	}
+}
+
+// announceShares lets the endpoints know their shares of a plan, at the recent demand, so that they can correct load
+// reports that were made under other plans.
+func (r *region) announceShares(group int, allocations []allocation) {
+	plan := r.planner.planNumber(r.zone, group)
+	surge := r.planner.demand.surge(r.zone)
+	for i := range allocations {
+		a := &allocations[i]
+		r.planner.endpoints[a.endpoint].mailbox.enqueue(plannedShare{plan, a.share * surge})
+	}
+}
+
+// plannedLoad returns the mean load of the endpoints by their shares. A load above 1 counts as 1.
+func (r *region) plannedLoad(allocations []allocation) float64 {
+	load := 0.0
+	for i := range allocations {
+		a := &allocations[i]
+		load += a.share * math.Min(1, r.candidates[a.endpoint].load)
+	}
+	return load
+}
--- a/brain/subset.go
+++ b/brain/subset.go
@@ -57,3 +57,14 @@
 		}
 	}
 }
+
+// weightUnit returns the share, in parts of the listed one, of the endpoint that gets most of what it is listed with.
+// Lines are sent in this unit: the fullest stands still, so that a little spillover changes few other lines.
+func weightUnit(allocations []allocation) float64 {
+	unit := 1e-9
+	for i := range allocations {
+		a := &allocations[i]
+		unit = math.Max(unit, a.share/math.Max(a.weight, 1e-9))
+	}
+	return unit
+}
