--- a/brain/constants.go
+++ b/brain/constants.go
@@ -7,21 +7,16 @@
 	unlimitedRate  = 1e6    // reqs a second of a proxy that all let in
 )
 
-// In sets: part of a share worth a line; load that denies, steps, what stays; failures and load to try again at; gap that is sent, more for a table of a
+// In sets: load that denies, steps, what stays; failures and load to try again at; gap that is sent, more for a table of a
 // second.
 const (
-	minSharePart                                           = 0.05
 	fullLoad, shedStep, shedRelease, minAdmitted           = 0.9, 0.06, 0.92, 0.1
 	minRetryFailureRate, maxRetryFailureRate, maxRetryLoad = 0.02, 0.5, 0.7
 	tolerance, channelTolerance                            = 0.12, 0.2
 )
 
-// Part of the connections that the least endpoint takes; most parts of a zone, proxies of one; least lines
-// of a table; parts of a line that bring and keep it there; gaps worth heads of a second of the channel.
-const (
-	connectionUse, maxSubsets, minSubsetProxies      = 0.7, 8, 10
-	minRunLines, enterPart, leavePart, worthwhileGap = 2.5, 0.35, 0.1, 0.5
-)
+// Gaps worth heads of a second of the channel.
+const worthwhileGap = 0.5
 
 // Figures of what is sent.
 const (
--- a/brain/planner.go
+++ b/brain/planner.go
@@ -37,7 +37,7 @@
 	if !b.settings.Sliced { // sites with slices are not planned: stored owners stay
 		b.groups = groupClasses(b.classes)
 	}
-	b.subsetsOfZone = b.countSubsets()
+	b.subsetsOfZone = subsetsOfZone(parsed, len(b.groups))
 	b.publisher = &publisher{planner: b, proxies: map[int]*proxyState{}, unavailable: map[int]float64{}, linesSinceAck: map[int]float64{},
 		excludedAt: map[int]float64{}}
 	b.mailbox.receive = b.receive
--- a/brain/region.go
+++ b/brain/region.go
@@ -29,8 +29,8 @@
 	latency     map[int]float64    // ms, as seen by the zone's proxies, by the zone of the endpoints
 	failureRate float64            // part of the attempts of the zone's proxies that fail
 
-	shed       map[int]float64 // part of the requests that is rejected, by group
-	runLengths map[int]float64 // tables that an endpoint is in, by twice the group and ring; see subset.go
+	shed       map[int]float64    // part of the requests that is rejected, by group
+	runLengths map[int][2]float64 // tables that an endpoint is in, by group and ring; see subset.go
 
 	// As of the last plan.
 	groupWeight []float64 // of the ready endpoints that each group may use
@@ -52,7 +52,7 @@
 // newRegion returns the region of a zone.
 func newRegion(p *Brain, zone int) *region {
 	r := &region{planner: p, zone: zone, candidates: map[int]*candidate{}, latency: map[int]float64{},
-		shed: map[int]float64{}, runLengths: map[int]float64{}}
+		shed: map[int]float64{}, runLengths: map[int][2]float64{}}
 	r.mailbox.receive = r.receive
 	return r
 }
@@ -130,7 +130,7 @@
 	solveShares(allocations, costs.homePart)
 	r.divergence = math.Max(r.divergence, r.planDivergence(group, allocations)+r.shed[group])
 	r.announceShares(group, allocations)
-	r.assignSubsets(group, allocations, weightUnit(allocations))
+	r.assignSubsets(group, allocations)
 	if timed {
 		r.updateAdmission(group, r.plannedLoad(allocations))
 	}
--- a/brain/subset.go
+++ b/brain/subset.go
@@ -11,51 +11,92 @@
 
 import "math"
 
-// countSubsets is the number of parts of a zone's proxies: one, unless an endpoint can't take connections of all.
-func (b *Brain) countSubsets() int {
-	proxies := b.settings.ProxyCount.Or(1)
-	if proxies <= connectionUse*b.settings.LeastConnections.Or(math.MaxFloat64) {
+const (
+	// connectionUse is the part of the connections that the endpoint with the lowest limit takes which may be in use.
+	connectionUse = 0.7
+
+	maxSubsets       = 8
+	minSubsetProxies = 10  // a smaller subset brings its endpoints too little to spread evenly
+	minRunLines      = 2.5 // lines of a run, on average: the zone's proxies may not hang on one or two endpoints
+
+	// minSharePart is the part of its listed share below which an endpoint is in no table.
+	minSharePart = 0.05
+
+	// runHysteresis is the change, in tables, that makes a run longer or shorter: each change lays tables anew.
+	runHysteresis = 0.7
+
+	// A line comes into a table once so much of it lies in the run, and leaves it below so much.
+	enterPart = 0.35
+	leavePart = 0.1
+
+	// lineSteps is the number of steps in which a line at the end of a run counts in part, so that few lines change.
+	lineSteps = 3
+
+	// unlimitedConnections stands for a limit that is not configured.
+	unlimitedConnections = 1e9
+
+	// unlimitedLines stands for the lines a second of a channel whose pace is not configured.
+	unlimitedLines = 1e6
+)
+
+// subsetsOfZone returns into how many subsets the proxies of each zone are dealt: one, unless all proxies together
+// would use too many of an endpoint's connections.
+func subsetsOfZone(settings Settings, groups int) int {
+	proxies := settings.ProxyCount.Or(1)
+	if proxies <= connectionUse*settings.LeastConnections.Or(math.MaxFloat64) {
 		return 1
 	}
-	return max(1, min(maxSubsets, int(proxies)/(minSubsetProxies*max(1, b.settings.ZoneCount*len(b.groups)))))
+	tablesOfSubset := max(1, settings.ZoneCount*groups)
+	return max(1, min(maxSubsets, int(proxies)/(minSubsetProxies*tablesOfSubset)))
 }
 
-func (b *Brain) subset(p Joined) int { return p.Zone*b.subsetsOfZone + p.Proxy%b.subsetsOfZone } // its zone and part
+// subset returns the number of a proxy's subset, counted over all zones.
+func (p *Brain) subset(proxy Joined) int {
+	return proxy.Zone*p.subsetsOfZone + proxy.Proxy%p.subsetsOfZone
+}
 
-func (b *Brain) tableNumber(slot, g int) int { return slot*len(b.groups) + g } // of a slot, for a group
+// tableNumber returns the number of a subset's table for a class group.
+func (p *Brain) tableNumber(subset, group int) int { return subset*len(p.groups) + group }
 
-// assignSubsets gives each of a group's tables a run of the zone's own lines, mostly all, and one of those spilt that
-// drives none of them out, laid end to end by share on a ring, as long as the endpoints' connections allow.
-func (r *region) assignSubsets(g int, lines []allocation, unit float64) {
-	var ready, count, sum = 0.0, [2]float64{}, [2]float64{} // of the own, of those spilt
-	used, parts := make([]float64, len(lines)), float64(r.planner.subsetsOfZone)
-	for i, l := range lines {
-		used[i] = pick(l.share > minSharePart*l.weight, l.share, 0)
-		ready += pick(r.candidates[l.endpoint].Phase == Ready && r.candidates[l.endpoint].trust > 0, 1, 0)
-		count[l.ring], sum[l.ring] = count[l.ring]+pick(used[i] > 0, 1, 0), sum[l.ring]+used[i]
-	}
-	proxies := r.planner.settings.ProxyCount.Or(1) // were all to come here at once, all have their tables in time
-	told := r.planner.settings.LinesPerSecond.Or(1e6)*r.planner.settings.DrainGraceMs/1000/proxies - r.planner.publisher.headerLines()
-	most := math.Min(told, connectionUse*r.planner.settings.LeastConnections.Or(1e9)*ready/proxies)
-	for k, room := range []float64{most, most - count[0]} {
-		want := math.Max(1, math.Min(parts, parts*math.Max(room-1, minRunLines)/math.Max(count[k], 1)))
-		if want = pick(room >= count[k], parts, want); want == parts || math.Abs(want-r.runLengths[2*g+k]) > 0.7 {
-			r.runLengths[2*g+k] = math.Round(want)
+// subsetOfTable returns the number of the subset that a table is for.
+func (p *Brain) subsetOfTable(table int) int { return table / len(p.groups) }
+
+// rings is how the shares of a plan lie on the two rings.
+type rings struct {
+	used  []float64  // shares, by allocation; 0: too small to be in any table
+	lines [2]float64 // by ring, how many are used
+	sum   [2]float64 // by ring, of the used shares
+	ready float64    // endpoints that are ready and not ejected
+}
+
+// layRings lays the shares of a plan on the rings.
+func (r *region) layRings(allocations []allocation) rings {
+	laid := rings{used: make([]float64, len(allocations))}
+	for i := range allocations {
+		a := &allocations[i]
+		c := r.candidates[a.endpoint]
+		if a.share > minSharePart*a.weight {
+			laid.used[i] = a.share
 		}
-	}
-	for p := range r.planner.subsetsOfZone {
-		t, at := r.planner.publisher.tables[r.planner.tableNumber(r.zone*r.planner.subsetsOfZone+p, g)], [2]float64{}
-		for i, l := range lines {
-			k := l.ring
-			from, width, mass := float64(p)/parts, r.runLengths[2*g+k]/parts, used[i]/math.Max(sum[k], 1e-9)
-			over := math.Max(0, math.Min(at[k]+mass, from+width)-math.Max(at[k], from)) +
-				math.Max(0, math.Min(at[k]+mass, from+width-1)-math.Max(at[k], from-1))
-			in := over > pick(t.sent[l.endpoint] > 0, leavePart, enterPart)*math.Min(mass, width)
-			part := pick(width < 1, math.Ceil(3*over/mass)/3, 1) * r.runLengths[2*g] / r.runLengths[2*g+k]
-			r.planner.publisher.mailbox.enqueue(wantedWeight{t.number, l.endpoint, pick(in, l.share/unit*part, 0)})
-			at[k] += mass
+		if laid.used[i] > 0 {
+			laid.lines[a.ring]++
+		}
+		laid.sum[a.ring] += laid.used[i]
+		if c.Phase == Ready && c.trust > 0 {
+			laid.ready++
 		}
 	}
+	return laid
+}
+
+// assignSubsets lays the shares of a plan out over the tables of the zone's subsets.
+func (r *region) assignSubsets(group int, allocations []allocation) {
+	laid := r.layRings(allocations)
+	r.updateRunLengths(group, laid)
+	unit := weightUnit(allocations)
+	for subset := range r.planner.subsetsOfZone {
+		r.layTable(group, subset, allocations, laid, unit)
+	}
 }
 
 // weightUnit returns the share, in parts of the listed one, of the endpoint that gets most of what it is listed with.
@@ -68,3 +109,88 @@
 	}
 	return unit
 }
+
+// maxRunLines returns how many lines a table may have: as many as connections allow, and as could be sent to all
+// proxies of the fleet within the drain grace, should they all come to this controller at once.
+func (r *region) maxRunLines(ready float64) float64 {
+	settings := &r.planner.settings
+	proxies := settings.ProxyCount.Or(1)
+	lines := settings.LinesPerSecond.Or(unlimitedLines) * settings.DrainGraceMs / 1000
+	sendable := lines/proxies - r.planner.publisher.headerLines()
+	connectable := connectionUse * settings.LeastConnections.Or(unlimitedConnections) * ready / proxies
+	return math.Min(sendable, connectable)
+}
+
+// updateRunLengths takes the lengths of a group's runs anew, in tables that each line is in. Spilt lines have the room
+// that the own ones leave.
+func (r *region) updateRunLengths(group int, laid rings) {
+	lengths := r.runLengths[group]
+	room := r.maxRunLines(laid.ready)
+	lengths[homeRing] = r.runLength(lengths[homeRing], room, laid.lines[homeRing])
+	lengths[spillRing] = r.runLength(lengths[spillRing], room-laid.lines[homeRing], laid.lines[spillRing])
+	r.runLengths[group] = lengths
+}
+
+// runLength returns the length of a run, in tables that each line is in, with room for some of the lines of a ring. It
+// stays as it was unless it changes by enough, or is whole.
+func (r *region) runLength(length, room, lines float64) float64 {
+	whole := float64(r.planner.subsetsOfZone)
+	want := math.Max(1, math.Min(whole, whole*math.Max(room-1, minRunLines)/math.Max(lines, 1)))
+	if room >= lines {
+		want = whole
+	}
+	if want == whole || math.Abs(want-length) > runHysteresis {
+		return math.Round(want)
+	}
+	return length
+}
+
+// layTable gives the publisher what the table of a subset should hold.
+func (r *region) layTable(group, subset int, allocations []allocation, laid rings, unit float64) {
+	p := r.planner
+	t := p.publisher.tables[p.tableNumber(r.zone*p.subsetsOfZone+subset, group)]
+	subsets := float64(p.subsetsOfZone)
+	lengths := r.runLengths[group]
+	places := [2]float64{} // where the next line lies on each ring
+	for i := range allocations {
+		a := &allocations[i]
+		tableRun := run{from: float64(subset) / subsets, width: lengths[a.ring] / subsets}
+		mass := laid.used[i] / math.Max(laid.sum[a.ring], 1e-9)
+		overlap := tableRun.overlap(places[a.ring], mass)
+		weight := 0.0
+		if tableRun.holds(overlap, mass, t.sent[a.endpoint] > 0) {
+			weight = a.share / unit * (tableRun.part(overlap, mass) * lengths[homeRing] / lengths[a.ring])
+		}
+		p.publisher.mailbox.enqueue(wantedWeight{t.number, a.endpoint, weight})
+		places[a.ring] += mass
+	}
+}
+
+// run is the part of a ring of length 1 that a table has; it may go on behind the ring's end, at its beginning.
+type run struct{ from, width float64 }
+
+// overlap returns how much of a line lies in the run, a line of some mass that begins at some place.
+func (r run) overlap(place, mass float64) float64 {
+	end := r.from + r.width
+	direct := math.Max(0, math.Min(place+mass, end)-math.Max(place, r.from))
+	wrapped := math.Max(0, math.Min(place+mass, r.from+r.width-1)-math.Max(place, r.from-1))
+	return direct + wrapped
+}
+
+// holds returns whether a line of some mass is in the table, by its overlap with the run. What stands there leaves
+// late.
+func (r run) holds(overlap, mass float64, stands bool) bool {
+	threshold := enterPart
+	if stands {
+		threshold = leavePart
+	}
+	return overlap > threshold*math.Min(mass, r.width)
+}
+
+// part returns how much a line counts in the table, in steps: wholly unless it lies at the end of the run.
+func (r run) part(overlap, mass float64) float64 {
+	if r.width < 1 {
+		return math.Ceil(lineSteps*overlap/mass) / lineSteps
+	}
+	return 1
+}
