--- a/brain/planner.go
+++ b/brain/planner.go
@@ -24,6 +24,7 @@
 	publisher             *publisher
 	groups                []classGroup
 	classes               []RequestClass // of the settings at the start
+	shedOrder             []int          // the classes, by the order in which their load is shed
 	proxies               map[int]Joined
 	demand                demand
 	commands              []Order
@@ -33,6 +34,7 @@
 	parsed, _ := ParseSettings(terms) // New may not fail: what is wrong has its default
 	b := &Brain{settings: parsed, classes: parsed.Classes, proxies: map[int]Joined{}, demand: newDemand()}
 	// T, the load at which a penalty starts to grow: the less crossing zones costs, the sooner it pays.
+	b.shedOrder = shedOrder(b.classes)
 	b.targetLoad = math.Min(0.85, 0.5+2*b.settings.CrossZoneCost)
 	if !b.settings.Sliced { // sites with slices are not planned: stored owners stay
 		b.groups = groupClasses(b.classes)
