--- a/brain/constants.go
+++ b/brain/constants.go
@@ -6,15 +6,6 @@
 	staleMs        = 5000.0 // a load report older than this counts as unheard
 )
 
-// Gap that is sent, more for a table of a second.
-const (
-	tolerance        = 0.12
-	channelTolerance = 0.2
-)
-
-// Gaps worth heads of a second of the channel.
-const worthwhileGap = 0.5
-
 // Figures of what is sent.
 const (
 	assignmentWaitMs = 100.0 // between two tries to bind proxies that wait for room
--- a/brain/drain.go
+++ b/brain/drain.go
@@ -13,68 +13,180 @@
 	"slices"
 )
 
-func (c *publisher) isUnavailable(endpoint int) bool { _, out := c.unavailable[endpoint]; return out }
-
-// excludeUnavailable tells proxies that wait for their tables, halfway through their grace, what is out: most have them by
-// then. What doesn't fit, or still has a line, is said as soon as it can be, in few messages.
-func (c *publisher) excludeUnavailable() {
-	unbound, bound, last, head, waits := map[int]float64{}, map[int]float64{}, c.lastExclusionChange, c.headerLines(), []*proxyState{}
-	for _, p := range c.proxies {
-		bound[c.planner.subset(p.Joined)] += pick(p.assigned, 1, 0)
-		if !p.confirmed {
-			unbound[p.Zone], waits = unbound[p.Zone]+1, append(waits, p)
-		}
-	}
-	for _, i := range slices.Sorted(maps.Keys(c.excludedAt)) { // standing lines would fell a cold one
-		if !c.isUnavailable(i) && (len(waits) == 0 || !c.planner.isWarmingUp(i)) {
-			c.planner.command(Withdraw{i, false})
-			c.lastExclusionChange = c.planner.now
-			delete(c.excludedAt, i)
-		}
+// exclusion keeps which endpoints can't be used, and of which the proxies were notified. Times are in ms.
+type exclusion struct {
+	unavailable map[int]float64 // endpoints that drain or are gone, and since when
+	excludedAt  map[int]float64 // endpoints that were excluded and not admitted since, and when
+	lastChange  float64         // when any endpoint was excluded or admitted
+}
+
+// newExclusion returns the state in which all endpoints are available.
+func newExclusion() exclusion {
+	return exclusion{unavailable: map[int]float64{}, excludedAt: map[int]float64{}}
+}
+
+// update takes in that an endpoint can be used or can't.
+func (x *exclusion) update(change availability, now float64) {
+	if change.ready {
+		delete(x.unavailable, change.endpoint)
+	} else {
+		x.unavailable[change.endpoint] = now
 	}
-	half, answered, written := c.planner.settings.DrainGraceMs/2, len(c.linesSinceAck) > 0, c.window.written
-	for _, i := range slices.Sorted(maps.Keys(c.unavailable)) {
-		zone, cost, due := c.planner.endpoints[i].Zone, 0.0, len(waits) == 0 && c.excludedAt[i] == 0
-		lines := func(p *proxyState) float64 { // what it costs at one that may hold it: of its zone, or spilt to it
-			return pick(p.Zone == zone || unbound[zone] == 0, 1+pick(c.linesSinceAck[p.Proxy] == 0, head, 0), 0)
-		}
-		for _, p := range waits {
-			from := math.Max(p.joinedAt, c.unavailable[i])
-			cost += lines(p)
-			due = due || lines(p) > 0 && from > c.excludedAt[i] && from < c.unavailable[i]+lineLifetimeMs && c.planner.now >= from+half
+}
+
+// isUnavailable returns whether an endpoint drains or is gone.
+func (x *exclusion) isUnavailable(endpoint int) bool {
+	_, is := x.unavailable[endpoint]
+	return is
+}
+
+// audience is who has to be notified of an exclusion.
+type audience struct {
+	waiting          []*proxyState   // proxies that wait for their tables, in any order
+	waitingOfZone    map[int]float64 // how many
+	assignedOfSubset map[int]float64 // how many proxies have tables, by subset
+}
+
+// audience sorts the proxies by whether they have their tables.
+func (pb *publisher) audience() audience {
+	to := audience{waitingOfZone: map[int]float64{}, assignedOfSubset: map[int]float64{}}
+	for _, proxy := range pb.proxies {
+		if proxy.assigned {
+			to.assignedOfSubset[pb.planner.subset(proxy.Joined)]++
 		}
-		held := func(t *table) bool { return t.sent[i] > 0 && bound[t.number/len(c.planner.groups)] > 0 }
-		if !due || slices.ContainsFunc(c.tables, held) {
-			continue // its line goes first, at the same price
+		if !proxy.confirmed {
+			to.waitingOfZone[proxy.Zone]++
+			to.waiting = append(to.waiting, proxy)
 		}
-		if cost > 0 && last+c.messageInterval() > c.planner.now {
-			continue
+	}
+	return to
+}
+
+// excludeUnavailable admits endpoints that are ready again and excludes those that are due, as the channel has room.
+func (pb *publisher) excludeUnavailable() {
+	x := &pb.exclusion
+	to := pb.audience()
+	lastChange := x.lastChange
+	pb.admitReady(to)
+	acked := len(pb.linesSinceAck) > 0 // some proxy gets lines anyway, and acknowledges them
+	before := pb.window.written
+	for _, endpoint := range slices.Sorted(maps.Keys(x.unavailable)) {
+		if pb.isExclusionDue(endpoint, to) && !pb.isHeld(endpoint, to) {
+			pb.exclude(endpoint, to, lastChange)
 		}
-		if cost > 0 && c.window.inFlight()+cost >= c.planner.settings.BacklogLines {
-			c.blocked.exclusions++
-			continue
+	}
+	if pb.window.written > before && !acked {
+		pb.assignForAck()
+	}
+}
+
+// admitReady admits excluded endpoints that are ready again. One that warms up waits while proxies wait for their
+// tables: the lines that those stand with have weights that nobody here has set, and would fell it.
+func (pb *publisher) admitReady(to audience) {
+	x := &pb.exclusion
+	for _, endpoint := range slices.Sorted(maps.Keys(x.excludedAt)) {
+		safe := len(to.waiting) == 0 || !pb.planner.isWarmingUp(endpoint)
+		if !x.isUnavailable(endpoint) && safe {
+			pb.planner.command(Withdraw{endpoint, false})
+			x.lastChange = pb.planner.now
+			delete(x.excludedAt, endpoint)
 		}
-		c.planner.command(Withdraw{i, true})
-		c.window.add(cost)
-		for _, p := range waits {
-			c.linesSinceAck[p.Proxy] += lines(p)
+	}
+}
+
+// isExclusionDue returns whether an unavailable endpoint is to be excluded now: once, when nobody waits for tables, or
+// when some proxy that may hold it has waited for half of the grace.
+func (pb *publisher) isExclusionDue(endpoint int, to audience) bool {
+	if len(to.waiting) == 0 && pb.exclusion.excludedAt[endpoint] == 0 {
+		return true
+	}
+	for _, proxy := range to.waiting {
+		if pb.mayHold(endpoint, proxy, to) && pb.isDeadlineOver(endpoint, proxy) {
+			return true
 		}
-		c.lastExclusionChange, c.excludedAt[i] = c.planner.now, math.Max(c.planner.now, 1e-3)
 	}
-	if c.window.written > written && !answered {
-		c.assignForAck()
+	return false
+}
+
+// isDeadlineOver returns whether a proxy has to be notified now that an endpoint is unavailable: it has not been
+// since it joined, and what stood when the endpoint went is not forgotten yet.
+func (pb *publisher) isDeadlineOver(endpoint int, proxy *proxyState) bool {
+	x := &pb.exclusion
+	since := pb.concernedSince(endpoint, proxy)
+	return since > x.excludedAt[endpoint] && since < x.unavailable[endpoint]+lineLifetimeMs &&
+		pb.planner.now >= pb.exclusionDeadline(endpoint, proxy)
+}
+
+// concernedSince returns since when a proxy may hold an endpoint that it shouldn't.
+func (pb *publisher) concernedSince(endpoint int, proxy *proxyState) float64 {
+	return math.Max(proxy.joinedAt, pb.exclusion.unavailable[endpoint])
+}
+
+// exclusionDeadline returns by when a proxy that waits for its tables is notified that an endpoint is unavailable:
+// halfway through the drain grace, so that it has the other half to act on it.
+func (pb *publisher) exclusionDeadline(endpoint int, proxy *proxyState) float64 {
+	return pb.concernedSince(endpoint, proxy) + pb.planner.settings.DrainGraceMs/2
+}
+
+// mayHold returns whether a proxy that waits for its tables may hold an endpoint: one of its own zone, or any of a zone
+// none of whose proxies wait, as those are who spill over.
+func (pb *publisher) mayHold(endpoint int, proxy *proxyState, to audience) bool {
+	zone := pb.planner.endpoints[endpoint].Zone
+	return proxy.Zone == zone || to.waitingOfZone[zone] == 0
+}
+
+// isHeld returns whether a table that proxies hold has a line of an endpoint. The line goes first, at the same price.
+func (pb *publisher) isHeld(endpoint int, to audience) bool {
+	return slices.ContainsFunc(pb.tables, func(t *table) bool {
+		return t.sent[endpoint] > 0 && to.assignedOfSubset[pb.planner.subsetOfTable(t.number)] > 0
+	})
+}
+
+// exclude excludes an endpoint if messages may go out and fit: what doesn't is counted as blocked.
+func (pb *publisher) exclude(endpoint int, to audience, lastChange float64) {
+	x := &pb.exclusion
+	now := pb.planner.now
+	cost := 0.0
+	for _, proxy := range to.waiting {
+		cost += pb.exclusionCost(endpoint, proxy, to)
+	}
+	if cost > 0 && lastChange+pb.messageInterval() > now {
+		return
+	}
+	if cost > 0 && !pb.fits(cost) {
+		pb.blocked.exclusions++
+		return
+	}
+	pb.planner.command(Withdraw{endpoint, true})
+	pb.window.add(cost)
+	for _, proxy := range to.waiting {
+		pb.linesSinceAck[proxy.Proxy] += pb.exclusionCost(endpoint, proxy, to)
+	}
+	x.lastChange = now
+	x.excludedAt[endpoint] = math.Max(now, earliestMs)
+}
+
+// exclusionCost returns the lines that an exclusion costs at a proxy: none where it can't hold the endpoint.
+func (pb *publisher) exclusionCost(endpoint int, proxy *proxyState, to audience) float64 {
+	if !pb.mayHold(endpoint, proxy, to) {
+		return 0
+	}
+	if pb.linesSinceAck[proxy.Proxy] == 0 {
+		return 1 + pb.headerLines()
 	}
+	return 1
 }
 
-// assignForAck binds one proxy beside withdrawals that go out alone. They count at all who may hold the endpoint; if none does,
-// nobody is sent the mark, and what was counted would stand until a probe.
-func (c *publisher) assignForAck() {
-	p := c.probeTarget()
-	if p == nil {
+// assignForAck assigns one proxy its tables beside exclusions that go out alone. They count at all who may hold the
+// endpoint; if none does, nobody is sent the request for an acknowledgement, and what was counted would stand until a
+// probe.
+func (pb *publisher) assignForAck() {
+	proxy := pb.probeTarget()
+	if proxy == nil {
 		return
 	}
-	if _, cost := c.assignmentCost(p); c.window.inFlight()+cost < c.planner.settings.BacklogLines {
-		p.probedAt = c.planner.now
-		c.assign(p)
+	if _, cost := pb.assignmentCost(proxy); pb.fits(cost) {
+		proxy.probedAt = pb.planner.now
+		pb.assign(proxy)
 	}
 }
--- a/brain/flowcontrol.go
+++ b/brain/flowcontrol.go
@@ -11,88 +11,115 @@
 	"slices"
 )
 
-// blockage is what is owed while the channel has no room for it.
+const (
+	// probeTimer names the timer of the next probe.
+	probeTimer = "probe"
+
+	// probeWays is how many of the longest ways of a message a first probe waits for: there and back.
+	probeWays = 2.0
+
+	// earliestMs stands for the time 0 where 0 says that something has not happened.
+	earliestMs = 1e-3
+)
+
+// blockage is what waits although it is urgent, while the channel has no room for it.
 type blockage struct {
 	exclusions int     // due in this flush and not ordered
-	since      float64 // when the first thing owed was held back; 0: nothing is
-	probeAt    float64 // when the next probe is due, as asked of the clock
+	since      float64 // ms, when the first was held back; 0: nothing is
+	probeAt    float64 // ms, when the next probe is due, as the timer is set
 }
 
-// stalled keeps the account true while orders can't cross, and marks anew what goes out again.
-func (c *publisher) stalled(n Stalled) {
-	c.window.stall(c.planner.now, n.ForMs)
-	c.window.join(n.Joined)
-	if mark, again := c.window.resend(c.planner.now, n.Again); again {
-		c.planner.command(Mark{Number: mark})
+// fits returns whether lines stay below the backlog with those that may still wait in the channel.
+func (pb *publisher) fits(lines float64) bool {
+	return pb.window.inFlight()+lines < pb.planner.settings.BacklogLines
+}
+
+// stalled keeps the account true while commands can't cross, and requests a new acknowledgement of what goes out again.
+func (pb *publisher) stalled(stall Stalled) {
+	now := pb.planner.now
+	pb.window.stall(now, stall.ForMs)
+	pb.window.join(stall.Joined)
+	if number, resent := pb.window.resend(now, stall.Again); resent {
+		pb.planner.command(Mark{Number: number})
 	}
 }
 
-func (c *publisher) acknowledged(n Applied) {
-	probing := c.window.probes > 0
-	ordered, known := c.window.acknowledge(c.planner.now, n.Number, n.Proxy)
-	p := c.proxies[n.Proxy]
-	if !known || p == nil {
+// acknowledged renews the window.
+func (pb *publisher) acknowledged(ack Applied) {
+	wasProbing := pb.window.probes > 0
+	orderedAt, known := pb.window.acknowledge(pb.planner.now, ack.Number, ack.Proxy)
+	proxy := pb.proxies[ack.Proxy]
+	if !known || proxy == nil {
 		return
 	}
-	p.ackedAt, c.reopened = c.planner.now, c.reopened || probing
-	if ordered > math.Max(p.joinedAt, c.lastExclusionChange) {
-		p.confirmed = p.assigned // nothing but its tables' lines can have brought that mark
+	if wasProbing {
+		pb.reopened = true
 	}
+	pb.confirm(proxy, orderedAt)
 }
 
-// watchBlockage probes the window while what is owed to a rule waits for room, unless this flush brings a mark anyway, and
-// writes down when that begins and ends.
-func (c *publisher) watchBlockage(marked bool) {
-	k, owed := &c.blocked, c.blocked.exclusions
-	for _, t := range c.tables {
-		owed += t.pending
+// watchBlockage probes the window while urgent lines wait for room, unless this flush requests an acknowledgement
+// anyway, and writes to the log when that begins and ends.
+func (pb *publisher) watchBlockage(acksRequested bool) {
+	p := pb.planner
+	blocked := &pb.blocked
+	pending := blocked.exclusions
+	for _, t := range pb.tables {
+		pending += t.pending
 	}
-	k.exclusions = 0
-	if owed == 0 {
-		if k.since > 0 {
-			c.planner.logf("channel has room again: %.0f ms, %.0f lines in flight", c.planner.now-k.since, c.window.inFlight())
+	blocked.exclusions = 0
+	if pending == 0 {
+		if blocked.since > 0 {
+			p.logf("channel has room again: %.0f ms, %.0f lines in flight", p.now-blocked.since, pb.window.inFlight())
 		}
-		*k = blockage{}
+		*blocked = blockage{}
 		return
 	}
-	if k.since == 0 {
-		k.since = math.Max(c.planner.now, 1e-3)
-		c.planner.logf("channel full: %d drains wait, %.0f lines in flight of %.0f, %d marks kept, last answer %.0f ms ago",
-			owed, c.window.inFlight(), c.planner.settings.BacklogLines, len(c.window.batches), c.planner.now-c.window.ackedAt)
+	if blocked.since == 0 {
+		blocked.since = math.Max(p.now, earliestMs)
+		p.logf("channel full: %d drains wait, %.0f lines in flight of %.0f, %d marks kept, last answer %.0f ms ago",
+			pending, pb.window.inFlight(), p.settings.BacklogLines, len(pb.window.batches), p.now-pb.window.ackedAt)
 	}
-	if c.window.stalledMs == 0 && !marked {
-		c.probe()
+	if pb.window.stalledMs == 0 && !acksRequested {
+		pb.probe()
 	}
 }
 
-// probe binds one proxy anew to the tables it is on, once a probe is due: the smallest batch whose answer tells all.
-func (c *publisher) probe() {
-	due := c.window.nextProbeAt(2 * c.planner.settings.DeliveryMs)
-	if due > c.planner.now {
-		if c.blocked.probeAt != due {
-			c.blocked.probeAt = due
-			c.planner.command(WakeAt{due, "probe"})
+// probe assigns one proxy the tables it is on anew, once a probe is due: the smallest batch whose acknowledgement
+// proves that all before it has left.
+func (pb *publisher) probe() {
+	p := pb.planner
+	due := pb.window.nextProbeAt(probeWays * p.settings.DeliveryMs)
+	if due > p.now {
+		if pb.blocked.probeAt != due {
+			pb.blocked.probeAt = due
+			p.command(WakeAt{due, probeTimer})
 		}
 		return
 	}
-	if p := c.probeTarget(); p != nil {
-		c.planner.logf("channel probed with proxy %d: %.0f lines in flight, last answer %.0f ms ago", p.Proxy,
-			c.window.inFlight(), c.planner.now-c.window.ackedAt)
-		p.probedAt = c.planner.now
-		c.window.probed()
-		c.assign(p)
+	proxy := pb.probeTarget()
+	if proxy == nil {
+		return
 	}
+	p.logf("channel probed with proxy %d: %.0f lines in flight, last answer %.0f ms ago", proxy.Proxy,
+		pb.window.inFlight(), p.now-pb.window.ackedAt)
+	proxy.probedAt = p.now
+	pb.window.probed()
+	pb.assign(proxy)
 }
 
-// probeTarget returns the proxy that was probed least lately, of those the one that answered last; nil: there is none.
-func (c *publisher) probeTarget() (target *proxyState) {
-	for _, i := range slices.Sorted(maps.Keys(c.proxies)) {
-		p := c.proxies[i]
-		if lines, _ := c.assignmentCost(p); lines == 0 {
+// probeTarget returns the proxy that was probed least lately, of those the one that acknowledged last; nil: none has
+// tables.
+func (pb *publisher) probeTarget() *proxyState {
+	var target *proxyState
+	for _, name := range slices.Sorted(maps.Keys(pb.proxies)) {
+		proxy := pb.proxies[name]
+		if weights, _ := pb.assignmentCost(proxy); weights == 0 {
 			continue
 		}
-		if target == nil || p.probedAt < target.probedAt || p.probedAt == target.probedAt && p.ackedAt > target.ackedAt {
-			target = p
+		if target == nil || proxy.probedAt < target.probedAt ||
+			proxy.probedAt == target.probedAt && proxy.ackedAt > target.ackedAt {
+			target = proxy
 		}
 	}
 	return target
--- a/brain/membership.go
+++ b/brain/membership.go
@@ -36,6 +36,26 @@
 	probedAt            float64 // when the window was last probed with it
 }
 
+// join takes in a proxy. One that may have stood through a gap may still hold its tables; only an acknowledgement of
+// their lines shows it.
+func (pb *publisher) join(joined Joined) {
+	before := pb.proxies[joined.Proxy]
+	pb.proxies[joined.Proxy] = &proxyState{
+		Joined:   joined,
+		assigned: joined.Stood && before != nil && before.assigned,
+		joinedAt: pb.planner.now,
+	}
+}
+
+// confirm notes that a proxy acknowledged something that was ordered at a time. If the proxy had joined by then, and no
+// exclusion was ordered since, which reaches all proxies, it can only have come by a table that it holds.
+func (pb *publisher) confirm(proxy *proxyState, orderedAt float64) {
+	proxy.ackedAt = pb.planner.now
+	if orderedAt > math.Max(proxy.joinedAt, pb.exclusion.lastChange) {
+		proxy.confirmed = proxy.assigned
+	}
+}
+
 // assignmentCost returns how many lines the tables of a proxy have, and what it costs to bind it to them.
 func (c *publisher) assignmentCost(p *proxyState) (lines int, cost float64) {
 	cost = c.headerLines()
--- a/brain/planner.go
+++ b/brain/planner.go
@@ -40,10 +40,8 @@
 		b.groups = groupClasses(b.classes)
 	}
 	b.subsetsOfZone = subsetsOfZone(parsed, len(b.groups))
-	b.publisher = &publisher{planner: b, proxies: map[int]*proxyState{}, unavailable: map[int]float64{}, linesSinceAck: map[int]float64{},
-		excludedAt: map[int]float64{}}
+	b.publisher = newPublisher(b)
 	b.mailbox.receive = b.receive
-	b.publisher.mailbox.receive = b.publisher.receive
 	b.actors = []actor{&b.mailbox, &b.publisher.mailbox}
 	return b
 }
@@ -166,10 +164,7 @@
 	for len(b.regions) <= zone {
 		r := newRegion(b, len(b.regions))
 		b.regions, b.actors = append(b.regions, r), append(b.actors, &r.mailbox)
-		for range len(b.groups) * b.subsetsOfZone {
-			b.publisher.tables = append(b.publisher.tables, &table{number: len(b.publisher.tables), sent: map[int]float64{},
-				admissionSent: map[int]Admit{}, admissionWanted: map[int]Admit{}, wanted: map[int]float64{}})
-		}
+		b.publisher.addTables(len(b.groups) * b.subsetsOfZone)
 	}
 	return b.regions[zone]
 }
--- a/brain/publisher.go
+++ b/brain/publisher.go
@@ -5,143 +5,318 @@
 // first what drains or has started anew, then the largest differences; the rest waits for the next round.
 
 import (
+	"cmp"
 	"maps"
 	"math"
 	"slices"
-	"sort"
 )
 
-// publisher keeps what proxies have been sent and orders what they get next.
+const (
+	// A line is sent once it differs by this part of the larger of the two weights: a base, and more in proportion to
+	// the seconds that the channel takes for the whole tables of a zone, up to one second.
+	tolerance        = 0.12
+	channelTolerance = 0.2
+
+	// worthwhileGap is the sum of the gaps, as a part of a table, that is worth the headers of a second of the channel.
+	// Where the headers take less time, a smaller gap is.
+	worthwhileGap = 0.5
+
+	// backlogDivisor leaves lines that can wait a third of the backlog; the rest is for those that can't.
+	backlogDivisor = 3.0
+
+	// messageSpacing keeps the messages of a proxy so far apart that half as many again stay within their limit.
+	messageSpacing = 1.5
+
+	// defaultLinesPerSecond stands for the pace of a channel whose pace is not configured.
+	defaultLinesPerSecond = 1000.0
+)
+
+// publisher is an actor: it keeps what the proxies hold and orders what they get next.
 type publisher struct {
-	mailbox             mailbox[publisherMessage]
-	planner             *Brain
-	window              sendWindow
-	tables              []*table // by number: the slot's times the groups, and the group's
-	proxies             map[int]*proxyState
-	unavailable         map[int]float64 // endpoints that drain or are gone, and since when
-	lastExclusionChange float64         // when any endpoint was withdrawn or let in again
-	assignmentAt        float64         // when binding goes on
-	excludedAt          map[int]float64 // when each was that has not been let in again
-	linesSinceAck       map[int]float64 // lines written to each proxy in this flush
-	blocked             blockage
+	mailbox mailbox[publisherMessage]
+	planner *Brain
 
-	reopened bool // a probe was answered: what is owed need not wait for the next gather
+	tables    []*table // by number
+	proxies   map[int]*proxyState
+	exclusion exclusion
+	window    sendWindow
+	blocked   blockage
+
+	linesSinceAck map[int]float64 // to each proxy since the last request for an acknowledgement went out
+	reopened      bool            // a probe was answered: pending lines need not wait for the next round
+	assignmentAt  float64         // ms, when the assignment of tables goes on
 }
 
+// table is a routing table of the proxies of a subset, for a class group.
 type table struct {
-	sent, wanted                   map[int]float64
-	admissionSent, admissionWanted map[int]Admit
-	planned                        bool // since the last push
-	pending                        int  // lines that a rule wants changed and that did not fit in the last push
-	pushedAt                       float64
-	number                         int
+	number          int
+	sent, wanted    map[int]float64 // weights by endpoint, as last sent and as last planned
+	admissionSent   map[int]Admit   // by class mask
+	admissionWanted map[int]Admit
+	planned         bool    // anew since the last push
+	pending         int     // urgent lines that did not fit in the last push
+	pushedAt        float64 // ms, when lines or levels of it last went out
 }
 
-func (c *publisher) receive(note publisherMessage) {
-	switch n := note.(type) {
+// newPublisher returns a publisher for a fleet of which nothing is known.
+func newPublisher(p *Brain) *publisher {
+	pb := &publisher{planner: p, proxies: map[int]*proxyState{}, exclusion: newExclusion(),
+		linesSinceAck: map[int]float64{}}
+	pb.mailbox.receive = pb.receive
+	return pb
+}
+
+// addTables adds empty tables.
+func (pb *publisher) addTables(count int) {
+	for range count {
+		pb.tables = append(pb.tables, &table{number: len(pb.tables), sent: map[int]float64{}, wanted: map[int]float64{},
+			admissionSent: map[int]Admit{}, admissionWanted: map[int]Admit{}})
+	}
+}
+
+// receive takes in a message to the publisher.
+func (pb *publisher) receive(message publisherMessage) {
+	switch message := message.(type) {
 	case wantedWeight:
-		c.tables[n.table].wanted[n.endpoint], c.tables[n.table].planned = n.weight, true
+		pb.tables[message.table].wanted[message.endpoint] = message.weight
+		pb.tables[message.table].planned = true
 	case wantedAdmission:
-		c.tables[n.command.Table].admissionWanted[n.command.Kinds] = n.command
+		pb.tables[message.command.Table].admissionWanted[message.command.Kinds] = message.command
 	case availability:
-		if c.unavailable[n.endpoint] = c.planner.now; n.ready {
-			delete(c.unavailable, n.endpoint)
-		}
+		pb.exclusion.update(message, pb.planner.now)
 	case Joined:
-		old := c.proxies[n.Proxy]
-		c.proxies[n.Proxy] = &proxyState{Joined: n, assigned: n.Stood && old != nil && old.assigned, joinedAt: c.planner.now}
+		pb.join(message)
 	case Left:
-		delete(c.proxies, n.Proxy)
+		delete(pb.proxies, message.Proxy)
 	case Stalled:
-		c.stalled(n)
+		pb.stalled(message)
 	case Applied:
-		c.acknowledged(n)
+		pb.acknowledged(message)
 	}
 }
 
-func (c *publisher) headerLines() float64 { return c.planner.settings.HeaderLines + 1 } // of a message, with its mark
-
-func (c *publisher) flush() {
-	before := c.window.written
-	c.window.advance(c.planner.now, c.planner.settings.LinesPerSecond.Or(1000)/1000)
-	turns := slices.DeleteFunc(slices.Clone(c.tables), func(t *table) bool {
-		return !t.planned && !(c.reopened && t.pending > 0)
-	})
-	c.reopened = false
-	sort.SliceStable(turns, func(i, j int) bool { return turns[i].pushedAt < turns[j].pushedAt }) // oldest first
-	for _, t := range turns {
-		c.push(t)
+// flush orders all that the channel has room for, at the end of each call of the planner: differences of tables, then
+// tables for proxies that wait for them, then exclusions of endpoints. A request for an acknowledgement goes behind it.
+func (pb *publisher) flush() {
+	p := pb.planner
+	before := pb.window.written
+	pb.window.advance(p.now, pb.linesPerSecond()/1000)
+	for _, t := range pb.tablesToPush() {
+		pb.push(t)
+	}
+	pb.assignWaiting()
+	pb.excludeUnavailable()
+	pb.watchBlockage(pb.window.written > before)
+	if pb.window.written > before { // by the above, or by a probe
+		p.command(Mark{Number: pb.window.seal(p.now, pb.linesSinceAck)})
+		pb.linesSinceAck = map[int]float64{}
 	}
-	c.assignWaiting()
-	c.excludeUnavailable()
-	c.watchBlockage(c.window.written > before)
-	if c.window.written > before {
-		c.planner.command(Mark{Number: c.window.seal(c.planner.now, c.linesSinceAck)})
-		c.linesSinceAck = map[int]float64{}
+}
+
+// tablesToPush returns the tables that were planned anew, and those with pending lines once a probe was answered: the
+// one that waited longest first.
+func (pb *publisher) tablesToPush() []*table {
+	var turns []*table
+	for _, t := range pb.tables {
+		if t.planned || pb.reopened && t.pending > 0 {
+			turns = append(turns, t)
+		}
 	}
+	pb.reopened = false
+	slices.SortStableFunc(turns, func(a, b *table) int { return cmp.Compare(a.pushedAt, b.pushedAt) })
+	return turns
+}
+
+// headerLines returns what a message costs beside the lines it brings, with its request for an acknowledgement.
+func (pb *publisher) headerLines() float64 { return pb.planner.settings.HeaderLines + 1 }
+
+// linesPerSecond returns the pace of the channel.
+func (pb *publisher) linesPerSecond() float64 {
+	return pb.planner.settings.LinesPerSecond.Or(defaultLinesPerSecond)
 }
 
-// messageInterval is how far apart messages to a proxy are, so that half as many again stay within their limit.
-func (c *publisher) messageInterval() float64 {
-	return 1.5 * c.planner.settings.MessageSpanMs / c.planner.settings.MessageLimit
+// messageInterval returns how far apart the messages of a proxy are, in ms.
+func (pb *publisher) messageInterval() float64 {
+	return messageSpacing * pb.planner.settings.MessageSpanMs / pb.planner.settings.MessageLimit
 }
 
-// push writes a used table's differences, the largest first, while there is room or less than half stands.
-func (c *publisher) push(t *table) {
-	slot := t.number / len(c.planner.groups)
-	users, joined := 0.0, false
-	for _, p := range c.proxies {
-		ours := c.planner.subset(p.Joined) == slot
-		joined, users = joined || ours, users+pick(ours && p.assigned, 1, 0)
-	}
-	if t.pending = 0; !joined {
+// delta is what goes out of a table in one push.
+type delta struct {
+	table   *table
+	users   float64 // proxies that hold the table
+	header  float64 // lines that a message costs beside those it brings
+	budget  float64 // lines that may go out of what can wait
+	written float64 // lines and levels that go out
+}
+
+// push orders a table's differences, as far as there is room. A table that no joined proxy uses is not sent.
+func (pb *publisher) push(t *table) {
+	users, joined := pb.usersOf(t)
+	t.pending = 0
+	if !joined {
 		return
 	}
 	t.planned = false
-	head, written := c.headerLines(), 0.0
-	lines := (c.planner.settings.BacklogLines/3-c.window.queued)/math.Max(users, 1e-9) - head
-	lines = pick(users > 0 && t.pushedAt+c.messageInterval() > c.planner.now, 0, lines)
-	for _, k := range slices.Sorted(maps.Keys(t.admissionWanted)) {
-		if lines >= 1 && t.admissionSent[k] != t.admissionWanted[k] {
-			t.admissionSent[k], lines, written = t.admissionWanted[k], lines-1, written+1
-			c.planner.command(t.admissionWanted[k])
+	d := &delta{table: t, users: users, header: pb.headerLines()}
+	d.budget = pb.lineBudget(d)
+	pb.writeLevels(d)
+	gaps := pb.gaps(d)
+	if d.written == 0 && !pb.isWorthwhile(d, gaps) {
+		gaps.lines = nil // their headers would cost more than they bring
+	}
+	pb.writeLines(d, gaps)
+	pb.account(d)
+}
+
+// usersOf returns how many proxies hold a table, and whether any proxy of its subset has joined.
+func (pb *publisher) usersOf(t *table) (users float64, joined bool) {
+	subset := pb.planner.subsetOfTable(t.number)
+	for _, proxy := range pb.proxies {
+		if pb.planner.subset(proxy.Joined) != subset {
+			continue
+		}
+		joined = true
+		if proxy.assigned {
+			users++
 		}
 	}
-	whole := users * float64(c.planner.subsetsOfZone*len(t.wanted)) / c.planner.settings.LinesPerSecond.Or(1000) // the zone's tables
-	off := tolerance + channelTolerance*math.Min(1, whole)
-	gaps, kept, full, apart := map[int]float64{}, 0.0, 0.0, 0.0
-	for _, k := range slices.Sorted(maps.Keys(t.wanted)) {
-		want, sent := t.wanted[k], t.sent[k]
-		kept, full = kept+pick(c.isUnavailable(k), 0, sent), full+want
-		if gap := math.Abs(sent - want); gap > off*math.Max(sent, want) {
-			rash := c.planner.isWarmingUp(k) && want < sent/2 // one that has started again with its old weight falls over meanwhile
-			gaps[k] = pick(c.isUnavailable(k), math.MaxFloat64, pick(rash, math.MaxFloat64/2, gap))
-			apart += gaps[k]
+	return users, joined
+}
+
+// lineBudget returns how many lines that can wait may go out of a table.
+func (pb *publisher) lineBudget(d *delta) float64 {
+	if d.users > 0 && d.table.pushedAt+pb.messageInterval() > pb.planner.now {
+		return 0
+	}
+	room := pb.planner.settings.BacklogLines/backlogDivisor - pb.window.queued
+	return room/math.Max(d.users, 1e-9) - d.header
+}
+
+// writeLevels orders the admission levels that differ.
+func (pb *publisher) writeLevels(d *delta) {
+	t := d.table
+	for _, kinds := range slices.Sorted(maps.Keys(t.admissionWanted)) {
+		wanted := t.admissionWanted[kinds]
+		if d.budget >= 1 && t.admissionSent[kinds] != wanted {
+			t.admissionSent[kinds] = wanted
+			d.budget--
+			d.written++
+			pb.planner.command(wanted)
 		}
 	}
-	if at := users * float64(c.planner.subsetsOfZone) * head / c.planner.settings.LinesPerSecond.Or(1000); written == 0 &&
-		apart < worthwhileGap*math.Min(1, at)*full {
-		clear(gaps) // their heads would cost more than they bring
+}
+
+// Sizes that put gaps before all others. Sums of them may be infinite, which is as good.
+const (
+	unavailableGap = math.MaxFloat64
+	restartGap     = math.MaxFloat64 / 2
+)
+
+// gap is the difference between a line as planned and as last sent.
+type gap struct {
+	endpoint int
+	size     float64
+}
+
+// isUrgent returns whether the line doesn't wait for a budget: its endpoint drains, is gone, or has started anew.
+func (g gap) isUrgent() bool { return g.size >= restartGap }
+
+// tableGaps is how a table as planned differs from what was sent.
+type tableGaps struct {
+	lines []gap   // the largest first
+	sum   float64 // of the sizes
+	kept  float64 // weight sent of the endpoints that are available
+	full  float64 // weight planned
+}
+
+// gaps returns the lines of a table that differ by more than the tolerance.
+func (pb *publisher) gaps(d *delta) tableGaps {
+	t := d.table
+	threshold := pb.tolerance(d)
+	gaps := tableGaps{}
+	for _, endpoint := range slices.Sorted(maps.Keys(t.wanted)) {
+		wanted := t.wanted[endpoint]
+		sent := t.sent[endpoint]
+		if !pb.exclusion.isUnavailable(endpoint) {
+			gaps.kept += sent
+		}
+		gaps.full += wanted
+		if size := math.Abs(sent - wanted); size > threshold*math.Max(sent, wanted) {
+			g := gap{endpoint, pb.gapSize(endpoint, size, wanted, sent)}
+			gaps.lines = append(gaps.lines, g)
+			gaps.sum += g.size
+		}
 	}
-	order := slices.Sorted(maps.Keys(gaps))
-	sort.SliceStable(order, func(i, j int) bool { return gaps[order[i]] > gaps[order[j]] })
-	for _, k := range order {
-		fits := users == 0 || c.window.inFlight()+users*(written+head+1) < c.planner.settings.BacklogLines
-		if !fits && gaps[k] >= math.MaxFloat64/2 {
-			t.pending++ // a drain, or one that has started again: goes out as soon as there is room
+	slices.SortStableFunc(gaps.lines, func(a, b gap) int { return cmp.Compare(b.size, a.size) })
+	return gaps
+}
+
+// tolerance returns by which part of its weight a line has to differ to be sent: the more, the longer the channel takes
+// for all tables of the zone.
+func (pb *publisher) tolerance(d *delta) float64 {
+	lines := d.users * float64(pb.planner.subsetsOfZone*len(d.table.wanted))
+	return tolerance + channelTolerance*math.Min(1, lines/pb.linesPerSecond())
+}
+
+// gapSize returns the size of a gap, by which its line is put in order. An endpoint that has started anew with its old
+// weight falls over unless it is cut at once.
+func (pb *publisher) gapSize(endpoint int, size, wanted, sent float64) float64 {
+	switch {
+	case pb.exclusion.isUnavailable(endpoint):
+		return unavailableGap
+	case pb.planner.isWarmingUp(endpoint) && wanted < sent/2:
+		return restartGap
+	}
+	return size
+}
+
+// isWorthwhile returns whether the gaps bring more than the headers cost that go out with them.
+func (pb *publisher) isWorthwhile(d *delta, gaps tableGaps) bool {
+	headers := d.users * float64(pb.planner.subsetsOfZone) * d.header
+	seconds := headers / pb.linesPerSecond()
+	return gaps.sum >= worthwhileGap*math.Min(1, seconds)*gaps.full
+}
+
+// writeLines orders the lines that differ, the largest gap first. Urgent ones go out while they fit below the
+// backlog, and are pending otherwise; others go while there is a budget, or while less than half of the table stands.
+func (pb *publisher) writeLines(d *delta, gaps tableGaps) {
+	t := d.table
+	for _, g := range gaps.lines {
+		fits := d.users == 0 || pb.fits(d.users*(d.written+d.header+1))
+		if !fits && g.isUrgent() {
+			t.pending++
 			continue
 		}
-		if lines--; !fits || lines < 0 && gaps[k] < math.MaxFloat64/2 && kept > full/2 { // not gone, nor rash
+		d.budget--
+		overBudget := d.budget < 0 && !g.isUrgent() && gaps.kept > gaps.full/2
+		if !fits || overBudget {
 			break
 		}
-		kept += pick(c.isUnavailable(k), 0, t.wanted[k]-t.sent[k])
-		t.sent[k], written = t.wanted[k], written+1
-		c.planner.command(SetLine{Table: t.number, Endpoint: k, Weight: t.sent[k]})
+		wanted := t.wanted[g.endpoint]
+		if !pb.exclusion.isUnavailable(g.endpoint) {
+			gaps.kept += wanted - t.sent[g.endpoint]
+		}
+		t.sent[g.endpoint] = wanted
+		d.written++
+		pb.planner.command(SetLine{Table: t.number, Endpoint: g.endpoint, Weight: wanted})
 	}
 	maps.DeleteFunc(t.sent, func(_ int, weight float64) bool { return weight == 0 })
-	t.pushedAt = pick(written > 0, c.planner.now, t.pushedAt)
-	for _, p := range c.proxies {
-		c.linesSinceAck[p.Proxy] += pick(written > 0 && c.planner.subset(p.Joined) == slot && p.assigned, written+head, 0)
+}
+
+// account counts what has gone out of a table.
+func (pb *publisher) account(d *delta) {
+	lines := 0.0 // to each proxy that holds it
+	if d.written > 0 {
+		d.table.pushedAt = pb.planner.now
+		lines = d.written + d.header
+	}
+	subset := pb.planner.subsetOfTable(d.table.number)
+	for _, proxy := range pb.proxies {
+		received := 0.0
+		if proxy.assigned && pb.planner.subset(proxy.Joined) == subset {
+			received = lines
+		}
+		pb.linesSinceAck[proxy.Proxy] += received // also of none: excludeUnavailable asks whether there are entries
 	}
-	c.window.add(pick(written > 0, users*(written+head), 0))
+	pb.window.add(d.users * lines)
 }
