--- a/brain/constants.go
+++ b/brain/constants.go
@@ -5,8 +5,3 @@
 	settlingRounds = 5      // in which a planner that has just started knows too little to load endpoints that warm up
 	staleMs        = 5000.0 // a load report older than this counts as unheard
 )
-
-// Figures of what is sent.
-const (
-	assignmentWaitMs = 100.0 // between two tries to bind proxies that wait for room
-)
--- a/brain/membership.go
+++ b/brain/membership.go
@@ -5,35 +5,29 @@
 // left in between. Where the tables would bring about what its standing ones do, none are assigned.
 
 import (
-	"maps"
 	"math"
 	"slices"
-	"sort"
 )
 
-// planDivergence is the part of a group's reqs that standing tables bring elsewhere than planned, also by chance. Two
-// that are out cost a bind to say; whoever is told anything answers for cold endpoints that come again.
-func (r *region) planDivergence(g int, lines []allocation) float64 {
-	old, sum, count, apart := make([]float64, len(lines)), 1e-9, 0.0, 0.0
-	for i, l := range lines {
-		o := r.candidates[l.endpoint]
-		mine := pick(o.Zone == r.zone && r.planner.groups[g].mayUse(r.zone, o), 1, 0)
-		old[i] = mine * pick(o.Started == 0, o.weight, 0)
-		sum, count = sum+old[i], count+pick(old[i] > 0, 1, 0)
-		apart += mine * pick(o.Phase != Ready, worthwhileGap/2, pick(r.planner.endpoints[l.endpoint].restarted && o.warmUp < 1, worthwhileGap, 0))
-	}
-	for i, l := range lines {
-		apart += math.Abs(l.share - old[i]/sum)
-	}
-	return apart + math.Sqrt(count*float64(len(r.planner.regions))*r.planner.demand.concentration/r.planner.settings.StandingLines)
-}
+const (
+	// assignmentWaitMs is between two attempts to assign tables to proxies for which the channel has no room.
+	assignmentWaitMs = 100.0
+
+	// assignmentPart is the part of the backlog up to which tables are assigned.
+	assignmentPart = 0.3
+
+	// assignmentTimer names the timer of the next attempt.
+	assignmentTimer = "bind"
+)
 
+// proxyState is a joined proxy. Times are in ms.
 type proxyState struct {
 	Joined
-	assigned, confirmed bool    // may be on its tables, so that their lines cost; surely is
-	joinedAt            float64 // when it joined
-	ackedAt             float64 // when it last answered a mark
-	probedAt            float64 // when the window was last probed with it
+	assigned  bool // it may hold its tables, so that their lines cost
+	confirmed bool // it surely does: they were assigned since it joined, or it acknowledged their lines
+	joinedAt  float64
+	ackedAt   float64 // when it last acknowledged anything
+	probedAt  float64 // when the window was last probed with it
 }
 
 // join takes in a proxy. One that may have stood through a gap may still hold its tables; only an acknowledgement of
@@ -56,55 +50,158 @@
 	}
 }
 
-// assignmentCost returns how many lines the tables of a proxy have, and what it costs to bind it to them.
-func (c *publisher) assignmentCost(p *proxyState) (lines int, cost float64) {
-	cost = c.headerLines()
-	for _, t := range c.tablesOf(p) {
-		lines, cost = lines+len(t.sent), cost+float64(len(t.sent)+len(t.admissionSent)+1)
+// tablesOf returns the tables of a proxy's subset, by class group.
+func (pb *publisher) tablesOf(proxy *proxyState) []*table {
+	first := pb.planner.tableNumber(pb.planner.subset(proxy.Joined), 0)
+	return pb.tables[first : first+len(pb.planner.groups)]
+}
+
+// assignmentCost returns how many weights the tables of a proxy have, and the lines that it costs to assign them.
+func (pb *publisher) assignmentCost(proxy *proxyState) (weights int, cost float64) {
+	cost = pb.headerLines()
+	for _, t := range pb.tablesOf(proxy) {
+		weights += len(t.sent)
+		cost += float64(len(t.sent) + len(t.admissionSent) + 1)
+	}
+	return weights, cost
+}
+
+// assign assigns a proxy its tables.
+func (pb *publisher) assign(proxy *proxyState) {
+	_, cost := pb.assignmentCost(proxy)
+	for group, t := range pb.tablesOf(proxy) {
+		pb.planner.command(Bind{Table: t.number, Proxy: proxy.Proxy, Kinds: pb.planner.groups[group].mask})
 	}
-	return lines, cost
+	pb.window.add(cost)
+	pb.linesSinceAck[proxy.Proxy] += cost
+	proxy.assigned = true
+	proxy.confirmed = true
 }
 
-func (c *publisher) tablesOf(p *proxyState) []*table {
-	first := c.planner.tableNumber(c.planner.subset(p.Joined), 0)
-	return c.tables[first : first+len(c.planner.groups)]
+// assignWaiting assigns tables to proxies that wait for them, while the channel has room; the rest has its turn when it
+// has run down.
+func (pb *publisher) assignWaiting() {
+	worthwhile := worthwhileGap * math.Min(1, pb.zoneHeaderSeconds())
+	for _, name := range pb.waitingProxies() {
+		proxy := pb.proxies[name]
+		weights, cost := pb.assignmentCost(proxy)
+		if weights == 0 || pb.planner.regions[proxy.Zone].divergence < worthwhile {
+			continue // what it stands with is better than nothing, or as good
+		}
+		queued := pb.window.queued
+		if queued > 0 && queued+cost > assignmentPart*pb.planner.settings.BacklogLines {
+			pb.assignLater()
+			return
+		}
+		pb.assign(proxy)
+	}
 }
 
-// assign puts a proxy on its tables.
-func (c *publisher) assign(p *proxyState) {
-	_, cost := c.assignmentCost(p)
-	for g, t := range c.tablesOf(p) {
-		c.planner.command(Bind{Table: t.number, Proxy: p.Proxy, Kinds: c.planner.groups[g].mask})
+// assignLater sets the timer of the next attempt, unless it is set.
+func (pb *publisher) assignLater() {
+	now := pb.planner.now
+	if pb.assignmentAt <= now {
+		pb.assignmentAt = now + assignmentWaitMs
+		pb.planner.command(WakeAt{pb.assignmentAt, assignmentTimer})
 	}
-	c.window.add(cost)
-	c.linesSinceAck[p.Proxy] += cost
-	p.assigned, p.confirmed = true, true
 }
 
-func (c *publisher) assignWaiting() {
-	waits, lit, heads := maps.Clone(c.proxies), map[int]bool{}, c.headerLines()/c.planner.settings.LinesPerSecond.Or(1000)
-	heads *= c.planner.settings.ProxyCount.Or(1) / c.planner.settings.Instances / float64(len(c.planner.regions))
-	maps.DeleteFunc(waits, func(_ int, p *proxyState) bool { return p.confirmed })
-	names := slices.Sorted(maps.Keys(waits))
-	for _, e := range c.planner.endpoints {
-		lit[e.Zone] = lit[e.Zone] || e.listed && e.Phase == Ready
+// zoneHeaderSeconds returns for how many seconds the channel is taken by a message to each proxy of a zone here.
+func (pb *publisher) zoneHeaderSeconds() float64 {
+	p := pb.planner
+	proxies := p.settings.ProxyCount.Or(1) / p.settings.Instances / float64(len(p.regions))
+	return pb.headerLines() / pb.linesPerSecond() * proxies
+}
+
+// waitingProxies returns the proxies that wait for their tables, first those whose own zone has nothing left.
+func (pb *publisher) waitingProxies() []int {
+	var waiting []int
+	for name, proxy := range pb.proxies {
+		if !proxy.confirmed {
+			waiting = append(waiting, name)
+		}
 	}
-	sort.SliceStable(names, func(i, j int) bool { // first those whose own zone has nothing left
-		return !lit[c.proxies[names[i]].Zone] && lit[c.proxies[names[j]].Zone]
+	slices.Sort(waiting)
+	ready := pb.planner.readyZones()
+	slices.SortStableFunc(waiting, func(a, b int) int {
+		return compareBool(ready[pb.proxies[a].Zone], ready[pb.proxies[b].Zone])
 	})
-	for _, name := range names {
-		p := c.proxies[name]
-		lines, cost := c.assignmentCost(p)
-		if lines == 0 || c.planner.regions[p.Zone].divergence < worthwhileGap*math.Min(1, heads) { // heads: s of the channel
-			continue // what it stands with is better than nothing, or as good
+	return waiting
+}
+
+// compareBool puts false before true.
+func compareBool(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case b:
+		return -1
+	}
+	return 1
+}
+
+// readyZones returns the zones with an endpoint that is ready.
+func (p *Brain) readyZones() map[int]bool {
+	ready := map[int]bool{}
+	for _, e := range p.endpoints {
+		if e.listed && e.Phase == Ready {
+			ready[e.Zone] = true
 		}
-		if waiting := c.window.queued; waiting > 0 && waiting+cost > 0.3*c.planner.settings.BacklogLines {
-			if c.assignmentAt <= c.planner.now {
-				c.assignmentAt = c.planner.now + assignmentWaitMs
-				c.planner.command(WakeAt{c.assignmentAt, "bind"})
-			}
-			return
+	}
+	return ready
+}
+
+const (
+	// A restarted endpoint that warms up by itself justifies an assignment, as standing tables have its old weight.
+	restartDivergence = worthwhileGap
+
+	// Two endpoints that are unavailable do: to notify proxies of both costs as much.
+	unavailableDivergence = worthwhileGap / 2
+)
+
+// planDivergence returns the part of a group's requests that standing tables bring elsewhere than planned, also by
+// chance: each proxy's table has few lines, drawn by weight from the endpoints of its zone. Below what headers cost, no
+// table is assigned.
+func (r *region) planDivergence(group int, allocations []allocation) float64 {
+	standing := make([]float64, len(allocations)) // weight that standing tables have, by allocation
+	sum := 1e-9
+	count := 0.0
+	divergence := 0.0
+	for i := range allocations {
+		c := r.candidates[allocations[i].endpoint]
+		if c.Zone != r.zone || !r.planner.groups[group].mayUse(r.zone, c) {
+			continue
+		}
+		if c.Started == 0 { // one that started since then is in no standing table
+			standing[i] = c.weight
 		}
-		c.assign(p)
+		sum += standing[i]
+		if standing[i] > 0 {
+			count++
+		}
+		divergence += r.stateDivergence(c)
+	}
+	for i := range allocations {
+		divergence += math.Abs(allocations[i].share - standing[i]/sum)
 	}
+	return divergence + r.chanceDivergence(count)
+}
+
+// stateDivergence returns what an endpoint's state counts as divergence of standing tables that hold it.
+func (r *region) stateDivergence(c *candidate) float64 {
+	switch {
+	case c.Phase != Ready:
+		return unavailableDivergence
+	case r.planner.endpoints[c.Endpoint].restarted && c.warmUp < 1:
+		return restartDivergence
+	}
+	return 0
+}
+
+// chanceDivergence returns the divergence that the draw of standing lines brings on average: the standard deviation of
+// the shares of so many endpoints, by the lines drawn in all.
+func (r *region) chanceDivergence(endpoints float64) float64 {
+	p := r.planner
+	zones := float64(len(p.regions))
+	return math.Sqrt(endpoints * zones * p.demand.concentration / p.settings.StandingLines)
 }
