--- a/brain/harness_test.go
+++ b/brain/harness_test.go
@@ -118,3 +118,11 @@
 	}
 	return part / sum
 }
+
+// pick returns one of two figures.
+func pick(cond bool, yes, no float64) float64 {
+	if cond {
+		return yes
+	}
+	return no
+}
--- a/brain/planner.go
+++ b/brain/planner.go
@@ -11,165 +11,246 @@
 	"math"
 )
 
+const (
+	roundMs        = 1000.0 // between control rounds; load reports come about as often
+	staleMs        = 5000.0 // a load report older than this says nothing of an endpoint's present load
+	settlingRounds = 5      // in which a planner that has just started knows too little to load endpoints that warm up
+
+	// roundTimer names the timer of the control rounds.
+	roundTimer = "gather"
+)
+
+// Targets for the load of an endpoint, in parts of what it can do.
+const (
+	baseTargetLoad          = 0.5  // where crossing zones costs nothing
+	maxTargetLoad           = 0.85 // where it costs a lot: a zone should keep its requests nearly until it is full
+	targetLoadCrossZoneGain = 2.0  // by how much the target rises with the cost of crossing zones
+)
+
+// Brain plans how the proxies spread their requests over the endpoints. It is a plain state machine, without a clock,
+// goroutines or any I/O: the same events at the same times bring the same commands. Call New once, then Handle with
+// each moment's events. It is not safe for concurrent use.
 type Brain struct {
-	mailbox               mailbox[plannerMessage]
-	settings              Settings
-	rounds, subsetsOfZone int // parts: tables that a zone's proxies are dealt to, for each group
-	now, targetLoad       float64
-	load                  fleetLoad
-	started               bool
-	endpoints             []*endpoint
-	regions               []*region
-	actors                []actor
-	publisher             *publisher
-	groups                []classGroup
-	classes               []RequestClass // of the settings at the start
-	shedOrder             []int          // the classes, by the order in which their load is shed
-	proxies               map[int]Joined
-	demand                demand
-	commands              []Order
-}
-
-func New(seed int64, terms map[string]any) *Brain {
-	parsed, _ := ParseSettings(terms) // New may not fail: what is wrong has its default
-	b := &Brain{settings: parsed, classes: parsed.Classes, proxies: map[int]Joined{}, demand: newDemand()}
-	// T, the load at which a penalty starts to grow: the less crossing zones costs, the sooner it pays.
-	b.shedOrder = shedOrder(b.classes)
-	b.targetLoad = math.Min(0.85, 0.5+2*b.settings.CrossZoneCost)
-	if !b.settings.Sliced { // sites with slices are not planned: stored owners stay
-		b.groups = groupClasses(b.classes)
-	}
-	b.subsetsOfZone = subsetsOfZone(parsed, len(b.groups))
-	b.publisher = newPublisher(b)
-	b.mailbox.receive = b.receive
-	b.actors = []actor{&b.mailbox, &b.publisher.mailbox}
-	return b
-}
-
-// Reconfigure takes over changed settings. What New derived from the earlier ones stays.
-func (b *Brain) Reconfigure(settings map[string]any) {
-	b.settings, _ = ParseSettings(settings) // as New does
-}
-
-func (b *Brain) logf(format string, args ...any) { b.command(Log{fmt.Sprintf(format, args...)}) }
-
-func (b *Brain) command(o Order) { b.commands = append(b.commands, o) }
-
-func (b *Brain) Handle(nowMs float64, notes []Note) []Order {
-	b.now, b.commands = math.Max(b.now, nowMs), nil
-	if !b.started { // each pilot gathers at its own point of the window
-		b.started = true
-		b.command(WakeAt{b.now + roundMs*(1+b.settings.Rank/b.settings.Instances)/2, "gather"})
-		if b.settings.DiscoveryOnRequest {
-			b.command(Watch{On: true})
-		}
+	mailbox mailbox[plannerMessage]
+	actors  []actor // in the order in which they came to be; the planner itself is the first, the publisher the second
+
+	settings Settings // the latest
+
+	// Derived from the settings of the start. Later ones leave it as it is, since the tables are laid out by it.
+	targetLoad    float64 // T of the penalty's step: the load above which a penalty grows
+	classes       []RequestClass
+	shedOrder     []int // the classes, by the order in which their load is shed
+	groups        []classGroup
+	subsetsOfZone int // into which the proxies of each zone are dealt
+
+	now      float64 // ms
+	started  bool
+	rounds   int // timed ones
+	commands []Order
+
+	proxies map[int]Joined // that have joined, as they described themselves
+	demand  demand
+	load    fleetLoad
+
+	endpoints []*endpoint // by index
+	regions   []*region   // by zone
+	publisher *publisher
+}
+
+// New returns a planner. Settings of a wrong type count as missing; ParseSettings names them. The seed is not used, as
+// nothing is drawn by chance.
+func New(_ int64, settings map[string]any) *Brain {
+	parsed, _ := ParseSettings(settings) // New may not fail: what is wrong has its default
+	p := &Brain{settings: parsed, classes: parsed.Classes, proxies: map[int]Joined{}, demand: newDemand()}
+	p.targetLoad = targetLoad(parsed.CrossZoneCost)
+	p.shedOrder = shedOrder(p.classes)
+	if !parsed.Sliced {
+		p.groups = groupClasses(p.classes)
 	}
-	for _, n := range notes {
-		b.dispatch(n)
+	p.subsetsOfZone = subsetsOfZone(parsed, len(p.groups))
+	p.publisher = newPublisher(p)
+	p.mailbox.receive = p.receive
+	p.actors = []actor{&p.mailbox, &p.publisher.mailbox}
+	return p
+}
+
+// Reconfigure takes over changed settings: all of them, changed and not. What New derived from the earlier ones stays:
+// the target load, the request classes and their groups, and the subsets of a zone's proxies.
+func (p *Brain) Reconfigure(settings map[string]any) {
+	p.settings, _ = ParseSettings(settings) // as New does
+}
+
+// targetLoad returns T, the load at which a penalty starts to grow: the less crossing zones costs, the sooner it pays.
+func targetLoad(crossZoneCost float64) float64 {
+	return math.Min(maxTargetLoad, baseTargetLoad+targetLoadCrossZoneGain*crossZoneCost)
+}
+
+// Handle takes in what happened by a time and returns what is to be done about it, in order. Times never run backwards:
+// an earlier one counts as the last.
+func (p *Brain) Handle(nowMs float64, events []Note) []Order {
+	p.now = math.Max(p.now, nowMs)
+	p.commands = nil
+	p.start()
+	for _, event := range events {
+		p.dispatch(event)
 	}
-	b.deliverAll()
-	b.publisher.flush()
-	return b.commands
+	p.deliverAll()
+	p.publisher.flush()
+	return p.commands
 }
 
-func (b *Brain) dispatch(n Note) {
-	switch n := n.(type) {
+// start sets the timer of the first round, at the first event. Each controller has its own point of the round, so that
+// not all of them change their tables at once.
+func (p *Brain) start() {
+	if p.started {
+		return
+	}
+	p.started = true
+	p.command(WakeAt{p.now + roundMs*(1+p.settings.Rank/p.settings.Instances)/2, roundTimer})
+	if p.settings.DiscoveryOnRequest {
+		p.command(Watch{On: true})
+	}
+}
+
+// dispatch passes an event to the actors that it concerns. Events of other types call for no plan.
+func (p *Brain) dispatch(event Note) {
+	switch event := event.(type) {
 	case Listing:
-		b.updateList(n)
+		p.updateList(event)
 	case Alarm:
-		if n.Name == "gather" {
-			b.rounds++
-			b.command(WakeAt{b.now + roundMs, "gather"})
-			b.controlRound(true)
-		}
+		p.timerFired(event)
 	case Probed:
-		b.endpoint(n.Endpoint).mailbox.enqueue(n)
-	case Met: // counts that began before the endpoint started again tell of the process that is gone
-		if at := b.endpoint(n.Endpoint).Started; at != 0 && at > b.now-n.SpanMs {
-			n.Tries, n.Failed = 0, 0
-		}
-		b.endpoint(n.Endpoint).mailbox.enqueue(n)
-		b.region(n.Zone).mailbox.enqueue(n)
+		p.endpoint(event.Endpoint).mailbox.enqueue(event)
+	case Met:
+		p.takeStats(event)
 	case Joined:
-		b.mailbox.enqueue(n)
-		b.publisher.mailbox.enqueue(n)
+		p.mailbox.enqueue(event)
+		p.publisher.mailbox.enqueue(event)
 	case Left:
-		b.mailbox.enqueue(n)
-		b.publisher.mailbox.enqueue(n)
+		p.mailbox.enqueue(event)
+		p.publisher.mailbox.enqueue(event)
 	case Demand:
-		b.mailbox.enqueue(n)
+		p.mailbox.enqueue(event)
 	case Applied:
-		b.publisher.mailbox.enqueue(n)
+		p.publisher.mailbox.enqueue(event)
 	case Stalled:
-		b.publisher.mailbox.enqueue(n)
+		p.publisher.mailbox.enqueue(event)
 	}
 }
 
-func (b *Brain) updateList(l Listing) {
-	if l.Mode == ListFailed {
-		b.command(Watch{On: true})
+// timerFired begins a timed round. Other timers only have the planner called, as each call flushes the publisher.
+func (p *Brain) timerFired(timer Alarm) {
+	if timer.Name != roundTimer {
+		return
+	}
+	p.rounds++
+	p.command(WakeAt{p.now + roundMs, roundTimer})
+	p.controlRound(true)
+}
+
+// takeStats passes on what proxies of a zone saw of an endpoint. Counts that began before the endpoint started again
+// belong to the process that is gone: they are dropped, its load report is not.
+func (p *Brain) takeStats(stats Met) {
+	e := p.endpoint(stats.Endpoint)
+	if e.Started != 0 && e.Started > p.now-stats.SpanMs {
+		stats.Tries = 0
+		stats.Failed = 0
+	}
+	e.mailbox.enqueue(stats)
+	p.region(stats.Zone).mailbox.enqueue(stats)
+}
+
+// updateList takes in news of the endpoint list and plans anew. What a complete list leaves out is gone.
+func (p *Brain) updateList(list Listing) {
+	if list.Mode == ListFailed {
+		p.command(Watch{On: true})
 		return
 	}
 	named := map[int]bool{}
-	for _, e := range l.Entries {
-		named[e.Endpoint] = true
-		b.region(e.Zone)
-		b.endpoint(e.Endpoint).mailbox.enqueue(e)
+	for _, entry := range list.Entries {
+		named[entry.Endpoint] = true
+		p.region(entry.Zone)
+		p.endpoint(entry.Endpoint).mailbox.enqueue(entry)
 	}
-	for i, be := range b.endpoints {
-		if gone := be.Entry; l.Mode != Changes && be.listed && !named[i] {
+	if list.Mode != Changes {
+		p.removeUnnamed(named)
+	}
+	p.controlRound(false)
+}
+
+// removeUnnamed takes listed endpoints that a complete list leaves out for gone.
+func (p *Brain) removeUnnamed(named map[int]bool) {
+	for i, e := range p.endpoints {
+		if e.listed && !named[i] {
+			gone := e.Entry
 			gone.Phase = Gone
-			be.mailbox.enqueue(gone)
+			e.mailbox.enqueue(gone)
 		}
 	}
-	b.controlRound(false)
 }
 
-func (b *Brain) controlRound(step bool) {
-	b.deliverAll()
-	b.demand.update(b.proxies, b.settings.ProxyCount.Or(1))
-	b.load.update(b.endpoints, b.targetLoad, b.now)
-	for _, be := range b.endpoints {
-		be.mailbox.enqueue(roundStart{step})
+// controlRound has all endpoints and then all regions plan anew. The regions begin only when all endpoints
+// have made their offers.
+func (p *Brain) controlRound(timed bool) {
+	p.deliverAll()
+	p.demand.update(p.proxies, p.settings.ProxyCount.Or(1))
+	p.load.update(p.endpoints, p.targetLoad, p.now)
+	for _, e := range p.endpoints {
+		e.mailbox.enqueue(roundStart{timed})
 	}
-	b.deliverAll()
-	for _, r := range b.regions {
-		r.mailbox.enqueue(roundStart{step})
+	p.deliverAll()
+	for _, r := range p.regions {
+		r.mailbox.enqueue(roundStart{timed})
 	}
 }
 
-func (b *Brain) receive(note plannerMessage) {
-	switch n := note.(type) {
+// receive takes in a message to the planner itself: who has joined, and what requests come to them.
+func (p *Brain) receive(message plannerMessage) {
+	switch message := message.(type) {
 	case Joined:
-		b.proxies[n.Proxy] = n
-		b.region(n.Zone)
+		p.proxies[message.Proxy] = message
+		p.region(message.Zone)
 	case Left:
-		delete(b.proxies, n.Proxy)
+		delete(p.proxies, message.Proxy)
 	case Demand:
-		if p, ours := b.proxies[n.Proxy]; ours {
-			b.demand.observe(n, p, len(b.classes))
+		if proxy, joined := p.proxies[message.Proxy]; joined {
+			p.demand.observe(message, proxy, len(p.classes))
 		}
 	}
 }
 
-func (b *Brain) endpoint(i int) *endpoint {
-	for len(b.endpoints) <= i {
-		e := newEndpoint(b, len(b.endpoints))
-		b.endpoints, b.actors = append(b.endpoints, e), append(b.actors, &e.mailbox)
+// endpoint returns the state of an endpoint, which it makes at its first mention.
+func (p *Brain) endpoint(index int) *endpoint {
+	for len(p.endpoints) <= index {
+		e := newEndpoint(p, len(p.endpoints))
+		p.endpoints = append(p.endpoints, e)
+		p.actors = append(p.actors, &e.mailbox)
 	}
-	return b.endpoints[i]
+	return p.endpoints[index]
 }
 
-func (b *Brain) region(zone int) *region {
-	for len(b.regions) <= zone {
-		r := newRegion(b, len(b.regions))
-		b.regions, b.actors = append(b.regions, r), append(b.actors, &r.mailbox)
-		b.publisher.addTables(len(b.groups) * b.subsetsOfZone)
+// region returns the state of a zone's proxies, which it makes, with its tables, at the zone's first mention.
+func (p *Brain) region(zone int) *region {
+	for len(p.regions) <= zone {
+		r := newRegion(p, len(p.regions))
+		p.regions = append(p.regions, r)
+		p.actors = append(p.actors, &r.mailbox)
+		p.publisher.addTables(len(p.groups) * p.subsetsOfZone)
 	}
-	return b.regions[zone]
+	return p.regions[zone]
 }
 
-func (b *Brain) demandSeen() float64 {
-	part := math.Min(1, float64(len(b.proxies))/b.settings.ProxyCount.Or(1))
-	return pick(b.settings.ZonesKeptWhole, 1, part)
+// demandSeen returns which part of the demand on an endpoint this planner sees: that of the proxies that joined it. The
+// others plan for the rest, so each corrects only its part of what is amiss.
+func (p *Brain) demandSeen() float64 {
+	if p.settings.ZonesKeptWhole {
+		return 1
+	}
+	return math.Min(1, float64(len(p.proxies))/p.settings.ProxyCount.Or(1))
 }
+
+// command gives a command out.
+func (p *Brain) command(command Order) { p.commands = append(p.commands, command) }
+
+// logf writes a line to the operators' log.
+func (p *Brain) logf(format string, args ...any) { p.command(Log{fmt.Sprintf(format, args...)}) }
