--- a/internal/record/codec.go
+++ b/internal/record/codec.go
@@ -7,7 +7,6 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
-	"hash/crc64"
 	"math"
 	"slices"
 
@@ -55,31 +54,20 @@
 
 // Input is one input of a turn. Stream numbers the proxies' streams of a life.
 type Input struct {
-	Kind    Kind
-	Stream  uint64
-	Message wire.Message // of Join, Applied, Listed and SliceGiven
-	From    int          // of Heard
-	Text    string       // of Heard; the endpoint of Probed; terms as JSON of Retermed
-	Probe   brain.Probed // of Probed
-	Note    brain.Note   // of Met, Demand and SliceDemand: as the intake passed them on
+	Kind    Kind         `json:"Kind"`
+	Stream  uint64       `json:"Stream"`
+	Message wire.Message `json:"Message"` // of Join, Applied, Listed and SliceGiven
+	From    int          `json:"From"`    // of Heard
+	Text    string       `json:"Text"`    // of Heard; the endpoint of Probed; terms as JSON of Retermed
+	Probe   brain.Probed `json:"Probe"`   // of Probed
+	Note    brain.Note   `json:"Note"`    // of Met, Demand and SliceDemand: as the intake passed them on
 }
 
 // Turn is one turn of the loop.
 type Turn struct {
-	AtMs   float64
-	Inputs []Input
-	Digest uint64 // of the orders
-}
-
-var table = crc64.MakeTable(crc64.ECMA)
-
-// Digest sums orders up.
-func Digest(orders []brain.Order) uint64 {
-	h := crc64.New(table)
-	for _, o := range orders {
-		fmt.Fprintf(h, "%T%+v\n", o, o) // writes to a hash don't fail
-	}
-	return h.Sum64()
+	AtMs   float64 `json:"AtMs"`
+	Inputs []Input `json:"Inputs"`
+	Digest uint64  `json:"Digest"` // of the orders
 }
 
 type encoder struct{ b []byte }
--- /dev/null
+++ b/internal/record/digest.go
@@ -0,0 +1,71 @@
+package record
+
+import (
+	"fmt"
+	"hash/crc64"
+	"io"
+
+	"indigousher/brain"
+)
+
+var table = crc64.MakeTable(crc64.ECMA)
+
+// The text of each command as format 2 sums it up: the type and field names that the commands had when the format was
+// fixed, in the field order of that time. They are part of the stored format. A record holds the digests of its turns,
+// and Fingerprint, made of such digests, tells whether a record was written by a decider that decides the same; so the
+// texts stay when a Go type or field is renamed. Floats are written in their shortest form that reads back equal.
+const (
+	digestSetLine    = "brain.SetLine{Table:%v Endpoint:%v Weight:%v}\n"
+	digestClearTable = "brain.ClearTable{Table:%v}\n"
+	digestBind       = "brain.Bind{Table:%v Proxy:%v Kinds:%v}\n"
+	digestWithdraw   = "brain.Withdraw{Endpoint:%v Out:%v}\n"
+	digestAdmit      = "brain.Admit{Table:%v Kinds:%v Again:%v Level:%v}\n"
+	digestMark       = "brain.Mark{Number:%v All:%v}\n"
+	digestProbe      = "brain.Probe{Endpoint:%v}\n"
+	digestTell       = "brain.Tell{Peer:%v Text:%v}\n"
+	digestWakeAt     = "brain.WakeAt{AtMs:%v Name:%v}\n"
+	digestWatch      = "brain.Watch{On:%v}\n"
+	digestFetchList  = "brain.FetchList{}\n"
+	digestLog        = "brain.Log{Text:%v}\n"
+)
+
+// Digest sums up the commands of a turn, in their order. Turn.Digest holds it in a record.
+func Digest(orders []brain.Order) uint64 {
+	h := crc64.New(table)
+	for _, o := range orders {
+		writeDigest(h, o)
+	}
+	return h.Sum64()
+}
+
+// writeDigest writes the text of one command. Writes to a hash don't fail.
+func writeDigest(h io.Writer, order brain.Order) {
+	switch o := order.(type) {
+	case brain.SetLine:
+		fmt.Fprintf(h, digestSetLine, o.Table, o.Endpoint, o.Weight)
+	case brain.ClearTable:
+		fmt.Fprintf(h, digestClearTable, o.Table)
+	case brain.Bind:
+		fmt.Fprintf(h, digestBind, o.Table, o.Proxy, o.Kinds)
+	case brain.Withdraw:
+		fmt.Fprintf(h, digestWithdraw, o.Endpoint, o.Out)
+	case brain.Admit:
+		fmt.Fprintf(h, digestAdmit, o.Table, o.Kinds, o.Again, o.Level)
+	case brain.Mark:
+		fmt.Fprintf(h, digestMark, o.Number, o.All)
+	case brain.Probe:
+		fmt.Fprintf(h, digestProbe, o.Endpoint)
+	case brain.Tell:
+		fmt.Fprintf(h, digestTell, o.Peer, o.Text)
+	case brain.WakeAt:
+		fmt.Fprintf(h, digestWakeAt, o.AtMs, o.Name)
+	case brain.Watch:
+		fmt.Fprintf(h, digestWatch, o.On)
+	case brain.FetchList:
+		fmt.Fprint(h, digestFetchList)
+	case brain.Log:
+		fmt.Fprintf(h, digestLog, o.Text)
+	default:
+		fmt.Fprintf(h, "%T%+v\n", order, order)
+	}
+}
