--- a/brain/port.go
+++ b/brain/port.go
@@ -56,11 +56,11 @@
 
 // Probed is the result of one Probe.
 type Probed struct {
-	Endpoint int
-	OK       bool
-	Outcome  string
-	TookMs   float64
-	Load     Load
+	Endpoint int     `json:"Endpoint"`
+	OK       bool    `json:"OK"`
+	Outcome  string  `json:"Outcome"`
+	TookMs   float64 `json:"TookMs"`
+	Load     Load    `json:"Load"`
 }
 
 // Load holds the values of a load report by name: in_hand, waiting, util, service_ms, rate, errored_rate.
@@ -85,21 +85,31 @@
 
 // Met sums what the joined proxies of a zone met at an endpoint.
 type Met struct {
-	Endpoint, Zone, Tries, Failed int
-	MeanMs, SpanMs                float64
-	Load                          Load
+	Endpoint int     `json:"Endpoint"`
+	Zone     int     `json:"Zone"`
+	Tries    int     `json:"Tries"`
+	Failed   int     `json:"Failed"`
+	MeanMs   float64 `json:"MeanMs"`
+	SpanMs   float64 `json:"SpanMs"`
+	Load     Load    `json:"Load"`
 }
 
 // Demand sums the reqs of a kind that came to a proxy.
 type Demand struct {
-	Proxy, Kind, Reqs, Unanswered int
-	SpanMs                        float64
+	Proxy      int     `json:"Proxy"`
+	Kind       int     `json:"Kind"`
+	Reqs       int     `json:"Reqs"`
+	Unanswered int     `json:"Unanswered"`
+	SpanMs     float64 `json:"SpanMs"`
 }
 
 // SliceDemand sums the reqs of a kind that came for a slice.
 type SliceDemand struct {
-	Slice, Kind, Reqs, Unanswered int
-	SpanMs                        float64
+	Slice      int     `json:"Slice"`
+	Kind       int     `json:"Kind"`
+	Reqs       int     `json:"Reqs"`
+	Unanswered int     `json:"Unanswered"`
+	SpanMs     float64 `json:"SpanMs"`
 }
 
 // SliceCharge gives a slice into this pilot's charge or takes it away.
--- /dev/null
+++ b/internal/daemon/oldstore_test.go
@@ -0,0 +1,121 @@
+package daemon
+
+import (
+	"bytes"
+	"compress/gzip"
+	"encoding/binary"
+	"flag"
+	"hash/crc32"
+	"io"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"go.etcd.io/bbolt"
+
+	"indigousher/brain"
+	"indigousher/internal/pilot"
+	"indigousher/internal/record"
+)
+
+var update = flag.Bool("update", false, "write the store of testdata anew; only where the stored format changes")
+
+// oldStore is a store that commit 7c7c6c6 wrote, before any type or field that it holds was renamed.
+const oldStore = "testdata/records-7c7c6c6.db.gz"
+
+// TestOldStore guards stored records over changes of names and shape: a store that an earlier version wrote replays to
+// the same commands, and a pilot comes back warm from it.
+func TestOldStore(t *testing.T) {
+	if *update {
+		p := recordedLife(t)
+		content, err := os.ReadFile(filepath.Join(p.RecordDir, "records.db"))
+		require.NoError(t, err)
+		require.NoError(t, os.MkdirAll(filepath.Dir(oldStore), 0o755))
+		var compressed bytes.Buffer
+		writer := gzip.NewWriter(&compressed)
+		_, err = writer.Write(content)
+		require.NoError(t, err)
+		require.NoError(t, writer.Close())
+		require.NoError(t, os.WriteFile(oldStore, compressed.Bytes(), 0o644))
+	}
+	p := pilotTerms(t, "x:1", "y:1")
+	p.RecordDir = t.TempDir()
+	unpackStore(t, p.RecordDir)
+	setLastWritten(t, p.RecordDir, time.Now().Add(-time.Second))
+
+	store, err := Records(p.RecordDir)
+	require.NoError(t, err)
+	lives, err := store.Lives()
+	require.NoError(t, err)
+	require.Len(t, lives, 1)
+	assert.Equal(t, "701c66171943c29a", lives[0].Module)
+	result, err := record.Replay(store, lives[0], nil, func(seed int64, settings map[string]any) pilot.Decider {
+		return brain.New(seed, settings)
+	})
+	require.NoError(t, err)
+	assert.Empty(t, result.FirstDiff)
+	assert.Positive(t, result.Turns)
+	require.NoError(t, store.Close())
+
+	d, err := New(p, Outfit{})
+	require.NoError(t, err)
+	assert.Contains(t, d.record.Verdict.Why, "recovered from")
+	stop, ended := run(t, d)
+	following(t, "p", func() []string { return []string{d.Address()} })
+	require.Eventually(t, func() bool { return d.State().Listed && d.State().Proxies == 1 }, 5*time.Second, time.Millisecond)
+	time.Sleep(500 * time.Millisecond) // past a commit
+	stop()
+	require.NoError(t, <-ended)
+
+	store, err = Records(p.RecordDir)
+	require.NoError(t, err)
+	lives, err = store.Lives()
+	require.NoError(t, err)
+	require.Len(t, lives, 2)
+	assert.Equal(t, "701c66171943c29a", lives[1].Module)
+	assert.Equal(t, lives[0].ID, lives[1].After)
+	assert.Equal(t, lives[0].Terms, lives[1].Terms)
+	require.NoError(t, store.Close())
+}
+
+func unpackStore(t *testing.T, dir string) {
+	file, err := os.Open(oldStore)
+	require.NoError(t, err)
+	defer file.Close()
+	reader, err := gzip.NewReader(file)
+	require.NoError(t, err)
+	content, err := io.ReadAll(reader)
+	require.NoError(t, err)
+	require.NoError(t, os.WriteFile(filepath.Join(dir, "records.db"), content, 0o600))
+}
+
+// setLastWritten gives all chunks of a store the time at, as if they had just been written then. A chunk begins with a
+// checksum (4 bytes, of all that follows) and the time at which it was written (8 bytes, milliseconds since 1970).
+func setLastWritten(t *testing.T, dir string, at time.Time) {
+	db, err := bbolt.Open(filepath.Join(dir, "records.db"), 0o600, nil)
+	require.NoError(t, err)
+	require.NoError(t, db.Update(func(tx *bbolt.Tx) error {
+		segments := tx.Bucket([]byte("segments"))
+		return segments.ForEachBucket(func(name []byte) error {
+			segment := segments.Bucket(name)
+			chunks := map[string][]byte{}
+			err := segment.ForEach(func(key, chunk []byte) error {
+				dated := bytes.Clone(chunk)
+				binary.LittleEndian.PutUint64(dated[4:], uint64(at.UnixMilli()))
+				binary.LittleEndian.PutUint32(dated, crc32.Checksum(dated[4:], crc32.MakeTable(crc32.Castagnoli)))
+				chunks[string(key)] = dated
+				return nil
+			})
+			for key, chunk := range chunks {
+				if err == nil {
+					err = segment.Put([]byte(key), chunk)
+				}
+			}
+			return err
+		})
+	}))
+	require.NoError(t, db.Close())
+}
--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -23,41 +23,42 @@
 // Day is one day file.
 type Day struct {
 	terms.Common
-	Name, About string
-	Like        string // the day whose fleet, terms and load stand where this one says nothing
-	Length      time.Duration
-	Seed        int
+	Name   string        `json:"Name"`
+	About  string        `json:"About"`
+	Like   string        `json:"Like"` // the day whose fleet, terms and load stand where this one says nothing
+	Length time.Duration `json:"Length"`
+	Seed   int           `json:"Seed"`
 
-	PilotZones   []string // a pilot for each
-	ProxyZones   []string // a proxy for each
-	Times        int      // as many proxies as ProxyZones names
-	OverGRPC     []string // names or patterns of proxies that join over gRPC
-	Keys         bool     // all streams under TLS, with an authority of the day's own
-	Record       bool     // pilots record, and recover when they return
-	Standing     int
-	Redial       time.Duration
-	Apply        time.Duration // for each line
-	EjectFor     time.Duration
-	Beat         time.Duration
-	WriteWithin  time.Duration
-	NoisyReports float64
-	Way          time.Duration // one way between two places (emulator)
+	PilotZones   []string      `json:"PilotZones"` // a pilot for each
+	ProxyZones   []string      `json:"ProxyZones"` // a proxy for each
+	Times        int           `json:"Times"`      // as many proxies as ProxyZones names
+	OverGRPC     []string      `json:"OverGRPC"`   // names or patterns of proxies that join over gRPC
+	Keys         bool          `json:"Keys"`       // all streams under TLS, with an authority of the day's own
+	Record       bool          `json:"Record"`     // pilots record, and recover when they return
+	Standing     int           `json:"Standing"`
+	Redial       time.Duration `json:"Redial"`
+	Apply        time.Duration `json:"Apply"` // for each line
+	EjectFor     time.Duration `json:"EjectFor"`
+	Beat         time.Duration `json:"Beat"`
+	WriteWithin  time.Duration `json:"WriteWithin"`
+	NoisyReports float64       `json:"NoisyReports"`
+	Way          time.Duration `json:"Way"` // one way between two places (emulator)
 
-	IntakeLinesPerS float64
-	IntakeStanding  int
-	Heedless        []string // proxies that report as ever, whatever they are asked for
+	IntakeLinesPerS float64  `json:"IntakeLinesPerS"`
+	IntakeStanding  int      `json:"IntakeStanding"`
+	Heedless        []string `json:"Heedless"` // proxies that report as ever, whatever they are asked for
 
-	ListLate  time.Duration
-	ListEmpty bool
+	ListLate  time.Duration `json:"ListLate"`
+	ListEmpty bool          `json:"ListEmpty"`
 
-	Rate    float64
-	Retries int
-	Backoff time.Duration
-	Uneven  float64
-	Demands []Demand
+	Rate    float64       `json:"Rate"`
+	Retries int           `json:"Retries"`
+	Backoff time.Duration `json:"Backoff"`
+	Uneven  float64       `json:"Uneven"`
+	Demands []Demand      `json:"Demands"`
 
-	Groups   []Group
-	Troubles []Trouble
+	Groups   []Group   `json:"Groups"`
+	Troubles []Trouble `json:"Troubles"`
 }
 
 // KeysEach is how many keys fall into a slice, where a day has slices.
@@ -65,36 +66,41 @@
 
 // Demand is what clients ask of a req kind.
 type Demand struct {
-	Kind  string
-	Share float64
-	Work  time.Duration
-	CV    float64
+	Kind  string        `json:"Kind"`
+	Share float64       `json:"Share"`
+	Work  time.Duration `json:"Work"`
+	CV    float64       `json:"CV"`
 }
 
 // Group is some endpoints alike.
 type Group struct {
-	Machine, Zone string
-	Count, Cores  int
-	Speed, Spread float64
-	Queue, Conns  int
-	Handshake     time.Duration
-	Discipline    string  // queue, or sharing: all in hand share the cores (emulator)
-	Thrash        float64 // part by which each req beyond the cores slows all (emulator)
+	Machine    string        `json:"Machine"`
+	Zone       string        `json:"Zone"`
+	Count      int           `json:"Count"`
+	Cores      int           `json:"Cores"`
+	Speed      float64       `json:"Speed"`
+	Spread     float64       `json:"Spread"`
+	Queue      int           `json:"Queue"`
+	Conns      int           `json:"Conns"`
+	Handshake  time.Duration `json:"Handshake"`
+	Discipline string        `json:"Discipline"` // queue, or sharing: all in hand share the cores (emulator)
+	Thrash     float64       `json:"Thrash"`     // part by which each req beyond the cores slows all (emulator)
 }
 
 // Trouble is something that happens.
 type Trouble struct {
-	What    string
-	At, For time.Duration
-	Who     []string // names or patterns of endpoints, proxies or pilots
-	Zone    string
-	Kind    string
-	Part    float64
-	Count   int
-	Size    float64
-	Loss    float64
-	Every   time.Duration
-	Extra   time.Duration
+	What  string        `json:"What"`
+	At    time.Duration `json:"At"`
+	For   time.Duration `json:"For"`
+	Who   []string      `json:"Who"` // names or patterns of endpoints, proxies or pilots
+	Zone  string        `json:"Zone"`
+	Kind  string        `json:"Kind"`
+	Part  float64       `json:"Part"`
+	Count int           `json:"Count"`
+	Size  float64       `json:"Size"`
+	Loss  float64       `json:"Loss"`
+	Every time.Duration `json:"Every"`
+	Extra time.Duration `json:"Extra"`
 }
 
 // whats are the troubles that can be played; docs/rehearsal.md describes them.
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -27,27 +27,28 @@
 
 // Result is what one run gave.
 type Result struct {
-	Service    float64   // payoff earned over payoff asked for
-	Worst      float64   // of the worst 5 s
-	Windows    []float64 // by 5 s
-	Errored    float64   // parts of the reqs
-	Denied     float64
-	TriesEach  float64
-	P50, P99   float64 // ms, of reqs that were done
-	Spread     float64 // busiest endpoint's load over the mean
-	LinesPerS  float64 // of all pilots
-	MostLines  float64 // in one channel, as a part of the backlog
-	Broken     float64 // rules
-	Nearest    float64 // to any rule's limit: 1 is the limit
-	RebuiltMs  float64 // the longest rebuild of a pilot that returned, in real time
-	LinesAfter float64 // that a pilot which returned sent in its first 10 s, mean
-	PilotMs    float64 // real time of pilots' turns a virtual second
-	Events     float64
-	TookMs     float64
-	Text       string             // of what broke
-	Quantiles  []float64          // ms at each of the quantiles
-	Loads      []float64          // busy parts of endpoints at each twentieth, least first
-	Zones      map[string]float64 // mean busy part of each zone's endpoints
+	Service    float64            `json:"Service"` // payoff earned over payoff asked for
+	Worst      float64            `json:"Worst"`   // of the worst 5 s
+	Windows    []float64          `json:"Windows"` // by 5 s
+	Errored    float64            `json:"Errored"` // parts of the reqs
+	Denied     float64            `json:"Denied"`
+	TriesEach  float64            `json:"TriesEach"`
+	P50        float64            `json:"P50"`        // ms, of reqs that were done
+	P99        float64            `json:"P99"`        // ms, of reqs that were done
+	Spread     float64            `json:"Spread"`     // busiest endpoint's load over the mean
+	LinesPerS  float64            `json:"LinesPerS"`  // of all pilots
+	MostLines  float64            `json:"MostLines"`  // in one channel, as a part of the backlog
+	Broken     float64            `json:"Broken"`     // rules
+	Nearest    float64            `json:"Nearest"`    // to any rule's limit: 1 is the limit
+	RebuiltMs  float64            `json:"RebuiltMs"`  // the longest rebuild of a pilot that returned, in real time
+	LinesAfter float64            `json:"LinesAfter"` // that a pilot which returned sent in its first 10 s, mean
+	PilotMs    float64            `json:"PilotMs"`    // real time of pilots' turns a virtual second
+	Events     float64            `json:"Events"`
+	TookMs     float64            `json:"TookMs"`
+	Text       string             `json:"Text"`      // of what broke
+	Quantiles  []float64          `json:"Quantiles"` // ms at each of the quantiles
+	Loads      []float64          `json:"Loads"`     // busy parts of endpoints at each twentieth, least first
+	Zones      map[string]float64 `json:"Zones"`     // mean busy part of each zone's endpoints
 }
 
 // Metric is one figure of a result.
--- /dev/null
+++ b/internal/experiment/stored_test.go
@@ -0,0 +1,33 @@
+package experiment
+
+import (
+	"crypto/sha256"
+	"encoding/json"
+	"fmt"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"indigousher/internal/day"
+)
+
+// TestStoredNames guards the names under which results are kept: the JSON of a day is part of the key of its results, and
+// a result is kept as JSON.
+func TestStoredNames(t *testing.T) {
+	sum := sha256.New()
+	for _, name := range day.Days() {
+		d, err := day.Load(name)
+		require.NoError(t, err)
+		text, err := json.Marshal(d)
+		require.NoError(t, err)
+		_, err = sum.Write(text)
+		require.NoError(t, err)
+	}
+	assert.Equal(t, "f7ea2a0d0369f84e", fmt.Sprintf("%x", sum.Sum(nil)[:8]))
+	text, err := json.Marshal(Result{Zones: map[string]float64{"a": 1}})
+	require.NoError(t, err)
+	assert.Equal(t, `{"Service":0,"Worst":0,"Windows":null,"Errored":0,"Denied":0,"TriesEach":0,"P50":0,"P99":0,"Spread":0,"LinesPerS":0,`+
+		`"MostLines":0,"Broken":0,"Nearest":0,"RebuiltMs":0,"LinesAfter":0,"PilotMs":0,"Events":0,"TookMs":0,"Text":"",`+
+		`"Quantiles":null,"Loads":null,"Zones":{"a":1}}`, string(text))
+}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -44,9 +44,9 @@
 )
 
 type message struct {
-	Version int
-	Step    string
-	Names   []string `json:",omitempty"` // of the listeners that come along
+	Version int      `json:"Version"`
+	Step    string   `json:"Step"`
+	Names   []string `json:"Names,omitempty"` // of the listeners that come along
 }
 
 // Errors of a handover.
--- a/internal/pilot/loop.go
+++ b/internal/pilot/loop.go
@@ -54,13 +54,18 @@
 
 // State is what the loop shows of itself after each turn.
 type State struct {
-	Proxies, Endpoints, Lines, MostLines, MostMessages int
-	Turns                                              int
-	Standing, MostStanding                             int // sums that wait in the intake
-	Refused                                            map[string]uint64
-	Listed                                             bool
-	Believed                                           Believed
-	LastTurn                                           time.Time
+	Proxies      int               `json:"Proxies"`
+	Endpoints    int               `json:"Endpoints"`
+	Lines        int               `json:"Lines"`
+	MostLines    int               `json:"MostLines"`
+	MostMessages int               `json:"MostMessages"`
+	Turns        int               `json:"Turns"`
+	Standing     int               `json:"Standing"`     // sums that wait in the intake
+	MostStanding int               `json:"MostStanding"` // sums that wait in the intake
+	Refused      map[string]uint64 `json:"Refused"`
+	Listed       bool              `json:"Listed"`
+	Believed     Believed          `json:"Believed"`
+	LastTurn     time.Time         `json:"LastTurn"`
 }
 
 // NewLoop returns a loop that has not started.
--- a/internal/pilot/relayed.go
+++ b/internal/pilot/relayed.go
@@ -125,9 +125,10 @@
 
 // Believed counts what the core took in of reports, for the pilot's own book-keeping.
 type Believed struct {
-	Reports, Odd int
-	SpanMs       float64 // that all reports covered
-	Listed       int     // endpoints on the list as held
+	Reports int     `json:"Reports"`
+	Odd     int     `json:"Odd"`
+	SpanMs  float64 `json:"SpanMs"` // that all reports covered
+	Listed  int     `json:"Listed"` // endpoints on the list as held
 }
 
 // retiredMs is how long an endpoint's index stays its own once it is off the list: longer than anything that may still
--- a/internal/record/store.go
+++ b/internal/record/store.go
@@ -22,16 +22,16 @@
 
 // Life is what is known of one process's record.
 type Life struct {
-	Format  int
-	ID      string // sorts by start
-	Pilot   string
-	Seed    int64
-	Module  string    // fingerprint of what decided
-	Terms   string    // as JSON, at its start
-	Now     string    `json:",omitempty"` // as JSON, after the last reload; "": as at its start
-	Started time.Time // by the machine's clock, for people
-	After   string    // the life that this one was rebuilt from, if any
-	TailMs  float64   // and how much of its end was asked for
+	Format  int       `json:"Format"`
+	ID      string    `json:"ID"` // sorts by start
+	Pilot   string    `json:"Pilot"`
+	Seed    int64     `json:"Seed"`
+	Module  string    `json:"Module"`        // fingerprint of what decided
+	Terms   string    `json:"Terms"`         // as JSON, at its start
+	Now     string    `json:"Now,omitempty"` // as JSON, after the last reload; "": as at its start
+	Started time.Time `json:"Started"`       // by the machine's clock, for people
+	After   string    `json:"After"`         // the life that this one was rebuilt from, if any
+	TailMs  float64   `json:"TailMs"`        // and how much of its end was asked for
 }
 
 // Bounds are what a store may take.
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -21,40 +21,54 @@
 
 // ReqKind is what is told of one kind of req.
 type ReqKind struct {
-	Name                          string
-	ResponseTarget, ClientTimeout time.Duration
-	Payoff, LatePayoff            float64
-	Repeats                       string // replayable, uniqued or non-replayable
-	Group                         string // uniqued: the endpoints that drop repeats: all, zone or cell
-	Window                        time.Duration
-	OnlyMachines, OnlyZones       []string
-	OwnZone, Writes               bool
+	Name           string        `json:"Name"`
+	ResponseTarget time.Duration `json:"ResponseTarget"`
+	ClientTimeout  time.Duration `json:"ClientTimeout"`
+	Payoff         float64       `json:"Payoff"`
+	LatePayoff     float64       `json:"LatePayoff"`
+	Repeats        string        `json:"Repeats"` // replayable, uniqued or non-replayable
+	Group          string        `json:"Group"`   // uniqued: the endpoints that drop repeats: all, zone or cell
+	Window         time.Duration `json:"Window"`
+	OnlyMachines   []string      `json:"OnlyMachines"`
+	OnlyZones      []string      `json:"OnlyZones"`
+	OwnZone        bool          `json:"OwnZone"`
+	Writes         bool          `json:"Writes"`
 }
 
 // Common is what pilots and their surroundings agree on.
 type Common struct {
-	Zones, Machines []string
-	Kinds           []ReqKind
-
-	LinesPerS, Backlog float64
-	HeadLines          int
-	MessagesMost       int
-	MessagesOver       time.Duration
-
-	DrainGrace, BareFor, Cold, Fall time.Duration
-	ColdFrom, FallMultiple          float64
-
-	Proxies, Slices       int // keys fall into so many slices; 0: a deployment without them
-	ByZone                bool
-	EjectsAfter, RetryHow int
-	FirstWait             float64
-	Admission, Pick       string
-	Fields                []string
-	Period                time.Duration
-	ReportLinesPerS       int
-	CrossZone             float64
-	Probing, AskForList   bool
-	Instances             int
+	Zones    []string  `json:"Zones"`
+	Machines []string  `json:"Machines"`
+	Kinds    []ReqKind `json:"Kinds"`
+
+	LinesPerS    float64       `json:"LinesPerS"`
+	Backlog      float64       `json:"Backlog"`
+	HeadLines    int           `json:"HeadLines"`
+	MessagesMost int           `json:"MessagesMost"`
+	MessagesOver time.Duration `json:"MessagesOver"`
+
+	DrainGrace   time.Duration `json:"DrainGrace"`
+	BareFor      time.Duration `json:"BareFor"`
+	Cold         time.Duration `json:"Cold"`
+	Fall         time.Duration `json:"Fall"`
+	ColdFrom     float64       `json:"ColdFrom"`
+	FallMultiple float64       `json:"FallMultiple"`
+
+	Proxies         int           `json:"Proxies"`
+	Slices          int           `json:"Slices"` // keys fall into so many slices; 0: a deployment without them
+	ByZone          bool          `json:"ByZone"`
+	EjectsAfter     int           `json:"EjectsAfter"`
+	RetryHow        int           `json:"RetryHow"`
+	FirstWait       float64       `json:"FirstWait"`
+	Admission       string        `json:"Admission"`
+	Pick            string        `json:"Pick"`
+	Fields          []string      `json:"Fields"`
+	Period          time.Duration `json:"Period"`
+	ReportLinesPerS int           `json:"ReportLinesPerS"`
+	CrossZone       float64       `json:"CrossZone"`
+	Probing         bool          `json:"Probing"`
+	AskForList      bool          `json:"AskForList"`
+	Instances       int           `json:"Instances"`
 }
 
 // Pilot is all that one pilot's file tells.
--- a/internal/wire/messages.go
+++ b/internal/wire/messages.go
@@ -5,26 +5,26 @@
 // Hello opens a proxy's stream. Boot differs at each start of the proxy's process, Holds names the endpoints in its
 // tables, Fresh says that it has only its standing table.
 type Hello struct {
-	Version int
-	Proxy   string
-	Zone    string
-	Boot    uint64
-	Rate    float64 // reqs a second that ordinarily come to it
-	Fresh   bool
-	Holds   []string
-	Tables  []HeldTable // of its last stream, whole: what is bound anew is sent as the lines that differ
+	Version int         `json:"Version"`
+	Proxy   string      `json:"Proxy"`
+	Zone    string      `json:"Zone"`
+	Boot    uint64      `json:"Boot"`
+	Rate    float64     `json:"Rate"` // reqs a second that ordinarily come to it
+	Fresh   bool        `json:"Fresh"`
+	Holds   []string    `json:"Holds"`
+	Tables  []HeldTable `json:"Tables"` // of its last stream, whole: what is bound anew is sent as the lines that differ
 }
 
 // HeldTable is a table as a proxy has it.
 type HeldTable struct {
-	Table int
-	Lines []HeldLine
+	Table int        `json:"Table"`
+	Lines []HeldLine `json:"Lines"`
 }
 
 // HeldLine is one line of it.
 type HeldLine struct {
-	Endpoint string
-	Weight   float64
+	Endpoint string  `json:"Endpoint"`
+	Weight   float64 `json:"Weight"`
 }
 
 // Welcome answers a Hello: how often both sides say something, and how often sums are wanted.
@@ -62,10 +62,11 @@
 // Slices tells a pilot that the store has given a slice into its charge, with the lines stored of it, or taken it away.
 // Keys from From up to To, To not included, fall into it; an empty To has no end.
 type Slices struct {
-	Slice    int
-	Given    bool
-	Lines    []HeldLine
-	From, To string
+	Slice int        `json:"Slice"`
+	Given bool       `json:"Given"`
+	Lines []HeldLine `json:"Lines"`
+	From  string     `json:"From"`
+	To    string     `json:"To"`
 }
 
 // Met sums a proxy's tries at an endpoint; Load is the last load report among the answers.
@@ -90,8 +91,8 @@
 
 // Done says that everything up to a mark is applied.
 type Done struct {
-	Mark   int
-	TookMs float64 // from arrival to applied
+	Mark   int     `json:"Mark"`
+	TookMs float64 `json:"TookMs"` // from arrival to applied
 }
 
 // Pace asks a proxy to report otherwise: each PeriodMs, at most so many lines of what it met (0: all), and only those
@@ -155,10 +156,10 @@
 
 // List carries entries of the endpoint list; Whole tells that what is not named is gone.
 type List struct {
-	Version int
-	Now     uint64 // ms on the list's clock
-	Whole   bool
-	Entries []Entry
+	Version int     `json:"Version"`
+	Now     uint64  `json:"Now"` // ms on the list's clock
+	Whole   bool    `json:"Whole"`
+	Entries []Entry `json:"Entries"`
 }
 
 // Phases of a list entry.
@@ -171,10 +172,13 @@
 // Entry is one endpoint of a list. Started is on the list's own clock, 0 for the distant past; who reads it takes
 // only its distance from the list's Now, so clocks may differ.
 type Entry struct {
-	Endpoint, Zone, Machine string
-	Cell, Phase             int
-	Weight                  float64
-	Started                 uint64 // ms
+	Endpoint string  `json:"Endpoint"`
+	Zone     string  `json:"Zone"`
+	Machine  string  `json:"Machine"`
+	Cell     int     `json:"Cell"`
+	Phase    int     `json:"Phase"`
+	Weight   float64 `json:"Weight"`
+	Started  uint64  `json:"Started"` // ms
 }
 
 func (*Hello) kind() Type    { return typeHello }
