--- /dev/null
+++ b/internal/emulator/commands_test.go
@@ -0,0 +1,156 @@
+package emulator_test
+
+import (
+	"flag"
+	"fmt"
+	"hash/crc64"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"indigousher/brain"
+	"indigousher/internal/day"
+	"indigousher/internal/emulator"
+	"indigousher/internal/pilot"
+	"indigousher/internal/record"
+	"indigousher/internal/search"
+)
+
+var update = flag.Bool("update", false, "write the digests anew; only where a change of decisions is meant")
+
+// goldenPath holds a line for each sequence: its name, how many turns all pilots took, and a digest of what they
+// commanded in each of them, with its time. Written on commit 7c7c6c6.
+const goldenPath = "testdata/commands.golden"
+
+// sequence is a fixed course of events: a fleet of some size and the faults that strike it.
+type sequence struct {
+	name string
+	read func() (*day.Day, error)
+}
+
+// sequences covers each kind of fault that a day file can name, with 2 to 500 proxies.
+func sequences() (all []sequence) {
+	for _, name := range day.Days() {
+		all = append(all, sequence{name, func() (*day.Day, error) { return day.Load(name) }})
+	}
+	for _, x := range []struct {
+		name    string
+		proxies int
+	}{{"bad-day-short", 2}, {"errors", 2}, {"slices", 2}, {"replacement", 150}, {"proxies", 150}, {"bad-day-short", 500}, {"zone-loss", 500}} {
+		all = append(all, sequence{fmt.Sprintf("%s with %d proxies", x.name, x.proxies), func() (*day.Day, error) {
+			return resized(x.name, x.proxies)
+		}})
+	}
+	for _, seed := range drawnSeeds {
+		all = append(all, sequence{fmt.Sprintf("drawn %d", seed), func() (*day.Day, error) { return search.Draw(seed, 9).Day() }})
+	}
+	return all
+}
+
+// drawnSeeds are of days that the search draws: faults that overlap, among them those that no day that ships has.
+var drawnSeeds = []int{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24}
+
+// resized returns a day that ships with another number of proxies, spread over its zones as before.
+func resized(name string, proxies int) (*day.Day, error) {
+	d, err := day.Load(name)
+	if err != nil {
+		return nil, err
+	}
+	zones := d.ProxyZones
+	d.ProxyZones = nil
+	for i := range proxies {
+		d.ProxyZones = append(d.ProxyZones, zones[i*len(zones)/proxies])
+	}
+	d.Proxies = proxies
+	return d, nil
+}
+
+// turnLog sums up what the pilots of one play command, turn by turn.
+type turnLog struct {
+	mu    sync.Mutex
+	turns int
+	lines strings.Builder
+}
+
+func (l *turnLog) add(seed int64, nowMs float64, commands []brain.Order) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.turns++
+	fmt.Fprintf(&l.lines, "%d %v %016x\n", seed, nowMs, record.Digest(commands))
+}
+
+// digested hands on what the planner decides and logs it.
+type digested struct {
+	pilot.Decider
+	seed int64
+	log  *turnLog
+}
+
+func (d digested) Handle(nowMs float64, notes []brain.Note) []brain.Order {
+	commands := d.Decider.Handle(nowMs, notes)
+	d.log.add(d.seed, nowMs, commands)
+	return commands
+}
+
+// TestCommandsStay plays fixed sequences of events and holds what the planner commands, turn by turn, against digests
+// that were taken before the code was put into its present shape: a change of names or shape changes none.
+func TestCommandsStay(t *testing.T) {
+	all := sequences()
+	got := make([]string, len(all))
+	t.Run("play", func(t *testing.T) {
+		for i, s := range all {
+			t.Run(s.name, func(t *testing.T) {
+				t.Parallel()
+				d, err := s.read()
+				require.NoError(t, err)
+				log := &turnLog{}
+				decide := func(seed int64, settings map[string]any) pilot.Decider {
+					return digested{brain.New(seed, settings), seed, log}
+				}
+				_, err = emulator.Play{Day: d, Decide: decide}.Run(t.Context())
+				require.NoError(t, err)
+				sum := crc64.Checksum([]byte(log.lines.String()), crc64.MakeTable(crc64.ECMA))
+				got[i] = fmt.Sprintf("%s: %d turns, %016x", s.name, log.turns, sum)
+			})
+		}
+	})
+	if *update {
+		require.NoError(t, os.MkdirAll(filepath.Dir(goldenPath), 0o755))
+		require.NoError(t, os.WriteFile(goldenPath, []byte(strings.Join(got, "\n")+"\n"), 0o644))
+	}
+	golden, err := os.ReadFile(goldenPath)
+	require.NoError(t, err)
+	assert.Equal(t, strings.Split(strings.TrimSpace(string(golden)), "\n"), got)
+}
+
+// TestSequencesCoverFaults guards the list above: each kind of fault strikes in at least one sequence.
+func TestSequencesCoverFaults(t *testing.T) {
+	struck := map[string]bool{}
+	for _, s := range sequences() {
+		d, err := s.read()
+		require.NoError(t, err)
+		for _, fault := range d.Troubles {
+			struck[fault.What] = true
+		}
+	}
+	for _, what := range []string{"hang", "fast_errors", "class_fail", "vanish", "crash", "restart", "drain", "preempt", "replace",
+		"flapping", "zone_cut", "zone_loss", "slow_link", "handshake_slow", "proxy_crash", "proxy_roll", "pilot_kill",
+		"pilot_roll", "reconnect", "counter_down", "burst", "hot_caller", "heavy_tail", "shift", "list_down", "list_all",
+		"reload", "mute_proxy", "report_burst", "answers_twice", "silent", "handover", "slice_move", "pause", "pilot_pause"} {
+		assert.Contains(t, struck, what)
+	}
+	proxies := []int{}
+	for _, s := range sequences() {
+		d, err := s.read()
+		require.NoError(t, err)
+		proxies = append(proxies, len(d.ProxyZones))
+	}
+	assert.Equal(t, 2, slices.Min(proxies))
+	assert.Equal(t, 500, slices.Max(proxies))
+}
