--- a/intake/intake.go
+++ b/intake/intake.go
@@ -13,7 +13,7 @@
 	"math"
 	"slices"
 
-	"indigousher/brain"
+	"indigousher/planner"
 )
 
 // Terms are what the settings allow, received at start.
@@ -210,13 +210,13 @@
 }
 
 // List tells of an endpoint. One that is gone or has started anew loses what waits of it: it was another's.
-func (in *Intake[L]) List(nowMs float64, id int, phase brain.Phase, startedMs float64) {
+func (in *Intake[L]) List(nowMs float64, id int, phase planner.Phase, startedMs float64) {
 	e := in.endpoints[id]
 	if e == nil {
 		e = &endpoint{}
 		in.endpoints[id] = e
 	}
-	if phase == brain.Gone || e.listed && startedMs != e.started {
+	if phase == planner.Gone || e.listed && startedMs != e.started {
 		for key, m := range in.mets {
 			if key.endpoint == id {
 				in.forget(m)
@@ -225,8 +225,8 @@
 		}
 		*e = endpoint{}
 	}
-	e.listed, e.started, e.drains = phase != brain.Gone, startedMs, phase == brain.Draining
-	if phase == brain.Gone {
+	e.listed, e.started, e.drains = phase != planner.Gone, startedMs, phase == planner.Draining
+	if phase == planner.Gone {
 		delete(in.endpoints, id)
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -19,7 +19,6 @@
 	"golang.org/x/net/netutil"
 	"golang.org/x/sync/errgroup"
 
-	"indigousher/brain"
 	"indigousher/internal/edge/admin"
 	"indigousher/internal/edge/framed"
 	"indigousher/internal/edge/grpcedge"
@@ -30,6 +29,7 @@
 	"indigousher/internal/keys"
 	"indigousher/internal/pilot"
 	"indigousher/internal/terms"
+	"indigousher/planner"
 )
 
 // Figures of the daemon's own.
@@ -75,7 +75,7 @@
 		o.Packet = func(c net.PacketConn) net.PacketConn { return c }
 	}
 	if o.Decide == nil {
-		o.Decide = func(seed int64, terms map[string]any) pilot.Decider { return brain.New(seed, terms) }
+		o.Decide = func(seed int64, terms map[string]any) pilot.Decider { return planner.New(seed, terms) }
 	}
 }
 
--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -12,7 +12,6 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
-	"indigousher/brain"
 	"indigousher/intake"
 	"indigousher/internal/pilot"
 	"indigousher/internal/record"
@@ -22,6 +21,7 @@
 	"indigousher/internal/standin/trail"
 	"indigousher/internal/terms"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // The size that the grown deployments reach.
@@ -148,7 +148,7 @@
 	c.Zones, c.Machines, c.Proxies, c.LinesPerS, c.Backlog = zones, []string{"std"}, manyProxies, 20000, 30000
 	c.Kinds = []terms.ReqKind{{Name: "read", Repeats: "replayable", ResponseTarget: time.Second, Payoff: 1}}
 	told := c.ForModule(0)
-	timed := &timed{Decider: brain.New(1, told)}
+	timed := &timed{Decider: planner.New(1, told)}
 	var core *pilot.Core
 	plan := pilot.Plan{Decider: timed, Terms: told, Zones: zones, Machines: c.Machines, Kinds: c.KindNames(),
 		LinesPerS: c.LinesPerS, Backlog: c.Backlog, HeadLines: 4, Intake: intake.Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000}, MostProxies: 1 << 16, List: idle{},
@@ -171,7 +171,7 @@
 			cancel()
 			<-done
 			began := time.Now()
-			r, err := record.Replay(s, life, nil, func(seed int64, t map[string]any) pilot.Decider { return brain.New(seed, t) })
+			r, err := record.Replay(s, life, nil, func(seed int64, t map[string]any) pilot.Decider { return planner.New(seed, t) })
 			require.NoError(b, err)
 			require.Empty(b, r.FirstDiff)
 			took := time.Since(began).Seconds()
@@ -237,7 +237,7 @@
 	took time.Duration
 }
 
-func (t *timed) Handle(nowMs float64, notes []brain.Note) []brain.Order {
+func (t *timed) Handle(nowMs float64, notes []planner.Note) []planner.Order {
 	start := time.Now()
 	defer func() { t.took += time.Since(start) }()
 	return t.Decider.Handle(nowMs, notes)
--- a/internal/emulator/commands_test.go
+++ b/internal/emulator/commands_test.go
@@ -14,12 +14,12 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"indigousher/brain"
 	"indigousher/internal/day"
 	"indigousher/internal/emulator"
 	"indigousher/internal/pilot"
 	"indigousher/internal/record"
 	"indigousher/internal/search"
+	"indigousher/planner"
 )
 
 var update = flag.Bool("update", false, "write the digests anew; only where a change of decisions is meant")
@@ -78,7 +78,7 @@
 	lines strings.Builder
 }
 
-func (l *turnLog) add(seed int64, nowMs float64, commands []brain.Order) {
+func (l *turnLog) add(seed int64, nowMs float64, commands []planner.Order) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.turns++
@@ -92,7 +92,7 @@
 	log  *turnLog
 }
 
-func (d digested) Handle(nowMs float64, notes []brain.Note) []brain.Order {
+func (d digested) Handle(nowMs float64, notes []planner.Note) []planner.Order {
 	commands := d.Decider.Handle(nowMs, notes)
 	d.log.add(d.seed, nowMs, commands)
 	return commands
@@ -111,7 +111,7 @@
 				require.NoError(t, err)
 				log := &turnLog{}
 				decide := func(seed int64, settings map[string]any) pilot.Decider {
-					return digested{brain.New(seed, settings), seed, log}
+					return digested{planner.New(seed, settings), seed, log}
 				}
 				_, err = emulator.Play{Day: d, Decide: decide}.Run(t.Context())
 				require.NoError(t, err)
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -13,7 +13,6 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/cespare/xxhash/v2"
 
-	"indigousher/brain"
 	"indigousher/internal/audit"
 	"indigousher/internal/day"
 	"indigousher/internal/pilot"
@@ -24,6 +23,7 @@
 	"indigousher/internal/standin/trail"
 	"indigousher/internal/terms"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // Play is one emulated day.
@@ -141,7 +141,7 @@
 		w.limits, w.targets = append(w.limits, ms(k.ClientTimeout)), append(w.targets, ms(k.ResponseTarget))
 	}
 	if w.Decide == nil {
-		w.Decide = func(seed int64, t map[string]any) pilot.Decider { return brain.New(seed, t) }
+		w.Decide = func(seed int64, t map[string]any) pilot.Decider { return planner.New(seed, t) }
 	}
 	if d.Record {
 		w.fingerprint = record.Fingerprint(w.Decide)
--- a/internal/pilot/drains_test.go
+++ b/internal/pilot/drains_test.go
@@ -8,10 +8,10 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"indigousher/brain"
 	"indigousher/intake"
 	"indigousher/internal/standin/follow"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // town drives a core with the module inside and following proxies around it, in virtual time: messages and answers
@@ -109,7 +109,7 @@
 		c(terms)
 	}
 	t := &town{late: 275}
-	t.core = NewCore(Plan{Decider: brain.New(1, terms), Terms: terms, Zones: zones, Machines: []string{"std"},
+	t.core = NewCore(Plan{Decider: planner.New(1, terms), Terms: terms, Zones: zones, Machines: []string{"std"},
 		Kinds: []string{"read"}, LinesPerS: pace, Backlog: backlog, HeadLines: 3, MessagesMost: 30, MessagesOverMs: 10000,
 		Intake: intake.Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000}, MostProxies: 1 << 16, List: &fake{}, Prober: &fake{}, Peers: &fake{}, Log: func(string) {},
 		Odd: func(string, ...string) {}})
--- a/internal/pilot/meter.go
+++ b/internal/pilot/meter.go
@@ -6,9 +6,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"indigousher/brain"
 	"indigousher/intake"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // Meter holds the runtime's metrics. A nil Meter counts nothing.
@@ -131,7 +131,7 @@
 }
 
 // decide times the module.
-func (m *Meter) decide(f func() []brain.Order) []brain.Order {
+func (m *Meter) decide(f func() []planner.Order) []planner.Order {
 	if m == nil {
 		return f()
 	}
--- a/internal/platform/config/config.go
+++ b/internal/platform/config/config.go
@@ -11,11 +11,11 @@
 	"reflect"
 	"strconv"
 
-	"indigousher/brain"
 	"indigousher/internal/platform/agent"
 	"indigousher/internal/terms"
 	"indigousher/internal/translate"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // Bounds of the file and of what it may name.
@@ -186,7 +186,7 @@
 		return err
 	}
 	for _, name := range []string{"lines_per_s", "backlog", "drain_grace", "cold"} {
-		if _, err := number(terms, name, 1e-3, brain.MostFigure); err != nil {
+		if _, err := number(terms, name, 1e-3, planner.MostFigure); err != nil {
 			return err
 		}
 	}
--- a/internal/platform/listener/line.go
+++ b/internal/platform/listener/line.go
@@ -5,8 +5,8 @@
 	"errors"
 	"strconv"
 
-	"indigousher/brain"
 	"indigousher/internal/pilot"
+	"indigousher/planner"
 )
 
 // ErrLine says that a line is no message that is taken here.
@@ -64,7 +64,7 @@
 
 func figure(text []byte) (float64, bool) {
 	v, err := strconv.ParseFloat(string(text), 64)
-	return v, err == nil && brain.Sound(v) // not-a-number is not sound
+	return v, err == nil && planner.Sound(v) // not-a-number is not sound
 }
 
 func (w *words) name(name string) (string, bool) {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -13,7 +13,6 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"indigousher/brain"
 	"indigousher/internal/edge/peers"
 	"indigousher/internal/edge/probe"
 	"indigousher/internal/pilot"
@@ -21,6 +20,7 @@
 	"indigousher/internal/platform/config"
 	"indigousher/internal/platform/listener"
 	"indigousher/internal/platform/relay"
+	"indigousher/planner"
 )
 
 // Figures of the pilot's own.
@@ -62,7 +62,7 @@
 	x.events = relay.NewEvents(p.Relay.Address, box, &x.counters, log)
 	spare := float64(p.Limits.Sockets - ownSockets)
 	x.listener = listener.New(p.Deployment.Zones.All(), int(spare*strangers), box, log)
-	core := pilot.NewCore(pilot.Plan{Decider: brain.New(p.Seed, p.Deployment.Terms), Terms: p.Deployment.Terms,
+	core := pilot.NewCore(pilot.Plan{Decider: planner.New(p.Seed, p.Deployment.Terms), Terms: p.Deployment.Terms,
 		Zones: p.Deployment.Zones.All(), Machines: p.Deployment.Machines.All(), Kinds: kinds, MostProxies: p.Proxies,
 		List: x.agent, Prober: probe.Never{}, Peers: peers.Nobody{}, Relay: x.orders,
 		Log: func(text string) { log.Info(text) }, Odd: func(what string, fields ...string) {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -18,13 +18,13 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
-	"indigousher/brain"
 	"indigousher/internal/edge/peers"
 	"indigousher/internal/edge/probe"
 	"indigousher/internal/pilot"
 	"indigousher/internal/platform/config"
 	"indigousher/internal/simwire"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 const settings = `{"dcs":["a","b"],"kinds":["m2"],"instances":1,"rank":0,"discovery":"pushed",
@@ -42,14 +42,14 @@
 // kept keeps what a core hands to its relay.
 type kept struct{ lines []string }
 
-func (k *kept) Carry(turn []brain.Order, endpoint func(int) string) {
+func (k *kept) Carry(turn []planner.Order, endpoint func(int) string) {
 	for _, o := range turn {
 		switch o := o.(type) {
-		case brain.SetLine:
+		case planner.SetLine:
 			k.lines = append(k.lines, fmt.Sprintf("line %d %s %.9g", o.Table, endpoint(o.Endpoint), o.Weight))
-		case brain.Bind:
+		case planner.Bind:
 			k.lines = append(k.lines, fmt.Sprintf("bind %d %d %d", o.Proxy, o.Table, o.Kinds))
-		case brain.Mark:
+		case planner.Mark:
 			k.lines = append(k.lines, fmt.Sprintf("mark %d", o.Number))
 		}
 	}
@@ -60,7 +60,7 @@
 // and names, the same notes, and so the same orders.
 func TestSameSettingsSameOrders(t *testing.T) {
 	p, k := placement(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1"), &kept{}
-	c := pilot.NewCore(pilot.Plan{Decider: brain.New(5, p.Deployment.Terms), Terms: p.Deployment.Terms, Zones: p.Deployment.Zones.All(),
+	c := pilot.NewCore(pilot.Plan{Decider: planner.New(5, p.Deployment.Terms), Terms: p.Deployment.Terms, Zones: p.Deployment.Zones.All(),
 		Machines: p.Deployment.Machines.All(), Kinds: p.Deployment.Kinds.All(), MostProxies: p.Proxies, Relay: k, List: x{}, Prober: probe.Never{},
 		Peers: peers.Nobody{}, Log: func(string) {}, Odd: func(what string, _ ...string) { t.Error(what) }})
 	entries, hosts := []wire.Entry{}, []string{}
--- a/internal/platform/relay/relay.go
+++ b/internal/platform/relay/relay.go
@@ -21,10 +21,10 @@
 
 	"go.uber.org/zap"
 
-	"indigousher/brain"
 	"indigousher/internal/pause"
 	"indigousher/internal/pilot"
 	"indigousher/internal/platform/peek"
+	"indigousher/planner"
 )
 
 // Figures of calls.
@@ -81,7 +81,7 @@
 }
 
 // Carry queues what one turn ordered as one call.
-func (r *Orders) Carry(turn []brain.Order, endpoint func(i int) string) {
+func (r *Orders) Carry(turn []planner.Order, endpoint func(i int) string) {
 	var ops []op
 	for _, o := range turn {
 		if p, ok := layOut(o, endpoint, r.kinds); ok {
--- a/internal/record/recorder.go
+++ b/internal/record/recorder.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"slices"
 
-	"indigousher/brain"
 	"indigousher/internal/pilot"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // Checkpoint begins a turn that holds what another core needs to go on from here, and is no part of the life itself.
@@ -34,18 +34,18 @@
 }
 
 // Turn is for a core's plan.
-func (r *Recorder) Turn(nowMs float64, inputs []pilot.Input, told []brain.Note, orders []brain.Order) {
+func (r *Recorder) Turn(nowMs float64, inputs []pilot.Input, told []planner.Note, orders []planner.Order) {
 	inputs = slices.Clone(inputs) // the loop uses its own again
 	r.to(func() *Turn {
 		t := r.turn(nowMs, inputs)
 		t.Digest = Digest(orders)
 		for _, n := range told {
 			switch n := n.(type) {
-			case brain.Met:
+			case planner.Met:
 				t.Inputs = append(t.Inputs, Input{Kind: Met, Note: n})
-			case brain.Demand:
+			case planner.Demand:
 				t.Inputs = append(t.Inputs, Input{Kind: Demand, Note: n})
-			case brain.SliceDemand:
+			case planner.SliceDemand:
 				t.Inputs = append(t.Inputs, Input{Kind: SliceDemand, Note: n})
 			}
 		}
@@ -103,7 +103,7 @@
 	case pilot.Heard:
 		return Input{Kind: Heard, From: in.From, Text: in.Text}, true
 	case pilot.Probed:
-		return Input{Kind: Probed, Text: in.Endpoint, Probe: brain.Probed{Outcome: in.Outcome, TookMs: in.TookMs, Load: figures(in.Load)}}, true
+		return Input{Kind: Probed, Text: in.Endpoint, Probe: planner.Probed{Outcome: in.Outcome, TookMs: in.TookMs, Load: figures(in.Load)}}, true
 	case pilot.Retermed:
 		b, err := json.Marshal(in.Terms)
 		return Input{Kind: Retermed, Text: string(b)}, err == nil
@@ -111,11 +111,11 @@
 	return Input{}, false
 }
 
-func figures(l []wire.Figure) brain.Load {
+func figures(l []wire.Figure) planner.Load {
 	if len(l) == 0 {
 		return nil
 	}
-	out := brain.Load{}
+	out := planner.Load{}
 	for _, f := range l {
 		out[f.Name] = f.Value
 	}
@@ -161,7 +161,7 @@
 		p.streams = map[uint64]*Stream{}
 	}
 	var inputs []pilot.Input
-	var told []brain.Note
+	var told []planner.Note
 	for i := range t.Inputs {
 		in := &t.Inputs[i]
 		if in.Note != nil {
@@ -251,31 +251,31 @@
 	var sum uint64
 	for step := range 240 {
 		now := float64(step) * 250
-		var notes []brain.Note
+		var notes []planner.Note
 		switch {
 		case step == 0:
-			var l brain.Listing
+			var l planner.Listing
 			for e := range 9 {
-				l.Entries = append(l.Entries, brain.Entry{Endpoint: e, Zone: e % 3, Weight: float64(1 + e%2)})
+				l.Entries = append(l.Entries, planner.Entry{Endpoint: e, Zone: e % 3, Weight: float64(1 + e%2)})
 			}
-			l.Mode = brain.Whole
+			l.Mode = planner.Whole
 			notes = append(notes, l)
 			for p := range 4 {
-				notes = append(notes, brain.Joined{Proxy: p, Zone: p % 3, Rate: 20})
+				notes = append(notes, planner.Joined{Proxy: p, Zone: p % 3, Rate: 20})
 			}
 		case step%4 == 0:
-			notes = append(notes, brain.Alarm{Name: "gather"})
+			notes = append(notes, planner.Alarm{Name: "gather"})
 		case step%4 == 1:
 			for e := range 9 {
 				failed := 0
 				if e == 2 && step > 60 && step < 120 {
 					failed = 9
 				}
-				notes = append(notes, brain.Met{Endpoint: e, Zone: e % 3, Tries: 9, Failed: failed, MeanMs: 30, SpanMs: 1000,
-					Load: brain.Load{"util": 0.3 + float64((step+e)%7)/8, "rate": 20}})
+				notes = append(notes, planner.Met{Endpoint: e, Zone: e % 3, Tries: 9, Failed: failed, MeanMs: 30, SpanMs: 1000,
+					Load: planner.Load{"util": 0.3 + float64((step+e)%7)/8, "rate": 20}})
 			}
 		case step == 130:
-			notes = append(notes, brain.Listing{Entries: []brain.Entry{{Endpoint: 4, Zone: 1, Weight: 1, Phase: brain.Draining},
+			notes = append(notes, planner.Listing{Entries: []planner.Entry{{Endpoint: 4, Zone: 1, Weight: 1, Phase: planner.Draining},
 				{Endpoint: 9, Zone: 0, Weight: 2, Started: now}}})
 		}
 		sum = sum*1099511628211 + Digest(d.Handle(now, notes))
--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"hash/crc64"
 
-	"indigousher/brain"
 	"indigousher/internal/pilot"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // Result is what a replay ordered.
@@ -121,26 +121,26 @@
 	guess  *estimator
 }
 
-func (l *listener) Handle(nowMs float64, notes []brain.Note) []brain.Order {
+func (l *listener) Handle(nowMs float64, notes []planner.Note) []planner.Order {
 	l.guess.notes(notes) // by the tables that stand until now
 	orders := l.Decider.Handle(nowMs, notes)
 	l.digest = Digest(orders)
 	for _, o := range orders {
 		switch o := o.(type) {
-		case brain.SetLine:
+		case planner.SetLine:
 			l.r.Sets++
 			if o.Weight == 0 {
 				l.r.Zeros++
 			}
-		case brain.Withdraw:
+		case planner.Withdraw:
 			if o.Out {
 				l.r.Withdrawals++
 			}
-		case brain.Admit:
+		case planner.Admit:
 			if o.Level < 1 {
 				l.r.Levels++
 			}
-		case brain.Bind:
+		case planner.Bind:
 			l.r.Binds++
 		}
 	}
--- a/internal/rehearsal/record_test.go
+++ b/internal/rehearsal/record_test.go
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"indigousher/brain"
 	"indigousher/internal/day"
 	"indigousher/internal/pilot"
 	"indigousher/internal/record"
+	"indigousher/planner"
 )
 
-func module(seed int64, terms map[string]any) pilot.Decider { return brain.New(seed, terms) }
+func module(seed int64, terms map[string]any) pilot.Decider { return planner.New(seed, terms) }
 
 // TestRecordedDay guards the record of a day on sockets: pilots that are killed come back by it and keep the rules, and a
 // replay of each life orders the same, byte for byte.
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -13,10 +13,10 @@
 	"github.com/hashicorp/hcl/v2"
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 
-	"indigousher/brain"
 	"indigousher/intake"
 	"indigousher/internal/keys"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // ReqKind is what is told of one kind of req.
@@ -485,8 +485,8 @@
 			diags = append(diags, named(b.SrcRange, e.Endpoint, 1)...)
 			diags = append(diags, named(b.SrcRange, e.Zone, 0)...)
 			diags = append(diags, named(b.SrcRange, e.Machine, 0)...)
-			if !brain.SoundWeight(e.Weight) {
-				diags = append(diags, complaint(b.SrcRange, "weight %g: 0 or %g to %g is wanted", e.Weight, 1/brain.MostFigure, brain.MostFigure))
+			if !planner.SoundWeight(e.Weight) {
+				diags = append(diags, complaint(b.SrcRange, "weight %g: 0 or %g to %g is wanted", e.Weight, 1/planner.MostFigure, planner.MostFigure))
 			}
 			seen[e.Endpoint] = true
 			l.Entries = append(l.Entries, e)
--- a/internal/translate/translate.go
+++ b/internal/translate/translate.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"slices"
 
-	"indigousher/brain"
+	"indigousher/planner"
 )
 
 // NsPerMs is how many of the operators' units of time make a millisecond.
@@ -135,13 +135,13 @@
 }
 
 // Load renames the values of a load report; what can be no figure of one is left out.
-func Load(values map[string]float64) brain.Load {
+func Load(values map[string]float64) planner.Load {
 	if len(values) == 0 {
 		return nil
 	}
-	l := make(brain.Load, len(values))
+	l := make(planner.Load, len(values))
 	for k, v := range values {
-		if brain.Sound(v) {
+		if planner.Sound(v) {
 			l[Word(k)] = v
 		}
 	}
--- a/internal/weigh/main.go
+++ b/internal/weigh/main.go
@@ -18,8 +18,8 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"indigousher/brain"
 	"indigousher/intake"
+	"indigousher/planner"
 )
 
 // The stream: senders of unlike size report once a second on endpoints of unlike share.
@@ -174,7 +174,7 @@
 	}
 	in := intake.New[int](intake.Terms{LinesPerS: pace, PeriodMs: 1000, HalfMs: halfMs, LongestMs: 60000, Slowest: 1})
 	for e := range endpoints {
-		in.List(0, e, brain.Ready, 0)
+		in.List(0, e, planner.Ready, 0)
 	}
 	for s := range senders {
 		in.Join(0, s, 0)
--- a/recovery/explore_test.go
+++ b/recovery/explore_test.go
@@ -12,12 +12,12 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sync/errgroup"
 
-	"indigousher/brain"
 	"indigousher/intake"
 	"indigousher/internal/pilot"
 	"indigousher/internal/record"
 	"indigousher/internal/standin/follow"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 	"indigousher/recovery"
 )
 
@@ -28,37 +28,37 @@
 
 // clerk decides: all endpoints in one table, drains shut out, each note passed on once.
 type clerk struct {
-	phase  map[int]brain.Phase
+	phase  map[int]planner.Phase
 	joined map[int]bool // and not bound yet
 }
 
 // Reconfigure does nothing.
 func (c *clerk) Reconfigure(map[string]any) {}
 
-func (c *clerk) Handle(_ float64, notes []brain.Note) (out []brain.Order) {
+func (c *clerk) Handle(_ float64, notes []planner.Note) (out []planner.Order) {
 	for _, n := range notes {
 		switch n := n.(type) {
-		case brain.Listing:
+		case planner.Listing:
 			for _, e := range n.Entries {
 				if _, known := c.phase[e.Endpoint]; !known {
-					out = append(out, brain.SetLine{Table: 1, Endpoint: e.Endpoint, Weight: 1})
+					out = append(out, planner.SetLine{Table: 1, Endpoint: e.Endpoint, Weight: 1})
 				}
-				if c.phase[e.Endpoint] != e.Phase && e.Phase == brain.Draining {
-					out = append(out, brain.Withdraw{Endpoint: e.Endpoint, Out: true})
+				if c.phase[e.Endpoint] != e.Phase && e.Phase == planner.Draining {
+					out = append(out, planner.Withdraw{Endpoint: e.Endpoint, Out: true})
 				}
 				c.phase[e.Endpoint] = e.Phase
 			}
-		case brain.Joined:
+		case planner.Joined:
 			c.joined[n.Proxy] = true
-		case brain.Left:
+		case planner.Left:
 			delete(c.joined, n.Proxy)
-		case brain.Gossip:
-			out = append(out, brain.Tell{Peer: 0, Text: n.Text})
+		case planner.Gossip:
+			out = append(out, planner.Tell{Peer: 0, Text: n.Text})
 		}
 	}
 	for _, p := range slices.Sorted(maps.Keys(c.joined)) {
 		if len(c.phase) > 0 {
-			out = append(out, brain.Bind{Table: 1, Proxy: p})
+			out = append(out, planner.Bind{Table: 1, Proxy: p})
 			delete(c.joined, p)
 		}
 	}
@@ -152,7 +152,7 @@
 }
 
 func (w *world) plan(held bool) pilot.Plan {
-	p := pilot.Plan{Decider: &clerk{map[int]brain.Phase{}, map[int]bool{}}, Terms: map[string]any{}, Zones: []string{"a"}, Machines: []string{"std"}, Kinds: []string{"read"},
+	p := pilot.Plan{Decider: &clerk{map[int]planner.Phase{}, map[int]bool{}}, Terms: map[string]any{}, Zones: []string{"a"}, Machines: []string{"std"}, Kinds: []string{"read"},
 		Intake: intake.Terms{PeriodMs: 1e9, HalfMs: 1e9, LongestMs: 1e9}, MostProxies: 9, List: edge{}, Prober: edge{}, Peers: edge{},
 		Log: func(string) {}, Odd: func(string, ...string) {}, Replayed: true}
 	if !held || w.plant.replayAloud {
