--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -12,7 +12,6 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
-	"indigousher/intake"
 	"indigousher/internal/pilot"
 	"indigousher/internal/record"
 	"indigousher/internal/standin/follow"
@@ -22,6 +21,7 @@
 	"indigousher/internal/terms"
 	"indigousher/internal/wire"
 	"indigousher/planner"
+	"indigousher/telemetry"
 )
 
 // The size that the grown deployments reach.
@@ -151,7 +151,7 @@
 	timed := &timed{Decider: planner.New(1, told)}
 	var core *pilot.Core
 	plan := pilot.Plan{Decider: timed, Terms: told, Zones: zones, Machines: c.Machines, Kinds: c.KindNames(),
-		LinesPerS: c.LinesPerS, Backlog: c.Backlog, HeadLines: 4, Intake: intake.Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000}, MostProxies: 1 << 16, List: idle{},
+		LinesPerS: c.LinesPerS, Backlog: c.Backlog, HeadLines: 4, Intake: telemetry.Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000}, MostProxies: 1 << 16, List: idle{},
 		Prober: idle{}, Peers: idle{}, Log: func(string) {}, Odd: func(string, ...string) {}}
 	var w *record.Writer
 	after := func() {}
--- a/internal/pilot/core.go
+++ b/internal/pilot/core.go
@@ -9,10 +9,10 @@
 	"maps"
 	"slices"
 
-	"indigousher/intake"
 	"indigousher/internal/translate"
 	"indigousher/internal/wire"
 	"indigousher/planner"
+	"indigousher/telemetry"
 )
 
 // Decider is what decides; brain.Brain is the one that ships.
@@ -108,7 +108,7 @@
 	HeadLines              int
 	MessagesMost           int
 	MessagesOverMs         float64
-	Intake                 intake.Terms
+	Intake                 telemetry.Terms
 	MostProxies            int // distinct names in a life; more are refused
 	List                   ListSource
 	Prober                 Prober
--- a/internal/pilot/core_test.go
+++ b/internal/pilot/core_test.go
@@ -14,9 +14,9 @@
 	"go.uber.org/zap"
 	"pgregory.net/rapid"
 
-	"indigousher/intake"
 	"indigousher/internal/wire"
 	"indigousher/planner"
+	"indigousher/telemetry"
 )
 
 // script orders what a test wants and keeps what it is told.
@@ -68,7 +68,7 @@
 
 func plan(d Decider, edge *fake) Plan {
 	return Plan{Decider: d, Terms: map[string]any{"slices": 16.0}, Zones: []string{"a", "b"}, Machines: []string{"std"},
-		Kinds: []string{"read", "book"}, HeadLines: 4, Intake: intake.Terms{PeriodMs: 1000, HalfMs: 1e9, LongestMs: 60000}, MostProxies: 3, MessagesOverMs: 10000, List: edge,
+		Kinds: []string{"read", "book"}, HeadLines: 4, Intake: telemetry.Terms{PeriodMs: 1000, HalfMs: 1e9, LongestMs: 60000}, MostProxies: 3, MessagesOverMs: 10000, List: edge,
 		Prober: edge, Peers: edge, Log: func(t string) { edge.calls = append(edge.calls, "log "+t) },
 		Odd: func(what string, _ ...string) { edge.calls = append(edge.calls, "odd "+what) }}
 }
--- a/internal/pilot/drains_test.go
+++ b/internal/pilot/drains_test.go
@@ -8,10 +8,10 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"indigousher/intake"
 	"indigousher/internal/standin/follow"
 	"indigousher/internal/wire"
 	"indigousher/planner"
+	"indigousher/telemetry"
 )
 
 // town drives a core with the module inside and following proxies around it, in virtual time: messages and answers
@@ -111,7 +111,7 @@
 	t := &town{late: 275}
 	t.core = NewCore(Plan{Decider: planner.New(1, terms), Terms: terms, Zones: zones, Machines: []string{"std"},
 		Kinds: []string{"read"}, LinesPerS: pace, Backlog: backlog, HeadLines: 3, MessagesMost: 30, MessagesOverMs: 10000,
-		Intake: intake.Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000}, MostProxies: 1 << 16, List: &fake{}, Prober: &fake{}, Peers: &fake{}, Log: func(string) {},
+		Intake: telemetry.Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000}, MostProxies: 1 << 16, List: &fake{}, Prober: &fake{}, Peers: &fake{}, Log: func(string) {},
 		Odd: func(string, ...string) {}})
 	var entries []wire.Entry
 	for i := range endpoints {
--- a/internal/pilot/gate.go
+++ b/internal/pilot/gate.go
@@ -7,21 +7,21 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"indigousher/intake"
 	"indigousher/internal/wire"
 	"indigousher/planner"
+	"indigousher/telemetry"
 )
 
 // gate stands between the streams and the loop: reports are taken in where they are read, by any goroutine, and told
 // to the loop once a period. What becomes of them the intake module decides; the gate knows names and holds the lock.
 type gate struct {
 	mu        sync.Mutex
-	in        *intake.Intake[[]wire.Figure]
+	in        *telemetry.Intake[[]wire.Figure]
 	proxies   map[Stream]int
 	streams   map[int]Stream
 	endpoints map[string]int
 	kinds     map[string]int
-	report    intake.Report[[]wire.Figure]
+	report    telemetry.Report[[]wire.Figure]
 	periodMs  float64
 	lastMs    float64
 	slices    map[int]map[int]*planner.SliceDemand // in this pilot's charge, by slice and kind: what came since the last telling
@@ -32,8 +32,8 @@
 // oldest is the greatest age that the histogram tells apart, in ms.
 const oldest = 600_000
 
-func newGate(t intake.Terms, kinds []string) *gate {
-	g := &gate{in: intake.New[[]wire.Figure](t), proxies: map[Stream]int{}, streams: map[int]Stream{},
+func newGate(t telemetry.Terms, kinds []string) *gate {
+	g := &gate{in: telemetry.New[[]wire.Figure](t), proxies: map[Stream]int{}, streams: map[int]Stream{},
 		endpoints: map[string]int{}, kinds: map[string]int{}, periodMs: t.PeriodMs, slices: map[int]map[int]*planner.SliceDemand{}, unknown: map[string]int{},
 		ages: hdrhistogram.New(1, oldest, 2)}
 	for k, name := range kinds {
@@ -99,7 +99,7 @@
 			g.unknown["sums of an unknown endpoint"]++
 			e = -1
 		}
-		r.Lines = append(r.Lines, intake.Line[[]wire.Figure]{Endpoint: e, Tries: m.Tries, Failed: m.Failed,
+		r.Lines = append(r.Lines, telemetry.Line[[]wire.Figure]{Endpoint: e, Tries: m.Tries, Failed: m.Failed,
 			MeanMs: m.MeanMs, Load: m.Load, HasLoad: len(m.Load) > 0})
 	}
 	for _, d := range sums.Demand {
@@ -108,7 +108,7 @@
 			g.unknown["demand of an unknown req kind"]++
 			continue
 		}
-		r.Kinds = append(r.Kinds, intake.KindLine{Kind: k, Reqs: d.Reqs, Unanswered: d.Unanswered})
+		r.Kinds = append(r.Kinds, telemetry.KindLine{Kind: k, Reqs: d.Reqs, Unanswered: d.Unanswered})
 	}
 	g.in.Take(nowMs, r)
 	if joined {
@@ -195,7 +195,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	counts = map[string]uint64{}
-	for i, r := range intake.Reasons() {
+	for i, r := range telemetry.Reasons() {
 		if g.in.Counts[i] > 0 {
 			counts[r.String()] = g.in.Counts[i]
 		}
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -13,10 +13,10 @@
 	"github.com/hashicorp/hcl/v2"
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 
-	"indigousher/intake"
 	"indigousher/internal/keys"
 	"indigousher/internal/wire"
 	"indigousher/planner"
+	"indigousher/telemetry"
 )
 
 // ReqKind is what is told of one kind of req.
@@ -502,8 +502,8 @@
 }
 
 // Intake returns the report intake's part.
-func (p *Pilot) Intake() intake.Terms {
-	return intake.Terms{LinesPerS: p.IntakeLinesPerS, ToldPerS: float64(p.ReportLinesPerS), Standing: p.IntakeStanding,
+func (p *Pilot) Intake() telemetry.Terms {
+	return telemetry.Terms{LinesPerS: p.IntakeLinesPerS, ToldPerS: float64(p.ReportLinesPerS), Standing: p.IntakeStanding,
 		PeriodMs: ms(p.Period), HalfMs: ms(p.IntakeHalf), LongestMs: ms(p.IntakeLongest), Slowest: p.IntakeSlowest,
 		ColdMs: ms(p.Cold), MostSenders: p.MaxStreams}
 }
--- a/recovery/explore_test.go
+++ b/recovery/explore_test.go
@@ -12,13 +12,13 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sync/errgroup"
 
-	"indigousher/intake"
 	"indigousher/internal/pilot"
 	"indigousher/internal/record"
 	"indigousher/internal/standin/follow"
 	"indigousher/internal/wire"
 	"indigousher/planner"
 	"indigousher/recovery"
+	"indigousher/telemetry"
 )
 
 // The explorer takes two processes of one pilot, three proxies, one change of the list or one note between pilots, one
@@ -153,7 +153,7 @@
 
 func (w *world) plan(held bool) pilot.Plan {
 	p := pilot.Plan{Decider: &clerk{map[int]planner.Phase{}, map[int]bool{}}, Terms: map[string]any{}, Zones: []string{"a"}, Machines: []string{"std"}, Kinds: []string{"read"},
-		Intake: intake.Terms{PeriodMs: 1e9, HalfMs: 1e9, LongestMs: 1e9}, MostProxies: 9, List: edge{}, Prober: edge{}, Peers: edge{},
+		Intake: telemetry.Terms{PeriodMs: 1e9, HalfMs: 1e9, LongestMs: 1e9}, MostProxies: 9, List: edge{}, Prober: edge{}, Peers: edge{},
 		Log: func(string) {}, Odd: func(string, ...string) {}, Replayed: true}
 	if !held || w.plant.replayAloud {
 		p.Peers = edge{w}
