--- a/internal/platform/config/config.go
+++ b/internal/platform/placement/config.go
@@ -1,6 +1,6 @@
-// Package config reads what the operators' platform tells a pilot: the NODE_ variables and the JSON file they name. It
+// Package placement reads what the operators' platform tells a pilot: the NODE_ variables and the JSON file they name. It
 // checks all that the program relies on and names the field that is wrong. It applies nothing.
-package config
+package placement
 
 import (
 	"encoding/json"
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -17,8 +17,8 @@
 	"indigousher/internal/edge/probe"
 	"indigousher/internal/pilot"
 	"indigousher/internal/platform/agent"
-	"indigousher/internal/platform/config"
 	"indigousher/internal/platform/listener"
+	"indigousher/internal/platform/placement"
 	"indigousher/internal/platform/relay"
 	"indigousher/planner"
 )
@@ -36,24 +36,24 @@
 // Pilot is one pilot on the platform.
 type Pilot struct {
 	log       *zap.Logger
-	placement *config.Placement
+	placement *placement.Placement
 	loop      *pilot.Loop
 	listener  *listener.Listener
 	orders    *relay.Orders
 	events    *relay.Events
 	agent     *agent.Agent
 	counters  relay.Counters
-	reread    func() (*config.Placement, error)
+	reread    func() (*placement.Placement, error)
 }
 
 // Limit sets the runtime to what the machine gives.
-func Limit(l config.Limits) {
+func Limit(l placement.Limits) {
 	runtime.GOMAXPROCS(max(1, int(l.Cores)))
 	debug.SetMemoryLimit(int64(l.MemoryMB * memoryPart * (1 << 20)))
 }
 
 // New puts a pilot together. Reread reads the configuration again.
-func New(p *config.Placement, reread func() (*config.Placement, error), log *zap.Logger) *Pilot {
+func New(p *placement.Placement, reread func() (*placement.Placement, error), log *zap.Logger) *Pilot {
 	x := &Pilot{log: log, placement: p, reread: reread}
 	kinds := p.Deployment.Kinds.All()
 	box := &inbox{}
@@ -140,7 +140,7 @@
 		return false
 	}
 	x.log.Info("reloaded", zap.String("discovery", now.Discovery), zap.String("relay", now.Relay.Address),
-		zap.Strings("want a restart", config.Restart(x.placement, now)))
+		zap.Strings("want a restart", placement.Restart(x.placement, now)))
 	x.agent.Move(now.Discovery)
 	x.orders.Move(now.Relay.Address)
 	x.events.Move(now.Relay.Address)
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -21,7 +21,7 @@
 	"indigousher/internal/edge/peers"
 	"indigousher/internal/edge/probe"
 	"indigousher/internal/pilot"
-	"indigousher/internal/platform/config"
+	"indigousher/internal/platform/placement"
 	"indigousher/internal/simwire"
 	"indigousher/internal/wire"
 	"indigousher/planner"
@@ -32,8 +32,8 @@
 "report":{"fields":["cpu_share","served_ps"]},"extra":{"proxy_count":40,"egress_per_s":800,"backlog":1200,"envelope":4,"admission":"share",
 "by_zone":true},"obligations":{"drain_grace":3000000000,"cold":10000000000}}`
 
-func placement(t *testing.T, listen, discovery, relay string) *config.Placement {
-	p, err := config.Parse([]byte(fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"5","limits":{"cores":0.5,"memory_mb":48,
+func newPlacement(t *testing.T, listen, discovery, relay string) *placement.Placement {
+	p, err := placement.Parse([]byte(fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"5","limits":{"cores":0.5,"memory_mb":48,
 "sockets":256},"relay":{"address":%q},"settings":%s}`, listen, discovery, relay, settings)))
 	require.NoError(t, err)
 	return p
@@ -59,7 +59,7 @@
 // TestSameSettingsSameOrders guards that simulator and platform give the module the same: one translation of settings
 // and names, the same notes, and so the same orders.
 func TestSameSettingsSameOrders(t *testing.T) {
-	p, k := placement(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1"), &kept{}
+	p, k := newPlacement(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1"), &kept{}
 	c := pilot.NewCore(pilot.Plan{Decider: planner.New(5, p.Deployment.Terms), Terms: p.Deployment.Terms, Zones: p.Deployment.Zones.All(),
 		Machines: p.Deployment.Machines.All(), Kinds: p.Deployment.Kinds.All(), MostProxies: p.Proxies, Relay: k, List: x{}, Prober: probe.Never{},
 		Peers: peers.Nobody{}, Log: func(string) {}, Odd: func(what string, _ ...string) { t.Error(what) }})
@@ -213,10 +213,10 @@
 	listen := free.Addr().String()
 	require.NoError(t, free.Close())
 	old, now := s.open(t), s.open(t)
-	var next atomic.Pointer[config.Placement] // nil: the file is wrong
+	var next atomic.Pointer[placement.Placement] // nil: the file is wrong
 	ctx, cancel := context.WithCancel(context.Background())
 	reload, ended := make(chan struct{}, 1), make(chan error, 1)
-	p := New(placement(t, listen, old, old), func() (*config.Placement, error) {
+	p := New(newPlacement(t, listen, old, old), func() (*placement.Placement, error) {
 		if p := next.Load(); p != nil {
 			return p, nil
 		}
@@ -239,13 +239,13 @@
 	reload <- struct{}{}
 	require.Eventually(t, func() bool { return len(reload) == 0 }, 5*time.Second, time.Millisecond)
 	assert.Zero(t, s.asked(now+"/catalog/members"))
-	next.Store(placement(t, listen, now, now)) // the file was being written: it is read again unasked
+	next.Store(newPlacement(t, listen, now, now)) // the file was being written: it is read again unasked
 	require.Eventually(t, func() bool {
 		return s.asked(now+"/catalog/members") > 1 && s.asked(now+"/v1/events") > 1
 	}, 10*time.Second, time.Millisecond)
 
 	third := s.open(t)
-	next.Store(placement(t, listen, third, third))
+	next.Store(newPlacement(t, listen, third, third))
 	reload <- struct{}{}
 	reload <- struct{}{}
 	require.Eventually(t, func() bool {
