--- a/internal/platform/agent/agent.go
+++ b/internal/platform/discovery/agent.go
@@ -1,7 +1,7 @@
-// Package agent follows the endpoint list at the platform's discovery agent: HTTP/1.1 watches, one after another on
+// Package discovery follows the endpoint list at the platform's discovery agent: HTTP/1.1 watches, one after another on
 // one connection. It parses, checks and hands over; what a list means the module decides. A call that fails or stays
 // silent is made again on a new connection, with the version held.
-package agent
+package discovery
 
 import (
 	"bufio"
--- a/internal/platform/placement/config.go
+++ b/internal/platform/placement/config.go
@@ -11,7 +11,7 @@
 	"reflect"
 	"strconv"
 
-	"indigousher/internal/platform/agent"
+	"indigousher/internal/platform/discovery"
 	"indigousher/internal/terms"
 	"indigousher/internal/translate"
 	"indigousher/internal/wire"
@@ -148,7 +148,7 @@
 	if len(p.Known) == 0 || string(p.Known) == "null" {
 		return nil
 	}
-	l, odd, err := agent.ParseList(p.Known)
+	l, odd, err := discovery.ParseList(p.Known)
 	if err != nil { // it is a help at the start; discovery tells the list anyway
 		p.Left = fmt.Sprintf("known: %v", err)
 		return nil
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -16,7 +16,7 @@
 	"indigousher/internal/edge/peers"
 	"indigousher/internal/edge/probe"
 	"indigousher/internal/pilot"
-	"indigousher/internal/platform/agent"
+	"indigousher/internal/platform/discovery"
 	"indigousher/internal/platform/listener"
 	"indigousher/internal/platform/placement"
 	"indigousher/internal/platform/relay"
@@ -41,7 +41,7 @@
 	listener  *listener.Listener
 	orders    *relay.Orders
 	events    *relay.Events
-	agent     *agent.Agent
+	agent     *discovery.Agent
 	counters  relay.Counters
 	reread    func() (*placement.Placement, error)
 }
@@ -58,7 +58,7 @@
 	kinds := p.Deployment.Kinds.All()
 	box := &inbox{}
 	x.orders = relay.NewOrders(p.Relay.Address, kinds, box, &x.counters, log)
-	x.agent = agent.New(p.Discovery, !p.OnRequest, box, log)
+	x.agent = discovery.New(p.Discovery, !p.OnRequest, box, log)
 	x.events = relay.NewEvents(p.Relay.Address, box, &x.counters, log)
 	spare := float64(p.Limits.Sockets - ownSockets)
 	x.listener = listener.New(p.Deployment.Zones.All(), int(spare*strangers), box, log)
