--- a/internal/platform/listener/listener.go
+++ b/internal/platform/listener/listener.go
@@ -21,7 +21,7 @@
 
 	"indigousher/internal/pause"
 	"indigousher/internal/pilot"
-	"indigousher/internal/platform/peek"
+	"indigousher/internal/platform/connstate"
 )
 
 // Figures of the listener.
@@ -103,7 +103,7 @@
 	for d.waiting.Len() > left {
 		goes := d.waiting.Front()
 		for place := goes; place != nil; place = place.Next() {
-			if conn, ok := place.Value.(net.Conn); ok && peek.At(conn) != peek.Data {
+			if conn, ok := place.Value.(net.Conn); ok && connstate.At(conn) != connstate.Data {
 				goes = place
 				break
 			}
--- a/internal/platform/listener/listener_test.go
+++ b/internal/platform/listener/listener_test.go
@@ -17,7 +17,7 @@
 	"go.uber.org/zap"
 
 	"indigousher/internal/pilot"
-	"indigousher/internal/platform/peek"
+	"indigousher/internal/platform/connstate"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -187,13 +187,13 @@
 				conn, err := l.Accept()
 				require.NoError(t, err)
 				defer conn.Close()
-				require.Eventually(t, func() bool { return text == "" || peek.At(conn) == peek.Data }, 5*time.Second, time.Millisecond)
+				require.Eventually(t, func() bool { return text == "" || connstate.At(conn) == connstate.Data }, 5*time.Second, time.Millisecond)
 				d.enter(conn)
 				peers = append(peers, peer)
 			}
-			require.Eventually(t, func() bool { return peek.At(peers[c.gone]) == peek.Gone }, 5*time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return connstate.At(peers[c.gone]) == connstate.Gone }, 5*time.Second, time.Millisecond)
 			for i, peer := range peers {
-				assert.Equal(t, i == c.gone, peek.At(peer) == peek.Gone, "number %d", i)
+				assert.Equal(t, i == c.gone, connstate.At(peer) == connstate.Gone, "number %d", i)
 			}
 		})
 	}
--- a/internal/platform/relay/relay.go
+++ b/internal/platform/relay/relay.go
@@ -23,7 +23,7 @@
 
 	"indigousher/internal/pause"
 	"indigousher/internal/pilot"
-	"indigousher/internal/platform/peek"
+	"indigousher/internal/platform/connstate"
 	"indigousher/planner"
 )
 
@@ -378,7 +378,7 @@
 
 // exchange sends a call and returns what the relay says to it.
 func (r *Orders) exchange(ctx context.Context, address string, call []op) (body []byte, last bool, err error) {
-	if r.conn != nil && (r.to != address || time.Since(r.used) > idleMost || peek.At(r.conn) != peek.Quiet) {
+	if r.conn != nil && (r.to != address || time.Since(r.used) > idleMost || connstate.At(r.conn) != connstate.Quiet) {
 		r.hangUp()
 	}
 	if r.conn == nil {
