--- a/internal/pilot/core.go
+++ b/internal/pilot/core.go
@@ -9,7 +9,7 @@
 	"maps"
 	"slices"
 
-	"indigousher/internal/translate"
+	"indigousher/internal/settings"
 	"indigousher/internal/wire"
 	"indigousher/planner"
 	"indigousher/telemetry"
@@ -151,8 +151,8 @@
 // Core holds what the orders so far amount to. It is used by one goroutine.
 type Core struct {
 	plan                              Plan
-	endpoints, zones, machines, kinds translate.Names
-	proxies                           translate.Names
+	endpoints, zones, machines, kinds settings.Names
+	proxies                           settings.Names
 	sessions                          map[int]*session
 	streams                           map[Stream]*session
 	tables                            map[int]*table
--- a/internal/pilot/relayed.go
+++ b/internal/pilot/relayed.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"indigousher/internal/translate"
+	"indigousher/internal/settings"
 	"indigousher/internal/wire"
 	"indigousher/planner"
 )
@@ -82,7 +82,7 @@
 		c.Believed.Reports++
 		c.Believed.SpanMs += in.SpanMs
 		return append(notes, planner.Met{Endpoint: endpoint, Zone: zone, Tries: in.Tries, Failed: in.Failed,
-			MeanMs: in.MeanMs, SpanMs: in.SpanMs, Load: translate.Load(in.Load)})
+			MeanMs: in.MeanMs, SpanMs: in.SpanMs, Load: settings.Load(in.Load)})
 	case ProxyDemand:
 		kind, known := c.kinds.Find(in.Kind)
 		if !known || !c.provides(in.Proxy) {
--- a/internal/platform/placement/config.go
+++ b/internal/platform/placement/config.go
@@ -12,8 +12,8 @@
 	"strconv"
 
 	"indigousher/internal/platform/discovery"
+	"indigousher/internal/settings"
 	"indigousher/internal/terms"
-	"indigousher/internal/translate"
 	"indigousher/internal/wire"
 	"indigousher/planner"
 )
@@ -44,12 +44,12 @@
 	Known    json.RawMessage `json:"known"`
 	Settings map[string]any  `json:"settings"`
 
-	Seed       int64                 `json:"-"`
-	Remembered *wire.List            `json:"-"` // nil: none
-	Deployment *translate.Deployment `json:"-"`
-	Proxies    int                   `json:"-"` // numbers below this exist
-	OnRequest  bool                  `json:"-"` // the list is told only after the module has asked
-	Left       string                `json:"-"` // what of the file is left out, as it can't be used; "": nothing
+	Seed       int64                `json:"-"`
+	Remembered *wire.List           `json:"-"` // nil: none
+	Deployment *settings.Deployment `json:"-"`
+	Proxies    int                  `json:"-"` // numbers below this exist
+	OnRequest  bool                 `json:"-"` // the list is told only after the module has asked
+	Left       string               `json:"-"` // what of the file is left out, as it can't be used; "": nothing
 }
 
 // Read reads the file that NODE_CONFIG names and holds the other variables against it.
@@ -165,7 +165,7 @@
 	if len(p.Settings) == 0 {
 		return errors.New("settings are missing")
 	}
-	p.Deployment = translate.Read(p.Settings)
+	p.Deployment = settings.Read(p.Settings)
 	terms := p.Deployment.Terms
 	if n := len(p.Deployment.Zones.All()); n == 0 || n > mostZones {
 		return fmt.Errorf("settings: %d zones", n)
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -11,7 +11,7 @@
 	"math"
 	"strconv"
 
-	"indigousher/internal/translate"
+	"indigousher/internal/settings"
 	"indigousher/planner"
 )
 
@@ -20,7 +20,7 @@
 	name                            string
 	brain                           *planner.Brain
 	origin                          int64
-	endpoints, zones, kinds, models translate.Names
+	endpoints, zones, kinds, models settings.Names
 	joined                          map[int]bool
 }
 
@@ -197,7 +197,7 @@
 
 // start makes an instance from its first event.
 func start(e *event, clock int64) *pilot {
-	d := translate.Read(e.Setup)
+	d := settings.Read(e.Setup)
 	return &pilot{name: e.Instance, origin: clock, joined: map[int]bool{}, zones: d.Zones, kinds: d.Kinds,
 		models: d.Machines, brain: planner.New(e.Seed, d.Terms)}
 }
@@ -229,7 +229,7 @@
 }
 
 // ms turns a clock value into milliseconds since the instance's start.
-func (p *pilot) ms(clock int64) float64 { return float64(clock-p.origin) / translate.NsPerMs }
+func (p *pilot) ms(clock int64) float64 { return float64(clock-p.origin) / settings.NsPerMs }
 
 // note turns one event into a note.
 func (p *pilot) note(e *event) (planner.Note, error) {
@@ -240,7 +240,7 @@
 		return planner.Alarm{Name: e.Ref}, nil
 	case "ping_result":
 		return planner.Probed{Endpoint: p.endpoints.In(e.Endpoint), OK: e.Result == "S", Outcome: e.Result,
-			TookMs: e.Wait / translate.NsPerMs, Load: translate.Load(e.Load)}, nil
+			TookMs: e.Wait / settings.NsPerMs, Load: settings.Load(e.Load)}, nil
 	case "peer":
 		return planner.Gossip{From: e.By, Text: e.Contents}, nil
 	case "stream_up":
@@ -252,19 +252,19 @@
 		return planner.Left{Proxy: e.Edge}, nil
 	case "tally":
 		return planner.Met{Endpoint: p.endpoints.In(e.Endpoint), Zone: p.zones.In(e.Zone), Tries: e.Count,
-			Failed: e.Errors, MeanMs: e.Wait / translate.NsPerMs, SpanMs: e.Covers / translate.NsPerMs, Load: translate.Load(e.Load)}, nil
+			Failed: e.Errors, MeanMs: e.Wait / settings.NsPerMs, SpanMs: e.Covers / settings.NsPerMs, Load: settings.Load(e.Load)}, nil
 	case "proxy_stats":
 		return planner.Demand{Proxy: e.Edge, Kind: p.kinds.In(e.Qos), Reqs: e.Count, Unanswered: e.Errors,
-			SpanMs: e.Covers / translate.NsPerMs}, nil
+			SpanMs: e.Covers / settings.NsPerMs}, nil
 	case "weight_seen":
 		return planner.SliceDemand{Slice: e.Table, Kind: p.kinds.In(e.Qos), Reqs: e.Count, Unanswered: e.Errors,
-			SpanMs: e.Covers / translate.NsPerMs}, nil
+			SpanMs: e.Covers / settings.NsPerMs}, nil
 	case "handed":
 		return planner.SliceCharge{Slice: e.Table, Given: e.Active}, nil
 	case "stored_line":
 		return planner.SliceLine{Slice: e.Table, Endpoint: p.endpoints.In(e.Endpoint), Weight: e.Heft}, nil
 	case "confirmed":
-		return planner.Applied{Proxy: e.Edge, Number: e.Epoch, TookMs: e.Wait / translate.NsPerMs}, nil
+		return planner.Applied{Proxy: e.Edge, Number: e.Epoch, TookMs: e.Wait / settings.NsPerMs}, nil
 	}
 	return nil, fmt.Errorf("unknown kind of event %q", e.Kind)
 }
@@ -321,7 +321,7 @@
 	case planner.Tell:
 		return map[string]any{"kind": "memo_to", "neighbour_id": o.Peer, "contents": o.Text}, nil
 	case planner.WakeAt:
-		due := p.origin + int64(math.Round(o.AtMs*translate.NsPerMs))
+		due := p.origin + int64(math.Round(o.AtMs*settings.NsPerMs))
 		return map[string]any{"kind": "set_timer", "due_at": due, "ref": o.Name}, nil
 	case planner.Watch:
 		return map[string]any{"kind": "stream_changes", "active": o.On}, nil
