--- a/cmd/indigousher/records.go
+++ b/cmd/indigousher/records.go
@@ -13,10 +13,10 @@
 
 	"github.com/spf13/cobra"
 
+	"indigousher/internal/config"
 	"indigousher/internal/daemon"
 	"indigousher/internal/pilot"
 	"indigousher/internal/record"
-	"indigousher/internal/terms"
 	"indigousher/planner"
 )
 
@@ -56,7 +56,7 @@
 	}
 	var other map[string]any
 	if with != "" {
-		t, err := terms.ReadPilot(with)
+		t, err := config.ReadPilot(with)
 		if err != nil {
 			return err
 		}
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -9,8 +9,8 @@
 	"slices"
 	"strings"
 
+	"indigousher/internal/config"
 	"indigousher/internal/standin/trail"
-	"indigousher/internal/terms"
 	"indigousher/internal/wire"
 )
 
@@ -135,7 +135,7 @@
 
 // Auditor walks through the trails once, by time.
 type Auditor struct {
-	terms     *terms.Common
+	terms     *config.Common
 	names     map[string]string // endpoints' trail names by address
 	addresses map[string][]string
 	service   *server
@@ -154,7 +154,7 @@
 const grid = 50.0
 
 // Judge gives the verdicts. Addresses maps an endpoint's address to its name in the trails.
-func Judge(events []trail.Event, t *terms.Common, addresses map[string]string) *Report {
+func Judge(events []trail.Event, t *config.Common, addresses map[string]string) *Report {
 	a := New(t)
 	for address, name := range addresses {
 		a.Place(address, name)
@@ -166,7 +166,7 @@
 }
 
 // New returns an auditor that has seen nothing.
-func New(t *terms.Common) *Auditor {
+func New(t *config.Common) *Auditor {
 	a := &Auditor{terms: t, names: map[string]string{}, addresses: map[string][]string{}, service: newServer(t), proxies: map[string]*proxyState{}, pilots: map[string]*pilotState{},
 		endpoints: map[string]*endpointState{}, effects: map[string]map[uint64]int{}, cutZones: map[string]bool{},
 		dumb: map[string]bool{}, report: &Report{}}
@@ -296,7 +296,7 @@
 }
 
 // setLines notes how many lines a kind has.
-func (p *proxyState) setLines(e trail.Event, kinds []terms.ReqKind) {
+func (p *proxyState) setLines(e trail.Event, kinds []config.ReqKind) {
 	p.lines[e.Kind] = e.N
 	p.empty = false
 	for _, k := range kinds {
@@ -335,7 +335,7 @@
 }
 
 // anyWarm returns whether a pilot's list shows a ready, warm endpoint open to a kind.
-func (a *Auditor) anyWarm(p *pilotState, zone string, k terms.ReqKind) bool {
+func (a *Auditor) anyWarm(p *pilotState, zone string, k config.ReqKind) bool {
 	for _, t := range p.told {
 		if t.phase == wire.PhaseReady && a.tick-t.started >= float64(a.terms.Cold.Milliseconds()) &&
 			(len(k.OnlyMachines) == 0 || slices.Contains(k.OnlyMachines, t.machine)) &&
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/assert"
 
+	"indigousher/internal/config"
 	"indigousher/internal/standin/trail"
-	"indigousher/internal/terms"
 	"indigousher/internal/wire"
 )
 
@@ -22,8 +22,8 @@
 // TestLimits holds each rule's verdict against its limit, from both sides, on trails made by hand: within it is kept, a
 // little beyond it is broken. A fault in the audit would pass for the program's merit.
 func TestLimits(t *testing.T) {
-	c := terms.CommonDefaults()
-	c.Zones, c.Machines, c.Kinds = []string{"a"}, []string{"std"}, []terms.ReqKind{{Name: "read", Repeats: "replayable", Payoff: 1},
+	c := config.CommonDefaults()
+	c.Zones, c.Machines, c.Kinds = []string{"a"}, []string{"std"}, []config.ReqKind{{Name: "read", Repeats: "replayable", Payoff: 1},
 		{Name: "book", Repeats: "non-replayable", Payoff: 5}}
 	told := func(at float64, endpoint string, phase int, age float64) trail.Event {
 		return trail.Event{At: at, Who: "list", What: trail.Told, Peer: "pilot-0", Text: endpoint, Kind: "a/std", N: phase, Value: age}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -19,6 +19,7 @@
 	"golang.org/x/net/netutil"
 	"golang.org/x/sync/errgroup"
 
+	"indigousher/internal/config"
 	"indigousher/internal/edge/admin"
 	"indigousher/internal/edge/framed"
 	"indigousher/internal/edge/grpcedge"
@@ -28,7 +29,6 @@
 	"indigousher/internal/edge/xdsedge"
 	"indigousher/internal/keys"
 	"indigousher/internal/pilot"
-	"indigousher/internal/terms"
 	"indigousher/planner"
 )
 
@@ -87,7 +87,7 @@
 
 // Daemon is one pilot.
 type Daemon struct {
-	terms    atomic.Pointer[terms.Pilot]
+	terms    atomic.Pointer[config.Pilot]
 	outfit   Outfit
 	registry *prometheus.Registry
 	meter    *pilot.Meter
@@ -116,7 +116,7 @@
 func (l later) Post(ctx context.Context, in pilot.Input) error { return l.d.loop.Post(ctx, in) }
 
 // New opens the listeners and builds the pilot. Nothing runs before Run.
-func New(t *terms.Pilot, o Outfit) (*Daemon, error) {
+func New(t *config.Pilot, o Outfit) (*Daemon, error) {
 	o.fill()
 	d := &Daemon{outfit: o, registry: prometheus.NewRegistry(), files: map[string]*os.File{}}
 	d.terms.Store(t)
@@ -134,7 +134,7 @@
 	return d, nil
 }
 
-func (d *Daemon) open(t *terms.Pilot) (err error) {
+func (d *Daemon) open(t *config.Pilot) (err error) {
 	if err := d.openKeys(t); err != nil {
 		return err
 	}
@@ -159,7 +159,7 @@
 	if t.ListAddress != "" {
 		d.source = list.NewStream(t.Name, t.ListAddress, d.outfit.Dial, later{d}, t.ListSilence, d.outfit.Log.Named("list"))
 	} else {
-		d.source = list.NewFile(t.ListFile, terms.ReadList, later{d}, d.outfit.Log.Named("list"))
+		d.source = list.NewFile(t.ListFile, config.ReadList, later{d}, d.outfit.Log.Named("list"))
 	}
 	notes, err := d.openPeers(t)
 	if err != nil {
@@ -226,7 +226,7 @@
 }
 
 // openKeys loads the keys, if the terms name any, and shows when they end.
-func (d *Daemon) openKeys(t *terms.Pilot) (err error) {
+func (d *Daemon) openKeys(t *config.Pilot) (err error) {
 	if t.Plain {
 		return nil
 	}
@@ -288,7 +288,7 @@
 func (nobody) Watch(bool) {}
 func (nobody) Fetch()     {}
 
-func (d *Daemon) openPeers(t *terms.Pilot) (pilot.Peers, error) {
+func (d *Daemon) openPeers(t *config.Pilot) (pilot.Peers, error) {
 	if t.PeersListen == "" {
 		return peers.Nobody{}, nil
 	}
@@ -462,8 +462,8 @@
 
 // Reload takes over what may change of new terms and returns what does so at once and what wants a restart. The
 // fields that want one keep their old values.
-func (d *Daemon) Reload(ctx context.Context, now *terms.Pilot) (changed, restart []string, err error) {
-	changed, restart = terms.Reload(d.terms.Load(), now)
+func (d *Daemon) Reload(ctx context.Context, now *config.Pilot) (changed, restart []string, err error) {
+	changed, restart = config.Reload(d.terms.Load(), now)
 	if len(changed) == 0 {
 		return nil, restart, nil
 	}
@@ -475,7 +475,7 @@
 			d.outfit.Level.SetLevel(l.Level())
 		}
 	}
-	d.terms.Store(terms.Merge(d.terms.Load(), now))
+	d.terms.Store(config.Merge(d.terms.Load(), now))
 	if d.record != nil {
 		if err := d.record.reterm(d.terms.Load()); err != nil {
 			d.outfit.Log.Error("terms not recorded; a return will start cold", zap.Error(err))
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -16,10 +16,10 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
+	"indigousher/internal/config"
 	"indigousher/internal/standin/follow"
 	"indigousher/internal/standin/proxy"
 	"indigousher/internal/standin/trail"
-	"indigousher/internal/terms"
 )
 
 func TestMain(m *testing.M) {
@@ -28,14 +28,14 @@
 }
 
 // pilotTerms writes a list file and returns terms that follow it.
-func pilotTerms(t *testing.T, endpoints ...string) *terms.Pilot {
+func pilotTerms(t *testing.T, endpoints ...string) *config.Pilot {
 	path := filepath.Join(t.TempDir(), "endpoints.hcl")
 	text := ""
 	for _, e := range endpoints {
 		text += fmt.Sprintf("endpoint %q {\n  zone = \"a\"\n}\n", e)
 	}
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-	p, err := terms.Parse("p.hcl", []byte(fmt.Sprintf(`zones = ["a"]
+	p, err := config.Parse("p.hcl", []byte(fmt.Sprintf(`zones = ["a"]
 machines = ["std"]
 req_kind "read" {}
 pilot {
@@ -159,11 +159,11 @@
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer taken.Close()
-	for name, change := range map[string]func(*terms.Pilot){
-		"listen for proxies":   func(p *terms.Pilot) { p.Listen = taken.Addr().String() },
-		"listen for operators": func(p *terms.Pilot) { p.Admin = taken.Addr().String() },
-		"listen for pilots":    func(p *terms.Pilot) { p.PeersListen = "127.0.0.1:none" },
-		"address of pilot 1":   func(p *terms.Pilot) { p.PeersListen, p.Peers = "127.0.0.1:0", map[string]string{"1": "x"} },
+	for name, change := range map[string]func(*config.Pilot){
+		"listen for proxies":   func(p *config.Pilot) { p.Listen = taken.Addr().String() },
+		"listen for operators": func(p *config.Pilot) { p.Admin = taken.Addr().String() },
+		"listen for pilots":    func(p *config.Pilot) { p.PeersListen = "127.0.0.1:none" },
+		"address of pilot 1":   func(p *config.Pilot) { p.PeersListen, p.Peers = "127.0.0.1:0", map[string]string{"1": "x"} },
 	} {
 		p := pilotTerms(t)
 		change(p)
--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -12,13 +12,13 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
+	"indigousher/internal/config"
 	"indigousher/internal/pilot"
 	"indigousher/internal/record"
 	"indigousher/internal/standin/follow"
 	"indigousher/internal/standin/list"
 	"indigousher/internal/standin/proxy"
 	"indigousher/internal/standin/trail"
-	"indigousher/internal/terms"
 	"indigousher/internal/wire"
 	"indigousher/planner"
 	"indigousher/telemetry"
@@ -51,8 +51,8 @@
 			defer l.Close()
 			entries := fleet()
 			l.Put(0, entries...)
-			t := terms.Defaults()
-			t.Zones, t.Machines, t.Kinds = zones, []string{"std"}, []terms.ReqKind{{Name: "read", Repeats: "replayable",
+			t := config.Defaults()
+			t.Zones, t.Machines, t.Kinds = zones, []string{"std"}, []config.ReqKind{{Name: "read", Repeats: "replayable",
 				ResponseTarget: time.Second, ClientTimeout: 3 * time.Second, Payoff: 1}}
 			t.Zone, t.Listen, t.Admin, t.ListAddress = "a", "127.0.0.1:0", "", l.Address()
 			t.Proxies, t.LinesPerS, t.Backlog = manyProxies, pace, 1.5*pace
@@ -144,9 +144,9 @@
 func BenchmarkCoreRecorded(b *testing.B) { benchmarkCore(b, true) }
 
 func benchmarkCore(b *testing.B, recorded bool) {
-	c := terms.CommonDefaults()
+	c := config.CommonDefaults()
 	c.Zones, c.Machines, c.Proxies, c.LinesPerS, c.Backlog = zones, []string{"std"}, manyProxies, 20000, 30000
-	c.Kinds = []terms.ReqKind{{Name: "read", Repeats: "replayable", ResponseTarget: time.Second, Payoff: 1}}
+	c.Kinds = []config.ReqKind{{Name: "read", Repeats: "replayable", ResponseTarget: time.Second, Payoff: 1}}
 	told := c.ForModule(0)
 	timed := &timed{Decider: planner.New(1, told)}
 	var core *pilot.Core
--- a/internal/daemon/transports_test.go
+++ b/internal/daemon/transports_test.go
@@ -20,11 +20,11 @@
 	"google.golang.org/grpc/credentials"
 	"google.golang.org/grpc/credentials/insecure"
 
+	"indigousher/internal/config"
 	"indigousher/internal/keys"
 	"indigousher/internal/standin/list"
 	"indigousher/internal/standin/proxy"
 	"indigousher/internal/standin/trail"
-	"indigousher/internal/terms"
 	"indigousher/internal/wire"
 )
 
@@ -150,8 +150,8 @@
 		require.NoError(b, err)
 		return f
 	}
-	t := terms.Defaults()
-	t.Zones, t.Machines, t.Kinds = zones, []string{"std"}, []terms.ReqKind{{Name: "read", Repeats: "replayable",
+	t := config.Defaults()
+	t.Zones, t.Machines, t.Kinds = zones, []string{"std"}, []config.ReqKind{{Name: "read", Repeats: "replayable",
 		ResponseTarget: time.Second, ClientTimeout: 3 * time.Second, Payoff: 1}}
 	t.Zone, t.Listen, t.Admin, t.Proxies, t.LinesPerS, t.Backlog, t.MessagesMost = "a", "127.0.0.1:0", "", many, 1e9, 1e9, 0
 	t.GRPC, t.Plain, t.Beat, t.NewPerS, t.SeenWithin, t.MaxStreams = "127.0.0.1:0", !sealed, 20*time.Second, 0, time.Minute, 5000
--- a/internal/edge/list/list_test.go
+++ b/internal/edge/list/list_test.go
@@ -16,10 +16,10 @@
 	"go.uber.org/goleak"
 	"go.uber.org/zap"
 
+	"indigousher/internal/config"
 	"indigousher/internal/pilot"
 	standin "indigousher/internal/standin/list"
 	"indigousher/internal/standin/trail"
-	"indigousher/internal/terms"
 	"indigousher/internal/wire"
 )
 
@@ -123,7 +123,7 @@
 		require.NoError(t, os.Rename(path+".new", path))
 	}
 	in := &inbox{}
-	f := NewFile(path, terms.ReadList, in, zap.NewNop())
+	f := NewFile(path, config.ReadList, in, zap.NewNop())
 	run(t, f.Run)
 	in.has(t, "lost")
 	write("endpoint \"x\" {\n  zone = \"a\"\n}\n")
@@ -146,7 +146,7 @@
 	}
 	require.NoError(t, os.WriteFile(path, []byte(whole), 0o600))
 	in := &inbox{}
-	f := NewFile(path, terms.ReadList, in, zap.NewNop())
+	f := NewFile(path, config.ReadList, in, zap.NewNop())
 	f.Settles = longest / 2 // a machine that is busy may hold the writer up for a while
 	run(t, f.Run)
 	require.Eventually(t, func() bool { in.mu.Lock(); defer in.mu.Unlock(); return len(in.got) == 1 }, 5*time.Second, time.Millisecond)
@@ -184,7 +184,7 @@
 	path := filepath.Join(t.TempDir(), "endpoints.hcl")
 	require.NoError(t, os.WriteFile(path, []byte("endpoint {"), 0o600))
 	in := &eager{}
-	in.f = NewFile(path, terms.ReadList, in, zap.NewNop())
+	in.f = NewFile(path, config.ReadList, in, zap.NewNop())
 	run(t, in.f.Run)
 	time.Sleep(wrongFor + wrongFor/2)
 	assert.LessOrEqual(t, in.lost.Load(), int64(3))
--- a/internal/edge/xdsedge/xds_test.go
+++ b/internal/edge/xdsedge/xds_test.go
@@ -15,10 +15,10 @@
 	healthpb "google.golang.org/grpc/health/grpc_health_v1"
 	"google.golang.org/grpc/xds"
 
+	"indigousher/internal/config"
 	"indigousher/internal/daemon"
 	"indigousher/internal/standin/list"
 	"indigousher/internal/standin/trail"
-	"indigousher/internal/terms"
 	"indigousher/internal/wire"
 )
 
@@ -63,7 +63,7 @@
 		entries = append(entries, wire.Entry{Endpoint: b.at, Zone: []string{"a", "b"}[i/3], Machine: "std", Weight: weight})
 	}
 	source.Put(0, entries...)
-	p, err := terms.Parse("p.hcl", []byte(fmt.Sprintf(`zones = ["a", "b"]
+	p, err := config.Parse("p.hcl", []byte(fmt.Sprintf(`zones = ["a", "b"]
 machines = ["std"]
 req_kind "read" {}
 pilot {
--- a/internal/emulator/pilot.go
+++ b/internal/emulator/pilot.go
@@ -4,10 +4,10 @@
 	"fmt"
 
 	"indigousher/internal/baseline"
+	"indigousher/internal/config"
 	"indigousher/internal/pilot"
 	"indigousher/internal/record"
 	"indigousher/internal/standin/trail"
-	"indigousher/internal/terms"
 	"indigousher/internal/wire"
 	"indigousher/recovery"
 )
@@ -17,7 +17,7 @@
 	w       *World
 	place   place
 	rank    int
-	terms   terms.Pilot
+	terms   config.Pilot
 	run     *pilotRun
 	streams map[*stream]bool
 	disk    []record.Turn // of the last life, as kept
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -14,6 +14,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"indigousher/internal/audit"
+	"indigousher/internal/config"
 	"indigousher/internal/day"
 	"indigousher/internal/pilot"
 	"indigousher/internal/record"
@@ -21,7 +22,6 @@
 	"indigousher/internal/standin/endpoint"
 	"indigousher/internal/standin/follow"
 	"indigousher/internal/standin/trail"
-	"indigousher/internal/terms"
 	"indigousher/internal/wire"
 	"indigousher/planner"
 )
@@ -221,8 +221,8 @@
 	}
 }
 
-func (w *World) pilotTerms(s *seat) terms.Pilot {
-	t := terms.Defaults()
+func (w *World) pilotTerms(s *seat) config.Pilot {
+	t := config.Defaults()
 	t.Common, t.Name, t.Zone, t.Rank, t.Seed = w.Day.Common, s.place.name, s.place.zone, s.rank, w.Day.Seed+s.rank
 	t.IntakeLinesPerS, t.IntakeStanding = w.Day.IntakeLinesPerS, w.Day.IntakeStanding
 	t.MaxStreams = max(t.MaxStreams, 2*len(w.Day.ProxyZones))
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -15,8 +15,8 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 
 	"indigousher/internal/baseline"
+	"indigousher/internal/config"
 	"indigousher/internal/day"
-	"indigousher/internal/terms"
 )
 
 // Plan is one experiment file.
@@ -89,20 +89,20 @@
 
 // Read reads and checks an experiment file.
 func Read(path string) (*Plan, error) {
-	text, err := terms.ReadFile(path)
+	text, err := config.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("read experiment: %w", err)
 	}
 	p := &Plan{Name: strings.TrimSuffix(filepath.Base(path), ".hcl"), Repeats: 5, Budget: 10 * time.Minute,
 		Policies: []string{Ours}, folder: filepath.Dir(path)}
-	body, diags := terms.Open(path, text)
+	body, diags := config.Open(path, text)
 	if !diags.HasErrors() {
-		diags = terms.Read(body, []terms.Field{{Name: "about", Into: &p.About}, {Name: "day", Into: &p.Day, Needed: true},
+		diags = config.Read(body, []config.Field{{Name: "about", Into: &p.About}, {Name: "day", Into: &p.Day, Needed: true},
 			{Name: "repeats", Into: &p.Repeats, Least: 1, Most: 10000}, {Name: "budget", Into: &p.Budget, Least: 1},
-			{Name: "policies", Into: &p.Policies}}, []terms.Sub{{Name: "factor", Labels: 1, Read: p.factor}})
+			{Name: "policies", Into: &p.Policies}}, []config.Sub{{Name: "factor", Labels: 1, Read: p.factor}})
 	}
 	if diags.HasErrors() {
-		return nil, terms.Complaints(diags)
+		return nil, config.Complaints(diags)
 	}
 	for _, x := range p.Policies {
 		if !slices.Contains(policies(), x) {
@@ -117,7 +117,7 @@
 
 func (p *Plan) factor(labels []string, b *hclsyntax.Body) hcl.Diagnostics {
 	var levels []string
-	diags := terms.Read(b, []terms.Field{{Name: "levels", Into: &levels, Needed: true}}, nil)
+	diags := config.Read(b, []config.Field{{Name: "levels", Into: &levels, Needed: true}}, nil)
 	wrong := func(text string) {
 		diags = append(diags, &hcl.Diagnostic{Severity: hcl.DiagError, Summary: text, Subject: b.SrcRange.Ptr()})
 	}
--- a/internal/platform/placement/config.go
+++ b/internal/platform/placement/config.go
@@ -11,9 +11,9 @@
 	"reflect"
 	"strconv"
 
+	"indigousher/internal/config"
 	"indigousher/internal/platform/discovery"
 	"indigousher/internal/settings"
-	"indigousher/internal/terms"
 	"indigousher/internal/wire"
 	"indigousher/planner"
 )
@@ -74,7 +74,7 @@
 
 // ReadFile reads and checks a file.
 func ReadFile(path string) (*Placement, error) {
-	text, err := terms.ReadFile(path)
+	text, err := config.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("read NODE_CONFIG: %w", err)
 	}
@@ -87,8 +87,8 @@
 
 // Parse checks a file's text.
 func Parse(text []byte) (*Placement, error) {
-	if len(text) > terms.MostBytes {
-		return nil, fmt.Errorf("longer than %d bytes", terms.MostBytes)
+	if len(text) > config.MostBytes {
+		return nil, fmt.Errorf("longer than %d bytes", config.MostBytes)
 	}
 	p := &Placement{}
 	if err := json.Unmarshal(text, p); err != nil {
--- a/internal/rehearsal/stage.go
+++ b/internal/rehearsal/stage.go
@@ -21,6 +21,7 @@
 	"go.uber.org/zap"
 
 	"indigousher/internal/audit"
+	"indigousher/internal/config"
 	"indigousher/internal/daemon"
 	"indigousher/internal/day"
 	"indigousher/internal/keys"
@@ -33,7 +34,6 @@
 	"indigousher/internal/standin/list"
 	"indigousher/internal/standin/proxy"
 	"indigousher/internal/standin/trail"
-	"indigousher/internal/terms"
 	"indigousher/internal/wire"
 )
 
@@ -88,7 +88,7 @@
 // seat is a pilot's place; its process may die and come back.
 type seat struct {
 	name, zone string
-	terms      terms.Pilot
+	terms      config.Pilot
 	mu         sync.Mutex
 	h          *daemon.Host
 	cancel     context.CancelFunc
@@ -186,8 +186,8 @@
 	return nil
 }
 
-func (s *stage) pilotTerms(st *seat, rank int) terms.Pilot {
-	t := terms.Defaults()
+func (s *stage) pilotTerms(st *seat, rank int) config.Pilot {
+	t := config.Defaults()
 	t.Common, t.Name, t.Zone, t.Rank, t.Seed = s.Day.Common, st.name, st.zone, rank, s.Day.Seed+rank
 	t.Listen, t.Admin, t.ListAddress = net.JoinHostPort(links.Host, "0"), "", s.list.Address()
 	t.Beat, t.WriteDeadline, t.ListSilence = s.Day.Beat, s.Day.WriteWithin, 2*time.Second
--- a/internal/rehearsal/strike.go
+++ b/internal/rehearsal/strike.go
@@ -9,13 +9,13 @@
 	"sync"
 	"time"
 
+	"indigousher/internal/config"
 	"indigousher/internal/day"
 	"indigousher/internal/pause"
 	"indigousher/internal/standin/endpoint"
 	"indigousher/internal/standin/list"
 	"indigousher/internal/standin/proxy"
 	"indigousher/internal/standin/trail"
-	"indigousher/internal/terms"
 	"indigousher/internal/wire"
 )
 
@@ -365,7 +365,7 @@
 	}
 	d := h.Daemon()
 	now.LinesPerS *= t.Size
-	now.Kinds = append([]terms.ReqKind{}, now.Kinds...)
+	now.Kinds = append([]config.ReqKind{}, now.Kinds...)
 	now.MaxStreams++
 	changed, restart, err := d.Reload(ctx, &now)
 	if err != nil {
