--- a/internal/edge/framed/framed.go
+++ b/internal/edge/framed/framed.go
@@ -16,9 +16,9 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
+	"indigousher/internal/backoff"
 	"indigousher/internal/edge/ending"
 	"indigousher/internal/keys"
-	"indigousher/internal/pause"
 	"indigousher/internal/pilot"
 	"indigousher/internal/wire"
 )
@@ -70,9 +70,9 @@
 				}
 				return nil
 			}
-			if pause.Passing(err) { // no free descriptor: those that are served go on
+			if backoff.Passing(err) { // no free descriptor: those that are served go on
 				s.log.Warn("accept", zap.Error(err))
-				pause.For(ctx, 100*time.Millisecond)
+				backoff.For(ctx, 100*time.Millisecond)
 				continue
 			}
 			return fmt.Errorf("accept on %s: %w", l.Addr(), err)
--- a/internal/platform/discovery/agent.go
+++ b/internal/platform/discovery/agent.go
@@ -18,7 +18,7 @@
 
 	"go.uber.org/zap"
 
-	"indigousher/internal/pause"
+	"indigousher/internal/backoff"
 	"indigousher/internal/pilot"
 	"indigousher/internal/wire"
 )
@@ -176,7 +176,7 @@
 		if err != nil && !moved {
 			a.Counters.Failed.Add(1)
 			a.log.Debug("discovery", zap.String("address", address), zap.Error(err))
-			pause.For(ctx, failedPause)
+			backoff.For(ctx, failedPause)
 		}
 	}
 	return nil
--- a/internal/platform/listener/listener.go
+++ b/internal/platform/listener/listener.go
@@ -19,7 +19,7 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"indigousher/internal/pause"
+	"indigousher/internal/backoff"
 	"indigousher/internal/pilot"
 	"indigousher/internal/platform/connstate"
 )
@@ -71,9 +71,9 @@
 				_ = g.Wait() // only says that the listener is closed
 				return nil
 			}
-			if pause.Passing(err) { // no free descriptor: the oldest stranger goes
+			if backoff.Passing(err) { // no free descriptor: the oldest stranger goes
 				d.evict(0)
-				pause.For(ctx, 5*time.Millisecond)
+				backoff.For(ctx, 5*time.Millisecond)
 				continue
 			}
 			return fmt.Errorf("accept on %s: %w", l.Addr(), err)
--- a/internal/platform/relay/relay.go
+++ b/internal/platform/relay/relay.go
@@ -21,7 +21,7 @@
 
 	"go.uber.org/zap"
 
-	"indigousher/internal/pause"
+	"indigousher/internal/backoff"
 	"indigousher/internal/pilot"
 	"indigousher/internal/platform/connstate"
 	"indigousher/planner"
@@ -287,7 +287,7 @@
 	if errors.Is(err, errLimit) {
 		pauseNow, out.pause = limitPause, pauseLeast
 	}
-	pause.For(ctx, pauseNow)
+	backoff.For(ctx, pauseNow)
 }
 
 // tellJoined tells the module which of its orders go out as one call. It has to know before a proxy can answer.
--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/rehearsal/rehearsal_test.go
@@ -14,8 +14,8 @@
 	"go.uber.org/goleak"
 
 	"indigousher/internal/audit"
+	"indigousher/internal/backoff"
 	"indigousher/internal/day"
-	"indigousher/internal/pause"
 	"indigousher/internal/pilot"
 	"indigousher/internal/standin/trail"
 	"indigousher/planner"
@@ -187,7 +187,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	day.Troubles = day.Troubles[:4]
 	go func() {
-		pause.For(ctx, 3_000_000_000)
+		backoff.For(ctx, 3_000_000_000)
 		cancel()
 	}()
 	_, err = Play{Day: day}.Run(ctx)
--- a/internal/rehearsal/stage.go
+++ b/internal/rehearsal/stage.go
@@ -21,11 +21,11 @@
 	"go.uber.org/zap"
 
 	"indigousher/internal/audit"
+	"indigousher/internal/backoff"
 	"indigousher/internal/config"
 	"indigousher/internal/daemon"
 	"indigousher/internal/day"
 	"indigousher/internal/keys"
-	"indigousher/internal/pause"
 	"indigousher/internal/pilot"
 	"indigousher/internal/standin/client"
 	"indigousher/internal/standin/endpoint"
@@ -483,7 +483,7 @@
 	errs := make([]error, len(s.Day.Troubles))
 	for i, t := range s.Day.Troubles {
 		wg.Go(func() {
-			if pause.For(ctx, time.Until(start.Add(t.At))) {
+			if backoff.For(ctx, time.Until(start.Add(t.At))) {
 				s.own.Add(trail.Event{What: trail.Note, Text: t.String()})
 				s.Say("%5.1fs  %s", time.Since(start).Seconds(), t)
 				errs[i] = s.strike(ctx, t)
