--- a/internal/config/terms.go
+++ b/internal/config/terms.go
@@ -13,7 +13,7 @@
 	"github.com/hashicorp/hcl/v2"
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 
-	"indigousher/internal/keys"
+	"indigousher/internal/identity"
 	"indigousher/internal/wire"
 	"indigousher/planner"
 	"indigousher/telemetry"
@@ -80,7 +80,7 @@
 	Listen, Admin string
 	Handover      string // path of the socket over which a new process takes over; "": none
 	GRPC          string // where proxies join over gRPC and xDS; "": not
-	Keys          keys.Files
+	Keys          identity.Files
 	Plain         bool // no keys; on loopback only
 	NewPerS       float64
 
@@ -301,7 +301,7 @@
 	if (p.ListFile == "") == (p.ListAddress == "") {
 		say("list: one of file and address is wanted")
 	}
-	if p.Plain == (p.Keys != keys.Files{}) {
+	if p.Plain == (p.Keys != identity.Files{}) {
 		say("keys: authority, certificate and private_key are wanted, or plain = true")
 	}
 	if !p.Plain && p.PeersListen != "" && p.PeersSecret == "" {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -27,7 +27,7 @@
 	"indigousher/internal/edge/peers"
 	"indigousher/internal/edge/probe"
 	"indigousher/internal/edge/xdsedge"
-	"indigousher/internal/keys"
+	"indigousher/internal/identity"
 	"indigousher/internal/pilot"
 	"indigousher/planner"
 )
@@ -100,7 +100,7 @@
 	post     *peers.Post
 	follow   *grpcedge.Server
 	xds      *xdsedge.Server
-	ring     *keys.Ring
+	ring     *identity.Ring
 	streams  net.Listener
 	grpc     net.Listener
 	admin    net.Listener
@@ -145,7 +145,7 @@
 		return err
 	}
 	if d.ring != nil {
-		d.streams = tls.NewListener(d.streams, d.ring.Server(keys.Proxy))
+		d.streams = tls.NewListener(d.streams, d.ring.Server(identity.Proxy))
 		d.outfit.Dial = d.sealed(d.outfit.Dial)
 	}
 	if t.Admin != "" {
@@ -231,12 +231,12 @@
 		return nil
 	}
 	log := d.outfit.Log.Named("keys")
-	if d.ring, err = keys.Load(t.Keys, func(from net.Addr, err error) {
+	if d.ring, err = identity.Load(t.Keys, func(from net.Addr, err error) {
 		log.Warn("peer not let in", zap.Stringer("from", from), zap.Error(err))
 	}); err != nil {
 		return err
 	}
-	if i := d.ring.Identity(); i.Role != keys.Pilot || i.Name != t.Name || i.Zone != t.Zone {
+	if i := d.ring.Identity(); i.Role != identity.Pilot || i.Name != t.Name || i.Zone != t.Zone {
 		return fmt.Errorf("keys: the certificate is of %s, this is pilot %s of %s", i, t.Name, t.Zone)
 	}
 	return d.registry.Register(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "indigousher",
@@ -251,7 +251,7 @@
 		if err != nil || address != d.terms.Load().ListAddress {
 			return conn, err
 		}
-		return tls.Client(conn, d.ring.Client(keys.Source)), nil
+		return tls.Client(conn, d.ring.Client(identity.Source)), nil
 	}
 }
 
@@ -292,10 +292,10 @@
 	if t.PeersListen == "" {
 		return peers.Nobody{}, nil
 	}
-	var secret *keys.Secret
+	var secret *identity.Secret
 	if t.PeersSecret != "" {
 		var err error
-		if secret, err = keys.LoadSecret(t.PeersSecret); err != nil {
+		if secret, err = identity.LoadSecret(t.PeersSecret); err != nil {
 			return nil, fmt.Errorf("listen for pilots: %w", err)
 		}
 	}
--- a/internal/edge/contract_test.go
+++ b/internal/edge/contract_test.go
@@ -15,7 +15,7 @@
 
 	"indigousher/internal/edge/framed"
 	"indigousher/internal/edge/grpcedge"
-	"indigousher/internal/keys"
+	"indigousher/internal/identity"
 	"indigousher/internal/pilot"
 	"indigousher/internal/standin/proxy"
 	"indigousher/internal/wire"
@@ -60,7 +60,7 @@
 // transport makes both ends of one.
 type transport struct {
 	name  string
-	serve func(in *inbox, ring *keys.Ring) server
+	serve func(in *inbox, ring *identity.Ring) server
 	join  func(c *tls.Config) proxy.Joiner
 }
 
@@ -70,23 +70,23 @@
 )
 
 var transports = []transport{
-	{"framed", func(in *inbox, ring *keys.Ring) server {
+	{"framed", func(in *inbox, ring *identity.Ring) server {
 		return framed.NewServer(framed.Door{Pilot: "one", Beat: beat, Period: time.Second, WriteDeadline: time.Second,
 			SeenWithin: seen, HelloDeadline: time.Second, MaxStreams: 5000, Queue: 64}, in, zap.NewNop())
 	}, proxy.Framed},
-	{"grpc", func(in *inbox, ring *keys.Ring) server {
+	{"grpc", func(in *inbox, ring *identity.Ring) server {
 		return grpcedge.New(grpcedge.Door{Pilot: "one", Beat: beat, Period: time.Second, SeenWithin: seen,
 			HelloIn: time.Second, MaxMessage: 1 << 20, MaxStreams: 5000, QueueLines: 4000, Keys: ring}, in, zap.NewNop())
 	}, func(c *tls.Config) proxy.Joiner { return proxy.GRPC(c, false) }},
 }
 
-func start(t *testing.T, tr transport, ring *keys.Ring) (server, *inbox, string, func()) {
+func start(t *testing.T, tr transport, ring *identity.Ring) (server, *inbox, string, func()) {
 	in := &inbox{make(chan pilot.Input, 8192)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := l.Addr().String()
 	if ring != nil && tr.name == "framed" {
-		l = tls.NewListener(l, ring.Server(keys.Proxy))
+		l = tls.NewListener(l, ring.Server(identity.Proxy))
 	}
 	s := tr.serve(in, ring)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -221,22 +221,22 @@
 // TestStrangers is the table of attempts to get in: what was tried, and that nothing came of it.
 func TestStrangers(t *testing.T) {
 	dir := t.TempDir()
-	authority, err := keys.NewAuthority("ours", time.Hour)
+	authority, err := identity.NewAuthority("ours", time.Hour)
 	require.NoError(t, err)
-	other, err := keys.NewAuthority("another", time.Hour)
+	other, err := identity.NewAuthority("another", time.Hour)
 	require.NoError(t, err)
-	issue := func(a *keys.Authority, who keys.Identity, from time.Time, lasts time.Duration) keys.Files {
+	issue := func(a *identity.Authority, who identity.Identity, from time.Time, lasts time.Duration) identity.Files {
 		f, err := a.Issue(t.TempDir(), who, from, lasts)
 		require.NoError(t, err)
 		return f
 	}
 	now := time.Now().Add(-time.Minute)
-	me := keys.Identity{Role: keys.Proxy, Zone: "a", Name: "p"}
+	me := identity.Identity{Role: identity.Proxy, Zone: "a", Name: "p"}
 	ours := issue(authority, me, now, time.Hour)
-	client := func(f keys.Files) *tls.Config {
-		r, err := keys.Load(f, nil)
+	client := func(f identity.Files) *tls.Config {
+		r, err := identity.Load(f, nil)
 		require.NoError(t, err)
-		return r.Client(keys.Pilot)
+		return r.Client(identity.Pilot)
 	}
 	foreign := issue(other, me, now, time.Hour)
 	foreign.Authority = ours.Authority // it trusts us, we don't trust it
@@ -250,17 +250,17 @@
 		{"an expired certificate", client(issue(authority, me, now.Add(-2*time.Hour), time.Hour)), "expired"},
 		{"one that holds from tomorrow", client(issue(authority, me, now.Add(24*time.Hour), time.Hour)), "not yet valid"},
 		{"one of another authority", client(foreign), "unknown authority"},
-		{"one of the wrong role", client(issue(authority, keys.Identity{Role: keys.Pilot, Zone: "a", Name: "p"}, now, time.Hour)), "among [proxy]"},
-		{"another's name", client(issue(authority, keys.Identity{Role: keys.Proxy, Zone: "a", Name: "q"}, now, time.Hour)), ""},
-		{"another's zone", client(issue(authority, keys.Identity{Role: keys.Proxy, Zone: "b", Name: "p"}, now, time.Hour)), ""},
+		{"one of the wrong role", client(issue(authority, identity.Identity{Role: identity.Pilot, Zone: "a", Name: "p"}, now, time.Hour)), "among [proxy]"},
+		{"another's name", client(issue(authority, identity.Identity{Role: identity.Proxy, Zone: "a", Name: "q"}, now, time.Hour)), ""},
+		{"another's zone", client(issue(authority, identity.Identity{Role: identity.Proxy, Zone: "b", Name: "p"}, now, time.Hour)), ""},
 	} {
 		for _, tr := range transports {
 			t.Run(c.name+"/"+tr.name, func(t *testing.T) {
 				var mu sync.Mutex
 				told := ""
-				f, err := authority.Issue(dir, keys.Identity{Role: keys.Pilot, Zone: "a", Name: "one"}, now, time.Hour)
+				f, err := authority.Issue(dir, identity.Identity{Role: identity.Pilot, Zone: "a", Name: "one"}, now, time.Hour)
 				require.NoError(t, err)
-				ring, err := keys.Load(f, func(_ net.Addr, err error) { mu.Lock(); told += err.Error(); mu.Unlock() })
+				ring, err := identity.Load(f, func(_ net.Addr, err error) { mu.Lock(); told += err.Error(); mu.Unlock() })
 				require.NoError(t, err)
 				_, in, address, _ := start(t, tr, ring)
 				ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
@@ -289,20 +289,20 @@
 func TestKeysReplaced(t *testing.T) {
 	for _, tr := range transports {
 		t.Run(tr.name, func(t *testing.T) {
-			authority, err := keys.NewAuthority("ours", time.Hour)
+			authority, err := identity.NewAuthority("ours", time.Hour)
 			require.NoError(t, err)
 			dir, from := t.TempDir(), time.Now().Add(-time.Minute)
-			who := keys.Identity{Role: keys.Pilot, Zone: "a", Name: "one"}
+			who := identity.Identity{Role: identity.Pilot, Zone: "a", Name: "one"}
 			f, err := authority.Issue(dir, who, from, time.Hour)
 			require.NoError(t, err)
-			ring, err := keys.Load(f, nil)
+			ring, err := identity.Load(f, nil)
 			require.NoError(t, err)
-			pf, err := authority.Issue(dir, keys.Identity{Role: keys.Proxy, Zone: "a", Name: "p"}, from, time.Hour)
+			pf, err := authority.Issue(dir, identity.Identity{Role: identity.Proxy, Zone: "a", Name: "p"}, from, time.Hour)
 			require.NoError(t, err)
-			mine, err := keys.Load(pf, nil)
+			mine, err := identity.Load(pf, nil)
 			require.NoError(t, err)
 			_, in, address, _ := start(t, tr, ring)
-			l, _, err := tr.join(mine.Client(keys.Pilot))(t.Context(), dial, address, hello("p"))
+			l, _, err := tr.join(mine.Client(identity.Pilot))(t.Context(), dial, address, hello("p"))
 			require.NoError(t, err)
 			defer l.Close()
 			before := ring.Expires()
@@ -316,7 +316,7 @@
 				time.Sleep(20 * time.Millisecond)
 			}
 			assert.True(t, ring.Expires().After(before), "the new certificate is in force")
-			second, _, err := tr.join(mine.Client(keys.Pilot))(t.Context(), dial, address, hello("p"))
+			second, _, err := tr.join(mine.Client(identity.Pilot))(t.Context(), dial, address, hello("p"))
 			require.NoError(t, err)
 			second.Close()
 			require.NoError(t, ring.Wrong())
--- a/internal/edge/framed/framed.go
+++ b/internal/edge/framed/framed.go
@@ -18,7 +18,7 @@
 
 	"indigousher/internal/backoff"
 	"indigousher/internal/edge/ending"
-	"indigousher/internal/keys"
+	"indigousher/internal/identity"
 	"indigousher/internal/pilot"
 	"indigousher/internal/wire"
 )
@@ -193,9 +193,9 @@
 		refusal = fmt.Sprintf("version %d is not spoken here, %d is", hello.Version, wire.Version)
 	}
 	if tc, sealed := st.conn.(*tls.Conn); sealed && refusal == "" {
-		if who, err := keys.Peer(tc.ConnectionState()); err != nil || who.Name != hello.Proxy || who.Zone != hello.Zone {
+		if who, err := identity.Peer(tc.ConnectionState()); err != nil || who.Name != hello.Proxy || who.Zone != hello.Zone {
 			_, werr := w.Write(&wire.Refuse{Reason: "not let in"})
-			return nil, errors.Join(fmt.Errorf("%s says it is %s of %s: %w", who, hello.Proxy, hello.Zone, keys.ErrIdentity), err, werr)
+			return nil, errors.Join(fmt.Errorf("%s says it is %s of %s: %w", who, hello.Proxy, hello.Zone, identity.ErrIdentity), err, werr)
 		}
 	}
 	if refusal != "" {
--- a/internal/edge/grpcedge/server.go
+++ b/internal/edge/grpcedge/server.go
@@ -20,7 +20,7 @@
 
 	"indigousher/internal/edge/ending"
 	"indigousher/internal/edge/opening"
-	"indigousher/internal/keys"
+	"indigousher/internal/identity"
 	"indigousher/internal/pilot"
 	"indigousher/internal/wire"
 	pb "indigousher/proto/indigousher/v1"
@@ -35,9 +35,9 @@
 	HelloIn    time.Duration
 	MaxMessage int
 	MaxStreams int
-	QueueLines int        // that may wait for one stream; they collapse to the newest state first
-	NewPerS    float64    // streams let in a second; a herd waits its turn
-	Keys       *keys.Ring // nil: plain text
+	QueueLines int            // that may wait for one stream; they collapse to the newest state first
+	NewPerS    float64        // streams let in a second; a herd waits its turn
+	Keys       *identity.Ring // nil: plain text
 }
 
 // Figures of the edge's own.
@@ -73,7 +73,7 @@
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: time.Second, PermitWithoutStream: true}),
 		grpc.MaxConcurrentStreams(64), grpc.ConnectionTimeout(d.HelloIn)}
 	if d.Keys != nil {
-		options = append(options, grpc.Creds(credentials.NewTLS(d.Keys.Server(keys.Proxy))))
+		options = append(options, grpc.Creds(credentials.NewTLS(d.Keys.Server(identity.Proxy))))
 	}
 	s.grpc = grpc.NewServer(options...)
 	pb.RegisterControlServer(s.grpc, s)
@@ -191,18 +191,18 @@
 func Claims(ctx context.Context, name, zone string) error {
 	p, ok := peer.FromContext(ctx)
 	if !ok {
-		return keys.ErrIdentity
+		return identity.ErrIdentity
 	}
 	info, ok := p.AuthInfo.(credentials.TLSInfo)
 	if !ok {
-		return keys.ErrIdentity
+		return identity.ErrIdentity
 	}
-	i, err := keys.Peer(info.State)
+	i, err := identity.Peer(info.State)
 	if err != nil {
 		return err
 	}
 	if i.Name != name || i.Zone != zone {
-		return fmt.Errorf("%s says it is %s of %s: %w", i, name, zone, keys.ErrIdentity)
+		return fmt.Errorf("%s says it is %s of %s: %w", i, name, zone, identity.ErrIdentity)
 	}
 	return nil
 }
--- a/internal/edge/peers/peers.go
+++ b/internal/edge/peers/peers.go
@@ -14,7 +14,7 @@
 	"go.uber.org/zap"
 	"golang.org/x/time/rate"
 
-	"indigousher/internal/keys"
+	"indigousher/internal/identity"
 	"indigousher/internal/pilot"
 )
 
@@ -45,13 +45,13 @@
 }
 
 // seal lays out a datagram whose text only those can read who share the secret.
-func seal(s *keys.Secret, from int, text string) ([]byte, error) {
+func seal(s *identity.Secret, from int, text string) ([]byte, error) {
 	b := Encode(from, text)
 	return s.Seal(append([]byte{}, b[:headBytes]...), b[:headBytes], b[headBytes:])
 }
 
 // unseal takes one apart, with its number.
-func unseal(s *keys.Secret, b []byte) (from int, number uint64, text string, err error) {
+func unseal(s *identity.Secret, b []byte) (from int, number uint64, text string, err error) {
 	if len(b) < headBytes {
 		return 0, 0, "", ErrDatagram
 	}
@@ -72,20 +72,20 @@
 	log   *zap.Logger
 	pace  *rate.Limiter
 	// Secret, if not nil, seals all notes; nothing else is taken in.
-	Secret *keys.Secret
-	once   map[int]*keys.Once
+	Secret *identity.Secret
+	once   map[int]*identity.Once
 }
 
 // Open returns a post on an open socket. Peers are addresses by rank.
 func Open(conn net.PacketConn, rank int, peers map[int]string, inbox pilot.Inbox, log *zap.Logger) (*Post, error) {
 	p := &Post{conn: conn, rank: rank, peers: map[int]net.Addr{}, inbox: inbox, log: log,
-		pace: rate.NewLimiter(1000, 1000), once: map[int]*keys.Once{}}
+		pace: rate.NewLimiter(1000, 1000), once: map[int]*identity.Once{}}
 	for r, name := range peers {
 		a, err := net.ResolveUDPAddr("udp", name)
 		if err != nil {
 			return nil, fmt.Errorf("address of pilot %d: %w", r, err)
 		}
-		p.peers[r], p.once[r] = a, &keys.Once{}
+		p.peers[r], p.once[r] = a, &identity.Once{}
 	}
 	return p, nil
 }
@@ -113,7 +113,7 @@
 func (p *Post) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = p.conn.Close() })
 	defer stop()
-	buf := make([]byte, headBytes+keys.SealBytes+MaxText+1)
+	buf := make([]byte, headBytes+identity.SealBytes+MaxText+1)
 	for {
 		n, from, err := p.conn.ReadFrom(buf)
 		if ctx.Err() != nil {
--- a/internal/edge/peers/peers_test.go
+++ b/internal/edge/peers/peers_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/goleak"
 	"go.uber.org/zap"
 
-	"indigousher/internal/keys"
+	"indigousher/internal/identity"
 	"indigousher/internal/pilot"
 )
 
@@ -71,15 +71,15 @@
 	dir := t.TempDir()
 	make := func(name string) string {
 		path := filepath.Join(dir, name)
-		require.NoError(t, keys.NewSecret(path))
+		require.NoError(t, identity.NewSecret(path))
 		return path
 	}
 	ours, others := make("ours"), make("others")
-	a, err := keys.LoadSecret(ours)
+	a, err := identity.LoadSecret(ours)
 	require.NoError(t, err)
-	b, err := keys.LoadSecret(others)
+	b, err := identity.LoadSecret(others)
 	require.NoError(t, err)
-	p := &Post{Secret: a, once: map[int]*keys.Once{3: {}}}
+	p := &Post{Secret: a, once: map[int]*identity.Once{3: {}}}
 	note, err := seal(a, 3, "load 0.7")
 	require.NoError(t, err)
 	strange, err := seal(b, 3, "load 0.1")
--- a/internal/rehearsal/stage.go
+++ b/internal/rehearsal/stage.go
@@ -25,7 +25,7 @@
 	"indigousher/internal/config"
 	"indigousher/internal/daemon"
 	"indigousher/internal/day"
-	"indigousher/internal/keys"
+	"indigousher/internal/identity"
 	"indigousher/internal/pilot"
 	"indigousher/internal/standin/client"
 	"indigousher/internal/standin/endpoint"
@@ -80,7 +80,7 @@
 	pilots    []*seat
 	rnd       *rand.Rand
 	most      pilot.State
-	authority *keys.Authority
+	authority *identity.Authority
 	keyDir    string
 	owners    []string // of slices, by number; addresses of endpoints
 }
@@ -193,7 +193,7 @@
 	t.Beat, t.WriteDeadline, t.ListSilence = s.Day.Beat, s.Day.WriteWithin, 2*time.Second
 	t.SeenWithin, t.Plain = s.Day.DrainGrace/2, true
 	if s.Day.Keys {
-		f, err := s.authority.Issue(s.keyDir, keys.Identity{Role: keys.Pilot, Zone: st.zone, Name: st.name},
+		f, err := s.authority.Issue(s.keyDir, identity.Identity{Role: identity.Pilot, Zone: st.zone, Name: st.name},
 			time.Now().Add(-time.Minute), time.Hour)
 		if err != nil {
 			s.Log.Error("issue keys", zap.Error(err)) // the pilot says so at its start
@@ -402,11 +402,11 @@
 func (s *stage) joiner(name, zone string, overGRPC bool) (func() proxy.Joiner, error) {
 	var sealed *tls.Config
 	if s.Day.Keys {
-		ring, err := s.ring(keys.Identity{Role: keys.Proxy, Zone: zone, Name: name})
+		ring, err := s.ring(identity.Identity{Role: identity.Proxy, Zone: zone, Name: name})
 		if err != nil {
 			return nil, err
 		}
-		sealed = ring.Client(keys.Pilot)
+		sealed = ring.Client(identity.Pilot)
 	}
 	return func() proxy.Joiner {
 		if overGRPC {
@@ -417,12 +417,12 @@
 }
 
 // ring issues and loads keys for one that takes part.
-func (s *stage) ring(who keys.Identity) (*keys.Ring, error) {
+func (s *stage) ring(who identity.Identity) (*identity.Ring, error) {
 	f, err := s.authority.Issue(s.keyDir, who, time.Now().Add(-time.Minute), time.Hour)
 	if err != nil {
 		return nil, err
 	}
-	return keys.Load(f, nil)
+	return identity.Load(f, nil)
 }
 
 // openKeys makes the day's authority and keys for the list.
@@ -433,14 +433,14 @@
 	if s.keyDir, err = os.MkdirTemp("", "indigousher-rehearsal-"); err != nil {
 		return fmt.Errorf("make keys: %w", err)
 	}
-	if s.authority, err = keys.NewAuthority("rehearsal", time.Hour); err != nil {
+	if s.authority, err = identity.NewAuthority("rehearsal", time.Hour); err != nil {
 		return err
 	}
-	ring, err := s.ring(keys.Identity{Role: keys.Source, Zone: "-", Name: "list"})
+	ring, err := s.ring(identity.Identity{Role: identity.Source, Zone: "-", Name: "list"})
 	if err != nil {
 		return err
 	}
-	s.list.Seal(ring.Server(keys.Pilot))
+	s.list.Seal(ring.Server(identity.Pilot))
 	return nil
 }
 
