--- a/cmd/indigousher/experiment.go
+++ b/cmd/indigousher/experiment.go
@@ -9,11 +9,11 @@
 
 	"github.com/spf13/cobra"
 
-	"indigousher/internal/day"
 	"indigousher/internal/emulator"
 	"indigousher/internal/experiment"
 	"indigousher/internal/pilot"
 	"indigousher/internal/rehearsal"
+	"indigousher/internal/scenario"
 )
 
 func emulateCommand() *cobra.Command {
@@ -26,7 +26,7 @@
 			if len(args) > 0 {
 				name = args[0]
 			}
-			d, err := day.Load(name)
+			d, err := scenario.Load(name)
 			if err != nil {
 				return err
 			}
--- a/internal/emulator/commands_test.go
+++ b/internal/emulator/commands_test.go
@@ -14,10 +14,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"indigousher/internal/day"
 	"indigousher/internal/emulator"
 	"indigousher/internal/pilot"
 	"indigousher/internal/record"
+	"indigousher/internal/scenario"
 	"indigousher/internal/search"
 	"indigousher/planner"
 )
@@ -31,24 +31,24 @@
 // sequence is a fixed course of events: a fleet of some size and the faults that strike it.
 type sequence struct {
 	name string
-	read func() (*day.Day, error)
+	read func() (*scenario.Day, error)
 }
 
 // sequences covers each kind of fault that a day file can name, with 2 to 500 proxies.
 func sequences() (all []sequence) {
-	for _, name := range day.Days() {
-		all = append(all, sequence{name, func() (*day.Day, error) { return day.Load(name) }})
+	for _, name := range scenario.Days() {
+		all = append(all, sequence{name, func() (*scenario.Day, error) { return scenario.Load(name) }})
 	}
 	for _, x := range []struct {
 		name    string
 		proxies int
 	}{{"bad-day-short", 2}, {"errors", 2}, {"slices", 2}, {"replacement", 150}, {"proxies", 150}, {"bad-day-short", 500}, {"zone-loss", 500}} {
-		all = append(all, sequence{fmt.Sprintf("%s with %d proxies", x.name, x.proxies), func() (*day.Day, error) {
+		all = append(all, sequence{fmt.Sprintf("%s with %d proxies", x.name, x.proxies), func() (*scenario.Day, error) {
 			return resized(x.name, x.proxies)
 		}})
 	}
 	for _, seed := range drawnSeeds {
-		all = append(all, sequence{fmt.Sprintf("drawn %d", seed), func() (*day.Day, error) { return search.Draw(seed, 9).Day() }})
+		all = append(all, sequence{fmt.Sprintf("drawn %d", seed), func() (*scenario.Day, error) { return search.Draw(seed, 9).Day() }})
 	}
 	return all
 }
@@ -57,8 +57,8 @@
 var drawnSeeds = []int{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24}
 
 // resized returns a day that ships with another number of proxies, spread over its zones as before.
-func resized(name string, proxies int) (*day.Day, error) {
-	d, err := day.Load(name)
+func resized(name string, proxies int) (*scenario.Day, error) {
+	d, err := scenario.Load(name)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/emulator/nostate_test.go
+++ b/internal/emulator/nostate_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"indigousher/internal/day"
+	"indigousher/internal/scenario"
 	"indigousher/internal/standin/trail"
 )
 
@@ -43,7 +43,7 @@
 	for seed := 3; seed < 7; seed++ {
 		var service [2]float64
 		for i, record := range []bool{false, true} {
-			d, err := day.Load("no-state")
+			d, err := scenario.Load("no-state")
 			require.NoError(t, err)
 			d.Seed, d.Record = seed, record
 			o, err := Play{Day: d, Judged: true, Keep: true}.Run(t.Context())
--- a/internal/emulator/tries_test.go
+++ b/internal/emulator/tries_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"indigousher/internal/day"
+	"indigousher/internal/scenario"
 	"indigousher/internal/standin/trail"
 )
 
@@ -107,7 +107,7 @@
 		for _, usual := range []int{0, 1} {
 			t.Run(fmt.Sprint(name, ", usual ", usual), func(t *testing.T) {
 				t.Parallel()
-				d, err := day.Read("tries.hcl", []byte(failing(way, usual)))
+				d, err := scenario.Read("tries.hcl", []byte(failing(way, usual)))
 				require.NoError(t, err)
 				o, err := Play{Day: d, Keep: true}.Run(t.Context())
 				require.NoError(t, err)
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -15,9 +15,9 @@
 
 	"indigousher/internal/audit"
 	"indigousher/internal/config"
-	"indigousher/internal/day"
 	"indigousher/internal/pilot"
 	"indigousher/internal/record"
+	"indigousher/internal/scenario"
 	"indigousher/internal/standin/client"
 	"indigousher/internal/standin/endpoint"
 	"indigousher/internal/standin/follow"
@@ -28,7 +28,7 @@
 
 // Play is one emulated day.
 type Play struct {
-	Day    *day.Day
+	Day    *scenario.Day
 	Decide func(seed int64, terms map[string]any) pilot.Decider // nil: the module
 	Bare   bool                                                 // no pilots: standing tables only
 	Talk   bool                                                 // pilots may tell each other
--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/rehearsal/rehearsal_test.go
@@ -15,8 +15,8 @@
 
 	"indigousher/internal/audit"
 	"indigousher/internal/backoff"
-	"indigousher/internal/day"
 	"indigousher/internal/pilot"
+	"indigousher/internal/scenario"
 	"indigousher/internal/standin/trail"
 	"indigousher/planner"
 )
@@ -27,7 +27,7 @@
 	for _, name := range []string{"bad-day-short", "month-end"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			day, err := day.Load(name)
+			day, err := scenario.Load(name)
 			require.NoError(t, err)
 			o, err := Play{Day: day}.Run(t.Context())
 			require.NoError(t, err)
@@ -154,7 +154,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			day, err := day.Read(c.name+".hcl", []byte("like = \"quiet\"\nlength = \"9s\"\nlist {\n late = \"200ms\"\n}\n"+c.day))
+			day, err := scenario.Read(c.name+".hcl", []byte("like = \"quiet\"\nlength = \"9s\"\nlist {\n late = \"200ms\"\n}\n"+c.day))
 			require.NoError(t, err)
 			o, err := Play{Day: day, Decide: func(seed int64, terms map[string]any) pilot.Decider {
 				return &meddler{planner.New(seed, terms), c.spoil}
@@ -171,18 +171,18 @@
 
 // TestDaysRead guards the shipped days against slips of the pen.
 func TestDaysRead(t *testing.T) {
-	for _, name := range day.Days() {
-		_, err := day.Load(name)
+	for _, name := range scenario.Days() {
+		_, err := scenario.Load(name)
 		assert.NoError(t, err, name)
 	}
-	_, err := day.Read("x.hcl", []byte("like = \"quiet\"\ntrouble \"hang\" {\n  whom = [\"a\"]\n}\n"))
+	_, err := scenario.Read("x.hcl", []byte("like = \"quiet\"\ntrouble \"hang\" {\n  whom = [\"a\"]\n}\n"))
 	assert.ErrorContains(t, err, "x.hcl:3:3")
 }
 
 // TestStopped guards against goroutines that outlive a day which is stopped half-way.
 func TestStopped(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	day, err := day.Load("bad-day-short")
+	day, err := scenario.Load("bad-day-short")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	day.Troubles = day.Troubles[:4]
@@ -221,7 +221,7 @@
 // then a hundredfold over real sockets. Load is compared with the tries that the proxies sent.
 func TestReportBurst(t *testing.T) {
 	t.Parallel()
-	day, err := day.Read("burst.hcl", []byte(`like = "quiet"
+	day, err := scenario.Read("burst.hcl", []byte(`like = "quiet"
 length = "14s"
 fleet { pilots = ["a"] }
 clients { rate = 400 }
--- a/internal/rehearsal/slices.go
+++ b/internal/rehearsal/slices.go
@@ -1,7 +1,7 @@
 package rehearsal
 
 import (
-	"indigousher/internal/day"
+	"indigousher/internal/scenario"
 	"indigousher/internal/standin/client"
 	"indigousher/internal/standin/endpoint"
 	"indigousher/internal/standin/trail"
@@ -18,7 +18,7 @@
 
 // give tells pilots what the store holds of a slice.
 func (s *stage) give(i int) {
-	x := wire.Slices{Slice: i, Given: true, From: client.Key(i * day.KeysEach), To: client.Key((i + 1) * day.KeysEach),
+	x := wire.Slices{Slice: i, Given: true, From: client.Key(i * scenario.KeysEach), To: client.Key((i + 1) * scenario.KeysEach),
 		Lines: []wire.HeldLine{{Endpoint: s.owners[i], Weight: 1}}}
 	s.own.Add(trail.Event{What: trail.Given, Peer: s.owners[i], N: i, Text: x.From})
 	s.list.Give(x)
--- a/internal/rehearsal/slices_test.go
+++ b/internal/rehearsal/slices_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"indigousher/internal/day"
+	"indigousher/internal/scenario"
 	"indigousher/internal/standin/trail"
 )
 
@@ -15,7 +15,7 @@
 // given the key's slice, or, for a short time after a move, to the one before.
 func TestSlices(t *testing.T) {
 	t.Parallel()
-	day, err := day.Load("slices")
+	day, err := scenario.Load("slices")
 	require.NoError(t, err)
 	o, err := Play{Day: day}.Run(t.Context())
 	require.NoError(t, err)
--- a/internal/rehearsal/stage.go
+++ b/internal/rehearsal/stage.go
@@ -24,9 +24,9 @@
 	"indigousher/internal/backoff"
 	"indigousher/internal/config"
 	"indigousher/internal/daemon"
-	"indigousher/internal/day"
 	"indigousher/internal/identity"
 	"indigousher/internal/pilot"
+	"indigousher/internal/scenario"
 	"indigousher/internal/standin/client"
 	"indigousher/internal/standin/endpoint"
 	"indigousher/internal/standin/follow"
@@ -42,7 +42,7 @@
 
 // Play is one playing of a day.
 type Play struct {
-	Day    *day.Day
+	Day    *scenario.Day
 	Decide Decide // nil: the module
 	Bare   bool   // no pilots: standing tables only
 	Log    *zap.Logger
@@ -200,7 +200,7 @@
 		}
 		t.Plain, t.Keys = false, f
 	}
-	if slices.ContainsFunc(s.Day.Troubles, func(x day.Trouble) bool { return x.What == "handover" }) {
+	if slices.ContainsFunc(s.Day.Troubles, func(x scenario.Trouble) bool { return x.What == "handover" }) {
 		t.Handover = filepath.Join(s.Records, st.name+".sock")
 	}
 	if s.Day.Record {
@@ -530,7 +530,7 @@
 }
 
 // chosen returns the names that a trouble strikes.
-func (s *stage) chosen(t day.Trouble, names []string) []string {
+func (s *stage) chosen(t scenario.Trouble, names []string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return t.Chosen(names, s.rnd)
--- a/internal/day/day.go
+++ b/internal/scenario/day.go
@@ -1,6 +1,6 @@
-// Package day reads days: a fleet, what clients ask of it and the troubles that happen, in HCL. The rehearsal plays a day
+// Package scenario reads days: a fleet, what clients ask of it and the troubles that happen, in HCL. The rehearsal plays a day
 // on sockets, the emulator in virtual time.
-package day
+package scenario
 
 import (
 	"cmp"
--- a/internal/search/search_test.go
+++ b/internal/search/search_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 
 	"indigousher/internal/audit"
-	"indigousher/internal/day"
 	"indigousher/internal/pilot"
+	"indigousher/internal/scenario"
 	"indigousher/planner"
 )
 
@@ -48,8 +48,8 @@
 func TestShrunk(t *testing.T) {
 	s := &Search{Decide: func(seed int64, terms map[string]any) pilot.Decider { return heedless{planner.New(seed, terms)} }}
 	d := Draw(7, 12)
-	d.Troubles = append(d.Troubles, day.Trouble{What: "drain", At: 9e9, For: 8e9, Part: 0.3}, day.Trouble{What: "burst", At: 4e9, For: 2e9, Size: 1.2},
-		day.Trouble{What: "reconnect", At: 6e9, Part: 0.5})
+	d.Troubles = append(d.Troubles, scenario.Trouble{What: "drain", At: 9e9, For: 8e9, Part: 0.3}, scenario.Trouble{What: "burst", At: 4e9, For: 2e9, Size: 1.2},
+		scenario.Trouble{What: "reconnect", At: 6e9, Part: 0.5})
 	d.order()
 	f, err := s.Play(t.Context(), d)
 	require.NoError(t, err)
--- a/internal/standin/client/client.go
+++ b/internal/standin/client/client.go
@@ -14,7 +14,7 @@
 
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"indigousher/internal/day"
+	"indigousher/internal/scenario"
 	"indigousher/internal/standin/proxy"
 	"indigousher/internal/standin/trail"
 	"indigousher/internal/wire"
@@ -59,10 +59,10 @@
 
 // Of makes the clients' load of a day and of its troubles. Callers' weights are drawn from the day's seed, the same on
 // sockets and in virtual time.
-func Of(d *day.Day) Load {
+func Of(d *scenario.Day) Load {
 	rnd := rand.New(rand.NewPCG(uint64(d.Seed), 47))
 	l := Load{Rate: d.Rate, Over: d.Length, Retries: d.Retries, Backoff: d.Backoff, Seed: uint64(d.Seed),
-		Keys: d.Slices * day.KeysEach}
+		Keys: d.Slices * scenario.KeysEach}
 	for _, x := range d.Demands {
 		k := d.Kinds[slices.Index(d.KindNames(), x.Kind)]
 		l.Kinds = append(l.Kinds, Kind{Name: x.Kind, Share: x.Share, CV: x.CV, Timeout: k.ClientTimeout,
