--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -22,7 +22,7 @@
 	"indigousher/internal/edge/probe"
 	"indigousher/internal/pilot"
 	"indigousher/internal/platform/placement"
-	"indigousher/internal/simwire"
+	"indigousher/internal/simulator"
 	"indigousher/internal/wire"
 	"indigousher/planner"
 )
@@ -96,7 +96,7 @@
 // simulated plays events through the simulator's adapter.
 func simulated(t *testing.T, events []string) (lines []string) {
 	var out strings.Builder
-	require.NoError(t, simwire.Serve(strings.NewReader(strings.Join(events, "\n")+"\n"), &out))
+	require.NoError(t, simulator.Serve(strings.NewReader(strings.Join(events, "\n")+"\n"), &out))
 	for _, text := range strings.Split(strings.TrimSpace(out.String()), "\n") {
 		var r struct{ Orders []map[string]any }
 		require.NoError(t, json.Unmarshal([]byte(text), &r))
--- a/internal/simwire/host.go
+++ b/internal/simulator/host.go
@@ -1,5 +1,5 @@
-// Package simwire carries the simulator's JSON to and from the types of the decision module. It decides nothing.
-package simwire
+// Package simulator carries the simulator's JSON to and from the types of the decision module. It decides nothing.
+package simulator
 
 import (
 	"bufio"
