--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -21,7 +21,6 @@
 
 	"indigousher/internal/config"
 	"indigousher/internal/edge/admin"
-	"indigousher/internal/edge/framed"
 	"indigousher/internal/edge/grpcedge"
 	"indigousher/internal/edge/list"
 	"indigousher/internal/edge/peers"
@@ -29,6 +28,7 @@
 	"indigousher/internal/edge/xdsedge"
 	"indigousher/internal/identity"
 	"indigousher/internal/pilot"
+	"indigousher/internal/transport/framed"
 	"indigousher/planner"
 )
 
--- a/internal/edge/contract_test.go
+++ b/internal/edge/contract_test.go
@@ -13,11 +13,11 @@
 	"go.uber.org/goleak"
 	"go.uber.org/zap"
 
-	"indigousher/internal/edge/framed"
 	"indigousher/internal/edge/grpcedge"
 	"indigousher/internal/identity"
 	"indigousher/internal/pilot"
 	"indigousher/internal/standin/proxy"
+	"indigousher/internal/transport/framed"
 	"indigousher/internal/wire"
 )
 
