--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -21,7 +21,6 @@
 
 	"indigousher/internal/config"
 	"indigousher/internal/edge/admin"
-	"indigousher/internal/edge/grpcedge"
 	"indigousher/internal/edge/list"
 	"indigousher/internal/edge/peers"
 	"indigousher/internal/edge/probe"
@@ -29,6 +28,7 @@
 	"indigousher/internal/identity"
 	"indigousher/internal/pilot"
 	"indigousher/internal/transport/framed"
+	"indigousher/internal/transport/grpcapi"
 	"indigousher/planner"
 )
 
@@ -98,7 +98,7 @@
 	source   follower
 	prober   *probe.Prober
 	post     *peers.Post
-	follow   *grpcedge.Server
+	follow   *grpcapi.Server
 	xds      *xdsedge.Server
 	ring     *identity.Ring
 	streams  net.Listener
@@ -208,12 +208,12 @@
 			return err
 		}
 		d.grpc = netutil.LimitListener(d.grpc, 2*t.MaxStreams) // a proxy of xDS may report its load on a second one
-		d.follow = grpcedge.New(grpcedge.Door{Pilot: t.Name, Beat: t.Beat, Period: t.Period,
+		d.follow = grpcapi.New(grpcapi.Door{Pilot: t.Name, Beat: t.Beat, Period: t.Period,
 			SeenWithin: t.SeenWithin, HelloIn: t.HelloDeadline, MaxMessage: t.MaxFrame, MaxStreams: t.MaxStreams,
 			QueueLines: t.Queue * linesEach, NewPerS: t.NewPerS, Keys: d.ring}, d.loop, log.Named("grpc"))
 		var claims func(context.Context, string, string) error
 		if d.ring != nil {
-			claims = grpcedge.Claims
+			claims = grpcapi.Claims
 		}
 		d.xds = xdsedge.New(xdsedge.Door{Kinds: t.KindNames(), Period: t.Period, SeenWithin: t.SeenWithin,
 			HelloIn: t.HelloDeadline, MaxStreams: t.MaxStreams, Claims: claims}, d.loop, log.Named("xds"))
--- a/internal/edge/contract_test.go
+++ b/internal/edge/contract_test.go
@@ -13,11 +13,11 @@
 	"go.uber.org/goleak"
 	"go.uber.org/zap"
 
-	"indigousher/internal/edge/grpcedge"
 	"indigousher/internal/identity"
 	"indigousher/internal/pilot"
 	"indigousher/internal/standin/proxy"
 	"indigousher/internal/transport/framed"
+	"indigousher/internal/transport/grpcapi"
 	"indigousher/internal/wire"
 )
 
@@ -75,7 +75,7 @@
 			SeenWithin: seen, HelloDeadline: time.Second, MaxStreams: 5000, Queue: 64}, in, zap.NewNop())
 	}, proxy.Framed},
 	{"grpc", func(in *inbox, ring *identity.Ring) server {
-		return grpcedge.New(grpcedge.Door{Pilot: "one", Beat: beat, Period: time.Second, SeenWithin: seen,
+		return grpcapi.New(grpcapi.Door{Pilot: "one", Beat: beat, Period: time.Second, SeenWithin: seen,
 			HelloIn: time.Second, MaxMessage: 1 << 20, MaxStreams: 5000, QueueLines: 4000, Keys: ring}, in, zap.NewNop())
 	}, func(c *tls.Config) proxy.Joiner { return proxy.GRPC(c, false) }},
 }
