--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -24,11 +24,11 @@
 	"indigousher/internal/edge/list"
 	"indigousher/internal/edge/peers"
 	"indigousher/internal/edge/probe"
-	"indigousher/internal/edge/xdsedge"
 	"indigousher/internal/identity"
 	"indigousher/internal/pilot"
 	"indigousher/internal/transport/framed"
 	"indigousher/internal/transport/grpcapi"
+	"indigousher/internal/transport/xds"
 	"indigousher/planner"
 )
 
@@ -99,7 +99,7 @@
 	prober   *probe.Prober
 	post     *peers.Post
 	follow   *grpcapi.Server
-	xds      *xdsedge.Server
+	xds      *xds.Server
 	ring     *identity.Ring
 	streams  net.Listener
 	grpc     net.Listener
@@ -215,7 +215,7 @@
 		if d.ring != nil {
 			claims = grpcapi.Claims
 		}
-		d.xds = xdsedge.New(xdsedge.Door{Kinds: t.KindNames(), Period: t.Period, SeenWithin: t.SeenWithin,
+		d.xds = xds.New(xds.Door{Kinds: t.KindNames(), Period: t.Period, SeenWithin: t.SeenWithin,
 			HelloIn: t.HelloDeadline, MaxStreams: t.MaxStreams, Claims: claims}, d.loop, log.Named("xds"))
 		d.xds.Register(d.follow.Registrar())
 	}
--- a/internal/edge/xdsedge/xds_test.go
+++ b/internal/transport/xds/xds_test.go
@@ -1,4 +1,4 @@
-package xdsedge_test
+package xds_test
 
 import (
 	"context"
