--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -22,11 +22,11 @@
 	"indigousher/internal/config"
 	"indigousher/internal/edge/admin"
 	"indigousher/internal/edge/list"
-	"indigousher/internal/edge/peers"
 	"indigousher/internal/edge/probe"
 	"indigousher/internal/identity"
 	"indigousher/internal/pilot"
 	"indigousher/internal/transport/framed"
+	"indigousher/internal/transport/gossip"
 	"indigousher/internal/transport/grpcapi"
 	"indigousher/internal/transport/xds"
 	"indigousher/planner"
@@ -97,7 +97,7 @@
 	server   *framed.Server
 	source   follower
 	prober   *probe.Prober
-	post     *peers.Post
+	post     *gossip.Post
 	follow   *grpcapi.Server
 	xds      *xds.Server
 	ring     *identity.Ring
@@ -276,7 +276,7 @@
 
 // held is a plan whose edges do nothing: for a core that is being rebuilt.
 func held(p pilot.Plan) pilot.Plan {
-	p.List, p.Prober, p.Peers, p.Meter, p.Replayed = nobody{}, probe.Never{}, peers.Nobody{}, nil, true
+	p.List, p.Prober, p.Peers, p.Meter, p.Replayed = nobody{}, probe.Never{}, gossip.Nobody{}, nil, true
 	p.Log, p.Odd = func(string) {}, func(string, ...string) {}
 	p.LinesPerS, p.Backlog = 0, 0
 	return p
@@ -290,7 +290,7 @@
 
 func (d *Daemon) openPeers(t *config.Pilot) (pilot.Peers, error) {
 	if t.PeersListen == "" {
-		return peers.Nobody{}, nil
+		return gossip.Nobody{}, nil
 	}
 	var secret *identity.Secret
 	if t.PeersSecret != "" {
@@ -308,7 +308,7 @@
 		n, _ := strconv.Atoi(r) // checked with the terms
 		ranks[n] = a
 	}
-	if d.post, err = peers.Open(d.outfit.Packet(conn), t.Rank, ranks, later{d}, d.outfit.Log.Named("peers")); err != nil {
+	if d.post, err = gossip.Open(d.outfit.Packet(conn), t.Rank, ranks, later{d}, d.outfit.Log.Named("peers")); err != nil {
 		return nil, errors.Join(err, conn.Close())
 	}
 	d.post.Secret = secret
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -18,11 +18,11 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
-	"indigousher/internal/edge/peers"
 	"indigousher/internal/edge/probe"
 	"indigousher/internal/pilot"
 	"indigousher/internal/platform/placement"
 	"indigousher/internal/simulator"
+	"indigousher/internal/transport/gossip"
 	"indigousher/internal/wire"
 	"indigousher/planner"
 )
@@ -62,7 +62,7 @@
 	p, k := newPlacement(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1"), &kept{}
 	c := pilot.NewCore(pilot.Plan{Decider: planner.New(5, p.Deployment.Terms), Terms: p.Deployment.Terms, Zones: p.Deployment.Zones.All(),
 		Machines: p.Deployment.Machines.All(), Kinds: p.Deployment.Kinds.All(), MostProxies: p.Proxies, Relay: k, List: x{}, Prober: probe.Never{},
-		Peers: peers.Nobody{}, Log: func(string) {}, Odd: func(what string, _ ...string) { t.Error(what) }})
+		Peers: gossip.Nobody{}, Log: func(string) {}, Odd: func(what string, _ ...string) { t.Error(what) }})
 	entries, hosts := []wire.Entry{}, []string{}
 	for i := range 6 {
 		name := fmt.Sprintf("10.0.0.%d:1", i)
--- a/internal/edge/peers/peers.go
+++ b/internal/transport/gossip/peers.go
@@ -1,7 +1,7 @@
-// Package peers carries short texts between pilots over UDP: at most one datagram each, lost without a word, never
+// Package gossip carries short texts between pilots over UDP: at most one datagram each, lost without a word, never
 // waited for. Datagrams open with a magic and the sender's rank; whatever else arrives is counted and dropped. With a
 // secret what follows is sealed, and a datagram that comes again is dropped as well.
-package peers
+package gossip
 
 import (
 	"context"
--- a/internal/edge/peers/peers_test.go
+++ b/internal/transport/gossip/peers_test.go
@@ -1,4 +1,4 @@
-package peers
+package gossip
 
 import (
 	"context"
