--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -22,12 +22,12 @@
 	"indigousher/internal/config"
 	"indigousher/internal/edge/admin"
 	"indigousher/internal/edge/list"
-	"indigousher/internal/edge/probe"
 	"indigousher/internal/identity"
 	"indigousher/internal/pilot"
 	"indigousher/internal/transport/framed"
 	"indigousher/internal/transport/gossip"
 	"indigousher/internal/transport/grpcapi"
+	"indigousher/internal/transport/healthcheck"
 	"indigousher/internal/transport/xds"
 	"indigousher/planner"
 )
@@ -96,7 +96,7 @@
 	loop     *pilot.Loop
 	server   *framed.Server
 	source   follower
-	prober   *probe.Prober
+	prober   *healthcheck.Prober
 	post     *gossip.Post
 	follow   *grpcapi.Server
 	xds      *xds.Server
@@ -165,9 +165,9 @@
 	if err != nil {
 		return err
 	}
-	var prober pilot.Prober = probe.Never{}
+	var prober pilot.Prober = healthcheck.Never{}
 	if t.Probing {
-		d.prober = probe.New(d.life, d.outfit.Dial, later{d}, probeTimeout, mostProbes)
+		d.prober = healthcheck.New(d.life, d.outfit.Dial, later{d}, probeTimeout, mostProbes)
 		prober = d.prober
 	}
 	log := d.outfit.Log
@@ -276,7 +276,7 @@
 
 // held is a plan whose edges do nothing: for a core that is being rebuilt.
 func held(p pilot.Plan) pilot.Plan {
-	p.List, p.Prober, p.Peers, p.Meter, p.Replayed = nobody{}, probe.Never{}, gossip.Nobody{}, nil, true
+	p.List, p.Prober, p.Peers, p.Meter, p.Replayed = nobody{}, healthcheck.Never{}, gossip.Nobody{}, nil, true
 	p.Log, p.Odd = func(string) {}, func(string, ...string) {}
 	p.LinesPerS, p.Backlog = 0, 0
 	return p
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -13,13 +13,13 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"indigousher/internal/edge/probe"
 	"indigousher/internal/pilot"
 	"indigousher/internal/platform/discovery"
 	"indigousher/internal/platform/listener"
 	"indigousher/internal/platform/placement"
 	"indigousher/internal/platform/relay"
 	"indigousher/internal/transport/gossip"
+	"indigousher/internal/transport/healthcheck"
 	"indigousher/planner"
 )
 
@@ -64,7 +64,7 @@
 	x.listener = listener.New(p.Deployment.Zones.All(), int(spare*strangers), box, log)
 	core := pilot.NewCore(pilot.Plan{Decider: planner.New(p.Seed, p.Deployment.Terms), Terms: p.Deployment.Terms,
 		Zones: p.Deployment.Zones.All(), Machines: p.Deployment.Machines.All(), Kinds: kinds, MostProxies: p.Proxies,
-		List: x.agent, Prober: probe.Never{}, Peers: gossip.Nobody{}, Relay: x.orders,
+		List: x.agent, Prober: healthcheck.Never{}, Peers: gossip.Nobody{}, Relay: x.orders,
 		Log: func(text string) { log.Info(text) }, Odd: func(what string, fields ...string) {
 			log.Debug("odd", zap.String("what", what), zap.Strings("fields", fields))
 		}})
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -18,11 +18,11 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
-	"indigousher/internal/edge/probe"
 	"indigousher/internal/pilot"
 	"indigousher/internal/platform/placement"
 	"indigousher/internal/simulator"
 	"indigousher/internal/transport/gossip"
+	"indigousher/internal/transport/healthcheck"
 	"indigousher/internal/wire"
 	"indigousher/planner"
 )
@@ -61,7 +61,7 @@
 func TestSameSettingsSameOrders(t *testing.T) {
 	p, k := newPlacement(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1"), &kept{}
 	c := pilot.NewCore(pilot.Plan{Decider: planner.New(5, p.Deployment.Terms), Terms: p.Deployment.Terms, Zones: p.Deployment.Zones.All(),
-		Machines: p.Deployment.Machines.All(), Kinds: p.Deployment.Kinds.All(), MostProxies: p.Proxies, Relay: k, List: x{}, Prober: probe.Never{},
+		Machines: p.Deployment.Machines.All(), Kinds: p.Deployment.Kinds.All(), MostProxies: p.Proxies, Relay: k, List: x{}, Prober: healthcheck.Never{},
 		Peers: gossip.Nobody{}, Log: func(string) {}, Odd: func(what string, _ ...string) { t.Error(what) }})
 	entries, hosts := []wire.Entry{}, []string{}
 	for i := range 6 {
--- a/internal/edge/probe/probe.go
+++ b/internal/transport/healthcheck/probe.go
@@ -1,6 +1,6 @@
-// Package probe examines endpoints for the runtime: one question on a connection of its own, answered by a load
+// Package healthcheck examines endpoints for the runtime: one question on a connection of its own, answered by a load
 // report. Probes under way are bounded; one too many is answered as denied without a word on any socket.
-package probe
+package healthcheck
 
 import (
 	"context"
--- a/internal/edge/probe/probe_test.go
+++ b/internal/transport/healthcheck/probe_test.go
@@ -1,4 +1,4 @@
-package probe
+package healthcheck
 
 import (
 	"context"
