--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -21,9 +21,9 @@
 
 	"indigousher/internal/config"
 	"indigousher/internal/edge/admin"
-	"indigousher/internal/edge/list"
 	"indigousher/internal/identity"
 	"indigousher/internal/pilot"
+	"indigousher/internal/transport/discovery"
 	"indigousher/internal/transport/framed"
 	"indigousher/internal/transport/gossip"
 	"indigousher/internal/transport/grpcapi"
@@ -157,9 +157,9 @@
 		}
 	}
 	if t.ListAddress != "" {
-		d.source = list.NewStream(t.Name, t.ListAddress, d.outfit.Dial, later{d}, t.ListSilence, d.outfit.Log.Named("list"))
+		d.source = discovery.NewStream(t.Name, t.ListAddress, d.outfit.Dial, later{d}, t.ListSilence, d.outfit.Log.Named("list"))
 	} else {
-		d.source = list.NewFile(t.ListFile, config.ReadList, later{d}, d.outfit.Log.Named("list"))
+		d.source = discovery.NewFile(t.ListFile, config.ReadList, later{d}, d.outfit.Log.Named("list"))
 	}
 	notes, err := d.openPeers(t)
 	if err != nil {
