--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -20,9 +20,9 @@
 	"golang.org/x/sync/errgroup"
 
 	"indigousher/internal/config"
-	"indigousher/internal/edge/admin"
 	"indigousher/internal/identity"
 	"indigousher/internal/pilot"
+	"indigousher/internal/transport/admin"
 	"indigousher/internal/transport/discovery"
 	"indigousher/internal/transport/framed"
 	"indigousher/internal/transport/gossip"
