--- a/internal/transport/framed/framed.go
+++ b/internal/transport/framed/framed.go
@@ -17,9 +17,9 @@
 	"golang.org/x/sync/errgroup"
 
 	"indigousher/internal/backoff"
-	"indigousher/internal/edge/ending"
 	"indigousher/internal/identity"
 	"indigousher/internal/pilot"
+	"indigousher/internal/transport/shutdown"
 	"indigousher/internal/wire"
 )
 
@@ -110,7 +110,7 @@
 	if len(s.live) >= s.door.MaxStreams || s.killed {
 		return nil
 	}
-	st := &stream{conn: conn, out: make(chan wire.Message, s.door.Queue), end: ending.New[wire.Message]()}
+	st := &stream{conn: conn, out: make(chan wire.Message, s.door.Queue), end: shutdown.New[wire.Message]()}
 	s.live[st] = true
 	return st
 }
@@ -277,7 +277,7 @@
 type stream struct {
 	conn net.Conn
 	out  chan wire.Message
-	end  *ending.Ending[wire.Message]
+	end  *shutdown.Ending[wire.Message]
 	mu   sync.Mutex
 	owed []frame // frames that the proxy has not said to have dealt with
 }
--- a/internal/transport/grpcapi/server.go
+++ b/internal/transport/grpcapi/server.go
@@ -18,10 +18,10 @@
 	"google.golang.org/grpc/peer"
 	"google.golang.org/grpc/status"
 
-	"indigousher/internal/edge/ending"
 	"indigousher/internal/edge/opening"
 	"indigousher/internal/identity"
 	"indigousher/internal/pilot"
+	"indigousher/internal/transport/shutdown"
 	"indigousher/internal/wire"
 	pb "indigousher/proto/indigousher/v1"
 )
@@ -214,7 +214,7 @@
 	if len(s.live) >= s.door.MaxStreams {
 		return nil, status.Error(codes.ResourceExhausted, "too many streams")
 	}
-	st := &stream{wake: make(chan struct{}, 1), end: ending.New[*pb.Downward](), most: s.door.QueueLines}
+	st := &stream{wake: make(chan struct{}, 1), end: shutdown.New[*pb.Downward](), most: s.door.QueueLines}
 	s.live[st] = true
 	return st, nil
 }
--- a/internal/transport/xds/xdsedge.go
+++ b/internal/transport/xds/xdsedge.go
@@ -35,9 +35,9 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"indigousher/internal/edge/ending"
 	"indigousher/internal/edge/opening"
 	"indigousher/internal/pilot"
+	"indigousher/internal/transport/shutdown"
 	"indigousher/internal/wire"
 )
 
@@ -267,7 +267,7 @@
 	name    string
 	kinds   []string
 	wake    chan struct{}
-	end     *ending.Ending[struct{}]
+	end     *shutdown.Ending[struct{}]
 	mu      sync.Mutex
 	tables  map[int]*table
 	serves  map[string]int // table by kind, once bound
@@ -294,7 +294,7 @@
 }
 
 func newStream(name string, kinds []string) *stream {
-	return &stream{name: name, kinds: kinds, wake: make(chan struct{}, 1), end: ending.New[struct{}](), tables: map[int]*table{},
+	return &stream{name: name, kinds: kinds, wake: make(chan struct{}, 1), end: shutdown.New[struct{}](), tables: map[int]*table{},
 		serves: map[string]int{}, out: map[string]bool{}, asked: map[string][]string{}, due: map[string]bool{}}
 }
 
