--- a/internal/transport/grpcapi/server.go
+++ b/internal/transport/grpcapi/server.go
@@ -18,9 +18,9 @@
 	"google.golang.org/grpc/peer"
 	"google.golang.org/grpc/status"
 
-	"indigousher/internal/edge/opening"
 	"indigousher/internal/identity"
 	"indigousher/internal/pilot"
+	"indigousher/internal/transport/handshake"
 	"indigousher/internal/transport/shutdown"
 	"indigousher/internal/wire"
 	pb "indigousher/proto/indigousher/v1"
@@ -163,7 +163,7 @@
 
 // greet reads and checks the hello. What is wrong with an identity only operators hear.
 func (s *Server) greet(g grpc.BidiStreamingServer[pb.Upward, pb.Downward]) (*wire.Hello, error) {
-	m, err := opening.First(s.door.HelloIn, "a hello must come first", g.Recv)
+	m, err := handshake.First(s.door.HelloIn, "a hello must come first", g.Recv)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/transport/xds/xdsedge.go
+++ b/internal/transport/xds/xdsedge.go
@@ -35,8 +35,8 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"indigousher/internal/edge/opening"
 	"indigousher/internal/pilot"
+	"indigousher/internal/transport/handshake"
 	"indigousher/internal/transport/shutdown"
 	"indigousher/internal/wire"
 )
@@ -111,7 +111,7 @@
 
 // StreamAggregatedResources serves one proxy.
 func (s *Server) StreamAggregatedResources(g ads.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
-	first, err := opening.First(s.door.HelloIn, silent, g.Recv)
+	first, err := handshake.First(s.door.HelloIn, silent, g.Recv)
 	if err != nil {
 		return err
 	}
@@ -223,7 +223,7 @@
 
 // StreamLoadStats takes one proxy's load reports.
 func (s *Server) StreamLoadStats(g lrs.LoadReportingService_StreamLoadStatsServer) error {
-	first, err := opening.First(s.door.HelloIn, silent, g.Recv)
+	first, err := handshake.First(s.door.HelloIn, silent, g.Recv)
 	if err != nil {
 		return err
 	}
