--- a/cmd/indigousher/kill_test.go
+++ b/cmd/indigousher/kill_test.go
@@ -23,7 +23,7 @@
 	"indigousher/internal/standin/follow"
 	"indigousher/internal/standin/links"
 	"indigousher/internal/standin/proxy"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/testbed/eventlog"
 )
 
 // world is a pilot's process and what it needs.
@@ -93,8 +93,8 @@
 }
 
 // followed starts proxies that follow the pilot.
-func (w *world) followed() *trail.Book {
-	book := trail.NewBook()
+func (w *world) followed() *eventlog.Book {
+	book := eventlog.NewBook()
 	for i := range 3 {
 		name := fmt.Sprint("p", i)
 		p := proxy.New(proxy.Make{Name: name, Zone: "a", Habits: follow.Habits{Kinds: []string{"read"}}, Rate: 1,
@@ -160,7 +160,7 @@
 	require.Eventually(t, func() bool {
 		joins := 0
 		for _, e := range book.Events() {
-			if e.What == trail.Join {
+			if e.What == eventlog.Join {
 				joins++
 			}
 		}
--- a/internal/audit/service.go
+++ b/internal/audit/service.go
@@ -2,7 +2,7 @@
 
 import (
 	"indigousher/internal/config"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/testbed/eventlog"
 )
 
 // WindowMs is the width of a window of service.
@@ -44,16 +44,16 @@
 	return s
 }
 
-func (s *server) take(e trail.Event) {
+func (s *server) take(e eventlog.Event) {
 	switch e.What {
-	case trail.Asked:
+	case eventlog.Asked:
 		s.asked[e.Req] = e.At
-	case trail.Answered:
+	case eventlog.Answered:
 		s.answered(e)
 	}
 }
 
-func (s *server) answered(e trail.Event) {
+func (s *server) answered(e eventlog.Event) {
 	asked := s.asked[e.Req]
 	delete(s.asked, e.Req)
 	k, known := s.kinds[e.Kind]
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -19,7 +19,7 @@
 	"indigousher/internal/config"
 	"indigousher/internal/standin/follow"
 	"indigousher/internal/standin/proxy"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/testbed/eventlog"
 )
 
 func TestMain(m *testing.M) {
@@ -71,8 +71,8 @@
 }
 
 // following starts a proxy of the stand-ins that follows a pilot.
-func following(t *testing.T, name string, pilots func() []string) *trail.Book {
-	book := trail.NewBook()
+func following(t *testing.T, name string, pilots func() []string) *eventlog.Book {
+	book := eventlog.NewBook()
 	p := proxy.New(proxy.Make{Name: name, Zone: "a", Habits: follow.Habits{Kinds: []string{"read"}}, Rate: 1,
 		Standing: func() []string { return []string{"old:1"} }, Pilots: pilots, Dial: (&net.Dialer{}).DialContext,
 		Redial: 20 * time.Millisecond}, book.Trail(name))
@@ -81,7 +81,7 @@
 	return book
 }
 
-func count(b *trail.Book, what trail.What) (n int) {
+func count(b *eventlog.Book, what eventlog.What) (n int) {
 	for _, e := range b.Events() {
 		if e.What == what {
 			n++
@@ -98,7 +98,7 @@
 	stop, ended := run(t, d)
 	book := following(t, "p", func() []string { return []string{d.Address()} })
 	require.Eventually(t, func() bool { return d.State().Listed && d.State().Proxies == 1 }, 5*time.Second, time.Millisecond)
-	require.Eventually(t, func() bool { return count(book, trail.Got) > 0 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return count(book, eventlog.Got) > 0 }, 5*time.Second, time.Millisecond)
 	for path, want := range map[string]string{"/healthz": "ok", "/readyz": "ok", "/state": `"Proxies":1`,
 		"/metrics": "indigousher_proxies_joined 1"} {
 		code, body := get(t, d, path)
@@ -113,7 +113,7 @@
 	assert.Equal(t, []string{"Name"}, restart)
 	stop()
 	assert.NoError(t, <-ended)
-	assert.Equal(t, 1, count(book, trail.Leave))
+	assert.Equal(t, 1, count(book, eventlog.Leave))
 }
 
 // TestStopAndReload guards against a reload that comes as the pilot stops: it ends, and nothing hangs.
@@ -151,7 +151,7 @@
 	first.Kill()
 	assert.NoError(t, <-ended)
 	assert.Eventually(t, func() bool { return second.State().Proxies == 1 }, 5*time.Second, time.Millisecond)
-	assert.GreaterOrEqual(t, count(book, trail.Join), 2)
+	assert.GreaterOrEqual(t, count(book, eventlog.Join), 2)
 }
 
 // TestNoStart shows how a pilot fails that can't have what it needs.
--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -18,7 +18,7 @@
 	"indigousher/internal/standin/follow"
 	"indigousher/internal/standin/list"
 	"indigousher/internal/standin/proxy"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/wire"
 	"indigousher/planner"
 	"indigousher/telemetry"
@@ -45,7 +45,7 @@
 func BenchmarkListChange(b *testing.B) {
 	for _, pace := range []float64{12000, 1e9} {
 		b.Run(fmt.Sprintf("lines_per_s=%.0e", pace), func(b *testing.B) {
-			book := trail.NewBook()
+			book := eventlog.NewBook()
 			l := list.New(book.Trail("list"))
 			require.NoError(b, l.Start())
 			defer l.Close()
@@ -71,7 +71,7 @@
 			lines := func(since float64) (at map[string]float64) {
 				at = map[string]float64{}
 				for _, e := range book.Events() {
-					if e.What == trail.Lines && e.At >= since && e.N > 0 {
+					if e.What == eventlog.Lines && e.At >= since && e.N > 0 {
 						at[e.Who] = e.At
 					}
 				}
--- a/internal/daemon/transports_test.go
+++ b/internal/daemon/transports_test.go
@@ -24,7 +24,7 @@
 	"indigousher/internal/identity"
 	"indigousher/internal/standin/list"
 	"indigousher/internal/standin/proxy"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/wire"
 )
 
@@ -142,7 +142,7 @@
 }
 
 func measure(b *testing.B, transport string, many int, authority *identity.Authority) {
-	l := list.New(trail.NewBook().Trail("list"))
+	l := list.New(eventlog.NewBook().Trail("list"))
 	sealed := transport == "framed+tls" || transport == "grpc+tls"
 	dir, from := b.TempDir(), time.Now().Add(-time.Minute)
 	issue := func(role identity.Role, zone, name string) identity.Files {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -14,7 +14,7 @@
 
 	"indigousher/internal/audit"
 	"indigousher/internal/scenario"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/testbed/eventlog"
 )
 
 // TestClock guards the one order of events: by time, those of one moment as they were asked for.
@@ -70,7 +70,7 @@
 	require.NoError(t, err)
 	told := 0
 	for _, e := range o.Events {
-		if e.What == trail.Told && e.At > 5000 {
+		if e.What == eventlog.Told && e.At > 5000 {
 			told++
 		}
 	}
--- a/internal/emulator/list.go
+++ b/internal/emulator/list.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"indigousher/internal/pilot"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/wire"
 )
 
@@ -55,14 +55,14 @@
 			return
 		}
 		if m.Whole {
-			l.w.note("list", trail.Event{What: trail.Told, Peer: s.place.name, N: -1})
+			l.w.note("list", eventlog.Event{What: eventlog.Told, Peer: s.place.name, N: -1})
 		}
 		for _, e := range m.Entries {
 			age := -1.0
 			if e.Started != 0 {
 				age = float64(m.Now - e.Started)
 			}
-			l.w.note("list", trail.Event{What: trail.Told, Peer: s.place.name, Text: e.Endpoint, Kind: e.Zone + "/" + e.Machine,
+			l.w.note("list", eventlog.Event{What: eventlog.Told, Peer: s.place.name, Text: e.Endpoint, Kind: e.Zone + "/" + e.Machine,
 				N: e.Phase, Value: age})
 		}
 		s.post(pilot.Listed{List: m})
--- a/internal/emulator/nostate_test.go
+++ b/internal/emulator/nostate_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"indigousher/internal/scenario"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/testbed/eventlog"
 )
 
 // soundAfter returns how long after a time the tables were sound again: from then on until another time, in each second,
@@ -18,7 +18,7 @@
 		names[n] = true
 	}
 	for _, e := range o.Events {
-		if e.What == trail.Arrive && e.At >= from && e.At < to {
+		if e.What == eventlog.Arrive && e.At >= from && e.At < to {
 			s := int((e.At - from) / 1000)
 			tries[s]++
 			if names[e.Who] {
--- a/internal/emulator/pilot.go
+++ b/internal/emulator/pilot.go
@@ -7,7 +7,7 @@
 	"indigousher/internal/config"
 	"indigousher/internal/pilot"
 	"indigousher/internal/record"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/wire"
 	"indigousher/recovery"
 )
@@ -64,7 +64,7 @@
 // start begins a process, on the record of the last life where the day has pilots record.
 func (s *seat) start() {
 	w := s.w
-	w.note(s.place.name, trail.Event{What: trail.Start, Kind: "pilot", Text: s.place.zone})
+	w.note(s.place.name, eventlog.Event{What: eventlog.Start, Kind: "pilot", Text: s.place.zone})
 	r := &pilotRun{s: s, born: w.now, wakeAt: -1}
 	s.run = r
 	told := s.terms.ForModule(s.rank)
@@ -155,7 +155,7 @@
 		s.commit(r)
 	}
 	s.run = nil
-	s.w.note(s.place.name, trail.Event{What: trail.Stop})
+	s.w.note(s.place.name, eventlog.Event{What: eventlog.Stop})
 	s.w.pilotStopped(r)
 	for _, st := range s.w.streamsOf(s) {
 		st.broke(true)
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -6,7 +6,7 @@
 
 	"indigousher/internal/pilot"
 	"indigousher/internal/standin/follow"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/wire"
 )
 
@@ -75,7 +75,7 @@
 		li.lines[k] = -1
 	}
 	p.life = li
-	p.w.note(p.place.name, trail.Event{What: trail.Start, N: p.boots, Text: p.place.zone})
+	p.w.note(p.place.name, eventlog.Event{What: eventlog.Start, N: p.boots, Text: p.place.zone})
 	li.showLines()
 	li.dial(0)
 }
@@ -86,7 +86,7 @@
 		return
 	}
 	p.life = nil
-	p.w.note(p.place.name, trail.Event{What: trail.Stop})
+	p.w.note(p.place.name, eventlog.Event{What: eventlog.Stop})
 	if li.stream != nil {
 		li.stream.broke(false)
 	}
@@ -121,7 +121,7 @@
 	for k, name := range li.p.habits.Kinds {
 		if n := li.follow.Lines(k); n != li.lines[k] {
 			li.lines[k] = n
-			li.p.w.note(li.p.place.name, trail.Event{What: trail.Lines, Kind: name, N: n})
+			li.p.w.note(li.p.place.name, eventlog.Event{What: eventlog.Lines, Kind: name, N: n})
 		}
 	}
 }
@@ -163,7 +163,7 @@
 	to.streams[li.stream] = true
 	li.follow.Joined()
 	li.wish = follow.Wish{}
-	p.w.note(p.place.name, trail.Event{What: trail.Join, Peer: to.place.name, Kind: p.place.zone})
+	p.w.note(p.place.name, eventlog.Event{What: eventlog.Join, Peer: to.place.name, Kind: p.place.zone})
 	to.post(pilot.Join{Stream: li.stream, Hello: hello})
 	li.period = p.w.period
 	li.report(li.stream, li.period*li.rnd.Float64())
@@ -189,7 +189,7 @@
 		return
 	}
 	came := p.w.now
-	p.w.note(p.place.name, trail.Event{What: trail.Got, Peer: s.to.place.name, N: o.Lines, Value: o.AgeMs, Since: s.to.run.born + o.AtMs})
+	p.w.note(p.place.name, eventlog.Event{What: eventlog.Got, Peer: s.to.place.name, N: o.Lines, Value: o.AgeMs, Since: s.to.run.born + o.AtMs})
 	li.busy = max(li.busy, p.w.now) + float64(len(o.Ops))*p.w.apply
 	p.w.At(li.busy, func() {
 		if p.life != li || li.stream != s {
@@ -239,7 +239,7 @@
 	kind := p.w.kind[req.Kind]
 	li.follow.Came(kind, req.Key)
 	if !li.follow.Admit(kind) {
-		p.w.note(p.place.name, trail.Event{What: trail.Refuse, Kind: req.Kind, Req: req.Name, Text: "level"})
+		p.w.note(p.place.name, eventlog.Event{What: eventlog.Refuse, Kind: req.Kind, Req: req.Name, Text: "level"})
 		answer(&wire.Answer{Outcome: wire.Denied, ComeBackMs: follow.ComeBackMs})
 		return
 	}
@@ -252,13 +252,13 @@
 	li, p := u.li, u.li.p
 	name := li.follow.Pick(p.w.now, u.kind, u.req.Key, u.tried)
 	if name == "" {
-		p.w.note(p.place.name, trail.Event{What: trail.Refuse, Kind: u.req.Kind, Req: u.req.Name, Text: "no line"})
+		p.w.note(p.place.name, eventlog.Event{What: eventlog.Refuse, Kind: u.req.Kind, Req: u.req.Name, Text: "no line"})
 		u.end()
 		return
 	}
 	li.follow.Sent(name)
 	u.tried = append(u.tried, name)
-	p.w.note(p.place.name, trail.Event{What: trail.Send, Peer: name, Kind: u.req.Kind, Req: u.req.Name, Text: u.req.Key, N: len(u.tried)})
+	p.w.note(p.place.name, eventlog.Event{What: eventlog.Send, Peer: name, Kind: u.req.Kind, Req: u.req.Name, Text: u.req.Key, N: len(u.tried)})
 	p.w.Tries++
 	wait := follow.Patience(li.follow.Again(u.kind), len(u.tried), u.until-p.w.now, p.w.firstWait*p.w.targets[u.kind])
 	t := &try{req: u, name: name, start: p.w.now}
@@ -450,7 +450,7 @@
 	}
 	s.li.stream = nil
 	if s.li.p.life == s.li {
-		s.w.note(s.li.p.place.name, trail.Event{What: trail.Leave, Peer: s.to.place.name})
+		s.w.note(s.li.p.place.name, eventlog.Event{What: eventlog.Leave, Peer: s.to.place.name})
 		if redial {
 			s.li.redial(0)
 		}
--- a/internal/emulator/trouble.go
+++ b/internal/emulator/trouble.go
@@ -6,7 +6,7 @@
 	"indigousher/internal/scenario"
 	"indigousher/internal/standin/client"
 	"indigousher/internal/standin/endpoint"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/wire"
 )
 
@@ -82,7 +82,7 @@
 
 func (w *World) dumb(name string, dumb bool) {
 	w.ways.dumb[name] = dumb
-	w.note("links", trail.Event{What: map[bool]trail.What{true: trail.Cut, false: trail.Mended}[dumb], Peer: name})
+	w.note("links", eventlog.Event{What: map[bool]eventlog.What{true: eventlog.Cut, false: eventlog.Mended}[dumb], Peer: name})
 	if !dumb {
 		w.ways.changed()
 	}
@@ -91,7 +91,7 @@
 
 func (w *World) cut(zone string, cut bool) {
 	w.ways.zone(zone).cut = cut
-	w.note("links", trail.Event{What: map[bool]trail.What{true: trail.Cut, false: trail.Mended}[cut], Text: zone})
+	w.note("links", eventlog.Event{What: map[bool]eventlog.What{true: eventlog.Cut, false: eventlog.Mended}[cut], Text: zone})
 	if !cut {
 		w.ways.changed()
 	}
@@ -365,7 +365,7 @@
 func (w *World) giveSlice(i int) {
 	x := wire.Slices{Slice: i, Given: true, From: client.Key(i * scenario.KeysEach), To: client.Key((i + 1) * scenario.KeysEach),
 		Lines: []wire.HeldLine{{Endpoint: w.owners[i], Weight: 1}}}
-	w.note("rehearsal", trail.Event{What: trail.Given, Peer: w.owners[i], N: i, Text: x.From})
+	w.note("rehearsal", eventlog.Event{What: eventlog.Given, Peer: w.owners[i], N: i, Text: x.From})
 	w.list.give(x)
 }
 
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -21,7 +21,7 @@
 	"indigousher/internal/standin/client"
 	"indigousher/internal/standin/endpoint"
 	"indigousher/internal/standin/follow"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/wire"
 	"indigousher/planner"
 )
@@ -41,7 +41,7 @@
 // Outcome is what a day left.
 type Outcome struct {
 	Report    *audit.Report
-	Events    []trail.Event
+	Events    []eventlog.Event
 	Done      uint64 // events of the clock
 	Reqs      uint64
 	Tries     uint64
@@ -105,7 +105,7 @@
 	w.clients()
 	for _, t := range p.Day.Troubles {
 		w.At(ms(t.At), func() {
-			w.note("rehearsal", trail.Event{What: trail.Note, Text: t.String()})
+			w.note("rehearsal", eventlog.Event{What: eventlog.Note, Text: t.String()})
 			w.strike(t)
 		})
 	}
@@ -164,7 +164,7 @@
 }
 
 // note adds an event to the trails.
-func (w *World) note(who string, e trail.Event) {
+func (w *World) note(who string, e eventlog.Event) {
 	e.At, e.Who = w.now, who
 	w.sum.add(&e)
 	if w.Judged {
@@ -351,7 +351,7 @@
 func (w *World) ask(name uint64, a client.Asked, k *client.Kind, retries int, backoff float64) {
 	w.out.Reqs++
 	start, until := w.now, w.now+ms(k.Timeout)
-	w.note("clients", trail.Event{What: trail.Asked, Kind: k.Name, Req: name})
+	w.note("clients", eventlog.Event{What: eventlog.Asked, Kind: k.Name, Req: name})
 	c := &asking{w: w, name: name, a: a, k: k, start: start, until: until, retries: retries, backoff: backoff}
 	w.patience[a.Kind].add(until, c)
 	c.try()
@@ -384,7 +384,7 @@
 	if outcome == "done" {
 		_ = c.w.out.Latency.RecordValue(max(1, int64(took*1000))) // within its range by the client timeout
 	}
-	c.w.note("clients", trail.Event{What: trail.Answered, Kind: c.k.Name, Req: c.name, Value: took, Text: outcome})
+	c.w.note("clients", eventlog.Event{What: eventlog.Answered, Kind: c.k.Name, Req: c.name, Value: took, Text: outcome})
 }
 
 func (c *asking) try() {
@@ -441,7 +441,7 @@
 // digest mixes what tells events apart.
 type digest struct{ h uint64 }
 
-func (d *digest) add(e *trail.Event) {
+func (d *digest) add(e *eventlog.Event) {
 	h := d.h
 	if h == 0 {
 		h = 14695981039346656037
--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/rehearsal/rehearsal_test.go
@@ -17,7 +17,7 @@
 	"indigousher/internal/backoff"
 	"indigousher/internal/pilot"
 	"indigousher/internal/scenario"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/testbed/eventlog"
 	"indigousher/planner"
 )
 
@@ -252,7 +252,7 @@
 	sent, all := map[string]float64{}, map[string]float64{}
 	names := map[string]bool{}
 	for _, e := range o.Book.Events() {
-		if e.What == trail.Send {
+		if e.What == eventlog.Send {
 			zone := strings.Split(e.Who, "-")[1]
 			if o.Zones[e.Peer] == zone { // others are crossed to only now and then
 				sent[zone+" "+e.Peer]++
--- a/internal/rehearsal/slices.go
+++ b/internal/rehearsal/slices.go
@@ -4,7 +4,7 @@
 	"indigousher/internal/scenario"
 	"indigousher/internal/standin/client"
 	"indigousher/internal/standin/endpoint"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/wire"
 )
 
@@ -20,7 +20,7 @@
 func (s *stage) give(i int) {
 	x := wire.Slices{Slice: i, Given: true, From: client.Key(i * scenario.KeysEach), To: client.Key((i + 1) * scenario.KeysEach),
 		Lines: []wire.HeldLine{{Endpoint: s.owners[i], Weight: 1}}}
-	s.own.Add(trail.Event{What: trail.Given, Peer: s.owners[i], N: i, Text: x.From})
+	s.own.Add(eventlog.Event{What: eventlog.Given, Peer: s.owners[i], N: i, Text: x.From})
 	s.list.Give(x)
 }
 
--- a/internal/rehearsal/stage.go
+++ b/internal/rehearsal/stage.go
@@ -33,7 +33,7 @@
 	"indigousher/internal/standin/links"
 	"indigousher/internal/standin/list"
 	"indigousher/internal/standin/proxy"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/wire"
 )
 
@@ -57,7 +57,7 @@
 // Outcome is what a day left.
 type Outcome struct {
 	Report *audit.Report
-	Book   *trail.Book
+	Book   *eventlog.Book
 	Most   pilot.State // the most lines and messages that any pilot counted itself
 	Took   time.Duration
 	Zones  map[string]string // of endpoints, by address
@@ -66,8 +66,8 @@
 // stage holds everything that runs.
 type stage struct {
 	Play
-	book      *trail.Book
-	own       *trail.Trail
+	book      *eventlog.Book
+	own       *eventlog.Trail
 	net       *links.Net
 	list      *list.List
 	mu        sync.Mutex
@@ -105,7 +105,7 @@
 		p.Log = zap.NewNop()
 	}
 	began := time.Now()
-	s := &stage{Play: p, book: trail.NewBook(), entries: map[string]wire.Entry{},
+	s := &stage{Play: p, book: eventlog.NewBook(), entries: map[string]wire.Entry{},
 		unreached: map[string]*atomic.Bool{}, muted: map[string]*atomic.Bool{}, reports: map[string]*atomic.Int64{},
 		rnd: rand.New(rand.NewPCG(uint64(p.Day.Seed), 5))}
 	s.own = s.book.Trail("rehearsal")
@@ -219,7 +219,7 @@
 // startPilot begins a pilot's process, at the address of the first, or has a new one take over from it.
 func (s *stage) startPilot(st *seat, takeOver bool) error {
 	place := links.Place{Name: st.name, Zone: st.zone}
-	s.book.Trail(st.name).Add(trail.Event{What: trail.Start, Kind: "pilot", Text: st.zone})
+	s.book.Trail(st.name).Add(eventlog.Event{What: eventlog.Start, Kind: "pilot", Text: st.zone})
 	if s.Binary != "" {
 		return s.startProcess(st, place)
 	}
@@ -271,7 +271,7 @@
 	st.mu.Unlock()
 	if p != nil {
 		p.stop(force)
-		s.book.Trail(st.name).Add(trail.Event{What: trail.Stop})
+		s.book.Trail(st.name).Add(eventlog.Event{What: eventlog.Stop})
 		return
 	}
 	if h == nil {
@@ -283,7 +283,7 @@
 	}
 	cancel()
 	<-done
-	s.book.Trail(st.name).Add(trail.Event{What: trail.Stop})
+	s.book.Trail(st.name).Add(eventlog.Event{What: eventlog.Stop})
 	s.count(d)
 }
 
@@ -484,7 +484,7 @@
 	for i, t := range s.Day.Troubles {
 		wg.Go(func() {
 			if backoff.For(ctx, time.Until(start.Add(t.At))) {
-				s.own.Add(trail.Event{What: trail.Note, Text: t.String()})
+				s.own.Add(eventlog.Event{What: eventlog.Note, Text: t.String()})
 				s.Say("%5.1fs  %s", time.Since(start).Seconds(), t)
 				errs[i] = s.strike(ctx, t)
 			}
--- a/internal/rehearsal/strike.go
+++ b/internal/rehearsal/strike.go
@@ -15,7 +15,7 @@
 	"indigousher/internal/standin/endpoint"
 	"indigousher/internal/standin/list"
 	"indigousher/internal/standin/proxy"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/wire"
 )
 
@@ -318,7 +318,7 @@
 				if err := s.handOver(st); err != nil {
 					return err
 				}
-				s.own.Add(trail.Event{What: trail.Note, Peer: st.name, Text: "handed over"})
+				s.own.Add(eventlog.Event{What: eventlog.Note, Peer: st.name, Text: "handed over"})
 				backoff.For(ctx, t.Every)
 			}
 		}
--- a/internal/standin/client/client.go
+++ b/internal/standin/client/client.go
@@ -16,7 +16,7 @@
 
 	"indigousher/internal/scenario"
 	"indigousher/internal/standin/proxy"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/wire"
 )
 
@@ -242,12 +242,12 @@
 // Crowd asks.
 type Crowd struct {
 	Load Load
-	Book *trail.Trail
+	Book *eventlog.Trail
 	Ask  []*proxy.Asker // by proxy
 }
 
 // NewCrowd returns a crowd whose askers dial the addresses.
-func NewCrowd(l Load, book *trail.Trail, addresses []string) *Crowd {
+func NewCrowd(l Load, book *eventlog.Trail, addresses []string) *Crowd {
 	c := &Crowd{Load: l, Book: book}
 	dial := (&net.Dialer{}).DialContext
 	for _, a := range addresses {
@@ -288,7 +288,7 @@
 // one takes a req through its retries.
 func (c *Crowd) one(ctx context.Context, name uint64, a Asked) {
 	k := c.Load.Kinds[a.Kind]
-	c.Book.Add(trail.Event{What: trail.Asked, Kind: k.Name, Req: name})
+	c.Book.Add(eventlog.Event{What: eventlog.Asked, Kind: k.Name, Req: name})
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, k.Timeout)
 	defer cancel()
@@ -323,5 +323,5 @@
 		}
 	}
 	took := float64(time.Since(start)) / float64(time.Millisecond)
-	c.Book.Add(trail.Event{What: trail.Answered, Kind: k.Name, Req: name, Value: took, Text: outcome})
+	c.Book.Add(eventlog.Event{What: eventlog.Answered, Kind: k.Name, Req: name, Value: took, Text: outcome})
 }
--- a/internal/standin/proxy/proxy.go
+++ b/internal/standin/proxy/proxy.go
@@ -15,7 +15,7 @@
 
 	"indigousher/internal/standin/follow"
 	"indigousher/internal/standin/links"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/wire"
 )
 
@@ -48,7 +48,7 @@
 // Proxy is one proxy; its process can die and come back.
 type Proxy struct {
 	Make
-	book    *trail.Trail
+	book    *eventlog.Trail
 	mu      sync.Mutex
 	address string
 	life    *life
@@ -73,7 +73,7 @@
 }
 
 // New returns a proxy that has not started.
-func New(m Make, book *trail.Trail) *Proxy { return &Proxy{Make: m, book: book} }
+func New(m Make, book *eventlog.Trail) *Proxy { return &Proxy{Make: m, book: book} }
 
 // Start begins a process: a standing table is drawn and a pilot dialled.
 func (p *Proxy) Start() error {
@@ -99,7 +99,7 @@
 	}
 	li.ctx, li.cancel = context.WithCancel(context.Background())
 	p.life = li
-	p.book.Add(trail.Event{What: trail.Start, N: p.boots, Text: p.Zone})
+	p.book.Add(eventlog.Event{What: eventlog.Start, N: p.boots, Text: p.Zone})
 	li.showLines(p)
 	context.AfterFunc(li.ctx, func() { _ = l.Close() })
 	li.wg.Go(func() { p.accept(li, l) })
@@ -117,7 +117,7 @@
 	if li == nil {
 		return
 	}
-	p.book.Add(trail.Event{What: trail.Stop})
+	p.book.Add(eventlog.Event{What: eventlog.Stop})
 	li.cancel()
 	li.mu.Lock()
 	for c := range li.clients {
@@ -160,7 +160,7 @@
 	for k, name := range p.Habits.Kinds {
 		if n := li.follow.Lines(k); n != li.lines[k] {
 			li.lines[k] = n
-			p.book.Add(trail.Event{What: trail.Lines, Kind: name, N: n})
+			p.book.Add(eventlog.Event{What: eventlog.Lines, Kind: name, N: n})
 		}
 	}
 }
@@ -204,8 +204,8 @@
 	if li.ctx.Err() != nil {
 		return false
 	}
-	p.book.Add(trail.Event{What: trail.Join, Peer: welcome.Pilot, Kind: p.Zone})
-	defer p.book.Add(trail.Event{What: trail.Leave, Peer: welcome.Pilot})
+	p.book.Add(eventlog.Event{What: eventlog.Join, Peer: welcome.Pilot, Kind: p.Zone})
+	defer p.book.Add(eventlog.Event{What: eventlog.Leave, Peer: welcome.Pilot})
 	ctx, cancel := context.WithCancel(li.ctx)
 	defer cancel()
 	out := make(chan wire.Message, 16)
@@ -273,7 +273,7 @@
 		switch m := m.(type) {
 		case *wire.Orders:
 			came := time.Now()
-			p.book.Add(trail.Event{What: trail.Got, Peer: pilot, N: m.Lines, Value: m.AgeMs, Since: m.AtMs})
+			p.book.Add(eventlog.Event{What: eventlog.Got, Peer: pilot, N: m.Lines, Value: m.AgeMs, Since: m.AtMs})
 			marks := p.apply(li, m)
 			for _, n := range marks {
 				took := float64(time.Since(came)) / float64(time.Millisecond)
@@ -384,7 +384,7 @@
 	li.mu.Unlock()
 	li.still.RUnlock()
 	if !admitted {
-		p.book.Add(trail.Event{What: trail.Refuse, Kind: req.Kind, Req: req.Name, Text: "level"})
+		p.book.Add(eventlog.Event{What: eventlog.Refuse, Kind: req.Kind, Req: req.Name, Text: "level"})
 		return &wire.Answer{Outcome: wire.Denied, ComeBackMs: follow.ComeBackMs}
 	}
 	var tried []string
@@ -392,7 +392,7 @@
 	for {
 		name, again := p.choose(li, req, kind, tried)
 		if name == "" {
-			p.book.Add(trail.Event{What: trail.Refuse, Kind: req.Kind, Req: req.Name, Text: "no line"})
+			p.book.Add(eventlog.Event{What: eventlog.Refuse, Kind: req.Kind, Req: req.Name, Text: "no line"})
 			break
 		}
 		tried = append(tried, name)
@@ -424,7 +424,7 @@
 	if name != "" {
 		li.follow.Sent(name)
 		// noted here: what picks and what counts as sent must not be parted by a message that is applied between
-		p.book.Add(trail.Event{What: trail.Send, Peer: name, Kind: req.Kind, Req: req.Name, Text: req.Key,
+		p.book.Add(eventlog.Event{What: eventlog.Send, Peer: name, Kind: req.Kind, Req: req.Name, Text: req.Key,
 			N: len(tried) + 1})
 	}
 	return name, li.follow.Again(kind)
--- a/internal/transport/healthcheck/probe_test.go
+++ b/internal/transport/healthcheck/probe_test.go
@@ -12,7 +12,7 @@
 
 	"indigousher/internal/pilot"
 	"indigousher/internal/standin/endpoint"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/wire"
 )
 
@@ -25,7 +25,7 @@
 // TestProbe shows what each state of an endpoint is told as.
 func TestProbe(t *testing.T) {
 	e := endpoint.New(endpoint.Model{Name: "e", Cores: 1, Speed: 1, Conns: 9, ReportEvery: 5 * time.Millisecond},
-		trail.NewBook().Trail("e"))
+		eventlog.NewBook().Trail("e"))
 	require.NoError(t, e.Start(false))
 	t.Cleanup(e.Kill)
 	rude, err := net.Listen("tcp", "127.0.0.1:0")
