--- a/cmd/indigousher/kill_test.go
+++ b/cmd/indigousher/kill_test.go
@@ -20,10 +20,10 @@
 
 	"indigousher/internal/daemon"
 	"indigousher/internal/record"
-	"indigousher/internal/standin/follow"
 	"indigousher/internal/standin/links"
 	"indigousher/internal/standin/proxy"
 	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/routing"
 )
 
 // world is a pilot's process and what it needs.
@@ -97,7 +97,7 @@
 	book := eventlog.NewBook()
 	for i := range 3 {
 		name := fmt.Sprint("p", i)
-		p := proxy.New(proxy.Make{Name: name, Zone: "a", Habits: follow.Habits{Kinds: []string{"read"}}, Rate: 1,
+		p := proxy.New(proxy.Make{Name: name, Zone: "a", Habits: routing.Habits{Kinds: []string{"read"}}, Rate: 1,
 			Standing: func() []string { return []string{"127.0.0.1:9000"} }, Pilots: func() []string { return []string{w.listen} },
 			Dial: (&net.Dialer{}).DialContext, Redial: 20 * time.Millisecond}, book.Trail(name))
 		require.NoError(w.t, p.Start())
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -17,9 +17,9 @@
 	"go.uber.org/goleak"
 
 	"indigousher/internal/config"
-	"indigousher/internal/standin/follow"
 	"indigousher/internal/standin/proxy"
 	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/routing"
 )
 
 func TestMain(m *testing.M) {
@@ -73,7 +73,7 @@
 // following starts a proxy of the stand-ins that follows a pilot.
 func following(t *testing.T, name string, pilots func() []string) *eventlog.Book {
 	book := eventlog.NewBook()
-	p := proxy.New(proxy.Make{Name: name, Zone: "a", Habits: follow.Habits{Kinds: []string{"read"}}, Rate: 1,
+	p := proxy.New(proxy.Make{Name: name, Zone: "a", Habits: routing.Habits{Kinds: []string{"read"}}, Rate: 1,
 		Standing: func() []string { return []string{"old:1"} }, Pilots: pilots, Dial: (&net.Dialer{}).DialContext,
 		Redial: 20 * time.Millisecond}, book.Trail(name))
 	require.NoError(t, p.Start())
--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -15,10 +15,10 @@
 	"indigousher/internal/config"
 	"indigousher/internal/pilot"
 	"indigousher/internal/record"
-	"indigousher/internal/standin/follow"
 	"indigousher/internal/standin/list"
 	"indigousher/internal/standin/proxy"
 	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/routing"
 	"indigousher/internal/wire"
 	"indigousher/planner"
 	"indigousher/telemetry"
@@ -62,7 +62,7 @@
 			stop, ended := runB(b, d)
 			for i := range manyProxies {
 				name := fmt.Sprintf("p%d", i)
-				p := proxy.New(proxy.Make{Name: name, Zone: zones[i%3], Habits: follow.Habits{Kinds: []string{"read"}}, Rate: 2,
+				p := proxy.New(proxy.Make{Name: name, Zone: zones[i%3], Habits: routing.Habits{Kinds: []string{"read"}}, Rate: 2,
 					Standing: func() []string { return nil }, Pilots: func() []string { return []string{d.Address()} },
 					Dial: (&net.Dialer{}).DialContext, Redial: 50 * time.Millisecond}, book.Trail(name))
 				require.NoError(b, p.Start())
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 
 	"indigousher/internal/pilot"
-	"indigousher/internal/standin/follow"
 	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/routing"
 	"indigousher/internal/wire"
 )
 
@@ -14,7 +14,7 @@
 type plain struct {
 	w       *World
 	place   place
-	habits  follow.Habits
+	habits  routing.Habits
 	rate    float64
 	home    int // number among the pilots of its zone
 	life    *plainLife
@@ -29,11 +29,11 @@
 // plainLife is one process.
 type plainLife struct {
 	p      *plain
-	follow *follow.Follower
+	follow *routing.Follower
 	stream *stream
 	lines  []int
 	rnd    *rand.Rand
-	wish   follow.Wish
+	wish   routing.Wish
 	period float64
 	busy   float64 // until when it applies lines and stands still
 	conns  map[string]*conn
@@ -69,7 +69,7 @@
 
 func (p *plain) start() {
 	p.boots++
-	li := &plainLife{p: p, follow: follow.NewFollower(p.habits, p.w.standing(p.place.zone), p.seed+uint64(p.boots)),
+	li := &plainLife{p: p, follow: routing.NewFollower(p.habits, p.w.standing(p.place.zone), p.seed+uint64(p.boots)),
 		lines: make([]int, len(p.habits.Kinds)), rnd: rand.New(rand.NewPCG(p.seed, uint64(p.boots))), conns: map[string]*conn{}}
 	for k := range li.lines {
 		li.lines[k] = -1
@@ -162,7 +162,7 @@
 	li.stream = &stream{w: p.w, li: li, to: to, run: to.run}
 	to.streams[li.stream] = true
 	li.follow.Joined()
-	li.wish = follow.Wish{}
+	li.wish = routing.Wish{}
 	p.w.note(p.place.name, eventlog.Event{What: eventlog.Join, Peer: to.place.name, Kind: p.place.zone})
 	to.post(pilot.Join{Stream: li.stream, Hello: hello})
 	li.period = p.w.period
@@ -240,7 +240,7 @@
 	li.follow.Came(kind, req.Key)
 	if !li.follow.Admit(kind) {
 		p.w.note(p.place.name, eventlog.Event{What: eventlog.Refuse, Kind: req.Kind, Req: req.Name, Text: "level"})
-		answer(&wire.Answer{Outcome: wire.Denied, ComeBackMs: follow.ComeBackMs})
+		answer(&wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.ComeBackMs})
 		return
 	}
 	u := &reqUnder{li: li, req: req, kind: kind, answer: answer, until: p.w.now + min(limit, p.w.limits[kind])}
@@ -260,7 +260,7 @@
 	u.tried = append(u.tried, name)
 	p.w.note(p.place.name, eventlog.Event{What: eventlog.Send, Peer: name, Kind: u.req.Kind, Req: u.req.Name, Text: u.req.Key, N: len(u.tried)})
 	p.w.Tries++
-	wait := follow.Patience(li.follow.Again(u.kind), len(u.tried), u.until-p.w.now, p.w.firstWait*p.w.targets[u.kind])
+	wait := routing.Patience(li.follow.Again(u.kind), len(u.tried), u.until-p.w.now, p.w.firstWait*p.w.targets[u.kind])
 	t := &try{req: u, name: name, start: p.w.now}
 	p.w.waits[u.kind].add(p.w.now+wait, t)
 	li.send(t, wait)
@@ -362,7 +362,7 @@
 	}
 	proof := outcome == wire.Denied
 	u.ran = u.ran || !proof
-	if !follow.TryFollows(u.li.follow.Again(u.kind), len(u.tried), proof) || w.now >= u.until-1e-6 || u.li.p.life != u.li {
+	if !routing.TryFollows(u.li.follow.Again(u.kind), len(u.tried), proof) || w.now >= u.until-1e-6 || u.li.p.life != u.li {
 		u.end()
 		return
 	}
@@ -371,7 +371,7 @@
 
 func (u *reqUnder) end() {
 	if !u.ran {
-		u.answer(&wire.Answer{Outcome: wire.Denied, ComeBackMs: follow.ComeBackMs})
+		u.answer(&wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.ComeBackMs})
 		return
 	}
 	u.li.follow.Unanswered(u.kind, u.req.Key)
@@ -416,7 +416,7 @@
 func (s *stream) Ask(m *wire.Pace) error {
 	s.w.ways.carry(s.to.place, s.li.p.place, func() {
 		if !s.ended && s.li.p.heed {
-			s.li.wish = follow.Wish{Lines: m.Lines, Changes: m.Changes}
+			s.li.wish = routing.Wish{Lines: m.Lines, Changes: m.Changes}
 			s.li.period = math.Max(1, float64(m.PeriodMs))
 		}
 	})
--- a/internal/pilot/drains_test.go
+++ b/internal/pilot/drains_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"indigousher/internal/standin/follow"
+	"indigousher/internal/testbed/routing"
 	"indigousher/internal/wire"
 	"indigousher/planner"
 	"indigousher/telemetry"
@@ -30,7 +30,7 @@
 	t      *town
 	name   string
 	zone   string
-	follow *follow.Follower
+	follow *routing.Follower
 }
 
 func (v *villager) Close(string) {}
@@ -134,7 +134,7 @@
 				holds = append(holds, e.Endpoint)
 			}
 		}
-		v.follow = follow.NewFollower(follow.Habits{Kinds: []string{"read"}}, holds, 1)
+		v.follow = routing.NewFollower(routing.Habits{Kinds: []string{"read"}}, holds, 1)
 		v.follow.Joined()
 		t.handle(Join{v, wire.Hello{Proxy: v.name, Zone: v.zone, Rate: 2, Holds: holds}})
 	}
--- a/internal/standin/proxy/proxy.go
+++ b/internal/standin/proxy/proxy.go
@@ -13,9 +13,9 @@
 	"sync/atomic"
 	"time"
 
-	"indigousher/internal/standin/follow"
 	"indigousher/internal/standin/links"
 	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/routing"
 	"indigousher/internal/wire"
 )
 
@@ -25,7 +25,7 @@
 // Make is what a proxy is made of.
 type Make struct {
 	Name, Zone   string
-	Habits       follow.Habits
+	Habits       routing.Habits
 	Rate         float64 // reqs a second that ordinarily come
 	Standing     func() []string
 	Pilots       func() []string // addresses to dial, the home pilot first
@@ -62,14 +62,14 @@
 	wg      sync.WaitGroup
 	still   sync.RWMutex // held while lines are applied
 	mu      sync.Mutex   // guards follower and below
-	follow  *follow.Follower
+	follow  *routing.Follower
 	conns   map[string]*pool
 	clients map[net.Conn]bool
 	stream  Line
 	join    Joiner
 	lines   []int
 	rnd     *rand.Rand
-	wish    follow.Wish
+	wish    routing.Wish
 }
 
 // New returns a proxy that has not started.
@@ -88,7 +88,7 @@
 	}
 	p.address = l.Addr().String()
 	p.boots++
-	li := &life{follow: follow.NewFollower(p.Habits, p.Standing(), p.Seed+uint64(p.boots)), conns: map[string]*pool{},
+	li := &life{follow: routing.NewFollower(p.Habits, p.Standing(), p.Seed+uint64(p.boots)), conns: map[string]*pool{},
 		clients: map[net.Conn]bool{}, lines: make([]int, len(p.Habits.Kinds)),
 		rnd: rand.New(rand.NewPCG(p.Seed, uint64(p.boots)))}
 	for k := range li.lines {
@@ -199,7 +199,7 @@
 	li.mu.Lock()
 	li.stream = line
 	li.follow.Joined()
-	li.wish = follow.Wish{}
+	li.wish = routing.Wish{}
 	li.mu.Unlock()
 	if li.ctx.Err() != nil {
 		return false
@@ -286,7 +286,7 @@
 		case *wire.Pace:
 			if !p.Heedless {
 				li.mu.Lock()
-				li.wish = follow.Wish{Lines: m.Lines, Changes: m.Changes}
+				li.wish = routing.Wish{Lines: m.Lines, Changes: m.Changes}
 				li.mu.Unlock()
 				period.Store(int64(m.PeriodMs))
 			}
@@ -385,7 +385,7 @@
 	li.still.RUnlock()
 	if !admitted {
 		p.book.Add(eventlog.Event{What: eventlog.Refuse, Kind: req.Kind, Req: req.Name, Text: "level"})
-		return &wire.Answer{Outcome: wire.Denied, ComeBackMs: follow.ComeBackMs}
+		return &wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.ComeBackMs}
 	}
 	var tried []string
 	ran := false
@@ -402,12 +402,12 @@
 		}
 		proof := errors.Is(err, errNever) || err == nil && a.Outcome == wire.Denied
 		ran = ran || !proof
-		if !follow.TryFollows(again, len(tried), proof) || !time.Now().Before(until) || li.ctx.Err() != nil {
+		if !routing.TryFollows(again, len(tried), proof) || !time.Now().Before(until) || li.ctx.Err() != nil {
 			break
 		}
 	}
 	if !ran {
-		return &wire.Answer{Outcome: wire.Denied, ComeBackMs: follow.ComeBackMs}
+		return &wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.ComeBackMs}
 	}
 	li.mu.Lock()
 	li.follow.Unanswered(kind, req.Key)
@@ -432,7 +432,7 @@
 
 // patience is how long a try waits: what is left, less where another may follow.
 func (p *Proxy) patience(again, kind, try int, until time.Time) time.Duration {
-	return follow.Patience(again, try, time.Until(until), time.Duration(p.FirstWait*float64(p.Targets[kind])))
+	return routing.Patience(again, try, time.Until(until), time.Duration(p.FirstWait*float64(p.Targets[kind])))
 }
 
 // errNever proves that a try never ran.
--- a/recovery/explore_test.go
+++ b/recovery/explore_test.go
@@ -14,7 +14,7 @@
 
 	"indigousher/internal/pilot"
 	"indigousher/internal/record"
-	"indigousher/internal/standin/follow"
+	"indigousher/internal/testbed/routing"
 	"indigousher/internal/wire"
 	"indigousher/planner"
 	"indigousher/recovery"
@@ -88,7 +88,7 @@
 
 // proxy follows whoever has its stream.
 type proxy struct {
-	follow *follow.Follower
+	follow *routing.Follower
 	to     int // a process, -1 nobody
 	coming []*wire.Orders
 	stream *stream
@@ -145,7 +145,7 @@
 	w.procs[0] = &process{alive: true, old: &recovery.Old{Patience: 2}, claimed: true, listed: -1}
 	w.procs[1] = &process{alive: true, taker: recovery.NewSide(), act: recovery.Nothing}
 	for i := range w.proxies {
-		w.proxies[i] = &proxy{to: -1, follow: follow.NewFollower(follow.Habits{Kinds: []string{"read"}}, []string{"e0", "e1"}, uint64(i))}
+		w.proxies[i] = &proxy{to: -1, follow: routing.NewFollower(routing.Habits{Kinds: []string{"read"}}, []string{"e0", "e1"}, uint64(i))}
 	}
 	w.begin(0)
 	return w
