--- a/internal/emulator/trouble.go
+++ b/internal/emulator/trouble.go
@@ -4,9 +4,9 @@
 	"slices"
 
 	"indigousher/internal/scenario"
-	"indigousher/internal/standin/client"
 	"indigousher/internal/standin/endpoint"
 	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/loadgen"
 	"indigousher/internal/wire"
 )
 
@@ -363,7 +363,7 @@
 }
 
 func (w *World) giveSlice(i int) {
-	x := wire.Slices{Slice: i, Given: true, From: client.Key(i * scenario.KeysEach), To: client.Key((i + 1) * scenario.KeysEach),
+	x := wire.Slices{Slice: i, Given: true, From: loadgen.Key(i * scenario.KeysEach), To: loadgen.Key((i + 1) * scenario.KeysEach),
 		Lines: []wire.HeldLine{{Endpoint: w.owners[i], Weight: 1}}}
 	w.note("rehearsal", eventlog.Event{What: eventlog.Given, Peer: w.owners[i], N: i, Text: x.From})
 	w.list.give(x)
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -18,9 +18,9 @@
 	"indigousher/internal/pilot"
 	"indigousher/internal/record"
 	"indigousher/internal/scenario"
-	"indigousher/internal/standin/client"
 	"indigousher/internal/standin/endpoint"
 	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/loadgen"
 	"indigousher/internal/testbed/routing"
 	"indigousher/internal/wire"
 	"indigousher/planner"
@@ -329,8 +329,8 @@
 
 // clients ask reqs at their times, one drawn after another.
 func (w *World) clients() {
-	load := client.Of(w.Day)
-	source := client.NewSource(load)
+	load := loadgen.Of(w.Day)
+	source := loadgen.NewSource(load)
 	name := uint64(0)
 	var next func()
 	next = func() {
@@ -348,7 +348,7 @@
 }
 
 // ask takes a client's req through its retries.
-func (w *World) ask(name uint64, a client.Asked, k *client.Kind, retries int, backoff float64) {
+func (w *World) ask(name uint64, a loadgen.Asked, k *loadgen.Kind, retries int, backoff float64) {
 	w.out.Reqs++
 	start, until := w.now, w.now+ms(k.Timeout)
 	w.note("clients", eventlog.Event{What: eventlog.Asked, Kind: k.Name, Req: name})
@@ -361,8 +361,8 @@
 type asking struct {
 	w            *World
 	name         uint64
-	a            client.Asked
-	k            *client.Kind
+	a            loadgen.Asked
+	k            *loadgen.Kind
 	start, until float64
 	tried        int
 	retries      int
--- a/internal/rehearsal/stage.go
+++ b/internal/rehearsal/stage.go
@@ -27,12 +27,12 @@
 	"indigousher/internal/identity"
 	"indigousher/internal/pilot"
 	"indigousher/internal/scenario"
-	"indigousher/internal/standin/client"
 	"indigousher/internal/standin/endpoint"
 	"indigousher/internal/standin/links"
 	"indigousher/internal/standin/list"
 	"indigousher/internal/standin/proxy"
 	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/loadgen"
 	"indigousher/internal/testbed/routing"
 	"indigousher/internal/wire"
 )
@@ -473,7 +473,7 @@
 func (s *stage) play(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	load := client.Of(s.Day)
+	load := loadgen.Of(s.Day)
 	var addresses []string
 	for _, p := range s.proxies {
 		addresses = append(addresses, p.Address())
@@ -490,7 +490,7 @@
 			}
 		})
 	}
-	client.NewCrowd(load, s.book.Trail("clients"), addresses).Run(ctx)
+	loadgen.NewCrowd(load, s.book.Trail("clients"), addresses).Run(ctx)
 	asked := ctx.Err()
 	cancel()
 	wg.Wait()
--- a/internal/standin/client/client.go
+++ b/internal/testbed/loadgen/client.go
@@ -1,6 +1,6 @@
-// Package client is a stand-in for the clients: an open loop of reqs drawn ahead from a seed, asked of the proxies
+// Package loadgen is a stand-in for the clients: an open loop of reqs drawn ahead from a seed, asked of the proxies
 // when their time comes whether or not earlier ones are answered, with retries and client timeouts.
-package client
+package loadgen
 
 import (
 	"context"
