--- a/cmd/indigousher/kill_test.go
+++ b/cmd/indigousher/kill_test.go
@@ -20,9 +20,9 @@
 
 	"indigousher/internal/daemon"
 	"indigousher/internal/record"
-	"indigousher/internal/standin/links"
 	"indigousher/internal/standin/proxy"
 	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/network"
 	"indigousher/internal/testbed/routing"
 )
 
@@ -35,7 +35,7 @@
 }
 
 func freePort(t *testing.T) string {
-	l, err := links.Listen("") // off the address that outgoing connections take ports from
+	l, err := network.Listen("") // off the address that outgoing connections take ports from
 	require.NoError(t, err)
 	defer l.Close()
 	return l.Addr().String()
--- a/internal/rehearsal/stage.go
+++ b/internal/rehearsal/stage.go
@@ -28,11 +28,11 @@
 	"indigousher/internal/pilot"
 	"indigousher/internal/scenario"
 	"indigousher/internal/standin/endpoint"
-	"indigousher/internal/standin/links"
 	"indigousher/internal/standin/list"
 	"indigousher/internal/standin/proxy"
 	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/testbed/loadgen"
+	"indigousher/internal/testbed/network"
 	"indigousher/internal/testbed/routing"
 	"indigousher/internal/wire"
 )
@@ -68,7 +68,7 @@
 	Play
 	book      *eventlog.Book
 	own       *eventlog.Trail
-	net       *links.Net
+	net       *network.Net
 	list      *list.List
 	mu        sync.Mutex
 	endpoints []*endpoint.Endpoint
@@ -109,7 +109,7 @@
 		unreached: map[string]*atomic.Bool{}, muted: map[string]*atomic.Bool{}, reports: map[string]*atomic.Int64{},
 		rnd: rand.New(rand.NewPCG(uint64(p.Day.Seed), 5))}
 	s.own = s.book.Trail("rehearsal")
-	s.net = links.New(s.book.Trail("links"), uint64(p.Day.Seed))
+	s.net = network.New(s.book.Trail("links"), uint64(p.Day.Seed))
 	s.list = list.New(s.book.Trail("list"))
 	defer s.end()
 	if s.Records == "" {
@@ -153,7 +153,7 @@
 	if err := s.list.Start(); err != nil {
 		return err
 	}
-	s.net.Put(s.list.Address(), links.Place{Name: "list"})
+	s.net.Put(s.list.Address(), network.Place{Name: "list"})
 	for gi, g := range s.Day.Groups {
 		for i := range g.Count {
 			if _, err := s.addEndpoint(fmt.Sprintf("%s-%s-%d", g.Zone, g.Machine, i), gi, false); err != nil {
@@ -189,7 +189,7 @@
 func (s *stage) pilotTerms(st *seat, rank int) config.Pilot {
 	t := config.Defaults()
 	t.Common, t.Name, t.Zone, t.Rank, t.Seed = s.Day.Common, st.name, st.zone, rank, s.Day.Seed+rank
-	t.Listen, t.Admin, t.ListAddress = net.JoinHostPort(links.Host, "0"), "", s.list.Address()
+	t.Listen, t.Admin, t.ListAddress = net.JoinHostPort(network.Host, "0"), "", s.list.Address()
 	t.Beat, t.WriteDeadline, t.ListSilence = s.Day.Beat, s.Day.WriteWithin, 2*time.Second
 	t.SeenWithin, t.Plain = s.Day.DrainGrace/2, true
 	if s.Day.Keys {
@@ -210,7 +210,7 @@
 		}
 	}
 	if len(s.Day.OverGRPC) > 0 {
-		t.GRPC = net.JoinHostPort(links.Host, "0")
+		t.GRPC = net.JoinHostPort(network.Host, "0")
 	}
 	t.IntakeLinesPerS, t.IntakeStanding = s.Day.IntakeLinesPerS, s.Day.IntakeStanding
 	return t
@@ -218,7 +218,7 @@
 
 // startPilot begins a pilot's process, at the address of the first, or has a new one take over from it.
 func (s *stage) startPilot(st *seat, takeOver bool) error {
-	place := links.Place{Name: st.name, Zone: st.zone}
+	place := network.Place{Name: st.name, Zone: st.zone}
 	s.book.Trail(st.name).Add(eventlog.Event{What: eventlog.Start, Kind: "pilot", Text: st.zone})
 	if s.Binary != "" {
 		return s.startProcess(st, place)
@@ -315,7 +315,7 @@
 	if err := e.Start(cold); err != nil {
 		return nil, err
 	}
-	s.net.Put(e.Address(), links.Place{Name: name, Zone: g.Zone})
+	s.net.Put(e.Address(), network.Place{Name: name, Zone: g.Zone})
 	entry := wire.Entry{Endpoint: e.Address(), Zone: g.Zone, Machine: g.Machine, Weight: float64(g.Cores) * g.Speed}
 	if cold {
 		entry.Started = list.Stamp(time.Now())
@@ -376,7 +376,7 @@
 	for _, k := range s.Day.Kinds {
 		targets, limits = append(targets, k.ResponseTarget), append(limits, k.ClientTimeout)
 	}
-	place := links.Place{Name: name, Zone: zone}
+	place := network.Place{Name: name, Zone: zone}
 	over := slices.ContainsFunc(s.Day.OverGRPC, func(pattern string) bool { ok, err := path.Match(pattern, name); return ok && err == nil })
 	join, err := s.joiner(name, zone, over)
 	if err != nil {
--- a/internal/standin/endpoint/endpoint.go
+++ b/internal/standin/endpoint/endpoint.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"indigousher/internal/standin/links"
 	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/network"
 	"indigousher/internal/wire"
 )
 
@@ -94,7 +94,7 @@
 	if e.life != nil {
 		return fmt.Errorf("start %s: it runs", e.Name)
 	}
-	l, err := links.Listen(e.address)
+	l, err := network.Listen(e.address)
 	if err != nil {
 		return fmt.Errorf("start %s: %w", e.Name, err)
 	}
--- a/internal/standin/list/list.go
+++ b/internal/standin/list/list.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"indigousher/internal/standin/links"
 	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/network"
 	"indigousher/internal/wire"
 )
 
@@ -56,7 +56,7 @@
 func (l *List) Start() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	ln, err := links.Listen(l.address)
+	ln, err := network.Listen(l.address)
 	if err != nil {
 		return fmt.Errorf("start list: %w", err)
 	}
--- a/internal/standin/proxy/proxy.go
+++ b/internal/standin/proxy/proxy.go
@@ -13,8 +13,8 @@
 	"sync/atomic"
 	"time"
 
-	"indigousher/internal/standin/links"
 	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/network"
 	"indigousher/internal/testbed/routing"
 	"indigousher/internal/wire"
 )
@@ -82,7 +82,7 @@
 	if p.life != nil {
 		return fmt.Errorf("start %s: it runs", p.Name)
 	}
-	l, err := links.Listen(p.address)
+	l, err := network.Listen(p.address)
 	if err != nil {
 		return fmt.Errorf("start %s: %w", p.Name, err)
 	}
--- a/internal/standin/links/links.go
+++ b/internal/testbed/network/links.go
@@ -1,7 +1,7 @@
-// Package links is the network between stand-ins: connections that can be cut, slowed, made lossy or struck dumb by
+// Package network is the network between stand-ins: connections that can be cut, slowed, made lossy or struck dumb by
 // zone and by place, on loopback and without privileges. Whoever dials does so through Net, and both directions pass
 // through it. What is held back by a cut arrives when it is mended, as TCP's repeats would bring it.
-package links
+package network
 
 import (
 	"context"
