--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -15,9 +15,9 @@
 	"indigousher/internal/config"
 	"indigousher/internal/pilot"
 	"indigousher/internal/record"
-	"indigousher/internal/standin/list"
 	"indigousher/internal/standin/proxy"
 	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/registry"
 	"indigousher/internal/testbed/routing"
 	"indigousher/internal/wire"
 	"indigousher/planner"
@@ -46,7 +46,7 @@
 	for _, pace := range []float64{12000, 1e9} {
 		b.Run(fmt.Sprintf("lines_per_s=%.0e", pace), func(b *testing.B) {
 			book := eventlog.NewBook()
-			l := list.New(book.Trail("list"))
+			l := registry.New(book.Trail("list"))
 			require.NoError(b, l.Start())
 			defer l.Close()
 			entries := fleet()
--- a/internal/daemon/transports_test.go
+++ b/internal/daemon/transports_test.go
@@ -22,9 +22,9 @@
 
 	"indigousher/internal/config"
 	"indigousher/internal/identity"
-	"indigousher/internal/standin/list"
 	"indigousher/internal/standin/proxy"
 	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/registry"
 	"indigousher/internal/wire"
 )
 
@@ -142,7 +142,7 @@
 }
 
 func measure(b *testing.B, transport string, many int, authority *identity.Authority) {
-	l := list.New(eventlog.NewBook().Trail("list"))
+	l := registry.New(eventlog.NewBook().Trail("list"))
 	sealed := transport == "framed+tls" || transport == "grpc+tls"
 	dir, from := b.TempDir(), time.Now().Add(-time.Minute)
 	issue := func(role identity.Role, zone, name string) identity.Files {
--- a/internal/rehearsal/stage.go
+++ b/internal/rehearsal/stage.go
@@ -28,11 +28,11 @@
 	"indigousher/internal/pilot"
 	"indigousher/internal/scenario"
 	"indigousher/internal/standin/endpoint"
-	"indigousher/internal/standin/list"
 	"indigousher/internal/standin/proxy"
 	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/testbed/loadgen"
 	"indigousher/internal/testbed/network"
+	"indigousher/internal/testbed/registry"
 	"indigousher/internal/testbed/routing"
 	"indigousher/internal/wire"
 )
@@ -69,7 +69,7 @@
 	book      *eventlog.Book
 	own       *eventlog.Trail
 	net       *network.Net
-	list      *list.List
+	list      *registry.List
 	mu        sync.Mutex
 	endpoints []*endpoint.Endpoint
 	entries   map[string]wire.Entry // as they truly are, by name
@@ -110,7 +110,7 @@
 		rnd: rand.New(rand.NewPCG(uint64(p.Day.Seed), 5))}
 	s.own = s.book.Trail("rehearsal")
 	s.net = network.New(s.book.Trail("links"), uint64(p.Day.Seed))
-	s.list = list.New(s.book.Trail("list"))
+	s.list = registry.New(s.book.Trail("list"))
 	defer s.end()
 	if s.Records == "" {
 		dir, err := os.MkdirTemp("", "indigousher-records-")
@@ -318,7 +318,7 @@
 	s.net.Put(e.Address(), network.Place{Name: name, Zone: g.Zone})
 	entry := wire.Entry{Endpoint: e.Address(), Zone: g.Zone, Machine: g.Machine, Weight: float64(g.Cores) * g.Speed}
 	if cold {
-		entry.Started = list.Stamp(time.Now())
+		entry.Started = registry.Stamp(time.Now())
 	}
 	s.mu.Lock()
 	s.endpoints = append(s.endpoints, e)
--- a/internal/rehearsal/strike.go
+++ b/internal/rehearsal/strike.go
@@ -13,9 +13,9 @@
 	"indigousher/internal/config"
 	"indigousher/internal/scenario"
 	"indigousher/internal/standin/endpoint"
-	"indigousher/internal/standin/list"
 	"indigousher/internal/standin/proxy"
 	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/registry"
 	"indigousher/internal/wire"
 )
 
@@ -156,7 +156,7 @@
 		return err
 	}
 	s.tell(e.Name, s.Day.ListLate, func(x *wire.Entry) {
-		x.Phase, x.Started = wire.PhaseReady, list.Stamp(time.Now())
+		x.Phase, x.Started = wire.PhaseReady, registry.Stamp(time.Now())
 	})
 	return nil
 }
--- a/internal/standin/list/list.go
+++ b/internal/testbed/registry/list.go
@@ -1,6 +1,6 @@
-// Package list is a stand-in for the source of the endpoint list: it streams the whole list and then changes, late,
+// Package registry is a stand-in for the source of the endpoint list: it streams the whole list and then changes, late,
 // over the framed protocol, and can die and come back.
-package list
+package registry
 
 import (
 	"context"
--- a/internal/transport/discovery/list_test.go
+++ b/internal/transport/discovery/list_test.go
@@ -18,8 +18,8 @@
 
 	"indigousher/internal/config"
 	"indigousher/internal/pilot"
-	standin "indigousher/internal/standin/list"
 	"indigousher/internal/testbed/eventlog"
+	standin "indigousher/internal/testbed/registry"
 	"indigousher/internal/wire"
 )
 
--- a/internal/transport/xds/xds_test.go
+++ b/internal/transport/xds/xds_test.go
@@ -17,8 +17,8 @@
 
 	"indigousher/internal/config"
 	"indigousher/internal/daemon"
-	"indigousher/internal/standin/list"
 	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/registry"
 	"indigousher/internal/wire"
 )
 
@@ -48,7 +48,7 @@
 // TestUnmodifiedClient has grpc-go's own xDS client follow a pilot: it takes the pilot's weights, leaves a drained
 // endpoint within the grace, goes to the next zone when its own has nothing left, and reports load back.
 func TestUnmodifiedClient(t *testing.T) {
-	source := list.New(eventlog.NewBook().Trail("list"))
+	source := registry.New(eventlog.NewBook().Trail("list"))
 	require.NoError(t, source.Start())
 	t.Cleanup(source.Close)
 	var backends []*backend
