--- a/internal/platform/relay/relay_test.go
+++ b/internal/platform/relay/relay_test.go
@@ -18,7 +18,7 @@
 	"go.uber.org/goleak"
 	"go.uber.org/zap"
 
-	standin "indigousher/internal/standin/relay"
+	standin "indigousher/internal/testbed/relay"
 	"indigousher/planner"
 )
 
