--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"indigousher/internal/standin/endpoint"
+	"indigousher/internal/testbed/endpoint"
 	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/wire"
 )
--- a/internal/emulator/trouble.go
+++ b/internal/emulator/trouble.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"indigousher/internal/scenario"
-	"indigousher/internal/standin/endpoint"
+	"indigousher/internal/testbed/endpoint"
 	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/testbed/loadgen"
 	"indigousher/internal/wire"
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -18,7 +18,7 @@
 	"indigousher/internal/pilot"
 	"indigousher/internal/record"
 	"indigousher/internal/scenario"
-	"indigousher/internal/standin/endpoint"
+	"indigousher/internal/testbed/endpoint"
 	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/testbed/loadgen"
 	"indigousher/internal/testbed/routing"
--- a/internal/rehearsal/slices.go
+++ b/internal/rehearsal/slices.go
@@ -2,7 +2,7 @@
 
 import (
 	"indigousher/internal/scenario"
-	"indigousher/internal/standin/endpoint"
+	"indigousher/internal/testbed/endpoint"
 	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/testbed/loadgen"
 	"indigousher/internal/wire"
--- a/internal/transport/healthcheck/probe_test.go
+++ b/internal/transport/healthcheck/probe_test.go
@@ -11,7 +11,7 @@
 	"go.uber.org/goleak"
 
 	"indigousher/internal/pilot"
-	"indigousher/internal/standin/endpoint"
+	"indigousher/internal/testbed/endpoint"
 	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/wire"
 )
