--- a/cmd/indigousher/kill_test.go
+++ b/cmd/indigousher/kill_test.go
@@ -20,9 +20,9 @@
 
 	"indigousher/internal/daemon"
 	"indigousher/internal/record"
-	"indigousher/internal/standin/proxy"
 	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/testbed/network"
+	"indigousher/internal/testbed/proxy"
 	"indigousher/internal/testbed/routing"
 )
 
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -17,8 +17,8 @@
 	"go.uber.org/goleak"
 
 	"indigousher/internal/config"
-	"indigousher/internal/standin/proxy"
 	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/proxy"
 	"indigousher/internal/testbed/routing"
 )
 
--- a/internal/daemon/hostile_test.go
+++ b/internal/daemon/hostile_test.go
@@ -20,7 +20,7 @@
 	"github.com/stretchr/testify/require"
 
 	"indigousher/internal/config"
-	"indigousher/internal/standin/proxy"
+	"indigousher/internal/testbed/proxy"
 	"indigousher/internal/wire"
 )
 
--- a/internal/daemon/transports_test.go
+++ b/internal/daemon/transports_test.go
@@ -22,8 +22,8 @@
 
 	"indigousher/internal/config"
 	"indigousher/internal/identity"
-	"indigousher/internal/standin/proxy"
 	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/proxy"
 	"indigousher/internal/testbed/registry"
 	"indigousher/internal/wire"
 )
--- a/internal/edge/contract_test.go
+++ b/internal/edge/contract_test.go
@@ -15,7 +15,7 @@
 
 	"indigousher/internal/identity"
 	"indigousher/internal/pilot"
-	"indigousher/internal/standin/proxy"
+	"indigousher/internal/testbed/proxy"
 	"indigousher/internal/transport/framed"
 	"indigousher/internal/transport/grpcapi"
 	"indigousher/internal/wire"
--- a/internal/rehearsal/strike.go
+++ b/internal/rehearsal/strike.go
@@ -12,9 +12,9 @@
 	"indigousher/internal/backoff"
 	"indigousher/internal/config"
 	"indigousher/internal/scenario"
-	"indigousher/internal/standin/proxy"
 	"indigousher/internal/testbed/endpoint"
 	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/proxy"
 	"indigousher/internal/testbed/registry"
 	"indigousher/internal/wire"
 )
--- a/internal/testbed/loadgen/client.go
+++ b/internal/testbed/loadgen/client.go
@@ -15,8 +15,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 
 	"indigousher/internal/scenario"
-	"indigousher/internal/standin/proxy"
 	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/proxy"
 	"indigousher/internal/wire"
 )
 
