--- a/cmd/indigousher/records.go
+++ b/cmd/indigousher/records.go
@@ -14,8 +14,8 @@
 	"github.com/spf13/cobra"
 
 	"indigousher/internal/config"
+	"indigousher/internal/controller"
 	"indigousher/internal/daemon"
-	"indigousher/internal/pilot"
 	"indigousher/internal/record"
 	"indigousher/planner"
 )
@@ -23,7 +23,7 @@
 // errDiffers ends a replay that did not order what was recorded.
 var errDiffers = errors.New("the replay does not order what was recorded")
 
-func module(seed int64, t map[string]any) pilot.Decider { return planner.New(seed, t) }
+func module(seed int64, t map[string]any) controller.Decider { return planner.New(seed, t) }
 
 // withStore opens a store for reading and closes it after use.
 func withStore(dir string, f func(*record.Store) error) error {
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -9,12 +9,12 @@
 	"math"
 	"slices"
 
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 	"indigousher/planner"
 )
 
 // Make makes a policy for one pilot.
-type Make func(seed int64, terms map[string]any) pilot.Decider
+type Make func(seed int64, terms map[string]any) controller.Decider
 
 // Names lists the policies that Named knows, in the order in which they are shown.
 func Names() []string {
@@ -24,7 +24,7 @@
 // Named returns a policy by name.
 func Named(name string) (Make, error) {
 	of := func(plan func(*policy, int) map[int]float64, everyMs float64, own bool) Make {
-		return func(seed int64, _ map[string]any) pilot.Decider {
+		return func(seed int64, _ map[string]any) controller.Decider {
 			return &policy{seed: seed, plan: plan, everyMs: everyMs, own: own, listed: map[int]planner.Entry{}, proxies: map[int]planner.Joined{},
 				tables: map[int]map[int]float64{}, util: map[int]float64{}, weight: map[int]float64{}}
 		}
@@ -41,7 +41,7 @@
 	case "feedback":
 		return of((*policy).feedback, 1000, false), nil
 	case "oracle":
-		return func(seed int64, t map[string]any) pilot.Decider {
+		return func(seed int64, t map[string]any) controller.Decider {
 			p := of((*policy).oracle, 100, false)(seed, t).(*policy)
 			return &Oracle{policy: p}
 		}, nil
--- a/internal/pilot/core.go
+++ b/internal/controller/core.go
@@ -1,8 +1,8 @@
-// Package pilot is the runtime around the decisions: it turns what edges report into the module's notes, carries out
+// Package controller is the runtime around the decisions: it turns what edges report into the module's notes, carries out
 // what the module orders, and keeps the channel to the proxies. It decides nothing about routing. Core and Channel
 // are driven with explicit times and hold no goroutine, so the same code runs on sockets (Loop) and in virtual time.
 // Edges call Loop.Post and implement the small interfaces of this file; cmd/indigousher wires them.
-package pilot
+package controller
 
 import (
 	"fmt"
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -20,8 +20,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"indigousher/internal/config"
+	"indigousher/internal/controller"
 	"indigousher/internal/identity"
-	"indigousher/internal/pilot"
 	"indigousher/internal/transport/admin"
 	"indigousher/internal/transport/discovery"
 	"indigousher/internal/transport/framed"
@@ -45,10 +45,10 @@
 type Outfit struct {
 	Log    *zap.Logger
 	Level  *zap.AtomicLevel // set by a reload
-	Clock  pilot.Clock
+	Clock  controller.Clock
 	Dial   func(ctx context.Context, network, address string) (net.Conn, error)
 	Packet func(net.PacketConn) net.PacketConn // wraps the socket between pilots
-	Decide func(seed int64, terms map[string]any) pilot.Decider
+	Decide func(seed int64, terms map[string]any) controller.Decider
 	// Listeners that were taken over, by the names that Files gives; others are opened.
 	Listeners map[string]net.Listener
 }
@@ -66,7 +66,7 @@
 		o.Log = zap.NewNop()
 	}
 	if o.Clock == nil {
-		o.Clock = pilot.RealClock{}
+		o.Clock = controller.RealClock{}
 	}
 	if o.Dial == nil {
 		o.Dial = (&net.Dialer{Timeout: 2 * time.Second}).DialContext
@@ -75,13 +75,13 @@
 		o.Packet = func(c net.PacketConn) net.PacketConn { return c }
 	}
 	if o.Decide == nil {
-		o.Decide = func(seed int64, terms map[string]any) pilot.Decider { return planner.New(seed, terms) }
+		o.Decide = func(seed int64, terms map[string]any) controller.Decider { return planner.New(seed, terms) }
 	}
 }
 
 // follower is a list source that runs.
 type follower interface {
-	pilot.ListSource
+	controller.ListSource
 	Run(ctx context.Context) error
 }
 
@@ -90,10 +90,10 @@
 	terms    atomic.Pointer[config.Pilot]
 	outfit   Outfit
 	registry *prometheus.Registry
-	meter    *pilot.Meter
-	core     *pilot.Core
+	meter    *controller.Meter
+	core     *controller.Core
 	record   *recorded
-	loop     *pilot.Loop
+	loop     *controller.Loop
 	server   *framed.Server
 	source   follower
 	prober   *healthcheck.Prober
@@ -113,14 +113,14 @@
 // later passes inputs on to the loop, which is made after the edges that need it.
 type later struct{ d *Daemon }
 
-func (l later) Post(ctx context.Context, in pilot.Input) error { return l.d.loop.Post(ctx, in) }
+func (l later) Post(ctx context.Context, in controller.Input) error { return l.d.loop.Post(ctx, in) }
 
 // New opens the listeners and builds the pilot. Nothing runs before Run.
 func New(t *config.Pilot, o Outfit) (*Daemon, error) {
 	o.fill()
 	d := &Daemon{outfit: o, registry: prometheus.NewRegistry(), files: map[string]*os.File{}}
 	d.terms.Store(t)
-	d.meter = pilot.NewMeter(d.registry)
+	d.meter = controller.NewMeter(d.registry)
 	d.registry.MustRegister(collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	d.life, d.die = context.WithCancel(context.Background())
@@ -165,14 +165,14 @@
 	if err != nil {
 		return err
 	}
-	var prober pilot.Prober = healthcheck.Never{}
+	var prober controller.Prober = healthcheck.Never{}
 	if t.Probing {
 		d.prober = healthcheck.New(d.life, d.outfit.Dial, later{d}, probeTimeout, mostProbes)
 		prober = d.prober
 	}
 	log := d.outfit.Log
-	plan := func(told map[string]any) pilot.Plan {
-		return pilot.Plan{Decider: d.outfit.Decide(int64(t.Seed), told), Terms: told, Zones: t.Zones,
+	plan := func(told map[string]any) controller.Plan {
+		return controller.Plan{Decider: d.outfit.Decide(int64(t.Seed), told), Terms: told, Zones: t.Zones,
 			Machines: t.Machines, Kinds: t.KindNames(), LinesPerS: t.LinesPerS, Backlog: t.Backlog, HeadLines: t.HeadLines,
 			MessagesMost: t.MessagesMost, MessagesOverMs: float64(t.MessagesOver.Milliseconds()),
 			Intake: t.Intake(), MostProxies: t.MostProxies, List: d.source, Prober: prober, Peers: notes,
@@ -183,8 +183,8 @@
 	live := plan(t.ForModule(t.Rank))
 	var offset float64
 	if t.RecordDir != "" {
-		var core *pilot.Core
-		core, offset, err = d.openRecord(t, &live, func() pilot.Plan { return held(plan(t.ForModule(t.Rank))) })
+		var core *controller.Core
+		core, offset, err = d.openRecord(t, &live, func() controller.Plan { return held(plan(t.ForModule(t.Rank))) })
 		if err != nil {
 			return err
 		}
@@ -194,9 +194,9 @@
 		}
 	}
 	if d.core == nil {
-		d.core = pilot.NewCore(live)
+		d.core = controller.NewCore(live)
 	}
-	d.loop = pilot.NewLoop(d.core, d.outfit.Clock, log)
+	d.loop = controller.NewLoop(d.core, d.outfit.Clock, log)
 	if offset > 0 {
 		d.loop.GoOn(offset)
 	}
@@ -275,7 +275,7 @@
 }
 
 // held is a plan whose edges do nothing: for a core that is being rebuilt.
-func held(p pilot.Plan) pilot.Plan {
+func held(p controller.Plan) controller.Plan {
 	p.List, p.Prober, p.Peers, p.Meter, p.Replayed = nobody{}, healthcheck.Never{}, gossip.Nobody{}, nil, true
 	p.Log, p.Odd = func(string) {}, func(string, ...string) {}
 	p.LinesPerS, p.Backlog = 0, 0
@@ -288,7 +288,7 @@
 func (nobody) Watch(bool) {}
 func (nobody) Fetch()     {}
 
-func (d *Daemon) openPeers(t *config.Pilot) (pilot.Peers, error) {
+func (d *Daemon) openPeers(t *config.Pilot) (controller.Peers, error) {
 	if t.PeersListen == "" {
 		return gossip.Nobody{}, nil
 	}
@@ -361,10 +361,10 @@
 }
 
 // State returns what the loop shows of itself.
-func (d *Daemon) State() pilot.State { return d.loop.State() }
+func (d *Daemon) State() controller.State { return d.loop.State() }
 
 // Meter returns the runtime's metrics.
-func (d *Daemon) Meter() *pilot.Meter { return d.meter }
+func (d *Daemon) Meter() *controller.Meter { return d.meter }
 
 // Run serves until ctx ends, then asks the proxies to dial elsewhere and waits for them to go, for the time that the
 // terms give. An edge that fails ends it with an error.
@@ -467,7 +467,7 @@
 	if len(changed) == 0 {
 		return nil, restart, nil
 	}
-	if err := d.loop.Post(ctx, pilot.Retermed{Terms: now.Live()}); err != nil {
+	if err := d.loop.Post(ctx, controller.Retermed{Terms: now.Live()}); err != nil {
 		return nil, nil, fmt.Errorf("reload: %w", err)
 	}
 	if d.outfit.Level != nil {
--- a/internal/daemon/oldstore_test.go
+++ b/internal/daemon/oldstore_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 	"go.etcd.io/bbolt"
 
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 	"indigousher/internal/record"
 	"indigousher/planner"
 )
@@ -52,7 +52,7 @@
 	require.NoError(t, err)
 	require.Len(t, lives, 1)
 	assert.Equal(t, "701c66171943c29a", lives[0].Module)
-	result, err := record.Replay(store, lives[0], nil, func(seed int64, settings map[string]any) pilot.Decider {
+	result, err := record.Replay(store, lives[0], nil, func(seed int64, settings map[string]any) controller.Decider {
 		return planner.New(seed, settings)
 	})
 	require.NoError(t, err)
--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 
 	"indigousher/internal/config"
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 	"indigousher/internal/record"
 	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/testbed/proxy"
@@ -149,8 +149,8 @@
 	c.Kinds = []config.ReqKind{{Name: "read", Repeats: "replayable", ResponseTarget: time.Second, Payoff: 1}}
 	told := c.ForModule(0)
 	timed := &timed{Decider: planner.New(1, told)}
-	var core *pilot.Core
-	plan := pilot.Plan{Decider: timed, Terms: told, Zones: zones, Machines: c.Machines, Kinds: c.KindNames(),
+	var core *controller.Core
+	plan := controller.Plan{Decider: timed, Terms: told, Zones: zones, Machines: c.Machines, Kinds: c.KindNames(),
 		LinesPerS: c.LinesPerS, Backlog: c.Backlog, HeadLines: 4, Intake: telemetry.Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000}, MostProxies: 1 << 16, List: idle{},
 		Prober: idle{}, Peers: idle{}, Log: func(string) {}, Odd: func(string, ...string) {}}
 	var w *record.Writer
@@ -171,21 +171,21 @@
 			cancel()
 			<-done
 			began := time.Now()
-			r, err := record.Replay(s, life, nil, func(seed int64, t map[string]any) pilot.Decider { return planner.New(seed, t) })
+			r, err := record.Replay(s, life, nil, func(seed int64, t map[string]any) controller.Decider { return planner.New(seed, t) })
 			require.NoError(b, err)
 			require.Empty(b, r.FirstDiff)
 			took := time.Since(began).Seconds()
 			b.ReportMetric(took/r.SpanMs*1000*86400/60, "min-replay/day")
 		}
-		plan.Turn = record.NewRecorder(w.Turn, func() []pilot.Input { return core.Checkpoint() }).Turn
+		plan.Turn = record.NewRecorder(w.Turn, func() []controller.Input { return core.Checkpoint() }).Turn
 	}
-	core = pilot.NewCore(plan)
+	core = controller.NewCore(plan)
 	entries := fleet()
-	core.Handle(0, []pilot.Input{pilot.Listed{List: &wire.List{Whole: true, Entries: entries}}})
+	core.Handle(0, []controller.Input{controller.Listed{List: &wire.List{Whole: true, Entries: entries}}})
 	var streams []*sink
 	for i := range manyProxies {
 		streams = append(streams, &sink{})
-		core.Handle(1, []pilot.Input{pilot.Join{Stream: streams[i], Hello: wire.Hello{Proxy: fmt.Sprint(i), Zone: zones[i%3], Rate: 2}}})
+		core.Handle(1, []controller.Input{controller.Join{Stream: streams[i], Hello: wire.Hello{Proxy: fmt.Sprint(i), Zone: zones[i%3], Rate: 2}}})
 	}
 	now, inputs, seq := 1.0, 0, uint64(0)
 	timed.took, core.Heard = 0, 0
@@ -206,7 +206,7 @@
 			sums[i].Seq, sums[i].AtMs = seq, now
 			now += 1000.0 / manyProxies
 			heard, began := core.Heard, time.Now()
-			core.Handle(now, []pilot.Input{pilot.Reported{Stream: s, Sums: sums[i]}})
+			core.Handle(now, []controller.Input{controller.Reported{Stream: s, Sums: sums[i]}})
 			if core.Heard > heard {
 				turns = append(turns, time.Since(began).Seconds()*1000)
 			}
@@ -233,7 +233,7 @@
 
 // timed measures the module's own time.
 type timed struct {
-	pilot.Decider
+	controller.Decider
 	took time.Duration
 }
 
--- a/internal/edge/contract_test.go
+++ b/internal/edge/contract_test.go
@@ -13,8 +13,8 @@
 	"go.uber.org/goleak"
 	"go.uber.org/zap"
 
+	"indigousher/internal/controller"
 	"indigousher/internal/identity"
-	"indigousher/internal/pilot"
 	"indigousher/internal/testbed/proxy"
 	"indigousher/internal/transport/framed"
 	"indigousher/internal/transport/grpcapi"
@@ -24,9 +24,9 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // inbox keeps inputs in order.
-type inbox struct{ got chan pilot.Input }
+type inbox struct{ got chan controller.Input }
 
-func (i *inbox) Post(ctx context.Context, in pilot.Input) error {
+func (i *inbox) Post(ctx context.Context, in controller.Input) error {
 	select {
 	case i.got <- in:
 		return nil
@@ -81,7 +81,7 @@
 }
 
 func start(t *testing.T, tr transport, ring *identity.Ring) (server, *inbox, string, func()) {
-	in := &inbox{make(chan pilot.Input, 8192)}
+	in := &inbox{make(chan controller.Input, 8192)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := l.Addr().String()
@@ -141,26 +141,26 @@
 		{Kind: wire.OpMark, Number: 7}}}
 	for _, c := range []struct {
 		name string
-		run  func(t *testing.T, s server, in *inbox, st pilot.Stream, l proxy.Line, stop func())
+		run  func(t *testing.T, s server, in *inbox, st controller.Stream, l proxy.Line, stop func())
 	}{
-		{"orders and their mark", func(t *testing.T, _ server, in *inbox, st pilot.Stream, l proxy.Line, _ func()) {
+		{"orders and their mark", func(t *testing.T, _ server, in *inbox, st controller.Stream, l proxy.Line, _ func()) {
 			require.NoError(t, st.Send(orders))
 			assert.Equal(t, orders, read(t, l))
 			require.NoError(t, l.Write(&wire.Done{Mark: 7, TookMs: 2}, time.Second))
-			assert.Equal(t, pilot.Applied{Stream: st, Done: wire.Done{Mark: 7, TookMs: 2}}, next[pilot.Applied](t, in))
+			assert.Equal(t, controller.Applied{Stream: st, Done: wire.Done{Mark: 7, TookMs: 2}}, next[controller.Applied](t, in))
 		}},
-		{"a report", func(t *testing.T, _ server, in *inbox, st pilot.Stream, l proxy.Line, _ func()) {
+		{"a report", func(t *testing.T, _ server, in *inbox, st controller.Stream, l proxy.Line, _ func()) {
 			sums := &wire.Sums{Seq: 1, AtMs: 5, SpanMs: 1000, Met: []wire.Met{{Endpoint: "x", Tries: 4, Failed: 1, MeanMs: 2,
 				Load: []wire.Figure{{Name: "rate", Value: 3}, {Name: "util", Value: 0.5}}}}, Demand: []wire.Demand{{Kind: "read", Reqs: 5, Unanswered: 1}},
 				Slices: []wire.SliceLoad{{Slice: 7, Kind: "read", Reqs: 3, Unanswered: 1}}}
 			require.NoError(t, l.Write(sums, time.Second))
-			assert.Equal(t, pilot.Reported{Stream: st, Sums: sums}, next[pilot.Reported](t, in))
+			assert.Equal(t, controller.Reported{Stream: st, Sums: sums}, next[controller.Reported](t, in))
 		}},
-		{"a wish about reports", func(t *testing.T, _ server, _ *inbox, st pilot.Stream, l proxy.Line, _ func()) {
+		{"a wish about reports", func(t *testing.T, _ server, _ *inbox, st controller.Stream, l proxy.Line, _ func()) {
 			require.NoError(t, st.Ask(&wire.Pace{PeriodMs: 4000, Lines: 9, Changes: true}))
 			assert.Equal(t, &wire.Pace{PeriodMs: 4000, Lines: 9, Changes: true}, read(t, l))
 		}},
-		{"a stream closed with a reason", func(t *testing.T, _ server, in *inbox, st pilot.Stream, l proxy.Line, _ func()) {
+		{"a stream closed with a reason", func(t *testing.T, _ server, in *inbox, st controller.Stream, l proxy.Line, _ func()) {
 			st.Close("unknown zone")
 			switch m := ends(l).(type) {
 			case *wire.Refuse:
@@ -170,28 +170,28 @@
 			default:
 				assert.Failf(t, "no reason", "%T", m)
 			}
-			assert.Equal(t, st, next[pilot.Leave](t, in).Stream)
+			assert.Equal(t, st, next[controller.Leave](t, in).Stream)
 		}},
-		{"a pilot that stops", func(t *testing.T, _ server, _ *inbox, _ pilot.Stream, l proxy.Line, stop func()) {
+		{"a pilot that stops", func(t *testing.T, _ server, _ *inbox, _ controller.Stream, l proxy.Line, stop func()) {
 			go stop()
 			assert.Equal(t, &wire.Redirect{Reason: "this pilot stops"}, ends(l))
 		}},
-		{"a pilot that is killed", func(t *testing.T, s server, _ *inbox, _ pilot.Stream, l proxy.Line, _ func()) {
+		{"a pilot that is killed", func(t *testing.T, s server, _ *inbox, _ controller.Stream, l proxy.Line, _ func()) {
 			s.Kill()
 			assert.Nil(t, ends(l))
 		}},
-		{"a proxy that goes", func(t *testing.T, s server, in *inbox, st pilot.Stream, l proxy.Line, _ func()) {
+		{"a proxy that goes", func(t *testing.T, s server, in *inbox, st controller.Stream, l proxy.Line, _ func()) {
 			l.Close()
-			assert.Equal(t, st, next[pilot.Leave](t, in).Stream)
+			assert.Equal(t, st, next[controller.Leave](t, in).Stream)
 			assert.Eventually(t, func() bool { return s.Streams() == 0 }, 5*time.Second, time.Millisecond)
 		}},
-		{"a proxy that falls silent", func(t *testing.T, _ server, in *inbox, st pilot.Stream, _ proxy.Line, _ func()) {
-			assert.Equal(t, st, next[pilot.Leave](t, in).Stream)
+		{"a proxy that falls silent", func(t *testing.T, _ server, in *inbox, st controller.Stream, _ proxy.Line, _ func()) {
+			assert.Equal(t, st, next[controller.Leave](t, in).Stream)
 		}},
-		{"a proxy that beats but deals with nothing", func(t *testing.T, _ server, in *inbox, st pilot.Stream, l proxy.Line, _ func()) {
+		{"a proxy that beats but deals with nothing", func(t *testing.T, _ server, in *inbox, st controller.Stream, l proxy.Line, _ func()) {
 			require.NoError(t, st.Send(orders))
-			left := make(chan pilot.Leave, 1)
-			go func() { left <- next[pilot.Leave](t, in) }()
+			left := make(chan controller.Leave, 1)
+			go func() { left <- next[controller.Leave](t, in) }()
 			for {
 				select {
 				case x := <-left:
@@ -210,7 +210,7 @@
 				require.NoError(t, err)
 				defer l.Close()
 				assert.Equal(t, &wire.Welcome{Version: 1, Pilot: "one", BeatMs: 100, PeriodMs: 1000}, w)
-				j := next[pilot.Join](t, in)
+				j := next[controller.Join](t, in)
 				assert.Equal(t, *hello("p"), j.Hello)
 				c.run(t, s, in, j.Stream, l, stop)
 			})
@@ -279,7 +279,7 @@
 				l, _, err := tr.join(client(ours))(t.Context(), dial, address, hello("p"))
 				require.NoError(t, err, "the rightful one gets in")
 				l.Close()
-				next[pilot.Leave](t, in)
+				next[controller.Leave](t, in)
 			})
 		}
 	}
@@ -312,7 +312,7 @@
 					require.NoError(t, err)
 				}
 				require.NoError(t, l.Write(&wire.Sums{Seq: uint64(i + 1), SpanMs: 10}, time.Second))
-				assert.EqualValues(t, i+1, next[pilot.Reported](t, in).Sums.Seq)
+				assert.EqualValues(t, i+1, next[controller.Reported](t, in).Sums.Seq)
 				time.Sleep(20 * time.Millisecond)
 			}
 			assert.True(t, ring.Expires().After(before), "the new certificate is in force")
--- a/internal/emulator/commands_test.go
+++ b/internal/emulator/commands_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"indigousher/internal/controller"
 	"indigousher/internal/emulator"
-	"indigousher/internal/pilot"
 	"indigousher/internal/record"
 	"indigousher/internal/scenario"
 	"indigousher/internal/search"
@@ -87,7 +87,7 @@
 
 // digested hands on what the planner decides and logs it.
 type digested struct {
-	pilot.Decider
+	controller.Decider
 	seed int64
 	log  *turnLog
 }
@@ -110,7 +110,7 @@
 				d, err := s.read()
 				require.NoError(t, err)
 				log := &turnLog{}
-				decide := func(seed int64, settings map[string]any) pilot.Decider {
+				decide := func(seed int64, settings map[string]any) controller.Decider {
 					return digested{planner.New(seed, settings), seed, log}
 				}
 				_, err = emulator.Play{Day: d, Decide: decide}.Run(t.Context())
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -4,7 +4,7 @@
 	"math"
 	"math/rand/v2"
 
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/testbed/routing"
 	"indigousher/internal/wire"
@@ -164,7 +164,7 @@
 	li.follow.Joined()
 	li.wish = routing.Wish{}
 	p.w.note(p.place.name, eventlog.Event{What: eventlog.Join, Peer: to.place.name, Kind: p.place.zone})
-	to.post(pilot.Join{Stream: li.stream, Hello: hello})
+	to.post(controller.Join{Stream: li.stream, Hello: hello})
 	li.period = p.w.period
 	li.report(li.stream, li.period*li.rnd.Float64())
 }
@@ -201,7 +201,7 @@
 		li.retire()
 		for _, n := range marks {
 			took := p.w.now - came
-			s.up(func() { s.to.post(pilot.Applied{Stream: s, Done: wire.Done{Mark: n, TookMs: took}}) })
+			s.up(func() { s.to.post(controller.Applied{Stream: s, Done: wire.Done{Mark: n, TookMs: took}}) })
 		}
 	})
 }
@@ -443,7 +443,7 @@
 	s.ended = true
 	delete(s.to.streams, s)
 	if s.to.run == s.run && s.run != nil {
-		s.to.post(pilot.Leave{Stream: s})
+		s.to.post(controller.Leave{Stream: s})
 	}
 	if s.li.stream != s {
 		return
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -15,7 +15,7 @@
 
 	"indigousher/internal/audit"
 	"indigousher/internal/config"
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 	"indigousher/internal/record"
 	"indigousher/internal/scenario"
 	"indigousher/internal/testbed/endpoint"
@@ -29,13 +29,13 @@
 // Play is one emulated day.
 type Play struct {
 	Day    *scenario.Day
-	Decide func(seed int64, terms map[string]any) pilot.Decider // nil: the module
-	Bare   bool                                                 // no pilots: standing tables only
-	Talk   bool                                                 // pilots may tell each other
-	Keep   bool                                                 // all events are kept in the outcome
-	Log    func(atMs float64, pilot, text string)               // the module's lines; nil: nobody
-	Trace  *Tracer                                              // nil: none; it is for one run
-	Judged bool                                                 // false: no audit, for speed
+	Decide func(seed int64, terms map[string]any) controller.Decider // nil: the module
+	Bare   bool                                                      // no pilots: standing tables only
+	Talk   bool                                                      // pilots may tell each other
+	Keep   bool                                                      // all events are kept in the outcome
+	Log    func(atMs float64, pilot, text string)                    // the module's lines; nil: nobody
+	Trace  *Tracer                                                   // nil: none; it is for one run
+	Judged bool                                                      // false: no audit, for speed
 }
 
 // Outcome is what a day left.
@@ -141,7 +141,7 @@
 		w.limits, w.targets = append(w.limits, ms(k.ClientTimeout)), append(w.targets, ms(k.ResponseTarget))
 	}
 	if w.Decide == nil {
-		w.Decide = func(seed int64, t map[string]any) pilot.Decider { return planner.New(seed, t) }
+		w.Decide = func(seed int64, t map[string]any) controller.Decider { return planner.New(seed, t) }
 	}
 	if d.Record {
 		w.fingerprint = record.Fingerprint(w.Decide)
@@ -149,7 +149,7 @@
 	return w
 }
 
-func (w *World) decide(seed int64, t map[string]any) pilot.Decider {
+func (w *World) decide(seed int64, t map[string]any) controller.Decider {
 	d := w.Decide(seed, t)
 	return d
 }
--- a/internal/platform/discovery/agent.go
+++ b/internal/platform/discovery/agent.go
@@ -19,7 +19,7 @@
 	"go.uber.org/zap"
 
 	"indigousher/internal/backoff"
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 	"indigousher/internal/wire"
 )
 
@@ -100,7 +100,7 @@
 // Agent follows the list.
 type Agent struct {
 	Counters Counters
-	inbox    pilot.Inbox
+	inbox    controller.Inbox
 	log      *zap.Logger
 	mu       sync.Mutex
 	address  string
@@ -113,7 +113,7 @@
 }
 
 // New returns an agent that does nothing before Run. With watch it follows the list unasked.
-func New(address string, watch bool, inbox pilot.Inbox, log *zap.Logger) *Agent {
+func New(address string, watch bool, inbox controller.Inbox, log *zap.Logger) *Agent {
 	return &Agent{address: address, watching: watch, inbox: inbox, log: log, wake: make(chan struct{}, 1)}
 }
 
@@ -239,7 +239,7 @@
 	a.mu.Unlock()
 	if l.Whole || len(l.Entries) > 0 {
 		a.Counters.Lists.Add(1)
-		if err := a.inbox.Post(ctx, pilot.Listed{List: l}); err != nil {
+		if err := a.inbox.Post(ctx, controller.Listed{List: l}); err != nil {
 			return err
 		}
 	}
--- a/internal/platform/listener/listener.go
+++ b/internal/platform/listener/listener.go
@@ -20,7 +20,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"indigousher/internal/backoff"
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 	"indigousher/internal/platform/connstate"
 )
 
@@ -42,7 +42,7 @@
 	Counters Counters
 	zones    []string
 	most     int // connections that have not joined
-	inbox    pilot.Inbox
+	inbox    controller.Inbox
 	log      *zap.Logger
 	mu       sync.Mutex
 	waiting  *list.List            // of net.Conn that have not joined, oldest first
@@ -52,7 +52,7 @@
 }
 
 // New returns a listener for collectors of these zones; most connections may stand that have not joined.
-func New(zones []string, most int, inbox pilot.Inbox, log *zap.Logger) *Listener {
+func New(zones []string, most int, inbox controller.Inbox, log *zap.Logger) *Listener {
 	return &Listener{zones: zones, most: max(1, most), inbox: inbox, log: log, waiting: list.New(),
 		joined: map[string][]net.Conn{}}
 }
@@ -276,7 +276,7 @@
 }
 
 // report reads a line. One of a known kind whose words are wrong is readable all the same.
-func report(w *words, line []byte) (in pilot.Input, readable bool) {
+func report(w *words, line []byte) (in controller.Input, readable bool) {
 	kind, _, _ := bytes.Cut(line, []byte(" "))
 	readable = string(kind) == "heard" || string(kind) == "usage"
 	if _, err := w.read(line); err != nil || !readable {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 	"indigousher/internal/platform/discovery"
 	"indigousher/internal/platform/listener"
 	"indigousher/internal/platform/placement"
@@ -37,7 +37,7 @@
 type Pilot struct {
 	log       *zap.Logger
 	placement *placement.Placement
-	loop      *pilot.Loop
+	loop      *controller.Loop
 	listener  *listener.Listener
 	orders    *relay.Orders
 	events    *relay.Events
@@ -62,22 +62,22 @@
 	x.events = relay.NewEvents(p.Relay.Address, box, &x.counters, log)
 	spare := float64(p.Limits.Sockets - ownSockets)
 	x.listener = listener.New(p.Deployment.Zones.All(), int(spare*strangers), box, log)
-	core := pilot.NewCore(pilot.Plan{Decider: planner.New(p.Seed, p.Deployment.Terms), Terms: p.Deployment.Terms,
+	core := controller.NewCore(controller.Plan{Decider: planner.New(p.Seed, p.Deployment.Terms), Terms: p.Deployment.Terms,
 		Zones: p.Deployment.Zones.All(), Machines: p.Deployment.Machines.All(), Kinds: kinds, MostProxies: p.Proxies,
 		List: x.agent, Prober: healthcheck.Never{}, Peers: gossip.Nobody{}, Relay: x.orders,
 		Log: func(text string) { log.Info(text) }, Odd: func(what string, fields ...string) {
 			log.Debug("odd", zap.String("what", what), zap.Strings("fields", fields))
 		}})
-	x.loop = pilot.NewLoop(core, pilot.RealClock{}, log)
+	x.loop = controller.NewLoop(core, controller.RealClock{}, log)
 	box.loop = x.loop
 	return x
 }
 
 // inbox is the loop, which is made after those who post to it.
-type inbox struct{ loop *pilot.Loop }
+type inbox struct{ loop *controller.Loop }
 
 // Post hands an input to the loop.
-func (b *inbox) Post(ctx context.Context, in pilot.Input) error { return b.loop.Post(ctx, in) }
+func (b *inbox) Post(ctx context.Context, in controller.Input) error { return b.loop.Post(ctx, in) }
 
 // Run listens and runs until ctx ends.
 func (x *Pilot) Run(ctx context.Context, reload <-chan struct{}) error {
@@ -86,7 +86,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	if known := x.placement.Remembered; known != nil {
-		if err := x.loop.Post(ctx, pilot.Listed{List: known, Remembered: true}); err != nil {
+		if err := x.loop.Post(ctx, controller.Listed{List: known, Remembered: true}); err != nil {
 			return err
 		}
 	}
--- a/internal/record/digest_test.go
+++ b/internal/record/digest_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 	"indigousher/planner"
 )
 
@@ -46,6 +46,6 @@
 // TestFingerprintStays guards the value by which a pilot knows the record of one that decides as it does. Commit 7c7c6c6
 // wrote it into its lives; a change of what the planner decides changes it, a change of names must not.
 func TestFingerprintStays(t *testing.T) {
-	module := func(seed int64, terms map[string]any) pilot.Decider { return planner.New(seed, terms) }
+	module := func(seed int64, terms map[string]any) controller.Decider { return planner.New(seed, terms) }
 	assert.Equal(t, "701c66171943c29a", Fingerprint(module))
 }
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -17,7 +17,7 @@
 	"go.uber.org/goleak"
 	"go.uber.org/zap"
 
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 	"indigousher/internal/wire"
 	"indigousher/planner"
 )
@@ -268,9 +268,9 @@
 
 // TestFingerprint shows that modules are told apart by what they do.
 func TestFingerprint(t *testing.T) {
-	module := func(seed int64, terms map[string]any) pilot.Decider { return planner.New(seed, terms) }
+	module := func(seed int64, terms map[string]any) controller.Decider { return planner.New(seed, terms) }
 	assert.Equal(t, Fingerprint(module), Fingerprint(module))
-	other := func(seed int64, terms map[string]any) pilot.Decider {
+	other := func(seed int64, terms map[string]any) controller.Decider {
 		terms["cross_zone"] = 0.3
 		return planner.New(seed, terms)
 	}
@@ -323,7 +323,7 @@
 	ctx, cancel := context.WithCancel(b.Context())
 	done := make(chan error, 1)
 	go func() { done <- w.Run(ctx) }()
-	r := NewRecorder(w.Turn, func() []pilot.Input { return nil })
+	r := NewRecorder(w.Turn, func() []controller.Input { return nil })
 	var told []planner.Note
 	for i := range 50 {
 		told = append(told, planner.Met{Endpoint: i, Zone: i % 3, Tries: 30 + i, MeanMs: 20.5 + float64(i)/7, SpanMs: 1000.25, Load: planner.Load{"util": 0.5, "rate": 20}})
@@ -397,7 +397,7 @@
 			plan.Decider, plan.Terms = planner.New(1, terms), terms
 			odd := 0
 			plan.Odd = func(string, ...string) { odd++ }
-			core := pilot.NewCore(plan)
+			core := controller.NewCore(plan)
 			b, err := Append(nil, &c.turn) // by way of the disk
 			require.NoError(t, err)
 			bad, err := Turns(b)
@@ -415,7 +415,7 @@
 	plan, err := planOf(map[string]any{"zones": []any{"a"}, "req_kinds": []any{"read"}})
 	require.NoError(t, err)
 	plan.Decider, plan.Terms = panics, map[string]any{}
-	assert.ErrorContains(t, Restore(pilot.NewCore(plan), []Turn{{}}), "the module panics on the record: index")
+	assert.ErrorContains(t, Restore(controller.NewCore(plan), []Turn{{}}), "the module panics on the record: index")
 }
 
 // plainPanic is a module with a fault.
--- a/internal/rehearsal/record_test.go
+++ b/internal/rehearsal/record_test.go
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 	"indigousher/internal/record"
 	"indigousher/internal/scenario"
 	"indigousher/planner"
 )
 
-func module(seed int64, terms map[string]any) pilot.Decider { return planner.New(seed, terms) }
+func module(seed int64, terms map[string]any) controller.Decider { return planner.New(seed, terms) }
 
 // TestRecordedDay guards the record of a day on sockets: pilots that are killed come back by it and keep the rules, and a
 // replay of each life orders the same, byte for byte.
--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/rehearsal/rehearsal_test.go
@@ -15,7 +15,7 @@
 
 	"indigousher/internal/audit"
 	"indigousher/internal/backoff"
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 	"indigousher/internal/scenario"
 	"indigousher/internal/testbed/eventlog"
 	"indigousher/planner"
@@ -156,7 +156,7 @@
 			t.Parallel()
 			day, err := scenario.Read(c.name+".hcl", []byte("like = \"quiet\"\nlength = \"9s\"\nlist {\n late = \"200ms\"\n}\n"+c.day))
 			require.NoError(t, err)
-			o, err := Play{Day: day, Decide: func(seed int64, terms map[string]any) pilot.Decider {
+			o, err := Play{Day: day, Decide: func(seed int64, terms map[string]any) controller.Decider {
 				return &meddler{planner.New(seed, terms), c.spoil}
 			}}.Run(t.Context())
 			require.NoError(t, err)
@@ -196,7 +196,7 @@
 
 // listener passes notes on and keeps what the module was told of load.
 type listener struct {
-	pilot.Decider
+	controller.Decider
 	mu   *sync.Mutex
 	told map[string]*[2]float64 // tries and span by zone and endpoint
 }
@@ -243,7 +243,7 @@
 `))
 	require.NoError(t, err)
 	told, mu := map[string]*[2]float64{}, &sync.Mutex{}
-	o, err := Play{Day: day, Decide: func(seed int64, terms map[string]any) pilot.Decider {
+	o, err := Play{Day: day, Decide: func(seed int64, terms map[string]any) controller.Decider {
 		return &listener{planner.New(seed, terms), mu, told}
 	}}.Run(t.Context())
 	require.NoError(t, err)
--- a/internal/rehearsal/stage.go
+++ b/internal/rehearsal/stage.go
@@ -23,9 +23,9 @@
 	"indigousher/internal/audit"
 	"indigousher/internal/backoff"
 	"indigousher/internal/config"
+	"indigousher/internal/controller"
 	"indigousher/internal/daemon"
 	"indigousher/internal/identity"
-	"indigousher/internal/pilot"
 	"indigousher/internal/scenario"
 	"indigousher/internal/testbed/endpoint"
 	"indigousher/internal/testbed/eventlog"
@@ -38,7 +38,7 @@
 )
 
 // Decide makes what decides in a pilot.
-type Decide func(seed int64, terms map[string]any) pilot.Decider
+type Decide func(seed int64, terms map[string]any) controller.Decider
 
 // Play is one playing of a day.
 type Play struct {
@@ -58,7 +58,7 @@
 type Outcome struct {
 	Report *audit.Report
 	Book   *eventlog.Book
-	Most   pilot.State // the most lines and messages that any pilot counted itself
+	Most   controller.State // the most lines and messages that any pilot counted itself
 	Took   time.Duration
 	Zones  map[string]string // of endpoints, by address
 }
@@ -79,7 +79,7 @@
 	reports   map[string]*atomic.Int64 // how many times as often a proxy reports, in thousandths
 	pilots    []*seat
 	rnd       *rand.Rand
-	most      pilot.State
+	most      controller.State
 	authority *identity.Authority
 	keyDir    string
 	owners    []string // of slices, by number; addresses of endpoints
--- a/internal/search/search.go
+++ b/internal/search/search.go
@@ -13,8 +13,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"indigousher/internal/audit"
+	"indigousher/internal/controller"
 	"indigousher/internal/emulator"
-	"indigousher/internal/pilot"
 	"indigousher/internal/scenario"
 )
 
@@ -29,7 +29,7 @@
 
 // Search plays drawn days.
 type Search struct {
-	Decide func(seed int64, terms map[string]any) pilot.Decider // nil: the module
+	Decide func(seed int64, terms map[string]any) controller.Decider // nil: the module
 	Say    func(f *Find)
 }
 
--- a/internal/search/search_test.go
+++ b/internal/search/search_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"indigousher/internal/audit"
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 	"indigousher/internal/scenario"
 	"indigousher/planner"
 )
@@ -29,7 +29,7 @@
 }
 
 // heedless leaves a planted fault in the module's orders: endpoints are never shut out.
-type heedless struct{ pilot.Decider }
+type heedless struct{ controller.Decider }
 
 func (h heedless) Handle(now float64, notes []planner.Note) (out []planner.Order) {
 	for _, o := range h.Decider.Handle(now, notes) {
@@ -46,7 +46,7 @@
 
 // TestShrunk shows that a planted fault is found, and that what is found is shrunk to the trouble it needs.
 func TestShrunk(t *testing.T) {
-	s := &Search{Decide: func(seed int64, terms map[string]any) pilot.Decider { return heedless{planner.New(seed, terms)} }}
+	s := &Search{Decide: func(seed int64, terms map[string]any) controller.Decider { return heedless{planner.New(seed, terms)} }}
 	d := Draw(7, 12)
 	d.Troubles = append(d.Troubles, scenario.Trouble{What: "drain", At: 9e9, For: 8e9, Part: 0.3}, scenario.Trouble{What: "burst", At: 4e9, For: 2e9, Size: 1.2},
 		scenario.Trouble{What: "reconnect", At: 6e9, Part: 0.5})
--- a/internal/transport/discovery/list_test.go
+++ b/internal/transport/discovery/list_test.go
@@ -17,7 +17,7 @@
 	"go.uber.org/zap"
 
 	"indigousher/internal/config"
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 	"indigousher/internal/testbed/eventlog"
 	standin "indigousher/internal/testbed/registry"
 	"indigousher/internal/wire"
@@ -31,14 +31,14 @@
 	got []string
 }
 
-func (i *inbox) Post(_ context.Context, in pilot.Input) error {
+func (i *inbox) Post(_ context.Context, in controller.Input) error {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	word := "lost"
-	if x, ok := in.(pilot.SliceGiven); ok {
+	if x, ok := in.(controller.SliceGiven); ok {
 		word = fmt.Sprint("slice ", x.Slices.Slice, x.Slices.Given, x.Slices.Lines)
 	}
-	if l, ok := in.(pilot.Listed); ok {
+	if l, ok := in.(controller.Listed); ok {
 		word = map[bool]string{true: "whole", false: "changes"}[l.List.Whole]
 		for _, e := range l.List.Entries {
 			word += " " + e.Endpoint
@@ -171,8 +171,8 @@
 	lost atomic.Int64
 }
 
-func (e *eager) Post(_ context.Context, in pilot.Input) error {
-	if _, lost := in.(pilot.ListLost); lost {
+func (e *eager) Post(_ context.Context, in controller.Input) error {
+	if _, lost := in.(controller.ListLost); lost {
 		e.lost.Add(1)
 		e.f.Watch(true)
 	}
--- a/internal/transport/framed/framed.go
+++ b/internal/transport/framed/framed.go
@@ -17,8 +17,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"indigousher/internal/backoff"
+	"indigousher/internal/controller"
 	"indigousher/internal/identity"
-	"indigousher/internal/pilot"
 	"indigousher/internal/transport/shutdown"
 	"indigousher/internal/wire"
 )
@@ -39,7 +39,7 @@
 // Server accepts proxies' streams.
 type Server struct {
 	door  Door
-	inbox pilot.Inbox
+	inbox controller.Inbox
 	log   *zap.Logger
 	mu    sync.Mutex
 	live  map[*stream]bool
@@ -48,7 +48,7 @@
 }
 
 // NewServer returns a server that does not listen yet.
-func NewServer(d Door, inbox pilot.Inbox, log *zap.Logger) *Server {
+func NewServer(d Door, inbox controller.Inbox, log *zap.Logger) *Server {
 	return &Server{door: d, inbox: inbox, log: log, live: map[*stream]bool{}}
 }
 
@@ -151,7 +151,7 @@
 		defer st.conn.Close() // ends the reader too
 		return s.writeAll(st, w)
 	})
-	err = s.inbox.Post(ctx, pilot.Join{Stream: st, Hello: *hello})
+	err = s.inbox.Post(ctx, controller.Join{Stream: st, Hello: *hello})
 	if err == nil {
 		log.Debug("joined", zap.String("zone", hello.Zone))
 		err = s.readAll(ctx, st, r)
@@ -164,7 +164,7 @@
 	// the loop must hear of it even while this side stops, but not for longer than the loop lives
 	lctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 	defer cancel()
-	_ = s.inbox.Post(lctx, pilot.Leave{Stream: st})
+	_ = s.inbox.Post(lctx, controller.Leave{Stream: st})
 }
 
 // quiet drops errors that only say that a stream has ended.
@@ -219,12 +219,12 @@
 		if err != nil {
 			return err
 		}
-		var in pilot.Input
+		var in controller.Input
 		switch m := m.(type) {
 		case *wire.Sums:
-			in = pilot.Reported{Stream: st, Sums: m}
+			in = controller.Reported{Stream: st, Sums: m}
 		case *wire.Done:
-			in = pilot.Applied{Stream: st, Done: *m}
+			in = controller.Applied{Stream: st, Done: *m}
 		case *wire.Beat:
 			st.seen(m.Seen)
 			if st.overdue(time.Now().Add(-s.door.SeenWithin)) {
--- a/internal/transport/gossip/peers.go
+++ b/internal/transport/gossip/peers.go
@@ -14,8 +14,8 @@
 	"go.uber.org/zap"
 	"golang.org/x/time/rate"
 
+	"indigousher/internal/controller"
 	"indigousher/internal/identity"
-	"indigousher/internal/pilot"
 )
 
 // magic opens each datagram; its last byte is the version.
@@ -68,7 +68,7 @@
 	conn  net.PacketConn
 	rank  int
 	peers map[int]net.Addr
-	inbox pilot.Inbox
+	inbox controller.Inbox
 	log   *zap.Logger
 	pace  *rate.Limiter
 	// Secret, if not nil, seals all notes; nothing else is taken in.
@@ -77,7 +77,7 @@
 }
 
 // Open returns a post on an open socket. Peers are addresses by rank.
-func Open(conn net.PacketConn, rank int, peers map[int]string, inbox pilot.Inbox, log *zap.Logger) (*Post, error) {
+func Open(conn net.PacketConn, rank int, peers map[int]string, inbox controller.Inbox, log *zap.Logger) (*Post, error) {
 	p := &Post{conn: conn, rank: rank, peers: map[int]net.Addr{}, inbox: inbox, log: log,
 		pace: rate.NewLimiter(1000, 1000), once: map[int]*identity.Once{}}
 	for r, name := range peers {
@@ -130,7 +130,7 @@
 			p.log.Debug("note dropped", zap.Stringer("from", from), zap.Error(err))
 			continue
 		}
-		if err := p.inbox.Post(ctx, pilot.Heard{From: rank, Text: text}); err != nil {
+		if err := p.inbox.Post(ctx, controller.Heard{From: rank, Text: text}); err != nil {
 			return nil
 		}
 	}
--- a/internal/transport/gossip/peers_test.go
+++ b/internal/transport/gossip/peers_test.go
@@ -14,15 +14,15 @@
 	"go.uber.org/goleak"
 	"go.uber.org/zap"
 
+	"indigousher/internal/controller"
 	"indigousher/internal/identity"
-	"indigousher/internal/pilot"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-type inbox chan pilot.Input
+type inbox chan controller.Input
 
-func (i inbox) Post(ctx context.Context, in pilot.Input) error {
+func (i inbox) Post(ctx context.Context, in controller.Input) error {
 	select {
 	case i <- in:
 		return nil
@@ -40,7 +40,7 @@
 		require.NoError(t, err)
 		sockets[r], at[r] = c, c.LocalAddr().String()
 	}
-	in := inbox(make(chan pilot.Input, 8))
+	in := inbox(make(chan controller.Input, 8))
 	var posts []*Post
 	for r := range 2 {
 		p, err := Open(sockets[r], r, at, in, zap.NewNop())
@@ -60,8 +60,8 @@
 	}
 	posts[0].Tell(1, "first")
 	posts[0].Tell(-1, strings.Repeat("x", 2000))
-	assert.Equal(t, pilot.Heard{From: 0, Text: "first"}, <-in)
-	assert.Equal(t, pilot.Heard{From: 0, Text: strings.Repeat("x", MaxText)}, <-in)
+	assert.Equal(t, controller.Heard{From: 0, Text: "first"}, <-in)
+	assert.Equal(t, controller.Heard{From: 0, Text: strings.Repeat("x", MaxText)}, <-in)
 	_, err = Open(sockets[0], 0, map[int]string{1: "nonsense"}, in, zap.NewNop())
 	assert.Error(t, err)
 }
--- a/recovery/explore_test.go
+++ b/recovery/explore_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sync/errgroup"
 
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 	"indigousher/internal/record"
 	"indigousher/internal/testbed/routing"
 	"indigousher/internal/wire"
@@ -70,11 +70,11 @@
 	alive   bool
 	old     *recovery.Old
 	taker   *recovery.New
-	act     recovery.Act // under way
-	waits   bool         // for the other's answer
-	asked   bool         // to take over
-	core    *pilot.Core  // nil while no pilot runs
-	listed  int          // changes of the list that it knows of, -1 none
+	act     recovery.Act     // under way
+	waits   bool             // for the other's answer
+	asked   bool             // to take over
+	core    *controller.Core // nil while no pilot runs
+	listed  int              // changes of the list that it knows of, -1 none
 	claimed bool
 }
 
@@ -151,8 +151,8 @@
 	return w
 }
 
-func (w *world) plan(held bool) pilot.Plan {
-	p := pilot.Plan{Decider: &clerk{map[int]planner.Phase{}, map[int]bool{}}, Terms: map[string]any{}, Zones: []string{"a"}, Machines: []string{"std"}, Kinds: []string{"read"},
+func (w *world) plan(held bool) controller.Plan {
+	p := controller.Plan{Decider: &clerk{map[int]planner.Phase{}, map[int]bool{}}, Terms: map[string]any{}, Zones: []string{"a"}, Machines: []string{"std"}, Kinds: []string{"read"},
 		Intake: telemetry.Terms{PeriodMs: 1e9, HalfMs: 1e9, LongestMs: 1e9}, MostProxies: 9, List: edge{}, Prober: edge{}, Peers: edge{},
 		Log: func(string) {}, Odd: func(string, ...string) {}, Replayed: true}
 	if !held || w.plant.replayAloud {
@@ -176,9 +176,9 @@
 // begin starts a process's pilot on what the disk holds.
 func (w *world) begin(i int) {
 	p := w.procs[i]
-	var core *pilot.Core
+	var core *controller.Core
 	if w.kept > 0 {
-		core = pilot.NewCore(w.plan(true))
+		core = controller.NewCore(w.plan(true))
 		if err := record.Restore(core, w.turns[:w.kept]); err != nil {
 			w.broken = err.Error()
 		}
@@ -186,10 +186,10 @@
 	}
 	live := w.plan(false)
 	recorder := record.NewRecorder(func(t func() *record.Turn) { w.turns = append(w.turns, *t()) },
-		func() []pilot.Input { return p.core.Checkpoint() })
+		func() []controller.Input { return p.core.Checkpoint() })
 	live.Turn = recorder.Turn
 	if core == nil {
-		core = pilot.NewCore(live)
+		core = controller.NewCore(live)
 	} else {
 		core.Recovered(live)
 	}
@@ -211,10 +211,10 @@
 	}
 }
 
-func (w *world) feed(i int, in pilot.Input) {
+func (w *world) feed(i int, in controller.Input) {
 	p := w.procs[i]
 	w.nowMs++
-	p.core.Handle(w.nowMs, []pilot.Input{in})
+	p.core.Handle(w.nowMs, []controller.Input{in})
 	p.core.Channel.Send(w.nowMs)
 }
 
@@ -344,7 +344,7 @@
 	if w.notes == 0 {
 		for i, p := range w.procs {
 			if p.core != nil {
-				s[fmt.Sprint("note ", i)] = func() { w.notes++; w.feed(i, pilot.Heard{From: 1, Text: "once"}) }
+				s[fmt.Sprint("note ", i)] = func() { w.notes++; w.feed(i, controller.Heard{From: 1, Text: "once"}) }
 			}
 		}
 	}
@@ -399,14 +399,14 @@
 						Holds: p.follow.Holds(), Tables: p.follow.Tables()}
 					p.to, p.stream = i, &stream{w, i, k}
 					p.follow.Joined()
-					w.feed(i, pilot.Join{Stream: p.stream, Hello: hello})
+					w.feed(i, controller.Join{Stream: p.stream, Hello: hello})
 				}
 			}
 		}
 	}
 }
 
-func (w *world) listing() pilot.Input {
+func (w *world) listing() controller.Input {
 	l := &wire.List{Version: w.list, Whole: true}
 	for i := range endpoints {
 		e := wire.Entry{Endpoint: fmt.Sprint("e", i), Zone: "a", Machine: "std", Weight: 1}
@@ -415,7 +415,7 @@
 		}
 		l.Entries = append(l.Entries, e)
 	}
-	return pilot.Listed{List: l}
+	return controller.Listed{List: l}
 }
 
 // wrong returns what no state may show, and, where nothing more can happen by itself, what then must hold.
