--- a/internal/edge/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -1,4 +1,4 @@
-package edge_test
+package transport_test
 
 import (
 	"context"
