--- a/cmd/indigousher/export_test.go
+++ b/cmd/indigousher/export_test.go
@@ -58,9 +58,9 @@
 	{Kind: record.ListLost},
 	{Kind: record.Heard, From: 2, Text: "hi"},
 	{Kind: record.Retermed, Text: `{"backlog":5}`},
-	{Kind: record.Probed, Text: "x", Probe: planner.Probed{Outcome: "ok", TookMs: 1.25, Load: planner.Load{"util": 0.5}}},
-	{Kind: record.Met, Note: planner.Met{Endpoint: 1, Zone: 2, Tries: 30, Failed: 4, MeanMs: 12.5, SpanMs: 1000, Load: planner.Load{"util": 0.25, "rate": 7}}},
+	{Kind: record.Probed, Text: "x", Probe: planner.HealthCheckResult{Outcome: "ok", TookMs: 1.25, Load: planner.Load{"util": 0.5}}},
+	{Kind: record.Met, Note: planner.EndpointStats{Endpoint: 1, Zone: 2, Attempts: 30, Failed: 4, MeanMs: 12.5, SpanMs: 1000, Load: planner.Load{"util": 0.25, "rate": 7}}},
 	{Kind: record.SliceGiven, Message: &wire.Slices{Slice: 3, Given: true, Lines: []wire.HeldLine{{Endpoint: "x", Weight: 1}}, From: "a", To: "b"}},
-	{Kind: record.SliceDemand, Note: planner.SliceDemand{Slice: 3, Kind: 1, Reqs: 4, Unanswered: 1, SpanMs: 1000}},
-	{Kind: record.Demand, Note: planner.Demand{Proxy: 4, Kind: 1, Reqs: 12, Unanswered: 1, SpanMs: 999.5}},
+	{Kind: record.SliceDemand, Note: planner.SliceStats{Slice: 3, Class: 1, Requests: 4, Unanswered: 1, SpanMs: 1000}},
+	{Kind: record.Demand, Note: planner.RequestStats{Proxy: 4, Class: 1, Requests: 12, Unanswered: 1, SpanMs: 999.5}},
 }
--- a/internal/config/terms.go
+++ b/internal/config/terms.go
@@ -485,8 +485,8 @@
 			diags = append(diags, named(b.SrcRange, e.Endpoint, 1)...)
 			diags = append(diags, named(b.SrcRange, e.Zone, 0)...)
 			diags = append(diags, named(b.SrcRange, e.Machine, 0)...)
-			if !planner.SoundWeight(e.Weight) {
-				diags = append(diags, complaint(b.SrcRange, "weight %g: 0 or %g to %g is wanted", e.Weight, 1/planner.MostFigure, planner.MostFigure))
+			if !planner.ValidWeight(e.Weight) {
+				diags = append(diags, complaint(b.SrcRange, "weight %g: 0 or %g to %g is wanted", e.Weight, 1/planner.MaxFigure, planner.MaxFigure))
 			}
 			seen[e.Endpoint] = true
 			l.Entries = append(l.Entries, e)
--- a/internal/controller/gate.go
+++ b/internal/controller/gate.go
@@ -24,8 +24,8 @@
 	report    telemetry.Report[[]wire.Figure]
 	periodMs  float64
 	lastMs    float64
-	slices    map[int]map[int]*planner.SliceDemand // in this pilot's charge, by slice and kind: what came since the last telling
-	unknown   map[string]int                       // what was named that nobody knows, since the last telling
+	slices    map[int]map[int]*planner.SliceStats // in this pilot's charge, by slice and kind: what came since the last telling
+	unknown   map[string]int                      // what was named that nobody knows, since the last telling
 	ages      *hdrhistogram.Histogram
 }
 
@@ -34,7 +34,7 @@
 
 func newGate(t telemetry.Terms, kinds []string) *gate {
 	g := &gate{in: telemetry.New[[]wire.Figure](t), proxies: map[Stream]int{}, streams: map[int]Stream{},
-		endpoints: map[string]int{}, kinds: map[string]int{}, periodMs: t.PeriodMs, slices: map[int]map[int]*planner.SliceDemand{}, unknown: map[string]int{},
+		endpoints: map[string]int{}, kinds: map[string]int{}, periodMs: t.PeriodMs, slices: map[int]map[int]*planner.SliceStats{}, unknown: map[string]int{},
 		ages: hdrhistogram.New(1, oldest, 2)}
 	for k, name := range kinds {
 		g.kinds[name] = k
@@ -121,7 +121,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if delete(g.slices, number); given {
-		g.slices[number] = map[int]*planner.SliceDemand{}
+		g.slices[number] = map[int]*planner.SliceStats{}
 	}
 }
 
@@ -135,14 +135,14 @@
 			continue
 		}
 		if of[k] == nil {
-			of[k] = &planner.SliceDemand{Slice: x.Slice, Kind: k}
+			of[k] = &planner.SliceStats{Slice: x.Slice, Class: k}
 		}
-		of[k].Reqs, of[k].Unanswered = of[k].Reqs+x.Reqs, of[k].Unanswered+x.Unanswered
+		of[k].Requests, of[k].Unanswered = of[k].Requests+x.Reqs, of[k].Unanswered+x.Unanswered
 	}
 }
 
 // tellSlices passes on what came for slices.
-func (g *gate) tellSlices(notes []planner.Note, spanMs float64) []planner.Note {
+func (g *gate) tellSlices(notes []planner.Event, spanMs float64) []planner.Event {
 	for _, number := range slices.Sorted(maps.Keys(g.slices)) {
 		of := g.slices[number]
 		for _, k := range slices.Sorted(maps.Keys(of)) {
@@ -161,7 +161,7 @@
 }
 
 // tell passes on what a period may, and what streams are to be asked for.
-func (g *gate) tell(notes []planner.Note, nowMs float64, m *Meter) ([]planner.Note, []asked, map[string]int) {
+func (g *gate) tell(notes []planner.Event, nowMs float64, m *Meter) ([]planner.Event, []asked, map[string]int) {
 	if nowMs < g.due() {
 		return notes, nil, nil
 	}
--- a/internal/controller/meter.go
+++ b/internal/controller/meter.go
@@ -131,7 +131,7 @@
 }
 
 // decide times the module.
-func (m *Meter) decide(f func() []planner.Order) []planner.Order {
+func (m *Meter) decide(f func() []planner.Command) []planner.Command {
 	if m == nil {
 		return f()
 	}
--- a/internal/controller/relayed.go
+++ b/internal/controller/relayed.go
@@ -13,7 +13,7 @@
 // Relay carries what one turn ordered to proxies whose streams others hold. It queues and paces by itself: the core
 // lays no messages out and its channel stays empty. Carry must not block and keeps nothing of what it is given.
 type Relay interface {
-	Carry(turn []planner.Order, endpoint func(i int) string)
+	Carry(turn []planner.Command, endpoint func(i int) string)
 	// Gone says that what waits for a proxy is void.
 	Gone(proxy int)
 }
@@ -60,7 +60,7 @@
 }
 
 // relayedNote turns an input about relayed proxies into notes.
-func (c *Core) relayedNote(notes []planner.Note, in Input) []planner.Note {
+func (c *Core) relayedNote(notes []planner.Event, in Input) []planner.Event {
 	switch in := in.(type) {
 	case Relayed:
 		return c.relayedJoin(notes, in)
@@ -68,10 +68,10 @@
 		return c.relayedLeave(notes, in.Proxy)
 	case RelayApplied:
 		if c.relayed[in.Proxy] {
-			return append(notes, planner.Applied{Proxy: in.Proxy, Number: in.Mark, TookMs: in.TookMs})
+			return append(notes, planner.Ack{Proxy: in.Proxy, Number: in.Mark, TookMs: in.TookMs})
 		}
 	case RelayStalled:
-		return append(notes, planner.Stalled{ForMs: in.ForMs, Again: in.Again, Joined: in.Joined})
+		return append(notes, planner.ChannelStalled{ForMs: in.ForMs, Repeated: in.Again, Merged: in.Joined})
 	case ZoneMet:
 		zone, known := c.zones.Find(in.Zone)
 		endpoint, listed := c.endpoints.Find(in.Endpoint)
@@ -81,7 +81,7 @@
 		}
 		c.Believed.Reports++
 		c.Believed.SpanMs += in.SpanMs
-		return append(notes, planner.Met{Endpoint: endpoint, Zone: zone, Tries: in.Tries, Failed: in.Failed,
+		return append(notes, planner.EndpointStats{Endpoint: endpoint, Zone: zone, Attempts: in.Tries, Failed: in.Failed,
 			MeanMs: in.MeanMs, SpanMs: in.SpanMs, Load: settings.Load(in.Load)})
 	case ProxyDemand:
 		kind, known := c.kinds.Find(in.Kind)
@@ -91,7 +91,7 @@
 		}
 		c.Believed.Reports++
 		c.Believed.SpanMs += in.SpanMs
-		return append(notes, planner.Demand{Proxy: in.Proxy, Kind: kind, Reqs: in.Reqs, Unanswered: in.Unanswered,
+		return append(notes, planner.RequestStats{Proxy: in.Proxy, Class: kind, Requests: in.Reqs, Unanswered: in.Unanswered,
 			SpanMs: in.SpanMs})
 	}
 	return notes
@@ -100,9 +100,9 @@
 // provides returns whether the terms tell of a proxy of that number.
 func (c *Core) provides(proxy int) bool { return proxy >= 0 && proxy < c.plan.MostProxies }
 
-func (c *Core) relayedJoin(notes []planner.Note, in Relayed) []planner.Note {
+func (c *Core) relayedJoin(notes []planner.Event, in Relayed) []planner.Event {
 	zone, known := c.zones.Find(in.Zone)
-	if !known || !c.provides(in.Proxy) || !planner.Sound(in.Rate) {
+	if !known || !c.provides(in.Proxy) || !planner.ValidRate(in.Rate) {
 		c.odd("proxy of an unknown number or zone", fmt.Sprint(in.Proxy), in.Zone)
 		return notes
 	}
@@ -111,16 +111,16 @@
 		notes = c.relayedLeave(notes, in.Proxy)
 	}
 	c.relayed[in.Proxy] = true
-	return append(notes, planner.Joined{Proxy: in.Proxy, Zone: zone, Rate: in.Rate, Fresh: in.Fresh, Stood: stood})
+	return append(notes, planner.ProxyJoined{Proxy: in.Proxy, Zone: zone, Rate: in.Rate, Fresh: in.Fresh, Resumed: stood})
 }
 
-func (c *Core) relayedLeave(notes []planner.Note, proxy int) []planner.Note {
+func (c *Core) relayedLeave(notes []planner.Event, proxy int) []planner.Event {
 	if !c.relayed[proxy] {
 		return notes
 	}
 	delete(c.relayed, proxy)
 	c.plan.Relay.Gone(proxy)
-	return append(notes, planner.Left{Proxy: proxy})
+	return append(notes, planner.ProxyLeft{Proxy: proxy})
 }
 
 // Believed counts what the core took in of reports, for the pilot's own book-keeping.
@@ -165,17 +165,17 @@
 }
 
 // relay collects an order for the relay, if that is where it goes.
-func (c *Core) relay(o planner.Order) bool {
+func (c *Core) relay(o planner.Command) bool {
 	if c.plan.Relay == nil {
 		return false
 	}
 	switch o := o.(type) {
-	case planner.Bind:
+	case planner.AssignTable:
 		if !c.relayed[o.Proxy] {
 			c.odd("bind of a proxy that has left", fmt.Sprint(o.Proxy))
 			return true
 		}
-	case planner.SetLine, planner.ClearTable, planner.Withdraw, planner.Admit, planner.Mark:
+	case planner.SetWeight, planner.ClearTable, planner.SetExcluded, planner.SetAdmission, planner.AckRequest:
 	default:
 		return false
 	}
--- a/internal/controller/relayed_test.go
+++ b/internal/controller/relayed_test.go
@@ -17,10 +17,10 @@
 	names  map[string]bool
 }
 
-func (c *carried) Carry(turn []planner.Order, endpoint func(int) string) {
+func (c *carried) Carry(turn []planner.Command, endpoint func(int) string) {
 	c.orders += len(turn)
 	for _, o := range turn {
-		if l, ok := o.(planner.SetLine); ok {
+		if l, ok := o.(planner.SetWeight); ok {
 			c.names[endpoint(l.Endpoint)] = true
 		}
 	}
@@ -74,27 +74,27 @@
 	met := ZoneMet{Zone: "a", Endpoint: "x", Tries: 2, Failed: 1, MeanMs: 3, SpanMs: 4, Load: map[string]float64{"qps": 2}}
 	for name, c := range map[string]struct {
 		in   []Input
-		want []planner.Note
+		want []planner.Event
 	}{
-		"joined and left": {[]Input{join, Unrelayed{3}, Unrelayed{3}}, []planner.Note{planner.Joined{Proxy: 3, Rate: 2}, planner.Left{Proxy: 3}}},
-		"joined again":    {[]Input{join, join}, []planner.Note{planner.Joined{Proxy: 3, Rate: 2}, planner.Left{Proxy: 3}, planner.Joined{Proxy: 3, Rate: 2}}},
+		"joined and left": {[]Input{join, Unrelayed{3}, Unrelayed{3}}, []planner.Event{planner.ProxyJoined{Proxy: 3, Rate: 2}, planner.ProxyLeft{Proxy: 3}}},
+		"joined again":    {[]Input{join, join}, []planner.Event{planner.ProxyJoined{Proxy: 3, Rate: 2}, planner.ProxyLeft{Proxy: 3}, planner.ProxyJoined{Proxy: 3, Rate: 2}}},
 		"has stood": {[]Input{join, Relayed{Proxy: 3, Zone: "a", Rate: 2, Stood: true}},
-			[]planner.Note{planner.Joined{Proxy: 3, Rate: 2}, planner.Joined{Proxy: 3, Rate: 2, Stood: true}}},
-		"unknown has stood": {[]Input{Relayed{Proxy: 3, Zone: "a", Rate: 2, Stood: true}}, []planner.Note{planner.Joined{Proxy: 3, Rate: 2}}},
+			[]planner.Event{planner.ProxyJoined{Proxy: 3, Rate: 2}, planner.ProxyJoined{Proxy: 3, Rate: 2, Resumed: true}}},
+		"unknown has stood": {[]Input{Relayed{Proxy: 3, Zone: "a", Rate: 2, Stood: true}}, []planner.Event{planner.ProxyJoined{Proxy: 3, Rate: 2}}},
 		"stalled": {[]Input{RelayStalled{ForMs: 3, Again: []int{7}}, RelayStalled{}},
-			[]planner.Note{planner.Stalled{ForMs: 3, Again: []int{7}}, planner.Stalled{}}},
+			[]planner.Event{planner.ChannelStalled{ForMs: 3, Repeated: []int{7}}, planner.ChannelStalled{}}},
 		"beyond all": {[]Input{Relayed{Proxy: 10, Zone: "a"}, Relayed{Proxy: -1, Zone: "a"}, Relayed{Proxy: 1, Zone: "z"}}, nil},
-		"applied":    {[]Input{RelayApplied{Proxy: 3, Mark: 1}, join, RelayApplied{3, 1, 5}}, []planner.Note{planner.Joined{Proxy: 3, Rate: 2}, planner.Applied{Proxy: 3, Number: 1, TookMs: 5}}},
+		"applied":    {[]Input{RelayApplied{Proxy: 3, Mark: 1}, join, RelayApplied{3, 1, 5}}, []planner.Event{planner.ProxyJoined{Proxy: 3, Rate: 2}, planner.Ack{Proxy: 3, Number: 1, TookMs: 5}}},
 		"met": {[]Input{met, ZoneMet{Zone: "z", Endpoint: "x"}, ZoneMet{Zone: "a", Endpoint: "y"}},
-			[]planner.Note{planner.Met{Tries: 2, Failed: 1, MeanMs: 3, SpanMs: 4, Load: planner.Load{"rate": 2}}}},
+			[]planner.Event{planner.EndpointStats{Attempts: 2, Failed: 1, MeanMs: 3, SpanMs: 4, Load: planner.Load{"rate": 2}}}},
 		"demand": {[]Input{ProxyDemand{Proxy: 2, Kind: "read", Reqs: 3, SpanMs: 4}, ProxyDemand{Proxy: 99, Kind: "read"}, ProxyDemand{Proxy: 2, Kind: "none"}},
-			[]planner.Note{planner.Demand{Proxy: 2, Reqs: 3, SpanMs: 4}}},
+			[]planner.Event{planner.RequestStats{Proxy: 2, Requests: 3, SpanMs: 4}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := &scripted{}
 			core, _ := relayedCore(d)
 			core.Handle(0, []Input{Listed{List: &wire.List{Whole: true, Entries: []wire.Entry{entry}}, Remembered: true}})
-			assert.Equal(t, planner.Remembered, d.notes[0].(planner.Listing).Mode)
+			assert.Equal(t, planner.Cached, d.notes[0].(planner.EndpointUpdate).Mode)
 			d.notes = nil
 			core.Handle(1, c.in)
 			assert.Equal(t, c.want, d.notes)
@@ -107,7 +107,7 @@
 func TestOneTurnIsOneCall(t *testing.T) {
 	d := &scripted{}
 	c, k := relayedCore(d)
-	d.orders = []planner.Order{planner.SetLine{Table: 1, Weight: 1}, planner.Bind{Table: 1, Proxy: 3}, planner.Bind{Table: 1, Proxy: 4}, planner.Mark{Number: 1}}
+	d.orders = []planner.Command{planner.SetWeight{Table: 1, Weight: 1}, planner.AssignTable{Table: 1, Proxy: 3}, planner.AssignTable{Table: 1, Proxy: 4}, planner.AckRequest{Number: 1}}
 	c.Handle(0, []Input{Relayed{Proxy: 3, Zone: "a"}})
 	assert.Equal(t, 3, k.orders)
 	assert.Equal(t, 0, c.Channel.Lines(), "nothing is paced twice")
@@ -117,11 +117,11 @@
 
 // scripted keeps notes and orders what it is told to, once.
 type scripted struct {
-	notes  []planner.Note
-	orders []planner.Order
+	notes  []planner.Event
+	orders []planner.Command
 }
 
-func (s *scripted) Handle(_ float64, notes []planner.Note) []planner.Order {
+func (s *scripted) Handle(_ float64, notes []planner.Event) []planner.Command {
 	s.notes = append(s.notes, notes...)
 	o := s.orders
 	s.orders = nil
--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -237,7 +237,7 @@
 	took time.Duration
 }
 
-func (t *timed) Handle(nowMs float64, notes []planner.Note) []planner.Order {
+func (t *timed) Handle(nowMs float64, notes []planner.Event) []planner.Command {
 	start := time.Now()
 	defer func() { t.took += time.Since(start) }()
 	return t.Decider.Handle(nowMs, notes)
--- a/internal/emulator/commands_test.go
+++ b/internal/emulator/commands_test.go
@@ -78,7 +78,7 @@
 	lines strings.Builder
 }
 
-func (l *turnLog) add(seed int64, nowMs float64, commands []planner.Order) {
+func (l *turnLog) add(seed int64, nowMs float64, commands []planner.Command) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.turns++
@@ -92,7 +92,7 @@
 	log  *turnLog
 }
 
-func (d digested) Handle(nowMs float64, notes []planner.Note) []planner.Order {
+func (d digested) Handle(nowMs float64, notes []planner.Event) []planner.Command {
 	commands := d.Decider.Handle(nowMs, notes)
 	d.log.add(d.seed, nowMs, commands)
 	return commands
--- a/internal/platform/listener/line.go
+++ b/internal/platform/listener/line.go
@@ -64,7 +64,7 @@
 
 func figure(text []byte) (float64, bool) {
 	v, err := strconv.ParseFloat(string(text), 64)
-	return v, err == nil && planner.Sound(v) // not-a-number is not sound
+	return v, err == nil && planner.ValidRate(v) // not-a-number is not sound
 }
 
 func (w *words) name(name string) (string, bool) {
--- a/internal/platform/placement/config.go
+++ b/internal/platform/placement/config.go
@@ -186,7 +186,7 @@
 		return err
 	}
 	for _, name := range []string{"lines_per_s", "backlog", "drain_grace", "cold"} {
-		if _, err := number(terms, name, 1e-3, planner.MostFigure); err != nil {
+		if _, err := number(terms, name, 1e-3, planner.MaxFigure); err != nil {
 			return err
 		}
 	}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -42,14 +42,14 @@
 // kept keeps what a core hands to its relay.
 type kept struct{ lines []string }
 
-func (k *kept) Carry(turn []planner.Order, endpoint func(int) string) {
+func (k *kept) Carry(turn []planner.Command, endpoint func(int) string) {
 	for _, o := range turn {
 		switch o := o.(type) {
-		case planner.SetLine:
+		case planner.SetWeight:
 			k.lines = append(k.lines, fmt.Sprintf("line %d %s %.9g", o.Table, endpoint(o.Endpoint), o.Weight))
-		case planner.Bind:
-			k.lines = append(k.lines, fmt.Sprintf("bind %d %d %d", o.Proxy, o.Table, o.Kinds))
-		case planner.Mark:
+		case planner.AssignTable:
+			k.lines = append(k.lines, fmt.Sprintf("bind %d %d %d", o.Proxy, o.Table, o.Classes))
+		case planner.AckRequest:
 			k.lines = append(k.lines, fmt.Sprintf("mark %d", o.Number))
 		}
 	}
--- a/internal/platform/relay/relay.go
+++ b/internal/platform/relay/relay.go
@@ -81,7 +81,7 @@
 }
 
 // Carry queues what one turn ordered as one call.
-func (r *Orders) Carry(turn []planner.Order, endpoint func(i int) string) {
+func (r *Orders) Carry(turn []planner.Command, endpoint func(i int) string) {
 	var ops []op
 	for _, o := range turn {
 		if p, ok := layOut(o, endpoint, r.kinds); ok {
--- a/internal/record/codec.go
+++ b/internal/record/codec.go
@@ -54,13 +54,13 @@
 
 // Input is one input of a turn. Stream numbers the proxies' streams of a life.
 type Input struct {
-	Kind    Kind           `json:"Kind"`
-	Stream  uint64         `json:"Stream"`
-	Message wire.Message   `json:"Message"` // of Join, Applied, Listed and SliceGiven
-	From    int            `json:"From"`    // of Heard
-	Text    string         `json:"Text"`    // of Heard; the endpoint of Probed; terms as JSON of Retermed
-	Probe   planner.Probed `json:"Probe"`   // of Probed
-	Note    planner.Note   `json:"Note"`    // of Met, Demand and SliceDemand: as the intake passed them on
+	Kind    Kind                      `json:"Kind"`
+	Stream  uint64                    `json:"Stream"`
+	Message wire.Message              `json:"Message"` // of Join, Applied, Listed and SliceGiven
+	From    int                       `json:"From"`    // of Heard
+	Text    string                    `json:"Text"`    // of Heard; the endpoint of Probed; terms as JSON of Retermed
+	Probe   planner.HealthCheckResult `json:"Probe"`   // of Probed
+	Note    planner.Event             `json:"Note"`    // of Met, Demand and SliceDemand: as the intake passed them on
 }
 
 // Turn is one turn of the loop.
@@ -124,35 +124,35 @@
 		e.num(in.Probe.TookMs)
 		e.load(in.Probe.Load)
 	case Met:
-		m, ok := in.Note.(planner.Met)
+		m, ok := in.Note.(planner.EndpointStats)
 		if !ok {
 			return fmt.Errorf("lay out %T as met", in.Note)
 		}
 		e.int(m.Endpoint)
 		e.int(m.Zone)
-		e.int(m.Tries)
+		e.int(m.Attempts)
 		e.int(m.Failed)
 		e.num(m.MeanMs)
 		e.num(m.SpanMs)
 		e.load(m.Load)
 	case Demand:
-		d, ok := in.Note.(planner.Demand)
+		d, ok := in.Note.(planner.RequestStats)
 		if !ok {
 			return fmt.Errorf("lay out %T as demand", in.Note)
 		}
 		e.int(d.Proxy)
-		e.int(d.Kind)
-		e.int(d.Reqs)
+		e.int(d.Class)
+		e.int(d.Requests)
 		e.int(d.Unanswered)
 		e.num(d.SpanMs)
 	case SliceDemand:
-		d, ok := in.Note.(planner.SliceDemand)
+		d, ok := in.Note.(planner.SliceStats)
 		if !ok {
 			return fmt.Errorf("lay out %T as slice demand", in.Note)
 		}
 		e.int(d.Slice)
-		e.int(d.Kind)
-		e.int(d.Reqs)
+		e.int(d.Class)
+		e.int(d.Requests)
 		e.int(d.Unanswered)
 		e.num(d.SpanMs)
 	}
@@ -303,14 +303,14 @@
 		in.Text = d.text()
 	case Probed:
 		in.Text = d.text()
-		in.Probe = planner.Probed{Outcome: d.text(), TookMs: d.num(), Load: d.load()}
+		in.Probe = planner.HealthCheckResult{Outcome: d.text(), TookMs: d.num(), Load: d.load()}
 	case Met:
-		in.Note = planner.Met{Endpoint: d.int(), Zone: d.int(), Tries: d.int(), Failed: d.int(), MeanMs: d.num(),
+		in.Note = planner.EndpointStats{Endpoint: d.int(), Zone: d.int(), Attempts: d.int(), Failed: d.int(), MeanMs: d.num(),
 			SpanMs: d.num(), Load: d.load()}
 	case Demand:
-		in.Note = planner.Demand{Proxy: d.int(), Kind: d.int(), Reqs: d.int(), Unanswered: d.int(), SpanMs: d.num()}
+		in.Note = planner.RequestStats{Proxy: d.int(), Class: d.int(), Requests: d.int(), Unanswered: d.int(), SpanMs: d.num()}
 	case SliceDemand:
-		in.Note = planner.SliceDemand{Slice: d.int(), Kind: d.int(), Reqs: d.int(), Unanswered: d.int(), SpanMs: d.num()}
+		in.Note = planner.SliceStats{Slice: d.int(), Class: d.int(), Requests: d.int(), Unanswered: d.int(), SpanMs: d.num()}
 	case ListLost, Checkpoint:
 	default:
 		d.fail()
--- a/internal/record/recorder.go
+++ b/internal/record/recorder.go
@@ -34,18 +34,18 @@
 }
 
 // Turn is for a core's plan.
-func (r *Recorder) Turn(nowMs float64, inputs []controller.Input, told []planner.Note, orders []planner.Order) {
+func (r *Recorder) Turn(nowMs float64, inputs []controller.Input, told []planner.Event, orders []planner.Command) {
 	inputs = slices.Clone(inputs) // the loop uses its own again
 	r.to(func() *Turn {
 		t := r.turn(nowMs, inputs)
 		t.Digest = Digest(orders)
 		for _, n := range told {
 			switch n := n.(type) {
-			case planner.Met:
+			case planner.EndpointStats:
 				t.Inputs = append(t.Inputs, Input{Kind: Met, Note: n})
-			case planner.Demand:
+			case planner.RequestStats:
 				t.Inputs = append(t.Inputs, Input{Kind: Demand, Note: n})
-			case planner.SliceDemand:
+			case planner.SliceStats:
 				t.Inputs = append(t.Inputs, Input{Kind: SliceDemand, Note: n})
 			}
 		}
@@ -103,7 +103,7 @@
 	case controller.Heard:
 		return Input{Kind: Heard, From: in.From, Text: in.Text}, true
 	case controller.Probed:
-		return Input{Kind: Probed, Text: in.Endpoint, Probe: planner.Probed{Outcome: in.Outcome, TookMs: in.TookMs, Load: figures(in.Load)}}, true
+		return Input{Kind: Probed, Text: in.Endpoint, Probe: planner.HealthCheckResult{Outcome: in.Outcome, TookMs: in.TookMs, Load: figures(in.Load)}}, true
 	case controller.Retermed:
 		b, err := json.Marshal(in.Terms)
 		return Input{Kind: Retermed, Text: string(b)}, err == nil
@@ -161,7 +161,7 @@
 		p.streams = map[uint64]*Stream{}
 	}
 	var inputs []controller.Input
-	var told []planner.Note
+	var told []planner.Event
 	for i := range t.Inputs {
 		in := &t.Inputs[i]
 		if in.Note != nil {
@@ -251,31 +251,31 @@
 	var sum uint64
 	for step := range 240 {
 		now := float64(step) * 250
-		var notes []planner.Note
+		var notes []planner.Event
 		switch {
 		case step == 0:
-			var l planner.Listing
+			var l planner.EndpointUpdate
 			for e := range 9 {
 				l.Entries = append(l.Entries, planner.Entry{Endpoint: e, Zone: e % 3, Weight: float64(1 + e%2)})
 			}
-			l.Mode = planner.Whole
+			l.Mode = planner.Snapshot
 			notes = append(notes, l)
 			for p := range 4 {
-				notes = append(notes, planner.Joined{Proxy: p, Zone: p % 3, Rate: 20})
+				notes = append(notes, planner.ProxyJoined{Proxy: p, Zone: p % 3, Rate: 20})
 			}
 		case step%4 == 0:
-			notes = append(notes, planner.Alarm{Name: "gather"})
+			notes = append(notes, planner.TimerFired{Name: "gather"})
 		case step%4 == 1:
 			for e := range 9 {
 				failed := 0
 				if e == 2 && step > 60 && step < 120 {
 					failed = 9
 				}
-				notes = append(notes, planner.Met{Endpoint: e, Zone: e % 3, Tries: 9, Failed: failed, MeanMs: 30, SpanMs: 1000,
+				notes = append(notes, planner.EndpointStats{Endpoint: e, Zone: e % 3, Attempts: 9, Failed: failed, MeanMs: 30, SpanMs: 1000,
 					Load: planner.Load{"util": 0.3 + float64((step+e)%7)/8, "rate": 20}})
 			}
 		case step == 130:
-			notes = append(notes, planner.Listing{Entries: []planner.Entry{{Endpoint: 4, Zone: 1, Weight: 1, Phase: planner.Draining},
+			notes = append(notes, planner.EndpointUpdate{Entries: []planner.Entry{{Endpoint: 4, Zone: 1, Weight: 1, Phase: planner.Draining},
 				{Endpoint: 9, Zone: 0, Weight: 2, Started: now}}})
 		}
 		sum = sum*1099511628211 + Digest(d.Handle(now, notes))
--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -121,26 +121,26 @@
 	guess  *estimator
 }
 
-func (l *listener) Handle(nowMs float64, notes []planner.Note) []planner.Order {
+func (l *listener) Handle(nowMs float64, notes []planner.Event) []planner.Command {
 	l.guess.notes(notes) // by the tables that stand until now
 	orders := l.Decider.Handle(nowMs, notes)
 	l.digest = Digest(orders)
 	for _, o := range orders {
 		switch o := o.(type) {
-		case planner.SetLine:
+		case planner.SetWeight:
 			l.r.Sets++
 			if o.Weight == 0 {
 				l.r.Zeros++
 			}
-		case planner.Withdraw:
-			if o.Out {
+		case planner.SetExcluded:
+			if o.Excluded {
 				l.r.Withdrawals++
 			}
-		case planner.Admit:
+		case planner.SetAdmission:
 			if o.Level < 1 {
 				l.r.Levels++
 			}
-		case planner.Bind:
+		case planner.AssignTable:
 			l.r.Binds++
 		}
 	}
--- a/internal/search/search_test.go
+++ b/internal/search/search_test.go
@@ -31,12 +31,12 @@
 // heedless leaves a planted fault in the module's orders: endpoints are never shut out.
 type heedless struct{ controller.Decider }
 
-func (h heedless) Handle(now float64, notes []planner.Note) (out []planner.Order) {
+func (h heedless) Handle(now float64, notes []planner.Event) (out []planner.Command) {
 	for _, o := range h.Decider.Handle(now, notes) {
-		if _, is := o.(planner.Withdraw); is {
+		if _, is := o.(planner.SetExcluded); is {
 			continue
 		}
-		if s, is := o.(planner.SetLine); is && s.Weight == 0 {
+		if s, is := o.(planner.SetWeight); is && s.Weight == 0 {
 			continue
 		}
 		out = append(out, o)
--- a/internal/settings/translate.go
+++ b/internal/settings/translate.go
@@ -141,7 +141,7 @@
 	}
 	l := make(planner.Load, len(values))
 	for k, v := range values {
-		if planner.Sound(v) {
+		if planner.ValidRate(v) {
 			l[Word(k)] = v
 		}
 	}
--- a/internal/settings/variants_test.go
+++ b/internal/settings/variants_test.go
@@ -132,7 +132,7 @@
 
 // tables has the module lay tables for a fleet of the variant.
 func (v *variant) tables(t *testing.T, d *Deployment) {
-	var list planner.Listing
+	var list planner.EndpointUpdate
 	machine := map[int]int{}
 	for z := range d.Zones.Len() {
 		for m := range d.Machines.Len() {
@@ -143,33 +143,33 @@
 			}
 		}
 	}
-	list.Mode = planner.Whole
-	notes := []planner.Note{list}
+	list.Mode = planner.Snapshot
+	notes := []planner.Event{list}
 	for p := range 20 * d.Zones.Len() {
-		notes = append(notes, planner.Joined{Proxy: p, Zone: p % d.Zones.Len(), Rate: 5})
+		notes = append(notes, planner.ProxyJoined{Proxy: p, Zone: p % d.Zones.Len(), Rate: 5})
 	}
 	b, lines, bound := planner.New(1, d.Terms), map[int]map[int]float64{}, map[string]int{}
 	for s := range 60 {
 		for _, o := range b.Handle(float64(500*s), notes) {
 			switch o := o.(type) {
-			case planner.SetLine:
+			case planner.SetWeight:
 				if lines[o.Table] == nil {
 					lines[o.Table] = map[int]float64{}
 				}
 				lines[o.Table][o.Endpoint] = o.Weight
-			case planner.Bind:
+			case planner.AssignTable:
 				for k := range d.Kinds.Len() {
-					if o.Kinds == 0 || o.Kinds&(1<<k) != 0 {
+					if o.Classes == 0 || o.Classes&(1<<k) != 0 {
 						bound[fmt.Sprint(o.Proxy, "/", k)] = o.Table
 					}
 				}
-			case planner.Admit: // nothing is full here
+			case planner.SetAdmission: // nothing is full here
 				assert.GreaterOrEqual(t, o.Level, map[string]float64{"share": 1, "rate": 1000}[v.Fam.Admit])
-			case planner.Mark:
-				notes = append(notes, planner.Applied{Proxy: s % 20, Number: o.Number})
+			case planner.AckRequest:
+				notes = append(notes, planner.Ack{Proxy: s % 20, Number: o.Number})
 			}
 		}
-		notes = []planner.Note{planner.Alarm{Name: "gather"}, planner.Alarm{Name: "bind"}}
+		notes = []planner.Event{planner.TimerFired{Name: "gather"}, planner.TimerFired{Name: "bind"}}
 	}
 	for p := range 20 * d.Zones.Len() {
 		for k, c := range v.Class {
--- a/recovery/explore_test.go
+++ b/recovery/explore_test.go
@@ -35,30 +35,30 @@
 // Reconfigure does nothing.
 func (c *clerk) Reconfigure(map[string]any) {}
 
-func (c *clerk) Handle(_ float64, notes []planner.Note) (out []planner.Order) {
+func (c *clerk) Handle(_ float64, notes []planner.Event) (out []planner.Command) {
 	for _, n := range notes {
 		switch n := n.(type) {
-		case planner.Listing:
+		case planner.EndpointUpdate:
 			for _, e := range n.Entries {
 				if _, known := c.phase[e.Endpoint]; !known {
-					out = append(out, planner.SetLine{Table: 1, Endpoint: e.Endpoint, Weight: 1})
+					out = append(out, planner.SetWeight{Table: 1, Endpoint: e.Endpoint, Weight: 1})
 				}
 				if c.phase[e.Endpoint] != e.Phase && e.Phase == planner.Draining {
-					out = append(out, planner.Withdraw{Endpoint: e.Endpoint, Out: true})
+					out = append(out, planner.SetExcluded{Endpoint: e.Endpoint, Excluded: true})
 				}
 				c.phase[e.Endpoint] = e.Phase
 			}
-		case planner.Joined:
+		case planner.ProxyJoined:
 			c.joined[n.Proxy] = true
-		case planner.Left:
+		case planner.ProxyLeft:
 			delete(c.joined, n.Proxy)
 		case planner.Gossip:
-			out = append(out, planner.Tell{Peer: 0, Text: n.Text})
+			out = append(out, planner.SendGossip{Peer: 0, Text: n.Text})
 		}
 	}
 	for _, p := range slices.Sorted(maps.Keys(c.joined)) {
 		if len(c.phase) > 0 {
-			out = append(out, planner.Bind{Table: 1, Proxy: p})
+			out = append(out, planner.AssignTable{Table: 1, Proxy: p})
 			delete(c.joined, p)
 		}
 	}
--- a/telemetry/tell.go
+++ b/telemetry/tell.go
@@ -11,7 +11,7 @@
 // Told is what one period passes on.
 type Told[L any] struct {
 	Mets    []Met[L]
-	Demands []planner.Demand
+	Demands []planner.RequestStats
 	Ages    []float64 // of each line, ms
 	Left    int       // sums that wait further
 }
@@ -64,8 +64,8 @@
 	return m, m.SpanMs > 0
 }
 
-func (in *Intake[L]) tellDemand(s *sum[L], now float64) planner.Demand {
-	d := planner.Demand{Proxy: s.demand.proxy, Kind: s.demand.kind, Reqs: round(s.tries / now),
+func (in *Intake[L]) tellDemand(s *sum[L], now float64) planner.RequestStats {
+	d := planner.RequestStats{Proxy: s.demand.proxy, Class: s.demand.kind, Requests: round(s.tries / now),
 		Unanswered: round(s.failed / now), SpanMs: s.span / now}
 	in.reset(s)
 	return d
@@ -75,11 +75,11 @@
 
 // Note returns a sum in the module's form. What is left of few failures after ageing is rounded up to one, so that one
 // which was seen is told.
-func (m *Met[L]) Note(load planner.Load) planner.Met {
+func (m *Met[L]) Note(load planner.Load) planner.EndpointStats {
 	tries, failed := round(m.Tries), round(m.Failed)
 	if m.Failed > 0 {
 		failed = max(failed, 1)
 	}
-	return planner.Met{Endpoint: m.Endpoint, Zone: m.Zone, Tries: max(tries, failed), Failed: failed, MeanMs: m.MeanMs,
+	return planner.EndpointStats{Endpoint: m.Endpoint, Zone: m.Zone, Attempts: max(tries, failed), Failed: failed, MeanMs: m.MeanMs,
 		SpanMs: m.SpanMs, Load: load}
 }
