--- a/cmd/indigousher/records.go
+++ b/cmd/indigousher/records.go
@@ -197,12 +197,8 @@
 				continue
 			}
 			for _, in := range turns[i].Inputs {
-				what := fmt.Sprintf("%+v", in.Note)
-				if in.Message != nil {
-					what = fmt.Sprintf("%+v", in.Message)
-				}
 				if err := table.Write([]string{strconv.FormatFloat(turns[i].AtMs, 'f', 3, 64), in.Kind.String(),
-					strconv.FormatUint(in.Stream, 10), what}); err != nil {
+					strconv.FormatUint(in.Stream, 10), exportText(&in)}); err != nil {
 					return err
 				}
 			}
@@ -212,3 +208,21 @@
 	table.Flush()
 	return errors.Join(err, table.Error())
 }
+
+// exportText is the last column of the CSV form: what came in. The names in it are part of the form, whatever the Go
+// fields are called.
+func exportText(in *record.Input) string {
+	if in.Message != nil {
+		return fmt.Sprintf("%+v", in.Message)
+	}
+	switch e := in.Note.(type) {
+	case planner.EndpointStats:
+		return fmt.Sprintf("{Endpoint:%v Zone:%v Tries:%v Failed:%v MeanMs:%v SpanMs:%v Load:%v}",
+			e.Endpoint, e.Zone, e.Attempts, e.Failed, e.MeanMs, e.SpanMs, e.Load)
+	case planner.RequestStats:
+		return fmt.Sprintf("{Proxy:%v Kind:%v Reqs:%v Unanswered:%v SpanMs:%v}", e.Proxy, e.Class, e.Requests, e.Unanswered, e.SpanMs)
+	case planner.SliceStats:
+		return fmt.Sprintf("{Slice:%v Kind:%v Reqs:%v Unanswered:%v SpanMs:%v}", e.Slice, e.Class, e.Requests, e.Unanswered, e.SpanMs)
+	}
+	return "<nil>"
+}
