--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -31,94 +31,94 @@
 	Close(reason string)
 }
 
-// ListSource is asked for the endpoint list; answers come as List or ListLost inputs.
-type ListSource interface {
+// EndpointSource is asked for the endpoint list; answers come as List or ListLost inputs.
+type EndpointSource interface {
 	Watch(on bool)
 	Fetch()
 }
 
-// Prober examines an endpoint; the answer comes as a Probed input.
-type Prober interface{ Probe(endpoint string) }
+// HealthChecker examines an endpoint; the answer comes as a Probed input.
+type HealthChecker interface{ Probe(endpoint string) }
 
-// Peers carries a short text to another pilot, or to all with peer -1. It may be lost.
-type Peers interface{ Tell(peer int, text string) }
+// GossipSender carries a short text to another pilot, or to all with peer -1. It may be lost.
+type GossipSender interface{ Tell(peer int, text string) }
 
 // Input is what an edge reports; one of the types below.
 type Input any
 
-// Join reports a proxy's new stream.
-type Join struct {
+// ProxyJoined reports a proxy's new stream.
+type ProxyJoined struct {
 	Stream Stream
 	Hello  wire.Hello
 }
 
-// Leave reports that a stream has ended.
-type Leave struct{ Stream Stream }
+// ProxyLeft reports that a stream has ended.
+type ProxyLeft struct{ Stream Stream }
 
-// Reported brings a proxy's sums.
-type Reported struct {
+// LoadReported brings a proxy's sums.
+type LoadReported struct {
 	Stream Stream
 	Sums   *wire.Sums
 }
 
-// Applied reports that a proxy has applied everything up to a mark.
-type Applied struct {
+// Acked reports that a proxy has applied everything up to a mark.
+type Acked struct {
 	Stream Stream
 	Done   wire.Done
 }
 
-// Listed brings entries of the list.
-type Listed struct {
-	List       *wire.List
-	Remembered bool // as it was before this start; it may be old
+// EndpointsListed brings entries of the list.
+type EndpointsListed struct {
+	List   *wire.List
+	Cached bool // as it was before this start; it may be old
 }
 
-// SliceGiven reports that the store has given a slice into this pilot's charge or taken it away.
-type SliceGiven struct{ Slices *wire.Slices }
+// SliceAssigned reports that the store has given a slice into this pilot's charge or taken it away.
+type SliceAssigned struct{ Slices *wire.Slices }
 
-// ListLost reports that a call to the list failed or that its changes stopped.
-type ListLost struct{}
+// EndpointListLost reports that a call to the list failed or that its changes stopped.
+type EndpointListLost struct{}
 
-// Probed answers a probe. Outcome is a short word: ok, error, denied, timeout, unreachable or reset.
-type Probed struct {
+// HealthChecked answers a probe. Outcome is a short word: ok, error, denied, timeout, unreachable or reset.
+type HealthChecked struct {
 	Endpoint string
 	Outcome  string
 	TookMs   float64
 	Load     []wire.Figure
 }
 
-// Heard brings a peer's text.
-type Heard struct {
+// GossipReceived brings a peer's text.
+type GossipReceived struct {
 	From int
 	Text string
 }
 
-// Retermed brings changed terms for the module; only values that it reads anew each time may be among them.
-type Retermed struct{ Terms map[string]any }
-
-// Told brings what an intake passed on, in a replay.
-type Told struct{ Notes []planner.Event }
-
-// Plan names all that a Core is made from.
-type Plan struct {
-	Decider                Decider
-	Terms                  map[string]any // the map the Decider reads
-	Zones, Machines, Kinds []string
-	LinesPerS, Backlog     float64
-	HeadLines              int
-	MessagesMost           int
-	MessagesOverMs         float64
-	Intake                 telemetry.Terms
-	MostProxies            int // distinct names in a life; more are refused
-	List                   ListSource
-	Prober                 Prober
-	Peers                  Peers
-	Relay                  Relay                               // where others hold the streams; nil: they are ours
-	Log                    func(text string)                   // the module's own lines
-	Odd                    func(what string, fields ...string) // what an edge said that can't be used
-	Meter                  *Meter
+// SettingsChanged brings changed terms for the module; only values that it reads anew each time may be among them.
+type SettingsChanged struct{ Settings map[string]any }
+
+// TelemetryBatch brings what an intake passed on, in a replay.
+type TelemetryBatch struct{ Events []planner.Event }
+
+// Options names all that a Core is made from.
+type Options struct {
+	Decider                  Decider
+	Settings                 map[string]any // the map the Decider reads
+	Zones, Machines, Classes []string
+	LinesPerS, Backlog       float64
+	HeadLines                int
+	MaxMessages              int
+	MessagesOverMs           float64
+	Telemetry                telemetry.Terms
+	MaxProxies               int // distinct names in a life; more are refused
+	EndpointSource           EndpointSource
+	HealthChecker            HealthChecker
+	Gossip                   GossipSender
+	Relay                    Relay                               // where others hold the streams; nil: they are ours
+	Log                      func(text string)                   // the module's own lines
+	Malformed                func(what string, fields ...string) // what an edge said that can't be used
+	Metrics                  *Metrics
 	// Turn, if not nil, hears of each turn: its inputs, what the intake passed on, and the orders.
-	Turn     func(nowMs float64, inputs []Input, told []planner.Event, orders []planner.Command)
+	OnTurn   func(nowMs float64, inputs []Input, told []planner.Event, orders []planner.Command)
 	Replayed bool // what the intake passed on comes as Told; the core's own is not asked
 }
 
@@ -150,7 +150,7 @@
 
 // Core holds what the orders so far amount to. It is used by one goroutine.
 type Core struct {
-	plan                              Plan
+	plan                              Options
 	endpoints, zones, machines, kinds settings.Names
 	proxies                           settings.Names
 	sessions                          map[int]*session
@@ -175,8 +175,8 @@
 	relayed                           map[int]bool      // joined proxies whose streams the relay holds
 	turn                              []planner.Command // what this turn ordered of the relay
 	retired                           map[int]float64   // endpoints no longer listed, and since when
-	Believed                          Believed
-	Heard                             int // notes handed to the module
+	ReportStats                       ReportStats
+	Events                            int // notes handed to the module
 }
 
 // keyRange is which keys fall into a slice.
@@ -189,20 +189,20 @@
 }
 
 // NewCore returns a core that has been told nothing.
-func NewCore(p Plan) *Core {
+func NewCore(p Options) *Core {
 	c := &Core{plan: p, sessions: map[int]*session{}, streams: map[Stream]*session{}, tables: map[int]*table{},
 		everywhere: map[int]planner.SetAdmission{}, withdrawn: map[int]bool{}, slices: map[int]keyRange{}, relayed: map[int]bool{}, retired: map[int]float64{}, stamps: map[int]startStamp{},
-		Channel: NewChannel(p.LinesPerS, p.Backlog, p.MessagesMost, p.MessagesOverMs, p.Meter)}
+		Channel: NewChannel(p.LinesPerS, p.Backlog, p.MaxMessages, p.MessagesOverMs, p.Metrics)}
 	for _, z := range p.Zones {
 		c.zones.In(z)
 	}
 	for _, m := range p.Machines {
 		c.machines.In(m)
 	}
-	for _, k := range p.Kinds {
+	for _, k := range p.Classes {
 		c.kinds.In(k)
 	}
-	c.gate, c.listed = newGate(p.Intake, p.Kinds), map[string]wire.Entry{}
+	c.gate, c.listed = newGate(p.Telemetry, p.Classes), map[string]wire.Entry{}
 	return c
 }
 
@@ -237,11 +237,11 @@
 	asked := len(notes) > 0 || !c.begun // the module wakes itself for whatever else is due
 	if asked {
 		c.begun = true
-		c.Heard += len(notes)
-		orders = c.plan.Meter.decide(func() []planner.Command { return c.plan.Decider.Handle(c.now, notes) })
+		c.Events += len(notes)
+		orders = c.plan.Metrics.decide(func() []planner.Command { return c.plan.Decider.Handle(c.now, notes) })
 	}
-	if c.plan.Turn != nil && (asked || len(inputs) > 0) {
-		c.plan.Turn(c.now, inputs, notes[before:], orders)
+	if c.plan.OnTurn != nil && (asked || len(inputs) > 0) {
+		c.plan.OnTurn(c.now, inputs, notes[before:], orders)
 	}
 	for _, o := range orders {
 		c.carryOut(o)
@@ -250,17 +250,17 @@
 	c.handOver()
 }
 
-// Recovered ends a replay: whoever was joined has left, and what is ordered from now on goes out by the plan's edges.
-func (c *Core) Recovered(p Plan) {
+// FinishRecovery ends a replay: whoever was joined has left, and what is ordered from now on goes out by the plan's edges.
+func (c *Core) FinishRecovery(p Options) {
 	var leave []Input
 	clear(c.slices) // the store gives them again
 	for _, s := range c.inOrder() {
-		leave = append(leave, Leave{s.stream})
+		leave = append(leave, ProxyLeft{s.stream})
 	}
 	c.Handle(c.now, leave)
-	p.Decider, p.Terms = c.plan.Decider, c.plan.Terms
+	p.Decider, p.Settings = c.plan.Decider, c.plan.Settings
 	c.plan = p
-	c.Channel = NewChannel(p.LinesPerS, p.Backlog, p.MessagesMost, p.MessagesOverMs, p.Meter)
+	c.Channel = NewChannel(p.LinesPerS, p.Backlog, p.MaxMessages, p.MessagesOverMs, p.Metrics)
 	c.gate.lastMs = c.now
 }
 
@@ -273,16 +273,16 @@
 	for _, name := range slices.Sorted(maps.Keys(c.listed)) {
 		l.Entries = append(l.Entries, c.listed[name])
 	}
-	inputs := []Input{Listed{List: l}}
+	inputs := []Input{EndpointsListed{List: l}}
 	for _, s := range c.inOrder() {
-		inputs = append(inputs, Join{s.stream, s.hello})
+		inputs = append(inputs, ProxyJoined{s.stream, s.hello})
 	}
 	return inputs
 }
 
 // tell adds what the intake passes on, and asks streams for what it wants of them.
 func (c *Core) tell(notes []planner.Event) []planner.Event {
-	notes, asks, unknown := c.gate.tell(notes, c.now, c.plan.Meter)
+	notes, asks, unknown := c.gate.tell(notes, c.now, c.plan.Metrics)
 	for _, a := range asks {
 		if err := a.stream.Ask(a.pace); err != nil {
 			a.stream.Close(err.Error())
@@ -297,43 +297,43 @@
 // note turns an input into notes.
 func (c *Core) note(notes []planner.Event, in Input) []planner.Event {
 	switch in := in.(type) {
-	case Join:
+	case ProxyJoined:
 		return c.join(notes, in)
-	case Leave:
+	case ProxyLeft:
 		if s := c.streams[in.Stream]; s != nil {
 			return append(notes, c.drop(s))
 		}
-	case Reported: // on sockets the loop hands it to the gate at once
+	case LoadReported: // on sockets the loop hands it to the gate at once
 		c.Report(c.now, in.Stream, in.Sums)
-	case Applied:
+	case Acked:
 		if s := c.streams[in.Stream]; s != nil && s.answers(in.Done.Mark) {
 			return append(notes, planner.Ack{Proxy: s.proxy, Number: in.Done.Mark, TookMs: in.Done.TookMs})
 		}
-	case Listed:
+	case EndpointsListed:
 		return append(notes, c.listing(in))
-	case SliceGiven:
+	case SliceAssigned:
 		return c.slice(notes, in.Slices)
-	case ListLost:
+	case EndpointListLost:
 		return append(notes, planner.EndpointUpdate{Mode: planner.UpdateFailed})
-	case Probed:
+	case HealthChecked:
 		if i, known := c.endpoints.Find(in.Endpoint); known {
 			return append(notes, planner.HealthCheckResult{Endpoint: i, OK: in.Outcome == "ok", Outcome: in.Outcome,
 				TookMs: in.TookMs, Load: load(in.Load, func(f wire.Figure) { c.odd(oddFigure, f.Name, fmt.Sprint(f.Value)) })})
 		}
-	case Told:
-		for _, n := range in.Notes {
+	case TelemetryBatch:
+		for _, n := range in.Events {
 			if c.knows(n) {
 				c.told = append(c.told, n)
 			} else {
 				c.odd("recorded note of nobody known")
 			}
 		}
-	case Heard:
+	case GossipReceived:
 		return append(notes, planner.Gossip{From: in.From, Text: in.Text})
-	case Retermed:
-		maps.Copy(c.plan.Terms, in.Terms)
-		c.plan.Decider.Reconfigure(c.plan.Terms)
-		c.Channel.Reterm(in.Terms)
+	case SettingsChanged:
+		maps.Copy(c.plan.Settings, in.Settings)
+		c.plan.Decider.Reconfigure(c.plan.Settings)
+		c.Channel.Reconfigure(in.Settings)
 	default:
 		return c.relayedNote(notes, in)
 	}
@@ -352,7 +352,7 @@
 }
 
 // join takes in a stream. One under the same name is ended first: the newer one is the one that lives.
-func (c *Core) join(notes []planner.Event, in Join) []planner.Event {
+func (c *Core) join(notes []planner.Event, in ProxyJoined) []planner.Event {
 	zone, known := c.zones.Find(in.Hello.Zone)
 	if !known {
 		c.odd("proxy of an unknown zone", in.Hello.Proxy, in.Hello.Zone)
@@ -366,7 +366,7 @@
 	}
 	proxy, known := c.proxies.Find(in.Hello.Proxy)
 	if !known {
-		if c.proxies.Len() >= c.plan.MostProxies {
+		if c.proxies.Len() >= c.plan.MaxProxies {
 			c.odd("too many proxies", in.Hello.Proxy)
 			in.Stream.Close("too many proxies")
 			return notes
@@ -396,7 +396,7 @@
 		}
 	}
 	c.sessions[proxy], c.streams[in.Stream], c.sorted = s, s, nil
-	c.plan.Meter.joined(len(c.sessions))
+	c.plan.Metrics.joined(len(c.sessions))
 	for _, number := range slices.Sorted(maps.Keys(c.slices)) {
 		c.layRange(s, number)
 	}
@@ -410,19 +410,19 @@
 	c.sorted = nil
 	c.Channel.Drop(s)
 	c.gate.leave(s)
-	c.plan.Meter.joined(len(c.sessions))
+	c.plan.Metrics.joined(len(c.sessions))
 	return planner.ProxyLeft{Proxy: s.proxy}
 }
 
 // listing turns list entries into a note. A start is told as its age on this pilot's clock when its stamp was first
 // seen, and stays so: the module takes any other figure for a restart.
-func (c *Core) listing(in Listed) planner.Event {
+func (c *Core) listing(in EndpointsListed) planner.Event {
 	l := in.List
 	out, named, before := planner.EndpointUpdate{Mode: planner.Delta, Version: l.Version}, map[int]bool{}, c.listed
 	c.listVersion, c.listNow, c.listAt = l.Version, l.Now, c.now
 	if l.Whole {
 		out.Mode = planner.Snapshot
-		if in.Remembered {
+		if in.Cached {
 			out.Mode = planner.Cached
 		}
 		c.listed = map[string]wire.Entry{}
@@ -469,7 +469,7 @@
 // of its keys and the stored lines, which stand until the module orders others. A slice's number is that of its table, so
 // one that the deployment does not have would wipe a zone's table at every proxy.
 func (c *Core) slice(notes []planner.Event, x *wire.Slices) []planner.Event {
-	if most, _ := c.plan.Terms["slices"].(float64); float64(x.Slice) >= most {
+	if most, _ := c.plan.Settings["slices"].(float64); float64(x.Slice) >= most {
 		c.odd("slice that the terms do not tell of", fmt.Sprint(x.Slice))
 		return notes
 	}
@@ -530,15 +530,15 @@
 			}
 		}
 	case planner.HealthCheck:
-		c.plan.Prober.Probe(c.endpoints.Name(o.Endpoint))
+		c.plan.HealthChecker.Probe(c.endpoints.Name(o.Endpoint))
 	case planner.SendGossip:
-		c.plan.Peers.Tell(o.Peer, o.Text)
+		c.plan.Gossip.Tell(o.Peer, o.Text)
 	case planner.SetTimer:
 		c.alarms.push(o.AtMs, o.Name)
 	case planner.WatchEndpoints:
-		c.plan.List.Watch(o.On)
+		c.plan.EndpointSource.Watch(o.On)
 	case planner.FetchEndpoints:
-		c.plan.List.Fetch()
+		c.plan.EndpointSource.Fetch()
 	case planner.Log:
 		c.plan.Log(o.Text)
 	default:
@@ -694,16 +694,16 @@
 func (c *Core) dispatch() {
 	slices.SortFunc(c.touched, func(a, b *session) int { return a.proxy - b.proxy })
 	for _, s := range c.touched {
-		c.Channel.Put(c.now, s, s.pending)
+		c.Channel.Enqueue(c.now, s, s.pending)
 		s.pending = nil
 	}
 	c.touched = c.touched[:0]
 }
 
 func (c *Core) odd(what string, fields ...string) {
-	c.Believed.Odd++
-	c.plan.Meter.oddity(what)
-	c.plan.Odd(what, fields...)
+	c.ReportStats.Malformed++
+	c.plan.Metrics.oddity(what)
+	c.plan.Malformed(what, fields...)
 }
 
 // knows returns whether a recorded note names what there is, in figures that the intake would have passed on. The module
--- a/internal/controller/gate.go
+++ b/internal/controller/gate.go
@@ -161,7 +161,7 @@
 }
 
 // tell passes on what a period may, and what streams are to be asked for.
-func (g *gate) tell(notes []planner.Event, nowMs float64, m *Meter) ([]planner.Event, []asked, map[string]int) {
+func (g *gate) tell(notes []planner.Event, nowMs float64, m *Metrics) ([]planner.Event, []asked, map[string]int) {
 	if nowMs < g.due() {
 		return notes, nil, nil
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -81,7 +81,7 @@
 
 // follower is a list source that runs.
 type follower interface {
-	controller.ListSource
+	controller.EndpointSource
 	Run(ctx context.Context) error
 }
 
@@ -90,7 +90,7 @@
 	terms    atomic.Pointer[config.Pilot]
 	outfit   Outfit
 	registry *prometheus.Registry
-	meter    *controller.Meter
+	meter    *controller.Metrics
 	core     *controller.Core
 	record   *recorded
 	loop     *controller.Loop
@@ -120,7 +120,7 @@
 	o.fill()
 	d := &Daemon{outfit: o, registry: prometheus.NewRegistry(), files: map[string]*os.File{}}
 	d.terms.Store(t)
-	d.meter = controller.NewMeter(d.registry)
+	d.meter = controller.NewMetrics(d.registry)
 	d.registry.MustRegister(collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	d.life, d.die = context.WithCancel(context.Background())
@@ -165,31 +165,31 @@
 	if err != nil {
 		return err
 	}
-	var prober controller.Prober = healthcheck.Never{}
+	var prober controller.HealthChecker = healthcheck.Never{}
 	if t.Probing {
 		d.prober = healthcheck.New(d.life, d.outfit.Dial, later{d}, probeTimeout, mostProbes)
 		prober = d.prober
 	}
 	log := d.outfit.Log
-	plan := func(told map[string]any) controller.Plan {
-		return controller.Plan{Decider: d.outfit.Decide(int64(t.Seed), told), Terms: told, Zones: t.Zones,
-			Machines: t.Machines, Kinds: t.KindNames(), LinesPerS: t.LinesPerS, Backlog: t.Backlog, HeadLines: t.HeadLines,
-			MessagesMost: t.MessagesMost, MessagesOverMs: float64(t.MessagesOver.Milliseconds()),
-			Intake: t.Intake(), MostProxies: t.MostProxies, List: d.source, Prober: prober, Peers: notes,
-			Log:   func(text string) { log.Info(text, zap.String("by", "module")) },
-			Odd:   func(what string, fields ...string) { log.Warn(what, zap.Strings("about", fields)) },
-			Meter: d.meter}
+	plan := func(told map[string]any) controller.Options {
+		return controller.Options{Decider: d.outfit.Decide(int64(t.Seed), told), Settings: told, Zones: t.Zones,
+			Machines: t.Machines, Classes: t.KindNames(), LinesPerS: t.LinesPerS, Backlog: t.Backlog, HeadLines: t.HeadLines,
+			MaxMessages: t.MessagesMost, MessagesOverMs: float64(t.MessagesOver.Milliseconds()),
+			Telemetry: t.Intake(), MaxProxies: t.MostProxies, EndpointSource: d.source, HealthChecker: prober, Gossip: notes,
+			Log:       func(text string) { log.Info(text, zap.String("by", "module")) },
+			Malformed: func(what string, fields ...string) { log.Warn(what, zap.Strings("about", fields)) },
+			Metrics:   d.meter}
 	}
 	live := plan(t.ForModule(t.Rank))
 	var offset float64
 	if t.RecordDir != "" {
 		var core *controller.Core
-		core, offset, err = d.openRecord(t, &live, func() controller.Plan { return held(plan(t.ForModule(t.Rank))) })
+		core, offset, err = d.openRecord(t, &live, func() controller.Options { return held(plan(t.ForModule(t.Rank))) })
 		if err != nil {
 			return err
 		}
 		if core != nil {
-			core.Recovered(live)
+			core.FinishRecovery(live)
 			d.core = core
 		}
 	}
@@ -198,7 +198,7 @@
 	}
 	d.loop = controller.NewLoop(d.core, d.outfit.Clock, log)
 	if offset > 0 {
-		d.loop.GoOn(offset)
+		d.loop.ResumeAt(offset)
 	}
 	if t.GRPC != "" {
 		if d.grpc, err = d.outfit.listen("grpc", t.GRPC); err != nil {
@@ -275,9 +275,9 @@
 }
 
 // held is a plan whose edges do nothing: for a core that is being rebuilt.
-func held(p controller.Plan) controller.Plan {
-	p.List, p.Prober, p.Peers, p.Meter, p.Replayed = nobody{}, healthcheck.Never{}, gossip.Nobody{}, nil, true
-	p.Log, p.Odd = func(string) {}, func(string, ...string) {}
+func held(p controller.Options) controller.Options {
+	p.EndpointSource, p.HealthChecker, p.Gossip, p.Metrics, p.Replayed = nobody{}, healthcheck.Never{}, gossip.Nobody{}, nil, true
+	p.Log, p.Malformed = func(string) {}, func(string, ...string) {}
 	p.LinesPerS, p.Backlog = 0, 0
 	return p
 }
@@ -288,7 +288,7 @@
 func (nobody) Watch(bool) {}
 func (nobody) Fetch()     {}
 
-func (d *Daemon) openPeers(t *config.Pilot) (controller.Peers, error) {
+func (d *Daemon) openPeers(t *config.Pilot) (controller.GossipSender, error) {
 	if t.PeersListen == "" {
 		return gossip.Nobody{}, nil
 	}
@@ -364,7 +364,7 @@
 func (d *Daemon) State() controller.State { return d.loop.State() }
 
 // Meter returns the runtime's metrics.
-func (d *Daemon) Meter() *controller.Meter { return d.meter }
+func (d *Daemon) Meter() *controller.Metrics { return d.meter }
 
 // Run serves until ctx ends, then asks the proxies to dial elsewhere and waits for them to go, for the time that the
 // terms give. An edge that fails ends it with an error.
@@ -467,7 +467,7 @@
 	if len(changed) == 0 {
 		return nil, restart, nil
 	}
-	if err := d.loop.Post(ctx, controller.Retermed{Terms: now.Live()}); err != nil {
+	if err := d.loop.Post(ctx, controller.SettingsChanged{Settings: now.Live()}); err != nil {
 		return nil, nil, fmt.Errorf("reload: %w", err)
 	}
 	if d.outfit.Level != nil {
--- a/internal/daemon/recorded.go
+++ b/internal/daemon/recorded.go
@@ -31,7 +31,7 @@
 
 // openRecord opens the store and rebuilds the core from the life before, if that is worth anything. What goes wrong with
 // a record is logged and never keeps a pilot from starting, but for a store that another process holds.
-func (d *Daemon) openRecord(t *config.Pilot, plan *controller.Plan, fresh func() controller.Plan) (core *controller.Core, offset float64, err error) {
+func (d *Daemon) openRecord(t *config.Pilot, plan *controller.Options, fresh func() controller.Options) (core *controller.Core, offset float64, err error) {
 	store, err := record.Open(t.RecordDir, false)
 	if errors.Is(err, record.ErrTorn) {
 		path, aerr := record.SetAside(t.RecordDir)
@@ -66,12 +66,12 @@
 		offset = core.Now() + r.Verdict.AwayMs
 	}
 	recorder := record.NewRecorder(r.writer.Turn, func() []controller.Input { return d.core.Checkpoint() })
-	plan.Turn = recorder.Turn
+	plan.OnTurn = recorder.Turn
 	return core, offset, nil
 }
 
 // recover reads the last life and replays its end with orders held back.
-func (d *Daemon) recover(r *recorded, t *config.Pilot, fingerprint, told string, fresh func() controller.Plan) (*controller.Core, error) {
+func (d *Daemon) recover(r *recorded, t *config.Pilot, fingerprint, told string, fresh func() controller.Options) (*controller.Core, error) {
 	lives, err := r.store.Lives()
 	if err != nil {
 		return nil, err
--- a/internal/emulator/pilot.go
+++ b/internal/emulator/pilot.go
@@ -68,11 +68,11 @@
 	r := &pilotRun{s: s, born: w.now, wakeAt: -1}
 	s.run = r
 	told := s.terms.ForModule(s.rank)
-	plan := controller.Plan{Decider: w.decide(int64(s.terms.Seed), told), Terms: told, Zones: s.terms.Zones, Machines: s.terms.Machines,
-		Kinds: s.terms.KindNames(), LinesPerS: s.terms.LinesPerS, Backlog: s.terms.Backlog, HeadLines: s.terms.HeadLines,
-		MessagesMost: s.terms.MessagesMost, MessagesOverMs: float64(s.terms.MessagesOver.Milliseconds()), Intake: s.terms.Intake(),
-		MostProxies: s.terms.MostProxies, List: listEnd{s, r}, Prober: probeEnd{s, r}, Peers: peerEnd{s, r},
-		Log: func(text string) { w.say(s, text) }, Odd: func(what string, fields ...string) { w.odd(what, fields) }}
+	plan := controller.Options{Decider: w.decide(int64(s.terms.Seed), told), Settings: told, Zones: s.terms.Zones, Machines: s.terms.Machines,
+		Classes: s.terms.KindNames(), LinesPerS: s.terms.LinesPerS, Backlog: s.terms.Backlog, HeadLines: s.terms.HeadLines,
+		MaxMessages: s.terms.MessagesMost, MessagesOverMs: float64(s.terms.MessagesOver.Milliseconds()), Telemetry: s.terms.Intake(),
+		MaxProxies: s.terms.MostProxies, EndpointSource: listEnd{s, r}, HealthChecker: probeEnd{s, r}, Gossip: peerEnd{s, r},
+		Log: func(text string) { w.say(s, text) }, Malformed: func(what string, fields ...string) { w.odd(what, fields) }}
 	begin := Start{AtMs: w.now}
 	if w.Day.Record {
 		plan = s.recover(plan, r, &begin)
@@ -95,7 +95,7 @@
 }
 
 // recover rebuilds the core from the record if that is worth anything, and has the new life recorded.
-func (s *seat) recover(plan controller.Plan, r *pilotRun, begin *Start) controller.Plan {
+func (s *seat) recover(plan controller.Options, r *pilotRun, begin *Start) controller.Options {
 	w := s.w
 	bounds := recovery.Bounds{TailMs: float64(s.terms.RecoverTail.Milliseconds()), GapMs: float64(s.terms.RecoverWithin.Milliseconds())}
 	facts := recovery.Facts{SameFormat: true, SameModule: s.diskOf == w.fingerprint, SameTerms: true, Turns: len(s.disk), GapMs: w.now - s.diskAt}
@@ -105,19 +105,19 @@
 	}
 	recorder := record.NewRecorder(func(t func() *record.Turn) { r.written = append(r.written, *t()) },
 		func() []controller.Input { return r.core.Checkpoint() })
-	plan.Turn = recorder.Turn
+	plan.OnTurn = recorder.Turn
 	if begin.Verdict = recovery.Decide(facts, bounds); !begin.Verdict.Cold() {
 		held := plan
-		held.Turn, held.Replayed, held.LinesPerS, held.Backlog = nil, true, 0, 0
-		held.List, held.Prober, held.Peers = listEnd{}, probeEnd{}, peerEnd{}
-		held.Log, held.Odd = func(string) {}, func(string, ...string) {}
+		held.OnTurn, held.Replayed, held.LinesPerS, held.Backlog = nil, true, 0, 0
+		held.EndpointSource, held.HealthChecker, held.Gossip = listEnd{}, probeEnd{}, peerEnd{}
+		held.Log, held.Malformed = func(string) {}, func(string, ...string) {}
 		core := controller.NewCore(held)
 		took := stopwatch()
 		if err := record.Restore(core, s.disk[from:]); err != nil {
 			w.fail(fmt.Errorf("restore %s: %w", s.place.name, err))
 		} else {
 			begin.Replayed, begin.TookMs = len(s.disk)-from, took()
-			core.Recovered(plan)
+			core.FinishRecovery(plan)
 			r.core, r.born = core, w.now-core.Now()-begin.Verdict.AwayMs
 		}
 	}
@@ -263,7 +263,7 @@
 			return
 		}
 		answered = true
-		p.s.post(controller.Probed{Endpoint: name, Outcome: outcome, Load: load})
+		p.s.post(controller.HealthChecked{Endpoint: name, Outcome: outcome, Load: load})
 	}
 	w.After(probeTimeoutMs, func() { done("timeout", nil) })
 	if m == nil {
@@ -296,7 +296,7 @@
 		}
 		p.s.w.After(p.s.w.ways.delay(p.s.place, other.place), func() {
 			if other.run != nil {
-				other.post(controller.Heard{From: p.s.rank, Text: text})
+				other.post(controller.GossipReceived{From: p.s.rank, Text: text})
 			}
 		})
 	}
@@ -306,5 +306,5 @@
 func (r *pilotRun) reload(times float64) {
 	t := &r.s.terms
 	t.LinesPerS *= times
-	r.s.post(controller.Retermed{Terms: t.Live()})
+	r.s.post(controller.SettingsChanged{Settings: t.Live()})
 }
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -164,7 +164,7 @@
 	li.follow.Joined()
 	li.wish = routing.Wish{}
 	p.w.note(p.place.name, eventlog.Event{What: eventlog.Join, Peer: to.place.name, Kind: p.place.zone})
-	to.post(controller.Join{Stream: li.stream, Hello: hello})
+	to.post(controller.ProxyJoined{Stream: li.stream, Hello: hello})
 	li.period = p.w.period
 	li.report(li.stream, li.period*li.rnd.Float64())
 }
@@ -201,7 +201,7 @@
 		li.retire()
 		for _, n := range marks {
 			took := p.w.now - came
-			s.up(func() { s.to.post(controller.Applied{Stream: s, Done: wire.Done{Mark: n, TookMs: took}}) })
+			s.up(func() { s.to.post(controller.Acked{Stream: s, Done: wire.Done{Mark: n, TookMs: took}}) })
 		}
 	})
 }
@@ -443,7 +443,7 @@
 	s.ended = true
 	delete(s.to.streams, s)
 	if s.to.run == s.run && s.run != nil {
-		s.to.post(controller.Leave{Stream: s})
+		s.to.post(controller.ProxyLeft{Stream: s})
 	}
 	if s.li.stream != s {
 		return
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -417,7 +417,7 @@
 // pilotStopped adds up what a pilot's process counted.
 func (w *World) pilotStopped(r *pilotRun) {
 	c := r.core.Channel
-	w.out.MostLines, w.out.Crowded = max(w.out.MostLines, c.MostSeen), max(w.out.Crowded, c.Crowded)
+	w.out.MostLines, w.out.Crowded = max(w.out.MostLines, c.MaxLines), max(w.out.Crowded, c.MaxMessages)
 	w.out.Lines += c.Sent
 }
 
--- a/internal/platform/discovery/agent.go
+++ b/internal/platform/discovery/agent.go
@@ -239,7 +239,7 @@
 	a.mu.Unlock()
 	if l.Whole || len(l.Entries) > 0 {
 		a.Counters.Lists.Add(1)
-		if err := a.inbox.Post(ctx, controller.Listed{List: l}); err != nil {
+		if err := a.inbox.Post(ctx, controller.EndpointsListed{List: l}); err != nil {
 			return err
 		}
 	}
--- a/internal/platform/discovery/agent_test.go
+++ b/internal/platform/discovery/agent_test.go
@@ -31,7 +31,7 @@
 func (b *inbox) Post(_ context.Context, in controller.Input) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.got = append(b.got, in.(controller.Listed).List)
+	b.got = append(b.got, in.(controller.EndpointsListed).List)
 	return nil
 }
 
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -62,10 +62,10 @@
 	x.events = relay.NewEvents(p.Relay.Address, box, &x.counters, log)
 	spare := float64(p.Limits.Sockets - ownSockets)
 	x.listener = listener.New(p.Deployment.Zones.All(), int(spare*strangers), box, log)
-	core := controller.NewCore(controller.Plan{Decider: planner.New(p.Seed, p.Deployment.Terms), Terms: p.Deployment.Terms,
-		Zones: p.Deployment.Zones.All(), Machines: p.Deployment.Machines.All(), Kinds: kinds, MostProxies: p.Proxies,
-		List: x.agent, Prober: healthcheck.Never{}, Peers: gossip.Nobody{}, Relay: x.orders,
-		Log: func(text string) { log.Info(text) }, Odd: func(what string, fields ...string) {
+	core := controller.NewCore(controller.Options{Decider: planner.New(p.Seed, p.Deployment.Terms), Settings: p.Deployment.Terms,
+		Zones: p.Deployment.Zones.All(), Machines: p.Deployment.Machines.All(), Classes: kinds, MaxProxies: p.Proxies,
+		EndpointSource: x.agent, HealthChecker: healthcheck.Never{}, Gossip: gossip.Nobody{}, Relay: x.orders,
+		Log: func(text string) { log.Info(text) }, Malformed: func(what string, fields ...string) {
 			log.Debug("odd", zap.String("what", what), zap.Strings("fields", fields))
 		}})
 	x.loop = controller.NewLoop(core, controller.RealClock{}, log)
@@ -86,7 +86,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	if known := x.placement.Remembered; known != nil {
-		if err := x.loop.Post(ctx, controller.Listed{List: known, Remembered: true}); err != nil {
+		if err := x.loop.Post(ctx, controller.EndpointsListed{List: known, Cached: true}); err != nil {
 			return err
 		}
 	}
@@ -152,8 +152,8 @@
 	d, c, a := &x.listener.Counters, &x.counters, &x.agent.Counters
 	s := x.loop.State()
 	x.log.Info("counted", zap.Int("proxies", s.Proxies), zap.Int("endpoints", s.Endpoints),
-		zap.Int("listed", s.Believed.Listed), zap.Int("reports taken", s.Believed.Reports), zap.Int("odd", s.Believed.Odd),
-		zap.Float64("report covers ms", s.Believed.SpanMs/float64(max(1, s.Believed.Reports))),
+		zap.Int("listed", s.ReportStats.Listed), zap.Int("reports taken", s.ReportStats.Reports), zap.Int("odd", s.ReportStats.Malformed),
+		zap.Float64("report covers ms", s.ReportStats.SpanMs/float64(max(1, s.ReportStats.Reports))),
 		zap.Int64("orders", c.Made.Load()), zap.Int64("taken", c.Taken.Load()), zap.Int64("outdated", c.Outdated.Load()),
 		zap.Int64("dropped", c.Dropped.Load()), zap.Int64("uncertain", c.Uncertain.Load()),
 		zap.Int64("calls", c.Calls.Load()), zap.Int64("failed", c.Failed.Load()), zap.Int64("probes", c.Probes.Load()),
--- a/internal/platform/relay/events.go
+++ b/internal/platform/relay/events.go
@@ -245,7 +245,7 @@
 	slices.Sort(left)
 	for _, p := range left {
 		delete(n.members, p)
-		_ = n.inbox.Post(ctx, controller.Unrelayed{Proxy: p}) // fails only when all ends
+		_ = n.inbox.Post(ctx, controller.RelayProxyLeft{Proxy: p}) // fails only when all ends
 	}
 	n.mu.Unlock()
 }
@@ -286,19 +286,19 @@
 			return nil
 		}
 		n.members[p] = &member{zone: e.Object.Locality, since: l.heard}
-		return controller.Relayed{Proxy: p, Zone: e.Object.Locality, Rate: e.Object.Rate, Fresh: e.Object.Cold,
-			Stood: again && m.zone == e.Object.Locality && !e.Object.Cold}
+		return controller.RelayProxyJoined{Proxy: p, Zone: e.Object.Locality, Rate: e.Object.Rate, Fresh: e.Object.Cold,
+			Resumed: again && m.zone == e.Object.Locality && !e.Object.Cold}
 	case "left":
 		if l.standing != nil {
 			delete(l.standing, p)
 		}
 		if m != nil {
 			delete(n.members, p)
-			return controller.Unrelayed{Proxy: p}
+			return controller.RelayProxyLeft{Proxy: p}
 		}
 	case "applied":
 		if m != nil && e.Object.Nonce != nil && e.Object.Latency != nil && m.answers(*e.Object.Nonce) {
-			return controller.RelayApplied{Proxy: p, Mark: *e.Object.Nonce, TookMs: *e.Object.Latency}
+			return controller.RelayAck{Proxy: p, Mark: *e.Object.Nonce, TookMs: *e.Object.Latency}
 		}
 	}
 	return nil
--- a/internal/platform/relay/relay.go
+++ b/internal/platform/relay/relay.go
@@ -281,7 +281,7 @@
 		out.since, out.told = began, began
 	}
 	out.tries++
-	_ = r.inbox.Post(ctx, controller.RelayStalled{ForMs: out.lasted(), Again: again}) // fails only when all ends
+	_ = r.inbox.Post(ctx, controller.RelayStalled{ForMs: out.lasted(), Repeated: again}) // fails only when all ends
 	pauseNow := out.pause
 	out.pause = min(2*out.pause, pauseMost)
 	if errors.Is(err, errLimit) {
@@ -296,7 +296,7 @@
 	if len(joined) < 2 {
 		return
 	}
-	in := controller.RelayStalled{Joined: joined}
+	in := controller.RelayStalled{Merged: joined}
 	if out.lasts() {
 		in.ForMs = out.lasted()
 	}
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -394,9 +394,9 @@
 			terms := map[string]any{"zones": []any{"a"}, "req_kinds": []any{map[string]any{"name": "read"}}, "fields": []any{"util"}}
 			plan, err := planOf(terms)
 			require.NoError(t, err)
-			plan.Decider, plan.Terms = planner.New(1, terms), terms
+			plan.Decider, plan.Settings = planner.New(1, terms), terms
 			odd := 0
-			plan.Odd = func(string, ...string) { odd++ }
+			plan.Malformed = func(string, ...string) { odd++ }
 			core := controller.NewCore(plan)
 			b, err := Append(nil, &c.turn) // by way of the disk
 			require.NoError(t, err)
@@ -414,7 +414,7 @@
 	panics := plainPanic{}
 	plan, err := planOf(map[string]any{"zones": []any{"a"}, "req_kinds": []any{"read"}})
 	require.NoError(t, err)
-	plan.Decider, plan.Terms = panics, map[string]any{}
+	plan.Decider, plan.Settings = panics, map[string]any{}
 	assert.ErrorContains(t, Restore(controller.NewCore(plan), []Turn{{}}), "the module panics on the record: index")
 }
 
--- a/internal/record/recorder.go
+++ b/internal/record/recorder.go
@@ -84,28 +84,28 @@
 
 func (r *Recorder) input(in controller.Input) (Input, bool) {
 	switch in := in.(type) {
-	case controller.Join:
+	case controller.ProxyJoined:
 		h := in.Hello
 		return Input{Kind: Join, Stream: r.number(in.Stream), Message: &h}, true
-	case controller.Leave:
+	case controller.ProxyLeft:
 		n := r.number(in.Stream)
 		delete(r.streams, in.Stream)
 		return Input{Kind: Leave, Stream: n}, true
-	case controller.Applied:
+	case controller.Acked:
 		d := in.Done
 		return Input{Kind: Applied, Stream: r.number(in.Stream), Message: &d}, true
-	case controller.Listed:
+	case controller.EndpointsListed:
 		return Input{Kind: Listed, Message: in.List}, true
-	case controller.SliceGiven:
+	case controller.SliceAssigned:
 		return Input{Kind: SliceGiven, Message: in.Slices}, true
-	case controller.ListLost:
+	case controller.EndpointListLost:
 		return Input{Kind: ListLost}, true
-	case controller.Heard:
+	case controller.GossipReceived:
 		return Input{Kind: Heard, From: in.From, Text: in.Text}, true
-	case controller.Probed:
+	case controller.HealthChecked:
 		return Input{Kind: Probed, Text: in.Endpoint, Probe: planner.HealthCheckResult{Outcome: in.Outcome, TookMs: in.TookMs, Load: figures(in.Load)}}, true
-	case controller.Retermed:
-		b, err := json.Marshal(in.Terms)
+	case controller.SettingsChanged:
+		b, err := json.Marshal(in.Settings)
 		return Input{Kind: Retermed, Text: string(b)}, err == nil
 	}
 	return Input{}, false
@@ -177,7 +177,7 @@
 		}
 	}
 	if len(told) > 0 {
-		inputs = append(inputs, controller.Told{Notes: told})
+		inputs = append(inputs, controller.TelemetryBatch{Events: told})
 	}
 	if !(t.AtMs >= 0 && t.AtMs < latest) {
 		return fmt.Errorf("a turn at %g ms: %w", t.AtMs, ErrTorn)
@@ -201,33 +201,33 @@
 			s.Sent = func(o *wire.Orders) { p.Sent(h.Proxy, o) }
 		}
 		p.streams[in.Stream] = s
-		return controller.Join{Stream: s, Hello: *h}, nil
+		return controller.ProxyJoined{Stream: s, Hello: *h}, nil
 	case Leave:
 		s := p.streams[in.Stream]
 		delete(p.streams, in.Stream)
 		if s == nil {
 			return nil, nil
 		}
-		return controller.Leave{Stream: s}, nil
+		return controller.ProxyLeft{Stream: s}, nil
 	case Applied:
 		d, ok := in.Message.(*wire.Done)
 		if s := p.streams[in.Stream]; ok && s != nil {
-			return controller.Applied{Stream: s, Done: *d}, nil
+			return controller.Acked{Stream: s, Done: *d}, nil
 		}
 	case Listed:
 		if l, ok := in.Message.(*wire.List); ok {
-			return controller.Listed{List: l}, nil
+			return controller.EndpointsListed{List: l}, nil
 		}
 	case SliceGiven:
 		if x, ok := in.Message.(*wire.Slices); ok {
-			return controller.SliceGiven{Slices: x}, nil
+			return controller.SliceAssigned{Slices: x}, nil
 		}
 	case ListLost:
-		return controller.ListLost{}, nil
+		return controller.EndpointListLost{}, nil
 	case Heard:
-		return controller.Heard{From: in.From, Text: in.Text}, nil
+		return controller.GossipReceived{From: in.From, Text: in.Text}, nil
 	case Probed:
-		out := controller.Probed{Endpoint: in.Text, Outcome: in.Probe.Outcome, TookMs: in.Probe.TookMs}
+		out := controller.HealthChecked{Endpoint: in.Text, Outcome: in.Probe.Outcome, TookMs: in.Probe.TookMs}
 		for n, v := range in.Probe.Load {
 			out.Load = append(out.Load, wire.Figure{Name: n, Value: v})
 		}
@@ -237,7 +237,7 @@
 		if err := json.Unmarshal([]byte(in.Text), &terms); err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrTorn, err)
 		}
-		return controller.Retermed{Terms: terms}, nil
+		return controller.SettingsChanged{Settings: terms}, nil
 	}
 	return nil, nil
 }
--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	plan.Decider, plan.Terms = d, terms
+	plan.Decider, plan.Settings = d, terms
 	core := controller.NewCore(plan)
 	d.guess = newEstimator(core.Shares)
 	if l.After != "" {
@@ -57,9 +57,9 @@
 		if err := Restore(core, turns[From(turns, l.TailMs):]); err != nil {
 			return nil, err
 		}
-		core.Recovered(plan)
+		core.FinishRecovery(plan)
 		*r = Result{}
-		core.Heard = 0
+		core.Events = 0
 		d.guess = newEstimator(core.Shares)
 	}
 	sent := crc64.New(table)
@@ -89,13 +89,13 @@
 				r.FirstDiff = fmt.Sprintf("turn %d at %.3f s, %d inputs, first %s", r.Turns, t.AtMs/1000, len(t.Inputs), describe(t))
 			}
 			r.Turns++
-			r.MostWaiting = max(r.MostWaiting, core.Channel.MostSeen)
+			r.MostWaiting = max(r.MostWaiting, core.Channel.MaxLines)
 			d.lastMs = t.AtMs
 		}
 		return nil
 	})
 	r.SpanMs += d.lastMs
-	r.Notes, r.Tables, r.Estimate = core.Heard, sent.Sum64(), d.guess.result()
+	r.Notes, r.Tables, r.Estimate = core.Events, sent.Sum64(), d.guess.result()
 	if errors.Is(err, ErrTorn) {
 		return r, fmt.Errorf("%s after %d turns: %w", l.ID, r.Turns, err)
 	}
@@ -148,7 +148,7 @@
 }
 
 // planOf makes a core's plan from the module's terms.
-func planOf(terms map[string]any) (p controller.Plan, err error) {
+func planOf(terms map[string]any) (p controller.Options, err error) {
 	texts := func(name string) (list []string) {
 		all, _ := terms[name].([]any)
 		for _, x := range all {
@@ -163,12 +163,12 @@
 		return list
 	}
 	num := func(name string) float64 { v, _ := terms[name].(float64); return v }
-	p = controller.Plan{Zones: texts("zones"), Machines: texts("machines"), Kinds: texts("req_kinds"), LinesPerS: num("lines_per_s"),
-		Backlog: num("backlog"), HeadLines: int(num("head_lines")), MessagesMost: int(num("messages_most")),
-		MessagesOverMs: num("messages_over"), MostProxies: 65535, List: nobody{}, Prober: nobody{}, Peers: nobody{},
-		Log: func(string) {}, Odd: func(string, ...string) {}, Replayed: true}
-	p.Intake.PeriodMs, p.Intake.HalfMs, p.Intake.LongestMs = 1000, 5000, 120000
-	if len(p.Zones) == 0 || len(p.Kinds) == 0 {
+	p = controller.Options{Zones: texts("zones"), Machines: texts("machines"), Classes: texts("req_kinds"), LinesPerS: num("lines_per_s"),
+		Backlog: num("backlog"), HeadLines: int(num("head_lines")), MaxMessages: int(num("messages_most")),
+		MessagesOverMs: num("messages_over"), MaxProxies: 65535, EndpointSource: nobody{}, HealthChecker: nobody{}, Gossip: nobody{},
+		Log: func(string) {}, Malformed: func(string, ...string) {}, Replayed: true}
+	p.Telemetry.PeriodMs, p.Telemetry.HalfMs, p.Telemetry.LongestMs = 1000, 5000, 120000
+	if len(p.Zones) == 0 || len(p.Classes) == 0 {
 		return p, fmt.Errorf("terms without zones or req kinds: %w", ErrTorn)
 	}
 	return p, nil
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -147,14 +147,14 @@
 			require.NoError(t, st.Send(orders))
 			assert.Equal(t, orders, read(t, l))
 			require.NoError(t, l.Write(&wire.Done{Mark: 7, TookMs: 2}, time.Second))
-			assert.Equal(t, controller.Applied{Stream: st, Done: wire.Done{Mark: 7, TookMs: 2}}, next[controller.Applied](t, in))
+			assert.Equal(t, controller.Acked{Stream: st, Done: wire.Done{Mark: 7, TookMs: 2}}, next[controller.Acked](t, in))
 		}},
 		{"a report", func(t *testing.T, _ server, in *inbox, st controller.Stream, l proxy.Line, _ func()) {
 			sums := &wire.Sums{Seq: 1, AtMs: 5, SpanMs: 1000, Met: []wire.Met{{Endpoint: "x", Tries: 4, Failed: 1, MeanMs: 2,
 				Load: []wire.Figure{{Name: "rate", Value: 3}, {Name: "util", Value: 0.5}}}}, Demand: []wire.Demand{{Kind: "read", Reqs: 5, Unanswered: 1}},
 				Slices: []wire.SliceLoad{{Slice: 7, Kind: "read", Reqs: 3, Unanswered: 1}}}
 			require.NoError(t, l.Write(sums, time.Second))
-			assert.Equal(t, controller.Reported{Stream: st, Sums: sums}, next[controller.Reported](t, in))
+			assert.Equal(t, controller.LoadReported{Stream: st, Sums: sums}, next[controller.LoadReported](t, in))
 		}},
 		{"a wish about reports", func(t *testing.T, _ server, _ *inbox, st controller.Stream, l proxy.Line, _ func()) {
 			require.NoError(t, st.Ask(&wire.Pace{PeriodMs: 4000, Lines: 9, Changes: true}))
@@ -170,7 +170,7 @@
 			default:
 				assert.Failf(t, "no reason", "%T", m)
 			}
-			assert.Equal(t, st, next[controller.Leave](t, in).Stream)
+			assert.Equal(t, st, next[controller.ProxyLeft](t, in).Stream)
 		}},
 		{"a pilot that stops", func(t *testing.T, _ server, _ *inbox, _ controller.Stream, l proxy.Line, stop func()) {
 			go stop()
@@ -182,16 +182,16 @@
 		}},
 		{"a proxy that goes", func(t *testing.T, s server, in *inbox, st controller.Stream, l proxy.Line, _ func()) {
 			l.Close()
-			assert.Equal(t, st, next[controller.Leave](t, in).Stream)
+			assert.Equal(t, st, next[controller.ProxyLeft](t, in).Stream)
 			assert.Eventually(t, func() bool { return s.Streams() == 0 }, 5*time.Second, time.Millisecond)
 		}},
 		{"a proxy that falls silent", func(t *testing.T, _ server, in *inbox, st controller.Stream, _ proxy.Line, _ func()) {
-			assert.Equal(t, st, next[controller.Leave](t, in).Stream)
+			assert.Equal(t, st, next[controller.ProxyLeft](t, in).Stream)
 		}},
 		{"a proxy that beats but deals with nothing", func(t *testing.T, _ server, in *inbox, st controller.Stream, l proxy.Line, _ func()) {
 			require.NoError(t, st.Send(orders))
-			left := make(chan controller.Leave, 1)
-			go func() { left <- next[controller.Leave](t, in) }()
+			left := make(chan controller.ProxyLeft, 1)
+			go func() { left <- next[controller.ProxyLeft](t, in) }()
 			for {
 				select {
 				case x := <-left:
@@ -210,7 +210,7 @@
 				require.NoError(t, err)
 				defer l.Close()
 				assert.Equal(t, &wire.Welcome{Version: 1, Pilot: "one", BeatMs: 100, PeriodMs: 1000}, w)
-				j := next[controller.Join](t, in)
+				j := next[controller.ProxyJoined](t, in)
 				assert.Equal(t, *hello("p"), j.Hello)
 				c.run(t, s, in, j.Stream, l, stop)
 			})
@@ -279,7 +279,7 @@
 				l, _, err := tr.join(client(ours))(t.Context(), dial, address, hello("p"))
 				require.NoError(t, err, "the rightful one gets in")
 				l.Close()
-				next[controller.Leave](t, in)
+				next[controller.ProxyLeft](t, in)
 			})
 		}
 	}
@@ -312,7 +312,7 @@
 					require.NoError(t, err)
 				}
 				require.NoError(t, l.Write(&wire.Sums{Seq: uint64(i + 1), SpanMs: 10}, time.Second))
-				assert.EqualValues(t, i+1, next[controller.Reported](t, in).Sums.Seq)
+				assert.EqualValues(t, i+1, next[controller.LoadReported](t, in).Sums.Seq)
 				time.Sleep(20 * time.Millisecond)
 			}
 			assert.True(t, ring.Expires().After(before), "the new certificate is in force")
--- a/internal/transport/framed/framed.go
+++ b/internal/transport/framed/framed.go
@@ -151,7 +151,7 @@
 		defer st.conn.Close() // ends the reader too
 		return s.writeAll(st, w)
 	})
-	err = s.inbox.Post(ctx, controller.Join{Stream: st, Hello: *hello})
+	err = s.inbox.Post(ctx, controller.ProxyJoined{Stream: st, Hello: *hello})
 	if err == nil {
 		log.Debug("joined", zap.String("zone", hello.Zone))
 		err = s.readAll(ctx, st, r)
@@ -164,7 +164,7 @@
 	// the loop must hear of it even while this side stops, but not for longer than the loop lives
 	lctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 	defer cancel()
-	_ = s.inbox.Post(lctx, controller.Leave{Stream: st})
+	_ = s.inbox.Post(lctx, controller.ProxyLeft{Stream: st})
 }
 
 // quiet drops errors that only say that a stream has ended.
@@ -222,9 +222,9 @@
 		var in controller.Input
 		switch m := m.(type) {
 		case *wire.Sums:
-			in = controller.Reported{Stream: st, Sums: m}
+			in = controller.LoadReported{Stream: st, Sums: m}
 		case *wire.Done:
-			in = controller.Applied{Stream: st, Done: *m}
+			in = controller.Acked{Stream: st, Done: *m}
 		case *wire.Beat:
 			st.seen(m.Seen)
 			if st.overdue(time.Now().Add(-s.door.SeenWithin)) {
--- a/internal/transport/framed/framed_test.go
+++ b/internal/transport/framed/framed_test.go
@@ -42,7 +42,7 @@
 		i.mu.Lock()
 		defer i.mu.Unlock()
 		for _, in := range i.got {
-			if j, ok := in.(controller.Join); ok && j.Hello.Proxy == name {
+			if j, ok := in.(controller.ProxyJoined); ok && j.Hello.Proxy == name {
 				s = j.Stream
 			}
 		}
@@ -58,7 +58,7 @@
 		defer i.mu.Unlock()
 		n := 0
 		for _, in := range i.got {
-			if l, ok := in.(controller.Leave); ok && l.Stream == s {
+			if l, ok := in.(controller.ProxyLeft); ok && l.Stream == s {
 				n++
 			}
 		}
--- a/internal/transport/gossip/peers.go
+++ b/internal/transport/gossip/peers.go
@@ -130,7 +130,7 @@
 			p.log.Debug("note dropped", zap.Stringer("from", from), zap.Error(err))
 			continue
 		}
-		if err := p.inbox.Post(ctx, controller.Heard{From: rank, Text: text}); err != nil {
+		if err := p.inbox.Post(ctx, controller.GossipReceived{From: rank, Text: text}); err != nil {
 			return nil
 		}
 	}
--- a/internal/transport/gossip/peers_test.go
+++ b/internal/transport/gossip/peers_test.go
@@ -60,8 +60,8 @@
 	}
 	posts[0].Tell(1, "first")
 	posts[0].Tell(-1, strings.Repeat("x", 2000))
-	assert.Equal(t, controller.Heard{From: 0, Text: "first"}, <-in)
-	assert.Equal(t, controller.Heard{From: 0, Text: strings.Repeat("x", MaxText)}, <-in)
+	assert.Equal(t, controller.GossipReceived{From: 0, Text: "first"}, <-in)
+	assert.Equal(t, controller.GossipReceived{From: 0, Text: strings.Repeat("x", MaxText)}, <-in)
 	_, err = Open(sockets[0], 0, map[int]string{1: "nonsense"}, in, zap.NewNop())
 	assert.Error(t, err)
 }
--- a/internal/transport/grpcapi/grpcedge_test.go
+++ b/internal/transport/grpcapi/grpcedge_test.go
@@ -47,7 +47,7 @@
 		defer i.mu.Unlock()
 		list = nil
 		for _, in := range i.got {
-			if j, ok := in.(controller.Join); ok {
+			if j, ok := in.(controller.ProxyJoined); ok {
 				list = append(list, j.Stream)
 			}
 		}
--- a/internal/transport/grpcapi/server.go
+++ b/internal/transport/grpcapi/server.go
@@ -147,7 +147,7 @@
 		BeatMs: uint32(s.door.Beat.Milliseconds()), PeriodMs: uint32(s.door.Period.Milliseconds())}}}); err != nil {
 		return err
 	}
-	if err := s.inbox.Post(s.ctx, controller.Join{Stream: st, Hello: *hello}); err != nil {
+	if err := s.inbox.Post(s.ctx, controller.ProxyJoined{Stream: st, Hello: *hello}); err != nil {
 		return status.Error(codes.Unavailable, "this pilot stops")
 	}
 	heard := make(chan error, 1)
@@ -157,7 +157,7 @@
 	log.Info("stream ended", zap.String("why", st.end.Why()), zap.Error(err))
 	lctx, cancel := context.WithTimeout(s.ctx, time.Second)
 	defer cancel()
-	_ = s.inbox.Post(lctx, controller.Leave{Stream: st}) // fails only as the loop has ended
+	_ = s.inbox.Post(lctx, controller.ProxyLeft{Stream: st}) // fails only as the loop has ended
 	return err
 }
 
@@ -242,7 +242,7 @@
 			if err != nil {
 				return status.Error(codes.InvalidArgument, err.Error())
 			}
-			if err := s.inbox.Post(s.ctx, controller.Reported{Stream: st, Sums: sums}); err != nil {
+			if err := s.inbox.Post(s.ctx, controller.LoadReported{Stream: st, Sums: sums}); err != nil {
 				return status.Error(codes.Unavailable, "this pilot stops")
 			}
 		case *pb.Upward_Ack:
@@ -266,7 +266,7 @@
 		return err
 	}
 	for _, n := range marks {
-		if err := s.inbox.Post(s.ctx, controller.Applied{Stream: st, Done: wire.Done{Mark: n, TookMs: a.GetTookMs()}}); err != nil {
+		if err := s.inbox.Post(s.ctx, controller.Acked{Stream: st, Done: wire.Done{Mark: n, TookMs: a.GetTookMs()}}); err != nil {
 			return status.Error(codes.Unavailable, "this pilot stops")
 		}
 	}
--- a/internal/transport/healthcheck/probe.go
+++ b/internal/transport/healthcheck/probe.go
@@ -38,7 +38,7 @@
 	p.wg.Add(1)
 	go func() {
 		defer p.wg.Done()
-		in := controller.Probed{Endpoint: endpoint, Outcome: "denied"}
+		in := controller.HealthChecked{Endpoint: endpoint, Outcome: "denied"}
 		select {
 		case p.slots <- struct{}{}:
 			in = p.ask(endpoint)
@@ -52,12 +52,12 @@
 // Wait returns when no probe is under way.
 func (p *Prober) Wait() { p.wg.Wait() }
 
-func (p *Prober) ask(endpoint string) controller.Probed {
+func (p *Prober) ask(endpoint string) controller.HealthChecked {
 	ctx, cancel := context.WithTimeout(p.ctx, p.Timeout)
 	defer cancel()
 	start := time.Now()
 	a, err := p.exchange(ctx, endpoint)
-	out := controller.Probed{Endpoint: endpoint, TookMs: float64(time.Since(start)) / float64(time.Millisecond)}
+	out := controller.HealthChecked{Endpoint: endpoint, TookMs: float64(time.Since(start)) / float64(time.Millisecond)}
 	switch {
 	case err == nil && a.Outcome == wire.Fine:
 		out.Outcome, out.Load = "ok", a.Load
--- a/internal/transport/healthcheck/probe_test.go
+++ b/internal/transport/healthcheck/probe_test.go
@@ -45,9 +45,9 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	p := New(ctx, (&net.Dialer{}).DialContext, in, 150*time.Millisecond, 2)
-	ask := func(at string) controller.Probed {
+	ask := func(at string) controller.HealthChecked {
 		p.Probe(at)
-		return (<-in).(controller.Probed)
+		return (<-in).(controller.HealthChecked)
 	}
 	time.Sleep(20 * time.Millisecond)
 	fine := ask(e.Address())
@@ -61,7 +61,7 @@
 	}
 	denied := 0
 	for range 12 {
-		if (<-in).(controller.Probed).Outcome == "denied" {
+		if (<-in).(controller.HealthChecked).Outcome == "denied" {
 			denied++
 		}
 	}
--- a/internal/transport/xds/xdsedge.go
+++ b/internal/transport/xds/xdsedge.go
@@ -124,7 +124,7 @@
 	n := first.GetNode()
 	hello := wire.Hello{Version: wire.Version, Proxy: n.GetId(), Zone: n.GetLocality().GetZone(), Fresh: true,
 		Rate: n.GetMetadata().GetFields()["reqs_per_second"].GetNumberValue()}
-	if err := s.inbox.Post(g.Context(), controller.Join{Stream: st, Hello: hello}); err != nil {
+	if err := s.inbox.Post(g.Context(), controller.ProxyJoined{Stream: st, Hello: hello}); err != nil {
 		return status.Error(codes.Unavailable, "this pilot stops")
 	}
 	heard := make(chan error, 1)
@@ -133,7 +133,7 @@
 	s.log.Info("stream ended", zap.String("proxy", n.GetId()), zap.Error(err))
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(g.Context()), time.Second)
 	defer cancel()
-	_ = s.inbox.Post(ctx, controller.Leave{Stream: st}) // fails only as the loop has ended
+	_ = s.inbox.Post(ctx, controller.ProxyLeft{Stream: st}) // fails only as the loop has ended
 	return err
 }
 
@@ -182,7 +182,7 @@
 			return err
 		}
 		for _, m := range marks {
-			if err := s.inbox.Post(g.Context(), controller.Applied{Stream: st, Done: m}); err != nil {
+			if err := s.inbox.Post(g.Context(), controller.Acked{Stream: st, Done: m}); err != nil {
 				return err
 			}
 		}
@@ -256,7 +256,7 @@
 		if sums == nil {
 			continue
 		}
-		if err := s.inbox.Post(g.Context(), controller.Reported{Stream: st, Sums: sums}); err != nil {
+		if err := s.inbox.Post(g.Context(), controller.LoadReported{Stream: st, Sums: sums}); err != nil {
 			return err
 		}
 	}
--- a/recovery/explore_test.go
+++ b/recovery/explore_test.go
@@ -151,12 +151,12 @@
 	return w
 }
 
-func (w *world) plan(held bool) controller.Plan {
-	p := controller.Plan{Decider: &clerk{map[int]planner.Phase{}, map[int]bool{}}, Terms: map[string]any{}, Zones: []string{"a"}, Machines: []string{"std"}, Kinds: []string{"read"},
-		Intake: telemetry.Terms{PeriodMs: 1e9, HalfMs: 1e9, LongestMs: 1e9}, MostProxies: 9, List: edge{}, Prober: edge{}, Peers: edge{},
-		Log: func(string) {}, Odd: func(string, ...string) {}, Replayed: true}
+func (w *world) plan(held bool) controller.Options {
+	p := controller.Options{Decider: &clerk{map[int]planner.Phase{}, map[int]bool{}}, Settings: map[string]any{}, Zones: []string{"a"}, Machines: []string{"std"}, Classes: []string{"read"},
+		Telemetry: telemetry.Terms{PeriodMs: 1e9, HalfMs: 1e9, LongestMs: 1e9}, MaxProxies: 9, EndpointSource: edge{}, HealthChecker: edge{}, Gossip: edge{},
+		Log: func(string) {}, Malformed: func(string, ...string) {}, Replayed: true}
 	if !held || w.plant.replayAloud {
-		p.Peers = edge{w}
+		p.Gossip = edge{w}
 	}
 	return p
 }
@@ -187,11 +187,11 @@
 	live := w.plan(false)
 	recorder := record.NewRecorder(func(t func() *record.Turn) { w.turns = append(w.turns, *t()) },
 		func() []controller.Input { return p.core.Checkpoint() })
-	live.Turn = recorder.Turn
+	live.OnTurn = recorder.Turn
 	if core == nil {
 		core = controller.NewCore(live)
 	} else {
-		core.Recovered(live)
+		core.FinishRecovery(live)
 	}
 	p.core, p.listed = core, -1
 	for k, other := range w.procs {
@@ -344,7 +344,7 @@
 	if w.notes == 0 {
 		for i, p := range w.procs {
 			if p.core != nil {
-				s[fmt.Sprint("note ", i)] = func() { w.notes++; w.feed(i, controller.Heard{From: 1, Text: "once"}) }
+				s[fmt.Sprint("note ", i)] = func() { w.notes++; w.feed(i, controller.GossipReceived{From: 1, Text: "once"}) }
 			}
 		}
 	}
@@ -399,7 +399,7 @@
 						Holds: p.follow.Holds(), Tables: p.follow.Tables()}
 					p.to, p.stream = i, &stream{w, i, k}
 					p.follow.Joined()
-					w.feed(i, controller.Join{Stream: p.stream, Hello: hello})
+					w.feed(i, controller.ProxyJoined{Stream: p.stream, Hello: hello})
 				}
 			}
 		}
@@ -415,7 +415,7 @@
 		}
 		l.Entries = append(l.Entries, e)
 	}
-	return controller.Listed{List: l}
+	return controller.EndpointsListed{List: l}
 }
 
 // wrong returns what no state may show, and, where nothing more can happen by itself, what then must hold.
