--- a/internal/config/terms.go
+++ b/internal/config/terms.go
@@ -502,8 +502,8 @@
 }
 
 // Intake returns the report intake's part.
-func (p *Pilot) Intake() telemetry.Terms {
-	return telemetry.Terms{LinesPerS: p.IntakeLinesPerS, ToldPerS: float64(p.ReportLinesPerS), Standing: p.IntakeStanding,
+func (p *Pilot) Intake() telemetry.Options {
+	return telemetry.Options{LinesPerS: p.IntakeLinesPerS, ToldPerS: float64(p.ReportLinesPerS), Standing: p.IntakeStanding,
 		PeriodMs: ms(p.Period), HalfMs: ms(p.IntakeHalf), LongestMs: ms(p.IntakeLongest), Slowest: p.IntakeSlowest,
 		ColdMs: ms(p.Cold), MostSenders: p.MaxStreams}
 }
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -108,7 +108,7 @@
 	HeadLines                int
 	MaxMessages              int
 	MessagesOverMs           float64
-	Telemetry                telemetry.Terms
+	Telemetry                telemetry.Options
 	MaxProxies               int // distinct names in a life; more are refused
 	EndpointSource           EndpointSource
 	HealthChecker            HealthChecker
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -68,7 +68,7 @@
 
 func plan(d Decider, edge *fake) Options {
 	return Options{Decider: d, Settings: map[string]any{"slices": 16.0}, Zones: []string{"a", "b"}, Machines: []string{"std"},
-		Classes: []string{"read", "book"}, HeadLines: 4, Telemetry: telemetry.Terms{PeriodMs: 1000, HalfMs: 1e9, LongestMs: 60000}, MaxProxies: 3, MessagesOverMs: 10000, EndpointSource: edge,
+		Classes: []string{"read", "book"}, HeadLines: 4, Telemetry: telemetry.Options{PeriodMs: 1000, HalfMs: 1e9, LongestMs: 60000}, MaxProxies: 3, MessagesOverMs: 10000, EndpointSource: edge,
 		HealthChecker: edge, Gossip: edge, Log: func(t string) { edge.calls = append(edge.calls, "log "+t) },
 		Malformed: func(what string, _ ...string) { edge.calls = append(edge.calls, "odd "+what) }}
 }
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -111,7 +111,7 @@
 	t := &town{late: 275}
 	t.core = NewCore(Options{Decider: planner.New(1, terms), Settings: terms, Zones: zones, Machines: []string{"std"},
 		Classes: []string{"read"}, LinesPerS: pace, Backlog: backlog, HeadLines: 3, MaxMessages: 30, MessagesOverMs: 10000,
-		Telemetry: telemetry.Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000}, MaxProxies: 1 << 16, EndpointSource: &fake{}, HealthChecker: &fake{}, Gossip: &fake{}, Log: func(string) {},
+		Telemetry: telemetry.Options{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000}, MaxProxies: 1 << 16, EndpointSource: &fake{}, HealthChecker: &fake{}, Gossip: &fake{}, Log: func(string) {},
 		Malformed: func(string, ...string) {}})
 	var entries []wire.Entry
 	for i := range endpoints {
--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -151,7 +151,7 @@
 	timed := &timed{Decider: planner.New(1, told)}
 	var core *controller.Core
 	plan := controller.Options{Decider: timed, Settings: told, Zones: zones, Machines: c.Machines, Classes: c.KindNames(),
-		LinesPerS: c.LinesPerS, Backlog: c.Backlog, HeadLines: 4, Telemetry: telemetry.Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000}, MaxProxies: 1 << 16, EndpointSource: idle{},
+		LinesPerS: c.LinesPerS, Backlog: c.Backlog, HeadLines: 4, Telemetry: telemetry.Options{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000}, MaxProxies: 1 << 16, EndpointSource: idle{},
 		HealthChecker: idle{}, Gossip: idle{}, Log: func(string) {}, Malformed: func(string, ...string) {}}
 	var w *record.Writer
 	after := func() {}
--- a/recovery/explore_test.go
+++ b/recovery/explore_test.go
@@ -153,7 +153,7 @@
 
 func (w *world) plan(held bool) controller.Options {
 	p := controller.Options{Decider: &clerk{map[int]planner.Phase{}, map[int]bool{}}, Settings: map[string]any{}, Zones: []string{"a"}, Machines: []string{"std"}, Classes: []string{"read"},
-		Telemetry: telemetry.Terms{PeriodMs: 1e9, HalfMs: 1e9, LongestMs: 1e9}, MaxProxies: 9, EndpointSource: edge{}, HealthChecker: edge{}, Gossip: edge{},
+		Telemetry: telemetry.Options{PeriodMs: 1e9, HalfMs: 1e9, LongestMs: 1e9}, MaxProxies: 9, EndpointSource: edge{}, HealthChecker: edge{}, Gossip: edge{},
 		Log: func(string) {}, Malformed: func(string, ...string) {}, Replayed: true}
 	if !held || w.plant.replayAloud {
 		p.Gossip = edge{w}
