--- a/internal/daemon/oldstore_test.go
+++ b/internal/daemon/oldstore_test.go
@@ -62,7 +62,7 @@
 
 	d, err := New(p, Outfit{})
 	require.NoError(t, err)
-	assert.Contains(t, d.record.Verdict.Why, "recovered from")
+	assert.Contains(t, d.record.Verdict.Reason, "recovered from")
 	stop, ended := run(t, d)
 	following(t, "p", func() []string { return []string{d.Address()} })
 	require.Eventually(t, func() bool { return d.State().Listed && d.State().Proxies == 1 }, 5*time.Second, time.Millisecond)
--- a/internal/daemon/recorded.go
+++ b/internal/daemon/recorded.go
@@ -20,7 +20,7 @@
 type recorded struct {
 	store   *record.Store
 	writer  *record.Writer
-	Verdict recovery.Verdict
+	Verdict recovery.Decision
 	Took    time.Duration // of the recovery
 	after   string        // the life it was rebuilt from
 	life    string        // this one
@@ -51,10 +51,10 @@
 	began := time.Now()
 	if core, err = d.recover(r, t, fingerprint, told, fresh); err != nil {
 		d.outfit.Log.Error("recovery failed, starting cold", zap.Error(err))
-		r.Verdict = recovery.Verdict{Why: "cold start: recovery failed"}
+		r.Verdict = recovery.Decision{Reason: "cold start: recovery failed"}
 	}
 	r.Took = time.Since(began)
-	d.outfit.Log.Info(r.Verdict.Why, zap.Duration("took", r.Took))
+	d.outfit.Log.Info(r.Verdict.Reason, zap.Duration("took", r.Took))
 	r.life = lifeID(time.Now())
 	life := record.Life{ID: r.life, Pilot: t.Name, Seed: int64(t.Seed), Module: fingerprint, Terms: told, Started: time.Now(),
 		After: r.after, TailMs: float64(t.RecoverTail.Milliseconds())}
@@ -77,14 +77,14 @@
 		return nil, err
 	}
 	facts := recovery.Facts{Lives: len(lives)}
-	bounds := recovery.Bounds{TailMs: float64(t.RecoverTail.Milliseconds()), GapMs: float64(t.RecoverWithin.Milliseconds())}
+	bounds := recovery.Limits{TailMs: float64(t.RecoverTail.Milliseconds()), GapMs: float64(t.RecoverWithin.Milliseconds())}
 	var last record.Life
 	for i := len(lives) - 1; i >= 0; i-- {
 		if _, chunks := r.store.Size(lives[i].ID); chunks > 0 {
 			last = lives[i]
 			break
 		}
-		facts.Barren++
+		facts.FailedStarts++
 	}
 	var turns []record.Turn
 	if last.ID != "" && last.Format == record.Format {
@@ -92,7 +92,7 @@
 			return nil, err
 		}
 		facts.Turns = len(turns)
-		facts.SameFormat, facts.SameModule, facts.SameTerms = true, last.Module == fingerprint, cmp.Or(last.Now, last.Terms) == told
+		facts.SameFormat, facts.SameModule, facts.SameSettings = true, last.Module == fingerprint, cmp.Or(last.Now, last.Terms) == told
 		facts.GapMs = float64(time.Since(r.store.LastAt(last.ID)).Milliseconds())
 	}
 	from := record.From(turns, bounds.TailMs)
--- a/internal/emulator/pilot.go
+++ b/internal/emulator/pilot.go
@@ -30,7 +30,7 @@
 // Start is how a pilot's process began.
 type Start struct {
 	AtMs      float64
-	Verdict   recovery.Verdict
+	Verdict   recovery.Decision
 	Replayed  int // turns
 	TookMs    float64
 	LinesSent int // by settleMs after
@@ -97,8 +97,8 @@
 // recover rebuilds the core from the record if that is worth anything, and has the new life recorded.
 func (s *seat) recover(plan controller.Options, r *pilotRun, begin *Start) controller.Options {
 	w := s.w
-	bounds := recovery.Bounds{TailMs: float64(s.terms.RecoverTail.Milliseconds()), GapMs: float64(s.terms.RecoverWithin.Milliseconds())}
-	facts := recovery.Facts{SameFormat: true, SameModule: s.diskOf == w.fingerprint, SameTerms: true, Turns: len(s.disk), GapMs: w.now - s.diskAt}
+	bounds := recovery.Limits{TailMs: float64(s.terms.RecoverTail.Milliseconds()), GapMs: float64(s.terms.RecoverWithin.Milliseconds())}
+	facts := recovery.Facts{SameFormat: true, SameModule: s.diskOf == w.fingerprint, SameSettings: true, Turns: len(s.disk), GapMs: w.now - s.diskAt}
 	from := record.From(s.disk, bounds.TailMs)
 	if len(s.disk) > 0 && from < len(s.disk) {
 		facts.Lives, facts.SpanMs = 1, max(1, s.disk[len(s.disk)-1].AtMs-s.disk[from].AtMs)
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -201,7 +201,7 @@
 
 // hand goes through the steps with one that wants to take over and returns whether it has.
 func (o *Offer) hand(ctx context.Context, c *net.UnixConn) bool {
-	m := recovery.Old{Patience: cmp.Or(o.Patience, usualPatience)}
+	m := recovery.Predecessor{Patience: cmp.Or(o.Patience, usualPatience)}
 	e := recovery.Asked
 	for {
 		switch m.Next(e) {
@@ -223,7 +223,7 @@
 			o.Resume(claim)
 			return false
 		default:
-			return m.Gone()
+			return m.Replaced()
 		}
 	}
 }
@@ -250,7 +250,7 @@
 type Taking struct {
 	conn      *net.UnixConn
 	path      string
-	side      *recovery.New
+	side      *recovery.Successor
 	Listeners map[string]net.Listener
 }
 
@@ -260,7 +260,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("take over: %w", err)
 	}
-	t := &Taking{conn: c, path: path, side: recovery.NewSide(), Listeners: map[string]net.Listener{}}
+	t := &Taking{conn: c, path: path, side: recovery.NewSuccessor(), Listeners: map[string]net.Listener{}}
 	if err := send(c, message{Step: stepTake}, nil); err != nil {
 		return nil, errors.Join(err, c.Close())
 	}
--- a/recovery/explore_test.go
+++ b/recovery/explore_test.go
@@ -68,9 +68,9 @@
 // process is one of the two.
 type process struct {
 	alive   bool
-	old     *recovery.Old
-	taker   *recovery.New
-	act     recovery.Act     // under way
+	old     *recovery.Predecessor
+	taker   *recovery.Successor
+	act     recovery.Action  // under way
 	waits   bool             // for the other's answer
 	asked   bool             // to take over
 	core    *controller.Core // nil while no pilot runs
@@ -142,8 +142,8 @@
 	} else {
 		w.notes = 1
 	}
-	w.procs[0] = &process{alive: true, old: &recovery.Old{Patience: 2}, claimed: true, listed: -1}
-	w.procs[1] = &process{alive: true, taker: recovery.NewSide(), act: recovery.Nothing}
+	w.procs[0] = &process{alive: true, old: &recovery.Predecessor{Patience: 2}, claimed: true, listed: -1}
+	w.procs[1] = &process{alive: true, taker: recovery.NewSuccessor(), act: recovery.Nothing}
 	for i := range w.proxies {
 		w.proxies[i] = &proxy{to: -1, follow: routing.NewFollower(routing.Habits{Kinds: []string{"read"}}, []string{"e0", "e1"}, uint64(i))}
 	}
@@ -283,7 +283,7 @@
 			w.next(i, recovery.Started)
 		}
 	case recovery.LetGo, recovery.End:
-		if p.taker != nil || p.old.Gone() {
+		if p.taker != nil || p.old.Replaced() {
 			w.letGo(i)
 			p.alive = false
 		}
@@ -355,7 +355,7 @@
 		s["restart"] = func() {
 			w.restarts++
 			p := w.procs[0]
-			p.alive, p.old = true, &recovery.Old{Patience: 2}
+			p.alive, p.old = true, &recovery.Predecessor{Patience: 2}
 			if w.claim(0) {
 				w.begin(0)
 			}
