--- a/cmd/indigousher/records.go
+++ b/cmd/indigousher/records.go
@@ -85,7 +85,7 @@
 				return errors.Join(w.Flush(), err)
 			}
 			fmt.Fprintf(w, "%s\t%s\t%.1f s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%016x\t%.4f\t%.4f\t%.1f\t%.1f\t%.2f\t%s\n", l.ID, x.name, r.SpanMs/1000, r.Turns,
-				r.Notes, r.Gaps, r.Messages, r.Lines, r.Sets, r.Zeros, r.Withdrawals, r.Levels, r.Binds, r.MostWaiting, r.Tables,
+				r.Events, r.Gaps, r.Messages, r.Lines, r.Sets, r.Removals, r.Exclusions, r.Levels, r.Assignments, r.MaxQueuedLines, r.Tables,
 				r.Estimate.Recorded, r.Estimate.Failed, r.Estimate.RecordedMs, r.Estimate.MeanMs, r.Estimate.Trusted,
 				time.Since(began).Round(time.Millisecond))
 			if r.FirstDiff != "" {
@@ -122,7 +122,7 @@
 			if err != nil {
 				return err
 			}
-			n, err := s.Prune(record.Bounds{Bytes: int64(mostMB * (1 << 20)), Age: keep}, time.Now())
+			n, err := s.Prune(record.Limits{Bytes: int64(mostMB * (1 << 20)), Age: keep}, time.Now())
 			fmt.Fprintf(cmd.OutOrStdout(), "%d segments dropped\n", n)
 			return errors.Join(err, s.Close())
 		}}
@@ -215,7 +215,7 @@
 	if in.Message != nil {
 		return fmt.Sprintf("%+v", in.Message)
 	}
-	switch e := in.Note.(type) {
+	switch e := in.Event.(type) {
 	case planner.EndpointStats:
 		return fmt.Sprintf("{Endpoint:%v Zone:%v Tries:%v Failed:%v MeanMs:%v SpanMs:%v Load:%v}",
 			e.Endpoint, e.Zone, e.Attempts, e.Failed, e.MeanMs, e.SpanMs, e.Load)
--- a/internal/daemon/recorded.go
+++ b/internal/daemon/recorded.go
@@ -33,8 +33,8 @@
 // a record is logged and never keeps a pilot from starting, but for a store that another process holds.
 func (d *Daemon) openRecord(t *config.Pilot, plan *controller.Options, fresh func() controller.Options) (core *controller.Core, offset float64, err error) {
 	store, err := record.Open(t.RecordDir, false)
-	if errors.Is(err, record.ErrTorn) {
-		path, aerr := record.SetAside(t.RecordDir)
+	if errors.Is(err, record.ErrCorrupt) {
+		path, aerr := record.Quarantine(t.RecordDir)
 		d.outfit.Log.Error("records are torn and set aside", zap.String("file", path), zap.Error(errors.Join(err, aerr)))
 		store, err = record.Open(t.RecordDir, false)
 	}
@@ -56,10 +56,10 @@
 	r.Took = time.Since(began)
 	d.outfit.Log.Info(r.Verdict.Reason, zap.Duration("took", r.Took))
 	r.life = lifeID(time.Now())
-	life := record.Life{ID: r.life, Pilot: t.Name, Seed: int64(t.Seed), Module: fingerprint, Terms: told, Started: time.Now(),
+	life := record.Life{ID: r.life, Pilot: t.Name, Seed: int64(t.Seed), Module: fingerprint, Settings: told, Started: time.Now(),
 		After: r.after, TailMs: float64(t.RecoverTail.Milliseconds())}
-	if r.writer, err = record.NewWriter(store, life, record.Bounds{Bytes: int64(t.RecordMostMB * (1 << 20)), Age: t.RecordKeep,
-		Segment: record.DefaultBounds().Segment, Every: record.DefaultBounds().Every}, d.outfit.Log.Named("record")); err != nil {
+	if r.writer, err = record.NewWriter(store, life, record.Limits{Bytes: int64(t.RecordMostMB * (1 << 20)), Age: t.RecordKeep,
+		SegmentBytes: record.DefaultLimits().SegmentBytes, CommitInterval: record.DefaultLimits().CommitInterval}, d.outfit.Log.Named("record")); err != nil {
 		return nil, 0, errors.Join(err, store.Close())
 	}
 	if core != nil {
@@ -88,14 +88,14 @@
 	}
 	var turns []record.Turn
 	if last.ID != "" && last.Format == record.Format {
-		if turns, facts.Torn, err = record.Tail(r.store, last.ID, bounds.TailMs); err != nil {
+		if turns, facts.Torn, err = record.ReadTail(r.store, last.ID, bounds.TailMs); err != nil {
 			return nil, err
 		}
 		facts.Turns = len(turns)
-		facts.SameFormat, facts.SameModule, facts.SameSettings = true, last.Module == fingerprint, cmp.Or(last.Now, last.Terms) == told
+		facts.SameFormat, facts.SameModule, facts.SameSettings = true, last.Module == fingerprint, cmp.Or(last.LatestSettings, last.Settings) == told
 		facts.GapMs = float64(time.Since(r.store.LastAt(last.ID)).Milliseconds())
 	}
-	from := record.From(turns, bounds.TailMs)
+	from := record.ReplayStart(turns, bounds.TailMs)
 	if len(turns) > 0 && from < len(turns) {
 		facts.SpanMs = max(1, turns[len(turns)-1].AtMs-turns[from].AtMs)
 	}
@@ -125,7 +125,7 @@
 	if err != nil {
 		return err
 	}
-	return r.store.Reterm(r.life, told)
+	return r.store.UpdateSettings(r.life, told)
 }
 
 // close ends the record.
--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -160,8 +160,8 @@
 		require.NoError(b, err)
 		text, err := json.Marshal(told)
 		require.NoError(b, err)
-		life := record.Life{ID: "a", Seed: 1, Terms: string(text)}
-		w, err = record.NewWriter(s, life, record.DefaultBounds(), zap.NewNop())
+		life := record.Life{ID: "a", Seed: 1, Settings: string(text)}
+		w, err = record.NewWriter(s, life, record.DefaultLimits(), zap.NewNop())
 		require.NoError(b, err)
 		ctx, cancel := context.WithCancel(b.Context())
 		done := make(chan error, 1)
--- a/internal/emulator/pilot.go
+++ b/internal/emulator/pilot.go
@@ -99,7 +99,7 @@
 	w := s.w
 	bounds := recovery.Limits{TailMs: float64(s.terms.RecoverTail.Milliseconds()), GapMs: float64(s.terms.RecoverWithin.Milliseconds())}
 	facts := recovery.Facts{SameFormat: true, SameModule: s.diskOf == w.fingerprint, SameSettings: true, Turns: len(s.disk), GapMs: w.now - s.diskAt}
-	from := record.From(s.disk, bounds.TailMs)
+	from := record.ReplayStart(s.disk, bounds.TailMs)
 	if len(s.disk) > 0 && from < len(s.disk) {
 		facts.Lives, facts.SpanMs = 1, max(1, s.disk[len(s.disk)-1].AtMs-s.disk[from].AtMs)
 	}
@@ -140,7 +140,7 @@
 // commit puts what was written on the disk; of what is older than any rebuild needs nothing is kept.
 func (s *seat) commit(r *pilotRun) {
 	s.disk, s.diskAt, r.written = append(s.disk, r.written...), s.w.now, nil
-	if from := record.From(s.disk, 2*float64(s.terms.RecoverTail.Milliseconds())); from > 0 && from < len(s.disk) {
+	if from := record.ReplayStart(s.disk, 2*float64(s.terms.RecoverTail.Milliseconds())); from > 0 && from < len(s.disk) {
 		s.disk = append([]record.Turn{}, s.disk[from:]...)
 	}
 }
--- a/recovery/explore_test.go
+++ b/recovery/explore_test.go
@@ -471,7 +471,7 @@
 		knows := [2]bool{}
 		for _, t := range turns {
 			for _, in := range t.Inputs {
-				knows[0] = knows[0] || in.Kind == record.Heard
+				knows[0] = knows[0] || in.Kind == record.KindGossip
 				l, is := in.Message.(*wire.List)
 				knows[1] = knows[1] || is && l.Version > 0
 			}
