--- a/cmd/indigousher/kill_test.go
+++ b/cmd/indigousher/kill_test.go
@@ -126,7 +126,7 @@
 		}
 	}
 	assert.Greater(t, recovered, 4)
-	s, err := daemon.Records(w.records)
+	s, err := daemon.OpenRecords(w.records)
 	require.NoError(t, err)
 	defer s.Close()
 	lives, err := s.Lives()
--- a/cmd/indigousher/records.go
+++ b/cmd/indigousher/records.go
@@ -27,7 +27,7 @@
 
 // withStore opens a store for reading and closes it after use.
 func withStore(dir string, f func(*record.Store) error) error {
-	s, err := daemon.Records(dir)
+	s, err := daemon.OpenRecords(dir)
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -41,8 +41,8 @@
 	warnBefore   = 7 * 24 * time.Hour
 )
 
-// Outfit is what a pilot is started with beside its terms. Zero fields get what ships.
-type Outfit struct {
+// Options is what a pilot is started with beside its terms. Zero fields get what ships.
+type Options struct {
 	Log    *zap.Logger
 	Level  *zap.AtomicLevel // set by a reload
 	Clock  controller.Clock
@@ -54,14 +54,14 @@
 }
 
 // listen takes a listener that was handed over, or opens one.
-func (o *Outfit) listen(name, address string) (net.Listener, error) {
+func (o *Options) listen(name, address string) (net.Listener, error) {
 	if l := o.Listeners[name]; l != nil {
 		return l, nil
 	}
 	return net.Listen("tcp", address)
 }
 
-func (o *Outfit) fill() {
+func (o *Options) fill() {
 	if o.Log == nil {
 		o.Log = zap.NewNop()
 	}
@@ -88,7 +88,7 @@
 // Daemon is one pilot.
 type Daemon struct {
 	terms    atomic.Pointer[config.Pilot]
-	outfit   Outfit
+	outfit   Options
 	registry *prometheus.Registry
 	meter    *controller.Metrics
 	core     *controller.Core
@@ -116,7 +116,7 @@
 func (l later) Post(ctx context.Context, in controller.Input) error { return l.d.loop.Post(ctx, in) }
 
 // New opens the listeners and builds the pilot. Nothing runs before Run.
-func New(t *config.Pilot, o Outfit) (*Daemon, error) {
+func New(t *config.Pilot, o Options) (*Daemon, error) {
 	o.fill()
 	d := &Daemon{outfit: o, registry: prometheus.NewRegistry(), files: map[string]*os.File{}}
 	d.terms.Store(t)
@@ -363,8 +363,8 @@
 // State returns what the loop shows of itself.
 func (d *Daemon) State() controller.State { return d.loop.State() }
 
-// Meter returns the runtime's metrics.
-func (d *Daemon) Meter() *controller.Metrics { return d.meter }
+// Metrics returns the runtime's metrics.
+func (d *Daemon) Metrics() *controller.Metrics { return d.meter }
 
 // Run serves until ctx ends, then asks the proxies to dial elsewhere and waits for them to go, for the time that the
 // terms give. An edge that fails ends it with an error.
--- a/internal/daemon/oldstore_test.go
+++ b/internal/daemon/oldstore_test.go
@@ -46,7 +46,7 @@
 	unpackStore(t, p.RecordDir)
 	setLastWritten(t, p.RecordDir, time.Now().Add(-time.Second))
 
-	store, err := Records(p.RecordDir)
+	store, err := OpenRecords(p.RecordDir)
 	require.NoError(t, err)
 	lives, err := store.Lives()
 	require.NoError(t, err)
@@ -60,7 +60,7 @@
 	assert.Positive(t, result.Turns)
 	require.NoError(t, store.Close())
 
-	d, err := New(p, Outfit{})
+	d, err := New(p, Options{})
 	require.NoError(t, err)
 	assert.Contains(t, d.record.Verdict.Reason, "recovered from")
 	stop, ended := run(t, d)
@@ -70,7 +70,7 @@
 	stop()
 	require.NoError(t, <-ended)
 
-	store, err = Records(p.RecordDir)
+	store, err = OpenRecords(p.RecordDir)
 	require.NoError(t, err)
 	lives, err = store.Lives()
 	require.NoError(t, err)
--- a/internal/daemon/recorded.go
+++ b/internal/daemon/recorded.go
@@ -131,8 +131,8 @@
 // close ends the record.
 func (r *recorded) close() error { return r.store.Close() }
 
-// Records opens a store for reading.
-func Records(dir string) (*record.Store, error) {
+// OpenRecords opens a store for reading.
+func OpenRecords(dir string) (*record.Store, error) {
 	if _, err := os.Stat(dir); err != nil {
 		return nil, fmt.Errorf("open records: %w", err)
 	}
--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -57,7 +57,7 @@
 			t.Zone, t.Listen, t.Admin, t.ListAddress = "a", "127.0.0.1:0", "", l.Address()
 			t.Proxies, t.LinesPerS, t.Backlog = manyProxies, pace, 1.5*pace
 			t.MessagesMost, t.Plain = 0, true
-			d, err := New(&t, Outfit{})
+			d, err := New(&t, Options{})
 			require.NoError(b, err)
 			stop, ended := runB(b, d)
 			for i := range manyProxies {
--- a/internal/daemon/transports_test.go
+++ b/internal/daemon/transports_test.go
@@ -166,7 +166,7 @@
 	entries := fleet()
 	l.Put(0, entries...)
 	t.ListAddress = l.Address()
-	d, err := New(&t, Outfit{})
+	d, err := New(&t, Options{})
 	require.NoError(b, err)
 	stop, ended := runB(b, d)
 	var read atomic.Int64
--- a/internal/rehearsal/stage.go
+++ b/internal/rehearsal/stage.go
@@ -224,7 +224,7 @@
 		return s.startProcess(st, place)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	h, err := daemon.Begin(ctx, &st.terms, daemon.Outfit{Log: s.Log.Named(st.name), Dial: s.net.Dialer(place, 2*time.Second),
+	h, err := daemon.Start(ctx, &st.terms, daemon.Options{Log: s.Log.Named(st.name), Dial: s.net.Dialer(place, 2*time.Second),
 		Decide: s.Decide}, takeOver)
 	if err != nil {
 		cancel()
--- a/internal/transport/xds/xds_test.go
+++ b/internal/transport/xds/xds_test.go
@@ -78,7 +78,7 @@
 list { address = %q }
 `, source.Address())))
 	require.NoError(t, err)
-	d, err := daemon.New(p, daemon.Outfit{})
+	d, err := daemon.New(p, daemon.Options{})
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
