--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -96,8 +96,8 @@
 	loop     *controller.Loop
 	server   *framed.Server
 	source   follower
-	prober   *healthcheck.Prober
-	post     *gossip.Post
+	prober   *healthcheck.Checker
+	post     *gossip.Service
 	follow   *grpcapi.Server
 	xds      *xds.Server
 	ring     *identity.Ring
@@ -165,7 +165,7 @@
 	if err != nil {
 		return err
 	}
-	var prober controller.HealthChecker = healthcheck.Never{}
+	var prober controller.HealthChecker = healthcheck.Disabled{}
 	if t.Probing {
 		d.prober = healthcheck.New(d.life, d.outfit.Dial, later{d}, probeTimeout, mostProbes)
 		prober = d.prober
@@ -208,18 +208,18 @@
 			return err
 		}
 		d.grpc = netutil.LimitListener(d.grpc, 2*t.MaxStreams) // a proxy of xDS may report its load on a second one
-		d.follow = grpcapi.New(grpcapi.Door{Pilot: t.Name, Beat: t.Beat, Period: t.Period,
+		d.follow = grpcapi.New(grpcapi.ListenerConfig{Pilot: t.Name, Beat: t.Beat, Period: t.Period,
 			SeenWithin: t.SeenWithin, HelloIn: t.HelloDeadline, MaxMessage: t.MaxFrame, MaxStreams: t.MaxStreams,
 			QueueLines: t.Queue * linesEach, NewPerS: t.NewPerS, Keys: d.ring}, d.loop, log.Named("grpc"))
 		var claims func(context.Context, string, string) error
 		if d.ring != nil {
 			claims = grpcapi.Claims
 		}
-		d.xds = xds.New(xds.Door{Kinds: t.KindNames(), Period: t.Period, SeenWithin: t.SeenWithin,
+		d.xds = xds.New(xds.ListenerConfig{Kinds: t.KindNames(), Period: t.Period, SeenWithin: t.SeenWithin,
 			HelloIn: t.HelloDeadline, MaxStreams: t.MaxStreams, Claims: claims}, d.loop, log.Named("xds"))
 		d.xds.Register(d.follow.Registrar())
 	}
-	d.server = framed.NewServer(framed.Door{Pilot: t.Name, Beat: t.Beat, Period: t.Period,
+	d.server = framed.NewServer(framed.ListenerConfig{Pilot: t.Name, Beat: t.Beat, Period: t.Period,
 		WriteDeadline: t.WriteDeadline, SeenWithin: t.SeenWithin, HelloDeadline: t.HelloDeadline, MaxFrame: t.MaxFrame,
 		MaxStreams: t.MaxStreams, Queue: t.Queue}, d.loop, log.Named("streams"))
 	return nil
@@ -276,7 +276,7 @@
 
 // held is a plan whose edges do nothing: for a core that is being rebuilt.
 func held(p controller.Options) controller.Options {
-	p.EndpointSource, p.HealthChecker, p.Gossip, p.Metrics, p.Replayed = nobody{}, healthcheck.Never{}, gossip.Nobody{}, nil, true
+	p.EndpointSource, p.HealthChecker, p.Gossip, p.Metrics, p.Replayed = nobody{}, healthcheck.Disabled{}, gossip.Disabled{}, nil, true
 	p.Log, p.Malformed = func(string) {}, func(string, ...string) {}
 	p.LinesPerS, p.Backlog = 0, 0
 	return p
@@ -290,7 +290,7 @@
 
 func (d *Daemon) openPeers(t *config.Pilot) (controller.GossipSender, error) {
 	if t.PeersListen == "" {
-		return gossip.Nobody{}, nil
+		return gossip.Disabled{}, nil
 	}
 	var secret *identity.Secret
 	if t.PeersSecret != "" {
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -216,7 +216,7 @@
 			claim, err := AcquireLock(o.path)
 			if e = recovery.Claimed; err != nil {
 				e = recovery.Refused
-				backoff.For(ctx, claimEvery)
+				backoff.Sleep(ctx, claimEvery)
 				continue
 			}
 			m.Next(e)
--- a/internal/platform/discovery/agent.go
+++ b/internal/platform/discovery/agent.go
@@ -176,7 +176,7 @@
 		if err != nil && !moved {
 			a.Counters.Failed.Add(1)
 			a.log.Debug("discovery", zap.String("address", address), zap.Error(err))
-			backoff.For(ctx, failedPause)
+			backoff.Sleep(ctx, failedPause)
 		}
 	}
 	return nil
--- a/internal/platform/listener/listener.go
+++ b/internal/platform/listener/listener.go
@@ -71,9 +71,9 @@
 				_ = g.Wait() // only says that the listener is closed
 				return nil
 			}
-			if backoff.Passing(err) { // no free descriptor: the oldest stranger goes
+			if backoff.Temporary(err) { // no free descriptor: the oldest stranger goes
 				d.evict(0)
-				backoff.For(ctx, 5*time.Millisecond)
+				backoff.Sleep(ctx, 5*time.Millisecond)
 				continue
 			}
 			return fmt.Errorf("accept on %s: %w", l.Addr(), err)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -64,7 +64,7 @@
 	x.listener = listener.New(p.Deployment.Zones.All(), int(spare*strangers), box, log)
 	core := controller.NewCore(controller.Options{Decider: planner.New(p.Seed, p.Deployment.Terms), Settings: p.Deployment.Terms,
 		Zones: p.Deployment.Zones.All(), Machines: p.Deployment.Machines.All(), Classes: kinds, MaxProxies: p.Proxies,
-		EndpointSource: x.agent, HealthChecker: healthcheck.Never{}, Gossip: gossip.Nobody{}, Relay: x.orders,
+		EndpointSource: x.agent, HealthChecker: healthcheck.Disabled{}, Gossip: gossip.Disabled{}, Relay: x.orders,
 		Log: func(text string) { log.Info(text) }, Malformed: func(what string, fields ...string) {
 			log.Debug("odd", zap.String("what", what), zap.Strings("fields", fields))
 		}})
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -61,8 +61,8 @@
 func TestSameSettingsSameOrders(t *testing.T) {
 	p, k := newPlacement(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1"), &kept{}
 	c := controller.NewCore(controller.Options{Decider: planner.New(5, p.Deployment.Terms), Settings: p.Deployment.Terms, Zones: p.Deployment.Zones.All(),
-		Machines: p.Deployment.Machines.All(), Classes: p.Deployment.Kinds.All(), MaxProxies: p.Proxies, Relay: k, EndpointSource: x{}, HealthChecker: healthcheck.Never{},
-		Gossip: gossip.Nobody{}, Log: func(string) {}, Malformed: func(what string, _ ...string) { t.Error(what) }})
+		Machines: p.Deployment.Machines.All(), Classes: p.Deployment.Kinds.All(), MaxProxies: p.Proxies, Relay: k, EndpointSource: x{}, HealthChecker: healthcheck.Disabled{},
+		Gossip: gossip.Disabled{}, Log: func(string) {}, Malformed: func(what string, _ ...string) { t.Error(what) }})
 	entries, hosts := []wire.Entry{}, []string{}
 	for i := range 6 {
 		name := fmt.Sprintf("10.0.0.%d:1", i)
--- a/internal/platform/relay/events.go
+++ b/internal/platform/relay/events.go
@@ -110,7 +110,7 @@
 		n.closed(i, errors.Is(err, os.ErrDeadlineExceeded))
 		if ctx.Err() == nil {
 			n.log.Debug("event stream ended", zap.Int("stream", i), zap.Error(err))
-			backoff.For(ctx, redial)
+			backoff.Sleep(ctx, redial)
 		}
 	}
 	return nil
@@ -144,7 +144,7 @@
 	var opening sync.WaitGroup
 	opening.Go(func() {
 		for wait := standsFor; wait > 0; wait = n.opening(i) {
-			if !backoff.For(octx, wait) {
+			if !backoff.Sleep(octx, wait) {
 				return
 			}
 		}
--- a/internal/platform/relay/relay.go
+++ b/internal/platform/relay/relay.go
@@ -287,7 +287,7 @@
 	if errors.Is(err, errLimit) {
 		pauseNow, out.pause = limitPause, pauseLeast
 	}
-	backoff.For(ctx, pauseNow)
+	backoff.Sleep(ctx, pauseNow)
 }
 
 // tellJoined tells the module which of its orders go out as one call. It has to know before a proxy can answer.
--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/rehearsal/rehearsal_test.go
@@ -187,7 +187,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	day.Troubles = day.Troubles[:4]
 	go func() {
-		backoff.For(ctx, 3_000_000_000)
+		backoff.Sleep(ctx, 3_000_000_000)
 		cancel()
 	}()
 	_, err = Play{Day: day}.Run(ctx)
--- a/internal/rehearsal/stage.go
+++ b/internal/rehearsal/stage.go
@@ -483,7 +483,7 @@
 	errs := make([]error, len(s.Day.Troubles))
 	for i, t := range s.Day.Troubles {
 		wg.Go(func() {
-			if backoff.For(ctx, time.Until(start.Add(t.At))) {
+			if backoff.Sleep(ctx, time.Until(start.Add(t.At))) {
 				s.own.Add(eventlog.Event{What: eventlog.Note, Text: t.String()})
 				s.Say("%5.1fs  %s", time.Since(start).Seconds(), t)
 				errs[i] = s.strike(ctx, t)
--- a/internal/rehearsal/strike.go
+++ b/internal/rehearsal/strike.go
@@ -28,11 +28,11 @@
 		return s.each(s.endpointsOf(t), func(e *endpoint.Endpoint, i int) error { return s.machine(ctx, t, e, i) })
 	case "zone_cut":
 		s.net.Cut(t.Zone, true)
-		backoff.For(ctx, t.For)
+		backoff.Sleep(ctx, t.For)
 		s.net.Cut(t.Zone, false)
 	case "slow_link":
 		s.net.Slow(t.Zone, t.Extra, t.Loss)
-		backoff.For(ctx, t.For)
+		backoff.Sleep(ctx, t.For)
 		s.net.Slow(t.Zone, 0, 0)
 	case "zone_loss":
 		return s.zoneLoss(ctx, t)
@@ -42,7 +42,7 @@
 		return s.pilotTrouble(ctx, t)
 	case "list_down":
 		s.list.Stop()
-		backoff.For(ctx, t.For)
+		backoff.Sleep(ctx, t.For)
 		if ctx.Err() == nil {
 			return s.list.Start()
 		}
@@ -98,7 +98,7 @@
 			s.net.SlowDial(e.Name, t.Extra)
 		}
 	}
-	backoff.For(ctx, t.For)
+	backoff.Sleep(ctx, t.For)
 	for _, e := range struck {
 		e.Set(endpoint.Mood{})
 		s.net.SlowDial(e.Name, 0)
@@ -112,36 +112,36 @@
 	case "vanish":
 		s.net.Dumb(e.Name, true)
 		s.tell(e.Name, 4*late, func(x *wire.Entry) { x.Phase = wire.PhaseGone })
-		backoff.For(ctx, t.For)
+		backoff.Sleep(ctx, t.For)
 		e.Kill()
 		s.net.Dumb(e.Name, false)
 		return s.cold(e)
 	case "crash":
 		e.Kill()
 		s.tell(e.Name, late, func(x *wire.Entry) { x.Phase = wire.PhaseGone })
-		backoff.For(ctx, t.For)
+		backoff.Sleep(ctx, t.For)
 		return s.cold(e)
 	case "restart":
 		e.Kill()
 		return s.cold(e)
 	case "drain", "preempt":
 		s.tell(e.Name, late, func(x *wire.Entry) { x.Phase = wire.PhaseDraining })
-		backoff.For(ctx, late+t.For)
+		backoff.Sleep(ctx, late+t.For)
 		e.Kill()
 		s.tell(e.Name, late, func(x *wire.Entry) { x.Phase = wire.PhaseGone })
-		if t.What == "preempt" && backoff.For(ctx, t.Extra) {
+		if t.What == "preempt" && backoff.Sleep(ctx, t.Extra) {
 			return s.successor(e, late)
 		}
 	case "replace": // one after another: the new one first
-		if !backoff.For(ctx, time.Duration(i)*t.Every) {
+		if !backoff.Sleep(ctx, time.Duration(i)*t.Every) {
 			return nil
 		}
 		if err := s.successor(e, late); err != nil {
 			return err
 		}
-		backoff.For(ctx, t.Extra)
+		backoff.Sleep(ctx, t.Extra)
 		s.tell(e.Name, late, func(x *wire.Entry) { x.Phase = wire.PhaseDraining })
-		backoff.For(ctx, late+s.Day.DrainGrace+500*time.Millisecond)
+		backoff.Sleep(ctx, late+s.Day.DrainGrace+500*time.Millisecond)
 		e.Kill()
 		s.tell(e.Name, late, func(x *wire.Entry) { x.Phase = wire.PhaseGone })
 	case "flapping":
@@ -177,12 +177,12 @@
 	until := time.Now().Add(t.For)
 	turn := t.Every + time.Duration(i)*t.Every/7
 	for ctx.Err() == nil && time.Now().Before(until) {
-		backoff.For(ctx, turn*6/10)
+		backoff.Sleep(ctx, turn*6/10)
 		if ctx.Err() != nil {
 			return nil
 		}
 		e.Kill()
-		backoff.For(ctx, turn*4/10)
+		backoff.Sleep(ctx, turn*4/10)
 		if err := s.cold(e); err != nil {
 			return err
 		}
@@ -213,7 +213,7 @@
 			}
 		}
 	}
-	if !backoff.For(ctx, t.For) {
+	if !backoff.Sleep(ctx, t.For) {
 		return nil
 	}
 	var errs []error
@@ -246,7 +246,7 @@
 			s.unreached[n].Store(true)
 			by[n].Drop()
 		}
-		backoff.For(ctx, t.For)
+		backoff.Sleep(ctx, t.For)
 		for _, n := range struck {
 			s.unreached[n].Store(false)
 		}
@@ -254,7 +254,7 @@
 		for _, n := range struck {
 			s.muted[n].Store(true)
 		}
-		backoff.For(ctx, t.For)
+		backoff.Sleep(ctx, t.For)
 		for _, n := range struck {
 			s.muted[n].Store(false)
 		}
@@ -262,7 +262,7 @@
 		for _, n := range struck {
 			s.net.Dumb(n, true)
 		}
-		backoff.For(ctx, t.For)
+		backoff.Sleep(ctx, t.For)
 		for _, n := range struck {
 			s.net.Dumb(n, false)
 		}
@@ -270,7 +270,7 @@
 		for _, n := range struck {
 			s.reports[n].Store(int64(t.Size * 1000))
 		}
-		backoff.For(ctx, t.For)
+		backoff.Sleep(ctx, t.For)
 		for _, n := range struck {
 			s.reports[n].Store(1000)
 		}
@@ -278,7 +278,7 @@
 		for _, n := range struck {
 			by[n].Kill()
 		}
-		if !backoff.For(ctx, t.For) {
+		if !backoff.Sleep(ctx, t.For) {
 			return nil
 		}
 		for _, n := range struck {
@@ -289,13 +289,13 @@
 	case "proxy_roll":
 		for _, n := range struck {
 			by[n].Kill()
-			if !backoff.For(ctx, t.Extra) {
+			if !backoff.Sleep(ctx, t.Extra) {
 				return nil
 			}
 			if err := by[n].Start(); err != nil {
 				return err
 			}
-			backoff.For(ctx, t.Every)
+			backoff.Sleep(ctx, t.Every)
 		}
 	}
 	return nil
@@ -319,14 +319,14 @@
 					return err
 				}
 				s.own.Add(eventlog.Event{What: eventlog.Note, Peer: st.name, Text: "handed over"})
-				backoff.For(ctx, t.Every)
+				backoff.Sleep(ctx, t.Every)
 			}
 		}
 	case "pilot_kill":
 		for _, st := range struck {
 			s.stopPilot(st, true)
 		}
-		if !backoff.For(ctx, t.For) {
+		if !backoff.Sleep(ctx, t.For) {
 			return nil
 		}
 		for _, st := range struck {
@@ -337,13 +337,13 @@
 	case "pilot_roll":
 		for _, st := range struck {
 			s.stopPilot(st, false)
-			if !backoff.For(ctx, t.Extra) {
+			if !backoff.Sleep(ctx, t.Extra) {
 				return nil
 			}
 			if err := s.startPilot(st, false); err != nil {
 				return err
 			}
-			backoff.For(ctx, t.Every)
+			backoff.Sleep(ctx, t.Every)
 		}
 	case "reload":
 		for _, st := range struck {
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -71,11 +71,11 @@
 
 var transports = []transport{
 	{"framed", func(in *inbox, ring *identity.Ring) server {
-		return framed.NewServer(framed.Door{Pilot: "one", Beat: beat, Period: time.Second, WriteDeadline: time.Second,
+		return framed.NewServer(framed.ListenerConfig{Pilot: "one", Beat: beat, Period: time.Second, WriteDeadline: time.Second,
 			SeenWithin: seen, HelloDeadline: time.Second, MaxStreams: 5000, Queue: 64}, in, zap.NewNop())
 	}, proxy.Framed},
 	{"grpc", func(in *inbox, ring *identity.Ring) server {
-		return grpcapi.New(grpcapi.Door{Pilot: "one", Beat: beat, Period: time.Second, SeenWithin: seen,
+		return grpcapi.New(grpcapi.ListenerConfig{Pilot: "one", Beat: beat, Period: time.Second, SeenWithin: seen,
 			HelloIn: time.Second, MaxMessage: 1 << 20, MaxStreams: 5000, QueueLines: 4000, Keys: ring}, in, zap.NewNop())
 	}, func(c *tls.Config) proxy.Joiner { return proxy.GRPC(c, false) }},
 }
--- a/internal/transport/gossip/peers.go
+++ b/internal/transport/gossip/peers.go
@@ -63,8 +63,8 @@
 	return from, number, text, err
 }
 
-// Post is one pilot's socket for notes.
-type Post struct {
+// Service is one pilot's socket for notes.
+type Service struct {
 	conn  net.PacketConn
 	rank  int
 	peers map[int]net.Addr
@@ -77,8 +77,8 @@
 }
 
 // Open returns a post on an open socket. Peers are addresses by rank.
-func Open(conn net.PacketConn, rank int, peers map[int]string, inbox controller.Inbox, log *zap.Logger) (*Post, error) {
-	p := &Post{conn: conn, rank: rank, peers: map[int]net.Addr{}, inbox: inbox, log: log,
+func Open(conn net.PacketConn, rank int, peers map[int]string, inbox controller.Inbox, log *zap.Logger) (*Service, error) {
+	p := &Service{conn: conn, rank: rank, peers: map[int]net.Addr{}, inbox: inbox, log: log,
 		pace: rate.NewLimiter(1000, 1000), once: map[int]*identity.Once{}}
 	for r, name := range peers {
 		a, err := net.ResolveUDPAddr("udp", name)
@@ -91,7 +91,7 @@
 }
 
 // Tell sends a text to a peer, or to all with -1.
-func (p *Post) Tell(peer int, text string) {
+func (p *Service) Tell(peer int, text string) {
 	for r, a := range p.peers {
 		if r == p.rank || peer >= 0 && r != peer {
 			continue
@@ -110,7 +110,7 @@
 }
 
 // Run takes in notes until ctx ends. More than a thousand a second are dropped: they could only harm the loop.
-func (p *Post) Run(ctx context.Context) error {
+func (p *Service) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = p.conn.Close() })
 	defer stop()
 	buf := make([]byte, headBytes+identity.SealBytes+MaxText+1)
@@ -137,7 +137,7 @@
 }
 
 // open takes a datagram apart, if it is one that may count.
-func (p *Post) open(b []byte) (rank int, text string, err error) {
+func (p *Service) open(b []byte) (rank int, text string, err error) {
 	if p.Secret == nil {
 		return Decode(b)
 	}
@@ -148,8 +148,8 @@
 	return rank, text, err
 }
 
-// Nobody is for pilots that have no peers to talk to.
-type Nobody struct{}
+// Disabled is for pilots that have no peers to talk to.
+type Disabled struct{}
 
 // Tell does nothing.
-func (Nobody) Tell(int, string) {}
+func (Disabled) Tell(int, string) {}
--- a/internal/transport/gossip/peers_test.go
+++ b/internal/transport/gossip/peers_test.go
@@ -41,7 +41,7 @@
 		sockets[r], at[r] = c, c.LocalAddr().String()
 	}
 	in := inbox(make(chan controller.Input, 8))
-	var posts []*Post
+	var posts []*Service
 	for r := range 2 {
 		p, err := Open(sockets[r], r, at, in, zap.NewNop())
 		require.NoError(t, err)
@@ -79,7 +79,7 @@
 	require.NoError(t, err)
 	b, err := identity.LoadSecret(others)
 	require.NoError(t, err)
-	p := &Post{Secret: a, once: map[int]*identity.Once{3: {}}}
+	p := &Service{Secret: a, once: map[int]*identity.Once{3: {}}}
 	note, err := seal(a, 3, "load 0.7")
 	require.NoError(t, err)
 	strange, err := seal(b, 3, "load 0.1")
--- a/internal/transport/grpcapi/server.go
+++ b/internal/transport/grpcapi/server.go
@@ -26,8 +26,8 @@
 	pb "indigousher/proto/indigousher/v1"
 )
 
-// Door says how streams are kept.
-type Door struct {
+// ListenerConfig says how streams are kept.
+type ListenerConfig struct {
 	Pilot      string
 	Beat       time.Duration
 	Period     time.Duration
@@ -48,7 +48,7 @@
 // Server follows proxies.
 type Server struct {
 	pb.UnimplementedControlServer
-	door  Door
+	door  ListenerConfig
 	inbox controller.Inbox
 	log   *zap.Logger
 	pace  *rate.Limiter
@@ -60,7 +60,7 @@
 }
 
 // New returns a server that does not listen. Others may register on Registrar before Serve.
-func New(d Door, inbox controller.Inbox, log *zap.Logger) *Server {
+func New(d ListenerConfig, inbox controller.Inbox, log *zap.Logger) *Server {
 	s := &Server{door: d, inbox: inbox, log: log, live: map[*stream]bool{},
 		pace: rate.NewLimiter(rate.Limit(max(d.NewPerS, 1)), herd)}
 	if d.NewPerS <= 0 {
@@ -90,7 +90,7 @@
 		defer close(done)
 		s.mu.Lock()
 		for st := range s.live {
-			st.end.Say("this pilot stops", &pb.Downward{Says: &pb.Downward_Redirect{Redirect: &pb.Redirect{Reason: "this pilot stops"}}})
+			st.end.CloseWith("this pilot stops", &pb.Downward{Says: &pb.Downward_Redirect{Redirect: &pb.Redirect{Reason: "this pilot stops"}}})
 		}
 		s.mu.Unlock()
 		gone := make(chan struct{})
@@ -153,8 +153,8 @@
 	heard := make(chan error, 1)
 	go func() { heard <- s.hear(g, st) }()
 	err = s.speak(ctx, g, st, heard)
-	st.end.End("")
-	log.Info("stream ended", zap.String("why", st.end.Why()), zap.Error(err))
+	st.end.Close("")
+	log.Info("stream ended", zap.String("why", st.end.Reason()), zap.Error(err))
 	lctx, cancel := context.WithTimeout(s.ctx, time.Second)
 	defer cancel()
 	_ = s.inbox.Post(lctx, controller.ProxyLeft{Stream: st}) // fails only as the loop has ended
@@ -163,7 +163,7 @@
 
 // greet reads and checks the hello. What is wrong with an identity only operators hear.
 func (s *Server) greet(g grpc.BidiStreamingServer[pb.Upward, pb.Downward]) (*wire.Hello, error) {
-	m, err := handshake.First(s.door.HelloIn, "a hello must come first", g.Recv)
+	m, err := handshake.ReceiveFirst(s.door.HelloIn, "a hello must come first", g.Recv)
 	if err != nil {
 		return nil, err
 	}
@@ -287,11 +287,11 @@
 			return ctx.Err()
 		case <-s.ctx.Done():
 			return status.Error(codes.Unavailable, "this pilot is gone")
-		case <-st.end.Gone():
-			if word, has := st.end.Word(); has {
-				return errors.Join(g.Send(word), status.Error(codes.Unavailable, st.end.Why()))
+		case <-st.end.Done():
+			if word, has := st.end.LastMessage(); has {
+				return errors.Join(g.Send(word), status.Error(codes.Unavailable, st.end.Reason()))
 			}
-			return status.Error(codes.Unavailable, st.end.Why())
+			return status.Error(codes.Unavailable, st.end.Reason())
 		case <-st.wake:
 			if m = st.next(); m == nil {
 				continue
