--- a/internal/controller/relayed.go
+++ b/internal/controller/relayed.go
@@ -13,9 +13,9 @@
 // Relay carries what one turn ordered to proxies whose streams others hold. It queues and paces by itself: the core
 // lays no messages out and its channel stays empty. Carry must not block and keeps nothing of what it is given.
 type Relay interface {
-	Carry(turn []planner.Command, endpoint func(i int) string)
+	Enqueue(turn []planner.Command, endpoint func(i int) string)
 	// Gone says that what waits for a proxy is void.
-	Gone(proxy int)
+	ProxyLeft(proxy int)
 }
 
 // RelayProxyJoined says that a proxy, known by its number, has joined the relay in this pilot's charge; Stood, that it stands
@@ -119,7 +119,7 @@
 		return notes
 	}
 	delete(c.relayed, proxy)
-	c.plan.Relay.Gone(proxy)
+	c.plan.Relay.ProxyLeft(proxy)
 	return append(notes, planner.ProxyLeft{Proxy: proxy})
 }
 
@@ -186,7 +186,7 @@
 // handOver gives the relay what the turn ordered.
 func (c *Core) handOver() {
 	if len(c.turn) > 0 {
-		c.plan.Relay.Carry(c.turn, c.endpoints.Name)
+		c.plan.Relay.Enqueue(c.turn, c.endpoints.Name)
 		clear(c.turn)
 		c.turn = c.turn[:0]
 	}
--- a/internal/controller/relayed_test.go
+++ b/internal/controller/relayed_test.go
@@ -17,7 +17,7 @@
 	names  map[string]bool
 }
 
-func (c *carried) Carry(turn []planner.Command, endpoint func(int) string) {
+func (c *carried) Enqueue(turn []planner.Command, endpoint func(int) string) {
 	c.orders += len(turn)
 	for _, o := range turn {
 		if l, ok := o.(planner.SetWeight); ok {
@@ -25,7 +25,7 @@
 		}
 	}
 }
-func (c *carried) Gone(proxy int) { c.gone = append(c.gone, proxy) }
+func (c *carried) ProxyLeft(proxy int) { c.gone = append(c.gone, proxy) }
 
 func relayedCore(d Decider) (*Core, *carried) {
 	k := &carried{names: map[string]bool{}}
--- a/internal/platform/listener/listener.go
+++ b/internal/platform/listener/listener.go
@@ -35,7 +35,7 @@
 )
 
 // Counters of what came, for the pilot's book-keeping.
-type Counters struct{ Accepted, Collectors, Reports, Spoilt, Refused, Silent, Evicted atomic.Int64 }
+type Counters struct{ Accepted, Collectors, Reports, Malformed, Refused, Silent, Evicted atomic.Int64 }
 
 // Listener accepts connections.
 type Listener struct {
@@ -260,7 +260,7 @@
 		}
 		in, readable := report(&w, line)
 		if in == nil {
-			d.Counters.Spoilt.Add(1)
+			d.Counters.Malformed.Add(1)
 			if spoilt++; readable {
 				spoilt = 0
 			}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -39,9 +39,9 @@
 	placement *placement.Placement
 	loop      *controller.Loop
 	listener  *listener.Listener
-	orders    *relay.Orders
-	events    *relay.Events
-	agent     *discovery.Agent
+	orders    *relay.Sender
+	events    *relay.EventStream
+	agent     *discovery.Client
 	counters  relay.Counters
 	reread    func() (*placement.Placement, error)
 }
@@ -57,9 +57,9 @@
 	x := &Pilot{log: log, placement: p, reread: reread}
 	kinds := p.Deployment.Kinds.All()
 	box := &inbox{}
-	x.orders = relay.NewOrders(p.Relay.Address, kinds, box, &x.counters, log)
+	x.orders = relay.NewSender(p.Relay.Address, kinds, box, &x.counters, log)
 	x.agent = discovery.New(p.Discovery, !p.OnRequest, box, log)
-	x.events = relay.NewEvents(p.Relay.Address, box, &x.counters, log)
+	x.events = relay.NewEventStream(p.Relay.Address, box, &x.counters, log)
 	spare := float64(p.Limits.Sockets - ownSockets)
 	x.listener = listener.New(p.Deployment.Zones.All(), int(spare*strangers), box, log)
 	core := controller.NewCore(controller.Options{Decider: planner.New(p.Seed, p.Deployment.Terms), Settings: p.Deployment.Terms,
@@ -85,7 +85,7 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	if known := x.placement.Remembered; known != nil {
+	if known := x.placement.Cached; known != nil {
 		if err := x.loop.Post(ctx, controller.EndpointsListed{List: known, Cached: true}); err != nil {
 			return err
 		}
@@ -140,10 +140,10 @@
 		return false
 	}
 	x.log.Info("reloaded", zap.String("discovery", now.Discovery), zap.String("relay", now.Relay.Address),
-		zap.Strings("want a restart", placement.Restart(x.placement, now)))
-	x.agent.Move(now.Discovery)
-	x.orders.Move(now.Relay.Address)
-	x.events.Move(now.Relay.Address)
+		zap.Strings("want a restart", placement.RequiresRestart(x.placement, now)))
+	x.agent.SetAddress(now.Discovery)
+	x.orders.SetAddress(now.Relay.Address)
+	x.events.SetAddress(now.Relay.Address)
 	return true
 }
 
@@ -158,9 +158,9 @@
 		zap.Int64("dropped", c.Dropped.Load()), zap.Int64("uncertain", c.Uncertain.Load()),
 		zap.Int64("calls", c.Calls.Load()), zap.Int64("failed", c.Failed.Load()), zap.Int64("probes", c.Probes.Load()),
 		zap.Int64("events", c.Events.Load()), zap.Int64("gaps", c.Gaps.Load()),
-		zap.Int64("reports", d.Reports.Load()), zap.Int64("spoilt", d.Spoilt.Load()),
+		zap.Int64("reports", d.Reports.Load()), zap.Int64("spoilt", d.Malformed.Load()),
 		zap.Int64("accepted", d.Accepted.Load()), zap.Int64("refused", d.Refused.Load()),
 		zap.Int64("silent", d.Silent.Load()), zap.Int64("evicted", d.Evicted.Load()),
 		zap.Int64("list calls", a.Calls.Load()), zap.Int64("failed calls", a.Failed.Load()), zap.Int64("lists", a.Lists.Load()),
-		zap.Int64("odd entries", a.Odd.Load()))
+		zap.Int64("odd entries", a.Malformed.Load()))
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -42,7 +42,7 @@
 // kept keeps what a core hands to its relay.
 type kept struct{ lines []string }
 
-func (k *kept) Carry(turn []planner.Command, endpoint func(int) string) {
+func (k *kept) Enqueue(turn []planner.Command, endpoint func(int) string) {
 	for _, o := range turn {
 		switch o := o.(type) {
 		case planner.SetWeight:
@@ -54,7 +54,7 @@
 		}
 	}
 }
-func (k *kept) Gone(int) {}
+func (k *kept) ProxyLeft(int) {}
 
 // TestSameSettingsSameOrders guards that simulator and platform give the module the same: one translation of settings
 // and names, the same notes, and so the same orders.
