--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -100,7 +100,7 @@
 	post     *gossip.Service
 	follow   *grpcapi.Server
 	xds      *xds.Server
-	ring     *identity.Ring
+	ring     *identity.KeyStore
 	streams  net.Listener
 	grpc     net.Listener
 	admin    net.Listener
@@ -263,7 +263,7 @@
 		if left := time.Until(d.ring.Expires()); left < warnBefore {
 			d.outfit.Log.Warn("certificate ends soon", zap.Duration("in", left.Round(time.Second)))
 		}
-		if err := d.ring.Wrong(); err != nil {
+		if err := d.ring.Err(); err != nil {
 			d.outfit.Log.Error("keys can't be read anew, the old ones stand", zap.Error(err))
 		}
 		select {
--- a/internal/daemon/transports_test.go
+++ b/internal/daemon/transports_test.go
@@ -177,7 +177,7 @@
 		}
 		return &counted{c, &read}, nil
 	}
-	rings := map[string]*identity.Ring{}
+	rings := map[string]*identity.KeyStore{}
 	s := &sight{at: map[string]time.Time{}}
 	ctx, cancel := context.WithCancel(b.Context())
 	var wg sync.WaitGroup
--- a/internal/rehearsal/stage.go
+++ b/internal/rehearsal/stage.go
@@ -417,7 +417,7 @@
 }
 
 // ring issues and loads keys for one that takes part.
-func (s *stage) ring(who identity.Identity) (*identity.Ring, error) {
+func (s *stage) ring(who identity.Identity) (*identity.KeyStore, error) {
 	f, err := s.authority.Issue(s.keyDir, who, time.Now().Add(-time.Minute), time.Hour)
 	if err != nil {
 		return nil, err
--- a/internal/transport/framed/framed.go
+++ b/internal/transport/framed/framed.go
@@ -193,7 +193,7 @@
 		refusal = fmt.Sprintf("version %d is not spoken here, %d is", hello.Version, wire.Version)
 	}
 	if tc, sealed := st.conn.(*tls.Conn); sealed && refusal == "" {
-		if who, err := identity.Peer(tc.ConnectionState()); err != nil || who.Name != hello.Proxy || who.Zone != hello.Zone {
+		if who, err := identity.FromConnection(tc.ConnectionState()); err != nil || who.Name != hello.Proxy || who.Zone != hello.Zone {
 			_, werr := w.Write(&wire.Refuse{Reason: "not let in"})
 			return nil, errors.Join(fmt.Errorf("%s says it is %s of %s: %w", who, hello.Proxy, hello.Zone, identity.ErrIdentity), err, werr)
 		}
--- a/internal/transport/gossip/peers.go
+++ b/internal/transport/gossip/peers.go
@@ -73,19 +73,19 @@
 	pace  *rate.Limiter
 	// Secret, if not nil, seals all notes; nothing else is taken in.
 	Secret *identity.Secret
-	once   map[int]*identity.Once
+	once   map[int]*identity.ReplayFilter
 }
 
 // Open returns a post on an open socket. Peers are addresses by rank.
 func Open(conn net.PacketConn, rank int, peers map[int]string, inbox controller.Inbox, log *zap.Logger) (*Service, error) {
 	p := &Service{conn: conn, rank: rank, peers: map[int]net.Addr{}, inbox: inbox, log: log,
-		pace: rate.NewLimiter(1000, 1000), once: map[int]*identity.Once{}}
+		pace: rate.NewLimiter(1000, 1000), once: map[int]*identity.ReplayFilter{}}
 	for r, name := range peers {
 		a, err := net.ResolveUDPAddr("udp", name)
 		if err != nil {
 			return nil, fmt.Errorf("address of pilot %d: %w", r, err)
 		}
-		p.peers[r], p.once[r] = a, &identity.Once{}
+		p.peers[r], p.once[r] = a, &identity.ReplayFilter{}
 	}
 	return p, nil
 }
@@ -142,7 +142,7 @@
 		return Decode(b)
 	}
 	rank, number, text, err := unseal(p.Secret, b)
-	if err == nil && p.once[rank] != nil && !p.once[rank].New(number) {
+	if err == nil && p.once[rank] != nil && !p.once[rank].Accept(number) {
 		return rank, "", fmt.Errorf("it came before: %w", ErrDatagram)
 	}
 	return rank, text, err
--- a/internal/transport/gossip/peers_test.go
+++ b/internal/transport/gossip/peers_test.go
@@ -79,7 +79,7 @@
 	require.NoError(t, err)
 	b, err := identity.LoadSecret(others)
 	require.NoError(t, err)
-	p := &Service{Secret: a, once: map[int]*identity.Once{3: {}}}
+	p := &Service{Secret: a, once: map[int]*identity.ReplayFilter{3: {}}}
 	note, err := seal(a, 3, "load 0.7")
 	require.NoError(t, err)
 	strange, err := seal(b, 3, "load 0.1")
@@ -112,7 +112,7 @@
 	assert.Equal(t, "load 0.2", text)
 	require.NoError(t, os.WriteFile(ours, []byte("not hex\n"), 0o600))
 	time.Sleep(250 * time.Millisecond)
-	assert.ErrorContains(t, a.Wrong(), "ours:1: no key")
+	assert.ErrorContains(t, a.Err(), "ours:1: no key")
 	_, err = seal(a, 3, "goes on")
 	assert.NoError(t, err)
 }
--- a/internal/transport/grpcapi/server.go
+++ b/internal/transport/grpcapi/server.go
@@ -35,9 +35,9 @@
 	HelloIn    time.Duration
 	MaxMessage int
 	MaxStreams int
-	QueueLines int            // that may wait for one stream; they collapse to the newest state first
-	NewPerS    float64        // streams let in a second; a herd waits its turn
-	Keys       *identity.Ring // nil: plain text
+	QueueLines int                // that may wait for one stream; they collapse to the newest state first
+	NewPerS    float64            // streams let in a second; a herd waits its turn
+	Keys       *identity.KeyStore // nil: plain text
 }
 
 // Figures of the edge's own.
@@ -197,7 +197,7 @@
 	if !ok {
 		return identity.ErrIdentity
 	}
-	i, err := identity.Peer(info.State)
+	i, err := identity.FromConnection(info.State)
 	if err != nil {
 		return err
 	}
