--- a/cmd/indigousher/records.go
+++ b/cmd/indigousher/records.go
@@ -60,7 +60,7 @@
 		if err != nil {
 			return err
 		}
-		other = t.ForModule(t.Rank)
+		other = t.PlannerSettings(t.Rank)
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "life\tterms\tspan\tturns\tnotes\tgaps\tmessages\tlines\tset\tremoved\tshut out\tlevels\tbinds\tmost waiting\ttables\tfailed\testimated\tmean ms\testimated\ttrusted\ttook")
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -296,7 +296,7 @@
 }
 
 // setLines notes how many lines a kind has.
-func (p *proxyState) setLines(e eventlog.Event, kinds []config.ReqKind) {
+func (p *proxyState) setLines(e eventlog.Event, kinds []config.RequestClass) {
 	p.lines[e.Kind] = e.N
 	p.empty = false
 	for _, k := range kinds {
@@ -335,7 +335,7 @@
 }
 
 // anyWarm returns whether a pilot's list shows a ready, warm endpoint open to a kind.
-func (a *Auditor) anyWarm(p *pilotState, zone string, k config.ReqKind) bool {
+func (a *Auditor) anyWarm(p *pilotState, zone string, k config.RequestClass) bool {
 	for _, t := range p.told {
 		if t.phase == wire.PhaseReady && a.tick-t.started >= float64(a.terms.Cold.Milliseconds()) &&
 			(len(k.OnlyMachines) == 0 || slices.Contains(k.OnlyMachines, t.machine)) &&
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -194,13 +194,13 @@
 		everywhere: map[int]planner.SetAdmission{}, withdrawn: map[int]bool{}, slices: map[int]keyRange{}, relayed: map[int]bool{}, retired: map[int]float64{}, stamps: map[int]startStamp{},
 		Channel: NewChannel(p.LinesPerS, p.Backlog, p.MaxMessages, p.MessagesOverMs, p.Metrics)}
 	for _, z := range p.Zones {
-		c.zones.In(z)
+		c.zones.Intern(z)
 	}
 	for _, m := range p.Machines {
-		c.machines.In(m)
+		c.machines.Intern(m)
 	}
 	for _, k := range p.Classes {
-		c.kinds.In(k)
+		c.kinds.Intern(k)
 	}
 	c.gate, c.listed = newGate(p.Telemetry, p.Classes), map[string]wire.Entry{}
 	return c
@@ -371,7 +371,7 @@
 			in.Stream.Close("too many proxies")
 			return notes
 		}
-		proxy = c.proxies.In(in.Hello.Proxy)
+		proxy = c.proxies.Intern(in.Hello.Proxy)
 	}
 	if old := c.sessions[proxy]; old != nil {
 		notes = append(notes, c.drop(old))
@@ -449,7 +449,7 @@
 			}
 			c.stamps[i] = startStamp{e.Started, told}
 		}
-		entry := planner.Entry{Endpoint: i, Zone: zone, Machine: c.machines.In(e.Machine), Cell: e.Cell,
+		entry := planner.Entry{Endpoint: i, Zone: zone, Machine: c.machines.Intern(e.Machine), Cell: e.Cell,
 			Phase: planner.Phase(e.Phase), Weight: e.Weight, Started: c.stamps[i].toldMs}
 		named[i] = true
 		if c.plan.Relay == nil {
--- a/internal/controller/relayed.go
+++ b/internal/controller/relayed.go
@@ -82,7 +82,7 @@
 		c.ReportStats.Reports++
 		c.ReportStats.SpanMs += in.SpanMs
 		return append(notes, planner.EndpointStats{Endpoint: endpoint, Zone: zone, Attempts: in.Attempts, Failed: in.Failed,
-			MeanMs: in.MeanMs, SpanMs: in.SpanMs, Load: settings.Load(in.Load)})
+			MeanMs: in.MeanMs, SpanMs: in.SpanMs, Load: settings.ParseLoad(in.Load)})
 	case ProxyStats:
 		kind, known := c.kinds.Find(in.Class)
 		if !known || !c.provides(in.Proxy) {
@@ -150,7 +150,7 @@
 			return i
 		}
 	}
-	return c.endpoints.In(e.Endpoint)
+	return c.endpoints.Intern(e.Endpoint)
 }
 
 // retire notes which endpoints are off the list.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -173,18 +173,18 @@
 	log := d.outfit.Log
 	plan := func(told map[string]any) controller.Options {
 		return controller.Options{Decider: d.outfit.Decide(int64(t.Seed), told), Settings: told, Zones: t.Zones,
-			Machines: t.Machines, Classes: t.KindNames(), LinesPerS: t.LinesPerS, Backlog: t.Backlog, HeadLines: t.HeadLines,
+			Machines: t.Machines, Classes: t.ClassNames(), LinesPerS: t.LinesPerS, Backlog: t.Backlog, HeadLines: t.HeadLines,
 			MaxMessages: t.MessagesMost, MessagesOverMs: float64(t.MessagesOver.Milliseconds()),
-			Telemetry: t.Intake(), MaxProxies: t.MostProxies, EndpointSource: d.source, HealthChecker: prober, Gossip: notes,
+			Telemetry: t.TelemetryOptions(), MaxProxies: t.MostProxies, EndpointSource: d.source, HealthChecker: prober, Gossip: notes,
 			Log:       func(text string) { log.Info(text, zap.String("by", "module")) },
 			Malformed: func(what string, fields ...string) { log.Warn(what, zap.Strings("about", fields)) },
 			Metrics:   d.meter}
 	}
-	live := plan(t.ForModule(t.Rank))
+	live := plan(t.PlannerSettings(t.Rank))
 	var offset float64
 	if t.RecordDir != "" {
 		var core *controller.Core
-		core, offset, err = d.openRecord(t, &live, func() controller.Options { return held(plan(t.ForModule(t.Rank))) })
+		core, offset, err = d.openRecord(t, &live, func() controller.Options { return held(plan(t.PlannerSettings(t.Rank))) })
 		if err != nil {
 			return err
 		}
@@ -215,7 +215,7 @@
 		if d.ring != nil {
 			claims = grpcapi.Claims
 		}
-		d.xds = xds.New(xds.ListenerConfig{Kinds: t.KindNames(), Period: t.Period, SeenWithin: t.SeenWithin,
+		d.xds = xds.New(xds.ListenerConfig{Kinds: t.ClassNames(), Period: t.Period, SeenWithin: t.SeenWithin,
 			HelloIn: t.HelloDeadline, MaxStreams: t.MaxStreams, Claims: claims}, d.loop, log.Named("xds"))
 		d.xds.Register(d.follow.Registrar())
 	}
@@ -467,7 +467,7 @@
 	if len(changed) == 0 {
 		return nil, restart, nil
 	}
-	if err := d.loop.Post(ctx, controller.SettingsChanged{Settings: now.Live()}); err != nil {
+	if err := d.loop.Post(ctx, controller.SettingsChanged{Settings: now.ReloadableSettings()}); err != nil {
 		return nil, nil, fmt.Errorf("reload: %w", err)
 	}
 	if d.outfit.Level != nil {
--- a/internal/daemon/recorded.go
+++ b/internal/daemon/recorded.go
@@ -112,7 +112,7 @@
 
 // toldTerms is what the module is told, as a life keeps it.
 func toldTerms(t *config.Pilot) (string, error) {
-	told, err := json.Marshal(t.ForModule(t.Rank))
+	told, err := json.Marshal(t.PlannerSettings(t.Rank))
 	if err != nil {
 		return "", fmt.Errorf("record terms: %w", err)
 	}
--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -52,7 +52,7 @@
 			entries := fleet()
 			l.Put(0, entries...)
 			t := config.Defaults()
-			t.Zones, t.Machines, t.Kinds = zones, []string{"std"}, []config.ReqKind{{Name: "read", Repeats: "replayable",
+			t.Zones, t.Machines, t.Kinds = zones, []string{"std"}, []config.RequestClass{{Name: "read", Repeats: "replayable",
 				ResponseTarget: time.Second, ClientTimeout: 3 * time.Second, Payoff: 1}}
 			t.Zone, t.Listen, t.Admin, t.ListAddress = "a", "127.0.0.1:0", "", l.Address()
 			t.Proxies, t.LinesPerS, t.Backlog = manyProxies, pace, 1.5*pace
@@ -146,11 +146,11 @@
 func benchmarkCore(b *testing.B, recorded bool) {
 	c := config.CommonDefaults()
 	c.Zones, c.Machines, c.Proxies, c.LinesPerS, c.Backlog = zones, []string{"std"}, manyProxies, 20000, 30000
-	c.Kinds = []config.ReqKind{{Name: "read", Repeats: "replayable", ResponseTarget: time.Second, Payoff: 1}}
-	told := c.ForModule(0)
+	c.Kinds = []config.RequestClass{{Name: "read", Repeats: "replayable", ResponseTarget: time.Second, Payoff: 1}}
+	told := c.PlannerSettings(0)
 	timed := &timed{Decider: planner.New(1, told)}
 	var core *controller.Core
-	plan := controller.Options{Decider: timed, Settings: told, Zones: zones, Machines: c.Machines, Classes: c.KindNames(),
+	plan := controller.Options{Decider: timed, Settings: told, Zones: zones, Machines: c.Machines, Classes: c.ClassNames(),
 		LinesPerS: c.LinesPerS, Backlog: c.Backlog, HeadLines: 4, Telemetry: telemetry.Options{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000}, MaxProxies: 1 << 16, EndpointSource: idle{},
 		HealthChecker: idle{}, Gossip: idle{}, Log: func(string) {}, Malformed: func(string, ...string) {}}
 	var w *record.Writer
--- a/internal/daemon/transports_test.go
+++ b/internal/daemon/transports_test.go
@@ -151,7 +151,7 @@
 		return f
 	}
 	t := config.Defaults()
-	t.Zones, t.Machines, t.Kinds = zones, []string{"std"}, []config.ReqKind{{Name: "read", Repeats: "replayable",
+	t.Zones, t.Machines, t.Kinds = zones, []string{"std"}, []config.RequestClass{{Name: "read", Repeats: "replayable",
 		ResponseTarget: time.Second, ClientTimeout: 3 * time.Second, Payoff: 1}}
 	t.Zone, t.Listen, t.Admin, t.Proxies, t.LinesPerS, t.Backlog, t.MessagesMost = "a", "127.0.0.1:0", "", many, 1e9, 1e9, 0
 	t.GRPC, t.Plain, t.Beat, t.NewPerS, t.SeenWithin, t.MaxStreams = "127.0.0.1:0", !sealed, 20*time.Second, 0, time.Minute, 5000
--- a/internal/emulator/pilot.go
+++ b/internal/emulator/pilot.go
@@ -67,10 +67,10 @@
 	w.note(s.place.name, eventlog.Event{What: eventlog.Start, Kind: "pilot", Text: s.place.zone})
 	r := &pilotRun{s: s, born: w.now, wakeAt: -1}
 	s.run = r
-	told := s.terms.ForModule(s.rank)
+	told := s.terms.PlannerSettings(s.rank)
 	plan := controller.Options{Decider: w.decide(int64(s.terms.Seed), told), Settings: told, Zones: s.terms.Zones, Machines: s.terms.Machines,
-		Classes: s.terms.KindNames(), LinesPerS: s.terms.LinesPerS, Backlog: s.terms.Backlog, HeadLines: s.terms.HeadLines,
-		MaxMessages: s.terms.MessagesMost, MessagesOverMs: float64(s.terms.MessagesOver.Milliseconds()), Telemetry: s.terms.Intake(),
+		Classes: s.terms.ClassNames(), LinesPerS: s.terms.LinesPerS, Backlog: s.terms.Backlog, HeadLines: s.terms.HeadLines,
+		MaxMessages: s.terms.MessagesMost, MessagesOverMs: float64(s.terms.MessagesOver.Milliseconds()), Telemetry: s.terms.TelemetryOptions(),
 		MaxProxies: s.terms.MostProxies, EndpointSource: listEnd{s, r}, HealthChecker: probeEnd{s, r}, Gossip: peerEnd{s, r},
 		Log: func(text string) { w.say(s, text) }, Malformed: func(what string, fields ...string) { w.odd(what, fields) }}
 	begin := Start{AtMs: w.now}
@@ -306,5 +306,5 @@
 func (r *pilotRun) reload(times float64) {
 	t := &r.s.terms
 	t.LinesPerS *= times
-	r.s.post(controller.SettingsChanged{Settings: t.Live()})
+	r.s.post(controller.SettingsChanged{Settings: t.ReloadableSettings()})
 }
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -212,7 +212,7 @@
 	for i, z := range d.ProxyZones {
 		p := &plain{w: w, place: place{fmt.Sprintf("proxy-%s-%d", z, counts[z]), z}, rate: d.Rate / float64(len(d.ProxyZones)),
 			home: i, seed: uint64(d.Seed*1000 + i), reports: 1, heed: true,
-			habits: routing.Habits{Kinds: d.KindNames(), Pick: d.Pick, EjectsAfter: d.EjectsAfter, EjectMs: ms(d.EjectFor),
+			habits: routing.Habits{Kinds: d.ClassNames(), Pick: d.Pick, EjectsAfter: d.EjectsAfter, EjectMs: ms(d.EjectFor),
 				TryAgain: d.RetryHow}}
 		p.heed = !slices.Contains(d.Heedless, p.place.name)
 		counts[z]++
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -99,10 +99,10 @@
 	if !diags.HasErrors() {
 		diags = config.Read(body, []config.Field{{Name: "about", Into: &p.About}, {Name: "day", Into: &p.Day, Needed: true},
 			{Name: "repeats", Into: &p.Repeats, Least: 1, Most: 10000}, {Name: "budget", Into: &p.Budget, Least: 1},
-			{Name: "policies", Into: &p.Policies}}, []config.Sub{{Name: "factor", Labels: 1, Read: p.factor}})
+			{Name: "policies", Into: &p.Policies}}, []config.Block{{Name: "factor", Labels: 1, Read: p.factor}})
 	}
 	if diags.HasErrors() {
-		return nil, config.Complaints(diags)
+		return nil, config.DiagnosticsError(diags)
 	}
 	for _, x := range p.Policies {
 		if !slices.Contains(policies(), x) {
--- a/internal/platform/placement/config.go
+++ b/internal/platform/placement/config.go
@@ -165,12 +165,12 @@
 	if len(p.Settings) == 0 {
 		return errors.New("settings are missing")
 	}
-	p.Deployment = settings.Read(p.Settings)
-	terms := p.Deployment.Terms
+	p.Deployment = settings.Parse(p.Settings)
+	terms := p.Deployment.Settings
 	if n := len(p.Deployment.Zones.All()); n == 0 || n > mostZones {
 		return fmt.Errorf("settings: %d zones", n)
 	}
-	if len(p.Deployment.Kinds.All()) == 0 {
+	if len(p.Deployment.Classes.All()) == 0 {
 		return errors.New("settings: no req kinds")
 	}
 	proxies, err := number(terms, "proxy_count", 1, mostProxies)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -55,14 +55,14 @@
 // New puts a pilot together. Reread reads the configuration again.
 func New(p *placement.Placement, reread func() (*placement.Placement, error), log *zap.Logger) *Pilot {
 	x := &Pilot{log: log, placement: p, reread: reread}
-	kinds := p.Deployment.Kinds.All()
+	kinds := p.Deployment.Classes.All()
 	box := &inbox{}
 	x.orders = relay.NewSender(p.Relay.Address, kinds, box, &x.counters, log)
 	x.agent = discovery.New(p.Discovery, !p.OnRequest, box, log)
 	x.events = relay.NewEventStream(p.Relay.Address, box, &x.counters, log)
 	spare := float64(p.Limits.Sockets - ownSockets)
 	x.listener = listener.New(p.Deployment.Zones.All(), int(spare*strangers), box, log)
-	core := controller.NewCore(controller.Options{Decider: planner.New(p.Seed, p.Deployment.Terms), Settings: p.Deployment.Terms,
+	core := controller.NewCore(controller.Options{Decider: planner.New(p.Seed, p.Deployment.Settings), Settings: p.Deployment.Settings,
 		Zones: p.Deployment.Zones.All(), Machines: p.Deployment.Machines.All(), Classes: kinds, MaxProxies: p.Proxies,
 		EndpointSource: x.agent, HealthChecker: healthcheck.Disabled{}, Gossip: gossip.Disabled{}, Relay: x.orders,
 		Log: func(text string) { log.Info(text) }, Malformed: func(what string, fields ...string) {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -60,8 +60,8 @@
 // and names, the same notes, and so the same orders.
 func TestSameSettingsSameOrders(t *testing.T) {
 	p, k := newPlacement(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1"), &kept{}
-	c := controller.NewCore(controller.Options{Decider: planner.New(5, p.Deployment.Terms), Settings: p.Deployment.Terms, Zones: p.Deployment.Zones.All(),
-		Machines: p.Deployment.Machines.All(), Classes: p.Deployment.Kinds.All(), MaxProxies: p.Proxies, Relay: k, EndpointSource: x{}, HealthChecker: healthcheck.Disabled{},
+	c := controller.NewCore(controller.Options{Decider: planner.New(5, p.Deployment.Settings), Settings: p.Deployment.Settings, Zones: p.Deployment.Zones.All(),
+		Machines: p.Deployment.Machines.All(), Classes: p.Deployment.Classes.All(), MaxProxies: p.Proxies, Relay: k, EndpointSource: x{}, HealthChecker: healthcheck.Disabled{},
 		Gossip: gossip.Disabled{}, Log: func(string) {}, Malformed: func(what string, _ ...string) { t.Error(what) }})
 	entries, hosts := []wire.Entry{}, []string{}
 	for i := range 6 {
--- a/internal/rehearsal/stage.go
+++ b/internal/rehearsal/stage.go
@@ -382,7 +382,7 @@
 	if err != nil {
 		return err
 	}
-	p := proxy.New(proxy.Make{Name: name, Zone: zone, Habits: routing.Habits{Kinds: s.Day.KindNames(), Pick: s.Day.Pick,
+	p := proxy.New(proxy.Make{Name: name, Zone: zone, Habits: routing.Habits{Kinds: s.Day.ClassNames(), Pick: s.Day.Pick,
 		EjectsAfter: s.Day.EjectsAfter, EjectMs: float64(s.Day.EjectFor.Milliseconds()), TryAgain: s.Day.RetryHow},
 		Rate: s.Day.Rate / float64(len(s.Day.ProxyZones)), Standing: func() []string { return s.standing(zone) },
 		Pilots: func() []string { return s.reach(zone, number, down, over) }, Join: join, Dial: s.net.Dialer(place, time.Second),
--- a/internal/rehearsal/strike.go
+++ b/internal/rehearsal/strike.go
@@ -365,7 +365,7 @@
 	}
 	d := h.Daemon()
 	now.LinesPerS *= t.Size
-	now.Kinds = append([]config.ReqKind{}, now.Kinds...)
+	now.Kinds = append([]config.RequestClass{}, now.Kinds...)
 	now.MaxStreams++
 	changed, restart, err := d.Reload(ctx, &now)
 	if err != nil {
--- a/internal/scenario/day.go
+++ b/internal/scenario/day.go
@@ -113,7 +113,7 @@
 func Read(name string, text []byte) (*Day, error) {
 	body, diags := config.Open(name, text)
 	if diags.HasErrors() {
-		return nil, config.Complaints(diags)
+		return nil, config.DiagnosticsError(diags)
 	}
 	d := &Day{Common: config.CommonDefaults(), Name: strings.TrimSuffix(path.Base(name), ".hcl"), Length: 40 * time.Second,
 		Seed: 1, Times: 1, Standing: 4, Redial: 300 * time.Millisecond, Apply: 20 * time.Microsecond, EjectFor: 3 * time.Second,
@@ -121,14 +121,14 @@
 		IntakeLinesPerS: 20_000, IntakeStanding: 10_000, ListLate: 700 * time.Millisecond, Rate: 100, Backoff: 100 * time.Millisecond, Uneven: 0.5}
 	d.Fall, d.Cold = time.Second, 8*time.Second
 	if diags = d.inherit(body); diags.HasErrors() {
-		return nil, config.Complaints(diags)
+		return nil, config.DiagnosticsError(diags)
 	}
-	diags = config.Read(body, append(d.lists(), d.fields()...), append(d.Common.Subs(), d.subs()...))
+	diags = config.Read(body, append(d.lists(), d.fields()...), append(d.Common.Blocks(), d.subs()...))
 	if !diags.HasErrors() {
 		diags = append(diags, d.check(body)...)
 	}
 	if diags.HasErrors() {
-		return nil, config.Complaints(diags)
+		return nil, config.DiagnosticsError(diags)
 	}
 	d.ProxyZones = slices.Repeat(d.ProxyZones, d.Times)
 	d.Times = 1
@@ -139,7 +139,7 @@
 
 // lists are the attributes that a day which is like another need not repeat.
 func (d *Day) lists() []config.Field {
-	fields := d.Common.Lists()
+	fields := d.Common.Attributes()
 	for i := range fields {
 		fields[i].Needed = fields[i].Needed && d.Like == ""
 	}
@@ -182,11 +182,11 @@
 		{Name: "seed", Into: &d.Seed}, {Name: "like", Into: &d.Like}}
 }
 
-func (d *Day) subs() []config.Sub {
-	block := func(name string, fields ...config.Field) config.Sub {
-		return config.Sub{Name: name, Most: 1, Fields: fields}
+func (d *Day) subs() []config.Block {
+	block := func(name string, fields ...config.Field) config.Block {
+		return config.Block{Name: name, Most: 1, Fields: fields}
 	}
-	return []config.Sub{
+	return []config.Block{
 		block("fleet", config.Field{Name: "grpc", Into: &d.OverGRPC}, config.Field{Name: "keys", Into: &d.Keys},
 			config.Field{Name: "record", Into: &d.Record},
 			config.Field{Name: "times", Into: &d.Times, Least: 1, Most: 100000},
@@ -250,7 +250,7 @@
 		}
 	}
 	for _, x := range d.Demands {
-		if !slices.Contains(d.KindNames(), x.Kind) {
+		if !slices.Contains(d.ClassNames(), x.Kind) {
 			say("demand for %q, which is no req_kind", x.Kind)
 		}
 	}
--- a/internal/settings/variants_test.go
+++ b/internal/settings/variants_test.go
@@ -94,8 +94,8 @@
 			v := &variant{}
 			_, err := toml.DecodeFile(file, v)
 			require.NoError(t, err)
-			d := Read(v.settings())
-			terms := d.Terms
+			d := Parse(v.settings())
+			terms := d.Settings
 			assert.Equal(t, v.Net.Zones, d.Zones.All())
 			assert.Len(t, d.Machines.All(), len(v.Tier[0].Kind))
 			for name, price := range v.Prices {
@@ -117,7 +117,7 @@
 			require.Len(t, kinds, len(v.Class))
 			for i, c := range v.Class {
 				kind, _ := kinds[i].(map[string]any)
-				assert.Equal(t, c.Name, d.Kinds.Name(i))
+				assert.Equal(t, c.Name, d.Classes.Name(i))
 				for ours, want := range map[string]any{"response_target": c.Aim, "client_timeout": c.Deadline, "payoff": c.Worth,
 					"late_payoff": c.Late, "repeats": ourEffects[c.Effect], "group": c.Group, "window": c.Window} {
 					assert.Equal(t, want, kind[ours], "%s %s", c.Name, ours)
@@ -148,7 +148,7 @@
 	for p := range 20 * d.Zones.Len() {
 		notes = append(notes, planner.ProxyJoined{Proxy: p, Zone: p % d.Zones.Len(), Rate: 5})
 	}
-	b, lines, bound := planner.New(1, d.Terms), map[int]map[int]float64{}, map[string]int{}
+	b, lines, bound := planner.New(1, d.Settings), map[int]map[int]float64{}, map[string]int{}
 	for s := range 60 {
 		for _, o := range b.Handle(float64(500*s), notes) {
 			switch o := o.(type) {
@@ -158,7 +158,7 @@
 				}
 				lines[o.Table][o.Endpoint] = o.Weight
 			case planner.AssignTable:
-				for k := range d.Kinds.Len() {
+				for k := range d.Classes.Len() {
 					if o.Classes == 0 || o.Classes&(1<<k) != 0 {
 						bound[fmt.Sprint(o.Proxy, "/", k)] = o.Table
 					}
--- a/internal/simulator/host.go
+++ b/internal/simulator/host.go
@@ -197,9 +197,9 @@
 
 // start makes an instance from its first event.
 func start(e *event, clock int64) *pilot {
-	d := settings.Read(e.Setup)
-	return &pilot{name: e.Instance, origin: clock, joined: map[int]bool{}, zones: d.Zones, kinds: d.Kinds,
-		models: d.Machines, brain: planner.New(e.Seed, d.Terms)}
+	d := settings.Parse(e.Setup)
+	return &pilot{name: e.Instance, origin: clock, joined: map[int]bool{}, zones: d.Zones, kinds: d.Classes,
+		models: d.Machines, brain: planner.New(e.Seed, d.Settings)}
 }
 
 // handle runs the module and turns a panic in it into the wire's fault.
@@ -239,30 +239,30 @@
 	case "bell":
 		return planner.TimerFired{Name: e.Ref}, nil
 	case "ping_result":
-		return planner.HealthCheckResult{Endpoint: p.endpoints.In(e.Endpoint), OK: e.Result == "S", Outcome: e.Result,
-			TookMs: e.Wait / settings.NsPerMs, Load: settings.Load(e.Load)}, nil
+		return planner.HealthCheckResult{Endpoint: p.endpoints.Intern(e.Endpoint), OK: e.Result == "S", Outcome: e.Result,
+			TookMs: e.Wait / settings.NsPerMs, Load: settings.ParseLoad(e.Load)}, nil
 	case "peer":
 		return planner.Gossip{From: e.By, Text: e.Contents}, nil
 	case "stream_up":
 		if !planner.ValidRate(e.Heft) {
 			return nil, fmt.Errorf("rate %g of proxy %d is out of range", e.Heft, e.Edge)
 		}
-		return planner.ProxyJoined{Proxy: e.Edge, Zone: p.zones.In(e.Zone), Rate: e.Heft, Fresh: e.Active}, nil
+		return planner.ProxyJoined{Proxy: e.Edge, Zone: p.zones.Intern(e.Zone), Rate: e.Heft, Fresh: e.Active}, nil
 	case "stream_down":
 		return planner.ProxyLeft{Proxy: e.Edge}, nil
 	case "tally":
-		return planner.EndpointStats{Endpoint: p.endpoints.In(e.Endpoint), Zone: p.zones.In(e.Zone), Attempts: e.Count,
-			Failed: e.Errors, MeanMs: e.Wait / settings.NsPerMs, SpanMs: e.Covers / settings.NsPerMs, Load: settings.Load(e.Load)}, nil
+		return planner.EndpointStats{Endpoint: p.endpoints.Intern(e.Endpoint), Zone: p.zones.Intern(e.Zone), Attempts: e.Count,
+			Failed: e.Errors, MeanMs: e.Wait / settings.NsPerMs, SpanMs: e.Covers / settings.NsPerMs, Load: settings.ParseLoad(e.Load)}, nil
 	case "proxy_stats":
-		return planner.RequestStats{Proxy: e.Edge, Class: p.kinds.In(e.Qos), Requests: e.Count, Unanswered: e.Errors,
+		return planner.RequestStats{Proxy: e.Edge, Class: p.kinds.Intern(e.Qos), Requests: e.Count, Unanswered: e.Errors,
 			SpanMs: e.Covers / settings.NsPerMs}, nil
 	case "weight_seen":
-		return planner.SliceStats{Slice: e.Table, Class: p.kinds.In(e.Qos), Requests: e.Count, Unanswered: e.Errors,
+		return planner.SliceStats{Slice: e.Table, Class: p.kinds.Intern(e.Qos), Requests: e.Count, Unanswered: e.Errors,
 			SpanMs: e.Covers / settings.NsPerMs}, nil
 	case "handed":
 		return planner.SliceAssignment{Slice: e.Table, Assigned: e.Active}, nil
 	case "stored_line":
-		return planner.SliceWeight{Slice: e.Table, Endpoint: p.endpoints.In(e.Endpoint), Weight: e.Heft}, nil
+		return planner.SliceWeight{Slice: e.Table, Endpoint: p.endpoints.Intern(e.Endpoint), Weight: e.Heft}, nil
 	case "confirmed":
 		return planner.Ack{Proxy: e.Edge, Number: e.Epoch, TookMs: e.Wait / settings.NsPerMs}, nil
 	}
@@ -287,8 +287,8 @@
 		if !planner.ValidWeight(h.Heft) {
 			return nil, fmt.Errorf("weight %g of endpoint %q is out of range", h.Heft, h.Endpoint)
 		}
-		entry := planner.Entry{Endpoint: p.endpoints.In(h.Endpoint), Zone: p.zones.In(h.Zone),
-			Machine: p.models.In(h.Machine), Cell: h.Cell, Phase: phase, Weight: h.Heft}
+		entry := planner.Entry{Endpoint: p.endpoints.Intern(h.Endpoint), Zone: p.zones.Intern(h.Zone),
+			Machine: p.models.Intern(h.Machine), Cell: h.Cell, Phase: phase, Weight: h.Heft}
 		if h.Launched != 0 {
 			entry.Started = p.ms(h.Launched)
 		}
@@ -335,7 +335,7 @@
 
 // named adds an endpoint's id to an action.
 func (p *pilot) named(endpoint int, act map[string]any) (map[string]any, error) {
-	name, err := p.endpoints.Out(endpoint)
+	name, err := p.endpoints.Lookup(endpoint)
 	if err != nil {
 		return nil, fmt.Errorf("%v: %w", act["kind"], err)
 	}
--- a/internal/testbed/loadgen/client.go
+++ b/internal/testbed/loadgen/client.go
@@ -64,7 +64,7 @@
 	l := Load{Rate: d.Rate, Over: d.Length, Retries: d.Retries, Backoff: d.Backoff, Seed: uint64(d.Seed),
 		Keys: d.Slices * scenario.KeysEach}
 	for _, x := range d.Demands {
-		k := d.Kinds[slices.Index(d.KindNames(), x.Kind)]
+		k := d.Kinds[slices.Index(d.ClassNames(), x.Kind)]
 		l.Kinds = append(l.Kinds, Kind{Name: x.Kind, Share: x.Share, CV: x.CV, Timeout: k.ClientTimeout,
 			WorkMs: float64(x.Work) / float64(time.Millisecond), Replayable: k.Repeats != "non-replayable"})
 	}
