--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -102,10 +102,10 @@
 		{"more, over a longer time", ShortQueue, false, messages(60, 350)},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			r := Judge(append(stage(), x.events...), &c, map[string]string{"x:1": "x", "y:1": "y"})
+			r := Check(append(stage(), x.events...), &c, map[string]string{"x:1": "x", "y:1": "y"})
 			for i := range r.Verdicts {
 				v := &r.Verdicts[i]
-				assert.Equal(t, x.broken && v.Rule == x.rule, !v.Kept(), "%s: %v", v.Rule, v.Breaches)
+				assert.Equal(t, x.broken && v.Rule == x.rule, !v.Kept(), "%s: %v", v.Rule, v.Violations)
 			}
 
 			if x.broken {
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -13,8 +13,8 @@
 	"indigousher/planner"
 )
 
-// Make makes a policy for one pilot.
-type Make func(seed int64, terms map[string]any) controller.Decider
+// Factory makes a policy for one pilot.
+type Factory func(seed int64, terms map[string]any) controller.Decider
 
 // Names lists the policies that Named knows, in the order in which they are shown.
 func Names() []string {
@@ -22,8 +22,8 @@
 }
 
 // Named returns a policy by name.
-func Named(name string) (Make, error) {
-	of := func(plan func(*policy, int) map[int]float64, everyMs float64, own bool) Make {
+func Named(name string) (Factory, error) {
+	of := func(plan func(*policy, int) map[int]float64, everyMs float64, own bool) Factory {
 		return func(seed int64, _ map[string]any) controller.Decider {
 			return &policy{seed: seed, plan: plan, everyMs: everyMs, own: own, listed: map[int]planner.Entry{}, proxies: map[int]planner.ProxyJoined{},
 				tables: map[int]map[int]float64{}, util: map[int]float64{}, weight: map[int]float64{}}
--- a/internal/emulator/pilot.go
+++ b/internal/emulator/pilot.go
@@ -74,7 +74,7 @@
 		MaxProxies: s.terms.MostProxies, EndpointSource: listEnd{s, r}, HealthChecker: probeEnd{s, r}, Gossip: peerEnd{s, r},
 		Log: func(text string) { w.say(s, text) }, Malformed: func(what string, fields ...string) { w.odd(what, fields) }}
 	begin := Start{AtMs: w.now}
-	if w.Day.Record {
+	if w.Scenario.Record {
 		plan = s.recover(plan, r, &begin)
 	}
 	if r.core == nil {
@@ -151,7 +151,7 @@
 	if r == nil {
 		return
 	}
-	if !force && s.w.Day.Record {
+	if !force && s.w.Scenario.Record {
 		s.commit(r)
 	}
 	s.run = nil
--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/rehearsal/rehearsal_test.go
@@ -29,10 +29,10 @@
 			t.Parallel()
 			day, err := scenario.Load(name)
 			require.NoError(t, err)
-			o, err := Play{Day: day}.Run(t.Context())
+			o, err := Play{Scenario: day}.Run(t.Context())
 			require.NoError(t, err)
 			for _, v := range o.Report.Verdicts {
-				assert.True(t, v.Kept(), "%s: %v", v.Rule, v.Breaches)
+				assert.True(t, v.Kept(), "%s: %v", v.Rule, v.Violations)
 				assert.True(t, v.Checked > 0 || v.Rule == audit.ColdKept, "%s was not looked at", v.Rule)
 			}
 			assert.Greater(t, o.Report.Service.All.Share(), 0.8)
@@ -156,7 +156,7 @@
 			t.Parallel()
 			day, err := scenario.Read(c.name+".hcl", []byte("like = \"quiet\"\nlength = \"9s\"\nlist {\n late = \"200ms\"\n}\n"+c.day))
 			require.NoError(t, err)
-			o, err := Play{Day: day, Decide: func(seed int64, terms map[string]any) controller.Decider {
+			o, err := Play{Scenario: day, Decide: func(seed int64, terms map[string]any) controller.Decider {
 				return &meddler{planner.New(seed, terms), c.spoil}
 			}}.Run(t.Context())
 			require.NoError(t, err)
@@ -171,7 +171,7 @@
 
 // TestDaysRead guards the shipped days against slips of the pen.
 func TestDaysRead(t *testing.T) {
-	for _, name := range scenario.Days() {
+	for _, name := range scenario.Names() {
 		_, err := scenario.Load(name)
 		assert.NoError(t, err, name)
 	}
@@ -185,12 +185,12 @@
 	day, err := scenario.Load("bad-day-short")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
-	day.Troubles = day.Troubles[:4]
+	day.Faults = day.Faults[:4]
 	go func() {
 		backoff.Sleep(ctx, 3_000_000_000)
 		cancel()
 	}()
-	_, err = Play{Day: day}.Run(ctx)
+	_, err = Play{Scenario: day}.Run(ctx)
 	assert.ErrorIs(t, err, context.Canceled)
 }
 
@@ -243,7 +243,7 @@
 `))
 	require.NoError(t, err)
 	told, mu := map[string]*[2]float64{}, &sync.Mutex{}
-	o, err := Play{Day: day, Decide: func(seed int64, terms map[string]any) controller.Decider {
+	o, err := Play{Scenario: day, Decide: func(seed int64, terms map[string]any) controller.Decider {
 		return &listener{planner.New(seed, terms), mu, told}
 	}}.Run(t.Context())
 	require.NoError(t, err)
--- a/internal/rehearsal/strike.go
+++ b/internal/rehearsal/strike.go
@@ -20,7 +20,7 @@
 )
 
 // strike plays one trouble from its beginning to its end.
-func (s *stage) strike(ctx context.Context, t scenario.Trouble) error {
+func (s *stage) strike(ctx context.Context, t scenario.Fault) error {
 	switch t.What {
 	case "hang", "fast_errors", "class_fail", "handshake_slow", "answers_twice":
 		s.moods(ctx, t)
@@ -65,7 +65,7 @@
 	return errors.Join(errs...)
 }
 
-func (s *stage) endpointsOf(t scenario.Trouble) (struck []*endpoint.Endpoint) {
+func (s *stage) endpointsOf(t scenario.Fault) (struck []*endpoint.Endpoint) {
 	s.mu.Lock()
 	var names []string
 	by := map[string]*endpoint.Endpoint{}
@@ -83,7 +83,7 @@
 }
 
 // moods plays what changes how endpoints answer.
-func (s *stage) moods(ctx context.Context, t scenario.Trouble) {
+func (s *stage) moods(ctx context.Context, t scenario.Fault) {
 	struck := s.endpointsOf(t)
 	for _, e := range struck {
 		switch t.What {
@@ -106,8 +106,8 @@
 }
 
 // machine plays what happens to one endpoint's process.
-func (s *stage) machine(ctx context.Context, t scenario.Trouble, e *endpoint.Endpoint, i int) error {
-	late := s.Day.ListLate
+func (s *stage) machine(ctx context.Context, t scenario.Fault, e *endpoint.Endpoint, i int) error {
+	late := s.Scenario.ListLate
 	switch t.What {
 	case "vanish":
 		s.net.Dumb(e.Name, true)
@@ -141,7 +141,7 @@
 		}
 		backoff.Sleep(ctx, t.Extra)
 		s.tell(e.Name, late, func(x *wire.Entry) { x.Phase = wire.PhaseDraining })
-		backoff.Sleep(ctx, late+s.Day.DrainGrace+500*time.Millisecond)
+		backoff.Sleep(ctx, late+s.Scenario.DrainGrace+500*time.Millisecond)
 		e.Kill()
 		s.tell(e.Name, late, func(x *wire.Entry) { x.Phase = wire.PhaseGone })
 	case "flapping":
@@ -155,7 +155,7 @@
 	if err := e.Start(true); err != nil {
 		return err
 	}
-	s.tell(e.Name, s.Day.ListLate, func(x *wire.Entry) {
+	s.tell(e.Name, s.Scenario.ListLate, func(x *wire.Entry) {
 		x.Phase, x.Started = wire.PhaseReady, registry.Stamp(time.Now())
 	})
 	return nil
@@ -163,7 +163,7 @@
 
 // successor starts a new machine beside one that goes.
 func (s *stage) successor(e *endpoint.Endpoint, late time.Duration) error {
-	group := slices.IndexFunc(s.Day.Groups, func(g scenario.Group) bool { return g.Zone == e.Zone && g.Machine == e.Machine })
+	group := slices.IndexFunc(s.Scenario.Groups, func(g scenario.Group) bool { return g.Zone == e.Zone && g.Machine == e.Machine })
 	name := e.Name + "-next"
 	if _, err := s.addEndpoint(name, group, true); err != nil {
 		return fmt.Errorf("replace %s: %w", e.Name, err)
@@ -173,7 +173,7 @@
 }
 
 // flap lets an endpoint fail and recover by turns, each of its own length.
-func (s *stage) flap(ctx context.Context, t scenario.Trouble, e *endpoint.Endpoint, i int) error {
+func (s *stage) flap(ctx context.Context, t scenario.Fault, e *endpoint.Endpoint, i int) error {
 	until := time.Now().Add(t.For)
 	turn := t.Every + time.Duration(i)*t.Every/7
 	for ctx.Err() == nil && time.Now().Before(until) {
@@ -191,11 +191,11 @@
 }
 
 // zoneLoss takes a zone's endpoints, and with a size over a half its proxies and pilots.
-func (s *stage) zoneLoss(ctx context.Context, t scenario.Trouble) error {
+func (s *stage) zoneLoss(ctx context.Context, t scenario.Fault) error {
 	struck := s.endpointsOf(t)
 	for _, e := range struck {
 		e.Kill()
-		s.tell(e.Name, 4*s.Day.ListLate, func(x *wire.Entry) { x.Phase = wire.PhaseGone })
+		s.tell(e.Name, 4*s.Scenario.ListLate, func(x *wire.Entry) { x.Phase = wire.PhaseGone })
 	}
 	var proxies []*proxy.Proxy
 	var pilots []*seat
@@ -229,7 +229,7 @@
 	return errors.Join(errs...)
 }
 
-func (s *stage) proxyTrouble(ctx context.Context, t scenario.Trouble) error {
+func (s *stage) proxyTrouble(ctx context.Context, t scenario.Fault) error {
 	var names []string
 	by := map[string]*proxy.Proxy{}
 	for _, p := range s.proxies {
@@ -301,7 +301,7 @@
 	return nil
 }
 
-func (s *stage) pilotTrouble(ctx context.Context, t scenario.Trouble) error {
+func (s *stage) pilotTrouble(ctx context.Context, t scenario.Fault) error {
 	var names []string
 	for _, st := range s.pilots {
 		names = append(names, st.name)
@@ -356,7 +356,7 @@
 }
 
 // reload hands a running pilot new terms: a channel of another pace, and a zone list that wants a restart.
-func (s *stage) reload(ctx context.Context, st *seat, t scenario.Trouble) error {
+func (s *stage) reload(ctx context.Context, st *seat, t scenario.Fault) error {
 	st.mu.Lock()
 	h, now := st.h, st.terms
 	st.mu.Unlock()
--- a/internal/testbed/loadgen/client.go
+++ b/internal/testbed/loadgen/client.go
@@ -59,10 +59,10 @@
 
 // Of makes the clients' load of a day and of its troubles. Callers' weights are drawn from the day's seed, the same on
 // sockets and in virtual time.
-func Of(d *scenario.Day) Load {
+func Of(d *scenario.Scenario) Load {
 	rnd := rand.New(rand.NewPCG(uint64(d.Seed), 47))
 	l := Load{Rate: d.Rate, Over: d.Length, Retries: d.Retries, Backoff: d.Backoff, Seed: uint64(d.Seed),
-		Keys: d.Slices * scenario.KeysEach}
+		Keys: d.Slices * scenario.KeysPerSlice}
 	for _, x := range d.Demands {
 		k := d.Kinds[slices.Index(d.ClassNames(), x.Kind)]
 		l.Kinds = append(l.Kinds, Kind{Name: x.Kind, Share: x.Share, CV: x.CV, Timeout: k.ClientTimeout,
@@ -71,7 +71,7 @@
 	for range d.ProxyZones {
 		l.Weights = append(l.Weights, math.Exp(d.Uneven*rnd.NormFloat64()))
 	}
-	for _, t := range d.Troubles {
+	for _, t := range d.Faults {
 		w := Swell{From: t.At, For: t.For, Times: t.Size}
 		switch t.What {
 		case "burst":
