--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -134,7 +134,7 @@
 				holds = append(holds, e.Endpoint)
 			}
 		}
-		v.follow = routing.NewFollower(routing.Habits{Kinds: []string{"read"}}, holds, 1)
+		v.follow = routing.NewFollower(routing.Policy{Kinds: []string{"read"}}, holds, 1)
 		v.follow.Joined()
 		t.handle(ProxyJoined{v, wire.Hello{Proxy: v.name, Zone: v.zone, Rate: 2, Holds: holds}})
 	}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -71,17 +71,17 @@
 }
 
 // following starts a proxy of the stand-ins that follows a pilot.
-func following(t *testing.T, name string, pilots func() []string) *eventlog.Book {
-	book := eventlog.NewBook()
-	p := proxy.New(proxy.Make{Name: name, Zone: "a", Habits: routing.Habits{Kinds: []string{"read"}}, Rate: 1,
+func following(t *testing.T, name string, pilots func() []string) *eventlog.Log {
+	book := eventlog.NewLog()
+	p := proxy.New(proxy.Options{Name: name, Zone: "a", Habits: routing.Policy{Kinds: []string{"read"}}, Rate: 1,
 		Standing: func() []string { return []string{"old:1"} }, Pilots: pilots, Dial: (&net.Dialer{}).DialContext,
-		Redial: 20 * time.Millisecond}, book.Trail(name))
+		Redial: 20 * time.Millisecond}, book.Stream(name))
 	require.NoError(t, p.Start())
 	t.Cleanup(p.Kill)
 	return book
 }
 
-func count(b *eventlog.Book, what eventlog.What) (n int) {
+func count(b *eventlog.Log, what eventlog.What) (n int) {
 	for _, e := range b.Events() {
 		if e.What == what {
 			n++
--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -45,8 +45,8 @@
 func BenchmarkListChange(b *testing.B) {
 	for _, pace := range []float64{12000, 1e9} {
 		b.Run(fmt.Sprintf("lines_per_s=%.0e", pace), func(b *testing.B) {
-			book := eventlog.NewBook()
-			l := registry.New(book.Trail("list"))
+			book := eventlog.NewLog()
+			l := registry.New(book.Stream("list"))
 			require.NoError(b, l.Start())
 			defer l.Close()
 			entries := fleet()
@@ -62,9 +62,9 @@
 			stop, ended := runB(b, d)
 			for i := range manyProxies {
 				name := fmt.Sprintf("p%d", i)
-				p := proxy.New(proxy.Make{Name: name, Zone: zones[i%3], Habits: routing.Habits{Kinds: []string{"read"}}, Rate: 2,
+				p := proxy.New(proxy.Options{Name: name, Zone: zones[i%3], Habits: routing.Policy{Kinds: []string{"read"}}, Rate: 2,
 					Standing: func() []string { return nil }, Pilots: func() []string { return []string{d.Address()} },
-					Dial: (&net.Dialer{}).DialContext, Redial: 50 * time.Millisecond}, book.Trail(name))
+					Dial: (&net.Dialer{}).DialContext, Redial: 50 * time.Millisecond}, book.Stream(name))
 				require.NoError(b, p.Start())
 				defer p.Kill()
 			}
--- a/internal/daemon/transports_test.go
+++ b/internal/daemon/transports_test.go
@@ -142,7 +142,7 @@
 }
 
 func measure(b *testing.B, transport string, many int, authority *identity.Authority) {
-	l := registry.New(eventlog.NewBook().Trail("list"))
+	l := registry.New(eventlog.NewLog().Stream("list"))
 	sealed := transport == "framed+tls" || transport == "grpc+tls"
 	dir, from := b.TempDir(), time.Now().Add(-time.Minute)
 	issue := func(role identity.Role, zone, name string) identity.Files {
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -14,7 +14,7 @@
 type plain struct {
 	w       *World
 	place   place
-	habits  routing.Habits
+	habits  routing.Policy
 	rate    float64
 	home    int // number among the pilots of its zone
 	life    *plainLife
@@ -33,7 +33,7 @@
 	stream *stream
 	lines  []int
 	rnd    *rand.Rand
-	wish   routing.Wish
+	wish   routing.ReportRequest
 	period float64
 	busy   float64 // until when it applies lines and stands still
 	conns  map[string]*conn
@@ -162,7 +162,7 @@
 	li.stream = &stream{w: p.w, li: li, to: to, run: to.run}
 	to.streams[li.stream] = true
 	li.follow.Joined()
-	li.wish = routing.Wish{}
+	li.wish = routing.ReportRequest{}
 	p.w.note(p.place.name, eventlog.Event{What: eventlog.Join, Peer: to.place.name, Kind: p.place.zone})
 	to.post(controller.ProxyJoined{Stream: li.stream, Hello: hello})
 	li.period = p.w.period
@@ -416,7 +416,7 @@
 func (s *stream) Ask(m *wire.Pace) error {
 	s.w.ways.carry(s.to.place, s.li.p.place, func() {
 		if !s.ended && s.li.p.heed {
-			s.li.wish = routing.Wish{Lines: m.Lines, Changes: m.Changes}
+			s.li.wish = routing.ReportRequest{Lines: m.Lines, Changes: m.Changes}
 			s.li.period = math.Max(1, float64(m.PeriodMs))
 		}
 	})
--- a/internal/emulator/trouble.go
+++ b/internal/emulator/trouble.go
@@ -62,11 +62,11 @@
 	for _, m := range struck {
 		switch t.What {
 		case "hang":
-			m.mood = endpoint.Mood{Hang: true, OnlyFor: t.Kind}
+			m.mood = endpoint.FaultMode{Hang: true, OnlyFor: t.Kind}
 		case "fast_errors", "class_fail":
-			m.mood = endpoint.Mood{Errors: t.Size, OnlyFor: t.Kind}
+			m.mood = endpoint.FaultMode{Errors: t.Size, OnlyFor: t.Kind}
 		case "handshake_slow":
-			m.mood = endpoint.Mood{Shakes: t.Size}
+			m.mood = endpoint.FaultMode{Shakes: t.Size}
 			w.slowDial[m.Name] = ms(t.Extra)
 		case "pause":
 			m.pausing = w.now + ms(t.For)
@@ -74,7 +74,7 @@
 	}
 	w.After(ms(t.For), func() {
 		for _, m := range struck {
-			m.mood = endpoint.Mood{}
+			m.mood = endpoint.FaultMode{}
 			delete(w.slowDial, m.Name)
 		}
 	})
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -212,7 +212,7 @@
 	for i, z := range d.ProxyZones {
 		p := &plain{w: w, place: place{fmt.Sprintf("proxy-%s-%d", z, counts[z]), z}, rate: d.Rate / float64(len(d.ProxyZones)),
 			home: i, seed: uint64(d.Seed*1000 + i), reports: 1, heed: true,
-			habits: routing.Habits{Kinds: d.ClassNames(), Pick: d.Pick, EjectsAfter: d.EjectsAfter, EjectMs: ms(d.EjectFor),
+			habits: routing.Policy{Kinds: d.ClassNames(), Pick: d.Pick, EjectsAfter: d.EjectsAfter, EjectMs: ms(d.EjectFor),
 				TryAgain: d.RetryHow}}
 		p.heed = !slices.Contains(d.Heedless, p.place.name)
 		counts[z]++
@@ -348,7 +348,7 @@
 }
 
 // ask takes a client's req through its retries.
-func (w *World) ask(name uint64, a loadgen.Asked, k *loadgen.Kind, retries int, backoff float64) {
+func (w *World) ask(name uint64, a loadgen.Request, k *loadgen.Kind, retries int, backoff float64) {
 	w.out.Reqs++
 	start, until := w.now, w.now+ms(k.Timeout)
 	w.note("clients", eventlog.Event{What: eventlog.Asked, Kind: k.Name, Req: name})
@@ -361,7 +361,7 @@
 type asking struct {
 	w            *World
 	name         uint64
-	a            loadgen.Asked
+	a            loadgen.Request
 	k            *loadgen.Kind
 	start, until float64
 	tried        int
--- a/internal/rehearsal/stage.go
+++ b/internal/rehearsal/stage.go
@@ -57,7 +57,7 @@
 // Outcome is what a day left.
 type Outcome struct {
 	Report *audit.Report
-	Book   *eventlog.Book
+	Book   *eventlog.Log
 	Most   controller.State // the most lines and messages that any pilot counted itself
 	Took   time.Duration
 	Zones  map[string]string // of endpoints, by address
@@ -66,10 +66,10 @@
 // stage holds everything that runs.
 type stage struct {
 	Play
-	book      *eventlog.Book
-	own       *eventlog.Trail
-	net       *network.Net
-	list      *registry.List
+	book      *eventlog.Log
+	own       *eventlog.Stream
+	net       *network.Network
+	list      *registry.Registry
 	mu        sync.Mutex
 	endpoints []*endpoint.Endpoint
 	entries   map[string]wire.Entry // as they truly are, by name
@@ -105,12 +105,12 @@
 		p.Log = zap.NewNop()
 	}
 	began := time.Now()
-	s := &stage{Play: p, book: eventlog.NewBook(), entries: map[string]wire.Entry{},
+	s := &stage{Play: p, book: eventlog.NewLog(), entries: map[string]wire.Entry{},
 		unreached: map[string]*atomic.Bool{}, muted: map[string]*atomic.Bool{}, reports: map[string]*atomic.Int64{},
 		rnd: rand.New(rand.NewPCG(uint64(p.Scenario.Seed), 5))}
-	s.own = s.book.Trail("rehearsal")
-	s.net = network.New(s.book.Trail("links"), uint64(p.Scenario.Seed))
-	s.list = registry.New(s.book.Trail("list"))
+	s.own = s.book.Stream("rehearsal")
+	s.net = network.New(s.book.Stream("links"), uint64(p.Scenario.Seed))
+	s.list = registry.New(s.book.Stream("list"))
 	defer s.end()
 	if s.Records == "" {
 		dir, err := os.MkdirTemp("", "indigousher-records-")
@@ -219,7 +219,7 @@
 // startPilot begins a pilot's process, at the address of the first, or has a new one take over from it.
 func (s *stage) startPilot(st *seat, takeOver bool) error {
 	place := network.Place{Name: st.name, Zone: st.zone}
-	s.book.Trail(st.name).Add(eventlog.Event{What: eventlog.Start, Kind: "pilot", Text: st.zone})
+	s.book.Stream(st.name).Add(eventlog.Event{What: eventlog.Start, Kind: "pilot", Text: st.zone})
 	if s.Binary != "" {
 		return s.startProcess(st, place)
 	}
@@ -271,7 +271,7 @@
 	st.mu.Unlock()
 	if p != nil {
 		p.stop(force)
-		s.book.Trail(st.name).Add(eventlog.Event{What: eventlog.Stop})
+		s.book.Stream(st.name).Add(eventlog.Event{What: eventlog.Stop})
 		return
 	}
 	if h == nil {
@@ -283,7 +283,7 @@
 	}
 	cancel()
 	<-done
-	s.book.Trail(st.name).Add(eventlog.Event{What: eventlog.Stop})
+	s.book.Stream(st.name).Add(eventlog.Event{What: eventlog.Stop})
 	s.count(d)
 }
 
@@ -311,7 +311,7 @@
 		Queue: g.Queue, Conns: g.Conns, HandshakeMs: float64(g.Handshake) / float64(time.Millisecond),
 		ReportEvery: 400 * time.Millisecond, ReportLag: 200 * time.Millisecond, Noise: s.Scenario.NoisyReports,
 		Cold: s.Scenario.Cold, ColdFrom: s.Scenario.ColdFrom, FallMultiple: s.Scenario.FallMultiple, Fall: s.Scenario.Fall, ComeBackMs: 200,
-		Effects: effects, Dedup: dedup, Seed: uint64(s.Scenario.Seed + len(name)*7919)}, s.book.Trail(name))
+		Effects: effects, Dedup: dedup, Seed: uint64(s.Scenario.Seed + len(name)*7919)}, s.book.Stream(name))
 	if err := e.Start(cold); err != nil {
 		return nil, err
 	}
@@ -382,14 +382,14 @@
 	if err != nil {
 		return err
 	}
-	p := proxy.New(proxy.Make{Name: name, Zone: zone, Habits: routing.Habits{Kinds: s.Scenario.ClassNames(), Pick: s.Scenario.Pick,
+	p := proxy.New(proxy.Options{Name: name, Zone: zone, Habits: routing.Policy{Kinds: s.Scenario.ClassNames(), Pick: s.Scenario.Pick,
 		EjectsAfter: s.Scenario.EjectsAfter, EjectMs: float64(s.Scenario.EjectFor.Milliseconds()), TryAgain: s.Scenario.RetryHow},
 		Rate: s.Scenario.Rate / float64(len(s.Scenario.ProxyZones)), Standing: func() []string { return s.standing(zone) },
 		Pilots: func() []string { return s.reach(zone, number, down, over) }, Join: join, Dial: s.net.Dialer(place, time.Second),
 		DialTimeout: 250 * time.Millisecond, Redial: s.Scenario.Redial, ApplyPerLine: s.Scenario.Apply, FirstWait: s.Scenario.FirstWait,
 		Targets: targets, Limits: limits, Seed: uint64(s.Scenario.Seed*1000 + number), MuteReads: mute.Load,
 		Reports: func() float64 { return float64(times.Load()) / 1000 }, Heedless: slices.Contains(s.Scenario.Heedless, name)},
-		s.book.Trail(name))
+		s.book.Stream(name))
 	if err := p.Start(); err != nil {
 		return err
 	}
@@ -490,7 +490,7 @@
 			}
 		})
 	}
-	loadgen.NewCrowd(load, s.book.Trail("clients"), addresses).Run(ctx)
+	loadgen.NewClients(load, s.book.Stream("clients"), addresses).Run(ctx)
 	asked := ctx.Err()
 	cancel()
 	wg.Wait()
@@ -519,13 +519,13 @@
 		s.net.Cut(z, false)
 	}
 	for _, e := range s.endpoints {
-		s.net.Dumb(e.Name, false)
+		s.net.SetBlackhole(e.Name, false)
 	}
 	for _, p := range s.proxies {
-		s.net.Dumb(p.Name, false)
+		s.net.SetBlackhole(p.Name, false)
 	}
 	for _, st := range s.pilots {
-		s.net.Dumb(st.name, false)
+		s.net.SetBlackhole(st.name, false)
 	}
 }
 
--- a/internal/rehearsal/strike.go
+++ b/internal/rehearsal/strike.go
@@ -88,19 +88,19 @@
 	for _, e := range struck {
 		switch t.What {
 		case "hang":
-			e.Set(endpoint.Mood{Hang: true, OnlyFor: t.Kind})
+			e.SetFaultMode(endpoint.FaultMode{Hang: true, OnlyFor: t.Kind})
 		case "fast_errors", "class_fail":
-			e.Set(endpoint.Mood{Errors: t.Size, OnlyFor: t.Kind})
+			e.SetFaultMode(endpoint.FaultMode{Errors: t.Size, OnlyFor: t.Kind})
 		case "answers_twice":
-			e.Set(endpoint.Mood{Twice: true})
+			e.SetFaultMode(endpoint.FaultMode{Twice: true})
 		case "handshake_slow":
-			e.Set(endpoint.Mood{Shakes: t.Size})
+			e.SetFaultMode(endpoint.FaultMode{Shakes: t.Size})
 			s.net.SlowDial(e.Name, t.Extra)
 		}
 	}
 	backoff.Sleep(ctx, t.For)
 	for _, e := range struck {
-		e.Set(endpoint.Mood{})
+		e.SetFaultMode(endpoint.FaultMode{})
 		s.net.SlowDial(e.Name, 0)
 	}
 }
@@ -110,11 +110,11 @@
 	late := s.Scenario.ListLate
 	switch t.What {
 	case "vanish":
-		s.net.Dumb(e.Name, true)
+		s.net.SetBlackhole(e.Name, true)
 		s.tell(e.Name, 4*late, func(x *wire.Entry) { x.Phase = wire.PhaseGone })
 		backoff.Sleep(ctx, t.For)
 		e.Kill()
-		s.net.Dumb(e.Name, false)
+		s.net.SetBlackhole(e.Name, false)
 		return s.cold(e)
 	case "crash":
 		e.Kill()
@@ -260,11 +260,11 @@
 		}
 	case "silent": // in the middle of whatever it says
 		for _, n := range struck {
-			s.net.Dumb(n, true)
+			s.net.SetBlackhole(n, true)
 		}
 		backoff.Sleep(ctx, t.For)
 		for _, n := range struck {
-			s.net.Dumb(n, false)
+			s.net.SetBlackhole(n, false)
 		}
 	case "report_burst":
 		for _, n := range struck {
--- a/internal/transport/discovery/list_test.go
+++ b/internal/transport/discovery/list_test.go
@@ -67,7 +67,7 @@
 
 // TestStream guards a source that dies: the last list stands, the loss is told, and a whole list follows its return.
 func TestStream(t *testing.T) {
-	l := standin.New(eventlog.NewBook().Trail("list"))
+	l := standin.New(eventlog.NewLog().Stream("list"))
 	require.NoError(t, l.Start())
 	t.Cleanup(l.Close)
 	l.Put(0, wire.Entry{Endpoint: "x", Zone: "a"})
--- a/recovery/explore_test.go
+++ b/recovery/explore_test.go
@@ -145,7 +145,7 @@
 	w.procs[0] = &process{alive: true, old: &recovery.Predecessor{Patience: 2}, claimed: true, listed: -1}
 	w.procs[1] = &process{alive: true, taker: recovery.NewSuccessor(), act: recovery.Nothing}
 	for i := range w.proxies {
-		w.proxies[i] = &proxy{to: -1, follow: routing.NewFollower(routing.Habits{Kinds: []string{"read"}}, []string{"e0", "e1"}, uint64(i))}
+		w.proxies[i] = &proxy{to: -1, follow: routing.NewFollower(routing.Policy{Kinds: []string{"read"}}, []string{"e0", "e1"}, uint64(i))}
 	}
 	w.begin(0)
 	return w
