--- a/cmd/indigousher/records.go
+++ b/cmd/indigousher/records.go
@@ -13,21 +13,21 @@
 
 	"github.com/spf13/cobra"
 
-	"indigousher/brain"
+	"indigousher/internal/config"
+	"indigousher/internal/controller"
 	"indigousher/internal/daemon"
-	"indigousher/internal/pilot"
 	"indigousher/internal/record"
-	"indigousher/internal/terms"
+	"indigousher/planner"
 )
 
 // errDiffers ends a replay that did not order what was recorded.
 var errDiffers = errors.New("the replay does not order what was recorded")
 
-func module(seed int64, t map[string]any) pilot.Decider { return brain.New(seed, t) }
+func module(seed int64, t map[string]any) controller.Decider { return planner.New(seed, t) }
 
 // withStore opens a store for reading and closes it after use.
 func withStore(dir string, f func(*record.Store) error) error {
-	s, err := daemon.Records(dir)
+	s, err := daemon.OpenRecords(dir)
 	if err != nil {
 		return err
 	}
@@ -56,11 +56,11 @@
 	}
 	var other map[string]any
 	if with != "" {
-		t, err := terms.ReadPilot(with)
+		t, err := config.ReadPilot(with)
 		if err != nil {
 			return err
 		}
-		other = t.ForModule(t.Rank)
+		other = t.PlannerSettings(t.Rank)
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "life\tterms\tspan\tturns\tnotes\tgaps\tmessages\tlines\tset\tremoved\tshut out\tlevels\tbinds\tmost waiting\ttables\tfailed\testimated\tmean ms\testimated\ttrusted\ttook")
@@ -85,7 +85,7 @@
 				return errors.Join(w.Flush(), err)
 			}
 			fmt.Fprintf(w, "%s\t%s\t%.1f s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%016x\t%.4f\t%.4f\t%.1f\t%.1f\t%.2f\t%s\n", l.ID, x.name, r.SpanMs/1000, r.Turns,
-				r.Notes, r.Gaps, r.Messages, r.Lines, r.Sets, r.Zeros, r.Withdrawals, r.Levels, r.Binds, r.MostWaiting, r.Tables,
+				r.Events, r.Gaps, r.Messages, r.Lines, r.Sets, r.Removals, r.Exclusions, r.Levels, r.Assignments, r.MaxQueuedLines, r.Tables,
 				r.Estimate.Recorded, r.Estimate.Failed, r.Estimate.RecordedMs, r.Estimate.MeanMs, r.Estimate.Trusted,
 				time.Since(began).Round(time.Millisecond))
 			if r.FirstDiff != "" {
@@ -122,7 +122,7 @@
 			if err != nil {
 				return err
 			}
-			n, err := s.Prune(record.Bounds{Bytes: int64(mostMB * (1 << 20)), Age: keep}, time.Now())
+			n, err := s.Prune(record.Limits{Bytes: int64(mostMB * (1 << 20)), Age: keep}, time.Now())
 			fmt.Fprintf(cmd.OutOrStdout(), "%d segments dropped\n", n)
 			return errors.Join(err, s.Close())
 		}}
@@ -197,12 +197,8 @@
 				continue
 			}
 			for _, in := range turns[i].Inputs {
-				what := fmt.Sprintf("%+v", in.Note)
-				if in.Message != nil {
-					what = fmt.Sprintf("%+v", in.Message)
-				}
 				if err := table.Write([]string{strconv.FormatFloat(turns[i].AtMs, 'f', 3, 64), in.Kind.String(),
-					strconv.FormatUint(in.Stream, 10), what}); err != nil {
+					strconv.FormatUint(in.Stream, 10), exportText(&in)}); err != nil {
 					return err
 				}
 			}
@@ -212,3 +208,21 @@
 	table.Flush()
 	return errors.Join(err, table.Error())
 }
+
+// exportText is the last column of the CSV form: what came in. The names in it are part of the form, whatever the Go
+// fields are called.
+func exportText(in *record.Input) string {
+	if in.Message != nil {
+		return fmt.Sprintf("%+v", in.Message)
+	}
+	switch e := in.Event.(type) {
+	case planner.EndpointStats:
+		return fmt.Sprintf("{Endpoint:%v Zone:%v Tries:%v Failed:%v MeanMs:%v SpanMs:%v Load:%v}",
+			e.Endpoint, e.Zone, e.Attempts, e.Failed, e.MeanMs, e.SpanMs, e.Load)
+	case planner.RequestStats:
+		return fmt.Sprintf("{Proxy:%v Kind:%v Reqs:%v Unanswered:%v SpanMs:%v}", e.Proxy, e.Class, e.Requests, e.Unanswered, e.SpanMs)
+	case planner.SliceStats:
+		return fmt.Sprintf("{Slice:%v Kind:%v Reqs:%v Unanswered:%v SpanMs:%v}", e.Slice, e.Class, e.Requests, e.Unanswered, e.SpanMs)
+	}
+	return "<nil>"
+}
--- a/cmd/indigousher/rehearse.go
+++ b/cmd/indigousher/rehearse.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
-	"indigousher/internal/day"
 	"indigousher/internal/rehearsal"
+	"indigousher/internal/scenario"
 )
 
 // errBroken ends a rehearsal in which a rule did not hold.
@@ -30,7 +30,7 @@
 			if len(args) > 0 {
 				name = args[0]
 			}
-			day, err := day.Load(name)
+			day, err := scenario.Load(name)
 			if err != nil {
 				return err
 			}
@@ -43,7 +43,7 @@
 			}
 			fmt.Fprintf(out, "%s: %s\n%s, %d proxies, %d pilots\n", day.Name, day.About, day.Length,
 				len(day.ProxyZones), len(day.PilotZones))
-			play := rehearsal.Play{Day: day, Log: log, Say: func(format string, args ...any) {
+			play := rehearsal.Play{Scenario: day, Log: log, Say: func(format string, args ...any) {
 				fmt.Fprintf(out, format+"\n", args...)
 			}}
 			play.Records = records
@@ -85,8 +85,8 @@
 }
 
 func listDays(out io.Writer) error {
-	for _, n := range day.Days() {
-		d, err := day.Load(n)
+	for _, n := range scenario.Names() {
+		d, err := scenario.Load(n)
 		if err != nil {
 			return err
 		}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -16,10 +16,10 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
-	"indigousher/internal/standin/follow"
-	"indigousher/internal/standin/proxy"
-	"indigousher/internal/standin/trail"
-	"indigousher/internal/terms"
+	"indigousher/internal/config"
+	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/proxy"
+	"indigousher/internal/testbed/routing"
 )
 
 func TestMain(m *testing.M) {
@@ -28,14 +28,14 @@
 }
 
 // pilotTerms writes a list file and returns terms that follow it.
-func pilotTerms(t *testing.T, endpoints ...string) *terms.Pilot {
+func pilotTerms(t *testing.T, endpoints ...string) *config.Pilot {
 	path := filepath.Join(t.TempDir(), "endpoints.hcl")
 	text := ""
 	for _, e := range endpoints {
 		text += fmt.Sprintf("endpoint %q {\n  zone = \"a\"\n}\n", e)
 	}
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-	p, err := terms.Parse("p.hcl", []byte(fmt.Sprintf(`zones = ["a"]
+	p, err := config.Parse("p.hcl", []byte(fmt.Sprintf(`zones = ["a"]
 machines = ["std"]
 req_kind "read" {}
 pilot {
@@ -71,17 +71,17 @@
 }
 
 // following starts a proxy of the stand-ins that follows a pilot.
-func following(t *testing.T, name string, pilots func() []string) *trail.Book {
-	book := trail.NewBook()
-	p := proxy.New(proxy.Make{Name: name, Zone: "a", Habits: follow.Habits{Kinds: []string{"read"}}, Rate: 1,
+func following(t *testing.T, name string, pilots func() []string) *eventlog.Log {
+	book := eventlog.NewLog()
+	p := proxy.New(proxy.Options{Name: name, Zone: "a", Habits: routing.Policy{Kinds: []string{"read"}}, Rate: 1,
 		Standing: func() []string { return []string{"old:1"} }, Pilots: pilots, Dial: (&net.Dialer{}).DialContext,
-		Redial: 20 * time.Millisecond}, book.Trail(name))
+		Redial: 20 * time.Millisecond}, book.Stream(name))
 	require.NoError(t, p.Start())
 	t.Cleanup(p.Kill)
 	return book
 }
 
-func count(b *trail.Book, what trail.What) (n int) {
+func count(b *eventlog.Log, what eventlog.What) (n int) {
 	for _, e := range b.Events() {
 		if e.What == what {
 			n++
@@ -93,12 +93,12 @@
 // TestLife takes a pilot from its start over a reload to its end, with a proxy that follows.
 func TestLife(t *testing.T) {
 	p := pilotTerms(t, "x:1", "y:1")
-	d, err := New(p, Outfit{})
+	d, err := New(p, Options{})
 	require.NoError(t, err)
 	stop, ended := run(t, d)
 	book := following(t, "p", func() []string { return []string{d.Address()} })
 	require.Eventually(t, func() bool { return d.State().Listed && d.State().Proxies == 1 }, 5*time.Second, time.Millisecond)
-	require.Eventually(t, func() bool { return count(book, trail.Got) > 0 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return count(book, eventlog.Got) > 0 }, 5*time.Second, time.Millisecond)
 	for path, want := range map[string]string{"/healthz": "ok", "/readyz": "ok", "/state": `"Proxies":1`,
 		"/metrics": "indigousher_proxies_joined 1"} {
 		code, body := get(t, d, path)
@@ -113,13 +113,13 @@
 	assert.Equal(t, []string{"Name"}, restart)
 	stop()
 	assert.NoError(t, <-ended)
-	assert.Equal(t, 1, count(book, trail.Leave))
+	assert.Equal(t, 1, count(book, eventlog.Leave))
 }
 
 // TestStopAndReload guards against a reload that comes as the pilot stops: it ends, and nothing hangs.
 func TestStopAndReload(t *testing.T) {
 	p := pilotTerms(t)
-	d, err := New(p, Outfit{})
+	d, err := New(p, Options{})
 	require.NoError(t, err)
 	stop, ended := run(t, d)
 	var wg sync.WaitGroup
@@ -140,9 +140,9 @@
 // TestKilled shows what a killed pilot leaves to its proxies: a broken stream and the other pilot.
 func TestKilled(t *testing.T) {
 	p := pilotTerms(t, "x:1")
-	first, err := New(p, Outfit{})
+	first, err := New(p, Options{})
 	require.NoError(t, err)
-	second, err := New(p, Outfit{})
+	second, err := New(p, Options{})
 	require.NoError(t, err)
 	_, ended := run(t, first)
 	run(t, second)
@@ -151,7 +151,7 @@
 	first.Kill()
 	assert.NoError(t, <-ended)
 	assert.Eventually(t, func() bool { return second.State().Proxies == 1 }, 5*time.Second, time.Millisecond)
-	assert.GreaterOrEqual(t, count(book, trail.Join), 2)
+	assert.GreaterOrEqual(t, count(book, eventlog.Join), 2)
 }
 
 // TestNoStart shows how a pilot fails that can't have what it needs.
@@ -159,20 +159,20 @@
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer taken.Close()
-	for name, change := range map[string]func(*terms.Pilot){
-		"listen for proxies":   func(p *terms.Pilot) { p.Listen = taken.Addr().String() },
-		"listen for operators": func(p *terms.Pilot) { p.Admin = taken.Addr().String() },
-		"listen for pilots":    func(p *terms.Pilot) { p.PeersListen = "127.0.0.1:none" },
-		"address of pilot 1":   func(p *terms.Pilot) { p.PeersListen, p.Peers = "127.0.0.1:0", map[string]string{"1": "x"} },
+	for name, change := range map[string]func(*config.Pilot){
+		"listen for proxies":   func(p *config.Pilot) { p.Listen = taken.Addr().String() },
+		"listen for operators": func(p *config.Pilot) { p.Admin = taken.Addr().String() },
+		"listen for pilots":    func(p *config.Pilot) { p.PeersListen = "127.0.0.1:none" },
+		"address of pilot 1":   func(p *config.Pilot) { p.PeersListen, p.Peers = "127.0.0.1:0", map[string]string{"1": "x"} },
 	} {
 		p := pilotTerms(t)
 		change(p)
-		_, err := New(p, Outfit{})
+		_, err := New(p, Options{})
 		assert.ErrorContains(t, err, name)
 	}
 	p := pilotTerms(t)
 	p.ListFile = "/nowhere/at/all.hcl"
-	d, err := New(p, Outfit{})
+	d, err := New(p, Options{})
 	require.NoError(t, err)
 	assert.ErrorContains(t, d.Run(t.Context()), "watch /nowhere/at/all.hcl")
 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -20,34 +20,35 @@
 	"gonum.org/v1/gonum/stat"
 
 	"indigousher/internal/baseline"
+	"indigousher/internal/controller"
 	"indigousher/internal/emulator"
-	"indigousher/internal/pilot"
 	"indigousher/internal/record"
 )
 
 // Result is what one run gave.
 type Result struct {
-	Service    float64   // payoff earned over payoff asked for
-	Worst      float64   // of the worst 5 s
-	Windows    []float64 // by 5 s
-	Errored    float64   // parts of the reqs
-	Denied     float64
-	TriesEach  float64
-	P50, P99   float64 // ms, of reqs that were done
-	Spread     float64 // busiest endpoint's load over the mean
-	LinesPerS  float64 // of all pilots
-	MostLines  float64 // in one channel, as a part of the backlog
-	Broken     float64 // rules
-	Nearest    float64 // to any rule's limit: 1 is the limit
-	RebuiltMs  float64 // the longest rebuild of a pilot that returned, in real time
-	LinesAfter float64 // that a pilot which returned sent in its first 10 s, mean
-	PilotMs    float64 // real time of pilots' turns a virtual second
-	Events     float64
-	TookMs     float64
-	Text       string             // of what broke
-	Quantiles  []float64          // ms at each of the quantiles
-	Loads      []float64          // busy parts of endpoints at each twentieth, least first
-	Zones      map[string]float64 // mean busy part of each zone's endpoints
+	Service    float64            `json:"Service"` // payoff earned over payoff asked for
+	Worst      float64            `json:"Worst"`   // of the worst 5 s
+	Windows    []float64          `json:"Windows"` // by 5 s
+	Errored    float64            `json:"Errored"` // parts of the reqs
+	Denied     float64            `json:"Denied"`
+	TriesEach  float64            `json:"TriesEach"`
+	P50        float64            `json:"P50"`        // ms, of reqs that were done
+	P99        float64            `json:"P99"`        // ms, of reqs that were done
+	Spread     float64            `json:"Spread"`     // busiest endpoint's load over the mean
+	LinesPerS  float64            `json:"LinesPerS"`  // of all pilots
+	MostLines  float64            `json:"MostLines"`  // in one channel, as a part of the backlog
+	Broken     float64            `json:"Broken"`     // rules
+	Nearest    float64            `json:"Nearest"`    // to any rule's limit: 1 is the limit
+	RebuiltMs  float64            `json:"RebuiltMs"`  // the longest rebuild of a pilot that returned, in real time
+	LinesAfter float64            `json:"LinesAfter"` // that a pilot which returned sent in its first 10 s, mean
+	PilotMs    float64            `json:"PilotMs"`    // real time of pilots' turns a virtual second
+	Events     float64            `json:"Events"`
+	TookMs     float64            `json:"TookMs"`
+	Text       string             `json:"Text"`      // of what broke
+	Quantiles  []float64          `json:"Quantiles"` // ms at each of the quantiles
+	Loads      []float64          `json:"Loads"`     // busy parts of endpoints at each twentieth, least first
+	Zones      map[string]float64 `json:"Zones"`     // mean busy part of each zone's endpoints
 }
 
 // Metric is one figure of a result.
@@ -189,7 +190,7 @@
 	if ctx.Err() != nil {
 		return nil, false, context.Cause(ctx)
 	}
-	play := emulator.Play{Day: d, Judged: true}
+	play := emulator.Play{Scenario: d, Audited: true}
 	switch c.Policy {
 	case Ours:
 	case Standing:
@@ -206,7 +207,7 @@
 		if err != nil {
 			return nil, false, err
 		}
-		play.Decide = func(seed int64, t map[string]any) pilot.Decider { return make(seed, t) }
+		play.Decide = func(seed int64, t map[string]any) controller.Decider { return make(seed, t) }
 	}
 	o, err := play.Run(ctx)
 	if err != nil {
@@ -249,7 +250,7 @@
 		r.Nearest = max(r.Nearest, v.Part)
 		if !v.Kept() {
 			r.Broken++
-			r.Text += fmt.Sprintf("%s: %.2f s %s %s; ", v.Rule, v.Breaches[0].At/1000, v.Breaches[0].Who, v.Breaches[0].Text)
+			r.Text += fmt.Sprintf("%s: %.2f s %s %s; ", v.Rule, v.Violations[0].At/1000, v.Violations[0].Who, v.Violations[0].Text)
 		}
 	}
 	for _, q := range quantiles {
--- a/internal/rehearsal/record_test.go
+++ b/internal/rehearsal/record_test.go
@@ -7,19 +7,19 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"indigousher/brain"
-	"indigousher/internal/day"
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 	"indigousher/internal/record"
+	"indigousher/internal/scenario"
+	"indigousher/planner"
 )
 
-func module(seed int64, terms map[string]any) pilot.Decider { return brain.New(seed, terms) }
+func module(seed int64, terms map[string]any) controller.Decider { return planner.New(seed, terms) }
 
 // TestRecordedDay guards the record of a day on sockets: pilots that are killed come back by it and keep the rules, and a
 // replay of each life orders the same, byte for byte.
 func TestRecordedDay(t *testing.T) {
 	t.Parallel()
-	day, err := day.Read("recorded.hcl", []byte(`like = "bad-day-short"
+	day, err := scenario.Read("recorded.hcl", []byte(`like = "bad-day-short"
 length = "13s"
 fleet { record = true }
 trouble "hang" {
@@ -39,10 +39,10 @@
 `))
 	require.NoError(t, err)
 	dir := t.TempDir()
-	o, err := Play{Day: day, Records: dir}.Run(t.Context())
+	o, err := Play{Scenario: day, Records: dir}.Run(t.Context())
 	require.NoError(t, err)
 	for _, v := range o.Report.Verdicts {
-		assert.True(t, v.Kept(), "%s: %v", v.Rule, v.Breaches)
+		assert.True(t, v.Kept(), "%s: %v", v.Rule, v.Violations)
 	}
 	for _, name := range []string{"pilot-0", "pilot-1"} {
 		s, err := record.Open(filepath.Join(dir, name), true)
@@ -73,12 +73,12 @@
 // twice.
 func TestHandovers(t *testing.T) {
 	t.Parallel()
-	day, err := day.Load("handover")
+	day, err := scenario.Load("handover")
 	require.NoError(t, err)
 	day.Length = 10_000_000_000
-	day.Troubles = day.Troubles[:1]
-	day.Troubles[0].At, day.Troubles[0].For, day.Troubles[0].Every = 1_000_000_000, 8_000_000_000, 200_000_000
-	o, err := Play{Day: day}.Run(t.Context())
+	day.Faults = day.Faults[:1]
+	day.Faults[0].At, day.Faults[0].For, day.Faults[0].Every = 1_000_000_000, 8_000_000_000, 200_000_000
+	o, err := Play{Scenario: day}.Run(t.Context())
 	require.NoError(t, err)
 	assert.True(t, o.Report.Kept())
 	assert.Zero(t, o.Report.Service.Denied+o.Report.Service.Errored)
--- a/internal/edge/grpcedge/grpcedge_test.go
+++ b/internal/transport/grpcapi/grpcedge_test.go
@@ -1,4 +1,4 @@
-package grpcedge
+package grpcapi
 
 import (
 	"context"
@@ -20,8 +20,8 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	"google.golang.org/protobuf/proto"
 
-	"indigousher/internal/edge/ending"
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
+	"indigousher/internal/transport/shutdown"
 	"indigousher/internal/wire"
 	pb "indigousher/proto/indigousher/v1"
 )
@@ -30,10 +30,10 @@
 
 type inbox struct {
 	mu  sync.Mutex
-	got []pilot.Input
+	got []controller.Input
 }
 
-func (i *inbox) Post(_ context.Context, in pilot.Input) error {
+func (i *inbox) Post(_ context.Context, in controller.Input) error {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.got = append(i.got, in)
@@ -41,13 +41,13 @@
 }
 
 // joins returns the streams that have joined, once there are n.
-func (i *inbox) joins(t *testing.T, n int) (list []pilot.Stream) {
+func (i *inbox) joins(t *testing.T, n int) (list []controller.Stream) {
 	require.Eventually(t, func() bool {
 		i.mu.Lock()
 		defer i.mu.Unlock()
 		list = nil
 		for _, in := range i.got {
-			if j, ok := in.(pilot.Join); ok {
+			if j, ok := in.(controller.ProxyJoined); ok {
 				list = append(list, j.Stream)
 			}
 		}
@@ -62,8 +62,8 @@
 	cancel context.CancelFunc
 }
 
-func serve(t *testing.T, change func(*Door)) (*Server, *inbox, *grpc.ClientConn) {
-	d := Door{Pilot: "one", Beat: 100 * time.Millisecond, Period: time.Second, SeenWithin: 5 * time.Second,
+func serve(t *testing.T, change func(*ListenerConfig)) (*Server, *inbox, *grpc.ClientConn) {
+	d := ListenerConfig{Pilot: "one", Beat: 100 * time.Millisecond, Period: time.Second, SeenWithin: 5 * time.Second,
 		HelloIn: time.Second, MaxMessage: 1 << 16, MaxStreams: 5000, QueueLines: 50}
 	if change != nil {
 		change(&d)
@@ -170,7 +170,7 @@
 // TestBomb guards against a small message that unpacks to far beyond the limit. The beat is long: packing it takes a busy
 // machine more than the three short ones after which the stream would end for silence.
 func TestBomb(t *testing.T) {
-	_, in, conn := serve(t, func(d *Door) { d.Beat, d.SeenWithin = time.Minute, time.Minute })
+	_, in, conn := serve(t, func(d *ListenerConfig) { d.Beat, d.SeenWithin = time.Minute, time.Minute })
 	cl := follow(t, conn, grpc.UseCompressor(gzip.Name))
 	cl.hello(hello("p"))
 	in.joins(t, 1)
@@ -211,7 +211,7 @@
 // TestHerd guards a pilot that returns against all streams at once: they are let in at a pace and none is turned away.
 func TestHerd(t *testing.T) {
 	const many = 2000
-	s, in, conn := serve(t, func(d *Door) { d.NewPerS = 1000; d.Beat = 5 * time.Second })
+	s, in, conn := serve(t, func(d *ListenerConfig) { d.NewPerS = 1000; d.Beat = 5 * time.Second })
 	var conns []*grpc.ClientConn
 	for range many / 50 {
 		c, err := grpc.NewClient(conn.Target(), grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -237,7 +237,7 @@
 
 // TestCollapse guards the queue of a slow stream: it holds the newest state of each line, and ends beyond its bound.
 func TestCollapse(t *testing.T) {
-	st := &stream{wake: make(chan struct{}, 1), end: ending.New[*pb.Downward](), most: 10}
+	st := &stream{wake: make(chan struct{}, 1), end: shutdown.New[*pb.Downward](), most: 10}
 	for i := range 1000 {
 		require.NoError(t, st.Send(&wire.Orders{Lines: 2, Ops: []wire.Op{set("x", float64(i)), set("y", 1), {Kind: wire.OpMark, Number: 1}}}))
 	}
--- a/internal/edge/probe/probe_test.go
+++ b/internal/transport/healthcheck/probe_test.go
@@ -1,4 +1,4 @@
-package probe
+package healthcheck
 
 import (
 	"context"
@@ -10,22 +10,22 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
-	"indigousher/internal/pilot"
-	"indigousher/internal/standin/endpoint"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/controller"
+	"indigousher/internal/testbed/endpoint"
+	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/wire"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-type inbox chan pilot.Input
+type inbox chan controller.Input
 
-func (i inbox) Post(_ context.Context, in pilot.Input) error { i <- in; return nil }
+func (i inbox) Post(_ context.Context, in controller.Input) error { i <- in; return nil }
 
 // TestProbe shows what each state of an endpoint is told as.
 func TestProbe(t *testing.T) {
 	e := endpoint.New(endpoint.Model{Name: "e", Cores: 1, Speed: 1, Conns: 9, ReportEvery: 5 * time.Millisecond},
-		trail.NewBook().Trail("e"))
+		eventlog.NewLog().Stream("e"))
 	require.NoError(t, e.Start(false))
 	t.Cleanup(e.Kill)
 	rude, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,27 +41,27 @@
 			c.Close()
 		}
 	}()
-	in := inbox(make(chan pilot.Input, 64))
+	in := inbox(make(chan controller.Input, 64))
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	p := New(ctx, (&net.Dialer{}).DialContext, in, 150*time.Millisecond, 2)
-	ask := func(at string) pilot.Probed {
+	ask := func(at string) controller.HealthChecked {
 		p.Probe(at)
-		return (<-in).(pilot.Probed)
+		return (<-in).(controller.HealthChecked)
 	}
 	time.Sleep(20 * time.Millisecond)
 	fine := ask(e.Address())
 	assert.Equal(t, "ok", fine.Outcome)
 	assert.NotEmpty(t, fine.Load)
 	assert.Equal(t, "reset", ask(rude.Addr().String()).Outcome)
-	e.Set(endpoint.Mood{Hang: true})
+	e.SetFaultMode(endpoint.FaultMode{Hang: true})
 	assert.Equal(t, "timeout", ask(e.Address()).Outcome)
 	for range 12 { // the bound of those under way
 		p.Probe(e.Address())
 	}
 	denied := 0
 	for range 12 {
-		if (<-in).(pilot.Probed).Outcome == "denied" {
+		if (<-in).(controller.HealthChecked).Outcome == "denied" {
 			denied++
 		}
 	}
--- a/brain/admission.go
+++ b/planner/admission.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 // This file sheds load by priority and sets the retry policy: what a group's tables admit of each class, and which
 // classes proxies try again.
@@ -86,13 +86,13 @@
 		}
 		cut := p.classCut(left)
 		left -= cut
-		r.wantAdmission(group, Admit{Kinds: 1 << class, Again: p.retryPolicy(class, retriesHelp),
+		r.wantAdmission(group, SetAdmission{Classes: 1 << class, RetryMode: p.retryPolicy(class, retriesHelp),
 			Level: r.admissionLevel(class, cut, requests)})
 	}
 }
 
 // wantAdmission gives the publisher the admission of one class, for the tables of all the zone's subsets.
-func (r *region) wantAdmission(group int, command Admit) {
+func (r *region) wantAdmission(group int, command SetAdmission) {
 	p := r.planner
 	for subset := range p.subsetsOfZone {
 		command.Table = p.tableNumber(r.zone*p.subsetsOfZone+subset, group)
@@ -125,7 +125,7 @@
 }
 
 // retryPolicy returns the retry policy of a class.
-func (p *Brain) retryPolicy(class int, retriesHelp bool) int {
+func (p *Planner) retryPolicy(class int, retriesHelp bool) int {
 	if retriesHelp && p.classes[class].Retryable {
 		return retryAnyFailure
 	}
@@ -133,7 +133,7 @@
 }
 
 // classCut returns the part of the next class that is rejected while so much, in whole classes, is left to be.
-func (p *Brain) classCut(left float64) float64 {
+func (p *Planner) classCut(left float64) float64 {
 	switch p.settings.Admission {
 	case AdmitByShare, AdmitByRate:
 		return math.Min(1-minAdmitted, left)
@@ -142,7 +142,7 @@
 }
 
 // allRequests returns how many requests of all classes came lately.
-func (p *Brain) allRequests() float64 {
+func (p *Planner) allRequests() float64 {
 	sum := 1e-9
 	for class := range p.classes {
 		sum += p.demand.ofClass(class)
--- a/brain/classgroup.go
+++ b/planner/classgroup.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 // This file groups request classes that the same endpoints may serve: each group has a plan and tables of its own.
 
@@ -55,7 +55,7 @@
 
 // workPart returns a group's part of all work. The work of a request is taken to go with its class's response target,
 // for want of a better guess.
-func (p *Brain) workPart(group int) float64 {
+func (p *Planner) workPart(group int) float64 {
 	own := 0.0
 	all := 1e-9
 	for i, class := range p.classes {
--- a/brain/demand.go
+++ b/planner/demand.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 // This file keeps how many requests come to the joined proxies, by zone and by request class.
 
@@ -41,10 +41,10 @@
 
 // observe takes in the requests of a class that came to a joined proxy. The proxy's ordinary rate is of all classes; a
 // sum of one class counts as an even part of it.
-func (d *demand) observe(sum Demand, proxy Joined, classes int) {
-	requests := float64(sum.Reqs)
+func (d *demand) observe(sum RequestStats, proxy ProxyJoined, classes int) {
+	requests := float64(sum.Requests)
 	d.observed[proxy.Zone] = demandFade*d.observed[proxy.Zone] + requests
-	d.byClass[sum.Kind] = demandFade*d.byClass[sum.Kind] + requests
+	d.byClass[sum.Class] = demandFade*d.byClass[sum.Class] + requests
 	d.baseline[proxy.Zone] = demandFade*d.baseline[proxy.Zone] + proxy.Rate*sum.SpanMs/1000/float64(classes)
 }
 
@@ -63,7 +63,7 @@
 
 // update forecasts the demand by zone: the joined proxies' ordinary rates, corrected by what came to the zone
 // lately. The fleet is the number of proxies of all controllers.
-func (d *demand) update(proxies map[int]Joined, fleet float64) {
+func (d *demand) update(proxies map[int]ProxyJoined, fleet float64) {
 	clear(d.proxiesOfZone)
 	clear(d.rates)
 	d.total = 0
--- a/brain/drain.go
+++ b/planner/drain.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 // This file excludes endpoints that drain or are gone. Proxies that hold tables get the news as lines, which go
 // before all others (publisher.go). For proxies that wait for their tables an endpoint is excluded as a whole, by a
@@ -52,7 +52,7 @@
 	to := audience{waitingOfZone: map[int]float64{}, assignedOfSubset: map[int]float64{}}
 	for _, proxy := range pb.proxies {
 		if proxy.assigned {
-			to.assignedOfSubset[pb.planner.subset(proxy.Joined)]++
+			to.assignedOfSubset[pb.planner.subset(proxy.ProxyJoined)]++
 		}
 		if !proxy.confirmed {
 			to.waitingOfZone[proxy.Zone]++
@@ -87,7 +87,7 @@
 	for _, endpoint := range slices.Sorted(maps.Keys(x.excludedAt)) {
 		safe := len(to.waiting) == 0 || !pb.planner.isWarmingUp(endpoint)
 		if !x.isUnavailable(endpoint) && safe {
-			pb.planner.command(Withdraw{endpoint, false})
+			pb.planner.command(SetExcluded{endpoint, false})
 			x.lastChange = pb.planner.now
 			delete(x.excludedAt, endpoint)
 		}
@@ -157,7 +157,7 @@
 		pb.blocked.exclusions++
 		return
 	}
-	pb.planner.command(Withdraw{endpoint, true})
+	pb.planner.command(SetExcluded{endpoint, true})
 	pb.window.add(cost)
 	for _, proxy := range to.waiting {
 		pb.linesSinceAck[proxy.Proxy] += pb.exclusionCost(endpoint, proxy, to)
--- a/brain/drain_test.go
+++ b/planner/drain_test.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 import (
 	"slices"
@@ -12,18 +12,18 @@
 	for name, phase := range map[string]Phase{"draining": Draining, "gone": Gone} {
 		t.Run(name, func(t *testing.T) {
 			p := newHarness(t, nil)
-			first := p.step(Listing{Mode: Changes, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Phase: phase}}})
+			first := p.step(EndpointUpdate{Mode: Delta, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Phase: phase}}})
 			require.NotEmpty(t, first)
-			assert.Contains(t, first, Withdraw{0, true}, "drains come first, at once")
+			assert.Contains(t, first, SetExcluded{0, true}, "drains come first, at once")
 			assert.Zero(t, p.weights[0][0])
 			p.now = 50000
-			p.step(Listing{Mode: Changes, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now}}})
+			p.step(EndpointUpdate{Mode: Delta, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now}}})
 			assert.False(t, p.excluded[0])
 			assert.Less(t, p.share(0, 0), 0.05, "back as a cold one")
 		})
 	}
 	p := newHarness(t, nil)
-	p.step(Listing{Mode: Whole, Entries: []Entry{{Endpoint: 1, Zone: 0, Weight: 2}}})
+	p.step(EndpointUpdate{Mode: Snapshot, Entries: []Entry{{Endpoint: 1, Zone: 0, Weight: 2}}})
 	assert.True(t, p.excluded[0] && p.excluded[5] && !p.excluded[1], "what a whole list leaves out is gone")
 }
 
@@ -43,18 +43,18 @@
 				p.planner.publisher.window.queued, p.planner.publisher.window.delivered = 1400, p.planner.publisher.window.written
 			} // no room for a table
 			full()
-			p.step(Joined{Proxy: 0, Zone: 0, Rate: 20}, Listing{Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Phase: Gone}}})
+			p.step(ProxyJoined{Proxy: 0, Zone: 0, Rate: 20}, EndpointUpdate{Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Phase: Gone}}})
 			p.now += 1000
 			full()
-			require.Contains(t, p.step(Alarm{"bind"}), Withdraw{0, true}, "halfway through the grace")
+			require.Contains(t, p.step(TimerFired{"bind"}), SetExcluded{0, true}, "halfway through the grace")
 			p.now += 100
 			if full(); !c.waits {
 				p.planner.publisher.window.queued = 0
 			}
 			p.step()
 			full()
-			orders := p.step(Listing{Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - c.age}}})
-			assert.Equal(t, c.letsIn, slices.Contains(orders, Order(Withdraw{0, false})))
+			orders := p.step(EndpointUpdate{Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - c.age}}})
+			assert.Equal(t, c.letsIn, slices.Contains(orders, Command(SetExcluded{0, false})))
 			p.planner.publisher.window.queued = 0
 			p.rounds(2, nil)
 			assert.False(t, p.excluded[0], "it is let in in the end")
--- a/brain/endpoint.go
+++ b/planner/endpoint.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 // This file holds the state of one endpoint and what it does in a control round.
 
@@ -9,7 +9,7 @@
 type endpoint struct {
 	Entry   // as last listed
 	mailbox mailbox[endpointMessage]
-	planner *Brain
+	planner *Planner
 
 	listed    bool
 	restarted bool // it has started anew since it was first listed
@@ -20,7 +20,7 @@
 }
 
 // newEndpoint returns an endpoint of which nothing is known.
-func newEndpoint(p *Brain, index int) *endpoint {
+func newEndpoint(p *Planner, index int) *endpoint {
 	e := &endpoint{Entry: Entry{Endpoint: index}, planner: p, load: newLoadEstimate(), plans: newPlanHistory(),
 		health: map[int]*zoneHealth{}}
 	e.mailbox.receive = e.receive
@@ -32,10 +32,10 @@
 	switch message := message.(type) {
 	case Entry:
 		e.updateEntry(message)
-	case Met:
+	case EndpointStats:
 		e.healthIn(message.Zone).count(message)
 		e.takeReport(message.Load)
-	case Probed:
+	case HealthCheckResult:
 		e.takeReport(message.Load)
 	case plannedShare:
 		e.plans.set(message.plan, message.share)
@@ -115,7 +115,7 @@
 		every = max(1, int(e.planner.settings.Instances))
 	}
 	if (e.planner.rounds+e.Endpoint)%every == 0 {
-		e.planner.command(Probe{Endpoint: e.Endpoint})
+		e.planner.command(HealthCheck{Endpoint: e.Endpoint})
 	}
 }
 
--- a/brain/flowcontrol.go
+++ b/planner/flowcontrol.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 // This file says who may write to the channel, and what renews its window. All lines go by fits or by a budget of the
 // window (sendwindow.go). It is renewed by acknowledgements, which proxies send on request behind a batch. While urgent
@@ -35,17 +35,17 @@
 }
 
 // stalled keeps the account true while commands can't cross, and requests a new acknowledgement of what goes out again.
-func (pb *publisher) stalled(stall Stalled) {
+func (pb *publisher) stalled(stall ChannelStalled) {
 	now := pb.planner.now
 	pb.window.stall(now, stall.ForMs)
-	pb.window.join(stall.Joined)
-	if number, resent := pb.window.resend(now, stall.Again); resent {
-		pb.planner.command(Mark{Number: number})
+	pb.window.join(stall.Merged)
+	if number, resent := pb.window.resend(now, stall.Repeated); resent {
+		pb.planner.command(AckRequest{Number: number})
 	}
 }
 
 // acknowledged renews the window.
-func (pb *publisher) acknowledged(ack Applied) {
+func (pb *publisher) acknowledged(ack Ack) {
 	wasProbing := pb.window.probes > 0
 	orderedAt, known := pb.window.acknowledge(pb.planner.now, ack.Number, ack.Proxy)
 	proxy := pb.proxies[ack.Proxy]
@@ -93,7 +93,7 @@
 	if due > p.now {
 		if pb.blocked.probeAt != due {
 			pb.blocked.probeAt = due
-			p.command(WakeAt{due, probeTimer})
+			p.command(SetTimer{due, probeTimer})
 		}
 		return
 	}
--- a/brain/flowcontrol_test.go
+++ b/planner/flowcontrol_test.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 import (
 	"testing"
@@ -12,22 +12,22 @@
 // after a call that nobody answered crosses twice.
 func TestStalledChannel(t *testing.T) {
 	for name, c := range map[string]struct {
-		told  func(second, mark int) Note
-		after Note    // a moment later
+		told  func(second, mark int) Event
+		after Event   // a moment later
 		least float64 // parts of the backlog that are ordered in 30 s
 		most  float64
 	}{
-		"open":           {func(int, int) Note { return nil }, nil, 1.5, 9},
-		"cut off":        {func(int, int) Note { return Stalled{ForMs: 700} }, nil, 0.1, 1},
-		"back for a bit": {func(s, _ int) Note { return Stalled{ForMs: pick(s%10 < 8, 700, 0)} }, nil, 0.1, 1.3},
-		"said twice":     {func(_, mark int) Note { return Stalled{ForMs: 1, Again: []int{mark}} }, Stalled{}, 0.1, 0.25},
+		"open":           {func(int, int) Event { return nil }, nil, 1.5, 9},
+		"cut off":        {func(int, int) Event { return ChannelStalled{ForMs: 700} }, nil, 0.1, 1},
+		"back for a bit": {func(s, _ int) Event { return ChannelStalled{ForMs: pick(s%10 < 8, 700, 0)} }, nil, 0.1, 1.3},
+		"said twice":     {func(_, mark int) Event { return ChannelStalled{ForMs: 1, Repeated: []int{mark}} }, ChannelStalled{}, 0.1, 0.25},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newHarness(t, func(terms map[string]any, _ []Entry) {
 				terms["proxy_count"], terms["backlog"], terms["lines_per_s"] = 100.0, 4800.0, 800.0
 			})
 			for i := 2; i < 100; i++ {
-				p.step(Joined{Proxy: i, Zone: 0, Rate: 1})
+				p.step(ProxyJoined{Proxy: i, Zone: 0, Rate: 1})
 			}
 			p.rounds(20, nil)
 			require.Len(t, p.assigned, 100)
@@ -35,11 +35,11 @@
 			for s := range 30 { // what it wants changes all the time
 				p.now += roundMs
 				lines := 0.0
-				for _, o := range p.step(c.told(s, mark), Listing{Entries: []Entry{{Weight: float64(2 + 9*(s%2))}}}, Alarm{"gather"}) {
+				for _, o := range p.step(c.told(s, mark), EndpointUpdate{Entries: []Entry{{Weight: float64(2 + 9*(s%2))}}}, TimerFired{"gather"}) {
 					switch o := o.(type) {
-					case SetLine:
+					case SetWeight:
 						lines += pick(o.Table == 0, 1, 0)
-					case Mark:
+					case AckRequest:
 						mark = o.Number
 					}
 				}
--- a/brain/harness_test.go
+++ b/planner/harness_test.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 import (
 	"fmt"
@@ -11,13 +11,13 @@
 // harness drives one Brain by hand and keeps what its orders add up to.
 type harness struct {
 	t         *testing.T
-	planner   *Brain
+	planner   *Planner
 	settings  map[string]any
 	now       float64
 	weights   map[int]map[int]float64
 	excluded  map[int]bool
-	admission map[string]Admit
-	assigned  map[int][]Bind
+	admission map[string]SetAdmission
+	assigned  map[int][]AssignTable
 	written   int // lines ordered in the last step
 	messages  int // orders of any line in the last step
 	checks    int
@@ -43,38 +43,38 @@
 		change(terms, entries)
 	}
 	p := &harness{t: t, planner: New(1, terms), settings: terms, weights: map[int]map[int]float64{}, excluded: map[int]bool{},
-		admission: map[string]Admit{}, assigned: map[int][]Bind{}}
-	p.step(Listing{Mode: Remembered, Entries: entries})
-	p.step(Joined{Proxy: 0, Zone: 0, Rate: 20}, Joined{Proxy: 1, Zone: 1, Rate: 20})
+		admission: map[string]SetAdmission{}, assigned: map[int][]AssignTable{}}
+	p.step(EndpointUpdate{Mode: Cached, Entries: entries})
+	p.step(ProxyJoined{Proxy: 0, Zone: 0, Rate: 20}, ProxyJoined{Proxy: 1, Zone: 1, Rate: 20})
 	return p
 }
 
 // step hands notes over and checks what holds for all orders.
-func (p *harness) step(notes ...Note) []Order {
+func (p *harness) step(notes ...Event) []Command {
 	orders := p.planner.Handle(p.now, notes)
 	p.written, p.messages, p.checks = 0, 0, 0
 	for _, o := range orders {
 		switch o := o.(type) {
-		case SetLine:
+		case SetWeight:
 			require.False(p.t, math.IsNaN(o.Weight) || math.IsInf(o.Weight, 0) || o.Weight < 0, "%+v", o)
 			if p.weights[o.Table] == nil {
 				p.weights[o.Table] = map[int]float64{}
 			}
 			p.weights[o.Table][o.Endpoint] = o.Weight
 			p.written++
-		case Withdraw:
-			p.excluded[o.Endpoint] = o.Out
-		case Admit:
-			p.admission[fmt.Sprint(o.Table, "/", o.Kinds)] = o
-		case Bind:
+		case SetExcluded:
+			p.excluded[o.Endpoint] = o.Excluded
+		case SetAdmission:
+			p.admission[fmt.Sprint(o.Table, "/", o.Classes)] = o
+		case AssignTable:
 			p.assigned[o.Proxy] = append(p.assigned[o.Proxy], o)
-		case Probe:
+		case HealthCheck:
 			p.checks++
 		case Log:
 			p.logs = append(p.logs, o.Text)
 		}
 		switch o.(type) {
-		case SetLine, Withdraw, Admit, Bind:
+		case SetWeight, SetExcluded, SetAdmission, AssignTable:
 			p.messages++
 		}
 	}
@@ -82,21 +82,21 @@
 }
 
 // rounds lets whole windows pass, with the notes that each brings.
-func (p *harness) rounds(windows int, notes func() []Note) {
+func (p *harness) rounds(windows int, notes func() []Event) {
 	for range windows {
 		p.now += roundMs
-		var all []Note
+		var all []Event
 		if notes != nil {
 			all = notes()
 		}
-		p.step(append(all, Alarm{"gather"})...)
+		p.step(append(all, TimerFired{"gather"})...)
 	}
 }
 
 // attempts are one window's lines from a zone: good and failed tries and a load for each endpoint named.
-func attempts(zone, good, failed int, util float64, endpoints ...int) (notes []Note) {
+func attempts(zone, good, failed int, util float64, endpoints ...int) (notes []Event) {
 	for _, e := range endpoints {
-		m := Met{Endpoint: e, Zone: zone, Tries: good + failed, Failed: failed, MeanMs: 100, SpanMs: 1000}
+		m := EndpointStats{Endpoint: e, Zone: zone, Attempts: good + failed, Failed: failed, MeanMs: 100, SpanMs: 1000}
 		if util >= 0 {
 			m.Load = Load{"util": util, "rate": 20 * util}
 		}
--- a/brain/histogram.go
+++ b/planner/histogram.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 // This file holds a coarse histogram of positive values whose past fades.
 
--- a/brain/load.go
+++ b/planner/load.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 // This file estimates an endpoint's load from its load reports: smoothing and ageing, a load from a queue or, by
 // Little's law, from the requests in flight where no utilization is reported, and the speed that reports show.
--- a/brain/load_test.go
+++ b/planner/load_test.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 import (
 	"math"
@@ -25,9 +25,9 @@
 		t.Run(name, func(t *testing.T) {
 			p := newHarness(t, func(terms map[string]any, _ []Entry) { terms["fields"] = []any{"in_hand", "rate"} })
 			for s := range 20 {
-				p.rounds(1, func() (notes []Note) {
+				p.rounds(1, func() (notes []Event) {
 					for e := range 6 {
-						notes = append(notes, Met{Endpoint: e, Zone: 0, Tries: 20, MeanMs: 100, SpanMs: 1000, Load: c.load(s)})
+						notes = append(notes, EndpointStats{Endpoint: e, Zone: 0, Attempts: 20, MeanMs: 100, SpanMs: 1000, Load: c.load(s)})
 					}
 					return notes
 				})
--- a/brain/mailbox.go
+++ b/planner/mailbox.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 // This file holds the actors' mailboxes and the closed sets of messages that each actor takes. The planner, the
 // publisher, each endpoint and each region are actors: a message waits in the receiver's mailbox until it is
@@ -30,7 +30,7 @@
 }
 
 // deliverAll delivers messages, actor by actor in the order in which they came to be, until none waits.
-func (p *Brain) deliverAll() {
+func (p *Planner) deliverAll() {
 	for delivered := true; delivered; {
 		delivered = false
 		for i := 0; i < len(p.actors); i++ { // a delivery may add actors
@@ -44,34 +44,34 @@
 // plannerMessage is what the planner takes: Joined, Left or Demand.
 type plannerMessage interface{ toPlanner() }
 
-func (Joined) toPlanner() {}
-func (Left) toPlanner()   {}
-func (Demand) toPlanner() {}
+func (ProxyJoined) toPlanner()  {}
+func (ProxyLeft) toPlanner()    {}
+func (RequestStats) toPlanner() {}
 
 // endpointMessage is what an endpoint takes: Entry, Met, Probed, plannedShare or roundStart.
 type endpointMessage interface{ toEndpoint() }
 
-func (Entry) toEndpoint()        {}
-func (Met) toEndpoint()          {}
-func (Probed) toEndpoint()       {}
-func (plannedShare) toEndpoint() {}
-func (roundStart) toEndpoint()   {}
+func (Entry) toEndpoint()             {}
+func (EndpointStats) toEndpoint()     {}
+func (HealthCheckResult) toEndpoint() {}
+func (plannedShare) toEndpoint()      {}
+func (roundStart) toEndpoint()        {}
 
 // regionMessage is what a region takes: Met, *candidate or roundStart.
 type regionMessage interface{ toRegion() }
 
-func (Met) toRegion()        {}
-func (*candidate) toRegion() {}
-func (roundStart) toRegion() {}
+func (EndpointStats) toRegion() {}
+func (*candidate) toRegion()    {}
+func (roundStart) toRegion()    {}
 
 // publisherMessage is what the publisher takes: Joined, Left, Applied, Stalled, wantedWeight, wantedAdmission or
 // availability.
 type publisherMessage interface{ toPublisher() }
 
-func (Joined) toPublisher()          {}
-func (Left) toPublisher()            {}
-func (Applied) toPublisher()         {}
-func (Stalled) toPublisher()         {}
+func (ProxyJoined) toPublisher()     {}
+func (ProxyLeft) toPublisher()       {}
+func (Ack) toPublisher()             {}
+func (ChannelStalled) toPublisher()  {}
 func (wantedWeight) toPublisher()    {}
 func (wantedAdmission) toPublisher() {}
 func (availability) toPublisher()    {}
@@ -94,7 +94,7 @@
 }
 
 // wantedAdmission gives the publisher the admission level that a table should have for a class.
-type wantedAdmission struct{ command Admit }
+type wantedAdmission struct{ command SetAdmission }
 
 // availability informs the publisher that an endpoint drains or is gone, or that it is ready again.
 type availability struct {
--- a/brain/membership.go
+++ b/planner/membership.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 // This file keeps the proxies that have joined, as the publisher sees them, and assigns them their tables. A proxy is
 // assigned all tables of its subset at once, when it joins, or when its assignment may be stale: nobody saw whether it
@@ -22,7 +22,7 @@
 
 // proxyState is a joined proxy. Times are in ms.
 type proxyState struct {
-	Joined
+	ProxyJoined
 	assigned  bool // it may hold its tables, so that their lines cost
 	confirmed bool // it surely does: they were assigned since it joined, or it acknowledged their lines
 	joinedAt  float64
@@ -32,12 +32,12 @@
 
 // join takes in a proxy. One that may have stood through a gap may still hold its tables; only an acknowledgement of
 // their lines shows it.
-func (pb *publisher) join(joined Joined) {
+func (pb *publisher) join(joined ProxyJoined) {
 	before := pb.proxies[joined.Proxy]
 	pb.proxies[joined.Proxy] = &proxyState{
-		Joined:   joined,
-		assigned: joined.Stood && before != nil && before.assigned,
-		joinedAt: pb.planner.now,
+		ProxyJoined: joined,
+		assigned:    joined.Resumed && before != nil && before.assigned,
+		joinedAt:    pb.planner.now,
 	}
 }
 
@@ -52,7 +52,7 @@
 
 // tablesOf returns the tables of a proxy's subset, by class group.
 func (pb *publisher) tablesOf(proxy *proxyState) []*table {
-	first := pb.planner.tableNumber(pb.planner.subset(proxy.Joined), 0)
+	first := pb.planner.tableNumber(pb.planner.subset(proxy.ProxyJoined), 0)
 	return pb.tables[first : first+len(pb.planner.groups)]
 }
 
@@ -70,7 +70,7 @@
 func (pb *publisher) assign(proxy *proxyState) {
 	_, cost := pb.assignmentCost(proxy)
 	for group, t := range pb.tablesOf(proxy) {
-		pb.planner.command(Bind{Table: t.number, Proxy: proxy.Proxy, Kinds: pb.planner.groups[group].mask})
+		pb.planner.command(AssignTable{Table: t.number, Proxy: proxy.Proxy, Classes: pb.planner.groups[group].mask})
 	}
 	pb.window.add(cost)
 	pb.linesSinceAck[proxy.Proxy] += cost
@@ -102,7 +102,7 @@
 	now := pb.planner.now
 	if pb.assignmentAt <= now {
 		pb.assignmentAt = now + assignmentWaitMs
-		pb.planner.command(WakeAt{pb.assignmentAt, assignmentTimer})
+		pb.planner.command(SetTimer{pb.assignmentAt, assignmentTimer})
 	}
 }
 
@@ -141,7 +141,7 @@
 }
 
 // readyZones returns the zones with an endpoint that is ready.
-func (p *Brain) readyZones() map[int]bool {
+func (p *Planner) readyZones() map[int]bool {
 	ready := map[int]bool{}
 	for _, e := range p.endpoints {
 		if e.listed && e.Phase == Ready {
--- a/brain/membership_test.go
+++ b/planner/membership_test.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 import (
 	"maps"
@@ -46,22 +46,22 @@
 			others := []int{1, 2, 3, 4, 5}
 			for i := 2; i < c.endpoints; i++ {
 				others = append(others, 4+i)
-				p.step(Listing{Mode: Changes, Entries: []Entry{{Endpoint: 4 + i, Weight: 2}}})
+				p.step(EndpointUpdate{Mode: Delta, Entries: []Entry{{Endpoint: 4 + i, Weight: 2}}})
 			}
 			clear(p.assigned)
 			for i := range c.proxies {
-				p.step(Joined{Proxy: i, Zone: 0, Rate: 1})
+				p.step(ProxyJoined{Proxy: i, Zone: 0, Rate: 1})
 			}
-			calm := func() []Note { return append(attempts(0, 20, 0, 0.4, others...), attempts(0, 20, 0, 0.4, 0)...) }
+			calm := func() []Event { return append(attempts(0, 20, 0, 0.4, others...), attempts(0, 20, 0, 0.4, 0)...) }
 			p.rounds(10, calm)
 			if c.change != nil || c.load != 0.4 || c.failed > 0 {
 				require.Empty(t, p.assigned)
 			}
 			if c.change != nil {
 				c.change(&entries[0], p.now)
-				p.step(Listing{Mode: Changes, Entries: entries[:1]})
+				p.step(EndpointUpdate{Mode: Delta, Entries: entries[:1]})
 			}
-			p.rounds(30, func() []Note {
+			p.rounds(30, func() []Event {
 				return append(attempts(0, 20-c.failed, c.failed, c.load, 0), attempts(0, 20, 0, c.rest, others...)...)
 			})
 			assert.Len(t, p.assigned, int(pick(c.bound, float64(c.proxies), 0)))
@@ -74,21 +74,21 @@
 // (split+mass of seed 2). Taken for bound, one that came back would hear of no drain.
 func TestStaleAssignments(t *testing.T) {
 	for name, c := range map[string]struct {
-		again    Joined
-		between  []Note // after it stood, before it answers
+		again    ProxyJoined
+		between  []Event // after it stood, before it answers
 		answers  bool
 		binds    int // beside the first, in the end
 		mayCount bool
 	}{
-		"answers to a mark on a line of its table": {Joined{Stood: true}, nil, true, 0, true},
-		"does not answer":                          {Joined{Stood: true}, nil, false, 1, true},
-		"came back":                                {Joined{}, nil, true, 1, false},
-		"answers to a withdrawal, which reaches all": {Joined{Stood: true},
-			[]Note{Listing{Entries: []Entry{{Endpoint: 1, Zone: 0, Weight: 2, Phase: Draining}}}}, true, 1, true},
+		"answers to a mark on a line of its table": {ProxyJoined{Resumed: true}, nil, true, 0, true},
+		"does not answer":                          {ProxyJoined{Resumed: true}, nil, false, 1, true},
+		"came back":                                {ProxyJoined{}, nil, true, 1, false},
+		"answers to a withdrawal, which reaches all": {ProxyJoined{Resumed: true},
+			[]Event{EndpointUpdate{Entries: []Entry{{Endpoint: 1, Zone: 0, Weight: 2, Phase: Draining}}}}, true, 1, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newHarness(t, nil)
-			p.rounds(4, func() []Note { return attempts(0, 20, 0, 0.4, 0, 1, 2, 3) })
+			p.rounds(4, func() []Event { return attempts(0, 20, 0, 0.4, 0, 1, 2, 3) })
 			require.Len(t, p.assigned[0], 1)
 			c.again.Rate = 20
 			p.planner.publisher.window.queued = p.planner.settings.BacklogLines / 3 // no room to bind anew at once
@@ -96,23 +96,23 @@
 			p.planner.publisher.window.queued = p.planner.settings.BacklogLines / 3
 			assert.Equal(t, c.mayCount, p.planner.publisher.proxies[0].assigned, "its lines cost")
 			p.now += 100
-			marks, orders := []int{}, p.step(append(c.between, Listing{Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 9}}})...)
+			marks, orders := []int{}, p.step(append(c.between, EndpointUpdate{Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 9}}})...)
 			if c.between != nil { // said halfway through the grace
 				p.now += 1100
 				p.planner.publisher.window.queued = 2 * p.planner.settings.BacklogLines // nothing that can wait goes out
 				orders = p.step()
-				require.Contains(t, orders, Withdraw{1, true})
-				assert.True(t, slices.ContainsFunc(orders, func(o Order) bool { _, binds := o.(Bind); return binds }),
+				require.Contains(t, orders, SetExcluded{1, true})
+				assert.True(t, slices.ContainsFunc(orders, func(o Command) bool { _, binds := o.(AssignTable); return binds }),
 					"a withdrawal may reach nobody: a bind beside it brings an answer to the mark")
 			}
 			for _, o := range orders {
-				if m, ok := o.(Mark); ok {
+				if m, ok := o.(AckRequest); ok {
 					marks = append(marks, m.Number)
 				}
 			}
 			if c.answers && len(marks) > 0 {
 				p.now += 100
-				p.step(Applied{Proxy: 0, Number: marks[0]})
+				p.step(Ack{Proxy: 0, Number: marks[0]})
 			}
 			p.rounds(6, nil)
 			assert.Len(t, p.assigned[0], 1+c.binds)
@@ -126,11 +126,11 @@
 func TestEmptyListAssignsNoTables(t *testing.T) {
 	p := newHarness(t, nil)
 	empty := &harness{t: t, planner: New(1, p.settings), weights: map[int]map[int]float64{}, excluded: map[int]bool{},
-		admission: map[string]Admit{}, assigned: map[int][]Bind{}}
-	empty.step(Joined{Proxy: 0, Zone: 0, Rate: 20})
+		admission: map[string]SetAdmission{}, assigned: map[int][]AssignTable{}}
+	empty.step(ProxyJoined{Proxy: 0, Zone: 0, Rate: 20})
 	empty.rounds(3, nil)
 	assert.Empty(t, empty.assigned)
-	empty.step(Listing{Mode: Whole, Entries: []Entry{{Endpoint: 0, Weight: 1}}})
+	empty.step(EndpointUpdate{Mode: Snapshot, Entries: []Entry{{Endpoint: 0, Weight: 1}}})
 	assert.NotEmpty(t, empty.assigned[0])
 	assert.Positive(t, empty.share(0, 0))
 }
--- a/brain/outlier.go
+++ b/planner/outlier.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 // This file detects outliers, as a service mesh's outlier detection does: an endpoint that fails for the proxies of a
 // zone is ejected from that zone's tables, and let back by a trial on a small share, later with each relapse.
@@ -62,8 +62,8 @@
 }
 
 // count takes in attempts.
-func (h *zoneHealth) count(stats Met) {
-	attempts := float64(stats.Tries)
+func (h *zoneHealth) count(stats EndpointStats) {
+	attempts := float64(stats.Attempts)
 	failures := float64(stats.Failed)
 	h.answered += math.Max(0, attempts-failures)
 	h.failed += failures
--- a/brain/outlier_test.go
+++ b/planner/outlier_test.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 import (
 	"slices"
@@ -13,17 +13,17 @@
 // than the others, and its traffic would stay with them for as long as the list says nothing.
 func TestSilentZoneIsEjected(t *testing.T) {
 	p := newHarness(t, nil)
-	p.rounds(6, func() []Note { return attempts(0, 3, 0, 0.3, 0, 1) })
-	p.rounds(8, func() []Note { return append(attempts(0, 0, 9, -1, 0, 1), attempts(1, 20, 0, 0.3, 2, 3, 4, 5)...) })
+	p.rounds(6, func() []Event { return attempts(0, 3, 0, 0.3, 0, 1) })
+	p.rounds(8, func() []Event { return append(attempts(0, 0, 9, -1, 0, 1), attempts(1, 20, 0, 0.3, 2, 3, 4, 5)...) })
 	assert.Contains(t, strings.Join(p.logs, "\n"), "endpoint 0 zone 0: out, good 0.")
 	assert.Greater(t, p.share(0, 2, 3, 4, 5), 0.7)
 }
 
 func TestNewSpilloverIsNotSilence(t *testing.T) {
 	p := newHarness(t, nil)
-	p.rounds(8, func() []Note { return attempts(0, 40, 0, 0.3, 0, 1) })
-	p.rounds(3, func() []Note { return attempts(0, 40, 0, 1.3, 0, 1) })
-	p.rounds(3, func() []Note { return append(attempts(0, 40, 0, 1.3, 0, 1), attempts(0, 10, 0, 0.2, 2, 3)...) })
+	p.rounds(8, func() []Event { return attempts(0, 40, 0, 0.3, 0, 1) })
+	p.rounds(3, func() []Event { return attempts(0, 40, 0, 1.3, 0, 1) })
+	p.rounds(3, func() []Event { return append(attempts(0, 40, 0, 1.3, 0, 1), attempts(0, 10, 0, 0.2, 2, 3)...) })
 	assert.Greater(t, p.share(0, 2, 3), 0.1)
 	for _, l := range p.logs {
 		assert.NotContains(t, l, "endpoint 2 zone 0: out")
@@ -33,20 +33,20 @@
 func TestEjection(t *testing.T) {
 	others := []int{1, 2, 3, 4, 5}
 	for name, c := range map[string]struct {
-		notes func() []Note
+		notes func() []Event
 		gone  bool
 	}{
-		"fails fast":      {func() []Note { return append(attempts(0, 3, 9, 0.3, 0), attempts(0, 10, 0, 0.3, others...)...) }, true},
-		"answers nothing": {func() []Note { return append(attempts(0, 0, 9, -1, 0), attempts(0, 10, 0, 0.3, others...)...) }, true},
-		"its zone is lost": {func() []Note {
+		"fails fast":      {func() []Event { return append(attempts(0, 3, 9, 0.3, 0), attempts(0, 10, 0, 0.3, others...)...) }, true},
+		"answers nothing": {func() []Event { return append(attempts(0, 0, 9, -1, 0), attempts(0, 10, 0, 0.3, others...)...) }, true},
+		"its zone is lost": {func() []Event {
 			return append(attempts(0, 0, 9, -1, 0, 1), attempts(0, 10, 0, 0.3, 2, 3, 4, 5)...)
 		}, true},
-		"fails when overloaded": {func() []Note { return append(attempts(0, 3, 9, 1, 0), attempts(0, 10, 0, 0.3, others...)...) }, false},
-		"all fail alike":        {func() []Note { return attempts(0, 4, 8, 0.3, 0, 1, 2, 3, 4, 5) }, false},
+		"fails when overloaded": {func() []Event { return append(attempts(0, 3, 9, 1, 0), attempts(0, 10, 0, 0.3, others...)...) }, false},
+		"all fail alike":        {func() []Event { return attempts(0, 4, 8, 0.3, 0, 1, 2, 3, 4, 5) }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newHarness(t, nil)
-			p.rounds(6, func() []Note { return attempts(0, 20, 0, 0.3, 0, 1, 2, 3, 4, 5) })
+			p.rounds(6, func() []Event { return attempts(0, 20, 0, 0.3, 0, 1, 2, 3, 4, 5) })
 			p.rounds(4, c.notes)
 			out := func(log string) bool { return strings.HasPrefix(log, "endpoint 0 zone 0: out") }
 			assert.Equal(t, c.gone, slices.ContainsFunc(p.logs, out), p.logs)
@@ -57,9 +57,9 @@
 
 func TestEjectionBackoff(t *testing.T) {
 	p := newHarness(t, nil)
-	sick := func() []Note { return append(attempts(0, 0, 10, 0.3, 0), attempts(0, 10, 0, 0.3, 1, 2, 3)...) }
+	sick := func() []Event { return append(attempts(0, 0, 10, 0.3, 0), attempts(0, 10, 0, 0.3, 1, 2, 3)...) }
 	out := 0
-	p.rounds(30, func() []Note {
+	p.rounds(30, func() []Event {
 		if p.weights[0][0] == 0 {
 			out++
 			return attempts(0, 10, 0, 0.3, 1, 2, 3)
@@ -68,7 +68,7 @@
 		return sick()
 	})
 	assert.Greater(t, out, 15)
-	p.rounds(30, func() []Note {
+	p.rounds(30, func() []Event {
 		return append(attempts(0, 20, 0, 0.6*p.share(0, 0), 0), attempts(0, 20, 0, 0.3, 1, 2, 3)...)
 	})
 	assert.InDelta(t, 0.5, p.share(0, 0), 0.15, "it returns once answers are good")
@@ -76,8 +76,8 @@
 
 func TestTableStandsWhenAllAreEjected(t *testing.T) {
 	p := newHarness(t, nil)
-	p.rounds(6, func() []Note { return attempts(0, 20, 0, 0.3, 0, 1, 2, 3, 4, 5) })
-	p.rounds(20, func() []Note { return attempts(0, 0, 20, -1, 0, 1, 2, 3, 4, 5) })
+	p.rounds(6, func() []Event { return attempts(0, 20, 0, 0.3, 0, 1, 2, 3, 4, 5) })
+	p.rounds(20, func() []Event { return attempts(0, 0, 20, -1, 0, 1, 2, 3, 4, 5) })
 	sum := 0.0
 	for _, w := range p.weights[0] {
 		sum += w
@@ -95,18 +95,18 @@
 	}{"sums of both lives": {6000, 0, 0.05, 0.02}, "sums of the new life": {500, 0.9, 1, 0}} {
 		t.Run(name, func(t *testing.T) {
 			p := newHarness(t, func(terms map[string]any, _ []Entry) { terms["ejects_after"], terms["fall_multiple"] = 5.0, 2.5 })
-			p.rounds(8, func() []Note { return attempts(0, 20, 0, 0.3, 0, 1) })
-			p.rounds(3, func() []Note { return attempts(0, 0, 20, -1, 0, 1) })
+			p.rounds(8, func() []Event { return attempts(0, 20, 0, 0.3, 0, 1) })
+			p.rounds(3, func() []Event { return attempts(0, 0, 20, -1, 0, 1) })
 			require.Greater(t, p.planner.regions[0].failureRate, 0.5)
 			var again []Entry
 			for i := range 2 {
 				again = append(again, Entry{Endpoint: i, Zone: 0, Weight: 2, Started: p.now - 1000})
 			}
-			p.step(Listing{Mode: Changes, Entries: again})
-			p.rounds(4, func() []Note {
+			p.step(EndpointUpdate{Mode: Delta, Entries: again})
+			p.rounds(4, func() []Event {
 				notes := attempts(0, 0, 20, 0.3, 0, 1)
 				for i, n := range notes {
-					met, _ := n.(Met)
+					met, _ := n.(EndpointStats)
 					met.SpanMs = c.spanMs
 					notes[i] = met
 				}
@@ -130,7 +130,7 @@
 				}
 			})
 			p.now = 300
-			p.step(append(attempts(0, 0, 20, 0.3, 0, 1), Alarm{"gather"})...)
+			p.step(append(attempts(0, 0, 20, 0.3, 0, 1), TimerFired{"gather"})...)
 			assert.InDelta(t, c.failing, p.planner.regions[0].failureRate, 1e-9)
 		})
 	}
--- a/brain/penalty.go
+++ b/planner/penalty.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 // This file steps an endpoint's penalty, the dual variable lambda of its load limit in the ACCO algorithm
 // ("A Distributed Hybrid Load Management Model for Anycast CDNs", algorithm 1, line 12):
@@ -102,7 +102,7 @@
 }
 
 // planNumber returns the number of a region's plan for a class group, by which endpoints keep their shares of it.
-func (p *Brain) planNumber(zone, group int) int { return zone*len(p.groups) + group }
+func (p *Planner) planNumber(zone, group int) int { return zone*len(p.groups) + group }
 
 // zoneOfPlan returns the zone of the region whose plan has a number.
-func (p *Brain) zoneOfPlan(plan int) int { return plan / len(p.groups) }
+func (p *Planner) zoneOfPlan(plan int) int { return plan / len(p.groups) }
--- a/brain/penalty_test.go
+++ b/planner/penalty_test.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 import (
 	"math"
@@ -9,11 +9,11 @@
 
 func TestPenaltyRisesAboveTargetAndComesDown(t *testing.T) {
 	p := newHarness(t, nil)
-	p.rounds(6, func() []Note { return attempts(0, 10, 0, 1, 0) })
+	p.rounds(6, func() []Event { return attempts(0, 10, 0, 1, 0) })
 	high := p.planner.endpoints[0].penalty
 	assert.Greater(t, high, penaltyGain*0.5)
 	assert.LessOrEqual(t, high, maxPenalty)
-	p.rounds(12, func() []Note { return attempts(0, 10, 0, 0.2, 0) })
+	p.rounds(12, func() []Event { return attempts(0, 10, 0, 0.2, 0) })
 	assert.Zero(t, p.planner.endpoints[0].penalty)
 	assert.Zero(t, p.planner.endpoints[5].penalty, "no reports: the penalty stays 0")
 }
@@ -26,7 +26,7 @@
 	}{"every gather": {1}, "every fourth": {4}} {
 		t.Run(name, func(t *testing.T) {
 			p, n := newHarness(t, nil), 0
-			p.rounds(80, func() []Note {
+			p.rounds(80, func() []Event {
 				if n++; n%c.every == 0 {
 					return attempts(0, 20, 0, 0.72, 0)
 				}
@@ -49,11 +49,11 @@
 	}{"they are served": {0.6, 1, 1}, "they are too many": {1, 0.1, 0.9}} {
 		t.Run(name, func(t *testing.T) {
 			p := newHarness(t, func(terms map[string]any, _ []Entry) { terms["by_zone"], terms["proxy_count"] = true, 40.0 })
-			p.rounds(10, func() []Note { return attempts(0, 20, 0, 0.6, 0, 1) })
+			p.rounds(10, func() []Event { return attempts(0, 20, 0, 0.6, 0, 1) })
 			for i := 2; i < 40; i++ {
-				p.step(Joined{Proxy: i, Zone: 2, Rate: 0.5})
+				p.step(ProxyJoined{Proxy: i, Zone: 2, Rate: 0.5})
 			}
-			p.rounds(6, func() []Note { return append(attempts(2, 20, 0, c.util, 4, 5), attempts(0, 20, 0, 0.6, 0, 1)...) })
+			p.rounds(6, func() []Event { return append(attempts(2, 20, 0, c.util, 4, 5), attempts(0, 20, 0, 0.6, 0, 1)...) })
 			assert.GreaterOrEqual(t, p.share(2, 4, 5), c.least-1e-9)
 			assert.LessOrEqual(t, p.share(2, 4, 5), c.most+1e-9)
 		})
--- a/brain/planner.go
+++ b/planner/planner.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 // This file is the frame of the planner: events in, control rounds, commands out. The planner is a sub-controller of
 // the ACCO algorithm ("A Distributed Hybrid Load Management Model for Anycast CDNs", section IV-A). Its regions are
@@ -27,10 +27,10 @@
 	targetLoadCrossZoneGain = 2.0  // by how much the target rises with the cost of crossing zones
 )
 
-// Brain plans how the proxies spread their requests over the endpoints. It is a plain state machine, without a clock,
+// Planner plans how the proxies spread their requests over the endpoints. It is a plain state machine, without a clock,
 // goroutines or any I/O: the same events at the same times bring the same commands. Call New once, then Handle with
 // each moment's events. It is not safe for concurrent use.
-type Brain struct {
+type Planner struct {
 	mailbox mailbox[plannerMessage]
 	actors  []actor // in the order in which they came to be; the planner itself is the first, the publisher the second
 
@@ -46,9 +46,9 @@
 	now      float64 // ms
 	started  bool
 	rounds   int // timed ones
-	commands []Order
+	commands []Command
 
-	proxies map[int]Joined // that have joined, as they described themselves
+	proxies map[int]ProxyJoined // that have joined, as they described themselves
 	demand  demand
 	load    fleetLoad
 
@@ -59,9 +59,9 @@
 
 // New returns a planner. Settings of a wrong type count as missing; ParseSettings names them. The seed is not used, as
 // nothing is drawn by chance.
-func New(_ int64, settings map[string]any) *Brain {
+func New(_ int64, settings map[string]any) *Planner {
 	parsed, _ := ParseSettings(settings) // New may not fail: what is wrong has its default
-	p := &Brain{settings: parsed, classes: parsed.Classes, proxies: map[int]Joined{}, demand: newDemand()}
+	p := &Planner{settings: parsed, classes: parsed.Classes, proxies: map[int]ProxyJoined{}, demand: newDemand()}
 	p.targetLoad = targetLoad(parsed.CrossZoneCost)
 	p.shedOrder = shedOrder(p.classes)
 	if !parsed.Sliced {
@@ -76,7 +76,7 @@
 
 // Reconfigure takes over changed settings: all of them, changed and not. What New derived from the earlier ones stays:
 // the target load, the request classes and their groups, and the subsets of a zone's proxies.
-func (p *Brain) Reconfigure(settings map[string]any) {
+func (p *Planner) Reconfigure(settings map[string]any) {
 	p.settings, _ = ParseSettings(settings) // as New does
 }
 
@@ -87,7 +87,7 @@
 
 // Handle takes in what happened by a time and returns what is to be done about it, in order. Times never run backwards:
 // an earlier one counts as the last.
-func (p *Brain) Handle(nowMs float64, events []Note) []Order {
+func (p *Planner) Handle(nowMs float64, events []Event) []Command {
 	p.now = math.Max(p.now, nowMs)
 	p.commands = nil
 	p.start()
@@ -101,59 +101,59 @@
 
 // start sets the timer of the first round, at the first event. Each controller has its own point of the round, so that
 // not all of them change their tables at once.
-func (p *Brain) start() {
+func (p *Planner) start() {
 	if p.started {
 		return
 	}
 	p.started = true
-	p.command(WakeAt{p.now + roundMs*(1+p.settings.Rank/p.settings.Instances)/2, roundTimer})
+	p.command(SetTimer{p.now + roundMs*(1+p.settings.Rank/p.settings.Instances)/2, roundTimer})
 	if p.settings.DiscoveryOnRequest {
-		p.command(Watch{On: true})
+		p.command(WatchEndpoints{On: true})
 	}
 }
 
 // dispatch passes an event to the actors that it concerns. Events of other types call for no plan.
-func (p *Brain) dispatch(event Note) {
+func (p *Planner) dispatch(event Event) {
 	switch event := event.(type) {
-	case Listing:
+	case EndpointUpdate:
 		p.updateList(event)
-	case Alarm:
+	case TimerFired:
 		p.timerFired(event)
-	case Probed:
+	case HealthCheckResult:
 		p.endpoint(event.Endpoint).mailbox.enqueue(event)
-	case Met:
+	case EndpointStats:
 		p.takeStats(event)
-	case Joined:
+	case ProxyJoined:
 		p.mailbox.enqueue(event)
 		p.publisher.mailbox.enqueue(event)
-	case Left:
+	case ProxyLeft:
 		p.mailbox.enqueue(event)
 		p.publisher.mailbox.enqueue(event)
-	case Demand:
+	case RequestStats:
 		p.mailbox.enqueue(event)
-	case Applied:
+	case Ack:
 		p.publisher.mailbox.enqueue(event)
-	case Stalled:
+	case ChannelStalled:
 		p.publisher.mailbox.enqueue(event)
 	}
 }
 
 // timerFired begins a timed round. Other timers only have the planner called, as each call flushes the publisher.
-func (p *Brain) timerFired(timer Alarm) {
+func (p *Planner) timerFired(timer TimerFired) {
 	if timer.Name != roundTimer {
 		return
 	}
 	p.rounds++
-	p.command(WakeAt{p.now + roundMs, roundTimer})
+	p.command(SetTimer{p.now + roundMs, roundTimer})
 	p.controlRound(true)
 }
 
 // takeStats passes on what proxies of a zone saw of an endpoint. Counts that began before the endpoint started again
 // belong to the process that is gone: they are dropped, its load report is not.
-func (p *Brain) takeStats(stats Met) {
+func (p *Planner) takeStats(stats EndpointStats) {
 	e := p.endpoint(stats.Endpoint)
 	if e.Started != 0 && e.Started > p.now-stats.SpanMs {
-		stats.Tries = 0
+		stats.Attempts = 0
 		stats.Failed = 0
 	}
 	e.mailbox.enqueue(stats)
@@ -161,9 +161,9 @@
 }
 
 // updateList takes in news of the endpoint list and plans anew. What a complete list leaves out is gone.
-func (p *Brain) updateList(list Listing) {
-	if list.Mode == ListFailed {
-		p.command(Watch{On: true})
+func (p *Planner) updateList(list EndpointUpdate) {
+	if list.Mode == UpdateFailed {
+		p.command(WatchEndpoints{On: true})
 		return
 	}
 	named := map[int]bool{}
@@ -172,14 +172,14 @@
 		p.region(entry.Zone)
 		p.endpoint(entry.Endpoint).mailbox.enqueue(entry)
 	}
-	if list.Mode != Changes {
+	if list.Mode != Delta {
 		p.removeUnnamed(named)
 	}
 	p.controlRound(false)
 }
 
 // removeUnnamed takes listed endpoints that a complete list leaves out for gone.
-func (p *Brain) removeUnnamed(named map[int]bool) {
+func (p *Planner) removeUnnamed(named map[int]bool) {
 	for i, e := range p.endpoints {
 		if e.listed && !named[i] {
 			gone := e.Entry
@@ -191,7 +191,7 @@
 
 // controlRound has all endpoints and then all regions plan anew. The regions begin only when all endpoints
 // have made their offers.
-func (p *Brain) controlRound(timed bool) {
+func (p *Planner) controlRound(timed bool) {
 	p.deliverAll()
 	p.demand.update(p.proxies, p.settings.ProxyCount.Or(1))
 	p.load.update(p.endpoints, p.targetLoad, p.now)
@@ -205,14 +205,14 @@
 }
 
 // receive takes in a message to the planner itself: who has joined, and what requests come to them.
-func (p *Brain) receive(message plannerMessage) {
+func (p *Planner) receive(message plannerMessage) {
 	switch message := message.(type) {
-	case Joined:
+	case ProxyJoined:
 		p.proxies[message.Proxy] = message
 		p.region(message.Zone)
-	case Left:
+	case ProxyLeft:
 		delete(p.proxies, message.Proxy)
-	case Demand:
+	case RequestStats:
 		if proxy, joined := p.proxies[message.Proxy]; joined {
 			p.demand.observe(message, proxy, len(p.classes))
 		}
@@ -220,7 +220,7 @@
 }
 
 // endpoint returns the state of an endpoint, which it makes at its first mention.
-func (p *Brain) endpoint(index int) *endpoint {
+func (p *Planner) endpoint(index int) *endpoint {
 	for len(p.endpoints) <= index {
 		e := newEndpoint(p, len(p.endpoints))
 		p.endpoints = append(p.endpoints, e)
@@ -230,7 +230,7 @@
 }
 
 // region returns the state of a zone's proxies, which it makes, with its tables, at the zone's first mention.
-func (p *Brain) region(zone int) *region {
+func (p *Planner) region(zone int) *region {
 	for len(p.regions) <= zone {
 		r := newRegion(p, len(p.regions))
 		p.regions = append(p.regions, r)
@@ -242,7 +242,7 @@
 
 // demandSeen returns which part of the demand on an endpoint this planner sees: that of the proxies that joined it. The
 // others plan for the rest, so each corrects only its part of what is amiss.
-func (p *Brain) demandSeen() float64 {
+func (p *Planner) demandSeen() float64 {
 	if p.settings.ZonesKeptWhole {
 		return 1
 	}
@@ -250,7 +250,7 @@
 }
 
 // command gives a command out.
-func (p *Brain) command(command Order) { p.commands = append(p.commands, command) }
+func (p *Planner) command(command Command) { p.commands = append(p.commands, command) }
 
 // logf writes a line to the operators' log.
-func (p *Brain) logf(format string, args ...any) { p.command(Log{fmt.Sprintf(format, args...)}) }
+func (p *Planner) logf(format string, args ...any) { p.command(Log{fmt.Sprintf(format, args...)}) }
--- a/brain/publisher.go
+++ b/planner/publisher.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 // This file decides which differences of the tables go out to the proxies, and when. The publisher keeps what each
 // table was last sent, and sends what differs by enough, as far as the channel has room: see flowcontrol.go. It sends
@@ -34,7 +34,7 @@
 // publisher is an actor: it keeps what the proxies hold and orders what they get next.
 type publisher struct {
 	mailbox mailbox[publisherMessage]
-	planner *Brain
+	planner *Planner
 
 	tables    []*table // by number
 	proxies   map[int]*proxyState
@@ -50,16 +50,16 @@
 // table is a routing table of the proxies of a subset, for a class group.
 type table struct {
 	number          int
-	sent, wanted    map[int]float64 // weights by endpoint, as last sent and as last planned
-	admissionSent   map[int]Admit   // by class mask
-	admissionWanted map[int]Admit
+	sent, wanted    map[int]float64      // weights by endpoint, as last sent and as last planned
+	admissionSent   map[int]SetAdmission // by class mask
+	admissionWanted map[int]SetAdmission
 	planned         bool    // anew since the last push
 	pending         int     // urgent lines that did not fit in the last push
 	pushedAt        float64 // ms, when lines or levels of it last went out
 }
 
 // newPublisher returns a publisher for a fleet of which nothing is known.
-func newPublisher(p *Brain) *publisher {
+func newPublisher(p *Planner) *publisher {
 	pb := &publisher{planner: p, proxies: map[int]*proxyState{}, exclusion: newExclusion(),
 		linesSinceAck: map[int]float64{}}
 	pb.mailbox.receive = pb.receive
@@ -70,7 +70,7 @@
 func (pb *publisher) addTables(count int) {
 	for range count {
 		pb.tables = append(pb.tables, &table{number: len(pb.tables), sent: map[int]float64{}, wanted: map[int]float64{},
-			admissionSent: map[int]Admit{}, admissionWanted: map[int]Admit{}})
+			admissionSent: map[int]SetAdmission{}, admissionWanted: map[int]SetAdmission{}})
 	}
 }
 
@@ -81,16 +81,16 @@
 		pb.tables[message.table].wanted[message.endpoint] = message.weight
 		pb.tables[message.table].planned = true
 	case wantedAdmission:
-		pb.tables[message.command.Table].admissionWanted[message.command.Kinds] = message.command
+		pb.tables[message.command.Table].admissionWanted[message.command.Classes] = message.command
 	case availability:
 		pb.exclusion.update(message, pb.planner.now)
-	case Joined:
+	case ProxyJoined:
 		pb.join(message)
-	case Left:
+	case ProxyLeft:
 		delete(pb.proxies, message.Proxy)
-	case Stalled:
+	case ChannelStalled:
 		pb.stalled(message)
-	case Applied:
+	case Ack:
 		pb.acknowledged(message)
 	}
 }
@@ -108,7 +108,7 @@
 	pb.excludeUnavailable()
 	pb.watchBlockage(pb.window.written > before)
 	if pb.window.written > before { // by the above, or by a probe
-		p.command(Mark{Number: pb.window.seal(p.now, pb.linesSinceAck)})
+		p.command(AckRequest{Number: pb.window.seal(p.now, pb.linesSinceAck)})
 		pb.linesSinceAck = map[int]float64{}
 	}
 }
@@ -172,7 +172,7 @@
 func (pb *publisher) usersOf(t *table) (users float64, joined bool) {
 	subset := pb.planner.subsetOfTable(t.number)
 	for _, proxy := range pb.proxies {
-		if pb.planner.subset(proxy.Joined) != subset {
+		if pb.planner.subset(proxy.ProxyJoined) != subset {
 			continue
 		}
 		joined = true
@@ -298,7 +298,7 @@
 		}
 		t.sent[g.endpoint] = wanted
 		d.written++
-		pb.planner.command(SetLine{Table: t.number, Endpoint: g.endpoint, Weight: wanted})
+		pb.planner.command(SetWeight{Table: t.number, Endpoint: g.endpoint, Weight: wanted})
 	}
 	maps.DeleteFunc(t.sent, func(_ int, weight float64) bool { return weight == 0 })
 }
@@ -313,7 +313,7 @@
 	subset := pb.planner.subsetOfTable(d.table.number)
 	for _, proxy := range pb.proxies {
 		received := 0.0
-		if proxy.assigned && pb.planner.subset(proxy.Joined) == subset {
+		if proxy.assigned && pb.planner.subset(proxy.ProxyJoined) == subset {
 			received = lines
 		}
 		pb.linesSinceAck[proxy.Proxy] += received // also of none: excludeUnavailable asks whether there are entries
--- a/brain/publisher_test.go
+++ b/planner/publisher_test.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 import (
 	"testing"
@@ -9,7 +9,7 @@
 
 func TestOnlyDifferencesAreSent(t *testing.T) {
 	p := newHarness(t, nil)
-	steady := func() []Note { return attempts(0, 10, 0, 0.4, 0, 1) }
+	steady := func() []Event { return attempts(0, 10, 0, 0.4, 0, 1) }
 	p.rounds(8, steady)
 	for range 5 {
 		p.rounds(1, steady)
@@ -23,11 +23,11 @@
 func TestBacklogStaysShort(t *testing.T) {
 	p := newHarness(t, func(terms map[string]any, _ []Entry) { terms["lines_per_s"] = 20.0 })
 	for i := 2; i < 30; i++ {
-		p.step(Joined{Proxy: i, Zone: 0, Rate: 1})
+		p.step(ProxyJoined{Proxy: i, Zone: 0, Rate: 1})
 	}
 	sent := 0
 	for w := range 20 {
-		p.rounds(1, func() []Note { return append(attempts(0, 5, 0, float64(w%2), 0), attempts(0, 5, 0, 0.5, 1, 2, 3)...) })
+		p.rounds(1, func() []Event { return append(attempts(0, 5, 0, float64(w%2), 0), attempts(0, 5, 0, 0.5, 1, 2, 3)...) })
 		sent += p.written * 30
 	}
 	assert.Less(t, sent, 1500, "what can wait waits while the channel is full")
@@ -42,12 +42,12 @@
 		terms["ejects_after"], terms["fall_multiple"], terms["backlog"] = 5.0, 2.5, 600.0
 	})
 	for i := 2; i < 80; i++ {
-		p.step(Joined{Proxy: i, Zone: 0, Rate: 1})
+		p.step(ProxyJoined{Proxy: i, Zone: 0, Rate: 1})
 	}
-	p.rounds(60, func() []Note { return attempts(0, 20, 0, 0.8, all...) })
+	p.rounds(60, func() []Event { return attempts(0, 20, 0, 0.8, all...) })
 	require.Greater(t, len(p.assigned), 70)
 	before := p.weights[0][0]
 	require.Positive(t, before)
-	p.step(Listing{Mode: Changes, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - 1000}}})
+	p.step(EndpointUpdate{Mode: Delta, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - 1000}}})
 	assert.Less(t, p.weights[0][0], before/2)
 }
--- a/brain/region.go
+++ b/planner/region.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 // This file holds the state of one region, the paper's set of clients that a sub-controller plans for (R(n)): here the
 // proxies of one zone. A region solves its local problem (paper, equation 6) once in a round for each class group:
@@ -22,7 +22,7 @@
 // region is an actor: it keeps what a zone's proxies are offered and see, and plans for them.
 type region struct {
 	mailbox mailbox[regionMessage]
-	planner *Brain
+	planner *Planner
 	zone    int
 
 	candidates  map[int]*candidate // by endpoint
@@ -50,7 +50,7 @@
 }
 
 // newRegion returns the region of a zone.
-func newRegion(p *Brain, zone int) *region {
+func newRegion(p *Planner, zone int) *region {
 	r := &region{planner: p, zone: zone, candidates: map[int]*candidate{}, latency: map[int]float64{},
 		shed: map[int]float64{}, runLengths: map[int][2]float64{}}
 	r.mailbox.receive = r.receive
@@ -60,7 +60,7 @@
 // receive takes in a message to the region.
 func (r *region) receive(message regionMessage) {
 	switch message := message.(type) {
-	case Met:
+	case EndpointStats:
 		r.measureLatency(message)
 	case *candidate:
 		r.candidates[message.Endpoint] = message
@@ -70,7 +70,7 @@
 }
 
 // measureLatency takes in the mean latency that the zone's proxies saw at an endpoint.
-func (r *region) measureLatency(stats Met) {
+func (r *region) measureLatency(stats EndpointStats) {
 	c := r.candidates[stats.Endpoint]
 	if c != nil && stats.MeanMs > 0 {
 		mean := r.latency[c.Zone]
--- a/brain/sendwindow.go
+++ b/planner/sendwindow.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 // This file keeps account of the channel, as a transport's send window does of a connection: which lines may still
 // wait in it. It holds no decision; flowcontrol.go does.
--- a/brain/sendwindow_test.go
+++ b/planner/sendwindow_test.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 import (
 	"fmt"
@@ -35,7 +35,7 @@
 
 // channelEvent is an answer to a mark, or what a stall tells.
 type channelEvent struct {
-	stall         *Stalled
+	stall         *ChannelStalled
 	proxy, number int
 }
 
@@ -105,7 +105,7 @@
 	c := m.queue[0]
 	m.queue = m.queue[1:]
 	if len(c.numbers) > 1 {
-		m.events = append(m.events, channelEvent{stall: &Stalled{ForMs: pick(m.stalled, 1, 0), Joined: c.numbers}})
+		m.events = append(m.events, channelEvent{stall: &ChannelStalled{ForMs: pick(m.stalled, 1, 0), Merged: c.numbers}})
 	}
 	return c
 }
@@ -119,7 +119,7 @@
 
 func (m *channelModel) callAnswered() {
 	if m.stalled {
-		m.events = append(m.events, channelEvent{stall: &Stalled{}})
+		m.events = append(m.events, channelEvent{stall: &ChannelStalled{}})
 	}
 	m.stalled = false
 }
@@ -127,7 +127,7 @@
 // callTimedOut has the adapter give up waiting for an answer.
 func (m *channelModel) callTimedOut(c call) {
 	m.stalled = true
-	m.events = append(m.events, channelEvent{stall: &Stalled{ForMs: 1, Again: c.numbers}})
+	m.events = append(m.events, channelEvent{stall: &ChannelStalled{ForMs: 1, Repeated: c.numbers}})
 	m.queue = append([]call{c}, m.queue...)
 }
 
@@ -150,8 +150,8 @@
 		return
 	}
 	m.window.stall(1, n.stall.ForMs)
-	m.window.join(n.stall.Joined)
-	if mark, again := m.window.resend(1, n.stall.Again); again {
+	m.window.join(n.stall.Merged)
+	if mark, again := m.window.resend(1, n.stall.Repeated); again {
 		m.ordered = append(m.ordered, call{numbers: []int{mark}})
 	}
 }
@@ -217,7 +217,7 @@
 // resendPending returns whether the window has yet to hear that a call goes out again. The adapter pauses meanwhile; in
 // the model it may be quicker than the loop.
 func (m *channelModel) resendPending() bool {
-	return slices.ContainsFunc(m.events, func(n channelEvent) bool { return n.stall != nil && len(n.stall.Again) > 0 })
+	return slices.ContainsFunc(m.events, func(n channelEvent) bool { return n.stall != nil && len(n.stall.Repeated) > 0 })
 }
 
 func (m *channelModel) inChannel() (lines float64) {
--- a/brain/settings.go
+++ b/planner/settings.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 // This file turns the settings of a deployment, a map of names to values, into typed values with their
 // defaults. Behind ParseSettings nothing in this package looks a setting up by its name.
--- a/brain/slowstart.go
+++ b/planner/slowstart.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 // This file bounds the shares of endpoints that warm up after a start, and of those on trial. The risk with an endpoint
 // that warms up is that others fail beside it: all requests of its zone would turn to it, and it would fall over.
@@ -35,7 +35,7 @@
 
 // warmUp returns the part of its normal work that an endpoint can do that started at a time: it rises evenly from the
 // configured start to 1 within the configured time. A start of 0 is long ago.
-func (p *Brain) warmUp(started float64) float64 {
+func (p *Planner) warmUp(started float64) float64 {
 	if started == 0 {
 		return 1
 	}
@@ -45,7 +45,7 @@
 }
 
 // isWarmingUp returns whether an endpoint started less than the configured time ago.
-func (p *Brain) isWarmingUp(endpoint int) bool {
+func (p *Planner) isWarmingUp(endpoint int) bool {
 	started := p.endpoints[endpoint].Started
 	return started != 0 && p.now-started < p.settings.WarmUpMs
 }
--- a/brain/slowstart_test.go
+++ b/planner/slowstart_test.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 import (
 	"slices"
@@ -11,7 +11,7 @@
 func TestSlowStart(t *testing.T) {
 	p := newHarness(t, nil)
 	p.now = 100000
-	p.step(Listing{Mode: Changes, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - 500}}})
+	p.step(EndpointUpdate{Mode: Delta, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - 500}}})
 	last := 0.0
 	for age := 1.5; age < 9; age++ {
 		p.rounds(1, nil)
@@ -30,16 +30,16 @@
 		ejects float64
 		gone   bool // the other endpoint of its zone is lost
 		fresh  bool // the pilot has just started
-		notes  func() []Note
+		notes  func() []Event
 		most   float64
 	}{
-		"calm":                           {5, false, false, func() []Note { return attempts(0, 20, 0, 0.3, all...) }, 0.37},
-		"much fails: nothing":            {5, false, false, func() []Note { return attempts(0, 10, 10, 0.3, all...) }, 0},
-		"busy: nothing":                  {5, false, false, func() []Note { return attempts(0, 20, 0, 0.9, all...) }, 0},
-		"no proxy avoids: a little":      {0, false, false, func() []Note { return attempts(0, 20, 0, 0.9, all...) }, 0.4},
-		"fresh pilot: nothing":           {5, false, true, func() []Note { return attempts(0, 20, 0, 0.3, all...) }, 0},
-		"last of its zone is no giant":   {5, true, false, func() []Note { return attempts(0, 20, 0, 0.3, all...) }, 0.45},
-		"no giant where no proxy avoids": {0, true, false, func() []Note { return attempts(0, 20, 0, 0.3, all...) }, 0.45},
+		"calm":                           {5, false, false, func() []Event { return attempts(0, 20, 0, 0.3, all...) }, 0.37},
+		"much fails: nothing":            {5, false, false, func() []Event { return attempts(0, 10, 10, 0.3, all...) }, 0},
+		"busy: nothing":                  {5, false, false, func() []Event { return attempts(0, 20, 0, 0.9, all...) }, 0},
+		"no proxy avoids: a little":      {0, false, false, func() []Event { return attempts(0, 20, 0, 0.9, all...) }, 0.4},
+		"fresh pilot: nothing":           {5, false, true, func() []Event { return attempts(0, 20, 0, 0.3, all...) }, 0},
+		"last of its zone is no giant":   {5, true, false, func() []Event { return attempts(0, 20, 0, 0.3, all...) }, 0.45},
+		"no giant where no proxy avoids": {0, true, false, func() []Event { return attempts(0, 20, 0, 0.3, all...) }, 0.45},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newHarness(t, func(terms map[string]any, _ []Entry) { terms["ejects_after"] = c.ejects })
@@ -50,7 +50,7 @@
 			if c.gone {
 				list = append(list, Entry{Endpoint: 1, Zone: 0, Weight: 2, Phase: Gone})
 			}
-			p.step(Listing{Mode: Changes, Entries: list})
+			p.step(EndpointUpdate{Mode: Delta, Entries: list})
 			if name == "calm" { // its half of the zone, times what the told start and span say that it can do, now and later
 				assert.LessOrEqual(t, p.share(0, 0), 0.5*0.55+0.005)
 			}
@@ -66,15 +66,15 @@
 	var shares []float64
 	for _, reqs := range []int{20, 60} {
 		p := newHarness(t, func(terms map[string]any, _ []Entry) { terms["ejects_after"] = 0.0 })
-		notes := func() []Note {
+		notes := func() []Event {
 			all := attempts(0, 20, 0, 0.3, 0, 1, 2, 3, 4, 5)
 			for k := range 2 {
-				all = append(all, Demand{Proxy: 0, Kind: k, Reqs: reqs / 2, SpanMs: 1000})
+				all = append(all, RequestStats{Proxy: 0, Class: k, Requests: reqs / 2, SpanMs: 1000})
 			}
 			return all
 		}
 		p.rounds(40, notes)
-		p.step(Listing{Mode: Changes, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - 5000}}})
+		p.step(EndpointUpdate{Mode: Delta, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - 5000}}})
 		p.rounds(1, notes)
 		shares = append(shares, p.share(0, 0))
 	}
@@ -85,12 +85,12 @@
 // take does not fall to it (incident 019).
 func TestSlowStartAmongTrials(t *testing.T) {
 	p := newHarness(t, func(terms map[string]any, _ []Entry) { terms["ejects_after"] = 0.0 })
-	p.rounds(8, func() []Note { return attempts(0, 20, 0, 0.3, 0, 1, 2, 3, 4, 5) })
-	p.rounds(10, func() []Note { return append(attempts(0, 0, 9, -1, 1, 2, 3, 4, 5), attempts(0, 20, 0, 0.3, 0)...) })
-	p.step(Listing{Mode: Changes, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - 4000}}})
+	p.rounds(8, func() []Event { return attempts(0, 20, 0, 0.3, 0, 1, 2, 3, 4, 5) })
+	p.rounds(10, func() []Event { return append(attempts(0, 0, 9, -1, 1, 2, 3, 4, 5), attempts(0, 20, 0, 0.3, 0)...) })
+	p.step(EndpointUpdate{Mode: Delta, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - 4000}}})
 	trials := 0
 	for range 4 {
-		p.rounds(1, func() []Note { return attempts(0, 1, 0, -1, 1, 2, 3, 4, 5) })
+		p.rounds(1, func() []Event { return attempts(0, 1, 0, -1, 1, 2, 3, 4, 5) })
 		trials += len(slices.DeleteFunc(slices.Clone(p.logs), func(l string) bool { return !strings.Contains(l, "trial") }))
 		if trials > 0 {
 			assert.LessOrEqual(t, p.share(0, 0), 0.3)
@@ -112,9 +112,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newHarness(t, func(terms map[string]any, _ []Entry) { terms["ejects_after"] = 5.0 })
-			load := func() []Note { return attempts(0, 20, 0, c.util, 0, 1, 2, 3, 4, 5) }
+			load := func() []Event { return attempts(0, 20, 0, c.util, 0, 1, 2, 3, 4, 5) }
 			p.rounds(8, load)
-			p.step(Listing{Mode: Changes, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - c.age}}})
+			p.step(EndpointUpdate{Mode: Delta, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - c.age}}})
 			p.rounds(2, load)
 			assert.Equal(t, c.used, p.share(0, 0) > 0)
 		})
@@ -139,11 +139,11 @@
 				if i <= c.proxies {
 					zone = 0
 				}
-				p.step(Joined{Proxy: i, Zone: zone, Rate: 1})
+				p.step(ProxyJoined{Proxy: i, Zone: zone, Rate: 1})
 			}
-			load := func() []Note { return attempts(0, 20, 0, 0.45, 0, 1, 2, 3, 4, 5) }
+			load := func() []Event { return attempts(0, 20, 0, 0.45, 0, 1, 2, 3, 4, 5) }
 			p.rounds(8, load)
-			p.step(Listing{Mode: Changes, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - 2500}}})
+			p.step(EndpointUpdate{Mode: Delta, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - 2500}}})
 			p.rounds(2, load)
 			assert.Equal(t, c.used, p.share(0, 0) > 0)
 		})
--- a/brain/solver.go
+++ b/planner/solver.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 // This file solves a region's local problem (paper, equations 6 and 7): which share of its requests goes to which
 // endpoint. It is a projected gradient descent from the listed weights over the shares that sum to 1 and keep to their
--- a/brain/subset.go
+++ b/planner/subset.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 // This file deals a zone's proxies to subsets with tables of their own, where endpoints take fewer connections than
 // there are proxies (compare "Reinventing Backend Subsetting at Google", ACM Queue 2022).
@@ -51,15 +51,15 @@
 }
 
 // subset returns the number of a proxy's subset, counted over all zones.
-func (p *Brain) subset(proxy Joined) int {
+func (p *Planner) subset(proxy ProxyJoined) int {
 	return proxy.Zone*p.subsetsOfZone + proxy.Proxy%p.subsetsOfZone
 }
 
 // tableNumber returns the number of a subset's table for a class group.
-func (p *Brain) tableNumber(subset, group int) int { return subset*len(p.groups) + group }
+func (p *Planner) tableNumber(subset, group int) int { return subset*len(p.groups) + group }
 
 // subsetOfTable returns the number of the subset that a table is for.
-func (p *Brain) subsetOfTable(table int) int { return table / len(p.groups) }
+func (p *Planner) subsetOfTable(table int) int { return table / len(p.groups) }
 
 // rings is how the shares of a plan lie on the two rings.
 type rings struct {
--- a/brain/subset_test.go
+++ b/planner/subset_test.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 import (
 	"testing"
@@ -28,7 +28,7 @@
 			p := newHarness(t, func(terms map[string]any, _ []Entry) {
 				terms["proxy_count"], terms["conns_least"], terms["zones"] = c.proxies, c.conns, []any{"a", "b", "c"}
 			})
-			p.step(Listing{Mode: Whole, Entries: list})
+			p.step(EndpointUpdate{Mode: Snapshot, Entries: list})
 			assert.Equal(t, c.parts, p.planner.subsetsOfZone)
 			users, sum := map[int]float64{}, map[int]float64{}
 			for part := range p.planner.subsetsOfZone {
@@ -70,8 +70,8 @@
 				terms["proxy_count"], terms["conns_least"], terms["zones"], terms["by_zone"] = 150.0, 74.0, []any{"a", "b", "c"}, true
 				terms["lines_per_s"] = 10000.0 // connections bound the tables here, not the channel
 			})
-			p.step(Listing{Mode: Whole, Entries: list})
-			p.rounds(12, func() []Note { return attempts(0, 20, 0, c.util, own[:10]...) })
+			p.step(EndpointUpdate{Mode: Snapshot, Entries: list})
+			p.rounds(12, func() []Event { return attempts(0, 20, 0, c.util, own[:10]...) })
 			in := map[int]int{} // tables that an endpoint is in
 			for part := range p.planner.subsetsOfZone {
 				for i, w := range p.planner.publisher.tables[part].wanted {
@@ -103,11 +103,11 @@
 	for i := range 198 {
 		list = append(list, Entry{Endpoint: i, Zone: i / 66, Weight: 3})
 	}
-	p.step(Listing{Mode: Whole, Entries: list})
+	p.step(EndpointUpdate{Mode: Snapshot, Entries: list})
 	for i := 2; i < 100; i++ {
-		p.step(Joined{Proxy: i, Zone: 0, Rate: 2})
+		p.step(ProxyJoined{Proxy: i, Zone: 0, Rate: 2})
 	}
-	p.rounds(10, func() []Note { return attempts(0, 5, 0, 0.4, 1, 2, 3) })
+	p.rounds(10, func() []Event { return attempts(0, 5, 0, 0.4, 1, 2, 3) })
 	assert.Len(t, p.assigned, 100)
 	for i := range 100 {
 		lines := 0
--- a/brain/zonecost.go
+++ b/planner/zonecost.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 // This file gives each zone its cost, as a region's proxies bear it: the region's own zone costs nothing while it can
 // serve its demand, the others go by latency. Penalties come on top; where they raise the own zone above the next one,
