--- a/planner/admission.go
+++ b/planner/admission.go
@@ -86,8 +86,10 @@
 		}
 		cut := p.classCut(left)
 		left -= cut
-		r.wantAdmission(group, SetAdmission{Classes: 1 << class, RetryMode: p.retryPolicy(class, retriesHelp),
-			Level: r.admissionLevel(class, cut, requests)})
+		r.wantAdmission(group, SetAdmission{
+			Classes: 1 << class, RetryMode: p.retryPolicy(class, retriesHelp),
+			Level: r.admissionLevel(class, cut, requests),
+		})
 	}
 }
 
--- a/planner/classgroup.go
+++ b/planner/classgroup.go
@@ -31,8 +31,10 @@
 		at := slices.IndexFunc(groups, func(g classGroup) bool { return g.isFor(class) })
 		if at < 0 {
 			at = len(groups)
-			groups = append(groups, classGroup{ownZoneOnly: class.OwnZoneOnly, onlyMachines: class.OnlyMachines,
-				onlyZones: class.OnlyZones})
+			groups = append(groups, classGroup{
+				ownZoneOnly: class.OwnZoneOnly, onlyMachines: class.OnlyMachines,
+				onlyZones: class.OnlyZones,
+			})
 		}
 		groups[at].mask |= 1 << i
 	}
--- a/planner/demand.go
+++ b/planner/demand.go
@@ -35,8 +35,10 @@
 
 // newDemand returns a demand of which nothing is known.
 func newDemand() demand {
-	return demand{observed: map[int]float64{}, baseline: map[int]float64{}, byClass: map[int]float64{},
-		rates: map[int]float64{}, proxiesOfZone: map[int]float64{}}
+	return demand{
+		observed: map[int]float64{}, baseline: map[int]float64{}, byClass: map[int]float64{},
+		rates: map[int]float64{}, proxiesOfZone: map[int]float64{},
+	}
 }
 
 // observe takes in the requests of a class that came to a joined proxy. The proxy's ordinary rate is of all classes; a
--- a/planner/endpoint.go
+++ b/planner/endpoint.go
@@ -21,8 +21,10 @@
 
 // newEndpoint returns an endpoint of which nothing is known.
 func newEndpoint(p *Planner, index int) *endpoint {
-	e := &endpoint{Entry: Entry{Endpoint: index}, planner: p, load: newLoadEstimate(), plans: newPlanHistory(),
-		health: map[int]*zoneHealth{}}
+	e := &endpoint{
+		Entry: Entry{Endpoint: index}, planner: p, load: newLoadEstimate(), plans: newPlanHistory(),
+		health: map[int]*zoneHealth{},
+	}
 	e.mailbox.receive = e.receive
 	return e
 }
@@ -82,8 +84,10 @@
 		e.stepPenalty(load, fresh)
 		e.checkHealth()
 	}
-	offer := candidate{Entry: e.Entry, load: load, penalty: e.penalty, weight: e.effectiveWeight(),
-		warmUp: e.planner.warmUp(e.Started)}
+	offer := candidate{
+		Entry: e.Entry, load: load, penalty: e.penalty, weight: e.effectiveWeight(),
+		warmUp: e.planner.warmUp(e.Started),
+	}
 	for _, r := range e.planner.regions {
 		e.offerTo(r, offer, timed)
 	}
--- a/planner/harness_test.go
+++ b/planner/harness_test.go
@@ -42,8 +42,10 @@
 	if change != nil {
 		change(terms, entries)
 	}
-	p := &harness{t: t, planner: New(1, terms), settings: terms, weights: map[int]map[int]float64{}, excluded: map[int]bool{},
-		admission: map[string]SetAdmission{}, assigned: map[int][]AssignTable{}}
+	p := &harness{
+		t: t, planner: New(1, terms), settings: terms, weights: map[int]map[int]float64{}, excluded: map[int]bool{},
+		admission: map[string]SetAdmission{}, assigned: map[int][]AssignTable{},
+	}
 	p.step(EndpointUpdate{Mode: Cached, Entries: entries})
 	p.step(ProxyJoined{Proxy: 0, Zone: 0, Rate: 20}, ProxyJoined{Proxy: 1, Zone: 1, Rate: 20})
 	return p
--- a/planner/mailbox.go
+++ b/planner/mailbox.go
@@ -41,14 +41,15 @@
 	}
 }
 
-// plannerMessage is what the planner takes: Joined, Left or Demand.
+// plannerMessage is what the planner takes: ProxyJoined, ProxyLeft or RequestStats.
 type plannerMessage interface{ toPlanner() }
 
 func (ProxyJoined) toPlanner()  {}
 func (ProxyLeft) toPlanner()    {}
 func (RequestStats) toPlanner() {}
 
-// endpointMessage is what an endpoint takes: Entry, Met, Probed, plannedShare or roundStart.
+// endpointMessage is what an endpoint takes: Entry, EndpointStats, HealthCheckResult, plannedShare or
+// roundStart.
 type endpointMessage interface{ toEndpoint() }
 
 func (Entry) toEndpoint()             {}
@@ -57,15 +58,15 @@
 func (plannedShare) toEndpoint()      {}
 func (roundStart) toEndpoint()        {}
 
-// regionMessage is what a region takes: Met, *candidate or roundStart.
+// regionMessage is what a region takes: EndpointStats, *candidate or roundStart.
 type regionMessage interface{ toRegion() }
 
 func (EndpointStats) toRegion() {}
 func (*candidate) toRegion()    {}
 func (roundStart) toRegion()    {}
 
-// publisherMessage is what the publisher takes: Joined, Left, Applied, Stalled, wantedWeight, wantedAdmission or
-// availability.
+// publisherMessage is what the publisher takes: ProxyJoined, ProxyLeft, Ack, ChannelStalled, wantedWeight,
+// wantedAdmission or availability.
 type publisherMessage interface{ toPublisher() }
 
 func (ProxyJoined) toPublisher()     {}
--- a/planner/membership_test.go
+++ b/planner/membership_test.go
@@ -83,8 +83,11 @@
 		"answers to a mark on a line of its table": {ProxyJoined{Resumed: true}, nil, true, 0, true},
 		"does not answer":                          {ProxyJoined{Resumed: true}, nil, false, 1, true},
 		"came back":                                {ProxyJoined{}, nil, true, 1, false},
-		"answers to a withdrawal, which reaches all": {ProxyJoined{Resumed: true},
-			[]Event{EndpointUpdate{Entries: []Entry{{Endpoint: 1, Zone: 0, Weight: 2, Phase: Draining}}}}, true, 1, true},
+		"answers to a withdrawal, which reaches all": {
+			ProxyJoined{Resumed: true},
+			[]Event{EndpointUpdate{Entries: []Entry{{Endpoint: 1, Zone: 0, Weight: 2, Phase: Draining}}}},
+			true, 1, true,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newHarness(t, nil)
@@ -125,8 +128,10 @@
 // table bound over them left nothing to pick (the rehearsal's empty-start served 0.07 of its first seconds).
 func TestEmptyListAssignsNoTables(t *testing.T) {
 	p := newHarness(t, nil)
-	empty := &harness{t: t, planner: New(1, p.settings), weights: map[int]map[int]float64{}, excluded: map[int]bool{},
-		admission: map[string]SetAdmission{}, assigned: map[int][]AssignTable{}}
+	empty := &harness{
+		t: t, planner: New(1, p.settings), weights: map[int]map[int]float64{}, excluded: map[int]bool{},
+		admission: map[string]SetAdmission{}, assigned: map[int][]AssignTable{},
+	}
 	empty.step(ProxyJoined{Proxy: 0, Zone: 0, Rate: 20})
 	empty.rounds(3, nil)
 	assert.Empty(t, empty.assigned)
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -21,9 +21,13 @@
 		return notes
 	}
 	run := func() (all []Command) {
-		p := &harness{t: t, planner: New(1, map[string]any{"lines_per_s": 4000.0, "head_lines": 4.0, "backlog": 8000.0,
-			"messages_most": 30.0, "messages_over": 10000.0, "proxy_count": 200.0, "req_kinds": []any{map[string]any{}}}),
-			weights: map[int]map[int]float64{}, excluded: map[int]bool{}, admission: map[string]SetAdmission{}, assigned: map[int][]AssignTable{}}
+		p := &harness{
+			t: t, planner: New(1, map[string]any{
+				"lines_per_s": 4000.0, "head_lines": 4.0, "backlog": 8000.0,
+				"messages_most": 30.0, "messages_over": 10000.0, "proxy_count": 200.0, "req_kinds": []any{map[string]any{}},
+			}),
+			weights: map[int]map[int]float64{}, excluded: map[int]bool{}, admission: map[string]SetAdmission{}, assigned: map[int][]AssignTable{},
+		}
 		queue, written, marks := 0.0, map[int]int{}, []Event(nil)
 		for tick := range 400 {
 			p.now = float64(tick) * 50
@@ -92,8 +96,10 @@
 		"list must be asked": {map[string]any{"discovery": "on_request"}, []Event{EndpointUpdate{Mode: UpdateFailed}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := &harness{t: t, planner: New(3, c.terms), weights: map[int]map[int]float64{}, excluded: map[int]bool{},
-				admission: map[string]SetAdmission{}, assigned: map[int][]AssignTable{}}
+			p := &harness{
+				t: t, planner: New(3, c.terms), weights: map[int]map[int]float64{}, excluded: map[int]bool{},
+				admission: map[string]SetAdmission{}, assigned: map[int][]AssignTable{},
+			}
 			p.step(c.notes...)
 			p.now = -5
 			p.rounds(3, nil)
--- a/planner/publisher.go
+++ b/planner/publisher.go
@@ -60,8 +60,10 @@
 
 // newPublisher returns a publisher for a fleet of which nothing is known.
 func newPublisher(p *Planner) *publisher {
-	pb := &publisher{planner: p, proxies: map[int]*proxyState{}, exclusion: newExclusion(),
-		linesSinceAck: map[int]float64{}}
+	pb := &publisher{
+		planner: p, proxies: map[int]*proxyState{}, exclusion: newExclusion(),
+		linesSinceAck: map[int]float64{},
+	}
 	pb.mailbox.receive = pb.receive
 	return pb
 }
@@ -69,8 +71,10 @@
 // addTables adds empty tables.
 func (pb *publisher) addTables(count int) {
 	for range count {
-		pb.tables = append(pb.tables, &table{number: len(pb.tables), sent: map[int]float64{}, wanted: map[int]float64{},
-			admissionSent: map[int]SetAdmission{}, admissionWanted: map[int]SetAdmission{}})
+		pb.tables = append(pb.tables, &table{
+			number: len(pb.tables), sent: map[int]float64{}, wanted: map[int]float64{},
+			admissionSent: map[int]SetAdmission{}, admissionWanted: map[int]SetAdmission{},
+		})
 	}
 }
 
--- a/planner/region.go
+++ b/planner/region.go
@@ -51,8 +51,10 @@
 
 // newRegion returns the region of a zone.
 func newRegion(p *Planner, zone int) *region {
-	r := &region{planner: p, zone: zone, candidates: map[int]*candidate{}, latency: map[int]float64{},
-		shed: map[int]float64{}, runLengths: map[int][2]float64{}}
+	r := &region{
+		planner: p, zone: zone, candidates: map[int]*candidate{}, latency: map[int]float64{},
+		shed: map[int]float64{}, runLengths: map[int][2]float64{},
+	}
 	r.mailbox.receive = r.receive
 	return r
 }
--- a/planner/settings.go
+++ b/planner/settings.go
@@ -48,7 +48,7 @@
 	ZonesKeptWhole     bool     // the proxies of a zone all join one controller, which sees the zone's whole demand
 	Sliced             bool     // requests go by slices of a key space, whose stored owners the planner lets be
 	StandingLines      float64  // lines of the tables that proxies hold before any is assigned to them; default 1e-9
-	DiscoveryOnRequest bool     // changes of the endpoint list come only after a Watch
+	DiscoveryOnRequest bool     // changes of the endpoint list come only after WatchEndpoints
 
 	// The endpoints.
 	LeastConnections   Optional // that the endpoint with the lowest limit takes
--- a/planner/settings_test.go
+++ b/planner/settings_test.go
@@ -18,11 +18,15 @@
 		FirstRetryWait: 1, BacklogLines: 1000, HeaderLines: 4, MessageLimit: math.MaxFloat64, MessageSpanMs: 10000,
 		DeliveryMs: 500, DrainGraceMs: 2000,
 	}, defaults)
-	keys := []string{"instances", "rank", "proxy_count", "standing", "conns_least", "cross_zone", "cold", "cold_from",
+	keys := []string{
+		"instances", "rank", "proxy_count", "standing", "conns_least", "cross_zone", "cold", "cold_from",
 		"fall_multiple", "ejects_after", "retry_default", "first_wait", "lines_per_s", "backlog", "head_lines",
-		"messages_most", "messages_over", "late_most", "drain_grace", "slices"}
-	for name, unusable := range map[string]float64{"zero": 0, "negative": -3, "infinite": math.Inf(1),
-		"not a number": math.NaN()} {
+		"messages_most", "messages_over", "late_most", "drain_grace", "slices",
+	}
+	for name, unusable := range map[string]float64{
+		"zero": 0, "negative": -3, "infinite": math.Inf(1),
+		"not a number": math.NaN(),
+	} {
 		t.Run(name, func(t *testing.T) {
 			raw := map[string]any{}
 			for _, key := range keys {
@@ -88,7 +92,8 @@
 		})
 	}
 	settings, err := ParseSettings(map[string]any{"req_kinds": []any{
-		"none", map[string]any{"payoff": "much", "only_zones": []any{0.5, 2.0}}}, "cold": false})
+		"none", map[string]any{"payoff": "much", "only_zones": []any{0.5, 2.0}},
+	}, "cold": false})
 	joined, ok := err.(interface{ Unwrap() []error })
 	require.True(t, ok)
 	var keys []string
@@ -107,8 +112,10 @@
 
 // TestReconfigure shows which settings a running planner follows, and what stays as New derived it.
 func TestReconfigure(t *testing.T) {
-	raw := map[string]any{"backlog": 100.0, "cross_zone": 0.1, "conns_least": 10.0, "proxy_count": 300.0,
-		"req_kinds": []any{map[string]any{"payoff": 2.0}}}
+	raw := map[string]any{
+		"backlog": 100.0, "cross_zone": 0.1, "conns_least": 10.0, "proxy_count": 300.0,
+		"req_kinds": []any{map[string]any{"payoff": 2.0}},
+	}
 	p := New(1, raw)
 	target, subsets := p.targetLoad, p.subsetsOfZone
 	require.Greater(t, subsets, 1)
