--- a/planner/admission_test.go
+++ b/planner/admission_test.go
@@ -8,47 +8,49 @@
 )
 
 func TestLoadShedding(t *testing.T) {
-	full := func() []Event {
+	overload := func() []Event {
 		return append(attempts(0, 10, 10, 1, 0, 1, 2, 3, 4, 5), RequestStats{Proxy: 0, Class: 0, Requests: 10}, RequestStats{Proxy: 0, Class: 1, Requests: 10})
 	}
-	p := newHarness(t, nil)
-	p.rounds(8, full)
-	low, ok := p.admission["0/1"]
-	require.True(t, ok, "overload denies the kind with the least payoff for its time")
+	h := newHarness(t, nil)
+	h.rounds(8, overload)
+	low, ok := h.admission["0/1"]
+	require.True(t, ok, "overload sheds the class with the least priority weight for its time")
 	assert.Less(t, low.Level, 0.9)
-	assert.LessOrEqual(t, low.RetryMode, 1, "no kind is tried again after a try that may have run")
-	if high, ok := p.admission["0/2"]; ok {
+	assert.LessOrEqual(t, low.RetryMode, 1, "no class is retried after an attempt that may have run")
+	if high, ok := h.admission["0/2"]; ok {
 		assert.GreaterOrEqual(t, high.Level, low.Level)
 	}
-	p.rounds(50, func() []Event { return attempts(0, 10, 0, 0.3, 0, 1, 2, 3, 4, 5) })
-	assert.Equal(t, 1.0, p.admission["0/1"].Level)
-	none := newHarness(t, func(terms map[string]any, _ []Entry) { terms["admission"] = "off" })
-	none.rounds(8, full)
+	h.rounds(50, func() []Event { return attempts(0, 10, 0, 0.3, 0, 1, 2, 3, 4, 5) })
+	assert.Equal(t, 1.0, h.admission["0/1"].Level)
+	none := newHarness(t, func(settings map[string]any, _ []Entry) { settings["admission"] = "off" })
+	none.rounds(8, overload)
 	for _, l := range none.admission {
-		assert.Equal(t, 1.0, l.Level, "ways of trying again are told, levels are not")
+		assert.Equal(t, 1.0, l.Level, "retry modes are set, levels are not")
 	}
 }
 
-// TestLoadSheddingByRate guards proxies that take levels as rates of their own: a share of 1, told as one req a second, had them
-// deny four of five reqs of a customer whose proxies bring 24 (calm+mass of seed 3 with 30 nodes, one zone, admission by rate).
+// TestLoadSheddingByRate guards proxies that take levels as rates of their own: a share of 1, taken as one request a second,
+// had them reject four of five requests of a customer whose proxies bring 24 (calm+mass of seed 3 with 30 nodes, one zone, admission by rate).
 func TestLoadSheddingByRate(t *testing.T) {
 	demand := func() []Event {
 		return []Event{RequestStats{Proxy: 0, Class: 0, Requests: 15, SpanMs: 1000}, RequestStats{Proxy: 0, Class: 1, Requests: 5, SpanMs: 1000}}
 	}
-	p := newHarness(t, func(terms map[string]any, _ []Entry) { terms["admission"], terms["retry_default"] = "rate", 1.0 })
-	p.rounds(8, func() []Event { return append(attempts(0, 10, 2, 0.3, 0, 1, 2, 3, 4, 5), demand()...) })
-	require.Equal(t, 2, p.admission["0/1"].RetryMode, "some are tried again")
-	assert.Greater(t, p.admission["0/1"].Level, 1000.0, "and all are let in")
-	p.rounds(3, func() []Event { return append(attempts(0, 10, 10, 1, 0, 1, 2, 3, 4, 5), demand()...) })
-	assert.Less(t, p.admission["0/1"].Level, 15.0, "overload denies the kind with the least payoff for its time")
-	assert.Greater(t, p.admission["0/1"].Level, 0.5)
-	assert.GreaterOrEqual(t, p.admission["0/2"].Level, 5.0, "and the other not yet")
-	p.rounds(50, func() []Event { return append(attempts(0, 10, 0, 0.3, 0, 1, 2, 3, 4, 5), demand()...) })
-	assert.Greater(t, p.admission["0/1"].Level, 1000.0, "then all are let in again")
-	p = newHarness(t, func(terms map[string]any, _ []Entry) { terms["admission"] = "rate" })
-	p.rounds(30, func() []Event { return attempts(0, 10, 10, 1, 0, 1, 2, 3, 4, 5) })
-	for _, l := range p.admission {
-		assert.Greater(t, l.Level, 0.0, "no zone without reqs is closed")
+	h := newHarness(t, func(settings map[string]any, _ []Entry) {
+		settings["admission"], settings["retry_default"] = "rate", 1.0
+	})
+	h.rounds(8, func() []Event { return append(attempts(0, 10, 2, 0.3, 0, 1, 2, 3, 4, 5), demand()...) })
+	require.Equal(t, 2, h.admission["0/1"].RetryMode, "some are retried")
+	assert.Greater(t, h.admission["0/1"].Level, 1000.0, "and all are admitted")
+	h.rounds(3, func() []Event { return append(attempts(0, 10, 10, 1, 0, 1, 2, 3, 4, 5), demand()...) })
+	assert.Less(t, h.admission["0/1"].Level, 15.0, "overload sheds the class with the least priority weight for its time")
+	assert.Greater(t, h.admission["0/1"].Level, 0.5)
+	assert.GreaterOrEqual(t, h.admission["0/2"].Level, 5.0, "and the other not yet")
+	h.rounds(50, func() []Event { return append(attempts(0, 10, 0, 0.3, 0, 1, 2, 3, 4, 5), demand()...) })
+	assert.Greater(t, h.admission["0/1"].Level, 1000.0, "then all are admitted again")
+	h = newHarness(t, func(settings map[string]any, _ []Entry) { settings["admission"] = "rate" })
+	h.rounds(30, func() []Event { return attempts(0, 10, 10, 1, 0, 1, 2, 3, 4, 5) })
+	for _, l := range h.admission {
+		assert.Greater(t, l.Level, 0.0, "no zone without requests is closed")
 	}
 }
 
@@ -63,10 +65,10 @@
 		"it would come too late":    {0.3, 1.2, 2, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newHarness(t, func(terms map[string]any, _ []Entry) { terms["first_wait"] = c.firstWait })
-			p.rounds(6, func() []Event { return attempts(0, 10, c.failed, c.util, 0, 1, 2, 3, 4, 5) })
-			assert.Equal(t, c.want, p.admission["0/1"].RetryMode)
-			assert.Equal(t, 1, p.admission["0/2"].RetryMode, "never what is non-replayable")
+			h := newHarness(t, func(settings map[string]any, _ []Entry) { settings["first_wait"] = c.firstWait })
+			h.rounds(6, func() []Event { return attempts(0, 10, c.failed, c.util, 0, 1, 2, 3, 4, 5) })
+			assert.Equal(t, c.want, h.admission["0/1"].RetryMode)
+			assert.Equal(t, 1, h.admission["0/2"].RetryMode, "never what is non-replayable")
 		})
 	}
 }
--- a/planner/flowcontrol_test.go
+++ b/planner/flowcontrol_test.go
@@ -7,48 +7,48 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStalledChannel guards the backlog (rule 5) when the way to the proxies is cut off: what is ordered meanwhile goes at
-// once when it is back, and was taken for gone (split+mass of seed 2: 5308 lines where 4800 may wait). What is said again
-// after a call that nobody answered crosses twice.
+// TestStalledChannel guards the backlog (rule 5) when the channel is cut off: what is commanded meanwhile goes out at once when
+// it is back, and was taken for gone (split+mass of seed 2: 5308 lines where 4800 may wait). What is repeated after a call
+// that nobody answered crosses twice.
 func TestStalledChannel(t *testing.T) {
 	for name, c := range map[string]struct {
-		told  func(second, mark int) Event
+		stall func(second, number int) Event
 		after Event   // a moment later
-		least float64 // parts of the backlog that are ordered in 30 s
+		least float64 // parts of the backlog that are written in 30 s
 		most  float64
 	}{
 		"open":           {func(int, int) Event { return nil }, nil, 1.5, 9},
 		"cut off":        {func(int, int) Event { return ChannelStalled{ForMs: 700} }, nil, 0.1, 1},
 		"back for a bit": {func(s, _ int) Event { return ChannelStalled{ForMs: pick(s%10 < 8, 700, 0)} }, nil, 0.1, 1.3},
-		"said twice":     {func(_, mark int) Event { return ChannelStalled{ForMs: 1, Repeated: []int{mark}} }, ChannelStalled{}, 0.1, 0.25},
+		"repeated":       {func(_, number int) Event { return ChannelStalled{ForMs: 1, Repeated: []int{number}} }, ChannelStalled{}, 0.1, 0.25},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newHarness(t, func(terms map[string]any, _ []Entry) {
-				terms["proxy_count"], terms["backlog"], terms["lines_per_s"] = 100.0, 4800.0, 800.0
+			h := newHarness(t, func(settings map[string]any, _ []Entry) {
+				settings["proxy_count"], settings["backlog"], settings["lines_per_s"] = 100.0, 4800.0, 800.0
 			})
 			for i := 2; i < 100; i++ {
-				p.step(ProxyJoined{Proxy: i, Zone: 0, Rate: 1})
+				h.step(ProxyJoined{Proxy: i, Zone: 0, Rate: 1})
 			}
-			p.rounds(20, nil)
-			require.Len(t, p.assigned, 100)
-			ordered, mark := 0.0, -1
+			h.rounds(20, nil)
+			require.Len(t, h.assigned, 100)
+			written, number := 0.0, -1
 			for s := range 30 { // what it wants changes all the time
-				p.now += roundMs
+				h.now += roundMs
 				lines := 0.0
-				for _, o := range p.step(c.told(s, mark), EndpointUpdate{Entries: []Entry{{Weight: float64(2 + 9*(s%2))}}}, TimerFired{"gather"}) {
+				for _, o := range h.step(c.stall(s, number), EndpointUpdate{Entries: []Entry{{Weight: float64(2 + 9*(s%2))}}}, TimerFired{"gather"}) {
 					switch o := o.(type) {
 					case SetWeight:
 						lines += pick(o.Table == 0, 1, 0)
 					case AckRequest:
-						mark = o.Number
+						number = o.Number
 					}
 				}
-				ordered += pick(lines > 0, 99*(lines+5), 0)
-				p.now++
-				p.step(c.after)
+				written += pick(lines > 0, 99*(lines+5), 0)
+				h.now++
+				h.step(c.after)
 			}
-			assert.GreaterOrEqual(t, ordered, c.least*4800, "there is something to say")
-			assert.LessOrEqual(t, ordered, c.most*4800)
+			assert.GreaterOrEqual(t, written, c.least*4800, "there is something to write")
+			assert.LessOrEqual(t, written, c.most*4800)
 		})
 	}
 }
--- a/planner/harness_test.go
+++ b/planner/harness_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// harness drives one Brain by hand and keeps what its orders add up to.
+// harness drives one planner by hand and keeps what its commands add up to.
 type harness struct {
 	t         *testing.T
 	planner   *Planner
@@ -18,15 +18,16 @@
 	excluded  map[int]bool
 	admission map[string]SetAdmission
 	assigned  map[int][]AssignTable
-	written   int // lines ordered in the last step
-	messages  int // orders of any line in the last step
+	written   int // weights set in the last step
+	messages  int // commands to proxies in the last step
 	checks    int
 	logs      []string
 }
 
-// newHarness starts a Brain with three zones of two endpoints (0,1 / 2,3 / 4,5) and a proxy in zones 0 and 1.
-func newHarness(t *testing.T, change func(terms map[string]any, entries []Entry)) *harness {
-	terms := map[string]any{
+// newHarness starts a planner with three zones of two endpoints (0,1 / 2,3 / 4,5) and a proxy in each of zones 0 and 1.
+// The settings and the endpoint list may be changed before.
+func newHarness(t *testing.T, change func(settings map[string]any, entries []Entry)) *harness {
+	settings := map[string]any{
 		"instances": 1.0, "rank": 0.0, "lines_per_s": 1000.0, "head_lines": 4.0, "backlog": 1500.0, "cold": 10000.0,
 		"messages_most": 30.0, "messages_over": 10000.0, "admission": "share", "retry_default": 1.0, "proxy_count": 2.0,
 		"fields": []any{"util", "rate"},
@@ -40,77 +41,78 @@
 		entries = append(entries, Entry{Endpoint: i, Zone: i / 2, Machine: i % 2, Weight: 2})
 	}
 	if change != nil {
-		change(terms, entries)
+		change(settings, entries)
 	}
-	p := &harness{
-		t: t, planner: New(1, terms), settings: terms, weights: map[int]map[int]float64{}, excluded: map[int]bool{},
+	h := &harness{
+		t: t, planner: New(1, settings), settings: settings, weights: map[int]map[int]float64{}, excluded: map[int]bool{},
 		admission: map[string]SetAdmission{}, assigned: map[int][]AssignTable{},
 	}
-	p.step(EndpointUpdate{Mode: Cached, Entries: entries})
-	p.step(ProxyJoined{Proxy: 0, Zone: 0, Rate: 20}, ProxyJoined{Proxy: 1, Zone: 1, Rate: 20})
-	return p
+	h.step(EndpointUpdate{Mode: Cached, Entries: entries})
+	h.step(ProxyJoined{Proxy: 0, Zone: 0, Rate: 20}, ProxyJoined{Proxy: 1, Zone: 1, Rate: 20})
+	return h
 }
 
-// step hands notes over and checks what holds for all orders.
-func (p *harness) step(notes ...Event) []Command {
-	orders := p.planner.Handle(p.now, notes)
-	p.written, p.messages, p.checks = 0, 0, 0
-	for _, o := range orders {
+// step hands over events and checks what holds for all commands.
+func (h *harness) step(events ...Event) []Command {
+	commands := h.planner.Handle(h.now, events)
+	h.written, h.messages, h.checks = 0, 0, 0
+	for _, o := range commands {
 		switch o := o.(type) {
 		case SetWeight:
-			require.False(p.t, math.IsNaN(o.Weight) || math.IsInf(o.Weight, 0) || o.Weight < 0, "%+v", o)
-			if p.weights[o.Table] == nil {
-				p.weights[o.Table] = map[int]float64{}
+			require.False(h.t, math.IsNaN(o.Weight) || math.IsInf(o.Weight, 0) || o.Weight < 0, "%+v", o)
+			if h.weights[o.Table] == nil {
+				h.weights[o.Table] = map[int]float64{}
 			}
-			p.weights[o.Table][o.Endpoint] = o.Weight
-			p.written++
+			h.weights[o.Table][o.Endpoint] = o.Weight
+			h.written++
 		case SetExcluded:
-			p.excluded[o.Endpoint] = o.Excluded
+			h.excluded[o.Endpoint] = o.Excluded
 		case SetAdmission:
-			p.admission[fmt.Sprint(o.Table, "/", o.Classes)] = o
+			h.admission[fmt.Sprint(o.Table, "/", o.Classes)] = o
 		case AssignTable:
-			p.assigned[o.Proxy] = append(p.assigned[o.Proxy], o)
+			h.assigned[o.Proxy] = append(h.assigned[o.Proxy], o)
 		case HealthCheck:
-			p.checks++
+			h.checks++
 		case Log:
-			p.logs = append(p.logs, o.Text)
+			h.logs = append(h.logs, o.Text)
 		}
 		switch o.(type) {
 		case SetWeight, SetExcluded, SetAdmission, AssignTable:
-			p.messages++
+			h.messages++
 		}
 	}
-	return orders
+	return commands
 }
 
-// rounds lets whole windows pass, with the notes that each brings.
-func (p *harness) rounds(windows int, notes func() []Event) {
-	for range windows {
-		p.now += roundMs
+// rounds lets control rounds pass, each with the events that a function returns.
+func (h *harness) rounds(count int, events func() []Event) {
+	for range count {
+		h.now += roundMs
 		var all []Event
-		if notes != nil {
-			all = notes()
+		if events != nil {
+			all = events()
 		}
-		p.step(append(all, TimerFired{"gather"})...)
+		h.step(append(all, TimerFired{"gather"})...)
 	}
 }
 
-// attempts are one window's lines from a zone: good and failed tries and a load for each endpoint named.
-func attempts(zone, good, failed int, util float64, endpoints ...int) (notes []Event) {
+// attempts are a round's stats from a zone's proxies: answered and failed attempts and, if utilization is not below 0, a
+// load report, for each endpoint named.
+func attempts(zone, answered, failed int, utilization float64, endpoints ...int) (events []Event) {
 	for _, e := range endpoints {
-		m := EndpointStats{Endpoint: e, Zone: zone, Attempts: good + failed, Failed: failed, MeanMs: 100, SpanMs: 1000}
-		if util >= 0 {
-			m.Load = Load{"util": util, "rate": 20 * util}
+		m := EndpointStats{Endpoint: e, Zone: zone, Attempts: answered + failed, Failed: failed, MeanMs: 100, SpanMs: 1000}
+		if utilization >= 0 {
+			m.Load = Load{"util": utilization, "rate": 20 * utilization}
 		}
-		notes = append(notes, m)
+		events = append(events, m)
 	}
-	return notes
+	return events
 }
 
-// share is the part of a table's weight on endpoints that can be picked.
-func (p *harness) share(table int, endpoints ...int) float64 {
+// share returns the part of a table's weight that some endpoints have.
+func (h *harness) share(table int, endpoints ...int) float64 {
 	sum, part := 0.0, 0.0
-	for e, w := range p.weights[table] {
+	for e, w := range h.weights[table] {
 		sum += w
 		for _, want := range endpoints {
 			if e == want {
--- a/planner/subset_test.go
+++ b/planner/subset_test.go
@@ -7,40 +7,40 @@
 )
 
 // TestSubsets guards endpoints that take fewer connections than there are proxies: with one table for a zone all connected
-// to each, and a fifth of the tries found none free (live day rate+silent, seed 241915007121).
+// to each, and a fifth of the attempts found none free (live day rate+silent, seed 241915007121).
 func TestSubsets(t *testing.T) {
 	for name, c := range map[string]struct {
-		conns, proxies float64
-		parts          int
-		most           float64 // part of the proxies at an endpoint
+		connections, proxies float64
+		subsets              int
+		most                 float64 // part of the proxies at an endpoint
 	}{
-		"room for all":       {1000, 120, 1, 1},
-		"no figure told":     {0, 120, 1, 1},
-		"room for few":       {60, 120, 4, 0.8},
-		"room for very few":  {30, 120, 4, 0.8},
-		"few proxies anyway": {10, 12, 1, 1},
+		"room for all":        {1000, 120, 1, 1},
+		"no limit configured": {0, 120, 1, 1},
+		"room for few":        {60, 120, 4, 0.8},
+		"room for very few":   {30, 120, 4, 0.8},
+		"few proxies anyway":  {10, 12, 1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var list []Entry
 			for i := range 20 {
 				list = append(list, Entry{Endpoint: i, Zone: i % 2, Weight: 1 + float64(i%3)})
 			}
-			p := newHarness(t, func(terms map[string]any, _ []Entry) {
-				terms["proxy_count"], terms["conns_least"], terms["zones"] = c.proxies, c.conns, []any{"a", "b", "c"}
+			h := newHarness(t, func(settings map[string]any, _ []Entry) {
+				settings["proxy_count"], settings["conns_least"], settings["zones"] = c.proxies, c.connections, []any{"a", "b", "c"}
 			})
-			p.step(EndpointUpdate{Mode: Snapshot, Entries: list})
-			assert.Equal(t, c.parts, p.planner.subsetsOfZone)
+			h.step(EndpointUpdate{Mode: Snapshot, Entries: list})
+			assert.Equal(t, c.subsets, h.planner.subsetsOfZone)
 			users, sum := map[int]float64{}, map[int]float64{}
-			for part := range p.planner.subsetsOfZone {
-				want, all := p.planner.publisher.tables[part].wanted, 0.0
+			for subset := range h.planner.subsetsOfZone {
+				want, all := h.planner.publisher.tables[subset].wanted, 0.0
 				for _, w := range want {
 					all += w
 				}
 				assert.Positive(t, all, "no proxy is left without a line")
 				for i, w := range want {
 					if w > 0 {
-						users[i] += 1 / float64(p.planner.subsetsOfZone)
-						sum[i] += w / all / float64(p.planner.subsetsOfZone)
+						users[i] += 1 / float64(h.planner.subsetsOfZone)
+						sum[i] += w / all / float64(h.planner.subsetsOfZone)
 					}
 				}
 			}
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestSpilloverKeepsHomeLines guards tables of zones that are dealt in parts: a little spilt beside the own lines cut each
-// table to a quarter of them, and all were sent again as it came and went (reload live, seed 371080736025).
+// TestSpilloverKeepsHomeLines guards tables of zones whose proxies are dealt to subsets: a little spillover beside the own
+// lines cut each table to a quarter of them, and all were sent again as it came and went (reload live, seed 371080736025).
 func TestSpilloverKeepsHomeLines(t *testing.T) {
 	for name, c := range map[string]struct {
 		util   float64 // of the own zone's endpoints
@@ -66,22 +66,22 @@
 				list = append(list, Entry{Endpoint: i, Zone: i / 10, Weight: 1})
 				own = append(own, i%10)
 			}
-			p := newHarness(t, func(terms map[string]any, _ []Entry) {
-				terms["proxy_count"], terms["conns_least"], terms["zones"], terms["by_zone"] = 150.0, 74.0, []any{"a", "b", "c"}, true
-				terms["lines_per_s"] = 10000.0 // connections bound the tables here, not the channel
+			h := newHarness(t, func(settings map[string]any, _ []Entry) {
+				settings["proxy_count"], settings["conns_least"], settings["zones"], settings["by_zone"] = 150.0, 74.0, []any{"a", "b", "c"}, true
+				settings["lines_per_s"] = 10000.0 // connections bound the tables here, not the channel
 			})
-			p.step(EndpointUpdate{Mode: Snapshot, Entries: list})
-			p.rounds(12, func() []Event { return attempts(0, 20, 0, c.util, own[:10]...) })
+			h.step(EndpointUpdate{Mode: Snapshot, Entries: list})
+			h.rounds(12, func() []Event { return attempts(0, 20, 0, c.util, own[:10]...) })
 			in := map[int]int{} // tables that an endpoint is in
-			for part := range p.planner.subsetsOfZone {
-				for i, w := range p.planner.publisher.tables[part].wanted {
+			for subset := range h.planner.subsetsOfZone {
+				for i, w := range h.planner.publisher.tables[subset].wanted {
 					in[i] += int(pick(w > 0, 1, 0))
 				}
 			}
 			spilt := 0
 			for i := range 30 {
 				if i < 10 {
-					assert.Equal(t, p.planner.subsetsOfZone, in[i], "endpoint %d of the zone", i)
+					assert.Equal(t, h.planner.subsetsOfZone, in[i], "endpoint %d of the zone", i)
 					continue
 				}
 				assert.LessOrEqual(t, in[i], 2, "endpoint %d of another", i)
@@ -92,26 +92,26 @@
 	}
 }
 
-// TestThousandsOfProxiesAreAssigned guards a fleet of so many proxies that connections leave each table less than a third of a run: runs
-// stayed at none, no table was ever laid, and 2,400 proxies went by their standing tables (calm+mass in full).
+// TestThousandsOfProxiesAreAssigned guards a fleet of so many proxies that connections leave each table less than a third of
+// a run: runs stayed at none, no table was ever laid, and 2,400 proxies went by their standing tables (calm+mass in full).
 func TestThousandsOfProxiesAreAssigned(t *testing.T) {
-	p := newHarness(t, func(terms map[string]any, entries []Entry) {
-		terms["proxy_count"], terms["conns_least"], terms["zones"], terms["backlog"] = 2400.0, 60.0, []any{"a", "b", "c"}, 48000.0
-		terms["drain_grace"], terms["by_zone"] = 72000.0, true
+	h := newHarness(t, func(settings map[string]any, entries []Entry) {
+		settings["proxy_count"], settings["conns_least"], settings["zones"], settings["backlog"] = 2400.0, 60.0, []any{"a", "b", "c"}, 48000.0
+		settings["drain_grace"], settings["by_zone"] = 72000.0, true
 	})
 	var list []Entry
 	for i := range 198 {
 		list = append(list, Entry{Endpoint: i, Zone: i / 66, Weight: 3})
 	}
-	p.step(EndpointUpdate{Mode: Snapshot, Entries: list})
+	h.step(EndpointUpdate{Mode: Snapshot, Entries: list})
 	for i := 2; i < 100; i++ {
-		p.step(ProxyJoined{Proxy: i, Zone: 0, Rate: 2})
+		h.step(ProxyJoined{Proxy: i, Zone: 0, Rate: 2})
 	}
-	p.rounds(10, func() []Event { return attempts(0, 5, 0, 0.4, 1, 2, 3) })
-	assert.Len(t, p.assigned, 100)
+	h.rounds(10, func() []Event { return attempts(0, 5, 0, 0.4, 1, 2, 3) })
+	assert.Len(t, h.assigned, 100)
 	for i := range 100 {
 		lines := 0
-		for _, w := range p.weights[p.assigned[i][0].Table] {
+		for _, w := range h.weights[h.assigned[i][0].Table] {
 			lines += int(pick(w > 0, 1, 0))
 		}
 		assert.Positive(t, lines, "proxy %d", i)
--- a/planner/zonecost_test.go
+++ b/planner/zonecost_test.go
@@ -10,7 +10,7 @@
 	all := []int{0, 1, 2, 3, 4, 5}
 	for name, c := range map[string]struct {
 		loads             func() []Event
-		windows           int
+		rounds            int
 		ownLeast, ownMost float64
 	}{
 		"no reports: own zone alone":       {nil, 5, 1, 1},
@@ -19,9 +19,9 @@
 		"all overfull alike: home is best": {func() []Event { return attempts(0, 10, 0, 1, all...) }, 12, 0.5, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newHarness(t, nil)
-			p.rounds(c.windows, c.loads)
-			own := p.share(0, 0, 1)
+			h := newHarness(t, nil)
+			h.rounds(c.rounds, c.loads)
+			own := h.share(0, 0, 1)
 			assert.GreaterOrEqual(t, own, c.ownLeast-1e-9)
 			assert.LessOrEqual(t, own, c.ownMost+1e-9)
 		})
@@ -29,9 +29,9 @@
 }
 
 func TestForecastSpillsBeforeReports(t *testing.T) {
-	p := newHarness(t, nil)
-	p.step(ProxyJoined{Proxy: 2, Zone: 0, Rate: 200})
-	p.rounds(3, func() []Event { return attempts(0, 10, 0, 0.7, 0, 1, 2, 3, 4, 5) })
-	assert.Less(t, p.share(0, 0, 1), 0.9, "a zone with most of the demand")
-	assert.Equal(t, 1.0, p.share(1, 2, 3))
+	h := newHarness(t, nil)
+	h.step(ProxyJoined{Proxy: 2, Zone: 0, Rate: 200})
+	h.rounds(3, func() []Event { return attempts(0, 10, 0, 0.7, 0, 1, 2, 3, 4, 5) })
+	assert.Less(t, h.share(0, 0, 1), 0.9, "a zone with most of the demand")
+	assert.Equal(t, 1.0, h.share(1, 2, 3))
 }
