--- a/planner/admission.go
+++ b/planner/admission.go
@@ -1,12 +1,12 @@
 package planner
 
-// This file sheds load by priority and sets the retry policy: what a group's tables admit of each class, and which
-// classes proxies try again.
+// This file sheds load by priority and sets the retry policy: how much of each class a group's tables admit, and
+// which classes proxies retry.
 //
-// A retry is a second attempt that a proxy makes by itself. Three limits hold: policy 2 is ordered only for classes
-// that may be repeated after an attempt that may have run, only while few enough attempts fail that most second ones
-// help, and only while the endpoints have room for them (retriesHelp). How often a proxy retries at all is the
-// proxies' matter.
+// A retry is a second attempt of a proxy at the same request. Retries after any failure are commanded only for
+// classes that may be repeated even if the first attempt has run (RequestClass.Retryable), and only while most of
+// them would bring an answer in time and the endpoints have room for them (retriesHelp). Otherwise the deployment's
+// default applies. The proxies limit the number of attempts.
 
 import (
 	"cmp"
@@ -21,48 +21,48 @@
 	fullLoad       = 0.9
 	fullLoadMargin = 0.05
 
-	// overloadFailureRate is the part of the attempts whose failure counts as overload at the target load already.
+	// overloadFailureRate is the failure rate above which the target load already counts as overload.
 	overloadFailureRate = 0.2
 
 	maxShed         = 0.9   // of a group's requests
-	shedStep        = 0.06  // of what is admitted, in a round of overload
-	shedFailureGain = 8.0   // a failure rate divided by this is shed on top
-	shedRelease     = 0.92  // what a round without overload leaves of the shed part
-	shedReleaseStep = 0.005 // and less by this, so that it ends
+	shedStep        = 0.06  // fraction of the admitted requests that a round of overload sheds
+	shedFailureGain = 8.0   // divisor of the failure rate that is added to the step
+	shedRelease     = 0.92  // factor of the shed fraction in a round without overload
+	shedReleaseStep = 0.005 // further decrease, so that shedding ends
 
-	// minAdmitted is the part of each class that is admitted whatever the load.
+	// minAdmitted is the fraction of each class that is admitted at any load.
 	minAdmitted = 0.1
 
-	// levelSteps is the number of steps of a share that is admitted: few steps, few messages.
+	// levelSteps is the number of steps of an admitted share: fewer steps need fewer messages.
 	levelSteps = 20.0
 
-	// rateStepsOfOctave is the number of steps in which a rate that is admitted doubles.
+	// rateStepsOfOctave is the number of steps in which an admitted rate doubles.
 	rateStepsOfOctave = 4.0
 
-	// unlimitedRate is a limit, in requests a second of a proxy, that admits all.
+	// unlimitedRate is a rate of a proxy, in requests a second, that admits all.
 	unlimitedRate = 1e6
 )
 
 // Retry policies of a table.
 const (
-	// retryAnyFailure has a proxy try again after any failure, also after one that may have run.
+	// retryAnyFailure has a proxy retry after any failure, even if the attempt may have run.
 	retryAnyFailure = 2
 
-	// Retries are ordered while the failure rate lies between these. Below the first there is nothing to mend; above
-	// the second an answer would take more than two attempts on average.
+	// Retries are commanded while the failure rate lies between these. Below the first there is no need; above the
+	// second an answer would take more than two attempts on average.
 	minRetryFailureRate = 0.02
 	maxRetryFailureRate = 0.5
 
-	// maxRetryLoad is the load, with the retries on top, up to which there is room for them.
+	// maxRetryLoad is the largest load, including the retries, at which there is room for them.
 	maxRetryLoad = 0.7
 
-	// maxRetryWait is the longest wait before a retry, in response targets, after which an answer is still in time.
+	// maxRetryWait is the longest wait before a retry, in response targets, that leaves time for an answer.
 	maxRetryWait = 1.0
 )
 
-// shedOrder returns the classes in the order in which their requests are rejected: the least priority weight for the
-// work first. Work is taken to go with the response target.
-func shedOrder(classes []RequestClass) []int {
+// shedSequence returns the classes in the order in which their requests are rejected: lowest priority weight per work
+// first. The work of a request is estimated by its response target.
+func shedSequence(classes []RequestClass) []int {
 	value := func(class int) float64 { return classes[class].PriorityWeight / classes[class].ResponseTargetMs }
 	order := make([]int, len(classes))
 	for class := range classes {
@@ -80,7 +80,7 @@
 	retriesHelp := r.retriesHelp(load)
 	left := r.shed[group] * float64(bits.OnesCount(uint(mask))) // in whole classes
 	requests := p.allRequests()
-	for _, class := range p.shedOrder {
+	for _, class := range p.shedSequence {
 		if !p.groups[group].has(class) {
 			continue
 		}
@@ -102,8 +102,8 @@
 	}
 }
 
-// updateShed takes the part of a group's requests that is rejected anew: more while its endpoints are overloaded as a
-// whole, less once they aren't.
+// updateShed updates the fraction of a group's requests to reject: it grows while the group's endpoints are
+// overloaded as a whole, and shrinks afterwards.
 func (r *region) updateShed(group int, load float64) {
 	before := r.shed[group]
 	overloaded := load > fullLoad || load > r.planner.targetLoad && r.failureRate > overloadFailureRate
@@ -134,7 +134,7 @@
 	return p.settings.DefaultRetry
 }
 
-// classCut returns the part of the next class that is rejected while so much, in whole classes, is left to be.
+// classCut returns the fraction of the next class to reject, given what is left to shed, in whole classes.
 func (p *Planner) classCut(left float64) float64 {
 	switch p.settings.Admission {
 	case AdmitByShare, AdmitByRate:
@@ -143,7 +143,7 @@
 	return 0
 }
 
-// allRequests returns how many requests of all classes came lately.
+// allRequests returns how many requests of all classes came recently.
 func (p *Planner) allRequests() float64 {
 	sum := 1e-9
 	for class := range p.classes {
@@ -152,9 +152,9 @@
 	return sum
 }
 
-// admissionLevel returns the level that rejects a part of a class: the share that is left, or, where proxies take
-// rates, the limit of each proxy that rejects as much. Proxies' rates are taken to be spread exponentially: beyond a
-// limit of -m*ln(c) lies the part c of the requests of proxies with a mean rate m.
+// admissionLevel returns the level that rejects a fraction of a class: the admitted share or, where proxies take
+// rates, the rate limit of each proxy that rejects as much. Proxies' rates are assumed to be distributed
+// exponentially: with a mean rate m, a limit of -m*ln(c) rejects the fraction c of the requests.
 func (r *region) admissionLevel(class int, cut, requests float64) float64 {
 	p := r.planner
 	if p.settings.Admission != AdmitByRate {
--- a/planner/classgroup.go
+++ b/planner/classgroup.go
@@ -8,15 +8,14 @@
 )
 
 const (
-	// scarcerWeight is the part of a group's endpoint weight below which another group counts as open to fewer.
+	// scarcerWeight is the fraction of a group's endpoint weight below which another group counts as more restricted.
 	scarcerWeight = 0.99
 
-	// minWeightLeft is the part of an endpoint's weight that classes open to fewer endpoints leave to the others at
-	// least.
+	// minWeightLeft is the least fraction of an endpoint's weight that more restricted groups leave to the others.
 	minWeightLeft = 0.05
 )
 
-// classGroup is request classes that the same endpoints may serve.
+// classGroup is a set of request classes that the same endpoints may serve.
 type classGroup struct {
 	mask         int // a bit for each class
 	ownZoneOnly  bool
@@ -24,7 +23,7 @@
 	onlyZones    IndexList
 }
 
-// groupClasses groups classes, in the order of each group's first.
+// groupClasses groups classes. Groups are ordered by their first class.
 func groupClasses(classes []RequestClass) []classGroup {
 	var groups []classGroup
 	for i, class := range classes {
@@ -41,13 +40,13 @@
 	return groups
 }
 
-// isFor returns whether the group's endpoints are those that may serve a class.
+// isFor returns whether a class may be served by exactly the group's endpoints.
 func (g *classGroup) isFor(class RequestClass) bool {
 	return g.ownZoneOnly == class.OwnZoneOnly && slices.Equal(g.onlyMachines, class.OnlyMachines) &&
 		slices.Equal(g.onlyZones, class.OnlyZones)
 }
 
-// has returns whether a class is of the group.
+// has returns whether a class is in the group.
 func (g *classGroup) has(class int) bool { return g.mask&(1<<class) != 0 }
 
 // mayUse returns whether an endpoint may serve the group's requests that come to a zone's proxies.
@@ -55,8 +54,7 @@
 	return (!g.ownZoneOnly || c.Zone == zone) && g.onlyMachines.Has(c.Machine) && g.onlyZones.Has(c.Zone)
 }
 
-// workPart returns a group's part of all work. The work of a request is taken to go with its class's response target,
-// for want of a better guess.
+// workPart returns a group's fraction of all work. The work of a request is estimated by its class's response target.
 func (p *Planner) workPart(group int) float64 {
 	own := 0.0
 	all := 1e-9
@@ -70,7 +68,7 @@
 	return own / all
 }
 
-// weightFor returns what an endpoint has left for a group once groups that fewer endpoints may serve have had theirs.
+// weightFor returns the weight that an endpoint has left for a group after more restricted groups have taken theirs.
 func (r *region) weightFor(group int, c *candidate) float64 {
 	left := 1.0
 	for other := range r.planner.groups {
--- a/planner/commands.go
+++ b/planner/commands.go
@@ -1,7 +1,7 @@
 package planner
 
-// Command is something for the runtime to do. The set is closed; its members are the types of this file. Commands of one
-// turn are carried out in their order.
+// Command is something for the runtime to do. The set is closed; its members are the types of this file. Commands of
+// one turn are carried out in their order.
 type Command interface{ command() }
 
 // SetWeight sets an endpoint's weight in a table; 0 removes the endpoint from it.
@@ -38,8 +38,8 @@
 // EveryTable is the table number of a SetAdmission that counts for all joined proxies.
 const EveryTable = 65535
 
-// SetAdmission sets how many requests of some classes (a bit mask) the users of a table admit, and how they retry. Level
-// is a share from 0 to 1 or a rate in requests a second, as the deployment has it.
+// SetAdmission sets how many requests of some classes (a bit mask) the users of a table admit, and how they retry.
+// Level is a share from 0 to 1 or a rate in requests a second, as the deployment has it.
 type SetAdmission struct {
 	Table     int
 	Classes   int
@@ -49,8 +49,8 @@
 
 func (SetAdmission) command() {}
 
-// AckRequest asks the proxies that this turn reaches, or all, to acknowledge (with an Ack) once they have applied everything
-// sent before.
+// AckRequest asks the proxies that this turn reaches, or all, to acknowledge (with an Ack) once they have applied
+// everything sent before.
 type AckRequest struct {
 	Number int
 	All    bool
--- a/planner/demand.go
+++ b/planner/demand.go
@@ -1,6 +1,6 @@
 package planner
 
-// This file keeps how many requests come to the joined proxies, by zone and by request class.
+// This file tracks how many requests come to the joined proxies, by zone and by request class.
 
 import (
 	"maps"
@@ -9,31 +9,31 @@
 )
 
 const (
-	// demandFade is what a sum of a proxy's requests leaves of the counts before it.
+	// demandFade is the factor by which older counts fade with each report of a proxy's requests.
 	demandFade = 0.97
 
-	// priorRequests is the weight, in requests, of the belief that the zone's demand is ordinary, and that all classes
-	// are in equal demand: so many must come before they count as much.
+	// priorRequests is the weight, in requests, of the prior assumption that a zone's demand is ordinary and that all
+	// classes are in equal demand.
 	priorRequests = 20.0
 )
 
 // demand is what is known of the requests that come to the joined proxies.
 type demand struct {
 	observed map[int]float64 // requests by the proxies' zone, fading
-	baseline map[int]float64 // requests that these proxies ordinarily bring in the same time, fading
+	baseline map[int]float64 // requests that these proxies ordinarily receive in the same time, fading
 	byClass  map[int]float64 // requests by class, fading
 
-	// As of the last round.
+	// As of the latest round.
 	rates         map[int]float64 // requests a second, by the proxies' zone
 	total         float64         // requests a second
 	proxiesOfZone map[int]float64
 
-	// concentration is how unevenly the demand lies on the proxies of all controllers, as the Herfindahl index: one by
-	// the number of proxies of equal rates that would spread requests as evenly as these.
+	// concentration is the Herfindahl index of the demand over the proxies of all controllers: the inverse of the
+	// number of proxies with equal rates that would spread requests as evenly.
 	concentration float64
 }
 
-// newDemand returns a demand of which nothing is known.
+// newDemand returns an empty demand.
 func newDemand() demand {
 	return demand{
 		observed: map[int]float64{}, baseline: map[int]float64{}, byClass: map[int]float64{},
@@ -41,8 +41,8 @@
 	}
 }
 
-// observe takes in the requests of a class that came to a joined proxy. The proxy's ordinary rate is of all classes; a
-// sum of one class counts as an even part of it.
+// observe counts the requests of a class that came to a joined proxy. The proxy's ordinary rate covers all classes;
+// each class is taken for an equal part of it.
 func (d *demand) observe(sum RequestStats, proxy ProxyJoined, classes int) {
 	requests := float64(sum.Requests)
 	d.observed[proxy.Zone] = demandFade*d.observed[proxy.Zone] + requests
@@ -50,12 +50,12 @@
 	d.baseline[proxy.Zone] = demandFade*d.baseline[proxy.Zone] + proxy.Rate*sum.SpanMs/1000/float64(classes)
 }
 
-// surge returns how many times its ordinary demand has come to a zone lately.
+// surge returns the recent demand of a zone as a multiple of its ordinary demand.
 func (d *demand) surge(zone int) float64 {
 	return (d.observed[zone] + priorRequests) / (d.baseline[zone] + priorRequests)
 }
 
-// ofClass returns how many requests of a class came lately, drawn towards all classes alike.
+// ofClass returns how many requests of a class came recently, shrunk towards equal demand of all classes.
 func (d *demand) ofClass(class int) float64 { return d.byClass[class] + priorRequests }
 
 // perProxy returns the mean requests a second of a zone's proxies.
@@ -63,8 +63,8 @@
 	return d.rates[zone] / math.Max(1, d.proxiesOfZone[zone])
 }
 
-// update forecasts the demand by zone: the joined proxies' ordinary rates, corrected by what came to the zone
-// lately. The fleet is the number of proxies of all controllers.
+// update forecasts the demand by zone: the joined proxies' ordinary rates, corrected by each zone's surge. The fleet
+// is the number of proxies of all controllers.
 func (d *demand) update(proxies map[int]ProxyJoined, fleet float64) {
 	clear(d.proxiesOfZone)
 	clear(d.rates)
--- a/planner/drain.go
+++ b/planner/drain.go
@@ -1,11 +1,11 @@
 package planner
 
-// This file excludes endpoints that drain or are gone. Proxies that hold tables get the news as lines, which go
-// before all others (publisher.go). For proxies that wait for their tables an endpoint is excluded as a whole, by a
-// command that reaches all of them: halfway through the drain grace, as most have their tables by then, which costs
-// less. Once it is ready again, an excluded endpoint is admitted again.
+// This file excludes endpoints that drain or are gone. Proxies with assigned tables are notified by lines, which go
+// before all others (publisher.go). Proxies that wait for their tables are notified by SetExcluded, which reaches all
+// of them, but only halfway through the drain grace: most have their tables by then, which costs less. An excluded
+// endpoint that is ready again is let in again.
 //
-// The deadline of a drain is exclusionDeadline's.
+// exclusionDeadline returns the deadline of a drain.
 
 import (
 	"maps"
@@ -13,11 +13,11 @@
 	"slices"
 )
 
-// exclusion keeps which endpoints can't be used, and of which the proxies were notified. Times are in ms.
+// exclusion tracks which endpoints are unavailable, and which of them are excluded. Times are in ms.
 type exclusion struct {
 	unavailable map[int]float64 // endpoints that drain or are gone, and since when
-	excludedAt  map[int]float64 // endpoints that were excluded and not admitted since, and when
-	lastChange  float64         // when any endpoint was excluded or admitted
+	excludedAt  map[int]float64 // excluded endpoints, and since when
+	lastChange  float64         // when an endpoint was last excluded or let in again
 }
 
 // newExclusion returns the state in which all endpoints are available.
@@ -25,7 +25,7 @@
 	return exclusion{unavailable: map[int]float64{}, excludedAt: map[int]float64{}}
 }
 
-// update takes in that an endpoint can be used or can't.
+// update applies a change of an endpoint's availability.
 func (x *exclusion) update(change availability, now float64) {
 	if change.ready {
 		delete(x.unavailable, change.endpoint)
@@ -47,7 +47,7 @@
 	assignedOfSubset map[int]float64 // how many proxies have tables, by subset
 }
 
-// audience sorts the proxies by whether they have their tables.
+// audience counts the proxies that wait for their tables and those that have them.
 func (pb *publisher) audience() audience {
 	to := audience{waitingOfZone: map[int]float64{}, assignedOfSubset: map[int]float64{}}
 	for _, proxy := range pb.proxies {
@@ -62,13 +62,14 @@
 	return to
 }
 
-// excludeUnavailable admits endpoints that are ready again and excludes those that are due, as the channel has room.
+// excludeUnavailable lets in endpoints that are ready again and excludes those that are due, as far as the channel has
+// room.
 func (pb *publisher) excludeUnavailable() {
 	x := &pb.exclusion
 	to := pb.audience()
 	lastChange := x.lastChange
 	pb.admitReady(to)
-	acked := len(pb.linesSinceAck) > 0 // some proxy gets lines anyway, and acknowledges them
+	acked := len(pb.linesSinceAck) > 0 // some proxy has lines to acknowledge anyway
 	before := pb.window.written
 	for _, endpoint := range slices.Sorted(maps.Keys(x.unavailable)) {
 		if pb.isExclusionDue(endpoint, to) && !pb.isHeld(endpoint, to) {
@@ -80,8 +81,8 @@
 	}
 }
 
-// admitReady admits excluded endpoints that are ready again. One that warms up waits while proxies wait for their
-// tables: the lines that those stand with have weights that nobody here has set, and would fell it.
+// admitReady lets in excluded endpoints that are ready again. An endpoint that warms up has to wait while proxies
+// wait for their tables: their standing lines have weights that the planner did not set, and would overload it.
 func (pb *publisher) admitReady(to audience) {
 	x := &pb.exclusion
 	for _, endpoint := range slices.Sorted(maps.Keys(x.excludedAt)) {
@@ -94,8 +95,8 @@
 	}
 }
 
-// isExclusionDue returns whether an unavailable endpoint is to be excluded now: once, when nobody waits for tables, or
-// when some proxy that may hold it has waited for half of the grace.
+// isExclusionDue returns whether an unavailable endpoint is to be excluded now: once, if no proxy waits for its
+// tables, or when the deadline of some waiting proxy that may hold it is over.
 func (pb *publisher) isExclusionDue(endpoint int, to audience) bool {
 	if len(to.waiting) == 0 && pb.exclusion.excludedAt[endpoint] == 0 {
 		return true
@@ -108,8 +109,8 @@
 	return false
 }
 
-// isDeadlineOver returns whether a proxy has to be notified now that an endpoint is unavailable: it has not been
-// since it joined, and what stood when the endpoint went is not forgotten yet.
+// isDeadlineOver returns whether a waiting proxy has to be notified now that an endpoint is unavailable: it has not
+// been since it joined, and its lines of that time may still stand.
 func (pb *publisher) isDeadlineOver(endpoint int, proxy *proxyState) bool {
 	x := &pb.exclusion
 	since := pb.concernedSince(endpoint, proxy)
@@ -117,32 +118,33 @@
 		pb.planner.now >= pb.exclusionDeadline(endpoint, proxy)
 }
 
-// concernedSince returns since when a proxy may hold an endpoint that it shouldn't.
+// concernedSince returns since when a proxy may hold an unavailable endpoint.
 func (pb *publisher) concernedSince(endpoint int, proxy *proxyState) float64 {
 	return math.Max(proxy.joinedAt, pb.exclusion.unavailable[endpoint])
 }
 
-// exclusionDeadline returns by when a proxy that waits for its tables is notified that an endpoint is unavailable:
-// halfway through the drain grace, so that it has the other half to act on it.
+// exclusionDeadline returns when a waiting proxy is notified that an endpoint is unavailable: halfway through the drain
+// grace, which leaves the other half for the message to arrive.
 func (pb *publisher) exclusionDeadline(endpoint int, proxy *proxyState) float64 {
 	return pb.concernedSince(endpoint, proxy) + pb.planner.settings.DrainGraceMs/2
 }
 
-// mayHold returns whether a proxy that waits for its tables may hold an endpoint: one of its own zone, or any of a zone
-// none of whose proxies wait, as those are who spill over.
+// mayHold returns whether a waiting proxy may hold an endpoint: one of its own zone, or of a zone none of whose proxies
+// wait, which others may spill over to.
 func (pb *publisher) mayHold(endpoint int, proxy *proxyState, to audience) bool {
 	zone := pb.planner.endpoints[endpoint].Zone
 	return proxy.Zone == zone || to.waitingOfZone[zone] == 0
 }
 
-// isHeld returns whether a table that proxies hold has a line of an endpoint. The line goes first, at the same price.
+// isHeld returns whether a table that proxies hold has a line of an endpoint. Removing the line comes first, at the
+// same cost.
 func (pb *publisher) isHeld(endpoint int, to audience) bool {
 	return slices.ContainsFunc(pb.tables, func(t *table) bool {
 		return t.sent[endpoint] > 0 && to.assignedOfSubset[pb.planner.subsetOfTable(t.number)] > 0
 	})
 }
 
-// exclude excludes an endpoint if messages may go out and fit: what doesn't is counted as blocked.
+// exclude excludes an endpoint if messages are allowed now and fit into the channel; if they do not fit, it is blocked.
 func (pb *publisher) exclude(endpoint int, to audience, lastChange float64) {
 	x := &pb.exclusion
 	now := pb.planner.now
@@ -166,7 +168,7 @@
 	x.excludedAt[endpoint] = math.Max(now, earliestMs)
 }
 
-// exclusionCost returns the lines that an exclusion costs at a proxy: none where it can't hold the endpoint.
+// exclusionCost returns the lines that an exclusion costs at a proxy: none if it cannot hold the endpoint.
 func (pb *publisher) exclusionCost(endpoint int, proxy *proxyState, to audience) float64 {
 	if !pb.mayHold(endpoint, proxy, to) {
 		return 0
@@ -177,9 +179,9 @@
 	return 1
 }
 
-// assignForAck assigns one proxy its tables beside exclusions that go out alone. They count at all who may hold the
-// endpoint; if none does, nobody is sent the request for an acknowledgement, and what was counted would stand until a
-// probe.
+// assignForAck assigns one proxy its tables beside exclusions that go out alone. Those are counted for all proxies
+// that may hold the endpoint; if none does, no proxy receives the request for an acknowledgement, and the count would
+// stand until a probe.
 func (pb *publisher) assignForAck() {
 	proxy := pb.probeTarget()
 	if proxy == nil {
--- a/planner/endpoint.go
+++ b/planner/endpoint.go
@@ -4,22 +4,22 @@
 
 import "math"
 
-// endpoint is an actor: it keeps what is known of one endpoint, and offers it to the regions in each round. What is
-// known of load and health is of one incarnation of the process, and goes when the endpoint starts again.
+// endpoint is an actor: it keeps what is known of one endpoint, and offers it to the regions in each round. Load and
+// health belong to one incarnation of the process and are reset when the endpoint restarts.
 type endpoint struct {
 	Entry   // as last listed
 	mailbox mailbox[endpointMessage]
 	planner *Planner
 
 	listed    bool
-	restarted bool // it has started anew since it was first listed
+	restarted bool // it has restarted since it was first listed
 	load      loadEstimate
-	penalty   float64             // lambda of the paper
-	health    map[int]*zoneHealth // by the zone of the proxies that saw it
+	penalty   float64             // lambda in the paper
+	health    map[int]*zoneHealth // by the zone of the observing proxies
 	plans     planHistory
 }
 
-// newEndpoint returns an endpoint of which nothing is known.
+// newEndpoint returns an endpoint that has not been listed yet.
 func newEndpoint(p *Planner, index int) *endpoint {
 	e := &endpoint{
 		Entry: Entry{Endpoint: index}, planner: p, load: newLoadEstimate(), plans: newPlanHistory(),
@@ -29,7 +29,7 @@
 	return e
 }
 
-// receive takes in a message to the endpoint.
+// receive handles a message to the endpoint.
 func (e *endpoint) receive(message endpointMessage) {
 	switch message := message.(type) {
 	case Entry:
@@ -46,7 +46,7 @@
 	}
 }
 
-// updateEntry takes in what the list says, and forgets all about an incarnation that is gone.
+// updateEntry applies an entry of the endpoint list. If the endpoint has restarted, it forgets the former incarnation.
 func (e *endpoint) updateEntry(entry Entry) {
 	if e.listed && entry.Started != e.Started {
 		e.health = map[int]*zoneHealth{}
@@ -62,7 +62,7 @@
 	e.listed = true
 }
 
-// takeReport takes in a load report.
+// takeReport applies a load report.
 func (e *endpoint) takeReport(report Load) {
 	e.countSpeed(report)
 	if load, known := e.load.fromReport(report); known {
@@ -70,7 +70,7 @@
 	}
 }
 
-// controlRound brings the endpoint up to date and offers it to each region as a candidate.
+// controlRound updates the endpoint and offers it to each region as a candidate.
 func (e *endpoint) controlRound(timed bool) {
 	if !e.listed {
 		return
@@ -108,8 +108,8 @@
 	r.mailbox.enqueue(&offer)
 }
 
-// checkHealth orders a health check where the deployment allows for them. Controllers take turns at an endpoint, once
-// enough is known of its speed.
+// checkHealth commands a health check, if the deployment allows for them. Controllers take turns once the endpoint's
+// speed is known well enough.
 func (e *endpoint) checkHealth() {
 	if !e.planner.settings.HealthChecks || e.Phase != Ready {
 		return
@@ -123,8 +123,8 @@
 	}
 }
 
-// effectiveWeight returns the listed weight, corrected by the speed that load reports show against the usual speed. The
-// correction is bounded, and small while few reports are in.
+// effectiveWeight returns the listed weight, corrected by the endpoint's speed relative to the fleet's mean. The
+// correction is bounded, and small while there are few reports.
 func (e *endpoint) effectiveWeight() float64 {
 	weight := 1.0
 	if e.Weight > 0 {
--- a/planner/events.go
+++ b/planner/events.go
@@ -78,9 +78,9 @@
 
 func (Gossip) event() {}
 
-// ProxyJoined reports that a proxy has opened its stream. Rate is how many requests a second ordinarily come to it. Fresh
-// means that it holds only the static table it started with. Resumed means that the streams were not watched for a while
-// and the proxy may have been joined all along: it may still use the tables it was assigned before.
+// ProxyJoined reports that a proxy has opened its stream. Rate is how many requests a second ordinarily come to it.
+// Fresh means that it holds only the static table it started with. Resumed means that the streams were not watched
+// for a while and the proxy may have been joined all along: it may still use the tables it was assigned before.
 type ProxyJoined struct {
 	Proxy   int
 	Zone    int
--- a/planner/flowcontrol.go
+++ b/planner/flowcontrol.go
@@ -1,9 +1,9 @@
 package planner
 
-// This file says who may write to the channel, and what renews its window. All lines go by fits or by a budget of the
-// window (sendwindow.go). It is renewed by acknowledgements, which proxies send on request behind a batch. While urgent
-// lines have no room and nothing is received, one proxy is assigned its tables anew: a probe, as TCP sends at a
-// shut window.
+// This file controls the flow of lines to the channel. Lines may be written as long as they fit below the backlog
+// (fits), by the account of the window (sendwindow.go). Acknowledgements renew the window (acknowledged); proxies
+// send them on request behind each batch. While urgent lines do not fit and nothing is received, one proxy is
+// assigned its tables again as a probe, like TCP's zero window probe.
 
 import (
 	"maps"
@@ -15,26 +15,26 @@
 	// probeTimer names the timer of the next probe.
 	probeTimer = "probe"
 
-	// probeWays is how many of the longest ways of a message a first probe waits for: there and back.
+	// probeWays is the wait before the first probe, in longest delivery times: there and back.
 	probeWays = 2.0
 
-	// earliestMs stands for the time 0 where 0 says that something has not happened.
+	// earliestMs stands in for the time 0 where 0 means that something has not happened.
 	earliestMs = 1e-3
 )
 
-// blockage is what waits although it is urgent, while the channel has no room for it.
+// blockage describes urgent lines that wait for room in the channel.
 type blockage struct {
-	exclusions int     // due in this flush and not ordered
+	exclusions int     // exclusions that are due in this flush but do not fit
 	since      float64 // ms, when the first was held back; 0: nothing is
 	probeAt    float64 // ms, when the next probe is due, as the timer is set
 }
 
-// fits returns whether lines stay below the backlog with those that may still wait in the channel.
+// fits returns whether some lines, with those that may still wait in the channel, stay below its backlog.
 func (pb *publisher) fits(lines float64) bool {
 	return pb.window.inFlight()+lines < pb.planner.settings.BacklogLines
 }
 
-// stalled keeps the account true while commands can't cross, and requests a new acknowledgement of what goes out again.
+// stalled corrects the account while commands cannot be sent, and requests a new acknowledgement of repeated calls.
 func (pb *publisher) stalled(stall ChannelStalled) {
 	now := pb.planner.now
 	pb.window.stall(now, stall.ForMs)
@@ -85,8 +85,8 @@
 	}
 }
 
-// probe assigns one proxy the tables it is on anew, once a probe is due: the smallest batch whose acknowledgement
-// proves that all before it has left.
+// probe assigns one proxy its tables again, once a probe is due: the smallest batch whose acknowledgement proves that
+// all earlier lines have left.
 func (pb *publisher) probe() {
 	p := pb.planner
 	due := pb.window.nextProbeAt(probeWays * p.settings.DeliveryMs)
@@ -108,8 +108,8 @@
 	pb.assign(proxy)
 }
 
-// probeTarget returns the proxy that was probed least lately, of those the one that acknowledged last; nil: none has
-// tables.
+// probeTarget returns the proxy that was probed least recently and, among those, acknowledged most recently; nil if
+// there is none with tables.
 func (pb *publisher) probeTarget() *proxyState {
 	var target *proxyState
 	for _, name := range slices.Sorted(maps.Keys(pb.proxies)) {
--- a/planner/histogram.go
+++ b/planner/histogram.go
@@ -1,22 +1,22 @@
 package planner
 
-// This file holds a coarse histogram of positive values whose past fades.
+// This file holds a coarse, fading histogram of positive values.
 
 import "math"
 
 const (
 	histogramBins    = 24
-	binsOfOctave     = 2.0  // so that neighbouring bins are a factor of the square root of 2 apart
+	binsOfOctave     = 2.0  // neighboring bins are a factor of sqrt(2) apart
 	binOfOne         = 8    // the bin of a value of 1
-	leastBinned      = 1e-9 // values count as this at least, as bins go by their logarithm
-	enoughBinnedMean = 2    // values from which a mean is taken
+	leastBinned      = 1e-9 // lower bound of values, as bins are logarithmic
+	enoughBinnedMean = 2    // fewest values that have a mean
 )
 
-// histogram counts values in bins of half an octave. When it holds more than a limit all counts are halved, so that old
-// values fade as new ones come.
+// histogram counts values in logarithmic bins of half an octave. All counts are halved whenever they exceed a limit, so
+// that old values fade.
 type histogram struct{ bins [histogramBins]float64 }
 
-// add counts a value; counts beyond the limit are halved.
+// add counts a value, and halves all counts if they exceed the limit.
 func (h *histogram) add(value, limit float64) {
 	bin := int(math.Round(binOfOne + binsOfOctave*math.Log2(math.Max(value, leastBinned))))
 	h.bins[max(0, min(len(h.bins)-1, bin))]++
@@ -27,7 +27,7 @@
 	}
 }
 
-// mean returns the geometric mean of the values, or 0 where there are too few, and how many they are.
+// mean returns the geometric mean of the values, or 0 if there are too few, and the total count.
 func (h *histogram) mean() (mean, total float64) {
 	octaves := 0.0
 	for bin, count := range h.bins {
--- a/planner/limits.go
+++ b/planner/limits.go
@@ -7,6 +7,6 @@
 // ValidRate returns whether v may stand in an event as a rate or a value of a load report.
 func ValidRate(v float64) bool { return v >= 0 && v <= MaxFigure }
 
-// ValidWeight returns whether v may stand in an event as a weight: 0, which says nothing, or a figure that others can be
-// compared with.
+// ValidWeight returns whether v may stand in an event as a weight: 0, which says nothing, or a figure that others can
+// be compared with.
 func ValidWeight(v float64) bool { return v == 0 || v >= 1/MaxFigure && v <= MaxFigure }
--- a/planner/load.go
+++ b/planner/load.go
@@ -1,22 +1,22 @@
 package planner
 
-// This file estimates an endpoint's load from its load reports: smoothing and ageing, a load from a queue or, by
-// Little's law, from the requests in flight where no utilization is reported, and the speed that reports show.
+// This file estimates an endpoint's load from its load reports. Where no utilization is reported, the load follows from
+// the queue or, by Little's law, from the requests in flight. Reports also show how fast an endpoint is.
 
 import "math"
 
-// Names of the values of a load report that are looked at; that of the utilization is in settings.go.
+// Names of values in a load report; that of the utilization is in settings.go.
 const (
 	reportFieldRate     = "rate"    // requests a second that were served
 	reportFieldQueue    = "waiting" // requests that wait
-	reportFieldInFlight = "in_hand" // requests that wait or are worked on
+	reportFieldInFlight = "in_hand" // requests that wait or are being processed
 )
 
 const (
 	// latestReportGain is the weight of the latest report against the mean of those before.
 	latestReportGain = 0.7
 
-	// fullQueue is the queue, in requests, that counts as much as a whole load on top of a full one.
+	// fullQueue is the queue length, in requests, that adds 1 to the load.
 	fullQueue = 10.0
 
 	// residenceGain is the weight of the latest residence time against the mean of those before.
@@ -25,52 +25,52 @@
 	// intervalGain is the weight of the latest time between two reports against the mean of those before.
 	intervalGain = 0.25
 
-	// noLoad stands for the load of an endpoint that has sent no report.
+	// noLoad is the load of an endpoint without a report.
 	noLoad = -1.0
 )
 
 // The speed of an endpoint: requests a second at full load for each unit of its listed weight.
 const (
-	minSpeedLoad       = 0.15 // below it rate and load are too small to be held against each other
-	minSpeedWeight     = 1e-3 // listed weights count as this at least
-	minSpeedCorrection = 0.4  // of a listed weight
+	minSpeedLoad       = 0.15 // below this load, the ratio of rate and load is too noisy
+	minSpeedWeight     = 1e-3 // lower bound of the listed weight in the ratio
+	minSpeedCorrection = 0.4  // bounds of the factor on the listed weight
 	maxSpeedCorrection = 2.5
-	priorSpeeds        = 2.0 // reports that weigh as much as the belief in the listed weight
-	enoughSpeeds       = 8   // reports after which controllers take turns at looking
-	speedsOfEndpoint   = 24  // reports that the histogram of an endpoint holds before it is halved
+	priorSpeeds        = 2.0 // weight, in reports, of the prior assumption that the listed weight is right
+	enoughSpeeds       = 8   // reports after which controllers take turns with health checks
+	speedsOfEndpoint   = 24  // reports in an endpoint's histogram before its counts are halved
 )
 
-// loadEstimate is what the load reports of an endpoint come to.
+// loadEstimate is an endpoint's load as estimated from its reports.
 type loadEstimate struct {
-	value     float64 // load in parts of what the endpoint can do, mean of the last reports; noLoad before the first
-	updatedAt float64 // ms, when the last report came
-	interval  float64 // ms between reports, mean of the last
+	value     float64 // fraction of the capacity in use, mean of recent reports; noLoad before the first
+	updatedAt float64 // ms, arrival of the latest report
+	interval  float64 // mean ms between recent reports
 
 	// Time that a request spends at the endpoint, in seconds; 0: unknown.
-	residence     float64 // mean of the last
-	bestResidence float64 // lowest mean so far, as when nothing waits
+	residence     float64 // mean of recent reports
+	bestResidence float64 // lowest mean so far, taken for that of an idle endpoint
 
 	speeds histogram
 }
 
-// newLoadEstimate returns the estimate of an endpoint that has sent no report.
+// newLoadEstimate returns the estimate before the first report.
 func newLoadEstimate() loadEstimate {
 	estimate := loadEstimate{}
 	estimate.reset()
 	return estimate
 }
 
-// reset forgets the load of an incarnation that is gone. The next one is as fast and reports as often.
+// reset forgets the load of a former incarnation. Speed, best residence time and report interval are kept.
 func (l *loadEstimate) reset() {
 	l.value = noLoad
 	l.updatedAt = -staleMs
 	l.residence = 0
 }
 
-// age returns how long ago the last report came, in ms.
+// age returns the time since the latest report, in ms.
 func (l *loadEstimate) age(now float64) float64 { return now - l.updatedAt }
 
-// isFresh returns whether the estimate stands for the present load.
+// isFresh returns whether the estimate is recent enough to stand for the present load.
 func (l *loadEstimate) isFresh(now float64) bool { return l.age(now) < staleMs && l.value >= 0 }
 
 // fromReport returns the load that a report shows, if any: the utilization, or what follows from a queue or from the
@@ -90,15 +90,15 @@
 	return 0, false
 }
 
-// loadOfQueue returns the load at which a single server's queue would be as long on average (M/M/1: q = rho^2/(1-rho)),
-// and more for a long queue, as that load never reaches 1.
+// loadOfQueue returns the load rho at which a single server has a mean queue of that length (M/M/1: q = rho^2/(1-rho)),
+// plus a term that grows with the queue, since rho stays below 1.
 func loadOfQueue(queue float64) float64 {
 	return (math.Sqrt(queue*queue+4*queue)-queue)/2 + queue/fullQueue
 }
 
-// loadOfResidence returns the load that a residence time shows, by Little's law the requests in flight divided by their
-// rate: by which part the mean lies above the best so far. The number in flight says nothing of an endpoint whose
-// parallelism is unknown; how long they stay does.
+// loadOfResidence returns the load that a residence time shows: the fraction of the mean residence time that exceeds
+// the best so far. By Little's law it is the requests in flight divided by their rate. The number in flight alone
+// shows nothing, since an endpoint's parallelism is unknown.
 func (l *loadEstimate) loadOfResidence(seconds float64) float64 {
 	gain := 1.0
 	if l.residence > 0 {
@@ -113,7 +113,7 @@
 	return 1 - l.bestResidence/l.residence
 }
 
-// add takes in the load of a report. After a silence the mean of those before is out of date.
+// add updates the estimate with the load of a report. After a long gap the mean of earlier reports is obsolete.
 func (l *loadEstimate) add(load, now float64) {
 	gap := l.age(now)
 	if gap < staleMs {
@@ -127,7 +127,7 @@
 	l.updatedAt = now
 }
 
-// countSpeed counts the speed that a report shows, for the endpoint and for the fleet.
+// countSpeed adds the speed that a report shows to the endpoint's and the fleet's histograms.
 func (e *endpoint) countSpeed(report Load) {
 	load, known := report[reportFieldUtilization]
 	rate := report[reportFieldRate]
@@ -139,13 +139,14 @@
 	}
 }
 
-// fleetLoad is what the load reports of all endpoints come to.
+// fleetLoad sums up the load reports of all endpoints.
 type fleetLoad struct {
-	mean   float64 // of the recently reported loads, as of the last round
+	mean   float64 // of the fresh loads, as of the latest round
 	speeds histogram
 }
 
-// update takes the mean load anew. Half the target load counts as one endpoint's, and stands where none is reported.
+// update computes the mean load. Half the target load counts as one further endpoint's and stands in where no load is
+// fresh.
 func (f *fleetLoad) update(endpoints []*endpoint, targetLoad, now float64) {
 	f.mean = targetLoad / 2
 	for _, e := range endpoints {
--- a/planner/mailbox.go
+++ b/planner/mailbox.go
@@ -4,9 +4,9 @@
 // publisher, each endpoint and each region are actors: a message waits in the receiver's mailbox until it is
 // delivered, so that the order of all work, and with it of the commands, follows from the events alone.
 
-// actor is whoever has a mailbox.
+// actor is anything with a mailbox.
 type actor interface {
-	// deliver hands the actor the messages that wait; it returns whether there were any.
+	// deliver passes the waiting messages to the actor and returns whether there were any.
 	deliver() bool
 }
 
@@ -19,7 +19,7 @@
 // enqueue adds a message.
 func (m *mailbox[M]) enqueue(message M) { m.waiting = append(m.waiting, message) }
 
-// deliver implements actor. Messages that are posted meanwhile wait for the next delivery.
+// deliver implements actor. Messages that are enqueued meanwhile wait for the next delivery.
 func (m *mailbox[M]) deliver() bool {
 	messages := m.waiting
 	m.waiting = nil
@@ -29,7 +29,7 @@
 	return len(messages) > 0
 }
 
-// deliverAll delivers messages, actor by actor in the order in which they came to be, until none waits.
+// deliverAll delivers messages, actor by actor in creation order, until none waits.
 func (p *Planner) deliverAll() {
 	for delivered := true; delivered; {
 		delivered = false
@@ -77,18 +77,18 @@
 func (wantedAdmission) toPublisher() {}
 func (availability) toPublisher()    {}
 
-// roundStart begins a control round. Rounds of the timer step penalties, health and admission; the others only bring
-// the tables up to a changed endpoint list.
+// roundStart begins a control round. Timed rounds update penalties, health and admission; the others only adapt the
+// tables to a changed endpoint list.
 type roundStart struct{ timed bool }
 
-// plannedShare informs an endpoint which part of a region's requests of a class group is planned for it, in requests of
-// the region's ordinary demand.
+// plannedShare informs an endpoint of its planned share of a region's requests of a class group, as a multiple of the
+// region's ordinary demand.
 type plannedShare struct {
-	plan  int // region and group, as planNumber lays them out
+	plan  int // region and group, see planNumber
 	share float64
 }
 
-// wantedWeight gives the publisher the weight that a table's line should have; 0: it should have none.
+// wantedWeight gives the publisher the weight that an endpoint should have in a table; 0: it should not be in it.
 type wantedWeight struct {
 	table, endpoint int
 	weight          float64
--- a/planner/membership.go
+++ b/planner/membership.go
@@ -1,8 +1,8 @@
 package planner
 
-// This file keeps the proxies that have joined, as the publisher sees them, and assigns them their tables. A proxy is
-// assigned all tables of its subset at once, when it joins, or when its assignment may be stale: nobody saw whether it
-// left in between. Where the tables would bring about what its standing ones do, none are assigned.
+// This file tracks the joined proxies and assigns them their tables: all tables of their subset at once, when they
+// join, or when the assignment may be stale because a proxy may have left unnoticed. As long as standing tables route
+// about as planned, none are assigned.
 
 import (
 	"math"
@@ -10,10 +10,10 @@
 )
 
 const (
-	// assignmentWaitMs is between two attempts to assign tables to proxies for which the channel has no room.
+	// assignmentWaitMs is the time between two attempts to assign tables for which the channel has no room.
 	assignmentWaitMs = 100.0
 
-	// assignmentPart is the part of the backlog up to which tables are assigned.
+	// assignmentPart is the fraction of the backlog up to which tables are assigned.
 	assignmentPart = 0.3
 
 	// assignmentTimer names the timer of the next attempt.
@@ -23,15 +23,14 @@
 // proxyState is a joined proxy. Times are in ms.
 type proxyState struct {
 	ProxyJoined
-	assigned  bool // it may hold its tables, so that their lines cost
-	confirmed bool // it surely does: they were assigned since it joined, or it acknowledged their lines
+	assigned  bool // it may hold its tables, so that their lines count
+	confirmed bool // it does hold them: they were assigned since it joined, or it acknowledged their lines
 	joinedAt  float64
 	ackedAt   float64 // when it last acknowledged anything
 	probedAt  float64 // when the window was last probed with it
 }
 
-// join takes in a proxy. One that may have stood through a gap may still hold its tables; only an acknowledgement of
-// their lines shows it.
+// join adds a proxy. One that resumed may still hold its tables; only an acknowledgement of their lines proves it.
 func (pb *publisher) join(joined ProxyJoined) {
 	before := pb.proxies[joined.Proxy]
 	pb.proxies[joined.Proxy] = &proxyState{
@@ -41,8 +40,8 @@
 	}
 }
 
-// confirm notes that a proxy acknowledged something that was ordered at a time. If the proxy had joined by then, and no
-// exclusion was ordered since, which reaches all proxies, it can only have come by a table that it holds.
+// confirm notes that a proxy acknowledged lines that were ordered at a given time. If it had joined by then, and no
+// exclusion was commanded since, which reaches all proxies, the lines can only be those of a table that it holds.
 func (pb *publisher) confirm(proxy *proxyState, orderedAt float64) {
 	proxy.ackedAt = pb.planner.now
 	if orderedAt > math.Max(proxy.joinedAt, pb.exclusion.lastChange) {
@@ -78,15 +77,15 @@
 	proxy.confirmed = true
 }
 
-// assignWaiting assigns tables to proxies that wait for them, while the channel has room; the rest has its turn when it
-// has run down.
+// assignWaiting assigns tables to proxies that wait for them, while the channel has room, and sets a timer for the
+// rest.
 func (pb *publisher) assignWaiting() {
 	worthwhile := worthwhileGap * math.Min(1, pb.zoneHeaderSeconds())
 	for _, name := range pb.waitingProxies() {
 		proxy := pb.proxies[name]
 		weights, cost := pb.assignmentCost(proxy)
 		if weights == 0 || pb.planner.regions[proxy.Zone].divergence < worthwhile {
-			continue // what it stands with is better than nothing, or as good
+			continue // its standing table is better than an empty one, or as good
 		}
 		queued := pb.window.queued
 		if queued > 0 && queued+cost > assignmentPart*pb.planner.settings.BacklogLines {
@@ -106,14 +105,14 @@
 	}
 }
 
-// zoneHeaderSeconds returns for how many seconds the channel is taken by a message to each proxy of a zone here.
+// zoneHeaderSeconds returns how many seconds the channel takes for a message to each proxy of an average zone.
 func (pb *publisher) zoneHeaderSeconds() float64 {
 	p := pb.planner
 	proxies := p.settings.ProxyCount.Or(1) / p.settings.Instances / float64(len(p.regions))
 	return pb.headerLines() / pb.linesPerSecond() * proxies
 }
 
-// waitingProxies returns the proxies that wait for their tables, first those whose own zone has nothing left.
+// waitingProxies returns the proxies that wait for their tables, first those whose own zone has no ready endpoint.
 func (pb *publisher) waitingProxies() []int {
 	var waiting []int
 	for name, proxy := range pb.proxies {
@@ -152,16 +151,16 @@
 }
 
 const (
-	// A restarted endpoint that warms up by itself justifies an assignment, as standing tables have its old weight.
+	// A restarted endpoint that warms up justifies an assignment by itself, as standing tables have its old weight.
 	restartDivergence = worthwhileGap
 
-	// Two endpoints that are unavailable do: to notify proxies of both costs as much.
+	// Two unavailable endpoints do so, too: notifying proxies of both costs as much.
 	unavailableDivergence = worthwhileGap / 2
 )
 
-// planDivergence returns the part of a group's requests that standing tables bring elsewhere than planned, also by
-// chance: each proxy's table has few lines, drawn by weight from the endpoints of its zone. Below what headers cost, no
-// table is assigned.
+// planDivergence returns the fraction of a group's requests that standing tables route differently than planned, by
+// weight, by the endpoints' states, and by chance, as a standing table has few lines, drawn from the endpoints of its
+// zone.
 func (r *region) planDivergence(group int, allocations []allocation) float64 {
 	standing := make([]float64, len(allocations)) // weight that standing tables have, by allocation
 	sum := 1e-9
@@ -187,7 +186,7 @@
 	return divergence + r.chanceDivergence(count)
 }
 
-// stateDivergence returns what an endpoint's state counts as divergence of standing tables that hold it.
+// stateDivergence returns the divergence that counts for an endpoint's state.
 func (r *region) stateDivergence(c *candidate) float64 {
 	switch {
 	case c.Phase != Ready:
@@ -198,8 +197,8 @@
 	return 0
 }
 
-// chanceDivergence returns the divergence that the draw of standing lines brings on average: the standard deviation of
-// the shares of so many endpoints, by the lines drawn in all.
+// chanceDivergence estimates the divergence by the random choice of standing lines: the deviation of the shares of some
+// endpoints, given the lines of all standing tables.
 func (r *region) chanceDivergence(endpoints float64) float64 {
 	p := r.planner
 	zones := float64(len(p.regions))
--- a/planner/outlier.go
+++ b/planner/outlier.go
@@ -1,30 +1,31 @@
 package planner
 
 // This file detects outliers, as a service mesh's outlier detection does: an endpoint that fails for the proxies of a
-// zone is ejected from that zone's tables, and let back by a trial on a small share, later with each relapse.
+// zone is ejected from that zone's tables, and returns through a trial with a small share of requests. Ejections get
+// longer with each relapse.
 //
-// What ejects: updateHealth, by the conditions of isFailing. What lets back: the end of the ejection time, for a
-// trial, and answers during it, for more.
+// isFailing holds the conditions of an ejection, endEjection those of a trial, and continueTrial those of a return to
+// the full weight.
 
 import "math"
 
 const (
-	// countFade is what a round leaves of the counts before it.
+	// countFade is the factor by which counts fade in each round.
 	countFade = 0.6
 
-	// minFailures is the number of failed attempts, fading, below which nothing is ejected.
+	// minFailures is the least fading count of failed attempts for an ejection.
 	minFailures = 3
 
-	// An endpoint fails if this part of its attempts does: a base, plus a multiple of the part that fails in the whole
-	// zone, so that what all suffer alike ejects nobody.
+	// An endpoint is failing if the fraction of its attempts that fail exceeds the sum of a base and a multiple of
+	// the whole zone's failure rate, so that a fault that all share ejects none.
 	baseFailureRate       = 0.3
 	zoneFailureRateFactor = 1.5
 
-	// fewAnswers is the number of answers, fading, below which an endpoint counts as answering nothing.
+	// fewAnswers is the fading count of answers below which an endpoint counts as not answering.
 	fewAnswers = 0.5
 
-	// silenceMs without a load report, from an endpoint that answers nothing, shows that it is gone or hangs, also if
-	// its whole zone does.
+	// silenceMs is the time without a load report after which an endpoint that does not answer counts as gone or
+	// hanging, even if its whole zone is.
 	silenceMs = 3 * roundMs
 )
 
@@ -32,14 +33,14 @@
 const (
 	firstEjectionMs = 2000.0
 	maxEjectionMs   = 20000.0
-	ejectionGrowth  = 2.0  // of the next ejection, with each relapse
-	trialTrust      = 0.12 // part of its normal weight that an endpoint has on trial
-	trustGrowth     = 2.0  // in a round of a trial with good answers
-	trialAnswers    = 0.3  // answers, fading, that a trial needs in a round
+	ejectionGrowth  = 2.0  // factor of the ejection time, with each relapse
+	trialTrust      = 0.12 // fraction of its normal weight that an endpoint on trial has
+	trustGrowth     = 2.0  // growth of the trust in a round of a trial with answers
+	trialAnswers    = 0.3  // fading count of answers that a trial needs
 )
 
-// zoneHealth is the health of an endpoint as the proxies of one zone see it. An endpoint may be out of reach for one
-// zone and in order for the others.
+// zoneHealth is the health of an endpoint as the proxies of one zone see it. An endpoint may be unreachable for one
+// zone and healthy for the others.
 type zoneHealth struct {
 	answered float64 // attempts with an answer since the last trial began, fading
 	failed   float64 // attempts that failed since then, fading
@@ -49,8 +50,8 @@
 
 	ejected      bool
 	ejectedUntil float64 // ms
-	nextEjection float64 // how long the next one takes, ms
-	trust        float64 // part of its normal weight that the endpoint has; below 1 on trial
+	nextEjection float64 // duration of the next ejection, ms
+	trust        float64 // fraction of its normal weight; below 1 on trial
 }
 
 // healthIn returns the endpoint's health for the proxies of a zone.
@@ -61,7 +62,7 @@
 	return e.health[zone]
 }
 
-// count takes in attempts.
+// count adds attempts.
 func (h *zoneHealth) count(stats EndpointStats) {
 	attempts := float64(stats.Attempts)
 	failures := float64(stats.Failed)
@@ -71,8 +72,8 @@
 	h.failures += failures
 }
 
-// updateHealth ejects an endpoint that fails for a region's proxies, begins a trial when an ejection ends, and has a
-// trial go on while answers are good.
+// updateHealth ejects an endpoint that fails for a region's proxies, starts a trial when an ejection ends, and
+// extends a trial while there are answers.
 func (e *endpoint) updateHealth(r *region, h *zoneHealth) {
 	switch {
 	case h.ejected:
@@ -90,8 +91,8 @@
 	h.failures *= countFade
 }
 
-// isFailing returns whether an endpoint fails for a region's proxies: more than others do while it isn't overloaded, or
-// without any answer or report. Overload is the penalty's business.
+// isFailing returns whether an endpoint fails for a region's proxies: more than others do while it is not overloaded,
+// or without any answer or report. Overload is handled by the penalty.
 func (e *endpoint) isFailing(r *region, h *zoneHealth) bool {
 	if h.failed < minFailures {
 		return false
@@ -110,7 +111,7 @@
 	h.nextEjection = math.Min(maxEjectionMs, h.nextEjection*ejectionGrowth)
 }
 
-// endEjection begins a trial, without the evidence that led to the ejection, once its time is over.
+// endEjection starts a trial once the ejection time is over, without the evidence that led to the ejection.
 func (e *endpoint) endEjection(r *region, h *zoneHealth) {
 	if e.planner.now < h.ejectedUntil {
 		return
@@ -123,14 +124,14 @@
 	e.planner.logf("endpoint %d zone %d: trial", e.Endpoint, r.zone)
 }
 
-// continueTrial gives an endpoint on trial more weight if it has answered.
+// continueTrial raises the trust in an endpoint on trial if it has answered.
 func (h *zoneHealth) continueTrial() {
 	if h.trust < 1 && h.answered >= trialAnswers {
 		h.trust = math.Min(1, h.trust*trustGrowth)
 	}
 }
 
-// fadeEvidence has older attempts count less.
+// fadeEvidence reduces the weight of older attempts.
 func (h *zoneHealth) fadeEvidence() {
 	h.answered *= countFade
 	h.failed *= countFade
--- a/planner/penalty.go
+++ b/planner/penalty.go
@@ -1,11 +1,11 @@
 package planner
 
-// This file steps an endpoint's penalty, the dual variable lambda of its load limit in the ACCO algorithm
+// This file updates an endpoint's penalty, the dual variable lambda of its capacity constraint in the ACCO algorithm
 // ("A Distributed Hybrid Load Management Model for Anycast CDNs", algorithm 1, line 12):
 //
 //	lambda = max(0, lambda + theta*(B^2 - T^2))
 //
-// B is the load that the endpoint reports, so it counts the requests of all controllers; T is the target load.
+// B is the load that the endpoint reports, which includes the requests of all controllers; T is the target load.
 
 import (
 	"maps"
@@ -14,24 +14,25 @@
 )
 
 const (
-	// penaltyGain is theta of the step, for a round.
+	// penaltyGain is theta, per round.
 	penaltyGain = 0.25
 
-	// maxPenalty bounds lambda. Above the cost of every zone a penalty says no more, and a higher one is slow to fall.
+	// maxPenalty bounds lambda. A penalty above the cost of every zone has no further effect, and would take longer
+	// to fall.
 	maxPenalty = 1.1
 
-	// maxPenalizedLoad bounds B in the step: one report of a long queue should not jam an endpoint.
+	// maxPenalizedLoad bounds B, so that one report of a long queue does not drive the penalty to its bound.
 	maxPenalizedLoad = 1.5
 
 	// reportDelayRounds is the number of rounds until a load report shows what a table changed.
 	reportDelayRounds = 3
 
-	// The correction of a report for plans that changed since lies between these, since plans are no more than that.
+	// Bounds of the correction of a report for plans that changed since: plans are not exact enough for more.
 	minReportCorrection = 0.25
 	maxReportCorrection = 4.0
 )
 
-// stepPenalty takes one step of the penalty. The history of plans moves on with each step, also if the last report is
+// stepPenalty takes one step of the penalty. The history of plans advances with each step, even if the latest report is
 // stale.
 func (e *endpoint) stepPenalty(load float64, fresh bool) {
 	correction := e.reportCorrection()
@@ -44,15 +45,15 @@
 	e.penalty = math.Max(0, math.Min(maxPenalty, penalty))
 }
 
-// penaltyStep returns theta, scaled by the part of the demand that is this planner's business, and by how many reports
-// there are in a round: one that is looked at in several rounds counts once.
+// penaltyStep returns theta, scaled by the fraction of the demand that this planner sees, and by the reports per
+// round, so that a report that is used in several rounds counts once.
 func (e *endpoint) penaltyStep() float64 {
 	return penaltyGain * e.planner.demandSeen() * math.Min(1, roundMs/math.Max(e.load.interval, 1))
 }
 
-// reportCorrection returns the factor that brings a load report up to date: how the plans changed the endpoint's load
-// since the report was made, at the present ordinary demand. Without it a penalty goes on rising after the plan has
-// moved requests away, and swings.
+// reportCorrection returns the factor that brings a load report up to date: the ratio of the endpoint's planned load
+// now to that of the time of the report, at the present ordinary demand. Without it a penalty would go on rising
+// after the plan has moved requests away, and would oscillate.
 func (e *endpoint) reportCorrection() float64 {
 	p := e.planner
 	reported, present := 0.0, 0.0
@@ -72,11 +73,11 @@
 	return correction
 }
 
-// planHistory keeps the shares of an endpoint in the regions' plans, by plan number: the present ones first, then those
-// of the rounds before, back to the plans under which the latest reports were made.
+// planHistory keeps an endpoint's shares in the regions' plans, by plan number: first the present ones, then those of
+// the rounds before, back to the plans under which the latest reports were made.
 type planHistory []map[int]float64
 
-// newPlanHistory returns a history without any plan.
+// newPlanHistory returns an empty history.
 func newPlanHistory() planHistory {
 	history := make(planHistory, reportDelayRounds+2)
 	history[0] = map[int]float64{}
@@ -86,7 +87,7 @@
 // set notes the endpoint's share in a present plan.
 func (h planHistory) set(plan int, share float64) { h[0][plan] = share }
 
-// known returns the numbers of the plans that the endpoint has been in, in order.
+// known returns the numbers of the plans that the endpoint has been in, in ascending order.
 func (h planHistory) known() []int { return slices.Sorted(maps.Keys(h[0])) }
 
 // present returns the endpoint's share in a present plan.
@@ -95,14 +96,14 @@
 // reported returns the endpoint's share in a plan when the latest reports were made.
 func (h planHistory) reported(plan int) float64 { return h[reportDelayRounds+1][plan] }
 
-// advance begins a new round with the present plans.
+// advance starts a new round, which begins with the present plans.
 func (h planHistory) advance() {
 	copy(h[1:], h[:len(h)-1])
 	h[0] = maps.Clone(h[1])
 }
 
-// planNumber returns the number of a region's plan for a class group, by which endpoints keep their shares of it.
+// planNumber returns the number of a region's plan for a class group.
 func (p *Planner) planNumber(zone, group int) int { return zone*len(p.groups) + group }
 
-// zoneOfPlan returns the zone of the region whose plan has a number.
+// zoneOfPlan returns the zone of the region that a plan belongs to.
 func (p *Planner) zoneOfPlan(plan int) int { return plan / len(p.groups) }
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -1,6 +1,6 @@
 package planner
 
-// This file is the frame of the planner: events in, control rounds, commands out. The planner is a sub-controller of
+// This file holds the planner's main loop: events in, control rounds, commands out. The planner is a sub-controller of
 // the ACCO algorithm ("A Distributed Hybrid Load Management Model for Anycast CDNs", section IV-A). Its regions are
 // the zones of the proxies that joined it. Once in a round each endpoint steps its penalty (penalty.go) and each
 // region solves for its shares anew (region.go); the publisher sends the proxies what changed (publisher.go).
@@ -12,15 +12,21 @@
 )
 
 const (
-	roundMs        = 1000.0 // between control rounds; load reports come about as often
-	staleMs        = 5000.0 // a load report older than this says nothing of an endpoint's present load
-	settlingRounds = 5      // in which a planner that has just started knows too little to load endpoints that warm up
+	// roundMs is the interval between control rounds. Load reports arrive about as often.
+	roundMs = 1000.0
+
+	// staleMs is the age from which a load report says nothing of an endpoint's present load.
+	staleMs = 5000.0
+
+	// settlingRounds is the number of rounds after a start in which too little is known to give requests to endpoints
+	// that warm up.
+	settlingRounds = 5
 
 	// roundTimer names the timer of the control rounds.
 	roundTimer = "gather"
 )
 
-// Targets for the load of an endpoint, in parts of what it can do.
+// Target load of an endpoint, as a fraction of its capacity.
 const (
 	baseTargetLoad          = 0.5  // where crossing zones costs nothing
 	maxTargetLoad           = 0.85 // where it costs a lot: a zone should keep its requests nearly until it is full
@@ -32,23 +38,23 @@
 // each moment's events. It is not safe for concurrent use.
 type Planner struct {
 	mailbox mailbox[plannerMessage]
-	actors  []actor // in the order in which they came to be; the planner itself is the first, the publisher the second
+	actors  []actor // in creation order: the planner itself, the publisher, then endpoints and regions
 
 	settings Settings // the latest
 
-	// Derived from the settings of the start. Later ones leave it as it is, since the tables are laid out by it.
+	// Derived from the settings given to New. Reconfigure leaves them as they are, since tables are numbered by them.
 	targetLoad    float64 // T of the penalty's step: the load above which a penalty grows
 	classes       []RequestClass
-	shedOrder     []int // the classes, by the order in which their load is shed
+	shedSequence  []int // classes in the order in which their load is shed
 	groups        []classGroup
-	subsetsOfZone int // into which the proxies of each zone are dealt
+	subsetsOfZone int // number of subsets that the proxies of each zone are divided into
 
 	now      float64 // ms
 	started  bool
 	rounds   int // timed ones
 	commands []Command
 
-	proxies map[int]ProxyJoined // that have joined, as they described themselves
+	proxies map[int]ProxyJoined // joined proxies, as they described themselves
 	demand  demand
 	load    fleetLoad
 
@@ -57,13 +63,13 @@
 	publisher *publisher
 }
 
-// New returns a planner. Settings of a wrong type count as missing; ParseSettings names them. The seed is not used, as
-// nothing is drawn by chance.
+// New returns a planner. Settings of a wrong type count as missing; ParseSettings reports them. The seed is unused,
+// since the planner draws no random numbers.
 func New(_ int64, settings map[string]any) *Planner {
-	parsed, _ := ParseSettings(settings) // New may not fail: what is wrong has its default
+	parsed, _ := ParseSettings(settings) // New cannot fail: a value of a wrong type has its default
 	p := &Planner{settings: parsed, classes: parsed.Classes, proxies: map[int]ProxyJoined{}, demand: newDemand()}
 	p.targetLoad = targetLoad(parsed.CrossZoneCost)
-	p.shedOrder = shedOrder(p.classes)
+	p.shedSequence = shedSequence(p.classes)
 	if !parsed.Sliced {
 		p.groups = groupClasses(p.classes)
 	}
@@ -85,8 +91,8 @@
 	return math.Min(maxTargetLoad, baseTargetLoad+targetLoadCrossZoneGain*crossZoneCost)
 }
 
-// Handle takes in what happened by a time and returns what is to be done about it, in order. Times never run backwards:
-// an earlier one counts as the last.
+// Handle processes the events up to a time and returns the commands that follow from them, in order. Time never runs
+// backwards: an earlier time counts as the latest one so far.
 func (p *Planner) Handle(nowMs float64, events []Event) []Command {
 	p.now = math.Max(p.now, nowMs)
 	p.commands = nil
@@ -99,8 +105,8 @@
 	return p.commands
 }
 
-// start sets the timer of the first round, at the first event. Each controller has its own point of the round, so that
-// not all of them change their tables at once.
+// start sets the timer of the first round, when Handle is first called. Controllers spread their rounds over the
+// interval by their rank, so that not all of them change their tables at once.
 func (p *Planner) start() {
 	if p.started {
 		return
@@ -112,7 +118,7 @@
 	}
 }
 
-// dispatch passes an event to the actors that it concerns. Events of other types call for no plan.
+// dispatch passes an event to the actors that it concerns. Events of other types do not affect the plan.
 func (p *Planner) dispatch(event Event) {
 	switch event := event.(type) {
 	case EndpointUpdate:
@@ -138,7 +144,7 @@
 	}
 }
 
-// timerFired begins a timed round. Other timers only have the planner called, as each call flushes the publisher.
+// timerFired begins a timed round. The other timers need no handling: each call of Handle flushes the publisher.
 func (p *Planner) timerFired(timer TimerFired) {
 	if timer.Name != roundTimer {
 		return
@@ -148,8 +154,8 @@
 	p.controlRound(true)
 }
 
-// takeStats passes on what proxies of a zone saw of an endpoint. Counts that began before the endpoint started again
-// belong to the process that is gone: they are dropped, its load report is not.
+// takeStats passes on what the proxies of a zone observed at an endpoint. Counts that began before the endpoint
+// started again belong to the process that is gone: they are dropped, its load report is not.
 func (p *Planner) takeStats(stats EndpointStats) {
 	e := p.endpoint(stats.Endpoint)
 	if e.Started != 0 && e.Started > p.now-stats.SpanMs {
@@ -160,7 +166,7 @@
 	p.region(stats.Zone).mailbox.enqueue(stats)
 }
 
-// updateList takes in news of the endpoint list and plans anew. What a complete list leaves out is gone.
+// updateList applies an update of the endpoint list and plans again. Endpoints that a complete list omits are gone.
 func (p *Planner) updateList(list EndpointUpdate) {
 	if list.Mode == UpdateFailed {
 		p.command(WatchEndpoints{On: true})
@@ -178,7 +184,7 @@
 	p.controlRound(false)
 }
 
-// removeUnnamed takes listed endpoints that a complete list leaves out for gone.
+// removeUnnamed marks listed endpoints that a complete list omits as gone.
 func (p *Planner) removeUnnamed(named map[int]bool) {
 	for i, e := range p.endpoints {
 		if e.listed && !named[i] {
@@ -189,8 +195,8 @@
 	}
 }
 
-// controlRound has all endpoints and then all regions plan anew. The regions begin only when all endpoints
-// have made their offers.
+// controlRound lets all endpoints update themselves and then all regions plan again. The regions begin only after all
+// endpoints have made their offers.
 func (p *Planner) controlRound(timed bool) {
 	p.deliverAll()
 	p.demand.update(p.proxies, p.settings.ProxyCount.Or(1))
@@ -204,7 +210,7 @@
 	}
 }
 
-// receive takes in a message to the planner itself: who has joined, and what requests come to them.
+// receive handles a message to the planner itself: which proxies have joined, and which requests come to them.
 func (p *Planner) receive(message plannerMessage) {
 	switch message := message.(type) {
 	case ProxyJoined:
@@ -219,7 +225,7 @@
 	}
 }
 
-// endpoint returns the state of an endpoint, which it makes at its first mention.
+// endpoint returns the state of an endpoint, creating it when it is first mentioned.
 func (p *Planner) endpoint(index int) *endpoint {
 	for len(p.endpoints) <= index {
 		e := newEndpoint(p, len(p.endpoints))
@@ -229,7 +235,7 @@
 	return p.endpoints[index]
 }
 
-// region returns the state of a zone's proxies, which it makes, with its tables, at the zone's first mention.
+// region returns the region of a zone, creating it and its tables when the zone is first mentioned.
 func (p *Planner) region(zone int) *region {
 	for len(p.regions) <= zone {
 		r := newRegion(p, len(p.regions))
@@ -240,8 +246,8 @@
 	return p.regions[zone]
 }
 
-// demandSeen returns which part of the demand on an endpoint this planner sees: that of the proxies that joined it. The
-// others plan for the rest, so each corrects only its part of what is amiss.
+// demandSeen returns the fraction of the demand that this planner sees: that of the proxies that joined it. The other
+// controllers plan for the rest, so each corrects only its fraction of an imbalance.
 func (p *Planner) demandSeen() float64 {
 	if p.settings.ZonesKeptWhole {
 		return 1
@@ -249,7 +255,7 @@
 	return math.Min(1, float64(len(p.proxies))/p.settings.ProxyCount.Or(1))
 }
 
-// command gives a command out.
+// command adds a command to those that Handle returns.
 func (p *Planner) command(command Command) { p.commands = append(p.commands, command) }
 
 // logf writes a line to the operators' log.
--- a/planner/publisher.go
+++ b/planner/publisher.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// A line is sent once it differs by this part of the larger of the two weights: a base, and more in proportion to
-	// the seconds that the channel takes for the whole tables of a zone, up to one second.
+	// A line is sent if the weights differ by this fraction of the larger: a base, plus up to channelTolerance in
+	// proportion to the seconds that the channel takes for all tables of a zone.
 	tolerance        = 0.12
 	channelTolerance = 0.2
 
-	// worthwhileGap is the sum of the gaps, as a part of a table, that is worth the headers of a second of the channel.
-	// Where the headers take less time, a smaller gap is.
+	// worthwhileGap is the least sum of gaps, as a fraction of a table's weight, that justifies headers that take a
+	// second of the channel or more; headers that take less are justified by less in proportion.
 	worthwhileGap = 0.5
 
-	// backlogDivisor leaves lines that can wait a third of the backlog; the rest is for those that can't.
+	// backlogDivisor limits lines that can wait to a third of the backlog; the rest is for urgent ones.
 	backlogDivisor = 3.0
 
-	// messageSpacing keeps the messages of a proxy so far apart that half as many again stay within their limit.
+	// messageSpacing leaves room for half as many further messages to a proxy within its limit.
 	messageSpacing = 1.5
 
-	// defaultLinesPerSecond stands for the pace of a channel whose pace is not configured.
+	// defaultLinesPerSecond stands in for a pace of the channel that is not configured.
 	defaultLinesPerSecond = 1000.0
 )
 
-// publisher is an actor: it keeps what the proxies hold and orders what they get next.
+// publisher is an actor: it keeps what the proxies hold and commands what they get next.
 type publisher struct {
 	mailbox mailbox[publisherMessage]
 	planner *Planner
@@ -53,7 +53,7 @@
 	sent, wanted    map[int]float64      // weights by endpoint, as last sent and as last planned
 	admissionSent   map[int]SetAdmission // by class mask
 	admissionWanted map[int]SetAdmission
-	planned         bool    // anew since the last push
+	planned         bool    // again since the last push
 	pending         int     // urgent lines that did not fit in the last push
 	pushedAt        float64 // ms, when lines or levels of it last went out
 }
@@ -99,8 +99,8 @@
 	}
 }
 
-// flush orders all that the channel has room for, at the end of each call of the planner: differences of tables, then
-// tables for proxies that wait for them, then exclusions of endpoints. A request for an acknowledgement goes behind it.
+// flush commands all that the channel has room for, at the end of each call of Handle: differences of tables, then
+// tables for waiting proxies, then exclusions of endpoints. A request for an acknowledgement follows.
 func (pb *publisher) flush() {
 	p := pb.planner
 	before := pb.window.written
@@ -117,8 +117,8 @@
 	}
 }
 
-// tablesToPush returns the tables that were planned anew, and those with pending lines once a probe was answered: the
-// one that waited longest first.
+// tablesToPush returns the tables that were planned again, and those with pending lines if a probe was acknowledged:
+// the one that waited longest first.
 func (pb *publisher) tablesToPush() []*table {
 	var turns []*table
 	for _, t := range pb.tables {
@@ -153,7 +153,7 @@
 	written float64 // lines and levels that go out
 }
 
-// push orders a table's differences, as far as there is room. A table that no joined proxy uses is not sent.
+// push sends a table's differences, as far as there is room. A table that no joined proxy uses is not sent.
 func (pb *publisher) push(t *table) {
 	users, joined := pb.usersOf(t)
 	t.pending = 0
@@ -166,7 +166,7 @@
 	pb.writeLevels(d)
 	gaps := pb.gaps(d)
 	if d.written == 0 && !pb.isWorthwhile(d, gaps) {
-		gaps.lines = nil // their headers would cost more than they bring
+		gaps.lines = nil // their headers would cost more than they gain
 	}
 	pb.writeLines(d, gaps)
 	pb.account(d)
@@ -196,7 +196,7 @@
 	return room/math.Max(d.users, 1e-9) - d.header
 }
 
-// writeLevels orders the admission levels that differ.
+// writeLevels sends the admission levels that differ.
 func (pb *publisher) writeLevels(d *delta) {
 	t := d.table
 	for _, kinds := range slices.Sorted(maps.Keys(t.admissionWanted)) {
@@ -210,7 +210,7 @@
 	}
 }
 
-// Sizes that put gaps before all others. Sums of them may be infinite, which is as good.
+// Sizes that sort gaps before all others. Their sum may be infinite, which is harmless.
 const (
 	unavailableGap = math.MaxFloat64
 	restartGap     = math.MaxFloat64 / 2
@@ -222,7 +222,7 @@
 	size     float64
 }
 
-// isUrgent returns whether the line doesn't wait for a budget: its endpoint drains, is gone, or has started anew.
+// isUrgent returns whether the line doesn't wait for a budget: its endpoint drains, is gone, or has restarted.
 func (g gap) isUrgent() bool { return g.size >= restartGap }
 
 // tableGaps is how a table as planned differs from what was sent.
@@ -255,15 +255,15 @@
 	return gaps
 }
 
-// tolerance returns by which part of its weight a line has to differ to be sent: the more, the longer the channel takes
-// for all tables of the zone.
+// tolerance returns the fraction by which a line has to differ to be sent. It grows with the time that the channel
+// takes for all tables of the zone.
 func (pb *publisher) tolerance(d *delta) float64 {
 	lines := d.users * float64(pb.planner.subsetsOfZone*len(d.table.wanted))
 	return tolerance + channelTolerance*math.Min(1, lines/pb.linesPerSecond())
 }
 
-// gapSize returns the size of a gap, by which its line is put in order. An endpoint that has started anew with its old
-// weight falls over unless it is cut at once.
+// gapSize returns the size of a gap, by which lines are sorted. An endpoint that has restarted is overloaded by its old
+// weight unless that is cut at once.
 func (pb *publisher) gapSize(endpoint int, size, wanted, sent float64) float64 {
 	switch {
 	case pb.exclusion.isUnavailable(endpoint):
@@ -274,15 +274,15 @@
 	return size
 }
 
-// isWorthwhile returns whether the gaps bring more than the headers cost that go out with them.
+// isWorthwhile returns whether the gaps justify the cost of the headers that go out with them.
 func (pb *publisher) isWorthwhile(d *delta, gaps tableGaps) bool {
 	headers := d.users * float64(pb.planner.subsetsOfZone) * d.header
 	seconds := headers / pb.linesPerSecond()
 	return gaps.sum >= worthwhileGap*math.Min(1, seconds)*gaps.full
 }
 
-// writeLines orders the lines that differ, the largest gap first. Urgent ones go out while they fit below the
-// backlog, and are pending otherwise; others go while there is a budget, or while less than half of the table stands.
+// writeLines sends the lines that differ, the largest gap first. Urgent ones go out while they fit below the backlog,
+// and are pending otherwise; others need a budget, unless less than half of the table stands.
 func (pb *publisher) writeLines(d *delta, gaps tableGaps) {
 	t := d.table
 	for _, g := range gaps.lines {
@@ -307,7 +307,7 @@
 	maps.DeleteFunc(t.sent, func(_ int, weight float64) bool { return weight == 0 })
 }
 
-// account counts what has gone out of a table.
+// account counts the lines that were sent of a table.
 func (pb *publisher) account(d *delta) {
 	lines := 0.0 // to each proxy that holds it
 	if d.written > 0 {
@@ -320,7 +320,7 @@
 		if proxy.assigned && pb.planner.subset(proxy.ProxyJoined) == subset {
 			received = lines
 		}
-		pb.linesSinceAck[proxy.Proxy] += received // also of none: excludeUnavailable asks whether there are entries
+		pb.linesSinceAck[proxy.Proxy] += received // even 0: excludeUnavailable checks for entries
 	}
 	pb.window.add(d.users * lines)
 }
--- a/planner/region.go
+++ b/planner/region.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	// latencyGain is the weight of the latest mean latency of a zone against the mean of those before.
+	// latencyGain is the weight of the latest latency of a zone in the moving average.
 	latencyGain = 0.125
 
-	// fewAttempts bounds the failure rate where attempts are fewer: two that failed are no half of all.
+	// fewAttempts is the least divisor of the failure rate, so that a few failed attempts do not make it high.
 	fewAttempts = 8.0
 )
 
-// region is an actor: it keeps what a zone's proxies are offered and see, and plans for them.
+// region is an actor: it keeps the candidates for a zone's proxies and what these observe, and plans for them.
 type region struct {
 	mailbox mailbox[regionMessage]
 	planner *Planner
 	zone    int
 
 	candidates  map[int]*candidate // by endpoint
-	latency     map[int]float64    // ms, as seen by the zone's proxies, by the zone of the endpoints
-	failureRate float64            // part of the attempts of the zone's proxies that fail
+	latency     map[int]float64    // ms, as measured by the zone's proxies, by the zone of the endpoints
+	failureRate float64            // fraction of the attempts of the zone's proxies that fail
 
-	shed       map[int]float64    // part of the requests that is rejected, by group
+	shed       map[int]float64    // fraction of the requests to reject, by group
 	runLengths map[int][2]float64 // tables that an endpoint is in, by group and ring; see subset.go
 
-	// As of the last plan.
+	// As of the latest plan.
 	groupWeight []float64 // of the ready endpoints that each group may use
 	divergence  float64   // see planDivergence
 }
@@ -43,8 +43,8 @@
 	weight   float64 // listed, corrected by the speed that reports show
 	load     float64
 	penalty  float64
-	warmUp   float64 // part of its normal work that it can do so soon after its start
-	trust    float64 // part of its normal weight that its health allows; 0: ejected
+	warmUp   float64 // fraction of its capacity that it has so soon after its start
+	trust    float64 // fraction of its normal weight that its health allows; 0: ejected
 	attempts float64 // of the zone's proxies, fading
 	failures float64 // of these
 }
@@ -59,7 +59,7 @@
 	return r
 }
 
-// receive takes in a message to the region.
+// receive handles a message to the region.
 func (r *region) receive(message regionMessage) {
 	switch message := message.(type) {
 	case EndpointStats:
@@ -71,7 +71,7 @@
 	}
 }
 
-// measureLatency takes in the mean latency that the zone's proxies saw at an endpoint.
+// measureLatency updates the latency of an endpoint's zone.
 func (r *region) measureLatency(stats EndpointStats) {
 	c := r.candidates[stats.Endpoint]
 	if c != nil && stats.MeanMs > 0 {
@@ -87,7 +87,7 @@
 // candidateIndices returns the endpoints that are offered, in ascending order.
 func (r *region) candidateIndices() []int { return slices.Sorted(maps.Keys(r.candidates)) }
 
-// controlRound plans anew for each class group.
+// controlRound plans again for each class group.
 func (r *region) controlRound(timed bool) {
 	indices := r.candidateIndices()
 	if timed {
@@ -100,7 +100,7 @@
 	}
 }
 
-// updateFailureRate takes the part of the attempts that fail anew.
+// updateFailureRate computes the fraction of the attempts that fail.
 func (r *region) updateFailureRate(indices []int) {
 	attempts := 0.0
 	failures := 0.0
@@ -149,7 +149,7 @@
 	}
 }
 
-// plannedLoad returns the mean load of the endpoints by their shares. A load above 1 counts as 1.
+// plannedLoad returns the mean load of the endpoints, weighted by their shares. A load above 1 counts as 1.
 func (r *region) plannedLoad(allocations []allocation) float64 {
 	load := 0.0
 	for i := range allocations {
--- a/planner/sendwindow.go
+++ b/planner/sendwindow.go
@@ -1,7 +1,7 @@
 package planner
 
 // This file keeps account of the channel, as a transport's send window does of a connection: which lines may still
-// wait in it. It holds no decision; flowcontrol.go does.
+// wait in it. It makes no decisions; flowcontrol.go does.
 
 import (
 	"maps"
@@ -10,17 +10,18 @@
 )
 
 const (
-	// lineLifetimeMs is how long a request for an acknowledgement stays open, and so is what a proxy holds of an
-	// endpoint that left.
+	// lineLifetimeMs is how long a request for an acknowledgement stays open, and how long an unavailable endpoint
+	// may still be in a proxy's tables.
 	lineLifetimeMs = 30000.0
 
-	// ackNumbers bounds the numbers of requests for an acknowledgement: they are 16 bits on the wire.
+	// ackNumbers bounds the numbers of requests for an acknowledgement; they start again from 0.
 	ackNumbers = 65535
 
 	// maxProbeDoublings bounds how often the wait between probes doubles.
 	maxProbeDoublings = 4
 
-	// unackedPacePart is the part of the configured pace by which lines are taken to leave without an acknowledgement.
+	// unackedPacePart is the fraction of the configured pace at which lines are assumed to leave without an
+	// acknowledgement.
 	unackedPacePart = 0.25
 )
 
@@ -33,12 +34,12 @@
 type sendWindow struct {
 	written   float64        // position behind the last line
 	delivered float64        // position up to which lines are known to have left
-	queued    float64        // lines that wait, by batches and by the configured pace: for what can be put off
+	queued    float64        // estimate of the lines that wait, by batches and pace, for lines that can be deferred
 	sealed    float64        // position behind the last line of a batch
 	batches   map[int]*batch // by the number of their request for an acknowledgement
 
-	lastNumber int     // before it was cut to ackNumbers
-	advancedAt float64 // until when passing time is reckoned in
+	lastNumber int     // before it was reduced to ackNumbers
+	advancedAt float64 // until when the passing of time is accounted for
 	stalledMs  float64 // how long the channel took nothing, as last reported; 0: it takes commands
 	ackedAt    float64 // when the last acknowledgement came; 0: none has
 	busySince  float64 // since when lines have been in flight
@@ -46,7 +47,7 @@
 	probes     float64 // since the last acknowledgement
 }
 
-// batch is the lines that went out with one request for an acknowledgement.
+// batch is the lines that go out with one request for an acknowledgement.
 type batch struct {
 	orderedAt float64         // ms, when the oldest of its lines was ordered
 	sealedAt  float64         // ms, when its request was
@@ -68,7 +69,7 @@
 	w.queued += lines
 }
 
-// advance reckons with the time since the last call. Lines in flight come down by it only while there is nobody to
+// advance accounts for the time since the last call. It reduces the lines in flight only while there is nobody to
 // acknowledge them.
 func (w *sendWindow) advance(now, linesPerMs float64) {
 	span := now - w.advancedAt
@@ -124,8 +125,8 @@
 	return b.orderedAt, true
 }
 
-// stall notes that the channel has taken nothing for so long, or, with 0, that it takes commands again. Lines that were
-// reckoned to have left meanwhile have not.
+// stall notes that the channel has taken nothing for so long, or, with 0, that it takes commands again. Lines that
+// were assumed to have left meanwhile have not.
 func (w *sendWindow) stall(now, forMs float64) {
 	w.stalledMs = forMs
 	w.advancedAt = now + forMs
--- a/planner/settings.go
+++ b/planner/settings.go
@@ -1,7 +1,7 @@
 package planner
 
 // This file turns the settings of a deployment, a map of names to values, into typed values with their
-// defaults. Behind ParseSettings nothing in this package looks a setting up by its name.
+// defaults. Past ParseSettings, no code of this package looks up a setting by name.
 
 import (
 	"errors"
@@ -10,31 +10,44 @@
 	"slices"
 )
 
-// Defaults of settings that a deployment may leave out. Three numbers have none of their own, as each formula needs
-// another stand-in for them: see Optional.
+// Defaults of settings that a deployment may leave out. Three numbers have no single default, because different
+// formulas need different fallbacks: see Optional.
 const (
-	defaultInstances         = 1.0
-	defaultStandingLines     = 1e-9 // as few as that stray so far from any plan that all tables are assigned
-	defaultCrossZoneCost     = 0.1
-	defaultWarmUpMs          = 10000.0
-	defaultWarmUpStart       = 0.1
-	defaultOverloadMultiple  = 1.0
-	defaultFirstRetryWait    = 1.0
-	defaultHeaderLines       = 4.0
-	defaultBacklogLines      = 1000.0
-	defaultMessageSpanMs     = 10000.0
-	defaultDrainGraceMs      = 2000.0
-	defaultDeliveryMs        = 500.0
-	defaultPriorityWeight    = 1.0
-	defaultResponseTargetMs  = 1000.0
-	noMessageLimit           = math.MaxFloat64 // messages that a proxy may get where the settings bound them not
-	maxClasses               = 31              // request classes that fit the bit masks of the commands
-	indexOfNothing           = -1              // stands in an IndexList for an element that is no index
-	reportFieldUtilization   = "util"          // of a load report; the names of the others are in load.go
-	discoveryOnRequest       = "on_request"
-	repeatableWithoutEffects = "replayable"
+	defaultInstances        = 1.0
+	defaultCrossZoneCost    = 0.1
+	defaultWarmUpMs         = 10000.0
+	defaultWarmUpStart      = 0.1
+	defaultOverloadMultiple = 1.0
+	defaultFirstRetryWait   = 1.0
+	defaultHeaderLines      = 4.0
+	defaultBacklogLines     = 1000.0
+	defaultMessageSpanMs    = 10000.0
+	defaultDrainGraceMs     = 2000.0
+	defaultDeliveryMs       = 500.0
+	defaultPriorityWeight   = 1.0
+	defaultResponseTargetMs = 1000.0
+
+	// defaultStandingLines is so small that standing tables count as diverging from any plan: tables are always
+	// assigned.
+	defaultStandingLines = 1e-9
+
+	// noMessageLimit is a number of messages to a proxy that is never reached.
+	noMessageLimit = math.MaxFloat64
 )
 
+// Values of settings that are words.
+const (
+	discoveryOnRequest     = "on_request" // of "discovery"
+	repeatsReplayable      = "replayable" // of a class's "repeats": a repetition has no further effect
+	reportFieldUtilization = "util"       // in "fields"; the names of the other fields are in load.go
+)
+
+// maxClasses is the number of request classes that fit the bit masks of the commands; further ones are ignored.
+const maxClasses = 31
+
+// indexOfNothing stands in an IndexList for an element that is not an index.
+const indexOfNothing = -1
+
 // Settings is all that is configured of the deployment. Times are in milliseconds. A number that is missing, not
 // above zero, infinite or of another type takes the default named beside it.
 type Settings struct {
@@ -45,19 +58,19 @@
 	// The fleet.
 	ProxyCount         Optional // proxies of all controllers together
 	ZoneCount          int      // zones that are named
-	ZonesKeptWhole     bool     // the proxies of a zone all join one controller, which sees the zone's whole demand
-	Sliced             bool     // requests go by slices of a key space, whose stored owners the planner lets be
-	StandingLines      float64  // lines of the tables that proxies hold before any is assigned to them; default 1e-9
+	ZonesKeptWhole     bool     // all proxies of a zone join the same controller, which so sees the zone's whole demand
+	Sliced             bool     // requests go by slices of a key space; the planner leaves their stored owners alone
+	StandingLines      float64  // lines of the table that a proxy has before any is assigned; default 1e-9
 	DiscoveryOnRequest bool     // changes of the endpoint list come only after WatchEndpoints
 
 	// The endpoints.
-	LeastConnections   Optional // that the endpoint with the lowest limit takes
-	CrossZoneCost      float64  // of a request that leaves its zone, in the deployment's prices; default 0.1
-	WarmUpMs           float64  // from its start until an endpoint can do its normal work; default 10 s
-	WarmUpStart        float64  // part of that work that it can do at its start; default 0.1
-	OverloadMultiple   float64  // multiple of what it can do at which an endpoint falls over; default 1
-	HealthChecks       bool     // endpoints may be checked by the controller
-	ReportsUtilization bool     // load reports hold a utilization, which shows load before queues do
+	LeastConnections   Optional // connection limit of the endpoint with the lowest one
+	CrossZoneCost      float64  // cost of a request that leaves its zone, in the deployment's units; default 0.1
+	WarmUpMs           float64  // time from an endpoint's start until it has its full capacity; default 10 s
+	WarmUpStart        float64  // fraction of its capacity that an endpoint has at its start; default 0.1
+	OverloadMultiple   float64  // load, as a multiple of capacity, at which an endpoint fails; default 1
+	HealthChecks       bool     // the controller may check the health of endpoints
+	ReportsUtilization bool     // load reports contain the utilization, which rises before queues do
 
 	// The proxies' own behavior.
 	ProxiesEject   bool    // proxies avoid endpoints that have failed several times in a row
@@ -99,7 +112,7 @@
 // Optional is a number above zero that the settings may lack; it is 0 then.
 type Optional float64
 
-// Or returns the number, or the fallback where the settings lack it.
+// Or returns the number, or the fallback if the settings lack it.
 func (o Optional) Or(fallback float64) float64 {
 	if o > 0 {
 		return float64(o)
@@ -222,7 +235,7 @@
 	return RequestClass{
 		PriorityWeight:   r.number("payoff").Or(defaultPriorityWeight),
 		ResponseTargetMs: r.number("response_target").Or(defaultResponseTargetMs),
-		Retryable:        value[string](r, "repeats", "a string") == repeatableWithoutEffects,
+		Retryable:        value[string](r, "repeats", "a string") == repeatsReplayable,
 		OnlyMachines:     r.indices("only_machines"),
 		OnlyZones:        r.indices("only_zones"),
 	}
--- a/planner/slowstart.go
+++ b/planner/slowstart.go
@@ -1,40 +1,39 @@
 package planner
 
-// This file bounds the shares of endpoints that warm up after a start, and of those on trial. The risk with an endpoint
-// that warms up is that others fail beside it: all requests of its zone would turn to it, and it would fall over.
+// This file limits the shares of endpoints that warm up after a start, and of those on trial. The risk with an endpoint
+// that warms up is that the others of its zone fail: all requests of the zone would turn to it, and overload it.
 
 import "math"
 
 const (
-	// foreignWarmUpPart is the part of its weight in the whole fleet that an endpoint that warms up gets from other
-	// zones.
+	// foreignWarmUpPart is the fraction of its share of the fleet's weight that an endpoint that warms up gets from
+	// other zones.
 	foreignWarmUpPart = 0.1
 
-	// safeOverload is the part of the overload that fells endpoints, below which the whole load of the zone may turn to
-	// those that warm up; at fatalOverload they get nothing.
+	// Overloads of the endpoints that warm up, relative to the load at which endpoints fail, if all requests of their
+	// zone turned to them: below safeOverload there is no risk; at fatalOverload they get nothing.
 	safeOverload  = 0.8
 	fatalOverload = 3.0
 
-	// Above safeOverload they get nothing either at noWarmUpLoad, and less than otherwise from warmUpLoadMargin below
-	// it.
+	// Above safeOverload they also get nothing at a mean load of noWarmUpLoad, and less from warmUpLoadMargin below it.
 	noWarmUpLoad     = 0.85
 	warmUpLoadMargin = 0.2
 
-	// failureRateWeight is such that they get nothing once a quarter of the attempts fail.
+	// failureRateWeight makes them get nothing, above safeOverload, once a quarter of the attempts fail.
 	failureRateWeight = 4.0
 
-	// maxWarmUpExponent is the power of the warm-up fraction that bounds them where nothing eases the risk.
+	// maxWarmUpExponent is the largest exponent of the warm-up fraction in the limit, at full risk.
 	maxWarmUpExponent = 3.0
 
-	// ordinaryProxies are left out where a zone's proxies are held against all: so few don't make it crowded.
+	// ordinaryProxies is the number of a zone's proxies that do not count in the comparison with the fleet's proxies.
 	ordinaryProxies = 10
 
-	// manyProxies stands for an unknown number of proxies: no zone is crowded by its part of them.
+	// manyProxies stands in for an unknown number of proxies, so that no zone counts as crowded.
 	manyProxies = 1e9
 )
 
-// warmUp returns the part of its normal work that an endpoint can do that started at a time: it rises evenly from the
-// configured start to 1 within the configured time. A start of 0 is long ago.
+// warmUp returns the fraction of its capacity that an endpoint has that started at a given time: it rises linearly from
+// the configured start to 1 within the configured time. A start at 0 is long ago.
 func (p *Planner) warmUp(started float64) float64 {
 	if started == 0 {
 		return 1
@@ -50,12 +49,12 @@
 	return started != 0 && p.now-started < p.settings.WarmUpMs
 }
 
-// candidateTotals sums up what bounds endpoints that warm up.
+// candidateTotals sums up the endpoints that a plan may use.
 type candidateTotals struct {
-	weight        float64 // of all that may be used
-	homeWeight    float64 // of these in the own zone, or of a mean zone if that is more
-	warmingWeight float64 // of these in the own zone that warm up, by what they can do
-	warmTrust     float64 // trust in those that don't warm up
+	weight        float64 // of all
+	homeWeight    float64 // in the region's own zone, or of an average zone if that is more
+	warmingWeight float64 // of those in the own zone that warm up, times their warm-up fractions
+	warmTrust     float64 // sum over those that do not warm up
 }
 
 // add counts an endpoint that may be used.
@@ -72,15 +71,15 @@
 	}
 }
 
-// slowStart is how endpoints that warm up are bounded in one plan: their part of the zone's weight, times factor, times
-// their warm-up fraction to the power of exponent.
+// slowStart limits endpoints that warm up in one plan: to their share of the zone's weight, times factor, times their
+// warm-up fraction to the power of exponent.
 type slowStart struct {
 	factor   float64 // 0: they get nothing
-	exponent float64 // 1, or up to maxWarmUpExponent while they could be felled
+	exponent float64 // 1, or up to maxWarmUpExponent at risk
 }
 
-// planSlowStart returns how a plan bounds endpoints that warm up. Load is the mean of the group's candidates. Failed
-// requests come again, so what an endpoint gets is cut by the part that fails and by how often requests come.
+// planSlowStart returns the limits for endpoints that warm up. Load is the mean load of the group's endpoints. Since
+// failed requests are repeated, the limits shrink with the failure rate and the surge of demand.
 func (r *region) planSlowStart(totals candidateTotals, load float64) slowStart {
 	p := r.planner
 	repeats := math.Max(1, p.demand.surge(r.zone))
@@ -97,9 +96,9 @@
 	return start
 }
 
-// warmUpOverload returns the load of the endpoints that warm up if all requests of their zone turned to them, as a part
-// of what fells them. A zone has its part of the endpoints' weight of them, or its part of the proxies if that is more:
-// cut off from other zones, a crowded one turns to its own endpoints whole.
+// warmUpOverload returns the load of the endpoints that warm up if all requests of their zone turned to them,
+// relative to the load at which endpoints fail. The zone's requests go by its share of the weight, or of the proxies
+// if that is more: a crowded zone that is cut off from the others has only its own endpoints.
 func (r *region) warmUpOverload(totals candidateTotals, load, repeats float64) float64 {
 	settings := &r.planner.settings
 	proxies := r.planner.demand.proxiesOfZone[r.zone]
@@ -108,8 +107,8 @@
 	return overload * math.Max(totals.homeWeight, crowd)
 }
 
-// warmUpEase returns from below 0 (nothing may go to endpoints that warm up) to 1 (no risk) how far they are from being
-// felled: by the overload that threatens, the failures, and the load of the others.
+// warmUpEase returns how much of the limit stands at risk, from 0 (endpoints that warm up get nothing) to 1, by the
+// possible overload, the failure rate, and the mean load.
 func (r *region) warmUpEase(overload, load float64) float64 {
 	byOverload := math.Min(1, fatalOverload-overload)
 	byFailures := 1 - failureRateWeight*r.failureRate
@@ -117,7 +116,7 @@
 	return math.Max(0, math.Min(byOverload, math.Min(byFailures, byLoad)))
 }
 
-// limitShares bounds the shares of endpoints that warm up or are on trial, and makes parts of the whole of all weights.
+// limitShares limits the shares of endpoints that warm up or are on trial, and normalizes weights to a sum of 1.
 func (r *region) limitShares(allocations []allocation, totals candidateTotals, start slowStart) {
 	warming := 0.0
 	settled := 1e-9
@@ -136,8 +135,8 @@
 	r.widenTrials(allocations, (1-warming)/settled)
 }
 
-// shareLimit returns the largest share that an endpoint may get. That of trials is cut only while some endpoint is left
-// that neither warms up nor is on trial.
+// shareLimit returns the largest share that an endpoint may get. Trust counts only while some endpoint that does not
+// warm up has any: otherwise all are used.
 func (r *region) shareLimit(a *allocation, c *candidate, totals candidateTotals, start slowStart) float64 {
 	part := math.Pow(c.warmUp, start.exponent)
 	if totals.warmTrust > 0 {
@@ -154,8 +153,8 @@
 	}
 }
 
-// warmUpRoom returns the share that an endpoint that warms up could have once it is warm: of its own zone's requests
-// its part of that zone, as it may be all that is left; of others' a small part.
+// warmUpRoom returns the share that an endpoint that warms up could have at full capacity: its part of the zone's
+// weight for requests of its own zone, and a small part of the fleet's for those of others.
 func (r *region) warmUpRoom(a *allocation, c *candidate, totals candidateTotals) float64 {
 	if c.Zone == r.zone {
 		return a.weight / totals.homeWeight
@@ -163,8 +162,8 @@
 	return foreignWarmUpPart * a.weight / totals.weight
 }
 
-// widenTrials raises the limits of all that don't warm up where the limits leave some requests over: a trial that fails
-// harms less than an endpoint felled while it warms up.
+// widenTrials raises the limits of all that do not warm up if the limits leave some requests unassigned: a failing
+// trial does less harm than an overloaded endpoint that warms up.
 func (r *region) widenTrials(allocations []allocation, by float64) {
 	factor := math.Max(1, by)
 	for i := range allocations {
--- a/planner/solver.go
+++ b/planner/solver.go
@@ -1,40 +1,39 @@
 package planner
 
 // This file solves a region's local problem (paper, equations 6 and 7): which share of its requests goes to which
-// endpoint. It is a projected gradient descent from the listed weights over the shares that sum to 1 and keep to their
-// limits, the capped simplex. The descent is short on purpose: shares move towards what costs less instead of all going
-// to the cheapest endpoint, as costs are alike in a zone and penalties are noisy.
+// endpoint. It is a projected gradient descent over the capped simplex: shares that sum to 1, each between 0 and its
+// limit. It starts from the listed weights and is short on purpose: shares move towards lower costs instead of all
+// going to the cheapest endpoint, since costs within a zone are alike and penalties are noisy.
 
 import "math"
 
 const (
-	// gradientLength is how far the descent goes in all, in units of the home zone's part of the weight: spillover
-	// begins at the same mean penalty, whatever the zone's size.
+	// gradientLength is the total length of the descent, divided by the home zone's fraction of the weight, so that
+	// spillover begins at the same mean penalty whatever the zone's size.
 	gradientLength = 1.5
 
 	gradientSteps   = 24
-	projectionSteps = 12  // enough for the rest to be spread, as each step exhausts a limit or is exact
-	minHomePart     = 0.1 // bounds the length of a step where the home zone is small
+	projectionSteps = 12  // enough to spread the rest: each step reaches a limit or is exact
+	minHomePart     = 0.1 // least fraction of the home zone, to bound the length of a step
 )
 
-// The rings on which shares are laid out over subsets (subset.go): the region's own endpoints, and those of other
-// zones.
+// The rings on which shares are laid out for subsets (subset.go): of the region's own endpoints, and of others.
 const (
 	homeRing = iota
 	spillRing
 )
 
-// allocation is what an endpoint gets of the requests of a class group in a region.
+// allocation is an endpoint's share of a region's requests of a class group.
 type allocation struct {
 	endpoint int
 	ring     int     // homeRing or spillRing
-	weight   float64 // where the descent begins: the listed share; 0: not to be used
+	weight   float64 // share by listed weight, where the descent starts; 0: not to be used
 	cost     float64 // of a request
-	limit    float64 // of the share
-	share    float64 // the result
+	limit    float64 // upper bound of the share
+	share    float64 // result
 }
 
-// allocations lists the endpoints for a class group, with what begins the descent.
+// allocations returns the endpoints for a class group as the descent starts.
 func (r *region) allocations(group int, indices []int, costs zoneCosts) []allocation {
 	totals := candidateTotals{weight: 1e-9, homeWeight: 1e-9, warmingWeight: 1e-9}
 	allocations := make([]allocation, 0, len(indices))
@@ -53,13 +52,14 @@
 		allocations = append(allocations, a)
 	}
 	meanZone := totals.weight / float64(len(r.planner.regions))
-	totals.homeWeight = math.Max(totals.homeWeight, meanZone) // the last endpoint of a zone can't do the work of all
+	// The last endpoint of a zone cannot serve all its requests.
+	totals.homeWeight = math.Max(totals.homeWeight, meanZone)
 	r.limitShares(allocations, totals, r.planSlowStart(totals, costs.load))
 	return allocations
 }
 
-// solveShares moves shares down the gradient of their cost. Each goes by its weight, so that endpoints of the same cost
-// keep their proportion.
+// solveShares moves shares down the gradient of the cost. Each moves in proportion to its weight, so that endpoints
+// of the same cost keep their ratio.
 func solveShares(allocations []allocation, homePart float64) {
 	projectShares(allocations)
 	for range gradientSteps {
@@ -75,8 +75,8 @@
 	}
 }
 
-// projectShares brings shares back to the capped simplex: within 0 and their limits, with a sum of 1. What is over or
-// missing is spread by weight over the shares that can still move; if none can, all are scaled, beyond their limits.
+// projectShares projects shares onto the capped simplex. An excess or a rest is spread by weight over the shares that
+// can still move; if none can, all are scaled, beyond their limits.
 func projectShares(allocations []allocation) {
 	for range projectionSteps {
 		rest := clampShares(allocations)
@@ -92,7 +92,7 @@
 	}
 }
 
-// clampShares brings each share within 0 and its limit, and returns what is then missing of 1; below 0: what is over.
+// clampShares clamps each share to between 0 and its limit, and returns the difference between 1 and their sum.
 func clampShares(allocations []allocation) (rest float64) {
 	rest = 1
 	for i := range allocations {
@@ -103,7 +103,7 @@
 	return rest
 }
 
-// movableWeight returns the weight of the shares that can take some of the rest.
+// movableWeight returns the weight of the shares that can move in the direction of the rest.
 func movableWeight(allocations []allocation, rest float64) float64 {
 	movable := 0.0
 	for i := range allocations {
--- a/planner/subset.go
+++ b/planner/subset.go
@@ -1,46 +1,46 @@
 package planner
 
-// This file deals a zone's proxies to subsets with tables of their own, where endpoints take fewer connections than
-// there are proxies (compare "Reinventing Backend Subsetting at Google", ACM Queue 2022).
+// This file divides a zone's proxies into subsets with tables of their own where endpoints accept fewer connections
+// than there are proxies (compare "Reinventing Backend Subsetting at Google", ACM Queue 2022).
 //
 // The shares of a plan are laid end to end on a ring of length 1, one ring for the region's own endpoints and one for
-// those that it spills over to. A subset's table has the run of a ring that begins at the subset's place, and the run
-// is as long as connections and the channel allow. So each endpoint is in about as many tables as its run is long,
-// and all tables together bring each endpoint its share. Where connections suffice all runs are whole and the tables
-// are alike.
+// those that it spills over to. A subset's table has a run of each ring that starts at the subset's place and is as
+// long as connections and the channel allow. All tables together bring each endpoint its share. Where connections
+// suffice, runs are whole rings and all tables are alike.
 
 import "math"
 
 const (
-	// connectionUse is the part of the connections that the endpoint with the lowest limit takes which may be in use.
+	// connectionUse is the fraction of the lowest connection limit of an endpoint that may be used.
 	connectionUse = 0.7
 
 	maxSubsets       = 8
-	minSubsetProxies = 10  // a smaller subset brings its endpoints too little to spread evenly
-	minRunLines      = 2.5 // lines of a run, on average: the zone's proxies may not hang on one or two endpoints
+	minSubsetProxies = 10  // fewer would not spread their requests evenly
+	minRunLines      = 2.5 // lines of a run on average, so that proxies do not depend on one or two endpoints
 
-	// minSharePart is the part of its listed share below which an endpoint is in no table.
+	// minSharePart is the fraction of its listed share below which an endpoint is in no table.
 	minSharePart = 0.05
 
-	// runHysteresis is the change, in tables, that makes a run longer or shorter: each change lays tables anew.
+	// runHysteresis is the least change of a run's length, in tables, as each change alters many lines.
 	runHysteresis = 0.7
 
-	// A line comes into a table once so much of it lies in the run, and leaves it below so much.
+	// A line enters a table if at least this fraction of it lies in the run, and leaves it below the second.
 	enterPart = 0.35
 	leavePart = 0.1
 
-	// lineSteps is the number of steps in which a line at the end of a run counts in part, so that few lines change.
+	// lineSteps is the number of steps in which the weight of a line at the end of a run changes, so that few lines
+	// change.
 	lineSteps = 3
 
-	// unlimitedConnections stands for a limit that is not configured.
+	// unlimitedConnections stands in for a limit that is not configured.
 	unlimitedConnections = 1e9
 
-	// unlimitedLines stands for the lines a second of a channel whose pace is not configured.
+	// unlimitedLines stands in for a pace of the channel, in lines a second, that is not configured.
 	unlimitedLines = 1e6
 )
 
-// subsetsOfZone returns into how many subsets the proxies of each zone are dealt: one, unless all proxies together
-// would use too many of an endpoint's connections.
+// subsetsOfZone returns the number of subsets of each zone's proxies: one, unless all proxies together would use too
+// many of an endpoint's connections.
 func subsetsOfZone(settings Settings, groups int) int {
 	proxies := settings.ProxyCount.Or(1)
 	if proxies <= connectionUse*settings.LeastConnections.Or(math.MaxFloat64) {
@@ -61,11 +61,11 @@
 // subsetOfTable returns the number of the subset that a table is for.
 func (p *Planner) subsetOfTable(table int) int { return table / len(p.groups) }
 
-// rings is how the shares of a plan lie on the two rings.
+// rings is the layout of a plan's shares on the two rings.
 type rings struct {
 	used  []float64  // shares, by allocation; 0: too small to be in any table
-	lines [2]float64 // by ring, how many are used
-	sum   [2]float64 // by ring, of the used shares
+	lines [2]float64 // by ring, the number of used shares
+	sum   [2]float64 // by ring, the sum of the used shares
 	ready float64    // endpoints that are ready and not ejected
 }
 
@@ -89,7 +89,7 @@
 	return laid
 }
 
-// assignSubsets lays the shares of a plan out over the tables of the zone's subsets.
+// assignSubsets distributes the shares of a plan to the tables of the zone's subsets.
 func (r *region) assignSubsets(group int, allocations []allocation) {
 	laid := r.layRings(allocations)
 	r.updateRunLengths(group, laid)
@@ -99,8 +99,8 @@
 	}
 }
 
-// weightUnit returns the share, in parts of the listed one, of the endpoint that gets most of what it is listed with.
-// Lines are sent in this unit: the fullest stands still, so that a little spillover changes few other lines.
+// weightUnit returns the largest ratio of a share to the listed one. Weights are sent in this unit, so that the line
+// with the largest ratio does not change, and a little spillover changes few others.
 func weightUnit(allocations []allocation) float64 {
 	unit := 1e-9
 	for i := range allocations {
@@ -110,8 +110,8 @@
 	return unit
 }
 
-// maxRunLines returns how many lines a table may have: as many as connections allow, and as could be sent to all
-// proxies of the fleet within the drain grace, should they all come to this controller at once.
+// maxRunLines returns how many lines a table may have: as many as connections allow, and as many as could be sent to
+// all proxies of the fleet within the drain grace, should they all join this controller at once.
 func (r *region) maxRunLines(ready float64) float64 {
 	settings := &r.planner.settings
 	proxies := settings.ProxyCount.Or(1)
@@ -121,8 +121,8 @@
 	return math.Min(sendable, connectable)
 }
 
-// updateRunLengths takes the lengths of a group's runs anew, in tables that each line is in. Spilt lines have the room
-// that the own ones leave.
+// updateRunLengths updates the lengths of a group's runs, in tables that each line is in. The lines of other zones
+// get the room that the own ones leave.
 func (r *region) updateRunLengths(group int, laid rings) {
 	lengths := r.runLengths[group]
 	room := r.maxRunLines(laid.ready)
@@ -131,8 +131,8 @@
 	r.runLengths[group] = lengths
 }
 
-// runLength returns the length of a run, in tables that each line is in, with room for some of the lines of a ring. It
-// stays as it was unless it changes by enough, or is whole.
+// runLength returns the length of a run, in tables that each line is in, with room for some of the lines of a ring.
+// It changes only by a minimum, or to a whole ring.
 func (r *region) runLength(length, room, lines float64) float64 {
 	whole := float64(r.planner.subsetsOfZone)
 	want := math.Max(1, math.Min(whole, whole*math.Max(room-1, minRunLines)/math.Max(lines, 1)))
@@ -145,13 +145,13 @@
 	return length
 }
 
-// layTable gives the publisher what the table of a subset should hold.
+// layTable gives the publisher the wanted weights of a subset's table.
 func (r *region) layTable(group, subset int, allocations []allocation, laid rings, unit float64) {
 	p := r.planner
 	t := p.publisher.tables[p.tableNumber(r.zone*p.subsetsOfZone+subset, group)]
 	subsets := float64(p.subsetsOfZone)
 	lengths := r.runLengths[group]
-	places := [2]float64{} // where the next line lies on each ring
+	places := [2]float64{} // place of the next line on each ring
 	for i := range allocations {
 		a := &allocations[i]
 		tableRun := run{from: float64(subset) / subsets, width: lengths[a.ring] / subsets}
@@ -166,10 +166,10 @@
 	}
 }
 
-// run is the part of a ring of length 1 that a table has; it may go on behind the ring's end, at its beginning.
+// run is the part of a ring of length 1 that a table has; it may wrap around.
 type run struct{ from, width float64 }
 
-// overlap returns how much of a line lies in the run, a line of some mass that begins at some place.
+// overlap returns how much of a line with a given place and mass lies in the run.
 func (r run) overlap(place, mass float64) float64 {
 	end := r.from + r.width
 	direct := math.Max(0, math.Min(place+mass, end)-math.Max(place, r.from))
@@ -177,8 +177,7 @@
 	return direct + wrapped
 }
 
-// holds returns whether a line of some mass is in the table, by its overlap with the run. What stands there leaves
-// late.
+// holds returns whether a line is in the table, by its overlap with the run. A line that is there already stays longer.
 func (r run) holds(overlap, mass float64, stands bool) bool {
 	threshold := enterPart
 	if stands {
@@ -187,7 +186,7 @@
 	return overlap > threshold*math.Min(mass, r.width)
 }
 
-// part returns how much a line counts in the table, in steps: wholly unless it lies at the end of the run.
+// part returns the fraction of a line's weight in the table, in steps: 1 unless the line lies at the end of the run.
 func (r run) part(overlap, mass float64) float64 {
 	if r.width < 1 {
 		return math.Ceil(lineSteps*overlap/mass) / lineSteps
--- a/planner/zonecost.go
+++ b/planner/zonecost.go
@@ -1,8 +1,8 @@
 package planner
 
-// This file gives each zone its cost, as a region's proxies bear it: the region's own zone costs nothing while it can
-// serve its demand, the others go by latency. Penalties come on top; where they raise the own zone above the next one,
-// requests spill over.
+// This file determines the cost of each zone for a region's requests. The region's own zone costs nothing while it can
+// serve its demand; the others cost more the higher their latency ranks. Penalties are added; where they raise the cost
+// of the own zone above that of the next, requests spill over.
 
 import (
 	"cmp"
@@ -12,45 +12,45 @@
 )
 
 const (
-	// ownPenaltyPart is the part of an endpoint's penalty that is its own; the rest is the mean of its zone, as a
-	// single endpoint's figure is mostly noise.
+	// ownPenaltyPart is the weight of an endpoint's own penalty against the mean of its zone, as a single endpoint's
+	// penalty is mostly noise.
 	ownPenaltyPart = 0.4
 
-	// latencyStep is the ratio by which latencies have to differ for one zone to rank before another.
+	// latencyStep is the ratio of latencies in one rank: zones whose latencies differ by less rank alike.
 	latencyStep = 1.3
 
-	// nextZoneCost is the cost of the nearest zone but one's own, and zoneCostStep that of each further rank.
+	// nextZoneCost is the cost of the zone that ranks after the own one, and zoneCostStep that of each further rank.
 	nextZoneCost = 1.0
 	zoneCostStep = 0.2
 
-	// minWeightPart is the part of its weight with which an endpoint counts at least in its zone's mean, so that a zone
-	// of endpoints that can't be used has a cost.
+	// minWeightPart is the least fraction of its weight with which an endpoint counts in its zone's mean, so that a
+	// zone whose endpoints are all unusable still has a cost.
 	minWeightPart = 0.01
 
-	// lostZonePart is the part of all weight below which the home zone counts as lost: it draws nothing to it then.
+	// lostZonePart is the fraction of all weight below which the home zone counts as lost and attracts no requests.
 	lostZonePart = 0.03
 
-	// minForeignPart bounds the part of all weight that other zones have in the forecast of the home zone's cost.
+	// minForeignPart is the least fraction of all weight that counts as that of other zones in the forecast.
 	minForeignPart = 0.1
 )
 
-// zoneCosts is what a request of a class group costs in each zone.
+// zoneCosts is the cost of a request of a class group in each zone.
 type zoneCosts struct {
 	byZone   map[int]float64
-	homePart float64 // of all weight, that of the nearest zone with endpoints that the group may use; 1: it is lost
+	homePart float64 // fraction of all weight in the nearest zone that the group may use; 1 if that is lost
 	load     float64 // mean load of the endpoints that the group may use
 }
 
-// zoneTotals sums up what a region is offered for a class group.
+// zoneTotals sums up the candidates for a class group.
 type zoneTotals struct {
 	weights   map[int]float64 // by zone
-	penalties map[int]float64 // by zone: the shared part of the penalties, weighted
+	penalties map[int]float64 // by zone, weighted, without the endpoints' own part
 	weight    float64
 	served    float64 // weight in zones whose demand this planner sees
 	load      float64 // weighted
 }
 
-// priceZones ranks the zones, home first, and adds their mean penalties and what is forecast of the own zone.
+// priceZones returns the costs of the zones: by rank, mean penalty and, for the own zone, forecast.
 func (r *region) priceZones(group int, indices []int) zoneCosts {
 	totals := r.sumZones(group, indices)
 	zones := r.rankZones(totals.weights)
@@ -87,7 +87,7 @@
 	return totals
 }
 
-// usablePart returns the part of its weight that an endpoint has in its present state.
+// usablePart returns the fraction of its weight that an endpoint has in its present state.
 func (c *candidate) usablePart() float64 {
 	if c.Phase != Ready {
 		return minWeightPart
@@ -95,8 +95,8 @@
 	return math.Max(minWeightPart, c.trust*c.warmUp)
 }
 
-// rankZones orders zones that have weight: the own first, the others by latency in steps, and from the own one on
-// upwards where latencies are about the same, so that not all regions spill over to the same zone.
+// rankZones sorts zones that have weight: the own one first, then by latency in steps. Zones of the same step follow by
+// index from the own one on, so that not all regions spill over to the same zone.
 func (r *region) rankZones(weights map[int]float64) []int {
 	count := len(r.planner.regions)
 	key := func(zone int) float64 {
@@ -111,7 +111,7 @@
 	return zones
 }
 
-// homePart returns the part of all weight that the first of the ranked zones has.
+// homePart returns the fraction of all weight in the first of the ranked zones.
 func homePart(zones []int, totals zoneTotals) float64 {
 	if len(zones) == 0 {
 		return 1
@@ -123,8 +123,8 @@
 	return 1
 }
 
-// forecastHomeCost prices the own zone so that it keeps the demand that fills it to the target load, before reports
-// show that it is overfull. Part is the zone's part of the weight that is there for the demand this planner sees.
+// forecastHomeCost returns the cost at which the own zone keeps the demand that fills it to the target load, before
+// load reports show an overload. Part is the zone's fraction of the weight that serves the demand this planner sees.
 func (r *region) forecastHomeCost(costs zoneCosts, part float64) float64 {
 	p := r.planner
 	load := costs.load
