--- /dev/null
+++ b/planner/mailbox_test.go
@@ -0,0 +1,33 @@
+package planner
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// TestDeliveryOrder shows that actors take turns in creation order, and that what is enqueued during a delivery waits for
+// the next turn.
+func TestDeliveryOrder(t *testing.T) {
+	var first, second mailbox[string]
+	var delivered []string
+	first.receive = func(message string) {
+		delivered = append(delivered, "first "+message)
+		if message == "a" {
+			first.enqueue("c")
+			second.enqueue("d")
+		}
+	}
+	second.receive = func(message string) {
+		delivered = append(delivered, "second "+message)
+		if message == "d" {
+			first.enqueue("e")
+		}
+	}
+	p := &Planner{actors: []actor{&first, &second}}
+	first.enqueue("a")
+	first.enqueue("b")
+	p.deliverAll()
+	assert.Equal(t, []string{"first a", "first b", "second d", "first c", "first e"}, delivered)
+	assert.False(t, first.deliver(), "nothing is left")
+}
--- a/planner/penalty_test.go
+++ b/planner/penalty_test.go
@@ -63,3 +63,17 @@
 		})
 	}
 }
+
+// TestPlansAgeWithoutReports shows that the history of plans advances in each timed round, even if no report is fresh:
+// else the next report would be compared with plans of another time.
+func TestPlansAgeWithoutReports(t *testing.T) {
+	h := newHarness(t, nil)
+	e := h.planner.endpoint(0)
+	e.plans.set(0, 0.5)
+	for range reportDelayRounds + 1 {
+		assert.Zero(t, e.plans.reported(0))
+		e.stepPenalty(0.3, false)
+	}
+	assert.Equal(t, 0.5, e.plans.reported(0))
+	assert.Equal(t, 0.5, e.plans.present(0), "and the present plan stands")
+}
