--- a/internal/platform/config/config.go
+++ b/internal/platform/config/checks.go
@@ -1,21 +1,15 @@
-// Package config reads what the operators' platform tells a pilot: the NODE_ variables and the JSON file they name. It
-// checks all that the program relies on and names the field that is wrong. It applies nothing.
 package config
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"math"
 	"net"
-	"reflect"
 	"strconv"
 
 	"indigousher/brain"
 	"indigousher/internal/platform/agent"
-	"indigousher/internal/terms"
 	"indigousher/internal/translate"
-	"indigousher/internal/wire"
 )
 
 // Bounds of the file and of what it may name.
@@ -24,84 +18,6 @@
 	mostZones   = 1024
 )
 
-// Limits of the machine that the pilot runs on.
-type Limits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB float64 `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
-}
-
-// Placement is what the file says of one pilot.
-type Placement struct {
-	Name      string `json:"name"`
-	Listen    string `json:"listen"`
-	Discovery string `json:"discovery"`
-	SeedText  string `json:"seed"`
-	Limits    Limits `json:"limits"`
-	Relay     struct {
-		Address string `json:"address"`
-	} `json:"relay"`
-	Known    json.RawMessage `json:"known"`
-	Settings map[string]any  `json:"settings"`
-
-	Seed       int64                 `json:"-"`
-	Remembered *wire.List            `json:"-"` // nil: none
-	Deployment *translate.Deployment `json:"-"`
-	Proxies    int                   `json:"-"` // numbers below this exist
-	OnRequest  bool                  `json:"-"` // the list is told only after the module has asked
-	Left       string                `json:"-"` // what of the file is left out, as it can't be used; "": nothing
-}
-
-// Read reads the file that NODE_CONFIG names and holds the other variables against it.
-func Read(getenv func(string) string) (*Placement, error) {
-	path := getenv("NODE_CONFIG")
-	if path == "" {
-		return nil, errors.New("NODE_CONFIG is not set")
-	}
-	p, err := ReadFile(path)
-	if err != nil {
-		return nil, err
-	}
-	for _, v := range []struct{ name, field, value string }{
-		{"NODE_NAME", "name", p.Name}, {"NODE_LISTEN", "listen", p.Listen},
-	} {
-		if told := getenv(v.name); told != "" && told != v.value {
-			return nil, fmt.Errorf("%s: %s is %q, but %s is %q", path, v.field, v.value, v.name, told)
-		}
-	}
-	return p, nil
-}
-
-// ReadFile reads and checks a file.
-func ReadFile(path string) (*Placement, error) {
-	text, err := terms.ReadFile(path)
-	if err != nil {
-		return nil, fmt.Errorf("read NODE_CONFIG: %w", err)
-	}
-	p, err := Parse(text)
-	if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
-	}
-	return p, nil
-}
-
-// Parse checks a file's text.
-func Parse(text []byte) (*Placement, error) {
-	if len(text) > terms.MostBytes {
-		return nil, fmt.Errorf("longer than %d bytes", terms.MostBytes)
-	}
-	p := &Placement{}
-	if err := json.Unmarshal(text, p); err != nil {
-		return nil, fmt.Errorf("not readable: %w", err)
-	}
-	for _, check := range []func() error{p.addresses, p.seed, p.limits, p.known, p.settings} {
-		if err := check(); err != nil {
-			return nil, err
-		}
-	}
-	return p, nil
-}
-
 func (p *Placement) addresses() error {
 	if p.Name == "" {
 		return errors.New("name is missing")
@@ -205,19 +121,3 @@
 	}
 	return v, nil
 }
-
-// Restart names the parts of a new file that count only after a restart.
-func Restart(old, now *Placement) (fields []string) {
-	for _, f := range []struct {
-		name string
-		same bool
-	}{
-		{"name", old.Name == now.Name}, {"listen", old.Listen == now.Listen}, {"limits", old.Limits == now.Limits},
-		{"settings", reflect.DeepEqual(old.Settings, now.Settings)},
-	} {
-		if !f.same {
-			fields = append(fields, f.name)
-		}
-	}
-	return fields
-}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -6,8 +6,6 @@
 	"context"
 	"fmt"
 	"net"
-	"runtime"
-	"runtime/debug"
 	"time"
 
 	"go.uber.org/zap"
@@ -46,12 +44,6 @@
 	reread    func() (*config.Placement, error)
 }
 
-// Limit sets the runtime to what the machine gives.
-func Limit(l config.Limits) {
-	runtime.GOMAXPROCS(max(1, int(l.Cores)))
-	debug.SetMemoryLimit(int64(l.MemoryMB * memoryPart * (1 << 20)))
-}
-
 // New puts a pilot together. Reread reads the configuration again.
 func New(p *config.Placement, reread func() (*config.Placement, error), log *zap.Logger) *Pilot {
 	x := &Pilot{log: log, placement: p, reread: reread}
@@ -101,66 +93,3 @@
 	g.Go(func() error { return x.watch(ctx, reload) })
 	return g.Wait()
 }
-
-// watch reloads when told to and prints the counters now and then.
-func (x *Pilot) watch(ctx context.Context, reload <-chan struct{}) error {
-	t := time.NewTicker(countEvery)
-	defer t.Stop()
-	again, left := time.NewTimer(rereadEach), 0
-	defer again.Stop()
-	for {
-		select {
-		case <-reload:
-			if left = rereadMost; x.reload(true) {
-				left = 0
-			}
-			again.Reset(rereadEach)
-		case <-again.C:
-			if left--; left >= 0 && x.reload(left == 0) {
-				left = 0
-			}
-			if left > 0 {
-				again.Reset(rereadEach)
-			}
-		case <-t.C:
-			x.count()
-		case <-ctx.Done():
-			return nil
-		}
-	}
-}
-
-// reload reads the configuration again and returns whether it could. A wrong one changes nothing.
-func (x *Pilot) reload(say bool) bool {
-	now, err := x.reread()
-	if err != nil {
-		if say {
-			x.log.Error("reload refused, the old configuration stands", zap.Error(err))
-		}
-		return false
-	}
-	x.log.Info("reloaded", zap.String("discovery", now.Discovery), zap.String("relay", now.Relay.Address),
-		zap.Strings("want a restart", config.Restart(x.placement, now)))
-	x.agent.Move(now.Discovery)
-	x.orders.Move(now.Relay.Address)
-	x.events.Move(now.Relay.Address)
-	return true
-}
-
-// count prints what is believed beside what crossed the sockets.
-func (x *Pilot) count() {
-	d, c, a := &x.listener.Counters, &x.counters, &x.agent.Counters
-	s := x.loop.State()
-	x.log.Info("counted", zap.Int("proxies", s.Proxies), zap.Int("endpoints", s.Endpoints),
-		zap.Int("listed", s.Believed.Listed), zap.Int("reports taken", s.Believed.Reports), zap.Int("odd", s.Believed.Odd),
-		zap.Float64("report covers ms", s.Believed.SpanMs/float64(max(1, s.Believed.Reports))),
-		zap.Int64("orders", c.Made.Load()), zap.Int64("taken", c.Taken.Load()), zap.Int64("outdated", c.Outdated.Load()),
-		zap.Int64("dropped", c.Dropped.Load()), zap.Int64("uncertain", c.Uncertain.Load()),
-		zap.Int64("calls", c.Calls.Load()), zap.Int64("failed", c.Failed.Load()), zap.Int64("probes", c.Probes.Load()),
-		zap.Int64("events", c.Events.Load()), zap.Int64("gaps", c.Gaps.Load()),
-		zap.Int64("reports", d.Reports.Load()), zap.Int64("spoilt", d.Spoilt.Load()),
-		zap.Int64("accepted", d.Accepted.Load()), zap.Int64("refused", d.Refused.Load()),
-		zap.Int64("silent", d.Silent.Load()), zap.Int64("evicted", d.Evicted.Load()),
-		zap.Int64("list calls", a.Calls.Load()), zap.Int64("failed calls", a.Failed.Load()), zap.Int64("lists", a.Lists.Load()),
-		zap.Int64("odd entries", a.Odd.Load()))
-}
--- a/internal/platform/relay/events_test.go
+++ b/internal/platform/relay/eventstream_test.go
@@ -5,53 +5,20 @@
 	"fmt"
 	"net"
 	"os"
-	"sync"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
-
-	"indigousher/internal/pilot"
 )
 
-// inbox keeps inputs, short.
-type inbox struct {
-	mu  sync.Mutex
-	got []string
-}
-
-func (b *inbox) Post(_ context.Context, in pilot.Input) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	switch in := in.(type) {
-	case pilot.Relayed:
-		b.got = append(b.got, fmt.Sprint(map[bool]string{true: "stood ", false: "joined "}[in.Stood], in.Proxy))
-	case pilot.Unrelayed:
-		b.got = append(b.got, fmt.Sprint("left ", in.Proxy))
-	case pilot.RelayStalled:
-		text := fmt.Sprint("stalled ", in.ForMs > 0, " ", in.Again)
-		if len(in.Joined) > 0 {
-			text += fmt.Sprint(" joined ", in.Joined)
-		}
-		b.got = append(b.got, text)
-	case pilot.RelayApplied:
-		b.got = append(b.got, fmt.Sprint("applied ", in.Proxy, " ", in.Mark))
-	}
-	return nil
-}
-
-func (b *inbox) all() []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return append([]string{}, b.got...)
-}
-
 func joined(p int, cold bool) string {
 	return fmt.Sprintf(`{"type":"joined","object":{"node":%d,"locality":"a","w":2.5,"cold":%t}}`, p, cold)
 }
+
 func left(p int) string { return fmt.Sprintf(`{"type":"left","object":{"node":%d}}`, p) }
+
 func applied(p, mark int) string {
 	return fmt.Sprintf(`{"type":"applied","object":{"node":%d,"nonce":%d,"latency":3}}`, p, mark)
 }
@@ -109,18 +76,6 @@
 	}
 }
 
-// TestASilentLineHasTheOtherOpenAnew guards what happened after a line fell silent and before the other stood.
-func TestASilentLineHasTheOtherOpenAnew(t *testing.T) {
-	n, cut := NewEvents("", &inbox{}, &Counters{}, zap.NewNop()), 0
-	n.streams[0].cut, n.streams[1].cut = func() {}, func() { cut++ }
-	n.opened(0)
-	n.stands(context.Background(), 0)
-	time.Sleep(time.Millisecond)
-	n.opened(1)
-	n.closed(0, true)
-	assert.Equal(t, 1, cut)
-}
-
 // TestEventsBreakInALine guards what is cut off in the middle of an event stream: half of a proxy's leaving is nothing.
 func TestEventsBreakInALine(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -152,22 +107,6 @@
 	assert.NotEmpty(t, b.all())
 }
 
-// TestOpeningOfThousands guards proxies that are told late at an opening: one that counted as over after a fixed time had
-// them leave and join, bound anew.
-func TestOpeningOfThousands(t *testing.T) {
-	n := NewEvents("", &inbox{}, &Counters{}, zap.NewNop())
-	assert.LessOrEqual(t, n.opening(0), time.Duration(0), "not open")
-	n.opened(0)
-	for p := range 2400 {
-		n.streams[0].stands = n.streams[0].stands.Add(-time.Minute) // long ago
-		assert.LessOrEqual(t, n.opening(0), time.Duration(0))
-		require.NoError(t, n.take(context.Background(), 0, []byte(joined(p, false))))
-		assert.Positive(t, n.opening(0), "another may follow")
-	}
-	n.stands(context.Background(), 0)
-	assert.Zero(t, n.opening(0))
-}
-
 // TestEventsOnSockets has events cut anywhere, chunk by chunk, a silent relay left for another, and nothing more written.
 func TestEventsOnSockets(t *testing.T) {
 	serve := func(text string, hold bool) string {
