--- a/internal/platform/agent/client.go
+++ b/internal/platform/agent/client.go
@@ -16,28 +16,28 @@
 // Figures of the watch. A short wait finds a dead call soon: what discovery has to say counts as told 2 s after the
 // wait has ended, whether it came or not.
 const (
-	wait        = 1000 * time.Millisecond
-	patience    = 400 * time.Millisecond // for the answer, beyond the wait
-	dialWithin  = 500 * time.Millisecond
-	failedPause = 50 * time.Millisecond // after a failed call
-	mostBytes   = 8 << 20
-	mostEntries = 65536
-	whole       = "/catalog/members" // the whole list's path
+	watchWait     = 1000 * time.Millisecond
+	answerTimeout = 400 * time.Millisecond // for the answer, beyond the wait
+	dialTimeout   = 500 * time.Millisecond
+	retryDelay    = 50 * time.Millisecond // after a failed call
+	maxListBytes  = 8 << 20
+	maxEntries    = 65536
+	membersPath   = "/catalog/members" // the whole list's path
 )
 
 // Agent follows the list.
 type Agent struct {
-	Counters Counters
-	inbox    pilot.Inbox
-	log      *zap.Logger
-	mu       sync.Mutex
-	address  string
-	changed  context.CancelFunc // ends the call under way
-	watching bool
-	fetch    bool
-	wake     chan struct{}
-	index    int
-	have     bool // a list was told since the start
+	Counters   Counters
+	inbox      pilot.Inbox
+	log        *zap.Logger
+	mu         sync.Mutex
+	address    string
+	cancelCall context.CancelFunc // ends the call under way
+	watching   bool
+	fetch      bool
+	wake       chan struct{}
+	version    int
+	hasList    bool // a list was told since the start
 }
 
 // New returns an agent that does nothing before Run. With watch it follows the list unasked.
@@ -50,7 +50,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.watching = on
-	a.nudge()
+	a.signal()
 }
 
 // Fetch asks for the whole list once.
@@ -58,7 +58,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.fetch = true
-	a.nudge()
+	a.signal()
 }
 
 // Move has calls go to another address. The call under way is given up, the version held is kept.
@@ -69,13 +69,13 @@
 		return
 	}
 	a.address = address
-	if a.changed != nil {
-		a.changed()
+	if a.cancelCall != nil {
+		a.cancelCall()
 	}
-	a.nudge()
+	a.signal()
 }
 
-func (a *Agent) nudge() {
+func (a *Agent) signal() {
 	select {
 	case a.wake <- struct{}{}:
 	default:
--- a/internal/platform/agent/client_test.go
+++ b/internal/platform/agent/client_test.go
@@ -45,9 +45,9 @@
 	t.Cleanup(func() { cancel(); assert.NoError(t, <-ended) })
 }
 
-// TestMove guards a reload: the list is neither forgotten nor told twice.
-func TestMove(t *testing.T) {
-	old, now, b := newScript(t, list(4, true, "x")), newScript(t, list(5, false, "y")), &inbox{}
+// TestSetAddress guards a reload: the list is neither forgotten nor told twice.
+func TestSetAddress(t *testing.T) {
+	old, now, b := newScriptedAgent(t, list(4, true, "x")), newScriptedAgent(t, list(5, false, "y")), &inbox{}
 	a := New(old.l.Addr().String(), true, b, zap.NewNop())
 	run(t, a)
 	require.Eventually(t, func() bool { return len(old.asked()) > 1 }, 5*time.Second, time.Millisecond)
@@ -60,7 +60,7 @@
 
 // TestOnRequest guards that nothing is asked before the module has.
 func TestOnRequest(t *testing.T) {
-	s, b := newScript(t, list(4, true, "x"), list(5, true, "x")), &inbox{}
+	s, b := newScriptedAgent(t, list(4, true, "x"), list(5, true, "x")), &inbox{}
 	a := New(s.l.Addr().String(), false, b, zap.NewNop())
 	run(t, a)
 	time.Sleep(20 * time.Millisecond)
--- a/internal/platform/agent/list.go
+++ b/internal/platform/agent/list.go
@@ -9,8 +9,8 @@
 	"indigousher/internal/wire"
 )
 
-// ErrList says that an answer is no list.
-var ErrList = errors.New("not a list of endpoints")
+// ErrInvalidList says that an answer is no list.
+var ErrInvalidList = errors.New("not a list of endpoints")
 
 type entry struct {
 	Name    *string  `json:"name"`
@@ -28,16 +28,16 @@
 	Endpoints []json.RawMessage `json:"endpoints"`
 }
 
-var phases = map[string]int{"active": wire.PhaseReady, "leaving": wire.PhaseDraining, "left": wire.PhaseGone}
+var phaseOfStatus = map[string]int{"active": wire.PhaseReady, "leaving": wire.PhaseDraining, "left": wire.PhaseGone}
 
 // ParseList reads a list in discovery's form and counts the entries that can't be used.
 func ParseList(text []byte) (l *wire.List, odd int, err error) {
 	var a answer
 	if err := json.Unmarshal(text, &a); err != nil {
-		return nil, 0, fmt.Errorf("%w: %w", ErrList, err)
+		return nil, 0, fmt.Errorf("%w: %w", ErrInvalidList, err)
 	}
-	if a.Index == nil || a.Endpoints == nil || len(a.Endpoints) > mostEntries {
-		return nil, 0, fmt.Errorf("%w: index or endpoints are missing", ErrList)
+	if a.Index == nil || a.Endpoints == nil || len(a.Endpoints) > maxEntries {
+		return nil, 0, fmt.Errorf("%w: index or endpoints are missing", ErrInvalidList)
 	}
 	l = &wire.List{Version: *a.Index, Whole: a.Snapshot, Now: uint64(time.Now().UnixMilli())}
 	for _, raw := range a.Endpoints {
@@ -56,7 +56,7 @@
 	if err := json.Unmarshal(raw, &e); err != nil || e.Name == nil || *e.Name == "" || len(*e.Name) > 256 {
 		return wire.Entry{}, false
 	}
-	phase, known := phases[e.Status]
+	phase, known := phaseOfStatus[e.Status]
 	if !known || e.SinceMs < 0 || e.SinceMs > 1e15 {
 		return wire.Entry{}, false
 	}
--- a/internal/platform/agent/list_test.go
+++ b/internal/platform/agent/list_test.go
@@ -18,6 +18,6 @@
 		{Endpoint: "z", Zone: "b", Phase: wire.PhaseDraining, Weight: 0.5, Started: 1700000000123}}, l.Entries)
 	for _, text := range []string{"", "[]", "{}", `{"index":3}`, `{"index":"3","endpoints":[]}`, `{"index":3,"endpoints":[`} {
 		_, _, err := ParseList([]byte(text))
-		assert.ErrorIs(t, err, ErrList, text)
+		assert.ErrorIs(t, err, ErrInvalidList, text)
 	}
 }
--- a/internal/platform/agent/scriptedagent_test.go
+++ b/internal/platform/agent/scriptedagent_test.go
@@ -22,18 +22,18 @@
 	return fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[%s]}`, index, snapshot, strings.Join(e, ","))
 }
 
-// script answers calls one after another: a body, "reset" or "silent". After it, calls wait and tell nothing new.
-type script struct {
+// scriptedAgent answers calls one after another: a body, "reset" or "silent". After it, calls wait and tell nothing new.
+type scriptedAgent struct {
 	l     net.Listener
 	mu    sync.Mutex
 	steps []string
 	paths []string
 }
 
-func newScript(t *testing.T, steps ...string) *script {
+func newScriptedAgent(t *testing.T, steps ...string) *scriptedAgent {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &script{l: l, steps: steps}
+	s := &scriptedAgent{l: l, steps: steps}
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -47,7 +47,7 @@
 	return s
 }
 
-func (s *script) serve(conn net.Conn) {
+func (s *scriptedAgent) serve(conn net.Conn) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
 	for {
@@ -88,7 +88,7 @@
 	}
 }
 
-func (s *script) asked() []string {
+func (s *scriptedAgent) asked() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string{}, s.paths...)
--- a/internal/platform/agent/watch.go
+++ b/internal/platform/agent/watch.go
@@ -20,7 +20,7 @@
 		a.mu.Lock()
 		address, wanted := a.address, a.watching || a.fetch
 		cctx, cancel := context.WithCancel(ctx)
-		a.changed = cancel
+		a.cancelCall = cancel
 		a.mu.Unlock()
 		if !wanted {
 			select {
@@ -30,21 +30,21 @@
 			cancel()
 			continue
 		}
-		err := a.connected(cctx, address)
+		err := a.watchOn(cctx, address)
 		moved := cctx.Err() != nil
 		cancel()
 		if err != nil && !moved {
 			a.Counters.Failed.Add(1)
 			a.log.Debug("discovery", zap.String("address", address), zap.Error(err))
-			pause.For(ctx, failedPause)
+			pause.For(ctx, retryDelay)
 		}
 	}
 	return nil
 }
 
-// connected makes calls on one connection until it fails or nothing is wanted.
-func (a *Agent) connected(ctx context.Context, address string) error {
-	conn, err := (&net.Dialer{Timeout: dialWithin}).DialContext(ctx, "tcp", address)
+// watchOn makes calls on one connection until it fails or nothing is wanted.
+func (a *Agent) watchOn(ctx context.Context, address string) error {
+	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return fmt.Errorf("dial discovery: %w", err)
 	}
@@ -53,12 +53,12 @@
 	defer stop()
 	r := bufio.NewReader(conn)
 	for {
-		path, within, ok := a.next()
+		path, within, ok := a.nextRequest()
 		if !ok {
 			return nil
 		}
 		a.Counters.Calls.Add(1)
-		body, last, err := call(conn, r, address, path, within)
+		body, last, err := get(conn, r, address, path, within)
 		if err != nil {
 			return err
 		}
@@ -67,35 +67,35 @@
 			return err
 		}
 		a.Counters.Odd.Add(int64(odd))
-		if err := a.take(ctx, l, path == whole); err != nil || last {
+		if err := a.deliver(ctx, l, path == membersPath); err != nil || last {
 			return err
 		}
 	}
 }
 
-// next returns the next call's path and how long it may take.
-func (a *Agent) next() (path string, within time.Duration, wanted bool) {
+// nextRequest returns the next call's path and how long it may take.
+func (a *Agent) nextRequest() (path string, within time.Duration, wanted bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.fetch || !a.have {
+	if a.fetch || !a.hasList {
 		if !a.watching && !a.fetch {
 			return "", 0, false
 		}
 		a.fetch = false
-		return whole, patience, true
+		return membersPath, answerTimeout, true
 	}
 	if !a.watching {
 		return "", 0, false
 	}
-	return fmt.Sprintf("%s?index=%d&wait=%d", whole, a.index, wait.Milliseconds()), wait + patience, true
+	return fmt.Sprintf("%s?index=%d&wait=%d", membersPath, a.version, watchWait.Milliseconds()), watchWait + answerTimeout, true
 }
 
-// take hands a list over. Changes without entries only say that the watch lives. Changes to what is not held here,
+// deliver hands a list over. Changes without entries only say that the watch lives. Changes to what is not held here,
 // where the whole list was asked for or the version went back, count as told; the whole list is asked for next.
-func (a *Agent) take(ctx context.Context, l *wire.List, askedWhole bool) error {
+func (a *Agent) deliver(ctx context.Context, l *wire.List, askedWhole bool) error {
 	a.mu.Lock()
-	unbased := !l.Whole && (askedWhole || a.have && l.Version < a.index)
-	a.have, a.index = !unbased, l.Version
+	unbased := !l.Whole && (askedWhole || a.hasList && l.Version < a.version)
+	a.hasList, a.version = !unbased, l.Version
 	a.mu.Unlock()
 	if l.Whole || len(l.Entries) > 0 {
 		a.Counters.Lists.Add(1)
@@ -104,7 +104,7 @@
 		}
 	}
 	if unbased {
-		return fmt.Errorf("%w: changes to a version not held here, %d", ErrList, l.Version)
+		return fmt.Errorf("%w: changes to a version not held here, %d", ErrInvalidList, l.Version)
 	}
 	return nil
 }
--- a/internal/platform/agent/watch_test.go
+++ b/internal/platform/agent/watch_test.go
@@ -9,8 +9,8 @@
 	"go.uber.org/zap"
 )
 
-// TestWatches guards that the version held is asked from, whatever befalls a call, and that each list is told once.
-func TestWatches(t *testing.T) {
+// TestWatch guards that the version held is asked from, whatever befalls a call, and that each list is told once.
+func TestWatch(t *testing.T) {
 	for name, c := range map[string]struct {
 		steps    []string
 		versions []int
@@ -36,7 +36,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s, b := newScript(t, c.steps...), &inbox{}
+			s, b := newScriptedAgent(t, c.steps...), &inbox{}
 			run(t, New(s.l.Addr().String(), true, b, zap.NewNop()))
 			require.Eventually(t, func() bool { return len(s.asked()) > len(c.steps) }, 10*time.Second, time.Millisecond)
 			assert.Equal(t, c.versions, b.versions())
--- a/internal/platform/config/checks.go
+++ b/internal/platform/config/checks.go
@@ -14,11 +14,11 @@
 
 // Bounds of the file and of what it may name.
 const (
-	mostProxies = 65535
-	mostZones   = 1024
+	maxProxies = 65535
+	maxZones   = 1024
 )
 
-func (p *Placement) addresses() error {
+func (p *Placement) checkAddresses() error {
 	if p.Name == "" {
 		return errors.New("name is missing")
 	}
@@ -36,7 +36,7 @@
 	return nil
 }
 
-func (p *Placement) seed() error {
+func (p *Placement) parseSeed() error {
 	if p.SeedText == "" {
 		return errors.New("seed is missing")
 	}
@@ -48,7 +48,7 @@
 	return nil
 }
 
-func (p *Placement) limits() error {
+func (p *Placement) checkLimits() error {
 	switch l := p.Limits; {
 	case !(l.Cores > 0 && l.Cores <= 1024):
 		return fmt.Errorf("limits.cores: %g", l.Cores)
@@ -60,7 +60,7 @@
 	return nil
 }
 
-func (p *Placement) known() error {
+func (p *Placement) parseKnown() error {
 	if len(p.Known) == 0 || string(p.Known) == "null" {
 		return nil
 	}
@@ -76,33 +76,33 @@
 	return nil
 }
 
-// settings checks what the program itself or the module can't do without.
-func (p *Placement) settings() error {
+// parseSettings checks what the program itself or the module can't do without.
+func (p *Placement) parseSettings() error {
 	if len(p.Settings) == 0 {
 		return errors.New("settings are missing")
 	}
 	p.Deployment = translate.Read(p.Settings)
 	terms := p.Deployment.Terms
-	if n := len(p.Deployment.Zones.All()); n == 0 || n > mostZones {
+	if n := len(p.Deployment.Zones.All()); n == 0 || n > maxZones {
 		return fmt.Errorf("settings: %d zones", n)
 	}
 	if len(p.Deployment.Kinds.All()) == 0 {
 		return errors.New("settings: no req kinds")
 	}
-	proxies, err := number(terms, "proxy_count", 1, mostProxies)
+	proxies, err := numberWithin(terms, "proxy_count", 1, maxProxies)
 	if err != nil {
 		return err
 	}
 	p.Proxies = int(proxies)
-	instances, err := number(terms, "instances", 1, mostProxies)
+	instances, err := numberWithin(terms, "instances", 1, maxProxies)
 	if err != nil {
 		return err
 	}
-	if _, err := number(terms, "rank", 0, instances-1); err != nil {
+	if _, err := numberWithin(terms, "rank", 0, instances-1); err != nil {
 		return err
 	}
 	for _, name := range []string{"lines_per_s", "backlog", "drain_grace", "cold"} {
-		if _, err := number(terms, name, 1e-3, brain.MostFigure); err != nil {
+		if _, err := numberWithin(terms, name, 1e-3, brain.MostFigure); err != nil {
 			return err
 		}
 	}
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// number returns a term that has to be a number within bounds. Complaints use the module's name of it.
-func number(terms map[string]any, name string, least, most float64) (float64, error) {
+// numberWithin returns a term that has to be a number within bounds. Complaints use the module's name of it.
+func numberWithin(terms map[string]any, name string, least, most float64) (float64, error) {
 	v, ok := terms[name].(float64)
 	if !ok {
 		return 0, fmt.Errorf("settings: %s is missing or no number", name)
--- a/internal/platform/config/checks_test.go
+++ b/internal/platform/config/checks_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestWrongFilesAreNamed guards that a start with a wrong file says which field is at fault.
-func TestWrongFilesAreNamed(t *testing.T) {
+// TestErrorsNameTheField guards that a start with a wrong file says which field is at fault.
+func TestErrorsNameTheField(t *testing.T) {
 	for name, c := range map[string]struct{ from, to, says string }{
 		"cut off":           {`}}}`, ``, "not readable"},
 		"no name":           {`"n3"`, `""`, "name is missing"},
@@ -25,36 +25,36 @@
 		"a backlog of text": {`"backlog":1200`, `"backlog":"long"`, "backlog"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			require.Contains(t, good, c.from)
-			_, err := Parse([]byte(strings.Replace(good, c.from, c.to, 1)))
+			require.Contains(t, goodFile, c.from)
+			_, err := Parse([]byte(strings.Replace(goodFile, c.from, c.to, 1)))
 			assert.ErrorContains(t, err, c.says)
 			assert.NotContains(t, err.Error(), "\n")
 		})
 	}
 }
 
-// TestKnown guards the start against the list as it was held last: it may be absent, empty, spoilt or odd in part, and
+// TestCachedList guards the start against the list as it was held last: it may be absent, empty, spoilt or odd in part, and
 // the pilot starts with what can be used of it and says what can't.
-func TestKnown(t *testing.T) {
-	at := strings.Index(good, `"known":`)
-	end := strings.Index(good, `"settings":`)
+func TestCachedList(t *testing.T) {
+	at := strings.Index(goodFile, `"known":`)
+	end := strings.Index(goodFile, `"settings":`)
 	for name, c := range map[string]struct {
 		known string
 		left  string
 		holds int // -1: no list
 	}{
-		"whole":            {good[at:end], "", 1},
+		"whole":            {goodFile[at:end], "", 1},
 		"absent":           {"", "", -1},
 		"null":             {`"known":null,`, "", -1},
 		"empty":            {`"known":{"index":0,"snapshot":true,"endpoints":[]},`, "", 0},
 		"no list":          {`"known":{"snapshot":true,"endpoints":[]},`, "known: not a list", -1},
 		"endpoints null":   {`"known":{"index":0,"snapshot":true,"endpoints":null},`, "known: not a list", -1},
 		"of another type":  {`"known":7,`, "known: not a list", -1},
-		"an odd entry":     {strings.Replace(good[at:end], "]}", `,{"name":"s-2","status":"asleep"}]}`, 1), "known: 1 entries", 1},
-		"only odd entries": {strings.Replace(good[at:end], "leaving", "asleep", 1), "known: 1 entries", 0},
+		"an odd entry":     {strings.Replace(goodFile[at:end], "]}", `,{"name":"s-2","status":"asleep"}]}`, 1), "known: 1 entries", 1},
+		"only odd entries": {strings.Replace(goodFile[at:end], "leaving", "asleep", 1), "known: 1 entries", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, err := Parse([]byte(good[:at] + c.known + good[end:]))
+			p, err := Parse([]byte(goodFile[:at] + c.known + goodFile[end:]))
 			require.NoError(t, err)
 			assert.Contains(t, p.Left, c.left)
 			assert.Equal(t, c.left == "", p.Left == "")
--- a/internal/platform/config/parse.go
+++ b/internal/platform/config/parse.go
@@ -50,7 +50,7 @@
 	if err := json.Unmarshal(text, p); err != nil {
 		return nil, fmt.Errorf("not readable: %w", err)
 	}
-	for _, check := range []func() error{p.addresses, p.seed, p.limits, p.known, p.settings} {
+	for _, check := range []func() error{p.checkAddresses, p.parseSeed, p.checkLimits, p.parseKnown, p.parseSettings} {
 		if err := check(); err != nil {
 			return nil, err
 		}
--- a/internal/platform/config/parse_test.go
+++ b/internal/platform/config/parse_test.go
@@ -9,14 +9,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.4:3000","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
+const goodFile = `{"name":"n3","listen":"127.0.0.4:3000","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":0.5,"memory_mb":48,"sockets":256},"relay":{"address":"127.2.0.2:6400"},"peers":["127.3.0.1:7946"],
 "known":{"index":41,"snapshot":true,"endpoints":[{"name":"s-1","zone":"a","type":"m2","group":3,"status":"leaving","weight":1.5,"since_ms":7}]},
 "settings":{"dcs":["a","b"],"kinds":["m2"],"instances":2,"rank":1,"discovery":"pushed","profiles":[{"name":"read","aim":1000000000}],
 "extra":{"proxy_count":150,"egress_per_s":800,"backlog":1200},"obligations":{"drain_grace":3000000000,"cold":10000000000}}}`
 
 func TestParse(t *testing.T) {
-	p, err := Parse([]byte(good))
+	p, err := Parse([]byte(goodFile))
 	require.NoError(t, err)
 	assert.Equal(t, -0x73e0cf2d85a4169c, int(p.Seed))
 	assert.Equal(t, 150, p.Proxies)
@@ -28,7 +28,7 @@
 
 func TestRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	require.NoError(t, os.WriteFile(path, []byte(good), 0o600))
+	require.NoError(t, os.WriteFile(path, []byte(goodFile), 0o600))
 	for name, c := range map[string]struct {
 		env  map[string]string
 		says string
--- a/internal/platform/limits.go
+++ b/internal/platform/limits.go
@@ -10,5 +10,5 @@
 // Limit sets the runtime to what the machine gives.
 func Limit(l config.Limits) {
 	runtime.GOMAXPROCS(max(1, int(l.Cores)))
-	debug.SetMemoryLimit(int64(l.MemoryMB * memoryPart * (1 << 20)))
+	debug.SetMemoryLimit(int64(l.MemoryMB * memoryLimitShare * (1 << 20)))
 }
--- a/internal/platform/listener/collectors.go
+++ b/internal/platform/listener/collectors.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// collectorsEach is how many connections of a zone's collector may stand: one that was cut off without a sign may have
+// maxCollectorsPerZone is how many connections of a zone's collector may stand: one that was cut off without a sign may have
 // something left to read when the next one comes, and no more than that.
-const collectorsEach = 2
+const maxCollectorsPerZone = 2
 
-// replace notes a collector's connection; the oldest of its zone goes where there are too many.
-func (d *Listener) replace(zone string, conn net.Conn) {
+// addCollector notes a collector's connection; the oldest of its zone goes where there are too many.
+func (d *Listener) addCollector(zone string, conn net.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	all := append(d.joined[zone], conn)
-	if len(all) > collectorsEach {
+	all := append(d.collectors[zone], conn)
+	if len(all) > maxCollectorsPerZone {
 		_ = all[0].Close()
 		all = slices.Delete(all, 0, 1)
 	}
-	d.joined[zone] = all
+	d.collectors[zone] = all
 }
 
-func (d *Listener) forget(zone string, conn net.Conn) {
+func (d *Listener) removeCollector(zone string, conn net.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.joined[zone] = slices.DeleteFunc(d.joined[zone], func(c net.Conn) bool { return c == conn })
+	d.collectors[zone] = slices.DeleteFunc(d.collectors[zone], func(c net.Conn) bool { return c == conn })
 }
--- a/internal/platform/listener/collectors_test.go
+++ b/internal/platform/listener/collectors_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCollectorComesBack guards the descriptors of collectors that are cut off without a sign and come back.
-func TestCollectorComesBack(t *testing.T) {
-	d, _, dial := open(t, 20)
+// TestCollectorReconnects guards the descriptors of collectors that are cut off without a sign and come back.
+func TestCollectorReconnects(t *testing.T) {
+	d, _, dial := startListener(t, 20)
 	var conns []net.Conn
 	for i := range 5 {
 		conns = append(conns, dial())
@@ -26,13 +26,13 @@
 	assert.ErrorIs(t, err, io.EOF)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	assert.Len(t, d.joined["b"], collectorsEach)
+	assert.Len(t, d.collectors["b"], maxCollectorsPerZone)
 }
 
-// TestTheOlderCollectorClosesLast guards a zone whose collector dials anew before its old connection ends, and ends that one
+// TestOlderCollectorConnectionClosesLast guards a zone whose collector dials anew before its old connection ends, and ends that one
 // after the new one has joined: what the new one brings counts. A stranger that resets while it is refused harms nobody.
-func TestTheOlderCollectorClosesLast(t *testing.T) {
-	d, b, dial := open(t, 20)
+func TestOlderCollectorConnectionClosesLast(t *testing.T) {
+	d, b, dial := startListener(t, 20)
 	use := "usage node=3 route=read total=4 errors=1 interval=500\r\n"
 	join := func(n int64) net.Conn {
 		conn := dial()
@@ -49,7 +49,7 @@
 	require.Eventually(t, func() bool {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		return len(d.joined["a"]) == 1
+		return len(d.collectors["a"]) == 1
 	}, 5*time.Second, time.Millisecond)
 	rude, ok := dial().(*net.TCPConn)
 	require.True(t, ok)
--- a/internal/platform/listener/handshake_test.go
+++ b/internal/platform/listener/handshake_test.go
@@ -11,11 +11,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStrangers guards that whoever is no collector gets a close or a word well within the 3 s that it is owed, and that
+// TestUnidentifiedConnections guards that whoever is no collector gets a close or a word well within the 3 s that it is owed, and that
 // nothing of it reaches the loop.
-func TestStrangers(t *testing.T) {
-	_, b, dial := open(t, 200)
-	heard := "heard locality=a endpoint=x total=2 errors=0 rtt=1 interval=1000\r\n"
+func TestUnidentifiedConnections(t *testing.T) {
+	_, b, dial := startListener(t, 200)
+	report := "heard locality=a endpoint=x total=2 errors=0 rtt=1 interval=1000\r\n"
 	for name, c := range map[string]struct{ send, want string }{
 		"nothing":                {"", ""},
 		"half a message":         {"collector local", ""},
@@ -25,7 +25,7 @@
 		"a zone that is none":    {"collector locality=z\r\n", "refused\r\n"},
 		"a collector with more":  {"collector locality=a locality=b\r\n", "refused\r\n"},
 		"a proxy's joining":      {"joined node=1 locality=a w=1 cold=1\r\n", "refused\r\n"},
-		"a report not joined":    {heard, "refused\r\n"},
+		"a report not joined":    {report, "refused\r\n"},
 		"orders":                 {`{"ops":[]}` + "\n", "refused\r\n"},
 		"a line without end":     {strings.Repeat("x", 1<<16), "refused\r\n"},
 		"an impossible length":   {"\xff\xff\xff\xff\xff\xff\n", "refused\r\n"},
--- a/internal/platform/listener/line.go
+++ b/internal/platform/listener/line.go
@@ -8,17 +8,17 @@
 	"indigousher/brain"
 )
 
-// ErrLine says that a line is no message that is taken here.
-var ErrLine = errors.New("not a message")
+// ErrMalformedLine says that a line is no message that is taken here.
+var ErrMalformedLine = errors.New("not a message")
 
-// words cuts a line into its kind and its name=value words, in place. Doubled names are wrong.
-type words struct {
+// fields cuts a line into its kind and its name=value words, in place. Doubled names are wrong.
+type fields struct {
 	names, values [12][]byte
 	n             int
 }
 
-func (w *words) read(line []byte) (kind []byte, err error) {
-	w.n = 0
+func (f *fields) parse(line []byte) (kind []byte, err error) {
+	f.n = 0
 	kind, rest, _ := bytes.Cut(line, []byte(" "))
 	for len(rest) > 0 {
 		var word []byte
@@ -26,40 +26,40 @@
 			continue
 		}
 		name, value, ok := bytes.Cut(word, []byte("="))
-		if !ok || w.n == len(w.names) || w.get(string(name)) != nil {
-			return nil, ErrLine
+		if !ok || f.n == len(f.names) || f.get(string(name)) != nil {
+			return nil, ErrMalformedLine
 		}
-		w.names[w.n], w.values[w.n] = name, value
-		w.n++
+		f.names[f.n], f.values[f.n] = name, value
+		f.n++
 	}
 	return kind, nil
 }
 
 // get returns a word's value; nil: it is not there.
-func (w *words) get(name string) []byte {
-	for i := range w.n {
-		if string(w.names[i]) == name {
-			return w.values[i]
+func (f *fields) get(name string) []byte {
+	for i := range f.n {
+		if string(f.names[i]) == name {
+			return f.values[i]
 		}
 	}
 	return nil
 }
 
-func (w *words) count(name string) (int, bool) {
-	n, err := strconv.Atoi(string(w.get(name)))
-	return n, err == nil && n >= 0 && n <= mostCount
+func (f *fields) count(name string) (int, bool) {
+	n, err := strconv.Atoi(string(f.get(name)))
+	return n, err == nil && n >= 0 && n <= maxCount
 }
 
-func (w *words) figure(name string) (float64, bool) {
-	return figure(w.get(name))
+func (f *fields) float(name string) (float64, bool) {
+	return parseFloat(f.get(name))
 }
 
-func figure(text []byte) (float64, bool) {
+func parseFloat(text []byte) (float64, bool) {
 	v, err := strconv.ParseFloat(string(text), 64)
 	return v, err == nil && brain.Sound(v) // not-a-number is not sound
 }
 
-func (w *words) name(name string) (string, bool) {
-	v := w.get(name)
-	return string(v), len(v) > 0 && len(v) <= mostName
+func (f *fields) name(name string) (string, bool) {
+	v := f.get(name)
+	return string(v), len(v) > 0 && len(v) <= maxNameBytes
 }
--- a/internal/platform/listener/listener.go
+++ b/internal/platform/listener/listener.go
@@ -20,32 +20,32 @@
 
 // Figures of the listener.
 const (
-	joinWithin = 1200 * time.Millisecond // a connection that says no more than ping is closed then
-	writeIn    = 300 * time.Millisecond
-	mostLine   = 1 << 20 // bytes of a message
-	strangeMax = 256     // bytes that a connection may send before it is known
-	spoiltMost = 3       // unreadable lines in a row after which a collector's connection is of no use
-	logEach    = time.Second
+	identifyTimeout      = 1200 * time.Millisecond // a connection that says no more than ping is closed then
+	writeTimeout         = 300 * time.Millisecond
+	maxLineBytes         = 1 << 20 // bytes of a message
+	maxGreetingBytes     = 256     // bytes that a connection may send before it is known
+	maxUnreadableLines   = 3       // unreadable lines in a row after which a collector's connection is of no use
+	rejectionLogInterval = time.Second
 )
 
 // Listener accepts connections.
 type Listener struct {
-	Counters Counters
-	zones    []string
-	most     int // connections that have not joined
-	inbox    pilot.Inbox
-	log      *zap.Logger
-	mu       sync.Mutex
-	waiting  *list.List            // of net.Conn that have not joined, oldest first
-	joined   map[string][]net.Conn // collectors by zone, oldest first
-	said     time.Time
-	unsaid   int
+	Counters           Counters
+	zones              []string
+	maxUnidentified    int // connections that have not joined
+	inbox              pilot.Inbox
+	log                *zap.Logger
+	mu                 sync.Mutex
+	unidentified       *list.List            // of net.Conn that have not joined, oldest first
+	collectors         map[string][]net.Conn // collectors by zone, oldest first
+	rejectionsLogged   time.Time
+	rejectionsUnlogged int
 }
 
 // New returns a listener for collectors of these zones; most connections may stand that have not joined.
 func New(zones []string, most int, inbox pilot.Inbox, log *zap.Logger) *Listener {
-	return &Listener{zones: zones, most: max(1, most), inbox: inbox, log: log, waiting: list.New(),
-		joined: map[string][]net.Conn{}}
+	return &Listener{zones: zones, maxUnidentified: max(1, most), inbox: inbox, log: log, unidentified: list.New(),
+		collectors: map[string][]net.Conn{}}
 }
 
 // Serve accepts until ctx ends; connections then end with it.
@@ -70,9 +70,9 @@
 			return fmt.Errorf("accept on %s: %w", l.Addr(), err)
 		}
 		d.Counters.Accepted.Add(1)
-		place := d.enter(conn)
+		place := d.add(conn)
 		g.Go(func() error {
-			d.attend(ctx, conn, place)
+			d.serve(ctx, conn, place)
 			return nil
 		})
 	}
--- a/internal/platform/listener/listener_test.go
+++ b/internal/platform/listener/listener_test.go
@@ -34,8 +34,8 @@
 	return append([]pilot.Input{}, b.got...)
 }
 
-// open starts a listener and returns how to dial it.
-func open(t *testing.T, most int) (*Listener, *inbox, func() net.Conn) {
+// startListener starts a listener and returns how to dial it.
+func startListener(t *testing.T, most int) (*Listener, *inbox, func() net.Conn) {
 	b := &inbox{}
 	d := New([]string{"a", "b"}, most, b, zap.NewNop())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/platform/listener/report.go
+++ b/internal/platform/listener/report.go
@@ -8,21 +8,21 @@
 
 // Bounds of a report's words.
 const (
-	mostCount   = 1 << 30
-	mostName    = 256
-	mostMetrics = 16
+	maxCount     = 1 << 30
+	maxNameBytes = 256
+	maxMetrics   = 16
 )
 
-// report reads a line. One of a known kind whose words are wrong is readable all the same.
-func report(w *words, line []byte) (in pilot.Input, readable bool) {
+// parseReport reads a line. One of a known kind whose words are wrong is readable all the same.
+func parseReport(w *fields, line []byte) (in pilot.Input, readable bool) {
 	kind, _, _ := bytes.Cut(line, []byte(" "))
 	readable = string(kind) == "heard" || string(kind) == "usage"
-	if _, err := w.read(line); err != nil || !readable {
+	if _, err := w.parse(line); err != nil || !readable {
 		return nil, readable
 	}
-	read := usage
+	read := parseProxyStats
 	if string(kind) == "heard" {
-		read = heard
+		read = parseZoneStats
 	}
 	in, err := read(w)
 	if err != nil {
@@ -31,18 +31,18 @@
 	return in, true
 }
 
-// heard reads a report on an endpoint.
-func heard(w *words) (pilot.Input, error) {
+// parseZoneStats reads a report on an endpoint.
+func parseZoneStats(w *fields) (pilot.Input, error) {
 	m := pilot.ZoneMet{}
 	var ok [6]bool
 	m.Zone, ok[0] = w.name("locality")
 	m.Endpoint, ok[1] = w.name("endpoint")
 	m.Tries, ok[2] = w.count("total")
 	m.Failed, ok[3] = w.count("errors")
-	m.MeanMs, ok[4] = w.figure("rtt")
-	m.SpanMs, ok[5] = w.figure("interval")
+	m.MeanMs, ok[4] = w.float("rtt")
+	m.SpanMs, ok[5] = w.float("interval")
 	if ok != [6]bool{true, true, true, true, true, true} || m.Failed > m.Tries || m.SpanMs == 0 {
-		return nil, ErrLine
+		return nil, ErrMalformedLine
 	}
 	if text := w.get("metrics"); len(text) > 0 {
 		m.Load = make(map[string]float64, 4)
@@ -50,9 +50,9 @@
 			var pair []byte
 			pair, text, _ = bytes.Cut(text, []byte(","))
 			name, value, _ := bytes.Cut(pair, []byte(":"))
-			v, sound := figure(value)
-			if !sound || len(name) == 0 || len(m.Load) == mostMetrics {
-				return nil, ErrLine
+			v, sound := parseFloat(value)
+			if !sound || len(name) == 0 || len(m.Load) == maxMetrics {
+				return nil, ErrMalformedLine
 			}
 			m.Load[string(name)] = v
 		}
@@ -60,17 +60,17 @@
 	return m, nil
 }
 
-// usage reads a report on a proxy.
-func usage(w *words) (pilot.Input, error) {
+// parseProxyStats reads a report on a proxy.
+func parseProxyStats(w *fields) (pilot.Input, error) {
 	d := pilot.ProxyDemand{}
 	var ok [5]bool
 	d.Proxy, ok[0] = w.count("node")
 	d.Kind, ok[1] = w.name("route")
 	d.Reqs, ok[2] = w.count("total")
 	d.Unanswered, ok[3] = w.count("errors")
-	d.SpanMs, ok[4] = w.figure("interval")
+	d.SpanMs, ok[4] = w.float("interval")
 	if ok != [5]bool{true, true, true, true, true} || d.Unanswered > d.Reqs || d.SpanMs == 0 {
-		return nil, ErrLine
+		return nil, ErrMalformedLine
 	}
 	return d, nil
 }
--- a/internal/platform/listener/report_test.go
+++ b/internal/platform/listener/report_test.go
@@ -8,12 +8,12 @@
 	"indigousher/internal/pilot"
 )
 
-func FuzzReport(f *testing.F) {
+func FuzzParseReport(f *testing.F) {
 	f.Add("heard locality=a endpoint=x total=9 errors=2 rtt=4.5 interval=1000.0 metrics=util:0.5")
 	f.Add("usage node=3 route=read total=4 errors=1 interval=500")
 	f.Fuzz(func(t *testing.T, line string) {
-		var w words
-		in, readable := report(&w, []byte(line))
+		var w fields
+		in, readable := parseReport(&w, []byte(line))
 		if in != nil {
 			assert.True(t, readable)
 		}
--- a/internal/platform/listener/session.go
+++ b/internal/platform/listener/session.go
@@ -13,44 +13,44 @@
 	"go.uber.org/zap"
 )
 
-// attend serves one connection to its end.
-func (d *Listener) attend(ctx context.Context, conn net.Conn, place *list.Element) {
+// serve serves one connection to its end.
+func (d *Listener) serve(ctx context.Context, conn net.Conn, place *list.Element) {
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	zone, rest, err := d.greet(conn)
-	d.leave(place)
+	zone, rest, err := d.identify(conn)
+	d.remove(place)
 	if err != nil {
 		return
 	}
 	d.Counters.Collectors.Add(1)
-	d.replace(zone, conn)
-	defer d.forget(zone, conn)
+	d.addCollector(zone, conn)
+	defer d.removeCollector(zone, conn)
 	d.log.Info("collector joined", zap.String("zone", zone))
 	if err := conn.SetDeadline(time.Time{}); err != nil {
 		return
 	}
-	err = d.collect(ctx, conn, rest)
+	err = d.readReports(ctx, conn, rest)
 	d.log.Info("collector left", zap.String("zone", zone), zap.Error(err))
 }
 
-// collect reads a collector's lines. A spoilt one costs itself alone; a connection that goes on unreadable is of no
+// readReports reads a collector's lines. A spoilt one costs itself alone; a connection that goes on unreadable is of no
 // further use.
-func (d *Listener) collect(ctx context.Context, conn net.Conn, rest []byte) error {
-	r := bufio.NewReaderSize(&ahead{rest, conn}, 8192)
-	var w words
-	for spoilt := 0; spoilt < spoiltMost; {
+func (d *Listener) readReports(ctx context.Context, conn net.Conn, rest []byte) error {
+	r := bufio.NewReaderSize(&prefixedReader{rest, conn}, 8192)
+	var w fields
+	for spoilt := 0; spoilt < maxUnreadableLines; {
 		line, err := readLine(r)
 		if err != nil {
 			return err
 		}
 		if string(line) == "ping" {
-			if err := say(conn, "pong"); err != nil {
+			if err := writeLine(conn, "pong"); err != nil {
 				return err
 			}
 			continue
 		}
-		in, readable := report(&w, line)
+		in, readable := parseReport(&w, line)
 		if in == nil {
 			d.Counters.Spoilt.Add(1)
 			if spoilt++; readable {
@@ -64,16 +64,16 @@
 			return err
 		}
 	}
-	return fmt.Errorf("%d unreadable lines: %w", spoiltMost, ErrLine)
+	return fmt.Errorf("%d unreadable lines: %w", maxUnreadableLines, ErrMalformedLine)
 }
 
-// ahead reads what was read already, then the connection.
-type ahead struct {
+// prefixedReader reads what was read already, then the connection.
+type prefixedReader struct {
 	rest []byte
 	conn net.Conn
 }
 
-func (a *ahead) Read(b []byte) (int, error) {
+func (a *prefixedReader) Read(b []byte) (int, error) {
 	if len(a.rest) > 0 {
 		n := copy(b, a.rest)
 		a.rest = a.rest[n:]
@@ -90,8 +90,8 @@
 		return bytes.TrimSuffix(line[:len(line)-1], []byte("\r")), nil
 	}
 	for n := len(line); errors.Is(err, bufio.ErrBufferFull); n += len(line) {
-		if n > mostLine {
-			return nil, fmt.Errorf("a line of over %d bytes: %w", mostLine, ErrLine)
+		if n > maxLineBytes {
+			return nil, fmt.Errorf("a line of over %d bytes: %w", maxLineBytes, ErrMalformedLine)
 		}
 		line, err = r.ReadSlice('\n')
 	}
--- a/internal/platform/listener/session_test.go
+++ b/internal/platform/listener/session_test.go
@@ -14,8 +14,8 @@
 	"indigousher/internal/pilot"
 )
 
-// TestCollectors guards that a spoilt report costs itself alone, wherever its line is cut.
-func TestCollectors(t *testing.T) {
+// TestCollectorReports guards that a spoilt report costs itself alone, wherever its line is cut.
+func TestCollectorReports(t *testing.T) {
 	good := pilot.ZoneMet{Zone: "a", Endpoint: "x", Tries: 9, Failed: 2, MeanMs: 4.5, SpanMs: 1000, Load: map[string]float64{"util": 0.5}}
 	text := "heard locality=a endpoint=x total=9 errors=2 rtt=4.5 interval=1000.0 metrics=util:0.5\r\n"
 	use := "usage node=3 route=read total=4 errors=1 interval=500\r\n"
@@ -44,7 +44,7 @@
 				if piece < 100 && len(c.send) > 10000 {
 					t.Skip("too long for small pieces")
 				}
-				_, b, dial := open(t, 10)
+				_, b, dial := startListener(t, 10)
 				conn := dial()
 				all := "collector locality=a\r\n" + c.send
 				for len(all) > 0 {
--- a/internal/platform/listener/unidentified_test.go
+++ b/internal/platform/listener/unidentified_test.go
@@ -13,10 +13,10 @@
 	"indigousher/internal/platform/peek"
 )
 
-// TestCollectorsAmongHundreds guards that strangers that say nothing take no more than their part of the descriptors,
+// TestCollectorAmongHundreds guards that strangers that say nothing take no more than their part of the descriptors,
 // and that a collector joins all the same.
-func TestCollectorsAmongHundreds(t *testing.T) {
-	d, b, dial := open(t, 20)
+func TestCollectorAmongHundreds(t *testing.T) {
+	d, b, dial := startListener(t, 20)
 	for range 300 {
 		dial()
 	}
@@ -26,13 +26,13 @@
 	require.Eventually(t, func() bool { return len(b.all()) == 1 }, 5*time.Second, time.Millisecond)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	assert.LessOrEqual(t, d.waiting.Len(), 20)
+	assert.LessOrEqual(t, d.unidentified.Len(), 20)
 	assert.GreaterOrEqual(t, d.Counters.Evicted.Load(), int64(250))
 }
 
-// TestFloodWhileACollectorJoins guards a collector whose line has come and is not read yet while strangers take all the
+// TestEvictionSparesJoiningCollector guards a collector whose line has come and is not read yet while strangers take all the
 // places: one of them goes in its stead. Where all have said something the oldest goes.
-func TestFloodWhileACollectorJoins(t *testing.T) {
+func TestEvictionSparesJoiningCollector(t *testing.T) {
 	for name, c := range map[string]struct {
 		says []string // in the order of their coming, three places
 		gone int
@@ -57,13 +57,13 @@
 				conn, err := l.Accept()
 				require.NoError(t, err)
 				defer conn.Close()
-				require.Eventually(t, func() bool { return text == "" || peek.At(conn) == peek.Data }, 5*time.Second, time.Millisecond)
-				d.enter(conn)
+				require.Eventually(t, func() bool { return text == "" || peek.Peek(conn) == peek.Readable }, 5*time.Second, time.Millisecond)
+				d.add(conn)
 				peers = append(peers, peer)
 			}
-			require.Eventually(t, func() bool { return peek.At(peers[c.gone]) == peek.Gone }, 5*time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return peek.Peek(peers[c.gone]) == peek.Closed }, 5*time.Second, time.Millisecond)
 			for i, peer := range peers {
-				assert.Equal(t, i == c.gone, peek.At(peer) == peek.Gone, "number %d", i)
+				assert.Equal(t, i == c.gone, peek.Peek(peer) == peek.Closed, "number %d", i)
 			}
 		})
 	}
--- a/internal/platform/peek/peek.go
+++ b/internal/platform/peek/peek.go
@@ -12,35 +12,35 @@
 
 // What may have happened on a connection.
 const (
-	Quiet State = iota // nothing that has not been read
-	Data               // it has sent something that waits to be read
-	Gone               // it has closed or reset the connection
+	Idle     State = iota // nothing that has not been read
+	Readable              // it has sent something that waits to be read
+	Closed                // it has closed or reset the connection
 )
 
-// At looks at a connection. One that can't be looked at is Quiet.
-func At(conn net.Conn) State {
+// Peek looks at a connection. One that can't be looked at is Quiet.
+func Peek(conn net.Conn) State {
 	t, ok := conn.(*net.TCPConn)
 	if !ok {
-		return Quiet
+		return Idle
 	}
 	raw, err := t.SyscallConn()
 	if err != nil {
-		return Gone
+		return Closed
 	}
-	state := Quiet
+	state := Idle
 	err = raw.Control(func(fd uintptr) { // Read would wait for whoever is reading
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case errors.Is(err, syscall.EAGAIN), errors.Is(err, syscall.EINTR):
 		case err == nil && n > 0:
-			state = Data
+			state = Readable
 		default:
-			state = Gone
+			state = Closed
 		}
 	})
 	if err != nil {
-		return Gone
+		return Closed
 	}
 	return state
 }
--- a/internal/platform/peek/peek_test.go
+++ b/internal/platform/peek/peek_test.go
@@ -23,31 +23,31 @@
 	return conn, other
 }
 
-func TestAt(t *testing.T) {
+func TestPeek(t *testing.T) {
 	for name, c := range map[string]struct {
 		does func(other *net.TCPConn) error
 		want State
 	}{
-		"nothing":          {func(*net.TCPConn) error { return nil }, Quiet},
-		"sends":            {func(o *net.TCPConn) error { _, err := o.Write([]byte("x")); return err }, Data},
-		"closes":           {func(o *net.TCPConn) error { return o.Close() }, Gone},
-		"resets":           {func(o *net.TCPConn) error { _ = o.SetLinger(0); return o.Close() }, Gone},
-		"sends and closes": {func(o *net.TCPConn) error { _, _ = o.Write([]byte("x")); return o.Close() }, Data},
+		"nothing":          {func(*net.TCPConn) error { return nil }, Idle},
+		"sends":            {func(o *net.TCPConn) error { _, err := o.Write([]byte("x")); return err }, Readable},
+		"closes":           {func(o *net.TCPConn) error { return o.Close() }, Closed},
+		"resets":           {func(o *net.TCPConn) error { _ = o.SetLinger(0); return o.Close() }, Closed},
+		"sends and closes": {func(o *net.TCPConn) error { _, _ = o.Write([]byte("x")); return o.Close() }, Readable},
 	} {
 		t.Run(name, func(t *testing.T) {
 			conn, other := pair(t)
 			tcp, ok := other.(*net.TCPConn)
 			require.True(t, ok)
 			require.NoError(t, c.does(tcp))
-			require.Eventually(t, func() bool { return At(conn) == c.want }, 5*time.Second, time.Millisecond)
-			assert.Equal(t, c.want, At(conn), "looking takes nothing away")
+			require.Eventually(t, func() bool { return Peek(conn) == c.want }, 5*time.Second, time.Millisecond)
+			assert.Equal(t, c.want, Peek(conn), "looking takes nothing away")
 		})
 	}
-	assert.Equal(t, Quiet, At(nil))
+	assert.Equal(t, Idle, Peek(nil))
 }
 
-// TestAtWhileRead guards looking at a connection that another goroutine is reading: it must not wait for it.
-func TestAtWhileRead(t *testing.T) {
+// TestPeekWhileRead guards looking at a connection that another goroutine is reading: it must not wait for it.
+func TestPeekWhileRead(t *testing.T) {
 	conn, other := pair(t)
 	reads, ended := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -57,10 +57,10 @@
 	}()
 	<-reads
 	looked := make(chan State)
-	go func() { looked <- At(conn) }()
+	go func() { looked <- Peek(conn) }()
 	select {
 	case s := <-looked:
-		assert.Equal(t, Quiet, s)
+		assert.Equal(t, Idle, s)
 	case <-time.After(5 * time.Second):
 		t.Error("it waits for the reader")
 		_ = other.Close()
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -23,12 +23,12 @@
 
 // Figures of the pilot's own.
 const (
-	memoryPart = 0.6 // of the limit: what the runtime aims to stay under
-	ownSockets = 16  // descriptors for all that is not the listener
-	strangers  = 0.4 // of the other descriptors, for connections that have not joined
-	countEvery = 10 * time.Second
-	rereadEach = 100 * time.Millisecond // a file that is wrong may be being written: it is read again
-	rereadMost = 30                     // times
+	memoryLimitShare  = 0.6 // of the limit: what the runtime aims to stay under
+	reservedSockets   = 16  // descriptors for all that is not the listener
+	unidentifiedShare = 0.4 // of the other descriptors, for connections that have not joined
+	reportInterval    = 10 * time.Second
+	rereadInterval    = 100 * time.Millisecond // a file that is wrong may be being written: it is read again
+	maxRereads        = 30                     // times
 )
 
 // Pilot is one pilot on the platform.
@@ -52,8 +52,8 @@
 	x.orders = relay.NewOrders(p.Relay.Address, kinds, box, &x.counters, log)
 	x.agent = agent.New(p.Discovery, !p.OnRequest, box, log)
 	x.events = relay.NewEvents(p.Relay.Address, box, &x.counters, log)
-	spare := float64(p.Limits.Sockets - ownSockets)
-	x.listener = listener.New(p.Deployment.Zones.All(), int(spare*strangers), box, log)
+	spare := float64(p.Limits.Sockets - reservedSockets)
+	x.listener = listener.New(p.Deployment.Zones.All(), int(spare*unidentifiedShare), box, log)
 	core := pilot.NewCore(pilot.Plan{Decider: brain.New(p.Seed, p.Deployment.Terms), Terms: p.Deployment.Terms,
 		Zones: p.Deployment.Zones.All(), Machines: p.Deployment.Machines.All(), Kinds: kinds, MostProxies: p.Proxies,
 		List: x.agent, Prober: probe.Never{}, Peers: peers.Nobody{}, Relay: x.orders,
@@ -86,10 +86,10 @@
 	g.Go(func() error { return x.loop.Run(ctx) })
 	g.Go(func() error { return x.listener.Serve(ctx, l) })
 	g.Go(func() error { return x.orders.Run(ctx) })
-	for i := range relay.Streams {
+	for i := range relay.Subscriptions {
 		g.Go(func() error { return x.events.Run(ctx, i) })
 	}
 	g.Go(func() error { return x.agent.Run(ctx) })
-	g.Go(func() error { return x.watch(ctx, reload) })
+	g.Go(func() error { return x.superviseReloads(ctx, reload) })
 	return g.Wait()
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -31,7 +31,7 @@
 
 // TestPilot guards a start, a reload to other addresses and a wrong one, and the end, on sockets.
 func TestPilot(t *testing.T) {
-	s := &site{calls: map[string]int{}}
+	s := &scriptedSite{calls: map[string]int{}}
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	listen := free.Addr().String()
--- a/internal/platform/relay/connection.go
+++ b/internal/platform/relay/connection.go
@@ -13,48 +13,48 @@
 )
 
 // dialer opens connections to the relay.
-var dialer = net.Dialer{Timeout: dialWithin}
+var dialer = net.Dialer{Timeout: dialTimeout}
 
-func (r *Orders) hangUp() {
-	if r.conn != nil {
-		_ = r.conn.Close()
-		r.conn = nil
+func (s *Orders) closeConnection() {
+	if s.conn != nil {
+		_ = s.conn.Close()
+		s.conn = nil
 	}
 }
 
-// exchange sends a call and returns what the relay says to it.
-func (r *Orders) exchange(ctx context.Context, address string, call []op) (body []byte, last bool, err error) {
-	if r.conn != nil && (r.to != address || time.Since(r.used) > idleMost || peek.At(r.conn) != peek.Quiet) {
-		r.hangUp()
+// roundTrip sends a call and returns what the relay says to it.
+func (s *Orders) roundTrip(ctx context.Context, address string, call []command) (body []byte, last bool, err error) {
+	if s.conn != nil && (s.connAddress != address || time.Since(s.lastUsed) > maxIdle || peek.Peek(s.conn) != peek.Idle) {
+		s.closeConnection()
 	}
-	if r.conn == nil {
+	if s.conn == nil {
 		conn, err := dialer.DialContext(ctx, "tcp", address)
 		if err != nil {
-			return nil, false, fmt.Errorf("%w: dial relay: %w", errNotSent, err)
+			return nil, false, fmt.Errorf("%w: dial relay: %w", errNotExecuted, err)
 		}
-		r.conn, r.to, r.reader = conn, address, bufio.NewReaderSize(conn, 1024)
+		s.conn, s.connAddress, s.reader = conn, address, bufio.NewReaderSize(conn, 1024)
 	}
-	if err := r.conn.SetDeadline(time.Now().Add(patience)); err != nil {
-		return nil, false, fmt.Errorf("%w: set deadline: %w", errNotSent, err)
+	if err := s.conn.SetDeadline(time.Now().Add(answerTimeout)); err != nil {
+		return nil, false, fmt.Errorf("%w: set deadline: %w", errNotExecuted, err)
 	}
-	if _, err := r.conn.Write(request(address, call)); err != nil { // the last byte has not left
-		return nil, false, fmt.Errorf("%w: write call: %w", errNotSent, err)
+	if _, err := s.conn.Write(encodeRequest(address, call)); err != nil { // the last byte has not left
+		return nil, false, fmt.Errorf("%w: write call: %w", errNotExecuted, err)
 	}
-	body, last, err = r.read()
-	r.used = time.Now()
+	body, last, err = s.readAnswer()
+	s.lastUsed = time.Now()
 	return body, last, err
 }
 
-// read reads an answer whole.
-func (r *Orders) read() (body []byte, last bool, err error) {
-	resp, err := http.ReadResponse(r.reader, nil)
+// readAnswer reads an answer whole.
+func (s *Orders) readAnswer() (body []byte, last bool, err error) {
+	resp, err := http.ReadResponse(s.reader, nil)
 	if err != nil {
-		return nil, false, fmt.Errorf("%w: read answer: %w", errUncertain, err)
+		return nil, false, fmt.Errorf("%w: read answer: %w", errOutcomeUnknown, err)
 	}
 	defer resp.Body.Close()
-	body, err = io.ReadAll(io.LimitReader(resp.Body, mostBody))
+	body, err = io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
-		return nil, false, fmt.Errorf("%w: read answer: %w", errUncertain, err)
+		return nil, false, fmt.Errorf("%w: read answer: %w", errOutcomeUnknown, err)
 	}
 	return body, resp.Close, nil
 }
--- a/internal/platform/relay/connection_test.go
+++ b/internal/platform/relay/connection_test.go
@@ -10,15 +10,15 @@
 	"indigousher/brain"
 )
 
-// TestIdleConnections guards calls after the relay has closed a connection that stood idle: it is found before it is used.
-func TestIdleConnections(t *testing.T) {
-	s := newScript(t)
+// TestIdleConnectionClosedByRelay guards calls after the relay has closed a connection that stood idle: it is found before it is used.
+func TestIdleConnectionClosedByRelay(t *testing.T) {
+	s := newScriptedRelay(t)
 	s.closing = true
-	r := start(t, s.l.Addr().String())
+	r := startSender(t, s.l.Addr().String())
 	for i := 1; i <= 5; i++ {
 		r.Carry([]brain.Order{brain.SetLine{Table: i, Weight: 1}}, endpoint)
 		require.Eventually(t, func() bool { return len(s.carried()) == i && s.idle() }, 5*time.Second, time.Millisecond)
 	}
-	assert.Zero(t, r.Counters.Failed.Load())
-	assert.EqualValues(t, 5, r.Counters.Taken.Load())
+	assert.Zero(t, r.Counters.FailedCalls.Load())
+	assert.EqualValues(t, 5, r.Counters.Executed.Load())
 }
--- a/internal/platform/relay/event.go
+++ b/internal/platform/relay/event.go
@@ -22,42 +22,42 @@
 	} `json:"object"`
 }
 
-// take takes one event in.
-func (n *Events) take(ctx context.Context, i int, text []byte) error {
+// handleLine takes one event in.
+func (s *Events) handleLine(ctx context.Context, i int, text []byte) error {
 	var e event
 	if err := json.Unmarshal(text, &e); err != nil {
 		return fmt.Errorf("unreadable event: %w", err)
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.streams[i].heard = time.Now()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.subscriptions[i].lastHeard = time.Now()
 	if e.Type == "" || e.Object.Node == nil {
 		return nil // a sign of life
 	}
-	n.Counters.Events.Add(1)
-	in := n.sort(&n.streams[i], &e)
+	s.Counters.Events.Add(1)
+	in := s.apply(&s.subscriptions[i], &e)
 	if in == nil {
 		return nil
 	}
-	return n.inbox.Post(ctx, in)
+	return s.inbox.Post(ctx, in)
 }
 
-// sort returns what an event says that is new; nil: nothing.
-func (n *Events) sort(l *stream, e *event) pilot.Input {
+// apply returns what an event says that is new; nil: nothing.
+func (s *Events) apply(l *subscription, e *event) pilot.Input {
 	p := *e.Object.Node
-	m := n.members[p]
+	m := s.members[p]
 	switch e.Type {
 	case "joined":
 		// Whoever the other stream has told since this one opened has not come back meanwhile: at a start both tell all.
-		before := m != nil && !m.since.After(l.opened)
-		again := before && l.standing != nil && l.gap && !l.standing[p] && (l.long || e.Object.Cold)
+		before := m != nil && !m.since.After(l.openedAt)
+		again := before && l.standing != nil && l.afterGap && !l.standing[p] && (l.afterLongGap || e.Object.Cold)
 		if l.standing != nil {
-			l.standing[p], l.stands = true, l.heard
+			l.standing[p], l.lastStanding = true, l.lastHeard
 		}
 		if m != nil && m.zone == e.Object.Locality && !again {
 			return nil
 		}
-		n.members[p] = &member{zone: e.Object.Locality, since: l.heard}
+		s.members[p] = &member{zone: e.Object.Locality, since: l.lastHeard}
 		return pilot.Relayed{Proxy: p, Zone: e.Object.Locality, Rate: e.Object.Rate, Fresh: e.Object.Cold,
 			Stood: again && m.zone == e.Object.Locality && !e.Object.Cold}
 	case "left":
@@ -65,11 +65,11 @@
 			delete(l.standing, p)
 		}
 		if m != nil {
-			delete(n.members, p)
+			delete(s.members, p)
 			return pilot.Unrelayed{Proxy: p}
 		}
 	case "applied":
-		if m != nil && e.Object.Nonce != nil && e.Object.Latency != nil && m.answers(*e.Object.Nonce) {
+		if m != nil && e.Object.Nonce != nil && e.Object.Latency != nil && m.firstAck(*e.Object.Nonce) {
 			return pilot.RelayApplied{Proxy: p, Mark: *e.Object.Nonce, TookMs: *e.Object.Latency}
 		}
 	}
--- a/internal/platform/relay/eventstream.go
+++ b/internal/platform/relay/eventstream.go
@@ -16,31 +16,31 @@
 	"indigousher/internal/pilot"
 )
 
-// Streams is how many connections carry the events: while one breaks the other goes on.
-const Streams = 2
+// Subscriptions is how many connections carry the events: while one breaks the other goes on.
+const Subscriptions = 2
 
 // Figures of events.
 const (
-	silence   = 2500 * time.Millisecond // a sign of life comes every second; a stream silent for longer is dead
-	freshFor  = 1300 * time.Millisecond // a stream that said something since then lives
-	standsFor = 200 * time.Millisecond  // a stream that tells of no proxy for so long has told what stands
-	gapMost   = 300 * time.Millisecond  // a proxy takes longer than that to come back on a new stream
-	redial    = 30 * time.Millisecond
-	mostEvent = 1 << 16
-	mostMarks = 8 // answers to marks remembered of each proxy
+	silenceTimeout      = 2500 * time.Millisecond // a sign of life comes every second; a stream silent for longer is dead
+	liveWithin          = 1300 * time.Millisecond // a stream that said something since then lives
+	snapshotQuietPeriod = 200 * time.Millisecond  // a stream that tells of no proxy for so long has told what stands
+	maxShortGap         = 300 * time.Millisecond  // a proxy takes longer than that to come back on a new stream
+	redialDelay         = 30 * time.Millisecond
+	maxEventBytes       = 1 << 16
+	rememberedAcks      = 8 // answers to marks remembered of each proxy
 )
 
 // Events reads the relay's event streams on two connections and makes one sequence of them: what one of them has told already the
 // other tells in vain. Only where both were broken is anything inferred from what stands at the next opening.
 type Events struct {
-	Counters *Counters
-	inbox    pilot.Inbox
-	log      *zap.Logger
-	mu       sync.Mutex
-	address  string
-	members  map[int]*member
-	streams  [Streams]stream
-	covered  time.Time // until when the events are known to be whole; zero: nothing has been told
+	Counters      *Counters
+	inbox         pilot.Inbox
+	log           *zap.Logger
+	mu            sync.Mutex
+	address       string
+	members       map[int]*member
+	subscriptions [Subscriptions]subscription
+	completeUntil time.Time // until when the events are known to be whole; zero: nothing has been told
 }
 
 // NewEvents returns a reader of a relay's events.
@@ -49,39 +49,39 @@
 }
 
 // Move has the streams go to another address, one after another: the second leaves when the first stands there.
-func (n *Events) Move(address string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.address == address {
+func (s *Events) Move(address string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.address == address {
 		return
 	}
-	n.address = address
-	if cut := n.streams[0].cut; cut != nil {
+	s.address = address
+	if cut := s.subscriptions[0].cancel; cut != nil {
 		cut()
 	}
 }
 
 // Run reads one of the streams until ctx ends; there is one call for each.
-func (n *Events) Run(ctx context.Context, i int) error {
+func (s *Events) Run(ctx context.Context, i int) error {
 	for ctx.Err() == nil {
 		cctx, cancel := context.WithCancel(ctx)
-		n.mu.Lock()
-		address := n.address
-		n.streams[i].cut, n.streams[i].address = cancel, address
-		n.mu.Unlock()
-		err := n.read(cctx, address, i)
+		s.mu.Lock()
+		address := s.address
+		s.subscriptions[i].cancel, s.subscriptions[i].address = cancel, address
+		s.mu.Unlock()
+		err := s.receive(cctx, address, i)
 		cancel()
-		n.closed(i, errors.Is(err, os.ErrDeadlineExceeded))
+		s.unsubscribed(i, errors.Is(err, os.ErrDeadlineExceeded))
 		if ctx.Err() == nil {
-			n.log.Debug("event stream ended", zap.Int("stream", i), zap.Error(err))
-			pause.For(ctx, redial)
+			s.log.Debug("event stream ended", zap.Int("stream", i), zap.Error(err))
+			pause.For(ctx, redialDelay)
 		}
 	}
 	return nil
 }
 
-// read opens a stream and reads it to its end.
-func (n *Events) read(ctx context.Context, address string, i int) error {
+// receive opens a stream and reads it to its end.
+func (s *Events) receive(ctx context.Context, address string, i int) error {
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return fmt.Errorf("dial relay: %w", err)
@@ -89,7 +89,7 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	if err := conn.SetDeadline(time.Now().Add(silence)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(silenceTimeout)); err != nil {
 		return fmt.Errorf("set deadline: %w", err)
 	}
 	if _, err := conn.Write([]byte("GET /v1/events HTTP/1.1\r\nHost: " + address + "\r\n\r\n")); err != nil {
@@ -103,31 +103,31 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("read events: status %d", resp.StatusCode)
 	}
-	n.opened(i)
+	s.subscribed(i)
 	octx, over := context.WithCancel(ctx)
 	var opening sync.WaitGroup
 	opening.Go(func() {
-		for wait := standsFor; wait > 0; wait = n.opening(i) {
+		for wait := snapshotQuietPeriod; wait > 0; wait = s.snapshotRemaining(i) {
 			if !pause.For(octx, wait) {
 				return
 			}
 		}
-		n.stands(ctx, i)
+		s.endSnapshot(ctx, i)
 	})
 	defer opening.Wait()
 	defer over()
-	s := bufio.NewScanner(resp.Body)
-	s.Buffer(make([]byte, 0, 4096), mostEvent)
-	for s.Scan() {
-		if err := conn.SetReadDeadline(time.Now().Add(silence)); err != nil {
+	scanner := bufio.NewScanner(resp.Body)
+	scanner.Buffer(make([]byte, 0, 4096), maxEventBytes)
+	for scanner.Scan() {
+		if err := conn.SetReadDeadline(time.Now().Add(silenceTimeout)); err != nil {
 			return fmt.Errorf("set deadline: %w", err)
 		}
-		if err := n.take(ctx, i, s.Bytes()); err != nil {
+		if err := s.handleLine(ctx, i, scanner.Bytes()); err != nil {
 			return err
 		}
 	}
-	if s.Err() != nil {
-		return fmt.Errorf("read events: %w", s.Err())
+	if scanner.Err() != nil {
+		return fmt.Errorf("read events: %w", scanner.Err())
 	}
 	return errors.New("event stream ended")
 }
--- a/internal/platform/relay/eventstream_test.go
+++ b/internal/platform/relay/eventstream_test.go
@@ -23,9 +23,9 @@
 	return fmt.Sprintf(`{"type":"applied","object":{"node":%d,"nonce":%d,"latency":3}}`, p, mark)
 }
 
-// TestEvents drives both streams by hand: "0 open", "0 quiet" (its opening is over), "0 close", "0 silent" (it ended in
+// TestEventSequence drives both streams by hand: "0 open", "0 quiet" (its opening is over), "0 close", "0 silent" (it ended in
 // silence), "gap" (time passes with nothing open), or a line and what it says.
-func TestEvents(t *testing.T) {
+func TestEventSequence(t *testing.T) {
 	for name, c := range map[string]struct {
 		steps []string
 		want  []string
@@ -53,22 +53,22 @@
 		t.Run(name, func(t *testing.T) {
 			b := &inbox{}
 			n := NewEvents("", b, &Counters{}, zap.NewNop())
-			for i := range n.streams {
-				n.streams[i].cut = func() {}
+			for i := range n.subscriptions {
+				n.subscriptions[i].cancel = func() {}
 			}
 			for _, s := range c.steps {
 				i := int(s[0] - '0')
 				switch {
 				case s == "gap":
-					n.covered = n.covered.Add(-time.Minute)
+					n.completeUntil = n.completeUntil.Add(-time.Minute)
 				case s[1:] == " open":
-					n.opened(i)
+					n.subscribed(i)
 				case s[1:] == " quiet":
-					n.stands(context.Background(), i)
+					n.endSnapshot(context.Background(), i)
 				case s[1:] == " close":
-					n.closed(i, false)
+					n.unsubscribed(i, false)
 				default:
-					require.NoError(t, n.take(context.Background(), i, []byte(s[1:])))
+					require.NoError(t, n.handleLine(context.Background(), i, []byte(s[1:])))
 				}
 			}
 			assert.Equal(t, c.want, b.got)
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestEventsBreakInALine guards what is cut off in the middle of an event stream: half of a proxy's leaving is nothing.
-func TestEventsBreakInALine(t *testing.T) {
+// TestEventStreamBreaksInsideLine guards what is cut off in the middle of an event stream: half of a proxy's leaving is nothing.
+func TestEventStreamBreaksInsideLine(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -107,8 +107,8 @@
 	assert.NotEmpty(t, b.all())
 }
 
-// TestEventsOnSockets has events cut anywhere, chunk by chunk, a silent relay left for another, and nothing more written.
-func TestEventsOnSockets(t *testing.T) {
+// TestEventStreamOnSockets has events cut anywhere, chunk by chunk, a silent relay left for another, and nothing more written.
+func TestEventStreamOnSockets(t *testing.T) {
 	serve := func(text string, hold bool) string {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
--- a/internal/platform/relay/merge.go
+++ b/internal/platform/relay/merge.go
@@ -2,42 +2,42 @@
 
 import "slices"
 
-// fresh drops from a sequence what something later in it has outdated, and leaves the rest in order.
-func fresh(ops []op) []op {
-	seen, cleared := map[string]bool{}, map[string]bool{}
-	kept, marks := make([]op, 0, len(ops)), []int(nil)
-	for i := len(ops) - 1; i >= 0; i-- {
-		o := ops[i]
-		if seen[o.key] || o.table != "" && cleared[o.table] {
-			marks = append(marks, o.marks...)
+// merge drops from a sequence what something later in it has outdated, and leaves the rest in order.
+func merge(commands []command) []command {
+	seenKeys, clearedTables := map[string]bool{}, map[string]bool{}
+	kept, supersededAcks := make([]command, 0, len(commands)), []int(nil)
+	for i := len(commands) - 1; i >= 0; i-- {
+		o := commands[i]
+		if seenKeys[o.key] || o.table != "" && clearedTables[o.table] {
+			supersededAcks = append(supersededAcks, o.acks...)
 			continue
 		}
-		seen[o.key] = true
-		if o.clear {
-			cleared[o.table] = true
+		seenKeys[o.key] = true
+		if o.clearsTable {
+			clearedTables[o.table] = true
 		}
 		kept = append(kept, o)
 	}
 	slices.Reverse(kept)
 	for i := range kept {
-		if len(kept[i].marks) > 0 {
-			kept[i].marks = append(slices.Clone(kept[i].marks), marks...)
+		if len(kept[i].acks) > 0 {
+			kept[i].acks = append(slices.Clone(kept[i].acks), supersededAcks...)
 		}
 	}
 	return kept
 }
 
-// split cuts orders into calls of bounded size.
-func split(ops []op) (calls [][]op) {
+// splitCalls cuts orders into calls of bounded size.
+func splitCalls(commands []command) (calls [][]command) {
 	from, size := 0, 0
-	for i, o := range ops {
-		if size += len(o.text) + 1; size > mostCall {
-			calls = append(calls, ops[from:i:i])
-			from, size = i, len(o.text)+1
+	for i, o := range commands {
+		if size += len(o.encoded) + 1; size > maxCallBytes {
+			calls = append(calls, commands[from:i:i])
+			from, size = i, len(o.encoded)+1
 		}
 	}
-	if from < len(ops) {
-		calls = append(calls, ops[from:])
+	if from < len(commands) {
+		calls = append(calls, commands[from:])
 	}
 	return calls
 }
--- a/internal/platform/relay/queue_test.go
+++ b/internal/platform/relay/queue_test.go
@@ -12,14 +12,14 @@
 	"indigousher/brain"
 )
 
-// TestOutdated guards what waits while the relay is out of reach: a line set anew is said once, with its last weight, a
+// TestSupersededCommands guards what waits while the relay is out of reach: a line set anew is said once, with its last weight, a
 // proxy that has left is not bound, and drains keep their place before what follows them.
-func TestOutdated(t *testing.T) {
+func TestSupersededCommands(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := l.Addr().String()
 	require.NoError(t, l.Close())
-	r := start(t, address)
+	r := startSender(t, address)
 	for w := 1; w <= 100; w++ {
 		r.Carry([]brain.Order{brain.SetLine{Table: 1, Endpoint: 1, Weight: float64(w)}, brain.Bind{Table: 1, Proxy: 3}, brain.Mark{Number: w}}, endpoint)
 	}
@@ -30,7 +30,7 @@
 		defer r.mu.Unlock()
 		return len(r.queue) <= 1
 	}, 10*time.Second, time.Millisecond)
-	s := newScript(t)
+	s := newScriptedRelay(t)
 	r.Move(s.l.Addr().String())
 	require.Eventually(t, func() bool { return len(s.carried()) >= 4 }, 10*time.Second, time.Millisecond)
 	got := s.carried()
--- a/internal/platform/relay/scriptedrelay_test.go
+++ b/internal/platform/relay/scriptedrelay_test.go
@@ -17,10 +17,10 @@
 	"go.uber.org/zap"
 )
 
-// script is a relay that answers each call as told: "ok", "halt N", "lost" (carried out, no answer), "broken" (not
+// scriptedRelay is a relay that answers each call as told: "ok", "halt N", "lost" (carried out, no answer), "broken" (not
 // carried out, no answer), "late" (carried out, silence), "garbage", "too many", "limit", "malformed". After the script
 // all calls are answered.
-type script struct {
+type scriptedRelay struct {
 	t     *testing.T
 	l     net.Listener
 	mu    sync.Mutex
@@ -35,22 +35,22 @@
 }
 
 // idle returns whether no connection stands.
-func (s *script) idle() bool {
+func (s *scriptedRelay) idle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.open == 0
 }
 
-func newScript(t *testing.T, steps ...string) *script {
+func newScriptedRelay(t *testing.T, steps ...string) *scriptedRelay {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &script{t: t, l: l, steps: steps}
+	s := &scriptedRelay{t: t, l: l, steps: steps}
 	go s.accept()
 	t.Cleanup(func() { _ = l.Close() })
 	return s
 }
 
-func (s *script) accept() {
+func (s *scriptedRelay) accept() {
 	for {
 		conn, err := s.l.Accept()
 		if err != nil {
@@ -60,7 +60,7 @@
 	}
 }
 
-func (s *script) serve(conn net.Conn) {
+func (s *scriptedRelay) serve(conn net.Conn) {
 	s.mu.Lock()
 	s.open++
 	s.mu.Unlock()
@@ -84,7 +84,7 @@
 }
 
 // answer takes one call and returns whether the connection stays.
-func (s *script) answer(conn net.Conn, body []byte) bool {
+func (s *scriptedRelay) answer(conn net.Conn, body []byte) bool {
 	var call struct{ Ops []map[string]any }
 	if !assert.NoError(s.t, json.Unmarshal(body, &call)) {
 		return false
@@ -103,7 +103,7 @@
 		halt = 0
 	}
 	for _, o := range call.Ops[:halt] {
-		s.done = append(s.done, short(o))
+		s.done = append(s.done, summarize(o))
 	}
 	s.mu.Unlock()
 	text := map[string]string{"lost": "", "broken": "", "garbage": "{ok", "too many": `{"ok_count":99}`,
@@ -111,7 +111,7 @@
 		"text": `{"ok_count":"4"}`, "half": `{"ok_count":4}`}
 	switch out, known := text[step]; {
 	case step == "late":
-		time.Sleep(2 * patience)
+		time.Sleep(2 * answerTimeout)
 		return false
 	case known && out == "":
 		return false
@@ -127,7 +127,7 @@
 	}
 }
 
-func (s *script) answerProbe(conn net.Conn) bool {
+func (s *scriptedRelay) answerProbe(conn net.Conn) bool {
 	s.mu.Lock()
 	out := `{"ok_count":0}`
 	if s.spoilt > 0 {
@@ -139,7 +139,7 @@
 	return err == nil
 }
 
-func short(o map[string]any) string {
+func summarize(o map[string]any) string {
 	switch o["verb"] {
 	case "SET":
 		return fmt.Sprint("SET ", o["cluster"], " ", o["endpoint"], " ", o["w"])
@@ -151,7 +151,7 @@
 	return fmt.Sprint(o["verb"], " ", o["endpoint"])
 }
 
-func (s *script) carried() []string {
+func (s *scriptedRelay) carried() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string{}, s.done...)
@@ -159,14 +159,14 @@
 
 func endpoint(i int) string { return fmt.Sprint("e", i) }
 
-// start runs the way out to a scripted relay.
-func start(t *testing.T, address string) *Orders {
+// startSender runs the way out to a scripted relay.
+func startSender(t *testing.T, address string) *Orders {
 	r := NewOrders(address, []string{"read", "write"}, &inbox{}, &Counters{}, zap.NewNop())
-	run(t, r)
+	runSender(t, r)
 	return r
 }
 
-func run(t *testing.T, r *Orders) {
+func runSender(t *testing.T, r *Orders) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- r.Run(ctx) }()
--- a/internal/platform/relay/sender_test.go
+++ b/internal/platform/relay/sender_test.go
@@ -10,9 +10,9 @@
 	"indigousher/brain"
 )
 
-// TestCalls plays each way in which a call may end. What was uncertain is said again once, in order, and nothing older
+// TestCallOutcomes plays each way in which a call may end. What was uncertain is said again once, in order, and nothing older
 // after anything newer.
-func TestCalls(t *testing.T) {
+func TestCallOutcomes(t *testing.T) {
 	set := func(e int, w float64) brain.Order { return brain.SetLine{Table: 1, Endpoint: e, Weight: w} }
 	out := brain.Withdraw{Endpoint: 7, Out: true}
 	turn := []brain.Order{set(1, 2), brain.Bind{Table: 1, Proxy: 9, Kinds: 3}, out, brain.Mark{Number: 5}}
@@ -40,8 +40,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newScript(t, c.steps...)
-			r := start(t, s.l.Addr().String())
+			s := newScriptedRelay(t, c.steps...)
+			r := startSender(t, s.l.Addr().String())
 			r.Carry(turn, endpoint)
 			last := []brain.Order{set(4, 1)}
 			require.Eventually(t, func() bool {
@@ -57,15 +57,15 @@
 	}
 }
 
-// TestClosedUnderACall guards a call whose connection, used before, ends as its last byte arrives: it is said again.
-func TestClosedUnderACall(t *testing.T) {
-	s := newScript(t, "ok", "broken")
-	r := start(t, s.l.Addr().String())
+// TestConnectionClosedDuringCall guards a call whose connection, used before, ends as its last byte arrives: it is said again.
+func TestConnectionClosedDuringCall(t *testing.T) {
+	s := newScriptedRelay(t, "ok", "broken")
+	r := startSender(t, s.l.Addr().String())
 	for i := 1; i <= 2; i++ {
 		r.Carry([]brain.Order{brain.SetLine{Table: 1, Endpoint: i, Weight: 1}}, endpoint)
 		require.Eventually(t, func() bool { return len(s.carried()) == i }, 5*time.Second, time.Millisecond)
 	}
 	assert.Equal(t, []string{"SET 1 e1 1", "SET 1 e2 1"}, s.carried())
-	require.Eventually(t, func() bool { return r.Counters.Taken.Load() == 2 }, 5*time.Second, time.Millisecond)
-	assert.EqualValues(t, 1, r.Counters.Uncertain.Load())
+	require.Eventually(t, func() bool { return r.Counters.Executed.Load() == 2 }, 5*time.Second, time.Millisecond)
+	assert.EqualValues(t, 1, r.Counters.OutcomeUnknown.Load())
 }
--- a/internal/platform/relay/snapshot.go
+++ b/internal/platform/relay/snapshot.go
@@ -10,43 +10,43 @@
 	"indigousher/internal/pilot"
 )
 
-// opening returns how long a stream may still be telling what stands. Thousands of proxies take their time, above all on
+// snapshotRemaining returns how long a stream may still be telling what stands. Thousands of proxies take their time, above all on
 // part of a core, and whoever is told late would be taken for one that has left.
-func (n *Events) opening(i int) time.Duration {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.streams[i].standing == nil {
+func (s *Events) snapshotRemaining(i int) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.subscriptions[i].standing == nil {
 		return 0
 	}
-	return standsFor - time.Since(n.streams[i].stands)
+	return snapshotQuietPeriod - time.Since(s.subscriptions[i].lastStanding)
 }
 
-// stands ends the opening of a stream: after a gap, proxies that were not told have left.
-func (n *Events) stands(ctx context.Context, i int) {
-	n.mu.Lock()
-	l := &n.streams[i]
+// endSnapshot ends the opening of a stream: after a gap, proxies that were not told have left.
+func (s *Events) endSnapshot(ctx context.Context, i int) {
+	s.mu.Lock()
+	l := &s.subscriptions[i]
 	var left []int
 	if l.open && l.standing != nil {
-		if l.gap {
-			n.log.Info("proxies told after a gap", zap.Int("stream", i), zap.Int("standing", len(l.standing)),
-				zap.Int("known", len(n.members)), zap.Bool("long", l.long))
-			for p := range n.members {
+		if l.afterGap {
+			s.log.Info("proxies told after a gap", zap.Int("stream", i), zap.Int("standing", len(l.standing)),
+				zap.Int("known", len(s.members)), zap.Bool("long", l.afterLongGap))
+			for p := range s.members {
 				if !l.standing[p] {
 					left = append(left, p)
 				}
 			}
 		}
 		l.standing = nil
-		for j := range n.streams { // one at an address that was left has told what happened up to here
-			if o := &n.streams[j]; l.address == n.address && o.address != n.address && o.cut != nil {
-				o.cut()
+		for j := range s.subscriptions { // one at an address that was left has told what happened up to here
+			if o := &s.subscriptions[j]; l.address == s.address && o.address != s.address && o.cancel != nil {
+				o.cancel()
 			}
 		}
 	}
 	slices.Sort(left)
 	for _, p := range left {
-		delete(n.members, p)
-		_ = n.inbox.Post(ctx, pilot.Unrelayed{Proxy: p}) // fails only when all ends
+		delete(s.members, p)
+		_ = s.inbox.Post(ctx, pilot.Unrelayed{Proxy: p}) // fails only when all ends
 	}
-	n.mu.Unlock()
+	s.mu.Unlock()
 }
--- a/internal/platform/relay/snapshot_test.go
+++ b/internal/platform/relay/snapshot_test.go
@@ -10,18 +10,18 @@
 	"go.uber.org/zap"
 )
 
-// TestOpeningOfThousands guards proxies that are told late at an opening: one that counted as over after a fixed time had
+// TestSnapshotOfThousands guards proxies that are told late at an opening: one that counted as over after a fixed time had
 // them leave and join, bound anew.
-func TestOpeningOfThousands(t *testing.T) {
+func TestSnapshotOfThousands(t *testing.T) {
 	n := NewEvents("", &inbox{}, &Counters{}, zap.NewNop())
-	assert.LessOrEqual(t, n.opening(0), time.Duration(0), "not open")
-	n.opened(0)
+	assert.LessOrEqual(t, n.snapshotRemaining(0), time.Duration(0), "not open")
+	n.subscribed(0)
 	for p := range 2400 {
-		n.streams[0].stands = n.streams[0].stands.Add(-time.Minute) // long ago
-		assert.LessOrEqual(t, n.opening(0), time.Duration(0))
-		require.NoError(t, n.take(context.Background(), 0, []byte(joined(p, false))))
-		assert.Positive(t, n.opening(0), "another may follow")
+		n.subscriptions[0].lastStanding = n.subscriptions[0].lastStanding.Add(-time.Minute) // long ago
+		assert.LessOrEqual(t, n.snapshotRemaining(0), time.Duration(0))
+		require.NoError(t, n.handleLine(context.Background(), 0, []byte(joined(p, false))))
+		assert.Positive(t, n.snapshotRemaining(0), "another may follow")
 	}
-	n.stands(context.Background(), 0)
-	assert.Zero(t, n.opening(0))
+	n.endSnapshot(context.Background(), 0)
+	assert.Zero(t, n.snapshotRemaining(0))
 }
--- a/internal/platform/relay/subscription_test.go
+++ b/internal/platform/relay/subscription_test.go
@@ -9,14 +9,14 @@
 	"go.uber.org/zap"
 )
 
-// TestASilentLineHasTheOtherOpenAnew guards what happened after a line fell silent and before the other stood.
-func TestASilentLineHasTheOtherOpenAnew(t *testing.T) {
+// TestSilentSubscriptionReopensTheOther guards what happened after a line fell silent and before the other stood.
+func TestSilentSubscriptionReopensTheOther(t *testing.T) {
 	n, cut := NewEvents("", &inbox{}, &Counters{}, zap.NewNop()), 0
-	n.streams[0].cut, n.streams[1].cut = func() {}, func() { cut++ }
-	n.opened(0)
-	n.stands(context.Background(), 0)
+	n.subscriptions[0].cancel, n.subscriptions[1].cancel = func() {}, func() { cut++ }
+	n.subscribed(0)
+	n.endSnapshot(context.Background(), 0)
 	time.Sleep(time.Millisecond)
-	n.opened(1)
-	n.closed(0, true)
+	n.subscribed(1)
+	n.unsubscribed(0, true)
 	assert.Equal(t, 1, cut)
 }
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -9,28 +9,28 @@
 	"indigousher/internal/platform/config"
 )
 
-// watch reloads when told to and prints the counters now and then.
-func (x *Pilot) watch(ctx context.Context, reload <-chan struct{}) error {
-	t := time.NewTicker(countEvery)
+// superviseReloads reloads when told to and prints the counters now and then.
+func (x *Pilot) superviseReloads(ctx context.Context, reload <-chan struct{}) error {
+	t := time.NewTicker(reportInterval)
 	defer t.Stop()
-	again, left := time.NewTimer(rereadEach), 0
+	again, left := time.NewTimer(rereadInterval), 0
 	defer again.Stop()
 	for {
 		select {
 		case <-reload:
-			if left = rereadMost; x.reload(true) {
+			if left = maxRereads; x.reload(true) {
 				left = 0
 			}
-			again.Reset(rereadEach)
+			again.Reset(rereadInterval)
 		case <-again.C:
 			if left--; left >= 0 && x.reload(left == 0) {
 				left = 0
 			}
 			if left > 0 {
-				again.Reset(rereadEach)
+				again.Reset(rereadInterval)
 			}
 		case <-t.C:
-			x.count()
+			x.report()
 		case <-ctx.Done():
 			return nil
 		}
--- a/internal/platform/scriptedsite_test.go
+++ b/internal/platform/scriptedsite_test.go
@@ -15,14 +15,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// site is the platform around one pilot: discovery and a relay, at as many addresses as wanted.
-type site struct {
+// scriptedSite is the platform around one pilot: discovery and a relay, at as many addresses as wanted.
+type scriptedSite struct {
 	mu    sync.Mutex
 	ops   []string
 	calls map[string]int
 }
 
-func (s *site) open(t *testing.T) string {
+func (s *scriptedSite) open(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -40,7 +40,7 @@
 	return address
 }
 
-func (s *site) serve(conn net.Conn, address string) {
+func (s *scriptedSite) serve(conn net.Conn, address string) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
 	for {
@@ -89,13 +89,13 @@
 	}
 }
 
-func (s *site) has(what string) bool {
+func (s *scriptedSite) has(what string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return strings.Contains(strings.Join(s.ops, "\n"), what)
 }
 
-func (s *site) asked(what string) int {
+func (s *scriptedSite) asked(what string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[what]
--- a/internal/platform/simulator_test.go
+++ b/internal/platform/simulator_test.go
@@ -17,10 +17,10 @@
 	"indigousher/internal/wire"
 )
 
-// kept keeps what a core hands to its relay.
-type kept struct{ lines []string }
+// recordingRelay keeps what a core hands to its relay.
+type recordingRelay struct{ lines []string }
 
-func (k *kept) Carry(turn []brain.Order, endpoint func(int) string) {
+func (k *recordingRelay) Carry(turn []brain.Order, endpoint func(int) string) {
 	for _, o := range turn {
 		switch o := o.(type) {
 		case brain.SetLine:
@@ -33,14 +33,14 @@
 	}
 }
 
-func (k *kept) Gone(int) {}
+func (k *recordingRelay) Gone(int) {}
 
 // TestSameSettingsSameOrders guards that simulator and platform give the module the same: one translation of settings
 // and names, the same notes, and so the same orders.
 func TestSameSettingsSameOrders(t *testing.T) {
-	p, k := placement(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1"), &kept{}
+	p, k := placement(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1"), &recordingRelay{}
 	c := pilot.NewCore(pilot.Plan{Decider: brain.New(5, p.Deployment.Terms), Terms: p.Deployment.Terms, Zones: p.Deployment.Zones.All(),
-		Machines: p.Deployment.Machines.All(), Kinds: p.Deployment.Kinds.All(), MostProxies: p.Proxies, Relay: k, List: x{}, Prober: probe.Never{},
+		Machines: p.Deployment.Machines.All(), Kinds: p.Deployment.Kinds.All(), MostProxies: p.Proxies, Relay: k, List: noEndpointSource{}, Prober: probe.Never{},
 		Peers: peers.Nobody{}, Log: func(string) {}, Odd: func(what string, _ ...string) { t.Error(what) }})
 	entries, hosts := []wire.Entry{}, []string{}
 	for i := range 6 {
@@ -93,8 +93,8 @@
 	return lines
 }
 
-type x struct{}
+type noEndpointSource struct{}
 
-func (x) Watch(bool) {}
+func (noEndpointSource) Watch(bool) {}
 
-func (x) Fetch() {}
+func (noEndpointSource) Fetch() {}
