--- a/internal/platform/relay/call.go
+++ b/internal/platform/relay/call.go
@@ -3,27 +3,47 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"strconv"
 )
 
-// ackNumbers returns the marks that a call sets, with those that they have outdated.
-func ackNumbers(call []command) (numbers []int) {
-	for _, o := range call {
-		numbers = append(numbers, o.acks...)
+// maxCallBytes bounds the commands of a call. The relay takes 60,000 bytes with all that surrounds them.
+const maxCallBytes = 59000
+
+// How a call may fail. Each says whether its commands may have been executed.
+var (
+	// errNotExecuted: it did not leave whole, so that the relay has executed nothing.
+	errNotExecuted = errors.New("not carried out")
+	// errOutcomeUnknown: it left whole, and no usable answer came.
+	errOutcomeUnknown = errors.New("carried out or not")
+	// errRunNotStarted: the relay takes no commands yet and has executed nothing.
+	errRunNotStarted = errors.New("the run has not begun")
+	// errRejected: the relay rejected it as a whole and has executed nothing.
+	errRejected = errors.New("refused")
+)
+
+// call is a sequence of commands that goes to the relay in one request. The relay executes them in order and halts at
+// the first that it can't use.
+type call []command
+
+// ackNumbers returns the numbers of a call's ack requests, with those that they have superseded.
+func (c call) ackNumbers() (numbers []int) {
+	for _, cmd := range c {
+		numbers = append(numbers, cmd.acks...)
 	}
 	return numbers
 }
 
-// encodeRequest lays a call out.
-func encodeRequest(host string, call []command) []byte {
+// encodeRequest returns the HTTP request of a call.
+func encodeRequest(host string, c call) []byte {
 	var body bytes.Buffer
 	body.WriteString(`{"ops":[`)
-	for i, o := range call {
+	for i, cmd := range c {
 		if i > 0 {
 			body.WriteByte(',')
 		}
-		body.Write(o.encoded)
+		body.Write(cmd.encoded)
 	}
 	body.WriteString("]}")
 	head := "POST /v1/orders HTTP/1.1\r\nHost: " + host + "\r\nContent-Type: application/json\r\nContent-Length: " +
@@ -31,22 +51,23 @@
 	return append([]byte(head), body.Bytes()...)
 }
 
-// parseAnswer returns what an answer says of a call. Whatever can't be read or can't be leaves it uncertain.
-func parseAnswer(body []byte, orders int) (taken int, err error) {
-	var a struct {
+// parseAnswer returns how many of a call's commands the relay says to have executed. An answer that can't be read, or
+// can't be true of a call of this length, leaves the outcome unknown.
+func parseAnswer(body []byte, commands int) (executed int, err error) {
+	var answer struct {
 		Count *int    `json:"ok_count"`
 		Error *string `json:"error"`
 	}
-	if err := json.Unmarshal(body, &a); err != nil {
+	if err := json.Unmarshal(body, &answer); err != nil {
 		return 0, fmt.Errorf("%w: unreadable answer: %w", errOutcomeUnknown, err)
 	}
 	switch {
-	case a.Error != nil && *a.Error == "limit":
+	case answer.Error != nil && *answer.Error == "limit":
 		return 0, errRunNotStarted
-	case a.Error != nil:
-		return 0, fmt.Errorf("%w: %.80q", errRejected, *a.Error)
-	case a.Count == nil || *a.Count < 0 || *a.Count > orders:
+	case answer.Error != nil:
+		return 0, fmt.Errorf("%w: %.80q", errRejected, *answer.Error)
+	case answer.Count == nil || *answer.Count < 0 || *answer.Count > commands:
 		return 0, fmt.Errorf("%w: no possible count in the answer", errOutcomeUnknown)
 	}
-	return *a.Count, nil
+	return *answer.Count, nil
 }
--- a/internal/platform/relay/connection_test.go
+++ b/internal/platform/relay/connection_test.go
@@ -10,15 +10,31 @@
 	"indigousher/brain"
 )
 
-// TestIdleConnectionClosedByRelay guards calls after the relay has closed a connection that stood idle: it is found before it is used.
+// TestConnectionClosedDuringCall guards a call whose connection, used before, ends as its last byte arrives: it is sent
+// again.
+func TestConnectionClosedDuringCall(t *testing.T) {
+	s := newScriptedRelay(t, "ok", "broken")
+	sender := startSender(t, s.address())
+	for i := 1; i <= 2; i++ {
+		sender.Carry([]brain.Order{setWeight(i, 1)}, endpointName)
+		require.Eventually(t, func() bool { return len(s.executedCommands()) == i }, 5*time.Second, time.Millisecond)
+	}
+	assert.Equal(t, []string{"SET 1 e1 1", "SET 1 e2 1"}, s.executedCommands())
+	require.Eventually(t, func() bool { return sender.Counters.Executed.Load() == 2 }, 5*time.Second, time.Millisecond)
+	assert.EqualValues(t, 1, sender.Counters.OutcomeUnknown.Load())
+}
+
+// TestIdleConnectionClosedByRelay guards calls after the relay has closed a connection that stood idle: that is found
+// before it is used.
 func TestIdleConnectionClosedByRelay(t *testing.T) {
 	s := newScriptedRelay(t)
 	s.closing = true
-	r := startSender(t, s.l.Addr().String())
+	sender := startSender(t, s.address())
 	for i := 1; i <= 5; i++ {
-		r.Carry([]brain.Order{brain.SetLine{Table: i, Weight: 1}}, endpoint)
-		require.Eventually(t, func() bool { return len(s.carried()) == i && s.idle() }, 5*time.Second, time.Millisecond)
+		sender.Carry([]brain.Order{brain.SetLine{Table: i, Weight: 1}}, endpointName)
+		executed := func() bool { return len(s.executedCommands()) == i && s.idle() }
+		require.Eventually(t, executed, 5*time.Second, time.Millisecond)
 	}
-	assert.Zero(t, r.Counters.FailedCalls.Load())
-	assert.EqualValues(t, 5, r.Counters.Executed.Load())
+	assert.Zero(t, sender.Counters.FailedCalls.Load())
+	assert.EqualValues(t, 5, sender.Counters.Executed.Load())
 }
--- a/internal/platform/relay/eventstream_test.go
+++ b/internal/platform/relay/eventstream_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"net"
-	"os"
 	"testing"
 	"time"
 
@@ -13,141 +12,210 @@
 	"go.uber.org/zap"
 )
 
-func joined(p int, cold bool) string {
-	return fmt.Sprintf(`{"type":"joined","object":{"node":%d,"locality":"a","w":2.5,"cold":%t}}`, p, cold)
+func joined(proxy int, cold bool) string {
+	return fmt.Sprintf(`{"type":"joined","object":{"node":%d,"locality":"a","w":2.5,"cold":%t}}`, proxy, cold)
 }
 
-func left(p int) string { return fmt.Sprintf(`{"type":"left","object":{"node":%d}}`, p) }
+func left(proxy int) string { return fmt.Sprintf(`{"type":"left","object":{"node":%d}}`, proxy) }
 
-func applied(p, mark int) string {
-	return fmt.Sprintf(`{"type":"applied","object":{"node":%d,"nonce":%d,"latency":3}}`, p, mark)
+func applied(proxy, number int) string {
+	return fmt.Sprintf(`{"type":"applied","object":{"node":%d,"nonce":%d,"latency":3}}`, proxy, number)
 }
 
-// TestEventSequence drives both streams by hand: "0 open", "0 quiet" (its opening is over), "0 close", "0 silent" (it ended in
-// silence), "gap" (time passes with nothing open), or a line and what it says.
+// step drives an event stream by hand.
+type step func(t *testing.T, events *Events)
+
+func opens(i int) step { return func(_ *testing.T, events *Events) { events.subscribed(i) } }
+
+// firstCloses ends the first subscription, not in silence.
+func firstCloses(_ *testing.T, events *Events) { events.unsubscribed(0, false) }
+
+func snapshotEnds(i int) step {
+	return func(_ *testing.T, events *Events) { events.endSnapshot(context.Background(), i) }
+}
+
+func tells(i int, line string) step {
+	return func(t *testing.T, events *Events) {
+		require.NoError(t, events.handleLine(context.Background(), i, []byte(line)))
+	}
+}
+
+// longGap has time pass with no subscription open.
+func longGap(_ *testing.T, events *Events) {
+	events.completeUntil = events.completeUntil.Add(-time.Minute)
+}
+
+// TestEventSequence guards the one sequence that is made of two subscriptions' events.
 func TestEventSequence(t *testing.T) {
 	for name, c := range map[string]struct {
-		steps []string
+		steps []step
 		want  []string
 	}{
-		"told once": {[]string{"0 open", "1 open", "0" + joined(1, true), "1" + joined(1, true), "0" + applied(1, 7), "1" + applied(1, 7),
-			"0" + left(1), "1" + left(1)}, []string{"joined 1", "applied 1 7", "left 1"}},
-		"a start: the second tells first": {[]string{"0 open", "1 open", "1" + joined(1, true), "0" + joined(1, true), "0" + joined(2, true),
-			"1" + joined(2, true), "0 quiet", "1 quiet"}, []string{"joined 1", "joined 2"}},
-		"a gap: the second tells first": {[]string{"0 open", "0" + joined(1, true), "0 quiet", "0 close", "gap", "0 open", "1 open",
-			"1" + joined(1, true), "0" + joined(1, true)}, []string{"joined 1", "joined 1"}},
-		"comes back": {[]string{"0 open", "0" + joined(1, true), "0" + left(1), "0" + joined(1, false)}, []string{"joined 1", "left 1", "joined 1"}},
-		"one line breaks": {[]string{"0 open", "1 open", "0" + joined(1, true), "0" + joined(2, true), "0 quiet", "1 quiet", "0 close",
-			"1" + left(2), "0 open", "0" + joined(1, false), "0 quiet"}, []string{"joined 1", "joined 2", "left 2"}},
-		"a gap: who is not told has left, who stands may have come back": {[]string{"0 open", "0" + joined(1, true), "0" + joined(2, true),
-			"0 quiet", "0 close", "gap", "0 open", "0" + joined(1, false), "0 quiet"},
-			[]string{"joined 1", "joined 2", "stood 1", "left 2"}},
-		"a gap: one that started anew has not stood": {[]string{"0 open", "0" + joined(1, false), "0 quiet", "0 close", "gap", "0 open",
-			"0" + joined(1, true)}, []string{"joined 1", "joined 1"}},
-		"a short gap: who stands has stood": {[]string{"0 open", "0" + joined(1, true), "0" + joined(2, true), "0 quiet", "0 close",
-			"0 open", "0" + joined(1, false), "0" + joined(2, true), "0 quiet"}, []string{"joined 1", "joined 2", "joined 2"}},
-		"an opening that breaks tells nobody's end": {[]string{"0 open", "0" + joined(1, true), "0 quiet", "0 close", "gap", "0 open", "0 close",
-			"0 open", "0" + joined(1, false), "0 quiet"}, []string{"joined 1", "stood 1"}},
-		"answers of strangers": {[]string{"0 open", "0" + applied(4, 1), "0" + left(4), "0{}", `0{"type":"joined","object":{}}`}, nil},
+		"told once": {
+			[]step{
+				opens(0), opens(1), tells(0, joined(1, true)), tells(1, joined(1, true)),
+				tells(0, applied(1, 7)), tells(1, applied(1, 7)), tells(0, left(1)), tells(1, left(1)),
+			},
+			[]string{"joined 1", "applied 1 7", "left 1"},
+		},
+		"a start: the second tells first": {
+			[]step{
+				opens(0), opens(1), tells(1, joined(1, true)), tells(0, joined(1, true)),
+				tells(0, joined(2, true)), tells(1, joined(2, true)), snapshotEnds(0), snapshotEnds(1),
+			},
+			[]string{"joined 1", "joined 2"},
+		},
+		"a gap: the second tells first": {
+			[]step{
+				opens(0), tells(0, joined(1, true)), snapshotEnds(0), firstCloses, longGap,
+				opens(0), opens(1), tells(1, joined(1, true)), tells(0, joined(1, true)),
+			},
+			[]string{"joined 1", "joined 1"},
+		},
+		"a proxy comes back": {
+			[]step{opens(0), tells(0, joined(1, true)), tells(0, left(1)), tells(0, joined(1, false))},
+			[]string{"joined 1", "left 1", "joined 1"},
+		},
+		"one subscription breaks": {
+			[]step{
+				opens(0), opens(1), tells(0, joined(1, true)), tells(0, joined(2, true)), snapshotEnds(0), snapshotEnds(1),
+				firstCloses, tells(1, left(2)), opens(0), tells(0, joined(1, false)), snapshotEnds(0),
+			},
+			[]string{"joined 1", "joined 2", "left 2"},
+		},
+		"a gap: one that is not told has left, one that stands may have come back": {
+			[]step{
+				opens(0), tells(0, joined(1, true)), tells(0, joined(2, true)), snapshotEnds(0), firstCloses, longGap,
+				opens(0), tells(0, joined(1, false)), snapshotEnds(0),
+			},
+			[]string{"joined 1", "joined 2", "stood 1", "left 2"},
+		},
+		"a gap: one that started anew has not stood": {
+			[]step{
+				opens(0), tells(0, joined(1, false)), snapshotEnds(0), firstCloses, longGap,
+				opens(0), tells(0, joined(1, true)),
+			},
+			[]string{"joined 1", "joined 1"},
+		},
+		"a short gap: one that stands has stood": {
+			[]step{
+				opens(0), tells(0, joined(1, true)), tells(0, joined(2, true)), snapshotEnds(0), firstCloses,
+				opens(0), tells(0, joined(1, false)), tells(0, joined(2, true)), snapshotEnds(0),
+			},
+			[]string{"joined 1", "joined 2", "joined 2"},
+		},
+		"a snapshot that breaks makes nobody leave": {
+			[]step{
+				opens(0), tells(0, joined(1, true)), snapshotEnds(0), firstCloses, longGap,
+				opens(0), firstCloses, opens(0), tells(0, joined(1, false)), snapshotEnds(0),
+			},
+			[]string{"joined 1", "stood 1"},
+		},
+		"events of unknown proxies": {
+			[]step{
+				opens(0), tells(0, applied(4, 1)), tells(0, left(4)), tells(0, "{}"),
+				tells(0, `{"type":"joined","object":{}}`),
+			},
+			nil,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := &inbox{}
-			n := NewEvents("", b, &Counters{}, zap.NewNop())
-			for i := range n.subscriptions {
-				n.subscriptions[i].cancel = func() {}
+			events := NewEvents("", b, &Counters{}, zap.NewNop())
+			for i := range events.subscriptions {
+				events.subscriptions[i].cancel = func() {}
 			}
-			for _, s := range c.steps {
-				i := int(s[0] - '0')
-				switch {
-				case s == "gap":
-					n.completeUntil = n.completeUntil.Add(-time.Minute)
-				case s[1:] == " open":
-					n.subscribed(i)
-				case s[1:] == " quiet":
-					n.endSnapshot(context.Background(), i)
-				case s[1:] == " close":
-					n.unsubscribed(i, false)
-				default:
-					require.NoError(t, n.handleLine(context.Background(), i, []byte(s[1:])))
-				}
+			for _, does := range c.steps {
+				does(t, events)
 			}
 			assert.Equal(t, c.want, b.got)
 		})
 	}
 }
 
-// TestEventStreamBreaksInsideLine guards what is cut off in the middle of an event stream: half of a proxy's leaving is nothing.
+// runEvents runs one subscription. The function that it returns ends it and checks that it has.
+func runEvents(t *testing.T, events *Events) (end func()) {
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan error, 1)
+	go func() { ended <- events.Run(ctx, 0) }()
+	return func() {
+		cancel()
+		assert.NoError(t, <-ended)
+	}
+}
+
+// TestEventStreamBreaksInsideLine guards what is cut off in the middle of an event stream: half of a proxy's leaving is
+// nothing.
 func TestEventStreamBreaksInsideLine(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer l.Close()
+	defer func() { _ = listener.Close() }()
 	b := &inbox{}
-	n := NewEvents(l.Addr().String(), b, &Counters{}, zap.NewNop())
-	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- n.Run(ctx, 0) }()
+	end := runEvents(t, NewEvents(listener.Addr().String(), b, &Counters{}, zap.NewNop()))
 	whole := joined(1, true) + "\n" + left(1) + "\n"
 	for cut := len(joined(1, true)) + 2; cut < len(whole); cut += 7 {
-		conn, err := l.Accept()
+		conn, err := listener.Accept()
 		require.NoError(t, err)
 		_, err = conn.Read(make([]byte, 4096))
 		require.NoError(t, err)
-		_, err = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s", len(whole), whole[:cut])
+		_, err = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s",
+			len(whole), whole[:cut])
 		require.NoError(t, err)
 		require.NoError(t, conn.Close())
 	}
-	conn, err := l.Accept() // the streams before it have ended
+	conn, err := listener.Accept() // the connections before it have ended
 	require.NoError(t, err)
-	defer conn.Close()
-	cancel()
-	assert.NoError(t, <-ended)
+	defer func() { _ = conn.Close() }()
+	end()
 	for _, what := range b.all() {
 		assert.Equal(t, "joined 1", what)
 	}
 	assert.NotEmpty(t, b.all())
 }
 
-// TestEventStreamOnSockets has events cut anywhere, chunk by chunk, a silent relay left for another, and nothing more written.
-func TestEventStreamOnSockets(t *testing.T) {
-	serve := func(text string, hold bool) string {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		require.NoError(t, err)
-		t.Cleanup(func() { _ = l.Close() })
-		go func() {
-			for {
-				conn, err := l.Accept()
-				if err != nil {
-					return
-				}
-				t.Cleanup(func() { _ = conn.Close() })
-				go func() {
-					buf := make([]byte, 4096)
-					_, _ = conn.Read(buf)
-					_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
-					for len(text) > 0 {
-						n := min(5, len(text))
-						_, _ = fmt.Fprintf(conn, "%x\r\n%s\r\n", n, text[:n])
-						text = text[n:]
-					}
-					_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-					n, err := conn.Read(buf)
-					if n > 0 || os.IsTimeout(err) && !hold {
-						t.Error("something was written on an event stream")
-					}
-				}()
-			}
-		}()
-		return l.Addr().String()
+// serveEvents tells a text on the first connection, in chunks of five bytes, and then nothing more. It returns its
+// address, and fails the test if anything but the request is written to it.
+func serveEvents(t *testing.T, text string) (address string) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = listener.Close() })
+	serve := func(conn net.Conn) {
+		buffer := make([]byte, 4096)
+		_, _ = conn.Read(buffer)
+		_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
+		for len(text) > 0 {
+			n := min(5, len(text))
+			_, _ = fmt.Fprintf(conn, "%x\r\n%s\r\n", n, text[:n])
+			text = text[n:]
+		}
+		_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+		if n, _ := conn.Read(buffer); n > 0 {
+			t.Error("something was written on an event stream")
+		}
 	}
+	go func() { // until the listener is closed
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			t.Cleanup(func() { _ = conn.Close() })
+			go serve(conn)
+		}
+	}()
+	return listener.Addr().String()
+}
+
+// TestEventStreamOnSockets has events cut anywhere, chunk by chunk, a silent relay left for another, and nothing more
+// written.
+func TestEventStreamOnSockets(t *testing.T) {
 	b := &inbox{}
-	n := NewEvents(serve(joined(1, true)+"\n"+joined(2, true)+"\n", true), b, &Counters{}, zap.NewNop())
-	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- n.Run(ctx, 0) }()
+	address := serveEvents(t, joined(1, true)+"\n"+joined(2, true)+"\n")
+	events := NewEvents(address, b, &Counters{}, zap.NewNop())
+	end := runEvents(t, events)
 	require.Eventually(t, func() bool { return len(b.all()) == 2 }, 5*time.Second, time.Millisecond)
-	n.Move(serve(joined(3, true)+"\n", true))
+	events.Move(serveEvents(t, joined(3, true)+"\n"))
 	require.Eventually(t, func() bool { return len(b.all()) >= 3 }, 5*time.Second, time.Millisecond)
-	cancel()
-	assert.NoError(t, <-ended)
+	end()
 	assert.Contains(t, b.all(), "joined 3")
 }
--- a/internal/platform/relay/inbox_test.go
+++ b/internal/platform/relay/inbox_test.go
@@ -13,18 +13,23 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// inbox keeps inputs, short.
+// inbox keeps what is posted to it, summarized.
 type inbox struct {
 	mu  sync.Mutex
 	got []string
 }
 
+// Post keeps an input.
 func (b *inbox) Post(_ context.Context, in pilot.Input) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch in := in.(type) {
 	case pilot.Relayed:
-		b.got = append(b.got, fmt.Sprint(map[bool]string{true: "stood ", false: "joined "}[in.Stood], in.Proxy))
+		kind := "joined "
+		if in.Stood {
+			kind = "stood "
+		}
+		b.got = append(b.got, fmt.Sprint(kind, in.Proxy))
 	case pilot.Unrelayed:
 		b.got = append(b.got, fmt.Sprint("left ", in.Proxy))
 	case pilot.RelayStalled:
@@ -39,6 +44,7 @@
 	return nil
 }
 
+// all returns what was posted, never nil.
 func (b *inbox) all() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/platform/relay/member.go
+++ b/internal/platform/relay/member.go
@@ -5,20 +5,25 @@
 	"time"
 )
 
-// member is what is known of a proxy that stands.
+// rememberedAcks is how many acks of each proxy are remembered, by which the second telling of one is known.
+const rememberedAcks = 8
+
+// member is what is known of a proxy that stands. EventStream.mu guards it.
 type member struct {
 	zone  string
-	since time.Time           // when it was told
-	acked [rememberedAcks]int // answered lately, plus 1
-	next  int
+	since time.Time // when it was told to have joined
+
+	// The numbers last acknowledged, each plus 1, as 0 marks a free place; nextAck counts all of them.
+	acked   [rememberedAcks]int
+	nextAck int
 }
 
-// firstAck returns whether an answer to a mark has not been told before.
-func (m *member) firstAck(mark int) bool {
-	if slices.Contains(m.acked[:], mark+1) {
+// firstAck notes an ack and returns whether it was not told before.
+func (m *member) firstAck(number int) bool {
+	if slices.Contains(m.acked[:], number+1) {
 		return false
 	}
-	m.acked[m.next%rememberedAcks] = mark + 1
-	m.next++
+	m.acked[m.nextAck%rememberedAcks] = number + 1
+	m.nextAck++
 	return true
 }
--- a/internal/platform/relay/merge.go
+++ b/internal/platform/relay/merge.go
@@ -2,21 +2,24 @@
 
 import "slices"
 
-// merge drops from a sequence what something later in it has outdated, and leaves the rest in order.
+// merge drops from a sequence each command that a later one supersedes, and leaves the rest in order: one with the same
+// key, or one that clears its table. The ack requests of those dropped count as answered with the one that is kept.
 func merge(commands []command) []command {
-	seenKeys, clearedTables := map[string]bool{}, map[string]bool{}
-	kept, supersededAcks := make([]command, 0, len(commands)), []int(nil)
-	for i := len(commands) - 1; i >= 0; i-- {
-		o := commands[i]
-		if seenKeys[o.key] || o.table != "" && clearedTables[o.table] {
-			supersededAcks = append(supersededAcks, o.acks...)
+	seenKeys := map[string]bool{}
+	clearedTables := map[string]bool{}
+	kept := make([]command, 0, len(commands))
+	var supersededAcks []int
+	for i := len(commands) - 1; i >= 0; i-- { // the newest first
+		c := commands[i]
+		if seenKeys[c.key] || c.table != "" && clearedTables[c.table] {
+			supersededAcks = append(supersededAcks, c.acks...)
 			continue
 		}
-		seenKeys[o.key] = true
-		if o.clearsTable {
-			clearedTables[o.table] = true
+		seenKeys[c.key] = true
+		if c.clearsTable {
+			clearedTables[c.table] = true
 		}
-		kept = append(kept, o)
+		kept = append(kept, c)
 	}
 	slices.Reverse(kept)
 	for i := range kept {
@@ -27,17 +30,21 @@
 	return kept
 }
 
-// splitCalls cuts orders into calls of bounded size.
-func splitCalls(commands []command) (calls [][]command) {
-	from, size := 0, 0
-	for i, o := range commands {
-		if size += len(o.encoded) + 1; size > maxCallBytes {
-			calls = append(calls, commands[from:i:i])
-			from, size = i, len(o.encoded)+1
+// splitCalls cuts a sequence into calls of no more than maxCallBytes.
+func splitCalls(commands []command) (calls []call) {
+	start := 0
+	size := 0 // bytes of the call that begins at start
+	for i, c := range commands {
+		commandBytes := len(c.encoded) + 1 // with its comma
+		size += commandBytes
+		if size > maxCallBytes {
+			calls = append(calls, commands[start:i:i])
+			start = i
+			size = commandBytes
 		}
 	}
-	if from < len(commands) {
-		calls = append(calls, commands[from:])
+	if start < len(commands) {
+		calls = append(calls, commands[start:])
 	}
 	return calls
 }
--- a/internal/platform/relay/scriptedrelay_test.go
+++ b/internal/platform/relay/scriptedrelay_test.go
@@ -8,6 +8,8 @@
 	"io"
 	"net"
 	"net/http"
+	"slices"
+	"strings"
 	"sync"
 	"testing"
 	"time"
@@ -15,44 +17,69 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
+
+	"indigousher/brain"
 )
 
-// scriptedRelay is a relay that answers each call as told: "ok", "halt N", "lost" (carried out, no answer), "broken" (not
-// carried out, no answer), "late" (carried out, silence), "garbage", "too many", "limit", "malformed". After the script
-// all calls are answered.
+// scriptedRelay is a relay that answers each call with commands by a step of a script, and each call after it well.
 type scriptedRelay struct {
-	t     *testing.T
-	l     net.Listener
-	mu    sync.Mutex
-	steps []string
-	done  []string // orders carried out, short
-	calls int
-	// spoilt is how many empty calls get an answer that can't be read, once the script has begun.
-	spoilt int
-	// closing has each connection closed once a call is answered; open counts those that stand.
-	closing bool
-	open    int
+	t        *testing.T
+	listener net.Listener
+	closing  bool // each connection is closed once a call is answered
+
+	mu       sync.Mutex
+	steps    []string // names in stepAnswers, or "halt N": it executes N commands and says so
+	calls    int      // that carried commands
+	executed []string // commands, summarized
+	open     int      // connections
+
+	// unreadableProbes is how many empty calls get an answer that can't be read, once the script has begun.
+	unreadableProbes int
 }
 
-// idle returns whether no connection stands.
-func (s *scriptedRelay) idle() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.open == 0
+// stepAnswer is what a step of a script does.
+type stepAnswer struct {
+	body     string // of the answer; "": there is none, and the connection ends
+	skips    bool   // it executes nothing of the call
+	silent   bool   // it waits until the other side has given up
+	cutShort bool   // the last bytes never come
+}
+
+var stepAnswers = map[string]stepAnswer{
+	"lost":      {},
+	"broken":    {skips: true},
+	"late":      {silent: true},
+	"half":      {body: `{"ok_count":4}`, cutShort: true},
+	"garbage":   {body: `{ok`},
+	"too many":  {body: `{"ok_count":99}`},
+	"negative":  {body: `{"ok_count":-1}`},
+	"absent":    {body: `{}`},
+	"text":      {body: `{"ok_count":"4"}`},
+	"limit":     {body: `{"error":"limit"}`, skips: true},
+	"malformed": {body: `{"error":"malformed"}`, skips: true},
 }
 
 func newScriptedRelay(t *testing.T, steps ...string) *scriptedRelay {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &scriptedRelay{t: t, l: l, steps: steps}
-	go s.accept()
-	t.Cleanup(func() { _ = l.Close() })
+	s := &scriptedRelay{t: t, listener: listener, steps: steps}
+	go s.accept() // until the listener is closed
+	t.Cleanup(func() { _ = listener.Close() })
 	return s
 }
 
+func (s *scriptedRelay) address() string { return s.listener.Addr().String() }
+
+// idle returns whether no connection stands.
+func (s *scriptedRelay) idle() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.open == 0
+}
+
 func (s *scriptedRelay) accept() {
 	for {
-		conn, err := s.l.Accept()
+		conn, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
@@ -70,13 +97,13 @@
 		s.open--
 		s.mu.Unlock()
 	}()
-	r := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	for {
-		req, err := http.ReadRequest(r)
+		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		body, err := io.ReadAll(req.Body)
+		body, err := io.ReadAll(request.Body)
 		if err != nil || !s.answer(conn, body) || s.closing {
 			return
 		}
@@ -89,86 +116,121 @@
 	if !assert.NoError(s.t, json.Unmarshal(body, &call)) {
 		return false
 	}
-	if len(call.Ops) == 0 { // a probe: the script tells of calls that carry orders
+	if len(call.Ops) == 0 { // a probe: the script is of calls that carry commands
 		return s.answerProbe(conn)
 	}
-	s.mu.Lock()
-	step, halt := "ok", len(call.Ops)
-	if s.calls < len(s.steps) {
-		step = s.steps[s.calls]
-	}
-	s.calls++
-	_, _ = fmt.Sscanf(step, "halt %d", &halt)
-	if step == "broken" || step == "limit" || step == "malformed" {
-		halt = 0
-	}
-	for _, o := range call.Ops[:halt] {
-		s.done = append(s.done, summarize(o))
-	}
-	s.mu.Unlock()
-	text := map[string]string{"lost": "", "broken": "", "garbage": "{ok", "too many": `{"ok_count":99}`,
-		"limit": `{"error":"limit"}`, "malformed": `{"error":"malformed"}`, "negative": `{"ok_count":-1}`, "absent": `{}`,
-		"text": `{"ok_count":"4"}`, "half": `{"ok_count":4}`}
-	switch out, known := text[step]; {
-	case step == "late":
+	step, scripted, executed := s.execute(call.Ops)
+	switch {
+	case step.silent:
 		time.Sleep(2 * answerTimeout)
 		return false
-	case known && out == "":
+	case scripted && step.body == "":
 		return false
-	case step == "half": // its last bytes never come
-		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(out), out[:7])
+	case step.cutShort:
+		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(step.body), step.body[:7])
 		return false
-	case !known:
-		out = fmt.Sprintf(`{"ok_count":%d}`, halt)
-		fallthrough
+	case scripted:
+		return writeAnswer(conn, step.body)
 	default:
-		_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(out), out)
-		return err == nil
+		return writeAnswer(conn, fmt.Sprintf(`{"ok_count":%d}`, executed))
+	}
+}
+
+// execute takes the script's next step and executes commands by it. It returns how many, and whether the step is one of
+// stepAnswers.
+func (s *scriptedRelay) execute(commands []map[string]any) (step stepAnswer, scripted bool, executed int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	name := "ok"
+	if s.calls < len(s.steps) {
+		name = s.steps[s.calls]
+	}
+	s.calls++
+	executed = len(commands)
+	_, _ = fmt.Sscanf(name, "halt %d", &executed) // other names leave it as it is
+	step, scripted = stepAnswers[name]
+	if step.skips {
+		executed = 0
+	}
+	for _, c := range commands[:executed] {
+		s.executed = append(s.executed, summarize(c))
 	}
+	return step, scripted, executed
 }
 
 func (s *scriptedRelay) answerProbe(conn net.Conn) bool {
 	s.mu.Lock()
-	out := `{"ok_count":0}`
-	if s.spoilt > 0 {
-		s.spoilt--
-		out = `{"ok_cou`
+	body := `{"ok_count":0}`
+	if s.unreadableProbes > 0 {
+		s.unreadableProbes--
+		body = `{"ok_cou`
 	}
 	s.mu.Unlock()
-	_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(out), out)
+	return writeAnswer(conn, body)
+}
+
+func writeAnswer(conn net.Conn, body string) bool {
+	_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	return err == nil
 }
 
-func summarize(o map[string]any) string {
-	switch o["verb"] {
+func summarize(command map[string]any) string {
+	switch command["verb"] {
 	case "SET":
-		return fmt.Sprint("SET ", o["cluster"], " ", o["endpoint"], " ", o["w"])
+		return fmt.Sprint("SET ", command["cluster"], " ", command["endpoint"], " ", command["w"])
 	case "USE":
-		return fmt.Sprint("USE ", o["node"], " ", o["cluster"])
+		return fmt.Sprint("USE ", command["node"], " ", command["cluster"])
 	case "SYNC":
-		return fmt.Sprint("SYNC ", o["ticket"])
+		return fmt.Sprint("SYNC ", command["ticket"])
 	}
-	return fmt.Sprint(o["verb"], " ", o["endpoint"])
+	return fmt.Sprint(command["verb"], " ", command["endpoint"])
+}
+
+func (s *scriptedRelay) executedCommands() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return append([]string{}, s.executed...) // never nil
 }
 
-func (s *scriptedRelay) carried() []string {
+func (s *scriptedRelay) callCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]string{}, s.done...)
+	return s.calls
 }
 
-func endpoint(i int) string { return fmt.Sprint("e", i) }
+func endpointName(i int) string { return fmt.Sprint("e", i) }
 
-// startSender runs the way out to a scripted relay.
+// setWeight is a command on table 1.
+func setWeight(endpoint int, weight float64) brain.Order {
+	return brain.SetLine{Table: 1, Endpoint: endpoint, Weight: weight}
+}
+
+// startSender runs a sender to a relay until the test ends.
 func startSender(t *testing.T, address string) *Orders {
-	r := NewOrders(address, []string{"read", "write"}, &inbox{}, &Counters{}, zap.NewNop())
-	runSender(t, r)
-	return r
+	sender := NewOrders(address, []string{"read", "write"}, &inbox{}, &Counters{}, zap.NewNop())
+	runSender(t, sender)
+	return sender
 }
 
-func runSender(t *testing.T, r *Orders) {
+// runSender runs a sender until the test ends.
+func runSender(t *testing.T, sender *Orders) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- r.Run(ctx) }()
-	t.Cleanup(func() { cancel(); assert.NoError(t, <-ended) })
+	go func() { ended <- sender.Run(ctx) }()
+	t.Cleanup(func() {
+		cancel()
+		assert.NoError(t, <-ended)
+	})
+}
+
+// eventually waits for a condition that other goroutines bring about.
+func eventually(t *testing.T, condition func() bool) {
+	t.Helper()
+	require.Eventually(t, condition, 10*time.Second, time.Millisecond)
 }
+
+// twice returns what a relay executes of a call that goes out again.
+func twice(commands []string) []string { return slices.Concat(commands, commands) }
+
+// count returns in how many of some texts a word stands.
+func count(texts []string, word string) int { return strings.Count(strings.Join(texts, " "), word) }
--- a/internal/platform/relay/subscription.go
+++ b/internal/platform/relay/subscription.go
@@ -7,56 +7,110 @@
 	"go.uber.org/zap"
 )
 
-// subscription is one of the connections.
+// Spans by which gaps in the events are judged.
+const (
+	// liveWithin: a subscription that has said something since then carries the events. Signs of life come every
+	// second.
+	liveWithin = 1300 * time.Millisecond
+	// maxShortGap: within a shorter gap no proxy can have left and come back, as that takes it longer.
+	maxShortGap = 300 * time.Millisecond
+)
+
+// subscriptionState is how far a subscription is.
+type subscriptionState int
+
+// States of a subscription. subscribed leads from the first to the second, endSnapshot from the second to the third,
+// unsubscribed from either back to the first.
+const (
+	disconnected      subscriptionState = iota // not open, or its events no longer count
+	receivingSnapshot                          // it tells of the proxies that stand, mixed with what happens meanwhile
+	live                                       // it tells what happens
+)
+
+// subscription is one of the connections that carry the events. EventStream.mu guards it.
 type subscription struct {
-	open         bool
-	openedAt     time.Time
-	lastHeard    time.Time
-	address      string
-	cancel       context.CancelFunc
-	standing     map[int]bool // told since the opening; nil: no longer counted
+	address string
+	cancel  context.CancelFunc // ends the connection; nil before the first
+
+	state     subscriptionState
+	openedAt  time.Time
+	lastHeard time.Time // the last event or sign of life, or the opening
+
+	// Of the snapshot.
+	standing     map[int]bool // proxies told since the opening; nil unless receivingSnapshot
+	lastStanding time.Time    // when one was told last, or the opening
 	afterGap     bool         // nothing else carried the events when it opened
 	afterLongGap bool         // for so long that a proxy may have left and come back
-	lastStanding time.Time    // a proxy that stands was told last
 }
 
-// subscribed notes that a stream begins, and whether there is a gap in the events before it.
+// beginSnapshot notes the opening.
+func (sub *subscription) beginSnapshot(now time.Time) {
+	sub.state = receivingSnapshot
+	sub.openedAt = now
+	sub.lastHeard = now
+	sub.standing = map[int]bool{}
+	sub.lastStanding = now
+	sub.afterGap = false
+	sub.afterLongGap = false
+}
+
+func (sub *subscription) disconnect() {
+	sub.state = disconnected
+	sub.standing = nil
+}
+
+// subscribed notes that a subscription begins, and whether there is a gap in the events before it.
 func (s *Events) subscribed(i int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now, l := time.Now(), &s.subscriptions[i]
-	l.open, l.openedAt, l.lastHeard, l.standing, l.afterGap, l.afterLongGap, l.lastStanding = true, now, now, map[int]bool{}, true, false, now
-	for j := range s.subscriptions {
-		if o := &s.subscriptions[j]; j != i && o.open && now.Sub(o.lastHeard) < liveWithin {
-			l.afterGap = false
-		}
+	now := time.Now()
+	sub := &s.subscriptions[i]
+	sub.beginSnapshot(now)
+	sub.afterGap = !s.otherIsLive(i, now)
+	if !sub.afterGap || s.completeUntil.IsZero() { // the first of all has no events before it to miss
+		return
 	}
-	if l.afterGap {
-		if l.afterLongGap = !s.completeUntil.IsZero() && now.Sub(s.completeUntil) > maxShortGap; !s.completeUntil.IsZero() {
-			s.Counters.Gaps.Add(1)
-			s.log.Warn("gap in the event streams", zap.Duration("for", now.Sub(s.completeUntil)))
+	gap := now.Sub(s.completeUntil)
+	sub.afterLongGap = gap > maxShortGap
+	s.Counters.Gaps.Add(1)
+	s.log.Warn("gap in the event streams", zap.Duration("for", gap))
+}
+
+// otherIsLive returns whether another subscription than this one carries the events. The caller holds the lock.
+func (s *Events) otherIsLive(i int, now time.Time) bool {
+	for j := range s.subscriptions {
+		other := &s.subscriptions[j]
+		if j != i && other.state != disconnected && now.Sub(other.lastHeard) < liveWithin {
+			return true
 		}
 	}
+	return false
 }
 
-// unsubscribed notes that a stream has ended. Where it had fallen silent and the other began after it last said anything, or
-// where it had yet to tell what stands after a gap, what happened in between neither has told: the other opens anew.
+// unsubscribed notes that a subscription has ended, and whether it did in silence. What neither has told, the other has
+// to tell by opening anew: what happened after the one had fallen silent and before the other began, or what a snapshot
+// after a gap would have told, had it come to its end.
 func (s *Events) unsubscribed(i int, silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := &s.subscriptions[i]
-	if !l.open {
+	sub := &s.subscriptions[i]
+	if sub.state == disconnected {
 		return
 	}
-	untold := l.afterGap && l.standing != nil
-	l.open, l.standing = false, nil
-	if !untold && l.lastHeard.After(s.completeUntil) {
-		s.completeUntil = l.lastHeard
+	snapshotMissed := sub.afterGap && sub.state == receivingSnapshot
+	sub.disconnect()
+	if !snapshotMissed && sub.lastHeard.After(s.completeUntil) {
+		s.completeUntil = sub.lastHeard
 	}
 	for j := range s.subscriptions {
-		if o := &s.subscriptions[j]; j != i && o.open && !o.afterGap && (untold || silent && o.openedAt.After(l.lastHeard)) {
-			o.open, o.standing = false, nil
-			o.cancel()
+		other := &s.subscriptions[j]
+		if j == i || other.state == disconnected || other.afterGap {
+			continue
+		}
+		begunInSilence := silent && other.openedAt.After(sub.lastHeard)
+		if snapshotMissed || begunInSilence {
+			other.disconnect()
+			other.cancel()
 		}
 	}
 }
--- a/internal/platform/relay/subscription_test.go
+++ b/internal/platform/relay/subscription_test.go
@@ -9,14 +9,17 @@
 	"go.uber.org/zap"
 )
 
-// TestSilentSubscriptionReopensTheOther guards what happened after a line fell silent and before the other stood.
+// TestSilentSubscriptionReopensTheOther guards what happened after one subscription fell silent and before the other
+// opened: neither has told it.
 func TestSilentSubscriptionReopensTheOther(t *testing.T) {
-	n, cut := NewEvents("", &inbox{}, &Counters{}, zap.NewNop()), 0
-	n.subscriptions[0].cancel, n.subscriptions[1].cancel = func() {}, func() { cut++ }
-	n.subscribed(0)
-	n.endSnapshot(context.Background(), 0)
+	events := NewEvents("", &inbox{}, &Counters{}, zap.NewNop())
+	cancelled := 0
+	events.subscriptions[0].cancel = func() {}
+	events.subscriptions[1].cancel = func() { cancelled++ }
+	events.subscribed(0)
+	events.endSnapshot(context.Background(), 0)
 	time.Sleep(time.Millisecond)
-	n.subscribed(1)
-	n.unsubscribed(0, true)
-	assert.Equal(t, 1, cut)
+	events.subscribed(1)
+	events.unsubscribed(0, true)
+	assert.Equal(t, 1, cancelled)
 }
