--- a/internal/platform/listener/line.go
+++ b/internal/platform/listener/line.go
@@ -8,34 +8,48 @@
 	"indigousher/brain"
 )
 
-// ErrMalformedLine says that a line is no message that is taken here.
+// ErrMalformedLine says that a line is no message that is taken here. It names neither the line nor the peer, so that
+// strangers can't fill the log.
 var ErrMalformedLine = errors.New("not a message")
 
-// fields cuts a line into its kind and its name=value words, in place. Doubled names are wrong.
+// Bounds of a line's values.
+const (
+	maxFields    = 12
+	maxCount     = 1 << 30
+	maxNameBytes = 256
+)
+
+// fields are the name=value words of a line, in place: they are valid as long as the line. One value serves line after
+// line, so that parsing allocates nothing but the texts that are kept.
 type fields struct {
-	names, values [12][]byte
-	n             int
+	names, values [maxFields][]byte
+	n             int  // fields of the line
+	invalid       bool // a value read since the last parse was absent or out of bounds
 }
 
+// parse cuts a line into its kind and its fields. Doubled names are an error.
 func (f *fields) parse(line []byte) (kind []byte, err error) {
 	f.n = 0
+	f.invalid = false
 	kind, rest, _ := bytes.Cut(line, []byte(" "))
 	for len(rest) > 0 {
 		var word []byte
-		if word, rest, _ = bytes.Cut(rest, []byte(" ")); len(word) == 0 {
+		word, rest, _ = bytes.Cut(rest, []byte(" "))
+		if len(word) == 0 {
 			continue
 		}
 		name, value, ok := bytes.Cut(word, []byte("="))
 		if !ok || f.n == len(f.names) || f.get(string(name)) != nil {
 			return nil, ErrMalformedLine
 		}
-		f.names[f.n], f.values[f.n] = name, value
+		f.names[f.n] = name
+		f.values[f.n] = value
 		f.n++
 	}
 	return kind, nil
 }
 
-// get returns a word's value; nil: it is not there.
+// get returns a field's value, or nil if the line has no such field.
 func (f *fields) get(name string) []byte {
 	for i := range f.n {
 		if string(f.names[i]) == name {
@@ -45,21 +59,34 @@
 	return nil
 }
 
-func (f *fields) count(name string) (int, bool) {
+// count returns a whole number from 0 to maxCount. Where there is none it sets invalid, as float and text do.
+func (f *fields) count(name string) int {
 	n, err := strconv.Atoi(string(f.get(name)))
-	return n, err == nil && n >= 0 && n <= maxCount
+	if err != nil || n < 0 || n > maxCount {
+		f.invalid = true
+	}
+	return n
 }
 
-func (f *fields) float(name string) (float64, bool) {
-	return parseFloat(f.get(name))
+// float returns a finite number that a report may hold.
+func (f *fields) float(name string) float64 {
+	v, ok := parseFloat(f.get(name))
+	if !ok {
+		f.invalid = true
+	}
+	return v
 }
 
-func parseFloat(text []byte) (float64, bool) {
-	v, err := strconv.ParseFloat(string(text), 64)
-	return v, err == nil && brain.Sound(v) // not-a-number is not sound
+// text returns a text of 1 to maxNameBytes bytes.
+func (f *fields) text(name string) string {
+	value := f.get(name)
+	if len(value) == 0 || len(value) > maxNameBytes {
+		f.invalid = true
+	}
+	return string(value)
 }
 
-func (f *fields) name(name string) (string, bool) {
-	v := f.get(name)
-	return string(v), len(v) > 0 && len(v) <= maxNameBytes
+func parseFloat(text []byte) (float64, bool) {
+	v, err := strconv.ParseFloat(string(text), 64)
+	return v, err == nil && brain.Sound(v) // which not-a-number is not
 }
--- a/internal/platform/listener/listener.go
+++ b/internal/platform/listener/listener.go
@@ -1,6 +1,7 @@
-// Package listener listens at a pilot's address on the operators' platform: collectors bring reports as lines of text,
-// whoever else comes is a stranger. It parses, checks and hands over; it keeps nothing of what strangers name. One
-// connection's faults end that connection alone, and strangers cost no more than the descriptors set aside for them.
+// Package listener listens at a pilot's address on the operators' platform. Collectors identify themselves and bring
+// load reports as lines of text; all other connections are rejected or closed. It parses, checks and hands over, and
+// keeps nothing of what unidentified connections name. A fault of one connection ends that connection alone, and
+// unidentified connections cost no more than the descriptors set aside for them.
 package listener
 
 import (
@@ -8,7 +9,6 @@
 	"context"
 	"fmt"
 	"net"
-	"sync"
 	"time"
 
 	"go.uber.org/zap"
@@ -18,62 +18,60 @@
 	"indigousher/internal/pilot"
 )
 
-// Figures of the listener.
-const (
-	identifyTimeout      = 1200 * time.Millisecond // a connection that says no more than ping is closed then
-	writeTimeout         = 300 * time.Millisecond
-	maxLineBytes         = 1 << 20 // bytes of a message
-	maxGreetingBytes     = 256     // bytes that a connection may send before it is known
-	maxUnreadableLines   = 3       // unreadable lines in a row after which a collector's connection is of no use
-	rejectionLogInterval = time.Second
-)
+// acceptRetryDelay is the pause after an accept that failed for want of a descriptor or the like.
+const acceptRetryDelay = 5 * time.Millisecond
 
-// Listener accepts connections.
+// Listener accepts connections and posts the reports that collectors bring.
 type Listener struct {
-	Counters           Counters
-	zones              []string
-	maxUnidentified    int // connections that have not joined
-	inbox              pilot.Inbox
-	log                *zap.Logger
-	mu                 sync.Mutex
-	unidentified       *list.List            // of net.Conn that have not joined, oldest first
-	collectors         map[string][]net.Conn // collectors by zone, oldest first
-	rejectionsLogged   time.Time
-	rejectionsUnlogged int
+	Counters Counters
+
+	zones []string // whose collectors may come
+	inbox pilot.Inbox
+	log   *zap.Logger
+
+	unidentified unidentified
+	collectors   collectors
+	rejections   rejectionLog
 }
 
-// New returns a listener for collectors of these zones; most connections may stand that have not joined.
-func New(zones []string, most int, inbox pilot.Inbox, log *zap.Logger) *Listener {
-	return &Listener{zones: zones, maxUnidentified: max(1, most), inbox: inbox, log: log, unidentified: list.New(),
-		collectors: map[string][]net.Conn{}}
+// New returns a listener for collectors of these zones. maxUnidentified connections may stand that have not identified
+// themselves, at least one.
+func New(zones []string, maxUnidentified int, inbox pilot.Inbox, log *zap.Logger) *Listener {
+	l := &Listener{zones: zones, inbox: inbox, log: log}
+	l.unidentified.limit = max(1, maxUnidentified)
+	l.unidentified.evicted = &l.Counters.Evicted
+	l.unidentified.conns = list.New()
+	l.collectors.byZone = map[string][]net.Conn{}
+	l.rejections.log = log
+	return l
 }
 
-// Serve accepts until ctx ends; connections then end with it.
-func (d *Listener) Serve(ctx context.Context, l net.Listener) error {
-	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error {
+// Serve accepts connections until ctx ends, which ends them as well.
+func (l *Listener) Serve(ctx context.Context, socket net.Listener) error {
+	group, ctx := errgroup.WithContext(ctx)
+	group.Go(func() error {
 		<-ctx.Done()
-		return l.Close()
+		return socket.Close()
 	})
 	for {
-		conn, err := l.Accept()
-		if err != nil {
-			if ctx.Err() != nil {
-				_ = g.Wait() // only says that the listener is closed
+		conn, err := socket.Accept()
+		if err == nil {
+			l.Counters.Accepted.Add(1)
+			place := l.unidentified.add(conn)
+			group.Go(func() error {
+				l.serve(ctx, conn, place)
 				return nil
-			}
-			if pause.Passing(err) { // no free descriptor: the oldest stranger goes
-				d.evict(0)
-				pause.For(ctx, 5*time.Millisecond)
-				continue
-			}
-			return fmt.Errorf("accept on %s: %w", l.Addr(), err)
+			})
+			continue
+		}
+		if ctx.Err() != nil {
+			_ = group.Wait() // only says that the socket is closed
+			return nil       //nolint:nilerr // the socket was closed because ctx has ended
+		}
+		if !pause.Passing(err) {
+			return fmt.Errorf("accept on %s: %w", socket.Addr(), err)
 		}
-		d.Counters.Accepted.Add(1)
-		place := d.add(conn)
-		g.Go(func() error {
-			d.serve(ctx, conn, place)
-			return nil
-		})
+		l.unidentified.evictTo(0) // there is no free descriptor
+		pause.For(ctx, acceptRetryDelay)
 	}
 }
--- a/internal/platform/listener/listener_test.go
+++ b/internal/platform/listener/listener_test.go
@@ -5,6 +5,7 @@
 	"net"
 	"sync"
 	"testing"
+	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
@@ -16,11 +17,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// inbox keeps what is posted to it.
 type inbox struct {
 	mu  sync.Mutex
 	got []pilot.Input
 }
 
+// Post keeps an input.
 func (b *inbox) Post(_ context.Context, in pilot.Input) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -34,20 +37,34 @@
 	return append([]pilot.Input{}, b.got...)
 }
 
-// startListener starts a listener and returns how to dial it.
-func startListener(t *testing.T, most int) (*Listener, *inbox, func() net.Conn) {
-	b := &inbox{}
-	d := New([]string{"a", "b"}, most, b, zap.NewNop())
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// startListener runs a listener until the test ends and returns how to dial it.
+func startListener(t *testing.T, maxUnidentified int) (l *Listener, b *inbox, dial func() net.Conn) {
+	b = &inbox{}
+	l = New([]string{"a", "b"}, maxUnidentified, b, zap.NewNop())
+	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- d.Serve(ctx, l) }()
-	t.Cleanup(func() { cancel(); assert.NoError(t, <-ended) })
-	return d, b, func() net.Conn {
-		conn, err := net.Dial("tcp", l.Addr().String())
+	go func() { ended <- l.Serve(ctx, socket) }()
+	t.Cleanup(func() {
+		cancel()
+		assert.NoError(t, <-ended)
+	})
+	return l, b, func() net.Conn {
+		conn, err := net.Dial("tcp", socket.Addr().String())
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = conn.Close() })
 		return conn
 	}
 }
+
+// eventually waits for a condition that other goroutines bring about.
+func eventually(t *testing.T, condition func() bool) {
+	t.Helper()
+	require.Eventually(t, condition, 5*time.Second, time.Millisecond)
+}
+
+// A report on a proxy, and what it is parsed to.
+const proxyLine = "usage node=3 route=read total=4 errors=1 interval=500\r\n"
+
+var proxyStats = pilot.ProxyDemand{Proxy: 3, Kind: "read", Reqs: 4, Unanswered: 1, SpanMs: 500}
--- a/internal/platform/listener/report.go
+++ b/internal/platform/listener/report.go
@@ -6,71 +6,88 @@
 	"indigousher/internal/pilot"
 )
 
-// Bounds of a report's words.
+// Kinds of reports, the first word of a line.
 const (
-	maxCount     = 1 << 30
-	maxNameBytes = 256
-	maxMetrics   = 16
+	zoneReport  = "heard" // what the proxies of a zone met at an endpoint
+	proxyReport = "usage" // what came to a proxy
 )
 
-// parseReport reads a line. One of a known kind whose words are wrong is readable all the same.
-func parseReport(w *fields, line []byte) (in pilot.Input, readable bool) {
+// Bounds of a zone's report.
+const (
+	maxMetrics  = 16 // load metrics of the endpoint
+	metricsHint = 4  // as many as there usually are
+)
+
+// parseReport parses a collector's line; in is nil where it can't be used. A line of a known kind is readable all the
+// same. f is overwritten.
+func parseReport(f *fields, line []byte) (in pilot.Input, readable bool) {
 	kind, _, _ := bytes.Cut(line, []byte(" "))
-	readable = string(kind) == "heard" || string(kind) == "usage"
-	if _, err := w.parse(line); err != nil || !readable {
+	readable = string(kind) == zoneReport || string(kind) == proxyReport
+	if _, err := f.parse(line); err != nil || !readable {
 		return nil, readable
 	}
-	read := parseProxyStats
-	if string(kind) == "heard" {
-		read = parseZoneStats
+	var err error
+	if string(kind) == zoneReport {
+		in, err = parseZoneStats(f)
+	} else {
+		in, err = parseProxyStats(f)
 	}
-	in, err := read(w)
 	if err != nil {
 		return nil, true
 	}
 	return in, true
 }
 
-// parseZoneStats reads a report on an endpoint.
-func parseZoneStats(w *fields) (pilot.Input, error) {
-	m := pilot.ZoneMet{}
-	var ok [6]bool
-	m.Zone, ok[0] = w.name("locality")
-	m.Endpoint, ok[1] = w.name("endpoint")
-	m.Tries, ok[2] = w.count("total")
-	m.Failed, ok[3] = w.count("errors")
-	m.MeanMs, ok[4] = w.float("rtt")
-	m.SpanMs, ok[5] = w.float("interval")
-	if ok != [6]bool{true, true, true, true, true, true} || m.Failed > m.Tries || m.SpanMs == 0 {
+// parseZoneStats returns the report on an endpoint that a line's fields hold. Times are in milliseconds.
+func parseZoneStats(f *fields) (pilot.Input, error) {
+	stats := pilot.ZoneMet{
+		Zone:     f.text("locality"),
+		Endpoint: f.text("endpoint"),
+		Tries:    f.count("total"),
+		Failed:   f.count("errors"),
+		MeanMs:   f.float("rtt"),
+		SpanMs:   f.float("interval"),
+	}
+	if f.invalid || stats.Failed > stats.Tries || stats.SpanMs == 0 {
 		return nil, ErrMalformedLine
 	}
-	if text := w.get("metrics"); len(text) > 0 {
-		m.Load = make(map[string]float64, 4)
-		for len(text) > 0 {
-			var pair []byte
-			pair, text, _ = bytes.Cut(text, []byte(","))
-			name, value, _ := bytes.Cut(pair, []byte(":"))
-			v, sound := parseFloat(value)
-			if !sound || len(name) == 0 || len(m.Load) == maxMetrics {
-				return nil, ErrMalformedLine
-			}
-			m.Load[string(name)] = v
+	if metrics := f.get("metrics"); len(metrics) > 0 {
+		load, err := parseMetrics(metrics)
+		if err != nil {
+			return nil, err
 		}
+		stats.Load = load
 	}
-	return m, nil
+	return stats, nil
 }
 
-// parseProxyStats reads a report on a proxy.
-func parseProxyStats(w *fields) (pilot.Input, error) {
-	d := pilot.ProxyDemand{}
-	var ok [5]bool
-	d.Proxy, ok[0] = w.count("node")
-	d.Kind, ok[1] = w.name("route")
-	d.Reqs, ok[2] = w.count("total")
-	d.Unanswered, ok[3] = w.count("errors")
-	d.SpanMs, ok[4] = w.float("interval")
-	if ok != [5]bool{true, true, true, true, true} || d.Unanswered > d.Reqs || d.SpanMs == 0 {
+// parseMetrics returns an endpoint's load metrics, from name:value pairs with commas between them.
+func parseMetrics(text []byte) (map[string]float64, error) {
+	load := make(map[string]float64, metricsHint)
+	for len(text) > 0 {
+		var pair []byte
+		pair, text, _ = bytes.Cut(text, []byte(","))
+		name, value, _ := bytes.Cut(pair, []byte(":"))
+		v, ok := parseFloat(value)
+		if !ok || len(name) == 0 || len(load) == maxMetrics {
+			return nil, ErrMalformedLine
+		}
+		load[string(name)] = v
+	}
+	return load, nil
+}
+
+// parseProxyStats returns the report on a proxy's requests that a line's fields hold.
+func parseProxyStats(f *fields) (pilot.Input, error) {
+	stats := pilot.ProxyDemand{
+		Proxy:      f.count("node"),
+		Kind:       f.text("route"),
+		Reqs:       f.count("total"),
+		Unanswered: f.count("errors"),
+		SpanMs:     f.float("interval"),
+	}
+	if f.invalid || stats.Unanswered > stats.Reqs || stats.SpanMs == 0 {
 		return nil, ErrMalformedLine
 	}
-	return d, nil
+	return stats, nil
 }
--- a/internal/platform/listener/session.go
+++ b/internal/platform/listener/session.go
@@ -13,34 +13,45 @@
 	"go.uber.org/zap"
 )
 
-// serve serves one connection to its end.
-func (d *Listener) serve(ctx context.Context, conn net.Conn, place *list.Element) {
-	defer conn.Close()
+// Limits of a collector's session.
+const (
+	// maxLineBytes: a line that is longer ends the session.
+	maxLineBytes = 1 << 20
+	// lineBufferBytes: a line that is longer is read over.
+	lineBufferBytes = 8192
+	// maxUnreadableLines in a row end the session, as they show that the peer speaks something else.
+	maxUnreadableLines = 3
+)
+
+// serve attends to one connection to its end, or that of ctx.
+func (l *Listener) serve(ctx context.Context, conn net.Conn, place *list.Element) {
+	defer func() { _ = conn.Close() }() // nothing on it is still wanted
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	zone, rest, err := d.identify(conn)
-	d.remove(place)
+	zone, rest, err := l.identify(conn)
+	l.unidentified.remove(place)
 	if err != nil {
 		return
 	}
-	d.Counters.Collectors.Add(1)
-	d.addCollector(zone, conn)
-	defer d.removeCollector(zone, conn)
-	d.log.Info("collector joined", zap.String("zone", zone))
+	l.Counters.Collectors.Add(1)
+	l.collectors.add(zone, conn)
+	defer l.collectors.remove(zone, conn)
+	l.log.Info("collector joined", zap.String("zone", zone))
 	if err := conn.SetDeadline(time.Time{}); err != nil {
 		return
 	}
-	err = d.readReports(ctx, conn, rest)
-	d.log.Info("collector left", zap.String("zone", zone), zap.Error(err))
+	err = l.readReports(ctx, conn, rest)
+	l.log.Info("collector left", zap.String("zone", zone), zap.Error(err))
 }
 
-// readReports reads a collector's lines. A spoilt one costs itself alone; a connection that goes on unreadable is of no
-// further use.
-func (d *Listener) readReports(ctx context.Context, conn net.Conn, rest []byte) error {
-	r := bufio.NewReaderSize(&prefixedReader{rest, conn}, 8192)
-	var w fields
-	for spoilt := 0; spoilt < maxUnreadableLines; {
-		line, err := readLine(r)
+// readReports reads a collector's lines and posts their reports; rest was read before. A malformed line costs itself
+// alone, but a connection that goes on unreadable is of no further use.
+func (l *Listener) readReports(ctx context.Context, conn net.Conn, rest []byte) error {
+	reader := bufio.NewReaderSize(&prefixedReader{rest, conn}, lineBufferBytes)
+	var f fields
+	unreadable := 0 // lines in a row
+	for unreadable < maxUnreadableLines {
+		line, err := readLine(reader)
 		if err != nil {
 			return err
 		}
@@ -50,17 +61,17 @@
 			}
 			continue
 		}
-		in, readable := parseReport(&w, line)
-		if in == nil {
-			d.Counters.Spoilt.Add(1)
-			if spoilt++; readable {
-				spoilt = 0
-			}
+		report, readable := parseReport(&f, line)
+		unreadable++
+		if readable {
+			unreadable = 0
+		}
+		if report == nil {
+			l.Counters.Spoilt.Add(1)
 			continue
 		}
-		spoilt = 0
-		d.Counters.Reports.Add(1)
-		if err := d.inbox.Post(ctx, in); err != nil {
+		l.Counters.Reports.Add(1)
+		if err := l.inbox.Post(ctx, report); err != nil {
 			return err
 		}
 	}
@@ -69,21 +80,22 @@
 
 // prefixedReader reads what was read already, then the connection.
 type prefixedReader struct {
-	rest []byte
-	conn net.Conn
+	prefix []byte
+	conn   net.Conn
 }
 
-func (a *prefixedReader) Read(b []byte) (int, error) {
-	if len(a.rest) > 0 {
-		n := copy(b, a.rest)
-		a.rest = a.rest[n:]
+// Read reads from the prefix or from the connection, never from both at once.
+func (p *prefixedReader) Read(buffer []byte) (int, error) {
+	if len(p.prefix) > 0 {
+		n := copy(buffer, p.prefix)
+		p.prefix = p.prefix[n:]
 		return n, nil
 	}
-	return a.conn.Read(b)
+	return p.conn.Read(buffer)
 }
 
-// readLine returns a line without its end. What is longer than the reader's buffer is read over and returned empty;
-// what is longer than a message may be ends the connection.
+// readLine returns a line without its end, valid until the next call. One that is longer than the reader's buffer is
+// read over and returned empty; one that is longer than maxLineBytes is an error.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
 	if err == nil {
--- a/internal/platform/listener/session_test.go
+++ b/internal/platform/listener/session_test.go
@@ -14,30 +14,40 @@
 	"indigousher/internal/pilot"
 )
 
-// TestCollectorReports guards that a spoilt report costs itself alone, wherever its line is cut.
+// TestCollectorReports guards that a malformed report costs itself alone, wherever its line is cut.
 func TestCollectorReports(t *testing.T) {
-	good := pilot.ZoneMet{Zone: "a", Endpoint: "x", Tries: 9, Failed: 2, MeanMs: 4.5, SpanMs: 1000, Load: map[string]float64{"util": 0.5}}
-	text := "heard locality=a endpoint=x total=9 errors=2 rtt=4.5 interval=1000.0 metrics=util:0.5\r\n"
-	use := "usage node=3 route=read total=4 errors=1 interval=500\r\n"
-	demand := pilot.ProxyDemand{Proxy: 3, Kind: "read", Reqs: 4, Unanswered: 1, SpanMs: 500}
+	zoneLine := "heard locality=a endpoint=x total=9 errors=2 rtt=4.5 interval=1000.0 metrics=util:0.5\r\n"
+	zoneStats := pilot.ZoneMet{
+		Zone: "a", Endpoint: "x", Tries: 9, Failed: 2, MeanMs: 4.5, SpanMs: 1000,
+		Load: map[string]float64{"util": 0.5},
+	}
+	with := func(old, replacement string) string { return strings.Replace(zoneLine, old, replacement, 1) }
+	onlyProxyStats := []pilot.Input{proxyStats}
 	for name, c := range map[string]struct {
 		send   string
 		want   []pilot.Input
 		closed bool
 	}{
-		"both kinds":        {text + use, []pilot.Input{good, demand}, false},
-		"a field is absent": {"heard locality=a endpoint=x total=9\r\n" + use, []pilot.Input{demand}, false},
-		"doubled":           {"usage node=3 node=4 route=read total=4 errors=1 interval=500\r\n" + use, []pilot.Input{demand}, false},
-		"not a number":      {strings.Replace(text, "4.5", "NaN", 1) + strings.Replace(text, "0.5", "inf", 1) + use, []pilot.Input{demand}, false},
-		"out of range":      {strings.Replace(text, "total=9", "total=99999999999999999999", 1) + strings.Replace(text, "errors=2", "errors=-1", 1) + use, []pilot.Input{demand}, false},
-		"more fail than are": {strings.Replace(text, "errors=2", "errors=10", 1) + strings.Replace(text, "interval=1000.0", "interval=0", 1) + use,
-			[]pilot.Input{demand}, false},
-		"spoilt for long":       {strings.Repeat("usage node=x\r\n", 50) + use, []pilot.Input{demand}, false},
-		"a long line":           {"heard " + strings.Repeat("y", 100000) + "\r\n" + use, []pilot.Input{demand}, false},
-		"one unreadable":        {"\x00\x01\x02\r\n" + use, []pilot.Input{demand}, false},
-		"goes on unreadable":    {use + strings.Repeat("\x07\x08\x09\n", 10), []pilot.Input{demand}, true},
-		"unreadable, no end":    {use + strings.Repeat("\x07", 3<<20), []pilot.Input{demand}, true},
-		"asks for sign of life": {"ping\r\n" + use, []pilot.Input{demand}, false},
+		"both kinds":        {zoneLine + proxyLine, []pilot.Input{zoneStats, proxyStats}, false},
+		"a field is absent": {"heard locality=a endpoint=x total=9\r\n" + proxyLine, onlyProxyStats, false},
+		"a doubled field": {
+			"usage node=3 node=4 route=read total=4 errors=1 interval=500\r\n" + proxyLine, onlyProxyStats, false,
+		},
+		"not a number": {with("4.5", "NaN") + with("0.5", "inf") + proxyLine, onlyProxyStats, false},
+		"out of range": {
+			with("total=9", "total=99999999999999999999") + with("errors=2", "errors=-1") + proxyLine,
+			onlyProxyStats, false,
+		},
+		"more fail than are": {
+			with("errors=2", "errors=10") + with("interval=1000.0", "interval=0") + proxyLine,
+			onlyProxyStats, false,
+		},
+		"malformed for long":  {strings.Repeat("usage node=x\r\n", 50) + proxyLine, onlyProxyStats, false},
+		"a long line":         {"heard " + strings.Repeat("y", 100000) + "\r\n" + proxyLine, onlyProxyStats, false},
+		"one unreadable":      {"\x00\x01\x02\r\n" + proxyLine, onlyProxyStats, false},
+		"goes on unreadable":  {proxyLine + strings.Repeat("\x07\x08\x09\n", 10), onlyProxyStats, true},
+		"unreadable, no end":  {proxyLine + strings.Repeat("\x07", 3<<20), onlyProxyStats, true},
+		"asks for life signs": {"ping\r\n" + proxyLine, onlyProxyStats, false},
 	} {
 		for _, piece := range []int{7, 1 << 20} {
 			t.Run(fmt.Sprint(name, " by ", piece), func(t *testing.T) {
@@ -46,15 +56,8 @@
 				}
 				_, b, dial := startListener(t, 10)
 				conn := dial()
-				all := "collector locality=a\r\n" + c.send
-				for len(all) > 0 {
-					n := min(piece, len(all))
-					if _, err := io.WriteString(conn, all[:n]); err != nil {
-						break // closed before all was written
-					}
-					all = all[n:]
-				}
-				require.Eventually(t, func() bool { return len(b.all()) == len(c.want) }, 5*time.Second, time.Millisecond)
+				writeInPieces(conn, "collector locality=a\r\n"+c.send, piece)
+				eventually(t, func() bool { return len(b.all()) == len(c.want) })
 				assert.Equal(t, c.want, b.all())
 				if c.closed {
 					require.NoError(t, conn.SetReadDeadline(time.Now().Add(5*time.Second)))
@@ -66,3 +69,14 @@
 		}
 	}
 }
+
+// writeInPieces writes a text, or as much of it as the other side takes before it closes the connection.
+func writeInPieces(conn io.Writer, text string, piece int) {
+	for len(text) > 0 {
+		n := min(piece, len(text))
+		if _, err := io.WriteString(conn, text[:n]); err != nil {
+			return
+		}
+		text = text[n:]
+	}
+}
--- a/internal/platform/listener/unidentified.go
+++ b/internal/platform/listener/unidentified.go
@@ -3,39 +3,55 @@
 import (
 	"container/list"
 	"net"
+	"sync"
+	"sync/atomic"
 
 	"indigousher/internal/platform/peek"
 )
 
-// add notes a connection that has not joined; where there are too many, the oldest goes.
-func (d *Listener) add(conn net.Conn) *list.Element {
-	d.evict(d.maxUnidentified - 1)
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.unidentified.PushBack(conn)
+// unidentified holds the connections that have not identified themselves as a collector's, and bounds how many stand.
+type unidentified struct {
+	limit   int
+	evicted *atomic.Int64
+
+	mu    sync.Mutex
+	conns *list.List // of net.Conn, oldest first
 }
 
-// evict closes the oldest strangers until no more than so many are left, first those that have sent nothing that waits
-// to be read: a collector whose line has come, but not its turn, is not lost to a flood.
-func (d *Listener) evict(left int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for d.unidentified.Len() > left {
-		goes := d.unidentified.Front()
-		for place := goes; place != nil; place = place.Next() {
-			if conn, ok := place.Value.(net.Conn); ok && peek.Peek(conn) != peek.Readable {
-				goes = place
-				break
-			}
-		}
-		conn, _ := d.unidentified.Remove(goes).(net.Conn)
-		_ = conn.Close()
-		d.Counters.Evicted.Add(1)
+// add notes a connection, after the oldest have made room for it. It returns its place, for remove.
+func (u *unidentified) add(conn net.Conn) *list.Element {
+	u.evictTo(u.limit - 1)
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.conns.PushBack(conn)
+}
+
+// remove forgets a connection; one that was evicted is forgotten already.
+func (u *unidentified) remove(place *list.Element) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.conns.Remove(place)
+}
+
+// evictTo closes connections until no more than so many are left.
+func (u *unidentified) evictTo(remaining int) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	for u.conns.Len() > remaining {
+		conn, _ := u.conns.Remove(u.nextEvicted()).(net.Conn) // add puts nothing else in
+		_ = conn.Close()                                      // whatever was on it is given up
+		u.evicted.Add(1)
 	}
 }
 
-func (d *Listener) remove(place *list.Element) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.unidentified.Remove(place) // does nothing where it is gone
+// nextEvicted returns the oldest connection that has sent nothing that waits to be read, or else the oldest: a
+// collector whose line has come, but not its turn, is not lost to a flood. The caller holds the lock; there is a
+// connection.
+func (u *unidentified) nextEvicted() *list.Element {
+	for place := u.conns.Front(); place != nil; place = place.Next() {
+		if conn, ok := place.Value.(net.Conn); ok && peek.Peek(conn) != peek.Readable {
+			return place
+		}
+	}
+	return u.conns.Front()
 }
