--- a/internal/platform/agent/client.go
+++ b/internal/platform/agent/client.go
@@ -1,46 +1,39 @@
 // Package agent follows the endpoint list at the platform's discovery agent: HTTP/1.1 watches, one after another on
-// one connection. It parses, checks and hands over; what a list means the module decides. A call that fails or stays
-// silent is made again on a new connection, with the version held.
+// one connection. It parses, checks and hands over; what a list means the planner decides. A call that fails or stays
+// silent is made again on a new connection, from the version held.
 package agent
 
 import (
 	"context"
 	"sync"
-	"time"
 
 	"go.uber.org/zap"
 
 	"indigousher/internal/pilot"
 )
 
-// Figures of the watch. A short wait finds a dead call soon: what discovery has to say counts as told 2 s after the
-// wait has ended, whether it came or not.
-const (
-	watchWait     = 1000 * time.Millisecond
-	answerTimeout = 400 * time.Millisecond // for the answer, beyond the wait
-	dialTimeout   = 500 * time.Millisecond
-	retryDelay    = 50 * time.Millisecond // after a failed call
-	maxListBytes  = 8 << 20
-	maxEntries    = 65536
-	membersPath   = "/catalog/members" // the whole list's path
-)
-
-// Agent follows the list.
+// Agent follows the list. Any goroutine may call its methods but Run, which one goroutine runs.
 type Agent struct {
-	Counters   Counters
-	inbox      pilot.Inbox
-	log        *zap.Logger
-	mu         sync.Mutex
+	Counters Counters
+
+	inbox pilot.Inbox
+	log   *zap.Logger
+	wake  chan struct{} // holds a token when what is wanted has changed since Run last waited
+
+	mu sync.Mutex // guards what follows
+
+	// What is wanted.
 	address    string
-	cancelCall context.CancelFunc // ends the call under way
-	watching   bool
-	fetch      bool
-	wake       chan struct{}
-	version    int
-	hasList    bool // a list was told since the start
+	watching   bool               // the list is followed
+	fetch      bool               // the whole list is asked for once
+	cancelCall context.CancelFunc // ends the call in flight, or the wait for something to do; nil before Run
+
+	// What is held.
+	hasList bool // version is of a list that was handed over, so that changes to it can be asked for
+	version int
 }
 
-// New returns an agent that does nothing before Run. With watch it follows the list unasked.
+// New returns a client that does nothing before Run. With watch it follows the list unasked.
 func New(address string, watch bool, inbox pilot.Inbox, log *zap.Logger) *Agent {
 	return &Agent{address: address, watching: watch, inbox: inbox, log: log, wake: make(chan struct{}, 1)}
 }
@@ -61,7 +54,7 @@
 	a.signal()
 }
 
-// Move has calls go to another address. The call under way is given up, the version held is kept.
+// Move has calls go to another address. The call in flight is given up, the version held is kept.
 func (a *Agent) Move(address string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -75,9 +68,10 @@
 	a.signal()
 }
 
+// signal wakes Run, should it wait for something to do.
 func (a *Agent) signal() {
 	select {
 	case a.wake <- struct{}{}:
-	default:
+	default: // it is woken already
 	}
 }
--- a/internal/platform/agent/client_test.go
+++ b/internal/platform/agent/client_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"sync"
 	"testing"
 	"time"
@@ -17,56 +18,75 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// inbox keeps the lists that are posted to it.
 type inbox struct {
 	mu  sync.Mutex
 	got []*wire.List
 }
 
+// Post keeps a list, and takes nothing else.
 func (b *inbox) Post(_ context.Context, in pilot.Input) error {
+	listed, ok := in.(pilot.Listed)
+	if !ok {
+		return fmt.Errorf("unexpected input %T", in)
+	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.got = append(b.got, in.(pilot.Listed).List)
+	b.got = append(b.got, listed.List)
 	return nil
 }
 
-func (b *inbox) versions() (v []int) {
+func (b *inbox) versions() (versions []int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, l := range b.got {
-		v = append(v, l.Version)
+	for _, list := range b.got {
+		versions = append(versions, list.Version)
 	}
-	return v
+	return versions
 }
 
-func run(t *testing.T, a *Agent) {
+// run runs a client until the test ends.
+func run(t *testing.T, client *Agent) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- a.Run(ctx) }()
-	t.Cleanup(func() { cancel(); assert.NoError(t, <-ended) })
+	go func() { ended <- client.Run(ctx) }()
+	t.Cleanup(func() {
+		cancel()
+		assert.NoError(t, <-ended)
+	})
+}
+
+// eventually waits for a condition that other goroutines bring about.
+func eventually(t *testing.T, condition func() bool) {
+	t.Helper()
+	require.Eventually(t, condition, 5*time.Second, time.Millisecond)
 }
 
 // TestSetAddress guards a reload: the list is neither forgotten nor told twice.
 func TestSetAddress(t *testing.T) {
-	old, now, b := newScriptedAgent(t, list(4, true, "x")), newScriptedAgent(t, list(5, false, "y")), &inbox{}
-	a := New(old.l.Addr().String(), true, b, zap.NewNop())
-	run(t, a)
-	require.Eventually(t, func() bool { return len(old.asked()) > 1 }, 5*time.Second, time.Millisecond)
-	a.Move(now.l.Addr().String())
-	a.Move(now.l.Addr().String())
-	require.Eventually(t, func() bool { return len(now.asked()) > 1 }, 5*time.Second, time.Millisecond)
+	before := newScriptedAgent(t, list(4, true, "x"))
+	after := newScriptedAgent(t, list(5, false, "y"))
+	b := &inbox{}
+	client := New(before.address(), true, b, zap.NewNop())
+	run(t, client)
+	eventually(t, func() bool { return len(before.asked()) > 1 })
+	client.Move(after.address())
+	client.Move(after.address())
+	eventually(t, func() bool { return len(after.asked()) > 1 })
 	assert.Equal(t, []int{4, 5}, b.versions())
-	assert.Contains(t, now.asked()[0], "index=")
+	assert.Contains(t, after.asked()[0], "index=")
 }
 
-// TestOnRequest guards that nothing is asked before the module has.
+// TestOnRequest guards that nothing is asked before the planner has.
 func TestOnRequest(t *testing.T) {
-	s, b := newScriptedAgent(t, list(4, true, "x"), list(5, true, "x")), &inbox{}
-	a := New(s.l.Addr().String(), false, b, zap.NewNop())
-	run(t, a)
+	s := newScriptedAgent(t, list(4, true, "x"), list(5, true, "x"))
+	b := &inbox{}
+	client := New(s.address(), false, b, zap.NewNop())
+	run(t, client)
 	time.Sleep(20 * time.Millisecond)
 	assert.Empty(t, s.asked())
-	a.Fetch()
-	require.Eventually(t, func() bool { return len(b.versions()) == 1 }, 5*time.Second, time.Millisecond)
-	a.Watch(true)
-	require.Eventually(t, func() bool { return len(s.asked()) > 2 }, 5*time.Second, time.Millisecond)
+	client.Fetch()
+	eventually(t, func() bool { return len(b.versions()) == 1 })
+	client.Watch(true)
+	eventually(t, func() bool { return len(s.asked()) > 2 })
 }
--- a/internal/platform/agent/fetch.go
+++ b/internal/platform/agent/fetch.go
@@ -9,25 +9,34 @@
 	"time"
 )
 
-// get makes one call and returns the body of its answer, and whether the connection takes no other.
-func get(conn net.Conn, r *bufio.Reader, host, path string, within time.Duration) (body []byte, last bool, err error) {
-	if err := conn.SetDeadline(time.Now().Add(within)); err != nil {
-		return nil, false, fmt.Errorf("set deadline: %w", err)
+// maxListBytes bounds the body of an answer.
+const maxListBytes = 8 << 20
+
+// response is what discovery said to a call.
+type response struct {
+	body    []byte
+	closing bool // discovery takes no other call on this connection
+}
+
+// get makes one call and reads its response to the end.
+func get(conn net.Conn, reader *bufio.Reader, host, path string, timeout time.Duration) (response, error) {
+	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
+		return response{}, fmt.Errorf("set deadline: %w", err)
 	}
 	if _, err := io.WriteString(conn, "GET "+path+" HTTP/1.1\r\nHost: "+host+"\r\n\r\n"); err != nil {
-		return nil, false, fmt.Errorf("ask discovery: %w", err)
+		return response{}, fmt.Errorf("ask discovery: %w", err)
 	}
-	resp, err := http.ReadResponse(r, nil)
+	resp, err := http.ReadResponse(reader, nil)
 	if err != nil {
-		return nil, false, fmt.Errorf("read discovery's answer: %w", err)
+		return response{}, fmt.Errorf("read discovery's answer: %w", err)
 	}
-	defer resp.Body.Close()
-	body, err = io.ReadAll(io.LimitReader(resp.Body, maxListBytes+1))
+	defer func() { _ = resp.Body.Close() }() // it is read to its end, or the connection is closed
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes+1))
 	if err != nil {
-		return nil, false, fmt.Errorf("read the list: %w", err)
+		return response{}, fmt.Errorf("read the list: %w", err)
 	}
 	if resp.StatusCode != http.StatusOK || len(body) > maxListBytes {
-		return nil, false, fmt.Errorf("%w: status %d, %d bytes", ErrInvalidList, resp.StatusCode, len(body))
+		return response{}, fmt.Errorf("%w: status %d, %d bytes", ErrInvalidList, resp.StatusCode, len(body))
 	}
-	return body, resp.Close, nil
+	return response{body: body, closing: resp.Close}, nil
 }
--- a/internal/platform/agent/list.go
+++ b/internal/platform/agent/list.go
@@ -12,26 +12,36 @@
 // ErrInvalidList says that an answer is no list.
 var ErrInvalidList = errors.New("not a list of endpoints")
 
+// Bounds of a list.
+const (
+	maxEntries   = 65536
+	maxNameBytes = 256  // of an endpoint's name
+	maxSinceMs   = 1e15 // far beyond any start, and exact in a float64
+)
+
+// answer is a list in discovery's form.
+type answer struct {
+	Index     *int              `json:"index"`    // the version
+	Snapshot  bool              `json:"snapshot"` // the whole list, not changes to it
+	Endpoints []json.RawMessage `json:"endpoints"`
+}
+
+// entry is one endpoint of a list in discovery's form.
 type entry struct {
 	Name    *string  `json:"name"`
 	Zone    string   `json:"zone"`
 	Machine string   `json:"type"`
 	Cell    int      `json:"group"`
 	Status  string   `json:"status"`
-	Weight  *float64 `json:"weight"`
-	SinceMs float64  `json:"since_ms"`
-}
-
-type answer struct {
-	Index     *int              `json:"index"`
-	Snapshot  bool              `json:"snapshot"`
-	Endpoints []json.RawMessage `json:"endpoints"`
+	Weight  *float64 `json:"weight"`   // absent: 1
+	SinceMs float64  `json:"since_ms"` // when the endpoint started, ms since 1970
 }
 
 var phaseOfStatus = map[string]int{"active": wire.PhaseReady, "leaving": wire.PhaseDraining, "left": wire.PhaseGone}
 
-// ParseList reads a list in discovery's form and counts the entries that can't be used.
-func ParseList(text []byte) (l *wire.List, odd int, err error) {
+// ParseList reads a list in discovery's form. It leaves out the entries that can't be used and counts them. Its errors
+// are ErrInvalidList.
+func ParseList(text []byte) (list *wire.List, malformed int, err error) {
 	var a answer
 	if err := json.Unmarshal(text, &a); err != nil {
 		return nil, 0, fmt.Errorf("%w: %w", ErrInvalidList, err)
@@ -39,31 +49,42 @@
 	if a.Index == nil || a.Endpoints == nil || len(a.Endpoints) > maxEntries {
 		return nil, 0, fmt.Errorf("%w: index or endpoints are missing", ErrInvalidList)
 	}
-	l = &wire.List{Version: *a.Index, Whole: a.Snapshot, Now: uint64(time.Now().UnixMilli())}
+	list = &wire.List{Version: *a.Index, Whole: a.Snapshot, Now: uint64(time.Now().UnixMilli())}
 	for _, raw := range a.Endpoints {
 		e, ok := parseEntry(raw)
 		if !ok {
-			odd++
+			malformed++
 			continue
 		}
-		l.Entries = append(l.Entries, e)
+		list.Entries = append(list.Entries, e)
 	}
-	return l, odd, nil
+	return list, malformed, nil
 }
 
+// parseEntry returns an endpoint's entry, and whether it can be used.
 func parseEntry(raw []byte) (wire.Entry, bool) {
 	var e entry
-	if err := json.Unmarshal(raw, &e); err != nil || e.Name == nil || *e.Name == "" || len(*e.Name) > 256 {
+	if err := json.Unmarshal(raw, &e); err != nil {
+		return wire.Entry{}, false
+	}
+	if e.Name == nil || *e.Name == "" || len(*e.Name) > maxNameBytes {
 		return wire.Entry{}, false
 	}
 	phase, known := phaseOfStatus[e.Status]
-	if !known || e.SinceMs < 0 || e.SinceMs > 1e15 {
+	if !known || e.SinceMs < 0 || e.SinceMs > maxSinceMs {
 		return wire.Entry{}, false
 	}
 	weight := 1.0
 	if e.Weight != nil {
 		weight = *e.Weight
 	}
-	return wire.Entry{Endpoint: *e.Name, Zone: e.Zone, Machine: e.Machine, Cell: e.Cell, Phase: phase, Weight: weight,
-		Started: uint64(e.SinceMs)}, true
+	return wire.Entry{
+		Endpoint: *e.Name,
+		Zone:     e.Zone,
+		Machine:  e.Machine,
+		Cell:     e.Cell,
+		Phase:    phase,
+		Weight:   weight,
+		Started:  uint64(e.SinceMs),
+	}, true
 }
--- a/internal/platform/agent/scriptedagent_test.go
+++ b/internal/platform/agent/scriptedagent_test.go
@@ -14,54 +14,53 @@
 	"github.com/stretchr/testify/require"
 )
 
+// list returns an answer with a list of active endpoints.
 func list(index int, snapshot bool, names ...string) string {
-	var e []string
-	for _, n := range names {
-		e = append(e, fmt.Sprintf(`{"name":%q,"zone":"a","type":"m","group":1,"status":"active","weight":1,"since_ms":0}`, n))
+	var entries []string
+	for _, name := range names {
+		entries = append(entries, fmt.Sprintf(
+			`{"name":%q,"zone":"a","type":"m","group":1,"status":"active","weight":1,"since_ms":0}`, name))
 	}
-	return fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[%s]}`, index, snapshot, strings.Join(e, ","))
+	return fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[%s]}`, index, snapshot, strings.Join(entries, ","))
 }
 
-// scriptedAgent answers calls one after another: a body, "reset" or "silent". After it, calls wait and tell nothing new.
+// scriptedAgent is discovery's agent. It answers calls by the steps of a script: a body, "bytes" and a body, sent
+// byte by byte, "reset", "half" of an answer, or "silent". After it, calls wait and tell nothing new.
 type scriptedAgent struct {
-	l     net.Listener
-	mu    sync.Mutex
-	steps []string
-	paths []string
+	listener net.Listener
+	mu       sync.Mutex
+	steps    []string
+	paths    []string // asked for
 }
 
 func newScriptedAgent(t *testing.T, steps ...string) *scriptedAgent {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &scriptedAgent{l: l, steps: steps}
-	go func() {
+	s := &scriptedAgent{listener: listener, steps: steps}
+	go func() { // until the listener is closed
 		for {
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go s.serve(conn)
 		}
 	}()
-	t.Cleanup(func() { _ = l.Close() })
+	t.Cleanup(func() { _ = listener.Close() })
 	return s
 }
 
+func (s *scriptedAgent) address() string { return s.listener.Addr().String() }
+
 func (s *scriptedAgent) serve(conn net.Conn) {
-	defer conn.Close()
-	r := bufio.NewReader(conn)
+	defer func() { _ = conn.Close() }()
+	reader := bufio.NewReader(conn)
 	for {
-		req, err := http.ReadRequest(r)
+		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		s.mu.Lock()
-		s.paths = append(s.paths, req.URL.RequestURI())
-		step, n := "", len(s.paths)-1
-		if n < len(s.steps) {
-			step = s.steps[n]
-		}
-		s.mu.Unlock()
+		step, number := s.next(request.URL.RequestURI())
 		switch step {
 		case "reset":
 			return
@@ -69,23 +68,46 @@
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n"+list(4, true, "x")[:20])
 			return
 		case "silent":
-			_, _ = r.ReadByte() // until the other side gives up
+			_, _ = reader.ReadByte() // until the other side gives up
 			return
 		case "":
 			time.Sleep(20 * time.Millisecond)
-			step = list(1000+n, false)
+			step = list(1000+number, false)
 		}
-		step, single := strings.CutPrefix(step, "bytes")
-		answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(step), step)
-		for piece := len(answer); len(answer) > 0; answer = answer[min(piece, len(answer)):] {
-			if single {
-				piece = 1
-			}
-			if _, err := io.WriteString(conn, answer[:min(piece, len(answer))]); err != nil {
-				return
-			}
+		if writeAnswer(conn, step) != nil {
+			return
+		}
+	}
+}
+
+// next notes a call and returns its step, "" after the script, and its number from 0.
+func (s *scriptedAgent) next(path string) (step string, number int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	number = len(s.paths)
+	s.paths = append(s.paths, path)
+	if number < len(s.steps) {
+		step = s.steps[number]
+	}
+	return step, number
+}
+
+// writeAnswer sends a step's body, byte by byte if the step says so.
+func writeAnswer(conn net.Conn, step string) error {
+	body, byteByByte := strings.CutPrefix(step, "bytes")
+	answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	piece := len(answer)
+	if byteByByte {
+		piece = 1
+	}
+	for len(answer) > 0 {
+		n := min(piece, len(answer))
+		if _, err := io.WriteString(conn, answer[:n]); err != nil {
+			return err
 		}
+		answer = answer[n:]
 	}
+	return nil
 }
 
 func (s *scriptedAgent) asked() []string {
--- a/internal/platform/agent/watch.go
+++ b/internal/platform/agent/watch.go
@@ -14,97 +14,121 @@
 	"indigousher/internal/wire"
 )
 
+// Times of the watch. A short wait finds a dead call soon: what discovery has to say counts as told 2 s after the wait
+// has ended, whether it came or not.
+const (
+	// watchWait is how long discovery holds a call back until the list changes.
+	watchWait = 1000 * time.Millisecond
+	// answerTimeout is for an answer, beyond the wait.
+	answerTimeout = 400 * time.Millisecond
+	// dialTimeout is for the opening of a connection.
+	dialTimeout = 500 * time.Millisecond
+	// retryDelay is the pause after a failed call.
+	retryDelay = 50 * time.Millisecond
+)
+
+// membersPath is the whole list's path.
+const membersPath = "/catalog/members"
+
 // Run follows the list until ctx ends.
 func (a *Agent) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		a.mu.Lock()
-		address, wanted := a.address, a.watching || a.fetch
-		cctx, cancel := context.WithCancel(ctx)
-		a.cancelCall = cancel
-		a.mu.Unlock()
-		if !wanted {
-			select {
-			case <-a.wake:
-			case <-cctx.Done():
-			}
-			cancel()
-			continue
-		}
-		err := a.watchOn(cctx, address)
-		moved := cctx.Err() != nil
-		cancel()
-		if err != nil && !moved {
-			a.Counters.Failed.Add(1)
-			a.log.Debug("discovery", zap.String("address", address), zap.Error(err))
-			pause.For(ctx, retryDelay)
-		}
+		a.runOnce(ctx)
 	}
 	return nil
 }
 
-// watchOn makes calls on one connection until it fails or nothing is wanted.
+// runOnce watches on one connection, or waits until something is wanted. A change of the address ends either.
+func (a *Agent) runOnce(ctx context.Context) {
+	callCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	a.mu.Lock()
+	address := a.address
+	wanted := a.watching || a.fetch
+	a.cancelCall = cancel
+	a.mu.Unlock()
+	if !wanted {
+		select {
+		case <-a.wake:
+		case <-callCtx.Done():
+		}
+		return
+	}
+	err := a.watchOn(callCtx, address)
+	if err == nil || callCtx.Err() != nil { // nothing is wanted any more, or not there
+		return
+	}
+	a.Counters.Failed.Add(1)
+	a.log.Debug("discovery", zap.String("address", address), zap.Error(err))
+	pause.For(ctx, retryDelay)
+}
+
+// watchOn makes calls on one connection until it fails, or discovery closes it, or nothing is wanted.
 func (a *Agent) watchOn(ctx context.Context, address string) error {
 	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return fmt.Errorf("dial discovery: %w", err)
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }() // nothing on it is still wanted
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	r := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	for {
-		path, within, ok := a.nextRequest()
-		if !ok {
+		path, timeout, wanted := a.nextRequest()
+		if !wanted {
 			return nil
 		}
 		a.Counters.Calls.Add(1)
-		body, last, err := get(conn, r, address, path, within)
+		answer, err := get(conn, reader, address, path, timeout)
 		if err != nil {
 			return err
 		}
-		l, odd, err := ParseList(body)
+		list, malformed, err := ParseList(answer.body)
 		if err != nil {
 			return err
 		}
-		a.Counters.Odd.Add(int64(odd))
-		if err := a.deliver(ctx, l, path == membersPath); err != nil || last {
+		a.Counters.Odd.Add(int64(malformed))
+		if err := a.deliver(ctx, list, path == membersPath); err != nil {
 			return err
 		}
+		if answer.closing {
+			return nil
+		}
 	}
 }
 
-// nextRequest returns the next call's path and how long it may take.
-func (a *Agent) nextRequest() (path string, within time.Duration, wanted bool) {
+// nextRequest returns the next call's path and how long it may take, and whether any is wanted.
+func (a *Agent) nextRequest() (path string, timeout time.Duration, wanted bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
+	if !a.watching && !a.fetch {
+		return "", 0, false
+	}
 	if a.fetch || !a.hasList {
-		if !a.watching && !a.fetch {
-			return "", 0, false
-		}
 		a.fetch = false
 		return membersPath, answerTimeout, true
 	}
-	if !a.watching {
-		return "", 0, false
-	}
-	return fmt.Sprintf("%s?index=%d&wait=%d", membersPath, a.version, watchWait.Milliseconds()), watchWait + answerTimeout, true
+	path = fmt.Sprintf("%s?index=%d&wait=%d", membersPath, a.version, watchWait.Milliseconds())
+	return path, watchWait + answerTimeout, true
 }
 
-// deliver hands a list over. Changes without entries only say that the watch lives. Changes to what is not held here,
-// where the whole list was asked for or the version went back, count as told; the whole list is asked for next.
-func (a *Agent) deliver(ctx context.Context, l *wire.List, askedWhole bool) error {
+// deliver hands a list over. Changes without entries only say that the watch lives. Changes to a list not held here,
+// where the whole list was asked for or the version went back, are handed over as well, but the whole list is asked for
+// next, on a new connection.
+func (a *Agent) deliver(ctx context.Context, list *wire.List, askedWhole bool) error {
 	a.mu.Lock()
-	unbased := !l.Whole && (askedWhole || a.hasList && l.Version < a.version)
-	a.hasList, a.version = !unbased, l.Version
+	withoutBase := !list.Whole && (askedWhole || a.hasList && list.Version < a.version)
+	a.hasList = !withoutBase
+	a.version = list.Version
 	a.mu.Unlock()
-	if l.Whole || len(l.Entries) > 0 {
+	if list.Whole || len(list.Entries) > 0 {
 		a.Counters.Lists.Add(1)
-		if err := a.inbox.Post(ctx, pilot.Listed{List: l}); err != nil {
+		if err := a.inbox.Post(ctx, pilot.Listed{List: list}); err != nil {
 			return err
 		}
 	}
-	if unbased {
-		return fmt.Errorf("%w: changes to a version not held here, %d", ErrInvalidList, l.Version)
+	if withoutBase {
+		return fmt.Errorf("%w: changes to a version not held here, %d", ErrInvalidList, list.Version)
 	}
 	return nil
 }
