--- a/internal/platform/config/checks.go
+++ b/internal/platform/config/checks.go
@@ -1,7 +1,6 @@
 package config
 
 import (
-	"errors"
 	"fmt"
 	"math"
 	"net"
@@ -12,112 +11,144 @@
 	"indigousher/internal/translate"
 )
 
-// Bounds of the file and of what it may name.
+// Bounds of what the file may name. They keep a slip of the pen from costing the pilot its memory.
 const (
-	maxProxies = 65535
-	maxZones   = 1024
+	maxProxies  = 65535
+	maxZones    = 1024
+	maxPort     = 65535
+	maxCores    = 1024
+	minMemoryMB = 8 // with less it doesn't start
+	maxMemoryMB = 1e7
+	minSockets  = 32
+	maxSockets  = 1 << 20
+	minSetting  = 1e-3 // of settings that have to be more than 0
 )
 
+// checkAddresses checks the pilot's name and the addresses.
 func (p *Placement) checkAddresses() error {
 	if p.Name == "" {
-		return errors.New("name is missing")
+		return missing("name")
 	}
 	for _, a := range []struct{ field, address string }{
-		{"listen", p.Listen}, {"discovery", p.Discovery}, {"relay.address", p.Relay.Address},
+		{"listen", p.Listen},
+		{"discovery", p.Discovery},
+		{"relay.address", p.Relay.Address},
 	} {
 		if a.address == "" {
-			return fmt.Errorf("%s is missing", a.field)
+			return missing(a.field)
 		}
-		host, port, err := net.SplitHostPort(a.address)
-		if n, perr := strconv.Atoi(port); err != nil || perr != nil || n < 1 || n > 65535 || net.ParseIP(host) == nil {
-			return fmt.Errorf("%s: %q is no address and port", a.field, a.address)
+		if !isAddress(a.address) {
+			return wrongField(a.field, "%s: %q is no address and port", a.field, a.address)
 		}
 	}
 	return nil
 }
 
+// isAddress returns whether a text is an IP address and a port.
+func isAddress(text string) bool {
+	host, portText, err := net.SplitHostPort(text)
+	if err != nil {
+		return false
+	}
+	port, err := strconv.Atoi(portText)
+	return err == nil && port >= 1 && port <= maxPort && net.ParseIP(host) != nil
+}
+
 func (p *Placement) parseSeed() error {
 	if p.SeedText == "" {
-		return errors.New("seed is missing")
+		return missing("seed")
 	}
-	n, err := strconv.ParseUint(p.SeedText, 16, 64)
+	seed, err := strconv.ParseUint(p.SeedText, 16, 64)
 	if err != nil {
-		return fmt.Errorf("seed: %q is no hexadecimal number of 64 bits", p.SeedText)
+		return wrongField("seed", "seed: %q is no hexadecimal number of 64 bits", p.SeedText)
 	}
-	p.Seed = int64(n)
+	p.Seed = int64(seed)
 	return nil
 }
 
 func (p *Placement) checkLimits() error {
-	switch l := p.Limits; {
-	case !(l.Cores > 0 && l.Cores <= 1024):
-		return fmt.Errorf("limits.cores: %g", l.Cores)
-	case !(l.MemoryMB >= 8 && l.MemoryMB < 1e7):
-		return fmt.Errorf("limits.memory_mb: %g", l.MemoryMB)
-	case l.Sockets < 32 || l.Sockets > 1<<20:
-		return fmt.Errorf("limits.sockets: %d", l.Sockets)
+	cores := p.Limits.Cores
+	if !(cores > 0 && cores <= maxCores) { // so that not-a-number fails as well
+		return wrongField("limits.cores", "limits.cores: %g", cores)
+	}
+	memory := p.Limits.MemoryMB
+	if !(memory >= minMemoryMB && memory < maxMemoryMB) {
+		return wrongField("limits.memory_mb", "limits.memory_mb: %g", memory)
+	}
+	sockets := p.Limits.Sockets
+	if sockets < minSockets || sockets > maxSockets {
+		return wrongField("limits.sockets", "limits.sockets: %d", sockets)
 	}
 	return nil
 }
 
+// parseKnown reads the list as it was held last. It is a help at the start, and discovery tells the list anyway: one
+// that can't be used is left out and said to be.
 func (p *Placement) parseKnown() error {
 	if len(p.Known) == 0 || string(p.Known) == "null" {
 		return nil
 	}
-	l, odd, err := agent.ParseList(p.Known)
-	if err != nil { // it is a help at the start; discovery tells the list anyway
+	list, malformed, err := agent.ParseList(p.Known)
+	if err != nil {
 		p.Left = fmt.Sprintf("known: %v", err)
-		return nil
+		return nil //nolint:nilerr // the pilot starts without it
 	}
-	if odd > 0 {
-		p.Left = fmt.Sprintf("known: %d entries that can't be used", odd)
+	if malformed > 0 {
+		p.Left = fmt.Sprintf("known: %d entries that can't be used", malformed)
 	}
-	p.Remembered = l
+	p.Remembered = list
 	return nil
 }
 
-// parseSettings checks what the program itself or the module can't do without.
+// parseSettings translates the operators' settings and checks what the program itself or the planner can't do without.
 func (p *Placement) parseSettings() error {
 	if len(p.Settings) == 0 {
-		return errors.New("settings are missing")
+		return wrongField("settings", "settings are %w", ErrMissing)
 	}
 	p.Deployment = translate.Read(p.Settings)
-	terms := p.Deployment.Terms
 	if n := len(p.Deployment.Zones.All()); n == 0 || n > maxZones {
-		return fmt.Errorf("settings: %d zones", n)
+		return wrongField("settings", "settings: %d zones", n)
 	}
 	if len(p.Deployment.Kinds.All()) == 0 {
-		return errors.New("settings: no req kinds")
+		return wrongField("settings", "settings: no req kinds")
 	}
-	proxies, err := numberWithin(terms, "proxy_count", 1, maxProxies)
+	settings := p.Deployment.Terms
+	proxies, err := numberWithin(settings, "proxy_count", 1, maxProxies)
 	if err != nil {
 		return err
 	}
 	p.Proxies = int(proxies)
-	instances, err := numberWithin(terms, "instances", 1, maxProxies)
-	if err != nil {
-		return err
-	}
-	if _, err := numberWithin(terms, "rank", 0, instances-1); err != nil {
+	p.OnRequest = settings["discovery"] == "on_request"
+	if err := checkInstances(settings); err != nil {
 		return err
 	}
 	for _, name := range []string{"lines_per_s", "backlog", "drain_grace", "cold"} {
-		if _, err := numberWithin(terms, name, 1e-3, brain.MostFigure); err != nil {
+		if _, err := numberWithin(settings, name, minSetting, brain.MostFigure); err != nil {
 			return err
 		}
 	}
-	p.OnRequest = terms["discovery"] == "on_request"
 	return nil
 }
 
-// numberWithin returns a term that has to be a number within bounds. Complaints use the module's name of it.
-func numberWithin(terms map[string]any, name string, least, most float64) (float64, error) {
-	v, ok := terms[name].(float64)
+// checkInstances checks how many pilots there are and which of them this is.
+func checkInstances(settings map[string]any) error {
+	instances, err := numberWithin(settings, "instances", 1, maxProxies)
+	if err != nil {
+		return err
+	}
+	_, err = numberWithin(settings, "rank", 0, instances-1)
+	return err
+}
+
+// numberWithin returns a setting that has to be a number within bounds, by the planner's name of it.
+func numberWithin(settings map[string]any, name string, low, high float64) (float64, error) {
+	field := "settings: " + name
+	v, ok := settings[name].(float64)
 	if !ok {
-		return 0, fmt.Errorf("settings: %s is missing or no number", name)
+		return 0, wrongField(field, "settings: %s is missing or no number", name)
 	}
-	if math.IsNaN(v) || v < least || v > most {
-		return 0, fmt.Errorf("settings: %s: %g is outside %g to %g", name, v, least, most)
+	if math.IsNaN(v) || v < low || v > high {
+		return 0, wrongField(field, "settings: %s: %g is outside %g to %g", name, v, low, high)
 	}
 	return v, nil
 }
--- a/internal/platform/config/checks_test.go
+++ b/internal/platform/config/checks_test.go
@@ -33,36 +33,38 @@
 	}
 }
 
-// TestCachedList guards the start against the list as it was held last: it may be absent, empty, spoilt or odd in part, and
-// the pilot starts with what can be used of it and says what can't.
+// TestCachedList guards the start against the list as it was held last: it may be absent, empty, malformed as a
+// whole or in part, and the pilot starts with what can be used of it and says what can't.
 func TestCachedList(t *testing.T) {
 	at := strings.Index(goodFile, `"known":`)
 	end := strings.Index(goodFile, `"settings":`)
 	for name, c := range map[string]struct {
-		known string
-		left  string
-		holds int // -1: no list
+		known   string
+		warns   string
+		entries int // -1: no list
 	}{
-		"whole":            {goodFile[at:end], "", 1},
-		"absent":           {"", "", -1},
-		"null":             {`"known":null,`, "", -1},
-		"empty":            {`"known":{"index":0,"snapshot":true,"endpoints":[]},`, "", 0},
-		"no list":          {`"known":{"snapshot":true,"endpoints":[]},`, "known: not a list", -1},
-		"endpoints null":   {`"known":{"index":0,"snapshot":true,"endpoints":null},`, "known: not a list", -1},
-		"of another type":  {`"known":7,`, "known: not a list", -1},
-		"an odd entry":     {strings.Replace(goodFile[at:end], "]}", `,{"name":"s-2","status":"asleep"}]}`, 1), "known: 1 entries", 1},
-		"only odd entries": {strings.Replace(goodFile[at:end], "leaving", "asleep", 1), "known: 1 entries", 0},
+		"whole":           {goodFile[at:end], "", 1},
+		"absent":          {"", "", -1},
+		"null":            {`"known":null,`, "", -1},
+		"empty":           {`"known":{"index":0,"snapshot":true,"endpoints":[]},`, "", 0},
+		"no list":         {`"known":{"snapshot":true,"endpoints":[]},`, "known: not a list", -1},
+		"endpoints null":  {`"known":{"index":0,"snapshot":true,"endpoints":null},`, "known: not a list", -1},
+		"of another type": {`"known":7,`, "known: not a list", -1},
+		"a malformed entry": {
+			strings.Replace(goodFile[at:end], "]}", `,{"name":"s-2","status":"asleep"}]}`, 1), "known: 1 entries", 1,
+		},
+		"only malformed entries": {strings.Replace(goodFile[at:end], "leaving", "asleep", 1), "known: 1 entries", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, err := Parse([]byte(goodFile[:at] + c.known + goodFile[end:]))
 			require.NoError(t, err)
-			assert.Contains(t, p.Left, c.left)
-			assert.Equal(t, c.left == "", p.Left == "")
-			if c.holds < 0 {
+			assert.Contains(t, p.Left, c.warns)
+			assert.Equal(t, c.warns == "", p.Left == "")
+			if c.entries < 0 {
 				assert.Nil(t, p.Remembered)
 				return
 			}
-			assert.Len(t, p.Remembered.Entries, c.holds)
+			assert.Len(t, p.Remembered.Entries, c.entries)
 		})
 	}
 }
--- a/internal/platform/config/parse.go
+++ b/internal/platform/config/parse.go
@@ -8,21 +8,26 @@
 	"indigousher/internal/terms"
 )
 
-// Read reads the file that NODE_CONFIG names and holds the other variables against it.
+// ErrNoFile says that the platform named no file.
+var ErrNoFile = errors.New("NODE_CONFIG is not set")
+
+// Read reads the file that NODE_CONFIG names. NODE_NAME and NODE_LISTEN must agree with it, where they are set.
 func Read(getenv func(string) string) (*Placement, error) {
 	path := getenv("NODE_CONFIG")
 	if path == "" {
-		return nil, errors.New("NODE_CONFIG is not set")
+		return nil, ErrNoFile
 	}
 	p, err := ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	for _, v := range []struct{ name, field, value string }{
-		{"NODE_NAME", "name", p.Name}, {"NODE_LISTEN", "listen", p.Listen},
+	for _, v := range []struct{ variable, field, value string }{
+		{"NODE_NAME", "name", p.Name},
+		{"NODE_LISTEN", "listen", p.Listen},
 	} {
-		if told := getenv(v.name); told != "" && told != v.value {
-			return nil, fmt.Errorf("%s: %s is %q, but %s is %q", path, v.field, v.value, v.name, told)
+		expected := getenv(v.variable)
+		if expected != "" && expected != v.value {
+			return nil, wrongField(v.field, "%s: %s is %q, but %s is %q", path, v.field, v.value, v.variable, expected)
 		}
 	}
 	return p, nil
@@ -41,7 +46,7 @@
 	return p, nil
 }
 
-// Parse checks a file's text.
+// Parse reads and checks a file's text. Of a field that is wrong it returns a FieldError.
 func Parse(text []byte) (*Placement, error) {
 	if len(text) > terms.MostBytes {
 		return nil, fmt.Errorf("longer than %d bytes", terms.MostBytes)
@@ -50,7 +55,8 @@
 	if err := json.Unmarshal(text, p); err != nil {
 		return nil, fmt.Errorf("not readable: %w", err)
 	}
-	for _, check := range []func() error{p.checkAddresses, p.parseSeed, p.checkLimits, p.parseKnown, p.parseSettings} {
+	checks := []func() error{p.checkAddresses, p.parseSeed, p.checkLimits, p.parseKnown, p.parseSettings}
+	for _, check := range checks {
 		if err := check(); err != nil {
 			return nil, err
 		}
--- a/internal/platform/config/parse_test.go
+++ b/internal/platform/config/parse_test.go
@@ -9,11 +9,15 @@
 	"github.com/stretchr/testify/require"
 )
 
+// goodFile is a file with all fields.
 const goodFile = `{"name":"n3","listen":"127.0.0.4:3000","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":0.5,"memory_mb":48,"sockets":256},"relay":{"address":"127.2.0.2:6400"},"peers":["127.3.0.1:7946"],
-"known":{"index":41,"snapshot":true,"endpoints":[{"name":"s-1","zone":"a","type":"m2","group":3,"status":"leaving","weight":1.5,"since_ms":7}]},
-"settings":{"dcs":["a","b"],"kinds":["m2"],"instances":2,"rank":1,"discovery":"pushed","profiles":[{"name":"read","aim":1000000000}],
-"extra":{"proxy_count":150,"egress_per_s":800,"backlog":1200},"obligations":{"drain_grace":3000000000,"cold":10000000000}}}`
+"known":{"index":41,"snapshot":true,"endpoints":[
+{"name":"s-1","zone":"a","type":"m2","group":3,"status":"leaving","weight":1.5,"since_ms":7}]},
+"settings":{"dcs":["a","b"],"kinds":["m2"],"instances":2,"rank":1,"discovery":"pushed",
+"profiles":[{"name":"read","aim":1000000000}],
+"extra":{"proxy_count":150,"egress_per_s":800,"backlog":1200},
+"obligations":{"drain_grace":3000000000,"cold":10000000000}}}`
 
 func TestParse(t *testing.T) {
 	p, err := Parse([]byte(goodFile))
--- a/internal/platform/config/restart_test.go
+++ b/internal/platform/config/restart_test.go
@@ -9,12 +9,21 @@
 )
 
 func TestRequiresRestart(t *testing.T) {
-	a, err := Parse([]byte(goodFile))
+	old, err := Parse([]byte(goodFile))
 	require.NoError(t, err)
-	for change, want := range map[string][]string{`6400`: nil, `8500`: nil, `"n3"`: {"name"}, `"backlog":1200`: {"settings"}} {
-		b, err := Parse([]byte(strings.Replace(goodFile, change, map[string]string{`6400`: `6401`, `8500`: `8501`, `"n3"`: `"n4"`,
-			`"backlog":1200`: `"backlog":1300`}[change], 1)))
-		require.NoError(t, err)
-		assert.Equal(t, want, Restart(a, b))
+	for name, c := range map[string]struct {
+		from, to string
+		want     []string
+	}{
+		"relay":     {`6400`, `6401`, nil},
+		"discovery": {`8500`, `8501`, nil},
+		"name":      {`"n3"`, `"n4"`, []string{"name"}},
+		"settings":  {`"backlog":1200`, `"backlog":1300`, []string{"settings"}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			now, err := Parse([]byte(strings.Replace(goodFile, c.from, c.to, 1)))
+			require.NoError(t, err)
+			assert.Equal(t, c.want, Restart(old, now))
+		})
 	}
 }
