--- a/internal/platform/peek/peek_test.go
+++ b/internal/platform/peek/peek_test.go
@@ -11,13 +11,13 @@
 
 // pair returns both ends of a connection.
 func pair(t *testing.T) (conn, other net.Conn) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer l.Close()
-	conn, err = net.Dial("tcp", l.Addr().String())
+	defer func() { _ = listener.Close() }()
+	conn, err = net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
-	other, err = l.Accept()
+	other, err = listener.Accept()
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = other.Close() })
 	return conn, other
@@ -49,22 +49,23 @@
 // TestPeekWhileRead guards looking at a connection that another goroutine is reading: it must not wait for it.
 func TestPeekWhileRead(t *testing.T) {
 	conn, other := pair(t)
-	reads, ended := make(chan struct{}), make(chan struct{})
+	reading := make(chan struct{})
+	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		close(reads)
+		close(reading)
 		_, _ = conn.Read(make([]byte, 1))
 	}()
-	<-reads
-	looked := make(chan State)
-	go func() { looked <- Peek(conn) }()
+	<-reading
+	peeked := make(chan State)
+	go func() { peeked <- Peek(conn) }()
 	select {
-	case s := <-looked:
-		assert.Equal(t, Idle, s)
+	case state := <-peeked:
+		assert.Equal(t, Idle, state)
 	case <-time.After(5 * time.Second):
 		t.Error("it waits for the reader")
 		_ = other.Close()
-		<-looked
+		<-peeked
 	}
 	require.NoError(t, conn.Close())
 	<-ended
