--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,5 +1,5 @@
-// Package pause waits for a span or the end of a context, whichever comes first. Edges that try again use it; it keeps
-// no clock of the pilot's and decides nothing.
+// Package pause waits for a span or the end of a context, whichever comes first. What tries again uses it for the
+// time in between. It uses the real clock, not the controller's, and decides nothing.
 package pause
 
 import (
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// For waits and returns whether the whole span has passed.
-func For(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+// For waits for a span and returns whether the whole of it has passed before the end of ctx.
+func For(ctx context.Context, span time.Duration) bool {
+	timer := time.NewTimer(span)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// Passing tells an accept that failed for want of a descriptor, or the like, and may be tried again after a pause from a
-// listener that is closed.
+// Passing returns whether an accept failed for a passing reason, such as no free descriptor, and may be tried again
+// after a pause. That of a listener that is closed is none.
 func Passing(err error) bool {
-	var ne net.Error
-	return errors.As(err, &ne) && !errors.Is(err, net.ErrClosed)
+	var netErr net.Error
+	return errors.As(err, &netErr) && !errors.Is(err, net.ErrClosed)
 }
