--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -1,7 +1,6 @@
 package platform
 
 import (
-	"context"
 	"time"
 
 	"go.uber.org/zap"
@@ -9,47 +8,39 @@
 	"indigousher/internal/platform/config"
 )
 
-// superviseReloads reloads when told to and prints the counters now and then.
-func (x *Pilot) superviseReloads(ctx context.Context, reload <-chan struct{}) error {
-	t := time.NewTicker(reportInterval)
-	defer t.Stop()
-	again, left := time.NewTimer(rereadInterval), 0
-	defer again.Stop()
-	for {
-		select {
-		case <-reload:
-			if left = maxRereads; x.reload(true) {
-				left = 0
-			}
-			again.Reset(rereadInterval)
-		case <-again.C:
-			if left--; left >= 0 && x.reload(left == 0) {
-				left = 0
-			}
-			if left > 0 {
-				again.Reset(rereadInterval)
-			}
-		case <-t.C:
-			x.report()
-		case <-ctx.Done():
-			return nil
-		}
-	}
-}
+// A file that is wrong may be being written: it is read again each reloadRetryInterval, maxReloadRetries times.
+const (
+	reloadRetryInterval = 100 * time.Millisecond
+	maxReloadRetries    = 30
+)
 
-// reload reads the configuration again and returns whether it could. A wrong one changes nothing.
-func (x *Pilot) reload(say bool) bool {
-	now, err := x.reread()
+// reload reads the placement again and returns whether it could. A wrong one changes nothing, and is logged if asked
+// for.
+func (p *Pilot) reload(logFailure bool) bool {
+	now, err := p.reread()
 	if err != nil {
-		if say {
-			x.log.Error("reload refused, the old configuration stands", zap.Error(err))
+		if logFailure {
+			p.log.Error("reload refused, the old configuration stands", zap.Error(err))
 		}
 		return false
 	}
-	x.log.Info("reloaded", zap.String("discovery", now.Discovery), zap.String("relay", now.Relay.Address),
-		zap.Strings("want a restart", config.Restart(x.placement, now)))
-	x.agent.Move(now.Discovery)
-	x.orders.Move(now.Relay.Address)
-	x.events.Move(now.Relay.Address)
+	p.log.Info("reloaded", zap.String("discovery", now.Discovery), zap.String("relay", now.Relay.Address),
+		zap.Strings("want a restart", config.Restart(p.placement, now)))
+	p.agent.Move(now.Discovery)
+	p.orders.Move(now.Relay.Address)
+	p.events.Move(now.Relay.Address)
 	return true
 }
+
+// retryReload reads the placement again, if any retries are left, and returns how many are left then: none after one
+// that was read. The last one that fails is logged.
+func (p *Pilot) retryReload(retries int) (left int) {
+	if retries == 0 {
+		return 0
+	}
+	left = retries - 1
+	if p.reload(left == 0) {
+		return 0
+	}
+	return left
+}
--- a/internal/platform/report.go
+++ b/internal/platform/report.go
@@ -1,21 +1,70 @@
 package platform
 
-import "go.uber.org/zap"
-
-// report prints what is believed beside what crossed the sockets.
-func (x *Pilot) report() {
-	d, c, a := &x.listener.Counters, &x.counters, &x.agent.Counters
-	s := x.loop.State()
-	x.log.Info("counted", zap.Int("proxies", s.Proxies), zap.Int("endpoints", s.Endpoints),
-		zap.Int("listed", s.Believed.Listed), zap.Int("reports taken", s.Believed.Reports), zap.Int("odd", s.Believed.Odd),
-		zap.Float64("report covers ms", s.Believed.SpanMs/float64(max(1, s.Believed.Reports))),
-		zap.Int64("orders", c.Enqueued.Load()), zap.Int64("taken", c.Executed.Load()), zap.Int64("outdated", c.Superseded.Load()),
-		zap.Int64("dropped", c.Dropped.Load()), zap.Int64("uncertain", c.OutcomeUnknown.Load()),
-		zap.Int64("calls", c.Calls.Load()), zap.Int64("failed", c.FailedCalls.Load()), zap.Int64("probes", c.Probes.Load()),
-		zap.Int64("events", c.Events.Load()), zap.Int64("gaps", c.Gaps.Load()),
-		zap.Int64("reports", d.Reports.Load()), zap.Int64("spoilt", d.Spoilt.Load()),
-		zap.Int64("accepted", d.Accepted.Load()), zap.Int64("refused", d.Rejected.Load()),
-		zap.Int64("silent", d.Silent.Load()), zap.Int64("evicted", d.Evicted.Load()),
-		zap.Int64("list calls", a.Calls.Load()), zap.Int64("failed calls", a.Failed.Load()), zap.Int64("lists", a.Lists.Load()),
-		zap.Int64("odd entries", a.Odd.Load()))
+import (
+	"slices"
+
+	"go.uber.org/zap"
+
+	"indigousher/internal/pilot"
+	"indigousher/internal/platform/agent"
+	"indigousher/internal/platform/listener"
+	"indigousher/internal/platform/relay"
+)
+
+// report logs what the controller believes beside what crossed the sockets: where the two differ, something was lost on
+// the way.
+func (p *Pilot) report() {
+	p.log.Info("counted", slices.Concat(
+		controllerFields(p.loop.State()),
+		relayFields(&p.relayCounters),
+		listenerFields(&p.listener.Counters),
+		discoveryFields(&p.agent.Counters),
+	)...)
+}
+
+func controllerFields(s pilot.State) []zap.Field {
+	reports := s.Believed
+	return []zap.Field{
+		zap.Int("proxies", s.Proxies),
+		zap.Int("endpoints", s.Endpoints),
+		zap.Int("listed", reports.Listed),
+		zap.Int("reports taken", reports.Reports),
+		zap.Int("odd", reports.Odd),
+		zap.Float64("report covers ms", reports.SpanMs/float64(max(1, reports.Reports))),
+	}
+}
+
+func relayFields(c *relay.Counters) []zap.Field {
+	return []zap.Field{
+		zap.Int64("orders", c.Enqueued.Load()),
+		zap.Int64("taken", c.Executed.Load()),
+		zap.Int64("outdated", c.Superseded.Load()),
+		zap.Int64("dropped", c.Dropped.Load()),
+		zap.Int64("uncertain", c.OutcomeUnknown.Load()),
+		zap.Int64("calls", c.Calls.Load()),
+		zap.Int64("failed", c.FailedCalls.Load()),
+		zap.Int64("probes", c.Probes.Load()),
+		zap.Int64("events", c.Events.Load()),
+		zap.Int64("gaps", c.Gaps.Load()),
+	}
+}
+
+func listenerFields(c *listener.Counters) []zap.Field {
+	return []zap.Field{
+		zap.Int64("reports", c.Reports.Load()),
+		zap.Int64("spoilt", c.Spoilt.Load()),
+		zap.Int64("accepted", c.Accepted.Load()),
+		zap.Int64("refused", c.Rejected.Load()),
+		zap.Int64("silent", c.Silent.Load()),
+		zap.Int64("evicted", c.Evicted.Load()),
+	}
+}
+
+func discoveryFields(c *agent.Counters) []zap.Field {
+	return []zap.Field{
+		zap.Int64("list calls", c.Calls.Load()),
+		zap.Int64("failed calls", c.Failed.Load()),
+		zap.Int64("lists", c.Lists.Load()),
+		zap.Int64("odd entries", c.Odd.Load()),
+	}
 }
--- a/internal/platform/scriptedsite_test.go
+++ b/internal/platform/scriptedsite_test.go
@@ -15,21 +15,29 @@
 	"github.com/stretchr/testify/require"
 )
 
-// scriptedSite is the platform around one pilot: discovery and a relay, at as many addresses as wanted.
+const (
+	membersPath = "/catalog/members"
+	eventsPath  = "/v1/events"
+	ordersPath  = "/v1/orders"
+)
+
+// scriptedSite is the platform around one pilot: discovery and a relay, at as many addresses as wanted. One endpoint is
+// listed, one proxy joins.
 type scriptedSite struct {
-	mu    sync.Mutex
-	ops   []string
-	calls map[string]int
+	mu       sync.Mutex
+	executed []string       // commands: the address, verb, proxy and endpoint
+	calls    map[string]int // by address and path
 }
 
-func (s *scriptedSite) open(t *testing.T) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// open returns another address of the site.
+func (s *scriptedSite) open(t *testing.T) (address string) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = l.Close() })
-	address := l.Addr().String()
-	go func() {
+	t.Cleanup(func() { _ = listener.Close() })
+	address = listener.Addr().String()
+	go func() { // until the listener is closed
 		for {
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -41,60 +49,97 @@
 }
 
 func (s *scriptedSite) serve(conn net.Conn, address string) {
-	defer conn.Close()
-	r := bufio.NewReader(conn)
+	defer func() { _ = conn.Close() }()
+	reader := bufio.NewReader(conn)
 	for {
-		req, err := http.ReadRequest(r)
+		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		body, _ := io.ReadAll(req.Body)
-		s.mu.Lock()
-		s.calls[address+req.URL.Path]++
-		first := s.calls[address+req.URL.Path] == 1
-		s.mu.Unlock()
-		answer := ""
-		switch req.URL.Path {
-		case "/v1/events":
-			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-			for _, e := range []string{`{"type":"joined","object":{"node":3,"locality":"b","w":7,"cold":true}}`, `{}`, `{}`, `{}`, `{}`, `{}`} {
-				if _, err := fmt.Fprintf(conn, "%x\r\n%s\n\r\n", len(e)+1, e); err != nil {
-					return
-				}
-				time.Sleep(300 * time.Millisecond)
-			}
+		body, err := io.ReadAll(request.Body)
+		if err != nil {
 			return
-		case "/v1/orders":
-			var call struct{ Ops []map[string]any }
-			if json.Unmarshal(body, &call) != nil {
-				return
-			}
-			s.mu.Lock()
-			for _, o := range call.Ops {
-				s.ops = append(s.ops, fmt.Sprint(address, " ", o["verb"], " ", o["node"], " ", o["endpoint"]))
-			}
-			s.mu.Unlock()
-			answer = fmt.Sprintf(`{"ok_count":%d}`, len(call.Ops))
-		default:
-			answer = `{"index":7,"snapshot":false,"endpoints":[]}`
-			if first {
-				answer = `{"index":7,"snapshot":true,"endpoints":[{"name":"s-1","zone":"b","type":"m2","group":1,"status":"active","weight":1,"since_ms":0}]}`
-			} else {
-				time.Sleep(50 * time.Millisecond)
-			}
 		}
-		if _, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer), answer); err != nil {
+		path := request.URL.Path
+		number := s.countCall(address + path)
+		if path == eventsPath {
+			serveEvents(conn)
 			return
 		}
+		answer, err := s.answer(address, path, number, body)
+		if err != nil {
+			return
+		}
+		_, err = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer), answer)
+		if err != nil {
+			return
+		}
+	}
+}
+
+// countCall notes a call and returns its number, from 1.
+func (s *scriptedSite) countCall(what string) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.calls[what]++
+	return s.calls[what]
+}
+
+// serveEvents tells of one proxy and gives a few signs of life.
+func serveEvents(conn io.Writer) {
+	_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+	events := []string{
+		`{"type":"joined","object":{"node":3,"locality":"b","w":7,"cold":true}}`, `{}`, `{}`, `{}`, `{}`, `{}`,
+	}
+	for _, event := range events {
+		if _, err := fmt.Fprintf(conn, "%x\r\n%s\n\r\n", len(event)+1, event); err != nil {
+			return
+		}
+		time.Sleep(300 * time.Millisecond)
+	}
+}
+
+// answer returns the answer of discovery or the relay to a call.
+func (s *scriptedSite) answer(address, path string, number int, body []byte) (string, error) {
+	if path == ordersPath {
+		return s.execute(address, body)
+	}
+	return listAnswer(number), nil
+}
+
+// execute notes the commands of a call and returns its answer.
+func (s *scriptedSite) execute(address string, body []byte) (answer string, err error) {
+	var call struct{ Ops []map[string]any }
+	if err := json.Unmarshal(body, &call); err != nil {
+		return "", err
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, command := range call.Ops {
+		text := fmt.Sprint(address, " ", command["verb"], " ", command["node"], " ", command["endpoint"])
+		s.executed = append(s.executed, text)
+	}
+	return fmt.Sprintf(`{"ok_count":%d}`, len(call.Ops)), nil
+}
+
+// listAnswer returns the whole list to the first call and no changes to it to others.
+func listAnswer(number int) string {
+	if number == 1 {
+		return `{"index":7,"snapshot":true,"endpoints":[{"name":"s-1","zone":"b","type":"m2","group":1,` +
+			`"status":"active","weight":1,"since_ms":0}]}`
 	}
+	time.Sleep(50 * time.Millisecond)
+	return `{"index":7,"snapshot":false,"endpoints":[]}`
 }
 
-func (s *scriptedSite) has(what string) bool {
+// hasExecuted returns whether a text stands among the commands.
+func (s *scriptedSite) hasExecuted(what string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return strings.Contains(strings.Join(s.ops, "\n"), what)
+	return strings.Contains(strings.Join(s.executed, "\n"), what)
 }
 
+// asked returns how many calls came for an address and path.
 func (s *scriptedSite) asked(what string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/platform/simulator_test.go
+++ b/internal/platform/simulator_test.go
@@ -17,84 +17,133 @@
 	"indigousher/internal/wire"
 )
 
-// recordingRelay keeps what a core hands to its relay.
+// recordingRelay keeps the commands that a core hands to its relay.
 type recordingRelay struct{ lines []string }
 
-func (k *recordingRelay) Carry(turn []brain.Order, endpoint func(int) string) {
-	for _, o := range turn {
-		switch o := o.(type) {
+// Carry keeps the commands that the simulator has as well.
+func (r *recordingRelay) Carry(turn []brain.Order, endpoint func(int) string) {
+	for _, c := range turn {
+		switch c := c.(type) {
 		case brain.SetLine:
-			k.lines = append(k.lines, fmt.Sprintf("line %d %s %.9g", o.Table, endpoint(o.Endpoint), o.Weight))
+			r.lines = append(r.lines, fmt.Sprintf("line %d %s %.9g", c.Table, endpoint(c.Endpoint), c.Weight))
 		case brain.Bind:
-			k.lines = append(k.lines, fmt.Sprintf("bind %d %d %d", o.Proxy, o.Table, o.Kinds))
+			r.lines = append(r.lines, fmt.Sprintf("bind %d %d %d", c.Proxy, c.Table, c.Kinds))
 		case brain.Mark:
-			k.lines = append(k.lines, fmt.Sprintf("mark %d", o.Number))
+			r.lines = append(r.lines, fmt.Sprintf("mark %d", c.Number))
 		}
 	}
 }
 
-func (k *recordingRelay) Gone(int) {}
+// Gone does nothing.
+func (r *recordingRelay) Gone(int) {}
 
-// TestSameSettingsSameOrders guards that simulator and platform give the module the same: one translation of settings
-// and names, the same notes, and so the same orders.
-func TestSameSettingsSameOrders(t *testing.T) {
-	p, k := placement(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1"), &recordingRelay{}
-	c := pilot.NewCore(pilot.Plan{Decider: brain.New(5, p.Deployment.Terms), Terms: p.Deployment.Terms, Zones: p.Deployment.Zones.All(),
-		Machines: p.Deployment.Machines.All(), Kinds: p.Deployment.Kinds.All(), MostProxies: p.Proxies, Relay: k, List: noEndpointSource{}, Prober: probe.Never{},
-		Peers: peers.Nobody{}, Log: func(string) {}, Odd: func(what string, _ ...string) { t.Error(what) }})
-	entries, hosts := []wire.Entry{}, []string{}
+// noEndpointSource is a list that nobody follows.
+type noEndpointSource struct{}
+
+// Watch does nothing.
+func (noEndpointSource) Watch(bool) {}
+
+// Fetch does nothing.
+func (noEndpointSource) Fetch() {}
+
+// bothSides plays the same day to a core with the platform's inputs and, as events, to the simulator's adapter.
+type bothSides struct {
+	core   *pilot.Core
+	events []string
+}
+
+// start tells of the endpoints and of one proxy.
+func (b *bothSides) start() {
+	var entries []wire.Entry
+	var hosts []string
 	for i := range 6 {
 		name := fmt.Sprintf("10.0.0.%d:1", i)
-		entries = append(entries, wire.Entry{Endpoint: name, Zone: []string{"a", "b"}[i%2], Machine: "m2", Weight: float64(1 + i)})
-		hosts = append(hosts, fmt.Sprintf(`{"endpoint":%q,"zone":%q,"generation_hw":"m2","mode":"live","heft":%d}`, name, []string{"a", "b"}[i%2], 1+i))
+		zone := []string{"a", "b"}[i%2]
+		entries = append(entries, wire.Entry{Endpoint: name, Zone: zone, Machine: "m2", Weight: float64(1 + i)})
+		hosts = append(hosts, fmt.Sprintf(
+			`{"endpoint":%q,"zone":%q,"generation_hw":"m2","mode":"live","heft":%d}`, name, zone, 1+i))
 	}
-	c.Handle(0, []pilot.Input{pilot.Listed{List: &wire.List{Whole: true, Entries: entries}}, pilot.Relayed{Proxy: 3, Zone: "b", Rate: 7, Fresh: true}})
-	events := []string{`{"sim_time":0,"batch":1,"happened":[{"kind":"spawn","i":"pilot/0","rng_seed":5,"setup":` + strings.ReplaceAll(settings, "\n", "") +
-		`},{"kind":"discovery","i":"pilot/0","mode":"total","hosts":[` + strings.Join(hosts, ",") +
-		`]},{"kind":"stream_up","i":"pilot/0","edge":3,"zone":"b","heft":7,"active":true}]}`}
-	gather := func(s int) {
-		c.Handle(float64(500+1000*s), nil)
-		events = append(events, fmt.Sprintf(`{"sim_time":%d,"batch":2,"happened":[{"kind":"bell","i":"pilot/0","ref":"gather"}]}`,
-			(500+1000*s)*1000000))
-	}
-	gather(0)
-	for s := 1; s < 12; s++ {
-		load := float64(s%5) / 2 // full for long enough that tables change
-		c.Handle(float64(1000*s), []pilot.Input{pilot.ZoneMet{Zone: "b", Endpoint: "10.0.0.1:1", Tries: 30, Failed: s, MeanMs: 20,
-			SpanMs: 1000, Load: map[string]float64{"util": load, "qps": 30}},
-			pilot.ProxyDemand{Proxy: 3, Kind: "write", Reqs: 30, SpanMs: 1000}})
-		events = append(events, fmt.Sprintf(`{"sim_time":%d,"batch":2,"happened":[{"kind":"tally","i":"pilot/0","endpoint":"10.0.0.1:1",`+
-			`"zone":"b","count":30,"errors":%d,"wait_time":20000000,"covers":1000000000,"feedback":{"cpu_share":%g,"served_ps":30}},`+
-			`{"kind":"proxy_stats","i":"pilot/0","edge":3,"qos":"write","count":30,"covers":1000000000}]}`, 1000*s*1000000, s, load))
-		gather(s)
+	b.core.Handle(0, []pilot.Input{
+		pilot.Listed{List: &wire.List{Whole: true, Entries: entries}},
+		pilot.Relayed{Proxy: 3, Zone: "b", Rate: 7, Fresh: true},
+	})
+	b.events = append(b.events, `{"sim_time":0,"batch":1,"happened":[`+
+		`{"kind":"spawn","i":"pilot/0","rng_seed":5,"setup":`+strings.ReplaceAll(settings, "\n", "")+`},`+
+		`{"kind":"discovery","i":"pilot/0","mode":"total","hosts":[`+strings.Join(hosts, ",")+`]},`+
+		`{"kind":"stream_up","i":"pilot/0","edge":3,"zone":"b","heft":7,"active":true}]}`)
+}
+
+// report tells of one endpoint's load and of one proxy's requests, at a second.
+func (b *bothSides) report(second int, load float64) {
+	b.core.Handle(float64(1000*second), []pilot.Input{
+		pilot.ZoneMet{
+			Zone: "b", Endpoint: "10.0.0.1:1", Tries: 30, Failed: second, MeanMs: 20, SpanMs: 1000,
+			Load: map[string]float64{"util": load, "qps": 30},
+		},
+		pilot.ProxyDemand{Proxy: 3, Kind: "write", Reqs: 30, SpanMs: 1000},
+	})
+	b.events = append(b.events, fmt.Sprintf(`{"sim_time":%d,"batch":2,"happened":[`+
+		`{"kind":"tally","i":"pilot/0","endpoint":"10.0.0.1:1","zone":"b","count":30,"errors":%d,`+
+		`"wait_time":20000000,"covers":1000000000,"feedback":{"cpu_share":%g,"served_ps":30}},`+
+		`{"kind":"proxy_stats","i":"pilot/0","edge":3,"qos":"write","count":30,"covers":1000000000}]}`,
+		1000*second*1000000, second, load))
+}
+
+// controlRound has the timer fire, half a second after a second.
+func (b *bothSides) controlRound(second int) {
+	nowMs := 500 + 1000*second
+	b.core.Handle(float64(nowMs), nil)
+	b.events = append(b.events, fmt.Sprintf(
+		`{"sim_time":%d,"batch":2,"happened":[{"kind":"bell","i":"pilot/0","ref":"gather"}]}`, nowMs*1000000))
+}
+
+// TestSameSettingsSameOrders guards that simulator and platform give the planner the same: one translation of
+// settings and names, the same events, and so the same commands.
+func TestSameSettingsSameOrders(t *testing.T) {
+	p := placement(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1")
+	relay := &recordingRelay{}
+	sides := &bothSides{core: pilot.NewCore(pilot.Plan{
+		Decider:     brain.New(5, p.Deployment.Terms),
+		Terms:       p.Deployment.Terms,
+		Zones:       p.Deployment.Zones.All(),
+		Machines:    p.Deployment.Machines.All(),
+		Kinds:       p.Deployment.Kinds.All(),
+		MostProxies: p.Proxies,
+		Relay:       relay,
+		List:        noEndpointSource{},
+		Prober:      probe.Never{},
+		Peers:       peers.Nobody{},
+		Log:         func(string) {},
+		Odd:         func(what string, _ ...string) { t.Error(what) },
+	})}
+	sides.start()
+	sides.controlRound(0)
+	for second := 1; second < 12; second++ {
+		load := float64(second%5) / 2 // full for long enough that tables change
+		sides.report(second, load)
+		sides.controlRound(second)
 	}
-	assert.Equal(t, simulated(t, events), k.lines)
-	assert.Greater(t, len(k.lines), 7, "tables were laid and changed")
+	assert.Equal(t, simulated(t, sides.events), relay.lines)
+	assert.Greater(t, len(relay.lines), 7, "tables were laid and changed")
 }
 
-// simulated plays events through the simulator's adapter.
+// simulated plays events through the simulator's adapter and returns the commands in recordingRelay's words.
 func simulated(t *testing.T, events []string) (lines []string) {
 	var out strings.Builder
 	require.NoError(t, simwire.Serve(strings.NewReader(strings.Join(events, "\n")+"\n"), &out))
 	for _, text := range strings.Split(strings.TrimSpace(out.String()), "\n") {
-		var r struct{ Orders []map[string]any }
-		require.NoError(t, json.Unmarshal([]byte(text), &r))
-		for _, o := range r.Orders {
-			switch o["kind"] {
+		var answer struct{ Orders []map[string]any }
+		require.NoError(t, json.Unmarshal([]byte(text), &answer))
+		for _, c := range answer.Orders {
+			switch c["kind"] {
 			case "set_weight":
-				lines = append(lines, fmt.Sprintf("line %v %v %.9g", o["tbl"], o["endpoint"], o["heft"]))
+				lines = append(lines, fmt.Sprintf("line %v %v %.9g", c["tbl"], c["endpoint"], c["heft"]))
 			case "use_table":
-				lines = append(lines, fmt.Sprintf("bind %v %v %v", o["edge"], o["tbl"], o["lanes"]))
+				lines = append(lines, fmt.Sprintf("bind %v %v %v", c["edge"], c["tbl"], c["lanes"]))
 			case "checkpoint":
-				lines = append(lines, fmt.Sprintf("mark %v", o["epoch"]))
+				lines = append(lines, fmt.Sprintf("mark %v", c["epoch"]))
 			}
 		}
 	}
 	return lines
 }
-
-type noEndpointSource struct{}
-
-func (noEndpointSource) Watch(bool) {}
-
-func (noEndpointSource) Fetch() {}
