--- a/internal/platform/listener/listener.go
+++ b/internal/platform/listener/listener.go
@@ -66,7 +66,7 @@
 		}
 		if ctx.Err() != nil {
 			_ = group.Wait() // only says that the socket is closed
-			return nil       // the socket was closed because ctx has ended
+			return nil       //nolint:nilerr // the socket was closed because ctx has ended
 		}
 		if !pause.Passing(err) {
 			return fmt.Errorf("accept on %s: %w", socket.Addr(), err)
--- a/internal/platform/relay/event.go
+++ b/internal/platform/relay/event.go
@@ -64,8 +64,8 @@
 	known := s.members[proxy]
 	rejoined := known != nil && sub.mayHaveRejoined(proxy, known, cold)
 	if sub.state == receivingSnapshot {
-		sub.standing[proxy] = true
-		sub.lastStanding = sub.lastHeard
+		sub.announced[proxy] = true
+		sub.lastAnnounced = sub.lastHeard
 	}
 	sameZone := known != nil && known.zone == zone
 	if sameZone && !rejoined {
@@ -88,7 +88,7 @@
 	if known.since.After(sub.openedAt) {
 		return false
 	}
-	if sub.state != receivingSnapshot || !sub.afterGap || sub.standing[proxy] {
+	if sub.state != receivingSnapshot || !sub.afterGap || sub.announced[proxy] {
 		return false
 	}
 	return sub.afterLongGap || cold
@@ -96,7 +96,7 @@
 
 // applyLeft takes in that a proxy has left, which the other subscription may have told before.
 func (s *Events) applyLeft(sub *subscription, proxy int) pilot.Input {
-	delete(sub.standing, proxy)
+	delete(sub.announced, proxy)
 	if s.members[proxy] == nil {
 		return nil
 	}
@@ -107,7 +107,7 @@
 // applyAck takes in that a proxy has applied everything up to an ack request.
 func (s *Events) applyAck(e *event) pilot.Input {
 	known := s.members[*e.Object.Node]
-	if known == nil || e.Object.Nonce == nil || e.Object.Latency == nil || !known.firstAck(*e.Object.Nonce) {
+	if known == nil || e.Object.Nonce == nil || e.Object.Latency == nil || !known.recordAck(*e.Object.Nonce) {
 		return nil
 	}
 	return pilot.RelayApplied{Proxy: *e.Object.Node, Mark: *e.Object.Nonce, TookMs: *e.Object.Latency}
--- a/internal/platform/relay/member.go
+++ b/internal/platform/relay/member.go
@@ -18,8 +18,8 @@
 	nextAck int
 }
 
-// firstAck notes an ack and returns whether it was not told before.
-func (m *member) firstAck(number int) bool {
+// recordAck notes an ack and returns whether it was not told before.
+func (m *member) recordAck(number int) bool {
 	if slices.Contains(m.acked[:], number+1) {
 		return false
 	}
--- a/internal/platform/relay/snapshot.go
+++ b/internal/platform/relay/snapshot.go
@@ -45,7 +45,7 @@
 	if sub.state != receivingSnapshot {
 		return 0
 	}
-	return snapshotQuietPeriod - time.Since(sub.lastStanding)
+	return snapshotQuietPeriod - time.Since(sub.lastAnnounced)
 }
 
 // endSnapshot makes a subscription live: after a gap, proxies that its snapshot left out have left.
@@ -58,14 +58,14 @@
 	}
 	var departed []int
 	if sub.afterGap {
-		s.log.Info("proxies told after a gap", zap.Int("stream", i), zap.Int("standing", len(sub.standing)),
+		s.log.Info("proxies told after a gap", zap.Int("stream", i), zap.Int("standing", len(sub.announced)),
 			zap.Int("known", len(s.members)), zap.Bool("long", sub.afterLongGap))
 		departed = s.missingIn(sub)
 	}
 	sub.state = live
-	sub.standing = nil
+	sub.announced = nil
 	if sub.address == s.address {
-		s.cancelElsewhere()
+		s.cancelAtOldAddress()
 	}
 	for _, proxy := range departed {
 		delete(s.members, proxy)
@@ -76,7 +76,7 @@
 // missingIn returns the members that a snapshot left out, by number. The caller holds the lock.
 func (s *Events) missingIn(sub *subscription) (proxies []int) {
 	for proxy := range s.members {
-		if !sub.standing[proxy] {
+		if !sub.announced[proxy] {
 			proxies = append(proxies, proxy)
 		}
 	}
@@ -84,9 +84,9 @@
 	return proxies
 }
 
-// cancelElsewhere ends subscriptions at an address that was left: they have told what happened until the one at the new
+// cancelAtOldAddress ends subscriptions at an address that was left: they have told what happened until the one at the new
 // address has told what stands. The caller holds the lock.
-func (s *Events) cancelElsewhere() {
+func (s *Events) cancelAtOldAddress() {
 	for j := range s.subscriptions {
 		other := &s.subscriptions[j]
 		if other.address != s.address && other.cancel != nil {
--- a/internal/platform/relay/subscription.go
+++ b/internal/platform/relay/subscription.go
@@ -37,10 +37,10 @@
 	lastHeard time.Time // the last event or sign of life, or the opening
 
 	// Of the snapshot.
-	standing     map[int]bool // proxies told since the opening; nil unless receivingSnapshot
-	lastStanding time.Time    // when one was told last, or the opening
-	afterGap     bool         // nothing else carried the events when it opened
-	afterLongGap bool         // for so long that a proxy may have left and come back
+	announced     map[int]bool // proxies told since the opening; nil unless receivingSnapshot
+	lastAnnounced time.Time    // when one was told last, or the opening
+	afterGap      bool         // nothing else carried the events when it opened
+	afterLongGap  bool         // for so long that a proxy may have left and come back
 }
 
 // beginSnapshot notes the opening.
@@ -48,15 +48,15 @@
 	sub.state = receivingSnapshot
 	sub.openedAt = now
 	sub.lastHeard = now
-	sub.standing = map[int]bool{}
-	sub.lastStanding = now
+	sub.announced = map[int]bool{}
+	sub.lastAnnounced = now
 	sub.afterGap = false
 	sub.afterLongGap = false
 }
 
 func (sub *subscription) disconnect() {
 	sub.state = disconnected
-	sub.standing = nil
+	sub.announced = nil
 }
 
 // subscribed notes that a subscription begins, and whether there is a gap in the events before it.
