--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,5 +1,4 @@
-// Package pause waits for a span or the end of a context, whichever comes first. What tries again uses it for the
-// time in between. It uses the real clock, not the controller's, and decides nothing.
+// Package pause waits between retries. It uses the real clock, not that of the controller.
 package pause
 
 import (
@@ -9,7 +8,7 @@
 	"time"
 )
 
-// For waits for a span and returns whether the whole of it has passed before the end of ctx.
+// For waits for span and returns true, or false if ctx ended before.
 func For(ctx context.Context, span time.Duration) bool {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
@@ -21,8 +20,8 @@
 	}
 }
 
-// Passing returns whether an accept failed for a passing reason, such as no free descriptor, and may be tried again
-// after a pause. That of a listener that is closed is none.
+// Passing reports whether accept failed temporarily, as without a free descriptor, so that it can be retried after a
+// pause. It returns false for a closed listener.
 func Passing(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && !errors.Is(err, net.ErrClosed)
--- a/internal/platform/agent/client.go
+++ b/internal/platform/agent/client.go
@@ -1,6 +1,6 @@
-// Package agent follows the endpoint list at the platform's discovery agent: HTTP/1.1 watches, one after another on
-// one connection. It parses, checks and hands over; what a list means the planner decides. A call that fails or stays
-// silent is made again on a new connection, from the version held.
+// Package agent follows the endpoint list of the platform's discovery agent with HTTP/1.1 watches, one at a time on
+// one connection. It parses and validates lists and posts them; the planner decides what they mean. After an error or
+// timeout it reconnects and continues from the version it has.
 package agent
 
 import (
@@ -12,33 +12,33 @@
 	"indigousher/internal/pilot"
 )
 
-// Agent follows the list. Any goroutine may call its methods but Run, which one goroutine runs.
+// Agent follows the list. All methods but Run may be called from any goroutine; Run is called once.
 type Agent struct {
 	Counters Counters
 
 	inbox pilot.Inbox
 	log   *zap.Logger
-	wake  chan struct{} // holds a token when what is wanted has changed since Run last waited
+	wake  chan struct{} // capacity 1; holds a token if the fields below have changed since the last wait
 
-	mu sync.Mutex // guards what follows
+	mu sync.Mutex // guards the fields below
 
-	// What is wanted.
+	// Desired state.
 	address    string
-	watching   bool               // the list is followed
-	fetch      bool               // the whole list is asked for once
-	cancelCall context.CancelFunc // ends the call in flight, or the wait for something to do; nil before Run
+	watching   bool               // follow the list
+	fetch      bool               // request the whole list once
+	cancelCall context.CancelFunc // ends the call or wait in progress; nil before Run
 
-	// What is held.
-	hasList bool // version is of a list that was handed over, so that changes to it can be asked for
+	// Actual state.
+	hasList bool // a list was posted, and changes to its version can be requested
 	version int
 }
 
-// New returns a client that does nothing before Run. With watch it follows the list unasked.
+// New returns a client that does nothing before Run. With watch it follows the list from the start.
 func New(address string, watch bool, inbox pilot.Inbox, log *zap.Logger) *Agent {
 	return &Agent{address: address, watching: watch, inbox: inbox, log: log, wake: make(chan struct{}, 1)}
 }
 
-// Watch begins or ends following the list.
+// Watch starts or stops following the list.
 func (a *Agent) Watch(on bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -46,7 +46,7 @@
 	a.signal()
 }
 
-// Fetch asks for the whole list once.
+// Fetch requests the whole list once.
 func (a *Agent) Fetch() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -54,7 +54,7 @@
 	a.signal()
 }
 
-// Move has calls go to another address. The call in flight is given up, the version held is kept.
+// Move changes the address. The call in flight is cancelled, the version is kept.
 func (a *Agent) Move(address string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -68,10 +68,10 @@
 	a.signal()
 }
 
-// signal wakes Run, should it wait for something to do.
+// signal wakes Run if it waits.
 func (a *Agent) signal() {
 	select {
 	case a.wake <- struct{}{}:
-	default: // it is woken already
+	default: // a wake-up is already pending
 	}
 }
--- a/internal/platform/agent/fetch.go
+++ b/internal/platform/agent/fetch.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// maxListBytes bounds the body of an answer.
+// maxListBytes bounds the body of a response.
 const maxListBytes = 8 << 20
 
-// response is what discovery said to a call.
+// response is discovery's response to a call.
 type response struct {
 	body    []byte
-	closing bool // discovery takes no other call on this connection
+	closing bool // discovery closes the connection after it
 }
 
-// get makes one call and reads its response to the end.
+// get makes one call and reads the whole response.
 func get(conn net.Conn, reader *bufio.Reader, host, path string, timeout time.Duration) (response, error) {
 	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return response{}, fmt.Errorf("set deadline: %w", err)
@@ -30,7 +30,7 @@
 	if err != nil {
 		return response{}, fmt.Errorf("read discovery's answer: %w", err)
 	}
-	defer func() { _ = resp.Body.Close() }() // it is read to its end, or the connection is closed
+	defer func() { _ = resp.Body.Close() }() // it has been read, or the connection is closed next
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes+1))
 	if err != nil {
 		return response{}, fmt.Errorf("read the list: %w", err)
--- a/internal/platform/agent/list.go
+++ b/internal/platform/agent/list.go
@@ -9,24 +9,24 @@
 	"indigousher/internal/wire"
 )
 
-// ErrInvalidList says that an answer is no list.
+// ErrInvalidList says that an answer does not contain a list.
 var ErrInvalidList = errors.New("not a list of endpoints")
 
 // Bounds of a list.
 const (
 	maxEntries   = 65536
 	maxNameBytes = 256  // of an endpoint's name
-	maxSinceMs   = 1e15 // far beyond any start, and exact in a float64
+	maxSinceMs   = 1e15 // of the start of an endpoint; exact in a float64
 )
 
-// answer is a list in discovery's form.
+// answer is a list in discovery's format. The type's name is part of error texts.
 type answer struct {
-	Index     *int              `json:"index"`    // the version
-	Snapshot  bool              `json:"snapshot"` // the whole list, not changes to it
+	Index     *int              `json:"index"`    // version of the list
+	Snapshot  bool              `json:"snapshot"` // the whole list rather than changes to it
 	Endpoints []json.RawMessage `json:"endpoints"`
 }
 
-// entry is one endpoint of a list in discovery's form.
+// entry is an endpoint in discovery's format.
 type entry struct {
 	Name    *string  `json:"name"`
 	Zone    string   `json:"zone"`
@@ -34,13 +34,13 @@
 	Cell    int      `json:"group"`
 	Status  string   `json:"status"`
 	Weight  *float64 `json:"weight"`   // absent: 1
-	SinceMs float64  `json:"since_ms"` // when the endpoint started, ms since 1970
+	SinceMs float64  `json:"since_ms"` // start of the endpoint, ms since 1970
 }
 
 var phaseOfStatus = map[string]int{"active": wire.PhaseReady, "leaving": wire.PhaseDraining, "left": wire.PhaseGone}
 
-// ParseList reads a list in discovery's form. It leaves out the entries that can't be used and counts them. Its errors
-// are ErrInvalidList.
+// ParseList parses a list in discovery's format. It skips malformed entries and returns their number. Its errors wrap
+// ErrInvalidList.
 func ParseList(text []byte) (list *wire.List, malformed int, err error) {
 	var a answer
 	if err := json.Unmarshal(text, &a); err != nil {
@@ -61,7 +61,7 @@
 	return list, malformed, nil
 }
 
-// parseEntry returns an endpoint's entry, and whether it can be used.
+// parseEntry parses an entry and reports whether it is well-formed.
 func parseEntry(raw []byte) (wire.Entry, bool) {
 	var e entry
 	if err := json.Unmarshal(raw, &e); err != nil {
--- a/internal/platform/agent/watch.go
+++ b/internal/platform/agent/watch.go
@@ -14,20 +14,20 @@
 	"indigousher/internal/wire"
 )
 
-// Times of the watch. A short wait finds a dead call soon: what discovery has to say counts as told 2 s after the wait
-// has ended, whether it came or not.
+// Times of the watch. The wait is short so that a dead call is detected early: the platform counts news as delivered
+// 2 s after the end of a wait, whether they were received or not.
 const (
-	// watchWait is how long discovery holds a call back until the list changes.
+	// watchWait is how long discovery may delay its answer until the list changes.
 	watchWait = 1000 * time.Millisecond
-	// answerTimeout is for an answer, beyond the wait.
+	// answerTimeout bounds a call, in addition to the wait.
 	answerTimeout = 400 * time.Millisecond
-	// dialTimeout is for the opening of a connection.
+	// dialTimeout bounds connecting.
 	dialTimeout = 500 * time.Millisecond
-	// retryDelay is the pause after a failed call.
+	// retryDelay is the pause after an error.
 	retryDelay = 50 * time.Millisecond
 )
 
-// membersPath is the whole list's path.
+// membersPath is the path of the whole list.
 const membersPath = "/catalog/members"
 
 // Run follows the list until ctx ends.
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// runOnce watches on one connection, or waits until something is wanted. A change of the address ends either.
+// runOnce watches on one connection or, if nothing is to be requested, waits. A change of the address ends either.
 func (a *Agent) runOnce(ctx context.Context) {
 	callCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -55,7 +55,7 @@
 		return
 	}
 	err := a.watchOn(callCtx, address)
-	if err == nil || callCtx.Err() != nil { // nothing is wanted any more, or not there
+	if err == nil || callCtx.Err() != nil { // nothing more to request, or not at this address
 		return
 	}
 	a.Counters.Failed.Add(1)
@@ -63,13 +63,14 @@
 	pause.For(ctx, retryDelay)
 }
 
-// watchOn makes calls on one connection until it fails, or discovery closes it, or nothing is wanted.
+// watchOn makes calls on one connection until an error, until discovery closes it, or until nothing is to be
+// requested.
 func (a *Agent) watchOn(ctx context.Context, address string) error {
 	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return fmt.Errorf("dial discovery: %w", err)
 	}
-	defer func() { _ = conn.Close() }() // nothing on it is still wanted
+	defer func() { _ = conn.Close() }() // its data is not needed any more
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	reader := bufio.NewReader(conn)
@@ -97,7 +98,7 @@
 	}
 }
 
-// nextRequest returns the next call's path and how long it may take, and whether any is wanted.
+// nextRequest returns the path and timeout of the next call, and whether there is one to make.
 func (a *Agent) nextRequest() (path string, timeout time.Duration, wanted bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -112,9 +113,9 @@
 	return path, watchWait + answerTimeout, true
 }
 
-// deliver hands a list over. Changes without entries only say that the watch lives. Changes to a list not held here,
-// where the whole list was asked for or the version went back, are handed over as well, but the whole list is asked for
-// next, on a new connection.
+// deliver posts a list and records its version. Changes without entries are only a keepalive. Changes without their
+// base, because the whole list was requested or the version decreased, are posted as well, but then an error is
+// returned and the whole list is requested next.
 func (a *Agent) deliver(ctx context.Context, list *wire.List, askedWhole bool) error {
 	a.mu.Lock()
 	withoutBase := !list.Whole && (askedWhole || a.hasList && list.Version < a.version)
--- a/internal/platform/config/checks.go
+++ b/internal/platform/config/checks.go
@@ -11,17 +11,17 @@
 	"indigousher/internal/translate"
 )
 
-// Bounds of what the file may name. They keep a slip of the pen from costing the pilot its memory.
+// Bounds of the fields. They keep a mistyped value from exhausting the memory.
 const (
 	maxProxies  = 65535
 	maxZones    = 1024
 	maxPort     = 65535
 	maxCores    = 1024
-	minMemoryMB = 8 // with less it doesn't start
+	minMemoryMB = 8 // the program does not start with less
 	maxMemoryMB = 1e7
 	minSockets  = 32
 	maxSockets  = 1 << 20
-	minSetting  = 1e-3 // of settings that have to be more than 0
+	minSetting  = 1e-3 // of settings that have to be positive
 )
 
 // checkAddresses checks the pilot's name and the addresses.
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// isAddress returns whether a text is an IP address and a port.
+// isAddress reports whether a text is an IP address and a port.
 func isAddress(text string) bool {
 	host, portText, err := net.SplitHostPort(text)
 	if err != nil {
@@ -68,7 +68,7 @@
 
 func (p *Placement) checkLimits() error {
 	cores := p.Limits.Cores
-	if !(cores > 0 && cores <= maxCores) { // so that not-a-number fails as well
+	if !(cores > 0 && cores <= maxCores) { // negated so that NaN is invalid
 		return wrongField("limits.cores", "limits.cores: %g", cores)
 	}
 	memory := p.Limits.MemoryMB
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// parseKnown reads the list as it was held last. It is a help at the start, and discovery tells the list anyway: one
-// that can't be used is left out and said to be.
+// parseKnown parses the endpoint list from before the start. It only speeds up the start, as discovery sends the list
+// anyway, so an invalid one is ignored with a warning.
 func (p *Placement) parseKnown() error {
 	if len(p.Known) == 0 || string(p.Known) == "null" {
 		return nil
@@ -91,7 +91,7 @@
 	list, malformed, err := agent.ParseList(p.Known)
 	if err != nil {
 		p.Left = fmt.Sprintf("known: %v", err)
-		return nil // the pilot starts without it
+		return nil // ignored with a warning
 	}
 	if malformed > 0 {
 		p.Left = fmt.Sprintf("known: %d entries that can't be used", malformed)
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// parseSettings translates the operators' settings and checks what the program itself or the planner can't do without.
+// parseSettings translates the operators' settings and validates those that the program or the planner requires.
 func (p *Placement) parseSettings() error {
 	if len(p.Settings) == 0 {
 		return wrongField("settings", "settings are %w", ErrMissing)
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// checkInstances checks how many pilots there are and which of them this is.
+// checkInstances checks the number of pilots and the rank of this one among them.
 func checkInstances(settings map[string]any) error {
 	instances, err := numberWithin(settings, "instances", 1, maxProxies)
 	if err != nil {
@@ -140,7 +140,7 @@
 	return err
 }
 
-// numberWithin returns a setting that has to be a number within bounds, by the planner's name of it.
+// numberWithin returns a required numeric setting within bounds. name is the planner's name of it.
 func numberWithin(settings map[string]any, name string, low, high float64) (float64, error) {
 	field := "settings: " + name
 	v, ok := settings[name].(float64)
--- a/internal/platform/config/errors.go
+++ b/internal/platform/config/errors.go
@@ -5,24 +5,24 @@
 	"fmt"
 )
 
-// ErrMissing says that a field is absent or empty; a FieldError around it names the field.
+// ErrMissing says that a field is missing or empty. It is wrapped in a FieldError.
 var ErrMissing = errors.New("missing")
 
-// FieldError says which field of the file is wrong, and why.
+// FieldError says which field of the file is invalid and why.
 type FieldError struct {
-	// Field is its path in the file, as in "limits.cores". A single setting goes by the planner's name of it, as in
-	// "settings: backlog".
+	// Field is its path in the file, as in "limits.cores". For a single setting it is "settings: " and the planner's
+	// name of the setting, as in "settings: backlog".
 	Field string
-	err   error // names the field
+	err   error // its text names the field
 }
 
-// Error names the field and says what is wrong.
+// Error returns a text that names the field.
 func (e *FieldError) Error() string { return e.err.Error() }
 
 // Unwrap returns the cause.
 func (e *FieldError) Unwrap() error { return e.err }
 
-// wrongField returns a FieldError; the text names the field.
+// wrongField returns a FieldError. The formatted text has to name the field.
 func wrongField(field, format string, args ...any) error {
 	return &FieldError{Field: field, err: fmt.Errorf(format, args...)}
 }
--- a/internal/platform/config/parse.go
+++ b/internal/platform/config/parse.go
@@ -8,10 +8,10 @@
 	"indigousher/internal/terms"
 )
 
-// ErrNoFile says that the platform named no file.
+// ErrNoFile says that the environment does not name a file.
 var ErrNoFile = errors.New("NODE_CONFIG is not set")
 
-// Read reads the file that NODE_CONFIG names. NODE_NAME and NODE_LISTEN must agree with it, where they are set.
+// Read reads the file that NODE_CONFIG names. NODE_NAME and NODE_LISTEN have to agree with it if they are set.
 func Read(getenv func(string) string) (*Placement, error) {
 	path := getenv("NODE_CONFIG")
 	if path == "" {
@@ -33,7 +33,7 @@
 	return p, nil
 }
 
-// ReadFile reads and checks a file.
+// ReadFile reads and validates a file.
 func ReadFile(path string) (*Placement, error) {
 	text, err := terms.ReadFile(path)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return p, nil
 }
 
-// Parse reads and checks a file's text. Of a field that is wrong it returns a FieldError.
+// Parse parses and validates the text of a file. It returns a FieldError for an invalid field.
 func Parse(text []byte) (*Placement, error) {
 	if len(text) > terms.MostBytes {
 		return nil, fmt.Errorf("longer than %d bytes", terms.MostBytes)
--- a/internal/platform/config/placement.go
+++ b/internal/platform/config/placement.go
@@ -1,5 +1,6 @@
-// Package config reads what the operators' platform tells a pilot: the NODE_ variables and the JSON file they name. It
-// checks all that the program relies on and names the field that is wrong (FieldError). It applies nothing.
+// Package config reads a pilot's placement on the operators' platform: the NODE_ environment variables and the JSON
+// file that they name. It validates everything the program relies on and reports the invalid field (FieldError). It
+// applies nothing.
 package config
 
 import (
@@ -16,9 +17,9 @@
 	Sockets  int     `json:"sockets"` // file descriptors
 }
 
-// Placement is what the file says of one pilot.
+// Placement is the content of the file.
 type Placement struct {
-	// The file's fields. Addresses are of the form IP:port.
+	// Fields of the file. Addresses have the form IP:port.
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
@@ -27,14 +28,14 @@
 	Relay     struct {
 		Address string `json:"address"`
 	} `json:"relay"`
-	Known    json.RawMessage `json:"known"` // the endpoint list as it was held last
+	Known    json.RawMessage `json:"known"` // endpoint list from before the start, if any
 	Settings map[string]any  `json:"settings"`
 
-	// What Parse makes of them.
+	// Values that Parse derives from them.
 	Seed       int64                 `json:"-"`
-	Remembered *wire.List            `json:"-"` // nil: none
+	Remembered *wire.List            `json:"-"` // Known, or nil if absent or invalid
 	Deployment *translate.Deployment `json:"-"`
-	Proxies    int                   `json:"-"` // numbers below this exist
-	OnRequest  bool                  `json:"-"` // the list is told only after the planner has asked
-	Left       string                `json:"-"` // what of the file is left out, as it can't be used; "": nothing
+	Proxies    int                   `json:"-"` // upper bound of proxy numbers, exclusive
+	OnRequest  bool                  `json:"-"` // the endpoint list is followed only on request of the planner
+	Left       string                `json:"-"` // describes an ignored part of the file, or ""
 }
--- a/internal/platform/config/restart.go
+++ b/internal/platform/config/restart.go
@@ -2,8 +2,8 @@
 
 import "reflect"
 
-// Restart names the fields of a new file that differ and count only after a restart. Addresses of discovery and the
-// relay are not among them: they count at once.
+// Restart returns the names of the changed fields that take effect only after a restart. The addresses of discovery
+// and the relay take effect at once.
 func Restart(old, now *Placement) (fields []string) {
 	for _, f := range []struct {
 		name string
--- a/internal/platform/limits.go
+++ b/internal/platform/limits.go
@@ -7,24 +7,24 @@
 	"indigousher/internal/platform/config"
 )
 
-// Shares of the machine's limits.
+// Allocation of the machine's limits.
 const (
-	// memoryLimitShare of the memory is what the runtime aims to stay under; the rest is for stacks, buffers of the
-	// kernel and the time that a collection takes.
+	// memoryLimitShare of the memory is the limit of the Go runtime. The rest is for memory outside of it and for
+	// exceeding it between collections.
 	memoryLimitShare = 0.6
-	// reservedSockets are descriptors for all that is not the listener.
+	// reservedSockets is the number of descriptors reserved for everything but the listener.
 	reservedSockets = 16
 	// unidentifiedShare of the other descriptors is for connections that have not identified themselves.
 	unidentifiedShare = 0.4
 )
 
-// Limit sets the runtime to what the machine gives.
+// Limit sets the limits of the Go runtime to those of the machine.
 func Limit(l config.Limits) {
 	runtime.GOMAXPROCS(max(1, int(l.Cores)))
 	debug.SetMemoryLimit(int64(l.MemoryMB * memoryLimitShare * (1 << 20)))
 }
 
-// maxUnidentified returns how many unidentified connections the listener may hold.
+// maxUnidentified returns how many unidentified connections the listener may have open.
 func maxUnidentified(l config.Limits) int {
 	available := float64(l.Sockets - reservedSockets)
 	return int(available * unidentifiedShare)
--- a/internal/platform/listener/collectors.go
+++ b/internal/platform/listener/collectors.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// maxCollectorsPerZone is how many connections of a zone's collector may stand: one that was cut off without a sign may
-// have something left to read when the next one comes, and no more than that.
+// maxCollectorsPerZone is how many connections a zone's collector may have open: after a silent loss of its
+// connection the old one may still have data to read when the next one is opened.
 const maxCollectorsPerZone = 2
 
 // collectors holds the connections of collectors.
@@ -16,19 +16,19 @@
 	byZone map[string][]net.Conn // oldest first
 }
 
-// add notes a collector's connection and closes the oldest of its zone where there are too many.
+// add adds a collector's connection and closes the oldest one of its zone if there are too many.
 func (c *collectors) add(zone string, conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	conns := append(c.byZone[zone], conn)
 	if len(conns) > maxCollectorsPerZone {
-		_ = conns[0].Close() // it has been replaced twice
+		_ = conns[0].Close() // two newer ones have replaced it
 		conns = slices.Delete(conns, 0, 1)
 	}
 	c.byZone[zone] = conns
 }
 
-// remove forgets a connection; one that was replaced is forgotten already.
+// remove removes a connection. It does nothing if the connection was replaced.
 func (c *collectors) remove(zone string, conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/platform/listener/counters.go
+++ b/internal/platform/listener/counters.go
@@ -2,12 +2,12 @@
 
 import "sync/atomic"
 
-// Counters of what came, for the controller's periodic report.
+// Counters of connections and lines, for the platform's periodic report.
 type Counters struct {
-	// Connections: all that were accepted, those that identified themselves as a collector's, and how the others ended:
-	// told that they are rejected, closed without having said enough, or closed to make room.
+	// Connections: all accepted ones, those identified as a collector's, and the others by their end: rejected,
+	// closed before they sent a whole line, or evicted to make room.
 	Accepted, Collectors, Rejected, Silent, Evicted atomic.Int64
 
-	// Lines of collectors: reports handed over, and lines that could not be used.
+	// Lines of collectors: reports posted, and malformed lines.
 	Reports, Spoilt atomic.Int64
 }
--- a/internal/platform/listener/handshake.go
+++ b/internal/platform/listener/handshake.go
@@ -10,24 +10,23 @@
 	"go.uber.org/zap"
 )
 
-// Limits of connections that have not identified themselves.
+// Limits of unidentified connections.
 const (
-	// identifyTimeout ends a connection that says no more than ping.
+	// identifyTimeout bounds the time until a connection has identified itself.
 	identifyTimeout = 1200 * time.Millisecond
-	// maxGreetingBytes bounds a line of such a connection.
+	// maxGreetingBytes bounds a line before identification.
 	maxGreetingBytes = 256
-	// writeTimeout bounds the time in which the word that a peer is owed may be written, and that in which what a
-	// rejected one still sends is read.
+	// writeTimeout bounds writing a reply, and reading the rest of a rejected connection.
 	writeTimeout = 300 * time.Millisecond
-	// maxDiscardedReads of discardBufferBytes each bound what is read of a rejected connection.
+	// maxDiscardedReads reads of up to discardBufferBytes bound how much is read of a rejected connection.
 	maxDiscardedReads  = 64
 	discardBufferBytes = 512
-	// rejectionLogInterval is the least time between two log lines on rejected connections.
+	// rejectionLogInterval is the minimum time between two log lines about rejections.
 	rejectionLogInterval = time.Second
 )
 
-// identify reads up to the line that makes a connection a collector's and returns what was read behind it. A connection
-// that sends anything else but ping is rejected, one that says nothing is closed.
+// identify reads up to the line that identifies a collector and returns what was read after it. It replies to pings,
+// rejects a connection that sends anything else, and returns an error for one that sends no whole line in time.
 func (l *Listener) identify(conn net.Conn) (zone string, rest []byte, err error) {
 	if err := conn.SetDeadline(time.Now().Add(identifyTimeout)); err != nil {
 		return "", nil, err
@@ -62,7 +61,7 @@
 	}
 }
 
-// collectorZone returns the zone that a line names, if it is a collector's first line and the zone one of ours.
+// collectorZone returns the zone in a collector's first line, and whether it is such a line and the zone is ours.
 func (l *Listener) collectorZone(line []byte) (zone string, ok bool) {
 	var f fields
 	kind, err := f.parse(line)
@@ -73,7 +72,7 @@
 	return zone, slices.Contains(l.zones, zone)
 }
 
-// reject tells a peer that it is rejected and returns an error in any case.
+// reject informs the peer of the rejection. It always returns an error.
 func (l *Listener) reject(conn net.Conn, reason string) error {
 	l.Counters.Rejected.Add(1)
 	l.rejections.record(reason)
@@ -86,10 +85,10 @@
 	return ErrMalformedLine
 }
 
-// discardRest ends the sending side of a connection and reads what still comes for a while: closed at once, it would be
-// reset, and the word just written lost before the peer has read it.
+// discardRest closes the sending side and reads the remaining data for a while. Closing with unread data would reset
+// the connection, and the peer might lose the reply.
 func discardRest(conn *net.TCPConn) {
-	_ = conn.CloseWrite() // fails where the peer has closed already, and then Read does
+	_ = conn.CloseWrite() // if the peer has closed already, Read fails as well
 	_ = conn.SetReadDeadline(time.Now().Add(writeTimeout))
 	var buffer [discardBufferBytes]byte
 	for range maxDiscardedReads {
@@ -99,7 +98,7 @@
 	}
 }
 
-// writeLine writes a word that a peer is owed, but waits for no one.
+// writeLine writes a one-word reply, without waiting for a peer that does not read.
 func writeLine(conn net.Conn, word string) error {
 	if err := conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
@@ -108,16 +107,16 @@
 	return err
 }
 
-// rejectionLog writes of rejected connections, but no more than one line each rejectionLogInterval.
+// rejectionLog logs rejections, at most one line per rejectionLogInterval.
 type rejectionLog struct {
 	log *zap.Logger
 
 	mu       sync.Mutex
 	lastLine time.Time
-	unlogged int // rejections since then
+	unlogged int // rejections since lastLine
 }
 
-// record counts a rejection and writes a line, if one is due.
+// record counts a rejection and logs if a line is due.
 func (r *rejectionLog) record(reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/platform/listener/line.go
+++ b/internal/platform/listener/line.go
@@ -8,8 +8,8 @@
 	"indigousher/brain"
 )
 
-// ErrMalformedLine says that a line is no message that is taken here. It names neither the line nor the peer, so that
-// strangers can't fill the log.
+// ErrMalformedLine says that a line is not a message of the protocol. It contains neither the line nor the peer, so
+// that peers cannot fill the log.
 var ErrMalformedLine = errors.New("not a message")
 
 // Bounds of a line's values.
@@ -19,15 +19,15 @@
 	maxNameBytes = 256
 )
 
-// fields are the name=value words of a line, in place: they are valid as long as the line. One value serves line after
-// line, so that parsing allocates nothing but the texts that are kept.
+// fields are the name=value pairs of a line. They refer to the line and are valid as long as it is. One value is
+// reused for all lines, so that parsing allocates only the texts that are kept.
 type fields struct {
 	names, values [maxFields][]byte
-	n             int  // fields of the line
-	invalid       bool // a value read since the last parse was absent or out of bounds
+	n             int  // number of fields
+	invalid       bool // a value requested since parse was missing or out of bounds
 }
 
-// parse cuts a line into its kind and its fields. Doubled names are an error.
+// parse splits a line into its kind and its fields. A repeated name is an error.
 func (f *fields) parse(line []byte) (kind []byte, err error) {
 	f.n = 0
 	f.invalid = false
@@ -49,7 +49,7 @@
 	return kind, nil
 }
 
-// get returns a field's value, or nil if the line has no such field.
+// get returns a field's value, or nil if there is no such field.
 func (f *fields) get(name string) []byte {
 	for i := range f.n {
 		if string(f.names[i]) == name {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// count returns a whole number from 0 to maxCount. Where there is none it sets invalid, as float and text do.
+// count returns an integer from 0 to maxCount. It sets invalid if the field is not one, as float and text do.
 func (f *fields) count(name string) int {
 	n, err := strconv.Atoi(string(f.get(name)))
 	if err != nil || n < 0 || n > maxCount {
@@ -68,7 +68,7 @@
 	return n
 }
 
-// float returns a finite number that a report may hold.
+// float returns a number that the planner accepts: finite, not negative and bounded.
 func (f *fields) float(name string) float64 {
 	v, ok := parseFloat(f.get(name))
 	if !ok {
@@ -88,5 +88,5 @@
 
 func parseFloat(text []byte) (float64, bool) {
 	v, err := strconv.ParseFloat(string(text), 64)
-	return v, err == nil && brain.Sound(v) // which not-a-number is not
+	return v, err == nil && brain.Sound(v) // false for NaN
 }
--- a/internal/platform/listener/listener.go
+++ b/internal/platform/listener/listener.go
@@ -1,7 +1,7 @@
-// Package listener listens at a pilot's address on the operators' platform. Collectors identify themselves and bring
-// load reports as lines of text; all other connections are rejected or closed. It parses, checks and hands over, and
-// keeps nothing of what unidentified connections name. A fault of one connection ends that connection alone, and
-// unidentified connections cost no more than the descriptors set aside for them.
+// Package listener listens at the pilot's address on the operators' platform. Collectors identify themselves and send
+// load reports as lines of text; all other connections are rejected or closed. It parses and validates reports and
+// posts them, and keeps no data of unidentified connections. An error on one connection ends only that connection,
+// and unidentified connections use only the descriptors reserved for them.
 package listener
 
 import (
@@ -18,14 +18,14 @@
 	"indigousher/internal/pilot"
 )
 
-// acceptRetryDelay is the pause after an accept that failed for want of a descriptor or the like.
+// acceptRetryDelay is the pause after accept has failed temporarily, as without a free descriptor.
 const acceptRetryDelay = 5 * time.Millisecond
 
-// Listener accepts connections and posts the reports that collectors bring.
+// Listener accepts connections and posts the reports of collectors.
 type Listener struct {
 	Counters Counters
 
-	zones []string // whose collectors may come
+	zones []string // whose collectors are accepted
 	inbox pilot.Inbox
 	log   *zap.Logger
 
@@ -34,8 +34,8 @@
 	rejections   rejectionLog
 }
 
-// New returns a listener for collectors of these zones. maxUnidentified connections may stand that have not identified
-// themselves, at least one.
+// New returns a listener for the collectors of zones. Up to maxUnidentified connections, at least one, may be open
+// without having identified themselves.
 func New(zones []string, maxUnidentified int, inbox pilot.Inbox, log *zap.Logger) *Listener {
 	l := &Listener{zones: zones, inbox: inbox, log: log}
 	l.unidentified.limit = max(1, maxUnidentified)
@@ -46,7 +46,8 @@
 	return l
 }
 
-// Serve accepts connections until ctx ends, which ends them as well.
+// Serve accepts connections until ctx ends, which closes the socket and all connections. Each connection is served by
+// a goroutine that ends with it.
 func (l *Listener) Serve(ctx context.Context, socket net.Listener) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
@@ -65,13 +66,13 @@
 			continue
 		}
 		if ctx.Err() != nil {
-			_ = group.Wait() // only says that the socket is closed
+			_ = group.Wait() // the result of closing the socket
 			return nil       //nolint:nilerr // the socket was closed because ctx has ended
 		}
 		if !pause.Passing(err) {
 			return fmt.Errorf("accept on %s: %w", socket.Addr(), err)
 		}
-		l.unidentified.evictTo(0) // there is no free descriptor
+		l.unidentified.evictTo(0) // to free descriptors
 		pause.For(ctx, acceptRetryDelay)
 	}
 }
--- a/internal/platform/listener/report.go
+++ b/internal/platform/listener/report.go
@@ -6,20 +6,20 @@
 	"indigousher/internal/pilot"
 )
 
-// Kinds of reports, the first word of a line.
+// Kinds of reports: the first word of a line.
 const (
-	zoneReport  = "heard" // what the proxies of a zone met at an endpoint
-	proxyReport = "usage" // what came to a proxy
+	zoneReport  = "heard" // a zone's requests to an endpoint
+	proxyReport = "usage" // a proxy's requests
 )
 
-// Bounds of a zone's report.
+// Sizes of a zone's report.
 const (
-	maxMetrics  = 16 // load metrics of the endpoint
-	metricsHint = 4  // as many as there usually are
+	maxMetrics  = 16 // limit of the load metrics of an endpoint
+	metricsHint = 4  // their usual number
 )
 
-// parseReport parses a collector's line; in is nil where it can't be used. A line of a known kind is readable all the
-// same. f is overwritten.
+// parseReport parses a collector's line. in is nil if the line is malformed; it is still readable if its kind is
+// known. f is overwritten.
 func parseReport(f *fields, line []byte) (in pilot.Input, readable bool) {
 	kind, _, _ := bytes.Cut(line, []byte(" "))
 	readable = string(kind) == zoneReport || string(kind) == proxyReport
@@ -38,7 +38,7 @@
 	return in, true
 }
 
-// parseZoneStats returns the report on an endpoint that a line's fields hold. Times are in milliseconds.
+// parseZoneStats returns the report on an endpoint in the fields. Times are in milliseconds.
 func parseZoneStats(f *fields) (pilot.Input, error) {
 	stats := pilot.ZoneMet{
 		Zone:     f.text("locality"),
@@ -61,7 +61,7 @@
 	return stats, nil
 }
 
-// parseMetrics returns an endpoint's load metrics, from name:value pairs with commas between them.
+// parseMetrics returns an endpoint's load metrics from comma-separated name:value pairs.
 func parseMetrics(text []byte) (map[string]float64, error) {
 	load := make(map[string]float64, metricsHint)
 	for len(text) > 0 {
@@ -77,7 +77,7 @@
 	return load, nil
 }
 
-// parseProxyStats returns the report on a proxy's requests that a line's fields hold.
+// parseProxyStats returns the report on a proxy's requests in the fields. Times are in milliseconds.
 func parseProxyStats(f *fields) (pilot.Input, error) {
 	stats := pilot.ProxyDemand{
 		Proxy:      f.count("node"),
--- a/internal/platform/listener/session.go
+++ b/internal/platform/listener/session.go
@@ -15,17 +15,17 @@
 
 // Limits of a collector's session.
 const (
-	// maxLineBytes: a line that is longer ends the session.
+	// maxLineBytes bounds a line. A longer one ends the session.
 	maxLineBytes = 1 << 20
-	// lineBufferBytes: a line that is longer is read over.
+	// lineBufferBytes bounds a line that is parsed. A longer one is skipped.
 	lineBufferBytes = 8192
-	// maxUnreadableLines in a row end the session, as they show that the peer speaks something else.
+	// maxUnreadableLines consecutive unreadable lines end the session: the peer speaks another protocol.
 	maxUnreadableLines = 3
 )
 
-// serve attends to one connection to its end, or that of ctx.
+// serve handles one connection until it or ctx ends.
 func (l *Listener) serve(ctx context.Context, conn net.Conn, place *list.Element) {
-	defer func() { _ = conn.Close() }() // nothing on it is still wanted
+	defer func() { _ = conn.Close() }() // its data is not needed any more
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	zone, rest, err := l.identify(conn)
@@ -44,8 +44,8 @@
 	l.log.Info("collector left", zap.String("zone", zone), zap.Error(err))
 }
 
-// readReports reads a collector's lines and posts their reports; rest was read before. A malformed line costs itself
-// alone, but a connection that goes on unreadable is of no further use.
+// readReports reads a collector's lines, starting with rest, which was read before, and posts the reports. A
+// malformed line is skipped; maxUnreadableLines in a row end the session.
 func (l *Listener) readReports(ctx context.Context, conn net.Conn, rest []byte) error {
 	reader := bufio.NewReaderSize(&prefixedReader{rest, conn}, lineBufferBytes)
 	var f fields
@@ -78,13 +78,13 @@
 	return fmt.Errorf("%d unreadable lines: %w", maxUnreadableLines, ErrMalformedLine)
 }
 
-// prefixedReader reads what was read already, then the connection.
+// prefixedReader reads a prefix and then a connection.
 type prefixedReader struct {
 	prefix []byte
 	conn   net.Conn
 }
 
-// Read reads from the prefix or from the connection, never from both at once.
+// Read reads from the prefix if any is left, otherwise from the connection.
 func (p *prefixedReader) Read(buffer []byte) (int, error) {
 	if len(p.prefix) > 0 {
 		n := copy(buffer, p.prefix)
@@ -94,8 +94,8 @@
 	return p.conn.Read(buffer)
 }
 
-// readLine returns a line without its end, valid until the next call. One that is longer than the reader's buffer is
-// read over and returned empty; one that is longer than maxLineBytes is an error.
+// readLine returns a line without its end, valid until the next call. A line longer than the reader's buffer is
+// skipped and returned as empty; one longer than maxLineBytes is an error.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
 	if err == nil {
--- a/internal/platform/peek/peek.go
+++ b/internal/platform/peek/peek.go
@@ -1,4 +1,4 @@
-// Package peek looks at what the peer of a TCP connection has done, without reading anything and without waiting.
+// Package peek determines the state of a TCP connection without reading from it and without blocking.
 package peek
 
 import (
@@ -7,17 +7,18 @@
 	"syscall"
 )
 
-// State is what the peer has done last.
+// State is the state of a connection.
 type State int
 
 // States of a connection.
 const (
-	Idle     State = iota // nothing that has not been read
-	Readable              // the peer has sent something that waits to be read
-	Closed                // the peer has closed or reset the connection, or it is closed here
+	Idle     State = iota // open, no unread data
+	Readable              // unread data, whether or not the peer has closed
+	Closed                // closed or reset by the peer, or closed locally
 )
 
-// Peek returns a connection's state. One that is no TCP connection counts as Idle.
+// Peek returns a connection's state. A connection other than TCP is Idle. It may be used while another goroutine
+// reads.
 func Peek(conn net.Conn) State {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -28,7 +29,7 @@
 		return Closed
 	}
 	var state State
-	err = raw.Control(func(fd uintptr) { // raw.Read would wait for whoever is reading
+	err = raw.Control(func(fd uintptr) { // unlike raw.Read it does not wait for a reader
 		state = peekSocket(int(fd))
 	})
 	if err != nil {
@@ -37,7 +38,7 @@
 	return state
 }
 
-// peekSocket returns a socket's state.
+// peekSocket returns the state of a non-blocking socket.
 func peekSocket(fd int) State {
 	var buffer [1]byte
 	n, _, err := syscall.Recvfrom(fd, buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -46,7 +47,7 @@
 		return Idle
 	case err == nil && n > 0:
 		return Readable
-	default: // the end of the stream, or an error
+	default: // end of stream, or an error
 		return Closed
 	}
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,6 +1,5 @@
-// Package platform runs the pilot on the operators' platform: the same planner and loop as elsewhere, with the
-// platform's placement, listener, relay and discovery around it. It wires and decides nothing; cmd/indigousher calls
-// it.
+// Package platform runs the pilot on the operators' platform: the planner and controller loop as elsewhere, connected
+// to the platform's placement, listener, relay and discovery. It only assembles; cmd/indigousher calls it.
 package platform
 
 import (
@@ -24,18 +23,18 @@
 // Pilot is one pilot on the platform.
 type Pilot struct {
 	log       *zap.Logger
-	placement *config.Placement                 // as it was at the start
-	reread    func() (*config.Placement, error) // reads the placement again
+	placement *config.Placement                 // of the start, not changed by reloads
+	reread    func() (*config.Placement, error) // reads the current placement
 
 	loop          *pilot.Loop
 	listener      *listener.Listener
 	orders        *relay.Orders
 	events        *relay.Events
-	relayCounters relay.Counters // of orders and events
+	relayCounters relay.Counters // shared by orders and events
 	agent         *agent.Agent
 }
 
-// New assembles a pilot. It does nothing before Run.
+// New assembles a pilot. It does nothing before Run. reread reads the current placement, for reloads.
 func New(placement *config.Placement, reread func() (*config.Placement, error), log *zap.Logger) *Pilot {
 	p := &Pilot{log: log, placement: placement, reread: reread}
 	deployment := placement.Deployment
@@ -67,14 +66,14 @@
 	return p
 }
 
-// inbox is the loop, which is made after those who post to it.
+// inbox forwards to the loop, which is created after those that post to it.
 type inbox struct{ loop *pilot.Loop }
 
-// Post hands an input to the loop.
+// Post posts an input to the loop.
 func (b *inbox) Post(ctx context.Context, in pilot.Input) error { return b.loop.Post(ctx, in) }
 
-// Run listens and runs until ctx ends or one of the parts fails; all of them have ended when it returns. A value on
-// reload has the placement read again.
+// Run listens and runs until ctx ends or a part fails; all parts have returned then. A value on reload triggers a
+// reload of the placement.
 func (p *Pilot) Run(ctx context.Context, reload <-chan struct{}) error {
 	socket, err := net.Listen("tcp", p.placement.Listen)
 	if err != nil {
--- a/internal/platform/relay/call.go
+++ b/internal/platform/relay/call.go
@@ -8,26 +8,26 @@
 	"strconv"
 )
 
-// maxCallBytes bounds the commands of a call. The relay takes 60,000 bytes with all that surrounds them.
+// maxCallBytes bounds the encoded commands of a call. The relay accepts a body of up to 60,000 bytes.
 const maxCallBytes = 59000
 
-// How a call may fail. Each says whether its commands may have been executed.
+// Ways in which a call fails. They differ in whether its commands may have been executed.
 var (
-	// errNotExecuted: it did not leave whole, so that the relay has executed nothing.
+	// errNotExecuted: the request was not sent completely, so the relay has executed nothing.
 	errNotExecuted = errors.New("not carried out")
-	// errOutcomeUnknown: it left whole, and no usable answer came.
+	// errOutcomeUnknown: the request was sent, and no usable answer was received.
 	errOutcomeUnknown = errors.New("carried out or not")
-	// errRunNotStarted: the relay takes no commands yet and has executed nothing.
+	// errRunNotStarted: the relay does not accept commands yet and has executed nothing.
 	errRunNotStarted = errors.New("the run has not begun")
-	// errRejected: the relay rejected it as a whole and has executed nothing.
+	// errRejected: the relay rejected the call as a whole and has executed nothing.
 	errRejected = errors.New("refused")
 )
 
-// call is a sequence of commands that goes to the relay in one request. The relay executes them in order and halts at
-// the first that it can't use.
+// call is a sequence of commands sent to the relay in one request. The relay executes them in order and halts at the
+// first invalid one.
 type call []command
 
-// ackNumbers returns the numbers of a call's ack requests, with those that they have superseded.
+// ackNumbers returns the numbers of the ack requests in a call, including superseded ones.
 func (c call) ackNumbers() (numbers []int) {
 	for _, cmd := range c {
 		numbers = append(numbers, cmd.acks...)
@@ -35,7 +35,7 @@
 	return numbers
 }
 
-// encodeRequest returns the HTTP request of a call.
+// encodeRequest returns the HTTP request for a call, head and body.
 func encodeRequest(host string, c call) []byte {
 	var body bytes.Buffer
 	body.WriteString(`{"ops":[`)
@@ -51,8 +51,8 @@
 	return append([]byte(head), body.Bytes()...)
 }
 
-// parseAnswer returns how many of a call's commands the relay says to have executed. An answer that can't be read, or
-// can't be true of a call of this length, leaves the outcome unknown.
+// parseAnswer returns how many commands of a call the relay has executed, according to the body of its answer. If that
+// cannot be decoded, or the count is impossible for a call of this length, the outcome is unknown.
 func parseAnswer(body []byte, commands int) (executed int, err error) {
 	var answer struct {
 		Count *int    `json:"ok_count"`
--- a/internal/platform/relay/connection.go
+++ b/internal/platform/relay/connection.go
@@ -12,40 +12,41 @@
 	"indigousher/internal/platform/peek"
 )
 
-// Limits of a connection to the relay.
+// Limits of a connection for calls.
 const (
-	// dialTimeout is for the opening of a connection.
+	// dialTimeout bounds connecting to the relay.
 	dialTimeout = 400 * time.Millisecond
-	// answerTimeout is from the request to the end of its answer: the relay takes 50 ms, and a loaded machine its time.
+	// answerTimeout bounds writing a request and reading its answer. The relay answers within 50 ms; the rest is margin
+	// for a loaded machine.
 	answerTimeout = 300 * time.Millisecond
-	// maxIdle is how long a connection may stand unused and be used again: the relay closes idle ones, and a call on
-	// one that is being closed has an unknown outcome.
+	// maxIdle is how long a connection may be unused and still be reused. The relay closes idle connections, and a
+	// call on a connection that is being closed has an unknown outcome.
 	maxIdle = 300 * time.Millisecond
 	// maxAnswerBytes bounds the body of an answer.
 	maxAnswerBytes = 1 << 16
-	// answerBufferBytes is the size of the read buffer; answers are some 50 bytes with a short head.
+	// answerBufferBytes is the size of the read buffer. Answers have a body of some 20 bytes.
 	answerBufferBytes = 1024
 )
 
-// dialer opens connections to the relay, those of the event subscriptions as well.
+// dialer opens connections to the relay, for calls and for event subscriptions.
 var dialer = net.Dialer{Timeout: dialTimeout}
 
-// connection makes HTTP/1.1 calls, one after another, on a connection that it opens anew where the last one is of no
-// more use. It belongs to one goroutine.
+// connection makes HTTP/1.1 calls, one at a time, on a TCP connection that it reopens when needed. It is owned by one
+// goroutine and has no lock.
 type connection struct {
-	conn     net.Conn // nil: none is open
+	conn     net.Conn // nil if none is open
 	address  string
 	reader   *bufio.Reader
 	lastUsed time.Time
 }
 
-// response is what the relay said to a call.
+// response is the relay's response to a call.
 type response struct {
 	body    []byte
-	closing bool // the relay takes no other call on this connection
+	closing bool // the relay closes the connection after it
 }
 
-// roundTrip sends a call and returns the relay's response. Its errors are errNotExecuted or errOutcomeUnknown.
+// roundTrip sends a call and returns the response. Its errors wrap errNotExecuted or errOutcomeUnknown.
 func (c *connection) roundTrip(ctx context.Context, address string, next call) (response, error) {
 	if !c.reusable(address) {
 		c.close()
@@ -58,7 +59,7 @@
 	if err := c.conn.SetDeadline(time.Now().Add(answerTimeout)); err != nil {
 		return response{}, fmt.Errorf("%w: set deadline: %w", errNotExecuted, err)
 	}
-	if _, err := c.conn.Write(encodeRequest(address, next)); err != nil { // the last byte has not left
+	if _, err := c.conn.Write(encodeRequest(address, next)); err != nil { // the last byte was not sent
 		return response{}, fmt.Errorf("%w: write call: %w", errNotExecuted, err)
 	}
 	answer, err := c.readResponse()
@@ -66,8 +67,8 @@
 	return answer, err
 }
 
-// reusable returns whether the open connection, if any, leads to an address and nothing has happened on it since its
-// last call.
+// reusable reports whether the open connection, if any, leads to address and is still usable: the relay has neither
+// closed it nor sent anything unexpected.
 func (c *connection) reusable(address string) bool {
 	return c.conn != nil && c.address == address && time.Since(c.lastUsed) <= maxIdle && peek.Peek(c.conn) == peek.Idle
 }
@@ -83,13 +84,13 @@
 	return nil
 }
 
-// readResponse reads one response to its end.
+// readResponse reads one response and its whole body.
 func (c *connection) readResponse() (response, error) {
 	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return response{}, fmt.Errorf("%w: read answer: %w", errOutcomeUnknown, err)
 	}
-	defer func() { _ = resp.Body.Close() }() // it has been read, or the connection is closed
+	defer func() { _ = resp.Body.Close() }() // it has been read, or the connection is closed next
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return response{}, fmt.Errorf("%w: read answer: %w", errOutcomeUnknown, err)
@@ -102,6 +103,6 @@
 	if c.conn == nil {
 		return
 	}
-	_ = c.conn.Close() // nothing on it is still wanted
+	_ = c.conn.Close() // its data is not needed any more
 	c.conn = nil
 }
--- a/internal/platform/relay/doc.go
+++ b/internal/platform/relay/doc.go
@@ -1,17 +1,17 @@
-// Package relay is the client of the platform's relay, which holds the proxies' streams. Sender carries the planner's
-// commands out, one call for each controller turn, in order; EventStream brings the proxies' events in. The relay
-// queues and paces; this package queues only while a call is in flight or the relay is out of reach. It decides
-// nothing about routing.
+// Package relay is the client of the platform's relay, which holds the proxies' connections. Sender delivers the
+// planner's commands, one call per controller turn, in order. EventStream receives the proxies' events. The relay
+// itself queues and paces; this package queues only while a call is in flight or the relay is unreachable. It makes
+// no routing decisions.
 //
-// Commands are delivered at least once, and each of them sets state, so that executing it twice is as good as once.
-// What is sent again, and what limits it:
+// Commands are delivered at least once. Every command sets state, so executing one twice has the same result as once.
+// Retries and their limits:
 //
-//   - a call that did not leave whole, or came before the start of the run: as often as it takes (retry.go,
-//     callFailed), with backoff (outage.go, nextPause);
-//   - a call whose outcome is unknown: once for an outage (retry.go, outcomeUnknown), as nothing but empty calls goes
-//     out until one of them is answered (retry.go, probe);
-//   - a call rejected as a whole: maxRejections times in all, then it is dropped (retry.go, rejected);
-//   - a command that the relay halted at: once, then it is dropped (retry.go, retryHalted).
+//   - A call that was not sent completely, or arrived before the run started, is retried without limit (retry.go,
+//     callFailed), with backoff (outage.go, nextPause).
+//   - A call whose outcome is unknown is retried once per outage (retry.go, outcomeUnknown), because only empty calls
+//     are sent until one of them is answered (retry.go, probe).
+//   - A call rejected as a whole is sent maxRejections times in total and then dropped (retry.go, rejected).
+//   - A command at which the relay halted is retried once and then dropped (retry.go, retryHalted).
 //
-// What is sent again is merged with all that waits, so that it never overtakes anything newer (merge.go).
+// A retried call is first merged with everything queued, so that it never overwrites newer state (merge.go).
 package relay
--- a/internal/platform/relay/encode.go
+++ b/internal/platform/relay/encode.go
@@ -7,25 +7,25 @@
 	"indigousher/brain"
 )
 
-// noProxy is the number of no proxy, where a command names none.
+// noProxy is the proxy number of commands that name no proxy.
 const noProxy = -1
 
-// command is one of the planner's commands, encoded for the relay.
+// command is a planner command, encoded for the relay.
 type command struct {
 	encoded []byte // JSON
 
-	// What decides how commands are merged.
-	key         string // what it sets: of two with the same key the newer one alone counts
-	table       string // whose weights or admission it sets; "" if of none
-	clearsTable bool   // empties its table, and so supersedes all that has set it
-	proxy       int    // that it names, or noProxy
-	acks        []int  // numbers of its ack request and of those that it has superseded
+	// Inputs of merge.
+	key         string // identifies the state it sets; of two commands with one key only the newer counts
+	table       string // whose weights or admission it sets, or ""
+	clearsTable bool   // deletes its table, which supersedes everything set in it
+	proxy       int    // that it configures, or noProxy
+	acks        []int  // number of the ack request, and of those it has superseded
 
-	halted bool // the relay has halted at it once
+	halted bool // the relay has halted at it before
 }
 
-// encode returns a command as the relay reads it, and whether it is one for the relay. classNames are the request
-// classes' names by bit of a mask.
+// encode returns the command as the relay expects it, and false if it is not for the relay. classNames are the names
+// of the request classes, indexed by bit of a class mask.
 func encode(c brain.Order, endpointName func(i int) string, classNames []string) (command, bool) {
 	switch c := c.(type) {
 	case brain.SetLine:
@@ -90,7 +90,7 @@
 	}
 }
 
-// encodeSetAdmission leaves the table out where it is of all tables.
+// encodeSetAdmission omits the table if the command is for all tables.
 func encodeSetAdmission(c brain.Admit, classNames []string) command {
 	table := ""
 	cluster := ""
@@ -120,15 +120,15 @@
 	}
 }
 
-// formatFloat writes the shortest text that reads back as the same number.
+// formatFloat returns the shortest text that parses to the same number.
 func formatFloat(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 
 func quote(s string) string {
-	text, _ := json.Marshal(s) // of a string it never fails
+	text, _ := json.Marshal(s) // marshalling a string never fails
 	return string(text)
 }
 
-// encodeClasses names the request classes of a mask; all of them need no naming.
+// encodeClasses returns the field that names the request classes of a mask. It is omitted for all classes.
 func encodeClasses(mask int, classNames []string) string {
 	if mask == 0 || mask == 1<<len(classNames)-1 {
 		return ""
--- a/internal/platform/relay/event.go
+++ b/internal/platform/relay/event.go
@@ -9,20 +9,20 @@
 	"indigousher/internal/pilot"
 )
 
-// event is one event, a line of the stream. An event without a type or a proxy is a sign of life.
+// event is an event, one line of the stream. Without a type or proxy it is a keepalive.
 type event struct {
 	Type   string `json:"type"` // "joined", "left" or "applied"
 	Object struct {
 		Node     *int     `json:"node"` // the proxy's number
 		Locality string   `json:"locality"`
-		Rate     float64  `json:"w"`       // requests a second that usually come to it
-		Cold     bool     `json:"cold"`    // it started anew
-		Nonce    *int     `json:"nonce"`   // the number of the ack request that it answers
-		Latency  *float64 `json:"latency"` // ms from the request to its answer
+		Rate     float64  `json:"w"`       // requests per second it usually receives
+		Cold     bool     `json:"cold"`    // it has just started
+		Nonce    *int     `json:"nonce"`   // number of the acknowledged ack request
+		Latency  *float64 `json:"latency"` // ms from the ack request to the ack
 	} `json:"object"`
 }
 
-// handleLine parses one line of a subscription and posts what it says that is new.
+// handleLine parses a line of subscription i and posts it if it is news.
 func (s *Events) handleLine(ctx context.Context, i int, text []byte) error {
 	var e event
 	if err := json.Unmarshal(text, &e); err != nil {
@@ -32,7 +32,7 @@
 	defer s.mu.Unlock()
 	s.subscriptions[i].lastHeard = time.Now()
 	if e.Type == "" || e.Object.Node == nil {
-		return nil // a sign of life
+		return nil // a keepalive
 	}
 	s.Counters.Events.Add(1)
 	in := s.apply(&s.subscriptions[i], &e)
@@ -42,8 +42,8 @@
 	return s.inbox.Post(ctx, in)
 }
 
-// apply brings the members up to date with an event and returns what it says that is new; nil: nothing. The caller
-// holds the lock.
+// apply updates the members by an event and returns the input for the controller, or nil if it is not news. The
+// caller holds mu.
 func (s *Events) apply(sub *subscription, e *event) pilot.Input {
 	switch e.Type {
 	case "joined":
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// applyJoined takes in that a proxy has joined, or that it stands, which the relay tells in the same words.
+// applyJoined handles the announcement of a proxy, which has joined or, in a snapshot, is connected.
 func (s *Events) applyJoined(sub *subscription, e *event) pilot.Input {
 	proxy := *e.Object.Node
 	zone := e.Object.Locality
@@ -81,9 +81,10 @@
 	}
 }
 
-// mayHaveRejoined returns whether a known proxy that a snapshot tells for the first time may have left and come back
-// in the gap before it: the gap was long enough, or it says itself that it started anew. One that the other
-// subscription has told since this one opened has not come back meanwhile: at a start both tell all.
+// mayHaveRejoined reports whether a known proxy, announced by a snapshot after a gap, may have reconnected in the
+// gap: the gap was long enough, or the proxy itself says that it is cold. If the other subscription announced the
+// proxy after this one opened, it is a member by that announcement and has not reconnected since: at a start both
+// announce all proxies.
 func (sub *subscription) mayHaveRejoined(proxy int, known *member, cold bool) bool {
 	if known.since.After(sub.openedAt) {
 		return false
@@ -94,7 +95,7 @@
 	return sub.afterLongGap || cold
 }
 
-// applyLeft takes in that a proxy has left, which the other subscription may have told before.
+// applyLeft handles that a proxy has left, which the other subscription may have delivered before.
 func (s *Events) applyLeft(sub *subscription, proxy int) pilot.Input {
 	delete(sub.announced, proxy)
 	if s.members[proxy] == nil {
@@ -104,7 +105,7 @@
 	return pilot.Unrelayed{Proxy: proxy}
 }
 
-// applyAck takes in that a proxy has applied everything up to an ack request.
+// applyAck handles that a proxy has applied all commands up to an ack request.
 func (s *Events) applyAck(e *event) pilot.Input {
 	known := s.members[*e.Object.Node]
 	if known == nil || e.Object.Nonce == nil || e.Object.Latency == nil || !known.recordAck(*e.Object.Nonce) {
--- a/internal/platform/relay/eventstream.go
+++ b/internal/platform/relay/eventstream.go
@@ -17,46 +17,46 @@
 	"indigousher/internal/pilot"
 )
 
-// Subscriptions is how many connections carry the events: while one breaks the other goes on.
+// Subscriptions is the number of redundant connections: while one is broken the other delivers the events.
 const Subscriptions = 2
 
-// Limits of a subscription's connection.
+// Limits of the connection of a subscription.
 const (
-	// silenceTimeout ends a subscription: the relay sends a sign of life every second.
+	// silenceTimeout ends a subscription without data. The relay sends a keepalive every second.
 	silenceTimeout = 2500 * time.Millisecond
-	// redialDelay is the pause before a subscription that has ended is opened anew.
+	// redialDelay is the pause before a subscription is reopened.
 	redialDelay = 30 * time.Millisecond
 	// maxEventBytes bounds a line of the stream.
 	maxEventBytes = 1 << 16
-	// headBufferBytes and lineBufferBytes are the read buffers' sizes at the start, for the connection and for a line.
+	// headBufferBytes and lineBufferBytes are the initial sizes of the read buffers of the connection and of a line.
 	headBufferBytes = 16384
 	lineBufferBytes = 4096
 )
 
-// Events reads the relay's events on two subscriptions and makes one sequence of them: what one has told already the
-// other tells in vain. Only where both were broken is anything inferred from the snapshot at the next opening.
+// Events receives the relay's events on two subscriptions and merges them into one sequence without duplicates. Only
+// after a gap, in which neither was connected, does it infer events from the next snapshot.
 type Events struct {
 	Counters *Counters
 
 	inbox pilot.Inbox
 	log   *zap.Logger
 
-	// mu guards what follows. It is held while an event is posted, so that events reach the inbox in the order in which
-	// they were applied here.
+	// mu guards the fields below. It is held while an event is posted, so that events reach the inbox in the order in
+	// which they were applied here.
 	mu            sync.Mutex
 	address       string
-	members       map[int]*member // proxies that stand, by number
+	members       map[int]*member // connected proxies, by number
 	subscriptions [Subscriptions]subscription
-	completeUntil time.Time // up to when all events are known to have come; zero: nothing has been told yet
+	completeUntil time.Time // all events up to then were received; zero if none was yet
 }
 
-// NewEvents returns a reader of the events of the relay at an address. It reads nothing before Run.
+// NewEvents returns a receiver of the events of the relay at address. It receives nothing before Run.
 func NewEvents(address string, inbox pilot.Inbox, c *Counters, log *zap.Logger) *Events {
 	return &Events{Counters: c, inbox: inbox, log: log, address: address, members: map[int]*member{}}
 }
 
-// Move has the subscriptions go to another address, one after another: the first at once, the second when the first has
-// told what stands there (endSnapshot).
+// Move changes the relay's address. The first subscription moves at once, the second after the first has received its
+// snapshot at the new address (endSnapshot), so that no gap arises.
 func (s *Events) Move(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +69,7 @@
 	}
 }
 
-// Run keeps one subscription open until ctx ends; there is one call for each.
+// Run keeps subscription i open until ctx ends. It is called once for each subscription.
 func (s *Events) Run(ctx context.Context, i int) error {
 	for ctx.Err() == nil {
 		err := s.subscribe(ctx, i)
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// subscribe opens a subscription at the present address and reads it to its end, which it returns.
+// subscribe opens a subscription at the current address, receives its events and returns why it ended.
 func (s *Events) subscribe(ctx context.Context, i int) error {
 	ctx, cancel := context.WithCancel(ctx)
 	s.mu.Lock()
@@ -95,20 +95,20 @@
 	return err
 }
 
-// receive connects to the relay, asks for the events and takes them in until the connection or ctx ends.
+// receive connects to the relay, requests the events and handles them until the connection or ctx ends.
 func (s *Events) receive(ctx context.Context, address string, i int) error {
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return fmt.Errorf("dial relay: %w", err)
 	}
-	defer func() { _ = conn.Close() }() // nothing on it is still wanted
+	defer func() { _ = conn.Close() }() // its data is not needed any more
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	response, err := requestEvents(conn, address)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // it is read to its end, or the connection is closed
+	defer func() { _ = response.Body.Close() }() // it has been read, or the connection is closed next
 	if response.StatusCode != http.StatusOK {
 		return fmt.Errorf("read events: status %d", response.StatusCode)
 	}
@@ -117,7 +117,7 @@
 	return s.readLines(ctx, i, conn, response)
 }
 
-// requestEvents asks for the events and reads the head of the response.
+// requestEvents requests the events and reads the head of the response.
 func requestEvents(conn net.Conn, address string) (*http.Response, error) {
 	if err := conn.SetDeadline(time.Now().Add(silenceTimeout)); err != nil {
 		return nil, fmt.Errorf("set deadline: %w", err)
@@ -132,7 +132,7 @@
 	return response, nil
 }
 
-// readLines takes in one event after another. It always returns an error, as the stream has no end of its own.
+// readLines handles one event after another. It always returns an error, because the stream has no regular end.
 func (s *Events) readLines(ctx context.Context, i int, conn net.Conn, response *http.Response) error {
 	scanner := bufio.NewScanner(response.Body)
 	scanner.Buffer(make([]byte, 0, lineBufferBytes), maxEventBytes)
--- a/internal/platform/relay/member.go
+++ b/internal/platform/relay/member.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// rememberedAcks is how many acks of each proxy are remembered, by which the second telling of one is known.
+// rememberedAcks is how many acks of a proxy are remembered to recognise the duplicates of the other subscription.
 const rememberedAcks = 8
 
-// member is what is known of a proxy that stands. EventStream.mu guards it.
+// member is a connected proxy. EventStream.mu guards it.
 type member struct {
 	zone  string
-	since time.Time // when it was told to have joined
+	since time.Time // when its joining was announced
 
-	// The numbers last acknowledged, each plus 1, as 0 marks a free place; nextAck counts all of them.
+	// The last acknowledged numbers plus 1 (0 is a free slot), and how many were recorded in all.
 	acked   [rememberedAcks]int
 	nextAck int
 }
 
-// recordAck notes an ack and returns whether it was not told before.
+// recordAck records an ack and reports whether it is new.
 func (m *member) recordAck(number int) bool {
 	if slices.Contains(m.acked[:], number+1) {
 		return false
--- a/internal/platform/relay/merge.go
+++ b/internal/platform/relay/merge.go
@@ -2,14 +2,15 @@
 
 import "slices"
 
-// merge drops from a sequence each command that a later one supersedes, and leaves the rest in order: one with the same
-// key, or one that clears its table. The ack requests of those dropped count as answered with the one that is kept.
+// merge returns the commands without those that a later one supersedes, in the same order. A command is superseded by a
+// later one with the same key, or by one that clears its table. The ack numbers of superseded ack requests are added to
+// the one that is kept, whose ack covers them.
 func merge(commands []command) []command {
 	seenKeys := map[string]bool{}
 	clearedTables := map[string]bool{}
 	kept := make([]command, 0, len(commands))
 	var supersededAcks []int
-	for i := len(commands) - 1; i >= 0; i-- { // the newest first
+	for i := len(commands) - 1; i >= 0; i-- { // newest first
 		c := commands[i]
 		if seenKeys[c.key] || c.table != "" && clearedTables[c.table] {
 			supersededAcks = append(supersededAcks, c.acks...)
@@ -30,12 +31,12 @@
 	return kept
 }
 
-// splitCalls cuts a sequence into calls of no more than maxCallBytes.
+// splitCalls splits a sequence into calls of at most maxCallBytes.
 func splitCalls(commands []command) (calls []call) {
 	start := 0
-	size := 0 // bytes of the call that begins at start
+	size := 0 // in bytes, of the call beginning at start
 	for i, c := range commands {
-		commandBytes := len(c.encoded) + 1 // with its comma
+		commandBytes := len(c.encoded) + 1 // and a comma
 		size += commandBytes
 		if size > maxCallBytes {
 			calls = append(calls, commands[start:i:i])
--- a/internal/platform/relay/outage.go
+++ b/internal/platform/relay/outage.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// Pauses between calls in an outage.
+// Pauses between calls during an outage.
 const (
-	// minBackoff is the pause after the first call that failed; it is doubled with each, up to maxBackoff.
+	// minBackoff is the pause after the first failure. It doubles with each further one, up to maxBackoff.
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = 320 * time.Millisecond
-	// notStartedBackoff is the pause after the relay said that the run has not begun: it is in reach, and the run comes
-	// when it comes.
+	// notStartedBackoff is the constant pause after errRunNotStarted: the relay is reachable, and the start of the run
+	// does not depend on how often it is asked.
 	notStartedBackoff = 100 * time.Millisecond
 )
 
-// outage is a time in which the relay takes no calls, from the first that failed to the first that is answered. It
-// belongs to the goroutine of Sender.Run.
+// outage is a period in which the relay takes no calls, from the first failed call to the first answered one. It is
+// owned by the goroutine of Sender.Run.
 //
-// States: inactive (reportedUntil is zero; calls go out as they are queued) and active (probes alone go out). begin
-// leads from the first to the second, newOutage back.
+// States: inactive (reportedUntil is zero; calls are sent as they are queued) and active (only probes are sent until
+// one is answered). begin makes it active; Sender.endOutage replaces it by an inactive one.
 type outage struct {
-	since         time.Time     // when the first call that failed began
-	reportedUntil time.Time     // up to when the controller has heard of it; zero: inactive
-	failures      int           // calls and probes that failed
-	backoff       time.Duration // the pause after the next failure
+	since         time.Time     // start of the first failed call
+	reportedUntil time.Time     // end of the period reported to the controller; zero if inactive
+	failures      int           // failed calls and probes
+	backoff       time.Duration // pause after the next failure
 }
 
-// newOutage returns an inactive one, with backoff at its start.
+// newOutage returns an inactive outage with the initial backoff.
 func newOutage() outage { return outage{backoff: minBackoff} }
 
 func (o *outage) active() bool { return !o.reportedUntil.IsZero() }
 
-// begin makes it active, unless it is, from the start of the call that failed.
+// begin makes the outage active from the start of the failed call. It does nothing if it is active already.
 func (o *outage) begin(callBegan time.Time) {
 	if o.active() {
 		return
@@ -41,8 +41,8 @@
 	o.reportedUntil = callBegan
 }
 
-// unreportedMs returns the milliseconds since the last report to the controller, at least 1, as 0 would end the outage,
-// and counts them as reported.
+// unreportedMs returns the milliseconds since the last report to the controller and marks them as reported. It returns
+// at least 1, because a report of 0 means the end of the outage.
 func (o *outage) unreportedMs() float64 {
 	now := time.Now()
 	elapsed := max(1, float64(now.Sub(o.reportedUntil))/float64(time.Millisecond))
@@ -50,7 +50,7 @@
 	return elapsed
 }
 
-// nextPause returns the pause after a failure and doubles the one after the next.
+// nextPause returns the pause after a failure and doubles the next one.
 func (o *outage) nextPause(failure error) time.Duration {
 	if errors.Is(failure, errRunNotStarted) {
 		o.backoff = minBackoff
--- a/internal/platform/relay/queue.go
+++ b/internal/platform/relay/queue.go
@@ -6,27 +6,29 @@
 	"sync"
 )
 
-// maxQueuedCalls bounds the calls that wait: beyond it they are merged at once, without what is superseded.
+// maxQueuedCalls bounds the queue: beyond it the calls are merged, which drops superseded commands.
 const maxQueuedCalls = 64
 
-// callQueue holds the calls that wait, oldest first, and the address that they go to. The controller adds, one worker
-// takes out. Invariants: commands leave in the order in which they came, but for those dropped; nothing that is put
-// back stands behind anything newer.
+// callQueue holds the calls to send, oldest first, and the address to send them to. The controller enqueues, one
+// worker dequeues.
+//
+// Invariants: commands are dequeued in the order in which they were enqueued, except for dropped ones; a requeued
+// call is placed before everything newer.
 type callQueue struct {
-	counters *Counters     // of what is dropped as superseded
-	wake     chan struct{} // holds a token when something came since the worker last waited
+	counters *Counters     // Superseded counts the dropped commands
+	wake     chan struct{} // capacity 1; holds a token if calls were enqueued since the last wait
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	address  string
 	calls    []call
-	departed []int // proxies that have left since the call in flight was taken out
+	departed []int // proxies that disconnected since the call in flight was dequeued
 }
 
 func newCallQueue(address string, counters *Counters) callQueue {
 	return callQueue{counters: counters, wake: make(chan struct{}, 1), address: address}
 }
 
-// enqueue adds commands behind all others and wakes the worker.
+// enqueue appends commands, as one call or several, and wakes the worker.
 func (q *callQueue) enqueue(commands []command) {
 	q.mu.Lock()
 	q.calls = append(q.calls, splitCalls(commands)...)
@@ -36,11 +38,11 @@
 	q.mu.Unlock()
 	select {
 	case q.wake <- struct{}{}:
-	default: // it is woken already
+	default: // a wake-up is already pending
 	}
 }
 
-// wait blocks until something has come since it last returned, or ctx ends.
+// wait blocks until calls have been enqueued since it last returned, or ctx ends.
 func (q *callQueue) wait(ctx context.Context) {
 	select {
 	case <-q.wake:
@@ -48,8 +50,8 @@
 	}
 }
 
-// dequeue takes out the oldest call and returns it with the address that it goes to; merged, one of all that waits. It
-// returns nil where nothing waits.
+// dequeue removes and returns the oldest call and the address to send it to. With merged, all calls are merged first.
+// It returns nil if the queue is empty.
 func (q *callQueue) dequeue(merged bool) (next call, address string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -60,21 +62,21 @@
 	for len(q.calls) > 0 {
 		next = q.calls[0]
 		q.calls = q.calls[1:]
-		if len(next) > 0 { // not emptied by a proxy that has left
+		if len(next) > 0 { // its commands may have been dropped with their proxy
 			return next, q.address
 		}
 	}
 	return nil, ""
 }
 
-// requeue puts back a call, or what is left of it, before all others.
+// requeue puts a call, or the rest of one, back at the front.
 func (q *callQueue) requeue(c call) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.pushFront(c)
 }
 
-// requeueMerged puts back a call before all others and merges it with them.
+// requeueMerged puts a call back at the front and merges the whole queue.
 func (q *callQueue) requeueMerged(c call) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -82,12 +84,13 @@
 	q.mergeAll()
 }
 
-// pushFront puts a call first, without what names a proxy that has left meanwhile. The caller holds the lock.
+// pushFront inserts a call at the front, without the commands for proxies that disconnected while it was in flight. The
+// caller holds mu.
 func (q *callQueue) pushFront(c call) {
 	q.calls = append([]call{q.dropProxies(c, q.departed...)}, q.calls...)
 }
 
-// mergeAll makes one sequence of all that waits, without what is superseded. The caller holds the lock.
+// mergeAll merges all queued calls and drops superseded commands. The caller holds mu.
 func (q *callQueue) mergeAll() {
 	all := slices.Concat(q.calls...)
 	kept := merge(all)
@@ -95,7 +98,7 @@
 	q.calls = splitCalls(kept)
 }
 
-// dropProxy drops what names a proxy that has left, also of the call in flight, should it be put back.
+// dropProxy drops the commands for a disconnected proxy, including those of the call in flight if it is requeued.
 func (q *callQueue) dropProxy(proxy int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -105,14 +108,14 @@
 	}
 }
 
-// dropProxies returns a copy of a call without the commands that name one of some proxies.
+// dropProxies returns a copy of a call without the commands that name one of the proxies. The caller holds mu.
 func (q *callQueue) dropProxies(c call, proxies ...int) call {
 	kept := slices.DeleteFunc(slices.Clone(c), func(c command) bool { return slices.Contains(proxies, c.proxy) })
 	q.counters.Superseded.Add(int64(len(c) - len(kept)))
 	return kept
 }
 
-// nextAckNumbers returns the ack requests of the first call that has any.
+// nextAckNumbers returns the ack numbers of the first queued call that has any.
 func (q *callQueue) nextAckNumbers() []int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/platform/relay/retry.go
+++ b/internal/platform/relay/retry.go
@@ -12,16 +12,17 @@
 	"indigousher/internal/pilot"
 )
 
-// maxRejections is how often the relay may reject calls in a row, each as a whole, before the last of them is
-// dropped. One that it can't read will never be accepted, but the answer may have been spoilt on its way.
+// maxRejections is how many consecutive calls the relay may reject as a whole before the last of them is dropped. A
+// malformed call is never accepted, but the answer itself may have been corrupted.
 const maxRejections = 3
 
-// callFailed puts a failed call back, or drops it, and pauses. What may be sent again is decided here.
+// callFailed requeues or drops a failed call, reports the outage and pauses. Every decision to retry a whole call is
+// made here.
 func (s *Orders) callFailed(ctx context.Context, began time.Time, failed call, err error) {
 	s.Counters.FailedCalls.Add(1)
 	var repeatedAcks []int
 	switch {
-	case errors.Is(err, errRunNotStarted): // no fault, and nothing to be said
+	case errors.Is(err, errRunNotStarted): // expected before the run; not logged
 	case errors.Is(err, errOutcomeUnknown):
 		repeatedAcks = s.outcomeUnknown(failed, err)
 	case errors.Is(err, errRejected):
@@ -33,12 +34,12 @@
 	s.pauseAfterFailure(ctx, began, repeatedAcks, err)
 }
 
-// outcomeUnknown notes that a call may be executed twice and returns the ack requests among whose commands that is,
-// for the controller to count them twice. probe limits it to once for an outage.
+// outcomeUnknown records that the commands of a call may be executed twice. It returns the ack requests whose
+// commands the controller has to count twice. probe limits this to one retry per outage.
 //
-// A part of a turn that was too long for one call has no ack request; the next one that waits then stands for it. To
-// count the other part twice as well is too much, which the next ack shows; not to count this one would be too
-// little.
+// The first part of a turn that was split into several calls has no ack request. It returns those of the next queued
+// call then, which also covers the part behind it. Counting that part twice is too much, which the next ack corrects;
+// not counting the first part twice would be too little, which nothing corrects.
 func (s *Orders) outcomeUnknown(failed call, err error) (repeatedAcks []int) {
 	s.Counters.OutcomeUnknown.Add(int64(len(failed)))
 	repeatedAcks = failed.ackNumbers()
@@ -50,8 +51,7 @@
 	return repeatedAcks
 }
 
-// rejected returns what to send again of a call that was rejected as a whole: all of it, or nothing after
-// maxRejections.
+// rejected returns what to retry of a call that was rejected as a whole: all of it, or nothing after maxRejections.
 func (s *Orders) rejected(failed call, err error) call {
 	s.rejections++
 	if s.rejections < maxRejections {
@@ -63,9 +63,9 @@
 	return nil
 }
 
-// retryHalted returns what to send again of the commands from the one that the relay halted at: all of them the first
-// time, in case the answer was wrong, then all but that one. The relay writes nothing of it to any proxy, so that
-// trying costs them nothing.
+// retryHalted returns what to retry of the commands from the one at which the relay halted: all of them the first
+// time, in case the answer was corrupted, then all but that one. The relay sends nothing of a halted command to any
+// proxy, so the retry costs the proxies nothing.
 func (s *Orders) retryHalted(rest call) call {
 	rest = slices.Clone(rest)
 	if !rest[0].halted {
@@ -77,10 +77,10 @@
 	return rest[1:]
 }
 
-// probe makes an empty call, which costs the proxies nothing, and returns whether the relay answers. Only then is
-// anything sent again: so a call has an unknown outcome once in an outage, however long that is, and its commands
-// cross twice at most. The answer has to be readable, too: a relay whose answers are all spoilt would leave the
-// call's outcome unknown again, and execute it each time.
+// probe makes an empty call, which costs the proxies nothing, and reports whether the relay answers. Retries wait for
+// that, so a call has an unknown outcome at most once per outage, however long it lasts, and its commands are sent at
+// most twice. The answer has to be decodable: with a relay whose answers are all corrupted, the outcome of the retry
+// would be unknown as well, and the call would be executed again each time.
 func (s *Orders) probe(ctx context.Context) bool {
 	address := s.queue.currentAddress()
 	s.Counters.Probes.Add(1)
@@ -97,8 +97,9 @@
 	return false
 }
 
-// pauseAfterFailure tells the controller for how long the relay has taken nothing, and pauses. Commands that wait here
-// have not left: were they taken for sent, all that comes meanwhile would overfill the relay's channel at once.
+// pauseAfterFailure reports to the controller for how long the relay has taken nothing, and pauses. Queued commands
+// have not been sent: if the controller believed them sent, the commands planned meanwhile would overflow the relay's
+// channel once it recovers.
 func (s *Orders) pauseAfterFailure(ctx context.Context, began time.Time, repeatedAcks []int, failure error) {
 	s.connection.close()
 	s.outage.begin(began)
@@ -107,8 +108,8 @@
 	pause.For(ctx, s.outage.nextPause(failure))
 }
 
-// endOutage tells the controller that the relay takes commands again, if it did not. answered is the call that was
-// answered; nil where nothing waits any more.
+// endOutage ends an active outage and reports that to the controller. answered is the call that was answered, or nil
+// if the queue is empty.
 func (s *Orders) endOutage(ctx context.Context, answered call) {
 	if s.outage.active() {
 		s.log.Info("relay takes calls again", zap.Duration("after", time.Since(s.outage.since)),
--- a/internal/platform/relay/sender.go
+++ b/internal/platform/relay/sender.go
@@ -10,23 +10,23 @@
 	"indigousher/internal/pilot"
 )
 
-// Orders sends commands to the relay. Any goroutine may call its methods but Run, which one goroutine runs.
+// Orders sends commands to the relay. All methods but Run may be called from any goroutine; Run is called once.
 type Orders struct {
 	Counters *Counters
 
-	inbox      pilot.Inbox // hears of outages and merged calls
-	classNames []string    // the request classes' names, by bit of a mask
+	inbox      pilot.Inbox // receives reports of outages and merged calls
+	classNames []string    // names of the request classes, indexed by bit of a class mask
 	log        *zap.Logger
 
-	queue callQueue // filled by the controller, emptied by Run
+	queue callQueue // filled by the controller, drained by Run
 
-	// State of the goroutine that runs Run.
+	// Owned by the goroutine of Run.
 	connection connection
 	outage     outage
-	rejections int // of calls in a row, each rejected as a whole
+	rejections int // consecutive calls that the relay rejected as a whole
 }
 
-// NewOrders returns a sender to the relay at an address. It sends nothing before Run.
+// NewOrders returns a sender to the relay at address. It sends nothing before Run.
 func NewOrders(address string, classNames []string, inbox pilot.Inbox, c *Counters, log *zap.Logger) *Orders {
 	return &Orders{
 		Counters:   c,
@@ -49,13 +49,13 @@
 	s.queue.enqueue(commands)
 }
 
-// Gone drops the queued commands that name a proxy which has left.
+// Gone drops the queued commands that name a disconnected proxy.
 func (s *Orders) Gone(proxy int) { s.queue.dropProxy(proxy) }
 
-// Move has later calls go to another address. A call in flight ends where it was made.
+// Move changes the relay's address for later calls. A call in flight completes at the old address.
 func (s *Orders) Move(address string) { s.queue.setAddress(address) }
 
-// Run makes calls until ctx ends.
+// Run sends the queued calls until ctx ends.
 func (s *Orders) Run(ctx context.Context) error {
 	defer s.connection.close()
 	s.outage = newOutage()
@@ -65,7 +65,8 @@
 	return nil
 }
 
-// sendNext makes one call, or waits for something to send. In an outage it sends nothing before a probe is answered.
+// sendNext sends the next call, or waits until there is one. During an outage it sends nothing until a probe is
+// answered.
 func (s *Orders) sendNext(ctx context.Context) {
 	if s.outage.active() && !s.probe(ctx) {
 		return
@@ -87,7 +88,8 @@
 	s.callAnswered(next, executed)
 }
 
-// reportMerged tells the controller which ack requests go out as one call. It has to know before a proxy can answer.
+// reportMerged reports to the controller which ack requests are sent in one call. The controller must know before a
+// proxy can ack.
 func (s *Orders) reportMerged(ctx context.Context, next call) {
 	merged := next.ackNumbers()
 	if len(merged) < 2 {
@@ -100,7 +102,7 @@
 	s.post(ctx, in)
 }
 
-// send makes one call and returns how many of its commands the relay executed.
+// send makes one call and returns how many of its commands the relay executed, from the first on.
 func (s *Orders) send(ctx context.Context, address string, next call) (executed int, err error) {
 	s.Counters.Calls.Add(1)
 	answer, err := s.connection.roundTrip(ctx, address, next)
@@ -114,7 +116,7 @@
 	return executed, err
 }
 
-// callAnswered counts what the relay executed and puts back what stands behind a command that it halted at.
+// callAnswered counts the executed commands. If the relay halted, it requeues the remaining ones.
 func (s *Orders) callAnswered(sent call, executed int) {
 	s.rejections = 0
 	s.Counters.Executed.Add(int64(executed))
@@ -126,5 +128,5 @@
 	}
 }
 
-// post tells the controller of the relay's state. It fails only when ctx has ended, and Run with it.
+// post reports the state of the relay to the controller. It fails only after ctx has ended, and then Run returns.
 func (s *Orders) post(ctx context.Context, in pilot.RelayStalled) { _ = s.inbox.Post(ctx, in) }
--- a/internal/platform/relay/snapshot.go
+++ b/internal/platform/relay/snapshot.go
@@ -12,12 +12,12 @@
 	"indigousher/internal/pilot"
 )
 
-// snapshotQuietPeriod: a subscription that has told of no proxy for so long has told all that stand. The stream itself
-// doesn't say where its snapshot ends.
+// snapshotQuietPeriod: a subscription that has announced no proxy for this long has announced all of them. The
+// protocol does not mark the end of a snapshot.
 const snapshotQuietPeriod = 200 * time.Millisecond
 
-// awaitSnapshot starts a goroutine that waits for the end of a subscription's snapshot. The function that it returns
-// stops it and waits for its end.
+// awaitSnapshot starts a goroutine that waits for the end of subscription i's snapshot. The returned function stops
+// the goroutine and waits for it to return.
 func (s *Events) awaitSnapshot(ctx context.Context, i int) (stop func()) {
 	waitCtx, cancel := context.WithCancel(ctx)
 	var waiter sync.WaitGroup
@@ -35,9 +35,9 @@
 	}
 }
 
-// snapshotRemaining returns how long a subscription may still be telling what stands; 0 or less: no longer. Thousands
-// of proxies take their time, above all on part of a core, and one that is told late would be taken for one that has
-// left.
+// snapshotRemaining returns how long the snapshot may still continue; 0 or less if it is over. Announcing thousands
+// of proxies takes a while, especially with part of a core, and a proxy announced after the end would be taken for
+// disconnected.
 func (s *Events) snapshotRemaining(i int) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,7 +48,7 @@
 	return snapshotQuietPeriod - time.Since(sub.lastAnnounced)
 }
 
-// endSnapshot makes a subscription live: after a gap, proxies that its snapshot left out have left.
+// endSnapshot makes subscription i live. After a gap, proxies missing in its snapshot have disconnected.
 func (s *Events) endSnapshot(ctx context.Context, i int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,11 +69,11 @@
 	}
 	for _, proxy := range departed {
 		delete(s.members, proxy)
-		_ = s.inbox.Post(ctx, pilot.Unrelayed{Proxy: proxy}) // fails only when ctx has ended
+		_ = s.inbox.Post(ctx, pilot.Unrelayed{Proxy: proxy}) // fails only after ctx has ended
 	}
 }
 
-// missingIn returns the members that a snapshot left out, by number. The caller holds the lock.
+// missingIn returns the members missing in a subscription's snapshot, in ascending order. The caller holds mu.
 func (s *Events) missingIn(sub *subscription) (proxies []int) {
 	for proxy := range s.members {
 		if !sub.announced[proxy] {
@@ -84,8 +84,8 @@
 	return proxies
 }
 
-// cancelAtOldAddress ends subscriptions at an address that was left: they have told what happened until the one at the new
-// address has told what stands. The caller holds the lock.
+// cancelAtOldAddress closes the subscriptions at a former address. They delivered the events until the one at the new
+// address had received its snapshot. The caller holds mu.
 func (s *Events) cancelAtOldAddress() {
 	for j := range s.subscriptions {
 		other := &s.subscriptions[j]
--- a/internal/platform/relay/subscription.go
+++ b/internal/platform/relay/subscription.go
@@ -7,43 +7,43 @@
 	"go.uber.org/zap"
 )
 
-// Spans by which gaps in the events are judged.
+// Limits by which gaps in the events are judged.
 const (
-	// liveWithin: a subscription that has said something since then carries the events. Signs of life come every
-	// second.
+	// liveWithin: a subscription that received data since then is working. Keepalives are sent every second.
 	liveWithin = 1300 * time.Millisecond
-	// maxShortGap: within a shorter gap no proxy can have left and come back, as that takes it longer.
+	// maxShortGap: in a gap up to this long no proxy can have disconnected and reconnected, as reconnecting takes
+	// longer.
 	maxShortGap = 300 * time.Millisecond
 )
 
-// subscriptionState is how far a subscription is.
+// subscriptionState is the state of a subscription.
 type subscriptionState int
 
-// States of a subscription. subscribed leads from the first to the second, endSnapshot from the second to the third,
-// unsubscribed from either back to the first.
+// States of a subscription. Transitions: subscribed from disconnected to receivingSnapshot, endSnapshot from there to
+// live, unsubscribed from either to disconnected.
 const (
-	disconnected      subscriptionState = iota // not open, or its events no longer count
-	receivingSnapshot                          // it tells of the proxies that stand, mixed with what happens meanwhile
-	live                                       // it tells what happens
+	disconnected      subscriptionState = iota // closed, or about to be
+	receivingSnapshot                          // announces the connected proxies, mixed with new events
+	live                                       // delivers new events
 )
 
-// subscription is one of the connections that carry the events. EventStream.mu guards it.
+// subscription is one of the redundant connections. EventStream.mu guards it.
 type subscription struct {
 	address string
-	cancel  context.CancelFunc // ends the connection; nil before the first
+	cancel  context.CancelFunc // closes the connection; nil before the first one
 
 	state     subscriptionState
 	openedAt  time.Time
-	lastHeard time.Time // the last event or sign of life, or the opening
+	lastHeard time.Time // time of the last event or keepalive, or of opening
 
-	// Of the snapshot.
-	announced     map[int]bool // proxies told since the opening; nil unless receivingSnapshot
-	lastAnnounced time.Time    // when one was told last, or the opening
-	afterGap      bool         // nothing else carried the events when it opened
-	afterLongGap  bool         // for so long that a proxy may have left and come back
+	// The snapshot.
+	announced     map[int]bool // proxies announced since opening; nil unless receivingSnapshot
+	lastAnnounced time.Time    // time of the last announcement, or of opening
+	afterGap      bool         // the other subscription was not working when this one opened
+	afterLongGap  bool         // for longer than maxShortGap: proxies may have reconnected unnoticed
 }
 
-// beginSnapshot notes the opening.
+// beginSnapshot resets the subscription when it opens.
 func (sub *subscription) beginSnapshot(now time.Time) {
 	sub.state = receivingSnapshot
 	sub.openedAt = now
@@ -59,7 +59,7 @@
 	sub.announced = nil
 }
 
-// subscribed notes that a subscription begins, and whether there is a gap in the events before it.
+// subscribed records that subscription i has opened, and whether there is a gap in the events before it.
 func (s *Events) subscribed(i int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,7 +67,7 @@
 	sub := &s.subscriptions[i]
 	sub.beginSnapshot(now)
 	sub.afterGap = !s.otherIsLive(i, now)
-	if !sub.afterGap || s.completeUntil.IsZero() { // the first of all has no events before it to miss
+	if !sub.afterGap || s.completeUntil.IsZero() { // nothing was received before, so nothing was missed
 		return
 	}
 	gap := now.Sub(s.completeUntil)
@@ -76,7 +76,7 @@
 	s.log.Warn("gap in the event streams", zap.Duration("for", gap))
 }
 
-// otherIsLive returns whether another subscription than this one carries the events. The caller holds the lock.
+// otherIsLive reports whether a subscription other than i is working. The caller holds mu.
 func (s *Events) otherIsLive(i int, now time.Time) bool {
 	for j := range s.subscriptions {
 		other := &s.subscriptions[j]
@@ -87,9 +87,9 @@
 	return false
 }
 
-// unsubscribed notes that a subscription has ended, and whether it did in silence. What neither has told, the other has
-// to tell by opening anew: what happened after the one had fallen silent and before the other began, or what a snapshot
-// after a gap would have told, had it come to its end.
+// unsubscribed records that subscription i has ended, and whether by silence. The other one has to reopen, and so
+// receive a new snapshot, if it misses events as well: those between the last data of the silent one and its own
+// opening, or those that an unfinished snapshot after a gap would have revealed.
 func (s *Events) unsubscribed(i int, silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -8,14 +8,15 @@
 	"indigousher/internal/platform/config"
 )
 
-// A file that is wrong may be being written: it is read again each reloadRetryInterval, maxReloadRetries times.
+// An invalid file may be in the middle of being written. It is read again every reloadRetryInterval, up to
+// maxReloadRetries times.
 const (
 	reloadRetryInterval = 100 * time.Millisecond
 	maxReloadRetries    = 30
 )
 
-// reload reads the placement again and returns whether it could. A wrong one changes nothing, and is logged if asked
-// for.
+// reload reads the placement and applies its addresses. It returns whether the placement is valid; an invalid one
+// changes nothing and is logged if logFailure is set.
 func (p *Pilot) reload(logFailure bool) bool {
 	now, err := p.reread()
 	if err != nil {
@@ -32,8 +33,8 @@
 	return true
 }
 
-// retryReload reads the placement again, if any retries are left, and returns how many are left then: none after one
-// that was read. The last one that fails is logged.
+// retryReload reloads if retries are left and returns how many are left afterwards: none after success. Only the
+// failure of the last one is logged.
 func (p *Pilot) retryReload(retries int) (left int) {
 	if retries == 0 {
 		return 0
--- a/internal/platform/report.go
+++ b/internal/platform/report.go
@@ -11,8 +11,8 @@
 	"indigousher/internal/platform/relay"
 )
 
-// report logs what the controller believes beside what crossed the sockets: where the two differ, something was lost on
-// the way.
+// report logs the controller's view beside the counters of the connections. Where they differ, data was lost in
+// between.
 func (p *Pilot) report() {
 	p.log.Info("counted", slices.Concat(
 		controllerFields(p.loop.State()),
--- a/internal/platform/supervise.go
+++ b/internal/platform/supervise.go
@@ -8,13 +8,13 @@
 // reportInterval is the time between two reports of the counters.
 const reportInterval = 10 * time.Second
 
-// supervise reads the placement again when asked to, and reports the counters, until ctx ends.
+// supervise reloads the placement on request and reports the counters periodically, until ctx ends.
 func (p *Pilot) supervise(ctx context.Context, reload <-chan struct{}) error {
 	report := time.NewTicker(reportInterval)
 	defer report.Stop()
-	retry := time.NewTimer(reloadRetryInterval) // the first time it finds nothing to do
+	retry := time.NewTimer(reloadRetryInterval) // the first expiry finds no retries
 	defer retry.Stop()
-	retries := 0 // left to read a file that was wrong
+	retries := 0 // retries left after a failed reload
 	for {
 		select {
 		case <-reload:
