--- a/internal/platform/agent/client_test.go
+++ b/internal/platform/agent/client_test.go
@@ -56,13 +56,13 @@
 	})
 }
 
-// eventually waits for a condition that other goroutines bring about.
+// eventually waits for a condition that other goroutines establish.
 func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
 	require.Eventually(t, condition, 5*time.Second, time.Millisecond)
 }
 
-// TestSetAddress guards a reload: the list is neither forgotten nor told twice.
+// TestSetAddress checks a reload: the list is neither forgotten nor posted twice.
 func TestSetAddress(t *testing.T) {
 	before := newScriptedAgent(t, list(4, true, "x"))
 	after := newScriptedAgent(t, list(5, false, "y"))
@@ -77,7 +77,7 @@
 	assert.Contains(t, after.asked()[0], "index=")
 }
 
-// TestOnRequest guards that nothing is asked before the planner has.
+// TestOnRequest checks that nothing is requested before the planner asks for it.
 func TestOnRequest(t *testing.T) {
 	s := newScriptedAgent(t, list(4, true, "x"), list(5, true, "x"))
 	b := &inbox{}
--- a/internal/platform/agent/scriptedagent_test.go
+++ b/internal/platform/agent/scriptedagent_test.go
@@ -25,7 +25,7 @@
 }
 
 // scriptedAgent is discovery's agent. It answers calls by the steps of a script: a body, "bytes" and a body, sent
-// byte by byte, "reset", "half" of an answer, or "silent". After it, calls wait and tell nothing new.
+// byte by byte, "reset", "half" an answer, or "silent". After the script calls wait and return no changes.
 type scriptedAgent struct {
 	listener net.Listener
 	mu       sync.Mutex
--- a/internal/platform/agent/watch_test.go
+++ b/internal/platform/agent/watch_test.go
@@ -10,14 +10,15 @@
 	"go.uber.org/zap"
 )
 
-// wholePath is what the whole list is asked for with, changesFrom what changes from a version are.
+// wholePath requests the whole list, changesFrom the changes from a version.
 const wholePath = "/catalog/members"
 
 func changesFrom(version int) string {
 	return fmt.Sprintf("/catalog/members?index=%d&wait=1000", version)
 }
 
-// TestWatch guards that the version held is asked from, whatever befalls a call, and that each list is told once.
+// TestWatch checks that each call starts from the current version, however the one before ended, and that each list
+// is posted once.
 func TestWatch(t *testing.T) {
 	for name, c := range map[string]struct {
 		steps    []string
--- a/internal/platform/config/checks_test.go
+++ b/internal/platform/config/checks_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestErrorsNameTheField guards that a start with a wrong file says which field is at fault.
+// TestErrorsNameTheField checks that the error for an invalid file names the field.
 func TestErrorsNameTheField(t *testing.T) {
 	for name, c := range map[string]struct{ from, to, says string }{
 		"cut off":           {`}}}`, ``, "not readable"},
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestCachedList guards the start against the list as it was held last: it may be absent, empty, malformed as a
-// whole or in part, and the pilot starts with what can be used of it and says what can't.
+// TestCachedList checks the endpoint list from before the start: it may be absent, empty, or malformed as a whole or
+// in part, and the pilot starts with the valid part and a warning.
 func TestCachedList(t *testing.T) {
 	at := strings.Index(goodFile, `"known":`)
 	end := strings.Index(goodFile, `"settings":`)
--- a/internal/platform/config/errors_test.go
+++ b/internal/platform/config/errors_test.go
@@ -8,8 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFieldErrors guards what an operator reads of a wrong file, word for word, and the field that the error is typed
-// with.
+// TestFieldErrors checks the error texts, which operators read, and the typed field.
 func TestFieldErrors(t *testing.T) {
 	for name, c := range map[string]struct {
 		from, to, field, text string
--- a/internal/platform/listener/collectors_test.go
+++ b/internal/platform/listener/collectors_test.go
@@ -11,14 +11,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// standing returns how many connections of a zone's collector stand.
+// standing returns the number of a zone's connections.
 func (c *collectors) standing(zone string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.byZone[zone])
 }
 
-// TestCollectorReconnects guards the descriptors of collectors that are cut off without a sign and come back.
+// TestCollectorReconnects checks the number of descriptors when collectors lose their connections silently and
+// reconnect.
 func TestCollectorReconnects(t *testing.T) {
 	l, _, dial := startListener(t, 20)
 	var conns []net.Conn
@@ -34,9 +35,9 @@
 	assert.Equal(t, maxCollectorsPerZone, l.collectors.standing("b"))
 }
 
-// TestOlderCollectorConnectionClosesLast guards a zone whose collector dials anew before its old connection ends, and
-// ends that one after the new one has joined: what the new one brings counts. A stranger that resets while it is
-// rejected harms nobody.
+// TestOlderCollectorConnectionClosesLast checks a collector that reconnects before its old connection ends, and
+// closes that one later: the reports on the new one are posted. A connection that resets while it is rejected has no
+// effect on others.
 func TestOlderCollectorConnectionClosesLast(t *testing.T) {
 	l, b, dial := startListener(t, 20)
 	join := func(number int64) net.Conn {
--- a/internal/platform/listener/handshake_test.go
+++ b/internal/platform/listener/handshake_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestUnidentifiedConnections guards that whoever is no collector gets a close or a word well within the 3 s that it is
-// owed, and that nothing of it reaches the loop.
+// TestUnidentifiedConnections checks that a connection that is not a collector is closed or answered well within the
+// 3 s that the platform allows, and that nothing of it is posted.
 func TestUnidentifiedConnections(t *testing.T) {
 	_, b, dial := startListener(t, 200)
 	report := "heard locality=a endpoint=x total=2 errors=0 rtt=1 interval=1000\r\n"
--- a/internal/platform/listener/listener_test.go
+++ b/internal/platform/listener/listener_test.go
@@ -37,7 +37,7 @@
 	return append([]pilot.Input{}, b.got...)
 }
 
-// startListener runs a listener until the test ends and returns how to dial it.
+// startListener runs a listener until the test ends. dial connects to it.
 func startListener(t *testing.T, maxUnidentified int) (l *Listener, b *inbox, dial func() net.Conn) {
 	b = &inbox{}
 	l = New([]string{"a", "b"}, maxUnidentified, b, zap.NewNop())
@@ -58,7 +58,7 @@
 	}
 }
 
-// eventually waits for a condition that other goroutines bring about.
+// eventually waits for a condition that other goroutines establish.
 func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
 	require.Eventually(t, condition, 5*time.Second, time.Millisecond)
--- a/internal/platform/listener/session_test.go
+++ b/internal/platform/listener/session_test.go
@@ -14,7 +14,7 @@
 	"indigousher/internal/pilot"
 )
 
-// TestCollectorReports guards that a malformed report costs itself alone, wherever its line is cut.
+// TestCollectorReports checks that a malformed line has no effect on others, wherever the data is split.
 func TestCollectorReports(t *testing.T) {
 	zoneLine := "heard locality=a endpoint=x total=9 errors=2 rtt=4.5 interval=1000.0 metrics=util:0.5\r\n"
 	zoneStats := pilot.ZoneMet{
@@ -70,7 +70,7 @@
 	}
 }
 
-// writeInPieces writes a text, or as much of it as the other side takes before it closes the connection.
+// writeInPieces writes a text until the peer closes the connection.
 func writeInPieces(conn io.Writer, text string, piece int) {
 	for len(text) > 0 {
 		n := min(piece, len(text))
--- a/internal/platform/listener/unidentified_test.go
+++ b/internal/platform/listener/unidentified_test.go
@@ -12,8 +12,8 @@
 	"indigousher/internal/platform/peek"
 )
 
-// TestCollectorAmongHundreds guards that connections that say nothing take no more than their part of the
-// descriptors, and that a collector joins all the same.
+// TestCollectorAmongHundreds checks that silent connections use no more than their share of the descriptors, and that
+// a collector can join all the same.
 func TestCollectorAmongHundreds(t *testing.T) {
 	l, b, dial := startListener(t, 20)
 	for range 300 {
@@ -29,11 +29,11 @@
 	assert.GreaterOrEqual(t, l.Counters.Evicted.Load(), int64(250))
 }
 
-// TestEvictionSparesJoiningCollector guards a collector whose line has come and is not read yet while others take all
-// the places: one of them goes in its stead. Where all have said something the oldest goes.
+// TestEvictionSparesJoiningCollector checks that a collector whose first line was received but not read yet is not
+// evicted; another connection is. If all have sent something the oldest is evicted.
 func TestEvictionSparesJoiningCollector(t *testing.T) {
 	for name, c := range map[string]struct {
-		says    []string // in the order of their coming; there are three places
+		says    []string // in the order of connecting; there is room for three
 		evicted int
 	}{
 		"nobody says anything":   {[]string{"", "", "", ""}, 0},
--- a/internal/platform/peek/peek_test.go
+++ b/internal/platform/peek/peek_test.go
@@ -46,7 +46,7 @@
 	assert.Equal(t, Idle, Peek(nil))
 }
 
-// TestPeekWhileRead guards looking at a connection that another goroutine is reading: it must not wait for it.
+// TestPeekWhileRead checks that Peek does not wait for another goroutine that reads from the connection.
 func TestPeekWhileRead(t *testing.T) {
 	conn, other := pair(t)
 	reading := make(chan struct{})
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -17,7 +17,7 @@
 	"indigousher/internal/platform/config"
 )
 
-// settings are the operators', as the simulator gives them in a spawn event and the platform in its file.
+// settings are the operators' settings, as in the simulator's spawn event and in the platform's file.
 const settings = `{"dcs":["a","b"],"kinds":["m2"],"instances":1,"rank":0,"discovery":"pushed",
 "profiles":[{"name":"read","aim":1000000000,"importance":2,"idempotency":"read_like"},
 {"name":"write","aim":500000000,"importance":5}],
@@ -42,7 +42,7 @@
 	return listener.Addr().String()
 }
 
-// TestPilot guards a start, a reload to other addresses and a wrong one, and the end, on sockets.
+// TestPilot checks the start, reloads of a valid and an invalid file, and the end of a pilot on sockets.
 func TestPilot(t *testing.T) {
 	s := &scriptedSite{calls: map[string]int{}}
 	listen := freeAddress(t)
@@ -88,7 +88,7 @@
 	assert.Less(t, time.Since(began), 5*time.Second, "it ends, whatever hangs")
 }
 
-// checkPing checks that a pilot listens and answers a sign of life. The connection stands until the test ends.
+// checkPing checks that the pilot listens and answers a ping. It keeps the connection open until the test ends.
 func checkPing(t *testing.T, address string) {
 	var conn net.Conn
 	require.Eventually(t, func() bool {
--- a/internal/platform/relay/connection_test.go
+++ b/internal/platform/relay/connection_test.go
@@ -10,8 +10,8 @@
 	"indigousher/brain"
 )
 
-// TestConnectionClosedDuringCall guards a call whose connection, used before, ends as its last byte arrives: it is sent
-// again.
+// TestConnectionClosedDuringCall checks a call on a reused connection that is closed as the request arrives: it is
+// retried.
 func TestConnectionClosedDuringCall(t *testing.T) {
 	s := newScriptedRelay(t, "ok", "broken")
 	sender := startSender(t, s.address())
@@ -24,8 +24,7 @@
 	assert.EqualValues(t, 1, sender.Counters.OutcomeUnknown.Load())
 }
 
-// TestIdleConnectionClosedByRelay guards calls after the relay has closed a connection that stood idle: that is found
-// before it is used.
+// TestIdleConnectionClosedByRelay checks that a connection closed by the relay is not reused.
 func TestIdleConnectionClosedByRelay(t *testing.T) {
 	s := newScriptedRelay(t)
 	s.closing = true
--- a/internal/platform/relay/eventstream_test.go
+++ b/internal/platform/relay/eventstream_test.go
@@ -27,7 +27,7 @@
 
 func opens(i int) step { return func(_ *testing.T, events *Events) { events.subscribed(i) } }
 
-// firstCloses ends the first subscription, not in silence.
+// firstCloses ends the first subscription, not by silence.
 func firstCloses(_ *testing.T, events *Events) { events.unsubscribed(0, false) }
 
 func snapshotEnds(i int) step {
@@ -40,12 +40,12 @@
 	}
 }
 
-// longGap has time pass with no subscription open.
+// longGap lets time pass without a subscription.
 func longGap(_ *testing.T, events *Events) {
 	events.completeUntil = events.completeUntil.Add(-time.Minute)
 }
 
-// TestEventSequence guards the one sequence that is made of two subscriptions' events.
+// TestEventSequence checks how the events of two subscriptions are merged into one sequence.
 func TestEventSequence(t *testing.T) {
 	for name, c := range map[string]struct {
 		steps []step
@@ -144,8 +144,7 @@
 	}
 }
 
-// TestEventStreamBreaksInsideLine guards what is cut off in the middle of an event stream: half of a proxy's leaving is
-// nothing.
+// TestEventStreamBreaksInsideLine checks that an incomplete line is ignored.
 func TestEventStreamBreaksInsideLine(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -173,7 +172,7 @@
 	assert.NotEmpty(t, b.all())
 }
 
-// serveEvents tells a text on the first connection, in chunks of five bytes, and then nothing more. It returns its
+// serveEvents sends a text on the first connection, in chunks of five bytes, and nothing more. It returns the
 // address, and fails the test if anything but the request is written to it.
 func serveEvents(t *testing.T, text string) (address string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -206,8 +205,8 @@
 	return listener.Addr().String()
 }
 
-// TestEventStreamOnSockets has events cut anywhere, chunk by chunk, a silent relay left for another, and nothing more
-// written.
+// TestEventStreamOnSockets checks lines split into chunks, a change of the address, and that nothing is written but
+// the request.
 func TestEventStreamOnSockets(t *testing.T) {
 	b := &inbox{}
 	address := serveEvents(t, joined(1, true)+"\n"+joined(2, true)+"\n")
--- a/internal/platform/relay/queue_test.go
+++ b/internal/platform/relay/queue_test.go
@@ -18,8 +18,8 @@
 	return listener.Addr().String()
 }
 
-// TestSupersededCommands guards what waits while the relay is out of reach: a weight set anew is sent once, with its
-// last value, a proxy that has left is assigned no table, and exclusions keep their place before what follows them.
+// TestSupersededCommands checks the queue while the relay is unreachable: a weight set repeatedly is sent once, with
+// its last value, a disconnected proxy is assigned no table, and exclusions keep their place in the order.
 func TestSupersededCommands(t *testing.T) {
 	sender := startSender(t, closedAddress(t))
 	for w := 1; w <= 100; w++ {
--- a/internal/platform/relay/retry_test.go
+++ b/internal/platform/relay/retry_test.go
@@ -11,7 +11,7 @@
 	standin "indigousher/internal/standin/relay"
 )
 
-// silentRelay returns a stand-in relay that answers nothing, probes neither, and executes nothing until it recovers.
+// silentRelay returns a stand-in relay that answers nothing, not even probes, and executes nothing until it recovers.
 func silentRelay(t *testing.T) *standin.Relay {
 	s, err := standin.Start(standin.Config{Proxies: []standin.Proxy{{Number: 3, Zone: "a"}}, LinesPerS: 1000})
 	require.NoError(t, err)
@@ -20,9 +20,9 @@
 	return s
 }
 
-// TestOutageReports guards the planner's count of the channel: it has to hear that nothing is taken, that it is
-// again, and which ack requests are among what may cross twice, those of calls that were merged meanwhile included.
-// Before such a call goes out it hears which ack requests that has.
+// TestOutageReports checks what the controller hears for its count of the channel: that nothing is taken, that
+// commands are taken again, and which ack requests are among what may be executed twice, including those of merged
+// calls. It hears of the ack requests in a merged call before that is sent.
 func TestOutageReports(t *testing.T) {
 	const merged = "stalled true [] joined [6 5]"
 	const ended = "stalled false []"
@@ -57,9 +57,8 @@
 	}
 }
 
-// TestUnknownOutcomeOncePerOutage guards the proxies' channel in a long silence (incident 029): a call is sent once
-// and sent again once, whatever waits has become one call by then, and the planner is told which ack requests that
-// call has.
+// TestUnknownOutcomeOncePerOutage checks a long silence (incident 029): a call is sent once and retried once, merged
+// with everything queued by then, and the controller is informed of the ack requests in that call.
 func TestUnknownOutcomeOncePerOutage(t *testing.T) {
 	s := silentRelay(t)
 	reports := &inbox{}
@@ -81,8 +80,8 @@
 	assert.Equal(t, []string{"stalled true [] joined [8 7 6 5]", "stalled false []"}, all[len(all)-2:])
 }
 
-// TestOutageEndsWithoutCalls guards against an outage whose call no longer exists: the planner would wait for its end
-// for good.
+// TestOutageEndsWithoutCalls checks the end of an outage whose call was dropped meanwhile: without it the planner
+// would wait forever.
 func TestOutageEndsWithoutCalls(t *testing.T) {
 	s := silentRelay(t)
 	reports := &inbox{}
@@ -100,8 +99,8 @@
 	assert.Zero(t, s.Bound())
 }
 
-// TestUnreadableProbeAnswers guards against a relay that executes calls and whose answers can't be read for a while: a
-// call is not sent again before an answer can be.
+// TestUnreadableProbeAnswers checks a relay that executes calls and whose answers cannot be decoded for a while: a
+// call is not retried before an answer can.
 func TestUnreadableProbeAnswers(t *testing.T) {
 	s := newScriptedRelay(t, "garbage")
 	s.unreadableProbes = 4
@@ -112,8 +111,8 @@
 	assert.Equal(t, twice([]string{"SET 1 e1 2", "SYNC 5"}), s.executedCommands())
 }
 
-// TestUnknownOutcomeOfSplitTurn guards the count of a turn that is too long for one call: its first part has no ack
-// request.
+// TestUnknownOutcomeOfSplitTurn checks the count of a turn that is split into several calls, the first of which has
+// no ack request.
 func TestUnknownOutcomeOfSplitTurn(t *testing.T) {
 	s := newScriptedRelay(t, "lost")
 	reports := &inbox{}
--- a/internal/platform/relay/scriptedrelay_test.go
+++ b/internal/platform/relay/scriptedrelay_test.go
@@ -21,7 +21,8 @@
 	"indigousher/brain"
 )
 
-// scriptedRelay is a relay that answers each call with commands by a step of a script, and each call after it well.
+// scriptedRelay is a relay that answers each call with commands by the next step of a script, and all later calls
+// with success.
 type scriptedRelay struct {
 	t        *testing.T
 	listener net.Listener
@@ -70,7 +71,7 @@
 
 func (s *scriptedRelay) address() string { return s.listener.Addr().String() }
 
-// idle returns whether no connection stands.
+// idle reports whether no connection is open.
 func (s *scriptedRelay) idle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -223,14 +224,14 @@
 	})
 }
 
-// eventually waits for a condition that other goroutines bring about.
+// eventually waits for a condition that other goroutines establish.
 func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
 	require.Eventually(t, condition, 10*time.Second, time.Millisecond)
 }
 
-// twice returns what a relay executes of a call that goes out again.
+// twice returns what a relay executes of a call that is sent twice.
 func twice(commands []string) []string { return slices.Concat(commands, commands) }
 
-// count returns in how many of some texts a word stands.
+// count returns how often a word occurs in texts.
 func count(texts []string, word string) int { return strings.Count(strings.Join(texts, " "), word) }
--- a/internal/platform/relay/sender_test.go
+++ b/internal/platform/relay/sender_test.go
@@ -9,8 +9,8 @@
 	"indigousher/brain"
 )
 
-// TestCallOutcomes plays each way in which a call may end. One with an unknown outcome is sent again once, in order,
-// and nothing older after anything newer.
+// TestCallOutcomes checks every outcome of a call. A call with an unknown outcome is retried once, in order, and
+// nothing older is executed after anything newer.
 func TestCallOutcomes(t *testing.T) {
 	turn := []brain.Order{
 		setWeight(1, 2),
--- a/internal/platform/relay/snapshot_test.go
+++ b/internal/platform/relay/snapshot_test.go
@@ -10,8 +10,8 @@
 	"go.uber.org/zap"
 )
 
-// TestSnapshotOfThousands guards proxies that are told late in a snapshot: one that counted as over after a fixed
-// time had them leave and join, and be assigned their tables anew.
+// TestSnapshotOfThousands checks proxies that are announced late in a snapshot. When snapshots ended after a fixed
+// time, those were taken for disconnected, and joined again.
 func TestSnapshotOfThousands(t *testing.T) {
 	events := NewEvents("", &inbox{}, &Counters{}, zap.NewNop())
 	sub := &events.subscriptions[0]
--- a/internal/platform/relay/subscription_test.go
+++ b/internal/platform/relay/subscription_test.go
@@ -9,8 +9,8 @@
 	"go.uber.org/zap"
 )
 
-// TestSilentSubscriptionReopensTheOther guards what happened after one subscription fell silent and before the other
-// opened: neither has told it.
+// TestSilentSubscriptionReopensTheOther checks events between the last data of one subscription and the opening of
+// the other: neither has delivered them.
 func TestSilentSubscriptionReopensTheOther(t *testing.T) {
 	events := NewEvents("", &inbox{}, &Counters{}, zap.NewNop())
 	cancelled := 0
--- a/internal/platform/scriptedsite_test.go
+++ b/internal/platform/scriptedsite_test.go
@@ -21,8 +21,8 @@
 	ordersPath  = "/v1/orders"
 )
 
-// scriptedSite is the platform around one pilot: discovery and a relay, at as many addresses as wanted. One endpoint is
-// listed, one proxy joins.
+// scriptedSite is the platform around one pilot: discovery with one endpoint and a relay with one proxy, at any
+// number of addresses.
 type scriptedSite struct {
 	mu       sync.Mutex
 	executed []string       // commands: the address, verb, proxy and endpoint
@@ -85,7 +85,7 @@
 	return s.calls[what]
 }
 
-// serveEvents tells of one proxy and gives a few signs of life.
+// serveEvents announces one proxy and sends a few keepalives.
 func serveEvents(conn io.Writer) {
 	_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	events := []string{
@@ -132,7 +132,7 @@
 	return `{"index":7,"snapshot":false,"endpoints":[]}`
 }
 
-// hasExecuted returns whether a text stands among the commands.
+// hasExecuted reports whether a text is contained in the commands.
 func (s *scriptedSite) hasExecuted(what string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/platform/simulator_test.go
+++ b/internal/platform/simulator_test.go
@@ -37,7 +37,7 @@
 // Gone does nothing.
 func (r *recordingRelay) Gone(int) {}
 
-// noEndpointSource is a list that nobody follows.
+// noEndpointSource ignores all requests.
 type noEndpointSource struct{}
 
 // Watch does nothing.
@@ -46,13 +46,13 @@
 // Fetch does nothing.
 func (noEndpointSource) Fetch() {}
 
-// bothSides plays the same day to a core with the platform's inputs and, as events, to the simulator's adapter.
+// bothSides feeds the same scenario to a core, as the platform's inputs, and to the simulator's adapter, as events.
 type bothSides struct {
 	core   *pilot.Core
 	events []string
 }
 
-// start tells of the endpoints and of one proxy.
+// start announces the endpoints and one proxy.
 func (b *bothSides) start() {
 	var entries []wire.Entry
 	var hosts []string
@@ -73,7 +73,7 @@
 		`{"kind":"stream_up","i":"pilot/0","edge":3,"zone":"b","heft":7,"active":true}]}`)
 }
 
-// report tells of one endpoint's load and of one proxy's requests, at a second.
+// report reports one endpoint's load and one proxy's requests.
 func (b *bothSides) report(second int, load float64) {
 	b.core.Handle(float64(1000*second), []pilot.Input{
 		pilot.ZoneMet{
@@ -89,7 +89,7 @@
 		1000*second*1000000, second, load))
 }
 
-// controlRound has the timer fire, half a second after a second.
+// controlRound lets the timer fire half a second after second.
 func (b *bothSides) controlRound(second int) {
 	nowMs := 500 + 1000*second
 	b.core.Handle(float64(nowMs), nil)
@@ -97,7 +97,7 @@
 		`{"sim_time":%d,"batch":2,"happened":[{"kind":"bell","i":"pilot/0","ref":"gather"}]}`, nowMs*1000000))
 }
 
-// TestSameSettingsSameOrders guards that simulator and platform give the planner the same: one translation of
+// TestSameSettingsSameOrders checks that simulator and platform feed the planner the same: one translation of
 // settings and names, the same events, and so the same commands.
 func TestSameSettingsSameOrders(t *testing.T) {
 	p := placement(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1")
