--- a/internal/platform/config/checks.go
+++ b/internal/platform/config/checks.go
@@ -112,18 +112,18 @@
 	if len(p.Deployment.Kinds.All()) == 0 {
 		return wrongField("settings", "settings: no req kinds")
 	}
-	settings := p.Deployment.Terms
-	proxies, err := numberWithin(settings, "proxy_count", 1, maxProxies)
+	plannerSettings := p.Deployment.Terms
+	proxies, err := numberWithin(plannerSettings, "proxy_count", 1, maxProxies)
 	if err != nil {
 		return err
 	}
 	p.Proxies = int(proxies)
-	p.OnRequest = settings["discovery"] == "on_request"
-	if err := checkInstances(settings); err != nil {
+	p.OnRequest = plannerSettings["discovery"] == "on_request"
+	if err := checkInstances(plannerSettings); err != nil {
 		return err
 	}
 	for _, name := range []string{"lines_per_s", "backlog", "drain_grace", "cold"} {
-		if _, err := numberWithin(settings, name, minSetting, brain.MostFigure); err != nil {
+		if _, err := numberWithin(plannerSettings, name, minSetting, brain.MostFigure); err != nil {
 			return err
 		}
 	}
@@ -131,19 +131,19 @@
 }
 
 // checkInstances checks the number of pilots and the rank of this one among them.
-func checkInstances(settings map[string]any) error {
-	instances, err := numberWithin(settings, "instances", 1, maxProxies)
+func checkInstances(plannerSettings map[string]any) error {
+	instances, err := numberWithin(plannerSettings, "instances", 1, maxProxies)
 	if err != nil {
 		return err
 	}
-	_, err = numberWithin(settings, "rank", 0, instances-1)
+	_, err = numberWithin(plannerSettings, "rank", 0, instances-1)
 	return err
 }
 
 // numberWithin returns a required numeric setting within bounds. name is the planner's name of it.
-func numberWithin(settings map[string]any, name string, low, high float64) (float64, error) {
+func numberWithin(plannerSettings map[string]any, name string, low, high float64) (float64, error) {
 	field := "settings: " + name
-	v, ok := settings[name].(float64)
+	v, ok := plannerSettings[name].(float64)
 	if !ok {
 		return 0, wrongField(field, "settings: %s is missing or no number", name)
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -22,40 +22,40 @@
 
 // Pilot is one pilot on the platform.
 type Pilot struct {
-	log       *zap.Logger
-	placement *config.Placement                 // of the start, not changed by reloads
-	reread    func() (*config.Placement, error) // reads the current placement
+	log     *zap.Logger
+	initial *config.Placement                 // of the start, not changed by reloads
+	reread  func() (*config.Placement, error) // reads the current placement
 
 	loop          *pilot.Loop
 	listener      *listener.Listener
-	orders        *relay.Orders
+	sender        *relay.Orders
 	events        *relay.Events
-	relayCounters relay.Counters // shared by orders and events
-	agent         *agent.Agent
+	relayCounters relay.Counters // shared by sender and events
+	discovery     *agent.Agent
 }
 
 // New assembles a pilot. It does nothing before Run. reread reads the current placement, for reloads.
-func New(placement *config.Placement, reread func() (*config.Placement, error), log *zap.Logger) *Pilot {
-	p := &Pilot{log: log, placement: placement, reread: reread}
-	deployment := placement.Deployment
+func New(initial *config.Placement, reread func() (*config.Placement, error), log *zap.Logger) *Pilot {
+	p := &Pilot{log: log, initial: initial, reread: reread}
+	deployment := initial.Deployment
 	classes := deployment.Kinds.All()
 	zones := deployment.Zones.All()
 	box := &inbox{}
-	p.orders = relay.NewOrders(placement.Relay.Address, classes, box, &p.relayCounters, log)
-	p.agent = agent.New(placement.Discovery, !placement.OnRequest, box, log)
-	p.events = relay.NewEvents(placement.Relay.Address, box, &p.relayCounters, log)
-	p.listener = listener.New(zones, maxUnidentified(placement.Limits), box, log)
+	p.sender = relay.NewOrders(initial.Relay.Address, classes, box, &p.relayCounters, log)
+	p.discovery = agent.New(initial.Discovery, !initial.OnRequest, box, log)
+	p.events = relay.NewEvents(initial.Relay.Address, box, &p.relayCounters, log)
+	p.listener = listener.New(zones, maxUnidentified(initial.Limits), box, log)
 	core := pilot.NewCore(pilot.Plan{
-		Decider:     brain.New(placement.Seed, deployment.Terms),
+		Decider:     brain.New(initial.Seed, deployment.Terms),
 		Terms:       deployment.Terms,
 		Zones:       zones,
 		Machines:    deployment.Machines.All(),
 		Kinds:       classes,
-		MostProxies: placement.Proxies,
-		List:        p.agent,
+		MostProxies: initial.Proxies,
+		List:        p.discovery,
 		Prober:      probe.Never{},
 		Peers:       peers.Nobody{},
-		Relay:       p.orders,
+		Relay:       p.sender,
 		Log:         func(text string) { log.Info(text) },
 		Odd: func(what string, fields ...string) {
 			log.Debug("odd", zap.String("what", what), zap.Strings("fields", fields))
@@ -75,11 +75,11 @@
 // Run listens and runs until ctx ends or a part fails; all parts have returned then. A value on reload triggers a
 // reload of the placement.
 func (p *Pilot) Run(ctx context.Context, reload <-chan struct{}) error {
-	socket, err := net.Listen("tcp", p.placement.Listen)
+	socket, err := net.Listen("tcp", p.initial.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	if known := p.placement.Remembered; known != nil {
+	if known := p.initial.Remembered; known != nil {
 		if err := p.loop.Post(ctx, pilot.Listed{List: known, Remembered: true}); err != nil {
 			return err
 		}
@@ -87,11 +87,11 @@
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return p.loop.Run(ctx) })
 	group.Go(func() error { return p.listener.Serve(ctx, socket) })
-	group.Go(func() error { return p.orders.Run(ctx) })
+	group.Go(func() error { return p.sender.Run(ctx) })
 	for i := range relay.Subscriptions {
 		group.Go(func() error { return p.events.Run(ctx, i) })
 	}
-	group.Go(func() error { return p.agent.Run(ctx) })
+	group.Go(func() error { return p.discovery.Run(ctx) })
 	group.Go(func() error { return p.supervise(ctx, reload) })
 	return group.Wait()
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -17,19 +17,19 @@
 	"indigousher/internal/platform/config"
 )
 
-// settings are the operators' settings, as in the simulator's spawn event and in the platform's file.
-const settings = `{"dcs":["a","b"],"kinds":["m2"],"instances":1,"rank":0,"discovery":"pushed",
+// operatorSettings are the operators' settings, as in the simulator's spawn event and in the platform's file.
+const operatorSettings = `{"dcs":["a","b"],"kinds":["m2"],"instances":1,"rank":0,"discovery":"pushed",
 "profiles":[{"name":"read","aim":1000000000,"importance":2,"idempotency":"read_like"},
 {"name":"write","aim":500000000,"importance":5}],
 "report":{"fields":["cpu_share","served_ps"]},
 "extra":{"proxy_count":40,"egress_per_s":800,"backlog":1200,"envelope":4,"admission":"share","by_zone":true},
 "obligations":{"drain_grace":3000000000,"cold":10000000000}}`
 
-// placement returns the placement of a pilot with these addresses.
-func placement(t *testing.T, listen, discovery, relay string) *config.Placement {
+// newPlacement returns the placement of a pilot with these addresses.
+func newPlacement(t *testing.T, listen, discovery, relay string) *config.Placement {
 	p, err := config.Parse([]byte(fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"5",
 "limits":{"cores":0.5,"memory_mb":48,"sockets":256},"relay":{"address":%q},"settings":%s}`,
-		listen, discovery, relay, settings)))
+		listen, discovery, relay, operatorSettings)))
 	require.NoError(t, err)
 	return p
 }
@@ -59,7 +59,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	reload := make(chan struct{}, 1)
 	ended := make(chan error, 1)
-	p := New(placement(t, listen, first, first), reread, zap.NewNop())
+	p := New(newPlacement(t, listen, first, first), reread, zap.NewNop())
 	go func() { ended <- p.Run(ctx, reload) }()
 
 	checkPing(t, listen)
@@ -70,12 +70,12 @@
 	reload <- struct{}{}
 	require.Eventually(t, func() bool { return len(reload) == 0 }, 5*time.Second, time.Millisecond)
 	assert.Zero(t, s.asked(second+membersPath))
-	file.Store(placement(t, listen, second, second)) // it was being written: it is read again unasked
+	file.Store(newPlacement(t, listen, second, second)) // it was being written: it is read again unasked
 	require.Eventually(t, func() bool {
 		return s.asked(second+membersPath) > 1 && s.asked(second+eventsPath) > 1
 	}, 10*time.Second, time.Millisecond)
 
-	file.Store(placement(t, listen, third, third))
+	file.Store(newPlacement(t, listen, third, third))
 	reload <- struct{}{}
 	reload <- struct{}{}
 	require.Eventually(t, func() bool {
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -26,9 +26,9 @@
 		return false
 	}
 	p.log.Info("reloaded", zap.String("discovery", now.Discovery), zap.String("relay", now.Relay.Address),
-		zap.Strings("want a restart", config.Restart(p.placement, now)))
-	p.agent.Move(now.Discovery)
-	p.orders.Move(now.Relay.Address)
+		zap.Strings("want a restart", config.Restart(p.initial, now)))
+	p.discovery.Move(now.Discovery)
+	p.sender.Move(now.Relay.Address)
 	p.events.Move(now.Relay.Address)
 	return true
 }
--- a/internal/platform/report.go
+++ b/internal/platform/report.go
@@ -18,7 +18,7 @@
 		controllerFields(p.loop.State()),
 		relayFields(&p.relayCounters),
 		listenerFields(&p.listener.Counters),
-		discoveryFields(&p.agent.Counters),
+		discoveryFields(&p.discovery.Counters),
 	)...)
 }
 
--- a/internal/platform/simulator_test.go
+++ b/internal/platform/simulator_test.go
@@ -68,7 +68,7 @@
 		pilot.Relayed{Proxy: 3, Zone: "b", Rate: 7, Fresh: true},
 	})
 	b.events = append(b.events, `{"sim_time":0,"batch":1,"happened":[`+
-		`{"kind":"spawn","i":"pilot/0","rng_seed":5,"setup":`+strings.ReplaceAll(settings, "\n", "")+`},`+
+		`{"kind":"spawn","i":"pilot/0","rng_seed":5,"setup":`+strings.ReplaceAll(operatorSettings, "\n", "")+`},`+
 		`{"kind":"discovery","i":"pilot/0","mode":"total","hosts":[`+strings.Join(hosts, ",")+`]},`+
 		`{"kind":"stream_up","i":"pilot/0","edge":3,"zone":"b","heft":7,"active":true}]}`)
 }
@@ -100,7 +100,7 @@
 // TestSameSettingsSameOrders checks that simulator and platform feed the planner the same: one translation of
 // settings and names, the same events, and so the same commands.
 func TestSameSettingsSameOrders(t *testing.T) {
-	p := placement(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1")
+	p := newPlacement(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1")
 	relay := &recordingRelay{}
 	sides := &bothSides{core: pilot.NewCore(pilot.Plan{
 		Decider:     brain.New(5, p.Deployment.Terms),
