--- a/internal/pause/pause.go
+++ b/internal/backoff/pause.go
@@ -1,5 +1,5 @@
-// Package pause waits between retries. It uses the real clock, not that of the controller.
-package pause
+// Package backoff waits between retries. It uses the real clock, not that of the controller.
+package backoff
 
 import (
 	"context"
--- a/internal/platform/peek/peek.go
+++ b/internal/platform/connstate/peek.go
@@ -1,5 +1,5 @@
-// Package peek determines the state of a TCP connection without reading from it and without blocking.
-package peek
+// Package connstate determines the state of a TCP connection without reading from it and without blocking.
+package connstate
 
 import (
 	"errors"
--- a/internal/platform/agent/client.go
+++ b/internal/platform/discovery/client.go
@@ -1,7 +1,7 @@
-// Package agent follows the endpoint list of the platform's discovery agent with HTTP/1.1 watches, one at a time on
+// Package discovery follows the endpoint list of the platform's discovery agent with HTTP/1.1 watches, one at a time on
 // one connection. It parses and validates lists and posts them; the planner decides what they mean. After an error or
 // timeout it reconnects and continues from the version it has.
-package agent
+package discovery
 
 import (
 	"context"
@@ -9,14 +9,14 @@
 
 	"go.uber.org/zap"
 
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 )
 
 // Agent follows the list. All methods but Run may be called from any goroutine; Run is called once.
 type Agent struct {
 	Counters Counters
 
-	inbox pilot.Inbox
+	inbox controller.Inbox
 	log   *zap.Logger
 	wake  chan struct{} // capacity 1; holds a token if the fields below have changed since the last wait
 
@@ -34,7 +34,7 @@
 }
 
 // New returns a client that does nothing before Run. With watch it follows the list from the start.
-func New(address string, watch bool, inbox pilot.Inbox, log *zap.Logger) *Agent {
+func New(address string, watch bool, inbox controller.Inbox, log *zap.Logger) *Agent {
 	return &Agent{address: address, watching: watch, inbox: inbox, log: log, wake: make(chan struct{}, 1)}
 }
 
--- a/internal/platform/agent/client_test.go
+++ b/internal/platform/discovery/client_test.go
@@ -1,4 +1,4 @@
-package agent
+package discovery
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"go.uber.org/goleak"
 	"go.uber.org/zap"
 
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 	"indigousher/internal/wire"
 )
 
@@ -25,8 +25,8 @@
 }
 
 // Post keeps a list, and takes nothing else.
-func (b *inbox) Post(_ context.Context, in pilot.Input) error {
-	listed, ok := in.(pilot.Listed)
+func (b *inbox) Post(_ context.Context, in controller.Input) error {
+	listed, ok := in.(controller.Listed)
 	if !ok {
 		return fmt.Errorf("unexpected input %T", in)
 	}
--- a/internal/platform/agent/counters.go
+++ b/internal/platform/discovery/counters.go
@@ -1,4 +1,4 @@
-package agent
+package discovery
 
 import "sync/atomic"
 
--- a/internal/platform/agent/watch.go
+++ b/internal/platform/discovery/watch.go
@@ -1,4 +1,4 @@
-package agent
+package discovery
 
 import (
 	"bufio"
@@ -9,8 +9,8 @@
 
 	"go.uber.org/zap"
 
-	"indigousher/internal/pause"
-	"indigousher/internal/pilot"
+	"indigousher/internal/backoff"
+	"indigousher/internal/controller"
 	"indigousher/internal/wire"
 )
 
@@ -60,7 +60,7 @@
 	}
 	a.Counters.Failed.Add(1)
 	a.log.Debug("discovery", zap.String("address", address), zap.Error(err))
-	pause.For(ctx, retryDelay)
+	backoff.For(ctx, retryDelay)
 }
 
 // watchOn makes calls on one connection until an error, until discovery closes it, or until nothing is to be
@@ -124,7 +124,7 @@
 	a.mu.Unlock()
 	if list.Whole || len(list.Entries) > 0 {
 		a.Counters.Lists.Add(1)
-		if err := a.inbox.Post(ctx, pilot.Listed{List: list}); err != nil {
+		if err := a.inbox.Post(ctx, controller.Listed{List: list}); err != nil {
 			return err
 		}
 	}
--- a/internal/platform/limits.go
+++ b/internal/platform/limits.go
@@ -4,7 +4,7 @@
 	"runtime"
 	"runtime/debug"
 
-	"indigousher/internal/platform/config"
+	"indigousher/internal/platform/placement"
 )
 
 // Allocation of the machine's limits.
@@ -19,13 +19,13 @@
 )
 
 // Limit sets the limits of the Go runtime to those of the machine.
-func Limit(l config.Limits) {
+func Limit(l placement.Limits) {
 	runtime.GOMAXPROCS(max(1, int(l.Cores)))
 	debug.SetMemoryLimit(int64(l.MemoryMB * memoryLimitShare * (1 << 20)))
 }
 
 // maxUnidentified returns how many unidentified connections the listener may have open.
-func maxUnidentified(l config.Limits) int {
+func maxUnidentified(l placement.Limits) int {
 	available := float64(l.Sockets - reservedSockets)
 	return int(available * unidentifiedShare)
 }
--- a/internal/platform/listener/line.go
+++ b/internal/platform/listener/line.go
@@ -5,7 +5,7 @@
 	"errors"
 	"strconv"
 
-	"indigousher/brain"
+	"indigousher/planner"
 )
 
 // ErrMalformedLine says that a line is not a message of the protocol. It contains neither the line nor the peer, so
@@ -88,5 +88,5 @@
 
 func parseFloat(text []byte) (float64, bool) {
 	v, err := strconv.ParseFloat(string(text), 64)
-	return v, err == nil && brain.Sound(v) // false for NaN
+	return v, err == nil && planner.Sound(v) // false for NaN
 }
--- a/internal/platform/listener/listener.go
+++ b/internal/platform/listener/listener.go
@@ -14,8 +14,8 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"indigousher/internal/pause"
-	"indigousher/internal/pilot"
+	"indigousher/internal/backoff"
+	"indigousher/internal/controller"
 )
 
 // acceptRetryDelay is the pause after accept has failed temporarily, as without a free descriptor.
@@ -26,7 +26,7 @@
 	Counters Counters
 
 	zones []string // whose collectors are accepted
-	inbox pilot.Inbox
+	inbox controller.Inbox
 	log   *zap.Logger
 
 	unidentified unidentified
@@ -36,7 +36,7 @@
 
 // New returns a listener for the collectors of zones. Up to maxUnidentified connections, at least one, may be open
 // without having identified themselves.
-func New(zones []string, maxUnidentified int, inbox pilot.Inbox, log *zap.Logger) *Listener {
+func New(zones []string, maxUnidentified int, inbox controller.Inbox, log *zap.Logger) *Listener {
 	l := &Listener{zones: zones, inbox: inbox, log: log}
 	l.unidentified.limit = max(1, maxUnidentified)
 	l.unidentified.evicted = &l.Counters.Evicted
@@ -69,10 +69,10 @@
 			_ = group.Wait() // the result of closing the socket
 			return nil       //nolint:nilerr // the socket was closed because ctx has ended
 		}
-		if !pause.Passing(err) {
+		if !backoff.Passing(err) {
 			return fmt.Errorf("accept on %s: %w", socket.Addr(), err)
 		}
 		l.unidentified.evictTo(0) // to free descriptors
-		pause.For(ctx, acceptRetryDelay)
+		backoff.For(ctx, acceptRetryDelay)
 	}
 }
--- a/internal/platform/listener/listener_test.go
+++ b/internal/platform/listener/listener_test.go
@@ -12,7 +12,7 @@
 	"go.uber.org/goleak"
 	"go.uber.org/zap"
 
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -20,21 +20,21 @@
 // inbox keeps what is posted to it.
 type inbox struct {
 	mu  sync.Mutex
-	got []pilot.Input
+	got []controller.Input
 }
 
 // Post keeps an input.
-func (b *inbox) Post(_ context.Context, in pilot.Input) error {
+func (b *inbox) Post(_ context.Context, in controller.Input) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.got = append(b.got, in)
 	return nil
 }
 
-func (b *inbox) all() []pilot.Input {
+func (b *inbox) all() []controller.Input {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]pilot.Input{}, b.got...)
+	return append([]controller.Input{}, b.got...)
 }
 
 // startListener runs a listener until the test ends. dial connects to it.
@@ -67,4 +67,4 @@
 // A report on a proxy, and what it is parsed to.
 const proxyLine = "usage node=3 route=read total=4 errors=1 interval=500\r\n"
 
-var proxyStats = pilot.ProxyDemand{Proxy: 3, Kind: "read", Reqs: 4, Unanswered: 1, SpanMs: 500}
+var proxyStats = controller.ProxyDemand{Proxy: 3, Kind: "read", Reqs: 4, Unanswered: 1, SpanMs: 500}
--- a/internal/platform/listener/report.go
+++ b/internal/platform/listener/report.go
@@ -3,7 +3,7 @@
 import (
 	"bytes"
 
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 )
 
 // Kinds of reports: the first word of a line.
@@ -20,7 +20,7 @@
 
 // parseReport parses a collector's line. in is nil if the line is malformed; it is still readable if its kind is
 // known. f is overwritten.
-func parseReport(f *fields, line []byte) (in pilot.Input, readable bool) {
+func parseReport(f *fields, line []byte) (in controller.Input, readable bool) {
 	kind, _, _ := bytes.Cut(line, []byte(" "))
 	readable = string(kind) == zoneReport || string(kind) == proxyReport
 	if _, err := f.parse(line); err != nil || !readable {
@@ -39,8 +39,8 @@
 }
 
 // parseZoneStats returns the report on an endpoint in the fields. Times are in milliseconds.
-func parseZoneStats(f *fields) (pilot.Input, error) {
-	stats := pilot.ZoneMet{
+func parseZoneStats(f *fields) (controller.Input, error) {
+	stats := controller.ZoneMet{
 		Zone:     f.text("locality"),
 		Endpoint: f.text("endpoint"),
 		Tries:    f.count("total"),
@@ -78,8 +78,8 @@
 }
 
 // parseProxyStats returns the report on a proxy's requests in the fields. Times are in milliseconds.
-func parseProxyStats(f *fields) (pilot.Input, error) {
-	stats := pilot.ProxyDemand{
+func parseProxyStats(f *fields) (controller.Input, error) {
+	stats := controller.ProxyDemand{
 		Proxy:      f.count("node"),
 		Kind:       f.text("route"),
 		Reqs:       f.count("total"),
--- a/internal/platform/listener/report_test.go
+++ b/internal/platform/listener/report_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 )
 
 func FuzzParseReport(f *testing.F) {
@@ -18,10 +18,10 @@
 			assert.True(t, readable)
 		}
 		switch in := in.(type) {
-		case pilot.ZoneMet:
+		case controller.ZoneMet:
 			assert.True(t, in.Failed >= 0 && in.Failed <= in.Tries && in.SpanMs > 0 && in.MeanMs >= 0 &&
 				in.Zone != "" && in.Endpoint != "")
-		case pilot.ProxyDemand:
+		case controller.ProxyDemand:
 			assert.True(t, in.Unanswered >= 0 && in.Unanswered <= in.Reqs && in.Proxy >= 0 && in.Kind != "")
 		}
 	})
--- a/internal/platform/listener/session_test.go
+++ b/internal/platform/listener/session_test.go
@@ -11,24 +11,24 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 )
 
 // TestCollectorReports checks that a malformed line has no effect on others, wherever the data is split.
 func TestCollectorReports(t *testing.T) {
 	zoneLine := "heard locality=a endpoint=x total=9 errors=2 rtt=4.5 interval=1000.0 metrics=util:0.5\r\n"
-	zoneStats := pilot.ZoneMet{
+	zoneStats := controller.ZoneMet{
 		Zone: "a", Endpoint: "x", Tries: 9, Failed: 2, MeanMs: 4.5, SpanMs: 1000,
 		Load: map[string]float64{"util": 0.5},
 	}
 	with := func(old, replacement string) string { return strings.Replace(zoneLine, old, replacement, 1) }
-	onlyProxyStats := []pilot.Input{proxyStats}
+	onlyProxyStats := []controller.Input{proxyStats}
 	for name, c := range map[string]struct {
 		send   string
-		want   []pilot.Input
+		want   []controller.Input
 		closed bool
 	}{
-		"both kinds":        {zoneLine + proxyLine, []pilot.Input{zoneStats, proxyStats}, false},
+		"both kinds":        {zoneLine + proxyLine, []controller.Input{zoneStats, proxyStats}, false},
 		"a field is absent": {"heard locality=a endpoint=x total=9\r\n" + proxyLine, onlyProxyStats, false},
 		"a doubled field": {
 			"usage node=3 node=4 route=read total=4 errors=1 interval=500\r\n" + proxyLine, onlyProxyStats, false,
--- a/internal/platform/listener/unidentified.go
+++ b/internal/platform/listener/unidentified.go
@@ -6,7 +6,7 @@
 	"sync"
 	"sync/atomic"
 
-	"indigousher/internal/platform/peek"
+	"indigousher/internal/platform/connstate"
 )
 
 // unidentified holds the connections that have not identified themselves as a collector and bounds their number.
@@ -50,7 +50,7 @@
 // there is a connection.
 func (u *unidentified) nextEvicted() *list.Element {
 	for place := u.conns.Front(); place != nil; place = place.Next() {
-		if conn, ok := place.Value.(net.Conn); ok && peek.Peek(conn) != peek.Readable {
+		if conn, ok := place.Value.(net.Conn); ok && connstate.Peek(conn) != connstate.Readable {
 			return place
 		}
 	}
--- a/internal/platform/listener/unidentified_test.go
+++ b/internal/platform/listener/unidentified_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
-	"indigousher/internal/platform/peek"
+	"indigousher/internal/platform/connstate"
 )
 
 // TestCollectorAmongHundreds checks that silent connections use no more than their share of the descriptors, and that
@@ -56,13 +56,13 @@
 				conn, err := socket.Accept()
 				require.NoError(t, err)
 				defer func() { _ = conn.Close() }()
-				eventually(t, func() bool { return text == "" || peek.Peek(conn) == peek.Readable })
+				eventually(t, func() bool { return text == "" || connstate.Peek(conn) == connstate.Readable })
 				l.unidentified.add(conn)
 				peers = append(peers, peer)
 			}
-			eventually(t, func() bool { return peek.Peek(peers[c.evicted]) == peek.Closed })
+			eventually(t, func() bool { return connstate.Peek(peers[c.evicted]) == connstate.Closed })
 			for i, peer := range peers {
-				assert.Equal(t, i == c.evicted, peek.Peek(peer) == peek.Closed, "number %d", i)
+				assert.Equal(t, i == c.evicted, connstate.Peek(peer) == connstate.Closed, "number %d", i)
 			}
 		})
 	}
--- a/internal/platform/config/checks.go
+++ b/internal/platform/placement/checks.go
@@ -1,4 +1,4 @@
-package config
+package placement
 
 import (
 	"fmt"
@@ -6,9 +6,9 @@
 	"net"
 	"strconv"
 
-	"indigousher/brain"
-	"indigousher/internal/platform/agent"
-	"indigousher/internal/translate"
+	"indigousher/internal/platform/discovery"
+	"indigousher/internal/settings"
+	"indigousher/planner"
 )
 
 // Bounds of the fields. They keep a mistyped value from exhausting the memory.
@@ -88,7 +88,7 @@
 	if len(p.Known) == 0 || string(p.Known) == "null" {
 		return nil
 	}
-	list, malformed, err := agent.ParseList(p.Known)
+	list, malformed, err := discovery.ParseList(p.Known)
 	if err != nil {
 		p.Left = fmt.Sprintf("known: %v", err)
 		return nil // ignored with a warning
@@ -105,7 +105,7 @@
 	if len(p.Settings) == 0 {
 		return wrongField("settings", "settings are %w", ErrMissing)
 	}
-	p.Deployment = translate.Read(p.Settings)
+	p.Deployment = settings.Read(p.Settings)
 	if n := len(p.Deployment.Zones.All()); n == 0 || n > maxZones {
 		return wrongField("settings", "settings: %d zones", n)
 	}
@@ -123,7 +123,7 @@
 		return err
 	}
 	for _, name := range []string{"lines_per_s", "backlog", "drain_grace", "cold"} {
-		if _, err := numberWithin(plannerSettings, name, minSetting, brain.MostFigure); err != nil {
+		if _, err := numberWithin(plannerSettings, name, minSetting, planner.MostFigure); err != nil {
 			return err
 		}
 	}
--- a/internal/platform/config/parse.go
+++ b/internal/platform/placement/parse.go
@@ -1,11 +1,11 @@
-package config
+package placement
 
 import (
 	"encoding/json"
 	"errors"
 	"fmt"
 
-	"indigousher/internal/terms"
+	"indigousher/internal/config"
 )
 
 // ErrNoFile says that the environment does not name a file.
@@ -35,7 +35,7 @@
 
 // ReadFile reads and validates a file.
 func ReadFile(path string) (*Placement, error) {
-	text, err := terms.ReadFile(path)
+	text, err := config.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("read NODE_CONFIG: %w", err)
 	}
@@ -48,8 +48,8 @@
 
 // Parse parses and validates the text of a file. It returns a FieldError for an invalid field.
 func Parse(text []byte) (*Placement, error) {
-	if len(text) > terms.MostBytes {
-		return nil, fmt.Errorf("longer than %d bytes", terms.MostBytes)
+	if len(text) > config.MostBytes {
+		return nil, fmt.Errorf("longer than %d bytes", config.MostBytes)
 	}
 	p := &Placement{}
 	if err := json.Unmarshal(text, p); err != nil {
--- a/internal/platform/config/placement.go
+++ b/internal/platform/placement/placement.go
@@ -1,12 +1,12 @@
-// Package config reads a pilot's placement on the operators' platform: the NODE_ environment variables and the JSON
+// Package placement reads a pilot's placement on the operators' platform: the NODE_ environment variables and the JSON
 // file that they name. It validates everything the program relies on and reports the invalid field (FieldError). It
 // applies nothing.
-package config
+package placement
 
 import (
 	"encoding/json"
 
-	"indigousher/internal/translate"
+	"indigousher/internal/settings"
 	"indigousher/internal/wire"
 )
 
@@ -32,10 +32,10 @@
 	Settings map[string]any  `json:"settings"`
 
 	// Values that Parse derives from them.
-	Seed       int64                 `json:"-"`
-	Remembered *wire.List            `json:"-"` // Known, or nil if absent or invalid
-	Deployment *translate.Deployment `json:"-"`
-	Proxies    int                   `json:"-"` // upper bound of proxy numbers, exclusive
-	OnRequest  bool                  `json:"-"` // the endpoint list is followed only on request of the planner
-	Left       string                `json:"-"` // describes an ignored part of the file, or ""
+	Seed       int64                `json:"-"`
+	Remembered *wire.List           `json:"-"` // Known, or nil if absent or invalid
+	Deployment *settings.Deployment `json:"-"`
+	Proxies    int                  `json:"-"` // upper bound of proxy numbers, exclusive
+	OnRequest  bool                 `json:"-"` // the endpoint list is followed only on request of the planner
+	Left       string               `json:"-"` // describes an ignored part of the file, or ""
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -10,67 +10,67 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"indigousher/brain"
-	"indigousher/internal/edge/peers"
-	"indigousher/internal/edge/probe"
-	"indigousher/internal/pilot"
-	"indigousher/internal/platform/agent"
-	"indigousher/internal/platform/config"
+	"indigousher/internal/controller"
+	"indigousher/internal/platform/discovery"
 	"indigousher/internal/platform/listener"
+	"indigousher/internal/platform/placement"
 	"indigousher/internal/platform/relay"
+	"indigousher/internal/transport/gossip"
+	"indigousher/internal/transport/healthcheck"
+	"indigousher/planner"
 )
 
 // Pilot is one pilot on the platform.
 type Pilot struct {
 	log     *zap.Logger
-	initial *config.Placement                 // of the start, not changed by reloads
-	reread  func() (*config.Placement, error) // reads the current placement
+	initial *placement.Placement                 // of the start, not changed by reloads
+	reread  func() (*placement.Placement, error) // reads the current placement
 
-	loop          *pilot.Loop
+	loop          *controller.Loop
 	listener      *listener.Listener
 	sender        *relay.Orders
 	events        *relay.Events
 	relayCounters relay.Counters // shared by sender and events
-	discovery     *agent.Agent
+	discovery     *discovery.Agent
 }
 
 // New assembles a pilot. It does nothing before Run. reread reads the current placement, for reloads.
-func New(initial *config.Placement, reread func() (*config.Placement, error), log *zap.Logger) *Pilot {
+func New(initial *placement.Placement, reread func() (*placement.Placement, error), log *zap.Logger) *Pilot {
 	p := &Pilot{log: log, initial: initial, reread: reread}
 	deployment := initial.Deployment
 	classes := deployment.Kinds.All()
 	zones := deployment.Zones.All()
 	box := &inbox{}
 	p.sender = relay.NewOrders(initial.Relay.Address, classes, box, &p.relayCounters, log)
-	p.discovery = agent.New(initial.Discovery, !initial.OnRequest, box, log)
+	p.discovery = discovery.New(initial.Discovery, !initial.OnRequest, box, log)
 	p.events = relay.NewEvents(initial.Relay.Address, box, &p.relayCounters, log)
 	p.listener = listener.New(zones, maxUnidentified(initial.Limits), box, log)
-	core := pilot.NewCore(pilot.Plan{
-		Decider:     brain.New(initial.Seed, deployment.Terms),
+	core := controller.NewCore(controller.Plan{
+		Decider:     planner.New(initial.Seed, deployment.Terms),
 		Terms:       deployment.Terms,
 		Zones:       zones,
 		Machines:    deployment.Machines.All(),
 		Kinds:       classes,
 		MostProxies: initial.Proxies,
 		List:        p.discovery,
-		Prober:      probe.Never{},
-		Peers:       peers.Nobody{},
+		Prober:      healthcheck.Never{},
+		Peers:       gossip.Nobody{},
 		Relay:       p.sender,
 		Log:         func(text string) { log.Info(text) },
 		Odd: func(what string, fields ...string) {
 			log.Debug("odd", zap.String("what", what), zap.Strings("fields", fields))
 		},
 	})
-	p.loop = pilot.NewLoop(core, pilot.RealClock{}, log)
+	p.loop = controller.NewLoop(core, controller.RealClock{}, log)
 	box.loop = p.loop
 	return p
 }
 
 // inbox forwards to the loop, which is created after those that post to it.
-type inbox struct{ loop *pilot.Loop }
+type inbox struct{ loop *controller.Loop }
 
 // Post posts an input to the loop.
-func (b *inbox) Post(ctx context.Context, in pilot.Input) error { return b.loop.Post(ctx, in) }
+func (b *inbox) Post(ctx context.Context, in controller.Input) error { return b.loop.Post(ctx, in) }
 
 // Run listens and runs until ctx ends or a part fails; all parts have returned then. A value on reload triggers a
 // reload of the placement.
@@ -80,7 +80,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	if known := p.initial.Remembered; known != nil {
-		if err := p.loop.Post(ctx, pilot.Listed{List: known, Remembered: true}); err != nil {
+		if err := p.loop.Post(ctx, controller.Listed{List: known, Remembered: true}); err != nil {
 			return err
 		}
 	}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
-	"indigousher/internal/platform/config"
+	"indigousher/internal/platform/placement"
 )
 
 // operatorSettings are the operators' settings, as in the simulator's spawn event and in the platform's file.
@@ -26,8 +26,8 @@
 "obligations":{"drain_grace":3000000000,"cold":10000000000}}`
 
 // newPlacement returns the placement of a pilot with these addresses.
-func newPlacement(t *testing.T, listen, discovery, relay string) *config.Placement {
-	p, err := config.Parse([]byte(fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"5",
+func newPlacement(t *testing.T, listen, discovery, relay string) *placement.Placement {
+	p, err := placement.Parse([]byte(fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"5",
 "limits":{"cores":0.5,"memory_mb":48,"sockets":256},"relay":{"address":%q},"settings":%s}`,
 		listen, discovery, relay, operatorSettings)))
 	require.NoError(t, err)
@@ -49,8 +49,8 @@
 	first := s.open(t)
 	second := s.open(t)
 	third := s.open(t)
-	var file atomic.Pointer[config.Placement] // nil: it is wrong
-	reread := func() (*config.Placement, error) {
+	var file atomic.Pointer[placement.Placement] // nil: it is wrong
+	reread := func() (*placement.Placement, error) {
 		if p := file.Load(); p != nil {
 			return p, nil
 		}
--- a/internal/platform/relay/connection.go
+++ b/internal/platform/relay/connection.go
@@ -9,7 +9,7 @@
 	"net/http"
 	"time"
 
-	"indigousher/internal/platform/peek"
+	"indigousher/internal/platform/connstate"
 )
 
 // Limits of a connection for calls.
@@ -70,7 +70,7 @@
 // reusable reports whether the open connection, if any, leads to address and is still usable: the relay has neither
 // closed it nor sent anything unexpected.
 func (c *connection) reusable(address string) bool {
-	return c.conn != nil && c.address == address && time.Since(c.lastUsed) <= maxIdle && peek.Peek(c.conn) == peek.Idle
+	return c.conn != nil && c.address == address && time.Since(c.lastUsed) <= maxIdle && connstate.Peek(c.conn) == connstate.Idle
 }
 
 func (c *connection) open(ctx context.Context, address string) error {
--- a/internal/platform/relay/encode.go
+++ b/internal/platform/relay/encode.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"strconv"
 
-	"indigousher/brain"
+	"indigousher/planner"
 )
 
 // noProxy is the proxy number of commands that name no proxy.
@@ -26,25 +26,25 @@
 
 // encode returns the command as the relay expects it, and false if it is not for the relay. classNames are the names
 // of the request classes, indexed by bit of a class mask.
-func encode(c brain.Order, endpointName func(i int) string, classNames []string) (command, bool) {
+func encode(c planner.Order, endpointName func(i int) string, classNames []string) (command, bool) {
 	switch c := c.(type) {
-	case brain.SetLine:
+	case planner.SetLine:
 		return encodeSetWeight(c, endpointName), true
-	case brain.ClearTable:
+	case planner.ClearTable:
 		return encodeClearTable(c), true
-	case brain.Bind:
+	case planner.Bind:
 		return encodeAssignTable(c, classNames), true
-	case brain.Withdraw:
+	case planner.Withdraw:
 		return encodeSetExcluded(c, endpointName), true
-	case brain.Admit:
+	case planner.Admit:
 		return encodeSetAdmission(c, classNames), true
-	case brain.Mark:
+	case planner.Mark:
 		return encodeAckRequest(c), true
 	}
 	return command{}, false
 }
 
-func encodeSetWeight(c brain.SetLine, endpointName func(i int) string) command {
+func encodeSetWeight(c planner.SetLine, endpointName func(i int) string) command {
 	endpoint := quote(endpointName(c.Endpoint))
 	table := strconv.Itoa(c.Table)
 	return command{
@@ -56,7 +56,7 @@
 	}
 }
 
-func encodeClearTable(c brain.ClearTable) command {
+func encodeClearTable(c planner.ClearTable) command {
 	table := strconv.Itoa(c.Table)
 	return command{
 		key:         "clear " + table,
@@ -67,7 +67,7 @@
 	}
 }
 
-func encodeAssignTable(c brain.Bind, classNames []string) command {
+func encodeAssignTable(c planner.Bind, classNames []string) command {
 	node := strconv.Itoa(c.Proxy)
 	return command{
 		key:   "bind " + node + " " + strconv.Itoa(c.Kinds),
@@ -77,7 +77,7 @@
 	}
 }
 
-func encodeSetExcluded(c brain.Withdraw, endpointName func(i int) string) command {
+func encodeSetExcluded(c planner.Withdraw, endpointName func(i int) string) command {
 	endpoint := quote(endpointName(c.Endpoint))
 	verb := "IN"
 	if c.Out {
@@ -91,10 +91,10 @@
 }
 
 // encodeSetAdmission omits the table if the command is for all tables.
-func encodeSetAdmission(c brain.Admit, classNames []string) command {
+func encodeSetAdmission(c planner.Admit, classNames []string) command {
 	table := ""
 	cluster := ""
-	if c.Table != brain.EveryTable {
+	if c.Table != planner.EveryTable {
 		table = strconv.Itoa(c.Table)
 		cluster = `,"cluster":` + table
 	}
@@ -107,7 +107,7 @@
 	}
 }
 
-func encodeAckRequest(c brain.Mark) command {
+func encodeAckRequest(c planner.Mark) command {
 	text := `{"verb":"SYNC","ticket":` + strconv.Itoa(c.Number)
 	if c.All {
 		text += `,"set":1`
--- a/internal/platform/relay/eventstream.go
+++ b/internal/platform/relay/eventstream.go
@@ -13,8 +13,8 @@
 
 	"go.uber.org/zap"
 
-	"indigousher/internal/pause"
-	"indigousher/internal/pilot"
+	"indigousher/internal/backoff"
+	"indigousher/internal/controller"
 )
 
 // Subscriptions is the number of redundant connections: while one is broken the other delivers the events.
@@ -38,7 +38,7 @@
 type Events struct {
 	Counters *Counters
 
-	inbox pilot.Inbox
+	inbox controller.Inbox
 	log   *zap.Logger
 
 	// mu guards the fields below. It is held while an event is posted, so that events reach the inbox in the order in
@@ -51,7 +51,7 @@
 }
 
 // NewEvents returns a receiver of the events of the relay at address. It receives nothing before Run.
-func NewEvents(address string, inbox pilot.Inbox, c *Counters, log *zap.Logger) *Events {
+func NewEvents(address string, inbox controller.Inbox, c *Counters, log *zap.Logger) *Events {
 	return &Events{Counters: c, inbox: inbox, log: log, address: address, members: map[int]*member{}}
 }
 
@@ -75,7 +75,7 @@
 		err := s.subscribe(ctx, i)
 		if ctx.Err() == nil {
 			s.log.Debug("event stream ended", zap.Int("stream", i), zap.Error(err))
-			pause.For(ctx, redialDelay)
+			backoff.For(ctx, redialDelay)
 		}
 	}
 	return nil
--- a/internal/platform/relay/inbox_test.go
+++ b/internal/platform/relay/inbox_test.go
@@ -8,7 +8,7 @@
 
 	"go.uber.org/goleak"
 
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -20,25 +20,25 @@
 }
 
 // Post keeps an input.
-func (b *inbox) Post(_ context.Context, in pilot.Input) error {
+func (b *inbox) Post(_ context.Context, in controller.Input) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch in := in.(type) {
-	case pilot.Relayed:
+	case controller.Relayed:
 		kind := "joined "
 		if in.Stood {
 			kind = "stood "
 		}
 		b.got = append(b.got, fmt.Sprint(kind, in.Proxy))
-	case pilot.Unrelayed:
+	case controller.Unrelayed:
 		b.got = append(b.got, fmt.Sprint("left ", in.Proxy))
-	case pilot.RelayStalled:
+	case controller.RelayStalled:
 		text := fmt.Sprint("stalled ", in.ForMs > 0, " ", in.Again)
 		if len(in.Joined) > 0 {
 			text += fmt.Sprint(" joined ", in.Joined)
 		}
 		b.got = append(b.got, text)
-	case pilot.RelayApplied:
+	case controller.RelayApplied:
 		b.got = append(b.got, fmt.Sprint("applied ", in.Proxy, " ", in.Mark))
 	}
 	return nil
--- a/internal/platform/relay/merge_test.go
+++ b/internal/platform/relay/merge_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"indigousher/brain"
+	"indigousher/planner"
 )
 
 func TestSplitCalls(t *testing.T) {
@@ -26,12 +26,12 @@
 
 func TestClearSupersedesItsTable(t *testing.T) {
 	var commands []command
-	for _, c := range []brain.Order{
-		brain.SetLine{Table: 1, Weight: 1},
-		brain.SetLine{Table: 2, Weight: 1},
-		brain.ClearTable{Table: 1},
-		brain.Admit{Table: 1, Kinds: 2, Level: 0.5, Again: 1},
-		brain.Admit{Table: brain.EveryTable, Level: 1},
+	for _, c := range []planner.Order{
+		planner.SetLine{Table: 1, Weight: 1},
+		planner.SetLine{Table: 2, Weight: 1},
+		planner.ClearTable{Table: 1},
+		planner.Admit{Table: 1, Kinds: 2, Level: 0.5, Again: 1},
+		planner.Admit{Table: planner.EveryTable, Level: 1},
 	} {
 		encoded, ok := encode(c, endpointName, []string{"read", "write"})
 		require.True(t, ok)
--- a/internal/platform/relay/queue_test.go
+++ b/internal/platform/relay/queue_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"indigousher/brain"
+	"indigousher/planner"
 )
 
 // closedAddress returns an address at which nobody listens.
@@ -23,10 +23,10 @@
 func TestSupersededCommands(t *testing.T) {
 	sender := startSender(t, closedAddress(t))
 	for w := 1; w <= 100; w++ {
-		turn := []brain.Order{setWeight(1, float64(w)), brain.Bind{Table: 1, Proxy: 3}, brain.Mark{Number: w}}
+		turn := []planner.Order{setWeight(1, float64(w)), planner.Bind{Table: 1, Proxy: 3}, planner.Mark{Number: w}}
 		sender.Carry(turn, endpointName)
 	}
-	sender.Carry([]brain.Order{brain.Withdraw{Endpoint: 2, Out: true}, setWeight(2, 0)}, endpointName)
+	sender.Carry([]planner.Order{planner.Withdraw{Endpoint: 2, Out: true}, setWeight(2, 0)}, endpointName)
 	sender.Gone(3)
 	eventually(t, func() bool { // a call that failed has merged all that waits
 		sender.queue.mu.Lock()
--- a/internal/platform/relay/retry.go
+++ b/internal/platform/relay/retry.go
@@ -8,8 +8,8 @@
 
 	"go.uber.org/zap"
 
-	"indigousher/internal/pause"
-	"indigousher/internal/pilot"
+	"indigousher/internal/backoff"
+	"indigousher/internal/controller"
 )
 
 // maxRejections is how many consecutive calls the relay may reject as a whole before the last of them is dropped. A
@@ -104,8 +104,8 @@
 	s.connection.close()
 	s.outage.begin(began)
 	s.outage.failures++
-	s.post(ctx, pilot.RelayStalled{ForMs: s.outage.unreportedMs(), Again: repeatedAcks})
-	pause.For(ctx, s.outage.nextPause(failure))
+	s.post(ctx, controller.RelayStalled{ForMs: s.outage.unreportedMs(), Again: repeatedAcks})
+	backoff.For(ctx, s.outage.nextPause(failure))
 }
 
 // endOutage ends an active outage and reports that to the controller. answered is the call that was answered, or nil
@@ -114,7 +114,7 @@
 	if s.outage.active() {
 		s.log.Info("relay takes calls again", zap.Duration("after", time.Since(s.outage.since)),
 			zap.Int("tries", s.outage.failures), zap.Int("orders", len(answered)), zap.Ints("marks", answered.ackNumbers()))
-		s.post(ctx, pilot.RelayStalled{})
+		s.post(ctx, controller.RelayStalled{})
 	}
 	s.outage = newOutage()
 }
--- a/internal/platform/relay/retry_test.go
+++ b/internal/platform/relay/retry_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
-	"indigousher/brain"
-	standin "indigousher/internal/standin/relay"
+	standin "indigousher/internal/testbed/relay"
+	"indigousher/planner"
 )
 
 // silentRelay returns a stand-in relay that answers nothing, not even probes, and executes nothing until it recovers.
@@ -46,8 +46,8 @@
 			s := newScriptedRelay(t, c.steps...)
 			reports := &inbox{}
 			sender := NewOrders(s.address(), nil, reports, &Counters{}, zap.NewNop())
-			sender.Carry([]brain.Order{setWeight(1, 2), brain.Mark{Number: 5}}, endpointName)
-			sender.Carry([]brain.Order{setWeight(1, 3), brain.Mark{Number: 6}}, endpointName)
+			sender.Carry([]planner.Order{setWeight(1, 2), planner.Mark{Number: 5}}, endpointName)
+			sender.Carry([]planner.Order{setWeight(1, 3), planner.Mark{Number: 6}}, endpointName)
 			runSender(t, sender)
 			eventually(t, func() bool {
 				return sender.Counters.Executed.Load() >= 2 && len(reports.all()) >= len(c.want)
@@ -64,10 +64,10 @@
 	reports := &inbox{}
 	sender := NewOrders(s.Address(), nil, reports, &Counters{}, zap.NewNop())
 	runSender(t, sender)
-	sender.Carry([]brain.Order{setWeight(1, 2), brain.Mark{Number: 5}}, endpointName)
+	sender.Carry([]planner.Order{setWeight(1, 2), planner.Mark{Number: 5}}, endpointName)
 	eventually(t, func() bool { return sender.Counters.Probes.Load() >= 3 })
 	for number := 6; number < 9; number++ {
-		turn := []brain.Order{brain.SetLine{Table: number, Endpoint: 1, Weight: 2}, brain.Mark{Number: number}}
+		turn := []planner.Order{planner.SetLine{Table: number, Endpoint: 1, Weight: 2}, planner.Mark{Number: number}}
 		sender.Carry(turn, endpointName)
 	}
 	eventually(t, func() bool { return sender.Counters.Probes.Load() >= 5 })
@@ -87,7 +87,7 @@
 	reports := &inbox{}
 	sender := NewOrders(s.Address(), nil, reports, &Counters{}, zap.NewNop())
 	runSender(t, sender)
-	sender.Carry([]brain.Order{brain.Bind{Table: 1, Proxy: 3}}, endpointName)
+	sender.Carry([]planner.Order{planner.Bind{Table: 1, Proxy: 3}}, endpointName)
 	eventually(t, func() bool { return sender.Counters.Probes.Load() >= 1 })
 	sender.Gone(3)
 	s.Recover()
@@ -105,7 +105,7 @@
 	s := newScriptedRelay(t, "garbage")
 	s.unreadableProbes = 4
 	sender := startSender(t, s.address())
-	sender.Carry([]brain.Order{setWeight(1, 2), brain.Mark{Number: 5}}, endpointName)
+	sender.Carry([]planner.Order{setWeight(1, 2), planner.Mark{Number: 5}}, endpointName)
 	eventually(t, func() bool { return sender.Counters.Executed.Load() > 0 })
 	assert.EqualValues(t, 5, sender.Counters.Probes.Load())
 	assert.Equal(t, twice([]string{"SET 1 e1 2", "SYNC 5"}), s.executedCommands())
@@ -117,11 +117,11 @@
 	s := newScriptedRelay(t, "lost")
 	reports := &inbox{}
 	sender := NewOrders(s.address(), nil, reports, &Counters{}, zap.NewNop())
-	var turn []brain.Order
+	var turn []planner.Order
 	for i := range 1200 {
-		turn = append(turn, brain.SetLine{Table: i, Endpoint: 1, Weight: 2})
+		turn = append(turn, planner.SetLine{Table: i, Endpoint: 1, Weight: 2})
 	}
-	sender.Carry(append(turn, brain.Mark{Number: 5}), endpointName)
+	sender.Carry(append(turn, planner.Mark{Number: 5}), endpointName)
 	require.Greater(t, len(sender.queue.calls), 1, "the turn is more than one call")
 	runSender(t, sender)
 	eventually(t, func() bool { return len(reports.all()) > 0 })
--- a/internal/platform/relay/scriptedrelay_test.go
+++ b/internal/platform/relay/scriptedrelay_test.go
@@ -18,7 +18,7 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
-	"indigousher/brain"
+	"indigousher/planner"
 )
 
 // scriptedRelay is a relay that answers each call with commands by the next step of a script, and all later calls
@@ -202,8 +202,8 @@
 func endpointName(i int) string { return fmt.Sprint("e", i) }
 
 // setWeight is a command on table 1.
-func setWeight(endpoint int, weight float64) brain.Order {
-	return brain.SetLine{Table: 1, Endpoint: endpoint, Weight: weight}
+func setWeight(endpoint int, weight float64) planner.Order {
+	return planner.SetLine{Table: 1, Endpoint: endpoint, Weight: weight}
 }
 
 // startSender runs a sender to a relay until the test ends.
--- a/internal/platform/relay/sender.go
+++ b/internal/platform/relay/sender.go
@@ -6,16 +6,16 @@
 
 	"go.uber.org/zap"
 
-	"indigousher/brain"
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
+	"indigousher/planner"
 )
 
 // Orders sends commands to the relay. All methods but Run may be called from any goroutine; Run is called once.
 type Orders struct {
 	Counters *Counters
 
-	inbox      pilot.Inbox // receives reports of outages and merged calls
-	classNames []string    // names of the request classes, indexed by bit of a class mask
+	inbox      controller.Inbox // receives reports of outages and merged calls
+	classNames []string         // names of the request classes, indexed by bit of a class mask
 	log        *zap.Logger
 
 	queue callQueue // filled by the controller, drained by Run
@@ -27,7 +27,7 @@
 }
 
 // NewOrders returns a sender to the relay at address. It sends nothing before Run.
-func NewOrders(address string, classNames []string, inbox pilot.Inbox, c *Counters, log *zap.Logger) *Orders {
+func NewOrders(address string, classNames []string, inbox controller.Inbox, c *Counters, log *zap.Logger) *Orders {
 	return &Orders{
 		Counters:   c,
 		inbox:      inbox,
@@ -38,7 +38,7 @@
 }
 
 // Carry queues the commands of one controller turn as one call.
-func (s *Orders) Carry(turn []brain.Order, endpointName func(i int) string) {
+func (s *Orders) Carry(turn []planner.Order, endpointName func(i int) string) {
 	var commands []command
 	for _, c := range turn {
 		if encoded, ok := encode(c, endpointName, s.classNames); ok {
@@ -95,7 +95,7 @@
 	if len(merged) < 2 {
 		return
 	}
-	in := pilot.RelayStalled{Joined: merged}
+	in := controller.RelayStalled{Joined: merged}
 	if s.outage.active() {
 		in.ForMs = s.outage.unreportedMs()
 	}
@@ -129,4 +129,4 @@
 }
 
 // post reports the state of the relay to the controller. It fails only after ctx has ended, and then Run returns.
-func (s *Orders) post(ctx context.Context, in pilot.RelayStalled) { _ = s.inbox.Post(ctx, in) }
+func (s *Orders) post(ctx context.Context, in controller.RelayStalled) { _ = s.inbox.Post(ctx, in) }
--- a/internal/platform/relay/sender_test.go
+++ b/internal/platform/relay/sender_test.go
@@ -6,17 +6,17 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"indigousher/brain"
+	"indigousher/planner"
 )
 
 // TestCallOutcomes checks every outcome of a call. A call with an unknown outcome is retried once, in order, and
 // nothing older is executed after anything newer.
 func TestCallOutcomes(t *testing.T) {
-	turn := []brain.Order{
+	turn := []planner.Order{
 		setWeight(1, 2),
-		brain.Bind{Table: 1, Proxy: 9, Kinds: 3},
-		brain.Withdraw{Endpoint: 7, Out: true},
-		brain.Mark{Number: 5},
+		planner.Bind{Table: 1, Proxy: 9, Kinds: 3},
+		planner.Withdraw{Endpoint: 7, Out: true},
+		planner.Mark{Number: 5},
 	}
 	whole := []string{"SET 1 e1 2", "USE 9 1", "OUT e7", "SYNC 5"}
 	for name, c := range map[string]struct {
@@ -48,7 +48,7 @@
 			eventually(t, func() bool {
 				return s.callCount() >= max(len(c.steps), 1) && len(s.executedCommands()) >= len(c.want)
 			})
-			sender.Carry([]brain.Order{setWeight(4, 1)}, endpointName)
+			sender.Carry([]planner.Order{setWeight(4, 1)}, endpointName)
 			want := append(slices.Clone(c.want), "SET 1 e4 1")
 			eventually(t, func() bool { return len(s.executedCommands()) >= len(want) })
 			assert.Equal(t, want, s.executedCommands())
--- a/internal/platform/relay/snapshot.go
+++ b/internal/platform/relay/snapshot.go
@@ -8,8 +8,8 @@
 
 	"go.uber.org/zap"
 
-	"indigousher/internal/pause"
-	"indigousher/internal/pilot"
+	"indigousher/internal/backoff"
+	"indigousher/internal/controller"
 )
 
 // snapshotQuietPeriod: a subscription that has announced no proxy for this long has announced all of them. The
@@ -23,7 +23,7 @@
 	var waiter sync.WaitGroup
 	waiter.Go(func() {
 		for wait := snapshotQuietPeriod; wait > 0; wait = s.snapshotRemaining(i) {
-			if !pause.For(waitCtx, wait) {
+			if !backoff.For(waitCtx, wait) {
 				return
 			}
 		}
@@ -69,7 +69,7 @@
 	}
 	for _, proxy := range departed {
 		delete(s.members, proxy)
-		_ = s.inbox.Post(ctx, pilot.Unrelayed{Proxy: proxy}) // fails only after ctx has ended
+		_ = s.inbox.Post(ctx, controller.Unrelayed{Proxy: proxy}) // fails only after ctx has ended
 	}
 }
 
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -5,7 +5,7 @@
 
 	"go.uber.org/zap"
 
-	"indigousher/internal/platform/config"
+	"indigousher/internal/platform/placement"
 )
 
 // An invalid file may be in the middle of being written. It is read again every reloadRetryInterval, up to
@@ -26,7 +26,7 @@
 		return false
 	}
 	p.log.Info("reloaded", zap.String("discovery", now.Discovery), zap.String("relay", now.Relay.Address),
-		zap.Strings("want a restart", config.Restart(p.initial, now)))
+		zap.Strings("want a restart", placement.Restart(p.initial, now)))
 	p.discovery.Move(now.Discovery)
 	p.sender.Move(now.Relay.Address)
 	p.events.Move(now.Relay.Address)
--- a/internal/platform/report.go
+++ b/internal/platform/report.go
@@ -5,8 +5,8 @@
 
 	"go.uber.org/zap"
 
-	"indigousher/internal/pilot"
-	"indigousher/internal/platform/agent"
+	"indigousher/internal/controller"
+	"indigousher/internal/platform/discovery"
 	"indigousher/internal/platform/listener"
 	"indigousher/internal/platform/relay"
 )
@@ -22,7 +22,7 @@
 	)...)
 }
 
-func controllerFields(s pilot.State) []zap.Field {
+func controllerFields(s controller.State) []zap.Field {
 	reports := s.Believed
 	return []zap.Field{
 		zap.Int("proxies", s.Proxies),
@@ -60,7 +60,7 @@
 	}
 }
 
-func discoveryFields(c *agent.Counters) []zap.Field {
+func discoveryFields(c *discovery.Counters) []zap.Field {
 	return []zap.Field{
 		zap.Int64("list calls", c.Calls.Load()),
 		zap.Int64("failed calls", c.Failed.Load()),
--- a/internal/platform/simulator_test.go
+++ b/internal/platform/simulator_test.go
@@ -9,26 +9,26 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"indigousher/brain"
-	"indigousher/internal/edge/peers"
-	"indigousher/internal/edge/probe"
-	"indigousher/internal/pilot"
-	"indigousher/internal/simwire"
+	"indigousher/internal/controller"
+	"indigousher/internal/simulator"
+	"indigousher/internal/transport/gossip"
+	"indigousher/internal/transport/healthcheck"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // recordingRelay keeps the commands that a core hands to its relay.
 type recordingRelay struct{ lines []string }
 
 // Carry keeps the commands that the simulator has as well.
-func (r *recordingRelay) Carry(turn []brain.Order, endpoint func(int) string) {
+func (r *recordingRelay) Carry(turn []planner.Order, endpoint func(int) string) {
 	for _, c := range turn {
 		switch c := c.(type) {
-		case brain.SetLine:
+		case planner.SetLine:
 			r.lines = append(r.lines, fmt.Sprintf("line %d %s %.9g", c.Table, endpoint(c.Endpoint), c.Weight))
-		case brain.Bind:
+		case planner.Bind:
 			r.lines = append(r.lines, fmt.Sprintf("bind %d %d %d", c.Proxy, c.Table, c.Kinds))
-		case brain.Mark:
+		case planner.Mark:
 			r.lines = append(r.lines, fmt.Sprintf("mark %d", c.Number))
 		}
 	}
@@ -48,7 +48,7 @@
 
 // bothSides feeds the same scenario to a core, as the platform's inputs, and to the simulator's adapter, as events.
 type bothSides struct {
-	core   *pilot.Core
+	core   *controller.Core
 	events []string
 }
 
@@ -63,9 +63,9 @@
 		hosts = append(hosts, fmt.Sprintf(
 			`{"endpoint":%q,"zone":%q,"generation_hw":"m2","mode":"live","heft":%d}`, name, zone, 1+i))
 	}
-	b.core.Handle(0, []pilot.Input{
-		pilot.Listed{List: &wire.List{Whole: true, Entries: entries}},
-		pilot.Relayed{Proxy: 3, Zone: "b", Rate: 7, Fresh: true},
+	b.core.Handle(0, []controller.Input{
+		controller.Listed{List: &wire.List{Whole: true, Entries: entries}},
+		controller.Relayed{Proxy: 3, Zone: "b", Rate: 7, Fresh: true},
 	})
 	b.events = append(b.events, `{"sim_time":0,"batch":1,"happened":[`+
 		`{"kind":"spawn","i":"pilot/0","rng_seed":5,"setup":`+strings.ReplaceAll(operatorSettings, "\n", "")+`},`+
@@ -75,12 +75,12 @@
 
 // report reports one endpoint's load and one proxy's requests.
 func (b *bothSides) report(second int, load float64) {
-	b.core.Handle(float64(1000*second), []pilot.Input{
-		pilot.ZoneMet{
+	b.core.Handle(float64(1000*second), []controller.Input{
+		controller.ZoneMet{
 			Zone: "b", Endpoint: "10.0.0.1:1", Tries: 30, Failed: second, MeanMs: 20, SpanMs: 1000,
 			Load: map[string]float64{"util": load, "qps": 30},
 		},
-		pilot.ProxyDemand{Proxy: 3, Kind: "write", Reqs: 30, SpanMs: 1000},
+		controller.ProxyDemand{Proxy: 3, Kind: "write", Reqs: 30, SpanMs: 1000},
 	})
 	b.events = append(b.events, fmt.Sprintf(`{"sim_time":%d,"batch":2,"happened":[`+
 		`{"kind":"tally","i":"pilot/0","endpoint":"10.0.0.1:1","zone":"b","count":30,"errors":%d,`+
@@ -102,8 +102,8 @@
 func TestSameSettingsSameOrders(t *testing.T) {
 	p := newPlacement(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1")
 	relay := &recordingRelay{}
-	sides := &bothSides{core: pilot.NewCore(pilot.Plan{
-		Decider:     brain.New(5, p.Deployment.Terms),
+	sides := &bothSides{core: controller.NewCore(controller.Plan{
+		Decider:     planner.New(5, p.Deployment.Terms),
 		Terms:       p.Deployment.Terms,
 		Zones:       p.Deployment.Zones.All(),
 		Machines:    p.Deployment.Machines.All(),
@@ -111,8 +111,8 @@
 		MostProxies: p.Proxies,
 		Relay:       relay,
 		List:        noEndpointSource{},
-		Prober:      probe.Never{},
-		Peers:       peers.Nobody{},
+		Prober:      healthcheck.Never{},
+		Peers:       gossip.Nobody{},
 		Log:         func(string) {},
 		Odd:         func(what string, _ ...string) { t.Error(what) },
 	})}
@@ -130,7 +130,7 @@
 // simulated plays events through the simulator's adapter and returns the commands in recordingRelay's words.
 func simulated(t *testing.T, events []string) (lines []string) {
 	var out strings.Builder
-	require.NoError(t, simwire.Serve(strings.NewReader(strings.Join(events, "\n")+"\n"), &out))
+	require.NoError(t, simulator.Serve(strings.NewReader(strings.Join(events, "\n")+"\n"), &out))
 	for _, text := range strings.Split(strings.TrimSpace(out.String()), "\n") {
 		var answer struct{ Orders []map[string]any }
 		require.NoError(t, json.Unmarshal([]byte(text), &answer))
