--- a/internal/backoff/pause.go
+++ b/internal/backoff/pause.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// For waits for span and returns true, or false if ctx ended before.
-func For(ctx context.Context, span time.Duration) bool {
+// Sleep waits for span and returns true, or false if ctx ended before.
+func Sleep(ctx context.Context, span time.Duration) bool {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
 	select {
@@ -20,9 +20,9 @@
 	}
 }
 
-// Passing reports whether accept failed temporarily, as without a free descriptor, so that it can be retried after a
+// Temporary reports whether accept failed temporarily, as without a free descriptor, so that it can be retried after a
 // pause. It returns false for a closed listener.
-func Passing(err error) bool {
+func Temporary(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && !errors.Is(err, net.ErrClosed)
 }
--- a/internal/platform/discovery/client.go
+++ b/internal/platform/discovery/client.go
@@ -12,8 +12,8 @@
 	"indigousher/internal/controller"
 )
 
-// Agent follows the list. All methods but Run may be called from any goroutine; Run is called once.
-type Agent struct {
+// Client follows the list. All methods but Run may be called from any goroutine; Run is called once.
+type Client struct {
 	Counters Counters
 
 	inbox controller.Inbox
@@ -34,12 +34,12 @@
 }
 
 // New returns a client that does nothing before Run. With watch it follows the list from the start.
-func New(address string, watch bool, inbox controller.Inbox, log *zap.Logger) *Agent {
-	return &Agent{address: address, watching: watch, inbox: inbox, log: log, wake: make(chan struct{}, 1)}
+func New(address string, watch bool, inbox controller.Inbox, log *zap.Logger) *Client {
+	return &Client{address: address, watching: watch, inbox: inbox, log: log, wake: make(chan struct{}, 1)}
 }
 
 // Watch starts or stops following the list.
-func (a *Agent) Watch(on bool) {
+func (a *Client) Watch(on bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.watching = on
@@ -47,15 +47,15 @@
 }
 
 // Fetch requests the whole list once.
-func (a *Agent) Fetch() {
+func (a *Client) Fetch() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.fetch = true
 	a.signal()
 }
 
-// Move changes the address. The call in flight is cancelled, the version is kept.
-func (a *Agent) Move(address string) {
+// SetAddress changes the address. The call in flight is cancelled, the version is kept.
+func (a *Client) SetAddress(address string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.address == address {
@@ -69,7 +69,7 @@
 }
 
 // signal wakes Run if it waits.
-func (a *Agent) signal() {
+func (a *Client) signal() {
 	select {
 	case a.wake <- struct{}{}:
 	default: // a wake-up is already pending
--- a/internal/platform/discovery/client_test.go
+++ b/internal/platform/discovery/client_test.go
@@ -26,7 +26,7 @@
 
 // Post keeps a list, and takes nothing else.
 func (b *inbox) Post(_ context.Context, in controller.Input) error {
-	listed, ok := in.(controller.Listed)
+	listed, ok := in.(controller.EndpointsListed)
 	if !ok {
 		return fmt.Errorf("unexpected input %T", in)
 	}
@@ -46,7 +46,7 @@
 }
 
 // run runs a client until the test ends.
-func run(t *testing.T, client *Agent) {
+func run(t *testing.T, client *Client) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- client.Run(ctx) }()
@@ -70,8 +70,8 @@
 	client := New(before.address(), true, b, zap.NewNop())
 	run(t, client)
 	eventually(t, func() bool { return len(before.asked()) > 1 })
-	client.Move(after.address())
-	client.Move(after.address())
+	client.SetAddress(after.address())
+	client.SetAddress(after.address())
 	eventually(t, func() bool { return len(after.asked()) > 1 })
 	assert.Equal(t, []int{4, 5}, b.versions())
 	assert.Contains(t, after.asked()[0], "index=")
--- a/internal/platform/discovery/watch.go
+++ b/internal/platform/discovery/watch.go
@@ -31,7 +31,7 @@
 const membersPath = "/catalog/members"
 
 // Run follows the list until ctx ends.
-func (a *Agent) Run(ctx context.Context) error {
+func (a *Client) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		a.runOnce(ctx)
 	}
@@ -39,7 +39,7 @@
 }
 
 // runOnce watches on one connection or, if nothing is to be requested, waits. A change of the address ends either.
-func (a *Agent) runOnce(ctx context.Context) {
+func (a *Client) runOnce(ctx context.Context) {
 	callCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	a.mu.Lock()
@@ -60,12 +60,12 @@
 	}
 	a.Counters.Failed.Add(1)
 	a.log.Debug("discovery", zap.String("address", address), zap.Error(err))
-	backoff.For(ctx, retryDelay)
+	backoff.Sleep(ctx, retryDelay)
 }
 
 // watchOn makes calls on one connection until an error, until discovery closes it, or until nothing is to be
 // requested.
-func (a *Agent) watchOn(ctx context.Context, address string) error {
+func (a *Client) watchOn(ctx context.Context, address string) error {
 	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return fmt.Errorf("dial discovery: %w", err)
@@ -88,7 +88,7 @@
 		if err != nil {
 			return err
 		}
-		a.Counters.Odd.Add(int64(malformed))
+		a.Counters.Malformed.Add(int64(malformed))
 		if err := a.deliver(ctx, list, path == membersPath); err != nil {
 			return err
 		}
@@ -99,7 +99,7 @@
 }
 
 // nextRequest returns the path and timeout of the next call, and whether there is one to make.
-func (a *Agent) nextRequest() (path string, timeout time.Duration, wanted bool) {
+func (a *Client) nextRequest() (path string, timeout time.Duration, wanted bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.watching && !a.fetch {
@@ -116,7 +116,7 @@
 // deliver posts a list and records its version. Changes without entries are only a keepalive. Changes without their
 // base, because the whole list was requested or the version decreased, are posted as well, but then an error is
 // returned and the whole list is requested next.
-func (a *Agent) deliver(ctx context.Context, list *wire.List, askedWhole bool) error {
+func (a *Client) deliver(ctx context.Context, list *wire.List, askedWhole bool) error {
 	a.mu.Lock()
 	withoutBase := !list.Whole && (askedWhole || a.hasList && list.Version < a.version)
 	a.hasList = !withoutBase
@@ -124,7 +124,7 @@
 	a.mu.Unlock()
 	if list.Whole || len(list.Entries) > 0 {
 		a.Counters.Lists.Add(1)
-		if err := a.inbox.Post(ctx, controller.Listed{List: list}); err != nil {
+		if err := a.inbox.Post(ctx, controller.EndpointsListed{List: list}); err != nil {
 			return err
 		}
 	}
--- a/internal/platform/listener/counters.go
+++ b/internal/platform/listener/counters.go
@@ -9,5 +9,5 @@
 	Accepted, Collectors, Rejected, Silent, Evicted atomic.Int64
 
 	// Lines of collectors: reports posted, and malformed lines.
-	Reports, Spoilt atomic.Int64
+	Reports, Malformed atomic.Int64
 }
--- a/internal/platform/listener/line.go
+++ b/internal/platform/listener/line.go
@@ -88,5 +88,5 @@
 
 func parseFloat(text []byte) (float64, bool) {
 	v, err := strconv.ParseFloat(string(text), 64)
-	return v, err == nil && planner.Sound(v) // false for NaN
+	return v, err == nil && planner.ValidRate(v) // false for NaN
 }
--- a/internal/platform/listener/listener.go
+++ b/internal/platform/listener/listener.go
@@ -69,10 +69,10 @@
 			_ = group.Wait() // the result of closing the socket
 			return nil       //nolint:nilerr // the socket was closed because ctx has ended
 		}
-		if !backoff.Passing(err) {
+		if !backoff.Temporary(err) {
 			return fmt.Errorf("accept on %s: %w", socket.Addr(), err)
 		}
 		l.unidentified.evictTo(0) // to free descriptors
-		backoff.For(ctx, acceptRetryDelay)
+		backoff.Sleep(ctx, acceptRetryDelay)
 	}
 }
--- a/internal/platform/listener/listener_test.go
+++ b/internal/platform/listener/listener_test.go
@@ -67,4 +67,4 @@
 // A report on a proxy, and what it is parsed to.
 const proxyLine = "usage node=3 route=read total=4 errors=1 interval=500\r\n"
 
-var proxyStats = controller.ProxyDemand{Proxy: 3, Kind: "read", Reqs: 4, Unanswered: 1, SpanMs: 500}
+var proxyStats = controller.ProxyStats{Proxy: 3, Class: "read", Requests: 4, Unanswered: 1, SpanMs: 500}
--- a/internal/platform/listener/report.go
+++ b/internal/platform/listener/report.go
@@ -40,15 +40,15 @@
 
 // parseZoneStats returns the report on an endpoint in the fields. Times are in milliseconds.
 func parseZoneStats(f *fields) (controller.Input, error) {
-	stats := controller.ZoneMet{
+	stats := controller.ZoneStats{
 		Zone:     f.text("locality"),
 		Endpoint: f.text("endpoint"),
-		Tries:    f.count("total"),
+		Attempts: f.count("total"),
 		Failed:   f.count("errors"),
 		MeanMs:   f.float("rtt"),
 		SpanMs:   f.float("interval"),
 	}
-	if f.invalid || stats.Failed > stats.Tries || stats.SpanMs == 0 {
+	if f.invalid || stats.Failed > stats.Attempts || stats.SpanMs == 0 {
 		return nil, ErrMalformedLine
 	}
 	if metrics := f.get("metrics"); len(metrics) > 0 {
@@ -79,14 +79,14 @@
 
 // parseProxyStats returns the report on a proxy's requests in the fields. Times are in milliseconds.
 func parseProxyStats(f *fields) (controller.Input, error) {
-	stats := controller.ProxyDemand{
+	stats := controller.ProxyStats{
 		Proxy:      f.count("node"),
-		Kind:       f.text("route"),
-		Reqs:       f.count("total"),
+		Class:      f.text("route"),
+		Requests:   f.count("total"),
 		Unanswered: f.count("errors"),
 		SpanMs:     f.float("interval"),
 	}
-	if f.invalid || stats.Unanswered > stats.Reqs || stats.SpanMs == 0 {
+	if f.invalid || stats.Unanswered > stats.Requests || stats.SpanMs == 0 {
 		return nil, ErrMalformedLine
 	}
 	return stats, nil
--- a/internal/platform/listener/report_test.go
+++ b/internal/platform/listener/report_test.go
@@ -18,11 +18,11 @@
 			assert.True(t, readable)
 		}
 		switch in := in.(type) {
-		case controller.ZoneMet:
-			assert.True(t, in.Failed >= 0 && in.Failed <= in.Tries && in.SpanMs > 0 && in.MeanMs >= 0 &&
+		case controller.ZoneStats:
+			assert.True(t, in.Failed >= 0 && in.Failed <= in.Attempts && in.SpanMs > 0 && in.MeanMs >= 0 &&
 				in.Zone != "" && in.Endpoint != "")
-		case controller.ProxyDemand:
-			assert.True(t, in.Unanswered >= 0 && in.Unanswered <= in.Reqs && in.Proxy >= 0 && in.Kind != "")
+		case controller.ProxyStats:
+			assert.True(t, in.Unanswered >= 0 && in.Unanswered <= in.Requests && in.Proxy >= 0 && in.Class != "")
 		}
 	})
 }
--- a/internal/platform/listener/session.go
+++ b/internal/platform/listener/session.go
@@ -67,7 +67,7 @@
 			unreadable = 0
 		}
 		if report == nil {
-			l.Counters.Spoilt.Add(1)
+			l.Counters.Malformed.Add(1)
 			continue
 		}
 		l.Counters.Reports.Add(1)
--- a/internal/platform/listener/session_test.go
+++ b/internal/platform/listener/session_test.go
@@ -17,8 +17,8 @@
 // TestCollectorReports checks that a malformed line has no effect on others, wherever the data is split.
 func TestCollectorReports(t *testing.T) {
 	zoneLine := "heard locality=a endpoint=x total=9 errors=2 rtt=4.5 interval=1000.0 metrics=util:0.5\r\n"
-	zoneStats := controller.ZoneMet{
-		Zone: "a", Endpoint: "x", Tries: 9, Failed: 2, MeanMs: 4.5, SpanMs: 1000,
+	zoneStats := controller.ZoneStats{
+		Zone: "a", Endpoint: "x", Attempts: 9, Failed: 2, MeanMs: 4.5, SpanMs: 1000,
 		Load: map[string]float64{"util": 0.5},
 	}
 	with := func(old, replacement string) string { return strings.Replace(zoneLine, old, replacement, 1) }
--- a/internal/platform/placement/checks.go
+++ b/internal/platform/placement/checks.go
@@ -90,13 +90,13 @@
 	}
 	list, malformed, err := discovery.ParseList(p.Known)
 	if err != nil {
-		p.Left = fmt.Sprintf("known: %v", err)
+		p.Warning = fmt.Sprintf("known: %v", err)
 		return nil // ignored with a warning
 	}
 	if malformed > 0 {
-		p.Left = fmt.Sprintf("known: %d entries that can't be used", malformed)
+		p.Warning = fmt.Sprintf("known: %d entries that can't be used", malformed)
 	}
-	p.Remembered = list
+	p.Cached = list
 	return nil
 }
 
@@ -105,14 +105,14 @@
 	if len(p.Settings) == 0 {
 		return wrongField("settings", "settings are %w", ErrMissing)
 	}
-	p.Deployment = settings.Read(p.Settings)
+	p.Deployment = settings.Parse(p.Settings)
 	if n := len(p.Deployment.Zones.All()); n == 0 || n > maxZones {
 		return wrongField("settings", "settings: %d zones", n)
 	}
-	if len(p.Deployment.Kinds.All()) == 0 {
+	if len(p.Deployment.Classes.All()) == 0 {
 		return wrongField("settings", "settings: no req kinds")
 	}
-	plannerSettings := p.Deployment.Terms
+	plannerSettings := p.Deployment.Settings
 	proxies, err := numberWithin(plannerSettings, "proxy_count", 1, maxProxies)
 	if err != nil {
 		return err
@@ -123,7 +123,7 @@
 		return err
 	}
 	for _, name := range []string{"lines_per_s", "backlog", "drain_grace", "cold"} {
-		if _, err := numberWithin(plannerSettings, name, minSetting, planner.MostFigure); err != nil {
+		if _, err := numberWithin(plannerSettings, name, minSetting, planner.MaxFigure); err != nil {
 			return err
 		}
 	}
--- a/internal/platform/placement/checks_test.go
+++ b/internal/platform/placement/checks_test.go
@@ -58,13 +58,13 @@
 		t.Run(name, func(t *testing.T) {
 			p, err := Parse([]byte(goodFile[:at] + c.known + goodFile[end:]))
 			require.NoError(t, err)
-			assert.Contains(t, p.Left, c.warns)
-			assert.Equal(t, c.warns == "", p.Left == "")
+			assert.Contains(t, p.Warning, c.warns)
+			assert.Equal(t, c.warns == "", p.Warning == "")
 			if c.entries < 0 {
-				assert.Nil(t, p.Remembered)
+				assert.Nil(t, p.Cached)
 				return
 			}
-			assert.Len(t, p.Remembered.Entries, c.entries)
+			assert.Len(t, p.Cached.Entries, c.entries)
 		})
 	}
 }
--- a/internal/platform/placement/parse_test.go
+++ b/internal/platform/placement/parse_test.go
@@ -25,9 +25,9 @@
 	assert.Equal(t, -0x73e0cf2d85a4169c, int(p.Seed))
 	assert.Equal(t, 150, p.Proxies)
 	assert.False(t, p.OnRequest)
-	assert.Equal(t, 3000.0, p.Deployment.Terms["drain_grace"])
-	require.Len(t, p.Remembered.Entries, 1)
-	assert.Equal(t, 1, p.Remembered.Entries[0].Phase)
+	assert.Equal(t, 3000.0, p.Deployment.Settings["drain_grace"])
+	require.Len(t, p.Cached.Entries, 1)
+	assert.Equal(t, 1, p.Cached.Entries[0].Phase)
 }
 
 func TestRead(t *testing.T) {
--- a/internal/platform/placement/placement.go
+++ b/internal/platform/placement/placement.go
@@ -33,9 +33,9 @@
 
 	// Values that Parse derives from them.
 	Seed       int64                `json:"-"`
-	Remembered *wire.List           `json:"-"` // Known, or nil if absent or invalid
+	Cached     *wire.List           `json:"-"` // Known, or nil if absent or invalid
 	Deployment *settings.Deployment `json:"-"`
 	Proxies    int                  `json:"-"` // upper bound of proxy numbers, exclusive
 	OnRequest  bool                 `json:"-"` // the endpoint list is followed only on request of the planner
-	Left       string               `json:"-"` // describes an ignored part of the file, or ""
+	Warning    string               `json:"-"` // describes an ignored part of the file, or ""
 }
--- a/internal/platform/placement/restart.go
+++ b/internal/platform/placement/restart.go
@@ -2,9 +2,9 @@
 
 import "reflect"
 
-// Restart returns the names of the changed fields that take effect only after a restart. The addresses of discovery
+// RequiresRestart returns the names of the changed fields that take effect only after a restart. The addresses of discovery
 // and the relay take effect at once.
-func Restart(old, now *Placement) (fields []string) {
+func RequiresRestart(old, now *Placement) (fields []string) {
 	for _, f := range []struct {
 		name string
 		same bool
--- a/internal/platform/placement/restart_test.go
+++ b/internal/platform/placement/restart_test.go
@@ -23,7 +23,7 @@
 		t.Run(name, func(t *testing.T) {
 			now, err := Parse([]byte(strings.Replace(goodFile, c.from, c.to, 1)))
 			require.NoError(t, err)
-			assert.Equal(t, c.want, Restart(old, now))
+			assert.Equal(t, c.want, RequiresRestart(old, now))
 		})
 	}
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -28,36 +28,36 @@
 
 	loop          *controller.Loop
 	listener      *listener.Listener
-	sender        *relay.Orders
-	events        *relay.Events
+	sender        *relay.Sender
+	events        *relay.EventStream
 	relayCounters relay.Counters // shared by sender and events
-	discovery     *discovery.Agent
+	discovery     *discovery.Client
 }
 
 // New assembles a pilot. It does nothing before Run. reread reads the current placement, for reloads.
 func New(initial *placement.Placement, reread func() (*placement.Placement, error), log *zap.Logger) *Pilot {
 	p := &Pilot{log: log, initial: initial, reread: reread}
 	deployment := initial.Deployment
-	classes := deployment.Kinds.All()
+	classes := deployment.Classes.All()
 	zones := deployment.Zones.All()
 	box := &inbox{}
-	p.sender = relay.NewOrders(initial.Relay.Address, classes, box, &p.relayCounters, log)
+	p.sender = relay.NewSender(initial.Relay.Address, classes, box, &p.relayCounters, log)
 	p.discovery = discovery.New(initial.Discovery, !initial.OnRequest, box, log)
-	p.events = relay.NewEvents(initial.Relay.Address, box, &p.relayCounters, log)
+	p.events = relay.NewEventStream(initial.Relay.Address, box, &p.relayCounters, log)
 	p.listener = listener.New(zones, maxUnidentified(initial.Limits), box, log)
-	core := controller.NewCore(controller.Plan{
-		Decider:     planner.New(initial.Seed, deployment.Terms),
-		Terms:       deployment.Terms,
-		Zones:       zones,
-		Machines:    deployment.Machines.All(),
-		Kinds:       classes,
-		MostProxies: initial.Proxies,
-		List:        p.discovery,
-		Prober:      healthcheck.Never{},
-		Peers:       gossip.Nobody{},
-		Relay:       p.sender,
-		Log:         func(text string) { log.Info(text) },
-		Odd: func(what string, fields ...string) {
+	core := controller.NewCore(controller.Options{
+		Decider:        planner.New(initial.Seed, deployment.Settings),
+		Settings:       deployment.Settings,
+		Zones:          zones,
+		Machines:       deployment.Machines.All(),
+		Classes:        classes,
+		MaxProxies:     initial.Proxies,
+		EndpointSource: p.discovery,
+		HealthChecker:  healthcheck.Disabled{},
+		Gossip:         gossip.Disabled{},
+		Relay:          p.sender,
+		Log:            func(text string) { log.Info(text) },
+		Malformed: func(what string, fields ...string) {
 			log.Debug("odd", zap.String("what", what), zap.Strings("fields", fields))
 		},
 	})
@@ -79,8 +79,8 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	if known := p.initial.Remembered; known != nil {
-		if err := p.loop.Post(ctx, controller.Listed{List: known, Remembered: true}); err != nil {
+	if known := p.initial.Cached; known != nil {
+		if err := p.loop.Post(ctx, controller.EndpointsListed{List: known, Cached: true}); err != nil {
 			return err
 		}
 	}
--- a/internal/platform/relay/connection_test.go
+++ b/internal/platform/relay/connection_test.go
@@ -16,7 +16,7 @@
 	s := newScriptedRelay(t, "ok", "broken")
 	sender := startSender(t, s.address())
 	for i := 1; i <= 2; i++ {
-		sender.Carry([]planner.Order{setWeight(i, 1)}, endpointName)
+		sender.Enqueue([]planner.Command{setWeight(i, 1)}, endpointName)
 		require.Eventually(t, func() bool { return len(s.executedCommands()) == i }, 5*time.Second, time.Millisecond)
 	}
 	assert.Equal(t, []string{"SET 1 e1 1", "SET 1 e2 1"}, s.executedCommands())
@@ -30,7 +30,7 @@
 	s.closing = true
 	sender := startSender(t, s.address())
 	for i := 1; i <= 5; i++ {
-		sender.Carry([]planner.Order{planner.SetLine{Table: i, Weight: 1}}, endpointName)
+		sender.Enqueue([]planner.Command{planner.SetWeight{Table: i, Weight: 1}}, endpointName)
 		executed := func() bool { return len(s.executedCommands()) == i && s.idle() }
 		require.Eventually(t, executed, 5*time.Second, time.Millisecond)
 	}
--- a/internal/platform/relay/encode.go
+++ b/internal/platform/relay/encode.go
@@ -26,25 +26,25 @@
 
 // encode returns the command as the relay expects it, and false if it is not for the relay. classNames are the names
 // of the request classes, indexed by bit of a class mask.
-func encode(c planner.Order, endpointName func(i int) string, classNames []string) (command, bool) {
+func encode(c planner.Command, endpointName func(i int) string, classNames []string) (command, bool) {
 	switch c := c.(type) {
-	case planner.SetLine:
+	case planner.SetWeight:
 		return encodeSetWeight(c, endpointName), true
 	case planner.ClearTable:
 		return encodeClearTable(c), true
-	case planner.Bind:
+	case planner.AssignTable:
 		return encodeAssignTable(c, classNames), true
-	case planner.Withdraw:
+	case planner.SetExcluded:
 		return encodeSetExcluded(c, endpointName), true
-	case planner.Admit:
+	case planner.SetAdmission:
 		return encodeSetAdmission(c, classNames), true
-	case planner.Mark:
+	case planner.AckRequest:
 		return encodeAckRequest(c), true
 	}
 	return command{}, false
 }
 
-func encodeSetWeight(c planner.SetLine, endpointName func(i int) string) command {
+func encodeSetWeight(c planner.SetWeight, endpointName func(i int) string) command {
 	endpoint := quote(endpointName(c.Endpoint))
 	table := strconv.Itoa(c.Table)
 	return command{
@@ -67,20 +67,20 @@
 	}
 }
 
-func encodeAssignTable(c planner.Bind, classNames []string) command {
+func encodeAssignTable(c planner.AssignTable, classNames []string) command {
 	node := strconv.Itoa(c.Proxy)
 	return command{
-		key:   "bind " + node + " " + strconv.Itoa(c.Kinds),
+		key:   "bind " + node + " " + strconv.Itoa(c.Classes),
 		proxy: c.Proxy,
 		encoded: []byte(`{"verb":"USE","node":` + node + `,"cluster":` + strconv.Itoa(c.Table) +
-			encodeClasses(c.Kinds, classNames) + `}`),
+			encodeClasses(c.Classes, classNames) + `}`),
 	}
 }
 
-func encodeSetExcluded(c planner.Withdraw, endpointName func(i int) string) command {
+func encodeSetExcluded(c planner.SetExcluded, endpointName func(i int) string) command {
 	endpoint := quote(endpointName(c.Endpoint))
 	verb := "IN"
-	if c.Out {
+	if c.Excluded {
 		verb = "OUT"
 	}
 	return command{
@@ -91,7 +91,7 @@
 }
 
 // encodeSetAdmission omits the table if the command is for all tables.
-func encodeSetAdmission(c planner.Admit, classNames []string) command {
+func encodeSetAdmission(c planner.SetAdmission, classNames []string) command {
 	table := ""
 	cluster := ""
 	if c.Table != planner.EveryTable {
@@ -99,15 +99,15 @@
 		cluster = `,"cluster":` + table
 	}
 	return command{
-		key:   "level " + table + " " + strconv.Itoa(c.Kinds),
+		key:   "level " + table + " " + strconv.Itoa(c.Classes),
 		proxy: noProxy,
 		table: table,
-		encoded: []byte(`{"verb":"LIMIT"` + cluster + encodeClasses(c.Kinds, classNames) +
-			`,"level":` + formatFloat(c.Level) + `,"retry":` + strconv.Itoa(c.Again) + `}`),
+		encoded: []byte(`{"verb":"LIMIT"` + cluster + encodeClasses(c.Classes, classNames) +
+			`,"level":` + formatFloat(c.Level) + `,"retry":` + strconv.Itoa(c.RetryMode) + `}`),
 	}
 }
 
-func encodeAckRequest(c planner.Mark) command {
+func encodeAckRequest(c planner.AckRequest) command {
 	text := `{"verb":"SYNC","ticket":` + strconv.Itoa(c.Number)
 	if c.All {
 		text += `,"set":1`
--- a/internal/platform/relay/event.go
+++ b/internal/platform/relay/event.go
@@ -23,7 +23,7 @@
 }
 
 // handleLine parses a line of subscription i and posts it if it is news.
-func (s *Events) handleLine(ctx context.Context, i int, text []byte) error {
+func (s *EventStream) handleLine(ctx context.Context, i int, text []byte) error {
 	var e event
 	if err := json.Unmarshal(text, &e); err != nil {
 		return fmt.Errorf("unreadable event: %w", err)
@@ -44,7 +44,7 @@
 
 // apply updates the members by an event and returns the input for the controller, or nil if it is not news. The
 // caller holds mu.
-func (s *Events) apply(sub *subscription, e *event) controller.Input {
+func (s *EventStream) apply(sub *subscription, e *event) controller.Input {
 	switch e.Type {
 	case "joined":
 		return s.applyJoined(sub, e)
@@ -57,7 +57,7 @@
 }
 
 // applyJoined handles the announcement of a proxy, which has joined or, in a snapshot, is connected.
-func (s *Events) applyJoined(sub *subscription, e *event) controller.Input {
+func (s *EventStream) applyJoined(sub *subscription, e *event) controller.Input {
 	proxy := *e.Object.Node
 	zone := e.Object.Locality
 	cold := e.Object.Cold
@@ -72,12 +72,12 @@
 		return nil
 	}
 	s.members[proxy] = &member{zone: zone, since: sub.lastHeard}
-	return controller.Relayed{
-		Proxy: proxy,
-		Zone:  zone,
-		Rate:  e.Object.Rate,
-		Fresh: cold,
-		Stood: rejoined && sameZone && !cold,
+	return controller.RelayProxyJoined{
+		Proxy:   proxy,
+		Zone:    zone,
+		Rate:    e.Object.Rate,
+		Fresh:   cold,
+		Resumed: rejoined && sameZone && !cold,
 	}
 }
 
@@ -96,20 +96,20 @@
 }
 
 // applyLeft handles that a proxy has left, which the other subscription may have delivered before.
-func (s *Events) applyLeft(sub *subscription, proxy int) controller.Input {
+func (s *EventStream) applyLeft(sub *subscription, proxy int) controller.Input {
 	delete(sub.announced, proxy)
 	if s.members[proxy] == nil {
 		return nil
 	}
 	delete(s.members, proxy)
-	return controller.Unrelayed{Proxy: proxy}
+	return controller.RelayProxyLeft{Proxy: proxy}
 }
 
 // applyAck handles that a proxy has applied all commands up to an ack request.
-func (s *Events) applyAck(e *event) controller.Input {
+func (s *EventStream) applyAck(e *event) controller.Input {
 	known := s.members[*e.Object.Node]
 	if known == nil || e.Object.Nonce == nil || e.Object.Latency == nil || !known.recordAck(*e.Object.Nonce) {
 		return nil
 	}
-	return controller.RelayApplied{Proxy: *e.Object.Node, Mark: *e.Object.Nonce, TookMs: *e.Object.Latency}
+	return controller.RelayAck{Proxy: *e.Object.Node, Mark: *e.Object.Nonce, TookMs: *e.Object.Latency}
 }
--- a/internal/platform/relay/eventstream.go
+++ b/internal/platform/relay/eventstream.go
@@ -33,9 +33,9 @@
 	lineBufferBytes = 4096
 )
 
-// Events receives the relay's events on two subscriptions and merges them into one sequence without duplicates. Only
+// EventStream receives the relay's events on two subscriptions and merges them into one sequence without duplicates. Only
 // after a gap, in which neither was connected, does it infer events from the next snapshot.
-type Events struct {
+type EventStream struct {
 	Counters *Counters
 
 	inbox controller.Inbox
@@ -50,14 +50,14 @@
 	completeUntil time.Time // all events up to then were received; zero if none was yet
 }
 
-// NewEvents returns a receiver of the events of the relay at address. It receives nothing before Run.
-func NewEvents(address string, inbox controller.Inbox, c *Counters, log *zap.Logger) *Events {
-	return &Events{Counters: c, inbox: inbox, log: log, address: address, members: map[int]*member{}}
+// NewEventStream returns a receiver of the events of the relay at address. It receives nothing before Run.
+func NewEventStream(address string, inbox controller.Inbox, c *Counters, log *zap.Logger) *EventStream {
+	return &EventStream{Counters: c, inbox: inbox, log: log, address: address, members: map[int]*member{}}
 }
 
-// Move changes the relay's address. The first subscription moves at once, the second after the first has received its
+// SetAddress changes the relay's address. The first subscription moves at once, the second after the first has received its
 // snapshot at the new address (endSnapshot), so that no gap arises.
-func (s *Events) Move(address string) {
+func (s *EventStream) SetAddress(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.address == address {
@@ -70,19 +70,19 @@
 }
 
 // Run keeps subscription i open until ctx ends. It is called once for each subscription.
-func (s *Events) Run(ctx context.Context, i int) error {
+func (s *EventStream) Run(ctx context.Context, i int) error {
 	for ctx.Err() == nil {
 		err := s.subscribe(ctx, i)
 		if ctx.Err() == nil {
 			s.log.Debug("event stream ended", zap.Int("stream", i), zap.Error(err))
-			backoff.For(ctx, redialDelay)
+			backoff.Sleep(ctx, redialDelay)
 		}
 	}
 	return nil
 }
 
 // subscribe opens a subscription at the current address, receives its events and returns why it ended.
-func (s *Events) subscribe(ctx context.Context, i int) error {
+func (s *EventStream) subscribe(ctx context.Context, i int) error {
 	ctx, cancel := context.WithCancel(ctx)
 	s.mu.Lock()
 	address := s.address
@@ -96,7 +96,7 @@
 }
 
 // receive connects to the relay, requests the events and handles them until the connection or ctx ends.
-func (s *Events) receive(ctx context.Context, address string, i int) error {
+func (s *EventStream) receive(ctx context.Context, address string, i int) error {
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return fmt.Errorf("dial relay: %w", err)
@@ -133,7 +133,7 @@
 }
 
 // readLines handles one event after another. It always returns an error, because the stream has no regular end.
-func (s *Events) readLines(ctx context.Context, i int, conn net.Conn, response *http.Response) error {
+func (s *EventStream) readLines(ctx context.Context, i int, conn net.Conn, response *http.Response) error {
 	scanner := bufio.NewScanner(response.Body)
 	scanner.Buffer(make([]byte, 0, lineBufferBytes), maxEventBytes)
 	for scanner.Scan() {
--- a/internal/platform/relay/eventstream_test.go
+++ b/internal/platform/relay/eventstream_test.go
@@ -23,25 +23,25 @@
 }
 
 // step drives an event stream by hand.
-type step func(t *testing.T, events *Events)
+type step func(t *testing.T, events *EventStream)
 
-func opens(i int) step { return func(_ *testing.T, events *Events) { events.subscribed(i) } }
+func opens(i int) step { return func(_ *testing.T, events *EventStream) { events.subscribed(i) } }
 
 // firstCloses ends the first subscription, not by silence.
-func firstCloses(_ *testing.T, events *Events) { events.unsubscribed(0, false) }
+func firstCloses(_ *testing.T, events *EventStream) { events.unsubscribed(0, false) }
 
 func snapshotEnds(i int) step {
-	return func(_ *testing.T, events *Events) { events.endSnapshot(context.Background(), i) }
+	return func(_ *testing.T, events *EventStream) { events.endSnapshot(context.Background(), i) }
 }
 
 func tells(i int, line string) step {
-	return func(t *testing.T, events *Events) {
+	return func(t *testing.T, events *EventStream) {
 		require.NoError(t, events.handleLine(context.Background(), i, []byte(line)))
 	}
 }
 
 // longGap lets time pass without a subscription.
-func longGap(_ *testing.T, events *Events) {
+func longGap(_ *testing.T, events *EventStream) {
 	events.completeUntil = events.completeUntil.Add(-time.Minute)
 }
 
@@ -121,7 +121,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := &inbox{}
-			events := NewEvents("", b, &Counters{}, zap.NewNop())
+			events := NewEventStream("", b, &Counters{}, zap.NewNop())
 			for i := range events.subscriptions {
 				events.subscriptions[i].cancel = func() {}
 			}
@@ -134,7 +134,7 @@
 }
 
 // runEvents runs one subscription. The function that it returns ends it and checks that it has.
-func runEvents(t *testing.T, events *Events) (end func()) {
+func runEvents(t *testing.T, events *EventStream) (end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- events.Run(ctx, 0) }()
@@ -150,7 +150,7 @@
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
 	b := &inbox{}
-	end := runEvents(t, NewEvents(listener.Addr().String(), b, &Counters{}, zap.NewNop()))
+	end := runEvents(t, NewEventStream(listener.Addr().String(), b, &Counters{}, zap.NewNop()))
 	whole := joined(1, true) + "\n" + left(1) + "\n"
 	for cut := len(joined(1, true)) + 2; cut < len(whole); cut += 7 {
 		conn, err := listener.Accept()
@@ -210,10 +210,10 @@
 func TestEventStreamOnSockets(t *testing.T) {
 	b := &inbox{}
 	address := serveEvents(t, joined(1, true)+"\n"+joined(2, true)+"\n")
-	events := NewEvents(address, b, &Counters{}, zap.NewNop())
+	events := NewEventStream(address, b, &Counters{}, zap.NewNop())
 	end := runEvents(t, events)
 	require.Eventually(t, func() bool { return len(b.all()) == 2 }, 5*time.Second, time.Millisecond)
-	events.Move(serveEvents(t, joined(3, true)+"\n"))
+	events.SetAddress(serveEvents(t, joined(3, true)+"\n"))
 	require.Eventually(t, func() bool { return len(b.all()) >= 3 }, 5*time.Second, time.Millisecond)
 	end()
 	assert.Contains(t, b.all(), "joined 3")
--- a/internal/platform/relay/inbox_test.go
+++ b/internal/platform/relay/inbox_test.go
@@ -24,21 +24,21 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch in := in.(type) {
-	case controller.Relayed:
+	case controller.RelayProxyJoined:
 		kind := "joined "
-		if in.Stood {
+		if in.Resumed {
 			kind = "stood "
 		}
 		b.got = append(b.got, fmt.Sprint(kind, in.Proxy))
-	case controller.Unrelayed:
+	case controller.RelayProxyLeft:
 		b.got = append(b.got, fmt.Sprint("left ", in.Proxy))
 	case controller.RelayStalled:
-		text := fmt.Sprint("stalled ", in.ForMs > 0, " ", in.Again)
-		if len(in.Joined) > 0 {
-			text += fmt.Sprint(" joined ", in.Joined)
+		text := fmt.Sprint("stalled ", in.ForMs > 0, " ", in.Repeated)
+		if len(in.Merged) > 0 {
+			text += fmt.Sprint(" joined ", in.Merged)
 		}
 		b.got = append(b.got, text)
-	case controller.RelayApplied:
+	case controller.RelayAck:
 		b.got = append(b.got, fmt.Sprint("applied ", in.Proxy, " ", in.Mark))
 	}
 	return nil
--- a/internal/platform/relay/merge_test.go
+++ b/internal/platform/relay/merge_test.go
@@ -26,12 +26,12 @@
 
 func TestClearSupersedesItsTable(t *testing.T) {
 	var commands []command
-	for _, c := range []planner.Order{
-		planner.SetLine{Table: 1, Weight: 1},
-		planner.SetLine{Table: 2, Weight: 1},
+	for _, c := range []planner.Command{
+		planner.SetWeight{Table: 1, Weight: 1},
+		planner.SetWeight{Table: 2, Weight: 1},
 		planner.ClearTable{Table: 1},
-		planner.Admit{Table: 1, Kinds: 2, Level: 0.5, Again: 1},
-		planner.Admit{Table: planner.EveryTable, Level: 1},
+		planner.SetAdmission{Table: 1, Classes: 2, Level: 0.5, RetryMode: 1},
+		planner.SetAdmission{Table: planner.EveryTable, Level: 1},
 	} {
 		encoded, ok := encode(c, endpointName, []string{"read", "write"})
 		require.True(t, ok)
--- a/internal/platform/relay/queue_test.go
+++ b/internal/platform/relay/queue_test.go
@@ -23,18 +23,18 @@
 func TestSupersededCommands(t *testing.T) {
 	sender := startSender(t, closedAddress(t))
 	for w := 1; w <= 100; w++ {
-		turn := []planner.Order{setWeight(1, float64(w)), planner.Bind{Table: 1, Proxy: 3}, planner.Mark{Number: w}}
-		sender.Carry(turn, endpointName)
+		turn := []planner.Command{setWeight(1, float64(w)), planner.AssignTable{Table: 1, Proxy: 3}, planner.AckRequest{Number: w}}
+		sender.Enqueue(turn, endpointName)
 	}
-	sender.Carry([]planner.Order{planner.Withdraw{Endpoint: 2, Out: true}, setWeight(2, 0)}, endpointName)
-	sender.Gone(3)
+	sender.Enqueue([]planner.Command{planner.SetExcluded{Endpoint: 2, Excluded: true}, setWeight(2, 0)}, endpointName)
+	sender.ProxyLeft(3)
 	eventually(t, func() bool { // a call that failed has merged all that waits
 		sender.queue.mu.Lock()
 		defer sender.queue.mu.Unlock()
 		return len(sender.queue.calls) <= 1
 	})
 	s := newScriptedRelay(t)
-	sender.Move(s.address())
+	sender.SetAddress(s.address())
 	eventually(t, func() bool { return len(s.executedCommands()) >= 4 })
 	executed := s.executedCommands()
 	assert.Equal(t, []string{"SET 1 e1 100", "SYNC 100", "OUT e2", "SET 1 e2 0"}, executed[len(executed)-4:])
--- a/internal/platform/relay/retry.go
+++ b/internal/platform/relay/retry.go
@@ -18,7 +18,7 @@
 
 // callFailed requeues or drops a failed call, reports the outage and pauses. Every decision to retry a whole call is
 // made here.
-func (s *Orders) callFailed(ctx context.Context, began time.Time, failed call, err error) {
+func (s *Sender) callFailed(ctx context.Context, began time.Time, failed call, err error) {
 	s.Counters.FailedCalls.Add(1)
 	var repeatedAcks []int
 	switch {
@@ -40,7 +40,7 @@
 // The first part of a turn that was split into several calls has no ack request. It returns those of the next queued
 // call then, which also covers the part behind it. Counting that part twice is too much, which the next ack corrects;
 // not counting the first part twice would be too little, which nothing corrects.
-func (s *Orders) outcomeUnknown(failed call, err error) (repeatedAcks []int) {
+func (s *Sender) outcomeUnknown(failed call, err error) (repeatedAcks []int) {
 	s.Counters.OutcomeUnknown.Add(int64(len(failed)))
 	repeatedAcks = failed.ackNumbers()
 	if len(repeatedAcks) == 0 {
@@ -52,7 +52,7 @@
 }
 
 // rejected returns what to retry of a call that was rejected as a whole: all of it, or nothing after maxRejections.
-func (s *Orders) rejected(failed call, err error) call {
+func (s *Sender) rejected(failed call, err error) call {
 	s.rejections++
 	if s.rejections < maxRejections {
 		return failed
@@ -66,7 +66,7 @@
 // retryHalted returns what to retry of the commands from the one at which the relay halted: all of them the first
 // time, in case the answer was corrupted, then all but that one. The relay sends nothing of a halted command to any
 // proxy, so the retry costs the proxies nothing.
-func (s *Orders) retryHalted(rest call) call {
+func (s *Sender) retryHalted(rest call) call {
 	rest = slices.Clone(rest)
 	if !rest[0].halted {
 		rest[0].halted = true
@@ -81,7 +81,7 @@
 // that, so a call has an unknown outcome at most once per outage, however long it lasts, and its commands are sent at
 // most twice. The answer has to be decodable: with a relay whose answers are all corrupted, the outcome of the retry
 // would be unknown as well, and the call would be executed again each time.
-func (s *Orders) probe(ctx context.Context) bool {
+func (s *Sender) probe(ctx context.Context) bool {
 	address := s.queue.currentAddress()
 	s.Counters.Probes.Add(1)
 	answer, err := s.connection.roundTrip(ctx, address, nil)
@@ -100,17 +100,17 @@
 // pauseAfterFailure reports to the controller for how long the relay has taken nothing, and pauses. Queued commands
 // have not been sent: if the controller believed them sent, the commands planned meanwhile would overflow the relay's
 // channel once it recovers.
-func (s *Orders) pauseAfterFailure(ctx context.Context, began time.Time, repeatedAcks []int, failure error) {
+func (s *Sender) pauseAfterFailure(ctx context.Context, began time.Time, repeatedAcks []int, failure error) {
 	s.connection.close()
 	s.outage.begin(began)
 	s.outage.failures++
-	s.post(ctx, controller.RelayStalled{ForMs: s.outage.unreportedMs(), Again: repeatedAcks})
-	backoff.For(ctx, s.outage.nextPause(failure))
+	s.post(ctx, controller.RelayStalled{ForMs: s.outage.unreportedMs(), Repeated: repeatedAcks})
+	backoff.Sleep(ctx, s.outage.nextPause(failure))
 }
 
 // endOutage ends an active outage and reports that to the controller. answered is the call that was answered, or nil
 // if the queue is empty.
-func (s *Orders) endOutage(ctx context.Context, answered call) {
+func (s *Sender) endOutage(ctx context.Context, answered call) {
 	if s.outage.active() {
 		s.log.Info("relay takes calls again", zap.Duration("after", time.Since(s.outage.since)),
 			zap.Int("tries", s.outage.failures), zap.Int("orders", len(answered)), zap.Ints("marks", answered.ackNumbers()))
--- a/internal/platform/relay/retry_test.go
+++ b/internal/platform/relay/retry_test.go
@@ -45,9 +45,9 @@
 			t.Parallel()
 			s := newScriptedRelay(t, c.steps...)
 			reports := &inbox{}
-			sender := NewOrders(s.address(), nil, reports, &Counters{}, zap.NewNop())
-			sender.Carry([]planner.Order{setWeight(1, 2), planner.Mark{Number: 5}}, endpointName)
-			sender.Carry([]planner.Order{setWeight(1, 3), planner.Mark{Number: 6}}, endpointName)
+			sender := NewSender(s.address(), nil, reports, &Counters{}, zap.NewNop())
+			sender.Enqueue([]planner.Command{setWeight(1, 2), planner.AckRequest{Number: 5}}, endpointName)
+			sender.Enqueue([]planner.Command{setWeight(1, 3), planner.AckRequest{Number: 6}}, endpointName)
 			runSender(t, sender)
 			eventually(t, func() bool {
 				return sender.Counters.Executed.Load() >= 2 && len(reports.all()) >= len(c.want)
@@ -62,13 +62,13 @@
 func TestUnknownOutcomeOncePerOutage(t *testing.T) {
 	s := silentRelay(t)
 	reports := &inbox{}
-	sender := NewOrders(s.Address(), nil, reports, &Counters{}, zap.NewNop())
+	sender := NewSender(s.Address(), nil, reports, &Counters{}, zap.NewNop())
 	runSender(t, sender)
-	sender.Carry([]planner.Order{setWeight(1, 2), planner.Mark{Number: 5}}, endpointName)
+	sender.Enqueue([]planner.Command{setWeight(1, 2), planner.AckRequest{Number: 5}}, endpointName)
 	eventually(t, func() bool { return sender.Counters.Probes.Load() >= 3 })
 	for number := 6; number < 9; number++ {
-		turn := []planner.Order{planner.SetLine{Table: number, Endpoint: 1, Weight: 2}, planner.Mark{Number: number}}
-		sender.Carry(turn, endpointName)
+		turn := []planner.Command{planner.SetWeight{Table: number, Endpoint: 1, Weight: 2}, planner.AckRequest{Number: number}}
+		sender.Enqueue(turn, endpointName)
 	}
 	eventually(t, func() bool { return sender.Counters.Probes.Load() >= 5 })
 	assert.Equal(t, 1, s.Calls(), "only probes go out while nothing is answered")
@@ -85,11 +85,11 @@
 func TestOutageEndsWithoutCalls(t *testing.T) {
 	s := silentRelay(t)
 	reports := &inbox{}
-	sender := NewOrders(s.Address(), nil, reports, &Counters{}, zap.NewNop())
+	sender := NewSender(s.Address(), nil, reports, &Counters{}, zap.NewNop())
 	runSender(t, sender)
-	sender.Carry([]planner.Order{planner.Bind{Table: 1, Proxy: 3}}, endpointName)
+	sender.Enqueue([]planner.Command{planner.AssignTable{Table: 1, Proxy: 3}}, endpointName)
 	eventually(t, func() bool { return sender.Counters.Probes.Load() >= 1 })
-	sender.Gone(3)
+	sender.ProxyLeft(3)
 	s.Recover()
 	eventually(t, func() bool {
 		all := reports.all()
@@ -105,7 +105,7 @@
 	s := newScriptedRelay(t, "garbage")
 	s.unreadableProbes = 4
 	sender := startSender(t, s.address())
-	sender.Carry([]planner.Order{setWeight(1, 2), planner.Mark{Number: 5}}, endpointName)
+	sender.Enqueue([]planner.Command{setWeight(1, 2), planner.AckRequest{Number: 5}}, endpointName)
 	eventually(t, func() bool { return sender.Counters.Executed.Load() > 0 })
 	assert.EqualValues(t, 5, sender.Counters.Probes.Load())
 	assert.Equal(t, twice([]string{"SET 1 e1 2", "SYNC 5"}), s.executedCommands())
@@ -116,12 +116,12 @@
 func TestUnknownOutcomeOfSplitTurn(t *testing.T) {
 	s := newScriptedRelay(t, "lost")
 	reports := &inbox{}
-	sender := NewOrders(s.address(), nil, reports, &Counters{}, zap.NewNop())
-	var turn []planner.Order
+	sender := NewSender(s.address(), nil, reports, &Counters{}, zap.NewNop())
+	var turn []planner.Command
 	for i := range 1200 {
-		turn = append(turn, planner.SetLine{Table: i, Endpoint: 1, Weight: 2})
+		turn = append(turn, planner.SetWeight{Table: i, Endpoint: 1, Weight: 2})
 	}
-	sender.Carry(append(turn, planner.Mark{Number: 5}), endpointName)
+	sender.Enqueue(append(turn, planner.AckRequest{Number: 5}), endpointName)
 	require.Greater(t, len(sender.queue.calls), 1, "the turn is more than one call")
 	runSender(t, sender)
 	eventually(t, func() bool { return len(reports.all()) > 0 })
--- a/internal/platform/relay/scriptedrelay_test.go
+++ b/internal/platform/relay/scriptedrelay_test.go
@@ -202,19 +202,19 @@
 func endpointName(i int) string { return fmt.Sprint("e", i) }
 
 // setWeight is a command on table 1.
-func setWeight(endpoint int, weight float64) planner.Order {
-	return planner.SetLine{Table: 1, Endpoint: endpoint, Weight: weight}
+func setWeight(endpoint int, weight float64) planner.Command {
+	return planner.SetWeight{Table: 1, Endpoint: endpoint, Weight: weight}
 }
 
 // startSender runs a sender to a relay until the test ends.
-func startSender(t *testing.T, address string) *Orders {
-	sender := NewOrders(address, []string{"read", "write"}, &inbox{}, &Counters{}, zap.NewNop())
+func startSender(t *testing.T, address string) *Sender {
+	sender := NewSender(address, []string{"read", "write"}, &inbox{}, &Counters{}, zap.NewNop())
 	runSender(t, sender)
 	return sender
 }
 
 // runSender runs a sender until the test ends.
-func runSender(t *testing.T, sender *Orders) {
+func runSender(t *testing.T, sender *Sender) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- sender.Run(ctx) }()
--- a/internal/platform/relay/sender.go
+++ b/internal/platform/relay/sender.go
@@ -10,8 +10,8 @@
 	"indigousher/planner"
 )
 
-// Orders sends commands to the relay. All methods but Run may be called from any goroutine; Run is called once.
-type Orders struct {
+// Sender sends commands to the relay. All methods but Run may be called from any goroutine; Run is called once.
+type Sender struct {
 	Counters *Counters
 
 	inbox      controller.Inbox // receives reports of outages and merged calls
@@ -26,9 +26,9 @@
 	rejections int // consecutive calls that the relay rejected as a whole
 }
 
-// NewOrders returns a sender to the relay at address. It sends nothing before Run.
-func NewOrders(address string, classNames []string, inbox controller.Inbox, c *Counters, log *zap.Logger) *Orders {
-	return &Orders{
+// NewSender returns a sender to the relay at address. It sends nothing before Run.
+func NewSender(address string, classNames []string, inbox controller.Inbox, c *Counters, log *zap.Logger) *Sender {
+	return &Sender{
 		Counters:   c,
 		inbox:      inbox,
 		classNames: classNames,
@@ -37,8 +37,8 @@
 	}
 }
 
-// Carry queues the commands of one controller turn as one call.
-func (s *Orders) Carry(turn []planner.Order, endpointName func(i int) string) {
+// Enqueue queues the commands of one controller turn as one call.
+func (s *Sender) Enqueue(turn []planner.Command, endpointName func(i int) string) {
 	var commands []command
 	for _, c := range turn {
 		if encoded, ok := encode(c, endpointName, s.classNames); ok {
@@ -49,14 +49,14 @@
 	s.queue.enqueue(commands)
 }
 
-// Gone drops the queued commands that name a disconnected proxy.
-func (s *Orders) Gone(proxy int) { s.queue.dropProxy(proxy) }
+// ProxyLeft drops the queued commands that name a disconnected proxy.
+func (s *Sender) ProxyLeft(proxy int) { s.queue.dropProxy(proxy) }
 
-// Move changes the relay's address for later calls. A call in flight completes at the old address.
-func (s *Orders) Move(address string) { s.queue.setAddress(address) }
+// SetAddress changes the relay's address for later calls. A call in flight completes at the old address.
+func (s *Sender) SetAddress(address string) { s.queue.setAddress(address) }
 
 // Run sends the queued calls until ctx ends.
-func (s *Orders) Run(ctx context.Context) error {
+func (s *Sender) Run(ctx context.Context) error {
 	defer s.connection.close()
 	s.outage = newOutage()
 	for ctx.Err() == nil {
@@ -67,7 +67,7 @@
 
 // sendNext sends the next call, or waits until there is one. During an outage it sends nothing until a probe is
 // answered.
-func (s *Orders) sendNext(ctx context.Context) {
+func (s *Sender) sendNext(ctx context.Context) {
 	if s.outage.active() && !s.probe(ctx) {
 		return
 	}
@@ -90,12 +90,12 @@
 
 // reportMerged reports to the controller which ack requests are sent in one call. The controller must know before a
 // proxy can ack.
-func (s *Orders) reportMerged(ctx context.Context, next call) {
+func (s *Sender) reportMerged(ctx context.Context, next call) {
 	merged := next.ackNumbers()
 	if len(merged) < 2 {
 		return
 	}
-	in := controller.RelayStalled{Joined: merged}
+	in := controller.RelayStalled{Merged: merged}
 	if s.outage.active() {
 		in.ForMs = s.outage.unreportedMs()
 	}
@@ -103,7 +103,7 @@
 }
 
 // send makes one call and returns how many of its commands the relay executed, from the first on.
-func (s *Orders) send(ctx context.Context, address string, next call) (executed int, err error) {
+func (s *Sender) send(ctx context.Context, address string, next call) (executed int, err error) {
 	s.Counters.Calls.Add(1)
 	answer, err := s.connection.roundTrip(ctx, address, next)
 	if err != nil {
@@ -117,7 +117,7 @@
 }
 
 // callAnswered counts the executed commands. If the relay halted, it requeues the remaining ones.
-func (s *Orders) callAnswered(sent call, executed int) {
+func (s *Sender) callAnswered(sent call, executed int) {
 	s.rejections = 0
 	s.Counters.Executed.Add(int64(executed))
 	if executed == len(sent) {
@@ -129,4 +129,4 @@
 }
 
 // post reports the state of the relay to the controller. It fails only after ctx has ended, and then Run returns.
-func (s *Orders) post(ctx context.Context, in controller.RelayStalled) { _ = s.inbox.Post(ctx, in) }
+func (s *Sender) post(ctx context.Context, in controller.RelayStalled) { _ = s.inbox.Post(ctx, in) }
--- a/internal/platform/relay/sender_test.go
+++ b/internal/platform/relay/sender_test.go
@@ -12,11 +12,11 @@
 // TestCallOutcomes checks every outcome of a call. A call with an unknown outcome is retried once, in order, and
 // nothing older is executed after anything newer.
 func TestCallOutcomes(t *testing.T) {
-	turn := []planner.Order{
+	turn := []planner.Command{
 		setWeight(1, 2),
-		planner.Bind{Table: 1, Proxy: 9, Kinds: 3},
-		planner.Withdraw{Endpoint: 7, Out: true},
-		planner.Mark{Number: 5},
+		planner.AssignTable{Table: 1, Proxy: 9, Classes: 3},
+		planner.SetExcluded{Endpoint: 7, Excluded: true},
+		planner.AckRequest{Number: 5},
 	}
 	whole := []string{"SET 1 e1 2", "USE 9 1", "OUT e7", "SYNC 5"}
 	for name, c := range map[string]struct {
@@ -44,11 +44,11 @@
 			t.Parallel()
 			s := newScriptedRelay(t, c.steps...)
 			sender := startSender(t, s.address())
-			sender.Carry(turn, endpointName)
+			sender.Enqueue(turn, endpointName)
 			eventually(t, func() bool {
 				return s.callCount() >= max(len(c.steps), 1) && len(s.executedCommands()) >= len(c.want)
 			})
-			sender.Carry([]planner.Order{setWeight(4, 1)}, endpointName)
+			sender.Enqueue([]planner.Command{setWeight(4, 1)}, endpointName)
 			want := append(slices.Clone(c.want), "SET 1 e4 1")
 			eventually(t, func() bool { return len(s.executedCommands()) >= len(want) })
 			assert.Equal(t, want, s.executedCommands())
--- a/internal/platform/relay/snapshot.go
+++ b/internal/platform/relay/snapshot.go
@@ -18,12 +18,12 @@
 
 // awaitSnapshot starts a goroutine that waits for the end of subscription i's snapshot. The returned function stops
 // the goroutine and waits for it to return.
-func (s *Events) awaitSnapshot(ctx context.Context, i int) (stop func()) {
+func (s *EventStream) awaitSnapshot(ctx context.Context, i int) (stop func()) {
 	waitCtx, cancel := context.WithCancel(ctx)
 	var waiter sync.WaitGroup
 	waiter.Go(func() {
 		for wait := snapshotQuietPeriod; wait > 0; wait = s.snapshotRemaining(i) {
-			if !backoff.For(waitCtx, wait) {
+			if !backoff.Sleep(waitCtx, wait) {
 				return
 			}
 		}
@@ -38,7 +38,7 @@
 // snapshotRemaining returns how long the snapshot may still continue; 0 or less if it is over. Announcing thousands
 // of proxies takes a while, especially with part of a core, and a proxy announced after the end would be taken for
 // disconnected.
-func (s *Events) snapshotRemaining(i int) time.Duration {
+func (s *EventStream) snapshotRemaining(i int) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sub := &s.subscriptions[i]
@@ -49,7 +49,7 @@
 }
 
 // endSnapshot makes subscription i live. After a gap, proxies missing in its snapshot have disconnected.
-func (s *Events) endSnapshot(ctx context.Context, i int) {
+func (s *EventStream) endSnapshot(ctx context.Context, i int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sub := &s.subscriptions[i]
@@ -69,12 +69,12 @@
 	}
 	for _, proxy := range departed {
 		delete(s.members, proxy)
-		_ = s.inbox.Post(ctx, controller.Unrelayed{Proxy: proxy}) // fails only after ctx has ended
+		_ = s.inbox.Post(ctx, controller.RelayProxyLeft{Proxy: proxy}) // fails only after ctx has ended
 	}
 }
 
 // missingIn returns the members missing in a subscription's snapshot, in ascending order. The caller holds mu.
-func (s *Events) missingIn(sub *subscription) (proxies []int) {
+func (s *EventStream) missingIn(sub *subscription) (proxies []int) {
 	for proxy := range s.members {
 		if !sub.announced[proxy] {
 			proxies = append(proxies, proxy)
@@ -86,7 +86,7 @@
 
 // cancelAtOldAddress closes the subscriptions at a former address. They delivered the events until the one at the new
 // address had received its snapshot. The caller holds mu.
-func (s *Events) cancelAtOldAddress() {
+func (s *EventStream) cancelAtOldAddress() {
 	for j := range s.subscriptions {
 		other := &s.subscriptions[j]
 		if other.address != s.address && other.cancel != nil {
--- a/internal/platform/relay/snapshot_test.go
+++ b/internal/platform/relay/snapshot_test.go
@@ -13,7 +13,7 @@
 // TestSnapshotOfThousands checks proxies that are announced late in a snapshot. When snapshots ended after a fixed
 // time, those were taken for disconnected, and joined again.
 func TestSnapshotOfThousands(t *testing.T) {
-	events := NewEvents("", &inbox{}, &Counters{}, zap.NewNop())
+	events := NewEventStream("", &inbox{}, &Counters{}, zap.NewNop())
 	sub := &events.subscriptions[0]
 	assert.LessOrEqual(t, events.snapshotRemaining(0), time.Duration(0), "not open")
 	events.subscribed(0)
--- a/internal/platform/relay/subscription.go
+++ b/internal/platform/relay/subscription.go
@@ -60,7 +60,7 @@
 }
 
 // subscribed records that subscription i has opened, and whether there is a gap in the events before it.
-func (s *Events) subscribed(i int) {
+func (s *EventStream) subscribed(i int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -77,7 +77,7 @@
 }
 
 // otherIsLive reports whether a subscription other than i is working. The caller holds mu.
-func (s *Events) otherIsLive(i int, now time.Time) bool {
+func (s *EventStream) otherIsLive(i int, now time.Time) bool {
 	for j := range s.subscriptions {
 		other := &s.subscriptions[j]
 		if j != i && other.state != disconnected && now.Sub(other.lastHeard) < liveWithin {
@@ -90,7 +90,7 @@
 // unsubscribed records that subscription i has ended, and whether by silence. The other one has to reopen, and so
 // receive a new snapshot, if it misses events as well: those between the last data of the silent one and its own
 // opening, or those that an unfinished snapshot after a gap would have revealed.
-func (s *Events) unsubscribed(i int, silent bool) {
+func (s *EventStream) unsubscribed(i int, silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sub := &s.subscriptions[i]
--- a/internal/platform/relay/subscription_test.go
+++ b/internal/platform/relay/subscription_test.go
@@ -12,7 +12,7 @@
 // TestSilentSubscriptionReopensTheOther checks events between the last data of one subscription and the opening of
 // the other: neither has delivered them.
 func TestSilentSubscriptionReopensTheOther(t *testing.T) {
-	events := NewEvents("", &inbox{}, &Counters{}, zap.NewNop())
+	events := NewEventStream("", &inbox{}, &Counters{}, zap.NewNop())
 	cancelled := 0
 	events.subscriptions[0].cancel = func() {}
 	events.subscriptions[1].cancel = func() { cancelled++ }
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -26,10 +26,10 @@
 		return false
 	}
 	p.log.Info("reloaded", zap.String("discovery", now.Discovery), zap.String("relay", now.Relay.Address),
-		zap.Strings("want a restart", placement.Restart(p.initial, now)))
-	p.discovery.Move(now.Discovery)
-	p.sender.Move(now.Relay.Address)
-	p.events.Move(now.Relay.Address)
+		zap.Strings("want a restart", placement.RequiresRestart(p.initial, now)))
+	p.discovery.SetAddress(now.Discovery)
+	p.sender.SetAddress(now.Relay.Address)
+	p.events.SetAddress(now.Relay.Address)
 	return true
 }
 
--- a/internal/platform/report.go
+++ b/internal/platform/report.go
@@ -23,13 +23,13 @@
 }
 
 func controllerFields(s controller.State) []zap.Field {
-	reports := s.Believed
+	reports := s.ReportStats
 	return []zap.Field{
 		zap.Int("proxies", s.Proxies),
 		zap.Int("endpoints", s.Endpoints),
 		zap.Int("listed", reports.Listed),
 		zap.Int("reports taken", reports.Reports),
-		zap.Int("odd", reports.Odd),
+		zap.Int("odd", reports.Malformed),
 		zap.Float64("report covers ms", reports.SpanMs/float64(max(1, reports.Reports))),
 	}
 }
@@ -52,7 +52,7 @@
 func listenerFields(c *listener.Counters) []zap.Field {
 	return []zap.Field{
 		zap.Int64("reports", c.Reports.Load()),
-		zap.Int64("spoilt", c.Spoilt.Load()),
+		zap.Int64("spoilt", c.Malformed.Load()),
 		zap.Int64("accepted", c.Accepted.Load()),
 		zap.Int64("refused", c.Rejected.Load()),
 		zap.Int64("silent", c.Silent.Load()),
@@ -65,6 +65,6 @@
 		zap.Int64("list calls", c.Calls.Load()),
 		zap.Int64("failed calls", c.Failed.Load()),
 		zap.Int64("lists", c.Lists.Load()),
-		zap.Int64("odd entries", c.Odd.Load()),
+		zap.Int64("odd entries", c.Malformed.Load()),
 	}
 }
--- a/internal/platform/simulator_test.go
+++ b/internal/platform/simulator_test.go
@@ -21,14 +21,14 @@
 type recordingRelay struct{ lines []string }
 
 // Carry keeps the commands that the simulator has as well.
-func (r *recordingRelay) Carry(turn []planner.Order, endpoint func(int) string) {
+func (r *recordingRelay) Carry(turn []planner.Command, endpoint func(int) string) {
 	for _, c := range turn {
 		switch c := c.(type) {
-		case planner.SetLine:
+		case planner.SetWeight:
 			r.lines = append(r.lines, fmt.Sprintf("line %d %s %.9g", c.Table, endpoint(c.Endpoint), c.Weight))
-		case planner.Bind:
-			r.lines = append(r.lines, fmt.Sprintf("bind %d %d %d", c.Proxy, c.Table, c.Kinds))
-		case planner.Mark:
+		case planner.AssignTable:
+			r.lines = append(r.lines, fmt.Sprintf("bind %d %d %d", c.Proxy, c.Table, c.Classes))
+		case planner.AckRequest:
 			r.lines = append(r.lines, fmt.Sprintf("mark %d", c.Number))
 		}
 	}
@@ -64,8 +64,8 @@
 			`{"endpoint":%q,"zone":%q,"generation_hw":"m2","mode":"live","heft":%d}`, name, zone, 1+i))
 	}
 	b.core.Handle(0, []controller.Input{
-		controller.Listed{List: &wire.List{Whole: true, Entries: entries}},
-		controller.Relayed{Proxy: 3, Zone: "b", Rate: 7, Fresh: true},
+		controller.EndpointsListed{List: &wire.List{Whole: true, Entries: entries}},
+		controller.RelayProxyJoined{Proxy: 3, Zone: "b", Rate: 7, Fresh: true},
 	})
 	b.events = append(b.events, `{"sim_time":0,"batch":1,"happened":[`+
 		`{"kind":"spawn","i":"pilot/0","rng_seed":5,"setup":`+strings.ReplaceAll(operatorSettings, "\n", "")+`},`+
@@ -76,11 +76,11 @@
 // report reports one endpoint's load and one proxy's requests.
 func (b *bothSides) report(second int, load float64) {
 	b.core.Handle(float64(1000*second), []controller.Input{
-		controller.ZoneMet{
-			Zone: "b", Endpoint: "10.0.0.1:1", Tries: 30, Failed: second, MeanMs: 20, SpanMs: 1000,
+		controller.ZoneStats{
+			Zone: "b", Endpoint: "10.0.0.1:1", Attempts: 30, Failed: second, MeanMs: 20, SpanMs: 1000,
 			Load: map[string]float64{"util": load, "qps": 30},
 		},
-		controller.ProxyDemand{Proxy: 3, Kind: "write", Reqs: 30, SpanMs: 1000},
+		controller.ProxyStats{Proxy: 3, Class: "write", Requests: 30, SpanMs: 1000},
 	})
 	b.events = append(b.events, fmt.Sprintf(`{"sim_time":%d,"batch":2,"happened":[`+
 		`{"kind":"tally","i":"pilot/0","endpoint":"10.0.0.1:1","zone":"b","count":30,"errors":%d,`+
@@ -102,19 +102,19 @@
 func TestSameSettingsSameOrders(t *testing.T) {
 	p := newPlacement(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1")
 	relay := &recordingRelay{}
-	sides := &bothSides{core: controller.NewCore(controller.Plan{
-		Decider:     planner.New(5, p.Deployment.Terms),
-		Terms:       p.Deployment.Terms,
-		Zones:       p.Deployment.Zones.All(),
-		Machines:    p.Deployment.Machines.All(),
-		Kinds:       p.Deployment.Kinds.All(),
-		MostProxies: p.Proxies,
-		Relay:       relay,
-		List:        noEndpointSource{},
-		Prober:      healthcheck.Never{},
-		Peers:       gossip.Nobody{},
-		Log:         func(string) {},
-		Odd:         func(what string, _ ...string) { t.Error(what) },
+	sides := &bothSides{core: controller.NewCore(controller.Options{
+		Decider:        planner.New(5, p.Deployment.Settings),
+		Settings:       p.Deployment.Settings,
+		Zones:          p.Deployment.Zones.All(),
+		Machines:       p.Deployment.Machines.All(),
+		Classes:        p.Deployment.Classes.All(),
+		MaxProxies:     p.Proxies,
+		Relay:          relay,
+		EndpointSource: noEndpointSource{},
+		HealthChecker:  healthcheck.Disabled{},
+		Gossip:         gossip.Disabled{},
+		Log:            func(string) {},
+		Malformed:      func(what string, _ ...string) { t.Error(what) },
 	})}
 	sides.start()
 	sides.controlRound(0)
