--- a/internal/controller/relayed.go
+++ b/internal/controller/relayed.go
@@ -125,9 +125,10 @@
 
 // ReportStats counts what the core took in of reports, for the pilot's own book-keeping.
 type ReportStats struct {
-	Reports, Malformed int
-	SpanMs             float64 // that all reports covered
-	Listed             int     // endpoints on the list as held
+	Reports   int     `json:"Reports"`
+	Malformed int     `json:"Odd"`
+	SpanMs    float64 `json:"SpanMs"` // that all reports covered
+	Listed    int     `json:"Listed"` // endpoints on the list as held
 }
 
 // retiredMs is how long an endpoint's index stays its own once it is off the list: longer than anything that may still
