--- a/internal/platform/simulator_test.go
+++ b/internal/platform/simulator_test.go
@@ -20,8 +20,8 @@
 // recordingRelay keeps the commands that a core hands to its relay.
 type recordingRelay struct{ lines []string }
 
-// Carry keeps the commands that the simulator has as well.
-func (r *recordingRelay) Carry(turn []planner.Command, endpoint func(int) string) {
+// Enqueue keeps the commands that the simulator has as well.
+func (r *recordingRelay) Enqueue(turn []planner.Command, endpoint func(int) string) {
 	for _, c := range turn {
 		switch c := c.(type) {
 		case planner.SetWeight:
@@ -34,8 +34,8 @@
 	}
 }
 
-// Gone does nothing.
-func (r *recordingRelay) Gone(int) {}
+// ProxyLeft does nothing.
+func (r *recordingRelay) ProxyLeft(int) {}
 
 // noEndpointSource ignores all requests.
 type noEndpointSource struct{}
