--- a/internal/platform/discovery/client.go
+++ b/internal/platform/discovery/client.go
@@ -39,39 +39,39 @@
 }
 
 // Watch starts or stops following the list.
-func (a *Client) Watch(on bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.watching = on
-	a.signal()
+func (c *Client) Watch(on bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.watching = on
+	c.signal()
 }
 
 // Fetch requests the whole list once.
-func (a *Client) Fetch() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.fetch = true
-	a.signal()
+func (c *Client) Fetch() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.fetch = true
+	c.signal()
 }
 
 // SetAddress changes the address. The call in flight is cancelled, the version is kept.
-func (a *Client) SetAddress(address string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.address == address {
+func (c *Client) SetAddress(address string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.address == address {
 		return
 	}
-	a.address = address
-	if a.cancelCall != nil {
-		a.cancelCall()
+	c.address = address
+	if c.cancelCall != nil {
+		c.cancelCall()
 	}
-	a.signal()
+	c.signal()
 }
 
 // signal wakes Run if it waits.
-func (a *Client) signal() {
+func (c *Client) signal() {
 	select {
-	case a.wake <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default: // a wake-up is already pending
 	}
 }
--- a/internal/platform/discovery/watch.go
+++ b/internal/platform/discovery/watch.go
@@ -31,41 +31,41 @@
 const membersPath = "/catalog/members"
 
 // Run follows the list until ctx ends.
-func (a *Client) Run(ctx context.Context) error {
+func (c *Client) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		a.runOnce(ctx)
+		c.runOnce(ctx)
 	}
 	return nil
 }
 
 // runOnce watches on one connection or, if nothing is to be requested, waits. A change of the address ends either.
-func (a *Client) runOnce(ctx context.Context) {
+func (c *Client) runOnce(ctx context.Context) {
 	callCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	a.mu.Lock()
-	address := a.address
-	wanted := a.watching || a.fetch
-	a.cancelCall = cancel
-	a.mu.Unlock()
+	c.mu.Lock()
+	address := c.address
+	wanted := c.watching || c.fetch
+	c.cancelCall = cancel
+	c.mu.Unlock()
 	if !wanted {
 		select {
-		case <-a.wake:
+		case <-c.wake:
 		case <-callCtx.Done():
 		}
 		return
 	}
-	err := a.watchOn(callCtx, address)
+	err := c.watchOn(callCtx, address)
 	if err == nil || callCtx.Err() != nil { // nothing more to request, or not at this address
 		return
 	}
-	a.Counters.Failed.Add(1)
-	a.log.Debug("discovery", zap.String("address", address), zap.Error(err))
+	c.Counters.Failed.Add(1)
+	c.log.Debug("discovery", zap.String("address", address), zap.Error(err))
 	backoff.Sleep(ctx, retryDelay)
 }
 
 // watchOn makes calls on one connection until an error, until discovery closes it, or until nothing is to be
 // requested.
-func (a *Client) watchOn(ctx context.Context, address string) error {
+func (c *Client) watchOn(ctx context.Context, address string) error {
 	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return fmt.Errorf("dial discovery: %w", err)
@@ -75,11 +75,11 @@
 	defer stop()
 	reader := bufio.NewReader(conn)
 	for {
-		path, timeout, wanted := a.nextRequest()
+		path, timeout, wanted := c.nextRequest()
 		if !wanted {
 			return nil
 		}
-		a.Counters.Calls.Add(1)
+		c.Counters.Calls.Add(1)
 		answer, err := get(conn, reader, address, path, timeout)
 		if err != nil {
 			return err
@@ -88,8 +88,8 @@
 		if err != nil {
 			return err
 		}
-		a.Counters.Malformed.Add(int64(malformed))
-		if err := a.deliver(ctx, list, path == membersPath); err != nil {
+		c.Counters.Malformed.Add(int64(malformed))
+		if err := c.deliver(ctx, list, path == membersPath); err != nil {
 			return err
 		}
 		if answer.closing {
@@ -99,32 +99,32 @@
 }
 
 // nextRequest returns the path and timeout of the next call, and whether there is one to make.
-func (a *Client) nextRequest() (path string, timeout time.Duration, wanted bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if !a.watching && !a.fetch {
+func (c *Client) nextRequest() (path string, timeout time.Duration, wanted bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.watching && !c.fetch {
 		return "", 0, false
 	}
-	if a.fetch || !a.hasList {
-		a.fetch = false
+	if c.fetch || !c.hasList {
+		c.fetch = false
 		return membersPath, answerTimeout, true
 	}
-	path = fmt.Sprintf("%s?index=%d&wait=%d", membersPath, a.version, watchWait.Milliseconds())
+	path = fmt.Sprintf("%s?index=%d&wait=%d", membersPath, c.version, watchWait.Milliseconds())
 	return path, watchWait + answerTimeout, true
 }
 
 // deliver posts a list and records its version. Changes without entries are only a keepalive. Changes without their
 // base, because the whole list was requested or the version decreased, are posted as well, but then an error is
 // returned and the whole list is requested next.
-func (a *Client) deliver(ctx context.Context, list *wire.List, askedWhole bool) error {
-	a.mu.Lock()
-	withoutBase := !list.Whole && (askedWhole || a.hasList && list.Version < a.version)
-	a.hasList = !withoutBase
-	a.version = list.Version
-	a.mu.Unlock()
+func (c *Client) deliver(ctx context.Context, list *wire.List, askedWhole bool) error {
+	c.mu.Lock()
+	withoutBase := !list.Whole && (askedWhole || c.hasList && list.Version < c.version)
+	c.hasList = !withoutBase
+	c.version = list.Version
+	c.mu.Unlock()
 	if list.Whole || len(list.Entries) > 0 {
-		a.Counters.Lists.Add(1)
-		if err := a.inbox.Post(ctx, controller.EndpointsListed{List: list}); err != nil {
+		c.Counters.Lists.Add(1)
+		if err := c.inbox.Post(ctx, controller.EndpointsListed{List: list}); err != nil {
 			return err
 		}
 	}
