--- a/internal/platform/relay/connection.go
+++ b/internal/platform/relay/connection.go
@@ -70,7 +70,10 @@
 // reusable reports whether the open connection, if any, leads to address and is still usable: the relay has neither
 // closed it nor sent anything unexpected.
 func (c *connection) reusable(address string) bool {
-	return c.conn != nil && c.address == address && time.Since(c.lastUsed) <= maxIdle && connstate.Peek(c.conn) == connstate.Idle
+	if c.conn == nil || c.address != address || time.Since(c.lastUsed) > maxIdle {
+		return false
+	}
+	return connstate.Peek(c.conn) == connstate.Idle
 }
 
 func (c *connection) open(ctx context.Context, address string) error {
--- a/internal/platform/relay/eventstream.go
+++ b/internal/platform/relay/eventstream.go
@@ -33,8 +33,8 @@
 	lineBufferBytes = 4096
 )
 
-// EventStream receives the relay's events on two subscriptions and merges them into one sequence without duplicates. Only
-// after a gap, in which neither was connected, does it infer events from the next snapshot.
+// EventStream receives the relay's events on two subscriptions and merges them into one sequence without duplicates.
+// Only after a gap, in which neither was connected, does it infer events from the next snapshot.
 type EventStream struct {
 	Counters *Counters
 
@@ -55,8 +55,8 @@
 	return &EventStream{Counters: c, inbox: inbox, log: log, address: address, members: map[int]*member{}}
 }
 
-// SetAddress changes the relay's address. The first subscription moves at once, the second after the first has received its
-// snapshot at the new address (endSnapshot), so that no gap arises.
+// SetAddress changes the relay's address. The first subscription moves at once, the second after the first has
+// received its snapshot at the new address (endSnapshot), so that no gap arises.
 func (s *EventStream) SetAddress(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/platform/relay/queue_test.go
+++ b/internal/platform/relay/queue_test.go
@@ -23,7 +23,11 @@
 func TestSupersededCommands(t *testing.T) {
 	sender := startSender(t, closedAddress(t))
 	for w := 1; w <= 100; w++ {
-		turn := []planner.Command{setWeight(1, float64(w)), planner.AssignTable{Table: 1, Proxy: 3}, planner.AckRequest{Number: w}}
+		turn := []planner.Command{
+			setWeight(1, float64(w)),
+			planner.AssignTable{Table: 1, Proxy: 3},
+			planner.AckRequest{Number: w},
+		}
 		sender.Enqueue(turn, endpointName)
 	}
 	sender.Enqueue([]planner.Command{planner.SetExcluded{Endpoint: 2, Excluded: true}, setWeight(2, 0)}, endpointName)
--- a/internal/platform/relay/retry_test.go
+++ b/internal/platform/relay/retry_test.go
@@ -67,7 +67,10 @@
 	sender.Enqueue([]planner.Command{setWeight(1, 2), planner.AckRequest{Number: 5}}, endpointName)
 	eventually(t, func() bool { return sender.Counters.Probes.Load() >= 3 })
 	for number := 6; number < 9; number++ {
-		turn := []planner.Command{planner.SetWeight{Table: number, Endpoint: 1, Weight: 2}, planner.AckRequest{Number: number}}
+		turn := []planner.Command{
+			planner.SetWeight{Table: number, Endpoint: 1, Weight: 2},
+			planner.AckRequest{Number: number},
+		}
 		sender.Enqueue(turn, endpointName)
 	}
 	eventually(t, func() bool { return sender.Counters.Probes.Load() >= 5 })
