--- /dev/null
+++ b/internal/platform/relay/outage_test.go
@@ -0,0 +1,35 @@
+package relay
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// TestOutageBackoff checks that pauses double up to the maximum, and start anew after the relay was reached.
+func TestOutageBackoff(t *testing.T) {
+	o := newOutage()
+	unreachable := errors.New("unreachable")
+	for _, want := range []time.Duration{20, 40, 80, 160, 320, 320} {
+		assert.Equal(t, want*time.Millisecond, o.nextPause(unreachable))
+	}
+	assert.Equal(t, notStartedBackoff, o.nextPause(fmt.Errorf("answer: %w", errRunNotStarted)))
+	assert.Equal(t, minBackoff, o.nextPause(unreachable))
+}
+
+// TestOutageStates checks that an outage begins with the first failed call, whatever fails later, and that no report of
+// it reads as its end.
+func TestOutageStates(t *testing.T) {
+	o := newOutage()
+	assert.False(t, o.active())
+	began := time.Now()
+	o.begin(began)
+	o.begin(began.Add(time.Hour))
+	assert.True(t, o.active())
+	assert.Equal(t, began, o.since)
+	assert.GreaterOrEqual(t, o.unreportedMs(), 1.0)
+	assert.GreaterOrEqual(t, o.unreportedMs(), 1.0, "reported just now")
+}
