--- /dev/null
+++ b/internal/platform/discovery/client_test.go
@@ -0,0 +1,92 @@
+package discovery
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"go.uber.org/goleak"
+	"go.uber.org/zap"
+
+	"indigousher/internal/controller"
+	"indigousher/internal/wire"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// inbox keeps the lists that are posted to it.
+type inbox struct {
+	mu  sync.Mutex
+	got []*wire.List
+}
+
+// Post keeps a list, and takes nothing else.
+func (b *inbox) Post(_ context.Context, in controller.Input) error {
+	listed, ok := in.(controller.EndpointsListed)
+	if !ok {
+		return fmt.Errorf("unexpected input %T", in)
+	}
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.got = append(b.got, listed.List)
+	return nil
+}
+
+func (b *inbox) versions() (versions []int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, list := range b.got {
+		versions = append(versions, list.Version)
+	}
+	return versions
+}
+
+// run runs a client until the test ends.
+func run(t *testing.T, client *Client) {
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan error, 1)
+	go func() { ended <- client.Run(ctx) }()
+	t.Cleanup(func() {
+		cancel()
+		assert.NoError(t, <-ended)
+	})
+}
+
+// eventually waits for a condition that other goroutines establish.
+func eventually(t *testing.T, condition func() bool) {
+	t.Helper()
+	require.Eventually(t, condition, 5*time.Second, time.Millisecond)
+}
+
+// TestSetAddress checks a reload: the list is neither forgotten nor posted twice.
+func TestSetAddress(t *testing.T) {
+	before := newScriptedAgent(t, list(4, true, "x"))
+	after := newScriptedAgent(t, list(5, false, "y"))
+	b := &inbox{}
+	client := New(before.address(), true, b, zap.NewNop())
+	run(t, client)
+	eventually(t, func() bool { return len(before.asked()) > 1 })
+	client.SetAddress(after.address())
+	client.SetAddress(after.address())
+	eventually(t, func() bool { return len(after.asked()) > 1 })
+	assert.Equal(t, []int{4, 5}, b.versions())
+	assert.Contains(t, after.asked()[0], "index=")
+}
+
+// TestOnRequest checks that nothing is requested before the planner asks for it.
+func TestOnRequest(t *testing.T) {
+	s := newScriptedAgent(t, list(4, true, "x"), list(5, true, "x"))
+	b := &inbox{}
+	client := New(s.address(), false, b, zap.NewNop())
+	run(t, client)
+	time.Sleep(20 * time.Millisecond)
+	assert.Empty(t, s.asked())
+	client.Fetch()
+	eventually(t, func() bool { return len(b.versions()) == 1 })
+	client.Watch(true)
+	eventually(t, func() bool { return len(s.asked()) > 2 })
+}
--- /dev/null
+++ b/internal/platform/listener/collectors_test.go
@@ -0,0 +1,69 @@
+package listener
+
+import (
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// standing returns the number of a zone's connections.
+func (c *collectors) standing(zone string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.byZone[zone])
+}
+
+// TestCollectorReconnects checks the number of descriptors when collectors lose their connections silently and
+// reconnect.
+func TestCollectorReconnects(t *testing.T) {
+	l, _, dial := startListener(t, 20)
+	var conns []net.Conn
+	for i := range 5 {
+		conns = append(conns, dial())
+		_, err := io.WriteString(conns[i], "collector locality=b\r\n")
+		require.NoError(t, err)
+		eventually(t, func() bool { return l.Counters.Collectors.Load() == int64(i+1) })
+	}
+	require.NoError(t, conns[0].SetReadDeadline(time.Now().Add(5*time.Second)))
+	_, err := conns[0].Read(make([]byte, 1))
+	assert.ErrorIs(t, err, io.EOF)
+	assert.Equal(t, maxCollectorsPerZone, l.collectors.standing("b"))
+}
+
+// TestOlderCollectorConnectionClosesLast checks a collector that reconnects before its old connection ends, and
+// closes that one later: the reports on the new one are posted. A connection that resets while it is rejected has no
+// effect on others.
+func TestOlderCollectorConnectionClosesLast(t *testing.T) {
+	l, b, dial := startListener(t, 20)
+	join := func(number int64) net.Conn {
+		conn := dial()
+		_, err := io.WriteString(conn, "collector locality=a\r\n")
+		require.NoError(t, err)
+		eventually(t, func() bool { return l.Counters.Collectors.Load() == number })
+		return conn
+	}
+	older := join(1)
+	newer := join(2)
+	_, err := io.WriteString(older, proxyLine+"usage node=3 route=re") // its last line is half
+	require.NoError(t, err)
+	eventually(t, func() bool { return len(b.all()) == 1 })
+	require.NoError(t, older.Close())
+	eventually(t, func() bool { return l.collectors.standing("a") == 1 })
+
+	rude, ok := dial().(*net.TCPConn)
+	require.True(t, ok)
+	_, err = io.WriteString(rude, strings.Repeat("x", 1000))
+	require.NoError(t, err)
+	require.NoError(t, rude.SetLinger(0))
+	require.NoError(t, rude.Close())
+
+	_, err = io.WriteString(newer, proxyLine)
+	require.NoError(t, err)
+	eventually(t, func() bool { return len(b.all()) == 2 })
+	assert.Equal(t, b.all()[0], b.all()[1], "half a line is nothing")
+}
--- /dev/null
+++ b/internal/platform/placement/restart_test.go
@@ -0,0 +1,29 @@
+package placement
+
+import (
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+func TestRequiresRestart(t *testing.T) {
+	old, err := Parse([]byte(goodFile))
+	require.NoError(t, err)
+	for name, c := range map[string]struct {
+		from, to string
+		want     []string
+	}{
+		"relay":     {`6400`, `6401`, nil},
+		"discovery": {`8500`, `8501`, nil},
+		"name":      {`"n3"`, `"n4"`, []string{"name"}},
+		"settings":  {`"backlog":1200`, `"backlog":1300`, []string{"settings"}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			now, err := Parse([]byte(strings.Replace(goodFile, c.from, c.to, 1)))
+			require.NoError(t, err)
+			assert.Equal(t, c.want, RequiresRestart(old, now))
+		})
+	}
+}
