--- /dev/null
+++ b/internal/platform/placement/parse.go
@@ -0,0 +1,65 @@
+package placement
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+
+	"indigousher/internal/config"
+)
+
+// ErrNoFile says that the environment does not name a file.
+var ErrNoFile = errors.New("NODE_CONFIG is not set")
+
+// Read reads the file that NODE_CONFIG names. NODE_NAME and NODE_LISTEN have to agree with it if they are set.
+func Read(getenv func(string) string) (*Placement, error) {
+	path := getenv("NODE_CONFIG")
+	if path == "" {
+		return nil, ErrNoFile
+	}
+	p, err := ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	for _, v := range []struct{ variable, field, value string }{
+		{"NODE_NAME", "name", p.Name},
+		{"NODE_LISTEN", "listen", p.Listen},
+	} {
+		expected := getenv(v.variable)
+		if expected != "" && expected != v.value {
+			return nil, wrongField(v.field, "%s: %s is %q, but %s is %q", path, v.field, v.value, v.variable, expected)
+		}
+	}
+	return p, nil
+}
+
+// ReadFile reads and validates a file.
+func ReadFile(path string) (*Placement, error) {
+	text, err := config.ReadFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("read NODE_CONFIG: %w", err)
+	}
+	p, err := Parse(text)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return p, nil
+}
+
+// Parse parses and validates the text of a file. It returns a FieldError for an invalid field.
+func Parse(text []byte) (*Placement, error) {
+	if len(text) > config.MostBytes {
+		return nil, fmt.Errorf("longer than %d bytes", config.MostBytes)
+	}
+	p := &Placement{}
+	if err := json.Unmarshal(text, p); err != nil {
+		return nil, fmt.Errorf("not readable: %w", err)
+	}
+	checks := []func() error{p.checkAddresses, p.parseSeed, p.checkLimits, p.parseKnown, p.parseSettings}
+	for _, check := range checks {
+		if err := check(); err != nil {
+			return nil, err
+		}
+	}
+	return p, nil
+}
