--- a/planner/publisher.go
+++ b/planner/publisher.go
@@ -50,10 +50,11 @@
 // table is a routing table of the proxies of a subset, for a class group.
 type table struct {
 	number          int
-	sent, wanted    map[int]float64      // weights by endpoint, as last sent and as last planned
+	sent            map[int]float64      // weights by endpoint, as last sent
+	wanted          map[int]float64      // weights by endpoint, as last planned
 	admissionSent   map[int]SetAdmission // by class mask
 	admissionWanted map[int]SetAdmission
-	planned         bool    // again since the last push
+	planned         bool    // since the last push
 	pending         int     // urgent lines that did not fit in the last push
 	pushedAt        float64 // ms, when lines or levels of it last went out
 }
