--- /dev/null
+++ b/planner/endpoint.go
@@ -0,0 +1,140 @@
+package planner
+
+// This file holds the state of one endpoint and what it does in a control round.
+
+import "math"
+
+// endpoint is an actor: it keeps what is known of one endpoint, and offers it to the regions in each round. Load and
+// health belong to one incarnation of the process and are reset when the endpoint restarts.
+type endpoint struct {
+	Entry   // as last listed
+	mailbox mailbox[endpointMessage]
+	planner *Planner
+
+	listed    bool
+	restarted bool // it has restarted since it was first listed
+	load      loadEstimate
+	penalty   float64             // lambda in the paper
+	health    map[int]*zoneHealth // by the zone of the observing proxies
+	plans     planHistory
+}
+
+// newEndpoint returns an endpoint that has not been listed yet.
+func newEndpoint(p *Planner, index int) *endpoint {
+	e := &endpoint{
+		Entry: Entry{Endpoint: index}, planner: p, load: newLoadEstimate(), plans: newPlanHistory(),
+		health: map[int]*zoneHealth{},
+	}
+	e.mailbox.receive = e.receive
+	return e
+}
+
+// receive handles a message to the endpoint.
+func (e *endpoint) receive(message endpointMessage) {
+	switch message := message.(type) {
+	case Entry:
+		e.updateEntry(message)
+	case EndpointStats:
+		e.healthIn(message.Zone).count(message)
+		e.takeReport(message.Load)
+	case HealthCheckResult:
+		e.takeReport(message.Load)
+	case plannedShare:
+		e.plans.set(message.plan, message.share)
+	case roundStart:
+		e.controlRound(message.timed)
+	}
+}
+
+// updateEntry applies an entry of the endpoint list. If the endpoint has restarted, it forgets the former incarnation.
+func (e *endpoint) updateEntry(entry Entry) {
+	if e.listed && entry.Started != e.Started {
+		e.health = map[int]*zoneHealth{}
+		e.penalty = 0
+		e.load.reset()
+		e.restarted = true
+	}
+	wasReady := !e.listed || e.Phase == Ready
+	if ready := entry.Phase == Ready; ready != wasReady {
+		e.planner.publisher.mailbox.enqueue(availability{entry.Endpoint, ready})
+	}
+	e.Entry = entry
+	e.listed = true
+}
+
+// takeReport applies a load report.
+func (e *endpoint) takeReport(report Load) {
+	e.countSpeed(report)
+	if load, known := e.load.fromReport(report); known {
+		e.load.add(load, e.planner.now)
+	}
+}
+
+// controlRound updates the endpoint and offers it to each region as a candidate.
+func (e *endpoint) controlRound(timed bool) {
+	if !e.listed {
+		return
+	}
+	fresh := e.load.isFresh(e.planner.now)
+	load := e.planner.load.mean // an endpoint without recent reports counts as average
+	if fresh {
+		load = e.load.value
+	}
+	if timed {
+		e.stepPenalty(load, fresh)
+		e.checkHealth()
+	}
+	offer := candidate{
+		Entry: e.Entry, load: load, penalty: e.penalty, weight: e.effectiveWeight(),
+		warmUp: e.planner.warmUp(e.Started),
+	}
+	for _, r := range e.planner.regions {
+		e.offerTo(r, offer, timed)
+	}
+}
+
+// offerTo offers the endpoint to a region, with its health as the region's own proxies see it.
+func (e *endpoint) offerTo(r *region, offer candidate, timed bool) {
+	health := e.healthIn(r.zone)
+	offer.attempts = health.attempts
+	offer.failures = health.failures
+	if timed {
+		e.updateHealth(r, health)
+	}
+	offer.trust = health.trust
+	if health.ejected {
+		offer.trust = 0
+	}
+	r.mailbox.enqueue(&offer)
+}
+
+// checkHealth commands a health check, if the deployment allows for them. Controllers take turns once the endpoint's
+// speed is known well enough.
+func (e *endpoint) checkHealth() {
+	if !e.planner.settings.HealthChecks || e.Phase != Ready {
+		return
+	}
+	every := 1
+	if _, reports := e.load.speeds.mean(); reports >= enoughSpeeds {
+		every = max(1, int(e.planner.settings.Instances))
+	}
+	if (e.planner.rounds+e.Endpoint)%every == 0 {
+		e.planner.command(HealthCheck{Endpoint: e.Endpoint})
+	}
+}
+
+// effectiveWeight returns the listed weight, corrected by the endpoint's speed relative to the fleet's mean. The
+// correction is bounded, and small while there are few reports.
+func (e *endpoint) effectiveWeight() float64 {
+	weight := 1.0
+	if e.Weight > 0 {
+		weight = e.Weight
+	}
+	speed, reports := e.load.speeds.mean()
+	if speed <= 0 {
+		return weight
+	}
+	usual, _ := e.planner.load.speeds.mean()
+	correction := math.Max(minSpeedCorrection, math.Min(maxSpeedCorrection, speed/usual))
+	return weight * math.Pow(correction, reports/(reports+priorSpeeds))
+}
