--- a/intake/tell.go
+++ b/intake/flush.go
@@ -8,6 +8,15 @@
 	"indigousher/brain"
 )
 
+// Met is a sum that is passed on: brain.Met but for the load report, with its age.
+type Met[L any] struct {
+	Endpoint, Zone int
+	Tries, Failed  float64
+	MeanMs, SpanMs float64
+	Load           L
+	HasLoad        bool
+}
+
 // Told is what one period passes on.
 type Told[L any] struct {
 	Mets    []Met[L]
--- a/intake/share.go
+++ b/intake/quota.go
@@ -1,7 +1,6 @@
 package intake
 
 import (
-	"hash/crc32"
 	"maps"
 	"math"
 	"slices"
@@ -101,75 +100,3 @@
 	sh.turn(all, in.terms)
 	return in.advise()
 }
-
-// Figures of the advice: beyond which part of the pace senders are slowed, below which they are released, for how long
-// it must have been so, and room that a sender's share leaves above what it brought.
-const (
-	crowdPart  = 0.9
-	calmPart   = 0.5
-	calmenough = 3
-	headroom   = 1.25
-	leastAsked = 4 // lines that a sender is never asked to stay below
-)
-
-// turn sets the factor: at once to what a crowd asks for, back one step at a time.
-func (sh *shares) turn(all float64, t Terms) {
-	most := max(1, t.Slowest)
-	switch pace := t.LinesPerS; {
-	case all > crowdPart*pace:
-		sh.factor = min(most, max(sh.factor, int(math.Ceil(float64(sh.factor)*all/(crowdPart*pace)))))
-		sh.calmFor = 0
-	case sh.factor > 1 && all*float64(sh.factor)/float64(sh.factor-1) < calmPart*pace:
-		if sh.calmFor++; sh.calmFor >= calmenough {
-			sh.factor, sh.calmFor = sh.factor-1, 0
-		}
-	default:
-		sh.calmFor = 0
-	}
-}
-
-// advise returns what has changed for each sender. Those that are released hear of it in turns, an eighth of them a
-// second, so that their reports do not come back together.
-func (in *Intake[L]) advise() (advice []Advice) {
-	sh := &in.share
-	turn := int(sh.secondMs/1000) % 8
-	for _, id := range slices.Sorted(maps.Keys(in.senders)) {
-		told := max(1, sh.advised[id])
-		if told == sh.factor || sh.factor < told && int(crc32.ChecksumIEEE([]byte{byte(id), byte(id >> 8), byte(id >> 16)}))%8 != turn {
-			continue
-		}
-		sh.advised[id] = sh.factor
-		a := Advice{Sender: id, PeriodMs: in.terms.PeriodMs * float64(sh.factor), Changes: sh.factor > 2}
-		if sh.factor > 1 {
-			a.Lines = max(leastAsked, int(in.share.levels[in.senders[id].zone]*a.PeriodMs/1000))
-		}
-		advice = append(advice, a)
-	}
-	maps.DeleteFunc(sh.advised, func(id, _ int) bool { return in.senders[id] == nil })
-	return advice
-}
-
-// offset estimates how far a sender's clock is from ours: the least difference seen lately is that of a report that
-// came straight. Two windows in turn let it follow a clock that drifts or jumps.
-type offset struct {
-	now, before float64
-	since       float64
-	known       bool
-}
-
-// windowMs is how long a least difference is believed.
-const windowMs = 30000.0
-
-// age returns how long a report has been on its way beyond the shortest known.
-func (o *offset) age(nowMs, sentMs float64) float64 {
-	d := nowMs - sentMs
-	if !o.known || d < math.Min(o.now, o.before)-windowMs || d > math.Max(o.now, o.before)+windowMs {
-		*o = offset{now: d, before: d, since: nowMs, known: true} // first, or the clock has jumped
-		return 0
-	}
-	if nowMs-o.since > windowMs {
-		o.before, o.now, o.since = o.now, d, nowMs
-	}
-	o.now = math.Min(o.now, d)
-	return math.Max(0, d-math.Min(o.now, o.before))
-}
