--- a/intake/endpoint.go
+++ b/intake/endpoint.go
@@ -3,33 +3,33 @@
 import "indigousher/brain"
 
 type endpoint struct {
-	started float64
-	listed  bool
-	drains  bool
-	failing bool // seen to fail when last told
+	startedMs float64
+	listed    bool
+	draining  bool
+	failing   bool // seen to fail when last told
 }
 
 // List tells of an endpoint. One that is gone or has started anew loses what waits of it: it was another's.
-func (in *Intake[L]) List(nowMs float64, id int, phase brain.Phase, startedMs float64) {
-	e := in.endpoints[id]
+func (a *Intake[L]) List(nowMs float64, id int, phase brain.Phase, startedMs float64) {
+	e := a.endpoints[id]
 	if e == nil {
 		e = &endpoint{}
-		in.endpoints[id] = e
+		a.endpoints[id] = e
 	}
-	if phase == brain.Gone || e.listed && startedMs != e.started {
-		for key, m := range in.mets {
+	if phase == brain.Gone || e.listed && startedMs != e.startedMs {
+		for key, m := range a.endpointSums {
 			if key.endpoint == id {
-				in.forget(m)
-				delete(in.mets, key)
+				a.dequeue(m)
+				delete(a.endpointSums, key)
 			}
 		}
 		*e = endpoint{}
 	}
-	e.listed, e.started, e.drains = phase != brain.Gone, startedMs, phase == brain.Draining
+	e.listed, e.startedMs, e.draining = phase != brain.Gone, startedMs, phase == brain.Draining
 	if phase == brain.Gone {
-		delete(in.endpoints, id)
+		delete(a.endpoints, id)
 	}
 }
 
-// failingPart is the part of failed tries from which an endpoint counts as failing.
-const failingPart = 0.2
+// failingFraction is the part of failed tries from which an endpoint counts as failing.
+const failingFraction = 0.2
--- a/intake/flush.go
+++ b/intake/flush.go
@@ -26,57 +26,57 @@
 }
 
 // Tell passes on what a period may: what is urgent first, then what has waited longest, whoever sent most.
-func (in *Intake[L]) Tell(nowMs, sinceMs float64) (out Told[L]) {
-	in.rescale(nowMs)
-	n := len(in.order)
-	if in.terms.ToldPerS > 0 {
-		n = min(n, max(1, int(math.Round(in.terms.ToldPerS*sinceMs/1000))))
+func (a *Intake[L]) Tell(nowMs, sinceMs float64) (out Told[L]) {
+	a.rescale(nowMs)
+	n := len(a.pending)
+	if a.terms.ToldPerS > 0 {
+		n = min(n, max(1, int(math.Round(a.terms.ToldPerS*sinceMs/1000))))
 	}
-	if n < len(in.order) {
-		slices.SortStableFunc(in.order, func(a, b *sum[L]) int {
+	if n < len(a.pending) {
+		slices.SortStableFunc(a.pending, func(a, b *sum[L]) int {
 			if a.urgent != b.urgent {
 				return map[bool]int{true: -1, false: 1}[a.urgent]
 			}
-			return cmp.Compare(a.sinceMs, b.sinceMs)
+			return cmp.Compare(a.queuedAtMs, b.queuedAtMs)
 		})
 	}
-	now := in.weight(nowMs)
-	for _, s := range in.order[:n] {
-		out.Ages = append(out.Ages, s.ages/math.Max(s.weights, 1e-300))
-		if s.ofDemand {
-			out.Demands = append(out.Demands, in.tellDemand(s, now))
-		} else if m, ok := in.tellMet(s, now); ok {
+	now := a.weight(nowMs)
+	for _, s := range a.pending[:n] {
+		out.Ages = append(out.Ages, s.ageMs/math.Max(s.weight, 1e-300))
+		if s.isDemand {
+			out.Demands = append(out.Demands, a.flushDemand(s, now))
+		} else if m, ok := a.flushEndpoint(s, now); ok {
 			out.Mets = append(out.Mets, m)
 		}
 	}
-	in.order = append(in.order[:0], in.order[n:]...)
-	out.Left = len(in.order)
+	a.pending = append(a.pending[:0], a.pending[n:]...)
+	out.Left = len(a.pending)
 	return out
 }
 
-// tellMet turns a sum into what it stands for now and begins it anew.
-func (in *Intake[L]) tellMet(s *sum[L], now float64) (m Met[L], ok bool) {
-	z := in.zone(s.met.zone)
-	m = Met[L]{Endpoint: s.met.endpoint, Zone: s.met.zone, Tries: s.tries / now, Failed: s.failed / now,
-		MeanMs: s.work / math.Max(s.good, 1e-300), Load: s.load, HasLoad: s.hasLoad}
-	m.SpanMs = (z.covered - s.covered) / now / math.Max(1, float64(z.senders))
-	if s.good == 0 {
+// flushEndpoint turns a sum into what it stands for now and begins it anew.
+func (a *Intake[L]) flushEndpoint(s *sum[L], now float64) (m Met[L], ok bool) {
+	z := a.zone(s.zoneEndpoint.zone)
+	m = Met[L]{Endpoint: s.zoneEndpoint.endpoint, Zone: s.zoneEndpoint.zone, Tries: s.attempts / now, Failed: s.failed / now,
+		MeanMs: s.busyMs / math.Max(s.succeeded, 1e-300), Load: s.load, HasLoad: s.hasLoad}
+	m.SpanMs = (z.covered - s.zoneCovered) / now / math.Max(1, float64(z.senders))
+	if s.succeeded == 0 {
 		m.MeanMs = 0
 	}
-	if e := in.endpoints[s.met.endpoint]; e != nil && m.Tries > 0 {
-		e.failing = m.Failed > failingPart*m.Tries
+	if e := a.endpoints[s.zoneEndpoint.endpoint]; e != nil && m.Tries > 0 {
+		e.failing = m.Failed > failingFraction*m.Tries
 	}
 	whole := math.Max(0, math.Round(m.Tries+s.carry)) // the module counts in whole tries
 	s.carry = m.Tries + s.carry - whole
 	m.Tries = whole
-	in.reset(s)
+	a.reset(s)
 	return m, m.SpanMs > 0
 }
 
-func (in *Intake[L]) tellDemand(s *sum[L], now float64) brain.Demand {
-	d := brain.Demand{Proxy: s.demand.proxy, Kind: s.demand.kind, Reqs: round(s.tries / now),
-		Unanswered: round(s.failed / now), SpanMs: s.span / now}
-	in.reset(s)
+func (a *Intake[L]) flushDemand(s *sum[L], now float64) brain.Demand {
+	d := brain.Demand{Proxy: s.proxyClass.proxy, Kind: s.proxyClass.class, Reqs: round(s.attempts / now),
+		Unanswered: round(s.failed / now), SpanMs: s.spanMs / now}
+	a.reset(s)
 	return d
 }
 
--- a/intake/report.go
+++ b/intake/report.go
@@ -26,19 +26,19 @@
 
 // Limits of what is believed.
 const (
-	mostStands  = 8     // reports that one may stand for
-	leastLines  = 1.0   // below so many lines of room a report is left to the next one
-	mostPerS    = 1e6   // tries a second at one endpoint from one proxy
-	mostMeanMs  = 1e7   // mean time of a try
-	loadTooLate = 20000 // ms after which a load report says nothing
+	maxReportsStoodFor = 8     // reports that one may stand for
+	minLines           = 1.0   // below so many lines of room a report is left to the next one
+	maxAttemptsPerS    = 1e6   // tries a second at one endpoint from one proxy
+	maxMeanMs          = 1e7   // mean time of a try
+	maxLoadAgeMs       = 20000 // ms after which a load report says nothing
 )
 
 // check refuses what can't be true, and what has been heard.
-func (in *Intake[L]) check(s *sender, r *Report[L]) (Reason, bool) {
+func (a *Intake[L]) check(s *sender, r *Report[L]) (Reason, bool) {
 	switch {
-	case r.Seq <= s.seq:
+	case r.Seq <= s.lastSeq:
 		return Repeated, false // or overtaken by a later one that stands for it
-	case !(r.SpanMs >= 0) || r.SpanMs > in.terms.LongestMs || math.IsInf(r.AtMs, 0) || math.IsNaN(r.AtMs):
+	case !(r.SpanMs >= 0) || r.SpanMs > a.terms.LongestMs || math.IsInf(r.AtMs, 0) || math.IsNaN(r.AtMs):
 		return Absurd, false
 	case r.SpanMs == 0 && len(r.Lines)+len(r.Kinds) > 0:
 		return NoSpan, false
@@ -47,6 +47,6 @@
 }
 
 func absurd[L any](l *Line[L], spanMs float64) bool {
-	return l.Tries < 0 || l.Failed < 0 || l.Failed > l.Tries || !(l.MeanMs >= 0) || l.MeanMs > mostMeanMs ||
-		float64(l.Tries) > mostPerS*math.Max(1, spanMs/1000)
+	return l.Tries < 0 || l.Failed < 0 || l.Failed > l.Tries || !(l.MeanMs >= 0) || l.MeanMs > maxMeanMs ||
+		float64(l.Tries) > maxAttemptsPerS*math.Max(1, spanMs/1000)
 }
--- a/intake/scale_test.go
+++ b/intake/scale_test.go
@@ -8,7 +8,7 @@
 	"indigousher/brain"
 )
 
-// BenchmarkTake measures how many lines a second one core takes in, and what the intake holds, by size. Reports have 20
+// BenchmarkTake measures how many lines a second one core adds, and what an aggregator holds, by size. Reports have 20
 // lines each; one operation is one report.
 func BenchmarkTake(b *testing.B) {
 	for _, c := range []struct{ endpoints, senders int }{{100, 100}, {1000, 1000}, {1000, 20000}, {10000, 1000}, {10000, 20000}} {
@@ -16,7 +16,7 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			t := terms()
+			t := testOptions()
 			t.LinesPerS = 1e9
 			in := New[float64](t)
 			for e := range c.endpoints {
--- a/intake/sender.go
+++ b/intake/sender.go
@@ -2,14 +2,14 @@
 
 // sender is a joined proxy.
 type sender struct {
-	zone    int
-	seq     uint64
-	clock   offset
-	tokens  float64
-	at      float64 // of the tokens
-	offered float64 // lines in this second
-	skipped int     // reports left out since the last that was taken
-	taken   int     // reports, all in all
+	zone       int
+	lastSeq    uint64
+	clock      clockOffset
+	tokens     float64
+	tokensAtMs float64 // of the tokens
+	offered    float64 // lines in this second
+	skipped    int     // reports left out since the last that was taken
+	accepted   int     // reports, all in all
 }
 
 type zone struct {
@@ -18,35 +18,35 @@
 }
 
 // Join takes a sender in. Its clock and numbers begin anew.
-func (in *Intake[L]) Join(nowMs float64, id, zoneOf int) bool {
-	in.Leave(id)
-	if in.terms.MostSenders > 0 && len(in.senders) >= in.terms.MostSenders {
+func (a *Intake[L]) Join(nowMs float64, id, zoneOf int) bool {
+	a.Leave(id)
+	if a.terms.MostSenders > 0 && len(a.senders) >= a.terms.MostSenders {
 		return false
 	}
-	in.senders[id] = &sender{zone: zoneOf, at: nowMs, tokens: in.share.start(in.terms)}
-	in.zone(zoneOf).senders++
+	a.senders[id] = &sender{zone: zoneOf, tokensAtMs: nowMs, tokens: a.quotas.initial(a.terms)}
+	a.zone(zoneOf).senders++
 	return true
 }
 
 // Leave forgets a sender and what waits of its demand.
-func (in *Intake[L]) Leave(id int) {
-	s := in.senders[id]
+func (a *Intake[L]) Leave(id int) {
+	s := a.senders[id]
 	if s == nil {
 		return
 	}
-	in.zone(s.zone).senders--
-	delete(in.senders, id)
-	for key, d := range in.demands {
+	a.zone(s.zone).senders--
+	delete(a.senders, id)
+	for key, d := range a.demandSums {
 		if key.proxy == id {
-			in.forget(d)
-			delete(in.demands, key)
+			a.dequeue(d)
+			delete(a.demandSums, key)
 		}
 	}
 }
 
-func (in *Intake[L]) zone(i int) *zone {
-	if in.zones[i] == nil {
-		in.zones[i] = &zone{}
+func (a *Intake[L]) zone(i int) *zone {
+	if a.zones[i] == nil {
+		a.zones[i] = &zone{}
 	}
-	return in.zones[i]
+	return a.zones[i]
 }
