--- a/intake/aggregator.go
+++ b/intake/aggregator.go
@@ -2,100 +2,132 @@
 
 import "math"
 
-// Intake holds the sums that wait. It is used by one goroutine at a time.
+const (
+	// maxReportsStoodFor is how many reports one may stand for: itself and those before it that never came or were left
+	// out. Beyond it the sender was silent, which is no rate.
+	maxReportsStoodFor = 8
+	// minLines is the quota, in lines, below which a report is left to the next one.
+	minLines = 1.0
+	// maxLoadAgeMs is the age from which an endpoint's load report says nothing about its present load.
+	maxLoadAgeMs = 20000
+)
+
+// Intake sums up what the proxies' reports say until it is passed on. It is not safe for concurrent use: its caller
+// holds a lock.
 type Intake[L any] struct {
-	terms        Terms
-	senders      map[int]*sender
-	zones        map[int]*zone
-	endpoints    map[int]*endpoint
+	terms      Terms
+	decay      decay
+	quotas     quotas
+	slowdown   slowdown
+	senders    map[int]*sender
+	zones      map[int]*zone
+	endpoints  map[int]*endpoint
+	candidates []candidate // reused from report to report
+
 	endpointSums map[zoneEndpoint]*sum[L]
 	demandSums   map[proxyClass]*sum[L]
-	pending      []*sum[L] // that wait, by when they began to
-	landmark     float64   // weights count from here
-	quotas       quotas
-	candidates   []candidate
-	Counts       [reasonCount]uint64
-	MostOrder    int // the most sums that have waited
+	pending      []*sum[L] // sums that have something to pass on, in the order in which they became pending
+
+	Counts    [reasonCount]uint64 // lines, by what became of them
+	MostOrder int                 // the most sums that have been pending at once
 }
 
-// New returns an intake that nobody has joined.
+// New returns an aggregator that no sender has joined.
 func New[L any](t Terms) *Intake[L] {
-	return &Intake[L]{terms: t, senders: map[int]*sender{}, zones: map[int]*zone{}, endpoints: map[int]*endpoint{},
-		endpointSums: map[zoneEndpoint]*sum[L]{}, demandSums: map[proxyClass]*sum[L]{}, quotas: newQuotas()}
+	return &Intake[L]{
+		terms:        t,
+		decay:        decay{halfLifeMs: t.HalfMs},
+		quotas:       newQuotas(t),
+		slowdown:     newSlowdown(t),
+		senders:      map[int]*sender{},
+		zones:        map[int]*zone{},
+		endpoints:    map[int]*endpoint{},
+		endpointSums: map[zoneEndpoint]*sum[L]{},
+		demandSums:   map[proxyClass]*sum[L]{},
+	}
 }
 
-// rescale moves the landmark up before weights grow out of their range.
-func (a *Intake[L]) rescale(nowMs float64) {
-	if nowMs-a.landmark < 200*a.terms.HalfMs {
-		return
-	}
-	f := 1 / a.weight(nowMs)
-	for _, z := range a.zones {
-		z.covered *= f
-	}
-	for _, m := range a.endpointSums {
-		m.rescale(f)
-	}
-	for _, d := range a.demandSums {
-		d.rescale(f)
-	}
-	a.landmark = nowMs
+// contribution is how the figures of one report count in the sums that they are added to.
+type contribution struct {
+	endMs   float64 // end of the span that the report covers, on our clock
+	spanMs  float64
+	ageMs   float64 // how long the report was on its way
+	weight  float64 // mean weight of the span
+	reports float64 // how many reports it stands for
 }
 
-// Take takes a report in. What it says is merged, sampled or refused; the counts tell which.
-func (a *Intake[L]) Take(nowMs float64, r *Report[L]) {
+// Take adds a report to the sums. Each of its lines is merged, sampled out or refused; Counts tells which.
+func (a *Intake[L]) Take(nowMs float64, report *Report[L]) {
 	a.rescale(nowMs)
-	lines := len(r.Lines) + len(r.Kinds)
-	s := a.senders[r.Sender]
+	lines := report.lineCount()
+	s := a.senders[report.Sender]
 	if s == nil {
 		a.Counts[Stranger] += uint64(lines)
 		return
 	}
 	s.offered += float64(lines)
-	if reason, ok := a.check(s, r); !ok {
+	c, room, reason := a.admit(nowMs, s, report)
+	if reason != Merged {
 		a.Counts[reason] += uint64(lines)
 		return
 	}
-	stands := float64(r.Seq - s.lastSeq) // for the reports before it that never came, too
+	a.zone(s.zone).covered += c.weight * report.SpanMs * c.reports
+	for i := range report.Kinds {
+		a.addDemand(nowMs, report.Sender, &report.Kinds[i], c)
+	}
+	kept := a.sample(nowMs, report, int(math.Min(room, math.MaxInt32))-len(report.Kinds))
+	for _, k := range kept {
+		a.addLine(nowMs, s.zone, &report.Lines[k.line], k, c)
+	}
+	a.Counts[Sampled] += uint64(len(report.Lines) - len(kept))
+	s.tokens -= float64(len(kept) + len(report.Kinds))
+}
+
+// admit decides whether a report is taken in. It returns how the report counts and how many of its lines its sender's
+// quota has room for, or, if the reason is not Merged, why the report is left out.
+func (a *Intake[L]) admit(nowMs float64, s *sender, report *Report[L]) (c contribution, room float64, reason Reason) {
+	if reason := report.validate(s.lastSeq, a.terms.LongestMs); reason != Merged {
+		return c, 0, reason
+	}
+	reports := float64(report.Seq - s.lastSeq) // those before it that never came are stood for, too
 	if s.lastSeq == 0 {
-		stands = 1
+		reports = 1
 	}
-	stands = math.Min(stands, maxReportsStoodFor)
-	s.lastSeq = r.Seq
-	age := s.clock.age(nowMs, r.AtMs)
-	if age > a.terms.LongestMs {
-		a.Counts[Late] += uint64(lines)
-		return
+	reports = math.Min(reports, maxReportsStoodFor)
+	s.lastSeq = report.Seq
+	ageMs := s.clock.age(nowMs, report.AtMs)
+	if ageMs > a.terms.LongestMs {
+		return c, 0, Late
 	}
-	room := a.quotas.refill(s, nowMs, a.terms)
-	// unlike thresholds keep senders that report in step from being left out in step
-	if room < math.Min(float64(lines), minLines*(1+uniform(r.Sender, 0, 0))) && s.skipped < maxReportsStoodFor-1 {
+	room = a.quotas.refill(s, nowMs, a.slowdown.factor)
+	if room < minRoom(report) && s.skipped < maxReportsStoodFor-1 {
 		s.skipped++
-		a.Counts[OverShare] += uint64(lines)
-		return
+		return c, 0, OverShare
 	}
-	stands = math.Min(stands+float64(s.skipped), maxReportsStoodFor)
+	reports = math.Min(reports+float64(s.skipped), maxReportsStoodFor)
 	s.skipped = 0
 	s.accepted++
-	end := nowMs - age
-	w := a.meanWeight(end, r.SpanMs)
-	a.zone(s.zone).covered += w * r.SpanMs * stands
-	for _, k := range r.Kinds {
-		a.addDemand(nowMs, r, k, w, stands, age)
-	}
-	kept := a.sample(nowMs, r, int(math.Min(room, math.MaxInt32))-len(r.Kinds))
-	for _, k := range kept {
-		a.addLine(nowMs, s, r, k, end, w, stands, age)
-	}
-	a.Counts[Sampled] += uint64(len(r.Lines) - len(kept))
-	s.tokens -= float64(len(kept) + len(r.Kinds))
+	endMs := nowMs - ageMs
+	c = contribution{
+		endMs:   endMs,
+		spanMs:  report.SpanMs,
+		ageMs:   ageMs,
+		weight:  a.decay.meanWeight(endMs, report.SpanMs),
+		reports: reports,
+	}
+	return c, room, Merged
+}
+
+// minRoom returns the quota, in lines, below which a report is left to the next one. Thresholds differ from sender to
+// sender: else senders that report in step would be left out in step, and whole seconds would lack reports.
+func minRoom[L any](report *Report[L]) float64 {
+	return math.Min(float64(report.lineCount()), minLines*(1+uniform(report.Sender, 0, 0)))
 }
 
-// addLine merges one line.
-func (a *Intake[L]) addLine(nowMs float64, s *sender, r *Report[L], k candidate, end, w, stands, age float64) {
-	l := &r.Lines[k.line]
-	e := a.endpoints[l.Endpoint]
-	if absurd(l, r.SpanMs) {
+// addLine adds one line of a report to the sum of its endpoint and zone.
+func (a *Intake[L]) addLine(nowMs float64, zoneID int, line *Line[L], k candidate, c contribution) {
+	e := a.endpoints[line.Endpoint]
+	if line.absurd(c.spanMs) {
 		a.Counts[Absurd]++
 		return
 	}
@@ -103,76 +135,110 @@
 		a.Counts[Unlisted]++
 		return
 	}
-	part := 1.0 // what falls into the life of the endpoint that is listed
-	if e.startedMs > end-r.SpanMs && e.startedMs != 0 {
-		part = (end - e.startedMs) / r.SpanMs
-	}
-	if part <= 0 {
+	current := e.currentFraction(c.endMs, c.spanMs)
+	if current <= 0 {
 		a.Counts[Restarted]++
 		return
 	}
-	m := a.pendingEndpointSum(nowMs, zoneEndpoint{l.Endpoint, s.zone}, k.foremost || l.Failed > 0)
-	if m == nil {
+	s := a.pendingEndpointSum(nowMs, zoneEndpoint{line.Endpoint, zoneID}, k.foremost || line.Failed > 0)
+	if s == nil {
 		a.Counts[Evicted]++
 		return
 	}
-	scale := w * stands * part * k.scale
-	good := float64(l.Tries - l.Failed)
-	m.attempts += scale * float64(l.Tries)
-	m.failed += scale * float64(l.Failed)
-	m.succeeded += scale * good
-	m.busyMs += scale * good * l.MeanMs
-	m.weight, m.ageMs = m.weight+w, m.ageMs+w*(age+r.SpanMs/2)
-	if l.HasLoad && part == 1 && (!m.hasLoad || end >= m.loadEndMs) && age < maxLoadAgeMs {
-		m.load, m.hasLoad, m.loadEndMs = l.Load, true, end
-	}
-	m.urgent = m.urgent || a.urgent(nowMs, e, m)
+	scale := c.weight * c.reports * current * k.scale
+	succeeded := float64(line.Tries - line.Failed)
+	s.attempts += scale * float64(line.Tries)
+	s.failed += scale * float64(line.Failed)
+	s.succeeded += scale * succeeded
+	s.busyMs += scale * succeeded * line.MeanMs
+	s.addAge(c)
+	if current == 1 { // else the load report may be of the former incarnation
+		s.updateLoad(line, c)
+	}
+	s.urgent = s.urgent || a.urgent(nowMs, e, s)
 	a.Counts[Merged]++
 }
 
-// urgent returns whether a sum must not wait: its endpoint begins to fail, is cold, or drains.
-func (a *Intake[L]) urgent(nowMs float64, e *endpoint, m *sum[L]) bool {
-	failing := m.failed > failingFraction*m.attempts && m.failed > 0
-	return failing && !e.failing || e.draining || e.startedMs != 0 && nowMs-e.startedMs < a.terms.ColdMs
+// updateLoad keeps a line's load report, unless there is none, it is old, or a newer one is held.
+func (s *sum[L]) updateLoad(line *Line[L], c contribution) {
+	if !line.HasLoad || c.ageMs >= maxLoadAgeMs {
+		return
+	}
+	if s.hasLoad && c.endMs < s.loadEndMs {
+		return
+	}
+	s.load = line.Load
+	s.hasLoad = true
+	s.loadEndMs = c.endMs
+}
+
+// urgent reports whether a sum must not wait: its endpoint begins to fail, warms up, or drains.
+func (a *Intake[L]) urgent(nowMs float64, e *endpoint, s *sum[L]) bool {
+	beginsToFail := s.failing() && !e.failing
+	return beginsToFail || e.draining || e.warmingUp(nowMs, a.terms.ColdMs)
 }
 
-// pendingEndpointSum returns the sum that a line belongs to, or nil where no more may wait.
+// pendingEndpointSum returns the sum that a line belongs to, made pending, or nil if no more may be. The first
+// contribution to a new sum counts the zone's reports of one period as covered: they said nothing of the endpoint.
 func (a *Intake[L]) pendingEndpointSum(nowMs float64, key zoneEndpoint, foremost bool) *sum[L] {
 	z := a.zone(key.zone)
-	m := a.endpointSums[key]
-	if m == nil {
-		m = &sum[L]{zoneEndpoint: key}
-		m.zoneCovered = z.covered - a.quotas.recentlyCovered(z, a.weight(nowMs), a.terms)
-		a.endpointSums[key] = m
-	}
-	if !m.queued && !a.makeRoom(foremost) {
-		m.zoneCovered = z.covered // what is not counted was not covered
+	s := a.endpointSums[key]
+	if s == nil {
+		s = &sum[L]{zoneEndpoint: key}
+		s.zoneCovered = z.covered - a.recentlyCovered(nowMs, z)
+		a.endpointSums[key] = s
+	}
+	if !s.queued && !a.makeRoom(foremost) {
+		s.zoneCovered = z.covered // what is not counted was not covered either
 		return nil
 	}
-	a.enqueue(nowMs, m)
-	return m
+	a.enqueue(nowMs, s)
+	return s
 }
 
-// addDemand merges one line of demand.
-func (a *Intake[L]) addDemand(nowMs float64, r *Report[L], k KindLine, w, stands, age float64) {
-	if k.Reqs < 0 || k.Unanswered < 0 || k.Unanswered > k.Reqs || float64(k.Reqs) > maxAttemptsPerS*math.Max(1, r.SpanMs/1000) {
+// recentlyCovered returns the weighed time that the reports of one period cover, of all the zone's senders.
+func (a *Intake[L]) recentlyCovered(nowMs float64, z *zone) float64 {
+	weight := a.decay.weight(nowMs)
+	return math.Min(z.covered, weight*a.terms.PeriodMs*float64(a.slowdown.factor)*float64(z.senders))
+}
+
+// addDemand adds one line of requests to the sum of its proxy and class.
+func (a *Intake[L]) addDemand(nowMs float64, proxy int, line *KindLine, c contribution) {
+	if line.absurd(c.spanMs) {
 		a.Counts[Absurd]++
 		return
 	}
-	key := proxyClass{r.Sender, k.Kind}
-	d := a.demandSums[key]
-	if d == nil {
-		d = &sum[L]{proxyClass: key, isDemand: true}
-		a.demandSums[key] = d
+	key := proxyClass{proxy, line.Kind}
+	s := a.demandSums[key]
+	if s == nil {
+		s = &sum[L]{proxyClass: key, isDemand: true}
+		a.demandSums[key] = s
 	}
-	if !d.queued && !a.makeRoom(false) {
+	if !s.queued && !a.makeRoom(false) {
 		a.Counts[Evicted]++
 		return
 	}
-	a.enqueue(nowMs, d)
-	d.attempts += w * stands * float64(k.Reqs)
-	d.failed += w * stands * float64(k.Unanswered)
-	d.spanMs += w * stands * r.SpanMs
-	d.weight, d.ageMs = d.weight+w, d.ageMs+w*(age+r.SpanMs/2)
+	a.enqueue(nowMs, s)
+	s.attempts += c.weight * c.reports * float64(line.Reqs)
+	s.failed += c.weight * c.reports * float64(line.Unanswered)
+	s.spanMs += c.weight * c.reports * c.spanMs
+	s.addAge(c)
 	a.Counts[Merged]++
 }
+
+// rescale moves the decay's landmark, and with it all weighed sums, before they grow out of a float's range.
+func (a *Intake[L]) rescale(nowMs float64) {
+	if !a.decay.rescaleDue(nowMs) {
+		return
+	}
+	factor := a.decay.moveLandmark(nowMs)
+	for _, z := range a.zones {
+		z.covered *= factor
+	}
+	for _, s := range a.endpointSums {
+		s.rescale(factor)
+	}
+	for _, s := range a.demandSums {
+		s.rescale(factor)
+	}
+}
--- a/intake/endpoint.go
+++ b/intake/endpoint.go
@@ -2,34 +2,59 @@
 
 import "indigousher/brain"
 
+// failingFraction is the fraction of failed attempts above which an endpoint counts as failing.
+const failingFraction = 0.2
+
+// endpoint is what is known of an endpoint's incarnation: from the list, and from what was last passed on.
 type endpoint struct {
-	startedMs float64
+	startedMs float64 // 0: in the distant past
 	listed    bool
 	draining  bool
-	failing   bool // seen to fail when last told
+	failing   bool // seen to fail when last passed on
+}
+
+// warmingUp reports whether the endpoint has started less than coldMs ago.
+func (e *endpoint) warmingUp(nowMs, coldMs float64) bool {
+	return e.startedMs != 0 && nowMs-e.startedMs < coldMs
+}
+
+// currentFraction returns which fraction of a span that ended at endMs falls into the endpoint's present incarnation.
+// It is not positive where all of the span was before the restart.
+func (e *endpoint) currentFraction(endMs, spanMs float64) float64 {
+	if e.startedMs > endMs-spanMs && e.startedMs != 0 {
+		return (endMs - e.startedMs) / spanMs
+	}
+	return 1
 }
 
-// List tells of an endpoint. One that is gone or has started anew loses what waits of it: it was another's.
+// List takes in what the endpoint list says of an endpoint. Of one that is gone, or has started anew, whatever is
+// pending is dropped: it is of the former incarnation.
 func (a *Intake[L]) List(nowMs float64, id int, phase brain.Phase, startedMs float64) {
 	e := a.endpoints[id]
 	if e == nil {
 		e = &endpoint{}
 		a.endpoints[id] = e
 	}
-	if phase == brain.Gone || e.listed && startedMs != e.startedMs {
-		for key, m := range a.endpointSums {
-			if key.endpoint == id {
-				a.dequeue(m)
-				delete(a.endpointSums, key)
-			}
-		}
+	restarted := e.listed && startedMs != e.startedMs
+	if phase == brain.Gone || restarted {
+		a.dropEndpointSums(id)
 		*e = endpoint{}
 	}
-	e.listed, e.startedMs, e.draining = phase != brain.Gone, startedMs, phase == brain.Draining
 	if phase == brain.Gone {
 		delete(a.endpoints, id)
+		return
 	}
+	e.listed = true
+	e.startedMs = startedMs
+	e.draining = phase == brain.Draining
 }
 
-// failingFraction is the part of failed tries from which an endpoint counts as failing.
-const failingFraction = 0.2
+// dropEndpointSums forgets an endpoint's sums in all zones.
+func (a *Intake[L]) dropEndpointSums(id int) {
+	for key, s := range a.endpointSums {
+		if key.endpoint == id {
+			a.dequeue(s)
+			delete(a.endpointSums, key)
+		}
+	}
+}
--- a/intake/flush.go
+++ b/intake/flush.go
@@ -8,44 +8,61 @@
 	"indigousher/brain"
 )
 
-// Met is a sum that is passed on: brain.Met but for the load report, with its age.
+// smallestDivisor stands for a sum that is zero where it is divided by.
+const smallestDivisor = 1e-300
+
+// Met is what the proxies of a zone saw at an endpoint, as it is passed on. Load is the newest load report.
 type Met[L any] struct {
 	Endpoint, Zone int
-	Tries, Failed  float64
-	MeanMs, SpanMs float64
+	Tries, Failed  float64 // attempts: whole, with what rounding leaves carried to the next flush; failures are not
+	MeanMs, SpanMs float64 // mean time of a successful attempt; time covered, as a mean of the zone's proxies
 	Load           L
 	HasLoad        bool
 }
 
+// Note returns the sum in the planner's form. What ageing leaves of few failures is rounded up to one, so that a
+// failure that was seen is passed on.
+func (m *Met[L]) Note(load brain.Load) brain.Met {
+	attempts := round(m.Tries)
+	failed := round(m.Failed)
+	if m.Failed > 0 {
+		failed = max(failed, 1)
+	}
+	return brain.Met{
+		Endpoint: m.Endpoint,
+		Zone:     m.Zone,
+		Tries:    max(attempts, failed),
+		Failed:   failed,
+		MeanMs:   m.MeanMs,
+		SpanMs:   m.SpanMs,
+		Load:     load,
+	}
+}
+
 // Told is what one period passes on.
 type Told[L any] struct {
 	Mets    []Met[L]
 	Demands []brain.Demand
-	Ages    []float64 // of each line, ms
-	Left    int       // sums that wait further
+	Ages    []float64 // mean age of what each line sums up, ms
+	Left    int       // sums that remain pending
 }
 
-// Tell passes on what a period may: what is urgent first, then what has waited longest, whoever sent most.
+// Tell passes on what may be since sinceMs ago: urgent sums first, then those that have been pending longest, whoever
+// sent most.
 func (a *Intake[L]) Tell(nowMs, sinceMs float64) (out Told[L]) {
 	a.rescale(nowMs)
-	n := len(a.pending)
-	if a.terms.ToldPerS > 0 {
-		n = min(n, max(1, int(math.Round(a.terms.ToldPerS*sinceMs/1000))))
-	}
+	n := a.flushLimit(sinceMs)
 	if n < len(a.pending) {
-		slices.SortStableFunc(a.pending, func(a, b *sum[L]) int {
-			if a.urgent != b.urgent {
-				return map[bool]int{true: -1, false: 1}[a.urgent]
-			}
-			return cmp.Compare(a.queuedAtMs, b.queuedAtMs)
-		})
+		slices.SortStableFunc(a.pending, byUrgency[L])
 	}
-	now := a.weight(nowMs)
+	weight := a.decay.weight(nowMs)
 	for _, s := range a.pending[:n] {
-		out.Ages = append(out.Ages, s.ageMs/math.Max(s.weight, 1e-300))
+		out.Ages = append(out.Ages, s.ageMs/math.Max(s.weight, smallestDivisor))
 		if s.isDemand {
-			out.Demands = append(out.Demands, a.flushDemand(s, now))
-		} else if m, ok := a.flushEndpoint(s, now); ok {
+			out.Demands = append(out.Demands, a.flushDemand(s, weight))
+			continue
+		}
+		if m := a.flushEndpoint(s, weight); m.SpanMs > 0 {
 			out.Mets = append(out.Mets, m)
 		}
 	}
@@ -54,41 +71,62 @@
 	return out
 }
 
-// flushEndpoint turns a sum into what it stands for now and begins it anew.
-func (a *Intake[L]) flushEndpoint(s *sum[L], now float64) (m Met[L], ok bool) {
+// flushLimit returns how many of the pending sums may be passed on for a period of sinceMs; at least one.
+func (a *Intake[L]) flushLimit(sinceMs float64) int {
+	if a.terms.ToldPerS <= 0 {
+		return len(a.pending)
+	}
+	return min(len(a.pending), max(1, round(a.terms.ToldPerS*sinceMs/1000)))
+}
+
+// byUrgency orders urgent sums before others, and then by when they became pending.
+func byUrgency[L any](a, b *sum[L]) int {
+	if a.urgent != b.urgent {
+		if a.urgent {
+			return -1
+		}
+		return 1
+	}
+	return cmp.Compare(a.queuedAtMs, b.queuedAtMs)
+}
+
+// flushEndpoint returns what a sum amounts to at the moment of the given weight, and begins it anew. Its SpanMs is 0
+// if no report of the zone covered any time since the sum was last passed on: then it is no rate.
+func (a *Intake[L]) flushEndpoint(s *sum[L], weight float64) Met[L] {
 	z := a.zone(s.zoneEndpoint.zone)
-	m = Met[L]{Endpoint: s.zoneEndpoint.endpoint, Zone: s.zoneEndpoint.zone, Tries: s.attempts / now, Failed: s.failed / now,
-		MeanMs: s.busyMs / math.Max(s.succeeded, 1e-300), Load: s.load, HasLoad: s.hasLoad}
-	m.SpanMs = (z.covered - s.zoneCovered) / now / math.Max(1, float64(z.senders))
-	if s.succeeded == 0 {
-		m.MeanMs = 0
+	attempts := s.attempts / weight
+	m := Met[L]{
+		Endpoint: s.zoneEndpoint.endpoint,
+		Zone:     s.zoneEndpoint.zone,
+		Failed:   s.failed / weight,
+		SpanMs:   (z.covered - s.zoneCovered) / weight / math.Max(1, float64(z.senders)),
+		Load:     s.load,
+		HasLoad:  s.hasLoad,
+	}
+	if s.succeeded != 0 {
+		m.MeanMs = s.busyMs / math.Max(s.succeeded, smallestDivisor)
 	}
-	if e := a.endpoints[s.zoneEndpoint.endpoint]; e != nil && m.Tries > 0 {
-		e.failing = m.Failed > failingFraction*m.Tries
+	if e := a.endpoints[s.zoneEndpoint.endpoint]; e != nil && attempts > 0 {
+		e.failing = m.Failed > failingFraction*attempts
 	}
-	whole := math.Max(0, math.Round(m.Tries+s.carry)) // the module counts in whole tries
-	s.carry = m.Tries + s.carry - whole
-	m.Tries = whole
+	m.Tries = math.Max(0, math.Round(attempts+s.carry)) // the planner counts whole attempts
+	s.carry = attempts + s.carry - m.Tries
 	a.reset(s)
-	return m, m.SpanMs > 0
+	return m
 }
 
-func (a *Intake[L]) flushDemand(s *sum[L], now float64) brain.Demand {
-	d := brain.Demand{Proxy: s.proxyClass.proxy, Kind: s.proxyClass.class, Reqs: round(s.attempts / now),
-		Unanswered: round(s.failed / now), SpanMs: s.spanMs / now}
+// flushDemand returns what a sum of requests amounts to at the moment of the given weight, and begins it anew.
+func (a *Intake[L]) flushDemand(s *sum[L], weight float64) brain.Demand {
+	d := brain.Demand{
+		Proxy:      s.proxyClass.proxy,
+		Kind:       s.proxyClass.class,
+		Reqs:       round(s.attempts / weight),
+		Unanswered: round(s.failed / weight),
+		SpanMs:     s.spanMs / weight,
+	}
 	a.reset(s)
 	return d
 }
 
+// round returns the nearest whole number, halves away from zero.
 func round(v float64) int { return int(math.Round(v)) }
-
-// Note returns a sum in the module's form. What is left of few failures after ageing is rounded up to one, so that one
-// which was seen is told.
-func (m *Met[L]) Note(load brain.Load) brain.Met {
-	tries, failed := round(m.Tries), round(m.Failed)
-	if m.Failed > 0 {
-		failed = max(failed, 1)
-	}
-	return brain.Met{Endpoint: m.Endpoint, Zone: m.Zone, Tries: max(tries, failed), Failed: failed, MeanMs: m.MeanMs,
-		SpanMs: m.SpanMs, Load: load}
-}
--- a/intake/queue.go
+++ b/intake/queue.go
@@ -2,14 +2,26 @@
 
 import "slices"
 
-// dequeue takes a sum out of those that wait.
-func (a *Intake[L]) dequeue(d *sum[L]) {
-	if d.queued {
-		a.pending = slices.DeleteFunc(a.pending, func(x *sum[L]) bool { return x == d })
+// enqueue makes a sum pending, if it is not.
+func (a *Intake[L]) enqueue(nowMs float64, s *sum[L]) {
+	if s.queued {
+		return
 	}
+	s.queued = true
+	s.queuedAtMs = nowMs
+	a.pending = append(a.pending, s)
+	a.MostOrder = max(a.MostOrder, len(a.pending))
 }
 
-// makeRoom returns whether one more sum may wait; for one that is urgent a demand makes way.
+// dequeue takes a sum out of those that are pending.
+func (a *Intake[L]) dequeue(s *sum[L]) {
+	if s.queued {
+		a.pending = slices.DeleteFunc(a.pending, func(other *sum[L]) bool { return other == s })
+	}
+}
+
+// makeRoom reports whether one more sum may become pending. For an urgent one another is evicted if need be: the
+// oldest demand, or else the oldest sum that is not urgent.
 func (a *Intake[L]) makeRoom(urgent bool) bool {
 	if a.terms.Standing <= 0 || len(a.pending) < a.terms.Standing {
 		return true
@@ -17,26 +29,18 @@
 	if !urgent {
 		return false
 	}
-	i := slices.IndexFunc(a.pending, func(s *sum[L]) bool { return s.isDemand })
-	if i < 0 {
-		i = slices.IndexFunc(a.pending, func(s *sum[L]) bool { return !s.urgent })
+	victim := slices.IndexFunc(a.pending, func(s *sum[L]) bool { return s.isDemand })
+	if victim < 0 {
+		victim = slices.IndexFunc(a.pending, func(s *sum[L]) bool { return !s.urgent })
 	}
-	if i < 0 {
+	if victim < 0 {
 		return false
 	}
 	a.Counts[Evicted]++
-	a.reset(a.pending[i])
-	a.pending = slices.Delete(a.pending, i, i+1)
+	a.reset(a.pending[victim])
+	a.pending = slices.Delete(a.pending, victim, victim+1)
 	return true
 }
 
-func (a *Intake[L]) enqueue(nowMs float64, m *sum[L]) {
-	if !m.queued {
-		m.queued, m.queuedAtMs = true, nowMs
-		a.pending = append(a.pending, m)
-		a.MostOrder = max(a.MostOrder, len(a.pending))
-	}
-}
-
-// Waiting returns how many sums wait to be passed on.
+// Waiting returns how many sums are pending.
 func (a *Intake[L]) Waiting() int { return len(a.pending) }
--- a/intake/reason.go
+++ b/intake/reason.go
@@ -1,34 +1,47 @@
 package intake
 
-// Reason tells why lines were refused or left out.
+// Reason says what became of a report line: it was merged, or why it was left out or refused.
 type Reason int
 
-// The reasons. Sampled and Merged lines still count in what is passed on; the others don't.
+// The reasons. Lines that were Merged or Sampled count in what is passed on; the others do not.
 const (
-	Merged Reason = iota
-	Sampled
-	OverShare // a whole report beyond its sender's part; the next one stands for it
-	Repeated
-	Late
-	Absurd
-	NoSpan
-	Unlisted
-	Restarted
-	Stranger
-	Evicted
+	Merged    Reason = iota // added to a sum
+	Sampled                 // left out by the sample, whose other lines stand for it
+	OverShare               // the whole report exceeded its sender's quota; the next one stands for it
+	Repeated                // the report's number was seen before, or a later one overtook it
+	Late                    // the report was on its way for longer than the limit
+	Absurd                  // a figure that cannot be true
+	NoSpan                  // lines, but no time that they cover
+	Unlisted                // the endpoint is not in the endpoint list
+	Restarted               // the report covers only time before the endpoint's restart
+	Stranger                // the sender has not joined
+	Evicted                 // no room for another pending sum
 	reasonCount
 )
 
-// String names a reason, for metrics.
-func (r Reason) String() string {
-	return [...]string{"merged", "sampled out", "over its share", "repeated", "too late", "absurd", "no span",
-		"endpoint not listed", "endpoint restarted", "sender not joined", "no room to wait"}[r]
+// reasonNames are the values of the reason label in the exported metrics.
+var reasonNames = [reasonCount]string{
+	Merged:    "merged",
+	Sampled:   "sampled out",
+	OverShare: "over its share",
+	Repeated:  "repeated",
+	Late:      "too late",
+	Absurd:    "absurd",
+	NoSpan:    "no span",
+	Unlisted:  "endpoint not listed",
+	Restarted: "endpoint restarted",
+	Stranger:  "sender not joined",
+	Evicted:   "no room to wait",
 }
 
-// Reasons returns all reasons.
-func Reasons() (all []Reason) {
+// String returns the reason's name in metrics.
+func (r Reason) String() string { return reasonNames[r] }
+
+// Reasons returns all reasons in the order of their values.
+func Reasons() []Reason {
+	all := make([]Reason, reasonCount)
 	for r := range reasonCount {
-		all = append(all, r)
+		all[r] = r
 	}
 	return all
 }
--- a/intake/report.go
+++ b/intake/report.go
@@ -2,51 +2,73 @@
 
 import "math"
 
-// Line is what a proxy met at one endpoint. L is what a load report is held as.
+// Limits of what a report may claim. Beyond them a proxy is broken, not busy.
+const (
+	maxAttemptsPerS = 1e6 // attempts, or requests, a second from one proxy
+	maxMeanMs       = 1e7 // mean time of an attempt
+)
+
+// Line is what a proxy saw at one endpoint since its last report. L is the caller's form of the endpoint's own load
+// report; it is passed on without being looked at.
 type Line[L any] struct {
 	Endpoint      int
-	Tries, Failed int
-	MeanMs        float64
+	Tries, Failed int     // attempts, and those of them that failed
+	MeanMs        float64 // mean time of an attempt that succeeded
 	Load          L
 	HasLoad       bool
 }
 
-// KindLine is what came to a proxy of one kind of req.
+// KindLine is how many requests of one class came to a proxy since its last report.
 type KindLine struct{ Kind, Reqs, Unanswered int }
 
-// Report is one report. Seq counts a sender's reports from 1, AtMs is the sender's own clock when it was sent.
+// Report is one load report of a proxy.
 type Report[L any] struct {
-	Sender int
-	Seq    uint64
-	AtMs   float64
-	SpanMs float64
+	Sender int     // the proxy
+	Seq    uint64  // counts the sender's reports from 1
+	AtMs   float64 // when it was sent, on the sender's own clock
+	SpanMs float64 // time that it covers, up to AtMs
 	Lines  []Line[L]
 	Kinds  []KindLine
 }
 
-// Limits of what is believed.
-const (
-	maxReportsStoodFor = 8     // reports that one may stand for
-	minLines           = 1.0   // below so many lines of room a report is left to the next one
-	maxAttemptsPerS    = 1e6   // tries a second at one endpoint from one proxy
-	maxMeanMs          = 1e7   // mean time of a try
-	maxLoadAgeMs       = 20000 // ms after which a load report says nothing
-)
+// lineCount returns how many lines of both sorts the report has.
+func (r *Report[L]) lineCount() int { return len(r.Lines) + len(r.Kinds) }
 
-// check refuses what can't be true, and what has been heard.
-func (a *Intake[L]) check(s *sender, r *Report[L]) (Reason, bool) {
+// validate returns why the report as a whole is refused, or Merged if it is not: its number was seen before, or its
+// times cannot be true. longestMs is the longest span that is believed.
+func (r *Report[L]) validate(lastSeq uint64, longestMs float64) Reason {
 	switch {
-	case r.Seq <= s.lastSeq:
-		return Repeated, false // or overtaken by a later one that stands for it
-	case !(r.SpanMs >= 0) || r.SpanMs > a.terms.LongestMs || math.IsInf(r.AtMs, 0) || math.IsNaN(r.AtMs):
-		return Absurd, false
-	case r.SpanMs == 0 && len(r.Lines)+len(r.Kinds) > 0:
-		return NoSpan, false
+	case r.Seq <= lastSeq:
+		return Repeated
+	case !(r.SpanMs >= 0) || r.SpanMs > longestMs: // not a number fails the first test
+		return Absurd
+	case math.IsInf(r.AtMs, 0) || math.IsNaN(r.AtMs):
+		return Absurd
+	case r.SpanMs == 0 && r.lineCount() > 0:
+		return NoSpan
 	}
-	return Merged, true
+	return Merged
 }
 
-func absurd[L any](l *Line[L], spanMs float64) bool {
-	return l.Tries < 0 || l.Failed < 0 || l.Failed > l.Tries || !(l.MeanMs >= 0) || l.MeanMs > maxMeanMs ||
-		float64(l.Tries) > maxAttemptsPerS*math.Max(1, spanMs/1000)
+// absurd reports whether a line's figures cannot be true of spanMs.
+func (l *Line[L]) absurd(spanMs float64) bool {
+	if l.Tries < 0 || l.Failed < 0 || l.Failed > l.Tries {
+		return true
+	}
+	if !(l.MeanMs >= 0) || l.MeanMs > maxMeanMs { // not a number fails the first test
+		return true
+	}
+	return float64(l.Tries) > maxCount(spanMs)
 }
+
+// absurd reports whether the line's figures cannot be true of spanMs.
+func (l *KindLine) absurd(spanMs float64) bool {
+	if l.Reqs < 0 || l.Unanswered < 0 || l.Unanswered > l.Reqs {
+		return true
+	}
+	return float64(l.Reqs) > maxCount(spanMs)
+}
+
+// maxCount returns how many attempts or requests of one line are believed. Spans below a second count as one, as a
+// burst may fall into a short span.
+func maxCount(spanMs float64) float64 { return maxAttemptsPerS * math.Max(1, spanMs/1000) }
--- a/intake/sampling.go
+++ b/intake/sampling.go
@@ -6,66 +6,87 @@
 	"slices"
 )
 
-// candidate is a line that may be kept, with what its figures are to be multiplied by.
+// candidate is a line of a report that may be kept.
 type candidate struct {
-	line     int
-	rank     float64
-	scale    float64
-	foremost bool
+	line     int     // index into the report's lines
+	rank     float64 // the greatest are kept
+	scale    float64 // by which the line's figures are multiplied, to stand for those left out
+	foremost bool    // kept before the sample is drawn
 }
 
-// sample returns the lines to keep: all that fit; else those of endpoints that fail, are cold or drain, and of the
-// others a priority sample by tries, whose scaled figures are true on average.
-func (a *Intake[L]) sample(nowMs float64, r *Report[L], room int) []candidate {
-	a.candidates = a.candidates[:0]
+// sample returns the lines of a report to keep, in the order of merging. All are kept if room allows; else first those
+// of endpoints that fail, warm up or drain, and of the others a priority sample by attempts, whose scaled figures are
+// true on average (Duffield, Lund and Thorup, "Priority sampling for estimation of arbitrary subset sums").
+// The result is valid until the next call.
+func (a *Intake[L]) sample(nowMs float64, report *Report[L], room int) []candidate {
 	room = max(room, 1)
-	if len(r.Lines) <= room {
-		for i := range r.Lines {
+	if len(report.Lines) <= room {
+		a.candidates = a.candidates[:0]
+		for i := range report.Lines {
 			a.candidates = append(a.candidates, candidate{line: i, scale: 1})
 		}
 		return a.candidates
 	}
-	foremost := 0
-	for i := range r.Lines {
-		l := &r.Lines[i]
-		k := candidate{line: i, scale: 1}
-		if e := a.endpoints[l.Endpoint]; e != nil {
-			k.foremost = e.draining || l.Failed > 0 && float64(l.Failed) > failingFraction*float64(l.Tries) ||
-				e.startedMs != 0 && nowMs-e.startedMs < a.terms.ColdMs
+	a.rankLines(nowMs, report, room-1)
+	slices.SortFunc(a.candidates, byRank)
+	threshold := a.candidates[room].rank
+	kept := a.candidates[:room]
+	for i := range kept {
+		attempts := float64(report.Lines[kept[i].line].Tries)
+		if !kept[i].foremost && attempts > 0 {
+			kept[i].scale = math.Max(attempts, threshold) / attempts
 		}
-		if k.foremost = k.foremost && foremost < room-1; k.foremost {
+	}
+	return kept
+}
+
+// rankLines makes a candidate of each line. At most maxForemost are foremost, so that the others are heard too.
+func (a *Intake[L]) rankLines(nowMs float64, report *Report[L], maxForemost int) {
+	a.candidates = a.candidates[:0]
+	foremost := 0
+	for i := range report.Lines {
+		line := &report.Lines[i]
+		c := candidate{line: i, scale: 1}
+		if foremost < maxForemost && a.mustHear(nowMs, line) {
 			foremost++
-			k.rank = math.Inf(1)
+			c.foremost = true
+			c.rank = math.Inf(1)
 		} else {
-			k.rank = math.Max(float64(l.Tries), 0.5) / uniform(r.Sender, r.Seq, l.Endpoint)
+			c.rank = math.Max(float64(line.Tries), 0.5) / uniform(report.Sender, report.Seq, line.Endpoint)
 		}
-		a.candidates = append(a.candidates, k)
+		a.candidates = append(a.candidates, c)
 	}
-	slices.SortFunc(a.candidates, func(a, b candidate) int {
-		switch {
-		case a.rank > b.rank:
-			return -1
-		case a.rank < b.rank:
-			return 1
-		}
-		return a.line - b.line
-	})
-	threshold := a.candidates[room].rank
-	for i := range a.candidates[:room] {
-		k := &a.candidates[i]
-		if tries := float64(r.Lines[k.line].Tries); !k.foremost && tries > 0 {
-			k.scale = math.Max(tries, threshold) / tries
-		}
+}
+
+// mustHear reports whether a line is of an endpoint that fails, warms up or drains.
+func (a *Intake[L]) mustHear(nowMs float64, line *Line[L]) bool {
+	e := a.endpoints[line.Endpoint]
+	if e == nil {
+		return false
+	}
+	failing := line.Failed > 0 && float64(line.Failed) > failingFraction*float64(line.Tries)
+	return e.draining || failing || e.warmingUp(nowMs, a.terms.ColdMs)
+}
+
+// byRank orders candidates by falling rank, equal ones as they stand in the report.
+func byRank(a, b candidate) int {
+	switch {
+	case a.rank > b.rank:
+		return -1
+	case a.rank < b.rank:
+		return 1
 	}
-	return a.candidates[:room]
+	return a.line - b.line
 }
 
-// uniform is a number in (0, 1] that the same line always gets. A checksum is linear: lines that differ in the same bits
-// would differ by the same pattern in every report, so its bits are stirred.
+// uniform returns a number in (0, 1], as if drawn at random, that the same line of the same report always gets.
+// A checksum is linear: lines that differ in the same bits would differ by the same pattern in every report, so its
+// bits are mixed further (multiplications and shifts of the integer hash lowbias32).
 func uniform(sender int, seq uint64, endpoint int) float64 {
 	var b [20]byte
 	for i := range 8 {
-		b[i], b[8+i] = byte(sender>>(8*i)), byte(seq>>(8*i))
+		b[i] = byte(sender >> (8 * i))
+		b[8+i] = byte(seq >> (8 * i))
 	}
 	for i := range 4 {
 		b[16+i] = byte(endpoint >> (8 * i))
