--- /dev/null
+++ b/intake/backpressure_test.go
@@ -0,0 +1,33 @@
+package intake
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// TestSlowedAndReleased guards the way out of crowding: senders are slowed at once and released in turns.
+func TestSlowedAndReleased(t *testing.T) {
+	tm := testOptions()
+	tm.LinesPerS = 400
+	c := newFleet(tm, 64, 10, 2)
+	c.rates = func(int, int) float64 { return 5 }
+	c.run(4000, nil)
+	for _, s := range c.senders {
+		assert.Greater(t, s.periodMs, 1000.0)
+	}
+	c.rates = func(_, e int) float64 { return map[bool]float64{true: 5}[e == 0] }
+	released, most := 0, 0
+	for range 60 {
+		c.run(1000, nil)
+		n := 0
+		for _, s := range c.senders {
+			if s.periodMs == 1000 {
+				n++
+			}
+		}
+		most, released = max(most, n-released), n
+	}
+	assert.Equal(t, len(c.senders), released)
+	assert.LessOrEqual(t, most, len(c.senders)/3, "not all in one second")
+}
--- /dev/null
+++ b/intake/fleet_test.go
@@ -0,0 +1,155 @@
+
+package intake
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+
+	"gonum.org/v1/gonum/stat/distuv"
+
+	"indigousher/brain"
+)
+
+// fleet is a zone structure of senders with steady true rates, and what an aggregator makes of their reports.
+type fleet struct {
+	in          *Intake[float64]
+	endpoints   int
+	zones       int
+	senders     []*reporter
+	now         float64
+	flushed     map[zoneEndpoint]*flushedSum
+	mostPending int
+	rates       func(sender, endpoint int) float64 // tries a second
+	fails       func(endpoint int, nowMs float64) float64
+	deliver     func(s *reporter, nowMs float64) (arrives bool, lateMs float64)
+	inFlight    []delivery
+	truth       map[zoneEndpoint]float64 // tries that were made
+	src         rand.Source
+	rnd         *rand.Rand
+}
+
+type reporter struct {
+	id, zone         int
+	lastSeq          uint64
+	lastMs, periodMs float64
+	nextMs           float64
+	clockMs, drift   float64
+	ignoresAdvice    bool
+	arrived          bool
+	reportsPerPeriod float64 // reports sent where one is due
+}
+
+type delivery struct {
+	at float64
+	r  *Report[float64]
+}
+
+type flushedSum struct{ tries, span, failed float64 }
+
+func testOptions() Terms {
+	return Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 120000, Slowest: 8, ColdMs: 10000}
+}
+
+func newFleet(t Terms, senders, endpoints, zones int) *fleet {
+	c := &fleet{in: New[float64](t), endpoints: endpoints, zones: zones, flushed: map[zoneEndpoint]*flushedSum{},
+		truth: map[zoneEndpoint]float64{}, src: rand.NewPCG(1, 2), rnd: rand.New(rand.NewPCG(3, 4))}
+	for e := range endpoints {
+		c.in.List(0, e, brain.Ready, 0)
+	}
+	for i := range senders {
+		s := &reporter{id: i, zone: i % zones, periodMs: t.PeriodMs, nextMs: t.PeriodMs * float64(i+1) / float64(senders),
+			reportsPerPeriod: 1}
+		c.senders = append(c.senders, s)
+		c.in.Join(0, i, s.zone)
+	}
+	c.rates = func(s, e int) float64 { return 20 / (1 + float64(e)) * (1 + float64(s%3)) }
+	c.fails = func(int, float64) float64 { return 0 }
+	c.deliver = func(*reporter, float64) (bool, float64) { return true, 0 }
+	return c
+}
+
+// report makes what a sender reports now.
+func (c *fleet) report(s *reporter) *Report[float64] {
+	s.lastSeq++
+	r := &Report[float64]{Sender: s.id, Seq: s.lastSeq, AtMs: c.now*(1+s.drift) + s.clockMs, SpanMs: c.now - s.lastMs}
+	for e := range c.endpoints {
+		tries := int(distuv.Poisson{Lambda: c.rates(s.id, e) * r.SpanMs / 1000, Src: c.src}.Rand())
+		c.truth[zoneEndpoint{e, s.zone}] += float64(tries)
+		if tries > 0 {
+			failed := int(math.Round(float64(tries) * c.fails(e, c.now)))
+			r.Lines = append(r.Lines, Line[float64]{Endpoint: e, Tries: tries, Failed: failed, MeanMs: 30, Load: c.now, HasLoad: true})
+		}
+	}
+	s.lastMs = c.now
+	return r
+}
+
+// run lets time pass in steps of 20 ms; done is called with what each period flushes.
+func (c *fleet) run(ms float64, done func(nowMs float64, t Told[float64])) {
+	const step = 20.0
+	for end := c.now + ms; c.now < end; {
+		c.now += step
+		for _, s := range c.senders {
+			for s.nextMs <= c.now {
+				s.nextMs += s.periodMs / s.reportsPerPeriod
+				r := c.report(s)
+				if arrives, late := c.deliver(s, c.now); arrives {
+					s.arrived = true
+					c.inFlight = append(c.inFlight, delivery{c.now + late, r})
+				}
+			}
+		}
+		kept := c.inFlight[:0]
+		for _, m := range c.inFlight {
+			if m.at <= c.now {
+				c.in.Take(c.now, m.r)
+			} else {
+				kept = append(kept, m)
+			}
+		}
+		c.inFlight = kept
+		c.mostPending = max(c.mostPending, c.in.Waiting())
+		if math.Mod(c.now, 1000) < step {
+			t := c.in.Tell(c.now, 1000)
+			for _, m := range t.Mets {
+				key := zoneEndpoint{m.Endpoint, m.Zone}
+				if c.flushed[key] == nil {
+					c.flushed[key] = &flushedSum{}
+				}
+				c.flushed[key].tries += m.Tries
+				c.flushed[key].failed += m.Failed
+				c.flushed[key].span += m.SpanMs
+			}
+			if done != nil {
+				done(c.now, t)
+			}
+			for _, a := range c.in.Deal(c.now) {
+				if s := c.senders[a.Sender]; !s.ignoresAdvice {
+					s.periodMs = a.PeriodMs
+				}
+			}
+		}
+	}
+}
+
+// worstError returns how far the flushed rate is from the true one, at worst, over endpoints with a hundredth of their zone.
+func (c *fleet) worstError(overMs float64) (worst float64, about string) {
+	all := map[int]float64{}
+	for key, n := range c.truth {
+		all[key.zone] += n
+	}
+	for key, n := range c.truth {
+		got, want := 0.0, n/overMs*1000
+		if n < all[key.zone]/100 {
+			continue
+		}
+		if x := c.flushed[key]; x != nil && x.span > 0 {
+			got = x.tries / x.span * 1000
+		}
+		if off := math.Abs(got-want) / want; off > worst {
+			worst, about = off, fmt.Sprintf("endpoint %d zone %d: told %.2f, true %.2f a second", key.endpoint, key.zone, got, want)
+		}
+	}
+	return worst, about
+}
--- /dev/null
+++ b/intake/flush_test.go
@@ -0,0 +1,36 @@
+package intake
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// TestFailingSeenInBurst guards an endpoint at a tenth of the others' traffic that begins to fail while reports come a
+// hundredfold: it is reported within two periods of when an unlimited aggregator reports it.
+func TestFailingSeenInBurst(t *testing.T) {
+	first := func(limit float64) (at float64) {
+		tm := testOptions()
+		tm.LinesPerS, tm.ToldPerS = limit, limit/10
+		c := newFleet(tm, 60, 20, 3)
+		c.rates = func(s, e int) float64 { return map[bool]float64{true: 0.5, false: 5}[e == 13] }
+		c.fails = func(e int, now float64) float64 { return map[bool]float64{true: 1}[e == 13 && now > 20300] }
+		c.run(20000, nil)
+		for _, s := range c.senders {
+			s.reportsPerPeriod = 100
+		}
+		c.run(8000, func(now float64, batch Told[float64]) {
+			for _, m := range batch.Mets {
+				if m.Endpoint == 13 && m.Failed > 0.5*m.Tries && at == 0 {
+					at = now
+				}
+			}
+		})
+		return at
+	}
+	unlimited, limited := first(0), first(800)
+	require.NotZero(t, unlimited)
+	require.NotZero(t, limited)
+	assert.LessOrEqual(t, limited, unlimited+2000)
+}
--- /dev/null
+++ b/intake/properties_test.go
@@ -0,0 +1,43 @@
+package intake
+
+import (
+	"fmt"
+	"math"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	"pgregory.net/rapid"
+)
+
+// TestProperties holds whatever arrives in whatever order: no sender starves, the bound is kept, the same inputs give
+// the same outputs, and what is flushed never exceeds what could have been reported.
+func TestProperties(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		tm := testOptions()
+		tm.LinesPerS = rapid.Float64Range(50, 2000).Draw(rt, "linesPerS")
+		tm.Standing = rapid.IntRange(8, 100).Draw(rt, "standing")
+		reportRates := rapid.SliceOfN(rapid.Float64Range(0.5, 20), 6, 6).Draw(rt, "reportRates")
+		loss := rapid.Float64Range(0, 0.6).Draw(rt, "loss")
+		late := rapid.Float64Range(0, 3000).Draw(rt, "late")
+		play := func() (string, *fleet) {
+			c := newFleet(tm, 6, 5, 2)
+			for i, s := range c.senders {
+				s.reportsPerPeriod = reportRates[i]
+			}
+			c.deliver = func(*reporter, float64) (bool, float64) { return c.rnd.Float64() >= loss, late * c.rnd.Float64() }
+			var all string
+			c.run(6000, func(now float64, batch Told[float64]) { all += fmt.Sprint(now, batch) })
+			return all, c
+		}
+		first, c := play()
+		second, _ := play()
+		require.Equal(rt, first, second)
+		require.LessOrEqual(rt, c.mostPending, tm.Standing)
+		for _, s := range c.senders {
+			require.True(rt, !s.arrived || c.in.senders[s.id].accepted > 0 || late > 0, "sender %d was never accepted", s.id)
+		}
+		for key, x := range c.flushed {
+			require.False(rt, math.IsNaN(x.tries) || x.tries < 0 || x.failed > x.tries+1e-9, "%v %+v", key, x)
+		}
+	})
+}
--- /dev/null
+++ b/intake/queue_test.go
@@ -0,0 +1,25 @@
+package intake
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// TestPendingLimit guards the bound of pending sums, and that what is urgent finds room.
+func TestPendingLimit(t *testing.T) {
+	tm := testOptions()
+	tm.Standing, tm.ToldPerS = 10, 5
+	c := newFleet(tm, 30, 40, 3)
+	urgent := false
+	c.fails = func(e int, now float64) float64 { return map[bool]float64{true: 1}[e == 39 && now > 5000] }
+	c.rates = func(int, int) float64 { return 3 }
+	c.run(9000, func(_ float64, batch Told[float64]) {
+		for _, m := range batch.Mets {
+			urgent = urgent || m.Endpoint == 39 && m.Failed > 0
+		}
+	})
+	assert.LessOrEqual(t, c.mostPending, 10)
+	assert.True(t, urgent)
+	assert.Positive(t, c.in.Counts[Evicted])
+}
--- /dev/null
+++ b/intake/report_test.go
@@ -0,0 +1,55 @@
+package intake
+
+import (
+	"math"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"indigousher/brain"
+)
+
+// TestRefusedReports guards the sums against what can't be true and what is not of a present endpoint.
+func TestRefusedReports(t *testing.T) {
+	good := func() *Report[float64] {
+		return &Report[float64]{Sender: 0, Seq: 5, AtMs: 1000, SpanMs: 1000, Lines: []Line[float64]{{Endpoint: 0, Tries: 10, MeanMs: 5}}}
+	}
+	for _, c := range []struct {
+		name   string
+		spoil  func(*Report[float64])
+		reason Reason
+	}{
+		{"repeated", func(r *Report[float64]) { r.Seq = 4 }, Repeated},
+		{"from an unknown sender", func(r *Report[float64]) { r.Sender = 9 }, Stranger},
+		{"no span", func(r *Report[float64]) { r.SpanMs = 0 }, NoSpan},
+		{"a negative span", func(r *Report[float64]) { r.SpanMs = -1 }, Absurd},
+		{"a span of days", func(r *Report[float64]) { r.SpanMs = 1e9 }, Absurd},
+		{"not a number", func(r *Report[float64]) { r.SpanMs = math.NaN() }, Absurd},
+		{"an infinite clock", func(r *Report[float64]) { r.AtMs = math.Inf(1) }, Absurd},
+		{"implausibly many attempts", func(r *Report[float64]) { r.Lines[0].Tries = 1e9 }, Absurd},
+		{"more failures than attempts", func(r *Report[float64]) { r.Lines[0].Failed = 11 }, Absurd},
+		{"negative attempts", func(r *Report[float64]) { r.Lines[0].Tries = -1 }, Absurd},
+		{"a mean that is no number", func(r *Report[float64]) { r.Lines[0].MeanMs = math.NaN() }, Absurd},
+		{"never listed", func(r *Report[float64]) { r.Lines[0].Endpoint = 7 }, Unlisted},
+		{"gone", func(r *Report[float64]) { r.Lines[0].Endpoint = 1 }, Unlisted},
+		{"of the incarnation before a restart", func(r *Report[float64]) { r.Lines[0].Endpoint = 2 }, Restarted},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			in := New[float64](testOptions())
+			for e := range 3 {
+				in.List(0, e, brain.Ready, 0)
+			}
+			in.List(500, 1, brain.Gone, 0)
+			require.True(t, in.Join(0, 0, 0))
+			in.Take(990, &Report[float64]{Sender: 0, Seq: 4, AtMs: 990, SpanMs: 1})
+			in.List(1000, 2, brain.Ready, 1000)
+			r := good()
+			c.spoil(r)
+			in.Take(1000, r)
+			assert.EqualValues(t, 1, in.Counts[c.reason])
+			assert.Zero(t, in.Counts[Merged])
+			assert.Empty(t, in.Tell(2000, 1000).Mets)
+		})
+	}
+}
