--- a/intake/accuracy_test.go
+++ b/intake/accuracy_test.go
@@ -33,7 +33,12 @@
 			c.deliver = func(*reporter, float64) (bool, float64) { return c.rnd.Float64() < 0.5, 0 }
 		}, 0.1},
 		{"one zone's reports ten seconds late", nil, func(c *fleet) {
-			c.deliver = func(s *reporter, _ float64) (bool, float64) { return true, map[bool]float64{true: 10000}[s.zone == 1] }
+			c.deliver = func(s *reporter, _ float64) (bool, float64) {
+				if s.zone == 1 {
+					return true, 10000
+				}
+				return true, 0
+			}
 		}, 0.05},
 		{"clocks that are wrong, drift and jump", nil, func(c *fleet) {
 			for i, s := range c.senders {
--- a/intake/backpressure_test.go
+++ b/intake/backpressure_test.go
@@ -16,7 +16,12 @@
 	for _, s := range c.senders {
 		assert.Greater(t, s.periodMs, 1000.0)
 	}
-	c.rates = func(_, e int) float64 { return map[bool]float64{true: 5}[e == 0] }
+	c.rates = func(_, e int) float64 {
+		if e == 0 {
+			return 5
+		}
+		return 0
+	}
 	released, most := 0, 0
 	for range 60 {
 		c.run(1000, nil)
--- a/intake/bench_test.go
+++ b/intake/bench_test.go
@@ -11,7 +11,13 @@
 // BenchmarkTake measures how many lines a second one core adds, and what an aggregator holds, by size. Reports have 20
 // lines each; one operation is one report.
 func BenchmarkTake(b *testing.B) {
-	for _, c := range []struct{ endpoints, senders int }{{100, 100}, {1000, 1000}, {1000, 20000}, {10000, 1000}, {10000, 20000}} {
+	for _, c := range []struct{ endpoints, senders int }{
+		{100, 100},
+		{1000, 1000},
+		{1000, 20000},
+		{10000, 1000},
+		{10000, 20000},
+	} {
 		b.Run(fmt.Sprintf("endpoints=%d/senders=%d", c.endpoints, c.senders), func(b *testing.B) {
 			var before, after runtime.MemStats
 			runtime.GC()
--- a/intake/endpoint_test.go
+++ b/intake/endpoint_test.go
@@ -16,7 +16,8 @@
 	in.Join(0, 0, 0)
 	in.Take(1000, &Report[float64]{Seq: 1, AtMs: 1000, SpanMs: 1000, Lines: []Line[float64]{{Tries: 50, Failed: 50}}})
 	in.List(1500, 0, brain.Ready, 1500) // what waited of the former incarnation goes
-	in.Take(2000, &Report[float64]{Seq: 2, AtMs: 2000, SpanMs: 1000, Lines: []Line[float64]{{Tries: 40, Load: 1, HasLoad: true}}})
+	lines := []Line[float64]{{Tries: 40, Load: 1, HasLoad: true}}
+	in.Take(2000, &Report[float64]{Seq: 2, AtMs: 2000, SpanMs: 1000, Lines: lines})
 	flushed := in.Tell(2000, 1000).Mets
 	require.Len(t, flushed, 1)
 	assert.Zero(t, flushed[0].Failed)
--- a/intake/fleet_test.go
+++ b/intake/fleet_test.go
@@ -1,4 +1,3 @@
-
 package intake
 
 import (
@@ -20,15 +19,16 @@
 	now         float64
 	flushed     map[zoneEndpoint]*flushedSum
 	mostPending int
-	rates       func(sender, endpoint int) float64 // tries a second
+	rates       func(sender, endpoint int) float64 // attempts a second
 	fails       func(endpoint int, nowMs float64) float64
 	deliver     func(s *reporter, nowMs float64) (arrives bool, lateMs float64)
 	inFlight    []delivery
-	truth       map[zoneEndpoint]float64 // tries that were made
+	truth       map[zoneEndpoint]float64 // attempts that were made
 	src         rand.Source
 	rnd         *rand.Rand
 }
 
+// reporter is a proxy that reports.
 type reporter struct {
 	id, zone         int
 	lastSeq          uint64
@@ -40,11 +40,13 @@
 	reportsPerPeriod float64 // reports sent where one is due
 }
 
+// delivery is a report on its way.
 type delivery struct {
-	at float64
-	r  *Report[float64]
+	at     float64
+	report *Report[float64]
 }
 
+// flushedSum adds up what was flushed of one sum.
 type flushedSum struct{ tries, span, failed float64 }
 
 func testOptions() Terms {
@@ -52,14 +54,18 @@
 }
 
 func newFleet(t Terms, senders, endpoints, zones int) *fleet {
-	c := &fleet{in: New[float64](t), endpoints: endpoints, zones: zones, flushed: map[zoneEndpoint]*flushedSum{},
-		truth: map[zoneEndpoint]float64{}, src: rand.NewPCG(1, 2), rnd: rand.New(rand.NewPCG(3, 4))}
+	c := &fleet{
+		in: New[float64](t), endpoints: endpoints, zones: zones, flushed: map[zoneEndpoint]*flushedSum{},
+		truth: map[zoneEndpoint]float64{}, src: rand.NewPCG(1, 2), rnd: rand.New(rand.NewPCG(3, 4)),
+	}
 	for e := range endpoints {
 		c.in.List(0, e, brain.Ready, 0)
 	}
 	for i := range senders {
-		s := &reporter{id: i, zone: i % zones, periodMs: t.PeriodMs, nextMs: t.PeriodMs * float64(i+1) / float64(senders),
-			reportsPerPeriod: 1}
+		s := &reporter{
+			id: i, zone: i % zones, periodMs: t.PeriodMs, nextMs: t.PeriodMs * float64(i+1) / float64(senders),
+			reportsPerPeriod: 1,
+		}
 		c.senders = append(c.senders, s)
 		c.in.Join(0, i, s.zone)
 	}
@@ -78,77 +84,102 @@
 		c.truth[zoneEndpoint{e, s.zone}] += float64(tries)
 		if tries > 0 {
 			failed := int(math.Round(float64(tries) * c.fails(e, c.now)))
-			r.Lines = append(r.Lines, Line[float64]{Endpoint: e, Tries: tries, Failed: failed, MeanMs: 30, Load: c.now, HasLoad: true})
+			line := Line[float64]{Endpoint: e, Tries: tries, Failed: failed, MeanMs: 30, Load: c.now, HasLoad: true}
+			r.Lines = append(r.Lines, line)
 		}
 	}
 	s.lastMs = c.now
 	return r
 }
 
-// run lets time pass in steps of 20 ms; done is called with what each period flushes.
+// run lets time pass in steps of 20 ms; done is called with what each second flushes.
 func (c *fleet) run(ms float64, done func(nowMs float64, t Told[float64])) {
 	const step = 20.0
 	for end := c.now + ms; c.now < end; {
 		c.now += step
-		for _, s := range c.senders {
-			for s.nextMs <= c.now {
-				s.nextMs += s.periodMs / s.reportsPerPeriod
-				r := c.report(s)
-				if arrives, late := c.deliver(s, c.now); arrives {
-					s.arrived = true
-					c.inFlight = append(c.inFlight, delivery{c.now + late, r})
-				}
-			}
+		c.sendDue()
+		c.receiveDue()
+		c.mostPending = max(c.mostPending, c.in.Waiting())
+		if math.Mod(c.now, 1000) >= step {
+			continue
 		}
-		kept := c.inFlight[:0]
-		for _, m := range c.inFlight {
-			if m.at <= c.now {
-				c.in.Take(c.now, m.r)
-			} else {
-				kept = append(kept, m)
-			}
+		batch := c.in.Tell(c.now, 1000)
+		c.collect(batch)
+		if done != nil {
+			done(c.now, batch)
 		}
-		c.inFlight = kept
-		c.mostPending = max(c.mostPending, c.in.Waiting())
-		if math.Mod(c.now, 1000) < step {
-			t := c.in.Tell(c.now, 1000)
-			for _, m := range t.Mets {
-				key := zoneEndpoint{m.Endpoint, m.Zone}
-				if c.flushed[key] == nil {
-					c.flushed[key] = &flushedSum{}
-				}
-				c.flushed[key].tries += m.Tries
-				c.flushed[key].failed += m.Failed
-				c.flushed[key].span += m.SpanMs
-			}
-			if done != nil {
-				done(c.now, t)
-			}
-			for _, a := range c.in.Deal(c.now) {
-				if s := c.senders[a.Sender]; !s.ignoresAdvice {
-					s.periodMs = a.PeriodMs
-				}
+		c.follow(c.in.Deal(c.now))
+	}
+}
+
+// sendDue has the senders whose period is over send their reports.
+func (c *fleet) sendDue() {
+	for _, s := range c.senders {
+		for s.nextMs <= c.now {
+			s.nextMs += s.periodMs / s.reportsPerPeriod
+			r := c.report(s)
+			if arrives, late := c.deliver(s, c.now); arrives {
+				s.arrived = true
+				c.inFlight = append(c.inFlight, delivery{c.now + late, r})
 			}
 		}
 	}
 }
 
-// worstError returns how far the flushed rate is from the true one, at worst, over endpoints with a hundredth of their zone.
+// receiveDue has the reports arrive whose time has come.
+func (c *fleet) receiveDue() {
+	kept := c.inFlight[:0]
+	for _, d := range c.inFlight {
+		if d.at <= c.now {
+			c.in.Take(c.now, d.report)
+		} else {
+			kept = append(kept, d)
+		}
+	}
+	c.inFlight = kept
+}
+
+// collect adds up what was flushed.
+func (c *fleet) collect(batch Told[float64]) {
+	for _, m := range batch.Mets {
+		key := zoneEndpoint{m.Endpoint, m.Zone}
+		if c.flushed[key] == nil {
+			c.flushed[key] = &flushedSum{}
+		}
+		c.flushed[key].tries += m.Tries
+		c.flushed[key].failed += m.Failed
+		c.flushed[key].span += m.SpanMs
+	}
+}
+
+// follow has the senders do as they are asked, but for those that ignore it.
+func (c *fleet) follow(advice []Advice) {
+	for _, a := range advice {
+		if s := c.senders[a.Sender]; !s.ignoresAdvice {
+			s.periodMs = a.PeriodMs
+		}
+	}
+}
+
+// worstError returns how far the flushed rate is from the true one, at worst, over endpoints with a hundredth of their
+// zone's attempts.
 func (c *fleet) worstError(overMs float64) (worst float64, about string) {
 	all := map[int]float64{}
 	for key, n := range c.truth {
 		all[key.zone] += n
 	}
 	for key, n := range c.truth {
-		got, want := 0.0, n/overMs*1000
 		if n < all[key.zone]/100 {
 			continue
 		}
+		want := n / overMs * 1000
+		got := 0.0
 		if x := c.flushed[key]; x != nil && x.span > 0 {
 			got = x.tries / x.span * 1000
 		}
 		if off := math.Abs(got-want) / want; off > worst {
-			worst, about = off, fmt.Sprintf("endpoint %d zone %d: told %.2f, true %.2f a second", key.endpoint, key.zone, got, want)
+			worst = off
+			about = fmt.Sprintf("endpoint %d zone %d: flushed %.2f, true %.2f a second", key.endpoint, key.zone, got, want)
 		}
 	}
 	return worst, about
--- a/intake/flush_test.go
+++ b/intake/flush_test.go
@@ -14,8 +14,18 @@
 		tm := testOptions()
 		tm.LinesPerS, tm.ToldPerS = limit, limit/10
 		c := newFleet(tm, 60, 20, 3)
-		c.rates = func(s, e int) float64 { return map[bool]float64{true: 0.5, false: 5}[e == 13] }
-		c.fails = func(e int, now float64) float64 { return map[bool]float64{true: 1}[e == 13 && now > 20300] }
+		c.rates = func(_, e int) float64 {
+			if e == 13 {
+				return 0.5
+			}
+			return 5
+		}
+		c.fails = func(e int, now float64) float64 {
+			if e == 13 && now > 20300 {
+				return 1
+			}
+			return 0
+		}
 		c.run(20000, nil)
 		for _, s := range c.senders {
 			s.reportsPerPeriod = 100
--- a/intake/queue_test.go
+++ b/intake/queue_test.go
@@ -12,7 +12,12 @@
 	tm.Standing, tm.ToldPerS = 10, 5
 	c := newFleet(tm, 30, 40, 3)
 	urgent := false
-	c.fails = func(e int, now float64) float64 { return map[bool]float64{true: 1}[e == 39 && now > 5000] }
+	c.fails = func(e int, now float64) float64 {
+		if e == 39 && now > 5000 {
+			return 1
+		}
+		return 0
+	}
 	c.rates = func(int, int) float64 { return 3 }
 	c.run(9000, func(_ float64, batch Told[float64]) {
 		for _, m := range batch.Mets {
--- a/intake/report_test.go
+++ b/intake/report_test.go
@@ -13,7 +13,8 @@
 // TestRefusedReports guards the sums against what can't be true and what is not of a present endpoint.
 func TestRefusedReports(t *testing.T) {
 	good := func() *Report[float64] {
-		return &Report[float64]{Sender: 0, Seq: 5, AtMs: 1000, SpanMs: 1000, Lines: []Line[float64]{{Endpoint: 0, Tries: 10, MeanMs: 5}}}
+		lines := []Line[float64]{{Endpoint: 0, Tries: 10, MeanMs: 5}}
+		return &Report[float64]{Sender: 0, Seq: 5, AtMs: 1000, SpanMs: 1000, Lines: lines}
 	}
 	for _, c := range []struct {
 		name   string
