--- a/internal/simwire/commands.go
+++ b/internal/simwire/commands.go
@@ -12,15 +12,15 @@
 
 // reply is one line to the simulator.
 type reply struct {
-	Number int64            `json:"batch"`
-	Orders []map[string]any `json:"orders"`
+	Number   int64            `json:"batch"`
+	Commands []map[string]any `json:"orders"`
 }
 
-// act turns one order into an action.
-func (p *pilot) act(o brain.Order) (map[string]any, error) {
+// encode turns one order into an action.
+func (p *instance) encode(o brain.Order) (map[string]any, error) {
 	switch o := o.(type) {
 	case brain.SetLine:
-		return p.named(o.Endpoint, map[string]any{"kind": "set_weight", "tbl": o.Table, "heft": o.Weight})
+		return p.withEndpointName(o.Endpoint, map[string]any{"kind": "set_weight", "tbl": o.Table, "heft": o.Weight})
 	case brain.ClearTable:
 		return map[string]any{"kind": "reset_table", "tbl": o.Table}, nil
 	case brain.Bind:
@@ -29,18 +29,18 @@
 		}
 		return map[string]any{"kind": "use_table", "tbl": o.Table, "lanes": o.Kinds, "edge": o.Proxy}, nil
 	case brain.Withdraw:
-		return p.named(o.Endpoint, map[string]any{"kind": "withdraw", "active": o.Out})
+		return p.withEndpointName(o.Endpoint, map[string]any{"kind": "withdraw", "active": o.Out})
 	case brain.Admit:
 		return map[string]any{"kind": "gate_class", "tbl": o.Table, "level": o.Level, "lanes": o.Kinds,
 			"retry_mode": o.Again}, nil
 	case brain.Mark:
 		return map[string]any{"kind": "checkpoint", "epoch": o.Number, "active": o.All}, nil
 	case brain.Probe:
-		return p.named(o.Endpoint, map[string]any{"kind": "health_check"})
+		return p.withEndpointName(o.Endpoint, map[string]any{"kind": "health_check"})
 	case brain.Tell:
 		return map[string]any{"kind": "memo_to", "neighbour_id": o.Peer, "contents": o.Text}, nil
 	case brain.WakeAt:
-		due := p.origin + int64(math.Round(o.AtMs*translate.NsPerMs))
+		due := p.originNs + int64(math.Round(o.AtMs*translate.NsPerMs))
 		return map[string]any{"kind": "set_timer", "due_at": due, "ref": o.Name}, nil
 	case brain.Watch:
 		return map[string]any{"kind": "stream_changes", "active": o.On}, nil
@@ -52,8 +52,8 @@
 	return nil, errors.New("unknown order " + strconv.Quote(fmt.Sprintf("%T", o)))
 }
 
-// named adds an endpoint's id to an action.
-func (p *pilot) named(endpoint int, act map[string]any) (map[string]any, error) {
+// withEndpointName adds an endpoint's id to an action.
+func (p *instance) withEndpointName(endpoint int, act map[string]any) (map[string]any, error) {
 	name, err := p.endpoints.Out(endpoint)
 	if err != nil {
 		return nil, fmt.Errorf("%v: %w", act["kind"], err)
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -10,9 +10,9 @@
 
 // batch is one line from the simulator.
 type batch struct {
-	Clock  int64             `json:"sim_time"`
-	Number int64             `json:"batch"`
-	Events []json.RawMessage `json:"happened"`
+	ClockNs int64             `json:"sim_time"`
+	Number  int64             `json:"batch"`
+	Events  []json.RawMessage `json:"happened"`
 }
 
 // event holds the fields of every kind of event.
@@ -22,77 +22,77 @@
 	Seed     int64              `json:"rng_seed"`
 	Setup    map[string]any     `json:"setup"`
 	Mode     string             `json:"mode"`
-	Epoch    int                `json:"epoch"`
-	Hosts    []listLine         `json:"hosts"`
-	Ref      string             `json:"ref"`
+	Number   int                `json:"epoch"`
+	Lines    []listLine         `json:"hosts"`
+	Timer    string             `json:"ref"`
 	Endpoint string             `json:"endpoint"`
 	Result   string             `json:"result"`
-	Wait     float64            `json:"wait_time"`
+	WaitNs   float64            `json:"wait_time"`
 	Load     map[string]float64 `json:"feedback"`
-	By       int                `json:"by"`
-	Contents string             `json:"contents"`
-	Edge     int                `json:"edge"`
+	From     int                `json:"by"`
+	Text     string             `json:"contents"`
+	Proxy    int                `json:"edge"`
 	Zone     string             `json:"zone"`
-	Heft     float64            `json:"heft"`
+	Weight   float64            `json:"heft"`
 	Active   bool               `json:"active"`
 	Errors   int                `json:"errors"`
-	Covers   float64            `json:"covers"`
+	SpanNs   float64            `json:"covers"`
 	Count    int                `json:"count"`
-	Qos      string             `json:"qos"`
-	Table    int                `json:"tbl"`
+	Class    string             `json:"qos"`
+	Slice    int                `json:"tbl"`
 }
 
 // listLine is one entry of the endpoint list.
 type listLine struct {
-	Endpoint string  `json:"endpoint"`
-	Zone     string  `json:"zone"`
-	Machine  string  `json:"generation_hw"`
-	Cell     int     `json:"group"`
-	Mode     string  `json:"mode"`
-	Heft     float64 `json:"heft"`
-	Launched int64   `json:"launched"`
+	Endpoint   string  `json:"endpoint"`
+	Zone       string  `json:"zone"`
+	Model      string  `json:"generation_hw"`
+	Cell       int     `json:"group"`
+	Mode       string  `json:"mode"`
+	Weight     float64 `json:"heft"`
+	LaunchedNs int64   `json:"launched"`
 }
 
-// note turns one event into a note.
-func (p *pilot) note(e *event) (brain.Note, error) {
+// decode turns one event into a note.
+func (p *instance) decode(e *event) (brain.Note, error) {
 	switch e.Kind {
 	case "discovery":
-		return p.listing(e)
+		return p.decodeEndpoints(e)
 	case "bell":
-		return brain.Alarm{Name: e.Ref}, nil
+		return brain.Alarm{Name: e.Timer}, nil
 	case "ping_result":
 		return brain.Probed{Endpoint: p.endpoints.In(e.Endpoint), OK: e.Result == "S", Outcome: e.Result,
-			TookMs: e.Wait / translate.NsPerMs, Load: translate.Load(e.Load)}, nil
+			TookMs: e.WaitNs / translate.NsPerMs, Load: translate.Load(e.Load)}, nil
 	case "peer":
-		return brain.Gossip{From: e.By, Text: e.Contents}, nil
+		return brain.Gossip{From: e.From, Text: e.Text}, nil
 	case "stream_up":
-		if !brain.Sound(e.Heft) {
-			return nil, fmt.Errorf("rate %g of proxy %d is out of range", e.Heft, e.Edge)
+		if !brain.Sound(e.Weight) {
+			return nil, fmt.Errorf("rate %g of proxy %d is out of range", e.Weight, e.Proxy)
 		}
-		return brain.Joined{Proxy: e.Edge, Zone: p.zones.In(e.Zone), Rate: e.Heft, Fresh: e.Active}, nil
+		return brain.Joined{Proxy: e.Proxy, Zone: p.zones.In(e.Zone), Rate: e.Weight, Fresh: e.Active}, nil
 	case "stream_down":
-		return brain.Left{Proxy: e.Edge}, nil
+		return brain.Left{Proxy: e.Proxy}, nil
 	case "tally":
 		return brain.Met{Endpoint: p.endpoints.In(e.Endpoint), Zone: p.zones.In(e.Zone), Tries: e.Count,
-			Failed: e.Errors, MeanMs: e.Wait / translate.NsPerMs, SpanMs: e.Covers / translate.NsPerMs, Load: translate.Load(e.Load)}, nil
+			Failed: e.Errors, MeanMs: e.WaitNs / translate.NsPerMs, SpanMs: e.SpanNs / translate.NsPerMs, Load: translate.Load(e.Load)}, nil
 	case "proxy_stats":
-		return brain.Demand{Proxy: e.Edge, Kind: p.kinds.In(e.Qos), Reqs: e.Count, Unanswered: e.Errors,
-			SpanMs: e.Covers / translate.NsPerMs}, nil
+		return brain.Demand{Proxy: e.Proxy, Kind: p.classes.In(e.Class), Reqs: e.Count, Unanswered: e.Errors,
+			SpanMs: e.SpanNs / translate.NsPerMs}, nil
 	case "weight_seen":
-		return brain.SliceDemand{Slice: e.Table, Kind: p.kinds.In(e.Qos), Reqs: e.Count, Unanswered: e.Errors,
-			SpanMs: e.Covers / translate.NsPerMs}, nil
+		return brain.SliceDemand{Slice: e.Slice, Kind: p.classes.In(e.Class), Reqs: e.Count, Unanswered: e.Errors,
+			SpanMs: e.SpanNs / translate.NsPerMs}, nil
 	case "handed":
-		return brain.SliceCharge{Slice: e.Table, Given: e.Active}, nil
+		return brain.SliceCharge{Slice: e.Slice, Given: e.Active}, nil
 	case "stored_line":
-		return brain.SliceLine{Slice: e.Table, Endpoint: p.endpoints.In(e.Endpoint), Weight: e.Heft}, nil
+		return brain.SliceLine{Slice: e.Slice, Endpoint: p.endpoints.In(e.Endpoint), Weight: e.Weight}, nil
 	case "confirmed":
-		return brain.Applied{Proxy: e.Edge, Number: e.Epoch, TookMs: e.Wait / translate.NsPerMs}, nil
+		return brain.Applied{Proxy: e.Proxy, Number: e.Number, TookMs: e.WaitNs / translate.NsPerMs}, nil
 	}
 	return nil, fmt.Errorf("unknown kind of event %q", e.Kind)
 }
 
-// listing turns a discovery event into a note.
-func (p *pilot) listing(e *event) (brain.Note, error) {
+// decodeEndpoints turns a discovery event into a note.
+func (p *instance) decodeEndpoints(e *event) (brain.Note, error) {
 	modes := map[string]brain.ListMode{"incr": brain.Changes, "total": brain.Whole, "warm_copy": brain.Remembered,
 		"lost": brain.ListFailed}
 	phases := map[string]brain.Phase{"live": brain.Ready, "quiescing": brain.Draining, "dead": brain.Gone}
@@ -100,19 +100,19 @@
 	if !ok {
 		return nil, fmt.Errorf("unknown mode of list %q", e.Mode)
 	}
-	l := brain.Listing{Mode: mode, Version: e.Epoch}
-	for _, h := range e.Hosts {
+	l := brain.Listing{Mode: mode, Version: e.Number}
+	for _, h := range e.Lines {
 		phase, ok := phases[h.Mode]
 		if !ok {
 			return nil, fmt.Errorf("unknown state %q of endpoint %q", h.Mode, h.Endpoint)
 		}
-		if !brain.SoundWeight(h.Heft) {
-			return nil, fmt.Errorf("weight %g of endpoint %q is out of range", h.Heft, h.Endpoint)
+		if !brain.SoundWeight(h.Weight) {
+			return nil, fmt.Errorf("weight %g of endpoint %q is out of range", h.Weight, h.Endpoint)
 		}
 		entry := brain.Entry{Endpoint: p.endpoints.In(h.Endpoint), Zone: p.zones.In(h.Zone),
-			Machine: p.models.In(h.Machine), Cell: h.Cell, Phase: phase, Weight: h.Heft}
-		if h.Launched != 0 {
-			entry.Started = p.ms(h.Launched)
+			Machine: p.models.In(h.Model), Cell: h.Cell, Phase: phase, Weight: h.Weight}
+		if h.LaunchedNs != 0 {
+			entry.Started = p.planTime(h.LaunchedNs)
 		}
 		l.Entries = append(l.Entries, entry)
 	}
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -9,7 +9,7 @@
 )
 
 // host keeps the live instances; they share nothing.
-type host struct{ pilots map[string]*pilot }
+type host struct{ instances map[string]*instance }
 
 // answer reads one batch, lets each instance handle its part, and writes the reply.
 func (h *host) answer(text []byte, w *bufio.Writer) error {
@@ -17,17 +17,17 @@
 	if err := json.Unmarshal(text, &in); err != nil {
 		return fmt.Errorf("malformed batch: %w", err)
 	}
-	order, notes, err := h.sort(&in)
+	order, notes, err := h.turns(&in)
 	if err != nil {
 		return err
 	}
-	out := reply{Number: in.Number, Orders: []map[string]any{}}
+	out := reply{Number: in.Number, Commands: []map[string]any{}}
 	for _, p := range order {
-		acts, err := p.handle(in.Clock, notes[p])
+		acts, err := p.handle(in.ClockNs, notes[p])
 		if err != nil {
 			return err
 		}
-		out.Orders = append(out.Orders, acts...)
+		out.Commands = append(out.Commands, acts...)
 	}
 	line, err := json.Marshal(out)
 	if err != nil {
@@ -39,29 +39,29 @@
 	return w.Flush()
 }
 
-// sort turns a batch into notes for each instance, in the order in which the instances appear.
-func (h *host) sort(in *batch) ([]*pilot, map[*pilot][]brain.Note, error) {
-	var order []*pilot
-	notes := map[*pilot][]brain.Note{}
+// turns turns a batch into notes for each instance, in the order in which the instances appear.
+func (h *host) turns(in *batch) ([]*instance, map[*instance][]brain.Note, error) {
+	var order []*instance
+	notes := map[*instance][]brain.Note{}
 	for n, raw := range in.Events {
 		var e event
 		if err := json.Unmarshal(raw, &e); err != nil {
 			return nil, nil, fmt.Errorf("malformed event %d: %w", n+1, err)
 		}
 		if e.Kind == "spawn" {
-			h.pilots[e.Instance] = start(&e, in.Clock)
-			order = append(order, h.pilots[e.Instance])
+			h.instances[e.Instance] = newInstance(&e, in.ClockNs)
+			order = append(order, h.instances[e.Instance])
 			continue
 		}
-		p := h.pilots[e.Instance]
+		p := h.instances[e.Instance]
 		if p == nil {
 			return nil, nil, fmt.Errorf("event %d: %q for unknown instance %q", n+1, e.Kind, e.Instance)
 		}
 		if e.Kind == "teardown" {
-			delete(h.pilots, e.Instance)
+			delete(h.instances, e.Instance)
 			continue
 		}
-		note, err := p.note(&e)
+		note, err := p.decode(&e)
 		if err != nil {
 			return nil, nil, fmt.Errorf("event %d: %w", n+1, err)
 		}
@@ -72,14 +72,14 @@
 	}
 	live := order[:0]
 	for _, p := range order {
-		if h.pilots[p.name] == p {
+		if h.instances[p.name] == p {
 			live = append(live, p)
 		}
 	}
 	return live, notes, nil
 }
 
-func contains(list []*pilot, p *pilot) bool {
+func contains(list []*instance, p *instance) bool {
 	for _, q := range list {
 		if q == p {
 			return true
--- a/internal/simwire/host_test.go
+++ b/internal/simwire/host_test.go
@@ -16,10 +16,10 @@
 func TestServe(t *testing.T) {
 	for name, c := range map[string]struct{ in, want, fails string }{
 		"empty batch":   {`{"sim_time":5,"batch":3,"happened":[]}`, `{"batch":3,"orders":[]}`, ""},
-		"lays a table":  {`{"sim_time":5,"batch":1,"happened":[` + spawn + `,{"kind":"stream_up","i":"pilot/0","edge":4,"zone":"a","heft":1}]}`, `"endpoint":"x:1"`, ""},
+		"sets weights":  {`{"sim_time":5,"batch":1,"happened":[` + spawn + `,{"kind":"stream_up","i":"pilot/0","edge":4,"zone":"a","heft":1}]}`, `"endpoint":"x:1"`, ""},
 		"exact timer":   {`{"sim_time":1000000007,"batch":1,"happened":[` + spawn + `]}`, `"due_at":1500000007`, ""},
 		"binds a proxy": {`{"sim_time":5,"batch":1,"happened":[` + spawn + `,{"kind":"stream_up","i":"pilot/0","edge":4,"zone":"a","heft":1}]}`, `"edge":4`, ""},
-		"killed":        {`{"sim_time":5,"batch":1,"happened":[` + spawn + `,{"kind":"teardown","i":"pilot/0"}]}`, `{"batch":1,"orders":[]}`, ""},
+		"ended":         {`{"sim_time":5,"batch":1,"happened":[` + spawn + `,{"kind":"teardown","i":"pilot/0"}]}`, `{"batch":1,"orders":[]}`, ""},
 		"malformed":     {`{"batch":`, "", "line 1: malformed batch"},
 		"unknown event": {`{"batch":1,"happened":[` + spawn + `,{"kind":"fog","i":"pilot/0"}]}`, "", `unknown kind of event "fog"`},
 		"no instance":   {`{"batch":1,"happened":[{"kind":"bell","i":"pilot/9"}]}`, "", `unknown instance "pilot/9"`},
@@ -45,9 +45,9 @@
 `
 }
 
-// TestBadInput guards the adapter against lines that are cut, too long or nested without end, and against figures that
+// TestHostileInput guards the adapter against lines that are cut, too long or nested without end, and against figures that
 // would make not-a-number of the tables, which can't even be written to the reply.
-func TestBadInput(t *testing.T) {
+func TestHostileInput(t *testing.T) {
 	for name, c := range map[string]struct{ in, fails string }{
 		"nested":          {`{"batch":1,"happened":` + strings.Repeat("[", 20000), "line 1: malformed batch"},
 		"not UTF-8":       {"{\"batch\":1,\"happened\":[{\"kind\":\"\xff\",\"i\":\"x\"}]}", "unknown instance"},
@@ -73,8 +73,8 @@
 	for n := range len(good) { // cut off anywhere: an answer or an error, never an end of the process
 		_ = Serve(strings.NewReader(good[:n]), io.Discard)
 	}
-	endless := io.MultiReader(strings.NewReader(`{"batch":"`), io.LimitReader(zeros{}, longest+1))
-	assert.ErrorIs(t, Serve(endless, io.Discard), errLong)
+	endless := io.MultiReader(strings.NewReader(`{"batch":"`), io.LimitReader(zeros{}, maxLineBytes+1))
+	assert.ErrorIs(t, Serve(endless, io.Discard), errLineTooLong)
 }
 
 // zeros is text without an end.
--- a/internal/simwire/instance.go
+++ b/internal/simwire/instance.go
@@ -7,24 +7,24 @@
 	"indigousher/internal/translate"
 )
 
-// pilot is one instance with its own names between ids and indices.
-type pilot struct {
-	name                            string
-	brain                           *brain.Brain
-	origin                          int64
-	endpoints, zones, kinds, models translate.Names
-	joined                          map[int]bool
+// instance is one instance with its own names between ids and indices.
+type instance struct {
+	name                              string
+	brain                             *brain.Brain
+	originNs                          int64
+	endpoints, zones, classes, models translate.Names
+	joined                            map[int]bool
 }
 
-// start makes an instance from its first event.
-func start(e *event, clock int64) *pilot {
+// newInstance makes an instance from its first event.
+func newInstance(e *event, clock int64) *instance {
 	d := translate.Read(e.Setup)
-	return &pilot{name: e.Instance, origin: clock, joined: map[int]bool{}, zones: d.Zones, kinds: d.Kinds,
+	return &instance{name: e.Instance, originNs: clock, joined: map[int]bool{}, zones: d.Zones, classes: d.Kinds,
 		models: d.Machines, brain: brain.New(e.Seed, d.Terms)}
 }
 
 // handle runs the module and turns a panic in it into the wire's fault.
-func (p *pilot) handle(clock int64, notes []brain.Note) (acts []map[string]any, err error) {
+func (p *instance) handle(clock int64, notes []brain.Note) (acts []map[string]any, err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			acts, err = []map[string]any{{"kind": "broken", "i": p.name, "body_text": fmt.Sprint(r)}}, nil
@@ -38,8 +38,8 @@
 			delete(p.joined, n.Proxy)
 		}
 	}
-	for _, o := range p.brain.Handle(p.ms(clock), notes) {
-		act, err := p.act(o)
+	for _, o := range p.brain.Handle(p.planTime(clock), notes) {
+		act, err := p.encode(o)
 		if err != nil {
 			return nil, fmt.Errorf("instance %s: %w", p.name, err)
 		}
@@ -49,5 +49,7 @@
 	return acts, nil
 }
 
-// ms turns a clock value into milliseconds since the instance's start.
-func (p *pilot) ms(clock int64) float64 { return float64(clock-p.origin) / translate.NsPerMs }
+// planTime turns a clock value into milliseconds since the instance's start.
+func (p *instance) planTime(clock int64) float64 {
+	return float64(clock-p.originNs) / translate.NsPerMs
+}
--- a/internal/simwire/serve.go
+++ b/internal/simwire/serve.go
@@ -8,18 +8,18 @@
 	"io"
 )
 
-// longest bounds a line of input in bytes.
-const longest = 1 << 26
+// maxLineBytes bounds a line of input in bytes.
+const maxLineBytes = 1 << 26
 
-// errLong says that a line passes the bound.
-var errLong = fmt.Errorf("line longer than %d bytes", longest)
+// errLineTooLong says that a line passes the bound.
+var errLineTooLong = fmt.Errorf("line longer than %d bytes", maxLineBytes)
 
 // readLine reads up to a line's end, or as much as is left.
 func readLine(r *bufio.Reader) (line []byte, err error) {
 	for {
 		part, err := r.ReadSlice('\n')
-		if len(line)+len(part) > longest {
-			return nil, errLong
+		if len(line)+len(part) > maxLineBytes {
+			return nil, errLineTooLong
 		}
 		line = append(line, part...)
 		if !errors.Is(err, bufio.ErrBufferFull) {
@@ -30,7 +30,7 @@
 
 // Serve answers batches from in on out until the input ends.
 func Serve(in io.Reader, out io.Writer) error {
-	h := &host{pilots: map[string]*pilot{}}
+	h := &host{instances: map[string]*instance{}}
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriter(out)
 	for line := 1; ; line++ {
 		text, err := readLine(r)
