--- a/internal/simwire/commands.go
+++ b/internal/simwire/commands.go
@@ -3,61 +3,215 @@
 import (
 	"errors"
 	"fmt"
-	"math"
 	"strconv"
 
 	"indigousher/brain"
-	"indigousher/internal/translate"
 )
 
-// reply is one line to the simulator.
+// reply is one line to the simulator, which answers the batch of the same number.
 type reply struct {
-	Number   int64            `json:"batch"`
-	Commands []map[string]any `json:"orders"`
+	Number   int64     `json:"batch"`
+	Commands []command `json:"orders"`
 }
 
-// encode turns one order into an action.
-func (p *instance) encode(o brain.Order) (map[string]any, error) {
-	switch o := o.(type) {
+// command is a command as the simulator reads it: one of the types below. Their fields stand in the order of their
+// JSON names, as the recorded conversations have them.
+type command interface{ isCommand() }
+
+// commandKind is the name of a command.
+type commandKind string
+
+// The kinds of commands.
+const (
+	commandSetWeight      commandKind = "set_weight"
+	commandClearTable     commandKind = "reset_table"
+	commandAssignTable    commandKind = "use_table"
+	commandSetExcluded    commandKind = "withdraw"
+	commandSetAdmission   commandKind = "gate_class"
+	commandAckRequest     commandKind = "checkpoint"
+	commandHealthCheck    commandKind = "health_check"
+	commandSendGossip     commandKind = "memo_to"
+	commandSetTimer       commandKind = "set_timer"
+	commandWatchEndpoints commandKind = "stream_changes"
+	commandFetchEndpoints commandKind = "query_all"
+	commandLog            commandKind = "print"
+	commandBroken         commandKind = "broken"
+)
+
+// header is what all commands have: whose they are, and their kind.
+type header struct {
+	Instance string      `json:"i"`
+	Kind     commandKind `json:"kind"`
+}
+
+func (header) isCommand() {}
+
+// simpleCommand says nothing beyond its kind.
+type simpleCommand struct{ header }
+
+type setWeightCommand struct {
+	Endpoint string  `json:"endpoint"`
+	Weight   float64 `json:"heft"`
+	header
+	Table int `json:"tbl"`
+}
+
+type clearTableCommand struct {
+	header
+	Table int `json:"tbl"`
+}
+
+type assignTableCommand struct {
+	Proxy int `json:"edge"`
+	header
+	Classes int `json:"lanes"` // bit mask; 0: all
+	Table   int `json:"tbl"`
+}
+
+type setExcludedCommand struct {
+	Excluded bool   `json:"active"`
+	Endpoint string `json:"endpoint"`
+	header
+}
+
+type setAdmissionCommand struct {
+	header
+	Classes   int     `json:"lanes"` // bit mask; 0: all
+	Level     float64 `json:"level"`
+	RetryMode int     `json:"retry_mode"`
+	Table     int     `json:"tbl"`
+}
+
+type ackRequestCommand struct {
+	All    bool `json:"active"` // all proxies are asked, not just those reached
+	Number int  `json:"epoch"`
+	header
+}
+
+type healthCheckCommand struct {
+	Endpoint string `json:"endpoint"`
+	header
+}
+
+type sendGossipCommand struct {
+	Text string `json:"contents"`
+	header
+	Peer int `json:"neighbour_id"`
+}
+
+type setTimerCommand struct {
+	DueNs int64 `json:"due_at"`
+	header
+	Timer string `json:"ref"`
+}
+
+type watchEndpointsCommand struct {
+	On bool `json:"active"`
+	header
+}
+
+// textCommand is a log line, or tells the simulator why an instance is broken.
+type textCommand struct {
+	Text string `json:"body_text"`
+	header
+}
+
+// header returns the header of a command of this instance.
+func (p *instance) header(kind commandKind) header { return header{Instance: p.name, Kind: kind} }
+
+// broken tells the simulator that the instance's planner panicked.
+func (p *instance) broken(cause any) command {
+	return textCommand{header: p.header(commandBroken), Text: fmt.Sprint(cause)}
+}
+
+// encode turns a command of the planner into one of the simulator.
+func (p *instance) encode(order brain.Order) (command, error) {
+	switch o := order.(type) {
 	case brain.SetLine:
-		return p.withEndpointName(o.Endpoint, map[string]any{"kind": "set_weight", "tbl": o.Table, "heft": o.Weight})
+		return p.encodeSetWeight(o)
 	case brain.ClearTable:
-		return map[string]any{"kind": "reset_table", "tbl": o.Table}, nil
+		return clearTableCommand{header: p.header(commandClearTable), Table: o.Table}, nil
 	case brain.Bind:
-		if !p.joined[o.Proxy] {
-			return nil, fmt.Errorf("bind of proxy %d, which is not joined", o.Proxy)
-		}
-		return map[string]any{"kind": "use_table", "tbl": o.Table, "lanes": o.Kinds, "edge": o.Proxy}, nil
+		return p.encodeAssignTable(o)
 	case brain.Withdraw:
-		return p.withEndpointName(o.Endpoint, map[string]any{"kind": "withdraw", "active": o.Out})
+		return p.encodeSetExcluded(o)
 	case brain.Admit:
-		return map[string]any{"kind": "gate_class", "tbl": o.Table, "level": o.Level, "lanes": o.Kinds,
-			"retry_mode": o.Again}, nil
+		return p.encodeSetAdmission(o), nil
 	case brain.Mark:
-		return map[string]any{"kind": "checkpoint", "epoch": o.Number, "active": o.All}, nil
+		return ackRequestCommand{header: p.header(commandAckRequest), Number: o.Number, All: o.All}, nil
 	case brain.Probe:
-		return p.withEndpointName(o.Endpoint, map[string]any{"kind": "health_check"})
+		return p.encodeHealthCheck(o)
 	case brain.Tell:
-		return map[string]any{"kind": "memo_to", "neighbour_id": o.Peer, "contents": o.Text}, nil
+		return sendGossipCommand{header: p.header(commandSendGossip), Peer: o.Peer, Text: o.Text}, nil
 	case brain.WakeAt:
-		due := p.originNs + int64(math.Round(o.AtMs*translate.NsPerMs))
-		return map[string]any{"kind": "set_timer", "due_at": due, "ref": o.Name}, nil
+		return setTimerCommand{header: p.header(commandSetTimer), DueNs: p.simulatorTime(o.AtMs), Timer: o.Name}, nil
 	case brain.Watch:
-		return map[string]any{"kind": "stream_changes", "active": o.On}, nil
+		return watchEndpointsCommand{header: p.header(commandWatchEndpoints), On: o.On}, nil
 	case brain.FetchList:
-		return map[string]any{"kind": "query_all"}, nil
+		return simpleCommand{p.header(commandFetchEndpoints)}, nil
 	case brain.Log:
-		return map[string]any{"kind": "print", "body_text": o.Text}, nil
+		return textCommand{header: p.header(commandLog), Text: o.Text}, nil
+	}
+	return nil, errors.New("unknown order " + strconv.Quote(fmt.Sprintf("%T", order)))
+}
+
+func (p *instance) encodeSetWeight(o brain.SetLine) (command, error) {
+	name, err := p.endpointName(o.Endpoint, commandSetWeight)
+	if err != nil {
+		return nil, err
+	}
+	return setWeightCommand{
+		header:   p.header(commandSetWeight),
+		Endpoint: name,
+		Weight:   o.Weight,
+		Table:    o.Table,
+	}, nil
+}
+
+// encodeAssignTable refuses a proxy that is not joined: the simulator takes such a command for a fault.
+func (p *instance) encodeAssignTable(o brain.Bind) (command, error) {
+	if !p.joined[o.Proxy] {
+		return nil, fmt.Errorf("bind of proxy %d, which is not joined", o.Proxy)
+	}
+	return assignTableCommand{
+		header:  p.header(commandAssignTable),
+		Proxy:   o.Proxy,
+		Classes: o.Kinds,
+		Table:   o.Table,
+	}, nil
+}
+
+func (p *instance) encodeSetExcluded(o brain.Withdraw) (command, error) {
+	name, err := p.endpointName(o.Endpoint, commandSetExcluded)
+	if err != nil {
+		return nil, err
+	}
+	return setExcludedCommand{header: p.header(commandSetExcluded), Endpoint: name, Excluded: o.Out}, nil
+}
+
+func (p *instance) encodeSetAdmission(o brain.Admit) command {
+	return setAdmissionCommand{
+		header:    p.header(commandSetAdmission),
+		Classes:   o.Kinds,
+		Level:     o.Level,
+		RetryMode: o.Again,
+		Table:     o.Table,
+	}
+}
+
+func (p *instance) encodeHealthCheck(o brain.Probe) (command, error) {
+	name, err := p.endpointName(o.Endpoint, commandHealthCheck)
+	if err != nil {
+		return nil, err
 	}
-	return nil, errors.New("unknown order " + strconv.Quote(fmt.Sprintf("%T", o)))
+	return healthCheckCommand{header: p.header(commandHealthCheck), Endpoint: name}, nil
 }
 
-// withEndpointName adds an endpoint's id to an action.
-func (p *instance) withEndpointName(endpoint int, act map[string]any) (map[string]any, error) {
+// endpointName returns the name of the endpoint that a command is about.
+func (p *instance) endpointName(endpoint int, kind commandKind) (string, error) {
 	name, err := p.endpoints.Out(endpoint)
 	if err != nil {
-		return nil, fmt.Errorf("%v: %w", act["kind"], err)
+		return "", fmt.Errorf("%v: %w", kind, err)
 	}
-	act["endpoint"] = name
-	return act, nil
+	return name, nil
 }
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -8,82 +8,98 @@
 	"indigousher/brain"
 )
 
-// host keeps the live instances; they share nothing.
+// host keeps the instances that live, by name.
 type host struct{ instances map[string]*instance }
 
+func newHost() *host { return &host{instances: map[string]*instance{}} }
+
+// turn is an instance's part of a batch.
+type turn struct {
+	instance *instance
+	notes    []brain.Note
+}
+
 // answer reads one batch, lets each instance handle its part, and writes the reply.
-func (h *host) answer(text []byte, w *bufio.Writer) error {
+func (h *host) answer(line []byte, w *bufio.Writer) error {
 	var in batch
-	if err := json.Unmarshal(text, &in); err != nil {
+	if err := json.Unmarshal(line, &in); err != nil {
 		return fmt.Errorf("malformed batch: %w", err)
 	}
-	order, notes, err := h.turns(&in)
+	turns, err := h.turns(&in)
 	if err != nil {
 		return err
 	}
-	out := reply{Number: in.Number, Commands: []map[string]any{}}
-	for _, p := range order {
-		acts, err := p.handle(in.ClockNs, notes[p])
+	out := reply{Number: in.Number, Commands: []command{}}
+	for _, t := range turns {
+		commands, err := t.instance.handle(in.ClockNs, t.notes)
 		if err != nil {
 			return err
 		}
-		out.Commands = append(out.Commands, acts...)
-	}
-	line, err := json.Marshal(out)
-	if err != nil {
-		return fmt.Errorf("encode reply: %w", err)
+		out.Commands = append(out.Commands, commands...)
 	}
-	if _, err := w.Write(append(line, '\n')); err != nil {
-		return fmt.Errorf("write reply: %w", err)
-	}
-	return w.Flush()
+	return out.write(w)
 }
 
-// turns turns a batch into notes for each instance, in the order in which the instances appear.
-func (h *host) turns(in *batch) ([]*instance, map[*instance][]brain.Note, error) {
-	var order []*instance
-	notes := map[*instance][]brain.Note{}
-	for n, raw := range in.Events {
+// turns sorts a batch's events by instance, in the order in which the instances first appear. Instances start and end
+// meanwhile; those that have ended by the end of the batch get no turn.
+func (h *host) turns(in *batch) ([]*turn, error) {
+	var order []*turn
+	byInstance := map[*instance]*turn{}
+	turnOf := func(p *instance) *turn {
+		if byInstance[p] == nil {
+			byInstance[p] = &turn{instance: p}
+			order = append(order, byInstance[p])
+		}
+		return byInstance[p]
+	}
+	for i, raw := range in.Events {
 		var e event
 		if err := json.Unmarshal(raw, &e); err != nil {
-			return nil, nil, fmt.Errorf("malformed event %d: %w", n+1, err)
+			return nil, fmt.Errorf("malformed event %d: %w", i+1, err)
 		}
-		if e.Kind == "spawn" {
-			h.instances[e.Instance] = newInstance(&e, in.ClockNs)
-			order = append(order, h.instances[e.Instance])
+		if e.Kind == eventStart {
+			p := newInstance(&e, in.ClockNs)
+			h.instances[p.name] = p
+			turnOf(p)
 			continue
 		}
 		p := h.instances[e.Instance]
 		if p == nil {
-			return nil, nil, fmt.Errorf("event %d: %q for unknown instance %q", n+1, e.Kind, e.Instance)
+			return nil, fmt.Errorf("event %d: %q for unknown instance %q", i+1, e.Kind, e.Instance)
 		}
-		if e.Kind == "teardown" {
+		if e.Kind == eventEnd {
 			delete(h.instances, e.Instance)
 			continue
 		}
 		note, err := p.decode(&e)
 		if err != nil {
-			return nil, nil, fmt.Errorf("event %d: %w", n+1, err)
-		}
-		if _, seen := notes[p]; !seen && !contains(order, p) {
-			order = append(order, p)
+			return nil, fmt.Errorf("event %d: %w", i+1, err)
 		}
-		notes[p] = append(notes[p], note)
+		t := turnOf(p)
+		t.notes = append(t.notes, note)
 	}
-	live := order[:0]
-	for _, p := range order {
-		if h.instances[p.name] == p {
-			live = append(live, p)
+	return h.living(order), nil
+}
+
+// living returns the turns of instances that have not ended, nor been started anew under their name.
+func (h *host) living(all []*turn) []*turn {
+	living := all[:0]
+	for _, t := range all {
+		if h.instances[t.instance.name] == t.instance {
+			living = append(living, t)
 		}
 	}
-	return live, notes, nil
+	return living
 }
 
-func contains(list []*instance, p *instance) bool {
-	for _, q := range list {
-		if q == p {
-			return true
-		}
+// write writes the reply as one line.
+func (r *reply) write(w *bufio.Writer) error {
+	line, err := json.Marshal(r)
+	if err != nil {
+		return fmt.Errorf("encode reply: %w", err)
 	}
-	return false
+	if _, err := w.Write(append(line, '\n')); err != nil {
+		return fmt.Errorf("write reply: %w", err)
+	}
+	return w.Flush()
 }
--- a/internal/simwire/instance.go
+++ b/internal/simwire/instance.go
@@ -2,54 +2,75 @@
 
 import (
 	"fmt"
+	"math"
 
 	"indigousher/brain"
 	"indigousher/internal/translate"
 )
 
-// instance is one instance with its own names between ids and indices.
+// instance is one controller of the simulated deployment: its planner, and the names behind the planner's indices.
 type instance struct {
-	name                              string
-	brain                             *brain.Brain
-	originNs                          int64
+	name     string
+	brain    *brain.Brain
+	originNs int64 // the simulator's time of its start, which the planner counts from
+
 	endpoints, zones, classes, models translate.Names
-	joined                            map[int]bool
+
+	joined map[int]bool // proxies with an open stream
 }
 
-// newInstance makes an instance from its first event.
-func newInstance(e *event, clock int64) *instance {
-	d := translate.Read(e.Setup)
-	return &instance{name: e.Instance, originNs: clock, joined: map[int]bool{}, zones: d.Zones, classes: d.Kinds,
-		models: d.Machines, brain: brain.New(e.Seed, d.Terms)}
+// newInstance makes an instance of its start event.
+func newInstance(e *event, clockNs int64) *instance {
+	deployment := translate.Read(e.Setup)
+	return &instance{
+		name:     e.Instance,
+		brain:    brain.New(e.Seed, deployment.Terms),
+		originNs: clockNs,
+		zones:    deployment.Zones,
+		classes:  deployment.Kinds,
+		models:   deployment.Machines,
+		joined:   map[int]bool{},
+	}
 }
 
-// handle runs the module and turns a panic in it into the wire's fault.
-func (p *instance) handle(clock int64, notes []brain.Note) (acts []map[string]any, err error) {
+// handle gives the planner its events and returns its commands. A panic of the planner is reported to the simulator in
+// place of commands: the other instances go on.
+func (p *instance) handle(clockNs int64, notes []brain.Note) (commands []command, err error) {
 	defer func() {
-		if r := recover(); r != nil {
-			acts, err = []map[string]any{{"kind": "broken", "i": p.name, "body_text": fmt.Sprint(r)}}, nil
+		if cause := recover(); cause != nil {
+			commands = []command{p.broken(cause)}
+			err = nil
 		}
 	}()
-	for _, n := range notes {
-		switch n := n.(type) {
+	p.trackProxies(notes)
+	for _, order := range p.brain.Handle(p.planTime(clockNs), notes) {
+		encoded, err := p.encode(order)
+		if err != nil {
+			return nil, fmt.Errorf("instance %s: %w", p.name, err)
+		}
+		commands = append(commands, encoded)
+	}
+	return commands, nil
+}
+
+// trackProxies notes which proxies join and leave.
+func (p *instance) trackProxies(notes []brain.Note) {
+	for _, note := range notes {
+		switch n := note.(type) {
 		case brain.Joined:
 			p.joined[n.Proxy] = true
 		case brain.Left:
 			delete(p.joined, n.Proxy)
 		}
 	}
-	for _, o := range p.brain.Handle(p.planTime(clock), notes) {
-		act, err := p.encode(o)
-		if err != nil {
-			return nil, fmt.Errorf("instance %s: %w", p.name, err)
-		}
-		act["i"] = p.name
-		acts = append(acts, act)
-	}
-	return acts, nil
 }
 
-// planTime turns a clock value into milliseconds since the instance's start.
-func (p *instance) planTime(clock int64) float64 {
-	return float64(clock-p.originNs) / translate.NsPerMs
+// planTime turns the simulator's time into the planner's: milliseconds since the instance's start.
+func (p *instance) planTime(clockNs int64) float64 {
+	return float64(clockNs-p.originNs) / translate.NsPerMs
+}
+
+// simulatorTime turns the planner's time into the simulator's.
+func (p *instance) simulatorTime(atMs float64) int64 {
+	return p.originNs + int64(math.Round(atMs*translate.NsPerMs))
 }
