--- a/internal/simwire/serve_test.go
+++ b/internal/simwire/serve_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"fmt"
 	"io"
 	"strings"
 	"testing"
@@ -9,20 +10,32 @@
 	"github.com/stretchr/testify/assert"
 )
 
-const spawn = `{"kind":"spawn","i":"pilot/0","rng_seed":5,"setup":{"dcs":["a","b"],"kinds":["m"],"instances":1,"zone":"b",` +
-	`"profiles":[{"name":"read","aim":1000000000,"importance":2,"only_kinds":["m"]}],"extra":{"envelope":4}}},` +
-	`{"kind":"discovery","i":"pilot/0","mode":"warm_copy","hosts":[{"endpoint":"x:1","zone":"a","generation_hw":"m","mode":"live","heft":2}]}`
+// spawn starts an instance that has heard of one endpoint.
+const spawn = `{"kind":"spawn","i":"pilot/0","rng_seed":5,"setup":{"dcs":["a","b"],"kinds":["m"],"instances":1,` +
+	`"zone":"b","profiles":[{"name":"read","aim":1000000000,"importance":2,"only_kinds":["m"]}],` +
+	`"extra":{"envelope":4}}},` +
+	`{"kind":"discovery","i":"pilot/0","mode":"warm_copy","hosts":[{"endpoint":"x:1","zone":"a",` +
+	`"generation_hw":"m","mode":"live","heft":2}]}`
 
+// joined starts an instance and has a proxy join it.
+const joined = spawn + `,{"kind":"stream_up","i":"pilot/0","edge":4,"zone":"a","heft":1}`
+
+// batchOf is the first batch, with some events.
+func batchOf(clockNs int, events string) string {
+	return fmt.Sprintf(`{"sim_time":%d,"batch":1,"happened":[%s]}`, clockNs, events)
+}
+
+// TestServe shows what comes of whole inputs.
 func TestServe(t *testing.T) {
 	for name, c := range map[string]struct{ in, want, fails string }{
 		"empty batch":   {`{"sim_time":5,"batch":3,"happened":[]}`, `{"batch":3,"orders":[]}`, ""},
-		"sets weights":  {`{"sim_time":5,"batch":1,"happened":[` + spawn + `,{"kind":"stream_up","i":"pilot/0","edge":4,"zone":"a","heft":1}]}`, `"endpoint":"x:1"`, ""},
-		"exact timer":   {`{"sim_time":1000000007,"batch":1,"happened":[` + spawn + `]}`, `"due_at":1500000007`, ""},
-		"binds a proxy": {`{"sim_time":5,"batch":1,"happened":[` + spawn + `,{"kind":"stream_up","i":"pilot/0","edge":4,"zone":"a","heft":1}]}`, `"edge":4`, ""},
-		"ended":         {`{"sim_time":5,"batch":1,"happened":[` + spawn + `,{"kind":"teardown","i":"pilot/0"}]}`, `{"batch":1,"orders":[]}`, ""},
+		"sets weights":  {batchOf(5, joined), `"endpoint":"x:1"`, ""},
+		"exact timer":   {batchOf(1000000007, spawn), `"due_at":1500000007`, ""},
+		"binds a proxy": {batchOf(5, joined), `"edge":4`, ""},
+		"ended":         {batchOf(5, spawn+`,{"kind":"teardown","i":"pilot/0"}`), `{"batch":1,"orders":[]}`, ""},
 		"malformed":     {`{"batch":`, "", "line 1: malformed batch"},
-		"unknown event": {`{"batch":1,"happened":[` + spawn + `,{"kind":"fog","i":"pilot/0"}]}`, "", `unknown kind of event "fog"`},
-		"no instance":   {`{"batch":1,"happened":[{"kind":"bell","i":"pilot/9"}]}`, "", `unknown instance "pilot/9"`},
+		"unknown event": {batchOf(0, spawn+`,{"kind":"fog","i":"pilot/0"}`), "", `unknown kind of event "fog"`},
+		"no instance":   {batchOf(0, `{"kind":"bell","i":"pilot/9"}`), "", `unknown instance "pilot/9"`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var out strings.Builder
@@ -37,10 +50,11 @@
 	}
 }
 
-// tally is a batch that feeds load reports.
-func tally(load string) string {
-	return `{"sim_time":5,"batch":1,"happened":[` + spawn + `,{"kind":"stream_up","i":"pilot/0","edge":4,"zone":"a","heft":1}]}
-{"sim_time":1600000005,"batch":2,"happened":[{"kind":"tally","i":"pilot/0","endpoint":"x:1","zone":"a","count":9,"feedback":` + load + `},{"kind":"bell","i":"pilot/0","ref":"gather"}]}
+// withLoad is an input in which an endpoint's load report arrives.
+func withLoad(load string) string {
+	return batchOf(5, joined) + `
+{"sim_time":1600000005,"batch":2,"happened":[{"kind":"tally","i":"pilot/0","endpoint":"x:1","zone":"a","count":9,` +
+		`"feedback":` + load + `},{"kind":"bell","i":"pilot/0","ref":"gather"}]}
 {"sim_time":2600000005,"batch":3,"happened":[{"kind":"bell","i":"pilot/0","ref":"gather"}]}
 `
 }
@@ -53,11 +67,11 @@
 		"not UTF-8":       {"{\"batch\":1,\"happened\":[{\"kind\":\"\xff\",\"i\":\"x\"}]}", "unknown instance"},
 		"beyond a float":  {`{"batch":1,"happened":[{"kind":"stream_up","heft":1e400}]}`, "malformed event 1"},
 		"wrong type":      {`{"batch":"one"}`, "malformed batch"},
-		"huge rate":       {`{"batch":1,"happened":[` + spawn + `,{"kind":"stream_up","i":"pilot/0","heft":1e308}]}`, "out of range"},
-		"negative weight": {`{"batch":1,"happened":[` + strings.Replace(spawn, `"heft":2`, `"heft":-2`, 1) + `]}`, "out of range"},
-		"huge load":       {tally(`{"cpu_share":1e308}`), ""},
-		"huge queue":      {tally(`{"pending":1e308}`), ""},
-		"negative queue":  {tally(`{"busy_reqs":-1}`), ""},
+		"huge rate":       {batchOf(0, spawn+`,{"kind":"stream_up","i":"pilot/0","heft":1e308}`), "out of range"},
+		"negative weight": {batchOf(0, strings.Replace(spawn, `"heft":2`, `"heft":-2`, 1)), "out of range"},
+		"huge load":       {withLoad(`{"cpu_share":1e308}`), ""},
+		"huge queue":      {withLoad(`{"pending":1e308}`), ""},
+		"negative queue":  {withLoad(`{"busy_reqs":-1}`), ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var out strings.Builder
@@ -69,7 +83,7 @@
 			}
 		})
 	}
-	good := tally(`{"cpu_share":0.5}`)
+	good := withLoad(`{"cpu_share":0.5}`)
 	for n := range len(good) { // cut off anywhere: an answer or an error, never an end of the process
 		_ = Serve(strings.NewReader(good[:n]), io.Discard)
 	}
@@ -84,7 +98,7 @@
 
 // FuzzServe guards the adapter's process against any input.
 func FuzzServe(f *testing.F) {
-	f.Add([]byte(tally(`{"cpu_share":0.5}`)))
+	f.Add([]byte(withLoad(`{"cpu_share":0.5}`)))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		var out bytes.Buffer
 		_ = Serve(bytes.NewReader(in), &out)
