--- a/internal/simwire/serve_test.go
+++ b/internal/simwire/serve_test.go
@@ -59,8 +59,8 @@
 `
 }
 
-// TestHostileInput guards the adapter against lines that are cut, too long or nested without end, and against figures that
-// would make not-a-number of the tables, which can't even be written to the reply.
+// TestHostileInput guards the adapter against lines that are cut, too long or nested without end, and against figures
+// that would make not-a-number of the tables, which can't even be written to the reply.
 func TestHostileInput(t *testing.T) {
 	for name, c := range map[string]struct{ in, fails string }{
 		"nested":          {`{"batch":1,"happened":` + strings.Repeat("[", 20000), "line 1: malformed batch"},
