--- a/internal/translate/names.go
+++ b/internal/translate/names.go
@@ -9,48 +9,48 @@
 }
 
 // In returns the index of a name, giving it one at its first appearance.
-func (d *Names) In(name string) int {
-	if i, known := d.Find(name); known {
+func (n *Names) In(name string) int {
+	if i, known := n.Find(name); known {
 		return i
 	}
-	if d.index == nil {
-		d.index = map[string]int{}
+	if n.index == nil {
+		n.index = map[string]int{}
 	}
-	d.index[name] = len(d.names)
-	d.names = append(d.names, name)
-	return len(d.names) - 1
+	n.index[name] = len(n.names)
+	n.names = append(n.names, name)
+	return len(n.names) - 1
 }
 
 // Find returns the index of a name that has one.
-func (d *Names) Find(name string) (i int, known bool) {
-	i, known = d.index[name]
+func (n *Names) Find(name string) (i int, known bool) {
+	i, known = n.index[name]
 	return i, known
 }
 
 // Rename gives an index to another name; the one it had is forgotten.
-func (d *Names) Rename(i int, name string) {
-	delete(d.index, d.names[i])
-	d.index[name], d.names[i] = i, name
+func (n *Names) Rename(i int, name string) {
+	delete(n.index, n.names[i])
+	n.index[name], n.names[i] = i, name
 }
 
 // Len returns how many indices there are.
-func (d *Names) Len() int { return len(d.names) }
+func (n *Names) Len() int { return len(n.names) }
 
 // Name returns the name behind an index, or nothing.
-func (d *Names) Name(i int) string {
-	if i < 0 || i >= len(d.names) {
+func (n *Names) Name(i int) string {
+	if i < 0 || i >= len(n.names) {
 		return ""
 	}
-	return d.names[i]
+	return n.names[i]
 }
 
 // Out returns the name behind an index.
-func (d *Names) Out(i int) (string, error) {
-	if i < 0 || i >= len(d.names) {
+func (n *Names) Out(i int) (string, error) {
+	if i < 0 || i >= len(n.names) {
 		return "", fmt.Errorf("no id behind index %d", i)
 	}
-	return d.names[i], nil
+	return n.names[i], nil
 }
 
 // All returns the names in the order of their indices.
-func (d *Names) All() []string { return d.names }
+func (n *Names) All() []string { return n.names }
--- a/internal/translate/settings.go
+++ b/internal/translate/settings.go
@@ -67,7 +67,7 @@
 	case string:
 		return Word(v)
 	case float64:
-		if slices.Contains(spans, name) {
+		if slices.Contains(durations, name) {
 			return v / NsPerMs
 		}
 	}
--- a/internal/translate/translate_test.go
+++ b/internal/translate/translate_test.go
@@ -10,7 +10,7 @@
 	"indigousher/brain"
 )
 
-func TestTermsAreInOurWords(t *testing.T) {
+func TestSettingsUnderPlannerNames(t *testing.T) {
 	d := Read(map[string]any{
 		"kinds": []any{"m", "n"}, "dcs": []any{"a", "b"}, "fresh_key": 3.0, "zone": "b",
 		"extra":    map[string]any{"push_delay": 2e6, "admission": "share"},
@@ -28,8 +28,8 @@
 	assert.ErrorContains(t, err, "no id behind index 2")
 }
 
-// The platform names the figures of load reports as the pages do, the simulator as its wire does.
-func TestLoadHasOneNameOnBothWays(t *testing.T) {
+// TestLoadNames: the platform names the figures of load reports as the pages do, the simulator as its wire does.
+func TestLoadNames(t *testing.T) {
 	want := brain.Load{"util": 0.5, "rate": 7}
 	assert.Equal(t, want, Load(map[string]float64{"util": 0.5, "qps": 7}))
 	assert.Equal(t, want, Load(map[string]float64{"cpu_share": 0.5, "served_ps": 7}))
--- a/internal/translate/variants_test.go
+++ b/internal/translate/variants_test.go
@@ -39,10 +39,10 @@
 }
 
 var (
-	platformFields  = map[string]string{"util": "cpu_share", "qps": "served_ps", "inflight": "busy_reqs", "queue": "pending", "latency_ms": "svc_ms"}
+	platformFigures  = map[string]string{"util": "cpu_share", "qps": "served_ps", "inflight": "busy_reqs", "queue": "pending", "latency_ms": "svc_ms"}
 	platformEffects = map[string]string{"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
-	ourEffects      = map[string]string{"safe": "replayable", "keyed": "uniqued", "unsafe": "non-replayable"}
-	ourFields       = map[string]string{"util": "util", "qps": "rate", "inflight": "in_hand", "queue": "waiting", "latency_ms": "service_ms"}
+	plannerEffects      = map[string]string{"safe": "replayable", "keyed": "uniqued", "unsafe": "non-replayable"}
+	plannerFigures       = map[string]string{"util": "util", "qps": "rate", "inflight": "in_hand", "queue": "waiting", "latency_ms": "service_ms"}
 )
 
 // settings is the object that a pilot of the variant is given, in the platform's words.
@@ -58,7 +58,7 @@
 		kinds = append(kinds, k.Name)
 	}
 	for _, f := range v.Tier[0].Report.Fields {
-		fields = append(fields, platformFields[f])
+		fields = append(fields, platformFigures[f])
 	}
 	var profiles []any
 	for _, c := range v.Class {
@@ -110,7 +110,7 @@
 			}
 			var fields []any
 			for _, f := range v.Tier[0].Report.Fields {
-				fields = append(fields, ourFields[f])
+				fields = append(fields, plannerFigures[f])
 			}
 			assert.Equal(t, fields, terms["fields"])
 			kinds, _ := terms["req_kinds"].([]any)
@@ -119,7 +119,7 @@
 				kind, _ := kinds[i].(map[string]any)
 				assert.Equal(t, c.Name, d.Kinds.Name(i))
 				for ours, want := range map[string]any{"response_target": c.Aim, "client_timeout": c.Deadline, "payoff": c.Worth,
-					"late_payoff": c.Late, "repeats": ourEffects[c.Effect], "group": c.Group, "window": c.Window} {
+					"late_payoff": c.Late, "repeats": plannerEffects[c.Effect], "group": c.Group, "window": c.Window} {
 					assert.Equal(t, want, kind[ours], "%s %s", c.Name, ours)
 				}
 				machines, _ := kind["only_machines"].([]any)
--- a/internal/translate/vocabulary.go
+++ b/internal/translate/vocabulary.go
@@ -3,9 +3,9 @@
 // NsPerMs is how many of the operators' units of time make a millisecond.
 const NsPerMs = 1e6
 
-// ourWords renames the operators' settings and their values to the project's words. The platform says of load reports
+// plannerNames renames the operators' settings and their values to the project's words. The platform says of load reports
 // what the pages say, the simulator's wire has words of its own; both are here.
-var ourWords = map[string]string{
+var plannerNames = map[string]string{
 	"dcs": "zones", "kinds": "machines", "profiles": "req_kinds", "aim": "response_target",
 	"give_up": "client_timeout", "idempotency": "repeats", "importance": "payoff", "aim_stretch": "target_stretch",
 	"late_worth": "late_payoff", "worth_by": "payoff_by", "idempotency_key": "uniqued", "read_like": "replayable",
@@ -18,15 +18,15 @@
 	"qps": "rate", "queue": "waiting", "latency_ms": "service_ms", "inflight": "in_hand", "eps": "errored_rate",
 }
 
-// spans names the settings that are nanoseconds.
-var spans = []string{
+// durations names the settings that are nanoseconds.
+var durations = []string{
 	"aim", "give_up", "window", "empty_for", "write_lease", "push_delay", "transit_max", "counted_over", "report_every",
 	"lingers", "waits_for_table", "conn_idle", "dial_timeout", "ask_within", "cold", "drain_grace", "fall", "tick",
 }
 
 // Word returns the project's word for one of the operators'.
 func Word(w string) string {
-	if ours, ok := ourWords[w]; ok {
+	if ours, ok := plannerNames[w]; ok {
 		return ours
 	}
 	return w
