--- a/internal/translate/doc.go
+++ b/internal/translate/doc.go
@@ -1,4 +1,5 @@
-// Package translate turns what a deployment is told, in the operators' words, into the module's: settings into terms,
-// and names into small indices. The simulator's wire and the platform both use it, so that the same settings give the
-// module the same terms. It reads nothing and decides nothing.
+// Package translate turns what a deployment is told, in the operators' names, into the planner's: settings and figures
+// of load reports under the planner's names, times in milliseconds, and small indices in place of names. The adapter
+// for the simulator and the platform's both use it, so that the same settings give the same planner. It reads nothing
+// and decides nothing.
 package translate
--- a/internal/translate/load.go
+++ b/internal/translate/load.go
@@ -2,16 +2,16 @@
 
 import "indigousher/brain"
 
-// Load renames the values of a load report; what can be no figure of one is left out.
-func Load(values map[string]float64) brain.Load {
-	if len(values) == 0 {
+// Load returns a load report under the planner's names. Figures that can be none of a load report are left out.
+func Load(figures map[string]float64) brain.Load {
+	if len(figures) == 0 {
 		return nil
 	}
-	l := make(brain.Load, len(values))
-	for k, v := range values {
-		if brain.Sound(v) {
-			l[Word(k)] = v
+	load := make(brain.Load, len(figures))
+	for name, value := range figures {
+		if brain.Sound(value) {
+			load[Word(name)] = value
 		}
 	}
-	return l
+	return load
 }
--- a/internal/translate/settings.go
+++ b/internal/translate/settings.go
@@ -1,86 +1,106 @@
 package translate
 
-import "slices"
-
-// Deployment is what the settings come to: the module's terms, and the names behind its indices.
+// Deployment is what a deployment's settings come to: the planner's settings, and the names behind its indices.
 type Deployment struct {
 	Terms                  map[string]any
 	Zones, Machines, Kinds Names
 }
 
-// Read gives the names told at the start their indices, puts indices in place of names where one refers to another,
-// and lays the settings out as one plain map in the project's words. It changes the settings.
+// Read gives the names in a deployment's settings their indices, puts indices in place of the names that refer to
+// them, and lays the settings out flat under the planner's names. It changes the settings.
 func Read(settings map[string]any) *Deployment {
 	d := &Deployment{Terms: map[string]any{}}
-	for key, to := range map[string]*Names{"dcs": &d.Zones, "kinds": &d.Machines} {
-		names, _ := settings[key].([]any)
-		for _, n := range names {
-			if s, ok := n.(string); ok {
-				to.In(s)
-			}
-		}
+	d.Zones.internAll(settings["dcs"])
+	d.Machines.internAll(settings["kinds"])
+	d.readClasses(settings["profiles"])
+	if zone, ok := settings["zone"].(string); ok {
+		settings["zone"] = float64(d.Zones.In(zone))
+	}
+	flatten(d.Terms, renameAll(settings))
+	return d
+}
+
+// internAll gives each name of a list an index; what is no list of names has none.
+func (n *Names) internAll(list any) {
+	for _, name := range texts(list) {
+		n.In(name)
 	}
-	profiles, _ := settings["profiles"].([]any)
-	for _, c := range profiles {
-		if m, ok := c.(map[string]any); ok {
-			name, _ := m["name"].(string)
-			d.Kinds.In(name)
-			m["only_machines"] = indices(&d.Machines, m["only_kinds"])
-			m["only_zones"] = indices(&d.Zones, m["only_zones"])
+}
+
+// readClasses gives the request classes their indices, and puts indices in place of the hardware models and zones that
+// a class is limited to.
+func (d *Deployment) readClasses(profiles any) {
+	list, _ := profiles.([]any)
+	for _, item := range list {
+		profile, ok := item.(map[string]any)
+		if !ok {
+			continue
 		}
+		name, _ := profile["name"].(string)
+		d.Kinds.In(name)
+		profile["only_machines"] = d.Machines.indices(profile["only_kinds"])
+		profile["only_zones"] = d.Zones.indices(profile["only_zones"])
 	}
-	if z, ok := settings["zone"].(string); ok {
-		settings["zone"] = float64(d.Zones.In(z))
+}
+
+// indices returns the indices of a list of names, as numbers of a setting.
+func (n *Names) indices(list any) []any {
+	var indices []any
+	for _, name := range texts(list) {
+		indices = append(indices, float64(n.In(name)))
 	}
-	renamed, _ := rename("", settings).(map[string]any)
-	flatten(d.Terms, renamed)
-	return d
+	return indices
 }
 
-// indices turns a list of names into their indices.
-func indices(d *Names, names any) []any {
-	var list []any
-	all, _ := names.([]any)
-	for _, n := range all {
-		if s, ok := n.(string); ok {
-			list = append(list, float64(d.In(s)))
+// texts returns the texts among the elements of a setting's list, or none if it is no list.
+func texts(setting any) []string {
+	list, _ := setting.([]any)
+	var found []string
+	for _, item := range list {
+		if text, ok := item.(string); ok {
+			found = append(found, text)
 		}
 	}
-	return list
+	return found
 }
 
-// rename turns a setting into the project's words and times into milliseconds, at every depth.
-func rename(name string, v any) any {
-	switch v := v.(type) {
+// renameAll returns settings under the planner's names, with times in milliseconds, at every depth.
+func renameAll(settings map[string]any) map[string]any {
+	renamed := make(map[string]any, len(settings))
+	for name, value := range settings {
+		renamed[Word(name)] = renameValue(name, value)
+	}
+	return renamed
+}
+
+// renameValue does so for the value of the setting of a name; elements of a list have none.
+func renameValue(name string, value any) any {
+	switch v := value.(type) {
 	case map[string]any:
-		m := make(map[string]any, len(v))
-		for k, x := range v {
-			m[Word(k)] = rename(k, x)
-		}
-		return m
+		return renameAll(v)
 	case []any:
 		list := make([]any, len(v))
-		for i, x := range v {
-			list[i] = rename("", x)
+		for i, item := range v {
+			list[i] = renameValue("", item)
 		}
 		return list
 	case string:
 		return Word(v)
 	case float64:
-		if slices.Contains(durations, name) {
+		if isDuration(name) {
 			return v / NsPerMs
 		}
 	}
-	return v
+	return value
 }
 
-// flatten lays nested settings out as one plain map of names to values.
+// flatten lays nested settings out side by side.
 func flatten(into, from map[string]any) {
-	for k, v := range from {
-		if m, ok := v.(map[string]any); ok {
-			flatten(into, m)
+	for name, value := range from {
+		if nested, ok := value.(map[string]any); ok {
+			flatten(into, nested)
 			continue
 		}
-		into[k] = v
+		into[name] = value
 	}
 }
--- a/internal/translate/variants_test.go
+++ b/internal/translate/variants_test.go
@@ -39,10 +39,10 @@
 }
 
 var (
-	platformFigures  = map[string]string{"util": "cpu_share", "qps": "served_ps", "inflight": "busy_reqs", "queue": "pending", "latency_ms": "svc_ms"}
+	platformFigures = map[string]string{"util": "cpu_share", "qps": "served_ps", "inflight": "busy_reqs", "queue": "pending", "latency_ms": "svc_ms"}
 	platformEffects = map[string]string{"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
-	plannerEffects      = map[string]string{"safe": "replayable", "keyed": "uniqued", "unsafe": "non-replayable"}
-	plannerFigures       = map[string]string{"util": "util", "qps": "rate", "inflight": "in_hand", "queue": "waiting", "latency_ms": "service_ms"}
+	plannerEffects  = map[string]string{"safe": "replayable", "keyed": "uniqued", "unsafe": "non-replayable"}
+	plannerFigures  = map[string]string{"util": "util", "qps": "rate", "inflight": "in_hand", "queue": "waiting", "latency_ms": "service_ms"}
 )
 
 // settings is the object that a pilot of the variant is given, in the platform's words.
@@ -62,8 +62,10 @@
 	}
 	var profiles []any
 	for _, c := range v.Class {
-		p := map[string]any{"name": c.Name, "aim": c.Aim * NsPerMs, "give_up": c.Deadline * NsPerMs, "importance": c.Worth,
-			"late_worth": c.Late, "idempotency": platformEffects[c.Effect], "group": c.Group, "window": c.Window * NsPerMs}
+		p := map[string]any{
+			"name": c.Name, "aim": c.Aim * NsPerMs, "give_up": c.Deadline * NsPerMs, "importance": c.Worth,
+			"late_worth": c.Late, "idempotency": platformEffects[c.Effect], "group": c.Group, "window": c.Window * NsPerMs,
+		}
 		if len(c.OnlyKinds) > 0 {
 			p["only_kinds"] = names(c.OnlyKinds)
 		}
@@ -73,14 +75,20 @@
 	for name, price := range v.Prices {
 		prices[name] = price
 	}
-	return map[string]any{"dcs": names(v.Net.Zones), "kinds": names(kinds), "profiles": profiles, "instances": 5.0, "rank": 2.0,
+	return map[string]any{
+		"dcs": names(v.Net.Zones), "kinds": names(kinds), "profiles": profiles, "instances": 5.0, "rank": 2.0,
 		"zone": v.Net.Zones[0], "prices": prices, "report": map[string]any{"fields": names(fields), "how": "inline"},
-		"obligations": map[string]any{"drain_grace": v.Rules["drain_grace_ms"] * NsPerMs, "fall": v.Rules["fall_ms"] * NsPerMs,
-			"fall_multiple": v.Rules["fall_multiple"], "cold": 9e9, "cold_from": 0.2},
-		"extra": map[string]any{"proxy_count": float64(20 * len(v.Net.Zones)), "egress_per_s": 900.0, "backlog": 5000.0, "envelope": v.Fam.Head,
+		"obligations": map[string]any{
+			"drain_grace": v.Rules["drain_grace_ms"] * NsPerMs, "fall": v.Rules["fall_ms"] * NsPerMs,
+			"fall_multiple": v.Rules["fall_multiple"], "cold": 9e9, "cold_from": 0.2,
+		},
+		"extra": map[string]any{
+			"proxy_count": float64(20 * len(v.Net.Zones)), "egress_per_s": 900.0, "backlog": 5000.0, "envelope": v.Fam.Head,
 			"pushes_allowed": v.Fam.MessagesMost, "counted_over": 1e10, "order_price": v.Fam.OrderPrice, "admission": v.Fam.Admit,
 			"lb_method": v.Fam.Pick, "by_zone": v.Fam.Deal == "zone", "empty_for": 4e9, "conns_least": 60.0,
-			"bootstrap": v.Fam.Standing}}
+			"bootstrap": v.Fam.Standing,
+		},
+	}
 }
 
 // TestVariants guards other customers: every class, zone, limit and price of the deployments in deploy/sites reaches the
@@ -101,11 +109,13 @@
 			for name, price := range v.Prices {
 				assert.Equal(t, price, terms[name], name)
 			}
-			for ours, want := range map[string]any{"drain_grace": v.Rules["drain_grace_ms"], "fall": v.Rules["fall_ms"],
+			for ours, want := range map[string]any{
+				"drain_grace": v.Rules["drain_grace_ms"], "fall": v.Rules["fall_ms"],
 				"fall_multiple": v.Rules["fall_multiple"], "cold": 9000.0, "cold_from": 0.2, "head_lines": v.Fam.Head,
 				"messages_most": v.Fam.MessagesMost, "messages_over": 10000.0, "order_price": v.Fam.OrderPrice, "admission": v.Fam.Admit,
 				"standing": v.Fam.Standing, "pick": v.Fam.Pick, "by_zone": v.Fam.Deal == "zone", "lines_per_s": 900.0, "backlog": 5000.0, "bare_for": 4000.0,
-				"proxy_count": float64(20 * len(v.Net.Zones)), "conns_least": 60.0, "instances": 5.0, "rank": 2.0} {
+				"proxy_count": float64(20 * len(v.Net.Zones)), "conns_least": 60.0, "instances": 5.0, "rank": 2.0,
+			} {
 				assert.Equal(t, want, terms[ours], ours)
 			}
 			var fields []any
@@ -118,8 +128,10 @@
 			for i, c := range v.Class {
 				kind, _ := kinds[i].(map[string]any)
 				assert.Equal(t, c.Name, d.Kinds.Name(i))
-				for ours, want := range map[string]any{"response_target": c.Aim, "client_timeout": c.Deadline, "payoff": c.Worth,
-					"late_payoff": c.Late, "repeats": plannerEffects[c.Effect], "group": c.Group, "window": c.Window} {
+				for ours, want := range map[string]any{
+					"response_target": c.Aim, "client_timeout": c.Deadline, "payoff": c.Worth,
+					"late_payoff": c.Late, "repeats": plannerEffects[c.Effect], "group": c.Group, "window": c.Window,
+				} {
 					assert.Equal(t, want, kind[ours], "%s %s", c.Name, ours)
 				}
 				machines, _ := kind["only_machines"].([]any)
