--- /dev/null
+++ b/internal/translate/load_test.go
@@ -0,0 +1,18 @@
+package translate
+
+import (
+	"math"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+
+	"indigousher/brain"
+)
+
+// TestLoadNames: the platform names the figures of load reports as the pages do, the simulator as its wire does.
+func TestLoadNames(t *testing.T) {
+	want := brain.Load{"util": 0.5, "rate": 7}
+	assert.Equal(t, want, Load(map[string]float64{"util": 0.5, "qps": 7}))
+	assert.Equal(t, want, Load(map[string]float64{"cpu_share": 0.5, "served_ps": 7}))
+	assert.Equal(t, brain.Load{"util": 0.5}, Load(map[string]float64{"util": 0.5, "qps": math.Inf(1), "queue": -1}))
+}
--- /dev/null
+++ b/internal/translate/names_test.go
@@ -0,0 +1,24 @@
+package translate
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// TestRename guards memory: an index that goes from name to name keeps none but the last.
+func TestRename(t *testing.T) {
+	var d Names
+	d.In("a")
+	for i := range 100 {
+		d.Rename(d.In("b"), fmt.Sprint("c", i))
+		d.Rename(1, "b")
+	}
+	assert.Equal(t, 2, d.Len())
+	assert.Len(t, d.index, 2)
+	assert.Equal(t, []string{"a", "b"}, d.All())
+	_, known := d.Find("c7")
+	assert.False(t, known)
+	assert.Equal(t, "", d.Name(2))
+}
--- /dev/null
+++ b/internal/translate/settings_test.go
@@ -0,0 +1,26 @@
+
+package translate
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestSettingsUnderPlannerNames(t *testing.T) {
+	d := Read(map[string]any{
+		"kinds": []any{"m", "n"}, "dcs": []any{"a", "b"}, "fresh_key": 3.0, "zone": "b",
+		"extra":    map[string]any{"push_delay": 2e6, "admission": "share"},
+		"profiles": []any{map[string]any{"name": "w", "idempotency": "non_idempotent", "aim": 5e6, "only_kinds": []any{"n"}}},
+	})
+	assert.Equal(t, 2.0, d.Terms["late_mean"])
+	assert.Equal(t, 3.0, d.Terms["fresh_key"])
+	assert.Equal(t, 1.0, d.Terms["zone"])
+	kind := d.Terms["req_kinds"].([]any)[0].(map[string]any)
+	assert.Equal(t, []any{1.0}, kind["only_machines"])
+	assert.Equal(t, "non-replayable", kind["repeats"])
+	assert.Equal(t, 5.0, kind["response_target"])
+	assert.Equal(t, []string{"w"}, d.Kinds.All())
+	_, err := d.Zones.Out(2)
+	assert.ErrorContains(t, err, "no id behind index 2")
+}
