--- a/internal/translate/load_test.go
+++ b/internal/translate/load_test.go
@@ -9,7 +9,8 @@
 	"indigousher/brain"
 )
 
-// TestLoadNames: the platform names the figures of load reports as the pages do, the simulator as its wire does.
+// TestLoadNames guards the figures of load reports: the platform names them as the pages do, the simulator as its wire
+// does.
 func TestLoadNames(t *testing.T) {
 	want := brain.Load{"util": 0.5, "rate": 7}
 	assert.Equal(t, want, Load(map[string]float64{"util": 0.5, "qps": 7}))
--- a/internal/translate/settings_test.go
+++ b/internal/translate/settings_test.go
@@ -1,22 +1,28 @@
-
 package translate
 
 import (
 	"testing"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 )
 
+// TestSettingsUnderPlannerNames shows names, values, times and references of a deployment's settings on their way.
 func TestSettingsUnderPlannerNames(t *testing.T) {
 	d := Read(map[string]any{
 		"kinds": []any{"m", "n"}, "dcs": []any{"a", "b"}, "fresh_key": 3.0, "zone": "b",
-		"extra":    map[string]any{"push_delay": 2e6, "admission": "share"},
-		"profiles": []any{map[string]any{"name": "w", "idempotency": "non_idempotent", "aim": 5e6, "only_kinds": []any{"n"}}},
+		"extra": map[string]any{"push_delay": 2e6, "admission": "share"},
+		"profiles": []any{
+			map[string]any{"name": "w", "idempotency": "non_idempotent", "aim": 5e6, "only_kinds": []any{"n"}},
+		},
 	})
 	assert.Equal(t, 2.0, d.Terms["late_mean"])
 	assert.Equal(t, 3.0, d.Terms["fresh_key"])
 	assert.Equal(t, 1.0, d.Terms["zone"])
-	kind := d.Terms["req_kinds"].([]any)[0].(map[string]any)
+	classes, ok := d.Terms["req_kinds"].([]any)
+	require.True(t, ok)
+	kind, ok := classes[0].(map[string]any)
+	require.True(t, ok)
 	assert.Equal(t, []any{1.0}, kind["only_machines"])
 	assert.Equal(t, "non-replayable", kind["repeats"])
 	assert.Equal(t, 5.0, kind["response_target"])
--- a/internal/translate/variants_test.go
+++ b/internal/translate/variants_test.go
@@ -1,7 +1,6 @@
 package translate
 
 import (
-	"fmt"
 	"path/filepath"
 	"testing"
 
@@ -39,60 +38,108 @@
 }
 
 var (
-	platformFigures = map[string]string{"util": "cpu_share", "qps": "served_ps", "inflight": "busy_reqs", "queue": "pending", "latency_ms": "svc_ms"}
+	platformFigures = map[string]string{
+		"util":       "cpu_share",
+		"qps":        "served_ps",
+		"inflight":   "busy_reqs",
+		"queue":      "pending",
+		"latency_ms": "svc_ms",
+	}
+	plannerFigures = map[string]string{
+		"util":       "util",
+		"qps":        "rate",
+		"inflight":   "in_hand",
+		"queue":      "waiting",
+		"latency_ms": "service_ms",
+	}
 	platformEffects = map[string]string{"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
 	plannerEffects  = map[string]string{"safe": "replayable", "keyed": "uniqued", "unsafe": "non-replayable"}
-	plannerFigures  = map[string]string{"util": "util", "qps": "rate", "inflight": "in_hand", "queue": "waiting", "latency_ms": "service_ms"}
 )
 
-// settings is the object that a pilot of the variant is given, in the platform's words.
+// settings is the object that a controller of the variant is given, under the platform's names.
 func (v *variant) settings() map[string]any {
-	names := func(list []string) (all []any) {
-		for _, n := range list {
-			all = append(all, n)
-		}
-		return all
-	}
-	var kinds, fields []string
-	for _, k := range v.Tier[0].Kind {
-		kinds = append(kinds, k.Name)
+	var models, fields []string
+	for _, m := range v.Tier[0].Kind {
+		models = append(models, m.Name)
 	}
 	for _, f := range v.Tier[0].Report.Fields {
 		fields = append(fields, platformFigures[f])
 	}
-	var profiles []any
+	return map[string]any{
+		"dcs":       asList(v.Net.Zones),
+		"kinds":     asList(models),
+		"profiles":  v.profiles(),
+		"instances": 5.0,
+		"rank":      2.0,
+		"zone":      v.Net.Zones[0],
+		"prices":    asSettings(v.Prices),
+		"report":    map[string]any{"fields": asList(fields), "how": "inline"},
+		"obligations": map[string]any{
+			"drain_grace":   v.Rules["drain_grace_ms"] * NsPerMs,
+			"fall":          v.Rules["fall_ms"] * NsPerMs,
+			"fall_multiple": v.Rules["fall_multiple"],
+			"cold":          9e9,
+			"cold_from":     0.2,
+		},
+		"extra": map[string]any{
+			"proxy_count":    float64(20 * len(v.Net.Zones)),
+			"egress_per_s":   900.0,
+			"backlog":        5000.0,
+			"envelope":       v.Fam.Head,
+			"pushes_allowed": v.Fam.MessagesMost,
+			"counted_over":   1e10,
+			"order_price":    v.Fam.OrderPrice,
+			"admission":      v.Fam.Admit,
+			"lb_method":      v.Fam.Pick,
+			"by_zone":        v.Fam.Deal == "zone",
+			"empty_for":      4e9,
+			"conns_least":    60.0,
+			"bootstrap":      v.Fam.Standing,
+		},
+	}
+}
+
+// profiles are the request classes, under the platform's names.
+func (v *variant) profiles() (profiles []any) {
 	for _, c := range v.Class {
 		p := map[string]any{
-			"name": c.Name, "aim": c.Aim * NsPerMs, "give_up": c.Deadline * NsPerMs, "importance": c.Worth,
-			"late_worth": c.Late, "idempotency": platformEffects[c.Effect], "group": c.Group, "window": c.Window * NsPerMs,
+			"name":        c.Name,
+			"aim":         c.Aim * NsPerMs,
+			"give_up":     c.Deadline * NsPerMs,
+			"importance":  c.Worth,
+			"late_worth":  c.Late,
+			"idempotency": platformEffects[c.Effect],
+			"group":       c.Group,
+			"window":      c.Window * NsPerMs,
 		}
 		if len(c.OnlyKinds) > 0 {
-			p["only_kinds"] = names(c.OnlyKinds)
+			p["only_kinds"] = asList(c.OnlyKinds)
 		}
 		profiles = append(profiles, p)
 	}
-	prices := map[string]any{}
-	for name, price := range v.Prices {
-		prices[name] = price
+	return profiles
+}
+
+// asList returns names as JSON would bring them.
+func asList(names []string) (list []any) {
+	for _, n := range names {
+		list = append(list, n)
 	}
-	return map[string]any{
-		"dcs": names(v.Net.Zones), "kinds": names(kinds), "profiles": profiles, "instances": 5.0, "rank": 2.0,
-		"zone": v.Net.Zones[0], "prices": prices, "report": map[string]any{"fields": names(fields), "how": "inline"},
-		"obligations": map[string]any{
-			"drain_grace": v.Rules["drain_grace_ms"] * NsPerMs, "fall": v.Rules["fall_ms"] * NsPerMs,
-			"fall_multiple": v.Rules["fall_multiple"], "cold": 9e9, "cold_from": 0.2,
-		},
-		"extra": map[string]any{
-			"proxy_count": float64(20 * len(v.Net.Zones)), "egress_per_s": 900.0, "backlog": 5000.0, "envelope": v.Fam.Head,
-			"pushes_allowed": v.Fam.MessagesMost, "counted_over": 1e10, "order_price": v.Fam.OrderPrice, "admission": v.Fam.Admit,
-			"lb_method": v.Fam.Pick, "by_zone": v.Fam.Deal == "zone", "empty_for": 4e9, "conns_least": 60.0,
-			"bootstrap": v.Fam.Standing,
-		},
+	return list
+}
+
+// asSettings returns figures as JSON would bring them.
+func asSettings(figures map[string]float64) map[string]any {
+	settings := map[string]any{}
+	for name, v := range figures {
+		settings[name] = v
 	}
+	return settings
 }
 
-// TestVariants guards other customers: every class, zone, limit and price of the deployments in deploy/sites reaches the
-// module from the settings, under whatever names, and each zone's proxies get tables that serve each class where it may go.
+// TestVariants guards other customers: every class, zone, limit and price of the deployments in deploy/sites reaches
+// the planner from the settings, under whatever names, and each zone's proxies get tables that serve each class where
+// it may go.
 func TestVariants(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/sites/*.toml")
 	require.NoError(t, err)
@@ -103,101 +150,150 @@
 			_, err := toml.DecodeFile(file, v)
 			require.NoError(t, err)
 			d := Read(v.settings())
-			terms := d.Terms
-			assert.Equal(t, v.Net.Zones, d.Zones.All())
-			assert.Len(t, d.Machines.All(), len(v.Tier[0].Kind))
-			for name, price := range v.Prices {
-				assert.Equal(t, price, terms[name], name)
-			}
-			for ours, want := range map[string]any{
-				"drain_grace": v.Rules["drain_grace_ms"], "fall": v.Rules["fall_ms"],
-				"fall_multiple": v.Rules["fall_multiple"], "cold": 9000.0, "cold_from": 0.2, "head_lines": v.Fam.Head,
-				"messages_most": v.Fam.MessagesMost, "messages_over": 10000.0, "order_price": v.Fam.OrderPrice, "admission": v.Fam.Admit,
-				"standing": v.Fam.Standing, "pick": v.Fam.Pick, "by_zone": v.Fam.Deal == "zone", "lines_per_s": 900.0, "backlog": 5000.0, "bare_for": 4000.0,
-				"proxy_count": float64(20 * len(v.Net.Zones)), "conns_least": 60.0, "instances": 5.0, "rank": 2.0,
-			} {
-				assert.Equal(t, want, terms[ours], ours)
-			}
-			var fields []any
-			for _, f := range v.Tier[0].Report.Fields {
-				fields = append(fields, plannerFigures[f])
-			}
-			assert.Equal(t, fields, terms["fields"])
-			kinds, _ := terms["req_kinds"].([]any)
-			require.Len(t, kinds, len(v.Class))
-			for i, c := range v.Class {
-				kind, _ := kinds[i].(map[string]any)
-				assert.Equal(t, c.Name, d.Kinds.Name(i))
-				for ours, want := range map[string]any{
-					"response_target": c.Aim, "client_timeout": c.Deadline, "payoff": c.Worth,
-					"late_payoff": c.Late, "repeats": plannerEffects[c.Effect], "group": c.Group, "window": c.Window,
-				} {
-					assert.Equal(t, want, kind[ours], "%s %s", c.Name, ours)
-				}
-				machines, _ := kind["only_machines"].([]any)
-				assert.Len(t, machines, len(c.OnlyKinds), c.Name)
-			}
-			v.tables(t, d)
+			v.checkSettings(t, d)
+			v.checkClasses(t, d)
+			v.checkTables(t, d)
 		})
 	}
 }
 
-// tables has the module lay tables for a fleet of the variant.
-func (v *variant) tables(t *testing.T, d *Deployment) {
-	var list brain.Listing
-	machine := map[int]int{}
-	for z := range d.Zones.Len() {
-		for m := range d.Machines.Len() {
-			for range 3 {
-				i := len(list.Entries)
-				machine[i] = m
-				list.Entries = append(list.Entries, brain.Entry{Endpoint: i, Zone: z, Machine: m, Weight: 1})
-			}
+// checkSettings looks at all but the request classes.
+func (v *variant) checkSettings(t *testing.T, d *Deployment) {
+	assert.Equal(t, v.Net.Zones, d.Zones.All())
+	assert.Len(t, d.Machines.All(), len(v.Tier[0].Kind))
+	for name, price := range v.Prices {
+		assert.Equal(t, price, d.Terms[name], name)
+	}
+	for name, want := range map[string]any{
+		"drain_grace":   v.Rules["drain_grace_ms"],
+		"fall":          v.Rules["fall_ms"],
+		"fall_multiple": v.Rules["fall_multiple"],
+		"cold":          9000.0,
+		"cold_from":     0.2,
+		"head_lines":    v.Fam.Head,
+		"messages_most": v.Fam.MessagesMost,
+		"messages_over": 10000.0,
+		"order_price":   v.Fam.OrderPrice,
+		"admission":     v.Fam.Admit,
+		"standing":      v.Fam.Standing,
+		"pick":          v.Fam.Pick,
+		"by_zone":       v.Fam.Deal == "zone",
+		"lines_per_s":   900.0,
+		"backlog":       5000.0,
+		"bare_for":      4000.0,
+		"proxy_count":   float64(20 * len(v.Net.Zones)),
+		"conns_least":   60.0,
+		"instances":     5.0,
+		"rank":          2.0,
+	} {
+		assert.Equal(t, want, d.Terms[name], name)
+	}
+	var fields []any
+	for _, f := range v.Tier[0].Report.Fields {
+		fields = append(fields, plannerFigures[f])
+	}
+	assert.Equal(t, fields, d.Terms["fields"])
+}
+
+// checkClasses looks at the request classes.
+func (v *variant) checkClasses(t *testing.T, d *Deployment) {
+	classes, _ := d.Terms["req_kinds"].([]any)
+	require.Len(t, classes, len(v.Class))
+	for i, c := range v.Class {
+		class, _ := classes[i].(map[string]any)
+		assert.Equal(t, c.Name, d.Kinds.Name(i))
+		for name, want := range map[string]any{
+			"response_target": c.Aim,
+			"client_timeout":  c.Deadline,
+			"payoff":          c.Worth,
+			"late_payoff":     c.Late,
+			"repeats":         plannerEffects[c.Effect],
+			"group":           c.Group,
+			"window":          c.Window,
+		} {
+			assert.Equal(t, want, class[name], "%s %s", c.Name, name)
 		}
+		machines, _ := class["only_machines"].([]any)
+		assert.Len(t, machines, len(c.OnlyKinds), c.Name)
 	}
-	list.Mode = brain.Whole
+}
+
+// proxyClass is a request class at a proxy.
+type proxyClass struct{ proxy, class int }
+
+// tables are what a planner has ordered so far.
+type tables struct {
+	weights map[int]map[int]float64 // by table and endpoint
+	bound   map[proxyClass]int      // table
+}
+
+// checkTables has the planner assign tables to a fleet of the variant, and looks at where each class may go.
+func (v *variant) checkTables(t *testing.T, d *Deployment) {
+	list, machineOf := v.fleet(d)
+	proxies := 20 * d.Zones.Len()
 	notes := []brain.Note{list}
-	for p := range 20 * d.Zones.Len() {
+	for p := range proxies {
 		notes = append(notes, brain.Joined{Proxy: p, Zone: p % d.Zones.Len(), Rate: 5})
 	}
-	b, lines, bound := brain.New(1, d.Terms), map[int]map[int]float64{}, map[string]int{}
-	for s := range 60 {
-		for _, o := range b.Handle(float64(500*s), notes) {
-			switch o := o.(type) {
-			case brain.SetLine:
-				if lines[o.Table] == nil {
-					lines[o.Table] = map[int]float64{}
-				}
-				lines[o.Table][o.Endpoint] = o.Weight
-			case brain.Bind:
-				for k := range d.Kinds.Len() {
-					if o.Kinds == 0 || o.Kinds&(1<<k) != 0 {
-						bound[fmt.Sprint(o.Proxy, "/", k)] = o.Table
-					}
-				}
-			case brain.Admit: // nothing is full here
-				assert.GreaterOrEqual(t, o.Level, map[string]float64{"share": 1, "rate": 1000}[v.Fam.Admit])
-			case brain.Mark:
-				notes = append(notes, brain.Applied{Proxy: s % 20, Number: o.Number})
-			}
+	planner := brain.New(1, d.Terms)
+	got := tables{weights: map[int]map[int]float64{}, bound: map[proxyClass]int{}}
+	for round := range 60 {
+		for _, order := range planner.Handle(float64(500*round), notes) {
+			v.apply(t, &got, order)
 		}
 		notes = []brain.Note{brain.Alarm{Name: "gather"}, brain.Alarm{Name: "bind"}}
 	}
-	for p := range 20 * d.Zones.Len() {
-		for k, c := range v.Class {
-			table, is := bound[fmt.Sprint(p, "/", k)]
-			require.True(t, is, "proxy %d, %s", p, c.Name)
+	for p := range proxies {
+		for i, c := range v.Class {
+			number, bound := got.bound[proxyClass{p, i}]
+			require.True(t, bound, "proxy %d, %s", p, c.Name)
 			open := 0
-			for e, weight := range lines[table] {
+			for endpoint, weight := range got.weights[number] {
 				if weight == 0 {
 					continue
 				}
 				open++
 				if len(c.OnlyKinds) > 0 {
-					assert.Contains(t, c.OnlyKinds, d.Machines.Name(machine[e]), c.Name)
+					assert.Contains(t, c.OnlyKinds, d.Machines.Name(machineOf[endpoint]), c.Name)
 				}
 			}
 			assert.Positive(t, open, "proxy %d, %s", p, c.Name)
 		}
 	}
 }
+
+// fleet is three endpoints of each hardware model in each zone, with the model of each.
+func (v *variant) fleet(d *Deployment) (list brain.Listing, machineOf map[int]int) {
+	list.Mode = brain.Whole
+	machineOf = map[int]int{}
+	for z := range d.Zones.Len() {
+		for m := range d.Machines.Len() {
+			for range 3 {
+				i := len(list.Entries)
+				machineOf[i] = m
+				list.Entries = append(list.Entries, brain.Entry{Endpoint: i, Zone: z, Machine: m, Weight: 1})
+			}
+		}
+	}
+	return list, machineOf
+}
+
+// apply takes one order in. Nothing is full here, so all is admitted.
+func (v *variant) apply(t *testing.T, got *tables, order brain.Order) {
+	switch o := order.(type) {
+	case brain.SetLine:
+		if got.weights[o.Table] == nil {
+			got.weights[o.Table] = map[int]float64{}
+		}
+		got.weights[o.Table][o.Endpoint] = o.Weight
+	case brain.Bind:
+		for i := range v.Class {
+			if o.Kinds == 0 || o.Kinds&(1<<i) != 0 {
+				got.bound[proxyClass{o.Proxy, i}] = o.Table
+			}
+		}
+	case brain.Admit:
+		all := map[string]float64{"share": 1, "rate": 1000}
+		assert.GreaterOrEqual(t, o.Level, all[v.Fam.Admit])
+	}
+}
