--- /dev/null
+++ b/internal/edge/framed/stream.go
@@ -0,0 +1,71 @@
+package framed
+
+import (
+	"errors"
+	"net"
+	"sync"
+	"time"
+
+	"indigousher/internal/edge/ending"
+	"indigousher/internal/wire"
+)
+
+// stream is one proxy's connection; it is the runtime's pilot.Stream.
+type stream struct {
+	conn net.Conn
+	out  chan wire.Message
+	end  *ending.Ending[wire.Message]
+	mu   sync.Mutex
+	owed []frame // frames that the proxy has not said to have dealt with
+}
+
+// frame is one that was written.
+type frame struct {
+	number uint32
+	at     time.Time
+}
+
+func (st *stream) wrote(number uint32) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.owed = append(st.owed, frame{number, time.Now()})
+}
+
+// seen forgets the frames up to a number.
+func (st *stream) seen(number uint32) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	for len(st.owed) > 0 && st.owed[0].number <= number {
+		st.owed = st.owed[1:]
+	}
+}
+
+// overdue returns whether a frame written before a time is still owed.
+func (st *stream) overdue(before time.Time) bool {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return len(st.owed) > 0 && st.owed[0].at.Before(before)
+}
+
+// ErrSlow ends the stream of a proxy that does not read.
+var ErrSlow = errors.New("the proxy reads too slowly or not at all")
+
+// Send queues orders for writing.
+func (st *stream) Send(m *wire.Orders) error { return st.queue(m) }
+
+// Ask queues a wish about reports.
+func (st *stream) Ask(m *wire.Pace) error { return st.queue(m) }
+
+func (st *stream) queue(m wire.Message) error {
+	select {
+	case st.out <- m:
+		return nil
+	default:
+		return ErrSlow
+	}
+}
+
+// Close ends the stream and tells the proxy why.
+func (st *stream) Close(reason string) {
+	st.end.Say(reason, &wire.Refuse{Reason: reason[:min(len(reason), wire.MaxText)]})
+}
