--- a/internal/edge/framed/framed_test.go
+++ b/internal/edge/framed/framed_test.go
@@ -235,8 +235,8 @@
 	in.left(t, slow)
 }
 
-// TestDeaf guards drains against a proxy that goes on talking but no longer deals with what it is sent.
-func TestDeaf(t *testing.T) {
+// TestUnacknowledged guards drains against a proxy that goes on talking but no longer deals with what it is sent.
+func TestUnacknowledged(t *testing.T) {
 	_, in, address, _ := serve(t, nil)
 	c, r, w := join(t, address, "deaf")
 	st := in.joined(t, "deaf")
@@ -292,13 +292,13 @@
 	join(t, address, "second")
 }
 
-// spent is a listener of a process that has no descriptor left for a while.
-type spent struct {
+// exhaustedListener is a listener of a process that has no descriptor left for a while.
+type exhaustedListener struct {
 	net.Listener
 	left atomic.Int32
 }
 
-func (l *spent) Accept() (net.Conn, error) {
+func (l *exhaustedListener) Accept() (net.Conn, error) {
 	if l.left.Add(-1) >= 0 {
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 	}
@@ -310,7 +310,7 @@
 func TestNoDescriptor(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	out := &spent{Listener: l}
+	out := &exhaustedListener{Listener: l}
 	out.left.Store(3)
 	in := &inbox{}
 	s := NewServer(Door{Pilot: "one", Beat: time.Second, Period: time.Second, WriteDeadline: time.Second, SeenWithin: time.Second,
@@ -322,7 +322,7 @@
 	in.joined(t, "p")
 	cancel()
 	assert.NoError(t, <-done)
-	broken := &spent{Listener: l} // closed meanwhile: that is no passing matter
+	broken := &exhaustedListener{Listener: l} // closed meanwhile: that is no passing matter
 	assert.ErrorIs(t, s.Serve(t.Context(), broken), net.ErrClosed)
 }
 
--- a/internal/edge/framed/server.go
+++ b/internal/edge/framed/server.go
@@ -32,18 +32,18 @@
 
 // Server accepts proxies' streams.
 type Server struct {
-	door  Door
-	inbox pilot.Inbox
-	log   *zap.Logger
-	mu    sync.Mutex
-	live  map[*stream]bool
+	door    Door
+	inbox   pilot.Inbox
+	log     *zap.Logger
+	mu      sync.Mutex
+	streams map[*stream]bool
 	// killed is set by Kill: streams end without a word.
 	killed bool
 }
 
 // NewServer returns a server that does not listen yet.
 func NewServer(d Door, inbox pilot.Inbox, log *zap.Logger) *Server {
-	return &Server{door: d, inbox: inbox, log: log, live: map[*stream]bool{}}
+	return &Server{door: d, inbox: inbox, log: log, streams: map[*stream]bool{}}
 }
 
 // Serve accepts streams from l until ctx ends, then asks each proxy to dial elsewhere and returns when all streams
@@ -71,13 +71,13 @@
 			}
 			return fmt.Errorf("accept on %s: %w", l.Addr(), err)
 		}
-		st := s.enter(conn)
+		st := s.register(conn)
 		if st == nil {
 			s.log.Warn("too many streams", zap.Stringer("from", conn.RemoteAddr()))
 			_ = conn.Close()
 			continue
 		}
-		g.Go(func() error { s.attend(ctx, st); return nil })
+		g.Go(func() error { s.serveStream(ctx, st); return nil })
 	}
 }
 
@@ -86,7 +86,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.killed = true
-	for st := range s.live {
+	for st := range s.streams {
 		_ = st.conn.Close()
 	}
 }
@@ -95,30 +95,30 @@
 func (s *Server) Streams() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.live)
+	return len(s.streams)
 }
 
-func (s *Server) enter(conn net.Conn) *stream {
+func (s *Server) register(conn net.Conn) *stream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.live) >= s.door.MaxStreams || s.killed {
+	if len(s.streams) >= s.door.MaxStreams || s.killed {
 		return nil
 	}
 	st := &stream{conn: conn, out: make(chan wire.Message, s.door.Queue), end: ending.New[wire.Message]()}
-	s.live[st] = true
+	s.streams[st] = true
 	return st
 }
 
-func (s *Server) leave(st *stream) {
+func (s *Server) unregister(st *stream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.live, st)
+	delete(s.streams, st)
 }
 
 func (s *Server) redirectAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for st := range s.live {
+	for st := range s.streams {
 		if s.killed {
 			_ = st.conn.Close()
 			continue
--- a/internal/edge/framed/session.go
+++ b/internal/edge/framed/session.go
@@ -15,9 +15,9 @@
 	"indigousher/internal/wire"
 )
 
-// attend serves one stream to its end.
-func (s *Server) attend(ctx context.Context, st *stream) {
-	defer s.leave(st)
+// serveStream serves one stream to its end.
+func (s *Server) serveStream(ctx context.Context, st *stream) {
+	defer s.unregister(st)
 	defer st.conn.Close()
 	log := s.log.With(zap.Stringer("from", st.conn.RemoteAddr()))
 	r := wire.NewReader(st.conn, s.door.MaxFrame)
@@ -42,15 +42,15 @@
 	if werr := g.Wait(); werr != nil {
 		err = errors.Join(err, werr)
 	}
-	log.Info("stream ended", zap.String("why", st.end.Why()), zap.Error(quiet(err)))
+	log.Info("stream ended", zap.String("why", st.end.Why()), zap.Error(withoutEndOfStream(err)))
 	// the loop must hear of it even while this side stops, but not for longer than the loop lives
 	lctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 	defer cancel()
 	_ = s.inbox.Post(lctx, pilot.Leave{Stream: st})
 }
 
-// quiet drops errors that only say that a stream has ended.
-func quiet(err error) error {
+// withoutEndOfStream drops errors that only say that a stream has ended.
+func withoutEndOfStream(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) {
 		return nil
 	}
@@ -74,8 +74,8 @@
 		case *wire.Done:
 			in = pilot.Applied{Stream: st, Done: *m}
 		case *wire.Beat:
-			st.seen(m.Seen)
-			if st.overdue(time.Now().Add(-s.door.SeenWithin)) {
+			st.acknowledge(m.Seen)
+			if st.unackedBefore(time.Now().Add(-s.door.SeenWithin)) {
 				return ErrSlow
 			}
 			continue
@@ -116,7 +116,7 @@
 			return err
 		}
 		if _, beat := m.(*wire.Beat); !beat {
-			st.wrote(w.Last())
+			st.addUnacked(w.Last())
 		}
 	}
 }
