--- a/internal/edge/framed/handshake.go
+++ b/internal/edge/framed/handshake.go
@@ -4,42 +4,71 @@
 	"crypto/tls"
 	"errors"
 	"fmt"
+	"net"
 	"time"
 
 	"indigousher/internal/keys"
 	"indigousher/internal/wire"
 )
 
-// greet reads the hello and answers it.
+// What a proxy is told that is not let in. What is wrong with its identity only operators hear.
+const (
+	refusalNoHello  = "a hello must come first"
+	refusalIdentity = "not let in"
+)
+
+// greet reads the hello, checks it and answers it. Whatever it refuses, it tells the proxy and returns as an error.
 func (s *Server) greet(st *stream, r *wire.Reader, w *wire.Writer) (*wire.Hello, error) {
 	if err := st.conn.SetDeadline(time.Now().Add(s.door.HelloDeadline)); err != nil {
 		return nil, fmt.Errorf("set deadline: %w", err)
 	}
-	m, err := r.Read()
+	first, err := r.Read()
 	if err != nil {
 		return nil, err
 	}
-	hello, ok := m.(*wire.Hello)
-	refusal := ""
-	switch {
-	case !ok:
-		refusal = "a hello must come first"
-	case hello.Version != wire.Version:
-		refusal = fmt.Sprintf("version %d is not spoken here, %d is", hello.Version, wire.Version)
-	}
-	if tc, sealed := st.conn.(*tls.Conn); sealed && refusal == "" {
-		if who, err := keys.Peer(tc.ConnectionState()); err != nil || who.Name != hello.Proxy || who.Zone != hello.Zone {
-			_, werr := w.Write(&wire.Refuse{Reason: "not let in"})
-			return nil, errors.Join(fmt.Errorf("%s says it is %s of %s: %w", who, hello.Proxy, hello.Zone, keys.ErrIdentity), err, werr)
-		}
-	}
-	if refusal != "" {
-		_, err := w.Write(&wire.Refuse{Reason: refusal})
-		return nil, errors.Join(errors.New(refusal), err)
-	}
-	if _, err := w.Write(&wire.Welcome{Version: wire.Version, Pilot: s.door.Pilot,
-		BeatMs: int(s.door.Beat.Milliseconds()), PeriodMs: int(s.door.Period.Milliseconds())}); err != nil {
+	hello, ok := first.(*wire.Hello)
+	if !ok {
+		return nil, refuse(w, refusalNoHello, errors.New(refusalNoHello))
+	}
+	if hello.Version != wire.Version {
+		refusal := fmt.Sprintf("version %d is not spoken here, %d is", hello.Version, wire.Version)
+		return nil, refuse(w, refusal, errors.New(refusal))
+	}
+	if err := checkIdentity(st.conn, hello); err != nil {
+		return nil, refuse(w, refusalIdentity, err)
+	}
+	if _, err := w.Write(s.welcome()); err != nil {
 		return nil, err
 	}
 	return hello, st.conn.SetWriteDeadline(time.Time{})
 }
+
+// welcome returns the answer to a hello that is taken.
+func (s *Server) welcome() *wire.Welcome {
+	return &wire.Welcome{
+		Version:  wire.Version,
+		Pilot:    s.door.Pilot,
+		BeatMs:   int(s.door.Beat.Milliseconds()),
+		PeriodMs: int(s.door.Period.Milliseconds()),
+	}
+}
+
+// refuse tells a proxy that it is not let in, and returns why along with what went wrong in telling it.
+func refuse(w *wire.Writer, reason string, why error) error {
+	_, err := w.Write(&wire.Refuse{Reason: reason})
+	return errors.Join(why, err)
+}
+
+// checkIdentity returns an error if the certificate of a connection under TLS is not of the proxy in the hello. Without
+// TLS anybody is believed.
+func checkIdentity(conn net.Conn, hello *wire.Hello) error {
+	tlsConn, ok := conn.(*tls.Conn)
+	if !ok {
+		return nil
+	}
+	who, err := keys.Peer(tlsConn.ConnectionState())
+	if err == nil && who.Name == hello.Proxy && who.Zone == hello.Zone {
+		return nil
+	}
+	return errors.Join(fmt.Errorf("%s says it is %s of %s: %w", who, hello.Proxy, hello.Zone, keys.ErrIdentity), err)
+}
--- a/internal/edge/framed/server.go
+++ b/internal/edge/framed/server.go
@@ -17,28 +17,34 @@
 	"indigousher/internal/wire"
 )
 
-// Door says how streams are kept.
+// acceptPause is how long accepting rests after a passing failure, such as no free descriptor.
+const acceptPause = 100 * time.Millisecond
+
+// reasonStopping is what proxies are told when the controller shuts down.
+const reasonStopping = "this pilot stops"
+
+// Door configures the listener and the streams that it accepts.
 type Door struct {
-	Pilot         string
+	Pilot         string        // the controller's name, for the welcome
 	Beat          time.Duration // each side says something this often; a stream is dead after three in silence
-	Period        time.Duration // of sums
-	WriteDeadline time.Duration
-	SeenWithin    time.Duration // a proxy says by then that it has dealt with a frame
-	HelloDeadline time.Duration
-	MaxFrame      int // bytes
-	MaxStreams    int
-	Queue         int // messages that may wait for a slow stream
+	Period        time.Duration // of load reports
+	WriteDeadline time.Duration // a write that takes longer ends the stream
+	SeenWithin    time.Duration // a frame that is not acknowledged by then ends the stream
+	HelloDeadline time.Duration // the hello must come by then
+	MaxFrame      int           // bytes of a frame's body
+	MaxStreams    int           // open at once; further ones are closed
+	Queue         int           // messages that may wait for a stream to write them; one more ends it
 }
 
 // Server accepts proxies' streams.
 type Server struct {
-	door    Door
-	inbox   pilot.Inbox
-	log     *zap.Logger
+	door  Door
+	inbox pilot.Inbox
+	log   *zap.Logger
+
 	mu      sync.Mutex
-	streams map[*stream]bool
-	// killed is set by Kill: streams end without a word.
-	killed bool
+	streams map[*stream]bool // open ones
+	killed  bool             // streams end without a last message
 }
 
 // NewServer returns a server that does not listen yet.
@@ -57,28 +63,36 @@
 	})
 	for {
 		conn, err := l.Accept()
-		if err != nil {
-			if ctx.Err() != nil {
-				if err := g.Wait(); err != nil && !errors.Is(err, net.ErrClosed) {
-					return fmt.Errorf("stop accepting: %w", err)
-				}
-				return nil
-			}
-			if pause.Passing(err) { // no free descriptor: those that are served go on
-				s.log.Warn("accept", zap.Error(err))
-				pause.For(ctx, 100*time.Millisecond)
-				continue
+		if err == nil {
+			s.start(ctx, g, conn)
+			continue
+		}
+		if ctx.Err() != nil {
+			if err := g.Wait(); err != nil && !errors.Is(err, net.ErrClosed) {
+				return fmt.Errorf("stop accepting: %w", err)
 			}
-			return fmt.Errorf("accept on %s: %w", l.Addr(), err)
+			return nil
 		}
-		st := s.register(conn)
-		if st == nil {
-			s.log.Warn("too many streams", zap.Stringer("from", conn.RemoteAddr()))
-			_ = conn.Close()
-			continue
+		if !pause.Passing(err) {
+			return fmt.Errorf("accept on %s: %w", l.Addr(), err)
 		}
-		g.Go(func() error { s.serveStream(ctx, st); return nil })
+		s.log.Warn("accept", zap.Error(err)) // those that are served go on
+		pause.For(ctx, acceptPause)
+	}
+}
+
+// start serves a connection in a goroutine of the group, which ends with the stream.
+func (s *Server) start(ctx context.Context, g *errgroup.Group, conn net.Conn) {
+	st := s.register(conn)
+	if st == nil {
+		s.log.Warn("too many streams", zap.Stringer("from", conn.RemoteAddr()))
+		_ = conn.Close() // nothing was said on it
+		return
 	}
+	g.Go(func() error {
+		s.serveStream(ctx, st)
+		return nil
+	})
 }
 
 // Kill closes every stream at once and without a word, as the end of a process would.
@@ -87,7 +101,7 @@
 	defer s.mu.Unlock()
 	s.killed = true
 	for st := range s.streams {
-		_ = st.conn.Close()
+		st.closeConn()
 	}
 }
 
@@ -98,31 +112,38 @@
 	return len(s.streams)
 }
 
+// register makes a stream of a connection, or returns nil if as many as may are open.
 func (s *Server) register(conn net.Conn) *stream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.streams) >= s.door.MaxStreams || s.killed {
 		return nil
 	}
-	st := &stream{conn: conn, out: make(chan wire.Message, s.door.Queue), end: ending.New[wire.Message]()}
+	st := &stream{
+		conn: conn,
+		out:  make(chan wire.Message, s.door.Queue),
+		end:  ending.New[wire.Message](),
+	}
 	s.streams[st] = true
 	return st
 }
 
+// unregister forgets a stream that has ended.
 func (s *Server) unregister(st *stream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.streams, st)
 }
 
+// redirectAll ends all streams with the request to dial another controller.
 func (s *Server) redirectAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for st := range s.streams {
 		if s.killed {
-			_ = st.conn.Close()
+			st.closeConn()
 			continue
 		}
-		st.end.Say("this pilot stops", &wire.Redirect{Reason: "this pilot stops"})
+		st.end.Say(reasonStopping, &wire.Redirect{Reason: reasonStopping})
 	}
 }
--- a/internal/edge/framed/session.go
+++ b/internal/edge/framed/session.go
@@ -15,10 +15,17 @@
 	"indigousher/internal/wire"
 )
 
-// serveStream serves one stream to its end.
+const (
+	// silentBeats is how many heartbeats may fail to come before a stream is dead.
+	silentBeats = 3
+	// leavePatience is how long the controller's loop may take, while this side stops, to hear that a proxy has left.
+	leavePatience = time.Second
+)
+
+// serveStream serves one stream to its end: it reads in this goroutine and writes in another, which it waits for.
 func (s *Server) serveStream(ctx context.Context, st *stream) {
 	defer s.unregister(st)
-	defer st.conn.Close()
+	defer st.closeConn()
 	log := s.log.With(zap.Stringer("from", st.conn.RemoteAddr()))
 	r := wire.NewReader(st.conn, s.door.MaxFrame)
 	w := wire.NewWriter(st.conn)
@@ -28,9 +35,9 @@
 		return
 	}
 	log = log.With(zap.String("proxy", hello.Proxy))
-	g := errgroup.Group{}
-	g.Go(func() error {
-		defer st.conn.Close() // ends the reader too
+	var writer errgroup.Group
+	writer.Go(func() error {
+		defer st.closeConn() // ends the reader too
 		return s.writeAll(st, w)
 	})
 	err = s.inbox.Post(ctx, pilot.Join{Stream: st, Hello: *hello})
@@ -39,14 +46,19 @@
 		err = s.readAll(ctx, st, r)
 	}
 	st.end.End("")
-	if werr := g.Wait(); werr != nil {
-		err = errors.Join(err, werr)
+	if writeErr := writer.Wait(); writeErr != nil {
+		err = errors.Join(err, writeErr)
 	}
 	log.Info("stream ended", zap.String("why", st.end.Why()), zap.Error(withoutEndOfStream(err)))
-	// the loop must hear of it even while this side stops, but not for longer than the loop lives
-	lctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
+	s.postLeave(ctx, st)
+}
+
+// postLeave tells the controller that a proxy has left. The loop must hear of it even while this side stops, but it is
+// not waited for once it has ended itself.
+func (s *Server) postLeave(ctx context.Context, st *stream) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), leavePatience)
 	defer cancel()
-	_ = s.inbox.Post(lctx, pilot.Leave{Stream: st})
+	_ = s.inbox.Post(ctx, pilot.Leave{Stream: st}) // fails only as the loop has ended
 }
 
 // withoutEndOfStream drops errors that only say that a stream has ended.
@@ -57,66 +69,80 @@
 	return err
 }
 
-// readAll hands over what the proxy says until the stream ends or falls silent.
+// readAll hands over what the proxy says until the stream ends, the proxy takes its leave, or it falls silent.
 func (s *Server) readAll(ctx context.Context, st *stream, r *wire.Reader) error {
 	for {
-		if err := st.conn.SetReadDeadline(time.Now().Add(3 * s.door.Beat)); err != nil {
+		if err := st.conn.SetReadDeadline(time.Now().Add(silentBeats * s.door.Beat)); err != nil {
 			return fmt.Errorf("set deadline: %w", err)
 		}
 		m, err := r.Read()
 		if err != nil {
 			return err
 		}
-		var in pilot.Input
-		switch m := m.(type) {
-		case *wire.Sums:
-			in = pilot.Reported{Stream: st, Sums: m}
-		case *wire.Done:
-			in = pilot.Applied{Stream: st, Done: *m}
-		case *wire.Beat:
-			st.acknowledge(m.Seen)
-			if st.unackedBefore(time.Now().Add(-s.door.SeenWithin)) {
-				return ErrSlow
-			}
-			continue
-		case *wire.Bye:
+		if _, bye := m.(*wire.Bye); bye {
 			return nil
-		default:
-			return fmt.Errorf("%T from a proxy: %w", m, wire.ErrType)
 		}
-		if err := s.inbox.Post(ctx, in); err != nil {
+		if err := s.receive(ctx, st, m); err != nil {
 			return err
 		}
 	}
 }
 
-// writeAll writes what is queued, and a beat when there is nothing.
+// receive deals with one message of a proxy.
+func (s *Server) receive(ctx context.Context, st *stream, m wire.Message) error {
+	switch m := m.(type) {
+	case *wire.Sums:
+		return s.inbox.Post(ctx, pilot.Reported{Stream: st, Sums: m})
+	case *wire.Done:
+		return s.inbox.Post(ctx, pilot.Applied{Stream: st, Done: *m})
+	case *wire.Beat:
+		st.unacked.acknowledge(m.Seen)
+		if st.unacked.olderThan(time.Now().Add(-s.door.SeenWithin)) {
+			return ErrSlow
+		}
+		return nil
+	}
+	return fmt.Errorf("%T from a proxy: %w", m, wire.ErrType)
+}
+
+// writeAll writes what is queued, and a heartbeat when there is nothing, until the stream ends. A last message is
+// written on the way out.
 func (s *Server) writeAll(st *stream, w *wire.Writer) error {
-	beat := time.NewTicker(s.door.Beat)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(s.door.Beat)
+	defer heartbeat.Stop()
 	for {
-		var m wire.Message
 		select {
-		case m = <-st.out:
-		case <-beat.C:
-			m = &wire.Beat{}
-		case <-st.end.Gone():
-			word, has := st.end.Word()
-			if !has {
-				return nil
+		case m := <-st.out:
+			if err := s.write(st, w, m); err != nil {
+				return err
 			}
-			_ = st.conn.SetWriteDeadline(time.Now().Add(s.door.WriteDeadline))
-			_, err := w.Write(word)
-			return err
-		}
-		if err := st.conn.SetWriteDeadline(time.Now().Add(s.door.WriteDeadline)); err != nil {
-			return fmt.Errorf("set deadline: %w", err)
-		}
-		if _, err := w.Write(m); err != nil {
-			return err
-		}
-		if _, beat := m.(*wire.Beat); !beat {
-			st.addUnacked(w.Last())
+			st.unacked.add(w.Last(), time.Now())
+		case <-heartbeat.C:
+			if err := s.write(st, w, &wire.Beat{}); err != nil {
+				return err
+			}
+		case <-st.end.Gone():
+			return s.writeLast(st, w)
 		}
 	}
 }
+
+// write writes one message within the write deadline.
+func (s *Server) write(st *stream, w *wire.Writer, m wire.Message) error {
+	if err := st.conn.SetWriteDeadline(time.Now().Add(s.door.WriteDeadline)); err != nil {
+		return fmt.Errorf("set deadline: %w", err)
+	}
+	_, err := w.Write(m)
+	return err
+}
+
+// writeLast writes the last message of a stream that has ended, if it has one.
+func (s *Server) writeLast(st *stream, w *wire.Writer) error {
+	last, ok := st.end.Word()
+	if !ok {
+		return nil
+	}
+	_ = st.conn.SetWriteDeadline(time.Now().Add(s.door.WriteDeadline)) // on a closed connection the write fails too
+	_, err := w.Write(last)
+	return err
+}
