--- a/internal/edge/list/stream.go
+++ b/internal/edge/list/stream.go
@@ -77,7 +77,7 @@
 		began := time.Now()
 		err := s.follow(ctx)
 		if ctx.Err() != nil {
-			return nil
+			return nil //nolint:nilerr // the end of ctx is no failure
 		}
 		s.log.Warn("endpoint list lost", zap.String("source", s.address), zap.Error(err))
 		if !post(ctx, s.inbox, pilot.ListLost{}) {
