--- a/internal/edge/peers/peers.go
+++ b/internal/edge/peers/peers.go
@@ -21,22 +21,22 @@
 	peers map[int]net.Addr
 	inbox pilot.Inbox
 	log   *zap.Logger
-	pace  *rate.Limiter
+	limit *rate.Limiter
 	// Secret, if not nil, seals all notes; nothing else is taken in.
-	Secret *keys.Secret
-	once   map[int]*keys.Once
+	Secret  *keys.Secret
+	repeats map[int]*keys.Once
 }
 
 // Open returns a post on an open socket. Peers are addresses by rank.
 func Open(conn net.PacketConn, rank int, peers map[int]string, inbox pilot.Inbox, log *zap.Logger) (*Post, error) {
 	p := &Post{conn: conn, rank: rank, peers: map[int]net.Addr{}, inbox: inbox, log: log,
-		pace: rate.NewLimiter(1000, 1000), once: map[int]*keys.Once{}}
+		limit: rate.NewLimiter(1000, 1000), repeats: map[int]*keys.Once{}}
 	for r, name := range peers {
 		a, err := net.ResolveUDPAddr("udp", name)
 		if err != nil {
 			return nil, fmt.Errorf("address of pilot %d: %w", r, err)
 		}
-		p.peers[r], p.once[r] = a, &keys.Once{}
+		p.peers[r], p.repeats[r] = a, &keys.Once{}
 	}
 	return p, nil
 }
@@ -64,7 +64,7 @@
 func (p *Post) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = p.conn.Close() })
 	defer stop()
-	buf := make([]byte, headBytes+keys.SealBytes+MaxText+1)
+	buf := make([]byte, headerBytes+keys.SealBytes+MaxText+1)
 	for {
 		n, from, err := p.conn.ReadFrom(buf)
 		if ctx.Err() != nil {
@@ -76,8 +76,8 @@
 			}
 			continue // a refusal that a former note met
 		}
-		rank, text, err := p.open(buf[:n])
-		if err != nil || p.peers[rank] == nil || !p.pace.AllowN(time.Now(), 1) {
+		rank, text, err := p.decode(buf[:n])
+		if err != nil || p.peers[rank] == nil || !p.limit.AllowN(time.Now(), 1) {
 			p.log.Debug("note dropped", zap.Stringer("from", from), zap.Error(err))
 			continue
 		}
@@ -87,13 +87,13 @@
 	}
 }
 
-// open takes a datagram apart, if it is one that may count.
-func (p *Post) open(b []byte) (rank int, text string, err error) {
+// decode takes a datagram apart, if it is one that may count.
+func (p *Post) decode(b []byte) (rank int, text string, err error) {
 	if p.Secret == nil {
 		return Decode(b)
 	}
 	rank, number, text, err := unseal(p.Secret, b)
-	if err == nil && p.once[rank] != nil && !p.once[rank].New(number) {
+	if err == nil && p.repeats[rank] != nil && !p.repeats[rank].New(number) {
 		return rank, "", fmt.Errorf("it came before: %w", ErrDatagram)
 	}
 	return rank, text, err
--- a/internal/edge/peers/peers_test.go
+++ b/internal/edge/peers/peers_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// TestNotes shows a note on its way between two pilots, past strangers and noise.
-func TestNotes(t *testing.T) {
+// TestGossip shows a note on its way between two pilots, past strangers and noise.
+func TestGossip(t *testing.T) {
 	sockets := map[int]net.PacketConn{}
 	at := map[int]string{}
 	for r := range 2 {
@@ -69,32 +69,32 @@
 // TestSealed shows that with a secret only sealed notes count, each once, and that a key is changed without a gap.
 func TestSealed(t *testing.T) {
 	dir := t.TempDir()
-	make := func(name string) string {
+	newSecret := func(name string) string {
 		path := filepath.Join(dir, name)
 		require.NoError(t, keys.NewSecret(path))
 		return path
 	}
-	ours, others := make("ours"), make("others")
+	ours, others := newSecret("ours"), newSecret("others")
 	a, err := keys.LoadSecret(ours)
 	require.NoError(t, err)
 	b, err := keys.LoadSecret(others)
 	require.NoError(t, err)
-	p := &Post{Secret: a, once: map[int]*keys.Once{3: {}}}
+	p := &Post{Secret: a, repeats: map[int]*keys.Once{3: {}}}
 	note, err := seal(a, 3, "load 0.7")
 	require.NoError(t, err)
 	strange, err := seal(b, 3, "load 0.1")
 	require.NoError(t, err)
 	forged := append([]byte{}, note...)
-	forged[headBytes-1] = 4 // another rank outside
+	forged[headerBytes-1] = 4 // another rank outside
 	for _, c := range []struct {
 		name string
 		data []byte
 		text string
 	}{
 		{"sealed", note, "load 0.7"}, {"the same again", note, ""}, {"under another key", strange, ""},
-		{"another sender's rank", forged, ""}, {"in plain", Encode(3, "x"), ""}, {"cut off", note[:20], ""}, {"nothing", nil, ""},
+		{"another sender's rank", forged, ""}, {"in plain", Encode(3, "x"), ""}, {"truncated", note[:20], ""}, {"nothing", nil, ""},
 	} {
-		_, text, err := p.open(c.data)
+		_, text, err := p.decode(c.data)
 		assert.Equal(t, c.text, text, c.name)
 		assert.Equal(t, c.text == "", err != nil, c.name)
 	}
@@ -107,7 +107,7 @@
 	time.Sleep(250 * time.Millisecond)
 	fresh, err := seal(b, 3, "load 0.2")
 	require.NoError(t, err)
-	_, text, err := p.open(fresh)
+	_, text, err := p.decode(fresh)
 	assert.NoError(t, err)
 	assert.Equal(t, "load 0.2", text)
 	require.NoError(t, os.WriteFile(ours, []byte("not hex\n"), 0o600))
