--- a/internal/edge/peers/datagram.go
+++ b/internal/edge/peers/datagram.go
@@ -1,6 +1,3 @@
-// Package peers carries short texts between pilots over UDP: at most one datagram each, lost without a word, never
-// waited for. Datagrams open with a magic and the sender's rank; whatever else arrives is counted and dropped. With a
-// secret what follows is sealed, and a datagram that comes again is dropped as well.
 package peers
 
 import (
@@ -10,47 +7,57 @@
 	"indigousher/internal/keys"
 )
 
-// magic opens each datagram; its last byte is the version.
-var magic = [4]byte{'i', 'n', 'u', 1}
+// A datagram is a header of magic and the sender's rank (16 bits, big-endian), and a text. With a secret the text is
+// sealed, and the header is not hidden but can't be changed.
+var magic = [4]byte{'i', 'n', 'u', 1} // the last byte is the version
 
-// MaxText is the longest text in bytes.
-const MaxText = 1024
+const (
+	// MaxText is the longest text in bytes.
+	MaxText = 1024
 
-const headerBytes = len(magic) + 2
+	headerBytes = len(magic) + 2
+
+	// readBufferBytes is one more than the longest datagram takes, so that a longer one is seen to be too long.
+	readBufferBytes = headerBytes + keys.SealBytes + MaxText + 1
+)
 
 // ErrDatagram says that a datagram is none of ours.
 var ErrDatagram = errors.New("not a note between pilots")
 
-// Encode lays out a datagram.
+// Encode lays out a datagram. A text that is too long is cut off.
 func Encode(from int, text string) []byte {
 	b := append([]byte{}, magic[:]...)
 	b = binary.BigEndian.AppendUint16(b, uint16(from))
 	return append(b, text[:min(len(text), MaxText)]...)
 }
 
-// Decode takes a datagram apart.
+// Decode takes a datagram apart. It returns ErrDatagram if it is none of ours.
 func Decode(b []byte) (from int, text string, err error) {
-	if len(b) < headerBytes || [4]byte(b[:4]) != magic || len(b) > headerBytes+MaxText {
+	if len(b) < headerBytes || [4]byte(b[:len(magic)]) != magic || len(b) > headerBytes+MaxText {
 		return 0, "", ErrDatagram
 	}
-	return int(binary.BigEndian.Uint16(b[4:])), string(b[headerBytes:]), nil
+	from = int(binary.BigEndian.Uint16(b[len(magic):]))
+	return from, string(b[headerBytes:]), nil
 }
 
 // seal lays out a datagram whose text only those can read who share the secret.
 func seal(s *keys.Secret, from int, text string) ([]byte, error) {
-	b := Encode(from, text)
-	return s.Seal(append([]byte{}, b[:headerBytes]...), b[:headerBytes], b[headerBytes:])
+	plain := Encode(from, text)
+	header := plain[:headerBytes]
+	return s.Seal(append([]byte{}, header...), header, plain[headerBytes:])
 }
 
-// unseal takes one apart, with its number.
+// unseal takes a sealed datagram apart. Number is that of the message, by which repeats are told.
 func unseal(s *keys.Secret, b []byte) (from int, number uint64, text string, err error) {
 	if len(b) < headerBytes {
 		return 0, 0, "", ErrDatagram
 	}
-	number, inside, err := s.Open(b[:headerBytes], b[headerBytes:])
+	header := b[:headerBytes]
+	number, inside, err := s.Open(header, b[headerBytes:])
 	if err != nil {
 		return 0, 0, "", err
 	}
-	from, text, err = Decode(append(append([]byte{}, b[:headerBytes]...), inside...))
+	plain := append(append([]byte{}, header...), inside...)
+	from, text, err = Decode(plain)
 	return from, number, text, err
 }
--- a/internal/edge/peers/peers.go
+++ b/internal/edge/peers/peers.go
@@ -1,3 +1,6 @@
+// Package peers carries gossip, short texts between controllers, over UDP: one datagram each, which may get lost and is
+// never waited for. Whatever arrives that is none of ours is dropped. With a secret the texts are sealed, and a datagram
+// that comes again is dropped as well.
 package peers
 
 import (
@@ -14,92 +17,125 @@
 	"indigousher/internal/pilot"
 )
 
-// Post is one pilot's socket for notes.
+// maxReceivedPerS is how many texts are taken in a second, all peers together: more could only harm the loop.
+const maxReceivedPerS = 1000
+
+// Post is one controller's socket for gossip.
 type Post struct {
 	conn  net.PacketConn
-	rank  int
+	rank  int // this controller's
 	peers map[int]net.Addr
 	inbox pilot.Inbox
 	log   *zap.Logger
 	limit *rate.Limiter
-	// Secret, if not nil, seals all notes; nothing else is taken in.
+
+	// Secret, if not nil, seals all texts; nothing else is taken in. It is set before Run.
 	Secret  *keys.Secret
-	repeats map[int]*keys.Once
+	repeats map[int]*keys.Once // by rank; Run owns it
 }
 
-// Open returns a post on an open socket. Peers are addresses by rank.
+// Open returns a post on an open socket, which Run closes. Peers are addresses by rank, this controller's own among
+// them or not.
 func Open(conn net.PacketConn, rank int, peers map[int]string, inbox pilot.Inbox, log *zap.Logger) (*Post, error) {
-	p := &Post{conn: conn, rank: rank, peers: map[int]net.Addr{}, inbox: inbox, log: log,
-		limit: rate.NewLimiter(1000, 1000), repeats: map[int]*keys.Once{}}
-	for r, name := range peers {
-		a, err := net.ResolveUDPAddr("udp", name)
+	p := &Post{
+		conn:    conn,
+		rank:    rank,
+		peers:   map[int]net.Addr{},
+		inbox:   inbox,
+		log:     log,
+		limit:   rate.NewLimiter(maxReceivedPerS, maxReceivedPerS),
+		repeats: map[int]*keys.Once{},
+	}
+	for peer, name := range peers {
+		address, err := net.ResolveUDPAddr("udp", name)
 		if err != nil {
-			return nil, fmt.Errorf("address of pilot %d: %w", r, err)
+			return nil, fmt.Errorf("address of pilot %d: %w", peer, err)
 		}
-		p.peers[r], p.repeats[r] = a, &keys.Once{}
+		p.peers[peer] = address
+		p.repeats[peer] = &keys.Once{}
 	}
 	return p, nil
 }
 
-// Tell sends a text to a peer, or to all with -1.
+// Tell sends a text to a peer, or to all if the number is negative.
 func (p *Post) Tell(peer int, text string) {
-	for r, a := range p.peers {
-		if r == p.rank || peer >= 0 && r != peer {
+	for rank, address := range p.peers {
+		toAll := peer < 0
+		if rank == p.rank || !toAll && rank != peer {
 			continue
 		}
-		b, err := Encode(p.rank, text), error(nil)
-		if p.Secret != nil {
-			b, err = seal(p.Secret, p.rank, text)
-		}
-		if err == nil {
-			_, err = p.conn.WriteTo(b, a)
-		}
-		if err != nil {
-			p.log.Debug("note to a pilot lost", zap.Int("to", r), zap.Error(err))
+		if err := p.send(address, text); err != nil {
+			p.log.Debug("note to a pilot lost", zap.Int("to", rank), zap.Error(err))
 		}
 	}
 }
 
-// Run takes in notes until ctx ends. More than a thousand a second are dropped: they could only harm the loop.
+// send sends a text to one address.
+func (p *Post) send(to net.Addr, text string) error {
+	datagram, err := p.encode(text)
+	if err != nil {
+		return err
+	}
+	_, err = p.conn.WriteTo(datagram, to)
+	return err
+}
+
+// encode lays out a text of this controller, sealed if there is a secret.
+func (p *Post) encode(text string) ([]byte, error) {
+	if p.Secret == nil {
+		return Encode(p.rank, text), nil
+	}
+	return seal(p.Secret, p.rank, text)
+}
+
+// Run hands what peers say to the controller until ctx ends. It closes the socket.
 func (p *Post) Run(ctx context.Context) error {
-	stop := context.AfterFunc(ctx, func() { _ = p.conn.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = p.conn.Close() }) // ends the read below
 	defer stop()
-	buf := make([]byte, headerBytes+keys.SealBytes+MaxText+1)
+	buffer := make([]byte, readBufferBytes)
 	for {
-		n, from, err := p.conn.ReadFrom(buf)
+		n, from, err := p.conn.ReadFrom(buffer)
 		if ctx.Err() != nil {
 			return nil
 		}
-		if err != nil {
-			if errors.Is(err, net.ErrClosed) {
-				return fmt.Errorf("read notes: %w", err)
-			}
-			continue // a refusal that a former note met
+		if errors.Is(err, net.ErrClosed) {
+			return fmt.Errorf("read notes: %w", err)
 		}
-		rank, text, err := p.decode(buf[:n])
-		if err != nil || p.peers[rank] == nil || !p.limit.AllowN(time.Now(), 1) {
-			p.log.Debug("note dropped", zap.Stringer("from", from), zap.Error(err))
-			continue
+		if err != nil {
+			continue // the refusal that a former datagram of ours met
 		}
-		if err := p.inbox.Post(ctx, pilot.Heard{From: rank, Text: text}); err != nil {
+		if !p.receive(ctx, buffer[:n], from) {
 			return nil
 		}
 	}
 }
 
-// decode takes a datagram apart, if it is one that may count.
+// receive hands one datagram to the controller, or drops it. It returns false if ctx has ended.
+func (p *Post) receive(ctx context.Context, datagram []byte, from net.Addr) bool {
+	rank, text, err := p.decode(datagram)
+	if err != nil || p.peers[rank] == nil || !p.limit.AllowN(time.Now(), 1) {
+		p.log.Debug("note dropped", zap.Stringer("from", from), zap.Error(err))
+		return true
+	}
+	return p.inbox.Post(ctx, pilot.Heard{From: rank, Text: text}) == nil
+}
+
+// decode takes a datagram apart. It returns an error if the datagram is none of ours, or came before.
 func (p *Post) decode(b []byte) (rank int, text string, err error) {
 	if p.Secret == nil {
 		return Decode(b)
 	}
 	rank, number, text, err := unseal(p.Secret, b)
-	if err == nil && p.repeats[rank] != nil && !p.repeats[rank].New(number) {
+	if err != nil {
+		return rank, text, err
+	}
+	if seen := p.repeats[rank]; seen != nil && !seen.New(number) {
 		return rank, "", fmt.Errorf("it came before: %w", ErrDatagram)
 	}
-	return rank, text, err
+	return rank, text, nil
 }
 
-// Nobody is for pilots that have no peers to talk to.
+// Nobody is for controllers that have no peers.
 type Nobody struct{}
 
 // Tell does nothing.
