--- a/internal/edge/probe/probe.go
+++ b/internal/edge/probe/probe.go
@@ -20,9 +20,9 @@
 
 // Prober sends probes.
 type Prober struct {
-	Dial    Dial
-	Inbox   pilot.Inbox
-	Timeout time.Duration
+	dial    Dial
+	inbox   pilot.Inbox
+	timeout time.Duration
 	ctx     context.Context
 	slots   chan struct{}
 	wg      sync.WaitGroup
@@ -30,7 +30,7 @@
 
 // New returns a prober whose probes end with ctx; at most so many are under way.
 func New(ctx context.Context, dial Dial, inbox pilot.Inbox, timeout time.Duration, most int) *Prober {
-	return &Prober{Dial: dial, Inbox: inbox, Timeout: timeout, ctx: ctx, slots: make(chan struct{}, most)}
+	return &Prober{dial: dial, inbox: inbox, timeout: timeout, ctx: ctx, slots: make(chan struct{}, most)}
 }
 
 // Probe examines an endpoint. The answer comes as an input, also when it is that nothing could be asked.
@@ -41,19 +41,19 @@
 		in := pilot.Probed{Endpoint: endpoint, Outcome: "denied"}
 		select {
 		case p.slots <- struct{}{}:
-			in = p.ask(endpoint)
+			in = p.check(endpoint)
 			<-p.slots
 		default:
 		}
-		_ = p.Inbox.Post(p.ctx, in) // fails only as the pilot stops
+		_ = p.inbox.Post(p.ctx, in) // fails only as the pilot stops
 	}()
 }
 
 // Wait returns when no probe is under way.
 func (p *Prober) Wait() { p.wg.Wait() }
 
-func (p *Prober) ask(endpoint string) pilot.Probed {
-	ctx, cancel := context.WithTimeout(p.ctx, p.Timeout)
+func (p *Prober) check(endpoint string) pilot.Probed {
+	ctx, cancel := context.WithTimeout(p.ctx, p.timeout)
 	defer cancel()
 	start := time.Now()
 	a, err := p.exchange(ctx, endpoint)
@@ -66,7 +66,7 @@
 	case err == nil:
 		out.Outcome = "error"
 	default:
-		out.Outcome = outcome(err)
+		out.Outcome = outcomeOf(err)
 	}
 	return out
 }
@@ -74,7 +74,7 @@
 // errDial tells a connection that never came about from one that broke.
 var errDial = errors.New("dial")
 
-func outcome(err error) string {
+func outcomeOf(err error) string {
 	var ne net.Error
 	switch {
 	case errors.As(err, &ne) && ne.Timeout() || errors.Is(err, context.DeadlineExceeded):
@@ -86,7 +86,7 @@
 }
 
 func (p *Prober) exchange(ctx context.Context, endpoint string) (*wire.Answer, error) {
-	conn, err := p.Dial(ctx, "tcp", endpoint)
+	conn, err := p.dial(ctx, "tcp", endpoint)
 	if err != nil {
 		return nil, errors.Join(errDial, err)
 	}
