--- a/internal/edge/ending/ending.go
+++ b/internal/edge/ending/ending.go
@@ -1,22 +1,23 @@
-// Package ending is how an edge's stream ends, whatever its transport: once, with a reason for operators and a last word
-// for the peer. The edges' streams are built on it.
+// Package ending is how a transport's stream ends: once, with a reason for operators and a last message for the peer.
+// The streams of all transports are built on it.
 package ending
 
 import "sync"
 
-// Ending is one stream's. W is what a last word is.
+// Ending is the end of one stream. W is the type of its last message. It is safe for concurrent use.
 type Ending[W any] struct {
 	gone chan struct{}
 	once sync.Once
+
 	mu   sync.Mutex
 	why  string
-	word *W
+	word *W // nil: none
 }
 
-// New returns one of a stream that lives.
+// New returns the ending of a stream that lives.
 func New[W any]() *Ending[W] { return &Ending[W]{gone: make(chan struct{})} }
 
-// End ends the stream without a word, if it has not ended.
+// End ends the stream without a last message, if it has not ended.
 func (e *Ending[W]) End(why string) {
 	e.once.Do(func() {
 		e.mu.Lock()
@@ -26,7 +27,7 @@
 	})
 }
 
-// Say ends the stream with a last word; the first one counts.
+// Say ends the stream with a last message; the first one counts.
 func (e *Ending[W]) Say(why string, word W) {
 	e.mu.Lock()
 	if e.word == nil {
@@ -39,14 +40,14 @@
 // Gone is closed once the stream ends.
 func (e *Ending[W]) Gone() <-chan struct{} { return e.gone }
 
-// Why returns the reason.
+// Why returns the reason, which is empty while the stream lives.
 func (e *Ending[W]) Why() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.why
 }
 
-// Word returns the last word, if there is one.
+// Word returns the last message, if there is one.
 func (e *Ending[W]) Word() (word W, has bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/edge/opening/opening.go
+++ b/internal/edge/opening/opening.go
@@ -1,5 +1,4 @@
-// Package opening is how a gRPC edge waits for the first message of a stream, whatever its messages are. It decides nothing;
-// the edges that speak gRPC call it.
+// Package opening is how a gRPC transport waits for the first message of a stream, whatever its messages are.
 package opening
 
 import (
@@ -9,20 +8,25 @@
 	"google.golang.org/grpc/status"
 )
 
-// First waits for a stream's first message, no longer than within: a stream that says nothing is ended with why, as it
-// would stand for as long as its connection does. The waiting itself ends with the stream.
+// First returns a stream's first message, as recv returns it. A stream on which nothing comes within a time is ended
+// with the status DeadlineExceeded and the text why, as it would else stand for as long as its connection does.
+//
+// The goroutine that waits in recv ends with the stream, when the caller returns from its handler.
 func First[M any](within time.Duration, why string, recv func() (M, error)) (M, error) {
-	type first struct {
-		m   M
-		err error
+	type result struct {
+		message M
+		err     error
 	}
-	came := make(chan first, 1)
-	go func() { m, err := recv(); came <- first{m, err} }()
+	received := make(chan result, 1)
+	go func() {
+		message, err := recv()
+		received <- result{message, err}
+	}()
 	timer := time.NewTimer(within)
 	defer timer.Stop()
 	select {
-	case f := <-came:
-		return f.m, f.err
+	case first := <-received:
+		return first.message, first.err
 	case <-timer.C:
 		var none M
 		return none, status.Error(codes.DeadlineExceeded, why)
