--- a/internal/edge/admin/admin.go
+++ b/internal/edge/admin/admin.go
@@ -22,10 +22,10 @@
 
 // Bounds of what operators' connections may take.
 const (
-	within     = 2 * time.Second
-	mostHeader = 16 << 10
-	mostBody   = 1 << 10
-	mostConns  = 64
+	readTimeout    = 2 * time.Second
+	maxHeaderBytes = 16 << 10
+	maxBodyBytes   = 1 << 10
+	maxConns       = 64
 )
 
 // Serve answers on l until ctx ends: /metrics, /healthz (the loop turns), /readyz (the list has come) and /state.
@@ -33,19 +33,19 @@
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", promhttp.HandlerFor(g, promhttp.HandlerOpts{}))
 	mux.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) {
-		verdict(w, time.Since(state().LastTurn) < Stale, "the loop has not turned")
+		writeVerdict(w, time.Since(state().LastTurn) < Stale, "the loop has not turned")
 	})
 	mux.HandleFunc("/readyz", func(w http.ResponseWriter, _ *http.Request) {
-		verdict(w, state().Listed, "no endpoint list yet")
+		writeVerdict(w, state().Listed, "no endpoint list yet")
 	})
 	mux.HandleFunc("/state", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(state()) // the peer has gone if this fails
 	})
 	// one that sends slowly, or never reads, is cut off; so many at once are served, others wait
-	s := &http.Server{Handler: http.MaxBytesHandler(mux, mostBody), ReadHeaderTimeout: within, ReadTimeout: within,
-		WriteTimeout: 5 * within, IdleTimeout: 15 * within, MaxHeaderBytes: mostHeader}
-	l = netutil.LimitListener(l, mostConns)
+	s := &http.Server{Handler: http.MaxBytesHandler(mux, maxBodyBytes), ReadHeaderTimeout: readTimeout, ReadTimeout: readTimeout,
+		WriteTimeout: 5 * readTimeout, IdleTimeout: 15 * readTimeout, MaxHeaderBytes: maxHeaderBytes}
+	l = netutil.LimitListener(l, maxConns)
 	stop := context.AfterFunc(ctx, func() {
 		sctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -60,7 +60,7 @@
 	return nil
 }
 
-func verdict(w http.ResponseWriter, good bool, why string) {
+func writeVerdict(w http.ResponseWriter, good bool, why string) {
 	if !good {
 		http.Error(w, why, http.StatusServiceUnavailable)
 		return
--- a/internal/edge/admin/admin_test.go
+++ b/internal/edge/admin/admin_test.go
@@ -33,7 +33,7 @@
 		require.NoError(t, err)
 		defer c.Close()
 		_, _ = io.WriteString(c, text) // a refusal may come before the end
-		_ = c.SetReadDeadline(time.Now().Add(4 * within))
+		_ = c.SetReadDeadline(time.Now().Add(4 * readTimeout))
 		b, err := io.ReadAll(c)
 		require.False(t, err != nil && strings.Contains(err.Error(), "timeout"), "not cut off")
 		return string(b)
@@ -63,7 +63,7 @@
 	}
 	t.Run("crowd", func(t *testing.T) {
 		t.Parallel()
-		for range mostConns - 8 { // that say nothing
+		for range maxConns - 8 { // that say nothing
 			c, err := net.Dial("tcp", at)
 			require.NoError(t, err)
 			defer c.Close()
