--- a/internal/edge/admin/admin.go
+++ b/internal/edge/admin/admin.go
@@ -1,4 +1,4 @@
-// Package admin serves metrics, health and readiness of a pilot over HTTP.
+// Package admin serves a controller's metrics, health, readiness and state over HTTP.
 package admin
 
 import (
@@ -17,19 +17,35 @@
 	"indigousher/internal/pilot"
 )
 
-// Stale is how long the loop may go without a turn before the pilot calls itself unhealthy.
+// Stale is how long the loop may go without a turn before the controller calls itself unhealthy.
 const Stale = 5 * time.Second
 
-// Bounds of what operators' connections may take.
+// Limits of what operators' connections may take. One that sends slowly, or never reads, is cut off.
 const (
-	readTimeout    = 2 * time.Second
+	readTimeout    = 2 * time.Second  // for a request to come
+	writeTimeout   = 10 * time.Second // for an answer to be read
+	idleTimeout    = 30 * time.Second // between two requests of a connection
+	shutdownWithin = time.Second      // for answers under way when the controller stops
 	maxHeaderBytes = 16 << 10
 	maxBodyBytes   = 1 << 10
-	maxConns       = 64
+	maxConns       = 64 // served at once; others wait
 )
 
-// Serve answers on l until ctx ends: /metrics, /healthz (the loop turns), /readyz (the list has come) and /state.
+// Serve answers on l until ctx ends: /metrics, /healthz (the loop turns), /readyz (the endpoint list has come) and
+// /state.
 func Serve(ctx context.Context, l net.Listener, g prometheus.Gatherer, state func() pilot.State) error {
+	server := newServer(handler(g, state))
+	l = netutil.LimitListener(l, maxConns)
+	stop := context.AfterFunc(ctx, func() { shutDown(server) })
+	defer stop()
+	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+		return fmt.Errorf("serve admin on %s: %w", l.Addr(), err)
+	}
+	return nil
+}
+
+// handler answers the paths that are served.
+func handler(g prometheus.Gatherer, state func() pilot.State) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", promhttp.HandlerFor(g, promhttp.HandlerOpts{}))
 	mux.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) {
@@ -42,28 +58,35 @@
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(state()) // the peer has gone if this fails
 	})
-	// one that sends slowly, or never reads, is cut off; so many at once are served, others wait
-	s := &http.Server{Handler: http.MaxBytesHandler(mux, maxBodyBytes), ReadHeaderTimeout: readTimeout, ReadTimeout: readTimeout,
-		WriteTimeout: 5 * readTimeout, IdleTimeout: 15 * readTimeout, MaxHeaderBytes: maxHeaderBytes}
-	l = netutil.LimitListener(l, maxConns)
-	stop := context.AfterFunc(ctx, func() {
-		sctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		defer cancel()
-		if s.Shutdown(sctx) != nil {
-			_ = s.Close()
-		}
-	})
-	defer stop()
-	if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		return fmt.Errorf("serve admin on %s: %w", l.Addr(), err)
+	return mux
+}
+
+// newServer returns a server within the limits above.
+func newServer(h http.Handler) *http.Server {
+	return &http.Server{
+		Handler:           http.MaxBytesHandler(h, maxBodyBytes),
+		ReadHeaderTimeout: readTimeout,
+		ReadTimeout:       readTimeout,
+		WriteTimeout:      writeTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+	}
+}
+
+// shutDown ends a server once its answers under way are written, or after shutdownWithin.
+func shutDown(server *http.Server) {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownWithin)
+	defer cancel()
+	if server.Shutdown(ctx) != nil {
+		_ = server.Close() // what is cut off had its time
 	}
-	return nil
 }
 
+// writeVerdict answers ok, or that the service is unavailable and why.
 func writeVerdict(w http.ResponseWriter, good bool, why string) {
 	if !good {
 		http.Error(w, why, http.StatusServiceUnavailable)
 		return
 	}
-	fmt.Fprintln(w, "ok")
+	_, _ = fmt.Fprintln(w, "ok") // the peer has gone if this fails
 }
