--- a/internal/edge/grpcedge/server.go
+++ b/internal/edge/grpcedge/server.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"net"
 	"sync"
 	"time"
@@ -15,11 +14,9 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/credentials"
 	"google.golang.org/grpc/keepalive"
-	"google.golang.org/grpc/peer"
 	"google.golang.org/grpc/status"
 
 	"indigousher/internal/edge/ending"
-	"indigousher/internal/edge/opening"
 	"indigousher/internal/keys"
 	"indigousher/internal/pilot"
 	"indigousher/internal/wire"
@@ -126,87 +123,6 @@
 	return len(s.live)
 }
 
-// Follow serves one proxy's stream.
-func (s *Server) Follow(g grpc.BidiStreamingServer[pb.Upward, pb.Downward]) error {
-	ctx := g.Context()
-	hello, err := s.greet(g)
-	if err != nil {
-		s.log.Warn("hello refused", zap.Error(err))
-		return err
-	}
-	log := s.log.With(zap.String("proxy", hello.Proxy))
-	if err := s.pace.Wait(ctx); err != nil { // it keeps the tables it has while it waits
-		return status.Error(codes.Unavailable, "too many at once")
-	}
-	st, err := s.enter()
-	if err != nil {
-		return err
-	}
-	defer s.leave(st)
-	if err := g.Send(&pb.Downward{Says: &pb.Downward_Welcome{Welcome: &pb.Welcome{Version: wire.Version, Pilot: s.door.Pilot,
-		BeatMs: uint32(s.door.Beat.Milliseconds()), PeriodMs: uint32(s.door.Period.Milliseconds())}}}); err != nil {
-		return err
-	}
-	if err := s.inbox.Post(s.ctx, pilot.Join{Stream: st, Hello: *hello}); err != nil {
-		return status.Error(codes.Unavailable, "this pilot stops")
-	}
-	heard := make(chan error, 1)
-	go func() { heard <- s.hear(g, st) }()
-	err = s.speak(ctx, g, st, heard)
-	st.end.End("")
-	log.Info("stream ended", zap.String("why", st.end.Why()), zap.Error(err))
-	lctx, cancel := context.WithTimeout(s.ctx, time.Second)
-	defer cancel()
-	_ = s.inbox.Post(lctx, pilot.Leave{Stream: st}) // fails only as the loop has ended
-	return err
-}
-
-// greet reads and checks the hello. What is wrong with an identity only operators hear.
-func (s *Server) greet(g grpc.BidiStreamingServer[pb.Upward, pb.Downward]) (*wire.Hello, error) {
-	m, err := opening.First(s.door.HelloIn, "a hello must come first", g.Recv)
-	if err != nil {
-		return nil, err
-	}
-	h := m.GetHello()
-	if h == nil {
-		return nil, status.Error(codes.InvalidArgument, "a hello must come first")
-	}
-	if h.GetVersion() != wire.Version {
-		return nil, status.Errorf(codes.FailedPrecondition, "version %d is not spoken here, %d is", h.GetVersion(), wire.Version)
-	}
-	hello, err := HelloFrom(h)
-	if err != nil {
-		return nil, status.Error(codes.InvalidArgument, err.Error())
-	}
-	if s.door.Keys != nil {
-		if err := Claims(g.Context(), hello.Proxy, hello.Zone); err != nil {
-			s.log.Warn("identity refused", zap.Error(err))
-			return nil, status.Error(codes.PermissionDenied, "not let in")
-		}
-	}
-	return hello, nil
-}
-
-// Claims checks that a peer's certificate is of the proxy it says it is.
-func Claims(ctx context.Context, name, zone string) error {
-	p, ok := peer.FromContext(ctx)
-	if !ok {
-		return keys.ErrIdentity
-	}
-	info, ok := p.AuthInfo.(credentials.TLSInfo)
-	if !ok {
-		return keys.ErrIdentity
-	}
-	i, err := keys.Peer(info.State)
-	if err != nil {
-		return err
-	}
-	if i.Name != name || i.Zone != zone {
-		return fmt.Errorf("%s says it is %s of %s: %w", i, name, zone, keys.ErrIdentity)
-	}
-	return nil
-}
-
 // enter makes a stream.
 func (s *Server) enter() (*stream, error) {
 	s.mu.Lock()
@@ -224,86 +140,3 @@
 	defer s.mu.Unlock()
 	delete(s.live, st)
 }
-
-// hear hands over what the proxy says.
-func (s *Server) hear(g grpc.BidiStreamingServer[pb.Upward, pb.Downward], st *stream) error {
-	for {
-		m, err := g.Recv()
-		if errors.Is(err, io.EOF) {
-			return nil
-		}
-		if err != nil {
-			return err
-		}
-		st.said()
-		switch x := m.GetSays().(type) {
-		case *pb.Upward_Report:
-			sums, err := ReportFrom(x.Report)
-			if err != nil {
-				return status.Error(codes.InvalidArgument, err.Error())
-			}
-			if err := s.inbox.Post(s.ctx, pilot.Reported{Stream: st, Sums: sums}); err != nil {
-				return status.Error(codes.Unavailable, "this pilot stops")
-			}
-		case *pb.Upward_Ack:
-			if err := s.ack(st, x.Ack); err != nil {
-				return err
-			}
-		case *pb.Upward_Beat:
-		case *pb.Upward_Bye:
-			return nil
-		case *pb.Upward_Hello:
-			return status.Error(codes.InvalidArgument, "a hello comes once")
-		}
-	}
-}
-
-// ack takes an acknowledgement or refusal in.
-func (s *Server) ack(st *stream, a *pb.Ack) error {
-	marks, err := st.ack(a)
-	if err != nil {
-		s.log.Warn("assignment not taken", zap.Error(err))
-		return err
-	}
-	for _, n := range marks {
-		if err := s.inbox.Post(s.ctx, pilot.Applied{Stream: st, Done: wire.Done{Mark: n, TookMs: a.GetTookMs()}}); err != nil {
-			return status.Error(codes.Unavailable, "this pilot stops")
-		}
-	}
-	return nil
-}
-
-// speak sends what is queued, and beats. It ends with the stream, a proxy that falls silent, or one that acknowledges
-// nothing.
-func (s *Server) speak(ctx context.Context, g grpc.BidiStreamingServer[pb.Upward, pb.Downward], st *stream, heard <-chan error) error {
-	beat := time.NewTicker(s.door.Beat)
-	defer beat.Stop()
-	for {
-		var m *pb.Downward
-		select {
-		case err := <-heard:
-			return err
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-s.ctx.Done():
-			return status.Error(codes.Unavailable, "this pilot is gone")
-		case <-st.end.Gone():
-			if word, has := st.end.Word(); has {
-				return errors.Join(g.Send(word), status.Error(codes.Unavailable, st.end.Why()))
-			}
-			return status.Error(codes.Unavailable, st.end.Why())
-		case <-st.wake:
-			if m = st.next(); m == nil {
-				continue
-			}
-		case <-beat.C:
-			if why := st.overdue(s.door.SeenWithin, 3*s.door.Beat); why != "" {
-				return status.Error(codes.DeadlineExceeded, why)
-			}
-			m = &pb.Downward{Says: &pb.Downward_Beat{Beat: &pb.Beat{}}}
-		}
-		if err := g.Send(m); err != nil {
-			return err
-		}
-	}
-}
