--- a/internal/edge/grpcedge/grpcedge_test.go
+++ b/internal/edge/grpcedge/grpcedge_test.go
@@ -132,8 +132,8 @@
 
 var bind = wire.Op{Kind: wire.OpBind, Table: 1, Kinds: 3}
 
-// TestMisbehaved is what clients do that they should not, and how the stream ends.
-func TestMisbehaved(t *testing.T) {
+// TestMisbehavingClient is what clients do that they should not, and how the stream ends.
+func TestMisbehavingClient(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		do   func(c *client)
@@ -167,9 +167,9 @@
 	}
 }
 
-// TestBomb guards against a small message that unpacks to far beyond the limit. The beat is long: packing it takes a busy
+// TestCompressedBomb guards against a small message that unpacks to far beyond the limit. The beat is long: packing it takes a busy
 // machine more than the three short ones after which the stream would end for silence.
-func TestBomb(t *testing.T) {
+func TestCompressedBomb(t *testing.T) {
 	_, in, conn := serve(t, func(d *Door) { d.Beat, d.SeenWithin = time.Minute, time.Minute })
 	cl := follow(t, conn, grpc.UseCompressor(gzip.Name))
 	cl.hello(hello("p"))
@@ -208,8 +208,8 @@
 	}
 }
 
-// TestHerd guards a pilot that returns against all streams at once: they are let in at a pace and none is turned away.
-func TestHerd(t *testing.T) {
+// TestReconnectStorm guards a pilot that returns against all streams at once: they are let in at a pace and none is turned away.
+func TestReconnectStorm(t *testing.T) {
 	const many = 2000
 	s, in, conn := serve(t, func(d *Door) { d.NewPerS = 1000; d.Beat = 5 * time.Second })
 	var conns []*grpc.ClientConn
@@ -231,7 +231,7 @@
 	wg.Wait()
 	assert.Equal(t, many, s.Streams())
 	assert.EqualValues(t, 1000, s.pace.Limit())
-	assert.Equal(t, herd, s.pace.Burst())
+	assert.Equal(t, newStreamBurst, s.pace.Burst())
 	assert.Len(t, in.joins(t, many), many)
 }
 
--- a/internal/edge/grpcedge/server.go
+++ b/internal/edge/grpcedge/server.go
@@ -33,33 +33,33 @@
 	MaxMessage int
 	MaxStreams int
 	QueueLines int        // that may wait for one stream; they collapse to the newest state first
-	NewPerS    float64    // streams let in a second; a herd waits its turn
+	NewPerS    float64    // streams let in a second; a newStreamBurst waits its turn
 	Keys       *keys.Ring // nil: plain text
 }
 
 // Figures of the edge's own.
 const (
-	herd = 50 // streams that are let in at once
+	newStreamBurst = 50 // streams that are let in at once
 )
 
 // Server follows proxies.
 type Server struct {
 	pb.UnimplementedControlServer
-	door  Door
-	inbox pilot.Inbox
-	log   *zap.Logger
-	pace  *rate.Limiter
-	mu    sync.Mutex
-	live  map[*stream]bool
-	grpc  *grpc.Server
-	ctx   context.Context
-	stop  context.CancelFunc
+	door    Door
+	inbox   pilot.Inbox
+	log     *zap.Logger
+	pace    *rate.Limiter
+	mu      sync.Mutex
+	streams map[*stream]bool
+	grpc    *grpc.Server
+	ctx     context.Context
+	stop    context.CancelFunc
 }
 
 // New returns a server that does not listen. Others may register on Registrar before Serve.
 func New(d Door, inbox pilot.Inbox, log *zap.Logger) *Server {
-	s := &Server{door: d, inbox: inbox, log: log, live: map[*stream]bool{},
-		pace: rate.NewLimiter(rate.Limit(max(d.NewPerS, 1)), herd)}
+	s := &Server{door: d, inbox: inbox, log: log, streams: map[*stream]bool{},
+		pace: rate.NewLimiter(rate.Limit(max(d.NewPerS, 1)), newStreamBurst)}
 	if d.NewPerS <= 0 {
 		s.pace.SetLimit(rate.Inf)
 	}
@@ -86,7 +86,7 @@
 	stop := context.AfterFunc(ctx, func() {
 		defer close(done)
 		s.mu.Lock()
-		for st := range s.live {
+		for st := range s.streams {
 			st.end.Say("this pilot stops", &pb.Downward{Says: &pb.Downward_Redirect{Redirect: &pb.Redirect{Reason: "this pilot stops"}}})
 		}
 		s.mu.Unlock()
@@ -120,23 +120,23 @@
 func (s *Server) Streams() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.live)
+	return len(s.streams)
 }
 
-// enter makes a stream.
-func (s *Server) enter() (*stream, error) {
+// register makes a stream.
+func (s *Server) register() (*stream, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.live) >= s.door.MaxStreams {
+	if len(s.streams) >= s.door.MaxStreams {
 		return nil, status.Error(codes.ResourceExhausted, "too many streams")
 	}
 	st := &stream{wake: make(chan struct{}, 1), end: ending.New[*pb.Downward](), most: s.door.QueueLines}
-	s.live[st] = true
+	s.streams[st] = true
 	return st, nil
 }
 
-func (s *Server) leave(st *stream) {
+func (s *Server) unregister(st *stream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.live, st)
+	delete(s.streams, st)
 }
--- a/internal/edge/grpcedge/session.go
+++ b/internal/edge/grpcedge/session.go
@@ -28,11 +28,11 @@
 	if err := s.pace.Wait(ctx); err != nil { // it keeps the tables it has while it waits
 		return status.Error(codes.Unavailable, "too many at once")
 	}
-	st, err := s.enter()
+	st, err := s.register()
 	if err != nil {
 		return err
 	}
-	defer s.leave(st)
+	defer s.unregister(st)
 	if err := g.Send(&pb.Downward{Says: &pb.Downward_Welcome{Welcome: &pb.Welcome{Version: wire.Version, Pilot: s.door.Pilot,
 		BeatMs: uint32(s.door.Beat.Milliseconds()), PeriodMs: uint32(s.door.Period.Milliseconds())}}}); err != nil {
 		return err
@@ -40,9 +40,9 @@
 	if err := s.inbox.Post(s.ctx, pilot.Join{Stream: st, Hello: *hello}); err != nil {
 		return status.Error(codes.Unavailable, "this pilot stops")
 	}
-	heard := make(chan error, 1)
-	go func() { heard <- s.hear(g, st) }()
-	err = s.speak(ctx, g, st, heard)
+	readEnded := make(chan error, 1)
+	go func() { readEnded <- s.readAll(g, st) }()
+	err = s.writeAll(ctx, g, st, readEnded)
 	st.end.End("")
 	log.Info("stream ended", zap.String("why", st.end.Why()), zap.Error(err))
 	lctx, cancel := context.WithTimeout(s.ctx, time.Second)
@@ -51,8 +51,8 @@
 	return err
 }
 
-// hear hands over what the proxy says.
-func (s *Server) hear(g grpc.BidiStreamingServer[pb.Upward, pb.Downward], st *stream) error {
+// readAll hands over what the proxy says.
+func (s *Server) readAll(g grpc.BidiStreamingServer[pb.Upward, pb.Downward], st *stream) error {
 	for {
 		m, err := g.Recv()
 		if errors.Is(err, io.EOF) {
@@ -61,7 +61,7 @@
 		if err != nil {
 			return err
 		}
-		st.said()
+		st.heardNow()
 		switch x := m.GetSays().(type) {
 		case *pb.Upward_Report:
 			sums, err := ReportFrom(x.Report)
@@ -72,7 +72,7 @@
 				return status.Error(codes.Unavailable, "this pilot stops")
 			}
 		case *pb.Upward_Ack:
-			if err := s.ack(st, x.Ack); err != nil {
+			if err := s.receiveAck(st, x.Ack); err != nil {
 				return err
 			}
 		case *pb.Upward_Beat:
@@ -84,9 +84,9 @@
 	}
 }
 
-// ack takes an acknowledgement or refusal in.
-func (s *Server) ack(st *stream, a *pb.Ack) error {
-	marks, err := st.ack(a)
+// receiveAck takes an acknowledgement or refusal in.
+func (s *Server) receiveAck(st *stream, a *pb.Ack) error {
+	marks, err := st.acknowledge(a)
 	if err != nil {
 		s.log.Warn("assignment not taken", zap.Error(err))
 		return err
@@ -99,15 +99,15 @@
 	return nil
 }
 
-// speak sends what is queued, and beats. It ends with the stream, a proxy that falls silent, or one that acknowledges
+// writeAll sends what is queued, and beats. It ends with the stream, a proxy that falls silent, or one that acknowledges
 // nothing.
-func (s *Server) speak(ctx context.Context, g grpc.BidiStreamingServer[pb.Upward, pb.Downward], st *stream, heard <-chan error) error {
+func (s *Server) writeAll(ctx context.Context, g grpc.BidiStreamingServer[pb.Upward, pb.Downward], st *stream, readEnded <-chan error) error {
 	beat := time.NewTicker(s.door.Beat)
 	defer beat.Stop()
 	for {
 		var m *pb.Downward
 		select {
-		case err := <-heard:
+		case err := <-readEnded:
 			return err
 		case <-ctx.Done():
 			return ctx.Err()
--- a/internal/edge/grpcedge/stream.go
+++ b/internal/edge/grpcedge/stream.go
@@ -26,19 +26,19 @@
 	waiting []wire.Op
 	head    wire.Orders // when the first of what waits was ordered
 	lines   int
-	pace    *wire.Pace
+	advice  *wire.Pace
 	most    int
 	version uint64
 	acked   uint64
-	sent    []sent // not acknowledged
-	heard   time.Time
+	unacked []sentVersion // not acknowledged
+	heardAt time.Time
 }
 
-// sent is an assignment that is not acknowledged.
-type sent struct {
+// sentVersion is an assignment that is not acknowledged.
+type sentVersion struct {
 	version uint64
 	marks   []uint32
-	at      time.Time
+	sentAt  time.Time
 }
 
 // Send queues orders.
@@ -57,7 +57,7 @@
 	if len(st.waiting) > st.most {
 		return ErrSlow
 	}
-	st.rouse()
+	st.signal()
 	return nil
 }
 
@@ -65,12 +65,12 @@
 func (st *stream) Ask(p *wire.Pace) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.pace = p
-	st.rouse()
+	st.advice = p
+	st.signal()
 	return nil
 }
 
-func (st *stream) rouse() {
+func (st *stream) signal() {
 	select {
 	case st.wake <- struct{}{}:
 	default:
@@ -81,10 +81,10 @@
 func (st *stream) next() *pb.Downward {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if p := st.pace; p != nil {
-		st.pace = nil
+	if p := st.advice; p != nil {
+		st.advice = nil
 		if len(st.waiting) > 0 {
-			st.rouse()
+			st.signal()
 		}
 		return &pb.Downward{Says: &pb.Downward_Pace{Pace: &pb.Pace{PeriodMs: uint32(p.PeriodMs), Lines: uint32(p.Lines), Changes: p.Changes}}}
 	}
@@ -96,13 +96,13 @@
 	st.waiting = st.waiting[:0]
 	st.version++
 	a.Version = st.version
-	st.sent = append(st.sent, sent{a.Version, a.Marks, time.Now()})
+	st.unacked = append(st.unacked, sentVersion{a.Version, a.Marks, time.Now()})
 	return &pb.Downward{Says: &pb.Downward_Assignment{Assignment: a}}
 }
 
-// ack returns the marks that an acknowledgement answers, or why it can't be taken. After a refusal neither side knows
+// acknowledge returns the marks that an acknowledgement answers, or why it can't be taken. After a refusal neither side knows
 // what the other has, so the stream ends and the proxy begins anew.
-func (st *stream) ack(a *pb.Ack) (marks []int, err error) {
+func (st *stream) acknowledge(a *pb.Ack) (marks []int, err error) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if a.GetVersion() > st.version || a.GetVersion() <= st.acked && a.GetRefusal() == "" {
@@ -111,23 +111,23 @@
 	if a.GetRefusal() != "" {
 		return nil, status.Errorf(codes.Aborted, "version %d refused: %.200s", a.GetVersion(), a.GetRefusal())
 	}
-	if text(a.GetRefusal()) != nil || figure(a.GetTookMs()) != nil {
+	if checkText(a.GetRefusal()) != nil || checkFigure(a.GetTookMs()) != nil {
 		return nil, status.Error(codes.InvalidArgument, "an acknowledgement that is no good")
 	}
 	st.acked = a.GetVersion()
-	for len(st.sent) > 0 && st.sent[0].version <= st.acked {
-		for _, n := range st.sent[0].marks {
+	for len(st.unacked) > 0 && st.unacked[0].version <= st.acked {
+		for _, n := range st.unacked[0].marks {
 			marks = append(marks, int(n))
 		}
-		st.sent = st.sent[1:]
+		st.unacked = st.unacked[1:]
 	}
 	return marks, nil
 }
 
-func (st *stream) said() {
+func (st *stream) heardNow() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.heard = time.Now()
+	st.heardAt = time.Now()
 }
 
 // overdue returns why a stream is to end, if anything is long due on it.
@@ -135,12 +135,12 @@
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	switch {
-	case len(st.sent) > 0 && time.Since(st.sent[0].at) > seen:
-		return fmt.Sprintf("version %d is not acknowledged", st.sent[0].version)
-	case !st.heard.IsZero() && time.Since(st.heard) > silence:
+	case len(st.unacked) > 0 && time.Since(st.unacked[0].sentAt) > seen:
+		return fmt.Sprintf("version %d is not acknowledged", st.unacked[0].version)
+	case !st.heardAt.IsZero() && time.Since(st.heardAt) > silence:
 		return "nothing was heard"
-	case st.heard.IsZero():
-		st.heard = time.Now()
+	case st.heardAt.IsZero():
+		st.heardAt = time.Now()
 	}
 	return ""
 }
