--- a/internal/edge/grpcedge/decode.go
+++ b/internal/edge/grpcedge/decode.go
@@ -10,7 +10,7 @@
 	pb "indigousher/proto/indigousher/v1"
 )
 
-// limits of what a message may hold, those of the framed wire.
+// checkText returns an error if a text is longer than the framed protocol allows.
 func checkText(s string) error {
 	if len(s) > wire.MaxText {
 		return fmt.Errorf("text of %d bytes: %w", len(s), wire.ErrValue)
@@ -18,6 +18,7 @@
 	return nil
 }
 
+// checkFigure returns an error unless a figure is a number that is not negative.
 func checkFigure(v float64) error {
 	if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 		return fmt.Errorf("figure %v: %w", v, wire.ErrValue)
@@ -25,85 +26,172 @@
 	return nil
 }
 
-// HelloFrom reads a hello.
+// HelloFrom reads and checks a hello. The error wraps wire.ErrValue.
 func HelloFrom(h *pb.Hello) (*wire.Hello, error) {
-	out := &wire.Hello{Version: int(h.GetVersion()), Proxy: h.GetProxy(), Zone: h.GetZone(), Boot: h.GetBoot(),
-		Rate: h.GetReqsPerSecond(), Fresh: h.GetFresh(), Holds: h.GetHolds()}
-	err := cmp.Or(checkText(out.Proxy), checkText(out.Zone), checkFigure(out.Rate))
+	hello := &wire.Hello{
+		Version: int(h.GetVersion()),
+		Proxy:   h.GetProxy(),
+		Zone:    h.GetZone(),
+		Boot:    h.GetBoot(),
+		Rate:    h.GetReqsPerSecond(),
+		Fresh:   h.GetFresh(),
+		Holds:   h.GetHolds(),
+	}
+	if err := cmp.Or(checkText(hello.Proxy), checkText(hello.Zone), checkFigure(hello.Rate)); err != nil {
+		return nil, err
+	}
 	for _, t := range h.GetTables() {
-		held := wire.HeldTable{Table: int(t.GetTable())}
-		for _, l := range t.GetLines() {
-			err = cmp.Or(err, checkText(l.GetEndpoint()), checkFigure(l.GetWeight()))
-			held.Lines = append(held.Lines, wire.HeldLine{Endpoint: l.GetEndpoint(), Weight: l.GetWeight()})
+		table, err := heldTableFrom(t)
+		if err != nil {
+			return nil, err
+		}
+		hello.Tables = append(hello.Tables, table)
+	}
+	for _, endpoint := range hello.Holds {
+		if err := checkText(endpoint); err != nil {
+			return nil, err
 		}
-		out.Tables = append(out.Tables, held)
 	}
-	for _, e := range out.Holds {
-		err = cmp.Or(err, checkText(e))
+	if hello.Proxy == "" || hello.Zone == "" || len(hello.Holds) > wire.MaxItems {
+		return nil, fmt.Errorf("hello without a name or with too much: %w", wire.ErrValue)
 	}
-	if err == nil && (out.Proxy == "" || out.Zone == "" || len(out.Holds) > wire.MaxItems) {
-		err = fmt.Errorf("hello without a name or with too much: %w", wire.ErrValue)
+	return hello, nil
+}
+
+// heldTableFrom reads and checks a table that a proxy holds.
+func heldTableFrom(t *pb.HeldTable) (wire.HeldTable, error) {
+	table := wire.HeldTable{Table: int(t.GetTable())}
+	for _, l := range t.GetLines() {
+		line := wire.HeldLine{Endpoint: l.GetEndpoint(), Weight: l.GetWeight()}
+		if err := cmp.Or(checkText(line.Endpoint), checkFigure(line.Weight)); err != nil {
+			return wire.HeldTable{}, err
+		}
+		table.Lines = append(table.Lines, line)
 	}
-	return out, err
+	return table, nil
 }
 
-// ReportFrom reads a report.
+// ReportFrom reads and checks a load report. The error wraps wire.ErrValue.
 func ReportFrom(r *pb.Report) (*wire.Sums, error) {
-	out := &wire.Sums{Seq: r.GetNumber(), AtMs: r.GetAtMs(), SpanMs: r.GetSpanMs()}
-	err := cmp.Or(checkFigure(out.AtMs), checkFigure(out.SpanMs))
+	sums := &wire.Sums{Seq: r.GetNumber(), AtMs: r.GetAtMs(), SpanMs: r.GetSpanMs()}
 	if len(r.GetEndpoints()) > wire.MaxItems || len(r.GetKinds()) > wire.MaxItems {
-		err = fmt.Errorf("report of %d lines: %w", len(r.GetEndpoints()), wire.ErrValue)
+		return nil, fmt.Errorf("report of %d lines: %w", len(r.GetEndpoints()), wire.ErrValue)
+	}
+	if err := cmp.Or(checkFigure(sums.AtMs), checkFigure(sums.SpanMs)); err != nil {
+		return nil, err
 	}
 	for _, e := range r.GetEndpoints() {
-		m := wire.Met{Endpoint: e.GetEndpoint(), Tries: int(e.GetTries()), Failed: int(e.GetFailed()), MeanMs: e.GetMeanMs()}
-		err = cmp.Or(err, checkText(m.Endpoint), checkFigure(m.MeanMs))
-		if m.Failed > m.Tries {
-			err = cmp.Or(err, fmt.Errorf("%d failed of %d: %w", m.Failed, m.Tries, wire.ErrValue))
+		met, err := endpointLoadFrom(e)
+		if err != nil {
+			return nil, err
 		}
-		for name, v := range e.GetFigures() {
-			err = cmp.Or(err, checkText(name), checkFigure(v))
-			m.Load = append(m.Load, wire.Figure{Name: name, Value: v})
-		}
-		slices.SortFunc(m.Load, func(a, b wire.Figure) int { return cmp.Compare(a.Name, b.Name) })
-		out.Met = append(out.Met, m)
+		sums.Met = append(sums.Met, met)
 	}
 	for _, k := range r.GetKinds() {
-		err = cmp.Or(err, checkText(k.GetKind()))
-		out.Demand = append(out.Demand, wire.Demand{Kind: k.GetKind(), Reqs: int(k.GetReqs()), Unanswered: int(k.GetUnanswered())})
+		demand := wire.Demand{Kind: k.GetKind(), Reqs: int(k.GetReqs()), Unanswered: int(k.GetUnanswered())}
+		if err := checkText(demand.Kind); err != nil {
+			return nil, err
+		}
+		sums.Demand = append(sums.Demand, demand)
+	}
+	for _, l := range r.GetSlices() {
+		slice, err := sliceLoadFrom(l)
+		if err != nil {
+			return nil, err
+		}
+		sums.Slices = append(sums.Slices, slice)
+	}
+	return sums, nil
+}
+
+// endpointLoadFrom reads and checks what a proxy saw at one endpoint. Figures of the load report are sorted by name, as
+// a map's order differs from time to time.
+func endpointLoadFrom(e *pb.EndpointLoad) (wire.Met, error) {
+	met := wire.Met{
+		Endpoint: e.GetEndpoint(),
+		Tries:    int(e.GetTries()),
+		Failed:   int(e.GetFailed()),
+		MeanMs:   e.GetMeanMs(),
 	}
-	for _, x := range r.GetSlices() {
-		err = cmp.Or(err, checkText(x.GetKind()))
-		out.Slices = append(out.Slices, wire.SliceLoad{Slice: int(x.GetSlice()), Kind: x.GetKind(), Reqs: int(x.GetReqs()),
-			Unanswered: int(x.GetUnanswered())})
+	if err := cmp.Or(checkText(met.Endpoint), checkFigure(met.MeanMs)); err != nil {
+		return wire.Met{}, err
 	}
-	return out, err
+	if met.Failed > met.Tries {
+		return wire.Met{}, fmt.Errorf("%d failed of %d: %w", met.Failed, met.Tries, wire.ErrValue)
+	}
+	for name, value := range e.GetFigures() {
+		if err := cmp.Or(checkText(name), checkFigure(value)); err != nil {
+			return wire.Met{}, err
+		}
+		met.Load = append(met.Load, wire.Figure{Name: name, Value: value})
+	}
+	slices.SortFunc(met.Load, func(a, b wire.Figure) int { return cmp.Compare(a.Name, b.Name) })
+	return met, nil
+}
+
+// sliceLoadFrom reads and checks how many requests of a class came for a slice.
+func sliceLoadFrom(l *pb.SliceLoad) (wire.SliceLoad, error) {
+	slice := wire.SliceLoad{
+		Slice:      int(l.GetSlice()),
+		Kind:       l.GetKind(),
+		Reqs:       int(l.GetReqs()),
+		Unanswered: int(l.GetUnanswered()),
+	}
+	return slice, checkText(slice.Kind)
 }
 
-// OrdersFrom reads an assignment as a proxy does.
+// OrdersFrom reads an assignment as a proxy does. Steps that are not known are left out; marks come last.
 func OrdersFrom(a *pb.Assignment) *wire.Orders {
-	out := &wire.Orders{AtMs: a.GetOrderedMs(), AgeMs: a.GetWaitedMs(), Lines: int(a.GetLines())}
+	orders := &wire.Orders{AtMs: a.GetOrderedMs(), AgeMs: a.GetWaitedMs(), Lines: int(a.GetLines())}
 	for _, s := range a.GetSteps() {
-		switch d := s.GetDoes().(type) {
-		case *pb.Step_Bind:
-			out.Ops = append(out.Ops, wire.Op{Kind: wire.OpBind, Table: int(d.Bind.GetTable()), Kinds: int(d.Bind.GetKinds()),
-				Keep: d.Bind.GetKeep()})
-		case *pb.Step_Line:
-			out.Ops = append(out.Ops, wire.Op{Kind: wire.OpSet, Table: int(d.Line.GetTable()), Endpoint: d.Line.GetEndpoint(),
-				Weight: d.Line.GetWeight()})
-		case *pb.Step_Clear:
-			out.Ops = append(out.Ops, wire.Op{Kind: wire.OpClear, Table: int(d.Clear.GetTable())})
-		case *pb.Step_Withdraw:
-			out.Ops = append(out.Ops, wire.Op{Kind: wire.OpWithdraw, Endpoint: d.Withdraw.GetEndpoint(), Out: d.Withdraw.GetOut()})
-		case *pb.Step_Level:
-			out.Ops = append(out.Ops, wire.Op{Kind: wire.OpAdmit, Table: int(d.Level.GetTable()), Kinds: int(d.Level.GetKinds()),
-				Weight: d.Level.GetShare(), Again: int(d.Level.GetAgain())})
-		case *pb.Step_Range:
-			out.Ops = append(out.Ops, wire.Op{Kind: wire.OpRange, Table: int(d.Range.GetTable()), From: string(d.Range.GetFrom()),
-				To: string(d.Range.GetTo()), Out: d.Range.GetGone()})
+		if op, known := opFrom(s); known {
+			orders.Ops = append(orders.Ops, op)
 		}
 	}
-	for _, m := range a.GetMarks() {
-		out.Ops = append(out.Ops, wire.Op{Kind: wire.OpMark, Number: int(m)})
+	for _, number := range a.GetMarks() {
+		orders.Ops = append(orders.Ops, wire.Op{Kind: wire.OpMark, Number: int(number)})
+	}
+	return orders
+}
+
+// opFrom reads one step of an assignment.
+func opFrom(s *pb.Step) (op wire.Op, known bool) {
+	switch does := s.GetDoes().(type) {
+	case *pb.Step_Bind:
+		b := does.Bind
+		return wire.Op{Kind: wire.OpBind, Table: int(b.GetTable()), Kinds: int(b.GetKinds()), Keep: b.GetKeep()}, true
+	case *pb.Step_Line:
+		l := does.Line
+		return wire.Op{Kind: wire.OpSet, Table: int(l.GetTable()), Endpoint: l.GetEndpoint(), Weight: l.GetWeight()}, true
+	case *pb.Step_Clear:
+		return wire.Op{Kind: wire.OpClear, Table: int(does.Clear.GetTable())}, true
+	case *pb.Step_Withdraw:
+		w := does.Withdraw
+		return wire.Op{Kind: wire.OpWithdraw, Endpoint: w.GetEndpoint(), Out: w.GetOut()}, true
+	case *pb.Step_Level:
+		return levelOpFrom(does.Level), true
+	case *pb.Step_Range:
+		return rangeOpFrom(does.Range), true
+	}
+	return wire.Op{}, false
+}
+
+func levelOpFrom(l *pb.Level) wire.Op {
+	return wire.Op{
+		Kind:   wire.OpAdmit,
+		Table:  int(l.GetTable()),
+		Kinds:  int(l.GetKinds()),
+		Weight: l.GetShare(),
+		Again:  int(l.GetAgain()),
+	}
+}
+
+func rangeOpFrom(r *pb.KeyRange) wire.Op {
+	return wire.Op{
+		Kind:  wire.OpRange,
+		Table: int(r.GetTable()),
+		From:  string(r.GetFrom()),
+		To:    string(r.GetTo()),
+		Out:   r.GetGone(),
 	}
-	return out
 }
--- a/internal/edge/grpcedge/encode.go
+++ b/internal/edge/grpcedge/encode.go
@@ -7,70 +7,125 @@
 
 // Hello lays out a hello.
 func Hello(h *wire.Hello) *pb.Hello {
-	out := &pb.Hello{Version: uint32(h.Version), Proxy: h.Proxy, Zone: h.Zone, Boot: h.Boot, ReqsPerSecond: h.Rate,
-		Fresh: h.Fresh, Holds: h.Holds}
+	hello := &pb.Hello{
+		Version:       uint32(h.Version),
+		Proxy:         h.Proxy,
+		Zone:          h.Zone,
+		Boot:          h.Boot,
+		ReqsPerSecond: h.Rate,
+		Fresh:         h.Fresh,
+		Holds:         h.Holds,
+	}
 	for _, t := range h.Tables {
-		held := &pb.HeldTable{Table: uint32(t.Table)}
+		table := &pb.HeldTable{Table: uint32(t.Table)}
 		for _, l := range t.Lines {
-			held.Lines = append(held.Lines, &pb.Line{Table: uint32(t.Table), Endpoint: l.Endpoint, Weight: l.Weight})
+			table.Lines = append(table.Lines, &pb.Line{Table: uint32(t.Table), Endpoint: l.Endpoint, Weight: l.Weight})
 		}
-		out.Tables = append(out.Tables, held)
+		hello.Tables = append(hello.Tables, table)
 	}
-	return out
+	return hello
 }
 
-// steps lays out ops; marks go apart.
-func steps(ops []wire.Op) (list []*pb.Step, marks []uint32) {
-	for _, o := range ops {
-		if o.Kind == wire.OpMark {
-			marks = append(marks, uint32(o.Number))
-		} else {
-			list = append(list, step(o))
+// Report lays out a load report.
+func Report(s *wire.Sums) *pb.Report {
+	report := &pb.Report{Number: s.Seq, AtMs: s.AtMs, SpanMs: s.SpanMs}
+	for i := range s.Met {
+		report.Endpoints = append(report.Endpoints, endpointLoad(&s.Met[i]))
+	}
+	for _, d := range s.Demand {
+		kind := &pb.KindLoad{Kind: d.Kind, Reqs: uint32(d.Reqs), Unanswered: uint32(d.Unanswered)}
+		report.Kinds = append(report.Kinds, kind)
+	}
+	for _, l := range s.Slices {
+		slice := &pb.SliceLoad{
+			Slice:      uint32(l.Slice),
+			Kind:       l.Kind,
+			Reqs:       uint32(l.Reqs),
+			Unanswered: uint32(l.Unanswered),
 		}
+		report.Slices = append(report.Slices, slice)
 	}
-	return list, marks
+	return report
 }
 
-// Report lays out a report.
-func Report(s *wire.Sums) *pb.Report {
-	out := &pb.Report{Number: s.Seq, AtMs: s.AtMs, SpanMs: s.SpanMs}
-	for _, m := range s.Met {
-		e := &pb.EndpointLoad{Endpoint: m.Endpoint, Tries: uint32(m.Tries), Failed: uint32(m.Failed), MeanMs: m.MeanMs}
-		if len(m.Load) > 0 {
-			e.Figures = map[string]float64{}
-		}
-		for _, f := range m.Load {
-			e.Figures[f.Name] = f.Value
-		}
-		out.Endpoints = append(out.Endpoints, e)
+// endpointLoad lays out what a proxy saw at one endpoint.
+func endpointLoad(m *wire.Met) *pb.EndpointLoad {
+	load := &pb.EndpointLoad{
+		Endpoint: m.Endpoint,
+		Tries:    uint32(m.Tries),
+		Failed:   uint32(m.Failed),
+		MeanMs:   m.MeanMs,
 	}
-	for _, d := range s.Demand {
-		out.Kinds = append(out.Kinds, &pb.KindLoad{Kind: d.Kind, Reqs: uint32(d.Reqs), Unanswered: uint32(d.Unanswered)})
+	if len(m.Load) > 0 {
+		load.Figures = make(map[string]float64, len(m.Load))
 	}
-	for _, x := range s.Slices {
-		out.Slices = append(out.Slices, &pb.SliceLoad{Slice: uint32(x.Slice), Kind: x.Kind, Reqs: uint32(x.Reqs),
-			Unanswered: uint32(x.Unanswered)})
+	for _, f := range m.Load {
+		load.Figures[f.Name] = f.Value
 	}
-	return out
+	return load
 }
 
-// step lays out one op; marks go elsewhere.
-func step(o wire.Op) *pb.Step {
-	switch o.Kind {
+// steps lays out the ops of an assignment; marks go apart.
+func steps(ops []wire.Op) (list []*pb.Step, marks []uint32) {
+	for i := range ops {
+		if ops[i].Kind == wire.OpMark {
+			marks = append(marks, uint32(ops[i].Number))
+			continue
+		}
+		list = append(list, step(&ops[i]))
+	}
+	return list, marks
+}
+
+// step lays out one op that is no mark.
+func step(op *wire.Op) *pb.Step {
+	switch op.Kind {
 	case wire.OpBind:
-		return &pb.Step{Does: &pb.Step_Bind{Bind: &pb.Bind{Table: uint32(o.Table), Kinds: uint32(o.Kinds), Keep: o.Keep}}}
+		return bindStep(op)
 	case wire.OpSet:
-		return &pb.Step{Does: &pb.Step_Line{Line: &pb.Line{Table: uint32(o.Table), Endpoint: o.Endpoint, Weight: o.Weight}}}
+		return lineStep(op)
 	case wire.OpClear:
-		return &pb.Step{Does: &pb.Step_Clear{Clear: &pb.Clear{Table: uint32(o.Table)}}}
+		return &pb.Step{Does: &pb.Step_Clear{Clear: &pb.Clear{Table: uint32(op.Table)}}}
 	case wire.OpWithdraw:
-		return &pb.Step{Does: &pb.Step_Withdraw{Withdraw: &pb.Withdraw{Endpoint: o.Endpoint, Out: o.Out}}}
+		return &pb.Step{Does: &pb.Step_Withdraw{Withdraw: &pb.Withdraw{Endpoint: op.Endpoint, Out: op.Out}}}
 	case wire.OpAdmit:
-		return &pb.Step{Does: &pb.Step_Level{Level: &pb.Level{Table: uint32(o.Table), Kinds: uint32(o.Kinds), Share: o.Weight,
-			Again: uint32(o.Again)}}}
+		return levelStep(op)
 	case wire.OpRange:
-		return &pb.Step{Does: &pb.Step_Range{Range: &pb.KeyRange{Table: uint32(o.Table), From: []byte(o.From), To: []byte(o.To),
-			Gone: o.Out}}}
+		return rangeStep(op)
 	}
 	return nil
 }
+
+func bindStep(op *wire.Op) *pb.Step {
+	return &pb.Step{Does: &pb.Step_Bind{Bind: &pb.Bind{
+		Table: uint32(op.Table),
+		Kinds: uint32(op.Kinds),
+		Keep:  op.Keep,
+	}}}
+}
+
+func lineStep(op *wire.Op) *pb.Step {
+	return &pb.Step{Does: &pb.Step_Line{Line: &pb.Line{
+		Table:    uint32(op.Table),
+		Endpoint: op.Endpoint,
+		Weight:   op.Weight,
+	}}}
+}
+
+func levelStep(op *wire.Op) *pb.Step {
+	return &pb.Step{Does: &pb.Step_Level{Level: &pb.Level{
+		Table: uint32(op.Table),
+		Kinds: uint32(op.Kinds),
+		Share: op.Weight,
+		Again: uint32(op.Again),
+	}}}
+}
+
+func rangeStep(op *wire.Op) *pb.Step {
+	return &pb.Step{Does: &pb.Step_Range{Range: &pb.KeyRange{
+		Table: uint32(op.Table),
+		From:  []byte(op.From),
+		To:    []byte(op.To),
+		Gone:  op.Out,
+	}}}
+}
--- a/internal/edge/grpcedge/grpcedge_test.go
+++ b/internal/edge/grpcedge/grpcedge_test.go
@@ -20,7 +20,6 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	"google.golang.org/protobuf/proto"
 
-	"indigousher/internal/edge/ending"
 	"indigousher/internal/pilot"
 	"indigousher/internal/wire"
 	pb "indigousher/proto/indigousher/v1"
@@ -237,7 +236,7 @@
 
 // TestCollapse guards the queue of a slow stream: it holds the newest state of each line, and ends beyond its bound.
 func TestCollapse(t *testing.T) {
-	st := &stream{wake: make(chan struct{}, 1), end: ending.New[*pb.Downward](), most: 10}
+	st := newStream(10)
 	for i := range 1000 {
 		require.NoError(t, st.Send(&wire.Orders{Lines: 2, Ops: []wire.Op{set("x", float64(i)), set("y", 1), {Kind: wire.OpMark, Number: 1}}}))
 	}
--- a/internal/edge/grpcedge/handshake.go
+++ b/internal/edge/grpcedge/handshake.go
@@ -17,20 +17,26 @@
 	pb "indigousher/proto/indigousher/v1"
 )
 
+// refusalNoHello is what a proxy is told that says anything else first, or nothing.
+const refusalNoHello = "a hello must come first"
+
+// controlStream is one proxy's stream as gRPC has it.
+type controlStream = grpc.BidiStreamingServer[pb.Upward, pb.Downward]
+
 // greet reads and checks the hello. What is wrong with an identity only operators hear.
-func (s *Server) greet(g grpc.BidiStreamingServer[pb.Upward, pb.Downward]) (*wire.Hello, error) {
-	m, err := opening.First(s.door.HelloIn, "a hello must come first", g.Recv)
+func (s *Server) greet(g controlStream) (*wire.Hello, error) {
+	first, err := opening.First(s.door.HelloIn, refusalNoHello, g.Recv)
 	if err != nil {
 		return nil, err
 	}
-	h := m.GetHello()
-	if h == nil {
-		return nil, status.Error(codes.InvalidArgument, "a hello must come first")
+	message := first.GetHello()
+	if message == nil {
+		return nil, status.Error(codes.InvalidArgument, refusalNoHello)
 	}
-	if h.GetVersion() != wire.Version {
-		return nil, status.Errorf(codes.FailedPrecondition, "version %d is not spoken here, %d is", h.GetVersion(), wire.Version)
+	if message.GetVersion() != wire.Version {
+		return nil, status.Errorf(codes.FailedPrecondition, "version %d is not spoken here, %d is", message.GetVersion(), wire.Version)
 	}
-	hello, err := HelloFrom(h)
+	hello, err := HelloFrom(message)
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
@@ -43,7 +49,17 @@
 	return hello, nil
 }
 
-// Claims checks that a peer's certificate is of the proxy it says it is.
+// welcome returns the answer to a hello that is taken.
+func (s *Server) welcome() *pb.Downward {
+	return &pb.Downward{Says: &pb.Downward_Welcome{Welcome: &pb.Welcome{
+		Version:  wire.Version,
+		Pilot:    s.door.Pilot,
+		BeatMs:   uint32(s.door.Beat.Milliseconds()),
+		PeriodMs: uint32(s.door.Period.Milliseconds()),
+	}}}
+}
+
+// Claims returns an error unless the certificate of a call's peer is of the proxy that it says it is.
 func Claims(ctx context.Context, name, zone string) error {
 	p, ok := peer.FromContext(ctx)
 	if !ok {
@@ -53,12 +69,12 @@
 	if !ok {
 		return keys.ErrIdentity
 	}
-	i, err := keys.Peer(info.State)
+	who, err := keys.Peer(info.State)
 	if err != nil {
 		return err
 	}
-	if i.Name != name || i.Zone != zone {
-		return fmt.Errorf("%s says it is %s of %s: %w", i, name, zone, keys.ErrIdentity)
+	if who.Name != name || who.Zone != zone {
+		return fmt.Errorf("%s says it is %s of %s: %w", who, name, zone, keys.ErrIdentity)
 	}
 	return nil
 }
--- a/internal/edge/grpcedge/session.go
+++ b/internal/edge/grpcedge/session.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"go.uber.org/zap"
-	"google.golang.org/grpc"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
@@ -16,16 +15,24 @@
 	pb "indigousher/proto/indigousher/v1"
 )
 
-// Follow serves one proxy's stream.
-func (s *Server) Follow(g grpc.BidiStreamingServer[pb.Upward, pb.Downward]) error {
-	ctx := g.Context()
+const (
+	// silentBeats is how many heartbeats may fail to come before a stream is dead.
+	silentBeats = 3
+	// leavePatience is how long the controller's loop may take, while this side stops, to hear that a proxy has left.
+	leavePatience = time.Second
+)
+
+// errStopping ends streams when the controller's loop takes nothing more.
+var errStopping = status.Error(codes.Unavailable, reasonStopping)
+
+// Follow serves one proxy's stream: it writes in this goroutine and reads in another, which ends as Follow returns.
+func (s *Server) Follow(g controlStream) error {
 	hello, err := s.greet(g)
 	if err != nil {
 		s.log.Warn("hello refused", zap.Error(err))
 		return err
 	}
-	log := s.log.With(zap.String("proxy", hello.Proxy))
-	if err := s.pace.Wait(ctx); err != nil { // it keeps the tables it has while it waits
+	if err := s.pace.Wait(g.Context()); err != nil { // the proxy keeps the tables it has while it waits
 		return status.Error(codes.Unavailable, "too many at once")
 	}
 	st, err := s.register()
@@ -33,26 +40,30 @@
 		return err
 	}
 	defer s.unregister(st)
-	if err := g.Send(&pb.Downward{Says: &pb.Downward_Welcome{Welcome: &pb.Welcome{Version: wire.Version, Pilot: s.door.Pilot,
-		BeatMs: uint32(s.door.Beat.Milliseconds()), PeriodMs: uint32(s.door.Period.Milliseconds())}}}); err != nil {
+	if err := g.Send(s.welcome()); err != nil {
 		return err
 	}
-	if err := s.inbox.Post(s.ctx, pilot.Join{Stream: st, Hello: *hello}); err != nil {
-		return status.Error(codes.Unavailable, "this pilot stops")
+	if s.inbox.Post(s.ctx, pilot.Join{Stream: st, Hello: *hello}) != nil {
+		return errStopping
 	}
 	readEnded := make(chan error, 1)
 	go func() { readEnded <- s.readAll(g, st) }()
-	err = s.writeAll(ctx, g, st, readEnded)
+	err = s.writeAll(g, st, readEnded)
 	st.end.End("")
-	log.Info("stream ended", zap.String("why", st.end.Why()), zap.Error(err))
-	lctx, cancel := context.WithTimeout(s.ctx, time.Second)
-	defer cancel()
-	_ = s.inbox.Post(lctx, pilot.Leave{Stream: st}) // fails only as the loop has ended
+	s.log.Info("stream ended", zap.String("proxy", hello.Proxy), zap.String("why", st.end.Why()), zap.Error(err))
+	s.postLeave(st)
 	return err
 }
 
-// readAll hands over what the proxy says.
-func (s *Server) readAll(g grpc.BidiStreamingServer[pb.Upward, pb.Downward], st *stream) error {
+// postLeave tells the controller that a proxy has left.
+func (s *Server) postLeave(st *stream) {
+	ctx, cancel := context.WithTimeout(s.ctx, leavePatience)
+	defer cancel()
+	_ = s.inbox.Post(ctx, pilot.Leave{Stream: st}) // fails only as the loop has ended
+}
+
+// readAll hands over what the proxy says until the stream ends or the proxy takes its leave.
+func (s *Server) readAll(g controlStream, st *stream) error {
 	for {
 		m, err := g.Recv()
 		if errors.Is(err, io.EOF) {
@@ -62,74 +73,95 @@
 			return err
 		}
 		st.heardNow()
-		switch x := m.GetSays().(type) {
-		case *pb.Upward_Report:
-			sums, err := ReportFrom(x.Report)
-			if err != nil {
-				return status.Error(codes.InvalidArgument, err.Error())
-			}
-			if err := s.inbox.Post(s.ctx, pilot.Reported{Stream: st, Sums: sums}); err != nil {
-				return status.Error(codes.Unavailable, "this pilot stops")
-			}
-		case *pb.Upward_Ack:
-			if err := s.receiveAck(st, x.Ack); err != nil {
-				return err
-			}
-		case *pb.Upward_Beat:
-		case *pb.Upward_Bye:
+		if _, bye := m.GetSays().(*pb.Upward_Bye); bye {
 			return nil
-		case *pb.Upward_Hello:
-			return status.Error(codes.InvalidArgument, "a hello comes once")
 		}
+		if err := s.receive(st, m); err != nil {
+			return err
+		}
+	}
+}
+
+// receive deals with one message of a proxy. Messages of a kind that is not known are of a later version.
+func (s *Server) receive(st *stream, m *pb.Upward) error {
+	switch says := m.GetSays().(type) {
+	case *pb.Upward_Report:
+		return s.receiveReport(st, says.Report)
+	case *pb.Upward_Ack:
+		return s.receiveAck(st, says.Ack)
+	case *pb.Upward_Hello:
+		return status.Error(codes.InvalidArgument, "a hello comes once")
+	}
+	return nil
+}
+
+// receiveReport hands a load report to the controller.
+func (s *Server) receiveReport(st *stream, r *pb.Report) error {
+	sums, err := ReportFrom(r)
+	if err != nil {
+		return status.Error(codes.InvalidArgument, err.Error())
+	}
+	if s.inbox.Post(s.ctx, pilot.Reported{Stream: st, Sums: sums}) != nil {
+		return errStopping
 	}
+	return nil
 }
 
-// receiveAck takes an acknowledgement or refusal in.
+// receiveAck hands the marks that an acknowledgement answers to the controller. A refusal ends the stream.
 func (s *Server) receiveAck(st *stream, a *pb.Ack) error {
 	marks, err := st.acknowledge(a)
 	if err != nil {
 		s.log.Warn("assignment not taken", zap.Error(err))
 		return err
 	}
-	for _, n := range marks {
-		if err := s.inbox.Post(s.ctx, pilot.Applied{Stream: st, Done: wire.Done{Mark: n, TookMs: a.GetTookMs()}}); err != nil {
-			return status.Error(codes.Unavailable, "this pilot stops")
+	for _, number := range marks {
+		done := wire.Done{Mark: number, TookMs: a.GetTookMs()}
+		if s.inbox.Post(s.ctx, pilot.Applied{Stream: st, Done: done}) != nil {
+			return errStopping
 		}
 	}
 	return nil
 }
 
-// writeAll sends what is queued, and beats. It ends with the stream, a proxy that falls silent, or one that acknowledges
-// nothing.
-func (s *Server) writeAll(ctx context.Context, g grpc.BidiStreamingServer[pb.Upward, pb.Downward], st *stream, readEnded <-chan error) error {
-	beat := time.NewTicker(s.door.Beat)
-	defer beat.Stop()
+// writeAll writes what is queued, and heartbeats. It returns when the stream ends, the proxy falls silent, or it
+// acknowledges nothing.
+func (s *Server) writeAll(g controlStream, st *stream, readEnded <-chan error) error {
+	heartbeat := time.NewTicker(s.door.Beat)
+	defer heartbeat.Stop()
 	for {
 		var m *pb.Downward
 		select {
 		case err := <-readEnded:
 			return err
-		case <-ctx.Done():
-			return ctx.Err()
+		case <-g.Context().Done():
+			return g.Context().Err()
 		case <-s.ctx.Done():
 			return status.Error(codes.Unavailable, "this pilot is gone")
 		case <-st.end.Gone():
-			if word, has := st.end.Word(); has {
-				return errors.Join(g.Send(word), status.Error(codes.Unavailable, st.end.Why()))
-			}
-			return status.Error(codes.Unavailable, st.end.Why())
+			return writeLast(g, st)
 		case <-st.wake:
-			if m = st.next(); m == nil {
-				continue
-			}
-		case <-beat.C:
-			if why := st.overdue(s.door.SeenWithin, 3*s.door.Beat); why != "" {
+			m = st.next()
+		case <-heartbeat.C:
+			if why := st.overdue(s.door.SeenWithin, silentBeats*s.door.Beat); why != "" {
 				return status.Error(codes.DeadlineExceeded, why)
 			}
 			m = &pb.Downward{Says: &pb.Downward_Beat{Beat: &pb.Beat{}}}
 		}
+		if m == nil {
+			continue // woken for what was written meanwhile
+		}
 		if err := g.Send(m); err != nil {
 			return err
 		}
 	}
 }
+
+// writeLast writes the last message of a stream that has ended, if it has one, and returns why it ended.
+func writeLast(g controlStream, st *stream) error {
+	ended := status.Error(codes.Unavailable, st.end.Why())
+	last, ok := st.end.Word()
+	if !ok {
+		return ended
+	}
+	return errors.Join(g.Send(last), ended)
+}
