--- a/internal/edge/xdsedge/ads.go
+++ b/internal/edge/xdsedge/ads.go
@@ -19,25 +19,25 @@
 
 // StreamAggregatedResources serves one proxy.
 func (s *Server) StreamAggregatedResources(g ads.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
-	first, err := opening.First(s.door.HelloIn, silent, g.Recv)
+	first, err := opening.First(s.door.HelloIn, refusalSilence, g.Recv)
 	if err != nil {
 		return err
 	}
-	st, err := s.enter(g.Context(), first.GetNode())
+	st, err := s.admit(g.Context(), first.GetNode())
 	if err != nil {
 		s.log.Warn("node refused", zap.Error(err))
 		return err
 	}
-	defer s.leave(st)
+	defer s.remove(st)
 	n := first.GetNode()
 	hello := wire.Hello{Version: wire.Version, Proxy: n.GetId(), Zone: n.GetLocality().GetZone(), Fresh: true,
 		Rate: n.GetMetadata().GetFields()["reqs_per_second"].GetNumberValue()}
 	if err := s.inbox.Post(g.Context(), pilot.Join{Stream: st, Hello: hello}); err != nil {
 		return status.Error(codes.Unavailable, "this pilot stops")
 	}
-	heard := make(chan error, 1)
-	go func() { heard <- s.hear(g, st, first) }()
-	err = s.speak(g, st, heard)
+	readEnded := make(chan error, 1)
+	go func() { readEnded <- s.readRequests(g, st, first) }()
+	err = s.writeResponses(g, st, readEnded)
 	s.log.Info("stream ended", zap.String("proxy", n.GetId()), zap.Error(err))
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(g.Context()), time.Second)
 	defer cancel()
@@ -45,10 +45,10 @@
 	return err
 }
 
-// hear takes requests in, the first one as well.
-func (s *Server) hear(g ads.AggregatedDiscoveryService_StreamAggregatedResourcesServer, st *stream, req *ads.DiscoveryRequest) error {
+// readRequests takes requests in, the first one as well.
+func (s *Server) readRequests(g ads.AggregatedDiscoveryService_StreamAggregatedResourcesServer, st *stream, req *ads.DiscoveryRequest) error {
 	for {
-		if len(req.GetResourceNames()) > mostNames {
+		if len(req.GetResourceNames()) > maxNames {
 			return status.Error(codes.InvalidArgument, "too many resources")
 		}
 		if d := req.GetErrorDetail(); d != nil {
@@ -72,13 +72,13 @@
 	}
 }
 
-// speak answers what is asked for and pushes what changes.
-func (s *Server) speak(g ads.AggregatedDiscoveryService_StreamAggregatedResourcesServer, st *stream, heard <-chan error) error {
+// writeResponses answers what is asked for and pushes what changes.
+func (s *Server) writeResponses(g ads.AggregatedDiscoveryService_StreamAggregatedResourcesServer, st *stream, readEnded <-chan error) error {
 	look := time.NewTicker(s.door.SeenWithin / 4)
 	defer look.Stop()
 	for {
 		select {
-		case err := <-heard:
+		case err := <-readEnded:
 			return err
 		case <-g.Context().Done():
 			return g.Context().Err()
--- a/internal/edge/xdsedge/assignment.go
+++ b/internal/edge/xdsedge/assignment.go
@@ -16,17 +16,17 @@
 // one as a part of the reqs that is dropped.
 func (st *stream) assignment(kind string) *endpoint.ClusterLoadAssignment {
 	cla := &endpoint.ClusterLoadAssignment{ClusterName: kind}
-	number, bound := st.serves[kind]
+	number, bound := st.bound[kind]
 	if !bound {
 		return cla
 	}
 	t := st.table(number)
-	for _, name := range slices.Sorted(maps.Keys(t.lines)) {
-		host, port, ok := split(name)
-		if st.out[name] || !ok {
+	for _, name := range slices.Sorted(maps.Keys(t.weights)) {
+		host, port, ok := splitAddress(name)
+		if st.excluded[name] || !ok {
 			continue
 		}
-		weight := uint32(math.Max(1, math.Min(math.Round(t.lines[name]*unit), math.MaxUint32/4096)))
+		weight := uint32(math.Max(1, math.Min(math.Round(t.weights[name]*weightUnit), math.MaxUint32/4096)))
 		cla.Endpoints = append(cla.Endpoints, &endpoint.LocalityLbEndpoints{
 			Locality:            &core.Locality{Region: "indigousher", SubZone: name},
 			LoadBalancingWeight: wrapperspb.UInt32(weight),
@@ -37,13 +37,13 @@
 	}
 	if level := st.level(t, kind); level < 1 {
 		cla.Policy = &endpoint.ClusterLoadAssignment_Policy{DropOverloads: []*endpoint.ClusterLoadAssignment_Policy_DropOverload{{
-			Category: "level", DropPercentage: &xdstype.FractionalPercent{Numerator: uint32(math.Round((1 - level) * millions)),
+			Category: "level", DropPercentage: &xdstype.FractionalPercent{Numerator: uint32(math.Round((1 - level) * dropUnits)),
 				Denominator: xdstype.FractionalPercent_MILLION}}}}
 	}
 	return cla
 }
 
-func split(address string) (string, uint32, bool) {
+func splitAddress(address string) (string, uint32, bool) {
 	for i := len(address) - 1; i > 0; i-- {
 		if address[i] == ':' {
 			port, err := strconv.ParseUint(address[i+1:], 10, 16)
--- a/internal/edge/xdsedge/hostile_test.go
+++ b/internal/edge/xdsedge/hostile_test.go
@@ -29,7 +29,7 @@
 	}
 	assert.Empty(t, st.asked)
 	assert.LessOrEqual(t, len(st.due), 1)
-	assert.Len(t, st.marks, mostMarks)
+	assert.Len(t, st.marks, maxMarks)
 	assert.Empty(t, st.responses())
 	for _, nonce := range []string{"1", "-1x", "99999999999999999999", "NaN"} {
 		_, err := st.request(&ads.DiscoveryRequest{TypeUrl: typeEndpoint, ResponseNonce: nonce})
--- a/internal/edge/xdsedge/lrs.go
+++ b/internal/edge/xdsedge/lrs.go
@@ -20,7 +20,7 @@
 
 // StreamLoadStats takes one proxy's load reports.
 func (s *Server) StreamLoadStats(g lrs.LoadReportingService_StreamLoadStatsServer) error {
-	first, err := opening.First(s.door.HelloIn, silent, g.Recv)
+	first, err := opening.First(s.door.HelloIn, refusalSilence, g.Recv)
 	if err != nil {
 		return err
 	}
@@ -66,7 +66,7 @@
 	out := &wire.Sums{AtMs: atMs}
 	mets := map[string]*wire.Met{}
 	for _, c := range r.GetClusterStats() {
-		if !slices.Contains(st.kinds, c.GetClusterName()) {
+		if !slices.Contains(st.classes, c.GetClusterName()) {
 			continue
 		}
 		if len(c.GetUpstreamLocalityStats()) > wire.MaxItems {
@@ -97,7 +97,7 @@
 	if out.SpanMs <= 0 {
 		return nil, nil
 	}
-	st.seq++
-	out.Seq = st.seq
+	st.reports++
+	out.Seq = st.reports
 	return out, nil
 }
--- a/internal/edge/xdsedge/resources.go
+++ b/internal/edge/xdsedge/resources.go
@@ -18,7 +18,7 @@
 	typeEndpoint = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 )
 
-var types = []string{typeListener, typeCluster, typeEndpoint}
+var servedTypes = []string{typeListener, typeCluster, typeEndpoint}
 
 func (st *stream) resource(t, kind string) proto.Message {
 	switch t {
--- a/internal/edge/xdsedge/server.go
+++ b/internal/edge/xdsedge/server.go
@@ -19,12 +19,12 @@
 
 // Figures of the edge's own.
 const (
-	unit         = 10000 // of a weight of 1
-	millions     = 1_000_000
-	mostRefusals = 3 // in a row
-	mostNames    = 64
-	silent       = "nothing was said"
-	mostMarks    = 1024 // that wait for a proxy which asks for no endpoints; older ones are forgotten
+	weightUnit     = 10000 // of a weight of 1
+	dropUnits      = 1_000_000
+	maxRefusals    = 3 // in a row
+	maxNames       = 64
+	refusalSilence = "nothing was said"
+	maxMarks       = 1024 // that wait for a proxy which asks for no endpoints; older ones are forgotten
 )
 
 // Door says how streams are kept.
@@ -76,7 +76,7 @@
 	}
 }
 
-func (s *Server) enter(ctx context.Context, n *core.Node) (*stream, error) {
+func (s *Server) admit(ctx context.Context, n *core.Node) (*stream, error) {
 	name, zone := n.GetId(), n.GetLocality().GetZone()
 	if name == "" || zone == "" || len(name) > wire.MaxText || len(zone) > wire.MaxText {
 		return nil, status.Error(codes.InvalidArgument, "a node wants an id and a locality with a zone")
@@ -99,7 +99,7 @@
 	return st, nil
 }
 
-func (s *Server) leave(st *stream) {
+func (s *Server) remove(st *stream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.nodes[st.name] == st {
--- a/internal/edge/xdsedge/stream.go
+++ b/internal/edge/xdsedge/stream.go
@@ -18,30 +18,30 @@
 
 // stream is one proxy's; it is the runtime's pilot.Stream.
 type stream struct {
-	name    string
-	kinds   []string
-	wake    chan struct{}
-	end     *ending.Ending[struct{}]
-	mu      sync.Mutex
-	tables  map[int]*table
-	serves  map[string]int // table by kind, once bound
-	out     map[string]bool
-	asked   map[string][]string // names by type
-	due     map[string]bool     // types to answer
-	version int
-	acked   int
-	marks   []mark
-	sentAt  time.Time
-	refused int
-	seq     uint64
+	name     string
+	classes  []string
+	wake     chan struct{}
+	end      *ending.Ending[struct{}]
+	mu       sync.Mutex
+	tables   map[int]*table
+	bound    map[string]int // table by kind, once bound
+	excluded map[string]bool
+	asked    map[string][]string // names by type
+	due      map[string]bool     // types to answer
+	version  int
+	acked    int
+	marks    []mark
+	sentAt   time.Time
+	refusals int
+	reports  uint64
 }
 
-func newStream(name string, kinds []string) *stream {
-	return &stream{name: name, kinds: kinds, wake: make(chan struct{}, 1), end: ending.New[struct{}](), tables: map[int]*table{},
-		serves: map[string]int{}, out: map[string]bool{}, asked: map[string][]string{}, due: map[string]bool{}}
+func newStream(name string, classes []string) *stream {
+	return &stream{name: name, classes: classes, wake: make(chan struct{}, 1), end: ending.New[struct{}](), tables: map[int]*table{},
+		bound: map[string]int{}, excluded: map[string]bool{}, asked: map[string][]string{}, due: map[string]bool{}}
 }
 
-func (st *stream) rouse() {
+func (st *stream) signal() {
 	select {
 	case st.wake <- struct{}{}:
 	default:
@@ -56,7 +56,7 @@
 		st.apply(op)
 	}
 	st.due[typeEndpoint] = true
-	st.rouse()
+	st.signal()
 	return nil
 }
 
@@ -71,13 +71,13 @@
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	t := r.GetTypeUrl()
-	if !slices.Contains(types, t) { // not served here; kept in mind, types that nobody knows would add up
+	if !slices.Contains(servedTypes, t) { // not served here; kept in mind, types that nobody knows would add up
 		return nil, nil
 	}
 	if names := r.GetResourceNames(); r.GetResponseNonce() == "" || !slices.Equal(names, st.asked[t]) {
 		st.asked[t] = slices.Clone(names)
 		st.due[t] = true
-		st.rouse()
+		st.signal()
 	}
 	if r.GetResponseNonce() == "" || t != typeEndpoint {
 		return nil, nil
@@ -87,12 +87,12 @@
 		return nil, status.Errorf(codes.InvalidArgument, "version %q answered, %d was sent", r.GetResponseNonce(), st.version)
 	}
 	if r.GetErrorDetail() != nil {
-		if st.refused++; st.refused >= mostRefusals {
+		if st.refusals++; st.refusals >= maxRefusals {
 			return nil, status.Error(codes.Aborted, "assignments are refused again and again")
 		}
 		return nil, nil
 	}
-	st.refused, st.acked = 0, max(st.acked, version)
+	st.refusals, st.acked = 0, max(st.acked, version)
 	for len(st.marks) > 0 && st.marks[0].version <= st.acked {
 		m := st.marks[0]
 		done = append(done, wire.Done{Mark: m.number, TookMs: float64(time.Since(m.at)) / float64(time.Millisecond)})
@@ -106,12 +106,12 @@
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	for _, t := range slices.Sorted(maps.Keys(st.due)) {
-		names := st.known(st.asked[t])
+		names := st.knownClasses(st.asked[t])
 		if len(names) == 0 {
 			continue
 		}
 		if t == typeEndpoint {
-			if len(st.serves) == 0 {
+			if len(st.bound) == 0 {
 				continue // nothing is bound: the proxy keeps what it has
 			}
 			if st.acked == st.version {
@@ -133,9 +133,9 @@
 	return list
 }
 
-func (st *stream) known(names []string) (list []string) {
+func (st *stream) knownClasses(names []string) (list []string) {
 	for _, n := range names {
-		if slices.Contains(st.kinds, n) {
+		if slices.Contains(st.classes, n) {
 			list = append(list, n)
 		}
 	}
