--- a/internal/edge/xdsedge/ads.go
+++ b/internal/edge/xdsedge/ads.go
@@ -7,6 +7,7 @@
 	"io"
 	"time"
 
+	core "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 	ads "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	"go.uber.org/zap"
 	"google.golang.org/grpc/codes"
@@ -17,8 +18,21 @@
 	"indigousher/internal/wire"
 )
 
-// StreamAggregatedResources serves one proxy.
-func (s *Server) StreamAggregatedResources(g ads.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
+const (
+	// maxNames is how many resources of a type a client may ask for; there is one for each request class.
+	maxNames = 64
+	// overdueChecks is how often a late acknowledgement is looked for within the time that it may take.
+	overdueChecks = 4
+	// leavePatience is how long the controller's loop may take, while this side stops, to hear that a proxy has left.
+	leavePatience = time.Second
+)
+
+// adsStream is one proxy's ADS stream as gRPC has it.
+type adsStream = ads.AggregatedDiscoveryService_StreamAggregatedResourcesServer
+
+// StreamAggregatedResources serves one proxy's assignments: it answers and pushes in this goroutine and reads in
+// another, which ends as this returns.
+func (s *Server) StreamAggregatedResources(g adsStream) error {
 	first, err := opening.First(s.door.HelloIn, refusalSilence, g.Recv)
 	if err != nil {
 		return err
@@ -29,53 +43,78 @@
 		return err
 	}
 	defer s.remove(st)
-	n := first.GetNode()
-	hello := wire.Hello{Version: wire.Version, Proxy: n.GetId(), Zone: n.GetLocality().GetZone(), Fresh: true,
-		Rate: n.GetMetadata().GetFields()["reqs_per_second"].GetNumberValue()}
-	if err := s.inbox.Post(g.Context(), pilot.Join{Stream: st, Hello: hello}); err != nil {
-		return status.Error(codes.Unavailable, "this pilot stops")
+	if s.inbox.Post(g.Context(), pilot.Join{Stream: st, Hello: helloFrom(first.GetNode())}) != nil {
+		return status.Error(codes.Unavailable, reasonStopping)
 	}
 	readEnded := make(chan error, 1)
 	go func() { readEnded <- s.readRequests(g, st, first) }()
 	err = s.writeResponses(g, st, readEnded)
-	s.log.Info("stream ended", zap.String("proxy", n.GetId()), zap.Error(err))
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(g.Context()), time.Second)
+	s.log.Info("stream ended", zap.String("proxy", st.name), zap.Error(err))
+	s.postLeave(g.Context(), st)
+	return err
+}
+
+// helloFrom returns what a node says of itself. Its tables are not known: it is sent all of them.
+func helloFrom(n *core.Node) wire.Hello {
+	return wire.Hello{
+		Version: wire.Version,
+		Proxy:   n.GetId(),
+		Zone:    n.GetLocality().GetZone(),
+		Fresh:   true,
+		Rate:    n.GetMetadata().GetFields()["reqs_per_second"].GetNumberValue(),
+	}
+}
+
+// postLeave tells the controller that a proxy has left, also when the stream's context has ended.
+func (s *Server) postLeave(ctx context.Context, st *stream) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), leavePatience)
 	defer cancel()
 	_ = s.inbox.Post(ctx, pilot.Leave{Stream: st}) // fails only as the loop has ended
-	return err
 }
 
-// readRequests takes requests in, the first one as well.
-func (s *Server) readRequests(g ads.AggregatedDiscoveryService_StreamAggregatedResourcesServer, st *stream, req *ads.DiscoveryRequest) error {
+// readRequests takes in the first request and all that follow, until the stream ends.
+func (s *Server) readRequests(g adsStream, st *stream, request *ads.DiscoveryRequest) error {
 	for {
-		if len(req.GetResourceNames()) > maxNames {
-			return status.Error(codes.InvalidArgument, "too many resources")
+		if err := s.receive(g.Context(), st, request); err != nil {
+			return err
 		}
-		if d := req.GetErrorDetail(); d != nil {
-			s.log.Warn("assignment refused", zap.String("proxy", st.name), zap.String("why", fmt.Sprintf("%.200s", d.GetMessage())))
+		next, err := g.Recv()
+		if errors.Is(err, io.EOF) {
+			return nil
 		}
-		marks, err := st.request(req)
 		if err != nil {
 			return err
 		}
-		for _, m := range marks {
-			if err := s.inbox.Post(g.Context(), pilot.Applied{Stream: st, Done: m}); err != nil {
-				return err
-			}
-		}
-		if req, err = g.Recv(); err != nil {
-			if errors.Is(err, io.EOF) {
-				return nil
-			}
+		request = next
+	}
+}
+
+// receive deals with one request, which subscribes to resources, acknowledges them, or refuses them.
+func (s *Server) receive(ctx context.Context, st *stream, request *ads.DiscoveryRequest) error {
+	if len(request.GetResourceNames()) > maxNames {
+		return status.Error(codes.InvalidArgument, "too many resources")
+	}
+	if detail := request.GetErrorDetail(); detail != nil {
+		why := fmt.Sprintf("%.200s", detail.GetMessage())
+		s.log.Warn("assignment refused", zap.String("proxy", st.name), zap.String("why", why))
+	}
+	marks, err := st.request(request)
+	if err != nil {
+		return err
+	}
+	for _, done := range marks {
+		if err := s.inbox.Post(ctx, pilot.Applied{Stream: st, Done: done}); err != nil {
 			return err
 		}
 	}
+	return nil
 }
 
-// writeResponses answers what is asked for and pushes what changes.
-func (s *Server) writeResponses(g ads.AggregatedDiscoveryService_StreamAggregatedResourcesServer, st *stream, readEnded <-chan error) error {
-	look := time.NewTicker(s.door.SeenWithin / 4)
-	defer look.Stop()
+// writeResponses answers what is asked for and pushes what changes. It returns when the stream ends, or the client
+// acknowledges nothing.
+func (s *Server) writeResponses(g adsStream, st *stream, readEnded <-chan error) error {
+	check := time.NewTicker(s.door.SeenWithin / overdueChecks)
+	defer check.Stop()
 	for {
 		select {
 		case err := <-readEnded:
@@ -84,13 +123,13 @@
 			return g.Context().Err()
 		case <-st.end.Gone():
 			return status.Error(codes.Unavailable, st.end.Why())
-		case <-look.C:
+		case <-check.C:
 			if st.overdue(s.door.SeenWithin) {
 				return status.Error(codes.DeadlineExceeded, "an assignment is not acknowledged")
 			}
 		case <-st.wake:
-			for _, resp := range st.responses() {
-				if err := g.Send(resp); err != nil {
+			for _, response := range st.responses() {
+				if err := g.Send(response); err != nil {
 					return err
 				}
 			}
--- a/internal/edge/xdsedge/hostile_test.go
+++ b/internal/edge/xdsedge/hostile_test.go
@@ -27,9 +27,9 @@
 		require.NoError(t, err)
 		require.NoError(t, st.Send(&wire.Orders{Ops: []wire.Op{{Kind: wire.OpBind, Table: 1, Kinds: 1}, {Kind: wire.OpMark, Number: i}}}))
 	}
-	assert.Empty(t, st.asked)
-	assert.LessOrEqual(t, len(st.due), 1)
-	assert.Len(t, st.marks, maxMarks)
+	assert.Empty(t, st.subscriptions.names)
+	assert.LessOrEqual(t, len(st.subscriptions.due), 1)
+	assert.Len(t, st.versions.marks, maxMarks)
 	assert.Empty(t, st.responses())
 	for _, nonce := range []string{"1", "-1x", "99999999999999999999", "NaN"} {
 		_, err := st.request(&ads.DiscoveryRequest{TypeUrl: typeEndpoint, ResponseNonce: nonce})
--- a/internal/edge/xdsedge/lrs.go
+++ b/internal/edge/xdsedge/lrs.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
+	endpoint "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
 	lrs "github.com/envoyproxy/go-control-plane/envoy/service/load_stats/v3"
-	"go.uber.org/zap"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/durationpb"
@@ -18,35 +18,31 @@
 	"indigousher/internal/wire"
 )
 
-// StreamLoadStats takes one proxy's load reports.
+// StreamLoadStats takes one proxy's load reports. Those of a proxy that does not follow here are dropped.
 func (s *Server) StreamLoadStats(g lrs.LoadReportingService_StreamLoadStatsServer) error {
 	first, err := opening.First(s.door.HelloIn, refusalSilence, g.Recv)
 	if err != nil {
 		return err
 	}
 	name := first.GetNode().GetId()
-	if s.door.Claims != nil {
-		if err := s.door.Claims(g.Context(), name, first.GetNode().GetLocality().GetZone()); err != nil {
-			s.log.Warn("identity refused", zap.Error(err))
-			return status.Error(codes.PermissionDenied, "not let in")
-		}
+	if err := s.checkIdentity(g.Context(), name, first.GetNode().GetLocality().GetZone()); err != nil {
+		return err
 	}
-	if err := g.Send(&lrs.LoadStatsResponse{Clusters: s.door.Kinds, LoadReportingInterval: durationpb.New(s.door.Period)}); err != nil {
+	wanted := &lrs.LoadStatsResponse{Clusters: s.door.Kinds, LoadReportingInterval: durationpb.New(s.door.Period)}
+	if err := g.Send(wanted); err != nil {
 		return err
 	}
 	began := time.Now()
 	for {
-		req, err := g.Recv()
+		report, err := g.Recv()
 		if err != nil {
 			return err
 		}
-		s.mu.Lock()
-		st := s.nodes[name]
-		s.mu.Unlock()
+		st := s.stream(name)
 		if st == nil {
-			continue // load of a proxy that follows nobody here
+			continue
 		}
-		sums, err := st.sums(req, float64(time.Since(began))/float64(time.Millisecond))
+		sums, err := st.sums(report, milliseconds(time.Since(began)))
 		if err != nil {
 			return status.Error(codes.InvalidArgument, err.Error())
 		}
@@ -59,45 +55,82 @@
 	}
 }
 
-// sums turns a load report into the runtime's. Clients measure no time of an answer here, so means are 0.
+// sums turns a load report into the controller's, sent at atMs on the stream's own clock, or nil if it covers no time.
 func (st *stream) sums(r *lrs.LoadStatsRequest, atMs float64) (*wire.Sums, error) {
+	sums, err := sumsFrom(r, st.classes)
+	if err != nil || sums.SpanMs <= 0 {
+		return nil, err
+	}
+	sums.AtMs = atMs
+	sums.Seq = st.nextReport()
+	return sums, nil
+}
+
+// nextReport returns the number of the next load report, from 1.
+func (st *stream) nextReport() uint64 {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	out := &wire.Sums{AtMs: atMs}
-	mets := map[string]*wire.Met{}
+	st.reports++
+	return st.reports
+}
+
+// sumsFrom adds up a load report by endpoint and by request class; clusters that are no request class are left out.
+// Clients measure no time of an answer here, so means are 0.
+func sumsFrom(r *lrs.LoadStatsRequest, classes []string) (*wire.Sums, error) {
+	sums := &wire.Sums{}
+	byEndpoint := map[string]*wire.Met{}
 	for _, c := range r.GetClusterStats() {
-		if !slices.Contains(st.classes, c.GetClusterName()) {
+		if !slices.Contains(classes, c.GetClusterName()) {
 			continue
 		}
 		if len(c.GetUpstreamLocalityStats()) > wire.MaxItems {
 			return nil, fmt.Errorf("load of %d localities: %w", len(c.GetUpstreamLocalityStats()), wire.ErrValue)
 		}
-		out.SpanMs = math.Max(out.SpanMs, float64(c.GetLoadReportInterval().AsDuration())/float64(time.Millisecond))
-		d := wire.Demand{Kind: c.GetClusterName(), Reqs: int(min(c.GetTotalDroppedRequests(), math.MaxInt32))}
-		for _, l := range c.GetUpstreamLocalityStats() {
-			name := l.GetLocality().GetSubZone()
-			if mets[name] == nil {
-				mets[name] = &wire.Met{Endpoint: name}
-			}
-			m := mets[name]
-			good, bad := int(min(l.GetTotalSuccessfulRequests(), math.MaxInt32)), int(min(l.GetTotalErrorRequests(), math.MaxInt32))
-			m.Tries, m.Failed = m.Tries+good+bad, m.Failed+bad
-			d.Reqs, d.Unanswered = d.Reqs+good+bad, d.Unanswered+bad
-			for _, f := range l.GetLoadMetricStats() {
-				if n := f.GetNumRequestsFinishedWithMetric(); n > 0 && f.GetTotalMetricValue() >= 0 {
-					m.Load = append(m.Load, wire.Figure{Name: f.GetMetricName(), Value: f.GetTotalMetricValue() / float64(n)})
-				}
-			}
-		}
-		out.Demand = append(out.Demand, d)
+		sums.SpanMs = math.Max(sums.SpanMs, milliseconds(c.GetLoadReportInterval().AsDuration()))
+		sums.Demand = append(sums.Demand, addCluster(byEndpoint, c))
 	}
-	for _, name := range slices.Sorted(maps.Keys(mets)) {
-		out.Met = append(out.Met, *mets[name])
+	for _, name := range slices.Sorted(maps.Keys(byEndpoint)) {
+		sums.Met = append(sums.Met, *byEndpoint[name])
 	}
-	if out.SpanMs <= 0 {
-		return nil, nil
+	return sums, nil
+}
+
+// addCluster adds the load of a cluster to that of its endpoints, and returns its requests. What the client dropped, as
+// it was told to, counts as requests.
+func addCluster(byEndpoint map[string]*wire.Met, c *endpoint.ClusterStats) wire.Demand {
+	demand := wire.Demand{Kind: c.GetClusterName(), Reqs: count(c.GetTotalDroppedRequests())}
+	for _, l := range c.GetUpstreamLocalityStats() {
+		name := l.GetLocality().GetSubZone()
+		met := byEndpoint[name]
+		if met == nil {
+			met = &wire.Met{Endpoint: name}
+			byEndpoint[name] = met
+		}
+		succeeded := count(l.GetTotalSuccessfulRequests())
+		failed := count(l.GetTotalErrorRequests())
+		met.Tries += succeeded + failed
+		met.Failed += failed
+		met.Load = append(met.Load, figures(l)...)
+		demand.Reqs += succeeded + failed
+		demand.Unanswered += failed
 	}
-	st.reports++
-	out.Seq = st.reports
-	return out, nil
+	return demand
+}
+
+// figures returns the endpoint's own load report, where the client forwards it: the mean of each figure that has one.
+func figures(l *endpoint.UpstreamLocalityStats) []wire.Figure {
+	var list []wire.Figure
+	for _, f := range l.GetLoadMetricStats() {
+		n := f.GetNumRequestsFinishedWithMetric()
+		if n > 0 && f.GetTotalMetricValue() >= 0 {
+			list = append(list, wire.Figure{Name: f.GetMetricName(), Value: f.GetTotalMetricValue() / float64(n)})
+		}
+	}
+	return list
 }
+
+// count returns a count of the wire as one that a few of can be added up.
+func count(n uint64) int { return int(min(n, math.MaxInt32)) }
+
+// milliseconds returns a duration in milliseconds.
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/edge/xdsedge/routing.go
+++ b/internal/edge/xdsedge/routing.go
@@ -3,60 +3,98 @@
 import (
 	"math"
 	"slices"
-	"time"
 
 	"indigousher/internal/wire"
 )
 
+// routing is what a proxy is to do, as ordered so far: its tables, which of them serves each request class, and which
+// endpoints are excluded from all of them.
+type routing struct {
+	classes  []string // by index
+	tables   map[int]*table
+	bound    map[string]int // number of the table that serves a class
+	excluded map[string]bool
+}
+
+// table holds the weights of endpoints, and the levels of admission by mask of classes.
 type table struct {
 	weights map[string]float64
 	levels  map[int]float64
 }
 
-func (st *stream) table(number int) *table {
-	if st.tables[number] == nil {
-		st.tables[number] = &table{weights: map[string]float64{}, levels: map[int]float64{}}
+func newRouting(classes []string) routing {
+	return routing{
+		classes:  classes,
+		tables:   map[int]*table{},
+		bound:    map[string]int{},
+		excluded: map[string]bool{},
 	}
-	return st.tables[number]
 }
 
-func (st *stream) apply(o wire.Op) {
-	switch o.Kind {
+// apply takes one op in. Ranges of keys have no place in xDS and are left out.
+func (r *routing) apply(op *wire.Op) {
+	switch op.Kind {
 	case wire.OpBind:
-		st.tables[o.Table] = nil
-		st.table(o.Table)
-		for k, name := range st.classes {
-			if o.Kinds == 0 || o.Kinds&(1<<k) != 0 {
-				st.bound[name] = o.Table
-			}
-		}
+		r.bind(op.Table, op.Kinds)
 	case wire.OpSet:
-		if st.table(o.Table).weights[o.Endpoint] = o.Weight; o.Weight <= 0 {
-			delete(st.table(o.Table).weights, o.Endpoint)
-		}
+		r.setWeight(op.Table, op.Endpoint, op.Weight)
 	case wire.OpClear:
-		st.tables[o.Table] = nil
+		delete(r.tables, op.Table)
 	case wire.OpWithdraw:
-		if st.excluded[o.Endpoint] = o.Out; !o.Out {
-			delete(st.excluded, o.Endpoint)
+		if op.Out {
+			r.excluded[op.Endpoint] = true
+		} else {
+			delete(r.excluded, op.Endpoint)
 		}
 	case wire.OpAdmit:
-		st.table(o.Table).levels[o.Kinds] = o.Weight
-	case wire.OpMark:
-		st.marks = append(st.marks, mark{o.Number, st.version + 1, time.Now()})
-		st.marks = st.marks[max(0, len(st.marks)-maxMarks):]
+		r.table(op.Table).levels[op.Kinds] = op.Weight
+	}
+}
+
+// bind has an empty table serve the classes of a mask.
+func (r *routing) bind(number, classes int) {
+	delete(r.tables, number)
+	for i, name := range r.classes {
+		if inMask(classes, i) {
+			r.bound[name] = number
+		}
 	}
 }
 
-func (st *stream) level(t *table, kind string) float64 {
+// setWeight sets or, with 0, removes a line of a table.
+func (r *routing) setWeight(number int, endpoint string, weight float64) {
+	t := r.table(number)
+	if weight <= 0 {
+		delete(t.weights, endpoint)
+		return
+	}
+	t.weights[endpoint] = weight
+}
+
+// table returns a table, which is made when it is first asked for.
+func (r *routing) table(number int) *table {
+	if r.tables[number] == nil {
+		r.tables[number] = &table{weights: map[string]float64{}, levels: map[int]float64{}}
+	}
+	return r.tables[number]
+}
+
+// anyBound reports whether any class has a table.
+func (r *routing) anyBound() bool { return len(r.bound) > 0 }
+
+// level returns which part of a class's requests is admitted: the least of what its table and all tables say.
+func (r *routing) level(t *table, class string) float64 {
 	level := 1.0
-	k := slices.Index(st.classes, kind)
-	for _, levels := range []map[int]float64{t.levels, st.table(wire.EveryTable).levels} {
+	i := slices.Index(r.classes, class)
+	for _, levels := range []map[int]float64{t.levels, r.table(wire.EveryTable).levels} {
 		for mask, v := range levels {
-			if mask == 0 || mask&(1<<k) != 0 {
+			if inMask(mask, i) {
 				level = math.Min(level, v)
 			}
 		}
 	}
 	return level
 }
+
+// inMask reports whether a mask of classes has the class of an index; 0 has all.
+func inMask(mask, class int) bool { return mask == 0 || mask&(1<<class) != 0 }
--- a/internal/edge/xdsedge/server.go
+++ b/internal/edge/xdsedge/server.go
@@ -17,24 +17,23 @@
 	"indigousher/internal/wire"
 )
 
-// Figures of the edge's own.
 const (
-	weightUnit     = 10000 // of a weight of 1
-	dropUnits      = 1_000_000
-	maxRefusals    = 3 // in a row
-	maxNames       = 64
+	// reasonStopping is what proxies are told when the controller stops.
+	reasonStopping = "this pilot stops"
+	// refusalSilence is what ends a stream on which nothing comes.
 	refusalSilence = "nothing was said"
-	maxMarks       = 1024 // that wait for a proxy which asks for no endpoints; older ones are forgotten
+	// refusalIdentity is what a proxy is told whose certificate is another's; what is wrong only operators hear.
+	refusalIdentity = "not let in"
 )
 
-// Door says how streams are kept.
+// Door configures the streams that are accepted.
 type Door struct {
-	Kinds      []string
-	Period     time.Duration
-	SeenWithin time.Duration
+	Kinds      []string      // the request classes, by index
+	Period     time.Duration // of load reports
+	SeenWithin time.Duration // an assignment that is not acknowledged by then ends the stream
 	HelloIn    time.Duration // the first message of a stream comes by then
-	MaxStreams int
-	// Claims checks that a stream's peer is the proxy it says it is; nil without keys.
+	MaxStreams int           // followed at once; further ones are refused
+	// Claims returns an error unless a stream's peer is the proxy that it says it is; nil without keys.
 	Claims func(ctx context.Context, name, zone string) error
 }
 
@@ -45,8 +44,9 @@
 	door  Door
 	inbox pilot.Inbox
 	log   *zap.Logger
+
 	mu    sync.Mutex
-	nodes map[string]*stream
+	nodes map[string]*stream // open ADS streams, by the node's id
 }
 
 // New returns a server; Register lets it be asked.
@@ -72,20 +72,19 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, st := range s.nodes {
-		st.Close("this pilot stops")
+		st.Close(reasonStopping)
 	}
 }
 
+// admit makes a stream for a node. An older stream of the same node ends: the proxy has come back.
 func (s *Server) admit(ctx context.Context, n *core.Node) (*stream, error) {
-	name, zone := n.GetId(), n.GetLocality().GetZone()
+	name := n.GetId()
+	zone := n.GetLocality().GetZone()
 	if name == "" || zone == "" || len(name) > wire.MaxText || len(zone) > wire.MaxText {
 		return nil, status.Error(codes.InvalidArgument, "a node wants an id and a locality with a zone")
 	}
-	if s.door.Claims != nil {
-		if err := s.door.Claims(ctx, name, zone); err != nil {
-			s.log.Warn("identity refused", zap.Error(err))
-			return nil, status.Error(codes.PermissionDenied, "not let in")
-		}
+	if err := s.checkIdentity(ctx, name, zone); err != nil {
+		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,6 +98,26 @@
 	return st, nil
 }
 
+// checkIdentity returns the refusal of a peer that is not the proxy that it says it is.
+func (s *Server) checkIdentity(ctx context.Context, name, zone string) error {
+	if s.door.Claims == nil {
+		return nil
+	}
+	if err := s.door.Claims(ctx, name, zone); err != nil {
+		s.log.Warn("identity refused", zap.Error(err))
+		return status.Error(codes.PermissionDenied, refusalIdentity)
+	}
+	return nil
+}
+
+// stream returns the open ADS stream of a node, or nil if there is none.
+func (s *Server) stream(name string) *stream {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.nodes[name]
+}
+
+// remove forgets a stream that has ended, unless a newer one has taken its place.
 func (s *Server) remove(st *stream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/edge/xdsedge/stream.go
+++ b/internal/edge/xdsedge/stream.go
@@ -8,136 +8,156 @@
 	"time"
 
 	ads "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
-	"google.golang.org/grpc/codes"
-	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/anypb"
 
 	"indigousher/internal/edge/ending"
 	"indigousher/internal/wire"
 )
 
-// stream is one proxy's; it is the runtime's pilot.Stream.
+// stream is one proxy's; it is the controller's pilot.Stream. The controller's loop changes its tables, and the two
+// goroutines of the ADS stream push them and take acknowledgements in.
 type stream struct {
-	name     string
-	classes  []string
-	wake     chan struct{}
-	end      *ending.Ending[struct{}]
-	mu       sync.Mutex
-	tables   map[int]*table
-	bound    map[string]int // table by kind, once bound
-	excluded map[string]bool
-	asked    map[string][]string // names by type
-	due      map[string]bool     // types to answer
-	version  int
-	acked    int
-	marks    []mark
-	sentAt   time.Time
-	refusals int
-	reports  uint64
-}
+	name    string
+	classes []string      // request classes, by index; not changed
+	wake    chan struct{} // holds something if there may be something to send
+	end     *ending.Ending[struct{}]
 
-func newStream(name string, classes []string) *stream {
-	return &stream{name: name, classes: classes, wake: make(chan struct{}, 1), end: ending.New[struct{}](), tables: map[int]*table{},
-		bound: map[string]int{}, excluded: map[string]bool{}, asked: map[string][]string{}, due: map[string]bool{}}
+	mu            sync.Mutex
+	routing       routing
+	subscriptions subscriptions
+	versions      versions
+	reports       uint64 // load reports that were taken in
 }
 
-func (st *stream) signal() {
-	select {
-	case st.wake <- struct{}{}:
-	default:
+func newStream(name string, classes []string) *stream {
+	return &stream{
+		name:          name,
+		classes:       classes,
+		wake:          make(chan struct{}, 1),
+		end:           ending.New[struct{}](),
+		routing:       newRouting(classes),
+		subscriptions: newSubscriptions(),
 	}
 }
 
-// Send takes orders into the state that is pushed next; only the newest state is ever sent, so nothing queues.
+// Send takes orders into the state that is pushed next. Only the newest state is ever sent, so nothing queues.
 func (st *stream) Send(o *wire.Orders) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	for _, op := range o.Ops {
-		st.apply(op)
+	for i := range o.Ops {
+		if o.Ops[i].Kind == wire.OpMark {
+			st.versions.addMark(o.Ops[i].Number, time.Now())
+			continue
+		}
+		st.routing.apply(&o.Ops[i])
 	}
-	st.due[typeEndpoint] = true
+	st.subscriptions.due[typeEndpoint] = true
 	st.signal()
 	return nil
 }
 
-// Ask can't be carried: an LRS server names its period once.
+// Ask does nothing: an LRS server names its period once.
 func (st *stream) Ask(*wire.Pace) error { return nil }
 
 // Close ends the stream.
 func (st *stream) Close(reason string) { st.end.End(reason) }
 
-// request notes what is asked for, and returns the marks that an acknowledgement answers.
-func (st *stream) request(r *ads.DiscoveryRequest) (done []wire.Done, err error) {
+// signal wakes the writer.
+func (st *stream) signal() {
+	select {
+	case st.wake <- struct{}{}:
+	default: // it has been woken and has not looked yet
+	}
+}
+
+// request takes in what a client asks for, and returns the marks that it acknowledges. The error is a status.
+func (st *stream) request(r *ads.DiscoveryRequest) ([]wire.Done, error) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	t := r.GetTypeUrl()
-	if !slices.Contains(servedTypes, t) { // not served here; kept in mind, types that nobody knows would add up
-		return nil, nil
+	typeURL := r.GetTypeUrl()
+	if !slices.Contains(servedTypes, typeURL) {
+		return nil, nil // not kept in mind either: types that nobody knows would add up
 	}
-	if names := r.GetResourceNames(); r.GetResponseNonce() == "" || !slices.Equal(names, st.asked[t]) {
-		st.asked[t] = slices.Clone(names)
-		st.due[t] = true
+	nonce := r.GetResponseNonce()
+	if st.subscriptions.update(typeURL, r.GetResourceNames(), nonce == "") {
 		st.signal()
 	}
-	if r.GetResponseNonce() == "" || t != typeEndpoint {
-		return nil, nil
-	}
-	version, err := strconv.Atoi(r.GetResponseNonce())
-	if err != nil || version > st.version {
-		return nil, status.Errorf(codes.InvalidArgument, "version %q answered, %d was sent", r.GetResponseNonce(), st.version)
-	}
-	if r.GetErrorDetail() != nil {
-		if st.refusals++; st.refusals >= maxRefusals {
-			return nil, status.Error(codes.Aborted, "assignments are refused again and again")
-		}
+	if nonce == "" || typeURL != typeEndpoint {
 		return nil, nil
 	}
-	st.refusals, st.acked = 0, max(st.acked, version)
-	for len(st.marks) > 0 && st.marks[0].version <= st.acked {
-		m := st.marks[0]
-		done = append(done, wire.Done{Mark: m.number, TookMs: float64(time.Since(m.at)) / float64(time.Millisecond)})
-		st.marks = st.marks[1:]
-	}
-	return done, nil
+	return st.versions.answered(nonce, r.GetErrorDetail() != nil)
+}
+
+// overdue reports whether an acknowledgement has been due for longer than within.
+func (st *stream) overdue(within time.Duration) bool {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return st.versions.overdue(within)
 }
 
-// responses returns what is due, by type.
+// responses returns what is to be sent, in the order of types. What nothing is known of stays due: before anything is
+// bound, the client keeps what it has.
 func (st *stream) responses() (list []*ads.DiscoveryResponse) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	for _, t := range slices.Sorted(maps.Keys(st.due)) {
-		names := st.knownClasses(st.asked[t])
+	for _, typeURL := range slices.Sorted(maps.Keys(st.subscriptions.due)) {
+		names := st.knownClasses(st.subscriptions.names[typeURL])
 		if len(names) == 0 {
 			continue
 		}
-		if t == typeEndpoint {
-			if len(st.bound) == 0 {
-				continue // nothing is bound: the proxy keeps what it has
+		if typeURL == typeEndpoint {
+			if !st.routing.anyBound() {
+				continue
 			}
-			if st.acked == st.version {
-				st.sentAt = time.Now()
-			}
-			st.version++
-		}
-		resp := &ads.DiscoveryResponse{TypeUrl: t, VersionInfo: strconv.Itoa(st.version), Nonce: strconv.Itoa(st.version)}
-		for _, name := range names {
-			r, err := anypb.New(st.resource(t, name))
-			if err != nil {
-				continue // can't be laid out: a name that is no text
-			}
-			resp.Resources = append(resp.Resources, r)
+			st.versions.next(time.Now())
 		}
-		delete(st.due, t)
-		list = append(list, resp)
+		delete(st.subscriptions.due, typeURL)
+		list = append(list, st.response(typeURL, names))
 	}
 	return list
 }
 
+// response lays out resources of one type under the present version.
+func (st *stream) response(typeURL string, names []string) *ads.DiscoveryResponse {
+	version := strconv.Itoa(st.versions.newest)
+	response := &ads.DiscoveryResponse{TypeUrl: typeURL, VersionInfo: version, Nonce: version}
+	for _, name := range names {
+		resource, err := anypb.New(st.resource(typeURL, name))
+		if err != nil {
+			continue // can't be laid out: a name that is no text
+		}
+		response.Resources = append(response.Resources, resource)
+	}
+	return response
+}
+
+// knownClasses returns the names that are request classes.
 func (st *stream) knownClasses(names []string) (list []string) {
-	for _, n := range names {
-		if slices.Contains(st.classes, n) {
-			list = append(list, n)
+	for _, name := range names {
+		if slices.Contains(st.classes, name) {
+			list = append(list, name)
 		}
 	}
 	return list
 }
+
+// subscriptions are what a client asks for, by type of resource. Only types that are served have an entry.
+type subscriptions struct {
+	names map[string][]string
+	due   map[string]bool // types to be sent
+}
+
+func newSubscriptions() subscriptions {
+	return subscriptions{names: map[string][]string{}, due: map[string]bool{}}
+}
+
+// update notes the names that are asked for, and reports whether they are to be sent: at the first request of a type,
+// and when they have changed.
+func (s *subscriptions) update(typeURL string, names []string, first bool) bool {
+	if !first && slices.Equal(names, s.names[typeURL]) {
+		return false
+	}
+	s.names[typeURL] = slices.Clone(names)
+	s.due[typeURL] = true
+	return true
+}
--- a/internal/edge/xdsedge/versions.go
+++ b/internal/edge/xdsedge/versions.go
@@ -1,15 +1,82 @@
 package xdsedge
 
-import "time"
+import (
+	"strconv"
+	"time"
 
-// mark waits for the version that carries it.
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"indigousher/internal/wire"
+)
+
+const (
+	// maxRefusals is how many assignments in a row a client may refuse before its stream ends.
+	maxRefusals = 3
+	// maxMarks is how many marks may wait for a client that asks for no endpoints; older ones are forgotten.
+	maxMarks = 1024
+)
+
+// versions counts the EDS responses of a stream, which are its assignments, and their acknowledgements.
+type versions struct {
+	newest   int // sent
+	acked    int
+	sentAt   time.Time // of the oldest that is not acknowledged
+	refusals int       // in a row
+	marks    []mark    // not answered, in the order of their versions
+}
+
+// mark is answered by the acknowledgement of the version that carries it.
 type mark struct {
-	number, version int
-	at              time.Time
+	number  int
+	version int
+	addedAt time.Time
+}
+
+// addMark has a mark answered along with the next version.
+func (v *versions) addMark(number int, now time.Time) {
+	v.marks = append(v.marks, mark{number, v.newest + 1, now})
+	v.marks = v.marks[max(0, len(v.marks)-maxMarks):]
+}
+
+// next begins the version that is sent now.
+func (v *versions) next(now time.Time) {
+	if v.acked == v.newest {
+		v.sentAt = now
+	}
+	v.newest++
+}
+
+// answered takes in a client's answer to the version that a nonce names: an acknowledgement (ACK) or a refusal (NACK).
+// It returns the marks that are answered, or a status that ends the stream.
+func (v *versions) answered(nonce string, refused bool) ([]wire.Done, error) {
+	version, err := strconv.Atoi(nonce)
+	if err != nil || version > v.newest {
+		return nil, status.Errorf(codes.InvalidArgument, "version %q answered, %d was sent", nonce, v.newest)
+	}
+	if refused {
+		v.refusals++
+		if v.refusals >= maxRefusals {
+			return nil, status.Error(codes.Aborted, "assignments are refused again and again")
+		}
+		return nil, nil
+	}
+	v.refusals = 0
+	v.acked = max(v.acked, version)
+	return v.takeAnswered(), nil
+}
+
+// takeAnswered takes off the marks of all versions that are acknowledged.
+func (v *versions) takeAnswered() (answered []wire.Done) {
+	for len(v.marks) > 0 && v.marks[0].version <= v.acked {
+		m := v.marks[0]
+		answered = append(answered, wire.Done{Mark: m.number, TookMs: milliseconds(time.Since(m.addedAt))})
+		v.marks = v.marks[1:]
+	}
+	return answered
 }
 
-func (st *stream) overdue(within time.Duration) bool {
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	return st.acked < st.version && time.Since(st.sentAt) > within
+// overdue reports whether an acknowledgement has been due for longer than within.
+func (v *versions) overdue(within time.Duration) bool {
+	return v.acked < v.newest && time.Since(v.sentAt) > within
 }
