--- a/internal/keys/authority.go
+++ b/internal/keys/authority.go
@@ -81,14 +81,3 @@
 	}
 	return f, nil
 }
-
-// replace writes a file beside the old one and renames it, so that nobody reads half of it.
-func replace(path string, text []byte, mode os.FileMode) error {
-	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-		return err
-	}
-	if err := os.WriteFile(path+".new", text, mode); err != nil {
-		return err
-	}
-	return os.Rename(path+".new", path)
-}
