--- a/internal/keys/authority.go
+++ b/internal/keys/authority.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("make authority: %w", err)
 	}
-	t := template(name, time.Now().Add(-time.Minute), lasts)
+	t := newTemplate(name, time.Now().Add(-time.Minute), lasts)
 	t.IsCA, t.BasicConstraintsValid, t.KeyUsage = true, true, x509.KeyUsageCertSign
 	der, err := x509.CreateCertificate(rand.Reader, t, t, &key.PublicKey, key)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return &Authority{cert, der, key}, nil
 }
 
-func template(name string, from time.Time, lasts time.Duration) *x509.Certificate {
+func newTemplate(name string, from time.Time, lasts time.Duration) *x509.Certificate {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
 	if err != nil {
 		serial = big.NewInt(time.Now().UnixNano())
@@ -57,7 +57,7 @@
 	if err != nil {
 		return Files{}, fmt.Errorf("issue %s: %w", who, err)
 	}
-	t := template(who.Name, from, lasts)
+	t := newTemplate(who.Name, from, lasts)
 	t.URIs = []*url.URL{{Scheme: scheme, Host: string(who.Role), Path: "/" + who.Zone + "/" + who.Name}}
 	t.KeyUsage, t.IPAddresses = x509.KeyUsageDigitalSignature, []net.IP{net.IPv4(127, 0, 0, 1), net.IPv6loopback}
 	t.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}
--- a/internal/keys/identity.go
+++ b/internal/keys/identity.go
@@ -44,7 +44,7 @@
 func Of(c *x509.Certificate) (Identity, error) {
 	var found []Identity
 	for _, u := range c.URIs {
-		if i, ok := parse(u); ok {
+		if i, ok := parseURI(u); ok {
 			found = append(found, i)
 		}
 	}
@@ -54,7 +54,7 @@
 	return found[0], nil
 }
 
-func parse(u *url.URL) (Identity, bool) {
+func parseURI(u *url.URL) (Identity, bool) {
 	parts := strings.Split(strings.TrimPrefix(u.Path, "/"), "/")
 	i := Identity{Role: Role(u.Host)}
 	if u.Scheme != scheme || len(parts) != 2 || !slices.Contains(roles, i.Role) || parts[1] == "" {
@@ -66,7 +66,7 @@
 
 // Named returns an identity, if its parts can stand in a certificate.
 func Named(role, zone, name string) (Identity, error) {
-	i, ok := parse(&url.URL{Scheme: scheme, Host: role, Path: "/" + zone + "/" + name})
+	i, ok := parseURI(&url.URL{Scheme: scheme, Host: role, Path: "/" + zone + "/" + name})
 	if !ok || zone == "" {
 		return Identity{}, fmt.Errorf("%s/%s/%s, roles are %v: %w", role, zone, name, roles, ErrIdentity)
 	}
--- a/internal/keys/keystore.go
+++ b/internal/keys/keystore.go
@@ -23,7 +23,7 @@
 	mu      sync.Mutex
 	cert    *tls.Certificate
 	pool    *x509.CertPool
-	seen    look
+	watch   fileWatch
 }
 
 // Load reads a ring. Refused is called, if not nil, for each peer that is turned away.
@@ -60,35 +60,35 @@
 	if !pool.AppendCertsFromPEM(pem) {
 		return fmt.Errorf("keys: %s holds no certificate", r.files.Authority)
 	}
-	r.cert, r.pool, r.seen.stamp = &cert, pool, stamp
+	r.cert, r.pool, r.watch.readStamp = &cert, pool, stamp
 	return nil
 }
 
-// now returns the keys in force, after a look at the files.
-func (r *Ring) now() (*tls.Certificate, *x509.CertPool) {
+// current returns the keys in force, after a look at the files.
+func (r *Ring) current() (*tls.Certificate, *x509.CertPool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.seen.anew(r.read, r.files.list()...)
+	r.watch.reload(r.read, r.files.list()...)
 	return r.cert, r.pool
 }
 
 // Wrong returns what is wrong with files that have changed since they were read, if anything.
 func (r *Ring) Wrong() error {
-	r.now()
+	r.current()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.seen.wrong
+	return r.watch.err
 }
 
 // Expires returns when one's own certificate ends.
 func (r *Ring) Expires() time.Time {
-	cert, _ := r.now()
+	cert, _ := r.current()
 	return cert.Leaf.NotAfter
 }
 
 // Identity returns who the ring's own certificate says one is.
 func (r *Ring) Identity() Identity {
-	cert, _ := r.now()
+	cert, _ := r.current()
 	i, _ := Of(cert.Leaf) // checked when it was read
 	return i
 }
--- a/internal/keys/reload.go
+++ b/internal/keys/reload.go
@@ -18,26 +18,26 @@
 	return os.Rename(path+".new", path)
 }
 
-// lookEvery is how often files are looked at.
-const lookEvery = 200 * time.Millisecond
+// checkInterval is how often files are looked at.
+const checkInterval = 200 * time.Millisecond
 
-// look notices files that have changed since they were read.
-type look struct {
-	stamp  time.Time // of the newest of them when they were read
-	looked time.Time
-	wrong  error // with what they are now
+// fileWatch notices files that have changed since they were read.
+type fileWatch struct {
+	readStamp time.Time // of the newest of them when they were read
+	checkedAt time.Time
+	err       error // with what they are now
 }
 
-// anew reads files again, if they have changed and were not looked at just now.
-func (l *look) anew(read func() error, files ...string) {
-	if time.Since(l.looked) <= lookEvery {
+// reload reads files again, if they have changed and were not looked at just now.
+func (w *fileWatch) reload(read func() error, files ...string) {
+	if time.Since(w.checkedAt) <= checkInterval {
 		return
 	}
-	l.looked = time.Now()
+	w.checkedAt = time.Now()
 	if stamp, err := newest(files...); err != nil {
-		l.wrong = err
-	} else if !stamp.Equal(l.stamp) {
-		l.wrong = read()
+		w.err = err
+	} else if !stamp.Equal(w.readStamp) {
+		w.err = read()
 	}
 }
 
--- a/internal/keys/secret.go
+++ b/internal/keys/secret.go
@@ -19,17 +19,17 @@
 // a line in hex, the newest first: that one seals, any of them opens, so a key is changed by adding the new one at the
 // end everywhere, then moving it up, then taking the old one away. A changed file is read at the next message.
 type Secret struct {
-	path  string
-	mu    sync.Mutex
-	boxes []cipher.AEAD
-	seen  look
-	last  uint64
+	path       string
+	mu         sync.Mutex
+	ciphers    []cipher.AEAD
+	watch      fileWatch
+	lastNumber uint64
 }
 
 // Limits of sealing.
 const (
 	secretBytes = 32
-	secretsMost = 4
+	maxSecrets  = 4
 	// SealBytes is how much longer a message gets.
 	SealBytes = 12 + 16 + 8
 )
@@ -64,7 +64,7 @@
 	if err != nil {
 		return fmt.Errorf("secret: %w", err)
 	}
-	var boxes []cipher.AEAD
+	var ciphers []cipher.AEAD
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	for n := 1; lines.Scan(); n++ {
 		line := bytes.TrimSpace(lines.Bytes())
@@ -83,27 +83,27 @@
 		if err != nil {
 			return fmt.Errorf("secret: %s:%d: %w", s.path, n, err)
 		}
-		boxes = append(boxes, box)
+		ciphers = append(ciphers, box)
 	}
-	if len(boxes) == 0 || len(boxes) > secretsMost {
-		return fmt.Errorf("secret: %s holds %d keys, wanted are 1 to %d", s.path, len(boxes), secretsMost)
+	if len(ciphers) == 0 || len(ciphers) > maxSecrets {
+		return fmt.Errorf("secret: %s holds %d keys, wanted are 1 to %d", s.path, len(ciphers), maxSecrets)
 	}
-	s.boxes, s.seen.stamp = boxes, stamp
+	s.ciphers, s.watch.readStamp = ciphers, stamp
 	return nil
 }
 
-// now returns the keys in force, after a look at the file.
-func (s *Secret) now() []cipher.AEAD {
-	s.seen.anew(s.read, s.path)
-	return s.boxes
+// current returns the keys in force, after a look at the file.
+func (s *Secret) current() []cipher.AEAD {
+	s.watch.reload(s.read, s.path)
+	return s.ciphers
 }
 
 // Wrong returns what is wrong with a file that has changed since it was read, if anything.
 func (s *Secret) Wrong() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.now()
-	return s.seen.wrong
+	s.current()
+	return s.watch.err
 }
 
 // Seal closes a message behind b. Outside is not hidden but can't be changed either. Each message carries a number
@@ -111,13 +111,13 @@
 func (s *Secret) Seal(b, outside, message []byte) ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	box := s.now()[0]
-	s.last = max(s.last+1, uint64(time.Now().UnixNano()))
+	box := s.current()[0]
+	s.lastNumber = max(s.lastNumber+1, uint64(time.Now().UnixNano()))
 	nonce := make([]byte, box.NonceSize())
 	if _, err := rand.Read(nonce); err != nil {
 		return nil, fmt.Errorf("seal: %w", err)
 	}
-	inside := binary.BigEndian.AppendUint64(nil, s.last)
+	inside := binary.BigEndian.AppendUint64(nil, s.lastNumber)
 	return box.Seal(append(b, nonce...), nonce, append(inside, message...), outside), nil
 }
 
@@ -125,7 +125,7 @@
 func (s *Secret) Open(outside, sealed []byte) (number uint64, message []byte, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, box := range s.now() {
+	for _, box := range s.current() {
 		n := box.NonceSize()
 		if len(sealed) < SealBytes {
 			break
--- a/internal/keys/secret_test.go
+++ b/internal/keys/secret_test.go
@@ -12,15 +12,15 @@
 	o := &Once{}
 	assert.True(t, o.New(now))
 	assert.False(t, o.New(now), "at once")
-	assert.True(t, o.New(now-onceWithin+1), "overtaken on its way")
-	assert.False(t, o.New(now-onceWithin-1), "too old, though it was never seen")
+	assert.True(t, o.New(now-maxNumberAge+1), "overtaken on its way")
+	assert.False(t, o.New(now-maxNumberAge-1), "too old, though it was never seen")
 	assert.False(t, o.New(0))
-	for i := range uint64(3 * onceKeeps) {
+	for i := range uint64(3 * replayWindow) {
 		assert.True(t, o.New(now+1+i))
 	}
-	for i := range uint64(3 * onceKeeps) {
+	for i := range uint64(3 * replayWindow) {
 		assert.False(t, o.New(now+1+i))
 	}
-	assert.Len(t, o.seen, onceKeeps)
+	assert.Len(t, o.accepted, replayWindow)
 	assert.True(t, o.New(now+1e6))
 }
--- a/internal/keys/tls.go
+++ b/internal/keys/tls.go
@@ -11,11 +11,11 @@
 func (r *Ring) Server(let ...Role) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{"h2"},
 		GetConfigForClient: func(h *tls.ClientHelloInfo) (*tls.Config, error) {
-			cert, pool := r.now()
+			cert, pool := r.current()
 			return &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{"h2"},
 				Certificates: []tls.Certificate{*cert}, ClientAuth: tls.RequireAnyClientCert,
 				VerifyConnection: func(s tls.ConnectionState) error {
-					err := check(s, pool, x509.ExtKeyUsageClientAuth, let)
+					err := verify(s, pool, x509.ExtKeyUsageClientAuth, let)
 					if err != nil && r.refused != nil {
 						r.refused(h.Conn.RemoteAddr(), err)
 					}
@@ -29,17 +29,17 @@
 	return &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{"h2"},
 		InsecureSkipVerify: true, // by host name; VerifyConnection checks the chain and the identity
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			cert, _ := r.now()
+			cert, _ := r.current()
 			return cert, nil
 		},
 		VerifyConnection: func(s tls.ConnectionState) error {
-			_, pool := r.now()
-			return check(s, pool, x509.ExtKeyUsageServerAuth, want)
+			_, pool := r.current()
+			return verify(s, pool, x509.ExtKeyUsageServerAuth, want)
 		}}
 }
 
-// check verifies a peer's chain and role.
-func check(s tls.ConnectionState, pool *x509.CertPool, use x509.ExtKeyUsage, let []Role) error {
+// verify checks a peer's chain and role.
+func verify(s tls.ConnectionState, pool *x509.CertPool, use x509.ExtKeyUsage, let []Role) error {
 	if len(s.PeerCertificates) == 0 {
 		return fmt.Errorf("no certificate: %w", ErrIdentity)
 	}
