--- a/internal/keys/authority.go
+++ b/internal/keys/authority.go
@@ -16,6 +16,22 @@
 	"time"
 )
 
+const (
+	// clockSlack is how far an authority's certificate reaches back, for clocks that are behind.
+	clockSlack = time.Minute
+	// serialBits is the size of a certificate's random serial number.
+	serialBits = 120
+	// publicMode and secretMode are the permissions of certificates and of keys.
+	publicMode = 0o644
+	secretMode = 0o600
+)
+
+// Types of PEM blocks.
+const (
+	pemCertificate = "CERTIFICATE"
+	pemPrivateKey  = "PRIVATE KEY"
+)
+
 // Authority signs certificates for rehearsals and tests. A deployment has its own.
 type Authority struct {
 	cert *x509.Certificate
@@ -23,15 +39,17 @@
 	key  *ecdsa.PrivateKey
 }
 
-// NewAuthority makes one that holds for a while.
+// NewAuthority makes one whose certificate is valid for a while.
 func NewAuthority(name string, lasts time.Duration) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, fmt.Errorf("make authority: %w", err)
 	}
-	t := newTemplate(name, time.Now().Add(-time.Minute), lasts)
-	t.IsCA, t.BasicConstraintsValid, t.KeyUsage = true, true, x509.KeyUsageCertSign
-	der, err := x509.CreateCertificate(rand.Reader, t, t, &key.PublicKey, key)
+	template := newTemplate(name, time.Now().Add(-clockSlack), lasts)
+	template.IsCA = true
+	template.BasicConstraintsValid = true
+	template.KeyUsage = x509.KeyUsageCertSign
+	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
 		return nil, fmt.Errorf("make authority: %w", err)
 	}
@@ -42,42 +60,68 @@
 	return &Authority{cert, der, key}, nil
 }
 
+// newTemplate returns what all certificates have.
 func newTemplate(name string, from time.Time, lasts time.Duration) *x509.Certificate {
-	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
+	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
 		serial = big.NewInt(time.Now().UnixNano())
 	}
-	return &x509.Certificate{SerialNumber: serial, Subject: pkix.Name{CommonName: name}, NotBefore: from,
-		NotAfter: from.Add(lasts)}
+	return &x509.Certificate{
+		SerialNumber: serial,
+		Subject:      pkix.Name{CommonName: name},
+		NotBefore:    from,
+		NotAfter:     from.Add(lasts),
+	}
 }
 
-// Issue writes a certificate and its key beside the authority's certificate into a folder and returns where they lie.
+// Issue writes a certificate and its key beside the authority's certificate into a folder and returns their paths.
 func (a *Authority) Issue(dir string, who Identity, from time.Time, lasts time.Duration) (Files, error) {
-	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	certificate, key, err := a.sign(who, from, lasts)
 	if err != nil {
 		return Files{}, fmt.Errorf("issue %s: %w", who, err)
 	}
-	t := newTemplate(who.Name, from, lasts)
-	t.URIs = []*url.URL{{Scheme: scheme, Host: string(who.Role), Path: "/" + who.Zone + "/" + who.Name}}
-	t.KeyUsage, t.IPAddresses = x509.KeyUsageDigitalSignature, []net.IP{net.IPv4(127, 0, 0, 1), net.IPv6loopback}
-	t.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}
-	der, err := x509.CreateCertificate(rand.Reader, t, a.cert, &key.PublicKey, a.key)
-	if err != nil {
-		return Files{}, fmt.Errorf("issue %s: %w", who, err)
+	files := Files{
+		Authority:   filepath.Join(dir, "authority.pem"),
+		Certificate: filepath.Join(dir, who.Name+".pem"),
+		Key:         filepath.Join(dir, who.Name+"-key.pem"),
 	}
-	secret, err := x509.MarshalPKCS8PrivateKey(key)
-	if err != nil {
-		return Files{}, fmt.Errorf("issue %s: %w", who, err)
-	}
-	f := Files{filepath.Join(dir, "authority.pem"), filepath.Join(dir, who.Name+".pem"), filepath.Join(dir, who.Name+"-key.pem")}
+	// The certificate comes last: once it can be read, its key can be too.
 	for _, part := range []struct {
-		path, kind string
-		der        []byte
-		mode       os.FileMode
-	}{{f.Authority, "CERTIFICATE", a.der, 0o644}, {f.Key, "PRIVATE KEY", secret, 0o600}, {f.Certificate, "CERTIFICATE", der, 0o644}} {
-		if err := replace(part.path, pem.EncodeToMemory(&pem.Block{Type: part.kind, Bytes: part.der}), part.mode); err != nil {
+		path, block string
+		der         []byte
+		mode        os.FileMode
+	}{
+		{files.Authority, pemCertificate, a.der, publicMode},
+		{files.Key, pemPrivateKey, key, secretMode},
+		{files.Certificate, pemCertificate, certificate, publicMode},
+	} {
+		text := pem.EncodeToMemory(&pem.Block{Type: part.block, Bytes: part.der})
+		if err := replace(part.path, text, part.mode); err != nil {
 			return Files{}, fmt.Errorf("issue %s: %w", who, err)
 		}
 	}
-	return f, nil
+	return files, nil
+}
+
+// sign returns a new certificate of an identity and its key, both in DER. It is good for either side of a connection
+// on this machine.
+func (a *Authority) sign(who Identity, from time.Time, lasts time.Duration) (certificate, key []byte, err error) {
+	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	if err != nil {
+		return nil, nil, err
+	}
+	template := newTemplate(who.Name, from, lasts)
+	template.URIs = []*url.URL{who.uri()}
+	template.KeyUsage = x509.KeyUsageDigitalSignature
+	template.IPAddresses = []net.IP{net.IPv4(127, 0, 0, 1), net.IPv6loopback}
+	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}
+	certificate, err = x509.CreateCertificate(rand.Reader, template, a.cert, &private.PublicKey, a.key)
+	if err != nil {
+		return nil, nil, err
+	}
+	key, err = x509.MarshalPKCS8PrivateKey(private)
+	if err != nil {
+		return nil, nil, err
+	}
+	return certificate, key, nil
 }
--- a/internal/keys/identity.go
+++ b/internal/keys/identity.go
@@ -26,26 +26,40 @@
 // scheme is that of the URI in a certificate that names its holder: indigousher://ROLE/ZONE/NAME.
 const scheme = "indigousher"
 
+// ErrIdentity says that a certificate names nobody, or somebody that may not be here.
+var ErrIdentity = errors.New("not an identity that is let in")
+
 // Identity is who a certificate says its holder is.
 type Identity struct {
 	Role       Role
 	Zone, Name string
 }
 
-// String is the identity as it stands in the certificate.
+// String returns the identity as it stands in the certificate.
 func (i Identity) String() string {
 	return fmt.Sprintf("%s://%s/%s/%s", scheme, i.Role, i.Zone, i.Name)
 }
 
-// ErrIdentity says that a certificate names nobody, or somebody that may not be here.
-var ErrIdentity = errors.New("not an identity that is let in")
+// uri returns the URI that names the identity in a certificate.
+func (i Identity) uri() *url.URL {
+	return &url.URL{Scheme: scheme, Host: string(i.Role), Path: "/" + i.Zone + "/" + i.Name}
+}
+
+// Named returns an identity, or an error that wraps ErrIdentity if its parts can't stand in a certificate.
+func Named(role, zone, name string) (Identity, error) {
+	identity, ok := parseURI(Identity{Role: Role(role), Zone: zone, Name: name}.uri())
+	if !ok || zone == "" {
+		return Identity{}, fmt.Errorf("%s/%s/%s, roles are %v: %w", role, zone, name, roles, ErrIdentity)
+	}
+	return identity, nil
+}
 
-// Of reads the identity from a certificate.
+// Of reads the identity from a certificate. One that names none, or several, is an error that wraps ErrIdentity.
 func Of(c *x509.Certificate) (Identity, error) {
 	var found []Identity
 	for _, u := range c.URIs {
-		if i, ok := parseURI(u); ok {
-			found = append(found, i)
+		if identity, ok := parseURI(u); ok {
+			found = append(found, identity)
 		}
 	}
 	if len(found) != 1 {
@@ -54,25 +68,6 @@
 	return found[0], nil
 }
 
-func parseURI(u *url.URL) (Identity, bool) {
-	parts := strings.Split(strings.TrimPrefix(u.Path, "/"), "/")
-	i := Identity{Role: Role(u.Host)}
-	if u.Scheme != scheme || len(parts) != 2 || !slices.Contains(roles, i.Role) || parts[1] == "" {
-		return Identity{}, false
-	}
-	i.Zone, i.Name = parts[0], parts[1]
-	return i, true
-}
-
-// Named returns an identity, if its parts can stand in a certificate.
-func Named(role, zone, name string) (Identity, error) {
-	i, ok := parseURI(&url.URL{Scheme: scheme, Host: role, Path: "/" + zone + "/" + name})
-	if !ok || zone == "" {
-		return Identity{}, fmt.Errorf("%s/%s/%s, roles are %v: %w", role, zone, name, roles, ErrIdentity)
-	}
-	return i, nil
-}
-
 // Peer returns the identity of a connection's other side.
 func Peer(s tls.ConnectionState) (Identity, error) {
 	if len(s.PeerCertificates) == 0 {
@@ -80,3 +75,13 @@
 	}
 	return Of(s.PeerCertificates[0])
 }
+
+// parseURI reads an identity from a URI, if it is one.
+func parseURI(u *url.URL) (Identity, bool) {
+	role := Role(u.Host)
+	path := strings.Split(strings.TrimPrefix(u.Path, "/"), "/")
+	if u.Scheme != scheme || len(path) != 2 || !slices.Contains(roles, role) || path[1] == "" {
+		return Identity{}, false
+	}
+	return Identity{Role: role, Zone: path[0], Name: path[1]}, true
+}
--- a/internal/keys/keystore.go
+++ b/internal/keys/keystore.go
@@ -10,23 +10,24 @@
 	"time"
 )
 
-// Files are where a ring's keys lie.
+// Files are the PEM files of a key store.
 type Files struct{ Authority, Certificate, Key string }
 
 func (f Files) list() []string { return []string{f.Authority, f.Certificate, f.Key} }
 
-// Ring holds one's own certificate and the authority that others are checked against. Files that change are read anew
-// at the next handshake; wrong ones leave the old in force.
+// Ring is the key store of a process: its own certificate, and the authority that others are checked against. Files that
+// change are read anew at the next handshake; wrong ones leave the old in force. It is safe for concurrent use.
 type Ring struct {
 	files   Files
-	refused func(peer net.Addr, err error) // tells operators
-	mu      sync.Mutex
-	cert    *tls.Certificate
-	pool    *x509.CertPool
-	watch   fileWatch
+	refused func(peer net.Addr, err error) // tells operators of a peer that was turned away; nil: nobody is told
+
+	mu    sync.Mutex
+	cert  *tls.Certificate // with its Leaf
+	pool  *x509.CertPool
+	watch fileWatch
 }
 
-// Load reads a ring. Refused is called, if not nil, for each peer that is turned away.
+// Load reads a key store. Refused is called, if not nil, for each peer that is turned away.
 func Load(f Files, refused func(net.Addr, error)) (*Ring, error) {
 	r := &Ring{files: f, refused: refused}
 	if err := r.read(); err != nil {
@@ -35,35 +36,48 @@
 	return r, nil
 }
 
+// read reads the files. On an error the store stays as it is.
 func (r *Ring) read() error {
 	stamp, err := newest(r.files.list()...)
 	if err != nil {
 		return err
 	}
-	cert, err := tls.LoadX509KeyPair(r.files.Certificate, r.files.Key)
+	cert, err := readCertificate(r.files.Certificate, r.files.Key)
 	if err != nil {
 		return fmt.Errorf("keys: %s: %w", r.files.Certificate, err)
 	}
-	if cert.Leaf == nil {
-		if cert.Leaf, err = x509.ParseCertificate(cert.Certificate[0]); err != nil {
-			return fmt.Errorf("keys: %s: %w", r.files.Certificate, err)
-		}
-	}
-	if _, err := Of(cert.Leaf); err != nil {
-		return fmt.Errorf("keys: %s: %w", r.files.Certificate, err)
-	}
-	pem, err := os.ReadFile(r.files.Authority)
+	authority, err := os.ReadFile(r.files.Authority)
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
 	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(pem) {
+	if !pool.AppendCertsFromPEM(authority) {
 		return fmt.Errorf("keys: %s holds no certificate", r.files.Authority)
 	}
-	r.cert, r.pool, r.watch.readStamp = &cert, pool, stamp
+	r.cert = cert
+	r.pool = pool
+	r.watch.readStamp = stamp
 	return nil
 }
 
+// readCertificate reads a certificate that names its holder, and its key.
+func readCertificate(certFile, keyFile string) (*tls.Certificate, error) {
+	cert, err := tls.LoadX509KeyPair(certFile, keyFile)
+	if err != nil {
+		return nil, err
+	}
+	if cert.Leaf == nil {
+		cert.Leaf, err = x509.ParseCertificate(cert.Certificate[0])
+		if err != nil {
+			return nil, err
+		}
+	}
+	if _, err := Of(cert.Leaf); err != nil {
+		return nil, err
+	}
+	return &cert, nil
+}
+
 // current returns the keys in force, after a look at the files.
 func (r *Ring) current() (*tls.Certificate, *x509.CertPool) {
 	r.mu.Lock()
@@ -80,15 +94,15 @@
 	return r.watch.err
 }
 
-// Expires returns when one's own certificate ends.
+// Expires returns when the store's own certificate ends.
 func (r *Ring) Expires() time.Time {
 	cert, _ := r.current()
 	return cert.Leaf.NotAfter
 }
 
-// Identity returns who the ring's own certificate says one is.
+// Identity returns who the store's own certificate says its holder is.
 func (r *Ring) Identity() Identity {
 	cert, _ := r.current()
-	i, _ := Of(cert.Leaf) // checked when it was read
-	return i
+	identity, _ := Of(cert.Leaf) // checked when it was read
+	return identity
 }
--- a/internal/keys/replay.go
+++ b/internal/keys/replay.go
@@ -5,23 +5,25 @@
 	"time"
 )
 
-// Once tells repeats of numbered messages from one sender: each number counts once, and none far below the newest.
-// Its zero value has seen nothing.
-type Once struct {
-	accepted []uint64
-	newest   uint64
-}
-
-// Figures of Once: numbers kept, and how far below the newest one may lie, in units of numbers (ns).
 const (
+	// replayWindow is how many of the newest numbers are remembered.
 	replayWindow = 1024
+	// maxNumberAge is how far below the newest number one may lie. Numbers are times in nanoseconds (Secret.Seal).
 	maxNumberAge = uint64(5 * time.Second)
 )
 
-// New returns whether a number is met for the first time.
+// Once tells repeats of numbered messages from one sender: each number is accepted once, and none far below the newest.
+// The zero value has accepted nothing. It is not safe for concurrent use.
+type Once struct {
+	accepted []uint64 // the greatest of them, in their order
+	newest   uint64
+}
+
+// New reports whether a message of a number is accepted: it was not met before.
 func (o *Once) New(number uint64) bool {
-	if number+maxNumberAge < o.newest || slices.Contains(o.accepted, number) ||
-		len(o.accepted) == replayWindow && number < o.accepted[0] {
+	tooOld := number+maxNumberAge < o.newest
+	full := len(o.accepted) == replayWindow
+	if tooOld || slices.Contains(o.accepted, number) || full && number < o.accepted[0] {
 		return false
 	}
 	at, _ := slices.BinarySearch(o.accepted, number)
--- a/internal/keys/secret.go
+++ b/internal/keys/secret.go
@@ -15,35 +15,40 @@
 	"time"
 )
 
-// Secret seals short messages between pilots with AES-256-GCM under keys that all of them share. The file holds one key
-// a line in hex, the newest first: that one seals, any of them opens, so a key is changed by adding the new one at the
-// end everywhere, then moving it up, then taking the old one away. A changed file is read at the next message.
-type Secret struct {
-	path       string
-	mu         sync.Mutex
-	ciphers    []cipher.AEAD
-	watch      fileWatch
-	lastNumber uint64
-}
-
-// Limits of sealing.
 const (
-	secretBytes = 32
-	maxSecrets  = 4
-	// SealBytes is how much longer a message gets.
-	SealBytes = 12 + 16 + 8
+	secretBytes = 32 // of a key of AES-256
+	maxSecrets  = 4  // keys in a file
+	nonceBytes  = 12 // of GCM
+	tagBytes    = 16 // of GCM
+	numberBytes = 8  // of a message's number, which is sealed along with it
+
+	// SealBytes is how much longer a message gets when it is sealed.
+	SealBytes = nonceBytes + tagBytes + numberBytes
 )
 
 // ErrSeal says that a message was not sealed under any of the keys.
 var ErrSeal = errors.New("not sealed under a key of ours")
 
+// Secret seals short messages between controllers with AES-256-GCM under keys that all of them share. The file holds one
+// key a line in hex, the newest first: that one seals, any of them opens, so a key is changed by adding the new one at
+// the end everywhere, then moving it up, then taking the old one away. A changed file is read at the next message; a
+// wrong one leaves the old keys in force. It is safe for concurrent use.
+type Secret struct {
+	path string
+
+	mu         sync.Mutex
+	ciphers    []cipher.AEAD
+	watch      fileWatch
+	lastNumber uint64 // of the newest message that was sealed
+}
+
 // NewSecret writes a file with one new key.
 func NewSecret(path string) error {
 	key := make([]byte, secretBytes)
 	if _, err := rand.Read(key); err != nil {
 		return fmt.Errorf("make secret: %w", err)
 	}
-	return replace(path, []byte(hex.EncodeToString(key)+"\n"), 0o600)
+	return replace(path, []byte(hex.EncodeToString(key)+"\n"), secretMode)
 }
 
 // LoadSecret reads a file of keys.
@@ -55,6 +60,7 @@
 	return s, nil
 }
 
+// read reads the file. On an error the keys stay as they are.
 func (s *Secret) read() error {
 	stamp, err := newest(s.path)
 	if err != nil {
@@ -64,6 +70,17 @@
 	if err != nil {
 		return fmt.Errorf("secret: %w", err)
 	}
+	ciphers, err := s.parse(text)
+	if err != nil {
+		return err
+	}
+	s.ciphers = ciphers
+	s.watch.readStamp = stamp
+	return nil
+}
+
+// parse reads the keys from the file's text; empty lines are left out.
+func (s *Secret) parse(text []byte) ([]cipher.AEAD, error) {
 	var ciphers []cipher.AEAD
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	for n := 1; lines.Scan(); n++ {
@@ -73,26 +90,30 @@
 		}
 		key, err := hex.DecodeString(string(line))
 		if err != nil || len(key) != secretBytes { // the line itself is not shown
-			return fmt.Errorf("secret: %s:%d: no key of %d bytes in hex", s.path, n, secretBytes)
+			return nil, fmt.Errorf("secret: %s:%d: no key of %d bytes in hex", s.path, n, secretBytes)
 		}
-		block, err := aes.NewCipher(key)
+		sealer, err := newCipher(key)
 		if err != nil {
-			return fmt.Errorf("secret: %s:%d: %w", s.path, n, err)
+			return nil, fmt.Errorf("secret: %s:%d: %w", s.path, n, err)
 		}
-		box, err := cipher.NewGCM(block)
-		if err != nil {
-			return fmt.Errorf("secret: %s:%d: %w", s.path, n, err)
-		}
-		ciphers = append(ciphers, box)
+		ciphers = append(ciphers, sealer)
 	}
 	if len(ciphers) == 0 || len(ciphers) > maxSecrets {
-		return fmt.Errorf("secret: %s holds %d keys, wanted are 1 to %d", s.path, len(ciphers), maxSecrets)
+		return nil, fmt.Errorf("secret: %s holds %d keys, wanted are 1 to %d", s.path, len(ciphers), maxSecrets)
 	}
-	s.ciphers, s.watch.readStamp = ciphers, stamp
-	return nil
+	return ciphers, nil
 }
 
-// current returns the keys in force, after a look at the file.
+// newCipher returns AES-GCM under a key.
+func newCipher(key []byte) (cipher.AEAD, error) {
+	block, err := aes.NewCipher(key)
+	if err != nil {
+		return nil, err
+	}
+	return cipher.NewGCM(block)
+}
+
+// current returns the keys in force, after a look at the file. The caller holds the lock.
 func (s *Secret) current() []cipher.AEAD {
 	s.watch.reload(s.read, s.path)
 	return s.ciphers
@@ -106,32 +127,35 @@
 	return s.watch.err
 }
 
-// Seal closes a message behind b. Outside is not hidden but can't be changed either. Each message carries a number
-// above those before, also of earlier lives while the clock does not go back.
+// Seal appends a sealed message to b. What is outside is not hidden but can't be changed either. Each message carries a
+// number above those before, also of earlier lives of the process while the clock does not go back.
 func (s *Secret) Seal(b, outside, message []byte) ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	box := s.current()[0]
+	newest := s.current()[0]
 	s.lastNumber = max(s.lastNumber+1, uint64(time.Now().UnixNano()))
-	nonce := make([]byte, box.NonceSize())
+	nonce := make([]byte, newest.NonceSize())
 	if _, err := rand.Read(nonce); err != nil {
 		return nil, fmt.Errorf("seal: %w", err)
 	}
 	inside := binary.BigEndian.AppendUint64(nil, s.lastNumber)
-	return box.Seal(append(b, nonce...), nonce, append(inside, message...), outside), nil
+	inside = append(inside, message...)
+	return newest.Seal(append(b, nonce...), nonce, inside, outside), nil
 }
 
-// Open opens a message and returns its number.
+// Open opens a message and returns its number. It returns ErrSeal if none of the keys opens it.
 func (s *Secret) Open(outside, sealed []byte) (number uint64, message []byte, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, box := range s.current() {
-		n := box.NonceSize()
-		if len(sealed) < SealBytes {
-			break
-		}
-		if inside, err := box.Open(nil, sealed[:n], sealed[n:], outside); err == nil {
-			return binary.BigEndian.Uint64(inside), inside[8:], nil
+	ciphers := s.current()
+	if len(sealed) < SealBytes {
+		return 0, nil, ErrSeal
+	}
+	for _, key := range ciphers {
+		nonce := sealed[:key.NonceSize()]
+		inside, err := key.Open(nil, nonce, sealed[key.NonceSize():], outside)
+		if err == nil {
+			return binary.BigEndian.Uint64(inside), inside[numberBytes:], nil
 		}
 	}
 	return 0, nil, ErrSeal
--- a/internal/keys/tls.go
+++ b/internal/keys/tls.go
@@ -7,26 +7,43 @@
 	"slices"
 )
 
-// Server is for listeners that let some roles in.
+// nextProtos is what gRPC negotiates; the framed protocol does not look at it.
+var nextProtos = []string{"h2"}
+
+// Server returns the configuration of listeners that let some roles in. Each handshake uses the keys then in force.
 func (r *Ring) Server(let ...Role) *tls.Config {
-	return &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{"h2"},
-		GetConfigForClient: func(h *tls.ClientHelloInfo) (*tls.Config, error) {
-			cert, pool := r.current()
-			return &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{"h2"},
-				Certificates: []tls.Certificate{*cert}, ClientAuth: tls.RequireAnyClientCert,
-				VerifyConnection: func(s tls.ConnectionState) error {
-					err := verify(s, pool, x509.ExtKeyUsageClientAuth, let)
-					if err != nil && r.refused != nil {
-						r.refused(h.Conn.RemoteAddr(), err)
-					}
-					return err
-				}}, nil
-		}}
+	return &tls.Config{
+		MinVersion: tls.VersionTLS13,
+		NextProtos: nextProtos,
+		GetConfigForClient: func(hello *tls.ClientHelloInfo) (*tls.Config, error) {
+			return r.serverConfig(hello, let), nil
+		},
+	}
+}
+
+// serverConfig returns the configuration of one handshake.
+func (r *Ring) serverConfig(hello *tls.ClientHelloInfo, let []Role) *tls.Config {
+	cert, pool := r.current()
+	return &tls.Config{
+		MinVersion:   tls.VersionTLS13,
+		NextProtos:   nextProtos,
+		Certificates: []tls.Certificate{*cert},
+		ClientAuth:   tls.RequireAnyClientCert, // VerifyConnection checks the chain and the identity
+		VerifyConnection: func(s tls.ConnectionState) error {
+			err := verify(s, pool, x509.ExtKeyUsageClientAuth, let)
+			if err != nil && r.refused != nil {
+				r.refused(hello.Conn.RemoteAddr(), err)
+			}
+			return err
+		},
+	}
 }
 
-// Client is for those who dial one that has a role. Names of hosts don't count, identities do.
+// Client returns the configuration of those who dial one that has a role. Names of hosts don't count, identities do.
 func (r *Ring) Client(want ...Role) *tls.Config {
-	return &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{"h2"},
+	return &tls.Config{
+		MinVersion:         tls.VersionTLS13,
+		NextProtos:         nextProtos,
 		InsecureSkipVerify: true, // by host name; VerifyConnection checks the chain and the identity
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			cert, _ := r.current()
@@ -35,7 +52,8 @@
 		VerifyConnection: func(s tls.ConnectionState) error {
 			_, pool := r.current()
 			return verify(s, pool, x509.ExtKeyUsageServerAuth, want)
-		}}
+		},
+	}
 }
 
 // verify checks a peer's chain and role.
@@ -43,20 +61,21 @@
 	if len(s.PeerCertificates) == 0 {
 		return fmt.Errorf("no certificate: %w", ErrIdentity)
 	}
-	between := x509.NewCertPool()
+	leaf := s.PeerCertificates[0]
+	intermediates := x509.NewCertPool()
 	for _, c := range s.PeerCertificates[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
-	leaf := s.PeerCertificates[0]
-	if _, err := leaf.Verify(x509.VerifyOptions{Roots: pool, Intermediates: between, KeyUsages: []x509.ExtKeyUsage{use}}); err != nil {
+	options := x509.VerifyOptions{Roots: pool, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{use}}
+	if _, err := leaf.Verify(options); err != nil {
 		return fmt.Errorf("certificate %q: %w", leaf.Subject.CommonName, err)
 	}
-	i, err := Of(leaf)
+	identity, err := Of(leaf)
 	if err != nil {
 		return err
 	}
-	if !slices.Contains(let, i.Role) {
-		return fmt.Errorf("%s among %v: %w", i, let, ErrIdentity)
+	if !slices.Contains(let, identity.Role) {
+		return fmt.Errorf("%s among %v: %w", identity, let, ErrIdentity)
 	}
 	return nil
 }
