--- a/internal/edge/admin/admin.go
+++ b/internal/edge/admin/admin.go
@@ -36,7 +36,7 @@
 func Serve(ctx context.Context, l net.Listener, g prometheus.Gatherer, state func() pilot.State) error {
 	server := newServer(handler(g, state))
 	l = netutil.LimitListener(l, maxConns)
-	stop := context.AfterFunc(ctx, func() { shutDown(server) })
+	stop := context.AfterFunc(ctx, func() { shutDown(ctx, server) })
 	defer stop()
 	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serve admin on %s: %w", l.Addr(), err)
@@ -73,9 +73,9 @@
 	}
 }
 
-// shutDown ends a server once its answers under way are written, or after shutdownWithin.
-func shutDown(server *http.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), shutdownWithin)
+// shutDown ends a server once its answers under way are written, or after shutdownWithin; ctx has ended.
+func shutDown(ctx context.Context, server *http.Server) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownWithin)
 	defer cancel()
 	if server.Shutdown(ctx) != nil {
 		_ = server.Close() // what is cut off had its time
--- a/internal/edge/admin/admin_test.go
+++ b/internal/edge/admin/admin_test.go
@@ -16,22 +16,24 @@
 	"indigousher/internal/pilot"
 )
 
-// TestBadRequests guards the operators' listener against senders that are slow, too long or never read: each is answered
-// with an error or cut off in time, and others are served meanwhile.
+// TestBadRequests guards the operators' listener against senders that are slow, too long or never read: each is
+// answered with an error or cut off in time, and others are served meanwhile.
 func TestBadRequests(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() {
-		ended <- Serve(ctx, l, prometheus.NewRegistry(), func() pilot.State { return pilot.State{Listed: true, LastTurn: time.Now()} })
+	state := func() pilot.State { return pilot.State{Listed: true, LastTurn: time.Now()} }
+	go func() { ended <- Serve(ctx, l, prometheus.NewRegistry(), state) }()
+	defer func() {
+		cancel()
+		assert.NoError(t, <-ended)
 	}()
-	defer func() { cancel(); assert.NoError(t, <-ended) }()
 	ask := func(text string) string {
 		c, err := net.Dial("tcp", l.Addr().String())
 		require.NoError(t, err)
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		_, _ = io.WriteString(c, text) // a refusal may come before the end
 		_ = c.SetReadDeadline(time.Now().Add(4 * readTimeout))
 		b, err := io.ReadAll(c)
@@ -66,7 +68,7 @@
 		for range maxConns - 8 { // that say nothing
 			c, err := net.Dial("tcp", at)
 			require.NoError(t, err)
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 		}
 		assert.Contains(t, ask("GET /readyz HTTP/1.1\r\nHost: x\r\n"+end), "200 OK")
 	})
--- a/internal/edge/contract_test.go
+++ b/internal/edge/contract_test.go
@@ -71,12 +71,16 @@
 
 var transports = []transport{
 	{"framed", func(in *inbox, ring *keys.Ring) server {
-		return framed.NewServer(framed.Door{Pilot: "one", Beat: beat, Period: time.Second, WriteDeadline: time.Second,
-			SeenWithin: seen, HelloDeadline: time.Second, MaxStreams: 5000, Queue: 64}, in, zap.NewNop())
+		return framed.NewServer(framed.Door{
+			Pilot: "one", Beat: beat, Period: time.Second, WriteDeadline: time.Second,
+			SeenWithin: seen, HelloDeadline: time.Second, MaxStreams: 5000, Queue: 64,
+		}, in, zap.NewNop())
 	}, proxy.Framed},
 	{"grpc", func(in *inbox, ring *keys.Ring) server {
-		return grpcedge.New(grpcedge.Door{Pilot: "one", Beat: beat, Period: time.Second, SeenWithin: seen,
-			HelloIn: time.Second, MaxMessage: 1 << 20, MaxStreams: 5000, QueueLines: 4000, Keys: ring}, in, zap.NewNop())
+		return grpcedge.New(grpcedge.Door{
+			Pilot: "one", Beat: beat, Period: time.Second, SeenWithin: seen,
+			HelloIn: time.Second, MaxMessage: 1 << 20, MaxStreams: 5000, QueueLines: 4000, Keys: ring,
+		}, in, zap.NewNop())
 	}, func(c *tls.Config) proxy.Joiner { return proxy.GRPC(c, false) }},
 }
 
@@ -99,9 +103,11 @@
 
 var dial = (&net.Dialer{}).DialContext
 
-func hello(name string) *wire.Hello {
-	return &wire.Hello{Version: 1, Proxy: name, Zone: "a", Boot: 3, Rate: 2, Fresh: true, Holds: []string{"x"},
-		Tables: []wire.HeldTable{{Table: 2, Lines: []wire.HeldLine{{Endpoint: "x", Weight: 0.5}}}}}
+func hello() *wire.Hello {
+	return &wire.Hello{
+		Version: 1, Proxy: "p", Zone: "a", Boot: 3, Rate: 2, Fresh: true, Holds: []string{"x"},
+		Tables: []wire.HeldTable{{Table: 2, Lines: []wire.HeldLine{{Endpoint: "x", Weight: 0.5}}}},
+	}
 }
 
 // read returns the next message that is no beat, and goes on beating meanwhile.
@@ -135,10 +141,16 @@
 // TestContract is what every transport does alike, seen from both ends.
 func TestContract(t *testing.T) {
 	set := func(e string, w float64) wire.Op { return wire.Op{Kind: wire.OpSet, Table: 2, Endpoint: e, Weight: w} }
-	orders := &wire.Orders{AtMs: 10, AgeMs: 3, Lines: 9, Ops: []wire.Op{{Kind: wire.OpBind, Table: 2, Kinds: 3, Keep: true}, set("x", 1),
-		set("y", 0.5), {Kind: wire.OpWithdraw, Endpoint: "y", Out: true},
-		{Kind: wire.OpAdmit, Table: 2, Kinds: 1, Weight: 0.5, Again: 1}, {Kind: wire.OpRange, Table: 3, From: "a", To: "k"}, {Kind: wire.OpRange, Table: 4, Out: true},
-		{Kind: wire.OpMark, Number: 7}}}
+	orders := &wire.Orders{AtMs: 10, AgeMs: 3, Lines: 9, Ops: []wire.Op{
+		{Kind: wire.OpBind, Table: 2, Kinds: 3, Keep: true},
+		set("x", 1),
+		set("y", 0.5),
+		{Kind: wire.OpWithdraw, Endpoint: "y", Out: true},
+		{Kind: wire.OpAdmit, Table: 2, Kinds: 1, Weight: 0.5, Again: 1},
+		{Kind: wire.OpRange, Table: 3, From: "a", To: "k"},
+		{Kind: wire.OpRange, Table: 4, Out: true},
+		{Kind: wire.OpMark, Number: 7},
+	}}
 	for _, c := range []struct {
 		name string
 		run  func(t *testing.T, s server, in *inbox, st pilot.Stream, l proxy.Line, stop func())
@@ -150,9 +162,13 @@
 			assert.Equal(t, pilot.Applied{Stream: st, Done: wire.Done{Mark: 7, TookMs: 2}}, next[pilot.Applied](t, in))
 		}},
 		{"a report", func(t *testing.T, _ server, in *inbox, st pilot.Stream, l proxy.Line, _ func()) {
-			sums := &wire.Sums{Seq: 1, AtMs: 5, SpanMs: 1000, Met: []wire.Met{{Endpoint: "x", Tries: 4, Failed: 1, MeanMs: 2,
-				Load: []wire.Figure{{Name: "rate", Value: 3}, {Name: "util", Value: 0.5}}}}, Demand: []wire.Demand{{Kind: "read", Reqs: 5, Unanswered: 1}},
-				Slices: []wire.SliceLoad{{Slice: 7, Kind: "read", Reqs: 3, Unanswered: 1}}}
+			sums := &wire.Sums{
+				Seq: 1, AtMs: 5, SpanMs: 1000, Met: []wire.Met{{
+					Endpoint: "x", Tries: 4, Failed: 1, MeanMs: 2,
+					Load: []wire.Figure{{Name: "rate", Value: 3}, {Name: "util", Value: 0.5}},
+				}}, Demand: []wire.Demand{{Kind: "read", Reqs: 5, Unanswered: 1}},
+				Slices: []wire.SliceLoad{{Slice: 7, Kind: "read", Reqs: 3, Unanswered: 1}},
+			}
 			require.NoError(t, l.Write(sums, time.Second))
 			assert.Equal(t, pilot.Reported{Stream: st, Sums: sums}, next[pilot.Reported](t, in))
 		}},
@@ -206,12 +222,12 @@
 		for _, tr := range transports {
 			t.Run(c.name+"/"+tr.name, func(t *testing.T) {
 				s, in, address, stop := start(t, tr, nil)
-				l, w, err := tr.join(nil)(t.Context(), dial, address, hello("p"))
+				l, w, err := tr.join(nil)(t.Context(), dial, address, hello())
 				require.NoError(t, err)
 				defer l.Close()
 				assert.Equal(t, &wire.Welcome{Version: 1, Pilot: "one", BeatMs: 100, PeriodMs: 1000}, w)
 				j := next[pilot.Join](t, in)
-				assert.Equal(t, *hello("p"), j.Hello)
+				assert.Equal(t, *hello(), j.Hello)
 				c.run(t, s, in, j.Stream, l, stop)
 			})
 		}
@@ -265,7 +281,7 @@
 				_, in, address, _ := start(t, tr, ring)
 				ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 				defer cancel()
-				_, _, err = tr.join(c.tls)(ctx, dial, address, hello("p"))
+				_, _, err = tr.join(c.tls)(ctx, dial, address, hello())
 				assert.Error(t, err)
 				assert.NotContains(t, err.Error(), "indigousher://", "strangers are not told who is let in")
 				assert.Empty(t, in.got)
@@ -276,7 +292,7 @@
 					assert.Contains(t, told, c.told)
 					mu.Unlock()
 				}
-				l, _, err := tr.join(client(ours))(t.Context(), dial, address, hello("p"))
+				l, _, err := tr.join(client(ours))(t.Context(), dial, address, hello())
 				require.NoError(t, err, "the rightful one gets in")
 				l.Close()
 				next[pilot.Leave](t, in)
@@ -302,7 +318,7 @@
 			mine, err := keys.Load(pf, nil)
 			require.NoError(t, err)
 			_, in, address, _ := start(t, tr, ring)
-			l, _, err := tr.join(mine.Client(keys.Pilot))(t.Context(), dial, address, hello("p"))
+			l, _, err := tr.join(mine.Client(keys.Pilot))(t.Context(), dial, address, hello())
 			require.NoError(t, err)
 			defer l.Close()
 			before := ring.Expires()
@@ -316,7 +332,7 @@
 				time.Sleep(20 * time.Millisecond)
 			}
 			assert.True(t, ring.Expires().After(before), "the new certificate is in force")
-			second, _, err := tr.join(mine.Client(keys.Pilot))(t.Context(), dial, address, hello("p"))
+			second, _, err := tr.join(mine.Client(keys.Pilot))(t.Context(), dial, address, hello())
 			require.NoError(t, err)
 			second.Close()
 			require.NoError(t, ring.Wrong())
--- a/internal/edge/framed/framed_test.go
+++ b/internal/edge/framed/framed_test.go
@@ -68,8 +68,10 @@
 
 // serve starts a server and returns its address.
 func serve(t *testing.T, change func(*Door)) (*Server, *inbox, string, context.CancelFunc) {
-	d := Door{Pilot: "one", Beat: 100 * time.Millisecond, Period: time.Second, WriteDeadline: 200 * time.Millisecond,
-		HelloDeadline: 300 * time.Millisecond, SeenWithin: 500 * time.Millisecond, MaxFrame: 4096, MaxStreams: 3, Queue: 4}
+	d := Door{
+		Pilot: "one", Beat: 100 * time.Millisecond, Period: time.Second, WriteDeadline: 200 * time.Millisecond,
+		HelloDeadline: 300 * time.Millisecond, SeenWithin: 500 * time.Millisecond, MaxFrame: 4096, MaxStreams: 3, Queue: 4,
+	}
 	if change != nil {
 		change(&d)
 	}
@@ -87,7 +89,7 @@
 func dial(t *testing.T, address string) net.Conn {
 	c, err := net.Dial("tcp", address)
 	require.NoError(t, err)
-	t.Cleanup(func() { c.Close() })
+	t.Cleanup(func() { _ = c.Close() })
 	require.NoError(t, c.SetDeadline(time.Now().Add(10*time.Second)))
 	return c
 }
@@ -174,8 +176,10 @@
 		answer wire.Message
 	}{
 		{"no hello", &wire.Beat{}, &wire.Refuse{Reason: "a hello must come first"}},
-		{"another version", &wire.Hello{Version: 9, Proxy: "p", Zone: "a"},
-			&wire.Refuse{Reason: "version 9 is not spoken here, 1 is"}},
+		{
+			"another version", &wire.Hello{Version: 9, Proxy: "p", Zone: "a"},
+			&wire.Refuse{Reason: "version 9 is not spoken here, 1 is"},
+		},
 		{"nothing at all", nil, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -256,7 +260,7 @@
 	require.NoError(t, st.Send(&wire.Orders{Lines: 1}))
 	assert.Error(t, alive(1, 5*time.Second))
 	in.left(t, st)
-	c.Close()
+	_ = c.Close() // the server has closed it
 }
 
 // TestStop shows that a pilot which stops asks its proxies to dial elsewhere, and one that is killed says nothing.
@@ -313,8 +317,10 @@
 	out := &exhaustedListener{Listener: l}
 	out.left.Store(3)
 	in := &inbox{}
-	s := NewServer(Door{Pilot: "one", Beat: time.Second, Period: time.Second, WriteDeadline: time.Second, SeenWithin: time.Second,
-		HelloDeadline: 5 * time.Second, MaxStreams: 3, Queue: 4}, in, zap.NewNop())
+	s := NewServer(Door{
+		Pilot: "one", Beat: time.Second, Period: time.Second, WriteDeadline: time.Second, SeenWithin: time.Second,
+		HelloDeadline: 5 * time.Second, MaxStreams: 3, Queue: 4,
+	}, in, zap.NewNop())
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(ctx, out) }()
--- a/internal/edge/grpcedge/grpcedge_test.go
+++ b/internal/edge/grpcedge/grpcedge_test.go
@@ -27,6 +27,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// inbox keeps inputs in order.
 type inbox struct {
 	mu  sync.Mutex
 	got []pilot.Input
@@ -55,15 +56,22 @@
 	return list
 }
 
+// client is a proxy's side of one stream.
 type client struct {
 	t      *testing.T
 	stream grpc.BidiStreamingClient[pb.Upward, pb.Downward]
 	cancel context.CancelFunc
 }
 
+// plainText connects without keys.
+var plainText = grpc.WithTransportCredentials(insecure.NewCredentials())
+
+// serve starts a server and returns a connection to it.
 func serve(t *testing.T, change func(*Door)) (*Server, *inbox, *grpc.ClientConn) {
-	d := Door{Pilot: "one", Beat: 100 * time.Millisecond, Period: time.Second, SeenWithin: 5 * time.Second,
-		HelloIn: time.Second, MaxMessage: 1 << 16, MaxStreams: 5000, QueueLines: 50}
+	d := Door{
+		Pilot: "one", Beat: 100 * time.Millisecond, Period: time.Second, SeenWithin: 5 * time.Second,
+		HelloIn: time.Second, MaxMessage: 1 << 16, MaxStreams: 5000, QueueLines: 50,
+	}
 	if change != nil {
 		change(&d)
 	}
@@ -74,12 +82,17 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(ctx, l) }()
-	conn, err := grpc.NewClient("passthrough:///"+l.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
+	conn, err := grpc.NewClient("passthrough:///"+l.Addr().String(), plainText)
 	require.NoError(t, err)
-	t.Cleanup(func() { conn.Close(); cancel(); assert.NoError(t, <-done) })
+	t.Cleanup(func() {
+		assert.NoError(t, conn.Close())
+		cancel()
+		assert.NoError(t, <-done)
+	})
 	return s, in, conn
 }
 
+// follow opens a stream.
 func follow(t *testing.T, conn *grpc.ClientConn, options ...grpc.CallOption) *client {
 	ctx, cancel := context.WithCancel(t.Context())
 	g, err := pb.NewControlClient(conn).Follow(ctx, options...)
@@ -88,16 +101,18 @@
 	return &client{t, g, cancel}
 }
 
+// say sends a message; the stream may have ended.
 func (c *client) say(m *pb.Upward) { _ = c.stream.Send(m) }
 
-func (c *client) hello(h *pb.Hello) *pb.Welcome {
+// hello says hello and waits for the welcome.
+func (c *client) hello(h *pb.Hello) {
 	c.say(&pb.Upward{Says: &pb.Upward_Hello{Hello: h}})
 	m, err := c.stream.Recv()
 	require.NoError(c.t, err)
 	require.NotNil(c.t, m.GetWelcome())
-	return m.GetWelcome()
 }
 
+// ack acknowledges a version, or refuses it with a reason.
 func (c *client) ack(version uint64, refusal string) {
 	c.say(&pb.Upward{Says: &pb.Upward_Ack{Ack: &pb.Ack{Version: version, Refusal: refusal}}})
 }
@@ -142,7 +157,9 @@
 		{"a refusal", func(c *client) { c.ack(1, "table 1 is unknown to me") }, codes.Aborted},
 		{"a refusal after taking it", func(c *client) { c.ack(1, ""); c.ack(1, "no") }, codes.Aborted},
 		{"the same taken twice", func(c *client) { c.ack(1, ""); c.ack(1, "") }, codes.InvalidArgument},
-		{"a second hello", func(c *client) { c.say(&pb.Upward{Says: &pb.Upward_Hello{Hello: hello("q")}}) }, codes.InvalidArgument},
+		{"a second hello", func(c *client) {
+			c.say(&pb.Upward{Says: &pb.Upward_Hello{Hello: hello("q")}})
+		}, codes.InvalidArgument},
 		{"figures that are none", func(c *client) {
 			c.say(&pb.Upward{Says: &pb.Upward_Report{Report: &pb.Report{SpanMs: -1}}})
 		}, codes.InvalidArgument},
@@ -166,8 +183,8 @@
 	}
 }
 
-// TestCompressedBomb guards against a small message that unpacks to far beyond the limit. The beat is long: packing it takes a busy
-// machine more than the three short ones after which the stream would end for silence.
+// TestCompressedBomb guards against a small message that unpacks to far beyond the limit. The heartbeat is long: packing
+// the message takes a busy machine more than the three short ones after which the stream would end for silence.
 func TestCompressedBomb(t *testing.T) {
 	_, in, conn := serve(t, func(d *Door) { d.Beat, d.SeenWithin = time.Minute, time.Minute })
 	cl := follow(t, conn, grpc.UseCompressor(gzip.Name))
@@ -187,7 +204,9 @@
 		want  codes.Code
 	}{
 		{"fields of a later version", &pb.Upward{Says: &pb.Upward_Hello{Hello: late}}, codes.OK},
-		{"an older version", &pb.Upward{Says: &pb.Upward_Hello{Hello: &pb.Hello{Version: 3, Proxy: "p", Zone: "a"}}}, codes.FailedPrecondition},
+		{"another version", &pb.Upward{Says: &pb.Upward_Hello{
+			Hello: &pb.Hello{Version: 3, Proxy: "p", Zone: "a"},
+		}}, codes.FailedPrecondition},
 		{"no name", &pb.Upward{Says: &pb.Upward_Hello{Hello: &pb.Hello{Version: 1, Zone: "a"}}}, codes.InvalidArgument},
 		{"a report first", &pb.Upward{Says: &pb.Upward_Report{Report: &pb.Report{}}}, codes.InvalidArgument},
 		{"nothing", nil, codes.DeadlineExceeded},
@@ -207,15 +226,16 @@
 	}
 }
 
-// TestReconnectStorm guards a pilot that returns against all streams at once: they are let in at a pace and none is turned away.
+// TestReconnectStorm guards a controller that returns against all streams at once: they are let in at a limited rate and
+// none is turned away.
 func TestReconnectStorm(t *testing.T) {
 	const many = 2000
 	s, in, conn := serve(t, func(d *Door) { d.NewPerS = 1000; d.Beat = 5 * time.Second })
 	var conns []*grpc.ClientConn
 	for range many / 50 {
-		c, err := grpc.NewClient(conn.Target(), grpc.WithTransportCredentials(insecure.NewCredentials()))
+		c, err := grpc.NewClient(conn.Target(), plainText)
 		require.NoError(t, err)
-		defer c.Close()
+		defer func() { assert.NoError(t, c.Close()) }()
 		conns = append(conns, c)
 	}
 	var wg sync.WaitGroup
@@ -238,7 +258,8 @@
 func TestCollapse(t *testing.T) {
 	st := newStream(10)
 	for i := range 1000 {
-		require.NoError(t, st.Send(&wire.Orders{Lines: 2, Ops: []wire.Op{set("x", float64(i)), set("y", 1), {Kind: wire.OpMark, Number: 1}}}))
+		ops := []wire.Op{set("x", float64(i)), set("y", 1), {Kind: wire.OpMark, Number: 1}}
+		require.NoError(t, st.Send(&wire.Orders{Lines: 2, Ops: ops}))
 	}
 	a := st.next().GetAssignment()
 	require.Len(t, a.GetSteps(), 2)
@@ -254,9 +275,13 @@
 
 // FuzzUpward guards what is parsed before anybody is known.
 func FuzzUpward(f *testing.F) {
-	for _, m := range []*pb.Upward{{Says: &pb.Upward_Hello{Hello: hello("p")}},
-		{Says: &pb.Upward_Report{Report: &pb.Report{Number: 1, Endpoints: []*pb.EndpointLoad{{Endpoint: "x", Tries: 2,
-			Figures: map[string]float64{"util": 1}}}}}}} {
+	for _, m := range []*pb.Upward{
+		{Says: &pb.Upward_Hello{Hello: hello("p")}},
+		{Says: &pb.Upward_Report{Report: &pb.Report{Number: 1, Endpoints: []*pb.EndpointLoad{{
+			Endpoint: "x", Tries: 2,
+			Figures: map[string]float64{"util": 1},
+		}}}}},
+	} {
 		b, err := proto.Marshal(m)
 		require.NoError(f, err)
 		f.Add(b)
--- a/internal/edge/grpcedge/handshake.go
+++ b/internal/edge/grpcedge/handshake.go
@@ -33,8 +33,8 @@
 	if message == nil {
 		return nil, status.Error(codes.InvalidArgument, refusalNoHello)
 	}
-	if message.GetVersion() != wire.Version {
-		return nil, status.Errorf(codes.FailedPrecondition, "version %d is not spoken here, %d is", message.GetVersion(), wire.Version)
+	if version := message.GetVersion(); version != wire.Version {
+		return nil, status.Errorf(codes.FailedPrecondition, "version %d is not spoken here, %d is", version, wire.Version)
 	}
 	hello, err := HelloFrom(message)
 	if err != nil {
--- a/internal/edge/list/list_test.go
+++ b/internal/edge/list/list_test.go
@@ -90,7 +90,10 @@
 
 // TestSilentStream guards against a source that takes the connection and says nothing, or not what is asked.
 func TestSilentStream(t *testing.T) {
-	for name, says := range map[string]wire.Message{"nothing": nil, "a hello": &wire.Hello{Version: 1, Proxy: "p", Zone: "a"}} {
+	for name, says := range map[string]wire.Message{
+		"nothing": nil,
+		"a hello": &wire.Hello{Version: 1, Proxy: "p", Zone: "a"},
+	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
@@ -104,10 +107,17 @@
 					if says != nil {
 						_, _ = wire.NewWriter(c).Write(says)
 					}
-					wg.Go(func() { _, _ = c.Read(make([]byte, 1<<10)); time.Sleep(300 * time.Millisecond); c.Close() })
+					wg.Go(func() {
+						_, _ = c.Read(make([]byte, 1<<10))
+						time.Sleep(300 * time.Millisecond)
+						_ = c.Close() // the other side may have closed it
+					})
 				}
 			})
-			t.Cleanup(func() { l.Close(); wg.Wait() })
+			t.Cleanup(func() {
+				assert.NoError(t, l.Close())
+				wg.Wait()
+			})
 			in := &inbox{}
 			run(t, NewStream("one", l.Addr().String(), (&net.Dialer{}).DialContext, in, 100*time.Millisecond, zap.NewNop()).Run)
 			in.has(t, "lost")
@@ -137,8 +147,8 @@
 	in.has(t, "lost", "whole x", "lost", "whole y")
 }
 
-// TestFileWrittenInPlace guards the endpoints of a list that is truncated and written anew bit by bit: what stands in the
-// file meanwhile reads well, and would have all that is not there yet withdrawn.
+// TestFileWrittenInPlace guards the endpoints of a list that is truncated and written anew bit by bit: what stands in
+// the file meanwhile reads well, and would have all that is not there yet withdrawn.
 func TestFileWrittenInPlace(t *testing.T) {
 	path, whole := filepath.Join(t.TempDir(), "endpoints.hcl"), ""
 	for i := range 40 {
@@ -149,7 +159,11 @@
 	f := NewFile(path, terms.ReadList, in, zap.NewNop())
 	f.settle = maxUnsettled / 2 // a machine that is busy may hold the writer up for a while
 	run(t, f.Run)
-	require.Eventually(t, func() bool { in.mu.Lock(); defer in.mu.Unlock(); return len(in.got) == 1 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool {
+		in.mu.Lock()
+		defer in.mu.Unlock()
+		return len(in.got) == 1
+	}, 5*time.Second, time.Millisecond)
 	want := in.got[0]
 	for range 2 {
 		file, err := os.OpenFile(path, os.O_WRONLY|os.O_TRUNC, 0)
@@ -179,7 +193,8 @@
 	return nil
 }
 
-// TestUnreadableFile guards against a file that can't be read being read without an end, as each loss asks for it again.
+// TestUnreadableFile guards against a file that can't be read being read without an end, as each loss asks for it
+// again.
 func TestUnreadableFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "endpoints.hcl")
 	require.NoError(t, os.WriteFile(path, []byte("endpoint {"), 0o600))
--- a/internal/edge/peers/peers_test.go
+++ b/internal/edge/peers/peers_test.go
@@ -53,7 +53,7 @@
 	}
 	noise, err := net.Dial("udp", at[1])
 	require.NoError(t, err)
-	defer noise.Close()
+	defer func() { assert.NoError(t, noise.Close()) }()
 	for _, b := range [][]byte{[]byte("hello"), Encode(9, "a stranger"), append(Encode(0, ""), make([]byte, 1100)...)} {
 		_, err := noise.Write(b)
 		require.NoError(t, err)
@@ -91,8 +91,13 @@
 		data []byte
 		text string
 	}{
-		{"sealed", note, "load 0.7"}, {"the same again", note, ""}, {"under another key", strange, ""},
-		{"another sender's rank", forged, ""}, {"in plain", Encode(3, "x"), ""}, {"truncated", note[:20], ""}, {"nothing", nil, ""},
+		{"sealed", note, "load 0.7"},
+		{"the same again", note, ""},
+		{"under another key", strange, ""},
+		{"another sender's rank", forged, ""},
+		{"in plain", Encode(3, "x"), ""},
+		{"truncated", note[:20], ""},
+		{"nothing", nil, ""},
 	} {
 		_, text, err := p.decode(c.data)
 		assert.Equal(t, c.text, text, c.name)
--- a/internal/edge/probe/probe_test.go
+++ b/internal/edge/probe/probe_test.go
@@ -30,24 +30,29 @@
 	t.Cleanup(e.Kill)
 	rude, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer rude.Close()
+	defer func() { assert.NoError(t, rude.Close()) }()
 	go func() {
 		for {
 			c, err := rude.Accept()
 			if err != nil {
 				return
 			}
-			_, _ = wire.NewWriter(c).Write(&wire.Beat{})
-			c.Close()
+			_, _ = wire.NewWriter(c).Write(&wire.Beat{}) // the other side may have closed it
+			_ = c.Close()
 		}
 	}()
 	in := inbox(make(chan pilot.Input, 64))
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	p := New(ctx, (&net.Dialer{}).DialContext, in, 150*time.Millisecond, 2)
+	result := func() pilot.Probed {
+		r, ok := (<-in).(pilot.Probed)
+		require.True(t, ok)
+		return r
+	}
 	ask := func(at string) pilot.Probed {
 		p.Probe(at)
-		return (<-in).(pilot.Probed)
+		return result()
 	}
 	time.Sleep(20 * time.Millisecond)
 	fine := ask(e.Address())
@@ -61,7 +66,7 @@
 	}
 	denied := 0
 	for range 12 {
-		if (<-in).(pilot.Probed).Outcome == "denied" {
+		if result().Outcome == "denied" {
 			denied++
 		}
 	}
--- a/internal/edge/xdsedge/hostile_test.go
+++ b/internal/edge/xdsedge/hostile_test.go
@@ -25,7 +25,8 @@
 	for i := range 5000 {
 		_, err := st.request(&ads.DiscoveryRequest{TypeUrl: fmt.Sprint("type/", i), ResourceNames: []string{"read"}})
 		require.NoError(t, err)
-		require.NoError(t, st.Send(&wire.Orders{Ops: []wire.Op{{Kind: wire.OpBind, Table: 1, Kinds: 1}, {Kind: wire.OpMark, Number: i}}}))
+		ops := []wire.Op{{Kind: wire.OpBind, Table: 1, Kinds: 1}, {Kind: wire.OpMark, Number: i}}
+		require.NoError(t, st.Send(&wire.Orders{Ops: ops}))
 	}
 	assert.Empty(t, st.subscriptions.names)
 	assert.LessOrEqual(t, len(st.subscriptions.due), 1)
@@ -38,18 +39,25 @@
 }
 
 func stats(change func(c *endpoint.ClusterStats)) *lrs.LoadStatsRequest {
-	c := &endpoint.ClusterStats{ClusterName: "read", LoadReportInterval: durationpb.New(time.Second),
-		UpstreamLocalityStats: []*endpoint.UpstreamLocalityStats{{Locality: &core.Locality{SubZone: "x:1"}, TotalSuccessfulRequests: 5,
-			TotalErrorRequests: 2, LoadMetricStats: []*endpoint.EndpointLoadMetricStats{{MetricName: "util",
-				NumRequestsFinishedWithMetric: 2, TotalMetricValue: 1}}}}}
+	c := &endpoint.ClusterStats{
+		ClusterName: "read", LoadReportInterval: durationpb.New(time.Second),
+		UpstreamLocalityStats: []*endpoint.UpstreamLocalityStats{{
+			Locality: &core.Locality{SubZone: "x:1"}, TotalSuccessfulRequests: 5,
+			TotalErrorRequests: 2, LoadMetricStats: []*endpoint.EndpointLoadMetricStats{{
+				MetricName:                    "util",
+				NumRequestsFinishedWithMetric: 2, TotalMetricValue: 1,
+			}},
+		}},
+	}
 	change(c)
 	return &lrs.LoadStatsRequest{ClusterStats: []*endpoint.ClusterStats{c}}
 }
 
-// FuzzLoad guards the runtime against load reports of any sort: what comes of them is as the framed wire would let in, but
-// for figures, which the runtime checks.
+// FuzzLoad guards the controller against load reports of any sort: what comes of them is as the framed protocol would
+// let in, but for figures, which the controller checks.
 func FuzzLoad(f *testing.F) {
-	for _, change := range []func(c *endpoint.ClusterStats){func(*endpoint.ClusterStats) {},
+	for _, change := range []func(c *endpoint.ClusterStats){
+		func(*endpoint.ClusterStats) {},
 		func(c *endpoint.ClusterStats) { c.UpstreamLocalityStats[0].TotalSuccessfulRequests = math.MaxUint64 },
 		func(c *endpoint.ClusterStats) {
 			c.UpstreamLocalityStats[0].LoadMetricStats[0].TotalMetricValue = math.Inf(1)
@@ -57,7 +65,8 @@
 		func(c *endpoint.ClusterStats) {
 			c.LoadReportInterval = &durationpb.Duration{Seconds: math.MinInt64, Nanos: -5}
 		},
-		func(c *endpoint.ClusterStats) { c.TotalDroppedRequests = math.MaxUint64 }} {
+		func(c *endpoint.ClusterStats) { c.TotalDroppedRequests = math.MaxUint64 },
+	} {
 		b, err := proto.Marshal(stats(change))
 		require.NoError(f, err)
 		f.Add(b)
--- a/internal/edge/xdsedge/xds_test.go
+++ b/internal/edge/xdsedge/xds_test.go
@@ -89,9 +89,10 @@
 		"xds_servers": [{"server_uri": %q, "channel_creds": [{"type": "insecure"}], "server_features": ["xds_v3"]}],
 		"node": {"id": "client-1", "locality": {"zone": "a"}, "metadata": {"reqs_per_second": 50}}}`, d.GRPCAddress())))
 	require.NoError(t, err)
-	conn, err := grpc.NewClient("xds:///read", grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithResolvers(resolver))
+	plainText := grpc.WithTransportCredentials(insecure.NewCredentials())
+	conn, err := grpc.NewClient("xds:///read", plainText, grpc.WithResolvers(resolver))
 	require.NoError(t, err)
-	t.Cleanup(func() { conn.Close() })
+	t.Cleanup(func() { assert.NoError(t, conn.Close()) })
 	health := healthpb.NewHealthClient(conn)
 	// call makes calls for a while and returns what each backend took.
 	call := func(during time.Duration) (took []int64) {
