--- /dev/null
+++ b/internal/edge/transports_test.go
@@ -0,0 +1,140 @@
+
+package edge_test
+
+import (
+	"context"
+	"crypto/tls"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"go.uber.org/goleak"
+	"go.uber.org/zap"
+
+	"indigousher/internal/edge/framed"
+	"indigousher/internal/edge/grpcedge"
+	"indigousher/internal/keys"
+	"indigousher/internal/pilot"
+	"indigousher/internal/standin/proxy"
+	"indigousher/internal/wire"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// inbox keeps inputs in order.
+type inbox struct{ got chan pilot.Input }
+
+func (i *inbox) Post(ctx context.Context, in pilot.Input) error {
+	select {
+	case i.got <- in:
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
+
+func next[T any](t *testing.T, i *inbox) T {
+	t.Helper()
+	for {
+		select {
+		case in := <-i.got:
+			if x, ok := in.(T); ok {
+				return x
+			}
+		case <-time.After(10 * time.Second):
+			var x T
+			require.FailNow(t, "nothing came", "%T", x)
+		}
+	}
+}
+
+// server is what the contract asks of an edge.
+type server interface {
+	Serve(ctx context.Context, l net.Listener) error
+	Kill()
+	Streams() int
+}
+
+// transport makes both ends of one.
+type transport struct {
+	name  string
+	serve func(in *inbox, ring *keys.Ring) server
+	join  func(c *tls.Config) proxy.Joiner
+}
+
+const (
+	beat = 100 * time.Millisecond
+	seen = 600 * time.Millisecond
+)
+
+var transports = []transport{
+	{"framed", func(in *inbox, ring *keys.Ring) server {
+		return framed.NewServer(framed.Door{
+			Pilot: "one", Beat: beat, Period: time.Second, WriteDeadline: time.Second,
+			SeenWithin: seen, HelloDeadline: time.Second, MaxStreams: 5000, Queue: 64,
+		}, in, zap.NewNop())
+	}, proxy.Framed},
+	{"grpc", func(in *inbox, ring *keys.Ring) server {
+		return grpcedge.New(grpcedge.Door{
+			Pilot: "one", Beat: beat, Period: time.Second, SeenWithin: seen,
+			HelloIn: time.Second, MaxMessage: 1 << 20, MaxStreams: 5000, QueueLines: 4000, Keys: ring,
+		}, in, zap.NewNop())
+	}, func(c *tls.Config) proxy.Joiner { return proxy.GRPC(c, false) }},
+}
+
+func start(t *testing.T, tr transport, ring *keys.Ring) (server, *inbox, string, func()) {
+	in := &inbox{make(chan pilot.Input, 8192)}
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	address := l.Addr().String()
+	if ring != nil && tr.name == "framed" {
+		l = tls.NewListener(l, ring.Server(keys.Proxy))
+	}
+	s := tr.serve(in, ring)
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan error, 1)
+	go func() { done <- s.Serve(ctx, l) }()
+	stop := sync.OnceFunc(func() { cancel(); assert.NoError(t, <-done) })
+	t.Cleanup(stop)
+	return s, in, address, stop
+}
+
+var dial = (&net.Dialer{}).DialContext
+
+func hello() *wire.Hello {
+	return &wire.Hello{
+		Version: 1, Proxy: "p", Zone: "a", Boot: 3, Rate: 2, Fresh: true, Holds: []string{"x"},
+		Tables: []wire.HeldTable{{Table: 2, Lines: []wire.HeldLine{{Endpoint: "x", Weight: 0.5}}}},
+	}
+}
+
+// read returns the next message that is no beat, and goes on beating meanwhile.
+func read(t *testing.T, l proxy.Line) wire.Message {
+	t.Helper()
+	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
+		m, err := l.Read(5 * time.Second)
+		require.NoError(t, err)
+		if _, is := m.(*wire.Beat); !is {
+			return m
+		}
+		require.NoError(t, l.Write(&wire.Beat{Seen: l.Last()}, time.Second))
+	}
+	require.Fail(t, "only beats")
+	return nil
+}
+
+// ends waits until a line has ended and returns the last message that was no beat.
+func ends(l proxy.Line) (last wire.Message) {
+	for {
+		m, err := l.Read(5 * time.Second)
+		if err != nil {
+			return last
+		}
+		if _, is := m.(*wire.Beat); !is {
+			last = m
+		}
+	}
+}
