--- a/intake/aggregator.go
+++ b/intake/aggregator.go
@@ -3,17 +3,17 @@
 import "math"
 
 const (
-	// maxReportsStoodFor is how many reports one may stand for: itself and those before it that never came or were left
-	// out. Beyond it the sender was silent, which is no rate.
+	// maxReportsStoodFor is the largest number of reports that one may represent: itself and those before it that were
+	// lost or skipped. A longer gap means that the sender was silent, from which no rate can be derived.
 	maxReportsStoodFor = 8
-	// minLines is the quota, in lines, below which a report is left to the next one.
+	// minLines is the quota, in lines, below which a report is skipped; the next one represents it too.
 	minLines = 1.0
-	// maxLoadAgeMs is the age from which an endpoint's load report says nothing about its present load.
+	// maxLoadAgeMs is the age at which an endpoint's own load report says nothing about its present load any more.
 	maxLoadAgeMs = 20000
 )
 
-// Intake sums up what the proxies' reports say until it is passed on. It is not safe for concurrent use: its caller
-// holds a lock.
+// Intake accumulates the proxies' reports until they are flushed. It is not safe for concurrent use; its caller holds a
+// lock.
 type Intake[L any] struct {
 	terms      Terms
 	decay      decay
@@ -26,13 +26,13 @@
 
 	endpointSums map[zoneEndpoint]*sum[L]
 	demandSums   map[proxyClass]*sum[L]
-	pending      []*sum[L] // sums that have something to pass on, in the order in which they became pending
+	pending      []*sum[L] // sums to flush, in the order in which they became pending
 
 	Counts    [reasonCount]uint64 // lines, by what became of them
-	MostOrder int                 // the most sums that have been pending at once
+	MostOrder int                 // the largest number of sums that have been pending at once
 }
 
-// New returns an aggregator that no sender has joined.
+// New returns an aggregator without senders.
 func New[L any](t Terms) *Intake[L] {
 	return &Intake[L]{
 		terms:        t,
@@ -47,16 +47,16 @@
 	}
 }
 
-// contribution is how the figures of one report count in the sums that they are added to.
+// contribution says how the figures of one report count in the sums that they are added to.
 type contribution struct {
-	endMs   float64 // end of the span that the report covers, on our clock
+	endMs   float64 // end of the span that the report covers, on the caller's clock
 	spanMs  float64
-	ageMs   float64 // how long the report was on its way
-	weight  float64 // mean weight of the span
-	reports float64 // how many reports it stands for
+	ageMs   float64 // how long the report was in transit
+	weight  float64 // mean decay weight of the span
+	reports float64 // how many reports it represents, see maxReportsStoodFor
 }
 
-// Take adds a report to the sums. Each of its lines is merged, sampled out or refused; Counts tells which.
+// Take adds a report to the sums. Each of its lines is merged, sampled out or rejected, and counted in Counts.
 func (a *Intake[L]) Take(nowMs float64, report *Report[L]) {
 	a.rescale(nowMs)
 	lines := report.lineCount()
@@ -83,13 +83,13 @@
 	s.tokens -= float64(len(kept) + len(report.Kinds))
 }
 
-// admit decides whether a report is taken in. It returns how the report counts and how many of its lines its sender's
-// quota has room for, or, if the reason is not Merged, why the report is left out.
+// admit decides whether a report is accepted. It returns how the report counts and how many of its lines the sender's
+// quota has room for; a reason other than Merged says why the report is rejected or skipped.
 func (a *Intake[L]) admit(nowMs float64, s *sender, report *Report[L]) (c contribution, room float64, reason Reason) {
 	if reason := report.validate(s.lastSeq, a.terms.LongestMs); reason != Merged {
 		return c, 0, reason
 	}
-	reports := float64(report.Seq - s.lastSeq) // those before it that never came are stood for, too
+	reports := float64(report.Seq - s.lastSeq) // includes those before it that were lost
 	if s.lastSeq == 0 {
 		reports = 1
 	}
@@ -118,8 +118,8 @@
 	return c, room, Merged
 }
 
-// minRoom returns the quota, in lines, below which a report is left to the next one. Thresholds differ from sender to
-// sender: else senders that report in step would be left out in step, and whole seconds would lack reports.
+// minRoom returns the quota, in lines, below which a report is skipped. The threshold differs from sender to sender:
+// otherwise senders that report in step would be skipped in step, and whole seconds would be without reports.
 func minRoom[L any](report *Report[L]) float64 {
 	return math.Min(float64(report.lineCount()), minLines*(1+uniform(report.Sender, 0, 0)))
 }
@@ -152,14 +152,14 @@
 	s.succeeded += scale * succeeded
 	s.busyMs += scale * succeeded * line.MeanMs
 	s.addAge(c)
-	if current == 1 { // else the load report may be of the former incarnation
+	if current == 1 { // otherwise the load report may be of the previous incarnation
 		s.updateLoad(line, c)
 	}
 	s.urgent = s.urgent || a.urgent(nowMs, e, s)
 	a.Counts[Merged]++
 }
 
-// updateLoad keeps a line's load report, unless there is none, it is old, or a newer one is held.
+// updateLoad keeps a line's load report, unless there is none, it is too old, or a newer one is kept already.
 func (s *sum[L]) updateLoad(line *Line[L], c contribution) {
 	if !line.HasLoad || c.ageMs >= maxLoadAgeMs {
 		return
@@ -172,14 +172,14 @@
 	s.loadEndMs = c.endMs
 }
 
-// urgent reports whether a sum must not wait: its endpoint begins to fail, warms up, or drains.
+// urgent reports whether a sum is to be flushed before others: its endpoint begins to fail, warms up, or drains.
 func (a *Intake[L]) urgent(nowMs float64, e *endpoint, s *sum[L]) bool {
 	beginsToFail := s.failing() && !e.failing
 	return beginsToFail || e.draining || e.warmingUp(nowMs, a.terms.ColdMs)
 }
 
-// pendingEndpointSum returns the sum that a line belongs to, made pending, or nil if no more may be. The first
-// contribution to a new sum counts the zone's reports of one period as covered: they said nothing of the endpoint.
+// pendingEndpointSum returns the sum that a line belongs to, which becomes pending, or nil if too many are. A new sum
+// counts as covered what the zone's senders reported in one period: none of those reports mentioned the endpoint.
 func (a *Intake[L]) pendingEndpointSum(nowMs float64, key zoneEndpoint, foremost bool) *sum[L] {
 	z := a.zone(key.zone)
 	s := a.endpointSums[key]
@@ -189,14 +189,14 @@
 		a.endpointSums[key] = s
 	}
 	if !s.queued && !a.makeRoom(foremost) {
-		s.zoneCovered = z.covered // what is not counted was not covered either
+		s.zoneCovered = z.covered // attempts that are not counted must not count as covered time either
 		return nil
 	}
 	a.enqueue(nowMs, s)
 	return s
 }
 
-// recentlyCovered returns the weighed time that the reports of one period cover, of all the zone's senders.
+// recentlyCovered returns the weighted time that the reports of one period cover, of all the zone's senders.
 func (a *Intake[L]) recentlyCovered(nowMs float64, z *zone) float64 {
 	weight := a.decay.weight(nowMs)
 	return math.Min(z.covered, weight*a.terms.PeriodMs*float64(a.slowdown.factor)*float64(z.senders))
@@ -226,7 +226,7 @@
 	a.Counts[Merged]++
 }
 
-// rescale moves the decay's landmark, and with it all weighed sums, before they grow out of a float's range.
+// rescale moves the decay's landmark and multiplies all weighted sums before they leave a float's range.
 func (a *Intake[L]) rescale(nowMs float64) {
 	if !a.decay.rescaleDue(nowMs) {
 		return
--- a/intake/endpoint.go
+++ b/intake/endpoint.go
@@ -5,21 +5,21 @@
 // failingFraction is the fraction of failed attempts above which an endpoint counts as failing.
 const failingFraction = 0.2
 
-// endpoint is what is known of an endpoint's incarnation: from the list, and from what was last passed on.
+// endpoint is the state of an endpoint's present incarnation.
 type endpoint struct {
 	startedMs float64 // 0: in the distant past
 	listed    bool
 	draining  bool
-	failing   bool // seen to fail when last passed on
+	failing   bool // it was failing at the last flush
 }
 
-// warmingUp reports whether the endpoint has started less than coldMs ago.
+// warmingUp reports whether the endpoint started less than coldMs ago.
 func (e *endpoint) warmingUp(nowMs, coldMs float64) bool {
 	return e.startedMs != 0 && nowMs-e.startedMs < coldMs
 }
 
-// currentFraction returns which fraction of a span that ended at endMs falls into the endpoint's present incarnation.
-// It is not positive where all of the span was before the restart.
+// currentFraction returns the fraction of a span ending at endMs that falls into the endpoint's present incarnation. It
+// is not positive if the whole span was before the restart.
 func (e *endpoint) currentFraction(endMs, spanMs float64) float64 {
 	if e.startedMs > endMs-spanMs && e.startedMs != 0 {
 		return (endMs - e.startedMs) / spanMs
@@ -27,8 +27,8 @@
 	return 1
 }
 
-// List takes in what the endpoint list says of an endpoint. Of one that is gone, or has started anew, whatever is
-// pending is dropped: it is of the former incarnation.
+// List updates an endpoint from the endpoint list. If it is gone or has restarted, its pending sums are dropped: they are
+// about its previous incarnation.
 func (a *Intake[L]) List(nowMs float64, id int, phase brain.Phase, startedMs float64) {
 	e := a.endpoints[id]
 	if e == nil {
@@ -49,7 +49,7 @@
 	e.draining = phase == brain.Draining
 }
 
-// dropEndpointSums forgets an endpoint's sums in all zones.
+// dropEndpointSums removes an endpoint's sums in all zones.
 func (a *Intake[L]) dropEndpointSums(id int) {
 	for key, s := range a.endpointSums {
 		if key.endpoint == id {
--- a/intake/options.go
+++ b/intake/options.go
@@ -1,14 +1,14 @@
 package intake
 
-// Terms are the limits and periods that an aggregator keeps to. They are fixed when it is made.
+// Terms configures an aggregator. It does not change during the aggregator's life.
 type Terms struct {
-	LinesPerS   float64 // report lines taken in a second, all senders together; 0: no limit
-	ToldPerS    float64 // lines passed on a second; 0: no limit
+	LinesPerS   float64 // report lines accepted per second, all senders together; 0: no limit
+	ToldPerS    float64 // lines flushed per second; 0: no limit
 	Standing    int     // sums that may be pending at once; 0: no limit
 	PeriodMs    float64 // between two reports of a sender, unless it was asked to report less often
-	HalfMs      float64 // age at which a figure weighs half
-	LongestMs   float64 // a report that covers more, or is later, is refused
-	Slowest     int     // most times the period that senders may be asked to wait
-	ColdMs      float64 // for which an endpoint that has started counts as warming up
+	HalfMs      float64 // half-life: the age at which a figure counts half
+	LongestMs   float64 // a report that covers more, or is older, is rejected
+	Slowest     int     // largest factor by which senders may be asked to stretch the period
+	ColdMs      float64 // how long an endpoint counts as warming up after its start
 	MostSenders int     // senders that may be joined at once; 0: no limit
 }
--- a/intake/queue.go
+++ b/intake/queue.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// enqueue makes a sum pending, if it is not.
+// enqueue makes a sum pending if it is not yet.
 func (a *Intake[L]) enqueue(nowMs float64, s *sum[L]) {
 	if s.queued {
 		return
@@ -13,15 +13,15 @@
 	a.MostOrder = max(a.MostOrder, len(a.pending))
 }
 
-// dequeue takes a sum out of those that are pending.
+// dequeue removes a sum from the pending ones.
 func (a *Intake[L]) dequeue(s *sum[L]) {
 	if s.queued {
 		a.pending = slices.DeleteFunc(a.pending, func(other *sum[L]) bool { return other == s })
 	}
 }
 
-// makeRoom reports whether one more sum may become pending. For an urgent one another is evicted if need be: the
-// oldest demand, or else the oldest sum that is not urgent.
+// makeRoom reports whether one more sum may become pending. If necessary it evicts another one for an urgent sum: the
+// first demand, or else the first sum that is not urgent.
 func (a *Intake[L]) makeRoom(urgent bool) bool {
 	if a.terms.Standing <= 0 || len(a.pending) < a.terms.Standing {
 		return true
--- a/intake/reason.go
+++ b/intake/reason.go
@@ -1,21 +1,21 @@
 package intake
 
-// Reason says what became of a report line: it was merged, or why it was left out or refused.
+// Reason says what became of a report line: that it was merged, or why it was left out or rejected.
 type Reason int
 
-// The reasons. Lines that were Merged or Sampled count in what is passed on; the others do not.
+// The reasons. Lines that were Merged or Sampled are represented in what is flushed; the others are not.
 const (
 	Merged    Reason = iota // added to a sum
-	Sampled                 // left out by the sample, whose other lines stand for it
-	OverShare               // the whole report exceeded its sender's quota; the next one stands for it
-	Repeated                // the report's number was seen before, or a later one overtook it
-	Late                    // the report was on its way for longer than the limit
-	Absurd                  // a figure that cannot be true
-	NoSpan                  // lines, but no time that they cover
+	Sampled                 // not drawn; the scaled figures of the drawn lines represent it
+	OverShare               // the sender's quota is used up; the next report represents this one
+	Repeated                // the sequence number is not above the newest one
+	Late                    // the report was in transit for too long
+	Absurd                  // implausible figures
+	NoSpan                  // the report has lines but covers no time
 	Unlisted                // the endpoint is not in the endpoint list
-	Restarted               // the report covers only time before the endpoint's restart
+	Restarted               // the report only covers time before the endpoint's restart
 	Stranger                // the sender has not joined
-	Evicted                 // no room for another pending sum
+	Evicted                 // too many sums are pending
 	reasonCount
 )
 
--- a/intake/report.go
+++ b/intake/report.go
@@ -2,40 +2,40 @@
 
 import "math"
 
-// Limits of what a report may claim. Beyond them a proxy is broken, not busy.
+// Limits of plausible figures. A proxy that reports more is broken, not busy.
 const (
-	maxAttemptsPerS = 1e6 // attempts, or requests, a second from one proxy
+	maxAttemptsPerS = 1e6 // attempts at one endpoint, or requests of one class, per second and proxy
 	maxMeanMs       = 1e7 // mean time of an attempt
 )
 
-// Line is what a proxy saw at one endpoint since its last report. L is the caller's form of the endpoint's own load
-// report; it is passed on without being looked at.
+// Line is what a proxy observed at one endpoint since its last report. L is the caller's type of the endpoint's own load
+// report, which is passed through unread.
 type Line[L any] struct {
 	Endpoint      int
-	Tries, Failed int     // attempts, and those of them that failed
-	MeanMs        float64 // mean time of an attempt that succeeded
+	Tries, Failed int     // attempts, and how many of them failed
+	MeanMs        float64 // mean time of the attempts that succeeded
 	Load          L
 	HasLoad       bool
 }
 
-// KindLine is how many requests of one class came to a proxy since its last report.
+// KindLine counts the requests of one class that a proxy received since its last report.
 type KindLine struct{ Kind, Reqs, Unanswered int }
 
-// Report is one load report of a proxy.
+// Report is a proxy's load report.
 type Report[L any] struct {
 	Sender int     // the proxy
-	Seq    uint64  // counts the sender's reports from 1
+	Seq    uint64  // sequence number, from 1 when the sender joins
 	AtMs   float64 // when it was sent, on the sender's own clock
 	SpanMs float64 // time that it covers, up to AtMs
 	Lines  []Line[L]
 	Kinds  []KindLine
 }
 
-// lineCount returns how many lines of both sorts the report has.
+// lineCount returns the number of lines of both types.
 func (r *Report[L]) lineCount() int { return len(r.Lines) + len(r.Kinds) }
 
-// validate returns why the report as a whole is refused, or Merged if it is not: its number was seen before, or its
-// times cannot be true. longestMs is the longest span that is believed.
+// validate returns why the report as a whole is rejected, or Merged if it is not. lastSeq is the sequence number of the
+// sender's newest report, longestMs the longest plausible span.
 func (r *Report[L]) validate(lastSeq uint64, longestMs float64) Reason {
 	switch {
 	case r.Seq <= lastSeq:
@@ -50,7 +50,7 @@
 	return Merged
 }
 
-// absurd reports whether a line's figures cannot be true of spanMs.
+// absurd reports whether the line's figures are implausible for a report that covers spanMs.
 func (l *Line[L]) absurd(spanMs float64) bool {
 	if l.Tries < 0 || l.Failed < 0 || l.Failed > l.Tries {
 		return true
@@ -61,7 +61,7 @@
 	return float64(l.Tries) > maxCount(spanMs)
 }
 
-// absurd reports whether the line's figures cannot be true of spanMs.
+// absurd reports whether the line's figures are implausible for a report that covers spanMs.
 func (l *KindLine) absurd(spanMs float64) bool {
 	if l.Reqs < 0 || l.Unanswered < 0 || l.Unanswered > l.Reqs {
 		return true
@@ -69,6 +69,6 @@
 	return float64(l.Reqs) > maxCount(spanMs)
 }
 
-// maxCount returns how many attempts or requests of one line are believed. Spans below a second count as one, as a
-// burst may fall into a short span.
+// maxCount returns the largest plausible count of a line. Spans below a second count as one second, as a burst may fall
+// into a short span.
 func maxCount(spanMs float64) float64 { return maxAttemptsPerS * math.Max(1, spanMs/1000) }
--- a/intake/sampling.go
+++ b/intake/sampling.go
@@ -10,13 +10,13 @@
 type candidate struct {
 	line     int     // index into the report's lines
 	rank     float64 // the greatest are kept
-	scale    float64 // by which the line's figures are multiplied, to stand for those left out
-	foremost bool    // kept before the sample is drawn
+	scale    float64 // factor for the line's figures, to represent the lines that are left out
+	foremost bool    // kept without being sampled
 }
 
-// sample returns the lines of a report to keep, in the order of merging. All are kept if room allows; else first those
-// of endpoints that fail, warm up or drain, and of the others a priority sample by attempts, whose scaled figures are
-// true on average (Duffield, Lund and Thorup, "Priority sampling for estimation of arbitrary subset sums").
+// sample returns the lines of a report to keep, in the order of merging. All are kept if there is room. Otherwise lines
+// of endpoints that fail, warm up or drain come first, and the rest is a priority sample by attempts, whose scaled
+// figures are unbiased (Duffield, Lund and Thorup, "Priority sampling for estimation of arbitrary subset sums").
 // The result is valid until the next call.
 func (a *Intake[L]) sample(nowMs float64, report *Report[L], room int) []candidate {
 	room = max(room, 1)
@@ -40,14 +40,14 @@
 	return kept
 }
 
-// rankLines makes a candidate of each line. At most maxForemost are foremost, so that the others are heard too.
+// rankLines makes a candidate of each line. At most maxForemost are foremost, so that some of the others are kept too.
 func (a *Intake[L]) rankLines(nowMs float64, report *Report[L], maxForemost int) {
 	a.candidates = a.candidates[:0]
 	foremost := 0
 	for i := range report.Lines {
 		line := &report.Lines[i]
 		c := candidate{line: i, scale: 1}
-		if foremost < maxForemost && a.mustHear(nowMs, line) {
+		if foremost < maxForemost && a.mustKeep(nowMs, line) {
 			foremost++
 			c.foremost = true
 			c.rank = math.Inf(1)
@@ -58,8 +58,8 @@
 	}
 }
 
-// mustHear reports whether a line is of an endpoint that fails, warms up or drains.
-func (a *Intake[L]) mustHear(nowMs float64, line *Line[L]) bool {
+// mustKeep reports whether a line is about an endpoint that fails, warms up or drains.
+func (a *Intake[L]) mustKeep(nowMs float64, line *Line[L]) bool {
 	e := a.endpoints[line.Endpoint]
 	if e == nil {
 		return false
@@ -68,7 +68,7 @@
 	return e.draining || failing || e.warmingUp(nowMs, a.terms.ColdMs)
 }
 
-// byRank orders candidates by falling rank, equal ones as they stand in the report.
+// byRank orders candidates by descending rank, and those of equal rank by their position in the report.
 func byRank(a, b candidate) int {
 	switch {
 	case a.rank > b.rank:
@@ -79,9 +79,9 @@
 	return a.line - b.line
 }
 
-// uniform returns a number in (0, 1], as if drawn at random, that the same line of the same report always gets.
-// A checksum is linear: lines that differ in the same bits would differ by the same pattern in every report, so its
-// bits are mixed further (multiplications and shifts of the integer hash lowbias32).
+// uniform returns a pseudo-random number in (0, 1] that depends on the line only, so that replays draw the same sample.
+// A checksum alone is linear: lines that differ in the same bits would differ by the same pattern in every report, so
+// its bits are mixed further (multiplications and shifts of the integer hash lowbias32).
 func uniform(sender int, seq uint64, endpoint int) float64 {
 	var b [20]byte
 	for i := range 8 {
--- a/intake/sender.go
+++ b/intake/sender.go
@@ -1,26 +1,26 @@
 package intake
 
-// sender is the state of one joined proxy. The aggregator owns it.
+// sender is the state of one joined proxy. It belongs to the aggregator.
 type sender struct {
 	zone    int
-	lastSeq uint64 // number of its newest report
+	lastSeq uint64 // sequence number of its newest report; 0: none yet
 	clock   clockOffset
 
-	tokens     float64 // report lines that it may bring, as of tokensAtMs
+	tokens     float64 // report lines left in its token bucket, as of tokensAtMs
 	tokensAtMs float64
-	offered    float64 // lines that it brought since quotas were last set, taken or not
-	skipped    int     // reports left out since the last that was taken
-	accepted   int     // reports taken, all in all
+	offered    float64 // lines that it sent since the last rebalance, accepted or not
+	skipped    int     // reports skipped since the last that was accepted
+	accepted   int     // reports accepted in all
 }
 
-// zone is what the reports of a zone's senders have in common.
+// zone is the state that a zone's senders share.
 type zone struct {
 	senders int
-	covered float64 // weighed time that the reports of all its senders covered, ms
+	covered float64 // time that the reports of all its senders covered, in ms, weighted by age
 }
 
-// Join admits a sender. Its clock and report numbers begin anew. It returns false, and the sender stays unknown, if as
-// many as may are joined.
+// Join admits a sender. Its clock offset and sequence numbers start over. It returns false, and the sender stays
+// unknown, when the limit of senders is reached.
 func (a *Intake[L]) Join(nowMs float64, id, zoneID int) bool {
 	a.Leave(id)
 	if a.terms.MostSenders > 0 && len(a.senders) >= a.terms.MostSenders {
@@ -31,7 +31,7 @@
 	return true
 }
 
-// Leave forgets a sender and what is pending of its requests.
+// Leave removes a sender and the pending sums of its requests.
 func (a *Intake[L]) Leave(id int) {
 	s := a.senders[id]
 	if s == nil {
@@ -47,7 +47,7 @@
 	}
 }
 
-// zone returns the state of a zone, which is made when it is first asked for.
+// zone returns the state of a zone and creates it on first use.
 func (a *Intake[L]) zone(id int) *zone {
 	if a.zones[id] == nil {
 		a.zones[id] = &zone{}
--- a/intake/sum.go
+++ b/intake/sum.go
@@ -6,34 +6,34 @@
 // proxyClass names the sum of the requests of one class that came to a proxy.
 type proxyClass struct{ proxy, class int }
 
-// sum is what is known of one zoneEndpoint or one proxyClass since it was last passed on. All its figures are weighed
-// by decay; the aggregator rescales them together.
+// sum accumulates what was reported of one zoneEndpoint or one proxyClass since its last flush. Its figures are weighted
+// by decay unless noted otherwise.
 type sum[L any] struct {
-	zoneEndpoint zoneEndpoint // what it is of, unless isDemand
-	proxyClass   proxyClass   // what it is of, if isDemand
+	zoneEndpoint zoneEndpoint // its key, unless isDemand
+	proxyClass   proxyClass   // its key, if isDemand
 	isDemand     bool
 
 	queued     bool // it is pending
-	urgent     bool // it is to be passed on before those that are not
+	urgent     bool // it is flushed before sums that are not
 	queuedAtMs float64
 
-	attempts  float64 // of demand: requests
-	failed    float64 // of demand: requests that were not answered
+	attempts  float64 // demand: requests
+	failed    float64 // demand: requests that were not answered
 	succeeded float64
-	busyMs    float64 // time of all attempts that succeeded
-	weight    float64 // of the contributions, for their mean age
-	ageMs     float64 // of the contributions, each times its weight
-	spanMs    float64 // of demand: time covered
+	busyMs    float64 // total time of the attempts that succeeded
+	weight    float64 // total weight of the contributions, for their mean age
+	ageMs     float64 // total of the contributions' ages, each times its weight
+	spanMs    float64 // demand only: time covered
 
-	zoneCovered float64 // what the zone's reports had covered when this sum was last passed on
-	carry       float64 // attempts that rounding left over when it was last passed on; not weighed
+	zoneCovered float64 // zone.covered at the last flush
+	carry       float64 // attempts that rounding left over at the last flush; not weighted
 
-	load      L // the newest load report of the endpoint
+	load      L // the endpoint's newest load report
 	hasLoad   bool
 	loadEndMs float64 // end of the span of the report that brought it
 }
 
-// rescale multiplies all that is weighed.
+// rescale multiplies all weighted figures.
 func (s *sum[L]) rescale(factor float64) {
 	s.attempts *= factor
 	s.failed *= factor
@@ -45,7 +45,7 @@
 	s.zoneCovered *= factor
 }
 
-// addAge notes the mean age of a contribution's figures.
+// addAge adds the mean age of a contribution's figures.
 func (s *sum[L]) addAge(c contribution) {
 	s.weight += c.weight
 	s.ageMs += c.weight * (c.ageMs + c.spanMs/2)
@@ -56,8 +56,7 @@
 	return s.failed > failingFraction*s.attempts && s.failed > 0
 }
 
-// reset begins a sum anew after it was passed on or evicted. What its zone's reports have covered so far does not count
-// for it any more.
+// reset empties a sum after it was flushed or evicted. The time that its zone's reports have covered so far is used up.
 func (a *Intake[L]) reset(s *sum[L]) {
 	if s.isDemand {
 		*s = sum[L]{proxyClass: s.proxyClass, isDemand: true}
