--- a/internal/edge/peers/peers_test.go
+++ b/internal/edge/peers/peers_test.go
@@ -66,59 +66,67 @@
 	assert.Error(t, err)
 }
 
-// TestSealed shows that with a secret only sealed notes count, each once, and that a key is changed without a gap.
-func TestSealed(t *testing.T) {
-	dir := t.TempDir()
-	newSecret := func(name string) string {
-		path := filepath.Join(dir, name)
-		require.NoError(t, keys.NewSecret(path))
-		return path
-	}
-	ours, others := newSecret("ours"), newSecret("others")
-	a, err := keys.LoadSecret(ours)
+// newSecret writes a file with one key and loads it.
+func newSecret(t *testing.T) (path string, secret *keys.Secret) {
+	path = filepath.Join(t.TempDir(), "secret")
+	require.NoError(t, keys.NewSecret(path))
+	secret, err := keys.LoadSecret(path)
 	require.NoError(t, err)
-	b, err := keys.LoadSecret(others)
-	require.NoError(t, err)
-	p := &Post{Secret: a, repeats: map[int]*keys.Once{3: {}}}
-	note, err := seal(a, 3, "load 0.7")
+	return path, secret
+}
+
+// TestSealed shows that with a secret only sealed datagrams count, each once.
+func TestSealed(t *testing.T) {
+	_, ours := newSecret(t)
+	_, others := newSecret(t)
+	p := &Post{Secret: ours, repeats: map[int]*keys.Once{3: {}}}
+	sealed, err := seal(ours, 3, "load 0.7")
 	require.NoError(t, err)
-	strange, err := seal(b, 3, "load 0.1")
+	strange, err := seal(others, 3, "load 0.1")
 	require.NoError(t, err)
-	forged := append([]byte{}, note...)
+	forged := append([]byte{}, sealed...)
 	forged[headerBytes-1] = 4 // another rank outside
 	for _, c := range []struct {
 		name string
 		data []byte
 		text string
 	}{
-		{"sealed", note, "load 0.7"},
-		{"the same again", note, ""},
+		{"sealed", sealed, "load 0.7"},
+		{"the same again", sealed, ""},
 		{"under another key", strange, ""},
 		{"another sender's rank", forged, ""},
 		{"in plain", Encode(3, "x"), ""},
-		{"truncated", note[:20], ""},
+		{"truncated", sealed[:20], ""},
 		{"nothing", nil, ""},
 	} {
 		_, text, err := p.decode(c.data)
 		assert.Equal(t, c.text, text, c.name)
 		assert.Equal(t, c.text == "", err != nil, c.name)
 	}
-	first, err := os.ReadFile(ours)
+}
+
+// TestSecretRotated shows that a key is changed without a gap, and that an invalid file leaves the keys in force.
+func TestSecretRotated(t *testing.T) {
+	const noticed = 250 * time.Millisecond // a changed file is noticed by then
+	path, ours := newSecret(t)
+	othersPath, others := newSecret(t)
+	p := &Post{Secret: ours, repeats: map[int]*keys.Once{3: {}}}
+	first, err := os.ReadFile(path)
 	require.NoError(t, err)
-	second, err := os.ReadFile(others)
+	second, err := os.ReadFile(othersPath)
 	require.NoError(t, err)
-	require.NoError(t, os.WriteFile(ours, append(first, second...), 0o600)) // the other's key is let in behind ours
-	require.NoError(t, os.Chtimes(ours, time.Now(), time.Now().Add(time.Second)))
-	time.Sleep(250 * time.Millisecond)
-	fresh, err := seal(b, 3, "load 0.2")
+	require.NoError(t, os.WriteFile(path, append(first, second...), 0o600)) // the other key is added behind ours
+	require.NoError(t, os.Chtimes(path, time.Now(), time.Now().Add(time.Second)))
+	time.Sleep(noticed)
+	fresh, err := seal(others, 3, "load 0.2")
 	require.NoError(t, err)
 	_, text, err := p.decode(fresh)
 	assert.NoError(t, err)
 	assert.Equal(t, "load 0.2", text)
-	require.NoError(t, os.WriteFile(ours, []byte("not hex\n"), 0o600))
-	time.Sleep(250 * time.Millisecond)
-	assert.ErrorContains(t, a.Wrong(), "ours:1: no key")
-	_, err = seal(a, 3, "goes on")
+	require.NoError(t, os.WriteFile(path, []byte("not hex\n"), 0o600))
+	time.Sleep(noticed)
+	assert.ErrorContains(t, ours.Wrong(), "secret:1: no key")
+	_, err = seal(ours, 3, "goes on")
 	assert.NoError(t, err)
 }
 
--- a/internal/edge/probe/probe_test.go
+++ b/internal/edge/probe/probe_test.go
@@ -18,22 +18,22 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// inbox keeps inputs in order.
 type inbox chan pilot.Input
 
-func (i inbox) Post(_ context.Context, in pilot.Input) error { i <- in; return nil }
+func (i inbox) Post(_ context.Context, in pilot.Input) error {
+	i <- in
+	return nil
+}
 
-// TestProbe shows what each state of an endpoint is told as.
-func TestProbe(t *testing.T) {
-	e := endpoint.New(endpoint.Model{Name: "e", Cores: 1, Speed: 1, Conns: 9, ReportEvery: 5 * time.Millisecond},
-		trail.NewBook().Trail("e"))
-	require.NoError(t, e.Start(false))
-	t.Cleanup(e.Kill)
-	rude, err := net.Listen("tcp", "127.0.0.1:0")
+// rudeServer answers each connection with a message that is no answer, and closes it.
+func rudeServer(t *testing.T) (address string) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer func() { assert.NoError(t, rude.Close()) }()
+	t.Cleanup(func() { assert.NoError(t, l.Close()) })
 	go func() {
 		for {
-			c, err := rude.Accept()
+			c, err := l.Accept()
 			if err != nil {
 				return
 			}
@@ -41,37 +41,48 @@
 			_ = c.Close()
 		}
 	}()
+	return l.Addr().String()
+}
+
+// result returns the next result.
+func (i inbox) result(t *testing.T) pilot.Probed {
+	r, ok := (<-i).(pilot.Probed)
+	require.True(t, ok)
+	return r
+}
+
+// TestProbe shows the outcome for each state of an endpoint.
+func TestProbe(t *testing.T) {
+	model := endpoint.Model{Name: "e", Cores: 1, Speed: 1, Conns: 9, ReportEvery: 5 * time.Millisecond}
+	e := endpoint.New(model, trail.NewBook().Trail("e"))
+	require.NoError(t, e.Start(false))
+	t.Cleanup(e.Kill)
 	in := inbox(make(chan pilot.Input, 64))
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	p := New(ctx, (&net.Dialer{}).DialContext, in, 150*time.Millisecond, 2)
-	result := func() pilot.Probed {
-		r, ok := (<-in).(pilot.Probed)
-		require.True(t, ok)
-		return r
-	}
-	ask := func(at string) pilot.Probed {
-		p.Probe(at)
-		return result()
+	check := func(address string) pilot.Probed {
+		p.Probe(address)
+		return in.result(t)
 	}
 	time.Sleep(20 * time.Millisecond)
-	fine := ask(e.Address())
+	fine := check(e.Address())
 	assert.Equal(t, "ok", fine.Outcome)
 	assert.NotEmpty(t, fine.Load)
-	assert.Equal(t, "reset", ask(rude.Addr().String()).Outcome)
+	assert.Equal(t, "reset", check(rudeServer(t)).Outcome)
 	e.Set(endpoint.Mood{Hang: true})
-	assert.Equal(t, "timeout", ask(e.Address()).Outcome)
-	for range 12 { // the bound of those under way
+	assert.Equal(t, "timeout", check(e.Address()).Outcome)
+	for range 12 { // ten more than may run
 		p.Probe(e.Address())
 	}
 	denied := 0
 	for range 12 {
-		if result().Outcome == "denied" {
+		if in.result(t).Outcome == "denied" {
 			denied++
 		}
 	}
 	assert.Equal(t, 10, denied)
 	e.Kill()
-	assert.Equal(t, "unreachable", ask(e.Address()).Outcome)
+	assert.Equal(t, "unreachable", check(e.Address()).Outcome)
 	p.Wait()
 }
