--- a/internal/edge/xdsedge/xds_test.go
+++ b/internal/edge/xdsedge/xds_test.go
@@ -45,25 +45,30 @@
 	return b
 }
 
-// TestUnmodifiedClient has grpc-go's own xDS client follow a pilot: it takes the pilot's weights, leaves a drained
-// endpoint within the grace, goes to the next zone when its own has nothing left, and reports load back.
-func TestUnmodifiedClient(t *testing.T) {
-	source := list.New(trail.NewBook().Trail("list"))
-	require.NoError(t, source.Start())
-	t.Cleanup(source.Close)
-	var backends []*backend
-	var entries []wire.Entry
+// site is a controller with its list source and six backends, three in each of two zones.
+type site struct {
+	source   *list.List
+	backends []*backend
+	entries  []wire.Entry
+	daemon   *daemon.Daemon
+}
+
+// newSite starts one; the first backend has three times the weight of the others.
+func newSite(t *testing.T) *site {
+	s := &site{source: list.New(trail.NewBook().Trail("list"))}
+	require.NoError(t, s.source.Start())
+	t.Cleanup(s.source.Close)
 	for i := range 6 {
 		b := newBackend(t)
-		backends = append(backends, b)
-		weight := 1.0
+		entry := wire.Entry{Endpoint: b.at, Zone: []string{"a", "b"}[i/3], Machine: "std", Weight: 1}
 		if i == 0 {
-			weight = 3
+			entry.Weight = 3
 		}
-		entries = append(entries, wire.Entry{Endpoint: b.at, Zone: []string{"a", "b"}[i/3], Machine: "std", Weight: weight})
+		s.backends = append(s.backends, b)
+		s.entries = append(s.entries, entry)
 	}
-	source.Put(0, entries...)
-	p, err := terms.Parse("p.hcl", []byte(fmt.Sprintf(`zones = ["a", "b"]
+	s.source.Put(0, s.entries...)
+	config, err := terms.Parse("p.hcl", fmt.Appendf(nil, `zones = ["a", "b"]
 machines = ["std"]
 req_kind "read" {}
 pilot {
@@ -76,60 +81,85 @@
 streams { beat = "200ms" }
 keys { plain = true }
 list { address = %q }
-`, source.Address())))
+`, s.source.Address()))
 	require.NoError(t, err)
-	d, err := daemon.New(p, daemon.Outfit{})
+	s.daemon, err = daemon.New(config, daemon.Outfit{})
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- d.Run(ctx) }()
-	t.Cleanup(func() { cancel(); assert.NoError(t, <-ended) })
+	go func() { ended <- s.daemon.Run(ctx) }()
+	t.Cleanup(func() {
+		cancel()
+		assert.NoError(t, <-ended)
+	})
+	return s
+}
 
-	resolver, err := xds.NewXDSResolverWithConfigForTesting([]byte(fmt.Sprintf(`{
-		"xds_servers": [{"server_uri": %q, "channel_creds": [{"type": "insecure"}], "server_features": ["xds_v3"]}],
-		"node": {"id": "client-1", "locality": {"zone": "a"}, "metadata": {"reqs_per_second": 50}}}`, d.GRPCAddress())))
+// client returns a connection of grpc-go's own xDS client in zone a.
+func (s *site) client(t *testing.T) healthpb.HealthClient {
+	bootstrap := fmt.Appendf(nil, `{
+		"xds_servers": [{
+			"server_uri": %q,
+			"channel_creds": [{"type": "insecure"}],
+			"server_features": ["xds_v3"]
+		}],
+		"node": {"id": "client-1", "locality": {"zone": "a"}, "metadata": {"reqs_per_second": 50}}
+	}`, s.daemon.GRPCAddress())
+	resolver, err := xds.NewXDSResolverWithConfigForTesting(bootstrap)
 	require.NoError(t, err)
 	plainText := grpc.WithTransportCredentials(insecure.NewCredentials())
 	conn, err := grpc.NewClient("xds:///read", plainText, grpc.WithResolvers(resolver))
 	require.NoError(t, err)
 	t.Cleanup(func() { assert.NoError(t, conn.Close()) })
-	health := healthpb.NewHealthClient(conn)
-	// call makes calls for a while and returns what each backend took.
-	call := func(during time.Duration) (took []int64) {
-		var before []int64
-		for _, b := range backends {
-			before = append(before, b.calls.Load())
-		}
-		for end := time.Now().Add(during); time.Now().Before(end); time.Sleep(time.Millisecond) {
-			cctx, ccancel := context.WithTimeout(t.Context(), 5*time.Second)
-			_, err := health.Check(cctx, &healthpb.HealthCheckRequest{}, grpc.WaitForReady(true))
-			ccancel()
-			require.NoError(t, err)
-		}
-		for i, b := range backends {
-			took = append(took, b.calls.Load()-before[i])
-		}
-		return took
+	return healthpb.NewHealthClient(conn)
+}
+
+// call makes calls for a while and returns how many each backend took.
+func (s *site) call(t *testing.T, client healthpb.HealthClient, during time.Duration) (took []int64) {
+	var before []int64
+	for _, b := range s.backends {
+		before = append(before, b.calls.Load())
 	}
-	call(2 * time.Second) // bound, and some reports
-	took := call(2 * time.Second)
+	for end := time.Now().Add(during); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
+		_, err := client.Check(ctx, &healthpb.HealthCheckRequest{}, grpc.WaitForReady(true))
+		cancel()
+		require.NoError(t, err)
+	}
+	for i, b := range s.backends {
+		took = append(took, b.calls.Load()-before[i])
+	}
+	return took
+}
+
+// drain lists a backend as draining.
+func (s *site) drain(i int) {
+	s.entries[i].Phase = wire.PhaseDraining
+	s.source.Put(0, s.entries[i])
+}
+
+// TestUnmodifiedClient has grpc-go's own xDS client follow a controller: it takes the controller's weights, leaves a
+// drained endpoint within the grace, goes to the next zone when its own has nothing left, and reports load back.
+func TestUnmodifiedClient(t *testing.T) {
+	const takesEffect = 500 * time.Millisecond // a drained endpoint is left by then
+	s := newSite(t)
+	client := s.client(t)
+	s.call(t, client, 2*time.Second) // bound, and some reports
+	took := s.call(t, client, 2*time.Second)
 	own := float64(took[0] + took[1] + took[2])
 	assert.InDelta(t, 0.6, float64(took[0])/own, 0.15, "three of five parts: %v", took)
-	assert.Positive(t, d.State().Refused["merged"], "load is reported back")
-	assert.Equal(t, 1, d.State().Proxies)
+	assert.Positive(t, s.daemon.State().Refused["merged"], "load is reported back")
+	assert.Equal(t, 1, s.daemon.State().Proxies)
 
-	drain := func(i int) {
-		entries[i].Phase = wire.PhaseDraining
-		source.Put(0, entries[i])
-	}
-	drain(0)
-	time.Sleep(500 * time.Millisecond)
-	took = call(time.Second)
+	s.drain(0)
+	time.Sleep(takesEffect)
+	took = s.call(t, client, time.Second)
 	assert.Zero(t, took[0], "drained: %v", took)
-	drain(1)
-	drain(2)
-	time.Sleep(500 * time.Millisecond)
-	took = call(time.Second)
+
+	s.drain(1)
+	s.drain(2)
+	time.Sleep(takesEffect)
+	took = s.call(t, client, time.Second)
 	assert.Zero(t, took[0]+took[1]+took[2], "%v", took)
 	assert.Positive(t, took[3]+took[4]+took[5], "the next zone: %v", took)
 }
