--- a/internal/edge/xdsedge/xds_test.go
+++ b/internal/edge/xdsedge/xds_test.go
@@ -68,7 +68,7 @@
 		s.entries = append(s.entries, entry)
 	}
 	s.source.Put(0, s.entries...)
-	config, err := terms.Parse("p.hcl", fmt.Appendf(nil, `zones = ["a", "b"]
+	parsed, err := terms.Parse("p.hcl", fmt.Appendf(nil, `zones = ["a", "b"]
 machines = ["std"]
 req_kind "read" {}
 pilot {
@@ -83,7 +83,7 @@
 list { address = %q }
 `, s.source.Address()))
 	require.NoError(t, err)
-	s.daemon, err = daemon.New(config, daemon.Outfit{})
+	s.daemon, err = daemon.New(parsed, daemon.Outfit{})
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
--- a/internal/translate/variants_test.go
+++ b/internal/translate/variants_test.go
@@ -235,10 +235,10 @@
 	for p := range proxies {
 		notes = append(notes, brain.Joined{Proxy: p, Zone: p % d.Zones.Len(), Rate: 5})
 	}
-	planner := brain.New(1, d.Terms)
+	decider := brain.New(1, d.Terms)
 	got := tables{weights: map[int]map[int]float64{}, bound: map[proxyClass]int{}}
 	for round := range 60 {
-		for _, order := range planner.Handle(float64(500*round), notes) {
+		for _, order := range decider.Handle(float64(500*round), notes) {
 			v.apply(t, &got, order)
 		}
 		notes = []brain.Note{brain.Alarm{Name: "gather"}, brain.Alarm{Name: "bind"}}
