--- a/telemetry/accuracy_test.go
+++ b/telemetry/accuracy_test.go
@@ -6,22 +6,22 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestTruth guards the load that the planner is told against each way in which reports can go wrong.
+// TestTruth guards the load that the planner receives against each way in which reports can go wrong.
 func TestTruth(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		terms  func(*Options)
-		change func(*fleet)
-		within float64
+		name    string
+		options func(*Options)
+		change  func(*fleet)
+		within  float64
 	}{
 		{"all well", nil, nil, 0.03},
-		{"a limit that fits half", func(t *Options) { t.LinesPerS = 150 }, nil, 0.1},
-		{"ten times the reports for the limit", func(t *Options) { t.LinesPerS = 400 }, func(c *fleet) {
+		{"a limit that fits half", func(o *Options) { o.LinesPerS = 150 }, nil, 0.1},
+		{"ten times the reports for the limit", func(o *Options) { o.LinesPerS = 400 }, func(c *fleet) {
 			for _, s := range c.senders {
 				s.reportsPerPeriod, s.ignoresAdvice = 10, true
 			}
 		}, 0.3}, // one line of nine is kept: a standard error near 0.1 for the smallest, and this is the worst of 36
-		{"one sender reports as much as all others", func(t *Options) { t.LinesPerS = 300 }, func(c *fleet) {
+		{"one sender reports as much as all others", func(o *Options) { o.LinesPerS = 300 }, func(c *fleet) {
 			c.senders[4].reportsPerPeriod, c.senders[4].ignoresAdvice = 30, true
 		}, 0.1},
 		{"all in step", nil, func(c *fleet) {
@@ -51,7 +51,7 @@
 				return true, 0
 			}
 		}, 0.05},
-		{"few lines flushed a second", func(t *Options) { t.ToldPerS = 20 }, nil, 0.1},
+		{"few lines flushed a second", func(o *Options) { o.ToldPerS = 20 }, nil, 0.1},
 		{"slow reports", nil, func(c *fleet) {
 			for _, s := range c.senders[:15] {
 				s.periodMs = 7000
@@ -59,11 +59,11 @@
 		}, 0.1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			tm := testOptions()
-			if c.terms != nil {
-				c.terms(&tm)
+			options := testOptions()
+			if c.options != nil {
+				c.options(&options)
 			}
-			cr := newFleet(tm, 30, 12, 3)
+			cr := newFleet(options, 30, 12, 3)
 			if c.change != nil {
 				c.change(cr)
 			}
--- a/telemetry/aggregator.go
+++ b/telemetry/aggregator.go
@@ -15,7 +15,7 @@
 // Aggregator accumulates the proxies' reports until they are flushed. It is not safe for concurrent use; its caller holds a
 // lock.
 type Aggregator[L any] struct {
-	terms      Options
+	options    Options
 	decay      decay
 	quotas     quotas
 	slowdown   slowdown
@@ -33,12 +33,12 @@
 }
 
 // New returns an aggregator without senders.
-func New[L any](t Options) *Aggregator[L] {
+func New[L any](o Options) *Aggregator[L] {
 	return &Aggregator[L]{
-		terms:        t,
-		decay:        decay{halfLifeMs: t.HalfMs},
-		quotas:       newQuotas(t),
-		slowdown:     newSlowdown(t),
+		options:      o,
+		decay:        decay{halfLifeMs: o.HalfMs},
+		quotas:       newQuotas(o),
+		slowdown:     newSlowdown(o),
 		senders:      map[int]*sender{},
 		zones:        map[int]*zone{},
 		endpoints:    map[int]*endpoint{},
@@ -86,7 +86,7 @@
 // admit decides whether a report is accepted. It returns how the report counts and how many of its lines the sender's
 // quota has room for; a reason other than Merged says why the report is rejected or skipped.
 func (a *Aggregator[L]) admit(nowMs float64, s *sender, report *Report[L]) (c contribution, room float64, reason Reason) {
-	if reason := report.validate(s.lastSeq, a.terms.LongestMs); reason != Merged {
+	if reason := report.validate(s.lastSeq, a.options.LongestMs); reason != Merged {
 		return c, 0, reason
 	}
 	reports := float64(report.Seq - s.lastSeq) // includes those before it that were lost
@@ -96,7 +96,7 @@
 	reports = math.Min(reports, maxReportsStoodFor)
 	s.lastSeq = report.Seq
 	ageMs := s.clock.age(nowMs, report.AtMs)
-	if ageMs > a.terms.LongestMs {
+	if ageMs > a.options.LongestMs {
 		return c, 0, Late
 	}
 	room = a.quotas.refill(s, nowMs, a.slowdown.factor)
@@ -175,7 +175,7 @@
 // urgent reports whether a sum is to be flushed before others: its endpoint begins to fail, warms up, or drains.
 func (a *Aggregator[L]) urgent(nowMs float64, e *endpoint, s *sum[L]) bool {
 	beginsToFail := s.failing() && !e.failing
-	return beginsToFail || e.draining || e.warmingUp(nowMs, a.terms.ColdMs)
+	return beginsToFail || e.draining || e.warmingUp(nowMs, a.options.ColdMs)
 }
 
 // pendingEndpointSum returns the sum that a line belongs to, which becomes pending, or nil if too many are. A new sum
@@ -199,7 +199,7 @@
 // recentlyCovered returns the weighted time that the reports of one period cover, of all the zone's senders.
 func (a *Aggregator[L]) recentlyCovered(nowMs float64, z *zone) float64 {
 	weight := a.decay.weight(nowMs)
-	return math.Min(z.covered, weight*a.terms.PeriodMs*float64(a.slowdown.factor)*float64(z.senders))
+	return math.Min(z.covered, weight*a.options.PeriodMs*float64(a.slowdown.factor)*float64(z.senders))
 }
 
 // addDemand adds one line of requests to the sum of its proxy and class.
--- a/telemetry/backpressure.go
+++ b/telemetry/backpressure.go
@@ -39,8 +39,8 @@
 	advised map[int]int // by sender: the factor it was last asked for; absent: 1
 }
 
-func newSlowdown(t Options) slowdown {
-	return slowdown{options: t, factor: 1, advised: map[int]int{}}
+func newSlowdown(o Options) slowdown {
+	return slowdown{options: o, factor: 1, advised: map[int]int{}}
 }
 
 // update adjusts the factor to the lines per second that arrived: up at once, as far as needed, and down one step at a
@@ -64,8 +64,8 @@
 	}
 }
 
-// told returns the factor that a sender was last asked for.
-func (d *slowdown) told(id int) int { return max(1, d.advised[id]) }
+// lastAdvised returns the factor that a sender was last asked for.
+func (d *slowdown) lastAdvised(id int) int { return max(1, d.advised[id]) }
 
 // releaseGroup returns the group in which a sender is released.
 func releaseGroup(id int) int {
@@ -77,11 +77,11 @@
 func (a *Aggregator[L]) advise(nowMs float64) (advice []Advice) {
 	group := int(nowMs/1000) % releaseGroups
 	for _, id := range slices.Sorted(maps.Keys(a.senders)) {
-		told := a.slowdown.told(id)
-		if told == a.slowdown.factor {
+		last := a.slowdown.lastAdvised(id)
+		if last == a.slowdown.factor {
 			continue
 		}
-		released := a.slowdown.factor < told
+		released := a.slowdown.factor < last
 		if released && releaseGroup(id) != group {
 			continue
 		}
@@ -95,7 +95,7 @@
 // adviceFor returns the advice for a sender at the present slowdown.
 func (a *Aggregator[L]) adviceFor(id int) Advice {
 	factor := a.slowdown.factor
-	advice := Advice{Sender: id, PeriodMs: a.terms.PeriodMs * float64(factor), Changes: factor > changesOnlyAbove}
+	advice := Advice{Sender: id, PeriodMs: a.options.PeriodMs * float64(factor), Changes: factor > changesOnlyAbove}
 	if factor > 1 {
 		linesPerS := a.quotas.linesPerS[a.senders[id].zone]
 		advice.Lines = max(minAdvisedLines, int(linesPerS*advice.PeriodMs/1000))
--- a/telemetry/backpressure_test.go
+++ b/telemetry/backpressure_test.go
@@ -8,9 +8,9 @@
 
 // TestSlowedAndReleased guards the way out of crowding: senders are slowed at once and released in turns.
 func TestSlowedAndReleased(t *testing.T) {
-	tm := testOptions()
-	tm.LinesPerS = 400
-	c := newFleet(tm, 64, 10, 2)
+	options := testOptions()
+	options.LinesPerS = 400
+	c := newFleet(options, 64, 10, 2)
 	c.rates = func(int, int) float64 { return 5 }
 	c.run(4000, nil)
 	for _, s := range c.senders {
--- a/telemetry/bench_test.go
+++ b/telemetry/bench_test.go
@@ -8,9 +8,9 @@
 	"indigousher/planner"
 )
 
-// BenchmarkTake measures how many lines a second one core adds, and what an aggregator holds, by size. Reports have 20
+// BenchmarkAdd measures how many lines a second one core adds, and what an aggregator holds, by size. Reports have 20
 // lines each; one operation is one report.
-func BenchmarkTake(b *testing.B) {
+func BenchmarkAdd(b *testing.B) {
 	for _, c := range []struct{ endpoints, senders int }{
 		{100, 100},
 		{1000, 1000},
@@ -22,9 +22,9 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			t := testOptions()
-			t.LinesPerS = 1e9
-			in := New[float64](t)
+			o := testOptions()
+			o.LinesPerS = 1e9
+			in := New[float64](o)
 			for e := range c.endpoints {
 				in.UpdateEndpoint(0, e, planner.Ready, 0)
 			}
@@ -32,7 +32,7 @@
 				in.Join(0, s, s%5)
 			}
 			r := &Report[float64]{SpanMs: 1000, Lines: make([]Line[float64], 20)}
-			now, told, i := 0.0, 0.0, 0
+			now, flushed, i := 0.0, 0.0, 0
 			b.ReportAllocs()
 			for b.Loop() {
 				now += 1000 / float64(c.senders)
@@ -41,10 +41,10 @@
 					r.Lines[k] = Line[float64]{Endpoint: (i*7 + k*k*13) % c.endpoints, Tries: 3, MeanMs: 20, Load: 0.5, HasLoad: true}
 				}
 				in.Add(now, r)
-				if i++; now-told >= 1000 {
-					in.Flush(now, now-told)
+				if i++; now-flushed >= 1000 {
+					in.Flush(now, now-flushed)
 					in.Rebalance(now)
-					told = now
+					flushed = now
 				}
 			}
 			runtime.GC()
--- a/telemetry/fleet_test.go
+++ b/telemetry/fleet_test.go
@@ -53,9 +53,9 @@
 	return Options{PeriodMs: 1000, HalfMs: 5000, LongestMs: 120000, Slowest: 8, ColdMs: 10000}
 }
 
-func newFleet(t Options, senders, endpoints, zones int) *fleet {
+func newFleet(o Options, senders, endpoints, zones int) *fleet {
 	c := &fleet{
-		in: New[float64](t), endpoints: endpoints, zones: zones, flushed: map[zoneEndpoint]*flushedSum{},
+		in: New[float64](o), endpoints: endpoints, zones: zones, flushed: map[zoneEndpoint]*flushedSum{},
 		truth: map[zoneEndpoint]float64{}, src: rand.NewPCG(1, 2), rnd: rand.New(rand.NewPCG(3, 4)),
 	}
 	for e := range endpoints {
@@ -63,7 +63,7 @@
 	}
 	for i := range senders {
 		s := &reporter{
-			id: i, zone: i % zones, periodMs: t.PeriodMs, nextMs: t.PeriodMs * float64(i+1) / float64(senders),
+			id: i, zone: i % zones, periodMs: o.PeriodMs, nextMs: o.PeriodMs * float64(i+1) / float64(senders),
 			reportsPerPeriod: 1,
 		}
 		c.senders = append(c.senders, s)
--- a/telemetry/flush_test.go
+++ b/telemetry/flush_test.go
@@ -11,9 +11,9 @@
 // hundredfold: it is reported within two periods of when an unlimited aggregator reports it.
 func TestFailingSeenInBurst(t *testing.T) {
 	first := func(limit float64) (at float64) {
-		tm := testOptions()
-		tm.LinesPerS, tm.ToldPerS = limit, limit/10
-		c := newFleet(tm, 60, 20, 3)
+		options := testOptions()
+		options.LinesPerS, options.ToldPerS = limit, limit/10
+		c := newFleet(options, 60, 20, 3)
 		c.rates = func(_, e int) float64 {
 			if e == 13 {
 				return 0.5
--- a/telemetry/properties_test.go
+++ b/telemetry/properties_test.go
@@ -13,14 +13,14 @@
 // the same outputs, and what is flushed never exceeds what could have been reported.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		tm := testOptions()
-		tm.LinesPerS = rapid.Float64Range(50, 2000).Draw(rt, "linesPerS")
-		tm.Standing = rapid.IntRange(8, 100).Draw(rt, "standing")
+		options := testOptions()
+		options.LinesPerS = rapid.Float64Range(50, 2000).Draw(rt, "linesPerS")
+		options.Standing = rapid.IntRange(8, 100).Draw(rt, "standing")
 		reportRates := rapid.SliceOfN(rapid.Float64Range(0.5, 20), 6, 6).Draw(rt, "reportRates")
 		loss := rapid.Float64Range(0, 0.6).Draw(rt, "loss")
 		late := rapid.Float64Range(0, 3000).Draw(rt, "late")
 		play := func() (string, *fleet) {
-			c := newFleet(tm, 6, 5, 2)
+			c := newFleet(options, 6, 5, 2)
 			for i, s := range c.senders {
 				s.reportsPerPeriod = reportRates[i]
 			}
@@ -32,7 +32,7 @@
 		first, c := play()
 		second, _ := play()
 		require.Equal(rt, first, second)
-		require.LessOrEqual(rt, c.mostPending, tm.Standing)
+		require.LessOrEqual(rt, c.mostPending, options.Standing)
 		for _, s := range c.senders {
 			require.True(rt, !s.arrived || c.in.senders[s.id].accepted > 0 || late > 0, "sender %d was never accepted", s.id)
 		}
--- a/telemetry/queue.go
+++ b/telemetry/queue.go
@@ -23,7 +23,7 @@
 // makeRoom reports whether one more sum may become pending. If necessary it evicts another one for an urgent sum: the
 // first demand, or else the first sum that is not urgent.
 func (a *Aggregator[L]) makeRoom(urgent bool) bool {
-	if a.terms.Standing <= 0 || len(a.pending) < a.terms.Standing {
+	if a.options.Standing <= 0 || len(a.pending) < a.options.Standing {
 		return true
 	}
 	if !urgent {
--- a/telemetry/queue_test.go
+++ b/telemetry/queue_test.go
@@ -8,9 +8,9 @@
 
 // TestPendingLimit guards the bound of pending sums, and that what is urgent finds room.
 func TestPendingLimit(t *testing.T) {
-	tm := testOptions()
-	tm.Standing, tm.ToldPerS = 10, 5
-	c := newFleet(tm, 30, 40, 3)
+	options := testOptions()
+	options.Standing, options.ToldPerS = 10, 5
+	c := newFleet(options, 30, 40, 3)
 	urgent := false
 	c.fails = func(e int, now float64) float64 {
 		if e == 39 && now > 5000 {
--- a/telemetry/quota.go
+++ b/telemetry/quota.go
@@ -21,8 +21,8 @@
 	rebalancedAtMs float64
 }
 
-func newQuotas(t Options) quotas {
-	return quotas{options: t, linesPerS: map[int]float64{}}
+func newQuotas(o Options) quotas {
+	return quotas{options: o, linesPerS: map[int]float64{}}
 }
 
 // unlimited reports whether all lines are accepted.
