--- a/internal/simulator/commands.go
+++ b/internal/simulator/commands.go
@@ -117,99 +117,99 @@
 }
 
 // header returns the header of a command of this instance.
-func (p *instance) header(kind commandKind) header { return header{Instance: p.name, Kind: kind} }
+func (in *instance) header(kind commandKind) header { return header{Instance: in.name, Kind: kind} }
 
 // broken reports that the instance's planner panicked.
-func (p *instance) broken(cause any) command {
-	return textCommand{header: p.header(commandBroken), Text: fmt.Sprint(cause)}
+func (in *instance) broken(cause any) command {
+	return textCommand{header: in.header(commandBroken), Text: fmt.Sprint(cause)}
 }
 
 // encode converts a command of the planner to the simulator's format.
-func (p *instance) encode(order planner.Command) (command, error) {
-	switch o := order.(type) {
+func (in *instance) encode(c planner.Command) (command, error) {
+	switch c := c.(type) {
 	case planner.SetWeight:
-		return p.encodeSetWeight(o)
+		return in.encodeSetWeight(c)
 	case planner.ClearTable:
-		return clearTableCommand{header: p.header(commandClearTable), Table: o.Table}, nil
+		return clearTableCommand{header: in.header(commandClearTable), Table: c.Table}, nil
 	case planner.AssignTable:
-		return p.encodeAssignTable(o)
+		return in.encodeAssignTable(c)
 	case planner.SetExcluded:
-		return p.encodeSetExcluded(o)
+		return in.encodeSetExcluded(c)
 	case planner.SetAdmission:
-		return p.encodeSetAdmission(o), nil
+		return in.encodeSetAdmission(c), nil
 	case planner.AckRequest:
-		return ackRequestCommand{header: p.header(commandAckRequest), Number: o.Number, All: o.All}, nil
+		return ackRequestCommand{header: in.header(commandAckRequest), Number: c.Number, All: c.All}, nil
 	case planner.HealthCheck:
-		return p.encodeHealthCheck(o)
+		return in.encodeHealthCheck(c)
 	case planner.SendGossip:
-		return sendGossipCommand{header: p.header(commandSendGossip), Peer: o.Peer, Text: o.Text}, nil
+		return sendGossipCommand{header: in.header(commandSendGossip), Peer: c.Peer, Text: c.Text}, nil
 	case planner.SetTimer:
-		return setTimerCommand{header: p.header(commandSetTimer), DueNs: p.simulatorTime(o.AtMs), Timer: o.Name}, nil
+		return setTimerCommand{header: in.header(commandSetTimer), DueNs: in.simulatorTime(c.AtMs), Timer: c.Name}, nil
 	case planner.WatchEndpoints:
-		return watchEndpointsCommand{header: p.header(commandWatchEndpoints), On: o.On}, nil
+		return watchEndpointsCommand{header: in.header(commandWatchEndpoints), On: c.On}, nil
 	case planner.FetchEndpoints:
-		return simpleCommand{p.header(commandFetchEndpoints)}, nil
+		return simpleCommand{in.header(commandFetchEndpoints)}, nil
 	case planner.Log:
-		return textCommand{header: p.header(commandLog), Text: o.Text}, nil
+		return textCommand{header: in.header(commandLog), Text: c.Text}, nil
 	}
-	return nil, errors.New("unknown order " + strconv.Quote(fmt.Sprintf("%T", order)))
+	return nil, errors.New("unknown order " + strconv.Quote(fmt.Sprintf("%T", c)))
 }
 
-func (p *instance) encodeSetWeight(o planner.SetWeight) (command, error) {
-	name, err := p.endpointName(o.Endpoint, commandSetWeight)
+func (in *instance) encodeSetWeight(c planner.SetWeight) (command, error) {
+	name, err := in.endpointName(c.Endpoint, commandSetWeight)
 	if err != nil {
 		return nil, err
 	}
 	return setWeightCommand{
-		header:   p.header(commandSetWeight),
+		header:   in.header(commandSetWeight),
 		Endpoint: name,
-		Weight:   o.Weight,
-		Table:    o.Table,
+		Weight:   c.Weight,
+		Table:    c.Table,
 	}, nil
 }
 
 // encodeAssignTable rejects a proxy that has not joined: the simulator would treat the command as a violation.
-func (p *instance) encodeAssignTable(o planner.AssignTable) (command, error) {
-	if !p.joined[o.Proxy] {
-		return nil, fmt.Errorf("bind of proxy %d, which is not joined", o.Proxy)
+func (in *instance) encodeAssignTable(c planner.AssignTable) (command, error) {
+	if !in.joined[c.Proxy] {
+		return nil, fmt.Errorf("bind of proxy %d, which is not joined", c.Proxy)
 	}
 	return assignTableCommand{
-		header:  p.header(commandAssignTable),
-		Proxy:   o.Proxy,
-		Classes: o.Classes,
-		Table:   o.Table,
+		header:  in.header(commandAssignTable),
+		Proxy:   c.Proxy,
+		Classes: c.Classes,
+		Table:   c.Table,
 	}, nil
 }
 
-func (p *instance) encodeSetExcluded(o planner.SetExcluded) (command, error) {
-	name, err := p.endpointName(o.Endpoint, commandSetExcluded)
+func (in *instance) encodeSetExcluded(c planner.SetExcluded) (command, error) {
+	name, err := in.endpointName(c.Endpoint, commandSetExcluded)
 	if err != nil {
 		return nil, err
 	}
-	return setExcludedCommand{header: p.header(commandSetExcluded), Endpoint: name, Excluded: o.Excluded}, nil
+	return setExcludedCommand{header: in.header(commandSetExcluded), Endpoint: name, Excluded: c.Excluded}, nil
 }
 
-func (p *instance) encodeSetAdmission(o planner.SetAdmission) command {
+func (in *instance) encodeSetAdmission(c planner.SetAdmission) command {
 	return setAdmissionCommand{
-		header:    p.header(commandSetAdmission),
-		Classes:   o.Classes,
-		Level:     o.Level,
-		RetryMode: o.RetryMode,
-		Table:     o.Table,
+		header:    in.header(commandSetAdmission),
+		Classes:   c.Classes,
+		Level:     c.Level,
+		RetryMode: c.RetryMode,
+		Table:     c.Table,
 	}
 }
 
-func (p *instance) encodeHealthCheck(o planner.HealthCheck) (command, error) {
-	name, err := p.endpointName(o.Endpoint, commandHealthCheck)
+func (in *instance) encodeHealthCheck(c planner.HealthCheck) (command, error) {
+	name, err := in.endpointName(c.Endpoint, commandHealthCheck)
 	if err != nil {
 		return nil, err
 	}
-	return healthCheckCommand{header: p.header(commandHealthCheck), Endpoint: name}, nil
+	return healthCheckCommand{header: in.header(commandHealthCheck), Endpoint: name}, nil
 }
 
 // endpointName returns the name of the endpoint that a command is about.
-func (p *instance) endpointName(endpoint int, kind commandKind) (string, error) {
-	name, err := p.endpoints.Lookup(endpoint)
+func (in *instance) endpointName(endpoint int, kind commandKind) (string, error) {
+	name, err := in.endpoints.Lookup(endpoint)
 	if err != nil {
 		return "", fmt.Errorf("%v: %w", kind, err)
 	}
--- a/internal/simulator/commands_test.go
+++ b/internal/simulator/commands_test.go
@@ -12,11 +12,11 @@
 
 // TestCommandBytes guards the bytes of each command, order of keys included: recorded conversations hold them.
 func TestCommandBytes(t *testing.T) {
-	p := &instance{name: "pilot/0", originNs: 7, joined: map[int]bool{4: true}}
-	endpoint := p.endpoints.Intern("x:1")
+	in := &instance{name: "pilot/0", originNs: 7, joined: map[int]bool{4: true}}
+	endpoint := in.endpoints.Intern("x:1")
 	for _, c := range []struct {
-		order planner.Command
-		want  string
+		command planner.Command
+		want    string
 	}{
 		{
 			planner.SetWeight{Table: 2, Endpoint: endpoint, Weight: 0.5},
@@ -67,23 +67,23 @@
 			`{"body_text":"so","i":"pilot/0","kind":"print"}`,
 		},
 	} {
-		encoded, err := p.encode(c.order)
+		encoded, err := in.encode(c.command)
 		require.NoError(t, err)
 		bytes, err := json.Marshal(encoded)
 		require.NoError(t, err)
 		assert.Equal(t, c.want, string(bytes))
 	}
-	bytes, err := json.Marshal(p.broken("index out of range"))
+	bytes, err := json.Marshal(in.broken("index out of range"))
 	require.NoError(t, err)
 	assert.Equal(t, `{"body_text":"index out of range","i":"pilot/0","kind":"broken"}`, string(bytes))
 }
 
 // TestUnencodable guards the simulator against commands that it would take for a fault.
 func TestUnencodable(t *testing.T) {
-	p := &instance{name: "pilot/0", joined: map[int]bool{}}
+	in := &instance{name: "pilot/0", joined: map[int]bool{}}
 	for _, c := range []struct {
-		order planner.Command
-		want  string
+		command planner.Command
+		want    string
 	}{
 		{planner.SetWeight{Endpoint: 3}, "set_weight: no id behind index 3"},
 		{planner.SetExcluded{Endpoint: 3}, "withdraw: no id behind index 3"},
@@ -91,7 +91,7 @@
 		{planner.AssignTable{Proxy: 4}, "bind of proxy 4, which is not joined"},
 		{nil, `unknown order "<nil>"`},
 	} {
-		_, err := p.encode(c.order)
+		_, err := in.encode(c.command)
 		assert.EqualError(t, err, c.want)
 	}
 }
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -106,30 +106,30 @@
 }
 
 // decode converts an event of the simulator to the planner's. New names are given an index.
-func (p *instance) decode(e *event) (planner.Event, error) {
+func (in *instance) decode(e *event) (planner.Event, error) {
 	switch e.Kind {
 	case eventEndpoints:
-		return p.decodeEndpoints(e)
+		return in.decodeEndpoints(e)
 	case eventProxyJoined:
-		return p.decodeProxyJoined(e)
+		return in.decodeProxyJoined(e)
 	case eventProxyLeft:
 		return planner.ProxyLeft{Proxy: e.Proxy}, nil
 	case eventTimer:
 		return planner.TimerFired{Name: e.Timer}, nil
 	case eventHealthCheck:
-		return p.decodeHealthCheck(e), nil
+		return in.decodeHealthCheck(e), nil
 	case eventGossip:
 		return planner.Gossip{From: e.From, Text: e.Text}, nil
 	case eventEndpointStats:
-		return p.decodeEndpointStats(e), nil
+		return in.decodeEndpointStats(e), nil
 	case eventRequestStats:
-		return p.decodeRequestStats(e), nil
+		return in.decodeRequestStats(e), nil
 	case eventSliceStats:
-		return p.decodeSliceStats(e), nil
+		return in.decodeSliceStats(e), nil
 	case eventSliceAssignment:
 		return planner.SliceAssignment{Slice: e.Slice, Assigned: e.Active}, nil
 	case eventSliceWeight:
-		return planner.SliceWeight{Slice: e.Slice, Endpoint: p.endpoints.Intern(e.Endpoint), Weight: e.Weight}, nil
+		return planner.SliceWeight{Slice: e.Slice, Endpoint: in.endpoints.Intern(e.Endpoint), Weight: e.Weight}, nil
 	case eventAcknowledgement:
 		return planner.Ack{Proxy: e.Proxy, Number: e.Number, TookMs: e.WaitNs / settings.NsPerMs}, nil
 	}
@@ -137,14 +137,14 @@
 }
 
 // decodeEndpoints decodes an endpoint list or a change to it.
-func (p *instance) decodeEndpoints(e *event) (planner.Event, error) {
+func (in *instance) decodeEndpoints(e *event) (planner.Event, error) {
 	mode, ok := listModes[e.Mode]
 	if !ok {
 		return nil, fmt.Errorf("unknown mode of list %q", e.Mode)
 	}
 	listing := planner.EndpointUpdate{Mode: mode, Version: e.Number}
 	for i := range e.Lines {
-		entry, err := p.decodeListLine(&e.Lines[i])
+		entry, err := in.decodeListLine(&e.Lines[i])
 		if err != nil {
 			return nil, err
 		}
@@ -154,7 +154,7 @@
 }
 
 // decodeListLine decodes one line of the list.
-func (p *instance) decodeListLine(line *listLine) (planner.Entry, error) {
+func (in *instance) decodeListLine(line *listLine) (planner.Entry, error) {
 	phase, ok := phases[line.Mode]
 	if !ok {
 		return planner.Entry{}, fmt.Errorf("unknown state %q of endpoint %q", line.Mode, line.Endpoint)
@@ -163,29 +163,29 @@
 		return planner.Entry{}, fmt.Errorf("weight %g of endpoint %q is out of range", line.Weight, line.Endpoint)
 	}
 	entry := planner.Entry{
-		Endpoint: p.endpoints.Intern(line.Endpoint),
-		Zone:     p.zones.Intern(line.Zone),
-		Machine:  p.models.Intern(line.Model),
+		Endpoint: in.endpoints.Intern(line.Endpoint),
+		Zone:     in.zones.Intern(line.Zone),
+		Machine:  in.models.Intern(line.Model),
 		Cell:     line.Cell,
 		Phase:    phase,
 		Weight:   line.Weight,
 	}
 	if line.LaunchedNs != 0 {
-		entry.Started = p.planTime(line.LaunchedNs)
+		entry.Started = in.planTime(line.LaunchedNs)
 	}
 	return entry, nil
 }
 
-func (p *instance) decodeProxyJoined(e *event) (planner.Event, error) {
+func (in *instance) decodeProxyJoined(e *event) (planner.Event, error) {
 	if !planner.ValidRate(e.Weight) {
 		return nil, fmt.Errorf("rate %g of proxy %d is out of range", e.Weight, e.Proxy)
 	}
-	return planner.ProxyJoined{Proxy: e.Proxy, Zone: p.zones.Intern(e.Zone), Rate: e.Weight, Fresh: e.Active}, nil
+	return planner.ProxyJoined{Proxy: e.Proxy, Zone: in.zones.Intern(e.Zone), Rate: e.Weight, Fresh: e.Active}, nil
 }
 
-func (p *instance) decodeHealthCheck(e *event) planner.Event {
+func (in *instance) decodeHealthCheck(e *event) planner.Event {
 	return planner.HealthCheckResult{
-		Endpoint: p.endpoints.Intern(e.Endpoint),
+		Endpoint: in.endpoints.Intern(e.Endpoint),
 		OK:       e.Result == healthCheckPassed,
 		Outcome:  e.Result,
 		TookMs:   e.WaitNs / settings.NsPerMs,
@@ -193,10 +193,10 @@
 	}
 }
 
-func (p *instance) decodeEndpointStats(e *event) planner.Event {
+func (in *instance) decodeEndpointStats(e *event) planner.Event {
 	return planner.EndpointStats{
-		Endpoint: p.endpoints.Intern(e.Endpoint),
-		Zone:     p.zones.Intern(e.Zone),
+		Endpoint: in.endpoints.Intern(e.Endpoint),
+		Zone:     in.zones.Intern(e.Zone),
 		Attempts: e.Count,
 		Failed:   e.Errors,
 		MeanMs:   e.WaitNs / settings.NsPerMs,
@@ -205,20 +205,20 @@
 	}
 }
 
-func (p *instance) decodeRequestStats(e *event) planner.Event {
+func (in *instance) decodeRequestStats(e *event) planner.Event {
 	return planner.RequestStats{
 		Proxy:      e.Proxy,
-		Class:      p.classes.Intern(e.Class),
+		Class:      in.classes.Intern(e.Class),
 		Requests:   e.Count,
 		Unanswered: e.Errors,
 		SpanMs:     e.SpanNs / settings.NsPerMs,
 	}
 }
 
-func (p *instance) decodeSliceStats(e *event) planner.Event {
+func (in *instance) decodeSliceStats(e *event) planner.Event {
 	return planner.SliceStats{
 		Slice:      e.Slice,
-		Class:      p.classes.Intern(e.Class),
+		Class:      in.classes.Intern(e.Class),
 		Requests:   e.Count,
 		Unanswered: e.Errors,
 		SpanMs:     e.SpanNs / settings.NsPerMs,
--- a/internal/simulator/host.go
+++ b/internal/simulator/host.go
@@ -16,22 +16,22 @@
 // turn is one instance's part of a batch.
 type turn struct {
 	instance *instance
-	notes    []planner.Event
+	events   []planner.Event
 }
 
 // answer reads one batch, lets each instance handle its part, and writes the reply.
 func (h *host) answer(line []byte, w *bufio.Writer) error {
-	var in batch
-	if err := json.Unmarshal(line, &in); err != nil {
+	var b batch
+	if err := json.Unmarshal(line, &b); err != nil {
 		return fmt.Errorf("malformed batch: %w", err)
 	}
-	turns, err := h.turns(&in)
+	turns, err := h.turns(&b)
 	if err != nil {
 		return err
 	}
-	out := reply{Number: in.Number, Commands: []command{}}
+	out := reply{Number: b.Number, Commands: []command{}}
 	for _, t := range turns {
-		commands, err := t.instance.handle(in.ClockNs, t.notes)
+		commands, err := t.instance.handle(b.ClockNs, t.events)
 		if err != nil {
 			return err
 		}
@@ -42,41 +42,41 @@
 
 // turns groups a batch's events by instance, in the order in which the instances first appear, and starts and ends
 // instances on the way. Instances that have ended by the end of the batch get no turn.
-func (h *host) turns(in *batch) ([]*turn, error) {
+func (h *host) turns(b *batch) ([]*turn, error) {
 	var order []*turn
 	byInstance := map[*instance]*turn{}
-	turnOf := func(p *instance) *turn {
-		if byInstance[p] == nil {
-			byInstance[p] = &turn{instance: p}
-			order = append(order, byInstance[p])
+	turnOf := func(in *instance) *turn {
+		if byInstance[in] == nil {
+			byInstance[in] = &turn{instance: in}
+			order = append(order, byInstance[in])
 		}
-		return byInstance[p]
+		return byInstance[in]
 	}
-	for i, raw := range in.Events {
+	for i, raw := range b.Events {
 		var e event
 		if err := json.Unmarshal(raw, &e); err != nil {
 			return nil, fmt.Errorf("malformed event %d: %w", i+1, err)
 		}
 		if e.Kind == eventStart {
-			p := newInstance(&e, in.ClockNs)
-			h.instances[p.name] = p
-			turnOf(p)
+			in := newInstance(&e, b.ClockNs)
+			h.instances[in.name] = in
+			turnOf(in)
 			continue
 		}
-		p := h.instances[e.Instance]
-		if p == nil {
+		in := h.instances[e.Instance]
+		if in == nil {
 			return nil, fmt.Errorf("event %d: %q for unknown instance %q", i+1, e.Kind, e.Instance)
 		}
 		if e.Kind == eventEnd {
 			delete(h.instances, e.Instance)
 			continue
 		}
-		note, err := p.decode(&e)
+		decoded, err := in.decode(&e)
 		if err != nil {
 			return nil, fmt.Errorf("event %d: %w", i+1, err)
 		}
-		t := turnOf(p)
-		t.notes = append(t.notes, note)
+		t := turnOf(in)
+		t.events = append(t.events, decoded)
 	}
 	return h.living(order), nil
 }
--- a/internal/simulator/instance.go
+++ b/internal/simulator/instance.go
@@ -11,7 +11,7 @@
 // instance is one simulated controller: its planner, and the names behind the planner's indices.
 type instance struct {
 	name     string
-	brain    *planner.Planner
+	planner  *planner.Planner
 	originNs int64 // simulator time of the start, the origin of the planner's time
 
 	endpoints, zones, classes, models settings.Names
@@ -24,7 +24,7 @@
 	deployment := settings.Parse(e.Setup)
 	return &instance{
 		name:     e.Instance,
-		brain:    planner.New(e.Seed, deployment.Settings),
+		planner:  planner.New(e.Seed, deployment.Settings),
 		originNs: clockNs,
 		zones:    deployment.Zones,
 		classes:  deployment.Classes,
@@ -35,18 +35,18 @@
 
 // handle passes events to the planner and returns its commands. If the planner panics, the panic is reported to the
 // simulator in place of commands, and the other instances continue.
-func (p *instance) handle(clockNs int64, notes []planner.Event) (commands []command, err error) {
+func (in *instance) handle(clockNs int64, events []planner.Event) (commands []command, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			commands = []command{p.broken(cause)}
+			commands = []command{in.broken(cause)}
 			err = nil
 		}
 	}()
-	p.trackProxies(notes)
-	for _, order := range p.brain.Handle(p.planTime(clockNs), notes) {
-		encoded, err := p.encode(order)
+	in.trackProxies(events)
+	for _, c := range in.planner.Handle(in.planTime(clockNs), events) {
+		encoded, err := in.encode(c)
 		if err != nil {
-			return nil, fmt.Errorf("instance %s: %w", p.name, err)
+			return nil, fmt.Errorf("instance %s: %w", in.name, err)
 		}
 		commands = append(commands, encoded)
 	}
@@ -54,23 +54,23 @@
 }
 
 // trackProxies records which proxies join and leave.
-func (p *instance) trackProxies(notes []planner.Event) {
-	for _, note := range notes {
-		switch n := note.(type) {
+func (in *instance) trackProxies(events []planner.Event) {
+	for _, e := range events {
+		switch e := e.(type) {
 		case planner.ProxyJoined:
-			p.joined[n.Proxy] = true
+			in.joined[e.Proxy] = true
 		case planner.ProxyLeft:
-			delete(p.joined, n.Proxy)
+			delete(in.joined, e.Proxy)
 		}
 	}
 }
 
 // planTime converts simulator time to the planner's time: milliseconds since the instance's start.
-func (p *instance) planTime(clockNs int64) float64 {
-	return float64(clockNs-p.originNs) / settings.NsPerMs
+func (in *instance) planTime(clockNs int64) float64 {
+	return float64(clockNs-in.originNs) / settings.NsPerMs
 }
 
 // simulatorTime converts the planner's time to simulator time.
-func (p *instance) simulatorTime(atMs float64) int64 {
-	return p.originNs + int64(math.Round(atMs*settings.NsPerMs))
+func (in *instance) simulatorTime(atMs float64) int64 {
+	return in.originNs + int64(math.Round(atMs*settings.NsPerMs))
 }
--- a/internal/simulator/serve_test.go
+++ b/internal/simulator/serve_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// spawn starts an instance that has heard of one endpoint.
+// spawn starts an instance that knows one endpoint.
 const spawn = `{"kind":"spawn","i":"pilot/0","rng_seed":5,"setup":{"dcs":["a","b"],"kinds":["m"],"instances":1,` +
 	`"zone":"b","profiles":[{"name":"read","aim":1000000000,"importance":2,"only_kinds":["m"]}],` +
 	`"extra":{"envelope":4}}},` +
