--- a/internal/identity/keystore.go
+++ b/internal/identity/keystore.go
@@ -30,34 +30,34 @@
 
 // Load reads a key store. If refused is not nil, it is called for each rejected peer.
 func Load(f Files, refused func(net.Addr, error)) (*KeyStore, error) {
-	r := &KeyStore{files: f, refused: refused}
-	if err := r.read(); err != nil {
+	k := &KeyStore{files: f, refused: refused}
+	if err := k.read(); err != nil {
 		return nil, err
 	}
-	return r, nil
+	return k, nil
 }
 
 // read reads the files. On an error the store is unchanged.
-func (r *KeyStore) read() error {
-	stamp, err := newest(r.files.list()...)
+func (k *KeyStore) read() error {
+	stamp, err := newest(k.files.list()...)
 	if err != nil {
 		return err
 	}
-	cert, err := readCertificate(r.files.Certificate, r.files.Key)
+	cert, err := readCertificate(k.files.Certificate, k.files.Key)
 	if err != nil {
-		return fmt.Errorf("keys: %s: %w", r.files.Certificate, err)
+		return fmt.Errorf("keys: %s: %w", k.files.Certificate, err)
 	}
-	authority, err := os.ReadFile(r.files.Authority)
+	authority, err := os.ReadFile(k.files.Authority)
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(authority) {
-		return fmt.Errorf("keys: %s holds no certificate", r.files.Authority)
+		return fmt.Errorf("keys: %s holds no certificate", k.files.Authority)
 	}
-	r.cert = cert
-	r.pool = pool
-	r.watch.readStamp = stamp
+	k.cert = cert
+	k.pool = pool
+	k.watch.readStamp = stamp
 	return nil
 }
 
@@ -80,30 +80,30 @@
 }
 
 // current returns the keys in force, reloaded if the files have changed.
-func (r *KeyStore) current() (*tls.Certificate, *x509.CertPool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.watch.reload(r.read, r.files.list()...)
-	return r.cert, r.pool
+func (k *KeyStore) current() (*tls.Certificate, *x509.CertPool) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	k.watch.reload(k.read, k.files.list()...)
+	return k.cert, k.pool
 }
 
 // Err returns the error of the last reload, or nil if the files in force are the latest.
-func (r *KeyStore) Err() error {
-	r.current()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.watch.err
+func (k *KeyStore) Err() error {
+	k.current()
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	return k.watch.err
 }
 
 // Expires returns the expiry of the process's own certificate.
-func (r *KeyStore) Expires() time.Time {
-	cert, _ := r.current()
+func (k *KeyStore) Expires() time.Time {
+	cert, _ := k.current()
 	return cert.Leaf.NotAfter
 }
 
 // Identity returns the identity in the process's own certificate.
-func (r *KeyStore) Identity() Identity {
-	cert, _ := r.current()
+func (k *KeyStore) Identity() Identity {
+	cert, _ := k.current()
 	identity, _ := FromCertificate(cert.Leaf) // checked when it was read
 	return identity
 }
--- a/internal/identity/replay.go
+++ b/internal/identity/replay.go
@@ -21,17 +21,17 @@
 }
 
 // Accept reports whether the message with a number is accepted, and remembers the number if it is.
-func (o *ReplayFilter) Accept(number uint64) bool {
-	tooOld := number+maxNumberAge < o.newest
-	full := len(o.accepted) == replayWindow
-	if tooOld || slices.Contains(o.accepted, number) || full && number < o.accepted[0] {
+func (f *ReplayFilter) Accept(number uint64) bool {
+	tooOld := number+maxNumberAge < f.newest
+	full := len(f.accepted) == replayWindow
+	if tooOld || slices.Contains(f.accepted, number) || full && number < f.accepted[0] {
 		return false
 	}
-	at, _ := slices.BinarySearch(o.accepted, number)
-	o.accepted = slices.Insert(o.accepted, at, number)
-	if len(o.accepted) > replayWindow {
-		o.accepted = slices.Delete(o.accepted, 0, 1)
+	at, _ := slices.BinarySearch(f.accepted, number)
+	f.accepted = slices.Insert(f.accepted, at, number)
+	if len(f.accepted) > replayWindow {
+		f.accepted = slices.Delete(f.accepted, 0, 1)
 	}
-	o.newest = max(o.newest, number)
+	f.newest = max(f.newest, number)
 	return true
 }
--- a/internal/identity/tls.go
+++ b/internal/identity/tls.go
@@ -11,19 +11,19 @@
 var nextProtos = []string{"h2"}
 
 // Server returns the configuration of a listener that admits the given roles. Each handshake uses the keys in force.
-func (r *KeyStore) Server(let ...Role) *tls.Config {
+func (k *KeyStore) Server(let ...Role) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: nextProtos,
 		GetConfigForClient: func(hello *tls.ClientHelloInfo) (*tls.Config, error) {
-			return r.serverConfig(hello, let), nil
+			return k.serverConfig(hello, let), nil
 		},
 	}
 }
 
 // serverConfig returns the configuration of one handshake.
-func (r *KeyStore) serverConfig(hello *tls.ClientHelloInfo, let []Role) *tls.Config {
-	cert, pool := r.current()
+func (k *KeyStore) serverConfig(hello *tls.ClientHelloInfo, let []Role) *tls.Config {
+	cert, pool := k.current()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		NextProtos:   nextProtos,
@@ -31,8 +31,8 @@
 		ClientAuth:   tls.RequireAnyClientCert, // VerifyConnection checks the chain and the identity
 		VerifyConnection: func(s tls.ConnectionState) error {
 			err := verify(s, pool, x509.ExtKeyUsageClientAuth, let)
-			if err != nil && r.refused != nil {
-				r.refused(hello.Conn.RemoteAddr(), err)
+			if err != nil && k.refused != nil {
+				k.refused(hello.Conn.RemoteAddr(), err)
 			}
 			return err
 		},
@@ -41,17 +41,17 @@
 
 // Client returns the configuration for dialling a peer with one of the given roles. The peer's identity is verified,
 // not its host name.
-func (r *KeyStore) Client(want ...Role) *tls.Config {
+func (k *KeyStore) Client(want ...Role) *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
 		NextProtos:         nextProtos,
 		InsecureSkipVerify: true, // no host name; VerifyConnection checks the chain and the identity
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			cert, _ := r.current()
+			cert, _ := k.current()
 			return cert, nil
 		},
 		VerifyConnection: func(s tls.ConnectionState) error {
-			_, pool := r.current()
+			_, pool := k.current()
 			return verify(s, pool, x509.ExtKeyUsageServerAuth, want)
 		},
 	}
--- a/internal/transport/discovery/discovery_test.go
+++ b/internal/transport/discovery/discovery_test.go
@@ -19,7 +19,7 @@
 	"indigousher/internal/config"
 	"indigousher/internal/controller"
 	"indigousher/internal/testbed/eventlog"
-	standin "indigousher/internal/testbed/registry"
+	"indigousher/internal/testbed/registry"
 	"indigousher/internal/wire"
 )
 
@@ -65,9 +65,9 @@
 	t.Cleanup(func() { cancel(); assert.NoError(t, <-done) })
 }
 
-// TestStream guards a source that dies: the last list stands, the loss is told, and a whole list follows its return.
+// TestStream guards a source that dies: the last list stands, the loss is reported, and a complete list follows its return.
 func TestStream(t *testing.T) {
-	l := standin.New(eventlog.NewLog().Stream("list"))
+	l := registry.New(eventlog.NewLog().Stream("list"))
 	require.NoError(t, l.Start())
 	t.Cleanup(l.Close)
 	l.Put(0, wire.Entry{Endpoint: "x", Zone: "a"})
@@ -147,7 +147,7 @@
 	in.has(t, "lost", "whole x", "lost", "whole y")
 }
 
-// TestFileWrittenInPlace guards the endpoints of a list that is truncated and written anew bit by bit: what stands in
+// TestFileWrittenInPlace guards the endpoints of a list that is truncated and rewritten bit by bit: what stands in
 // the file meanwhile reads well, and would have all that is not there yet withdrawn.
 func TestFileWrittenInPlace(t *testing.T) {
 	path, whole := filepath.Join(t.TempDir(), "endpoints.hcl"), ""
--- a/internal/transport/framed/handshake.go
+++ b/internal/transport/framed/handshake.go
@@ -20,7 +20,7 @@
 // greet reads, checks and answers the hello. If it rejects the hello, it sends the reason to the proxy and returns an
 // error.
 func (s *Server) greet(st *stream, r *wire.Reader, w *wire.Writer) (*wire.Hello, error) {
-	if err := st.conn.SetDeadline(time.Now().Add(s.door.HelloDeadline)); err != nil {
+	if err := st.conn.SetDeadline(time.Now().Add(s.config.HelloDeadline)); err != nil {
 		return nil, fmt.Errorf("set deadline: %w", err)
 	}
 	first, err := r.Read()
@@ -48,9 +48,9 @@
 func (s *Server) welcome() *wire.Welcome {
 	return &wire.Welcome{
 		Version:  wire.Version,
-		Pilot:    s.door.Pilot,
-		BeatMs:   int(s.door.Beat.Milliseconds()),
-		PeriodMs: int(s.door.Period.Milliseconds()),
+		Pilot:    s.config.Pilot,
+		BeatMs:   int(s.config.Beat.Milliseconds()),
+		PeriodMs: int(s.config.Period.Milliseconds()),
 	}
 }
 
--- a/internal/transport/framed/server.go
+++ b/internal/transport/framed/server.go
@@ -38,9 +38,9 @@
 
 // Server accepts proxies' streams.
 type Server struct {
-	door  ListenerConfig
-	inbox controller.Inbox
-	log   *zap.Logger
+	config ListenerConfig
+	inbox  controller.Inbox
+	log    *zap.Logger
 
 	mu      sync.Mutex
 	streams map[*stream]bool // open streams
@@ -48,8 +48,8 @@
 }
 
 // NewServer returns a server that does not listen yet.
-func NewServer(d ListenerConfig, inbox controller.Inbox, log *zap.Logger) *Server {
-	return &Server{door: d, inbox: inbox, log: log, streams: map[*stream]bool{}}
+func NewServer(c ListenerConfig, inbox controller.Inbox, log *zap.Logger) *Server {
+	return &Server{config: c, inbox: inbox, log: log, streams: map[*stream]bool{}}
 }
 
 // Serve accepts streams from l until ctx ends. It then redirects each proxy to another controller and returns when all
@@ -116,12 +116,12 @@
 func (s *Server) register(conn net.Conn) *stream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.streams) >= s.door.MaxStreams || s.killed {
+	if len(s.streams) >= s.config.MaxStreams || s.killed {
 		return nil
 	}
 	st := &stream{
 		conn: conn,
-		out:  make(chan wire.Message, s.door.Queue),
+		out:  make(chan wire.Message, s.config.Queue),
 		end:  shutdown.New[wire.Message](),
 	}
 	s.streams[st] = true
--- a/internal/transport/framed/session.go
+++ b/internal/transport/framed/session.go
@@ -28,7 +28,7 @@
 	defer s.unregister(st)
 	defer st.closeConn()
 	log := s.log.With(zap.Stringer("from", st.conn.RemoteAddr()))
-	r := wire.NewReader(st.conn, s.door.MaxFrame)
+	r := wire.NewReader(st.conn, s.config.MaxFrame)
 	w := wire.NewWriter(st.conn)
 	hello, err := s.greet(st, r, w)
 	if err != nil {
@@ -73,7 +73,7 @@
 // readAll reads messages until the stream ends, the proxy says goodbye, or it is silent for too long.
 func (s *Server) readAll(ctx context.Context, st *stream, r *wire.Reader) error {
 	for {
-		if err := st.conn.SetReadDeadline(time.Now().Add(silentBeats * s.door.Beat)); err != nil {
+		if err := st.conn.SetReadDeadline(time.Now().Add(silentBeats * s.config.Beat)); err != nil {
 			return fmt.Errorf("set deadline: %w", err)
 		}
 		m, err := r.Read()
@@ -98,7 +98,7 @@
 		return s.inbox.Post(ctx, controller.Acked{Stream: st, Done: *m})
 	case *wire.Beat:
 		st.unacked.acknowledge(m.Seen)
-		if st.unacked.olderThan(time.Now().Add(-s.door.SeenWithin)) {
+		if st.unacked.olderThan(time.Now().Add(-s.config.SeenWithin)) {
 			return ErrSlow
 		}
 		return nil
@@ -108,7 +108,7 @@
 
 // writeAll writes queued messages and heartbeats until the stream ends, and then the last message.
 func (s *Server) writeAll(st *stream, w *wire.Writer) error {
-	heartbeat := time.NewTicker(s.door.Beat)
+	heartbeat := time.NewTicker(s.config.Beat)
 	defer heartbeat.Stop()
 	for {
 		select {
@@ -129,7 +129,7 @@
 
 // write writes a message within the write deadline.
 func (s *Server) write(st *stream, w *wire.Writer, m wire.Message) error {
-	if err := st.conn.SetWriteDeadline(time.Now().Add(s.door.WriteDeadline)); err != nil {
+	if err := st.conn.SetWriteDeadline(time.Now().Add(s.config.WriteDeadline)); err != nil {
 		return fmt.Errorf("set deadline: %w", err)
 	}
 	_, err := w.Write(m)
@@ -142,7 +142,7 @@
 	if !ok {
 		return nil
 	}
-	_ = st.conn.SetWriteDeadline(time.Now().Add(s.door.WriteDeadline)) // if this fails, so does the write
+	_ = st.conn.SetWriteDeadline(time.Now().Add(s.config.WriteDeadline)) // if this fails, so does the write
 	_, err := w.Write(last)
 	return err
 }
--- a/internal/transport/framed/stream.go
+++ b/internal/transport/framed/stream.go
@@ -13,7 +13,7 @@
 // ErrSlow ends the stream of a proxy that does not keep up with reading.
 var ErrSlow = errors.New("the proxy reads too slowly or not at all")
 
-// stream is the stream of one proxy. It implements pilot.Stream.
+// stream is the stream of one proxy. It implements controller.Stream.
 type stream struct {
 	conn    net.Conn
 	out     chan wire.Message // queue to the writer
--- a/internal/transport/gossip/gossip.go
+++ b/internal/transport/gossip/gossip.go
@@ -34,10 +34,10 @@
 	repeats map[int]*identity.ReplayFilter // by rank, owned by Run
 }
 
-// Open returns a post on an open socket, which Run will close. Peers are addresses by rank; this controller's own rank
+// Open returns a service on an open socket, which Run will close. Peers are addresses by rank; this controller's own rank
 // is ignored.
 func Open(conn net.PacketConn, rank int, peers map[int]string, inbox controller.Inbox, log *zap.Logger) (*Service, error) {
-	p := &Service{
+	s := &Service{
 		conn:    conn,
 		rank:    rank,
 		peers:   map[int]net.Addr{},
@@ -51,50 +51,50 @@
 		if err != nil {
 			return nil, fmt.Errorf("address of pilot %d: %w", peer, err)
 		}
-		p.peers[peer] = address
-		p.repeats[peer] = &identity.ReplayFilter{}
+		s.peers[peer] = address
+		s.repeats[peer] = &identity.ReplayFilter{}
 	}
-	return p, nil
+	return s, nil
 }
 
 // Tell sends a text to a peer, or to all peers if the rank is negative.
-func (p *Service) Tell(peer int, text string) {
-	for rank, address := range p.peers {
+func (s *Service) Tell(peer int, text string) {
+	for rank, address := range s.peers {
 		toAll := peer < 0
-		if rank == p.rank || !toAll && rank != peer {
+		if rank == s.rank || !toAll && rank != peer {
 			continue
 		}
-		if err := p.send(address, text); err != nil {
-			p.log.Debug("note to a pilot lost", zap.Int("to", rank), zap.Error(err))
+		if err := s.send(address, text); err != nil {
+			s.log.Debug("note to a pilot lost", zap.Int("to", rank), zap.Error(err))
 		}
 	}
 }
 
 // send sends a text to an address.
-func (p *Service) send(to net.Addr, text string) error {
-	datagram, err := p.encode(text)
+func (s *Service) send(to net.Addr, text string) error {
+	datagram, err := s.encode(text)
 	if err != nil {
 		return err
 	}
-	_, err = p.conn.WriteTo(datagram, to)
+	_, err = s.conn.WriteTo(datagram, to)
 	return err
 }
 
 // encode returns a datagram of this controller, sealed if there is a secret.
-func (p *Service) encode(text string) ([]byte, error) {
-	if p.Secret == nil {
-		return Encode(p.rank, text), nil
+func (s *Service) encode(text string) ([]byte, error) {
+	if s.Secret == nil {
+		return Encode(s.rank, text), nil
 	}
-	return seal(p.Secret, p.rank, text)
+	return seal(s.Secret, s.rank, text)
 }
 
 // Run receives gossip and posts it to the controller until ctx ends. It closes the socket.
-func (p *Service) Run(ctx context.Context) error {
-	stop := context.AfterFunc(ctx, func() { _ = p.conn.Close() }) // ends the read below
+func (s *Service) Run(ctx context.Context) error {
+	stop := context.AfterFunc(ctx, func() { _ = s.conn.Close() }) // ends the read below
 	defer stop()
 	buffer := make([]byte, readBufferBytes)
 	for {
-		n, from, err := p.conn.ReadFrom(buffer)
+		n, from, err := s.conn.ReadFrom(buffer)
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -104,32 +104,32 @@
 		if err != nil {
 			continue // an ICMP error for a datagram that was sent
 		}
-		if !p.receive(ctx, buffer[:n], from) {
+		if !s.receive(ctx, buffer[:n], from) {
 			return nil
 		}
 	}
 }
 
 // receive posts one datagram to the controller, or drops it. It returns false if ctx has ended.
-func (p *Service) receive(ctx context.Context, datagram []byte, from net.Addr) bool {
-	rank, text, err := p.decode(datagram)
-	if err != nil || p.peers[rank] == nil || !p.limit.AllowN(time.Now(), 1) {
-		p.log.Debug("note dropped", zap.Stringer("from", from), zap.Error(err))
+func (s *Service) receive(ctx context.Context, datagram []byte, from net.Addr) bool {
+	rank, text, err := s.decode(datagram)
+	if err != nil || s.peers[rank] == nil || !s.limit.AllowN(time.Now(), 1) {
+		s.log.Debug("note dropped", zap.Stringer("from", from), zap.Error(err))
 		return true
 	}
-	return p.inbox.Post(ctx, controller.GossipReceived{From: rank, Text: text}) == nil
+	return s.inbox.Post(ctx, controller.GossipReceived{From: rank, Text: text}) == nil
 }
 
-// decode returns the sender's rank and the text of a datagram. The error wraps ErrDatagram or keys.ErrSeal.
-func (p *Service) decode(b []byte) (rank int, text string, err error) {
-	if p.Secret == nil {
+// decode returns the sender's rank and the text of a datagram. The error wraps ErrDatagram or identity.ErrSeal.
+func (s *Service) decode(b []byte) (rank int, text string, err error) {
+	if s.Secret == nil {
 		return Decode(b)
 	}
-	rank, number, text, err := unseal(p.Secret, b)
+	rank, number, text, err := unseal(s.Secret, b)
 	if err != nil {
 		return rank, text, err
 	}
-	if seen := p.repeats[rank]; seen != nil && !seen.Accept(number) {
+	if seen := s.repeats[rank]; seen != nil && !seen.Accept(number) {
 		return rank, "", fmt.Errorf("it came before: %w", ErrDatagram)
 	}
 	return rank, text, nil
--- a/internal/transport/gossip/gossip_test.go
+++ b/internal/transport/gossip/gossip_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// TestGossip shows a note on its way between two pilots, past strangers and noise.
+// TestGossip shows a text on its way between two controllers, past strangers and noise.
 func TestGossip(t *testing.T) {
 	sockets := map[int]net.PacketConn{}
 	at := map[int]string{}
@@ -41,11 +41,11 @@
 		sockets[r], at[r] = c, c.LocalAddr().String()
 	}
 	in := inbox(make(chan controller.Input, 8))
-	var posts []*Service
+	var services []*Service
 	for r := range 2 {
 		p, err := Open(sockets[r], r, at, in, zap.NewNop())
 		require.NoError(t, err)
-		posts = append(posts, p)
+		services = append(services, p)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- p.Run(ctx) }()
@@ -58,8 +58,8 @@
 		_, err := noise.Write(b)
 		require.NoError(t, err)
 	}
-	posts[0].Tell(1, "first")
-	posts[0].Tell(-1, strings.Repeat("x", 2000))
+	services[0].Tell(1, "first")
+	services[0].Tell(-1, strings.Repeat("x", 2000))
 	assert.Equal(t, controller.GossipReceived{From: 0, Text: "first"}, <-in)
 	assert.Equal(t, controller.GossipReceived{From: 0, Text: strings.Repeat("x", MaxText)}, <-in)
 	_, err = Open(sockets[0], 0, map[int]string{1: "nonsense"}, in, zap.NewNop())
@@ -79,7 +79,7 @@
 func TestSealed(t *testing.T) {
 	_, ours := newSecret(t)
 	_, others := newSecret(t)
-	p := &Service{Secret: ours, repeats: map[int]*identity.ReplayFilter{3: {}}}
+	s := &Service{Secret: ours, repeats: map[int]*identity.ReplayFilter{3: {}}}
 	sealed, err := seal(ours, 3, "load 0.7")
 	require.NoError(t, err)
 	strange, err := seal(others, 3, "load 0.1")
@@ -99,7 +99,7 @@
 		{"truncated", sealed[:20], ""},
 		{"nothing", nil, ""},
 	} {
-		_, text, err := p.decode(c.data)
+		_, text, err := s.decode(c.data)
 		assert.Equal(t, c.text, text, c.name)
 		assert.Equal(t, c.text == "", err != nil, c.name)
 	}
@@ -110,7 +110,7 @@
 	const noticed = 250 * time.Millisecond // a changed file is noticed by then
 	path, ours := newSecret(t)
 	othersPath, others := newSecret(t)
-	p := &Service{Secret: ours, repeats: map[int]*identity.ReplayFilter{3: {}}}
+	s := &Service{Secret: ours, repeats: map[int]*identity.ReplayFilter{3: {}}}
 	first, err := os.ReadFile(path)
 	require.NoError(t, err)
 	second, err := os.ReadFile(othersPath)
@@ -120,7 +120,7 @@
 	time.Sleep(noticed)
 	fresh, err := seal(others, 3, "load 0.2")
 	require.NoError(t, err)
-	_, text, err := p.decode(fresh)
+	_, text, err := s.decode(fresh)
 	assert.NoError(t, err)
 	assert.Equal(t, "load 0.2", text)
 	require.NoError(t, os.WriteFile(path, []byte("not hex\n"), 0o600))
--- a/internal/transport/grpcapi/handshake.go
+++ b/internal/transport/grpcapi/handshake.go
@@ -25,7 +25,7 @@
 
 // greet reads and checks the hello. Why an identity was rejected is reported to operators only.
 func (s *Server) greet(g controlStream) (*wire.Hello, error) {
-	first, err := handshake.ReceiveFirst(s.door.HelloIn, refusalNoHello, g.Recv)
+	first, err := handshake.ReceiveFirst(s.config.HelloIn, refusalNoHello, g.Recv)
 	if err != nil {
 		return nil, err
 	}
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
-	if s.door.Keys != nil {
+	if s.config.Keys != nil {
 		if err := Claims(g.Context(), hello.Proxy, hello.Zone); err != nil {
 			s.log.Warn("identity refused", zap.Error(err))
 			return nil, status.Error(codes.PermissionDenied, "not let in")
@@ -53,9 +53,9 @@
 func (s *Server) welcome() *pb.Downward {
 	return &pb.Downward{Says: &pb.Downward_Welcome{Welcome: &pb.Welcome{
 		Version:  wire.Version,
-		Pilot:    s.door.Pilot,
-		BeatMs:   uint32(s.door.Beat.Milliseconds()),
-		PeriodMs: uint32(s.door.Period.Milliseconds()),
+		Pilot:    s.config.Pilot,
+		BeatMs:   uint32(s.config.Beat.Milliseconds()),
+		PeriodMs: uint32(s.config.Period.Milliseconds()),
 	}}}
 }
 
--- a/internal/transport/grpcapi/server.go
+++ b/internal/transport/grpcapi/server.go
@@ -60,11 +60,11 @@
 // Server serves proxies' streams.
 type Server struct {
 	pb.UnimplementedControlServer
-	door  ListenerConfig
-	inbox controller.Inbox
-	log   *zap.Logger
-	pace  *rate.Limiter // limits new streams
-	grpc  *grpc.Server
+	config ListenerConfig
+	inbox  controller.Inbox
+	log    *zap.Logger
+	pace   *rate.Limiter // limits new streams
+	grpc   *grpc.Server
 
 	ctx  context.Context // lifetime of the server: ends when Serve returns, or with Kill
 	stop context.CancelFunc
@@ -74,11 +74,11 @@
 }
 
 // New returns a server that does not listen yet. Other services may be registered with Registrar before Serve.
-func New(d ListenerConfig, inbox controller.Inbox, log *zap.Logger) *Server {
-	s := &Server{door: d, inbox: inbox, log: log, streams: map[*stream]bool{}}
-	s.pace = newPace(d.NewPerS)
+func New(c ListenerConfig, inbox controller.Inbox, log *zap.Logger) *Server {
+	s := &Server{config: c, inbox: inbox, log: log, streams: map[*stream]bool{}}
+	s.pace = newPace(c.NewPerS)
 	s.ctx, s.stop = context.WithCancel(context.Background())
-	s.grpc = grpc.NewServer(serverOptions(d)...)
+	s.grpc = grpc.NewServer(serverOptions(c)...)
 	pb.RegisterControlServer(s.grpc, s)
 	return s
 }
@@ -92,24 +92,24 @@
 }
 
 // serverOptions returns the options that limit connections and messages.
-func serverOptions(d ListenerConfig) []grpc.ServerOption {
+func serverOptions(c ListenerConfig) []grpc.ServerOption {
 	options := []grpc.ServerOption{
-		grpc.MaxRecvMsgSize(d.MaxMessage),
+		grpc.MaxRecvMsgSize(c.MaxMessage),
 		grpc.MaxSendMsgSize(maxSendBytes),
 		grpc.KeepaliveParams(keepalive.ServerParameters{
-			Time:              keepaliveBeats * d.Beat,
-			Timeout:           keepaliveBeats * d.Beat,
-			MaxConnectionIdle: idleHellos * d.HelloIn,
+			Time:              keepaliveBeats * c.Beat,
+			Timeout:           keepaliveBeats * c.Beat,
+			MaxConnectionIdle: idleHellos * c.HelloIn,
 		}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{
 			MinTime:             minPingInterval,
 			PermitWithoutStream: true,
 		}),
 		grpc.MaxConcurrentStreams(maxStreamsPerConn),
-		grpc.ConnectionTimeout(d.HelloIn),
+		grpc.ConnectionTimeout(c.HelloIn),
 	}
-	if d.Keys != nil {
-		options = append(options, grpc.Creds(credentials.NewTLS(d.Keys.Server(identity.Proxy))))
+	if c.Keys != nil {
+		options = append(options, grpc.Creds(credentials.NewTLS(c.Keys.Server(identity.Proxy))))
 	}
 	return options
 }
@@ -180,10 +180,10 @@
 func (s *Server) register() (*stream, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.streams) >= s.door.MaxStreams {
+	if len(s.streams) >= s.config.MaxStreams {
 		return nil, status.Error(codes.ResourceExhausted, "too many streams")
 	}
-	st := newStream(s.door.QueueLines)
+	st := newStream(s.config.QueueLines)
 	s.streams[st] = true
 	return st, nil
 }
--- a/internal/transport/grpcapi/session.go
+++ b/internal/transport/grpcapi/session.go
@@ -128,7 +128,7 @@
 // writeAll writes queued messages and heartbeats. It returns when the stream ends, or when the proxy is silent or owes
 // an acknowledgement for too long.
 func (s *Server) writeAll(g controlStream, st *stream, readEnded <-chan error) error {
-	heartbeat := time.NewTicker(s.door.Beat)
+	heartbeat := time.NewTicker(s.config.Beat)
 	defer heartbeat.Stop()
 	for {
 		var m *pb.Downward
@@ -144,7 +144,7 @@
 		case <-st.wake:
 			m = st.next()
 		case <-heartbeat.C:
-			if why := st.overdue(s.door.SeenWithin, silentBeats*s.door.Beat); why != "" {
+			if why := st.overdue(s.config.SeenWithin, silentBeats*s.config.Beat); why != "" {
 				return status.Error(codes.DeadlineExceeded, why)
 			}
 			m = &pb.Downward{Says: &pb.Downward_Beat{Beat: &pb.Beat{}}}
--- a/internal/transport/healthcheck/healthcheck.go
+++ b/internal/transport/healthcheck/healthcheck.go
@@ -44,35 +44,35 @@
 	wg      sync.WaitGroup
 }
 
-// New returns a prober whose checks end with ctx, and each one after timeout. At most so many run concurrently.
+// New returns a checker whose checks end with ctx, and each one after timeout. At most so many run concurrently.
 func New(ctx context.Context, dial Dial, inbox controller.Inbox, timeout time.Duration, most int) *Checker {
 	return &Checker{ctx: ctx, dial: dial, inbox: inbox, timeout: timeout, slots: make(chan struct{}, most)}
 }
 
 // Probe checks an endpoint in a goroutine that ends with the check. It posts the result to the controller, also when no
 // check could run.
-func (p *Checker) Probe(endpoint string) {
-	p.wg.Go(func() {
+func (c *Checker) Probe(endpoint string) {
+	c.wg.Go(func() {
 		result := controller.HealthChecked{Endpoint: endpoint, Outcome: outcomeDenied}
 		select {
-		case p.slots <- struct{}{}:
-			result = p.check(endpoint)
-			<-p.slots
+		case c.slots <- struct{}{}:
+			result = c.check(endpoint)
+			<-c.slots
 		default:
 		}
-		_ = p.inbox.Post(p.ctx, result) // fails only if the controller stops
+		_ = c.inbox.Post(c.ctx, result) // fails only if the controller stops
 	})
 }
 
 // Wait returns when no check is running.
-func (p *Checker) Wait() { p.wg.Wait() }
+func (c *Checker) Wait() { c.wg.Wait() }
 
 // check checks an endpoint and returns the result.
-func (p *Checker) check(endpoint string) controller.HealthChecked {
-	ctx, cancel := context.WithTimeout(p.ctx, p.timeout)
+func (c *Checker) check(endpoint string) controller.HealthChecked {
+	ctx, cancel := context.WithTimeout(c.ctx, c.timeout)
 	defer cancel()
 	start := time.Now()
-	answer, err := p.exchange(ctx, endpoint)
+	answer, err := c.exchange(ctx, endpoint)
 	result := controller.HealthChecked{
 		Endpoint: endpoint,
 		TookMs:   float64(time.Since(start)) / float64(time.Millisecond),
@@ -106,8 +106,8 @@
 }
 
 // exchange requests an endpoint's load report and returns the answer.
-func (p *Checker) exchange(ctx context.Context, endpoint string) (*wire.Answer, error) {
-	conn, err := p.dial(ctx, "tcp", endpoint)
+func (c *Checker) exchange(ctx context.Context, endpoint string) (*wire.Answer, error) {
+	conn, err := c.dial(ctx, "tcp", endpoint)
 	if err != nil {
 		return nil, errors.Join(errDial, err)
 	}
--- a/internal/transport/identity_test.go
+++ b/internal/transport/identity_test.go
@@ -59,8 +59,8 @@
 }
 
 var (
-	proxyP   = identity.Identity{Role: identity.Proxy, Zone: "a", Name: "p"}
-	pilotOne = identity.Identity{Role: identity.Pilot, Zone: "a", Name: "one"}
+	proxyP        = identity.Identity{Role: identity.Proxy, Zone: "a", Name: "p"}
+	controllerOne = identity.Identity{Role: identity.Pilot, Zone: "a", Name: "one"}
 )
 
 // TestStrangers is the table of attempts to get in: what was tried, and that nothing came of it.
@@ -91,7 +91,7 @@
 		for _, tr := range transports {
 			t.Run(c.name+"/"+tr.name, func(t *testing.T) {
 				var told refusals
-				store, err := identity.Load(issue(t, authority, pilotOne, minuteAgo()), told.add)
+				store, err := identity.Load(issue(t, authority, controllerOne, minuteAgo()), told.add)
 				require.NoError(t, err)
 				_, in, address, _ := start(t, tr, store)
 				ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
@@ -120,7 +120,7 @@
 			authority := newAuthority(t, "ours")
 			dir := t.TempDir()
 			from := minuteAgo()
-			files, err := authority.Issue(dir, pilotOne, from, time.Hour)
+			files, err := authority.Issue(dir, controllerOne, from, time.Hour)
 			require.NoError(t, err)
 			store, err := identity.Load(files, nil)
 			require.NoError(t, err)
@@ -134,7 +134,7 @@
 			before := store.Expires()
 			for i := range 40 {
 				if i == 10 {
-					_, err = authority.Issue(dir, pilotOne, from, 2*time.Hour)
+					_, err = authority.Issue(dir, controllerOne, from, 2*time.Hour)
 					require.NoError(t, err)
 				}
 				require.NoError(t, line.Write(&wire.Sums{Seq: uint64(i + 1), SpanMs: 10}, time.Second))
--- a/internal/transport/shutdown/shutdown.go
+++ b/internal/transport/shutdown/shutdown.go
@@ -6,53 +6,53 @@
 
 // Notice is the termination state of one stream. W is the type of its last message. It is safe for concurrent use.
 type Notice[W any] struct {
-	gone chan struct{}
+	done chan struct{}
 	once sync.Once
 
-	mu   sync.Mutex
-	why  string
-	word *W // nil: none
+	mu      sync.Mutex
+	reason  string
+	message *W // nil: none
 }
 
 // New returns the state of an open stream.
-func New[W any]() *Notice[W] { return &Notice[W]{gone: make(chan struct{})} }
+func New[W any]() *Notice[W] { return &Notice[W]{done: make(chan struct{})} }
 
 // Close ends the stream without a last message. It has no effect if the stream has ended.
-func (e *Notice[W]) Close(why string) {
-	e.once.Do(func() {
-		e.mu.Lock()
-		e.why = why
-		e.mu.Unlock()
-		close(e.gone)
+func (n *Notice[W]) Close(reason string) {
+	n.once.Do(func() {
+		n.mu.Lock()
+		n.reason = reason
+		n.mu.Unlock()
+		close(n.done)
 	})
 }
 
 // CloseWith ends the stream with a last message. Only the first message counts.
-func (e *Notice[W]) CloseWith(why string, word W) {
-	e.mu.Lock()
-	if e.word == nil {
-		e.word = &word
+func (n *Notice[W]) CloseWith(reason string, message W) {
+	n.mu.Lock()
+	if n.message == nil {
+		n.message = &message
 	}
-	e.mu.Unlock()
-	e.Close(why)
+	n.mu.Unlock()
+	n.Close(reason)
 }
 
 // Done returns a channel that is closed when the stream ends.
-func (e *Notice[W]) Done() <-chan struct{} { return e.gone }
+func (n *Notice[W]) Done() <-chan struct{} { return n.done }
 
 // Reason returns the reason, which is empty while the stream is open.
-func (e *Notice[W]) Reason() string {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.why
+func (n *Notice[W]) Reason() string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.reason
 }
 
 // LastMessage returns the last message, if there is one.
-func (e *Notice[W]) LastMessage() (word W, has bool) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.word == nil {
-		return word, false
+func (n *Notice[W]) LastMessage() (message W, ok bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.message == nil {
+		return message, false
 	}
-	return *e.word, true
+	return *n.message, true
 }
--- a/internal/transport/transports_test.go
+++ b/internal/transport/transports_test.go
@@ -60,7 +60,7 @@
 // transport makes both ends of one.
 type transport struct {
 	name  string
-	serve func(in *inbox, ring *identity.KeyStore) server
+	serve func(in *inbox, store *identity.KeyStore) server
 	join  func(c *tls.Config) proxy.Joiner
 }
 
@@ -70,29 +70,29 @@
 )
 
 var transports = []transport{
-	{"framed", func(in *inbox, ring *identity.KeyStore) server {
+	{"framed", func(in *inbox, store *identity.KeyStore) server {
 		return framed.NewServer(framed.ListenerConfig{
 			Pilot: "one", Beat: beat, Period: time.Second, WriteDeadline: time.Second,
 			SeenWithin: seen, HelloDeadline: time.Second, MaxStreams: 5000, Queue: 64,
 		}, in, zap.NewNop())
 	}, proxy.Framed},
-	{"grpc", func(in *inbox, ring *identity.KeyStore) server {
+	{"grpc", func(in *inbox, store *identity.KeyStore) server {
 		return grpcapi.New(grpcapi.ListenerConfig{
 			Pilot: "one", Beat: beat, Period: time.Second, SeenWithin: seen,
-			HelloIn: time.Second, MaxMessage: 1 << 20, MaxStreams: 5000, QueueLines: 4000, Keys: ring,
+			HelloIn: time.Second, MaxMessage: 1 << 20, MaxStreams: 5000, QueueLines: 4000, Keys: store,
 		}, in, zap.NewNop())
 	}, func(c *tls.Config) proxy.Joiner { return proxy.GRPC(c, false) }},
 }
 
-func start(t *testing.T, tr transport, ring *identity.KeyStore) (server, *inbox, string, func()) {
+func start(t *testing.T, tr transport, store *identity.KeyStore) (server, *inbox, string, func()) {
 	in := &inbox{make(chan controller.Input, 8192)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := l.Addr().String()
-	if ring != nil && tr.name == "framed" {
-		l = tls.NewListener(l, ring.Server(identity.Proxy))
+	if store != nil && tr.name == "framed" {
+		l = tls.NewListener(l, store.Server(identity.Proxy))
 	}
-	s := tr.serve(in, ring)
+	s := tr.serve(in, store)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(ctx, l) }()
--- a/internal/transport/xds/ads.go
+++ b/internal/transport/xds/ads.go
@@ -34,7 +34,7 @@
 // StreamAggregatedResources serves the ADS stream of one proxy. It sends responses in this goroutine and reads requests
 // in another, which ends when this method returns.
 func (s *Server) StreamAggregatedResources(g adsStream) error {
-	first, err := handshake.ReceiveFirst(s.door.HelloIn, refusalSilence, g.Recv)
+	first, err := handshake.ReceiveFirst(s.config.HelloIn, refusalSilence, g.Recv)
 	if err != nil {
 		return err
 	}
@@ -114,7 +114,7 @@
 // writeResponses sends what is subscribed to, at first and when it changes. It returns when the stream ends or an
 // acknowledgement is overdue.
 func (s *Server) writeResponses(g adsStream, st *stream, readEnded <-chan error) error {
-	check := time.NewTicker(s.door.SeenWithin / overdueChecks)
+	check := time.NewTicker(s.config.SeenWithin / overdueChecks)
 	defer check.Stop()
 	for {
 		select {
@@ -125,7 +125,7 @@
 		case <-st.end.Done():
 			return status.Error(codes.Unavailable, st.end.Reason())
 		case <-check.C:
-			if st.overdue(s.door.SeenWithin) {
+			if st.overdue(s.config.SeenWithin) {
 				return status.Error(codes.DeadlineExceeded, "an assignment is not acknowledged")
 			}
 		case <-st.wake:
--- a/internal/transport/xds/lrs.go
+++ b/internal/transport/xds/lrs.go
@@ -20,7 +20,7 @@
 
 // StreamLoadStats receives the load reports of one proxy. Reports of proxies without an ADS stream here are dropped.
 func (s *Server) StreamLoadStats(g lrs.LoadReportingService_StreamLoadStatsServer) error {
-	first, err := handshake.ReceiveFirst(s.door.HelloIn, refusalSilence, g.Recv)
+	first, err := handshake.ReceiveFirst(s.config.HelloIn, refusalSilence, g.Recv)
 	if err != nil {
 		return err
 	}
@@ -28,7 +28,7 @@
 	if err := s.checkIdentity(g.Context(), name, first.GetNode().GetLocality().GetZone()); err != nil {
 		return err
 	}
-	wanted := &lrs.LoadStatsResponse{Clusters: s.door.Kinds, LoadReportingInterval: durationpb.New(s.door.Period)}
+	wanted := &lrs.LoadStatsResponse{Clusters: s.config.Kinds, LoadReportingInterval: durationpb.New(s.config.Period)}
 	if err := g.Send(wanted); err != nil {
 		return err
 	}
--- a/internal/transport/xds/server.go
+++ b/internal/transport/xds/server.go
@@ -41,17 +41,17 @@
 type Server struct {
 	ads.UnimplementedAggregatedDiscoveryServiceServer
 	lrs.UnimplementedLoadReportingServiceServer
-	door  ListenerConfig
-	inbox controller.Inbox
-	log   *zap.Logger
+	config ListenerConfig
+	inbox  controller.Inbox
+	log    *zap.Logger
 
 	mu    sync.Mutex
 	nodes map[string]*stream // open ADS streams by node id
 }
 
 // New returns a server that is not registered yet.
-func New(d ListenerConfig, inbox controller.Inbox, log *zap.Logger) *Server {
-	return &Server{door: d, inbox: inbox, log: log, nodes: map[string]*stream{}}
+func New(c ListenerConfig, inbox controller.Inbox, log *zap.Logger) *Server {
+	return &Server{config: c, inbox: inbox, log: log, nodes: map[string]*stream{}}
 }
 
 // Register adds the services to a gRPC server.
@@ -90,20 +90,20 @@
 	defer s.mu.Unlock()
 	if old := s.nodes[name]; old != nil {
 		old.Close("the proxy has come back on another stream")
-	} else if len(s.nodes) >= s.door.MaxStreams {
+	} else if len(s.nodes) >= s.config.MaxStreams {
 		return nil, status.Error(codes.ResourceExhausted, "too many streams")
 	}
-	st := newStream(name, s.door.Kinds)
+	st := newStream(name, s.config.Kinds)
 	s.nodes[name] = st
 	return st, nil
 }
 
 // checkIdentity returns a status error if the peer's certificate does not match its name and zone.
 func (s *Server) checkIdentity(ctx context.Context, name, zone string) error {
-	if s.door.Claims == nil {
+	if s.config.Claims == nil {
 		return nil
 	}
-	if err := s.door.Claims(ctx, name, zone); err != nil {
+	if err := s.config.Claims(ctx, name, zone); err != nil {
 		s.log.Warn("identity refused", zap.Error(err))
 		return status.Error(codes.PermissionDenied, refusalIdentity)
 	}
