--- a/internal/identity/keystore.go
+++ b/internal/identity/keystore.go
@@ -15,9 +15,9 @@
 
 func (f Files) list() []string { return []string{f.Authority, f.Certificate, f.Key} }
 
-// KeyStore is the key store of a process: its own certificate, and the authority that peers are verified against. The files
-// are reloaded at the next handshake after they have changed; if they are invalid, the previous keys stay in force. It
-// is safe for concurrent use.
+// KeyStore is the key store of a process: its own certificate, and the authority that peers are verified against. The
+// files are reloaded at the next handshake after they have changed; if they are invalid, the previous keys stay in
+// force. It is safe for concurrent use.
 type KeyStore struct {
 	files   Files
 	refused func(peer net.Addr, err error) // reports a rejected peer to operators; may be nil
--- a/internal/identity/replay.go
+++ b/internal/identity/replay.go
@@ -13,8 +13,8 @@
 	maxNumberAge = uint64(5 * time.Second)
 )
 
-// ReplayFilter is a replay filter for the numbered messages of one sender: it accepts each number once, and none far below the
-// newest. The zero value is ready for use. It is not safe for concurrent use.
+// ReplayFilter is a replay filter for the numbered messages of one sender: it accepts each number once, and none far
+// below the newest. The zero value is ready for use. It is not safe for concurrent use.
 type ReplayFilter struct {
 	accepted []uint64 // the greatest ones, in ascending order
 	newest   uint64
--- a/internal/transport/discovery/discovery_test.go
+++ b/internal/transport/discovery/discovery_test.go
@@ -65,7 +65,8 @@
 	t.Cleanup(func() { cancel(); assert.NoError(t, <-done) })
 }
 
-// TestStream guards a source that dies: the last list stands, the loss is reported, and a complete list follows its return.
+// TestStream guards a source that dies: the last list stands, the loss is reported, and a complete list follows its
+// return.
 func TestStream(t *testing.T) {
 	l := registry.New(eventlog.NewLog().Stream("list"))
 	require.NoError(t, l.Start())
--- a/internal/transport/gossip/gossip.go
+++ b/internal/transport/gossip/gossip.go
@@ -34,9 +34,11 @@
 	repeats map[int]*identity.ReplayFilter // by rank, owned by Run
 }
 
-// Open returns a service on an open socket, which Run will close. Peers are addresses by rank; this controller's own rank
-// is ignored.
-func Open(conn net.PacketConn, rank int, peers map[int]string, inbox controller.Inbox, log *zap.Logger) (*Service, error) {
+// Open returns a service on an open socket, which Run will close. Peers are addresses by rank; this controller's own
+// rank is ignored.
+func Open(
+	conn net.PacketConn, rank int, peers map[int]string, inbox controller.Inbox, log *zap.Logger,
+) (*Service, error) {
 	s := &Service{
 		conn:    conn,
 		rank:    rank,
--- a/internal/transport/grpcapi/stream.go
+++ b/internal/transport/grpcapi/stream.go
@@ -17,8 +17,8 @@
 // ErrSlow ends the stream of a proxy whose queue exceeds its limit, even collapsed to the newest state.
 var ErrSlow = errors.New("the proxy reads too slowly or not at all")
 
-// stream is the stream of one proxy. It implements controller.Stream: the controller's loop queues messages, the stream's
-// writer sends them, and its reader processes acknowledgements.
+// stream is the stream of one proxy. It implements controller.Stream: the controller's loop queues messages, the
+// stream's writer sends them, and its reader processes acknowledgements.
 type stream struct {
 	wake chan struct{} // has an element if there may be something to send
 	end  *shutdown.Notice[*pb.Downward]
--- a/internal/transport/healthcheck/healthcheck.go
+++ b/internal/transport/healthcheck/healthcheck.go
@@ -1,5 +1,6 @@
-// Package healthcheck checks the health of endpoints. A check sends one request on a new connection, and the endpoint answers
-// with a load report. The number of concurrent checks is limited; further ones result in "denied" without any I/O.
+// Package healthcheck checks the health of endpoints. A check sends one request on a new connection, and the endpoint
+// answers with a load report. The number of concurrent checks is limited; further ones result in "denied" without any
+// I/O.
 package healthcheck
 
 import (
--- a/internal/transport/xds/stream.go
+++ b/internal/transport/xds/stream.go
@@ -14,8 +14,8 @@
 	"indigousher/internal/wire"
 )
 
-// stream is the stream of one proxy. It implements controller.Stream: the controller's loop updates the routing state, the
-// ADS writer sends it, and the ADS reader processes subscriptions and acknowledgements.
+// stream is the stream of one proxy. It implements controller.Stream: the controller's loop updates the routing state,
+// the ADS writer sends it, and the ADS reader processes subscriptions and acknowledgements.
 type stream struct {
 	name    string
 	classes []string      // names of the request classes by index; constant
--- a/telemetry/aggregator.go
+++ b/telemetry/aggregator.go
@@ -12,8 +12,8 @@
 	maxLoadAgeMs = 20000
 )
 
-// Aggregator accumulates the proxies' reports until they are flushed. It is not safe for concurrent use; its caller holds a
-// lock.
+// Aggregator accumulates the proxies' reports until they are flushed. It is not safe for concurrent use; its caller
+// holds a lock.
 type Aggregator[L any] struct {
 	options    Options
 	decay      decay
@@ -85,7 +85,9 @@
 
 // admit decides whether a report is accepted. It returns how the report counts and how many of its lines the sender's
 // quota has room for; a reason other than Merged says why the report is rejected or skipped.
-func (a *Aggregator[L]) admit(nowMs float64, s *sender, report *Report[L]) (c contribution, room float64, reason Reason) {
+func (a *Aggregator[L]) admit(
+	nowMs float64, s *sender, report *Report[L],
+) (c contribution, room float64, reason Reason) {
 	if reason := report.validate(s.lastSeq, a.options.LongestMs); reason != Merged {
 		return c, 0, reason
 	}
--- a/telemetry/doc.go
+++ b/telemetry/doc.go
@@ -1,5 +1,5 @@
-// Package telemetry aggregates the load reports of proxies: it merges, samples or rejects their lines, and once a period
-// it flushes what has accumulated to the planner.
+// Package telemetry aggregates the load reports of proxies: it merges, samples or rejects their lines, and once a
+// period it flushes what has accumulated to the planner.
 //
 // The package is pure: it takes plain values with their times and returns plain values. It has no I/O, clock,
 // goroutine or log, and the same calls give the same results. The controller calls it from the goroutines that read
--- a/telemetry/endpoint.go
+++ b/telemetry/endpoint.go
@@ -27,8 +27,8 @@
 	return 1
 }
 
-// UpdateEndpoint updates an endpoint from the endpoint list. If it is gone or has restarted, its pending sums are dropped: they
-// are about its previous incarnation.
+// UpdateEndpoint updates an endpoint from the endpoint list. If it is gone or has restarted, its pending sums are
+// dropped: they are about its previous incarnation.
 func (a *Aggregator[L]) UpdateEndpoint(nowMs float64, id int, phase planner.Phase, startedMs float64) {
 	e := a.endpoints[id]
 	if e == nil {
--- a/telemetry/quota.go
+++ b/telemetry/quota.go
@@ -94,8 +94,8 @@
 	return math.Inf(1)
 }
 
-// Rebalance recomputes the senders' quotas and the slowdown from what was offered since the last call, and returns advice
-// for the senders whose slowdown changed. It is called about once a second.
+// Rebalance recomputes the senders' quotas and the slowdown from what was offered since the last call, and returns
+// advice for the senders whose slowdown changed. It is called about once a second.
 func (a *Aggregator[L]) Rebalance(nowMs float64) []Advice {
 	elapsedS := math.Max((nowMs-a.quotas.rebalancedAtMs)/1000, minRebalanceS)
 	a.quotas.rebalancedAtMs = nowMs
