--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -10,7 +10,7 @@
 	load := make(planner.Load, len(figures))
 	for name, value := range figures {
 		if planner.ValidRate(value) {
-			load[PlannerName(name)] = value
+			load[plannerName(name)] = value
 		}
 	}
 	return load
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -68,7 +68,7 @@
 func renameAll(settings map[string]any) map[string]any {
 	renamed := make(map[string]any, len(settings))
 	for name, value := range settings {
-		renamed[PlannerName(name)] = renameValue(name, value)
+		renamed[plannerName(name)] = renameValue(name, value)
 	}
 	return renamed
 }
@@ -85,7 +85,7 @@
 		}
 		return list
 	case string:
-		return PlannerName(v)
+		return plannerName(v)
 	case float64:
 		if isDuration(name) {
 			return v / NsPerMs
--- a/internal/settings/vocabulary.go
+++ b/internal/settings/vocabulary.go
@@ -65,8 +65,8 @@
 	"lingers", "waits_for_table", "conn_idle", "dial_timeout", "ask_within", "cold", "drain_grace", "fall", "tick",
 }
 
-// PlannerName returns the planner's name for an operators' name; shared names are returned unchanged.
-func PlannerName(name string) string {
+// plannerName returns the planner's name for an operators' name; shared names are returned unchanged.
+func plannerName(name string) string {
 	if renamed, ok := plannerNames[name]; ok {
 		return renamed
 	}
--- a/internal/transport/admin/admin.go
+++ b/internal/transport/admin/admin.go
@@ -17,8 +17,8 @@
 	"indigousher/internal/controller"
 )
 
-// Stale is the time without a turn of the loop after which the controller reports itself unhealthy.
-const Stale = 5 * time.Second
+// staleAfter is the time without a turn of the loop after which the controller reports itself unhealthy.
+const staleAfter = 5 * time.Second
 
 // Limits of operators' connections. Clients that send slowly or do not read are disconnected.
 const (
@@ -49,7 +49,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", promhttp.HandlerFor(g, promhttp.HandlerOpts{}))
 	mux.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) {
-		writeVerdict(w, time.Since(state().LastTurn) < Stale, "the loop has not turned")
+		writeVerdict(w, time.Since(state().LastTurn) < staleAfter, "the loop has not turned")
 	})
 	mux.HandleFunc("/readyz", func(w http.ResponseWriter, _ *http.Request) {
 		writeVerdict(w, state().Listed, "no endpoint list yet")
--- a/internal/transport/gossip/datagram.go
+++ b/internal/transport/gossip/datagram.go
@@ -24,15 +24,15 @@
 // ErrDatagram means that a datagram is not gossip, or a replay.
 var ErrDatagram = errors.New("not a note between pilots")
 
-// Encode returns a datagram. Texts longer than MaxText are truncated.
-func Encode(from int, text string) []byte {
+// encodeDatagram returns a datagram. Texts longer than MaxText are truncated.
+func encodeDatagram(from int, text string) []byte {
 	b := append([]byte{}, magic[:]...)
 	b = binary.BigEndian.AppendUint16(b, uint16(from))
 	return append(b, text[:min(len(text), MaxText)]...)
 }
 
-// Decode returns the sender's rank and the text of a datagram, or ErrDatagram.
-func Decode(b []byte) (from int, text string, err error) {
+// decodeDatagram returns the sender's rank and the text of a datagram, or ErrDatagram.
+func decodeDatagram(b []byte) (from int, text string, err error) {
 	if len(b) < headerBytes || [4]byte(b[:len(magic)]) != magic || len(b) > headerBytes+MaxText {
 		return 0, "", ErrDatagram
 	}
@@ -42,7 +42,7 @@
 
 // seal returns a datagram whose text is sealed with the secret.
 func seal(s *identity.Secret, from int, text string) ([]byte, error) {
-	plain := Encode(from, text)
+	plain := encodeDatagram(from, text)
 	header := plain[:headerBytes]
 	return s.Seal(append([]byte{}, header...), header, plain[headerBytes:])
 }
@@ -58,6 +58,6 @@
 		return 0, 0, "", err
 	}
 	plain := append(append([]byte{}, header...), inside...)
-	from, text, err = Decode(plain)
+	from, text, err = decodeDatagram(plain)
 	return from, number, text, err
 }
--- a/internal/transport/gossip/gossip.go
+++ b/internal/transport/gossip/gossip.go
@@ -85,7 +85,7 @@
 // encode returns a datagram of this controller, sealed if there is a secret.
 func (s *Service) encode(text string) ([]byte, error) {
 	if s.Secret == nil {
-		return Encode(s.rank, text), nil
+		return encodeDatagram(s.rank, text), nil
 	}
 	return seal(s.Secret, s.rank, text)
 }
@@ -125,7 +125,7 @@
 // decode returns the sender's rank and the text of a datagram. The error wraps ErrDatagram or identity.ErrSeal.
 func (s *Service) decode(b []byte) (rank int, text string, err error) {
 	if s.Secret == nil {
-		return Decode(b)
+		return decodeDatagram(b)
 	}
 	rank, number, text, err := unseal(s.Secret, b)
 	if err != nil {
--- a/internal/transport/gossip/gossip_test.go
+++ b/internal/transport/gossip/gossip_test.go
@@ -54,7 +54,7 @@
 	noise, err := net.Dial("udp", at[1])
 	require.NoError(t, err)
 	defer func() { assert.NoError(t, noise.Close()) }()
-	for _, b := range [][]byte{[]byte("hello"), Encode(9, "a stranger"), append(Encode(0, ""), make([]byte, 1100)...)} {
+	for _, b := range [][]byte{[]byte("hello"), encodeDatagram(9, "a stranger"), append(encodeDatagram(0, ""), make([]byte, 1100)...)} {
 		_, err := noise.Write(b)
 		require.NoError(t, err)
 	}
@@ -95,7 +95,7 @@
 		{"the same again", sealed, ""},
 		{"under another key", strange, ""},
 		{"another sender's rank", forged, ""},
-		{"in plain", Encode(3, "x"), ""},
+		{"in plain", encodeDatagram(3, "x"), ""},
 		{"truncated", sealed[:20], ""},
 		{"nothing", nil, ""},
 	} {
@@ -132,11 +132,11 @@
 
 // FuzzDecode guards against datagrams of any bytes.
 func FuzzDecode(f *testing.F) {
-	f.Add(Encode(3, "text"))
+	f.Add(encodeDatagram(3, "text"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		from, text, err := Decode(b)
+		from, text, err := decodeDatagram(b)
 		if err == nil {
-			assert.Equal(t, b, Encode(from, text))
+			assert.Equal(t, b, encodeDatagram(from, text))
 		}
 	})
 }
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -26,8 +26,8 @@
 	return nil
 }
 
-// HelloFrom decodes and validates a hello. The error wraps wire.ErrValue.
-func HelloFrom(h *pb.Hello) (*wire.Hello, error) {
+// helloFrom decodes and validates a hello. The error wraps wire.ErrValue.
+func helloFrom(h *pb.Hello) (*wire.Hello, error) {
 	hello := &wire.Hello{
 		Version: int(h.GetVersion()),
 		Proxy:   h.GetProxy(),
@@ -71,8 +71,8 @@
 	return table, nil
 }
 
-// ReportFrom decodes and validates a load report. The error wraps wire.ErrValue.
-func ReportFrom(r *pb.Report) (*wire.Sums, error) {
+// reportFrom decodes and validates a load report. The error wraps wire.ErrValue.
+func reportFrom(r *pb.Report) (*wire.Sums, error) {
 	sums := &wire.Sums{Seq: r.GetNumber(), AtMs: r.GetAtMs(), SpanMs: r.GetSpanMs()}
 	if len(r.GetEndpoints()) > wire.MaxItems || len(r.GetKinds()) > wire.MaxItems {
 		return nil, fmt.Errorf("report of %d lines: %w", len(r.GetEndpoints()), wire.ErrValue)
--- a/internal/transport/grpcapi/grpcapi_test.go
+++ b/internal/transport/grpcapi/grpcapi_test.go
@@ -293,12 +293,12 @@
 			return
 		}
 		if h := m.GetHello(); h != nil {
-			if out, err := HelloFrom(h); err == nil {
+			if out, err := helloFrom(h); err == nil {
 				assert.NotEmpty(t, out.Proxy)
 			}
 		}
 		if r := m.GetReport(); r != nil {
-			if out, err := ReportFrom(r); err == nil {
+			if out, err := reportFrom(r); err == nil {
 				assert.False(t, out.SpanMs < 0)
 			}
 		}
--- a/internal/transport/grpcapi/handshake.go
+++ b/internal/transport/grpcapi/handshake.go
@@ -36,7 +36,7 @@
 	if version := message.GetVersion(); version != wire.Version {
 		return nil, status.Errorf(codes.FailedPrecondition, "version %d is not spoken here, %d is", version, wire.Version)
 	}
-	hello, err := HelloFrom(message)
+	hello, err := helloFrom(message)
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
--- a/internal/transport/grpcapi/session.go
+++ b/internal/transport/grpcapi/session.go
@@ -99,7 +99,7 @@
 
 // receiveReport posts a load report to the controller.
 func (s *Server) receiveReport(st *stream, r *pb.Report) error {
-	sums, err := ReportFrom(r)
+	sums, err := reportFrom(r)
 	if err != nil {
 		return status.Error(codes.InvalidArgument, err.Error())
 	}
