--- a/internal/transport/framed/server.go
+++ b/internal/transport/framed/server.go
@@ -20,9 +20,6 @@
 // acceptPause is the pause after a temporary failure to accept, such as a lack of file descriptors.
 const acceptPause = 100 * time.Millisecond
 
-// reasonStopping is sent to proxies when the controller shuts down.
-const reasonStopping = "this pilot stops"
-
 // ListenerConfig configures the listener and the streams that it accepts.
 type ListenerConfig struct {
 	Pilot         string        // the controller's name, for the welcome
@@ -144,6 +141,6 @@
 			st.closeConn()
 			continue
 		}
-		st.end.CloseWith(reasonStopping, &wire.Redirect{Reason: reasonStopping})
+		st.end.CloseWith(shutdown.ReasonStopping, &wire.Redirect{Reason: shutdown.ReasonStopping})
 	}
 }
--- a/internal/transport/framed/session.go
+++ b/internal/transport/framed/session.go
@@ -12,17 +12,10 @@
 	"golang.org/x/sync/errgroup"
 
 	"indigousher/internal/controller"
+	"indigousher/internal/transport/shutdown"
 	"indigousher/internal/wire"
 )
 
-const (
-	// silentBeats is the number of missed heartbeats after which a stream is considered dead.
-	silentBeats = 3
-	// leavePatience bounds the wait for the controller's loop to accept that a proxy has left while this side shuts
-	// down.
-	leavePatience = time.Second
-)
-
 // serveStream serves a stream to its end. It reads in this goroutine and writes in another, which it waits for.
 func (s *Server) serveStream(ctx context.Context, st *stream) {
 	defer s.unregister(st)
@@ -57,7 +50,7 @@
 // postLeave reports to the controller that a proxy has left. The loop must learn of it even after ctx has ended, unless
 // the loop has ended as well.
 func (s *Server) postLeave(ctx context.Context, st *stream) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), leavePatience)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdown.LeaveTimeout)
 	defer cancel()
 	_ = s.inbox.Post(ctx, controller.ProxyLeft{Stream: st}) // fails only if the loop has ended
 }
@@ -73,7 +66,7 @@
 // readAll reads messages until the stream ends, the proxy says goodbye, or it is silent for too long.
 func (s *Server) readAll(ctx context.Context, st *stream, r *wire.Reader) error {
 	for {
-		if err := st.conn.SetReadDeadline(time.Now().Add(silentBeats * s.config.Beat)); err != nil {
+		if err := st.conn.SetReadDeadline(time.Now().Add(shutdown.SilentBeats * s.config.Beat)); err != nil {
 			return fmt.Errorf("set deadline: %w", err)
 		}
 		m, err := r.Read()
--- a/internal/transport/grpcapi/server.go
+++ b/internal/transport/grpcapi/server.go
@@ -18,6 +18,7 @@
 
 	"indigousher/internal/controller"
 	"indigousher/internal/identity"
+	"indigousher/internal/transport/shutdown"
 	"indigousher/internal/wire"
 	pb "indigousher/proto/indigousher/v1"
 )
@@ -39,8 +40,6 @@
 	idleHellos = 4
 	// stopPatience is how long a graceful shutdown may take before the remaining streams are closed.
 	stopPatience = time.Second
-	// reasonStopping is sent to proxies when the controller shuts down.
-	reasonStopping = "this pilot stops"
 )
 
 // ListenerConfig configures the listener and the streams that it accepts.
@@ -144,7 +143,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for st := range s.streams {
-		st.end.CloseWith(reasonStopping, redirect(&pb.Redirect{Reason: reasonStopping}))
+		st.end.CloseWith(shutdown.ReasonStopping, redirect(&pb.Redirect{Reason: shutdown.ReasonStopping}))
 	}
 }
 
--- a/internal/transport/grpcapi/session.go
+++ b/internal/transport/grpcapi/session.go
@@ -11,20 +11,13 @@
 	"google.golang.org/grpc/status"
 
 	"indigousher/internal/controller"
+	"indigousher/internal/transport/shutdown"
 	"indigousher/internal/wire"
 	pb "indigousher/proto/indigousher/v1"
 )
 
-const (
-	// silentBeats is the number of missed heartbeats after which a stream is considered dead.
-	silentBeats = 3
-	// leavePatience bounds the wait for the controller's loop to accept that a proxy has left while this side shuts
-	// down.
-	leavePatience = time.Second
-)
-
 // errStopping ends streams when the controller's loop accepts no more input.
-var errStopping = status.Error(codes.Unavailable, reasonStopping)
+var errStopping = status.Error(codes.Unavailable, shutdown.ReasonStopping)
 
 // Follow serves the stream of one proxy. It writes in this goroutine and reads in another, which ends when Follow
 // returns.
@@ -59,7 +52,7 @@
 
 // postLeave reports to the controller that a proxy has left.
 func (s *Server) postLeave(st *stream) {
-	ctx, cancel := context.WithTimeout(s.ctx, leavePatience)
+	ctx, cancel := context.WithTimeout(s.ctx, shutdown.LeaveTimeout)
 	defer cancel()
 	_ = s.inbox.Post(ctx, controller.ProxyLeft{Stream: st}) // fails only if the loop has ended
 }
@@ -144,7 +137,7 @@
 		case <-st.wake:
 			m = st.next()
 		case <-heartbeat.C:
-			if why := st.overdue(s.config.SeenWithin, silentBeats*s.config.Beat); why != "" {
+			if why := st.overdue(s.config.SeenWithin, shutdown.SilentBeats*s.config.Beat); why != "" {
 				return status.Error(codes.DeadlineExceeded, why)
 			}
 			m = &pb.Downward{Says: &pb.Downward_Beat{Beat: &pb.Beat{}}}
--- a/internal/transport/xds/ads.go
+++ b/internal/transport/xds/ads.go
@@ -15,6 +15,7 @@
 
 	"indigousher/internal/controller"
 	"indigousher/internal/transport/handshake"
+	"indigousher/internal/transport/shutdown"
 	"indigousher/internal/wire"
 )
 
@@ -23,9 +24,6 @@
 	maxNames = 64
 	// overdueChecks is the number of checks for an overdue acknowledgement within SeenWithin.
 	overdueChecks = 4
-	// leavePatience bounds the wait for the controller's loop to accept that a proxy has left while this side shuts
-	// down.
-	leavePatience = time.Second
 )
 
 // adsStream is the gRPC stream of one proxy.
@@ -45,7 +43,7 @@
 	}
 	defer s.remove(st)
 	if s.inbox.Post(g.Context(), controller.ProxyJoined{Stream: st, Hello: helloFrom(first.GetNode())}) != nil {
-		return status.Error(codes.Unavailable, reasonStopping)
+		return status.Error(codes.Unavailable, shutdown.ReasonStopping)
 	}
 	readEnded := make(chan error, 1)
 	go func() { readEnded <- s.readRequests(g, st, first) }()
@@ -68,7 +66,7 @@
 
 // postLeave reports to the controller that a proxy has left, also after ctx has ended.
 func (s *Server) postLeave(ctx context.Context, st *stream) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), leavePatience)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdown.LeaveTimeout)
 	defer cancel()
 	_ = s.inbox.Post(ctx, controller.ProxyLeft{Stream: st}) // fails only if the loop has ended
 }
--- a/internal/transport/xds/server.go
+++ b/internal/transport/xds/server.go
@@ -14,12 +14,11 @@
 	"google.golang.org/grpc/status"
 
 	"indigousher/internal/controller"
+	"indigousher/internal/transport/shutdown"
 	"indigousher/internal/wire"
 )
 
 const (
-	// reasonStopping is the status text when the controller shuts down.
-	reasonStopping = "this pilot stops"
 	// refusalSilence is the status text for streams without a first message.
 	refusalSilence = "nothing was said"
 	// refusalIdentity is the status text for a rejected identity. The cause is reported to operators only.
@@ -72,7 +71,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, st := range s.nodes {
-		st.Close(reasonStopping)
+		st.Close(shutdown.ReasonStopping)
 	}
 }
 
