--- a/internal/identity/replay_test.go
+++ b/internal/identity/replay_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestOnce guards against notes that come again: at once, late, after many others, or from long ago though never seen.
-func TestOnce(t *testing.T) {
+// TestReplayFilter checks messages that are repeated at once or after many others, and ones that are too old.
+func TestReplayFilter(t *testing.T) {
 	const now = uint64(1e18)
 	o := &ReplayFilter{}
 	assert.True(t, o.Accept(now))
--- a/internal/settings/load_test.go
+++ b/internal/settings/load_test.go
@@ -9,8 +9,7 @@
 	"indigousher/planner"
 )
 
-// TestLoadNames guards the figures of load reports: the platform names them as the pages do, the simulator as its wire
-// does.
+// TestLoadNames checks that the platform's and the simulator's names of figures result in the same load report.
 func TestLoadNames(t *testing.T) {
 	want := planner.Load{"util": 0.5, "rate": 7}
 	assert.Equal(t, want, ParseLoad(map[string]float64{"util": 0.5, "qps": 7}))
--- a/internal/settings/names_test.go
+++ b/internal/settings/names_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestRename guards memory: an index that goes from name to name keeps none but the last.
+// TestRename checks that an index that is renamed repeatedly keeps the last name only.
 func TestRename(t *testing.T) {
 	var d Names
 	d.Intern("a")
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSettingsUnderPlannerNames shows names, values, times and references of a deployment's settings on their way.
+// TestSettingsUnderPlannerNames checks the conversion of names, values, times and references.
 func TestSettingsUnderPlannerNames(t *testing.T) {
 	d := Parse(map[string]any{
 		"kinds": []any{"m", "n"}, "dcs": []any{"a", "b"}, "fresh_key": 3.0, "zone": "b",
--- a/internal/settings/variants_test.go
+++ b/internal/settings/variants_test.go
@@ -11,7 +11,7 @@
 	"indigousher/planner"
 )
 
-// variant is what a site file fixes for all its days.
+// variant is the content of a site file in deploy/sites.
 type variant struct {
 	Net    struct{ Zones []string }
 	Rules  map[string]float64
@@ -56,7 +56,7 @@
 	plannerEffects  = map[string]string{"safe": "replayable", "keyed": "uniqued", "unsafe": "non-replayable"}
 )
 
-// settings is the object that a controller of the variant is given, under the platform's names.
+// settings returns the settings of a controller of the variant, under the platform's names.
 func (v *variant) settings() map[string]any {
 	var models, fields []string
 	for _, m := range v.Tier[0].Kind {
@@ -99,7 +99,7 @@
 	}
 }
 
-// profiles are the request classes, under the platform's names.
+// profiles returns the request classes, under the platform's names.
 func (v *variant) profiles() (profiles []any) {
 	for _, c := range v.Class {
 		p := map[string]any{
@@ -120,7 +120,7 @@
 	return profiles
 }
 
-// asList returns names as JSON would bring them.
+// asList returns names as decoded from JSON.
 func asList(names []string) (list []any) {
 	for _, n := range names {
 		list = append(list, n)
@@ -128,7 +128,7 @@
 	return list
 }
 
-// asSettings returns figures as JSON would bring them.
+// asSettings returns figures as decoded from JSON.
 func asSettings(figures map[string]float64) map[string]any {
 	settings := map[string]any{}
 	for name, v := range figures {
@@ -137,9 +137,8 @@
 	return settings
 }
 
-// TestVariants guards other customers: every class, zone, limit and price of the deployments in deploy/sites reaches
-// the planner from the settings, under whatever names, and each zone's proxies get tables that serve each class where
-// it may go.
+// TestVariants checks for each deployment in deploy/sites that all its classes, zones, limits and prices reach the
+// planner, and that each proxy gets tables that serve each class where it is allowed.
 func TestVariants(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/sites/*.toml")
 	require.NoError(t, err)
@@ -157,7 +156,7 @@
 	}
 }
 
-// checkSettings looks at all but the request classes.
+// checkSettings checks the settings other than request classes.
 func (v *variant) checkSettings(t *testing.T, d *Deployment) {
 	assert.Equal(t, v.Net.Zones, d.Zones.All())
 	assert.Len(t, d.Machines.All(), len(v.Tier[0].Kind))
@@ -195,7 +194,7 @@
 	assert.Equal(t, fields, d.Settings["fields"])
 }
 
-// checkClasses looks at the request classes.
+// checkClasses checks the request classes.
 func (v *variant) checkClasses(t *testing.T, d *Deployment) {
 	classes, _ := d.Settings["req_kinds"].([]any)
 	require.Len(t, classes, len(v.Class))
@@ -221,13 +220,13 @@
 // proxyClass is a request class at a proxy.
 type proxyClass struct{ proxy, class int }
 
-// tables are what a planner has ordered so far.
+// tables is the state that a planner has ordered so far.
 type tables struct {
 	weights map[int]map[int]float64 // by table and endpoint
 	bound   map[proxyClass]int      // table
 }
 
-// checkTables has the planner assign tables to a fleet of the variant, and looks at where each class may go.
+// checkTables lets the planner assign tables to a fleet of the variant, and checks which endpoints serve each class.
 func (v *variant) checkTables(t *testing.T, d *Deployment) {
 	list, machineOf := v.fleet(d)
 	proxies := 20 * d.Zones.Len()
@@ -262,7 +261,7 @@
 	}
 }
 
-// fleet is three endpoints of each hardware model in each zone, with the model of each.
+// fleet returns three endpoints of each hardware model in each zone, and the model of each endpoint.
 func (v *variant) fleet(d *Deployment) (list planner.EndpointUpdate, machineOf map[int]int) {
 	list.Mode = planner.Snapshot
 	machineOf = map[int]int{}
@@ -278,7 +277,7 @@
 	return list, machineOf
 }
 
-// apply takes one order in. Nothing is full here, so all is admitted.
+// apply applies a command. No endpoint is overloaded here, so all requests must be admitted.
 func (v *variant) apply(t *testing.T, got *tables, order planner.Command) {
 	switch o := order.(type) {
 	case planner.SetWeight:
--- a/internal/simulator/commands_test.go
+++ b/internal/simulator/commands_test.go
@@ -10,7 +10,8 @@
 	"indigousher/planner"
 )
 
-// TestCommandBytes guards the bytes of each command, order of keys included: recorded conversations hold them.
+// TestCommandBytes checks the encoding of each command, including the order of keys, which recorded conversations
+// contain.
 func TestCommandBytes(t *testing.T) {
 	in := &instance{name: "pilot/0", originNs: 7, joined: map[int]bool{4: true}}
 	endpoint := in.endpoints.Intern("x:1")
@@ -78,7 +79,7 @@
 	assert.Equal(t, `{"body_text":"index out of range","i":"pilot/0","kind":"broken"}`, string(bytes))
 }
 
-// TestUnencodable guards the simulator against commands that it would take for a fault.
+// TestUnencodable checks the errors for commands that the simulator would treat as violations.
 func TestUnencodable(t *testing.T) {
 	in := &instance{name: "pilot/0", joined: map[int]bool{}}
 	for _, c := range []struct {
--- a/internal/simulator/serve_test.go
+++ b/internal/simulator/serve_test.go
@@ -20,12 +20,12 @@
 // joined starts an instance and has a proxy join it.
 const joined = spawn + `,{"kind":"stream_up","i":"pilot/0","edge":4,"zone":"a","heft":1}`
 
-// batchOf is the first batch, with some events.
+// batchOf returns a batch with the given events.
 func batchOf(clockNs int, events string) string {
 	return fmt.Sprintf(`{"sim_time":%d,"batch":1,"happened":[%s]}`, clockNs, events)
 }
 
-// TestServe shows what comes of whole inputs.
+// TestServe checks replies and errors for complete inputs.
 func TestServe(t *testing.T) {
 	for name, c := range map[string]struct{ in, want, fails string }{
 		"empty batch":   {`{"sim_time":5,"batch":3,"happened":[]}`, `{"batch":3,"orders":[]}`, ""},
@@ -50,7 +50,7 @@
 	}
 }
 
-// withLoad is an input in which an endpoint's load report arrives.
+// withLoad returns an input with an endpoint's load report.
 func withLoad(load string) string {
 	return batchOf(5, joined) + `
 {"sim_time":1600000005,"batch":2,"happened":[{"kind":"tally","i":"pilot/0","endpoint":"x:1","zone":"a","count":9,` +
@@ -59,8 +59,8 @@
 `
 }
 
-// TestHostileInput guards the adapter against lines that are cut, too long or nested without end, and against figures
-// that would make not-a-number of the tables, which can't even be written to the reply.
+// TestHostileInput checks inputs that are truncated, too long or deeply nested, and figures out of range, which would
+// result in weights that can't be encoded.
 func TestHostileInput(t *testing.T) {
 	for name, c := range map[string]struct{ in, fails string }{
 		"nested":          {`{"batch":1,"happened":` + strings.Repeat("[", 20000), "line 1: malformed batch"},
@@ -91,12 +91,12 @@
 	assert.ErrorIs(t, Serve(endless, io.Discard), errLineTooLong)
 }
 
-// zeros is text without an end.
+// zeros is an endless reader.
 type zeros struct{}
 
 func (zeros) Read(b []byte) (int, error) { return copy(b, bytes.Repeat([]byte{'0'}, len(b))), nil }
 
-// FuzzServe guards the adapter's process against any input.
+// FuzzServe serves arbitrary input; the planner must not panic.
 func FuzzServe(f *testing.F) {
 	f.Add([]byte(withLoad(`{"cpu_share":0.5}`)))
 	f.Fuzz(func(t *testing.T, in []byte) {
--- a/internal/transport/admin/admin_test.go
+++ b/internal/transport/admin/admin_test.go
@@ -16,8 +16,8 @@
 	"indigousher/internal/controller"
 )
 
-// TestBadRequests guards the operators' listener against senders that are slow, too long or never read: each is
-// answered with an error or cut off in time, and others are served meanwhile.
+// TestBadRequests checks that clients that send slowly, too much or nothing, or do not read, get an error or are
+// disconnected in time, and that others are served meanwhile.
 func TestBadRequests(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,7 +63,7 @@
 			}
 		})
 	}
-	t.Run("crowd", func(t *testing.T) {
+	t.Run("many idle connections", func(t *testing.T) {
 		t.Parallel()
 		for range maxConns - 8 { // that say nothing
 			c, err := net.Dial("tcp", at)
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -12,7 +12,7 @@
 	"indigousher/internal/wire"
 )
 
-// session is one proxy's stream, seen from both ends.
+// session is the stream of one proxy, seen from both ends.
 type session struct {
 	server server
 	inbox  *inbox
@@ -21,7 +21,7 @@
 	stop   func()            // shuts the server down
 }
 
-// TestContract is what every transport does alike.
+// TestContract checks what all transports have in common.
 func TestContract(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -52,7 +52,7 @@
 	}
 }
 
-// someOrders has an op of each kind.
+// someOrders returns orders with an op of each kind.
 func someOrders() *wire.Orders {
 	return &wire.Orders{AtMs: 10, AgeMs: 3, Lines: 9, Ops: []wire.Op{
 		{Kind: wire.OpBind, Table: 2, Kinds: 3, Keep: true},
--- a/internal/transport/discovery/discovery_test.go
+++ b/internal/transport/discovery/discovery_test.go
@@ -25,7 +25,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// inbox keeps what came, as short words: the names listed, or "lost".
+// inbox records inputs in short form: the listed names, or "lost".
 type inbox struct {
 	mu  sync.Mutex
 	got []string
@@ -65,8 +65,7 @@
 	t.Cleanup(func() { cancel(); assert.NoError(t, <-done) })
 }
 
-// TestStream guards a source that dies: the last list stands, the loss is reported, and a complete list follows its
-// return.
+// TestStream checks that the loss of a source is reported, and that a complete list follows its return.
 func TestStream(t *testing.T) {
 	l := registry.New(eventlog.NewLog().Stream("list"))
 	require.NoError(t, l.Start())
@@ -89,7 +88,7 @@
 	in.has(t, "whole x", "changes y", "whole x y", "slice 7 true [{x 1}]", "lost", "whole y", "slice 7 true [{x 1}]")
 }
 
-// TestSilentStream guards against a source that takes the connection and says nothing, or not what is asked.
+// TestSilentStream checks that a source that sends nothing, or something unexpected, is reported as lost.
 func TestSilentStream(t *testing.T) {
 	for name, says := range map[string]wire.Message{
 		"nothing": nil,
@@ -126,7 +125,7 @@
 	}
 }
 
-// TestFile guards a file that is replaced, spoilt and mended.
+// TestFile checks that a file is followed while it is replaced, becomes invalid and becomes valid again.
 func TestFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "endpoints.hcl")
 	write := func(text string) {
@@ -148,8 +147,8 @@
 	in.has(t, "lost", "whole x", "lost", "whole y")
 }
 
-// TestFileWrittenInPlace guards the endpoints of a list that is truncated and rewritten bit by bit: what stands in
-// the file meanwhile reads well, and would have all that is not there yet withdrawn.
+// TestFileWrittenInPlace checks that a file is not read while it is truncated and rewritten piece by piece: the partial
+// content is valid, but would remove the endpoints that are not written yet.
 func TestFileWrittenInPlace(t *testing.T) {
 	path, whole := filepath.Join(t.TempDir(), "endpoints.hcl"), ""
 	for i := range 40 {
@@ -180,7 +179,7 @@
 	in.has(t, want)
 }
 
-// eagerInbox asks for the list again as soon as it hears of its loss, as the module does.
+// eagerInbox requests the list as soon as it is lost, like the planner.
 type eagerInbox struct {
 	f    *File
 	lost atomic.Int64
@@ -194,8 +193,7 @@
 	return nil
 }
 
-// TestUnreadableFile guards against a file that can't be read being read without an end, as each loss asks for it
-// again.
+// TestUnreadableFile checks that an invalid file is not read in an endless loop, although each loss requests it again.
 func TestUnreadableFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "endpoints.hcl")
 	require.NoError(t, os.WriteFile(path, []byte("endpoint {"), 0o600))
--- a/internal/transport/discovery/schedule_test.go
+++ b/internal/transport/discovery/schedule_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestSchedule guards the time at which a file is read: after it has settled, but not put off for ever.
+// TestSchedule checks that a file is read once it has settled, but not put off indefinitely.
 func TestSchedule(t *testing.T) {
 	start := time.Now()
 	var s schedule
--- a/internal/transport/framed/framed_test.go
+++ b/internal/transport/framed/framed_test.go
@@ -23,7 +23,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// inbox keeps inputs.
+// inbox records inputs.
 type inbox struct {
 	mu  sync.Mutex
 	got []controller.Input
@@ -51,7 +51,7 @@
 	return s
 }
 
-// left waits until a stream's end has been told, once.
+// left waits until the end of a stream has been reported, exactly once.
 func (i *inbox) left(t *testing.T, s controller.Stream) {
 	require.Eventually(t, func() bool {
 		i.mu.Lock()
@@ -105,7 +105,7 @@
 	return c, r, w
 }
 
-// untilEnd reads to the stream's end and returns the last message that was no beat.
+// untilEnd reads to the end of the stream and returns the last message other than a heartbeat.
 func untilEnd(r *wire.Reader) (last wire.Message) {
 	for {
 		m, err := r.Read()
@@ -118,7 +118,7 @@
 	}
 }
 
-// TestBadStreams shows that what is wrong on one stream ends that stream alone.
+// TestBadStreams checks that an error on one stream ends that stream only.
 func TestBadStreams(t *testing.T) {
 	raw := func(size uint32, kind byte, number uint32, body string) []byte {
 		b := binary.BigEndian.AppendUint32(nil, size)
@@ -168,7 +168,7 @@
 	}
 }
 
-// TestRefusedHellos shows what strangers get to hear.
+// TestRefusedHellos checks the answers to invalid hellos.
 func TestRefusedHellos(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -196,8 +196,8 @@
 	}
 }
 
-// TestSlowReader guards the others against a proxy that does not read: its stream ends by the write deadline or as its
-// queue is full.
+// TestSlowReader checks that a proxy that does not read loses its stream, by the write deadline or because its queue is
+// full, and that other proxies are not affected.
 func TestSlowReader(t *testing.T) {
 	_, in, address, _ := serve(t, nil)
 	_, r, w := join(t, address, "quick")
@@ -239,7 +239,7 @@
 	in.left(t, slow)
 }
 
-// TestUnacknowledged guards drains against a proxy that goes on talking but no longer deals with what it is sent.
+// TestUnacknowledged checks that the stream ends if a proxy keeps sending but no longer acknowledges what it receives.
 func TestUnacknowledged(t *testing.T) {
 	_, in, address, _ := serve(t, nil)
 	c, r, w := join(t, address, "deaf")
@@ -263,7 +263,7 @@
 	_ = c.Close() // the server has closed it
 }
 
-// TestStop shows that a pilot which stops asks its proxies to dial elsewhere, and one that is killed says nothing.
+// TestStop checks that a server that is stopped redirects its proxies, and that one that is killed sends nothing.
 func TestStop(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -284,7 +284,7 @@
 	}
 }
 
-// TestTooMany guards the bound of open streams.
+// TestTooMany checks the limit of open streams.
 func TestTooMany(t *testing.T) {
 	s, _, address, _ := serve(t, func(d *ListenerConfig) { d.MaxStreams = 1; d.Beat = time.Second })
 	_, _, w := join(t, address, "first")
@@ -296,7 +296,7 @@
 	join(t, address, "second")
 }
 
-// exhaustedListener is a listener of a process that has no descriptor left for a while.
+// exhaustedListener is a listener in a process that temporarily has no file descriptors left.
 type exhaustedListener struct {
 	net.Listener
 	left atomic.Int32
@@ -309,8 +309,7 @@
 	return l.Listener.Accept()
 }
 
-// TestNoDescriptor guards the streams that are served, and those that come later, against a process that has run out of
-// descriptors.
+// TestNoDescriptor checks that the server survives a temporary lack of file descriptors, but not a closed listener.
 func TestNoDescriptor(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -332,7 +331,7 @@
 	assert.ErrorIs(t, s.Serve(t.Context(), broken), net.ErrClosed)
 }
 
-// TestRefused shows that a refusal from the runtime reaches the proxy.
+// TestRefused checks that the reason with which the controller closes a stream reaches the proxy.
 func TestRefused(t *testing.T) {
 	_, in, address, _ := serve(t, nil)
 	c, r, _ := join(t, address, "p")
--- a/internal/transport/framed/stream_test.go
+++ b/internal/transport/framed/stream_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestUnackedFrames guards the age of the oldest frame that a proxy has not acknowledged.
+// TestUnackedFrames checks the age of the oldest unacknowledged frame.
 func TestUnackedFrames(t *testing.T) {
 	var u unackedFrames
 	start := time.Now()
--- a/internal/transport/gossip/gossip_test.go
+++ b/internal/transport/gossip/gossip_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// TestGossip shows a text on its way between two controllers, past strangers and noise.
+// TestGossip checks that texts pass between two controllers, and that other datagrams are dropped.
 func TestGossip(t *testing.T) {
 	sockets := map[int]net.PacketConn{}
 	at := map[int]string{}
@@ -75,7 +75,7 @@
 	return path, secret
 }
 
-// TestSealed shows that with a secret only sealed datagrams count, each once.
+// TestSealed checks that with a secret only sealed datagrams are accepted, each one once.
 func TestSealed(t *testing.T) {
 	_, ours := newSecret(t)
 	_, others := newSecret(t)
@@ -105,7 +105,8 @@
 	}
 }
 
-// TestSecretRotated shows that a key is changed without a gap, and that an invalid file leaves the keys in force.
+// TestSecretRotated checks that a key is rotated without interruption, and that an invalid file leaves the keys in
+// force.
 func TestSecretRotated(t *testing.T) {
 	const noticed = 250 * time.Millisecond // a changed file is noticed by then
 	path, ours := newSecret(t)
@@ -130,7 +131,7 @@
 	assert.NoError(t, err)
 }
 
-// FuzzDecode guards against datagrams of any bytes.
+// FuzzDecode decodes arbitrary datagrams.
 func FuzzDecode(f *testing.F) {
 	f.Add(encodeDatagram(3, "text"))
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/transport/grpcapi/grpcapi_test.go
+++ b/internal/transport/grpcapi/grpcapi_test.go
@@ -27,7 +27,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// inbox keeps inputs in order.
+// inbox records inputs in order.
 type inbox struct {
 	mu  sync.Mutex
 	got []controller.Input
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// joins returns the streams that have joined, once there are n.
+// joins waits until n streams have joined and returns them.
 func (i *inbox) joins(t *testing.T, n int) (list []controller.Stream) {
 	require.Eventually(t, func() bool {
 		i.mu.Lock()
@@ -63,7 +63,7 @@
 	cancel context.CancelFunc
 }
 
-// plainText connects without keys.
+// plainText connects without TLS.
 var plainText = grpc.WithTransportCredentials(insecure.NewCredentials())
 
 // serve starts a server and returns a connection to it.
@@ -117,7 +117,7 @@
 	c.say(&pb.Upward{Says: &pb.Upward_Ack{Ack: &pb.Ack{Version: version, Refusal: refusal}}})
 }
 
-// assignment returns the next one; the client beats meanwhile.
+// assignment returns the next assignment; the client sends heartbeats meanwhile.
 func (c *client) assignment() *pb.Assignment {
 	for {
 		m, err := c.stream.Recv()
@@ -129,7 +129,7 @@
 	}
 }
 
-// end returns how the stream ends.
+// end waits for the end of the stream and returns its error.
 func (c *client) end() error {
 	for {
 		if _, err := c.stream.Recv(); err != nil {
@@ -146,7 +146,7 @@
 
 var bind = wire.Op{Kind: wire.OpBind, Table: 1, Kinds: 3}
 
-// TestMisbehavingClient is what clients do that they should not, and how the stream ends.
+// TestMisbehavingClient checks the status with which a stream ends after an invalid message of the client.
 func TestMisbehavingClient(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -183,9 +183,9 @@
 	}
 }
 
-// TestCompressedBomb guards against a small message that unpacks to far beyond the limit. The heartbeat is long:
-// packing the message takes a busy machine more than the three short ones after which the stream would end for
-// silence.
+// TestCompressedBomb checks that a small message that decompresses to far beyond the limit is rejected. The heartbeat
+// is long, since on a busy machine compressing the message takes longer than the three short intervals after which the
+// stream would end for silence.
 func TestCompressedBomb(t *testing.T) {
 	_, in, conn := serve(t, func(d *ListenerConfig) { d.Beat, d.SeenWithin = time.Minute, time.Minute })
 	cl := follow(t, conn, grpc.UseCompressor(gzip.Name))
@@ -195,7 +195,7 @@
 	assert.Equal(t, codes.ResourceExhausted, status.Code(cl.end()))
 }
 
-// TestHellos shows which first words are taken.
+// TestHellos checks which first messages are accepted.
 func TestHellos(t *testing.T) {
 	late := &pb.Hello{Version: 1, Proxy: "p", Zone: "a"}
 	late.ProtoReflect().SetUnknown(protowire.AppendVarint(protowire.AppendTag(nil, 99, protowire.VarintType), 5))
@@ -227,8 +227,7 @@
 	}
 }
 
-// TestReconnectStorm guards a controller that returns against all streams at once: they are let in at a limited rate
-// and none is turned away.
+// TestReconnectStorm checks that many streams at once are admitted at a limited rate, and that none is rejected.
 func TestReconnectStorm(t *testing.T) {
 	const many = 2000
 	s, in, conn := serve(t, func(d *ListenerConfig) { d.NewPerS = 1000; d.Beat = 5 * time.Second })
@@ -255,7 +254,7 @@
 	assert.Len(t, in.joins(t, many), many)
 }
 
-// TestCollapse guards the queue of a slow stream: it holds the newest state of each line, and ends beyond its bound.
+// TestCollapse checks that the queue of a slow stream keeps the newest state of each line only, and is limited.
 func TestCollapse(t *testing.T) {
 	st := newStream(10)
 	for i := range 1000 {
@@ -274,7 +273,7 @@
 	assert.ErrorIs(t, err, ErrSlow)
 }
 
-// FuzzUpward guards what is parsed before anybody is known.
+// FuzzUpward decodes arbitrary messages of proxies.
 func FuzzUpward(f *testing.F) {
 	for _, m := range []*pb.Upward{
 		{Says: &pb.Upward_Hello{Hello: hello("p")}},
--- a/internal/transport/grpcapi/stream_test.go
+++ b/internal/transport/grpcapi/stream_test.go
@@ -12,7 +12,7 @@
 	pb "indigousher/proto/indigousher/v1"
 )
 
-// TestVersions guards the marks of assignments against acknowledgements that come together, again, or too early.
+// TestVersions checks cumulative, repeated, premature and invalid acknowledgements.
 func TestVersions(t *testing.T) {
 	var v versions
 	now := time.Now()
--- a/internal/transport/handshake/handshake_test.go
+++ b/internal/transport/handshake/handshake_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestSilentOpening guards against streams that are opened and never say anything.
+// TestSilentOpening checks that a stream without a first message ends.
 func TestSilentOpening(t *testing.T) {
 	never := make(chan struct{})
 	defer close(never)
--- a/internal/transport/healthcheck/healthcheck_test.go
+++ b/internal/transport/healthcheck/healthcheck_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// inbox keeps inputs in order.
+// inbox records inputs in order.
 type inbox chan controller.Input
 
 func (i inbox) Post(_ context.Context, in controller.Input) error {
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// rudeServer answers each connection with a message that is no answer, and closes it.
+// rudeServer sends an unexpected message on each connection and closes it.
 func rudeServer(t *testing.T) (address string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -44,14 +44,14 @@
 	return l.Addr().String()
 }
 
-// result returns the next result.
+// result returns the next recorded result.
 func (i inbox) result(t *testing.T) controller.HealthChecked {
 	r, ok := (<-i).(controller.HealthChecked)
 	require.True(t, ok)
 	return r
 }
 
-// TestProbe shows the outcome for each state of an endpoint.
+// TestProbe checks the outcome for each state of an endpoint, and the limit of concurrent checks.
 func TestProbe(t *testing.T) {
 	model := endpoint.Model{Name: "e", Cores: 1, Speed: 1, Conns: 9, ReportEvery: 5 * time.Millisecond}
 	e := endpoint.New(model, eventlog.NewLog().Stream("e"))
--- a/internal/transport/identity_test.go
+++ b/internal/transport/identity_test.go
@@ -16,31 +16,31 @@
 	"indigousher/internal/wire"
 )
 
-// minuteAgo is from when on test certificates are valid.
+// minuteAgo is the start of validity of test certificates.
 func minuteAgo() time.Time { return time.Now().Add(-time.Minute) }
 
-// issue writes a certificate for an identity, valid for an hour, into a folder of its own.
+// issue writes a certificate for an identity, valid for an hour, into a new directory.
 func issue(t *testing.T, a *identity.Authority, who identity.Identity, from time.Time) identity.Files {
 	files, err := a.Issue(t.TempDir(), who, from, time.Hour)
 	require.NoError(t, err)
 	return files
 }
 
-// clientOf returns the configuration of a proxy that has some keys.
+// clientOf returns the client configuration for a proxy's keys.
 func clientOf(t *testing.T, files identity.Files) *tls.Config {
 	store, err := identity.Load(files, nil)
 	require.NoError(t, err)
 	return store.Client(identity.Pilot)
 }
 
-// newAuthority makes an authority for an hour.
+// newAuthority creates an authority that is valid for an hour.
 func newAuthority(t *testing.T, name string) *identity.Authority {
 	a, err := identity.NewAuthority(name, time.Hour)
 	require.NoError(t, err)
 	return a
 }
 
-// refusals keeps what operators are told.
+// refusals records what is reported to operators.
 type refusals struct {
 	mu   sync.Mutex
 	text string
@@ -63,7 +63,7 @@
 	controllerOne = identity.Identity{Role: identity.Pilot, Zone: "a", Name: "one"}
 )
 
-// TestStrangers is the table of attempts to get in: what was tried, and that nothing came of it.
+// TestStrangers checks that peers with a missing, invalid or mismatched identity are rejected by all transports.
 func TestStrangers(t *testing.T) {
 	authority := newAuthority(t, "ours")
 	ours := issue(t, authority, proxyP, minuteAgo())
@@ -113,7 +113,7 @@
 	}
 }
 
-// TestKeysReplaced guards open streams and later ones against keys that change while reports flow.
+// TestKeysReplaced checks that open and new streams work while the certificate is replaced.
 func TestKeysReplaced(t *testing.T) {
 	for _, tr := range transports {
 		t.Run(tr.name, func(t *testing.T) {
--- a/internal/transport/shutdown/shutdown_test.go
+++ b/internal/transport/shutdown/shutdown_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestEndsOnce guards the reason and the last message of a stream that several sides end.
+// TestEndsOnce checks that the first reason and the first message count if a stream is ended repeatedly.
 func TestEndsOnce(t *testing.T) {
 	e := New[string]()
 	select {
@@ -25,7 +25,7 @@
 	assert.Equal(t, "redirect", word)
 }
 
-// TestEndsWithoutMessage shows an end without a last message, and that a later message does not change the reason.
+// TestEndsWithoutMessage checks an end without a last message, and that a later message does not change the reason.
 func TestEndsWithoutMessage(t *testing.T) {
 	e := New[string]()
 	var wg sync.WaitGroup
--- a/internal/transport/transports_test.go
+++ b/internal/transport/transports_test.go
@@ -23,7 +23,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// inbox keeps inputs in order.
+// inbox records inputs in order.
 type inbox struct{ got chan controller.Input }
 
 func (i *inbox) Post(ctx context.Context, in controller.Input) error {
@@ -50,14 +50,14 @@
 	}
 }
 
-// server is what the contract asks of an edge.
+// server is the interface that the contract requires of a transport.
 type server interface {
 	Serve(ctx context.Context, l net.Listener) error
 	Kill()
 	Streams() int
 }
 
-// transport makes both ends of one.
+// transport creates both ends of a transport.
 type transport struct {
 	name  string
 	serve func(in *inbox, store *identity.KeyStore) server
@@ -110,7 +110,7 @@
 	}
 }
 
-// read returns the next message that is no beat, and goes on beating meanwhile.
+// read returns the next message other than a heartbeat, and sends heartbeats meanwhile.
 func read(t *testing.T, l proxy.Line) wire.Message {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// ends waits until a line has ended and returns the last message that was no beat.
+// ends waits for the end of a line and returns the last message other than a heartbeat.
 func ends(l proxy.Line) (last wire.Message) {
 	for {
 		m, err := l.Read(5 * time.Second)
--- a/internal/transport/xds/hostile_test.go
+++ b/internal/transport/xds/hostile_test.go
@@ -18,8 +18,8 @@
 	"indigousher/internal/wire"
 )
 
-// TestHostileNode guards the memory of a stream against a proxy that asks for types without an end, or for none and so
-// never answers a mark, and against answers to versions that were not sent.
+// TestHostileNode checks that the memory of a stream stays bounded if a client subscribes to ever more types, or to no
+// endpoints so that marks are never answered, and that invalid nonces are rejected.
 func TestHostileNode(t *testing.T) {
 	st := newStream("p", []string{"read"})
 	for i := range 5000 {
@@ -53,8 +53,8 @@
 	return &lrs.LoadStatsRequest{ClusterStats: []*endpoint.ClusterStats{c}}
 }
 
-// FuzzLoad guards the controller against load reports of any sort: what comes of them is as the framed protocol would
-// let in, but for figures, which the controller checks.
+// FuzzLoad converts arbitrary load reports. The results must be valid in the framed protocol, except for figures, which
+// the controller checks.
 func FuzzLoad(f *testing.F) {
 	for _, change := range []func(c *endpoint.ClusterStats){
 		func(*endpoint.ClusterStats) {},
--- a/internal/transport/xds/xds_test.go
+++ b/internal/transport/xds/xds_test.go
@@ -22,7 +22,7 @@
 	"indigousher/internal/wire"
 )
 
-// backend is a small endpoint that speaks gRPC and counts.
+// backend is a minimal gRPC endpoint that counts calls.
 type backend struct {
 	healthpb.UnimplementedHealthServer
 	calls atomic.Int64
@@ -53,7 +53,7 @@
 	daemon   *daemon.Daemon
 }
 
-// newSite starts one; the first backend has three times the weight of the others.
+// newSite starts a site. The first backend has three times the weight of the others.
 func newSite(t *testing.T) *site {
 	s := &site{source: registry.New(eventlog.NewLog().Stream("list"))}
 	require.NoError(t, s.source.Start())
@@ -95,7 +95,7 @@
 	return s
 }
 
-// client returns a connection of grpc-go's own xDS client in zone a.
+// client returns a health client that uses the xDS client of grpc-go, in zone a.
 func (s *site) client(t *testing.T) healthpb.HealthClient {
 	bootstrap := fmt.Appendf(nil, `{
 		"xds_servers": [{
@@ -114,7 +114,7 @@
 	return healthpb.NewHealthClient(conn)
 }
 
-// call makes calls for a while and returns how many each backend took.
+// call makes calls for a while and returns how many each backend received.
 func (s *site) call(t *testing.T, client healthpb.HealthClient, during time.Duration) (took []int64) {
 	var before []int64
 	for _, b := range s.backends {
@@ -138,8 +138,9 @@
 	s.source.Put(0, s.entries[i])
 }
 
-// TestUnmodifiedClient has grpc-go's own xDS client follow a controller: it takes the controller's weights, leaves a
-// drained endpoint within the grace, goes to the next zone when its own has nothing left, and reports load back.
+// TestUnmodifiedClient checks that the xDS client of grpc-go follows the controller's weights, leaves draining
+// endpoints within the grace period, fails over to the other zone when its own has no endpoints left, and reports
+// load.
 func TestUnmodifiedClient(t *testing.T) {
 	const takesEffect = 500 * time.Millisecond // a drained endpoint is left by then
 	s := newSite(t)
--- a/telemetry/accuracy_test.go
+++ b/telemetry/accuracy_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestTruth guards the load that the planner receives against each way in which reports can go wrong.
+// TestTruth checks the accuracy of the flushed rates for each way in which reports can go wrong.
 func TestTruth(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -75,7 +75,7 @@
 	}
 }
 
-// TestRejoin guards the load against all senders coming back at once after a restart, each with a minute of sums.
+// TestRejoin checks the accuracy when all senders return at once after a restart, each with a minute of data.
 func TestRejoin(t *testing.T) {
 	c := newFleet(testOptions(), 30, 12, 3)
 	c.now = 60000
--- a/telemetry/backpressure_test.go
+++ b/telemetry/backpressure_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestSlowedAndReleased guards the way out of crowding: senders are slowed at once and released in turns.
+// TestSlowedAndReleased checks that senders are slowed down at once and released in groups.
 func TestSlowedAndReleased(t *testing.T) {
 	options := testOptions()
 	options.LinesPerS = 400
--- a/telemetry/bench_test.go
+++ b/telemetry/bench_test.go
@@ -8,8 +8,8 @@
 	"indigousher/planner"
 )
 
-// BenchmarkAdd measures how many lines a second one core adds, and what an aggregator holds, by size. Reports have 20
-// lines each; one operation is one report.
+// BenchmarkAdd measures the throughput of one core in lines per second, and the memory held. Each operation is one
+// report of 20 lines.
 func BenchmarkAdd(b *testing.B) {
 	for _, c := range []struct{ endpoints, senders int }{
 		{100, 100},
--- a/telemetry/clock_test.go
+++ b/telemetry/clock_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestClockOffset guards the delay of reports against clocks that are off, drift and jump.
+// TestClockOffset checks the delay of reports from a sender whose clock is off and then jumps.
 func TestClockOffset(t *testing.T) {
 	var o clockOffset
 	const off = 1e9 // the sender's clock is ahead by so many ms
@@ -18,7 +18,7 @@
 	assert.Equal(t, 7.0, o.age(6000, 5993))
 }
 
-// TestClockDrift guards the offset against a clock that drifts away: the fastest report is forgotten after two windows.
+// TestClockDrift checks that the shortest delay is forgotten after two windows.
 func TestClockDrift(t *testing.T) {
 	var o clockOffset
 	o.age(0, 0)
--- a/telemetry/decay_test.go
+++ b/telemetry/decay_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestDecayHalves guards the half-life, for a moment and for a span.
+// TestDecayHalves checks the weights of moments and spans against the half-life.
 func TestDecayHalves(t *testing.T) {
 	d := decay{halfLifeMs: 5000}
 	assert.InDelta(t, 0.5, d.weight(0)/d.weight(5000), 1e-12)
@@ -19,7 +19,7 @@
 	assert.InDelta(t, sum/4000, d.meanWeight(4000, 4000), 1e-6, "the mean of a span's moments")
 }
 
-// TestDecayRescaled guards weighted figures against a landmark that moves: what is left of them stays the same.
+// TestDecayRescaled checks that moving the landmark does not change decayed values.
 func TestDecayRescaled(t *testing.T) {
 	d := decay{halfLifeMs: 5000}
 	const now = rescaleAfter * 5000.0
--- a/telemetry/endpoint_test.go
+++ b/telemetry/endpoint_test.go
@@ -9,7 +9,7 @@
 	"indigousher/planner"
 )
 
-// TestRestarted guards an endpoint against reports that reach back before a restart: only the part after it counts.
+// TestRestarted checks that of a report that reaches back before a restart only the part after it counts.
 func TestRestarted(t *testing.T) {
 	in := New[float64](testOptions())
 	in.UpdateEndpoint(0, 0, planner.Ready, 0)
--- a/telemetry/fleet_test.go
+++ b/telemetry/fleet_test.go
@@ -10,7 +10,7 @@
 	"indigousher/planner"
 )
 
-// fleet is a zone structure of senders with steady true rates, and what an aggregator makes of their reports.
+// fleet simulates senders with constant true rates that report to an aggregator.
 type fleet struct {
 	in          *Aggregator[float64]
 	endpoints   int
@@ -28,7 +28,7 @@
 	rnd         *rand.Rand
 }
 
-// reporter is a proxy that reports.
+// reporter is a simulated proxy.
 type reporter struct {
 	id, zone         int
 	lastSeq          uint64
@@ -40,13 +40,13 @@
 	reportsPerPeriod float64 // reports sent where one is due
 }
 
-// delivery is a report on its way.
+// delivery is a report in transit.
 type delivery struct {
 	at     float64
 	report *Report[float64]
 }
 
-// flushedSum adds up what was flushed of one sum.
+// flushedSum is the total that was flushed of one sum.
 type flushedSum struct{ tries, span, failed float64 }
 
 func testOptions() Options {
@@ -75,7 +75,7 @@
 	return c
 }
 
-// report makes what a sender reports now.
+// report returns a sender's report, of random attempts at the true rates.
 func (c *fleet) report(s *reporter) *Report[float64] {
 	s.lastSeq++
 	r := &Report[float64]{Sender: s.id, Seq: s.lastSeq, AtMs: c.now*(1+s.drift) + s.clockMs, SpanMs: c.now - s.lastMs}
@@ -92,7 +92,7 @@
 	return r
 }
 
-// run lets time pass in steps of 20 ms; done is called with what each second flushes.
+// run advances time in steps of 20 ms and flushes once a second; done is called with each batch.
 func (c *fleet) run(ms float64, done func(nowMs float64, t Batch[float64])) {
 	const step = 20.0
 	for end := c.now + ms; c.now < end; {
@@ -112,7 +112,7 @@
 	}
 }
 
-// sendDue has the senders whose period is over send their reports.
+// sendDue sends the reports that are due.
 func (c *fleet) sendDue() {
 	for _, s := range c.senders {
 		for s.nextMs <= c.now {
@@ -126,7 +126,7 @@
 	}
 }
 
-// receiveDue has the reports arrive whose time has come.
+// receiveDue delivers the reports whose time has come.
 func (c *fleet) receiveDue() {
 	kept := c.inFlight[:0]
 	for _, d := range c.inFlight {
@@ -139,7 +139,7 @@
 	c.inFlight = kept
 }
 
-// collect adds up what was flushed.
+// collect adds a batch to the totals.
 func (c *fleet) collect(batch Batch[float64]) {
 	for _, m := range batch.Mets {
 		key := zoneEndpoint{m.Endpoint, m.Zone}
@@ -152,7 +152,7 @@
 	}
 }
 
-// follow has the senders do as they are asked, but for those that ignore it.
+// follow applies advice to the senders, except those that ignore it.
 func (c *fleet) follow(advice []Advice) {
 	for _, a := range advice {
 		if s := c.senders[a.Sender]; !s.ignoresAdvice {
@@ -161,7 +161,7 @@
 	}
 }
 
-// worstError returns how far the flushed rate is from the true one, at worst, over endpoints with a hundredth of their
+// worstError returns the largest relative error of a flushed rate, among endpoints with at least a hundredth of their
 // zone's attempts.
 func (c *fleet) worstError(overMs float64) (worst float64, about string) {
 	all := map[int]float64{}
--- a/telemetry/flush_test.go
+++ b/telemetry/flush_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFailingSeenInBurst guards an endpoint at a tenth of the others' traffic that begins to fail while reports come a
-// hundredfold: it is reported within two periods of when an unlimited aggregator reports it.
+// TestFailingSeenInBurst checks that an endpoint with a tenth of the others' traffic that begins to fail during a
+// hundredfold burst of reports is flushed within two periods of when an unlimited aggregator flushes it.
 func TestFailingSeenInBurst(t *testing.T) {
 	first := func(limit float64) (at float64) {
 		options := testOptions()
--- a/telemetry/properties_test.go
+++ b/telemetry/properties_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestProperties holds whatever arrives in whatever order: no sender starves, the bound is kept, the same inputs give
-// the same outputs, and what is flushed never exceeds what could have been reported.
+// TestProperties checks for random loads, losses and delays that no sender starves, that the limit of pending sums is
+// kept, that equal inputs give equal outputs, and that flushed figures are plausible.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		options := testOptions()
--- a/telemetry/queue_test.go
+++ b/telemetry/queue_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestPendingLimit guards the bound of pending sums, and that what is urgent finds room.
+// TestPendingLimit checks the limit of pending sums, and that there is room for urgent ones.
 func TestPendingLimit(t *testing.T) {
 	options := testOptions()
 	options.Standing, options.ToldPerS = 10, 5
--- a/telemetry/quota_test.go
+++ b/telemetry/quota_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestFairShare is max-min fairness by hand.
+// TestFairShare checks max-min fair shares computed by hand.
 func TestFairShare(t *testing.T) {
 	for _, c := range []struct {
 		total   float64
--- a/telemetry/report_test.go
+++ b/telemetry/report_test.go
@@ -10,7 +10,7 @@
 	"indigousher/planner"
 )
 
-// TestRefusedReports guards the sums against what can't be true and what is not of a present endpoint.
+// TestRefusedReports checks the reasons for which reports and lines are rejected.
 func TestRefusedReports(t *testing.T) {
 	good := func() *Report[float64] {
 		lines := []Line[float64]{{Endpoint: 0, Tries: 10, MeanMs: 5}}
