--- a/internal/identity/secret.go
+++ b/internal/identity/secret.go
@@ -11,40 +11,44 @@
 	"errors"
 	"fmt"
 	"os"
-	"slices"
 	"sync"
 	"time"
 )
 
-// Secret seals short messages between pilots with AES-256-GCM under keys that all of them share. The file holds one key
-// a line in hex, the newest first: that one seals, any of them opens, so a key is changed by adding the new one at the
-// end everywhere, then moving it up, then taking the old one away. A changed file is read at the next message.
-type Secret struct {
-	path  string
-	mu    sync.Mutex
-	boxes []cipher.AEAD
-	seen  look
-	last  uint64
-}
-
-// Limits of sealing.
 const (
-	secretBytes = 32
-	secretsMost = 4
-	// SealBytes is how much longer a message gets.
-	SealBytes = 12 + 16 + 8
+	secretBytes = 32 // AES-256 key
+	maxSecrets  = 4  // keys in a file
+	nonceBytes  = 12 // GCM nonce
+	tagBytes    = 16 // GCM authentication tag
+	numberBytes = 8  // message number, which is encrypted along with the message
+
+	// SealBytes is the number of bytes that sealing adds to a message.
+	SealBytes = nonceBytes + tagBytes + numberBytes
 )
 
-// ErrSeal says that a message was not sealed under any of the keys.
+// ErrSeal means that none of the keys opens a message.
 var ErrSeal = errors.New("not sealed under a key of ours")
 
-// NewSecret writes a file with one new key.
+// Secret seals short messages between controllers with AES-256-GCM under shared keys. The file holds one key per line
+// in hex, the newest first. The first key seals, any of them opens, so a key is rotated by appending the new one
+// everywhere, then moving it to the top, then removing the old one. The file is reloaded at the next message after it
+// has changed; if it is invalid, the previous keys stay in force. It is safe for concurrent use.
+type Secret struct {
+	path string
+
+	mu         sync.Mutex
+	ciphers    []cipher.AEAD
+	watch      fileWatch
+	lastNumber uint64 // of the newest sealed message
+}
+
+// NewSecret writes a file with one new random key.
 func NewSecret(path string) error {
 	key := make([]byte, secretBytes)
 	if _, err := rand.Read(key); err != nil {
 		return fmt.Errorf("make secret: %w", err)
 	}
-	return replace(path, []byte(hex.EncodeToString(key)+"\n"), 0o600)
+	return replace(path, []byte(hex.EncodeToString(key)+"\n"), secretMode)
 }
 
 // LoadSecret reads a file of keys.
@@ -56,6 +60,7 @@
 	return s, nil
 }
 
+// read reads the file. On an error the keys are unchanged.
 func (s *Secret) read() error {
 	stamp, err := newest(s.path)
 	if err != nil {
@@ -65,7 +70,18 @@
 	if err != nil {
 		return fmt.Errorf("secret: %w", err)
 	}
-	var boxes []cipher.AEAD
+	ciphers, err := s.parse(text)
+	if err != nil {
+		return err
+	}
+	s.ciphers = ciphers
+	s.watch.readStamp = stamp
+	return nil
+}
+
+// parse returns the keys in the file's text. Empty lines are ignored.
+func (s *Secret) parse(text []byte) ([]cipher.AEAD, error) {
+	var ciphers []cipher.AEAD
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	for n := 1; lines.Scan(); n++ {
 		line := bytes.TrimSpace(lines.Bytes())
@@ -73,95 +89,74 @@
 			continue
 		}
 		key, err := hex.DecodeString(string(line))
-		if err != nil || len(key) != secretBytes { // the line itself is not shown
-			return fmt.Errorf("secret: %s:%d: no key of %d bytes in hex", s.path, n, secretBytes)
-		}
-		block, err := aes.NewCipher(key)
-		if err != nil {
-			return fmt.Errorf("secret: %s:%d: %w", s.path, n, err)
+		if err != nil || len(key) != secretBytes { // the error must not contain the key
+			return nil, fmt.Errorf("secret: %s:%d: no key of %d bytes in hex", s.path, n, secretBytes)
 		}
-		box, err := cipher.NewGCM(block)
+		sealer, err := newCipher(key)
 		if err != nil {
-			return fmt.Errorf("secret: %s:%d: %w", s.path, n, err)
+			return nil, fmt.Errorf("secret: %s:%d: %w", s.path, n, err)
 		}
-		boxes = append(boxes, box)
+		ciphers = append(ciphers, sealer)
 	}
-	if len(boxes) == 0 || len(boxes) > secretsMost {
-		return fmt.Errorf("secret: %s holds %d keys, wanted are 1 to %d", s.path, len(boxes), secretsMost)
+	if len(ciphers) == 0 || len(ciphers) > maxSecrets {
+		return nil, fmt.Errorf("secret: %s holds %d keys, wanted are 1 to %d", s.path, len(ciphers), maxSecrets)
 	}
-	s.boxes, s.seen.stamp = boxes, stamp
-	return nil
+	return ciphers, nil
 }
 
-// now returns the keys in force, after a look at the file.
-func (s *Secret) now() []cipher.AEAD {
-	s.seen.anew(s.read, s.path)
-	return s.boxes
+// newCipher returns AES-GCM under a key.
+func newCipher(key []byte) (cipher.AEAD, error) {
+	block, err := aes.NewCipher(key)
+	if err != nil {
+		return nil, err
+	}
+	return cipher.NewGCM(block)
+}
+
+// current returns the keys in force, reloaded if the file has changed. The caller holds the lock.
+func (s *Secret) current() []cipher.AEAD {
+	s.watch.reload(s.read, s.path)
+	return s.ciphers
 }
 
-// Err returns what is wrong with a file that has changed since it was read, if anything.
+// Err returns the error of the last reload, or nil if the keys in force are the latest.
 func (s *Secret) Err() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.now()
-	return s.seen.wrong
+	s.current()
+	return s.watch.err
 }
 
-// Seal closes a message behind b. Outside is not hidden but can't be changed either. Each message carries a number
-// above those before, also of earlier lives while the clock does not go back.
+// Seal appends a sealed message to b. The data in outside is authenticated but not encrypted. Each message carries a
+// number greater than those before, also across restarts of the process as long as the clock does not go back.
 func (s *Secret) Seal(b, outside, message []byte) ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	box := s.now()[0]
-	s.last = max(s.last+1, uint64(time.Now().UnixNano()))
-	nonce := make([]byte, box.NonceSize())
+	newest := s.current()[0]
+	s.lastNumber = max(s.lastNumber+1, uint64(time.Now().UnixNano()))
+	nonce := make([]byte, newest.NonceSize())
 	if _, err := rand.Read(nonce); err != nil {
 		return nil, fmt.Errorf("seal: %w", err)
 	}
-	inside := binary.BigEndian.AppendUint64(nil, s.last)
-	return box.Seal(append(b, nonce...), nonce, append(inside, message...), outside), nil
+	inside := binary.BigEndian.AppendUint64(nil, s.lastNumber)
+	inside = append(inside, message...)
+	return newest.Seal(append(b, nonce...), nonce, inside, outside), nil
 }
 
-// Open opens a message and returns its number.
+// Open decrypts a sealed message and returns it and its number. It returns ErrSeal if none of the keys opens it.
 func (s *Secret) Open(outside, sealed []byte) (number uint64, message []byte, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, box := range s.now() {
-		n := box.NonceSize()
-		if len(sealed) < SealBytes {
-			break
-		}
-		if inside, err := box.Open(nil, sealed[:n], sealed[n:], outside); err == nil {
-			return binary.BigEndian.Uint64(inside), inside[8:], nil
+	ciphers := s.current()
+	if len(sealed) < SealBytes {
+		return 0, nil, ErrSeal
+	}
+	for _, key := range ciphers {
+		nonce := sealed[:key.NonceSize()]
+		inside, err := key.Open(nil, nonce, sealed[key.NonceSize():], outside)
+		if err == nil {
+			return binary.BigEndian.Uint64(inside), inside[numberBytes:], nil
 		}
 	}
 	return 0, nil, ErrSeal
 }
-
-// ReplayFilter tells repeats of numbered messages from one sender: each number counts once, and none far below the newest.
-// Its zero value has seen nothing.
-type ReplayFilter struct {
-	seen   []uint64
-	newest uint64
-}
-
-// Figures of Once: numbers kept, and how far below the newest one may lie, in units of numbers (ns).
-const (
-	onceKeeps  = 1024
-	onceWithin = uint64(5 * time.Second)
-)
-
-// Accept returns whether a number is met for the first time.
-func (o *ReplayFilter) Accept(number uint64) bool {
-	if number+onceWithin < o.newest || slices.Contains(o.seen, number) ||
-		len(o.seen) == onceKeeps && number < o.seen[0] {
-		return false
-	}
-	at, _ := slices.BinarySearch(o.seen, number)
-	o.seen = slices.Insert(o.seen, at, number)
-	if len(o.seen) > onceKeeps {
-		o.seen = slices.Delete(o.seen, 0, 1)
-	}
-	o.newest = max(o.newest, number)
-	return true
-}
--- /dev/null
+++ b/internal/settings/settings.go
@@ -0,0 +1,106 @@
+package settings
+
+// Deployment holds a deployment's settings in the planner's form, and the names behind the indices in them.
+type Deployment struct {
+	Settings                 map[string]any
+	Zones, Machines, Classes Names
+}
+
+// Parse converts a deployment's settings: it assigns indices to names, replaces references to names by indices, and
+// flattens the settings under the planner's names. It modifies its argument.
+func Parse(settings map[string]any) *Deployment {
+	d := &Deployment{Settings: map[string]any{}}
+	d.Zones.internAll(settings["dcs"])
+	d.Machines.internAll(settings["kinds"])
+	d.readClasses(settings["profiles"])
+	if zone, ok := settings["zone"].(string); ok {
+		settings["zone"] = float64(d.Zones.Intern(zone))
+	}
+	flatten(d.Settings, renameAll(settings))
+	return d
+}
+
+// internAll assigns an index to each name of a list. Other settings are ignored.
+func (n *Names) internAll(list any) {
+	for _, name := range texts(list) {
+		n.Intern(name)
+	}
+}
+
+// readClasses assigns indices to the request classes, and replaces the names of hardware models and zones that a class
+// is restricted to by their indices.
+func (d *Deployment) readClasses(profiles any) {
+	list, _ := profiles.([]any)
+	for _, item := range list {
+		profile, ok := item.(map[string]any)
+		if !ok {
+			continue
+		}
+		name, _ := profile["name"].(string)
+		d.Classes.Intern(name)
+		profile["only_machines"] = d.Machines.indices(profile["only_kinds"])
+		profile["only_zones"] = d.Zones.indices(profile["only_zones"])
+	}
+}
+
+// indices returns the indices of a list of names, as JSON numbers.
+func (n *Names) indices(list any) []any {
+	var indices []any
+	for _, name := range texts(list) {
+		indices = append(indices, float64(n.Intern(name)))
+	}
+	return indices
+}
+
+// texts returns the strings of a list, or nil if the setting is not a list.
+func texts(setting any) []string {
+	list, _ := setting.([]any)
+	var found []string
+	for _, item := range list {
+		if text, ok := item.(string); ok {
+			found = append(found, text)
+		}
+	}
+	return found
+}
+
+// renameAll returns the settings under the planner's names, with times in milliseconds, recursively.
+func renameAll(settings map[string]any) map[string]any {
+	renamed := make(map[string]any, len(settings))
+	for name, value := range settings {
+		renamed[plannerName(name)] = renameValue(name, value)
+	}
+	return renamed
+}
+
+// renameValue converts the value of the setting called name; elements of a list have no name.
+func renameValue(name string, value any) any {
+	switch v := value.(type) {
+	case map[string]any:
+		return renameAll(v)
+	case []any:
+		list := make([]any, len(v))
+		for i, item := range v {
+			list[i] = renameValue("", item)
+		}
+		return list
+	case string:
+		return plannerName(v)
+	case float64:
+		if isDuration(name) {
+			return v / NsPerMs
+		}
+	}
+	return value
+}
+
+// flatten copies settings, and those nested in them, into one map.
+func flatten(into, from map[string]any) {
+	for name, value := range from {
+		if nested, ok := value.(map[string]any); ok {
+			flatten(into, nested)
+			continue
+		}
+		into[name] = value
+	}
+}
--- a/internal/transport/admin/admin.go
+++ b/internal/transport/admin/admin.go
@@ -1,4 +1,4 @@
-// Package admin serves metrics, health and readiness of a pilot over HTTP.
+// Package admin serves a controller's metrics, health, readiness and state over HTTP.
 package admin
 
 import (
@@ -17,53 +17,77 @@
 	"indigousher/internal/controller"
 )
 
-// Stale is how long the loop may go without a turn before the pilot calls itself unhealthy.
-const Stale = 5 * time.Second
+// staleAfter is the time without a turn of the loop after which the controller reports itself unhealthy.
+const staleAfter = 5 * time.Second
 
-// Bounds of what operators' connections may take.
+// Limits of operators' connections. Clients that send slowly or do not read are disconnected.
 const (
-	within     = 2 * time.Second
-	mostHeader = 16 << 10
-	mostBody   = 1 << 10
-	mostConns  = 64
+	readTimeout    = 2 * time.Second  // for a request to arrive
+	writeTimeout   = 10 * time.Second // for a response to be written
+	idleTimeout    = 30 * time.Second // between two requests on a connection
+	shutdownWithin = time.Second      // for responses in progress when the controller stops
+	maxHeaderBytes = 16 << 10
+	maxBodyBytes   = 1 << 10
+	maxConns       = 64 // served concurrently; others wait
 )
 
-// Serve answers on l until ctx ends: /metrics, /healthz (the loop turns), /readyz (the list has come) and /state.
+// Serve serves /metrics, /healthz (the loop turns), /readyz (an endpoint list has arrived) and /state on l until ctx
+// ends.
 func Serve(ctx context.Context, l net.Listener, g prometheus.Gatherer, state func() controller.State) error {
+	server := newServer(handler(g, state))
+	l = netutil.LimitListener(l, maxConns)
+	stop := context.AfterFunc(ctx, func() { shutDown(ctx, server) })
+	defer stop()
+	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+		return fmt.Errorf("serve admin on %s: %w", l.Addr(), err)
+	}
+	return nil
+}
+
+// handler returns the handler of all paths.
+func handler(g prometheus.Gatherer, state func() controller.State) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", promhttp.HandlerFor(g, promhttp.HandlerOpts{}))
 	mux.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) {
-		verdict(w, time.Since(state().LastTurn) < Stale, "the loop has not turned")
+		writeVerdict(w, time.Since(state().LastTurn) < staleAfter, "the loop has not turned")
 	})
 	mux.HandleFunc("/readyz", func(w http.ResponseWriter, _ *http.Request) {
-		verdict(w, state().Listed, "no endpoint list yet")
+		writeVerdict(w, state().Listed, "no endpoint list yet")
 	})
 	mux.HandleFunc("/state", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(state()) // the peer has gone if this fails
+		_ = json.NewEncoder(w).Encode(state()) // fails only if the client has gone
 	})
-	// one that sends slowly, or never reads, is cut off; so many at once are served, others wait
-	s := &http.Server{Handler: http.MaxBytesHandler(mux, mostBody), ReadHeaderTimeout: within, ReadTimeout: within,
-		WriteTimeout: 5 * within, IdleTimeout: 15 * within, MaxHeaderBytes: mostHeader}
-	l = netutil.LimitListener(l, mostConns)
-	stop := context.AfterFunc(ctx, func() {
-		sctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		defer cancel()
-		if s.Shutdown(sctx) != nil {
-			_ = s.Close()
-		}
-	})
-	defer stop()
-	if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		return fmt.Errorf("serve admin on %s: %w", l.Addr(), err)
+	return mux
+}
+
+// newServer returns a server with the limits above.
+func newServer(h http.Handler) *http.Server {
+	return &http.Server{
+		Handler:           http.MaxBytesHandler(h, maxBodyBytes),
+		ReadHeaderTimeout: readTimeout,
+		ReadTimeout:       readTimeout,
+		WriteTimeout:      writeTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+	}
+}
+
+// shutDown stops a server when its responses in progress are written, or after shutdownWithin. The context given has
+// ended already.
+func shutDown(ctx context.Context, server *http.Server) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownWithin)
+	defer cancel()
+	if server.Shutdown(ctx) != nil {
+		_ = server.Close() // the rest had its time
 	}
-	return nil
 }
 
-func verdict(w http.ResponseWriter, good bool, why string) {
+// writeVerdict responds with ok, or with the status Service Unavailable and the reason.
+func writeVerdict(w http.ResponseWriter, good bool, why string) {
 	if !good {
 		http.Error(w, why, http.StatusServiceUnavailable)
 		return
 	}
-	fmt.Fprintln(w, "ok")
+	_, _ = fmt.Fprintln(w, "ok") // fails only if the client has gone
 }
--- a/internal/transport/discovery/list_test.go
+++ b/internal/transport/discovery/discovery_test.go
@@ -19,13 +19,13 @@
 	"indigousher/internal/config"
 	"indigousher/internal/controller"
 	"indigousher/internal/testbed/eventlog"
-	standin "indigousher/internal/testbed/registry"
+	"indigousher/internal/testbed/registry"
 	"indigousher/internal/wire"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// inbox keeps what came, as short words: the names listed, or "lost".
+// inbox records inputs in short form: the listed names, or "lost".
 type inbox struct {
 	mu  sync.Mutex
 	got []string
@@ -65,9 +65,9 @@
 	t.Cleanup(func() { cancel(); assert.NoError(t, <-done) })
 }
 
-// TestStream guards a source that dies: the last list stands, the loss is told, and a whole list follows its return.
+// TestStream checks that the loss of a source is reported, and that a complete list follows its return.
 func TestStream(t *testing.T) {
-	l := standin.New(eventlog.NewLog().Stream("list"))
+	l := registry.New(eventlog.NewLog().Stream("list"))
 	require.NoError(t, l.Start())
 	t.Cleanup(l.Close)
 	l.Put(0, wire.Entry{Endpoint: "x", Zone: "a"})
@@ -88,9 +88,12 @@
 	in.has(t, "whole x", "changes y", "whole x y", "slice 7 true [{x 1}]", "lost", "whole y", "slice 7 true [{x 1}]")
 }
 
-// TestSilentStream guards against a source that takes the connection and says nothing, or not what is asked.
+// TestSilentStream checks that a source that sends nothing, or something unexpected, is reported as lost.
 func TestSilentStream(t *testing.T) {
-	for name, says := range map[string]wire.Message{"nothing": nil, "a hello": &wire.Hello{Version: 1, Proxy: "p", Zone: "a"}} {
+	for name, says := range map[string]wire.Message{
+		"nothing": nil,
+		"a hello": &wire.Hello{Version: 1, Proxy: "p", Zone: "a"},
+	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
@@ -104,10 +107,17 @@
 					if says != nil {
 						_, _ = wire.NewWriter(c).Write(says)
 					}
-					wg.Go(func() { _, _ = c.Read(make([]byte, 1<<10)); time.Sleep(300 * time.Millisecond); c.Close() })
+					wg.Go(func() {
+						_, _ = c.Read(make([]byte, 1<<10))
+						time.Sleep(300 * time.Millisecond)
+						_ = c.Close() // the other side may have closed it
+					})
 				}
 			})
-			t.Cleanup(func() { l.Close(); wg.Wait() })
+			t.Cleanup(func() {
+				assert.NoError(t, l.Close())
+				wg.Wait()
+			})
 			in := &inbox{}
 			run(t, NewStream("one", l.Addr().String(), (&net.Dialer{}).DialContext, in, 100*time.Millisecond, zap.NewNop()).Run)
 			in.has(t, "lost")
@@ -115,7 +125,7 @@
 	}
 }
 
-// TestFile guards a file that is replaced, spoilt and mended.
+// TestFile checks that a file is followed while it is replaced, becomes invalid and becomes valid again.
 func TestFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "endpoints.hcl")
 	write := func(text string) {
@@ -132,13 +142,13 @@
 	in.has(t, "lost", "whole x", "lost")
 	write("")
 	f.Watch(true)
-	time.Sleep(3 * settles)
+	time.Sleep(3 * settleTime)
 	write("endpoint \"y\" {\n  zone = \"a\"\n}\n")
 	in.has(t, "lost", "whole x", "lost", "whole y")
 }
 
-// TestFileWrittenInPlace guards the endpoints of a list that is truncated and written anew bit by bit: what stands in the
-// file meanwhile reads well, and would have all that is not there yet withdrawn.
+// TestFileWrittenInPlace checks that a file is not read while it is truncated and rewritten piece by piece: the partial
+// content is valid, but would remove the endpoints that are not written yet.
 func TestFileWrittenInPlace(t *testing.T) {
 	path, whole := filepath.Join(t.TempDir(), "endpoints.hcl"), ""
 	for i := range 40 {
@@ -147,9 +157,13 @@
 	require.NoError(t, os.WriteFile(path, []byte(whole), 0o600))
 	in := &inbox{}
 	f := NewFile(path, config.ReadList, in, zap.NewNop())
-	f.Settles = longest / 2 // a machine that is busy may hold the writer up for a while
+	f.settle = maxUnsettled / 2 // a machine that is busy may hold the writer up for a while
 	run(t, f.Run)
-	require.Eventually(t, func() bool { in.mu.Lock(); defer in.mu.Unlock(); return len(in.got) == 1 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool {
+		in.mu.Lock()
+		defer in.mu.Unlock()
+		return len(in.got) == 1
+	}, 5*time.Second, time.Millisecond)
 	want := in.got[0]
 	for range 2 {
 		file, err := os.OpenFile(path, os.O_WRONLY|os.O_TRUNC, 0)
@@ -157,21 +171,21 @@
 		for i := 0; i < len(whole); i += 100 {
 			_, err := file.WriteString(whole[i:min(len(whole), i+100)])
 			require.NoError(t, err)
-			time.Sleep(settles / 50)
+			time.Sleep(settleTime / 50)
 		}
 		require.NoError(t, file.Close())
 	}
-	time.Sleep(longest)
+	time.Sleep(maxUnsettled)
 	in.has(t, want)
 }
 
-// eager asks for the list again as soon as it hears of its loss, as the module does.
-type eager struct {
+// eagerInbox requests the list as soon as it is lost, like the planner.
+type eagerInbox struct {
 	f    *File
 	lost atomic.Int64
 }
 
-func (e *eager) Post(_ context.Context, in controller.Input) error {
+func (e *eagerInbox) Post(_ context.Context, in controller.Input) error {
 	if _, lost := in.(controller.EndpointListLost); lost {
 		e.lost.Add(1)
 		e.f.Watch(true)
@@ -179,14 +193,14 @@
 	return nil
 }
 
-// TestWrongFile guards against a file that can't be read being read without an end, as each loss asks for it again.
-func TestWrongFile(t *testing.T) {
+// TestUnreadableFile checks that an invalid file is not read in an endless loop, although each loss requests it again.
+func TestUnreadableFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "endpoints.hcl")
 	require.NoError(t, os.WriteFile(path, []byte("endpoint {"), 0o600))
-	in := &eager{}
+	in := &eagerInbox{}
 	in.f = NewFile(path, config.ReadList, in, zap.NewNop())
 	run(t, in.f.Run)
-	time.Sleep(wrongFor + wrongFor/2)
+	time.Sleep(unreadableFor + unreadableFor/2)
 	assert.LessOrEqual(t, in.lost.Load(), int64(3))
 	assert.GreaterOrEqual(t, in.lost.Load(), int64(2))
 }
--- a/internal/transport/framed/framed_test.go
+++ b/internal/transport/framed/framed_test.go
@@ -23,7 +23,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// inbox keeps inputs.
+// inbox records inputs.
 type inbox struct {
 	mu  sync.Mutex
 	got []controller.Input
@@ -51,7 +51,7 @@
 	return s
 }
 
-// left waits until a stream's end has been told, once.
+// left waits until the end of a stream has been reported, exactly once.
 func (i *inbox) left(t *testing.T, s controller.Stream) {
 	require.Eventually(t, func() bool {
 		i.mu.Lock()
@@ -68,8 +68,10 @@
 
 // serve starts a server and returns its address.
 func serve(t *testing.T, change func(*ListenerConfig)) (*Server, *inbox, string, context.CancelFunc) {
-	d := ListenerConfig{Pilot: "one", Beat: 100 * time.Millisecond, Period: time.Second, WriteDeadline: 200 * time.Millisecond,
-		HelloDeadline: 300 * time.Millisecond, SeenWithin: 500 * time.Millisecond, MaxFrame: 4096, MaxStreams: 3, Queue: 4}
+	d := ListenerConfig{
+		Pilot: "one", Beat: 100 * time.Millisecond, Period: time.Second, WriteDeadline: 200 * time.Millisecond,
+		HelloDeadline: 300 * time.Millisecond, SeenWithin: 500 * time.Millisecond, MaxFrame: 4096, MaxStreams: 3, Queue: 4,
+	}
 	if change != nil {
 		change(&d)
 	}
@@ -87,7 +89,7 @@
 func dial(t *testing.T, address string) net.Conn {
 	c, err := net.Dial("tcp", address)
 	require.NoError(t, err)
-	t.Cleanup(func() { c.Close() })
+	t.Cleanup(func() { _ = c.Close() })
 	require.NoError(t, c.SetDeadline(time.Now().Add(10*time.Second)))
 	return c
 }
@@ -103,7 +105,7 @@
 	return c, r, w
 }
 
-// untilEnd reads to the stream's end and returns the last message that was no beat.
+// untilEnd reads to the end of the stream and returns the last message other than a heartbeat.
 func untilEnd(r *wire.Reader) (last wire.Message) {
 	for {
 		m, err := r.Read()
@@ -116,7 +118,7 @@
 	}
 }
 
-// TestBadStreams shows that what is wrong on one stream ends that stream alone.
+// TestBadStreams checks that an error on one stream ends that stream only.
 func TestBadStreams(t *testing.T) {
 	raw := func(size uint32, kind byte, number uint32, body string) []byte {
 		b := binary.BigEndian.AppendUint32(nil, size)
@@ -166,7 +168,7 @@
 	}
 }
 
-// TestRefusedHellos shows what strangers get to hear.
+// TestRefusedHellos checks the answers to invalid hellos.
 func TestRefusedHellos(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -174,8 +176,10 @@
 		answer wire.Message
 	}{
 		{"no hello", &wire.Beat{}, &wire.Refuse{Reason: "a hello must come first"}},
-		{"another version", &wire.Hello{Version: 9, Proxy: "p", Zone: "a"},
-			&wire.Refuse{Reason: "version 9 is not spoken here, 1 is"}},
+		{
+			"another version", &wire.Hello{Version: 9, Proxy: "p", Zone: "a"},
+			&wire.Refuse{Reason: "version 9 is not spoken here, 1 is"},
+		},
 		{"nothing at all", nil, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -192,8 +196,8 @@
 	}
 }
 
-// TestSlowReader guards the others against a proxy that does not read: its stream ends by the write deadline or as its
-// queue is full.
+// TestSlowReader checks that a proxy that does not read loses its stream, by the write deadline or because its queue is
+// full, and that other proxies are not affected.
 func TestSlowReader(t *testing.T) {
 	_, in, address, _ := serve(t, nil)
 	_, r, w := join(t, address, "quick")
@@ -235,8 +239,8 @@
 	in.left(t, slow)
 }
 
-// TestDeaf guards drains against a proxy that goes on talking but no longer deals with what it is sent.
-func TestDeaf(t *testing.T) {
+// TestUnacknowledged checks that the stream ends if a proxy keeps sending but no longer acknowledges what it receives.
+func TestUnacknowledged(t *testing.T) {
 	_, in, address, _ := serve(t, nil)
 	c, r, w := join(t, address, "deaf")
 	st := in.joined(t, "deaf")
@@ -256,10 +260,10 @@
 	require.NoError(t, st.Send(&wire.Orders{Lines: 1}))
 	assert.Error(t, alive(1, 5*time.Second))
 	in.left(t, st)
-	c.Close()
+	_ = c.Close() // the server has closed it
 }
 
-// TestStop shows that a pilot which stops asks its proxies to dial elsewhere, and one that is killed says nothing.
+// TestStop checks that a server that is stopped redirects its proxies, and that one that is killed sends nothing.
 func TestStop(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -280,7 +284,7 @@
 	}
 }
 
-// TestTooMany guards the bound of open streams.
+// TestTooMany checks the limit of open streams.
 func TestTooMany(t *testing.T) {
 	s, _, address, _ := serve(t, func(d *ListenerConfig) { d.MaxStreams = 1; d.Beat = time.Second })
 	_, _, w := join(t, address, "first")
@@ -292,29 +296,30 @@
 	join(t, address, "second")
 }
 
-// spent is a listener of a process that has no descriptor left for a while.
-type spent struct {
+// exhaustedListener is a listener in a process that temporarily has no file descriptors left.
+type exhaustedListener struct {
 	net.Listener
 	left atomic.Int32
 }
 
-func (l *spent) Accept() (net.Conn, error) {
+func (l *exhaustedListener) Accept() (net.Conn, error) {
 	if l.left.Add(-1) >= 0 {
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 	}
 	return l.Listener.Accept()
 }
 
-// TestNoDescriptor guards the streams that are served, and those that come later, against a process that has run out of
-// descriptors.
+// TestNoDescriptor checks that the server survives a temporary lack of file descriptors, but not a closed listener.
 func TestNoDescriptor(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	out := &spent{Listener: l}
+	out := &exhaustedListener{Listener: l}
 	out.left.Store(3)
 	in := &inbox{}
-	s := NewServer(ListenerConfig{Pilot: "one", Beat: time.Second, Period: time.Second, WriteDeadline: time.Second, SeenWithin: time.Second,
-		HelloDeadline: 5 * time.Second, MaxStreams: 3, Queue: 4}, in, zap.NewNop())
+	s := NewServer(ListenerConfig{
+		Pilot: "one", Beat: time.Second, Period: time.Second, WriteDeadline: time.Second, SeenWithin: time.Second,
+		HelloDeadline: 5 * time.Second, MaxStreams: 3, Queue: 4,
+	}, in, zap.NewNop())
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(ctx, out) }()
@@ -322,11 +327,11 @@
 	in.joined(t, "p")
 	cancel()
 	assert.NoError(t, <-done)
-	broken := &spent{Listener: l} // closed meanwhile: that is no passing matter
+	broken := &exhaustedListener{Listener: l} // closed meanwhile: that is no passing matter
 	assert.ErrorIs(t, s.Serve(t.Context(), broken), net.ErrClosed)
 }
 
-// TestRefused shows that a refusal from the runtime reaches the proxy.
+// TestRefused checks that the reason with which the controller closes a stream reaches the proxy.
 func TestRefused(t *testing.T) {
 	_, in, address, _ := serve(t, nil)
 	c, r, _ := join(t, address, "p")
--- /dev/null
+++ b/internal/transport/framed/session.go
@@ -0,0 +1,141 @@
+package framed
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"time"
+
+	"go.uber.org/zap"
+	"golang.org/x/sync/errgroup"
+
+	"indigousher/internal/controller"
+	"indigousher/internal/transport/shutdown"
+	"indigousher/internal/wire"
+)
+
+// serveStream serves a stream to its end. It reads in this goroutine and writes in another, which it waits for.
+func (s *Server) serveStream(ctx context.Context, st *stream) {
+	defer s.unregister(st)
+	defer st.closeConn()
+	log := s.log.With(zap.Stringer("from", st.conn.RemoteAddr()))
+	r := wire.NewReader(st.conn, s.config.MaxFrame)
+	w := wire.NewWriter(st.conn)
+	hello, err := s.greet(st, r, w)
+	if err != nil {
+		log.Warn("hello refused", zap.Error(err))
+		return
+	}
+	log = log.With(zap.String("proxy", hello.Proxy))
+	var writer errgroup.Group
+	writer.Go(func() error {
+		defer st.closeConn() // also ends the reader
+		return s.writeAll(st, w)
+	})
+	err = s.inbox.Post(ctx, controller.ProxyJoined{Stream: st, Hello: *hello})
+	if err == nil {
+		log.Debug("joined", zap.String("zone", hello.Zone))
+		err = s.readAll(ctx, st, r)
+	}
+	st.end.Close("")
+	if writeErr := writer.Wait(); writeErr != nil {
+		err = errors.Join(err, writeErr)
+	}
+	log.Info("stream ended", zap.String("why", st.end.Reason()), zap.Error(withoutEndOfStream(err)))
+	s.postLeave(ctx, st)
+}
+
+// postLeave reports to the controller that a proxy has left. The loop must learn of it even after ctx has ended, unless
+// the loop has ended as well.
+func (s *Server) postLeave(ctx context.Context, st *stream) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdown.LeaveTimeout)
+	defer cancel()
+	_ = s.inbox.Post(ctx, controller.ProxyLeft{Stream: st}) // fails only if the loop has ended
+}
+
+// withoutEndOfStream drops errors that only mean that a stream has ended.
+func withoutEndOfStream(err error) error {
+	if errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) {
+		return nil
+	}
+	return err
+}
+
+// readAll reads messages until the stream ends, the proxy says goodbye, or it is silent for too long.
+func (s *Server) readAll(ctx context.Context, st *stream, r *wire.Reader) error {
+	for {
+		if err := st.conn.SetReadDeadline(time.Now().Add(shutdown.SilentBeats * s.config.Beat)); err != nil {
+			return fmt.Errorf("set deadline: %w", err)
+		}
+		m, err := r.Read()
+		if err != nil {
+			return err
+		}
+		if _, bye := m.(*wire.Bye); bye {
+			return nil
+		}
+		if err := s.receive(ctx, st, m); err != nil {
+			return err
+		}
+	}
+}
+
+// receive handles one message of a proxy.
+func (s *Server) receive(ctx context.Context, st *stream, m wire.Message) error {
+	switch m := m.(type) {
+	case *wire.Sums:
+		return s.inbox.Post(ctx, controller.LoadReported{Stream: st, Sums: m})
+	case *wire.Done:
+		return s.inbox.Post(ctx, controller.Acked{Stream: st, Done: *m})
+	case *wire.Beat:
+		st.unacked.acknowledge(m.Seen)
+		if st.unacked.olderThan(time.Now().Add(-s.config.SeenWithin)) {
+			return ErrSlow
+		}
+		return nil
+	}
+	return fmt.Errorf("%T from a proxy: %w", m, wire.ErrType)
+}
+
+// writeAll writes queued messages and heartbeats until the stream ends, and then the last message.
+func (s *Server) writeAll(st *stream, w *wire.Writer) error {
+	heartbeat := time.NewTicker(s.config.Beat)
+	defer heartbeat.Stop()
+	for {
+		select {
+		case m := <-st.out:
+			if err := s.write(st, w, m); err != nil {
+				return err
+			}
+			st.unacked.add(w.Last(), time.Now())
+		case <-heartbeat.C:
+			if err := s.write(st, w, &wire.Beat{}); err != nil {
+				return err
+			}
+		case <-st.end.Done():
+			return s.writeLast(st, w)
+		}
+	}
+}
+
+// write writes a message within the write deadline.
+func (s *Server) write(st *stream, w *wire.Writer, m wire.Message) error {
+	if err := st.conn.SetWriteDeadline(time.Now().Add(s.config.WriteDeadline)); err != nil {
+		return fmt.Errorf("set deadline: %w", err)
+	}
+	_, err := w.Write(m)
+	return err
+}
+
+// writeLast writes the last message of a stream that has ended, if there is one.
+func (s *Server) writeLast(st *stream, w *wire.Writer) error {
+	last, ok := st.end.LastMessage()
+	if !ok {
+		return nil
+	}
+	_ = st.conn.SetWriteDeadline(time.Now().Add(s.config.WriteDeadline)) // if this fails, so does the write
+	_, err := w.Write(last)
+	return err
+}
--- /dev/null
+++ b/internal/transport/grpcapi/decode.go
@@ -0,0 +1,197 @@
+package grpcapi
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"slices"
+
+	"indigousher/internal/wire"
+	pb "indigousher/proto/indigousher/v1"
+)
+
+// checkText returns an error if a text exceeds the limit of the framed protocol.
+func checkText(s string) error {
+	if len(s) > wire.MaxText {
+		return fmt.Errorf("text of %d bytes: %w", len(s), wire.ErrValue)
+	}
+	return nil
+}
+
+// checkFigure returns an error unless a figure is finite and not negative.
+func checkFigure(v float64) error {
+	if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
+		return fmt.Errorf("figure %v: %w", v, wire.ErrValue)
+	}
+	return nil
+}
+
+// helloFrom decodes and validates a hello. The error wraps wire.ErrValue.
+func helloFrom(h *pb.Hello) (*wire.Hello, error) {
+	hello := &wire.Hello{
+		Version: int(h.GetVersion()),
+		Proxy:   h.GetProxy(),
+		Zone:    h.GetZone(),
+		Boot:    h.GetBoot(),
+		Rate:    h.GetReqsPerSecond(),
+		Fresh:   h.GetFresh(),
+		Holds:   h.GetHolds(),
+	}
+	if err := cmp.Or(checkText(hello.Proxy), checkText(hello.Zone), checkFigure(hello.Rate)); err != nil {
+		return nil, err
+	}
+	for _, t := range h.GetTables() {
+		table, err := heldTableFrom(t)
+		if err != nil {
+			return nil, err
+		}
+		hello.Tables = append(hello.Tables, table)
+	}
+	for _, endpoint := range hello.Holds {
+		if err := checkText(endpoint); err != nil {
+			return nil, err
+		}
+	}
+	if hello.Proxy == "" || hello.Zone == "" || len(hello.Holds) > wire.MaxItems {
+		return nil, fmt.Errorf("hello without a name or with too much: %w", wire.ErrValue)
+	}
+	return hello, nil
+}
+
+// heldTableFrom decodes and validates a table that a proxy holds.
+func heldTableFrom(t *pb.HeldTable) (wire.HeldTable, error) {
+	table := wire.HeldTable{Table: int(t.GetTable())}
+	for _, l := range t.GetLines() {
+		line := wire.HeldLine{Endpoint: l.GetEndpoint(), Weight: l.GetWeight()}
+		if err := cmp.Or(checkText(line.Endpoint), checkFigure(line.Weight)); err != nil {
+			return wire.HeldTable{}, err
+		}
+		table.Lines = append(table.Lines, line)
+	}
+	return table, nil
+}
+
+// reportFrom decodes and validates a load report. The error wraps wire.ErrValue.
+func reportFrom(r *pb.Report) (*wire.Sums, error) {
+	sums := &wire.Sums{Seq: r.GetNumber(), AtMs: r.GetAtMs(), SpanMs: r.GetSpanMs()}
+	if len(r.GetEndpoints()) > wire.MaxItems || len(r.GetKinds()) > wire.MaxItems {
+		return nil, fmt.Errorf("report of %d lines: %w", len(r.GetEndpoints()), wire.ErrValue)
+	}
+	if err := cmp.Or(checkFigure(sums.AtMs), checkFigure(sums.SpanMs)); err != nil {
+		return nil, err
+	}
+	for _, e := range r.GetEndpoints() {
+		met, err := endpointLoadFrom(e)
+		if err != nil {
+			return nil, err
+		}
+		sums.Met = append(sums.Met, met)
+	}
+	for _, k := range r.GetKinds() {
+		demand := wire.Demand{Kind: k.GetKind(), Reqs: int(k.GetReqs()), Unanswered: int(k.GetUnanswered())}
+		if err := checkText(demand.Kind); err != nil {
+			return nil, err
+		}
+		sums.Demand = append(sums.Demand, demand)
+	}
+	for _, l := range r.GetSlices() {
+		slice, err := sliceLoadFrom(l)
+		if err != nil {
+			return nil, err
+		}
+		sums.Slices = append(sums.Slices, slice)
+	}
+	return sums, nil
+}
+
+// endpointLoadFrom decodes and validates the load of one endpoint. The figures are sorted by name, since the iteration
+// order of a map varies.
+func endpointLoadFrom(e *pb.EndpointLoad) (wire.Met, error) {
+	met := wire.Met{
+		Endpoint: e.GetEndpoint(),
+		Tries:    int(e.GetTries()),
+		Failed:   int(e.GetFailed()),
+		MeanMs:   e.GetMeanMs(),
+	}
+	if err := cmp.Or(checkText(met.Endpoint), checkFigure(met.MeanMs)); err != nil {
+		return wire.Met{}, err
+	}
+	if met.Failed > met.Tries {
+		return wire.Met{}, fmt.Errorf("%d failed of %d: %w", met.Failed, met.Tries, wire.ErrValue)
+	}
+	for name, value := range e.GetFigures() {
+		if err := cmp.Or(checkText(name), checkFigure(value)); err != nil {
+			return wire.Met{}, err
+		}
+		met.Load = append(met.Load, wire.Figure{Name: name, Value: value})
+	}
+	slices.SortFunc(met.Load, func(a, b wire.Figure) int { return cmp.Compare(a.Name, b.Name) })
+	return met, nil
+}
+
+// sliceLoadFrom decodes and validates the load of one slice.
+func sliceLoadFrom(l *pb.SliceLoad) (wire.SliceLoad, error) {
+	slice := wire.SliceLoad{
+		Slice:      int(l.GetSlice()),
+		Kind:       l.GetKind(),
+		Reqs:       int(l.GetReqs()),
+		Unanswered: int(l.GetUnanswered()),
+	}
+	return slice, checkText(slice.Kind)
+}
+
+// OrdersFrom decodes an assignment on the proxy's side. Unknown steps are ignored; marks come last.
+func OrdersFrom(a *pb.Assignment) *wire.Orders {
+	orders := &wire.Orders{AtMs: a.GetOrderedMs(), AgeMs: a.GetWaitedMs(), Lines: int(a.GetLines())}
+	for _, s := range a.GetSteps() {
+		if op, known := opFrom(s); known {
+			orders.Ops = append(orders.Ops, op)
+		}
+	}
+	for _, number := range a.GetMarks() {
+		orders.Ops = append(orders.Ops, wire.Op{Kind: wire.OpMark, Number: int(number)})
+	}
+	return orders
+}
+
+// opFrom decodes one step of an assignment.
+func opFrom(s *pb.Step) (op wire.Op, known bool) {
+	switch does := s.GetDoes().(type) {
+	case *pb.Step_Bind:
+		b := does.Bind
+		return wire.Op{Kind: wire.OpBind, Table: int(b.GetTable()), Kinds: int(b.GetKinds()), Keep: b.GetKeep()}, true
+	case *pb.Step_Line:
+		l := does.Line
+		return wire.Op{Kind: wire.OpSet, Table: int(l.GetTable()), Endpoint: l.GetEndpoint(), Weight: l.GetWeight()}, true
+	case *pb.Step_Clear:
+		return wire.Op{Kind: wire.OpClear, Table: int(does.Clear.GetTable())}, true
+	case *pb.Step_Withdraw:
+		w := does.Withdraw
+		return wire.Op{Kind: wire.OpWithdraw, Endpoint: w.GetEndpoint(), Out: w.GetOut()}, true
+	case *pb.Step_Level:
+		return levelOpFrom(does.Level), true
+	case *pb.Step_Range:
+		return rangeOpFrom(does.Range), true
+	}
+	return wire.Op{}, false
+}
+
+func levelOpFrom(l *pb.Level) wire.Op {
+	return wire.Op{
+		Kind:   wire.OpAdmit,
+		Table:  int(l.GetTable()),
+		Kinds:  int(l.GetKinds()),
+		Weight: l.GetShare(),
+		Again:  int(l.GetAgain()),
+	}
+}
+
+func rangeOpFrom(r *pb.KeyRange) wire.Op {
+	return wire.Op{
+		Kind:  wire.OpRange,
+		Table: int(r.GetTable()),
+		From:  string(r.GetFrom()),
+		To:    string(r.GetTo()),
+		Out:   r.GetGone(),
+	}
+}
--- /dev/null
+++ b/internal/transport/grpcapi/handshake.go
@@ -0,0 +1,80 @@
+package grpcapi
+
+import (
+	"context"
+	"fmt"
+
+	"go.uber.org/zap"
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/credentials"
+	"google.golang.org/grpc/peer"
+	"google.golang.org/grpc/status"
+
+	"indigousher/internal/identity"
+	"indigousher/internal/transport/handshake"
+	"indigousher/internal/wire"
+	pb "indigousher/proto/indigousher/v1"
+)
+
+// refusalNoHello is the status text for a proxy that sends no hello, or something else first.
+const refusalNoHello = "a hello must come first"
+
+// controlStream is the gRPC stream of one proxy.
+type controlStream = grpc.BidiStreamingServer[pb.Upward, pb.Downward]
+
+// greet reads and checks the hello. Why an identity was rejected is reported to operators only.
+func (s *Server) greet(g controlStream) (*wire.Hello, error) {
+	first, err := handshake.ReceiveFirst(s.config.HelloIn, refusalNoHello, g.Recv)
+	if err != nil {
+		return nil, err
+	}
+	message := first.GetHello()
+	if message == nil {
+		return nil, status.Error(codes.InvalidArgument, refusalNoHello)
+	}
+	if version := message.GetVersion(); version != wire.Version {
+		return nil, status.Errorf(codes.FailedPrecondition, "version %d is not spoken here, %d is", version, wire.Version)
+	}
+	hello, err := helloFrom(message)
+	if err != nil {
+		return nil, status.Error(codes.InvalidArgument, err.Error())
+	}
+	if s.config.Keys != nil {
+		if err := Claims(g.Context(), hello.Proxy, hello.Zone); err != nil {
+			s.log.Warn("identity refused", zap.Error(err))
+			return nil, status.Error(codes.PermissionDenied, "not let in")
+		}
+	}
+	return hello, nil
+}
+
+// welcome returns the answer to an accepted hello.
+func (s *Server) welcome() *pb.Downward {
+	return &pb.Downward{Says: &pb.Downward_Welcome{Welcome: &pb.Welcome{
+		Version:  wire.Version,
+		Pilot:    s.config.Pilot,
+		BeatMs:   uint32(s.config.Beat.Milliseconds()),
+		PeriodMs: uint32(s.config.Period.Milliseconds()),
+	}}}
+}
+
+// Claims returns an error unless the certificate of the peer of ctx matches the name and zone that it claims.
+func Claims(ctx context.Context, name, zone string) error {
+	p, ok := peer.FromContext(ctx)
+	if !ok {
+		return identity.ErrIdentity
+	}
+	info, ok := p.AuthInfo.(credentials.TLSInfo)
+	if !ok {
+		return identity.ErrIdentity
+	}
+	who, err := identity.FromConnection(info.State)
+	if err != nil {
+		return err
+	}
+	if who.Name != name || who.Zone != zone {
+		return fmt.Errorf("%s says it is %s of %s: %w", who, name, zone, identity.ErrIdentity)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/transport/xds/ads.go
@@ -0,0 +1,137 @@
+package xds
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"time"
+
+	core "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
+	ads "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
+	"go.uber.org/zap"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"indigousher/internal/controller"
+	"indigousher/internal/transport/handshake"
+	"indigousher/internal/transport/shutdown"
+	"indigousher/internal/wire"
+)
+
+const (
+	// maxNames is the number of resources of a type that a client may subscribe to. There is one per request class.
+	maxNames = 64
+	// overdueChecks is the number of checks for an overdue acknowledgement within SeenWithin.
+	overdueChecks = 4
+)
+
+// adsStream is the gRPC stream of one proxy.
+type adsStream = ads.AggregatedDiscoveryService_StreamAggregatedResourcesServer
+
+// StreamAggregatedResources serves the ADS stream of one proxy. It sends responses in this goroutine and reads requests
+// in another, which ends when this method returns.
+func (s *Server) StreamAggregatedResources(g adsStream) error {
+	first, err := handshake.ReceiveFirst(s.config.HelloIn, refusalSilence, g.Recv)
+	if err != nil {
+		return err
+	}
+	st, err := s.admit(g.Context(), first.GetNode())
+	if err != nil {
+		s.log.Warn("node refused", zap.Error(err))
+		return err
+	}
+	defer s.remove(st)
+	if s.inbox.Post(g.Context(), controller.ProxyJoined{Stream: st, Hello: helloFrom(first.GetNode())}) != nil {
+		return status.Error(codes.Unavailable, shutdown.ReasonStopping)
+	}
+	readEnded := make(chan error, 1)
+	go func() { readEnded <- s.readRequests(g, st, first) }()
+	err = s.writeResponses(g, st, readEnded)
+	s.log.Info("stream ended", zap.String("proxy", st.name), zap.Error(err))
+	s.postLeave(g.Context(), st)
+	return err
+}
+
+// helloFrom returns the hello that corresponds to a node. The tables that it holds are unknown, so all will be sent.
+func helloFrom(n *core.Node) wire.Hello {
+	return wire.Hello{
+		Version: wire.Version,
+		Proxy:   n.GetId(),
+		Zone:    n.GetLocality().GetZone(),
+		Fresh:   true,
+		Rate:    n.GetMetadata().GetFields()["reqs_per_second"].GetNumberValue(),
+	}
+}
+
+// postLeave reports to the controller that a proxy has left, also after ctx has ended.
+func (s *Server) postLeave(ctx context.Context, st *stream) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdown.LeaveTimeout)
+	defer cancel()
+	_ = s.inbox.Post(ctx, controller.ProxyLeft{Stream: st}) // fails only if the loop has ended
+}
+
+// readRequests handles the first request and all further ones until the stream ends.
+func (s *Server) readRequests(g adsStream, st *stream, request *ads.DiscoveryRequest) error {
+	for {
+		if err := s.receive(g.Context(), st, request); err != nil {
+			return err
+		}
+		next, err := g.Recv()
+		if errors.Is(err, io.EOF) {
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+		request = next
+	}
+}
+
+// receive handles one request, which subscribes to, acknowledges (ACK) or refuses (NACK) resources.
+func (s *Server) receive(ctx context.Context, st *stream, request *ads.DiscoveryRequest) error {
+	if len(request.GetResourceNames()) > maxNames {
+		return status.Error(codes.InvalidArgument, "too many resources")
+	}
+	if detail := request.GetErrorDetail(); detail != nil {
+		why := fmt.Sprintf("%.200s", detail.GetMessage())
+		s.log.Warn("assignment refused", zap.String("proxy", st.name), zap.String("why", why))
+	}
+	marks, err := st.request(request)
+	if err != nil {
+		return err
+	}
+	for _, done := range marks {
+		if err := s.inbox.Post(ctx, controller.Acked{Stream: st, Done: done}); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// writeResponses sends what is subscribed to, at first and when it changes. It returns when the stream ends or an
+// acknowledgement is overdue.
+func (s *Server) writeResponses(g adsStream, st *stream, readEnded <-chan error) error {
+	check := time.NewTicker(s.config.SeenWithin / overdueChecks)
+	defer check.Stop()
+	for {
+		select {
+		case err := <-readEnded:
+			return err
+		case <-g.Context().Done():
+			return g.Context().Err()
+		case <-st.end.Done():
+			return status.Error(codes.Unavailable, st.end.Reason())
+		case <-check.C:
+			if st.overdue(s.config.SeenWithin) {
+				return status.Error(codes.DeadlineExceeded, "an assignment is not acknowledged")
+			}
+		case <-st.wake:
+			for _, response := range st.responses() {
+				if err := g.Send(response); err != nil {
+					return err
+				}
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/transport/xds/routing.go
@@ -0,0 +1,100 @@
+package xds
+
+import (
+	"math"
+	"slices"
+
+	"indigousher/internal/wire"
+)
+
+// routing is the routing state of a proxy: its tables, the table that serves each request class, and the endpoints that
+// are excluded from all tables.
+type routing struct {
+	classes  []string // by index
+	tables   map[int]*table
+	bound    map[string]int // table number by request class
+	excluded map[string]bool
+}
+
+// table holds weights by endpoint, and admission levels by bit mask of classes.
+type table struct {
+	weights map[string]float64
+	levels  map[int]float64
+}
+
+func newRouting(classes []string) routing {
+	return routing{
+		classes:  classes,
+		tables:   map[int]*table{},
+		bound:    map[string]int{},
+		excluded: map[string]bool{},
+	}
+}
+
+// apply applies an op. Key ranges can't be represented in xDS and are ignored.
+func (r *routing) apply(op *wire.Op) {
+	switch op.Kind {
+	case wire.OpBind:
+		r.bind(op.Table, op.Kinds)
+	case wire.OpSet:
+		r.setWeight(op.Table, op.Endpoint, op.Weight)
+	case wire.OpClear:
+		delete(r.tables, op.Table)
+	case wire.OpWithdraw:
+		if op.Out {
+			r.excluded[op.Endpoint] = true
+		} else {
+			delete(r.excluded, op.Endpoint)
+		}
+	case wire.OpAdmit:
+		r.table(op.Table).levels[op.Kinds] = op.Weight
+	}
+}
+
+// bind clears a table and lets it serve the classes of a mask.
+func (r *routing) bind(number, classes int) {
+	delete(r.tables, number)
+	for i, name := range r.classes {
+		if inMask(classes, i) {
+			r.bound[name] = number
+		}
+	}
+}
+
+// setWeight sets the weight of an endpoint in a table; 0 removes the endpoint.
+func (r *routing) setWeight(number int, endpoint string, weight float64) {
+	t := r.table(number)
+	if weight <= 0 {
+		delete(t.weights, endpoint)
+		return
+	}
+	t.weights[endpoint] = weight
+}
+
+// table returns a table and creates it on first use.
+func (r *routing) table(number int) *table {
+	if r.tables[number] == nil {
+		r.tables[number] = &table{weights: map[string]float64{}, levels: map[int]float64{}}
+	}
+	return r.tables[number]
+}
+
+// anyBound reports whether any class has a table.
+func (r *routing) anyBound() bool { return len(r.bound) > 0 }
+
+// level returns the fraction of a class's requests that is admitted: the minimum over its table and wire.EveryTable.
+func (r *routing) level(t *table, class string) float64 {
+	level := 1.0
+	i := slices.Index(r.classes, class)
+	for _, levels := range []map[int]float64{t.levels, r.table(wire.EveryTable).levels} {
+		for mask, v := range levels {
+			if inMask(mask, i) {
+				level = math.Min(level, v)
+			}
+		}
+	}
+	return level
+}
+
+// inMask reports whether a mask contains the class of an index. The mask 0 contains all classes.
+func inMask(mask, class int) bool { return mask == 0 || mask&(1<<class) != 0 }
--- /dev/null
+++ b/telemetry/queue_test.go
@@ -0,0 +1,30 @@
+package telemetry
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// TestPendingLimit checks the limit of pending sums, and that there is room for urgent ones.
+func TestPendingLimit(t *testing.T) {
+	options := testOptions()
+	options.Standing, options.ToldPerS = 10, 5
+	c := newFleet(options, 30, 40, 3)
+	urgent := false
+	c.fails = func(e int, now float64) float64 {
+		if e == 39 && now > 5000 {
+			return 1
+		}
+		return 0
+	}
+	c.rates = func(int, int) float64 { return 3 }
+	c.run(9000, func(_ float64, batch Batch[float64]) {
+		for _, m := range batch.Mets {
+			urgent = urgent || m.Endpoint == 39 && m.Failed > 0
+		}
+	})
+	assert.LessOrEqual(t, c.mostPending, 10)
+	assert.True(t, urgent)
+	assert.Positive(t, c.in.Counts[Evicted])
+}
--- /dev/null
+++ b/telemetry/sampling.go
@@ -0,0 +1,98 @@
+package telemetry
+
+import (
+	"hash/crc32"
+	"math"
+	"slices"
+)
+
+// candidate is a line of a report that may be kept.
+type candidate struct {
+	line     int     // index into the report's lines
+	rank     float64 // the greatest are kept
+	scale    float64 // factor for the line's figures, to represent the lines that are left out
+	foremost bool    // kept without being sampled
+}
+
+// sample returns the lines of a report to keep, in the order of merging. All are kept if there is room. Otherwise lines
+// of endpoints that fail, warm up or drain come first, and the rest is a priority sample by attempts, whose scaled
+// figures are unbiased (Duffield, Lund and Thorup, "Priority sampling for estimation of arbitrary subset sums").
+// The result is valid until the next call.
+func (a *Aggregator[L]) sample(nowMs float64, report *Report[L], room int) []candidate {
+	room = max(room, 1)
+	if len(report.Lines) <= room {
+		a.candidates = a.candidates[:0]
+		for i := range report.Lines {
+			a.candidates = append(a.candidates, candidate{line: i, scale: 1})
+		}
+		return a.candidates
+	}
+	a.rankLines(nowMs, report, room-1)
+	slices.SortFunc(a.candidates, byRank)
+	threshold := a.candidates[room].rank
+	kept := a.candidates[:room]
+	for i := range kept {
+		attempts := float64(report.Lines[kept[i].line].Tries)
+		if !kept[i].foremost && attempts > 0 {
+			kept[i].scale = math.Max(attempts, threshold) / attempts
+		}
+	}
+	return kept
+}
+
+// rankLines makes a candidate of each line. At most maxForemost are foremost, so that some of the others are kept too.
+func (a *Aggregator[L]) rankLines(nowMs float64, report *Report[L], maxForemost int) {
+	a.candidates = a.candidates[:0]
+	foremost := 0
+	for i := range report.Lines {
+		line := &report.Lines[i]
+		c := candidate{line: i, scale: 1}
+		if foremost < maxForemost && a.mustKeep(nowMs, line) {
+			foremost++
+			c.foremost = true
+			c.rank = math.Inf(1)
+		} else {
+			c.rank = math.Max(float64(line.Tries), 0.5) / uniform(report.Sender, report.Seq, line.Endpoint)
+		}
+		a.candidates = append(a.candidates, c)
+	}
+}
+
+// mustKeep reports whether a line is about an endpoint that fails, warms up or drains.
+func (a *Aggregator[L]) mustKeep(nowMs float64, line *Line[L]) bool {
+	e := a.endpoints[line.Endpoint]
+	if e == nil {
+		return false
+	}
+	failing := line.Failed > 0 && float64(line.Failed) > failingFraction*float64(line.Tries)
+	return e.draining || failing || e.warmingUp(nowMs, a.options.ColdMs)
+}
+
+// byRank orders candidates by descending rank, and those of equal rank by their position in the report.
+func byRank(a, b candidate) int {
+	switch {
+	case a.rank > b.rank:
+		return -1
+	case a.rank < b.rank:
+		return 1
+	}
+	return a.line - b.line
+}
+
+// uniform returns a pseudo-random number in (0, 1] that depends on the line only, so that replays draw the same sample.
+// A checksum alone is linear: lines that differ in the same bits would differ by the same pattern in every report, so
+// its bits are mixed further (multiplications and shifts of the integer hash lowbias32).
+func uniform(sender int, seq uint64, endpoint int) float64 {
+	var b [20]byte
+	for i := range 8 {
+		b[i] = byte(sender >> (8 * i))
+		b[8+i] = byte(seq >> (8 * i))
+	}
+	for i := range 4 {
+		b[16+i] = byte(endpoint >> (8 * i))
+	}
+	x := crc32.ChecksumIEEE(b[:])
+	x = (x ^ x>>16) * 0x7feb352d
+	x = (x ^ x>>15) * 0x846ca68b
+	return (float64(x^x>>16) + 1) / (1 << 32)
+}
