--- /dev/null
+++ b/internal/pilot/binding_test.go
@@ -0,0 +1,28 @@
+package pilot
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"indigousher/brain"
+	"indigousher/internal/wire"
+)
+
+// TestHeld guards a return, to this pilot or another, before or after a crash: of a table that the proxy has only what
+// differs is sent.
+func TestHeld(t *testing.T) {
+	d, edge, stream := &script{orders: [][]brain.Order{nil, {brain.SetLine{Table: 5, Endpoint: 0, Weight: 1},
+		brain.SetLine{Table: 5, Endpoint: 1, Weight: 2}, brain.Bind{Table: 5, Proxy: 0}, brain.Bind{Table: 5, Proxy: 0}}}}, &fake{}, &fake{}
+	c := NewCore(plan(d, edge))
+	c.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0))})
+	h := hello("p", "a", "x")
+	h.Tables = []wire.HeldTable{{Table: 5, Lines: []wire.HeldLine{{Endpoint: "x", Weight: 1}, {Endpoint: "gone", Weight: 3}}}}
+	c.Handle(1, []Input{Join{stream, h}})
+	c.Channel.Send(1)
+	require.Len(t, stream.sent, 1)
+	set := func(e string, w float64) wire.Op { return wire.Op{Kind: wire.OpSet, Table: 5, Endpoint: e, Weight: w} }
+	assert.Equal(t, []wire.Op{{Kind: wire.OpBind, Table: 5, Kinds: 3, Keep: true}, set("y", 2), set("gone", 0),
+		{Kind: wire.OpBind, Table: 5, Kinds: 3}, set("x", 1), set("y", 2)}, stream.sent[0].Ops)
+}
--- a/internal/pilot/channel.go
+++ b/internal/pilot/channel.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"sort"
 	"time"
 
 	"golang.org/x/time/rate"
@@ -141,3 +142,8 @@
 
 // Lines returns how many lines wait.
 func (c *Channel) Lines() int { return c.lines }
+
+// within returns how many of the times lie in the span before now, and drops the older ones.
+func within(times []float64, nowMs, spanMs float64) []float64 {
+	return times[sort.SearchFloat64s(times, nowMs-spanMs):]
+}
--- /dev/null
+++ b/internal/pilot/channel_test.go
@@ -0,0 +1,95 @@
+package pilot
+
+import (
+	"math"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+
+	"indigousher/internal/wire"
+)
+
+// TestPace guards the channel's pace and order, and that what waits for a proxy which has left is forgotten.
+func TestPace(t *testing.T) {
+	c := NewChannel(1000, 400, 0, 10000, nil)
+	a, b := &fake{}, &fake{}
+	sa, sb := &session{stream: a}, &session{stream: b}
+	for i := range 10 {
+		c.Put(0, sa, &wire.Orders{Lines: 20, AtMs: float64(i)})
+	}
+	c.Put(0, sb, &wire.Orders{Lines: 50})
+	assert.Equal(t, 250, c.Lines())
+	c.Send(100)
+	assert.InDelta(t, 5, len(a.sent), 1)
+	c.Drop(sa)
+	assert.Equal(t, 50, c.Lines())
+	assert.Less(t, c.Due(), 260.0)
+	c.Send(260)
+	assert.Len(t, b.sent, 1)
+	assert.InDelta(t, 260, b.sent[0].AgeMs, 1)
+	assert.True(t, math.IsInf(c.Due(), 1))
+	for range 200 {
+		c.Put(300, sb, &wire.Orders{Lines: 20})
+	}
+	assert.LessOrEqual(t, c.Lines(), overfull*400)
+	assert.Equal(t, "channel overfull", b.closed)
+	full := &fake{full: true}
+	c = NewChannel(0, 0, 0, 10000, nil)
+	c.Put(0, &session{stream: full}, &wire.Orders{Lines: 1})
+	c.Send(0)
+	assert.Equal(t, "full", full.closed)
+}
+
+// TestChannelSlowerThanTold guards the backlog where the channel carries less than a quarter of what is told: lines that were
+// taken for gone at that pace still waited, and answers that said so only ever lowered the count (zone+mass of seed 9: 160
+// lines a second for 800, 5,054 lines where 4,800 may wait).
+func TestChannelSlowerThanTold(t *testing.T) {
+	const backlog = 4800
+	for name, c := range map[string]struct{ pace, told float64 }{"as told": {800, 800}, "a fifth": {160, 800}, "a tenth": {80, 800}} {
+		t.Run(name, func(t *testing.T) {
+			w, entries := newTown(201, 54, c.pace, backlog, 7200, func(terms map[string]any) { terms["lines_per_s"] = c.told })
+			w.join(w.streams, entries)
+			w.until(60000)
+			left := w.core.Channel.MostSeen
+			for step := 0; step < 150; step++ { // a zone comes back, others go, some each fifth of a second
+				var changed []wire.Entry
+				for k := range 8 {
+					e := &entries[(8*step+k)%len(entries)]
+					if e.Phase = wire.PhaseReady; step/25%2 == 0 {
+						e.Phase = wire.PhaseDraining
+					}
+					e.Started = uint64(w.now) + 1
+					changed = append(changed, *e)
+				}
+				w.handle(listed(false, changed...))
+				w.until(w.now + 200)
+			}
+			t.Logf("most lines %d, before %d", w.core.Channel.MostSeen, left)
+			assert.LessOrEqual(t, w.core.Channel.MostSeen, backlog)
+			assert.Greater(t, w.core.Channel.MostSeen, backlog/3, "there is much to say")
+		})
+	}
+}
+
+// BenchmarkChannel measures the lines a second that go through an unpaced channel: tables of 110 lines for 450 proxies.
+func BenchmarkChannel(b *testing.B) {
+	c := NewChannel(0, 0, 0, 10000, nil)
+	ops := make([]wire.Op, 110)
+	var sessions []*session
+	for range 450 {
+		sessions = append(sessions, &session{stream: &fake{full: false}})
+	}
+	lines, now := 0, 0.0
+	for b.Loop() {
+		now++
+		for _, s := range sessions {
+			c.Put(now, s, &wire.Orders{Lines: 114, Ops: ops})
+		}
+		lines += c.Send(now)
+		for _, s := range sessions {
+			f, _ := s.stream.(*fake)
+			f.sent = f.sent[:0]
+		}
+	}
+	b.ReportMetric(float64(lines)/b.Elapsed().Seconds(), "lines/s")
+}
--- /dev/null
+++ b/internal/pilot/checkpoint.go
@@ -0,0 +1,35 @@
+package pilot
+
+import (
+	"maps"
+	"slices"
+
+	"indigousher/internal/wire"
+)
+
+// Checkpoint returns inputs that bring another core to know who is joined and what is listed.
+func (c *Core) Checkpoint() []Input {
+	l := &wire.List{Version: c.listVersion, Now: c.listNow + uint64(max(0, c.now-c.listAt)), Whole: true}
+	for _, name := range slices.Sorted(maps.Keys(c.listed)) {
+		l.Entries = append(l.Entries, c.listed[name])
+	}
+	inputs := []Input{Listed{List: l}}
+	for _, s := range c.inOrder() {
+		inputs = append(inputs, Join{s.stream, s.hello})
+	}
+	return inputs
+}
+
+// Recovered ends a replay: whoever was joined has left, and what is ordered from now on goes out by the plan's edges.
+func (c *Core) Recovered(p Plan) {
+	var leave []Input
+	clear(c.slices) // the store gives them again
+	for _, s := range c.inOrder() {
+		leave = append(leave, Leave{s.stream})
+	}
+	c.Handle(c.now, leave)
+	p.Decider, p.Terms = c.plan.Decider, c.plan.Terms
+	c.plan = p
+	c.Channel = NewChannel(p.LinesPerS, p.Backlog, p.MessagesMost, p.MessagesOverMs, p.Meter)
+	c.gate.lastMs = c.now
+}
--- /dev/null
+++ b/internal/pilot/endpoints_test.go
@@ -0,0 +1,60 @@
+package pilot
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+
+	"indigousher/brain"
+	"indigousher/internal/wire"
+)
+
+// TestRestamped guards the start of an endpoint against jitter of the list's clock, which would look like a restart.
+func TestRestamped(t *testing.T) {
+	d := &script{}
+	c := NewCore(plan(d, &fake{}))
+	for i, at := range []uint64{5000, 6003, 9100} {
+		c.Handle(float64(i*1000), []Input{Listed{List: &wire.List{Now: at, Entries: []wire.Entry{entry("x", 4000)}}}})
+	}
+	c.Handle(9000, []Input{Listed{List: &wire.List{Now: 9200, Entries: []wire.Entry{entry("x", 9100)}}}})
+	var starts []float64
+	for _, n := range d.notes {
+		starts = append(starts, n.(brain.Listing).Entries[0].Started)
+	}
+	assert.Equal(t, []float64{-1000, -1000, -1000, 8900}, starts)
+}
+
+// TestGenerations guards memory: endpoints give way to new ones under new names for as long as a pilot lives, and each
+// name would keep an index, its actor and its lines in the module.
+func TestGenerations(t *testing.T) {
+	terms := map[string]any{"instances": 1.0, "lines_per_s": 1000.0, "backlog": 1500.0, "proxy_count": 10.0, "zones": []any{"a", "b"},
+		"req_kinds": []any{map[string]any{"payoff": 1.0}}}
+	c, k := relayedCore(brain.New(1, terms))
+	c.Handle(0, []Input{Relayed{Proxy: 1, Zone: "a", Rate: 5, Fresh: true}})
+	most, last := 0, ""
+	for g := range 500 {
+		l := &wire.List{Version: g, Whole: g%7 == 0, Now: uint64(1e9 + 5000*g)}
+		for i := range 4 {
+			if last = fmt.Sprint("e", g, "-", i); g > 0 && !l.Whole {
+				l.Entries = append(l.Entries, wire.Entry{Endpoint: fmt.Sprint("e", g-1, "-", i), Zone: "a", Machine: "m", Phase: wire.PhaseGone})
+			}
+			l.Entries = append(l.Entries, wire.Entry{Endpoint: last, Zone: "a", Machine: "m", Weight: 1, Started: l.Now - 100})
+		}
+		c.Handle(float64(5000*g), []Input{Listed{List: l}})
+		for s := 1; s <= 4; s++ {
+			c.Handle(float64(5000*g+1000*s), []Input{ZoneMet{Zone: "a", Endpoint: last, Tries: 9, SpanMs: 1000}})
+		}
+		if g == 100 {
+			most = c.endpoints.Len()
+		}
+	}
+	assert.LessOrEqual(t, c.endpoints.Len(), most, "indices of those long gone are used again")
+	assert.Less(t, most, 100)
+	_, known := c.endpoints.Find("e1-0")
+	assert.False(t, known, "the name of one long gone is forgotten")
+	assert.LessOrEqual(t, len(c.retired), most)
+	assert.True(t, k.names[last], "a new endpoint under a used index is planned by its own name")
+	assert.Zero(t, c.Believed.Odd)
+	assert.Equal(t, 2000, c.Believed.Reports)
+}
--- /dev/null
+++ b/internal/pilot/exclusion_test.go
@@ -0,0 +1,46 @@
+package pilot
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+
+	"indigousher/brain"
+	"indigousher/internal/wire"
+)
+
+// TestWithdrawnAtAll guards a withdrawal against passing over any of the proxies that hold the endpoint: by a table of this
+// pilot's, by what they held when they joined, or by both.
+func TestWithdrawnAtAll(t *testing.T) {
+	bind := func(proxy int) brain.Order { return brain.Bind{Table: 5, Proxy: proxy, Kinds: 1} }
+	d := &script{orders: [][]brain.Order{nil, nil, {brain.SetLine{Table: 5, Endpoint: 0, Weight: 1}, bind(0), bind(1)},
+		{brain.Withdraw{Endpoint: 0, Out: true}}, {brain.Withdraw{Endpoint: 0}}}}
+	p := plan(d, &fake{})
+	p.MostProxies = 5
+	c := NewCore(p)
+	c.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0))})
+	var streams []*fake
+	var joins []Input
+	for i, holds := range [][]string{{"x"}, {"y"}, {"x", "y"}, {"y"}, {"x"}} {
+		streams = append(streams, &fake{})
+		joins = append(joins, Join{streams[i], hello(fmt.Sprint("p", i), "a", holds...)})
+	}
+	c.Handle(1, joins)
+	for step, out := range []bool{false, true, false} {
+		c.Handle(float64(2+step), []Input{Heard{1, "next"}})
+		c.Channel.Send(float64(2 + step))
+		for i, s := range streams {
+			told := 0
+			for _, m := range s.sent {
+				for _, op := range m.Ops {
+					if op.Kind == wire.OpWithdraw && op.Endpoint == "x" && op.Out == out {
+						told++
+					}
+				}
+			}
+			s.sent = nil
+			assert.Equal(t, step > 0 && i != 3, told == 1, "proxy %d at step %d", i, step)
+		}
+	}
+}
--- /dev/null
+++ b/internal/pilot/fakes_test.go
@@ -0,0 +1,115 @@
+package pilot
+
+import (
+	"errors"
+	"fmt"
+
+	"indigousher/brain"
+	"indigousher/intake"
+	"indigousher/internal/wire"
+)
+
+// script orders what a test wants and keeps what it is told.
+type script struct {
+	orders [][]brain.Order
+	notes  []brain.Note
+	times  []float64
+}
+
+func (s *script) Handle(nowMs float64, notes []brain.Note) []brain.Order {
+	s.notes, s.times = append(s.notes, notes...), append(s.times, nowMs)
+	if len(s.orders) == 0 {
+		return nil
+	}
+	o := s.orders[0]
+	s.orders = s.orders[1:]
+	return o
+}
+
+// Reconfigure keeps nothing: what the settings hold is looked at in the plan.
+func (s *script) Reconfigure(map[string]any) {}
+
+// fake stands for a proxy's stream, the list, the prober and the peers.
+type fake struct {
+	sent   []*wire.Orders
+	closed string
+	calls  []string
+	full   bool
+}
+
+func (f *fake) Send(m *wire.Orders) error {
+	if f.full {
+		return errors.New("full")
+	}
+	f.sent = append(f.sent, m)
+	return nil
+}
+func (f *fake) Ask(m *wire.Pace) error {
+	f.calls = append(f.calls, fmt.Sprint("pace ", m.PeriodMs))
+	return nil
+}
+func (f *fake) Close(reason string)   { f.closed = reason }
+func (f *fake) Watch(on bool)         { f.calls = append(f.calls, fmt.Sprint("watch ", on)) }
+func (f *fake) Fetch()                { f.calls = append(f.calls, "fetch") }
+func (f *fake) Probe(endpoint string) { f.calls = append(f.calls, "probe "+endpoint) }
+func (f *fake) Tell(peer int, text string) {
+	f.calls = append(f.calls, fmt.Sprint("tell ", peer, " ", text))
+}
+
+func plan(d Decider, edge *fake) Plan {
+	return Plan{Decider: d, Terms: map[string]any{"slices": 16.0}, Zones: []string{"a", "b"}, Machines: []string{"std"},
+		Kinds: []string{"read", "book"}, HeadLines: 4, Intake: intake.Terms{PeriodMs: 1000, HalfMs: 1e9, LongestMs: 60000}, MostProxies: 3, MessagesOverMs: 10000, List: edge,
+		Prober: edge, Peers: edge, Log: func(t string) { edge.calls = append(edge.calls, "log "+t) },
+		Odd: func(what string, _ ...string) { edge.calls = append(edge.calls, "odd "+what) }}
+}
+
+func hello(name, zone string, holds ...string) wire.Hello {
+	return wire.Hello{Version: 1, Proxy: name, Zone: zone, Rate: 2, Fresh: true, Holds: holds}
+}
+
+func listed(whole bool, entries ...wire.Entry) Listed {
+	return Listed{List: &wire.List{Version: 7, Now: 5000, Whole: whole, Entries: entries}}
+}
+
+func entry(name string, started uint64) wire.Entry {
+	return wire.Entry{Endpoint: name, Zone: "b", Machine: "std", Weight: 2, Started: started}
+}
+
+// scripted keeps notes and orders what it is told to, once.
+type scripted struct {
+	notes  []brain.Note
+	orders []brain.Order
+}
+
+func (s *scripted) Handle(_ float64, notes []brain.Note) []brain.Order {
+	s.notes = append(s.notes, notes...)
+	o := s.orders
+	s.orders = nil
+	return o
+}
+
+// Reconfigure does nothing.
+func (s *scripted) Reconfigure(map[string]any) {}
+
+// carried is a relay that counts.
+type carried struct {
+	orders int
+	gone   []int
+	names  map[string]bool
+}
+
+func (c *carried) Carry(turn []brain.Order, endpoint func(int) string) {
+	c.orders += len(turn)
+	for _, o := range turn {
+		if l, ok := o.(brain.SetLine); ok {
+			c.names[endpoint(l.Endpoint)] = true
+		}
+	}
+}
+func (c *carried) Gone(proxy int) { c.gone = append(c.gone, proxy) }
+
+func relayedCore(d Decider) (*Core, *carried) {
+	k := &carried{names: map[string]bool{}}
+	return NewCore(Plan{Decider: d, Terms: map[string]any{}, Zones: []string{"a", "b"}, Machines: []string{"m"}, Kinds: []string{"read"},
+		MostProxies: 10, Relay: k, Log: func(string) {}, Odd: func(string, ...string) {}}), k
+}
--- /dev/null
+++ b/internal/pilot/loop_test.go
@@ -0,0 +1,37 @@
+package pilot
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"go.uber.org/zap"
+
+	"indigousher/brain"
+)
+
+// TestLoop drives the loop in the test's bubble of time: it starts by itself, wakes for alarms and ends when asked.
+func TestLoop(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		d, stream := &script{orders: [][]brain.Order{{brain.WakeAt{AtMs: 2500, Name: "bell"}}}}, &fake{}
+		l := NewLoop(NewCore(plan(d, &fake{})), RealClock{}, zap.NewNop())
+		ctx, cancel := context.WithCancel(t.Context())
+		ended := make(chan error, 1)
+		go func() { ended <- l.Run(ctx) }()
+		time.Sleep(time.Second)
+		require.NoError(t, l.Post(ctx, Join{stream, hello("p", "a")}))
+		time.Sleep(2 * time.Second)
+		synctest.Wait() // the loop is idle: what it wrote may be read
+		assert.Equal(t, []float64{0, 1000, 2500}, d.times)
+		assert.Equal(t, 1, l.State().Proxies)
+		cancel()
+		assert.NoError(t, <-ended)
+		for range inboxSize {
+			require.NoError(t, l.Post(t.Context(), ListLost{}))
+		}
+		assert.ErrorIs(t, l.Post(ctx, ListLost{}), context.Canceled) // full, and nobody takes from it
+	})
+}
--- a/internal/pilot/relayed_test.go
+++ b/internal/pilot/relay_test.go
@@ -1,7 +1,6 @@
 package pilot
 
 import (
-	"fmt"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -10,63 +9,6 @@
 	"indigousher/internal/wire"
 )
 
-// carried is a relay that counts.
-type carried struct {
-	orders int
-	gone   []int
-	names  map[string]bool
-}
-
-func (c *carried) Carry(turn []brain.Order, endpoint func(int) string) {
-	c.orders += len(turn)
-	for _, o := range turn {
-		if l, ok := o.(brain.SetLine); ok {
-			c.names[endpoint(l.Endpoint)] = true
-		}
-	}
-}
-func (c *carried) Gone(proxy int) { c.gone = append(c.gone, proxy) }
-
-func relayedCore(d Decider) (*Core, *carried) {
-	k := &carried{names: map[string]bool{}}
-	return NewCore(Plan{Decider: d, Terms: map[string]any{}, Zones: []string{"a", "b"}, Machines: []string{"m"}, Kinds: []string{"read"},
-		MostProxies: 10, Relay: k, Log: func(string) {}, Odd: func(string, ...string) {}}), k
-}
-
-// TestGenerations guards memory: endpoints give way to new ones under new names for as long as a pilot lives, and each
-// name would keep an index, its actor and its lines in the module.
-func TestGenerations(t *testing.T) {
-	terms := map[string]any{"instances": 1.0, "lines_per_s": 1000.0, "backlog": 1500.0, "proxy_count": 10.0, "zones": []any{"a", "b"},
-		"req_kinds": []any{map[string]any{"payoff": 1.0}}}
-	c, k := relayedCore(brain.New(1, terms))
-	c.Handle(0, []Input{Relayed{Proxy: 1, Zone: "a", Rate: 5, Fresh: true}})
-	most, last := 0, ""
-	for g := range 500 {
-		l := &wire.List{Version: g, Whole: g%7 == 0, Now: uint64(1e9 + 5000*g)}
-		for i := range 4 {
-			if last = fmt.Sprint("e", g, "-", i); g > 0 && !l.Whole {
-				l.Entries = append(l.Entries, wire.Entry{Endpoint: fmt.Sprint("e", g-1, "-", i), Zone: "a", Machine: "m", Phase: wire.PhaseGone})
-			}
-			l.Entries = append(l.Entries, wire.Entry{Endpoint: last, Zone: "a", Machine: "m", Weight: 1, Started: l.Now - 100})
-		}
-		c.Handle(float64(5000*g), []Input{Listed{List: l}})
-		for s := 1; s <= 4; s++ {
-			c.Handle(float64(5000*g+1000*s), []Input{ZoneMet{Zone: "a", Endpoint: last, Tries: 9, SpanMs: 1000}})
-		}
-		if g == 100 {
-			most = c.endpoints.Len()
-		}
-	}
-	assert.LessOrEqual(t, c.endpoints.Len(), most, "indices of those long gone are used again")
-	assert.Less(t, most, 100)
-	_, known := c.endpoints.Find("e1-0")
-	assert.False(t, known, "the name of one long gone is forgotten")
-	assert.LessOrEqual(t, len(c.retired), most)
-	assert.True(t, k.names[last], "a new endpoint under a used index is planned by its own name")
-	assert.Zero(t, c.Believed.Odd)
-	assert.Equal(t, 2000, c.Believed.Reports)
-}
-
 // TestRelayedInputs guards what names nobody known: it costs itself alone, and nothing of it is kept.
 func TestRelayedInputs(t *testing.T) {
 	entry := wire.Entry{Endpoint: "x", Zone: "a", Machine: "m", Weight: 1}
@@ -114,19 +56,3 @@
 	c.Handle(1, []Input{Unrelayed{3}})
 	assert.Equal(t, []int{3}, k.gone)
 }
-
-// scripted keeps notes and orders what it is told to, once.
-type scripted struct {
-	notes  []brain.Note
-	orders []brain.Order
-}
-
-func (s *scripted) Handle(_ float64, notes []brain.Note) []brain.Order {
-	s.notes = append(s.notes, notes...)
-	o := s.orders
-	s.orders = nil
-	return o
-}
-
-// Reconfigure does nothing.
-func (s *scripted) Reconfigure(map[string]any) {}
--- /dev/null
+++ b/internal/pilot/telemetry.go
@@ -0,0 +1,34 @@
+package pilot
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+
+	"indigousher/brain"
+	"indigousher/internal/wire"
+)
+
+// Report takes a proxy's sums, also in between turns; the intake passes them on when its period is over.
+func (c *Core) Report(nowMs float64, s Stream, sums *wire.Sums) { c.gate.take(nowMs, s, sums) }
+
+// tell adds what the intake passes on, and asks streams for what it wants of them.
+func (c *Core) tell(notes []brain.Note) []brain.Note {
+	notes, asks, unknown := c.gate.tell(notes, c.now, c.plan.Meter)
+	for _, a := range asks {
+		if err := a.stream.Ask(a.pace); err != nil {
+			a.stream.Close(err.Error())
+		}
+	}
+	for _, what := range slices.Sorted(maps.Keys(unknown)) {
+		c.odd(what, fmt.Sprint(unknown[what]))
+	}
+	return notes
+}
+
+// Believed counts what the core took in of reports, for the pilot's own book-keeping.
+type Believed struct {
+	Reports, Odd int
+	SpanMs       float64 // that all reports covered
+	Listed       int     // endpoints on the list as held
+}
--- a/internal/pilot/parts.go
+++ b/internal/pilot/timers.go
@@ -3,7 +3,6 @@
 import (
 	"container/heap"
 	"math"
-	"sort"
 )
 
 // alarm is a WakeAt that has not fallen due; number keeps those of one time in order.
@@ -51,8 +50,3 @@
 	}
 	return due
 }
-
-// within returns how many of the times lie in the span before now, and drops the older ones.
-func within(times []float64, nowMs, spanMs float64) []float64 {
-	return times[sort.SearchFloat64s(times, nowMs-spanMs):]
-}
