--- a/internal/pilot/admission.go
+++ b/internal/pilot/admission.go
@@ -7,16 +7,16 @@
 
 func (c *Core) admit(o brain.Admit) {
 	if o.Table == brain.EveryTable {
-		c.everywhere[o.Kinds] = o
-		for _, s := range c.inOrder() {
-			c.write(s, admitOp(o))
+		c.globalLevels[o.Kinds] = o
+		for _, s := range c.sortedSessions() {
+			c.enqueue(s, admissionOp(o))
 		}
 		return
 	}
 	c.table(o.Table).levels[o.Kinds] = o
-	c.toUsers(o.Table, admitOp(o))
+	c.sendToUsers(o.Table, admissionOp(o))
 }
 
-func admitOp(o brain.Admit) wire.Op {
+func admissionOp(o brain.Admit) wire.Op {
 	return wire.Op{Kind: wire.OpAdmit, Table: o.Table, Kinds: o.Kinds, Weight: o.Level, Again: o.Again}
 }
--- a/internal/pilot/binding_test.go
+++ b/internal/pilot/binding_test.go
@@ -13,8 +13,8 @@
 // TestHeld guards a return, to this pilot or another, before or after a crash: of a table that the proxy has only what
 // differs is sent.
 func TestHeld(t *testing.T) {
-	d, edge, stream := &script{orders: [][]brain.Order{nil, {brain.SetLine{Table: 5, Endpoint: 0, Weight: 1},
-		brain.SetLine{Table: 5, Endpoint: 1, Weight: 2}, brain.Bind{Table: 5, Proxy: 0}, brain.Bind{Table: 5, Proxy: 0}}}}, &fake{}, &fake{}
+	d, edge, stream := &scriptedDecider{orders: [][]brain.Order{nil, {brain.SetLine{Table: 5, Endpoint: 0, Weight: 1},
+		brain.SetLine{Table: 5, Endpoint: 1, Weight: 2}, brain.Bind{Table: 5, Proxy: 0}, brain.Bind{Table: 5, Proxy: 0}}}}, &fakeTransport{}, &fakeTransport{}
 	c := NewCore(plan(d, edge))
 	c.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0))})
 	h := hello("p", "a", "x")
--- a/internal/pilot/channel_test.go
+++ b/internal/pilot/channel_test.go
@@ -12,7 +12,7 @@
 // TestPace guards the channel's pace and order, and that what waits for a proxy which has left is forgotten.
 func TestPace(t *testing.T) {
 	c := NewChannel(1000, 400, 0, 10000, nil)
-	a, b := &fake{}, &fake{}
+	a, b := &fakeTransport{}, &fakeTransport{}
 	sa, sb := &session{stream: a}, &session{stream: b}
 	for i := range 10 {
 		c.Put(0, sa, &wire.Orders{Lines: 20, AtMs: float64(i)})
@@ -31,9 +31,9 @@
 	for range 200 {
 		c.Put(300, sb, &wire.Orders{Lines: 20})
 	}
-	assert.LessOrEqual(t, c.Lines(), overfull*400)
+	assert.LessOrEqual(t, c.Lines(), queueLimitFactor*400)
 	assert.Equal(t, "channel overfull", b.closed)
-	full := &fake{full: true}
+	full := &fakeTransport{full: true}
 	c = NewChannel(0, 0, 0, 10000, nil)
 	c.Put(0, &session{stream: full}, &wire.Orders{Lines: 1})
 	c.Send(0)
@@ -47,10 +47,10 @@
 	const backlog = 4800
 	for name, c := range map[string]struct{ pace, told float64 }{"as told": {800, 800}, "a fifth": {160, 800}, "a tenth": {80, 800}} {
 		t.Run(name, func(t *testing.T) {
-			w, entries := newTown(201, 54, c.pace, backlog, 7200, func(terms map[string]any) { terms["lines_per_s"] = c.told })
-			w.join(w.streams, entries)
-			w.until(60000)
-			left := w.core.Channel.MostSeen
+			f, entries := newFleet(201, 54, c.pace, backlog, 7200, func(terms map[string]any) { terms["lines_per_s"] = c.told })
+			f.join(f.streams, entries)
+			f.until(60000)
+			left := f.core.Channel.MostSeen
 			for step := 0; step < 150; step++ { // a zone comes back, others go, some each fifth of a second
 				var changed []wire.Entry
 				for k := range 8 {
@@ -58,15 +58,15 @@
 					if e.Phase = wire.PhaseReady; step/25%2 == 0 {
 						e.Phase = wire.PhaseDraining
 					}
-					e.Started = uint64(w.now) + 1
+					e.Started = uint64(f.now) + 1
 					changed = append(changed, *e)
 				}
-				w.handle(listed(false, changed...))
-				w.until(w.now + 200)
+				f.handle(listed(false, changed...))
+				f.until(f.now + 200)
 			}
-			t.Logf("most lines %d, before %d", w.core.Channel.MostSeen, left)
-			assert.LessOrEqual(t, w.core.Channel.MostSeen, backlog)
-			assert.Greater(t, w.core.Channel.MostSeen, backlog/3, "there is much to say")
+			t.Logf("most lines %d, before %d", f.core.Channel.MostSeen, left)
+			assert.LessOrEqual(t, f.core.Channel.MostSeen, backlog)
+			assert.Greater(t, f.core.Channel.MostSeen, backlog/3, "there is much to say")
 		})
 	}
 }
@@ -77,7 +77,7 @@
 	ops := make([]wire.Op, 110)
 	var sessions []*session
 	for range 450 {
-		sessions = append(sessions, &session{stream: &fake{full: false}})
+		sessions = append(sessions, &session{stream: &fakeTransport{full: false}})
 	}
 	lines, now := 0, 0.0
 	for b.Loop() {
@@ -87,7 +87,7 @@
 		}
 		lines += c.Send(now)
 		for _, s := range sessions {
-			f, _ := s.stream.(*fake)
+			f, _ := s.stream.(*fakeTransport)
 			f.sent = f.sent[:0]
 		}
 	}
--- a/internal/pilot/checkpoint.go
+++ b/internal/pilot/checkpoint.go
@@ -14,7 +14,7 @@
 		l.Entries = append(l.Entries, c.listed[name])
 	}
 	inputs := []Input{Listed{List: l}}
-	for _, s := range c.inOrder() {
+	for _, s := range c.sortedSessions() {
 		inputs = append(inputs, Join{s.stream, s.hello})
 	}
 	return inputs
@@ -23,13 +23,13 @@
 // Recovered ends a replay: whoever was joined has left, and what is ordered from now on goes out by the plan's edges.
 func (c *Core) Recovered(p Plan) {
 	var leave []Input
-	clear(c.slices) // the store gives them again
-	for _, s := range c.inOrder() {
+	clear(c.sliceRanges) // the store gives them again
+	for _, s := range c.sortedSessions() {
 		leave = append(leave, Leave{s.stream})
 	}
 	c.Handle(c.now, leave)
 	p.Decider, p.Terms = c.plan.Decider, c.plan.Terms
 	c.plan = p
 	c.Channel = NewChannel(p.LinesPerS, p.Backlog, p.MessagesMost, p.MessagesOverMs, p.Meter)
-	c.gate.lastMs = c.now
+	c.reports.lastFlushMs = c.now
 }
--- a/internal/pilot/commands.go
+++ b/internal/pilot/commands.go
@@ -7,9 +7,9 @@
 	"indigousher/internal/wire"
 )
 
-// carryOut does one order.
-func (c *Core) carryOut(o brain.Order) {
-	if c.relay(o) {
+// execute does one order.
+func (c *Core) execute(o brain.Order) {
+	if c.forwardToRelay(o) {
 		return
 	}
 	switch o := o.(type) {
@@ -17,19 +17,19 @@
 		c.setLine(o)
 	case brain.ClearTable:
 		delete(c.tables, o.Table)
-		c.toUsers(o.Table, wire.Op{Kind: wire.OpClear, Table: o.Table})
+		c.sendToUsers(o.Table, wire.Op{Kind: wire.OpClear, Table: o.Table})
 	case brain.Bind:
 		c.bind(o)
 	case brain.Withdraw:
-		c.withdraw(o)
+		c.exclude(o)
 	case brain.Admit:
 		c.admit(o)
 	case brain.Mark:
-		for _, s := range c.inOrder() {
+		for _, s := range c.sortedSessions() {
 			if s.pending != nil || o.All {
-				c.write(s, wire.Op{Kind: wire.OpMark, Number: o.Number})
-				s.marks = append(s.marks, o.Number)
-				s.marks = s.marks[max(0, len(s.marks)-mostMarks):]
+				c.enqueue(s, wire.Op{Kind: wire.OpMark, Number: o.Number})
+				s.unacknowledged = append(s.unacknowledged, o.Number)
+				s.unacknowledged = s.unacknowledged[max(0, len(s.unacknowledged)-maxUnacknowledged):]
 			}
 		}
 	case brain.Probe:
@@ -37,7 +37,7 @@
 	case brain.Tell:
 		c.plan.Peers.Tell(o.Peer, o.Text)
 	case brain.WakeAt:
-		c.alarms.push(o.AtMs, o.Name)
+		c.timers.set(o.AtMs, o.Name)
 	case brain.Watch:
 		c.plan.List.Watch(o.On)
 	case brain.FetchList:
@@ -45,6 +45,6 @@
 	case brain.Log:
 		c.plan.Log(o.Text)
 	default:
-		c.odd("order that can't be carried out", fmt.Sprintf("%T", o))
+		c.reportMalformed("order that can't be carried out", fmt.Sprintf("%T", o))
 	}
 }
--- a/internal/pilot/core.go
+++ b/internal/pilot/core.go
@@ -18,13 +18,13 @@
 	sessions                          map[int]*session
 	streams                           map[Stream]*session
 	tables                            map[int]*table
-	everywhere                        map[int]brain.Admit
-	withdrawn                         map[int]bool
-	slices                            map[int]keyRange // in this pilot's charge, by number, which is that of their table
-	stamps                            map[int]startStamp
-	alarms                            alarms
-	gate                              *gate
-	told                              []brain.Note // of a replay, for this turn
+	globalLevels                      map[int]brain.Admit
+	excluded                          map[int]bool
+	sliceRanges                       map[int]keyRange // in this pilot's charge, by number, which is that of their table
+	starts                            map[int]startTime
+	timers                            timerQueue
+	reports                           *reportGate
+	recorded                          []brain.Note // of a replay, for this turn
 	listed                            map[string]wire.Entry
 	listVersion                       int
 	listNow                           uint64 // on the list's clock, at listAt of ours
@@ -32,10 +32,10 @@
 	Channel                           *Channel
 	now                               float64
 	touched                           []*session
-	sorted                            []*session // by proxy; nil: to be made
-	begun                             bool
-	relayed                           map[int]bool    // joined proxies whose streams the relay holds
-	turn                              []brain.Order   // what this turn ordered of the relay
+	ordered                           []*session // by proxy; nil: to be made
+	started                           bool
+	relayProxies                      map[int]bool    // joined proxies whose streams the relay holds
+	relayCommands                     []brain.Order   // what this turn ordered of the relay
 	retired                           map[int]float64 // endpoints no longer listed, and since when
 	Believed                          Believed
 	Heard                             int // notes handed to the module
@@ -44,7 +44,7 @@
 // NewCore returns a core that has been told nothing.
 func NewCore(p Plan) *Core {
 	c := &Core{plan: p, sessions: map[int]*session{}, streams: map[Stream]*session{}, tables: map[int]*table{},
-		everywhere: map[int]brain.Admit{}, withdrawn: map[int]bool{}, slices: map[int]keyRange{}, relayed: map[int]bool{}, retired: map[int]float64{}, stamps: map[int]startStamp{},
+		globalLevels: map[int]brain.Admit{}, excluded: map[int]bool{}, sliceRanges: map[int]keyRange{}, relayProxies: map[int]bool{}, retired: map[int]float64{}, starts: map[int]startTime{},
 		Channel: NewChannel(p.LinesPerS, p.Backlog, p.MessagesMost, p.MessagesOverMs, p.Meter)}
 	for _, z := range p.Zones {
 		c.zones.In(z)
@@ -55,52 +55,52 @@
 	for _, k := range p.Kinds {
 		c.kinds.In(k)
 	}
-	c.gate, c.listed = newGate(p.Intake, p.Kinds), map[string]wire.Entry{}
+	c.reports, c.listed = newReportGate(p.Intake, p.Kinds), map[string]wire.Entry{}
 	return c
 }
 
 // Due returns when Handle has something to do without input, in milliseconds of its clock.
 func (c *Core) Due() float64 {
 	if c.plan.Relay != nil { // reports come summed up
-		return c.alarms.due()
+		return c.timers.due()
 	}
-	return min(c.alarms.due(), c.gate.due())
+	return min(c.timers.due(), c.reports.due())
 }
 
 // Handle takes in what came, lets the module decide and fills the channel. Times never go back.
 func (c *Core) Handle(nowMs float64, inputs []Input) {
 	c.now = max(c.now, nowMs)
-	var notes []brain.Note
+	var events []brain.Note
 	for _, in := range inputs {
-		notes = c.note(notes, in)
+		events = c.handleInput(events, in)
 	}
-	for _, name := range c.alarms.pop(c.now) {
-		notes = append(notes, brain.Alarm{Name: name})
+	for _, name := range c.timers.expire(c.now) {
+		events = append(events, brain.Alarm{Name: name})
 	}
-	before := len(notes)
+	before := len(events)
 	switch {
 	case c.plan.Relay != nil: // reports came as inputs
 	case c.plan.Replayed:
-		notes = append(notes, c.told...)
-		c.told = nil
+		events = append(events, c.recorded...)
+		c.recorded = nil
 	default:
-		notes = c.tell(notes)
+		events = c.collectTelemetry(events)
 	}
-	var orders []brain.Order
-	asked := len(notes) > 0 || !c.begun // the module wakes itself for whatever else is due
+	var commands []brain.Order
+	asked := len(events) > 0 || !c.started // the module wakes itself for whatever else is due
 	if asked {
-		c.begun = true
-		c.Heard += len(notes)
-		orders = c.plan.Meter.decide(func() []brain.Order { return c.plan.Decider.Handle(c.now, notes) })
+		c.started = true
+		c.Heard += len(events)
+		commands = c.plan.Meter.decide(func() []brain.Order { return c.plan.Decider.Handle(c.now, events) })
 	}
 	if c.plan.Turn != nil && (asked || len(inputs) > 0) {
-		c.plan.Turn(c.now, inputs, notes[before:], orders)
+		c.plan.Turn(c.now, inputs, events[before:], commands)
 	}
-	for _, o := range orders {
-		c.carryOut(o)
+	for _, o := range commands {
+		c.execute(o)
 	}
 	c.dispatch()
-	c.handOver()
+	c.flushRelay()
 }
 
 // Now returns the time of the last turn.
--- a/internal/pilot/core_test.go
+++ b/internal/pilot/core_test.go
@@ -14,7 +14,7 @@
 
 // TestNotes shows that every note of the module's interface has a source.
 func TestNotes(t *testing.T) {
-	d, edge, stream := &script{orders: [][]brain.Order{{brain.WakeAt{AtMs: 150, Name: "bell"}}, nil, {brain.Mark{Number: 9, All: true}}}}, &fake{}, &fake{}
+	d, edge, stream := &scriptedDecider{orders: [][]brain.Order{{brain.WakeAt{AtMs: 150, Name: "bell"}}, nil, {brain.Mark{Number: 9, All: true}}}}, &fakeTransport{}, &fakeTransport{}
 	c := NewCore(plan(d, edge))
 	c.Handle(0, nil)
 	c.Handle(100, []Input{listed(true, entry("x", 0), entry("y", 4000)), Join{stream, hello("p", "b")}})
@@ -83,7 +83,7 @@
 			[]string{"odd bind of a proxy that has left"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d, edge, stream := &script{orders: [][]brain.Order{nil, c.orders}}, &fake{}, &fake{}
+			d, edge, stream := &scriptedDecider{orders: [][]brain.Order{nil, c.orders}}, &fakeTransport{}, &fakeTransport{}
 			core := NewCore(plan(d, edge))
 			core.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0))})
 			core.Handle(1, []Input{Join{stream, hello("p", "a", "x", "unknown")}})
@@ -106,9 +106,9 @@
 		steps := rapid.SliceOfN(rapid.IntRange(0, 5), 1, 60).Draw(rt, "steps")
 		play := func() (all []string) {
 			terms := map[string]any{"req_kinds": []any{map[string]any{"name": "read"}, map[string]any{"name": "book"}}}
-			edge := &fake{}
+			edge := &fakeTransport{}
 			c := NewCore(plan(brain.New(1, terms), edge))
-			streams := []*fake{{}, {}, {}}
+			streams := []*fakeTransport{{}, {}, {}}
 			for i, s := range steps {
 				now := float64(i) * 170
 				stream := streams[i%3]
--- a/internal/pilot/dispatch.go
+++ b/internal/pilot/dispatch.go
@@ -6,18 +6,18 @@
 	"indigousher/internal/wire"
 )
 
-// toUsers adds a line to the message of each proxy that uses a table.
-func (c *Core) toUsers(number int, op wire.Op) {
-	for _, s := range c.inOrder() {
-		_, uses := s.bound[number]
-		if _, slice := c.slices[number]; uses || slice {
-			c.write(s, op)
+// sendToUsers adds a line to the message of each proxy that uses a table.
+func (c *Core) sendToUsers(number int, op wire.Op) {
+	for _, s := range c.sortedSessions() {
+		_, uses := s.boundKinds[number]
+		if _, slice := c.sliceRanges[number]; uses || slice {
+			c.enqueue(s, op)
 		}
 	}
 }
 
-// write adds a line to a proxy's message of this Handle.
-func (c *Core) write(s *session, op wire.Op) {
+// enqueue adds a line to a proxy's message of this Handle.
+func (c *Core) enqueue(s *session, op wire.Op) {
 	if s.pending == nil {
 		s.pending = &wire.Orders{Lines: c.plan.HeadLines}
 		c.touched = append(c.touched, s)
--- a/internal/pilot/drains_test.go
+++ b/internal/pilot/drains_test.go
@@ -26,27 +26,27 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			const grace = 5000.0
-			w, entries := newTown(359, 397, c.pace, c.backlog, grace)
-			w.join(w.streams[:200], entries)
-			w.until(c.joinedMs)
-			w.join(w.streams[200:], entries)
-			w.until(c.drainedMs)
+			f, entries := newFleet(359, 397, c.pace, c.backlog, grace)
+			f.join(f.streams[:200], entries)
+			f.until(c.joinedMs)
+			f.join(f.streams[200:], entries)
+			f.until(c.drainedMs)
 			var drained []wire.Entry
 			for i := range 98 {
 				e := entries[i*3+i%3]
 				e.Phase = wire.PhaseDraining
 				drained = append(drained, e)
 			}
-			before := w.core.Channel.MostSeen
-			w.handle(listed(false, drained...))
-			told := w.now
+			before := f.core.Channel.MostSeen
+			f.handle(listed(false, drained...))
+			told := f.now
 			lastAt := map[string]float64{}
-			for w.now < told+3*grace {
-				w.until(w.now + 50)
-				for _, v := range w.streams {
+			for f.now < told+3*grace {
+				f.until(f.now + 50)
+				for _, v := range f.streams {
 					for _, e := range drained {
 						if v.follow.Open(0, e.Endpoint) {
-							lastAt[v.name+" "+e.Endpoint] = w.now
+							lastAt[v.name+" "+e.Endpoint] = f.now
 						}
 					}
 				}
@@ -55,11 +55,11 @@
 			for _, at := range lastAt {
 				worst = max(worst, at-told)
 			}
-			t.Logf("worst drain %.0f ms, most lines %d (before %d), crowded %d", worst, w.core.Channel.MostSeen, before,
-				w.core.Channel.Crowded)
+			t.Logf("worst drain %.0f ms, most lines %d (before %d), crowded %d", worst, f.core.Channel.MostSeen, before,
+				f.core.Channel.Crowded)
 			assert.LessOrEqual(t, worst, grace)
-			assert.LessOrEqual(t, float64(w.core.Channel.MostSeen), c.backlog)
-			assert.LessOrEqual(t, w.core.Channel.Crowded, 30)
+			assert.LessOrEqual(t, float64(f.core.Channel.MostSeen), c.backlog)
+			assert.LessOrEqual(t, f.core.Channel.Crowded, 30)
 		})
 	}
 }
@@ -68,17 +68,17 @@
 // none of that zone's own proxies waits for its tables: they are told all the same (ha15185).
 func TestDrainsHeldAcrossZones(t *testing.T) {
 	const grace = 5000.0
-	w, entries := newTown(359, 397, 3000, 14000, grace)
-	var here, coming []*villager
-	for _, v := range w.streams {
+	f, entries := newFleet(359, 397, 3000, 14000, grace)
+	var here, coming []*fleetProxy
+	for _, v := range f.streams {
 		if v.zone == "a" {
 			coming = append(coming, v)
 		} else {
 			here = append(here, v)
 		}
 	}
-	w.join(here, entries)
-	w.until(60000)
+	f.join(here, entries)
+	f.until(60000)
 	var drained []wire.Entry
 	var spilt []wire.Entry
 	for i, e := range entries {
@@ -89,21 +89,21 @@
 			spilt = append(spilt, e)
 		}
 	}
-	w.handle(listed(false, drained...))
-	w.until(60300)
-	w.join(coming, append(spilt, entries...))
+	f.handle(listed(false, drained...))
+	f.until(60300)
+	f.join(coming, append(spilt, entries...))
 	worst := 0.0
-	for w.now < 75000 {
-		w.until(w.now + 50)
-		for _, v := range w.streams {
+	for f.now < 75000 {
+		f.until(f.now + 50)
+		for _, v := range f.streams {
 			if slices.ContainsFunc(drained, func(e wire.Entry) bool { return v.follow.Open(0, e.Endpoint) }) {
-				worst = w.now - 60300
+				worst = f.now - 60300
 			}
 		}
 	}
-	t.Logf("worst drain %.0f ms, most lines %d", worst, w.core.Channel.MostSeen)
+	t.Logf("worst drain %.0f ms, most lines %d", worst, f.core.Channel.MostSeen)
 	assert.LessOrEqual(t, worst, grace)
-	assert.LessOrEqual(t, w.core.Channel.MostSeen, 14000)
+	assert.LessOrEqual(t, f.core.Channel.MostSeen, 14000)
 }
 
 // TestWholeZoneDrained guards proxies against the drain of all endpoints of their zone at once, while one pilot has all of
@@ -125,11 +125,11 @@
 		{"the others have come, a slow channel", 30000, 36000, 2000, 14000, 4000, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w, entries := newTown(359, 397, c.pace, c.backlog, 5000)
-			w.join(w.streams[:200], entries)
-			w.until(c.joinedMs)
-			w.join(w.streams[200:], entries)
-			w.until(c.drainedMs)
+			f, entries := newFleet(359, 397, c.pace, c.backlog, 5000)
+			f.join(f.streams[:200], entries)
+			f.until(c.joinedMs)
+			f.join(f.streams[200:], entries)
+			f.until(c.drainedMs)
 			var drained []wire.Entry
 			for _, e := range entries {
 				if e.Zone == "a" {
@@ -137,27 +137,27 @@
 					drained = append(drained, e)
 				}
 			}
-			w.handle(listed(false, drained...))
-			told, since, worst, last := w.now, map[string]float64{}, 0.0, 0.0
-			for w.now < told+15000 {
-				w.until(w.now + 50)
-				for _, v := range w.streams {
+			f.handle(listed(false, drained...))
+			told, since, worst, last := f.now, map[string]float64{}, 0.0, 0.0
+			for f.now < told+15000 {
+				f.until(f.now + 50)
+				for _, v := range f.streams {
 					if slices.ContainsFunc(drained, func(e wire.Entry) bool { return v.follow.Open(0, e.Endpoint) }) {
-						last = w.now - told
+						last = f.now - told
 					}
 					if slices.ContainsFunc(entries, func(e wire.Entry) bool { return v.follow.Open(0, e.Endpoint) }) {
 						delete(since, v.name)
 					} else if _, was := since[v.name]; !was {
-						since[v.name] = w.now
+						since[v.name] = f.now
 					} else {
-						worst = max(worst, w.now-since[v.name])
+						worst = max(worst, f.now-since[v.name])
 					}
 				}
 			}
-			t.Logf("bare for %.0f ms, last drain after %.0f ms, most lines %d", worst, last, w.core.Channel.MostSeen)
+			t.Logf("bare for %.0f ms, last drain after %.0f ms, most lines %d", worst, last, f.core.Channel.MostSeen)
 			assert.LessOrEqual(t, worst, c.most)
 			assert.Equal(t, c.fails, last > 5000, "last drain after %.0f ms", last)
-			assert.LessOrEqual(t, float64(w.core.Channel.MostSeen), c.backlog)
+			assert.LessOrEqual(t, float64(f.core.Channel.MostSeen), c.backlog)
 		})
 	}
 }
@@ -166,75 +166,75 @@
 // stays as it was, while nothing is left in it that could be answered. One proxy is asked, and the drains go out.
 func TestDrainsAfterLostAnswers(t *testing.T) {
 	const grace, backlog = 3000.0, 1200.0
-	w, entries := newTown(30, 80, 800, backlog, grace)
-	w.late = 150
-	w.join(w.streams, entries)
-	w.until(40000)
+	f, entries := newFleet(30, 80, 800, backlog, grace)
+	f.delayMs = 150
+	f.join(f.streams, entries)
+	f.until(40000)
 	drain := func(from int) (drained []wire.Entry) {
 		for _, e := range entries[from : from+3] { // one of each zone
 			e.Phase = wire.PhaseDraining
 			drained = append(drained, e)
 		}
-		w.handle(listed(false, drained...))
+		f.handle(listed(false, drained...))
 		return drained
 	}
-	w.deaf = true
+	f.dropAcks = true
 	for i := range 4 { // more than fits, were it all still there
 		drain(3 * i)
-		w.until(w.now + 1500)
+		f.until(f.now + 1500)
 	}
-	w.deaf = false
-	told, drained, last := w.now, drain(12), 0.0
-	for w.now < told+10000 {
-		w.until(w.now + 50)
-		for _, v := range w.streams {
+	f.dropAcks = false
+	told, drained, last := f.now, drain(12), 0.0
+	for f.now < told+10000 {
+		f.until(f.now + 50)
+		for _, v := range f.streams {
 			if slices.ContainsFunc(drained, func(e wire.Entry) bool { return v.follow.Open(0, e.Endpoint) }) {
-				last = w.now - told
+				last = f.now - told
 			}
 		}
 	}
-	t.Logf("last drain after %.0f ms, most lines %d", last, w.core.Channel.MostSeen)
+	t.Logf("last drain after %.0f ms, most lines %d", last, f.core.Channel.MostSeen)
 	assert.LessOrEqual(t, last, grace)
-	assert.LessOrEqual(t, float64(w.core.Channel.MostSeen), backlog)
+	assert.LessOrEqual(t, float64(f.core.Channel.MostSeen), backlog)
 }
 
 // TestDrainsToldToHerds guards drains against proxies that come after them with tables of a pilot that knew of none, in two
 // herds one after the other: each has let go of what drains within the grace of its joining.
 func TestDrainsToldToHerds(t *testing.T) {
 	const grace = 5000.0
-	w, entries := newTown(359, 397, 3000, 14000, grace)
-	w.join(w.streams[:200], entries)
-	w.until(30000)
+	f, entries := newFleet(359, 397, 3000, 14000, grace)
+	f.join(f.streams[:200], entries)
+	f.until(30000)
 	var drained []wire.Entry
 	for i := 0; i < len(entries); i += 12 {
 		e := entries[i]
 		e.Phase = wire.PhaseDraining
 		drained = append(drained, e)
 	}
-	w.handle(listed(false, drained...))
+	f.handle(listed(false, drained...))
 	joined := map[string]float64{}
 	for _, herd := range []struct {
 		at   float64
-		some []*villager
-	}{{30200, w.streams[200:300]}, {31500, w.streams[300:]}} {
-		w.until(herd.at)
-		w.join(herd.some, entries)
+		some []*fleetProxy
+	}{{30200, f.streams[200:300]}, {31500, f.streams[300:]}} {
+		f.until(herd.at)
+		f.join(herd.some, entries)
 		for _, v := range herd.some {
-			joined[v.name] = w.now
+			joined[v.name] = f.now
 		}
 	}
 	worst := 0.0
-	for w.now < 50000 {
-		w.until(w.now + 50)
-		for _, v := range w.streams {
+	for f.now < 50000 {
+		f.until(f.now + 50)
+		for _, v := range f.streams {
 			if slices.ContainsFunc(drained, func(e wire.Entry) bool { return v.follow.Open(0, e.Endpoint) }) {
-				worst = max(worst, w.now-max(30000, joined[v.name]))
+				worst = max(worst, f.now-max(30000, joined[v.name]))
 			}
 		}
 	}
-	t.Logf("worst drain %.0f ms, most lines %d", worst, w.core.Channel.MostSeen)
+	t.Logf("worst drain %.0f ms, most lines %d", worst, f.core.Channel.MostSeen)
 	assert.LessOrEqual(t, worst, grace)
-	assert.LessOrEqual(t, w.core.Channel.MostSeen, 14000)
+	assert.LessOrEqual(t, f.core.Channel.MostSeen, 14000)
 }
 
 // TestReleaseWithAllAtOnePilot guards drains where four of five pilots die in a release: all proxies come to one, whose
@@ -242,7 +242,7 @@
 // took all of the channel, nobody was bound for 15 s, and what drained was sent to 7.5 s later (herd+mass of seed 1).
 func TestReleaseWithAllAtOnePilot(t *testing.T) {
 	const grace, backlog = 7200.0, 4800
-	w, entries := newTown(200, 240, 800, backlog, grace, func(terms map[string]any) {
+	f, entries := newFleet(200, 240, 800, backlog, grace, func(terms map[string]any) {
 		terms["conns_least"], terms["zones"] = 60.0, []any{"a", "b", "c"} // a zone has several tables
 	})
 	part := func(i int) (held []wire.Entry) { // what another pilot's table of a zone holds
@@ -251,16 +251,16 @@
 		}
 		return held
 	}
-	w.join(w.streams[:54], entries)
-	w.until(30000)
-	joined, told, left := map[string]float64{}, map[string]float64{}, w.streams[54:]
+	f.join(f.streams[:54], entries)
+	f.until(30000)
+	joined, told, left := map[string]float64{}, map[string]float64{}, f.streams[54:]
 	worst := 0.0
-	for step := 0; w.now < 60000; step++ {
-		w.until(w.now + 50)
+	for step := 0; f.now < 60000; step++ {
+		f.until(f.now + 50)
 		if n := min(len(left), 4); n > 0 { // 80 a second
 			for i, v := range left[:n] {
-				w.join([]*villager{v}, part(len(left)+i))
-				joined[v.name] = w.now
+				f.join([]*fleetProxy{v}, part(len(left)+i))
+				joined[v.name] = f.now
 			}
 			left = left[n:]
 		}
@@ -268,16 +268,16 @@
 			var changed []wire.Entry
 			for i := wave; i < len(entries) && wave < 3; i += 7 {
 				e := entries[i]
-				e.Phase, told[e.Endpoint] = wire.PhaseDraining, w.now
-				changed = append(changed, e, wire.Entry{Endpoint: fmt.Sprint("n", i), Zone: e.Zone, Machine: "std", Weight: 1, Started: uint64(w.now) + 1})
+				e.Phase, told[e.Endpoint] = wire.PhaseDraining, f.now
+				changed = append(changed, e, wire.Entry{Endpoint: fmt.Sprint("n", i), Zone: e.Zone, Machine: "std", Weight: 1, Started: uint64(f.now) + 1})
 			}
-			w.handle(listed(false, changed...))
+			f.handle(listed(false, changed...))
 		}
-		worst = max(worst, w.longest(told, joined))
+		worst = max(worst, f.longestHeldMs(told, joined))
 	}
-	t.Logf("worst drain %.0f ms, most lines %d", worst, w.core.Channel.MostSeen)
+	t.Logf("worst drain %.0f ms, most lines %d", worst, f.core.Channel.MostSeen)
 	assert.LessOrEqual(t, worst, grace)
-	assert.LessOrEqual(t, w.core.Channel.MostSeen, backlog)
+	assert.LessOrEqual(t, f.core.Channel.MostSeen, backlog)
 }
 
 // TestDrainsWhileTablesStand guards drains of proxies that are left on what they stand with, as chance among so many is
@@ -291,30 +291,30 @@
 		"one": {1, 0}, "ten, a second apart": {10, 1000}, "thirty": {30, 300},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w, entries := newTown(240, 640, 800, backlog, grace, func(terms map[string]any) {
+			f, entries := newFleet(240, 640, 800, backlog, grace, func(terms map[string]any) {
 				terms["instances"], terms["proxy_count"], terms["standing"] = 5.0, 2400.0, 5.0
 				terms["conns_least"], terms["zones"] = 60.0, []any{"a", "b", "c"}
 			})
-			for _, v := range w.streams {
+			for _, v := range f.streams {
 				v.zone = "a"
 			}
-			w.join(w.streams, entries)
-			w.until(10000)
+			f.join(f.streams, entries)
+			f.until(10000)
 			told := map[string]float64{}
 			worst := 0.0
-			for end := 15000 + float64(c.drains*c.apart) + grace; w.now < end; {
-				w.until(w.now + 1000)
-				for n := len(told); n < c.drains && w.now >= float64(10000+n*c.apart); n++ {
+			for end := 15000 + float64(c.drains*c.apart) + grace; f.now < end; {
+				f.until(f.now + 1000)
+				for n := len(told); n < c.drains && f.now >= float64(10000+n*c.apart); n++ {
 					e := entries[3*n]
-					e.Phase, told[e.Endpoint] = wire.PhaseDraining, w.now
-					w.handle(listed(false, e))
+					e.Phase, told[e.Endpoint] = wire.PhaseDraining, f.now
+					f.handle(listed(false, e))
 				}
-				worst = max(worst, w.longest(told, nil))
+				worst = max(worst, f.longestHeldMs(told, nil))
 			}
-			t.Logf("worst drain %.0f ms, most lines %d", worst, w.core.Channel.MostSeen)
+			t.Logf("worst drain %.0f ms, most lines %d", worst, f.core.Channel.MostSeen)
 			assert.Len(t, told, c.drains)
 			assert.LessOrEqual(t, worst, grace)
-			assert.LessOrEqual(t, w.core.Channel.MostSeen, backlog)
+			assert.LessOrEqual(t, f.core.Channel.MostSeen, backlog)
 		})
 	}
 }
--- a/internal/pilot/endpoints.go
+++ b/internal/pilot/endpoints.go
@@ -9,15 +9,15 @@
 	"indigousher/internal/wire"
 )
 
-// startStamp keeps an endpoint's start as the list stamped it and as the module was told.
-type startStamp struct {
-	stamp  uint64
-	toldMs float64
+// startTime keeps an endpoint's start as the list stamped it and as the module was told.
+type startTime struct {
+	stamp     uint64
+	startedMs float64
 }
 
-// listing turns list entries into a note. A start is told as its age on this pilot's clock when its stamp was first
+// applyList turns list entries into a note. A start is told as its age on this pilot's clock when its stamp was first
 // seen, and stays so: the module takes any other figure for a restart.
-func (c *Core) listing(in Listed) brain.Note {
+func (c *Core) applyList(in Listed) brain.Note {
 	l := in.List
 	out, named, before := brain.Listing{Mode: brain.Changes, Version: l.Version}, map[int]bool{}, c.listed
 	c.listVersion, c.listNow, c.listAt = l.Version, l.Now, c.now
@@ -31,37 +31,37 @@
 	for _, e := range l.Entries {
 		zone, known := c.zones.Find(e.Zone)
 		if !known {
-			c.odd("endpoint of an unknown zone", e.Endpoint, e.Zone)
+			c.reportMalformed("endpoint of an unknown zone", e.Endpoint, e.Zone)
 			continue
 		}
 		if !brain.SoundWeight(e.Weight) { // its phase counts all the same: a drain is not lost over a wrong weight
-			c.odd("weight out of range", e.Endpoint, fmt.Sprint(e.Weight))
+			c.reportMalformed("weight out of range", e.Endpoint, fmt.Sprint(e.Weight))
 			e.Weight = before[e.Endpoint].Weight
 		}
 		if c.listed[e.Endpoint] = e; e.Phase == wire.PhaseGone {
 			delete(c.listed, e.Endpoint)
 		}
 		i := c.indexOf(e)
-		if was, seen := c.stamps[i]; !seen || was.stamp != e.Started {
+		if was, seen := c.starts[i]; !seen || was.stamp != e.Started {
 			told := 0.0
 			if e.Started != 0 {
 				told = c.now - float64(max(0, int64(l.Now-e.Started)))
 				told += map[bool]float64{true: 1e-3}[told == 0] // 0 means the distant past
 			}
-			c.stamps[i] = startStamp{e.Started, told}
+			c.starts[i] = startTime{e.Started, told}
 		}
 		entry := brain.Entry{Endpoint: i, Zone: zone, Machine: c.machines.In(e.Machine), Cell: e.Cell,
-			Phase: brain.Phase(e.Phase), Weight: e.Weight, Started: c.stamps[i].toldMs}
+			Phase: brain.Phase(e.Phase), Weight: e.Weight, Started: c.starts[i].startedMs}
 		named[i] = true
 		if c.plan.Relay == nil {
-			c.gate.list(c.now, e.Endpoint, entry)
+			c.reports.updateEndpoint(c.now, e.Endpoint, entry)
 		}
 		out.Entries = append(out.Entries, entry)
 	}
 	if c.plan.Relay != nil {
 		c.retire()
 	} else if l.Whole {
-		c.gate.gone(c.now, named)
+		c.reports.removeUnlisted(c.now, named)
 	}
 	return out
 }
@@ -79,7 +79,7 @@
 		return i
 	}
 	for _, i := range slices.Sorted(maps.Keys(c.retired)) {
-		if c.now-c.retired[i] > retiredMs && c.stamps[i].stamp != e.Started {
+		if c.now-c.retired[i] > retiredMs && c.starts[i].stamp != e.Started {
 			delete(c.retired, i)
 			c.endpoints.Rename(i, e.Endpoint)
 			return i
--- a/internal/pilot/endpoints_test.go
+++ b/internal/pilot/endpoints_test.go
@@ -12,8 +12,8 @@
 
 // TestRestamped guards the start of an endpoint against jitter of the list's clock, which would look like a restart.
 func TestRestamped(t *testing.T) {
-	d := &script{}
-	c := NewCore(plan(d, &fake{}))
+	d := &scriptedDecider{}
+	c := NewCore(plan(d, &fakeTransport{}))
 	for i, at := range []uint64{5000, 6003, 9100} {
 		c.Handle(float64(i*1000), []Input{Listed{List: &wire.List{Now: at, Entries: []wire.Entry{entry("x", 4000)}}}})
 	}
@@ -30,7 +30,7 @@
 func TestGenerations(t *testing.T) {
 	terms := map[string]any{"instances": 1.0, "lines_per_s": 1000.0, "backlog": 1500.0, "proxy_count": 10.0, "zones": []any{"a", "b"},
 		"req_kinds": []any{map[string]any{"payoff": 1.0}}}
-	c, k := relayedCore(brain.New(1, terms))
+	c, k := newRelayCore(brain.New(1, terms))
 	c.Handle(0, []Input{Relayed{Proxy: 1, Zone: "a", Rate: 5, Fresh: true}})
 	most, last := 0, ""
 	for g := range 500 {
--- a/internal/pilot/exclusion.go
+++ b/internal/pilot/exclusion.go
@@ -5,29 +5,29 @@
 	"indigousher/internal/wire"
 )
 
-// withdraw tells the proxies that hold an endpoint, as far as this pilot knows what they hold.
-func (c *Core) withdraw(o brain.Withdraw) {
-	if c.withdrawn[o.Endpoint] = o.Out; !o.Out {
-		delete(c.withdrawn, o.Endpoint)
+// exclude tells the proxies that hold an endpoint, as far as this pilot knows what they hold.
+func (c *Core) exclude(o brain.Withdraw) {
+	if c.excluded[o.Endpoint] = o.Out; !o.Out {
+		delete(c.excluded, o.Endpoint)
 	}
 	op := wire.Op{Kind: wire.OpWithdraw, Endpoint: c.endpoints.Name(o.Endpoint), Out: o.Out}
-	for _, s := range c.inOrder() {
+	for _, s := range c.sortedSessions() {
 		if c.holds(s, o.Endpoint) {
-			c.write(s, op)
+			c.enqueue(s, op)
 		}
 	}
 }
 
 func (c *Core) holds(s *session, endpoint int) bool {
-	if s.covered != 1<<c.kinds.Len()-1 && s.holds[endpoint] {
+	if s.coveredKinds != 1<<c.kinds.Len()-1 && s.initialEndpoints[endpoint] {
 		return true
 	}
-	for number := range s.bound {
+	for number := range s.boundKinds {
 		if c.table(number).lines[endpoint] > 0 {
 			return true
 		}
 	}
-	for number := range c.slices {
+	for number := range c.sliceRanges {
 		if c.table(number).lines[endpoint] > 0 {
 			return true
 		}
--- a/internal/pilot/exclusion_test.go
+++ b/internal/pilot/exclusion_test.go
@@ -14,16 +14,16 @@
 // pilot's, by what they held when they joined, or by both.
 func TestWithdrawnAtAll(t *testing.T) {
 	bind := func(proxy int) brain.Order { return brain.Bind{Table: 5, Proxy: proxy, Kinds: 1} }
-	d := &script{orders: [][]brain.Order{nil, nil, {brain.SetLine{Table: 5, Endpoint: 0, Weight: 1}, bind(0), bind(1)},
+	d := &scriptedDecider{orders: [][]brain.Order{nil, nil, {brain.SetLine{Table: 5, Endpoint: 0, Weight: 1}, bind(0), bind(1)},
 		{brain.Withdraw{Endpoint: 0, Out: true}}, {brain.Withdraw{Endpoint: 0}}}}
-	p := plan(d, &fake{})
+	p := plan(d, &fakeTransport{})
 	p.MostProxies = 5
 	c := NewCore(p)
 	c.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0))})
-	var streams []*fake
+	var streams []*fakeTransport
 	var joins []Input
 	for i, holds := range [][]string{{"x"}, {"y"}, {"x", "y"}, {"y"}, {"x"}} {
-		streams = append(streams, &fake{})
+		streams = append(streams, &fakeTransport{})
 		joins = append(joins, Join{streams[i], hello(fmt.Sprint("p", i), "a", holds...)})
 	}
 	c.Handle(1, joins)
--- a/internal/pilot/fakes_test.go
+++ b/internal/pilot/fakes_test.go
@@ -9,14 +9,14 @@
 	"indigousher/internal/wire"
 )
 
-// script orders what a test wants and keeps what it is told.
-type script struct {
+// scriptedDecider returns one scripted list of commands a call and keeps the events and times that it was given.
+type scriptedDecider struct {
 	orders [][]brain.Order
 	notes  []brain.Note
 	times  []float64
 }
 
-func (s *script) Handle(nowMs float64, notes []brain.Note) []brain.Order {
+func (s *scriptedDecider) Handle(nowMs float64, notes []brain.Note) []brain.Order {
 	s.notes, s.times = append(s.notes, notes...), append(s.times, nowMs)
 	if len(s.orders) == 0 {
 		return nil
@@ -27,36 +27,36 @@
 }
 
 // Reconfigure keeps nothing: what the settings hold is looked at in the plan.
-func (s *script) Reconfigure(map[string]any) {}
+func (s *scriptedDecider) Reconfigure(map[string]any) {}
 
-// fake stands for a proxy's stream, the list, the prober and the peers.
-type fake struct {
+// fakeTransport stands for a proxy's stream, the endpoint list, the health checker and the peers.
+type fakeTransport struct {
 	sent   []*wire.Orders
 	closed string
 	calls  []string
 	full   bool
 }
 
-func (f *fake) Send(m *wire.Orders) error {
+func (f *fakeTransport) Send(m *wire.Orders) error {
 	if f.full {
 		return errors.New("full")
 	}
 	f.sent = append(f.sent, m)
 	return nil
 }
-func (f *fake) Ask(m *wire.Pace) error {
+func (f *fakeTransport) Ask(m *wire.Pace) error {
 	f.calls = append(f.calls, fmt.Sprint("pace ", m.PeriodMs))
 	return nil
 }
-func (f *fake) Close(reason string)   { f.closed = reason }
-func (f *fake) Watch(on bool)         { f.calls = append(f.calls, fmt.Sprint("watch ", on)) }
-func (f *fake) Fetch()                { f.calls = append(f.calls, "fetch") }
-func (f *fake) Probe(endpoint string) { f.calls = append(f.calls, "probe "+endpoint) }
-func (f *fake) Tell(peer int, text string) {
+func (f *fakeTransport) Close(reason string)   { f.closed = reason }
+func (f *fakeTransport) Watch(on bool)         { f.calls = append(f.calls, fmt.Sprint("watch ", on)) }
+func (f *fakeTransport) Fetch()                { f.calls = append(f.calls, "fetch") }
+func (f *fakeTransport) Probe(endpoint string) { f.calls = append(f.calls, "probe "+endpoint) }
+func (f *fakeTransport) Tell(peer int, text string) {
 	f.calls = append(f.calls, fmt.Sprint("tell ", peer, " ", text))
 }
 
-func plan(d Decider, edge *fake) Plan {
+func plan(d Decider, edge *fakeTransport) Plan {
 	return Plan{Decider: d, Terms: map[string]any{"slices": 16.0}, Zones: []string{"a", "b"}, Machines: []string{"std"},
 		Kinds: []string{"read", "book"}, HeadLines: 4, Intake: intake.Terms{PeriodMs: 1000, HalfMs: 1e9, LongestMs: 60000}, MostProxies: 3, MessagesOverMs: 10000, List: edge,
 		Prober: edge, Peers: edge, Log: func(t string) { edge.calls = append(edge.calls, "log "+t) },
@@ -75,13 +75,13 @@
 	return wire.Entry{Endpoint: name, Zone: "b", Machine: "std", Weight: 2, Started: started}
 }
 
-// scripted keeps notes and orders what it is told to, once.
-type scripted struct {
+// oneTurnDecider keeps the events that it was given and returns its commands once.
+type oneTurnDecider struct {
 	notes  []brain.Note
 	orders []brain.Order
 }
 
-func (s *scripted) Handle(_ float64, notes []brain.Note) []brain.Order {
+func (s *oneTurnDecider) Handle(_ float64, notes []brain.Note) []brain.Order {
 	s.notes = append(s.notes, notes...)
 	o := s.orders
 	s.orders = nil
@@ -89,16 +89,16 @@
 }
 
 // Reconfigure does nothing.
-func (s *scripted) Reconfigure(map[string]any) {}
+func (s *oneTurnDecider) Reconfigure(map[string]any) {}
 
-// carried is a relay that counts.
-type carried struct {
+// recordingRelay is a relay that counts the commands it is given.
+type recordingRelay struct {
 	orders int
 	gone   []int
 	names  map[string]bool
 }
 
-func (c *carried) Carry(turn []brain.Order, endpoint func(int) string) {
+func (c *recordingRelay) Carry(turn []brain.Order, endpoint func(int) string) {
 	c.orders += len(turn)
 	for _, o := range turn {
 		if l, ok := o.(brain.SetLine); ok {
@@ -106,10 +106,10 @@
 		}
 	}
 }
-func (c *carried) Gone(proxy int) { c.gone = append(c.gone, proxy) }
+func (c *recordingRelay) Gone(proxy int) { c.gone = append(c.gone, proxy) }
 
-func relayedCore(d Decider) (*Core, *carried) {
-	k := &carried{names: map[string]bool{}}
+func newRelayCore(d Decider) (*Core, *recordingRelay) {
+	k := &recordingRelay{names: map[string]bool{}}
 	return NewCore(Plan{Decider: d, Terms: map[string]any{}, Zones: []string{"a", "b"}, Machines: []string{"m"}, Kinds: []string{"read"},
 		MostProxies: 10, Relay: k, Log: func(string) {}, Odd: func(string, ...string) {}}), k
 }
--- a/internal/pilot/fleet_test.go
+++ b/internal/pilot/fleet_test.go
@@ -10,35 +10,35 @@
 	"indigousher/internal/wire"
 )
 
-// town drives a core with the module inside and following proxies around it, in virtual time: messages and answers
-// take a fixed way, nothing is served.
-type town struct {
-	core    *Core
-	now     float64
-	late    float64
-	deaf    bool // answers to marks are lost on their way to the pilot
-	coming  later
-	streams []*villager
+// fleet drives a core with the decider inside and proxies that follow its commands around it, in virtual time: messages
+// and answers take a fixed delay each way, and no requests are served.
+type fleet struct {
+	core     *Core
+	now      float64
+	delayMs  float64
+	dropAcks bool // acknowledgements are lost on their way to the controller
+	calls    callQueue
+	streams  []*fleetProxy
 }
 
-// villager is a proxy of the town and its stream.
-type villager struct {
-	t      *town
+// fleetProxy is a proxy of the fleet and its stream.
+type fleetProxy struct {
+	fleet  *fleet
 	name   string
 	zone   string
 	follow *follow.Follower
 }
 
-func (v *villager) Close(string) {}
+func (v *fleetProxy) Close(string) {}
 
-func (v *villager) Ask(*wire.Pace) error { return nil }
+func (v *fleetProxy) Ask(*wire.Pace) error { return nil }
 
-func (v *villager) Send(m *wire.Orders) error {
-	v.t.after(v.t.late, func() {
+func (v *fleetProxy) Send(m *wire.Orders) error {
+	v.fleet.after(v.fleet.delayMs, func() {
 		for _, n := range v.follow.Apply(m.Ops) {
-			v.t.after(v.t.late, func() {
-				if !v.t.deaf {
-					v.t.handle(Applied{v, wire.Done{Mark: n, TookMs: 2 * v.t.late}})
+			v.fleet.after(v.fleet.delayMs, func() {
+				if !v.fleet.dropAcks {
+					v.fleet.handle(Applied{v, wire.Done{Mark: n, TookMs: 2 * v.fleet.delayMs}})
 				}
 			})
 		}
@@ -46,57 +46,61 @@
 	return nil
 }
 
-type deed struct {
+// scheduledCall is a function that is due at a virtual time; number orders those of one time.
+type scheduledCall struct {
 	at     float64
 	number int
-	do     func()
+	run    func()
 }
 
-// later is a heap of deeds by time, then in order.
-type later []deed
+// callQueue is a heap of calls by time, then in order of scheduling.
+type callQueue []scheduledCall
 
-func (l later) Len() int      { return len(l) }
-func (l later) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
-func (l *later) Push(x any)   { *l = append(*l, x.(deed)) }
-func (l later) Less(i, j int) bool {
+func (l callQueue) Len() int      { return len(l) }
+func (l callQueue) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
+func (l *callQueue) Push(x any)   { *l = append(*l, x.(scheduledCall)) }
+func (l callQueue) Less(i, j int) bool {
 	return l[i].at < l[j].at || l[i].at == l[j].at && l[i].number < l[j].number
 }
-func (l *later) Pop() any {
+func (l *callQueue) Pop() any {
 	x := (*l)[len(*l)-1]
 	*l = (*l)[:len(*l)-1]
 	return x
 }
 
-func (t *town) after(ms float64, do func()) {
-	heap.Push(&t.coming, deed{t.now + ms, len(t.coming) + int(t.now*1e3), do})
+// after schedules a call so many milliseconds from now.
+func (f *fleet) after(ms float64, run func()) {
+	heap.Push(&f.calls, scheduledCall{f.now + ms, len(f.calls) + int(f.now*1e3), run})
 }
 
-func (t *town) handle(in ...Input) { t.core.Handle(t.now, in) }
+// handle runs one turn of the core with the given inputs.
+func (f *fleet) handle(in ...Input) { f.core.Handle(f.now, in) }
 
-// until lets time pass.
-func (t *town) until(ms float64) {
+// until lets virtual time pass to a moment, in ms.
+func (f *fleet) until(ms float64) {
 	for {
-		next := min(t.core.Due(), t.core.Channel.Due())
-		if len(t.coming) > 0 {
-			next = min(next, t.coming[0].at)
+		next := min(f.core.Due(), f.core.Channel.Due())
+		if len(f.calls) > 0 {
+			next = min(next, f.calls[0].at)
 		}
 		if next > ms {
-			t.now = ms
+			f.now = ms
 			return
 		}
-		t.now = max(t.now, next)
-		for len(t.coming) > 0 && t.coming[0].at <= t.now {
-			heap.Pop(&t.coming).(deed).do()
+		f.now = max(f.now, next)
+		for len(f.calls) > 0 && f.calls[0].at <= f.now {
+			heap.Pop(&f.calls).(scheduledCall).run()
 		}
-		if t.core.Due() <= t.now {
-			t.handle()
+		if f.core.Due() <= f.now {
+			f.handle()
 		}
-		t.core.Channel.Send(t.now)
+		f.core.Channel.Send(f.now)
 	}
 }
 
-// newTown makes one of many endpoints and a pilot that nobody has joined.
-func newTown(endpoints, proxies int, pace, backlog, grace float64, change ...func(terms map[string]any)) (*town, []wire.Entry) {
+// newFleet returns a fleet of many endpoints with a controller that no proxy has joined. pace is in lines a second,
+// backlog in lines, grace in ms; change may alter the decider's settings.
+func newFleet(endpoints, proxies int, pace, backlog, grace float64, change ...func(terms map[string]any)) (*fleet, []wire.Entry) {
 	zones := []string{"a", "b", "c"}
 	terms := map[string]any{"req_kinds": []any{map[string]any{"name": "read"}}, "proxy_count": float64(proxies),
 		"instances": 2.0, "lines_per_s": pace, "backlog": backlog, "head_lines": 3.0, "drain_grace": grace,
@@ -104,25 +108,25 @@
 	for _, c := range change {
 		c(terms)
 	}
-	t := &town{late: 275}
-	t.core = NewCore(Plan{Decider: brain.New(1, terms), Terms: terms, Zones: zones, Machines: []string{"std"},
+	f := &fleet{delayMs: 275}
+	f.core = NewCore(Plan{Decider: brain.New(1, terms), Terms: terms, Zones: zones, Machines: []string{"std"},
 		Kinds: []string{"read"}, LinesPerS: pace, Backlog: backlog, HeadLines: 3, MessagesMost: 30, MessagesOverMs: 10000,
-		Intake: intake.Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000}, MostProxies: 1 << 16, List: &fake{}, Prober: &fake{}, Peers: &fake{}, Log: func(string) {},
+		Intake: intake.Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000}, MostProxies: 1 << 16, List: &fakeTransport{}, Prober: &fakeTransport{}, Peers: &fakeTransport{}, Log: func(string) {},
 		Odd: func(string, ...string) {}})
 	var entries []wire.Entry
 	for i := range endpoints {
 		entries = append(entries, wire.Entry{Endpoint: fmt.Sprint("e", i), Zone: zones[i%3], Machine: "std", Weight: 1})
 	}
-	t.handle(listed(true, entries...))
+	f.handle(listed(true, entries...))
 	for i := range proxies {
-		v := &villager{t: t, name: fmt.Sprint("p", i), zone: zones[i%3]}
-		t.streams = append(t.streams, v)
+		v := &fleetProxy{fleet: f, name: fmt.Sprint("p", i), zone: zones[i%3]}
+		f.streams = append(f.streams, v)
 	}
-	return t, entries
+	return f, entries
 }
 
-// join lets some of the proxies in, each holding all endpoints of its zone, as from a pilot that died.
-func (t *town) join(some []*villager, entries []wire.Entry) {
+// join lets some of the proxies in, each holding all endpoints of its zone, as from a controller that died.
+func (f *fleet) join(some []*fleetProxy, entries []wire.Entry) {
 	for _, v := range some {
 		var holds []string
 		for _, e := range entries {
@@ -132,17 +136,17 @@
 		}
 		v.follow = follow.NewFollower(follow.Habits{Kinds: []string{"read"}}, holds, 1)
 		v.follow.Joined()
-		t.handle(Join{v, wire.Hello{Proxy: v.name, Zone: v.zone, Rate: 2, Holds: holds}})
+		f.handle(Join{v, wire.Hello{Proxy: v.name, Zone: v.zone, Rate: 2, Holds: holds}})
 	}
 }
 
-// longest returns how long a proxy that has joined has held anything that was told to drain, from when that was told or,
+// longestHeldMs returns how long a proxy that has joined has held anything that was told to drain, from when that was told or,
 // if later, the proxy joined.
-func (t *town) longest(told, joined map[string]float64) (ms float64) {
-	for _, v := range t.streams {
+func (f *fleet) longestHeldMs(told, joined map[string]float64) (ms float64) {
+	for _, v := range f.streams {
 		for name, at := range told {
 			if v.follow != nil && v.follow.Open(0, name) {
-				ms = max(ms, t.now-max(at, joined[v.name]))
+				ms = max(ms, f.now-max(at, joined[v.name]))
 			}
 		}
 	}
--- a/internal/pilot/loadreport.go
+++ b/internal/pilot/loadreport.go
@@ -5,8 +5,8 @@
 	"indigousher/internal/wire"
 )
 
-// load turns a load report into the module's. Figures that none can be are left out and said to wrong.
-func load(figures []wire.Figure, wrong func(f wire.Figure)) brain.Load {
+// loadReport turns a load report into the module's. Figures that none can be are left out and said to wrong.
+func loadReport(figures []wire.Figure, wrong func(f wire.Figure)) brain.Load {
 	if len(figures) == 0 {
 		return nil
 	}
--- a/internal/pilot/loop.go
+++ b/internal/pilot/loop.go
@@ -106,10 +106,10 @@
 		now := l.nowMs()
 		if len(inputs) > 0 || l.core.Due() <= now || l.State().Turns == 0 {
 			l.core.Handle(now, inputs)
-			l.core.plan.Meter.took(len(inputs))
+			l.core.plan.Meter.setInputs(len(inputs))
 		}
 		l.core.Channel.Send(l.nowMs())
-		l.show(inputs)
+		l.publish(inputs)
 		inputs = inputs[:0]
 		in, err := l.wait(ctx)
 		if err != nil {
@@ -150,15 +150,15 @@
 	return inputs
 }
 
-// show publishes the state and warns, at most once a second, when a limit of the channel is near.
-func (l *Loop) show(inputs []Input) {
+// publish publishes the state and warns, at most once a second, when a limit of the channel is near.
+func (l *Loop) publish(inputs []Input) {
 	c := l.core.Channel
 	l.mu.Lock()
 	l.state.Turns++
-	l.state.Proxies, l.state.Endpoints = len(l.core.sessions)+len(l.core.relayed), l.core.endpoints.Len()
-	l.state.Lines, l.state.MostLines, l.state.MostMessages = c.lines, c.MostSeen, c.Crowded
+	l.state.Proxies, l.state.Endpoints = len(l.core.sessions)+len(l.core.relayProxies), l.core.endpoints.Len()
+	l.state.Lines, l.state.MostLines, l.state.MostMessages = c.waitingLines, c.MostSeen, c.Crowded
 	if l.core.plan.Relay == nil {
-		l.state.Standing, l.state.MostStanding, l.state.Refused = l.core.gate.state()
+		l.state.Standing, l.state.MostStanding, l.state.Refused = l.core.reports.stats()
 	}
 	l.state.Believed = l.core.Believed
 	l.state.LastTurn = l.clock.Now()
@@ -168,8 +168,8 @@
 		}
 	}
 	l.mu.Unlock()
-	if c.backlog > 0 && float64(c.lines) > nearPart*c.backlog && l.clock.Now().Sub(l.warned) > time.Second {
+	if c.backlog > 0 && float64(c.waitingLines) > warnFraction*c.backlog && l.clock.Now().Sub(l.warned) > time.Second {
 		l.warned = l.clock.Now()
-		l.log.Warn("channel near its limit", zap.Int("lines", c.lines), zap.Float64("backlog", c.backlog))
+		l.log.Warn("channel near its limit", zap.Int("lines", c.waitingLines), zap.Float64("backlog", c.backlog))
 	}
 }
--- a/internal/pilot/malformed_test.go
+++ b/internal/pilot/malformed_test.go
@@ -11,50 +11,50 @@
 	"indigousher/internal/wire"
 )
 
-// witness is a well-behaved proxy that keeps what crossed to it.
-type witness struct {
-	villager
+// recordingProxy is a well-behaved proxy that keeps the messages sent to it.
+type recordingProxy struct {
+	fleetProxy
 	got []*wire.Orders
 }
 
-func (w *witness) Send(m *wire.Orders) error {
-	w.got = append(w.got, m)
-	return w.villager.Send(m)
+func (p *recordingProxy) Send(m *wire.Orders) error {
+	p.got = append(p.got, m)
+	return p.fleetProxy.Send(m)
 }
 
 // TestHostile guards all that is decided for good proxies against one peer whose messages parse but mean harm: whatever
 // it says, what crosses to the others has sound weights and levels, they keep lines, and the module goes on.
 func TestHostile(t *testing.T) {
 	huge, nan, inf := 1e308, math.NaN(), math.Inf(1)
-	met := func(change func(s *wire.Sums, m *wire.Met)) func(*town, *fake) {
-		return func(w *town, bad *fake) {
-			w.handle(Join{bad, wire.Hello{Proxy: "bad", Zone: "a", Rate: 2}})
+	met := func(change func(s *wire.Sums, m *wire.Met)) func(*fleet, *fakeTransport) {
+		return func(f *fleet, bad *fakeTransport) {
+			f.handle(Join{bad, wire.Hello{Proxy: "bad", Zone: "a", Rate: 2}})
 			for i := range 6 {
-				s := &wire.Sums{Seq: uint64(i + 1), AtMs: w.now, SpanMs: 1000}
+				s := &wire.Sums{Seq: uint64(i + 1), AtMs: f.now, SpanMs: 1000}
 				for e := range 9 {
 					m := wire.Met{Endpoint: fmt.Sprint("e", e), Tries: 9, MeanMs: 20, Load: []wire.Figure{{Name: "util", Value: 0.4}}}
 					change(s, &m)
 					s.Met = append(s.Met, m)
 				}
-				w.handle(Reported{bad, s})
-				w.until(w.now + 1000)
+				f.handle(Reported{bad, s})
+				f.until(f.now + 1000)
 			}
 		}
 	}
-	load := func(name string, v float64) func(*town, *fake) {
+	load := func(name string, v float64) func(*fleet, *fakeTransport) {
 		return met(func(_ *wire.Sums, m *wire.Met) { m.Load = []wire.Figure{{Name: name, Value: v}} })
 	}
-	rate := func(v float64) func(*town, *fake) {
-		return func(w *town, bad *fake) { w.handle(Join{bad, wire.Hello{Proxy: "bad", Zone: "a", Rate: v}}) }
+	rate := func(v float64) func(*fleet, *fakeTransport) {
+		return func(f *fleet, bad *fakeTransport) { f.handle(Join{bad, wire.Hello{Proxy: "bad", Zone: "a", Rate: v}}) }
 	}
-	list := func(change func(e *wire.Entry)) func(*town, *fake) {
-		return func(w *town, _ *fake) {
+	list := func(change func(e *wire.Entry)) func(*fleet, *fakeTransport) {
+		return func(f *fleet, _ *fakeTransport) {
 			e := wire.Entry{Endpoint: "e1", Zone: "b", Machine: "std", Weight: 1}
 			change(&e)
-			w.handle(listed(false, e))
+			f.handle(listed(false, e))
 		}
 	}
-	for name, harm := range map[string]func(*town, *fake){
+	for name, harm := range map[string]func(*fleet, *fakeTransport){
 		"rate not a number": rate(nan), "rate infinite": rate(inf), "rate huge": rate(huge), "rate negative": rate(-huge),
 		"load not a number": load("util", nan), "load infinite": load("util", inf), "load huge": load("util", huge),
 		"load negative": load("util", -huge), "queue infinite": load("waiting", inf), "queue huge": load("waiting", huge),
@@ -76,34 +76,36 @@
 		"start at end":     list(func(e *wire.Entry) { e.Started = math.MaxUint64 }),
 		"start just past":  list(func(e *wire.Entry) { e.Started = 1 }),
 		"cell at end":      list(func(e *wire.Entry) { e.Cell = math.MaxInt32 }),
-		"probe's load":     func(w *town, _ *fake) { w.handle(Probed{"e1", "ok", huge, []wire.Figure{{Name: "util", Value: inf}}}) },
-		"marks that never were": func(w *town, bad *fake) {
-			w.handle(Join{bad, wire.Hello{Proxy: "bad", Zone: "a", Rate: 2}})
+		"probe's load": func(f *fleet, _ *fakeTransport) {
+			f.handle(Probed{"e1", "ok", huge, []wire.Figure{{Name: "util", Value: inf}}})
+		},
+		"marks that never were": func(f *fleet, bad *fakeTransport) {
+			f.handle(Join{bad, wire.Hello{Proxy: "bad", Zone: "a", Rate: 2}})
 			for n := range 70000 {
-				w.handle(Applied{bad, wire.Done{Mark: n}})
+				f.handle(Applied{bad, wire.Done{Mark: n}})
 			}
 		},
-		"a slice where there are none": func(w *town, _ *fake) {
+		"a slice where there are none": func(f *fleet, _ *fakeTransport) {
 			for n := range 3 {
-				w.handle(SliceGiven{&wire.Slices{Slice: n, Given: true}})
+				f.handle(SliceGiven{&wire.Slices{Slice: n, Given: true}})
 			}
-			w.handle(SliceGiven{&wire.Slices{Slice: wire.EveryTable, Given: true}})
+			f.handle(SliceGiven{&wire.Slices{Slice: wire.EveryTable, Given: true}})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w, entries := newTown(9, 0, 1000, 1500, 2000)
-			var good []*witness
+			f, entries := newFleet(9, 0, 1000, 1500, 2000)
+			var good []*recordingProxy
 			for i := range 6 {
-				v := &witness{villager: villager{t: w, name: fmt.Sprint("p", i), zone: []string{"a", "b", "c"}[i%3]}}
+				v := &recordingProxy{fleetProxy: fleetProxy{fleet: f, name: fmt.Sprint("p", i), zone: []string{"a", "b", "c"}[i%3]}}
 				good = append(good, v)
 			}
-			w.greet(good, entries)
-			w.until(8000)
-			harm(w, &fake{})
+			f.joinRecording(good, entries)
+			f.until(8000)
+			harm(f, &fakeTransport{})
 			before := len(good[0].got)
-			w.until(w.now + 12000)
+			f.until(f.now + 12000)
 			assert.GreaterOrEqual(t, len(good[0].got), before)
-			assert.LessOrEqual(t, w.core.Channel.MostSeen, 1500)
+			assert.LessOrEqual(t, f.core.Channel.MostSeen, 1500)
 			for _, v := range good {
 				for _, m := range v.got {
 					for _, op := range m.Ops {
@@ -121,8 +123,8 @@
 			// a drain still goes through
 			e := entries[4]
 			e.Phase = wire.PhaseDraining
-			w.handle(listed(false, e))
-			w.until(w.now + 2000)
+			f.handle(listed(false, e))
+			f.until(f.now + 2000)
 			for _, v := range good {
 				assert.False(t, v.follow.Open(0, "e4"), "%s after a drain", v.name)
 			}
@@ -130,11 +132,11 @@
 	}
 }
 
-// greet lets witnesses in.
-func (t *town) greet(some []*witness, entries []wire.Entry) {
+// joinRecording lets recording proxies in.
+func (f *fleet) joinRecording(some []*recordingProxy, entries []wire.Entry) {
 	for _, v := range some {
-		plain := &v.villager
-		t.join([]*villager{plain}, entries) // makes its follower
-		t.handle(Leave{plain}, Join{v, wire.Hello{Proxy: v.name, Zone: v.zone, Rate: 2, Fresh: true}})
+		plain := &v.fleetProxy
+		f.join([]*fleetProxy{plain}, entries) // makes its follower
+		f.handle(Leave{plain}, Join{v, wire.Hello{Proxy: v.name, Zone: v.zone, Rate: 2, Fresh: true}})
 	}
 }
--- a/internal/pilot/metrics.go
+++ b/internal/pilot/metrics.go
@@ -13,15 +13,15 @@
 
 // Meter holds the runtime's metrics. A nil Meter counts nothing.
 type Meter struct {
-	proxies, lines, nearBacklog, nearMessages prometheus.Gauge
-	messages, linesSent                       prometheus.Counter
-	odd, cut                                  *prometheus.CounterVec
-	inbox                                     prometheus.Gauge
-	waited, decided                           prometheus.Histogram
-	standing, ageMid, ageWorst                prometheus.Gauge
-	reported                                  *prometheus.CounterVec
-	counted                                   []uint64
-	DecideTime                                time.Duration // the module's own, all in all
+	proxiesJoined, waitingLines, backlogFraction, messageFraction prometheus.Gauge
+	messagesSent, linesSent                                       prometheus.Counter
+	malformed, closedStreams                                      *prometheus.CounterVec
+	turnInputs                                                    prometheus.Gauge
+	waitSeconds, decideSeconds                                    prometheus.Histogram
+	waitingSums, ageMedian, ageP99                                prometheus.Gauge
+	reportLines                                                   *prometheus.CounterVec
+	reportedBefore                                                []uint64
+	DecideTime                                                    time.Duration // the module's own, all in all
 }
 
 // NewMeter registers the metrics.
@@ -49,84 +49,84 @@
 		return h
 	}
 	return &Meter{
-		proxies:      gauge("proxies_joined", "Proxies with a stream to this pilot."),
-		lines:        gauge("channel_lines", "Lines that wait in the channel, heads included."),
-		nearBacklog:  gauge("channel_backlog_part", "Waiting lines as a part of the backlog's limit."),
-		nearMessages: gauge("proxy_messages_part", "Messages to the proxy last written to, as a part of their limit."),
-		inbox:        gauge("inbox_inputs", "Inputs taken in by the last turn of the loop."),
-		standing:     gauge("intake_standing", "Sums that wait to be passed on to the module."),
-		ageMid:       gauge("intake_age_ms_p50", "Age of the figures passed on, median, since the start."),
-		ageWorst:     gauge("intake_age_ms_p99", "Age of the figures passed on, 99th percentile, since the start."),
-		reported:     vec("intake_lines_total", "Report lines by what became of them."),
-		messages:     counter("channel_messages_total", "Messages that left the channel."),
-		linesSent:    counter("channel_lines_total", "Lines that left the channel, heads included."),
-		odd:          vec("odd_inputs_total", "Inputs that could not be used, by reason."),
-		cut:          vec("streams_cut_total", "Streams ended by this pilot, by reason."),
-		waited:       histogram("channel_wait_seconds", "Time from order to leaving the channel."),
-		decided:      histogram("decide_seconds", "Time of the module for one turn of the loop."),
+		proxiesJoined:   gauge("proxies_joined", "Proxies with a stream to this pilot."),
+		waitingLines:    gauge("channel_lines", "Lines that wait in the channel, heads included."),
+		backlogFraction: gauge("channel_backlog_part", "Waiting lines as a part of the backlog's limit."),
+		messageFraction: gauge("proxy_messages_part", "Messages to the proxy last written to, as a part of their limit."),
+		turnInputs:      gauge("inbox_inputs", "Inputs taken in by the last turn of the loop."),
+		waitingSums:     gauge("intake_standing", "Sums that wait to be passed on to the module."),
+		ageMedian:       gauge("intake_age_ms_p50", "Age of the figures passed on, median, since the start."),
+		ageP99:          gauge("intake_age_ms_p99", "Age of the figures passed on, 99th percentile, since the start."),
+		reportLines:     vec("intake_lines_total", "Report lines by what became of them."),
+		messagesSent:    counter("channel_messages_total", "Messages that left the channel."),
+		linesSent:       counter("channel_lines_total", "Lines that left the channel, heads included."),
+		malformed:       vec("odd_inputs_total", "Inputs that could not be used, by reason."),
+		closedStreams:   vec("streams_cut_total", "Streams ended by this pilot, by reason."),
+		waitSeconds:     histogram("channel_wait_seconds", "Time from order to leaving the channel."),
+		decideSeconds:   histogram("decide_seconds", "Time of the module for one turn of the loop."),
 	}
 }
 
-func (m *Meter) joined(n int) {
+func (m *Meter) setProxies(n int) {
 	if m != nil {
-		m.proxies.Set(float64(n))
+		m.proxiesJoined.Set(float64(n))
 	}
 }
 
-func (m *Meter) waiting(lines int, backlog float64) {
+func (m *Meter) setWaiting(lines int, backlog float64) {
 	if m == nil {
 		return
 	}
-	m.lines.Set(float64(lines))
+	m.waitingLines.Set(float64(lines))
 	if backlog > 0 {
-		m.nearBacklog.Set(float64(lines) / backlog)
+		m.backlogFraction.Set(float64(lines) / backlog)
 	}
 }
 
-func (m *Meter) sent(o *wire.Orders, recent, most int) {
+func (m *Meter) messageSent(o *wire.Orders, recent, most int) {
 	if m == nil {
 		return
 	}
-	m.messages.Inc()
+	m.messagesSent.Inc()
 	m.linesSent.Add(float64(o.Lines))
-	m.waited.Observe(o.AgeMs / 1000)
+	m.waitSeconds.Observe(o.AgeMs / 1000)
 	if most > 0 {
-		m.nearMessages.Set(float64(recent) / float64(most))
+		m.messageFraction.Set(float64(recent) / float64(most))
 	}
 }
 
-// intake shows what became of report lines; counts are those since the start, by reason.
-func (m *Meter) intake(counts []uint64, left int, ages *hdrhistogram.Histogram) {
+// setIntake shows what became of report lines; counts are those since the start, by reason.
+func (m *Meter) setIntake(counts []uint64, left int, ages *hdrhistogram.Histogram) {
 	if m == nil {
 		return
 	}
-	if m.counted == nil {
-		m.counted = make([]uint64, len(counts))
+	if m.reportedBefore == nil {
+		m.reportedBefore = make([]uint64, len(counts))
 	}
 	for i, r := range intake.Reasons() {
-		m.reported.WithLabelValues(r.String()).Add(float64(counts[i] - m.counted[i]))
-		m.counted[i] = counts[i]
+		m.reportLines.WithLabelValues(r.String()).Add(float64(counts[i] - m.reportedBefore[i]))
+		m.reportedBefore[i] = counts[i]
 	}
-	m.standing.Set(float64(left))
-	m.ageMid.Set(float64(ages.ValueAtQuantile(50)))
-	m.ageWorst.Set(float64(ages.ValueAtQuantile(99)))
+	m.waitingSums.Set(float64(left))
+	m.ageMedian.Set(float64(ages.ValueAtQuantile(50)))
+	m.ageP99.Set(float64(ages.ValueAtQuantile(99)))
 }
 
-func (m *Meter) oddity(what string) {
+func (m *Meter) malformedInput(what string) {
 	if m != nil {
-		m.odd.WithLabelValues(what).Inc()
+		m.malformed.WithLabelValues(what).Inc()
 	}
 }
 
-func (m *Meter) cutOff(why string) {
+func (m *Meter) streamClosed(why string) {
 	if m != nil {
-		m.cut.WithLabelValues(why).Inc()
+		m.closedStreams.WithLabelValues(why).Inc()
 	}
 }
 
-func (m *Meter) took(inputs int) {
+func (m *Meter) setInputs(inputs int) {
 	if m != nil {
-		m.inbox.Set(float64(inputs))
+		m.turnInputs.Set(float64(inputs))
 	}
 }
 
@@ -139,6 +139,6 @@
 	orders := f()
 	took := time.Since(start)
 	m.DecideTime += took
-	m.decided.Observe(took.Seconds())
+	m.decideSeconds.Observe(took.Seconds())
 	return orders
 }
--- a/internal/pilot/recorded.go
+++ b/internal/pilot/recorded.go
@@ -2,9 +2,9 @@
 
 import "indigousher/brain"
 
-// knows returns whether a recorded note names what there is, in figures that the intake would have passed on. The module
+// validRecordedEvent returns whether a recorded note names what there is, in figures that the intake would have passed on. The module
 // takes any index for one that it may use.
-func (c *Core) knows(n brain.Note) bool {
+func (c *Core) validRecordedEvent(n brain.Note) bool {
 	within := func(i, n int) bool { return i >= 0 && i < n }
 	switch n := n.(type) {
 	case brain.Met:
--- a/internal/pilot/relay.go
+++ b/internal/pilot/relay.go
@@ -7,94 +7,94 @@
 	"indigousher/internal/translate"
 )
 
-// relayedNote turns an input about relayed proxies into notes.
-func (c *Core) relayedNote(notes []brain.Note, in Input) []brain.Note {
+// handleRelayInput turns an input about relayed proxies into notes.
+func (c *Core) handleRelayInput(events []brain.Note, in Input) []brain.Note {
 	switch in := in.(type) {
 	case Relayed:
-		return c.relayedJoin(notes, in)
+		return c.joinRelayed(events, in)
 	case Unrelayed:
-		return c.relayedLeave(notes, in.Proxy)
+		return c.leaveRelayed(events, in.Proxy)
 	case RelayApplied:
-		if c.relayed[in.Proxy] {
-			return append(notes, brain.Applied{Proxy: in.Proxy, Number: in.Mark, TookMs: in.TookMs})
+		if c.relayProxies[in.Proxy] {
+			return append(events, brain.Applied{Proxy: in.Proxy, Number: in.Mark, TookMs: in.TookMs})
 		}
 	case RelayStalled:
-		return append(notes, brain.Stalled{ForMs: in.ForMs, Again: in.Again, Joined: in.Joined})
+		return append(events, brain.Stalled{ForMs: in.ForMs, Again: in.Again, Joined: in.Joined})
 	case ZoneMet:
 		zone, known := c.zones.Find(in.Zone)
 		endpoint, listed := c.endpoints.Find(in.Endpoint)
 		if !known || !listed {
-			c.odd("report of an unknown zone or endpoint")
-			return notes
+			c.reportMalformed("report of an unknown zone or endpoint")
+			return events
 		}
 		c.Believed.Reports++
 		c.Believed.SpanMs += in.SpanMs
-		return append(notes, brain.Met{Endpoint: endpoint, Zone: zone, Tries: in.Tries, Failed: in.Failed,
+		return append(events, brain.Met{Endpoint: endpoint, Zone: zone, Tries: in.Tries, Failed: in.Failed,
 			MeanMs: in.MeanMs, SpanMs: in.SpanMs, Load: translate.Load(in.Load)})
 	case ProxyDemand:
 		kind, known := c.kinds.Find(in.Kind)
-		if !known || !c.provides(in.Proxy) {
-			c.odd("demand of an unknown req kind or proxy")
-			return notes
+		if !known || !c.validProxy(in.Proxy) {
+			c.reportMalformed("demand of an unknown req kind or proxy")
+			return events
 		}
 		c.Believed.Reports++
 		c.Believed.SpanMs += in.SpanMs
-		return append(notes, brain.Demand{Proxy: in.Proxy, Kind: kind, Reqs: in.Reqs, Unanswered: in.Unanswered,
+		return append(events, brain.Demand{Proxy: in.Proxy, Kind: kind, Reqs: in.Reqs, Unanswered: in.Unanswered,
 			SpanMs: in.SpanMs})
 	}
-	return notes
+	return events
 }
 
-// provides returns whether the terms tell of a proxy of that number.
-func (c *Core) provides(proxy int) bool { return proxy >= 0 && proxy < c.plan.MostProxies }
+// validProxy returns whether the terms tell of a proxy of that number.
+func (c *Core) validProxy(proxy int) bool { return proxy >= 0 && proxy < c.plan.MostProxies }
 
-func (c *Core) relayedJoin(notes []brain.Note, in Relayed) []brain.Note {
+func (c *Core) joinRelayed(events []brain.Note, in Relayed) []brain.Note {
 	zone, known := c.zones.Find(in.Zone)
-	if !known || !c.provides(in.Proxy) || !brain.Sound(in.Rate) {
-		c.odd("proxy of an unknown number or zone", fmt.Sprint(in.Proxy), in.Zone)
-		return notes
+	if !known || !c.validProxy(in.Proxy) || !brain.Sound(in.Rate) {
+		c.reportMalformed("proxy of an unknown number or zone", fmt.Sprint(in.Proxy), in.Zone)
+		return events
 	}
-	stood := in.Stood && c.relayed[in.Proxy]
+	stood := in.Stood && c.relayProxies[in.Proxy]
 	if !stood {
-		notes = c.relayedLeave(notes, in.Proxy)
+		events = c.leaveRelayed(events, in.Proxy)
 	}
-	c.relayed[in.Proxy] = true
-	return append(notes, brain.Joined{Proxy: in.Proxy, Zone: zone, Rate: in.Rate, Fresh: in.Fresh, Stood: stood})
+	c.relayProxies[in.Proxy] = true
+	return append(events, brain.Joined{Proxy: in.Proxy, Zone: zone, Rate: in.Rate, Fresh: in.Fresh, Stood: stood})
 }
 
-func (c *Core) relayedLeave(notes []brain.Note, proxy int) []brain.Note {
-	if !c.relayed[proxy] {
-		return notes
+func (c *Core) leaveRelayed(events []brain.Note, proxy int) []brain.Note {
+	if !c.relayProxies[proxy] {
+		return events
 	}
-	delete(c.relayed, proxy)
+	delete(c.relayProxies, proxy)
 	c.plan.Relay.Gone(proxy)
-	return append(notes, brain.Left{Proxy: proxy})
+	return append(events, brain.Left{Proxy: proxy})
 }
 
-// relay collects an order for the relay, if that is where it goes.
-func (c *Core) relay(o brain.Order) bool {
+// forwardToRelay collects an order for the relay, if that is where it goes.
+func (c *Core) forwardToRelay(o brain.Order) bool {
 	if c.plan.Relay == nil {
 		return false
 	}
 	switch o := o.(type) {
 	case brain.Bind:
-		if !c.relayed[o.Proxy] {
-			c.odd("bind of a proxy that has left", fmt.Sprint(o.Proxy))
+		if !c.relayProxies[o.Proxy] {
+			c.reportMalformed("bind of a proxy that has left", fmt.Sprint(o.Proxy))
 			return true
 		}
 	case brain.SetLine, brain.ClearTable, brain.Withdraw, brain.Admit, brain.Mark:
 	default:
 		return false
 	}
-	c.turn = append(c.turn, o)
+	c.relayCommands = append(c.relayCommands, o)
 	return true
 }
 
-// handOver gives the relay what the turn ordered.
-func (c *Core) handOver() {
-	if len(c.turn) > 0 {
-		c.plan.Relay.Carry(c.turn, c.endpoints.Name)
-		clear(c.turn)
-		c.turn = c.turn[:0]
+// flushRelay gives the relay what the turn ordered.
+func (c *Core) flushRelay() {
+	if len(c.relayCommands) > 0 {
+		c.plan.Relay.Carry(c.relayCommands, c.endpoints.Name)
+		clear(c.relayCommands)
+		c.relayCommands = c.relayCommands[:0]
 	}
 }
--- a/internal/pilot/relay_test.go
+++ b/internal/pilot/relay_test.go
@@ -33,8 +33,8 @@
 			[]brain.Note{brain.Demand{Proxy: 2, Reqs: 3, SpanMs: 4}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := &scripted{}
-			core, _ := relayedCore(d)
+			d := &oneTurnDecider{}
+			core, _ := newRelayCore(d)
 			core.Handle(0, []Input{Listed{List: &wire.List{Whole: true, Entries: []wire.Entry{entry}}, Remembered: true}})
 			assert.Equal(t, brain.Remembered, d.notes[0].(brain.Listing).Mode)
 			d.notes = nil
@@ -47,8 +47,8 @@
 
 // TestOneTurnIsOneCall guards the order in which a turn's orders go out, and that one for a proxy that has left is none.
 func TestOneTurnIsOneCall(t *testing.T) {
-	d := &scripted{}
-	c, k := relayedCore(d)
+	d := &oneTurnDecider{}
+	c, k := newRelayCore(d)
 	d.orders = []brain.Order{brain.SetLine{Table: 1, Weight: 1}, brain.Bind{Table: 1, Proxy: 3}, brain.Bind{Table: 1, Proxy: 4}, brain.Mark{Number: 1}}
 	c.Handle(0, []Input{Relayed{Proxy: 3, Zone: "a"}})
 	assert.Equal(t, 3, k.orders)
--- a/internal/pilot/reportgate.go
+++ b/internal/pilot/reportgate.go
@@ -12,91 +12,91 @@
 	"indigousher/internal/wire"
 )
 
-// gate stands between the streams and the loop: reports are taken in where they are read, by any goroutine, and told
+// reportGate stands between the streams and the loop: reports are taken in where they are read, by any goroutine, and told
 // to the loop once a period. What becomes of them the intake module decides; the gate knows names and holds the lock.
-type gate struct {
-	mu        sync.Mutex
-	in        *intake.Intake[[]wire.Figure]
-	proxies   map[Stream]int
-	streams   map[int]Stream
-	endpoints map[string]int
-	kinds     map[string]int
-	report    intake.Report[[]wire.Figure]
-	periodMs  float64
-	lastMs    float64
-	slices    map[int]map[int]*brain.SliceDemand // in this pilot's charge, by slice and kind: what came since the last telling
-	unknown   map[string]int                     // what was named that nobody knows, since the last telling
-	ages      *hdrhistogram.Histogram
+type reportGate struct {
+	mu          sync.Mutex
+	intake      *intake.Intake[[]wire.Figure]
+	proxies     map[Stream]int
+	streams     map[int]Stream
+	endpoints   map[string]int
+	kinds       map[string]int
+	scratch     intake.Report[[]wire.Figure]
+	periodMs    float64
+	lastFlushMs float64
+	slices      map[int]map[int]*brain.SliceDemand // in this pilot's charge, by slice and kind: what came since the last telling
+	malformed   map[string]int                     // what was named that nobody knows, since the last telling
+	ages        *hdrhistogram.Histogram
 }
 
-// oldest is the greatest age that the histogram tells apart, in ms.
-const oldest = 600_000
+// maxAgeMs is the greatest age that the histogram tells apart, in ms.
+const maxAgeMs = 600_000
 
-func newGate(t intake.Terms, kinds []string) *gate {
-	g := &gate{in: intake.New[[]wire.Figure](t), proxies: map[Stream]int{}, streams: map[int]Stream{},
-		endpoints: map[string]int{}, kinds: map[string]int{}, periodMs: t.PeriodMs, slices: map[int]map[int]*brain.SliceDemand{}, unknown: map[string]int{},
-		ages: hdrhistogram.New(1, oldest, 2)}
+func newReportGate(t intake.Terms, kinds []string) *reportGate {
+	g := &reportGate{intake: intake.New[[]wire.Figure](t), proxies: map[Stream]int{}, streams: map[int]Stream{},
+		endpoints: map[string]int{}, kinds: map[string]int{}, periodMs: t.PeriodMs, slices: map[int]map[int]*brain.SliceDemand{}, malformed: map[string]int{},
+		ages: hdrhistogram.New(1, maxAgeMs, 2)}
 	for k, name := range kinds {
 		g.kinds[name] = k
 	}
 	return g
 }
 
-func (g *gate) due() float64 { return g.lastMs + g.periodMs }
+func (g *reportGate) due() float64 { return g.lastFlushMs + g.periodMs }
 
-func (g *gate) join(nowMs float64, s *session) bool {
+func (g *reportGate) addProxy(nowMs float64, s *session) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.in.Join(nowMs, s.proxy, s.zone) {
+	if !g.intake.Join(nowMs, s.proxy, s.zone) {
 		return false
 	}
 	g.proxies[s.stream], g.streams[s.proxy] = s.proxy, s.stream
 	return true
 }
 
-func (g *gate) leave(s *session) {
+func (g *reportGate) removeProxy(s *session) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.in.Leave(s.proxy)
+	g.intake.Leave(s.proxy)
 	delete(g.proxies, s.stream)
 	delete(g.streams, s.proxy)
 }
 
-// list tells of an endpoint as the module hears of it.
-func (g *gate) list(nowMs float64, name string, e brain.Entry) {
+// updateEndpoint tells of an endpoint as the module hears of it.
+func (g *reportGate) updateEndpoint(nowMs float64, name string, e brain.Entry) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.endpoints[name] = e.Endpoint
-	g.in.List(nowMs, e.Endpoint, e.Phase, e.Started)
+	g.intake.List(nowMs, e.Endpoint, e.Phase, e.Started)
 }
 
-// gone tells that all endpoints but some are no longer listed.
-func (g *gate) gone(nowMs float64, named map[int]bool) {
+// removeUnlisted tells that all endpoints but some are no longer listed.
+func (g *reportGate) removeUnlisted(nowMs float64, named map[int]bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, i := range g.endpoints {
 		if !named[i] {
-			g.in.List(nowMs, i, brain.Gone, 0)
+			g.intake.List(nowMs, i, brain.Gone, 0)
 		}
 	}
 }
 
-// take takes one report in.
-func (g *gate) take(nowMs float64, from Stream, sums *wire.Sums) {
+// accept takes one report in.
+func (g *reportGate) accept(nowMs float64, from Stream, sums *wire.Sums) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	proxy, joined := g.proxies[from]
 	if !joined {
 		proxy = -1 // the module counts it
 	}
-	r := &g.report
+	r := &g.scratch
 	r.Sender, r.Seq, r.AtMs, r.SpanMs = proxy, sums.Seq, sums.AtMs, sums.SpanMs
 	r.Lines, r.Kinds = r.Lines[:0], r.Kinds[:0]
 	for i := range sums.Met {
 		m := &sums.Met[i]
 		e, known := g.endpoints[m.Endpoint]
 		if !known {
-			g.unknown["sums of an unknown endpoint"]++
+			g.malformed["sums of an unknown endpoint"]++
 			e = -1
 		}
 		r.Lines = append(r.Lines, intake.Line[[]wire.Figure]{Endpoint: e, Tries: m.Tries, Failed: m.Failed,
@@ -105,19 +105,19 @@
 	for _, d := range sums.Demand {
 		k, known := g.kinds[d.Kind]
 		if !known {
-			g.unknown["demand of an unknown req kind"]++
+			g.malformed["demand of an unknown req kind"]++
 			continue
 		}
 		r.Kinds = append(r.Kinds, intake.KindLine{Kind: k, Reqs: d.Reqs, Unanswered: d.Unanswered})
 	}
-	g.in.Take(nowMs, r)
+	g.intake.Take(nowMs, r)
 	if joined {
-		g.sliceLoad(sums)
+		g.addSliceDemand(sums)
 	}
 }
 
-// slice notes that a slice is in this pilot's charge or no longer.
-func (g *gate) slice(number int, given bool) {
+// assignSlice notes that a slice is in this pilot's charge or no longer.
+func (g *reportGate) assignSlice(number int, given bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if delete(g.slices, number); given {
@@ -125,13 +125,13 @@
 	}
 }
 
-// sliceLoad adds up demand for the slices in this pilot's charge; it is bounded by these and the kinds.
-func (g *gate) sliceLoad(sums *wire.Sums) {
+// addSliceDemand adds up demand for the slices in this pilot's charge; it is bounded by these and the kinds.
+func (g *reportGate) addSliceDemand(sums *wire.Sums) {
 	for _, x := range sums.Slices {
 		k, known := g.kinds[x.Kind]
 		of := g.slices[x.Slice]
 		if !known || of == nil || x.Unanswered > x.Reqs {
-			g.unknown["load of an unknown slice or req kind"]++
+			g.malformed["load of an unknown slice or req kind"]++
 			continue
 		}
 		if of[k] == nil {
@@ -141,64 +141,64 @@
 	}
 }
 
-// tellSlices passes on what came for slices.
-func (g *gate) tellSlices(notes []brain.Note, spanMs float64) []brain.Note {
+// flushSlices passes on what came for slices.
+func (g *reportGate) flushSlices(events []brain.Note, spanMs float64) []brain.Note {
 	for _, number := range slices.Sorted(maps.Keys(g.slices)) {
 		of := g.slices[number]
 		for _, k := range slices.Sorted(maps.Keys(of)) {
 			of[k].SpanMs = spanMs
-			notes = append(notes, *of[k])
+			events = append(events, *of[k])
 		}
 		clear(of)
 	}
-	return notes
+	return events
 }
 
-// asked is what a stream is to be asked for.
-type asked struct {
+// paceRequest is what a stream is to be asked for.
+type paceRequest struct {
 	stream Stream
 	pace   *wire.Pace
 }
 
-// tell passes on what a period may, and what streams are to be asked for.
-func (g *gate) tell(notes []brain.Note, nowMs float64, m *Meter) ([]brain.Note, []asked, map[string]int) {
+// flush passes on what a period may, and what streams are to be asked for.
+func (g *reportGate) flush(events []brain.Note, nowMs float64, m *Meter) ([]brain.Note, []paceRequest, map[string]int) {
 	if nowMs < g.due() {
-		return notes, nil, nil
+		return events, nil, nil
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	span := nowMs - g.lastMs
-	told := g.in.Tell(nowMs, span)
-	g.lastMs = nowMs
+	span := nowMs - g.lastFlushMs
+	told := g.intake.Tell(nowMs, span)
+	g.lastFlushMs = nowMs
 	for i := range told.Mets {
-		notes = append(notes, told.Mets[i].Note(load(told.Mets[i].Load, func(wire.Figure) { g.unknown[oddFigure]++ })))
+		events = append(events, told.Mets[i].Note(loadReport(told.Mets[i].Load, func(wire.Figure) { g.malformed[figureOutOfRange]++ })))
 	}
 	for _, d := range told.Demands {
-		notes = append(notes, d)
+		events = append(events, d)
 	}
-	notes = g.tellSlices(notes, span)
+	events = g.flushSlices(events, span)
 	for _, a := range told.Ages {
-		_ = g.ages.RecordValue(int64(min(max(a, 0), oldest))) // within its range by the line itself
+		_ = g.ages.RecordValue(int64(min(max(a, 0), maxAgeMs))) // within its range by the line itself
 	}
-	var asks []asked
-	for _, a := range g.in.Deal(nowMs) {
-		asks = append(asks, asked{g.streams[a.Sender], &wire.Pace{PeriodMs: int(a.PeriodMs), Lines: a.Lines, Changes: a.Changes}})
+	var asks []paceRequest
+	for _, a := range g.intake.Deal(nowMs) {
+		asks = append(asks, paceRequest{g.streams[a.Sender], &wire.Pace{PeriodMs: int(a.PeriodMs), Lines: a.Lines, Changes: a.Changes}})
 	}
-	m.intake(g.in.Counts[:], told.Left, g.ages)
-	unknown := g.unknown
-	g.unknown = map[string]int{}
-	return notes, asks, unknown
+	m.setIntake(g.intake.Counts[:], told.Left, g.ages)
+	malformed := g.malformed
+	g.malformed = map[string]int{}
+	return events, asks, malformed
 }
 
-// state returns how many sums wait, the most that ever did, and the lines by what became of them.
-func (g *gate) state() (waiting, most int, counts map[string]uint64) {
+// stats returns how many sums wait, the most that ever did, and the lines by what became of them.
+func (g *reportGate) stats() (waiting, most int, counts map[string]uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	counts = map[string]uint64{}
 	for i, r := range intake.Reasons() {
-		if g.in.Counts[i] > 0 {
-			counts[r.String()] = g.in.Counts[i]
+		if g.intake.Counts[i] > 0 {
+			counts[r.String()] = g.intake.Counts[i]
 		}
 	}
-	return g.in.Waiting(), g.in.MostOrder, counts
+	return g.intake.Waiting(), g.intake.MostOrder, counts
 }
--- a/internal/pilot/reportgate_test.go
+++ b/internal/pilot/reportgate_test.go
@@ -12,11 +12,11 @@
 // TestUnjoinedReports guards a proxy's sums against reports on streams that have not joined, or no longer are: they count for
 // nobody, least of all for the proxy with the first number.
 func TestUnjoinedReports(t *testing.T) {
-	d, joined, left := &script{}, &fake{}, &fake{}
-	c := NewCore(plan(d, &fake{}))
+	d, joined, left := &scriptedDecider{}, &fakeTransport{}, &fakeTransport{}
+	c := NewCore(plan(d, &fakeTransport{}))
 	c.Handle(0, []Input{listed(true, entry("x", 0)), Join{joined, hello("p", "a")}, Join{left, hello("q", "a")}})
 	c.Handle(1, []Input{Leave{left}})
-	for i, s := range []Stream{&fake{}, left} {
+	for i, s := range []Stream{&fakeTransport{}, left} {
 		c.Handle(float64(100+i), []Input{Reported{s, &wire.Sums{Seq: 1, SpanMs: 500, Met: []wire.Met{{Endpoint: "x", Tries: 4}},
 			Demand: []wire.Demand{{Kind: "book", Reqs: 5}}}}})
 	}
@@ -32,8 +32,8 @@
 // TestReportLines guards the bound of report lines: what does not fit adds up; what begins to fail goes first, then
 // what has waited longest.
 func TestReportLines(t *testing.T) {
-	d, stream := &script{}, &fake{}
-	p := plan(d, &fake{})
+	d, stream := &scriptedDecider{}, &fakeTransport{}
+	p := plan(d, &fakeTransport{})
 	p.Intake.ToldPerS = 1
 	c := NewCore(p)
 	c.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0)), Join{stream, hello("p", "a")}})
--- a/internal/pilot/session_test.go
+++ b/internal/pilot/session_test.go
@@ -12,20 +12,20 @@
 
 // TestNames guards against a proxy that comes back while its old stream hangs, names without end, and strangers.
 func TestNames(t *testing.T) {
-	d, edge := &script{}, &fake{}
+	d, edge := &scriptedDecider{}, &fakeTransport{}
 	c := NewCore(plan(d, edge))
-	first, second := &fake{}, &fake{}
+	first, second := &fakeTransport{}, &fakeTransport{}
 	c.Handle(0, []Input{Join{first, hello("p", "a")}})
 	c.Handle(1, []Input{Join{second, hello("p", "a")}})
 	assert.NotEmpty(t, first.closed)
 	c.Handle(2, []Input{Leave{first}, Applied{first, wire.Done{Mark: 1}}}) // of no stream that lives
 	assert.Len(t, c.sessions, 1)
 	assert.Equal(t, []brain.Note{brain.Joined{Rate: 2, Fresh: true}, brain.Left{}, brain.Joined{Rate: 2, Fresh: true}}, d.notes)
-	stranger := &fake{}
+	stranger := &fakeTransport{}
 	c.Handle(3, []Input{Join{stranger, hello("q", "nowhere")}})
 	assert.Equal(t, "unknown zone", stranger.closed)
 	for i := range 4 {
-		c.Handle(4, []Input{Join{&fake{}, hello(fmt.Sprint("r", i), "a")}})
+		c.Handle(4, []Input{Join{&fakeTransport{}, hello(fmt.Sprint("r", i), "a")}})
 	}
 	assert.Len(t, c.sessions, 3)
 }
--- a/internal/pilot/shares.go
+++ b/internal/pilot/shares.go
@@ -11,9 +11,9 @@
 	out := map[int]map[int]float64{}
 	rates := map[int]float64{}
 	tables := map[int]map[int]float64{} // parts by table, made once
-	for _, s := range c.inOrder() {
+	for _, s := range c.sortedSessions() {
 		rate := max(s.hello.Rate, 1e-9)
-		for _, number := range slices.Sorted(maps.Keys(s.bound)) {
+		for _, number := range slices.Sorted(maps.Keys(s.boundKinds)) {
 			parts := tables[number]
 			if parts == nil {
 				parts = c.parts(number)
@@ -49,12 +49,12 @@
 	}
 	sum, parts := 0.0, map[int]float64{}
 	for _, e := range slices.Sorted(maps.Keys(t.lines)) { // in order: sums are to be the same each time
-		if !c.withdrawn[e] {
+		if !c.excluded[e] {
 			sum += t.lines[e]
 		}
 	}
 	for e, w := range t.lines {
-		if !c.withdrawn[e] && sum > 0 {
+		if !c.excluded[e] && sum > 0 {
 			parts[e] = w / sum
 		}
 	}
--- a/internal/pilot/slices.go
+++ b/internal/pilot/slices.go
@@ -10,41 +10,41 @@
 // keyRange is which keys fall into a slice.
 type keyRange struct{ from, to string }
 
-// slice turns a slice that is given or taken into notes: its charge, and the lines stored of it. Proxies learn the range
+// assignSlice turns a slice that is given or taken into notes: its charge, and the lines stored of it. Proxies learn the range
 // of its keys and the stored lines, which stand until the module orders others. A slice's number is that of its table, so
 // one that the deployment does not have would wipe a zone's table at every proxy.
-func (c *Core) slice(notes []brain.Note, x *wire.Slices) []brain.Note {
+func (c *Core) assignSlice(events []brain.Note, x *wire.Slices) []brain.Note {
 	if most, _ := c.plan.Terms["slices"].(float64); float64(x.Slice) >= most {
-		c.odd("slice that the terms do not tell of", fmt.Sprint(x.Slice))
-		return notes
+		c.reportMalformed("slice that the terms do not tell of", fmt.Sprint(x.Slice))
+		return events
 	}
-	c.gate.slice(x.Slice, x.Given)
+	c.reports.assignSlice(x.Slice, x.Given)
 	delete(c.tables, x.Slice)
-	if delete(c.slices, x.Slice); x.Given {
-		c.slices[x.Slice] = keyRange{x.From, x.To}
+	if delete(c.sliceRanges, x.Slice); x.Given {
+		c.sliceRanges[x.Slice] = keyRange{x.From, x.To}
 	}
-	notes = append(notes, brain.SliceCharge{Slice: x.Slice, Given: x.Given})
+	events = append(events, brain.SliceCharge{Slice: x.Slice, Given: x.Given})
 	for _, l := range x.Lines {
 		if i, known := c.endpoints.Find(l.Endpoint); known && x.Given && brain.SoundWeight(l.Weight) {
-			notes = append(notes, brain.SliceLine{Slice: x.Slice, Endpoint: i, Weight: l.Weight})
+			events = append(events, brain.SliceLine{Slice: x.Slice, Endpoint: i, Weight: l.Weight})
 			c.table(x.Slice).lines[i] = l.Weight
 		} else {
-			c.odd("stored line of an unknown endpoint or weight", l.Endpoint, fmt.Sprint(l.Weight))
+			c.reportMalformed("stored line of an unknown endpoint or weight", l.Endpoint, fmt.Sprint(l.Weight))
 		}
 	}
-	for _, s := range c.inOrder() {
+	for _, s := range c.sortedSessions() {
 		if x.Given {
-			c.layRange(s, x.Slice)
+			c.sendSlice(s, x.Slice)
 		} else {
-			c.write(s, wire.Op{Kind: wire.OpRange, Table: x.Slice, Out: true})
+			c.enqueue(s, wire.Op{Kind: wire.OpRange, Table: x.Slice, Out: true})
 		}
 	}
-	return notes
+	return events
 }
 
-// layRange sends a slice's range of keys with its lines and levels to a proxy.
-func (c *Core) layRange(s *session, number int) {
-	r := c.slices[number]
-	c.write(s, wire.Op{Kind: wire.OpRange, Table: number, From: r.from, To: r.to})
-	c.layTable(s, number, nil, false)
+// sendSlice sends a slice's range of keys with its lines and levels to a proxy.
+func (c *Core) sendSlice(s *session, number int) {
+	r := c.sliceRanges[number]
+	c.enqueue(s, wire.Op{Kind: wire.OpRange, Table: number, From: r.from, To: r.to})
+	c.sendTable(s, number, nil, false)
 }
--- a/internal/pilot/slices_test.go
+++ b/internal/pilot/slices_test.go
@@ -12,7 +12,7 @@
 // TestSlices shows the notes on slices: a charge with its stored lines, demand for it once a period, and neither for one
 // that is not in this pilot's charge.
 func TestSlices(t *testing.T) {
-	d, edge, stream := &script{}, &fake{}, &fake{}
+	d, edge, stream := &scriptedDecider{}, &fakeTransport{}, &fakeTransport{}
 	c := NewCore(plan(d, edge))
 	c.Handle(0, []Input{listed(true, entry("x", 0)), Join{stream, hello("p", "a")}})
 	d.notes = nil
--- a/internal/pilot/tables.go
+++ b/internal/pilot/tables.go
@@ -21,13 +21,13 @@
 // setLine changes a line at all users of its table. An endpoint shut out stays so where it was not held before.
 func (c *Core) setLine(o brain.SetLine) {
 	t, name := c.table(o.Table), c.endpoints.Name(o.Endpoint)
-	c.toUsers(o.Table, wire.Op{Kind: wire.OpSet, Table: o.Table, Endpoint: name, Weight: o.Weight})
+	c.sendToUsers(o.Table, wire.Op{Kind: wire.OpSet, Table: o.Table, Endpoint: name, Weight: o.Weight})
 	if o.Weight == 0 {
 		delete(t.lines, o.Endpoint)
 		return
 	}
-	if c.withdrawn[o.Endpoint] && t.lines[o.Endpoint] == 0 {
-		c.toUsers(o.Table, wire.Op{Kind: wire.OpWithdraw, Endpoint: name, Out: true})
+	if c.excluded[o.Endpoint] && t.lines[o.Endpoint] == 0 {
+		c.sendToUsers(o.Table, wire.Op{Kind: wire.OpWithdraw, Endpoint: name, Out: true})
 	}
 	t.lines[o.Endpoint] = o.Weight
 }
--- a/internal/pilot/telemetry.go
+++ b/internal/pilot/telemetry.go
@@ -10,20 +10,20 @@
 )
 
 // Report takes a proxy's sums, also in between turns; the intake passes them on when its period is over.
-func (c *Core) Report(nowMs float64, s Stream, sums *wire.Sums) { c.gate.take(nowMs, s, sums) }
+func (c *Core) Report(nowMs float64, s Stream, sums *wire.Sums) { c.reports.accept(nowMs, s, sums) }
 
-// tell adds what the intake passes on, and asks streams for what it wants of them.
-func (c *Core) tell(notes []brain.Note) []brain.Note {
-	notes, asks, unknown := c.gate.tell(notes, c.now, c.plan.Meter)
+// collectTelemetry adds what the intake passes on, and asks streams for what it wants of them.
+func (c *Core) collectTelemetry(events []brain.Note) []brain.Note {
+	events, asks, unknown := c.reports.flush(events, c.now, c.plan.Meter)
 	for _, a := range asks {
 		if err := a.stream.Ask(a.pace); err != nil {
 			a.stream.Close(err.Error())
 		}
 	}
 	for _, what := range slices.Sorted(maps.Keys(unknown)) {
-		c.odd(what, fmt.Sprint(unknown[what]))
+		c.reportMalformed(what, fmt.Sprint(unknown[what]))
 	}
-	return notes
+	return events
 }
 
 // Believed counts what the core took in of reports, for the pilot's own book-keeping.
--- a/internal/pilot/timers.go
+++ b/internal/pilot/timers.go
@@ -5,48 +5,48 @@
 	"math"
 )
 
-// alarm is a WakeAt that has not fallen due; number keeps those of one time in order.
-type alarm struct {
-	atMs   float64
-	number int
-	name   string
+// timer is a WakeAt that has not fallen due; number keeps those of one time in order.
+type timer struct {
+	atMs     float64
+	sequence int
+	name     string
 }
 
-// alarms is a heap by time.
-type alarms struct {
-	list []alarm
-	made int
+// timerQueue is a heap by time.
+type timerQueue struct {
+	list     []timer
+	sequence int
 }
 
-func (a *alarms) Len() int      { return len(a.list) }
-func (a *alarms) Swap(i, j int) { a.list[i], a.list[j] = a.list[j], a.list[i] }
-func (a *alarms) Push(x any)    { a.list = append(a.list, x.(alarm)) }
-func (a *alarms) Less(i, j int) bool {
+func (a *timerQueue) Len() int      { return len(a.list) }
+func (a *timerQueue) Swap(i, j int) { a.list[i], a.list[j] = a.list[j], a.list[i] }
+func (a *timerQueue) Push(x any)    { a.list = append(a.list, x.(timer)) }
+func (a *timerQueue) Less(i, j int) bool {
 	x, y := a.list[i], a.list[j]
-	return x.atMs < y.atMs || x.atMs == y.atMs && x.number < y.number
+	return x.atMs < y.atMs || x.atMs == y.atMs && x.sequence < y.sequence
 }
 
-func (a *alarms) Pop() any {
+func (a *timerQueue) Pop() any {
 	last := a.list[len(a.list)-1]
 	a.list = a.list[:len(a.list)-1]
 	return last
 }
 
-func (a *alarms) push(atMs float64, name string) {
-	a.made++
-	heap.Push(a, alarm{atMs, a.made, name})
+func (a *timerQueue) set(atMs float64, name string) {
+	a.sequence++
+	heap.Push(a, timer{atMs, a.sequence, name})
 }
 
-func (a *alarms) due() float64 {
+func (a *timerQueue) due() float64 {
 	if len(a.list) == 0 {
 		return math.Inf(1)
 	}
 	return a.list[0].atMs
 }
 
-func (a *alarms) pop(nowMs float64) (due []string) {
+func (a *timerQueue) expire(nowMs float64) (due []string) {
 	for a.due() <= nowMs {
-		due = append(due, heap.Pop(a).(alarm).name)
+		due = append(due, heap.Pop(a).(timer).name)
 	}
 	return due
 }
