--- a/internal/pilot/acks.go
+++ b/internal/pilot/acks.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// maxUnacknowledged bounds the marks that a proxy may owe an answer to; what it owes beyond them is forgotten, oldest first.
+// mostMarks bounds the marks that a proxy may owe an answer to; what it owes beyond them is forgotten, oldest first.
 const maxUnacknowledged = 1024
 
-// acknowledge returns whether a mark was sent to a proxy and not answered yet. Were any number taken, a proxy that makes
+// answers returns whether a mark was sent to a proxy and not answered yet. Were any number taken, a proxy that makes
 // them up would have the module believe that its channel is empty.
 func (s *session) acknowledge(mark int) bool {
 	i := slices.Index(s.unacknowledged, mark)
--- a/internal/pilot/binding.go
+++ b/internal/pilot/binding.go
@@ -32,7 +32,7 @@
 	c.sendTable(s, o.Table, has, keep)
 }
 
-// sendTable writes the lines of a table, but for those that the proxy has kept, and its levels.
+// layTable writes the lines of a table, but for those that the proxy has kept, and its levels.
 func (c *Core) sendTable(s *session, number int, has map[string]float64, keep bool) {
 	t := c.table(number)
 	for _, i := range slices.Sorted(maps.Keys(t.lines)) {
--- a/internal/pilot/channel.go
+++ b/internal/pilot/channel.go
@@ -10,49 +10,66 @@
 	"indigousher/internal/wire"
 )
 
-// Figures of the channel that are its own: how finely it is paced, and when it says that a limit is near.
 const (
-	pacingBurst      = 16  // lines that are paced together
-	warnFraction     = 0.8 // of a limit: reported from here
-	queueLimitFactor = 8   // times the backlog that the queue holds at the most: more ends the stream concerned
+	// pacingBurst is how many lines the rate limiter lets through at once: messages reserve time in pieces of it.
+	pacingBurst = 16
+	// queueLimitFactor times the backlog is the most lines that the queue holds; a message beyond it ends its stream.
+	queueLimitFactor = 8
 )
 
+// closeChannelFull is told to a proxy whose message does not fit into the queue any more.
+const closeChannelFull = "channel overfull"
+
 // queuedMessage is a message in the channel.
 type queuedMessage struct {
 	to      *session
 	message *wire.Orders
-	atMs    float64
-	dueMs   float64
+	atMs    float64 // when it was put into the channel
+	dueMs   float64 // when it leaves
 }
 
-// Channel is the way from the module to the proxies: messages leave one after another at a pace counted in lines,
-// heads included. It plans nothing: the module's own count keeps the limits, the channel shows whether it does.
+// Channel is the way from the decider to the proxies: messages leave one after another at a pace counted in lines,
+// heads included. It plans nothing: the decider's own count keeps the limits, the channel shows whether it does.
+// It is used by the goroutine that drives the Core.
 type Channel struct {
-	pace          *rate.Limiter
-	queue         []*queuedMessage
-	waitingLines  int // that wait
-	backlog       float64
-	messageLimit  int
+	pace         *rate.Limiter
+	origin       time.Time // the moment 0 of the core's clock, for the limiter
+	queue        []*queuedMessage
+	waitingLines int     // of all queued messages
+	lastDueMs    float64 // when the message queued last leaves
+
+	// Limits by the settings; 0 for none. They are reported, not enforced, but for queueLimitFactor times the backlog.
+	backlog       float64 // lines that may wait
+	messageLimit  int     // messages to one proxy within messageSpanMs
 	messageSpanMs float64
-	metrics       *Meter
-	origin        time.Time
-	lastDueMs     float64
-	MostSeen      int // the most lines that have waited
-	Crowded       int // the most messages to one proxy within the span
-	Sent          int // lines, all in all
+
+	metrics *Meter
+
+	// MostSeen is the most lines that have waited.
+	MostSeen int
+	// Crowded is the most messages that left to one proxy within messageSpanMs.
+	Crowded int
+	// Sent counts the lines that have left.
+	Sent int
 }
 
-// NewChannel returns an empty channel. linesPerS of 0 leaves it unpaced.
+// NewChannel returns an empty channel. linesPerS of 0 leaves it unpaced; backlog is in lines, 0 for no limit.
 func NewChannel(linesPerS, backlog float64, messageLimit int, messageSpanMs float64, m *Meter) *Channel {
 	limit := rate.Limit(linesPerS)
 	if linesPerS <= 0 {
 		limit = rate.Inf
 	}
-	return &Channel{pace: rate.NewLimiter(limit, pacingBurst), backlog: backlog, messageLimit: messageLimit, messageSpanMs: messageSpanMs, metrics: m,
-		origin: time.Unix(0, 0)}
+	return &Channel{
+		pace:          rate.NewLimiter(limit, pacingBurst),
+		origin:        time.Unix(0, 0),
+		backlog:       backlog,
+		messageLimit:  messageLimit,
+		messageSpanMs: messageSpanMs,
+		metrics:       m,
+	}
 }
 
-// Reterm takes over changed figures, by the names of the module's terms.
+// Reterm takes over changed limits, by the names of the decider's settings.
 func (c *Channel) Reterm(terms map[string]any) {
 	if v, ok := terms["lines_per_s"].(float64); ok && v > 0 {
 		c.pace.SetLimit(rate.Limit(v))
@@ -65,23 +82,22 @@
 	}
 }
 
-// Put adds a message. Where even the bound of the queue is passed, the proxy's stream is ended: it comes back with
-// what it holds, and the module hears of both.
+// Put adds a message. Where even the bound of the queue is passed, the proxy's stream is closed: it comes back with
+// what it holds, and the decider hears of both.
 func (c *Channel) Put(nowMs float64, to *session, m *wire.Orders) {
 	if c.backlog > 0 && float64(c.waitingLines+m.Lines) > queueLimitFactor*c.backlog {
-		c.metrics.streamClosed("channel overfull")
-		to.stream.Close("channel overfull")
+		c.metrics.streamClosed(closeChannelFull)
+		to.stream.Close(closeChannelFull)
 		return
 	}
-	queued := &queuedMessage{to: to, message: m, atMs: nowMs}
-	queued.dueMs = c.reserve(nowMs, m.Lines)
-	c.queue = append(c.queue, queued)
+	dueMs := c.reserve(nowMs, m.Lines)
+	c.queue = append(c.queue, &queuedMessage{to: to, message: m, atMs: nowMs, dueMs: dueMs})
 	c.waitingLines += m.Lines
 	c.MostSeen = max(c.MostSeen, c.waitingLines)
 	c.metrics.setWaiting(c.waitingLines, c.backlog)
 }
 
-// reserve returns when so many lines will have left.
+// reserve takes the time of so many lines and returns when the last of them leaves: never before those queued earlier.
 func (c *Channel) reserve(nowMs float64, lines int) float64 {
 	now := c.origin.Add(time.Duration(nowMs * float64(time.Millisecond)))
 	due := nowMs
@@ -93,7 +109,7 @@
 	return c.lastDueMs
 }
 
-// Drop forgets what waits for a session that has left. The time it was to take is lost, as is the message.
+// Drop forgets what waits for a session that has left. The time reserved for it is lost, as are the messages.
 func (c *Channel) Drop(s *session) {
 	kept := c.queue[:0]
 	for _, queued := range c.queue {
@@ -108,7 +124,7 @@
 	c.metrics.setWaiting(c.waitingLines, c.backlog)
 }
 
-// Due returns when the next message leaves.
+// Due returns when the next message leaves: infinity if none waits.
 func (c *Channel) Due() float64 {
 	if len(c.queue) == 0 {
 		return math.Inf(1)
@@ -118,32 +134,44 @@
 
 // Send hands over the messages that have left by now and returns how many lines they held.
 func (c *Channel) Send(nowMs float64) (lines int) {
-	n := 0
-	for n < len(c.queue) && c.queue[n].dueMs <= nowMs {
-		queued := c.queue[n]
-		n++
-		c.waitingLines -= queued.message.Lines
+	left := 0
+	for left < len(c.queue) && c.queue[left].dueMs <= nowMs {
+		queued := c.queue[left]
+		left++
 		lines += queued.message.Lines
-		c.Sent += queued.message.Lines
-		queued.message.AtMs, queued.message.AgeMs = queued.atMs, nowMs-queued.atMs
-		queued.to.recentSendsMs = append(withinSpan(queued.to.recentSendsMs, nowMs, c.messageSpanMs), nowMs)
-		c.Crowded = max(c.Crowded, len(queued.to.recentSendsMs))
-		c.metrics.messageSent(queued.message, len(queued.to.recentSendsMs), c.messageLimit)
-		if err := queued.to.stream.Send(queued.message); err != nil {
-			queued.to.stream.Close(err.Error())
-		}
+		c.deliver(nowMs, queued)
 	}
-	if n > 0 {
-		c.queue = append(c.queue[:0], c.queue[n:]...)
+	if left > 0 {
+		c.queue = append(c.queue[:0], c.queue[left:]...)
 		c.metrics.setWaiting(c.waitingLines, c.backlog)
 	}
 	return lines
 }
 
+// deliver hands a message to its stream. A stream that fails is closed.
+func (c *Channel) deliver(nowMs float64, queued *queuedMessage) {
+	message := queued.message
+	c.waitingLines -= message.Lines
+	c.Sent += message.Lines
+	message.AtMs = queued.atMs
+	message.AgeMs = nowMs - queued.atMs
+	recent := queued.to.recentSends.add(nowMs, c.messageSpanMs)
+	c.Crowded = max(c.Crowded, recent)
+	c.metrics.messageSent(message, recent, c.messageLimit)
+	if err := queued.to.stream.Send(message); err != nil {
+		queued.to.stream.Close(err.Error())
+	}
+}
+
 // Lines returns how many lines wait.
 func (c *Channel) Lines() int { return c.waitingLines }
 
-// withinSpan returns how many of the times lie in the span before now, and drops the older ones.
-func withinSpan(times []float64, nowMs, spanMs float64) []float64 {
-	return times[sort.SearchFloat64s(times, nowMs-spanMs):]
+// sendTimes are when messages left to one proxy, in ms, oldest first.
+type sendTimes []float64
+
+// add notes a message, forgets those longer ago than the span, and returns how many are left.
+func (t *sendTimes) add(nowMs, spanMs float64) int {
+	within := (*t)[sort.SearchFloat64s(*t, nowMs-spanMs):]
+	*t = append(within, nowMs)
+	return len(*t)
 }
--- a/internal/pilot/commands.go
+++ b/internal/pilot/commands.go
@@ -7,7 +7,7 @@
 	"indigousher/internal/wire"
 )
 
-// execute does one order.
+// carryOut does one order.
 func (c *Core) execute(o brain.Order) {
 	if c.forwardToRelay(o) {
 		return
--- a/internal/pilot/core.go
+++ b/internal/pilot/core.go
@@ -91,7 +91,7 @@
 	if asked {
 		c.started = true
 		c.Heard += len(events)
-		commands = c.plan.Meter.decide(func() []brain.Order { return c.plan.Decider.Handle(c.now, events) })
+		commands = c.plan.Meter.timeDecider(func() []brain.Order { return c.plan.Decider.Handle(c.now, events) })
 	}
 	if c.plan.Turn != nil && (asked || len(inputs) > 0) {
 		c.plan.Turn(c.now, inputs, events[before:], commands)
--- a/internal/pilot/dispatch.go
+++ b/internal/pilot/dispatch.go
@@ -6,7 +6,7 @@
 	"indigousher/internal/wire"
 )
 
-// sendToUsers adds a line to the message of each proxy that uses a table.
+// toUsers adds a line to the message of each proxy that uses a table.
 func (c *Core) sendToUsers(number int, op wire.Op) {
 	for _, s := range c.sortedSessions() {
 		_, uses := s.boundKinds[number]
@@ -16,7 +16,7 @@
 	}
 }
 
-// enqueue adds a line to a proxy's message of this Handle.
+// write adds a line to a proxy's message of this Handle.
 func (c *Core) enqueue(s *session, op wire.Op) {
 	if s.pending == nil {
 		s.pending = &wire.Orders{Lines: c.plan.HeadLines}
--- a/internal/pilot/endpoints.go
+++ b/internal/pilot/endpoints.go
@@ -9,13 +9,13 @@
 	"indigousher/internal/wire"
 )
 
-// startTime keeps an endpoint's start as the list stamped it and as the module was told.
+// startStamp keeps an endpoint's start as the list stamped it and as the module was told.
 type startTime struct {
 	stamp     uint64
 	startedMs float64
 }
 
-// applyList turns list entries into a note. A start is told as its age on this pilot's clock when its stamp was first
+// listing turns list entries into a note. A start is told as its age on this pilot's clock when its stamp was first
 // seen, and stays so: the module takes any other figure for a restart.
 func (c *Core) applyList(in Listed) brain.Note {
 	l := in.List
--- a/internal/pilot/events.go
+++ b/internal/pilot/events.go
@@ -8,7 +8,7 @@
 	"indigousher/internal/wire"
 )
 
-// handleInput turns an input into notes.
+// note turns an input into notes.
 func (c *Core) handleInput(events []brain.Note, in Input) []brain.Note {
 	switch in := in.(type) {
 	case Join:
--- a/internal/pilot/exclusion.go
+++ b/internal/pilot/exclusion.go
@@ -5,7 +5,7 @@
 	"indigousher/internal/wire"
 )
 
-// exclude tells the proxies that hold an endpoint, as far as this pilot knows what they hold.
+// withdraw tells the proxies that hold an endpoint, as far as this pilot knows what they hold.
 func (c *Core) exclude(o brain.Withdraw) {
 	if c.excluded[o.Endpoint] = o.Out; !o.Out {
 		delete(c.excluded, o.Endpoint)
--- a/internal/pilot/loadreport.go
+++ b/internal/pilot/loadreport.go
@@ -5,7 +5,7 @@
 	"indigousher/internal/wire"
 )
 
-// loadReport turns a load report into the module's. Figures that none can be are left out and said to wrong.
+// load turns a load report into the module's. Figures that none can be are left out and said to wrong.
 func loadReport(figures []wire.Figure, wrong func(f wire.Figure)) brain.Load {
 	if len(figures) == 0 {
 		return nil
--- a/internal/pilot/loop.go
+++ b/internal/pilot/loop.go
@@ -10,57 +10,57 @@
 	"go.uber.org/zap"
 )
 
-// Clock is the pilot's own clock; nothing of another machine's counts.
-type Clock interface {
-	Now() time.Time
-	// After sends once the time has passed, unless stop is called first.
-	After(time.Duration) (fired <-chan time.Time, stop func() bool)
-}
-
-// RealClock is the machine's clock.
-type RealClock struct{}
-
-// Now returns the time with the machine's monotonic reading.
-func (RealClock) Now() time.Time { return time.Now() }
-
-// After starts a timer.
-func (RealClock) After(d time.Duration) (<-chan time.Time, func() bool) {
-	t := time.NewTimer(d)
-	return t.C, t.Stop
-}
-
-// Sizes of the loop: inputs that may wait before edges are held up, and inputs of one turn.
 const (
+	// inboxSize is how many inputs may wait before Post blocks the transports.
 	inboxSize = 4096
-	turnSize  = 4096
+	// turnSize bounds the inputs that one turn handles, so that the channel is served in between.
+	turnSize = 4096
+	// longestWaitMs bounds the sleep of the loop: a timer that is far off or missing is looked at again after it.
+	longestWaitMs = 1000
+	// warnFraction is the part of the backlog limit from which waiting lines are logged.
+	warnFraction = 0.8
+	// warnInterval is the shortest time between two such log lines.
+	warnInterval = time.Second
 )
 
+// Inbox is where transports put inputs: the loop, mostly.
+type Inbox interface {
+	Post(ctx context.Context, in Input) error
+}
+
 // Loop is the one goroutine that drives a Core: it takes inputs from a bounded inbox and wakes when something is due.
+// Run is that goroutine; the caller starts it, and it ends with its context. Post and State may be called by others.
 type Loop struct {
-	core   *Core
+	core   *Core // touched by Run alone, but for reports, which have a lock of their own
 	clock  Clock
 	inbox  chan Input
 	log    *zap.Logger
-	start  time.Time
-	warned time.Time
-	mu     sync.Mutex
-	state  State
-}
+	start  time.Time // the moment 0 of the core's clock
+	warned time.Time // when the backlog was last logged
 
-// Inbox is where edges put inputs: the loop, mostly.
-type Inbox interface {
-	Post(ctx context.Context, in Input) error
+	mu    sync.Mutex // guards state
+	state State
 }
 
 // State is what the loop shows of itself after each turn.
 type State struct {
-	Proxies, Endpoints, Lines, MostLines, MostMessages int
-	Turns                                              int
-	Standing, MostStanding                             int // sums that wait in the intake
-	Refused                                            map[string]uint64
-	Listed                                             bool
-	Believed                                           Believed
-	LastTurn                                           time.Time
+	// Joined proxies and known endpoints.
+	Proxies, Endpoints int
+	// Lines that wait in the channel, the most that ever did, and the most messages to one proxy within the span of
+	// the limit on them.
+	Lines, MostLines, MostMessages int
+	// Turns of the loop since its start.
+	Turns int
+	// Sums of reports that wait to be passed on, and the most that ever did.
+	Standing, MostStanding int
+	// Refused counts report lines by what became of them.
+	Refused map[string]uint64
+	// Listed is whether the endpoint list has arrived.
+	Listed bool
+	// Believed counts the reports that were taken in.
+	Believed Believed
+	// LastTurn is when the last turn ended.
+	LastTurn time.Time
 }
 
 // NewLoop returns a loop that has not started.
@@ -68,7 +68,7 @@
 	return &Loop{core: core, clock: clock, inbox: make(chan Input, inboxSize), log: log, start: clock.Now()}
 }
 
-// GoOn has the loop's time begin at a moment of a core that was recovered.
+// GoOn has the loop's time begin at a moment of a core that was recovered. It is called before Run.
 func (l *Loop) GoOn(atMs float64) {
 	l.start = l.clock.Now().Add(-time.Duration(atMs * float64(time.Millisecond)))
 }
@@ -95,21 +95,16 @@
 	return l.state
 }
 
+// nowMs returns the time of the core's clock.
 func (l *Loop) nowMs() float64 {
 	return float64(l.clock.Now().Sub(l.start)) / float64(time.Millisecond)
 }
 
-// Run turns until ctx ends. The module hears of the start at once, with a first turn without input.
+// Run turns until ctx ends. The decider hears of the start at once, with a first turn without input.
 func (l *Loop) Run(ctx context.Context) error {
 	var inputs []Input
 	for {
-		now := l.nowMs()
-		if len(inputs) > 0 || l.core.Due() <= now || l.State().Turns == 0 {
-			l.core.Handle(now, inputs)
-			l.core.plan.Meter.setInputs(len(inputs))
-		}
-		l.core.Channel.Send(l.nowMs())
-		l.publish(inputs)
+		l.turn(inputs)
 		inputs = inputs[:0]
 		in, err := l.wait(ctx)
 		if err != nil {
@@ -121,11 +116,23 @@
 	}
 }
 
-// wait returns the next input, or nil when something is due.
+// turn has the core handle what has come or is due, sends what may leave the channel, and publishes the state.
+func (l *Loop) turn(inputs []Input) {
+	now := l.nowMs()
+	if len(inputs) > 0 || l.core.Due() <= now || l.State().Turns == 0 {
+		l.core.Handle(now, inputs)
+		l.core.plan.Meter.setInputs(len(inputs))
+	}
+	l.core.Channel.Send(l.nowMs())
+	l.publish(inputs)
+	l.warnNearLimit()
+}
+
+// wait returns the next input, or nil when something is due. Its error is that of ctx.
 func (l *Loop) wait(ctx context.Context) (Input, error) {
-	due := math.Min(l.core.Due(), l.core.Channel.Due()) - l.nowMs()
-	// a far or missing alarm is looked at again in a second
-	fired, stop := l.clock.After(time.Duration(math.Max(0, math.Min(due, 1000)) * float64(time.Millisecond)))
+	waitMs := math.Min(l.core.Due(), l.core.Channel.Due()) - l.nowMs()
+	waitMs = math.Max(0, math.Min(waitMs, longestWaitMs))
+	fired, stop := l.clock.After(time.Duration(waitMs * float64(time.Millisecond)))
 	defer stop()
 	select {
 	case in := <-l.inbox:
@@ -150,13 +157,16 @@
 	return inputs
 }
 
-// publish publishes the state and warns, at most once a second, when a limit of the channel is near.
+// publish renews the state that others may look at.
 func (l *Loop) publish(inputs []Input) {
-	c := l.core.Channel
 	l.mu.Lock()
+	defer l.mu.Unlock()
 	l.state.Turns++
-	l.state.Proxies, l.state.Endpoints = len(l.core.sessions)+len(l.core.relayProxies), l.core.endpoints.Len()
-	l.state.Lines, l.state.MostLines, l.state.MostMessages = c.waitingLines, c.MostSeen, c.Crowded
+	l.state.Proxies = len(l.core.sessions) + len(l.core.relayProxies)
+	l.state.Endpoints = l.core.endpoints.Len()
+	l.state.Lines = l.core.Channel.waitingLines
+	l.state.MostLines = l.core.Channel.MostSeen
+	l.state.MostMessages = l.core.Channel.Crowded
 	if l.core.plan.Relay == nil {
 		l.state.Standing, l.state.MostStanding, l.state.Refused = l.core.reports.stats()
 	}
@@ -167,9 +177,18 @@
 			l.state.Listed = true
 		}
 	}
-	l.mu.Unlock()
-	if c.backlog > 0 && float64(c.waitingLines) > warnFraction*c.backlog && l.clock.Now().Sub(l.warned) > time.Second {
-		l.warned = l.clock.Now()
-		l.log.Warn("channel near its limit", zap.Int("lines", c.waitingLines), zap.Float64("backlog", c.backlog))
+}
+
+// warnNearLimit logs, at most once in warnInterval, that the channel nears its backlog limit.
+func (l *Loop) warnNearLimit() {
+	channel := l.core.Channel
+	if channel.backlog <= 0 || float64(channel.waitingLines) <= warnFraction*channel.backlog {
+		return
+	}
+	now := l.clock.Now()
+	if now.Sub(l.warned) <= warnInterval {
+		return
 	}
+	l.warned = now
+	l.log.Warn("channel near its limit", zap.Int("lines", channel.waitingLines), zap.Float64("backlog", channel.backlog))
 }
--- a/internal/pilot/malformed.go
+++ b/internal/pilot/malformed.go
@@ -1,6 +1,6 @@
 package pilot
 
-// figureOutOfRange counts what can be no figure of a load report.
+// oddFigure counts what can be no figure of a load report.
 const figureOutOfRange = "figure of a load report out of range"
 
 func (c *Core) reportMalformed(what string, fields ...string) {
--- a/internal/pilot/recorded.go
+++ b/internal/pilot/recorded.go
@@ -2,7 +2,7 @@
 
 import "indigousher/brain"
 
-// validRecordedEvent returns whether a recorded note names what there is, in figures that the intake would have passed on. The module
+// knows returns whether a recorded note names what there is, in figures that the intake would have passed on. The module
 // takes any index for one that it may use.
 func (c *Core) validRecordedEvent(n brain.Note) bool {
 	within := func(i, n int) bool { return i >= 0 && i < n }
--- a/internal/pilot/relay.go
+++ b/internal/pilot/relay.go
@@ -7,7 +7,7 @@
 	"indigousher/internal/translate"
 )
 
-// handleRelayInput turns an input about relayed proxies into notes.
+// relayedNote turns an input about relayed proxies into notes.
 func (c *Core) handleRelayInput(events []brain.Note, in Input) []brain.Note {
 	switch in := in.(type) {
 	case Relayed:
@@ -45,7 +45,7 @@
 	return events
 }
 
-// validProxy returns whether the terms tell of a proxy of that number.
+// provides returns whether the terms tell of a proxy of that number.
 func (c *Core) validProxy(proxy int) bool { return proxy >= 0 && proxy < c.plan.MostProxies }
 
 func (c *Core) joinRelayed(events []brain.Note, in Relayed) []brain.Note {
@@ -71,7 +71,7 @@
 	return append(events, brain.Left{Proxy: proxy})
 }
 
-// forwardToRelay collects an order for the relay, if that is where it goes.
+// relay collects an order for the relay, if that is where it goes.
 func (c *Core) forwardToRelay(o brain.Order) bool {
 	if c.plan.Relay == nil {
 		return false
@@ -90,7 +90,7 @@
 	return true
 }
 
-// flushRelay gives the relay what the turn ordered.
+// handOver gives the relay what the turn ordered.
 func (c *Core) flushRelay() {
 	if len(c.relayCommands) > 0 {
 		c.plan.Relay.Carry(c.relayCommands, c.endpoints.Name)
--- a/internal/pilot/reportgate.go
+++ b/internal/pilot/reportgate.go
@@ -12,7 +12,7 @@
 	"indigousher/internal/wire"
 )
 
-// reportGate stands between the streams and the loop: reports are taken in where they are read, by any goroutine, and told
+// gate stands between the streams and the loop: reports are taken in where they are read, by any goroutine, and told
 // to the loop once a period. What becomes of them the intake module decides; the gate knows names and holds the lock.
 type reportGate struct {
 	mu          sync.Mutex
@@ -29,7 +29,7 @@
 	ages        *hdrhistogram.Histogram
 }
 
-// maxAgeMs is the greatest age that the histogram tells apart, in ms.
+// oldest is the greatest age that the histogram tells apart, in ms.
 const maxAgeMs = 600_000
 
 func newReportGate(t intake.Terms, kinds []string) *reportGate {
@@ -62,7 +62,7 @@
 	delete(g.streams, s.proxy)
 }
 
-// updateEndpoint tells of an endpoint as the module hears of it.
+// list tells of an endpoint as the module hears of it.
 func (g *reportGate) updateEndpoint(nowMs float64, name string, e brain.Entry) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -70,7 +70,7 @@
 	g.intake.List(nowMs, e.Endpoint, e.Phase, e.Started)
 }
 
-// removeUnlisted tells that all endpoints but some are no longer listed.
+// gone tells that all endpoints but some are no longer listed.
 func (g *reportGate) removeUnlisted(nowMs float64, named map[int]bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -81,7 +81,7 @@
 	}
 }
 
-// accept takes one report in.
+// take takes one report in.
 func (g *reportGate) accept(nowMs float64, from Stream, sums *wire.Sums) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -116,7 +116,7 @@
 	}
 }
 
-// assignSlice notes that a slice is in this pilot's charge or no longer.
+// slice notes that a slice is in this pilot's charge or no longer.
 func (g *reportGate) assignSlice(number int, given bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -125,7 +125,7 @@
 	}
 }
 
-// addSliceDemand adds up demand for the slices in this pilot's charge; it is bounded by these and the kinds.
+// sliceLoad adds up demand for the slices in this pilot's charge; it is bounded by these and the kinds.
 func (g *reportGate) addSliceDemand(sums *wire.Sums) {
 	for _, x := range sums.Slices {
 		k, known := g.kinds[x.Kind]
@@ -141,7 +141,7 @@
 	}
 }
 
-// flushSlices passes on what came for slices.
+// tellSlices passes on what came for slices.
 func (g *reportGate) flushSlices(events []brain.Note, spanMs float64) []brain.Note {
 	for _, number := range slices.Sorted(maps.Keys(g.slices)) {
 		of := g.slices[number]
@@ -154,13 +154,13 @@
 	return events
 }
 
-// paceRequest is what a stream is to be asked for.
+// asked is what a stream is to be asked for.
 type paceRequest struct {
 	stream Stream
 	pace   *wire.Pace
 }
 
-// flush passes on what a period may, and what streams are to be asked for.
+// tell passes on what a period may, and what streams are to be asked for.
 func (g *reportGate) flush(events []brain.Note, nowMs float64, m *Meter) ([]brain.Note, []paceRequest, map[string]int) {
 	if nowMs < g.due() {
 		return events, nil, nil
@@ -190,7 +190,7 @@
 	return events, asks, malformed
 }
 
-// stats returns how many sums wait, the most that ever did, and the lines by what became of them.
+// state returns how many sums wait, the most that ever did, and the lines by what became of them.
 func (g *reportGate) stats() (waiting, most int, counts map[string]uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/pilot/session.go
+++ b/internal/pilot/session.go
@@ -19,7 +19,7 @@
 	initialEndpoints map[int]bool               // endpoints of what it held when it joined
 	heldTables       map[int]map[string]float64 // that it said it has and that are not bound anew
 	pending          *wire.Orders               // message of the Handle under way
-	recentSendsMs    []float64                  // when messages left to it lately
+	recentSends      sendTimes                  // when messages left to it lately
 	unacknowledged   []int                      // sent to it and not answered, oldest first
 }
 
@@ -86,7 +86,7 @@
 	return brain.Left{Proxy: s.proxy}
 }
 
-// sortedSessions returns the sessions by proxy. The list is made anew only after somebody has come or gone.
+// inOrder returns the sessions by proxy. The list is made anew only after somebody has come or gone.
 func (c *Core) sortedSessions() []*session {
 	if c.ordered == nil {
 		for _, i := range slices.Sorted(maps.Keys(c.sessions)) {
--- a/internal/pilot/slices.go
+++ b/internal/pilot/slices.go
@@ -10,7 +10,7 @@
 // keyRange is which keys fall into a slice.
 type keyRange struct{ from, to string }
 
-// assignSlice turns a slice that is given or taken into notes: its charge, and the lines stored of it. Proxies learn the range
+// slice turns a slice that is given or taken into notes: its charge, and the lines stored of it. Proxies learn the range
 // of its keys and the stored lines, which stand until the module orders others. A slice's number is that of its table, so
 // one that the deployment does not have would wipe a zone's table at every proxy.
 func (c *Core) assignSlice(events []brain.Note, x *wire.Slices) []brain.Note {
@@ -42,7 +42,7 @@
 	return events
 }
 
-// sendSlice sends a slice's range of keys with its lines and levels to a proxy.
+// layRange sends a slice's range of keys with its lines and levels to a proxy.
 func (c *Core) sendSlice(s *session, number int) {
 	r := c.sliceRanges[number]
 	c.enqueue(s, wire.Op{Kind: wire.OpRange, Table: number, From: r.from, To: r.to})
--- a/internal/pilot/telemetry.go
+++ b/internal/pilot/telemetry.go
@@ -12,7 +12,7 @@
 // Report takes a proxy's sums, also in between turns; the intake passes them on when its period is over.
 func (c *Core) Report(nowMs float64, s Stream, sums *wire.Sums) { c.reports.accept(nowMs, s, sums) }
 
-// collectTelemetry adds what the intake passes on, and asks streams for what it wants of them.
+// tell adds what the intake passes on, and asks streams for what it wants of them.
 func (c *Core) collectTelemetry(events []brain.Note) []brain.Note {
 	events, asks, unknown := c.reports.flush(events, c.now, c.plan.Meter)
 	for _, a := range asks {
