--- a/internal/pilot/binding.go
+++ b/internal/pilot/binding.go
@@ -12,7 +12,7 @@
 func (c *Core) bind(o brain.Bind) {
 	s := c.sessions[o.Proxy]
 	if s == nil {
-		c.reportMalformed("bind of a proxy that has left", c.proxies.Name(o.Proxy))
+		c.reportMalformed(malformedBindOfLeftProxy, c.proxies.Name(o.Proxy))
 		return
 	}
 	kinds := o.Kinds
--- a/internal/pilot/commands.go
+++ b/internal/pilot/commands.go
@@ -45,6 +45,6 @@
 	case brain.Log:
 		c.plan.Log(o.Text)
 	default:
-		c.reportMalformed("order that can't be carried out", fmt.Sprintf("%T", o))
+		c.reportMalformed(malformedCommand, fmt.Sprintf("%T", o))
 	}
 }
--- a/internal/pilot/endpoints.go
+++ b/internal/pilot/endpoints.go
@@ -31,11 +31,11 @@
 	for _, e := range l.Entries {
 		zone, known := c.zones.Find(e.Zone)
 		if !known {
-			c.reportMalformed("endpoint of an unknown zone", e.Endpoint, e.Zone)
+			c.reportMalformed(malformedEndpointZone, e.Endpoint, e.Zone)
 			continue
 		}
 		if !brain.SoundWeight(e.Weight) { // its phase counts all the same: a drain is not lost over a wrong weight
-			c.reportMalformed("weight out of range", e.Endpoint, fmt.Sprint(e.Weight))
+			c.reportMalformed(malformedEndpointWeight, e.Endpoint, fmt.Sprint(e.Weight))
 			e.Weight = before[e.Endpoint].Weight
 		}
 		if c.listed[e.Endpoint] = e; e.Phase == wire.PhaseGone {
--- a/internal/pilot/events.go
+++ b/internal/pilot/events.go
@@ -5,7 +5,6 @@
 	"maps"
 
 	"indigousher/brain"
-	"indigousher/internal/wire"
 )
 
 // note turns an input into notes.
@@ -31,17 +30,15 @@
 		return append(events, brain.Listing{Mode: brain.ListFailed})
 	case Probed:
 		if i, known := c.endpoints.Find(in.Endpoint); known {
+			load, outOfRange := loadReport(in.Load)
+			for _, f := range outOfRange {
+				c.reportMalformed(malformedLoadFigure, f.Name, fmt.Sprint(f.Value))
+			}
 			return append(events, brain.Probed{Endpoint: i, OK: in.Outcome == "ok", Outcome: in.Outcome,
-				TookMs: in.TookMs, Load: loadReport(in.Load, func(f wire.Figure) { c.reportMalformed(figureOutOfRange, f.Name, fmt.Sprint(f.Value)) })})
+				TookMs: in.TookMs, Load: load})
 		}
 	case Told:
-		for _, n := range in.Notes {
-			if c.validRecordedEvent(n) {
-				c.recorded = append(c.recorded, n)
-			} else {
-				c.reportMalformed("recorded note of nobody known")
-			}
-		}
+		c.acceptRecorded(in.Notes)
 	case Heard:
 		return append(events, brain.Gossip{From: in.From, Text: in.Text})
 	case Retermed:
--- a/internal/pilot/loadreport.go
+++ b/internal/pilot/loadreport.go
@@ -5,18 +5,19 @@
 	"indigousher/internal/wire"
 )
 
-// load turns a load report into the module's. Figures that none can be are left out and said to wrong.
-func loadReport(figures []wire.Figure, wrong func(f wire.Figure)) brain.Load {
+// loadReport turns a load report into the decider's form: nil if it has no figures. Figures that none can be are left
+// out and returned.
+func loadReport(figures []wire.Figure) (load brain.Load, outOfRange []wire.Figure) {
 	if len(figures) == 0 {
-		return nil
+		return nil, nil
 	}
-	l := make(brain.Load, len(figures))
+	load = make(brain.Load, len(figures))
 	for _, f := range figures {
 		if !brain.Sound(f.Value) {
-			wrong(f)
+			outOfRange = append(outOfRange, f)
 			continue
 		}
-		l[f.Name] = f.Value
+		load[f.Name] = f.Value
 	}
-	return l
+	return load, outOfRange
 }
--- a/internal/pilot/recorded.go
+++ b/internal/pilot/recorded.go
@@ -2,23 +2,42 @@
 
 import "indigousher/brain"
 
-// knows returns whether a recorded note names what there is, in figures that the intake would have passed on. The module
-// takes any index for one that it may use.
-func (c *Core) validRecordedEvent(n brain.Note) bool {
-	within := func(i, n int) bool { return i >= 0 && i < n }
-	switch n := n.(type) {
-	case brain.Met:
-		for _, v := range n.Load {
-			if !brain.Sound(v) {
-				return false
-			}
+// acceptRecorded keeps recorded telemetry for this turn; the decider hears of it where live telemetry would stand.
+func (c *Core) acceptRecorded(telemetry []brain.Note) {
+	for _, event := range telemetry {
+		if c.validRecordedEvent(event) {
+			c.recorded = append(c.recorded, event)
+		} else {
+			c.reportMalformed(malformedRecordedEvent)
 		}
-		return within(n.Endpoint, c.endpoints.Len()) && within(n.Zone, c.zones.Len()) && n.Failed >= 0 && n.Tries >= n.Failed &&
-			brain.Sound(n.MeanMs) && brain.Sound(n.SpanMs)
+	}
+}
+
+// validRecordedEvent returns whether a recorded event names what there is, in figures that the intake would have
+// passed on. The decider takes any index for one that it may use.
+func (c *Core) validRecordedEvent(event brain.Note) bool {
+	switch event := event.(type) {
+	case brain.Met:
+		return c.validRecordedMet(event)
 	case brain.Demand:
-		return within(n.Proxy, c.proxies.Len()) && within(n.Kind, c.kinds.Len()) && n.Reqs >= 0 && brain.Sound(n.SpanMs)
+		return validIndex(event.Proxy, c.proxies.Len()) && validIndex(event.Kind, c.kinds.Len()) &&
+			event.Reqs >= 0 && brain.Sound(event.SpanMs)
 	case brain.SliceDemand:
-		return within(n.Kind, c.kinds.Len()) && n.Reqs >= 0 && brain.Sound(n.SpanMs)
+		return validIndex(event.Kind, c.kinds.Len()) && event.Reqs >= 0 && brain.Sound(event.SpanMs)
 	}
 	return false
 }
+
+// validRecordedMet returns whether the recorded statistics of an endpoint may be used.
+func (c *Core) validRecordedMet(met brain.Met) bool {
+	for _, figure := range met.Load {
+		if !brain.Sound(figure) {
+			return false
+		}
+	}
+	return validIndex(met.Endpoint, c.endpoints.Len()) && validIndex(met.Zone, c.zones.Len()) &&
+		met.Failed >= 0 && met.Tries >= met.Failed && brain.Sound(met.MeanMs) && brain.Sound(met.SpanMs)
+}
+
+// validIndex returns whether i is an index into n things.
+func validIndex(i, n int) bool { return i >= 0 && i < n }
--- a/internal/pilot/relay.go
+++ b/internal/pilot/relay.go
@@ -24,7 +24,7 @@
 		zone, known := c.zones.Find(in.Zone)
 		endpoint, listed := c.endpoints.Find(in.Endpoint)
 		if !known || !listed {
-			c.reportMalformed("report of an unknown zone or endpoint")
+			c.reportMalformed(malformedRelayedReport)
 			return events
 		}
 		c.Believed.Reports++
@@ -34,7 +34,7 @@
 	case ProxyDemand:
 		kind, known := c.kinds.Find(in.Kind)
 		if !known || !c.validProxy(in.Proxy) {
-			c.reportMalformed("demand of an unknown req kind or proxy")
+			c.reportMalformed(malformedRelayedDemand)
 			return events
 		}
 		c.Believed.Reports++
@@ -51,7 +51,7 @@
 func (c *Core) joinRelayed(events []brain.Note, in Relayed) []brain.Note {
 	zone, known := c.zones.Find(in.Zone)
 	if !known || !c.validProxy(in.Proxy) || !brain.Sound(in.Rate) {
-		c.reportMalformed("proxy of an unknown number or zone", fmt.Sprint(in.Proxy), in.Zone)
+		c.reportMalformed(malformedRelayedProxy, fmt.Sprint(in.Proxy), in.Zone)
 		return events
 	}
 	stood := in.Stood && c.relayProxies[in.Proxy]
@@ -79,7 +79,7 @@
 	switch o := o.(type) {
 	case brain.Bind:
 		if !c.relayProxies[o.Proxy] {
-			c.reportMalformed("bind of a proxy that has left", fmt.Sprint(o.Proxy))
+			c.reportMalformed(malformedBindOfLeftProxy, fmt.Sprint(o.Proxy))
 			return true
 		}
 	case brain.SetLine, brain.ClearTable, brain.Withdraw, brain.Admit, brain.Mark:
--- a/internal/pilot/reportgate.go
+++ b/internal/pilot/reportgate.go
@@ -25,7 +25,7 @@
 	periodMs    float64
 	lastFlushMs float64
 	slices      map[int]map[int]*brain.SliceDemand // in this pilot's charge, by slice and kind: what came since the last telling
-	malformed   map[string]int                     // what was named that nobody knows, since the last telling
+	malformed   map[malformedReason]int            // since the last telling
 	ages        *hdrhistogram.Histogram
 }
 
@@ -34,7 +34,7 @@
 
 func newReportGate(t intake.Terms, kinds []string) *reportGate {
 	g := &reportGate{intake: intake.New[[]wire.Figure](t), proxies: map[Stream]int{}, streams: map[int]Stream{},
-		endpoints: map[string]int{}, kinds: map[string]int{}, periodMs: t.PeriodMs, slices: map[int]map[int]*brain.SliceDemand{}, malformed: map[string]int{},
+		endpoints: map[string]int{}, kinds: map[string]int{}, periodMs: t.PeriodMs, slices: map[int]map[int]*brain.SliceDemand{}, malformed: map[malformedReason]int{},
 		ages: hdrhistogram.New(1, maxAgeMs, 2)}
 	for k, name := range kinds {
 		g.kinds[name] = k
@@ -96,7 +96,7 @@
 		m := &sums.Met[i]
 		e, known := g.endpoints[m.Endpoint]
 		if !known {
-			g.malformed["sums of an unknown endpoint"]++
+			g.malformed[malformedReportEndpoint]++
 			e = -1
 		}
 		r.Lines = append(r.Lines, intake.Line[[]wire.Figure]{Endpoint: e, Tries: m.Tries, Failed: m.Failed,
@@ -105,7 +105,7 @@
 	for _, d := range sums.Demand {
 		k, known := g.kinds[d.Kind]
 		if !known {
-			g.malformed["demand of an unknown req kind"]++
+			g.malformed[malformedReportKind]++
 			continue
 		}
 		r.Kinds = append(r.Kinds, intake.KindLine{Kind: k, Reqs: d.Reqs, Unanswered: d.Unanswered})
@@ -131,7 +131,7 @@
 		k, known := g.kinds[x.Kind]
 		of := g.slices[x.Slice]
 		if !known || of == nil || x.Unanswered > x.Reqs {
-			g.malformed["load of an unknown slice or req kind"]++
+			g.malformed[malformedReportSlice]++
 			continue
 		}
 		if of[k] == nil {
@@ -161,7 +161,7 @@
 }
 
 // tell passes on what a period may, and what streams are to be asked for.
-func (g *reportGate) flush(events []brain.Note, nowMs float64, m *Meter) ([]brain.Note, []paceRequest, map[string]int) {
+func (g *reportGate) flush(events []brain.Note, nowMs float64, m *Meter) ([]brain.Note, []paceRequest, map[malformedReason]int) {
 	if nowMs < g.due() {
 		return events, nil, nil
 	}
@@ -171,7 +171,11 @@
 	told := g.intake.Tell(nowMs, span)
 	g.lastFlushMs = nowMs
 	for i := range told.Mets {
-		events = append(events, told.Mets[i].Note(loadReport(told.Mets[i].Load, func(wire.Figure) { g.malformed[figureOutOfRange]++ })))
+		load, outOfRange := loadReport(told.Mets[i].Load)
+		if len(outOfRange) > 0 {
+			g.malformed[malformedLoadFigure] += len(outOfRange)
+		}
+		events = append(events, told.Mets[i].Note(load))
 	}
 	for _, d := range told.Demands {
 		events = append(events, d)
@@ -186,7 +190,7 @@
 	}
 	m.setIntake(g.intake.Counts[:], told.Left, g.ages)
 	malformed := g.malformed
-	g.malformed = map[string]int{}
+	g.malformed = map[malformedReason]int{}
 	return events, asks, malformed
 }
 
--- a/internal/pilot/session.go
+++ b/internal/pilot/session.go
@@ -9,6 +9,15 @@
 	"indigousher/internal/wire"
 )
 
+// Reasons of closing a stream that the proxy is told; their spelling stays.
+const (
+	closeUnknownZone    = "unknown zone"
+	closeRateOutOfRange = "rate out of range"
+	closeTooManyProxies = "too many proxies"
+	closeTooManySenders = "too many proxies at once"
+	closeReplaced       = "the proxy has come back on another stream"
+)
+
 // session is a joined proxy.
 type session struct {
 	hello            wire.Hello
@@ -27,27 +36,27 @@
 func (c *Core) join(events []brain.Note, in Join) []brain.Note {
 	zone, known := c.zones.Find(in.Hello.Zone)
 	if !known {
-		c.reportMalformed("proxy of an unknown zone", in.Hello.Proxy, in.Hello.Zone)
-		in.Stream.Close("unknown zone")
+		c.reportMalformed(malformedProxyZone, in.Hello.Proxy, in.Hello.Zone)
+		in.Stream.Close(closeUnknownZone)
 		return events
 	}
 	if !brain.Sound(in.Hello.Rate) {
-		c.reportMalformed("rate out of range", in.Hello.Proxy, fmt.Sprint(in.Hello.Rate))
-		in.Stream.Close("rate out of range")
+		c.reportMalformed(malformedProxyRate, in.Hello.Proxy, fmt.Sprint(in.Hello.Rate))
+		in.Stream.Close(closeRateOutOfRange)
 		return events
 	}
 	proxy, known := c.proxies.Find(in.Hello.Proxy)
 	if !known {
 		if c.proxies.Len() >= c.plan.MostProxies {
-			c.reportMalformed("too many proxies", in.Hello.Proxy)
-			in.Stream.Close("too many proxies")
+			c.reportMalformed(malformedProxyCount, in.Hello.Proxy)
+			in.Stream.Close(closeTooManyProxies)
 			return events
 		}
 		proxy = c.proxies.In(in.Hello.Proxy)
 	}
 	if old := c.sessions[proxy]; old != nil {
 		events = append(events, c.drop(old))
-		old.stream.Close("the proxy has come back on another stream")
+		old.stream.Close(closeReplaced)
 	}
 	s := &session{hello: in.Hello, proxy: proxy, zone: zone, stream: in.Stream, boundKinds: map[int]int{}, initialEndpoints: map[int]bool{},
 		heldTables: map[int]map[string]float64{}}
@@ -57,8 +66,8 @@
 		}
 	}
 	if !c.reports.addProxy(c.now, s) {
-		c.reportMalformed("too many proxies at once", in.Hello.Proxy)
-		in.Stream.Close("too many proxies at once")
+		c.reportMalformed(malformedSenderCount, in.Hello.Proxy)
+		in.Stream.Close(closeTooManySenders)
 		return events
 	}
 	for _, t := range in.Hello.Tables {
--- a/internal/pilot/slices.go
+++ b/internal/pilot/slices.go
@@ -15,7 +15,7 @@
 // one that the deployment does not have would wipe a zone's table at every proxy.
 func (c *Core) assignSlice(events []brain.Note, x *wire.Slices) []brain.Note {
 	if most, _ := c.plan.Terms["slices"].(float64); float64(x.Slice) >= most {
-		c.reportMalformed("slice that the terms do not tell of", fmt.Sprint(x.Slice))
+		c.reportMalformed(malformedSlice, fmt.Sprint(x.Slice))
 		return events
 	}
 	c.reports.assignSlice(x.Slice, x.Given)
@@ -29,7 +29,7 @@
 			events = append(events, brain.SliceLine{Slice: x.Slice, Endpoint: i, Weight: l.Weight})
 			c.table(x.Slice).lines[i] = l.Weight
 		} else {
-			c.reportMalformed("stored line of an unknown endpoint or weight", l.Endpoint, fmt.Sprint(l.Weight))
+			c.reportMalformed(malformedStoredLine, l.Endpoint, fmt.Sprint(l.Weight))
 		}
 	}
 	for _, s := range c.sortedSessions() {
