--- a/internal/pilot/checkpoint.go
+++ b/internal/pilot/checkpoint.go
@@ -31,5 +31,5 @@
 	p.Decider, p.Terms = c.plan.Decider, c.plan.Terms
 	c.plan = p
 	c.Channel = NewChannel(p.LinesPerS, p.Backlog, p.MessagesMost, p.MessagesOverMs, p.Meter)
-	c.reports.lastFlushMs = c.now
+	c.reports.restartPeriod(c.now)
 }
--- a/internal/pilot/core.go
+++ b/internal/pilot/core.go
@@ -78,14 +78,7 @@
 		events = append(events, brain.Alarm{Name: name})
 	}
 	before := len(events)
-	switch {
-	case c.plan.Relay != nil: // reports came as inputs
-	case c.plan.Replayed:
-		events = append(events, c.recorded...)
-		c.recorded = nil
-	default:
-		events = c.collectTelemetry(events)
-	}
+	events = c.appendTelemetry(events)
 	var commands []brain.Order
 	asked := len(events) > 0 || !c.started // the module wakes itself for whatever else is due
 	if asked {
--- a/internal/pilot/reportgate.go
+++ b/internal/pilot/reportgate.go
@@ -12,48 +12,87 @@
 	"indigousher/internal/wire"
 )
 
-// gate stands between the streams and the loop: reports are taken in where they are read, by any goroutine, and told
-// to the loop once a period. What becomes of them the intake module decides; the gate knows names and holds the lock.
+// maxAgeMs is the greatest age of a figure that the histogram of ages tells apart.
+const maxAgeMs = 600_000
+
+// ageDigits is how many significant digits the histogram of ages keeps.
+const ageDigits = 2
+
+// unknownIndex stands for a proxy or an endpoint that has no index; the intake counts what names it.
+const unknownIndex = -1
+
+// The intake holds load reports as they came on the wire.
+type (
+	reportIntake = intake.Intake[[]wire.Figure]
+	report       = intake.Report[[]wire.Figure]
+	reportLine   = intake.Line[[]wire.Figure]
+	reportedMet  = intake.Met[[]wire.Figure]
+)
+
+// reportGate stands between the streams and the loop: reports are taken in where they are read, by any goroutine, and
+// passed on to the loop once a period. What becomes of them the intake decides; the gate knows names and holds the
+// lock.
 type reportGate struct {
-	mu          sync.Mutex
-	intake      *intake.Intake[[]wire.Figure]
-	proxies     map[Stream]int
-	streams     map[int]Stream
-	endpoints   map[string]int
-	kinds       map[string]int
-	scratch     intake.Report[[]wire.Figure]
+	mu sync.Mutex // guards all below but periodMs and lastFlushMs, which the loop alone uses
+
+	intake  *reportIntake
+	scratch report // of the report being accepted, so that its slices are used again
+
+	// Indices by what reports name, and back.
+	proxies   map[Stream]int
+	streams   map[int]Stream
+	endpoints map[string]int
+	kinds     map[string]int
+
+	// sliceDemand sums, by slice assigned to this controller and request kind, what came since the last flush.
+	sliceDemand map[int]map[int]*brain.SliceDemand
+	// malformed counts what could not be used since the last flush.
+	malformed map[malformedReason]int
+	// ages holds the ages of all figures passed on since the start, in ms.
+	ages *hdrhistogram.Histogram
+
 	periodMs    float64
 	lastFlushMs float64
-	slices      map[int]map[int]*brain.SliceDemand // in this pilot's charge, by slice and kind: what came since the last telling
-	malformed   map[malformedReason]int            // since the last telling
-	ages        *hdrhistogram.Histogram
 }
 
-// oldest is the greatest age that the histogram tells apart, in ms.
-const maxAgeMs = 600_000
-
+// newReportGate returns a gate that no proxy has passed. kinds are the request kinds by index.
 func newReportGate(t intake.Terms, kinds []string) *reportGate {
-	g := &reportGate{intake: intake.New[[]wire.Figure](t), proxies: map[Stream]int{}, streams: map[int]Stream{},
-		endpoints: map[string]int{}, kinds: map[string]int{}, periodMs: t.PeriodMs, slices: map[int]map[int]*brain.SliceDemand{}, malformed: map[malformedReason]int{},
-		ages: hdrhistogram.New(1, maxAgeMs, 2)}
-	for k, name := range kinds {
-		g.kinds[name] = k
+	g := &reportGate{
+		intake:      intake.New[[]wire.Figure](t),
+		proxies:     map[Stream]int{},
+		streams:     map[int]Stream{},
+		endpoints:   map[string]int{},
+		kinds:       map[string]int{},
+		sliceDemand: map[int]map[int]*brain.SliceDemand{},
+		malformed:   map[malformedReason]int{},
+		ages:        hdrhistogram.New(1, maxAgeMs, ageDigits),
+		periodMs:    t.PeriodMs,
+	}
+	for kind, name := range kinds {
+		g.kinds[name] = kind
 	}
 	return g
 }
 
+// due returns when the next flush is.
 func (g *reportGate) due() float64 { return g.lastFlushMs + g.periodMs }
 
+// restartPeriod has the period begin at a time, without a flush.
+func (g *reportGate) restartPeriod(nowMs float64) { g.lastFlushMs = nowMs }
+
+// addProxy takes reports of a session from now on. It returns false if there are too many senders.
 func (g *reportGate) addProxy(nowMs float64, s *session) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.intake.Join(nowMs, s.proxy, s.zone) {
 		return false
 	}
-	g.proxies[s.stream], g.streams[s.proxy] = s.proxy, s.stream
+	g.proxies[s.stream] = s.proxy
+	g.streams[s.proxy] = s.stream
 	return true
 }
 
+// removeProxy ends taking reports of a session.
 func (g *reportGate) removeProxy(s *session) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -62,7 +101,7 @@
 	delete(g.streams, s.proxy)
 }
 
-// list tells of an endpoint as the module hears of it.
+// updateEndpoint takes over an entry of the list as the decider hears of it.
 func (g *reportGate) updateEndpoint(nowMs float64, name string, e brain.Entry) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -70,138 +109,176 @@
 	g.intake.List(nowMs, e.Endpoint, e.Phase, e.Started)
 }
 
-// gone tells that all endpoints but some are no longer listed.
-func (g *reportGate) removeUnlisted(nowMs float64, named map[int]bool) {
+// removeUnlisted takes all endpoints for gone but those whose index is listed.
+func (g *reportGate) removeUnlisted(nowMs float64, listed map[int]bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, i := range g.endpoints {
-		if !named[i] {
+		if !listed[i] {
 			g.intake.List(nowMs, i, brain.Gone, 0)
 		}
 	}
 }
 
-// take takes one report in.
+// assignSlice begins the demand of a slice anew, or forgets it when the slice is assigned no longer.
+func (g *reportGate) assignSlice(number int, assigned bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	delete(g.sliceDemand, number)
+	if assigned {
+		g.sliceDemand[number] = map[int]*brain.SliceDemand{}
+	}
+}
+
+// accept takes in one report.
 func (g *reportGate) accept(nowMs float64, from Stream, sums *wire.Sums) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	proxy, joined := g.proxies[from]
 	if !joined {
-		proxy = -1 // the module counts it
+		proxy = unknownIndex
 	}
 	r := &g.scratch
-	r.Sender, r.Seq, r.AtMs, r.SpanMs = proxy, sums.Seq, sums.AtMs, sums.SpanMs
-	r.Lines, r.Kinds = r.Lines[:0], r.Kinds[:0]
-	for i := range sums.Met {
-		m := &sums.Met[i]
-		e, known := g.endpoints[m.Endpoint]
+	r.Sender = proxy
+	r.Seq = sums.Seq
+	r.AtMs = sums.AtMs
+	r.SpanMs = sums.SpanMs
+	g.fillLines(r, sums.Met)
+	g.fillKinds(r, sums.Demand)
+	g.intake.Take(nowMs, r)
+	if joined {
+		g.addSliceDemand(sums.Slices)
+	}
+}
+
+// fillLines puts what a proxy met at endpoints into a report.
+func (g *reportGate) fillLines(r *report, mets []wire.Met) {
+	r.Lines = r.Lines[:0]
+	for i := range mets {
+		m := &mets[i]
+		endpoint, known := g.endpoints[m.Endpoint]
 		if !known {
 			g.malformed[malformedReportEndpoint]++
-			e = -1
+			endpoint = unknownIndex
 		}
-		r.Lines = append(r.Lines, intake.Line[[]wire.Figure]{Endpoint: e, Tries: m.Tries, Failed: m.Failed,
+		r.Lines = append(r.Lines, reportLine{Endpoint: endpoint, Tries: m.Tries, Failed: m.Failed,
 			MeanMs: m.MeanMs, Load: m.Load, HasLoad: len(m.Load) > 0})
 	}
-	for _, d := range sums.Demand {
-		k, known := g.kinds[d.Kind]
+}
+
+// fillKinds puts the requests that came to a proxy, by kind, into a report.
+func (g *reportGate) fillKinds(r *report, demands []wire.Demand) {
+	r.Kinds = r.Kinds[:0]
+	for _, d := range demands {
+		kind, known := g.kinds[d.Kind]
 		if !known {
 			g.malformed[malformedReportKind]++
 			continue
 		}
-		r.Kinds = append(r.Kinds, intake.KindLine{Kind: k, Reqs: d.Reqs, Unanswered: d.Unanswered})
-	}
-	g.intake.Take(nowMs, r)
-	if joined {
-		g.addSliceDemand(sums)
-	}
-}
-
-// slice notes that a slice is in this pilot's charge or no longer.
-func (g *reportGate) assignSlice(number int, given bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if delete(g.slices, number); given {
-		g.slices[number] = map[int]*brain.SliceDemand{}
+		r.Kinds = append(r.Kinds, intake.KindLine{Kind: kind, Reqs: d.Reqs, Unanswered: d.Unanswered})
 	}
 }
 
-// sliceLoad adds up demand for the slices in this pilot's charge; it is bounded by these and the kinds.
-func (g *reportGate) addSliceDemand(sums *wire.Sums) {
-	for _, x := range sums.Slices {
-		k, known := g.kinds[x.Kind]
-		of := g.slices[x.Slice]
-		if !known || of == nil || x.Unanswered > x.Reqs {
+// addSliceDemand adds up demand for the slices assigned to this controller; it is bounded by these and the kinds.
+func (g *reportGate) addSliceDemand(loads []wire.SliceLoad) {
+	for _, load := range loads {
+		kind, known := g.kinds[load.Kind]
+		byKind := g.sliceDemand[load.Slice]
+		if !known || byKind == nil || load.Unanswered > load.Reqs {
 			g.malformed[malformedReportSlice]++
 			continue
 		}
-		if of[k] == nil {
-			of[k] = &brain.SliceDemand{Slice: x.Slice, Kind: k}
+		demand := byKind[kind]
+		if demand == nil {
+			demand = &brain.SliceDemand{Slice: load.Slice, Kind: kind}
+			byKind[kind] = demand
 		}
-		of[k].Reqs, of[k].Unanswered = of[k].Reqs+x.Reqs, of[k].Unanswered+x.Unanswered
+		demand.Reqs += load.Reqs
+		demand.Unanswered += load.Unanswered
 	}
 }
 
-// tellSlices passes on what came for slices.
-func (g *reportGate) flushSlices(events []brain.Note, spanMs float64) []brain.Note {
-	for _, number := range slices.Sorted(maps.Keys(g.slices)) {
-		of := g.slices[number]
-		for _, k := range slices.Sorted(maps.Keys(of)) {
-			of[k].SpanMs = spanMs
-			events = append(events, *of[k])
-		}
-		clear(of)
-	}
-	return events
-}
-
-// asked is what a stream is to be asked for.
+// paceRequest asks a stream's proxy to report otherwise.
 type paceRequest struct {
 	stream Stream
 	pace   *wire.Pace
 }
 
-// tell passes on what a period may, and what streams are to be asked for.
-func (g *reportGate) flush(events []brain.Note, nowMs float64, m *Meter) ([]brain.Note, []paceRequest, map[malformedReason]int) {
+// flush appends, when the period is over, what the intake passes on to events. It also returns what proxies are to be
+// asked for and counts of what could not be used.
+func (g *reportGate) flush(events []brain.Note, nowMs float64, m *Meter) (
+	_ []brain.Note, requests []paceRequest, malformed map[malformedReason]int) {
 	if nowMs < g.due() {
 		return events, nil, nil
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	span := nowMs - g.lastFlushMs
-	told := g.intake.Tell(nowMs, span)
+	spanMs := nowMs - g.lastFlushMs
 	g.lastFlushMs = nowMs
-	for i := range told.Mets {
-		load, outOfRange := loadReport(told.Mets[i].Load)
+	passed := g.intake.Tell(nowMs, spanMs)
+	events = g.appendMets(events, passed.Mets)
+	for _, demand := range passed.Demands {
+		events = append(events, demand)
+	}
+	events = g.appendSliceDemand(events, spanMs)
+	g.recordAges(passed.Ages)
+	requests = g.paceRequests(nowMs)
+	m.setIntake(g.intake.Counts[:], passed.Left, g.ages)
+	malformed = g.malformed
+	g.malformed = map[malformedReason]int{}
+	return events, requests, malformed
+}
+
+// appendMets appends the statistics of endpoints.
+func (g *reportGate) appendMets(events []brain.Note, mets []reportedMet) []brain.Note {
+	for i := range mets {
+		load, outOfRange := loadReport(mets[i].Load)
 		if len(outOfRange) > 0 {
 			g.malformed[malformedLoadFigure] += len(outOfRange)
 		}
-		events = append(events, told.Mets[i].Note(load))
+		events = append(events, mets[i].Note(load))
 	}
-	for _, d := range told.Demands {
-		events = append(events, d)
+	return events
+}
+
+// appendSliceDemand appends what came for slices in a span and begins their sums anew.
+func (g *reportGate) appendSliceDemand(events []brain.Note, spanMs float64) []brain.Note {
+	for _, number := range slices.Sorted(maps.Keys(g.sliceDemand)) {
+		byKind := g.sliceDemand[number]
+		for _, kind := range slices.Sorted(maps.Keys(byKind)) {
+			demand := byKind[kind]
+			demand.SpanMs = spanMs
+			events = append(events, *demand)
+		}
+		clear(byKind)
 	}
-	events = g.flushSlices(events, span)
-	for _, a := range told.Ages {
-		_ = g.ages.RecordValue(int64(min(max(a, 0), maxAgeMs))) // within its range by the line itself
+	return events
+}
+
+// recordAges adds ages of figures, in ms, to the histogram.
+func (g *reportGate) recordAges(ages []float64) {
+	for _, age := range ages {
+		_ = g.ages.RecordValue(int64(min(max(age, 0), maxAgeMs))) // no error: the value is within the range
 	}
-	var asks []paceRequest
-	for _, a := range g.intake.Deal(nowMs) {
-		asks = append(asks, paceRequest{g.streams[a.Sender], &wire.Pace{PeriodMs: int(a.PeriodMs), Lines: a.Lines, Changes: a.Changes}})
+}
+
+// paceRequests returns how proxies are to report from now on, where that changes.
+func (g *reportGate) paceRequests(nowMs float64) (requests []paceRequest) {
+	for _, advice := range g.intake.Deal(nowMs) {
+		pace := &wire.Pace{PeriodMs: int(advice.PeriodMs), Lines: advice.Lines, Changes: advice.Changes}
+		requests = append(requests, paceRequest{g.streams[advice.Sender], pace})
 	}
-	m.setIntake(g.intake.Counts[:], told.Left, g.ages)
-	malformed := g.malformed
-	g.malformed = map[malformedReason]int{}
-	return events, asks, malformed
+	return requests
 }
 
-// state returns how many sums wait, the most that ever did, and the lines by what became of them.
-func (g *reportGate) stats() (waiting, most int, counts map[string]uint64) {
+// stats returns how many sums wait, the most that ever did, and the report lines by what became of them.
+func (g *reportGate) stats() (waiting, mostWaiting int, counts map[string]uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	counts = map[string]uint64{}
-	for i, r := range intake.Reasons() {
+	for i, reason := range intake.Reasons() {
 		if g.intake.Counts[i] > 0 {
-			counts[r.String()] = g.intake.Counts[i]
+			counts[reason.String()] = g.intake.Counts[i]
 		}
 	}
 	return g.intake.Waiting(), g.intake.MostOrder, counts
--- a/internal/pilot/telemetry.go
+++ b/internal/pilot/telemetry.go
@@ -9,26 +9,41 @@
 	"indigousher/internal/wire"
 )
 
-// Report takes a proxy's sums, also in between turns; the intake passes them on when its period is over.
+// Believed counts what the core took in of reports, for the controller's own book-keeping.
+type Believed struct {
+	Reports, Odd int     // reports taken in from elsewhere, and malformed inputs
+	SpanMs       float64 // that all reports covered
+	Listed       int     // endpoints on the list as held
+}
+
+// Report takes in a proxy's report, also in between turns and by any goroutine; the intake passes it on when its
+// period is over.
 func (c *Core) Report(nowMs float64, s Stream, sums *wire.Sums) { c.reports.accept(nowMs, s, sums) }
 
-// tell adds what the intake passes on, and asks streams for what it wants of them.
-func (c *Core) collectTelemetry(events []brain.Note) []brain.Note {
-	events, asks, unknown := c.reports.flush(events, c.now, c.plan.Meter)
-	for _, a := range asks {
-		if err := a.stream.Ask(a.pace); err != nil {
-			a.stream.Close(err.Error())
+// appendTelemetry appends what reports come to in this turn, whichever way they come.
+func (c *Core) appendTelemetry(events []brain.Note) []brain.Note {
+	switch {
+	case c.plan.Relay != nil: // reports came as inputs, summed up
+		return events
+	case c.plan.Replayed:
+		events = append(events, c.recorded...)
+		c.recorded = nil
+		return events
+	default:
+		return c.flushReports(events)
+	}
+}
+
+// flushReports appends what the intake passes on, and asks proxies for what it wants of their reports.
+func (c *Core) flushReports(events []brain.Note) []brain.Note {
+	events, requests, malformed := c.reports.flush(events, c.now, c.plan.Meter)
+	for _, r := range requests {
+		if err := r.stream.Ask(r.pace); err != nil {
+			r.stream.Close(err.Error())
 		}
 	}
-	for _, what := range slices.Sorted(maps.Keys(unknown)) {
-		c.reportMalformed(what, fmt.Sprint(unknown[what]))
+	for _, reason := range slices.Sorted(maps.Keys(malformed)) {
+		c.reportMalformed(reason, fmt.Sprint(malformed[reason]))
 	}
 	return events
 }
-
-// Believed counts what the core took in of reports, for the pilot's own book-keeping.
-type Believed struct {
-	Reports, Odd int
-	SpanMs       float64 // that all reports covered
-	Listed       int     // endpoints on the list as held
-}
