--- a/internal/pilot/loop.go
+++ b/internal/pilot/loop.go
@@ -42,25 +42,36 @@
 	state State
 }
 
-// State is what the loop shows of itself after each turn.
+// State is what the loop shows of itself after each turn. Its JSON is shown by the admin listener.
 type State struct {
 	// Joined proxies and known endpoints.
-	Proxies, Endpoints int
+	Proxies   int `json:"Proxies"`
+	Endpoints int `json:"Endpoints"`
+
 	// Lines that wait in the channel, the most that ever did, and the most messages to one proxy within the span of
 	// the limit on them.
-	Lines, MostLines, MostMessages int
+	Lines        int `json:"Lines"`
+	MostLines    int `json:"MostLines"`
+	MostMessages int `json:"MostMessages"`
+
 	// Turns of the loop since its start.
-	Turns int
+	Turns int `json:"Turns"`
+
 	// Sums of reports that wait to be passed on, and the most that ever did.
-	Standing, MostStanding int
+	Standing     int `json:"Standing"`
+	MostStanding int `json:"MostStanding"`
+
 	// Refused counts report lines by what became of them.
-	Refused map[string]uint64
+	Refused map[string]uint64 `json:"Refused"`
+
 	// Listed is whether the endpoint list has arrived.
-	Listed bool
+	Listed bool `json:"Listed"`
+
 	// Believed counts the reports that were taken in.
-	Believed Believed
+	Believed Believed `json:"Believed"`
+
 	// LastTurn is when the last turn ended.
-	LastTurn time.Time
+	LastTurn time.Time `json:"LastTurn"`
 }
 
 // NewLoop returns a loop that has not started.
--- a/internal/pilot/telemetry.go
+++ b/internal/pilot/telemetry.go
@@ -11,9 +11,14 @@
 
 // Believed counts what the core took in of reports, for the controller's own book-keeping.
 type Believed struct {
-	Reports, Odd int     // reports taken in from elsewhere, and malformed inputs
-	SpanMs       float64 // that all reports covered
-	Listed       int     // endpoints on the list as held
+	// Reports that came summed up, by a relay.
+	Reports int `json:"Reports"`
+	// Odd counts malformed input.
+	Odd int `json:"Odd"`
+	// SpanMs is the span that the reports covered.
+	SpanMs float64 `json:"SpanMs"`
+	// Listed is how many endpoints are on the list as held, where a relay holds the streams.
+	Listed int `json:"Listed"`
 }
 
 // Report takes in a proxy's report, also in between turns and by any goroutine; the intake passes it on when its
