--- a/internal/pilot/acks.go
+++ b/internal/pilot/acks.go
@@ -1,17 +1,51 @@
 package pilot
 
-import "slices"
+import (
+	"slices"
 
-// mostMarks bounds the marks that a proxy may owe an answer to; what it owes beyond them is forgotten, oldest first.
+	"indigousher/brain"
+	"indigousher/internal/wire"
+)
+
+// maxUnacknowledged bounds the marks that a proxy may owe an acknowledgement of; what it owes beyond them is forgotten,
+// oldest first.
 const maxUnacknowledged = 1024
 
-// answers returns whether a mark was sent to a proxy and not answered yet. Were any number taken, a proxy that makes
-// them up would have the module believe that its channel is empty.
-func (s *session) acknowledge(mark int) bool {
-	i := slices.Index(s.unacknowledged, mark)
+// pendingAcks are the marks that were sent to a proxy and not acknowledged yet, oldest first.
+type pendingAcks []int
+
+// add notes a mark that is sent.
+func (p *pendingAcks) add(mark int) {
+	marks := append(*p, mark)
+	*p = marks[max(0, len(marks)-maxUnacknowledged):]
+}
+
+// acknowledge forgets a mark and returns whether it was pending. Were any number taken, a proxy that makes them up
+// would have the decider believe that its channel is empty.
+func (p *pendingAcks) acknowledge(mark int) bool {
+	i := slices.Index(*p, mark)
 	if i < 0 {
 		return false
 	}
-	s.unacknowledged = slices.Delete(s.unacknowledged, i, i+1)
+	*p = slices.Delete(*p, i, i+1)
 	return true
 }
+
+// acknowledge appends a proxy's acknowledgement of a mark, if one is pending.
+func (c *Core) acknowledge(events []brain.Note, in Applied) []brain.Note {
+	s := c.streams[in.Stream]
+	if s == nil || !s.acks.acknowledge(in.Done.Mark) {
+		return events
+	}
+	return append(events, brain.Applied{Proxy: s.proxy, Number: in.Done.Mark, TookMs: in.Done.TookMs})
+}
+
+// mark asks the proxies that this turn reaches, or all, to acknowledge what they were sent.
+func (c *Core) mark(o brain.Mark) {
+	for _, s := range c.sortedSessions() {
+		if s.pending != nil || o.All {
+			c.enqueue(s, wire.Op{Kind: wire.OpMark, Number: o.Number})
+			s.acks.add(o.Number)
+		}
+	}
+}
--- a/internal/pilot/commands.go
+++ b/internal/pilot/commands.go
@@ -4,47 +4,39 @@
 	"fmt"
 
 	"indigousher/brain"
-	"indigousher/internal/wire"
 )
 
-// carryOut does one order.
-func (c *Core) execute(o brain.Order) {
-	if c.forwardToRelay(o) {
+// execute carries out one command of the decider. What goes to proxies is collected for the end of the turn.
+func (c *Core) execute(command brain.Order) {
+	if c.forwardToRelay(command) {
 		return
 	}
-	switch o := o.(type) {
+	switch command := command.(type) {
 	case brain.SetLine:
-		c.setLine(o)
+		c.setLine(command)
 	case brain.ClearTable:
-		delete(c.tables, o.Table)
-		c.sendToUsers(o.Table, wire.Op{Kind: wire.OpClear, Table: o.Table})
+		c.clearTable(command)
 	case brain.Bind:
-		c.bind(o)
+		c.bind(command)
 	case brain.Withdraw:
-		c.exclude(o)
+		c.exclude(command)
 	case brain.Admit:
-		c.admit(o)
+		c.admit(command)
 	case brain.Mark:
-		for _, s := range c.sortedSessions() {
-			if s.pending != nil || o.All {
-				c.enqueue(s, wire.Op{Kind: wire.OpMark, Number: o.Number})
-				s.unacknowledged = append(s.unacknowledged, o.Number)
-				s.unacknowledged = s.unacknowledged[max(0, len(s.unacknowledged)-maxUnacknowledged):]
-			}
-		}
+		c.mark(command)
 	case brain.Probe:
-		c.plan.Prober.Probe(c.endpoints.Name(o.Endpoint))
+		c.plan.Prober.Probe(c.endpoints.Name(command.Endpoint))
 	case brain.Tell:
-		c.plan.Peers.Tell(o.Peer, o.Text)
+		c.plan.Peers.Tell(command.Peer, command.Text)
 	case brain.WakeAt:
-		c.timers.set(o.AtMs, o.Name)
+		c.timers.set(command.AtMs, command.Name)
 	case brain.Watch:
-		c.plan.List.Watch(o.On)
+		c.plan.List.Watch(command.On)
 	case brain.FetchList:
 		c.plan.List.Fetch()
 	case brain.Log:
-		c.plan.Log(o.Text)
+		c.plan.Log(command.Text)
 	default:
-		c.reportMalformed(malformedCommand, fmt.Sprintf("%T", o))
+		c.reportMalformed(malformedCommand, fmt.Sprintf("%T", command))
 	}
 }
--- a/internal/pilot/events.go
+++ b/internal/pilot/events.go
@@ -7,46 +7,57 @@
 	"indigousher/brain"
 )
 
-// note turns an input into notes.
+// outcomeOK is the outcome of a health check that the endpoint passed.
+const outcomeOK = "ok"
+
+// handleInput takes over what an input says and appends what the decider is to hear of it.
 func (c *Core) handleInput(events []brain.Note, in Input) []brain.Note {
 	switch in := in.(type) {
 	case Join:
 		return c.join(events, in)
 	case Leave:
-		if s := c.streams[in.Stream]; s != nil {
-			return append(events, c.drop(s))
-		}
-	case Reported: // on sockets the loop hands it to the gate at once
+		return c.leave(events, in)
+	case Reported: // in virtual time; on sockets the loop takes it in where it is read
 		c.Report(c.now, in.Stream, in.Sums)
 	case Applied:
-		if s := c.streams[in.Stream]; s != nil && s.acknowledge(in.Done.Mark) {
-			return append(events, brain.Applied{Proxy: s.proxy, Number: in.Done.Mark, TookMs: in.Done.TookMs})
-		}
+		return c.acknowledge(events, in)
 	case Listed:
 		return append(events, c.applyList(in))
-	case SliceGiven:
-		return c.assignSlice(events, in.Slices)
 	case ListLost:
 		return append(events, brain.Listing{Mode: brain.ListFailed})
+	case SliceGiven:
+		return c.assignSlice(events, in.Slices)
 	case Probed:
-		if i, known := c.endpoints.Find(in.Endpoint); known {
-			load, outOfRange := loadReport(in.Load)
-			for _, f := range outOfRange {
-				c.reportMalformed(malformedLoadFigure, f.Name, fmt.Sprint(f.Value))
-			}
-			return append(events, brain.Probed{Endpoint: i, OK: in.Outcome == "ok", Outcome: in.Outcome,
-				TookMs: in.TookMs, Load: load})
-		}
-	case Told:
-		c.acceptRecorded(in.Notes)
+		return c.healthChecked(events, in)
 	case Heard:
 		return append(events, brain.Gossip{From: in.From, Text: in.Text})
 	case Retermed:
-		maps.Copy(c.plan.Terms, in.Terms)
-		c.plan.Decider.Reconfigure(c.plan.Terms)
-		c.Channel.Reterm(in.Terms)
+		c.changeSettings(in.Terms)
+	case Told:
+		c.acceptRecorded(in.Notes)
 	default:
 		return c.handleRelayInput(events, in)
 	}
 	return events
 }
+
+// healthChecked appends the result of a health check, if its endpoint is known.
+func (c *Core) healthChecked(events []brain.Note, in Probed) []brain.Note {
+	endpoint, known := c.endpoints.Find(in.Endpoint)
+	if !known {
+		return events
+	}
+	load, outOfRange := loadReport(in.Load)
+	for _, f := range outOfRange {
+		c.reportMalformed(malformedLoadFigure, f.Name, fmt.Sprint(f.Value))
+	}
+	return append(events, brain.Probed{Endpoint: endpoint, OK: in.Outcome == outcomeOK, Outcome: in.Outcome,
+		TookMs: in.TookMs, Load: load})
+}
+
+// changeSettings puts changed settings into those of the decider, and into the channel's limits.
+func (c *Core) changeSettings(changed map[string]any) {
+	maps.Copy(c.plan.Terms, changed)
+	c.plan.Decider.Reconfigure(c.plan.Terms)
+	c.Channel.Reterm(changed)
+}
--- a/internal/pilot/options.go
+++ b/internal/pilot/options.go
@@ -7,23 +7,45 @@
 
 // Plan names all that a Core is made from.
 type Plan struct {
-	Decider                Decider
-	Terms                  map[string]any // the map the Decider reads
+	// Decider decides, by the settings in Terms: the map that it was made with. Settings that change are put into it.
+	Decider Decider
+	Terms   map[string]any
+
+	// Names by index, as the decider knows zones, machine types and request kinds.
 	Zones, Machines, Kinds []string
-	LinesPerS, Backlog     float64
-	HeadLines              int
-	MessagesMost           int
-	MessagesOverMs         float64
-	Intake                 intake.Terms
-	MostProxies            int // distinct names in a life; more are refused
-	List                   ListSource
-	Prober                 Prober
-	Peers                  Peers
-	Relay                  Relay                               // where others hold the streams; nil: they are ours
-	Log                    func(text string)                   // the module's own lines
-	Odd                    func(what string, fields ...string) // what an edge said that can't be used
-	Meter                  *Meter
-	// Turn, if not nil, hears of each turn: its inputs, what the intake passed on, and the orders.
-	Turn     func(nowMs float64, inputs []Input, told []brain.Note, orders []brain.Order)
-	Replayed bool // what the intake passed on comes as Told; the core's own is not asked
+
+	// Limits of the channel. LinesPerS paces it, 0 not at all; Backlog is how many lines may wait, 0 for no limit;
+	// HeadLines is what each message counts beside its own lines; MessagesMost is how many messages a proxy may be sent
+	// within MessagesOverMs, 0 for no limit.
+	LinesPerS, Backlog float64
+	HeadLines          int
+	MessagesMost       int
+	MessagesOverMs     float64
+
+	// Intake limits what is taken in of reports.
+	Intake intake.Terms
+
+	// MostProxies is how many distinct proxies may join in a life; more are rejected.
+	MostProxies int
+
+	// The transports. Relay is set where others hold the streams of proxies, nil where they are ours.
+	List   ListSource
+	Prober Prober
+	Peers  Peers
+	Relay  Relay
+
+	// Log takes the decider's own log lines; Odd takes what a transport brought that can't be used, with fields that
+	// name it.
+	Log func(text string)
+	Odd func(what string, fields ...string)
+
+	// Meter counts; it may be nil.
+	Meter *Meter
+
+	// Turn, if not nil, hears of each turn: its inputs, what the intake passed on, and the orders. The inputs' slice is
+	// used again after it returns.
+	Turn func(nowMs float64, inputs []Input, told []brain.Note, orders []brain.Order)
+
+	// Replayed means that what the intake passed on comes as Told inputs; the core's own intake is not asked.
+	Replayed bool
 }
--- a/internal/pilot/session.go
+++ b/internal/pilot/session.go
@@ -29,7 +29,7 @@
 	heldTables       map[int]map[string]float64 // that it said it has and that are not bound anew
 	pending          *wire.Orders               // message of the Handle under way
 	recentSends      sendTimes                  // when messages left to it lately
-	unacknowledged   []int                      // sent to it and not answered, oldest first
+	acks             pendingAcks
 }
 
 // join takes in a stream. One under the same name is ended first: the newer one is the one that lives.
@@ -84,6 +84,15 @@
 	return append(events, brain.Joined{Proxy: proxy, Zone: zone, Rate: in.Hello.Rate, Fresh: in.Hello.Fresh})
 }
 
+// leave appends that a proxy has left, if the stream that ended is its own.
+func (c *Core) leave(events []brain.Note, in Leave) []brain.Note {
+	s := c.streams[in.Stream]
+	if s == nil {
+		return events
+	}
+	return append(events, c.drop(s))
+}
+
 // drop forgets a session and what waits for it in the channel.
 func (c *Core) drop(s *session) brain.Note {
 	delete(c.sessions, s.proxy)
--- a/internal/pilot/tables.go
+++ b/internal/pilot/tables.go
@@ -18,6 +18,12 @@
 	return c.tables[number]
 }
 
+// clearTable removes a table's lines and levels, also at its users.
+func (c *Core) clearTable(o brain.ClearTable) {
+	delete(c.tables, o.Table)
+	c.sendToUsers(o.Table, wire.Op{Kind: wire.OpClear, Table: o.Table})
+}
+
 // setLine changes a line at all users of its table. An endpoint shut out stays so where it was not held before.
 func (c *Core) setLine(o brain.SetLine) {
 	t, name := c.table(o.Table), c.endpoints.Name(o.Endpoint)
--- a/internal/pilot/transports.go
+++ b/internal/pilot/transports.go
@@ -5,7 +5,8 @@
 	"indigousher/internal/wire"
 )
 
-// Decider is what decides; brain.Brain is the one that ships.
+// Decider is what decides; brain.Brain is the one that ships. It is called by one goroutine, keeps no hold of notes'
+// slice and has no effect but what it returns.
 type Decider interface {
 	// Handle takes in what happened by nowMs and returns what is to be done about it.
 	Handle(nowMs float64, notes []brain.Note) []brain.Order
@@ -14,28 +15,36 @@
 	Reconfigure(settings map[string]any)
 }
 
-// Stream carries messages to one proxy. Send must not block; an error ends the stream, as does Close.
+// Stream carries messages to one proxy. None of its methods may block or call the core back; all may be called after
+// the stream has ended. Streams are compared: two of them are equal only if they are the same.
 type Stream interface {
+	// Send takes over a message. An error ends the stream: the core closes it.
 	Send(*wire.Orders) error
+	// Ask asks the proxy to report otherwise. An error ends the stream, as with Send.
 	Ask(*wire.Pace) error
+	// Close ends the stream and tells the proxy why. The transport reports its end as Leave.
 	Close(reason string)
 }
 
-// ListSource is asked for the endpoint list; answers come as List or ListLost inputs.
+// ListSource is asked for the endpoint list. Its methods don't block; answers come as Listed or ListLost inputs.
 type ListSource interface {
+	// Watch subscribes to the list's changes, or ends the subscription.
 	Watch(on bool)
+	// Fetch asks for the whole list once.
 	Fetch()
 }
 
-// Prober examines an endpoint; the answer comes as a Probed input.
+// Prober checks the health of an endpoint. Probe doesn't block; the answer comes as a Probed input.
 type Prober interface{ Probe(endpoint string) }
 
-// Peers carries a short text to another pilot, or to all with peer -1. It may be lost.
+// Peers carries a short text to another controller, or to all with peer -1. Tell doesn't block; the text may be lost.
 type Peers interface{ Tell(peer int, text string) }
 
 // Relay carries what one turn ordered to proxies whose streams others hold. It queues and paces by itself: the core
-// lays no messages out and its channel stays empty. Carry must not block and keeps nothing of what it is given.
+// sends no messages and its channel stays empty.
 type Relay interface {
+	// Carry takes over a turn's commands; endpoint returns the name behind an index. It must not block and keeps
+	// nothing of what it is given.
 	Carry(turn []brain.Order, endpoint func(i int) string)
 	// Gone says that what waits for a proxy is void.
 	Gone(proxy int)
