--- a/internal/pilot/binding.go
+++ b/internal/pilot/binding.go
@@ -36,13 +36,13 @@
 func (c *Core) sendTable(s *session, number int, has map[string]float64, keep bool) {
 	t := c.table(number)
 	for _, i := range slices.Sorted(maps.Keys(t.lines)) {
-		name := c.endpoints.Name(i)
+		name := c.endpoints.name(i)
 		if !keep || has[name] != t.lines[i] {
 			c.enqueue(s, wire.Op{Kind: wire.OpSet, Table: number, Endpoint: name, Weight: t.lines[i]})
 		}
 		delete(has, name)
 		if c.excluded[i] {
-			c.enqueue(s, wire.Op{Kind: wire.OpWithdraw, Endpoint: c.endpoints.Name(i), Out: true})
+			c.enqueue(s, wire.Op{Kind: wire.OpWithdraw, Endpoint: c.endpoints.name(i), Out: true})
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(has)) { // what it has beyond that
--- a/internal/pilot/checkpoint.go
+++ b/internal/pilot/checkpoint.go
@@ -1,19 +1,8 @@
 package pilot
 
-import (
-	"maps"
-	"slices"
-
-	"indigousher/internal/wire"
-)
-
 // Checkpoint returns inputs that bring another core to know who is joined and what is listed.
 func (c *Core) Checkpoint() []Input {
-	l := &wire.List{Version: c.listVersion, Now: c.listNow + uint64(max(0, c.now-c.listAt)), Whole: true}
-	for _, name := range slices.Sorted(maps.Keys(c.listed)) {
-		l.Entries = append(l.Entries, c.listed[name])
-	}
-	inputs := []Input{Listed{List: l}}
+	inputs := []Input{Listed{List: c.endpoints.snapshot(c.now)}}
 	for _, s := range c.sortedSessions() {
 		inputs = append(inputs, Join{s.stream, s.hello})
 	}
--- a/internal/pilot/commands.go
+++ b/internal/pilot/commands.go
@@ -25,7 +25,7 @@
 	case brain.Mark:
 		c.mark(command)
 	case brain.Probe:
-		c.plan.Prober.Probe(c.endpoints.Name(command.Endpoint))
+		c.plan.Prober.Probe(c.endpoints.name(command.Endpoint))
 	case brain.Tell:
 		c.plan.Peers.Tell(command.Peer, command.Text)
 	case brain.WakeAt:
--- a/internal/pilot/core.go
+++ b/internal/pilot/core.go
@@ -7,44 +7,38 @@
 import (
 	"indigousher/brain"
 	"indigousher/internal/translate"
-	"indigousher/internal/wire"
 )
 
 // Core holds what the orders so far amount to. It is used by one goroutine.
 type Core struct {
-	plan                              Plan
-	endpoints, zones, machines, kinds translate.Names
-	proxies                           translate.Names
-	sessions                          map[int]*session
-	streams                           map[Stream]*session
-	tables                            map[int]*table
-	globalLevels                      map[int]brain.Admit
-	excluded                          map[int]bool
-	sliceRanges                       map[int]keyRange // in this pilot's charge, by number, which is that of their table
-	starts                            map[int]startTime
-	timers                            timerQueue
-	reports                           *reportGate
-	recorded                          []brain.Note // of a replay, for this turn
-	listed                            map[string]wire.Entry
-	listVersion                       int
-	listNow                           uint64 // on the list's clock, at listAt of ours
-	listAt                            float64
-	Channel                           *Channel
-	now                               float64
-	touched                           []*session
-	ordered                           []*session // by proxy; nil: to be made
-	started                           bool
-	relayProxies                      map[int]bool    // joined proxies whose streams the relay holds
-	relayCommands                     []brain.Order   // what this turn ordered of the relay
-	retired                           map[int]float64 // endpoints no longer listed, and since when
-	Believed                          Believed
-	Heard                             int // notes handed to the module
+	plan                   Plan
+	endpoints              endpointRegistry
+	zones, machines, kinds translate.Names
+	proxies                translate.Names
+	sessions               map[int]*session
+	streams                map[Stream]*session
+	tables                 map[int]*table
+	globalLevels           map[int]brain.Admit
+	excluded               map[int]bool
+	sliceRanges            map[int]keyRange // in this pilot's charge, by number, which is that of their table
+	timers                 timerQueue
+	reports                *reportGate
+	recorded               []brain.Note // of a replay, for this turn
+	Channel                *Channel
+	now                    float64
+	touched                []*session
+	ordered                []*session // by proxy; nil: to be made
+	started                bool
+	relayProxies           map[int]bool  // joined proxies whose streams the relay holds
+	relayCommands          []brain.Order // what this turn ordered of the relay
+	Believed               Believed
+	Heard                  int // notes handed to the module
 }
 
 // NewCore returns a core that has been told nothing.
 func NewCore(p Plan) *Core {
 	c := &Core{plan: p, sessions: map[int]*session{}, streams: map[Stream]*session{}, tables: map[int]*table{},
-		globalLevels: map[int]brain.Admit{}, excluded: map[int]bool{}, sliceRanges: map[int]keyRange{}, relayProxies: map[int]bool{}, retired: map[int]float64{}, starts: map[int]startTime{},
+		globalLevels: map[int]brain.Admit{}, excluded: map[int]bool{}, sliceRanges: map[int]keyRange{}, relayProxies: map[int]bool{}, endpoints: newEndpointRegistry(),
 		Channel: NewChannel(p.LinesPerS, p.Backlog, p.MessagesMost, p.MessagesOverMs, p.Meter)}
 	for _, z := range p.Zones {
 		c.zones.In(z)
@@ -55,7 +49,7 @@
 	for _, k := range p.Kinds {
 		c.kinds.In(k)
 	}
-	c.reports, c.listed = newReportGate(p.Intake, p.Kinds), map[string]wire.Entry{}
+	c.reports = newReportGate(p.Intake, p.Kinds)
 	return c
 }
 
@@ -100,4 +94,4 @@
 func (c *Core) Now() float64 { return c.now }
 
 // EndpointName returns the name behind an index of the module's.
-func (c *Core) EndpointName(i int) string { return c.endpoints.Name(i) }
+func (c *Core) EndpointName(i int) string { return c.endpoints.name(i) }
--- a/internal/pilot/endpoints.go
+++ b/internal/pilot/endpoints.go
@@ -6,95 +6,195 @@
 	"slices"
 
 	"indigousher/brain"
+	"indigousher/internal/translate"
 	"indigousher/internal/wire"
 )
 
-// startStamp keeps an endpoint's start as the list stamped it and as the module was told.
+const (
+	// retiredMs is how long an endpoint's index stays its own once it is off the list: longer than anything that may
+	// still name it, at proxies or in the decider.
+	retiredMs = 60000
+	// leastStartMs stands for a start at 0 ms of our clock, as 0 means the distant past.
+	leastStartMs = 1e-3
+)
+
+// endpointRegistry knows endpoints by name and by index: which are listed, when each started, and which indices may be
+// used again.
+type endpointRegistry struct {
+	names translate.Names
+
+	// The list as held: its entries by name, its version, and its own clock, listClockMs at clockReadMs of ours.
+	listed      map[string]wire.Entry
+	version     int
+	listClockMs uint64
+	clockReadMs float64
+
+	// starts holds when endpoints started, by index.
+	starts map[int]startTime
+	// retiredAtMs holds since when endpoints are off the list, by index; it is kept only where indices are used again.
+	retiredAtMs map[int]float64
+}
+
+// startTime is an endpoint's start as the list stamped it, on the list's clock, and as the decider was told, on ours.
 type startTime struct {
 	stamp     uint64
 	startedMs float64
 }
 
-// listing turns list entries into a note. A start is told as its age on this pilot's clock when its stamp was first
-// seen, and stays so: the module takes any other figure for a restart.
-func (c *Core) applyList(in Listed) brain.Note {
-	l := in.List
-	out, named, before := brain.Listing{Mode: brain.Changes, Version: l.Version}, map[int]bool{}, c.listed
-	c.listVersion, c.listNow, c.listAt = l.Version, l.Now, c.now
-	if l.Whole {
-		out.Mode = brain.Whole
-		if in.Remembered {
-			out.Mode = brain.Remembered
-		}
-		c.listed = map[string]wire.Entry{}
+// newEndpointRegistry returns a registry that knows no endpoint.
+func newEndpointRegistry() endpointRegistry {
+	return endpointRegistry{
+		listed:      map[string]wire.Entry{},
+		starts:      map[int]startTime{},
+		retiredAtMs: map[int]float64{},
 	}
-	for _, e := range l.Entries {
-		zone, known := c.zones.Find(e.Zone)
-		if !known {
-			c.reportMalformed(malformedEndpointZone, e.Endpoint, e.Zone)
-			continue
+}
+
+// find returns the index of an endpoint that has one.
+func (r *endpointRegistry) find(name string) (i int, known bool) { return r.names.Find(name) }
+
+// name returns the name behind an index, or nothing.
+func (r *endpointRegistry) name(i int) string { return r.names.Name(i) }
+
+// len returns how many indices there are.
+func (r *endpointRegistry) len() int { return r.names.Len() }
+
+// beginUpdate takes over the version and the clock of a list. A whole one begins the entries anew. It returns those held
+// before.
+func (r *endpointRegistry) beginUpdate(list *wire.List, nowMs float64) (before map[string]wire.Entry) {
+	r.version = list.Version
+	r.listClockMs = list.Now
+	r.clockReadMs = nowMs
+	before = r.listed
+	if list.Whole {
+		r.listed = map[string]wire.Entry{}
+	}
+	return before
+}
+
+// put takes over an entry.
+func (r *endpointRegistry) put(e wire.Entry) {
+	if e.Phase == wire.PhaseGone {
+		delete(r.listed, e.Endpoint)
+		return
+	}
+	r.listed[e.Endpoint] = e
+}
+
+// index returns an endpoint's index, giving it one at its first appearance. Where others hold the streams a controller
+// lives for long while endpoints come under ever new names: one that is new takes the index of one that is long gone,
+// if its start differs, by which the decider tells that nothing of the old one counts.
+func (r *endpointRegistry) index(e wire.Entry, nowMs float64) int {
+	if i, known := r.names.Find(e.Endpoint); known {
+		delete(r.retiredAtMs, i)
+		return i
+	}
+	for _, i := range slices.Sorted(maps.Keys(r.retiredAtMs)) {
+		if nowMs-r.retiredAtMs[i] > retiredMs && r.starts[i].stamp != e.Started {
+			delete(r.retiredAtMs, i)
+			r.names.Rename(i, e.Endpoint)
+			return i
 		}
-		if !brain.SoundWeight(e.Weight) { // its phase counts all the same: a drain is not lost over a wrong weight
-			c.reportMalformed(malformedEndpointWeight, e.Endpoint, fmt.Sprint(e.Weight))
-			e.Weight = before[e.Endpoint].Weight
+	}
+	return r.names.In(e.Endpoint)
+}
+
+// startedMs returns an endpoint's start on our clock, 0 for the distant past. It is the entry's age as of when its stamp
+// was first seen, and stays so: the decider takes any other figure for a restart.
+func (r *endpointRegistry) startedMs(i int, e wire.Entry, nowMs float64) float64 {
+	if known, seen := r.starts[i]; seen && known.stamp == e.Started {
+		return known.startedMs
+	}
+	startedMs := 0.0
+	if e.Started != 0 {
+		startedMs = nowMs - float64(max(0, int64(r.listClockMs-e.Started)))
+		if startedMs == 0 {
+			startedMs = leastStartMs
 		}
-		if c.listed[e.Endpoint] = e; e.Phase == wire.PhaseGone {
-			delete(c.listed, e.Endpoint)
+	}
+	r.starts[i] = startTime{stamp: e.Started, startedMs: startedMs}
+	return startedMs
+}
+
+// retireUnlisted notes which endpoints are off the list, so that their indices may be used again.
+func (r *endpointRegistry) retireUnlisted(nowMs float64) {
+	for i, name := range r.names.All() {
+		_, listed := r.listed[name]
+		_, retired := r.retiredAtMs[i]
+		if !listed && !retired {
+			r.retiredAtMs[i] = nowMs
 		}
-		i := c.indexOf(e)
-		if was, seen := c.starts[i]; !seen || was.stamp != e.Started {
-			told := 0.0
-			if e.Started != 0 {
-				told = c.now - float64(max(0, int64(l.Now-e.Started)))
-				told += map[bool]float64{true: 1e-3}[told == 0] // 0 means the distant past
-			}
-			c.starts[i] = startTime{e.Started, told}
+	}
+}
+
+// snapshot returns the list as held, with its clock carried on to now.
+func (r *endpointRegistry) snapshot(nowMs float64) *wire.List {
+	clockMs := r.listClockMs + uint64(max(0, nowMs-r.clockReadMs))
+	list := &wire.List{Version: r.version, Now: clockMs, Whole: true}
+	for _, name := range slices.Sorted(maps.Keys(r.listed)) {
+		list.Entries = append(list.Entries, r.listed[name])
+	}
+	return list
+}
+
+// applyList takes over entries of the list and returns them as the decider is to hear of them.
+func (c *Core) applyList(in Listed) brain.Note {
+	before := c.endpoints.beginUpdate(in.List, c.now)
+	update := brain.Listing{Mode: listMode(in), Version: in.List.Version}
+	listed := map[int]bool{}
+	for _, e := range in.List.Entries {
+		entry, valid := c.applyEntry(e, before)
+		if !valid {
+			continue
 		}
-		entry := brain.Entry{Endpoint: i, Zone: zone, Machine: c.machines.In(e.Machine), Cell: e.Cell,
-			Phase: brain.Phase(e.Phase), Weight: e.Weight, Started: c.starts[i].startedMs}
-		named[i] = true
+		listed[entry.Endpoint] = true
 		if c.plan.Relay == nil {
 			c.reports.updateEndpoint(c.now, e.Endpoint, entry)
 		}
-		out.Entries = append(out.Entries, entry)
+		update.Entries = append(update.Entries, entry)
 	}
 	if c.plan.Relay != nil {
-		c.retire()
-	} else if l.Whole {
-		c.reports.removeUnlisted(c.now, named)
+		c.Believed.Listed = len(c.endpoints.listed)
+		c.endpoints.retireUnlisted(c.now)
+	} else if in.List.Whole {
+		c.reports.removeUnlisted(c.now, listed)
 	}
-	return out
+	return update
 }
 
-// retiredMs is how long an endpoint's index stays its own once it is off the list: longer than anything that may still
-// name it, at proxies or in the module.
-const retiredMs = 60000
-
-// indexOf returns an endpoint's index. Where others hold the streams a pilot lives for long while endpoints come under
-// ever new names: one that is new takes the index of one that is long gone, if its start differs, by which the module
-// tells that nothing of the old one counts.
-func (c *Core) indexOf(e wire.Entry) int {
-	if i, known := c.endpoints.Find(e.Endpoint); known {
-		delete(c.retired, i)
-		return i
+// listMode returns how entries apply to the list held so far.
+func listMode(in Listed) brain.ListMode {
+	switch {
+	case !in.List.Whole:
+		return brain.Changes
+	case in.Remembered:
+		return brain.Remembered
+	default:
+		return brain.Whole
 	}
-	for _, i := range slices.Sorted(maps.Keys(c.retired)) {
-		if c.now-c.retired[i] > retiredMs && c.starts[i].stamp != e.Started {
-			delete(c.retired, i)
-			c.endpoints.Rename(i, e.Endpoint)
-			return i
-		}
-	}
-	return c.endpoints.In(e.Endpoint)
 }
 
-// retire notes which endpoints are off the list.
-func (c *Core) retire() {
-	c.Believed.Listed = len(c.listed)
-	for i, name := range c.endpoints.All() {
-		_, listed := c.listed[name]
-		if _, since := c.retired[i]; !listed && !since {
-			c.retired[i] = c.now
-		}
+// applyEntry takes over one entry of the list. It is not valid in an unknown zone. With a weight that none can be it
+// keeps the weight held before, and its phase counts all the same: a drain is not lost over a wrong weight.
+func (c *Core) applyEntry(e wire.Entry, before map[string]wire.Entry) (entry brain.Entry, valid bool) {
+	zone, known := c.zones.Find(e.Zone)
+	if !known {
+		c.reportMalformed(malformedEndpointZone, e.Endpoint, e.Zone)
+		return brain.Entry{}, false
+	}
+	if !brain.SoundWeight(e.Weight) {
+		c.reportMalformed(malformedEndpointWeight, e.Endpoint, fmt.Sprint(e.Weight))
+		e.Weight = before[e.Endpoint].Weight
 	}
+	c.endpoints.put(e)
+	i := c.endpoints.index(e, c.now)
+	return brain.Entry{
+		Endpoint: i,
+		Zone:     zone,
+		Machine:  c.machines.In(e.Machine),
+		Cell:     e.Cell,
+		Phase:    brain.Phase(e.Phase),
+		Weight:   e.Weight,
+		Started:  c.endpoints.startedMs(i, e, c.now),
+	}, true
 }
--- a/internal/pilot/endpoints_test.go
+++ b/internal/pilot/endpoints_test.go
@@ -46,14 +46,14 @@
 			c.Handle(float64(5000*g+1000*s), []Input{ZoneMet{Zone: "a", Endpoint: last, Tries: 9, SpanMs: 1000}})
 		}
 		if g == 100 {
-			most = c.endpoints.Len()
+			most = c.endpoints.len()
 		}
 	}
-	assert.LessOrEqual(t, c.endpoints.Len(), most, "indices of those long gone are used again")
+	assert.LessOrEqual(t, c.endpoints.len(), most, "indices of those long gone are used again")
 	assert.Less(t, most, 100)
-	_, known := c.endpoints.Find("e1-0")
+	_, known := c.endpoints.find("e1-0")
 	assert.False(t, known, "the name of one long gone is forgotten")
-	assert.LessOrEqual(t, len(c.retired), most)
+	assert.LessOrEqual(t, len(c.endpoints.retiredAtMs), most)
 	assert.True(t, k.names[last], "a new endpoint under a used index is planned by its own name")
 	assert.Zero(t, c.Believed.Odd)
 	assert.Equal(t, 2000, c.Believed.Reports)
--- a/internal/pilot/events.go
+++ b/internal/pilot/events.go
@@ -43,7 +43,7 @@
 
 // healthChecked appends the result of a health check, if its endpoint is known.
 func (c *Core) healthChecked(events []brain.Note, in Probed) []brain.Note {
-	endpoint, known := c.endpoints.Find(in.Endpoint)
+	endpoint, known := c.endpoints.find(in.Endpoint)
 	if !known {
 		return events
 	}
--- a/internal/pilot/exclusion.go
+++ b/internal/pilot/exclusion.go
@@ -10,7 +10,7 @@
 	if c.excluded[o.Endpoint] = o.Out; !o.Out {
 		delete(c.excluded, o.Endpoint)
 	}
-	op := wire.Op{Kind: wire.OpWithdraw, Endpoint: c.endpoints.Name(o.Endpoint), Out: o.Out}
+	op := wire.Op{Kind: wire.OpWithdraw, Endpoint: c.endpoints.name(o.Endpoint), Out: o.Out}
 	for _, s := range c.sortedSessions() {
 		if c.holds(s, o.Endpoint) {
 			c.enqueue(s, op)
--- a/internal/pilot/loop.go
+++ b/internal/pilot/loop.go
@@ -174,7 +174,7 @@
 	defer l.mu.Unlock()
 	l.state.Turns++
 	l.state.Proxies = len(l.core.sessions) + len(l.core.relayProxies)
-	l.state.Endpoints = l.core.endpoints.Len()
+	l.state.Endpoints = l.core.endpoints.len()
 	l.state.Lines = l.core.Channel.waitingLines
 	l.state.MostLines = l.core.Channel.MostSeen
 	l.state.MostMessages = l.core.Channel.Crowded
--- a/internal/pilot/recorded.go
+++ b/internal/pilot/recorded.go
@@ -35,7 +35,7 @@
 			return false
 		}
 	}
-	return validIndex(met.Endpoint, c.endpoints.Len()) && validIndex(met.Zone, c.zones.Len()) &&
+	return validIndex(met.Endpoint, c.endpoints.len()) && validIndex(met.Zone, c.zones.Len()) &&
 		met.Failed >= 0 && met.Tries >= met.Failed && brain.Sound(met.MeanMs) && brain.Sound(met.SpanMs)
 }
 
--- a/internal/pilot/relay.go
+++ b/internal/pilot/relay.go
@@ -22,7 +22,7 @@
 		return append(events, brain.Stalled{ForMs: in.ForMs, Again: in.Again, Joined: in.Joined})
 	case ZoneMet:
 		zone, known := c.zones.Find(in.Zone)
-		endpoint, listed := c.endpoints.Find(in.Endpoint)
+		endpoint, listed := c.endpoints.find(in.Endpoint)
 		if !known || !listed {
 			c.reportMalformed(malformedRelayedReport)
 			return events
@@ -93,7 +93,7 @@
 // handOver gives the relay what the turn ordered.
 func (c *Core) flushRelay() {
 	if len(c.relayCommands) > 0 {
-		c.plan.Relay.Carry(c.relayCommands, c.endpoints.Name)
+		c.plan.Relay.Carry(c.relayCommands, c.endpoints.name)
 		clear(c.relayCommands)
 		c.relayCommands = c.relayCommands[:0]
 	}
--- a/internal/pilot/relay_test.go
+++ b/internal/pilot/relay_test.go
@@ -40,7 +40,7 @@
 			d.notes = nil
 			core.Handle(1, c.in)
 			assert.Equal(t, c.want, d.notes)
-			assert.Equal(t, 1, core.endpoints.Len())
+			assert.Equal(t, 1, core.endpoints.len())
 		})
 	}
 }
--- a/internal/pilot/session.go
+++ b/internal/pilot/session.go
@@ -61,7 +61,7 @@
 	s := &session{hello: in.Hello, proxy: proxy, zone: zone, stream: in.Stream, boundKinds: map[int]int{}, initialEndpoints: map[int]bool{},
 		heldTables: map[int]map[string]float64{}}
 	for _, name := range in.Hello.Holds {
-		if i, known := c.endpoints.Find(name); known {
+		if i, known := c.endpoints.find(name); known {
 			s.initialEndpoints[i] = true
 		}
 	}
--- a/internal/pilot/slices.go
+++ b/internal/pilot/slices.go
@@ -25,7 +25,7 @@
 	}
 	events = append(events, brain.SliceCharge{Slice: x.Slice, Given: x.Given})
 	for _, l := range x.Lines {
-		if i, known := c.endpoints.Find(l.Endpoint); known && x.Given && brain.SoundWeight(l.Weight) {
+		if i, known := c.endpoints.find(l.Endpoint); known && x.Given && brain.SoundWeight(l.Weight) {
 			events = append(events, brain.SliceLine{Slice: x.Slice, Endpoint: i, Weight: l.Weight})
 			c.table(x.Slice).lines[i] = l.Weight
 		} else {
--- a/internal/pilot/tables.go
+++ b/internal/pilot/tables.go
@@ -26,7 +26,7 @@
 
 // setLine changes a line at all users of its table. An endpoint shut out stays so where it was not held before.
 func (c *Core) setLine(o brain.SetLine) {
-	t, name := c.table(o.Table), c.endpoints.Name(o.Endpoint)
+	t, name := c.table(o.Table), c.endpoints.name(o.Endpoint)
 	c.sendToUsers(o.Table, wire.Op{Kind: wire.OpSet, Table: o.Table, Endpoint: name, Weight: o.Weight})
 	if o.Weight == 0 {
 		delete(t.lines, o.Endpoint)
