--- a/internal/pilot/acks.go
+++ b/internal/pilot/acks.go
@@ -33,7 +33,7 @@
 
 // acknowledge appends a proxy's acknowledgement of a mark, if one is pending.
 func (c *Core) acknowledge(events []brain.Note, in Applied) []brain.Note {
-	s := c.streams[in.Stream]
+	s := c.sessions.byStream[in.Stream]
 	if s == nil || !s.acks.acknowledge(in.Done.Mark) {
 		return events
 	}
@@ -42,9 +42,9 @@
 
 // mark asks the proxies that this turn reaches, or all, to acknowledge what they were sent.
 func (c *Core) mark(o brain.Mark) {
-	for _, s := range c.sortedSessions() {
+	for _, s := range c.sessions.inOrder() {
 		if s.pending != nil || o.All {
-			c.enqueue(s, wire.Op{Kind: wire.OpMark, Number: o.Number})
+			c.outbox.add(s, wire.Op{Kind: wire.OpMark, Number: o.Number})
 			s.acks.add(o.Number)
 		}
 	}
--- a/internal/pilot/admission.go
+++ b/internal/pilot/admission.go
@@ -8,8 +8,8 @@
 func (c *Core) admit(o brain.Admit) {
 	if o.Table == brain.EveryTable {
 		c.globalLevels[o.Kinds] = o
-		for _, s := range c.sortedSessions() {
-			c.enqueue(s, admissionOp(o))
+		for _, s := range c.sessions.inOrder() {
+			c.outbox.add(s, admissionOp(o))
 		}
 		return
 	}
--- a/internal/pilot/binding.go
+++ b/internal/pilot/binding.go
@@ -10,7 +10,7 @@
 
 // bind sends a whole table, or what differs from the one that the proxy said it has: its lines, levels, those for all, and which of its endpoints are shut out.
 func (c *Core) bind(o brain.Bind) {
-	s := c.sessions[o.Proxy]
+	s := c.sessions.byProxy[o.Proxy]
 	if s == nil {
 		c.reportMalformed(malformedBindOfLeftProxy, c.proxies.Name(o.Proxy))
 		return
@@ -19,16 +19,9 @@
 	if kinds == 0 {
 		kinds = 1<<c.kinds.Len() - 1
 	}
-	for number, held := range s.boundKinds {
-		if s.boundKinds[number] = held &^ kinds; s.boundKinds[number] == 0 {
-			delete(s.boundKinds, number)
-		}
-	}
-	s.boundKinds[o.Table] |= kinds
-	s.coveredKinds |= kinds
-	has, keep := s.heldTables[o.Table]
-	delete(s.heldTables, o.Table)
-	c.enqueue(s, wire.Op{Kind: wire.OpBind, Table: o.Table, Kinds: kinds, Keep: keep})
+	s.bind(o.Table, kinds)
+	has, keep := s.takeHeldTable(o.Table)
+	c.outbox.add(s, wire.Op{Kind: wire.OpBind, Table: o.Table, Kinds: kinds, Keep: keep})
 	c.sendTable(s, o.Table, has, keep)
 }
 
@@ -38,19 +31,19 @@
 	for _, i := range slices.Sorted(maps.Keys(t.lines)) {
 		name := c.endpoints.name(i)
 		if !keep || has[name] != t.lines[i] {
-			c.enqueue(s, wire.Op{Kind: wire.OpSet, Table: number, Endpoint: name, Weight: t.lines[i]})
+			c.outbox.add(s, wire.Op{Kind: wire.OpSet, Table: number, Endpoint: name, Weight: t.lines[i]})
 		}
 		delete(has, name)
 		if c.excluded[i] {
-			c.enqueue(s, wire.Op{Kind: wire.OpWithdraw, Endpoint: c.endpoints.name(i), Out: true})
+			c.outbox.add(s, wire.Op{Kind: wire.OpWithdraw, Endpoint: c.endpoints.name(i), Out: true})
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(has)) { // what it has beyond that
-		c.enqueue(s, wire.Op{Kind: wire.OpSet, Table: number, Endpoint: name})
+		c.outbox.add(s, wire.Op{Kind: wire.OpSet, Table: number, Endpoint: name})
 	}
 	for _, levels := range []map[int]brain.Admit{t.levels, c.globalLevels} {
 		for _, k := range slices.Sorted(maps.Keys(levels)) {
-			c.enqueue(s, admissionOp(levels[k]))
+			c.outbox.add(s, admissionOp(levels[k]))
 		}
 	}
 }
--- a/internal/pilot/core.go
+++ b/internal/pilot/core.go
@@ -1,7 +1,7 @@
-// Package pilot is the runtime around the decisions: it turns what edges report into the module's notes, carries out
-// what the module orders, and keeps the channel to the proxies. It decides nothing about routing. Core and Channel
-// are driven with explicit times and hold no goroutine, so the same code runs on sockets (Loop) and in virtual time.
-// Edges call Loop.Post and implement the small interfaces of this file; cmd/indigousher wires them.
+// Package pilot is the runtime around the decisions: it turns what transports report into the decider's events, carries
+// out what the decider commands, and keeps the channel to the proxies. It decides nothing about routing. Core and
+// Channel are driven with explicit times and hold no goroutine, so the same code runs on sockets (Loop) and in virtual
+// time. Transports call Loop.Post and implement the small interfaces of transports.go; cmd/indigousher wires them.
 package pilot
 
 import (
@@ -9,50 +9,75 @@
 	"indigousher/internal/translate"
 )
 
-// Core holds what the orders so far amount to. It is used by one goroutine.
+// Core is the runtime of one controller: inputs in, commands out, one turn at a time. It is used by one goroutine, but
+// for Report. Each piece of its state has one owner; times are in ms on the controller's own clock.
 type Core struct {
-	plan                   Plan
-	endpoints              endpointRegistry
+	plan Plan
+
+	// Names by index, as the decider knows them.
 	zones, machines, kinds translate.Names
 	proxies                translate.Names
-	sessions               map[int]*session
-	streams                map[Stream]*session
-	tables                 map[int]*table
-	globalLevels           map[int]brain.Admit
-	excluded               map[int]bool
-	sliceRanges            map[int]keyRange // in this pilot's charge, by number, which is that of their table
-	timers                 timerQueue
-	reports                *reportGate
-	recorded               []brain.Note // of a replay, for this turn
-	Channel                *Channel
-	now                    float64
-	touched                []*session
-	ordered                []*session // by proxy; nil: to be made
-	started                bool
-	relayProxies           map[int]bool  // joined proxies whose streams the relay holds
-	relayCommands          []brain.Order // what this turn ordered of the relay
-	Believed               Believed
-	Heard                  int // notes handed to the module
+
+	endpoints endpointRegistry // the list, start times and indices of endpoints
+	sessions  sessionRegistry  // joined proxies
+	reports   *reportGate      // what proxies report, until it is passed on
+	timers    timerQueue       // wake-ups that the decider asked for
+	outbox    outbox           // messages of the turn under way
+
+	// What the commands so far amount to.
+	tables       map[int]*table
+	globalLevels map[int]brain.Admit
+	excluded     map[int]bool
+	sliceRanges  map[int]keyRange // in this pilot's charge, by number, which is that of their table
+
+	// Of relayed proxies: those joined, and the commands of the turn under way.
+	relayProxies  map[int]bool
+	relayCommands []brain.Order
+
+	now      float64      // of the last turn
+	started  bool         // whether the decider was asked at all
+	recorded []brain.Note // telemetry of a replay, for this turn
+
+	// Channel paces messages to proxies.
+	Channel *Channel
+	// Believed counts what was taken in of reports.
+	Believed Believed
+	// Heard counts the events handed to the decider.
+	Heard int
 }
 
-// NewCore returns a core that has been told nothing.
+// NewCore returns a core that knows no endpoint and no proxy.
 func NewCore(p Plan) *Core {
-	c := &Core{plan: p, sessions: map[int]*session{}, streams: map[Stream]*session{}, tables: map[int]*table{},
-		globalLevels: map[int]brain.Admit{}, excluded: map[int]bool{}, sliceRanges: map[int]keyRange{}, relayProxies: map[int]bool{}, endpoints: newEndpointRegistry(),
-		Channel: NewChannel(p.LinesPerS, p.Backlog, p.MessagesMost, p.MessagesOverMs, p.Meter)}
-	for _, z := range p.Zones {
-		c.zones.In(z)
+	c := &Core{
+		endpoints:    newEndpointRegistry(),
+		sessions:     newSessionRegistry(),
+		reports:      newReportGate(p.Intake, p.Kinds),
+		tables:       map[int]*table{},
+		globalLevels: map[int]brain.Admit{},
+		excluded:     map[int]bool{},
+		sliceRanges:  map[int]keyRange{},
+		relayProxies: map[int]bool{},
+	}
+	for _, name := range p.Zones {
+		c.zones.In(name)
 	}
-	for _, m := range p.Machines {
-		c.machines.In(m)
+	for _, name := range p.Machines {
+		c.machines.In(name)
 	}
-	for _, k := range p.Kinds {
-		c.kinds.In(k)
+	for _, name := range p.Kinds {
+		c.kinds.In(name)
 	}
-	c.reports = newReportGate(p.Intake, p.Kinds)
+	c.usePlan(p)
 	return c
 }
 
+// usePlan has the core work by a plan from now on, with an empty channel.
+func (c *Core) usePlan(p Plan) {
+	c.plan = p
+	c.outbox.headLines = p.HeadLines
+	c.Channel = NewChannel(p.LinesPerS, p.Backlog, p.MessagesMost, p.MessagesOverMs, p.Meter)
+}
+
 // Due returns when Handle has something to do without input, in milliseconds of its clock.
 func (c *Core) Due() float64 {
 	if c.plan.Relay != nil { // reports come summed up
@@ -61,7 +86,7 @@
 	return min(c.timers.due(), c.reports.due())
 }
 
-// Handle takes in what came, lets the module decide and fills the channel. Times never go back.
+// Handle runs one turn: it takes in what came, lets the decider decide and fills the channel. Times never go back.
 func (c *Core) Handle(nowMs float64, inputs []Input) {
 	c.now = max(c.now, nowMs)
 	var events []brain.Note
@@ -73,25 +98,31 @@
 	}
 	before := len(events)
 	events = c.appendTelemetry(events)
-	var commands []brain.Order
-	asked := len(events) > 0 || !c.started // the module wakes itself for whatever else is due
-	if asked {
-		c.started = true
-		c.Heard += len(events)
-		commands = c.plan.Meter.timeDecider(func() []brain.Order { return c.plan.Decider.Handle(c.now, events) })
-	}
+	commands, asked := c.decide(events)
 	if c.plan.Turn != nil && (asked || len(inputs) > 0) {
 		c.plan.Turn(c.now, inputs, events[before:], commands)
 	}
-	for _, o := range commands {
-		c.execute(o)
+	for _, command := range commands {
+		c.execute(command)
 	}
-	c.dispatch()
+	c.outbox.flush(c.now, c.Channel)
 	c.flushRelay()
 }
 
+// decide asks the decider if there is news for it. The first turn asks in any case; from then on the decider wakes
+// itself, by timers, for whatever else is due.
+func (c *Core) decide(events []brain.Note) (commands []brain.Order, asked bool) {
+	if len(events) == 0 && c.started {
+		return nil, false
+	}
+	c.started = true
+	c.Heard += len(events)
+	commands = c.plan.Meter.timeDecider(func() []brain.Order { return c.plan.Decider.Handle(c.now, events) })
+	return commands, true
+}
+
 // Now returns the time of the last turn.
 func (c *Core) Now() float64 { return c.now }
 
-// EndpointName returns the name behind an index of the module's.
+// EndpointName returns the name behind an index of the decider's.
 func (c *Core) EndpointName(i int) string { return c.endpoints.name(i) }
--- a/internal/pilot/exclusion.go
+++ b/internal/pilot/exclusion.go
@@ -11,9 +11,9 @@
 		delete(c.excluded, o.Endpoint)
 	}
 	op := wire.Op{Kind: wire.OpWithdraw, Endpoint: c.endpoints.name(o.Endpoint), Out: o.Out}
-	for _, s := range c.sortedSessions() {
+	for _, s := range c.sessions.inOrder() {
 		if c.holds(s, o.Endpoint) {
-			c.enqueue(s, op)
+			c.outbox.add(s, op)
 		}
 	}
 }
--- a/internal/pilot/session.go
+++ b/internal/pilot/session.go
@@ -18,75 +18,176 @@
 	closeReplaced       = "the proxy has come back on another stream"
 )
 
-// session is a joined proxy.
+// session is a joined proxy: its stream and what this controller has sent to it.
 type session struct {
-	hello            wire.Hello
-	proxy, zone      int
-	stream           Stream
-	boundKinds       map[int]int                // kinds by table
-	coveredKinds     int                        // kinds that some table serves
-	initialEndpoints map[int]bool               // endpoints of what it held when it joined
-	heldTables       map[int]map[string]float64 // that it said it has and that are not bound anew
-	pending          *wire.Orders               // message of the Handle under way
-	recentSends      sendTimes                  // when messages left to it lately
-	acks             pendingAcks
+	hello       wire.Hello
+	proxy, zone int // indices
+	stream      Stream
+
+	// boundKinds holds, by table that the proxy is bound to, the request kinds that use it, as a bit mask; coveredKinds
+	// are those that some table has served since the proxy joined.
+	boundKinds   map[int]int
+	coveredKinds int
+	// initialEndpoints are the indices of the endpoints that the proxy held when it joined.
+	initialEndpoints map[int]bool
+	// heldTables are the tables that the proxy said it has and that are not bound anew: weights by endpoint name.
+	heldTables map[int]map[string]float64
+
+	// pending is the message of the turn under way, nil if there is none; see outbox.
+	pending *wire.Orders
+	// recentSends are when messages left to the proxy lately; they are the channel's.
+	recentSends sendTimes
+	// acks are the marks sent to the proxy that it has not acknowledged.
+	acks pendingAcks
 }
 
-// join takes in a stream. One under the same name is ended first: the newer one is the one that lives.
-func (c *Core) join(events []brain.Note, in Join) []brain.Note {
-	zone, known := c.zones.Find(in.Hello.Zone)
-	if !known {
-		c.reportMalformed(malformedProxyZone, in.Hello.Proxy, in.Hello.Zone)
-		in.Stream.Close(closeUnknownZone)
-		return events
+// newSession returns the session of a proxy that joins.
+func newSession(in Join, proxy, zone int) *session {
+	s := &session{
+		hello:            in.Hello,
+		proxy:            proxy,
+		zone:             zone,
+		stream:           in.Stream,
+		boundKinds:       map[int]int{},
+		initialEndpoints: map[int]bool{},
+		heldTables:       map[int]map[string]float64{},
 	}
-	if !brain.Sound(in.Hello.Rate) {
-		c.reportMalformed(malformedProxyRate, in.Hello.Proxy, fmt.Sprint(in.Hello.Rate))
-		in.Stream.Close(closeRateOutOfRange)
-		return events
+	for _, t := range in.Hello.Tables {
+		weights := map[string]float64{}
+		for _, l := range t.Lines {
+			weights[l.Endpoint] = l.Weight
+		}
+		s.heldTables[t.Table] = weights
 	}
-	proxy, known := c.proxies.Find(in.Hello.Proxy)
-	if !known {
-		if c.proxies.Len() >= c.plan.MostProxies {
-			c.reportMalformed(malformedProxyCount, in.Hello.Proxy)
-			in.Stream.Close(closeTooManyProxies)
-			return events
+	return s
+}
+
+// bind notes that some request kinds use a table from now on, and no other. Tables that no kind uses are let go.
+func (s *session) bind(number, kinds int) {
+	for other, held := range s.boundKinds {
+		left := held &^ kinds
+		if left == 0 {
+			delete(s.boundKinds, other)
+		} else {
+			s.boundKinds[other] = left
+		}
+	}
+	s.boundKinds[number] |= kinds
+	s.coveredKinds |= kinds
+}
+
+// takeHeldTable returns what the proxy said it has of a table, and forgets it.
+func (s *session) takeHeldTable(number int) (weights map[string]float64, held bool) {
+	weights, held = s.heldTables[number]
+	delete(s.heldTables, number)
+	return weights, held
+}
+
+// sessionRegistry holds the sessions of joined proxies.
+type sessionRegistry struct {
+	byProxy  map[int]*session
+	byStream map[Stream]*session
+	ordered  []*session // by proxy; nil: to be made
+}
+
+// newSessionRegistry returns a registry without sessions.
+func newSessionRegistry() sessionRegistry {
+	return sessionRegistry{byProxy: map[int]*session{}, byStream: map[Stream]*session{}}
+}
+
+// add takes in a session.
+func (r *sessionRegistry) add(s *session) {
+	r.byProxy[s.proxy] = s
+	r.byStream[s.stream] = s
+	r.ordered = nil
+}
+
+// remove forgets a session.
+func (r *sessionRegistry) remove(s *session) {
+	delete(r.byProxy, s.proxy)
+	delete(r.byStream, s.stream)
+	r.ordered = nil
+}
+
+// len returns how many proxies are joined.
+func (r *sessionRegistry) len() int { return len(r.byProxy) }
+
+// inOrder returns the sessions by proxy. The list is made anew only after a proxy has joined or left.
+func (r *sessionRegistry) inOrder() []*session {
+	if r.ordered == nil {
+		for _, proxy := range slices.Sorted(maps.Keys(r.byProxy)) {
+			r.ordered = append(r.ordered, r.byProxy[proxy])
 		}
-		proxy = c.proxies.In(in.Hello.Proxy)
 	}
-	if old := c.sessions[proxy]; old != nil {
+	return r.ordered
+}
+
+// joinRejection says why a proxy may not join.
+type joinRejection struct {
+	reason      malformedReason // counted and logged
+	details     []string        // logged
+	closeReason string          // told to the proxy
+}
+
+// join takes in a stream. One under the same name is closed first: the newer one is the one that lives.
+func (c *Core) join(events []brain.Note, in Join) []brain.Note {
+	proxy, zone, rejection := c.identify(&in.Hello)
+	if rejection != nil {
+		c.reject(in, rejection)
+		return events
+	}
+	if old := c.sessions.byProxy[proxy]; old != nil {
 		events = append(events, c.drop(old))
 		old.stream.Close(closeReplaced)
 	}
-	s := &session{hello: in.Hello, proxy: proxy, zone: zone, stream: in.Stream, boundKinds: map[int]int{}, initialEndpoints: map[int]bool{},
-		heldTables: map[int]map[string]float64{}}
+	s := newSession(in, proxy, zone)
 	for _, name := range in.Hello.Holds {
 		if i, known := c.endpoints.find(name); known {
 			s.initialEndpoints[i] = true
 		}
 	}
 	if !c.reports.addProxy(c.now, s) {
-		c.reportMalformed(malformedSenderCount, in.Hello.Proxy)
-		in.Stream.Close(closeTooManySenders)
+		c.reject(in, &joinRejection{malformedSenderCount, []string{in.Hello.Proxy}, closeTooManySenders})
 		return events
 	}
-	for _, t := range in.Hello.Tables {
-		s.heldTables[t.Table] = map[string]float64{}
-		for _, l := range t.Lines {
-			s.heldTables[t.Table][l.Endpoint] = l.Weight
-		}
-	}
-	c.sessions[proxy], c.streams[in.Stream], c.ordered = s, s, nil
-	c.plan.Meter.setProxies(len(c.sessions))
+	c.sessions.add(s)
+	c.plan.Meter.setProxies(c.sessions.len())
 	for _, number := range slices.Sorted(maps.Keys(c.sliceRanges)) {
 		c.sendSlice(s, number)
 	}
 	return append(events, brain.Joined{Proxy: proxy, Zone: zone, Rate: in.Hello.Rate, Fresh: in.Hello.Fresh})
 }
 
+// identify returns the indices of a proxy that would join and of its zone, or why it may not. A proxy gets its index at
+// its first appearance; there is a bound to them, so that names without end take no memory without end.
+func (c *Core) identify(hello *wire.Hello) (proxy, zone int, _ *joinRejection) {
+	zone, known := c.zones.Find(hello.Zone)
+	if !known {
+		return 0, 0, &joinRejection{malformedProxyZone, []string{hello.Proxy, hello.Zone}, closeUnknownZone}
+	}
+	if !brain.Sound(hello.Rate) {
+		details := []string{hello.Proxy, fmt.Sprint(hello.Rate)}
+		return 0, 0, &joinRejection{malformedProxyRate, details, closeRateOutOfRange}
+	}
+	proxy, known = c.proxies.Find(hello.Proxy)
+	if !known && c.proxies.Len() >= c.plan.MostProxies {
+		return 0, 0, &joinRejection{malformedProxyCount, []string{hello.Proxy}, closeTooManyProxies}
+	}
+	if !known {
+		proxy = c.proxies.In(hello.Proxy)
+	}
+	return proxy, zone, nil
+}
+
+// reject turns a proxy's join down.
+func (c *Core) reject(in Join, why *joinRejection) {
+	c.reportMalformed(why.reason, why.details...)
+	in.Stream.Close(why.closeReason)
+}
+
 // leave appends that a proxy has left, if the stream that ended is its own.
 func (c *Core) leave(events []brain.Note, in Leave) []brain.Note {
-	s := c.streams[in.Stream]
+	s := c.sessions.byStream[in.Stream]
 	if s == nil {
 		return events
 	}
@@ -95,21 +196,9 @@
 
 // drop forgets a session and what waits for it in the channel.
 func (c *Core) drop(s *session) brain.Note {
-	delete(c.sessions, s.proxy)
-	delete(c.streams, s.stream)
-	c.ordered = nil
+	c.sessions.remove(s)
 	c.Channel.Drop(s)
 	c.reports.removeProxy(s)
-	c.plan.Meter.setProxies(len(c.sessions))
+	c.plan.Meter.setProxies(c.sessions.len())
 	return brain.Left{Proxy: s.proxy}
 }
-
-// inOrder returns the sessions by proxy. The list is made anew only after somebody has come or gone.
-func (c *Core) sortedSessions() []*session {
-	if c.ordered == nil {
-		for _, i := range slices.Sorted(maps.Keys(c.sessions)) {
-			c.ordered = append(c.ordered, c.sessions[i])
-		}
-	}
-	return c.ordered
-}
--- a/internal/pilot/session_test.go
+++ b/internal/pilot/session_test.go
@@ -19,7 +19,7 @@
 	c.Handle(1, []Input{Join{second, hello("p", "a")}})
 	assert.NotEmpty(t, first.closed)
 	c.Handle(2, []Input{Leave{first}, Applied{first, wire.Done{Mark: 1}}}) // of no stream that lives
-	assert.Len(t, c.sessions, 1)
+	assert.Equal(t, 1, c.sessions.len())
 	assert.Equal(t, []brain.Note{brain.Joined{Rate: 2, Fresh: true}, brain.Left{}, brain.Joined{Rate: 2, Fresh: true}}, d.notes)
 	stranger := &fakeTransport{}
 	c.Handle(3, []Input{Join{stranger, hello("q", "nowhere")}})
@@ -27,5 +27,5 @@
 	for i := range 4 {
 		c.Handle(4, []Input{Join{&fakeTransport{}, hello(fmt.Sprint("r", i), "a")}})
 	}
-	assert.Len(t, c.sessions, 3)
+	assert.Equal(t, 3, c.sessions.len())
 }
--- a/internal/pilot/shares.go
+++ b/internal/pilot/shares.go
@@ -11,7 +11,7 @@
 	out := map[int]map[int]float64{}
 	rates := map[int]float64{}
 	tables := map[int]map[int]float64{} // parts by table, made once
-	for _, s := range c.sortedSessions() {
+	for _, s := range c.sessions.inOrder() {
 		rate := max(s.hello.Rate, 1e-9)
 		for _, number := range slices.Sorted(maps.Keys(s.boundKinds)) {
 			parts := tables[number]
--- a/internal/pilot/slices.go
+++ b/internal/pilot/slices.go
@@ -32,11 +32,11 @@
 			c.reportMalformed(malformedStoredLine, l.Endpoint, fmt.Sprint(l.Weight))
 		}
 	}
-	for _, s := range c.sortedSessions() {
+	for _, s := range c.sessions.inOrder() {
 		if x.Given {
 			c.sendSlice(s, x.Slice)
 		} else {
-			c.enqueue(s, wire.Op{Kind: wire.OpRange, Table: x.Slice, Out: true})
+			c.outbox.add(s, wire.Op{Kind: wire.OpRange, Table: x.Slice, Out: true})
 		}
 	}
 	return events
@@ -45,6 +45,6 @@
 // layRange sends a slice's range of keys with its lines and levels to a proxy.
 func (c *Core) sendSlice(s *session, number int) {
 	r := c.sliceRanges[number]
-	c.enqueue(s, wire.Op{Kind: wire.OpRange, Table: number, From: r.from, To: r.to})
+	c.outbox.add(s, wire.Op{Kind: wire.OpRange, Table: number, From: r.from, To: r.to})
 	c.sendTable(s, number, nil, false)
 }
