--- a/internal/pilot/admission.go
+++ b/internal/pilot/admission.go
@@ -1,22 +1,35 @@
 package pilot
 
 import (
+	"maps"
+	"slices"
+
 	"indigousher/brain"
 	"indigousher/internal/wire"
 )
 
+// admit changes an admission level, and the way of retrying that goes with it, at all users of a table or at all joined
+// proxies.
 func (c *Core) admit(o brain.Admit) {
-	if o.Table == brain.EveryTable {
-		c.globalLevels[o.Kinds] = o
-		for _, s := range c.sessions.inOrder() {
-			c.outbox.add(s, admissionOp(o))
-		}
+	if o.Table != brain.EveryTable {
+		c.tables.table(o.Table).levels[o.Kinds] = o
+		c.sendToUsers(o.Table, admissionOp(o))
 		return
 	}
-	c.table(o.Table).levels[o.Kinds] = o
-	c.sendToUsers(o.Table, admissionOp(o))
+	c.tables.globalLevels[o.Kinds] = o
+	for _, s := range c.sessions.inOrder() {
+		c.outbox.add(s, admissionOp(o))
+	}
+}
+
+// sendLevels sends admission levels to a proxy, in the order of their request kinds.
+func (c *Core) sendLevels(s *session, levels map[int]brain.Admit) {
+	for _, kinds := range slices.Sorted(maps.Keys(levels)) {
+		c.outbox.add(s, admissionOp(levels[kinds]))
+	}
 }
 
+// admissionOp returns the line that sets an admission level.
 func admissionOp(o brain.Admit) wire.Op {
 	return wire.Op{Kind: wire.OpAdmit, Table: o.Table, Kinds: o.Kinds, Weight: o.Level, Again: o.Again}
 }
--- a/internal/pilot/binding.go
+++ b/internal/pilot/binding.go
@@ -8,7 +8,11 @@
 	"indigousher/internal/wire"
 )
 
-// bind sends a whole table, or what differs from the one that the proxy said it has: its lines, levels, those for all, and which of its endpoints are shut out.
+// allKinds returns the bit mask of all request kinds.
+func (c *Core) allKinds() int { return 1<<c.kinds.Len() - 1 }
+
+// bind puts a proxy on a table for some request kinds, or all, and sends it the table: whole, or what differs from the
+// one that the proxy said it has.
 func (c *Core) bind(o brain.Bind) {
 	s := c.sessions.byProxy[o.Proxy]
 	if s == nil {
@@ -17,33 +21,33 @@
 	}
 	kinds := o.Kinds
 	if kinds == 0 {
-		kinds = 1<<c.kinds.Len() - 1
+		kinds = c.allKinds()
 	}
 	s.bind(o.Table, kinds)
-	has, keep := s.takeHeldTable(o.Table)
+	held, keep := s.takeHeldTable(o.Table)
 	c.outbox.add(s, wire.Op{Kind: wire.OpBind, Table: o.Table, Kinds: kinds, Keep: keep})
-	c.sendTable(s, o.Table, has, keep)
+	c.sendTable(s, o.Table, held, keep)
 }
 
-// layTable writes the lines of a table, but for those that the proxy has kept, and its levels.
-func (c *Core) sendTable(s *session, number int, has map[string]float64, keep bool) {
-	t := c.table(number)
-	for _, i := range slices.Sorted(maps.Keys(t.lines)) {
-		name := c.endpoints.name(i)
-		if !keep || has[name] != t.lines[i] {
-			c.outbox.add(s, wire.Op{Kind: wire.OpSet, Table: number, Endpoint: name, Weight: t.lines[i]})
+// sendTable sends a table to a proxy: its lines, which of its endpoints are excluded, its admission levels and those for
+// all. With keep, the proxy keeps the lines that it holds: those of the same weight are not sent, those beyond the table
+// are removed. held is used up.
+func (c *Core) sendTable(s *session, number int, held map[string]float64, keep bool) {
+	t := c.tables.table(number)
+	for _, endpoint := range t.endpoints() {
+		name := c.endpoints.name(endpoint)
+		weight := t.weights[endpoint]
+		if !keep || held[name] != weight {
+			c.outbox.add(s, wire.Op{Kind: wire.OpSet, Table: number, Endpoint: name, Weight: weight})
 		}
-		delete(has, name)
-		if c.excluded[i] {
-			c.outbox.add(s, wire.Op{Kind: wire.OpWithdraw, Endpoint: c.endpoints.name(i), Out: true})
+		delete(held, name)
+		if c.excluded[endpoint] {
+			c.outbox.add(s, wire.Op{Kind: wire.OpWithdraw, Endpoint: name, Out: true})
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(has)) { // what it has beyond that
+	for _, name := range slices.Sorted(maps.Keys(held)) {
 		c.outbox.add(s, wire.Op{Kind: wire.OpSet, Table: number, Endpoint: name})
 	}
-	for _, levels := range []map[int]brain.Admit{t.levels, c.globalLevels} {
-		for _, k := range slices.Sorted(maps.Keys(levels)) {
-			c.outbox.add(s, admissionOp(levels[k]))
-		}
-	}
+	c.sendLevels(s, t.levels)
+	c.sendLevels(s, c.tables.globalLevels)
 }
--- a/internal/pilot/checkpoint.go
+++ b/internal/pilot/checkpoint.go
@@ -12,7 +12,7 @@
 // Recovered ends a replay: whoever was joined has left, and what is ordered from now on goes out by the plan's
 // transports. The decider and its settings stay those of the replay.
 func (c *Core) Recovered(p Plan) {
-	clear(c.sliceRanges) // the store gives them again
+	clear(c.slices) // the store gives them again
 	var left []Input
 	for _, s := range c.sessions.inOrder() {
 		left = append(left, Leave{s.stream})
--- a/internal/pilot/core.go
+++ b/internal/pilot/core.go
@@ -25,10 +25,9 @@
 	outbox    outbox           // messages of the turn under way
 
 	// What the commands so far amount to.
-	tables       map[int]*table
-	globalLevels map[int]brain.Admit
-	excluded     map[int]bool
-	sliceRanges  map[int]keyRange // in this pilot's charge, by number, which is that of their table
+	tables   tableStore
+	excluded exclusions
+	slices   assignedSlices
 
 	// Of relayed proxies: those joined, and the commands of the turn under way.
 	relayProxies  map[int]bool
@@ -52,10 +51,9 @@
 		endpoints:    newEndpointRegistry(),
 		sessions:     newSessionRegistry(),
 		reports:      newReportGate(p.Intake, p.Kinds),
-		tables:       map[int]*table{},
-		globalLevels: map[int]brain.Admit{},
-		excluded:     map[int]bool{},
-		sliceRanges:  map[int]keyRange{},
+		tables:       newTableStore(),
+		excluded:     exclusions{},
+		slices:       assignedSlices{},
 		relayProxies: map[int]bool{},
 	}
 	for _, name := range p.Zones {
--- a/internal/pilot/exclusion.go
+++ b/internal/pilot/exclusion.go
@@ -5,11 +5,22 @@
 	"indigousher/internal/wire"
 )
 
-// withdraw tells the proxies that hold an endpoint, as far as this pilot knows what they hold.
-func (c *Core) exclude(o brain.Withdraw) {
-	if c.excluded[o.Endpoint] = o.Out; !o.Out {
-		delete(c.excluded, o.Endpoint)
+// exclusions are the endpoints that are shut out of all tables, by index.
+type exclusions map[int]bool
+
+// set shuts an endpoint out or lets it in again.
+func (e exclusions) set(endpoint int, out bool) {
+	if out {
+		e[endpoint] = true
+	} else {
+		delete(e, endpoint)
 	}
+}
+
+// exclude shuts an endpoint out, or lets it in again, at the proxies that hold it, as far as this controller knows what
+// they hold.
+func (c *Core) exclude(o brain.Withdraw) {
+	c.excluded.set(o.Endpoint, o.Out)
 	op := wire.Op{Kind: wire.OpWithdraw, Endpoint: c.endpoints.name(o.Endpoint), Out: o.Out}
 	for _, s := range c.sessions.inOrder() {
 		if c.holds(s, o.Endpoint) {
@@ -18,17 +29,19 @@
 	}
 }
 
+// holds returns whether a proxy may hold a line of an endpoint: from what it held when it joined, until tables cover all
+// request kinds, from a table that it is bound to, or from that of a slice.
 func (c *Core) holds(s *session, endpoint int) bool {
-	if s.coveredKinds != 1<<c.kinds.Len()-1 && s.initialEndpoints[endpoint] {
+	if s.coveredKinds != c.allKinds() && s.initialEndpoints[endpoint] {
 		return true
 	}
 	for number := range s.boundKinds {
-		if c.table(number).lines[endpoint] > 0 {
+		if c.tables.table(number).holds(endpoint) {
 			return true
 		}
 	}
-	for number := range c.sliceRanges {
-		if c.table(number).lines[endpoint] > 0 {
+	for number := range c.slices {
+		if c.tables.table(number).holds(endpoint) {
 			return true
 		}
 	}
--- a/internal/pilot/outbox.go
+++ b/internal/pilot/outbox.go
@@ -35,7 +35,7 @@
 
 // sendToUsers adds a line to the message of each proxy that uses a table: bound to it, or as that of an assigned slice.
 func (c *Core) sendToUsers(number int, op wire.Op) {
-	_, isSlice := c.sliceRanges[number]
+	isSlice := c.slices.has(number)
 	for _, s := range c.sessions.inOrder() {
 		_, bound := s.boundKinds[number]
 		if bound || isSlice {
--- a/internal/pilot/session.go
+++ b/internal/pilot/session.go
@@ -152,7 +152,7 @@
 	}
 	c.sessions.add(s)
 	c.plan.Meter.setProxies(c.sessions.len())
-	for _, number := range slices.Sorted(maps.Keys(c.sliceRanges)) {
+	for _, number := range c.slices.numbers() {
 		c.sendSlice(s, number)
 	}
 	return append(events, brain.Joined{Proxy: proxy, Zone: zone, Rate: in.Hello.Rate, Fresh: in.Hello.Fresh})
--- a/internal/pilot/slices.go
+++ b/internal/pilot/slices.go
@@ -2,36 +2,48 @@
 
 import (
 	"fmt"
+	"maps"
+	"slices"
 
 	"indigousher/brain"
 	"indigousher/internal/wire"
 )
 
-// keyRange is which keys fall into a slice.
+// sliceCountSetting is the decider's setting of how many slices the deployment has.
+const sliceCountSetting = "slices"
+
+// keyRange is which keys fall into a slice: those from from up to to, to not included; an empty to has no end.
 type keyRange struct{ from, to string }
 
-// slice turns a slice that is given or taken into notes: its charge, and the lines stored of it. Proxies learn the range
-// of its keys and the stored lines, which stand until the module orders others. A slice's number is that of its table, so
-// one that the deployment does not have would wipe a zone's table at every proxy.
+// assignedSlices are the key ranges of the slices assigned to this controller, by number, which is that of the slice's
+// table.
+type assignedSlices map[int]keyRange
+
+// numbers returns the assigned slices in order.
+func (a assignedSlices) numbers() []int { return slices.Sorted(maps.Keys(a)) }
+
+// has returns whether a slice is assigned.
+func (a assignedSlices) has(number int) bool {
+	_, assigned := a[number]
+	return assigned
+}
+
+// assignSlice takes over that a slice is assigned or no longer, and the lines stored of it. Proxies learn the range of
+// its keys and the stored lines, which stand until the decider commands others. A slice's number is that of its table,
+// so one that the deployment does not have would wipe a zone's table at every proxy.
 func (c *Core) assignSlice(events []brain.Note, x *wire.Slices) []brain.Note {
-	if most, _ := c.plan.Terms["slices"].(float64); float64(x.Slice) >= most {
+	if count, _ := c.plan.Terms[sliceCountSetting].(float64); float64(x.Slice) >= count {
 		c.reportMalformed(malformedSlice, fmt.Sprint(x.Slice))
 		return events
 	}
 	c.reports.assignSlice(x.Slice, x.Given)
-	delete(c.tables, x.Slice)
-	if delete(c.sliceRanges, x.Slice); x.Given {
-		c.sliceRanges[x.Slice] = keyRange{x.From, x.To}
+	c.tables.remove(x.Slice)
+	delete(c.slices, x.Slice)
+	if x.Given {
+		c.slices[x.Slice] = keyRange{x.From, x.To}
 	}
 	events = append(events, brain.SliceCharge{Slice: x.Slice, Given: x.Given})
-	for _, l := range x.Lines {
-		if i, known := c.endpoints.find(l.Endpoint); known && x.Given && brain.SoundWeight(l.Weight) {
-			events = append(events, brain.SliceLine{Slice: x.Slice, Endpoint: i, Weight: l.Weight})
-			c.table(x.Slice).lines[i] = l.Weight
-		} else {
-			c.reportMalformed(malformedStoredLine, l.Endpoint, fmt.Sprint(l.Weight))
-		}
-	}
+	events = c.storedLines(events, x)
 	for _, s := range c.sessions.inOrder() {
 		if x.Given {
 			c.sendSlice(s, x.Slice)
@@ -42,9 +54,23 @@
 	return events
 }
 
-// layRange sends a slice's range of keys with its lines and levels to a proxy.
+// storedLines puts the stored lines of a slice into its table and appends them.
+func (c *Core) storedLines(events []brain.Note, x *wire.Slices) []brain.Note {
+	for _, l := range x.Lines {
+		endpoint, known := c.endpoints.find(l.Endpoint)
+		if !known || !x.Given || !brain.SoundWeight(l.Weight) {
+			c.reportMalformed(malformedStoredLine, l.Endpoint, fmt.Sprint(l.Weight))
+			continue
+		}
+		events = append(events, brain.SliceLine{Slice: x.Slice, Endpoint: endpoint, Weight: l.Weight})
+		c.tables.table(x.Slice).weights[endpoint] = l.Weight
+	}
+	return events
+}
+
+// sendSlice sends a slice's range of keys with its lines and levels to a proxy.
 func (c *Core) sendSlice(s *session, number int) {
-	r := c.sliceRanges[number]
-	c.outbox.add(s, wire.Op{Kind: wire.OpRange, Table: number, From: r.from, To: r.to})
+	keys := c.slices[number]
+	c.outbox.add(s, wire.Op{Kind: wire.OpRange, Table: number, From: keys.from, To: keys.to})
 	c.sendTable(s, number, nil, false)
 }
