--- a/internal/pilot/binding.go
+++ b/internal/pilot/binding.go
@@ -29,9 +29,9 @@
 	c.sendTable(s, o.Table, held, keep)
 }
 
-// sendTable sends a table to a proxy: its lines, which of its endpoints are excluded, its admission levels and those for
-// all. With keep, the proxy keeps the lines that it holds: those of the same weight are not sent, those beyond the table
-// are removed. held is used up.
+// sendTable sends a table to a proxy: its lines, which of its endpoints are excluded, its admission levels and those
+// for all. With keep, the proxy keeps the lines that it holds: those of the same weight are not sent, those beyond the
+// table are removed. held is used up.
 func (c *Core) sendTable(s *session, number int, held map[string]float64, keep bool) {
 	t := c.tables.table(number)
 	for _, endpoint := range t.endpoints() {
--- a/internal/pilot/core.go
+++ b/internal/pilot/core.go
@@ -29,9 +29,7 @@
 	excluded exclusions
 	slices   assignedSlices
 
-	// Of relayed proxies: those joined, and the commands of the turn under way.
-	relayProxies  map[int]bool
-	relayCommands []brain.Order
+	relayed relayedProxies // where a relay holds the streams
 
 	now      float64      // of the last turn
 	started  bool         // whether the decider was asked at all
@@ -48,13 +46,13 @@
 // NewCore returns a core that knows no endpoint and no proxy.
 func NewCore(p Plan) *Core {
 	c := &Core{
-		endpoints:    newEndpointRegistry(),
-		sessions:     newSessionRegistry(),
-		reports:      newReportGate(p.Intake, p.Kinds),
-		tables:       newTableStore(),
-		excluded:     exclusions{},
-		slices:       assignedSlices{},
-		relayProxies: map[int]bool{},
+		endpoints: newEndpointRegistry(),
+		sessions:  newSessionRegistry(),
+		reports:   newReportGate(p.Intake, p.Kinds),
+		tables:    newTableStore(),
+		excluded:  exclusions{},
+		slices:    assignedSlices{},
+		relayed:   newRelayedProxies(),
 	}
 	for _, name := range p.Zones {
 		c.zones.In(name)
@@ -104,7 +102,7 @@
 		c.execute(command)
 	}
 	c.outbox.flush(c.now, c.Channel)
-	c.flushRelay()
+	c.relayed.flush(c.plan.Relay, &c.endpoints)
 }
 
 // decide asks the decider if there is news for it. The first turn asks in any case; from then on the decider wakes
--- a/internal/pilot/endpoints.go
+++ b/internal/pilot/endpoints.go
@@ -59,8 +59,8 @@
 // len returns how many indices there are.
 func (r *endpointRegistry) len() int { return r.names.Len() }
 
-// beginUpdate takes over the version and the clock of a list. A whole one begins the entries anew. It returns those held
-// before.
+// beginUpdate takes over the version and the clock of a list. A whole one begins the entries anew. It returns those
+// held before.
 func (r *endpointRegistry) beginUpdate(list *wire.List, nowMs float64) (before map[string]wire.Entry) {
 	r.version = list.Version
 	r.listClockMs = list.Now
@@ -99,8 +99,8 @@
 	return r.names.In(e.Endpoint)
 }
 
-// startedMs returns an endpoint's start on our clock, 0 for the distant past. It is the entry's age as of when its stamp
-// was first seen, and stays so: the decider takes any other figure for a restart.
+// startedMs returns an endpoint's start on our clock, 0 for the distant past. It is reckoned from the entry's age when
+// its stamp was first seen, and stays so: the decider takes any other figure for a restart.
 func (r *endpointRegistry) startedMs(i int, e wire.Entry, nowMs float64) float64 {
 	if known, seen := r.starts[i]; seen && known.stamp == e.Started {
 		return known.startedMs
--- a/internal/pilot/exclusion.go
+++ b/internal/pilot/exclusion.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// holds returns whether a proxy may hold a line of an endpoint: from what it held when it joined, until tables cover all
-// request kinds, from a table that it is bound to, or from that of a slice.
+// holds returns whether a proxy may hold a line of an endpoint: from what it held when it joined, until tables cover
+// all request kinds, from a table that it is bound to, or from that of a slice.
 func (c *Core) holds(s *session, endpoint int) bool {
 	if s.coveredKinds != c.allKinds() && s.initialEndpoints[endpoint] {
 		return true
--- a/internal/pilot/loop.go
+++ b/internal/pilot/loop.go
@@ -173,7 +173,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.state.Turns++
-	l.state.Proxies = l.core.sessions.len() + len(l.core.relayProxies)
+	l.state.Proxies = l.core.sessions.len() + len(l.core.relayed.joined)
 	l.state.Endpoints = l.core.endpoints.len()
 	l.state.Lines = l.core.Channel.waitingLines
 	l.state.MostLines = l.core.Channel.MostSeen
--- a/internal/pilot/options.go
+++ b/internal/pilot/options.go
@@ -42,9 +42,9 @@
 	// Meter counts; it may be nil.
 	Meter *Meter
 
-	// Turn, if not nil, hears of each turn: its inputs, what the intake passed on, and the orders. The inputs' slice is
-	// used again after it returns.
-	Turn func(nowMs float64, inputs []Input, told []brain.Note, orders []brain.Order)
+	// Turn, if not nil, hears of each turn: its inputs, the telemetry that the intake passed on, and the decider's
+	// commands. The inputs' slice is used again after it returns.
+	Turn func(nowMs float64, inputs []Input, telemetry []brain.Note, commands []brain.Order)
 
 	// Replayed means that what the intake passed on comes as Told inputs; the core's own intake is not asked.
 	Replayed bool
--- a/internal/pilot/transports.go
+++ b/internal/pilot/transports.go
@@ -5,11 +5,11 @@
 	"indigousher/internal/wire"
 )
 
-// Decider is what decides; brain.Brain is the one that ships. It is called by one goroutine, keeps no hold of notes'
-// slice and has no effect but what it returns.
+// Decider is what decides; brain.Brain is the one that ships. It is called by one goroutine and has no effect but
+// what it returns.
 type Decider interface {
 	// Handle takes in what happened by nowMs and returns what is to be done about it.
-	Handle(nowMs float64, notes []brain.Note) []brain.Order
+	Handle(nowMs float64, events []brain.Note) []brain.Order
 	// Reconfigure takes over changed settings: all of them, changed and not. What was derived from the settings at the
 	// start (zones, request kinds, parts of a zone) stays as it is.
 	Reconfigure(settings map[string]any)
