--- a/internal/pilot/binding_test.go
+++ b/internal/pilot/binding_test.go
@@ -13,12 +13,21 @@
 // TestHeld guards a return, to this pilot or another, before or after a crash: of a table that the proxy has only what
 // differs is sent.
 func TestHeld(t *testing.T) {
-	d, edge, stream := &scriptedDecider{orders: [][]brain.Order{nil, {brain.SetLine{Table: 5, Endpoint: 0, Weight: 1},
-		brain.SetLine{Table: 5, Endpoint: 1, Weight: 2}, brain.Bind{Table: 5, Proxy: 0}, brain.Bind{Table: 5, Proxy: 0}}}}, &fakeTransport{}, &fakeTransport{}
+	d := &scriptedDecider{orders: [][]brain.Order{nil, {
+		brain.SetLine{Table: 5, Endpoint: 0, Weight: 1},
+		brain.SetLine{Table: 5, Endpoint: 1, Weight: 2},
+		brain.Bind{Table: 5, Proxy: 0},
+		brain.Bind{Table: 5, Proxy: 0},
+	}}}
+	edge := &fakeTransport{}
+	stream := &fakeTransport{}
 	c := NewCore(plan(d, edge))
 	c.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0))})
 	h := hello("p", "a", "x")
-	h.Tables = []wire.HeldTable{{Table: 5, Lines: []wire.HeldLine{{Endpoint: "x", Weight: 1}, {Endpoint: "gone", Weight: 3}}}}
+	h.Tables = []wire.HeldTable{{Table: 5, Lines: []wire.HeldLine{
+		{Endpoint: "x", Weight: 1},
+		{Endpoint: "gone", Weight: 3},
+	}}}
 	c.Handle(1, []Input{Join{stream, h}})
 	c.Channel.Send(1)
 	require.Len(t, stream.sent, 1)
--- a/internal/pilot/channel_test.go
+++ b/internal/pilot/channel_test.go
@@ -40,14 +40,20 @@
 	assert.Equal(t, "full", full.closed)
 }
 
-// TestChannelSlowerThanTold guards the backlog where the channel carries less than a quarter of what is told: lines that were
-// taken for gone at that pace still waited, and answers that said so only ever lowered the count (zone+mass of seed 9: 160
-// lines a second for 800, 5,054 lines where 4,800 may wait).
+// TestChannelSlowerThanTold guards the backlog where the channel carries less than a quarter of what is told: lines
+// that were taken for gone at that pace still waited, and answers that said so only ever lowered the count (zone+mass
+// of seed 9: 160 lines a second for 800, 5,054 lines where 4,800 may wait).
 func TestChannelSlowerThanTold(t *testing.T) {
 	const backlog = 4800
-	for name, c := range map[string]struct{ pace, told float64 }{"as told": {800, 800}, "a fifth": {160, 800}, "a tenth": {80, 800}} {
+	for name, c := range map[string]struct{ pace, told float64 }{
+		"as told": {800, 800},
+		"a fifth": {160, 800},
+		"a tenth": {80, 800},
+	} {
 		t.Run(name, func(t *testing.T) {
-			f, entries := newFleet(201, 54, c.pace, backlog, 7200, func(terms map[string]any) { terms["lines_per_s"] = c.told })
+			f, entries := newFleet(201, 54, c.pace, backlog, 7200, func(terms map[string]any) {
+				terms["lines_per_s"] = c.told
+			})
 			f.join(f.streams, entries)
 			f.until(60000)
 			left := f.core.Channel.MostSeen
--- a/internal/pilot/core_test.go
+++ b/internal/pilot/core_test.go
@@ -12,25 +12,45 @@
 	"indigousher/internal/wire"
 )
 
-// TestNotes shows that every note of the module's interface has a source.
+// TestNotes shows that every event of the decider's interface has a source.
 func TestNotes(t *testing.T) {
-	d, edge, stream := &scriptedDecider{orders: [][]brain.Order{{brain.WakeAt{AtMs: 150, Name: "bell"}}, nil, {brain.Mark{Number: 9, All: true}}}}, &fakeTransport{}, &fakeTransport{}
+	d := &scriptedDecider{orders: [][]brain.Order{
+		{brain.WakeAt{AtMs: 150, Name: "bell"}},
+		nil,
+		{brain.Mark{Number: 9, All: true}},
+	}}
+	edge := &fakeTransport{}
+	stream := &fakeTransport{}
 	c := NewCore(plan(d, edge))
 	c.Handle(0, nil)
 	c.Handle(100, []Input{listed(true, entry("x", 0), entry("y", 4000)), Join{stream, hello("p", "b")}})
 	c.Handle(160, nil)
 	c.Handle(1200, []Input{
-		listed(false, entry("y", 4000)), ListLost{}, Heard{3, "hi"}, Applied{stream, wire.Done{Mark: 9, TookMs: 2}}, Applied{stream, wire.Done{Mark: 9}}, Applied{stream, wire.Done{Mark: 8}},
+		listed(false, entry("y", 4000)),
+		ListLost{},
+		Heard{3, "hi"},
+		Applied{stream, wire.Done{Mark: 9, TookMs: 2}},
+		Applied{stream, wire.Done{Mark: 9}}, // acknowledged before
+		Applied{stream, wire.Done{Mark: 8}}, // never sent
 		Probed{"x", "ok", 5, []wire.Figure{{Name: "util", Value: 0.5}}},
-		Reported{stream, &wire.Sums{Seq: 1, SpanMs: 500, Met: []wire.Met{{Endpoint: "x", Tries: 4, Failed: 1, MeanMs: 20},
-			{Endpoint: "never listed", Tries: 1}}, Demand: []wire.Demand{{Kind: "book", Reqs: 5, Unanswered: 1}}}}})
+		Reported{stream, &wire.Sums{
+			Seq:    1,
+			SpanMs: 500,
+			Met:    []wire.Met{{Endpoint: "x", Tries: 4, Failed: 1, MeanMs: 20}, {Endpoint: "never listed", Tries: 1}},
+			Demand: []wire.Demand{{Kind: "book", Reqs: 5, Unanswered: 1}},
+		}},
+	})
 	c.Handle(2300, []Input{Leave{stream}, Leave{stream}})
 	assert.Equal(t, []brain.Note{
-		brain.Listing{Mode: brain.Whole, Version: 7, Entries: []brain.Entry{{Endpoint: 0, Zone: 1, Weight: 2},
-			{Endpoint: 1, Zone: 1, Weight: 2, Started: -900}}},
+		brain.Listing{Mode: brain.Whole, Version: 7, Entries: []brain.Entry{
+			{Endpoint: 0, Zone: 1, Weight: 2},
+			{Endpoint: 1, Zone: 1, Weight: 2, Started: -900},
+		}},
 		brain.Joined{Proxy: 0, Zone: 1, Rate: 2, Fresh: true},
 		brain.Alarm{Name: "bell"},
-		brain.Listing{Mode: brain.Changes, Version: 7, Entries: []brain.Entry{{Endpoint: 1, Zone: 1, Weight: 2, Started: -900}}},
+		brain.Listing{Mode: brain.Changes, Version: 7, Entries: []brain.Entry{
+			{Endpoint: 1, Zone: 1, Weight: 2, Started: -900},
+		}},
 		brain.Listing{Mode: brain.ListFailed},
 		brain.Gossip{From: 3, Text: "hi"},
 		brain.Applied{Proxy: 0, Number: 9, TookMs: 2},
@@ -42,7 +62,7 @@
 	assert.Equal(t, []string{"odd sums of an unknown endpoint"}, edge.calls)
 }
 
-// TestOrders shows what each order amounts to at a proxy or an edge.
+// TestOrders shows what each command amounts to at a proxy or a transport.
 func TestOrders(t *testing.T) {
 	set := func(e int, w float64) brain.Order { return brain.SetLine{Table: 5, Endpoint: e, Weight: w} }
 	setOp := func(e string, w float64) wire.Op {
@@ -58,16 +78,20 @@
 		calls  []string
 	}{
 		{"a table that nobody uses", []brain.Order{set(0, 1)}, nil, nil},
-		{"a bind sends the whole table", []brain.Order{set(1, 2), set(0, 1), bind}, []wire.Op{bindOp, setOp("x", 1), setOp("y", 2)}, nil},
+		{"a bind sends the whole table", []brain.Order{set(1, 2), set(0, 1), bind},
+			[]wire.Op{bindOp, setOp("x", 1), setOp("y", 2)}, nil},
 		{"a line after a bind", []brain.Order{bind, set(0, 1)}, []wire.Op{bindOp, setOp("x", 1)}, nil},
-		{"a line that goes", []brain.Order{set(0, 1), bind, set(0, 0)}, []wire.Op{bindOp, setOp("x", 1), setOp("x", 0)}, nil},
+		{"a line that goes", []brain.Order{set(0, 1), bind, set(0, 0)},
+			[]wire.Op{bindOp, setOp("x", 1), setOp("x", 0)}, nil},
 		{"a bind tells what is shut out", []brain.Order{set(1, 1), brain.Withdraw{Endpoint: 1, Out: true}, bind},
 			[]wire.Op{bindOp, setOp("y", 1), out("y")}, nil},
 		{"a line of what is shut out", []brain.Order{bind, brain.Withdraw{Endpoint: 1, Out: true}, set(1, 1)},
 			[]wire.Op{bindOp, setOp("y", 1), out("y")}, nil},
-		{"withdrawn where the standing table holds it", []brain.Order{brain.Withdraw{Endpoint: 0, Out: true}}, []wire.Op{out("x")}, nil},
+		{"withdrawn where the standing table holds it", []brain.Order{brain.Withdraw{Endpoint: 0, Out: true}},
+			[]wire.Op{out("x")}, nil},
 		{"withdrawn where nobody holds it", []brain.Order{brain.Withdraw{Endpoint: 1, Out: true}}, nil, nil},
-		{"a table cleared", []brain.Order{set(0, 1), bind, brain.ClearTable{Table: 5}, brain.Withdraw{Endpoint: 0, Out: true}},
+		{"a table cleared",
+			[]brain.Order{set(0, 1), bind, brain.ClearTable{Table: 5}, brain.Withdraw{Endpoint: 0, Out: true}},
 			[]wire.Op{bindOp, setOp("x", 1), {Kind: wire.OpClear, Table: 5}}, nil},
 		{"levels", []brain.Order{brain.Admit{Table: 5, Kinds: 1, Level: 0.5, Again: 1}, bind},
 			[]wire.Op{bindOp, {Kind: wire.OpAdmit, Table: 5, Kinds: 1, Weight: 0.5, Again: 1}}, nil},
@@ -83,7 +107,9 @@
 			[]string{"odd bind of a proxy that has left"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d, edge, stream := &scriptedDecider{orders: [][]brain.Order{nil, c.orders}}, &fakeTransport{}, &fakeTransport{}
+			d := &scriptedDecider{orders: [][]brain.Order{nil, c.orders}}
+			edge := &fakeTransport{}
+			stream := &fakeTransport{}
 			core := NewCore(plan(d, edge))
 			core.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0))})
 			core.Handle(1, []Input{Join{stream, hello("p", "a", "x", "unknown")}})
@@ -100,7 +126,7 @@
 	}
 }
 
-// TestSameOrders shows that the same inputs at the same times give the same messages, with the module inside.
+// TestSameOrders shows that the same inputs at the same times give the same messages, with the decider that ships.
 func TestSameOrders(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.IntRange(0, 5), 1, 60).Draw(rt, "steps")
--- a/internal/pilot/drains_test.go
+++ b/internal/pilot/drains_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestDrainsHeldAcrossZones guards drains against proxies that come from another pilot with lines spilt to another zone, while
-// none of that zone's own proxies waits for its tables: they are told all the same (ha15185).
+// TestDrainsHeldAcrossZones guards drains against proxies that come from another pilot with lines spilt to another
+// zone, while none of that zone's own proxies waits for its tables: they are told all the same (ha15185).
 func TestDrainsHeldAcrossZones(t *testing.T) {
 	const grace = 5000.0
 	f, entries := newFleet(359, 397, 3000, 14000, grace)
@@ -106,9 +106,9 @@
 	assert.LessOrEqual(t, f.core.Channel.MostSeen, 14000)
 }
 
-// TestWholeZoneDrained guards proxies against the drain of all endpoints of their zone at once, while one pilot has all of
-// 397 and half of them may have just come: what replaces the drained lines does not wait behind others, those who have no
-// line left are bound first, and the queue stays within the backlog, heads of lone withdrawals included.
+// TestWholeZoneDrained guards proxies against the drain of all endpoints of their zone at once, while one pilot has all
+// of 397 and half of them may have just come: what replaces the drained lines does not wait behind others, those who
+// have no line left are bound first, and the queue stays within the backlog, heads of lone withdrawals included.
 func TestWholeZoneDrained(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -116,7 +116,8 @@
 		drainedMs     float64
 		pace, backlog float64
 		most          float64 // ms that a proxy may be bare
-		fails         bool    // to keep the drains, as expected: the lines do not fit twice into the grace (docs/review-of-parts.md)
+		// fails to keep the drains, as expected: the lines do not fit twice into the grace (docs/review-of-parts.md)
+		fails bool
 	}{
 		{"all settled", 0, 40000, 4300, 14000, 500, false},
 		{"the others half bound", 30000, 37000, 4300, 14000, 500, false},
@@ -162,8 +163,9 @@
 	}
 }
 
-// TestDrainsAfterLostAnswers guards drains against answers that were lost (incident 029): what the pilot counts in the channel
-// stays as it was, while nothing is left in it that could be answered. One proxy is asked, and the drains go out.
+// TestDrainsAfterLostAnswers guards drains against answers that were lost (incident 029): what the pilot counts in the
+// channel stays as it was, while nothing is left in it that could be answered. One proxy is asked, and the drains go
+// out.
 func TestDrainsAfterLostAnswers(t *testing.T) {
 	const grace, backlog = 3000.0, 1200.0
 	f, entries := newFleet(30, 80, 800, backlog, grace)
@@ -198,8 +200,8 @@
 	assert.LessOrEqual(t, float64(f.core.Channel.MostSeen), backlog)
 }
 
-// TestDrainsToldToHerds guards drains against proxies that come after them with tables of a pilot that knew of none, in two
-// herds one after the other: each has let go of what drains within the grace of its joining.
+// TestDrainsToldToHerds guards drains against proxies that come after them with tables of a pilot that knew of none, in
+// two herds one after the other: each has let go of what drains within the grace of its joining.
 func TestDrainsToldToHerds(t *testing.T) {
 	const grace = 5000.0
 	f, entries := newFleet(359, 397, 3000, 14000, grace)
@@ -269,7 +271,9 @@
 			for i := wave; i < len(entries) && wave < 3; i += 7 {
 				e := entries[i]
 				e.Phase, told[e.Endpoint] = wire.PhaseDraining, f.now
-				changed = append(changed, e, wire.Entry{Endpoint: fmt.Sprint("n", i), Zone: e.Zone, Machine: "std", Weight: 1, Started: uint64(f.now) + 1})
+				successor := wire.Entry{Endpoint: fmt.Sprint("n", i), Zone: e.Zone, Machine: "std", Weight: 1,
+					Started: uint64(f.now) + 1}
+				changed = append(changed, e, successor)
 			}
 			f.handle(listed(false, changed...))
 		}
@@ -281,8 +285,8 @@
 }
 
 // TestDrainsWhileTablesStand guards drains of proxies that are left on what they stand with, as chance among so many is
-// small: each is told of what is out in a message of its own, and a few such, one after another, are all that the channel
-// carries within the rest of the grace.
+// small: each is told of what is out in a message of its own, and a few such, one after another, are all that the
+// channel carries within the rest of the grace.
 func TestDrainsWhileTablesStand(t *testing.T) {
 	const grace, backlog = 56300.0, 43700
 	for name, c := range map[string]struct {
--- a/internal/pilot/endpoints_test.go
+++ b/internal/pilot/endpoints_test.go
@@ -25,21 +25,29 @@
 	assert.Equal(t, []float64{-1000, -1000, -1000, 8900}, starts)
 }
 
-// TestGenerations guards memory: endpoints give way to new ones under new names for as long as a pilot lives, and each
-// name would keep an index, its actor and its lines in the module.
+// TestGenerations guards memory: endpoints give way to new ones under new names for as long as a controller lives, and
+// each name would keep an index, its actor and its lines in the decider.
 func TestGenerations(t *testing.T) {
-	terms := map[string]any{"instances": 1.0, "lines_per_s": 1000.0, "backlog": 1500.0, "proxy_count": 10.0, "zones": []any{"a", "b"},
-		"req_kinds": []any{map[string]any{"payoff": 1.0}}}
-	c, k := newRelayCore(brain.New(1, terms))
+	terms := map[string]any{
+		"instances":   1.0,
+		"lines_per_s": 1000.0,
+		"backlog":     1500.0,
+		"proxy_count": 10.0,
+		"zones":       []any{"a", "b"},
+		"req_kinds":   []any{map[string]any{"payoff": 1.0}},
+	}
+	c, relay := newRelayCore(brain.New(1, terms))
 	c.Handle(0, []Input{Relayed{Proxy: 1, Zone: "a", Rate: 5, Fresh: true}})
 	most, last := 0, ""
 	for g := range 500 {
 		l := &wire.List{Version: g, Whole: g%7 == 0, Now: uint64(1e9 + 5000*g)}
 		for i := range 4 {
 			if last = fmt.Sprint("e", g, "-", i); g > 0 && !l.Whole {
-				l.Entries = append(l.Entries, wire.Entry{Endpoint: fmt.Sprint("e", g-1, "-", i), Zone: "a", Machine: "m", Phase: wire.PhaseGone})
+				before := fmt.Sprint("e", g-1, "-", i)
+				l.Entries = append(l.Entries, wire.Entry{Endpoint: before, Zone: "a", Machine: "m", Phase: wire.PhaseGone})
 			}
-			l.Entries = append(l.Entries, wire.Entry{Endpoint: last, Zone: "a", Machine: "m", Weight: 1, Started: l.Now - 100})
+			l.Entries = append(l.Entries,
+				wire.Entry{Endpoint: last, Zone: "a", Machine: "m", Weight: 1, Started: l.Now - 100})
 		}
 		c.Handle(float64(5000*g), []Input{Listed{List: l}})
 		for s := 1; s <= 4; s++ {
@@ -54,7 +62,7 @@
 	_, known := c.endpoints.find("e1-0")
 	assert.False(t, known, "the name of one long gone is forgotten")
 	assert.LessOrEqual(t, len(c.endpoints.retiredAtMs), most)
-	assert.True(t, k.names[last], "a new endpoint under a used index is planned by its own name")
+	assert.True(t, relay.names[last], "a new endpoint under a used index is planned by its own name")
 	assert.Zero(t, c.Believed.Odd)
 	assert.Equal(t, 2000, c.Believed.Reports)
 }
--- a/internal/pilot/exclusion_test.go
+++ b/internal/pilot/exclusion_test.go
@@ -10,12 +10,17 @@
 	"indigousher/internal/wire"
 )
 
-// TestWithdrawnAtAll guards a withdrawal against passing over any of the proxies that hold the endpoint: by a table of this
-// pilot's, by what they held when they joined, or by both.
+// TestWithdrawnAtAll guards an exclusion against passing over any of the proxies that hold the endpoint: by a table of
+// this controller, by what they held when they joined, or by both.
 func TestWithdrawnAtAll(t *testing.T) {
 	bind := func(proxy int) brain.Order { return brain.Bind{Table: 5, Proxy: proxy, Kinds: 1} }
-	d := &scriptedDecider{orders: [][]brain.Order{nil, nil, {brain.SetLine{Table: 5, Endpoint: 0, Weight: 1}, bind(0), bind(1)},
-		{brain.Withdraw{Endpoint: 0, Out: true}}, {brain.Withdraw{Endpoint: 0}}}}
+	d := &scriptedDecider{orders: [][]brain.Order{
+		nil,
+		nil,
+		{brain.SetLine{Table: 5, Endpoint: 0, Weight: 1}, bind(0), bind(1)},
+		{brain.Withdraw{Endpoint: 0, Out: true}},
+		{brain.Withdraw{Endpoint: 0}},
+	}}
 	p := plan(d, &fakeTransport{})
 	p.MostProxies = 5
 	c := NewCore(p)
--- a/internal/pilot/fakes_test.go
+++ b/internal/pilot/fakes_test.go
@@ -17,7 +17,8 @@
 }
 
 func (s *scriptedDecider) Handle(nowMs float64, notes []brain.Note) []brain.Order {
-	s.notes, s.times = append(s.notes, notes...), append(s.times, nowMs)
+	s.notes = append(s.notes, notes...)
+	s.times = append(s.times, nowMs)
 	if len(s.orders) == 0 {
 		return nil
 	}
@@ -56,21 +57,37 @@
 	f.calls = append(f.calls, fmt.Sprint("tell ", peer, " ", text))
 }
 
+// plan returns a plan whose transports are all one fake.
 func plan(d Decider, edge *fakeTransport) Plan {
-	return Plan{Decider: d, Terms: map[string]any{"slices": 16.0}, Zones: []string{"a", "b"}, Machines: []string{"std"},
-		Kinds: []string{"read", "book"}, HeadLines: 4, Intake: intake.Terms{PeriodMs: 1000, HalfMs: 1e9, LongestMs: 60000}, MostProxies: 3, MessagesOverMs: 10000, List: edge,
-		Prober: edge, Peers: edge, Log: func(t string) { edge.calls = append(edge.calls, "log "+t) },
-		Odd: func(what string, _ ...string) { edge.calls = append(edge.calls, "odd "+what) }}
+	return Plan{
+		Decider:        d,
+		Terms:          map[string]any{"slices": 16.0},
+		Zones:          []string{"a", "b"},
+		Machines:       []string{"std"},
+		Kinds:          []string{"read", "book"},
+		HeadLines:      4,
+		MessagesOverMs: 10000,
+		Intake:         intake.Terms{PeriodMs: 1000, HalfMs: 1e9, LongestMs: 60000},
+		MostProxies:    3,
+		List:           edge,
+		Prober:         edge,
+		Peers:          edge,
+		Log:            func(t string) { edge.calls = append(edge.calls, "log "+t) },
+		Odd:            func(what string, _ ...string) { edge.calls = append(edge.calls, "odd "+what) },
+	}
 }
 
+// hello returns what a proxy that holds some endpoints says first.
 func hello(name, zone string, holds ...string) wire.Hello {
 	return wire.Hello{Version: 1, Proxy: name, Zone: zone, Rate: 2, Fresh: true, Holds: holds}
 }
 
+// listed returns entries of a list whose clock stands at 5000 ms.
 func listed(whole bool, entries ...wire.Entry) Listed {
 	return Listed{List: &wire.List{Version: 7, Now: 5000, Whole: whole, Entries: entries}}
 }
 
+// entry returns an endpoint of zone b that started at a time of the list's clock.
 func entry(name string, started uint64) wire.Entry {
 	return wire.Entry{Endpoint: name, Zone: "b", Machine: "std", Weight: 2, Started: started}
 }
@@ -108,8 +125,18 @@
 }
 func (c *recordingRelay) Gone(proxy int) { c.gone = append(c.gone, proxy) }
 
+// newRelayCore returns a core whose streams a relay holds.
 func newRelayCore(d Decider) (*Core, *recordingRelay) {
-	k := &recordingRelay{names: map[string]bool{}}
-	return NewCore(Plan{Decider: d, Terms: map[string]any{}, Zones: []string{"a", "b"}, Machines: []string{"m"}, Kinds: []string{"read"},
-		MostProxies: 10, Relay: k, Log: func(string) {}, Odd: func(string, ...string) {}}), k
+	relay := &recordingRelay{names: map[string]bool{}}
+	return NewCore(Plan{
+		Decider:     d,
+		Terms:       map[string]any{},
+		Zones:       []string{"a", "b"},
+		Machines:    []string{"m"},
+		Kinds:       []string{"read"},
+		MostProxies: 10,
+		Relay:       relay,
+		Log:         func(string) {},
+		Odd:         func(string, ...string) {},
+	}), relay
 }
--- a/internal/pilot/fleet_test.go
+++ b/internal/pilot/fleet_test.go
@@ -100,7 +100,8 @@
 
 // newFleet returns a fleet of many endpoints with a controller that no proxy has joined. pace is in lines a second,
 // backlog in lines, grace in ms; change may alter the decider's settings.
-func newFleet(endpoints, proxies int, pace, backlog, grace float64, change ...func(terms map[string]any)) (*fleet, []wire.Entry) {
+func newFleet(endpoints, proxies int, pace, backlog, grace float64, change ...func(terms map[string]any)) (
+	*fleet, []wire.Entry) {
 	zones := []string{"a", "b", "c"}
 	terms := map[string]any{"req_kinds": []any{map[string]any{"name": "read"}}, "proxy_count": float64(proxies),
 		"instances": 2.0, "lines_per_s": pace, "backlog": backlog, "head_lines": 3.0, "drain_grace": grace,
@@ -109,10 +110,25 @@
 		c(terms)
 	}
 	f := &fleet{delayMs: 275}
-	f.core = NewCore(Plan{Decider: brain.New(1, terms), Terms: terms, Zones: zones, Machines: []string{"std"},
-		Kinds: []string{"read"}, LinesPerS: pace, Backlog: backlog, HeadLines: 3, MessagesMost: 30, MessagesOverMs: 10000,
-		Intake: intake.Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000}, MostProxies: 1 << 16, List: &fakeTransport{}, Prober: &fakeTransport{}, Peers: &fakeTransport{}, Log: func(string) {},
-		Odd: func(string, ...string) {}})
+	f.core = NewCore(Plan{
+		Decider:        brain.New(1, terms),
+		Terms:          terms,
+		Zones:          zones,
+		Machines:       []string{"std"},
+		Kinds:          []string{"read"},
+		LinesPerS:      pace,
+		Backlog:        backlog,
+		HeadLines:      3,
+		MessagesMost:   30,
+		MessagesOverMs: 10000,
+		Intake:         intake.Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000},
+		MostProxies:    1 << 16,
+		List:           &fakeTransport{},
+		Prober:         &fakeTransport{},
+		Peers:          &fakeTransport{},
+		Log:            func(string) {},
+		Odd:            func(string, ...string) {},
+	})
 	var entries []wire.Entry
 	for i := range endpoints {
 		entries = append(entries, wire.Entry{Endpoint: fmt.Sprint("e", i), Zone: zones[i%3], Machine: "std", Weight: 1})
@@ -140,8 +156,8 @@
 	}
 }
 
-// longestHeldMs returns how long a proxy that has joined has held anything that was told to drain, from when that was told or,
-// if later, the proxy joined.
+// longestHeldMs returns how long a proxy that has joined has held anything that was told to drain, from when that was
+// told or, if later, the proxy joined.
 func (f *fleet) longestHeldMs(told, joined map[string]float64) (ms float64) {
 	for _, v := range f.streams {
 		for name, at := range told {
--- a/internal/pilot/relay_test.go
+++ b/internal/pilot/relay_test.go
@@ -13,23 +13,27 @@
 func TestRelayedInputs(t *testing.T) {
 	entry := wire.Entry{Endpoint: "x", Zone: "a", Machine: "m", Weight: 1}
 	join := Relayed{Proxy: 3, Zone: "a", Rate: 2}
+	stood := Relayed{Proxy: 3, Zone: "a", Rate: 2, Stood: true}
+	joined := brain.Joined{Proxy: 3, Rate: 2}
 	met := ZoneMet{Zone: "a", Endpoint: "x", Tries: 2, Failed: 1, MeanMs: 3, SpanMs: 4, Load: map[string]float64{"qps": 2}}
 	for name, c := range map[string]struct {
 		in   []Input
 		want []brain.Note
 	}{
-		"joined and left": {[]Input{join, Unrelayed{3}, Unrelayed{3}}, []brain.Note{brain.Joined{Proxy: 3, Rate: 2}, brain.Left{Proxy: 3}}},
-		"joined again":    {[]Input{join, join}, []brain.Note{brain.Joined{Proxy: 3, Rate: 2}, brain.Left{Proxy: 3}, brain.Joined{Proxy: 3, Rate: 2}}},
-		"has stood": {[]Input{join, Relayed{Proxy: 3, Zone: "a", Rate: 2, Stood: true}},
-			[]brain.Note{brain.Joined{Proxy: 3, Rate: 2}, brain.Joined{Proxy: 3, Rate: 2, Stood: true}}},
-		"unknown has stood": {[]Input{Relayed{Proxy: 3, Zone: "a", Rate: 2, Stood: true}}, []brain.Note{brain.Joined{Proxy: 3, Rate: 2}}},
+		"joined and left": {[]Input{join, Unrelayed{3}, Unrelayed{3}}, []brain.Note{joined, brain.Left{Proxy: 3}}},
+		"joined again":    {[]Input{join, join}, []brain.Note{joined, brain.Left{Proxy: 3}, joined}},
+		"has stood": {[]Input{join, stood},
+			[]brain.Note{joined, brain.Joined{Proxy: 3, Rate: 2, Stood: true}}},
+		"unknown has stood": {[]Input{stood}, []brain.Note{joined}},
 		"stalled": {[]Input{RelayStalled{ForMs: 3, Again: []int{7}}, RelayStalled{}},
 			[]brain.Note{brain.Stalled{ForMs: 3, Again: []int{7}}, brain.Stalled{}}},
 		"beyond all": {[]Input{Relayed{Proxy: 10, Zone: "a"}, Relayed{Proxy: -1, Zone: "a"}, Relayed{Proxy: 1, Zone: "z"}}, nil},
-		"applied":    {[]Input{RelayApplied{Proxy: 3, Mark: 1}, join, RelayApplied{3, 1, 5}}, []brain.Note{brain.Joined{Proxy: 3, Rate: 2}, brain.Applied{Proxy: 3, Number: 1, TookMs: 5}}},
+		"applied": {[]Input{RelayApplied{Proxy: 3, Mark: 1}, join, RelayApplied{3, 1, 5}},
+			[]brain.Note{joined, brain.Applied{Proxy: 3, Number: 1, TookMs: 5}}},
 		"met": {[]Input{met, ZoneMet{Zone: "z", Endpoint: "x"}, ZoneMet{Zone: "a", Endpoint: "y"}},
 			[]brain.Note{brain.Met{Tries: 2, Failed: 1, MeanMs: 3, SpanMs: 4, Load: brain.Load{"rate": 2}}}},
-		"demand": {[]Input{ProxyDemand{Proxy: 2, Kind: "read", Reqs: 3, SpanMs: 4}, ProxyDemand{Proxy: 99, Kind: "read"}, ProxyDemand{Proxy: 2, Kind: "none"}},
+		"demand": {[]Input{ProxyDemand{Proxy: 2, Kind: "read", Reqs: 3, SpanMs: 4}, ProxyDemand{Proxy: 99, Kind: "read"},
+			ProxyDemand{Proxy: 2, Kind: "none"}},
 			[]brain.Note{brain.Demand{Proxy: 2, Reqs: 3, SpanMs: 4}}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -45,14 +49,20 @@
 	}
 }
 
-// TestOneTurnIsOneCall guards the order in which a turn's orders go out, and that one for a proxy that has left is none.
+// TestOneTurnIsOneCall guards the order in which a turn's commands go out, and that one for a proxy that has left is
+// none.
 func TestOneTurnIsOneCall(t *testing.T) {
 	d := &oneTurnDecider{}
-	c, k := newRelayCore(d)
-	d.orders = []brain.Order{brain.SetLine{Table: 1, Weight: 1}, brain.Bind{Table: 1, Proxy: 3}, brain.Bind{Table: 1, Proxy: 4}, brain.Mark{Number: 1}}
+	c, relay := newRelayCore(d)
+	d.orders = []brain.Order{
+		brain.SetLine{Table: 1, Weight: 1},
+		brain.Bind{Table: 1, Proxy: 3},
+		brain.Bind{Table: 1, Proxy: 4}, // has not joined
+		brain.Mark{Number: 1},
+	}
 	c.Handle(0, []Input{Relayed{Proxy: 3, Zone: "a"}})
-	assert.Equal(t, 3, k.orders)
+	assert.Equal(t, 3, relay.orders)
 	assert.Equal(t, 0, c.Channel.Lines(), "nothing is paced twice")
 	c.Handle(1, []Input{Unrelayed{3}})
-	assert.Equal(t, []int{3}, k.gone)
+	assert.Equal(t, []int{3}, relay.gone)
 }
--- a/internal/pilot/session_test.go
+++ b/internal/pilot/session_test.go
@@ -20,7 +20,11 @@
 	assert.NotEmpty(t, first.closed)
 	c.Handle(2, []Input{Leave{first}, Applied{first, wire.Done{Mark: 1}}}) // of no stream that lives
 	assert.Equal(t, 1, c.sessions.len())
-	assert.Equal(t, []brain.Note{brain.Joined{Rate: 2, Fresh: true}, brain.Left{}, brain.Joined{Rate: 2, Fresh: true}}, d.notes)
+	assert.Equal(t, []brain.Note{
+		brain.Joined{Rate: 2, Fresh: true},
+		brain.Left{},
+		brain.Joined{Rate: 2, Fresh: true},
+	}, d.notes)
 	stranger := &fakeTransport{}
 	c.Handle(3, []Input{Join{stranger, hello("q", "nowhere")}})
 	assert.Equal(t, "unknown zone", stranger.closed)
--- /dev/null
+++ b/internal/pilot/shares_test.go
@@ -0,0 +1,30 @@
+package pilot
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+
+	"indigousher/brain"
+)
+
+// TestShares guards the shares that are shown: by zone, proxies counted by their rate, excluded endpoints left out.
+func TestShares(t *testing.T) {
+	d := &scriptedDecider{orders: [][]brain.Order{nil, {
+		brain.SetLine{Table: 1, Endpoint: 0, Weight: 1},
+		brain.SetLine{Table: 1, Endpoint: 1, Weight: 3},
+		brain.SetLine{Table: 2, Endpoint: 0, Weight: 1},
+		brain.SetLine{Table: 2, Endpoint: 2, Weight: 1},
+		brain.Withdraw{Endpoint: 2, Out: true},
+		brain.Bind{Table: 1, Proxy: 0},
+		brain.Bind{Table: 2, Proxy: 1},
+	}}}
+	c := NewCore(plan(d, &fakeTransport{}))
+	c.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0), entry("z", 0))})
+	often := hello("often", "a")
+	often.Rate = 3
+	seldom := hello("seldom", "a")
+	seldom.Rate = 1
+	c.Handle(1, []Input{Join{&fakeTransport{}, often}, Join{&fakeTransport{}, seldom}})
+	assert.Equal(t, map[int]map[int]float64{0: {0: (3*0.25 + 1) / 4, 1: 3 * 0.75 / 4}}, c.Shares())
+}
--- a/internal/pilot/slices_test.go
+++ b/internal/pilot/slices_test.go
@@ -9,23 +9,32 @@
 	"indigousher/internal/wire"
 )
 
-// TestSlices shows the notes on slices: a charge with its stored lines, demand for it once a period, and neither for one
-// that is not in this pilot's charge.
+// TestSlices shows the events of slices: an assignment with its stored lines, demand for it once a period, and neither
+// for a slice that is not assigned to this controller.
 func TestSlices(t *testing.T) {
 	d, edge, stream := &scriptedDecider{}, &fakeTransport{}, &fakeTransport{}
 	c := NewCore(plan(d, edge))
 	c.Handle(0, []Input{listed(true, entry("x", 0)), Join{stream, hello("p", "a")}})
 	d.notes = nil
 	load := func(seq uint64) Reported {
-		return Reported{stream, &wire.Sums{Seq: seq, SpanMs: 500, Slices: []wire.SliceLoad{{Slice: 7, Kind: "book", Reqs: 5, Unanswered: 1},
-			{Slice: 8, Kind: "book", Reqs: 1}}}}
+		return Reported{stream, &wire.Sums{Seq: seq, SpanMs: 500, Slices: []wire.SliceLoad{
+			{Slice: 7, Kind: "book", Reqs: 5, Unanswered: 1},
+			{Slice: 8, Kind: "book", Reqs: 1},
+		}}}
 	}
-	c.Handle(100, []Input{SliceGiven{&wire.Slices{Slice: 7, Given: true, Lines: []wire.HeldLine{{Endpoint: "x", Weight: 2}, {Endpoint: "none"}}}}})
+	c.Handle(100, []Input{SliceGiven{&wire.Slices{Slice: 7, Given: true, Lines: []wire.HeldLine{
+		{Endpoint: "x", Weight: 2},
+		{Endpoint: "none"},
+	}}}})
 	c.Handle(200, []Input{load(1)})
 	c.Handle(300, []Input{load(2)})
 	c.Handle(1100, nil)
 	c.Handle(1200, []Input{SliceGiven{&wire.Slices{Slice: 7}}, load(3)})
 	c.Handle(2300, nil)
-	assert.Equal(t, []brain.Note{brain.SliceCharge{Slice: 7, Given: true}, brain.SliceLine{Slice: 7, Endpoint: 0, Weight: 2},
-		brain.SliceDemand{Slice: 7, Kind: 1, Reqs: 10, Unanswered: 2, SpanMs: 1100}, brain.SliceCharge{Slice: 7}}, d.notes)
+	assert.Equal(t, []brain.Note{
+		brain.SliceCharge{Slice: 7, Given: true},
+		brain.SliceLine{Slice: 7, Endpoint: 0, Weight: 2},
+		brain.SliceDemand{Slice: 7, Kind: 1, Reqs: 10, Unanswered: 2, SpanMs: 1100},
+		brain.SliceCharge{Slice: 7},
+	}, d.notes)
 }
