--- a/internal/pilot/core_test.go
+++ b/internal/pilot/core_test.go
@@ -78,33 +78,77 @@
 		calls  []string
 	}{
 		{"a table that nobody uses", []brain.Order{set(0, 1)}, nil, nil},
-		{"a bind sends the whole table", []brain.Order{set(1, 2), set(0, 1), bind},
-			[]wire.Op{bindOp, setOp("x", 1), setOp("y", 2)}, nil},
+		{
+			"a bind sends the whole table",
+			[]brain.Order{set(1, 2), set(0, 1), bind},
+			[]wire.Op{bindOp, setOp("x", 1), setOp("y", 2)},
+			nil,
+		},
 		{"a line after a bind", []brain.Order{bind, set(0, 1)}, []wire.Op{bindOp, setOp("x", 1)}, nil},
-		{"a line that goes", []brain.Order{set(0, 1), bind, set(0, 0)},
-			[]wire.Op{bindOp, setOp("x", 1), setOp("x", 0)}, nil},
-		{"a bind tells what is shut out", []brain.Order{set(1, 1), brain.Withdraw{Endpoint: 1, Out: true}, bind},
-			[]wire.Op{bindOp, setOp("y", 1), out("y")}, nil},
-		{"a line of what is shut out", []brain.Order{bind, brain.Withdraw{Endpoint: 1, Out: true}, set(1, 1)},
-			[]wire.Op{bindOp, setOp("y", 1), out("y")}, nil},
-		{"withdrawn where the standing table holds it", []brain.Order{brain.Withdraw{Endpoint: 0, Out: true}},
-			[]wire.Op{out("x")}, nil},
+		{
+			"a line that goes",
+			[]brain.Order{set(0, 1), bind, set(0, 0)},
+			[]wire.Op{bindOp, setOp("x", 1), setOp("x", 0)},
+			nil,
+		},
+		{
+			"a bind tells what is shut out",
+			[]brain.Order{set(1, 1), brain.Withdraw{Endpoint: 1, Out: true}, bind},
+			[]wire.Op{bindOp, setOp("y", 1), out("y")},
+			nil,
+		},
+		{
+			"a line of what is shut out",
+			[]brain.Order{bind, brain.Withdraw{Endpoint: 1, Out: true}, set(1, 1)},
+			[]wire.Op{bindOp, setOp("y", 1), out("y")},
+			nil,
+		},
+		{
+			"withdrawn where the standing table holds it",
+			[]brain.Order{brain.Withdraw{Endpoint: 0, Out: true}},
+			[]wire.Op{out("x")},
+			nil,
+		},
 		{"withdrawn where nobody holds it", []brain.Order{brain.Withdraw{Endpoint: 1, Out: true}}, nil, nil},
-		{"a table cleared",
+		{
+			"a table cleared",
 			[]brain.Order{set(0, 1), bind, brain.ClearTable{Table: 5}, brain.Withdraw{Endpoint: 0, Out: true}},
-			[]wire.Op{bindOp, setOp("x", 1), {Kind: wire.OpClear, Table: 5}}, nil},
-		{"levels", []brain.Order{brain.Admit{Table: 5, Kinds: 1, Level: 0.5, Again: 1}, bind},
-			[]wire.Op{bindOp, {Kind: wire.OpAdmit, Table: 5, Kinds: 1, Weight: 0.5, Again: 1}}, nil},
-		{"levels for all", []brain.Order{brain.Admit{Table: brain.EveryTable, Kinds: 1, Level: 0.5}},
-			[]wire.Op{{Kind: wire.OpAdmit, Table: brain.EveryTable, Kinds: 1, Weight: 0.5}}, nil},
-		{"a mark goes with a message", []brain.Order{brain.Withdraw{Endpoint: 0, Out: true}, brain.Mark{Number: 4}},
-			[]wire.Op{out("x"), {Kind: wire.OpMark, Number: 4}}, nil},
+			[]wire.Op{bindOp, setOp("x", 1), {Kind: wire.OpClear, Table: 5}},
+			nil,
+		},
+		{
+			"levels",
+			[]brain.Order{brain.Admit{Table: 5, Kinds: 1, Level: 0.5, Again: 1}, bind},
+			[]wire.Op{bindOp, {Kind: wire.OpAdmit, Table: 5, Kinds: 1, Weight: 0.5, Again: 1}},
+			nil,
+		},
+		{
+			"levels for all",
+			[]brain.Order{brain.Admit{Table: brain.EveryTable, Kinds: 1, Level: 0.5}},
+			[]wire.Op{{Kind: wire.OpAdmit, Table: brain.EveryTable, Kinds: 1, Weight: 0.5}},
+			nil,
+		},
+		{
+			"a mark goes with a message",
+			[]brain.Order{brain.Withdraw{Endpoint: 0, Out: true}, brain.Mark{Number: 4}},
+			[]wire.Op{out("x"), {Kind: wire.OpMark, Number: 4}},
+			nil,
+		},
 		{"a mark without a message", []brain.Order{brain.Mark{Number: 4}}, nil, nil},
 		{"a mark for all", []brain.Order{brain.Mark{Number: 4, All: true}}, []wire.Op{{Kind: wire.OpMark, Number: 4}}, nil},
-		{"the edges", []brain.Order{brain.Probe{Endpoint: 1}, brain.Tell{Peer: -1, Text: "t"}, brain.Watch{On: true},
-			brain.FetchList{}, brain.Log{Text: "l"}}, nil, []string{"probe y", "tell -1 t", "watch true", "fetch", "log l"}},
-		{"a proxy that is not joined", []brain.Order{brain.Bind{Table: 5, Proxy: 2}}, nil,
-			[]string{"odd bind of a proxy that has left"}},
+		{"the edges", []brain.Order{
+			brain.Probe{Endpoint: 1},
+			brain.Tell{Peer: -1, Text: "t"},
+			brain.Watch{On: true},
+			brain.FetchList{},
+			brain.Log{Text: "l"},
+		}, nil, []string{"probe y", "tell -1 t", "watch true", "fetch", "log l"}},
+		{
+			"a proxy that is not joined",
+			[]brain.Order{brain.Bind{Table: 5, Proxy: 2}},
+			nil,
+			[]string{"odd bind of a proxy that has left"},
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := &scriptedDecider{orders: [][]brain.Order{nil, c.orders}}
@@ -145,8 +189,10 @@
 				case 2:
 					in = []Input{Leave{stream}}
 				case 3:
-					in = []Input{Reported{stream, &wire.Sums{Seq: uint64(i + 1), AtMs: now, SpanMs: 200,
-						Met: []wire.Met{{Endpoint: "x", Tries: 9, Failed: i % 9}}}}}
+					in = []Input{Reported{stream, &wire.Sums{
+						Seq: uint64(i + 1), AtMs: now, SpanMs: 200,
+						Met: []wire.Met{{Endpoint: "x", Tries: 9, Failed: i % 9}},
+					}}}
 				case 4:
 					e := entry("x", 0)
 					e.Phase = wire.PhaseDraining
--- a/internal/pilot/drains_test.go
+++ b/internal/pilot/drains_test.go
@@ -271,8 +271,10 @@
 			for i := wave; i < len(entries) && wave < 3; i += 7 {
 				e := entries[i]
 				e.Phase, told[e.Endpoint] = wire.PhaseDraining, f.now
-				successor := wire.Entry{Endpoint: fmt.Sprint("n", i), Zone: e.Zone, Machine: "std", Weight: 1,
-					Started: uint64(f.now) + 1}
+				successor := wire.Entry{
+					Endpoint: fmt.Sprint("n", i), Zone: e.Zone, Machine: "std", Weight: 1,
+					Started: uint64(f.now) + 1,
+				}
 				changed = append(changed, e, successor)
 			}
 			f.handle(listed(false, changed...))
--- a/internal/pilot/endpoints_test.go
+++ b/internal/pilot/endpoints_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 
 	"indigousher/brain"
 	"indigousher/internal/wire"
@@ -20,7 +21,9 @@
 	c.Handle(9000, []Input{Listed{List: &wire.List{Now: 9200, Entries: []wire.Entry{entry("x", 9100)}}}})
 	var starts []float64
 	for _, n := range d.notes {
-		starts = append(starts, n.(brain.Listing).Entries[0].Started)
+		listing, ok := n.(brain.Listing)
+		require.True(t, ok, "%T", n)
+		starts = append(starts, listing.Entries[0].Started)
 	}
 	assert.Equal(t, []float64{-1000, -1000, -1000, 8900}, starts)
 }
--- a/internal/pilot/events.go
+++ b/internal/pilot/events.go
@@ -51,8 +51,10 @@
 	for _, f := range outOfRange {
 		c.reportMalformed(malformedLoadFigure, f.Name, fmt.Sprint(f.Value))
 	}
-	return append(events, brain.Probed{Endpoint: endpoint, OK: in.Outcome == outcomeOK, Outcome: in.Outcome,
-		TookMs: in.TookMs, Load: load})
+	return append(events, brain.Probed{
+		Endpoint: endpoint, OK: in.Outcome == outcomeOK, Outcome: in.Outcome,
+		TookMs: in.TookMs, Load: load,
+	})
 }
 
 // changeSettings puts changed settings into those of the decider, and into the channel's limits.
--- a/internal/pilot/fakes_test.go
+++ b/internal/pilot/fakes_test.go
@@ -45,6 +45,7 @@
 	f.sent = append(f.sent, m)
 	return nil
 }
+
 func (f *fakeTransport) Ask(m *wire.Pace) error {
 	f.calls = append(f.calls, fmt.Sprint("pace ", m.PeriodMs))
 	return nil
--- a/internal/pilot/fleet_test.go
+++ b/internal/pilot/fleet_test.go
@@ -58,10 +58,15 @@
 
 func (l callQueue) Len() int      { return len(l) }
 func (l callQueue) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
-func (l *callQueue) Push(x any)   { *l = append(*l, x.(scheduledCall)) }
+func (l *callQueue) Push(x any) {
+	call, _ := x.(scheduledCall)
+	*l = append(*l, call)
+}
+
 func (l callQueue) Less(i, j int) bool {
 	return l[i].at < l[j].at || l[i].at == l[j].at && l[i].number < l[j].number
 }
+
 func (l *callQueue) Pop() any {
 	x := (*l)[len(*l)-1]
 	*l = (*l)[:len(*l)-1]
@@ -89,7 +94,8 @@
 		}
 		f.now = max(f.now, next)
 		for len(f.calls) > 0 && f.calls[0].at <= f.now {
-			heap.Pop(&f.calls).(scheduledCall).run()
+			call, _ := heap.Pop(&f.calls).(scheduledCall)
+			call.run()
 		}
 		if f.core.Due() <= f.now {
 			f.handle()
@@ -101,11 +107,14 @@
 // newFleet returns a fleet of many endpoints with a controller that no proxy has joined. pace is in lines a second,
 // backlog in lines, grace in ms; change may alter the decider's settings.
 func newFleet(endpoints, proxies int, pace, backlog, grace float64, change ...func(terms map[string]any)) (
-	*fleet, []wire.Entry) {
+	*fleet, []wire.Entry,
+) {
 	zones := []string{"a", "b", "c"}
-	terms := map[string]any{"req_kinds": []any{map[string]any{"name": "read"}}, "proxy_count": float64(proxies),
+	terms := map[string]any{
+		"req_kinds": []any{map[string]any{"name": "read"}}, "proxy_count": float64(proxies),
 		"instances": 2.0, "lines_per_s": pace, "backlog": backlog, "head_lines": 3.0, "drain_grace": grace,
-		"messages_most": 30.0, "messages_over": 10000.0, "ejects_after": 5.0, "fields": []any{"util"}, "admission": "share"}
+		"messages_most": 30.0, "messages_over": 10000.0, "ejects_after": 5.0, "fields": []any{"util"}, "admission": "share",
+	}
 	for _, c := range change {
 		c(terms)
 	}
--- a/internal/pilot/loop.go
+++ b/internal/pilot/loop.go
@@ -111,15 +111,15 @@
 	return float64(l.clock.Now().Sub(l.start)) / float64(time.Millisecond)
 }
 
-// Run turns until ctx ends. The decider hears of the start at once, with a first turn without input.
+// Run turns until ctx ends, which is no error. The decider hears of the start at once, with a first turn without input.
 func (l *Loop) Run(ctx context.Context) error {
 	var inputs []Input
 	for {
 		l.turn(inputs)
 		inputs = inputs[:0]
-		in, err := l.wait(ctx)
-		if err != nil {
-			return nil // asked to stop: no fault of the loop
+		in, ended := l.wait(ctx)
+		if ended {
+			return nil
 		}
 		if in != nil {
 			inputs = l.gather(append(inputs, in))
@@ -139,19 +139,19 @@
 	l.warnNearLimit()
 }
 
-// wait returns the next input, or nil when something is due. Its error is that of ctx.
-func (l *Loop) wait(ctx context.Context) (Input, error) {
+// wait returns the next input, or nil when something is due, and whether ctx has ended.
+func (l *Loop) wait(ctx context.Context) (in Input, ended bool) {
 	waitMs := math.Min(l.core.Due(), l.core.Channel.Due()) - l.nowMs()
 	waitMs = math.Max(0, math.Min(waitMs, longestWaitMs))
 	fired, stop := l.clock.After(time.Duration(waitMs * float64(time.Millisecond)))
 	defer stop()
 	select {
-	case in := <-l.inbox:
-		return in, nil
+	case in = <-l.inbox:
+		return in, false
 	case <-fired:
-		return nil, nil
+		return nil, false
 	case <-ctx.Done():
-		return nil, ctx.Err()
+		return nil, true
 	}
 }
 
--- a/internal/pilot/metrics.go
+++ b/internal/pilot/metrics.go
@@ -91,8 +91,10 @@
 
 // histogram makes and registers a histogram of seconds: 14 buckets from 0.1 ms on, each 2.5 times the one before.
 func (f metricFactory) histogram(name, help string) prometheus.Histogram {
-	h := prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: metricsNamespace, Name: name, Help: help,
-		Buckets: prometheus.ExponentialBuckets(0.0001, 2.5, 14)})
+	h := prometheus.NewHistogram(prometheus.HistogramOpts{
+		Namespace: metricsNamespace, Name: name, Help: help,
+		Buckets: prometheus.ExponentialBuckets(0.0001, 2.5, 14),
+	})
 	f.registry.MustRegister(h)
 	return h
 }
--- a/internal/pilot/relay.go
+++ b/internal/pilot/relay.go
@@ -56,8 +56,10 @@
 		return events
 	}
 	c.countRelayedReport(in.SpanMs)
-	return append(events, brain.Met{Endpoint: endpoint, Zone: zone, Tries: in.Tries, Failed: in.Failed,
-		MeanMs: in.MeanMs, SpanMs: in.SpanMs, Load: translate.Load(in.Load)})
+	return append(events, brain.Met{
+		Endpoint: endpoint, Zone: zone, Tries: in.Tries, Failed: in.Failed,
+		MeanMs: in.MeanMs, SpanMs: in.SpanMs, Load: translate.Load(in.Load),
+	})
 }
 
 // proxyDemand appends the requests of a kind that came to a proxy.
@@ -68,8 +70,10 @@
 		return events
 	}
 	c.countRelayedReport(in.SpanMs)
-	return append(events, brain.Demand{Proxy: in.Proxy, Kind: kind, Reqs: in.Reqs, Unanswered: in.Unanswered,
-		SpanMs: in.SpanMs})
+	return append(events, brain.Demand{
+		Proxy: in.Proxy, Kind: kind, Reqs: in.Reqs, Unanswered: in.Unanswered,
+		SpanMs: in.SpanMs,
+	})
 }
 
 // countRelayedReport counts a report that came summed up.
--- a/internal/pilot/relay_test.go
+++ b/internal/pilot/relay_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 
 	"indigousher/brain"
 	"indigousher/internal/wire"
@@ -22,25 +23,40 @@
 	}{
 		"joined and left": {[]Input{join, Unrelayed{3}, Unrelayed{3}}, []brain.Note{joined, brain.Left{Proxy: 3}}},
 		"joined again":    {[]Input{join, join}, []brain.Note{joined, brain.Left{Proxy: 3}, joined}},
-		"has stood": {[]Input{join, stood},
-			[]brain.Note{joined, brain.Joined{Proxy: 3, Rate: 2, Stood: true}}},
+		"has stood": {
+			[]Input{join, stood},
+			[]brain.Note{joined, brain.Joined{Proxy: 3, Rate: 2, Stood: true}},
+		},
 		"unknown has stood": {[]Input{stood}, []brain.Note{joined}},
-		"stalled": {[]Input{RelayStalled{ForMs: 3, Again: []int{7}}, RelayStalled{}},
-			[]brain.Note{brain.Stalled{ForMs: 3, Again: []int{7}}, brain.Stalled{}}},
+		"stalled": {
+			[]Input{RelayStalled{ForMs: 3, Again: []int{7}}, RelayStalled{}},
+			[]brain.Note{brain.Stalled{ForMs: 3, Again: []int{7}}, brain.Stalled{}},
+		},
 		"beyond all": {[]Input{Relayed{Proxy: 10, Zone: "a"}, Relayed{Proxy: -1, Zone: "a"}, Relayed{Proxy: 1, Zone: "z"}}, nil},
-		"applied": {[]Input{RelayApplied{Proxy: 3, Mark: 1}, join, RelayApplied{3, 1, 5}},
-			[]brain.Note{joined, brain.Applied{Proxy: 3, Number: 1, TookMs: 5}}},
-		"met": {[]Input{met, ZoneMet{Zone: "z", Endpoint: "x"}, ZoneMet{Zone: "a", Endpoint: "y"}},
-			[]brain.Note{brain.Met{Tries: 2, Failed: 1, MeanMs: 3, SpanMs: 4, Load: brain.Load{"rate": 2}}}},
-		"demand": {[]Input{ProxyDemand{Proxy: 2, Kind: "read", Reqs: 3, SpanMs: 4}, ProxyDemand{Proxy: 99, Kind: "read"},
-			ProxyDemand{Proxy: 2, Kind: "none"}},
-			[]brain.Note{brain.Demand{Proxy: 2, Reqs: 3, SpanMs: 4}}},
+		"applied": {
+			[]Input{RelayApplied{Proxy: 3, Mark: 1}, join, RelayApplied{3, 1, 5}},
+			[]brain.Note{joined, brain.Applied{Proxy: 3, Number: 1, TookMs: 5}},
+		},
+		"met": {
+			[]Input{met, ZoneMet{Zone: "z", Endpoint: "x"}, ZoneMet{Zone: "a", Endpoint: "y"}},
+			[]brain.Note{brain.Met{Tries: 2, Failed: 1, MeanMs: 3, SpanMs: 4, Load: brain.Load{"rate": 2}}},
+		},
+		"demand": {
+			[]Input{
+				ProxyDemand{Proxy: 2, Kind: "read", Reqs: 3, SpanMs: 4},
+				ProxyDemand{Proxy: 99, Kind: "read"},
+				ProxyDemand{Proxy: 2, Kind: "none"},
+			},
+			[]brain.Note{brain.Demand{Proxy: 2, Reqs: 3, SpanMs: 4}},
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := &oneTurnDecider{}
 			core, _ := newRelayCore(d)
 			core.Handle(0, []Input{Listed{List: &wire.List{Whole: true, Entries: []wire.Entry{entry}}, Remembered: true}})
-			assert.Equal(t, brain.Remembered, d.notes[0].(brain.Listing).Mode)
+			listing, ok := d.notes[0].(brain.Listing)
+			require.True(t, ok, "%T", d.notes[0])
+			assert.Equal(t, brain.Remembered, listing.Mode)
 			d.notes = nil
 			core.Handle(1, c.in)
 			assert.Equal(t, c.want, d.notes)
--- a/internal/pilot/reportgate.go
+++ b/internal/pilot/reportgate.go
@@ -161,8 +161,10 @@
 			g.malformed[malformedReportEndpoint]++
 			endpoint = unknownIndex
 		}
-		r.Lines = append(r.Lines, reportLine{Endpoint: endpoint, Tries: m.Tries, Failed: m.Failed,
-			MeanMs: m.MeanMs, Load: m.Load, HasLoad: len(m.Load) > 0})
+		r.Lines = append(r.Lines, reportLine{
+			Endpoint: endpoint, Tries: m.Tries, Failed: m.Failed,
+			MeanMs: m.MeanMs, Load: m.Load, HasLoad: len(m.Load) > 0,
+		})
 	}
 }
 
@@ -207,7 +209,8 @@
 // flush appends, when the period is over, what the intake passes on to events. It also returns what proxies are to be
 // asked for and counts of what could not be used.
 func (g *reportGate) flush(events []brain.Note, nowMs float64, m *Meter) (
-	_ []brain.Note, requests []paceRequest, malformed map[malformedReason]int) {
+	_ []brain.Note, requests []paceRequest, malformed map[malformedReason]int,
+) {
 	if nowMs < g.due() {
 		return events, nil, nil
 	}
--- a/internal/pilot/reportgate_test.go
+++ b/internal/pilot/reportgate_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 
 	"indigousher/brain"
 	"indigousher/internal/wire"
@@ -58,7 +59,9 @@
 	}
 	var tries []int
 	for _, n := range d.notes {
-		tries = append(tries, n.(brain.Met).Tries)
+		met, ok := n.(brain.Met)
+		require.True(t, ok, "%T", n)
+		tries = append(tries, met.Tries)
 	}
 	assert.Equal(t, []int{6, 4}, tries)
 }
--- a/internal/pilot/timers.go
+++ b/internal/pilot/timers.go
@@ -1,65 +1,45 @@
 package pilot
 
 import (
-	"container/heap"
 	"math"
+	"slices"
 )
 
-// timer is a wake-up that the decider asked for and that has not fallen due. sequence counts the timers set, so that
-// those of one time fire in the order in which they were set.
+// timer is a wake-up that the decider asked for and that has not fallen due.
 type timer struct {
-	atMs     float64
-	sequence int
-	name     string
+	atMs float64
+	name string
 }
 
-// timerQueue holds the decider's timers as a heap by time. Its exported methods are those of heap.Interface; the core
-// uses set, due and expire.
+// timerQueue holds the decider's timers by time; those of one time stand in the order in which they were set.
 type timerQueue struct {
-	list     []timer
-	sequence int // of the timer set last
+	timers []timer
 }
 
-// Len returns how many timers are set.
-func (q *timerQueue) Len() int { return len(q.list) }
-
-// Swap exchanges two timers.
-func (q *timerQueue) Swap(i, j int) { q.list[i], q.list[j] = q.list[j], q.list[i] }
-
-// Push appends a timer.
-func (q *timerQueue) Push(x any) { q.list = append(q.list, x.(timer)) }
-
-// Less orders timers by time, then in the order in which they were set.
-func (q *timerQueue) Less(i, j int) bool {
-	x, y := q.list[i], q.list[j]
-	return x.atMs < y.atMs || x.atMs == y.atMs && x.sequence < y.sequence
-}
-
-// Pop removes the last timer of the slice.
-func (q *timerQueue) Pop() any {
-	last := q.list[len(q.list)-1]
-	q.list = q.list[:len(q.list)-1]
-	return last
-}
-
-// set adds a timer.
+// set adds a timer, behind those of the same time.
 func (q *timerQueue) set(atMs float64, name string) {
-	q.sequence++
-	heap.Push(q, timer{atMs, q.sequence, name})
+	i := len(q.timers)
+	for i > 0 && q.timers[i-1].atMs > atMs {
+		i--
+	}
+	q.timers = slices.Insert(q.timers, i, timer{atMs, name})
 }
 
 // due returns when the next timer fires: infinity if none is set.
 func (q *timerQueue) due() float64 {
-	if len(q.list) == 0 {
+	if len(q.timers) == 0 {
 		return math.Inf(1)
 	}
-	return q.list[0].atMs
+	return q.timers[0].atMs
 }
 
 // expire removes the timers that are due and returns their names in the order in which they fire.
 func (q *timerQueue) expire(nowMs float64) (names []string) {
-	for q.due() <= nowMs {
-		names = append(names, heap.Pop(q).(timer).name)
+	fired := 0
+	for fired < len(q.timers) && q.timers[fired].atMs <= nowMs {
+		names = append(names, q.timers[fired].name)
+		fired++
 	}
+	q.timers = slices.Delete(q.timers, 0, fired)
 	return names
 }
