--- a/cmd/indigousher/export_test.go
+++ b/cmd/indigousher/export_test.go
@@ -13,9 +13,9 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
-	"indigousher/brain"
 	"indigousher/internal/record"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 var update = flag.Bool("update", false, "write the exports of testdata anew; only where their form is meant to change")
@@ -58,9 +58,9 @@
 	{Kind: record.ListLost},
 	{Kind: record.Heard, From: 2, Text: "hi"},
 	{Kind: record.Retermed, Text: `{"backlog":5}`},
-	{Kind: record.Probed, Text: "x", Probe: brain.Probed{Outcome: "ok", TookMs: 1.25, Load: brain.Load{"util": 0.5}}},
-	{Kind: record.Met, Note: brain.Met{Endpoint: 1, Zone: 2, Tries: 30, Failed: 4, MeanMs: 12.5, SpanMs: 1000, Load: brain.Load{"util": 0.25, "rate": 7}}},
+	{Kind: record.Probed, Text: "x", Probe: planner.Probed{Outcome: "ok", TookMs: 1.25, Load: planner.Load{"util": 0.5}}},
+	{Kind: record.Met, Note: planner.Met{Endpoint: 1, Zone: 2, Tries: 30, Failed: 4, MeanMs: 12.5, SpanMs: 1000, Load: planner.Load{"util": 0.25, "rate": 7}}},
 	{Kind: record.SliceGiven, Message: &wire.Slices{Slice: 3, Given: true, Lines: []wire.HeldLine{{Endpoint: "x", Weight: 1}}, From: "a", To: "b"}},
-	{Kind: record.SliceDemand, Note: brain.SliceDemand{Slice: 3, Kind: 1, Reqs: 4, Unanswered: 1, SpanMs: 1000}},
-	{Kind: record.Demand, Note: brain.Demand{Proxy: 4, Kind: 1, Reqs: 12, Unanswered: 1, SpanMs: 999.5}},
+	{Kind: record.SliceDemand, Note: planner.SliceDemand{Slice: 3, Kind: 1, Reqs: 4, Unanswered: 1, SpanMs: 1000}},
+	{Kind: record.Demand, Note: planner.Demand{Proxy: 4, Kind: 1, Reqs: 12, Unanswered: 1, SpanMs: 999.5}},
 }
--- a/internal/pilot/admission.go
+++ b/internal/controller/admission.go
@@ -1,17 +1,17 @@
-package pilot
+package controller
 
 import (
 	"maps"
 	"slices"
 
-	"indigousher/brain"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // admit changes an admission level, and the way of retrying that goes with it, at all users of a table or at all joined
 // proxies.
-func (c *Core) admit(o brain.Admit) {
-	if o.Table != brain.EveryTable {
+func (c *Core) admit(o planner.Admit) {
+	if o.Table != planner.EveryTable {
 		c.tables.table(o.Table).levels[o.Kinds] = o
 		c.sendToUsers(o.Table, admissionOp(o))
 		return
@@ -23,13 +23,13 @@
 }
 
 // sendLevels sends admission levels to a proxy, in the order of their request kinds.
-func (c *Core) sendLevels(s *session, levels map[int]brain.Admit) {
+func (c *Core) sendLevels(s *session, levels map[int]planner.Admit) {
 	for _, kinds := range slices.Sorted(maps.Keys(levels)) {
 		c.outbox.add(s, admissionOp(levels[kinds]))
 	}
 }
 
 // admissionOp returns the line that sets an admission level.
-func admissionOp(o brain.Admit) wire.Op {
+func admissionOp(o planner.Admit) wire.Op {
 	return wire.Op{Kind: wire.OpAdmit, Table: o.Table, Kinds: o.Kinds, Weight: o.Level, Again: o.Again}
 }
--- a/internal/pilot/binding.go
+++ b/internal/controller/binding.go
@@ -1,11 +1,11 @@
-package pilot
+package controller
 
 import (
 	"maps"
 	"slices"
 
-	"indigousher/brain"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // allKinds returns the bit mask of all request kinds.
@@ -13,7 +13,7 @@
 
 // bind puts a proxy on a table for some request kinds, or all, and sends it the table: whole, or what differs from the
 // one that the proxy said it has.
-func (c *Core) bind(o brain.Bind) {
+func (c *Core) bind(o planner.Bind) {
 	s := c.sessions.byProxy[o.Proxy]
 	if s == nil {
 		c.reportMalformed(malformedBindOfLeftProxy, c.proxies.Name(o.Proxy))
--- a/internal/pilot/binding_test.go
+++ b/internal/controller/binding_test.go
@@ -1,4 +1,4 @@
-package pilot
+package controller
 
 import (
 	"testing"
@@ -6,18 +6,18 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"indigousher/brain"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // TestHeld guards a return, to this pilot or another, before or after a crash: of a table that the proxy has only what
 // differs is sent.
 func TestHeld(t *testing.T) {
-	d := &scriptedDecider{orders: [][]brain.Order{nil, {
-		brain.SetLine{Table: 5, Endpoint: 0, Weight: 1},
-		brain.SetLine{Table: 5, Endpoint: 1, Weight: 2},
-		brain.Bind{Table: 5, Proxy: 0},
-		brain.Bind{Table: 5, Proxy: 0},
+	d := &scriptedDecider{orders: [][]planner.Order{nil, {
+		planner.SetLine{Table: 5, Endpoint: 0, Weight: 1},
+		planner.SetLine{Table: 5, Endpoint: 1, Weight: 2},
+		planner.Bind{Table: 5, Proxy: 0},
+		planner.Bind{Table: 5, Proxy: 0},
 	}}}
 	edge := &fakeTransport{}
 	stream := &fakeTransport{}
--- a/internal/pilot/checkpoint.go
+++ b/internal/controller/checkpoint.go
@@ -1,4 +1,4 @@
-package pilot
+package controller
 
 // Checkpoint returns inputs that bring another core to know who is joined and what is listed.
 func (c *Core) Checkpoint() []Input {
--- a/internal/pilot/commands.go
+++ b/internal/controller/commands.go
@@ -1,40 +1,40 @@
-package pilot
+package controller
 
 import (
 	"fmt"
 
-	"indigousher/brain"
+	"indigousher/planner"
 )
 
 // execute carries out one command of the decider. What goes to proxies is collected for the end of the turn.
-func (c *Core) execute(command brain.Order) {
+func (c *Core) execute(command planner.Order) {
 	if c.forwardToRelay(command) {
 		return
 	}
 	switch command := command.(type) {
-	case brain.SetLine:
+	case planner.SetLine:
 		c.setLine(command)
-	case brain.ClearTable:
+	case planner.ClearTable:
 		c.clearTable(command)
-	case brain.Bind:
+	case planner.Bind:
 		c.bind(command)
-	case brain.Withdraw:
+	case planner.Withdraw:
 		c.exclude(command)
-	case brain.Admit:
+	case planner.Admit:
 		c.admit(command)
-	case brain.Mark:
+	case planner.Mark:
 		c.mark(command)
-	case brain.Probe:
+	case planner.Probe:
 		c.plan.Prober.Probe(c.endpoints.name(command.Endpoint))
-	case brain.Tell:
+	case planner.Tell:
 		c.plan.Peers.Tell(command.Peer, command.Text)
-	case brain.WakeAt:
+	case planner.WakeAt:
 		c.timers.set(command.AtMs, command.Name)
-	case brain.Watch:
+	case planner.Watch:
 		c.plan.List.Watch(command.On)
-	case brain.FetchList:
+	case planner.FetchList:
 		c.plan.List.Fetch()
-	case brain.Log:
+	case planner.Log:
 		c.plan.Log(command.Text)
 	default:
 		c.reportMalformed(malformedCommand, fmt.Sprintf("%T", command))
--- a/internal/pilot/core.go
+++ b/internal/controller/core.go
@@ -1,12 +1,12 @@
-// Package pilot is the runtime around the decisions: it turns what transports report into the decider's events, carries
+// Package controller is the runtime around the decisions: it turns what transports report into the decider's events, carries
 // out what the decider commands, and keeps the channel to the proxies. It decides nothing about routing. Core and
 // Channel are driven with explicit times and hold no goroutine, so the same code runs on sockets (Loop) and in virtual
 // time. Transports call Loop.Post and implement the small interfaces of transports.go; cmd/indigousher wires them.
-package pilot
+package controller
 
 import (
-	"indigousher/brain"
-	"indigousher/internal/translate"
+	"indigousher/internal/settings"
+	"indigousher/planner"
 )
 
 // Core is the runtime of one controller: inputs in, commands out, one turn at a time. It is used by one goroutine, but
@@ -15,8 +15,8 @@
 	plan Plan
 
 	// Names by index, as the decider knows them.
-	zones, machines, kinds translate.Names
-	proxies                translate.Names
+	zones, machines, kinds settings.Names
+	proxies                settings.Names
 
 	endpoints endpointRegistry // the list, start times and indices of endpoints
 	sessions  sessionRegistry  // joined proxies
@@ -31,9 +31,9 @@
 
 	relayed relayedProxies // where a relay holds the streams
 
-	now      float64      // of the last turn
-	started  bool         // whether the decider was asked at all
-	recorded []brain.Note // telemetry of a replay, for this turn
+	now      float64        // of the last turn
+	started  bool           // whether the decider was asked at all
+	recorded []planner.Note // telemetry of a replay, for this turn
 
 	// Channel paces messages to proxies.
 	Channel *Channel
@@ -85,12 +85,12 @@
 // Handle runs one turn: it takes in what came, lets the decider decide and fills the channel. Times never go back.
 func (c *Core) Handle(nowMs float64, inputs []Input) {
 	c.now = max(c.now, nowMs)
-	var events []brain.Note
+	var events []planner.Note
 	for _, in := range inputs {
 		events = c.handleInput(events, in)
 	}
 	for _, name := range c.timers.expire(c.now) {
-		events = append(events, brain.Alarm{Name: name})
+		events = append(events, planner.Alarm{Name: name})
 	}
 	before := len(events)
 	events = c.appendTelemetry(events)
@@ -107,13 +107,13 @@
 
 // decide asks the decider if there is news for it. The first turn asks in any case; from then on the decider wakes
 // itself, by timers, for whatever else is due.
-func (c *Core) decide(events []brain.Note) (commands []brain.Order, asked bool) {
+func (c *Core) decide(events []planner.Note) (commands []planner.Order, asked bool) {
 	if len(events) == 0 && c.started {
 		return nil, false
 	}
 	c.started = true
 	c.Heard += len(events)
-	commands = c.plan.Meter.timeDecider(func() []brain.Order { return c.plan.Decider.Handle(c.now, events) })
+	commands = c.plan.Meter.timeDecider(func() []planner.Order { return c.plan.Decider.Handle(c.now, events) })
 	return commands, true
 }
 
--- a/internal/pilot/core_test.go
+++ b/internal/controller/core_test.go
@@ -1,4 +1,4 @@
-package pilot
+package controller
 
 import (
 	"fmt"
@@ -8,16 +8,16 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"indigousher/brain"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // TestNotes shows that every event of the decider's interface has a source.
 func TestNotes(t *testing.T) {
-	d := &scriptedDecider{orders: [][]brain.Order{
-		{brain.WakeAt{AtMs: 150, Name: "bell"}},
+	d := &scriptedDecider{orders: [][]planner.Order{
+		{planner.WakeAt{AtMs: 150, Name: "bell"}},
 		nil,
-		{brain.Mark{Number: 9, All: true}},
+		{planner.Mark{Number: 9, All: true}},
 	}}
 	edge := &fakeTransport{}
 	stream := &fakeTransport{}
@@ -41,117 +41,117 @@
 		}},
 	})
 	c.Handle(2300, []Input{Leave{stream}, Leave{stream}})
-	assert.Equal(t, []brain.Note{
-		brain.Listing{Mode: brain.Whole, Version: 7, Entries: []brain.Entry{
+	assert.Equal(t, []planner.Note{
+		planner.Listing{Mode: planner.Whole, Version: 7, Entries: []planner.Entry{
 			{Endpoint: 0, Zone: 1, Weight: 2},
 			{Endpoint: 1, Zone: 1, Weight: 2, Started: -900},
 		}},
-		brain.Joined{Proxy: 0, Zone: 1, Rate: 2, Fresh: true},
-		brain.Alarm{Name: "bell"},
-		brain.Listing{Mode: brain.Changes, Version: 7, Entries: []brain.Entry{
+		planner.Joined{Proxy: 0, Zone: 1, Rate: 2, Fresh: true},
+		planner.Alarm{Name: "bell"},
+		planner.Listing{Mode: planner.Changes, Version: 7, Entries: []planner.Entry{
 			{Endpoint: 1, Zone: 1, Weight: 2, Started: -900},
 		}},
-		brain.Listing{Mode: brain.ListFailed},
-		brain.Gossip{From: 3, Text: "hi"},
-		brain.Applied{Proxy: 0, Number: 9, TookMs: 2},
-		brain.Probed{Endpoint: 0, OK: true, Outcome: "ok", TookMs: 5, Load: brain.Load{"util": 0.5}},
-		brain.Met{Endpoint: 0, Zone: 1, Tries: 4, Failed: 1, MeanMs: 20, SpanMs: 500},
-		brain.Demand{Proxy: 0, Kind: 1, Reqs: 5, Unanswered: 1, SpanMs: 500},
-		brain.Left{Proxy: 0},
+		planner.Listing{Mode: planner.ListFailed},
+		planner.Gossip{From: 3, Text: "hi"},
+		planner.Applied{Proxy: 0, Number: 9, TookMs: 2},
+		planner.Probed{Endpoint: 0, OK: true, Outcome: "ok", TookMs: 5, Load: planner.Load{"util": 0.5}},
+		planner.Met{Endpoint: 0, Zone: 1, Tries: 4, Failed: 1, MeanMs: 20, SpanMs: 500},
+		planner.Demand{Proxy: 0, Kind: 1, Reqs: 5, Unanswered: 1, SpanMs: 500},
+		planner.Left{Proxy: 0},
 	}, d.notes)
 	assert.Equal(t, []string{"odd sums of an unknown endpoint"}, edge.calls)
 }
 
 // TestOrders shows what each command amounts to at a proxy or a transport.
 func TestOrders(t *testing.T) {
-	set := func(e int, w float64) brain.Order { return brain.SetLine{Table: 5, Endpoint: e, Weight: w} }
+	set := func(e int, w float64) planner.Order { return planner.SetLine{Table: 5, Endpoint: e, Weight: w} }
 	setOp := func(e string, w float64) wire.Op {
 		return wire.Op{Kind: wire.OpSet, Table: 5, Endpoint: e, Weight: w}
 	}
 	bindOp := wire.Op{Kind: wire.OpBind, Table: 5, Kinds: 3}
 	out := func(e string) wire.Op { return wire.Op{Kind: wire.OpWithdraw, Endpoint: e, Out: true} }
-	bind := brain.Bind{Table: 5, Proxy: 0}
+	bind := planner.Bind{Table: 5, Proxy: 0}
 	for _, c := range []struct {
 		name   string
-		orders []brain.Order
+		orders []planner.Order
 		want   []wire.Op
 		calls  []string
 	}{
-		{"a table that nobody uses", []brain.Order{set(0, 1)}, nil, nil},
+		{"a table that nobody uses", []planner.Order{set(0, 1)}, nil, nil},
 		{
 			"a bind sends the whole table",
-			[]brain.Order{set(1, 2), set(0, 1), bind},
+			[]planner.Order{set(1, 2), set(0, 1), bind},
 			[]wire.Op{bindOp, setOp("x", 1), setOp("y", 2)},
 			nil,
 		},
-		{"a line after a bind", []brain.Order{bind, set(0, 1)}, []wire.Op{bindOp, setOp("x", 1)}, nil},
+		{"a line after a bind", []planner.Order{bind, set(0, 1)}, []wire.Op{bindOp, setOp("x", 1)}, nil},
 		{
 			"a line that goes",
-			[]brain.Order{set(0, 1), bind, set(0, 0)},
+			[]planner.Order{set(0, 1), bind, set(0, 0)},
 			[]wire.Op{bindOp, setOp("x", 1), setOp("x", 0)},
 			nil,
 		},
 		{
 			"a bind tells what is shut out",
-			[]brain.Order{set(1, 1), brain.Withdraw{Endpoint: 1, Out: true}, bind},
+			[]planner.Order{set(1, 1), planner.Withdraw{Endpoint: 1, Out: true}, bind},
 			[]wire.Op{bindOp, setOp("y", 1), out("y")},
 			nil,
 		},
 		{
 			"a line of what is shut out",
-			[]brain.Order{bind, brain.Withdraw{Endpoint: 1, Out: true}, set(1, 1)},
+			[]planner.Order{bind, planner.Withdraw{Endpoint: 1, Out: true}, set(1, 1)},
 			[]wire.Op{bindOp, setOp("y", 1), out("y")},
 			nil,
 		},
 		{
 			"withdrawn where the standing table holds it",
-			[]brain.Order{brain.Withdraw{Endpoint: 0, Out: true}},
+			[]planner.Order{planner.Withdraw{Endpoint: 0, Out: true}},
 			[]wire.Op{out("x")},
 			nil,
 		},
-		{"withdrawn where nobody holds it", []brain.Order{brain.Withdraw{Endpoint: 1, Out: true}}, nil, nil},
+		{"withdrawn where nobody holds it", []planner.Order{planner.Withdraw{Endpoint: 1, Out: true}}, nil, nil},
 		{
 			"a table cleared",
-			[]brain.Order{set(0, 1), bind, brain.ClearTable{Table: 5}, brain.Withdraw{Endpoint: 0, Out: true}},
+			[]planner.Order{set(0, 1), bind, planner.ClearTable{Table: 5}, planner.Withdraw{Endpoint: 0, Out: true}},
 			[]wire.Op{bindOp, setOp("x", 1), {Kind: wire.OpClear, Table: 5}},
 			nil,
 		},
 		{
 			"levels",
-			[]brain.Order{brain.Admit{Table: 5, Kinds: 1, Level: 0.5, Again: 1}, bind},
+			[]planner.Order{planner.Admit{Table: 5, Kinds: 1, Level: 0.5, Again: 1}, bind},
 			[]wire.Op{bindOp, {Kind: wire.OpAdmit, Table: 5, Kinds: 1, Weight: 0.5, Again: 1}},
 			nil,
 		},
 		{
 			"levels for all",
-			[]brain.Order{brain.Admit{Table: brain.EveryTable, Kinds: 1, Level: 0.5}},
-			[]wire.Op{{Kind: wire.OpAdmit, Table: brain.EveryTable, Kinds: 1, Weight: 0.5}},
+			[]planner.Order{planner.Admit{Table: planner.EveryTable, Kinds: 1, Level: 0.5}},
+			[]wire.Op{{Kind: wire.OpAdmit, Table: planner.EveryTable, Kinds: 1, Weight: 0.5}},
 			nil,
 		},
 		{
 			"a mark goes with a message",
-			[]brain.Order{brain.Withdraw{Endpoint: 0, Out: true}, brain.Mark{Number: 4}},
+			[]planner.Order{planner.Withdraw{Endpoint: 0, Out: true}, planner.Mark{Number: 4}},
 			[]wire.Op{out("x"), {Kind: wire.OpMark, Number: 4}},
 			nil,
 		},
-		{"a mark without a message", []brain.Order{brain.Mark{Number: 4}}, nil, nil},
-		{"a mark for all", []brain.Order{brain.Mark{Number: 4, All: true}}, []wire.Op{{Kind: wire.OpMark, Number: 4}}, nil},
-		{"the edges", []brain.Order{
-			brain.Probe{Endpoint: 1},
-			brain.Tell{Peer: -1, Text: "t"},
-			brain.Watch{On: true},
-			brain.FetchList{},
-			brain.Log{Text: "l"},
+		{"a mark without a message", []planner.Order{planner.Mark{Number: 4}}, nil, nil},
+		{"a mark for all", []planner.Order{planner.Mark{Number: 4, All: true}}, []wire.Op{{Kind: wire.OpMark, Number: 4}}, nil},
+		{"the edges", []planner.Order{
+			planner.Probe{Endpoint: 1},
+			planner.Tell{Peer: -1, Text: "t"},
+			planner.Watch{On: true},
+			planner.FetchList{},
+			planner.Log{Text: "l"},
 		}, nil, []string{"probe y", "tell -1 t", "watch true", "fetch", "log l"}},
 		{
 			"a proxy that is not joined",
-			[]brain.Order{brain.Bind{Table: 5, Proxy: 2}},
+			[]planner.Order{planner.Bind{Table: 5, Proxy: 2}},
 			nil,
 			[]string{"odd bind of a proxy that has left"},
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := &scriptedDecider{orders: [][]brain.Order{nil, c.orders}}
+			d := &scriptedDecider{orders: [][]planner.Order{nil, c.orders}}
 			edge := &fakeTransport{}
 			stream := &fakeTransport{}
 			core := NewCore(plan(d, edge))
@@ -177,7 +177,7 @@
 		play := func() (all []string) {
 			terms := map[string]any{"req_kinds": []any{map[string]any{"name": "read"}, map[string]any{"name": "book"}}}
 			edge := &fakeTransport{}
-			c := NewCore(plan(brain.New(1, terms), edge))
+			c := NewCore(plan(planner.New(1, terms), edge))
 			streams := []*fakeTransport{{}, {}, {}}
 			for i, s := range steps {
 				now := float64(i) * 170
--- a/internal/pilot/endpoints.go
+++ b/internal/controller/endpoints.go
@@ -1,13 +1,13 @@
-package pilot
+package controller
 
 import (
 	"fmt"
 	"maps"
 	"slices"
 
-	"indigousher/brain"
-	"indigousher/internal/translate"
+	"indigousher/internal/settings"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 const (
@@ -21,7 +21,7 @@
 // endpointRegistry knows endpoints by name and by index: which are listed, when each started, and which indices may be
 // used again.
 type endpointRegistry struct {
-	names translate.Names
+	names settings.Names
 
 	// The list as held: its entries by name, its version, and its own clock, listClockMs at clockReadMs of ours.
 	listed      map[string]wire.Entry
@@ -138,9 +138,9 @@
 }
 
 // applyList takes over entries of the list and returns them as the decider is to hear of them.
-func (c *Core) applyList(in Listed) brain.Note {
+func (c *Core) applyList(in Listed) planner.Note {
 	before := c.endpoints.beginUpdate(in.List, c.now)
-	update := brain.Listing{Mode: listMode(in), Version: in.List.Version}
+	update := planner.Listing{Mode: listMode(in), Version: in.List.Version}
 	listed := map[int]bool{}
 	for _, e := range in.List.Entries {
 		entry, valid := c.applyEntry(e, before)
@@ -163,37 +163,37 @@
 }
 
 // listMode returns how entries apply to the list held so far.
-func listMode(in Listed) brain.ListMode {
+func listMode(in Listed) planner.ListMode {
 	switch {
 	case !in.List.Whole:
-		return brain.Changes
+		return planner.Changes
 	case in.Remembered:
-		return brain.Remembered
+		return planner.Remembered
 	default:
-		return brain.Whole
+		return planner.Whole
 	}
 }
 
 // applyEntry takes over one entry of the list. It is not valid in an unknown zone. With a weight that none can be it
 // keeps the weight held before, and its phase counts all the same: a drain is not lost over a wrong weight.
-func (c *Core) applyEntry(e wire.Entry, before map[string]wire.Entry) (entry brain.Entry, valid bool) {
+func (c *Core) applyEntry(e wire.Entry, before map[string]wire.Entry) (entry planner.Entry, valid bool) {
 	zone, known := c.zones.Find(e.Zone)
 	if !known {
 		c.reportMalformed(malformedEndpointZone, e.Endpoint, e.Zone)
-		return brain.Entry{}, false
+		return planner.Entry{}, false
 	}
-	if !brain.SoundWeight(e.Weight) {
+	if !planner.SoundWeight(e.Weight) {
 		c.reportMalformed(malformedEndpointWeight, e.Endpoint, fmt.Sprint(e.Weight))
 		e.Weight = before[e.Endpoint].Weight
 	}
 	c.endpoints.put(e)
 	i := c.endpoints.index(e, c.now)
-	return brain.Entry{
+	return planner.Entry{
 		Endpoint: i,
 		Zone:     zone,
 		Machine:  c.machines.In(e.Machine),
 		Cell:     e.Cell,
-		Phase:    brain.Phase(e.Phase),
+		Phase:    planner.Phase(e.Phase),
 		Weight:   e.Weight,
 		Started:  c.endpoints.startedMs(i, e, c.now),
 	}, true
--- a/internal/pilot/endpoints_test.go
+++ b/internal/controller/endpoints_test.go
@@ -1,4 +1,4 @@
-package pilot
+package controller
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"indigousher/brain"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // TestRestamped guards the start of an endpoint against jitter of the list's clock, which would look like a restart.
@@ -21,7 +21,7 @@
 	c.Handle(9000, []Input{Listed{List: &wire.List{Now: 9200, Entries: []wire.Entry{entry("x", 9100)}}}})
 	var starts []float64
 	for _, n := range d.notes {
-		listing, ok := n.(brain.Listing)
+		listing, ok := n.(planner.Listing)
 		require.True(t, ok, "%T", n)
 		starts = append(starts, listing.Entries[0].Started)
 	}
@@ -39,7 +39,7 @@
 		"zones":       []any{"a", "b"},
 		"req_kinds":   []any{map[string]any{"payoff": 1.0}},
 	}
-	c, relay := newRelayCore(brain.New(1, terms))
+	c, relay := newRelayCore(planner.New(1, terms))
 	c.Handle(0, []Input{Relayed{Proxy: 1, Zone: "a", Rate: 5, Fresh: true}})
 	most, last := 0, ""
 	for g := range 500 {
--- a/internal/pilot/events.go
+++ b/internal/controller/events.go
@@ -1,17 +1,17 @@
-package pilot
+package controller
 
 import (
 	"fmt"
 	"maps"
 
-	"indigousher/brain"
+	"indigousher/planner"
 )
 
 // outcomeOK is the outcome of a health check that the endpoint passed.
 const outcomeOK = "ok"
 
 // handleInput takes over what an input says and appends what the decider is to hear of it.
-func (c *Core) handleInput(events []brain.Note, in Input) []brain.Note {
+func (c *Core) handleInput(events []planner.Note, in Input) []planner.Note {
 	switch in := in.(type) {
 	case Join:
 		return c.join(events, in)
@@ -24,13 +24,13 @@
 	case Listed:
 		return append(events, c.applyList(in))
 	case ListLost:
-		return append(events, brain.Listing{Mode: brain.ListFailed})
+		return append(events, planner.Listing{Mode: planner.ListFailed})
 	case SliceGiven:
 		return c.assignSlice(events, in.Slices)
 	case Probed:
 		return c.healthChecked(events, in)
 	case Heard:
-		return append(events, brain.Gossip{From: in.From, Text: in.Text})
+		return append(events, planner.Gossip{From: in.From, Text: in.Text})
 	case Retermed:
 		c.changeSettings(in.Terms)
 	case Told:
@@ -42,7 +42,7 @@
 }
 
 // healthChecked appends the result of a health check, if its endpoint is known.
-func (c *Core) healthChecked(events []brain.Note, in Probed) []brain.Note {
+func (c *Core) healthChecked(events []planner.Note, in Probed) []planner.Note {
 	endpoint, known := c.endpoints.find(in.Endpoint)
 	if !known {
 		return events
@@ -51,7 +51,7 @@
 	for _, f := range outOfRange {
 		c.reportMalformed(malformedLoadFigure, f.Name, fmt.Sprint(f.Value))
 	}
-	return append(events, brain.Probed{
+	return append(events, planner.Probed{
 		Endpoint: endpoint, OK: in.Outcome == outcomeOK, Outcome: in.Outcome,
 		TookMs: in.TookMs, Load: load,
 	})
--- a/internal/pilot/exclusion.go
+++ b/internal/controller/exclusion.go
@@ -1,8 +1,8 @@
-package pilot
+package controller
 
 import (
-	"indigousher/brain"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // exclusions are the endpoints that are shut out of all tables, by index.
@@ -19,7 +19,7 @@
 
 // exclude shuts an endpoint out, or lets it in again, at the proxies that hold it, as far as this controller knows what
 // they hold.
-func (c *Core) exclude(o brain.Withdraw) {
+func (c *Core) exclude(o planner.Withdraw) {
 	c.excluded.set(o.Endpoint, o.Out)
 	op := wire.Op{Kind: wire.OpWithdraw, Endpoint: c.endpoints.name(o.Endpoint), Out: o.Out}
 	for _, s := range c.sessions.inOrder() {
--- a/internal/pilot/exclusion_test.go
+++ b/internal/controller/exclusion_test.go
@@ -1,4 +1,4 @@
-package pilot
+package controller
 
 import (
 	"fmt"
@@ -6,20 +6,20 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"indigousher/brain"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // TestWithdrawnAtAll guards an exclusion against passing over any of the proxies that hold the endpoint: by a table of
 // this controller, by what they held when they joined, or by both.
 func TestWithdrawnAtAll(t *testing.T) {
-	bind := func(proxy int) brain.Order { return brain.Bind{Table: 5, Proxy: proxy, Kinds: 1} }
-	d := &scriptedDecider{orders: [][]brain.Order{
+	bind := func(proxy int) planner.Order { return planner.Bind{Table: 5, Proxy: proxy, Kinds: 1} }
+	d := &scriptedDecider{orders: [][]planner.Order{
 		nil,
 		nil,
-		{brain.SetLine{Table: 5, Endpoint: 0, Weight: 1}, bind(0), bind(1)},
-		{brain.Withdraw{Endpoint: 0, Out: true}},
-		{brain.Withdraw{Endpoint: 0}},
+		{planner.SetLine{Table: 5, Endpoint: 0, Weight: 1}, bind(0), bind(1)},
+		{planner.Withdraw{Endpoint: 0, Out: true}},
+		{planner.Withdraw{Endpoint: 0}},
 	}}
 	p := plan(d, &fakeTransport{})
 	p.MostProxies = 5
--- a/internal/pilot/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -1,22 +1,22 @@
-package pilot
+package controller
 
 import (
 	"errors"
 	"fmt"
 
-	"indigousher/brain"
-	"indigousher/intake"
 	"indigousher/internal/wire"
+	"indigousher/planner"
+	"indigousher/telemetry"
 )
 
 // scriptedDecider returns one scripted list of commands a call and keeps the events and times that it was given.
 type scriptedDecider struct {
-	orders [][]brain.Order
-	notes  []brain.Note
+	orders [][]planner.Order
+	notes  []planner.Note
 	times  []float64
 }
 
-func (s *scriptedDecider) Handle(nowMs float64, notes []brain.Note) []brain.Order {
+func (s *scriptedDecider) Handle(nowMs float64, notes []planner.Note) []planner.Order {
 	s.notes = append(s.notes, notes...)
 	s.times = append(s.times, nowMs)
 	if len(s.orders) == 0 {
@@ -68,7 +68,7 @@
 		Kinds:          []string{"read", "book"},
 		HeadLines:      4,
 		MessagesOverMs: 10000,
-		Intake:         intake.Terms{PeriodMs: 1000, HalfMs: 1e9, LongestMs: 60000},
+		Intake:         telemetry.Terms{PeriodMs: 1000, HalfMs: 1e9, LongestMs: 60000},
 		MostProxies:    3,
 		List:           edge,
 		Prober:         edge,
@@ -95,11 +95,11 @@
 
 // oneTurnDecider keeps the events that it was given and returns its commands once.
 type oneTurnDecider struct {
-	notes  []brain.Note
-	orders []brain.Order
+	notes  []planner.Note
+	orders []planner.Order
 }
 
-func (s *oneTurnDecider) Handle(_ float64, notes []brain.Note) []brain.Order {
+func (s *oneTurnDecider) Handle(_ float64, notes []planner.Note) []planner.Order {
 	s.notes = append(s.notes, notes...)
 	o := s.orders
 	s.orders = nil
@@ -116,10 +116,10 @@
 	names  map[string]bool
 }
 
-func (c *recordingRelay) Carry(turn []brain.Order, endpoint func(int) string) {
+func (c *recordingRelay) Carry(turn []planner.Order, endpoint func(int) string) {
 	c.orders += len(turn)
 	for _, o := range turn {
-		if l, ok := o.(brain.SetLine); ok {
+		if l, ok := o.(planner.SetLine); ok {
 			c.names[endpoint(l.Endpoint)] = true
 		}
 	}
--- a/internal/pilot/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -1,13 +1,13 @@
-package pilot
+package controller
 
 import (
 	"container/heap"
 	"fmt"
 
-	"indigousher/brain"
-	"indigousher/intake"
-	"indigousher/internal/standin/follow"
+	"indigousher/internal/testbed/routing"
 	"indigousher/internal/wire"
+	"indigousher/planner"
+	"indigousher/telemetry"
 )
 
 // fleet drives a core with the decider inside and proxies that follow its commands around it, in virtual time: messages
@@ -26,7 +26,7 @@
 	fleet  *fleet
 	name   string
 	zone   string
-	follow *follow.Follower
+	follow *routing.Follower
 }
 
 func (v *fleetProxy) Close(string) {}
@@ -120,7 +120,7 @@
 	}
 	f := &fleet{delayMs: 275}
 	f.core = NewCore(Plan{
-		Decider:        brain.New(1, terms),
+		Decider:        planner.New(1, terms),
 		Terms:          terms,
 		Zones:          zones,
 		Machines:       []string{"std"},
@@ -130,7 +130,7 @@
 		HeadLines:      3,
 		MessagesMost:   30,
 		MessagesOverMs: 10000,
-		Intake:         intake.Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000},
+		Intake:         telemetry.Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000},
 		MostProxies:    1 << 16,
 		List:           &fakeTransport{},
 		Prober:         &fakeTransport{},
@@ -159,7 +159,7 @@
 				holds = append(holds, e.Endpoint)
 			}
 		}
-		v.follow = follow.NewFollower(follow.Habits{Kinds: []string{"read"}}, holds, 1)
+		v.follow = routing.NewFollower(routing.Habits{Kinds: []string{"read"}}, holds, 1)
 		v.follow.Joined()
 		f.handle(Join{v, wire.Hello{Proxy: v.name, Zone: v.zone, Rate: 2, Holds: holds}})
 	}
--- a/internal/pilot/inputs.go
+++ b/internal/controller/inputs.go
@@ -1,8 +1,8 @@
-package pilot
+package controller
 
 import (
-	"indigousher/brain"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // Input is what a transport reports to the core: one of the types of this file. Inputs are values; whoever posts one
@@ -68,7 +68,7 @@
 	Retermed struct{ Terms map[string]any }
 
 	// Told brings recorded telemetry, what the intake passed on, in a replay.
-	Told struct{ Notes []brain.Note }
+	Told struct{ Notes []planner.Note }
 )
 
 // Inputs of proxies whose streams a relay holds. They are known by number, not by stream, and their reports come
--- a/internal/pilot/loop_test.go
+++ b/internal/controller/loop_test.go
@@ -1,4 +1,4 @@
-package pilot
+package controller
 
 import (
 	"context"
@@ -10,13 +10,13 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
-	"indigousher/brain"
+	"indigousher/planner"
 )
 
 // TestLoop drives the loop in the test's bubble of time: it starts by itself, wakes for alarms and ends when asked.
 func TestLoop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d, stream := &scriptedDecider{orders: [][]brain.Order{{brain.WakeAt{AtMs: 2500, Name: "bell"}}}}, &fakeTransport{}
+		d, stream := &scriptedDecider{orders: [][]planner.Order{{planner.WakeAt{AtMs: 2500, Name: "bell"}}}}, &fakeTransport{}
 		l := NewLoop(NewCore(plan(d, &fakeTransport{})), RealClock{}, zap.NewNop())
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
--- a/internal/pilot/malformed.go
+++ b/internal/controller/malformed.go
@@ -1,4 +1,4 @@
-package pilot
+package controller
 
 // malformedReason says why an input, or a command of the decider, could not be used. It is a label of the metric
 // odd_inputs_total and goes to the log, so its spelling stays.
--- a/internal/pilot/metrics.go
+++ b/internal/controller/metrics.go
@@ -1,4 +1,4 @@
-package pilot
+package controller
 
 import (
 	"time"
@@ -6,9 +6,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"indigousher/brain"
-	"indigousher/intake"
 	"indigousher/internal/wire"
+	"indigousher/planner"
+	"indigousher/telemetry"
 )
 
 // metricsNamespace is the first part of each metric's name.
@@ -146,7 +146,7 @@
 	if m.reportedBefore == nil {
 		m.reportedBefore = make([]uint64, len(counts))
 	}
-	for i, r := range intake.Reasons() {
+	for i, r := range telemetry.Reasons() {
 		m.reportLines.WithLabelValues(r.String()).Add(float64(counts[i] - m.reportedBefore[i]))
 		m.reportedBefore[i] = counts[i]
 	}
@@ -170,7 +170,7 @@
 }
 
 // timeDecider calls the decider and measures it.
-func (m *Meter) timeDecider(decide func() []brain.Order) []brain.Order {
+func (m *Meter) timeDecider(decide func() []planner.Order) []planner.Order {
 	if m == nil {
 		return decide()
 	}
--- a/internal/pilot/options.go
+++ b/internal/controller/options.go
@@ -1,8 +1,8 @@
-package pilot
+package controller
 
 import (
-	"indigousher/brain"
-	"indigousher/intake"
+	"indigousher/planner"
+	"indigousher/telemetry"
 )
 
 // Plan names all that a Core is made from.
@@ -23,7 +23,7 @@
 	MessagesOverMs     float64
 
 	// Intake limits what is taken in of reports.
-	Intake intake.Terms
+	Intake telemetry.Terms
 
 	// MostProxies is how many distinct proxies may join in a life; more are rejected.
 	MostProxies int
@@ -44,7 +44,7 @@
 
 	// Turn, if not nil, hears of each turn: its inputs, the telemetry that the intake passed on, and the decider's
 	// commands. The inputs' slice is used again after it returns.
-	Turn func(nowMs float64, inputs []Input, telemetry []brain.Note, commands []brain.Order)
+	Turn func(nowMs float64, inputs []Input, telemetry []planner.Note, commands []planner.Order)
 
 	// Replayed means that what the intake passed on comes as Told inputs; the core's own intake is not asked.
 	Replayed bool
--- a/internal/pilot/recorded.go
+++ b/internal/controller/recorded.go
@@ -1,9 +1,9 @@
-package pilot
+package controller
 
-import "indigousher/brain"
+import "indigousher/planner"
 
 // acceptRecorded keeps recorded telemetry for this turn; the decider hears of it where live telemetry would stand.
-func (c *Core) acceptRecorded(telemetry []brain.Note) {
+func (c *Core) acceptRecorded(telemetry []planner.Note) {
 	for _, event := range telemetry {
 		if c.validRecordedEvent(event) {
 			c.recorded = append(c.recorded, event)
@@ -15,28 +15,28 @@
 
 // validRecordedEvent returns whether a recorded event names what there is, in figures that the intake would have
 // passed on. The decider takes any index for one that it may use.
-func (c *Core) validRecordedEvent(event brain.Note) bool {
+func (c *Core) validRecordedEvent(event planner.Note) bool {
 	switch event := event.(type) {
-	case brain.Met:
+	case planner.Met:
 		return c.validRecordedMet(event)
-	case brain.Demand:
+	case planner.Demand:
 		return validIndex(event.Proxy, c.proxies.Len()) && validIndex(event.Kind, c.kinds.Len()) &&
-			event.Reqs >= 0 && brain.Sound(event.SpanMs)
-	case brain.SliceDemand:
-		return validIndex(event.Kind, c.kinds.Len()) && event.Reqs >= 0 && brain.Sound(event.SpanMs)
+			event.Reqs >= 0 && planner.Sound(event.SpanMs)
+	case planner.SliceDemand:
+		return validIndex(event.Kind, c.kinds.Len()) && event.Reqs >= 0 && planner.Sound(event.SpanMs)
 	}
 	return false
 }
 
 // validRecordedMet returns whether the recorded statistics of an endpoint may be used.
-func (c *Core) validRecordedMet(met brain.Met) bool {
+func (c *Core) validRecordedMet(met planner.Met) bool {
 	for _, figure := range met.Load {
-		if !brain.Sound(figure) {
+		if !planner.Sound(figure) {
 			return false
 		}
 	}
 	return validIndex(met.Endpoint, c.endpoints.len()) && validIndex(met.Zone, c.zones.Len()) &&
-		met.Failed >= 0 && met.Tries >= met.Failed && brain.Sound(met.MeanMs) && brain.Sound(met.SpanMs)
+		met.Failed >= 0 && met.Tries >= met.Failed && planner.Sound(met.MeanMs) && planner.Sound(met.SpanMs)
 }
 
 // validIndex returns whether i is an index into n things.
--- a/internal/pilot/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -1,4 +1,4 @@
-package pilot
+package controller
 
 import (
 	"testing"
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"indigousher/brain"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // TestRelayedInputs guards what names nobody known: it costs itself alone, and nothing of it is kept.
@@ -15,31 +15,31 @@
 	entry := wire.Entry{Endpoint: "x", Zone: "a", Machine: "m", Weight: 1}
 	join := Relayed{Proxy: 3, Zone: "a", Rate: 2}
 	stood := Relayed{Proxy: 3, Zone: "a", Rate: 2, Stood: true}
-	joined := brain.Joined{Proxy: 3, Rate: 2}
+	joined := planner.Joined{Proxy: 3, Rate: 2}
 	met := ZoneMet{Zone: "a", Endpoint: "x", Tries: 2, Failed: 1, MeanMs: 3, SpanMs: 4, Load: map[string]float64{"qps": 2}}
 	for name, c := range map[string]struct {
 		in   []Input
-		want []brain.Note
+		want []planner.Note
 	}{
-		"joined and left": {[]Input{join, Unrelayed{3}, Unrelayed{3}}, []brain.Note{joined, brain.Left{Proxy: 3}}},
-		"joined again":    {[]Input{join, join}, []brain.Note{joined, brain.Left{Proxy: 3}, joined}},
+		"joined and left": {[]Input{join, Unrelayed{3}, Unrelayed{3}}, []planner.Note{joined, planner.Left{Proxy: 3}}},
+		"joined again":    {[]Input{join, join}, []planner.Note{joined, planner.Left{Proxy: 3}, joined}},
 		"has stood": {
 			[]Input{join, stood},
-			[]brain.Note{joined, brain.Joined{Proxy: 3, Rate: 2, Stood: true}},
+			[]planner.Note{joined, planner.Joined{Proxy: 3, Rate: 2, Stood: true}},
 		},
-		"unknown has stood": {[]Input{stood}, []brain.Note{joined}},
+		"unknown has stood": {[]Input{stood}, []planner.Note{joined}},
 		"stalled": {
 			[]Input{RelayStalled{ForMs: 3, Again: []int{7}}, RelayStalled{}},
-			[]brain.Note{brain.Stalled{ForMs: 3, Again: []int{7}}, brain.Stalled{}},
+			[]planner.Note{planner.Stalled{ForMs: 3, Again: []int{7}}, planner.Stalled{}},
 		},
 		"beyond all": {[]Input{Relayed{Proxy: 10, Zone: "a"}, Relayed{Proxy: -1, Zone: "a"}, Relayed{Proxy: 1, Zone: "z"}}, nil},
 		"applied": {
 			[]Input{RelayApplied{Proxy: 3, Mark: 1}, join, RelayApplied{3, 1, 5}},
-			[]brain.Note{joined, brain.Applied{Proxy: 3, Number: 1, TookMs: 5}},
+			[]planner.Note{joined, planner.Applied{Proxy: 3, Number: 1, TookMs: 5}},
 		},
 		"met": {
 			[]Input{met, ZoneMet{Zone: "z", Endpoint: "x"}, ZoneMet{Zone: "a", Endpoint: "y"}},
-			[]brain.Note{brain.Met{Tries: 2, Failed: 1, MeanMs: 3, SpanMs: 4, Load: brain.Load{"rate": 2}}},
+			[]planner.Note{planner.Met{Tries: 2, Failed: 1, MeanMs: 3, SpanMs: 4, Load: planner.Load{"rate": 2}}},
 		},
 		"demand": {
 			[]Input{
@@ -47,16 +47,16 @@
 				ProxyDemand{Proxy: 99, Kind: "read"},
 				ProxyDemand{Proxy: 2, Kind: "none"},
 			},
-			[]brain.Note{brain.Demand{Proxy: 2, Reqs: 3, SpanMs: 4}},
+			[]planner.Note{planner.Demand{Proxy: 2, Reqs: 3, SpanMs: 4}},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := &oneTurnDecider{}
 			core, _ := newRelayCore(d)
 			core.Handle(0, []Input{Listed{List: &wire.List{Whole: true, Entries: []wire.Entry{entry}}, Remembered: true}})
-			listing, ok := d.notes[0].(brain.Listing)
+			listing, ok := d.notes[0].(planner.Listing)
 			require.True(t, ok, "%T", d.notes[0])
-			assert.Equal(t, brain.Remembered, listing.Mode)
+			assert.Equal(t, planner.Remembered, listing.Mode)
 			d.notes = nil
 			core.Handle(1, c.in)
 			assert.Equal(t, c.want, d.notes)
@@ -70,11 +70,11 @@
 func TestOneTurnIsOneCall(t *testing.T) {
 	d := &oneTurnDecider{}
 	c, relay := newRelayCore(d)
-	d.orders = []brain.Order{
-		brain.SetLine{Table: 1, Weight: 1},
-		brain.Bind{Table: 1, Proxy: 3},
-		brain.Bind{Table: 1, Proxy: 4}, // has not joined
-		brain.Mark{Number: 1},
+	d.orders = []planner.Order{
+		planner.SetLine{Table: 1, Weight: 1},
+		planner.Bind{Table: 1, Proxy: 3},
+		planner.Bind{Table: 1, Proxy: 4}, // has not joined
+		planner.Mark{Number: 1},
 	}
 	c.Handle(0, []Input{Relayed{Proxy: 3, Zone: "a"}})
 	assert.Equal(t, 3, relay.orders)
--- a/internal/pilot/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -1,4 +1,4 @@
-package pilot
+package controller
 
 import (
 	"maps"
@@ -7,9 +7,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"indigousher/brain"
-	"indigousher/intake"
 	"indigousher/internal/wire"
+	"indigousher/planner"
+	"indigousher/telemetry"
 )
 
 // maxAgeMs is the greatest age of a figure that the histogram of ages tells apart.
@@ -23,10 +23,10 @@
 
 // The intake holds load reports as they came on the wire.
 type (
-	reportIntake = intake.Intake[[]wire.Figure]
-	report       = intake.Report[[]wire.Figure]
-	reportLine   = intake.Line[[]wire.Figure]
-	reportedMet  = intake.Met[[]wire.Figure]
+	reportIntake = telemetry.Intake[[]wire.Figure]
+	report       = telemetry.Report[[]wire.Figure]
+	reportLine   = telemetry.Line[[]wire.Figure]
+	reportedMet  = telemetry.Met[[]wire.Figure]
 )
 
 // reportGate stands between the streams and the loop: reports are taken in where they are read, by any goroutine, and
@@ -45,7 +45,7 @@
 	kinds     map[string]int
 
 	// sliceDemand sums, by slice assigned to this controller and request kind, what came since the last flush.
-	sliceDemand map[int]map[int]*brain.SliceDemand
+	sliceDemand map[int]map[int]*planner.SliceDemand
 	// malformed counts what could not be used since the last flush.
 	malformed map[malformedReason]int
 	// ages holds the ages of all figures passed on since the start, in ms.
@@ -56,14 +56,14 @@
 }
 
 // newReportGate returns a gate that no proxy has passed. kinds are the request kinds by index.
-func newReportGate(t intake.Terms, kinds []string) *reportGate {
+func newReportGate(t telemetry.Terms, kinds []string) *reportGate {
 	g := &reportGate{
-		intake:      intake.New[[]wire.Figure](t),
+		intake:      telemetry.New[[]wire.Figure](t),
 		proxies:     map[Stream]int{},
 		streams:     map[int]Stream{},
 		endpoints:   map[string]int{},
 		kinds:       map[string]int{},
-		sliceDemand: map[int]map[int]*brain.SliceDemand{},
+		sliceDemand: map[int]map[int]*planner.SliceDemand{},
 		malformed:   map[malformedReason]int{},
 		ages:        hdrhistogram.New(1, maxAgeMs, ageDigits),
 		periodMs:    t.PeriodMs,
@@ -102,7 +102,7 @@
 }
 
 // updateEndpoint takes over an entry of the list as the decider hears of it.
-func (g *reportGate) updateEndpoint(nowMs float64, name string, e brain.Entry) {
+func (g *reportGate) updateEndpoint(nowMs float64, name string, e planner.Entry) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.endpoints[name] = e.Endpoint
@@ -115,7 +115,7 @@
 	defer g.mu.Unlock()
 	for _, i := range g.endpoints {
 		if !listed[i] {
-			g.intake.List(nowMs, i, brain.Gone, 0)
+			g.intake.List(nowMs, i, planner.Gone, 0)
 		}
 	}
 }
@@ -126,7 +126,7 @@
 	defer g.mu.Unlock()
 	delete(g.sliceDemand, number)
 	if assigned {
-		g.sliceDemand[number] = map[int]*brain.SliceDemand{}
+		g.sliceDemand[number] = map[int]*planner.SliceDemand{}
 	}
 }
 
@@ -177,7 +177,7 @@
 			g.malformed[malformedReportKind]++
 			continue
 		}
-		r.Kinds = append(r.Kinds, intake.KindLine{Kind: kind, Reqs: d.Reqs, Unanswered: d.Unanswered})
+		r.Kinds = append(r.Kinds, telemetry.KindLine{Kind: kind, Reqs: d.Reqs, Unanswered: d.Unanswered})
 	}
 }
 
@@ -192,7 +192,7 @@
 		}
 		demand := byKind[kind]
 		if demand == nil {
-			demand = &brain.SliceDemand{Slice: load.Slice, Kind: kind}
+			demand = &planner.SliceDemand{Slice: load.Slice, Kind: kind}
 			byKind[kind] = demand
 		}
 		demand.Reqs += load.Reqs
@@ -208,8 +208,8 @@
 
 // flush appends, when the period is over, what the intake passes on to events. It also returns what proxies are to be
 // asked for and counts of what could not be used.
-func (g *reportGate) flush(events []brain.Note, nowMs float64, m *Meter) (
-	_ []brain.Note, requests []paceRequest, malformed map[malformedReason]int,
+func (g *reportGate) flush(events []planner.Note, nowMs float64, m *Meter) (
+	_ []planner.Note, requests []paceRequest, malformed map[malformedReason]int,
 ) {
 	if nowMs < g.due() {
 		return events, nil, nil
@@ -233,7 +233,7 @@
 }
 
 // appendMets appends the statistics of endpoints.
-func (g *reportGate) appendMets(events []brain.Note, mets []reportedMet) []brain.Note {
+func (g *reportGate) appendMets(events []planner.Note, mets []reportedMet) []planner.Note {
 	for i := range mets {
 		load, outOfRange := loadReport(mets[i].Load)
 		if len(outOfRange) > 0 {
@@ -245,7 +245,7 @@
 }
 
 // appendSliceDemand appends what came for slices in a span and begins their sums anew.
-func (g *reportGate) appendSliceDemand(events []brain.Note, spanMs float64) []brain.Note {
+func (g *reportGate) appendSliceDemand(events []planner.Note, spanMs float64) []planner.Note {
 	for _, number := range slices.Sorted(maps.Keys(g.sliceDemand)) {
 		byKind := g.sliceDemand[number]
 		for _, kind := range slices.Sorted(maps.Keys(byKind)) {
@@ -279,7 +279,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	counts = map[string]uint64{}
-	for i, reason := range intake.Reasons() {
+	for i, reason := range telemetry.Reasons() {
 		if g.intake.Counts[i] > 0 {
 			counts[reason.String()] = g.intake.Counts[i]
 		}
--- a/internal/pilot/reportgate_test.go
+++ b/internal/controller/reportgate_test.go
@@ -1,4 +1,4 @@
-package pilot
+package controller
 
 import (
 	"testing"
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"indigousher/brain"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // TestUnjoinedReports guards a proxy's sums against reports on streams that have not joined, or no longer are: they
@@ -30,7 +30,7 @@
 	c.Handle(2200, nil)
 	for _, n := range d.notes {
 		switch n.(type) {
-		case brain.Met, brain.Demand:
+		case planner.Met, planner.Demand:
 			t.Errorf("%+v", n)
 		}
 	}
@@ -59,7 +59,7 @@
 	}
 	var tries []int
 	for _, n := range d.notes {
-		met, ok := n.(brain.Met)
+		met, ok := n.(planner.Met)
 		require.True(t, ok, "%T", n)
 		tries = append(tries, met.Tries)
 	}
--- a/internal/pilot/session.go
+++ b/internal/controller/session.go
@@ -1,12 +1,12 @@
-package pilot
+package controller
 
 import (
 	"fmt"
 	"maps"
 	"slices"
 
-	"indigousher/brain"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // Reasons of closing a stream that the proxy is told; their spelling stays.
@@ -130,7 +130,7 @@
 }
 
 // join takes in a stream. One under the same name is closed first: the newer one is the one that lives.
-func (c *Core) join(events []brain.Note, in Join) []brain.Note {
+func (c *Core) join(events []planner.Note, in Join) []planner.Note {
 	proxy, zone, rejection := c.identify(&in.Hello)
 	if rejection != nil {
 		c.reject(in, rejection)
@@ -155,7 +155,7 @@
 	for _, number := range c.slices.numbers() {
 		c.sendSlice(s, number)
 	}
-	return append(events, brain.Joined{Proxy: proxy, Zone: zone, Rate: in.Hello.Rate, Fresh: in.Hello.Fresh})
+	return append(events, planner.Joined{Proxy: proxy, Zone: zone, Rate: in.Hello.Rate, Fresh: in.Hello.Fresh})
 }
 
 // identify returns the indices of a proxy that would join and of its zone, or why it may not. A proxy gets its index at
@@ -165,7 +165,7 @@
 	if !known {
 		return 0, 0, &joinRejection{malformedProxyZone, []string{hello.Proxy, hello.Zone}, closeUnknownZone}
 	}
-	if !brain.Sound(hello.Rate) {
+	if !planner.Sound(hello.Rate) {
 		details := []string{hello.Proxy, fmt.Sprint(hello.Rate)}
 		return 0, 0, &joinRejection{malformedProxyRate, details, closeRateOutOfRange}
 	}
@@ -186,7 +186,7 @@
 }
 
 // leave appends that a proxy has left, if the stream that ended is its own.
-func (c *Core) leave(events []brain.Note, in Leave) []brain.Note {
+func (c *Core) leave(events []planner.Note, in Leave) []planner.Note {
 	s := c.sessions.byStream[in.Stream]
 	if s == nil {
 		return events
@@ -195,10 +195,10 @@
 }
 
 // drop forgets a session and what waits for it in the channel.
-func (c *Core) drop(s *session) brain.Note {
+func (c *Core) drop(s *session) planner.Note {
 	c.sessions.remove(s)
 	c.Channel.Drop(s)
 	c.reports.removeProxy(s)
 	c.plan.Meter.setProxies(c.sessions.len())
-	return brain.Left{Proxy: s.proxy}
+	return planner.Left{Proxy: s.proxy}
 }
--- a/internal/pilot/session_test.go
+++ b/internal/controller/session_test.go
@@ -1,4 +1,4 @@
-package pilot
+package controller
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"indigousher/brain"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // TestNames guards against a proxy that comes back while its old stream hangs, names without end, and strangers.
@@ -20,10 +20,10 @@
 	assert.NotEmpty(t, first.closed)
 	c.Handle(2, []Input{Leave{first}, Applied{first, wire.Done{Mark: 1}}}) // of no stream that lives
 	assert.Equal(t, 1, c.sessions.len())
-	assert.Equal(t, []brain.Note{
-		brain.Joined{Rate: 2, Fresh: true},
-		brain.Left{},
-		brain.Joined{Rate: 2, Fresh: true},
+	assert.Equal(t, []planner.Note{
+		planner.Joined{Rate: 2, Fresh: true},
+		planner.Left{},
+		planner.Joined{Rate: 2, Fresh: true},
 	}, d.notes)
 	stranger := &fakeTransport{}
 	c.Handle(3, []Input{Join{stranger, hello("q", "nowhere")}})
--- a/internal/pilot/shares_test.go
+++ b/internal/controller/shares_test.go
@@ -1,23 +1,23 @@
-package pilot
+package controller
 
 import (
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 
-	"indigousher/brain"
+	"indigousher/planner"
 )
 
 // TestShares guards the shares that are shown: by zone, proxies counted by their rate, excluded endpoints left out.
 func TestShares(t *testing.T) {
-	d := &scriptedDecider{orders: [][]brain.Order{nil, {
-		brain.SetLine{Table: 1, Endpoint: 0, Weight: 1},
-		brain.SetLine{Table: 1, Endpoint: 1, Weight: 3},
-		brain.SetLine{Table: 2, Endpoint: 0, Weight: 1},
-		brain.SetLine{Table: 2, Endpoint: 2, Weight: 1},
-		brain.Withdraw{Endpoint: 2, Out: true},
-		brain.Bind{Table: 1, Proxy: 0},
-		brain.Bind{Table: 2, Proxy: 1},
+	d := &scriptedDecider{orders: [][]planner.Order{nil, {
+		planner.SetLine{Table: 1, Endpoint: 0, Weight: 1},
+		planner.SetLine{Table: 1, Endpoint: 1, Weight: 3},
+		planner.SetLine{Table: 2, Endpoint: 0, Weight: 1},
+		planner.SetLine{Table: 2, Endpoint: 2, Weight: 1},
+		planner.Withdraw{Endpoint: 2, Out: true},
+		planner.Bind{Table: 1, Proxy: 0},
+		planner.Bind{Table: 2, Proxy: 1},
 	}}}
 	c := NewCore(plan(d, &fakeTransport{}))
 	c.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0), entry("z", 0))})
--- a/internal/pilot/slices_test.go
+++ b/internal/controller/slices_test.go
@@ -1,12 +1,12 @@
-package pilot
+package controller
 
 import (
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 
-	"indigousher/brain"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // TestSlices shows the events of slices: an assignment with its stored lines, demand for it once a period, and neither
@@ -31,10 +31,10 @@
 	c.Handle(1100, nil)
 	c.Handle(1200, []Input{SliceGiven{&wire.Slices{Slice: 7}}, load(3)})
 	c.Handle(2300, nil)
-	assert.Equal(t, []brain.Note{
-		brain.SliceCharge{Slice: 7, Given: true},
-		brain.SliceLine{Slice: 7, Endpoint: 0, Weight: 2},
-		brain.SliceDemand{Slice: 7, Kind: 1, Reqs: 10, Unanswered: 2, SpanMs: 1100},
-		brain.SliceCharge{Slice: 7},
+	assert.Equal(t, []planner.Note{
+		planner.SliceCharge{Slice: 7, Given: true},
+		planner.SliceLine{Slice: 7, Endpoint: 0, Weight: 2},
+		planner.SliceDemand{Slice: 7, Kind: 1, Reqs: 10, Unanswered: 2, SpanMs: 1100},
+		planner.SliceCharge{Slice: 7},
 	}, d.notes)
 }
--- a/internal/pilot/telemetry.go
+++ b/internal/controller/telemetry.go
@@ -1,12 +1,12 @@
-package pilot
+package controller
 
 import (
 	"fmt"
 	"maps"
 	"slices"
 
-	"indigousher/brain"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // Believed counts what the core took in of reports, for the controller's own book-keeping.
@@ -26,7 +26,7 @@
 func (c *Core) Report(nowMs float64, s Stream, sums *wire.Sums) { c.reports.accept(nowMs, s, sums) }
 
 // appendTelemetry appends what reports come to in this turn, whichever way they come.
-func (c *Core) appendTelemetry(events []brain.Note) []brain.Note {
+func (c *Core) appendTelemetry(events []planner.Note) []planner.Note {
 	switch {
 	case c.plan.Relay != nil: // reports came as inputs, summed up
 		return events
@@ -40,7 +40,7 @@
 }
 
 // flushReports appends what the intake passes on, and asks proxies for what it wants of their reports.
-func (c *Core) flushReports(events []brain.Note) []brain.Note {
+func (c *Core) flushReports(events []planner.Note) []planner.Note {
 	events, requests, malformed := c.reports.flush(events, c.now, c.plan.Meter)
 	for _, r := range requests {
 		if err := r.stream.Ask(r.pace); err != nil {
--- a/internal/pilot/transports.go
+++ b/internal/controller/transports.go
@@ -1,15 +1,15 @@
-package pilot
+package controller
 
 import (
-	"indigousher/brain"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // Decider is what decides; brain.Brain is the one that ships. It is called by one goroutine and has no effect but
 // what it returns.
 type Decider interface {
 	// Handle takes in what happened by nowMs and returns what is to be done about it.
-	Handle(nowMs float64, events []brain.Note) []brain.Order
+	Handle(nowMs float64, events []planner.Note) []planner.Order
 	// Reconfigure takes over changed settings: all of them, changed and not. What was derived from the settings at the
 	// start (zones, request kinds, parts of a zone) stays as it is.
 	Reconfigure(settings map[string]any)
@@ -45,7 +45,7 @@
 type Relay interface {
 	// Carry takes over a turn's commands; endpoint returns the name behind an index. It must not block and keeps
 	// nothing of what it is given.
-	Carry(turn []brain.Order, endpoint func(i int) string)
+	Carry(turn []planner.Order, endpoint func(i int) string)
 	// Gone says that what waits for a proxy is void.
 	Gone(proxy int)
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -19,17 +19,17 @@
 	"golang.org/x/net/netutil"
 	"golang.org/x/sync/errgroup"
 
-	"indigousher/brain"
-	"indigousher/internal/edge/admin"
-	"indigousher/internal/edge/framed"
-	"indigousher/internal/edge/grpcedge"
-	"indigousher/internal/edge/list"
-	"indigousher/internal/edge/peers"
-	"indigousher/internal/edge/probe"
-	"indigousher/internal/edge/xdsedge"
-	"indigousher/internal/keys"
-	"indigousher/internal/pilot"
-	"indigousher/internal/terms"
+	"indigousher/internal/config"
+	"indigousher/internal/controller"
+	"indigousher/internal/identity"
+	"indigousher/internal/transport/admin"
+	"indigousher/internal/transport/discovery"
+	"indigousher/internal/transport/framed"
+	"indigousher/internal/transport/gossip"
+	"indigousher/internal/transport/grpcapi"
+	"indigousher/internal/transport/healthcheck"
+	"indigousher/internal/transport/xds"
+	"indigousher/planner"
 )
 
 // Figures of the daemon's own.
@@ -45,10 +45,10 @@
 type Outfit struct {
 	Log    *zap.Logger
 	Level  *zap.AtomicLevel // set by a reload
-	Clock  pilot.Clock
+	Clock  controller.Clock
 	Dial   func(ctx context.Context, network, address string) (net.Conn, error)
 	Packet func(net.PacketConn) net.PacketConn // wraps the socket between pilots
-	Decide func(seed int64, terms map[string]any) pilot.Decider
+	Decide func(seed int64, terms map[string]any) controller.Decider
 	// Listeners that were taken over, by the names that Files gives; others are opened.
 	Listeners map[string]net.Listener
 }
@@ -66,7 +66,7 @@
 		o.Log = zap.NewNop()
 	}
 	if o.Clock == nil {
-		o.Clock = pilot.RealClock{}
+		o.Clock = controller.RealClock{}
 	}
 	if o.Dial == nil {
 		o.Dial = (&net.Dialer{Timeout: 2 * time.Second}).DialContext
@@ -75,32 +75,32 @@
 		o.Packet = func(c net.PacketConn) net.PacketConn { return c }
 	}
 	if o.Decide == nil {
-		o.Decide = func(seed int64, terms map[string]any) pilot.Decider { return brain.New(seed, terms) }
+		o.Decide = func(seed int64, terms map[string]any) controller.Decider { return planner.New(seed, terms) }
 	}
 }
 
 // follower is a list source that runs.
 type follower interface {
-	pilot.ListSource
+	controller.ListSource
 	Run(ctx context.Context) error
 }
 
 // Daemon is one pilot.
 type Daemon struct {
-	terms    atomic.Pointer[terms.Pilot]
+	terms    atomic.Pointer[config.Pilot]
 	outfit   Outfit
 	registry *prometheus.Registry
-	meter    *pilot.Meter
-	core     *pilot.Core
+	meter    *controller.Meter
+	core     *controller.Core
 	record   *recorded
-	loop     *pilot.Loop
+	loop     *controller.Loop
 	server   *framed.Server
 	source   follower
-	prober   *probe.Prober
-	post     *peers.Post
-	follow   *grpcedge.Server
-	xds      *xdsedge.Server
-	ring     *keys.Ring
+	prober   *healthcheck.Prober
+	post     *gossip.Post
+	follow   *grpcapi.Server
+	xds      *xds.Server
+	ring     *identity.Ring
 	streams  net.Listener
 	grpc     net.Listener
 	admin    net.Listener
@@ -113,14 +113,14 @@
 // later passes inputs on to the loop, which is made after the edges that need it.
 type later struct{ d *Daemon }
 
-func (l later) Post(ctx context.Context, in pilot.Input) error { return l.d.loop.Post(ctx, in) }
+func (l later) Post(ctx context.Context, in controller.Input) error { return l.d.loop.Post(ctx, in) }
 
 // New opens the listeners and builds the pilot. Nothing runs before Run.
-func New(t *terms.Pilot, o Outfit) (*Daemon, error) {
+func New(t *config.Pilot, o Outfit) (*Daemon, error) {
 	o.fill()
 	d := &Daemon{outfit: o, registry: prometheus.NewRegistry(), files: map[string]*os.File{}}
 	d.terms.Store(t)
-	d.meter = pilot.NewMeter(d.registry)
+	d.meter = controller.NewMeter(d.registry)
 	d.registry.MustRegister(collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	d.life, d.die = context.WithCancel(context.Background())
@@ -134,7 +134,7 @@
 	return d, nil
 }
 
-func (d *Daemon) open(t *terms.Pilot) (err error) {
+func (d *Daemon) open(t *config.Pilot) (err error) {
 	if err := d.openKeys(t); err != nil {
 		return err
 	}
@@ -145,7 +145,7 @@
 		return err
 	}
 	if d.ring != nil {
-		d.streams = tls.NewListener(d.streams, d.ring.Server(keys.Proxy))
+		d.streams = tls.NewListener(d.streams, d.ring.Server(identity.Proxy))
 		d.outfit.Dial = d.sealed(d.outfit.Dial)
 	}
 	if t.Admin != "" {
@@ -157,22 +157,22 @@
 		}
 	}
 	if t.ListAddress != "" {
-		d.source = list.NewStream(t.Name, t.ListAddress, d.outfit.Dial, later{d}, t.ListSilence, d.outfit.Log.Named("list"))
+		d.source = discovery.NewStream(t.Name, t.ListAddress, d.outfit.Dial, later{d}, t.ListSilence, d.outfit.Log.Named("list"))
 	} else {
-		d.source = list.NewFile(t.ListFile, terms.ReadList, later{d}, d.outfit.Log.Named("list"))
+		d.source = discovery.NewFile(t.ListFile, config.ReadList, later{d}, d.outfit.Log.Named("list"))
 	}
 	notes, err := d.openPeers(t)
 	if err != nil {
 		return err
 	}
-	var prober pilot.Prober = probe.Never{}
+	var prober controller.Prober = healthcheck.Never{}
 	if t.Probing {
-		d.prober = probe.New(d.life, d.outfit.Dial, later{d}, probeTimeout, mostProbes)
+		d.prober = healthcheck.New(d.life, d.outfit.Dial, later{d}, probeTimeout, mostProbes)
 		prober = d.prober
 	}
 	log := d.outfit.Log
-	plan := func(told map[string]any) pilot.Plan {
-		return pilot.Plan{Decider: d.outfit.Decide(int64(t.Seed), told), Terms: told, Zones: t.Zones,
+	plan := func(told map[string]any) controller.Plan {
+		return controller.Plan{Decider: d.outfit.Decide(int64(t.Seed), told), Terms: told, Zones: t.Zones,
 			Machines: t.Machines, Kinds: t.KindNames(), LinesPerS: t.LinesPerS, Backlog: t.Backlog, HeadLines: t.HeadLines,
 			MessagesMost: t.MessagesMost, MessagesOverMs: float64(t.MessagesOver.Milliseconds()),
 			Intake: t.Intake(), MostProxies: t.MostProxies, List: d.source, Prober: prober, Peers: notes,
@@ -183,8 +183,8 @@
 	live := plan(t.ForModule(t.Rank))
 	var offset float64
 	if t.RecordDir != "" {
-		var core *pilot.Core
-		core, offset, err = d.openRecord(t, &live, func() pilot.Plan { return held(plan(t.ForModule(t.Rank))) })
+		var core *controller.Core
+		core, offset, err = d.openRecord(t, &live, func() controller.Plan { return held(plan(t.ForModule(t.Rank))) })
 		if err != nil {
 			return err
 		}
@@ -194,9 +194,9 @@
 		}
 	}
 	if d.core == nil {
-		d.core = pilot.NewCore(live)
+		d.core = controller.NewCore(live)
 	}
-	d.loop = pilot.NewLoop(d.core, d.outfit.Clock, log)
+	d.loop = controller.NewLoop(d.core, d.outfit.Clock, log)
 	if offset > 0 {
 		d.loop.GoOn(offset)
 	}
@@ -208,14 +208,14 @@
 			return err
 		}
 		d.grpc = netutil.LimitListener(d.grpc, 2*t.MaxStreams) // a proxy of xDS may report its load on a second one
-		d.follow = grpcedge.New(grpcedge.Door{Pilot: t.Name, Beat: t.Beat, Period: t.Period,
+		d.follow = grpcapi.New(grpcapi.Door{Pilot: t.Name, Beat: t.Beat, Period: t.Period,
 			SeenWithin: t.SeenWithin, HelloIn: t.HelloDeadline, MaxMessage: t.MaxFrame, MaxStreams: t.MaxStreams,
 			QueueLines: t.Queue * linesEach, NewPerS: t.NewPerS, Keys: d.ring}, d.loop, log.Named("grpc"))
 		var claims func(context.Context, string, string) error
 		if d.ring != nil {
-			claims = grpcedge.Claims
+			claims = grpcapi.Claims
 		}
-		d.xds = xdsedge.New(xdsedge.Door{Kinds: t.KindNames(), Period: t.Period, SeenWithin: t.SeenWithin,
+		d.xds = xds.New(xds.Door{Kinds: t.KindNames(), Period: t.Period, SeenWithin: t.SeenWithin,
 			HelloIn: t.HelloDeadline, MaxStreams: t.MaxStreams, Claims: claims}, d.loop, log.Named("xds"))
 		d.xds.Register(d.follow.Registrar())
 	}
@@ -226,17 +226,17 @@
 }
 
 // openKeys loads the keys, if the terms name any, and shows when they end.
-func (d *Daemon) openKeys(t *terms.Pilot) (err error) {
+func (d *Daemon) openKeys(t *config.Pilot) (err error) {
 	if t.Plain {
 		return nil
 	}
 	log := d.outfit.Log.Named("keys")
-	if d.ring, err = keys.Load(t.Keys, func(from net.Addr, err error) {
+	if d.ring, err = identity.Load(t.Keys, func(from net.Addr, err error) {
 		log.Warn("peer not let in", zap.Stringer("from", from), zap.Error(err))
 	}); err != nil {
 		return err
 	}
-	if i := d.ring.Identity(); i.Role != keys.Pilot || i.Name != t.Name || i.Zone != t.Zone {
+	if i := d.ring.Identity(); i.Role != identity.Pilot || i.Name != t.Name || i.Zone != t.Zone {
 		return fmt.Errorf("keys: the certificate is of %s, this is pilot %s of %s", i, t.Name, t.Zone)
 	}
 	return d.registry.Register(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "indigousher",
@@ -251,7 +251,7 @@
 		if err != nil || address != d.terms.Load().ListAddress {
 			return conn, err
 		}
-		return tls.Client(conn, d.ring.Client(keys.Source)), nil
+		return tls.Client(conn, d.ring.Client(identity.Source)), nil
 	}
 }
 
@@ -275,8 +275,8 @@
 }
 
 // held is a plan whose edges do nothing: for a core that is being rebuilt.
-func held(p pilot.Plan) pilot.Plan {
-	p.List, p.Prober, p.Peers, p.Meter, p.Replayed = nobody{}, probe.Never{}, peers.Nobody{}, nil, true
+func held(p controller.Plan) controller.Plan {
+	p.List, p.Prober, p.Peers, p.Meter, p.Replayed = nobody{}, healthcheck.Never{}, gossip.Nobody{}, nil, true
 	p.Log, p.Odd = func(string) {}, func(string, ...string) {}
 	p.LinesPerS, p.Backlog = 0, 0
 	return p
@@ -288,14 +288,14 @@
 func (nobody) Watch(bool) {}
 func (nobody) Fetch()     {}
 
-func (d *Daemon) openPeers(t *terms.Pilot) (pilot.Peers, error) {
+func (d *Daemon) openPeers(t *config.Pilot) (controller.Peers, error) {
 	if t.PeersListen == "" {
-		return peers.Nobody{}, nil
+		return gossip.Nobody{}, nil
 	}
-	var secret *keys.Secret
+	var secret *identity.Secret
 	if t.PeersSecret != "" {
 		var err error
-		if secret, err = keys.LoadSecret(t.PeersSecret); err != nil {
+		if secret, err = identity.LoadSecret(t.PeersSecret); err != nil {
 			return nil, fmt.Errorf("listen for pilots: %w", err)
 		}
 	}
@@ -308,7 +308,7 @@
 		n, _ := strconv.Atoi(r) // checked with the terms
 		ranks[n] = a
 	}
-	if d.post, err = peers.Open(d.outfit.Packet(conn), t.Rank, ranks, later{d}, d.outfit.Log.Named("peers")); err != nil {
+	if d.post, err = gossip.Open(d.outfit.Packet(conn), t.Rank, ranks, later{d}, d.outfit.Log.Named("peers")); err != nil {
 		return nil, errors.Join(err, conn.Close())
 	}
 	d.post.Secret = secret
@@ -361,10 +361,10 @@
 }
 
 // State returns what the loop shows of itself.
-func (d *Daemon) State() pilot.State { return d.loop.State() }
+func (d *Daemon) State() controller.State { return d.loop.State() }
 
 // Meter returns the runtime's metrics.
-func (d *Daemon) Meter() *pilot.Meter { return d.meter }
+func (d *Daemon) Meter() *controller.Meter { return d.meter }
 
 // Run serves until ctx ends, then asks the proxies to dial elsewhere and waits for them to go, for the time that the
 // terms give. An edge that fails ends it with an error.
@@ -462,12 +462,12 @@
 
 // Reload takes over what may change of new terms and returns what does so at once and what wants a restart. The
 // fields that want one keep their old values.
-func (d *Daemon) Reload(ctx context.Context, now *terms.Pilot) (changed, restart []string, err error) {
-	changed, restart = terms.Reload(d.terms.Load(), now)
+func (d *Daemon) Reload(ctx context.Context, now *config.Pilot) (changed, restart []string, err error) {
+	changed, restart = config.Reload(d.terms.Load(), now)
 	if len(changed) == 0 {
 		return nil, restart, nil
 	}
-	if err := d.loop.Post(ctx, pilot.Retermed{Terms: now.Live()}); err != nil {
+	if err := d.loop.Post(ctx, controller.Retermed{Terms: now.Live()}); err != nil {
 		return nil, nil, fmt.Errorf("reload: %w", err)
 	}
 	if d.outfit.Level != nil {
@@ -475,7 +475,7 @@
 			d.outfit.Level.SetLevel(l.Level())
 		}
 	}
-	d.terms.Store(terms.Merge(d.terms.Load(), now))
+	d.terms.Store(config.Merge(d.terms.Load(), now))
 	if d.record != nil {
 		if err := d.record.reterm(d.terms.Load()); err != nil {
 			d.outfit.Log.Error("terms not recorded; a return will start cold", zap.Error(err))
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -16,10 +16,10 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
-	"indigousher/internal/standin/follow"
-	"indigousher/internal/standin/proxy"
-	"indigousher/internal/standin/trail"
-	"indigousher/internal/terms"
+	"indigousher/internal/config"
+	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/proxy"
+	"indigousher/internal/testbed/routing"
 )
 
 func TestMain(m *testing.M) {
@@ -28,14 +28,14 @@
 }
 
 // pilotTerms writes a list file and returns terms that follow it.
-func pilotTerms(t *testing.T, endpoints ...string) *terms.Pilot {
+func pilotTerms(t *testing.T, endpoints ...string) *config.Pilot {
 	path := filepath.Join(t.TempDir(), "endpoints.hcl")
 	text := ""
 	for _, e := range endpoints {
 		text += fmt.Sprintf("endpoint %q {\n  zone = \"a\"\n}\n", e)
 	}
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-	p, err := terms.Parse("p.hcl", []byte(fmt.Sprintf(`zones = ["a"]
+	p, err := config.Parse("p.hcl", []byte(fmt.Sprintf(`zones = ["a"]
 machines = ["std"]
 req_kind "read" {}
 pilot {
@@ -71,9 +71,9 @@
 }
 
 // following starts a proxy of the stand-ins that follows a pilot.
-func following(t *testing.T, name string, pilots func() []string) *trail.Book {
-	book := trail.NewBook()
-	p := proxy.New(proxy.Make{Name: name, Zone: "a", Habits: follow.Habits{Kinds: []string{"read"}}, Rate: 1,
+func following(t *testing.T, name string, pilots func() []string) *eventlog.Book {
+	book := eventlog.NewBook()
+	p := proxy.New(proxy.Make{Name: name, Zone: "a", Habits: routing.Habits{Kinds: []string{"read"}}, Rate: 1,
 		Standing: func() []string { return []string{"old:1"} }, Pilots: pilots, Dial: (&net.Dialer{}).DialContext,
 		Redial: 20 * time.Millisecond}, book.Trail(name))
 	require.NoError(t, p.Start())
@@ -81,7 +81,7 @@
 	return book
 }
 
-func count(b *trail.Book, what trail.What) (n int) {
+func count(b *eventlog.Book, what eventlog.What) (n int) {
 	for _, e := range b.Events() {
 		if e.What == what {
 			n++
@@ -98,7 +98,7 @@
 	stop, ended := run(t, d)
 	book := following(t, "p", func() []string { return []string{d.Address()} })
 	require.Eventually(t, func() bool { return d.State().Listed && d.State().Proxies == 1 }, 5*time.Second, time.Millisecond)
-	require.Eventually(t, func() bool { return count(book, trail.Got) > 0 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return count(book, eventlog.Got) > 0 }, 5*time.Second, time.Millisecond)
 	for path, want := range map[string]string{"/healthz": "ok", "/readyz": "ok", "/state": `"Proxies":1`,
 		"/metrics": "indigousher_proxies_joined 1"} {
 		code, body := get(t, d, path)
@@ -113,7 +113,7 @@
 	assert.Equal(t, []string{"Name"}, restart)
 	stop()
 	assert.NoError(t, <-ended)
-	assert.Equal(t, 1, count(book, trail.Leave))
+	assert.Equal(t, 1, count(book, eventlog.Leave))
 }
 
 // TestStopAndReload guards against a reload that comes as the pilot stops: it ends, and nothing hangs.
@@ -151,7 +151,7 @@
 	first.Kill()
 	assert.NoError(t, <-ended)
 	assert.Eventually(t, func() bool { return second.State().Proxies == 1 }, 5*time.Second, time.Millisecond)
-	assert.GreaterOrEqual(t, count(book, trail.Join), 2)
+	assert.GreaterOrEqual(t, count(book, eventlog.Join), 2)
 }
 
 // TestNoStart shows how a pilot fails that can't have what it needs.
@@ -159,11 +159,11 @@
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer taken.Close()
-	for name, change := range map[string]func(*terms.Pilot){
-		"listen for proxies":   func(p *terms.Pilot) { p.Listen = taken.Addr().String() },
-		"listen for operators": func(p *terms.Pilot) { p.Admin = taken.Addr().String() },
-		"listen for pilots":    func(p *terms.Pilot) { p.PeersListen = "127.0.0.1:none" },
-		"address of pilot 1":   func(p *terms.Pilot) { p.PeersListen, p.Peers = "127.0.0.1:0", map[string]string{"1": "x"} },
+	for name, change := range map[string]func(*config.Pilot){
+		"listen for proxies":   func(p *config.Pilot) { p.Listen = taken.Addr().String() },
+		"listen for operators": func(p *config.Pilot) { p.Admin = taken.Addr().String() },
+		"listen for pilots":    func(p *config.Pilot) { p.PeersListen = "127.0.0.1:none" },
+		"address of pilot 1":   func(p *config.Pilot) { p.PeersListen, p.Peers = "127.0.0.1:0", map[string]string{"1": "x"} },
 	} {
 		p := pilotTerms(t)
 		change(p)
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -9,13 +9,13 @@
 
 	"go.uber.org/zap"
 
+	"indigousher/internal/config"
 	"indigousher/internal/handover"
-	"indigousher/internal/terms"
 )
 
 // Host runs a pilot's process: the pilot, and what lets a new process take over from it or it from an old one.
 type Host struct {
-	terms  *terms.Pilot
+	terms  *config.Pilot
 	outfit Outfit
 	mu     sync.Mutex
 	d      *Daemon
@@ -28,7 +28,7 @@
 }
 
 // Begin starts a pilot; with takeOver it is taken over from the process that runs.
-func Begin(ctx context.Context, t *terms.Pilot, o Outfit, takeOver bool) (*Host, error) {
+func Begin(ctx context.Context, t *config.Pilot, o Outfit, takeOver bool) (*Host, error) {
 	o.fill()
 	h := &Host{terms: t, outfit: o, faults: make(chan error, 1)}
 	if !takeOver {
--- a/internal/daemon/hostile_test.go
+++ b/internal/daemon/hostile_test.go
@@ -19,8 +19,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"indigousher/internal/standin/proxy"
-	"indigousher/internal/terms"
+	"indigousher/internal/config"
+	"indigousher/internal/testbed/proxy"
 	"indigousher/internal/wire"
 )
 
@@ -173,7 +173,7 @@
 }
 keys { plain = true }
 `, src.l.Addr(), secret)
-	p, err := terms.Parse("p.hcl", []byte(text))
+	p, err := config.Parse("p.hcl", []byte(text))
 	require.NoError(t, err)
 	var notes net.PacketConn
 	d, err := New(p, Outfit{Packet: func(c net.PacketConn) net.PacketConn { notes = c; return c }})
--- a/internal/daemon/oldstore_test.go
+++ b/internal/daemon/oldstore_test.go
@@ -16,9 +16,9 @@
 	"github.com/stretchr/testify/require"
 	"go.etcd.io/bbolt"
 
-	"indigousher/brain"
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 	"indigousher/internal/record"
+	"indigousher/planner"
 )
 
 var update = flag.Bool("update", false, "write the store of testdata anew; only where the stored format changes")
@@ -52,8 +52,8 @@
 	require.NoError(t, err)
 	require.Len(t, lives, 1)
 	assert.Equal(t, "701c66171943c29a", lives[0].Module)
-	result, err := record.Replay(store, lives[0], nil, func(seed int64, settings map[string]any) pilot.Decider {
-		return brain.New(seed, settings)
+	result, err := record.Replay(store, lives[0], nil, func(seed int64, settings map[string]any) controller.Decider {
+		return planner.New(seed, settings)
 	})
 	require.NoError(t, err)
 	assert.Empty(t, result.FirstDiff)
--- a/internal/daemon/recorded.go
+++ b/internal/daemon/recorded.go
@@ -10,9 +10,9 @@
 
 	"go.uber.org/zap"
 
-	"indigousher/internal/pilot"
+	"indigousher/internal/config"
+	"indigousher/internal/controller"
 	"indigousher/internal/record"
-	"indigousher/internal/terms"
 	"indigousher/recovery"
 )
 
@@ -31,7 +31,7 @@
 
 // openRecord opens the store and rebuilds the core from the life before, if that is worth anything. What goes wrong with
 // a record is logged and never keeps a pilot from starting, but for a store that another process holds.
-func (d *Daemon) openRecord(t *terms.Pilot, plan *pilot.Plan, fresh func() pilot.Plan) (core *pilot.Core, offset float64, err error) {
+func (d *Daemon) openRecord(t *config.Pilot, plan *controller.Plan, fresh func() controller.Plan) (core *controller.Core, offset float64, err error) {
 	store, err := record.Open(t.RecordDir, false)
 	if errors.Is(err, record.ErrTorn) {
 		path, aerr := record.SetAside(t.RecordDir)
@@ -65,13 +65,13 @@
 	if core != nil {
 		offset = core.Now() + r.Verdict.AwayMs
 	}
-	recorder := record.NewRecorder(r.writer.Turn, func() []pilot.Input { return d.core.Checkpoint() })
+	recorder := record.NewRecorder(r.writer.Turn, func() []controller.Input { return d.core.Checkpoint() })
 	plan.Turn = recorder.Turn
 	return core, offset, nil
 }
 
 // recover reads the last life and replays its end with orders held back.
-func (d *Daemon) recover(r *recorded, t *terms.Pilot, fingerprint, told string, fresh func() pilot.Plan) (*pilot.Core, error) {
+func (d *Daemon) recover(r *recorded, t *config.Pilot, fingerprint, told string, fresh func() controller.Plan) (*controller.Core, error) {
 	lives, err := r.store.Lives()
 	if err != nil {
 		return nil, err
@@ -102,7 +102,7 @@
 	if r.Verdict = recovery.Decide(facts, bounds); r.Verdict.Cold() {
 		return nil, nil
 	}
-	core := pilot.NewCore(fresh())
+	core := controller.NewCore(fresh())
 	if err := record.Restore(core, turns[from:]); err != nil {
 		return nil, err
 	}
@@ -111,7 +111,7 @@
 }
 
 // toldTerms is what the module is told, as a life keeps it.
-func toldTerms(t *terms.Pilot) (string, error) {
+func toldTerms(t *config.Pilot) (string, error) {
 	told, err := json.Marshal(t.ForModule(t.Rank))
 	if err != nil {
 		return "", fmt.Errorf("record terms: %w", err)
@@ -120,7 +120,7 @@
 }
 
 // reterm notes the terms of a reload, without which a return after it would be held for one on other terms.
-func (r *recorded) reterm(t *terms.Pilot) error {
+func (r *recorded) reterm(t *config.Pilot) error {
 	told, err := toldTerms(t)
 	if err != nil {
 		return err
--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -12,16 +12,16 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
-	"indigousher/brain"
-	"indigousher/intake"
-	"indigousher/internal/pilot"
+	"indigousher/internal/config"
+	"indigousher/internal/controller"
 	"indigousher/internal/record"
-	"indigousher/internal/standin/follow"
-	"indigousher/internal/standin/list"
-	"indigousher/internal/standin/proxy"
-	"indigousher/internal/standin/trail"
-	"indigousher/internal/terms"
+	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/proxy"
+	"indigousher/internal/testbed/registry"
+	"indigousher/internal/testbed/routing"
 	"indigousher/internal/wire"
+	"indigousher/planner"
+	"indigousher/telemetry"
 )
 
 // The size that the grown deployments reach.
@@ -45,14 +45,14 @@
 func BenchmarkListChange(b *testing.B) {
 	for _, pace := range []float64{12000, 1e9} {
 		b.Run(fmt.Sprintf("lines_per_s=%.0e", pace), func(b *testing.B) {
-			book := trail.NewBook()
-			l := list.New(book.Trail("list"))
+			book := eventlog.NewBook()
+			l := registry.New(book.Trail("list"))
 			require.NoError(b, l.Start())
 			defer l.Close()
 			entries := fleet()
 			l.Put(0, entries...)
-			t := terms.Defaults()
-			t.Zones, t.Machines, t.Kinds = zones, []string{"std"}, []terms.ReqKind{{Name: "read", Repeats: "replayable",
+			t := config.Defaults()
+			t.Zones, t.Machines, t.Kinds = zones, []string{"std"}, []config.ReqKind{{Name: "read", Repeats: "replayable",
 				ResponseTarget: time.Second, ClientTimeout: 3 * time.Second, Payoff: 1}}
 			t.Zone, t.Listen, t.Admin, t.ListAddress = "a", "127.0.0.1:0", "", l.Address()
 			t.Proxies, t.LinesPerS, t.Backlog = manyProxies, pace, 1.5*pace
@@ -62,7 +62,7 @@
 			stop, ended := runB(b, d)
 			for i := range manyProxies {
 				name := fmt.Sprintf("p%d", i)
-				p := proxy.New(proxy.Make{Name: name, Zone: zones[i%3], Habits: follow.Habits{Kinds: []string{"read"}}, Rate: 2,
+				p := proxy.New(proxy.Make{Name: name, Zone: zones[i%3], Habits: routing.Habits{Kinds: []string{"read"}}, Rate: 2,
 					Standing: func() []string { return nil }, Pilots: func() []string { return []string{d.Address()} },
 					Dial: (&net.Dialer{}).DialContext, Redial: 50 * time.Millisecond}, book.Trail(name))
 				require.NoError(b, p.Start())
@@ -71,7 +71,7 @@
 			lines := func(since float64) (at map[string]float64) {
 				at = map[string]float64{}
 				for _, e := range book.Events() {
-					if e.What == trail.Lines && e.At >= since && e.N > 0 {
+					if e.What == eventlog.Lines && e.At >= since && e.N > 0 {
 						at[e.Who] = e.At
 					}
 				}
@@ -144,14 +144,14 @@
 func BenchmarkCoreRecorded(b *testing.B) { benchmarkCore(b, true) }
 
 func benchmarkCore(b *testing.B, recorded bool) {
-	c := terms.CommonDefaults()
+	c := config.CommonDefaults()
 	c.Zones, c.Machines, c.Proxies, c.LinesPerS, c.Backlog = zones, []string{"std"}, manyProxies, 20000, 30000
-	c.Kinds = []terms.ReqKind{{Name: "read", Repeats: "replayable", ResponseTarget: time.Second, Payoff: 1}}
+	c.Kinds = []config.ReqKind{{Name: "read", Repeats: "replayable", ResponseTarget: time.Second, Payoff: 1}}
 	told := c.ForModule(0)
-	timed := &timed{Decider: brain.New(1, told)}
-	var core *pilot.Core
-	plan := pilot.Plan{Decider: timed, Terms: told, Zones: zones, Machines: c.Machines, Kinds: c.KindNames(),
-		LinesPerS: c.LinesPerS, Backlog: c.Backlog, HeadLines: 4, Intake: intake.Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000}, MostProxies: 1 << 16, List: idle{},
+	timed := &timed{Decider: planner.New(1, told)}
+	var core *controller.Core
+	plan := controller.Plan{Decider: timed, Terms: told, Zones: zones, Machines: c.Machines, Kinds: c.KindNames(),
+		LinesPerS: c.LinesPerS, Backlog: c.Backlog, HeadLines: 4, Intake: telemetry.Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000}, MostProxies: 1 << 16, List: idle{},
 		Prober: idle{}, Peers: idle{}, Log: func(string) {}, Odd: func(string, ...string) {}}
 	var w *record.Writer
 	after := func() {}
@@ -171,21 +171,21 @@
 			cancel()
 			<-done
 			began := time.Now()
-			r, err := record.Replay(s, life, nil, func(seed int64, t map[string]any) pilot.Decider { return brain.New(seed, t) })
+			r, err := record.Replay(s, life, nil, func(seed int64, t map[string]any) controller.Decider { return planner.New(seed, t) })
 			require.NoError(b, err)
 			require.Empty(b, r.FirstDiff)
 			took := time.Since(began).Seconds()
 			b.ReportMetric(took/r.SpanMs*1000*86400/60, "min-replay/day")
 		}
-		plan.Turn = record.NewRecorder(w.Turn, func() []pilot.Input { return core.Checkpoint() }).Turn
+		plan.Turn = record.NewRecorder(w.Turn, func() []controller.Input { return core.Checkpoint() }).Turn
 	}
-	core = pilot.NewCore(plan)
+	core = controller.NewCore(plan)
 	entries := fleet()
-	core.Handle(0, []pilot.Input{pilot.Listed{List: &wire.List{Whole: true, Entries: entries}}})
+	core.Handle(0, []controller.Input{controller.Listed{List: &wire.List{Whole: true, Entries: entries}}})
 	var streams []*sink
 	for i := range manyProxies {
 		streams = append(streams, &sink{})
-		core.Handle(1, []pilot.Input{pilot.Join{Stream: streams[i], Hello: wire.Hello{Proxy: fmt.Sprint(i), Zone: zones[i%3], Rate: 2}}})
+		core.Handle(1, []controller.Input{controller.Join{Stream: streams[i], Hello: wire.Hello{Proxy: fmt.Sprint(i), Zone: zones[i%3], Rate: 2}}})
 	}
 	now, inputs, seq := 1.0, 0, uint64(0)
 	timed.took, core.Heard = 0, 0
@@ -206,7 +206,7 @@
 			sums[i].Seq, sums[i].AtMs = seq, now
 			now += 1000.0 / manyProxies
 			heard, began := core.Heard, time.Now()
-			core.Handle(now, []pilot.Input{pilot.Reported{Stream: s, Sums: sums[i]}})
+			core.Handle(now, []controller.Input{controller.Reported{Stream: s, Sums: sums[i]}})
 			if core.Heard > heard {
 				turns = append(turns, time.Since(began).Seconds()*1000)
 			}
@@ -233,11 +233,11 @@
 
 // timed measures the module's own time.
 type timed struct {
-	pilot.Decider
+	controller.Decider
 	took time.Duration
 }
 
-func (t *timed) Handle(nowMs float64, notes []brain.Note) []brain.Order {
+func (t *timed) Handle(nowMs float64, notes []planner.Note) []planner.Order {
 	start := time.Now()
 	defer func() { t.took += time.Since(start) }()
 	return t.Decider.Handle(nowMs, notes)
--- a/internal/daemon/transports_test.go
+++ b/internal/daemon/transports_test.go
@@ -20,11 +20,11 @@
 	"google.golang.org/grpc/credentials"
 	"google.golang.org/grpc/credentials/insecure"
 
-	"indigousher/internal/keys"
-	"indigousher/internal/standin/list"
-	"indigousher/internal/standin/proxy"
-	"indigousher/internal/standin/trail"
-	"indigousher/internal/terms"
+	"indigousher/internal/config"
+	"indigousher/internal/identity"
+	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/proxy"
+	"indigousher/internal/testbed/registry"
 	"indigousher/internal/wire"
 )
 
@@ -132,7 +132,7 @@
 // BenchmarkTransports measures the transports beside each other: from a change of the list to the last proxy having it,
 // and what a line costs on both sides together. Proxies and pilot share one process. One operation is one change.
 func BenchmarkTransports(b *testing.B) {
-	authority, err := keys.NewAuthority("bench", time.Hour)
+	authority, err := identity.NewAuthority("bench", time.Hour)
 	require.NoError(b, err)
 	for _, many := range []int{34, 450, 2000} {
 		for _, transport := range []string{"framed", "framed+tls", "grpc", "grpc+tls", "xds"} {
@@ -141,25 +141,25 @@
 	}
 }
 
-func measure(b *testing.B, transport string, many int, authority *keys.Authority) {
-	l := list.New(trail.NewBook().Trail("list"))
+func measure(b *testing.B, transport string, many int, authority *identity.Authority) {
+	l := registry.New(eventlog.NewBook().Trail("list"))
 	sealed := transport == "framed+tls" || transport == "grpc+tls"
 	dir, from := b.TempDir(), time.Now().Add(-time.Minute)
-	issue := func(role keys.Role, zone, name string) keys.Files {
-		f, err := authority.Issue(dir, keys.Identity{Role: role, Zone: zone, Name: name}, from, time.Hour)
+	issue := func(role identity.Role, zone, name string) identity.Files {
+		f, err := authority.Issue(dir, identity.Identity{Role: role, Zone: zone, Name: name}, from, time.Hour)
 		require.NoError(b, err)
 		return f
 	}
-	t := terms.Defaults()
-	t.Zones, t.Machines, t.Kinds = zones, []string{"std"}, []terms.ReqKind{{Name: "read", Repeats: "replayable",
+	t := config.Defaults()
+	t.Zones, t.Machines, t.Kinds = zones, []string{"std"}, []config.ReqKind{{Name: "read", Repeats: "replayable",
 		ResponseTarget: time.Second, ClientTimeout: 3 * time.Second, Payoff: 1}}
 	t.Zone, t.Listen, t.Admin, t.Proxies, t.LinesPerS, t.Backlog, t.MessagesMost = "a", "127.0.0.1:0", "", many, 1e9, 1e9, 0
 	t.GRPC, t.Plain, t.Beat, t.NewPerS, t.SeenWithin, t.MaxStreams = "127.0.0.1:0", !sealed, 20*time.Second, 0, time.Minute, 5000
 	if sealed {
-		ring, err := keys.Load(issue(keys.Source, "-", "list"), nil)
+		ring, err := identity.Load(issue(identity.Source, "-", "list"), nil)
 		require.NoError(b, err)
-		l.Seal(ring.Server(keys.Pilot))
-		t.Keys = issue(keys.Pilot, "a", t.Name)
+		l.Seal(ring.Server(identity.Pilot))
+		t.Keys = issue(identity.Pilot, "a", t.Name)
 	}
 	require.NoError(b, l.Start())
 	defer l.Close()
@@ -177,7 +177,7 @@
 		}
 		return &counted{c, &read}, nil
 	}
-	rings := map[string]*keys.Ring{}
+	rings := map[string]*identity.Ring{}
 	s := &sight{at: map[string]time.Time{}}
 	ctx, cancel := context.WithCancel(b.Context())
 	var wg sync.WaitGroup
@@ -188,9 +188,9 @@
 		name, zone := fmt.Sprintf("p%d", i), zones[i%3]
 		var c *tls.Config
 		if sealed {
-			rings[name], err = keys.Load(issue(keys.Proxy, zone, name), nil)
+			rings[name], err = identity.Load(issue(identity.Proxy, zone, name), nil)
 			require.NoError(b, err)
-			c = rings[name].Client(keys.Pilot)
+			c = rings[name].Client(identity.Pilot)
 		}
 		wg.Go(func() {
 			var err error
--- a/internal/emulator/commands_test.go
+++ b/internal/emulator/commands_test.go
@@ -14,12 +14,12 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"indigousher/brain"
-	"indigousher/internal/day"
+	"indigousher/internal/controller"
 	"indigousher/internal/emulator"
-	"indigousher/internal/pilot"
 	"indigousher/internal/record"
+	"indigousher/internal/scenario"
 	"indigousher/internal/search"
+	"indigousher/planner"
 )
 
 var update = flag.Bool("update", false, "write the digests anew; only where a change of decisions is meant")
@@ -31,24 +31,24 @@
 // sequence is a fixed course of events: a fleet of some size and the faults that strike it.
 type sequence struct {
 	name string
-	read func() (*day.Day, error)
+	read func() (*scenario.Day, error)
 }
 
 // sequences covers each kind of fault that a day file can name, with 2 to 500 proxies.
 func sequences() (all []sequence) {
-	for _, name := range day.Days() {
-		all = append(all, sequence{name, func() (*day.Day, error) { return day.Load(name) }})
+	for _, name := range scenario.Days() {
+		all = append(all, sequence{name, func() (*scenario.Day, error) { return scenario.Load(name) }})
 	}
 	for _, x := range []struct {
 		name    string
 		proxies int
 	}{{"bad-day-short", 2}, {"errors", 2}, {"slices", 2}, {"replacement", 150}, {"proxies", 150}, {"bad-day-short", 500}, {"zone-loss", 500}} {
-		all = append(all, sequence{fmt.Sprintf("%s with %d proxies", x.name, x.proxies), func() (*day.Day, error) {
+		all = append(all, sequence{fmt.Sprintf("%s with %d proxies", x.name, x.proxies), func() (*scenario.Day, error) {
 			return resized(x.name, x.proxies)
 		}})
 	}
 	for _, seed := range drawnSeeds {
-		all = append(all, sequence{fmt.Sprintf("drawn %d", seed), func() (*day.Day, error) { return search.Draw(seed, 9).Day() }})
+		all = append(all, sequence{fmt.Sprintf("drawn %d", seed), func() (*scenario.Day, error) { return search.Draw(seed, 9).Day() }})
 	}
 	return all
 }
@@ -57,8 +57,8 @@
 var drawnSeeds = []int{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24}
 
 // resized returns a day that ships with another number of proxies, spread over its zones as before.
-func resized(name string, proxies int) (*day.Day, error) {
-	d, err := day.Load(name)
+func resized(name string, proxies int) (*scenario.Day, error) {
+	d, err := scenario.Load(name)
 	if err != nil {
 		return nil, err
 	}
@@ -78,7 +78,7 @@
 	lines strings.Builder
 }
 
-func (l *turnLog) add(seed int64, nowMs float64, commands []brain.Order) {
+func (l *turnLog) add(seed int64, nowMs float64, commands []planner.Order) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.turns++
@@ -87,12 +87,12 @@
 
 // digested hands on what the planner decides and logs it.
 type digested struct {
-	pilot.Decider
+	controller.Decider
 	seed int64
 	log  *turnLog
 }
 
-func (d digested) Handle(nowMs float64, notes []brain.Note) []brain.Order {
+func (d digested) Handle(nowMs float64, notes []planner.Note) []planner.Order {
 	commands := d.Decider.Handle(nowMs, notes)
 	d.log.add(d.seed, nowMs, commands)
 	return commands
@@ -110,8 +110,8 @@
 				d, err := s.read()
 				require.NoError(t, err)
 				log := &turnLog{}
-				decide := func(seed int64, settings map[string]any) pilot.Decider {
-					return digested{brain.New(seed, settings), seed, log}
+				decide := func(seed int64, settings map[string]any) controller.Decider {
+					return digested{planner.New(seed, settings), seed, log}
 				}
 				_, err = emulator.Play{Day: d, Decide: decide}.Run(t.Context())
 				require.NoError(t, err)
--- a/internal/experiment/stored_test.go
+++ b/internal/experiment/stored_test.go
@@ -9,15 +9,15 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"indigousher/internal/day"
+	"indigousher/internal/scenario"
 )
 
 // TestStoredNames guards the names under which results are kept: the JSON of a day is part of the key of its results, and
 // a result is kept as JSON.
 func TestStoredNames(t *testing.T) {
 	sum := sha256.New()
-	for _, name := range day.Days() {
-		d, err := day.Load(name)
+	for _, name := range scenario.Days() {
+		d, err := scenario.Load(name)
 		require.NoError(t, err)
 		text, err := json.Marshal(d)
 		require.NoError(t, err)
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -18,7 +18,7 @@
 	"syscall"
 	"time"
 
-	"indigousher/internal/pause"
+	"indigousher/internal/backoff"
 	"indigousher/recovery"
 )
 
@@ -216,7 +216,7 @@
 			claim, err := GetClaim(o.path)
 			if e = recovery.Claimed; err != nil {
 				e = recovery.Refused
-				pause.For(ctx, claimEvery)
+				backoff.For(ctx, claimEvery)
 				continue
 			}
 			m.Next(e)
--- a/internal/record/codec.go
+++ b/internal/record/codec.go
@@ -10,8 +10,8 @@
 	"math"
 	"slices"
 
-	"indigousher/brain"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // Format is the version of the layout.
@@ -54,13 +54,13 @@
 
 // Input is one input of a turn. Stream numbers the proxies' streams of a life.
 type Input struct {
-	Kind    Kind         `json:"Kind"`
-	Stream  uint64       `json:"Stream"`
-	Message wire.Message `json:"Message"` // of Join, Applied, Listed and SliceGiven
-	From    int          `json:"From"`    // of Heard
-	Text    string       `json:"Text"`    // of Heard; the endpoint of Probed; terms as JSON of Retermed
-	Probe   brain.Probed `json:"Probe"`   // of Probed
-	Note    brain.Note   `json:"Note"`    // of Met, Demand and SliceDemand: as the intake passed them on
+	Kind    Kind           `json:"Kind"`
+	Stream  uint64         `json:"Stream"`
+	Message wire.Message   `json:"Message"` // of Join, Applied, Listed and SliceGiven
+	From    int            `json:"From"`    // of Heard
+	Text    string         `json:"Text"`    // of Heard; the endpoint of Probed; terms as JSON of Retermed
+	Probe   planner.Probed `json:"Probe"`   // of Probed
+	Note    planner.Note   `json:"Note"`    // of Met, Demand and SliceDemand: as the intake passed them on
 }
 
 // Turn is one turn of the loop.
@@ -124,7 +124,7 @@
 		e.num(in.Probe.TookMs)
 		e.load(in.Probe.Load)
 	case Met:
-		m, ok := in.Note.(brain.Met)
+		m, ok := in.Note.(planner.Met)
 		if !ok {
 			return fmt.Errorf("lay out %T as met", in.Note)
 		}
@@ -136,7 +136,7 @@
 		e.num(m.SpanMs)
 		e.load(m.Load)
 	case Demand:
-		d, ok := in.Note.(brain.Demand)
+		d, ok := in.Note.(planner.Demand)
 		if !ok {
 			return fmt.Errorf("lay out %T as demand", in.Note)
 		}
@@ -146,7 +146,7 @@
 		e.int(d.Unanswered)
 		e.num(d.SpanMs)
 	case SliceDemand:
-		d, ok := in.Note.(brain.SliceDemand)
+		d, ok := in.Note.(planner.SliceDemand)
 		if !ok {
 			return fmt.Errorf("lay out %T as slice demand", in.Note)
 		}
@@ -159,7 +159,7 @@
 	return nil
 }
 
-func (e *encoder) load(l brain.Load) {
+func (e *encoder) load(l planner.Load) {
 	names := make([]string, 0, len(l))
 	for n := range l {
 		names = append(names, n)
@@ -234,7 +234,7 @@
 	return s
 }
 
-func (d *decoder) load() brain.Load {
+func (d *decoder) load() planner.Load {
 	n := d.uint()
 	if n > uint64(len(d.b)) {
 		d.fail()
@@ -243,7 +243,7 @@
 	if n == 0 {
 		return nil
 	}
-	l := brain.Load{}
+	l := planner.Load{}
 	for range n {
 		name := d.text()
 		l[name] = d.num()
@@ -303,14 +303,14 @@
 		in.Text = d.text()
 	case Probed:
 		in.Text = d.text()
-		in.Probe = brain.Probed{Outcome: d.text(), TookMs: d.num(), Load: d.load()}
+		in.Probe = planner.Probed{Outcome: d.text(), TookMs: d.num(), Load: d.load()}
 	case Met:
-		in.Note = brain.Met{Endpoint: d.int(), Zone: d.int(), Tries: d.int(), Failed: d.int(), MeanMs: d.num(),
+		in.Note = planner.Met{Endpoint: d.int(), Zone: d.int(), Tries: d.int(), Failed: d.int(), MeanMs: d.num(),
 			SpanMs: d.num(), Load: d.load()}
 	case Demand:
-		in.Note = brain.Demand{Proxy: d.int(), Kind: d.int(), Reqs: d.int(), Unanswered: d.int(), SpanMs: d.num()}
+		in.Note = planner.Demand{Proxy: d.int(), Kind: d.int(), Reqs: d.int(), Unanswered: d.int(), SpanMs: d.num()}
 	case SliceDemand:
-		in.Note = brain.SliceDemand{Slice: d.int(), Kind: d.int(), Reqs: d.int(), Unanswered: d.int(), SpanMs: d.num()}
+		in.Note = planner.SliceDemand{Slice: d.int(), Kind: d.int(), Reqs: d.int(), Unanswered: d.int(), SpanMs: d.num()}
 	case ListLost, Checkpoint:
 	default:
 		d.fail()
--- a/internal/record/digest.go
+++ b/internal/record/digest.go
@@ -5,7 +5,7 @@
 	"hash/crc64"
 	"io"
 
-	"indigousher/brain"
+	"indigousher/planner"
 )
 
 var table = crc64.MakeTable(crc64.ECMA)
@@ -30,7 +30,7 @@
 )
 
 // Digest sums up the commands of a turn, in their order. Turn.Digest holds it in a record.
-func Digest(orders []brain.Order) uint64 {
+func Digest(orders []planner.Order) uint64 {
 	h := crc64.New(table)
 	for _, o := range orders {
 		writeDigest(h, o)
@@ -39,31 +39,31 @@
 }
 
 // writeDigest writes the text of one command. Writes to a hash don't fail.
-func writeDigest(h io.Writer, order brain.Order) {
+func writeDigest(h io.Writer, order planner.Order) {
 	switch o := order.(type) {
-	case brain.SetLine:
+	case planner.SetLine:
 		fmt.Fprintf(h, digestSetLine, o.Table, o.Endpoint, o.Weight)
-	case brain.ClearTable:
+	case planner.ClearTable:
 		fmt.Fprintf(h, digestClearTable, o.Table)
-	case brain.Bind:
+	case planner.Bind:
 		fmt.Fprintf(h, digestBind, o.Table, o.Proxy, o.Kinds)
-	case brain.Withdraw:
+	case planner.Withdraw:
 		fmt.Fprintf(h, digestWithdraw, o.Endpoint, o.Out)
-	case brain.Admit:
+	case planner.Admit:
 		fmt.Fprintf(h, digestAdmit, o.Table, o.Kinds, o.Again, o.Level)
-	case brain.Mark:
+	case planner.Mark:
 		fmt.Fprintf(h, digestMark, o.Number, o.All)
-	case brain.Probe:
+	case planner.Probe:
 		fmt.Fprintf(h, digestProbe, o.Endpoint)
-	case brain.Tell:
+	case planner.Tell:
 		fmt.Fprintf(h, digestTell, o.Peer, o.Text)
-	case brain.WakeAt:
+	case planner.WakeAt:
 		fmt.Fprintf(h, digestWakeAt, o.AtMs, o.Name)
-	case brain.Watch:
+	case planner.Watch:
 		fmt.Fprintf(h, digestWatch, o.On)
-	case brain.FetchList:
+	case planner.FetchList:
 		fmt.Fprint(h, digestFetchList)
-	case brain.Log:
+	case planner.Log:
 		fmt.Fprintf(h, digestLog, o.Text)
 	default:
 		fmt.Fprintf(h, "%T%+v\n", order, order)
--- a/internal/record/digest_test.go
+++ b/internal/record/digest_test.go
@@ -7,45 +7,45 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"indigousher/brain"
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
+	"indigousher/planner"
 )
 
 // TestDigestBytes holds the digest of each command against the value that commit 7c7c6c6 gave, before any type or field
 // was renamed: stored records are read by these values.
 func TestDigestBytes(t *testing.T) {
 	for _, c := range []struct {
-		order brain.Order
+		order planner.Order
 		want  string
 	}{
-		{brain.SetLine{Table: 3, Endpoint: 17, Weight: 0.30000000000000004}, "cabd1f0e29bf2f36"},
-		{brain.SetLine{Table: 65000, Endpoint: 1, Weight: 1e21}, "5f8061f8931e4099"},
-		{brain.SetLine{Weight: 1e-9}, "71573af5b886bb70"},
-		{brain.SetLine{Weight: math.Inf(1)}, "6a84357acc5427ac"},
-		{brain.SetLine{Weight: math.Copysign(0, -1)}, "507eb88cbdc7d692"},
-		{brain.ClearTable{Table: 9}, "2e576c316074bb43"},
-		{brain.Bind{Table: 1, Proxy: 499, Kinds: 5}, "66f140afc7e40c16"},
-		{brain.Withdraw{Endpoint: 12, Out: true}, "692943b0920b1dce"},
-		{brain.Withdraw{Endpoint: 12}, "20444ea590d593c4"},
-		{brain.Admit{Table: brain.EveryTable, Kinds: 3, Again: 2, Level: 0.85}, "c16fb26fecb0f704"},
-		{brain.Mark{Number: 65534, All: true}, "7ad8336e02541273"},
-		{brain.Probe{Endpoint: 4}, "dcb838218010b0df"},
-		{brain.Tell{Peer: -1, Text: "a b {c}"}, "0769613f2a275936"},
-		{brain.WakeAt{AtMs: 123456.75, Name: "gather"}, "c309b2529546949c"},
-		{brain.Watch{On: true}, "0211d3fb2c006f8c"},
-		{brain.FetchList{}, "46f9affef7c5009a"},
-		{brain.Log{Text: "endpoint 3 zone 1: out, good 0.0 bad 9.0 all 0.10"}, "d8c0a69a3de3c6bb"},
+		{planner.SetLine{Table: 3, Endpoint: 17, Weight: 0.30000000000000004}, "cabd1f0e29bf2f36"},
+		{planner.SetLine{Table: 65000, Endpoint: 1, Weight: 1e21}, "5f8061f8931e4099"},
+		{planner.SetLine{Weight: 1e-9}, "71573af5b886bb70"},
+		{planner.SetLine{Weight: math.Inf(1)}, "6a84357acc5427ac"},
+		{planner.SetLine{Weight: math.Copysign(0, -1)}, "507eb88cbdc7d692"},
+		{planner.ClearTable{Table: 9}, "2e576c316074bb43"},
+		{planner.Bind{Table: 1, Proxy: 499, Kinds: 5}, "66f140afc7e40c16"},
+		{planner.Withdraw{Endpoint: 12, Out: true}, "692943b0920b1dce"},
+		{planner.Withdraw{Endpoint: 12}, "20444ea590d593c4"},
+		{planner.Admit{Table: planner.EveryTable, Kinds: 3, Again: 2, Level: 0.85}, "c16fb26fecb0f704"},
+		{planner.Mark{Number: 65534, All: true}, "7ad8336e02541273"},
+		{planner.Probe{Endpoint: 4}, "dcb838218010b0df"},
+		{planner.Tell{Peer: -1, Text: "a b {c}"}, "0769613f2a275936"},
+		{planner.WakeAt{AtMs: 123456.75, Name: "gather"}, "c309b2529546949c"},
+		{planner.Watch{On: true}, "0211d3fb2c006f8c"},
+		{planner.FetchList{}, "46f9affef7c5009a"},
+		{planner.Log{Text: "endpoint 3 zone 1: out, good 0.0 bad 9.0 all 0.10"}, "d8c0a69a3de3c6bb"},
 	} {
-		assert.Equal(t, c.want, fmt.Sprintf("%016x", Digest([]brain.Order{c.order})), "%v", c.order)
+		assert.Equal(t, c.want, fmt.Sprintf("%016x", Digest([]planner.Order{c.order})), "%v", c.order)
 	}
 	assert.Equal(t, "0000000000000000", fmt.Sprintf("%016x", Digest(nil)))
-	all := []brain.Order{brain.SetLine{Table: 1, Endpoint: 2, Weight: 0.5}, brain.Bind{Table: 1, Proxy: 2}, brain.Mark{Number: 1}}
+	all := []planner.Order{planner.SetLine{Table: 1, Endpoint: 2, Weight: 0.5}, planner.Bind{Table: 1, Proxy: 2}, planner.Mark{Number: 1}}
 	assert.Equal(t, "1ed775898c4325d5", fmt.Sprintf("%016x", Digest(all)))
 }
 
 // TestFingerprintStays guards the value by which a pilot knows the record of one that decides as it does. Commit 7c7c6c6
 // wrote it into its lives; a change of what the planner decides changes it, a change of names must not.
 func TestFingerprintStays(t *testing.T) {
-	module := func(seed int64, terms map[string]any) pilot.Decider { return brain.New(seed, terms) }
+	module := func(seed int64, terms map[string]any) controller.Decider { return planner.New(seed, terms) }
 	assert.Equal(t, "701c66171943c29a", Fingerprint(module))
 }
--- a/internal/record/estimate.go
+++ b/internal/record/estimate.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"indigousher/brain"
+	"indigousher/planner"
 )
 
 // Figures of the estimate.
@@ -42,11 +42,11 @@
 }
 
 // notes takes in what a period told.
-func (e *estimator) notes(notes []brain.Note) {
+func (e *estimator) notes(notes []planner.Note) {
 	zones := map[int]map[int]float64{}
 	any := false
 	for _, n := range notes {
-		m, is := n.(brain.Met)
+		m, is := n.(planner.Met)
 		if !is || m.Tries == 0 {
 			continue
 		}
@@ -71,7 +71,7 @@
 	}
 }
 
-func (e *estimator) met(m brain.Met) {
+func (e *estimator) met(m planner.Met) {
 	s := e.seen[m.Endpoint]
 	if s == nil {
 		s = &seen{}
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -17,9 +17,9 @@
 	"go.uber.org/goleak"
 	"go.uber.org/zap"
 
-	"indigousher/brain"
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -30,11 +30,11 @@
 	{Kind: Leave, Stream: 3}, {Kind: Applied, Stream: 3, Message: &wire.Done{Mark: 9, TookMs: 0.5}},
 	{Kind: Listed, Message: &wire.List{Version: 2, Now: 5, Whole: true, Entries: []wire.Entry{{Endpoint: "x", Zone: "a", Weight: 1}}}},
 	{Kind: ListLost}, {Kind: Heard, From: 2, Text: "hi"}, {Kind: Retermed, Text: `{"backlog":5}`}, {Kind: Checkpoint},
-	{Kind: Probed, Text: "x", Probe: brain.Probed{Outcome: "ok", TookMs: 1.25, Load: brain.Load{"util": 0.5}}},
-	{Kind: Met, Note: brain.Met{Endpoint: 1, Zone: 2, Tries: 30, Failed: 4, MeanMs: 12.5, SpanMs: 1000, Load: brain.Load{"util": 0.25, "rate": 7}}},
+	{Kind: Probed, Text: "x", Probe: planner.Probed{Outcome: "ok", TookMs: 1.25, Load: planner.Load{"util": 0.5}}},
+	{Kind: Met, Note: planner.Met{Endpoint: 1, Zone: 2, Tries: 30, Failed: 4, MeanMs: 12.5, SpanMs: 1000, Load: planner.Load{"util": 0.25, "rate": 7}}},
 	{Kind: SliceGiven, Message: &wire.Slices{Slice: 3, Given: true, Lines: []wire.HeldLine{{Endpoint: "x", Weight: 1}}}},
-	{Kind: SliceDemand, Note: brain.SliceDemand{Slice: 3, Kind: 1, Reqs: 4, Unanswered: 1, SpanMs: 1000}},
-	{Kind: Demand, Note: brain.Demand{Proxy: 4, Kind: 1, Reqs: 12, Unanswered: 1, SpanMs: 999.5}},
+	{Kind: SliceDemand, Note: planner.SliceDemand{Slice: 3, Kind: 1, Reqs: 4, Unanswered: 1, SpanMs: 1000}},
+	{Kind: Demand, Note: planner.Demand{Proxy: 4, Kind: 1, Reqs: 12, Unanswered: 1, SpanMs: 999.5}},
 }
 
 func turn(at float64) *Turn { return &Turn{AtMs: at, Digest: uint64(at) * 7, Inputs: samples} }
@@ -268,11 +268,11 @@
 
 // TestFingerprint shows that modules are told apart by what they do.
 func TestFingerprint(t *testing.T) {
-	module := func(seed int64, terms map[string]any) pilot.Decider { return brain.New(seed, terms) }
+	module := func(seed int64, terms map[string]any) controller.Decider { return planner.New(seed, terms) }
 	assert.Equal(t, Fingerprint(module), Fingerprint(module))
-	other := func(seed int64, terms map[string]any) pilot.Decider {
+	other := func(seed int64, terms map[string]any) controller.Decider {
 		terms["cross_zone"] = 0.3
-		return brain.New(seed, terms)
+		return planner.New(seed, terms)
 	}
 	assert.NotEqual(t, Fingerprint(module), Fingerprint(other))
 }
@@ -301,8 +301,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			e := newEstimator(func() map[int]map[int]float64 { return map[int]map[int]float64{0: c.shares} })
 			for range 10 {
-				e.notes([]brain.Note{brain.Met{Endpoint: 0, Tries: 100, Failed: 50, MeanMs: 20},
-					brain.Met{Endpoint: 1, Tries: 100, MeanMs: 10}})
+				e.notes([]planner.Note{planner.Met{Endpoint: 0, Tries: 100, Failed: 50, MeanMs: 20},
+					planner.Met{Endpoint: 1, Tries: 100, MeanMs: 10}})
 			}
 			r := e.result()
 			assert.InDelta(t, 0.25, r.Recorded, 1e-9)
@@ -323,15 +323,15 @@
 	ctx, cancel := context.WithCancel(b.Context())
 	done := make(chan error, 1)
 	go func() { done <- w.Run(ctx) }()
-	r := NewRecorder(w.Turn, func() []pilot.Input { return nil })
-	var told []brain.Note
+	r := NewRecorder(w.Turn, func() []controller.Input { return nil })
+	var told []planner.Note
 	for i := range 50 {
-		told = append(told, brain.Met{Endpoint: i, Zone: i % 3, Tries: 30 + i, MeanMs: 20.5 + float64(i)/7, SpanMs: 1000.25, Load: brain.Load{"util": 0.5, "rate": 20}})
+		told = append(told, planner.Met{Endpoint: i, Zone: i % 3, Tries: 30 + i, MeanMs: 20.5 + float64(i)/7, SpanMs: 1000.25, Load: planner.Load{"util": 0.5, "rate": 20}})
 	}
 	i := 0
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Turn(float64(i)*10, nil, told, []brain.Order{brain.WakeAt{AtMs: float64(i), Name: "gather"}})
+		r.Turn(float64(i)*10, nil, told, []planner.Order{planner.WakeAt{AtMs: float64(i), Name: "gather"}})
 		i++
 	}
 	cancel()
@@ -376,15 +376,15 @@
 		turn Turn
 		torn bool
 	}{
-		"endpoint below":      {Turn{Inputs: []Input{{Kind: Met, Note: brain.Met{Endpoint: -1, Tries: 1, SpanMs: 1}}}}, false},
-		"endpoint beyond":     {Turn{Inputs: []Input{{Kind: Met, Note: brain.Met{Endpoint: 1 << 40, Tries: 1, SpanMs: 1}}}}, false},
-		"zone beyond":         {Turn{Inputs: []Input{{Kind: Met, Note: brain.Met{Zone: 1 << 40, Tries: 1, SpanMs: 1}}}}, false},
-		"zone below":          {Turn{Inputs: []Input{{Kind: Met, Note: brain.Met{Zone: -5, Tries: 1, SpanMs: 1}}}}, false},
-		"load infinite":       {Turn{Inputs: []Input{{Kind: Met, Note: brain.Met{Tries: 1, SpanMs: 1, Load: brain.Load{"util": inf}}}}}, false},
-		"mean not a number":   {Turn{Inputs: []Input{{Kind: Met, Note: brain.Met{Tries: 1, SpanMs: 1, MeanMs: nan}}}}, false},
-		"kind beyond":         {Turn{Inputs: []Input{{Kind: Demand, Note: brain.Demand{Kind: 1 << 40}}}}, false},
-		"slice's kind beyond": {Turn{Inputs: []Input{{Kind: SliceDemand, Note: brain.SliceDemand{Kind: -1}}}}, false},
-		"probe's load":        {Turn{Inputs: []Input{{Kind: Probed, Text: "x", Probe: brain.Probed{Load: brain.Load{"util": inf}}}}}, false},
+		"endpoint below":      {Turn{Inputs: []Input{{Kind: Met, Note: planner.Met{Endpoint: -1, Tries: 1, SpanMs: 1}}}}, false},
+		"endpoint beyond":     {Turn{Inputs: []Input{{Kind: Met, Note: planner.Met{Endpoint: 1 << 40, Tries: 1, SpanMs: 1}}}}, false},
+		"zone beyond":         {Turn{Inputs: []Input{{Kind: Met, Note: planner.Met{Zone: 1 << 40, Tries: 1, SpanMs: 1}}}}, false},
+		"zone below":          {Turn{Inputs: []Input{{Kind: Met, Note: planner.Met{Zone: -5, Tries: 1, SpanMs: 1}}}}, false},
+		"load infinite":       {Turn{Inputs: []Input{{Kind: Met, Note: planner.Met{Tries: 1, SpanMs: 1, Load: planner.Load{"util": inf}}}}}, false},
+		"mean not a number":   {Turn{Inputs: []Input{{Kind: Met, Note: planner.Met{Tries: 1, SpanMs: 1, MeanMs: nan}}}}, false},
+		"kind beyond":         {Turn{Inputs: []Input{{Kind: Demand, Note: planner.Demand{Kind: 1 << 40}}}}, false},
+		"slice's kind beyond": {Turn{Inputs: []Input{{Kind: SliceDemand, Note: planner.SliceDemand{Kind: -1}}}}, false},
+		"probe's load":        {Turn{Inputs: []Input{{Kind: Probed, Text: "x", Probe: planner.Probed{Load: planner.Load{"util": inf}}}}}, false},
 		"no time":             {Turn{AtMs: nan}, true},
 		"before all time":     {Turn{AtMs: -inf}, true},
 		"beyond all time":     {Turn{AtMs: 1e300}, true},
@@ -394,10 +394,10 @@
 			terms := map[string]any{"zones": []any{"a"}, "req_kinds": []any{map[string]any{"name": "read"}}, "fields": []any{"util"}}
 			plan, err := planOf(terms)
 			require.NoError(t, err)
-			plan.Decider, plan.Terms = brain.New(1, terms), terms
+			plan.Decider, plan.Terms = planner.New(1, terms), terms
 			odd := 0
 			plan.Odd = func(string, ...string) { odd++ }
-			core := pilot.NewCore(plan)
+			core := controller.NewCore(plan)
 			b, err := Append(nil, &c.turn) // by way of the disk
 			require.NoError(t, err)
 			bad, err := Turns(b)
@@ -415,13 +415,13 @@
 	plan, err := planOf(map[string]any{"zones": []any{"a"}, "req_kinds": []any{"read"}})
 	require.NoError(t, err)
 	plan.Decider, plan.Terms = panics, map[string]any{}
-	assert.ErrorContains(t, Restore(pilot.NewCore(plan), []Turn{{}}), "the module panics on the record: index")
+	assert.ErrorContains(t, Restore(controller.NewCore(plan), []Turn{{}}), "the module panics on the record: index")
 }
 
 // plainPanic is a module with a fault.
 type plainPanic struct{}
 
-func (plainPanic) Handle(float64, []brain.Note) []brain.Order { panic("index out of range") }
+func (plainPanic) Handle(float64, []planner.Note) []planner.Order { panic("index out of range") }
 
 // Reconfigure does nothing.
 func (plainPanic) Reconfigure(map[string]any) {}
--- a/internal/record/recorder.go
+++ b/internal/record/recorder.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"slices"
 
-	"indigousher/brain"
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // Checkpoint begins a turn that holds what another core needs to go on from here, and is no part of the life itself.
@@ -21,31 +21,31 @@
 // done by the functions that it hands over, which are called one after another by whoever writes.
 type Recorder struct {
 	to      func(func() *Turn)
-	core    func() []pilot.Input // its checkpoint
-	streams map[pilot.Stream]uint64
+	core    func() []controller.Input // its checkpoint
+	streams map[controller.Stream]uint64
 	next    uint64
 	lastMs  float64
 	began   bool
 }
 
 // NewRecorder hands turns to a sink; checkpoint is the core's.
-func NewRecorder(to func(func() *Turn), checkpoint func() []pilot.Input) *Recorder {
-	return &Recorder{to: to, core: checkpoint, streams: map[pilot.Stream]uint64{}}
+func NewRecorder(to func(func() *Turn), checkpoint func() []controller.Input) *Recorder {
+	return &Recorder{to: to, core: checkpoint, streams: map[controller.Stream]uint64{}}
 }
 
 // Turn is for a core's plan.
-func (r *Recorder) Turn(nowMs float64, inputs []pilot.Input, told []brain.Note, orders []brain.Order) {
+func (r *Recorder) Turn(nowMs float64, inputs []controller.Input, told []planner.Note, orders []planner.Order) {
 	inputs = slices.Clone(inputs) // the loop uses its own again
 	r.to(func() *Turn {
 		t := r.turn(nowMs, inputs)
 		t.Digest = Digest(orders)
 		for _, n := range told {
 			switch n := n.(type) {
-			case brain.Met:
+			case planner.Met:
 				t.Inputs = append(t.Inputs, Input{Kind: Met, Note: n})
-			case brain.Demand:
+			case planner.Demand:
 				t.Inputs = append(t.Inputs, Input{Kind: Demand, Note: n})
-			case brain.SliceDemand:
+			case planner.SliceDemand:
 				t.Inputs = append(t.Inputs, Input{Kind: SliceDemand, Note: n})
 			}
 		}
@@ -61,7 +61,7 @@
 	r.began, r.lastMs = true, nowMs
 }
 
-func (r *Recorder) turn(nowMs float64, inputs []pilot.Input, first ...Input) *Turn {
+func (r *Recorder) turn(nowMs float64, inputs []controller.Input, first ...Input) *Turn {
 	t := &Turn{AtMs: nowMs, Inputs: first}
 	for _, in := range inputs {
 		if x, ok := r.input(in); ok {
@@ -72,7 +72,7 @@
 }
 
 // number returns a stream's number, giving one at its first appearance.
-func (r *Recorder) number(s pilot.Stream) uint64 {
+func (r *Recorder) number(s controller.Stream) uint64 {
 	n, known := r.streams[s]
 	if !known {
 		r.next++
@@ -82,40 +82,40 @@
 	return n
 }
 
-func (r *Recorder) input(in pilot.Input) (Input, bool) {
+func (r *Recorder) input(in controller.Input) (Input, bool) {
 	switch in := in.(type) {
-	case pilot.Join:
+	case controller.Join:
 		h := in.Hello
 		return Input{Kind: Join, Stream: r.number(in.Stream), Message: &h}, true
-	case pilot.Leave:
+	case controller.Leave:
 		n := r.number(in.Stream)
 		delete(r.streams, in.Stream)
 		return Input{Kind: Leave, Stream: n}, true
-	case pilot.Applied:
+	case controller.Applied:
 		d := in.Done
 		return Input{Kind: Applied, Stream: r.number(in.Stream), Message: &d}, true
-	case pilot.Listed:
+	case controller.Listed:
 		return Input{Kind: Listed, Message: in.List}, true
-	case pilot.SliceGiven:
+	case controller.SliceGiven:
 		return Input{Kind: SliceGiven, Message: in.Slices}, true
-	case pilot.ListLost:
+	case controller.ListLost:
 		return Input{Kind: ListLost}, true
-	case pilot.Heard:
+	case controller.Heard:
 		return Input{Kind: Heard, From: in.From, Text: in.Text}, true
-	case pilot.Probed:
-		return Input{Kind: Probed, Text: in.Endpoint, Probe: brain.Probed{Outcome: in.Outcome, TookMs: in.TookMs, Load: figures(in.Load)}}, true
-	case pilot.Retermed:
+	case controller.Probed:
+		return Input{Kind: Probed, Text: in.Endpoint, Probe: planner.Probed{Outcome: in.Outcome, TookMs: in.TookMs, Load: figures(in.Load)}}, true
+	case controller.Retermed:
 		b, err := json.Marshal(in.Terms)
 		return Input{Kind: Retermed, Text: string(b)}, err == nil
 	}
 	return Input{}, false
 }
 
-func figures(l []wire.Figure) brain.Load {
+func figures(l []wire.Figure) planner.Load {
 	if len(l) == 0 {
 		return nil
 	}
-	out := brain.Load{}
+	out := planner.Load{}
 	for _, f := range l {
 		out[f.Name] = f.Value
 	}
@@ -144,7 +144,7 @@
 
 // Player feeds recorded turns to a core.
 type Player struct {
-	Core    *pilot.Core
+	Core    *controller.Core
 	Sent    func(proxy string, o *wire.Orders) // may be nil
 	streams map[uint64]*Stream
 }
@@ -160,8 +160,8 @@
 	if p.streams == nil {
 		p.streams = map[uint64]*Stream{}
 	}
-	var inputs []pilot.Input
-	var told []brain.Note
+	var inputs []controller.Input
+	var told []planner.Note
 	for i := range t.Inputs {
 		in := &t.Inputs[i]
 		if in.Note != nil {
@@ -177,7 +177,7 @@
 		}
 	}
 	if len(told) > 0 {
-		inputs = append(inputs, pilot.Told{Notes: told})
+		inputs = append(inputs, controller.Told{Notes: told})
 	}
 	if !(t.AtMs >= 0 && t.AtMs < latest) {
 		return fmt.Errorf("a turn at %g ms: %w", t.AtMs, ErrTorn)
@@ -187,7 +187,7 @@
 	return nil
 }
 
-func (p *Player) input(in *Input) (pilot.Input, error) {
+func (p *Player) input(in *Input) (controller.Input, error) {
 	switch in.Kind {
 	case Checkpoint:
 		return nil, nil
@@ -201,33 +201,33 @@
 			s.Sent = func(o *wire.Orders) { p.Sent(h.Proxy, o) }
 		}
 		p.streams[in.Stream] = s
-		return pilot.Join{Stream: s, Hello: *h}, nil
+		return controller.Join{Stream: s, Hello: *h}, nil
 	case Leave:
 		s := p.streams[in.Stream]
 		delete(p.streams, in.Stream)
 		if s == nil {
 			return nil, nil
 		}
-		return pilot.Leave{Stream: s}, nil
+		return controller.Leave{Stream: s}, nil
 	case Applied:
 		d, ok := in.Message.(*wire.Done)
 		if s := p.streams[in.Stream]; ok && s != nil {
-			return pilot.Applied{Stream: s, Done: *d}, nil
+			return controller.Applied{Stream: s, Done: *d}, nil
 		}
 	case Listed:
 		if l, ok := in.Message.(*wire.List); ok {
-			return pilot.Listed{List: l}, nil
+			return controller.Listed{List: l}, nil
 		}
 	case SliceGiven:
 		if x, ok := in.Message.(*wire.Slices); ok {
-			return pilot.SliceGiven{Slices: x}, nil
+			return controller.SliceGiven{Slices: x}, nil
 		}
 	case ListLost:
-		return pilot.ListLost{}, nil
+		return controller.ListLost{}, nil
 	case Heard:
-		return pilot.Heard{From: in.From, Text: in.Text}, nil
+		return controller.Heard{From: in.From, Text: in.Text}, nil
 	case Probed:
-		out := pilot.Probed{Endpoint: in.Text, Outcome: in.Probe.Outcome, TookMs: in.Probe.TookMs}
+		out := controller.Probed{Endpoint: in.Text, Outcome: in.Probe.Outcome, TookMs: in.Probe.TookMs}
 		for n, v := range in.Probe.Load {
 			out.Load = append(out.Load, wire.Figure{Name: n, Value: v})
 		}
@@ -237,45 +237,45 @@
 		if err := json.Unmarshal([]byte(in.Text), &terms); err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrTorn, err)
 		}
-		return pilot.Retermed{Terms: terms}, nil
+		return controller.Retermed{Terms: terms}, nil
 	}
 	return nil, nil
 }
 
 // Fingerprint tells modules apart by what they do: the digest of what one orders through a minute of trouble that is the
 // same each time.
-func Fingerprint(make func(seed int64, terms map[string]any) pilot.Decider) string {
+func Fingerprint(make func(seed int64, terms map[string]any) controller.Decider) string {
 	terms := map[string]any{"req_kinds": []any{map[string]any{"name": "a", "payoff": 1.0}, map[string]any{"name": "b", "payoff": 5.0}},
 		"fields": []any{"util", "rate"}, "admission": "share", "instances": 2.0, "proxy_count": 6.0, "ejects_after": 5.0}
 	d := make(7, terms)
 	var sum uint64
 	for step := range 240 {
 		now := float64(step) * 250
-		var notes []brain.Note
+		var notes []planner.Note
 		switch {
 		case step == 0:
-			var l brain.Listing
+			var l planner.Listing
 			for e := range 9 {
-				l.Entries = append(l.Entries, brain.Entry{Endpoint: e, Zone: e % 3, Weight: float64(1 + e%2)})
+				l.Entries = append(l.Entries, planner.Entry{Endpoint: e, Zone: e % 3, Weight: float64(1 + e%2)})
 			}
-			l.Mode = brain.Whole
+			l.Mode = planner.Whole
 			notes = append(notes, l)
 			for p := range 4 {
-				notes = append(notes, brain.Joined{Proxy: p, Zone: p % 3, Rate: 20})
+				notes = append(notes, planner.Joined{Proxy: p, Zone: p % 3, Rate: 20})
 			}
 		case step%4 == 0:
-			notes = append(notes, brain.Alarm{Name: "gather"})
+			notes = append(notes, planner.Alarm{Name: "gather"})
 		case step%4 == 1:
 			for e := range 9 {
 				failed := 0
 				if e == 2 && step > 60 && step < 120 {
 					failed = 9
 				}
-				notes = append(notes, brain.Met{Endpoint: e, Zone: e % 3, Tries: 9, Failed: failed, MeanMs: 30, SpanMs: 1000,
-					Load: brain.Load{"util": 0.3 + float64((step+e)%7)/8, "rate": 20}})
+				notes = append(notes, planner.Met{Endpoint: e, Zone: e % 3, Tries: 9, Failed: failed, MeanMs: 30, SpanMs: 1000,
+					Load: planner.Load{"util": 0.3 + float64((step+e)%7)/8, "rate": 20}})
 			}
 		case step == 130:
-			notes = append(notes, brain.Listing{Entries: []brain.Entry{{Endpoint: 4, Zone: 1, Weight: 1, Phase: brain.Draining},
+			notes = append(notes, planner.Listing{Entries: []planner.Entry{{Endpoint: 4, Zone: 1, Weight: 1, Phase: planner.Draining},
 				{Endpoint: 9, Zone: 0, Weight: 2, Started: now}}})
 		}
 		sum = sum*1099511628211 + Digest(d.Handle(now, notes))
@@ -326,7 +326,7 @@
 
 // Restore feeds a tail to a new core whose edges are held back. Its first turn may be a checkpoint; later ones are not
 // fed. A module that panics on what the record holds gives an error: it would do so again at each start.
-func Restore(core *pilot.Core, turns []Turn) (err error) {
+func Restore(core *controller.Core, turns []Turn) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("the module panics on the record: %v", r)
--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"hash/crc64"
 
-	"indigousher/brain"
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // Result is what a replay ordered.
@@ -27,7 +27,7 @@
 }
 
 // Make makes what decides in a replay.
-type Make func(seed int64, terms map[string]any) pilot.Decider
+type Make func(seed int64, terms map[string]any) controller.Decider
 
 // Replay feeds a life to a core in virtual time. With terms of nil its own are used and orders are held against the
 // record; with others they can only be looked at, as the world's answers are those of the recorded day.
@@ -47,7 +47,7 @@
 		return nil, err
 	}
 	plan.Decider, plan.Terms = d, terms
-	core := pilot.NewCore(plan)
+	core := controller.NewCore(plan)
 	d.guess = newEstimator(core.Shares)
 	if l.After != "" {
 		turns, _, err := Tail(s, l.After, l.TailMs)
@@ -114,33 +114,33 @@
 
 // listener counts what is ordered.
 type listener struct {
-	pilot.Decider
+	controller.Decider
 	r      *Result
 	digest uint64
 	lastMs float64
 	guess  *estimator
 }
 
-func (l *listener) Handle(nowMs float64, notes []brain.Note) []brain.Order {
+func (l *listener) Handle(nowMs float64, notes []planner.Note) []planner.Order {
 	l.guess.notes(notes) // by the tables that stand until now
 	orders := l.Decider.Handle(nowMs, notes)
 	l.digest = Digest(orders)
 	for _, o := range orders {
 		switch o := o.(type) {
-		case brain.SetLine:
+		case planner.SetLine:
 			l.r.Sets++
 			if o.Weight == 0 {
 				l.r.Zeros++
 			}
-		case brain.Withdraw:
+		case planner.Withdraw:
 			if o.Out {
 				l.r.Withdrawals++
 			}
-		case brain.Admit:
+		case planner.Admit:
 			if o.Level < 1 {
 				l.r.Levels++
 			}
-		case brain.Bind:
+		case planner.Bind:
 			l.r.Binds++
 		}
 	}
@@ -148,7 +148,7 @@
 }
 
 // planOf makes a core's plan from the module's terms.
-func planOf(terms map[string]any) (p pilot.Plan, err error) {
+func planOf(terms map[string]any) (p controller.Plan, err error) {
 	texts := func(name string) (list []string) {
 		all, _ := terms[name].([]any)
 		for _, x := range all {
@@ -163,7 +163,7 @@
 		return list
 	}
 	num := func(name string) float64 { v, _ := terms[name].(float64); return v }
-	p = pilot.Plan{Zones: texts("zones"), Machines: texts("machines"), Kinds: texts("req_kinds"), LinesPerS: num("lines_per_s"),
+	p = controller.Plan{Zones: texts("zones"), Machines: texts("machines"), Kinds: texts("req_kinds"), LinesPerS: num("lines_per_s"),
 		Backlog: num("backlog"), HeadLines: int(num("head_lines")), MessagesMost: int(num("messages_most")),
 		MessagesOverMs: num("messages_over"), MostProxies: 65535, List: nobody{}, Prober: nobody{}, Peers: nobody{},
 		Log: func(string) {}, Odd: func(string, ...string) {}, Replayed: true}
--- a/recovery/explore_test.go
+++ b/recovery/explore_test.go
@@ -12,13 +12,13 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sync/errgroup"
 
-	"indigousher/brain"
-	"indigousher/intake"
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 	"indigousher/internal/record"
-	"indigousher/internal/standin/follow"
+	"indigousher/internal/testbed/routing"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 	"indigousher/recovery"
+	"indigousher/telemetry"
 )
 
 // The explorer takes two processes of one pilot, three proxies, one change of the list or one note between pilots, one
@@ -28,37 +28,37 @@
 
 // clerk decides: all endpoints in one table, drains shut out, each note passed on once.
 type clerk struct {
-	phase  map[int]brain.Phase
+	phase  map[int]planner.Phase
 	joined map[int]bool // and not bound yet
 }
 
 // Reconfigure does nothing.
 func (c *clerk) Reconfigure(map[string]any) {}
 
-func (c *clerk) Handle(_ float64, notes []brain.Note) (out []brain.Order) {
+func (c *clerk) Handle(_ float64, notes []planner.Note) (out []planner.Order) {
 	for _, n := range notes {
 		switch n := n.(type) {
-		case brain.Listing:
+		case planner.Listing:
 			for _, e := range n.Entries {
 				if _, known := c.phase[e.Endpoint]; !known {
-					out = append(out, brain.SetLine{Table: 1, Endpoint: e.Endpoint, Weight: 1})
+					out = append(out, planner.SetLine{Table: 1, Endpoint: e.Endpoint, Weight: 1})
 				}
-				if c.phase[e.Endpoint] != e.Phase && e.Phase == brain.Draining {
-					out = append(out, brain.Withdraw{Endpoint: e.Endpoint, Out: true})
+				if c.phase[e.Endpoint] != e.Phase && e.Phase == planner.Draining {
+					out = append(out, planner.Withdraw{Endpoint: e.Endpoint, Out: true})
 				}
 				c.phase[e.Endpoint] = e.Phase
 			}
-		case brain.Joined:
+		case planner.Joined:
 			c.joined[n.Proxy] = true
-		case brain.Left:
+		case planner.Left:
 			delete(c.joined, n.Proxy)
-		case brain.Gossip:
-			out = append(out, brain.Tell{Peer: 0, Text: n.Text})
+		case planner.Gossip:
+			out = append(out, planner.Tell{Peer: 0, Text: n.Text})
 		}
 	}
 	for _, p := range slices.Sorted(maps.Keys(c.joined)) {
 		if len(c.phase) > 0 {
-			out = append(out, brain.Bind{Table: 1, Proxy: p})
+			out = append(out, planner.Bind{Table: 1, Proxy: p})
 			delete(c.joined, p)
 		}
 	}
@@ -70,11 +70,11 @@
 	alive   bool
 	old     *recovery.Old
 	taker   *recovery.New
-	act     recovery.Act // under way
-	waits   bool         // for the other's answer
-	asked   bool         // to take over
-	core    *pilot.Core  // nil while no pilot runs
-	listed  int          // changes of the list that it knows of, -1 none
+	act     recovery.Act     // under way
+	waits   bool             // for the other's answer
+	asked   bool             // to take over
+	core    *controller.Core // nil while no pilot runs
+	listed  int              // changes of the list that it knows of, -1 none
 	claimed bool
 }
 
@@ -88,7 +88,7 @@
 
 // proxy follows whoever has its stream.
 type proxy struct {
-	follow *follow.Follower
+	follow *routing.Follower
 	to     int // a process, -1 nobody
 	coming []*wire.Orders
 	stream *stream
@@ -145,15 +145,15 @@
 	w.procs[0] = &process{alive: true, old: &recovery.Old{Patience: 2}, claimed: true, listed: -1}
 	w.procs[1] = &process{alive: true, taker: recovery.NewSide(), act: recovery.Nothing}
 	for i := range w.proxies {
-		w.proxies[i] = &proxy{to: -1, follow: follow.NewFollower(follow.Habits{Kinds: []string{"read"}}, []string{"e0", "e1"}, uint64(i))}
+		w.proxies[i] = &proxy{to: -1, follow: routing.NewFollower(routing.Habits{Kinds: []string{"read"}}, []string{"e0", "e1"}, uint64(i))}
 	}
 	w.begin(0)
 	return w
 }
 
-func (w *world) plan(held bool) pilot.Plan {
-	p := pilot.Plan{Decider: &clerk{map[int]brain.Phase{}, map[int]bool{}}, Terms: map[string]any{}, Zones: []string{"a"}, Machines: []string{"std"}, Kinds: []string{"read"},
-		Intake: intake.Terms{PeriodMs: 1e9, HalfMs: 1e9, LongestMs: 1e9}, MostProxies: 9, List: edge{}, Prober: edge{}, Peers: edge{},
+func (w *world) plan(held bool) controller.Plan {
+	p := controller.Plan{Decider: &clerk{map[int]planner.Phase{}, map[int]bool{}}, Terms: map[string]any{}, Zones: []string{"a"}, Machines: []string{"std"}, Kinds: []string{"read"},
+		Intake: telemetry.Terms{PeriodMs: 1e9, HalfMs: 1e9, LongestMs: 1e9}, MostProxies: 9, List: edge{}, Prober: edge{}, Peers: edge{},
 		Log: func(string) {}, Odd: func(string, ...string) {}, Replayed: true}
 	if !held || w.plant.replayAloud {
 		p.Peers = edge{w}
@@ -176,9 +176,9 @@
 // begin starts a process's pilot on what the disk holds.
 func (w *world) begin(i int) {
 	p := w.procs[i]
-	var core *pilot.Core
+	var core *controller.Core
 	if w.kept > 0 {
-		core = pilot.NewCore(w.plan(true))
+		core = controller.NewCore(w.plan(true))
 		if err := record.Restore(core, w.turns[:w.kept]); err != nil {
 			w.broken = err.Error()
 		}
@@ -186,10 +186,10 @@
 	}
 	live := w.plan(false)
 	recorder := record.NewRecorder(func(t func() *record.Turn) { w.turns = append(w.turns, *t()) },
-		func() []pilot.Input { return p.core.Checkpoint() })
+		func() []controller.Input { return p.core.Checkpoint() })
 	live.Turn = recorder.Turn
 	if core == nil {
-		core = pilot.NewCore(live)
+		core = controller.NewCore(live)
 	} else {
 		core.Recovered(live)
 	}
@@ -211,10 +211,10 @@
 	}
 }
 
-func (w *world) feed(i int, in pilot.Input) {
+func (w *world) feed(i int, in controller.Input) {
 	p := w.procs[i]
 	w.nowMs++
-	p.core.Handle(w.nowMs, []pilot.Input{in})
+	p.core.Handle(w.nowMs, []controller.Input{in})
 	p.core.Channel.Send(w.nowMs)
 }
 
@@ -344,7 +344,7 @@
 	if w.notes == 0 {
 		for i, p := range w.procs {
 			if p.core != nil {
-				s[fmt.Sprint("note ", i)] = func() { w.notes++; w.feed(i, pilot.Heard{From: 1, Text: "once"}) }
+				s[fmt.Sprint("note ", i)] = func() { w.notes++; w.feed(i, controller.Heard{From: 1, Text: "once"}) }
 			}
 		}
 	}
@@ -399,14 +399,14 @@
 						Holds: p.follow.Holds(), Tables: p.follow.Tables()}
 					p.to, p.stream = i, &stream{w, i, k}
 					p.follow.Joined()
-					w.feed(i, pilot.Join{Stream: p.stream, Hello: hello})
+					w.feed(i, controller.Join{Stream: p.stream, Hello: hello})
 				}
 			}
 		}
 	}
 }
 
-func (w *world) listing() pilot.Input {
+func (w *world) listing() controller.Input {
 	l := &wire.List{Version: w.list, Whole: true}
 	for i := range endpoints {
 		e := wire.Entry{Endpoint: fmt.Sprint("e", i), Zone: "a", Machine: "std", Weight: 1}
@@ -415,7 +415,7 @@
 		}
 		l.Entries = append(l.Entries, e)
 	}
-	return pilot.Listed{List: l}
+	return controller.Listed{List: l}
 }
 
 // wrong returns what no state may show, and, where nothing more can happen by itself, what then must hold.
