--- a/internal/controller/acks.go
+++ b/internal/controller/acks.go
@@ -32,16 +32,16 @@
 }
 
 // acknowledge appends a proxy's acknowledgement of a mark, if one is pending.
-func (c *Core) acknowledge(events []planner.Note, in Applied) []planner.Note {
+func (c *Core) acknowledge(events []planner.Event, in Acked) []planner.Event {
 	s := c.sessions.byStream[in.Stream]
 	if s == nil || !s.acks.acknowledge(in.Done.Mark) {
 		return events
 	}
-	return append(events, planner.Applied{Proxy: s.proxy, Number: in.Done.Mark, TookMs: in.Done.TookMs})
+	return append(events, planner.Ack{Proxy: s.proxy, Number: in.Done.Mark, TookMs: in.Done.TookMs})
 }
 
 // mark asks the proxies that this turn reaches, or all, to acknowledge what they were sent.
-func (c *Core) mark(o planner.Mark) {
+func (c *Core) mark(o planner.AckRequest) {
 	for _, s := range c.sessions.inOrder() {
 		if s.pending != nil || o.All {
 			c.outbox.add(s, wire.Op{Kind: wire.OpMark, Number: o.Number})
--- a/internal/controller/binding.go
+++ b/internal/controller/binding.go
@@ -13,13 +13,13 @@
 
 // bind puts a proxy on a table for some request kinds, or all, and sends it the table: whole, or what differs from the
 // one that the proxy said it has.
-func (c *Core) bind(o planner.Bind) {
+func (c *Core) bind(o planner.AssignTable) {
 	s := c.sessions.byProxy[o.Proxy]
 	if s == nil {
 		c.reportMalformed(malformedBindOfLeftProxy, c.proxies.Name(o.Proxy))
 		return
 	}
-	kinds := o.Kinds
+	kinds := o.Classes
 	if kinds == 0 {
 		kinds = c.allKinds()
 	}
--- a/internal/controller/binding_test.go
+++ b/internal/controller/binding_test.go
@@ -13,11 +13,11 @@
 // TestHeld guards a return, to this pilot or another, before or after a crash: of a table that the proxy has only what
 // differs is sent.
 func TestHeld(t *testing.T) {
-	d := &scriptedDecider{orders: [][]planner.Order{nil, {
-		planner.SetLine{Table: 5, Endpoint: 0, Weight: 1},
-		planner.SetLine{Table: 5, Endpoint: 1, Weight: 2},
-		planner.Bind{Table: 5, Proxy: 0},
-		planner.Bind{Table: 5, Proxy: 0},
+	d := &scriptedDecider{orders: [][]planner.Command{nil, {
+		planner.SetWeight{Table: 5, Endpoint: 0, Weight: 1},
+		planner.SetWeight{Table: 5, Endpoint: 1, Weight: 2},
+		planner.AssignTable{Table: 5, Proxy: 0},
+		planner.AssignTable{Table: 5, Proxy: 0},
 	}}}
 	edge := &fakeTransport{}
 	stream := &fakeTransport{}
@@ -28,7 +28,7 @@
 		{Endpoint: "x", Weight: 1},
 		{Endpoint: "gone", Weight: 3},
 	}}}
-	c.Handle(1, []Input{Join{stream, h}})
+	c.Handle(1, []Input{ProxyJoined{stream, h}})
 	c.Channel.Send(1)
 	require.Len(t, stream.sent, 1)
 	set := func(e string, w float64) wire.Op { return wire.Op{Kind: wire.OpSet, Table: 5, Endpoint: e, Weight: w} }
--- a/internal/controller/channel.go
+++ b/internal/controller/channel.go
@@ -43,18 +43,18 @@
 	messageLimit  int     // messages to one proxy within messageSpanMs
 	messageSpanMs float64
 
-	metrics *Meter
+	metrics *Metrics
 
 	// MostSeen is the most lines that have waited.
-	MostSeen int
+	MaxLines int
 	// Crowded is the most messages that left to one proxy within messageSpanMs.
-	Crowded int
+	MaxMessages int
 	// Sent counts the lines that have left.
 	Sent int
 }
 
 // NewChannel returns an empty channel. linesPerS of 0 leaves it unpaced; backlog is in lines, 0 for no limit.
-func NewChannel(linesPerS, backlog float64, messageLimit int, messageSpanMs float64, m *Meter) *Channel {
+func NewChannel(linesPerS, backlog float64, messageLimit int, messageSpanMs float64, m *Metrics) *Channel {
 	limit := rate.Limit(linesPerS)
 	if linesPerS <= 0 {
 		limit = rate.Inf
@@ -69,8 +69,8 @@
 	}
 }
 
-// Reterm takes over changed limits, by the names of the decider's settings.
-func (c *Channel) Reterm(terms map[string]any) {
+// Reconfigure takes over changed limits, by the names of the decider's settings.
+func (c *Channel) Reconfigure(terms map[string]any) {
 	if v, ok := terms["lines_per_s"].(float64); ok && v > 0 {
 		c.pace.SetLimit(rate.Limit(v))
 	}
@@ -82,9 +82,9 @@
 	}
 }
 
-// Put adds a message. Where even the bound of the queue is passed, the proxy's stream is closed: it comes back with
+// Enqueue adds a message. Where even the bound of the queue is passed, the proxy's stream is closed: it comes back with
 // what it holds, and the decider hears of both.
-func (c *Channel) Put(nowMs float64, to *session, m *wire.Orders) {
+func (c *Channel) Enqueue(nowMs float64, to *session, m *wire.Orders) {
 	if c.backlog > 0 && float64(c.waitingLines+m.Lines) > queueLimitFactor*c.backlog {
 		c.metrics.streamClosed(closeChannelFull)
 		to.stream.Close(closeChannelFull)
@@ -93,7 +93,7 @@
 	dueMs := c.reserve(nowMs, m.Lines)
 	c.queue = append(c.queue, &queuedMessage{to: to, message: m, atMs: nowMs, dueMs: dueMs})
 	c.waitingLines += m.Lines
-	c.MostSeen = max(c.MostSeen, c.waitingLines)
+	c.MaxLines = max(c.MaxLines, c.waitingLines)
 	c.metrics.setWaiting(c.waitingLines, c.backlog)
 }
 
@@ -156,7 +156,7 @@
 	message.AtMs = queued.atMs
 	message.AgeMs = nowMs - queued.atMs
 	recent := queued.to.recentSends.add(nowMs, c.messageSpanMs)
-	c.Crowded = max(c.Crowded, recent)
+	c.MaxMessages = max(c.MaxMessages, recent)
 	c.metrics.messageSent(message, recent, c.messageLimit)
 	if err := queued.to.stream.Send(message); err != nil {
 		queued.to.stream.Close(err.Error())
--- a/internal/controller/channel_test.go
+++ b/internal/controller/channel_test.go
@@ -15,9 +15,9 @@
 	a, b := &fakeTransport{}, &fakeTransport{}
 	sa, sb := &session{stream: a}, &session{stream: b}
 	for i := range 10 {
-		c.Put(0, sa, &wire.Orders{Lines: 20, AtMs: float64(i)})
+		c.Enqueue(0, sa, &wire.Orders{Lines: 20, AtMs: float64(i)})
 	}
-	c.Put(0, sb, &wire.Orders{Lines: 50})
+	c.Enqueue(0, sb, &wire.Orders{Lines: 50})
 	assert.Equal(t, 250, c.Lines())
 	c.Send(100)
 	assert.InDelta(t, 5, len(a.sent), 1)
@@ -29,13 +29,13 @@
 	assert.InDelta(t, 260, b.sent[0].AgeMs, 1)
 	assert.True(t, math.IsInf(c.Due(), 1))
 	for range 200 {
-		c.Put(300, sb, &wire.Orders{Lines: 20})
+		c.Enqueue(300, sb, &wire.Orders{Lines: 20})
 	}
 	assert.LessOrEqual(t, c.Lines(), queueLimitFactor*400)
 	assert.Equal(t, "channel overfull", b.closed)
 	full := &fakeTransport{full: true}
 	c = NewChannel(0, 0, 0, 10000, nil)
-	c.Put(0, &session{stream: full}, &wire.Orders{Lines: 1})
+	c.Enqueue(0, &session{stream: full}, &wire.Orders{Lines: 1})
 	c.Send(0)
 	assert.Equal(t, "full", full.closed)
 }
@@ -56,7 +56,7 @@
 			})
 			f.join(f.streams, entries)
 			f.until(60000)
-			left := f.core.Channel.MostSeen
+			left := f.core.Channel.MaxLines
 			for step := 0; step < 150; step++ { // a zone comes back, others go, some each fifth of a second
 				var changed []wire.Entry
 				for k := range 8 {
@@ -70,9 +70,9 @@
 				f.handle(listed(false, changed...))
 				f.until(f.now + 200)
 			}
-			t.Logf("most lines %d, before %d", f.core.Channel.MostSeen, left)
-			assert.LessOrEqual(t, f.core.Channel.MostSeen, backlog)
-			assert.Greater(t, f.core.Channel.MostSeen, backlog/3, "there is much to say")
+			t.Logf("most lines %d, before %d", f.core.Channel.MaxLines, left)
+			assert.LessOrEqual(t, f.core.Channel.MaxLines, backlog)
+			assert.Greater(t, f.core.Channel.MaxLines, backlog/3, "there is much to say")
 		})
 	}
 }
@@ -89,7 +89,7 @@
 	for b.Loop() {
 		now++
 		for _, s := range sessions {
-			c.Put(now, s, &wire.Orders{Lines: 114, Ops: ops})
+			c.Enqueue(now, s, &wire.Orders{Lines: 114, Ops: ops})
 		}
 		lines += c.Send(now)
 		for _, s := range sessions {
--- a/internal/controller/checkpoint.go
+++ b/internal/controller/checkpoint.go
@@ -2,24 +2,24 @@
 
 // Checkpoint returns inputs that bring another core to know who is joined and what is listed.
 func (c *Core) Checkpoint() []Input {
-	inputs := []Input{Listed{List: c.endpoints.snapshot(c.now)}}
+	inputs := []Input{EndpointsListed{List: c.endpoints.snapshot(c.now)}}
 	for _, s := range c.sessions.inOrder() {
-		inputs = append(inputs, Join{s.stream, s.hello})
+		inputs = append(inputs, ProxyJoined{s.stream, s.hello})
 	}
 	return inputs
 }
 
-// Recovered ends a replay: whoever was joined has left, and what is ordered from now on goes out by the plan's
+// FinishRecovery ends a replay: whoever was joined has left, and what is ordered from now on goes out by the plan's
 // transports. The decider and its settings stay those of the replay.
-func (c *Core) Recovered(p Plan) {
+func (c *Core) FinishRecovery(p Options) {
 	clear(c.slices) // the store gives them again
 	var left []Input
 	for _, s := range c.sessions.inOrder() {
-		left = append(left, Leave{s.stream})
+		left = append(left, ProxyLeft{s.stream})
 	}
 	c.Handle(c.now, left)
 	p.Decider = c.plan.Decider
-	p.Terms = c.plan.Terms
+	p.Settings = c.plan.Settings
 	c.usePlan(p)
 	c.reports.restartPeriod(c.now)
 }
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -12,7 +12,7 @@
 // Core is the runtime of one controller: inputs in, commands out, one turn at a time. It is used by one goroutine, but
 // for Report. Each piece of its state has one owner; times are in ms on the controller's own clock.
 type Core struct {
-	plan Plan
+	plan Options
 
 	// Names by index, as the decider knows them.
 	zones, machines, kinds settings.Names
@@ -31,47 +31,47 @@
 
 	relayed relayedProxies // where a relay holds the streams
 
-	now      float64        // of the last turn
-	started  bool           // whether the decider was asked at all
-	recorded []planner.Note // telemetry of a replay, for this turn
+	now      float64         // of the last turn
+	started  bool            // whether the decider was asked at all
+	recorded []planner.Event // telemetry of a replay, for this turn
 
 	// Channel paces messages to proxies.
 	Channel *Channel
 	// Believed counts what was taken in of reports.
-	Believed Believed
+	ReportStats ReportStats
 	// Heard counts the events handed to the decider.
-	Heard int
+	Events int
 }
 
 // NewCore returns a core that knows no endpoint and no proxy.
-func NewCore(p Plan) *Core {
+func NewCore(p Options) *Core {
 	c := &Core{
 		endpoints: newEndpointRegistry(),
 		sessions:  newSessionRegistry(),
-		reports:   newReportGate(p.Intake, p.Kinds),
+		reports:   newReportGate(p.Telemetry, p.Classes),
 		tables:    newTableStore(),
 		excluded:  exclusions{},
 		slices:    assignedSlices{},
 		relayed:   newRelayedProxies(),
 	}
 	for _, name := range p.Zones {
-		c.zones.In(name)
+		c.zones.Intern(name)
 	}
 	for _, name := range p.Machines {
-		c.machines.In(name)
+		c.machines.Intern(name)
 	}
-	for _, name := range p.Kinds {
-		c.kinds.In(name)
+	for _, name := range p.Classes {
+		c.kinds.Intern(name)
 	}
 	c.usePlan(p)
 	return c
 }
 
 // usePlan has the core work by a plan from now on, with an empty channel.
-func (c *Core) usePlan(p Plan) {
+func (c *Core) usePlan(p Options) {
 	c.plan = p
 	c.outbox.headLines = p.HeadLines
-	c.Channel = NewChannel(p.LinesPerS, p.Backlog, p.MessagesMost, p.MessagesOverMs, p.Meter)
+	c.Channel = NewChannel(p.LinesPerS, p.Backlog, p.MaxMessages, p.MessagesOverMs, p.Metrics)
 }
 
 // Due returns when Handle has something to do without input, in milliseconds of its clock.
@@ -85,18 +85,18 @@
 // Handle runs one turn: it takes in what came, lets the decider decide and fills the channel. Times never go back.
 func (c *Core) Handle(nowMs float64, inputs []Input) {
 	c.now = max(c.now, nowMs)
-	var events []planner.Note
+	var events []planner.Event
 	for _, in := range inputs {
 		events = c.handleInput(events, in)
 	}
 	for _, name := range c.timers.expire(c.now) {
-		events = append(events, planner.Alarm{Name: name})
+		events = append(events, planner.TimerFired{Name: name})
 	}
 	before := len(events)
 	events = c.appendTelemetry(events)
 	commands, asked := c.decide(events)
-	if c.plan.Turn != nil && (asked || len(inputs) > 0) {
-		c.plan.Turn(c.now, inputs, events[before:], commands)
+	if c.plan.OnTurn != nil && (asked || len(inputs) > 0) {
+		c.plan.OnTurn(c.now, inputs, events[before:], commands)
 	}
 	for _, command := range commands {
 		c.execute(command)
@@ -107,13 +107,13 @@
 
 // decide asks the decider if there is news for it. The first turn asks in any case; from then on the decider wakes
 // itself, by timers, for whatever else is due.
-func (c *Core) decide(events []planner.Note) (commands []planner.Order, asked bool) {
+func (c *Core) decide(events []planner.Event) (commands []planner.Command, asked bool) {
 	if len(events) == 0 && c.started {
 		return nil, false
 	}
 	c.started = true
-	c.Heard += len(events)
-	commands = c.plan.Meter.timeDecider(func() []planner.Order { return c.plan.Decider.Handle(c.now, events) })
+	c.Events += len(events)
+	commands = c.plan.Metrics.timeDecider(func() []planner.Command { return c.plan.Decider.Handle(c.now, events) })
 	return commands, true
 }
 
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -14,149 +14,149 @@
 
 // TestNotes shows that every event of the decider's interface has a source.
 func TestNotes(t *testing.T) {
-	d := &scriptedDecider{orders: [][]planner.Order{
-		{planner.WakeAt{AtMs: 150, Name: "bell"}},
+	d := &scriptedDecider{orders: [][]planner.Command{
+		{planner.SetTimer{AtMs: 150, Name: "bell"}},
 		nil,
-		{planner.Mark{Number: 9, All: true}},
+		{planner.AckRequest{Number: 9, All: true}},
 	}}
 	edge := &fakeTransport{}
 	stream := &fakeTransport{}
 	c := NewCore(plan(d, edge))
 	c.Handle(0, nil)
-	c.Handle(100, []Input{listed(true, entry("x", 0), entry("y", 4000)), Join{stream, hello("p", "b")}})
+	c.Handle(100, []Input{listed(true, entry("x", 0), entry("y", 4000)), ProxyJoined{stream, hello("p", "b")}})
 	c.Handle(160, nil)
 	c.Handle(1200, []Input{
 		listed(false, entry("y", 4000)),
-		ListLost{},
-		Heard{3, "hi"},
-		Applied{stream, wire.Done{Mark: 9, TookMs: 2}},
-		Applied{stream, wire.Done{Mark: 9}}, // acknowledged before
-		Applied{stream, wire.Done{Mark: 8}}, // never sent
-		Probed{"x", "ok", 5, []wire.Figure{{Name: "util", Value: 0.5}}},
-		Reported{stream, &wire.Sums{
+		EndpointListLost{},
+		GossipReceived{3, "hi"},
+		Acked{stream, wire.Done{Mark: 9, TookMs: 2}},
+		Acked{stream, wire.Done{Mark: 9}}, // acknowledged before
+		Acked{stream, wire.Done{Mark: 8}}, // never sent
+		HealthChecked{"x", "ok", 5, []wire.Figure{{Name: "util", Value: 0.5}}},
+		LoadReported{stream, &wire.Sums{
 			Seq:    1,
 			SpanMs: 500,
 			Met:    []wire.Met{{Endpoint: "x", Tries: 4, Failed: 1, MeanMs: 20}, {Endpoint: "never listed", Tries: 1}},
 			Demand: []wire.Demand{{Kind: "book", Reqs: 5, Unanswered: 1}},
 		}},
 	})
-	c.Handle(2300, []Input{Leave{stream}, Leave{stream}})
-	assert.Equal(t, []planner.Note{
-		planner.Listing{Mode: planner.Whole, Version: 7, Entries: []planner.Entry{
+	c.Handle(2300, []Input{ProxyLeft{stream}, ProxyLeft{stream}})
+	assert.Equal(t, []planner.Event{
+		planner.EndpointUpdate{Mode: planner.Snapshot, Version: 7, Entries: []planner.Entry{
 			{Endpoint: 0, Zone: 1, Weight: 2},
 			{Endpoint: 1, Zone: 1, Weight: 2, Started: -900},
 		}},
-		planner.Joined{Proxy: 0, Zone: 1, Rate: 2, Fresh: true},
-		planner.Alarm{Name: "bell"},
-		planner.Listing{Mode: planner.Changes, Version: 7, Entries: []planner.Entry{
+		planner.ProxyJoined{Proxy: 0, Zone: 1, Rate: 2, Fresh: true},
+		planner.TimerFired{Name: "bell"},
+		planner.EndpointUpdate{Mode: planner.Delta, Version: 7, Entries: []planner.Entry{
 			{Endpoint: 1, Zone: 1, Weight: 2, Started: -900},
 		}},
-		planner.Listing{Mode: planner.ListFailed},
+		planner.EndpointUpdate{Mode: planner.UpdateFailed},
 		planner.Gossip{From: 3, Text: "hi"},
-		planner.Applied{Proxy: 0, Number: 9, TookMs: 2},
-		planner.Probed{Endpoint: 0, OK: true, Outcome: "ok", TookMs: 5, Load: planner.Load{"util": 0.5}},
-		planner.Met{Endpoint: 0, Zone: 1, Tries: 4, Failed: 1, MeanMs: 20, SpanMs: 500},
-		planner.Demand{Proxy: 0, Kind: 1, Reqs: 5, Unanswered: 1, SpanMs: 500},
-		planner.Left{Proxy: 0},
+		planner.Ack{Proxy: 0, Number: 9, TookMs: 2},
+		planner.HealthCheckResult{Endpoint: 0, OK: true, Outcome: "ok", TookMs: 5, Load: planner.Load{"util": 0.5}},
+		planner.EndpointStats{Endpoint: 0, Zone: 1, Attempts: 4, Failed: 1, MeanMs: 20, SpanMs: 500},
+		planner.RequestStats{Proxy: 0, Class: 1, Requests: 5, Unanswered: 1, SpanMs: 500},
+		planner.ProxyLeft{Proxy: 0},
 	}, d.notes)
 	assert.Equal(t, []string{"odd sums of an unknown endpoint"}, edge.calls)
 }
 
 // TestOrders shows what each command amounts to at a proxy or a transport.
 func TestOrders(t *testing.T) {
-	set := func(e int, w float64) planner.Order { return planner.SetLine{Table: 5, Endpoint: e, Weight: w} }
+	set := func(e int, w float64) planner.Command { return planner.SetWeight{Table: 5, Endpoint: e, Weight: w} }
 	setOp := func(e string, w float64) wire.Op {
 		return wire.Op{Kind: wire.OpSet, Table: 5, Endpoint: e, Weight: w}
 	}
 	bindOp := wire.Op{Kind: wire.OpBind, Table: 5, Kinds: 3}
 	out := func(e string) wire.Op { return wire.Op{Kind: wire.OpWithdraw, Endpoint: e, Out: true} }
-	bind := planner.Bind{Table: 5, Proxy: 0}
+	bind := planner.AssignTable{Table: 5, Proxy: 0}
 	for _, c := range []struct {
 		name   string
-		orders []planner.Order
+		orders []planner.Command
 		want   []wire.Op
 		calls  []string
 	}{
-		{"a table that nobody uses", []planner.Order{set(0, 1)}, nil, nil},
+		{"a table that nobody uses", []planner.Command{set(0, 1)}, nil, nil},
 		{
 			"a bind sends the whole table",
-			[]planner.Order{set(1, 2), set(0, 1), bind},
+			[]planner.Command{set(1, 2), set(0, 1), bind},
 			[]wire.Op{bindOp, setOp("x", 1), setOp("y", 2)},
 			nil,
 		},
-		{"a line after a bind", []planner.Order{bind, set(0, 1)}, []wire.Op{bindOp, setOp("x", 1)}, nil},
+		{"a line after a bind", []planner.Command{bind, set(0, 1)}, []wire.Op{bindOp, setOp("x", 1)}, nil},
 		{
 			"a line that goes",
-			[]planner.Order{set(0, 1), bind, set(0, 0)},
+			[]planner.Command{set(0, 1), bind, set(0, 0)},
 			[]wire.Op{bindOp, setOp("x", 1), setOp("x", 0)},
 			nil,
 		},
 		{
 			"a bind tells what is shut out",
-			[]planner.Order{set(1, 1), planner.Withdraw{Endpoint: 1, Out: true}, bind},
+			[]planner.Command{set(1, 1), planner.SetExcluded{Endpoint: 1, Excluded: true}, bind},
 			[]wire.Op{bindOp, setOp("y", 1), out("y")},
 			nil,
 		},
 		{
 			"a line of what is shut out",
-			[]planner.Order{bind, planner.Withdraw{Endpoint: 1, Out: true}, set(1, 1)},
+			[]planner.Command{bind, planner.SetExcluded{Endpoint: 1, Excluded: true}, set(1, 1)},
 			[]wire.Op{bindOp, setOp("y", 1), out("y")},
 			nil,
 		},
 		{
 			"withdrawn where the standing table holds it",
-			[]planner.Order{planner.Withdraw{Endpoint: 0, Out: true}},
+			[]planner.Command{planner.SetExcluded{Endpoint: 0, Excluded: true}},
 			[]wire.Op{out("x")},
 			nil,
 		},
-		{"withdrawn where nobody holds it", []planner.Order{planner.Withdraw{Endpoint: 1, Out: true}}, nil, nil},
+		{"withdrawn where nobody holds it", []planner.Command{planner.SetExcluded{Endpoint: 1, Excluded: true}}, nil, nil},
 		{
 			"a table cleared",
-			[]planner.Order{set(0, 1), bind, planner.ClearTable{Table: 5}, planner.Withdraw{Endpoint: 0, Out: true}},
+			[]planner.Command{set(0, 1), bind, planner.ClearTable{Table: 5}, planner.SetExcluded{Endpoint: 0, Excluded: true}},
 			[]wire.Op{bindOp, setOp("x", 1), {Kind: wire.OpClear, Table: 5}},
 			nil,
 		},
 		{
 			"levels",
-			[]planner.Order{planner.Admit{Table: 5, Kinds: 1, Level: 0.5, Again: 1}, bind},
+			[]planner.Command{planner.SetAdmission{Table: 5, Classes: 1, Level: 0.5, RetryMode: 1}, bind},
 			[]wire.Op{bindOp, {Kind: wire.OpAdmit, Table: 5, Kinds: 1, Weight: 0.5, Again: 1}},
 			nil,
 		},
 		{
 			"levels for all",
-			[]planner.Order{planner.Admit{Table: planner.EveryTable, Kinds: 1, Level: 0.5}},
+			[]planner.Command{planner.SetAdmission{Table: planner.EveryTable, Classes: 1, Level: 0.5}},
 			[]wire.Op{{Kind: wire.OpAdmit, Table: planner.EveryTable, Kinds: 1, Weight: 0.5}},
 			nil,
 		},
 		{
 			"a mark goes with a message",
-			[]planner.Order{planner.Withdraw{Endpoint: 0, Out: true}, planner.Mark{Number: 4}},
+			[]planner.Command{planner.SetExcluded{Endpoint: 0, Excluded: true}, planner.AckRequest{Number: 4}},
 			[]wire.Op{out("x"), {Kind: wire.OpMark, Number: 4}},
 			nil,
 		},
-		{"a mark without a message", []planner.Order{planner.Mark{Number: 4}}, nil, nil},
-		{"a mark for all", []planner.Order{planner.Mark{Number: 4, All: true}}, []wire.Op{{Kind: wire.OpMark, Number: 4}}, nil},
-		{"the edges", []planner.Order{
-			planner.Probe{Endpoint: 1},
-			planner.Tell{Peer: -1, Text: "t"},
-			planner.Watch{On: true},
-			planner.FetchList{},
+		{"a mark without a message", []planner.Command{planner.AckRequest{Number: 4}}, nil, nil},
+		{"a mark for all", []planner.Command{planner.AckRequest{Number: 4, All: true}}, []wire.Op{{Kind: wire.OpMark, Number: 4}}, nil},
+		{"the edges", []planner.Command{
+			planner.HealthCheck{Endpoint: 1},
+			planner.SendGossip{Peer: -1, Text: "t"},
+			planner.WatchEndpoints{On: true},
+			planner.FetchEndpoints{},
 			planner.Log{Text: "l"},
 		}, nil, []string{"probe y", "tell -1 t", "watch true", "fetch", "log l"}},
 		{
 			"a proxy that is not joined",
-			[]planner.Order{planner.Bind{Table: 5, Proxy: 2}},
+			[]planner.Command{planner.AssignTable{Table: 5, Proxy: 2}},
 			nil,
 			[]string{"odd bind of a proxy that has left"},
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := &scriptedDecider{orders: [][]planner.Order{nil, c.orders}}
+			d := &scriptedDecider{orders: [][]planner.Command{nil, c.orders}}
 			edge := &fakeTransport{}
 			stream := &fakeTransport{}
 			core := NewCore(plan(d, edge))
 			core.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0))})
-			core.Handle(1, []Input{Join{stream, hello("p", "a", "x", "unknown")}})
+			core.Handle(1, []Input{ProxyJoined{stream, hello("p", "a", "x", "unknown")}})
 			lines := core.Channel.Send(1)
 			var ops []wire.Op
 			for _, m := range stream.sent {
@@ -185,11 +185,11 @@
 				in := []Input{listed(i == 0, entry("x", 0), entry(fmt.Sprint("y", i%4), uint64(i%2)*4000))}
 				switch s {
 				case 1:
-					in = []Input{Join{stream, hello(fmt.Sprint("p", i%3), []string{"a", "b"}[i%2], "x")}}
+					in = []Input{ProxyJoined{stream, hello(fmt.Sprint("p", i%3), []string{"a", "b"}[i%2], "x")}}
 				case 2:
-					in = []Input{Leave{stream}}
+					in = []Input{ProxyLeft{stream}}
 				case 3:
-					in = []Input{Reported{stream, &wire.Sums{
+					in = []Input{LoadReported{stream, &wire.Sums{
 						Seq: uint64(i + 1), AtMs: now, SpanMs: 200,
 						Met: []wire.Met{{Endpoint: "x", Tries: 9, Failed: i % 9}},
 					}}}
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -37,7 +37,7 @@
 				e.Phase = wire.PhaseDraining
 				drained = append(drained, e)
 			}
-			before := f.core.Channel.MostSeen
+			before := f.core.Channel.MaxLines
 			f.handle(listed(false, drained...))
 			told := f.now
 			lastAt := map[string]float64{}
@@ -55,11 +55,11 @@
 			for _, at := range lastAt {
 				worst = max(worst, at-told)
 			}
-			t.Logf("worst drain %.0f ms, most lines %d (before %d), crowded %d", worst, f.core.Channel.MostSeen, before,
-				f.core.Channel.Crowded)
+			t.Logf("worst drain %.0f ms, most lines %d (before %d), crowded %d", worst, f.core.Channel.MaxLines, before,
+				f.core.Channel.MaxMessages)
 			assert.LessOrEqual(t, worst, grace)
-			assert.LessOrEqual(t, float64(f.core.Channel.MostSeen), c.backlog)
-			assert.LessOrEqual(t, f.core.Channel.Crowded, 30)
+			assert.LessOrEqual(t, float64(f.core.Channel.MaxLines), c.backlog)
+			assert.LessOrEqual(t, f.core.Channel.MaxMessages, 30)
 		})
 	}
 }
@@ -101,9 +101,9 @@
 			}
 		}
 	}
-	t.Logf("worst drain %.0f ms, most lines %d", worst, f.core.Channel.MostSeen)
+	t.Logf("worst drain %.0f ms, most lines %d", worst, f.core.Channel.MaxLines)
 	assert.LessOrEqual(t, worst, grace)
-	assert.LessOrEqual(t, f.core.Channel.MostSeen, 14000)
+	assert.LessOrEqual(t, f.core.Channel.MaxLines, 14000)
 }
 
 // TestWholeZoneDrained guards proxies against the drain of all endpoints of their zone at once, while one pilot has all
@@ -155,10 +155,10 @@
 					}
 				}
 			}
-			t.Logf("bare for %.0f ms, last drain after %.0f ms, most lines %d", worst, last, f.core.Channel.MostSeen)
+			t.Logf("bare for %.0f ms, last drain after %.0f ms, most lines %d", worst, last, f.core.Channel.MaxLines)
 			assert.LessOrEqual(t, worst, c.most)
 			assert.Equal(t, c.fails, last > 5000, "last drain after %.0f ms", last)
-			assert.LessOrEqual(t, float64(f.core.Channel.MostSeen), c.backlog)
+			assert.LessOrEqual(t, float64(f.core.Channel.MaxLines), c.backlog)
 		})
 	}
 }
@@ -195,9 +195,9 @@
 			}
 		}
 	}
-	t.Logf("last drain after %.0f ms, most lines %d", last, f.core.Channel.MostSeen)
+	t.Logf("last drain after %.0f ms, most lines %d", last, f.core.Channel.MaxLines)
 	assert.LessOrEqual(t, last, grace)
-	assert.LessOrEqual(t, float64(f.core.Channel.MostSeen), backlog)
+	assert.LessOrEqual(t, float64(f.core.Channel.MaxLines), backlog)
 }
 
 // TestDrainsToldToHerds guards drains against proxies that come after them with tables of a pilot that knew of none, in
@@ -234,9 +234,9 @@
 			}
 		}
 	}
-	t.Logf("worst drain %.0f ms, most lines %d", worst, f.core.Channel.MostSeen)
+	t.Logf("worst drain %.0f ms, most lines %d", worst, f.core.Channel.MaxLines)
 	assert.LessOrEqual(t, worst, grace)
-	assert.LessOrEqual(t, f.core.Channel.MostSeen, 14000)
+	assert.LessOrEqual(t, f.core.Channel.MaxLines, 14000)
 }
 
 // TestReleaseWithAllAtOnePilot guards drains where four of five pilots die in a release: all proxies come to one, whose
@@ -281,9 +281,9 @@
 		}
 		worst = max(worst, f.longestHeldMs(told, joined))
 	}
-	t.Logf("worst drain %.0f ms, most lines %d", worst, f.core.Channel.MostSeen)
+	t.Logf("worst drain %.0f ms, most lines %d", worst, f.core.Channel.MaxLines)
 	assert.LessOrEqual(t, worst, grace)
-	assert.LessOrEqual(t, f.core.Channel.MostSeen, backlog)
+	assert.LessOrEqual(t, f.core.Channel.MaxLines, backlog)
 }
 
 // TestDrainsWhileTablesStand guards drains of proxies that are left on what they stand with, as chance among so many is
@@ -317,10 +317,10 @@
 				}
 				worst = max(worst, f.longestHeldMs(told, nil))
 			}
-			t.Logf("worst drain %.0f ms, most lines %d", worst, f.core.Channel.MostSeen)
+			t.Logf("worst drain %.0f ms, most lines %d", worst, f.core.Channel.MaxLines)
 			assert.Len(t, told, c.drains)
 			assert.LessOrEqual(t, worst, grace)
-			assert.LessOrEqual(t, f.core.Channel.MostSeen, backlog)
+			assert.LessOrEqual(t, f.core.Channel.MaxLines, backlog)
 		})
 	}
 }
--- a/internal/controller/endpoints.go
+++ b/internal/controller/endpoints.go
@@ -96,7 +96,7 @@
 			return i
 		}
 	}
-	return r.names.In(e.Endpoint)
+	return r.names.Intern(e.Endpoint)
 }
 
 // startedMs returns an endpoint's start on our clock, 0 for the distant past. It is reckoned from the entry's age when
@@ -138,9 +138,9 @@
 }
 
 // applyList takes over entries of the list and returns them as the decider is to hear of them.
-func (c *Core) applyList(in Listed) planner.Note {
+func (c *Core) applyList(in EndpointsListed) planner.Event {
 	before := c.endpoints.beginUpdate(in.List, c.now)
-	update := planner.Listing{Mode: listMode(in), Version: in.List.Version}
+	update := planner.EndpointUpdate{Mode: listMode(in), Version: in.List.Version}
 	listed := map[int]bool{}
 	for _, e := range in.List.Entries {
 		entry, valid := c.applyEntry(e, before)
@@ -154,7 +154,7 @@
 		update.Entries = append(update.Entries, entry)
 	}
 	if c.plan.Relay != nil {
-		c.Believed.Listed = len(c.endpoints.listed)
+		c.ReportStats.Listed = len(c.endpoints.listed)
 		c.endpoints.retireUnlisted(c.now)
 	} else if in.List.Whole {
 		c.reports.removeUnlisted(c.now, listed)
@@ -163,14 +163,14 @@
 }
 
 // listMode returns how entries apply to the list held so far.
-func listMode(in Listed) planner.ListMode {
+func listMode(in EndpointsListed) planner.UpdateMode {
 	switch {
 	case !in.List.Whole:
-		return planner.Changes
-	case in.Remembered:
-		return planner.Remembered
+		return planner.Delta
+	case in.Cached:
+		return planner.Cached
 	default:
-		return planner.Whole
+		return planner.Snapshot
 	}
 }
 
@@ -182,7 +182,7 @@
 		c.reportMalformed(malformedEndpointZone, e.Endpoint, e.Zone)
 		return planner.Entry{}, false
 	}
-	if !planner.SoundWeight(e.Weight) {
+	if !planner.ValidWeight(e.Weight) {
 		c.reportMalformed(malformedEndpointWeight, e.Endpoint, fmt.Sprint(e.Weight))
 		e.Weight = before[e.Endpoint].Weight
 	}
@@ -191,7 +191,7 @@
 	return planner.Entry{
 		Endpoint: i,
 		Zone:     zone,
-		Machine:  c.machines.In(e.Machine),
+		Machine:  c.machines.Intern(e.Machine),
 		Cell:     e.Cell,
 		Phase:    planner.Phase(e.Phase),
 		Weight:   e.Weight,
--- a/internal/controller/endpoints_test.go
+++ b/internal/controller/endpoints_test.go
@@ -16,12 +16,12 @@
 	d := &scriptedDecider{}
 	c := NewCore(plan(d, &fakeTransport{}))
 	for i, at := range []uint64{5000, 6003, 9100} {
-		c.Handle(float64(i*1000), []Input{Listed{List: &wire.List{Now: at, Entries: []wire.Entry{entry("x", 4000)}}}})
+		c.Handle(float64(i*1000), []Input{EndpointsListed{List: &wire.List{Now: at, Entries: []wire.Entry{entry("x", 4000)}}}})
 	}
-	c.Handle(9000, []Input{Listed{List: &wire.List{Now: 9200, Entries: []wire.Entry{entry("x", 9100)}}}})
+	c.Handle(9000, []Input{EndpointsListed{List: &wire.List{Now: 9200, Entries: []wire.Entry{entry("x", 9100)}}}})
 	var starts []float64
 	for _, n := range d.notes {
-		listing, ok := n.(planner.Listing)
+		listing, ok := n.(planner.EndpointUpdate)
 		require.True(t, ok, "%T", n)
 		starts = append(starts, listing.Entries[0].Started)
 	}
@@ -40,7 +40,7 @@
 		"req_kinds":   []any{map[string]any{"payoff": 1.0}},
 	}
 	c, relay := newRelayCore(planner.New(1, terms))
-	c.Handle(0, []Input{Relayed{Proxy: 1, Zone: "a", Rate: 5, Fresh: true}})
+	c.Handle(0, []Input{RelayProxyJoined{Proxy: 1, Zone: "a", Rate: 5, Fresh: true}})
 	most, last := 0, ""
 	for g := range 500 {
 		l := &wire.List{Version: g, Whole: g%7 == 0, Now: uint64(1e9 + 5000*g)}
@@ -52,9 +52,9 @@
 			l.Entries = append(l.Entries,
 				wire.Entry{Endpoint: last, Zone: "a", Machine: "m", Weight: 1, Started: l.Now - 100})
 		}
-		c.Handle(float64(5000*g), []Input{Listed{List: l}})
+		c.Handle(float64(5000*g), []Input{EndpointsListed{List: l}})
 		for s := 1; s <= 4; s++ {
-			c.Handle(float64(5000*g+1000*s), []Input{ZoneMet{Zone: "a", Endpoint: last, Tries: 9, SpanMs: 1000}})
+			c.Handle(float64(5000*g+1000*s), []Input{ZoneStats{Zone: "a", Endpoint: last, Attempts: 9, SpanMs: 1000}})
 		}
 		if g == 100 {
 			most = c.endpoints.len()
@@ -66,6 +66,6 @@
 	assert.False(t, known, "the name of one long gone is forgotten")
 	assert.LessOrEqual(t, len(c.endpoints.retiredAtMs), most)
 	assert.True(t, relay.names[last], "a new endpoint under a used index is planned by its own name")
-	assert.Zero(t, c.Believed.Odd)
-	assert.Equal(t, 2000, c.Believed.Reports)
+	assert.Zero(t, c.ReportStats.Malformed)
+	assert.Equal(t, 2000, c.ReportStats.Reports)
 }
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -11,30 +11,30 @@
 const outcomeOK = "ok"
 
 // handleInput takes over what an input says and appends what the decider is to hear of it.
-func (c *Core) handleInput(events []planner.Note, in Input) []planner.Note {
+func (c *Core) handleInput(events []planner.Event, in Input) []planner.Event {
 	switch in := in.(type) {
-	case Join:
+	case ProxyJoined:
 		return c.join(events, in)
-	case Leave:
+	case ProxyLeft:
 		return c.leave(events, in)
-	case Reported: // in virtual time; on sockets the loop takes it in where it is read
+	case LoadReported: // in virtual time; on sockets the loop takes it in where it is read
 		c.Report(c.now, in.Stream, in.Sums)
-	case Applied:
+	case Acked:
 		return c.acknowledge(events, in)
-	case Listed:
+	case EndpointsListed:
 		return append(events, c.applyList(in))
-	case ListLost:
-		return append(events, planner.Listing{Mode: planner.ListFailed})
-	case SliceGiven:
+	case EndpointListLost:
+		return append(events, planner.EndpointUpdate{Mode: planner.UpdateFailed})
+	case SliceAssigned:
 		return c.assignSlice(events, in.Slices)
-	case Probed:
+	case HealthChecked:
 		return c.healthChecked(events, in)
-	case Heard:
+	case GossipReceived:
 		return append(events, planner.Gossip{From: in.From, Text: in.Text})
-	case Retermed:
-		c.changeSettings(in.Terms)
-	case Told:
-		c.acceptRecorded(in.Notes)
+	case SettingsChanged:
+		c.changeSettings(in.Settings)
+	case TelemetryBatch:
+		c.acceptRecorded(in.Events)
 	default:
 		return c.handleRelayInput(events, in)
 	}
@@ -42,7 +42,7 @@
 }
 
 // healthChecked appends the result of a health check, if its endpoint is known.
-func (c *Core) healthChecked(events []planner.Note, in Probed) []planner.Note {
+func (c *Core) healthChecked(events []planner.Event, in HealthChecked) []planner.Event {
 	endpoint, known := c.endpoints.find(in.Endpoint)
 	if !known {
 		return events
@@ -51,7 +51,7 @@
 	for _, f := range outOfRange {
 		c.reportMalformed(malformedLoadFigure, f.Name, fmt.Sprint(f.Value))
 	}
-	return append(events, planner.Probed{
+	return append(events, planner.HealthCheckResult{
 		Endpoint: endpoint, OK: in.Outcome == outcomeOK, Outcome: in.Outcome,
 		TookMs: in.TookMs, Load: load,
 	})
@@ -59,7 +59,7 @@
 
 // changeSettings puts changed settings into those of the decider, and into the channel's limits.
 func (c *Core) changeSettings(changed map[string]any) {
-	maps.Copy(c.plan.Terms, changed)
-	c.plan.Decider.Reconfigure(c.plan.Terms)
-	c.Channel.Reterm(changed)
+	maps.Copy(c.plan.Settings, changed)
+	c.plan.Decider.Reconfigure(c.plan.Settings)
+	c.Channel.Reconfigure(changed)
 }
--- a/internal/controller/exclusion.go
+++ b/internal/controller/exclusion.go
@@ -19,9 +19,9 @@
 
 // exclude shuts an endpoint out, or lets it in again, at the proxies that hold it, as far as this controller knows what
 // they hold.
-func (c *Core) exclude(o planner.Withdraw) {
-	c.excluded.set(o.Endpoint, o.Out)
-	op := wire.Op{Kind: wire.OpWithdraw, Endpoint: c.endpoints.name(o.Endpoint), Out: o.Out}
+func (c *Core) exclude(o planner.SetExcluded) {
+	c.excluded.set(o.Endpoint, o.Excluded)
+	op := wire.Op{Kind: wire.OpWithdraw, Endpoint: c.endpoints.name(o.Endpoint), Out: o.Excluded}
 	for _, s := range c.sessions.inOrder() {
 		if c.holds(s, o.Endpoint) {
 			c.outbox.add(s, op)
--- a/internal/controller/exclusion_test.go
+++ b/internal/controller/exclusion_test.go
@@ -13,27 +13,27 @@
 // TestWithdrawnAtAll guards an exclusion against passing over any of the proxies that hold the endpoint: by a table of
 // this controller, by what they held when they joined, or by both.
 func TestWithdrawnAtAll(t *testing.T) {
-	bind := func(proxy int) planner.Order { return planner.Bind{Table: 5, Proxy: proxy, Kinds: 1} }
-	d := &scriptedDecider{orders: [][]planner.Order{
+	bind := func(proxy int) planner.Command { return planner.AssignTable{Table: 5, Proxy: proxy, Classes: 1} }
+	d := &scriptedDecider{orders: [][]planner.Command{
 		nil,
 		nil,
-		{planner.SetLine{Table: 5, Endpoint: 0, Weight: 1}, bind(0), bind(1)},
-		{planner.Withdraw{Endpoint: 0, Out: true}},
-		{planner.Withdraw{Endpoint: 0}},
+		{planner.SetWeight{Table: 5, Endpoint: 0, Weight: 1}, bind(0), bind(1)},
+		{planner.SetExcluded{Endpoint: 0, Excluded: true}},
+		{planner.SetExcluded{Endpoint: 0}},
 	}}
 	p := plan(d, &fakeTransport{})
-	p.MostProxies = 5
+	p.MaxProxies = 5
 	c := NewCore(p)
 	c.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0))})
 	var streams []*fakeTransport
 	var joins []Input
 	for i, holds := range [][]string{{"x"}, {"y"}, {"x", "y"}, {"y"}, {"x"}} {
 		streams = append(streams, &fakeTransport{})
-		joins = append(joins, Join{streams[i], hello(fmt.Sprint("p", i), "a", holds...)})
+		joins = append(joins, ProxyJoined{streams[i], hello(fmt.Sprint("p", i), "a", holds...)})
 	}
 	c.Handle(1, joins)
 	for step, out := range []bool{false, true, false} {
-		c.Handle(float64(2+step), []Input{Heard{1, "next"}})
+		c.Handle(float64(2+step), []Input{GossipReceived{1, "next"}})
 		c.Channel.Send(float64(2 + step))
 		for i, s := range streams {
 			told := 0
--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -11,12 +11,12 @@
 
 // scriptedDecider returns one scripted list of commands a call and keeps the events and times that it was given.
 type scriptedDecider struct {
-	orders [][]planner.Order
-	notes  []planner.Note
+	orders [][]planner.Command
+	notes  []planner.Event
 	times  []float64
 }
 
-func (s *scriptedDecider) Handle(nowMs float64, notes []planner.Note) []planner.Order {
+func (s *scriptedDecider) Handle(nowMs float64, notes []planner.Event) []planner.Command {
 	s.notes = append(s.notes, notes...)
 	s.times = append(s.times, nowMs)
 	if len(s.orders) == 0 {
@@ -59,22 +59,22 @@
 }
 
 // plan returns a plan whose transports are all one fake.
-func plan(d Decider, edge *fakeTransport) Plan {
-	return Plan{
+func plan(d Decider, edge *fakeTransport) Options {
+	return Options{
 		Decider:        d,
-		Terms:          map[string]any{"slices": 16.0},
+		Settings:       map[string]any{"slices": 16.0},
 		Zones:          []string{"a", "b"},
 		Machines:       []string{"std"},
-		Kinds:          []string{"read", "book"},
+		Classes:        []string{"read", "book"},
 		HeadLines:      4,
 		MessagesOverMs: 10000,
-		Intake:         telemetry.Terms{PeriodMs: 1000, HalfMs: 1e9, LongestMs: 60000},
-		MostProxies:    3,
-		List:           edge,
-		Prober:         edge,
-		Peers:          edge,
+		Telemetry:      telemetry.Options{PeriodMs: 1000, HalfMs: 1e9, LongestMs: 60000},
+		MaxProxies:     3,
+		EndpointSource: edge,
+		HealthChecker:  edge,
+		Gossip:         edge,
 		Log:            func(t string) { edge.calls = append(edge.calls, "log "+t) },
-		Odd:            func(what string, _ ...string) { edge.calls = append(edge.calls, "odd "+what) },
+		Malformed:      func(what string, _ ...string) { edge.calls = append(edge.calls, "odd "+what) },
 	}
 }
 
@@ -84,8 +84,8 @@
 }
 
 // listed returns entries of a list whose clock stands at 5000 ms.
-func listed(whole bool, entries ...wire.Entry) Listed {
-	return Listed{List: &wire.List{Version: 7, Now: 5000, Whole: whole, Entries: entries}}
+func listed(whole bool, entries ...wire.Entry) EndpointsListed {
+	return EndpointsListed{List: &wire.List{Version: 7, Now: 5000, Whole: whole, Entries: entries}}
 }
 
 // entry returns an endpoint of zone b that started at a time of the list's clock.
@@ -95,11 +95,11 @@
 
 // oneTurnDecider keeps the events that it was given and returns its commands once.
 type oneTurnDecider struct {
-	notes  []planner.Note
-	orders []planner.Order
+	notes  []planner.Event
+	orders []planner.Command
 }
 
-func (s *oneTurnDecider) Handle(_ float64, notes []planner.Note) []planner.Order {
+func (s *oneTurnDecider) Handle(_ float64, notes []planner.Event) []planner.Command {
 	s.notes = append(s.notes, notes...)
 	o := s.orders
 	s.orders = nil
@@ -116,10 +116,10 @@
 	names  map[string]bool
 }
 
-func (c *recordingRelay) Carry(turn []planner.Order, endpoint func(int) string) {
+func (c *recordingRelay) Carry(turn []planner.Command, endpoint func(int) string) {
 	c.orders += len(turn)
 	for _, o := range turn {
-		if l, ok := o.(planner.SetLine); ok {
+		if l, ok := o.(planner.SetWeight); ok {
 			c.names[endpoint(l.Endpoint)] = true
 		}
 	}
@@ -129,15 +129,15 @@
 // newRelayCore returns a core whose streams a relay holds.
 func newRelayCore(d Decider) (*Core, *recordingRelay) {
 	relay := &recordingRelay{names: map[string]bool{}}
-	return NewCore(Plan{
-		Decider:     d,
-		Terms:       map[string]any{},
-		Zones:       []string{"a", "b"},
-		Machines:    []string{"m"},
-		Kinds:       []string{"read"},
-		MostProxies: 10,
-		Relay:       relay,
-		Log:         func(string) {},
-		Odd:         func(string, ...string) {},
+	return NewCore(Options{
+		Decider:    d,
+		Settings:   map[string]any{},
+		Zones:      []string{"a", "b"},
+		Machines:   []string{"m"},
+		Classes:    []string{"read"},
+		MaxProxies: 10,
+		Relay:      relay,
+		Log:        func(string) {},
+		Malformed:  func(string, ...string) {},
 	}), relay
 }
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -38,7 +38,7 @@
 		for _, n := range v.follow.Apply(m.Ops) {
 			v.fleet.after(v.fleet.delayMs, func() {
 				if !v.fleet.dropAcks {
-					v.fleet.handle(Applied{v, wire.Done{Mark: n, TookMs: 2 * v.fleet.delayMs}})
+					v.fleet.handle(Acked{v, wire.Done{Mark: n, TookMs: 2 * v.fleet.delayMs}})
 				}
 			})
 		}
@@ -119,24 +119,24 @@
 		c(terms)
 	}
 	f := &fleet{delayMs: 275}
-	f.core = NewCore(Plan{
+	f.core = NewCore(Options{
 		Decider:        planner.New(1, terms),
-		Terms:          terms,
+		Settings:       terms,
 		Zones:          zones,
 		Machines:       []string{"std"},
-		Kinds:          []string{"read"},
+		Classes:        []string{"read"},
 		LinesPerS:      pace,
 		Backlog:        backlog,
 		HeadLines:      3,
-		MessagesMost:   30,
+		MaxMessages:    30,
 		MessagesOverMs: 10000,
-		Intake:         telemetry.Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000},
-		MostProxies:    1 << 16,
-		List:           &fakeTransport{},
-		Prober:         &fakeTransport{},
-		Peers:          &fakeTransport{},
+		Telemetry:      telemetry.Options{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000},
+		MaxProxies:     1 << 16,
+		EndpointSource: &fakeTransport{},
+		HealthChecker:  &fakeTransport{},
+		Gossip:         &fakeTransport{},
 		Log:            func(string) {},
-		Odd:            func(string, ...string) {},
+		Malformed:      func(string, ...string) {},
 	})
 	var entries []wire.Entry
 	for i := range endpoints {
@@ -159,9 +159,9 @@
 				holds = append(holds, e.Endpoint)
 			}
 		}
-		v.follow = routing.NewFollower(routing.Habits{Kinds: []string{"read"}}, holds, 1)
+		v.follow = routing.NewFollower(routing.Policy{Kinds: []string{"read"}}, holds, 1)
 		v.follow.Joined()
-		f.handle(Join{v, wire.Hello{Proxy: v.name, Zone: v.zone, Rate: 2, Holds: holds}})
+		f.handle(ProxyJoined{v, wire.Hello{Proxy: v.name, Zone: v.zone, Rate: 2, Holds: holds}})
 	}
 }
 
--- a/internal/controller/loadreport.go
+++ b/internal/controller/loadreport.go
@@ -13,7 +13,7 @@
 	}
 	load = make(planner.Load, len(figures))
 	for _, f := range figures {
-		if !planner.Sound(f.Value) {
+		if !planner.ValidRate(f.Value) {
 			outOfRange = append(outOfRange, f)
 			continue
 		}
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -68,7 +68,7 @@
 	Listed bool `json:"Listed"`
 
 	// Believed counts the reports that were taken in.
-	Believed Believed `json:"Believed"`
+	ReportStats ReportStats `json:"Believed"`
 
 	// LastTurn is when the last turn ended.
 	LastTurn time.Time `json:"LastTurn"`
@@ -79,15 +79,15 @@
 	return &Loop{core: core, clock: clock, inbox: make(chan Input, inboxSize), log: log, start: clock.Now()}
 }
 
-// GoOn has the loop's time begin at a moment of a core that was recovered. It is called before Run.
-func (l *Loop) GoOn(atMs float64) {
+// ResumeAt has the loop's time begin at a moment of a core that was recovered. It is called before Run.
+func (l *Loop) ResumeAt(atMs float64) {
 	l.start = l.clock.Now().Add(-time.Duration(atMs * float64(time.Millisecond)))
 }
 
 // Post hands an input to the loop. It waits while the inbox is full, so a source that brings too much is slowed by
 // its own connection; it ends with ctx. Reports don't pass the inbox: they are taken in where they are read.
 func (l *Loop) Post(ctx context.Context, in Input) error {
-	if r, ok := in.(Reported); ok {
+	if r, ok := in.(LoadReported); ok {
 		l.core.Report(l.nowMs(), r.Stream, r.Sums)
 		return nil
 	}
@@ -132,7 +132,7 @@
 	now := l.nowMs()
 	if len(inputs) > 0 || l.core.Due() <= now || l.State().Turns == 0 {
 		l.core.Handle(now, inputs)
-		l.core.plan.Meter.setInputs(len(inputs))
+		l.core.plan.Metrics.setInputs(len(inputs))
 	}
 	l.core.Channel.Send(l.nowMs())
 	l.publish(inputs)
@@ -176,15 +176,15 @@
 	l.state.Proxies = l.core.sessions.len() + len(l.core.relayed.joined)
 	l.state.Endpoints = l.core.endpoints.len()
 	l.state.Lines = l.core.Channel.waitingLines
-	l.state.MostLines = l.core.Channel.MostSeen
-	l.state.MostMessages = l.core.Channel.Crowded
+	l.state.MostLines = l.core.Channel.MaxLines
+	l.state.MostMessages = l.core.Channel.MaxMessages
 	if l.core.plan.Relay == nil {
 		l.state.Standing, l.state.MostStanding, l.state.Refused = l.core.reports.stats()
 	}
-	l.state.Believed = l.core.Believed
+	l.state.ReportStats = l.core.ReportStats
 	l.state.LastTurn = l.clock.Now()
 	for _, in := range inputs {
-		if _, ok := in.(Listed); ok {
+		if _, ok := in.(EndpointsListed); ok {
 			l.state.Listed = true
 		}
 	}
--- a/internal/controller/loop_test.go
+++ b/internal/controller/loop_test.go
@@ -16,13 +16,13 @@
 // TestLoop drives the loop in the test's bubble of time: it starts by itself, wakes for alarms and ends when asked.
 func TestLoop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d, stream := &scriptedDecider{orders: [][]planner.Order{{planner.WakeAt{AtMs: 2500, Name: "bell"}}}}, &fakeTransport{}
+		d, stream := &scriptedDecider{orders: [][]planner.Command{{planner.SetTimer{AtMs: 2500, Name: "bell"}}}}, &fakeTransport{}
 		l := NewLoop(NewCore(plan(d, &fakeTransport{})), RealClock{}, zap.NewNop())
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- l.Run(ctx) }()
 		time.Sleep(time.Second)
-		require.NoError(t, l.Post(ctx, Join{stream, hello("p", "a")}))
+		require.NoError(t, l.Post(ctx, ProxyJoined{stream, hello("p", "a")}))
 		time.Sleep(2 * time.Second)
 		synctest.Wait() // the loop is idle: what it wrote may be read
 		assert.Equal(t, []float64{0, 1000, 2500}, d.times)
@@ -30,8 +30,8 @@
 		cancel()
 		assert.NoError(t, <-ended)
 		for range inboxSize {
-			require.NoError(t, l.Post(t.Context(), ListLost{}))
+			require.NoError(t, l.Post(t.Context(), EndpointListLost{}))
 		}
-		assert.ErrorIs(t, l.Post(ctx, ListLost{}), context.Canceled) // full, and nobody takes from it
+		assert.ErrorIs(t, l.Post(ctx, EndpointListLost{}), context.Canceled) // full, and nobody takes from it
 	})
 }
--- a/internal/controller/malformed.go
+++ b/internal/controller/malformed.go
@@ -28,7 +28,7 @@
 
 // reportMalformed counts and logs something that could not be used. fields name what it was about.
 func (c *Core) reportMalformed(reason malformedReason, fields ...string) {
-	c.Believed.Odd++
-	c.plan.Meter.malformedInput(string(reason))
-	c.plan.Odd(string(reason), fields...)
+	c.ReportStats.Malformed++
+	c.plan.Metrics.malformedInput(string(reason))
+	c.plan.Malformed(string(reason), fields...)
 }
--- a/internal/controller/malformed_test.go
+++ b/internal/controller/malformed_test.go
@@ -28,7 +28,7 @@
 	huge, nan, inf := 1e308, math.NaN(), math.Inf(1)
 	met := func(change func(s *wire.Sums, m *wire.Met)) func(*fleet, *fakeTransport) {
 		return func(f *fleet, bad *fakeTransport) {
-			f.handle(Join{bad, wire.Hello{Proxy: "bad", Zone: "a", Rate: 2}})
+			f.handle(ProxyJoined{bad, wire.Hello{Proxy: "bad", Zone: "a", Rate: 2}})
 			for i := range 6 {
 				s := &wire.Sums{Seq: uint64(i + 1), AtMs: f.now, SpanMs: 1000}
 				for e := range 9 {
@@ -36,7 +36,7 @@
 					change(s, &m)
 					s.Met = append(s.Met, m)
 				}
-				f.handle(Reported{bad, s})
+				f.handle(LoadReported{bad, s})
 				f.until(f.now + 1000)
 			}
 		}
@@ -45,7 +45,9 @@
 		return met(func(_ *wire.Sums, m *wire.Met) { m.Load = []wire.Figure{{Name: name, Value: v}} })
 	}
 	rate := func(v float64) func(*fleet, *fakeTransport) {
-		return func(f *fleet, bad *fakeTransport) { f.handle(Join{bad, wire.Hello{Proxy: "bad", Zone: "a", Rate: v}}) }
+		return func(f *fleet, bad *fakeTransport) {
+			f.handle(ProxyJoined{bad, wire.Hello{Proxy: "bad", Zone: "a", Rate: v}})
+		}
 	}
 	list := func(change func(e *wire.Entry)) func(*fleet, *fakeTransport) {
 		return func(f *fleet, _ *fakeTransport) {
@@ -77,19 +79,19 @@
 		"start just past":  list(func(e *wire.Entry) { e.Started = 1 }),
 		"cell at end":      list(func(e *wire.Entry) { e.Cell = math.MaxInt32 }),
 		"probe's load": func(f *fleet, _ *fakeTransport) {
-			f.handle(Probed{"e1", "ok", huge, []wire.Figure{{Name: "util", Value: inf}}})
+			f.handle(HealthChecked{"e1", "ok", huge, []wire.Figure{{Name: "util", Value: inf}}})
 		},
 		"marks that never were": func(f *fleet, bad *fakeTransport) {
-			f.handle(Join{bad, wire.Hello{Proxy: "bad", Zone: "a", Rate: 2}})
+			f.handle(ProxyJoined{bad, wire.Hello{Proxy: "bad", Zone: "a", Rate: 2}})
 			for n := range 70000 {
-				f.handle(Applied{bad, wire.Done{Mark: n}})
+				f.handle(Acked{bad, wire.Done{Mark: n}})
 			}
 		},
 		"a slice where there are none": func(f *fleet, _ *fakeTransport) {
 			for n := range 3 {
-				f.handle(SliceGiven{&wire.Slices{Slice: n, Given: true}})
+				f.handle(SliceAssigned{&wire.Slices{Slice: n, Given: true}})
 			}
-			f.handle(SliceGiven{&wire.Slices{Slice: wire.EveryTable, Given: true}})
+			f.handle(SliceAssigned{&wire.Slices{Slice: wire.EveryTable, Given: true}})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -105,7 +107,7 @@
 			before := len(good[0].got)
 			f.until(f.now + 12000)
 			assert.GreaterOrEqual(t, len(good[0].got), before)
-			assert.LessOrEqual(t, f.core.Channel.MostSeen, 1500)
+			assert.LessOrEqual(t, f.core.Channel.MaxLines, 1500)
 			for _, v := range good {
 				for _, m := range v.got {
 					for _, op := range m.Ops {
@@ -137,6 +139,6 @@
 	for _, v := range some {
 		plain := &v.fleetProxy
 		f.join([]*fleetProxy{plain}, entries) // makes its follower
-		f.handle(Leave{plain}, Join{v, wire.Hello{Proxy: v.name, Zone: v.zone, Rate: 2, Fresh: true}})
+		f.handle(ProxyLeft{plain}, ProxyJoined{v, wire.Hello{Proxy: v.name, Zone: v.zone, Rate: 2, Fresh: true}})
 	}
 }
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -14,8 +14,8 @@
 // metricsNamespace is the first part of each metric's name.
 const metricsNamespace = "indigousher"
 
-// Meter holds the runtime's metrics. A nil Meter counts nothing.
-type Meter struct {
+// Metrics holds the runtime's metrics. A nil Meter counts nothing.
+type Metrics struct {
 	// Proxies and the loop.
 	proxiesJoined prometheus.Gauge
 	turnInputs    prometheus.Gauge
@@ -42,10 +42,10 @@
 	DecideTime time.Duration
 }
 
-// NewMeter registers the metrics.
-func NewMeter(r prometheus.Registerer) *Meter {
+// NewMetrics registers the metrics.
+func NewMetrics(r prometheus.Registerer) *Metrics {
 	f := metricFactory{r}
-	return &Meter{
+	return &Metrics{
 		proxiesJoined:   f.gauge("proxies_joined", "Proxies with a stream to this pilot."),
 		waitingLines:    f.gauge("channel_lines", "Lines that wait in the channel, heads included."),
 		backlogFraction: f.gauge("channel_backlog_part", "Waiting lines as a part of the backlog's limit."),
@@ -100,21 +100,21 @@
 }
 
 // setProxies shows how many proxies have a stream.
-func (m *Meter) setProxies(n int) {
+func (m *Metrics) setProxies(n int) {
 	if m != nil {
 		m.proxiesJoined.Set(float64(n))
 	}
 }
 
 // setInputs shows how many inputs the last turn handled.
-func (m *Meter) setInputs(inputs int) {
+func (m *Metrics) setInputs(inputs int) {
 	if m != nil {
 		m.turnInputs.Set(float64(inputs))
 	}
 }
 
 // setWaiting shows the lines that wait in the channel, also as a part of the backlog limit if there is one.
-func (m *Meter) setWaiting(lines int, backlog float64) {
+func (m *Metrics) setWaiting(lines int, backlog float64) {
 	if m == nil {
 		return
 	}
@@ -125,7 +125,7 @@
 }
 
 // messageSent counts a message that left the channel; recent is how many left to its proxy lately, limit how many may.
-func (m *Meter) messageSent(o *wire.Orders, recent, limit int) {
+func (m *Metrics) messageSent(o *wire.Orders, recent, limit int) {
 	if m == nil {
 		return
 	}
@@ -139,7 +139,7 @@
 
 // setIntake shows what became of report lines. counts are those since the start, by reason; waiting is how many sums
 // are left to be passed on.
-func (m *Meter) setIntake(counts []uint64, waiting int, ages *hdrhistogram.Histogram) {
+func (m *Metrics) setIntake(counts []uint64, waiting int, ages *hdrhistogram.Histogram) {
 	if m == nil {
 		return
 	}
@@ -156,21 +156,21 @@
 }
 
 // malformedInput counts an input that could not be used.
-func (m *Meter) malformedInput(reason string) {
+func (m *Metrics) malformedInput(reason string) {
 	if m != nil {
 		m.malformed.WithLabelValues(reason).Inc()
 	}
 }
 
 // streamClosed counts a stream that this controller ended.
-func (m *Meter) streamClosed(reason string) {
+func (m *Metrics) streamClosed(reason string) {
 	if m != nil {
 		m.closedStreams.WithLabelValues(reason).Inc()
 	}
 }
 
 // timeDecider calls the decider and measures it.
-func (m *Meter) timeDecider(decide func() []planner.Order) []planner.Order {
+func (m *Metrics) timeDecider(decide func() []planner.Command) []planner.Command {
 	if m == nil {
 		return decide()
 	}
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -27,7 +27,7 @@
 func (o *outbox) flush(nowMs float64, channel *Channel) {
 	slices.SortFunc(o.touched, func(a, b *session) int { return a.proxy - b.proxy })
 	for _, s := range o.touched {
-		channel.Put(nowMs, s, s.pending)
+		channel.Enqueue(nowMs, s, s.pending)
 		s.pending = nil
 	}
 	o.touched = o.touched[:0]
--- a/internal/controller/recorded.go
+++ b/internal/controller/recorded.go
@@ -3,7 +3,7 @@
 import "indigousher/planner"
 
 // acceptRecorded keeps recorded telemetry for this turn; the decider hears of it where live telemetry would stand.
-func (c *Core) acceptRecorded(telemetry []planner.Note) {
+func (c *Core) acceptRecorded(telemetry []planner.Event) {
 	for _, event := range telemetry {
 		if c.validRecordedEvent(event) {
 			c.recorded = append(c.recorded, event)
@@ -15,28 +15,28 @@
 
 // validRecordedEvent returns whether a recorded event names what there is, in figures that the intake would have
 // passed on. The decider takes any index for one that it may use.
-func (c *Core) validRecordedEvent(event planner.Note) bool {
+func (c *Core) validRecordedEvent(event planner.Event) bool {
 	switch event := event.(type) {
-	case planner.Met:
+	case planner.EndpointStats:
 		return c.validRecordedMet(event)
-	case planner.Demand:
-		return validIndex(event.Proxy, c.proxies.Len()) && validIndex(event.Kind, c.kinds.Len()) &&
-			event.Reqs >= 0 && planner.Sound(event.SpanMs)
-	case planner.SliceDemand:
-		return validIndex(event.Kind, c.kinds.Len()) && event.Reqs >= 0 && planner.Sound(event.SpanMs)
+	case planner.RequestStats:
+		return validIndex(event.Proxy, c.proxies.Len()) && validIndex(event.Class, c.kinds.Len()) &&
+			event.Requests >= 0 && planner.ValidRate(event.SpanMs)
+	case planner.SliceStats:
+		return validIndex(event.Class, c.kinds.Len()) && event.Requests >= 0 && planner.ValidRate(event.SpanMs)
 	}
 	return false
 }
 
 // validRecordedMet returns whether the recorded statistics of an endpoint may be used.
-func (c *Core) validRecordedMet(met planner.Met) bool {
+func (c *Core) validRecordedMet(met planner.EndpointStats) bool {
 	for _, figure := range met.Load {
-		if !planner.Sound(figure) {
+		if !planner.ValidRate(figure) {
 			return false
 		}
 	}
 	return validIndex(met.Endpoint, c.endpoints.len()) && validIndex(met.Zone, c.zones.Len()) &&
-		met.Failed >= 0 && met.Tries >= met.Failed && planner.Sound(met.MeanMs) && planner.Sound(met.SpanMs)
+		met.Failed >= 0 && met.Attempts >= met.Failed && planner.ValidRate(met.MeanMs) && planner.ValidRate(met.SpanMs)
 }
 
 // validIndex returns whether i is an index into n things.
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -9,8 +9,8 @@
 
 // relayedProxies are the proxies whose streams a relay holds, and what the turn under way commands them.
 type relayedProxies struct {
-	joined   map[int]bool    // by number
-	commands []planner.Order // of this turn
+	joined   map[int]bool      // by number
+	commands []planner.Command // of this turn
 }
 
 // newRelayedProxies returns a set that no proxy has joined.
@@ -21,34 +21,34 @@
 	if len(r.commands) == 0 {
 		return
 	}
-	relay.Carry(r.commands, endpoints.name)
+	relay.Enqueue(r.commands, endpoints.name)
 	clear(r.commands)
 	r.commands = r.commands[:0]
 }
 
 // handleRelayInput takes over what an input says of relayed proxies and appends what the decider is to hear of it.
-func (c *Core) handleRelayInput(events []planner.Note, in Input) []planner.Note {
+func (c *Core) handleRelayInput(events []planner.Event, in Input) []planner.Event {
 	switch in := in.(type) {
-	case Relayed:
+	case RelayProxyJoined:
 		return c.joinRelayed(events, in)
-	case Unrelayed:
+	case RelayProxyLeft:
 		return c.leaveRelayed(events, in.Proxy)
-	case RelayApplied:
+	case RelayAck:
 		if c.relayed.joined[in.Proxy] {
-			return append(events, planner.Applied{Proxy: in.Proxy, Number: in.Mark, TookMs: in.TookMs})
+			return append(events, planner.Ack{Proxy: in.Proxy, Number: in.Mark, TookMs: in.TookMs})
 		}
 	case RelayStalled:
-		return append(events, planner.Stalled{ForMs: in.ForMs, Again: in.Again, Joined: in.Joined})
-	case ZoneMet:
+		return append(events, planner.ChannelStalled{ForMs: in.ForMs, Repeated: in.Repeated, Merged: in.Merged})
+	case ZoneStats:
 		return c.zoneMet(events, in)
-	case ProxyDemand:
+	case ProxyStats:
 		return c.proxyDemand(events, in)
 	}
 	return events
 }
 
 // zoneMet appends what the proxies of a zone met at an endpoint.
-func (c *Core) zoneMet(events []planner.Note, in ZoneMet) []planner.Note {
+func (c *Core) zoneMet(events []planner.Event, in ZoneStats) []planner.Event {
 	zone, zoneKnown := c.zones.Find(in.Zone)
 	endpoint, endpointKnown := c.endpoints.find(in.Endpoint)
 	if !zoneKnown || !endpointKnown {
@@ -56,73 +56,73 @@
 		return events
 	}
 	c.countRelayedReport(in.SpanMs)
-	return append(events, planner.Met{
-		Endpoint: endpoint, Zone: zone, Tries: in.Tries, Failed: in.Failed,
-		MeanMs: in.MeanMs, SpanMs: in.SpanMs, Load: settings.Load(in.Load),
+	return append(events, planner.EndpointStats{
+		Endpoint: endpoint, Zone: zone, Attempts: in.Attempts, Failed: in.Failed,
+		MeanMs: in.MeanMs, SpanMs: in.SpanMs, Load: settings.ParseLoad(in.Load),
 	})
 }
 
 // proxyDemand appends the requests of a kind that came to a proxy.
-func (c *Core) proxyDemand(events []planner.Note, in ProxyDemand) []planner.Note {
-	kind, known := c.kinds.Find(in.Kind)
+func (c *Core) proxyDemand(events []planner.Event, in ProxyStats) []planner.Event {
+	kind, known := c.kinds.Find(in.Class)
 	if !known || !c.validProxy(in.Proxy) {
 		c.reportMalformed(malformedRelayedDemand)
 		return events
 	}
 	c.countRelayedReport(in.SpanMs)
-	return append(events, planner.Demand{
-		Proxy: in.Proxy, Kind: kind, Reqs: in.Reqs, Unanswered: in.Unanswered,
+	return append(events, planner.RequestStats{
+		Proxy: in.Proxy, Class: kind, Requests: in.Requests, Unanswered: in.Unanswered,
 		SpanMs: in.SpanMs,
 	})
 }
 
 // countRelayedReport counts a report that came summed up.
 func (c *Core) countRelayedReport(spanMs float64) {
-	c.Believed.Reports++
-	c.Believed.SpanMs += spanMs
+	c.ReportStats.Reports++
+	c.ReportStats.SpanMs += spanMs
 }
 
 // validProxy returns whether the deployment has a proxy of that number.
-func (c *Core) validProxy(proxy int) bool { return validIndex(proxy, c.plan.MostProxies) }
+func (c *Core) validProxy(proxy int) bool { return validIndex(proxy, c.plan.MaxProxies) }
 
 // joinRelayed takes in a proxy. One that had joined before has left in between, unless it is said to have stood.
-func (c *Core) joinRelayed(events []planner.Note, in Relayed) []planner.Note {
+func (c *Core) joinRelayed(events []planner.Event, in RelayProxyJoined) []planner.Event {
 	zone, known := c.zones.Find(in.Zone)
-	if !known || !c.validProxy(in.Proxy) || !planner.Sound(in.Rate) {
+	if !known || !c.validProxy(in.Proxy) || !planner.ValidRate(in.Rate) {
 		c.reportMalformed(malformedRelayedProxy, fmt.Sprint(in.Proxy), in.Zone)
 		return events
 	}
-	stood := in.Stood && c.relayed.joined[in.Proxy]
+	stood := in.Resumed && c.relayed.joined[in.Proxy]
 	if !stood {
 		events = c.leaveRelayed(events, in.Proxy)
 	}
 	c.relayed.joined[in.Proxy] = true
-	return append(events, planner.Joined{Proxy: in.Proxy, Zone: zone, Rate: in.Rate, Fresh: in.Fresh, Stood: stood})
+	return append(events, planner.ProxyJoined{Proxy: in.Proxy, Zone: zone, Rate: in.Rate, Fresh: in.Fresh, Resumed: stood})
 }
 
 // leaveRelayed appends that a proxy has left, if it had joined. What waits for it at the relay is void.
-func (c *Core) leaveRelayed(events []planner.Note, proxy int) []planner.Note {
+func (c *Core) leaveRelayed(events []planner.Event, proxy int) []planner.Event {
 	if !c.relayed.joined[proxy] {
 		return events
 	}
 	delete(c.relayed.joined, proxy)
-	c.plan.Relay.Gone(proxy)
-	return append(events, planner.Left{Proxy: proxy})
+	c.plan.Relay.ProxyLeft(proxy)
+	return append(events, planner.ProxyLeft{Proxy: proxy})
 }
 
 // forwardToRelay collects a command for the relay, if that is where it goes, and returns whether it does. A bind of a
 // proxy that has left goes nowhere.
-func (c *Core) forwardToRelay(command planner.Order) bool {
+func (c *Core) forwardToRelay(command planner.Command) bool {
 	if c.plan.Relay == nil {
 		return false
 	}
 	switch command := command.(type) {
-	case planner.Bind:
+	case planner.AssignTable:
 		if !c.relayed.joined[command.Proxy] {
 			c.reportMalformed(malformedBindOfLeftProxy, fmt.Sprint(command.Proxy))
 			return true
 		}
-	case planner.SetLine, planner.ClearTable, planner.Withdraw, planner.Admit, planner.Mark:
+	case planner.SetWeight, planner.ClearTable, planner.SetExcluded, planner.SetAdmission, planner.AckRequest:
 	default:
 		return false
 	}
--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -23,10 +23,10 @@
 
 // The intake holds load reports as they came on the wire.
 type (
-	reportIntake = telemetry.Intake[[]wire.Figure]
+	reportIntake = telemetry.Aggregator[[]wire.Figure]
 	report       = telemetry.Report[[]wire.Figure]
 	reportLine   = telemetry.Line[[]wire.Figure]
-	reportedMet  = telemetry.Met[[]wire.Figure]
+	reportedMet  = telemetry.EndpointSum[[]wire.Figure]
 )
 
 // reportGate stands between the streams and the loop: reports are taken in where they are read, by any goroutine, and
@@ -45,7 +45,7 @@
 	kinds     map[string]int
 
 	// sliceDemand sums, by slice assigned to this controller and request kind, what came since the last flush.
-	sliceDemand map[int]map[int]*planner.SliceDemand
+	sliceDemand map[int]map[int]*planner.SliceStats
 	// malformed counts what could not be used since the last flush.
 	malformed map[malformedReason]int
 	// ages holds the ages of all figures passed on since the start, in ms.
@@ -56,14 +56,14 @@
 }
 
 // newReportGate returns a gate that no proxy has passed. kinds are the request kinds by index.
-func newReportGate(t telemetry.Terms, kinds []string) *reportGate {
+func newReportGate(t telemetry.Options, kinds []string) *reportGate {
 	g := &reportGate{
 		intake:      telemetry.New[[]wire.Figure](t),
 		proxies:     map[Stream]int{},
 		streams:     map[int]Stream{},
 		endpoints:   map[string]int{},
 		kinds:       map[string]int{},
-		sliceDemand: map[int]map[int]*planner.SliceDemand{},
+		sliceDemand: map[int]map[int]*planner.SliceStats{},
 		malformed:   map[malformedReason]int{},
 		ages:        hdrhistogram.New(1, maxAgeMs, ageDigits),
 		periodMs:    t.PeriodMs,
@@ -106,7 +106,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.endpoints[name] = e.Endpoint
-	g.intake.List(nowMs, e.Endpoint, e.Phase, e.Started)
+	g.intake.UpdateEndpoint(nowMs, e.Endpoint, e.Phase, e.Started)
 }
 
 // removeUnlisted takes all endpoints for gone but those whose index is listed.
@@ -115,7 +115,7 @@
 	defer g.mu.Unlock()
 	for _, i := range g.endpoints {
 		if !listed[i] {
-			g.intake.List(nowMs, i, planner.Gone, 0)
+			g.intake.UpdateEndpoint(nowMs, i, planner.Gone, 0)
 		}
 	}
 }
@@ -126,7 +126,7 @@
 	defer g.mu.Unlock()
 	delete(g.sliceDemand, number)
 	if assigned {
-		g.sliceDemand[number] = map[int]*planner.SliceDemand{}
+		g.sliceDemand[number] = map[int]*planner.SliceStats{}
 	}
 }
 
@@ -145,7 +145,7 @@
 	r.SpanMs = sums.SpanMs
 	g.fillLines(r, sums.Met)
 	g.fillKinds(r, sums.Demand)
-	g.intake.Take(nowMs, r)
+	g.intake.Add(nowMs, r)
 	if joined {
 		g.addSliceDemand(sums.Slices)
 	}
@@ -177,7 +177,7 @@
 			g.malformed[malformedReportKind]++
 			continue
 		}
-		r.Kinds = append(r.Kinds, telemetry.KindLine{Kind: kind, Reqs: d.Reqs, Unanswered: d.Unanswered})
+		r.Kinds = append(r.Kinds, telemetry.ClassLine{Class: kind, Requests: d.Reqs, Unanswered: d.Unanswered})
 	}
 }
 
@@ -192,10 +192,10 @@
 		}
 		demand := byKind[kind]
 		if demand == nil {
-			demand = &planner.SliceDemand{Slice: load.Slice, Kind: kind}
+			demand = &planner.SliceStats{Slice: load.Slice, Class: kind}
 			byKind[kind] = demand
 		}
-		demand.Reqs += load.Reqs
+		demand.Requests += load.Reqs
 		demand.Unanswered += load.Unanswered
 	}
 }
@@ -208,8 +208,8 @@
 
 // flush appends, when the period is over, what the intake passes on to events. It also returns what proxies are to be
 // asked for and counts of what could not be used.
-func (g *reportGate) flush(events []planner.Note, nowMs float64, m *Meter) (
-	_ []planner.Note, requests []paceRequest, malformed map[malformedReason]int,
+func (g *reportGate) flush(events []planner.Event, nowMs float64, m *Metrics) (
+	_ []planner.Event, requests []paceRequest, malformed map[malformedReason]int,
 ) {
 	if nowMs < g.due() {
 		return events, nil, nil
@@ -218,7 +218,7 @@
 	defer g.mu.Unlock()
 	spanMs := nowMs - g.lastFlushMs
 	g.lastFlushMs = nowMs
-	passed := g.intake.Tell(nowMs, spanMs)
+	passed := g.intake.Flush(nowMs, spanMs)
 	events = g.appendMets(events, passed.Mets)
 	for _, demand := range passed.Demands {
 		events = append(events, demand)
@@ -233,19 +233,19 @@
 }
 
 // appendMets appends the statistics of endpoints.
-func (g *reportGate) appendMets(events []planner.Note, mets []reportedMet) []planner.Note {
+func (g *reportGate) appendMets(events []planner.Event, mets []reportedMet) []planner.Event {
 	for i := range mets {
 		load, outOfRange := loadReport(mets[i].Load)
 		if len(outOfRange) > 0 {
 			g.malformed[malformedLoadFigure] += len(outOfRange)
 		}
-		events = append(events, mets[i].Note(load))
+		events = append(events, mets[i].Stats(load))
 	}
 	return events
 }
 
 // appendSliceDemand appends what came for slices in a span and begins their sums anew.
-func (g *reportGate) appendSliceDemand(events []planner.Note, spanMs float64) []planner.Note {
+func (g *reportGate) appendSliceDemand(events []planner.Event, spanMs float64) []planner.Event {
 	for _, number := range slices.Sorted(maps.Keys(g.sliceDemand)) {
 		byKind := g.sliceDemand[number]
 		for _, kind := range slices.Sorted(maps.Keys(byKind)) {
@@ -267,7 +267,7 @@
 
 // paceRequests returns how proxies are to report from now on, where that changes.
 func (g *reportGate) paceRequests(nowMs float64) (requests []paceRequest) {
-	for _, advice := range g.intake.Deal(nowMs) {
+	for _, advice := range g.intake.Rebalance(nowMs) {
 		pace := &wire.Pace{PeriodMs: int(advice.PeriodMs), Lines: advice.Lines, Changes: advice.Changes}
 		requests = append(requests, paceRequest{g.streams[advice.Sender], pace})
 	}
@@ -284,5 +284,5 @@
 			counts[reason.String()] = g.intake.Counts[i]
 		}
 	}
-	return g.intake.Waiting(), g.intake.MostOrder, counts
+	return g.intake.Pending(), g.intake.MostOrder, counts
 }
--- a/internal/controller/reportgate_test.go
+++ b/internal/controller/reportgate_test.go
@@ -17,10 +17,10 @@
 	joined := &fakeTransport{}
 	left := &fakeTransport{}
 	c := NewCore(plan(d, &fakeTransport{}))
-	c.Handle(0, []Input{listed(true, entry("x", 0)), Join{joined, hello("p", "a")}, Join{left, hello("q", "a")}})
-	c.Handle(1, []Input{Leave{left}})
+	c.Handle(0, []Input{listed(true, entry("x", 0)), ProxyJoined{joined, hello("p", "a")}, ProxyJoined{left, hello("q", "a")}})
+	c.Handle(1, []Input{ProxyLeft{left}})
 	for i, s := range []Stream{&fakeTransport{}, left} {
-		c.Handle(float64(100+i), []Input{Reported{s, &wire.Sums{
+		c.Handle(float64(100+i), []Input{LoadReported{s, &wire.Sums{
 			Seq:    1,
 			SpanMs: 500,
 			Met:    []wire.Met{{Endpoint: "x", Tries: 4}},
@@ -30,7 +30,7 @@
 	c.Handle(2200, nil)
 	for _, n := range d.notes {
 		switch n.(type) {
-		case planner.Met, planner.Demand:
+		case planner.EndpointStats, planner.RequestStats:
 			t.Errorf("%+v", n)
 		}
 	}
@@ -42,11 +42,11 @@
 	d := &scriptedDecider{}
 	stream := &fakeTransport{}
 	p := plan(d, &fakeTransport{})
-	p.Intake.ToldPerS = 1
+	p.Telemetry.ToldPerS = 1
 	c := NewCore(p)
-	c.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0)), Join{stream, hello("p", "a")}})
+	c.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0)), ProxyJoined{stream, hello("p", "a")}})
 	report := func(at float64, seq uint64) {
-		c.Handle(at, []Input{Reported{stream, &wire.Sums{
+		c.Handle(at, []Input{LoadReported{stream, &wire.Sums{
 			Seq:    seq,
 			AtMs:   at,
 			SpanMs: 100,
@@ -59,9 +59,9 @@
 	}
 	var tries []int
 	for _, n := range d.notes {
-		met, ok := n.(planner.Met)
+		met, ok := n.(planner.EndpointStats)
 		require.True(t, ok, "%T", n)
-		tries = append(tries, met.Tries)
+		tries = append(tries, met.Attempts)
 	}
 	assert.Equal(t, []int{6, 4}, tries)
 }
--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -42,7 +42,7 @@
 }
 
 // newSession returns the session of a proxy that joins.
-func newSession(in Join, proxy, zone int) *session {
+func newSession(in ProxyJoined, proxy, zone int) *session {
 	s := &session{
 		hello:            in.Hello,
 		proxy:            proxy,
@@ -130,7 +130,7 @@
 }
 
 // join takes in a stream. One under the same name is closed first: the newer one is the one that lives.
-func (c *Core) join(events []planner.Note, in Join) []planner.Note {
+func (c *Core) join(events []planner.Event, in ProxyJoined) []planner.Event {
 	proxy, zone, rejection := c.identify(&in.Hello)
 	if rejection != nil {
 		c.reject(in, rejection)
@@ -151,11 +151,11 @@
 		return events
 	}
 	c.sessions.add(s)
-	c.plan.Meter.setProxies(c.sessions.len())
+	c.plan.Metrics.setProxies(c.sessions.len())
 	for _, number := range c.slices.numbers() {
 		c.sendSlice(s, number)
 	}
-	return append(events, planner.Joined{Proxy: proxy, Zone: zone, Rate: in.Hello.Rate, Fresh: in.Hello.Fresh})
+	return append(events, planner.ProxyJoined{Proxy: proxy, Zone: zone, Rate: in.Hello.Rate, Fresh: in.Hello.Fresh})
 }
 
 // identify returns the indices of a proxy that would join and of its zone, or why it may not. A proxy gets its index at
@@ -165,28 +165,28 @@
 	if !known {
 		return 0, 0, &joinRejection{malformedProxyZone, []string{hello.Proxy, hello.Zone}, closeUnknownZone}
 	}
-	if !planner.Sound(hello.Rate) {
+	if !planner.ValidRate(hello.Rate) {
 		details := []string{hello.Proxy, fmt.Sprint(hello.Rate)}
 		return 0, 0, &joinRejection{malformedProxyRate, details, closeRateOutOfRange}
 	}
 	proxy, known = c.proxies.Find(hello.Proxy)
-	if !known && c.proxies.Len() >= c.plan.MostProxies {
+	if !known && c.proxies.Len() >= c.plan.MaxProxies {
 		return 0, 0, &joinRejection{malformedProxyCount, []string{hello.Proxy}, closeTooManyProxies}
 	}
 	if !known {
-		proxy = c.proxies.In(hello.Proxy)
+		proxy = c.proxies.Intern(hello.Proxy)
 	}
 	return proxy, zone, nil
 }
 
 // reject turns a proxy's join down.
-func (c *Core) reject(in Join, why *joinRejection) {
+func (c *Core) reject(in ProxyJoined, why *joinRejection) {
 	c.reportMalformed(why.reason, why.details...)
 	in.Stream.Close(why.closeReason)
 }
 
 // leave appends that a proxy has left, if the stream that ended is its own.
-func (c *Core) leave(events []planner.Note, in Leave) []planner.Note {
+func (c *Core) leave(events []planner.Event, in ProxyLeft) []planner.Event {
 	s := c.sessions.byStream[in.Stream]
 	if s == nil {
 		return events
@@ -195,10 +195,10 @@
 }
 
 // drop forgets a session and what waits for it in the channel.
-func (c *Core) drop(s *session) planner.Note {
+func (c *Core) drop(s *session) planner.Event {
 	c.sessions.remove(s)
 	c.Channel.Drop(s)
 	c.reports.removeProxy(s)
-	c.plan.Meter.setProxies(c.sessions.len())
-	return planner.Left{Proxy: s.proxy}
+	c.plan.Metrics.setProxies(c.sessions.len())
+	return planner.ProxyLeft{Proxy: s.proxy}
 }
--- a/internal/controller/shares_test.go
+++ b/internal/controller/shares_test.go
@@ -10,14 +10,14 @@
 
 // TestShares guards the shares that are shown: by zone, proxies counted by their rate, excluded endpoints left out.
 func TestShares(t *testing.T) {
-	d := &scriptedDecider{orders: [][]planner.Order{nil, {
-		planner.SetLine{Table: 1, Endpoint: 0, Weight: 1},
-		planner.SetLine{Table: 1, Endpoint: 1, Weight: 3},
-		planner.SetLine{Table: 2, Endpoint: 0, Weight: 1},
-		planner.SetLine{Table: 2, Endpoint: 2, Weight: 1},
-		planner.Withdraw{Endpoint: 2, Out: true},
-		planner.Bind{Table: 1, Proxy: 0},
-		planner.Bind{Table: 2, Proxy: 1},
+	d := &scriptedDecider{orders: [][]planner.Command{nil, {
+		planner.SetWeight{Table: 1, Endpoint: 0, Weight: 1},
+		planner.SetWeight{Table: 1, Endpoint: 1, Weight: 3},
+		planner.SetWeight{Table: 2, Endpoint: 0, Weight: 1},
+		planner.SetWeight{Table: 2, Endpoint: 2, Weight: 1},
+		planner.SetExcluded{Endpoint: 2, Excluded: true},
+		planner.AssignTable{Table: 1, Proxy: 0},
+		planner.AssignTable{Table: 2, Proxy: 1},
 	}}}
 	c := NewCore(plan(d, &fakeTransport{}))
 	c.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0), entry("z", 0))})
@@ -25,6 +25,6 @@
 	often.Rate = 3
 	seldom := hello("seldom", "a")
 	seldom.Rate = 1
-	c.Handle(1, []Input{Join{&fakeTransport{}, often}, Join{&fakeTransport{}, seldom}})
+	c.Handle(1, []Input{ProxyJoined{&fakeTransport{}, often}, ProxyJoined{&fakeTransport{}, seldom}})
 	assert.Equal(t, map[int]map[int]float64{0: {0: (3*0.25 + 1) / 4, 1: 3 * 0.75 / 4}}, c.Shares())
 }
--- a/internal/controller/slices.go
+++ b/internal/controller/slices.go
@@ -31,8 +31,8 @@
 // assignSlice takes over that a slice is assigned or no longer, and the lines stored of it. Proxies learn the range of
 // its keys and the stored lines, which stand until the decider commands others. A slice's number is that of its table,
 // so one that the deployment does not have would wipe a zone's table at every proxy.
-func (c *Core) assignSlice(events []planner.Note, x *wire.Slices) []planner.Note {
-	if count, _ := c.plan.Terms[sliceCountSetting].(float64); float64(x.Slice) >= count {
+func (c *Core) assignSlice(events []planner.Event, x *wire.Slices) []planner.Event {
+	if count, _ := c.plan.Settings[sliceCountSetting].(float64); float64(x.Slice) >= count {
 		c.reportMalformed(malformedSlice, fmt.Sprint(x.Slice))
 		return events
 	}
@@ -42,7 +42,7 @@
 	if x.Given {
 		c.slices[x.Slice] = keyRange{x.From, x.To}
 	}
-	events = append(events, planner.SliceCharge{Slice: x.Slice, Given: x.Given})
+	events = append(events, planner.SliceAssignment{Slice: x.Slice, Assigned: x.Given})
 	events = c.storedLines(events, x)
 	for _, s := range c.sessions.inOrder() {
 		if x.Given {
@@ -55,14 +55,14 @@
 }
 
 // storedLines puts the stored lines of a slice into its table and appends them.
-func (c *Core) storedLines(events []planner.Note, x *wire.Slices) []planner.Note {
+func (c *Core) storedLines(events []planner.Event, x *wire.Slices) []planner.Event {
 	for _, l := range x.Lines {
 		endpoint, known := c.endpoints.find(l.Endpoint)
-		if !known || !x.Given || !planner.SoundWeight(l.Weight) {
+		if !known || !x.Given || !planner.ValidWeight(l.Weight) {
 			c.reportMalformed(malformedStoredLine, l.Endpoint, fmt.Sprint(l.Weight))
 			continue
 		}
-		events = append(events, planner.SliceLine{Slice: x.Slice, Endpoint: endpoint, Weight: l.Weight})
+		events = append(events, planner.SliceWeight{Slice: x.Slice, Endpoint: endpoint, Weight: l.Weight})
 		c.tables.table(x.Slice).weights[endpoint] = l.Weight
 	}
 	return events
--- a/internal/controller/slices_test.go
+++ b/internal/controller/slices_test.go
@@ -14,27 +14,27 @@
 func TestSlices(t *testing.T) {
 	d, edge, stream := &scriptedDecider{}, &fakeTransport{}, &fakeTransport{}
 	c := NewCore(plan(d, edge))
-	c.Handle(0, []Input{listed(true, entry("x", 0)), Join{stream, hello("p", "a")}})
+	c.Handle(0, []Input{listed(true, entry("x", 0)), ProxyJoined{stream, hello("p", "a")}})
 	d.notes = nil
-	load := func(seq uint64) Reported {
-		return Reported{stream, &wire.Sums{Seq: seq, SpanMs: 500, Slices: []wire.SliceLoad{
+	load := func(seq uint64) LoadReported {
+		return LoadReported{stream, &wire.Sums{Seq: seq, SpanMs: 500, Slices: []wire.SliceLoad{
 			{Slice: 7, Kind: "book", Reqs: 5, Unanswered: 1},
 			{Slice: 8, Kind: "book", Reqs: 1},
 		}}}
 	}
-	c.Handle(100, []Input{SliceGiven{&wire.Slices{Slice: 7, Given: true, Lines: []wire.HeldLine{
+	c.Handle(100, []Input{SliceAssigned{&wire.Slices{Slice: 7, Given: true, Lines: []wire.HeldLine{
 		{Endpoint: "x", Weight: 2},
 		{Endpoint: "none"},
 	}}}})
 	c.Handle(200, []Input{load(1)})
 	c.Handle(300, []Input{load(2)})
 	c.Handle(1100, nil)
-	c.Handle(1200, []Input{SliceGiven{&wire.Slices{Slice: 7}}, load(3)})
+	c.Handle(1200, []Input{SliceAssigned{&wire.Slices{Slice: 7}}, load(3)})
 	c.Handle(2300, nil)
-	assert.Equal(t, []planner.Note{
-		planner.SliceCharge{Slice: 7, Given: true},
-		planner.SliceLine{Slice: 7, Endpoint: 0, Weight: 2},
-		planner.SliceDemand{Slice: 7, Kind: 1, Reqs: 10, Unanswered: 2, SpanMs: 1100},
-		planner.SliceCharge{Slice: 7},
+	assert.Equal(t, []planner.Event{
+		planner.SliceAssignment{Slice: 7, Assigned: true},
+		planner.SliceWeight{Slice: 7, Endpoint: 0, Weight: 2},
+		planner.SliceStats{Slice: 7, Class: 1, Requests: 10, Unanswered: 2, SpanMs: 1100},
+		planner.SliceAssignment{Slice: 7},
 	}, d.notes)
 }
--- a/internal/controller/tables.go
+++ b/internal/controller/tables.go
@@ -10,8 +10,8 @@
 
 // table is a numbered table as commanded so far.
 type table struct {
-	weights map[int]float64       // its lines: weights by endpoint; 0 only where stored so
-	levels  map[int]planner.Admit // admission levels by request kinds, a bit mask
+	weights map[int]float64              // its lines: weights by endpoint; 0 only where stored so
+	levels  map[int]planner.SetAdmission // admission levels by request kinds, a bit mask
 }
 
 // endpoints returns the endpoints of the table's lines in order.
@@ -24,19 +24,19 @@
 type tableStore struct {
 	byNumber map[int]*table
 	// globalLevels are the admission levels that count for all joined proxies, by request kinds.
-	globalLevels map[int]planner.Admit
+	globalLevels map[int]planner.SetAdmission
 }
 
 // newTableStore returns a store without tables.
 func newTableStore() tableStore {
-	return tableStore{byNumber: map[int]*table{}, globalLevels: map[int]planner.Admit{}}
+	return tableStore{byNumber: map[int]*table{}, globalLevels: map[int]planner.SetAdmission{}}
 }
 
 // table returns a table, an empty one at its first use.
 func (s *tableStore) table(number int) *table {
 	t := s.byNumber[number]
 	if t == nil {
-		t = &table{weights: map[int]float64{}, levels: map[int]planner.Admit{}}
+		t = &table{weights: map[int]float64{}, levels: map[int]planner.SetAdmission{}}
 		s.byNumber[number] = t
 	}
 	return t
@@ -52,7 +52,7 @@
 }
 
 // setLine changes a line at all users of its table. An endpoint that is excluded stays so where it was not held before.
-func (c *Core) setLine(o planner.SetLine) {
+func (c *Core) setLine(o planner.SetWeight) {
 	t := c.tables.table(o.Table)
 	name := c.endpoints.name(o.Endpoint)
 	c.sendToUsers(o.Table, wire.Op{Kind: wire.OpSet, Table: o.Table, Endpoint: name, Weight: o.Weight})
--- a/internal/controller/telemetry.go
+++ b/internal/controller/telemetry.go
@@ -9,12 +9,12 @@
 	"indigousher/planner"
 )
 
-// Believed counts what the core took in of reports, for the controller's own book-keeping.
-type Believed struct {
+// ReportStats counts what the core took in of reports, for the controller's own book-keeping.
+type ReportStats struct {
 	// Reports that came summed up, by a relay.
 	Reports int `json:"Reports"`
 	// Odd counts malformed input.
-	Odd int `json:"Odd"`
+	Malformed int `json:"Odd"`
 	// SpanMs is the span that the reports covered.
 	SpanMs float64 `json:"SpanMs"`
 	// Listed is how many endpoints are on the list as held, where a relay holds the streams.
@@ -26,7 +26,7 @@
 func (c *Core) Report(nowMs float64, s Stream, sums *wire.Sums) { c.reports.accept(nowMs, s, sums) }
 
 // appendTelemetry appends what reports come to in this turn, whichever way they come.
-func (c *Core) appendTelemetry(events []planner.Note) []planner.Note {
+func (c *Core) appendTelemetry(events []planner.Event) []planner.Event {
 	switch {
 	case c.plan.Relay != nil: // reports came as inputs, summed up
 		return events
@@ -40,8 +40,8 @@
 }
 
 // flushReports appends what the intake passes on, and asks proxies for what it wants of their reports.
-func (c *Core) flushReports(events []planner.Note) []planner.Note {
-	events, requests, malformed := c.reports.flush(events, c.now, c.plan.Meter)
+func (c *Core) flushReports(events []planner.Event) []planner.Event {
+	events, requests, malformed := c.reports.flush(events, c.now, c.plan.Metrics)
 	for _, r := range requests {
 		if err := r.stream.Ask(r.pace); err != nil {
 			r.stream.Close(err.Error())
--- a/internal/controller/transports.go
+++ b/internal/controller/transports.go
@@ -9,7 +9,7 @@
 // what it returns.
 type Decider interface {
 	// Handle takes in what happened by nowMs and returns what is to be done about it.
-	Handle(nowMs float64, events []planner.Note) []planner.Order
+	Handle(nowMs float64, events []planner.Event) []planner.Command
 	// Reconfigure takes over changed settings: all of them, changed and not. What was derived from the settings at the
 	// start (zones, request kinds, parts of a zone) stays as it is.
 	Reconfigure(settings map[string]any)
@@ -26,26 +26,26 @@
 	Close(reason string)
 }
 
-// ListSource is asked for the endpoint list. Its methods don't block; answers come as Listed or ListLost inputs.
-type ListSource interface {
+// EndpointSource is asked for the endpoint list. Its methods don't block; answers come as Listed or ListLost inputs.
+type EndpointSource interface {
 	// Watch subscribes to the list's changes, or ends the subscription.
 	Watch(on bool)
 	// Fetch asks for the whole list once.
 	Fetch()
 }
 
-// Prober checks the health of an endpoint. Probe doesn't block; the answer comes as a Probed input.
-type Prober interface{ Probe(endpoint string) }
+// HealthChecker checks the health of an endpoint. Probe doesn't block; the answer comes as a Probed input.
+type HealthChecker interface{ Probe(endpoint string) }
 
-// Peers carries a short text to another controller, or to all with peer -1. Tell doesn't block; the text may be lost.
-type Peers interface{ Tell(peer int, text string) }
+// GossipSender carries a short text to another controller, or to all with peer -1. Tell doesn't block; the text may be lost.
+type GossipSender interface{ Tell(peer int, text string) }
 
 // Relay carries what one turn ordered to proxies whose streams others hold. It queues and paces by itself: the core
 // sends no messages and its channel stays empty.
 type Relay interface {
 	// Carry takes over a turn's commands; endpoint returns the name behind an index. It must not block and keeps
 	// nothing of what it is given.
-	Carry(turn []planner.Order, endpoint func(i int) string)
+	Enqueue(turn []planner.Command, endpoint func(i int) string)
 	// Gone says that what waits for a proxy is void.
-	Gone(proxy int)
+	ProxyLeft(proxy int)
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -41,8 +41,8 @@
 	warnBefore   = 7 * 24 * time.Hour
 )
 
-// Outfit is what a pilot is started with beside its terms. Zero fields get what ships.
-type Outfit struct {
+// Options is what a pilot is started with beside its terms. Zero fields get what ships.
+type Options struct {
 	Log    *zap.Logger
 	Level  *zap.AtomicLevel // set by a reload
 	Clock  controller.Clock
@@ -54,14 +54,14 @@
 }
 
 // listen takes a listener that was handed over, or opens one.
-func (o *Outfit) listen(name, address string) (net.Listener, error) {
+func (o *Options) listen(name, address string) (net.Listener, error) {
 	if l := o.Listeners[name]; l != nil {
 		return l, nil
 	}
 	return net.Listen("tcp", address)
 }
 
-func (o *Outfit) fill() {
+func (o *Options) fill() {
 	if o.Log == nil {
 		o.Log = zap.NewNop()
 	}
@@ -81,26 +81,26 @@
 
 // follower is a list source that runs.
 type follower interface {
-	controller.ListSource
+	controller.EndpointSource
 	Run(ctx context.Context) error
 }
 
 // Daemon is one pilot.
 type Daemon struct {
 	terms    atomic.Pointer[config.Pilot]
-	outfit   Outfit
+	outfit   Options
 	registry *prometheus.Registry
-	meter    *controller.Meter
+	meter    *controller.Metrics
 	core     *controller.Core
 	record   *recorded
 	loop     *controller.Loop
 	server   *framed.Server
 	source   follower
-	prober   *healthcheck.Prober
-	post     *gossip.Post
+	prober   *healthcheck.Checker
+	post     *gossip.Service
 	follow   *grpcapi.Server
 	xds      *xds.Server
-	ring     *identity.Ring
+	ring     *identity.KeyStore
 	streams  net.Listener
 	grpc     net.Listener
 	admin    net.Listener
@@ -116,11 +116,11 @@
 func (l later) Post(ctx context.Context, in controller.Input) error { return l.d.loop.Post(ctx, in) }
 
 // New opens the listeners and builds the pilot. Nothing runs before Run.
-func New(t *config.Pilot, o Outfit) (*Daemon, error) {
+func New(t *config.Pilot, o Options) (*Daemon, error) {
 	o.fill()
 	d := &Daemon{outfit: o, registry: prometheus.NewRegistry(), files: map[string]*os.File{}}
 	d.terms.Store(t)
-	d.meter = controller.NewMeter(d.registry)
+	d.meter = controller.NewMetrics(d.registry)
 	d.registry.MustRegister(collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	d.life, d.die = context.WithCancel(context.Background())
@@ -165,31 +165,31 @@
 	if err != nil {
 		return err
 	}
-	var prober controller.Prober = healthcheck.Never{}
+	var prober controller.HealthChecker = healthcheck.Disabled{}
 	if t.Probing {
 		d.prober = healthcheck.New(d.life, d.outfit.Dial, later{d}, probeTimeout, mostProbes)
 		prober = d.prober
 	}
 	log := d.outfit.Log
-	plan := func(told map[string]any) controller.Plan {
-		return controller.Plan{Decider: d.outfit.Decide(int64(t.Seed), told), Terms: told, Zones: t.Zones,
-			Machines: t.Machines, Kinds: t.KindNames(), LinesPerS: t.LinesPerS, Backlog: t.Backlog, HeadLines: t.HeadLines,
-			MessagesMost: t.MessagesMost, MessagesOverMs: float64(t.MessagesOver.Milliseconds()),
-			Intake: t.Intake(), MostProxies: t.MostProxies, List: d.source, Prober: prober, Peers: notes,
-			Log:   func(text string) { log.Info(text, zap.String("by", "module")) },
-			Odd:   func(what string, fields ...string) { log.Warn(what, zap.Strings("about", fields)) },
-			Meter: d.meter}
-	}
-	live := plan(t.ForModule(t.Rank))
+	plan := func(told map[string]any) controller.Options {
+		return controller.Options{Decider: d.outfit.Decide(int64(t.Seed), told), Settings: told, Zones: t.Zones,
+			Machines: t.Machines, Classes: t.ClassNames(), LinesPerS: t.LinesPerS, Backlog: t.Backlog, HeadLines: t.HeadLines,
+			MaxMessages: t.MessagesMost, MessagesOverMs: float64(t.MessagesOver.Milliseconds()),
+			Telemetry: t.TelemetryOptions(), MaxProxies: t.MostProxies, EndpointSource: d.source, HealthChecker: prober, Gossip: notes,
+			Log:       func(text string) { log.Info(text, zap.String("by", "module")) },
+			Malformed: func(what string, fields ...string) { log.Warn(what, zap.Strings("about", fields)) },
+			Metrics:   d.meter}
+	}
+	live := plan(t.PlannerSettings(t.Rank))
 	var offset float64
 	if t.RecordDir != "" {
 		var core *controller.Core
-		core, offset, err = d.openRecord(t, &live, func() controller.Plan { return held(plan(t.ForModule(t.Rank))) })
+		core, offset, err = d.openRecord(t, &live, func() controller.Options { return held(plan(t.PlannerSettings(t.Rank))) })
 		if err != nil {
 			return err
 		}
 		if core != nil {
-			core.Recovered(live)
+			core.FinishRecovery(live)
 			d.core = core
 		}
 	}
@@ -198,7 +198,7 @@
 	}
 	d.loop = controller.NewLoop(d.core, d.outfit.Clock, log)
 	if offset > 0 {
-		d.loop.GoOn(offset)
+		d.loop.ResumeAt(offset)
 	}
 	if t.GRPC != "" {
 		if d.grpc, err = d.outfit.listen("grpc", t.GRPC); err != nil {
@@ -208,18 +208,18 @@
 			return err
 		}
 		d.grpc = netutil.LimitListener(d.grpc, 2*t.MaxStreams) // a proxy of xDS may report its load on a second one
-		d.follow = grpcapi.New(grpcapi.Door{Pilot: t.Name, Beat: t.Beat, Period: t.Period,
+		d.follow = grpcapi.New(grpcapi.ListenerConfig{Pilot: t.Name, Beat: t.Beat, Period: t.Period,
 			SeenWithin: t.SeenWithin, HelloIn: t.HelloDeadline, MaxMessage: t.MaxFrame, MaxStreams: t.MaxStreams,
 			QueueLines: t.Queue * linesEach, NewPerS: t.NewPerS, Keys: d.ring}, d.loop, log.Named("grpc"))
 		var claims func(context.Context, string, string) error
 		if d.ring != nil {
 			claims = grpcapi.Claims
 		}
-		d.xds = xds.New(xds.Door{Kinds: t.KindNames(), Period: t.Period, SeenWithin: t.SeenWithin,
+		d.xds = xds.New(xds.ListenerConfig{Kinds: t.ClassNames(), Period: t.Period, SeenWithin: t.SeenWithin,
 			HelloIn: t.HelloDeadline, MaxStreams: t.MaxStreams, Claims: claims}, d.loop, log.Named("xds"))
 		d.xds.Register(d.follow.Registrar())
 	}
-	d.server = framed.NewServer(framed.Door{Pilot: t.Name, Beat: t.Beat, Period: t.Period,
+	d.server = framed.NewServer(framed.ListenerConfig{Pilot: t.Name, Beat: t.Beat, Period: t.Period,
 		WriteDeadline: t.WriteDeadline, SeenWithin: t.SeenWithin, HelloDeadline: t.HelloDeadline, MaxFrame: t.MaxFrame,
 		MaxStreams: t.MaxStreams, Queue: t.Queue}, d.loop, log.Named("streams"))
 	return nil
@@ -263,7 +263,7 @@
 		if left := time.Until(d.ring.Expires()); left < warnBefore {
 			d.outfit.Log.Warn("certificate ends soon", zap.Duration("in", left.Round(time.Second)))
 		}
-		if err := d.ring.Wrong(); err != nil {
+		if err := d.ring.Err(); err != nil {
 			d.outfit.Log.Error("keys can't be read anew, the old ones stand", zap.Error(err))
 		}
 		select {
@@ -275,9 +275,9 @@
 }
 
 // held is a plan whose edges do nothing: for a core that is being rebuilt.
-func held(p controller.Plan) controller.Plan {
-	p.List, p.Prober, p.Peers, p.Meter, p.Replayed = nobody{}, healthcheck.Never{}, gossip.Nobody{}, nil, true
-	p.Log, p.Odd = func(string) {}, func(string, ...string) {}
+func held(p controller.Options) controller.Options {
+	p.EndpointSource, p.HealthChecker, p.Gossip, p.Metrics, p.Replayed = nobody{}, healthcheck.Disabled{}, gossip.Disabled{}, nil, true
+	p.Log, p.Malformed = func(string) {}, func(string, ...string) {}
 	p.LinesPerS, p.Backlog = 0, 0
 	return p
 }
@@ -288,9 +288,9 @@
 func (nobody) Watch(bool) {}
 func (nobody) Fetch()     {}
 
-func (d *Daemon) openPeers(t *config.Pilot) (controller.Peers, error) {
+func (d *Daemon) openPeers(t *config.Pilot) (controller.GossipSender, error) {
 	if t.PeersListen == "" {
-		return gossip.Nobody{}, nil
+		return gossip.Disabled{}, nil
 	}
 	var secret *identity.Secret
 	if t.PeersSecret != "" {
@@ -363,8 +363,8 @@
 // State returns what the loop shows of itself.
 func (d *Daemon) State() controller.State { return d.loop.State() }
 
-// Meter returns the runtime's metrics.
-func (d *Daemon) Meter() *controller.Meter { return d.meter }
+// Metrics returns the runtime's metrics.
+func (d *Daemon) Metrics() *controller.Metrics { return d.meter }
 
 // Run serves until ctx ends, then asks the proxies to dial elsewhere and waits for them to go, for the time that the
 // terms give. An edge that fails ends it with an error.
@@ -467,7 +467,7 @@
 	if len(changed) == 0 {
 		return nil, restart, nil
 	}
-	if err := d.loop.Post(ctx, controller.Retermed{Terms: now.Live()}); err != nil {
+	if err := d.loop.Post(ctx, controller.SettingsChanged{Settings: now.ReloadableSettings()}); err != nil {
 		return nil, nil, fmt.Errorf("reload: %w", err)
 	}
 	if d.outfit.Level != nil {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -71,17 +71,17 @@
 }
 
 // following starts a proxy of the stand-ins that follows a pilot.
-func following(t *testing.T, name string, pilots func() []string) *eventlog.Book {
-	book := eventlog.NewBook()
-	p := proxy.New(proxy.Make{Name: name, Zone: "a", Habits: routing.Habits{Kinds: []string{"read"}}, Rate: 1,
+func following(t *testing.T, name string, pilots func() []string) *eventlog.Log {
+	book := eventlog.NewLog()
+	p := proxy.New(proxy.Options{Name: name, Zone: "a", Habits: routing.Policy{Kinds: []string{"read"}}, Rate: 1,
 		Standing: func() []string { return []string{"old:1"} }, Pilots: pilots, Dial: (&net.Dialer{}).DialContext,
-		Redial: 20 * time.Millisecond}, book.Trail(name))
+		Redial: 20 * time.Millisecond}, book.Stream(name))
 	require.NoError(t, p.Start())
 	t.Cleanup(p.Kill)
 	return book
 }
 
-func count(b *eventlog.Book, what eventlog.What) (n int) {
+func count(b *eventlog.Log, what eventlog.What) (n int) {
 	for _, e := range b.Events() {
 		if e.What == what {
 			n++
@@ -93,7 +93,7 @@
 // TestLife takes a pilot from its start over a reload to its end, with a proxy that follows.
 func TestLife(t *testing.T) {
 	p := pilotTerms(t, "x:1", "y:1")
-	d, err := New(p, Outfit{})
+	d, err := New(p, Options{})
 	require.NoError(t, err)
 	stop, ended := run(t, d)
 	book := following(t, "p", func() []string { return []string{d.Address()} })
@@ -119,7 +119,7 @@
 // TestStopAndReload guards against a reload that comes as the pilot stops: it ends, and nothing hangs.
 func TestStopAndReload(t *testing.T) {
 	p := pilotTerms(t)
-	d, err := New(p, Outfit{})
+	d, err := New(p, Options{})
 	require.NoError(t, err)
 	stop, ended := run(t, d)
 	var wg sync.WaitGroup
@@ -140,9 +140,9 @@
 // TestKilled shows what a killed pilot leaves to its proxies: a broken stream and the other pilot.
 func TestKilled(t *testing.T) {
 	p := pilotTerms(t, "x:1")
-	first, err := New(p, Outfit{})
+	first, err := New(p, Options{})
 	require.NoError(t, err)
-	second, err := New(p, Outfit{})
+	second, err := New(p, Options{})
 	require.NoError(t, err)
 	_, ended := run(t, first)
 	run(t, second)
@@ -167,12 +167,12 @@
 	} {
 		p := pilotTerms(t)
 		change(p)
-		_, err := New(p, Outfit{})
+		_, err := New(p, Options{})
 		assert.ErrorContains(t, err, name)
 	}
 	p := pilotTerms(t)
 	p.ListFile = "/nowhere/at/all.hcl"
-	d, err := New(p, Outfit{})
+	d, err := New(p, Options{})
 	require.NoError(t, err)
 	assert.ErrorContains(t, d.Run(t.Context()), "watch /nowhere/at/all.hcl")
 }
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -16,30 +16,30 @@
 // Host runs a pilot's process: the pilot, and what lets a new process take over from it or it from an old one.
 type Host struct {
 	terms  *config.Pilot
-	outfit Outfit
+	outfit Options
 	mu     sync.Mutex
 	d      *Daemon
 	stop   context.CancelFunc
 	ended  chan error
 	files  map[string]*os.File
-	claim  *handover.Claimed // where a handover socket is told: nobody else serves meanwhile
-	taken  chan error        // the offer has ended
-	faults chan error        // the pilot ended by itself
+	claim  *handover.Lock // where a handover socket is told: nobody else serves meanwhile
+	taken  chan error     // the offer has ended
+	faults chan error     // the pilot ended by itself
 }
 
-// Begin starts a pilot; with takeOver it is taken over from the process that runs.
-func Begin(ctx context.Context, t *config.Pilot, o Outfit, takeOver bool) (*Host, error) {
+// Start starts a pilot; with takeOver it is taken over from the process that runs.
+func Start(ctx context.Context, t *config.Pilot, o Options, takeOver bool) (*Host, error) {
 	o.fill()
 	h := &Host{terms: t, outfit: o, faults: make(chan error, 1)}
 	if !takeOver {
 		if t.Handover != "" {
 			var err error
-			if h.claim, err = handover.GetClaim(t.Handover); err != nil {
+			if h.claim, err = handover.AcquireLock(t.Handover); err != nil {
 				return nil, err
 			}
 		}
 		if err := h.start(ctx); err != nil {
-			h.claim.LetGo()
+			h.claim.Release()
 			return nil, err
 		}
 		h.offer(ctx)
@@ -48,19 +48,19 @@
 	if t.Handover == "" {
 		return nil, errors.New("take over: the terms name no handover socket")
 	}
-	taking, err := handover.Take(t.Handover)
+	taking, err := handover.RequestTakeover(t.Handover)
 	if err != nil {
 		return nil, err
 	}
 	if h.claim, err = taking.Claim(); err != nil {
-		taking.Drop()
+		taking.Abort()
 		return nil, err
 	}
 	h.outfit.Listeners = taking.Listeners
 	err = h.start(ctx)
 	if err != nil {
-		h.claim.LetGo() // before the old one hears of it
-		taking.Drop()
+		h.claim.Release() // before the old one hears of it
+		taking.Abort()
 		return nil, err
 	}
 	taking.Started(true)
@@ -118,7 +118,7 @@
 	if h.terms.Handover == "" {
 		return
 	}
-	o := handover.Offer{Files: h.files, Stop: func() { h.halt(); h.letGo() }, Resume: func(claim *handover.Claimed) {
+	o := handover.Handoff{Files: h.files, Stop: func() { h.halt(); h.letGo() }, Resume: func(claim *handover.Lock) {
 		h.mu.Lock()
 		h.claim = claim
 		h.mu.Unlock()
@@ -184,5 +184,5 @@
 func (h *Host) letGo() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.claim.LetGo()
+	h.claim.Release()
 }
--- a/internal/daemon/hostile_test.go
+++ b/internal/daemon/hostile_test.go
@@ -176,7 +176,7 @@
 	p, err := config.Parse("p.hcl", []byte(text))
 	require.NoError(t, err)
 	var notes net.PacketConn
-	d, err := New(p, Outfit{Packet: func(c net.PacketConn) net.PacketConn { notes = c; return c }})
+	d, err := New(p, Options{Packet: func(c net.PacketConn) net.PacketConn { notes = c; return c }})
 	require.NoError(t, err)
 	stop, ended := run(t, d)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/daemon/oldstore_test.go
+++ b/internal/daemon/oldstore_test.go
@@ -46,7 +46,7 @@
 	unpackStore(t, p.RecordDir)
 	setLastWritten(t, p.RecordDir, time.Now().Add(-time.Second))
 
-	store, err := Records(p.RecordDir)
+	store, err := OpenRecords(p.RecordDir)
 	require.NoError(t, err)
 	lives, err := store.Lives()
 	require.NoError(t, err)
@@ -60,9 +60,9 @@
 	assert.Positive(t, result.Turns)
 	require.NoError(t, store.Close())
 
-	d, err := New(p, Outfit{})
+	d, err := New(p, Options{})
 	require.NoError(t, err)
-	assert.Contains(t, d.record.Verdict.Why, "recovered from")
+	assert.Contains(t, d.record.Verdict.Reason, "recovered from")
 	stop, ended := run(t, d)
 	following(t, "p", func() []string { return []string{d.Address()} })
 	require.Eventually(t, func() bool { return d.State().Listed && d.State().Proxies == 1 }, 5*time.Second, time.Millisecond)
@@ -70,14 +70,14 @@
 	stop()
 	require.NoError(t, <-ended)
 
-	store, err = Records(p.RecordDir)
+	store, err = OpenRecords(p.RecordDir)
 	require.NoError(t, err)
 	lives, err = store.Lives()
 	require.NoError(t, err)
 	require.Len(t, lives, 2)
 	assert.Equal(t, "701c66171943c29a", lives[1].Module)
 	assert.Equal(t, lives[0].ID, lives[1].After)
-	assert.Equal(t, lives[0].Terms, lives[1].Terms)
+	assert.Equal(t, lives[0].Settings, lives[1].Settings)
 	require.NoError(t, store.Close())
 }
 
--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -45,26 +45,26 @@
 func BenchmarkListChange(b *testing.B) {
 	for _, pace := range []float64{12000, 1e9} {
 		b.Run(fmt.Sprintf("lines_per_s=%.0e", pace), func(b *testing.B) {
-			book := eventlog.NewBook()
-			l := registry.New(book.Trail("list"))
+			book := eventlog.NewLog()
+			l := registry.New(book.Stream("list"))
 			require.NoError(b, l.Start())
 			defer l.Close()
 			entries := fleet()
 			l.Put(0, entries...)
 			t := config.Defaults()
-			t.Zones, t.Machines, t.Kinds = zones, []string{"std"}, []config.ReqKind{{Name: "read", Repeats: "replayable",
+			t.Zones, t.Machines, t.Kinds = zones, []string{"std"}, []config.RequestClass{{Name: "read", Repeats: "replayable",
 				ResponseTarget: time.Second, ClientTimeout: 3 * time.Second, Payoff: 1}}
 			t.Zone, t.Listen, t.Admin, t.ListAddress = "a", "127.0.0.1:0", "", l.Address()
 			t.Proxies, t.LinesPerS, t.Backlog = manyProxies, pace, 1.5*pace
 			t.MessagesMost, t.Plain = 0, true
-			d, err := New(&t, Outfit{})
+			d, err := New(&t, Options{})
 			require.NoError(b, err)
 			stop, ended := runB(b, d)
 			for i := range manyProxies {
 				name := fmt.Sprintf("p%d", i)
-				p := proxy.New(proxy.Make{Name: name, Zone: zones[i%3], Habits: routing.Habits{Kinds: []string{"read"}}, Rate: 2,
+				p := proxy.New(proxy.Options{Name: name, Zone: zones[i%3], Habits: routing.Policy{Kinds: []string{"read"}}, Rate: 2,
 					Standing: func() []string { return nil }, Pilots: func() []string { return []string{d.Address()} },
-					Dial: (&net.Dialer{}).DialContext, Redial: 50 * time.Millisecond}, book.Trail(name))
+					Dial: (&net.Dialer{}).DialContext, Redial: 50 * time.Millisecond}, book.Stream(name))
 				require.NoError(b, p.Start())
 				defer p.Kill()
 			}
@@ -146,13 +146,13 @@
 func benchmarkCore(b *testing.B, recorded bool) {
 	c := config.CommonDefaults()
 	c.Zones, c.Machines, c.Proxies, c.LinesPerS, c.Backlog = zones, []string{"std"}, manyProxies, 20000, 30000
-	c.Kinds = []config.ReqKind{{Name: "read", Repeats: "replayable", ResponseTarget: time.Second, Payoff: 1}}
-	told := c.ForModule(0)
+	c.Kinds = []config.RequestClass{{Name: "read", Repeats: "replayable", ResponseTarget: time.Second, Payoff: 1}}
+	told := c.PlannerSettings(0)
 	timed := &timed{Decider: planner.New(1, told)}
 	var core *controller.Core
-	plan := controller.Plan{Decider: timed, Terms: told, Zones: zones, Machines: c.Machines, Kinds: c.KindNames(),
-		LinesPerS: c.LinesPerS, Backlog: c.Backlog, HeadLines: 4, Intake: telemetry.Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000}, MostProxies: 1 << 16, List: idle{},
-		Prober: idle{}, Peers: idle{}, Log: func(string) {}, Odd: func(string, ...string) {}}
+	plan := controller.Options{Decider: timed, Settings: told, Zones: zones, Machines: c.Machines, Classes: c.ClassNames(),
+		LinesPerS: c.LinesPerS, Backlog: c.Backlog, HeadLines: 4, Telemetry: telemetry.Options{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000}, MaxProxies: 1 << 16, EndpointSource: idle{},
+		HealthChecker: idle{}, Gossip: idle{}, Log: func(string) {}, Malformed: func(string, ...string) {}}
 	var w *record.Writer
 	after := func() {}
 	if recorded {
@@ -160,8 +160,8 @@
 		require.NoError(b, err)
 		text, err := json.Marshal(told)
 		require.NoError(b, err)
-		life := record.Life{ID: "a", Seed: 1, Terms: string(text)}
-		w, err = record.NewWriter(s, life, record.DefaultBounds(), zap.NewNop())
+		life := record.Life{ID: "a", Seed: 1, Settings: string(text)}
+		w, err = record.NewWriter(s, life, record.DefaultLimits(), zap.NewNop())
 		require.NoError(b, err)
 		ctx, cancel := context.WithCancel(b.Context())
 		done := make(chan error, 1)
@@ -177,18 +177,18 @@
 			took := time.Since(began).Seconds()
 			b.ReportMetric(took/r.SpanMs*1000*86400/60, "min-replay/day")
 		}
-		plan.Turn = record.NewRecorder(w.Turn, func() []controller.Input { return core.Checkpoint() }).Turn
+		plan.OnTurn = record.NewRecorder(w.Turn, func() []controller.Input { return core.Checkpoint() }).Turn
 	}
 	core = controller.NewCore(plan)
 	entries := fleet()
-	core.Handle(0, []controller.Input{controller.Listed{List: &wire.List{Whole: true, Entries: entries}}})
+	core.Handle(0, []controller.Input{controller.EndpointsListed{List: &wire.List{Whole: true, Entries: entries}}})
 	var streams []*sink
 	for i := range manyProxies {
 		streams = append(streams, &sink{})
-		core.Handle(1, []controller.Input{controller.Join{Stream: streams[i], Hello: wire.Hello{Proxy: fmt.Sprint(i), Zone: zones[i%3], Rate: 2}}})
+		core.Handle(1, []controller.Input{controller.ProxyJoined{Stream: streams[i], Hello: wire.Hello{Proxy: fmt.Sprint(i), Zone: zones[i%3], Rate: 2}}})
 	}
 	now, inputs, seq := 1.0, 0, uint64(0)
-	timed.took, core.Heard = 0, 0
+	timed.took, core.Events = 0, 0
 	sums := make([]*wire.Sums, manyProxies)
 	for i := range sums {
 		sums[i] = &wire.Sums{SpanMs: 1000, Demand: []wire.Demand{{Kind: "read", Reqs: 2}}}
@@ -205,9 +205,9 @@
 		for i, s := range streams {
 			sums[i].Seq, sums[i].AtMs = seq, now
 			now += 1000.0 / manyProxies
-			heard, began := core.Heard, time.Now()
-			core.Handle(now, []controller.Input{controller.Reported{Stream: s, Sums: sums[i]}})
-			if core.Heard > heard {
+			heard, began := core.Events, time.Now()
+			core.Handle(now, []controller.Input{controller.LoadReported{Stream: s, Sums: sums[i]}})
+			if core.Events > heard {
 				turns = append(turns, time.Since(began).Seconds()*1000)
 			}
 			core.Channel.Send(now)
@@ -218,12 +218,12 @@
 	b.ReportMetric((all-module)/module, "own/module")
 	b.ReportMetric(module/float64(b.N)*1000, "module-ms/s")
 	b.ReportMetric(float64(inputs)*9/(all-module), "report-lines/own-s")
-	b.ReportMetric(float64(core.Heard)/all, "notes/s")
+	b.ReportMetric(float64(core.Events)/all, "notes/s")
 	slices.Sort(turns)
 	b.ReportMetric(turns[len(turns)*99/100], "ms-turn-p99")
 	if recorded {
 		time.Sleep(time.Second)
-		b.ReportMetric(float64(w.Bytes.Load())/float64(core.Heard), "bytes/note")
+		b.ReportMetric(float64(w.Bytes.Load())/float64(core.Events), "bytes/note")
 		b.ReportMetric(float64(w.Bytes.Load())/float64(b.N), "bytes/s-of-pilot")
 	}
 	after()
@@ -237,7 +237,7 @@
 	took time.Duration
 }
 
-func (t *timed) Handle(nowMs float64, notes []planner.Note) []planner.Order {
+func (t *timed) Handle(nowMs float64, notes []planner.Event) []planner.Command {
 	start := time.Now()
 	defer func() { t.took += time.Since(start) }()
 	return t.Decider.Handle(nowMs, notes)
--- a/internal/daemon/torn_test.go
+++ b/internal/daemon/torn_test.go
@@ -17,7 +17,7 @@
 func recordedLife(t *testing.T) *config.Pilot {
 	p := pilotTerms(t, "x:1", "y:1")
 	p.RecordDir = t.TempDir()
-	d, err := New(p, Outfit{})
+	d, err := New(p, Options{})
 	require.NoError(t, err)
 	stop, ended := run(t, d)
 	following(t, "p", func() []string { return []string{d.Address()} })
@@ -59,10 +59,10 @@
 			p := *p
 			p.RecordDir = t.TempDir()
 			require.NoError(t, os.WriteFile(filepath.Join(p.RecordDir, "records.db"), text(), 0o600))
-			d, err := New(&p, Outfit{})
+			d, err := New(&p, Options{})
 			require.NoError(t, err)
 			if name == "as it was" {
-				assert.Contains(t, d.record.Verdict.Why, "recovered")
+				assert.Contains(t, d.record.Verdict.Reason, "recovered")
 			}
 			stop, ended := run(t, d)
 			following(t, "p", func() []string { return []string{d.Address()} })
@@ -78,7 +78,7 @@
 func TestReturnAfterReload(t *testing.T) {
 	p := pilotTerms(t, "x:1", "y:1")
 	p.RecordDir = t.TempDir()
-	d, err := New(p, Outfit{})
+	d, err := New(p, Options{})
 	require.NoError(t, err)
 	_, ended := run(t, d)
 	require.Eventually(t, func() bool { return d.State().Listed }, 5*time.Second, time.Millisecond)
@@ -94,9 +94,9 @@
 		terms *config.Pilot
 		want  string
 	}{{&now, "recovered from"}, {p, "cold start: the record is of other terms"}} {
-		back, err := New(c.terms, Outfit{})
+		back, err := New(c.terms, Options{})
 		require.NoError(t, err)
-		assert.Contains(t, back.record.Verdict.Why, c.want)
+		assert.Contains(t, back.record.Verdict.Reason, c.want)
 		stop, ended := run(t, back)
 		require.Eventually(t, func() bool { return back.State().Listed }, 5*time.Second, time.Millisecond)
 		time.Sleep(500 * time.Millisecond)
--- a/internal/daemon/transports_test.go
+++ b/internal/daemon/transports_test.go
@@ -142,7 +142,7 @@
 }
 
 func measure(b *testing.B, transport string, many int, authority *identity.Authority) {
-	l := registry.New(eventlog.NewBook().Trail("list"))
+	l := registry.New(eventlog.NewLog().Stream("list"))
 	sealed := transport == "framed+tls" || transport == "grpc+tls"
 	dir, from := b.TempDir(), time.Now().Add(-time.Minute)
 	issue := func(role identity.Role, zone, name string) identity.Files {
@@ -151,7 +151,7 @@
 		return f
 	}
 	t := config.Defaults()
-	t.Zones, t.Machines, t.Kinds = zones, []string{"std"}, []config.ReqKind{{Name: "read", Repeats: "replayable",
+	t.Zones, t.Machines, t.Kinds = zones, []string{"std"}, []config.RequestClass{{Name: "read", Repeats: "replayable",
 		ResponseTarget: time.Second, ClientTimeout: 3 * time.Second, Payoff: 1}}
 	t.Zone, t.Listen, t.Admin, t.Proxies, t.LinesPerS, t.Backlog, t.MessagesMost = "a", "127.0.0.1:0", "", many, 1e9, 1e9, 0
 	t.GRPC, t.Plain, t.Beat, t.NewPerS, t.SeenWithin, t.MaxStreams = "127.0.0.1:0", !sealed, 20*time.Second, 0, time.Minute, 5000
@@ -166,7 +166,7 @@
 	entries := fleet()
 	l.Put(0, entries...)
 	t.ListAddress = l.Address()
-	d, err := New(&t, Outfit{})
+	d, err := New(&t, Options{})
 	require.NoError(b, err)
 	stop, ended := runB(b, d)
 	var read atomic.Int64
@@ -177,7 +177,7 @@
 		}
 		return &counted{c, &read}, nil
 	}
-	rings := map[string]*identity.Ring{}
+	rings := map[string]*identity.KeyStore{}
 	s := &sight{at: map[string]time.Time{}}
 	ctx, cancel := context.WithCancel(b.Context())
 	var wg sync.WaitGroup
--- a/internal/emulator/commands_test.go
+++ b/internal/emulator/commands_test.go
@@ -31,24 +31,24 @@
 // sequence is a fixed course of events: a fleet of some size and the faults that strike it.
 type sequence struct {
 	name string
-	read func() (*scenario.Day, error)
+	read func() (*scenario.Scenario, error)
 }
 
 // sequences covers each kind of fault that a day file can name, with 2 to 500 proxies.
 func sequences() (all []sequence) {
-	for _, name := range scenario.Days() {
-		all = append(all, sequence{name, func() (*scenario.Day, error) { return scenario.Load(name) }})
+	for _, name := range scenario.Names() {
+		all = append(all, sequence{name, func() (*scenario.Scenario, error) { return scenario.Load(name) }})
 	}
 	for _, x := range []struct {
 		name    string
 		proxies int
 	}{{"bad-day-short", 2}, {"errors", 2}, {"slices", 2}, {"replacement", 150}, {"proxies", 150}, {"bad-day-short", 500}, {"zone-loss", 500}} {
-		all = append(all, sequence{fmt.Sprintf("%s with %d proxies", x.name, x.proxies), func() (*scenario.Day, error) {
+		all = append(all, sequence{fmt.Sprintf("%s with %d proxies", x.name, x.proxies), func() (*scenario.Scenario, error) {
 			return resized(x.name, x.proxies)
 		}})
 	}
 	for _, seed := range drawnSeeds {
-		all = append(all, sequence{fmt.Sprintf("drawn %d", seed), func() (*scenario.Day, error) { return search.Draw(seed, 9).Day() }})
+		all = append(all, sequence{fmt.Sprintf("drawn %d", seed), func() (*scenario.Scenario, error) { return search.Draw(seed, 9).Scenario() }})
 	}
 	return all
 }
@@ -57,7 +57,7 @@
 var drawnSeeds = []int{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24}
 
 // resized returns a day that ships with another number of proxies, spread over its zones as before.
-func resized(name string, proxies int) (*scenario.Day, error) {
+func resized(name string, proxies int) (*scenario.Scenario, error) {
 	d, err := scenario.Load(name)
 	if err != nil {
 		return nil, err
@@ -78,7 +78,7 @@
 	lines strings.Builder
 }
 
-func (l *turnLog) add(seed int64, nowMs float64, commands []planner.Order) {
+func (l *turnLog) add(seed int64, nowMs float64, commands []planner.Command) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.turns++
@@ -92,7 +92,7 @@
 	log  *turnLog
 }
 
-func (d digested) Handle(nowMs float64, notes []planner.Note) []planner.Order {
+func (d digested) Handle(nowMs float64, notes []planner.Event) []planner.Command {
 	commands := d.Decider.Handle(nowMs, notes)
 	d.log.add(d.seed, nowMs, commands)
 	return commands
@@ -113,7 +113,7 @@
 				decide := func(seed int64, settings map[string]any) controller.Decider {
 					return digested{planner.New(seed, settings), seed, log}
 				}
-				_, err = emulator.Play{Day: d, Decide: decide}.Run(t.Context())
+				_, err = emulator.Play{Scenario: d, Decide: decide}.Run(t.Context())
 				require.NoError(t, err)
 				sum := crc64.Checksum([]byte(log.lines.String()), crc64.MakeTable(crc64.ECMA))
 				got[i] = fmt.Sprintf("%s: %d turns, %016x", s.name, log.turns, sum)
@@ -135,7 +135,7 @@
 	for _, s := range sequences() {
 		d, err := s.read()
 		require.NoError(t, err)
-		for _, fault := range d.Troubles {
+		for _, fault := range d.Faults {
 			struck[fault.What] = true
 		}
 	}
--- a/internal/experiment/stored_test.go
+++ b/internal/experiment/stored_test.go
@@ -16,7 +16,7 @@
 // a result is kept as JSON.
 func TestStoredNames(t *testing.T) {
 	sum := sha256.New()
-	for _, name := range scenario.Days() {
+	for _, name := range scenario.Names() {
 		d, err := scenario.Load(name)
 		require.NoError(t, err)
 		text, err := json.Marshal(d)
--- a/internal/handover/claim.go
+++ b/internal/handover/claim.go
@@ -7,14 +7,14 @@
 	"syscall"
 )
 
-// ErrHeld says that another process has the claim.
-var ErrHeld = errors.New("another process of this pilot serves")
+// ErrLocked says that another process has the claim.
+var ErrLocked = errors.New("another process of this pilot serves")
 
-// Claimed is a claim that is held: a lock on a file that the kernel frees when its holder dies.
-type Claimed struct{ f *os.File }
+// Lock is a claim that is held: a lock on a file that the kernel frees when its holder dies.
+type Lock struct{ f *os.File }
 
-// GetClaim takes the claim that belongs to a handover socket, if nobody has it.
-func GetClaim(socket string) (*Claimed, error) {
+// AcquireLock takes the claim that belongs to a handover socket, if nobody has it.
+func AcquireLock(socket string) (*Lock, error) {
 	f, err := os.OpenFile(socket+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("claim: %w", err)
@@ -22,15 +22,15 @@
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_ = f.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
-			return nil, fmt.Errorf("%s: %w", socket, ErrHeld)
+			return nil, fmt.Errorf("%s: %w", socket, ErrLocked)
 		}
 		return nil, fmt.Errorf("claim: %w", err)
 	}
-	return &Claimed{f}, nil
+	return &Lock{f}, nil
 }
 
-// LetGo gives the claim up. Of a claim that is not held nothing is done.
-func (c *Claimed) LetGo() {
+// Release gives the claim up. Of a claim that is not held nothing is done.
+func (c *Lock) Release() {
 	if c != nil {
 		_ = c.f.Close()
 	}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -34,8 +34,8 @@
 	version     = 1
 )
 
-// Within bounds each step.
-const Within = 20 * time.Second
+// StepTimeout bounds each step.
+const StepTimeout = 20 * time.Second
 
 // Bounds of those who ask: how many at once, and how long each may take to say that it wants to take over.
 const (
@@ -67,7 +67,7 @@
 	for _, f := range files {
 		fds = append(fds, int(f.Fd()))
 	}
-	_ = c.SetWriteDeadline(time.Now().Add(Within))
+	_ = c.SetWriteDeadline(time.Now().Add(StepTimeout))
 	if _, _, err := c.WriteMsgUnix(b, syscall.UnixRights(fds...), nil); err != nil {
 		return fmt.Errorf("say %s: %w", m.Step, err)
 	}
@@ -128,13 +128,13 @@
 	}
 }
 
-// Offer is what the old process does.
-type Offer struct {
+// Handoff is what the old process does.
+type Handoff struct {
 	Files map[string]*os.File // listeners by name
 	// Stop ends the pilot, its streams and its record, lets go of the claim, and returns when nothing of it writes any more.
 	Stop func()
 	// Resume starts the pilot again, on the same listeners, with the claim got anew.
-	Resume func(*Claimed)
+	Resume func(*Lock)
 	// Patience is how often, 0.1 s apart, the claim is tried after the new process was lost; 0: a hundred times.
 	Patience int
 
@@ -148,7 +148,7 @@
 )
 
 // Serve answers those who want to take over, one at a time, until one has or ctx ends. It returns whether one has.
-func (o *Offer) Serve(ctx context.Context, path string) (bool, error) {
+func (o *Handoff) Serve(ctx context.Context, path string) (bool, error) {
 	o.path = path
 	_ = os.Remove(path) // left by a process that was killed
 	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
@@ -200,8 +200,8 @@
 }
 
 // hand goes through the steps with one that wants to take over and returns whether it has.
-func (o *Offer) hand(ctx context.Context, c *net.UnixConn) bool {
-	m := recovery.Old{Patience: cmp.Or(o.Patience, usualPatience)}
+func (o *Handoff) hand(ctx context.Context, c *net.UnixConn) bool {
+	m := recovery.Predecessor{Patience: cmp.Or(o.Patience, usualPatience)}
 	e := recovery.Asked
 	for {
 		switch m.Next(e) {
@@ -213,23 +213,23 @@
 		case recovery.SayGo:
 			e = o.ask(c, stepGo, stepServing, recovery.ServingCame)
 		case recovery.Claim:
-			claim, err := GetClaim(o.path)
+			claim, err := AcquireLock(o.path)
 			if e = recovery.Claimed; err != nil {
 				e = recovery.Refused
-				backoff.For(ctx, claimEvery)
+				backoff.Sleep(ctx, claimEvery)
 				continue
 			}
 			m.Next(e)
 			o.Resume(claim)
 			return false
 		default:
-			return m.Gone()
+			return m.Replaced()
 		}
 	}
 }
 
 // ask says one step, with the listeners if it is the offer, and waits for the answer.
-func (o *Offer) ask(c *net.UnixConn, say, want string, came recovery.Event) recovery.Event {
+func (o *Handoff) ask(c *net.UnixConn, say, want string, came recovery.Event) recovery.Event {
 	m := message{Step: say}
 	var files []*os.File
 	if say == stepOffer {
@@ -240,31 +240,31 @@
 	if err := send(c, m, files); err != nil {
 		return recovery.Lost
 	}
-	if expect(c, want, Within) != nil {
+	if expect(c, want, StepTimeout) != nil {
 		return recovery.Lost
 	}
 	return came
 }
 
-// Taking is what the new process has been offered.
-type Taking struct {
+// Takeover is what the new process has been offered.
+type Takeover struct {
 	conn      *net.UnixConn
 	path      string
-	side      *recovery.New
+	side      *recovery.Successor
 	Listeners map[string]net.Listener
 }
 
-// Take asks a running process for its listeners.
-func Take(path string) (*Taking, error) {
+// RequestTakeover asks a running process for its listeners.
+func RequestTakeover(path string) (*Takeover, error) {
 	c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
 		return nil, fmt.Errorf("take over: %w", err)
 	}
-	t := &Taking{conn: c, path: path, side: recovery.NewSide(), Listeners: map[string]net.Listener{}}
+	t := &Takeover{conn: c, path: path, side: recovery.NewSuccessor(), Listeners: map[string]net.Listener{}}
 	if err := send(c, message{Step: stepTake}, nil); err != nil {
 		return nil, errors.Join(err, c.Close())
 	}
-	m, files, err := receive(c, stepOffer, Within)
+	m, files, err := receive(c, stepOffer, StepTimeout)
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("take over: %w", err), c.Close())
 	}
@@ -275,7 +275,7 @@
 	for i, f := range files {
 		l, err := net.FileListener(f)
 		if err != nil {
-			t.Drop()
+			t.Abort()
 			return nil, fmt.Errorf("take over %s: %w", m.Names[i], err)
 		}
 		t.Listeners[m.Names[i]] = l
@@ -285,7 +285,7 @@
 
 // Claim says that all that can be checked is good, waits until the old pilot has stopped and takes the claim. If the old
 // process is lost instead, the claim tells whether it still serves.
-func (t *Taking) Claim() (*Claimed, error) {
+func (t *Takeover) Claim() (*Lock, error) {
 	e := recovery.Offered
 	var why error
 	for {
@@ -293,13 +293,13 @@
 		case recovery.SayReady:
 			e = recovery.GoCame
 			if why = send(t.conn, message{Step: stepReady}, nil); why == nil {
-				why = expect(t.conn, stepGo, Within)
+				why = expect(t.conn, stepGo, StepTimeout)
 			}
 			if why != nil {
 				e = recovery.Lost
 			}
 		case recovery.Claim:
-			c, err := GetClaim(t.path)
+			c, err := AcquireLock(t.path)
 			if err == nil {
 				t.side.Next(recovery.Claimed)
 				return c, nil
@@ -313,7 +313,7 @@
 
 // Started tells whether the pilot runs; if so the old process is told, and ends. That it can't be told changes nothing:
 // who holds the claim serves.
-func (t *Taking) Started(runs bool) {
+func (t *Takeover) Started(runs bool) {
 	e := recovery.Started
 	if !runs {
 		e = recovery.Failed
@@ -324,8 +324,8 @@
 	_ = t.conn.Close()
 }
 
-// Drop gives up; the old process goes on.
-func (t *Taking) Drop() {
+// Abort gives up; the old process goes on.
+func (t *Takeover) Abort() {
 	for _, l := range t.Listeners {
 		_ = l.Close()
 	}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -19,10 +19,10 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // dialled takes over, once somebody listens.
-func dialled(t *testing.T, path string) (x *Taking) {
+func dialled(t *testing.T, path string) (x *Takeover) {
 	require.Eventually(t, func() (ok bool) {
 		var err error
-		x, err = Take(path)
+		x, err = RequestTakeover(path)
 		return err == nil
 	}, 5*time.Second, time.Millisecond)
 	return x
@@ -43,47 +43,47 @@
 			x := dialled(t, path)
 			c, err := x.Claim()
 			require.NoError(t, err)
-			defer c.LetGo()
+			defer c.Release()
 			x.Started(true)
-			x.Drop()
+			x.Abort()
 		}, true, 1, 0},
 		{"it serves but can't say so", func(t *testing.T, path string) {
 			x := dialled(t, path)
 			c, err := x.Claim()
 			require.NoError(t, err)
-			x.Drop()
+			x.Abort()
 			time.Sleep((patience + 4) * claimEvery)
-			c.LetGo()
+			c.Release()
 		}, true, 1, 0},
 		{"it gives up after the offer", func(t *testing.T, path string) {
 			x := dialled(t, path)
-			x.Drop()
+			x.Abort()
 		}, false, 0, 0},
 		{"it dies while it waits", func(t *testing.T, path string) {
 			x := dialled(t, path)
 			require.NoError(t, send(x.conn, message{Step: stepReady}, nil))
-			x.Drop()
+			x.Abort()
 		}, false, 1, 1},
 		{"it dies before it serves", func(t *testing.T, path string) {
 			x := dialled(t, path)
 			c, err := x.Claim()
 			require.NoError(t, err)
-			x.Drop()
+			x.Abort()
 			time.Sleep(3 * claimEvery) // the claim falls free when it is dead
-			c.LetGo()
+			c.Release()
 			time.Sleep(3 * claimEvery)
 		}, false, 1, 1},
 		{"a second one meanwhile", func(t *testing.T, path string) {
 			x := dialled(t, path)
-			_, err := Take(path)
+			_, err := RequestTakeover(path)
 			assert.ErrorIs(t, err, ErrBusy)
 			c, err := x.Claim()
 			require.NoError(t, err)
-			defer c.LetGo()
-			_, err = Take(path)
+			defer c.Release()
+			_, err = RequestTakeover(path)
 			assert.ErrorIs(t, err, ErrBusy)
 			x.Started(true)
-			x.Drop()
+			x.Abort()
 		}, true, 1, 0},
 		{"noise", func(t *testing.T, path string) {
 			var conn *net.UnixConn
@@ -108,15 +108,15 @@
 			defer f.Close()
 			stops, resumes := 0, 0
 			path := filepath.Join(t.TempDir(), "handover.sock")
-			claim, err := GetClaim(path)
+			claim, err := AcquireLock(path)
 			require.NoError(t, err)
-			_, err = GetClaim(path)
-			require.ErrorIs(t, err, ErrHeld)
+			_, err = AcquireLock(path)
+			require.ErrorIs(t, err, ErrLocked)
 			ctx, cancel := context.WithCancel(t.Context())
 			taken := make(chan bool, 1)
 			go func() {
-				o := Offer{Files: map[string]*os.File{"streams": f}, Patience: patience, Stop: func() { stops++; claim.LetGo() },
-					Resume: func(c *Claimed) { resumes++; c.LetGo() }}
+				o := Handoff{Files: map[string]*os.File{"streams": f}, Patience: patience, Stop: func() { stops++; claim.Release() },
+					Resume: func(c *Lock) { resumes++; c.Release() }}
 				ok, err := o.Serve(ctx, path)
 				assert.NoError(t, err)
 				taken <- ok
@@ -133,7 +133,7 @@
 			assert.Equal(t, c.resumes, resumes)
 		})
 	}
-	_, err := Take(filepath.Join(t.TempDir(), "nobody"))
+	_, err := RequestTakeover(filepath.Join(t.TempDir(), "nobody"))
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
 
@@ -147,7 +147,7 @@
 	path := filepath.Join(t.TempDir(), "handover.sock")
 	done := make(chan bool, 1)
 	go func() {
-		o := Offer{Files: map[string]*os.File{"streams": f}, Stop: func() { l.Close() }, Resume: func(*Claimed) {}}
+		o := Handoff{Files: map[string]*os.File{"streams": f}, Stop: func() { l.Close() }, Resume: func(*Lock) {}}
 		ok, _ := o.Serve(t.Context(), path)
 		f.Close()
 		done <- ok
@@ -156,7 +156,7 @@
 	x := dialled(t, path)
 	claim, err := x.Claim()
 	require.NoError(t, err)
-	defer claim.LetGo()
+	defer claim.Release()
 	c, err := net.Dial("tcp", address) // nobody accepts now
 	require.NoError(t, err)
 	defer c.Close()
@@ -170,7 +170,7 @@
 	b, err := io.ReadAll(c)
 	require.NoError(t, err)
 	assert.Equal(t, "hello", string(b))
-	x.Drop()
+	x.Abort()
 }
 
 // TestBadAsker guards the handover socket against those who ask and mean harm, or nothing: each is let go of, none holds
@@ -179,7 +179,7 @@
 	path := filepath.Join(t.TempDir(), "handover.sock")
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	o := Offer{Stop: func() { t.Error("stopped for a bad asker") }, Resume: func(*Claimed) {}}
+	o := Handoff{Stop: func() { t.Error("stopped for a bad asker") }, Resume: func(*Lock) {}}
 	go func() { _, err := o.Serve(ctx, path); ended <- err }()
 	defer func() { cancel(); assert.NoError(t, <-ended) }()
 	dial := func() (c *net.UnixConn) {
@@ -223,5 +223,5 @@
 		now, err := os.ReadDir("/proc/self/fd")
 		return err == nil && len(now) <= len(files)+3
 	}, 5*time.Second, time.Millisecond, "files of those who have gone stay")
-	dialled(t, path).Drop() // while one is still silent
+	dialled(t, path).Abort() // while one is still silent
 }
--- a/internal/record/codec.go
+++ b/internal/record/codec.go
@@ -19,8 +19,8 @@
 
 // Errors of reading.
 var (
-	ErrTorn   = errors.New("the record is torn")
-	ErrFormat = errors.New("the record is of another format")
+	ErrCorrupt = errors.New("the record is torn")
+	ErrFormat  = errors.New("the record is of another format")
 )
 
 // Kind tells what an input was.
@@ -28,18 +28,18 @@
 
 // The kinds of input.
 const (
-	Join Kind = iota + 1
-	Leave
-	Applied
-	Listed
-	ListLost
-	Heard
-	Probed
-	Retermed
-	Met
-	Demand
-	SliceGiven
-	SliceDemand
+	KindProxyJoined Kind = iota + 1
+	KindProxyLeft
+	KindAcked
+	KindEndpointsListed
+	KindEndpointListLost
+	KindGossip
+	KindHealthChecked
+	KindSettingsChanged
+	KindEndpointStats
+	KindRequestStats
+	KindSliceAssigned
+	KindSliceStats
 	kindEnd
 )
 
@@ -54,13 +54,13 @@
 
 // Input is one input of a turn. Stream numbers the proxies' streams of a life.
 type Input struct {
-	Kind    Kind           `json:"Kind"`
-	Stream  uint64         `json:"Stream"`
-	Message wire.Message   `json:"Message"` // of Join, Applied, Listed and SliceGiven
-	From    int            `json:"From"`    // of Heard
-	Text    string         `json:"Text"`    // of Heard; the endpoint of Probed; terms as JSON of Retermed
-	Probe   planner.Probed `json:"Probe"`   // of Probed
-	Note    planner.Note   `json:"Note"`    // of Met, Demand and SliceDemand: as the intake passed them on
+	Kind        Kind                      `json:"Kind"`
+	Stream      uint64                    `json:"Stream"`
+	Message     wire.Message              `json:"Message"` // of Join, Applied, Listed and SliceGiven
+	From        int                       `json:"From"`    // of Heard
+	Text        string                    `json:"Text"`    // of Heard; the endpoint of Probed; terms as JSON of Retermed
+	HealthCheck planner.HealthCheckResult `json:"Probe"`   // of Probed
+	Event       planner.Event             `json:"Note"`    // of Met, Demand and SliceDemand: as the intake passed them on
 }
 
 // Turn is one turn of the loop.
@@ -87,8 +87,8 @@
 	e.wide(v)
 }
 
-// Append lays a turn out behind what is in b already.
-func Append(b []byte, t *Turn) ([]byte, error) {
+// AppendTurn lays a turn out behind what is in b already.
+func AppendTurn(b []byte, t *Turn) ([]byte, error) {
 	e := encoder{b}
 	e.wide(t.AtMs)
 	e.b = binary.LittleEndian.AppendUint64(e.b, t.Digest)
@@ -104,55 +104,55 @@
 func (e *encoder) input(in *Input) error {
 	e.b = append(e.b, byte(in.Kind))
 	switch in.Kind {
-	case Join, Applied, Listed, SliceGiven:
+	case KindProxyJoined, KindAcked, KindEndpointsListed, KindSliceAssigned:
 		body, err := wire.Body(in.Message)
 		if err != nil {
 			return fmt.Errorf("lay out input: %w", err)
 		}
 		e.uint(in.Stream)
 		e.text(string(body))
-	case Leave:
+	case KindProxyLeft:
 		e.uint(in.Stream)
-	case Heard:
+	case KindGossip:
 		e.int(in.From)
 		e.text(in.Text)
-	case Retermed:
+	case KindSettingsChanged:
 		e.text(in.Text)
-	case Probed:
+	case KindHealthChecked:
 		e.text(in.Text)
-		e.text(in.Probe.Outcome)
-		e.num(in.Probe.TookMs)
-		e.load(in.Probe.Load)
-	case Met:
-		m, ok := in.Note.(planner.Met)
+		e.text(in.HealthCheck.Outcome)
+		e.num(in.HealthCheck.TookMs)
+		e.load(in.HealthCheck.Load)
+	case KindEndpointStats:
+		m, ok := in.Event.(planner.EndpointStats)
 		if !ok {
-			return fmt.Errorf("lay out %T as met", in.Note)
+			return fmt.Errorf("lay out %T as met", in.Event)
 		}
 		e.int(m.Endpoint)
 		e.int(m.Zone)
-		e.int(m.Tries)
+		e.int(m.Attempts)
 		e.int(m.Failed)
 		e.num(m.MeanMs)
 		e.num(m.SpanMs)
 		e.load(m.Load)
-	case Demand:
-		d, ok := in.Note.(planner.Demand)
+	case KindRequestStats:
+		d, ok := in.Event.(planner.RequestStats)
 		if !ok {
-			return fmt.Errorf("lay out %T as demand", in.Note)
+			return fmt.Errorf("lay out %T as demand", in.Event)
 		}
 		e.int(d.Proxy)
-		e.int(d.Kind)
-		e.int(d.Reqs)
+		e.int(d.Class)
+		e.int(d.Requests)
 		e.int(d.Unanswered)
 		e.num(d.SpanMs)
-	case SliceDemand:
-		d, ok := in.Note.(planner.SliceDemand)
+	case KindSliceStats:
+		d, ok := in.Event.(planner.SliceStats)
 		if !ok {
-			return fmt.Errorf("lay out %T as slice demand", in.Note)
+			return fmt.Errorf("lay out %T as slice demand", in.Event)
 		}
 		e.int(d.Slice)
-		e.int(d.Kind)
-		e.int(d.Reqs)
+		e.int(d.Class)
+		e.int(d.Requests)
 		e.int(d.Unanswered)
 		e.num(d.SpanMs)
 	}
@@ -180,7 +180,7 @@
 
 func (d *decoder) fail() {
 	if d.err == nil {
-		d.err = ErrTorn
+		d.err = ErrCorrupt
 	}
 	d.b = nil
 }
@@ -251,8 +251,8 @@
 	return l
 }
 
-// Turns takes apart what Append laid out.
-func Turns(b []byte) (turns []Turn, err error) {
+// DecodeTurns takes apart what Append laid out.
+func DecodeTurns(b []byte) (turns []Turn, err error) {
 	d := decoder{b: b}
 	for len(d.b) > 0 {
 		t := Turn{AtMs: math.Float64frombits(d.fixed()), Digest: d.fixed()}
@@ -283,35 +283,35 @@
 	in.Kind = Kind(d.b[0])
 	d.b = d.b[1:]
 	switch in.Kind {
-	case Join, Applied, Listed, SliceGiven:
+	case KindProxyJoined, KindAcked, KindEndpointsListed, KindSliceAssigned:
 		in.Stream = d.uint()
 		body := d.text()
 		if d.err != nil {
 			return in
 		}
-		blank := map[Kind]wire.Message{Join: &wire.Hello{}, Applied: &wire.Done{}, Listed: &wire.List{}, SliceGiven: &wire.Slices{}}[in.Kind]
+		blank := map[Kind]wire.Message{KindProxyJoined: &wire.Hello{}, KindAcked: &wire.Done{}, KindEndpointsListed: &wire.List{}, KindSliceAssigned: &wire.Slices{}}[in.Kind]
 		if err := wire.Unbody(blank, []byte(body)); err != nil {
-			d.err = fmt.Errorf("%w: %w", ErrTorn, err)
+			d.err = fmt.Errorf("%w: %w", ErrCorrupt, err)
 			return in
 		}
 		in.Message = blank
-	case Leave:
+	case KindProxyLeft:
 		in.Stream = d.uint()
-	case Heard:
+	case KindGossip:
 		in.From, in.Text = d.int(), d.text()
-	case Retermed:
+	case KindSettingsChanged:
 		in.Text = d.text()
-	case Probed:
+	case KindHealthChecked:
 		in.Text = d.text()
-		in.Probe = planner.Probed{Outcome: d.text(), TookMs: d.num(), Load: d.load()}
-	case Met:
-		in.Note = planner.Met{Endpoint: d.int(), Zone: d.int(), Tries: d.int(), Failed: d.int(), MeanMs: d.num(),
+		in.HealthCheck = planner.HealthCheckResult{Outcome: d.text(), TookMs: d.num(), Load: d.load()}
+	case KindEndpointStats:
+		in.Event = planner.EndpointStats{Endpoint: d.int(), Zone: d.int(), Attempts: d.int(), Failed: d.int(), MeanMs: d.num(),
 			SpanMs: d.num(), Load: d.load()}
-	case Demand:
-		in.Note = planner.Demand{Proxy: d.int(), Kind: d.int(), Reqs: d.int(), Unanswered: d.int(), SpanMs: d.num()}
-	case SliceDemand:
-		in.Note = planner.SliceDemand{Slice: d.int(), Kind: d.int(), Reqs: d.int(), Unanswered: d.int(), SpanMs: d.num()}
-	case ListLost, Checkpoint:
+	case KindRequestStats:
+		in.Event = planner.RequestStats{Proxy: d.int(), Class: d.int(), Requests: d.int(), Unanswered: d.int(), SpanMs: d.num()}
+	case KindSliceStats:
+		in.Event = planner.SliceStats{Slice: d.int(), Class: d.int(), Requests: d.int(), Unanswered: d.int(), SpanMs: d.num()}
+	case KindEndpointListLost, KindCheckpoint:
 	default:
 		d.fail()
 	}
--- a/internal/record/digest.go
+++ b/internal/record/digest.go
@@ -30,7 +30,7 @@
 )
 
 // Digest sums up the commands of a turn, in their order. Turn.Digest holds it in a record.
-func Digest(orders []planner.Order) uint64 {
+func Digest(orders []planner.Command) uint64 {
 	h := crc64.New(table)
 	for _, o := range orders {
 		writeDigest(h, o)
@@ -39,29 +39,29 @@
 }
 
 // writeDigest writes the text of one command. Writes to a hash don't fail.
-func writeDigest(h io.Writer, order planner.Order) {
+func writeDigest(h io.Writer, order planner.Command) {
 	switch o := order.(type) {
-	case planner.SetLine:
+	case planner.SetWeight:
 		fmt.Fprintf(h, digestSetLine, o.Table, o.Endpoint, o.Weight)
 	case planner.ClearTable:
 		fmt.Fprintf(h, digestClearTable, o.Table)
-	case planner.Bind:
-		fmt.Fprintf(h, digestBind, o.Table, o.Proxy, o.Kinds)
-	case planner.Withdraw:
-		fmt.Fprintf(h, digestWithdraw, o.Endpoint, o.Out)
-	case planner.Admit:
-		fmt.Fprintf(h, digestAdmit, o.Table, o.Kinds, o.Again, o.Level)
-	case planner.Mark:
+	case planner.AssignTable:
+		fmt.Fprintf(h, digestBind, o.Table, o.Proxy, o.Classes)
+	case planner.SetExcluded:
+		fmt.Fprintf(h, digestWithdraw, o.Endpoint, o.Excluded)
+	case planner.SetAdmission:
+		fmt.Fprintf(h, digestAdmit, o.Table, o.Classes, o.RetryMode, o.Level)
+	case planner.AckRequest:
 		fmt.Fprintf(h, digestMark, o.Number, o.All)
-	case planner.Probe:
+	case planner.HealthCheck:
 		fmt.Fprintf(h, digestProbe, o.Endpoint)
-	case planner.Tell:
+	case planner.SendGossip:
 		fmt.Fprintf(h, digestTell, o.Peer, o.Text)
-	case planner.WakeAt:
+	case planner.SetTimer:
 		fmt.Fprintf(h, digestWakeAt, o.AtMs, o.Name)
-	case planner.Watch:
+	case planner.WatchEndpoints:
 		fmt.Fprintf(h, digestWatch, o.On)
-	case planner.FetchList:
+	case planner.FetchEndpoints:
 		fmt.Fprint(h, digestFetchList)
 	case planner.Log:
 		fmt.Fprintf(h, digestLog, o.Text)
--- a/internal/record/digest_test.go
+++ b/internal/record/digest_test.go
@@ -15,31 +15,31 @@
 // was renamed: stored records are read by these values.
 func TestDigestBytes(t *testing.T) {
 	for _, c := range []struct {
-		order planner.Order
+		order planner.Command
 		want  string
 	}{
-		{planner.SetLine{Table: 3, Endpoint: 17, Weight: 0.30000000000000004}, "cabd1f0e29bf2f36"},
-		{planner.SetLine{Table: 65000, Endpoint: 1, Weight: 1e21}, "5f8061f8931e4099"},
-		{planner.SetLine{Weight: 1e-9}, "71573af5b886bb70"},
-		{planner.SetLine{Weight: math.Inf(1)}, "6a84357acc5427ac"},
-		{planner.SetLine{Weight: math.Copysign(0, -1)}, "507eb88cbdc7d692"},
+		{planner.SetWeight{Table: 3, Endpoint: 17, Weight: 0.30000000000000004}, "cabd1f0e29bf2f36"},
+		{planner.SetWeight{Table: 65000, Endpoint: 1, Weight: 1e21}, "5f8061f8931e4099"},
+		{planner.SetWeight{Weight: 1e-9}, "71573af5b886bb70"},
+		{planner.SetWeight{Weight: math.Inf(1)}, "6a84357acc5427ac"},
+		{planner.SetWeight{Weight: math.Copysign(0, -1)}, "507eb88cbdc7d692"},
 		{planner.ClearTable{Table: 9}, "2e576c316074bb43"},
-		{planner.Bind{Table: 1, Proxy: 499, Kinds: 5}, "66f140afc7e40c16"},
-		{planner.Withdraw{Endpoint: 12, Out: true}, "692943b0920b1dce"},
-		{planner.Withdraw{Endpoint: 12}, "20444ea590d593c4"},
-		{planner.Admit{Table: planner.EveryTable, Kinds: 3, Again: 2, Level: 0.85}, "c16fb26fecb0f704"},
-		{planner.Mark{Number: 65534, All: true}, "7ad8336e02541273"},
-		{planner.Probe{Endpoint: 4}, "dcb838218010b0df"},
-		{planner.Tell{Peer: -1, Text: "a b {c}"}, "0769613f2a275936"},
-		{planner.WakeAt{AtMs: 123456.75, Name: "gather"}, "c309b2529546949c"},
-		{planner.Watch{On: true}, "0211d3fb2c006f8c"},
-		{planner.FetchList{}, "46f9affef7c5009a"},
+		{planner.AssignTable{Table: 1, Proxy: 499, Classes: 5}, "66f140afc7e40c16"},
+		{planner.SetExcluded{Endpoint: 12, Excluded: true}, "692943b0920b1dce"},
+		{planner.SetExcluded{Endpoint: 12}, "20444ea590d593c4"},
+		{planner.SetAdmission{Table: planner.EveryTable, Classes: 3, RetryMode: 2, Level: 0.85}, "c16fb26fecb0f704"},
+		{planner.AckRequest{Number: 65534, All: true}, "7ad8336e02541273"},
+		{planner.HealthCheck{Endpoint: 4}, "dcb838218010b0df"},
+		{planner.SendGossip{Peer: -1, Text: "a b {c}"}, "0769613f2a275936"},
+		{planner.SetTimer{AtMs: 123456.75, Name: "gather"}, "c309b2529546949c"},
+		{planner.WatchEndpoints{On: true}, "0211d3fb2c006f8c"},
+		{planner.FetchEndpoints{}, "46f9affef7c5009a"},
 		{planner.Log{Text: "endpoint 3 zone 1: out, good 0.0 bad 9.0 all 0.10"}, "d8c0a69a3de3c6bb"},
 	} {
-		assert.Equal(t, c.want, fmt.Sprintf("%016x", Digest([]planner.Order{c.order})), "%v", c.order)
+		assert.Equal(t, c.want, fmt.Sprintf("%016x", Digest([]planner.Command{c.order})), "%v", c.order)
 	}
 	assert.Equal(t, "0000000000000000", fmt.Sprintf("%016x", Digest(nil)))
-	all := []planner.Order{planner.SetLine{Table: 1, Endpoint: 2, Weight: 0.5}, planner.Bind{Table: 1, Proxy: 2}, planner.Mark{Number: 1}}
+	all := []planner.Command{planner.SetWeight{Table: 1, Endpoint: 2, Weight: 0.5}, planner.AssignTable{Table: 1, Proxy: 2}, planner.AckRequest{Number: 1}}
 	assert.Equal(t, "1ed775898c4325d5", fmt.Sprintf("%016x", Digest(all)))
 }
 
--- a/internal/record/estimate.go
+++ b/internal/record/estimate.go
@@ -42,12 +42,12 @@
 }
 
 // notes takes in what a period told.
-func (e *estimator) notes(notes []planner.Note) {
+func (e *estimator) notes(notes []planner.Event) {
 	zones := map[int]map[int]float64{}
 	any := false
 	for _, n := range notes {
-		m, is := n.(planner.Met)
-		if !is || m.Tries == 0 {
+		m, is := n.(planner.EndpointStats)
+		if !is || m.Attempts == 0 {
 			continue
 		}
 		if !any {
@@ -60,7 +60,7 @@
 		if zones[m.Zone] == nil {
 			zones[m.Zone] = map[int]float64{}
 		}
-		zones[m.Zone][m.Endpoint] += float64(m.Tries)
+		zones[m.Zone][m.Endpoint] += float64(m.Attempts)
 	}
 	if !any {
 		return
@@ -71,14 +71,14 @@
 	}
 }
 
-func (e *estimator) met(m planner.Met) {
+func (e *estimator) met(m planner.EndpointStats) {
 	s := e.seen[m.Endpoint]
 	if s == nil {
 		s = &seen{}
 		e.seen[m.Endpoint] = s
 	}
-	ok := float64(m.Tries - m.Failed)
-	s.tries += float64(m.Tries)
+	ok := float64(m.Attempts - m.Failed)
+	s.tries += float64(m.Attempts)
 	s.failed += float64(m.Failed)
 	s.ms += ok * m.MeanMs
 	s.ok += ok
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -26,47 +26,47 @@
 
 // samples has one of each input.
 var samples = []Input{
-	{Kind: Join, Stream: 3, Message: &wire.Hello{Version: 1, Proxy: "p", Zone: "a", Rate: 2.5, Fresh: true, Holds: []string{"x"}}},
-	{Kind: Leave, Stream: 3}, {Kind: Applied, Stream: 3, Message: &wire.Done{Mark: 9, TookMs: 0.5}},
-	{Kind: Listed, Message: &wire.List{Version: 2, Now: 5, Whole: true, Entries: []wire.Entry{{Endpoint: "x", Zone: "a", Weight: 1}}}},
-	{Kind: ListLost}, {Kind: Heard, From: 2, Text: "hi"}, {Kind: Retermed, Text: `{"backlog":5}`}, {Kind: Checkpoint},
-	{Kind: Probed, Text: "x", Probe: planner.Probed{Outcome: "ok", TookMs: 1.25, Load: planner.Load{"util": 0.5}}},
-	{Kind: Met, Note: planner.Met{Endpoint: 1, Zone: 2, Tries: 30, Failed: 4, MeanMs: 12.5, SpanMs: 1000, Load: planner.Load{"util": 0.25, "rate": 7}}},
-	{Kind: SliceGiven, Message: &wire.Slices{Slice: 3, Given: true, Lines: []wire.HeldLine{{Endpoint: "x", Weight: 1}}}},
-	{Kind: SliceDemand, Note: planner.SliceDemand{Slice: 3, Kind: 1, Reqs: 4, Unanswered: 1, SpanMs: 1000}},
-	{Kind: Demand, Note: planner.Demand{Proxy: 4, Kind: 1, Reqs: 12, Unanswered: 1, SpanMs: 999.5}},
+	{Kind: KindProxyJoined, Stream: 3, Message: &wire.Hello{Version: 1, Proxy: "p", Zone: "a", Rate: 2.5, Fresh: true, Holds: []string{"x"}}},
+	{Kind: KindProxyLeft, Stream: 3}, {Kind: KindAcked, Stream: 3, Message: &wire.Done{Mark: 9, TookMs: 0.5}},
+	{Kind: KindEndpointsListed, Message: &wire.List{Version: 2, Now: 5, Whole: true, Entries: []wire.Entry{{Endpoint: "x", Zone: "a", Weight: 1}}}},
+	{Kind: KindEndpointListLost}, {Kind: KindGossip, From: 2, Text: "hi"}, {Kind: KindSettingsChanged, Text: `{"backlog":5}`}, {Kind: KindCheckpoint},
+	{Kind: KindHealthChecked, Text: "x", HealthCheck: planner.HealthCheckResult{Outcome: "ok", TookMs: 1.25, Load: planner.Load{"util": 0.5}}},
+	{Kind: KindEndpointStats, Event: planner.EndpointStats{Endpoint: 1, Zone: 2, Attempts: 30, Failed: 4, MeanMs: 12.5, SpanMs: 1000, Load: planner.Load{"util": 0.25, "rate": 7}}},
+	{Kind: KindSliceAssigned, Message: &wire.Slices{Slice: 3, Given: true, Lines: []wire.HeldLine{{Endpoint: "x", Weight: 1}}}},
+	{Kind: KindSliceStats, Event: planner.SliceStats{Slice: 3, Class: 1, Requests: 4, Unanswered: 1, SpanMs: 1000}},
+	{Kind: KindRequestStats, Event: planner.RequestStats{Proxy: 4, Class: 1, Requests: 12, Unanswered: 1, SpanMs: 999.5}},
 }
 
 func turn(at float64) *Turn { return &Turn{AtMs: at, Digest: uint64(at) * 7, Inputs: samples} }
 
 func TestTurns(t *testing.T) {
-	b, err := Append(nil, turn(1))
+	b, err := AppendTurn(nil, turn(1))
 	require.NoError(t, err)
-	b, err = Append(b, turn(2.5))
+	b, err = AppendTurn(b, turn(2.5))
 	require.NoError(t, err)
-	got, err := Turns(b)
+	got, err := DecodeTurns(b)
 	require.NoError(t, err)
 	assert.Equal(t, []Turn{*turn(1), *turn(2.5)}, got)
 	for n := range b { // cut short anywhere: what came before it stands, the rest is torn
-		_, err := Turns(b[:n])
+		_, err := DecodeTurns(b[:n])
 		if n > 0 && err != nil {
-			assert.ErrorIs(t, err, ErrTorn)
+			assert.ErrorIs(t, err, ErrCorrupt)
 		}
 	}
 }
 
 // FuzzTurns guards against bytes that crash the reader of turns.
 func FuzzTurns(f *testing.F) {
-	b, err := Append(nil, turn(1))
+	b, err := AppendTurn(nil, turn(1))
 	require.NoError(f, err)
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
-		turns, err := Turns(b)
+		turns, err := DecodeTurns(b)
 		if err != nil {
 			return
 		}
 		for i := range turns {
-			_, err := Append(nil, &turns[i])
+			_, err := AppendTurn(nil, &turns[i])
 			assert.NoError(t, err)
 		}
 	})
@@ -80,7 +80,7 @@
 
 // write records turns from and to in one life, with a disk that may fail.
 func write(t *testing.T, s *Store, life string, from, to int, fails func(int) bool) {
-	w, err := NewWriter(s, Life{ID: life}, Bounds{Segment: 2000, Every: time.Millisecond}, zap.NewNop())
+	w, err := NewWriter(s, Life{ID: life}, Limits{SegmentBytes: 2000, CommitInterval: time.Millisecond}, zap.NewNop())
 	require.NoError(t, err)
 	commits := 0
 	put := w.put
@@ -158,7 +158,7 @@
 	assert.Len(t, lives, 2)
 	bytes, chunks := s.Size("a")
 	assert.Greater(t, chunks, 5)
-	dropped, err := s.Prune(Bounds{Bytes: bytes}, time.Now())
+	dropped, err := s.Prune(Limits{Bytes: bytes}, time.Now())
 	require.NoError(t, err)
 	assert.Positive(t, dropped)
 	left, _ := s.Size("b")
@@ -166,7 +166,7 @@
 	at, _, err := read(s, "b")
 	require.NoError(t, err)
 	assert.Equal(t, 199.0, at[len(at)-1])
-	_, err = s.Prune(Bounds{Age: time.Nanosecond}, time.Now().Add(time.Hour))
+	_, err = s.Prune(Limits{Age: time.Nanosecond}, time.Now().Add(time.Hour))
 	require.NoError(t, err)
 	lives, err = s.Lives()
 	require.NoError(t, err)
@@ -198,9 +198,9 @@
 		return nil
 	}))
 	at, _, err := read(s, "a")
-	assert.ErrorIs(t, err, ErrTorn)
+	assert.ErrorIs(t, err, ErrCorrupt)
 	assert.NotEmpty(t, at)
-	turns, torn, err := Tail(s, "a", 1e9)
+	turns, torn, err := ReadTail(s, "a", 1e9)
 	require.NoError(t, err)
 	assert.True(t, torn)
 	assert.Len(t, turns, len(at))
@@ -210,7 +210,7 @@
 func TestSlowDisk(t *testing.T) {
 	s := open(t, t.TempDir())
 	defer s.Close()
-	w, err := NewWriter(s, Life{ID: "a"}, Bounds{Segment: 1 << 20, Every: time.Millisecond}, zap.NewNop())
+	w, err := NewWriter(s, Life{ID: "a"}, Limits{SegmentBytes: 1 << 20, CommitInterval: time.Millisecond}, zap.NewNop())
 	require.NoError(t, err)
 	release, put := make(chan bool), w.put
 	var held atomic.Bool
@@ -238,7 +238,7 @@
 
 // TestFrom guards which turn a tail begins at.
 func TestFrom(t *testing.T) {
-	check := Input{Kind: Checkpoint}
+	check := Input{Kind: KindCheckpoint}
 	life := func(times ...float64) (turns []Turn) {
 		for _, at := range times {
 			x := Turn{AtMs: max(at, -at)}
@@ -262,7 +262,7 @@
 		{"begun after a gap without a checkpoint", life(90000, 91000), 60000, 2},
 		{"a checkpoint after the gap", life(90000, -91000, 92000), 60000, 1},
 	} {
-		assert.Equal(t, c.want, From(c.turns, c.tail), c.name)
+		assert.Equal(t, c.want, ReplayStart(c.turns, c.tail), c.name)
 	}
 }
 
@@ -301,8 +301,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			e := newEstimator(func() map[int]map[int]float64 { return map[int]map[int]float64{0: c.shares} })
 			for range 10 {
-				e.notes([]planner.Note{planner.Met{Endpoint: 0, Tries: 100, Failed: 50, MeanMs: 20},
-					planner.Met{Endpoint: 1, Tries: 100, MeanMs: 10}})
+				e.notes([]planner.Event{planner.EndpointStats{Endpoint: 0, Attempts: 100, Failed: 50, MeanMs: 20},
+					planner.EndpointStats{Endpoint: 1, Attempts: 100, MeanMs: 10}})
 			}
 			r := e.result()
 			assert.InDelta(t, 0.25, r.Recorded, 1e-9)
@@ -318,20 +318,20 @@
 	s, err := Open(b.TempDir(), false)
 	require.NoError(b, err)
 	defer s.Close()
-	w, err := NewWriter(s, Life{ID: "a"}, DefaultBounds(), zap.NewNop())
+	w, err := NewWriter(s, Life{ID: "a"}, DefaultLimits(), zap.NewNop())
 	require.NoError(b, err)
 	ctx, cancel := context.WithCancel(b.Context())
 	done := make(chan error, 1)
 	go func() { done <- w.Run(ctx) }()
 	r := NewRecorder(w.Turn, func() []controller.Input { return nil })
-	var told []planner.Note
+	var told []planner.Event
 	for i := range 50 {
-		told = append(told, planner.Met{Endpoint: i, Zone: i % 3, Tries: 30 + i, MeanMs: 20.5 + float64(i)/7, SpanMs: 1000.25, Load: planner.Load{"util": 0.5, "rate": 20}})
+		told = append(told, planner.EndpointStats{Endpoint: i, Zone: i % 3, Attempts: 30 + i, MeanMs: 20.5 + float64(i)/7, SpanMs: 1000.25, Load: planner.Load{"util": 0.5, "rate": 20}})
 	}
 	i := 0
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Turn(float64(i)*10, nil, told, []planner.Order{planner.WakeAt{AtMs: float64(i), Name: "gather"}})
+		r.Turn(float64(i)*10, nil, told, []planner.Command{planner.SetTimer{AtMs: float64(i), Name: "gather"}})
 		i++
 	}
 	cancel()
@@ -344,27 +344,27 @@
 func TestTail(t *testing.T) {
 	s := open(t, t.TempDir())
 	defer s.Close()
-	w, err := NewWriter(s, Life{ID: "a"}, Bounds{Segment: 1 << 12, Every: time.Hour}, zap.NewNop())
+	w, err := NewWriter(s, Life{ID: "a"}, Limits{SegmentBytes: 1 << 12, CommitInterval: time.Hour}, zap.NewNop())
 	require.NoError(t, err)
 	var all []Turn
 	var body []byte
 	for i := range 3000 {
 		x := Turn{AtMs: float64(i) * 200}
 		if i > 0 && i%75 == 0 {
-			x.Inputs = []Input{{Kind: Checkpoint}}
+			x.Inputs = []Input{{Kind: KindCheckpoint}}
 		}
 		all = append(all, x)
-		if body, err = Append(body, &x); i%50 == 49 {
+		if body, err = AppendTurn(body, &x); i%50 == 49 {
 			w.commit(body)
 			body = body[:0]
 		}
 		require.NoError(t, err)
 	}
 	for _, tail := range []float64{0, 1000, 60_000, 1e9} {
-		turns, torn, err := Tail(s, "a", tail)
+		turns, torn, err := ReadTail(s, "a", tail)
 		require.NoError(t, err)
 		assert.False(t, torn)
-		assert.Equal(t, all[From(all, tail):], turns, "%g ms", tail)
+		assert.Equal(t, all[ReplayStart(all, tail):], turns, "%g ms", tail)
 	}
 }
 
@@ -376,35 +376,35 @@
 		turn Turn
 		torn bool
 	}{
-		"endpoint below":      {Turn{Inputs: []Input{{Kind: Met, Note: planner.Met{Endpoint: -1, Tries: 1, SpanMs: 1}}}}, false},
-		"endpoint beyond":     {Turn{Inputs: []Input{{Kind: Met, Note: planner.Met{Endpoint: 1 << 40, Tries: 1, SpanMs: 1}}}}, false},
-		"zone beyond":         {Turn{Inputs: []Input{{Kind: Met, Note: planner.Met{Zone: 1 << 40, Tries: 1, SpanMs: 1}}}}, false},
-		"zone below":          {Turn{Inputs: []Input{{Kind: Met, Note: planner.Met{Zone: -5, Tries: 1, SpanMs: 1}}}}, false},
-		"load infinite":       {Turn{Inputs: []Input{{Kind: Met, Note: planner.Met{Tries: 1, SpanMs: 1, Load: planner.Load{"util": inf}}}}}, false},
-		"mean not a number":   {Turn{Inputs: []Input{{Kind: Met, Note: planner.Met{Tries: 1, SpanMs: 1, MeanMs: nan}}}}, false},
-		"kind beyond":         {Turn{Inputs: []Input{{Kind: Demand, Note: planner.Demand{Kind: 1 << 40}}}}, false},
-		"slice's kind beyond": {Turn{Inputs: []Input{{Kind: SliceDemand, Note: planner.SliceDemand{Kind: -1}}}}, false},
-		"probe's load":        {Turn{Inputs: []Input{{Kind: Probed, Text: "x", Probe: planner.Probed{Load: planner.Load{"util": inf}}}}}, false},
+		"endpoint below":      {Turn{Inputs: []Input{{Kind: KindEndpointStats, Event: planner.EndpointStats{Endpoint: -1, Attempts: 1, SpanMs: 1}}}}, false},
+		"endpoint beyond":     {Turn{Inputs: []Input{{Kind: KindEndpointStats, Event: planner.EndpointStats{Endpoint: 1 << 40, Attempts: 1, SpanMs: 1}}}}, false},
+		"zone beyond":         {Turn{Inputs: []Input{{Kind: KindEndpointStats, Event: planner.EndpointStats{Zone: 1 << 40, Attempts: 1, SpanMs: 1}}}}, false},
+		"zone below":          {Turn{Inputs: []Input{{Kind: KindEndpointStats, Event: planner.EndpointStats{Zone: -5, Attempts: 1, SpanMs: 1}}}}, false},
+		"load infinite":       {Turn{Inputs: []Input{{Kind: KindEndpointStats, Event: planner.EndpointStats{Attempts: 1, SpanMs: 1, Load: planner.Load{"util": inf}}}}}, false},
+		"mean not a number":   {Turn{Inputs: []Input{{Kind: KindEndpointStats, Event: planner.EndpointStats{Attempts: 1, SpanMs: 1, MeanMs: nan}}}}, false},
+		"kind beyond":         {Turn{Inputs: []Input{{Kind: KindRequestStats, Event: planner.RequestStats{Class: 1 << 40}}}}, false},
+		"slice's kind beyond": {Turn{Inputs: []Input{{Kind: KindSliceStats, Event: planner.SliceStats{Class: -1}}}}, false},
+		"probe's load":        {Turn{Inputs: []Input{{Kind: KindHealthChecked, Text: "x", HealthCheck: planner.HealthCheckResult{Load: planner.Load{"util": inf}}}}}, false},
 		"no time":             {Turn{AtMs: nan}, true},
 		"before all time":     {Turn{AtMs: -inf}, true},
 		"beyond all time":     {Turn{AtMs: 1e300}, true},
-		"terms that are none": {Turn{Inputs: []Input{{Kind: Retermed, Text: "[1]"}}}, true},
+		"terms that are none": {Turn{Inputs: []Input{{Kind: KindSettingsChanged, Text: "[1]"}}}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			terms := map[string]any{"zones": []any{"a"}, "req_kinds": []any{map[string]any{"name": "read"}}, "fields": []any{"util"}}
 			plan, err := planOf(terms)
 			require.NoError(t, err)
-			plan.Decider, plan.Terms = planner.New(1, terms), terms
+			plan.Decider, plan.Settings = planner.New(1, terms), terms
 			odd := 0
-			plan.Odd = func(string, ...string) { odd++ }
+			plan.Malformed = func(string, ...string) { odd++ }
 			core := controller.NewCore(plan)
-			b, err := Append(nil, &c.turn) // by way of the disk
+			b, err := AppendTurn(nil, &c.turn) // by way of the disk
 			require.NoError(t, err)
-			bad, err := Turns(b)
+			bad, err := DecodeTurns(b)
 			require.NoError(t, err)
-			turns := append([]Turn{{Inputs: []Input{{Kind: Listed, Message: &wire.List{Whole: true, Entries: []wire.Entry{{Endpoint: "x", Zone: "a", Weight: 1}}}}}}}, bad...)
+			turns := append([]Turn{{Inputs: []Input{{Kind: KindEndpointsListed, Message: &wire.List{Whole: true, Entries: []wire.Entry{{Endpoint: "x", Zone: "a", Weight: 1}}}}}}}, bad...)
 			if err := Restore(core, append(turns, Turn{AtMs: 5000})); c.torn {
-				assert.ErrorIs(t, err, ErrTorn)
+				assert.ErrorIs(t, err, ErrCorrupt)
 			} else {
 				assert.NoError(t, err)
 				assert.Equal(t, 1, odd)
@@ -414,14 +414,14 @@
 	panics := plainPanic{}
 	plan, err := planOf(map[string]any{"zones": []any{"a"}, "req_kinds": []any{"read"}})
 	require.NoError(t, err)
-	plan.Decider, plan.Terms = panics, map[string]any{}
+	plan.Decider, plan.Settings = panics, map[string]any{}
 	assert.ErrorContains(t, Restore(controller.NewCore(plan), []Turn{{}}), "the module panics on the record: index")
 }
 
 // plainPanic is a module with a fault.
 type plainPanic struct{}
 
-func (plainPanic) Handle(float64, []planner.Note) []planner.Order { panic("index out of range") }
+func (plainPanic) Handle(float64, []planner.Event) []planner.Command { panic("index out of range") }
 
 // Reconfigure does nothing.
 func (plainPanic) Reconfigure(map[string]any) {}
--- a/internal/record/recorder.go
+++ b/internal/record/recorder.go
@@ -11,11 +11,11 @@
 	"indigousher/planner"
 )
 
-// Checkpoint begins a turn that holds what another core needs to go on from here, and is no part of the life itself.
-const Checkpoint = kindEnd
+// KindCheckpoint begins a turn that holds what another core needs to go on from here, and is no part of the life itself.
+const KindCheckpoint = kindEnd
 
-// CheckpointEvery is how far checkpoints are apart, in ms of the pilot's clock.
-const CheckpointEvery = 15_000.0
+// CheckpointIntervalMs is how far checkpoints are apart, in ms of the pilot's clock.
+const CheckpointIntervalMs = 15_000.0
 
 // Recorder turns a core's turns into records. Turn is called by the loop and only keeps what it is given; all else is
 // done by the functions that it hands over, which are called one after another by whoever writes.
@@ -34,29 +34,29 @@
 }
 
 // Turn is for a core's plan.
-func (r *Recorder) Turn(nowMs float64, inputs []controller.Input, told []planner.Note, orders []planner.Order) {
+func (r *Recorder) Turn(nowMs float64, inputs []controller.Input, told []planner.Event, orders []planner.Command) {
 	inputs = slices.Clone(inputs) // the loop uses its own again
 	r.to(func() *Turn {
 		t := r.turn(nowMs, inputs)
 		t.Digest = Digest(orders)
 		for _, n := range told {
 			switch n := n.(type) {
-			case planner.Met:
-				t.Inputs = append(t.Inputs, Input{Kind: Met, Note: n})
-			case planner.Demand:
-				t.Inputs = append(t.Inputs, Input{Kind: Demand, Note: n})
-			case planner.SliceDemand:
-				t.Inputs = append(t.Inputs, Input{Kind: SliceDemand, Note: n})
+			case planner.EndpointStats:
+				t.Inputs = append(t.Inputs, Input{Kind: KindEndpointStats, Event: n})
+			case planner.RequestStats:
+				t.Inputs = append(t.Inputs, Input{Kind: KindRequestStats, Event: n})
+			case planner.SliceStats:
+				t.Inputs = append(t.Inputs, Input{Kind: KindSliceStats, Event: n})
 			}
 		}
 		return t
 	})
-	if r.began && nowMs-r.lastMs < CheckpointEvery {
+	if r.began && nowMs-r.lastMs < CheckpointIntervalMs {
 		return
 	}
 	if r.began {
 		checkpoint := r.core()
-		r.to(func() *Turn { return r.turn(nowMs, checkpoint, Input{Kind: Checkpoint}) })
+		r.to(func() *Turn { return r.turn(nowMs, checkpoint, Input{Kind: KindCheckpoint}) })
 	}
 	r.began, r.lastMs = true, nowMs
 }
@@ -84,29 +84,29 @@
 
 func (r *Recorder) input(in controller.Input) (Input, bool) {
 	switch in := in.(type) {
-	case controller.Join:
+	case controller.ProxyJoined:
 		h := in.Hello
-		return Input{Kind: Join, Stream: r.number(in.Stream), Message: &h}, true
-	case controller.Leave:
+		return Input{Kind: KindProxyJoined, Stream: r.number(in.Stream), Message: &h}, true
+	case controller.ProxyLeft:
 		n := r.number(in.Stream)
 		delete(r.streams, in.Stream)
-		return Input{Kind: Leave, Stream: n}, true
-	case controller.Applied:
+		return Input{Kind: KindProxyLeft, Stream: n}, true
+	case controller.Acked:
 		d := in.Done
-		return Input{Kind: Applied, Stream: r.number(in.Stream), Message: &d}, true
-	case controller.Listed:
-		return Input{Kind: Listed, Message: in.List}, true
-	case controller.SliceGiven:
-		return Input{Kind: SliceGiven, Message: in.Slices}, true
-	case controller.ListLost:
-		return Input{Kind: ListLost}, true
-	case controller.Heard:
-		return Input{Kind: Heard, From: in.From, Text: in.Text}, true
-	case controller.Probed:
-		return Input{Kind: Probed, Text: in.Endpoint, Probe: planner.Probed{Outcome: in.Outcome, TookMs: in.TookMs, Load: figures(in.Load)}}, true
-	case controller.Retermed:
-		b, err := json.Marshal(in.Terms)
-		return Input{Kind: Retermed, Text: string(b)}, err == nil
+		return Input{Kind: KindAcked, Stream: r.number(in.Stream), Message: &d}, true
+	case controller.EndpointsListed:
+		return Input{Kind: KindEndpointsListed, Message: in.List}, true
+	case controller.SliceAssigned:
+		return Input{Kind: KindSliceAssigned, Message: in.Slices}, true
+	case controller.EndpointListLost:
+		return Input{Kind: KindEndpointListLost}, true
+	case controller.GossipReceived:
+		return Input{Kind: KindGossip, From: in.From, Text: in.Text}, true
+	case controller.HealthChecked:
+		return Input{Kind: KindHealthChecked, Text: in.Endpoint, HealthCheck: planner.HealthCheckResult{Outcome: in.Outcome, TookMs: in.TookMs, Load: figures(in.Load)}}, true
+	case controller.SettingsChanged:
+		b, err := json.Marshal(in.Settings)
+		return Input{Kind: KindSettingsChanged, Text: string(b)}, err == nil
 	}
 	return Input{}, false
 }
@@ -142,8 +142,8 @@
 // Close does nothing: the record says when a stream ended.
 func (s *Stream) Close(string) {}
 
-// Player feeds recorded turns to a core.
-type Player struct {
+// Replayer feeds recorded turns to a core.
+type Replayer struct {
 	Core    *controller.Core
 	Sent    func(proxy string, o *wire.Orders) // may be nil
 	streams map[uint64]*Stream
@@ -156,16 +156,16 @@
 var ErrDiffers = errors.New("the replay orders otherwise")
 
 // Play feeds one turn. The time of the turn is moved by offset.
-func (p *Player) Play(t *Turn, offsetMs float64) error {
+func (p *Replayer) Play(t *Turn, offsetMs float64) error {
 	if p.streams == nil {
 		p.streams = map[uint64]*Stream{}
 	}
 	var inputs []controller.Input
-	var told []planner.Note
+	var told []planner.Event
 	for i := range t.Inputs {
 		in := &t.Inputs[i]
-		if in.Note != nil {
-			told = append(told, in.Note)
+		if in.Event != nil {
+			told = append(told, in.Event)
 			continue
 		}
 		x, err := p.input(in)
@@ -177,67 +177,67 @@
 		}
 	}
 	if len(told) > 0 {
-		inputs = append(inputs, controller.Told{Notes: told})
+		inputs = append(inputs, controller.TelemetryBatch{Events: told})
 	}
 	if !(t.AtMs >= 0 && t.AtMs < latest) {
-		return fmt.Errorf("a turn at %g ms: %w", t.AtMs, ErrTorn)
+		return fmt.Errorf("a turn at %g ms: %w", t.AtMs, ErrCorrupt)
 	}
 	p.Core.Handle(t.AtMs+offsetMs, inputs)
 	p.Core.Channel.Send(t.AtMs + offsetMs)
 	return nil
 }
 
-func (p *Player) input(in *Input) (controller.Input, error) {
+func (p *Replayer) input(in *Input) (controller.Input, error) {
 	switch in.Kind {
-	case Checkpoint:
+	case KindCheckpoint:
 		return nil, nil
-	case Join:
+	case KindProxyJoined:
 		h, ok := in.Message.(*wire.Hello)
 		if !ok {
-			return nil, ErrTorn
+			return nil, ErrCorrupt
 		}
 		s := &Stream{Number: in.Stream}
 		if p.Sent != nil {
 			s.Sent = func(o *wire.Orders) { p.Sent(h.Proxy, o) }
 		}
 		p.streams[in.Stream] = s
-		return controller.Join{Stream: s, Hello: *h}, nil
-	case Leave:
+		return controller.ProxyJoined{Stream: s, Hello: *h}, nil
+	case KindProxyLeft:
 		s := p.streams[in.Stream]
 		delete(p.streams, in.Stream)
 		if s == nil {
 			return nil, nil
 		}
-		return controller.Leave{Stream: s}, nil
-	case Applied:
+		return controller.ProxyLeft{Stream: s}, nil
+	case KindAcked:
 		d, ok := in.Message.(*wire.Done)
 		if s := p.streams[in.Stream]; ok && s != nil {
-			return controller.Applied{Stream: s, Done: *d}, nil
+			return controller.Acked{Stream: s, Done: *d}, nil
 		}
-	case Listed:
+	case KindEndpointsListed:
 		if l, ok := in.Message.(*wire.List); ok {
-			return controller.Listed{List: l}, nil
+			return controller.EndpointsListed{List: l}, nil
 		}
-	case SliceGiven:
+	case KindSliceAssigned:
 		if x, ok := in.Message.(*wire.Slices); ok {
-			return controller.SliceGiven{Slices: x}, nil
+			return controller.SliceAssigned{Slices: x}, nil
 		}
-	case ListLost:
-		return controller.ListLost{}, nil
-	case Heard:
-		return controller.Heard{From: in.From, Text: in.Text}, nil
-	case Probed:
-		out := controller.Probed{Endpoint: in.Text, Outcome: in.Probe.Outcome, TookMs: in.Probe.TookMs}
-		for n, v := range in.Probe.Load {
+	case KindEndpointListLost:
+		return controller.EndpointListLost{}, nil
+	case KindGossip:
+		return controller.GossipReceived{From: in.From, Text: in.Text}, nil
+	case KindHealthChecked:
+		out := controller.HealthChecked{Endpoint: in.Text, Outcome: in.HealthCheck.Outcome, TookMs: in.HealthCheck.TookMs}
+		for n, v := range in.HealthCheck.Load {
 			out.Load = append(out.Load, wire.Figure{Name: n, Value: v})
 		}
 		return out, nil
-	case Retermed:
+	case KindSettingsChanged:
 		terms := map[string]any{}
 		if err := json.Unmarshal([]byte(in.Text), &terms); err != nil {
-			return nil, fmt.Errorf("%w: %w", ErrTorn, err)
+			return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 		}
-		return controller.Retermed{Terms: terms}, nil
+		return controller.SettingsChanged{Settings: terms}, nil
 	}
 	return nil, nil
 }
@@ -251,31 +251,31 @@
 	var sum uint64
 	for step := range 240 {
 		now := float64(step) * 250
-		var notes []planner.Note
+		var notes []planner.Event
 		switch {
 		case step == 0:
-			var l planner.Listing
+			var l planner.EndpointUpdate
 			for e := range 9 {
 				l.Entries = append(l.Entries, planner.Entry{Endpoint: e, Zone: e % 3, Weight: float64(1 + e%2)})
 			}
-			l.Mode = planner.Whole
+			l.Mode = planner.Snapshot
 			notes = append(notes, l)
 			for p := range 4 {
-				notes = append(notes, planner.Joined{Proxy: p, Zone: p % 3, Rate: 20})
+				notes = append(notes, planner.ProxyJoined{Proxy: p, Zone: p % 3, Rate: 20})
 			}
 		case step%4 == 0:
-			notes = append(notes, planner.Alarm{Name: "gather"})
+			notes = append(notes, planner.TimerFired{Name: "gather"})
 		case step%4 == 1:
 			for e := range 9 {
 				failed := 0
 				if e == 2 && step > 60 && step < 120 {
 					failed = 9
 				}
-				notes = append(notes, planner.Met{Endpoint: e, Zone: e % 3, Tries: 9, Failed: failed, MeanMs: 30, SpanMs: 1000,
+				notes = append(notes, planner.EndpointStats{Endpoint: e, Zone: e % 3, Attempts: 9, Failed: failed, MeanMs: 30, SpanMs: 1000,
 					Load: planner.Load{"util": 0.3 + float64((step+e)%7)/8, "rate": 20}})
 			}
 		case step == 130:
-			notes = append(notes, planner.Listing{Entries: []planner.Entry{{Endpoint: 4, Zone: 1, Weight: 1, Phase: planner.Draining},
+			notes = append(notes, planner.EndpointUpdate{Entries: []planner.Entry{{Endpoint: 4, Zone: 1, Weight: 1, Phase: planner.Draining},
 				{Endpoint: 9, Zone: 0, Weight: 2, Started: now}}})
 		}
 		sum = sum*1099511628211 + Digest(d.Handle(now, notes))
@@ -283,15 +283,15 @@
 	return fmt.Sprintf("%016x", sum)
 }
 
-// From returns the turn from which a tail is to be replayed: the last checkpoint, or the life's first turn, that lies at
+// ReplayStart returns the turn from which a tail is to be replayed: the last checkpoint, or the life's first turn, that lies at
 // least so far before the end; else the earliest of them.
-func From(turns []Turn, tailMs float64) int {
+func ReplayStart(turns []Turn, tailMs float64) int {
 	if len(turns) == 0 {
 		return 0
 	}
 	end, from := turns[len(turns)-1].AtMs, -1
 	for i := range turns {
-		start := i == 0 && turns[i].AtMs < CheckpointEvery || turns[i].IsCheckpoint()
+		start := i == 0 && turns[i].AtMs < CheckpointIntervalMs || turns[i].IsCheckpoint()
 		if start && (from < 0 || turns[i].AtMs <= end-tailMs) {
 			from = i
 		}
@@ -302,27 +302,27 @@
 	return from
 }
 
-// Tail reads the turns of a life from which it can be gone on from. Torn tells that something after them can't be read.
+// ReadTail reads the turns of a life from which it can be gone on from. Torn tells that something after them can't be read.
 // No more is held at a time than the tail and a chunk: a life may be a week long.
-func Tail(s *Store, life string, tailMs float64) (turns []Turn, torn bool, err error) {
+func ReadTail(s *Store, life string, tailMs float64) (turns []Turn, torn bool, err error) {
 	err = s.Read(life, func(ts []Turn, gap bool) error {
 		if gap {
 			turns = nil // what lies before a gap does not lead to what lies after it
 		}
 		turns = append(turns, ts...)
-		if from := From(turns, tailMs); from > 0 && from < len(turns) {
+		if from := ReplayStart(turns, tailMs); from > 0 && from < len(turns) {
 			turns = slices.Clone(turns[from:])
 		}
 		return nil
 	})
-	if errors.Is(err, ErrTorn) {
+	if errors.Is(err, ErrCorrupt) {
 		return turns, true, nil
 	}
 	return turns, false, err
 }
 
 // IsCheckpoint returns whether a turn is no part of the life but what another core needs to go on from here.
-func (t *Turn) IsCheckpoint() bool { return len(t.Inputs) > 0 && t.Inputs[0].Kind == Checkpoint }
+func (t *Turn) IsCheckpoint() bool { return len(t.Inputs) > 0 && t.Inputs[0].Kind == KindCheckpoint }
 
 // Restore feeds a tail to a new core whose edges are held back. Its first turn may be a checkpoint; later ones are not
 // fed. A module that panics on what the record holds gives an error: it would do so again at each start.
@@ -332,7 +332,7 @@
 			err = fmt.Errorf("the module panics on the record: %v", r)
 		}
 	}()
-	p := Player{Core: core}
+	p := Replayer{Core: core}
 	for i := range turns {
 		if i > 0 && turns[i].IsCheckpoint() {
 			continue
--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -13,30 +13,30 @@
 
 // Result is what a replay ordered.
 type Result struct {
-	Turns, Notes, Gaps int
-	SpanMs             float64
-	Tables             uint64 // digest of all that was sent, by proxy
-	Messages, Lines    int
-	Withdrawals        int // endpoints shut out
-	Sets, Zeros        int // lines set, and of these removed
-	Levels             int // levels below 1 that were set
-	Binds              int
-	MostWaiting        int // lines in the channel
-	Estimate           Estimate
-	FirstDiff          string // where the replay first ordered otherwise than the record; "" for nowhere
+	Turns, Events, Gaps int
+	SpanMs              float64
+	Tables              uint64 // digest of all that was sent, by proxy
+	Messages, Lines     int
+	Exclusions          int // endpoints shut out
+	Sets, Removals      int // lines set, and of these removed
+	Levels              int // levels below 1 that were set
+	Assignments         int
+	MaxQueuedLines      int // lines in the channel
+	Estimate            Estimate
+	FirstDiff           string // where the replay first ordered otherwise than the record; "" for nowhere
 }
 
-// Make makes what decides in a replay.
-type Make func(seed int64, terms map[string]any) controller.Decider
+// NewDecider makes what decides in a replay.
+type NewDecider func(seed int64, terms map[string]any) controller.Decider
 
 // Replay feeds a life to a core in virtual time. With terms of nil its own are used and orders are held against the
 // record; with others they can only be looked at, as the world's answers are those of the recorded day.
-func Replay(s *Store, l Life, with map[string]any, decide Make) (*Result, error) {
+func Replay(s *Store, l Life, with map[string]any, decide NewDecider) (*Result, error) {
 	own := with == nil
 	terms := with
 	if own {
 		terms = map[string]any{}
-		if err := json.Unmarshal([]byte(l.Terms), &terms); err != nil {
+		if err := json.Unmarshal([]byte(l.Settings), &terms); err != nil {
 			return nil, fmt.Errorf("read terms of %s: %w", l.ID, err)
 		}
 	}
@@ -46,24 +46,24 @@
 	if err != nil {
 		return nil, err
 	}
-	plan.Decider, plan.Terms = d, terms
+	plan.Decider, plan.Settings = d, terms
 	core := controller.NewCore(plan)
 	d.guess = newEstimator(core.Shares)
 	if l.After != "" {
-		turns, _, err := Tail(s, l.After, l.TailMs)
+		turns, _, err := ReadTail(s, l.After, l.TailMs)
 		if err != nil {
 			return nil, err
 		}
-		if err := Restore(core, turns[From(turns, l.TailMs):]); err != nil {
+		if err := Restore(core, turns[ReplayStart(turns, l.TailMs):]); err != nil {
 			return nil, err
 		}
-		core.Recovered(plan)
+		core.FinishRecovery(plan)
 		*r = Result{}
-		core.Heard = 0
+		core.Events = 0
 		d.guess = newEstimator(core.Shares)
 	}
 	sent := crc64.New(table)
-	p := Player{Core: core, Sent: func(proxy string, o *wire.Orders) {
+	p := Replayer{Core: core, Sent: func(proxy string, o *wire.Orders) {
 		r.Messages++
 		r.Lines += o.Lines
 		fmt.Fprintf(sent, "%s %v\n", proxy, o.Ops) // writes to a hash don't fail
@@ -89,14 +89,14 @@
 				r.FirstDiff = fmt.Sprintf("turn %d at %.3f s, %d inputs, first %s", r.Turns, t.AtMs/1000, len(t.Inputs), describe(t))
 			}
 			r.Turns++
-			r.MostWaiting = max(r.MostWaiting, core.Channel.MostSeen)
+			r.MaxQueuedLines = max(r.MaxQueuedLines, core.Channel.MaxLines)
 			d.lastMs = t.AtMs
 		}
 		return nil
 	})
 	r.SpanMs += d.lastMs
-	r.Notes, r.Tables, r.Estimate = core.Heard, sent.Sum64(), d.guess.result()
-	if errors.Is(err, ErrTorn) {
+	r.Events, r.Tables, r.Estimate = core.Events, sent.Sum64(), d.guess.result()
+	if errors.Is(err, ErrCorrupt) {
 		return r, fmt.Errorf("%s after %d turns: %w", l.ID, r.Turns, err)
 	}
 	return r, err
@@ -106,7 +106,7 @@
 	if len(t.Inputs) == 0 {
 		return "an alarm"
 	}
-	if n := t.Inputs[0].Note; n != nil {
+	if n := t.Inputs[0].Event; n != nil {
 		return fmt.Sprintf("%T%+v", n, n)
 	}
 	return fmt.Sprintf("%T%+v", t.Inputs[0].Message, t.Inputs[0].Message)
@@ -121,34 +121,34 @@
 	guess  *estimator
 }
 
-func (l *listener) Handle(nowMs float64, notes []planner.Note) []planner.Order {
+func (l *listener) Handle(nowMs float64, notes []planner.Event) []planner.Command {
 	l.guess.notes(notes) // by the tables that stand until now
 	orders := l.Decider.Handle(nowMs, notes)
 	l.digest = Digest(orders)
 	for _, o := range orders {
 		switch o := o.(type) {
-		case planner.SetLine:
+		case planner.SetWeight:
 			l.r.Sets++
 			if o.Weight == 0 {
-				l.r.Zeros++
+				l.r.Removals++
 			}
-		case planner.Withdraw:
-			if o.Out {
-				l.r.Withdrawals++
+		case planner.SetExcluded:
+			if o.Excluded {
+				l.r.Exclusions++
 			}
-		case planner.Admit:
+		case planner.SetAdmission:
 			if o.Level < 1 {
 				l.r.Levels++
 			}
-		case planner.Bind:
-			l.r.Binds++
+		case planner.AssignTable:
+			l.r.Assignments++
 		}
 	}
 	return orders
 }
 
 // planOf makes a core's plan from the module's terms.
-func planOf(terms map[string]any) (p controller.Plan, err error) {
+func planOf(terms map[string]any) (p controller.Options, err error) {
 	texts := func(name string) (list []string) {
 		all, _ := terms[name].([]any)
 		for _, x := range all {
@@ -163,13 +163,13 @@
 		return list
 	}
 	num := func(name string) float64 { v, _ := terms[name].(float64); return v }
-	p = controller.Plan{Zones: texts("zones"), Machines: texts("machines"), Kinds: texts("req_kinds"), LinesPerS: num("lines_per_s"),
-		Backlog: num("backlog"), HeadLines: int(num("head_lines")), MessagesMost: int(num("messages_most")),
-		MessagesOverMs: num("messages_over"), MostProxies: 65535, List: nobody{}, Prober: nobody{}, Peers: nobody{},
-		Log: func(string) {}, Odd: func(string, ...string) {}, Replayed: true}
-	p.Intake.PeriodMs, p.Intake.HalfMs, p.Intake.LongestMs = 1000, 5000, 120000
-	if len(p.Zones) == 0 || len(p.Kinds) == 0 {
-		return p, fmt.Errorf("terms without zones or req kinds: %w", ErrTorn)
+	p = controller.Options{Zones: texts("zones"), Machines: texts("machines"), Classes: texts("req_kinds"), LinesPerS: num("lines_per_s"),
+		Backlog: num("backlog"), HeadLines: int(num("head_lines")), MaxMessages: int(num("messages_most")),
+		MessagesOverMs: num("messages_over"), MaxProxies: 65535, EndpointSource: nobody{}, HealthChecker: nobody{}, Gossip: nobody{},
+		Log: func(string) {}, Malformed: func(string, ...string) {}, Replayed: true}
+	p.Telemetry.PeriodMs, p.Telemetry.HalfMs, p.Telemetry.LongestMs = 1000, 5000, 120000
+	if len(p.Zones) == 0 || len(p.Classes) == 0 {
+		return p, fmt.Errorf("terms without zones or req kinds: %w", ErrCorrupt)
 	}
 	return p, nil
 }
--- a/internal/record/store.go
+++ b/internal/record/store.go
@@ -22,29 +22,29 @@
 
 // Life is what is known of one process's record.
 type Life struct {
-	Format  int       `json:"Format"`
-	ID      string    `json:"ID"` // sorts by start
-	Pilot   string    `json:"Pilot"`
-	Seed    int64     `json:"Seed"`
-	Module  string    `json:"Module"`        // fingerprint of what decided
-	Terms   string    `json:"Terms"`         // as JSON, at its start
-	Now     string    `json:"Now,omitempty"` // as JSON, after the last reload; "": as at its start
-	Started time.Time `json:"Started"`       // by the machine's clock, for people
-	After   string    `json:"After"`         // the life that this one was rebuilt from, if any
-	TailMs  float64   `json:"TailMs"`        // and how much of its end was asked for
+	Format         int       `json:"Format"`
+	ID             string    `json:"ID"` // sorts by start
+	Pilot          string    `json:"Pilot"`
+	Seed           int64     `json:"Seed"`
+	Module         string    `json:"Module"`        // fingerprint of what decided
+	Settings       string    `json:"Terms"`         // as JSON, at its start
+	LatestSettings string    `json:"Now,omitempty"` // as JSON, after the last reload; "": as at its start
+	Started        time.Time `json:"Started"`       // by the machine's clock, for people
+	After          string    `json:"After"`         // the life that this one was rebuilt from, if any
+	TailMs         float64   `json:"TailMs"`        // and how much of its end was asked for
 }
 
-// Bounds are what a store may take.
-type Bounds struct {
-	Bytes   int64         // of all records; the oldest segments go first
-	Age     time.Duration // likewise
-	Segment int           // bytes of a segment
-	Every   time.Duration // group commit
+// Limits are what a store may take.
+type Limits struct {
+	Bytes          int64         // of all records; the oldest segments go first
+	Age            time.Duration // likewise
+	SegmentBytes   int           // bytes of a segment
+	CommitInterval time.Duration // group commit
 }
 
-// DefaultBounds are 1 GiB, a week, 8 MiB a segment, a commit each 200 ms.
-func DefaultBounds() Bounds {
-	return Bounds{Bytes: 1 << 30, Age: 7 * 24 * time.Hour, Segment: 8 << 20, Every: 200 * time.Millisecond}
+// DefaultLimits are 1 GiB, a week, 8 MiB a segment, a commit each 200 ms.
+func DefaultLimits() Limits {
+	return Limits{Bytes: 1 << 30, Age: 7 * 24 * time.Hour, SegmentBytes: 8 << 20, CommitInterval: 200 * time.Millisecond}
 }
 
 // The layout: a bucket "lives" of JSON by life, and a bucket for each segment, named LIFE/NUMBER, of chunks by number. A
@@ -77,7 +77,7 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
-			err = fmt.Errorf("%v: %w", r, ErrTorn)
+			err = fmt.Errorf("%v: %w", r, ErrCorrupt)
 		}
 	}()
 	return f()
@@ -91,8 +91,8 @@
 	return guarded(func() error { return s.db.Update(f) })
 }
 
-// SetAside moves a store's file out of the way, in place of one that was moved there before, and returns where it lies.
-func SetAside(dir string) (string, error) {
+// Quarantine moves a store's file out of the way, in place of one that was moved there before, and returns where it lies.
+func Quarantine(dir string) (string, error) {
 	from := filepath.Join(dir, fileName)
 	if err := os.Rename(from, from+".torn"); err != nil {
 		return "", fmt.Errorf("set records aside: %w", err)
@@ -107,8 +107,8 @@
 		return err
 	})
 	var refused syscall.Errno // by the system
-	if err != nil && !errors.Is(err, bolterrors.ErrTimeout) && !errors.As(err, &refused) && !errors.Is(err, ErrTorn) {
-		err = fmt.Errorf("%w: %w", ErrTorn, err)
+	if err != nil && !errors.Is(err, bolterrors.ErrTimeout) && !errors.As(err, &refused) && !errors.Is(err, ErrCorrupt) {
+		err = fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("open %s: %w", path, err)
@@ -132,7 +132,7 @@
 // whole returns whether the file has all the pages that it speaks of, and each is what it should be.
 func whole(tx *bbolt.Tx) error {
 	if at, err := os.Stat(tx.DB().Path()); err != nil || at.Size() < tx.Size() {
-		return errors.Join(fmt.Errorf("shorter than %d bytes: %w", tx.Size(), ErrTorn), err)
+		return errors.Join(fmt.Errorf("shorter than %d bytes: %w", tx.Size(), ErrCorrupt), err)
 	}
 	return tx.ForEach(func(_ []byte, b *bbolt.Bucket) error { return walk(b) })
 }
@@ -180,7 +180,7 @@
 		return b.ForEach(func(_, v []byte) error {
 			var l Life
 			if err := json.Unmarshal(v, &l); err != nil {
-				return fmt.Errorf("%w: %w", ErrTorn, err)
+				return fmt.Errorf("%w: %w", ErrCorrupt, err)
 			}
 			lives = append(lives, l)
 			return nil
@@ -199,14 +199,14 @@
 	return s.update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketLives).Put([]byte(l.ID), v) })
 }
 
-// Reterm notes the terms that a life goes on with after a reload.
-func (s *Store) Reterm(life, terms string) error {
+// UpdateSettings notes the terms that a life goes on with after a reload.
+func (s *Store) UpdateSettings(life, terms string) error {
 	return s.update(func(tx *bbolt.Tx) error {
 		var l Life
 		if err := json.Unmarshal(tx.Bucket(bucketLives).Get([]byte(life)), &l); err != nil {
 			return fmt.Errorf("note terms: %w", err)
 		}
-		l.Now = terms
+		l.LatestSettings = terms
 		v, err := json.Marshal(l)
 		if err != nil {
 			return fmt.Errorf("note terms: %w", err)
@@ -239,13 +239,13 @@
 
 func (s *Store) unpack(chunk []byte) ([]Turn, error) {
 	if len(chunk) < chunkHead || crc32.Checksum(chunk[4:], castagnoli) != binary.LittleEndian.Uint32(chunk) {
-		return nil, fmt.Errorf("checksum: %w", ErrTorn)
+		return nil, fmt.Errorf("checksum: %w", ErrCorrupt)
 	}
 	body, err := s.raw.DecodeAll(chunk[chunkHead:], nil)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrTorn, err)
+		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
-	return Turns(body)
+	return DecodeTurns(body)
 }
 
 func (s *Store) pack(body []byte, at time.Time) []byte {
@@ -288,7 +288,7 @@
 }
 
 // Prune drops the oldest segments until all fit the bounds, and lives of which nothing is left.
-func (s *Store) Prune(b Bounds, now time.Time) (dropped int, err error) {
+func (s *Store) Prune(b Limits, now time.Time) (dropped int, err error) {
 	err = s.update(func(tx *bbolt.Tx) error {
 		segments := tx.Bucket(bucketSegments)
 		type segment struct {
@@ -352,7 +352,7 @@
 type Writer struct {
 	store   *Store
 	life    string
-	bounds  Bounds
+	bounds  Limits
 	log     *zap.Logger
 	turns   chan func() *Turn
 	lost    atomic.Int64 // turns that are in no chunk
@@ -365,7 +365,7 @@
 }
 
 // NewWriter begins a life.
-func NewWriter(s *Store, l Life, b Bounds, log *zap.Logger) (*Writer, error) {
+func NewWriter(s *Store, l Life, b Limits, log *zap.Logger) (*Writer, error) {
 	if err := s.Begin(l); err != nil {
 		return nil, err
 	}
@@ -384,7 +384,7 @@
 
 // lay adds a turn to what is committed next.
 func (w *Writer) lay(body []byte, t func() *Turn) []byte {
-	b, err := Append(body, t())
+	b, err := AppendTurn(body, t())
 	if err != nil {
 		w.log.Error("turn not recorded", zap.Error(err))
 		w.lost.Add(1)
@@ -395,7 +395,7 @@
 
 // Run writes until ctx ends, and then what has been handed over by then.
 func (w *Writer) Run(ctx context.Context) error {
-	tick := time.NewTicker(w.bounds.Every)
+	tick := time.NewTicker(w.bounds.CommitInterval)
 	defer tick.Stop()
 	prune := time.NewTicker(time.Minute)
 	defer prune.Stop()
@@ -404,7 +404,7 @@
 		select {
 		case t := <-w.turns:
 			body = w.lay(body, t)
-			if len(body) < w.bounds.Segment/4 {
+			if len(body) < w.bounds.SegmentBytes/4 {
 				continue
 			}
 		case <-tick.C:
@@ -463,7 +463,7 @@
 	}
 	w.lost.Add(-lost)
 	w.number += 2
-	if w.size >= w.bounds.Segment {
+	if w.size >= w.bounds.SegmentBytes {
 		w.segment, w.size = w.segment+1, 0
 	}
 }
--- a/recovery/explore_test.go
+++ b/recovery/explore_test.go
@@ -35,30 +35,30 @@
 // Reconfigure does nothing.
 func (c *clerk) Reconfigure(map[string]any) {}
 
-func (c *clerk) Handle(_ float64, notes []planner.Note) (out []planner.Order) {
+func (c *clerk) Handle(_ float64, notes []planner.Event) (out []planner.Command) {
 	for _, n := range notes {
 		switch n := n.(type) {
-		case planner.Listing:
+		case planner.EndpointUpdate:
 			for _, e := range n.Entries {
 				if _, known := c.phase[e.Endpoint]; !known {
-					out = append(out, planner.SetLine{Table: 1, Endpoint: e.Endpoint, Weight: 1})
+					out = append(out, planner.SetWeight{Table: 1, Endpoint: e.Endpoint, Weight: 1})
 				}
 				if c.phase[e.Endpoint] != e.Phase && e.Phase == planner.Draining {
-					out = append(out, planner.Withdraw{Endpoint: e.Endpoint, Out: true})
+					out = append(out, planner.SetExcluded{Endpoint: e.Endpoint, Excluded: true})
 				}
 				c.phase[e.Endpoint] = e.Phase
 			}
-		case planner.Joined:
+		case planner.ProxyJoined:
 			c.joined[n.Proxy] = true
-		case planner.Left:
+		case planner.ProxyLeft:
 			delete(c.joined, n.Proxy)
 		case planner.Gossip:
-			out = append(out, planner.Tell{Peer: 0, Text: n.Text})
+			out = append(out, planner.SendGossip{Peer: 0, Text: n.Text})
 		}
 	}
 	for _, p := range slices.Sorted(maps.Keys(c.joined)) {
 		if len(c.phase) > 0 {
-			out = append(out, planner.Bind{Table: 1, Proxy: p})
+			out = append(out, planner.AssignTable{Table: 1, Proxy: p})
 			delete(c.joined, p)
 		}
 	}
@@ -68,9 +68,9 @@
 // process is one of the two.
 type process struct {
 	alive   bool
-	old     *recovery.Old
-	taker   *recovery.New
-	act     recovery.Act     // under way
+	old     *recovery.Predecessor
+	taker   *recovery.Successor
+	act     recovery.Action  // under way
 	waits   bool             // for the other's answer
 	asked   bool             // to take over
 	core    *controller.Core // nil while no pilot runs
@@ -142,21 +142,21 @@
 	} else {
 		w.notes = 1
 	}
-	w.procs[0] = &process{alive: true, old: &recovery.Old{Patience: 2}, claimed: true, listed: -1}
-	w.procs[1] = &process{alive: true, taker: recovery.NewSide(), act: recovery.Nothing}
+	w.procs[0] = &process{alive: true, old: &recovery.Predecessor{Patience: 2}, claimed: true, listed: -1}
+	w.procs[1] = &process{alive: true, taker: recovery.NewSuccessor(), act: recovery.Nothing}
 	for i := range w.proxies {
-		w.proxies[i] = &proxy{to: -1, follow: routing.NewFollower(routing.Habits{Kinds: []string{"read"}}, []string{"e0", "e1"}, uint64(i))}
+		w.proxies[i] = &proxy{to: -1, follow: routing.NewFollower(routing.Policy{Kinds: []string{"read"}}, []string{"e0", "e1"}, uint64(i))}
 	}
 	w.begin(0)
 	return w
 }
 
-func (w *world) plan(held bool) controller.Plan {
-	p := controller.Plan{Decider: &clerk{map[int]planner.Phase{}, map[int]bool{}}, Terms: map[string]any{}, Zones: []string{"a"}, Machines: []string{"std"}, Kinds: []string{"read"},
-		Intake: telemetry.Terms{PeriodMs: 1e9, HalfMs: 1e9, LongestMs: 1e9}, MostProxies: 9, List: edge{}, Prober: edge{}, Peers: edge{},
-		Log: func(string) {}, Odd: func(string, ...string) {}, Replayed: true}
+func (w *world) plan(held bool) controller.Options {
+	p := controller.Options{Decider: &clerk{map[int]planner.Phase{}, map[int]bool{}}, Settings: map[string]any{}, Zones: []string{"a"}, Machines: []string{"std"}, Classes: []string{"read"},
+		Telemetry: telemetry.Options{PeriodMs: 1e9, HalfMs: 1e9, LongestMs: 1e9}, MaxProxies: 9, EndpointSource: edge{}, HealthChecker: edge{}, Gossip: edge{},
+		Log: func(string) {}, Malformed: func(string, ...string) {}, Replayed: true}
 	if !held || w.plant.replayAloud {
-		p.Peers = edge{w}
+		p.Gossip = edge{w}
 	}
 	return p
 }
@@ -187,11 +187,11 @@
 	live := w.plan(false)
 	recorder := record.NewRecorder(func(t func() *record.Turn) { w.turns = append(w.turns, *t()) },
 		func() []controller.Input { return p.core.Checkpoint() })
-	live.Turn = recorder.Turn
+	live.OnTurn = recorder.Turn
 	if core == nil {
 		core = controller.NewCore(live)
 	} else {
-		core.Recovered(live)
+		core.FinishRecovery(live)
 	}
 	p.core, p.listed = core, -1
 	for k, other := range w.procs {
@@ -283,7 +283,7 @@
 			w.next(i, recovery.Started)
 		}
 	case recovery.LetGo, recovery.End:
-		if p.taker != nil || p.old.Gone() {
+		if p.taker != nil || p.old.Replaced() {
 			w.letGo(i)
 			p.alive = false
 		}
@@ -344,7 +344,7 @@
 	if w.notes == 0 {
 		for i, p := range w.procs {
 			if p.core != nil {
-				s[fmt.Sprint("note ", i)] = func() { w.notes++; w.feed(i, controller.Heard{From: 1, Text: "once"}) }
+				s[fmt.Sprint("note ", i)] = func() { w.notes++; w.feed(i, controller.GossipReceived{From: 1, Text: "once"}) }
 			}
 		}
 	}
@@ -355,7 +355,7 @@
 		s["restart"] = func() {
 			w.restarts++
 			p := w.procs[0]
-			p.alive, p.old = true, &recovery.Old{Patience: 2}
+			p.alive, p.old = true, &recovery.Predecessor{Patience: 2}
 			if w.claim(0) {
 				w.begin(0)
 			}
@@ -399,7 +399,7 @@
 						Holds: p.follow.Holds(), Tables: p.follow.Tables()}
 					p.to, p.stream = i, &stream{w, i, k}
 					p.follow.Joined()
-					w.feed(i, controller.Join{Stream: p.stream, Hello: hello})
+					w.feed(i, controller.ProxyJoined{Stream: p.stream, Hello: hello})
 				}
 			}
 		}
@@ -415,7 +415,7 @@
 		}
 		l.Entries = append(l.Entries, e)
 	}
-	return controller.Listed{List: l}
+	return controller.EndpointsListed{List: l}
 }
 
 // wrong returns what no state may show, and, where nothing more can happen by itself, what then must hold.
@@ -471,7 +471,7 @@
 		knows := [2]bool{}
 		for _, t := range turns {
 			for _, in := range t.Inputs {
-				knows[0] = knows[0] || in.Kind == record.Heard
+				knows[0] = knows[0] || in.Kind == record.KindGossip
 				l, is := in.Message.(*wire.List)
 				knows[1] = knows[1] || is && l.Version > 0
 			}
--- a/recovery/handover.go
+++ b/recovery/handover.go
@@ -22,21 +22,21 @@
 	Failed  // it could not be started
 )
 
-// Act is what to do next.
-type Act int
+// Action is what to do next.
+type Action int
 
 // The acts.
 const (
-	Nothing    Act = iota
-	SayOffer       // with the listeners; then wait for ready
-	StopPilot      // and its record, then let go of the claim
-	SayGo          // then wait for serving
-	Claim          // try once; at once the first time, then after a pause
-	StartPilot     // on the record
-	SayReady       // then wait for go
-	SayServing     // nobody waits for an answer
-	LetGo          // of the claim, and end
-	End            // the process ends, or gives up what it tried
+	Nothing    Action = iota
+	SayOffer          // with the listeners; then wait for ready
+	StopPilot         // and its record, then let go of the claim
+	SayGo             // then wait for serving
+	Claim             // try once; at once the first time, then after a pause
+	StartPilot        // on the record
+	SayReady          // then wait for go
+	SayServing        // nobody waits for an answer
+	LetGo             // of the claim, and end
+	End               // the process ends, or gives up what it tried
 )
 
 // step is where a side stands.
@@ -55,8 +55,8 @@
 	over
 )
 
-// Old is the side of the process that runs. Its zero value serves.
-type Old struct {
+// Predecessor is the side of the process that runs. Its zero value serves.
+type Predecessor struct {
 	at    step
 	tries int
 	// Patience is how often the claim is tried after the new one was lost. If another holds it all the while, that one
@@ -64,11 +64,11 @@
 	Patience int
 }
 
-// Gone returns whether the other process serves now.
-func (o *Old) Gone() bool { return o.at == over }
+// Replaced returns whether the other process serves now.
+func (o *Predecessor) Replaced() bool { return o.at == over }
 
 // Next takes in an event and returns what to do.
-func (o *Old) Next(e Event) Act {
+func (o *Predecessor) Next(e Event) Action {
 	switch {
 	case o.at == serving && e == Asked:
 		o.at = offered
@@ -101,14 +101,14 @@
 	return Nothing
 }
 
-// New is the side of the process that takes over. Its zero value is of no use: NewSide makes one that has asked.
-type New struct{ at step }
+// Successor is the side of the process that takes over. Its zero value is of no use: NewSide makes one that has asked.
+type Successor struct{ at step }
 
-// NewSide returns the machine of a process that has asked to take over.
-func NewSide() *New { return &New{asking} }
+// NewSuccessor returns the machine of a process that has asked to take over.
+func NewSuccessor() *Successor { return &Successor{asking} }
 
 // Next takes in an event and returns what to do.
-func (n *New) Next(e Event) Act {
+func (n *Successor) Next(e Event) Action {
 	switch {
 	case n.at == asking && e == Offered:
 		n.at = ready
