--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -116,7 +116,7 @@
 	names  map[string]bool
 }
 
-func (c *recordingRelay) Carry(turn []planner.Command, endpoint func(int) string) {
+func (c *recordingRelay) Enqueue(turn []planner.Command, endpoint func(int) string) {
 	c.orders += len(turn)
 	for _, o := range turn {
 		if l, ok := o.(planner.SetWeight); ok {
@@ -124,7 +124,7 @@
 		}
 	}
 }
-func (c *recordingRelay) Gone(proxy int) { c.gone = append(c.gone, proxy) }
+func (c *recordingRelay) ProxyLeft(proxy int) { c.gone = append(c.gone, proxy) }
 
 // newRelayCore returns a core whose streams a relay holds.
 func newRelayCore(d Decider) (*Core, *recordingRelay) {
