--- a/internal/controller/acks.go
+++ b/internal/controller/acks.go
@@ -40,12 +40,12 @@
 	return append(events, planner.Ack{Proxy: s.proxy, Number: in.Done.Mark, TookMs: in.Done.TookMs})
 }
 
-// mark asks the proxies that this turn reaches, or all, to acknowledge what they were sent.
-func (c *Core) mark(o planner.AckRequest) {
+// requestAcks asks the proxies that this turn reaches, or all, to acknowledge what they were sent.
+func (c *Core) requestAcks(command planner.AckRequest) {
 	for _, s := range c.sessions.inOrder() {
-		if s.pending != nil || o.All {
-			c.outbox.add(s, wire.Op{Kind: wire.OpMark, Number: o.Number})
-			s.acks.add(o.Number)
+		if s.pending != nil || command.All {
+			c.outbox.add(s, wire.Op{Kind: wire.OpMark, Number: command.Number})
+			s.acks.add(command.Number)
 		}
 	}
 }
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -8,28 +8,34 @@
 	"indigousher/planner"
 )
 
-// admit changes an admission level, and the way of retrying that goes with it, at all users of a table or at all joined
-// proxies.
-func (c *Core) admit(o planner.SetAdmission) {
-	if o.Table != planner.EveryTable {
-		c.tables.table(o.Table).levels[o.Classes] = o
-		c.sendToUsers(o.Table, admissionOp(o))
+// setAdmission changes an admission level, and the way of retrying that goes with it, at all users of a table or at all
+// joined proxies.
+func (c *Core) setAdmission(command planner.SetAdmission) {
+	if command.Table != planner.EveryTable {
+		c.tables.table(command.Table).levels[command.Classes] = command
+		c.sendToUsers(command.Table, admissionOp(command))
 		return
 	}
-	c.tables.globalLevels[o.Classes] = o
+	c.tables.globalLevels[command.Classes] = command
 	for _, s := range c.sessions.inOrder() {
-		c.outbox.add(s, admissionOp(o))
+		c.outbox.add(s, admissionOp(command))
 	}
 }
 
-// sendLevels sends admission levels to a proxy, in the order of their request kinds.
+// sendLevels sends admission levels to a proxy, in the order of their request classes.
 func (c *Core) sendLevels(s *session, levels map[int]planner.SetAdmission) {
-	for _, kinds := range slices.Sorted(maps.Keys(levels)) {
-		c.outbox.add(s, admissionOp(levels[kinds]))
+	for _, classes := range slices.Sorted(maps.Keys(levels)) {
+		c.outbox.add(s, admissionOp(levels[classes]))
 	}
 }
 
 // admissionOp returns the line that sets an admission level.
-func admissionOp(o planner.SetAdmission) wire.Op {
-	return wire.Op{Kind: wire.OpAdmit, Table: o.Table, Kinds: o.Classes, Weight: o.Level, Again: o.RetryMode}
+func admissionOp(command planner.SetAdmission) wire.Op {
+	return wire.Op{
+		Kind:   wire.OpAdmit,
+		Table:  command.Table,
+		Kinds:  command.Classes,
+		Weight: command.Level,
+		Again:  command.RetryMode,
+	}
 }
--- a/internal/controller/binding.go
+++ b/internal/controller/assignment.go
@@ -8,25 +8,25 @@
 	"indigousher/planner"
 )
 
-// allKinds returns the bit mask of all request kinds.
-func (c *Core) allKinds() int { return 1<<c.kinds.Len() - 1 }
+// allClasses returns the bit mask of all request classes.
+func (c *Core) allClasses() int { return 1<<c.classes.Len() - 1 }
 
-// bind puts a proxy on a table for some request kinds, or all, and sends it the table: whole, or what differs from the
-// one that the proxy said it has.
-func (c *Core) bind(o planner.AssignTable) {
-	s := c.sessions.byProxy[o.Proxy]
+// assignTable puts a proxy on a table for some request classes, or all, and sends it the table: whole, or what differs
+// from the one that the proxy said it has.
+func (c *Core) assignTable(command planner.AssignTable) {
+	s := c.sessions.byProxy[command.Proxy]
 	if s == nil {
-		c.reportMalformed(malformedBindOfLeftProxy, c.proxies.Name(o.Proxy))
+		c.reportMalformed(malformedAssignment, c.proxies.Name(command.Proxy))
 		return
 	}
-	kinds := o.Classes
-	if kinds == 0 {
-		kinds = c.allKinds()
+	classes := command.Classes
+	if classes == 0 {
+		classes = c.allClasses()
 	}
-	s.bind(o.Table, kinds)
-	held, keep := s.takeHeldTable(o.Table)
-	c.outbox.add(s, wire.Op{Kind: wire.OpBind, Table: o.Table, Kinds: kinds, Keep: keep})
-	c.sendTable(s, o.Table, held, keep)
+	s.assign(command.Table, classes)
+	held, keep := s.takeHeldTable(command.Table)
+	c.outbox.add(s, wire.Op{Kind: wire.OpBind, Table: command.Table, Kinds: classes, Keep: keep})
+	c.sendTable(s, command.Table, held, keep)
 }
 
 // sendTable sends a table to a proxy: its lines, which of its endpoints are excluded, its admission levels and those
--- a/internal/controller/binding_test.go
+++ b/internal/controller/assignment_test.go
@@ -10,10 +10,10 @@
 	"indigousher/planner"
 )
 
-// TestHeld guards a return, to this pilot or another, before or after a crash: of a table that the proxy has only what
-// differs is sent.
+// TestHeld guards a return, to this controller or another, before or after a crash: of a table that the proxy has only
+// what differs is sent.
 func TestHeld(t *testing.T) {
-	d := &scriptedDecider{orders: [][]planner.Command{nil, {
+	d := &scriptedDecider{commands: [][]planner.Command{nil, {
 		planner.SetWeight{Table: 5, Endpoint: 0, Weight: 1},
 		planner.SetWeight{Table: 5, Endpoint: 1, Weight: 2},
 		planner.AssignTable{Table: 5, Proxy: 0},
@@ -21,7 +21,7 @@
 	}}}
 	edge := &fakeTransport{}
 	stream := &fakeTransport{}
-	c := NewCore(plan(d, edge))
+	c := NewCore(newOptions(d, edge))
 	c.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0))})
 	h := hello("p", "a", "x")
 	h.Tables = []wire.HeldTable{{Table: 5, Lines: []wire.HeldLine{
--- a/internal/controller/channel.go
+++ b/internal/controller/channel.go
@@ -17,7 +17,7 @@
 	queueLimitFactor = 8
 )
 
-// closeChannelFull is told to a proxy whose message does not fit into the queue any more.
+// closeChannelFull is the reason of closing the stream of a proxy whose message does not fit into the queue any more.
 const closeChannelFull = "channel overfull"
 
 // queuedMessage is a message in the channel.
@@ -45,9 +45,9 @@
 
 	metrics *Metrics
 
-	// MostSeen is the most lines that have waited.
+	// MaxLines is the most lines that have waited.
 	MaxLines int
-	// Crowded is the most messages that left to one proxy within messageSpanMs.
+	// MaxMessages is the most messages that left to one proxy within messageSpanMs.
 	MaxMessages int
 	// Sent counts the lines that have left.
 	Sent int
--- a/internal/controller/checkpoint.go
+++ b/internal/controller/checkpoint.go
@@ -9,17 +9,17 @@
 	return inputs
 }
 
-// FinishRecovery ends a replay: whoever was joined has left, and what is ordered from now on goes out by the plan's
-// transports. The decider and its settings stay those of the replay.
-func (c *Core) FinishRecovery(p Options) {
+// FinishRecovery ends a replay: whoever was joined has left, and commands from now on go out by the transports of the
+// given options. The decider and its settings stay those of the replay.
+func (c *Core) FinishRecovery(options Options) {
 	clear(c.slices) // the store gives them again
 	var left []Input
 	for _, s := range c.sessions.inOrder() {
 		left = append(left, ProxyLeft{s.stream})
 	}
 	c.Handle(c.now, left)
-	p.Decider = c.plan.Decider
-	p.Settings = c.plan.Settings
-	c.usePlan(p)
+	options.Decider = c.options.Decider
+	options.Settings = c.options.Settings
+	c.applyOptions(options)
 	c.reports.restartPeriod(c.now)
 }
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -13,29 +13,29 @@
 	}
 	switch command := command.(type) {
 	case planner.SetWeight:
-		c.setLine(command)
+		c.setWeight(command)
 	case planner.ClearTable:
 		c.clearTable(command)
 	case planner.AssignTable:
-		c.bind(command)
+		c.assignTable(command)
 	case planner.SetExcluded:
-		c.exclude(command)
+		c.setExcluded(command)
 	case planner.SetAdmission:
-		c.admit(command)
+		c.setAdmission(command)
 	case planner.AckRequest:
-		c.mark(command)
+		c.requestAcks(command)
 	case planner.HealthCheck:
-		c.plan.HealthChecker.Probe(c.endpoints.name(command.Endpoint))
+		c.options.HealthChecker.Probe(c.endpoints.name(command.Endpoint))
 	case planner.SendGossip:
-		c.plan.Gossip.Tell(command.Peer, command.Text)
+		c.options.Gossip.Tell(command.Peer, command.Text)
 	case planner.SetTimer:
 		c.timers.set(command.AtMs, command.Name)
 	case planner.WatchEndpoints:
-		c.plan.EndpointSource.Watch(command.On)
+		c.options.EndpointSource.Watch(command.On)
 	case planner.FetchEndpoints:
-		c.plan.EndpointSource.Fetch()
+		c.options.EndpointSource.Fetch()
 	case planner.Log:
-		c.plan.Log(command.Text)
+		c.options.Log(command.Text)
 	default:
 		c.reportMalformed(malformedCommand, fmt.Sprintf("%T", command))
 	}
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -1,7 +1,8 @@
-// Package controller is the runtime around the decisions: it turns what transports report into the decider's events, carries
-// out what the decider commands, and keeps the channel to the proxies. It decides nothing about routing. Core and
-// Channel are driven with explicit times and hold no goroutine, so the same code runs on sockets (Loop) and in virtual
-// time. Transports call Loop.Post and implement the small interfaces of transports.go; cmd/indigousher wires them.
+// Package controller is the runtime around the decisions: it turns what transports report into the decider's events,
+// carries out what the decider commands, and keeps the channel to the proxies. It decides nothing about routing. Core
+// and Channel are driven with explicit times and hold no goroutine, so the same code runs on sockets (Loop) and in
+// virtual time. Transports call Loop.Post and implement the small interfaces of transports.go; cmd/indigousher wires
+// them.
 package controller
 
 import (
@@ -12,11 +13,11 @@
 // Core is the runtime of one controller: inputs in, commands out, one turn at a time. It is used by one goroutine, but
 // for Report. Each piece of its state has one owner; times are in ms on the controller's own clock.
 type Core struct {
-	plan Options
+	options Options
 
 	// Names by index, as the decider knows them.
-	zones, machines, kinds settings.Names
-	proxies                settings.Names
+	zones, machines, classes settings.Names
+	proxies                  settings.Names
 
 	endpoints endpointRegistry // the list, start times and indices of endpoints
 	sessions  sessionRegistry  // joined proxies
@@ -37,46 +38,47 @@
 
 	// Channel paces messages to proxies.
 	Channel *Channel
-	// Believed counts what was taken in of reports.
+	// ReportStats counts what was taken in of reports.
 	ReportStats ReportStats
-	// Heard counts the events handed to the decider.
+	// Events counts the events handed to the decider.
 	Events int
 }
 
 // NewCore returns a core that knows no endpoint and no proxy.
-func NewCore(p Options) *Core {
+func NewCore(options Options) *Core {
 	c := &Core{
 		endpoints: newEndpointRegistry(),
 		sessions:  newSessionRegistry(),
-		reports:   newReportGate(p.Telemetry, p.Classes),
+		reports:   newReportGate(options.Telemetry, options.Classes),
 		tables:    newTableStore(),
 		excluded:  exclusions{},
 		slices:    assignedSlices{},
 		relayed:   newRelayedProxies(),
 	}
-	for _, name := range p.Zones {
+	for _, name := range options.Zones {
 		c.zones.Intern(name)
 	}
-	for _, name := range p.Machines {
+	for _, name := range options.Machines {
 		c.machines.Intern(name)
 	}
-	for _, name := range p.Classes {
-		c.kinds.Intern(name)
+	for _, name := range options.Classes {
+		c.classes.Intern(name)
 	}
-	c.usePlan(p)
+	c.applyOptions(options)
 	return c
 }
 
-// usePlan has the core work by a plan from now on, with an empty channel.
-func (c *Core) usePlan(p Options) {
-	c.plan = p
-	c.outbox.headLines = p.HeadLines
-	c.Channel = NewChannel(p.LinesPerS, p.Backlog, p.MaxMessages, p.MessagesOverMs, p.Metrics)
+// applyOptions has the core work by other options from now on, with an empty channel.
+func (c *Core) applyOptions(options Options) {
+	c.options = options
+	c.outbox.headLines = options.HeadLines
+	c.Channel = NewChannel(options.LinesPerS, options.Backlog, options.MaxMessages, options.MessagesOverMs,
+		options.Metrics)
 }
 
 // Due returns when Handle has something to do without input, in milliseconds of its clock.
 func (c *Core) Due() float64 {
-	if c.plan.Relay != nil { // reports come summed up
+	if c.options.Relay != nil { // reports come summed up
 		return c.timers.due()
 	}
 	return min(c.timers.due(), c.reports.due())
@@ -95,14 +97,14 @@
 	before := len(events)
 	events = c.appendTelemetry(events)
 	commands, asked := c.decide(events)
-	if c.plan.OnTurn != nil && (asked || len(inputs) > 0) {
-		c.plan.OnTurn(c.now, inputs, events[before:], commands)
+	if c.options.OnTurn != nil && (asked || len(inputs) > 0) {
+		c.options.OnTurn(c.now, inputs, events[before:], commands)
 	}
 	for _, command := range commands {
 		c.execute(command)
 	}
 	c.outbox.flush(c.now, c.Channel)
-	c.relayed.flush(c.plan.Relay, &c.endpoints)
+	c.relayed.flush(c.options.Relay, &c.endpoints)
 }
 
 // decide asks the decider if there is news for it. The first turn asks in any case; from then on the decider wakes
@@ -113,7 +115,9 @@
 	}
 	c.started = true
 	c.Events += len(events)
-	commands = c.plan.Metrics.timeDecider(func() []planner.Command { return c.plan.Decider.Handle(c.now, events) })
+	commands = c.options.Metrics.timeDecider(func() []planner.Command {
+		return c.options.Decider.Handle(c.now, events)
+	})
 	return commands, true
 }
 
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -14,14 +14,14 @@
 
 // TestNotes shows that every event of the decider's interface has a source.
 func TestNotes(t *testing.T) {
-	d := &scriptedDecider{orders: [][]planner.Command{
+	d := &scriptedDecider{commands: [][]planner.Command{
 		{planner.SetTimer{AtMs: 150, Name: "bell"}},
 		nil,
 		{planner.AckRequest{Number: 9, All: true}},
 	}}
 	edge := &fakeTransport{}
 	stream := &fakeTransport{}
-	c := NewCore(plan(d, edge))
+	c := NewCore(newOptions(d, edge))
 	c.Handle(0, nil)
 	c.Handle(100, []Input{listed(true, entry("x", 0), entry("y", 4000)), ProxyJoined{stream, hello("p", "b")}})
 	c.Handle(160, nil)
@@ -58,7 +58,7 @@
 		planner.EndpointStats{Endpoint: 0, Zone: 1, Attempts: 4, Failed: 1, MeanMs: 20, SpanMs: 500},
 		planner.RequestStats{Proxy: 0, Class: 1, Requests: 5, Unanswered: 1, SpanMs: 500},
 		planner.ProxyLeft{Proxy: 0},
-	}, d.notes)
+	}, d.events)
 	assert.Equal(t, []string{"odd sums of an unknown endpoint"}, edge.calls)
 }
 
@@ -72,10 +72,10 @@
 	out := func(e string) wire.Op { return wire.Op{Kind: wire.OpWithdraw, Endpoint: e, Out: true} }
 	bind := planner.AssignTable{Table: 5, Proxy: 0}
 	for _, c := range []struct {
-		name   string
-		orders []planner.Command
-		want   []wire.Op
-		calls  []string
+		name     string
+		commands []planner.Command
+		want     []wire.Op
+		calls    []string
 	}{
 		{"a table that nobody uses", []planner.Command{set(0, 1)}, nil, nil},
 		{
@@ -135,7 +135,12 @@
 			nil,
 		},
 		{"a mark without a message", []planner.Command{planner.AckRequest{Number: 4}}, nil, nil},
-		{"a mark for all", []planner.Command{planner.AckRequest{Number: 4, All: true}}, []wire.Op{{Kind: wire.OpMark, Number: 4}}, nil},
+		{
+			"a mark for all",
+			[]planner.Command{planner.AckRequest{Number: 4, All: true}},
+			[]wire.Op{{Kind: wire.OpMark, Number: 4}},
+			nil,
+		},
 		{"the edges", []planner.Command{
 			planner.HealthCheck{Endpoint: 1},
 			planner.SendGossip{Peer: -1, Text: "t"},
@@ -151,10 +156,10 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := &scriptedDecider{orders: [][]planner.Command{nil, c.orders}}
+			d := &scriptedDecider{commands: [][]planner.Command{nil, c.commands}}
 			edge := &fakeTransport{}
 			stream := &fakeTransport{}
-			core := NewCore(plan(d, edge))
+			core := NewCore(newOptions(d, edge))
 			core.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0))})
 			core.Handle(1, []Input{ProxyJoined{stream, hello("p", "a", "x", "unknown")}})
 			lines := core.Channel.Send(1)
@@ -177,7 +182,7 @@
 		play := func() (all []string) {
 			terms := map[string]any{"req_kinds": []any{map[string]any{"name": "read"}, map[string]any{"name": "book"}}}
 			edge := &fakeTransport{}
-			c := NewCore(plan(planner.New(1, terms), edge))
+			c := NewCore(newOptions(planner.New(1, terms), edge))
 			streams := []*fakeTransport{{}, {}, {}}
 			for i, s := range steps {
 				now := float64(i) * 170
--- a/internal/controller/endpoints.go
+++ b/internal/controller/endpoints.go
@@ -148,12 +148,12 @@
 			continue
 		}
 		listed[entry.Endpoint] = true
-		if c.plan.Relay == nil {
+		if c.options.Relay == nil {
 			c.reports.updateEndpoint(c.now, e.Endpoint, entry)
 		}
 		update.Entries = append(update.Entries, entry)
 	}
-	if c.plan.Relay != nil {
+	if c.options.Relay != nil {
 		c.ReportStats.Listed = len(c.endpoints.listed)
 		c.endpoints.retireUnlisted(c.now)
 	} else if in.List.Whole {
--- a/internal/controller/endpoints_test.go
+++ b/internal/controller/endpoints_test.go
@@ -14,13 +14,13 @@
 // TestRestamped guards the start of an endpoint against jitter of the list's clock, which would look like a restart.
 func TestRestamped(t *testing.T) {
 	d := &scriptedDecider{}
-	c := NewCore(plan(d, &fakeTransport{}))
+	c := NewCore(newOptions(d, &fakeTransport{}))
 	for i, at := range []uint64{5000, 6003, 9100} {
 		c.Handle(float64(i*1000), []Input{EndpointsListed{List: &wire.List{Now: at, Entries: []wire.Entry{entry("x", 4000)}}}})
 	}
 	c.Handle(9000, []Input{EndpointsListed{List: &wire.List{Now: 9200, Entries: []wire.Entry{entry("x", 9100)}}}})
 	var starts []float64
-	for _, n := range d.notes {
+	for _, n := range d.events {
 		listing, ok := n.(planner.EndpointUpdate)
 		require.True(t, ok, "%T", n)
 		starts = append(starts, listing.Entries[0].Started)
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -59,7 +59,7 @@
 
 // changeSettings puts changed settings into those of the decider, and into the channel's limits.
 func (c *Core) changeSettings(changed map[string]any) {
-	maps.Copy(c.plan.Settings, changed)
-	c.plan.Decider.Reconfigure(c.plan.Settings)
+	maps.Copy(c.options.Settings, changed)
+	c.options.Decider.Reconfigure(c.options.Settings)
 	c.Channel.Reconfigure(changed)
 }
--- a/internal/controller/exclusion.go
+++ b/internal/controller/exclusion.go
@@ -17,25 +17,25 @@
 	}
 }
 
-// exclude shuts an endpoint out, or lets it in again, at the proxies that hold it, as far as this controller knows what
-// they hold.
-func (c *Core) exclude(o planner.SetExcluded) {
-	c.excluded.set(o.Endpoint, o.Excluded)
-	op := wire.Op{Kind: wire.OpWithdraw, Endpoint: c.endpoints.name(o.Endpoint), Out: o.Excluded}
+// setExcluded shuts an endpoint out, or lets it in again, at the proxies that hold it, as far as this controller knows
+// what they hold.
+func (c *Core) setExcluded(command planner.SetExcluded) {
+	c.excluded.set(command.Endpoint, command.Excluded)
+	op := wire.Op{Kind: wire.OpWithdraw, Endpoint: c.endpoints.name(command.Endpoint), Out: command.Excluded}
 	for _, s := range c.sessions.inOrder() {
-		if c.holds(s, o.Endpoint) {
+		if c.holds(s, command.Endpoint) {
 			c.outbox.add(s, op)
 		}
 	}
 }
 
 // holds returns whether a proxy may hold a line of an endpoint: from what it held when it joined, until tables cover
-// all request kinds, from a table that it is bound to, or from that of a slice.
+// all request classes, from a table that it is bound to, or from that of a slice.
 func (c *Core) holds(s *session, endpoint int) bool {
-	if s.coveredKinds != c.allKinds() && s.initialEndpoints[endpoint] {
+	if s.coveredClasses != c.allClasses() && s.initialEndpoints[endpoint] {
 		return true
 	}
-	for number := range s.boundKinds {
+	for number := range s.boundClasses {
 		if c.tables.table(number).holds(endpoint) {
 			return true
 		}
--- a/internal/controller/exclusion_test.go
+++ b/internal/controller/exclusion_test.go
@@ -14,14 +14,14 @@
 // this controller, by what they held when they joined, or by both.
 func TestWithdrawnAtAll(t *testing.T) {
 	bind := func(proxy int) planner.Command { return planner.AssignTable{Table: 5, Proxy: proxy, Classes: 1} }
-	d := &scriptedDecider{orders: [][]planner.Command{
+	d := &scriptedDecider{commands: [][]planner.Command{
 		nil,
 		nil,
 		{planner.SetWeight{Table: 5, Endpoint: 0, Weight: 1}, bind(0), bind(1)},
 		{planner.SetExcluded{Endpoint: 0, Excluded: true}},
 		{planner.SetExcluded{Endpoint: 0}},
 	}}
-	p := plan(d, &fakeTransport{})
+	p := newOptions(d, &fakeTransport{})
 	p.MaxProxies = 5
 	c := NewCore(p)
 	c.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0))})
--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -11,23 +11,23 @@
 
 // scriptedDecider returns one scripted list of commands a call and keeps the events and times that it was given.
 type scriptedDecider struct {
-	orders [][]planner.Command
-	notes  []planner.Event
-	times  []float64
+	commands [][]planner.Command
+	events   []planner.Event
+	times    []float64
 }
 
-func (s *scriptedDecider) Handle(nowMs float64, notes []planner.Event) []planner.Command {
-	s.notes = append(s.notes, notes...)
+func (s *scriptedDecider) Handle(nowMs float64, events []planner.Event) []planner.Command {
+	s.events = append(s.events, events...)
 	s.times = append(s.times, nowMs)
-	if len(s.orders) == 0 {
+	if len(s.commands) == 0 {
 		return nil
 	}
-	o := s.orders[0]
-	s.orders = s.orders[1:]
+	o := s.commands[0]
+	s.commands = s.commands[1:]
 	return o
 }
 
-// Reconfigure keeps nothing: what the settings hold is looked at in the plan.
+// Reconfigure keeps nothing: what the settings hold is looked at in the options.
 func (s *scriptedDecider) Reconfigure(map[string]any) {}
 
 // fakeTransport stands for a proxy's stream, the endpoint list, the health checker and the peers.
@@ -58,8 +58,8 @@
 	f.calls = append(f.calls, fmt.Sprint("tell ", peer, " ", text))
 }
 
-// plan returns a plan whose transports are all one fake.
-func plan(d Decider, edge *fakeTransport) Options {
+// newOptions returns options whose transports are all one fake.
+func newOptions(d Decider, transport *fakeTransport) Options {
 	return Options{
 		Decider:        d,
 		Settings:       map[string]any{"slices": 16.0},
@@ -70,11 +70,11 @@
 		MessagesOverMs: 10000,
 		Telemetry:      telemetry.Options{PeriodMs: 1000, HalfMs: 1e9, LongestMs: 60000},
 		MaxProxies:     3,
-		EndpointSource: edge,
-		HealthChecker:  edge,
-		Gossip:         edge,
-		Log:            func(t string) { edge.calls = append(edge.calls, "log "+t) },
-		Malformed:      func(what string, _ ...string) { edge.calls = append(edge.calls, "odd "+what) },
+		EndpointSource: transport,
+		HealthChecker:  transport,
+		Gossip:         transport,
+		Log:            func(t string) { transport.calls = append(transport.calls, "log "+t) },
+		Malformed:      func(what string, _ ...string) { transport.calls = append(transport.calls, "odd "+what) },
 	}
 }
 
@@ -95,14 +95,14 @@
 
 // oneTurnDecider keeps the events that it was given and returns its commands once.
 type oneTurnDecider struct {
-	notes  []planner.Event
-	orders []planner.Command
+	events   []planner.Event
+	commands []planner.Command
 }
 
-func (s *oneTurnDecider) Handle(_ float64, notes []planner.Event) []planner.Command {
-	s.notes = append(s.notes, notes...)
-	o := s.orders
-	s.orders = nil
+func (s *oneTurnDecider) Handle(_ float64, events []planner.Event) []planner.Command {
+	s.events = append(s.events, events...)
+	o := s.commands
+	s.commands = nil
 	return o
 }
 
@@ -111,13 +111,13 @@
 
 // recordingRelay is a relay that counts the commands it is given.
 type recordingRelay struct {
-	orders int
-	gone   []int
-	names  map[string]bool
+	commands int
+	gone     []int
+	names    map[string]bool
 }
 
 func (c *recordingRelay) Enqueue(turn []planner.Command, endpoint func(int) string) {
-	c.orders += len(turn)
+	c.commands += len(turn)
 	for _, o := range turn {
 		if l, ok := o.(planner.SetWeight); ok {
 			c.names[endpoint(l.Endpoint)] = true
--- a/internal/controller/inputs.go
+++ b/internal/controller/inputs.go
@@ -20,7 +20,7 @@
 	// ProxyLeft reports that a stream has ended.
 	ProxyLeft struct{ Stream Stream }
 
-	// LoadReported brings a proxy's report: sums since its last one.
+	// LoadReported brings a proxy's report: what it counted since its last one.
 	LoadReported struct {
 		Stream Stream
 		Sums   *wire.Sums
@@ -50,7 +50,8 @@
 
 // Inputs of health checks, peers, operators and records.
 type (
-	// HealthChecked is the result of a health check. Outcome is a short word: ok, error, denied, timeout, unreachable or reset.
+	// HealthChecked is the result of a health check. Outcome is a short word: ok, error, denied, timeout, unreachable or
+	// reset.
 	HealthChecked struct {
 		Endpoint string
 		Outcome  string
@@ -64,23 +65,24 @@
 		Text string
 	}
 
-	// SettingsChanged brings changed settings of the decider; only values that it reads anew each time may be among them.
+	// SettingsChanged brings changed settings of the decider; only values that it reads anew each time may be among
+	// them.
 	SettingsChanged struct{ Settings map[string]any }
 
-	// TelemetryBatch brings recorded telemetry, what the intake passed on, in a replay.
+	// TelemetryBatch brings recorded telemetry, as the aggregator passed it on, in a replay.
 	TelemetryBatch struct{ Events []planner.Event }
 )
 
 // Inputs of proxies whose streams a relay holds. They are known by number, not by stream, and their reports come
 // summed up.
 type (
-	// RelayProxyJoined reports that a proxy has joined the relay and is assigned to this controller. Stood means that it stands
-	// there after a time in which nobody saw whether it left and came back.
+	// RelayProxyJoined reports that a proxy has joined the relay and is assigned to this controller. Resumed means that it
+	// is there after a time in which nobody saw whether it left and came back.
 	RelayProxyJoined struct {
 		Proxy          int
 		Zone           string
 		Rate           float64 // usual requests a second
-		Fresh, Resumed bool
+		Fresh, Resumed bool    // Fresh: it holds only the table that it started with
 	}
 
 	// RelayProxyLeft reports that a proxy has left the relay.
@@ -99,7 +101,7 @@
 		Merged   []int // marks of commands that go out as one call now
 	}
 
-	// ZoneStats sums what the proxies of a zone met at an endpoint.
+	// ZoneStats sums the attempts of a zone's proxies at an endpoint.
 	ZoneStats struct {
 		Zone, Endpoint   string
 		Attempts, Failed int
@@ -107,7 +109,7 @@
 		Load             map[string]float64
 	}
 
-	// ProxyStats sums the requests of a kind that came to a proxy.
+	// ProxyStats sums the requests of a class that came to a proxy.
 	ProxyStats struct {
 		Proxy                int
 		Class                string
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -67,7 +67,7 @@
 	// Listed is whether the endpoint list has arrived.
 	Listed bool `json:"Listed"`
 
-	// Believed counts the reports that were taken in.
+	// ReportStats counts the reports that were taken in.
 	ReportStats ReportStats `json:"Believed"`
 
 	// LastTurn is when the last turn ended.
@@ -132,7 +132,7 @@
 	now := l.nowMs()
 	if len(inputs) > 0 || l.core.Due() <= now || l.State().Turns == 0 {
 		l.core.Handle(now, inputs)
-		l.core.plan.Metrics.setInputs(len(inputs))
+		l.core.options.Metrics.setInputs(len(inputs))
 	}
 	l.core.Channel.Send(l.nowMs())
 	l.publish(inputs)
@@ -178,7 +178,7 @@
 	l.state.Lines = l.core.Channel.waitingLines
 	l.state.MostLines = l.core.Channel.MaxLines
 	l.state.MostMessages = l.core.Channel.MaxMessages
-	if l.core.plan.Relay == nil {
+	if l.core.options.Relay == nil {
 		l.state.Standing, l.state.MostStanding, l.state.Refused = l.core.reports.stats()
 	}
 	l.state.ReportStats = l.core.ReportStats
--- a/internal/controller/loop_test.go
+++ b/internal/controller/loop_test.go
@@ -16,8 +16,9 @@
 // TestLoop drives the loop in the test's bubble of time: it starts by itself, wakes for alarms and ends when asked.
 func TestLoop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d, stream := &scriptedDecider{orders: [][]planner.Command{{planner.SetTimer{AtMs: 2500, Name: "bell"}}}}, &fakeTransport{}
-		l := NewLoop(NewCore(plan(d, &fakeTransport{})), RealClock{}, zap.NewNop())
+		d := &scriptedDecider{commands: [][]planner.Command{{planner.SetTimer{AtMs: 2500, Name: "bell"}}}}
+		stream := &fakeTransport{}
+		l := NewLoop(NewCore(newOptions(d, &fakeTransport{})), RealClock{}, zap.NewNop())
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- l.Run(ctx) }()
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -14,7 +14,7 @@
 // metricsNamespace is the first part of each metric's name.
 const metricsNamespace = "indigousher"
 
-// Metrics holds the runtime's metrics. A nil Meter counts nothing.
+// Metrics holds the runtime's metrics. A nil Metrics counts nothing.
 type Metrics struct {
 	// Proxies and the loop.
 	proxiesJoined prometheus.Gauge
@@ -137,9 +137,9 @@
 	}
 }
 
-// setIntake shows what became of report lines. counts are those since the start, by reason; waiting is how many sums
+// setTelemetry shows what became of report lines. counts are those since the start, by reason; waiting is how many sums
 // are left to be passed on.
-func (m *Metrics) setIntake(counts []uint64, waiting int, ages *hdrhistogram.Histogram) {
+func (m *Metrics) setTelemetry(counts []uint64, waiting int, ages *hdrhistogram.Histogram) {
 	if m == nil {
 		return
 	}
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -37,7 +37,7 @@
 func (c *Core) sendToUsers(number int, op wire.Op) {
 	isSlice := c.slices.has(number)
 	for _, s := range c.sessions.inOrder() {
-		_, bound := s.boundKinds[number]
+		_, bound := s.boundClasses[number]
 		if bound || isSlice {
 			c.outbox.add(s, op)
 		}
--- a/internal/controller/recorded.go
+++ b/internal/controller/recorded.go
@@ -13,23 +13,23 @@
 	}
 }
 
-// validRecordedEvent returns whether a recorded event names what there is, in figures that the intake would have
-// passed on. The decider takes any index for one that it may use.
+// validRecordedEvent returns whether a recorded event names what there is, in figures that the aggregator would
+// have passed on. The decider takes any index for one that it may use.
 func (c *Core) validRecordedEvent(event planner.Event) bool {
 	switch event := event.(type) {
 	case planner.EndpointStats:
-		return c.validRecordedMet(event)
+		return c.validRecordedStats(event)
 	case planner.RequestStats:
-		return validIndex(event.Proxy, c.proxies.Len()) && validIndex(event.Class, c.kinds.Len()) &&
+		return validIndex(event.Proxy, c.proxies.Len()) && validIndex(event.Class, c.classes.Len()) &&
 			event.Requests >= 0 && planner.ValidRate(event.SpanMs)
 	case planner.SliceStats:
-		return validIndex(event.Class, c.kinds.Len()) && event.Requests >= 0 && planner.ValidRate(event.SpanMs)
+		return validIndex(event.Class, c.classes.Len()) && event.Requests >= 0 && planner.ValidRate(event.SpanMs)
 	}
 	return false
 }
 
-// validRecordedMet returns whether the recorded statistics of an endpoint may be used.
-func (c *Core) validRecordedMet(met planner.EndpointStats) bool {
+// validRecordedStats returns whether the recorded statistics of an endpoint may be used.
+func (c *Core) validRecordedStats(met planner.EndpointStats) bool {
 	for _, figure := range met.Load {
 		if !planner.ValidRate(figure) {
 			return false
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -40,15 +40,15 @@
 	case RelayStalled:
 		return append(events, planner.ChannelStalled{ForMs: in.ForMs, Repeated: in.Repeated, Merged: in.Merged})
 	case ZoneStats:
-		return c.zoneMet(events, in)
+		return c.zoneStats(events, in)
 	case ProxyStats:
-		return c.proxyDemand(events, in)
+		return c.proxyStats(events, in)
 	}
 	return events
 }
 
-// zoneMet appends what the proxies of a zone met at an endpoint.
-func (c *Core) zoneMet(events []planner.Event, in ZoneStats) []planner.Event {
+// zoneStats appends the attempts of a zone's proxies at an endpoint.
+func (c *Core) zoneStats(events []planner.Event, in ZoneStats) []planner.Event {
 	zone, zoneKnown := c.zones.Find(in.Zone)
 	endpoint, endpointKnown := c.endpoints.find(in.Endpoint)
 	if !zoneKnown || !endpointKnown {
@@ -62,16 +62,16 @@
 	})
 }
 
-// proxyDemand appends the requests of a kind that came to a proxy.
-func (c *Core) proxyDemand(events []planner.Event, in ProxyStats) []planner.Event {
-	kind, known := c.kinds.Find(in.Class)
+// proxyStats appends the requests of a class that came to a proxy.
+func (c *Core) proxyStats(events []planner.Event, in ProxyStats) []planner.Event {
+	class, known := c.classes.Find(in.Class)
 	if !known || !c.validProxy(in.Proxy) {
-		c.reportMalformed(malformedRelayedDemand)
+		c.reportMalformed(malformedRelayedStats)
 		return events
 	}
 	c.countRelayedReport(in.SpanMs)
 	return append(events, planner.RequestStats{
-		Proxy: in.Proxy, Class: kind, Requests: in.Requests, Unanswered: in.Unanswered,
+		Proxy: in.Proxy, Class: class, Requests: in.Requests, Unanswered: in.Unanswered,
 		SpanMs: in.SpanMs,
 	})
 }
@@ -83,7 +83,7 @@
 }
 
 // validProxy returns whether the deployment has a proxy of that number.
-func (c *Core) validProxy(proxy int) bool { return validIndex(proxy, c.plan.MaxProxies) }
+func (c *Core) validProxy(proxy int) bool { return validIndex(proxy, c.options.MaxProxies) }
 
 // joinRelayed takes in a proxy. One that had joined before has left in between, unless it is said to have stood.
 func (c *Core) joinRelayed(events []planner.Event, in RelayProxyJoined) []planner.Event {
@@ -106,20 +106,20 @@
 		return events
 	}
 	delete(c.relayed.joined, proxy)
-	c.plan.Relay.ProxyLeft(proxy)
+	c.options.Relay.ProxyLeft(proxy)
 	return append(events, planner.ProxyLeft{Proxy: proxy})
 }
 
 // forwardToRelay collects a command for the relay, if that is where it goes, and returns whether it does. A bind of a
 // proxy that has left goes nowhere.
 func (c *Core) forwardToRelay(command planner.Command) bool {
-	if c.plan.Relay == nil {
+	if c.options.Relay == nil {
 		return false
 	}
 	switch command := command.(type) {
 	case planner.AssignTable:
 		if !c.relayed.joined[command.Proxy] {
-			c.reportMalformed(malformedBindOfLeftProxy, fmt.Sprint(command.Proxy))
+			c.reportMalformed(malformedAssignment, fmt.Sprint(command.Proxy))
 			return true
 		}
 	case planner.SetWeight, planner.ClearTable, planner.SetExcluded, planner.SetAdmission, planner.AckRequest:
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -16,13 +16,19 @@
 	join := RelayProxyJoined{Proxy: 3, Zone: "a", Rate: 2}
 	stood := RelayProxyJoined{Proxy: 3, Zone: "a", Rate: 2, Resumed: true}
 	joined := planner.ProxyJoined{Proxy: 3, Rate: 2}
-	met := ZoneStats{Zone: "a", Endpoint: "x", Attempts: 2, Failed: 1, MeanMs: 3, SpanMs: 4, Load: map[string]float64{"qps": 2}}
+	met := ZoneStats{
+		Zone: "a", Endpoint: "x", Attempts: 2, Failed: 1, MeanMs: 3, SpanMs: 4,
+		Load: map[string]float64{"qps": 2},
+	}
 	for name, c := range map[string]struct {
 		in   []Input
 		want []planner.Event
 	}{
-		"joined and left": {[]Input{join, RelayProxyLeft{3}, RelayProxyLeft{3}}, []planner.Event{joined, planner.ProxyLeft{Proxy: 3}}},
-		"joined again":    {[]Input{join, join}, []planner.Event{joined, planner.ProxyLeft{Proxy: 3}, joined}},
+		"joined and left": {
+			[]Input{join, RelayProxyLeft{3}, RelayProxyLeft{3}},
+			[]planner.Event{joined, planner.ProxyLeft{Proxy: 3}},
+		},
+		"joined again": {[]Input{join, join}, []planner.Event{joined, planner.ProxyLeft{Proxy: 3}, joined}},
 		"has stood": {
 			[]Input{join, stood},
 			[]planner.Event{joined, planner.ProxyJoined{Proxy: 3, Rate: 2, Resumed: true}},
@@ -32,7 +38,14 @@
 			[]Input{RelayStalled{ForMs: 3, Repeated: []int{7}}, RelayStalled{}},
 			[]planner.Event{planner.ChannelStalled{ForMs: 3, Repeated: []int{7}}, planner.ChannelStalled{}},
 		},
-		"beyond all": {[]Input{RelayProxyJoined{Proxy: 10, Zone: "a"}, RelayProxyJoined{Proxy: -1, Zone: "a"}, RelayProxyJoined{Proxy: 1, Zone: "z"}}, nil},
+		"beyond all": {
+			[]Input{
+				RelayProxyJoined{Proxy: 10, Zone: "a"},
+				RelayProxyJoined{Proxy: -1, Zone: "a"},
+				RelayProxyJoined{Proxy: 1, Zone: "z"},
+			},
+			nil,
+		},
 		"applied": {
 			[]Input{RelayAck{Proxy: 3, Mark: 1}, join, RelayAck{3, 1, 5}},
 			[]planner.Event{joined, planner.Ack{Proxy: 3, Number: 1, TookMs: 5}},
@@ -54,12 +67,12 @@
 			d := &oneTurnDecider{}
 			core, _ := newRelayCore(d)
 			core.Handle(0, []Input{EndpointsListed{List: &wire.List{Whole: true, Entries: []wire.Entry{entry}}, Cached: true}})
-			listing, ok := d.notes[0].(planner.EndpointUpdate)
-			require.True(t, ok, "%T", d.notes[0])
+			listing, ok := d.events[0].(planner.EndpointUpdate)
+			require.True(t, ok, "%T", d.events[0])
 			assert.Equal(t, planner.Cached, listing.Mode)
-			d.notes = nil
+			d.events = nil
 			core.Handle(1, c.in)
-			assert.Equal(t, c.want, d.notes)
+			assert.Equal(t, c.want, d.events)
 			assert.Equal(t, 1, core.endpoints.len())
 		})
 	}
@@ -70,14 +83,14 @@
 func TestOneTurnIsOneCall(t *testing.T) {
 	d := &oneTurnDecider{}
 	c, relay := newRelayCore(d)
-	d.orders = []planner.Command{
+	d.commands = []planner.Command{
 		planner.SetWeight{Table: 1, Weight: 1},
 		planner.AssignTable{Table: 1, Proxy: 3},
 		planner.AssignTable{Table: 1, Proxy: 4}, // has not joined
 		planner.AckRequest{Number: 1},
 	}
 	c.Handle(0, []Input{RelayProxyJoined{Proxy: 3, Zone: "a"}})
-	assert.Equal(t, 3, relay.orders)
+	assert.Equal(t, 3, relay.commands)
 	assert.Equal(t, 0, c.Channel.Lines(), "nothing is paced twice")
 	c.Handle(1, []Input{RelayProxyLeft{3}})
 	assert.Equal(t, []int{3}, relay.gone)
--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -18,34 +18,34 @@
 // ageDigits is how many significant digits the histogram of ages keeps.
 const ageDigits = 2
 
-// unknownIndex stands for a proxy or an endpoint that has no index; the intake counts what names it.
+// unknownIndex stands for a proxy or an endpoint that has no index; the aggregator counts what names it.
 const unknownIndex = -1
 
-// The intake holds load reports as they came on the wire.
+// The aggregator holds load reports as they came on the wire.
 type (
-	reportIntake = telemetry.Aggregator[[]wire.Figure]
-	report       = telemetry.Report[[]wire.Figure]
-	reportLine   = telemetry.Line[[]wire.Figure]
-	reportedMet  = telemetry.EndpointSum[[]wire.Figure]
+	reportAggregator = telemetry.Aggregator[[]wire.Figure]
+	report           = telemetry.Report[[]wire.Figure]
+	reportLine       = telemetry.Line[[]wire.Figure]
+	endpointSum      = telemetry.EndpointSum[[]wire.Figure]
 )
 
 // reportGate stands between the streams and the loop: reports are taken in where they are read, by any goroutine, and
-// passed on to the loop once a period. What becomes of them the intake decides; the gate knows names and holds the
+// passed on to the loop once a period. What becomes of them the aggregator decides; the gate knows names and holds the
 // lock.
 type reportGate struct {
 	mu sync.Mutex // guards all below but periodMs and lastFlushMs, which the loop alone uses
 
-	intake  *reportIntake
-	scratch report // of the report being accepted, so that its slices are used again
+	aggregator *reportAggregator
+	scratch    report // of the report being accepted, so that its slices are used again
 
 	// Indices by what reports name, and back.
 	proxies   map[Stream]int
 	streams   map[int]Stream
 	endpoints map[string]int
-	kinds     map[string]int
+	classes   map[string]int
 
-	// sliceDemand sums, by slice assigned to this controller and request kind, what came since the last flush.
-	sliceDemand map[int]map[int]*planner.SliceStats
+	// sliceStats sums, by slice assigned to this controller and request class, what came since the last flush.
+	sliceStats map[int]map[int]*planner.SliceStats
 	// malformed counts what could not be used since the last flush.
 	malformed map[malformedReason]int
 	// ages holds the ages of all figures passed on since the start, in ms.
@@ -55,21 +55,21 @@
 	lastFlushMs float64
 }
 
-// newReportGate returns a gate that no proxy has passed. kinds are the request kinds by index.
-func newReportGate(t telemetry.Options, kinds []string) *reportGate {
+// newReportGate returns a gate that no proxy has passed. classes are the request classes by index.
+func newReportGate(options telemetry.Options, classes []string) *reportGate {
 	g := &reportGate{
-		intake:      telemetry.New[[]wire.Figure](t),
-		proxies:     map[Stream]int{},
-		streams:     map[int]Stream{},
-		endpoints:   map[string]int{},
-		kinds:       map[string]int{},
-		sliceDemand: map[int]map[int]*planner.SliceStats{},
-		malformed:   map[malformedReason]int{},
-		ages:        hdrhistogram.New(1, maxAgeMs, ageDigits),
-		periodMs:    t.PeriodMs,
+		aggregator: telemetry.New[[]wire.Figure](options),
+		proxies:    map[Stream]int{},
+		streams:    map[int]Stream{},
+		endpoints:  map[string]int{},
+		classes:    map[string]int{},
+		sliceStats: map[int]map[int]*planner.SliceStats{},
+		malformed:  map[malformedReason]int{},
+		ages:       hdrhistogram.New(1, maxAgeMs, ageDigits),
+		periodMs:   options.PeriodMs,
 	}
-	for kind, name := range kinds {
-		g.kinds[name] = kind
+	for class, name := range classes {
+		g.classes[name] = class
 	}
 	return g
 }
@@ -84,7 +84,7 @@
 func (g *reportGate) addProxy(nowMs float64, s *session) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.intake.Join(nowMs, s.proxy, s.zone) {
+	if !g.aggregator.Join(nowMs, s.proxy, s.zone) {
 		return false
 	}
 	g.proxies[s.stream] = s.proxy
@@ -96,7 +96,7 @@
 func (g *reportGate) removeProxy(s *session) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.intake.Leave(s.proxy)
+	g.aggregator.Leave(s.proxy)
 	delete(g.proxies, s.stream)
 	delete(g.streams, s.proxy)
 }
@@ -106,7 +106,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.endpoints[name] = e.Endpoint
-	g.intake.UpdateEndpoint(nowMs, e.Endpoint, e.Phase, e.Started)
+	g.aggregator.UpdateEndpoint(nowMs, e.Endpoint, e.Phase, e.Started)
 }
 
 // removeUnlisted takes all endpoints for gone but those whose index is listed.
@@ -115,7 +115,7 @@
 	defer g.mu.Unlock()
 	for _, i := range g.endpoints {
 		if !listed[i] {
-			g.intake.UpdateEndpoint(nowMs, i, planner.Gone, 0)
+			g.aggregator.UpdateEndpoint(nowMs, i, planner.Gone, 0)
 		}
 	}
 }
@@ -124,9 +124,9 @@
 func (g *reportGate) assignSlice(number int, assigned bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.sliceDemand, number)
+	delete(g.sliceStats, number)
 	if assigned {
-		g.sliceDemand[number] = map[int]*planner.SliceStats{}
+		g.sliceStats[number] = map[int]*planner.SliceStats{}
 	}
 }
 
@@ -144,56 +144,56 @@
 	r.AtMs = sums.AtMs
 	r.SpanMs = sums.SpanMs
 	g.fillLines(r, sums.Met)
-	g.fillKinds(r, sums.Demand)
-	g.intake.Add(nowMs, r)
+	g.fillClasses(r, sums.Demand)
+	g.aggregator.Add(nowMs, r)
 	if joined {
-		g.addSliceDemand(sums.Slices)
+		g.addSliceStats(sums.Slices)
 	}
 }
 
 // fillLines puts what a proxy met at endpoints into a report.
-func (g *reportGate) fillLines(r *report, mets []wire.Met) {
+func (g *reportGate) fillLines(r *report, stats []wire.Met) {
 	r.Lines = r.Lines[:0]
-	for i := range mets {
-		m := &mets[i]
-		endpoint, known := g.endpoints[m.Endpoint]
+	for i := range stats {
+		stat := &stats[i]
+		endpoint, known := g.endpoints[stat.Endpoint]
 		if !known {
 			g.malformed[malformedReportEndpoint]++
 			endpoint = unknownIndex
 		}
 		r.Lines = append(r.Lines, reportLine{
-			Endpoint: endpoint, Tries: m.Tries, Failed: m.Failed,
-			MeanMs: m.MeanMs, Load: m.Load, HasLoad: len(m.Load) > 0,
+			Endpoint: endpoint, Tries: stat.Tries, Failed: stat.Failed,
+			MeanMs: stat.MeanMs, Load: stat.Load, HasLoad: len(stat.Load) > 0,
 		})
 	}
 }
 
-// fillKinds puts the requests that came to a proxy, by kind, into a report.
-func (g *reportGate) fillKinds(r *report, demands []wire.Demand) {
+// fillClasses puts the requests that came to a proxy, by class, into a report.
+func (g *reportGate) fillClasses(r *report, demands []wire.Demand) {
 	r.Kinds = r.Kinds[:0]
 	for _, d := range demands {
-		kind, known := g.kinds[d.Kind]
+		class, known := g.classes[d.Kind]
 		if !known {
-			g.malformed[malformedReportKind]++
+			g.malformed[malformedReportClass]++
 			continue
 		}
-		r.Kinds = append(r.Kinds, telemetry.ClassLine{Class: kind, Requests: d.Reqs, Unanswered: d.Unanswered})
+		r.Kinds = append(r.Kinds, telemetry.ClassLine{Class: class, Requests: d.Reqs, Unanswered: d.Unanswered})
 	}
 }
 
-// addSliceDemand adds up demand for the slices assigned to this controller; it is bounded by these and the kinds.
-func (g *reportGate) addSliceDemand(loads []wire.SliceLoad) {
+// addSliceStats adds up demand for the slices assigned to this controller; it is bounded by these and the classes.
+func (g *reportGate) addSliceStats(loads []wire.SliceLoad) {
 	for _, load := range loads {
-		kind, known := g.kinds[load.Kind]
-		byKind := g.sliceDemand[load.Slice]
-		if !known || byKind == nil || load.Unanswered > load.Reqs {
+		class, known := g.classes[load.Kind]
+		byClass := g.sliceStats[load.Slice]
+		if !known || byClass == nil || load.Unanswered > load.Reqs {
 			g.malformed[malformedReportSlice]++
 			continue
 		}
-		demand := byKind[kind]
+		demand := byClass[class]
 		if demand == nil {
-			demand = &planner.SliceStats{Slice: load.Slice, Class: kind}
-			byKind[kind] = demand
+			demand = &planner.SliceStats{Slice: load.Slice, Class: class}
+			byClass[class] = demand
 		}
 		demand.Requests += load.Reqs
 		demand.Unanswered += load.Unanswered
@@ -206,9 +206,9 @@
 	pace   *wire.Pace
 }
 
-// flush appends, when the period is over, what the intake passes on to events. It also returns what proxies are to be
-// asked for and counts of what could not be used.
-func (g *reportGate) flush(events []planner.Event, nowMs float64, m *Metrics) (
+// flush appends, when the period is over, what the aggregator passes on to events. It also returns what proxies are to
+// be asked for and counts of what could not be used.
+func (g *reportGate) flush(events []planner.Event, nowMs float64, metrics *Metrics) (
 	_ []planner.Event, requests []paceRequest, malformed map[malformedReason]int,
 ) {
 	if nowMs < g.due() {
@@ -218,42 +218,42 @@
 	defer g.mu.Unlock()
 	spanMs := nowMs - g.lastFlushMs
 	g.lastFlushMs = nowMs
-	passed := g.intake.Flush(nowMs, spanMs)
-	events = g.appendMets(events, passed.Mets)
+	passed := g.aggregator.Flush(nowMs, spanMs)
+	events = g.appendEndpointStats(events, passed.Mets)
 	for _, demand := range passed.Demands {
 		events = append(events, demand)
 	}
-	events = g.appendSliceDemand(events, spanMs)
+	events = g.appendSliceStats(events, spanMs)
 	g.recordAges(passed.Ages)
 	requests = g.paceRequests(nowMs)
-	m.setIntake(g.intake.Counts[:], passed.Left, g.ages)
+	metrics.setTelemetry(g.aggregator.Counts[:], passed.Left, g.ages)
 	malformed = g.malformed
 	g.malformed = map[malformedReason]int{}
 	return events, requests, malformed
 }
 
-// appendMets appends the statistics of endpoints.
-func (g *reportGate) appendMets(events []planner.Event, mets []reportedMet) []planner.Event {
-	for i := range mets {
-		load, outOfRange := loadReport(mets[i].Load)
+// appendEndpointStats appends the statistics of endpoints.
+func (g *reportGate) appendEndpointStats(events []planner.Event, stats []endpointSum) []planner.Event {
+	for i := range stats {
+		load, outOfRange := loadReport(stats[i].Load)
 		if len(outOfRange) > 0 {
 			g.malformed[malformedLoadFigure] += len(outOfRange)
 		}
-		events = append(events, mets[i].Stats(load))
+		events = append(events, stats[i].Stats(load))
 	}
 	return events
 }
 
-// appendSliceDemand appends what came for slices in a span and begins their sums anew.
-func (g *reportGate) appendSliceDemand(events []planner.Event, spanMs float64) []planner.Event {
-	for _, number := range slices.Sorted(maps.Keys(g.sliceDemand)) {
-		byKind := g.sliceDemand[number]
-		for _, kind := range slices.Sorted(maps.Keys(byKind)) {
-			demand := byKind[kind]
+// appendSliceStats appends what came for slices in a span and begins their sums anew.
+func (g *reportGate) appendSliceStats(events []planner.Event, spanMs float64) []planner.Event {
+	for _, number := range slices.Sorted(maps.Keys(g.sliceStats)) {
+		byClass := g.sliceStats[number]
+		for _, class := range slices.Sorted(maps.Keys(byClass)) {
+			demand := byClass[class]
 			demand.SpanMs = spanMs
 			events = append(events, *demand)
 		}
-		clear(byKind)
+		clear(byClass)
 	}
 	return events
 }
@@ -267,7 +267,7 @@
 
 // paceRequests returns how proxies are to report from now on, where that changes.
 func (g *reportGate) paceRequests(nowMs float64) (requests []paceRequest) {
-	for _, advice := range g.intake.Rebalance(nowMs) {
+	for _, advice := range g.aggregator.Rebalance(nowMs) {
 		pace := &wire.Pace{PeriodMs: int(advice.PeriodMs), Lines: advice.Lines, Changes: advice.Changes}
 		requests = append(requests, paceRequest{g.streams[advice.Sender], pace})
 	}
@@ -280,9 +280,9 @@
 	defer g.mu.Unlock()
 	counts = map[string]uint64{}
 	for i, reason := range telemetry.Reasons() {
-		if g.intake.Counts[i] > 0 {
-			counts[reason.String()] = g.intake.Counts[i]
+		if g.aggregator.Counts[i] > 0 {
+			counts[reason.String()] = g.aggregator.Counts[i]
 		}
 	}
-	return g.intake.Pending(), g.intake.MostOrder, counts
+	return g.aggregator.Pending(), g.aggregator.MostOrder, counts
 }
--- a/internal/controller/reportgate_test.go
+++ b/internal/controller/reportgate_test.go
@@ -16,8 +16,12 @@
 	d := &scriptedDecider{}
 	joined := &fakeTransport{}
 	left := &fakeTransport{}
-	c := NewCore(plan(d, &fakeTransport{}))
-	c.Handle(0, []Input{listed(true, entry("x", 0)), ProxyJoined{joined, hello("p", "a")}, ProxyJoined{left, hello("q", "a")}})
+	c := NewCore(newOptions(d, &fakeTransport{}))
+	c.Handle(0, []Input{
+		listed(true, entry("x", 0)),
+		ProxyJoined{joined, hello("p", "a")},
+		ProxyJoined{left, hello("q", "a")},
+	})
 	c.Handle(1, []Input{ProxyLeft{left}})
 	for i, s := range []Stream{&fakeTransport{}, left} {
 		c.Handle(float64(100+i), []Input{LoadReported{s, &wire.Sums{
@@ -28,7 +32,7 @@
 		}}})
 	}
 	c.Handle(2200, nil)
-	for _, n := range d.notes {
+	for _, n := range d.events {
 		switch n.(type) {
 		case planner.EndpointStats, planner.RequestStats:
 			t.Errorf("%+v", n)
@@ -41,7 +45,7 @@
 func TestReportLines(t *testing.T) {
 	d := &scriptedDecider{}
 	stream := &fakeTransport{}
-	p := plan(d, &fakeTransport{})
+	p := newOptions(d, &fakeTransport{})
 	p.Telemetry.ToldPerS = 1
 	c := NewCore(p)
 	c.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0)), ProxyJoined{stream, hello("p", "a")}})
@@ -53,12 +57,12 @@
 			Met:    []wire.Met{{Endpoint: "x", Tries: 1, MeanMs: 10}, {Endpoint: "y", Tries: 2, Failed: 2}},
 		}}})
 	}
-	d.notes = nil
+	d.events = nil
 	for i, at := range []float64{100, 200, 1150, 2200} {
 		report(at, uint64(i+1))
 	}
 	var tries []int
-	for _, n := range d.notes {
+	for _, n := range d.events {
 		met, ok := n.(planner.EndpointStats)
 		require.True(t, ok, "%T", n)
 		tries = append(tries, met.Attempts)
--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -9,7 +9,7 @@
 	"indigousher/planner"
 )
 
-// Reasons of closing a stream that the proxy is told; their spelling stays.
+// Reasons of closing a stream that are said to the proxy; their spelling stays.
 const (
 	closeUnknownZone    = "unknown zone"
 	closeRateOutOfRange = "rate out of range"
@@ -24,13 +24,13 @@
 	proxy, zone int // indices
 	stream      Stream
 
-	// boundKinds holds, by table that the proxy is bound to, the request kinds that use it, as a bit mask; coveredKinds
+	// boundClasses holds, by table assigned to the proxy, the request classes that use it, as a bit mask; coveredClasses
 	// are those that some table has served since the proxy joined.
-	boundKinds   map[int]int
-	coveredKinds int
+	boundClasses   map[int]int
+	coveredClasses int
 	// initialEndpoints are the indices of the endpoints that the proxy held when it joined.
 	initialEndpoints map[int]bool
-	// heldTables are the tables that the proxy said it has and that are not bound anew: weights by endpoint name.
+	// heldTables are the tables that the proxy said it has and that are not assigned anew: weights by endpoint name.
 	heldTables map[int]map[string]float64
 
 	// pending is the message of the turn under way, nil if there is none; see outbox.
@@ -48,7 +48,7 @@
 		proxy:            proxy,
 		zone:             zone,
 		stream:           in.Stream,
-		boundKinds:       map[int]int{},
+		boundClasses:     map[int]int{},
 		initialEndpoints: map[int]bool{},
 		heldTables:       map[int]map[string]float64{},
 	}
@@ -62,18 +62,18 @@
 	return s
 }
 
-// bind notes that some request kinds use a table from now on, and no other. Tables that no kind uses are let go.
-func (s *session) bind(number, kinds int) {
-	for other, held := range s.boundKinds {
-		left := held &^ kinds
+// assign notes that some request classes use a table from now on, and no other. Tables that no class uses are let go.
+func (s *session) assign(number, classes int) {
+	for other, held := range s.boundClasses {
+		left := held &^ classes
 		if left == 0 {
-			delete(s.boundKinds, other)
+			delete(s.boundClasses, other)
 		} else {
-			s.boundKinds[other] = left
+			s.boundClasses[other] = left
 		}
 	}
-	s.boundKinds[number] |= kinds
-	s.coveredKinds |= kinds
+	s.boundClasses[number] |= classes
+	s.coveredClasses |= classes
 }
 
 // takeHeldTable returns what the proxy said it has of a table, and forgets it.
@@ -126,7 +126,7 @@
 type joinRejection struct {
 	reason      malformedReason // counted and logged
 	details     []string        // logged
-	closeReason string          // told to the proxy
+	closeReason string          // said to the proxy
 }
 
 // join takes in a stream. One under the same name is closed first: the newer one is the one that lives.
@@ -151,7 +151,7 @@
 		return events
 	}
 	c.sessions.add(s)
-	c.plan.Metrics.setProxies(c.sessions.len())
+	c.options.Metrics.setProxies(c.sessions.len())
 	for _, number := range c.slices.numbers() {
 		c.sendSlice(s, number)
 	}
@@ -170,7 +170,7 @@
 		return 0, 0, &joinRejection{malformedProxyRate, details, closeRateOutOfRange}
 	}
 	proxy, known = c.proxies.Find(hello.Proxy)
-	if !known && c.proxies.Len() >= c.plan.MaxProxies {
+	if !known && c.proxies.Len() >= c.options.MaxProxies {
 		return 0, 0, &joinRejection{malformedProxyCount, []string{hello.Proxy}, closeTooManyProxies}
 	}
 	if !known {
@@ -199,6 +199,6 @@
 	c.sessions.remove(s)
 	c.Channel.Drop(s)
 	c.reports.removeProxy(s)
-	c.plan.Metrics.setProxies(c.sessions.len())
+	c.options.Metrics.setProxies(c.sessions.len())
 	return planner.ProxyLeft{Proxy: s.proxy}
 }
--- a/internal/controller/session_test.go
+++ b/internal/controller/session_test.go
@@ -13,7 +13,7 @@
 // TestNames guards against a proxy that comes back while its old stream hangs, names without end, and strangers.
 func TestNames(t *testing.T) {
 	d, edge := &scriptedDecider{}, &fakeTransport{}
-	c := NewCore(plan(d, edge))
+	c := NewCore(newOptions(d, edge))
 	first, second := &fakeTransport{}, &fakeTransport{}
 	c.Handle(0, []Input{ProxyJoined{first, hello("p", "a")}})
 	c.Handle(1, []Input{ProxyJoined{second, hello("p", "a")}})
@@ -24,7 +24,7 @@
 		planner.ProxyJoined{Rate: 2, Fresh: true},
 		planner.ProxyLeft{},
 		planner.ProxyJoined{Rate: 2, Fresh: true},
-	}, d.notes)
+	}, d.events)
 	stranger := &fakeTransport{}
 	c.Handle(3, []Input{ProxyJoined{stranger, hello("q", "nowhere")}})
 	assert.Equal(t, "unknown zone", stranger.closed)
--- a/internal/controller/shares_test.go
+++ b/internal/controller/shares_test.go
@@ -10,7 +10,7 @@
 
 // TestShares guards the shares that are shown: by zone, proxies counted by their rate, excluded endpoints left out.
 func TestShares(t *testing.T) {
-	d := &scriptedDecider{orders: [][]planner.Command{nil, {
+	d := &scriptedDecider{commands: [][]planner.Command{nil, {
 		planner.SetWeight{Table: 1, Endpoint: 0, Weight: 1},
 		planner.SetWeight{Table: 1, Endpoint: 1, Weight: 3},
 		planner.SetWeight{Table: 2, Endpoint: 0, Weight: 1},
@@ -19,7 +19,7 @@
 		planner.AssignTable{Table: 1, Proxy: 0},
 		planner.AssignTable{Table: 2, Proxy: 1},
 	}}}
-	c := NewCore(plan(d, &fakeTransport{}))
+	c := NewCore(newOptions(d, &fakeTransport{}))
 	c.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0), entry("z", 0))})
 	often := hello("often", "a")
 	often.Rate = 3
--- a/internal/controller/slices.go
+++ b/internal/controller/slices.go
@@ -31,39 +31,39 @@
 // assignSlice takes over that a slice is assigned or no longer, and the lines stored of it. Proxies learn the range of
 // its keys and the stored lines, which stand until the decider commands others. A slice's number is that of its table,
 // so one that the deployment does not have would wipe a zone's table at every proxy.
-func (c *Core) assignSlice(events []planner.Event, x *wire.Slices) []planner.Event {
-	if count, _ := c.plan.Settings[sliceCountSetting].(float64); float64(x.Slice) >= count {
-		c.reportMalformed(malformedSlice, fmt.Sprint(x.Slice))
+func (c *Core) assignSlice(events []planner.Event, update *wire.Slices) []planner.Event {
+	if count, _ := c.options.Settings[sliceCountSetting].(float64); float64(update.Slice) >= count {
+		c.reportMalformed(malformedSlice, fmt.Sprint(update.Slice))
 		return events
 	}
-	c.reports.assignSlice(x.Slice, x.Given)
-	c.tables.remove(x.Slice)
-	delete(c.slices, x.Slice)
-	if x.Given {
-		c.slices[x.Slice] = keyRange{x.From, x.To}
+	c.reports.assignSlice(update.Slice, update.Given)
+	c.tables.remove(update.Slice)
+	delete(c.slices, update.Slice)
+	if update.Given {
+		c.slices[update.Slice] = keyRange{update.From, update.To}
 	}
-	events = append(events, planner.SliceAssignment{Slice: x.Slice, Assigned: x.Given})
-	events = c.storedLines(events, x)
+	events = append(events, planner.SliceAssignment{Slice: update.Slice, Assigned: update.Given})
+	events = c.storedLines(events, update)
 	for _, s := range c.sessions.inOrder() {
-		if x.Given {
-			c.sendSlice(s, x.Slice)
+		if update.Given {
+			c.sendSlice(s, update.Slice)
 		} else {
-			c.outbox.add(s, wire.Op{Kind: wire.OpRange, Table: x.Slice, Out: true})
+			c.outbox.add(s, wire.Op{Kind: wire.OpRange, Table: update.Slice, Out: true})
 		}
 	}
 	return events
 }
 
 // storedLines puts the stored lines of a slice into its table and appends them.
-func (c *Core) storedLines(events []planner.Event, x *wire.Slices) []planner.Event {
-	for _, l := range x.Lines {
+func (c *Core) storedLines(events []planner.Event, update *wire.Slices) []planner.Event {
+	for _, l := range update.Lines {
 		endpoint, known := c.endpoints.find(l.Endpoint)
-		if !known || !x.Given || !planner.ValidWeight(l.Weight) {
+		if !known || !update.Given || !planner.ValidWeight(l.Weight) {
 			c.reportMalformed(malformedStoredLine, l.Endpoint, fmt.Sprint(l.Weight))
 			continue
 		}
-		events = append(events, planner.SliceWeight{Slice: x.Slice, Endpoint: endpoint, Weight: l.Weight})
-		c.tables.table(x.Slice).weights[endpoint] = l.Weight
+		events = append(events, planner.SliceWeight{Slice: update.Slice, Endpoint: endpoint, Weight: l.Weight})
+		c.tables.table(update.Slice).weights[endpoint] = l.Weight
 	}
 	return events
 }
--- a/internal/controller/slices_test.go
+++ b/internal/controller/slices_test.go
@@ -13,9 +13,9 @@
 // for a slice that is not assigned to this controller.
 func TestSlices(t *testing.T) {
 	d, edge, stream := &scriptedDecider{}, &fakeTransport{}, &fakeTransport{}
-	c := NewCore(plan(d, edge))
+	c := NewCore(newOptions(d, edge))
 	c.Handle(0, []Input{listed(true, entry("x", 0)), ProxyJoined{stream, hello("p", "a")}})
-	d.notes = nil
+	d.events = nil
 	load := func(seq uint64) LoadReported {
 		return LoadReported{stream, &wire.Sums{Seq: seq, SpanMs: 500, Slices: []wire.SliceLoad{
 			{Slice: 7, Kind: "book", Reqs: 5, Unanswered: 1},
@@ -36,5 +36,5 @@
 		planner.SliceWeight{Slice: 7, Endpoint: 0, Weight: 2},
 		planner.SliceStats{Slice: 7, Class: 1, Requests: 10, Unanswered: 2, SpanMs: 1100},
 		planner.SliceAssignment{Slice: 7},
-	}, d.notes)
+	}, d.events)
 }
--- a/internal/controller/tables.go
+++ b/internal/controller/tables.go
@@ -11,7 +11,7 @@
 // table is a numbered table as commanded so far.
 type table struct {
 	weights map[int]float64              // its lines: weights by endpoint; 0 only where stored so
-	levels  map[int]planner.SetAdmission // admission levels by request kinds, a bit mask
+	levels  map[int]planner.SetAdmission // admission levels by request classes, a bit mask
 }
 
 // endpoints returns the endpoints of the table's lines in order.
@@ -23,7 +23,7 @@
 // tableStore holds all tables as commanded so far.
 type tableStore struct {
 	byNumber map[int]*table
-	// globalLevels are the admission levels that count for all joined proxies, by request kinds.
+	// globalLevels are the admission levels that count for all joined proxies, by request classes.
 	globalLevels map[int]planner.SetAdmission
 }
 
@@ -46,22 +46,23 @@
 func (s *tableStore) remove(number int) { delete(s.byNumber, number) }
 
 // clearTable removes a table's lines and levels, also at its users.
-func (c *Core) clearTable(o planner.ClearTable) {
-	c.tables.remove(o.Table)
-	c.sendToUsers(o.Table, wire.Op{Kind: wire.OpClear, Table: o.Table})
+func (c *Core) clearTable(command planner.ClearTable) {
+	c.tables.remove(command.Table)
+	c.sendToUsers(command.Table, wire.Op{Kind: wire.OpClear, Table: command.Table})
 }
 
-// setLine changes a line at all users of its table. An endpoint that is excluded stays so where it was not held before.
-func (c *Core) setLine(o planner.SetWeight) {
-	t := c.tables.table(o.Table)
-	name := c.endpoints.name(o.Endpoint)
-	c.sendToUsers(o.Table, wire.Op{Kind: wire.OpSet, Table: o.Table, Endpoint: name, Weight: o.Weight})
-	if o.Weight == 0 {
-		delete(t.weights, o.Endpoint)
+// setWeight changes a line at all users of its table. An endpoint that is excluded stays so where it was not held
+// before.
+func (c *Core) setWeight(command planner.SetWeight) {
+	t := c.tables.table(command.Table)
+	name := c.endpoints.name(command.Endpoint)
+	c.sendToUsers(command.Table, wire.Op{Kind: wire.OpSet, Table: command.Table, Endpoint: name, Weight: command.Weight})
+	if command.Weight == 0 {
+		delete(t.weights, command.Endpoint)
 		return
 	}
-	if c.excluded[o.Endpoint] && t.weights[o.Endpoint] == 0 {
-		c.sendToUsers(o.Table, wire.Op{Kind: wire.OpWithdraw, Endpoint: name, Out: true})
+	if c.excluded[command.Endpoint] && t.weights[command.Endpoint] == 0 {
+		c.sendToUsers(command.Table, wire.Op{Kind: wire.OpWithdraw, Endpoint: name, Out: true})
 	}
-	t.weights[o.Endpoint] = o.Weight
+	t.weights[command.Endpoint] = command.Weight
 }
--- a/internal/controller/telemetry.go
+++ b/internal/controller/telemetry.go
@@ -13,7 +13,7 @@
 type ReportStats struct {
 	// Reports that came summed up, by a relay.
 	Reports int `json:"Reports"`
-	// Odd counts malformed input.
+	// Malformed counts malformed input.
 	Malformed int `json:"Odd"`
 	// SpanMs is the span that the reports covered.
 	SpanMs float64 `json:"SpanMs"`
@@ -21,16 +21,16 @@
 	Listed int `json:"Listed"`
 }
 
-// Report takes in a proxy's report, also in between turns and by any goroutine; the intake passes it on when its
-// period is over.
+// Report takes in a proxy's report, also in between turns and by any goroutine; the aggregator passes it on when
+// its period is over.
 func (c *Core) Report(nowMs float64, s Stream, sums *wire.Sums) { c.reports.accept(nowMs, s, sums) }
 
 // appendTelemetry appends what reports come to in this turn, whichever way they come.
 func (c *Core) appendTelemetry(events []planner.Event) []planner.Event {
 	switch {
-	case c.plan.Relay != nil: // reports came as inputs, summed up
+	case c.options.Relay != nil: // reports came as inputs, summed up
 		return events
-	case c.plan.Replayed:
+	case c.options.Replayed:
 		events = append(events, c.recorded...)
 		c.recorded = nil
 		return events
@@ -39,9 +39,9 @@
 	}
 }
 
-// flushReports appends what the intake passes on, and asks proxies for what it wants of their reports.
+// flushReports appends what the aggregator passes on, and asks proxies for what it wants of their reports.
 func (c *Core) flushReports(events []planner.Event) []planner.Event {
-	events, requests, malformed := c.reports.flush(events, c.now, c.plan.Metrics)
+	events, requests, malformed := c.reports.flush(events, c.now, c.options.Metrics)
 	for _, r := range requests {
 		if err := r.stream.Ask(r.pace); err != nil {
 			r.stream.Close(err.Error())
