--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -37,9 +37,6 @@
 	waitingSums    prometheus.Gauge
 	ageMedian      prometheus.Gauge
 	ageP99         prometheus.Gauge
-
-	// DecideTime is the time spent in the decider since the start.
-	DecideTime time.Duration
 }
 
 // NewMetrics registers the metrics.
@@ -176,8 +173,6 @@
 	}
 	start := time.Now()
 	commands := decide()
-	took := time.Since(start)
-	m.DecideTime += took
-	m.decideSeconds.Observe(took.Seconds())
+	m.decideSeconds.Observe(time.Since(start).Seconds())
 	return commands
 }
