--- a/internal/controller/exclusion.go
+++ b/internal/controller/exclusion.go
@@ -30,12 +30,12 @@
 }
 
 // holds returns whether a proxy may hold a line of an endpoint: from what it held when it joined, until tables cover
-// all request classes, from a table that it is bound to, or from that of a slice.
+// all request classes, from a table that is assigned to it, or from that of a slice.
 func (c *Core) holds(s *session, endpoint int) bool {
 	if s.coveredClasses != c.allClasses() && s.initialEndpoints[endpoint] {
 		return true
 	}
-	for number := range s.boundClasses {
+	for number := range s.assignedClasses {
 		if c.tables.table(number).holds(endpoint) {
 			return true
 		}
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -33,12 +33,12 @@
 	o.touched = o.touched[:0]
 }
 
-// sendToUsers adds a line to the message of each proxy that uses a table: bound to it, or as that of an assigned slice.
+// sendToUsers adds a line to the message of each proxy that uses a table: assigned to it, or as that of an assigned slice.
 func (c *Core) sendToUsers(number int, op wire.Op) {
 	isSlice := c.slices.has(number)
 	for _, s := range c.sessions.inOrder() {
-		_, bound := s.boundClasses[number]
-		if bound || isSlice {
+		_, assigned := s.assignedClasses[number]
+		if assigned || isSlice {
 			c.outbox.add(s, op)
 		}
 	}
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -110,8 +110,8 @@
 	return append(events, planner.ProxyLeft{Proxy: proxy})
 }
 
-// forwardToRelay collects a command for the relay, if that is where it goes, and returns whether it does. A bind of a
-// proxy that has left goes nowhere.
+// forwardToRelay collects a command for the relay, if that is where it goes, and returns whether it does. An assignment
+// to a proxy that has left goes nowhere.
 func (c *Core) forwardToRelay(command planner.Command) bool {
 	if c.options.Relay == nil {
 		return false
--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -24,10 +24,10 @@
 	proxy, zone int // indices
 	stream      Stream
 
-	// boundClasses holds, by table assigned to the proxy, the request classes that use it, as a bit mask; coveredClasses
-	// are those that some table has served since the proxy joined.
-	boundClasses   map[int]int
-	coveredClasses int
+	// assignedClasses holds, by table assigned to the proxy, the request classes that use it, as a bit mask;
+	// coveredClasses are those that some table has served since the proxy joined.
+	assignedClasses map[int]int
+	coveredClasses  int
 	// initialEndpoints are the indices of the endpoints that the proxy held when it joined.
 	initialEndpoints map[int]bool
 	// heldTables are the tables that the proxy said it has and that are not assigned anew: weights by endpoint name.
@@ -48,7 +48,7 @@
 		proxy:            proxy,
 		zone:             zone,
 		stream:           in.Stream,
-		boundClasses:     map[int]int{},
+		assignedClasses:  map[int]int{},
 		initialEndpoints: map[int]bool{},
 		heldTables:       map[int]map[string]float64{},
 	}
@@ -64,15 +64,15 @@
 
 // assign notes that some request classes use a table from now on, and no other. Tables that no class uses are let go.
 func (s *session) assign(number, classes int) {
-	for other, held := range s.boundClasses {
+	for other, held := range s.assignedClasses {
 		left := held &^ classes
 		if left == 0 {
-			delete(s.boundClasses, other)
+			delete(s.assignedClasses, other)
 		} else {
-			s.boundClasses[other] = left
+			s.assignedClasses[other] = left
 		}
 	}
-	s.boundClasses[number] |= classes
+	s.assignedClasses[number] |= classes
 	s.coveredClasses |= classes
 }
 
@@ -159,7 +159,7 @@
 }
 
 // identify returns the indices of a proxy that would join and of its zone, or why it may not. A proxy gets its index at
-// its first appearance; there is a bound to them, so that names without end take no memory without end.
+// its first appearance; they are limited, so that names without end take no memory without end.
 func (c *Core) identify(hello *wire.Hello) (proxy, zone int, _ *joinRejection) {
 	zone, known := c.zones.Find(hello.Zone)
 	if !known {
--- a/internal/controller/shares.go
+++ b/internal/controller/shares.go
@@ -20,7 +20,7 @@
 	zones := map[int]*zoneShares{}
 	byTable := map[int]map[int]float64{} // shares by table, made once
 	for _, s := range c.sessions.inOrder() {
-		for _, number := range slices.Sorted(maps.Keys(s.boundClasses)) {
+		for _, number := range slices.Sorted(maps.Keys(s.assignedClasses)) {
 			shares := byTable[number]
 			if shares == nil {
 				shares = c.tableShares(number)
