--- a/internal/controller/acks.go
+++ b/internal/controller/acks.go
@@ -7,23 +7,22 @@
 	"indigousher/planner"
 )
 
-// maxUnacknowledged bounds the marks that a proxy may owe an acknowledgement of; what it owes beyond them is forgotten,
-// oldest first.
-const maxUnacknowledged = 1024
+// maxPendingAcks limits the ack requests that a proxy may leave unanswered; beyond it the oldest are forgotten.
+const maxPendingAcks = 1024
 
-// pendingAcks are the marks that were sent to a proxy and not acknowledged yet, oldest first.
+// pendingAcks are the numbers of the ack requests that were sent to a proxy and not answered yet, oldest first.
 type pendingAcks []int
 
-// add notes a mark that is sent.
-func (p *pendingAcks) add(mark int) {
-	marks := append(*p, mark)
-	*p = marks[max(0, len(marks)-maxUnacknowledged):]
+// add takes in an ack request that is sent.
+func (p *pendingAcks) add(number int) {
+	numbers := append(*p, number)
+	*p = numbers[max(0, len(numbers)-maxPendingAcks):]
 }
 
-// acknowledge forgets a mark and returns whether it was pending. Were any number taken, a proxy that makes them up
-// would have the decider believe that its channel is empty.
-func (p *pendingAcks) acknowledge(mark int) bool {
-	i := slices.Index(*p, mark)
+// acknowledge forgets an ack request and returns whether it was pending. Were any number taken, a proxy that makes them
+// up would have the decider believe that its channel is empty.
+func (p *pendingAcks) acknowledge(number int) bool {
+	i := slices.Index(*p, number)
 	if i < 0 {
 		return false
 	}
@@ -31,7 +30,7 @@
 	return true
 }
 
-// acknowledge appends a proxy's acknowledgement of a mark, if one is pending.
+// acknowledge appends a proxy's answer to an ack request, if that is pending.
 func (c *Core) acknowledge(events []planner.Event, in Acked) []planner.Event {
 	s := c.sessions.byStream[in.Stream]
 	if s == nil || !s.acks.acknowledge(in.Done.Mark) {
--- a/internal/controller/acks_test.go
+++ b/internal/controller/acks_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestPendingAcks guards that each mark is acknowledged once, and that what a silent proxy owes is bounded.
+// TestPendingAcks guards that each ack request is answered once, and that what a silent proxy owes is bounded.
 func TestPendingAcks(t *testing.T) {
 	var p pendingAcks
 	p.add(1)
@@ -14,10 +14,10 @@
 	assert.False(t, p.acknowledge(3), "never sent")
 	assert.True(t, p.acknowledge(1))
 	assert.False(t, p.acknowledge(1), "acknowledged before")
-	for mark := range maxUnacknowledged {
-		p.add(10 + mark)
+	for number := range maxPendingAcks {
+		p.add(10 + number)
 	}
-	assert.Len(t, p, maxUnacknowledged)
+	assert.Len(t, p, maxPendingAcks)
 	assert.False(t, p.acknowledge(2), "forgotten as the oldest")
 	assert.True(t, p.acknowledge(10))
 }
--- a/internal/controller/assignment_test.go
+++ b/internal/controller/assignment_test.go
@@ -10,7 +10,7 @@
 	"indigousher/planner"
 )
 
-// TestHeld guards a return, to this controller or another, before or after a crash: of a table that the proxy has only
+// TestHeld guards a return, to this pilot or another, before or after a crash: of a table that the proxy has only
 // what differs is sent.
 func TestHeld(t *testing.T) {
 	d := &scriptedDecider{commands: [][]planner.Command{nil, {
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -10,8 +10,8 @@
 	"indigousher/planner"
 )
 
-// Core is the runtime of one controller: inputs in, commands out, one turn at a time. It is used by one goroutine, but
-// for Report. Each piece of its state has one owner; times are in ms on the controller's own clock.
+// Core is the runtime of one pilot: inputs in, commands out, one turn at a time. It is used by one goroutine, but
+// for Report. Each piece of its state has one owner; times are in ms on the pilot's own clock.
 type Core struct {
 	options Options
 
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -10,13 +10,13 @@
 	"indigousher/internal/wire"
 )
 
-// TestDrainsOfAHundred guards the drains of about a hundred endpoints at once while one controller has all of 397
-// proxies, half of which have just come from a controller that died: kept within the grace, and the queue within the
+// TestDrainsOfAHundred guards the drains of about a hundred endpoints at once while one pilot has all of 397
+// proxies, half of which have just come from a pilot that died: kept within the grace, and the queue within the
 // backlog.
 func TestDrainsOfAHundred(t *testing.T) {
 	for _, c := range []struct {
 		name          string
-		joinedMs      float64 // when the other controller's proxies come
+		joinedMs      float64 // when the other pilot's proxies come
 		drainedMs     float64
 		pace, backlog float64
 	}{
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestDrainsHeldAcrossZones guards drains against proxies that come from another controller with lines spilt to another
+// TestDrainsHeldAcrossZones guards drains against proxies that come from another pilot with lines spilt to another
 // zone, while none of that zone's own proxies waits for its tables: they are told all the same (ha15185).
 func TestDrainsHeldAcrossZones(t *testing.T) {
 	const grace = 5000.0
@@ -107,7 +107,7 @@
 	assert.LessOrEqual(t, f.core.Channel.MaxLines, 14000)
 }
 
-// TestWholeZoneDrained guards proxies against the drain of all endpoints of their zone at once, while one controller
+// TestWholeZoneDrained guards proxies against the drain of all endpoints of their zone at once, while one pilot
 // has all of 397 and half of them may have just come: what replaces the drained lines does not wait behind others,
 // those who have no line left are bound first, and the queue stays within the backlog, heads of lone withdrawals
 // included.
@@ -165,7 +165,7 @@
 	}
 }
 
-// TestDrainsAfterLostAnswers guards drains against answers that were lost (incident 029): what the controller counts in
+// TestDrainsAfterLostAnswers guards drains against answers that were lost (incident 029): what the pilot counts in
 // the channel stays as it was, while nothing is left in it that could be answered. One proxy is asked, and the drains
 // go out.
 func TestDrainsAfterLostAnswers(t *testing.T) {
@@ -202,7 +202,7 @@
 	assert.LessOrEqual(t, float64(f.core.Channel.MaxLines), backlog)
 }
 
-// TestDrainsToldToHerds guards drains against proxies that come after them with tables of a controller that knew of
+// TestDrainsToldToHerds guards drains against proxies that come after them with tables of a pilot that knew of
 // none, in two herds one after the other: each has let go of what drains within the grace of its joining.
 func TestDrainsToldToHerds(t *testing.T) {
 	const grace = 5000.0
@@ -241,7 +241,7 @@
 	assert.LessOrEqual(t, f.core.Channel.MaxLines, 14000)
 }
 
-// TestReleaseWithAllAtOnePilot guards drains where four of five controllers die in a release: all proxies come to one,
+// TestReleaseWithAllAtOnePilot guards drains where four of five pilots die in a release: all proxies come to one,
 // whose channel carries three lines a second for each. Told of each endpoint one by one, those that waited for their
 // tables took all of the channel, nobody was bound for 15 s, and what drained was sent to 7.5 s later (herd+mass of
 // seed 1).
@@ -250,7 +250,7 @@
 	f, entries := newFleet(200, 240, 800, backlog, grace, func(terms map[string]any) {
 		terms["conns_least"], terms["zones"] = 60.0, []any{"a", "b", "c"} // a zone has several tables
 	})
-	part := func(i int) (held []wire.Entry) { // what another controller's table of a zone holds
+	part := func(i int) (held []wire.Entry) { // what another pilot's table of a zone holds
 		for k := range 60 {
 			held = append(held, entries[(i*13+k)%len(entries)])
 		}
--- a/internal/controller/endpoints.go
+++ b/internal/controller/endpoints.go
@@ -81,7 +81,7 @@
 	r.listed[e.Endpoint] = e
 }
 
-// index returns an endpoint's index, giving it one at its first appearance. Where others hold the streams a controller
+// index returns an endpoint's index, giving it one at its first appearance. Where others hold the streams a pilot
 // lives for long while endpoints come under ever new names: one that is new takes the index of one that is long gone,
 // if its start differs, by which the decider tells that nothing of the old one counts.
 func (r *endpointRegistry) index(e wire.Entry, nowMs float64) int {
--- a/internal/controller/endpoints_test.go
+++ b/internal/controller/endpoints_test.go
@@ -16,7 +16,8 @@
 	d := &scriptedDecider{}
 	c := NewCore(newOptions(d, &fakeTransport{}))
 	for i, at := range []uint64{5000, 6003, 9100} {
-		c.Handle(float64(i*1000), []Input{EndpointsListed{List: &wire.List{Now: at, Entries: []wire.Entry{entry("x", 4000)}}}})
+		list := &wire.List{Now: at, Entries: []wire.Entry{entry("x", 4000)}}
+		c.Handle(float64(i*1000), []Input{EndpointsListed{List: list}})
 	}
 	c.Handle(9000, []Input{EndpointsListed{List: &wire.List{Now: 9200, Entries: []wire.Entry{entry("x", 9100)}}}})
 	var starts []float64
@@ -28,7 +29,7 @@
 	assert.Equal(t, []float64{-1000, -1000, -1000, 8900}, starts)
 }
 
-// TestGenerations guards memory: endpoints give way to new ones under new names for as long as a controller lives, and
+// TestGenerations guards memory: endpoints give way to new ones under new names for as long as a pilot lives, and
 // each name would keep an index, its actor and its lines in the decider.
 func TestGenerations(t *testing.T) {
 	terms := map[string]any{
--- a/internal/controller/exclusion.go
+++ b/internal/controller/exclusion.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// setExcluded shuts an endpoint out, or lets it in again, at the proxies that hold it, as far as this controller knows
+// setExcluded shuts an endpoint out, or lets it in again, at the proxies that hold it, as far as this pilot knows
 // what they hold.
 func (c *Core) setExcluded(command planner.SetExcluded) {
 	c.excluded.set(command.Endpoint, command.Excluded)
--- a/internal/controller/exclusion_test.go
+++ b/internal/controller/exclusion_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestWithdrawnAtAll guards an exclusion against passing over any of the proxies that hold the endpoint: by a table of
-// this controller, by what they held when they joined, or by both.
+// this pilot, by what they held when they joined, or by both.
 func TestWithdrawnAtAll(t *testing.T) {
 	bind := func(proxy int) planner.Command { return planner.AssignTable{Table: 5, Proxy: proxy, Classes: 1} }
 	d := &scriptedDecider{commands: [][]planner.Command{
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -16,7 +16,7 @@
 	core     *Core
 	now      float64
 	delayMs  float64
-	dropAcks bool // acknowledgements are lost on their way to the controller
+	dropAcks bool // acknowledgements are lost on their way to the pilot
 	calls    callQueue
 	streams  []*fleetProxy
 }
@@ -104,7 +104,7 @@
 	}
 }
 
-// newFleet returns a fleet of many endpoints with a controller that no proxy has joined. pace is in lines a second,
+// newFleet returns a fleet of many endpoints with a pilot that no proxy has joined. pace is in lines a second,
 // backlog in lines, grace in ms; change may alter the decider's settings.
 func newFleet(endpoints, proxies int, pace, backlog, grace float64, change ...func(terms map[string]any)) (
 	*fleet, []wire.Entry,
@@ -150,7 +150,7 @@
 	return f, entries
 }
 
-// join lets some of the proxies in, each holding all endpoints of its zone, as from a controller that died.
+// join lets some of the proxies in, each holding all endpoints of its zone, as from a pilot that died.
 func (f *fleet) join(some []*fleetProxy, entries []wire.Entry) {
 	for _, v := range some {
 		var holds []string
--- a/internal/controller/inputs.go
+++ b/internal/controller/inputs.go
@@ -9,7 +9,7 @@
 // does not change what it points to afterwards.
 type Input interface{ isInput() }
 
-// Inputs of proxies whose streams this controller holds.
+// Inputs of proxies whose streams this pilot holds.
 type (
 	// ProxyJoined reports a proxy's new stream.
 	ProxyJoined struct {
@@ -26,7 +26,7 @@
 		Sums   *wire.Sums
 	}
 
-	// Acked acknowledges a mark: the proxy has applied everything up to it.
+	// Acked answers an ack request: the proxy has applied everything sent before it.
 	Acked struct {
 		Stream Stream
 		Done   wire.Done
@@ -44,7 +44,7 @@
 	// EndpointListLost reports that a call to the list failed or that its changes stopped.
 	EndpointListLost struct{}
 
-	// SliceAssigned reports that the store has assigned a slice to this controller or taken it away.
+	// SliceAssigned reports that the store has assigned a slice to this pilot or taken it away.
 	SliceAssigned struct{ Slices *wire.Slices }
 )
 
@@ -76,7 +76,7 @@
 // Inputs of proxies whose streams a relay holds. They are known by number, not by stream, and their reports come
 // summed up.
 type (
-	// RelayProxyJoined reports that a proxy has joined the relay and is assigned to this controller. Resumed means that it
+	// RelayProxyJoined reports that a proxy has joined the relay and is assigned to this pilot. Resumed means that it
 	// is there after a time in which nobody saw whether it left and came back.
 	RelayProxyJoined struct {
 		Proxy          int
@@ -88,7 +88,7 @@
 	// RelayProxyLeft reports that a proxy has left the relay.
 	RelayProxyLeft struct{ Proxy int }
 
-	// RelayAck acknowledges a mark: the proxy has applied everything up to it.
+	// RelayAck answers an ack request, whose number is Mark: the proxy has applied everything sent before it.
 	RelayAck struct {
 		Proxy, Mark int
 		TookMs      float64
@@ -97,8 +97,8 @@
 	// RelayStalled reports that the relay has taken no commands for so long, or, with 0, that it takes them again.
 	RelayStalled struct {
 		ForMs    float64
-		Repeated []int // marks of a call that may have been carried out and is retried
-		Merged   []int // marks of commands that go out as one call now
+		Repeated []int // ack requests of a call that may have been carried out and is retried
+		Merged   []int // ack requests of commands that go out as one call now
 	}
 
 	// ZoneStats sums the attempts of a zone's proxies at an endpoint.
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -159,7 +159,7 @@
 	}
 }
 
-// streamClosed counts a stream that this controller ended.
+// streamClosed counts a stream that this pilot ended.
 func (m *Metrics) streamClosed(reason string) {
 	if m != nil {
 		m.closedStreams.WithLabelValues(reason).Inc()
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -33,7 +33,8 @@
 	o.touched = o.touched[:0]
 }
 
-// sendToUsers adds a line to the message of each proxy that uses a table: assigned to it, or as that of an assigned slice.
+// sendToUsers adds a line to the message of each proxy that uses a table: one assigned to the proxy, or that of a slice
+// assigned to this pilot.
 func (c *Core) sendToUsers(number int, op wire.Op) {
 	isSlice := c.slices.has(number)
 	for _, s := range c.sessions.inOrder() {
--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -44,7 +44,7 @@
 	endpoints map[string]int
 	classes   map[string]int
 
-	// sliceStats sums, by slice assigned to this controller and request class, what came since the last flush.
+	// sliceStats sums, by slice assigned to this pilot and request class, what came since the last flush.
 	sliceStats map[int]map[int]*planner.SliceStats
 	// malformed counts what could not be used since the last flush.
 	malformed map[malformedReason]int
@@ -181,7 +181,7 @@
 	}
 }
 
-// addSliceStats adds up demand for the slices assigned to this controller; it is bounded by these and the classes.
+// addSliceStats adds up demand for the slices assigned to this pilot; it is bounded by these and the classes.
 func (g *reportGate) addSliceStats(loads []wire.SliceLoad) {
 	for _, load := range loads {
 		class, known := g.classes[load.Kind]
--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -18,7 +18,7 @@
 	closeReplaced       = "the proxy has come back on another stream"
 )
 
-// session is a joined proxy: its stream and what this controller has sent to it.
+// session is a joined proxy: its stream and what this pilot has sent to it.
 type session struct {
 	hello       wire.Hello
 	proxy, zone int // indices
@@ -37,7 +37,7 @@
 	pending *wire.Orders
 	// recentSends are when messages left to the proxy lately; they are the channel's.
 	recentSends sendTimes
-	// acks are the marks sent to the proxy that it has not acknowledged.
+	// acks are the ack requests sent to the proxy that it has not answered.
 	acks pendingAcks
 }
 
--- a/internal/controller/slices.go
+++ b/internal/controller/slices.go
@@ -15,7 +15,7 @@
 // keyRange is which keys fall into a slice: those from from up to to, to not included; an empty to has no end.
 type keyRange struct{ from, to string }
 
-// assignedSlices are the key ranges of the slices assigned to this controller, by number, which is that of the slice's
+// assignedSlices are the key ranges of the slices assigned to this pilot, by number, which is that of the slice's
 // table.
 type assignedSlices map[int]keyRange
 
--- a/internal/controller/slices_test.go
+++ b/internal/controller/slices_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestSlices shows the events of slices: an assignment with its stored lines, demand for it once a period, and neither
-// for a slice that is not assigned to this controller.
+// for a slice that is not assigned to this pilot.
 func TestSlices(t *testing.T) {
 	d, edge, stream := &scriptedDecider{}, &fakeTransport{}, &fakeTransport{}
 	c := NewCore(newOptions(d, edge))
--- a/internal/controller/telemetry.go
+++ b/internal/controller/telemetry.go
@@ -9,7 +9,7 @@
 	"indigousher/planner"
 )
 
-// ReportStats counts what the core took in of reports, for the controller's own book-keeping.
+// ReportStats counts what the core took in of reports, for the pilot's own book-keeping.
 type ReportStats struct {
 	// Reports that came summed up, by a relay.
 	Reports int `json:"Reports"`
--- a/internal/controller/transports.go
+++ b/internal/controller/transports.go
@@ -38,7 +38,7 @@
 // HealthChecker checks the health of an endpoint. Probe doesn't block; the answer comes as a HealthChecked input.
 type HealthChecker interface{ Probe(endpoint string) }
 
-// GossipSender carries a short text to another controller, or to all with peer -1. Tell doesn't block; the text may be
+// GossipSender carries a short text to another pilot, or to all with peer -1. Tell doesn't block; the text may be
 // lost.
 type GossipSender interface{ Tell(peer int, text string) }
 
