--- /dev/null
+++ b/internal/controller/assignment.go
@@ -0,0 +1,53 @@
+package controller
+
+import (
+	"maps"
+	"slices"
+
+	"indigousher/internal/wire"
+	"indigousher/planner"
+)
+
+// allClasses returns the bit mask of all request classes.
+func (c *Core) allClasses() int { return 1<<c.classes.Len() - 1 }
+
+// assignTable puts a proxy on a table for some request classes, or all, and sends it the table: whole, or what differs
+// from the one that the proxy said it has.
+func (c *Core) assignTable(command planner.AssignTable) {
+	s := c.sessions.byProxy[command.Proxy]
+	if s == nil {
+		c.reportMalformed(malformedAssignment, c.proxies.Name(command.Proxy))
+		return
+	}
+	classes := command.Classes
+	if classes == 0 {
+		classes = c.allClasses()
+	}
+	s.assign(command.Table, classes)
+	held, keep := s.takeHeldTable(command.Table)
+	c.outbox.add(s, wire.Op{Kind: wire.OpBind, Table: command.Table, Kinds: classes, Keep: keep})
+	c.sendTable(s, command.Table, held, keep)
+}
+
+// sendTable sends a table to a proxy: its lines, which of its endpoints are excluded, its admission levels and those
+// for all. With keep, the proxy keeps the lines that it holds: those of the same weight are not sent, those beyond the
+// table are removed. held is used up.
+func (c *Core) sendTable(s *session, number int, held map[string]float64, keep bool) {
+	t := c.tables.table(number)
+	for _, endpoint := range t.endpoints() {
+		name := c.endpoints.name(endpoint)
+		weight := t.weights[endpoint]
+		if !keep || held[name] != weight {
+			c.outbox.add(s, wire.Op{Kind: wire.OpSet, Table: number, Endpoint: name, Weight: weight})
+		}
+		delete(held, name)
+		if c.excluded[endpoint] {
+			c.outbox.add(s, wire.Op{Kind: wire.OpWithdraw, Endpoint: name, Out: true})
+		}
+	}
+	for _, name := range slices.Sorted(maps.Keys(held)) {
+		c.outbox.add(s, wire.Op{Kind: wire.OpSet, Table: number, Endpoint: name})
+	}
+	c.sendLevels(s, t.levels)
+	c.sendLevels(s, c.tables.globalLevels)
+}
--- /dev/null
+++ b/internal/controller/recorded.go
@@ -0,0 +1,43 @@
+package controller
+
+import "indigousher/planner"
+
+// acceptRecorded keeps recorded telemetry for this turn; the decider hears of it where live telemetry would stand.
+func (c *Core) acceptRecorded(telemetry []planner.Event) {
+	for _, event := range telemetry {
+		if c.validRecordedEvent(event) {
+			c.recorded = append(c.recorded, event)
+		} else {
+			c.reportMalformed(malformedRecordedEvent)
+		}
+	}
+}
+
+// validRecordedEvent returns whether a recorded event names what there is, in figures that the aggregator would
+// have passed on. The decider takes any index for one that it may use.
+func (c *Core) validRecordedEvent(event planner.Event) bool {
+	switch event := event.(type) {
+	case planner.EndpointStats:
+		return c.validRecordedStats(event)
+	case planner.RequestStats:
+		return validIndex(event.Proxy, c.proxies.Len()) && validIndex(event.Class, c.classes.Len()) &&
+			event.Requests >= 0 && planner.ValidRate(event.SpanMs)
+	case planner.SliceStats:
+		return validIndex(event.Class, c.classes.Len()) && event.Requests >= 0 && planner.ValidRate(event.SpanMs)
+	}
+	return false
+}
+
+// validRecordedStats returns whether the recorded statistics of an endpoint may be used.
+func (c *Core) validRecordedStats(met planner.EndpointStats) bool {
+	for _, figure := range met.Load {
+		if !planner.ValidRate(figure) {
+			return false
+		}
+	}
+	return validIndex(met.Endpoint, c.endpoints.len()) && validIndex(met.Zone, c.zones.Len()) &&
+		met.Failed >= 0 && met.Attempts >= met.Failed && planner.ValidRate(met.MeanMs) && planner.ValidRate(met.SpanMs)
+}
+
+// validIndex returns whether i is an index into n things.
+func validIndex(i, n int) bool { return i >= 0 && i < n }
--- /dev/null
+++ b/internal/controller/reportgate_test.go
@@ -0,0 +1,71 @@
+package controller
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"indigousher/internal/wire"
+	"indigousher/planner"
+)
+
+// TestUnjoinedReports guards a proxy's sums against reports on streams that have not joined, or no longer are: they
+// count for nobody, least of all for the proxy with the first number.
+func TestUnjoinedReports(t *testing.T) {
+	d := &scriptedDecider{}
+	joined := &fakeTransport{}
+	left := &fakeTransport{}
+	c := NewCore(newOptions(d, &fakeTransport{}))
+	c.Handle(0, []Input{
+		listed(true, entry("x", 0)),
+		ProxyJoined{joined, hello("p", "a")},
+		ProxyJoined{left, hello("q", "a")},
+	})
+	c.Handle(1, []Input{ProxyLeft{left}})
+	for i, s := range []Stream{&fakeTransport{}, left} {
+		c.Handle(float64(100+i), []Input{LoadReported{s, &wire.Sums{
+			Seq:    1,
+			SpanMs: 500,
+			Met:    []wire.Met{{Endpoint: "x", Tries: 4}},
+			Demand: []wire.Demand{{Kind: "book", Reqs: 5}},
+		}}})
+	}
+	c.Handle(2200, nil)
+	for _, n := range d.events {
+		switch n.(type) {
+		case planner.EndpointStats, planner.RequestStats:
+			t.Errorf("%+v", n)
+		}
+	}
+}
+
+// TestReportLines guards the bound of report lines: what does not fit adds up; what begins to fail goes first, then
+// what has waited longest.
+func TestReportLines(t *testing.T) {
+	d := &scriptedDecider{}
+	stream := &fakeTransport{}
+	p := newOptions(d, &fakeTransport{})
+	p.Telemetry.ToldPerS = 1
+	c := NewCore(p)
+	c.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0)), ProxyJoined{stream, hello("p", "a")}})
+	report := func(at float64, seq uint64) {
+		c.Handle(at, []Input{LoadReported{stream, &wire.Sums{
+			Seq:    seq,
+			AtMs:   at,
+			SpanMs: 100,
+			Met:    []wire.Met{{Endpoint: "x", Tries: 1, MeanMs: 10}, {Endpoint: "y", Tries: 2, Failed: 2}},
+		}}})
+	}
+	d.events = nil
+	for i, at := range []float64{100, 200, 1150, 2200} {
+		report(at, uint64(i+1))
+	}
+	var tries []int
+	for _, n := range d.events {
+		met, ok := n.(planner.EndpointStats)
+		require.True(t, ok, "%T", n)
+		tries = append(tries, met.Attempts)
+	}
+	assert.Equal(t, []int{6, 4}, tries)
+}
--- /dev/null
+++ b/internal/controller/session_test.go
@@ -0,0 +1,35 @@
+package controller
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+
+	"indigousher/internal/wire"
+	"indigousher/planner"
+)
+
+// TestNames guards against a proxy that comes back while its old stream hangs, names without end, and strangers.
+func TestNames(t *testing.T) {
+	d, edge := &scriptedDecider{}, &fakeTransport{}
+	c := NewCore(newOptions(d, edge))
+	first, second := &fakeTransport{}, &fakeTransport{}
+	c.Handle(0, []Input{ProxyJoined{first, hello("p", "a")}})
+	c.Handle(1, []Input{ProxyJoined{second, hello("p", "a")}})
+	assert.NotEmpty(t, first.closed)
+	c.Handle(2, []Input{ProxyLeft{first}, Acked{first, wire.Done{Mark: 1}}}) // of no stream that lives
+	assert.Equal(t, 1, c.sessions.len())
+	assert.Equal(t, []planner.Event{
+		planner.ProxyJoined{Rate: 2, Fresh: true},
+		planner.ProxyLeft{},
+		planner.ProxyJoined{Rate: 2, Fresh: true},
+	}, d.events)
+	stranger := &fakeTransport{}
+	c.Handle(3, []Input{ProxyJoined{stranger, hello("q", "nowhere")}})
+	assert.Equal(t, "unknown zone", stranger.closed)
+	for i := range 4 {
+		c.Handle(4, []Input{ProxyJoined{&fakeTransport{}, hello(fmt.Sprint("r", i), "a")}})
+	}
+	assert.Equal(t, 3, c.sessions.len())
+}
