--- a/internal/config/terms.go
+++ b/internal/config/terms.go
@@ -146,7 +146,7 @@
 		return nil, DiagnosticsError(diags)
 	}
 	p := Defaults()
-	diags = Read(body, p.Common.Attributes(), append(p.Common.Blocks(), p.subs()...))
+	diags = Read(body, p.Common.Attributes(), append(p.Common.Blocks(), p.blocks()...))
 	if !diags.HasErrors() {
 		diags = append(diags, p.check(body)...)
 	}
@@ -174,50 +174,50 @@
 
 // Attributes lists the attributes that stand outside any block.
 func (c *Common) Attributes() []Field {
-	return []Field{{Name: "zones", Into: &c.Zones, Needed: true}, {Name: "machines", Into: &c.Machines, Needed: true}}
+	return []Field{{Name: "zones", Into: &c.Zones, Required: true}, {Name: "machines", Into: &c.Machines, Required: true}}
 }
 
 // Blocks lists the blocks of the common part.
 func (c *Common) Blocks() []Block {
-	block := func(name string, fields ...Field) Block { return Block{Name: name, Most: 1, Fields: fields} }
+	block := func(name string, fields ...Field) Block { return Block{Name: name, Max: 1, Fields: fields} }
 	return []Block{
-		{Name: "req_kind", Labels: 1, Most: 31, Read: c.readKind},
-		block("channel", Field{Name: "lines_per_s", Into: &c.LinesPerS, Least: 1},
-			Field{Name: "backlog", Into: &c.Backlog, Least: 1},
-			Field{Name: "head_lines", Into: &c.HeadLines, Most: 1000},
-			Field{Name: "messages_most", Into: &c.MessagesMost, Most: 1e6},
-			Field{Name: "messages_over", Into: &c.MessagesOver, Least: 0.1}),
-		block("rules", Field{Name: "drain_grace", Into: &c.DrainGrace, Least: 0.1},
-			Field{Name: "bare_for", Into: &c.BareFor, Least: 0.1}, Field{Name: "cold", Into: &c.Cold},
-			Field{Name: "cold_from", Into: &c.ColdFrom, Least: 0.001, Most: 1},
-			Field{Name: "fall", Into: &c.Fall, Least: 0.05}, Field{Name: "fall_multiple", Into: &c.FallMultiple, Least: 1}),
-		block("proxies", Field{Name: "count", Into: &c.Proxies, Least: 1, Most: 65535},
-			Field{Name: "slices", Into: &c.Slices, Most: wire.EveryTable - 1},
+		{Name: "req_kind", Labels: 1, Max: 31, Read: c.readRequestClass},
+		block("channel", Field{Name: "lines_per_s", Into: &c.LinesPerS, Min: 1},
+			Field{Name: "backlog", Into: &c.Backlog, Min: 1},
+			Field{Name: "head_lines", Into: &c.HeadLines, Max: 1000},
+			Field{Name: "messages_most", Into: &c.MessagesMost, Max: 1e6},
+			Field{Name: "messages_over", Into: &c.MessagesOver, Min: 0.1}),
+		block("rules", Field{Name: "drain_grace", Into: &c.DrainGrace, Min: 0.1},
+			Field{Name: "bare_for", Into: &c.BareFor, Min: 0.1}, Field{Name: "cold", Into: &c.Cold},
+			Field{Name: "cold_from", Into: &c.ColdFrom, Min: 0.001, Max: 1},
+			Field{Name: "fall", Into: &c.Fall, Min: 0.05}, Field{Name: "fall_multiple", Into: &c.FallMultiple, Min: 1}),
+		block("proxies", Field{Name: "count", Into: &c.Proxies, Min: 1, Max: 65535},
+			Field{Name: "slices", Into: &c.Slices, Max: wire.EveryTable - 1},
 			Field{Name: "by_zone", Into: &c.ByZone}, Field{Name: "ejects_after", Into: &c.EjectsAfter},
-			Field{Name: "try_again", Into: &c.RetryHow, Most: 3}, Field{Name: "first_wait", Into: &c.FirstWait},
+			Field{Name: "try_again", Into: &c.RetryHow, Max: 3}, Field{Name: "first_wait", Into: &c.FirstWait},
 			Field{Name: "admission", Into: &c.Admission, OneOf: []string{"share", "off"}},
 			Field{Name: "pick", Into: &c.Pick, OneOf: []string{"weighted", "round", "two"}}),
-		block("reports", Field{Name: "fields", Into: &c.Fields}, Field{Name: "period", Into: &c.Period, Least: 0.05},
+		block("reports", Field{Name: "fields", Into: &c.Fields}, Field{Name: "period", Into: &c.Period, Min: 0.05},
 			Field{Name: "lines_per_s", Into: &c.ReportLinesPerS}, Field{Name: "probing", Into: &c.Probing}),
-		block("prices", Field{Name: "cross_zone", Into: &c.CrossZone, Most: 10}),
+		block("prices", Field{Name: "cross_zone", Into: &c.CrossZone, Max: 10}),
 	}
 }
 
-func (c *Common) readKind(labels []string, b *hclsyntax.Body) hcl.Diagnostics {
+func (c *Common) readRequestClass(labels []string, b *hclsyntax.Body) hcl.Diagnostics {
 	k := RequestClass{Name: labels[0], ResponseTarget: time.Second, ClientTimeout: 3 * time.Second, Payoff: 1,
 		Repeats: "replayable", Group: "all", Window: 5 * time.Second}
 	diags := Read(b, k.fields(), nil)
 	check := func(what string, list, known []string) {
 		for _, n := range list {
 			if !slices.Contains(known, n) {
-				diags = append(diags, complaint(b.SrcRange, "%s: %q is not listed at the top", what, n))
+				diags = append(diags, diagnostic(b.SrcRange, "%s: %q is not listed at the top", what, n))
 			}
 		}
 	}
 	check("only_machines", k.OnlyMachines, c.Machines)
 	check("only_zones", k.OnlyZones, c.Zones)
 	if slices.ContainsFunc(c.Kinds, func(o RequestClass) bool { return o.Name == k.Name }) {
-		diags = append(diags, complaint(b.SrcRange, "req_kind %q stands here twice", k.Name))
+		diags = append(diags, diagnostic(b.SrcRange, "req_kind %q stands here twice", k.Name))
 	}
 	c.Kinds = append(c.Kinds, k)
 	return diags
@@ -226,9 +226,9 @@
 // fields lists the attributes of a req kind.
 func (k *RequestClass) fields() []Field {
 	return []Field{
-		{Name: "response_target", Into: &k.ResponseTarget, Least: 0.001},
-		{Name: "client_timeout", Into: &k.ClientTimeout, Least: 0.001},
-		{Name: "payoff", Into: &k.Payoff}, {Name: "late_payoff", Into: &k.LatePayoff, Most: 1},
+		{Name: "response_target", Into: &k.ResponseTarget, Min: 0.001},
+		{Name: "client_timeout", Into: &k.ClientTimeout, Min: 0.001},
+		{Name: "payoff", Into: &k.Payoff}, {Name: "late_payoff", Into: &k.LatePayoff, Max: 1},
 		{Name: "repeats", Into: &k.Repeats, OneOf: []string{"replayable", "uniqued", "non-replayable"}},
 		{Name: "group", Into: &k.Group, OneOf: []string{"all", "zone", "cell"}}, {Name: "window", Into: &k.Window},
 		{Name: "only_machines", Into: &k.OnlyMachines}, {Name: "only_zones", Into: &k.OnlyZones},
@@ -236,11 +236,11 @@
 	}
 }
 
-func (p *Pilot) subs() []Block {
-	block := func(name string, fields ...Field) Block { return Block{Name: name, Most: 1, Fields: fields} }
+func (p *Pilot) blocks() []Block {
+	block := func(name string, fields ...Field) Block { return Block{Name: name, Max: 1, Fields: fields} }
 	return []Block{
 		block("pilot", Field{Name: "name", Into: &p.Name}, Field{Name: "zone", Into: &p.Zone},
-			Field{Name: "rank", Into: &p.Rank, Most: 65535}, Field{Name: "instances", Into: &p.Instances, Least: 1},
+			Field{Name: "rank", Into: &p.Rank, Max: 65535}, Field{Name: "instances", Into: &p.Instances, Min: 1},
 			Field{Name: "seed", Into: &p.Seed}, Field{Name: "listen", Into: &p.Listen},
 			Field{Name: "grpc", Into: &p.GRPC},
 			Field{Name: "handover", Into: &p.Handover},
@@ -249,23 +249,23 @@
 			Field{Name: "certificate", Into: &p.Keys.Certificate}, Field{Name: "private_key", Into: &p.Keys.Key},
 			Field{Name: "plain", Into: &p.Plain}),
 		block("list", Field{Name: "file", Into: &p.ListFile}, Field{Name: "address", Into: &p.ListAddress},
-			Field{Name: "silence", Into: &p.ListSilence, Least: 0.1}),
+			Field{Name: "silence", Into: &p.ListSilence, Min: 0.1}),
 		block("peers", Field{Name: "listen", Into: &p.PeersListen}, Field{Name: "addresses", Into: &p.Peers},
 			Field{Name: "secret", Into: &p.PeersSecret}),
 		block("intake", Field{Name: "lines_per_s", Into: &p.IntakeLinesPerS},
-			Field{Name: "standing", Into: &p.IntakeStanding}, Field{Name: "slowest", Into: &p.IntakeSlowest, Least: 1, Most: 60},
-			Field{Name: "half", Into: &p.IntakeHalf, Least: 0.1}, Field{Name: "longest", Into: &p.IntakeLongest, Least: 1}),
-		block("streams", Field{Name: "beat", Into: &p.Beat, Least: 0.01},
-			Field{Name: "write_deadline", Into: &p.WriteDeadline, Least: 0.01},
-			Field{Name: "hello_deadline", Into: &p.HelloDeadline, Least: 0.01},
-			Field{Name: "seen_within", Into: &p.SeenWithin, Least: 0.05},
-			Field{Name: "stop_within", Into: &p.DrainOnStop}, Field{Name: "queue", Into: &p.Queue, Least: 1, Most: 65536},
-			Field{Name: "max_frame", Into: &p.MaxFrame, Least: 1024, Most: wire.MaxFrame},
+			Field{Name: "standing", Into: &p.IntakeStanding}, Field{Name: "slowest", Into: &p.IntakeSlowest, Min: 1, Max: 60},
+			Field{Name: "half", Into: &p.IntakeHalf, Min: 0.1}, Field{Name: "longest", Into: &p.IntakeLongest, Min: 1}),
+		block("streams", Field{Name: "beat", Into: &p.Beat, Min: 0.01},
+			Field{Name: "write_deadline", Into: &p.WriteDeadline, Min: 0.01},
+			Field{Name: "hello_deadline", Into: &p.HelloDeadline, Min: 0.01},
+			Field{Name: "seen_within", Into: &p.SeenWithin, Min: 0.05},
+			Field{Name: "stop_within", Into: &p.DrainOnStop}, Field{Name: "queue", Into: &p.Queue, Min: 1, Max: 65536},
+			Field{Name: "max_frame", Into: &p.MaxFrame, Min: 1024, Max: wire.MaxFrame},
 			Field{Name: "new_per_s", Into: &p.NewPerS},
-			Field{Name: "max_streams", Into: &p.MaxStreams, Least: 1},
-			Field{Name: "max_proxies", Into: &p.MostProxies, Least: 1, Most: 65535}),
+			Field{Name: "max_streams", Into: &p.MaxStreams, Min: 1},
+			Field{Name: "max_proxies", Into: &p.MostProxies, Min: 1, Max: 65535}),
 		block("record", Field{Name: "dir", Into: &p.RecordDir}, Field{Name: "keep", Into: &p.RecordKeep},
-			Field{Name: "most_mb", Into: &p.RecordMostMB, Least: 1}, Field{Name: "tail", Into: &p.RecoverTail},
+			Field{Name: "most_mb", Into: &p.RecordMostMB, Min: 1}, Field{Name: "tail", Into: &p.RecoverTail},
 			Field{Name: "within", Into: &p.RecoverWithin}),
 		block("log", Field{Name: "level", Into: &p.LogLevel, OneOf: []string{"debug", "info", "warn", "error"}},
 			Field{Name: "format", Into: &p.LogFormat, OneOf: []string{"console", "json"}}),
@@ -275,19 +275,19 @@
 // check complains of what is wrong between fields.
 func (p *Pilot) check(body *hclsyntax.Body) (diags hcl.Diagnostics) {
 	at := body.MissingItemRange()
-	say := func(format string, args ...any) { diags = append(diags, complaint(at, format, args...)) }
+	say := func(format string, args ...any) { diags = append(diags, diagnostic(at, format, args...)) }
 	if len(p.Kinds) == 0 {
 		say("no req_kind is told")
 	}
 	names := append([]string{p.Name}, p.ClassNames()...)
 	for what, list := range map[string][]string{"zones": p.Zones, "machines": p.Machines} {
 		names = append(names, list...)
-		if n, twice := repeated(list); twice { // places in the list would differ from indices
+		if n, twice := firstDuplicate(list); twice { // places in the list would differ from indices
 			say("%s: %q stands here twice", what, n)
 		}
 	}
 	for _, n := range names {
-		diags = append(diags, named(at, n, 1)...)
+		diags = append(diags, checkName(at, n, 1)...)
 	}
 	if tables := len(p.Zones) * max(1, len(p.Kinds)); tables >= wire.EveryTable {
 		say("%d zones and %d kinds of req want %d tables, fewer than %d may be", len(p.Zones), len(p.Kinds), tables, wire.EveryTable)
@@ -308,7 +308,7 @@
 		say("peers: with keys a secret is wanted, or plain = true")
 	}
 	for _, at := range []string{p.Listen, p.GRPC, p.Admin, p.PeersListen, p.ListAddress} {
-		if p.Plain && at != "" && !loopback(at) {
+		if p.Plain && at != "" && !isLoopback(at) {
 			say("%s is no loopback address, and plain = true is for these only", at)
 		}
 	}
@@ -328,16 +328,16 @@
 	return diags
 }
 
-// named complains of a name that the wire can't carry.
-func named(at hcl.Range, name string, least int) hcl.Diagnostics {
+// checkName complains of a name that the wire can't carry.
+func checkName(at hcl.Range, name string, least int) hcl.Diagnostics {
 	if len(name) >= least && len(name) <= wire.MaxText {
 		return nil
 	}
-	return hcl.Diagnostics{complaint(at, "a name of %d bytes, %d to %d are wanted: %.40q", len(name), least, wire.MaxText, name)}
+	return hcl.Diagnostics{diagnostic(at, "a name of %d bytes, %d to %d are wanted: %.40q", len(name), least, wire.MaxText, name)}
 }
 
-// repeated returns the first name that stands in a list a second time.
-func repeated(list []string) (string, bool) {
+// firstDuplicate returns the first name that stands in a list a second time.
+func firstDuplicate(list []string) (string, bool) {
 	seen := map[string]bool{}
 	for _, n := range list {
 		if seen[n] {
@@ -348,8 +348,8 @@
 	return "", false
 }
 
-// loopback returns whether an address can be reached from this machine alone.
-func loopback(address string) bool {
+// isLoopback returns whether an address can be reached from this machine alone.
+func isLoopback(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return false
@@ -358,9 +358,9 @@
 	return host == "localhost" || ip != nil && ip.IsLoopback()
 }
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-func list[T any](from []T, as func(T) any) []any {
+func toAny[T any](from []T, as func(T) any) []any {
 	var l []any
 	for _, x := range from {
 		l = append(l, as(x))
@@ -374,42 +374,42 @@
 	place := func(in []string) func(string) any {
 		return func(n string) any { return float64(slices.Index(in, n)) }
 	}
-	kinds := list(c.Kinds, func(k RequestClass) any {
-		return map[string]any{"name": k.Name, "response_target": ms(k.ResponseTarget), "payoff": k.Payoff,
-			"client_timeout": ms(k.ClientTimeout), "late_payoff": k.LatePayoff, "repeats": k.Repeats, "group": k.Group,
-			"window": ms(k.Window), "only_machines": list(k.OnlyMachines, place(c.Machines)),
-			"only_zones": list(k.OnlyZones, place(c.Zones))}
+	kinds := toAny(c.Kinds, func(k RequestClass) any {
+		return map[string]any{"name": k.Name, "response_target": milliseconds(k.ResponseTarget), "payoff": k.Payoff,
+			"client_timeout": milliseconds(k.ClientTimeout), "late_payoff": k.LatePayoff, "repeats": k.Repeats, "group": k.Group,
+			"window": milliseconds(k.Window), "only_machines": toAny(k.OnlyMachines, place(c.Machines)),
+			"only_zones": toAny(k.OnlyZones, place(c.Zones))}
 	})
 	text := func(s string) any { return s }
 	discovery := "pushed"
 	if c.AskForList {
 		discovery = "on_request"
 	}
-	return map[string]any{"req_kinds": kinds, "zones": list(c.Zones, text), "machines": list(c.Machines, text),
-		"kind_own_zone": list(c.Kinds, func(k RequestClass) any { return k.OwnZone }),
-		"kind_writes":   list(c.Kinds, func(k RequestClass) any { return k.Writes }),
-		"fields":        list(c.Fields, text), "rank": float64(rank), "instances": float64(c.Instances),
+	return map[string]any{"req_kinds": kinds, "zones": toAny(c.Zones, text), "machines": toAny(c.Machines, text),
+		"kind_own_zone": toAny(c.Kinds, func(k RequestClass) any { return k.OwnZone }),
+		"kind_writes":   toAny(c.Kinds, func(k RequestClass) any { return k.Writes }),
+		"fields":        toAny(c.Fields, text), "rank": float64(rank), "instances": float64(c.Instances),
 		"proxy_count": float64(c.Proxies), "slices": float64(c.Slices), "by_zone": c.ByZone, "discovery": discovery, "probing": c.Probing,
 		"cross_zone": c.CrossZone, "admission": c.Admission, "pick": c.Pick, "ejects_after": float64(c.EjectsAfter),
 		"retry_default": float64(c.RetryHow), "first_wait": c.FirstWait, "lines_per_s": c.LinesPerS,
 		"backlog": c.Backlog, "head_lines": float64(c.HeadLines), "messages_most": float64(c.MessagesMost),
-		"messages_over": ms(c.MessagesOver), "drain_grace": ms(c.DrainGrace), "bare_for": ms(c.BareFor),
-		"cold": ms(c.Cold), "cold_from": c.ColdFrom, "fall": ms(c.Fall), "fall_multiple": c.FallMultiple,
-		"report_every": ms(c.Period)}
+		"messages_over": milliseconds(c.MessagesOver), "drain_grace": milliseconds(c.DrainGrace), "bare_for": milliseconds(c.BareFor),
+		"cold": milliseconds(c.Cold), "cold_from": c.ColdFrom, "fall": milliseconds(c.Fall), "fall_multiple": c.FallMultiple,
+		"report_every": milliseconds(c.Period)}
 }
 
-// live names the fields that a reload may change; the module reads its part of them anew each time.
-var live = []string{"LinesPerS", "Backlog", "MessagesMost", "MessagesOver", "DrainGrace", "BareFor", "Cold",
+// reloadableFields names the fields that a reload may change; the module reads its part of them anew each time.
+var reloadableFields = []string{"LinesPerS", "Backlog", "MessagesMost", "MessagesOver", "DrainGrace", "BareFor", "Cold",
 	"ColdFrom", "Fall", "FallMultiple", "LogLevel", "DrainOnStop"}
 
-// liveTerms are the same by the module's names, as far as it reads them.
-var liveTerms = []string{"lines_per_s", "backlog", "messages_most", "messages_over", "drain_grace", "bare_for", "cold",
+// reloadableSettings are the same by the module's names, as far as it reads them.
+var reloadableSettings = []string{"lines_per_s", "backlog", "messages_most", "messages_over", "drain_grace", "bare_for", "cold",
 	"cold_from", "fall", "fall_multiple"}
 
 // Reload compares the terms in force with new ones: which fields change at once, and which want a restart.
 func Reload(old, now *Pilot) (changed, restart []string) {
-	diff(reflect.ValueOf(*old), reflect.ValueOf(*now), func(name string) {
-		if slices.Contains(live, name) {
+	visitDifferences(reflect.ValueOf(*old), reflect.ValueOf(*now), func(name string) {
+		if slices.Contains(reloadableFields, name) {
 			changed = append(changed, name)
 		} else {
 			restart = append(restart, name)
@@ -418,12 +418,12 @@
 	return changed, restart
 }
 
-func diff(a, b reflect.Value, differs func(string)) {
+func visitDifferences(a, b reflect.Value, differs func(string)) {
 	for i := range a.NumField() {
 		f := a.Type().Field(i)
 		switch {
 		case f.Anonymous:
-			diff(a.Field(i), b.Field(i), differs)
+			visitDifferences(a.Field(i), b.Field(i), differs)
 		case !reflect.DeepEqual(a.Field(i).Interface(), b.Field(i).Interface()):
 			differs(f.Name)
 		}
@@ -433,7 +433,7 @@
 // ReloadableSettings returns the part of the module's terms that a reload brings.
 func (c *Common) ReloadableSettings() map[string]any {
 	all, part := c.PlannerSettings(0), map[string]any{}
-	for _, name := range liveTerms {
+	for _, name := range reloadableSettings {
 		part[name] = all[name]
 	}
 	return part
@@ -468,32 +468,32 @@
 	diags = Read(body, []Field{{Name: "version", Into: &l.Version}}, []Block{{Name: "endpoint", Labels: 1,
 		Read: func(labels []string, b *hclsyntax.Body) hcl.Diagnostics {
 			e, phase, started := wire.Entry{Endpoint: labels[0], Weight: 1}, "ready", ""
-			diags := Read(b, []Field{{Name: "zone", Into: &e.Zone, Needed: true}, {Name: "machine", Into: &e.Machine},
+			diags := Read(b, []Field{{Name: "zone", Into: &e.Zone, Required: true}, {Name: "machine", Into: &e.Machine},
 				{Name: "cell", Into: &e.Cell}, {Name: "weight", Into: &e.Weight},
 				{Name: "phase", Into: &phase, OneOf: phases}, {Name: "started", Into: &started}}, nil)
 			e.Phase = slices.Index(phases, phase)
 			if started != "" {
 				at, err := time.Parse(time.RFC3339, started)
 				if err != nil {
-					diags = append(diags, complaint(b.Attributes["started"].Expr.Range(), "started: %v", err))
+					diags = append(diags, diagnostic(b.Attributes["started"].Expr.Range(), "started: %v", err))
 				}
 				e.Started = uint64(max(1, at.UnixMilli()))
 			}
 			if seen[e.Endpoint] {
-				diags = append(diags, complaint(b.SrcRange, "endpoint %q stands here twice", e.Endpoint))
+				diags = append(diags, diagnostic(b.SrcRange, "endpoint %q stands here twice", e.Endpoint))
 			}
-			diags = append(diags, named(b.SrcRange, e.Endpoint, 1)...)
-			diags = append(diags, named(b.SrcRange, e.Zone, 0)...)
-			diags = append(diags, named(b.SrcRange, e.Machine, 0)...)
+			diags = append(diags, checkName(b.SrcRange, e.Endpoint, 1)...)
+			diags = append(diags, checkName(b.SrcRange, e.Zone, 0)...)
+			diags = append(diags, checkName(b.SrcRange, e.Machine, 0)...)
 			if !planner.ValidWeight(e.Weight) {
-				diags = append(diags, complaint(b.SrcRange, "weight %g: 0 or %g to %g is wanted", e.Weight, 1/planner.MaxFigure, planner.MaxFigure))
+				diags = append(diags, diagnostic(b.SrcRange, "weight %g: 0 or %g to %g is wanted", e.Weight, 1/planner.MaxFigure, planner.MaxFigure))
 			}
 			seen[e.Endpoint] = true
 			l.Entries = append(l.Entries, e)
 			return diags
 		}}})
 	if len(l.Entries) == 0 {
-		diags = append(diags, complaint(body.MissingItemRange(), "no endpoint stands here"))
+		diags = append(diags, diagnostic(body.MissingItemRange(), "no endpoint stands here"))
 	}
 	if diags.HasErrors() {
 		return nil, DiagnosticsError(diags)
@@ -504,8 +504,8 @@
 // TelemetryOptions returns the report intake's part.
 func (p *Pilot) TelemetryOptions() telemetry.Options {
 	return telemetry.Options{LinesPerS: p.IntakeLinesPerS, ToldPerS: float64(p.ReportLinesPerS), Standing: p.IntakeStanding,
-		PeriodMs: ms(p.Period), HalfMs: ms(p.IntakeHalf), LongestMs: ms(p.IntakeLongest), Slowest: p.IntakeSlowest,
-		ColdMs: ms(p.Cold), MostSenders: p.MaxStreams}
+		PeriodMs: milliseconds(p.Period), HalfMs: milliseconds(p.IntakeHalf), LongestMs: milliseconds(p.IntakeLongest), Slowest: p.IntakeSlowest,
+		ColdMs: milliseconds(p.Cold), MostSenders: p.MaxStreams}
 }
 
 // String names a pilot for logs.
@@ -515,7 +515,7 @@
 func Merge(old, now *Pilot) *Pilot {
 	merged := *old
 	to, from := reflect.ValueOf(&merged).Elem(), reflect.ValueOf(*now)
-	for _, name := range live {
+	for _, name := range reloadableFields {
 		to.FieldByName(name).Set(from.FieldByName(name))
 	}
 	return &merged
--- a/internal/config/terms_test.go
+++ b/internal/config/terms_test.go
@@ -161,7 +161,7 @@
 		{"nested templates", "x = " + strings.Repeat("\"${", 100000), "nested deeper than 200", nil},
 		{"signs without an end", "x = " + strings.Repeat("!", 100000), "or more than 10000 signs", nil},
 		{"questions without an end", "x = " + strings.Repeat("a?b:", 100000), "or more than 10000 signs", nil},
-		{"long", strings.Repeat("#", MostBytes+1), "l.hcl:1:1: longer than 16777216 bytes", nil},
+		{"long", strings.Repeat("#", MaxBytes+1), "l.hcl:1:1: longer than 16777216 bytes", nil},
 		{"twice", "endpoint \"x\" {\n  zone = \"a\"\n}\nendpoint \"x\" {\n  zone = \"a\"\n}", "l.hcl:4:14: endpoint \"x\" stands here twice", nil},
 		{"a bad time", "endpoint \"x\" {\n  zone = \"a\"\n  started = \"noon\"\n}", "l.hcl:3:13: started:", nil},
 	} {
--- a/internal/config/write.go
+++ b/internal/config/write.go
@@ -12,22 +12,22 @@
 func (p *Pilot) Text() []byte {
 	f := hclwrite.NewEmptyFile()
 	body := f.Body()
-	put(body, p.Common.Attributes())
-	for _, s := range append(p.Common.Blocks(), p.subs()...) {
+	writeFields(body, p.Common.Attributes())
+	for _, s := range append(p.Common.Blocks(), p.blocks()...) {
 		if len(s.Fields) > 0 {
 			body.AppendNewline()
-			put(body.AppendNewBlock(s.Name, nil).Body(), s.Fields)
+			writeFields(body.AppendNewBlock(s.Name, nil).Body(), s.Fields)
 		}
 	}
 	for i := range p.Kinds {
 		body.AppendNewline()
-		put(body.AppendNewBlock("req_kind", []string{p.Kinds[i].Name}).Body(), p.Kinds[i].fields())
+		writeFields(body.AppendNewBlock("req_kind", []string{p.Kinds[i].Name}).Body(), p.Kinds[i].fields())
 	}
 	return f.Bytes()
 }
 
-// put writes fields; texts, lists and maps that are empty are left out.
-func put(body *hclwrite.Body, fields []Field) {
+// writeFields writes fields; texts, lists and maps that are empty are left out.
+func writeFields(body *hclwrite.Body, fields []Field) {
 	for _, f := range fields {
 		if v, there := f.value(); there {
 			body.SetAttributeValue(f.Name, v)
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -131,7 +131,7 @@
 		period: ms(d.Period), firstWait: d.FirstWait, seenWithin: ms(d.DrainGrace) / 2}
 	w.out = &Outcome{Latency: hdrhistogram.New(1, 600_000_000, 3), Load: map[string]float64{}, ZoneOf: map[string]string{}, Malformed: map[string]int{},
 		Starts: map[string][]Start{}}
-	w.ways = &ways{w: w, zones: map[string]*weather{}, dumb: map[string]bool{}, near: ms(d.Way)}
+	w.ways = &ways{w: w, zones: map[string]*weather{}, dumb: map[string]bool{}, near: ms(d.OneWayDelay)}
 	w.list = &source{w: w, place: place{name: "list"}, entries: map[string]wire.Entry{}, slices: map[int]wire.Slices{},
 		follows: map[*seat]*pilotRun{}, silentMs: 2000}
 	w.auditor = audit.New(&d.Common)
@@ -214,7 +214,7 @@
 			home: i, seed: uint64(d.Seed*1000 + i), reports: 1, heed: true,
 			habits: routing.Policy{Kinds: d.ClassNames(), Pick: d.Pick, EjectsAfter: d.EjectsAfter, EjectMs: ms(d.EjectFor),
 				TryAgain: d.RetryHow}}
-		p.heed = !slices.Contains(d.Heedless, p.place.name)
+		p.heed = !slices.Contains(d.IgnoresPace, p.place.name)
 		counts[z]++
 		w.proxies = append(w.proxies, p)
 		p.start()
@@ -237,7 +237,7 @@
 		effects[k.Name], dedup[k.Name] = k.Repeats != "replayable", k.Repeats == "uniqued"
 	}
 	m := &machine{w: w, place: place{name, g.Zone}, sharing: g.Discipline == "sharing", thrash: g.Thrash, ledger: map[uint64]bool{},
-		Model: endpoint.Model{Name: name, Zone: g.Zone, Machine: g.Machine, Cores: g.Cores, Speed: speed, Queue: g.Queue, Conns: g.Conns,
+		Model: endpoint.Model{Name: name, Zone: g.Zone, Machine: g.Machine, Cores: g.Cores, Speed: speed, Queue: g.Queue, Conns: g.MaxConnections,
 			HandshakeMs: ms(g.Handshake), ReportEvery: 400 * time.Millisecond, ReportLag: 200 * time.Millisecond, Noise: w.Scenario.NoisyReports,
 			Cold: w.Scenario.Cold, ColdFrom: w.Scenario.ColdFrom, FallMultiple: w.Scenario.FallMultiple, Fall: w.Scenario.Fall, ComeBackMs: 200,
 			Effects: effects, Dedup: dedup}}
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -56,7 +56,7 @@
 		d.Instances = max(1, int(v))
 	},
 	"report_s": func(d *scenario.Scenario, v float64) { d.Period = time.Duration(v * float64(time.Second)) },
-	"way_ms":   func(d *scenario.Scenario, v float64) { d.Way = time.Duration(v * float64(time.Millisecond)) },
+	"way_ms":   func(d *scenario.Scenario, v float64) { d.OneWayDelay = time.Duration(v * float64(time.Millisecond)) },
 	"record":   func(d *scenario.Scenario, v float64) { d.Record = v > 0 },
 	"uneven":   func(d *scenario.Scenario, v float64) { d.Uneven = v },
 	"length_s": func(d *scenario.Scenario, v float64) { d.Length = time.Duration(v * float64(time.Second)) },
@@ -97,8 +97,8 @@
 		Policies: []string{Ours}, folder: filepath.Dir(path)}
 	body, diags := config.Open(path, text)
 	if !diags.HasErrors() {
-		diags = config.Read(body, []config.Field{{Name: "about", Into: &p.About}, {Name: "day", Into: &p.Day, Needed: true},
-			{Name: "repeats", Into: &p.Repeats, Least: 1, Most: 10000}, {Name: "budget", Into: &p.Budget, Least: 1},
+		diags = config.Read(body, []config.Field{{Name: "about", Into: &p.About}, {Name: "day", Into: &p.Day, Required: true},
+			{Name: "repeats", Into: &p.Repeats, Min: 1, Max: 10000}, {Name: "budget", Into: &p.Budget, Min: 1},
 			{Name: "policies", Into: &p.Policies}}, []config.Block{{Name: "factor", Labels: 1, Read: p.factor}})
 	}
 	if diags.HasErrors() {
@@ -117,7 +117,7 @@
 
 func (p *Plan) factor(labels []string, b *hclsyntax.Body) hcl.Diagnostics {
 	var levels []string
-	diags := config.Read(b, []config.Field{{Name: "levels", Into: &levels, Needed: true}}, nil)
+	diags := config.Read(b, []config.Field{{Name: "levels", Into: &levels, Required: true}}, nil)
 	wrong := func(text string) {
 		diags = append(diags, &hcl.Diagnostic{Severity: hcl.DiagError, Summary: text, Subject: b.SrcRange.Ptr()})
 	}
--- a/internal/platform/placement/config.go
+++ b/internal/platform/placement/config.go
@@ -87,8 +87,8 @@
 
 // Parse checks a file's text.
 func Parse(text []byte) (*Placement, error) {
-	if len(text) > config.MostBytes {
-		return nil, fmt.Errorf("longer than %d bytes", config.MostBytes)
+	if len(text) > config.MaxBytes {
+		return nil, fmt.Errorf("longer than %d bytes", config.MaxBytes)
 	}
 	p := &Placement{}
 	if err := json.Unmarshal(text, p); err != nil {
--- a/internal/rehearsal/stage.go
+++ b/internal/rehearsal/stage.go
@@ -308,7 +308,7 @@
 		effects[k.Name], dedup[k.Name] = k.Repeats != "replayable", k.Repeats == "uniqued"
 	}
 	e := endpoint.New(endpoint.Model{Name: name, Zone: g.Zone, Machine: g.Machine, Cores: g.Cores, Speed: speed,
-		Queue: g.Queue, Conns: g.Conns, HandshakeMs: float64(g.Handshake) / float64(time.Millisecond),
+		Queue: g.Queue, Conns: g.MaxConnections, HandshakeMs: float64(g.Handshake) / float64(time.Millisecond),
 		ReportEvery: 400 * time.Millisecond, ReportLag: 200 * time.Millisecond, Noise: s.Scenario.NoisyReports,
 		Cold: s.Scenario.Cold, ColdFrom: s.Scenario.ColdFrom, FallMultiple: s.Scenario.FallMultiple, Fall: s.Scenario.Fall, ComeBackMs: 200,
 		Effects: effects, Dedup: dedup, Seed: uint64(s.Scenario.Seed + len(name)*7919)}, s.book.Stream(name))
@@ -388,7 +388,7 @@
 		Pilots: func() []string { return s.reach(zone, number, down, over) }, Join: join, Dial: s.net.Dialer(place, time.Second),
 		DialTimeout: 250 * time.Millisecond, Redial: s.Scenario.Redial, ApplyPerLine: s.Scenario.Apply, FirstWait: s.Scenario.FirstWait,
 		Targets: targets, Limits: limits, Seed: uint64(s.Scenario.Seed*1000 + number), MuteReads: mute.Load,
-		Reports: func() float64 { return float64(times.Load()) / 1000 }, Heedless: slices.Contains(s.Scenario.Heedless, name)},
+		Reports: func() float64 { return float64(times.Load()) / 1000 }, Heedless: slices.Contains(s.Scenario.IgnoresPace, name)},
 		s.book.Stream(name))
 	if err := p.Start(); err != nil {
 		return err
--- a/internal/scenario/day.go
+++ b/internal/scenario/day.go
@@ -25,28 +25,28 @@
 	config.Common
 	Name   string        `json:"Name"`
 	About  string        `json:"About"`
-	Like   string        `json:"Like"` // the day whose fleet, terms and load stand where this one says nothing
+	Base   string        `json:"Like"` // the day whose fleet, terms and load stand where this one says nothing
 	Length time.Duration `json:"Length"`
 	Seed   int           `json:"Seed"`
 
-	PilotZones   []string      `json:"PilotZones"` // a pilot for each
-	ProxyZones   []string      `json:"ProxyZones"` // a proxy for each
-	Times        int           `json:"Times"`      // as many proxies as ProxyZones names
-	OverGRPC     []string      `json:"OverGRPC"`   // names or patterns of proxies that join over gRPC
-	Keys         bool          `json:"Keys"`       // all streams under TLS, with an authority of the day's own
-	Record       bool          `json:"Record"`     // pilots record, and recover when they return
-	Standing     int           `json:"Standing"`
-	Redial       time.Duration `json:"Redial"`
-	Apply        time.Duration `json:"Apply"` // for each line
-	EjectFor     time.Duration `json:"EjectFor"`
-	Beat         time.Duration `json:"Beat"`
-	WriteWithin  time.Duration `json:"WriteWithin"`
-	NoisyReports float64       `json:"NoisyReports"`
-	Way          time.Duration `json:"Way"` // one way between two places (emulator)
+	PilotZones    []string      `json:"PilotZones"` // a pilot for each
+	ProxyZones    []string      `json:"ProxyZones"` // a proxy for each
+	ProxyMultiple int           `json:"Times"`      // as many proxies as ProxyZones names
+	OverGRPC      []string      `json:"OverGRPC"`   // names or patterns of proxies that join over gRPC
+	Keys          bool          `json:"Keys"`       // all streams under TLS, with an authority of the day's own
+	Record        bool          `json:"Record"`     // pilots record, and recover when they return
+	Standing      int           `json:"Standing"`
+	Redial        time.Duration `json:"Redial"`
+	Apply         time.Duration `json:"Apply"` // for each line
+	EjectFor      time.Duration `json:"EjectFor"`
+	Beat          time.Duration `json:"Beat"`
+	WriteWithin   time.Duration `json:"WriteWithin"`
+	NoisyReports  float64       `json:"NoisyReports"`
+	OneWayDelay   time.Duration `json:"Way"` // one way between two places (emulator)
 
 	IntakeLinesPerS float64  `json:"IntakeLinesPerS"`
 	IntakeStanding  int      `json:"IntakeStanding"`
-	Heedless        []string `json:"Heedless"` // proxies that report as ever, whatever they are asked for
+	IgnoresPace     []string `json:"Heedless"` // proxies that report as ever, whatever they are asked for
 
 	ListLate  time.Duration `json:"ListLate"`
 	ListEmpty bool          `json:"ListEmpty"`
@@ -74,17 +74,17 @@
 
 // Group is some endpoints alike.
 type Group struct {
-	Machine    string        `json:"Machine"`
-	Zone       string        `json:"Zone"`
-	Count      int           `json:"Count"`
-	Cores      int           `json:"Cores"`
-	Speed      float64       `json:"Speed"`
-	Spread     float64       `json:"Spread"`
-	Queue      int           `json:"Queue"`
-	Conns      int           `json:"Conns"`
-	Handshake  time.Duration `json:"Handshake"`
-	Discipline string        `json:"Discipline"` // queue, or sharing: all in hand share the cores (emulator)
-	Thrash     float64       `json:"Thrash"`     // part by which each req beyond the cores slows all (emulator)
+	Machine        string        `json:"Machine"`
+	Zone           string        `json:"Zone"`
+	Count          int           `json:"Count"`
+	Cores          int           `json:"Cores"`
+	Speed          float64       `json:"Speed"`
+	Spread         float64       `json:"Spread"`
+	Queue          int           `json:"Queue"`
+	MaxConnections int           `json:"Conns"`
+	Handshake      time.Duration `json:"Handshake"`
+	Discipline     string        `json:"Discipline"` // queue, or sharing: all in hand share the cores (emulator)
+	Thrash         float64       `json:"Thrash"`     // part by which each req beyond the cores slows all (emulator)
 }
 
 // Fault is something that happens.
@@ -103,8 +103,8 @@
 	Extra time.Duration `json:"Extra"`
 }
 
-// whats are the troubles that can be played; docs/rehearsal.md describes them.
-var whats = []string{"hang", "fast_errors", "class_fail", "vanish", "crash", "restart", "drain", "preempt", "replace",
+// faultTypes are the troubles that can be played; docs/rehearsal.md describes them.
+var faultTypes = []string{"hang", "fast_errors", "class_fail", "vanish", "crash", "restart", "drain", "preempt", "replace",
 	"flapping", "zone_cut", "zone_loss", "slow_link", "handshake_slow", "proxy_crash", "proxy_roll", "pilot_kill",
 	"pilot_roll", "reconnect", "counter_down", "burst", "hot_caller", "heavy_tail", "shift", "list_down", "list_all",
 	"reload", "mute_proxy", "report_burst", "answers_twice", "silent", "handover", "slice_move", "pause", "pilot_pause"}
@@ -116,32 +116,32 @@
 		return nil, config.DiagnosticsError(diags)
 	}
 	d := &Scenario{Common: config.CommonDefaults(), Name: strings.TrimSuffix(path.Base(name), ".hcl"), Length: 40 * time.Second,
-		Seed: 1, Times: 1, Standing: 4, Redial: 300 * time.Millisecond, Apply: 20 * time.Microsecond, EjectFor: 3 * time.Second,
-		Beat: 300 * time.Millisecond, WriteWithin: 800 * time.Millisecond, NoisyReports: 0.08, Way: 100 * time.Microsecond,
+		Seed: 1, ProxyMultiple: 1, Standing: 4, Redial: 300 * time.Millisecond, Apply: 20 * time.Microsecond, EjectFor: 3 * time.Second,
+		Beat: 300 * time.Millisecond, WriteWithin: 800 * time.Millisecond, NoisyReports: 0.08, OneWayDelay: 100 * time.Microsecond,
 		IntakeLinesPerS: 20_000, IntakeStanding: 10_000, ListLate: 700 * time.Millisecond, Rate: 100, Backoff: 100 * time.Millisecond, Uneven: 0.5}
 	d.Fall, d.Cold = time.Second, 8*time.Second
 	if diags = d.inherit(body); diags.HasErrors() {
 		return nil, config.DiagnosticsError(diags)
 	}
-	diags = config.Read(body, append(d.lists(), d.fields()...), append(d.Common.Blocks(), d.subs()...))
+	diags = config.Read(body, append(d.listAttributes(), d.attributes()...), append(d.Common.Blocks(), d.blocks()...))
 	if !diags.HasErrors() {
 		diags = append(diags, d.check(body)...)
 	}
 	if diags.HasErrors() {
 		return nil, config.DiagnosticsError(diags)
 	}
-	d.ProxyZones = slices.Repeat(d.ProxyZones, d.Times)
-	d.Times = 1
+	d.ProxyZones = slices.Repeat(d.ProxyZones, d.ProxyMultiple)
+	d.ProxyMultiple = 1
 	d.Proxies, d.Instances = len(d.ProxyZones), max(1, len(d.PilotZones))
 	slices.SortStableFunc(d.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	return d, nil
 }
 
-// lists are the attributes that a day which is like another need not repeat.
-func (d *Scenario) lists() []config.Field {
+// listAttributes are the attributes that a day which is like another need not repeat.
+func (d *Scenario) listAttributes() []config.Field {
 	fields := d.Common.Attributes()
 	for i := range fields {
-		fields[i].Needed = fields[i].Needed && d.Like == ""
+		fields[i].Required = fields[i].Required && d.Base == ""
 	}
 	return fields
 }
@@ -154,16 +154,16 @@
 		return nil
 	}
 	if diags := config.Read(&hclsyntax.Body{Attributes: hclsyntax.Attributes{"like": a}},
-		[]config.Field{{Name: "like", Into: &d.Like, OneOf: Names()}}, nil); diags.HasErrors() {
+		[]config.Field{{Name: "like", Into: &d.Base, OneOf: Names()}}, nil); diags.HasErrors() {
 		return diags
 	}
-	other, err := Load(d.Like)
+	other, err := Load(d.Base)
 	if err != nil {
 		return hcl.Diagnostics{{Severity: hcl.DiagError, Summary: err.Error(), Subject: a.Expr.Range().Ptr()}}
 	}
-	name, like := d.Name, d.Like
+	name, like := d.Name, d.Base
 	*d = *other
-	d.Name, d.Like, d.About, d.Faults = name, like, "", nil
+	d.Name, d.Base, d.About, d.Faults = name, like, "", nil
 	for _, b := range body.Blocks {
 		switch b.Type {
 		case "req_kind":
@@ -177,44 +177,44 @@
 	return nil
 }
 
-func (d *Scenario) fields() []config.Field {
-	return []config.Field{{Name: "about", Into: &d.About}, {Name: "length", Into: &d.Length, Least: 1, Most: 7 * 86400},
-		{Name: "seed", Into: &d.Seed}, {Name: "like", Into: &d.Like}}
+func (d *Scenario) attributes() []config.Field {
+	return []config.Field{{Name: "about", Into: &d.About}, {Name: "length", Into: &d.Length, Min: 1, Max: 7 * 86400},
+		{Name: "seed", Into: &d.Seed}, {Name: "like", Into: &d.Base}}
 }
 
-func (d *Scenario) subs() []config.Block {
+func (d *Scenario) blocks() []config.Block {
 	block := func(name string, fields ...config.Field) config.Block {
-		return config.Block{Name: name, Most: 1, Fields: fields}
+		return config.Block{Name: name, Max: 1, Fields: fields}
 	}
 	return []config.Block{
 		block("fleet", config.Field{Name: "grpc", Into: &d.OverGRPC}, config.Field{Name: "keys", Into: &d.Keys},
 			config.Field{Name: "record", Into: &d.Record},
-			config.Field{Name: "times", Into: &d.Times, Least: 1, Most: 100000},
+			config.Field{Name: "times", Into: &d.ProxyMultiple, Min: 1, Max: 100000},
 			config.Field{Name: "pilots", Into: &d.PilotZones}, config.Field{Name: "proxies", Into: &d.ProxyZones},
 			config.Field{Name: "standing", Into: &d.Standing}, config.Field{Name: "redial", Into: &d.Redial},
 			config.Field{Name: "apply", Into: &d.Apply}, config.Field{Name: "eject_for", Into: &d.EjectFor},
-			config.Field{Name: "beat", Into: &d.Beat, Least: 0.02},
-			config.Field{Name: "write_within", Into: &d.WriteWithin, Least: 0.05},
-			config.Field{Name: "report_noise", Into: &d.NoisyReports}, config.Field{Name: "way", Into: &d.Way}),
+			config.Field{Name: "beat", Into: &d.Beat, Min: 0.02},
+			config.Field{Name: "write_within", Into: &d.WriteWithin, Min: 0.05},
+			config.Field{Name: "report_noise", Into: &d.NoisyReports}, config.Field{Name: "way", Into: &d.OneWayDelay}),
 		block("intake", config.Field{Name: "lines_per_s", Into: &d.IntakeLinesPerS},
-			config.Field{Name: "standing", Into: &d.IntakeStanding}, config.Field{Name: "heedless", Into: &d.Heedless}),
+			config.Field{Name: "standing", Into: &d.IntakeStanding}, config.Field{Name: "heedless", Into: &d.IgnoresPace}),
 		block("list", config.Field{Name: "late", Into: &d.ListLate}, config.Field{Name: "empty", Into: &d.ListEmpty}),
-		block("clients", config.Field{Name: "rate", Into: &d.Rate, Least: 0.1}, config.Field{Name: "retries", Into: &d.Retries},
+		block("clients", config.Field{Name: "rate", Into: &d.Rate, Min: 0.1}, config.Field{Name: "retries", Into: &d.Retries},
 			config.Field{Name: "backoff", Into: &d.Backoff}, config.Field{Name: "uneven", Into: &d.Uneven}),
 		{Name: "demand", Labels: 1, Read: func(l []string, b *hclsyntax.Body) hcl.Diagnostics {
 			x := Demand{Kind: l[0], Share: 1, Work: 30 * time.Millisecond, CV: 0.5}
-			diags := config.Read(b, []config.Field{{Name: "share", Into: &x.Share}, {Name: "work", Into: &x.Work, Least: 1e-4},
-				{Name: "cv", Into: &x.CV, Least: 0.01}}, nil)
+			diags := config.Read(b, []config.Field{{Name: "share", Into: &x.Share}, {Name: "work", Into: &x.Work, Min: 1e-4},
+				{Name: "cv", Into: &x.CV, Min: 0.01}}, nil)
 			d.Demands = append(d.Demands, x)
 			return diags
 		}},
 		{Name: "endpoints", Labels: 1, Read: func(l []string, b *hclsyntax.Body) hcl.Diagnostics {
-			g := Group{Machine: l[0], Count: 1, Cores: 2, Speed: 1, Queue: 20, Conns: 500, Discipline: "queue"}
-			diags := config.Read(b, []config.Field{{Name: "zone", Into: &g.Zone, Needed: true, OneOf: d.Zones},
-				{Name: "count", Into: &g.Count, Least: 1, Most: 20000}, {Name: "cores", Into: &g.Cores, Least: 1, Most: 64},
-				{Name: "speed", Into: &g.Speed, Least: 0.01}, {Name: "spread", Into: &g.Spread, Most: 0.9},
-				{Name: "queue", Into: &g.Queue}, {Name: "conns", Into: &g.Conns, Least: 1},
-				{Name: "handshake", Into: &g.Handshake}, {Name: "thrash", Into: &g.Thrash, Most: 1},
+			g := Group{Machine: l[0], Count: 1, Cores: 2, Speed: 1, Queue: 20, MaxConnections: 500, Discipline: "queue"}
+			diags := config.Read(b, []config.Field{{Name: "zone", Into: &g.Zone, Required: true, OneOf: d.Zones},
+				{Name: "count", Into: &g.Count, Min: 1, Max: 20000}, {Name: "cores", Into: &g.Cores, Min: 1, Max: 64},
+				{Name: "speed", Into: &g.Speed, Min: 0.01}, {Name: "spread", Into: &g.Spread, Max: 0.9},
+				{Name: "queue", Into: &g.Queue}, {Name: "conns", Into: &g.MaxConnections, Min: 1},
+				{Name: "handshake", Into: &g.Handshake}, {Name: "thrash", Into: &g.Thrash, Max: 1},
 				{Name: "discipline", Into: &g.Discipline, OneOf: []string{"queue", "sharing"}}}, nil)
 			d.Groups = append(d.Groups, g)
 			return diags
@@ -223,11 +223,11 @@
 			t := Fault{What: l[0]}
 			diags := config.Read(b, []config.Field{{Name: "at", Into: &t.At}, {Name: "for", Into: &t.For},
 				{Name: "who", Into: &t.Who}, {Name: "zone", Into: &t.Zone}, {Name: "kind", Into: &t.Kind},
-				{Name: "part", Into: &t.Part, Most: 1}, {Name: "count", Into: &t.Count}, {Name: "size", Into: &t.Size},
-				{Name: "loss", Into: &t.Loss, Most: 0.9}, {Name: "every", Into: &t.Every}, {Name: "extra", Into: &t.Extra}}, nil)
-			if !slices.Contains(whats, t.What) {
+				{Name: "part", Into: &t.Part, Max: 1}, {Name: "count", Into: &t.Count}, {Name: "size", Into: &t.Size},
+				{Name: "loss", Into: &t.Loss, Max: 0.9}, {Name: "every", Into: &t.Every}, {Name: "extra", Into: &t.Extra}}, nil)
+			if !slices.Contains(faultTypes, t.What) {
 				diags = append(diags, &hcl.Diagnostic{Severity: hcl.DiagError, Subject: &b.SrcRange,
-					Summary: fmt.Sprintf("trouble %q is not known; there are %s", t.What, strings.Join(whats, ", "))})
+					Summary: fmt.Sprintf("trouble %q is not known; there are %s", t.What, strings.Join(faultTypes, ", "))})
 			}
 			d.Faults = append(d.Faults, t)
 			return diags
@@ -263,11 +263,11 @@
 }
 
 //go:embed days/*.hcl
-var shipped embed.FS
+var embedded embed.FS
 
 // Names names the days that ship.
 func Names() []string {
-	files, err := fs.Glob(shipped, "days/*.hcl")
+	files, err := fs.Glob(embedded, "days/*.hcl")
 	if err != nil {
 		return nil
 	}
@@ -281,7 +281,7 @@
 // Load reads a day: one that ships, or a file.
 func Load(name string) (*Scenario, error) {
 	if slices.Contains(Names(), name) {
-		text, err := shipped.ReadFile("days/" + name + ".hcl")
+		text, err := embedded.ReadFile("days/" + name + ".hcl")
 		if err != nil {
 			return nil, fmt.Errorf("read day: %w", err)
 		}
