--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -1,251 +1,97 @@
-// Package config reads what a pilot is told at its start, from HCL, checks it and gives each package its typed part.
-// Every complaint names file, line and column. It opens no file but the one it is given and applies nothing.
 package config
 
 import (
 	"fmt"
-	"io"
-	"math"
-	"os"
 	"strings"
-	"time"
 
 	"github.com/hashicorp/hcl/v2"
 	"github.com/hashicorp/hcl/v2/hclsyntax"
-	"github.com/zclconf/go-cty/cty"
-	"github.com/zclconf/go-cty/cty/convert"
-	"github.com/zclconf/go-cty/cty/gocty"
 )
 
-// Field is one attribute that a block may hold: its name and where its value goes. What Into points at is the
-// default. Least and Most bound numbers and the seconds of spans; OneOf bounds texts.
-type Field struct {
-	Name     string
-	Into     any // *string, *float64, *int, *bool, *time.Duration, *[]string, *map[string]string
-	Min, Max float64
-	OneOf    []string
-	Required bool
+// Read decodes a body by its fields and blocks. It reports whatever is unknown, missing or out of range.
+func Read(body *hclsyntax.Body, fields []Field, blocks []Block) hcl.Diagnostics {
+	diags := readFields(body, fields)
+	diags = append(diags, unknownAttributes(body, fields)...)
+	return append(diags, readBlocks(body, blocks)...)
 }
 
-// Block is a sort of block inside another: it has Fields, or Read is called for each with its labels.
-type Block struct {
-	Name   string
-	Labels int
-	Max    int // how many there may be; 0: any number
-	Fields []Field
-	Read   func(labels []string, body *hclsyntax.Body) hcl.Diagnostics
-}
-
-// Bounds of a text. HCL's parser calls itself for what is nested, and a process that runs out of stack ends without
-// a word: that a text is too deep has to be seen before it is parsed.
-const (
-	MaxBytes     = 16 << 20
-	maxNesting   = 200   // blocks, lists, templates and parentheses within one another
-	maxOperators = 10000 // signs that take what follows them: ! - ?
-
-	maxElements = 4096 // of a list or map
-)
-
-// ReadFile reads a file for Open, no further than its bound.
-func ReadFile(path string) ([]byte, error) {
-	f, err := os.Open(path)
-	if err != nil {
-		return nil, err
-	}
-	defer f.Close()
-	return io.ReadAll(io.LimitReader(f, MaxBytes+1))
-}
-
-// checkSize complains of a text that is too long or too deep.
-func checkSize(name string, text []byte) hcl.Diagnostics {
-	if len(text) > MaxBytes {
-		return hcl.Diagnostics{diagnostic(hcl.Range{Filename: name, Start: hcl.InitialPos}, "longer than %d bytes", MaxBytes)}
-	}
-	tokens, _ := hclsyntax.LexConfig(text, name, hcl.InitialPos) // what is wrong with them the parser says
-	deep, signs := 0, 0
-	for _, t := range tokens {
-		switch t.Type {
-		case hclsyntax.TokenOBrace, hclsyntax.TokenOBrack, hclsyntax.TokenOParen, hclsyntax.TokenTemplateInterp,
-			hclsyntax.TokenTemplateControl:
-			deep++
-		case hclsyntax.TokenCBrace, hclsyntax.TokenCBrack, hclsyntax.TokenCParen, hclsyntax.TokenTemplateSeqEnd:
-			deep--
-		case hclsyntax.TokenBang, hclsyntax.TokenMinus, hclsyntax.TokenQuestion:
-			signs++
-		}
-		if deep > maxNesting || signs > maxOperators {
-			return hcl.Diagnostics{diagnostic(t.Range, "nested deeper than %d, or more than %d signs", maxNesting, maxOperators)}
-		}
-	}
-	return nil
-}
-
-// Open parses a text and returns its body.
-func Open(name string, text []byte) (*hclsyntax.Body, hcl.Diagnostics) {
-	if diags := checkSize(name, text); diags.HasErrors() {
-		return nil, diags
-	}
-	f, diags := hclsyntax.ParseConfig(text, name, hcl.InitialPos)
-	if diags.HasErrors() {
-		return nil, diags
-	}
-	body, ok := f.Body.(*hclsyntax.Body)
-	if !ok {
-		return nil, hcl.Diagnostics{{Severity: hcl.DiagError, Summary: "Not in HCL's native syntax"}}
-	}
-	return body, nil
-}
-
-// Read takes a body apart by its fields and blocks and complains of all that is unknown, missing or out of range.
-func Read(body *hclsyntax.Body, fields []Field, subs []Block) hcl.Diagnostics {
-	var diags hcl.Diagnostics
-	known := map[string]bool{}
+// readFields decodes the attributes of a body into its fields.
+func readFields(body *hclsyntax.Body, fields []Field) (diags hcl.Diagnostics) {
 	for _, f := range fields {
-		known[f.Name] = true
-		a := body.Attributes[f.Name]
-		if a == nil {
+		attribute := body.Attributes[f.Name]
+		if attribute == nil {
 			if f.Required {
 				diags = append(diags, diagnostic(body.MissingItemRange(), "%q is missing", f.Name))
 			}
 			continue
 		}
-		if err := f.decode(a.Expr); err != nil {
-			diags = append(diags, diagnostic(a.Expr.Range(), "%s: %v", f.Name, err))
-		}
-	}
-	for name, a := range body.Attributes {
-		if !known[name] {
-			diags = append(diags, diagnostic(a.NameRange, "%q is not known here%s", name, suggestion(name, fields)))
+		if err := f.decode(attribute.Expr); err != nil {
+			diags = append(diags, diagnostic(attribute.Expr.Range(), "%s: %v", f.Name, err))
 		}
 	}
-	return append(diags, readBlocks(body, subs)...)
+	return diags
 }
 
-func readBlocks(body *hclsyntax.Body, subs []Block) (diags hcl.Diagnostics) {
-	seen := map[string]int{}
-next:
-	for _, b := range body.Blocks {
-		for _, s := range subs {
-			if s.Name != b.Type {
-				continue
-			}
-			seen[s.Name]++
-			switch {
-			case len(b.Labels) != s.Labels:
-				diags = append(diags, diagnostic(b.TypeRange, "%q takes %d names", b.Type, s.Labels))
-			case s.Max > 0 && seen[s.Name] > s.Max:
-				diags = append(diags, diagnostic(b.TypeRange, "%q stands here once too often", b.Type))
-			case s.Read == nil:
-				diags = append(diags, Read(b.Body, s.Fields, nil)...)
-			default:
-				diags = append(diags, s.Read(b.Labels, b.Body)...)
-			}
-			continue next
+// unknownAttributes reports the attributes of a body that no field describes.
+func unknownAttributes(body *hclsyntax.Body, fields []Field) (diags hcl.Diagnostics) {
+	known := map[string]bool{}
+	for _, f := range fields {
+		known[f.Name] = true
+	}
+	for name, attribute := range body.Attributes {
+		if !known[name] {
+			diags = append(diags, diagnostic(attribute.NameRange, "%q is not known here%s", name, suggestion(name, fields)))
 		}
-		diags = append(diags, diagnostic(b.TypeRange, "block %q is not known here", b.Type))
 	}
 	return diags
 }
 
-func diagnostic(at hcl.Range, format string, args ...any) *hcl.Diagnostic {
-	return &hcl.Diagnostic{Severity: hcl.DiagError, Summary: fmt.Sprintf(format, args...), Subject: &at}
-}
-
-// suggestion hints at a field that differs little from an unknown name.
+// suggestion proposes a field whose name resembles an unknown one.
 func suggestion(name string, fields []Field) string {
+	const prefix = 4 // bytes that names must share to resemble each other
 	for _, f := range fields {
-		if strings.EqualFold(f.Name, name) || len(name) > 3 && (strings.HasPrefix(f.Name, name[:4])) {
+		if strings.EqualFold(f.Name, name) || len(name) >= prefix && strings.HasPrefix(f.Name, name[:prefix]) {
 			return fmt.Sprintf("; is %q meant?", f.Name)
 		}
 	}
 	return ""
 }
 
-// decode evaluates an expression into the field.
-func (f Field) decode(e hclsyntax.Expression) error {
-	v, diags := e.Value(nil)
-	if diags.HasErrors() {
-		return diags
-	}
-	if v.IsNull() || !v.IsWhollyKnown() {
-		return fmt.Errorf("a value is wanted")
-	}
-	if v.CanIterateElements() && v.LengthInt() > maxElements { // converting them takes time by their square
-		return fmt.Errorf("%d elements, %d may be", v.LengthInt(), maxElements)
-	}
-	switch into := f.Into.(type) {
-	case *time.Duration:
-		return f.decodeDuration(v, into)
-	case *string:
-		if err := convertTo(v, cty.String, into); err != nil {
-			return err
-		}
-		return f.checkOneOf(*into)
-	case *float64:
-		if err := convertTo(v, cty.Number, into); err != nil {
-			return err
-		}
-		return f.checkBounds(*into)
-	case *int:
-		if err := convertTo(v, cty.Number, into); err != nil {
-			return err
+// readBlocks decodes the nested blocks of a body.
+func readBlocks(body *hclsyntax.Body, blocks []Block) (diags hcl.Diagnostics) {
+	occurrences := map[string]int{}
+	for _, found := range body.Blocks {
+		b := findBlock(blocks, found.Type)
+		if b == nil {
+			diags = append(diags, diagnostic(found.TypeRange, "block %q is not known here", found.Type))
+			continue
 		}
-		return f.checkBounds(float64(*into))
-	case *bool:
-		return convertTo(v, cty.Bool, into)
-	case *[]string:
-		*into = nil
-		return convertTo(v, cty.List(cty.String), into)
-	case *map[string]string:
-		*into = nil
-		return convertTo(v, cty.Map(cty.String), into)
+		occurrences[b.Name]++
+		diags = append(diags, b.read(found, occurrences[b.Name])...)
 	}
-	return fmt.Errorf("a field of type %T can't be read", f.Into)
-}
-
-func convertTo(v cty.Value, t cty.Type, into any) error {
-	c, err := convert.Convert(v, t)
-	if err != nil {
-		return err
-	}
-	return gocty.FromCtyValue(c, into)
-}
-
-func (f Field) decodeDuration(v cty.Value, into *time.Duration) error {
-	var text string
-	if err := convertTo(v, cty.String, &text); err != nil {
-		return err
-	}
-	d, err := time.ParseDuration(text)
-	if err != nil {
-		return fmt.Errorf("a span such as \"300ms\" or \"2s\" is wanted, not %q", text)
-	}
-	*into = d
-	return f.checkBounds(d.Seconds())
+	return diags
 }
 
-// maxNumber bounds numbers and the seconds of spans that no field bounds closer.
-const maxNumber = 1e12
-
-func (f Field) checkBounds(v float64) error {
-	most := f.Max
-	if most == 0 {
-		most = maxNumber
-	}
-	if math.IsNaN(v) || v < f.Min || v > most {
-		return fmt.Errorf("%g is outside %g to %g", v, f.Min, most)
+// findBlock returns the description of a type of block, nil if there is none.
+func findBlock(blocks []Block, name string) *Block {
+	for i := range blocks {
+		if blocks[i].Name == name {
+			return &blocks[i]
+		}
 	}
 	return nil
 }
 
-func (f Field) checkOneOf(v string) error {
-	if len(f.OneOf) == 0 {
-		return nil
-	}
-	for _, o := range f.OneOf {
-		if o == v {
-			return nil
-		}
+// read decodes one block; occurrence counts the blocks of its type from 1.
+func (b *Block) read(found *hclsyntax.Block, occurrence int) hcl.Diagnostics {
+	switch {
+	case len(found.Labels) != b.Labels:
+		return hcl.Diagnostics{diagnostic(found.TypeRange, "%q takes %d names", found.Type, b.Labels)}
+	case b.Max > 0 && occurrence > b.Max:
+		return hcl.Diagnostics{diagnostic(found.TypeRange, "%q stands here once too often", found.Type)}
+	case b.Read == nil:
+		return Read(found.Body, b.Fields, nil)
+	default:
+		return b.Read(found.Labels, found.Body)
 	}
-	return fmt.Errorf("%q is none of %s", v, strings.Join(f.OneOf, ", "))
 }
--- a/internal/config/write.go
+++ b/internal/config/write.go
@@ -8,57 +8,68 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// Text lays the terms out as HCL, defaults included. Parse reads the same from it.
+// Text returns the settings as HCL, defaults included. Parse restores the same settings from it.
 func (p *Pilot) Text() []byte {
 	f := hclwrite.NewEmptyFile()
 	body := f.Body()
-	writeFields(body, p.Common.Attributes())
-	for _, s := range append(p.Common.Blocks(), p.blocks()...) {
-		if len(s.Fields) > 0 {
+	writeFields(body, p.Attributes())
+	for _, b := range append(p.Blocks(), p.blocks()...) {
+		if len(b.Fields) > 0 {
 			body.AppendNewline()
-			writeFields(body.AppendNewBlock(s.Name, nil).Body(), s.Fields)
+			writeFields(body.AppendNewBlock(b.Name, nil).Body(), b.Fields)
 		}
 	}
 	for i := range p.Kinds {
 		body.AppendNewline()
-		writeFields(body.AppendNewBlock("req_kind", []string{p.Kinds[i].Name}).Body(), p.Kinds[i].fields())
+		block := body.AppendNewBlock(requestClassBlock, []string{p.Kinds[i].Name})
+		writeFields(block.Body(), p.Kinds[i].fields())
 	}
 	return f.Bytes()
 }
 
-// writeFields writes fields; texts, lists and maps that are empty are left out.
+// writeFields writes the values of fields. It leaves out empty strings, lists and maps.
 func writeFields(body *hclwrite.Body, fields []Field) {
 	for _, f := range fields {
-		if v, there := f.value(); there {
-			body.SetAttributeValue(f.Name, v)
+		if value, ok := f.encode(); ok {
+			body.SetAttributeValue(f.Name, value)
 		}
 	}
 }
 
-func (f Field) value() (v cty.Value, there bool) {
-	switch x := f.Into.(type) {
+// encode returns the value of the field's variable, and false if it is an empty string, list or map.
+func (f Field) encode() (value cty.Value, ok bool) {
+	switch from := f.Into.(type) {
 	case *time.Duration:
-		return cty.StringVal(x.String()), true
+		return cty.StringVal(from.String()), true
 	case *string:
-		return cty.StringVal(*x), *x != ""
+		return cty.StringVal(*from), *from != ""
 	case *float64:
-		return cty.NumberFloatVal(*x), true
+		return cty.NumberFloatVal(*from), true
 	case *int:
-		return cty.NumberIntVal(int64(*x)), true
+		return cty.NumberIntVal(int64(*from)), true
 	case *bool:
-		return cty.BoolVal(*x), true
+		return cty.BoolVal(*from), true
 	case *[]string:
-		var list []cty.Value
-		for _, s := range *x {
-			list = append(list, cty.StringVal(s))
-		}
-		return cty.TupleVal(list), len(list) > 0
+		return encodeList(*from), len(*from) > 0
 	case *map[string]string:
-		all := map[string]cty.Value{}
-		for k, s := range *x {
-			all[k] = cty.StringVal(s)
-		}
-		return cty.ObjectVal(all), len(all) > 0
+		return encodeMap(*from), len(*from) > 0
+	}
+	// A field's type is fixed in this program, it never comes from a file.
+	panic(fmt.Sprintf("a field of type %T can't be written", f.Into))
+}
+
+func encodeList(from []string) cty.Value {
+	var values []cty.Value
+	for _, s := range from {
+		values = append(values, cty.StringVal(s))
+	}
+	return cty.TupleVal(values)
+}
+
+func encodeMap(from map[string]string) cty.Value {
+	values := map[string]cty.Value{}
+	for key, s := range from {
+		values[key] = cty.StringVal(s)
 	}
-	panic(fmt.Sprintf("a field of type %T can't be written", f.Into)) // of the program itself, not of any file
+	return cty.ObjectVal(values)
 }
