--- /dev/null
+++ b/internal/config/endpoint_list_test.go
@@ -0,0 +1,77 @@
+package config
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"indigousher/internal/wire"
+)
+
+// TestParseList checks the entries of accepted lists, and the text and the position of errors.
+func TestParseList(t *testing.T) {
+	for _, c := range []struct {
+		name, text, want string
+		entries          []wire.Entry
+	}{
+		{
+			"two", "endpoint \"x:1\" {\n  zone = \"a\"\n}\nendpoint \"y:1\" {\n  zone = \"b\"\n  phase = \"draining\"\n  started = \"2026-01-02T03:04:05Z\"\n}",
+			"",
+			[]wire.Entry{{Endpoint: "x:1", Zone: "a", Weight: 1}, {
+				Endpoint: "y:1", Zone: "b", Weight: 1,
+				Phase: wire.PhaseDraining, Started: uint64(time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC).UnixMilli()),
+			}},
+		},
+		{"empty", "", "l.hcl:1:1: no endpoint stands here", nil},
+		{"cut off", "endpoint \"x\" {\n  zone = \"a\"\n", "l.hcl:1:14: Unclosed configuration block", nil},
+		{"no name", "endpoint \"\" {\n  zone = \"a\"\n}", "l.hcl:1:13: a name of 0 bytes", nil},
+		{"a long name", "endpoint \"" + strings.Repeat("x", 256) + "\" {\n  zone = \"a\"\n}", "a name of 256 bytes", nil},
+		{"a huge weight", "endpoint \"x\" {\n  zone = \"a\"\n  weight = 1e308\n}", "l.hcl:3:12: weight: 1e+308 is outside", nil},
+		{"a weight of next to nothing", "endpoint \"x\" {\n  zone = \"a\"\n  weight = 1e-300\n}", "weight 1e-300", nil},
+		{"infinite", "endpoint \"x\" {\n  zone = \"a\"\n  weight = 1e400\n}", "l.hcl:3:12: weight:", nil},
+		{"a negative cell", "endpoint \"x\" {\n  zone = \"a\"\n  cell = -1\n}", "l.hcl:3:10: cell: -1 is outside", nil},
+		{"a cell beyond", "endpoint \"x\" {\n  zone = \"a\"\n  cell = 1e300\n}", "l.hcl:3:10: cell:", nil},
+		{"wrong type", "endpoint \"x\" {\n  zone = [1]\n}", "l.hcl:2:10: zone:", nil},
+		{"unknown", "endpoint \"x\" {\n  zone = \"a\"\n  zoen = 1\n}", "l.hcl:3:3: \"zoen\" is not known here", nil},
+		{"not UTF-8", "endpoint \"\xff\" {\n  zone = \"a\"\n}", "l.hcl:1:11: Invalid", nil},
+		{"nested blocks", strings.Repeat("a {\n", 100000), "l.hcl:201:3: nested deeper than 200", nil},
+		{"nested lists", "x = " + strings.Repeat("[", 100000), "l.hcl:1:205: nested deeper than 200", nil},
+		{"closed in texts", "x = " + strings.Repeat("[\"]\",", 100000), "nested deeper than 200", nil},
+		{"nested templates", "x = " + strings.Repeat("\"${", 100000), "nested deeper than 200", nil},
+		{"signs without an end", "x = " + strings.Repeat("!", 100000), "or more than 10000 signs", nil},
+		{"questions without an end", "x = " + strings.Repeat("a?b:", 100000), "or more than 10000 signs", nil},
+		{"long", strings.Repeat("#", MaxBytes+1), "l.hcl:1:1: longer than 16777216 bytes", nil},
+		{"twice", "endpoint \"x\" {\n  zone = \"a\"\n}\nendpoint \"x\" {\n  zone = \"a\"\n}", "l.hcl:4:14: endpoint \"x\" stands here twice", nil},
+		{"a bad time", "endpoint \"x\" {\n  zone = \"a\"\n  started = \"noon\"\n}", "l.hcl:3:13: started:", nil},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			l, err := ParseList("l.hcl", []byte(c.text))
+			if c.want != "" {
+				assert.ErrorContains(t, err, c.want)
+				return
+			}
+			require.NoError(t, err)
+			assert.True(t, l.Whole)
+			assert.Equal(t, c.entries, l.Entries)
+		})
+	}
+}
+
+// FuzzParseList checks that no text crashes the parser, and that the wire and the planner can carry accepted lists.
+func FuzzParseList(f *testing.F) {
+	f.Add([]byte("version = 3\nendpoint \"x:1\" {\n  zone = \"a\"\n  weight = 2\n  started = \"2026-01-02T03:04:05Z\"\n}"))
+	f.Fuzz(func(t *testing.T, text []byte) {
+		l, err := ParseList("f.hcl", text)
+		if err != nil {
+			return
+		}
+		_, err = wire.Body(l)
+		assert.NoError(t, err)
+		for _, e := range l.Entries {
+			assert.True(t, e.Endpoint != "" && len(e.Endpoint) <= wire.MaxText && e.Weight >= 0 && e.Weight <= 1e9, "%+v", e)
+		}
+	})
+}
--- /dev/null
+++ b/internal/config/reload_test.go
@@ -0,0 +1,29 @@
+package config
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// TestReload checks which fields a reload changes, and that the planner gets no other settings.
+func TestReload(t *testing.T) {
+	old, err := Parse("f.hcl", []byte(validSettings))
+	require.NoError(t, err)
+	now, err := Parse("f.hcl", []byte(validSettings+`channel { lines_per_s = 99 }
+rules { cold = "9s" }
+pilot { listen = "127.0.0.1:9" }`))
+	require.NoError(t, err)
+
+	changed, restart := Reload(old, now)
+	assert.Equal(t, []string{"LinesPerS", "Cold"}, changed)
+	assert.Equal(t, []string{"Listen"}, restart)
+
+	merged := Merge(old, now)
+	assert.Equal(t, 99.0, merged.LinesPerS)
+	assert.Equal(t, old.Listen, merged.Listen)
+
+	assert.Equal(t, 9000.0, now.ReloadableSettings()["cold"])
+	assert.NotContains(t, now.ReloadableSettings(), "req_kinds")
+}
