--- a/internal/wire/messages.go
+++ b/internal/wire/messages.go
@@ -181,40 +181,40 @@
 	Started  uint64  `json:"Started"` // ms
 }
 
-func (*Hello) kind() Type    { return typeHello }
-func (*Welcome) kind() Type  { return typeWelcome }
-func (*Refuse) kind() Type   { return typeRefuse }
-func (*Beat) kind() Type     { return typeBeat }
-func (*Sums) kind() Type     { return typeSums }
-func (*Done) kind() Type     { return typeDone }
-func (*Orders) kind() Type   { return typeOrders }
-func (*Redirect) kind() Type { return typeRedirect }
-func (*Bye) kind() Type      { return typeBye }
-func (*Slices) kind() Type   { return typeSlices }
-func (*Pace) kind() Type     { return typePace }
-func (*ListAsk) kind() Type  { return typeListAsk }
-func (*List) kind() Type     { return typeList }
-
-func (m *Hello) put(w *buffer) {
-	w.int(m.Version)
+func (*Hello) messageType() Type    { return typeHello }
+func (*Welcome) messageType() Type  { return typeWelcome }
+func (*Refuse) messageType() Type   { return typeRefuse }
+func (*Beat) messageType() Type     { return typeBeat }
+func (*Sums) messageType() Type     { return typeSums }
+func (*Done) messageType() Type     { return typeDone }
+func (*Orders) messageType() Type   { return typeOrders }
+func (*Redirect) messageType() Type { return typeRedirect }
+func (*Bye) messageType() Type      { return typeBye }
+func (*Slices) messageType() Type   { return typeSlices }
+func (*Pace) messageType() Type     { return typePace }
+func (*ListAsk) messageType() Type  { return typeListAsk }
+func (*List) messageType() Type     { return typeList }
+
+func (m *Hello) encode(w *encoder) {
+	w.varint(m.Version)
 	w.text(m.Proxy)
 	w.text(m.Zone)
-	w.uint(m.Boot)
-	w.num(m.Rate)
-	w.flag(m.Fresh)
+	w.uvarint(m.Boot)
+	w.float(m.Rate)
+	w.bool(m.Fresh)
 	w.texts(m.Holds)
-	w.uint(uint64(len(m.Tables)))
+	w.uvarint(uint64(len(m.Tables)))
 	for _, t := range m.Tables {
-		w.int(t.Table)
-		w.held(t.Lines)
+		w.varint(t.Table)
+		w.heldLines(t.Lines)
 	}
 }
 
-func (m *Hello) get(r *reader) {
+func (m *Hello) decode(r *decoder) {
 	m.Version, m.Proxy, m.Zone = r.count(), r.text(), r.text()
-	m.Boot, m.Rate, m.Fresh, m.Holds = r.uint(), r.num(), r.flag(), r.texts()
-	for range r.items() {
-		t := HeldTable{Table: r.count(), Lines: r.held()}
+	m.Boot, m.Rate, m.Fresh, m.Holds = r.uvarint(), r.float(), r.bool(), r.texts()
+	for range r.length() {
+		t := HeldTable{Table: r.count(), Lines: r.heldLines()}
 		if r.err != nil {
 			return
 		}
@@ -225,94 +225,94 @@
 	}
 }
 
-func (m *Welcome) put(w *buffer) {
-	w.int(m.Version)
+func (m *Welcome) encode(w *encoder) {
+	w.varint(m.Version)
 	w.text(m.Pilot)
-	w.int(m.BeatMs)
-	w.int(m.PeriodMs)
+	w.varint(m.BeatMs)
+	w.varint(m.PeriodMs)
 }
 
-func (m *Welcome) get(r *reader) {
+func (m *Welcome) decode(r *decoder) {
 	m.Version, m.Pilot, m.BeatMs, m.PeriodMs = r.count(), r.text(), r.count(), r.count()
 }
 
-func (m *Refuse) put(w *buffer)   { w.text(m.Reason) }
-func (m *Refuse) get(r *reader)   { m.Reason = r.text() }
-func (m *Redirect) put(w *buffer) { w.text(m.Reason) }
-func (m *Redirect) get(r *reader) { m.Reason = r.text() }
-func (m *Beat) put(w *buffer)     { w.uint(uint64(m.Seen)) }
-func (*Bye) put(*buffer)          {}
-func (*Bye) get(*reader)          {}
+func (m *Refuse) encode(w *encoder)   { w.text(m.Reason) }
+func (m *Refuse) decode(r *decoder)   { m.Reason = r.text() }
+func (m *Redirect) encode(w *encoder) { w.text(m.Reason) }
+func (m *Redirect) decode(r *decoder) { m.Reason = r.text() }
+func (m *Beat) encode(w *encoder)     { w.uvarint(uint64(m.Seen)) }
+func (*Bye) encode(*encoder)          {}
+func (*Bye) decode(*decoder)          {}
 
-func (m *Beat) get(r *reader) {
-	v := r.uint()
+func (m *Beat) decode(r *decoder) {
+	v := r.uvarint()
 	if v > math.MaxUint32 {
 		r.fail(ErrValue)
 	}
 	m.Seen = uint32(v)
 }
 
-func (m *Pace) put(w *buffer) { w.int(m.PeriodMs); w.int(m.Lines); w.flag(m.Changes) }
-func (m *Pace) get(r *reader) { m.PeriodMs, m.Lines, m.Changes = r.count(), r.count(), r.flag() }
+func (m *Pace) encode(w *encoder) { w.varint(m.PeriodMs); w.varint(m.Lines); w.bool(m.Changes) }
+func (m *Pace) decode(r *decoder) { m.PeriodMs, m.Lines, m.Changes = r.count(), r.count(), r.bool() }
 
-func (m *Sums) put(w *buffer) {
-	w.uint(m.Seq)
-	w.num(m.AtMs)
-	w.num(m.SpanMs)
-	w.uint(uint64(len(m.Met)))
+func (m *Sums) encode(w *encoder) {
+	w.uvarint(m.Seq)
+	w.float(m.AtMs)
+	w.float(m.SpanMs)
+	w.uvarint(uint64(len(m.Met)))
 	for _, x := range m.Met {
 		w.text(x.Endpoint)
-		w.int(x.Tries)
-		w.int(x.Failed)
-		w.num(x.MeanMs)
+		w.varint(x.Tries)
+		w.varint(x.Failed)
+		w.float(x.MeanMs)
 		w.figures(x.Load)
 	}
-	w.uint(uint64(len(m.Demand)))
+	w.uvarint(uint64(len(m.Demand)))
 	for _, d := range m.Demand {
 		w.text(d.Kind)
-		w.int(d.Reqs)
-		w.int(d.Unanswered)
+		w.varint(d.Reqs)
+		w.varint(d.Unanswered)
 	}
-	w.uint(uint64(len(m.Slices)))
+	w.uvarint(uint64(len(m.Slices)))
 	for _, x := range m.Slices {
-		w.int(x.Slice)
+		w.varint(x.Slice)
 		w.text(x.Kind)
-		w.int(x.Reqs)
-		w.int(x.Unanswered)
+		w.varint(x.Reqs)
+		w.varint(x.Unanswered)
 	}
 }
 
-func (m *Slices) put(w *buffer) {
-	w.int(m.Slice)
-	w.flag(m.Given)
-	w.held(m.Lines)
+func (m *Slices) encode(w *encoder) {
+	w.varint(m.Slice)
+	w.bool(m.Given)
+	w.heldLines(m.Lines)
 	w.text(m.From)
 	w.text(m.To)
 }
 
-func (m *Slices) get(r *reader) {
-	m.Slice, m.Given, m.Lines, m.From, m.To = r.count(), r.flag(), r.held(), r.text(), r.text()
+func (m *Slices) decode(r *decoder) {
+	m.Slice, m.Given, m.Lines, m.From, m.To = r.count(), r.bool(), r.heldLines(), r.text(), r.text()
 	checkRange(r, m.From, m.To)
 }
 
 // checkRange refuses a range that holds no key.
-func checkRange(r *reader, from, to string) {
+func checkRange(r *decoder, from, to string) {
 	if to != "" && to <= from {
 		r.fail(ErrValue)
 	}
 }
 
-func (w *buffer) held(lines []HeldLine) {
-	w.uint(uint64(len(lines)))
+func (w *encoder) heldLines(lines []HeldLine) {
+	w.uvarint(uint64(len(lines)))
 	for _, l := range lines {
 		w.text(l.Endpoint)
-		w.num(l.Weight)
+		w.float(l.Weight)
 	}
 }
 
-func (r *reader) held() (lines []HeldLine) {
-	for range r.items() {
-		l := HeldLine{r.text(), r.num()}
+func (r *decoder) heldLines() (lines []HeldLine) {
+	for range r.length() {
+		l := HeldLine{r.text(), r.float()}
 		if r.err != nil {
 			return nil
 		}
@@ -321,10 +321,10 @@
 	return lines
 }
 
-func (m *Sums) get(r *reader) {
-	m.Seq, m.AtMs, m.SpanMs = r.uint(), r.num(), r.num()
-	for range r.items() {
-		x := Met{Endpoint: r.text(), Tries: r.count(), Failed: r.count(), MeanMs: r.num(), Load: r.figures()}
+func (m *Sums) decode(r *decoder) {
+	m.Seq, m.AtMs, m.SpanMs = r.uvarint(), r.float(), r.float()
+	for range r.length() {
+		x := Met{Endpoint: r.text(), Tries: r.count(), Failed: r.count(), MeanMs: r.float(), Load: r.figures()}
 		if x.Failed > x.Tries {
 			r.fail(ErrValue)
 		}
@@ -333,13 +333,13 @@
 		}
 		m.Met = append(m.Met, x)
 	}
-	for range r.items() {
+	for range r.length() {
 		m.Demand = append(m.Demand, Demand{r.text(), r.count(), r.count()})
 		if r.err != nil {
 			return
 		}
 	}
-	for range r.items() {
+	for range r.length() {
 		m.Slices = append(m.Slices, SliceLoad{r.count(), r.text(), r.count(), r.count()})
 		if r.err != nil {
 			return
@@ -347,108 +347,108 @@
 	}
 }
 
-func (m *Done) put(w *buffer) { w.int(m.Mark); w.num(m.TookMs) }
-func (m *Done) get(r *reader) { m.Mark, m.TookMs = r.count(), r.num() }
+func (m *Done) encode(w *encoder) { w.varint(m.Mark); w.float(m.TookMs) }
+func (m *Done) decode(r *decoder) { m.Mark, m.TookMs = r.count(), r.float() }
 
-func (m *Orders) put(w *buffer) {
-	w.num(m.AtMs)
-	w.num(m.AgeMs)
-	w.int(m.Lines)
-	w.uint(uint64(len(m.Ops)))
+func (m *Orders) encode(w *encoder) {
+	w.float(m.AtMs)
+	w.float(m.AgeMs)
+	w.varint(m.Lines)
+	w.uvarint(uint64(len(m.Ops)))
 	for _, o := range m.Ops {
-		o.put(w)
+		o.encode(w)
 	}
 }
 
-func (m *Orders) get(r *reader) {
-	m.AtMs, m.AgeMs, m.Lines = r.num(), r.num(), r.count()
-	for range r.items() {
+func (m *Orders) decode(r *decoder) {
+	m.AtMs, m.AgeMs, m.Lines = r.float(), r.float(), r.count()
+	for range r.length() {
 		var o Op
-		if o.get(r); r.err != nil {
+		if o.decode(r); r.err != nil {
 			return
 		}
 		m.Ops = append(m.Ops, o)
 	}
 }
 
-func (o *Op) put(w *buffer) {
-	w.small(byte(o.Kind))
+func (o *Op) encode(w *encoder) {
+	w.byte(byte(o.Kind))
 	switch o.Kind {
 	case OpBind:
-		w.int(o.Table)
-		w.int(o.Kinds)
-		w.flag(o.Keep)
+		w.varint(o.Table)
+		w.varint(o.Kinds)
+		w.bool(o.Keep)
 	case OpSet:
-		w.int(o.Table)
+		w.varint(o.Table)
 		w.text(o.Endpoint)
-		w.num(o.Weight)
+		w.float(o.Weight)
 	case OpClear:
-		w.int(o.Table)
+		w.varint(o.Table)
 	case OpWithdraw:
 		w.text(o.Endpoint)
-		w.flag(o.Out)
+		w.bool(o.Out)
 	case OpAdmit:
-		w.int(o.Table)
-		w.int(o.Kinds)
-		w.num(o.Weight)
-		w.int(o.Again)
+		w.varint(o.Table)
+		w.varint(o.Kinds)
+		w.float(o.Weight)
+		w.varint(o.Again)
 	case OpMark:
-		w.int(o.Number)
+		w.varint(o.Number)
 	case OpRange:
-		w.int(o.Table)
+		w.varint(o.Table)
 		w.text(o.From)
 		w.text(o.To)
-		w.flag(o.Out)
+		w.bool(o.Out)
 	}
 }
 
-func (o *Op) get(r *reader) {
-	o.Kind = OpKind(r.small())
+func (o *Op) decode(r *decoder) {
+	o.Kind = OpKind(r.byte())
 	switch o.Kind {
 	case OpBind:
-		o.Table, o.Kinds, o.Keep = r.count(), r.count(), r.flag()
+		o.Table, o.Kinds, o.Keep = r.count(), r.count(), r.bool()
 	case OpSet:
-		o.Table, o.Endpoint, o.Weight = r.count(), r.text(), r.num()
+		o.Table, o.Endpoint, o.Weight = r.count(), r.text(), r.float()
 	case OpClear:
 		o.Table = r.count()
 	case OpWithdraw:
-		o.Endpoint, o.Out = r.text(), r.flag()
+		o.Endpoint, o.Out = r.text(), r.bool()
 	case OpAdmit:
-		o.Table, o.Kinds, o.Weight, o.Again = r.count(), r.count(), r.num(), r.count()
+		o.Table, o.Kinds, o.Weight, o.Again = r.count(), r.count(), r.float(), r.count()
 	case OpMark:
 		o.Number = r.count()
 	case OpRange:
-		o.Table, o.From, o.To, o.Out = r.count(), r.text(), r.text(), r.flag()
+		o.Table, o.From, o.To, o.Out = r.count(), r.text(), r.text(), r.bool()
 		checkRange(r, o.From, o.To)
 	default:
 		r.fail(ErrValue)
 	}
 }
 
-func (m *ListAsk) put(w *buffer) { w.text(m.Who); w.flag(m.Watch); w.flag(m.Whole) }
-func (m *ListAsk) get(r *reader) { m.Who, m.Watch, m.Whole = r.text(), r.flag(), r.flag() }
+func (m *ListAsk) encode(w *encoder) { w.text(m.Who); w.bool(m.Watch); w.bool(m.Whole) }
+func (m *ListAsk) decode(r *decoder) { m.Who, m.Watch, m.Whole = r.text(), r.bool(), r.bool() }
 
-func (m *List) put(w *buffer) {
-	w.int(m.Version)
-	w.uint(m.Now)
-	w.flag(m.Whole)
-	w.uint(uint64(len(m.Entries)))
+func (m *List) encode(w *encoder) {
+	w.varint(m.Version)
+	w.uvarint(m.Now)
+	w.bool(m.Whole)
+	w.uvarint(uint64(len(m.Entries)))
 	for _, e := range m.Entries {
 		w.text(e.Endpoint)
 		w.text(e.Zone)
 		w.text(e.Machine)
-		w.int(e.Cell)
-		w.int(e.Phase)
-		w.num(e.Weight)
-		w.uint(e.Started)
+		w.varint(e.Cell)
+		w.varint(e.Phase)
+		w.float(e.Weight)
+		w.uvarint(e.Started)
 	}
 }
 
-func (m *List) get(r *reader) {
-	m.Version, m.Now, m.Whole = r.count(), r.uint(), r.flag()
-	for range r.items() {
+func (m *List) decode(r *decoder) {
+	m.Version, m.Now, m.Whole = r.count(), r.uvarint(), r.bool()
+	for range r.length() {
 		e := Entry{Endpoint: r.text(), Zone: r.text(), Machine: r.text(), Cell: r.count(), Phase: r.count(),
-			Weight: r.num(), Started: r.uint()}
+			Weight: r.float(), Started: r.uvarint()}
 		if e.Phase > PhaseGone || e.Endpoint == "" {
 			r.fail(ErrValue)
 		}
--- a/internal/wire/reqs.go
+++ b/internal/wire/reqs.go
@@ -31,54 +31,54 @@
 // Probe asks an endpoint for a load report, answered beside its queue.
 type Probe struct{ Number uint64 }
 
-func (*Req) kind() Type    { return typeReq }
-func (*Answer) kind() Type { return typeAnswer }
-func (*Probe) kind() Type  { return typeProbe }
+func (*Req) messageType() Type    { return typeReq }
+func (*Answer) messageType() Type { return typeAnswer }
+func (*Probe) messageType() Type  { return typeProbe }
 
-func (m *Req) put(w *buffer) {
-	w.uint(m.Number)
-	w.uint(m.Name)
+func (m *Req) encode(w *encoder) {
+	w.uvarint(m.Number)
+	w.uvarint(m.Name)
 	w.text(m.Kind)
 	w.text(m.From)
-	w.num(m.WorkMs)
-	w.num(m.LimitMs)
+	w.float(m.WorkMs)
+	w.float(m.LimitMs)
 	w.text(m.Key)
 }
 
-func (m *Req) get(r *reader) {
-	m.Number, m.Name, m.Kind, m.From = r.uint(), r.uint(), r.text(), r.text()
-	m.WorkMs, m.LimitMs, m.Key = r.num(), r.num(), r.text()
+func (m *Req) decode(r *decoder) {
+	m.Number, m.Name, m.Kind, m.From = r.uvarint(), r.uvarint(), r.text(), r.text()
+	m.WorkMs, m.LimitMs, m.Key = r.float(), r.float(), r.text()
 }
 
-func (m *Answer) put(w *buffer) {
-	w.uint(m.Number)
-	w.small(byte(m.Outcome))
-	w.num(m.ComeBackMs)
+func (m *Answer) encode(w *encoder) {
+	w.uvarint(m.Number)
+	w.byte(byte(m.Outcome))
+	w.float(m.ComeBackMs)
 	w.figures(m.Load)
 }
 
-func (m *Answer) get(r *reader) {
-	m.Number, m.Outcome, m.ComeBackMs = r.uint(), Outcome(r.small()), r.num()
+func (m *Answer) decode(r *decoder) {
+	m.Number, m.Outcome, m.ComeBackMs = r.uvarint(), Outcome(r.byte()), r.float()
 	if m.Outcome < Fine || m.Outcome > Denied {
 		r.fail(ErrValue)
 	}
 	m.Load = r.figures()
 }
 
-func (m *Probe) put(w *buffer) { w.uint(m.Number) }
-func (m *Probe) get(r *reader) { m.Number = r.uint() }
+func (m *Probe) encode(w *encoder) { w.uvarint(m.Number) }
+func (m *Probe) decode(r *decoder) { m.Number = r.uvarint() }
 
-func (w *buffer) figures(l []Figure) {
-	w.uint(uint64(len(l)))
+func (w *encoder) figures(l []Figure) {
+	w.uvarint(uint64(len(l)))
 	for _, f := range l {
 		w.text(f.Name)
-		w.num(f.Value)
+		w.float(f.Value)
 	}
 }
 
-func (r *reader) figures() (l []Figure) {
-	for range r.items() {
-		f := Figure{r.text(), r.num()}
+func (r *decoder) figures() (l []Figure) {
+	for range r.length() {
+		f := Figure{r.text(), r.float()}
 		if r.err != nil {
 			return nil
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -62,16 +62,16 @@
 
 // Message is one of the messages of this package.
 type Message interface {
-	kind() Type
-	put(*buffer)
-	get(*reader)
+	messageType() Type
+	encode(*encoder)
+	decode(*decoder)
 }
 
 // Writer numbers and writes frames. It is not safe for use by several goroutines.
 type Writer struct {
 	to   io.Writer
 	next uint32
-	buf  buffer
+	buf  encoder
 }
 
 // NewWriter returns a writer whose first frame has number 1.
@@ -80,13 +80,13 @@
 // Write sends one message in one call of the underlying writer and returns the bytes written.
 func (w *Writer) Write(m Message) (int, error) {
 	w.buf.b = append(w.buf.b[:0], make([]byte, headerBytes)...)
-	m.put(&w.buf)
+	m.encode(&w.buf)
 	body := len(w.buf.b) - headerBytes
 	if body > MaxFrame {
 		return 0, fmt.Errorf("write %T of %d bytes: %w", m, body, ErrTooLarge)
 	}
 	binary.BigEndian.PutUint32(w.buf.b, uint32(body))
-	w.buf.b[4] = byte(m.kind())
+	w.buf.b[4] = byte(m.messageType())
 	binary.BigEndian.PutUint32(w.buf.b[5:], w.next)
 	w.next++
 	n, err := w.to.Write(w.buf.b)
@@ -151,12 +151,12 @@
 
 // Decode parses one body. What it returns holds no part of body.
 func Decode(t Type, body []byte) (Message, error) {
-	m := blank(t)
+	m := newMessage(t)
 	if m == nil {
 		return nil, fmt.Errorf("type %d: %w", t, ErrType)
 	}
-	r := reader{b: body}
-	m.get(&r)
+	r := decoder{b: body}
+	m.decode(&r)
 	if r.err == nil && len(r.b) > 0 {
 		r.err = ErrTrailing
 	}
@@ -166,7 +166,7 @@
 	return m, nil
 }
 
-func blank(t Type) Message {
+func newMessage(t Type) Message {
 	switch t {
 	case typeHello:
 		return &Hello{}
@@ -204,36 +204,36 @@
 	return nil
 }
 
-// buffer collects a body.
-type buffer struct{ b []byte }
-
-func (w *buffer) uint(v uint64) { w.b = binary.AppendUvarint(w.b, v) }
-func (w *buffer) int(v int)     { w.b = binary.AppendVarint(w.b, int64(v)) }
-func (w *buffer) num(v float64) { w.b = binary.BigEndian.AppendUint64(w.b, math.Float64bits(v)) }
-func (w *buffer) text(s string) { w.uint(uint64(len(s))); w.b = append(w.b, s...) }
-func (w *buffer) flag(v bool)   { w.b = append(w.b, map[bool]byte{true: 1}[v]) }
-func (w *buffer) small(v byte)  { w.b = append(w.b, v) }
-func (w *buffer) texts(l []string) {
-	w.uint(uint64(len(l)))
+// encoder collects a body.
+type encoder struct{ b []byte }
+
+func (w *encoder) uvarint(v uint64) { w.b = binary.AppendUvarint(w.b, v) }
+func (w *encoder) varint(v int)     { w.b = binary.AppendVarint(w.b, int64(v)) }
+func (w *encoder) float(v float64)  { w.b = binary.BigEndian.AppendUint64(w.b, math.Float64bits(v)) }
+func (w *encoder) text(s string)    { w.uvarint(uint64(len(s))); w.b = append(w.b, s...) }
+func (w *encoder) bool(v bool)      { w.b = append(w.b, map[bool]byte{true: 1}[v]) }
+func (w *encoder) byte(v byte)      { w.b = append(w.b, v) }
+func (w *encoder) texts(l []string) {
+	w.uvarint(uint64(len(l)))
 	for _, s := range l {
 		w.text(s)
 	}
 }
 
-// reader takes a body apart. The first thing wrong stays in err, and all later reads return zero values.
-type reader struct {
+// decoder takes a body apart. The first thing wrong stays in err, and all later reads return zero values.
+type decoder struct {
 	b   []byte
 	err error
 }
 
-func (r *reader) fail(err error) {
+func (r *decoder) fail(err error) {
 	if r.err == nil {
 		r.err = err
 	}
 	r.b = nil
 }
 
-func (r *reader) uint() uint64 {
+func (r *decoder) uvarint() uint64 {
 	v, n := binary.Uvarint(r.b)
 	if n <= 0 {
 		r.fail(ErrTruncated)
@@ -243,7 +243,7 @@
 	return v
 }
 
-func (r *reader) int() int {
+func (r *decoder) varint() int {
 	v, n := binary.Varint(r.b)
 	if n <= 0 {
 		r.fail(ErrTruncated)
@@ -258,8 +258,8 @@
 }
 
 // count reads a non-negative number.
-func (r *reader) count() int {
-	v := r.int()
+func (r *decoder) count() int {
+	v := r.varint()
 	if v < 0 {
 		r.fail(ErrValue)
 		return 0
@@ -267,8 +267,8 @@
 	return v
 }
 
-// num reads a fraction; not-a-number, infinite and negative ones are refused.
-func (r *reader) num() float64 {
+// float reads a fraction; not-a-number, infinite and negative ones are refused.
+func (r *decoder) float() float64 {
 	if len(r.b) < 8 {
 		r.fail(ErrTruncated)
 		return 0
@@ -282,8 +282,8 @@
 	return v
 }
 
-func (r *reader) text() string {
-	n := r.uint()
+func (r *decoder) text() string {
+	n := r.uvarint()
 	if n > MaxText {
 		r.fail(ErrValue)
 		return ""
@@ -301,7 +301,7 @@
 	return s
 }
 
-func (r *reader) small() byte {
+func (r *decoder) byte() byte {
 	if len(r.b) == 0 {
 		r.fail(ErrTruncated)
 		return 0
@@ -311,18 +311,18 @@
 	return v
 }
 
-func (r *reader) flag() bool {
-	v := r.small()
+func (r *decoder) bool() bool {
+	v := r.byte()
 	if v > 1 {
 		r.fail(ErrValue)
 	}
 	return v == 1
 }
 
-// items reads a list's length. Each element takes at least one byte, so a length beyond the body is refused before
+// length reads a list's length. Each element takes at least one byte, so a length beyond the body is refused before
 // anything is set aside for it.
-func (r *reader) items() int {
-	n := r.uint()
+func (r *decoder) length() int {
+	n := r.uvarint()
 	if n > MaxItems {
 		r.fail(ErrValue)
 		return 0
@@ -334,9 +334,9 @@
 	return int(n)
 }
 
-func (r *reader) texts() []string {
+func (r *decoder) texts() []string {
 	var l []string
-	for range r.items() {
+	for range r.length() {
 		l = append(l, r.text())
 	}
 	return l
@@ -344,8 +344,8 @@
 
 // Body lays out a message without its frame, for those who keep messages elsewhere.
 func Body(m Message) ([]byte, error) {
-	var w buffer
-	m.put(&w)
+	var w encoder
+	m.encode(&w)
 	if len(w.b) > MaxFrame {
 		return nil, fmt.Errorf("%T of %d bytes: %w", m, len(w.b), ErrTooLarge)
 	}
@@ -354,8 +354,8 @@
 
 // Unbody reads into a message what Body laid out.
 func Unbody(into Message, body []byte) error {
-	r := reader{b: body}
-	into.get(&r)
+	r := decoder{b: body}
+	into.decode(&r)
 	if r.err == nil && len(r.b) > 0 {
 		r.err = ErrTrailing
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -58,8 +58,8 @@
 
 // body lays out a message without its frame.
 func body(m Message) []byte {
-	var w buffer
-	m.put(&w)
+	var w encoder
+	m.encode(&w)
 	return w.b
 }
 
@@ -117,7 +117,7 @@
 // FuzzDecode guards against bodies that crash the parser, or that it takes but can't lay out again alike.
 func FuzzDecode(f *testing.F) {
 	for _, m := range samples {
-		f.Add(byte(m.kind()), body(m))
+		f.Add(byte(m.messageType()), body(m))
 	}
 	f.Fuzz(func(t *testing.T, kind byte, b []byte) {
 		m, err := Decode(Type(kind), b)
