--- a/internal/wire/collapse.go
+++ b/internal/wire/collapse.go
@@ -1,45 +1,75 @@
 package wire
 
-// Collapse returns the least ops that amount to the same: of several on one line, level, withdrawal or binding only the
-// last counts, and what a later Bind or Clear of its table begins anew is left out. Order is kept otherwise.
+import "slices"
+
+// Collapse returns the fewest operations with the same effect. Of several on one line, level, exclusion or table only the
+// last is kept, and operations on a table that a later OpBind, OpClear or OpRange resets are dropped. The order is
+// otherwise kept.
 func Collapse(ops []Op) []Op {
-	type key struct {
-		kind     OpKind
-		table    int
-		kinds    int
-		endpoint string
-		number   int
-	}
-	seen, fresh := map[key]bool{}, map[int]bool{}
+	seen := map[opKey]bool{}
+	reset := map[int]bool{} // tables that a later operation resets
 	kept := make([]Op, 0, len(ops))
-	for i := len(ops) - 1; i >= 0; i-- {
-		o := ops[i]
-		k := key{kind: o.Kind}
-		switch o.Kind {
-		case OpSet:
-			k.table, k.endpoint = o.Table, o.Endpoint
-		case OpAdmit:
-			k.table, k.kinds = o.Table, o.Kinds
-		case OpWithdraw:
-			k.endpoint = o.Endpoint
-		case OpMark:
-			k.number = o.Number
-		case OpBind:
-			k.table, k.kinds = o.Table, o.Kinds
-		case OpClear, OpRange:
-			k.table = o.Table
-		}
-		if seen[k] || fresh[o.Table] && (o.Kind == OpSet || o.Kind == OpAdmit && o.Table != EveryTable || o.Kind == OpClear) {
+	for _, op := range slices.Backward(ops) {
+		key := collapseKey(&op)
+		if seen[key] || reset[op.Table] && op.isDroppedByReset() {
 			continue
 		}
-		seen[k] = true
-		if o.Kind == OpBind || o.Kind == OpClear || o.Kind == OpRange {
-			fresh[o.Table] = true
+		seen[key] = true
+		if op.resetsTable() {
+			reset[op.Table] = true
 		}
-		kept = append(kept, o)
-	}
-	for i, j := 0, len(kept)-1; i < j; i, j = i+1, j-1 {
-		kept[i], kept[j] = kept[j], kept[i]
+		kept = append(kept, op)
 	}
+	slices.Reverse(kept)
 	return kept
 }
+
+// opKey identifies what an operation sets: of several with the same key only the last has an effect.
+type opKey struct {
+	kind     OpKind
+	table    int
+	kinds    int
+	endpoint string
+	number   int
+}
+
+// collapseKey returns the key of an operation.
+func collapseKey(o *Op) opKey {
+	key := opKey{kind: o.Kind}
+	switch o.Kind {
+	case OpSet:
+		key.table = o.Table
+		key.endpoint = o.Endpoint
+	case OpAdmit, OpBind:
+		key.table = o.Table
+		key.kinds = o.Kinds
+	case OpWithdraw:
+		key.endpoint = o.Endpoint
+	case OpMark:
+		key.number = o.Number
+	case OpClear, OpRange:
+		key.table = o.Table
+	}
+	return key
+}
+
+// resetsTable reports whether the operation drops what its table held before.
+func (o *Op) resetsTable() bool {
+	switch o.Kind {
+	case OpBind, OpClear, OpRange:
+		return true
+	}
+	return false
+}
+
+// isDroppedByReset reports whether the operation has no effect if its table is reset later. An OpAdmit for all tables
+// outlives the reset of one.
+func (o *Op) isDroppedByReset() bool {
+	switch o.Kind {
+	case OpSet, OpClear:
+		return true
+	case OpAdmit:
+		return o.Table != EveryTable
+	}
+	return false
+}
--- /dev/null
+++ b/internal/wire/encoder.go
@@ -0,0 +1,42 @@
+package wire
+
+import (
+	"encoding/binary"
+	"math"
+)
+
+// encoder appends the encoding of a message to a buffer.
+type encoder struct{ b []byte }
+
+func (e *encoder) uvarint(v uint64) { e.b = binary.AppendUvarint(e.b, v) }
+
+func (e *encoder) varint(v int) { e.b = binary.AppendVarint(e.b, int64(v)) }
+
+func (e *encoder) float(v float64) { e.b = binary.BigEndian.AppendUint64(e.b, math.Float64bits(v)) }
+
+func (e *encoder) byte(v byte) { e.b = append(e.b, v) }
+
+func (e *encoder) bool(v bool) {
+	if v {
+		e.byte(1)
+	} else {
+		e.byte(0)
+	}
+}
+
+// text encodes a string.
+func (e *encoder) text(s string) {
+	e.length(len(s))
+	e.b = append(e.b, s...)
+}
+
+// texts encodes a list of strings.
+func (e *encoder) texts(list []string) {
+	e.length(len(list))
+	for _, s := range list {
+		e.text(s)
+	}
+}
+
+// length encodes the length of a list or string.
+func (e *encoder) length(n int) { e.uvarint(uint64(n)) }
--- /dev/null
+++ b/internal/wire/list.go
@@ -0,0 +1,96 @@
+package wire
+
+// ListAsk asks a list source for the endpoint list.
+type ListAsk struct {
+	Who   string // name of the pilot that asks
+	Watch bool   // send changes from now on
+	Whole bool   // send the complete list once
+}
+
+func (*ListAsk) messageType() Type { return typeListAsk }
+
+func (m *ListAsk) encode(e *encoder) {
+	e.text(m.Who)
+	e.bool(m.Watch)
+	e.bool(m.Whole)
+}
+
+func (m *ListAsk) decode(d *decoder) {
+	m.Who = d.text()
+	m.Watch = d.bool()
+	m.Whole = d.bool()
+}
+
+// List carries entries of the endpoint list.
+type List struct {
+	Version int     `json:"Version"`
+	Now     uint64  `json:"Now"`   // ms on the list's clock
+	Whole   bool    `json:"Whole"` // the list is complete: an endpoint without an entry is gone
+	Entries []Entry `json:"Entries"`
+}
+
+// Phases of an endpoint. Their values are part of the protocol.
+const (
+	PhaseReady    = 0
+	PhaseDraining = 1
+	PhaseGone     = 2
+)
+
+// Entry is one endpoint of a list.
+type Entry struct {
+	Endpoint string  `json:"Endpoint"`
+	Zone     string  `json:"Zone"`
+	Machine  string  `json:"Machine"`
+	Cell     int     `json:"Cell"`
+	Phase    int     `json:"Phase"`
+	Weight   float64 `json:"Weight"`
+
+	// Started is in ms on the list's own clock, 0 for the distant past. Receivers use only its distance from List.Now, so
+	// their clocks may differ.
+	Started uint64 `json:"Started"`
+}
+
+func (*List) messageType() Type { return typeList }
+
+func (m *List) encode(e *encoder) {
+	e.varint(m.Version)
+	e.uvarint(m.Now)
+	e.bool(m.Whole)
+	e.length(len(m.Entries))
+	for i := range m.Entries {
+		m.Entries[i].encode(e)
+	}
+}
+
+func (m *List) decode(d *decoder) {
+	m.Version = d.count()
+	m.Now = d.uvarint()
+	m.Whole = d.bool()
+	m.Entries = decodeList(d, decodeEntry)
+}
+
+func (e *Entry) encode(to *encoder) {
+	to.text(e.Endpoint)
+	to.text(e.Zone)
+	to.text(e.Machine)
+	to.varint(e.Cell)
+	to.varint(e.Phase)
+	to.float(e.Weight)
+	to.uvarint(e.Started)
+}
+
+func decodeEntry(d *decoder) Entry {
+	e := Entry{
+		Endpoint: d.text(),
+		Zone:     d.text(),
+		Machine:  d.text(),
+		Cell:     d.count(),
+		Phase:    d.count(),
+		Weight:   d.float(),
+		Started:  d.uvarint(),
+	}
+	if e.Phase > PhaseGone || e.Endpoint == "" {
+		d.fail(ErrValue)
+	}
+	return e
+}
--- /dev/null
+++ b/internal/wire/message.go
@@ -0,0 +1,120 @@
+package wire
+
+import (
+	"errors"
+	"fmt"
+)
+
+// Version is the version of the protocol that a Hello and a Welcome announce.
+const Version = 1
+
+// Errors that end a stream. None of them is temporary.
+var (
+	ErrTooLarge  = errors.New("frame larger than the limit")
+	ErrSequence  = errors.New("frame repeated, missing or out of order")
+	ErrTruncated = errors.New("body ends too early")
+	ErrTrailing  = errors.New("body longer than its message")
+	ErrType      = errors.New("unknown type of message")
+	ErrValue     = errors.New("value out of range")
+)
+
+// Message is one of the messages of this package.
+type Message interface {
+	messageType() Type
+	encode(*encoder)
+	decode(*decoder)
+}
+
+// Type is the number of a message type in a frame's header.
+type Type byte
+
+// The message types. Their values are part of the protocol.
+const (
+	typeHello    Type = 1
+	typeWelcome  Type = 2
+	typeRefuse   Type = 3
+	typeBeat     Type = 4
+	typeSums     Type = 5
+	typeDone     Type = 6
+	typeOrders   Type = 7
+	typeRedirect Type = 8
+	typeBye      Type = 9
+	typeListAsk  Type = 10
+	typeList     Type = 11
+	typeReq      Type = 12
+	typeAnswer   Type = 13
+	typeProbe    Type = 14
+	typePace     Type = 15
+	typeSlices   Type = 16
+)
+
+// newMessage returns an empty message of a type, nil if the type is unknown.
+func newMessage(t Type) Message {
+	switch t {
+	case typeHello:
+		return &Hello{}
+	case typeWelcome:
+		return &Welcome{}
+	case typeRefuse:
+		return &Refuse{}
+	case typeBeat:
+		return &Beat{}
+	case typeSums:
+		return &Sums{}
+	case typeDone:
+		return &Done{}
+	case typeOrders:
+		return &Orders{}
+	case typeRedirect:
+		return &Redirect{}
+	case typeBye:
+		return &Bye{}
+	case typeListAsk:
+		return &ListAsk{}
+	case typeList:
+		return &List{}
+	case typeReq:
+		return &Req{}
+	case typeAnswer:
+		return &Answer{}
+	case typeProbe:
+		return &Probe{}
+	case typePace:
+		return &Pace{}
+	case typeSlices:
+		return &Slices{}
+	}
+	return nil
+}
+
+// Decode decodes the body of a frame. The message doesn't refer to body.
+func Decode(t Type, body []byte) (Message, error) {
+	m := newMessage(t)
+	if m == nil {
+		return nil, fmt.Errorf("type %d: %w", t, ErrType)
+	}
+	if err := Unbody(m, body); err != nil {
+		return nil, fmt.Errorf("%T: %w", m, err)
+	}
+	return m, nil
+}
+
+// Body encodes a message without a frame, for records and other stores.
+func Body(m Message) ([]byte, error) {
+	var e encoder
+	m.encode(&e)
+	if len(e.b) > MaxFrame {
+		return nil, fmt.Errorf("%T of %d bytes: %w", m, len(e.b), ErrTooLarge)
+	}
+	return e.b, nil
+}
+
+// Unbody decodes what Body encoded into a message. After an error the message may be filled in part.
+func Unbody(into Message, body []byte) error {
+	d := decoder{b: body}
+	into.decode(&d)
+	if d.err == nil && len(d.b) > 0 {
+		return ErrTrailing
+	}
+	return d.err
+}
--- /dev/null
+++ b/internal/wire/orders.go
@@ -0,0 +1,144 @@
+package wire
+
+// EveryTable is the table number of an OpAdmit that applies to all tables.
+const EveryTable = 65535
+
+// Orders is a message of operations from a pilot to a proxy.
+type Orders struct {
+	AtMs  float64 // when the planner issued it, on the pilot's clock
+	AgeMs float64 // time that it waited in the pilot's channel
+	Lines int     // its cost in the channel, in lines, heads included
+	Ops   []Op
+}
+
+func (*Orders) messageType() Type { return typeOrders }
+
+func (m *Orders) encode(e *encoder) {
+	e.float(m.AtMs)
+	e.float(m.AgeMs)
+	e.varint(m.Lines)
+	e.length(len(m.Ops))
+	for i := range m.Ops {
+		m.Ops[i].encode(e)
+	}
+}
+
+func (m *Orders) decode(d *decoder) {
+	m.AtMs = d.float()
+	m.AgeMs = d.float()
+	m.Lines = d.count()
+	m.Ops = decodeList(d, decodeOp)
+}
+
+// OpKind is the type of an operation.
+type OpKind byte
+
+// The types of operations. Their values are part of the protocol.
+const (
+	OpBind     OpKind = 1 // assign a table to the classes Kinds: its old lines and levels are dropped, OpSet and OpAdmit follow
+	OpSet      OpKind = 2 // set the weight of an endpoint in a table; 0 removes it
+	OpClear    OpKind = 3 // remove the lines and levels of a table
+	OpWithdraw OpKind = 4 // exclude an endpoint (Out) or let it in again
+	OpAdmit    OpKind = 5 // set the admission level and the retry policy of the classes Kinds
+	OpMark     OpKind = 6 // answer with Done
+	OpRange    OpKind = 7 // assign a table, which begins empty, to the keys from From to To; Out: no longer
+)
+
+// Op is one operation of Orders. Kind decides which of the other fields are used and encoded.
+type Op struct {
+	Kind     OpKind
+	Table    int
+	Kinds    int // bit mask of request classes
+	Endpoint string
+	Weight   float64 // OpSet: weight; OpAdmit: admission level
+	Again    int     // OpAdmit: retry policy
+	Out      bool
+	Number   int  // OpMark: number of the mark
+	Keep     bool // OpBind: the lines that the proxy's Hello listed stay, the lines that follow change them
+	From     string
+	To       string // exclusive; "": no end
+}
+
+func (o *Op) encode(e *encoder) {
+	e.byte(byte(o.Kind))
+	switch o.Kind {
+	case OpBind:
+		e.varint(o.Table)
+		e.varint(o.Kinds)
+		e.bool(o.Keep)
+	case OpSet:
+		e.varint(o.Table)
+		e.text(o.Endpoint)
+		e.float(o.Weight)
+	case OpClear:
+		e.varint(o.Table)
+	case OpWithdraw:
+		e.text(o.Endpoint)
+		e.bool(o.Out)
+	case OpAdmit:
+		e.varint(o.Table)
+		e.varint(o.Kinds)
+		e.float(o.Weight)
+		e.varint(o.Again)
+	case OpMark:
+		e.varint(o.Number)
+	case OpRange:
+		e.varint(o.Table)
+		e.text(o.From)
+		e.text(o.To)
+		e.bool(o.Out)
+	}
+}
+
+func decodeOp(d *decoder) Op {
+	o := Op{Kind: OpKind(d.byte())}
+	switch o.Kind {
+	case OpBind:
+		o.Table = d.count()
+		o.Kinds = d.count()
+		o.Keep = d.bool()
+	case OpSet:
+		o.Table = d.count()
+		o.Endpoint = d.text()
+		o.Weight = d.float()
+	case OpClear:
+		o.Table = d.count()
+	case OpWithdraw:
+		o.Endpoint = d.text()
+		o.Out = d.bool()
+	case OpAdmit:
+		o.Table = d.count()
+		o.Kinds = d.count()
+		o.Weight = d.float()
+		o.Again = d.count()
+	case OpMark:
+		o.Number = d.count()
+	case OpRange:
+		o.Table = d.count()
+		o.From = d.text()
+		o.To = d.text()
+		o.Out = d.bool()
+		checkRange(d, o.From, o.To)
+	default:
+		d.fail(ErrValue)
+	}
+	return o
+}
+
+// Done acknowledges that a proxy has applied everything up to a mark.
+type Done struct {
+	Mark   int     `json:"Mark"`
+	TookMs float64 `json:"TookMs"` // from the arrival of the mark until everything was applied
+}
+
+func (*Done) messageType() Type { return typeDone }
+
+func (m *Done) encode(e *encoder) {
+	e.varint(m.Mark)
+	e.float(m.TookMs)
+}
+
+func (m *Done) decode(d *decoder) {
+	m.Mark = d.count()
+	m.TookMs = d.float()
+}
--- /dev/null
+++ b/internal/wire/report.go
@@ -0,0 +1,134 @@
+package wire
+
+// Sums is a proxy's report on what happened since its last one.
+type Sums struct {
+	Seq    uint64  // number of the report in its stream, from 1
+	AtMs   float64 // on the proxy's own clock, of which only differences have a meaning
+	SpanMs float64 // time that the report covers
+	Met    []Met
+	Demand []Demand
+	Slices []SliceLoad // only in a deployment with slices
+}
+
+// Met sums a proxy's attempts at one endpoint.
+type Met struct {
+	Endpoint string
+	Tries    int
+	Failed   int // of Tries
+	MeanMs   float64
+	Load     []Figure // the last load report among the answers
+}
+
+// Figure is one value of a load report.
+type Figure struct {
+	Name  string
+	Value float64
+}
+
+// Demand sums the requests of one class that a proxy received.
+type Demand struct {
+	Kind       string
+	Reqs       int
+	Unanswered int
+}
+
+// SliceLoad sums the requests of one class for the keys of one slice.
+type SliceLoad struct {
+	Slice      int
+	Kind       string
+	Reqs       int
+	Unanswered int
+}
+
+func (*Sums) messageType() Type { return typeSums }
+
+func (m *Sums) encode(e *encoder) {
+	e.uvarint(m.Seq)
+	e.float(m.AtMs)
+	e.float(m.SpanMs)
+	e.length(len(m.Met))
+	for i := range m.Met {
+		e.met(&m.Met[i])
+	}
+	e.length(len(m.Demand))
+	for _, demand := range m.Demand {
+		e.text(demand.Kind)
+		e.varint(demand.Reqs)
+		e.varint(demand.Unanswered)
+	}
+	e.length(len(m.Slices))
+	for _, load := range m.Slices {
+		e.varint(load.Slice)
+		e.text(load.Kind)
+		e.varint(load.Reqs)
+		e.varint(load.Unanswered)
+	}
+}
+
+func (m *Sums) decode(d *decoder) {
+	m.Seq = d.uvarint()
+	m.AtMs = d.float()
+	m.SpanMs = d.float()
+	m.Met = decodeList(d, (*decoder).met)
+	m.Demand = decodeList(d, (*decoder).demand)
+	m.Slices = decodeList(d, (*decoder).sliceLoad)
+}
+
+func (e *encoder) met(m *Met) {
+	e.text(m.Endpoint)
+	e.varint(m.Tries)
+	e.varint(m.Failed)
+	e.float(m.MeanMs)
+	e.figures(m.Load)
+}
+
+func (d *decoder) met() Met {
+	m := Met{Endpoint: d.text(), Tries: d.count(), Failed: d.count(), MeanMs: d.float(), Load: d.figures()}
+	if m.Failed > m.Tries {
+		d.fail(ErrValue)
+	}
+	return m
+}
+
+func (d *decoder) demand() Demand {
+	return Demand{Kind: d.text(), Reqs: d.count(), Unanswered: d.count()}
+}
+
+func (d *decoder) sliceLoad() SliceLoad {
+	return SliceLoad{Slice: d.count(), Kind: d.text(), Reqs: d.count(), Unanswered: d.count()}
+}
+
+func (e *encoder) figures(figures []Figure) {
+	e.length(len(figures))
+	for _, figure := range figures {
+		e.text(figure.Name)
+		e.float(figure.Value)
+	}
+}
+
+func (d *decoder) figures() []Figure { return decodeList(d, (*decoder).figure) }
+
+func (d *decoder) figure() Figure {
+	return Figure{Name: d.text(), Value: d.float()}
+}
+
+// Pace asks a proxy to change its reporting.
+type Pace struct {
+	PeriodMs int  // reporting interval
+	Lines    int  // most elements of Sums.Met in a report; 0: all
+	Changes  bool // only elements that have changed
+}
+
+func (*Pace) messageType() Type { return typePace }
+
+func (m *Pace) encode(e *encoder) {
+	e.varint(m.PeriodMs)
+	e.varint(m.Lines)
+	e.bool(m.Changes)
+}
+
+func (m *Pace) decode(d *decoder) {
+	m.PeriodMs = d.count()
+	m.Lines = d.count()
+	m.Changes = d.bool()
+}
--- /dev/null
+++ b/internal/wire/request.go
@@ -0,0 +1,80 @@
+package wire
+
+// Req asks an endpoint, or a proxy in front of endpoints, for work. It belongs to the traffic of the testbed.
+type Req struct {
+	Number  uint64  // pairs it with its Answer on the connection
+	Name    uint64  // the same for all attempts of a request, so that a repeated effect is recognised
+	Kind    string  // request class
+	From    string  // name of the sender
+	Key     string  // in a deployment with slices
+	WorkMs  float64 // time that it takes on a core of speed 1
+	LimitMs float64 // for which the sender waits
+}
+
+func (*Req) messageType() Type { return typeReq }
+
+func (m *Req) encode(e *encoder) {
+	e.uvarint(m.Number)
+	e.uvarint(m.Name)
+	e.text(m.Kind)
+	e.text(m.From)
+	e.float(m.WorkMs)
+	e.float(m.LimitMs)
+	e.text(m.Key)
+}
+
+func (m *Req) decode(d *decoder) {
+	m.Number = d.uvarint()
+	m.Name = d.uvarint()
+	m.Kind = d.text()
+	m.From = d.text()
+	m.WorkMs = d.float()
+	m.LimitMs = d.float()
+	m.Key = d.text()
+}
+
+// Outcome is how an attempt ended.
+type Outcome byte
+
+// The outcomes of an Answer. Their values are part of the protocol.
+const (
+	Fine    Outcome = 1
+	Errored Outcome = 2 // it was executed, or may have been, and failed
+	Denied  Outcome = 3 // it was rejected before it was executed
+)
+
+// Answer ends a Req or a Probe.
+type Answer struct {
+	Number     uint64
+	Outcome    Outcome
+	ComeBackMs float64  // Denied: retry after this time
+	Load       []Figure // the endpoint's load report
+}
+
+func (*Answer) messageType() Type { return typeAnswer }
+
+func (m *Answer) encode(e *encoder) {
+	e.uvarint(m.Number)
+	e.byte(byte(m.Outcome))
+	e.float(m.ComeBackMs)
+	e.figures(m.Load)
+}
+
+func (m *Answer) decode(d *decoder) {
+	m.Number = d.uvarint()
+	m.Outcome = Outcome(d.byte())
+	m.ComeBackMs = d.float()
+	if m.Outcome < Fine || m.Outcome > Denied {
+		d.fail(ErrValue)
+	}
+	m.Load = d.figures()
+}
+
+// Probe is a health check: it asks an endpoint for a load report, which is answered without queueing.
+type Probe struct{ Number uint64 }
+
+func (*Probe) messageType() Type { return typeProbe }
+
+func (m *Probe) encode(e *encoder) { e.uvarint(m.Number) }
+
+func (m *Probe) decode(d *decoder) { m.Number = d.uvarint() }
