--- /dev/null
+++ b/internal/wire/collapse_test.go
@@ -0,0 +1,41 @@
+package wire
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// TestCollapse checks which operations are dropped, one rule a case.
+func TestCollapse(t *testing.T) {
+	set := func(table int, endpoint string, weight float64) Op {
+		return Op{Kind: OpSet, Table: table, Endpoint: endpoint, Weight: weight}
+	}
+	for _, c := range []struct {
+		name     string
+		in, want []Op
+	}{
+		{"the last weight of a line counts", []Op{set(1, "x", 1), set(1, "y", 1), set(1, "x", 2)}, []Op{set(1, "y", 1), set(1, "x", 2)}},
+		{"lines of other tables stay", []Op{set(1, "x", 1), set(2, "x", 2)}, []Op{set(1, "x", 1), set(2, "x", 2)}},
+		{
+			"a clear drops earlier lines and levels of its table",
+			[]Op{set(1, "x", 1), {Kind: OpAdmit, Table: 1}, {Kind: OpClear, Table: 1}, set(1, "x", 2)},
+			[]Op{{Kind: OpClear, Table: 1}, set(1, "x", 2)},
+		},
+		{
+			"a level of all tables outlives a reset",
+			[]Op{{Kind: OpAdmit, Table: EveryTable}, {Kind: OpBind, Table: EveryTable}},
+			[]Op{{Kind: OpAdmit, Table: EveryTable}, {Kind: OpBind, Table: EveryTable}},
+		},
+		{
+			"exclusions outlive a reset, the last of an endpoint counts",
+			[]Op{{Kind: OpWithdraw, Endpoint: "x", Out: true}, {Kind: OpWithdraw, Endpoint: "x"}, {Kind: OpBind}},
+			[]Op{{Kind: OpWithdraw, Endpoint: "x"}, {Kind: OpBind}},
+		},
+		{"each mark is answered", []Op{{Kind: OpMark, Number: 1}, {Kind: OpMark, Number: 2}}, []Op{{Kind: OpMark, Number: 1}, {Kind: OpMark, Number: 2}}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			assert.Equal(t, c.want, Collapse(c.in))
+		})
+	}
+}
--- /dev/null
+++ b/internal/wire/message_test.go
@@ -0,0 +1,72 @@
+package wire
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// sampleSums has every field set.
+var sampleSums = &Sums{
+	Seq:    3,
+	AtMs:   5.5,
+	SpanMs: 1000,
+	Met:    []Met{{"x:1", 9, 2, 4.5, []Figure{{"util", 0.5}, {"rate", 3}}}},
+	Demand: []Demand{{"read", 5, 1}},
+	Slices: []SliceLoad{{7, "read", 3, 1}},
+}
+
+// samples has one of each message, every field set.
+var samples = []Message{
+	&Hello{
+		Version: 1, Proxy: "p", Zone: "a", Boot: 7, Rate: 2.5, Fresh: true, Holds: []string{"x:1", "y:2"},
+		Tables: []HeldTable{{Table: 2, Lines: []HeldLine{{"x:1", 0.5}}}},
+	},
+	&Welcome{Version: 1, Pilot: "one", BeatMs: 300, PeriodMs: 1000},
+	&Refuse{Reason: "no"},
+	&Beat{Seen: 70000},
+	&Redirect{Reason: "stops"},
+	&Bye{},
+	sampleSums,
+	&Done{Mark: 65534, TookMs: 0.25},
+	&Orders{AtMs: 5, AgeMs: 1.5, Lines: 9, Ops: []Op{
+		{Kind: OpBind, Table: 3, Kinds: 5, Keep: true},
+		{Kind: OpSet, Table: 3, Endpoint: "x:1", Weight: 0.75},
+		{Kind: OpClear, Table: 2},
+		{Kind: OpWithdraw, Endpoint: "y:2", Out: true},
+		{Kind: OpAdmit, Table: 65535, Kinds: 2, Weight: 0.5, Again: 3},
+		{Kind: OpMark, Number: 12},
+		{Kind: OpRange, Table: 4, From: "a", To: "b", Out: true},
+	}},
+	&ListAsk{Who: "one", Watch: true, Whole: true},
+	&List{Version: 4, Now: 99, Whole: true, Entries: []Entry{{"x:1", "a", "std", 2, PhaseDraining, 1.5, 88}}},
+	&Req{Number: 1, Name: 2, Kind: "read", From: "p", WorkMs: 30, LimitMs: 1500},
+	&Answer{Number: 1, Outcome: Denied, ComeBackMs: 200, Load: []Figure{{"util", 1}}},
+	&Probe{Number: 3},
+	&Slices{Slice: 4, Given: true, Lines: []HeldLine{{"x:1", 2}}},
+	&Pace{PeriodMs: 2000, Lines: 40, Changes: true},
+}
+
+// encodeBody encodes a message without its frame, whatever its size.
+func encodeBody(m Message) []byte {
+	var e encoder
+	m.encode(&e)
+	return e.b
+}
+
+// FuzzDecode checks that no body crashes the decoder, and that an accepted message is the same after it is encoded again.
+func FuzzDecode(f *testing.F) {
+	for _, m := range samples {
+		f.Add(byte(m.messageType()), encodeBody(m))
+	}
+	f.Fuzz(func(t *testing.T, messageType byte, body []byte) {
+		m, err := Decode(Type(messageType), body)
+		if err != nil {
+			return
+		}
+		again, err := Decode(Type(messageType), encodeBody(m))
+		require.NoError(t, err)
+		assert.Equal(t, m, again)
+	})
+}
