--- a/internal/config/endpoint_list.go
+++ b/internal/config/endpoint_list.go
@@ -39,7 +39,7 @@
 	diags = Read(body, []Field{{Name: "version", Into: &parser.list.Version}},
 		[]Block{{Name: "endpoint", Labels: 1, Read: parser.readEndpoint}})
 	if len(parser.list.Entries) == 0 {
-		diags = append(diags, diagnostic(body.MissingItemRange(), "no endpoint stands here"))
+		diags = append(diags, Diagnostic(body.MissingItemRange(), "no endpoint stands here"))
 	}
 	if diags.HasErrors() {
 		return nil, DiagnosticsError(diags)
@@ -70,12 +70,12 @@
 	if started != "" {
 		at, err := time.Parse(time.RFC3339, started)
 		if err != nil {
-			diags = append(diags, diagnostic(body.Attributes["started"].Expr.Range(), "started: %v", err))
+			diags = append(diags, Diagnostic(body.Attributes["started"].Expr.Range(), "started: %v", err))
 		}
 		entry.Started = uint64(max(1, at.UnixMilli())) // 0 stands for an unknown start, long ago
 	}
 	if l.seen[entry.Endpoint] {
-		diags = append(diags, diagnostic(body.SrcRange, "endpoint %q stands here twice", entry.Endpoint))
+		diags = append(diags, Diagnostic(body.SrcRange, "endpoint %q stands here twice", entry.Endpoint))
 	}
 	l.seen[entry.Endpoint] = true
 	l.list.Entries = append(l.list.Entries, entry)
@@ -88,7 +88,7 @@
 	diags = append(diags, checkName(at, entry.Zone, 0)...)
 	diags = append(diags, checkName(at, entry.Machine, 0)...)
 	if !planner.ValidWeight(entry.Weight) {
-		diags = append(diags, diagnostic(at, "weight %g: 0 or %g to %g is wanted",
+		diags = append(diags, Diagnostic(at, "weight %g: 0 or %g to %g is wanted",
 			entry.Weight, 1/planner.MaxFigure, planner.MaxFigure))
 	}
 	return diags
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -21,12 +21,12 @@
 		attribute := body.Attributes[f.Name]
 		if attribute == nil {
 			if f.Required {
-				diags = append(diags, diagnostic(body.MissingItemRange(), "%q is missing", f.Name))
+				diags = append(diags, Diagnostic(body.MissingItemRange(), "%q is missing", f.Name))
 			}
 			continue
 		}
 		if err := f.decode(attribute.Expr); err != nil {
-			diags = append(diags, diagnostic(attribute.Expr.Range(), "%s: %v", f.Name, err))
+			diags = append(diags, Diagnostic(attribute.Expr.Range(), "%s: %v", f.Name, err))
 		}
 	}
 	return diags
@@ -40,7 +40,7 @@
 	}
 	for name, attribute := range body.Attributes {
 		if !known[name] {
-			diags = append(diags, diagnostic(attribute.NameRange, "%q is not known here%s", name, suggestion(name, fields)))
+			diags = append(diags, Diagnostic(attribute.NameRange, "%q is not known here%s", name, suggestion(name, fields)))
 		}
 	}
 	return diags
@@ -63,7 +63,7 @@
 	for _, found := range body.Blocks {
 		b := findBlock(blocks, found.Type)
 		if b == nil {
-			diags = append(diags, diagnostic(found.TypeRange, "block %q is not known here", found.Type))
+			diags = append(diags, Diagnostic(found.TypeRange, "block %q is not known here", found.Type))
 			continue
 		}
 		occurrences[b.Name]++
@@ -86,9 +86,9 @@
 func (b *Block) read(found *hclsyntax.Block, occurrence int) hcl.Diagnostics {
 	switch {
 	case len(found.Labels) != b.Labels:
-		return hcl.Diagnostics{diagnostic(found.TypeRange, "%q takes %d names", found.Type, b.Labels)}
+		return hcl.Diagnostics{Diagnostic(found.TypeRange, "%q takes %d names", found.Type, b.Labels)}
 	case b.Max > 0 && occurrence > b.Max:
-		return hcl.Diagnostics{diagnostic(found.TypeRange, "%q stands here once too often", found.Type)}
+		return hcl.Diagnostics{Diagnostic(found.TypeRange, "%q stands here once too often", found.Type)}
 	case b.Read == nil:
 		return Read(found.Body, b.Fields, nil)
 	default:
--- a/internal/config/request_class.go
+++ b/internal/config/request_class.go
@@ -74,7 +74,7 @@
 	diags = append(diags, checkListed(body, "only_machines", class.OnlyMachines, c.Machines)...)
 	diags = append(diags, checkListed(body, "only_zones", class.OnlyZones, c.Zones)...)
 	if slices.Contains(c.ClassNames(), class.Name) {
-		diags = append(diags, diagnostic(body.SrcRange, "req_kind %q stands here twice", class.Name))
+		diags = append(diags, Diagnostic(body.SrcRange, "req_kind %q stands here twice", class.Name))
 	}
 	c.Kinds = append(c.Kinds, class)
 	return diags
@@ -84,7 +84,7 @@
 func checkListed(body *hclsyntax.Body, attribute string, names, known []string) (diags hcl.Diagnostics) {
 	for _, name := range names {
 		if !slices.Contains(known, name) {
-			diags = append(diags, diagnostic(body.SrcRange, "%s: %q is not listed at the top", attribute, name))
+			diags = append(diags, Diagnostic(body.SrcRange, "%s: %q is not listed at the top", attribute, name))
 		}
 	}
 	return diags
--- a/internal/config/source.go
+++ b/internal/config/source.go
@@ -49,7 +49,7 @@
 func checkSize(name string, text []byte) hcl.Diagnostics {
 	if len(text) > MaxBytes {
 		start := hcl.Range{Filename: name, Start: hcl.InitialPos}
-		return hcl.Diagnostics{diagnostic(start, "longer than %d bytes", MaxBytes)}
+		return hcl.Diagnostics{Diagnostic(start, "longer than %d bytes", MaxBytes)}
 	}
 	tokens, _ := hclsyntax.LexConfig(text, name, hcl.InitialPos) // the parser reports lexical errors
 	depth, operators := 0, 0
@@ -64,14 +64,14 @@
 			operators++
 		}
 		if depth > maxNesting || operators > maxOperators {
-			return hcl.Diagnostics{diagnostic(token.Range, "nested deeper than %d, or more than %d signs", maxNesting, maxOperators)}
+			return hcl.Diagnostics{Diagnostic(token.Range, "nested deeper than %d, or more than %d signs", maxNesting, maxOperators)}
 		}
 	}
 	return nil
 }
 
-// diagnostic returns an error at a position of the source.
-func diagnostic(at hcl.Range, format string, args ...any) *hcl.Diagnostic {
+// Diagnostic returns an error at a position of the source.
+func Diagnostic(at hcl.Range, format string, args ...any) *hcl.Diagnostic {
 	return &hcl.Diagnostic{Severity: hcl.DiagError, Summary: fmt.Sprintf(format, args...), Subject: &at}
 }
 
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -19,7 +19,7 @@
 }
 
 func (v *validator) errorf(format string, args ...any) {
-	v.diags = append(v.diags, diagnostic(v.at, format, args...))
+	v.diags = append(v.diags, Diagnostic(v.at, format, args...))
 }
 
 // validate checks the settings against each other.
@@ -124,7 +124,7 @@
 		return nil
 	}
 	return hcl.Diagnostics{
-		diagnostic(at, "a name of %d bytes, %d to %d are wanted: %.40q", len(name), minBytes, wire.MaxText, name),
+		Diagnostic(at, "a name of %d bytes, %d to %d are wanted: %.40q", len(name), minBytes, wire.MaxText, name),
 	}
 }
 
