--- /dev/null
+++ b/internal/scenario/fault.go
@@ -0,0 +1,122 @@
+package scenario
+
+import (
+	"math"
+	"math/rand/v2"
+	"path"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/hashicorp/hcl/v2"
+	"github.com/hashicorp/hcl/v2/hclsyntax"
+
+	"indigousher/internal/config"
+)
+
+// Fault is one fault of a scenario. Which fields are used depends on What; docs/rehearsal.md describes them.
+type Fault struct {
+	What  string        `json:"What"` // one of faultTypes
+	At    time.Duration `json:"At"`   // from the start of the scenario
+	For   time.Duration `json:"For"`
+	Who   []string      `json:"Who"`   // names or patterns of endpoints, proxies or pilots; none means all
+	Zone  string        `json:"Zone"`  // zone that is affected
+	Kind  string        `json:"Kind"`  // request class that is affected
+	Part  float64       `json:"Part"`  // fraction of those that match Who; 0: all
+	Count int           `json:"Count"` // number of those that match Who, overrides Part; 0: by Part
+	Size  float64       `json:"Size"`
+	Loss  float64       `json:"Loss"` // probability that a message is lost
+	Every time.Duration `json:"Every"`
+	Extra time.Duration `json:"Extra"`
+}
+
+// faultTypes lists the faults that can be played, in the order of the error about an unknown one.
+var faultTypes = []string{
+	"hang", "fast_errors", "class_fail", "vanish", "crash", "restart", "drain", "preempt", "replace", "flapping",
+	"zone_cut", "zone_loss", "slow_link", "handshake_slow",
+	"proxy_crash", "proxy_roll", "pilot_kill", "pilot_roll", "reconnect", "counter_down",
+	"burst", "hot_caller", "heavy_tail", "shift",
+	"list_down", "list_all", "reload", "mute_proxy", "report_burst", "answers_twice", "silent", "handover", "slice_move",
+	"pause", "pilot_pause",
+}
+
+// readFault decodes a block trouble "TYPE".
+func (s *Scenario) readFault(labels []string, body *hclsyntax.Body) hcl.Diagnostics {
+	fault := Fault{What: labels[0]}
+	diags := config.Read(body, []config.Field{
+		{Name: "at", Into: &fault.At},
+		{Name: "for", Into: &fault.For},
+		{Name: "who", Into: &fault.Who},
+		{Name: "zone", Into: &fault.Zone},
+		{Name: "kind", Into: &fault.Kind},
+		{Name: "part", Into: &fault.Part, Max: 1},
+		{Name: "count", Into: &fault.Count},
+		{Name: "size", Into: &fault.Size},
+		{Name: "loss", Into: &fault.Loss, Max: 0.9},
+		{Name: "every", Into: &fault.Every},
+		{Name: "extra", Into: &fault.Extra},
+	}, nil)
+	if !slices.Contains(faultTypes, fault.What) {
+		diags = append(diags, config.Diagnostic(body.SrcRange, "trouble %q is not known; there are %s",
+			fault.What, strings.Join(faultTypes, ", ")))
+	}
+	s.Faults = append(s.Faults, fault)
+	return diags
+}
+
+// Targets returns the names that the fault affects: of those that match Who, the fraction Part or the number Count,
+// drawn at random.
+func (f Fault) Targets(names []string, rnd *rand.Rand) []string {
+	var matching []string
+	for _, name := range names {
+		if f.matches(name) {
+			matching = append(matching, name)
+		}
+	}
+	n := f.targetCount(len(matching))
+	if n < len(matching) {
+		rnd.Shuffle(len(matching), func(i, j int) { matching[i], matching[j] = matching[j], matching[i] })
+		matching = matching[:n]
+	}
+	return matching
+}
+
+// matches reports whether Who includes a name. Malformed patterns match nothing.
+func (f Fault) matches(name string) bool {
+	if len(f.Who) == 0 {
+		return true
+	}
+	return slices.ContainsFunc(f.Who, func(pattern string) bool {
+		ok, err := path.Match(pattern, name)
+		return err == nil && ok
+	})
+}
+
+// targetCount returns how many of the matching names the fault affects.
+func (f Fault) targetCount(matching int) int {
+	switch {
+	case f.Count > 0:
+		return min(f.Count, matching)
+	case f.Part > 0:
+		return int(math.Ceil(f.Part * float64(matching)))
+	}
+	return matching
+}
+
+// String describes the fault in one line.
+func (f Fault) String() string {
+	parts := []string{f.What}
+	if len(f.Who) > 0 {
+		parts = append(parts, strings.Join(f.Who, ","))
+	}
+	if f.Zone != "" {
+		parts = append(parts, f.Zone)
+	}
+	if f.Kind != "" {
+		parts = append(parts, f.Kind)
+	}
+	if f.For > 0 {
+		parts = append(parts, "for "+f.For.String())
+	}
+	return strings.Join(parts, " ")
+}
