--- /dev/null
+++ b/internal/samplingerror/errors.go
@@ -0,0 +1,63 @@
+package main
+
+import (
+	"math"
+
+	"gonum.org/v1/gonum/stat"
+)
+
+const (
+	// warmupSeconds are left out, because the intake still divides its pace among the senders.
+	warmupSeconds = 5
+
+	// minShare leaves out endpoints with less than one in minShare of all attempts of a second.
+	minShare = 100
+)
+
+// relativeError summarises the relative errors of an estimate.
+type relativeError struct {
+	rms  float64 // root mean square
+	bias float64 // mean
+}
+
+// compare returns the relative errors over seconds and endpoints, without the warm-up and small endpoints.
+func compare(estimate, truth [][]float64) relativeError {
+	var squares, signed []float64
+	for second := warmupSeconds; second < seconds; second++ {
+		all := 0.0
+		for _, n := range truth[second] {
+			all += n
+		}
+		for endpoint, n := range truth[second] {
+			if n < all/minShare {
+				continue
+			}
+			deviation := (estimate[second][endpoint] - n) / n
+			squares = append(squares, deviation*deviation)
+			signed = append(signed, deviation)
+		}
+	}
+	return relativeError{rms: math.Sqrt(stat.Mean(squares, nil)), bias: stat.Mean(signed, nil)}
+}
+
+// uniformSampleError returns the standard error of a uniform sample in theory: each line is kept with the same
+// probability p, so the variance of an endpoint's sum is (1-p)/p times the sum of the squares of its lines.
+func uniformSampleError(lines []line, p float64) float64 {
+	type key struct{ second, endpoint int }
+	sums := map[key]float64{}
+	squares := map[key]float64{}
+	all := map[int]float64{}
+	for _, l := range lines {
+		k := key{l.second, l.endpoint}
+		sums[k] += l.tries
+		squares[k] += l.tries * l.tries
+		all[l.second] += l.tries
+	}
+	var variances []float64
+	for k, n := range sums {
+		if n >= all[k.second]/minShare {
+			variances = append(variances, (1-p)/p*squares[k]/(n*n))
+		}
+	}
+	return math.Sqrt(stat.Mean(variances, nil))
+}
--- /dev/null
+++ b/internal/samplingerror/methods.go
@@ -0,0 +1,179 @@
+package main
+
+import (
+	"math"
+	"math/rand/v2"
+	"slices"
+
+	"indigousher/planner"
+	"indigousher/telemetry"
+)
+
+// method estimates the attempts by second and endpoint from a fraction of the lines.
+type method struct {
+	name     string
+	estimate func(lines []line, fraction float64, rnd *rand.Rand) [][]float64
+}
+
+// methods are listed in the order of the table in docs/intake.md.
+var methods = []method{
+	{"drop newest", dropNewest},
+	{"drop oldest", dropOldest},
+	{"reservoir", reservoir},
+	{"priority sample", prioritySample},
+	{"heavy hitters (space saving)", spaceSaving},
+	{"intake: merged by key", func(lines []line, fraction float64, _ *rand.Rand) [][]float64 {
+		const noAgeing = 1e9
+		return intake(lines, fraction, noAgeing)
+	}},
+	{"intake: merged, aged (5 s)", func(lines []line, fraction float64, _ *rand.Rand) [][]float64 {
+		return intake(lines, fraction, 5000)
+	}},
+}
+
+// scaled returns the attempts of a kept line, scaled up to all lines of its second.
+func scaled(l line, all, keep int) float64 {
+	return l.tries * float64(all) / float64(keep)
+}
+
+// dropNewest keeps the first lines of each second.
+func dropNewest(lines []line, fraction float64, _ *rand.Rand) [][]float64 {
+	estimate := newEstimate()
+	bySecond(lines, fraction, func(second int, lines []line, keep int) {
+		for _, l := range lines[:keep] {
+			estimate[second][l.endpoint] += scaled(l, len(lines), keep)
+		}
+	})
+	return estimate
+}
+
+// dropOldest keeps the last lines of each second.
+func dropOldest(lines []line, fraction float64, _ *rand.Rand) [][]float64 {
+	estimate := newEstimate()
+	bySecond(lines, fraction, func(second int, lines []line, keep int) {
+		for _, l := range lines[len(lines)-keep:] {
+			estimate[second][l.endpoint] += scaled(l, len(lines), keep)
+		}
+	})
+	return estimate
+}
+
+// reservoir keeps a uniform sample of each second.
+func reservoir(lines []line, fraction float64, rnd *rand.Rand) [][]float64 {
+	estimate := newEstimate()
+	bySecond(lines, fraction, func(second int, lines []line, keep int) {
+		for _, i := range rnd.Perm(len(lines))[:keep] {
+			estimate[second][lines[i].endpoint] += scaled(lines[i], len(lines), keep)
+		}
+	})
+	return estimate
+}
+
+// prioritySample keeps the lines of the highest priority, which is the attempts over a uniform random number. A line
+// counts as the first priority that is not kept if it has fewer attempts (Duffield, Lund, Thorup: priority sampling).
+func prioritySample(lines []line, fraction float64, rnd *rand.Rand) [][]float64 {
+	type ranked struct {
+		line
+		priority float64
+	}
+	estimate := newEstimate()
+	bySecond(lines, fraction, func(second int, lines []line, keep int) {
+		var all []ranked
+		for _, l := range lines {
+			all = append(all, ranked{l, l.tries / (1 - rnd.Float64())})
+		}
+		slices.SortFunc(all, func(a, b ranked) int { return int(math.Copysign(1, b.priority-a.priority)) })
+		threshold := 0.0
+		if keep < len(all) {
+			threshold = all[keep].priority
+		}
+		for _, l := range all[:keep] {
+			estimate[second][l.endpoint] += math.Max(l.tries, threshold)
+		}
+	})
+	return estimate
+}
+
+// spaceSaving counts the endpoints with the most attempts with a limited number of counters (Metwally et al.: Space-Saving).
+func spaceSaving(lines []line, fraction float64, _ *rand.Rand) [][]float64 {
+	estimate := newEstimate()
+	counters := max(1, int(fraction*endpoints))
+	bySecond(lines, 1, func(second int, lines []line, _ int) {
+		counts := map[int]float64{}
+		for _, l := range lines {
+			if _, ok := counts[l.endpoint]; !ok && len(counts) >= counters {
+				smallest := smallestCounter(counts)
+				counts[l.endpoint] = counts[smallest]
+				delete(counts, smallest)
+			}
+			counts[l.endpoint] += l.tries
+		}
+		for endpoint, n := range counts {
+			estimate[second][endpoint] = n
+		}
+	})
+	return estimate
+}
+
+// smallestCounter returns the endpoint with the smallest count, of equal ones the first; -1 if there are no counters.
+func smallestCounter(counts map[int]float64) int {
+	smallest := -1
+	for endpoint := range endpoints {
+		n, ok := counts[endpoint]
+		if ok && (smallest < 0 || n < counts[smallest]) {
+			smallest = endpoint
+		}
+	}
+	return smallest
+}
+
+// intake passes the lines through the telemetry package at a pace that keeps a fraction of them. halfMs is the age at
+// which a figure has half its weight.
+func intake(lines []line, fraction, halfMs float64) [][]float64 {
+	aggregator := newAggregator(lines, fraction, halfMs)
+	estimate := newEstimate()
+	bySecond(lines, 1, func(second int, lines []line, _ int) {
+		addReports(aggregator, second, lines)
+		end := float64(second+1) * 1000
+		if second > 0 { // an endpoint without a new figure keeps its last one
+			copy(estimate[second], estimate[second-1])
+		}
+		for _, m := range aggregator.Flush(end, 1000).Mets {
+			estimate[second][m.Endpoint] = m.Tries / m.SpanMs * 1000
+		}
+		aggregator.Rebalance(end)
+	})
+	return estimate
+}
+
+// newAggregator returns an aggregator that knows all endpoints and senders.
+func newAggregator(lines []line, fraction, halfMs float64) *telemetry.Aggregator[int] {
+	pace := fraction * float64(len(lines)) / seconds
+	if fraction == 1 {
+		pace = 0 // no limit
+	}
+	aggregator := telemetry.New[int](telemetry.Options{LinesPerS: pace, PeriodMs: 1000, HalfMs: halfMs, LongestMs: 60000, Slowest: 1})
+	for endpoint := range endpoints {
+		aggregator.UpdateEndpoint(0, endpoint, planner.Ready, 0)
+	}
+	for sender := range senders {
+		aggregator.Join(0, sender, 0)
+	}
+	return aggregator
+}
+
+// addReports adds the lines of one second as a report of each sender, spread evenly over the second.
+func addReports(aggregator *telemetry.Aggregator[int], second int, lines []line) {
+	for len(lines) > 0 {
+		sender := lines[0].sender
+		now := (float64(second) + float64(sender+1)/senders) * 1000
+		report := telemetry.Report[int]{Sender: sender, Seq: uint64(second + 1), AtMs: now, SpanMs: 1000}
+		n := 0
+		for n < len(lines) && lines[n].sender == sender {
+			report.Lines = append(report.Lines, telemetry.Line[int]{Endpoint: lines[n].endpoint, Tries: int(lines[n].tries)})
+			n++
+		}
+		aggregator.Add(now, &report)
+		lines = lines[n:]
+	}
+}
--- /dev/null
+++ b/internal/samplingerror/stream.go
@@ -0,0 +1,68 @@
+package main
+
+import (
+	"math"
+	"math/rand/v2"
+
+	"gonum.org/v1/gonum/stat/distuv"
+)
+
+// Size of the stream: senders of different size report once a second on endpoints of different load.
+const (
+	senders   = 300
+	endpoints = 80
+	seconds   = 40
+)
+
+// line is one report line. The second and the sender identify its report.
+type line struct {
+	second   int
+	sender   int
+	endpoint int
+	tries    float64 // attempts that the sender made at the endpoint
+}
+
+// drawStream draws the lines in the order of their arrival, and returns the true attempts by second and endpoint. Within a
+// second the senders always report in the same order.
+func drawStream(seed uint64) (lines []line, truth [][]float64) {
+	source := rand.NewPCG(seed, 1)
+	rnd := rand.New(source)
+	sizes := make([]float64, senders)
+	for s := range sizes {
+		sizes[s] = math.Exp(rnd.NormFloat64())
+	}
+	truth = newEstimate()
+	for second := range seconds {
+		for sender := range senders {
+			for endpoint := range endpoints {
+				rate := 4 * sizes[sender] / (1 + 0.1*float64(endpoint))
+				tries := distuv.Poisson{Lambda: rate, Src: source}.Rand()
+				if tries > 0 {
+					lines = append(lines, line{second, sender, endpoint, tries})
+					truth[second][endpoint] += tries
+				}
+			}
+		}
+	}
+	return lines, truth
+}
+
+// newEstimate returns zero attempts by second and endpoint.
+func newEstimate() (estimate [][]float64) {
+	for range seconds {
+		estimate = append(estimate, make([]float64, endpoints))
+	}
+	return estimate
+}
+
+// bySecond calls visit with the lines of each second and the number of them that may be kept, 1 at least.
+func bySecond(lines []line, fraction float64, visit func(second int, lines []line, keep int)) {
+	for len(lines) > 0 {
+		n := 1
+		for n < len(lines) && lines[n].second == lines[0].second {
+			n++
+		}
+		visit(lines[0].second, lines[:n], max(1, int(fraction*float64(n))))
+		lines = lines[n:]
+	}
+}
