--- a/internal/protogen/main.go
+++ b/internal/protogen/main.go
@@ -1,5 +1,5 @@
-// Command protogen compiles .proto files and runs the two Go generators, at the versions that go.mod pins, so that one
-// command reproduces the generated code without a compiler of another origin. It is run by go generate.
+// Command protogen compiles .proto files and runs the two Go generators, protoc-gen-go and protoc-gen-go-grpc, at the
+// versions that go.mod pins. So the generated code is reproducible without an installed protoc. go generate runs it.
 package main
 
 import (
@@ -17,57 +17,80 @@
 	"google.golang.org/protobuf/types/pluginpb"
 )
 
+// plugins are the packages of the generators.
+var plugins = []string{
+	"google.golang.org/protobuf/cmd/protoc-gen-go",
+	"google.golang.org/grpc/cmd/protoc-gen-go-grpc",
+}
+
+// generatedMode is the mode of generated files, which are checked in.
+const generatedMode = 0o644
+
 func main() {
 	if len(os.Args) < 3 {
 		fmt.Fprintln(os.Stderr, "usage: protogen ROOT FILE...")
 		os.Exit(2)
 	}
-	if err := run(os.Args[1], os.Args[2:]); err != nil {
+	if err := run(context.Background(), os.Args[1], os.Args[2:]); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-func run(root string, files []string) error {
-	c := protocompile.Compiler{Resolver: protocompile.WithStandardImports(&protocompile.SourceResolver{
-		ImportPaths: []string{root}}), SourceInfoMode: protocompile.SourceInfoStandard}
-	compiled, err := c.Compile(context.Background(), files...)
-	if err != nil {
-		return fmt.Errorf("compile: %w", err)
-	}
-	req := &pluginpb.CodeGeneratorRequest{FileToGenerate: files, Parameter: proto.String("paths=source_relative")}
-	for _, f := range compiled {
-		req.ProtoFile = append(req.ProtoFile, protodesc.ToFileDescriptorProto(f))
-	}
-	in, err := proto.Marshal(req)
+// run compiles the files, whose paths are relative to root, and writes the generated code beside them.
+func run(ctx context.Context, root string, files []string) error {
+	request, err := compile(ctx, root, files)
 	if err != nil {
-		return fmt.Errorf("lay out request: %w", err)
+		return err
 	}
-	for _, plugin := range []string{"google.golang.org/protobuf/cmd/protoc-gen-go", "google.golang.org/grpc/cmd/protoc-gen-go-grpc"} {
-		if err := generate(plugin, in, root); err != nil {
+	for _, plugin := range plugins {
+		if err := generate(ctx, plugin, request, root); err != nil {
 			return fmt.Errorf("%s: %w", plugin, err)
 		}
 	}
 	return nil
 }
 
-func generate(plugin string, in []byte, root string) error {
-	cmd := exec.Command("go", "run", plugin)
-	cmd.Stdin, cmd.Stderr = bytes.NewReader(in), os.Stderr
-	out, err := cmd.Output()
+// compile returns the encoded request that generators expect on standard input.
+func compile(ctx context.Context, root string, files []string) ([]byte, error) {
+	compiler := protocompile.Compiler{
+		Resolver:       protocompile.WithStandardImports(&protocompile.SourceResolver{ImportPaths: []string{root}}),
+		SourceInfoMode: protocompile.SourceInfoStandard,
+	}
+	compiled, err := compiler.Compile(ctx, files...)
+	if err != nil {
+		return nil, fmt.Errorf("compile: %w", err)
+	}
+	request := &pluginpb.CodeGeneratorRequest{FileToGenerate: files, Parameter: proto.String("paths=source_relative")}
+	for _, file := range compiled {
+		request.ProtoFile = append(request.ProtoFile, protodesc.ToFileDescriptorProto(file))
+	}
+	encoded, err := proto.Marshal(request)
+	if err != nil {
+		return nil, fmt.Errorf("encode request: %w", err)
+	}
+	return encoded, nil
+}
+
+// generate runs one generator and writes the files of its response below root.
+func generate(ctx context.Context, plugin string, request []byte, root string) error {
+	cmd := exec.CommandContext(ctx, "go", "run", plugin)
+	cmd.Stdin = bytes.NewReader(request)
+	cmd.Stderr = os.Stderr
+	output, err := cmd.Output()
 	if err != nil {
-		return err
+		return fmt.Errorf("run: %w", err)
 	}
-	var resp pluginpb.CodeGeneratorResponse
-	if err := proto.Unmarshal(out, &resp); err != nil {
-		return fmt.Errorf("read answer: %w", err)
+	var response pluginpb.CodeGeneratorResponse
+	if err := proto.Unmarshal(output, &response); err != nil {
+		return fmt.Errorf("decode response: %w", err)
 	}
-	if resp.Error != nil {
-		return errors.New(resp.GetError())
+	if response.Error != nil {
+		return errors.New(response.GetError())
 	}
-	for _, f := range resp.File {
-		if err := os.WriteFile(filepath.Join(root, f.GetName()), []byte(f.GetContent()), 0o644); err != nil {
-			return err
+	for _, file := range response.File {
+		if err := os.WriteFile(filepath.Join(root, file.GetName()), []byte(file.GetContent()), generatedMode); err != nil {
+			return fmt.Errorf("write generated file: %w", err)
 		}
 	}
 	return nil
