--- a/internal/config/planner_settings.go
+++ b/internal/config/planner_settings.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// PlannerSettings returns the settings for the planner, by the planner's keys. Records keep them as JSON, so all numbers
-// are float64. Durations are in milliseconds; zones, machine types and classes are indices into their lists.
+// PlannerSettings returns the settings for the planner, by the planner's keys. Records keep them as JSON, so all
+// numbers are float64. Durations are in milliseconds; zones and machine types of classes are indices into their lists.
 func (c *Common) PlannerSettings(rank int) map[string]any {
 	return map[string]any{
 		"zones":         stringValues(c.Zones),
--- a/internal/config/source.go
+++ b/internal/config/source.go
@@ -64,7 +64,9 @@
 			operators++
 		}
 		if depth > maxNesting || operators > maxOperators {
-			return hcl.Diagnostics{Diagnostic(token.Range, "nested deeper than %d, or more than %d signs", maxNesting, maxOperators)}
+			return hcl.Diagnostics{
+				Diagnostic(token.Range, "nested deeper than %d, or more than %d signs", maxNesting, maxOperators),
+			}
 		}
 	}
 	return nil
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -36,8 +36,8 @@
 	return v.diags
 }
 
-// validateNames checks that there are classes, that no zone or machine type is listed twice, and that the wire can carry
-// all names.
+// validateNames checks that there are classes, that no zone or machine type is listed twice, and that the wire can
+// carry all names.
 func (p *Pilot) validateNames(v *validator) {
 	if len(p.Kinds) == 0 {
 		v.errorf("no req_kind is told")
--- a/internal/samplingerror/methods.go
+++ b/internal/samplingerror/methods.go
@@ -94,7 +94,8 @@
 	return estimate
 }
 
-// spaceSaving counts the endpoints with the most attempts with a limited number of counters (Metwally et al.: Space-Saving).
+// spaceSaving counts the endpoints with the most attempts with a limited number of counters (Metwally et al.:
+// Space-Saving).
 func spaceSaving(lines []line, fraction float64, _ *rand.Rand) [][]float64 {
 	estimate := newEstimate()
 	counters := max(1, int(fraction*endpoints))
@@ -152,7 +153,13 @@
 	if fraction == 1 {
 		pace = 0 // no limit
 	}
-	aggregator := telemetry.New[int](telemetry.Options{LinesPerS: pace, PeriodMs: 1000, HalfMs: halfMs, LongestMs: 60000, Slowest: 1})
+	aggregator := telemetry.New[int](telemetry.Options{
+		LinesPerS: pace,
+		PeriodMs:  1000,
+		HalfMs:    halfMs,
+		LongestMs: 60000,
+		Slowest:   1,
+	})
 	for endpoint := range endpoints {
 		aggregator.UpdateEndpoint(0, endpoint, planner.Ready, 0)
 	}
@@ -170,7 +177,8 @@
 		report := telemetry.Report[int]{Sender: sender, Seq: uint64(second + 1), AtMs: now, SpanMs: 1000}
 		n := 0
 		for n < len(lines) && lines[n].sender == sender {
-			report.Lines = append(report.Lines, telemetry.Line[int]{Endpoint: lines[n].endpoint, Tries: int(lines[n].tries)})
+			l := telemetry.Line[int]{Endpoint: lines[n].endpoint, Tries: int(lines[n].tries)}
+			report.Lines = append(report.Lines, l)
 			n++
 		}
 		aggregator.Add(now, &report)
--- a/internal/samplingerror/stream.go
+++ b/internal/samplingerror/stream.go
@@ -22,8 +22,8 @@
 	tries    float64 // attempts that the sender made at the endpoint
 }
 
-// drawStream draws the lines in the order of their arrival, and returns the true attempts by second and endpoint. Within a
-// second the senders always report in the same order.
+// drawStream draws the lines in the order of their arrival, and returns the true attempts by second and endpoint.
+// Within a second the senders always report in the same order.
 func drawStream(seed uint64) (lines []line, truth [][]float64) {
 	source := rand.NewPCG(seed, 1)
 	rnd := rand.New(source)
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -24,10 +24,10 @@
 	Kind  string        `json:"Kind"`  // request class that is affected
 	Part  float64       `json:"Part"`  // fraction of those that match Who; 0: all
 	Count int           `json:"Count"` // number of those that match Who, overrides Part; 0: by Part
-	Size  float64       `json:"Size"`
-	Loss  float64       `json:"Loss"` // probability that a message is lost
-	Every time.Duration `json:"Every"`
-	Extra time.Duration `json:"Extra"`
+	Size  float64       `json:"Size"`  // strength, in a unit that depends on What
+	Loss  float64       `json:"Loss"`  // probability that a message is lost
+	Every time.Duration `json:"Every"` // between repetitions, or from one affected name to the next
+	Extra time.Duration `json:"Extra"` // additional delay
 }
 
 // faultTypes lists the faults that can be played, in the order of the error about an unknown one.
--- a/internal/scenario/read.go
+++ b/internal/scenario/read.go
@@ -33,8 +33,8 @@
 	return s, nil
 }
 
-// inherit copies the fleet, the settings and the load of the scenario that the attribute like names, but not its faults.
-// Request classes, demands and groups are not copied if the body has blocks of their type.
+// inherit copies the fleet, the settings and the load of the scenario that the attribute like names, but not its
+// faults. Request classes, demands and groups are not copied if the body has blocks of their type.
 func (s *Scenario) inherit(body *hclsyntax.Body) hcl.Diagnostics {
 	like := body.Attributes["like"]
 	if like == nil {
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,6 +1,6 @@
-// Package scenario reads scenario files in HCL: a fleet, the load that clients put on it and the faults that happen. The
-// rehearsal plays a scenario over sockets, the emulator in virtual time. docs/rehearsal.md describes the files, which
-// users know as days.
+// Package scenario reads scenario files in HCL: a fleet, the load that clients put on it and the faults that happen.
+// The rehearsal plays a scenario over sockets, the emulator in virtual time. docs/rehearsal.md describes the files,
+// which users know as days.
 package scenario
 
 import (
@@ -26,7 +26,7 @@
 	Keys          bool          `json:"Keys"`         // TLS on all streams, by an authority of the scenario's own
 	Record        bool          `json:"Record"`       // pilots record their inputs and recover from them
 	Standing      int           `json:"Standing"`     // endpoints in a proxy's bootstrap table
-	Redial        time.Duration `json:"Redial"`       // backoff between a proxy's connection attempts
+	Redial        time.Duration `json:"Redial"`       // mean backoff before a proxy connects again
 	Apply         time.Duration `json:"Apply"`        // time that a proxy takes to apply one line
 	EjectFor      time.Duration `json:"EjectFor"`     // time that a proxy ejects an endpoint
 	Beat          time.Duration `json:"Beat"`         // heartbeat interval
@@ -77,7 +77,7 @@
 	MaxConnections int           `json:"Conns"`
 	Handshake      time.Duration `json:"Handshake"`  // work of accepting a connection
 	Discipline     string        `json:"Discipline"` // disciplineQueue or disciplineSharing
-	Thrash         float64       `json:"Thrash"`     // slowdown of all requests by each one beyond the cores (emulator only)
+	Thrash         float64       `json:"Thrash"`     // slowdown by each request beyond the cores (emulator only)
 }
 
 // Values of Group.Discipline.
--- a/internal/wire/collapse.go
+++ b/internal/wire/collapse.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Collapse returns the fewest operations with the same effect. Of several on one line, level, exclusion or table only the
-// last is kept, and operations on a table that a later OpBind, OpClear or OpRange resets are dropped. The order is
+// Collapse returns the fewest operations with the same effect. Of several on one line, level, exclusion or table only
+// the last is kept, and operations on a table that a later OpBind, OpClear or OpRange resets are dropped. The order is
 // otherwise kept.
 func Collapse(ops []Op) []Op {
 	seen := map[opKey]bool{}
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -35,13 +35,13 @@
 
 // The types of operations. Their values are part of the protocol.
 const (
-	OpBind     OpKind = 1 // assign a table to the classes Kinds: its old lines and levels are dropped, OpSet and OpAdmit follow
+	OpBind     OpKind = 1 // assign a table to the classes Kinds and reset it; OpSet and OpAdmit follow
 	OpSet      OpKind = 2 // set the weight of an endpoint in a table; 0 removes it
 	OpClear    OpKind = 3 // remove the lines and levels of a table
 	OpWithdraw OpKind = 4 // exclude an endpoint (Out) or let it in again
 	OpAdmit    OpKind = 5 // set the admission level and the retry policy of the classes Kinds
 	OpMark     OpKind = 6 // answer with Done
-	OpRange    OpKind = 7 // assign a table, which begins empty, to the keys from From to To; Out: no longer
+	OpRange    OpKind = 7 // assign a table to the keys from From to To and reset it; Out: remove the assignment
 )
 
 // Op is one operation of Orders. Kind decides which of the other fields are used and encoded.
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -113,8 +113,8 @@
 
 func (m *Refuse) decode(d *decoder) { m.Reason = d.text() }
 
-// Beat is a heartbeat, sent when a side has nothing else to send. Seen is the number of the last frame of the other side
-// that was processed: a proxy whose heartbeats arrive while its Seen doesn't advance has stopped reading.
+// Beat is a heartbeat, sent when a side has nothing else to send. Seen is the number of the last frame of the other
+// side that was processed: a proxy whose heartbeats arrive while its Seen doesn't advance has stopped reading.
 type Beat struct{ Seen uint32 }
 
 func (*Beat) messageType() Type { return typeBeat }
--- a/internal/wire/slices.go
+++ b/internal/wire/slices.go
@@ -1,7 +1,7 @@
 package wire
 
-// Slices notifies a pilot that the store has assigned a key slice to it, with the stored lines of the slice, or has taken
-// the slice away.
+// Slices notifies a pilot that the store has assigned a key slice to it, with the stored lines of the slice, or has
+// taken the slice away.
 type Slices struct {
 	Slice int        `json:"Slice"`
 	Given bool       `json:"Given"` // assigned, not taken away
