--- a/internal/config/endpoint_list_test.go
+++ b/internal/config/endpoint_list_test.go
@@ -18,7 +18,9 @@
 		entries          []wire.Entry
 	}{
 		{
-			"two", "endpoint \"x:1\" {\n  zone = \"a\"\n}\nendpoint \"y:1\" {\n  zone = \"b\"\n  phase = \"draining\"\n  started = \"2026-01-02T03:04:05Z\"\n}",
+			"two endpoints",
+			"endpoint \"x:1\" {\n  zone = \"a\"\n}\n" +
+				"endpoint \"y:1\" {\n  zone = \"b\"\n  phase = \"draining\"\n  started = \"2026-01-02T03:04:05Z\"\n}",
 			"",
 			[]wire.Entry{{Endpoint: "x:1", Zone: "a", Weight: 1}, {
 				Endpoint: "y:1", Zone: "b", Weight: 1,
@@ -26,26 +28,46 @@
 			}},
 		},
 		{"empty", "", "l.hcl:1:1: no endpoint stands here", nil},
-		{"cut off", "endpoint \"x\" {\n  zone = \"a\"\n", "l.hcl:1:14: Unclosed configuration block", nil},
-		{"no name", "endpoint \"\" {\n  zone = \"a\"\n}", "l.hcl:1:13: a name of 0 bytes", nil},
-		{"a long name", "endpoint \"" + strings.Repeat("x", 256) + "\" {\n  zone = \"a\"\n}", "a name of 256 bytes", nil},
-		{"a huge weight", "endpoint \"x\" {\n  zone = \"a\"\n  weight = 1e308\n}", "l.hcl:3:12: weight: 1e+308 is outside", nil},
-		{"a weight of next to nothing", "endpoint \"x\" {\n  zone = \"a\"\n  weight = 1e-300\n}", "weight 1e-300", nil},
-		{"infinite", "endpoint \"x\" {\n  zone = \"a\"\n  weight = 1e400\n}", "l.hcl:3:12: weight:", nil},
-		{"a negative cell", "endpoint \"x\" {\n  zone = \"a\"\n  cell = -1\n}", "l.hcl:3:10: cell: -1 is outside", nil},
-		{"a cell beyond", "endpoint \"x\" {\n  zone = \"a\"\n  cell = 1e300\n}", "l.hcl:3:10: cell:", nil},
+		{"truncated", "endpoint \"x\" {\n  zone = \"a\"\n", "l.hcl:1:14: Unclosed configuration block", nil},
+		{"empty address", "endpoint \"\" {\n  zone = \"a\"\n}", "l.hcl:1:13: a name of 0 bytes", nil},
+		{
+			"address too long",
+			"endpoint \"" + strings.Repeat("x", 256) + "\" {\n  zone = \"a\"\n}",
+			"a name of 256 bytes",
+			nil,
+		},
+		{
+			"weight above the maximum",
+			"endpoint \"x\" {\n  zone = \"a\"\n  weight = 1e308\n}",
+			"l.hcl:3:12: weight: 1e+308 is outside",
+			nil,
+		},
+		{"weight below the minimum", "endpoint \"x\" {\n  zone = \"a\"\n  weight = 1e-300\n}", "weight 1e-300", nil},
+		{"weight beyond float64", "endpoint \"x\" {\n  zone = \"a\"\n  weight = 1e400\n}", "l.hcl:3:12: weight:", nil},
+		{"negative cell", "endpoint \"x\" {\n  zone = \"a\"\n  cell = -1\n}", "l.hcl:3:10: cell: -1 is outside", nil},
+		{"cell beyond int", "endpoint \"x\" {\n  zone = \"a\"\n  cell = 1e300\n}", "l.hcl:3:10: cell:", nil},
 		{"wrong type", "endpoint \"x\" {\n  zone = [1]\n}", "l.hcl:2:10: zone:", nil},
-		{"unknown", "endpoint \"x\" {\n  zone = \"a\"\n  zoen = 1\n}", "l.hcl:3:3: \"zoen\" is not known here", nil},
+		{
+			"unknown attribute",
+			"endpoint \"x\" {\n  zone = \"a\"\n  zoen = 1\n}",
+			"l.hcl:3:3: \"zoen\" is not known here",
+			nil,
+		},
 		{"not UTF-8", "endpoint \"\xff\" {\n  zone = \"a\"\n}", "l.hcl:1:11: Invalid", nil},
 		{"nested blocks", strings.Repeat("a {\n", 100000), "l.hcl:201:3: nested deeper than 200", nil},
 		{"nested lists", "x = " + strings.Repeat("[", 100000), "l.hcl:1:205: nested deeper than 200", nil},
-		{"closed in texts", "x = " + strings.Repeat("[\"]\",", 100000), "nested deeper than 200", nil},
+		{"closing brackets in strings only", "x = " + strings.Repeat("[\"]\",", 100000), "nested deeper than 200", nil},
 		{"nested templates", "x = " + strings.Repeat("\"${", 100000), "nested deeper than 200", nil},
-		{"signs without an end", "x = " + strings.Repeat("!", 100000), "or more than 10000 signs", nil},
-		{"questions without an end", "x = " + strings.Repeat("a?b:", 100000), "or more than 10000 signs", nil},
-		{"long", strings.Repeat("#", MaxBytes+1), "l.hcl:1:1: longer than 16777216 bytes", nil},
-		{"twice", "endpoint \"x\" {\n  zone = \"a\"\n}\nendpoint \"x\" {\n  zone = \"a\"\n}", "l.hcl:4:14: endpoint \"x\" stands here twice", nil},
-		{"a bad time", "endpoint \"x\" {\n  zone = \"a\"\n  started = \"noon\"\n}", "l.hcl:3:13: started:", nil},
+		{"too many operators", "x = " + strings.Repeat("!", 100000), "or more than 10000 signs", nil},
+		{"too many conditionals", "x = " + strings.Repeat("a?b:", 100000), "or more than 10000 signs", nil},
+		{"text too long", strings.Repeat("#", MaxBytes+1), "l.hcl:1:1: longer than 16777216 bytes", nil},
+		{
+			"duplicate endpoint",
+			"endpoint \"x\" {\n  zone = \"a\"\n}\nendpoint \"x\" {\n  zone = \"a\"\n}",
+			"l.hcl:4:14: endpoint \"x\" stands here twice",
+			nil,
+		},
+		{"malformed time", "endpoint \"x\" {\n  zone = \"a\"\n  started = \"noon\"\n}", "l.hcl:3:13: started:", nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, err := ParseList("l.hcl", []byte(c.text))
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -88,7 +88,11 @@
 		{"unknown base", `like = "no-such"`, `s.hcl:1:8: like: "no-such" is none of`},
 		{"no fleet", "zones = [\"a\"]\nmachines = []\n", "a day wants proxies, endpoints and demand"},
 		{"unknown attribute", small + `zone = "c"`, `s.hcl:15:1: "zone" is not known here`},
-		{"unknown zone of a proxy", strings.Replace(small, `proxies = ["a", "b"]`, `proxies = ["c"]`, 1), `"c" is no zone of this day`},
+		{
+			"unknown zone of a proxy",
+			strings.Replace(small, `proxies = ["a", "b"]`, `proxies = ["c"]`, 1),
+			`"c" is no zone of this day`,
+		},
 		{"unknown zone of a group", small + `endpoints "std" { zone = "c" }`, `s.hcl:15:26: zone: "c" is none of a, b`},
 		{"unknown class", small + `demand "write" {}`, `demand for "write", which is no req_kind`},
 		{"unknown fault", small + `trouble "flood" {}`, `trouble "flood" is not known; there are hang,`},
--- a/internal/wire/collapse_test.go
+++ b/internal/wire/collapse_test.go
@@ -15,7 +15,11 @@
 		name     string
 		in, want []Op
 	}{
-		{"the last weight of a line counts", []Op{set(1, "x", 1), set(1, "y", 1), set(1, "x", 2)}, []Op{set(1, "y", 1), set(1, "x", 2)}},
+		{
+			"the last weight of a line counts",
+			[]Op{set(1, "x", 1), set(1, "y", 1), set(1, "x", 2)},
+			[]Op{set(1, "y", 1), set(1, "x", 2)},
+		},
 		{"lines of other tables stay", []Op{set(1, "x", 1), set(2, "x", 2)}, []Op{set(1, "x", 1), set(2, "x", 2)}},
 		{
 			"a clear drops earlier lines and levels of its table",
@@ -32,7 +36,11 @@
 			[]Op{{Kind: OpWithdraw, Endpoint: "x", Out: true}, {Kind: OpWithdraw, Endpoint: "x"}, {Kind: OpBind}},
 			[]Op{{Kind: OpWithdraw, Endpoint: "x"}, {Kind: OpBind}},
 		},
-		{"each mark is answered", []Op{{Kind: OpMark, Number: 1}, {Kind: OpMark, Number: 2}}, []Op{{Kind: OpMark, Number: 1}, {Kind: OpMark, Number: 2}}},
+		{
+			"each mark is answered",
+			[]Op{{Kind: OpMark, Number: 1}, {Kind: OpMark, Number: 2}},
+			[]Op{{Kind: OpMark, Number: 1}, {Kind: OpMark, Number: 2}},
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			assert.Equal(t, c.want, Collapse(c.in))
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -55,7 +55,8 @@
 	return e.b
 }
 
-// FuzzDecode checks that no body crashes the decoder, and that an accepted message is the same after it is encoded again.
+// FuzzDecode checks that no body crashes the decoder, and that an accepted message is the same after it is encoded
+// again.
 func FuzzDecode(f *testing.F) {
 	for _, m := range samples {
 		f.Add(byte(m.messageType()), encodeBody(m))
