--- /dev/null
+++ b/internal/identity/tls.go
@@ -0,0 +1,82 @@
+package identity
+
+import (
+	"crypto/tls"
+	"crypto/x509"
+	"fmt"
+	"slices"
+)
+
+// nextProtos is the protocol that gRPC negotiates. The framed protocol ignores it.
+var nextProtos = []string{"h2"}
+
+// Server returns the configuration of a listener that admits the given roles. Each handshake uses the keys in force.
+func (k *KeyStore) Server(let ...Role) *tls.Config {
+	return &tls.Config{
+		MinVersion: tls.VersionTLS13,
+		NextProtos: nextProtos,
+		GetConfigForClient: func(hello *tls.ClientHelloInfo) (*tls.Config, error) {
+			return k.serverConfig(hello, let), nil
+		},
+	}
+}
+
+// serverConfig returns the configuration of one handshake.
+func (k *KeyStore) serverConfig(hello *tls.ClientHelloInfo, let []Role) *tls.Config {
+	cert, pool := k.current()
+	return &tls.Config{
+		MinVersion:   tls.VersionTLS13,
+		NextProtos:   nextProtos,
+		Certificates: []tls.Certificate{*cert},
+		ClientAuth:   tls.RequireAnyClientCert, // VerifyConnection checks the chain and the identity
+		VerifyConnection: func(s tls.ConnectionState) error {
+			err := verify(s, pool, x509.ExtKeyUsageClientAuth, let)
+			if err != nil && k.refused != nil {
+				k.refused(hello.Conn.RemoteAddr(), err)
+			}
+			return err
+		},
+	}
+}
+
+// Client returns the configuration for dialling a peer with one of the given roles. The peer's identity is verified,
+// not its host name.
+func (k *KeyStore) Client(want ...Role) *tls.Config {
+	return &tls.Config{
+		MinVersion:         tls.VersionTLS13,
+		NextProtos:         nextProtos,
+		InsecureSkipVerify: true, // no host name; VerifyConnection checks the chain and the identity
+		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
+			cert, _ := k.current()
+			return cert, nil
+		},
+		VerifyConnection: func(s tls.ConnectionState) error {
+			_, pool := k.current()
+			return verify(s, pool, x509.ExtKeyUsageServerAuth, want)
+		},
+	}
+}
+
+// verify checks a peer's certificate chain and role.
+func verify(s tls.ConnectionState, pool *x509.CertPool, use x509.ExtKeyUsage, let []Role) error {
+	if len(s.PeerCertificates) == 0 {
+		return fmt.Errorf("no certificate: %w", ErrIdentity)
+	}
+	leaf := s.PeerCertificates[0]
+	intermediates := x509.NewCertPool()
+	for _, c := range s.PeerCertificates[1:] {
+		intermediates.AddCert(c)
+	}
+	options := x509.VerifyOptions{Roots: pool, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{use}}
+	if _, err := leaf.Verify(options); err != nil {
+		return fmt.Errorf("certificate %q: %w", leaf.Subject.CommonName, err)
+	}
+	identity, err := FromCertificate(leaf)
+	if err != nil {
+		return err
+	}
+	if !slices.Contains(let, identity.Role) {
+		return fmt.Errorf("%s among %v: %w", identity, let, ErrIdentity)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/platform/relay/eventstream_test.go
@@ -0,0 +1,220 @@
+package relay
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"go.uber.org/zap"
+)
+
+func joined(proxy int, cold bool) string {
+	return fmt.Sprintf(`{"type":"joined","object":{"node":%d,"locality":"a","w":2.5,"cold":%t}}`, proxy, cold)
+}
+
+func left(proxy int) string { return fmt.Sprintf(`{"type":"left","object":{"node":%d}}`, proxy) }
+
+func applied(proxy, number int) string {
+	return fmt.Sprintf(`{"type":"applied","object":{"node":%d,"nonce":%d,"latency":3}}`, proxy, number)
+}
+
+// step drives an event stream by hand.
+type step func(t *testing.T, events *EventStream)
+
+func opens(i int) step { return func(_ *testing.T, events *EventStream) { events.subscribed(i) } }
+
+// firstCloses ends the first subscription, not by silence.
+func firstCloses(_ *testing.T, events *EventStream) { events.unsubscribed(0, false) }
+
+func snapshotEnds(i int) step {
+	return func(_ *testing.T, events *EventStream) { events.endSnapshot(context.Background(), i) }
+}
+
+func tells(i int, line string) step {
+	return func(t *testing.T, events *EventStream) {
+		require.NoError(t, events.handleLine(context.Background(), i, []byte(line)))
+	}
+}
+
+// longGap lets time pass without a subscription.
+func longGap(_ *testing.T, events *EventStream) {
+	events.completeUntil = events.completeUntil.Add(-time.Minute)
+}
+
+// TestEventSequence checks how the events of two subscriptions are merged into one sequence.
+func TestEventSequence(t *testing.T) {
+	for name, c := range map[string]struct {
+		steps []step
+		want  []string
+	}{
+		"told once": {
+			[]step{
+				opens(0), opens(1), tells(0, joined(1, true)), tells(1, joined(1, true)),
+				tells(0, applied(1, 7)), tells(1, applied(1, 7)), tells(0, left(1)), tells(1, left(1)),
+			},
+			[]string{"joined 1", "applied 1 7", "left 1"},
+		},
+		"a start: the second tells first": {
+			[]step{
+				opens(0), opens(1), tells(1, joined(1, true)), tells(0, joined(1, true)),
+				tells(0, joined(2, true)), tells(1, joined(2, true)), snapshotEnds(0), snapshotEnds(1),
+			},
+			[]string{"joined 1", "joined 2"},
+		},
+		"a gap: the second tells first": {
+			[]step{
+				opens(0), tells(0, joined(1, true)), snapshotEnds(0), firstCloses, longGap,
+				opens(0), opens(1), tells(1, joined(1, true)), tells(0, joined(1, true)),
+			},
+			[]string{"joined 1", "joined 1"},
+		},
+		"a proxy comes back": {
+			[]step{opens(0), tells(0, joined(1, true)), tells(0, left(1)), tells(0, joined(1, false))},
+			[]string{"joined 1", "left 1", "joined 1"},
+		},
+		"one subscription breaks": {
+			[]step{
+				opens(0), opens(1), tells(0, joined(1, true)), tells(0, joined(2, true)), snapshotEnds(0), snapshotEnds(1),
+				firstCloses, tells(1, left(2)), opens(0), tells(0, joined(1, false)), snapshotEnds(0),
+			},
+			[]string{"joined 1", "joined 2", "left 2"},
+		},
+		"a gap: one that is not told has left, one that stands may have come back": {
+			[]step{
+				opens(0), tells(0, joined(1, true)), tells(0, joined(2, true)), snapshotEnds(0), firstCloses, longGap,
+				opens(0), tells(0, joined(1, false)), snapshotEnds(0),
+			},
+			[]string{"joined 1", "joined 2", "stood 1", "left 2"},
+		},
+		"a gap: one that started anew has not stood": {
+			[]step{
+				opens(0), tells(0, joined(1, false)), snapshotEnds(0), firstCloses, longGap,
+				opens(0), tells(0, joined(1, true)),
+			},
+			[]string{"joined 1", "joined 1"},
+		},
+		"a short gap: one that stands has stood": {
+			[]step{
+				opens(0), tells(0, joined(1, true)), tells(0, joined(2, true)), snapshotEnds(0), firstCloses,
+				opens(0), tells(0, joined(1, false)), tells(0, joined(2, true)), snapshotEnds(0),
+			},
+			[]string{"joined 1", "joined 2", "joined 2"},
+		},
+		"a snapshot that breaks makes nobody leave": {
+			[]step{
+				opens(0), tells(0, joined(1, true)), snapshotEnds(0), firstCloses, longGap,
+				opens(0), firstCloses, opens(0), tells(0, joined(1, false)), snapshotEnds(0),
+			},
+			[]string{"joined 1", "stood 1"},
+		},
+		"events of unknown proxies": {
+			[]step{
+				opens(0), tells(0, applied(4, 1)), tells(0, left(4)), tells(0, "{}"),
+				tells(0, `{"type":"joined","object":{}}`),
+			},
+			nil,
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			b := &inbox{}
+			events := NewEventStream("", b, &Counters{}, zap.NewNop())
+			for i := range events.subscriptions {
+				events.subscriptions[i].cancel = func() {}
+			}
+			for _, does := range c.steps {
+				does(t, events)
+			}
+			assert.Equal(t, c.want, b.got)
+		})
+	}
+}
+
+// runEvents runs one subscription. The function that it returns ends it and checks that it has.
+func runEvents(t *testing.T, events *EventStream) (end func()) {
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan error, 1)
+	go func() { ended <- events.Run(ctx, 0) }()
+	return func() {
+		cancel()
+		assert.NoError(t, <-ended)
+	}
+}
+
+// TestEventStreamBreaksInsideLine checks that an incomplete line is ignored.
+func TestEventStreamBreaksInsideLine(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	defer func() { _ = listener.Close() }()
+	b := &inbox{}
+	end := runEvents(t, NewEventStream(listener.Addr().String(), b, &Counters{}, zap.NewNop()))
+	whole := joined(1, true) + "\n" + left(1) + "\n"
+	for cut := len(joined(1, true)) + 2; cut < len(whole); cut += 7 {
+		conn, err := listener.Accept()
+		require.NoError(t, err)
+		_, err = conn.Read(make([]byte, 4096))
+		require.NoError(t, err)
+		_, err = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s",
+			len(whole), whole[:cut])
+		require.NoError(t, err)
+		require.NoError(t, conn.Close())
+	}
+	conn, err := listener.Accept() // the connections before it have ended
+	require.NoError(t, err)
+	defer func() { _ = conn.Close() }()
+	end()
+	for _, what := range b.all() {
+		assert.Equal(t, "joined 1", what)
+	}
+	assert.NotEmpty(t, b.all())
+}
+
+// serveEvents sends a text on the first connection, in chunks of five bytes, and nothing more. It returns the
+// address, and fails the test if anything but the request is written to it.
+func serveEvents(t *testing.T, text string) (address string) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = listener.Close() })
+	serve := func(conn net.Conn) {
+		buffer := make([]byte, 4096)
+		_, _ = conn.Read(buffer)
+		_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
+		for len(text) > 0 {
+			n := min(5, len(text))
+			_, _ = fmt.Fprintf(conn, "%x\r\n%s\r\n", n, text[:n])
+			text = text[n:]
+		}
+		_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+		if n, _ := conn.Read(buffer); n > 0 {
+			t.Error("something was written on an event stream")
+		}
+	}
+	go func() { // until the listener is closed
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			t.Cleanup(func() { _ = conn.Close() })
+			go serve(conn)
+		}
+	}()
+	return listener.Addr().String()
+}
+
+// TestEventStreamOnSockets checks lines split into chunks, a change of the address, and that nothing is written but
+// the request.
+func TestEventStreamOnSockets(t *testing.T) {
+	b := &inbox{}
+	address := serveEvents(t, joined(1, true)+"\n"+joined(2, true)+"\n")
+	events := NewEventStream(address, b, &Counters{}, zap.NewNop())
+	end := runEvents(t, events)
+	require.Eventually(t, func() bool { return len(b.all()) == 2 }, 5*time.Second, time.Millisecond)
+	events.SetAddress(serveEvents(t, joined(3, true)+"\n"))
+	require.Eventually(t, func() bool { return len(b.all()) >= 3 }, 5*time.Second, time.Millisecond)
+	end()
+	assert.Contains(t, b.all(), "joined 3")
+}
--- /dev/null
+++ b/internal/transport/gossip/gossip_test.go
@@ -0,0 +1,143 @@
+package gossip
+
+import (
+	"context"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"go.uber.org/goleak"
+	"go.uber.org/zap"
+
+	"indigousher/internal/controller"
+	"indigousher/internal/identity"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+type inbox chan controller.Input
+
+func (i inbox) Post(ctx context.Context, in controller.Input) error {
+	select {
+	case i <- in:
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
+
+// TestGossip checks that texts pass between two controllers, and that other datagrams are dropped.
+func TestGossip(t *testing.T) {
+	sockets := map[int]net.PacketConn{}
+	at := map[int]string{}
+	for r := range 2 {
+		c, err := net.ListenPacket("udp", "127.0.0.1:0")
+		require.NoError(t, err)
+		sockets[r], at[r] = c, c.LocalAddr().String()
+	}
+	in := inbox(make(chan controller.Input, 8))
+	var services []*Service
+	for r := range 2 {
+		p, err := Open(sockets[r], r, at, in, zap.NewNop())
+		require.NoError(t, err)
+		services = append(services, p)
+		ctx, cancel := context.WithCancel(t.Context())
+		done := make(chan error, 1)
+		go func() { done <- p.Run(ctx) }()
+		t.Cleanup(func() { cancel(); assert.NoError(t, <-done) })
+	}
+	noise, err := net.Dial("udp", at[1])
+	require.NoError(t, err)
+	defer func() { assert.NoError(t, noise.Close()) }()
+	for _, b := range [][]byte{[]byte("hello"), encodeDatagram(9, "a stranger"), append(encodeDatagram(0, ""), make([]byte, 1100)...)} {
+		_, err := noise.Write(b)
+		require.NoError(t, err)
+	}
+	services[0].Tell(1, "first")
+	services[0].Tell(-1, strings.Repeat("x", 2000))
+	assert.Equal(t, controller.GossipReceived{From: 0, Text: "first"}, <-in)
+	assert.Equal(t, controller.GossipReceived{From: 0, Text: strings.Repeat("x", MaxText)}, <-in)
+	_, err = Open(sockets[0], 0, map[int]string{1: "nonsense"}, in, zap.NewNop())
+	assert.Error(t, err)
+}
+
+// newSecret writes a file with one key and loads it.
+func newSecret(t *testing.T) (path string, secret *identity.Secret) {
+	path = filepath.Join(t.TempDir(), "secret")
+	require.NoError(t, identity.NewSecret(path))
+	secret, err := identity.LoadSecret(path)
+	require.NoError(t, err)
+	return path, secret
+}
+
+// TestSealed checks that with a secret only sealed datagrams are accepted, each one once.
+func TestSealed(t *testing.T) {
+	_, ours := newSecret(t)
+	_, others := newSecret(t)
+	s := &Service{Secret: ours, repeats: map[int]*identity.ReplayFilter{3: {}}}
+	sealed, err := seal(ours, 3, "load 0.7")
+	require.NoError(t, err)
+	strange, err := seal(others, 3, "load 0.1")
+	require.NoError(t, err)
+	forged := append([]byte{}, sealed...)
+	forged[headerBytes-1] = 4 // another rank outside
+	for _, c := range []struct {
+		name string
+		data []byte
+		text string
+	}{
+		{"sealed", sealed, "load 0.7"},
+		{"the same again", sealed, ""},
+		{"under another key", strange, ""},
+		{"another sender's rank", forged, ""},
+		{"in plain", encodeDatagram(3, "x"), ""},
+		{"truncated", sealed[:20], ""},
+		{"nothing", nil, ""},
+	} {
+		_, text, err := s.decode(c.data)
+		assert.Equal(t, c.text, text, c.name)
+		assert.Equal(t, c.text == "", err != nil, c.name)
+	}
+}
+
+// TestSecretRotated checks that a key is rotated without interruption, and that an invalid file leaves the keys in
+// force.
+func TestSecretRotated(t *testing.T) {
+	const noticed = 250 * time.Millisecond // a changed file is noticed by then
+	path, ours := newSecret(t)
+	othersPath, others := newSecret(t)
+	s := &Service{Secret: ours, repeats: map[int]*identity.ReplayFilter{3: {}}}
+	first, err := os.ReadFile(path)
+	require.NoError(t, err)
+	second, err := os.ReadFile(othersPath)
+	require.NoError(t, err)
+	require.NoError(t, os.WriteFile(path, append(first, second...), 0o600)) // the other key is added behind ours
+	require.NoError(t, os.Chtimes(path, time.Now(), time.Now().Add(time.Second)))
+	time.Sleep(noticed)
+	fresh, err := seal(others, 3, "load 0.2")
+	require.NoError(t, err)
+	_, text, err := s.decode(fresh)
+	assert.NoError(t, err)
+	assert.Equal(t, "load 0.2", text)
+	require.NoError(t, os.WriteFile(path, []byte("not hex\n"), 0o600))
+	time.Sleep(noticed)
+	assert.ErrorContains(t, ours.Err(), "secret:1: no key")
+	_, err = seal(ours, 3, "goes on")
+	assert.NoError(t, err)
+}
+
+// FuzzDecode decodes arbitrary datagrams.
+func FuzzDecode(f *testing.F) {
+	f.Add(encodeDatagram(3, "text"))
+	f.Fuzz(func(t *testing.T, b []byte) {
+		from, text, err := decodeDatagram(b)
+		if err == nil {
+			assert.Equal(t, b, encodeDatagram(from, text))
+		}
+	})
+}
--- /dev/null
+++ b/internal/transport/grpcapi/session.go
@@ -0,0 +1,162 @@
+package grpcapi
+
+import (
+	"context"
+	"errors"
+	"io"
+	"time"
+
+	"go.uber.org/zap"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"indigousher/internal/controller"
+	"indigousher/internal/transport/shutdown"
+	"indigousher/internal/wire"
+	pb "indigousher/proto/indigousher/v1"
+)
+
+// errStopping ends streams when the controller's loop accepts no more input.
+var errStopping = status.Error(codes.Unavailable, shutdown.ReasonStopping)
+
+// Follow serves the stream of one proxy. It writes in this goroutine and reads in another, which ends when Follow
+// returns.
+func (s *Server) Follow(g controlStream) error {
+	hello, err := s.greet(g)
+	if err != nil {
+		s.log.Warn("hello refused", zap.Error(err))
+		return err
+	}
+	if err := s.pace.Wait(g.Context()); err != nil { // meanwhile the proxy uses the tables that it has
+		return status.Error(codes.Unavailable, "too many at once")
+	}
+	st, err := s.register()
+	if err != nil {
+		return err
+	}
+	defer s.unregister(st)
+	if err := g.Send(s.welcome()); err != nil {
+		return err
+	}
+	if s.inbox.Post(s.ctx, controller.ProxyJoined{Stream: st, Hello: *hello}) != nil {
+		return errStopping
+	}
+	readEnded := make(chan error, 1)
+	go func() { readEnded <- s.readAll(g, st) }()
+	err = s.writeAll(g, st, readEnded)
+	st.end.Close("")
+	s.log.Info("stream ended", zap.String("proxy", hello.Proxy), zap.String("why", st.end.Reason()), zap.Error(err))
+	s.postLeave(st)
+	return err
+}
+
+// postLeave reports to the controller that a proxy has left.
+func (s *Server) postLeave(st *stream) {
+	ctx, cancel := context.WithTimeout(s.ctx, shutdown.LeaveTimeout)
+	defer cancel()
+	_ = s.inbox.Post(ctx, controller.ProxyLeft{Stream: st}) // fails only if the loop has ended
+}
+
+// readAll reads messages until the stream ends or the proxy says goodbye.
+func (s *Server) readAll(g controlStream, st *stream) error {
+	for {
+		m, err := g.Recv()
+		if errors.Is(err, io.EOF) {
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+		st.heardNow()
+		if _, bye := m.GetSays().(*pb.Upward_Bye); bye {
+			return nil
+		}
+		if err := s.receive(st, m); err != nil {
+			return err
+		}
+	}
+}
+
+// receive handles one message of a proxy. Unknown messages, of later versions, are ignored.
+func (s *Server) receive(st *stream, m *pb.Upward) error {
+	switch says := m.GetSays().(type) {
+	case *pb.Upward_Report:
+		return s.receiveReport(st, says.Report)
+	case *pb.Upward_Ack:
+		return s.receiveAck(st, says.Ack)
+	case *pb.Upward_Hello:
+		return status.Error(codes.InvalidArgument, "a hello comes once")
+	}
+	return nil
+}
+
+// receiveReport posts a load report to the controller.
+func (s *Server) receiveReport(st *stream, r *pb.Report) error {
+	sums, err := reportFrom(r)
+	if err != nil {
+		return status.Error(codes.InvalidArgument, err.Error())
+	}
+	if s.inbox.Post(s.ctx, controller.LoadReported{Stream: st, Sums: sums}) != nil {
+		return errStopping
+	}
+	return nil
+}
+
+// receiveAck posts the marks that an acknowledgement answers to the controller. A refusal ends the stream.
+func (s *Server) receiveAck(st *stream, a *pb.Ack) error {
+	marks, err := st.acknowledge(a)
+	if err != nil {
+		s.log.Warn("assignment not taken", zap.Error(err))
+		return err
+	}
+	for _, number := range marks {
+		done := wire.Done{Mark: number, TookMs: a.GetTookMs()}
+		if s.inbox.Post(s.ctx, controller.Acked{Stream: st, Done: done}) != nil {
+			return errStopping
+		}
+	}
+	return nil
+}
+
+// writeAll writes queued messages and heartbeats. It returns when the stream ends, or when the proxy is silent or owes
+// an acknowledgement for too long.
+func (s *Server) writeAll(g controlStream, st *stream, readEnded <-chan error) error {
+	heartbeat := time.NewTicker(s.config.Beat)
+	defer heartbeat.Stop()
+	for {
+		var m *pb.Downward
+		select {
+		case err := <-readEnded:
+			return err
+		case <-g.Context().Done():
+			return g.Context().Err()
+		case <-s.ctx.Done():
+			return status.Error(codes.Unavailable, "this pilot is gone")
+		case <-st.end.Done():
+			return writeLast(g, st)
+		case <-st.wake:
+			m = st.next()
+		case <-heartbeat.C:
+			if why := st.overdue(s.config.SeenWithin, shutdown.SilentBeats*s.config.Beat); why != "" {
+				return status.Error(codes.DeadlineExceeded, why)
+			}
+			m = &pb.Downward{Says: &pb.Downward_Beat{Beat: &pb.Beat{}}}
+		}
+		if m == nil {
+			continue // nothing left to write since the wake-up
+		}
+		if err := g.Send(m); err != nil {
+			return err
+		}
+	}
+}
+
+// writeLast writes the last message of a stream that has ended, if there is one, and returns the status of its end.
+func writeLast(g controlStream, st *stream) error {
+	ended := status.Error(codes.Unavailable, st.end.Reason())
+	last, ok := st.end.LastMessage()
+	if !ok {
+		return ended
+	}
+	return errors.Join(g.Send(last), ended)
+}
--- a/internal/transport/grpcapi/stream.go
+++ b/internal/transport/grpcapi/stream.go
@@ -14,138 +14,211 @@
 	pb "indigousher/proto/indigousher/v1"
 )
 
-// ErrSlow ends the stream of a proxy for which more waits than may, even collapsed to the newest state.
+// ErrSlow ends the stream of a proxy whose queue exceeds its limit, even collapsed to the newest state.
 var ErrSlow = errors.New("the proxy reads too slowly or not at all")
 
-// stream is one proxy's; it is the runtime's pilot.Stream. What waits is held as ops and collapses to the newest state
-// of each line before the bound is passed.
+// stream is the stream of one proxy. It implements controller.Stream: the controller's loop queues messages, the
+// stream's writer sends them, and its reader processes acknowledgements.
 type stream struct {
-	wake    chan struct{}
-	end     *shutdown.Notice[*pb.Downward]
-	mu      sync.Mutex
-	waiting []wire.Op
-	head    wire.Orders // when the first of what waits was ordered
-	lines   int
-	pace    *wire.Pace
-	most    int
-	version uint64
-	acked   uint64
-	sent    []sent // not acknowledged
-	heard   time.Time
+	wake chan struct{} // has an element if there may be something to send
+	end  *shutdown.Notice[*pb.Downward]
+
+	mu       sync.Mutex
+	pending  pendingOps
+	advice   *wire.Pace // the newest advice on load reports, until it is sent
+	versions versions
+	heardAt  time.Time // time of the proxy's last message; zero before the first check
 }
 
-// sent is an assignment that is not acknowledged.
-type sent struct {
-	version uint64
-	marks   []uint32
-	at      time.Time
+// newStream returns a stream whose queue holds at most maxOps.
+func newStream(maxOps int) *stream {
+	return &stream{
+		wake:    make(chan struct{}, 1),
+		end:     shutdown.New[*pb.Downward](),
+		pending: pendingOps{limit: maxOps},
+	}
 }
 
-// Send queues orders.
+// Send queues orders. It returns ErrSlow if the queue exceeds its limit.
 func (st *stream) Send(o *wire.Orders) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if len(st.waiting) == 0 {
-		st.head = wire.Orders{AtMs: o.AtMs, AgeMs: o.AgeMs}
-		st.lines = 0
+	if err := st.pending.add(o); err != nil {
+		return err
 	}
-	st.waiting = append(st.waiting, o.Ops...)
-	st.lines += o.Lines
-	if len(st.waiting) > st.most {
-		st.waiting = wire.Collapse(st.waiting)
-	}
-	if len(st.waiting) > st.most {
-		return ErrSlow
-	}
-	st.rouse()
+	st.signal()
 	return nil
 }
 
-// Ask queues a wish about reports; only the last one counts.
+// Ask queues advice on load reports, in place of earlier advice that was not sent yet.
 func (st *stream) Ask(p *wire.Pace) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.pace = p
-	st.rouse()
+	st.advice = p
+	st.signal()
 	return nil
 }
 
-func (st *stream) rouse() {
+// Close ends the stream. It sends the reason to the proxy, which is not to connect to this controller again.
+func (st *stream) Close(reason string) {
+	st.end.CloseWith(reason, redirect(&pb.Redirect{Reason: reason, Final: true}))
+}
+
+// redirect encodes a redirect.
+func redirect(r *pb.Redirect) *pb.Downward {
+	return &pb.Downward{Says: &pb.Downward_Redirect{Redirect: r}}
+}
+
+// signal wakes the writer.
+func (st *stream) signal() {
 	select {
 	case st.wake <- struct{}{}:
-	default:
+	default: // a wake-up is pending already
 	}
 }
 
-// next takes what waits as one message.
+// next removes and returns the next message to send, or nil if there is none. Advice precedes assignments.
 func (st *stream) next() *pb.Downward {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if p := st.pace; p != nil {
-		st.pace = nil
-		if len(st.waiting) > 0 {
-			st.rouse()
+	if advice := st.advice; advice != nil {
+		st.advice = nil
+		if !st.pending.empty() {
+			st.signal()
 		}
-		return &pb.Downward{Says: &pb.Downward_Pace{Pace: &pb.Pace{PeriodMs: uint32(p.PeriodMs), Lines: uint32(p.Lines), Changes: p.Changes}}}
+		return &pb.Downward{Says: &pb.Downward_Pace{Pace: &pb.Pace{
+			PeriodMs: uint32(advice.PeriodMs),
+			Lines:    uint32(advice.Lines),
+			Changes:  advice.Changes,
+		}}}
 	}
-	if len(st.waiting) == 0 {
+	if st.pending.empty() {
 		return nil
 	}
-	a := &pb.Assignment{Base: st.version, WaitedMs: st.head.AgeMs, OrderedMs: st.head.AtMs, Lines: uint32(st.lines)}
-	a.Steps, a.Marks = steps(wire.Collapse(st.waiting))
-	st.waiting = st.waiting[:0]
-	st.version++
-	a.Version = st.version
-	st.sent = append(st.sent, sent{a.Version, a.Marks, time.Now()})
-	return &pb.Downward{Says: &pb.Downward_Assignment{Assignment: a}}
-}
-
-// ack returns the marks that an acknowledgement answers, or why it can't be taken. After a refusal neither side knows
-// what the other has, so the stream ends and the proxy begins anew.
-func (st *stream) ack(a *pb.Ack) (marks []int, err error) {
+	assignment := st.pending.take()
+	st.versions.send(assignment, time.Now())
+	return &pb.Downward{Says: &pb.Downward_Assignment{Assignment: assignment}}
+}
+
+// acknowledge returns the marks that an acknowledgement answers. The error, a status, ends the stream; after a refusal
+// neither side knows what the other one has, so the proxy has to start over.
+func (st *stream) acknowledge(a *pb.Ack) (marks []int, err error) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if a.GetVersion() > st.version || a.GetVersion() <= st.acked && a.GetRefusal() == "" {
-		return nil, status.Errorf(codes.InvalidArgument, "version %d acknowledged, %d was sent", a.GetVersion(), st.version)
-	}
-	if a.GetRefusal() != "" {
-		return nil, status.Errorf(codes.Aborted, "version %d refused: %.200s", a.GetVersion(), a.GetRefusal())
-	}
-	if text(a.GetRefusal()) != nil || figure(a.GetTookMs()) != nil {
-		return nil, status.Error(codes.InvalidArgument, "an acknowledgement that is no good")
-	}
-	st.acked = a.GetVersion()
-	for len(st.sent) > 0 && st.sent[0].version <= st.acked {
-		for _, n := range st.sent[0].marks {
-			marks = append(marks, int(n))
-		}
-		st.sent = st.sent[1:]
-	}
-	return marks, nil
+	return st.versions.acknowledge(a)
 }
 
-func (st *stream) said() {
+// heardNow records that a message of the proxy has arrived.
+func (st *stream) heardNow() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.heard = time.Now()
+	st.heardAt = time.Now()
 }
 
-// overdue returns why a stream is to end, if anything is long due on it.
-func (st *stream) overdue(seen, silence time.Duration) string {
+// overdue returns why the stream has to end, or the empty string: an acknowledgement is due for longer than ackWithin,
+// or no message has arrived for longer than silence.
+func (st *stream) overdue(ackWithin, silence time.Duration) string {
 	st.mu.Lock()
 	defer st.mu.Unlock()
+	version, sentAt, waits := st.versions.oldestUnacked()
 	switch {
-	case len(st.sent) > 0 && time.Since(st.sent[0].at) > seen:
-		return fmt.Sprintf("version %d is not acknowledged", st.sent[0].version)
-	case !st.heard.IsZero() && time.Since(st.heard) > silence:
+	case waits && time.Since(sentAt) > ackWithin:
+		return fmt.Sprintf("version %d is not acknowledged", version)
+	case !st.heardAt.IsZero() && time.Since(st.heardAt) > silence:
 		return "nothing was heard"
-	case st.heard.IsZero():
-		st.heard = time.Now()
+	case st.heardAt.IsZero():
+		st.heardAt = time.Now()
 	}
 	return ""
 }
 
-// Close ends the stream and tells the proxy why.
-func (st *stream) Close(reason string) {
-	st.end.CloseWith(reason, &pb.Downward{Says: &pb.Downward_Redirect{Redirect: &pb.Redirect{Reason: reason, Final: true}}})
+// pendingOps are the ops to be sent. They are collapsed to the newest state of each line when they exceed the limit.
+type pendingOps struct {
+	ops   []wire.Op
+	limit int
+
+	// Times of the first orders since ops was empty, and the total number of lines.
+	orderedMs, waitedMs float64
+	lines               int
+}
+
+func (p *pendingOps) empty() bool { return len(p.ops) == 0 }
+
+// add appends orders. It returns ErrSlow if the ops exceed the limit even when collapsed.
+func (p *pendingOps) add(o *wire.Orders) error {
+	if p.empty() {
+		p.orderedMs = o.AtMs
+		p.waitedMs = o.AgeMs
+		p.lines = 0
+	}
+	p.ops = append(p.ops, o.Ops...)
+	p.lines += o.Lines
+	if len(p.ops) > p.limit {
+		p.ops = wire.Collapse(p.ops)
+	}
+	if len(p.ops) > p.limit {
+		return ErrSlow
+	}
+	return nil
+}
+
+// take removes all ops and returns them as one assignment, still without versions.
+func (p *pendingOps) take() *pb.Assignment {
+	a := &pb.Assignment{WaitedMs: p.waitedMs, OrderedMs: p.orderedMs, Lines: uint32(p.lines)}
+	a.Steps, a.Marks = steps(wire.Collapse(p.ops))
+	p.ops = p.ops[:0]
+	return a
+}
+
+// versions numbers the assignments of a stream. Each one moves the proxy from one version to the next.
+type versions struct {
+	newest  uint64 // the newest one sent
+	acked   uint64
+	unacked []sentVersion // in ascending order
+}
+
+// sentVersion is an assignment that the proxy has not acknowledged.
+type sentVersion struct {
+	version uint64
+	marks   []uint32
+	sentAt  time.Time
+}
+
+// send assigns the next version to an assignment and records it as unacknowledged.
+func (v *versions) send(a *pb.Assignment, now time.Time) {
+	a.Base = v.newest
+	v.newest++
+	a.Version = v.newest
+	v.unacked = append(v.unacked, sentVersion{a.Version, a.Marks, now})
+}
+
+// acknowledge returns the marks of the versions up to the acknowledged one. The error is a status: the version was
+// never sent, was acknowledged before, or was refused.
+func (v *versions) acknowledge(a *pb.Ack) (marks []int, err error) {
+	refused := a.GetRefusal() != ""
+	if a.GetVersion() > v.newest || a.GetVersion() <= v.acked && !refused {
+		return nil, status.Errorf(codes.InvalidArgument, "version %d acknowledged, %d was sent", a.GetVersion(), v.newest)
+	}
+	if refused {
+		return nil, status.Errorf(codes.Aborted, "version %d refused: %.200s", a.GetVersion(), a.GetRefusal())
+	}
+	if checkFigure(a.GetTookMs()) != nil {
+		return nil, status.Error(codes.InvalidArgument, "an acknowledgement that is no good")
+	}
+	v.acked = a.GetVersion()
+	for len(v.unacked) > 0 && v.unacked[0].version <= v.acked {
+		for _, number := range v.unacked[0].marks {
+			marks = append(marks, int(number))
+		}
+		v.unacked = v.unacked[1:]
+	}
+	return marks, nil
+}
+
+// oldestUnacked returns the oldest unacknowledged version and when it was sent, if there is one.
+func (v *versions) oldestUnacked() (version uint64, sentAt time.Time, ok bool) {
+	if len(v.unacked) == 0 {
+		return 0, time.Time{}, false
+	}
+	return v.unacked[0].version, v.unacked[0].sentAt, true
 }
--- /dev/null
+++ b/internal/transport/xds/server.go
@@ -0,0 +1,126 @@
+package xds
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	core "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
+	ads "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
+	lrs "github.com/envoyproxy/go-control-plane/envoy/service/load_stats/v3"
+	"go.uber.org/zap"
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"indigousher/internal/controller"
+	"indigousher/internal/transport/shutdown"
+	"indigousher/internal/wire"
+)
+
+const (
+	// refusalSilence is the status text for streams without a first message.
+	refusalSilence = "nothing was said"
+	// refusalIdentity is the status text for a rejected identity. The cause is reported to operators only.
+	refusalIdentity = "not let in"
+)
+
+// ListenerConfig configures the accepted streams.
+type ListenerConfig struct {
+	Kinds      []string      // names of the request classes, by index
+	Period     time.Duration // interval of load reports
+	SeenWithin time.Duration // longest time until an assignment is acknowledged
+	HelloIn    time.Duration // longest time until the first message arrives
+	MaxStreams int           // largest number of open streams; further ones are refused
+	// Claims returns an error unless the certificate of the peer of ctx matches the name and zone; nil without TLS.
+	Claims func(ctx context.Context, name, zone string) error
+}
+
+// Server implements ADS and LRS.
+type Server struct {
+	ads.UnimplementedAggregatedDiscoveryServiceServer
+	lrs.UnimplementedLoadReportingServiceServer
+	config ListenerConfig
+	inbox  controller.Inbox
+	log    *zap.Logger
+
+	mu    sync.Mutex
+	nodes map[string]*stream // open ADS streams by node id
+}
+
+// New returns a server that is not registered yet.
+func New(c ListenerConfig, inbox controller.Inbox, log *zap.Logger) *Server {
+	return &Server{config: c, inbox: inbox, log: log, nodes: map[string]*stream{}}
+}
+
+// Register adds the services to a gRPC server.
+func (s *Server) Register(r grpc.ServiceRegistrar) {
+	ads.RegisterAggregatedDiscoveryServiceServer(r, s)
+	lrs.RegisterLoadReportingServiceServer(r, s)
+}
+
+// Streams returns the number of open ADS streams.
+func (s *Server) Streams() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.nodes)
+}
+
+// Stop ends all streams. Their clients connect again, to another controller if they know one.
+func (s *Server) Stop() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, st := range s.nodes {
+		st.Close(shutdown.ReasonStopping)
+	}
+}
+
+// admit creates the stream of a node. An older stream of the same node is closed.
+func (s *Server) admit(ctx context.Context, n *core.Node) (*stream, error) {
+	name := n.GetId()
+	zone := n.GetLocality().GetZone()
+	if name == "" || zone == "" || len(name) > wire.MaxText || len(zone) > wire.MaxText {
+		return nil, status.Error(codes.InvalidArgument, "a node wants an id and a locality with a zone")
+	}
+	if err := s.checkIdentity(ctx, name, zone); err != nil {
+		return nil, err
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if old := s.nodes[name]; old != nil {
+		old.Close("the proxy has come back on another stream")
+	} else if len(s.nodes) >= s.config.MaxStreams {
+		return nil, status.Error(codes.ResourceExhausted, "too many streams")
+	}
+	st := newStream(name, s.config.Kinds)
+	s.nodes[name] = st
+	return st, nil
+}
+
+// checkIdentity returns a status error if the peer's certificate does not match its name and zone.
+func (s *Server) checkIdentity(ctx context.Context, name, zone string) error {
+	if s.config.Claims == nil {
+		return nil
+	}
+	if err := s.config.Claims(ctx, name, zone); err != nil {
+		s.log.Warn("identity refused", zap.Error(err))
+		return status.Error(codes.PermissionDenied, refusalIdentity)
+	}
+	return nil
+}
+
+// stream returns the open ADS stream of a node, or nil.
+func (s *Server) stream(name string) *stream {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.nodes[name]
+}
+
+// remove removes a stream that has ended, unless a newer one of the same node has replaced it.
+func (s *Server) remove(st *stream) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.nodes[st.name] == st {
+		delete(s.nodes, st.name)
+	}
+}
--- /dev/null
+++ b/telemetry/flush_test.go
@@ -0,0 +1,46 @@
+package telemetry
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// TestFailingSeenInBurst checks that an endpoint with a tenth of the others' traffic that begins to fail during a
+// hundredfold burst of reports is flushed within two periods of when an unlimited aggregator flushes it.
+func TestFailingSeenInBurst(t *testing.T) {
+	first := func(limit float64) (at float64) {
+		options := testOptions()
+		options.LinesPerS, options.ToldPerS = limit, limit/10
+		c := newFleet(options, 60, 20, 3)
+		c.rates = func(_, e int) float64 {
+			if e == 13 {
+				return 0.5
+			}
+			return 5
+		}
+		c.fails = func(e int, now float64) float64 {
+			if e == 13 && now > 20300 {
+				return 1
+			}
+			return 0
+		}
+		c.run(20000, nil)
+		for _, s := range c.senders {
+			s.reportsPerPeriod = 100
+		}
+		c.run(8000, func(now float64, batch Batch[float64]) {
+			for _, m := range batch.Mets {
+				if m.Endpoint == 13 && m.Failed > 0.5*m.Tries && at == 0 {
+					at = now
+				}
+			}
+		})
+		return at
+	}
+	unlimited, limited := first(0), first(800)
+	require.NotZero(t, unlimited)
+	require.NotZero(t, limited)
+	assert.LessOrEqual(t, limited, unlimited+2000)
+}
