--- a/internal/record/codec.go
+++ b/internal/record/codec.go
@@ -1,13 +1,8 @@
-// Package record keeps what a pilot was told, turn by turn, so that it can be rebuilt after a crash and replayed
-// afterwards: each turn's time and inputs, and a digest of the orders that came of them. Turns are laid out here and kept
-// in an embedded store (store.go). It decides nothing; docs/records.md has the layout.
 package record
 
 import (
 	"encoding/binary"
-	"errors"
 	"fmt"
-	"hash/crc64"
 	"math"
 	"slices"
 
@@ -15,90 +10,6 @@
 	"indigousher/internal/wire"
 )
 
-// Format is the version of the layout.
-const Format = 2 // 2: slices with their ranges of keys
-
-// Errors of reading.
-var (
-	ErrTorn   = errors.New("the record is torn")
-	ErrFormat = errors.New("the record is of another format")
-)
-
-// Kind tells what an input was.
-type Kind byte
-
-// The kinds of input.
-const (
-	Join Kind = iota + 1
-	Leave
-	Applied
-	Listed
-	ListLost
-	Heard
-	Probed
-	Retermed
-	Met
-	Demand
-	SliceGiven
-	SliceDemand
-	kindEnd
-)
-
-// String names a kind.
-func (k Kind) String() string {
-	names := [...]string{"", "join", "leave", "applied", "listed", "list lost", "heard", "probed", "retermed", "met", "demand", "slice given", "slice demand", "checkpoint"}
-	if int(k) >= len(names) {
-		return "unknown"
-	}
-	return names[k]
-}
-
-// Input is one input of a turn. Stream numbers the proxies' streams of a life.
-type Input struct {
-	Kind    Kind
-	Stream  uint64
-	Message wire.Message // of Join, Applied, Listed and SliceGiven
-	From    int          // of Heard
-	Text    string       // of Heard; the endpoint of Probed; terms as JSON of Retermed
-	Probe   brain.Probed // of Probed
-	Note    brain.Note   // of Met, Demand and SliceDemand: as the intake passed them on
-}
-
-// Turn is one turn of the loop.
-type Turn struct {
-	AtMs   float64
-	Inputs []Input
-	Digest uint64 // of the orders
-}
-
-var table = crc64.MakeTable(crc64.ECMA)
-
-// Digest sums orders up.
-func Digest(orders []brain.Order) uint64 {
-	h := crc64.New(table)
-	for _, o := range orders {
-		fmt.Fprintf(h, "%T%+v\n", o, o) // writes to a hash don't fail
-	}
-	return h.Sum64()
-}
-
-type encoder struct{ b []byte }
-
-func (e *encoder) uint(v uint64)  { e.b = binary.AppendUvarint(e.b, v) }
-func (e *encoder) int(v int)      { e.b = binary.AppendVarint(e.b, int64(v)) }
-func (e *encoder) text(s string)  { e.uint(uint64(len(s))); e.b = append(e.b, s...) }
-func (e *encoder) wide(v float64) { e.b = binary.LittleEndian.AppendUint64(e.b, math.Float64bits(v)) }
-
-// num lays out a fraction, in one to five bytes if it is a small whole number, as most counts and many times are.
-func (e *encoder) num(v float64) {
-	if v == math.Trunc(v) && math.Abs(v) < 1<<31 && !(v == 0 && math.Signbit(v)) {
-		e.int(int(v) << 1)
-		return
-	}
-	e.int(1)
-	e.wide(v)
-}
-
 // Append lays a turn out behind what is in b already.
 func Append(b []byte, t *Turn) ([]byte, error) {
 	e := encoder{b}
@@ -113,6 +24,30 @@
 	return e.b, nil
 }
 
+// Turns takes apart what Append laid out.
+func Turns(b []byte) (turns []Turn, err error) {
+	d := decoder{b: b}
+	for len(d.b) > 0 {
+		t := Turn{AtMs: math.Float64frombits(d.fixed()), Digest: d.fixed()}
+		n := d.uint()
+		if n > uint64(len(d.b)) {
+			d.fail()
+		}
+		for range n {
+			in := d.input()
+			if d.err != nil {
+				return turns, d.err
+			}
+			t.Inputs = append(t.Inputs, in)
+		}
+		if d.err != nil {
+			return turns, d.err
+		}
+		turns = append(turns, t)
+	}
+	return turns, d.err
+}
+
 func (e *encoder) input(in *Input) error {
 	e.b = append(e.b, byte(in.Kind))
 	switch in.Kind {
@@ -171,122 +106,6 @@
 	return nil
 }
 
-func (e *encoder) load(l brain.Load) {
-	names := make([]string, 0, len(l))
-	for n := range l {
-		names = append(names, n)
-	}
-	slices.Sort(names)
-	e.uint(uint64(len(names)))
-	for _, n := range names {
-		e.text(n)
-		e.num(l[n])
-	}
-}
-
-// decoder takes turns apart; the first thing wrong stays in err.
-type decoder struct {
-	b   []byte
-	err error
-}
-
-func (d *decoder) fail() {
-	if d.err == nil {
-		d.err = ErrTorn
-	}
-	d.b = nil
-}
-
-func (d *decoder) uint() uint64 {
-	v, n := binary.Uvarint(d.b)
-	if n <= 0 {
-		d.fail()
-		return 0
-	}
-	d.b = d.b[n:]
-	return v
-}
-
-func (d *decoder) int() int {
-	v, n := binary.Varint(d.b)
-	if n <= 0 {
-		d.fail()
-		return 0
-	}
-	d.b = d.b[n:]
-	return int(v)
-}
-
-func (d *decoder) fixed() uint64 {
-	if len(d.b) < 8 {
-		d.fail()
-		return 0
-	}
-	v := binary.LittleEndian.Uint64(d.b)
-	d.b = d.b[8:]
-	return v
-}
-
-func (d *decoder) num() float64 {
-	v := d.int()
-	if v&1 == 0 {
-		return float64(v >> 1)
-	}
-	return math.Float64frombits(d.fixed())
-}
-
-func (d *decoder) text() string {
-	n := d.uint()
-	if n > uint64(len(d.b)) {
-		d.fail()
-		return ""
-	}
-	s := string(d.b[:n])
-	d.b = d.b[n:]
-	return s
-}
-
-func (d *decoder) load() brain.Load {
-	n := d.uint()
-	if n > uint64(len(d.b)) {
-		d.fail()
-		return nil
-	}
-	if n == 0 {
-		return nil
-	}
-	l := brain.Load{}
-	for range n {
-		name := d.text()
-		l[name] = d.num()
-	}
-	return l
-}
-
-// Turns takes apart what Append laid out.
-func Turns(b []byte) (turns []Turn, err error) {
-	d := decoder{b: b}
-	for len(d.b) > 0 {
-		t := Turn{AtMs: math.Float64frombits(d.fixed()), Digest: d.fixed()}
-		n := d.uint()
-		if n > uint64(len(d.b)) {
-			d.fail()
-		}
-		for range n {
-			in := d.input()
-			if d.err != nil {
-				return turns, d.err
-			}
-			t.Inputs = append(t.Inputs, in)
-		}
-		if d.err != nil {
-			return turns, d.err
-		}
-		turns = append(turns, t)
-	}
-	return turns, d.err
-}
-
 func (d *decoder) input() (in Input) {
 	if len(d.b) == 0 {
 		d.fail()
@@ -329,3 +148,33 @@
 	}
 	return in
 }
+
+func (e *encoder) load(l brain.Load) {
+	names := make([]string, 0, len(l))
+	for n := range l {
+		names = append(names, n)
+	}
+	slices.Sort(names)
+	e.uint(uint64(len(names)))
+	for _, n := range names {
+		e.text(n)
+		e.num(l[n])
+	}
+}
+
+func (d *decoder) load() brain.Load {
+	n := d.uint()
+	if n > uint64(len(d.b)) {
+		d.fail()
+		return nil
+	}
+	if n == 0 {
+		return nil
+	}
+	l := brain.Load{}
+	for range n {
+		name := d.text()
+		l[name] = d.num()
+	}
+	return l
+}
--- /dev/null
+++ b/internal/record/codec_test.go
@@ -0,0 +1,41 @@
+package record
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+func TestTurns(t *testing.T) {
+	b, err := Append(nil, turn(1))
+	require.NoError(t, err)
+	b, err = Append(b, turn(2.5))
+	require.NoError(t, err)
+	got, err := Turns(b)
+	require.NoError(t, err)
+	assert.Equal(t, []Turn{*turn(1), *turn(2.5)}, got)
+	for n := range b { // cut short anywhere: what came before it stands, the rest is torn
+		_, err := Turns(b[:n])
+		if n > 0 && err != nil {
+			assert.ErrorIs(t, err, ErrTorn)
+		}
+	}
+}
+
+// FuzzTurns guards against bytes that crash the reader of turns.
+func FuzzTurns(f *testing.F) {
+	b, err := Append(nil, turn(1))
+	require.NoError(f, err)
+	f.Add(b)
+	f.Fuzz(func(t *testing.T, b []byte) {
+		turns, err := Turns(b)
+		if err != nil {
+			return
+		}
+		for i := range turns {
+			_, err := Append(nil, &turns[i])
+			assert.NoError(t, err)
+		}
+	})
+}
--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"hash/crc64"
 
-	"indigousher/brain"
 	"indigousher/internal/pilot"
 	"indigousher/internal/wire"
 )
@@ -111,73 +110,3 @@
 	}
 	return fmt.Sprintf("%T%+v", t.Inputs[0].Message, t.Inputs[0].Message)
 }
-
-// listener counts what is ordered.
-type listener struct {
-	pilot.Decider
-	r      *Result
-	digest uint64
-	lastMs float64
-	guess  *estimator
-}
-
-func (l *listener) Handle(nowMs float64, notes []brain.Note) []brain.Order {
-	l.guess.notes(notes) // by the tables that stand until now
-	orders := l.Decider.Handle(nowMs, notes)
-	l.digest = Digest(orders)
-	for _, o := range orders {
-		switch o := o.(type) {
-		case brain.SetLine:
-			l.r.Sets++
-			if o.Weight == 0 {
-				l.r.Zeros++
-			}
-		case brain.Withdraw:
-			if o.Out {
-				l.r.Withdrawals++
-			}
-		case brain.Admit:
-			if o.Level < 1 {
-				l.r.Levels++
-			}
-		case brain.Bind:
-			l.r.Binds++
-		}
-	}
-	return orders
-}
-
-// planOf makes a core's plan from the module's terms.
-func planOf(terms map[string]any) (p pilot.Plan, err error) {
-	texts := func(name string) (list []string) {
-		all, _ := terms[name].([]any)
-		for _, x := range all {
-			switch x := x.(type) {
-			case string:
-				list = append(list, x)
-			case map[string]any:
-				s, _ := x["name"].(string)
-				list = append(list, s)
-			}
-		}
-		return list
-	}
-	num := func(name string) float64 { v, _ := terms[name].(float64); return v }
-	p = pilot.Plan{Zones: texts("zones"), Machines: texts("machines"), Kinds: texts("req_kinds"), LinesPerS: num("lines_per_s"),
-		Backlog: num("backlog"), HeadLines: int(num("head_lines")), MessagesMost: int(num("messages_most")),
-		MessagesOverMs: num("messages_over"), MostProxies: 65535, List: nobody{}, Prober: nobody{}, Peers: nobody{},
-		Log: func(string) {}, Odd: func(string, ...string) {}, Replayed: true}
-	p.Intake.PeriodMs, p.Intake.HalfMs, p.Intake.LongestMs = 1000, 5000, 120000
-	if len(p.Zones) == 0 || len(p.Kinds) == 0 {
-		return p, fmt.Errorf("terms without zones or req kinds: %w", ErrTorn)
-	}
-	return p, nil
-}
-
-// nobody stands for edges that are not there in a replay.
-type nobody struct{}
-
-func (nobody) Watch(bool)       {}
-func (nobody) Fetch()           {}
-func (nobody) Probe(string)     {}
-func (nobody) Tell(int, string) {}
--- /dev/null
+++ b/internal/record/store_test.go
@@ -0,0 +1,79 @@
+package record
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"go.etcd.io/bbolt"
+)
+
+// TestStore guards lives, segments, pruning and a second opener.
+func TestStore(t *testing.T) {
+	dir := t.TempDir()
+	s := open(t, dir)
+	write(t, s, "a", 0, 200, nil)
+	write(t, s, "b", 0, 200, nil)
+	_, err := Open(dir, false)
+	assert.Error(t, err, "another has it open")
+	lives, err := s.Lives()
+	require.NoError(t, err)
+	assert.Len(t, lives, 2)
+	bytes, chunks := s.Size("a")
+	assert.Greater(t, chunks, 5)
+	dropped, err := s.Prune(Bounds{Bytes: bytes}, time.Now())
+	require.NoError(t, err)
+	assert.Positive(t, dropped)
+	left, _ := s.Size("b")
+	assert.LessOrEqual(t, left, bytes)
+	at, _, err := read(s, "b")
+	require.NoError(t, err)
+	assert.Equal(t, 199.0, at[len(at)-1])
+	_, err = s.Prune(Bounds{Age: time.Nanosecond}, time.Now().Add(time.Hour))
+	require.NoError(t, err)
+	lives, err = s.Lives()
+	require.NoError(t, err)
+	assert.Len(t, lives, 1)
+	require.NoError(t, s.Close())
+	read2, err := Open(dir, true)
+	require.NoError(t, err)
+	require.NoError(t, read2.Close())
+}
+
+// TestTorn guards against bytes that changed on the disk: what lies before them is read, and they are named.
+func TestTorn(t *testing.T) {
+	s := open(t, t.TempDir())
+	defer s.Close()
+	write(t, s, "a", 0, 100, nil)
+	n := 0
+	require.NoError(t, s.db.Update(func(tx *bbolt.Tx) error {
+		b := tx.Bucket(bucketSegments)
+		k, _ := b.Cursor().First()
+		seg := b.Bucket(k)
+		c := seg.Cursor()
+		for key, v := c.First(); key != nil; key, v = c.Next() {
+			if n++; n == 2 {
+				bad := append([]byte(nil), v...)
+				bad[len(bad)-1] ^= 0xff
+				return seg.Put(key, bad)
+			}
+		}
+		return nil
+	}))
+	at, _, err := read(s, "a")
+	assert.ErrorIs(t, err, ErrTorn)
+	assert.NotEmpty(t, at)
+	turns, torn, err := Tail(s, "a", 1e9)
+	require.NoError(t, err)
+	assert.True(t, torn)
+	assert.Len(t, turns, len(at))
+}
+
+// TestNoFolder shows how a store fails that can't be.
+func TestNoFolder(t *testing.T) {
+	_, err := Open(filepath.Join(t.TempDir(), "none"), false)
+	assert.ErrorIs(t, err, os.ErrNotExist)
+}
--- /dev/null
+++ b/internal/record/tail_test.go
@@ -0,0 +1,68 @@
+package record
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"go.uber.org/zap"
+)
+
+// TestFrom guards which turn a tail begins at.
+func TestFrom(t *testing.T) {
+	check := Input{Kind: Checkpoint}
+	life := func(times ...float64) (turns []Turn) {
+		for _, at := range times {
+			x := Turn{AtMs: max(at, -at)}
+			if at < 0 {
+				x.Inputs = []Input{check}
+			}
+			turns = append(turns, x)
+		}
+		return turns
+	}
+	for _, c := range []struct {
+		name  string
+		turns []Turn
+		tail  float64
+		want  int
+	}{
+		{"nothing", nil, 60000, 0},
+		{"a short life", life(0, 1000, 2000), 60000, 0},
+		{"a long one", life(0, -15000, -30000, -45000, 50000), 20000, 2},
+		{"longer than what is kept", life(-90000, -105000, 110000), 60000, 0},
+		{"begun after a gap without a checkpoint", life(90000, 91000), 60000, 2},
+		{"a checkpoint after the gap", life(90000, -91000, 92000), 60000, 1},
+	} {
+		assert.Equal(t, c.want, From(c.turns, c.tail), c.name)
+	}
+}
+
+// TestTail guards the memory of a recovery: of a long life no more is held than what is gone on from, and that is the same.
+func TestTail(t *testing.T) {
+	s := open(t, t.TempDir())
+	defer s.Close()
+	w, err := NewWriter(s, Life{ID: "a"}, Bounds{Segment: 1 << 12, Every: time.Hour}, zap.NewNop())
+	require.NoError(t, err)
+	var all []Turn
+	var body []byte
+	for i := range 3000 {
+		x := Turn{AtMs: float64(i) * 200}
+		if i > 0 && i%75 == 0 {
+			x.Inputs = []Input{{Kind: Checkpoint}}
+		}
+		all = append(all, x)
+		if body, err = Append(body, &x); i%50 == 49 {
+			w.commit(body)
+			body = body[:0]
+		}
+		require.NoError(t, err)
+	}
+	for _, tail := range []float64{0, 1000, 60_000, 1e9} {
+		turns, torn, err := Tail(s, "a", tail)
+		require.NoError(t, err)
+		assert.False(t, torn)
+		assert.Equal(t, all[From(all, tail):], turns, "%g ms", tail)
+	}
+}
