--- a/recovery/recovery.go
+++ b/recovery/decision.go
@@ -1,8 +1,11 @@
-// Package recovery decides how a pilot that returns begins: from the record of the life before, or cold. It has no I/O,
-// clock or log; the daemon gathers the facts and does as it says.
 package recovery
 
-import "fmt"
+import (
+	"fmt"
+)
+
+// mostBarren is how many lives may die as they begin until one begins cold.
+const mostBarren = 3
 
 // Facts are what is known of the record at a start. Times are milliseconds.
 type Facts struct {
@@ -23,9 +26,6 @@
 	GapMs  float64 // beyond which what was known is worth nothing
 }
 
-// mostBarren is how many lives may die as they begin until one begins cold.
-const mostBarren = 3
-
 // Verdict says how to begin. ReplayMs is how much of the last life's end is replayed, 0 for a cold start; AwayMs is how
 // far its clock has to go on.
 type Verdict struct {
