--- a/internal/handover/claim.go
+++ b/internal/handover/lock.go
@@ -7,9 +7,6 @@
 	"syscall"
 )
 
-// ErrHeld says that another process has the claim.
-var ErrHeld = errors.New("another process of this pilot serves")
-
 // Claimed is a claim that is held: a lock on a file that the kernel frees when its holder dies.
 type Claimed struct{ f *os.File }
 
