--- /dev/null
+++ b/internal/daemon/gossip.go
@@ -0,0 +1,40 @@
+package daemon
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"strconv"
+
+	"indigousher/internal/edge/peers"
+	"indigousher/internal/keys"
+	"indigousher/internal/pilot"
+	"indigousher/internal/terms"
+)
+
+func (d *Daemon) openPeers(t *terms.Pilot) (pilot.Peers, error) {
+	if t.PeersListen == "" {
+		return peers.Nobody{}, nil
+	}
+	var secret *keys.Secret
+	if t.PeersSecret != "" {
+		var err error
+		if secret, err = keys.LoadSecret(t.PeersSecret); err != nil {
+			return nil, fmt.Errorf("listen for pilots: %w", err)
+		}
+	}
+	conn, err := net.ListenPacket("udp", t.PeersListen)
+	if err != nil {
+		return nil, fmt.Errorf("listen for pilots: %w", err)
+	}
+	ranks := map[int]string{}
+	for r, a := range t.Peers {
+		n, _ := strconv.Atoi(r) // checked with the terms
+		ranks[n] = a
+	}
+	if d.post, err = peers.Open(d.outfit.Packet(conn), t.Rank, ranks, later{d}, d.outfit.Log.Named("peers")); err != nil {
+		return nil, errors.Join(err, conn.Close())
+	}
+	d.post.Secret = secret
+	return d.post, nil
+}
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"net"
 	"os"
 	"sync"
 
@@ -94,12 +93,6 @@
 	return nil
 }
 
-func closeFiles(files map[string]*os.File) {
-	for _, f := range files {
-		_ = f.Close()
-	}
-}
-
 // halt ends the pilot and its record; the files stay open.
 func (h *Host) halt() {
 	h.mu.Lock()
@@ -112,39 +105,6 @@
 	ended <- nil
 }
 
-// offer lets others take over.
-func (h *Host) offer(ctx context.Context) {
-	h.taken = make(chan error, 1)
-	if h.terms.Handover == "" {
-		return
-	}
-	o := handover.Offer{Files: h.files, Stop: func() { h.halt(); h.letGo() }, Resume: func(claim *handover.Claimed) {
-		h.mu.Lock()
-		h.claim = claim
-		h.mu.Unlock()
-		h.outfit.Log.Warn("handover failed, going on")
-		h.outfit.Listeners = map[string]net.Listener{}
-		for name, f := range h.files {
-			l, err := net.FileListener(f)
-			if err != nil {
-				h.outfit.Log.Error("listener lost", zap.String("name", name), zap.Error(err))
-				continue
-			}
-			h.outfit.Listeners[name] = l
-		}
-		if err := h.start(ctx); err != nil {
-			h.outfit.Log.Error("pilot can't go on", zap.Error(err))
-			h.taken <- err
-		}
-	}}
-	go func() {
-		taken, err := o.Serve(ctx, h.terms.Handover)
-		if taken || err != nil {
-			h.taken <- err
-		}
-	}()
-}
-
 // Daemon returns the pilot that runs.
 func (h *Host) Daemon() *Daemon {
 	h.mu.Lock()
@@ -180,6 +140,12 @@
 	h.letGo()
 }
 
+func closeFiles(files map[string]*os.File) {
+	for _, f := range files {
+		_ = f.Close()
+	}
+}
+
 // letGo gives up the claim to serve.
 func (h *Host) letGo() {
 	h.mu.Lock()
