--- a/internal/record/chunk.go
+++ b/internal/record/chunk.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	chunkHead = 12
-	queueSize = 1024 // turns that may wait for the disk; one more is a gap
-	lockWait  = time.Second
+	chunkHeaderBytes = 12
+	maxQueuedTurns   = 1024 // turns that may wait for the disk; one more is a gap
+	lockTimeout      = time.Second
 )
 
 // The layout: a bucket "lives" of JSON by life, and a bucket for each segment, named LIFE/NUMBER, of chunks by number. A
@@ -19,22 +19,22 @@
 var (
 	bucketLives    = []byte("lives")
 	bucketSegments = []byte("segments")
-	castagnoli     = crc32.MakeTable(crc32.Castagnoli)
+	checksumTable  = crc32.MakeTable(crc32.Castagnoli)
 )
 
-func (s *Store) pack(body []byte, at time.Time) []byte {
-	chunk := make([]byte, chunkHead, chunkHead+len(body)/2)
+func (s *Store) encodeChunk(body []byte, at time.Time) []byte {
+	chunk := make([]byte, chunkHeaderBytes, chunkHeaderBytes+len(body)/2)
 	binary.LittleEndian.PutUint64(chunk[4:], uint64(at.UnixMilli()))
-	chunk = s.zip.EncodeAll(body, chunk)
-	binary.LittleEndian.PutUint32(chunk, crc32.Checksum(chunk[4:], castagnoli))
+	chunk = s.compressor.EncodeAll(body, chunk)
+	binary.LittleEndian.PutUint32(chunk, crc32.Checksum(chunk[4:], checksumTable))
 	return chunk
 }
 
-func (s *Store) unpack(chunk []byte) ([]Turn, error) {
-	if len(chunk) < chunkHead || crc32.Checksum(chunk[4:], castagnoli) != binary.LittleEndian.Uint32(chunk) {
+func (s *Store) decodeChunk(chunk []byte) ([]Turn, error) {
+	if len(chunk) < chunkHeaderBytes || crc32.Checksum(chunk[4:], checksumTable) != binary.LittleEndian.Uint32(chunk) {
 		return nil, fmt.Errorf("checksum: %w", ErrTorn)
 	}
-	body, err := s.raw.DecodeAll(chunk[chunkHead:], nil)
+	body, err := s.decompressor.DecodeAll(chunk[chunkHeaderBytes:], nil)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrTorn, err)
 	}
--- a/internal/record/codec.go
+++ b/internal/record/codec.go
@@ -13,24 +13,24 @@
 // Append lays a turn out behind what is in b already.
 func Append(b []byte, t *Turn) ([]byte, error) {
 	e := encoder{b}
-	e.wide(t.AtMs)
-	e.b = binary.LittleEndian.AppendUint64(e.b, t.Digest)
+	e.fixed64(t.AtMs)
+	e.buf = binary.LittleEndian.AppendUint64(e.buf, t.Digest)
 	e.uint(uint64(len(t.Inputs)))
 	for i := range t.Inputs {
 		if err := e.input(&t.Inputs[i]); err != nil {
 			return b, err
 		}
 	}
-	return e.b, nil
+	return e.buf, nil
 }
 
 // Turns takes apart what Append laid out.
 func Turns(b []byte) (turns []Turn, err error) {
-	d := decoder{b: b}
-	for len(d.b) > 0 {
-		t := Turn{AtMs: math.Float64frombits(d.fixed()), Digest: d.fixed()}
+	d := decoder{buf: b}
+	for len(d.buf) > 0 {
+		t := Turn{AtMs: math.Float64frombits(d.fixed64()), Digest: d.fixed64()}
 		n := d.uint()
-		if n > uint64(len(d.b)) {
+		if n > uint64(len(d.buf)) {
 			d.fail()
 		}
 		for range n {
@@ -49,7 +49,7 @@
 }
 
 func (e *encoder) input(in *Input) error {
-	e.b = append(e.b, byte(in.Kind))
+	e.buf = append(e.buf, byte(in.Kind))
 	switch in.Kind {
 	case Join, Applied, Listed, SliceGiven:
 		body, err := wire.Body(in.Message)
@@ -68,7 +68,7 @@
 	case Probed:
 		e.text(in.Text)
 		e.text(in.Probe.Outcome)
-		e.num(in.Probe.TookMs)
+		e.number(in.Probe.TookMs)
 		e.load(in.Probe.Load)
 	case Met:
 		m, ok := in.Note.(brain.Met)
@@ -79,8 +79,8 @@
 		e.int(m.Zone)
 		e.int(m.Tries)
 		e.int(m.Failed)
-		e.num(m.MeanMs)
-		e.num(m.SpanMs)
+		e.number(m.MeanMs)
+		e.number(m.SpanMs)
 		e.load(m.Load)
 	case Demand:
 		d, ok := in.Note.(brain.Demand)
@@ -91,7 +91,7 @@
 		e.int(d.Kind)
 		e.int(d.Reqs)
 		e.int(d.Unanswered)
-		e.num(d.SpanMs)
+		e.number(d.SpanMs)
 	case SliceDemand:
 		d, ok := in.Note.(brain.SliceDemand)
 		if !ok {
@@ -101,18 +101,18 @@
 		e.int(d.Kind)
 		e.int(d.Reqs)
 		e.int(d.Unanswered)
-		e.num(d.SpanMs)
+		e.number(d.SpanMs)
 	}
 	return nil
 }
 
 func (d *decoder) input() (in Input) {
-	if len(d.b) == 0 {
+	if len(d.buf) == 0 {
 		d.fail()
 		return in
 	}
-	in.Kind = Kind(d.b[0])
-	d.b = d.b[1:]
+	in.Kind = Kind(d.buf[0])
+	d.buf = d.buf[1:]
 	switch in.Kind {
 	case Join, Applied, Listed, SliceGiven:
 		in.Stream = d.uint()
@@ -134,14 +134,14 @@
 		in.Text = d.text()
 	case Probed:
 		in.Text = d.text()
-		in.Probe = brain.Probed{Outcome: d.text(), TookMs: d.num(), Load: d.load()}
+		in.Probe = brain.Probed{Outcome: d.text(), TookMs: d.number(), Load: d.load()}
 	case Met:
-		in.Note = brain.Met{Endpoint: d.int(), Zone: d.int(), Tries: d.int(), Failed: d.int(), MeanMs: d.num(),
-			SpanMs: d.num(), Load: d.load()}
+		in.Note = brain.Met{Endpoint: d.int(), Zone: d.int(), Tries: d.int(), Failed: d.int(), MeanMs: d.number(),
+			SpanMs: d.number(), Load: d.load()}
 	case Demand:
-		in.Note = brain.Demand{Proxy: d.int(), Kind: d.int(), Reqs: d.int(), Unanswered: d.int(), SpanMs: d.num()}
+		in.Note = brain.Demand{Proxy: d.int(), Kind: d.int(), Reqs: d.int(), Unanswered: d.int(), SpanMs: d.number()}
 	case SliceDemand:
-		in.Note = brain.SliceDemand{Slice: d.int(), Kind: d.int(), Reqs: d.int(), Unanswered: d.int(), SpanMs: d.num()}
+		in.Note = brain.SliceDemand{Slice: d.int(), Kind: d.int(), Reqs: d.int(), Unanswered: d.int(), SpanMs: d.number()}
 	case ListLost, Checkpoint:
 	default:
 		d.fail()
@@ -158,13 +158,13 @@
 	e.uint(uint64(len(names)))
 	for _, n := range names {
 		e.text(n)
-		e.num(l[n])
+		e.number(l[n])
 	}
 }
 
 func (d *decoder) load() brain.Load {
 	n := d.uint()
-	if n > uint64(len(d.b)) {
+	if n > uint64(len(d.buf)) {
 		d.fail()
 		return nil
 	}
@@ -174,7 +174,7 @@
 	l := brain.Load{}
 	for range n {
 		name := d.text()
-		l[name] = d.num()
+		l[name] = d.number()
 	}
 	return l
 }
--- a/internal/record/codec_test.go
+++ b/internal/record/codec_test.go
@@ -8,13 +8,13 @@
 )
 
 func TestTurns(t *testing.T) {
-	b, err := Append(nil, turn(1))
+	b, err := Append(nil, sampleTurn(1))
 	require.NoError(t, err)
-	b, err = Append(b, turn(2.5))
+	b, err = Append(b, sampleTurn(2.5))
 	require.NoError(t, err)
 	got, err := Turns(b)
 	require.NoError(t, err)
-	assert.Equal(t, []Turn{*turn(1), *turn(2.5)}, got)
+	assert.Equal(t, []Turn{*sampleTurn(1), *sampleTurn(2.5)}, got)
 	for n := range b { // cut short anywhere: what came before it stands, the rest is torn
 		_, err := Turns(b[:n])
 		if n > 0 && err != nil {
@@ -25,7 +25,7 @@
 
 // FuzzTurns guards against bytes that crash the reader of turns.
 func FuzzTurns(f *testing.F) {
-	b, err := Append(nil, turn(1))
+	b, err := Append(nil, sampleTurn(1))
 	require.NoError(f, err)
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/record/dbfile.go
+++ b/internal/record/database.go
@@ -14,8 +14,8 @@
 
 // OpenFile opens or makes a store's file, and tells one that is torn, by ErrTorn, from one that can't be had.
 func OpenFile(path string, readOnly bool) (db *bbolt.DB, err error) {
-	err = guarded(func() (err error) {
-		db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockWait, ReadOnly: readOnly, FreelistType: bbolt.FreelistMapType})
+	err = panicsAsErrors(func() (err error) {
+		db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, ReadOnly: readOnly, FreelistType: bbolt.FreelistMapType})
 		return err
 	})
 	var refused syscall.Errno // by the system
@@ -25,33 +25,33 @@
 	if err != nil {
 		return nil, fmt.Errorf("open %s: %w", path, err)
 	}
-	if err := guarded(func() error { return db.View(whole) }); err != nil {
+	if err := panicsAsErrors(func() error { return db.View(checkPages) }); err != nil {
 		return nil, errors.Join(fmt.Errorf("open %s: %w", path, err), db.Close())
 	}
 	return db, nil
 }
 
-// whole returns whether the file has all the pages that it speaks of, and each is what it should be.
-func whole(tx *bbolt.Tx) error {
+// checkPages returns whether the file has all the pages that it speaks of, and each is what it should be.
+func checkPages(tx *bbolt.Tx) error {
 	if at, err := os.Stat(tx.DB().Path()); err != nil || at.Size() < tx.Size() {
 		return errors.Join(fmt.Errorf("shorter than %d bytes: %w", tx.Size(), ErrTorn), err)
 	}
-	return tx.ForEach(func(_ []byte, b *bbolt.Bucket) error { return walk(b) })
+	return tx.ForEach(func(_ []byte, b *bbolt.Bucket) error { return visitBucket(b) })
 }
 
-// walk goes through all buckets and keys, so that pages which make no sense show before anything depends on them.
-func walk(b *bbolt.Bucket) error {
+// visitBucket goes through all buckets and keys, so that pages which make no sense show before anything depends on them.
+func visitBucket(b *bbolt.Bucket) error {
 	return b.ForEach(func(k, v []byte) error {
 		if v == nil && b.Bucket(k) != nil {
-			return walk(b.Bucket(k))
+			return visitBucket(b.Bucket(k))
 		}
 		return nil
 	})
 }
 
-// guarded does something with the file. The store panics on pages that make no sense, and a page that the file no longer
+// panicsAsErrors does something with the file. The store panics on pages that make no sense, and a page that the file no longer
 // has faults; both are torn records, which must not end a pilot.
-func guarded(f func() error) (err error) {
+func panicsAsErrors(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
--- a/internal/record/decode.go
+++ b/internal/record/decode.go
@@ -7,7 +7,7 @@
 
 // decoder takes turns apart; the first thing wrong stays in err.
 type decoder struct {
-	b   []byte
+	buf []byte
 	err error
 }
 
@@ -15,54 +15,54 @@
 	if d.err == nil {
 		d.err = ErrTorn
 	}
-	d.b = nil
+	d.buf = nil
 }
 
 func (d *decoder) uint() uint64 {
-	v, n := binary.Uvarint(d.b)
+	v, n := binary.Uvarint(d.buf)
 	if n <= 0 {
 		d.fail()
 		return 0
 	}
-	d.b = d.b[n:]
+	d.buf = d.buf[n:]
 	return v
 }
 
 func (d *decoder) int() int {
-	v, n := binary.Varint(d.b)
+	v, n := binary.Varint(d.buf)
 	if n <= 0 {
 		d.fail()
 		return 0
 	}
-	d.b = d.b[n:]
+	d.buf = d.buf[n:]
 	return int(v)
 }
 
-func (d *decoder) fixed() uint64 {
-	if len(d.b) < 8 {
+func (d *decoder) fixed64() uint64 {
+	if len(d.buf) < 8 {
 		d.fail()
 		return 0
 	}
-	v := binary.LittleEndian.Uint64(d.b)
-	d.b = d.b[8:]
+	v := binary.LittleEndian.Uint64(d.buf)
+	d.buf = d.buf[8:]
 	return v
 }
 
-func (d *decoder) num() float64 {
+func (d *decoder) number() float64 {
 	v := d.int()
 	if v&1 == 0 {
 		return float64(v >> 1)
 	}
-	return math.Float64frombits(d.fixed())
+	return math.Float64frombits(d.fixed64())
 }
 
 func (d *decoder) text() string {
 	n := d.uint()
-	if n > uint64(len(d.b)) {
+	if n > uint64(len(d.buf)) {
 		d.fail()
 		return ""
 	}
-	s := string(d.b[:n])
-	d.b = d.b[n:]
+	s := string(d.buf[:n])
+	d.buf = d.buf[n:]
 	return s
 }
--- a/internal/record/encode.go
+++ b/internal/record/encode.go
@@ -5,22 +5,24 @@
 	"math"
 )
 
-type encoder struct{ b []byte }
+type encoder struct{ buf []byte }
 
-func (e *encoder) uint(v uint64) { e.b = binary.AppendUvarint(e.b, v) }
+func (e *encoder) uint(v uint64) { e.buf = binary.AppendUvarint(e.buf, v) }
 
-func (e *encoder) int(v int) { e.b = binary.AppendVarint(e.b, int64(v)) }
+func (e *encoder) int(v int) { e.buf = binary.AppendVarint(e.buf, int64(v)) }
 
-func (e *encoder) text(s string) { e.uint(uint64(len(s))); e.b = append(e.b, s...) }
+func (e *encoder) text(s string) { e.uint(uint64(len(s))); e.buf = append(e.buf, s...) }
 
-func (e *encoder) wide(v float64) { e.b = binary.LittleEndian.AppendUint64(e.b, math.Float64bits(v)) }
+func (e *encoder) fixed64(v float64) {
+	e.buf = binary.LittleEndian.AppendUint64(e.buf, math.Float64bits(v))
+}
 
-// num lays out a fraction, in one to five bytes if it is a small whole number, as most counts and many times are.
-func (e *encoder) num(v float64) {
+// number lays out a fraction, in one to five bytes if it is a small whole number, as most counts and many times are.
+func (e *encoder) number(v float64) {
 	if v == math.Trunc(v) && math.Abs(v) < 1<<31 && !(v == 0 && math.Signbit(v)) {
 		e.int(int(v) << 1)
 		return
 	}
 	e.int(1)
-	e.wide(v)
+	e.fixed64(v)
 }
--- a/internal/record/estimate.go
+++ b/internal/record/estimate.go
@@ -9,9 +9,9 @@
 
 // Figures of the estimate.
 const (
-	remembers  = 0.8 // of an endpoint's counts each period
-	enoughMet  = 10  // tries below which an endpoint's figures say nothing
-	mostBeyond = 1.5 // times the load it was seen at up to which an endpoint is held to answer alike
+	retention    = 0.8 // of an endpoint's counts each period
+	minAttempts  = 10  // tries below which an endpoint's figures say nothing
+	maxLoadRatio = 1.5 // times the load it was seen at up to which an endpoint is held to answer alike
 )
 
 // Estimate is what a replay's tables would have met, as far as the recorded day can tell: each endpoint's tries fail and
@@ -27,22 +27,22 @@
 
 // estimator adds up an estimate.
 type estimator struct {
-	shares func() map[int]map[int]float64
-	seen   map[int]*seen // by endpoint
-	sum    Estimate      // not divided yet
-	okThen float64
-	okNow  float64
+	shares             func() map[int]map[int]float64
+	endpoints          map[int]*endpointAnswers // by endpoint
+	sum                Estimate                 // not divided yet
+	recordedSuccesses  float64
+	estimatedSuccesses float64
 }
 
-// seen is how an endpoint answered lately, and which part of a zone's tries it got.
-type seen struct{ tries, failed, ms, ok float64 }
+// endpointAnswers is how an endpoint answered lately, and which part of a zone's tries it got.
+type endpointAnswers struct{ tries, failed, ms, ok float64 }
 
 func newEstimator(shares func() map[int]map[int]float64) *estimator {
-	return &estimator{shares: shares, seen: map[int]*seen{}}
+	return &estimator{shares: shares, endpoints: map[int]*endpointAnswers{}}
 }
 
-// notes takes in what a period told.
-func (e *estimator) notes(notes []brain.Note) {
+// observe takes in what a period told.
+func (e *estimator) observe(notes []brain.Note) {
 	zones := map[int]map[int]float64{}
 	any := false
 	for _, n := range notes {
@@ -52,11 +52,11 @@
 		}
 		if !any {
 			any = true
-			for _, s := range e.seen {
-				s.tries, s.failed, s.ms, s.ok = s.tries*remembers, s.failed*remembers, s.ms*remembers, s.ok*remembers
+			for _, s := range e.endpoints {
+				s.tries, s.failed, s.ms, s.ok = s.tries*retention, s.failed*retention, s.ms*retention, s.ok*retention
 			}
 		}
-		e.met(m)
+		e.addStats(m)
 		if zones[m.Zone] == nil {
 			zones[m.Zone] = map[int]float64{}
 		}
@@ -67,15 +67,15 @@
 	}
 	shares := e.shares()
 	for _, z := range slices.Sorted(maps.Keys(zones)) {
-		e.zone(shares[z], zones[z])
+		e.estimateZone(shares[z], zones[z])
 	}
 }
 
-func (e *estimator) met(m brain.Met) {
-	s := e.seen[m.Endpoint]
+func (e *estimator) addStats(m brain.Met) {
+	s := e.endpoints[m.Endpoint]
 	if s == nil {
-		s = &seen{}
-		e.seen[m.Endpoint] = s
+		s = &endpointAnswers{}
+		e.endpoints[m.Endpoint] = s
 	}
 	ok := float64(m.Tries - m.Failed)
 	s.tries += float64(m.Tries)
@@ -84,11 +84,11 @@
 	s.ok += ok
 	e.sum.Recorded += float64(m.Failed)
 	e.sum.RecordedMs += ok * m.MeanMs
-	e.okThen += ok
+	e.recordedSuccesses += ok
 }
 
-// zone weighs a zone's tries by the shares of the replay's tables.
-func (e *estimator) zone(shares, tries map[int]float64) {
+// estimateZone weighs a zone's tries by the shares of the replay's tables.
+func (e *estimator) estimateZone(shares, tries map[int]float64) {
 	all := 0.0
 	for _, i := range slices.Sorted(maps.Keys(tries)) {
 		all += tries[i]
@@ -97,7 +97,7 @@
 	known := 0.0
 	order := slices.Sorted(maps.Keys(shares))
 	for _, i := range order {
-		if s := e.seen[i]; s != nil && s.tries >= enoughMet {
+		if s := e.endpoints[i]; s != nil && s.tries >= minAttempts {
 			known += shares[i]
 		}
 	}
@@ -105,17 +105,17 @@
 		return
 	}
 	for _, i := range order {
-		s, part := e.seen[i], shares[i]
-		if s == nil || s.tries < enoughMet {
+		s, part := e.endpoints[i], shares[i]
+		if s == nil || s.tries < minAttempts {
 			continue
 		}
 		n, fails := all*part/known, s.failed/s.tries
 		e.sum.Failed += n * fails
 		if s.ok > 0 {
 			e.sum.MeanMs += n * (1 - fails) * s.ms / s.ok
-			e.okNow += n * (1 - fails)
+			e.estimatedSuccesses += n * (1 - fails)
 		}
-		if n <= mostBeyond*tries[i] {
+		if n <= maxLoadRatio*tries[i] {
 			e.sum.Trusted += all * part
 		}
 	}
@@ -126,6 +126,6 @@
 	r := e.sum
 	n := max(r.Tries, 1)
 	r.Recorded, r.Failed, r.Trusted = r.Recorded/n, r.Failed/n, r.Trusted/n
-	r.RecordedMs, r.MeanMs = r.RecordedMs/max(e.okThen, 1), r.MeanMs/max(e.okNow, 1)
+	r.RecordedMs, r.MeanMs = r.RecordedMs/max(e.recordedSuccesses, 1), r.MeanMs/max(e.estimatedSuccesses, 1)
 	return r
 }
--- a/internal/record/estimate_test.go
+++ b/internal/record/estimate_test.go
@@ -26,7 +26,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			e := newEstimator(func() map[int]map[int]float64 { return map[int]map[int]float64{0: c.shares} })
 			for range 10 {
-				e.notes([]brain.Note{brain.Met{Endpoint: 0, Tries: 100, Failed: 50, MeanMs: 20},
+				e.observe([]brain.Note{brain.Met{Endpoint: 0, Tries: 100, Failed: 50, MeanMs: 20},
 					brain.Met{Endpoint: 1, Tries: 100, MeanMs: 10}})
 			}
 			r := e.result()
--- a/internal/record/main_test.go
+++ b/internal/record/main_test.go
@@ -17,8 +17,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// samples has one of each input.
-var samples = []Input{
+// sampleInputs has one of each input.
+var sampleInputs = []Input{
 	{Kind: Join, Stream: 3, Message: &wire.Hello{Version: 1, Proxy: "p", Zone: "a", Rate: 2.5, Fresh: true, Holds: []string{"x"}}},
 	{Kind: Leave, Stream: 3}, {Kind: Applied, Stream: 3, Message: &wire.Done{Mark: 9, TookMs: 0.5}},
 	{Kind: Listed, Message: &wire.List{Version: 2, Now: 5, Whole: true, Entries: []wire.Entry{{Endpoint: "x", Zone: "a", Weight: 1}}}},
@@ -30,21 +30,23 @@
 	{Kind: Demand, Note: brain.Demand{Proxy: 4, Kind: 1, Reqs: 12, Unanswered: 1, SpanMs: 999.5}},
 }
 
-func turn(at float64) *Turn { return &Turn{AtMs: at, Digest: uint64(at) * 7, Inputs: samples} }
+func sampleTurn(at float64) *Turn {
+	return &Turn{AtMs: at, Digest: uint64(at) * 7, Inputs: sampleInputs}
+}
 
-func open(t *testing.T, dir string) *Store {
+func openStore(t *testing.T, dir string) *Store {
 	s, err := Open(dir, false)
 	require.NoError(t, err)
 	return s
 }
 
-// write records turns from and to in one life, with a disk that may fail.
-func write(t *testing.T, s *Store, life string, from, to int, fails func(int) bool) {
+// writeLife records turns from and to in one life, with a disk that may fail.
+func writeLife(t *testing.T, s *Store, life string, from, to int, fails func(int) bool) {
 	w, err := NewWriter(s, Life{ID: life}, Bounds{Segment: 2000, Every: time.Millisecond}, zap.NewNop())
 	require.NoError(t, err)
 	commits := 0
-	put := w.put
-	w.put = func(f func(*bbolt.Tx) error) error {
+	put := w.update
+	w.update = func(f func(*bbolt.Tx) error) error {
 		commits++
 		if fails != nil && fails(commits) {
 			return errors.New("no space left")
@@ -55,7 +57,7 @@
 	done := make(chan error, 1)
 	go func() { done <- w.Run(ctx) }()
 	for i := from; i < to; i++ {
-		w.Turn(func() *Turn { return turn(float64(i)) })
+		w.Turn(func() *Turn { return sampleTurn(float64(i)) })
 		if i%10 == 0 {
 			time.Sleep(3 * time.Millisecond)
 		}
@@ -64,8 +66,8 @@
 	require.NoError(t, <-done)
 }
 
-// read returns the times of the turns that can be read, and how many gaps lie among them.
-func read(s *Store, life string) (at []float64, gaps int, err error) {
+// readLife returns the times of the turns that can be read, and how many gaps lie among them.
+func readLife(s *Store, life string) (at []float64, gaps int, err error) {
 	err = s.Read(life, func(turns []Turn, gap bool) error {
 		for _, x := range turns {
 			at = append(at, x.AtMs)
--- a/internal/record/prune.go
+++ b/internal/record/prune.go
@@ -36,7 +36,7 @@
 			g := segment{name: append([]byte(nil), k...)}
 			err := segments.Bucket(k).ForEach(func(_, v []byte) error {
 				g.size += int64(len(v))
-				if len(v) >= chunkHead {
+				if len(v) >= chunkHeaderBytes {
 					g.at = time.UnixMilli(int64(binary.LittleEndian.Uint64(v[4:])))
 				}
 				return nil
--- a/internal/record/recorder.go
+++ b/internal/record/recorder.go
@@ -15,23 +15,23 @@
 // Recorder turns a core's turns into records. Turn is called by the loop and only keeps what it is given; all else is
 // done by the functions that it hands over, which are called one after another by whoever writes.
 type Recorder struct {
-	to      func(func() *Turn)
-	core    func() []pilot.Input // its checkpoint
-	streams map[pilot.Stream]uint64
-	next    uint64
-	lastMs  float64
-	began   bool
+	sink             func(func() *Turn)
+	checkpoint       func() []pilot.Input // its checkpoint
+	streams          map[pilot.Stream]uint64
+	lastStream       uint64
+	lastCheckpointMs float64
+	started          bool
 }
 
 // NewRecorder hands turns to a sink; checkpoint is the core's.
 func NewRecorder(to func(func() *Turn), checkpoint func() []pilot.Input) *Recorder {
-	return &Recorder{to: to, core: checkpoint, streams: map[pilot.Stream]uint64{}}
+	return &Recorder{sink: to, checkpoint: checkpoint, streams: map[pilot.Stream]uint64{}}
 }
 
 // Turn is for a core's plan.
 func (r *Recorder) Turn(nowMs float64, inputs []pilot.Input, told []brain.Note, orders []brain.Order) {
 	inputs = slices.Clone(inputs) // the loop uses its own again
-	r.to(func() *Turn {
+	r.sink(func() *Turn {
 		t := r.turn(nowMs, inputs)
 		t.Digest = Digest(orders)
 		for _, n := range told {
@@ -46,49 +46,49 @@
 		}
 		return t
 	})
-	if r.began && nowMs-r.lastMs < CheckpointEvery {
+	if r.started && nowMs-r.lastCheckpointMs < CheckpointEvery {
 		return
 	}
-	if r.began {
-		checkpoint := r.core()
-		r.to(func() *Turn { return r.turn(nowMs, checkpoint, Input{Kind: Checkpoint}) })
+	if r.started {
+		checkpoint := r.checkpoint()
+		r.sink(func() *Turn { return r.turn(nowMs, checkpoint, Input{Kind: Checkpoint}) })
 	}
-	r.began, r.lastMs = true, nowMs
+	r.started, r.lastCheckpointMs = true, nowMs
 }
 
 func (r *Recorder) turn(nowMs float64, inputs []pilot.Input, first ...Input) *Turn {
 	t := &Turn{AtMs: nowMs, Inputs: first}
 	for _, in := range inputs {
-		if x, ok := r.input(in); ok {
+		if x, ok := r.convert(in); ok {
 			t.Inputs = append(t.Inputs, x)
 		}
 	}
 	return t
 }
 
-// number returns a stream's number, giving one at its first appearance.
-func (r *Recorder) number(s pilot.Stream) uint64 {
+// streamNumber returns a stream's number, giving one at its first appearance.
+func (r *Recorder) streamNumber(s pilot.Stream) uint64 {
 	n, known := r.streams[s]
 	if !known {
-		r.next++
-		n = r.next
+		r.lastStream++
+		n = r.lastStream
 		r.streams[s] = n
 	}
 	return n
 }
 
-func (r *Recorder) input(in pilot.Input) (Input, bool) {
+func (r *Recorder) convert(in pilot.Input) (Input, bool) {
 	switch in := in.(type) {
 	case pilot.Join:
 		h := in.Hello
-		return Input{Kind: Join, Stream: r.number(in.Stream), Message: &h}, true
+		return Input{Kind: Join, Stream: r.streamNumber(in.Stream), Message: &h}, true
 	case pilot.Leave:
-		n := r.number(in.Stream)
+		n := r.streamNumber(in.Stream)
 		delete(r.streams, in.Stream)
 		return Input{Kind: Leave, Stream: n}, true
 	case pilot.Applied:
 		d := in.Done
-		return Input{Kind: Applied, Stream: r.number(in.Stream), Message: &d}, true
+		return Input{Kind: Applied, Stream: r.streamNumber(in.Stream), Message: &d}, true
 	case pilot.Listed:
 		return Input{Kind: Listed, Message: in.List}, true
 	case pilot.SliceGiven:
@@ -98,7 +98,7 @@
 	case pilot.Heard:
 		return Input{Kind: Heard, From: in.From, Text: in.Text}, true
 	case pilot.Probed:
-		return Input{Kind: Probed, Text: in.Endpoint, Probe: brain.Probed{Outcome: in.Outcome, TookMs: in.TookMs, Load: figures(in.Load)}}, true
+		return Input{Kind: Probed, Text: in.Endpoint, Probe: brain.Probed{Outcome: in.Outcome, TookMs: in.TookMs, Load: loadOf(in.Load)}}, true
 	case pilot.Retermed:
 		b, err := json.Marshal(in.Terms)
 		return Input{Kind: Retermed, Text: string(b)}, err == nil
@@ -106,7 +106,7 @@
 	return Input{}, false
 }
 
-func figures(l []wire.Figure) brain.Load {
+func loadOf(l []wire.Figure) brain.Load {
 	if len(l) == 0 {
 		return nil
 	}
--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -40,14 +40,14 @@
 		}
 	}
 	r := &Result{}
-	d := &listener{Decider: decide(l.Seed, terms), r: r}
-	plan, err := planOf(terms)
+	d := &countingDecider{Decider: decide(l.Seed, terms), result: r}
+	plan, err := optionsFromSettings(terms)
 	if err != nil {
 		return nil, err
 	}
 	plan.Decider, plan.Terms = d, terms
 	core := pilot.NewCore(plan)
-	d.guess = newEstimator(core.Shares)
+	d.estimator = newEstimator(core.Shares)
 	if l.After != "" {
 		turns, _, err := Tail(s, l.After, l.TailMs)
 		if err != nil {
@@ -59,10 +59,10 @@
 		core.Recovered(plan)
 		*r = Result{}
 		core.Heard = 0
-		d.guess = newEstimator(core.Shares)
+		d.estimator = newEstimator(core.Shares)
 	}
 	sent := crc64.New(table)
-	p := Player{Core: core, Sent: func(proxy string, o *wire.Orders) {
+	p := replayer{core: core, onSend: func(proxy string, o *wire.Orders) {
 		r.Messages++
 		r.Lines += o.Lines
 		fmt.Fprintf(sent, "%s %v\n", proxy, o.Ops) // writes to a hash don't fail
@@ -78,14 +78,14 @@
 				continue
 			}
 			d.digest = Digest(nil)
-			if err := p.Play(t, 0); err != nil {
+			if err := p.replay(t, 0); err != nil {
 				return err
 			}
 			if first {
 				first, r.SpanMs = false, -t.AtMs
 			}
 			if own && r.FirstDiff == "" && d.digest != t.Digest {
-				r.FirstDiff = fmt.Sprintf("turn %d at %.3f s, %d inputs, first %s", r.Turns, t.AtMs/1000, len(t.Inputs), describe(t))
+				r.FirstDiff = fmt.Sprintf("turn %d at %.3f s, %d inputs, first %s", r.Turns, t.AtMs/1000, len(t.Inputs), describeTurn(t))
 			}
 			r.Turns++
 			r.MostWaiting = max(r.MostWaiting, core.Channel.MostSeen)
@@ -94,14 +94,14 @@
 		return nil
 	})
 	r.SpanMs += d.lastMs
-	r.Notes, r.Tables, r.Estimate = core.Heard, sent.Sum64(), d.guess.result()
+	r.Notes, r.Tables, r.Estimate = core.Heard, sent.Sum64(), d.estimator.result()
 	if errors.Is(err, ErrTorn) {
 		return r, fmt.Errorf("%s after %d turns: %w", l.ID, r.Turns, err)
 	}
 	return r, err
 }
 
-func describe(t *Turn) string {
+func describeTurn(t *Turn) string {
 	if len(t.Inputs) == 0 {
 		return "an alarm"
 	}
--- a/internal/record/replayer.go
+++ b/internal/record/replayer.go
@@ -9,20 +9,20 @@
 	"indigousher/internal/wire"
 )
 
-// latest is beyond every time of a life, in ms.
-const latest = 1e14
+// maxTimeMs is beyond every time of a life, in ms.
+const maxTimeMs = 1e14
 
-// Player feeds recorded turns to a core.
-type Player struct {
-	Core    *pilot.Core
-	Sent    func(proxy string, o *wire.Orders) // may be nil
-	streams map[uint64]*Stream
+// replayer feeds recorded turns to a core.
+type replayer struct {
+	core    *pilot.Core
+	onSend  func(proxy string, o *wire.Orders) // may be nil
+	streams map[uint64]*replayStream
 }
 
-// Play feeds one turn. The time of the turn is moved by offset.
-func (p *Player) Play(t *Turn, offsetMs float64) error {
+// replay feeds one turn. The time of the turn is moved by offset.
+func (p *replayer) replay(t *Turn, offsetMs float64) error {
 	if p.streams == nil {
-		p.streams = map[uint64]*Stream{}
+		p.streams = map[uint64]*replayStream{}
 	}
 	var inputs []pilot.Input
 	var told []brain.Note
@@ -32,7 +32,7 @@
 			told = append(told, in.Note)
 			continue
 		}
-		x, err := p.input(in)
+		x, err := p.convert(in)
 		if err != nil {
 			return err
 		}
@@ -43,15 +43,15 @@
 	if len(told) > 0 {
 		inputs = append(inputs, pilot.Told{Notes: told})
 	}
-	if !(t.AtMs >= 0 && t.AtMs < latest) {
+	if !(t.AtMs >= 0 && t.AtMs < maxTimeMs) {
 		return fmt.Errorf("a turn at %g ms: %w", t.AtMs, ErrTorn)
 	}
-	p.Core.Handle(t.AtMs+offsetMs, inputs)
-	p.Core.Channel.Send(t.AtMs + offsetMs)
+	p.core.Handle(t.AtMs+offsetMs, inputs)
+	p.core.Channel.Send(t.AtMs + offsetMs)
 	return nil
 }
 
-func (p *Player) input(in *Input) (pilot.Input, error) {
+func (p *replayer) convert(in *Input) (pilot.Input, error) {
 	switch in.Kind {
 	case Checkpoint:
 		return nil, nil
@@ -60,9 +60,9 @@
 		if !ok {
 			return nil, ErrTorn
 		}
-		s := &Stream{Number: in.Stream}
-		if p.Sent != nil {
-			s.Sent = func(o *wire.Orders) { p.Sent(h.Proxy, o) }
+		s := &replayStream{Number: in.Stream}
+		if p.onSend != nil {
+			s.onSend = func(o *wire.Orders) { p.onSend(h.Proxy, o) }
 		}
 		p.streams[in.Stream] = s
 		return pilot.Join{Stream: s, Hello: *h}, nil
@@ -106,22 +106,22 @@
 	return nil, nil
 }
 
-// Stream stands for a recorded proxy's stream in a replay: what is sent to it goes nowhere, or to Sent.
-type Stream struct {
+// replayStream stands for a recorded proxy's stream in a replay: what is sent to it goes nowhere, or to Sent.
+type replayStream struct {
 	Number uint64
-	Sent   func(*wire.Orders)
+	onSend func(*wire.Orders)
 }
 
 // Send takes orders.
-func (s *Stream) Send(o *wire.Orders) error {
-	if s.Sent != nil {
-		s.Sent(o)
+func (s *replayStream) Send(o *wire.Orders) error {
+	if s.onSend != nil {
+		s.onSend(o)
 	}
 	return nil
 }
 
 // Ask does nothing.
-func (s *Stream) Ask(*wire.Pace) error { return nil }
+func (s *replayStream) Ask(*wire.Pace) error { return nil }
 
 // Close does nothing: the record says when a stream ended.
-func (s *Stream) Close(string) {}
+func (s *replayStream) Close(string) {}
--- a/internal/record/restore_test.go
+++ b/internal/record/restore_test.go
@@ -36,7 +36,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			terms := map[string]any{"zones": []any{"a"}, "req_kinds": []any{map[string]any{"name": "read"}}, "fields": []any{"util"}}
-			plan, err := planOf(terms)
+			plan, err := optionsFromSettings(terms)
 			require.NoError(t, err)
 			plan.Decider, plan.Terms = brain.New(1, terms), terms
 			odd := 0
@@ -55,17 +55,17 @@
 			}
 		})
 	}
-	panics := plainPanic{}
-	plan, err := planOf(map[string]any{"zones": []any{"a"}, "req_kinds": []any{"read"}})
+	panics := panickingDecider{}
+	plan, err := optionsFromSettings(map[string]any{"zones": []any{"a"}, "req_kinds": []any{"read"}})
 	require.NoError(t, err)
 	plan.Decider, plan.Terms = panics, map[string]any{}
 	assert.ErrorContains(t, Restore(pilot.NewCore(plan), []Turn{{}}), "the module panics on the record: index")
 }
 
-// plainPanic is a module with a fault.
-type plainPanic struct{}
+// panickingDecider is a module with a fault.
+type panickingDecider struct{}
 
-func (plainPanic) Handle(float64, []brain.Note) []brain.Order { panic("index out of range") }
+func (panickingDecider) Handle(float64, []brain.Note) []brain.Order { panic("index out of range") }
 
 // Reconfigure does nothing.
-func (plainPanic) Reconfigure(map[string]any) {}
+func (panickingDecider) Reconfigure(map[string]any) {}
--- a/internal/record/segments.go
+++ b/internal/record/segments.go
@@ -15,7 +15,7 @@
 		prefix := []byte(life + "/")
 		for k, v := c.Seek(prefix); k != nil && v == nil && len(k) > len(prefix) && string(k[:len(prefix)]) == string(prefix); k, v = c.Next() {
 			err := tx.Bucket(bucketSegments).Bucket(k).ForEach(func(_, chunk []byte) error {
-				turns, err := s.unpack(chunk)
+				turns, err := s.decodeChunk(chunk)
 				if err != nil {
 					return err
 				}
@@ -50,7 +50,7 @@
 	_ = s.view(func(tx *bbolt.Tx) error { // only reads
 		return tx.Bucket(bucketSegments).ForEachBucket(func(k []byte) error {
 			if len(k) > len(life) && string(k[:len(life)]) == life {
-				if _, v := tx.Bucket(bucketSegments).Bucket(k).Cursor().Last(); len(v) >= chunkHead {
+				if _, v := tx.Bucket(bucketSegments).Bucket(k).Cursor().Last(); len(v) >= chunkHeaderBytes {
 					at = time.UnixMilli(int64(binary.LittleEndian.Uint64(v[4:])))
 				}
 			}
--- a/internal/record/settings_options.go
+++ b/internal/record/settings_options.go
@@ -6,8 +6,8 @@
 	"indigousher/internal/pilot"
 )
 
-// planOf makes a core's plan from the module's terms.
-func planOf(terms map[string]any) (p pilot.Plan, err error) {
+// optionsFromSettings makes a core's plan from the module's terms.
+func optionsFromSettings(terms map[string]any) (p pilot.Plan, err error) {
 	texts := func(name string) (list []string) {
 		all, _ := terms[name].([]any)
 		for _, x := range all {
@@ -24,7 +24,7 @@
 	num := func(name string) float64 { v, _ := terms[name].(float64); return v }
 	p = pilot.Plan{Zones: texts("zones"), Machines: texts("machines"), Kinds: texts("req_kinds"), LinesPerS: num("lines_per_s"),
 		Backlog: num("backlog"), HeadLines: int(num("head_lines")), MessagesMost: int(num("messages_most")),
-		MessagesOverMs: num("messages_over"), MostProxies: 65535, List: nobody{}, Prober: nobody{}, Peers: nobody{},
+		MessagesOverMs: num("messages_over"), MostProxies: 65535, List: disabledTransports{}, Prober: disabledTransports{}, Peers: disabledTransports{},
 		Log: func(string) {}, Odd: func(string, ...string) {}, Replayed: true}
 	p.Intake.PeriodMs, p.Intake.HalfMs, p.Intake.LongestMs = 1000, 5000, 120000
 	if len(p.Zones) == 0 || len(p.Kinds) == 0 {
@@ -33,13 +33,13 @@
 	return p, nil
 }
 
-// nobody stands for edges that are not there in a replay.
-type nobody struct{}
+// disabledTransports stands for edges that are not there in a replay.
+type disabledTransports struct{}
 
-func (nobody) Watch(bool) {}
+func (disabledTransports) Watch(bool) {}
 
-func (nobody) Fetch() {}
+func (disabledTransports) Fetch() {}
 
-func (nobody) Probe(string) {}
+func (disabledTransports) Probe(string) {}
 
-func (nobody) Tell(int, string) {}
+func (disabledTransports) Tell(int, string) {}
--- a/internal/record/store.go
+++ b/internal/record/store.go
@@ -13,9 +13,9 @@
 
 // Store is the file. It is opened by one process at a time.
 type Store struct {
-	db  *bbolt.DB
-	zip *zstd.Encoder
-	raw *zstd.Decoder
+	db           *bbolt.DB
+	compressor   *zstd.Encoder
+	decompressor *zstd.Decoder
 }
 
 // Open opens or makes the store in a folder. A second process that opens it fails. A file that is torn is told by ErrTorn.
@@ -26,8 +26,8 @@
 		return nil, fmt.Errorf("open records: %w", err)
 	}
 	s := &Store{db: db}
-	if s.zip, err = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1)); err == nil {
-		s.raw, err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(256<<20))
+	if s.compressor, err = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1)); err == nil {
+		s.decompressor, err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(256<<20))
 	}
 	if err == nil && !readOnly {
 		err = s.update(func(tx *bbolt.Tx) error {
@@ -47,14 +47,14 @@
 
 // Close closes the file.
 func (s *Store) Close() error {
-	s.raw.Close()
-	return errors.Join(s.zip.Close(), s.db.Close())
+	s.decompressor.Close()
+	return errors.Join(s.compressor.Close(), s.db.Close())
 }
 
 func (s *Store) view(f func(*bbolt.Tx) error) error {
-	return guarded(func() error { return s.db.View(f) })
+	return panicsAsErrors(func() error { return s.db.View(f) })
 }
 
 func (s *Store) update(f func(*bbolt.Tx) error) error {
-	return guarded(func() error { return s.db.Update(f) })
+	return panicsAsErrors(func() error { return s.db.Update(f) })
 }
--- a/internal/record/store_test.go
+++ b/internal/record/store_test.go
@@ -14,9 +14,9 @@
 // TestStore guards lives, segments, pruning and a second opener.
 func TestStore(t *testing.T) {
 	dir := t.TempDir()
-	s := open(t, dir)
-	write(t, s, "a", 0, 200, nil)
-	write(t, s, "b", 0, 200, nil)
+	s := openStore(t, dir)
+	writeLife(t, s, "a", 0, 200, nil)
+	writeLife(t, s, "b", 0, 200, nil)
 	_, err := Open(dir, false)
 	assert.Error(t, err, "another has it open")
 	lives, err := s.Lives()
@@ -29,7 +29,7 @@
 	assert.Positive(t, dropped)
 	left, _ := s.Size("b")
 	assert.LessOrEqual(t, left, bytes)
-	at, _, err := read(s, "b")
+	at, _, err := readLife(s, "b")
 	require.NoError(t, err)
 	assert.Equal(t, 199.0, at[len(at)-1])
 	_, err = s.Prune(Bounds{Age: time.Nanosecond}, time.Now().Add(time.Hour))
@@ -45,9 +45,9 @@
 
 // TestTorn guards against bytes that changed on the disk: what lies before them is read, and they are named.
 func TestTorn(t *testing.T) {
-	s := open(t, t.TempDir())
+	s := openStore(t, t.TempDir())
 	defer s.Close()
-	write(t, s, "a", 0, 100, nil)
+	writeLife(t, s, "a", 0, 100, nil)
 	n := 0
 	require.NoError(t, s.db.Update(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(bucketSegments)
@@ -63,7 +63,7 @@
 		}
 		return nil
 	}))
-	at, _, err := read(s, "a")
+	at, _, err := readLife(s, "a")
 	assert.ErrorIs(t, err, ErrTorn)
 	assert.NotEmpty(t, at)
 	turns, torn, err := Tail(s, "a", 1e9)
--- a/internal/record/tail.go
+++ b/internal/record/tail.go
@@ -54,12 +54,12 @@
 			err = fmt.Errorf("the module panics on the record: %v", r)
 		}
 	}()
-	p := Player{Core: core}
+	p := replayer{core: core}
 	for i := range turns {
 		if i > 0 && turns[i].IsCheckpoint() {
 			continue
 		}
-		if err := p.Play(&turns[i], 0); err != nil {
+		if err := p.replay(&turns[i], 0); err != nil {
 			return err
 		}
 	}
--- a/internal/record/tail_test.go
+++ b/internal/record/tail_test.go
@@ -41,7 +41,7 @@
 
 // TestTail guards the memory of a recovery: of a long life no more is held than what is gone on from, and that is the same.
 func TestTail(t *testing.T) {
-	s := open(t, t.TempDir())
+	s := openStore(t, t.TempDir())
 	defer s.Close()
 	w, err := NewWriter(s, Life{ID: "a"}, Bounds{Segment: 1 << 12, Every: time.Hour}, zap.NewNop())
 	require.NoError(t, err)
--- a/internal/record/writer.go
+++ b/internal/record/writer.go
@@ -14,18 +14,18 @@
 // Writer appends one life's turns off the loop's path. A disk that is full or fails never stops it: what can't be kept
 // is a gap in the record, and it goes on when it can.
 type Writer struct {
-	store   *Store
-	life    string
-	bounds  Bounds
-	log     *zap.Logger
-	turns   chan func() *Turn
-	lost    atomic.Int64 // turns that are in no chunk
-	Turns   atomic.Int64
-	Bytes   atomic.Int64
-	put     func(f func(*bbolt.Tx) error) error // tests make it fail
-	segment int
-	size    int
-	number  uint64
+	store        *Store
+	life         string
+	bounds       Bounds
+	log          *zap.Logger
+	turns        chan func() *Turn
+	lost         atomic.Int64 // turns that are in no chunk
+	Turns        atomic.Int64
+	Bytes        atomic.Int64
+	update       func(f func(*bbolt.Tx) error) error // tests make it fail
+	segment      int
+	segmentBytes int
+	nextChunk    uint64
 }
 
 // NewWriter begins a life.
@@ -33,7 +33,7 @@
 	if err := s.Begin(l); err != nil {
 		return nil, err
 	}
-	return &Writer{store: s, life: l.ID, bounds: b, log: log, turns: make(chan func() *Turn, queueSize), put: s.update}, nil
+	return &Writer{store: s, life: l.ID, bounds: b, log: log, turns: make(chan func() *Turn, maxQueuedTurns), update: s.update}, nil
 }
 
 // Turn hands a turn over. It never waits; the turn is laid out when its time has come.
@@ -46,8 +46,8 @@
 	}
 }
 
-// lay adds a turn to what is committed next.
-func (w *Writer) lay(body []byte, t func() *Turn) []byte {
+// appendTurn adds a turn to what is committed next.
+func (w *Writer) appendTurn(body []byte, t func() *Turn) []byte {
 	b, err := Append(body, t())
 	if err != nil {
 		w.log.Error("turn not recorded", zap.Error(err))
@@ -67,7 +67,7 @@
 	for {
 		select {
 		case t := <-w.turns:
-			body = w.lay(body, t)
+			body = w.appendTurn(body, t)
 			if len(body) < w.bounds.Segment/4 {
 				continue
 			}
@@ -81,7 +81,7 @@
 			for {
 				select {
 				case t := <-w.turns:
-					body = w.lay(body, t)
+					body = w.appendTurn(body, t)
 					continue
 				default:
 				}
@@ -101,24 +101,24 @@
 	if len(body) == 0 && lost == 0 {
 		return
 	}
-	err := w.put(func(tx *bbolt.Tx) error {
+	err := w.update(func(tx *bbolt.Tx) error {
 		name := []byte(fmt.Sprintf("%s/%08d", w.life, w.segment))
 		seg, err := tx.Bucket(bucketSegments).CreateBucketIfNotExists(name)
 		if err != nil {
 			return err
 		}
 		if lost > 0 {
-			if err := seg.Put(binary.BigEndian.AppendUint64(nil, w.number), w.store.pack(nil, time.Now())); err != nil {
+			if err := seg.Put(binary.BigEndian.AppendUint64(nil, w.nextChunk), w.store.encodeChunk(nil, time.Now())); err != nil {
 				return err
 			}
 		}
 		if len(body) == 0 {
 			return nil
 		}
-		chunk := w.store.pack(body, time.Now())
+		chunk := w.store.encodeChunk(body, time.Now())
 		w.Bytes.Add(int64(len(chunk)))
-		w.size += len(chunk)
-		return seg.Put(binary.BigEndian.AppendUint64(nil, w.number+1), chunk)
+		w.segmentBytes += len(chunk)
+		return seg.Put(binary.BigEndian.AppendUint64(nil, w.nextChunk+1), chunk)
 	})
 	if err != nil {
 		w.lost.Add(1)
@@ -126,8 +126,8 @@
 		return
 	}
 	w.lost.Add(-lost)
-	w.number += 2
-	if w.size >= w.bounds.Segment {
-		w.segment, w.size = w.segment+1, 0
+	w.nextChunk += 2
+	if w.segmentBytes >= w.bounds.Segment {
+		w.segment, w.segmentBytes = w.segment+1, 0
 	}
 }
--- a/internal/record/writer_test.go
+++ b/internal/record/writer_test.go
@@ -29,10 +29,10 @@
 		{"failing by chance", func(n int) bool { return rand.New(rand.NewPCG(1, uint64(n))).Float64() < 0.4 }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := open(t, t.TempDir())
+			s := openStore(t, t.TempDir())
 			defer s.Close()
-			write(t, s, "a", 0, 300, c.fails)
-			at, gaps, err := read(s, "a")
+			writeLife(t, s, "a", 0, 300, c.fails)
+			at, gaps, err := readLife(s, "a")
 			require.NoError(t, err)
 			assert.Equal(t, c.gaps, gaps > 0)
 			assert.IsIncreasing(t, at)
@@ -45,13 +45,13 @@
 
 // TestSlowDisk guards the loop against a disk that hangs: handing over never waits, and what did not fit is a gap.
 func TestSlowDisk(t *testing.T) {
-	s := open(t, t.TempDir())
+	s := openStore(t, t.TempDir())
 	defer s.Close()
 	w, err := NewWriter(s, Life{ID: "a"}, Bounds{Segment: 1 << 20, Every: time.Millisecond}, zap.NewNop())
 	require.NoError(t, err)
-	release, put := make(chan bool), w.put
+	release, put := make(chan bool), w.update
 	var held atomic.Bool
-	w.put = func(f func(*bbolt.Tx) error) error {
+	w.update = func(f func(*bbolt.Tx) error) error {
 		if held.CompareAndSwap(false, true) {
 			<-release
 		}
@@ -60,17 +60,17 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- w.Run(ctx) }()
-	for i := range 3 * queueSize {
-		w.Turn(func() *Turn { return turn(float64(i)) })
+	for i := range 3 * maxQueuedTurns {
+		w.Turn(func() *Turn { return sampleTurn(float64(i)) })
 	}
 	close(release)
 	time.Sleep(20 * time.Millisecond)
 	cancel()
 	require.NoError(t, <-done)
-	at, gaps, err := read(s, "a")
+	at, gaps, err := readLife(s, "a")
 	require.NoError(t, err)
 	assert.Positive(t, gaps)
-	assert.Less(t, len(at), 3*queueSize)
+	assert.Less(t, len(at), 3*maxQueuedTurns)
 }
 
 // BenchmarkTurn measures what recording costs the loop: one operation is a turn of 50 report lines.
