--- a/recovery/decision.go
+++ b/recovery/decision.go
@@ -4,8 +4,8 @@
 	"fmt"
 )
 
-// mostBarren is how many lives may die as they begin until one begins cold.
-const mostBarren = 3
+// maxFailedStarts is how many lives may die as they begin until one begins cold.
+const maxFailedStarts = 3
 
 // Facts are what is known of the record at a start. Times are milliseconds.
 type Facts struct {
@@ -46,7 +46,7 @@
 		return cold("there is no record")
 	case !f.SameFormat:
 		return cold("the record is of another format")
-	case f.Barren >= mostBarren:
+	case f.Barren >= maxFailedStarts:
 		return cold("%d starts in a row died before their first turn", f.Barren)
 	case !f.SameModule:
 		return cold("the record is of another module")
--- a/recovery/explore_test.go
+++ b/recovery/explore_test.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// build repeats steps from the start.
-func build(plant faults, path []string) *world {
+// rebuild repeats steps from the start.
+func rebuild(plant faults, path []string) *world {
 	w := newWorld(plant)
 	for _, name := range path {
 		w.steps()[name]()
@@ -21,27 +21,27 @@
 	return w
 }
 
-// found is what one state leads to.
-type found struct {
-	wrong    string
-	children map[string]string // prints by step
+// expansion is what one state leads to.
+type expansion struct {
+	violation string
+	children  map[string]string // prints by step
 }
 
-func look(plant faults, path []string) (f found) {
-	w := build(plant, path)
+func expand(plant faults, path []string) (f expansion) {
+	w := rebuild(plant, path)
 	steps := w.steps()
 	settled := true
 	for name := range steps {
 		settled = settled && strings.HasPrefix(name, "!")
 	}
-	if f.wrong = w.wrong(settled); f.wrong != "" {
+	if f.violation = w.violationIn(settled); f.violation != "" {
 		return f
 	}
 	f.children = map[string]string{}
 	for name := range steps {
-		child := build(plant, path)
+		child := rebuild(plant, path)
 		child.steps()[name]()
-		f.children[name] = child.print()
+		f.children[name] = child.signature()
 	}
 	return f
 }
@@ -51,17 +51,17 @@
 	seen := map[string]bool{}
 	level := [][]string{nil}
 	for len(level) > 0 && states < most {
-		all := make([]found, len(level))
+		all := make([]expansion, len(level))
 		var g errgroup.Group
 		g.SetLimit(runtime.GOMAXPROCS(0))
 		for i, path := range level {
-			g.Go(func() error { all[i] = look(plant, path); return nil })
+			g.Go(func() error { all[i] = expand(plant, path); return nil })
 		}
 		_ = g.Wait() // none fails
 		var next [][]string
 		for i, f := range all {
-			if f.wrong != "" {
-				return states, level[i], f.wrong
+			if f.violation != "" {
+				return states, level[i], f.violation
 			}
 			for _, name := range slices.Sorted(maps.Keys(f.children)) {
 				if p := f.children[name]; !seen[p] {
@@ -85,10 +85,10 @@
 		wrong string
 	}{
 		{"as it ships, with a drain", faults{}, 12_000, ""},
-		{"as it ships, with a note", faults{noted: true}, 100_000, ""},
-		{"the old one goes on without the claim", faults{resumesUnasked: true}, 100_000, "two processes run the pilot"},
-		{"the new one begins without the claim", faults{startsUnasked: true}, 100_000, "two processes run the pilot"},
-		{"what is replayed goes out again", faults{noted: true, replayAloud: true}, 100_000, "an effect was ordered twice"},
+		{"as it ships, with a note", faults{withGossip: true}, 100_000, ""},
+		{"the old one goes on without the claim", faults{resumesUnlocked: true}, 100_000, "two processes run the pilot"},
+		{"the new one begins without the claim", faults{startsUnlocked: true}, 100_000, "two processes run the pilot"},
+		{"what is replayed goes out again", faults{withGossip: true, replaySends: true}, 100_000, "an effect was ordered twice"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			states, path, wrong := explore(c.plant, c.most)
--- a/recovery/handover.go
+++ b/recovery/handover.go
@@ -39,18 +39,18 @@
 	End            // the process ends, or gives up what it tried
 )
 
-// step is where a side stands.
-type step int
+// state is where a side stands.
+type state int
 
 const (
-	serving step = iota
-	offered
-	stopping
-	let
-	reclaiming
-	asking
-	ready
-	claiming
-	starting
-	over
+	stateServing state = iota
+	stateOffered
+	stateStopping
+	stateReleased
+	stateReclaiming
+	stateRequesting
+	stateReady
+	stateClaiming
+	stateStarting
+	stateEnded
 )
--- a/recovery/predecessor.go
+++ b/recovery/predecessor.go
@@ -2,45 +2,45 @@
 
 // Old is the side of the process that runs. Its zero value serves.
 type Old struct {
-	at    step
-	tries int
+	state    state
+	refusals int
 	// Patience is how often the claim is tried after the new one was lost. If another holds it all the while, that one
 	// serves.
 	Patience int
 }
 
 // Gone returns whether the other process serves now.
-func (o *Old) Gone() bool { return o.at == over }
+func (o *Old) Gone() bool { return o.state == stateEnded }
 
 // Next takes in an event and returns what to do.
 func (o *Old) Next(e Event) Act {
 	switch {
-	case o.at == serving && e == Asked:
-		o.at = offered
+	case o.state == stateServing && e == Asked:
+		o.state = stateOffered
 		return SayOffer
-	case o.at == offered && e == ReadyCame:
-		o.at = stopping
+	case o.state == stateOffered && e == ReadyCame:
+		o.state = stateStopping
 		return StopPilot
-	case o.at == offered: // the new one gave up before anything was stopped
-		o.at = serving
+	case o.state == stateOffered: // the new one gave up before anything was stopped
+		o.state = stateServing
 		return Nothing
-	case o.at == stopping && e == Stopped:
-		o.at = let
+	case o.state == stateStopping && e == Stopped:
+		o.state = stateReleased
 		return SayGo
-	case o.at == let && e == ServingCame:
-		o.at = over
+	case o.state == stateReleased && e == ServingCame:
+		o.state = stateEnded
 		return End
-	case o.at == let: // whether it serves or died only the claim can tell
-		o.at, o.tries = reclaiming, 0
+	case o.state == stateReleased: // whether it serves or died only the claim can tell
+		o.state, o.refusals = stateReclaiming, 0
 		return Claim
-	case o.at == reclaiming && e == Claimed:
-		o.at = serving
+	case o.state == stateReclaiming && e == Claimed:
+		o.state = stateServing
 		return StartPilot
-	case o.at == reclaiming && e == Refused:
-		if o.tries++; o.tries < o.Patience {
+	case o.state == stateReclaiming && e == Refused:
+		if o.refusals++; o.refusals < o.Patience {
 			return Claim
 		}
-		o.at = over
+		o.state = stateEnded
 		return End
 	}
 	return Nothing
--- a/recovery/world_planner_test.go
+++ b/recovery/world_planner_test.go
@@ -14,16 +14,16 @@
 // The machines, the runtime, the record's turns and the proxies' tables are those that ship; only sockets, disk and lock
 // are the explorer's.
 
-// clerk decides: all endpoints in one table, drains shut out, each note passed on once.
-type clerk struct {
+// plainPlanner decides: all endpoints in one table, drains shut out, each note passed on once.
+type plainPlanner struct {
 	phase  map[int]brain.Phase
 	joined map[int]bool // and not bound yet
 }
 
 // Reconfigure does nothing.
-func (c *clerk) Reconfigure(map[string]any) {}
+func (c *plainPlanner) Reconfigure(map[string]any) {}
 
-func (c *clerk) Handle(_ float64, notes []brain.Note) (out []brain.Order) {
+func (c *plainPlanner) Handle(_ float64, notes []brain.Note) (out []brain.Order) {
 	for _, n := range notes {
 		switch n := n.(type) {
 		case brain.Listing:
@@ -54,26 +54,26 @@
 }
 
 func (w *world) plan(held bool) pilot.Plan {
-	p := pilot.Plan{Decider: &clerk{map[int]brain.Phase{}, map[int]bool{}}, Terms: map[string]any{}, Zones: []string{"a"}, Machines: []string{"std"}, Kinds: []string{"read"},
-		Intake: intake.Terms{PeriodMs: 1e9, HalfMs: 1e9, LongestMs: 1e9}, MostProxies: 9, List: edge{}, Prober: edge{}, Peers: edge{},
+	p := pilot.Plan{Decider: &plainPlanner{map[int]brain.Phase{}, map[int]bool{}}, Terms: map[string]any{}, Zones: []string{"a"}, Machines: []string{"std"}, Kinds: []string{"read"},
+		Intake: intake.Terms{PeriodMs: 1e9, HalfMs: 1e9, LongestMs: 1e9}, MostProxies: 9, List: transport{}, Prober: transport{}, Peers: transport{},
 		Log: func(string) {}, Odd: func(string, ...string) {}, Replayed: true}
-	if !held || w.plant.replayAloud {
-		p.Peers = edge{w}
+	if !held || w.faults.replaySends {
+		p.Peers = transport{w}
 	}
 	return p
 }
 
-// edge is the way to other pilots.
-type edge struct{ w *world }
+// transport is the way to other pilots.
+type transport struct{ w *world }
 
-func (edge) Watch(bool) {}
+func (transport) Watch(bool) {}
 
-func (edge) Fetch() {}
+func (transport) Fetch() {}
 
-func (edge) Probe(string) {}
+func (transport) Probe(string) {}
 
-func (e edge) Tell(int, string) {
+func (e transport) Tell(int, string) {
 	if e.w != nil {
-		e.w.told++
+		e.w.gossipCommanded++
 	}
 }
--- a/recovery/world_steps_test.go
+++ b/recovery/world_steps_test.go
@@ -12,81 +12,81 @@
 // steps are what can happen now, by name. Those after a "!" are faults: nothing waits for them.
 func (w *world) steps() map[string]func() {
 	s := map[string]func(){}
-	if n := w.procs[1]; n.alive && !n.asked {
+	if n := w.processes[1]; n.alive && !n.requested {
 		s["ask"] = func() {
-			if n.asked = true; w.cut || !w.procs[0].alive {
-				w.next(1, recovery.Lost)
+			if n.requested = true; w.cut || !w.processes[0].alive {
+				w.report(1, recovery.Lost)
 				return
 			}
-			w.next(0, recovery.Asked)
-			n.waits = true
+			w.report(0, recovery.Asked)
+			n.waiting = true
 		}
 	}
-	for i, p := range w.procs {
+	for i, p := range w.processes {
 		if !p.alive {
 			continue
 		}
-		if p.act != recovery.Nothing {
-			s[fmt.Sprint("do ", i)] = func() { w.do(i) }
+		if p.action != recovery.Nothing {
+			s[fmt.Sprint("do ", i)] = func() { w.act(i) }
 		}
-		if p.waits && len(w.says[i]) > 0 {
+		if p.waiting && len(w.messages[i]) > 0 {
 			s[fmt.Sprint("hear ", i)] = func() {
-				e := w.says[i][0]
-				w.says[i] = w.says[i][1:]
-				w.next(i, e)
+				e := w.messages[i][0]
+				w.messages[i] = w.messages[i][1:]
+				w.report(i, e)
 			}
 		}
-		if p.waits && len(w.says[i]) == 0 && (w.cut || !w.procs[1-i].alive) {
-			s[fmt.Sprint("lost ", i)] = func() { w.cut = true; w.next(i, recovery.Lost) }
+		if p.waiting && len(w.messages[i]) == 0 && (w.cut || !w.processes[1-i].alive) {
+			s[fmt.Sprint("lost ", i)] = func() { w.cut = true; w.report(i, recovery.Lost) }
 		}
 		if w.crashes == 0 {
 			s[fmt.Sprint("!crash ", i)] = func() {
 				w.crashes++
 				if p.core != nil {
-					w.turns = w.turns[:w.kept]
+					w.turns = w.turns[:w.committed]
 				}
-				w.end(i)
-				w.letGo(i)
-				p.alive, p.act, p.waits = false, recovery.Nothing, false
+				w.stopController(i)
+				w.releaseLock(i)
+				p.alive, p.action, p.waiting = false, recovery.Nothing, false
 			}
 		}
-		if p.core != nil && p.listed < w.list {
-			s[fmt.Sprint("list ", i)] = func() { p.listed = w.list; w.feed(i, w.listing()) }
+		if p.core != nil && p.listed < w.listChanges {
+			s[fmt.Sprint("list ", i)] = func() { p.listed = w.listChanges; w.feed(i, w.listing()) }
 		}
 	}
 	if w.losses == 0 && !w.cut {
 		s["!cut"] = func() { w.losses++; w.cut = true }
 	}
-	if w.list == 0 {
-		s["drain"] = func() { w.list++ }
+	if w.listChanges == 0 {
+		s["drain"] = func() { w.listChanges++ }
 	}
-	if w.notes == 0 {
-		for i, p := range w.procs {
+	if w.gossipSent == 0 {
+		for i, p := range w.processes {
 			if p.core != nil {
-				s[fmt.Sprint("note ", i)] = func() { w.notes++; w.feed(i, pilot.Heard{From: 1, Text: "once"}) }
+				s[fmt.Sprint("note ", i)] = func() { w.gossipSent++; w.feed(i, pilot.Heard{From: 1, Text: "once"}) }
 			}
 		}
 	}
-	if w.kept < len(w.turns) {
-		s["commit"] = func() { w.kept = len(w.turns) }
+	if w.committed < len(w.turns) {
+		s["commit"] = func() { w.committed = len(w.turns) }
 	}
-	if !w.procs[0].alive && !w.procs[1].alive && w.restarts == 0 { // by whoever watches over processes
+	if !w.processes[0].alive && !w.processes[1].alive && w.restarts == 0 { // by whoever watches over processes
 		s["restart"] = func() {
 			w.restarts++
-			p := w.procs[0]
-			p.alive, p.old = true, &recovery.Old{Patience: 2}
-			if w.claim(0) {
-				w.begin(0)
+			p := w.processes[0]
+			p.alive, p.predecessor = true, &recovery.Old{Patience: 2}
+			if w.acquireLock(0) {
+				w.startController(0)
 			}
 		}
 	}
 	w.proxySteps(s)
-	return w.sooner(s)
+	return w.reduce(s)
 }
 
-// sooner leaves out orders of steps that come to the same: what a proxy applies touches nothing but itself, so it comes
+// reduce leaves out orders of steps that come to the same: what a proxy applies touches nothing but itself, so it comes
 // first, unless its stream could end before.
-func (w *world) sooner(s map[string]func()) map[string]func() {
+func (w *world) reduce(s map[string]func()) map[string]func() {
 	for k := range w.proxies {
 		apply := fmt.Sprint("apply ", k)
 		if s[apply] == nil {
@@ -105,19 +105,19 @@
 
 func (w *world) proxySteps(s map[string]func()) {
 	for k, p := range w.proxies {
-		if len(p.coming) > 0 {
+		if len(p.incoming) > 0 {
 			s[fmt.Sprint("apply ", k)] = func() {
-				p.follow.Apply(p.coming[0].Ops)
-				p.coming = p.coming[1:]
+				p.follower.Apply(p.incoming[0].Ops)
+				p.incoming = p.incoming[1:]
 			}
 		}
-		for i, q := range w.procs {
-			if p.to < 0 && q.core != nil {
+		for i, q := range w.processes {
+			if p.joined < 0 && q.core != nil {
 				s[fmt.Sprint("join ", k, " ", i)] = func() {
-					hello := wire.Hello{Version: 1, Proxy: fmt.Sprint("p", k), Zone: "a", Rate: 1, Fresh: p.follow.Fresh(),
-						Holds: p.follow.Holds(), Tables: p.follow.Tables()}
-					p.to, p.stream = i, &stream{w, i, k}
-					p.follow.Joined()
+					hello := wire.Hello{Version: 1, Proxy: fmt.Sprint("p", k), Zone: "a", Rate: 1, Fresh: p.follower.Fresh(),
+						Holds: p.follower.Holds(), Tables: p.follower.Tables()}
+					p.joined, p.stream = i, &stream{w, i, k}
+					p.follower.Joined()
 					w.feed(i, pilot.Join{Stream: p.stream, Hello: hello})
 				}
 			}
