--- a/internal/handover/handoff.go
+++ b/internal/handover/handoff.go
@@ -19,14 +19,14 @@
 
 // Bounds of those who ask: how many at once, and how long each may take to say that it wants to take over.
 const (
-	mostAsking = 16
-	askWithin  = 2 * time.Second
+	maxRequests    = 16
+	requestTimeout = 2 * time.Second
 )
 
 // Figures of getting the claim again.
 const (
-	claimEvery    = 100 * time.Millisecond
-	usualPatience = 100
+	lockRetryInterval = 100 * time.Millisecond
+	defaultPatience   = 100
 )
 
 // Offer is what the old process does.
@@ -39,12 +39,12 @@
 	// Patience is how often, 0.1 s apart, the claim is tried after the new process was lost; 0: a hundred times.
 	Patience int
 
-	path string
+	socket string
 }
 
 // Serve answers those who want to take over, one at a time, until one has or ctx ends. It returns whether one has.
 func (o *Offer) Serve(ctx context.Context, path string) (bool, error) {
-	o.path = path
+	o.socket = path
 	_ = os.Remove(path) // left by a process that was killed
 	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
@@ -58,7 +58,7 @@
 	var busy, taken atomic.Bool
 	var asking sync.WaitGroup
 	defer asking.Wait()
-	slots := make(chan struct{}, mostAsking)
+	slots := make(chan struct{}, maxRequests)
 	for {
 		c, err := l.AcceptUnix()
 		if err != nil {
@@ -78,7 +78,7 @@
 			defer func() { <-slots }()
 			defer c.Close()
 			defer context.AfterFunc(ctx, func() { _ = c.SetReadDeadline(time.Now()) })()
-			if err := expect(c, stepTake, askWithin); err != nil { // one that says nothing keeps nobody out
+			if err := expect(c, stepRequest, requestTimeout); err != nil { // one that says nothing keeps nobody out
 				return
 			}
 			if !busy.CompareAndSwap(false, true) {
@@ -86,7 +86,7 @@
 				return
 			}
 			defer busy.Store(false)
-			if o.hand(ctx, c) {
+			if o.handOver(ctx, c) {
 				taken.Store(true)
 				cancel()
 			}
@@ -94,24 +94,24 @@
 	}
 }
 
-// hand goes through the steps with one that wants to take over and returns whether it has.
-func (o *Offer) hand(ctx context.Context, c *net.UnixConn) bool {
-	m := recovery.Old{Patience: cmp.Or(o.Patience, usualPatience)}
+// handOver goes through the steps with one that wants to take over and returns whether it has.
+func (o *Offer) handOver(ctx context.Context, c *net.UnixConn) bool {
+	m := recovery.Old{Patience: cmp.Or(o.Patience, defaultPatience)}
 	e := recovery.Asked
 	for {
 		switch m.Next(e) {
 		case recovery.SayOffer:
-			e = o.ask(c, stepOffer, stepReady, recovery.ReadyCame)
+			e = o.exchange(c, stepOffer, stepReady, recovery.ReadyCame)
 		case recovery.StopPilot:
 			o.Stop()
 			e = recovery.Stopped
 		case recovery.SayGo:
-			e = o.ask(c, stepGo, stepServing, recovery.ServingCame)
+			e = o.exchange(c, stepGo, stepServing, recovery.ServingCame)
 		case recovery.Claim:
-			claim, err := GetClaim(o.path)
+			claim, err := GetClaim(o.socket)
 			if e = recovery.Claimed; err != nil {
 				e = recovery.Refused
-				pause.For(ctx, claimEvery)
+				pause.For(ctx, lockRetryInterval)
 				continue
 			}
 			m.Next(e)
@@ -123,8 +123,8 @@
 	}
 }
 
-// ask says one step, with the listeners if it is the offer, and waits for the answer.
-func (o *Offer) ask(c *net.UnixConn, say, want string, came recovery.Event) recovery.Event {
+// exchange says one step, with the listeners if it is the offer, and waits for the answer.
+func (o *Offer) exchange(c *net.UnixConn, say, want string, came recovery.Event) recovery.Event {
 	m := message{Step: say}
 	var files []*os.File
 	if say == stepOffer {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -16,8 +16,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// dialled takes over, once somebody listens.
-func dialled(t *testing.T, path string) (x *Taking) {
+// requestUntilOffered takes over, once somebody listens.
+func requestUntilOffered(t *testing.T, path string) (x *Taking) {
 	require.Eventually(t, func() (ok bool) {
 		var err error
 		x, err = Take(path)
@@ -38,7 +38,7 @@
 		stops, resumes int
 	}{
 		{"all well", func(t *testing.T, path string) {
-			x := dialled(t, path)
+			x := requestUntilOffered(t, path)
 			c, err := x.Claim()
 			require.NoError(t, err)
 			defer c.LetGo()
@@ -46,33 +46,33 @@
 			x.Drop()
 		}, true, 1, 0},
 		{"it serves but can't say so", func(t *testing.T, path string) {
-			x := dialled(t, path)
+			x := requestUntilOffered(t, path)
 			c, err := x.Claim()
 			require.NoError(t, err)
 			x.Drop()
-			time.Sleep((patience + 4) * claimEvery)
+			time.Sleep((patience + 4) * lockRetryInterval)
 			c.LetGo()
 		}, true, 1, 0},
 		{"it gives up after the offer", func(t *testing.T, path string) {
-			x := dialled(t, path)
+			x := requestUntilOffered(t, path)
 			x.Drop()
 		}, false, 0, 0},
 		{"it dies while it waits", func(t *testing.T, path string) {
-			x := dialled(t, path)
+			x := requestUntilOffered(t, path)
 			require.NoError(t, send(x.conn, message{Step: stepReady}, nil))
 			x.Drop()
 		}, false, 1, 1},
 		{"it dies before it serves", func(t *testing.T, path string) {
-			x := dialled(t, path)
+			x := requestUntilOffered(t, path)
 			c, err := x.Claim()
 			require.NoError(t, err)
 			x.Drop()
-			time.Sleep(3 * claimEvery) // the claim falls free when it is dead
+			time.Sleep(3 * lockRetryInterval) // the claim falls free when it is dead
 			c.LetGo()
-			time.Sleep(3 * claimEvery)
+			time.Sleep(3 * lockRetryInterval)
 		}, false, 1, 1},
 		{"a second one meanwhile", func(t *testing.T, path string) {
-			x := dialled(t, path)
+			x := requestUntilOffered(t, path)
 			_, err := Take(path)
 			assert.ErrorIs(t, err, ErrBusy)
 			c, err := x.Claim()
@@ -151,7 +151,7 @@
 		done <- ok
 	}()
 	require.Eventually(t, func() bool { _, err := os.Stat(path); return err == nil }, 5*time.Second, time.Millisecond)
-	x := dialled(t, path)
+	x := requestUntilOffered(t, path)
 	claim, err := x.Claim()
 	require.NoError(t, err)
 	defer claim.LetGo()
--- a/internal/handover/lock.go
+++ b/internal/handover/lock.go
@@ -8,7 +8,7 @@
 )
 
 // Claimed is a claim that is held: a lock on a file that the kernel frees when its holder dies.
-type Claimed struct{ f *os.File }
+type Claimed struct{ file *os.File }
 
 // GetClaim takes the claim that belongs to a handover socket, if nobody has it.
 func GetClaim(socket string) (*Claimed, error) {
@@ -29,6 +29,6 @@
 // LetGo gives the claim up. Of a claim that is not held nothing is done.
 func (c *Claimed) LetGo() {
 	if c != nil {
-		_ = c.f.Close()
+		_ = c.file.Close()
 	}
 }
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -13,16 +13,16 @@
 // The steps, each a line of JSON: the new one asks, the old one offers listeners, the new one is ready, the old one has
 // stopped and lets it go, the new one serves.
 const (
-	stepTake    = "take"
-	stepOffer   = "offer"
-	stepBusy    = "busy"
-	stepReady   = "ready"
-	stepGo      = "go"
-	stepServing = "serving"
-	version     = 1
+	stepRequest     = "take"
+	stepOffer       = "offer"
+	stepBusy        = "busy"
+	stepReady       = "ready"
+	stepGo          = "go"
+	stepServing     = "serving"
+	protocolVersion = 1
 )
 
-const largest = 4096
+const maxMessageBytes = 4096
 
 type message struct {
 	Version int
@@ -31,7 +31,7 @@
 }
 
 func send(c *net.UnixConn, m message, files []*os.File) error {
-	m.Version = version
+	m.Version = protocolVersion
 	b, err := json.Marshal(m)
 	if err != nil {
 		return err
@@ -50,13 +50,13 @@
 // expect waits for a message of a step that brings no files; those that come all the same are closed.
 func expect(c *net.UnixConn, step string, within time.Duration) error {
 	_, files, err := receive(c, step, within)
-	closeAll(files)
+	closeFiles(files)
 	return err
 }
 
 // receive reads the next message, which is to be of a step, with the files that come along.
 func receive(c *net.UnixConn, step string, within time.Duration) (message, []*os.File, error) {
-	b, oob := make([]byte, largest), make([]byte, largest)
+	b, oob := make([]byte, maxMessageBytes), make([]byte, maxMessageBytes)
 	_ = c.SetReadDeadline(time.Now().Add(within))
 	n, on, flags, _, err := c.ReadMsgUnix(b, oob)
 	if err != nil || n == 0 {
@@ -74,28 +74,28 @@
 	}
 	var m message
 	if flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0 {
-		err = errors.Join(err, fmt.Errorf("longer than %d bytes: %w", largest, ErrBroken))
+		err = errors.Join(err, fmt.Errorf("longer than %d bytes: %w", maxMessageBytes, ErrBroken))
 	}
 	if err == nil {
 		err = json.Unmarshal(b[:n], &m)
 	}
 	switch {
 	case err != nil:
-	case m.Version != version:
-		err = fmt.Errorf("version %d, %d is spoken: %w", m.Version, version, ErrBroken)
+	case m.Version != protocolVersion:
+		err = fmt.Errorf("version %d, %d is spoken: %w", m.Version, protocolVersion, ErrBroken)
 	case m.Step == stepBusy:
 		err = ErrBusy
 	case m.Step != step:
 		err = fmt.Errorf("%q where %q was due: %w", m.Step, step, ErrBroken)
 	}
 	if err != nil {
-		closeAll(files)
+		closeFiles(files)
 		return m, nil, err
 	}
 	return m, files, nil
 }
 
-func closeAll(files []*os.File) {
+func closeFiles(files []*os.File) {
 	for _, f := range files {
 		_ = f.Close()
 	}
--- a/internal/handover/message_hostile_test.go
+++ b/internal/handover/message_hostile_test.go
@@ -35,13 +35,13 @@
 	silent := dial()
 	defer silent.Close()
 	for name, text := range map[string]string{"no JSON": "take", "cut off": `{"Version":1,"Step":"ta`, "another version": `{"Version":2,"Step":"take"}`,
-		"another step": `{"Version":1,"Step":"go"}`, "nested": strings.Repeat("[", largest), "too long": `{"Version":1,"Step":"take"}` + strings.Repeat(" ", 2*largest),
+		"another step": `{"Version":1,"Step":"go"}`, "nested": strings.Repeat("[", maxMessageBytes), "too long": `{"Version":1,"Step":"take"}` + strings.Repeat(" ", 2*maxMessageBytes),
 		"wrong type": `{"Version":"one"}`, "not UTF-8": "\xff\xfe"} {
 		c := dial()
 		_, err := c.Write([]byte(text))
 		require.NoError(t, err, name)
 		_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
-		n, err := c.Read(make([]byte, largest))
+		n, err := c.Read(make([]byte, maxMessageBytes))
 		assert.True(t, n == 0 || err != nil, "%s was answered", name)
 		c.Close()
 	}
@@ -57,12 +57,12 @@
 		require.Eventually(t, func() bool { // the one before may still be on its way out
 			c := dial()
 			defer c.Close()
-			return send(c, message{Step: stepTake}, []*os.File{os.Stdin, os.Stdin, os.Stdin}) == nil && expect(c, stepOffer, 5*time.Second) == nil
+			return send(c, message{Step: stepRequest}, []*os.File{os.Stdin, os.Stdin, os.Stdin}) == nil && expect(c, stepOffer, 5*time.Second) == nil
 		}, 10*time.Second, time.Millisecond)
 	}
 	assert.Eventually(t, func() bool {
 		now, err := os.ReadDir("/proc/self/fd")
 		return err == nil && len(now) <= len(files)+3
 	}, 5*time.Second, time.Millisecond, "files of those who have gone stay")
-	dialled(t, path).Drop() // while one is still silent
+	requestUntilOffered(t, path).Drop() // while one is still silent
 }
--- a/internal/handover/takeover.go
+++ b/internal/handover/takeover.go
@@ -11,8 +11,8 @@
 // Taking is what the new process has been offered.
 type Taking struct {
 	conn      *net.UnixConn
-	path      string
-	side      *recovery.New
+	socket    string
+	machine   *recovery.New
 	Listeners map[string]net.Listener
 }
 
@@ -22,15 +22,15 @@
 	if err != nil {
 		return nil, fmt.Errorf("take over: %w", err)
 	}
-	t := &Taking{conn: c, path: path, side: recovery.NewSide(), Listeners: map[string]net.Listener{}}
-	if err := send(c, message{Step: stepTake}, nil); err != nil {
+	t := &Taking{conn: c, socket: path, machine: recovery.NewSide(), Listeners: map[string]net.Listener{}}
+	if err := send(c, message{Step: stepRequest}, nil); err != nil {
 		return nil, errors.Join(err, c.Close())
 	}
 	m, files, err := receive(c, stepOffer, Within)
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("take over: %w", err), c.Close())
 	}
-	defer closeAll(files)
+	defer closeFiles(files)
 	if len(files) != len(m.Names) {
 		return nil, errors.Join(fmt.Errorf("%d listeners, %d names: %w", len(files), len(m.Names), ErrBroken), c.Close())
 	}
@@ -51,7 +51,7 @@
 	e := recovery.Offered
 	var why error
 	for {
-		switch t.side.Next(e) {
+		switch t.machine.Next(e) {
 		case recovery.SayReady:
 			e = recovery.GoCame
 			if why = send(t.conn, message{Step: stepReady}, nil); why == nil {
@@ -61,9 +61,9 @@
 				e = recovery.Lost
 			}
 		case recovery.Claim:
-			c, err := GetClaim(t.path)
+			c, err := GetClaim(t.socket)
 			if err == nil {
-				t.side.Next(recovery.Claimed)
+				t.machine.Next(recovery.Claimed)
 				return c, nil
 			}
 			e, why = recovery.Refused, errors.Join(why, err)
@@ -80,7 +80,7 @@
 	if !runs {
 		e = recovery.Failed
 	}
-	if t.side.Next(e) == recovery.SayServing {
+	if t.machine.Next(e) == recovery.SayServing {
 		_ = send(t.conn, message{Step: stepServing}, nil)
 	}
 	_ = t.conn.Close()
