--- a/internal/daemon/assemble.go
+++ b/internal/daemon/assemble.go
@@ -22,64 +22,64 @@
 
 // Figures of the daemon's own.
 const (
-	probeTimeout = time.Second
-	mostProbes   = 64
-	stopStep     = 20 * time.Millisecond
-	linesEach    = 100 // lines that one place in a stream's queue stands for
-	warnBefore   = 7 * 24 * time.Hour
+	healthCheckTimeout = time.Second
+	maxHealthChecks    = 64
+	drainPollInterval  = 20 * time.Millisecond
+	linesPerQueueSlot  = 100 // lines that one place in a stream's queue stands for
+	expiryWarning      = 7 * 24 * time.Hour
 )
 
-func (d *Daemon) open(t *terms.Pilot) (err error) {
-	if err := d.openKeys(t); err != nil {
+func (d *Daemon) assemble(t *terms.Pilot) (err error) {
+	if err := d.loadKeys(t); err != nil {
 		return err
 	}
-	if d.streams, err = d.outfit.listen("streams", t.Listen); err != nil {
+	if d.streamListener, err = d.options.listen("streams", t.Listen); err != nil {
 		return fmt.Errorf("listen for proxies: %w", err)
 	}
-	if err := d.keep("streams", d.streams); err != nil {
+	if err := d.keepFile("streams", d.streamListener); err != nil {
 		return err
 	}
-	if d.ring != nil {
-		d.streams = tls.NewListener(d.streams, d.ring.Server(keys.Proxy))
-		d.outfit.Dial = d.sealed(d.outfit.Dial)
+	if d.keyStore != nil {
+		d.streamListener = tls.NewListener(d.streamListener, d.keyStore.Server(keys.Proxy))
+		d.options.Dial = d.withTLS(d.options.Dial)
 	}
 	if t.Admin != "" {
-		if d.admin, err = d.outfit.listen("admin", t.Admin); err != nil {
+		if d.adminListener, err = d.options.listen("admin", t.Admin); err != nil {
 			return fmt.Errorf("listen for operators: %w", err)
 		}
-		if err := d.keep("admin", d.admin); err != nil {
+		if err := d.keepFile("admin", d.adminListener); err != nil {
 			return err
 		}
 	}
 	if t.ListAddress != "" {
-		d.source = list.NewStream(t.Name, t.ListAddress, d.outfit.Dial, later{d}, t.ListSilence, d.outfit.Log.Named("list"))
+		d.endpointSource = list.NewStream(t.Name, t.ListAddress, d.options.Dial, lateLoop{d}, t.ListSilence, d.options.Log.Named("list"))
 	} else {
-		d.source = list.NewFile(t.ListFile, terms.ReadList, later{d}, d.outfit.Log.Named("list"))
+		d.endpointSource = list.NewFile(t.ListFile, terms.ReadList, lateLoop{d}, d.options.Log.Named("list"))
 	}
-	notes, err := d.openPeers(t)
+	notes, err := d.openGossip(t)
 	if err != nil {
 		return err
 	}
 	var prober pilot.Prober = probe.Never{}
 	if t.Probing {
-		d.prober = probe.New(d.life, d.outfit.Dial, later{d}, probeTimeout, mostProbes)
-		prober = d.prober
+		d.healthChecker = probe.New(d.running, d.options.Dial, lateLoop{d}, healthCheckTimeout, maxHealthChecks)
+		prober = d.healthChecker
 	}
-	log := d.outfit.Log
+	log := d.options.Log
 	plan := func(told map[string]any) pilot.Plan {
-		return pilot.Plan{Decider: d.outfit.Decide(int64(t.Seed), told), Terms: told, Zones: t.Zones,
+		return pilot.Plan{Decider: d.options.Decide(int64(t.Seed), told), Terms: told, Zones: t.Zones,
 			Machines: t.Machines, Kinds: t.KindNames(), LinesPerS: t.LinesPerS, Backlog: t.Backlog, HeadLines: t.HeadLines,
 			MessagesMost: t.MessagesMost, MessagesOverMs: float64(t.MessagesOver.Milliseconds()),
-			Intake: t.Intake(), MostProxies: t.MostProxies, List: d.source, Prober: prober, Peers: notes,
+			Intake: t.Intake(), MostProxies: t.MostProxies, List: d.endpointSource, Prober: prober, Peers: notes,
 			Log:   func(text string) { log.Info(text, zap.String("by", "module")) },
 			Odd:   func(what string, fields ...string) { log.Warn(what, zap.Strings("about", fields)) },
-			Meter: d.meter}
+			Meter: d.metrics}
 	}
 	live := plan(t.ForModule(t.Rank))
 	var offset float64
 	if t.RecordDir != "" {
 		var core *pilot.Core
-		core, offset, err = d.openRecord(t, &live, func() pilot.Plan { return held(plan(t.ForModule(t.Rank))) })
+		core, offset, err = d.openRecord(t, &live, func() pilot.Plan { return replayOptions(plan(t.ForModule(t.Rank))) })
 		if err != nil {
 			return err
 		}
@@ -91,51 +91,51 @@
 	if d.core == nil {
 		d.core = pilot.NewCore(live)
 	}
-	d.loop = pilot.NewLoop(d.core, d.outfit.Clock, log)
+	d.loop = pilot.NewLoop(d.core, d.options.Clock, log)
 	if offset > 0 {
 		d.loop.GoOn(offset)
 	}
 	if t.GRPC != "" {
-		if d.grpc, err = d.outfit.listen("grpc", t.GRPC); err != nil {
+		if d.grpcListener, err = d.options.listen("grpc", t.GRPC); err != nil {
 			return fmt.Errorf("listen for gRPC: %w", err)
 		}
-		if err := d.keep("grpc", d.grpc); err != nil {
+		if err := d.keepFile("grpc", d.grpcListener); err != nil {
 			return err
 		}
-		d.grpc = netutil.LimitListener(d.grpc, 2*t.MaxStreams) // a proxy of xDS may report its load on a second one
-		d.follow = grpcedge.New(grpcedge.Door{Pilot: t.Name, Beat: t.Beat, Period: t.Period,
+		d.grpcListener = netutil.LimitListener(d.grpcListener, 2*t.MaxStreams) // a proxy of xDS may report its load on a second one
+		d.grpcServer = grpcedge.New(grpcedge.Door{Pilot: t.Name, Beat: t.Beat, Period: t.Period,
 			SeenWithin: t.SeenWithin, HelloIn: t.HelloDeadline, MaxMessage: t.MaxFrame, MaxStreams: t.MaxStreams,
-			QueueLines: t.Queue * linesEach, NewPerS: t.NewPerS, Keys: d.ring}, d.loop, log.Named("grpc"))
+			QueueLines: t.Queue * linesPerQueueSlot, NewPerS: t.NewPerS, Keys: d.keyStore}, d.loop, log.Named("grpc"))
 		var claims func(context.Context, string, string) error
-		if d.ring != nil {
+		if d.keyStore != nil {
 			claims = grpcedge.Claims
 		}
-		d.xds = xdsedge.New(xdsedge.Door{Kinds: t.KindNames(), Period: t.Period, SeenWithin: t.SeenWithin,
+		d.xdsServer = xdsedge.New(xdsedge.Door{Kinds: t.KindNames(), Period: t.Period, SeenWithin: t.SeenWithin,
 			HelloIn: t.HelloDeadline, MaxStreams: t.MaxStreams, Claims: claims}, d.loop, log.Named("xds"))
-		d.xds.Register(d.follow.Registrar())
+		d.xdsServer.Register(d.grpcServer.Registrar())
 	}
-	d.server = framed.NewServer(framed.Door{Pilot: t.Name, Beat: t.Beat, Period: t.Period,
+	d.framedServer = framed.NewServer(framed.Door{Pilot: t.Name, Beat: t.Beat, Period: t.Period,
 		WriteDeadline: t.WriteDeadline, SeenWithin: t.SeenWithin, HelloDeadline: t.HelloDeadline, MaxFrame: t.MaxFrame,
 		MaxStreams: t.MaxStreams, Queue: t.Queue}, d.loop, log.Named("streams"))
 	return nil
 }
 
-// later passes inputs on to the loop, which is made after the edges that need it.
-type later struct{ d *Daemon }
+// lateLoop passes inputs on to the loop, which is made after the edges that need it.
+type lateLoop struct{ d *Daemon }
 
-func (l later) Post(ctx context.Context, in pilot.Input) error { return l.d.loop.Post(ctx, in) }
+func (l lateLoop) Post(ctx context.Context, in pilot.Input) error { return l.d.loop.Post(ctx, in) }
 
-// held is a plan whose edges do nothing: for a core that is being rebuilt.
-func held(p pilot.Plan) pilot.Plan {
-	p.List, p.Prober, p.Peers, p.Meter, p.Replayed = nobody{}, probe.Never{}, peers.Nobody{}, nil, true
+// replayOptions is a plan whose edges do nothing: for a core that is being rebuilt.
+func replayOptions(p pilot.Plan) pilot.Plan {
+	p.List, p.Prober, p.Peers, p.Meter, p.Replayed = disabledSource{}, probe.Never{}, peers.Nobody{}, nil, true
 	p.Log, p.Odd = func(string) {}, func(string, ...string) {}
 	p.LinesPerS, p.Backlog = 0, 0
 	return p
 }
 
-// nobody is a list source that is not asked.
-type nobody struct{}
+// disabledSource is a list source that is not asked.
+type disabledSource struct{}
 
-func (nobody) Watch(bool) {}
+func (disabledSource) Watch(bool) {}
 
-func (nobody) Fetch() {}
+func (disabledSource) Fetch() {}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -20,49 +20,49 @@
 	"indigousher/internal/terms"
 )
 
-// follower is a list source that runs.
-type follower interface {
+// endpointSource is a list source that runs.
+type endpointSource interface {
 	pilot.ListSource
 	Run(ctx context.Context) error
 }
 
 // Daemon is one pilot.
 type Daemon struct {
-	terms    atomic.Pointer[terms.Pilot]
-	outfit   Outfit
-	registry *prometheus.Registry
-	meter    *pilot.Meter
-	core     *pilot.Core
-	record   *recorded
-	loop     *pilot.Loop
-	server   *framed.Server
-	source   follower
-	prober   *probe.Prober
-	post     *peers.Post
-	follow   *grpcedge.Server
-	xds      *xdsedge.Server
-	ring     *keys.Ring
-	streams  net.Listener
-	grpc     net.Listener
-	admin    net.Listener
-	files    map[string]*os.File
-	life     context.Context
-	die      context.CancelFunc
-	killed   atomic.Bool
+	config         atomic.Pointer[terms.Pilot]
+	options        Outfit
+	registry       *prometheus.Registry
+	metrics        *pilot.Meter
+	core           *pilot.Core
+	recording      *recording
+	loop           *pilot.Loop
+	framedServer   *framed.Server
+	endpointSource endpointSource
+	healthChecker  *probe.Prober
+	gossip         *peers.Post
+	grpcServer     *grpcedge.Server
+	xdsServer      *xdsedge.Server
+	keyStore       *keys.Ring
+	streamListener net.Listener
+	grpcListener   net.Listener
+	adminListener  net.Listener
+	files          map[string]*os.File
+	running        context.Context
+	terminate      context.CancelFunc
+	killed         atomic.Bool
 }
 
 // New opens the listeners and builds the pilot. Nothing runs before Run.
 func New(t *terms.Pilot, o Outfit) (*Daemon, error) {
-	o.fill()
-	d := &Daemon{outfit: o, registry: prometheus.NewRegistry(), files: map[string]*os.File{}}
-	d.terms.Store(t)
-	d.meter = pilot.NewMeter(d.registry)
+	o.setDefaults()
+	d := &Daemon{options: o, registry: prometheus.NewRegistry(), files: map[string]*os.File{}}
+	d.config.Store(t)
+	d.metrics = pilot.NewMeter(d.registry)
 	d.registry.MustRegister(collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	d.life, d.die = context.WithCancel(context.Background())
-	if err := d.open(t); err != nil {
-		if d.record != nil {
-			err = errors.Join(err, d.record.close())
+	d.running, d.terminate = context.WithCancel(context.Background())
+	if err := d.assemble(t); err != nil {
+		if d.recording != nil {
+			err = errors.Join(err, d.recording.close())
 		}
 		d.close()
 		return nil, err
@@ -71,26 +71,26 @@
 }
 
 // Address returns where proxies join.
-func (d *Daemon) Address() string { return d.streams.Addr().String() }
+func (d *Daemon) Address() string { return d.streamListener.Addr().String() }
 
 // GRPCAddress returns where proxies join over gRPC, or nothing.
 func (d *Daemon) GRPCAddress() string {
-	if d.grpc == nil {
+	if d.grpcListener == nil {
 		return ""
 	}
-	return d.grpc.Addr().String()
+	return d.grpcListener.Addr().String()
 }
 
 // AdminAddress returns where operators ask, or nothing.
 func (d *Daemon) AdminAddress() string {
-	if d.admin == nil {
+	if d.adminListener == nil {
 		return ""
 	}
-	return d.admin.Addr().String()
+	return d.adminListener.Addr().String()
 }
 
 // State returns what the loop shows of itself.
 func (d *Daemon) State() pilot.State { return d.loop.State() }
 
 // Meter returns the runtime's metrics.
-func (d *Daemon) Meter() *pilot.Meter { return d.meter }
+func (d *Daemon) Meter() *pilot.Meter { return d.metrics }
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -12,7 +12,7 @@
 	"indigousher/internal/terms"
 )
 
-func (d *Daemon) openPeers(t *terms.Pilot) (pilot.Peers, error) {
+func (d *Daemon) openGossip(t *terms.Pilot) (pilot.Peers, error) {
 	if t.PeersListen == "" {
 		return peers.Nobody{}, nil
 	}
@@ -32,9 +32,9 @@
 		n, _ := strconv.Atoi(r) // checked with the terms
 		ranks[n] = a
 	}
-	if d.post, err = peers.Open(d.outfit.Packet(conn), t.Rank, ranks, later{d}, d.outfit.Log.Named("peers")); err != nil {
+	if d.gossip, err = peers.Open(d.options.Packet(conn), t.Rank, ranks, lateLoop{d}, d.options.Log.Named("peers")); err != nil {
 		return nil, errors.Join(err, conn.Close())
 	}
-	d.post.Secret = secret
-	return d.post, nil
+	d.gossip.Secret = secret
+	return d.gossip, nil
 }
--- a/internal/daemon/handoff.go
+++ b/internal/daemon/handoff.go
@@ -9,35 +9,35 @@
 	"indigousher/internal/handover"
 )
 
-// offer lets others take over.
-func (h *Host) offer(ctx context.Context) {
-	h.taken = make(chan error, 1)
-	if h.terms.Handover == "" {
+// serveHandoff lets others take over.
+func (h *Host) serveHandoff(ctx context.Context) {
+	h.replaced = make(chan error, 1)
+	if h.config.Handover == "" {
 		return
 	}
-	o := handover.Offer{Files: h.files, Stop: func() { h.halt(); h.letGo() }, Resume: func(claim *handover.Claimed) {
+	o := handover.Offer{Files: h.files, Stop: func() { h.halt(); h.release() }, Resume: func(claim *handover.Claimed) {
 		h.mu.Lock()
-		h.claim = claim
+		h.lock = claim
 		h.mu.Unlock()
-		h.outfit.Log.Warn("handover failed, going on")
-		h.outfit.Listeners = map[string]net.Listener{}
+		h.options.Log.Warn("handover failed, going on")
+		h.options.Listeners = map[string]net.Listener{}
 		for name, f := range h.files {
 			l, err := net.FileListener(f)
 			if err != nil {
-				h.outfit.Log.Error("listener lost", zap.String("name", name), zap.Error(err))
+				h.options.Log.Error("listener lost", zap.String("name", name), zap.Error(err))
 				continue
 			}
-			h.outfit.Listeners[name] = l
+			h.options.Listeners[name] = l
 		}
 		if err := h.start(ctx); err != nil {
-			h.outfit.Log.Error("pilot can't go on", zap.Error(err))
-			h.taken <- err
+			h.options.Log.Error("pilot can't go on", zap.Error(err))
+			h.replaced <- err
 		}
 	}}
 	go func() {
-		taken, err := o.Serve(ctx, h.terms.Handover)
+		taken, err := o.Serve(ctx, h.config.Handover)
 		if taken || err != nil {
-			h.taken <- err
+			h.replaced <- err
 		}
 	}()
 }
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -14,34 +14,34 @@
 
 // Host runs a pilot's process: the pilot, and what lets a new process take over from it or it from an old one.
 type Host struct {
-	terms  *terms.Pilot
-	outfit Outfit
-	mu     sync.Mutex
-	d      *Daemon
-	stop   context.CancelFunc
-	ended  chan error
-	files  map[string]*os.File
-	claim  *handover.Claimed // where a handover socket is told: nobody else serves meanwhile
-	taken  chan error        // the offer has ended
-	faults chan error        // the pilot ended by itself
+	config   *terms.Pilot
+	options  Outfit
+	mu       sync.Mutex
+	daemon   *Daemon
+	stop     context.CancelFunc
+	ended    chan error
+	files    map[string]*os.File
+	lock     *handover.Claimed // where a handover socket is told: nobody else serves meanwhile
+	replaced chan error        // the offer has ended
+	faults   chan error        // the pilot ended by itself
 }
 
 // Begin starts a pilot; with takeOver it is taken over from the process that runs.
 func Begin(ctx context.Context, t *terms.Pilot, o Outfit, takeOver bool) (*Host, error) {
-	o.fill()
-	h := &Host{terms: t, outfit: o, faults: make(chan error, 1)}
+	o.setDefaults()
+	h := &Host{config: t, options: o, faults: make(chan error, 1)}
 	if !takeOver {
 		if t.Handover != "" {
 			var err error
-			if h.claim, err = handover.GetClaim(t.Handover); err != nil {
+			if h.lock, err = handover.GetClaim(t.Handover); err != nil {
 				return nil, err
 			}
 		}
 		if err := h.start(ctx); err != nil {
-			h.claim.LetGo()
+			h.lock.LetGo()
 			return nil, err
 		}
-		h.offer(ctx)
+		h.serveHandoff(ctx)
 		return h, nil
 	}
 	if t.Handover == "" {
@@ -51,32 +51,32 @@
 	if err != nil {
 		return nil, err
 	}
-	if h.claim, err = taking.Claim(); err != nil {
+	if h.lock, err = taking.Claim(); err != nil {
 		taking.Drop()
 		return nil, err
 	}
-	h.outfit.Listeners = taking.Listeners
+	h.options.Listeners = taking.Listeners
 	err = h.start(ctx)
 	if err != nil {
-		h.claim.LetGo() // before the old one hears of it
+		h.lock.LetGo() // before the old one hears of it
 		taking.Drop()
 		return nil, err
 	}
 	taking.Started(true)
-	h.offer(ctx)
+	h.serveHandoff(ctx)
 	return h, nil
 }
 
 // start begins the pilot, on the listeners that the host has.
 func (h *Host) start(ctx context.Context) error {
-	d, err := New(h.terms, h.outfit)
+	d, err := New(h.config, h.options)
 	if err != nil {
 		return err
 	}
 	dctx, stop := context.WithCancel(ctx)
 	ended := make(chan error, 1)
 	h.mu.Lock()
-	h.d, h.stop, h.ended = d, stop, ended
+	h.daemon, h.stop, h.ended = d, stop, ended
 	if h.files == nil {
 		h.files = d.Files()
 	} else {
@@ -100,7 +100,7 @@
 	h.mu.Unlock()
 	stop()
 	if err := <-ended; err != nil {
-		h.outfit.Log.Error("pilot ended", zap.Error(err))
+		h.options.Log.Error("pilot ended", zap.Error(err))
 	}
 	ended <- nil
 }
@@ -109,7 +109,7 @@
 func (h *Host) Daemon() *Daemon {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.d
+	return h.daemon
 }
 
 // Wait returns when the pilot has ended: asked by ctx, by a fault, or as another process has taken over.
@@ -118,13 +118,13 @@
 	h.mu.Lock()
 	ended := h.ended
 	h.mu.Unlock()
-	if h.terms.Handover == "" {
+	if h.config.Handover == "" {
 		return <-ended
 	}
 	select {
-	case err := <-h.taken:
+	case err := <-h.replaced:
 		if err == nil {
-			h.outfit.Log.Info("another process has taken over")
+			h.options.Log.Info("another process has taken over")
 		}
 		return err
 	case err := <-h.faults:
@@ -137,7 +137,7 @@
 
 func (h *Host) close() {
 	closeFiles(h.files)
-	h.letGo()
+	h.release()
 }
 
 func closeFiles(files map[string]*os.File) {
@@ -146,9 +146,9 @@
 	}
 }
 
-// letGo gives up the claim to serve.
-func (h *Host) letGo() {
+// release gives up the claim to serve.
+func (h *Host) release() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.claim.LetGo()
+	h.lock.LetGo()
 }
--- a/internal/daemon/identity.go
+++ b/internal/daemon/identity.go
@@ -14,33 +14,33 @@
 	"indigousher/internal/terms"
 )
 
-// openKeys loads the keys, if the terms name any, and shows when they end.
-func (d *Daemon) openKeys(t *terms.Pilot) (err error) {
+// loadKeys loads the keys, if the terms name any, and shows when they end.
+func (d *Daemon) loadKeys(t *terms.Pilot) (err error) {
 	if t.Plain {
 		return nil
 	}
-	log := d.outfit.Log.Named("keys")
-	if d.ring, err = keys.Load(t.Keys, func(from net.Addr, err error) {
+	log := d.options.Log.Named("keys")
+	if d.keyStore, err = keys.Load(t.Keys, func(from net.Addr, err error) {
 		log.Warn("peer not let in", zap.Stringer("from", from), zap.Error(err))
 	}); err != nil {
 		return err
 	}
-	if i := d.ring.Identity(); i.Role != keys.Pilot || i.Name != t.Name || i.Zone != t.Zone {
+	if i := d.keyStore.Identity(); i.Role != keys.Pilot || i.Name != t.Name || i.Zone != t.Zone {
 		return fmt.Errorf("keys: the certificate is of %s, this is pilot %s of %s", i, t.Name, t.Zone)
 	}
 	return d.registry.Register(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "indigousher",
 		Name: "certificate_expires_in_seconds", Help: "Time until this pilot's certificate ends."},
-		func() float64 { return time.Until(d.ring.Expires()).Seconds() }))
+		func() float64 { return time.Until(d.keyStore.Expires()).Seconds() }))
 }
 
-// sealed dials under TLS those who hold the list; endpoints are probed in plain text, as their proxies speak to them.
-func (d *Daemon) sealed(dial func(context.Context, string, string) (net.Conn, error)) func(context.Context, string, string) (net.Conn, error) {
+// withTLS dials under TLS those who hold the list; endpoints are probed in plain text, as their proxies speak to them.
+func (d *Daemon) withTLS(dial func(context.Context, string, string) (net.Conn, error)) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
-		if err != nil || address != d.terms.Load().ListAddress {
+		if err != nil || address != d.config.Load().ListAddress {
 			return conn, err
 		}
-		return tls.Client(conn, d.ring.Client(keys.Source)), nil
+		return tls.Client(conn, d.keyStore.Client(keys.Source)), nil
 	}
 }
 
@@ -49,11 +49,11 @@
 	tick := time.NewTicker(time.Minute)
 	defer tick.Stop()
 	for {
-		if left := time.Until(d.ring.Expires()); left < warnBefore {
-			d.outfit.Log.Warn("certificate ends soon", zap.Duration("in", left.Round(time.Second)))
+		if left := time.Until(d.keyStore.Expires()); left < expiryWarning {
+			d.options.Log.Warn("certificate ends soon", zap.Duration("in", left.Round(time.Second)))
 		}
-		if err := d.ring.Wrong(); err != nil {
-			d.outfit.Log.Error("keys can't be read anew, the old ones stand", zap.Error(err))
+		if err := d.keyStore.Wrong(); err != nil {
+			d.options.Log.Error("keys can't be read anew, the old ones stand", zap.Error(err))
 		}
 		select {
 		case <-tick.C:
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -6,10 +6,10 @@
 	"os"
 )
 
-// keep holds a second handle on a listener where it may be handed over: what dials while nobody accepts waits there.
-func (d *Daemon) keep(name string, l net.Listener) error {
+// keepFile holds a second handle on a listener where it may be handed over: what dials while nobody accepts waits there.
+func (d *Daemon) keepFile(name string, l net.Listener) error {
 	tcp, ok := l.(*net.TCPListener)
-	if !ok || d.terms.Load().Handover == "" {
+	if !ok || d.config.Load().Handover == "" {
 		return nil
 	}
 	f, err := tcp.File()
@@ -24,8 +24,8 @@
 func (d *Daemon) Files() map[string]*os.File { return d.files }
 
 func (d *Daemon) close() {
-	d.die()
-	for _, l := range []net.Listener{d.streams, d.grpc, d.admin} {
+	d.terminate()
+	for _, l := range []net.Listener{d.streamListener, d.grpcListener, d.adminListener} {
 		if l != nil {
 			_ = l.Close()
 		}
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -31,7 +31,7 @@
 	return net.Listen("tcp", address)
 }
 
-func (o *Outfit) fill() {
+func (o *Outfit) setDefaults() {
 	if o.Log == nil {
 		o.Log = zap.NewNop()
 	}
--- a/internal/daemon/recording.go
+++ b/internal/daemon/recording.go
@@ -15,14 +15,14 @@
 	"indigousher/recovery"
 )
 
-// recorded is the daemon's record: the store, the writer of this life, and how it began.
-type recorded struct {
-	store   *record.Store
-	writer  *record.Writer
-	Verdict recovery.Verdict
-	Took    time.Duration // of the recovery
-	after   string        // the life it was rebuilt from
-	life    string        // this one
+// recording is the daemon's record: the store, the writer of this life, and how it began.
+type recording struct {
+	store       *record.Store
+	writer      *record.Writer
+	Verdict     recovery.Verdict
+	Took        time.Duration // of the recovery
+	rebuiltFrom string        // the life it was rebuilt from
+	life        string        // this one
 }
 
 // lifeID names a life so that names sort by start.
@@ -34,31 +34,31 @@
 	store, err := record.Open(t.RecordDir, false)
 	if errors.Is(err, record.ErrTorn) {
 		path, aerr := record.SetAside(t.RecordDir)
-		d.outfit.Log.Error("records are torn and set aside", zap.String("file", path), zap.Error(errors.Join(err, aerr)))
+		d.options.Log.Error("records are torn and set aside", zap.String("file", path), zap.Error(errors.Join(err, aerr)))
 		store, err = record.Open(t.RecordDir, false)
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	r := &recorded{store: store}
-	d.record = r
-	fingerprint := record.Fingerprint(d.outfit.Decide)
-	told, err := toldTerms(t)
+	r := &recording{store: store}
+	d.recording = r
+	fingerprint := record.Fingerprint(d.options.Decide)
+	told, err := plannerSettings(t)
 	if err != nil {
 		return nil, 0, err
 	}
 	began := time.Now()
 	if core, err = d.recover(r, t, fingerprint, told, fresh); err != nil {
-		d.outfit.Log.Error("recovery failed, starting cold", zap.Error(err))
+		d.options.Log.Error("recovery failed, starting cold", zap.Error(err))
 		r.Verdict = recovery.Verdict{Why: "cold start: recovery failed"}
 	}
 	r.Took = time.Since(began)
-	d.outfit.Log.Info(r.Verdict.Why, zap.Duration("took", r.Took))
+	d.options.Log.Info(r.Verdict.Why, zap.Duration("took", r.Took))
 	r.life = lifeID(time.Now())
 	life := record.Life{ID: r.life, Pilot: t.Name, Seed: int64(t.Seed), Module: fingerprint, Terms: told, Started: time.Now(),
-		After: r.after, TailMs: float64(t.RecoverTail.Milliseconds())}
+		After: r.rebuiltFrom, TailMs: float64(t.RecoverTail.Milliseconds())}
 	if r.writer, err = record.NewWriter(store, life, record.Bounds{Bytes: int64(t.RecordMostMB * (1 << 20)), Age: t.RecordKeep,
-		Segment: record.DefaultBounds().Segment, Every: record.DefaultBounds().Every}, d.outfit.Log.Named("record")); err != nil {
+		Segment: record.DefaultBounds().Segment, Every: record.DefaultBounds().Every}, d.options.Log.Named("record")); err != nil {
 		return nil, 0, errors.Join(err, store.Close())
 	}
 	if core != nil {
@@ -69,8 +69,8 @@
 	return core, offset, nil
 }
 
-// toldTerms is what the module is told, as a life keeps it.
-func toldTerms(t *terms.Pilot) (string, error) {
+// plannerSettings is what the module is told, as a life keeps it.
+func plannerSettings(t *terms.Pilot) (string, error) {
 	told, err := json.Marshal(t.ForModule(t.Rank))
 	if err != nil {
 		return "", fmt.Errorf("record terms: %w", err)
@@ -78,9 +78,9 @@
 	return string(told), nil
 }
 
-// reterm notes the terms of a reload, without which a return after it would be held for one on other terms.
-func (r *recorded) reterm(t *terms.Pilot) error {
-	told, err := toldTerms(t)
+// updateSettings notes the terms of a reload, without which a return after it would be held for one on other terms.
+func (r *recording) updateSettings(t *terms.Pilot) error {
+	told, err := plannerSettings(t)
 	if err != nil {
 		return err
 	}
@@ -88,7 +88,7 @@
 }
 
 // close ends the record.
-func (r *recorded) close() error { return r.store.Close() }
+func (r *recording) close() error { return r.store.Close() }
 
 // Records opens a store for reading.
 func Records(dir string) (*record.Store, error) {
--- a/internal/daemon/recover.go
+++ b/internal/daemon/recover.go
@@ -11,7 +11,7 @@
 )
 
 // recover reads the last life and replays its end with orders held back.
-func (d *Daemon) recover(r *recorded, t *terms.Pilot, fingerprint, told string, fresh func() pilot.Plan) (*pilot.Core, error) {
+func (d *Daemon) recover(r *recording, t *terms.Pilot, fingerprint, told string, fresh func() pilot.Plan) (*pilot.Core, error) {
 	lives, err := r.store.Lives()
 	if err != nil {
 		return nil, err
@@ -46,6 +46,6 @@
 	if err := record.Restore(core, turns[from:]); err != nil {
 		return nil, err
 	}
-	r.after = last.ID
+	r.rebuiltFrom = last.ID
 	return core, nil
 }
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -15,26 +15,26 @@
 // terms give. An edge that fails ends it with an error.
 func (d *Daemon) Run(ctx context.Context) error {
 	defer d.close()
-	g, life := errgroup.WithContext(d.life)
+	g, life := errgroup.WithContext(d.running)
 	serve, stopServing := context.WithCancel(life)
 	defer stopServing()
 	g.Go(func() error { return d.loop.Run(life) })
-	g.Go(func() error { return d.source.Run(life) })
-	g.Go(func() error { return d.server.Serve(serve, d.streams) })
-	if d.follow != nil {
-		g.Go(func() error { return d.follow.Serve(serve, d.grpc) })
+	g.Go(func() error { return d.endpointSource.Run(life) })
+	g.Go(func() error { return d.framedServer.Serve(serve, d.streamListener) })
+	if d.grpcServer != nil {
+		g.Go(func() error { return d.grpcServer.Serve(serve, d.grpcListener) })
 	}
-	if d.ring != nil {
+	if d.keyStore != nil {
 		g.Go(func() error { return d.watchKeys(life) })
 	}
-	if d.record != nil {
-		g.Go(func() error { return d.record.writer.Run(life) })
+	if d.recording != nil {
+		g.Go(func() error { return d.recording.writer.Run(life) })
 	}
-	if d.post != nil {
-		g.Go(func() error { return d.post.Run(life) })
+	if d.gossip != nil {
+		g.Go(func() error { return d.gossip.Run(life) })
 	}
-	if d.admin != nil {
-		g.Go(func() error { return admin.Serve(life, d.admin, d.registry, d.loop.State) })
+	if d.adminListener != nil {
+		g.Go(func() error { return admin.Serve(life, d.adminListener, d.registry, d.loop.State) })
 	}
 	g.Go(func() error {
 		select {
@@ -42,21 +42,21 @@
 		case <-life.Done():
 			return nil
 		}
-		d.outfit.Log.Info("stopping", zap.Int("proxies", d.streaming()))
+		d.options.Log.Info("stopping", zap.Int("proxies", d.openStreams()))
 		stopServing()
-		if d.xds != nil {
-			d.xds.Stop()
+		if d.xdsServer != nil {
+			d.xdsServer.Stop()
 		}
-		d.waitEmpty(life)
-		d.die()
+		d.drain(life)
+		d.terminate()
 		return nil
 	})
 	err := g.Wait()
-	if d.record != nil {
-		err = errors.Join(err, d.record.close())
+	if d.recording != nil {
+		err = errors.Join(err, d.recording.close())
 	}
-	if d.prober != nil {
-		d.prober.Wait()
+	if d.healthChecker != nil {
+		d.healthChecker.Wait()
 	}
 	if d.killed.Load() {
 		return nil
@@ -64,12 +64,12 @@
 	return err
 }
 
-func (d *Daemon) waitEmpty(ctx context.Context) {
-	end := time.NewTimer(d.terms.Load().DrainOnStop)
+func (d *Daemon) drain(ctx context.Context) {
+	end := time.NewTimer(d.config.Load().DrainOnStop)
 	defer end.Stop()
-	look := time.NewTicker(stopStep)
+	look := time.NewTicker(drainPollInterval)
 	defer look.Stop()
-	for d.streaming() > 0 {
+	for d.openStreams() > 0 {
 		select {
 		case <-look.C:
 		case <-end.C:
@@ -84,23 +84,23 @@
 // Kill ends the pilot as the end of its process would: all sockets close at once and nobody is told.
 func (d *Daemon) Kill() {
 	d.killed.Store(true)
-	_ = d.streams.Close()
+	_ = d.streamListener.Close()
 	d.killStreams()
-	d.die()
+	d.terminate()
 }
 
-// streaming returns how many streams are open, over all transports.
-func (d *Daemon) streaming() int {
-	n := d.server.Streams()
-	if d.follow != nil {
-		n += d.follow.Streams() + d.xds.Streams()
+// openStreams returns how many streams are open, over all transports.
+func (d *Daemon) openStreams() int {
+	n := d.framedServer.Streams()
+	if d.grpcServer != nil {
+		n += d.grpcServer.Streams() + d.xdsServer.Streams()
 	}
 	return n
 }
 
 func (d *Daemon) killStreams() {
-	d.server.Kill()
-	if d.follow != nil {
-		d.follow.Kill()
+	d.framedServer.Kill()
+	if d.grpcServer != nil {
+		d.grpcServer.Kill()
 	}
 }
--- a/internal/daemon/torn_test.go
+++ b/internal/daemon/torn_test.go
@@ -62,7 +62,7 @@
 			d, err := New(&p, Outfit{})
 			require.NoError(t, err)
 			if name == "as it was" {
-				assert.Contains(t, d.record.Verdict.Why, "recovered")
+				assert.Contains(t, d.recording.Verdict.Why, "recovered")
 			}
 			stop, ended := run(t, d)
 			following(t, "p", func() []string { return []string{d.Address()} })
@@ -96,7 +96,7 @@
 	}{{&now, "recovered from"}, {p, "cold start: the record is of other terms"}} {
 		back, err := New(c.terms, Outfit{})
 		require.NoError(t, err)
-		assert.Contains(t, back.record.Verdict.Why, c.want)
+		assert.Contains(t, back.recording.Verdict.Why, c.want)
 		stop, ended := run(t, back)
 		require.Eventually(t, func() bool { return back.State().Listed }, 5*time.Second, time.Millisecond)
 		time.Sleep(500 * time.Millisecond)
