--- a/internal/record/decode.go
+++ b/internal/record/decode.go
@@ -5,7 +5,8 @@
 	"math"
 )
 
-// decoder takes turns apart; the first thing wrong stays in err.
+// decoder takes values off the front of buf. After the first error, which stays in err, buf is empty and all further
+// values are zero, so that err has to be looked at only before a value is used.
 type decoder struct {
 	buf []byte
 	err error
@@ -18,6 +19,16 @@
 	d.buf = nil
 }
 
+func (d *decoder) byte() byte {
+	if len(d.buf) == 0 {
+		d.fail()
+		return 0
+	}
+	v := d.buf[0]
+	d.buf = d.buf[1:]
+	return v
+}
+
 func (d *decoder) uint() uint64 {
 	v, n := binary.Uvarint(d.buf)
 	if n <= 0 {
@@ -39,15 +50,29 @@
 }
 
 func (d *decoder) fixed64() uint64 {
-	if len(d.buf) < 8 {
+	const size = 8 // bytes
+	if len(d.buf) < size {
 		d.fail()
 		return 0
 	}
 	v := binary.LittleEndian.Uint64(d.buf)
-	d.buf = d.buf[8:]
+	d.buf = d.buf[size:]
 	return v
 }
 
+func (d *decoder) text() string {
+	n := d.uint()
+	if n > uint64(len(d.buf)) {
+		d.fail()
+		return ""
+	}
+	s := string(d.buf[:n])
+	d.buf = d.buf[n:]
+	return s
+}
+
+// number reads what encoder.number wrote: an even varint is the double of a whole number, an odd one announces the eight
+// bytes of a fraction.
 func (d *decoder) number() float64 {
 	v := d.int()
 	if v&1 == 0 {
@@ -56,13 +81,13 @@
 	return math.Float64frombits(d.fixed64())
 }
 
-func (d *decoder) text() string {
+// items reads how many items follow. Each takes at least one byte, so a number beyond what is left is an error: nothing
+// is allocated for it.
+func (d *decoder) items() uint64 {
 	n := d.uint()
 	if n > uint64(len(d.buf)) {
 		d.fail()
-		return ""
+		return 0
 	}
-	s := string(d.buf[:n])
-	d.buf = d.buf[n:]
-	return s
+	return n
 }
--- a/internal/record/errors.go
+++ b/internal/record/errors.go
@@ -1,14 +1,11 @@
 package record
 
-import (
-	"errors"
-)
+import "errors"
 
-// Errors of reading.
+// Errors of reading, checked with errors.Is.
 var (
-	ErrTorn   = errors.New("the record is torn")
+	// ErrTorn says that stored bytes are damaged, cut off or make no sense.
+	ErrTorn = errors.New("the record is torn")
+	// ErrFormat says that a record was written in another version of the format.
 	ErrFormat = errors.New("the record is of another format")
 )
-
-// ErrDiffers says that a replay ordered otherwise than the record.
-var ErrDiffers = errors.New("the replay orders otherwise")
--- a/internal/record/kinds.go
+++ b/internal/record/kinds.go
@@ -1,33 +1,46 @@
 package record
 
-// Kind tells what an input was.
+// Kind tells what an input was. Kinds are stored by number: a new one goes before Checkpoint with a new Format.
 type Kind byte
 
 // The kinds of input.
 const (
-	Join Kind = iota + 1
-	Leave
-	Applied
-	Listed
-	ListLost
-	Heard
-	Probed
-	Retermed
-	Met
-	Demand
-	SliceGiven
-	SliceDemand
-	kindEnd
+	Join        Kind = iota + 1 // a proxy opened a stream
+	Leave                       // a proxy's stream ended
+	Applied                     // a proxy acknowledged commands
+	Listed                      // endpoints came from the endpoint list
+	ListLost                    // a call to the endpoint list failed
+	Heard                       // another controller's gossip
+	Probed                      // the result of a health check
+	Retermed                    // changed settings
+	Met                         // what proxies met at an endpoint, as telemetry summed it
+	Demand                      // the requests that came to a proxy, as telemetry summed them
+	SliceGiven                  // a slice was assigned or taken away
+	SliceDemand                 // the requests that came for a slice, as telemetry summed them
+	Checkpoint                  // begins a turn that holds what another core needs to go on from here
 )
 
-// Checkpoint begins a turn that holds what another core needs to go on from here, and is no part of the life itself.
-const Checkpoint = kindEnd
+// kindNames are shown to people and written by exports.
+var kindNames = [...]string{
+	Join:        "join",
+	Leave:       "leave",
+	Applied:     "applied",
+	Listed:      "listed",
+	ListLost:    "list lost",
+	Heard:       "heard",
+	Probed:      "probed",
+	Retermed:    "retermed",
+	Met:         "met",
+	Demand:      "demand",
+	SliceGiven:  "slice given",
+	SliceDemand: "slice demand",
+	Checkpoint:  "checkpoint",
+}
 
 // String names a kind.
 func (k Kind) String() string {
-	names := [...]string{"", "join", "leave", "applied", "listed", "list lost", "heard", "probed", "retermed", "met", "demand", "slice given", "slice demand", "checkpoint"}
-	if int(k) >= len(names) {
+	if int(k) >= len(kindNames) {
 		return "unknown"
 	}
-	return names[k]
+	return kindNames[k]
 }
--- a/internal/record/turn.go
+++ b/internal/record/turn.go
@@ -5,26 +5,28 @@
 	"indigousher/internal/wire"
 )
 
-// Format is the version of the layout.
-const Format = 2 // 2: slices with their ranges of keys
+// Format is the version of the stored format; 2 brought slices with their ranges of keys.
+const Format = 2
 
-// Turn is one turn of the loop.
+// Turn is one turn of the control loop.
 type Turn struct {
-	AtMs   float64
+	AtMs   float64 // on the controller's clock
 	Inputs []Input
-	Digest uint64 // of the orders
+	Digest uint64 // of the commands that the planner gave, by Digest
 }
 
-// IsCheckpoint returns whether a turn is no part of the life but what another core needs to go on from here.
-func (t *Turn) IsCheckpoint() bool { return len(t.Inputs) > 0 && t.Inputs[0].Kind == Checkpoint }
+// IsCheckpoint returns whether a turn happened in no life, but holds what another core needs to go on from here.
+func (t *Turn) IsCheckpoint() bool {
+	return len(t.Inputs) > 0 && t.Inputs[0].Kind == Checkpoint
+}
 
-// Input is one input of a turn. Stream numbers the proxies' streams of a life.
+// Input is one input of a turn. Which fields count depends on its kind.
 type Input struct {
 	Kind    Kind
-	Stream  uint64
+	Stream  uint64       // numbers the proxies' streams of a life from 1, in the order of their first inputs
 	Message wire.Message // of Join, Applied, Listed and SliceGiven
-	From    int          // of Heard
-	Text    string       // of Heard; the endpoint of Probed; terms as JSON of Retermed
+	From    int          // of Heard: the rank of the sender
+	Text    string       // of Heard; the endpoint of Probed; settings as JSON of Retermed
 	Probe   brain.Probed // of Probed
-	Note    brain.Note   // of Met, Demand and SliceDemand: as the intake passed them on
+	Note    brain.Note   // of Met, Demand and SliceDemand: as telemetry passed them on
 }
