--- a/internal/record/chunk.go
+++ b/internal/record/chunk.go
@@ -7,36 +7,49 @@
 	"time"
 )
 
+// A chunk is what one commit adds to a segment:
+//
+//	4 bytes  checksum of all that follows, CRC-32C, little-endian
+//	8 bytes  when it was written, Unix ms of the machine's clock, little-endian
+//	         turns one behind another, compressed
+//
+// A chunk without turns marks a gap: turns are missing before what follows.
 const (
-	chunkHeaderBytes = 12
-	maxQueuedTurns   = 1024 // turns that may wait for the disk; one more is a gap
-	lockTimeout      = time.Second
+	checksumBytes    = 4
+	chunkHeaderBytes = checksumBytes + 8
 )
 
-// The layout: a bucket "lives" of JSON by life, and a bucket for each segment, named LIFE/NUMBER, of chunks by number. A
-// chunk is a checksum, the time of its last turn, and turns laid out one after another, compressed. A gap is a chunk
-// without turns.
-var (
-	bucketLives    = []byte("lives")
-	bucketSegments = []byte("segments")
-	checksumTable  = crc32.MakeTable(crc32.Castagnoli)
-)
+var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-func (s *Store) encodeChunk(body []byte, at time.Time) []byte {
-	chunk := make([]byte, chunkHeaderBytes, chunkHeaderBytes+len(body)/2)
-	binary.LittleEndian.PutUint64(chunk[4:], uint64(at.UnixMilli()))
-	chunk = s.compressor.EncodeAll(body, chunk)
-	binary.LittleEndian.PutUint32(chunk, crc32.Checksum(chunk[4:], checksumTable))
+// encodeChunk returns a chunk of encoded turns, none for a gap.
+func (s *Store) encodeChunk(turns []byte, at time.Time) []byte {
+	chunk := make([]byte, chunkHeaderBytes, chunkHeaderBytes+len(turns)/2)
+	binary.LittleEndian.PutUint64(chunk[checksumBytes:], uint64(at.UnixMilli()))
+	chunk = s.compressor.EncodeAll(turns, chunk)
+	binary.LittleEndian.PutUint32(chunk, crc32.Checksum(chunk[checksumBytes:], checksumTable))
 	return chunk
 }
 
+// decodeChunk returns a chunk's turns; all errors are ErrTorn.
 func (s *Store) decodeChunk(chunk []byte) ([]Turn, error) {
-	if len(chunk) < chunkHeaderBytes || crc32.Checksum(chunk[4:], checksumTable) != binary.LittleEndian.Uint32(chunk) {
+	if len(chunk) < chunkHeaderBytes || !checksumMatches(chunk) {
 		return nil, fmt.Errorf("checksum: %w", ErrTorn)
 	}
-	body, err := s.decompressor.DecodeAll(chunk[chunkHeaderBytes:], nil)
+	turns, err := s.decompressor.DecodeAll(chunk[chunkHeaderBytes:], nil)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrTorn, err)
 	}
-	return Turns(body)
+	return Turns(turns)
+}
+
+func checksumMatches(chunk []byte) bool {
+	return crc32.Checksum(chunk[checksumBytes:], checksumTable) == binary.LittleEndian.Uint32(chunk)
+}
+
+// chunkTime returns when a chunk was written, and false for one that is too short to say.
+func chunkTime(chunk []byte) (time.Time, bool) {
+	if len(chunk) < chunkHeaderBytes {
+		return time.Time{}, false
+	}
+	return time.UnixMilli(int64(binary.LittleEndian.Uint64(chunk[checksumBytes:]))), true
 }
--- a/internal/record/database.go
+++ b/internal/record/database.go
@@ -7,21 +7,22 @@
 	"path/filepath"
 	"runtime/debug"
 	"syscall"
+	"time"
 
 	"go.etcd.io/bbolt"
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// OpenFile opens or makes a store's file, and tells one that is torn, by ErrTorn, from one that can't be had.
-func OpenFile(path string, readOnly bool) (db *bbolt.DB, err error) {
-	err = panicsAsErrors(func() (err error) {
-		db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, ReadOnly: readOnly, FreelistType: bbolt.FreelistMapType})
-		return err
-	})
-	var refused syscall.Errno // by the system
-	if err != nil && !errors.Is(err, bolterrors.ErrTimeout) && !errors.As(err, &refused) && !errors.Is(err, ErrTorn) {
-		err = fmt.Errorf("%w: %w", ErrTorn, err)
-	}
+// lockTimeout is how long an open waits for a process that has the file; long enough for one that is just ending.
+const lockTimeout = time.Second
+
+// tornSuffix ends the name of a damaged file that was set aside.
+const tornSuffix = ".torn"
+
+// OpenFile opens or makes a store's file. A damaged one gives ErrTorn; one that can't be had, for want of permission,
+// space or its lock, another error.
+func OpenFile(path string, readOnly bool) (*bbolt.DB, error) {
+	db, err := openDatabase(path, readOnly)
 	if err != nil {
 		return nil, fmt.Errorf("open %s: %w", path, err)
 	}
@@ -31,26 +32,45 @@
 	return db, nil
 }
 
-// checkPages returns whether the file has all the pages that it speaks of, and each is what it should be.
+// openDatabase opens the file and gives ErrTorn for each error that neither the system nor the lock explains.
+func openDatabase(path string, readOnly bool) (db *bbolt.DB, err error) {
+	err = panicsAsErrors(func() (err error) {
+		options := bbolt.Options{Timeout: lockTimeout, ReadOnly: readOnly, FreelistType: bbolt.FreelistMapType}
+		db, err = bbolt.Open(path, 0o600, &options)
+		return err
+	})
+	var refused syscall.Errno // by the system
+	if err == nil || errors.Is(err, ErrTorn) || errors.Is(err, bolterrors.ErrTimeout) || errors.As(err, &refused) {
+		return db, err
+	}
+	return nil, fmt.Errorf("%w: %w", ErrTorn, err)
+}
+
+// checkPages returns ErrTorn if the file lacks pages that it speaks of, and panics or faults on a page that makes no
+// sense.
 func checkPages(tx *bbolt.Tx) error {
-	if at, err := os.Stat(tx.DB().Path()); err != nil || at.Size() < tx.Size() {
+	info, err := os.Stat(tx.DB().Path())
+	if err != nil || info.Size() < tx.Size() {
 		return errors.Join(fmt.Errorf("shorter than %d bytes: %w", tx.Size(), ErrTorn), err)
 	}
 	return tx.ForEach(func(_ []byte, b *bbolt.Bucket) error { return visitBucket(b) })
 }
 
-// visitBucket goes through all buckets and keys, so that pages which make no sense show before anything depends on them.
+// visitBucket goes through all buckets and keys below one, so that damage shows before anything depends on them.
 func visitBucket(b *bbolt.Bucket) error {
 	return b.ForEach(func(k, v []byte) error {
-		if v == nil && b.Bucket(k) != nil {
-			return visitBucket(b.Bucket(k))
+		if v != nil {
+			return nil
+		}
+		if below := b.Bucket(k); below != nil {
+			return visitBucket(below)
 		}
 		return nil
 	})
 }
 
-// panicsAsErrors does something with the file. The store panics on pages that make no sense, and a page that the file no longer
-// has faults; both are torn records, which must not end a pilot.
+// panicsAsErrors calls f and returns a panic as ErrTorn. The database panics on pages that make no sense, and a page
+// that the file no longer has faults; neither must end a controller.
 func panicsAsErrors(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -61,11 +81,12 @@
 	return f()
 }
 
-// SetAside moves a store's file out of the way, in place of one that was moved there before, and returns where it lies.
+// SetAside moves a damaged file out of the way, in place of one that was moved there before, and returns its new path.
 func SetAside(dir string) (string, error) {
 	from := filepath.Join(dir, fileName)
-	if err := os.Rename(from, from+".torn"); err != nil {
+	to := from + tornSuffix
+	if err := os.Rename(from, to); err != nil {
 		return "", fmt.Errorf("set records aside: %w", err)
 	}
-	return from + ".torn", nil
+	return to, nil
 }
--- a/internal/record/life.go
+++ b/internal/record/life.go
@@ -8,25 +8,25 @@
 	"go.etcd.io/bbolt"
 )
 
-// Life is what is known of one process's record.
+// Life describes the record of one incarnation of a controller, from its start to its end.
 type Life struct {
-	Format  int
-	ID      string // sorts by start
-	Pilot   string
-	Seed    int64
-	Module  string    // fingerprint of what decided
-	Terms   string    // as JSON, at its start
-	Now     string    `json:",omitempty"` // as JSON, after the last reload; "": as at its start
+	Format  int       // version of the stored format, see Format
+	ID      string    // sorts by start
+	Pilot   string    // the controller's name
+	Seed    int64     // of the planner
+	Module  string    // fingerprint of the planner, see Fingerprint
+	Terms   string    // the planner's settings at the start, as JSON
+	Now     string    `json:",omitempty"` // the settings after the last reload, as JSON; "": as at the start
 	Started time.Time // by the machine's clock, for people
-	After   string    // the life that this one was rebuilt from, if any
-	TailMs  float64   // and how much of its end was asked for
+	After   string    // ID of the life that this one was rebuilt from; "": it began cold
+	TailMs  float64   // how much of that life's end was asked for
 }
 
-// Lives lists the lives, oldest first.
+// Lives returns all lives, oldest first.
 func (s *Store) Lives() (lives []Life, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(bucketLives)
-		if b == nil {
+		if b == nil { // opened for reading before anything was written
 			return nil
 		}
 		return b.ForEach(func(_, v []byte) error {
@@ -41,7 +41,7 @@
 	return lives, err
 }
 
-// Begin notes a new life.
+// Begin stores a new life, in the present format.
 func (s *Store) Begin(l Life) error {
 	l.Format = Format
 	v, err := json.Marshal(l)
@@ -51,18 +51,19 @@
 	return s.update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketLives).Put([]byte(l.ID), v) })
 }
 
-// Reterm notes the terms that a life goes on with after a reload.
-func (s *Store) Reterm(life, terms string) error {
+// Reterm stores the settings with which a life goes on after a reload.
+func (s *Store) Reterm(life, settings string) error {
 	return s.update(func(tx *bbolt.Tx) error {
+		lives := tx.Bucket(bucketLives)
 		var l Life
-		if err := json.Unmarshal(tx.Bucket(bucketLives).Get([]byte(life)), &l); err != nil {
+		if err := json.Unmarshal(lives.Get([]byte(life)), &l); err != nil {
 			return fmt.Errorf("note terms: %w", err)
 		}
-		l.Now = terms
+		l.Now = settings
 		v, err := json.Marshal(l)
 		if err != nil {
 			return fmt.Errorf("note terms: %w", err)
 		}
-		return tx.Bucket(bucketLives).Put([]byte(life), v)
+		return lives.Put([]byte(life), v)
 	})
 }
--- a/internal/record/prune.go
+++ b/internal/record/prune.go
@@ -1,82 +1,95 @@
 package record
 
 import (
-	"encoding/binary"
+	"bytes"
 	"errors"
 	"time"
 
 	"go.etcd.io/bbolt"
 )
 
-// Bounds are what a store may take.
-type Bounds struct {
-	Bytes   int64         // of all records; the oldest segments go first
-	Age     time.Duration // likewise
-	Segment int           // bytes of a segment
-	Every   time.Duration // group commit
+// storedSegment is a segment as pruning sees it.
+type storedSegment struct {
+	name  []byte
+	bytes int64
+	at    time.Time // of its last chunk
 }
 
-// DefaultBounds are 1 GiB, a week, 8 MiB a segment, a commit each 200 ms.
-func DefaultBounds() Bounds {
-	return Bounds{Bytes: 1 << 30, Age: 7 * 24 * time.Hour, Segment: 8 << 20, Every: 200 * time.Millisecond}
-}
-
-// Prune drops the oldest segments until all fit the bounds, and lives of which nothing is left.
+// Prune drops the oldest segments until the rest keeps the bounds, and lives of which nothing is left. The last segment,
+// which may be being written, stays. It returns how many were dropped.
 func (s *Store) Prune(b Bounds, now time.Time) (dropped int, err error) {
 	err = s.update(func(tx *bbolt.Tx) error {
-		segments := tx.Bucket(bucketSegments)
-		type segment struct {
-			name []byte
-			size int64
-			at   time.Time
-		}
-		var all []segment
-		var sum int64
-		err := segments.ForEachBucket(func(k []byte) error {
-			g := segment{name: append([]byte(nil), k...)}
-			err := segments.Bucket(k).ForEach(func(_, v []byte) error {
-				g.size += int64(len(v))
-				if len(v) >= chunkHeaderBytes {
-					g.at = time.UnixMilli(int64(binary.LittleEndian.Uint64(v[4:])))
-				}
-				return nil
-			})
-			all, sum = append(all, g), sum+g.size
-			return err
-		})
+		segments, err := listSegments(tx)
 		if err != nil {
 			return err
 		}
-		for i, g := range all {
-			old := b.Age > 0 && now.Sub(g.at) > b.Age
-			if i == len(all)-1 || !old && (b.Bytes <= 0 || sum <= b.Bytes) {
-				break // the last is being written
-			}
-			if err := segments.DeleteBucket(g.name); err != nil {
+		for _, segment := range segments[:excess(segments, b, now)] {
+			if err := tx.Bucket(bucketSegments).DeleteBucket(segment.name); err != nil {
 				return err
 			}
-			sum -= g.size
 			dropped++
 		}
-		return dropLives(tx)
+		return dropEmptyLives(tx)
 	})
 	return dropped, err
 }
 
-// dropLives forgets lives without segments, but the last.
-func dropLives(tx *bbolt.Tx) error {
+// listSegments returns all segments, oldest first.
+func listSegments(tx *bbolt.Tx) (all []storedSegment, err error) {
+	segments := tx.Bucket(bucketSegments)
+	err = segments.ForEachBucket(func(name []byte) error {
+		segment := storedSegment{name: bytes.Clone(name)}
+		err := segments.Bucket(name).ForEach(func(_, chunk []byte) error {
+			segment.bytes += int64(len(chunk))
+			if at, ok := chunkTime(chunk); ok {
+				segment.at = at
+			}
+			return nil
+		})
+		all = append(all, segment)
+		return err
+	})
+	return all, err
+}
+
+// excess returns how many segments, from the oldest on, are too old or too much. The last one never is.
+func excess(segments []storedSegment, b Bounds, now time.Time) int {
+	var total int64
+	for _, segment := range segments {
+		total += segment.bytes
+	}
+	for i, segment := range segments {
+		tooOld := b.Age > 0 && now.Sub(segment.at) > b.Age
+		tooMuch := b.Bytes > 0 && total > b.Bytes
+		isLast := i == len(segments)-1
+		if isLast || !tooOld && !tooMuch {
+			return i
+		}
+		total -= segment.bytes
+	}
+	return 0 // there are none
+}
+
+// dropEmptyLives forgets lives without segments, but for the last, which may be about to write its first.
+func dropEmptyLives(tx *bbolt.Tx) error {
 	lives := tx.Bucket(bucketLives)
 	last, _ := lives.Cursor().Last()
-	var gone [][]byte
-	err := lives.ForEach(func(k, _ []byte) error {
-		found, _ := tx.Bucket(bucketSegments).Cursor().Seek(append(append([]byte(nil), k...), '/'))
-		if string(k) != string(last) && (len(found) <= len(k) || string(found[:len(k)]) != string(k)) {
-			gone = append(gone, append([]byte(nil), k...))
+	var empty [][]byte
+	err := lives.ForEach(func(id, _ []byte) error {
+		if !bytes.Equal(id, last) && !hasSegment(tx, id) {
+			empty = append(empty, bytes.Clone(id))
 		}
 		return nil
 	})
-	for _, k := range gone {
-		err = errors.Join(err, lives.Delete(k))
+	for _, id := range empty {
+		err = errors.Join(err, lives.Delete(id))
 	}
 	return err
 }
+
+// hasSegment returns whether a life has a segment.
+func hasSegment(tx *bbolt.Tx, life []byte) bool {
+	prefix := segmentPrefix(string(life))
+	name, _ := tx.Bucket(bucketSegments).Cursor().Seek(prefix)
+	return bytes.HasPrefix(name, prefix)
+}
--- a/internal/record/store.go
+++ b/internal/record/store.go
@@ -9,16 +9,28 @@
 	"go.etcd.io/bbolt"
 )
 
+// fileName is the store's file in its folder.
 const fileName = "records.db"
 
-// Store is the file. It is opened by one process at a time.
+// The layout: bucket "lives" holds a Life as JSON by its ID; bucket "segments" holds a bucket for each segment, named
+// LIFE/NUMBER, of chunks (see chunk.go) by number.
+var (
+	bucketLives    = []byte("lives")
+	bucketSegments = []byte("segments")
+)
+
+// maxChunkBytes bounds what a chunk may unpack to, so that a damaged one can't take all memory.
+const maxChunkBytes = 256 << 20
+
+// Store is a file of records, opened by one process at a time.
 type Store struct {
 	db           *bbolt.DB
 	compressor   *zstd.Encoder
 	decompressor *zstd.Decoder
 }
 
-// Open opens or makes the store in a folder. A second process that opens it fails. A file that is torn is told by ErrTorn.
+// Open opens the store in a folder, or makes it there. It fails if another process has it open, and with ErrTorn if its
+// file is damaged.
 func Open(dir string, readOnly bool) (*Store, error) {
 	path := filepath.Join(dir, fileName)
 	db, err := OpenFile(path, readOnly)
@@ -26,18 +38,9 @@
 		return nil, fmt.Errorf("open records: %w", err)
 	}
 	s := &Store{db: db}
-	if s.compressor, err = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1)); err == nil {
-		s.decompressor, err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(256<<20))
-	}
+	err = s.openCompression()
 	if err == nil && !readOnly {
-		err = s.update(func(tx *bbolt.Tx) error {
-			for _, b := range [][]byte{bucketLives, bucketSegments} {
-				if _, err := tx.CreateBucketIfNotExists(b); err != nil {
-					return err
-				}
-			}
-			return nil
-		})
+		err = s.update(createBuckets)
 	}
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("open records %s: %w", path, err), db.Close())
@@ -45,16 +48,37 @@
 	return s, nil
 }
 
+// openCompression makes the compressor, which favours speed, and its counterpart. Neither starts goroutines.
+func (s *Store) openCompression() (err error) {
+	s.compressor, err = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
+	if err != nil {
+		return err
+	}
+	s.decompressor, err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxChunkBytes))
+	return err
+}
+
+func createBuckets(tx *bbolt.Tx) error {
+	for _, name := range [][]byte{bucketLives, bucketSegments} {
+		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 // Close closes the file.
 func (s *Store) Close() error {
 	s.decompressor.Close()
 	return errors.Join(s.compressor.Close(), s.db.Close())
 }
 
+// view runs a transaction that only reads; damage that shows gives ErrTorn.
 func (s *Store) view(f func(*bbolt.Tx) error) error {
 	return panicsAsErrors(func() error { return s.db.View(f) })
 }
 
+// update runs a transaction that may write; damage that shows gives ErrTorn.
 func (s *Store) update(f func(*bbolt.Tx) error) error {
 	return panicsAsErrors(func() error { return s.db.Update(f) })
 }
