--- a/internal/record/counting.go
+++ b/internal/record/counting.go
@@ -5,37 +5,41 @@
 	"indigousher/internal/pilot"
 )
 
-// countingDecider counts what is ordered.
+// countingDecider passes events on to a planner and counts the commands that come back.
 type countingDecider struct {
 	pilot.Decider
 	result    *Result
-	digest    uint64
-	lastMs    float64
+	digest    uint64 // of the commands given last
 	estimator *estimator
 }
 
-func (l *countingDecider) Handle(nowMs float64, notes []brain.Note) []brain.Order {
-	l.estimator.observe(notes) // by the tables that stand until now
-	orders := l.Decider.Handle(nowMs, notes)
-	l.digest = Digest(orders)
-	for _, o := range orders {
-		switch o := o.(type) {
-		case brain.SetLine:
-			l.result.Sets++
-			if o.Weight == 0 {
-				l.result.Zeros++
-			}
-		case brain.Withdraw:
-			if o.Out {
-				l.result.Withdrawals++
-			}
-		case brain.Admit:
-			if o.Level < 1 {
-				l.result.Levels++
-			}
-		case brain.Bind:
-			l.result.Binds++
+// Handle asks the planner.
+func (d *countingDecider) Handle(nowMs float64, events []brain.Note) []brain.Order {
+	d.estimator.observe(events) // with the tables as they stand until now
+	commands := d.Decider.Handle(nowMs, events)
+	d.digest = Digest(commands)
+	for _, command := range commands {
+		d.count(command)
+	}
+	return commands
+}
+
+func (d *countingDecider) count(command brain.Order) {
+	switch command := command.(type) {
+	case brain.SetLine:
+		d.result.Sets++
+		if command.Weight == 0 {
+			d.result.Zeros++
+		}
+	case brain.Withdraw:
+		if command.Out {
+			d.result.Withdrawals++
+		}
+	case brain.Admit:
+		if command.Level < 1 {
+			d.result.Levels++
 		}
+	case brain.Bind:
+		d.result.Binds++
 	}
-	return orders
 }
--- a/internal/record/fingerprint.go
+++ b/internal/record/fingerprint.go
@@ -7,43 +7,104 @@
 	"indigousher/internal/pilot"
 )
 
-// Fingerprint tells modules apart by what they do: the digest of what one orders through a minute of trouble that is the
-// same each time.
-func Fingerprint(make func(seed int64, terms map[string]any) pilot.Decider) string {
-	terms := map[string]any{"req_kinds": []any{map[string]any{"name": "a", "payoff": 1.0}, map[string]any{"name": "b", "payoff": 5.0}},
-		"fields": []any{"util", "rate"}, "admission": "share", "instances": 2.0, "proxy_count": 6.0, "ejects_after": 5.0}
-	d := make(7, terms)
+// The run that a planner's fingerprint is taken of. Stored lives hold fingerprints: a change of anything here, or of what
+// the planner does in this run, makes each of them one of another module, and the next start a cold one.
+const (
+	fingerprintSeed      = 7
+	fingerprintSteps     = 240 // of fingerprintStepMs: one minute
+	fingerprintStepMs    = 250.0
+	fingerprintEndpoints = 9
+	fingerprintProxies   = 4
+	fingerprintZones     = 3
+	fingerprintPrime     = 1099511628211 // of FNV with 64 bits; joins the digests of the steps
+)
+
+// Fingerprint tells planners apart by what they do: it is the digest of the commands that one gives through a minute of
+// faults which is the same each time.
+func Fingerprint(newDecider func(seed int64, settings map[string]any) pilot.Decider) string {
+	decider := newDecider(fingerprintSeed, fingerprintSettings())
 	var sum uint64
-	for step := range 240 {
-		now := float64(step) * 250
-		var notes []brain.Note
-		switch {
-		case step == 0:
-			var l brain.Listing
-			for e := range 9 {
-				l.Entries = append(l.Entries, brain.Entry{Endpoint: e, Zone: e % 3, Weight: float64(1 + e%2)})
-			}
-			l.Mode = brain.Whole
-			notes = append(notes, l)
-			for p := range 4 {
-				notes = append(notes, brain.Joined{Proxy: p, Zone: p % 3, Rate: 20})
-			}
-		case step%4 == 0:
-			notes = append(notes, brain.Alarm{Name: "gather"})
-		case step%4 == 1:
-			for e := range 9 {
-				failed := 0
-				if e == 2 && step > 60 && step < 120 {
-					failed = 9
-				}
-				notes = append(notes, brain.Met{Endpoint: e, Zone: e % 3, Tries: 9, Failed: failed, MeanMs: 30, SpanMs: 1000,
-					Load: brain.Load{"util": 0.3 + float64((step+e)%7)/8, "rate": 20}})
-			}
-		case step == 130:
-			notes = append(notes, brain.Listing{Entries: []brain.Entry{{Endpoint: 4, Zone: 1, Weight: 1, Phase: brain.Draining},
-				{Endpoint: 9, Zone: 0, Weight: 2, Started: now}}})
-		}
-		sum = sum*1099511628211 + Digest(d.Handle(now, notes))
+	for step := range fingerprintSteps {
+		nowMs := float64(step) * fingerprintStepMs
+		commands := decider.Handle(nowMs, fingerprintEvents(step, nowMs))
+		sum = sum*fingerprintPrime + Digest(commands)
 	}
 	return fmt.Sprintf("%016x", sum)
 }
+
+func fingerprintSettings() map[string]any {
+	return map[string]any{
+		"req_kinds": []any{
+			map[string]any{"name": "a", "payoff": 1.0},
+			map[string]any{"name": "b", "payoff": 5.0},
+		},
+		"fields":       []any{"util", "rate"},
+		"admission":    "share",
+		"instances":    2.0,
+		"proxy_count":  6.0,
+		"ejects_after": 5.0,
+	}
+}
+
+// fingerprintEvents returns what a step brings: all endpoints and proxies at first, then a control round and a load report
+// each second, and a change of the endpoint list halfway.
+func fingerprintEvents(step int, nowMs float64) []brain.Note {
+	switch {
+	case step == 0:
+		return fingerprintStart()
+	case step%4 == 0:
+		return []brain.Note{brain.Alarm{Name: "gather"}}
+	case step%4 == 1:
+		return fingerprintReport(step)
+	case step == 130:
+		return []brain.Note{fingerprintListChange(nowMs)}
+	}
+	return nil
+}
+
+func fingerprintStart() []brain.Note {
+	list := brain.Listing{Mode: brain.Whole}
+	for endpoint := range fingerprintEndpoints {
+		list.Entries = append(list.Entries, brain.Entry{
+			Endpoint: endpoint,
+			Zone:     endpoint % fingerprintZones,
+			Weight:   float64(1 + endpoint%2),
+		})
+	}
+	events := []brain.Note{list}
+	for proxy := range fingerprintProxies {
+		events = append(events, brain.Joined{Proxy: proxy, Zone: proxy % fingerprintZones, Rate: 20})
+	}
+	return events
+}
+
+// fingerprintReport returns what was met at each endpoint. Endpoint 2 fails all requests for a quarter of the run.
+func fingerprintReport(step int) []brain.Note {
+	const attempts = 9
+	var events []brain.Note
+	for endpoint := range fingerprintEndpoints {
+		failed := 0
+		if endpoint == 2 && step > 60 && step < 120 {
+			failed = attempts
+		}
+		utilization := 0.3 + float64((step+endpoint)%7)/8
+		events = append(events, brain.Met{
+			Endpoint: endpoint,
+			Zone:     endpoint % fingerprintZones,
+			Tries:    attempts,
+			Failed:   failed,
+			MeanMs:   30,
+			SpanMs:   1000,
+			Load:     brain.Load{"util": utilization, "rate": 20},
+		})
+	}
+	return events
+}
+
+// fingerprintListChange drains one endpoint and adds another that has just started.
+func fingerprintListChange(nowMs float64) brain.Note {
+	return brain.Listing{Entries: []brain.Entry{
+		{Endpoint: 4, Zone: 1, Weight: 1, Phase: brain.Draining},
+		{Endpoint: 9, Zone: 0, Weight: 2, Started: nowMs},
+	}}
+}
--- a/internal/record/recorder.go
+++ b/internal/record/recorder.go
@@ -9,86 +9,99 @@
 	"indigousher/internal/wire"
 )
 
-// CheckpointEvery is how far checkpoints are apart, in ms of the pilot's clock.
+// CheckpointEvery is how far checkpoints are apart, in ms of the controller's clock: a recovery replays up to so much
+// more than its tail.
 const CheckpointEvery = 15_000.0
 
-// Recorder turns a core's turns into records. Turn is called by the loop and only keeps what it is given; all else is
-// done by the functions that it hands over, which are called one after another by whoever writes.
+// Recorder turns a core's turns into records. Turn is called by the control loop and only keeps what it is given; all
+// else is done by the functions that it hands to the sink, which are called one after another by whoever writes.
 type Recorder struct {
-	sink             func(func() *Turn)
-	checkpoint       func() []pilot.Input // its checkpoint
-	streams          map[pilot.Stream]uint64
-	lastStream       uint64
+	sink       func(func() *Turn)
+	checkpoint func() []pilot.Input // returns what another core needs to go on from here
+
+	// Owned by the control loop.
+	started          bool // the first turn has come
 	lastCheckpointMs float64
-	started          bool
+
+	// Owned by whoever calls the functions that the sink got.
+	streams    map[pilot.Stream]uint64 // numbers of the streams that are open
+	lastStream uint64                  // the number given last
 }
 
-// NewRecorder hands turns to a sink; checkpoint is the core's.
-func NewRecorder(to func(func() *Turn), checkpoint func() []pilot.Input) *Recorder {
-	return &Recorder{sink: to, checkpoint: checkpoint, streams: map[pilot.Stream]uint64{}}
+// NewRecorder returns a recorder that hands turns to a sink; checkpoint is the core's.
+func NewRecorder(sink func(func() *Turn), checkpoint func() []pilot.Input) *Recorder {
+	return &Recorder{sink: sink, checkpoint: checkpoint, streams: map[pilot.Stream]uint64{}}
 }
 
-// Turn is for a core's plan.
-func (r *Recorder) Turn(nowMs float64, inputs []pilot.Input, told []brain.Note, orders []brain.Order) {
-	inputs = slices.Clone(inputs) // the loop uses its own again
+// Turn records a turn: its inputs, the events that telemetry passed on, and the planner's commands. It is meant for the
+// core's options.
+func (r *Recorder) Turn(nowMs float64, inputs []pilot.Input, events []brain.Note, commands []brain.Order) {
+	inputs = slices.Clone(inputs) // the loop reuses its slice
 	r.sink(func() *Turn {
-		t := r.turn(nowMs, inputs)
-		t.Digest = Digest(orders)
-		for _, n := range told {
-			switch n := n.(type) {
-			case brain.Met:
-				t.Inputs = append(t.Inputs, Input{Kind: Met, Note: n})
-			case brain.Demand:
-				t.Inputs = append(t.Inputs, Input{Kind: Demand, Note: n})
-			case brain.SliceDemand:
-				t.Inputs = append(t.Inputs, Input{Kind: SliceDemand, Note: n})
-			}
-		}
+		t := &Turn{AtMs: nowMs, Digest: Digest(commands)}
+		t.Inputs = r.appendInputs(t.Inputs, inputs)
+		t.Inputs = appendStats(t.Inputs, events)
 		return t
 	})
-	if r.started && nowMs-r.lastCheckpointMs < CheckpointEvery {
+	r.checkpointIfDue(nowMs)
+}
+
+// checkpointIfDue records a checkpoint if the last one is old enough. A life's first turn counts as one: nothing lies
+// before it.
+func (r *Recorder) checkpointIfDue(nowMs float64) {
+	if !r.started {
+		r.started = true
+		r.lastCheckpointMs = nowMs
 		return
 	}
-	if r.started {
-		checkpoint := r.checkpoint()
-		r.sink(func() *Turn { return r.turn(nowMs, checkpoint, Input{Kind: Checkpoint}) })
+	if nowMs-r.lastCheckpointMs < CheckpointEvery {
+		return
 	}
-	r.started, r.lastCheckpointMs = true, nowMs
+	inputs := r.checkpoint()
+	r.sink(func() *Turn {
+		t := &Turn{AtMs: nowMs, Inputs: []Input{{Kind: Checkpoint}}}
+		t.Inputs = r.appendInputs(t.Inputs, inputs)
+		return t
+	})
+	r.lastCheckpointMs = nowMs
 }
 
-func (r *Recorder) turn(nowMs float64, inputs []pilot.Input, first ...Input) *Turn {
-	t := &Turn{AtMs: nowMs, Inputs: first}
+// appendInputs converts a core's inputs and appends those that are recorded.
+func (r *Recorder) appendInputs(to []Input, inputs []pilot.Input) []Input {
 	for _, in := range inputs {
-		if x, ok := r.convert(in); ok {
-			t.Inputs = append(t.Inputs, x)
+		if converted, ok := r.convert(in); ok {
+			to = append(to, converted)
 		}
 	}
-	return t
+	return to
 }
 
-// streamNumber returns a stream's number, giving one at its first appearance.
-func (r *Recorder) streamNumber(s pilot.Stream) uint64 {
-	n, known := r.streams[s]
-	if !known {
-		r.lastStream++
-		n = r.lastStream
-		r.streams[s] = n
+// appendStats appends the events that telemetry made of load reports. They stand for the reports, which are not recorded.
+func appendStats(to []Input, events []brain.Note) []Input {
+	for _, event := range events {
+		switch event := event.(type) {
+		case brain.Met:
+			to = append(to, Input{Kind: Met, Note: event})
+		case brain.Demand:
+			to = append(to, Input{Kind: Demand, Note: event})
+		case brain.SliceDemand:
+			to = append(to, Input{Kind: SliceDemand, Note: event})
+		}
 	}
-	return n
+	return to
 }
 
+// convert returns an input as it is recorded, and false for one that is not.
 func (r *Recorder) convert(in pilot.Input) (Input, bool) {
 	switch in := in.(type) {
 	case pilot.Join:
-		h := in.Hello
-		return Input{Kind: Join, Stream: r.streamNumber(in.Stream), Message: &h}, true
+		return Input{Kind: Join, Stream: r.streamNumber(in.Stream), Message: &in.Hello}, true
 	case pilot.Leave:
-		n := r.streamNumber(in.Stream)
+		number := r.streamNumber(in.Stream)
 		delete(r.streams, in.Stream)
-		return Input{Kind: Leave, Stream: n}, true
+		return Input{Kind: Leave, Stream: number}, true
 	case pilot.Applied:
-		d := in.Done
-		return Input{Kind: Applied, Stream: r.streamNumber(in.Stream), Message: &d}, true
+		return Input{Kind: Applied, Stream: r.streamNumber(in.Stream), Message: &in.Done}, true
 	case pilot.Listed:
 		return Input{Kind: Listed, Message: in.List}, true
 	case pilot.SliceGiven:
@@ -98,21 +111,34 @@
 	case pilot.Heard:
 		return Input{Kind: Heard, From: in.From, Text: in.Text}, true
 	case pilot.Probed:
-		return Input{Kind: Probed, Text: in.Endpoint, Probe: brain.Probed{Outcome: in.Outcome, TookMs: in.TookMs, Load: loadOf(in.Load)}}, true
+		result := brain.Probed{Outcome: in.Outcome, TookMs: in.TookMs, Load: loadOf(in.Load)}
+		return Input{Kind: Probed, Text: in.Endpoint, Probe: result}, true
 	case pilot.Retermed:
-		b, err := json.Marshal(in.Terms)
-		return Input{Kind: Retermed, Text: string(b)}, err == nil
+		text, err := json.Marshal(in.Terms)
+		return Input{Kind: Retermed, Text: string(text)}, err == nil
 	}
 	return Input{}, false
 }
 
-func loadOf(l []wire.Figure) brain.Load {
-	if len(l) == 0 {
+// streamNumber returns a stream's number, and gives it one at its first input.
+func (r *Recorder) streamNumber(s pilot.Stream) uint64 {
+	number, known := r.streams[s]
+	if !known {
+		r.lastStream++
+		number = r.lastStream
+		r.streams[s] = number
+	}
+	return number
+}
+
+// loadOf returns a load report as the planner knows it; an empty one is nil.
+func loadOf(figures []wire.Figure) brain.Load {
+	if len(figures) == 0 {
 		return nil
 	}
-	out := brain.Load{}
-	for _, f := range l {
-		out[f.Name] = f.Value
+	load := brain.Load{}
+	for _, f := range figures {
+		load[f.Name] = f.Value
 	}
-	return out
+	return load
 }
--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -4,109 +4,177 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"hash"
 	"hash/crc64"
 
 	"indigousher/internal/pilot"
 	"indigousher/internal/wire"
 )
 
-// Result is what a replay ordered.
+// Result is what a replay commanded.
 type Result struct {
-	Turns, Notes, Gaps int
-	SpanMs             float64
-	Tables             uint64 // digest of all that was sent, by proxy
-	Messages, Lines    int
-	Withdrawals        int // endpoints shut out
-	Sets, Zeros        int // lines set, and of these removed
-	Levels             int // levels below 1 that were set
-	Binds              int
-	MostWaiting        int // lines in the channel
-	Estimate           Estimate
-	FirstDiff          string // where the replay first ordered otherwise than the record; "" for nowhere
+	Turns  int     // replayed, checkpoints left out
+	Notes  int     // events that the planner got
+	Gaps   int     // in the record
+	SpanMs float64 // from the first turn to the last
+
+	Tables   uint64 // digest of all that was sent to each proxy
+	Messages int    // sent
+	Lines    int    // in these
+
+	Withdrawals int // endpoints excluded
+	Sets        int // weights set
+	Zeros       int // of these, weights of zero: lines removed
+	Levels      int // admission levels below 1 that were set
+	Binds       int // tables assigned
+	MostWaiting int // lines in the channel at once
+
+	Estimate  Estimate
+	FirstDiff string // where the replay first commanded otherwise than the record; "": nowhere
+}
+
+// Make makes the planner of a replay.
+type Make func(seed int64, settings map[string]any) pilot.Decider
+
+// lifeReplay is a replay under way.
+type lifeReplay struct {
+	result     *Result
+	core       *pilot.Core
+	decider    *countingDecider
+	replayer   *replayer
+	sent       hash.Hash64 // of all messages
+	compare    bool        // hold the commands against the record
+	firstMs    float64     // when the first turn was, once there is one
+	lastTurnMs float64
 }
 
-// Make makes what decides in a replay.
-type Make func(seed int64, terms map[string]any) pilot.Decider
-
-// Replay feeds a life to a core in virtual time. With terms of nil its own are used and orders are held against the
-// record; with others they can only be looked at, as the world's answers are those of the recorded day.
-func Replay(s *Store, l Life, with map[string]any, decide Make) (*Result, error) {
-	own := with == nil
-	terms := with
-	if own {
-		terms = map[string]any{}
-		if err := json.Unmarshal([]byte(l.Terms), &terms); err != nil {
-			return nil, fmt.Errorf("read terms of %s: %w", l.ID, err)
+// Replay feeds a life to a core in virtual time. Without settings, nil, its own are used and commands are held against
+// the record. With others they can only be looked at, as the endpoints' answers are those of the recorded day. If the
+// life's record is damaged, the result covers what can be read and comes with ErrTorn.
+func Replay(s *Store, l Life, settings map[string]any, newDecider Make) (*Result, error) {
+	isOwn := settings == nil
+	if isOwn {
+		var err error
+		if settings, err = ownSettings(l); err != nil {
+			return nil, err
 		}
 	}
-	r := &Result{}
-	d := &countingDecider{Decider: decide(l.Seed, terms), result: r}
-	plan, err := optionsFromSettings(terms)
+	r, err := newLifeReplay(s, l, settings, newDecider)
 	if err != nil {
 		return nil, err
 	}
-	plan.Decider, plan.Terms = d, terms
-	core := pilot.NewCore(plan)
-	d.estimator = newEstimator(core.Shares)
+	r.compare = isOwn
+	err = s.Read(l.ID, r.replayChunk)
+	r.finish()
+	if errors.Is(err, ErrTorn) {
+		return r.result, fmt.Errorf("%s after %d turns: %w", l.ID, r.result.Turns, err)
+	}
+	return r.result, err
+}
+
+// ownSettings returns the planner's settings at a life's start.
+func ownSettings(l Life) (map[string]any, error) {
+	settings := map[string]any{}
+	if err := json.Unmarshal([]byte(l.Terms), &settings); err != nil {
+		return nil, fmt.Errorf("read terms of %s: %w", l.ID, err)
+	}
+	return settings, nil
+}
+
+// newLifeReplay returns a replay at its start: a new core, rebuilt from the life before if the recorded one was.
+func newLifeReplay(s *Store, l Life, settings map[string]any, newDecider Make) (*lifeReplay, error) {
+	r := &lifeReplay{result: &Result{}, sent: crc64.New(table)}
+	r.decider = &countingDecider{Decider: newDecider(l.Seed, settings), result: r.result}
+	options, err := optionsFromSettings(settings)
+	if err != nil {
+		return nil, err
+	}
+	options.Decider = r.decider
+	options.Terms = settings
+	r.core = pilot.NewCore(options)
+	r.decider.estimator = newEstimator(r.core.Shares)
 	if l.After != "" {
-		turns, _, err := Tail(s, l.After, l.TailMs)
-		if err != nil {
-			return nil, err
-		}
-		if err := Restore(core, turns[From(turns, l.TailMs):]); err != nil {
+		if err := r.restore(s, l, options); err != nil {
 			return nil, err
 		}
-		core.Recovered(plan)
-		*r = Result{}
-		core.Heard = 0
-		d.estimator = newEstimator(core.Shares)
 	}
-	sent := crc64.New(table)
-	p := replayer{core: core, onSend: func(proxy string, o *wire.Orders) {
-		r.Messages++
-		r.Lines += o.Lines
-		fmt.Fprintf(sent, "%s %v\n", proxy, o.Ops) // writes to a hash don't fail
-	}}
-	first := true
-	err = s.Read(l.ID, func(turns []Turn, gap bool) error {
-		if gap {
-			r.Gaps++
+	r.replayer = newReplayer(r.core, r.countMessage)
+	return r, nil
+}
+
+// restore rebuilds the core from the end of the life before, of which nothing is counted.
+func (r *lifeReplay) restore(s *Store, l Life, options pilot.Plan) error {
+	turns, _, err := Tail(s, l.After, l.TailMs)
+	if err != nil {
+		return err
+	}
+	if err := Restore(r.core, turns[From(turns, l.TailMs):]); err != nil {
+		return err
+	}
+	r.core.Recovered(options)
+	r.core.Heard = 0
+	*r.result = Result{}
+	r.decider.estimator = newEstimator(r.core.Shares)
+	return nil
+}
+
+// countMessage takes in a message that goes to a proxy.
+func (r *lifeReplay) countMessage(proxy string, message *wire.Orders) {
+	r.result.Messages++
+	r.result.Lines += message.Lines
+	_, _ = fmt.Fprintf(r.sent, "%s %v\n", proxy, message.Ops) // writes to a hash don't fail
+}
+
+// replayChunk replays a chunk's turns but for checkpoints, which are no part of the life.
+func (r *lifeReplay) replayChunk(turns []Turn, gap bool) error {
+	if gap {
+		r.result.Gaps++
+	}
+	for i := range turns {
+		if turns[i].IsCheckpoint() {
+			continue
 		}
-		for i := range turns {
-			t := &turns[i]
-			if t.IsCheckpoint() {
-				continue
-			}
-			d.digest = Digest(nil)
-			if err := p.replay(t, 0); err != nil {
-				return err
-			}
-			if first {
-				first, r.SpanMs = false, -t.AtMs
-			}
-			if own && r.FirstDiff == "" && d.digest != t.Digest {
-				r.FirstDiff = fmt.Sprintf("turn %d at %.3f s, %d inputs, first %s", r.Turns, t.AtMs/1000, len(t.Inputs), describeTurn(t))
-			}
-			r.Turns++
-			r.MostWaiting = max(r.MostWaiting, core.Channel.MostSeen)
-			d.lastMs = t.AtMs
+		if err := r.replayTurn(&turns[i]); err != nil {
+			return err
 		}
-		return nil
-	})
-	r.SpanMs += d.lastMs
-	r.Notes, r.Tables, r.Estimate = core.Heard, sent.Sum64(), d.estimator.result()
-	if errors.Is(err, ErrTorn) {
-		return r, fmt.Errorf("%s after %d turns: %w", l.ID, r.Turns, err)
 	}
-	return r, err
+	return nil
+}
+
+func (r *lifeReplay) replayTurn(t *Turn) error {
+	r.decider.digest = Digest(nil) // of a turn in which the planner is not asked
+	if err := r.replayer.replay(t); err != nil {
+		return err
+	}
+	if r.result.Turns == 0 {
+		r.firstMs = t.AtMs
+	}
+	if r.compare && r.result.FirstDiff == "" && r.decider.digest != t.Digest {
+		r.result.FirstDiff = fmt.Sprintf("turn %d at %.3f s, %d inputs, first %s", r.result.Turns, t.AtMs/1000,
+			len(t.Inputs), describeTurn(t))
+	}
+	r.result.Turns++
+	r.result.MostWaiting = max(r.result.MostWaiting, r.core.Channel.MostSeen)
+	r.lastTurnMs = t.AtMs
+	return nil
+}
+
+// finish completes the result.
+func (r *lifeReplay) finish() {
+	r.result.SpanMs = r.lastTurnMs - r.firstMs
+	r.result.Notes = r.core.Heard
+	r.result.Tables = r.sent.Sum64()
+	r.result.Estimate = r.decider.estimator.result()
 }
 
+// describeTurn shows the first input of a turn to people.
 func describeTurn(t *Turn) string {
 	if len(t.Inputs) == 0 {
 		return "an alarm"
 	}
-	if n := t.Inputs[0].Note; n != nil {
-		return fmt.Sprintf("%T%+v", n, n)
+	first := t.Inputs[0]
+	if first.Note != nil {
+		return fmt.Sprintf("%T%+v", first.Note, first.Note)
 	}
-	return fmt.Sprintf("%T%+v", t.Inputs[0].Message, t.Inputs[0].Message)
+	return fmt.Sprintf("%T%+v", first.Message, first.Message)
 }
--- a/internal/record/replayer.go
+++ b/internal/record/replayer.go
@@ -9,118 +9,151 @@
 	"indigousher/internal/wire"
 )
 
-// maxTimeMs is beyond every time of a life, in ms.
+// maxTimeMs is beyond every time of a life, about three thousand years: a turn at a later time is damaged.
 const maxTimeMs = 1e14
 
-// replayer feeds recorded turns to a core.
+// replayer feeds recorded turns to a core, whose transports are held back.
 type replayer struct {
 	core    *pilot.Core
-	onSend  func(proxy string, o *wire.Orders) // may be nil
-	streams map[uint64]*replayStream
+	onSend  func(proxy string, commands *wire.Orders) // told what goes to a proxy; nil: nobody is
+	streams map[uint64]*replayStream                  // that are open, by their numbers in the record
 }
 
-// replay feeds one turn. The time of the turn is moved by offset.
-func (p *replayer) replay(t *Turn, offsetMs float64) error {
-	if p.streams == nil {
-		p.streams = map[uint64]*replayStream{}
+func newReplayer(core *pilot.Core, onSend func(proxy string, commands *wire.Orders)) *replayer {
+	return &replayer{core: core, onSend: onSend, streams: map[uint64]*replayStream{}}
+}
+
+// replay feeds one turn. A turn that makes no sense gives ErrTorn and changes nothing of the core.
+func (r *replayer) replay(t *Turn) error {
+	inputs, err := r.inputs(t)
+	if err != nil {
+		return err
+	}
+	if valid := t.AtMs >= 0 && t.AtMs < maxTimeMs; !valid { // a NaN is neither
+		return fmt.Errorf("a turn at %g ms: %w", t.AtMs, ErrTorn)
 	}
+	r.core.Handle(t.AtMs, inputs)
+	r.core.Channel.Send(t.AtMs)
+	return nil
+}
+
+// inputs returns a turn's inputs as the core takes them; what telemetry passed on comes last, as one batch.
+func (r *replayer) inputs(t *Turn) ([]pilot.Input, error) {
 	var inputs []pilot.Input
-	var told []brain.Note
+	var events []brain.Note
 	for i := range t.Inputs {
 		in := &t.Inputs[i]
 		if in.Note != nil {
-			told = append(told, in.Note)
+			events = append(events, in.Note)
 			continue
 		}
-		x, err := p.convert(in)
+		converted, err := r.convert(in)
 		if err != nil {
-			return err
+			return nil, err
 		}
-		if x != nil {
-			inputs = append(inputs, x)
+		if converted != nil {
+			inputs = append(inputs, converted)
 		}
 	}
-	if len(told) > 0 {
-		inputs = append(inputs, pilot.Told{Notes: told})
-	}
-	if !(t.AtMs >= 0 && t.AtMs < maxTimeMs) {
-		return fmt.Errorf("a turn at %g ms: %w", t.AtMs, ErrTorn)
+	if len(events) > 0 {
+		inputs = append(inputs, pilot.Told{Notes: events})
 	}
-	p.core.Handle(t.AtMs+offsetMs, inputs)
-	p.core.Channel.Send(t.AtMs + offsetMs)
-	return nil
+	return inputs, nil
 }
 
-func (p *replayer) convert(in *Input) (pilot.Input, error) {
+// convert returns an input as the core takes it. One that has no effect, such as of a stream that nobody opened, gives nil.
+func (r *replayer) convert(in *Input) (pilot.Input, error) {
 	switch in.Kind {
-	case Checkpoint:
-		return nil, nil
 	case Join:
-		h, ok := in.Message.(*wire.Hello)
-		if !ok {
-			return nil, ErrTorn
-		}
-		s := &replayStream{Number: in.Stream}
-		if p.onSend != nil {
-			s.onSend = func(o *wire.Orders) { p.onSend(h.Proxy, o) }
-		}
-		p.streams[in.Stream] = s
-		return pilot.Join{Stream: s, Hello: *h}, nil
+		return r.join(in)
 	case Leave:
-		s := p.streams[in.Stream]
-		delete(p.streams, in.Stream)
-		if s == nil {
-			return nil, nil
-		}
-		return pilot.Leave{Stream: s}, nil
+		return r.leave(in), nil
 	case Applied:
-		d, ok := in.Message.(*wire.Done)
-		if s := p.streams[in.Stream]; ok && s != nil {
-			return pilot.Applied{Stream: s, Done: *d}, nil
-		}
+		return r.acknowledge(in), nil
 	case Listed:
-		if l, ok := in.Message.(*wire.List); ok {
-			return pilot.Listed{List: l}, nil
+		if list, ok := in.Message.(*wire.List); ok {
+			return pilot.Listed{List: list}, nil
 		}
 	case SliceGiven:
-		if x, ok := in.Message.(*wire.Slices); ok {
-			return pilot.SliceGiven{Slices: x}, nil
+		if assignment, ok := in.Message.(*wire.Slices); ok {
+			return pilot.SliceGiven{Slices: assignment}, nil
 		}
 	case ListLost:
 		return pilot.ListLost{}, nil
 	case Heard:
 		return pilot.Heard{From: in.From, Text: in.Text}, nil
 	case Probed:
-		out := pilot.Probed{Endpoint: in.Text, Outcome: in.Probe.Outcome, TookMs: in.Probe.TookMs}
-		for n, v := range in.Probe.Load {
-			out.Load = append(out.Load, wire.Figure{Name: n, Value: v})
-		}
-		return out, nil
+		return healthChecked(in), nil
 	case Retermed:
-		terms := map[string]any{}
-		if err := json.Unmarshal([]byte(in.Text), &terms); err != nil {
-			return nil, fmt.Errorf("%w: %w", ErrTorn, err)
-		}
-		return pilot.Retermed{Terms: terms}, nil
+		return settingsChanged(in)
 	}
 	return nil, nil
 }
 
-// replayStream stands for a recorded proxy's stream in a replay: what is sent to it goes nowhere, or to Sent.
+// join opens a stream.
+func (r *replayer) join(in *Input) (pilot.Input, error) {
+	hello, ok := in.Message.(*wire.Hello)
+	if !ok {
+		return nil, ErrTorn
+	}
+	s := &replayStream{}
+	if r.onSend != nil {
+		s.onSend = func(commands *wire.Orders) { r.onSend(hello.Proxy, commands) }
+	}
+	r.streams[in.Stream] = s
+	return pilot.Join{Stream: s, Hello: *hello}, nil
+}
+
+// leave ends a stream, if it is open.
+func (r *replayer) leave(in *Input) pilot.Input {
+	s := r.streams[in.Stream]
+	delete(r.streams, in.Stream)
+	if s == nil {
+		return nil
+	}
+	return pilot.Leave{Stream: s}
+}
+
+// acknowledge brings an acknowledgement on a stream, if it is open.
+func (r *replayer) acknowledge(in *Input) pilot.Input {
+	done, ok := in.Message.(*wire.Done)
+	s := r.streams[in.Stream]
+	if !ok || s == nil {
+		return nil
+	}
+	return pilot.Applied{Stream: s, Done: *done}
+}
+
+func healthChecked(in *Input) pilot.Input {
+	result := pilot.Probed{Endpoint: in.Text, Outcome: in.Probe.Outcome, TookMs: in.Probe.TookMs}
+	for name, value := range in.Probe.Load {
+		result.Load = append(result.Load, wire.Figure{Name: name, Value: value})
+	}
+	return result
+}
+
+func settingsChanged(in *Input) (pilot.Input, error) {
+	settings := map[string]any{}
+	if err := json.Unmarshal([]byte(in.Text), &settings); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrTorn, err)
+	}
+	return pilot.Retermed{Terms: settings}, nil
+}
+
+// replayStream stands for a proxy's stream in a replay: what is sent to it goes nowhere, or to onSend.
 type replayStream struct {
-	Number uint64
 	onSend func(*wire.Orders)
 }
 
-// Send takes orders.
-func (s *replayStream) Send(o *wire.Orders) error {
+// Send hands commands to onSend.
+func (s *replayStream) Send(commands *wire.Orders) error {
 	if s.onSend != nil {
-		s.onSend(o)
+		s.onSend(commands)
 	}
 	return nil
 }
 
-// Ask does nothing.
+// Ask does nothing: the record holds what the proxy reported.
 func (s *replayStream) Ask(*wire.Pace) error { return nil }
 
 // Close does nothing: the record says when a stream ended.
--- a/internal/record/settings_options.go
+++ b/internal/record/settings_options.go
@@ -6,40 +6,76 @@
 	"indigousher/internal/pilot"
 )
 
-// optionsFromSettings makes a core's plan from the module's terms.
-func optionsFromSettings(terms map[string]any) (p pilot.Plan, err error) {
-	texts := func(name string) (list []string) {
-		all, _ := terms[name].([]any)
-		for _, x := range all {
-			switch x := x.(type) {
-			case string:
-				list = append(list, x)
-			case map[string]any:
-				s, _ := x["name"].(string)
-				list = append(list, s)
-			}
-		}
-		return list
+// Options of a replayed core that the planner's settings do not hold. Telemetry is not asked in a replay, since what it
+// passed on is in the record; its figures only have to be valid.
+const (
+	replayMaxProxies      = 65535
+	replayPeriodMs        = 1000
+	replayHalfLifeMs      = 5000
+	replayLongestPeriodMs = 120_000
+)
+
+// optionsFromSettings returns a replayed core's options, but for the planner, from the planner's settings.
+func optionsFromSettings(settings map[string]any) (pilot.Plan, error) {
+	options := pilot.Plan{
+		Zones:          nameList(settings, "zones"),
+		Machines:       nameList(settings, "machines"),
+		Kinds:          nameList(settings, "req_kinds"),
+		LinesPerS:      number(settings, "lines_per_s"),
+		Backlog:        number(settings, "backlog"),
+		HeadLines:      int(number(settings, "head_lines")),
+		MessagesMost:   int(number(settings, "messages_most")),
+		MessagesOverMs: number(settings, "messages_over"),
+		MostProxies:    replayMaxProxies,
+		List:           disabledTransports{},
+		Prober:         disabledTransports{},
+		Peers:          disabledTransports{},
+		Log:            func(string) {},
+		Odd:            func(string, ...string) {},
+		Replayed:       true,
 	}
-	num := func(name string) float64 { v, _ := terms[name].(float64); return v }
-	p = pilot.Plan{Zones: texts("zones"), Machines: texts("machines"), Kinds: texts("req_kinds"), LinesPerS: num("lines_per_s"),
-		Backlog: num("backlog"), HeadLines: int(num("head_lines")), MessagesMost: int(num("messages_most")),
-		MessagesOverMs: num("messages_over"), MostProxies: 65535, List: disabledTransports{}, Prober: disabledTransports{}, Peers: disabledTransports{},
-		Log: func(string) {}, Odd: func(string, ...string) {}, Replayed: true}
-	p.Intake.PeriodMs, p.Intake.HalfMs, p.Intake.LongestMs = 1000, 5000, 120000
-	if len(p.Zones) == 0 || len(p.Kinds) == 0 {
-		return p, fmt.Errorf("terms without zones or req kinds: %w", ErrTorn)
+	options.Intake.PeriodMs = replayPeriodMs
+	options.Intake.HalfMs = replayHalfLifeMs
+	options.Intake.LongestMs = replayLongestPeriodMs
+	if len(options.Zones) == 0 || len(options.Kinds) == 0 {
+		return options, fmt.Errorf("terms without zones or req kinds: %w", ErrTorn)
 	}
-	return p, nil
+	return options, nil
+}
+
+// nameList returns a setting that lists names, or objects with a name; nil if there is none.
+func nameList(settings map[string]any, key string) []string {
+	items, _ := settings[key].([]any)
+	var names []string
+	for _, item := range items {
+		switch item := item.(type) {
+		case string:
+			names = append(names, item)
+		case map[string]any:
+			name, _ := item["name"].(string)
+			names = append(names, name)
+		}
+	}
+	return names
+}
+
+// number returns a setting that is a number, 0 if there is none.
+func number(settings map[string]any, key string) float64 {
+	v, _ := settings[key].(float64)
+	return v
 }
 
-// disabledTransports stands for edges that are not there in a replay.
+// disabledTransports stand for the transports that a replayed core has not.
 type disabledTransports struct{}
 
+// Watch does nothing.
 func (disabledTransports) Watch(bool) {}
 
+// Fetch does nothing.
 func (disabledTransports) Fetch() {}
 
+// Probe does nothing.
 func (disabledTransports) Probe(string) {}
 
+// Tell does nothing.
 func (disabledTransports) Tell(int, string) {}
