--- a/internal/record/codec_test.go
+++ b/internal/record/codec_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// TestTurns guards the bytes of turns against loss: each kind of input is read as it was written.
 func TestTurns(t *testing.T) {
 	b, err := Append(nil, sampleTurn(1))
 	require.NoError(t, err)
--- a/internal/record/estimate.go
+++ b/internal/record/estimate.go
@@ -7,125 +7,163 @@
 	"indigousher/brain"
 )
 
-// Figures of the estimate.
 const (
-	retention    = 0.8 // of an endpoint's counts each period
-	minAttempts  = 10  // tries below which an endpoint's figures say nothing
-	maxLoadRatio = 1.5 // times the load it was seen at up to which an endpoint is held to answer alike
+	// retention is the part of an endpoint's counts that is kept from one period to the next, so that they follow it.
+	retention = 0.8
+	// minAttempts is how many attempts, aged ones included, an endpoint needs until its figures say anything.
+	minAttempts = 10
+	// maxLoadRatio is how many times the attempts that an endpoint got it is held to answer alike.
+	maxLoadRatio = 1.5
 )
 
-// Estimate is what a replay's tables would have met, as far as the recorded day can tell: each endpoint's tries fail and
-// take as they did then, weighed by the part that the tables give it. Recorded is what was met in truth, so that an
-// estimate for the recorded terms shows how far it can be trusted; Trusted is the part of the tries that went where the
-// record has enough tries at a like load. What more or less load would have changed it can't tell.
+// Estimate is what a replay's tables would have met, as far as the recorded day can tell: each endpoint's attempts fail
+// and take as they did then, weighted by the share that the tables give it. Recorded and RecordedMs are what was met in
+// truth, so that an estimate for the recorded settings shows how far it can be trusted. What more or less load would have
+// changed it can't tell.
 type Estimate struct {
-	Tries              float64
-	Recorded, Failed   float64 // parts that failed, then and by these tables
-	RecordedMs, MeanMs float64 // of those that succeeded
-	Trusted            float64 // part of the tries
+	Tries      float64 // attempts
+	Recorded   float64 // part of the attempts that failed, then
+	Failed     float64 // part of the attempts that fail, by these tables
+	RecordedMs float64 // mean of the attempts that succeeded, then
+	MeanMs     float64 // mean of the attempts that succeed, by these tables
+	Trusted    float64 // part of the attempts that goes where the record has enough attempts at a like load
 }
 
 // estimator adds up an estimate.
 type estimator struct {
-	shares             func() map[int]map[int]float64
-	endpoints          map[int]*endpointAnswers // by endpoint
-	sum                Estimate                 // not divided yet
+	shares             func() map[int]map[int]float64 // of endpoints, by zone, as the replay's tables stand
+	endpoints          map[int]*endpointAnswers
+	sum                Estimate // totals; result divides them
 	recordedSuccesses  float64
 	estimatedSuccesses float64
 }
 
-// endpointAnswers is how an endpoint answered lately, and which part of a zone's tries it got.
-type endpointAnswers struct{ tries, failed, ms, ok float64 }
+// endpointAnswers is how an endpoint answered lately; each period counts less than the one after it.
+type endpointAnswers struct {
+	attempts  float64
+	failed    float64
+	succeeded float64
+	totalMs   float64 // of those that succeeded
+}
 
 func newEstimator(shares func() map[int]map[int]float64) *estimator {
 	return &estimator{shares: shares, endpoints: map[int]*endpointAnswers{}}
 }
 
-// observe takes in what a period told.
-func (e *estimator) observe(notes []brain.Note) {
-	zones := map[int]map[int]float64{}
-	any := false
-	for _, n := range notes {
-		m, is := n.(brain.Met)
-		if !is || m.Tries == 0 {
-			continue
-		}
-		if !any {
-			any = true
-			for _, s := range e.endpoints {
-				s.tries, s.failed, s.ms, s.ok = s.tries*retention, s.failed*retention, s.ms*retention, s.ok*retention
-			}
-		}
+// observe takes in the events of a turn. Those that tell of attempts are a period.
+func (e *estimator) observe(events []brain.Note) {
+	stats := attemptedStats(events)
+	if len(stats) == 0 {
+		return
+	}
+	for _, answers := range e.endpoints {
+		answers.age()
+	}
+	attempts := map[int]map[int]float64{} // by zone and endpoint
+	for _, m := range stats {
 		e.addStats(m)
-		if zones[m.Zone] == nil {
-			zones[m.Zone] = map[int]float64{}
+		if attempts[m.Zone] == nil {
+			attempts[m.Zone] = map[int]float64{}
 		}
-		zones[m.Zone][m.Endpoint] += float64(m.Tries)
-	}
-	if !any {
-		return
+		attempts[m.Zone][m.Endpoint] += float64(m.Tries)
 	}
 	shares := e.shares()
-	for _, z := range slices.Sorted(maps.Keys(zones)) {
-		e.estimateZone(shares[z], zones[z])
+	for _, zone := range slices.Sorted(maps.Keys(attempts)) {
+		e.estimateZone(shares[zone], attempts[zone])
+	}
+}
+
+// attemptedStats returns the events that tell of attempts at an endpoint.
+func attemptedStats(events []brain.Note) []brain.Met {
+	var stats []brain.Met
+	for _, event := range events {
+		if m, ok := event.(brain.Met); ok && m.Tries != 0 {
+			stats = append(stats, m)
+		}
 	}
+	return stats
+}
+
+// age makes what is known count less.
+func (a *endpointAnswers) age() {
+	a.attempts *= retention
+	a.failed *= retention
+	a.totalMs *= retention
+	a.succeeded *= retention
 }
 
+// addStats adds what was met at an endpoint to what is known of it, and to what was met in truth.
 func (e *estimator) addStats(m brain.Met) {
-	s := e.endpoints[m.Endpoint]
-	if s == nil {
-		s = &endpointAnswers{}
-		e.endpoints[m.Endpoint] = s
+	answers := e.endpoints[m.Endpoint]
+	if answers == nil {
+		answers = &endpointAnswers{}
+		e.endpoints[m.Endpoint] = answers
 	}
-	ok := float64(m.Tries - m.Failed)
-	s.tries += float64(m.Tries)
-	s.failed += float64(m.Failed)
-	s.ms += ok * m.MeanMs
-	s.ok += ok
+	succeeded := float64(m.Tries - m.Failed)
+	answers.attempts += float64(m.Tries)
+	answers.failed += float64(m.Failed)
+	answers.totalMs += succeeded * m.MeanMs
+	answers.succeeded += succeeded
 	e.sum.Recorded += float64(m.Failed)
-	e.sum.RecordedMs += ok * m.MeanMs
-	e.recordedSuccesses += ok
+	e.sum.RecordedMs += succeeded * m.MeanMs
+	e.recordedSuccesses += succeeded
 }
 
-// estimateZone weighs a zone's tries by the shares of the replay's tables.
-func (e *estimator) estimateZone(shares, tries map[int]float64) {
-	all := 0.0
-	for _, i := range slices.Sorted(maps.Keys(tries)) {
-		all += tries[i]
+// estimateZone spreads a zone's attempts by the shares of the replay's tables. Shares of endpoints of which too little is
+// known go to the others in proportion.
+func (e *estimator) estimateZone(shares, attempts map[int]float64) {
+	total := 0.0
+	for _, endpoint := range slices.Sorted(maps.Keys(attempts)) {
+		total += attempts[endpoint]
 	}
-	e.sum.Tries += all
-	known := 0.0
-	order := slices.Sorted(maps.Keys(shares))
-	for _, i := range order {
-		if s := e.endpoints[i]; s != nil && s.tries >= minAttempts {
-			known += shares[i]
-		}
+	e.sum.Tries += total
+	known := e.knownEndpoints(shares)
+	knownShare := 0.0
+	for _, endpoint := range known {
+		knownShare += shares[endpoint]
 	}
-	if known == 0 {
+	if knownShare == 0 {
 		return
 	}
-	for _, i := range order {
-		s, part := e.endpoints[i], shares[i]
-		if s == nil || s.tries < minAttempts {
-			continue
-		}
-		n, fails := all*part/known, s.failed/s.tries
-		e.sum.Failed += n * fails
-		if s.ok > 0 {
-			e.sum.MeanMs += n * (1 - fails) * s.ms / s.ok
-			e.estimatedSuccesses += n * (1 - fails)
+	for _, endpoint := range known {
+		share := shares[endpoint]
+		assigned := total * share / knownShare
+		e.addEstimate(e.endpoints[endpoint], assigned)
+		if assigned <= maxLoadRatio*attempts[endpoint] {
+			e.sum.Trusted += total * share
 		}
-		if n <= maxLoadRatio*tries[i] {
-			e.sum.Trusted += all * part
+	}
+}
+
+// knownEndpoints returns those with a share that have been met often enough, in order.
+func (e *estimator) knownEndpoints(shares map[int]float64) []int {
+	var known []int
+	for _, endpoint := range slices.Sorted(maps.Keys(shares)) {
+		if answers := e.endpoints[endpoint]; answers != nil && answers.attempts >= minAttempts {
+			known = append(known, endpoint)
 		}
 	}
+	return known
+}
+
+// addEstimate adds what an endpoint makes of the attempts assigned to it.
+func (e *estimator) addEstimate(answers *endpointAnswers, assigned float64) {
+	failing := answers.failed / answers.attempts
+	e.sum.Failed += assigned * failing
+	if answers.succeeded > 0 {
+		e.sum.MeanMs += assigned * (1 - failing) * answers.totalMs / answers.succeeded
+		e.estimatedSuccesses += assigned * (1 - failing)
+	}
 }
 
-// result divides.
+// result divides the totals.
 func (e *estimator) result() Estimate {
 	r := e.sum
-	n := max(r.Tries, 1)
-	r.Recorded, r.Failed, r.Trusted = r.Recorded/n, r.Failed/n, r.Trusted/n
-	r.RecordedMs, r.MeanMs = r.RecordedMs/max(e.recordedSuccesses, 1), r.MeanMs/max(e.estimatedSuccesses, 1)
+	attempts := max(r.Tries, 1)
+	r.Recorded /= attempts
+	r.Failed /= attempts
+	r.Trusted /= attempts
+	r.RecordedMs /= max(e.recordedSuccesses, 1)
+	r.MeanMs /= max(e.estimatedSuccesses, 1)
 	return r
 }
--- a/internal/record/estimate_test.go
+++ b/internal/record/estimate_test.go
@@ -8,14 +8,16 @@
 	"indigousher/brain"
 )
 
-// TestEstimate guards what a replay says of tables that were never in force: endpoint 0 failed half of its tries, endpoint 1
-// none, and both had the same part.
+// TestEstimate guards what a replay says of tables that were never in force: endpoint 0 failed half of its attempts,
+// endpoint 1 none, and both had the same share.
 func TestEstimate(t *testing.T) {
 	for _, c := range []struct {
-		name            string
-		shares          map[int]float64
-		failed, mean    float64
-		trusted, within float64
+		name    string
+		shares  map[int]float64
+		failed  float64
+		mean    float64 // ms
+		trusted float64
+		within  float64
 	}{
 		{"as they were", map[int]float64{0: 0.5, 1: 0.5}, 0.25, 40.0 / 3, 1, 0.001},
 		{"a little from the bad one", map[int]float64{0: 0.3, 1: 0.7}, 0.15, (0.15*20 + 0.7*10) / 0.85, 1, 0.001},
@@ -26,8 +28,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			e := newEstimator(func() map[int]map[int]float64 { return map[int]map[int]float64{0: c.shares} })
 			for range 10 {
-				e.observe([]brain.Note{brain.Met{Endpoint: 0, Tries: 100, Failed: 50, MeanMs: 20},
-					brain.Met{Endpoint: 1, Tries: 100, MeanMs: 10}})
+				e.observe([]brain.Note{
+					brain.Met{Endpoint: 0, Tries: 100, Failed: 50, MeanMs: 20},
+					brain.Met{Endpoint: 1, Tries: 100, MeanMs: 10},
+				})
 			}
 			r := e.result()
 			assert.InDelta(t, 0.25, r.Recorded, 1e-9)
--- a/internal/record/fingerprint_test.go
+++ b/internal/record/fingerprint_test.go
@@ -9,13 +9,13 @@
 	"indigousher/internal/pilot"
 )
 
-// TestFingerprint shows that modules are told apart by what they do.
+// TestFingerprint shows that planners are told apart by what they do.
 func TestFingerprint(t *testing.T) {
-	module := func(seed int64, terms map[string]any) pilot.Decider { return brain.New(seed, terms) }
-	assert.Equal(t, Fingerprint(module), Fingerprint(module))
-	other := func(seed int64, terms map[string]any) pilot.Decider {
-		terms["cross_zone"] = 0.3
-		return brain.New(seed, terms)
+	shipped := func(seed int64, settings map[string]any) pilot.Decider { return brain.New(seed, settings) }
+	assert.Equal(t, Fingerprint(shipped), Fingerprint(shipped))
+	other := func(seed int64, settings map[string]any) pilot.Decider {
+		settings["cross_zone"] = 0.3
+		return brain.New(seed, settings)
 	}
-	assert.NotEqual(t, Fingerprint(module), Fingerprint(other))
+	assert.NotEqual(t, Fingerprint(shipped), Fingerprint(other))
 }
--- a/internal/record/main_test.go
+++ b/internal/record/main_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"go.etcd.io/bbolt"
 	"go.uber.org/goleak"
@@ -19,12 +20,25 @@
 
 // sampleInputs has one of each input.
 var sampleInputs = []Input{
-	{Kind: Join, Stream: 3, Message: &wire.Hello{Version: 1, Proxy: "p", Zone: "a", Rate: 2.5, Fresh: true, Holds: []string{"x"}}},
-	{Kind: Leave, Stream: 3}, {Kind: Applied, Stream: 3, Message: &wire.Done{Mark: 9, TookMs: 0.5}},
-	{Kind: Listed, Message: &wire.List{Version: 2, Now: 5, Whole: true, Entries: []wire.Entry{{Endpoint: "x", Zone: "a", Weight: 1}}}},
-	{Kind: ListLost}, {Kind: Heard, From: 2, Text: "hi"}, {Kind: Retermed, Text: `{"backlog":5}`}, {Kind: Checkpoint},
+	{Kind: Join, Stream: 3, Message: &wire.Hello{
+		Version: 1, Proxy: "p", Zone: "a", Rate: 2.5, Fresh: true,
+		Holds: []string{"x"},
+	}},
+	{Kind: Leave, Stream: 3},
+	{Kind: Applied, Stream: 3, Message: &wire.Done{Mark: 9, TookMs: 0.5}},
+	{Kind: Listed, Message: &wire.List{
+		Version: 2, Now: 5, Whole: true,
+		Entries: []wire.Entry{{Endpoint: "x", Zone: "a", Weight: 1}},
+	}},
+	{Kind: ListLost},
+	{Kind: Heard, From: 2, Text: "hi"},
+	{Kind: Retermed, Text: `{"backlog":5}`},
+	{Kind: Checkpoint},
 	{Kind: Probed, Text: "x", Probe: brain.Probed{Outcome: "ok", TookMs: 1.25, Load: brain.Load{"util": 0.5}}},
-	{Kind: Met, Note: brain.Met{Endpoint: 1, Zone: 2, Tries: 30, Failed: 4, MeanMs: 12.5, SpanMs: 1000, Load: brain.Load{"util": 0.25, "rate": 7}}},
+	{Kind: Met, Note: brain.Met{
+		Endpoint: 1, Zone: 2, Tries: 30, Failed: 4, MeanMs: 12.5, SpanMs: 1000,
+		Load: brain.Load{"util": 0.25, "rate": 7},
+	}},
 	{Kind: SliceGiven, Message: &wire.Slices{Slice: 3, Given: true, Lines: []wire.HeldLine{{Endpoint: "x", Weight: 1}}}},
 	{Kind: SliceDemand, Note: brain.SliceDemand{Slice: 3, Kind: 1, Reqs: 4, Unanswered: 1, SpanMs: 1000}},
 	{Kind: Demand, Note: brain.Demand{Proxy: 4, Kind: 1, Reqs: 12, Unanswered: 1, SpanMs: 999.5}},
@@ -40,37 +54,47 @@
 	return s
 }
 
-// writeLife records turns from and to in one life, with a disk that may fail.
-func writeLife(t *testing.T, s *Store, life string, from, to int, fails func(int) bool) {
+func closeStore(t testing.TB, s *Store) { assert.NoError(t, s.Close()) }
+
+// runWriter starts a writer; stop ends it and waits until it has written all that was handed over.
+func runWriter(t testing.TB, w *Writer) (stop func()) {
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan error, 1)
+	go func() { done <- w.Run(ctx) }()
+	return func() {
+		cancel()
+		require.NoError(t, <-done)
+	}
+}
+
+// writeLife records so many turns in one life, with a disk that may fail.
+func writeLife(t *testing.T, s *Store, life string, turns int, fails func(int) bool) {
 	w, err := NewWriter(s, Life{ID: life}, Bounds{Segment: 2000, Every: time.Millisecond}, zap.NewNop())
 	require.NoError(t, err)
 	commits := 0
-	put := w.update
+	update := w.update
 	w.update = func(f func(*bbolt.Tx) error) error {
 		commits++
 		if fails != nil && fails(commits) {
 			return errors.New("no space left")
 		}
-		return put(f)
+		return update(f)
 	}
-	ctx, cancel := context.WithCancel(t.Context())
-	done := make(chan error, 1)
-	go func() { done <- w.Run(ctx) }()
-	for i := from; i < to; i++ {
+	stop := runWriter(t, w)
+	for i := range turns {
 		w.Turn(func() *Turn { return sampleTurn(float64(i)) })
 		if i%10 == 0 {
 			time.Sleep(3 * time.Millisecond)
 		}
 	}
-	cancel()
-	require.NoError(t, <-done)
+	stop()
 }
 
 // readLife returns the times of the turns that can be read, and how many gaps lie among them.
 func readLife(s *Store, life string) (at []float64, gaps int, err error) {
 	err = s.Read(life, func(turns []Turn, gap bool) error {
-		for _, x := range turns {
-			at = append(at, x.AtMs)
+		for _, t := range turns {
+			at = append(at, t.AtMs)
 		}
 		if gap {
 			gaps++
--- a/internal/record/restore_test.go
+++ b/internal/record/restore_test.go
@@ -15,56 +15,86 @@
 // TestHostileTurns guards a recovery against a record that reads well and makes no sense: what names nobody, or is no
 // figure, is left out, and neither panics nor makes room for a billion endpoints.
 func TestHostileTurns(t *testing.T) {
-	inf, nan := math.Inf(1), math.NaN()
+	inf := math.Inf(1)
+	nan := math.NaN()
+	met := func(m brain.Met) Turn { return Turn{Inputs: []Input{{Kind: Met, Note: m}}} }
+	infinite := brain.Load{"util": inf}
 	for name, c := range map[string]struct {
 		turn Turn
 		torn bool
 	}{
-		"endpoint below":      {Turn{Inputs: []Input{{Kind: Met, Note: brain.Met{Endpoint: -1, Tries: 1, SpanMs: 1}}}}, false},
-		"endpoint beyond":     {Turn{Inputs: []Input{{Kind: Met, Note: brain.Met{Endpoint: 1 << 40, Tries: 1, SpanMs: 1}}}}, false},
-		"zone beyond":         {Turn{Inputs: []Input{{Kind: Met, Note: brain.Met{Zone: 1 << 40, Tries: 1, SpanMs: 1}}}}, false},
-		"zone below":          {Turn{Inputs: []Input{{Kind: Met, Note: brain.Met{Zone: -5, Tries: 1, SpanMs: 1}}}}, false},
-		"load infinite":       {Turn{Inputs: []Input{{Kind: Met, Note: brain.Met{Tries: 1, SpanMs: 1, Load: brain.Load{"util": inf}}}}}, false},
-		"mean not a number":   {Turn{Inputs: []Input{{Kind: Met, Note: brain.Met{Tries: 1, SpanMs: 1, MeanMs: nan}}}}, false},
+		"endpoint below":      {met(brain.Met{Endpoint: -1, Tries: 1, SpanMs: 1}), false},
+		"endpoint beyond":     {met(brain.Met{Endpoint: 1 << 40, Tries: 1, SpanMs: 1}), false},
+		"zone beyond":         {met(brain.Met{Zone: 1 << 40, Tries: 1, SpanMs: 1}), false},
+		"zone below":          {met(brain.Met{Zone: -5, Tries: 1, SpanMs: 1}), false},
+		"load infinite":       {met(brain.Met{Tries: 1, SpanMs: 1, Load: infinite}), false},
+		"mean not a number":   {met(brain.Met{Tries: 1, SpanMs: 1, MeanMs: nan}), false},
 		"kind beyond":         {Turn{Inputs: []Input{{Kind: Demand, Note: brain.Demand{Kind: 1 << 40}}}}, false},
 		"slice's kind beyond": {Turn{Inputs: []Input{{Kind: SliceDemand, Note: brain.SliceDemand{Kind: -1}}}}, false},
-		"probe's load":        {Turn{Inputs: []Input{{Kind: Probed, Text: "x", Probe: brain.Probed{Load: brain.Load{"util": inf}}}}}, false},
+		"probe's load":        {Turn{Inputs: []Input{{Kind: Probed, Text: "x", Probe: brain.Probed{Load: infinite}}}}, false},
 		"no time":             {Turn{AtMs: nan}, true},
 		"before all time":     {Turn{AtMs: -inf}, true},
 		"beyond all time":     {Turn{AtMs: 1e300}, true},
 		"terms that are none": {Turn{Inputs: []Input{{Kind: Retermed, Text: "[1]"}}}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			terms := map[string]any{"zones": []any{"a"}, "req_kinds": []any{map[string]any{"name": "read"}}, "fields": []any{"util"}}
-			plan, err := optionsFromSettings(terms)
-			require.NoError(t, err)
-			plan.Decider, plan.Terms = brain.New(1, terms), terms
-			odd := 0
-			plan.Odd = func(string, ...string) { odd++ }
-			core := pilot.NewCore(plan)
-			b, err := Append(nil, &c.turn) // by way of the disk
-			require.NoError(t, err)
-			bad, err := Turns(b)
-			require.NoError(t, err)
-			turns := append([]Turn{{Inputs: []Input{{Kind: Listed, Message: &wire.List{Whole: true, Entries: []wire.Entry{{Endpoint: "x", Zone: "a", Weight: 1}}}}}}}, bad...)
-			if err := Restore(core, append(turns, Turn{AtMs: 5000})); c.torn {
+			malformed := 0
+			options := restoreOptions(t)
+			options.Odd = func(string, ...string) { malformed++ }
+			turns := append([]Turn{listedTurn}, throughCodec(t, c.turn)...)
+			turns = append(turns, Turn{AtMs: 5000})
+			err := Restore(pilot.NewCore(options), turns)
+			if c.torn {
 				assert.ErrorIs(t, err, ErrTorn)
-			} else {
-				assert.NoError(t, err)
-				assert.Equal(t, 1, odd)
+				return
 			}
+			assert.NoError(t, err)
+			assert.Equal(t, 1, malformed)
 		})
 	}
-	panics := panickingDecider{}
-	plan, err := optionsFromSettings(map[string]any{"zones": []any{"a"}, "req_kinds": []any{"read"}})
+}
+
+// TestPanickingPlanner guards a recovery against a planner that panics on a record.
+func TestPanickingPlanner(t *testing.T) {
+	options := restoreOptions(t)
+	options.Decider = panickingDecider{}
+	err := Restore(pilot.NewCore(options), []Turn{{}})
+	assert.ErrorContains(t, err, "the module panics on the record: index")
+}
+
+// listedTurn lists one endpoint.
+var listedTurn = Turn{Inputs: []Input{{
+	Kind:    Listed,
+	Message: &wire.List{Whole: true, Entries: []wire.Entry{{Endpoint: "x", Zone: "a", Weight: 1}}},
+}}}
+
+// restoreOptions returns the options of a core that is to be restored, with the planner that ships.
+func restoreOptions(t *testing.T) pilot.Plan {
+	settings := map[string]any{
+		"zones":     []any{"a"},
+		"req_kinds": []any{map[string]any{"name": "read"}},
+		"fields":    []any{"util"},
+	}
+	options, err := optionsFromSettings(settings)
+	require.NoError(t, err)
+	options.Decider = brain.New(1, settings)
+	options.Terms = settings
+	return options
+}
+
+// throughCodec returns a turn as it is read from the disk.
+func throughCodec(t *testing.T, turn Turn) []Turn {
+	encoded, err := Append(nil, &turn)
+	require.NoError(t, err)
+	turns, err := Turns(encoded)
 	require.NoError(t, err)
-	plan.Decider, plan.Terms = panics, map[string]any{}
-	assert.ErrorContains(t, Restore(pilot.NewCore(plan), []Turn{{}}), "the module panics on the record: index")
+	return turns
 }
 
-// panickingDecider is a module with a fault.
+// panickingDecider is a planner with a fault.
 type panickingDecider struct{}
 
+// Handle panics.
 func (panickingDecider) Handle(float64, []brain.Note) []brain.Order { panic("index out of range") }
 
 // Reconfigure does nothing.
--- a/internal/record/store_test.go
+++ b/internal/record/store_test.go
@@ -1,6 +1,7 @@
 package record
 
 import (
+	"bytes"
 	"os"
 	"path/filepath"
 	"testing"
@@ -15,20 +16,20 @@
 func TestStore(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
-	writeLife(t, s, "a", 0, 200, nil)
-	writeLife(t, s, "b", 0, 200, nil)
+	writeLife(t, s, "a", 200, nil)
+	writeLife(t, s, "b", 200, nil)
 	_, err := Open(dir, false)
 	assert.Error(t, err, "another has it open")
 	lives, err := s.Lives()
 	require.NoError(t, err)
 	assert.Len(t, lives, 2)
-	bytes, chunks := s.Size("a")
+	size, chunks := s.Size("a")
 	assert.Greater(t, chunks, 5)
-	dropped, err := s.Prune(Bounds{Bytes: bytes}, time.Now())
+	dropped, err := s.Prune(Bounds{Bytes: size}, time.Now())
 	require.NoError(t, err)
 	assert.Positive(t, dropped)
 	left, _ := s.Size("b")
-	assert.LessOrEqual(t, left, bytes)
+	assert.LessOrEqual(t, left, size)
 	at, _, err := readLife(s, "b")
 	require.NoError(t, err)
 	assert.Equal(t, 199.0, at[len(at)-1])
@@ -38,31 +39,17 @@
 	require.NoError(t, err)
 	assert.Len(t, lives, 1)
 	require.NoError(t, s.Close())
-	read2, err := Open(dir, true)
+	again, err := Open(dir, true)
 	require.NoError(t, err)
-	require.NoError(t, read2.Close())
+	require.NoError(t, again.Close())
 }
 
 // TestTorn guards against bytes that changed on the disk: what lies before them is read, and they are named.
 func TestTorn(t *testing.T) {
 	s := openStore(t, t.TempDir())
-	defer s.Close()
-	writeLife(t, s, "a", 0, 100, nil)
-	n := 0
-	require.NoError(t, s.db.Update(func(tx *bbolt.Tx) error {
-		b := tx.Bucket(bucketSegments)
-		k, _ := b.Cursor().First()
-		seg := b.Bucket(k)
-		c := seg.Cursor()
-		for key, v := c.First(); key != nil; key, v = c.Next() {
-			if n++; n == 2 {
-				bad := append([]byte(nil), v...)
-				bad[len(bad)-1] ^= 0xff
-				return seg.Put(key, bad)
-			}
-		}
-		return nil
-	}))
+	defer closeStore(t, s)
+	writeLife(t, s, "a", 100, nil)
+	damageSecondChunk(t, s)
 	at, _, err := readLife(s, "a")
 	assert.ErrorIs(t, err, ErrTorn)
 	assert.NotEmpty(t, at)
@@ -72,6 +59,22 @@
 	assert.Len(t, turns, len(at))
 }
 
+// damageSecondChunk changes the last byte of the second chunk of the first segment.
+func damageSecondChunk(t *testing.T, s *Store) {
+	require.NoError(t, s.db.Update(func(tx *bbolt.Tx) error {
+		segments := tx.Bucket(bucketSegments)
+		name, _ := segments.Cursor().First()
+		segment := segments.Bucket(name)
+		c := segment.Cursor()
+		c.First()
+		key, chunk := c.Next()
+		require.NotNil(t, key)
+		damaged := bytes.Clone(chunk)
+		damaged[len(damaged)-1] ^= 0xff
+		return segment.Put(key, damaged)
+	}))
+}
+
 // TestNoFolder shows how a store fails that can't be.
 func TestNoFolder(t *testing.T) {
 	_, err := Open(filepath.Join(t.TempDir(), "none"), false)
--- a/internal/record/tail_test.go
+++ b/internal/record/tail_test.go
@@ -9,16 +9,15 @@
 	"go.uber.org/zap"
 )
 
-// TestFrom guards which turn a tail begins at.
+// TestFrom guards which turn a tail begins at. In a life's times a negative one is that of a checkpoint.
 func TestFrom(t *testing.T) {
-	check := Input{Kind: Checkpoint}
 	life := func(times ...float64) (turns []Turn) {
 		for _, at := range times {
-			x := Turn{AtMs: max(at, -at)}
+			turn := Turn{AtMs: max(at, -at)}
 			if at < 0 {
-				x.Inputs = []Input{check}
+				turn.Inputs = []Input{{Kind: Checkpoint}}
 			}
-			turns = append(turns, x)
+			turns = append(turns, turn)
 		}
 		return turns
 	}
@@ -42,22 +41,23 @@
 // TestTail guards the memory of a recovery: of a long life no more is held than what is gone on from, and that is the same.
 func TestTail(t *testing.T) {
 	s := openStore(t, t.TempDir())
-	defer s.Close()
+	defer closeStore(t, s)
 	w, err := NewWriter(s, Life{ID: "a"}, Bounds{Segment: 1 << 12, Every: time.Hour}, zap.NewNop())
 	require.NoError(t, err)
 	var all []Turn
-	var body []byte
+	var encoded []byte
 	for i := range 3000 {
-		x := Turn{AtMs: float64(i) * 200}
+		turn := Turn{AtMs: float64(i) * 200}
 		if i > 0 && i%75 == 0 {
-			x.Inputs = []Input{{Kind: Checkpoint}}
-		}
-		all = append(all, x)
-		if body, err = Append(body, &x); i%50 == 49 {
-			w.commit(body)
-			body = body[:0]
+			turn.Inputs = []Input{{Kind: Checkpoint}}
 		}
+		all = append(all, turn)
+		encoded, err = Append(encoded, &turn)
 		require.NoError(t, err)
+		if i%50 == 49 {
+			w.commit(encoded)
+			encoded = encoded[:0]
+		}
 	}
 	for _, tail := range []float64{0, 1000, 60_000, 1e9} {
 		turns, torn, err := Tail(s, "a", tail)
--- a/internal/record/writer_test.go
+++ b/internal/record/writer_test.go
@@ -1,7 +1,6 @@
 package record
 
 import (
-	"context"
 	"math/rand/v2"
 	"sync/atomic"
 	"testing"
@@ -30,8 +29,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := openStore(t, t.TempDir())
-			defer s.Close()
-			writeLife(t, s, "a", 0, 300, c.fails)
+			defer closeStore(t, s)
+			writeLife(t, s, "a", 300, c.fails)
 			at, gaps, err := readLife(s, "a")
 			require.NoError(t, err)
 			assert.Equal(t, c.gaps, gaps > 0)
@@ -46,27 +45,25 @@
 // TestSlowDisk guards the loop against a disk that hangs: handing over never waits, and what did not fit is a gap.
 func TestSlowDisk(t *testing.T) {
 	s := openStore(t, t.TempDir())
-	defer s.Close()
+	defer closeStore(t, s)
 	w, err := NewWriter(s, Life{ID: "a"}, Bounds{Segment: 1 << 20, Every: time.Millisecond}, zap.NewNop())
 	require.NoError(t, err)
-	release, put := make(chan bool), w.update
+	release := make(chan struct{})
+	update := w.update
 	var held atomic.Bool
 	w.update = func(f func(*bbolt.Tx) error) error {
 		if held.CompareAndSwap(false, true) {
 			<-release
 		}
-		return put(f)
+		return update(f)
 	}
-	ctx, cancel := context.WithCancel(t.Context())
-	done := make(chan error, 1)
-	go func() { done <- w.Run(ctx) }()
+	stop := runWriter(t, w)
 	for i := range 3 * maxQueuedTurns {
 		w.Turn(func() *Turn { return sampleTurn(float64(i)) })
 	}
 	close(release)
 	time.Sleep(20 * time.Millisecond)
-	cancel()
-	require.NoError(t, <-done)
+	stop()
 	at, gaps, err := readLife(s, "a")
 	require.NoError(t, err)
 	assert.Positive(t, gaps)
@@ -77,25 +74,30 @@
 func BenchmarkTurn(b *testing.B) {
 	s, err := Open(b.TempDir(), false)
 	require.NoError(b, err)
-	defer s.Close()
+	defer closeStore(b, s)
 	w, err := NewWriter(s, Life{ID: "a"}, DefaultBounds(), zap.NewNop())
 	require.NoError(b, err)
-	ctx, cancel := context.WithCancel(b.Context())
-	done := make(chan error, 1)
-	go func() { done <- w.Run(ctx) }()
+	stop := runWriter(b, w)
 	r := NewRecorder(w.Turn, func() []pilot.Input { return nil })
-	var told []brain.Note
+	var events []brain.Note
 	for i := range 50 {
-		told = append(told, brain.Met{Endpoint: i, Zone: i % 3, Tries: 30 + i, MeanMs: 20.5 + float64(i)/7, SpanMs: 1000.25, Load: brain.Load{"util": 0.5, "rate": 20}})
+		events = append(events, brain.Met{
+			Endpoint: i,
+			Zone:     i % 3,
+			Tries:    30 + i,
+			MeanMs:   20.5 + float64(i)/7,
+			SpanMs:   1000.25,
+			Load:     brain.Load{"util": 0.5, "rate": 20},
+		})
 	}
 	i := 0
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Turn(float64(i)*10, nil, told, []brain.Order{brain.WakeAt{AtMs: float64(i), Name: "gather"}})
+		commands := []brain.Order{brain.WakeAt{AtMs: float64(i), Name: "gather"}}
+		r.Turn(float64(i)*10, nil, events, commands)
 		i++
 	}
-	cancel()
-	<-done
+	stop()
 	b.ReportMetric(float64(w.Bytes.Load())/float64(max(1, w.Turns.Load())*50), "bytes/note")
 	b.ReportMetric(float64(w.lost.Load())/float64(b.N), "lost/turn")
 }
