--- a/recovery/decision.go
+++ b/recovery/decision.go
@@ -1,61 +1,46 @@
 package recovery
 
-import (
-	"fmt"
-)
+import "fmt"
 
-// maxFailedStarts is how many lives may die as they begin until one begins cold.
+// maxFailedStarts is how many lives in a row may end before their first turn until one begins cold: the record itself may
+// be what ends them.
 const maxFailedStarts = 3
 
-// Facts are what is known of the record at a start. Times are milliseconds.
+// Facts are what is known of the record at a start.
 type Facts struct {
-	Lives      int     // recorded before this one
-	SameFormat bool    // of the last
-	SameModule bool    // what decided then decides now
-	SameTerms  bool    // as far as the module reads them
-	Turns      int     // that can be read of the last life
+	Lives  int // recorded before this one
+	Barren int // of these, the latest in a row that left no turn: they died as they began
+
+	// Of the last life that left turns.
+	SameFormat bool    // it is stored in the present format
+	SameModule bool    // the planner that decided then decides now
+	SameTerms  bool    // under the same settings, as far as the planner reads them
+	Turns      int     // that can be read
 	Torn       bool    // something after them can't
 	GapMs      float64 // since its last turn, by the machine's clock; negative if that was set back
-	SpanMs     float64 // of its turns since the earliest checkpoint that is kept
-	Barren     int     // lives before this one, in a row, that left no turn: they died as they began
+	SpanMs     float64 // from the turn that a replay would begin at to its last
 }
 
-// Bounds are what the terms allow.
+// Bounds limit a recovery; they come from the settings.
 type Bounds struct {
-	TailMs float64 // of turns to be replayed: what the module's memory reaches back
+	TailMs float64 // of turns to be replayed: how far back the planner's memory reaches
 	GapMs  float64 // beyond which what was known is worth nothing
 }
 
-// Verdict says how to begin. ReplayMs is how much of the last life's end is replayed, 0 for a cold start; AwayMs is how
-// far its clock has to go on.
+// Verdict says how to begin.
 type Verdict struct {
-	ReplayMs, AwayMs float64
-	Why              string
+	ReplayMs float64 // how much of the last life's end to replay; 0: none, a cold start
+	AwayMs   float64 // how much further its clock is by now
+	Why      string  // for the log
 }
 
 // Cold returns whether nothing is replayed.
 func (v Verdict) Cold() bool { return v.ReplayMs == 0 }
 
-// Decide weighs the facts.
+// Decide returns how to begin: cold if anything speaks against the record.
 func Decide(f Facts, b Bounds) Verdict {
-	cold := func(format string, args ...any) Verdict {
-		return Verdict{Why: "cold start: " + fmt.Sprintf(format, args...)}
-	}
-	switch {
-	case f.Lives == 0:
-		return cold("there is no record")
-	case !f.SameFormat:
-		return cold("the record is of another format")
-	case f.Barren >= maxFailedStarts:
-		return cold("%d starts in a row died before their first turn", f.Barren)
-	case !f.SameModule:
-		return cold("the record is of another module")
-	case !f.SameTerms:
-		return cold("the record is of other terms")
-	case f.Turns == 0 || f.SpanMs <= 0:
-		return cold("the last life left no turn that can be read")
-	case f.GapMs > b.GapMs:
-		return cold("the last turn is %.0f s old, %.0f s may be", f.GapMs/1000, b.GapMs/1000)
+	if reason := reasonAgainst(f, b); reason != "" {
+		return Verdict{Why: "cold start: " + reason}
 	}
 	v := Verdict{ReplayMs: min(f.SpanMs, b.TailMs), AwayMs: max(0, f.GapMs)}
 	v.Why = fmt.Sprintf("recovered from the last %.0f s, away for %.1f s", v.ReplayMs/1000, v.AwayMs/1000)
@@ -67,3 +52,24 @@
 	}
 	return v
 }
+
+// reasonAgainst returns the first reason not to use the record; "" if there is none.
+func reasonAgainst(f Facts, b Bounds) string {
+	switch {
+	case f.Lives == 0:
+		return "there is no record"
+	case !f.SameFormat:
+		return "the record is of another format"
+	case f.Barren >= maxFailedStarts:
+		return fmt.Sprintf("%d starts in a row died before their first turn", f.Barren)
+	case !f.SameModule:
+		return "the record is of another module"
+	case !f.SameTerms:
+		return "the record is of other terms"
+	case f.Turns == 0 || f.SpanMs <= 0:
+		return "the last life left no turn that can be read"
+	case f.GapMs > b.GapMs:
+		return fmt.Sprintf("the last turn is %.0f s old, %.0f s may be", f.GapMs/1000, b.GapMs/1000)
+	}
+	return ""
+}
--- a/recovery/explore_test.go
+++ b/recovery/explore_test.go
@@ -12,9 +12,14 @@
 	"golang.org/x/sync/errgroup"
 )
 
+// The explorer takes two processes of one controller, three proxies, one change of the endpoint list or one gossip
+// between controllers, one crash and one lost connection through every order in which their steps can fall, up to states
+// that were met before. The state machines, the controller, the record's turns and the proxies' tables are those that
+// ship; only sockets, disk and lock are the explorer's.
+
 // rebuild repeats steps from the start.
-func rebuild(plant faults, path []string) *world {
-	w := newWorld(plant)
+func rebuild(planted faults, path []string) *world {
+	w := newWorld(planted)
 	for _, name := range path {
 		w.steps()[name]()
 	}
@@ -24,51 +29,62 @@
 // expansion is what one state leads to.
 type expansion struct {
 	violation string
-	children  map[string]string // prints by step
+	children  map[string]string // signatures by step
 }
 
-func expand(plant faults, path []string) (f expansion) {
-	w := rebuild(plant, path)
+func expand(planted faults, path []string) expansion {
+	w := rebuild(planted, path)
 	steps := w.steps()
 	settled := true
 	for name := range steps {
 		settled = settled && strings.HasPrefix(name, "!")
 	}
-	if f.violation = w.violationIn(settled); f.violation != "" {
-		return f
+	if violation := w.violationIn(settled); violation != "" {
+		return expansion{violation: violation}
 	}
-	f.children = map[string]string{}
+	children := map[string]string{}
 	for name := range steps {
-		child := rebuild(plant, path)
+		child := rebuild(planted, path)
 		child.steps()[name]()
-		f.children[name] = child.signature()
+		children[name] = child.signature()
+	}
+	return expansion{children: children}
+}
+
+// expandAll expands the states that paths lead to, as many at once as there are processors.
+func expandAll(planted faults, paths [][]string) []expansion {
+	all := make([]expansion, len(paths))
+	var g errgroup.Group
+	g.SetLimit(runtime.GOMAXPROCS(0))
+	for i, path := range paths {
+		g.Go(func() error {
+			all[i] = expand(planted, path)
+			return nil
+		})
 	}
-	return f
+	_ = g.Wait() // none fails
+	return all
 }
 
-// explore visits every state that can be reached, widest first, and returns the shortest way to one that is wrong.
-func explore(plant faults, most int) (states int, path []string, wrong string) {
+// explore visits every state that can be reached, breadth first, up to about maxStates, and returns how many there were,
+// and the shortest path to a state with a violation.
+func explore(planted faults, maxStates int) (states int, path []string, violation string) {
 	seen := map[string]bool{}
 	level := [][]string{nil}
-	for len(level) > 0 && states < most {
-		all := make([]expansion, len(level))
-		var g errgroup.Group
-		g.SetLimit(runtime.GOMAXPROCS(0))
-		for i, path := range level {
-			g.Go(func() error { all[i] = expand(plant, path); return nil })
-		}
-		_ = g.Wait() // none fails
+	for len(level) > 0 && states < maxStates {
 		var next [][]string
-		for i, f := range all {
-			if f.violation != "" {
-				return states, level[i], f.violation
+		for i, e := range expandAll(planted, level) {
+			if e.violation != "" {
+				return states, level[i], e.violation
 			}
-			for _, name := range slices.Sorted(maps.Keys(f.children)) {
-				if p := f.children[name]; !seen[p] {
-					seen[p] = true
-					states++
-					next = append(next, append(slices.Clone(level[i]), name))
+			for _, name := range slices.Sorted(maps.Keys(e.children)) {
+				signature := e.children[name]
+				if seen[signature] {
+					continue
 				}
+				seen[signature] = true
+				states++
+				next = append(next, append(slices.Clone(level[i]), name))
 			}
 		}
 		level = next
@@ -79,21 +95,22 @@
 // TestExplored visits all orders of steps of recovery and handover, and shows that faults which are planted are found.
 func TestExplored(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		plant faults
-		most  int // states; docs/records.md has what all of them came to
-		wrong string
+		name      string
+		planted   faults
+		maxStates int // docs/records.md has what all of them came to
+		want      string
 	}{
 		{"as it ships, with a drain", faults{}, 12_000, ""},
 		{"as it ships, with a note", faults{withGossip: true}, 100_000, ""},
 		{"the old one goes on without the claim", faults{resumesUnlocked: true}, 100_000, "two processes run the pilot"},
 		{"the new one begins without the claim", faults{startsUnlocked: true}, 100_000, "two processes run the pilot"},
-		{"what is replayed goes out again", faults{withGossip: true, replaySends: true}, 100_000, "an effect was ordered twice"},
+		{"what is replayed goes out again", faults{withGossip: true, replaySends: true}, 100_000,
+			"an effect was ordered twice"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			states, path, wrong := explore(c.plant, c.most)
-			require.Equal(t, c.wrong, wrong, "%v", path)
-			if c.wrong == "" {
+			states, path, violation := explore(c.planted, c.maxStates)
+			require.Equal(t, c.want, violation, "%v", path)
+			if c.want == "" {
 				assert.Greater(t, states, 10_000)
 			}
 			t.Logf("%d states, %v", states, path)
--- a/recovery/handover.go
+++ b/recovery/handover.go
@@ -1,56 +1,73 @@
 package recovery
 
-// A pilot passes from one process to another by messages that can be lost at any point, so who serves does not follow
-// from them but from a claim that only one process can hold and that falls free when its holder dies. The two machines
-// below say what each side does next; who drives them does it and tells what came of it.
+// A controller passes from one process, the predecessor, to another, the successor, by messages that can be lost at any
+// point. Who serves therefore does not follow from the messages but from a lock that only one process can hold, and that
+// falls free when its holder dies.
+//
+// Invariant: a process runs the controller only while it holds the lock, so at most one does. Either side that loses the
+// other tries the lock: if it gets it, the other does not serve; if not, the other does. A predecessor releases the lock
+// only after its controller has stopped and its record is closed; a successor starts its controller only with the lock.
+//
+// The two state machines, Old and New, say what each side does next. Whoever drives them does it and reports what came of
+// it as the next event:
+//
+//	predecessor                                successor
+//	serving     -- Asked ----> SayOffer        requesting -- Offered -------> SayReady
+//	offered     -- ReadyCame > StopPilot       ready      -- GoCame, Lost --> Claim
+//	stopping    -- Stopped --> SayGo           claiming   -- Claimed -------> StartPilot
+//	released    -- ServingCame End             starting   -- Started -------> SayServing
+//	released    -- Lost -----> Claim           any        -- anything else -> End
+//	reclaiming  -- Claimed --> StartPilot
+//	reclaiming  -- Refused --> Claim, End
 
-// Event is what came of the act before.
+// Event is what came of the action before.
 type Event int
 
-// The events.
+// The events. Claim stands for the lock.
 const (
-	Asked     Event = iota // the old one: somebody wants to take over
-	ReadyCame              // the new one is ready
-	Stopped                // the pilot has ended, its record is closed, the claim let go
-	ServingCame
-	Offered // the new one: listeners came
-	GoCame
-	Lost    // the connection broke, or an answer took too long
-	Claimed // the claim was got
-	Refused // another holds it
-	Started // the pilot runs
-	Failed  // it could not be started
+	Asked       Event = iota // predecessor: a successor requests to take over
+	ReadyCame                // predecessor: the successor has the listeners and can start
+	Stopped                  // predecessor: the controller has ended, its record is closed, the lock released
+	ServingCame              // predecessor: the successor serves
+	Offered                  // successor: the listeners came
+	GoCame                   // successor: the predecessor has stopped
+	Lost                     // the connection broke, or an answer took too long
+	Claimed                  // the lock was got
+	Refused                  // another process holds the lock
+	Started                  // the controller runs
+	Failed                   // the controller could not be started
 )
 
 // Act is what to do next.
 type Act int
 
-// The acts.
+// The actions.
 const (
 	Nothing    Act = iota
-	SayOffer       // with the listeners; then wait for ready
-	StopPilot      // and its record, then let go of the claim
-	SayGo          // then wait for serving
-	Claim          // try once; at once the first time, then after a pause
-	StartPilot     // on the record
-	SayReady       // then wait for go
-	SayServing     // nobody waits for an answer
-	LetGo          // of the claim, and end
+	SayOffer       // predecessor: send the listeners, then wait for ReadyCame
+	StopPilot      // predecessor: end the controller, close its record, release the lock
+	SayGo          // predecessor: say that it has stopped, then wait for ServingCame
+	Claim          // try the lock once; at once the first time, then after a pause
+	StartPilot     // start the controller on the record
+	SayReady       // successor: say that it can start, then wait for GoCame
+	SayServing     // successor: say that it serves; nobody waits for an answer
+	LetGo          // release the lock, and end
 	End            // the process ends, or gives up what it tried
 )
 
 // state is where a side stands.
 type state int
 
+// The states of both sides. The zero value is a process that serves.
 const (
-	stateServing state = iota
-	stateOffered
-	stateStopping
-	stateReleased
-	stateReclaiming
-	stateRequesting
-	stateReady
-	stateClaiming
-	stateStarting
-	stateEnded
+	stateServing    state = iota
+	stateOffered          // predecessor: listeners sent, waits for the successor to be ready
+	stateStopping         // predecessor: the controller is being stopped
+	stateReleased         // predecessor: lock released, waits for the successor to serve
+	stateReclaiming       // predecessor: the successor was lost, tries to get the lock again
+	stateRequesting       // successor: has requested to take over, waits for the listeners
+	stateReady            // successor: waits for the predecessor to stop
+	stateClaiming         // successor: tries the lock
+	stateStarting         // successor: has the lock, its controller is being started
+	stateEnded            // this process does not serve and will not
 )
--- a/recovery/predecessor.go
+++ b/recovery/predecessor.go
@@ -1,43 +1,81 @@
 package recovery
 
-// Old is the side of the process that runs. Its zero value serves.
+// Old is the state machine of the process that runs the controller. Its zero value serves.
 type Old struct {
-	state    state
-	refusals int
-	// Patience is how often the claim is tried after the new one was lost. If another holds it all the while, that one
-	// serves.
+	// Patience is how often the lock is tried after the successor was lost. If another process holds it all the while,
+	// that one serves.
 	Patience int
+
+	state    state
+	refusals int // of the lock, in a row
 }
 
-// Gone returns whether the other process serves now.
+// Gone returns whether another process serves now.
 func (o *Old) Gone() bool { return o.state == stateEnded }
 
-// Next takes in an event and returns what to do.
+// Next takes in an event and returns what to do. An event that does not fit the state changes nothing.
 func (o *Old) Next(e Event) Act {
-	switch {
-	case o.state == stateServing && e == Asked:
-		o.state = stateOffered
-		return SayOffer
-	case o.state == stateOffered && e == ReadyCame:
-		o.state = stateStopping
-		return StopPilot
-	case o.state == stateOffered: // the new one gave up before anything was stopped
+	switch o.state {
+	case stateServing:
+		return o.whenServing(e)
+	case stateOffered:
+		return o.whenOffered(e)
+	case stateStopping:
+		return o.whenStopping(e)
+	case stateReleased:
+		return o.whenReleased(e)
+	case stateReclaiming:
+		return o.whenReclaiming(e)
+	}
+	return Nothing
+}
+
+func (o *Old) whenServing(e Event) Act {
+	if e != Asked {
+		return Nothing
+	}
+	o.state = stateOffered
+	return SayOffer
+}
+
+// whenOffered goes back to serving if the successor gave up: nothing was stopped.
+func (o *Old) whenOffered(e Event) Act {
+	if e != ReadyCame {
 		o.state = stateServing
 		return Nothing
-	case o.state == stateStopping && e == Stopped:
-		o.state = stateReleased
-		return SayGo
-	case o.state == stateReleased && e == ServingCame:
+	}
+	o.state = stateStopping
+	return StopPilot
+}
+
+func (o *Old) whenStopping(e Event) Act {
+	if e != Stopped {
+		return Nothing
+	}
+	o.state = stateReleased
+	return SayGo
+}
+
+// whenReleased tries the lock unless the successor says that it serves: whether it does or has died, only the lock tells.
+func (o *Old) whenReleased(e Event) Act {
+	if e == ServingCame {
 		o.state = stateEnded
 		return End
-	case o.state == stateReleased: // whether it serves or died only the claim can tell
-		o.state, o.refusals = stateReclaiming, 0
-		return Claim
-	case o.state == stateReclaiming && e == Claimed:
+	}
+	o.state = stateReclaiming
+	o.refusals = 0
+	return Claim
+}
+
+// whenReclaiming serves again with the lock, and ends if another process keeps it.
+func (o *Old) whenReclaiming(e Event) Act {
+	switch e {
+	case Claimed:
 		o.state = stateServing
 		return StartPilot
-	case o.state == stateReclaiming && e == Refused:
-		if o.refusals++; o.refusals < o.Patience {
+	case Refused:
+		o.refusals++
+		if o.refusals < o.Patience {
 			return Claim
 		}
 		o.state = stateEnded
--- a/recovery/successor.go
+++ b/recovery/successor.go
@@ -1,32 +1,68 @@
 package recovery
 
-// New is the side of the process that takes over. Its zero value is of no use: NewSide makes one that has asked.
+// New is the state machine of the process that takes over. NewSide makes one that has made its request.
 type New struct{ state state }
 
-// NewSide returns the machine of a process that has asked to take over.
-func NewSide() *New { return &New{stateRequesting} }
+// NewSide returns the state machine of a process that has requested to take over.
+func NewSide() *New { return &New{state: stateRequesting} }
 
-// Next takes in an event and returns what to do.
+// Next takes in an event and returns what to do. Until it serves, an event that does not fit the state ends it.
 func (n *New) Next(e Event) Act {
-	switch {
-	case n.state == stateRequesting && e == Offered:
-		n.state = stateReady
-		return SayReady
-	case n.state == stateReady && (e == GoCame || e == Lost): // a lost one may have stopped or died; if not, it has the claim
-		n.state = stateClaiming
-		return Claim
-	case n.state == stateClaiming && e == Claimed:
-		n.state = stateStarting
-		return StartPilot
-	case n.state == stateStarting && e == Started:
+	switch n.state {
+	case stateRequesting:
+		return n.whenRequesting(e)
+	case stateReady:
+		return n.whenReady(e)
+	case stateClaiming:
+		return n.whenClaiming(e)
+	case stateStarting:
+		return n.whenStarting(e)
+	case stateServing: // it has the lock, whatever becomes of the predecessor
+		return Nothing
+	}
+	return n.end()
+}
+
+func (n *New) whenRequesting(e Event) Act {
+	if e != Offered {
+		return n.end()
+	}
+	n.state = stateReady
+	return SayReady
+}
+
+// whenReady tries the lock also if the predecessor was lost: it may have stopped or died, and if not it has the lock.
+func (n *New) whenReady(e Event) Act {
+	if e != GoCame && e != Lost {
+		return n.end()
+	}
+	n.state = stateClaiming
+	return Claim
+}
+
+func (n *New) whenClaiming(e Event) Act {
+	if e != Claimed {
+		return n.end()
+	}
+	n.state = stateStarting
+	return StartPilot
+}
+
+// whenStarting releases the lock if the controller could not be started.
+func (n *New) whenStarting(e Event) Act {
+	switch e {
+	case Started:
 		n.state = stateServing
 		return SayServing
-	case n.state == stateStarting && e == Failed:
+	case Failed:
 		n.state = stateEnded
 		return LetGo
-	case n.state == stateServing: // lost or not: it has the claim
-		return Nothing
 	}
+	return n.end()
+}
+
+// end gives up.
+func (n *New) end() Act {
 	n.state = stateEnded
 	return End
 }
--- a/recovery/world_planner_test.go
+++ b/recovery/world_planner_test.go
@@ -9,71 +9,91 @@
 	"indigousher/internal/pilot"
 )
 
-// The explorer takes two processes of one pilot, three proxies, one change of the list or one note between pilots, one
-// crash and one lost connection through every order in which their steps can fall, up to states that were met before.
-// The machines, the runtime, the record's turns and the proxies' tables are those that ship; only sockets, disk and lock
-// are the explorer's.
-
-// plainPlanner decides: all endpoints in one table, drains shut out, each note passed on once.
+// plainPlanner puts all endpoints into one table, excludes those that drain, and passes each gossip on once.
 type plainPlanner struct {
-	phase  map[int]brain.Phase
-	joined map[int]bool // and not bound yet
+	phase  map[int]brain.Phase // by endpoint
+	joined map[int]bool        // proxies without a table yet
 }
 
 // Reconfigure does nothing.
-func (c *plainPlanner) Reconfigure(map[string]any) {}
+func (p *plainPlanner) Reconfigure(map[string]any) {}
 
-func (c *plainPlanner) Handle(_ float64, notes []brain.Note) (out []brain.Order) {
-	for _, n := range notes {
-		switch n := n.(type) {
+// Handle answers events at once.
+func (p *plainPlanner) Handle(_ float64, events []brain.Note) (commands []brain.Order) {
+	for _, event := range events {
+		switch event := event.(type) {
 		case brain.Listing:
-			for _, e := range n.Entries {
-				if _, known := c.phase[e.Endpoint]; !known {
-					out = append(out, brain.SetLine{Table: 1, Endpoint: e.Endpoint, Weight: 1})
-				}
-				if c.phase[e.Endpoint] != e.Phase && e.Phase == brain.Draining {
-					out = append(out, brain.Withdraw{Endpoint: e.Endpoint, Out: true})
-				}
-				c.phase[e.Endpoint] = e.Phase
+			for _, e := range event.Entries {
+				commands = append(commands, p.endpoint(e)...)
 			}
 		case brain.Joined:
-			c.joined[n.Proxy] = true
+			p.joined[event.Proxy] = true
 		case brain.Left:
-			delete(c.joined, n.Proxy)
+			delete(p.joined, event.Proxy)
 		case brain.Gossip:
-			out = append(out, brain.Tell{Peer: 0, Text: n.Text})
+			commands = append(commands, brain.Tell{Peer: 0, Text: event.Text})
 		}
 	}
-	for _, p := range slices.Sorted(maps.Keys(c.joined)) {
-		if len(c.phase) > 0 {
-			out = append(out, brain.Bind{Table: 1, Proxy: p})
-			delete(c.joined, p)
-		}
+	if len(p.phase) == 0 {
+		return commands
+	}
+	for _, proxy := range slices.Sorted(maps.Keys(p.joined)) {
+		commands = append(commands, brain.Bind{Table: 1, Proxy: proxy})
+		delete(p.joined, proxy)
+	}
+	return commands
+}
+
+func (p *plainPlanner) endpoint(e brain.Entry) (commands []brain.Order) {
+	before, known := p.phase[e.Endpoint]
+	if !known {
+		commands = append(commands, brain.SetLine{Table: 1, Endpoint: e.Endpoint, Weight: 1})
 	}
-	return out
+	if before != e.Phase && e.Phase == brain.Draining {
+		commands = append(commands, brain.Withdraw{Endpoint: e.Endpoint, Out: true})
+	}
+	p.phase[e.Endpoint] = e.Phase
+	return commands
 }
 
-func (w *world) plan(held bool) pilot.Plan {
-	p := pilot.Plan{Decider: &plainPlanner{map[int]brain.Phase{}, map[int]bool{}}, Terms: map[string]any{}, Zones: []string{"a"}, Machines: []string{"std"}, Kinds: []string{"read"},
-		Intake: intake.Terms{PeriodMs: 1e9, HalfMs: 1e9, LongestMs: 1e9}, MostProxies: 9, List: transport{}, Prober: transport{}, Peers: transport{},
-		Log: func(string) {}, Odd: func(string, ...string) {}, Replayed: true}
-	if !held || w.faults.replaySends {
-		p.Peers = transport{w}
+// options returns a core's options. While a record is replayed nothing goes out, unless that is the planted fault.
+func (w *world) options(replayed bool) pilot.Plan {
+	options := pilot.Plan{
+		Decider:     &plainPlanner{phase: map[int]brain.Phase{}, joined: map[int]bool{}},
+		Terms:       map[string]any{},
+		Zones:       []string{"a"},
+		Machines:    []string{"std"},
+		Kinds:       []string{"read"},
+		Intake:      intake.Terms{PeriodMs: 1e9, HalfMs: 1e9, LongestMs: 1e9},
+		MostProxies: 9,
+		List:        transport{},
+		Prober:      transport{},
+		Peers:       transport{},
+		Log:         func(string) {},
+		Odd:         func(string, ...string) {},
+		Replayed:    true,
+	}
+	if !replayed || w.faults.replaySends {
+		options.Peers = transport{w}
 	}
-	return p
+	return options
 }
 
-// transport is the way to other pilots.
-type transport struct{ w *world }
+// transport counts the gossip that is commanded, if it has a world.
+type transport struct{ world *world }
 
+// Watch does nothing.
 func (transport) Watch(bool) {}
 
+// Fetch does nothing.
 func (transport) Fetch() {}
 
+// Probe does nothing.
 func (transport) Probe(string) {}
 
-func (e transport) Tell(int, string) {
-	if e.w != nil {
-		e.w.gossipCommanded++
+// Tell counts.
+func (t transport) Tell(int, string) {
+	if t.world != nil {
+		t.world.gossipCommanded++
 	}
 }
--- a/recovery/world_steps_test.go
+++ b/recovery/world_steps_test.go
@@ -9,53 +9,91 @@
 	"indigousher/recovery"
 )
 
-// steps are what can happen now, by name. Those after a "!" are faults: nothing waits for them.
-func (w *world) steps() map[string]func() {
-	s := map[string]func(){}
-	if n := w.processes[1]; n.alive && !n.requested {
-		s["ask"] = func() {
-			if n.requested = true; w.cut || !w.processes[0].alive {
-				w.report(1, recovery.Lost)
-				return
-			}
-			w.report(0, recovery.Asked)
-			n.waiting = true
-		}
-	}
+// steps are what can happen now, by name. Those whose name begins with "!" are faults: nothing waits for them.
+type steps map[string]func()
+
+func (w *world) steps() steps {
+	s := steps{}
+	w.addRequest(s)
 	for i, p := range w.processes {
-		if !p.alive {
-			continue
-		}
-		if p.action != recovery.Nothing {
-			s[fmt.Sprint("do ", i)] = func() { w.act(i) }
+		if p.alive {
+			w.addProcessSteps(s, i)
 		}
-		if p.waiting && len(w.messages[i]) > 0 {
-			s[fmt.Sprint("hear ", i)] = func() {
-				e := w.messages[i][0]
-				w.messages[i] = w.messages[i][1:]
-				w.report(i, e)
-			}
+	}
+	w.addWorldSteps(s)
+	w.addProxySteps(s)
+	return w.reduce(s)
+}
+
+// addRequest lets the successor request to take over.
+func (w *world) addRequest(s steps) {
+	successor := w.processes[successorIndex]
+	if !successor.alive || successor.requested {
+		return
+	}
+	s["ask"] = func() {
+		successor.requested = true
+		if w.cut || !w.processes[predecessorIndex].alive {
+			w.report(successorIndex, recovery.Lost)
+			return
 		}
-		if p.waiting && len(w.messages[i]) == 0 && (w.cut || !w.processes[1-i].alive) {
-			s[fmt.Sprint("lost ", i)] = func() { w.cut = true; w.report(i, recovery.Lost) }
+		w.report(predecessorIndex, recovery.Asked)
+		successor.waiting = true
+	}
+}
+
+// addProcessSteps lets a process act, hear of the other or of the endpoint list, or crash.
+func (w *world) addProcessSteps(s steps, i int) {
+	p := w.processes[i]
+	if p.action != recovery.Nothing {
+		s[fmt.Sprint("do ", i)] = func() { w.act(i) }
+	}
+	if p.waiting && len(w.messages[i]) > 0 {
+		s[fmt.Sprint("hear ", i)] = func() {
+			e := w.messages[i][0]
+			w.messages[i] = w.messages[i][1:]
+			w.report(i, e)
 		}
-		if w.crashes == 0 {
-			s[fmt.Sprint("!crash ", i)] = func() {
-				w.crashes++
-				if p.core != nil {
-					w.turns = w.turns[:w.committed]
-				}
-				w.stopController(i)
-				w.releaseLock(i)
-				p.alive, p.action, p.waiting = false, recovery.Nothing, false
-			}
+	}
+	if p.waiting && len(w.messages[i]) == 0 && (w.cut || !w.processes[1-i].alive) {
+		s[fmt.Sprint("lost ", i)] = func() {
+			w.cut = true
+			w.report(i, recovery.Lost)
 		}
-		if p.core != nil && p.listed < w.listChanges {
-			s[fmt.Sprint("list ", i)] = func() { p.listed = w.listChanges; w.feed(i, w.listing()) }
+	}
+	if w.crashes == 0 {
+		s[fmt.Sprint("!crash ", i)] = func() { w.crash(i) }
+	}
+	if p.core != nil && p.listed < w.listChanges {
+		s[fmt.Sprint("list ", i)] = func() {
+			p.listed = w.listChanges
+			w.feed(i, w.endpointList())
 		}
 	}
+}
+
+// crash ends a process; what it had not committed is gone.
+func (w *world) crash(i int) {
+	p := w.processes[i]
+	w.crashes++
+	if p.core != nil {
+		w.turns = w.turns[:w.committed]
+	}
+	w.stopController(i)
+	w.releaseLock(i)
+	p.alive = false
+	p.action = recovery.Nothing
+	p.waiting = false
+}
+
+// addWorldSteps lets the connection break, the endpoint list change, gossip come, the disk catch up, and a process be
+// restarted by whoever watches over processes.
+func (w *world) addWorldSteps(s steps) {
 	if w.losses == 0 && !w.cut {
-		s["!cut"] = func() { w.losses++; w.cut = true }
+		s["!cut"] = func() {
+			w.losses++
+			w.cut = true
+		}
 	}
 	if w.listChanges == 0 {
 		s["drain"] = func() { w.listChanges++ }
@@ -63,36 +101,79 @@
 	if w.gossipSent == 0 {
 		for i, p := range w.processes {
 			if p.core != nil {
-				s[fmt.Sprint("note ", i)] = func() { w.gossipSent++; w.feed(i, pilot.Heard{From: 1, Text: "once"}) }
+				s[fmt.Sprint("note ", i)] = func() {
+					w.gossipSent++
+					w.feed(i, pilot.Heard{From: 1, Text: "once"})
+				}
 			}
 		}
 	}
 	if w.committed < len(w.turns) {
 		s["commit"] = func() { w.committed = len(w.turns) }
 	}
-	if !w.processes[0].alive && !w.processes[1].alive && w.restarts == 0 { // by whoever watches over processes
-		s["restart"] = func() {
-			w.restarts++
-			p := w.processes[0]
-			p.alive, p.predecessor = true, &recovery.Old{Patience: 2}
-			if w.acquireLock(0) {
-				w.startController(0)
+	if !w.processes[0].alive && !w.processes[1].alive && w.restarts == 0 {
+		s["restart"] = w.restart
+	}
+}
+
+// restart starts the first process again, with its controller if the lock is free.
+func (w *world) restart() {
+	w.restarts++
+	p := w.processes[predecessorIndex]
+	p.alive = true
+	p.predecessor = &recovery.Old{Patience: lockTries}
+	if w.acquireLock(predecessorIndex) {
+		w.startController(predecessorIndex)
+	}
+}
+
+// addProxySteps lets proxies apply what came and join whoever runs a controller.
+func (w *world) addProxySteps(s steps) {
+	for k, p := range w.proxies {
+		if len(p.incoming) > 0 {
+			s[fmt.Sprint("apply ", k)] = func() {
+				p.follower.Apply(p.incoming[0].Ops)
+				p.incoming = p.incoming[1:]
+			}
+		}
+		if p.joined >= 0 {
+			continue
+		}
+		for i, process := range w.processes {
+			if process.core != nil {
+				s[fmt.Sprint("join ", k, " ", i)] = func() { w.join(k, i) }
 			}
 		}
 	}
-	w.proxySteps(s)
-	return w.reduce(s)
+}
+
+// join opens a proxy's stream to a process.
+func (w *world) join(k, i int) {
+	p := w.proxies[k]
+	hello := wire.Hello{
+		Version: 1,
+		Proxy:   fmt.Sprint("p", k),
+		Zone:    "a",
+		Rate:    1,
+		Fresh:   p.follower.Fresh(),
+		Holds:   p.follower.Holds(),
+		Tables:  p.follower.Tables(),
+	}
+	p.joined = i
+	p.stream = &stream{world: w, process: i, proxy: k}
+	p.follower.Joined()
+	w.feed(i, pilot.Join{Stream: p.stream, Hello: hello})
 }
 
 // reduce leaves out orders of steps that come to the same: what a proxy applies touches nothing but itself, so it comes
 // first, unless its stream could end before.
-func (w *world) reduce(s map[string]func()) map[string]func() {
+func (w *world) reduce(s steps) steps {
 	for k := range w.proxies {
 		apply := fmt.Sprint("apply ", k)
 		if s[apply] == nil {
 			continue
 		}
-		first := map[string]func(){apply: s[apply]}
+		first := steps{apply: s[apply]}
 		for name, step := range s {
 			if strings.HasPrefix(name, "!crash") || strings.HasPrefix(name, "do ") {
 				first[name] = step
@@ -102,25 +183,3 @@
 	}
 	return s
 }
-
-func (w *world) proxySteps(s map[string]func()) {
-	for k, p := range w.proxies {
-		if len(p.incoming) > 0 {
-			s[fmt.Sprint("apply ", k)] = func() {
-				p.follower.Apply(p.incoming[0].Ops)
-				p.incoming = p.incoming[1:]
-			}
-		}
-		for i, q := range w.processes {
-			if p.joined < 0 && q.core != nil {
-				s[fmt.Sprint("join ", k, " ", i)] = func() {
-					hello := wire.Hello{Version: 1, Proxy: fmt.Sprint("p", k), Zone: "a", Rate: 1, Fresh: p.follower.Fresh(),
-						Holds: p.follower.Holds(), Tables: p.follower.Tables()}
-					p.joined, p.stream = i, &stream{w, i, k}
-					p.follower.Joined()
-					w.feed(i, pilot.Join{Stream: p.stream, Hello: hello})
-				}
-			}
-		}
-	}
-}
--- a/recovery/world_test.go
+++ b/recovery/world_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
-	"strings"
 
 	"indigousher/internal/pilot"
 	"indigousher/internal/record"
@@ -12,31 +10,31 @@
 	"indigousher/recovery"
 )
 
-// process is one of the two.
+// process is one of the two, with one of the two state machines.
 type process struct {
 	alive       bool
 	predecessor *recovery.Old
 	successor   *recovery.New
-	action      recovery.Act // under way
+	action      recovery.Act // to be done next
 	waiting     bool         // for the other's answer
 	requested   bool         // to take over
-	core        *pilot.Core  // nil while no pilot runs
-	listed      int          // changes of the list that it knows of, -1 none
-	locked      bool
+	core        *pilot.Core  // nil while no controller runs
+	listed      int          // changes of the endpoint list that it knows of, -1 none
+	locked      bool         // it holds the lock
 }
 
 // faults are planted.
 type faults struct {
-	withGossip      bool // a note comes instead of a change of the list
-	resumesUnlocked bool // the old one goes on without the claim, as it did before there was one
-	startsUnlocked  bool // the new one begins without it
+	withGossip      bool // gossip comes instead of a change of the endpoint list
+	resumesUnlocked bool // the predecessor goes on without the lock, as it did before there was one
+	startsUnlocked  bool // the successor starts without the lock
 	replaySends     bool // what is replayed goes out again
 }
 
 // proxy follows whoever has its stream.
 type proxy struct {
 	follower *follow.Follower
-	joined   int // a process, -1 nobody
+	joined   int // a process, -1 none
 	incoming []*wire.Orders
 	stream   *stream
 }
@@ -48,18 +46,22 @@
 	proxy   int
 }
 
-func (s *stream) Send(o *wire.Orders) error {
+// Send hands commands to the proxy, if this is its stream still.
+func (s *stream) Send(commands *wire.Orders) error {
 	if !s.world.processes[s.process].locked {
 		s.world.violation = "a process without the claim wrote to a proxy"
 	}
-	if s.world.proxies[s.proxy].stream == s {
-		s.world.proxies[s.proxy].incoming = append(s.world.proxies[s.proxy].incoming, o)
+	p := s.world.proxies[s.proxy]
+	if p.stream == s {
+		p.incoming = append(p.incoming, commands)
 	}
 	return nil
 }
 
+// Ask does nothing.
 func (s *stream) Ask(*wire.Pace) error { return nil }
 
+// Close does nothing.
 func (s *stream) Close(string) {}
 
 // world is one state, built by its steps.
@@ -67,60 +69,66 @@
 	faults          faults
 	processes       [2]*process
 	proxies         [3]*proxy
-	lockHolder      int // of the claim, -1 nobody
-	messages        [2][]recovery.Event
-	cut             bool // the connection between the two
-	turns           []record.Turn
-	committed       int // of these on the disk
-	listChanges     int // changes so far
+	lockHolder      int                 // a process, -1 none
+	messages        [2][]recovery.Event // on their way to each process
+	cut             bool                // the connection between the two
+	turns           []record.Turn       // recorded
+	committed       int                 // of these on the disk
+	listChanges     int                 // so far
 	crashes         int
-	losses          int
+	losses          int // of the connection
+	restarts        int
 	gossipSent      int
 	gossipCommanded int
-	restarts        int
-	violation       string
+	violation       string // of what no state may show; "": none
 	nowMs           float64
 }
 
-const endpoints = 2
+const (
+	endpoints        = 2
+	lockTries        = 2 // of the predecessor after the successor was lost
+	predecessorIndex = 0
+	successorIndex   = 1
+)
 
-func newWorld(plant faults) *world {
-	w := &world{faults: plant, lockHolder: 0}
-	if plant.withGossip {
+func newWorld(planted faults) *world {
+	w := &world{faults: planted, lockHolder: predecessorIndex}
+	if planted.withGossip {
 		w.listChanges = 1
 	} else {
 		w.gossipSent = 1
 	}
-	w.processes[0] = &process{alive: true, predecessor: &recovery.Old{Patience: 2}, locked: true, listed: -1}
-	w.processes[1] = &process{alive: true, successor: recovery.NewSide(), action: recovery.Nothing}
+	w.processes[predecessorIndex] = &process{
+		alive:       true,
+		predecessor: &recovery.Old{Patience: lockTries},
+		locked:      true,
+		listed:      -1,
+	}
+	w.processes[successorIndex] = &process{alive: true, successor: recovery.NewSide(), action: recovery.Nothing}
 	for i := range w.proxies {
-		w.proxies[i] = &proxy{joined: -1, follower: follow.NewFollower(follow.Habits{Kinds: []string{"read"}}, []string{"e0", "e1"}, uint64(i))}
+		habits := follow.Habits{Kinds: []string{"read"}}
+		follower := follow.NewFollower(habits, []string{"e0", "e1"}, uint64(i))
+		w.proxies[i] = &proxy{joined: -1, follower: follower}
 	}
-	w.startController(0)
+	w.startController(predecessorIndex)
 	return w
 }
 
-// startController starts a process's pilot on what the disk holds.
+// startController starts a process's controller on what the disk holds.
 func (w *world) startController(i int) {
 	p := w.processes[i]
-	var core *pilot.Core
-	if w.committed > 0 {
-		core = pilot.NewCore(w.plan(true))
-		if err := record.Restore(core, w.turns[:w.committed]); err != nil {
-			w.violation = err.Error()
-		}
-		w.turns = w.turns[:w.committed]
-	}
-	live := w.plan(false)
-	recorder := record.NewRecorder(func(t func() *record.Turn) { w.turns = append(w.turns, *t()) },
-		func() []pilot.Input { return p.core.Checkpoint() })
-	live.Turn = recorder.Turn
+	core := w.restoredCore()
+	options := w.options(false)
+	sink := func(makeTurn func() *record.Turn) { w.turns = append(w.turns, *makeTurn()) }
+	recorder := record.NewRecorder(sink, func() []pilot.Input { return p.core.Checkpoint() })
+	options.Turn = recorder.Turn
 	if core == nil {
-		core = pilot.NewCore(live)
+		core = pilot.NewCore(options)
 	} else {
-		core.Recovered(live)
+		core.Recovered(options)
 	}
-	p.core, p.listed = core, -1
+	p.core = core
+	p.listed = -1
 	for k, other := range w.processes {
 		if k != i && other.core != nil {
 			w.violation = "two processes run the pilot"
@@ -128,16 +136,32 @@
 	}
 }
 
-// stopController stops a process's pilot.
+// restoredCore returns a core rebuilt from what the disk holds, nil if that is nothing.
+func (w *world) restoredCore() *pilot.Core {
+	if w.committed == 0 {
+		return nil
+	}
+	core := pilot.NewCore(w.options(true))
+	if err := record.Restore(core, w.turns[:w.committed]); err != nil {
+		w.violation = err.Error()
+	}
+	w.turns = w.turns[:w.committed]
+	return core
+}
+
+// stopController ends a process's controller and the streams to it.
 func (w *world) stopController(i int) {
 	w.processes[i].core = nil
 	for _, p := range w.proxies {
 		if p.joined == i {
-			p.joined, p.stream, p.incoming = -1, nil, nil
+			p.joined = -1
+			p.stream = nil
+			p.incoming = nil
 		}
 	}
 }
 
+// feed gives a process's controller an input.
 func (w *world) feed(i int, in pilot.Input) {
 	p := w.processes[i]
 	w.nowMs++
@@ -145,20 +169,23 @@
 	p.core.Channel.Send(w.nowMs)
 }
 
+// acquireLock returns whether a process holds the lock, which it gets if nobody does.
 func (w *world) acquireLock(i int) bool {
 	if w.lockHolder < 0 {
-		w.lockHolder, w.processes[i].locked = i, true
+		w.lockHolder = i
+		w.processes[i].locked = true
 	}
 	return w.lockHolder == i
 }
 
 func (w *world) releaseLock(i int) {
 	if w.processes[i].locked {
-		w.lockHolder, w.processes[i].locked = -1, false
+		w.lockHolder = -1
+		w.processes[i].locked = false
 	}
 }
 
-// report hands an event to a process's machine.
+// report hands an event to a process's state machine.
 func (w *world) report(i int, e recovery.Event) {
 	p := w.processes[i]
 	p.waiting = false
@@ -169,27 +196,31 @@
 	}
 }
 
+// send sends a message to the other process, as the event that it will be there.
 func (w *world) send(from int, e recovery.Event) {
 	if !w.cut {
 		w.messages[1-from] = append(w.messages[1-from], e)
 	}
 }
 
-// act carries out the act under way.
+// sendAndWait sends a message that wants an answer.
+func (w *world) sendAndWait(from int, e recovery.Event) {
+	w.send(from, e)
+	w.processes[from].waiting = true
+}
+
+// act does what a process's state machine wants.
 func (w *world) act(i int) {
 	p := w.processes[i]
-	act := p.action
+	action := p.action
 	p.action = recovery.Nothing
-	switch act {
+	switch action {
 	case recovery.SayOffer:
-		w.send(i, recovery.Offered)
-		p.waiting = true
+		w.sendAndWait(i, recovery.Offered)
 	case recovery.SayReady:
-		w.send(i, recovery.ReadyCame)
-		p.waiting = true
+		w.sendAndWait(i, recovery.ReadyCame)
 	case recovery.SayGo:
-		w.send(i, recovery.GoCame)
-		p.waiting = true
+		w.sendAndWait(i, recovery.GoCame)
 	case recovery.SayServing:
 		w.send(i, recovery.ServingCame)
 	case recovery.StopPilot:
@@ -198,12 +229,7 @@
 		w.releaseLock(i)
 		w.report(i, recovery.Stopped)
 	case recovery.Claim:
-		unasked := p.successor != nil && w.faults.startsUnlocked || p.successor == nil && w.faults.resumesUnlocked
-		if w.acquireLock(i) || unasked {
-			w.report(i, recovery.Claimed)
-		} else {
-			w.report(i, recovery.Refused)
-		}
+		w.report(i, w.tryLock(i))
 	case recovery.StartPilot:
 		w.startController(i)
 		if p.successor != nil {
@@ -217,7 +243,20 @@
 	}
 }
 
-func (w *world) listing() pilot.Input {
+// tryLock returns what came of trying the lock. A planted fault takes it for got.
+func (w *world) tryLock(i int) recovery.Event {
+	ignoresLock := w.faults.resumesUnlocked
+	if w.processes[i].successor != nil {
+		ignoresLock = w.faults.startsUnlocked
+	}
+	if w.acquireLock(i) || ignoresLock {
+		return recovery.Claimed
+	}
+	return recovery.Refused
+}
+
+// endpointList is the whole list as it is now: endpoint 0 drains after its change.
+func (w *world) endpointList() pilot.Input {
 	l := &wire.List{Version: w.listChanges, Whole: true}
 	for i := range endpoints {
 		e := wire.Entry{Endpoint: fmt.Sprint("e", i), Zone: "a", Machine: "std", Weight: 1}
@@ -228,66 +267,3 @@
 	}
 	return pilot.Listed{List: l}
 }
-
-// violationIn returns what no state may show, and, where nothing more can happen by itself, what then must hold.
-func (w *world) violationIn(settled bool) string {
-	if w.violation != "" {
-		return w.violation
-	}
-	if w.gossipCommanded > 1 {
-		return "an effect was ordered twice"
-	}
-	for k, p := range w.proxies {
-		if p.follower.Lines(0) == 0 {
-			return fmt.Sprintf("p%d has no line", k)
-		}
-	}
-	if !settled {
-		return ""
-	}
-	running := 0
-	for _, p := range w.processes {
-		if p.core != nil {
-			running++
-		}
-	}
-	if running != 1 {
-		return fmt.Sprintf("%d processes run the pilot in the end", running)
-	}
-	for k, p := range w.proxies {
-		if p.joined < 0 || w.listChanges > 0 && p.follower.Open(0, "e0") || !p.follower.Open(0, "e1") {
-			return fmt.Sprintf("p%d is at %d and may pick from %v in the end", k, p.joined, p.follower.Holds())
-		}
-	}
-	return ""
-}
-
-// signature tells states apart.
-func (w *world) signature() string {
-	var b strings.Builder
-	for i, p := range w.processes {
-		fmt.Fprintf(&b, "%v %+v %+v %d %v %v %v %d %v|", p.alive, p.predecessor, p.successor, p.action, p.requested, p.waiting, p.core != nil, p.listed, w.messages[i])
-	}
-	var proxies []string // one is like another
-	for _, p := range w.proxies {
-		s := fmt.Sprintf("%d %v %v %v", p.joined, p.follower.Tables(), p.follower.Open(0, "e0"), p.follower.Open(0, "e1"))
-		for _, o := range p.incoming {
-			s += fmt.Sprint(o.Ops)
-		}
-		proxies = append(proxies, s)
-	}
-	slices.Sort(proxies)
-	fmt.Fprint(&b, proxies, w.lockHolder, w.cut, w.committed > 0, w.listChanges, w.crashes, w.losses, w.gossipSent, w.gossipCommanded, w.restarts)
-	for _, turns := range [][]record.Turn{w.turns[:w.committed], w.turns[w.committed:]} { // of the record what a replay knows by it
-		knows := [2]bool{}
-		for _, t := range turns {
-			for _, in := range t.Inputs {
-				knows[0] = knows[0] || in.Kind == record.Heard
-				l, is := in.Message.(*wire.List)
-				knows[1] = knows[1] || is && l.Version > 0
-			}
-		}
-		fmt.Fprint(&b, len(turns) > 0, knows)
-	}
-	return b.String()
-}
