--- a/recovery/explore_test.go
+++ b/recovery/explore_test.go
@@ -104,8 +104,12 @@
 		{"as it ships, with a note", faults{withGossip: true}, 100_000, ""},
 		{"the old one goes on without the claim", faults{resumesUnlocked: true}, 100_000, "two processes run the pilot"},
 		{"the new one begins without the claim", faults{startsUnlocked: true}, 100_000, "two processes run the pilot"},
-		{"what is replayed goes out again", faults{withGossip: true, replaySends: true}, 100_000,
-			"an effect was ordered twice"},
+		{
+			"what is replayed goes out again",
+			faults{withGossip: true, replaySends: true},
+			100_000,
+			"an effect was ordered twice",
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			states, path, violation := explore(c.planted, c.maxStates)
