--- a/internal/handover/errors.go
+++ b/internal/handover/errors.go
@@ -1,14 +1,13 @@
 package handover
 
-import (
-	"errors"
-)
+import "errors"
 
-// Errors of a handover.
+// Errors of a handover, checked with errors.Is.
 var (
-	ErrBusy   = errors.New("another handover is under way")
+	// ErrBusy says that the running process is handing over to another one.
+	ErrBusy = errors.New("another handover is under way")
+	// ErrBroken says that the connection or a message on it was not as it should be.
 	ErrBroken = errors.New("the handover broke")
+	// ErrHeld says that another process holds the lock.
+	ErrHeld = errors.New("another process of this pilot serves")
 )
-
-// ErrHeld says that another process has the claim.
-var ErrHeld = errors.New("another process of this pilot serves")
--- a/internal/handover/handoff.go
+++ b/internal/handover/handoff.go
@@ -14,128 +14,167 @@
 	"indigousher/recovery"
 )
 
-// Within bounds each step.
-const Within = 20 * time.Second
-
-// Bounds of those who ask: how many at once, and how long each may take to say that it wants to take over.
 const (
-	maxRequests    = 16
+	// maxRequests is how many connections are looked at once; more than any operator makes.
+	maxRequests = 16
+	// requestTimeout is how long a connection may take to request a takeover, so that silent ones keep nobody out.
 	requestTimeout = 2 * time.Second
-)
-
-// Figures of getting the claim again.
-const (
+	// lockRetryInterval is the pause between two tries of the lock after the successor was lost.
 	lockRetryInterval = 100 * time.Millisecond
-	defaultPatience   = 100
+	// defaultPatience is how often the lock is tried then: for ten seconds.
+	defaultPatience = 100
 )
 
-// Offer is what the old process does.
+// Offer is the side that hands off: the process that runs the controller.
 type Offer struct {
 	Files map[string]*os.File // listeners by name
-	// Stop ends the pilot, its streams and its record, lets go of the claim, and returns when nothing of it writes any more.
+	// Stop ends the controller, its streams and its record, releases the lock, and returns when nothing of it writes any
+	// more.
 	Stop func()
-	// Resume starts the pilot again, on the same listeners, with the claim got anew.
+	// Resume starts the controller again, on the same listeners, with the lock got anew.
 	Resume func(*Claimed)
-	// Patience is how often, 0.1 s apart, the claim is tried after the new process was lost; 0: a hundred times.
+	// Patience is how often, 0.1 s apart, the lock is tried after the new process was lost; 0: a hundred times.
 	Patience int
 
 	socket string
 }
 
-// Serve answers those who want to take over, one at a time, until one has or ctx ends. It returns whether one has.
-func (o *Offer) Serve(ctx context.Context, path string) (bool, error) {
-	o.socket = path
-	_ = os.Remove(path) // left by a process that was killed
-	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
+// Serve answers those who want to take over, one at a time, until one has or ctx ends. It returns whether one has. When it
+// returns, so have all goroutines that it started.
+func (o *Offer) Serve(ctx context.Context, socket string) (bool, error) {
+	o.socket = socket
+	listener, err := listenOn(socket)
 	if err != nil {
 		return false, fmt.Errorf("offer handover: %w", err)
 	}
-	l.SetUnlinkOnClose(false) // by then the path may be the successor's
+	s := &handoffServer{offer: o, listener: listener, slots: make(chan struct{}, maxRequests)}
+	return s.serve(ctx)
+}
+
+// listenOn opens the handover socket, in place of one that a killed process left.
+func listenOn(socket string) (*net.UnixListener, error) {
+	_ = os.Remove(socket) // if there is one; what else is wrong shows below
+	listener, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: socket, Net: "unixpacket"})
+	if err != nil {
+		return nil, err
+	}
+	listener.SetUnlinkOnClose(false) // by then the path may be the successor's
+	return listener, nil
+}
+
+// handoffServer accepts connections on the handover socket.
+type handoffServer struct {
+	offer    *Offer
+	listener *net.UnixListener
+	slots    chan struct{} // one for each connection that is looked at
+	busy     atomic.Bool   // a handover is under way
+	taken    atomic.Bool   // another process has taken over
+}
+
+// serve accepts until one has taken over, ctx ends or the listener fails. Each of these cancels the inner context, which
+// closes the listener and ends the waits of all connections; serve returns when the last of their goroutines has.
+func (s *handoffServer) serve(ctx context.Context) (bool, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = s.listener.Close() }) // ends AcceptUnix
 	defer stop()
-	var busy, taken atomic.Bool
-	var asking sync.WaitGroup
-	defer asking.Wait()
-	slots := make(chan struct{}, maxRequests)
+	var connections sync.WaitGroup
+	defer connections.Wait()
 	for {
-		c, err := l.AcceptUnix()
+		conn, err := s.listener.AcceptUnix()
 		if err != nil {
 			cancel()
-			if taken.Load() || ctx.Err() != nil {
-				return taken.Load(), nil
+			if s.taken.Load() || ctx.Err() != nil {
+				return s.taken.Load(), nil
 			}
 			return false, fmt.Errorf("offer handover: %w", err)
 		}
-		select {
-		case slots <- struct{}{}:
-		default: // more ask at once than any operator does
-			_ = c.Close()
+		if !s.takeSlot() {
+			_ = conn.Close() // nothing was sent on it
 			continue
 		}
-		asking.Go(func() {
-			defer func() { <-slots }()
-			defer c.Close()
-			defer context.AfterFunc(ctx, func() { _ = c.SetReadDeadline(time.Now()) })()
-			if err := expect(c, stepRequest, requestTimeout); err != nil { // one that says nothing keeps nobody out
-				return
-			}
-			if !busy.CompareAndSwap(false, true) {
-				_ = send(c, message{Step: stepBusy}, nil)
-				return
-			}
-			defer busy.Store(false)
-			if o.handOver(ctx, c) {
-				taken.Store(true)
-				cancel()
-			}
+		connections.Go(func() {
+			defer func() { <-s.slots }()
+			s.handle(ctx, cancel, conn)
 		})
 	}
 }
 
-// handOver goes through the steps with one that wants to take over and returns whether it has.
-func (o *Offer) handOver(ctx context.Context, c *net.UnixConn) bool {
-	m := recovery.Old{Patience: cmp.Or(o.Patience, defaultPatience)}
-	e := recovery.Asked
+// takeSlot returns whether one more connection may be looked at.
+func (s *handoffServer) takeSlot() bool {
+	select {
+	case s.slots <- struct{}{}:
+		return true
+	default:
+		return false
+	}
+}
+
+// handle serves one connection and closes it. The end of ctx ends the wait that is under way. If the other process has
+// taken over, stop is called while the server is still busy, so that no third one is offered anything.
+func (s *handoffServer) handle(ctx context.Context, stop context.CancelFunc, conn *net.UnixConn) {
+	defer func() { _ = conn.Close() }() // all has been said
+	defer context.AfterFunc(ctx, func() { _ = conn.SetReadDeadline(time.Now()) })()
+	if err := expect(conn, stepRequest, requestTimeout); err != nil {
+		return // it means something else, or nothing
+	}
+	if !s.busy.CompareAndSwap(false, true) {
+		_ = send(conn, message{Step: stepBusy}, nil) // one that can't be told sees the connection end
+		return
+	}
+	defer s.busy.Store(false)
+	if s.offer.handOver(ctx, conn) {
+		s.taken.Store(true)
+		stop()
+	}
+}
+
+// handOver goes through the steps with a process that wants to take over and returns whether it has.
+func (o *Offer) handOver(ctx context.Context, conn *net.UnixConn) bool {
+	machine := recovery.Old{Patience: cmp.Or(o.Patience, defaultPatience)}
+	event := recovery.Asked
 	for {
-		switch m.Next(e) {
+		switch machine.Next(event) {
 		case recovery.SayOffer:
-			e = o.exchange(c, stepOffer, stepReady, recovery.ReadyCame)
+			event = o.offerListeners(conn)
 		case recovery.StopPilot:
 			o.Stop()
-			e = recovery.Stopped
+			event = recovery.Stopped
 		case recovery.SayGo:
-			e = o.exchange(c, stepGo, stepServing, recovery.ServingCame)
+			event = exchange(conn, message{Step: stepGo}, nil, stepServing, recovery.ServingCame)
 		case recovery.Claim:
-			claim, err := GetClaim(o.socket)
-			if e = recovery.Claimed; err != nil {
-				e = recovery.Refused
+			lock, err := GetClaim(o.socket)
+			if err != nil {
+				event = recovery.Refused
 				pause.For(ctx, lockRetryInterval)
 				continue
 			}
-			m.Next(e)
-			o.Resume(claim)
+			machine.Next(recovery.Claimed)
+			o.Resume(lock)
 			return false
 		default:
-			return m.Gone()
+			return machine.Gone()
 		}
 	}
 }
 
-// exchange says one step, with the listeners if it is the offer, and waits for the answer.
-func (o *Offer) exchange(c *net.UnixConn, say, want string, came recovery.Event) recovery.Event {
-	m := message{Step: say}
+// offerListeners sends the listeners and waits until the successor is ready.
+func (o *Offer) offerListeners(conn *net.UnixConn) recovery.Event {
+	m := message{Step: stepOffer}
 	var files []*os.File
-	if say == stepOffer {
-		for name, f := range o.Files {
-			m.Names, files = append(m.Names, name), append(files, f)
-		}
+	for name, file := range o.Files {
+		m.Names = append(m.Names, name)
+		files = append(files, file)
 	}
-	if err := send(c, m, files); err != nil {
+	return exchange(conn, m, files, stepReady, recovery.ReadyCame)
+}
+
+// exchange sends a message and waits for a step of the other side, which gives an event; anything else gives Lost.
+func exchange(conn *net.UnixConn, m message, files []*os.File, step string, came recovery.Event) recovery.Event {
+	if err := send(conn, m, files); err != nil {
 		return recovery.Lost
 	}
-	if expect(c, want, Within) != nil {
+	if err := expect(conn, step, Within); err != nil {
 		return recovery.Lost
 	}
 	return came
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -16,111 +16,97 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// requestUntilOffered takes over, once somebody listens.
-func requestUntilOffered(t *testing.T, path string) (x *Taking) {
-	require.Eventually(t, func() (ok bool) {
+// patience is how often the predecessor of a test tries the lock.
+const patience = 8
+
+// requestUntilOffered requests to take over, again until somebody listens.
+func requestUntilOffered(t *testing.T, socket string) (takeover *Taking) {
+	require.Eventually(t, func() bool {
 		var err error
-		x, err = Take(path)
+		takeover, err = Take(socket)
 		return err == nil
 	}, 5*time.Second, time.Millisecond)
-	return x
+	return takeover
 }
 
-const patience = 8
+// dialSocket connects to a handover socket, again until somebody listens: the path is there from bind on, but a dial is
+// refused until listen.
+func dialSocket(t *testing.T, socket string) (conn *net.UnixConn) {
+	require.Eventually(t, func() bool {
+		var err error
+		conn, err = net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: socket, Net: "unixpacket"})
+		return err == nil
+	}, 5*time.Second, time.Millisecond)
+	return conn
+}
+
+// listenTCP opens a listener and returns it with a handle on it; both are the caller's to close.
+func listenTCP(t *testing.T) (net.Listener, *os.File) {
+	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	require.NoError(t, err)
+	file, err := l.File()
+	require.NoError(t, err)
+	return l, file
+}
 
-// TestHandover takes every way that a handover can go: the old one stops only when the new one is ready, and goes on
-// whenever the new one does not come to serve.
+func awaitSocket(t *testing.T, socket string) {
+	require.Eventually(t, func() bool { _, err := os.Stat(socket); return err == nil }, 5*time.Second, time.Millisecond)
+}
+
+func mustClose(t *testing.T, c io.Closer) { assert.NoError(t, c.Close()) }
+
+// claimed requests to take over until it has the lock.
+func claimed(t *testing.T, socket string) (*Taking, *Claimed) {
+	takeover := requestUntilOffered(t, socket)
+	lock, err := takeover.Claim()
+	require.NoError(t, err)
+	return takeover, lock
+}
+
+// TestHandover takes every way that a handover can go: the predecessor stops only when the successor is ready, and goes
+// on whenever the successor does not come to serve.
 func TestHandover(t *testing.T) {
 	for _, c := range []struct {
-		name           string
-		take           func(t *testing.T, path string)
-		taken          bool
-		stops, resumes int
+		name    string
+		take    func(t *testing.T, socket string)
+		taken   bool
+		stops   int
+		resumes int
 	}{
-		{"all well", func(t *testing.T, path string) {
-			x := requestUntilOffered(t, path)
-			c, err := x.Claim()
-			require.NoError(t, err)
-			defer c.LetGo()
-			x.Started(true)
-			x.Drop()
-		}, true, 1, 0},
-		{"it serves but can't say so", func(t *testing.T, path string) {
-			x := requestUntilOffered(t, path)
-			c, err := x.Claim()
-			require.NoError(t, err)
-			x.Drop()
-			time.Sleep((patience + 4) * lockRetryInterval)
-			c.LetGo()
-		}, true, 1, 0},
-		{"it gives up after the offer", func(t *testing.T, path string) {
-			x := requestUntilOffered(t, path)
-			x.Drop()
-		}, false, 0, 0},
-		{"it dies while it waits", func(t *testing.T, path string) {
-			x := requestUntilOffered(t, path)
-			require.NoError(t, send(x.conn, message{Step: stepReady}, nil))
-			x.Drop()
-		}, false, 1, 1},
-		{"it dies before it serves", func(t *testing.T, path string) {
-			x := requestUntilOffered(t, path)
-			c, err := x.Claim()
-			require.NoError(t, err)
-			x.Drop()
-			time.Sleep(3 * lockRetryInterval) // the claim falls free when it is dead
-			c.LetGo()
-			time.Sleep(3 * lockRetryInterval)
-		}, false, 1, 1},
-		{"a second one meanwhile", func(t *testing.T, path string) {
-			x := requestUntilOffered(t, path)
-			_, err := Take(path)
-			assert.ErrorIs(t, err, ErrBusy)
-			c, err := x.Claim()
-			require.NoError(t, err)
-			defer c.LetGo()
-			_, err = Take(path)
-			assert.ErrorIs(t, err, ErrBusy)
-			x.Started(true)
-			x.Drop()
-		}, true, 1, 0},
-		{"noise", func(t *testing.T, path string) {
-			var conn *net.UnixConn
-			require.Eventually(t, func() bool { // the path is there from bind on, a dial is refused until listen
-				var err error
-				conn, err = net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
-				return err == nil
-			}, 5*time.Second, time.Millisecond)
-			_, err := conn.Write([]byte("{"))
-			require.NoError(t, err)
-			_, err = conn.Read(make([]byte, 9))
-			assert.ErrorIs(t, err, io.EOF)
-			conn.Close()
-		}, false, 0, 0},
+		{"all well", takeOver, true, 1, 0},
+		{"it serves but can't say so", takeOverSilently, true, 1, 0},
+		{"it gives up after the offer", giveUpAfterOffer, false, 0, 0},
+		{"it dies while it waits", dieWhenReady, false, 1, 1},
+		{"it dies before it serves", dieWithLock, false, 1, 1},
+		{"a second one meanwhile", takeOverBeforeAnother, true, 1, 0},
+		{"noise", sendNoise, false, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l, err := net.Listen("tcp", "127.0.0.1:0")
-			require.NoError(t, err)
-			defer l.Close()
-			f, err := l.(*net.TCPListener).File()
-			require.NoError(t, err)
-			defer f.Close()
-			stops, resumes := 0, 0
-			path := filepath.Join(t.TempDir(), "handover.sock")
-			claim, err := GetClaim(path)
+			l, file := listenTCP(t)
+			defer mustClose(t, l)
+			defer mustClose(t, file)
+			socket := filepath.Join(t.TempDir(), "handover.sock")
+			lock, err := GetClaim(socket)
 			require.NoError(t, err)
-			_, err = GetClaim(path)
+			_, err = GetClaim(socket)
 			require.ErrorIs(t, err, ErrHeld)
+			stops := 0
+			resumes := 0
+			handoff := Offer{
+				Files:    map[string]*os.File{"streams": file},
+				Patience: patience,
+				Stop:     func() { stops++; lock.LetGo() },
+				Resume:   func(again *Claimed) { resumes++; again.LetGo() },
+			}
 			ctx, cancel := context.WithCancel(t.Context())
 			taken := make(chan bool, 1)
 			go func() {
-				o := Offer{Files: map[string]*os.File{"streams": f}, Patience: patience, Stop: func() { stops++; claim.LetGo() },
-					Resume: func(c *Claimed) { resumes++; c.LetGo() }}
-				ok, err := o.Serve(ctx, path)
+				ok, err := handoff.Serve(ctx, socket)
 				assert.NoError(t, err)
 				taken <- ok
 			}()
-			require.Eventually(t, func() bool { _, err := os.Stat(path); return err == nil }, 5*time.Second, time.Millisecond)
-			c.take(t, path)
+			awaitSocket(t, socket)
+			c.take(t, socket)
 			if !c.taken {
 				time.Sleep(50 * time.Millisecond)
 				cancel()
@@ -135,38 +121,93 @@
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
 
-// TestListenerPassed shows that a connection which came while nobody accepted is served by the one that took over.
-func TestListenerPassed(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func takeOver(t *testing.T, socket string) {
+	takeover, lock := claimed(t, socket)
+	defer lock.LetGo()
+	takeover.Started(true)
+	takeover.Drop()
+}
+
+// takeOverSilently holds the lock for longer than the predecessor's patience.
+func takeOverSilently(t *testing.T, socket string) {
+	takeover, lock := claimed(t, socket)
+	takeover.Drop()
+	time.Sleep((patience + 4) * lockRetryInterval)
+	lock.LetGo()
+}
+
+func giveUpAfterOffer(t *testing.T, socket string) {
+	requestUntilOffered(t, socket).Drop()
+}
+
+func dieWhenReady(t *testing.T, socket string) {
+	takeover := requestUntilOffered(t, socket)
+	require.NoError(t, send(takeover.conn, message{Step: stepReady}, nil))
+	takeover.Drop()
+}
+
+// dieWithLock releases the lock within the predecessor's patience, as the kernel does when a process is dead.
+func dieWithLock(t *testing.T, socket string) {
+	takeover, lock := claimed(t, socket)
+	takeover.Drop()
+	time.Sleep(3 * lockRetryInterval)
+	lock.LetGo()
+	time.Sleep(3 * lockRetryInterval)
+}
+
+func takeOverBeforeAnother(t *testing.T, socket string) {
+	takeover := requestUntilOffered(t, socket)
+	_, err := Take(socket)
+	assert.ErrorIs(t, err, ErrBusy)
+	lock, err := takeover.Claim()
 	require.NoError(t, err)
-	f, err := l.(*net.TCPListener).File()
+	defer lock.LetGo()
+	_, err = Take(socket)
+	assert.ErrorIs(t, err, ErrBusy)
+	takeover.Started(true)
+	takeover.Drop()
+}
+
+func sendNoise(t *testing.T, socket string) {
+	conn := dialSocket(t, socket)
+	defer mustClose(t, conn)
+	_, err := conn.Write([]byte("{"))
 	require.NoError(t, err)
+	_, err = conn.Read(make([]byte, 9))
+	assert.ErrorIs(t, err, io.EOF)
+}
+
+// TestListenerPassed shows that a connection which came while nobody accepted is served by the process that took over.
+func TestListenerPassed(t *testing.T) {
+	l, file := listenTCP(t)
 	address := l.Addr().String()
-	path := filepath.Join(t.TempDir(), "handover.sock")
+	socket := filepath.Join(t.TempDir(), "handover.sock")
 	done := make(chan bool, 1)
 	go func() {
-		o := Offer{Files: map[string]*os.File{"streams": f}, Stop: func() { l.Close() }, Resume: func(*Claimed) {}}
-		ok, _ := o.Serve(t.Context(), path)
-		f.Close()
+		handoff := Offer{
+			Files:  map[string]*os.File{"streams": file},
+			Stop:   func() { mustClose(t, l) },
+			Resume: func(*Claimed) {},
+		}
+		ok, _ := handoff.Serve(t.Context(), socket)
+		mustClose(t, file)
 		done <- ok
 	}()
-	require.Eventually(t, func() bool { _, err := os.Stat(path); return err == nil }, 5*time.Second, time.Millisecond)
-	x := requestUntilOffered(t, path)
-	claim, err := x.Claim()
-	require.NoError(t, err)
-	defer claim.LetGo()
-	c, err := net.Dial("tcp", address) // nobody accepts now
+	awaitSocket(t, socket)
+	takeover, lock := claimed(t, socket)
+	defer lock.LetGo()
+	client, err := net.Dial("tcp", address) // nobody accepts now
 	require.NoError(t, err)
-	defer c.Close()
-	x.Started(true)
+	defer mustClose(t, client)
+	takeover.Started(true)
 	assert.True(t, <-done)
-	s, err := x.Listeners["streams"].Accept()
+	server, err := takeover.Listeners["streams"].Accept()
 	require.NoError(t, err)
-	_, err = s.Write([]byte("hello"))
+	_, err = server.Write([]byte("hello"))
 	require.NoError(t, err)
-	s.Close()
-	b, err := io.ReadAll(c)
+	mustClose(t, server)
+	got, err := io.ReadAll(client)
 	require.NoError(t, err)
-	assert.Equal(t, "hello", string(b))
-	x.Drop()
+	assert.Equal(t, "hello", string(got))
+	takeover.Drop()
 }
--- a/internal/handover/lock.go
+++ b/internal/handover/lock.go
@@ -7,28 +7,34 @@
 	"syscall"
 )
 
-// Claimed is a claim that is held: a lock on a file that the kernel frees when its holder dies.
+// lockSuffix ends the name of the lock's file, which lies beside the handover socket.
+const lockSuffix = ".lock"
+
+// Claimed is the lock that a process holds while it serves: one on a file, which the kernel releases when the process
+// dies.
 type Claimed struct{ file *os.File }
 
-// GetClaim takes the claim that belongs to a handover socket, if nobody has it.
+// GetClaim takes the lock that belongs to a handover socket. It never waits: if another process holds it, the error is
+// ErrHeld.
 func GetClaim(socket string) (*Claimed, error) {
-	f, err := os.OpenFile(socket+".lock", os.O_CREATE|os.O_RDWR, 0o600)
+	file, err := os.OpenFile(socket+lockSuffix, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("claim: %w", err)
 	}
-	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		_ = f.Close()
-		if errors.Is(err, syscall.EWOULDBLOCK) {
-			return nil, fmt.Errorf("%s: %w", socket, ErrHeld)
-		}
-		return nil, fmt.Errorf("claim: %w", err)
+	err = syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
+	if err == nil {
+		return &Claimed{file}, nil
+	}
+	_ = file.Close() // nothing was written
+	if errors.Is(err, syscall.EWOULDBLOCK) {
+		return nil, fmt.Errorf("%s: %w", socket, ErrHeld)
 	}
-	return &Claimed{f}, nil
+	return nil, fmt.Errorf("claim: %w", err)
 }
 
-// LetGo gives the claim up. Of a claim that is not held nothing is done.
+// LetGo releases the lock. Of one that is not held, or nil, nothing is done.
 func (c *Claimed) LetGo() {
 	if c != nil {
-		_ = c.file.Close()
+		_ = c.file.Close() // closes it once; again does nothing
 	}
 }
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -10,93 +10,132 @@
 	"time"
 )
 
-// The steps, each a line of JSON: the new one asks, the old one offers listeners, the new one is ready, the old one has
-// stopped and lets it go, the new one serves.
+// protocolVersion is the version of the messages. Sides of different versions do not hand over.
+const protocolVersion = 1
+
+// The steps of a handover, each a message of one side.
 const (
-	stepRequest     = "take"
-	stepOffer       = "offer"
-	stepBusy        = "busy"
-	stepReady       = "ready"
-	stepGo          = "go"
-	stepServing     = "serving"
-	protocolVersion = 1
+	stepRequest = "take"    // successor: it wants to take over
+	stepOffer   = "offer"   // predecessor: the listeners come along
+	stepBusy    = "busy"    // predecessor: it is handing over to another process
+	stepReady   = "ready"   // successor: it can start
+	stepGo      = "go"      // predecessor: it has stopped
+	stepServing = "serving" // successor: it serves
 )
 
+// Within is how long a side waits for each step of the other, and for its own message to go out.
+const Within = 20 * time.Second
+
+// maxMessageBytes bounds a message, and the files that come along, as they are in its control data.
 const maxMessageBytes = 4096
 
+// message is one packet on the socket, as JSON.
 type message struct {
 	Version int
 	Step    string
-	Names   []string `json:",omitempty"` // of the listeners that come along
+	Names   []string `json:",omitempty"` // of the listeners that come along, in their order
 }
 
-func send(c *net.UnixConn, m message, files []*os.File) error {
+// send sends a message, with files if there are any.
+func send(conn *net.UnixConn, m message, files []*os.File) error {
 	m.Version = protocolVersion
-	b, err := json.Marshal(m)
+	text, err := json.Marshal(m)
 	if err != nil {
 		return err
 	}
-	var fds []int
-	for _, f := range files {
-		fds = append(fds, int(f.Fd()))
+	var descriptors []int
+	for _, file := range files {
+		descriptors = append(descriptors, int(file.Fd()))
 	}
-	_ = c.SetWriteDeadline(time.Now().Add(Within))
-	if _, _, err := c.WriteMsgUnix(b, syscall.UnixRights(fds...), nil); err != nil {
+	_ = conn.SetWriteDeadline(time.Now().Add(Within)) // fails only if the write below does
+	if _, _, err := conn.WriteMsgUnix(text, syscall.UnixRights(descriptors...), nil); err != nil {
 		return fmt.Errorf("say %s: %w", m.Step, err)
 	}
 	return nil
 }
 
 // expect waits for a message of a step that brings no files; those that come all the same are closed.
-func expect(c *net.UnixConn, step string, within time.Duration) error {
-	_, files, err := receive(c, step, within)
+func expect(conn *net.UnixConn, step string, within time.Duration) error {
+	_, files, err := receive(conn, step, within)
 	closeFiles(files)
 	return err
 }
 
-// receive reads the next message, which is to be of a step, with the files that come along.
-func receive(c *net.UnixConn, step string, within time.Duration) (message, []*os.File, error) {
-	b, oob := make([]byte, maxMessageBytes), make([]byte, maxMessageBytes)
-	_ = c.SetReadDeadline(time.Now().Add(within))
-	n, on, flags, _, err := c.ReadMsgUnix(b, oob)
+// receive waits for the next message, which is to be of a step, and returns it with the files that came along. With an
+// error there are none: they are closed.
+func receive(conn *net.UnixConn, step string, within time.Duration) (message, []*os.File, error) {
+	p, err := readPacket(conn, step, within)
+	if err != nil {
+		return message{}, nil, err
+	}
+	files, err := p.files()
+	var m message
+	if err == nil {
+		m, err = p.message(step)
+	}
+	if err != nil {
+		closeFiles(files)
+		return m, nil, err
+	}
+	return m, files, nil
+}
+
+// packet is a message as it came.
+type packet struct {
+	text    []byte
+	control []byte // holds the descriptors of the files
+	flags   int    // of the system
+}
+
+// readPacket waits for a packet. An empty one is the end of the connection.
+func readPacket(conn *net.UnixConn, step string, within time.Duration) (packet, error) {
+	text := make([]byte, maxMessageBytes)
+	control := make([]byte, maxMessageBytes)
+	_ = conn.SetReadDeadline(time.Now().Add(within)) // fails only if the read below does
+	n, controlLen, flags, _, err := conn.ReadMsgUnix(text, control)
 	if err != nil || n == 0 {
-		return message{}, nil, errors.Join(fmt.Errorf("wait for %s: %w", step, ErrBroken), err)
+		return packet{}, errors.Join(fmt.Errorf("wait for %s: %w", step, ErrBroken), err)
 	}
+	return packet{text: text[:n], control: control[:controlLen], flags: flags}, nil
+}
+
+// files returns the files that came along. They are the caller's to close, also with an error.
+func (p *packet) files() ([]*os.File, error) {
 	var files []*os.File
-	controls, err := syscall.ParseSocketControlMessage(oob[:on])
+	controls, err := syscall.ParseSocketControlMessage(p.control)
 	for i := range controls {
-		fds, ferr := syscall.ParseUnixRights(&controls[i])
-		err = errors.Join(err, ferr)
-		for _, fd := range fds {
+		descriptors, rightsErr := syscall.ParseUnixRights(&controls[i])
+		err = errors.Join(err, rightsErr)
+		for _, fd := range descriptors {
 			syscall.CloseOnExec(fd)
 			files = append(files, os.NewFile(uintptr(fd), "listener"))
 		}
 	}
-	var m message
-	if flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0 {
+	if p.flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0 {
 		err = errors.Join(err, fmt.Errorf("longer than %d bytes: %w", maxMessageBytes, ErrBroken))
 	}
-	if err == nil {
-		err = json.Unmarshal(b[:n], &m)
+	return files, err
+}
+
+// message parses the text, which is to be of this version and of a step.
+func (p *packet) message(step string) (message, error) {
+	var m message
+	if err := json.Unmarshal(p.text, &m); err != nil {
+		return m, err
 	}
 	switch {
-	case err != nil:
 	case m.Version != protocolVersion:
-		err = fmt.Errorf("version %d, %d is spoken: %w", m.Version, protocolVersion, ErrBroken)
+		return m, fmt.Errorf("version %d, %d is spoken: %w", m.Version, protocolVersion, ErrBroken)
 	case m.Step == stepBusy:
-		err = ErrBusy
+		return m, ErrBusy
 	case m.Step != step:
-		err = fmt.Errorf("%q where %q was due: %w", m.Step, step, ErrBroken)
+		return m, fmt.Errorf("%q where %q was due: %w", m.Step, step, ErrBroken)
 	}
-	if err != nil {
-		closeFiles(files)
-		return m, nil, err
-	}
-	return m, files, nil
+	return m, nil
 }
 
 func closeFiles(files []*os.File) {
-	for _, f := range files {
-		_ = f.Close()
+	for _, file := range files {
+		_ = file.Close() // a handle of this process; the listener itself is not touched
 	}
 }
--- a/internal/handover/takeover.go
+++ b/internal/handover/takeover.go
@@ -4,92 +4,119 @@
 	"errors"
 	"fmt"
 	"net"
+	"os"
 
 	"indigousher/recovery"
 )
 
-// Taking is what the new process has been offered.
+// Taking is the side that takes over: a new process that has been offered the listeners. Claim comes first, then Started
+// or Drop.
 type Taking struct {
-	conn      *net.UnixConn
-	socket    string
-	machine   *recovery.New
-	Listeners map[string]net.Listener
+	Listeners map[string]net.Listener // by name; the caller's to close after Claim
+
+	conn    *net.UnixConn
+	socket  string
+	machine *recovery.New
 }
 
-// Take asks a running process for its listeners.
-func Take(path string) (*Taking, error) {
-	c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
+// Take asks the process that runs for its listeners. The error is ErrBusy if it is handing over to another one, and
+// os.ErrNotExist if there is no handover socket.
+func Take(socket string) (*Taking, error) {
+	conn, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: socket, Net: "unixpacket"})
 	if err != nil {
 		return nil, fmt.Errorf("take over: %w", err)
 	}
-	t := &Taking{conn: c, socket: path, machine: recovery.NewSide(), Listeners: map[string]net.Listener{}}
-	if err := send(c, message{Step: stepRequest}, nil); err != nil {
-		return nil, errors.Join(err, c.Close())
+	t := &Taking{
+		Listeners: map[string]net.Listener{},
+		conn:      conn,
+		socket:    socket,
+		machine:   recovery.NewSide(),
+	}
+	if err := t.requestListeners(); err != nil {
+		t.Drop()
+		return nil, err
 	}
-	m, files, err := receive(c, stepOffer, Within)
+	return t, nil
+}
+
+// requestListeners sends the request and takes in the offer.
+func (t *Taking) requestListeners() error {
+	if err := send(t.conn, message{Step: stepRequest}, nil); err != nil {
+		return err
+	}
+	m, files, err := receive(t.conn, stepOffer, Within)
 	if err != nil {
-		return nil, errors.Join(fmt.Errorf("take over: %w", err), c.Close())
+		return fmt.Errorf("take over: %w", err)
 	}
-	defer closeFiles(files)
+	defer closeFiles(files) // the listeners have their own handles
 	if len(files) != len(m.Names) {
-		return nil, errors.Join(fmt.Errorf("%d listeners, %d names: %w", len(files), len(m.Names), ErrBroken), c.Close())
+		return fmt.Errorf("%d listeners, %d names: %w", len(files), len(m.Names), ErrBroken)
 	}
-	for i, f := range files {
-		l, err := net.FileListener(f)
+	return t.addListeners(m.Names, files)
+}
+
+func (t *Taking) addListeners(names []string, files []*os.File) error {
+	for i, file := range files {
+		listener, err := net.FileListener(file)
 		if err != nil {
-			t.Drop()
-			return nil, fmt.Errorf("take over %s: %w", m.Names[i], err)
+			return fmt.Errorf("take over %s: %w", names[i], err)
 		}
-		t.Listeners[m.Names[i]] = l
+		t.Listeners[names[i]] = listener
 	}
-	return t, nil
+	return nil
 }
 
-// Claim says that all that can be checked is good, waits until the old pilot has stopped and takes the claim. If the old
-// process is lost instead, the claim tells whether it still serves.
+// Claim says that all that can be checked is good, waits until the old process has stopped its controller and takes the
+// lock. If the old process is lost instead, the lock tells whether it still serves.
 func (t *Taking) Claim() (*Claimed, error) {
-	e := recovery.Offered
-	var why error
+	event := recovery.Offered
+	var failure error // what led to the end
 	for {
-		switch t.machine.Next(e) {
+		switch t.machine.Next(event) {
 		case recovery.SayReady:
-			e = recovery.GoCame
-			if why = send(t.conn, message{Step: stepReady}, nil); why == nil {
-				why = expect(t.conn, stepGo, Within)
-			}
-			if why != nil {
-				e = recovery.Lost
+			event = recovery.GoCame
+			if failure = t.awaitStop(); failure != nil {
+				event = recovery.Lost
 			}
 		case recovery.Claim:
-			c, err := GetClaim(t.socket)
+			lock, err := GetClaim(t.socket)
 			if err == nil {
 				t.machine.Next(recovery.Claimed)
-				return c, nil
+				return lock, nil
 			}
-			e, why = recovery.Refused, errors.Join(why, err)
+			event = recovery.Refused
+			failure = errors.Join(failure, err)
 		default:
-			return nil, fmt.Errorf("take over: %w", why)
+			return nil, fmt.Errorf("take over: %w", failure)
 		}
 	}
 }
 
-// Started tells whether the pilot runs; if so the old process is told, and ends. That it can't be told changes nothing:
-// who holds the claim serves.
+// awaitStop says that this process can start and waits until the old one has stopped its controller.
+func (t *Taking) awaitStop() error {
+	if err := send(t.conn, message{Step: stepReady}, nil); err != nil {
+		return err
+	}
+	return expect(t.conn, stepGo, Within)
+}
+
+// Started reports whether the controller runs; if so the old process is told, and ends. That it can't be told changes
+// nothing: who holds the lock serves.
 func (t *Taking) Started(runs bool) {
-	e := recovery.Started
+	event := recovery.Started
 	if !runs {
-		e = recovery.Failed
+		event = recovery.Failed
 	}
-	if t.machine.Next(e) == recovery.SayServing {
+	if t.machine.Next(event) == recovery.SayServing {
 		_ = send(t.conn, message{Step: stepServing}, nil)
 	}
 	_ = t.conn.Close()
 }
 
-// Drop gives up; the old process goes on.
+// Drop gives up: the old process goes on.
 func (t *Taking) Drop() {
-	for _, l := range t.Listeners {
-		_ = l.Close()
+	for _, listener := range t.Listeners {
+		_ = listener.Close() // a handle of this process
 	}
 	_ = t.conn.Close()
 }
