--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -12,107 +12,136 @@
 	"indigousher/internal/terms"
 )
 
-// Host runs a pilot's process: the pilot, and what lets a new process take over from it or it from an old one.
+// errNoSocket says that a takeover was asked for without a handover socket.
+var errNoSocket = errors.New("take over: the terms name no handover socket")
+
+// Host runs a controller's process: the controller, its takeover from another process, and its handoff to one.
 type Host struct {
-	config   *terms.Pilot
-	options  Outfit
-	mu       sync.Mutex
-	daemon   *Daemon
-	stop     context.CancelFunc
-	ended    chan error
-	files    map[string]*os.File
-	lock     *handover.Claimed // where a handover socket is told: nobody else serves meanwhile
-	replaced chan error        // the offer has ended
-	faults   chan error        // the pilot ended by itself
+	config  *terms.Pilot
+	options Outfit
+
+	mu     sync.Mutex // guards what follows; files is set once, by the first start
+	daemon *Daemon    // that runs, or ran last
+	stop   context.CancelFunc
+	ended  chan error          // has the error of the daemon's run once it has ended
+	files  map[string]*os.File // handles on the listeners, of the first daemon; they outlive each
+	lock   *handover.Claimed   // nil without a handover socket; with it nobody else serves meanwhile
+
+	replaced chan error // the handoff has ended: another process has taken over, or it failed
+	faults   chan error // the daemon has ended by itself
 }
 
-// Begin starts a pilot; with takeOver it is taken over from the process that runs.
-func Begin(ctx context.Context, t *terms.Pilot, o Outfit, takeOver bool) (*Host, error) {
+// Begin starts a controller; with takeOver it is taken over from the process that runs.
+func Begin(ctx context.Context, cfg *terms.Pilot, o Outfit, takeOver bool) (*Host, error) {
 	o.setDefaults()
-	h := &Host{config: t, options: o, faults: make(chan error, 1)}
-	if !takeOver {
-		if t.Handover != "" {
-			var err error
-			if h.lock, err = handover.GetClaim(t.Handover); err != nil {
-				return nil, err
-			}
-		}
-		if err := h.start(ctx); err != nil {
-			h.lock.LetGo()
-			return nil, err
-		}
-		h.serveHandoff(ctx)
-		return h, nil
-	}
-	if t.Handover == "" {
-		return nil, errors.New("take over: the terms name no handover socket")
+	h := &Host{config: cfg, options: o, faults: make(chan error, 1)}
+	var err error
+	if takeOver {
+		err = h.takeOver(ctx)
+	} else {
+		err = h.startFirst(ctx)
 	}
-	taking, err := handover.Take(t.Handover)
 	if err != nil {
 		return nil, err
 	}
-	if h.lock, err = taking.Claim(); err != nil {
-		taking.Drop()
-		return nil, err
+	h.serveHandoff(ctx)
+	return h, nil
+}
+
+// startFirst starts the controller when no other process runs it, which the lock tells.
+func (h *Host) startFirst(ctx context.Context) error {
+	if h.config.Handover != "" {
+		lock, err := handover.GetClaim(h.config.Handover)
+		if err != nil {
+			return err
+		}
+		h.lock = lock
 	}
-	h.options.Listeners = taking.Listeners
-	err = h.start(ctx)
+	if err := h.start(ctx); err != nil {
+		h.lock.LetGo()
+		return err
+	}
+	return nil
+}
+
+// takeOver starts the controller on the listeners of the process that runs it, once that has stopped.
+func (h *Host) takeOver(ctx context.Context) error {
+	if h.config.Handover == "" {
+		return errNoSocket
+	}
+	takeover, err := handover.Take(h.config.Handover)
 	if err != nil {
-		h.lock.LetGo() // before the old one hears of it
-		taking.Drop()
-		return nil, err
+		return err
 	}
-	taking.Started(true)
-	h.serveHandoff(ctx)
-	return h, nil
+	if h.lock, err = takeover.Claim(); err != nil {
+		takeover.Drop()
+		return err
+	}
+	h.options.Listeners = takeover.Listeners
+	if err := h.start(ctx); err != nil {
+		h.lock.LetGo() // before the old process hears of it
+		takeover.Drop()
+		return err
+	}
+	takeover.Started(true)
+	return nil
 }
 
-// start begins the pilot, on the listeners that the host has.
+// start makes a daemon, on the listeners that the host has, and runs it. Its goroutine ends when the run does, by stop, by
+// the end of ctx or by a fault.
 func (h *Host) start(ctx context.Context) error {
 	d, err := New(h.config, h.options)
 	if err != nil {
 		return err
 	}
-	dctx, stop := context.WithCancel(ctx)
+	ctx, stop := context.WithCancel(ctx)
 	ended := make(chan error, 1)
-	h.mu.Lock()
-	h.daemon, h.stop, h.ended = d, stop, ended
-	if h.files == nil {
-		h.files = d.Files()
-	} else {
-		closeFiles(d.Files())
-	}
-	h.mu.Unlock()
+	h.setDaemon(d, stop, ended)
 	go func() {
-		err := d.Run(dctx)
+		err := d.Run(ctx)
 		ended <- err
-		if dctx.Err() == nil { // by a fault, not asked
+		if ctx.Err() == nil { // by a fault, not asked
 			h.faults <- err
 		}
 	}()
 	return nil
 }
 
-// halt ends the pilot and its record; the files stay open.
+// setDaemon notes the daemon that runs. Handles on the listeners are kept of the first one.
+func (h *Host) setDaemon(d *Daemon, stop context.CancelFunc, ended chan error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.daemon = d
+	h.stop = stop
+	h.ended = ended
+	if h.files == nil {
+		h.files = d.Files()
+	} else {
+		closeFiles(d.Files())
+	}
+}
+
+// halt ends the controller and its record; the listeners' files stay open.
 func (h *Host) halt() {
 	h.mu.Lock()
-	stop, ended := h.stop, h.ended
+	stop := h.stop
+	ended := h.ended
 	h.mu.Unlock()
 	stop()
 	if err := <-ended; err != nil {
 		h.options.Log.Error("pilot ended", zap.Error(err))
 	}
-	ended <- nil
+	ended <- nil // for whoever waits next
 }
 
-// Daemon returns the pilot that runs.
+// Daemon returns the controller that runs.
 func (h *Host) Daemon() *Daemon {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.daemon
 }
 
-// Wait returns when the pilot has ended: asked by ctx, by a fault, or as another process has taken over.
+// Wait returns when the controller has ended: asked by ctx, by a fault, or as another process has taken over.
 func (h *Host) Wait(ctx context.Context) error {
 	defer h.close()
 	h.mu.Lock()
@@ -140,15 +169,15 @@
 	h.release()
 }
 
-func closeFiles(files map[string]*os.File) {
-	for _, f := range files {
-		_ = f.Close()
-	}
-}
-
-// release gives up the claim to serve.
+// release releases the lock: another process may serve.
 func (h *Host) release() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lock.LetGo()
 }
+
+func closeFiles(files map[string]*os.File) {
+	for _, file := range files {
+		_ = file.Close() // a second handle; nothing is lost with it
+	}
+}
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -10,22 +10,18 @@
 	"indigousher/internal/terms"
 )
 
-// Reload takes over what may change of new terms and returns what does so at once and what wants a restart. The
-// fields that want one keep their old values.
-func (d *Daemon) Reload(ctx context.Context, now *terms.Pilot) (changed, restart []string, err error) {
-	changed, restart = terms.Reload(d.config.Load(), now)
+// Reload takes over what may change of a new configuration. It returns the names of the fields that have changed, and of
+// those that want a restart and keep their old values.
+func (d *Daemon) Reload(ctx context.Context, cfg *terms.Pilot) (changed, restart []string, err error) {
+	changed, restart = terms.Reload(d.config.Load(), cfg)
 	if len(changed) == 0 {
 		return nil, restart, nil
 	}
-	if err := d.loop.Post(ctx, pilot.Retermed{Terms: now.Live()}); err != nil {
+	if err := d.loop.Post(ctx, pilot.Retermed{Terms: cfg.Live()}); err != nil {
 		return nil, nil, fmt.Errorf("reload: %w", err)
 	}
-	if d.options.Level != nil {
-		if l, err := zap.ParseAtomicLevel(now.LogLevel); err == nil {
-			d.options.Level.SetLevel(l.Level())
-		}
-	}
-	d.config.Store(terms.Merge(d.config.Load(), now))
+	d.setLogLevel(cfg.LogLevel)
+	d.config.Store(terms.Merge(d.config.Load(), cfg))
 	if d.recording != nil {
 		if err := d.recording.updateSettings(d.config.Load()); err != nil {
 			d.options.Log.Error("terms not recorded; a return will start cold", zap.Error(err))
@@ -33,3 +29,13 @@
 	}
 	return changed, restart, nil
 }
+
+// setLogLevel sets the level of the log, if it can be set. The level was checked with the configuration.
+func (d *Daemon) setLogLevel(level string) {
+	if d.options.Level == nil {
+		return
+	}
+	if parsed, err := zap.ParseAtomicLevel(level); err == nil {
+		d.options.Level.SetLevel(parsed.Level())
+	}
+}
