--- /dev/null
+++ b/internal/daemon/core.go
@@ -0,0 +1,65 @@
+package daemon
+
+import (
+	"indigousher/internal/edge/peers"
+	"indigousher/internal/edge/probe"
+	"indigousher/internal/pilot"
+	"indigousher/internal/record"
+	"indigousher/internal/terms"
+)
+
+// buildCore makes the core and its loop: rebuilt from the record, or new.
+func (d *Daemon) buildCore(cfg *terms.Pilot) error {
+	options := d.coreOptions(cfg)
+	var resumeAtMs float64 // on the controller's clock; 0: it starts at 0
+	if cfg.RecordDir != "" {
+		rebuilt, err := d.openRecord(cfg)
+		if err != nil {
+			return err
+		}
+		options.Turn = d.newRecorder().Turn
+		if rebuilt != nil {
+			resumeAtMs = rebuilt.Now() + d.recording.Verdict.AwayMs
+			rebuilt.Recovered(options)
+			d.core = rebuilt
+		}
+	}
+	if d.core == nil {
+		d.core = pilot.NewCore(options)
+	}
+	d.loop = pilot.NewLoop(d.core, d.options.Clock, d.options.Log)
+	if resumeAtMs > 0 {
+		d.loop.GoOn(resumeAtMs)
+	}
+	return nil
+}
+
+// newRecorder returns what records the core's turns.
+func (d *Daemon) newRecorder() *record.Recorder {
+	checkpoint := func() []pilot.Input { return d.core.Checkpoint() } // the core is made after the recorder
+	return record.NewRecorder(d.recording.writer.Turn, checkpoint)
+}
+
+// replayOptions returns the options of a core that is being rebuilt: nothing that it commands reaches anybody.
+func (d *Daemon) replayOptions(cfg *terms.Pilot) pilot.Plan {
+	options := d.coreOptions(cfg)
+	options.Replayed = true
+	options.List = disabledSource{}
+	options.Prober = probe.Never{}
+	options.Peers = peers.Nobody{}
+	options.Meter = nil
+	options.Log = func(string) {}
+	options.Odd = func(string, ...string) {}
+	options.LinesPerS = 0 // not paced: the channel leads nowhere
+	options.Backlog = 0
+	return options
+}
+
+// disabledSource is a source of the endpoint list that is not asked.
+type disabledSource struct{}
+
+// Watch does nothing.
+func (disabledSource) Watch(bool) {}
+
+// Fetch does nothing.
+func (disabledSource) Fetch() {}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -20,47 +20,55 @@
 	"indigousher/internal/terms"
 )
 
-// endpointSource is a list source that runs.
+// endpointSource is a source of the endpoint list that runs.
 type endpointSource interface {
 	pilot.ListSource
 	Run(ctx context.Context) error
 }
 
-// Daemon is one pilot.
+// Daemon is one controller.
 type Daemon struct {
-	config         atomic.Pointer[terms.Pilot]
-	options        Outfit
-	registry       *prometheus.Registry
-	metrics        *pilot.Meter
-	core           *pilot.Core
-	recording      *recording
-	loop           *pilot.Loop
+	config   atomic.Pointer[terms.Pilot] // as it stands after the last reload
+	options  Outfit
+	registry *prometheus.Registry
+	metrics  *pilot.Meter
+
+	core      *pilot.Core
+	loop      *pilot.Loop
+	recording *recording // nil: nothing is recorded
+
+	// The transports; those that the configuration does not ask for are nil.
 	framedServer   *framed.Server
+	grpcServer     *grpcedge.Server
+	xdsServer      *xdsedge.Server // with grpcServer, on the same listener
 	endpointSource endpointSource
 	healthChecker  *probe.Prober
 	gossip         *peers.Post
-	grpcServer     *grpcedge.Server
-	xdsServer      *xdsedge.Server
-	keyStore       *keys.Ring
+	keyStore       *keys.Ring // nil: all is in plain text
+
+	// The listeners, and handles on them that may be handed over.
 	streamListener net.Listener
 	grpcListener   net.Listener
 	adminListener  net.Listener
-	files          map[string]*os.File
-	running        context.Context
-	terminate      context.CancelFunc
-	killed         atomic.Bool
+	listenerFiles  map[string]*os.File
+
+	running   context.Context // ends when everything is to end at once
+	terminate context.CancelFunc
+	killed    atomic.Bool // by Kill
 }
 
-// New opens the listeners and builds the pilot. Nothing runs before Run.
-func New(t *terms.Pilot, o Outfit) (*Daemon, error) {
+// New opens the listeners and assembles the controller. Nothing runs before Run.
+func New(cfg *terms.Pilot, o Outfit) (*Daemon, error) {
 	o.setDefaults()
-	d := &Daemon{options: o, registry: prometheus.NewRegistry(), files: map[string]*os.File{}}
-	d.config.Store(t)
+	d := &Daemon{options: o, registry: prometheus.NewRegistry(), listenerFiles: map[string]*os.File{}}
+	d.config.Store(cfg)
 	d.metrics = pilot.NewMeter(d.registry)
-	d.registry.MustRegister(collectors.NewGoCollector(),
-		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
+	d.registry.MustRegister(
+		collectors.NewGoCollector(),
+		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
+	)
 	d.running, d.terminate = context.WithCancel(context.Background())
-	if err := d.assemble(t); err != nil {
+	if err := d.assemble(cfg); err != nil {
 		if d.recording != nil {
 			err = errors.Join(err, d.recording.close())
 		}
@@ -70,27 +78,8 @@
 	return d, nil
 }
 
-// Address returns where proxies join.
-func (d *Daemon) Address() string { return d.streamListener.Addr().String() }
-
-// GRPCAddress returns where proxies join over gRPC, or nothing.
-func (d *Daemon) GRPCAddress() string {
-	if d.grpcListener == nil {
-		return ""
-	}
-	return d.grpcListener.Addr().String()
-}
-
-// AdminAddress returns where operators ask, or nothing.
-func (d *Daemon) AdminAddress() string {
-	if d.adminListener == nil {
-		return ""
-	}
-	return d.adminListener.Addr().String()
-}
-
 // State returns what the loop shows of itself.
 func (d *Daemon) State() pilot.State { return d.loop.State() }
 
-// Meter returns the runtime's metrics.
+// Meter returns the controller's metrics.
 func (d *Daemon) Meter() *pilot.Meter { return d.metrics }
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -12,29 +12,51 @@
 	"indigousher/internal/terms"
 )
 
-func (d *Daemon) openGossip(t *terms.Pilot) (pilot.Peers, error) {
-	if t.PeersListen == "" {
-		return peers.Nobody{}, nil
+// openGossip opens the socket between controllers, if the configuration names one.
+func (d *Daemon) openGossip(cfg *terms.Pilot) error {
+	if cfg.PeersListen == "" {
+		return nil
 	}
-	var secret *keys.Secret
-	if t.PeersSecret != "" {
-		var err error
-		if secret, err = keys.LoadSecret(t.PeersSecret); err != nil {
-			return nil, fmt.Errorf("listen for pilots: %w", err)
-		}
+	secret, err := loadGossipSecret(cfg.PeersSecret)
+	if err != nil {
+		return fmt.Errorf("listen for pilots: %w", err)
+	}
+	conn, err := net.ListenPacket("udp", cfg.PeersListen)
+	if err != nil {
+		return fmt.Errorf("listen for pilots: %w", err)
 	}
-	conn, err := net.ListenPacket("udp", t.PeersListen)
+	log := d.options.Log.Named("peers")
+	service, err := peers.Open(d.options.Packet(conn), cfg.Rank, addressesByRank(cfg.Peers), lateLoop{d}, log)
 	if err != nil {
-		return nil, fmt.Errorf("listen for pilots: %w", err)
+		return errors.Join(err, conn.Close())
+	}
+	service.Secret = secret
+	d.gossip = service
+	return nil
+}
+
+// loadGossipSecret returns the secret in a file; without a file there is none.
+func loadGossipSecret(file string) (*keys.Secret, error) {
+	if file == "" {
+		return nil, nil
 	}
-	ranks := map[int]string{}
-	for r, a := range t.Peers {
-		n, _ := strconv.Atoi(r) // checked with the terms
-		ranks[n] = a
+	return keys.LoadSecret(file)
+}
+
+// addressesByRank returns the controllers' addresses. Their ranks were checked with the configuration.
+func addressesByRank(addresses map[string]string) map[int]string {
+	byRank := map[int]string{}
+	for text, address := range addresses {
+		rank, _ := strconv.Atoi(text)
+		byRank[rank] = address
 	}
-	if d.gossip, err = peers.Open(d.options.Packet(conn), t.Rank, ranks, lateLoop{d}, d.options.Log.Named("peers")); err != nil {
-		return nil, errors.Join(err, conn.Close())
+	return byRank
+}
+
+// peersForCore returns the way to the other controllers, or one that leads nowhere.
+func (d *Daemon) peersForCore() pilot.Peers {
+	if d.gossip == nil {
+		return peers.Nobody{}
 	}
-	d.gossip.Secret = secret
-	return d.gossip, nil
+	return d.gossip
 }
--- /dev/null
+++ b/internal/daemon/healthcheck.go
@@ -0,0 +1,31 @@
+package daemon
+
+import (
+	"time"
+
+	"indigousher/internal/edge/probe"
+	"indigousher/internal/pilot"
+	"indigousher/internal/terms"
+)
+
+const (
+	// healthCheckTimeout is how long an endpoint may take to answer a health check.
+	healthCheckTimeout = time.Second
+	// maxHealthChecks is how many may run at once; a further one counts as denied.
+	maxHealthChecks = 64
+)
+
+// startHealthChecks makes the health checker, if the configuration asks for health checks.
+func (d *Daemon) startHealthChecks(cfg *terms.Pilot) {
+	if cfg.Probing {
+		d.healthChecker = probe.New(d.running, d.options.Dial, lateLoop{d}, healthCheckTimeout, maxHealthChecks)
+	}
+}
+
+// proberForCore returns the health checker, or one that checks nothing.
+func (d *Daemon) proberForCore() pilot.Prober {
+	if d.healthChecker == nil {
+		return probe.Never{}
+	}
+	return d.healthChecker
+}
--- a/internal/daemon/identity.go
+++ b/internal/daemon/identity.go
@@ -14,27 +14,40 @@
 	"indigousher/internal/terms"
 )
 
-// loadKeys loads the keys, if the terms name any, and shows when they end.
-func (d *Daemon) loadKeys(t *terms.Pilot) (err error) {
-	if t.Plain {
+const (
+	// expiryWarning is how long before the certificate's end warnings begin; long enough to issue another one by hand.
+	expiryWarning = 7 * 24 * time.Hour
+	// keyCheckInterval is how often the certificate's end and the files of keys are looked at.
+	keyCheckInterval = time.Minute
+)
+
+// loadKeys loads this controller's keys, unless the configuration has all in plain text, checks that they are its own,
+// and shows when they end.
+func (d *Daemon) loadKeys(cfg *terms.Pilot) error {
+	if cfg.Plain {
 		return nil
 	}
 	log := d.options.Log.Named("keys")
-	if d.keyStore, err = keys.Load(t.Keys, func(from net.Addr, err error) {
+	var err error
+	d.keyStore, err = keys.Load(cfg.Keys, func(from net.Addr, err error) {
 		log.Warn("peer not let in", zap.Stringer("from", from), zap.Error(err))
-	}); err != nil {
+	})
+	if err != nil {
 		return err
 	}
-	if i := d.keyStore.Identity(); i.Role != keys.Pilot || i.Name != t.Name || i.Zone != t.Zone {
-		return fmt.Errorf("keys: the certificate is of %s, this is pilot %s of %s", i, t.Name, t.Zone)
+	if own := d.keyStore.Identity(); own.Role != keys.Pilot || own.Name != cfg.Name || own.Zone != cfg.Zone {
+		return fmt.Errorf("keys: the certificate is of %s, this is pilot %s of %s", own, cfg.Name, cfg.Zone)
 	}
-	return d.registry.Register(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "indigousher",
-		Name: "certificate_expires_in_seconds", Help: "Time until this pilot's certificate ends."},
-		func() float64 { return time.Until(d.keyStore.Expires()).Seconds() }))
+	return d.registry.Register(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
+		Namespace: "indigousher",
+		Name:      "certificate_expires_in_seconds",
+		Help:      "Time until this pilot's certificate ends.",
+	}, func() float64 { return time.Until(d.keyStore.Expires()).Seconds() }))
 }
 
-// withTLS dials under TLS those who hold the list; endpoints are probed in plain text, as their proxies speak to them.
-func (d *Daemon) withTLS(dial func(context.Context, string, string) (net.Conn, error)) func(context.Context, string, string) (net.Conn, error) {
+// withTLS returns a dial that speaks TLS to the server of the endpoint list. Endpoints are checked in plain text, as their
+// proxies speak to them.
+func (d *Daemon) withTLS(dial dialFunc) dialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if err != nil || address != d.config.Load().ListAddress {
@@ -44,17 +57,12 @@
 	}
 }
 
-// watchKeys warns of keys that end soon and of files that can't be read.
+// watchKeys warns of keys that end soon and of files that can't be read, until ctx ends.
 func (d *Daemon) watchKeys(ctx context.Context) error {
-	tick := time.NewTicker(time.Minute)
+	tick := time.NewTicker(keyCheckInterval)
 	defer tick.Stop()
 	for {
-		if left := time.Until(d.keyStore.Expires()); left < expiryWarning {
-			d.options.Log.Warn("certificate ends soon", zap.Duration("in", left.Round(time.Second)))
-		}
-		if err := d.keyStore.Wrong(); err != nil {
-			d.options.Log.Error("keys can't be read anew, the old ones stand", zap.Error(err))
-		}
+		d.checkKeys()
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -62,3 +70,12 @@
 		}
 	}
 }
+
+func (d *Daemon) checkKeys() {
+	if left := time.Until(d.keyStore.Expires()); left < expiryWarning {
+		d.options.Log.Warn("certificate ends soon", zap.Duration("in", left.Round(time.Second)))
+	}
+	if err := d.keyStore.Wrong(); err != nil {
+		d.options.Log.Error("keys can't be read anew, the old ones stand", zap.Error(err))
+	}
+}
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -11,26 +11,28 @@
 	"indigousher/internal/pilot"
 )
 
-// Outfit is what a pilot is started with beside its terms. Zero fields get what ships.
+// dialTimeout is how long a dial of an endpoint or of the endpoint list may take.
+const dialTimeout = 2 * time.Second
+
+// dialFunc reaches an address.
+type dialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
+
+// Outfit is what a controller is started with beside its configuration. Zero fields get what ships.
 type Outfit struct {
-	Log    *zap.Logger
-	Level  *zap.AtomicLevel // set by a reload
-	Clock  pilot.Clock
-	Dial   func(ctx context.Context, network, address string) (net.Conn, error)
-	Packet func(net.PacketConn) net.PacketConn // wraps the socket between pilots
-	Decide func(seed int64, terms map[string]any) pilot.Decider
+	Log   *zap.Logger
+	Level *zap.AtomicLevel // of Log; set by a reload; nil: nothing is set
+	Clock pilot.Clock
+	// Dial reaches endpoints and the endpoint list.
+	Dial dialFunc
+	// Packet wraps the socket between controllers.
+	Packet func(net.PacketConn) net.PacketConn
+	// Decide makes the planner.
+	Decide func(seed int64, settings map[string]any) pilot.Decider
 	// Listeners that were taken over, by the names that Files gives; others are opened.
 	Listeners map[string]net.Listener
 }
 
-// listen takes a listener that was handed over, or opens one.
-func (o *Outfit) listen(name, address string) (net.Listener, error) {
-	if l := o.Listeners[name]; l != nil {
-		return l, nil
-	}
-	return net.Listen("tcp", address)
-}
-
+// setDefaults fills in what ships.
 func (o *Outfit) setDefaults() {
 	if o.Log == nil {
 		o.Log = zap.NewNop()
@@ -39,12 +41,20 @@
 		o.Clock = pilot.RealClock{}
 	}
 	if o.Dial == nil {
-		o.Dial = (&net.Dialer{Timeout: 2 * time.Second}).DialContext
+		o.Dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
 	}
 	if o.Packet == nil {
 		o.Packet = func(c net.PacketConn) net.PacketConn { return c }
 	}
 	if o.Decide == nil {
-		o.Decide = func(seed int64, terms map[string]any) pilot.Decider { return brain.New(seed, terms) }
+		o.Decide = func(seed int64, settings map[string]any) pilot.Decider { return brain.New(seed, settings) }
+	}
+}
+
+// listen returns a listener that was taken over, or opens one.
+func (o *Outfit) listen(name, address string) (net.Listener, error) {
+	if l := o.Listeners[name]; l != nil {
+		return l, nil
 	}
+	return net.Listen("tcp", address)
 }
--- a/internal/daemon/recording.go
+++ b/internal/daemon/recording.go
@@ -15,79 +15,110 @@
 	"indigousher/recovery"
 )
 
-// recording is the daemon's record: the store, the writer of this life, and how it began.
+// bytesPerMB converts the limit of the configuration.
+const bytesPerMB = 1 << 20
+
+// recording is the daemon's record: the store, the life that is written, and how it began.
 type recording struct {
 	store       *record.Store
 	writer      *record.Writer
+	life        string // ID of the one that is written
+	rebuiltFrom string // ID of the life before it, if this one goes on from there
+	fingerprint string // of the planner
+	settings    string // the planner's at the start, as a life keeps them
 	Verdict     recovery.Verdict
 	Took        time.Duration // of the recovery
-	rebuiltFrom string        // the life it was rebuilt from
-	life        string        // this one
 }
 
-// lifeID names a life so that names sort by start.
-func lifeID(t time.Time) string { return t.UTC().Format("20060102T150405.000000000") }
-
-// openRecord opens the store and rebuilds the core from the life before, if that is worth anything. What goes wrong with
-// a record is logged and never keeps a pilot from starting, but for a store that another process holds.
-func (d *Daemon) openRecord(t *terms.Pilot, plan *pilot.Plan, fresh func() pilot.Plan) (core *pilot.Core, offset float64, err error) {
-	store, err := record.Open(t.RecordDir, false)
-	if errors.Is(err, record.ErrTorn) {
-		path, aerr := record.SetAside(t.RecordDir)
-		d.options.Log.Error("records are torn and set aside", zap.String("file", path), zap.Error(errors.Join(err, aerr)))
-		store, err = record.Open(t.RecordDir, false)
-	}
+// openRecord opens the store, begins a new life in it, and returns a core rebuilt from the life before; nil for a cold
+// start. What is wrong with a record is logged and never keeps a controller from starting, but for a store that another
+// process holds.
+func (d *Daemon) openRecord(cfg *terms.Pilot) (*pilot.Core, error) {
+	store, err := d.openStore(cfg.RecordDir)
 	if err != nil {
-		return nil, 0, err
+		return nil, err
 	}
 	r := &recording{store: store}
-	d.recording = r
-	fingerprint := record.Fingerprint(d.options.Decide)
-	told, err := plannerSettings(t)
-	if err != nil {
-		return nil, 0, err
+	d.recording = r // New closes it after an error
+	r.fingerprint = record.Fingerprint(d.options.Decide)
+	if r.settings, err = plannerSettings(cfg); err != nil {
+		return nil, err
+	}
+	core := d.recoverOrStartCold(r, cfg)
+	if err := d.beginLife(r, cfg); err != nil {
+		return nil, err
+	}
+	return core, nil
+}
+
+// openStore opens the store. A damaged file is set aside for whoever wants to look, and a new one begun.
+func (d *Daemon) openStore(dir string) (*record.Store, error) {
+	store, err := record.Open(dir, false)
+	if !errors.Is(err, record.ErrTorn) {
+		return store, err
 	}
+	path, asideErr := record.SetAside(dir)
+	err = errors.Join(err, asideErr)
+	d.options.Log.Error("records are torn and set aside", zap.String("file", path), zap.Error(err))
+	return record.Open(dir, false)
+}
+
+// recoverOrStartCold returns a core rebuilt from the life before; nil for a cold start, also when the recovery fails.
+func (d *Daemon) recoverOrStartCold(r *recording, cfg *terms.Pilot) *pilot.Core {
 	began := time.Now()
-	if core, err = d.recover(r, t, fingerprint, told, fresh); err != nil {
+	core, err := d.recover(r, cfg)
+	if err != nil {
 		d.options.Log.Error("recovery failed, starting cold", zap.Error(err))
 		r.Verdict = recovery.Verdict{Why: "cold start: recovery failed"}
 	}
 	r.Took = time.Since(began)
 	d.options.Log.Info(r.Verdict.Why, zap.Duration("took", r.Took))
+	return core
+}
+
+// beginLife begins a new life in the store.
+func (d *Daemon) beginLife(r *recording, cfg *terms.Pilot) error {
 	r.life = lifeID(time.Now())
-	life := record.Life{ID: r.life, Pilot: t.Name, Seed: int64(t.Seed), Module: fingerprint, Terms: told, Started: time.Now(),
-		After: r.rebuiltFrom, TailMs: float64(t.RecoverTail.Milliseconds())}
-	if r.writer, err = record.NewWriter(store, life, record.Bounds{Bytes: int64(t.RecordMostMB * (1 << 20)), Age: t.RecordKeep,
-		Segment: record.DefaultBounds().Segment, Every: record.DefaultBounds().Every}, d.options.Log.Named("record")); err != nil {
-		return nil, 0, errors.Join(err, store.Close())
+	life := record.Life{
+		ID:      r.life,
+		Pilot:   cfg.Name,
+		Seed:    int64(cfg.Seed),
+		Module:  r.fingerprint,
+		Terms:   r.settings,
+		Started: time.Now(),
+		After:   r.rebuiltFrom,
+		TailMs:  float64(cfg.RecoverTail.Milliseconds()),
 	}
-	if core != nil {
-		offset = core.Now() + r.Verdict.AwayMs
-	}
-	recorder := record.NewRecorder(r.writer.Turn, func() []pilot.Input { return d.core.Checkpoint() })
-	plan.Turn = recorder.Turn
-	return core, offset, nil
+	limits := record.DefaultBounds()
+	limits.Bytes = int64(cfg.RecordMostMB * bytesPerMB)
+	limits.Age = cfg.RecordKeep
+	var err error
+	r.writer, err = record.NewWriter(r.store, life, limits, d.options.Log.Named("record"))
+	return err
 }
 
-// plannerSettings is what the module is told, as a life keeps it.
-func plannerSettings(t *terms.Pilot) (string, error) {
-	told, err := json.Marshal(t.ForModule(t.Rank))
+// lifeID names a life so that names sort by start.
+func lifeID(t time.Time) string { return t.UTC().Format("20060102T150405.000000000") }
+
+// plannerSettings returns the planner's settings as a life keeps them.
+func plannerSettings(cfg *terms.Pilot) (string, error) {
+	settings, err := json.Marshal(cfg.ForModule(cfg.Rank))
 	if err != nil {
 		return "", fmt.Errorf("record terms: %w", err)
 	}
-	return string(told), nil
+	return string(settings), nil
 }
 
-// updateSettings notes the terms of a reload, without which a return after it would be held for one on other terms.
-func (r *recording) updateSettings(t *terms.Pilot) error {
-	told, err := plannerSettings(t)
+// updateSettings stores the settings of a reload: without them a return would take the life for one of other settings.
+func (r *recording) updateSettings(cfg *terms.Pilot) error {
+	settings, err := plannerSettings(cfg)
 	if err != nil {
 		return err
 	}
-	return r.store.Reterm(r.life, told)
+	return r.store.Reterm(r.life, settings)
 }
 
-// close ends the record.
+// close closes the store. Nobody may write any more.
 func (r *recording) close() error { return r.store.Close() }
 
 // Records opens a store for reading.
--- a/internal/daemon/recover.go
+++ b/internal/daemon/recover.go
@@ -10,42 +10,64 @@
 	"indigousher/recovery"
 )
 
-// recover reads the last life and replays its end with orders held back.
-func (d *Daemon) recover(r *recording, t *terms.Pilot, fingerprint, told string, fresh func() pilot.Plan) (*pilot.Core, error) {
+// recover reads the last life and, if its record is good for it, returns a core rebuilt from its end, whose commands were
+// held back. It returns nil for a cold start.
+func (d *Daemon) recover(r *recording, cfg *terms.Pilot) (*pilot.Core, error) {
+	limits := recovery.Bounds{
+		TailMs: float64(cfg.RecoverTail.Milliseconds()),
+		GapMs:  float64(cfg.RecoverWithin.Milliseconds()),
+	}
 	lives, err := r.store.Lives()
 	if err != nil {
 		return nil, err
 	}
-	facts := recovery.Facts{Lives: len(lives)}
-	bounds := recovery.Bounds{TailMs: float64(t.RecoverTail.Milliseconds()), GapMs: float64(t.RecoverWithin.Milliseconds())}
-	var last record.Life
-	for i := len(lives) - 1; i >= 0; i-- {
-		if _, chunks := r.store.Size(lives[i].ID); chunks > 0 {
-			last = lives[i]
-			break
-		}
-		facts.Barren++
-	}
-	var turns []record.Turn
+	last, failedStarts := r.lastLife(lives)
+	facts := recovery.Facts{Lives: len(lives), Barren: failedStarts}
+	var tail []record.Turn
 	if last.ID != "" && last.Format == record.Format {
-		if turns, facts.Torn, err = record.Tail(r.store, last.ID, bounds.TailMs); err != nil {
+		if tail, err = r.readTail(last, limits.TailMs, &facts); err != nil {
 			return nil, err
 		}
-		facts.Turns = len(turns)
-		facts.SameFormat, facts.SameModule, facts.SameTerms = true, last.Module == fingerprint, cmp.Or(last.Now, last.Terms) == told
-		facts.GapMs = float64(time.Since(r.store.LastAt(last.ID)).Milliseconds())
 	}
-	from := record.From(turns, bounds.TailMs)
-	if len(turns) > 0 && from < len(turns) {
-		facts.SpanMs = max(1, turns[len(turns)-1].AtMs-turns[from].AtMs)
-	}
-	if r.Verdict = recovery.Decide(facts, bounds); r.Verdict.Cold() {
+	r.Verdict = recovery.Decide(facts, limits)
+	if r.Verdict.Cold() {
 		return nil, nil
 	}
-	core := pilot.NewCore(fresh())
-	if err := record.Restore(core, turns[from:]); err != nil {
+	core := pilot.NewCore(d.replayOptions(cfg))
+	if err := record.Restore(core, tail); err != nil {
 		return nil, err
 	}
 	r.rebuiltFrom = last.ID
 	return core, nil
 }
+
+// lastLife returns the latest life that left anything, and how many after it left nothing. Without one the life's ID is "".
+func (r *recording) lastLife(lives []record.Life) (last record.Life, failedStarts int) {
+	for i := len(lives) - 1; i >= 0; i-- {
+		if _, chunks := r.store.Size(lives[i].ID); chunks > 0 {
+			return lives[i], failedStarts
+		}
+		failedStarts++
+	}
+	return record.Life{}, failedStarts
+}
+
+// readTail returns the turns that a recovery replays of a life, and notes what speaks for and against it.
+func (r *recording) readTail(last record.Life, tailMs float64, facts *recovery.Facts) ([]record.Turn, error) {
+	turns, torn, err := record.Tail(r.store, last.ID, tailMs)
+	if err != nil {
+		return nil, err
+	}
+	facts.Turns = len(turns)
+	facts.Torn = torn
+	facts.SameFormat = true
+	facts.SameModule = last.Module == r.fingerprint
+	facts.SameTerms = cmp.Or(last.Now, last.Terms) == r.settings
+	facts.GapMs = float64(time.Since(r.store.LastAt(last.ID)).Milliseconds())
+	tail := turns[record.From(turns, tailMs):]
+	if len(tail) > 0 {
+		spanMs := tail[len(tail)-1].AtMs - tail[0].AtMs
+		facts.SpanMs = max(1, spanMs) // a single turn is worth a replay
+	}
+	return tail, nil
+}
--- /dev/null
+++ b/internal/daemon/servers.go
@@ -0,0 +1,69 @@
+package daemon
+
+import (
+	"context"
+
+	"indigousher/internal/edge/framed"
+	"indigousher/internal/edge/grpcedge"
+	"indigousher/internal/edge/xdsedge"
+	"indigousher/internal/terms"
+)
+
+// linesPerQueueSlot converts the framed protocol's queue of messages into gRPC's queue of lines: so many lines are what a
+// message holds, about.
+const linesPerQueueSlot = 100
+
+// openFramed makes the server of the framed protocol.
+func (d *Daemon) openFramed(cfg *terms.Pilot) {
+	d.framedServer = framed.NewServer(framed.Door{
+		Pilot:         cfg.Name,
+		Beat:          cfg.Beat,
+		Period:        cfg.Period,
+		WriteDeadline: cfg.WriteDeadline,
+		SeenWithin:    cfg.SeenWithin,
+		HelloDeadline: cfg.HelloDeadline,
+		MaxFrame:      cfg.MaxFrame,
+		MaxStreams:    cfg.MaxStreams,
+		Queue:         cfg.Queue,
+	}, d.loop, d.options.Log.Named("streams"))
+}
+
+// openGRPC opens the listener and makes the servers of gRPC and xDS, if the configuration names an address.
+func (d *Daemon) openGRPC(cfg *terms.Pilot) error {
+	if cfg.GRPC == "" {
+		return nil
+	}
+	if err := d.listenForGRPC(cfg); err != nil {
+		return err
+	}
+	d.grpcServer = grpcedge.New(grpcedge.Door{
+		Pilot:      cfg.Name,
+		Beat:       cfg.Beat,
+		Period:     cfg.Period,
+		SeenWithin: cfg.SeenWithin,
+		HelloIn:    cfg.HelloDeadline,
+		MaxMessage: cfg.MaxFrame,
+		MaxStreams: cfg.MaxStreams,
+		QueueLines: cfg.Queue * linesPerQueueSlot,
+		NewPerS:    cfg.NewPerS,
+		Keys:       d.keyStore,
+	}, d.loop, d.options.Log.Named("grpc"))
+	d.xdsServer = xdsedge.New(xdsedge.Door{
+		Kinds:      cfg.KindNames(),
+		Period:     cfg.Period,
+		SeenWithin: cfg.SeenWithin,
+		HelloIn:    cfg.HelloDeadline,
+		MaxStreams: cfg.MaxStreams,
+		Claims:     d.checkIdentity(),
+	}, d.loop, d.options.Log.Named("xds"))
+	d.xdsServer.Register(d.grpcServer.Registrar())
+	return nil
+}
+
+// checkIdentity returns what checks the name and zone that a proxy of xDS claims; nil without keys: nothing can.
+func (d *Daemon) checkIdentity() func(ctx context.Context, proxy, zone string) error {
+	if d.keyStore == nil {
+		return nil
+	}
+	return grpcedge.Claims
+}
