--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -27,15 +27,15 @@
 		goleak.IgnoreTopFunction("net/http.(*persistConn).writeLoop"))
 }
 
-// pilotTerms writes a list file and returns terms that follow it.
+// pilotTerms writes a file with the endpoint list and returns a configuration that names it.
 func pilotTerms(t *testing.T, endpoints ...string) *terms.Pilot {
 	path := filepath.Join(t.TempDir(), "endpoints.hcl")
-	text := ""
+	list := ""
 	for _, e := range endpoints {
-		text += fmt.Sprintf("endpoint %q {\n  zone = \"a\"\n}\n", e)
+		list += fmt.Sprintf("endpoint %q {\n  zone = \"a\"\n}\n", e)
 	}
-	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-	p, err := terms.Parse("p.hcl", []byte(fmt.Sprintf(`zones = ["a"]
+	require.NoError(t, os.WriteFile(path, []byte(list), 0o600))
+	text := fmt.Sprintf(`zones = ["a"]
 machines = ["std"]
 req_kind "read" {}
 pilot {
@@ -48,12 +48,14 @@
 }
 list { file = %q }
 keys { plain = true }
-`, path)))
+`, path)
+	p, err := terms.Parse("p.hcl", []byte(text))
 	require.NoError(t, err)
 	return p
 }
 
-func run(t *testing.T, d *Daemon) (stop context.CancelFunc, ended chan error) {
+// run runs a daemon until stop is called or the test ends.
+func run(t testing.TB, d *Daemon) (stop context.CancelFunc, ended chan error) {
 	ctx, cancel := context.WithCancel(t.Context())
 	ended = make(chan error, 1)
 	go func() { ended <- d.Run(ctx) }()
@@ -61,21 +63,31 @@
 	return cancel, ended
 }
 
+func mustClose(t testing.TB, c io.Closer) { assert.NoError(t, c.Close()) }
+
 func get(t *testing.T, d *Daemon, path string) (int, string) {
 	r, err := http.Get("http://" + d.AdminAddress() + path)
 	require.NoError(t, err)
-	defer r.Body.Close()
+	defer mustClose(t, r.Body)
 	b, err := io.ReadAll(r.Body)
 	require.NoError(t, err)
 	return r.StatusCode, string(b)
 }
 
-// following starts a proxy of the stand-ins that follows a pilot.
-func following(t *testing.T, name string, pilots func() []string) *trail.Book {
+// following starts a proxy of the testbed that follows a controller, and returns what befalls it.
+func following(t *testing.T, addresses func() []string) *trail.Book {
+	const name = "p"
 	book := trail.NewBook()
-	p := proxy.New(proxy.Make{Name: name, Zone: "a", Habits: follow.Habits{Kinds: []string{"read"}}, Rate: 1,
-		Standing: func() []string { return []string{"old:1"} }, Pilots: pilots, Dial: (&net.Dialer{}).DialContext,
-		Redial: 20 * time.Millisecond}, book.Trail(name))
+	p := proxy.New(proxy.Make{
+		Name:     name,
+		Zone:     "a",
+		Habits:   follow.Habits{Kinds: []string{"read"}},
+		Rate:     1,
+		Standing: func() []string { return []string{"old:1"} },
+		Pilots:   addresses,
+		Dial:     (&net.Dialer{}).DialContext,
+		Redial:   20 * time.Millisecond,
+	}, book.Trail(name))
 	require.NoError(t, p.Start())
 	t.Cleanup(p.Kill)
 	return book
@@ -96,17 +108,22 @@
 	d, err := New(p, Outfit{})
 	require.NoError(t, err)
 	stop, ended := run(t, d)
-	book := following(t, "p", func() []string { return []string{d.Address()} })
+	book := following(t, func() []string { return []string{d.Address()} })
 	require.Eventually(t, func() bool { return d.State().Listed && d.State().Proxies == 1 }, 5*time.Second, time.Millisecond)
 	require.Eventually(t, func() bool { return count(book, trail.Got) > 0 }, 5*time.Second, time.Millisecond)
-	for path, want := range map[string]string{"/healthz": "ok", "/readyz": "ok", "/state": `"Proxies":1`,
-		"/metrics": "indigousher_proxies_joined 1"} {
+	for path, want := range map[string]string{
+		"/healthz": "ok",
+		"/readyz":  "ok",
+		"/state":   `"Proxies":1`,
+		"/metrics": "indigousher_proxies_joined 1",
+	} {
 		code, body := get(t, d, path)
 		assert.Equal(t, 200, code, path)
 		assert.Contains(t, body, want, path)
 	}
 	now := *p
-	now.LinesPerS, now.Name = 50, "other"
+	now.LinesPerS = 50
+	now.Name = "other"
 	changed, restart, err := d.Reload(t.Context(), &now)
 	require.NoError(t, err)
 	assert.Equal(t, []string{"LinesPerS"}, changed)
@@ -146,7 +163,7 @@
 	require.NoError(t, err)
 	_, ended := run(t, first)
 	run(t, second)
-	book := following(t, "p", func() []string { return []string{first.Address(), second.Address()} })
+	book := following(t, func() []string { return []string{first.Address(), second.Address()} })
 	require.Eventually(t, func() bool { return first.State().Proxies == 1 }, 5*time.Second, time.Millisecond)
 	first.Kill()
 	assert.NoError(t, <-ended)
@@ -158,12 +175,15 @@
 func TestNoStart(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer taken.Close()
+	defer mustClose(t, taken)
 	for name, change := range map[string]func(*terms.Pilot){
 		"listen for proxies":   func(p *terms.Pilot) { p.Listen = taken.Addr().String() },
 		"listen for operators": func(p *terms.Pilot) { p.Admin = taken.Addr().String() },
 		"listen for pilots":    func(p *terms.Pilot) { p.PeersListen = "127.0.0.1:none" },
-		"address of pilot 1":   func(p *terms.Pilot) { p.PeersListen, p.Peers = "127.0.0.1:0", map[string]string{"1": "x"} },
+		"address of pilot 1": func(p *terms.Pilot) {
+			p.PeersListen = "127.0.0.1:0"
+			p.Peers = map[string]string{"1": "x"}
+		},
 	} {
 		p := pilotTerms(t)
 		change(p)
--- a/internal/daemon/torn_test.go
+++ b/internal/daemon/torn_test.go
@@ -1,6 +1,7 @@
 package daemon
 
 import (
+	"bytes"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -20,7 +21,7 @@
 	d, err := New(p, Outfit{})
 	require.NoError(t, err)
 	stop, ended := run(t, d)
-	following(t, "p", func() []string { return []string{d.Address()} })
+	following(t, func() []string { return []string{d.Address()} })
 	require.Eventually(t, func() bool { return d.State().Proxies == 1 }, 5*time.Second, time.Millisecond)
 	time.Sleep(500 * time.Millisecond) // past a commit
 	stop()
@@ -35,18 +36,22 @@
 	path := filepath.Join(p.RecordDir, "records.db")
 	whole, err := os.ReadFile(path)
 	require.NoError(t, err)
-	cut := func(n int) func() []byte { return func() []byte { return whole[:min(n, len(whole))] } }
-	spoilt := func(from, to int) func() []byte {
-		return func() []byte {
-			b := append([]byte(nil), whole...)
-			for i := from; i < min(to, len(b)); i++ {
-				b[i] ^= byte(0x5a + i)
-			}
-			return b
+	cut := func(n int) []byte { return whole[:n] }
+	spoilt := func(from, to int) []byte {
+		b := bytes.Clone(whole)
+		for i := from; i < min(to, len(b)); i++ {
+			b[i] ^= byte(0x5a + i)
 		}
+		return b
+	}
+	cases := map[string][]byte{
+		"as it was":       whole,
+		"empty":           cut(0),
+		"no file of ours": make([]byte, 1<<16),
+		"a text":          []byte("not a record"),
+		"first page":      spoilt(0, 4096),
+		"both heads":      spoilt(0, 8192),
 	}
-	cases := map[string]func() []byte{"as it was": cut(len(whole)), "empty": cut(0), "no file of ours": func() []byte { return make([]byte, 1<<16) },
-		"a text": func() []byte { return []byte("not a record") }, "first page": spoilt(0, 4096), "both heads": spoilt(0, 8192)}
 	for n := 1; n < len(whole); n += len(whole)/12 + 1 {
 		cases[fmt.Sprint("cut off after ", n)] = cut(n)
 	}
@@ -54,18 +59,18 @@
 		cases[fmt.Sprint("spoilt from ", n)] = spoilt(n, n+4096)
 		cases[fmt.Sprint("a few bytes from ", n)] = spoilt(n, n+20)
 	}
-	for name, text := range cases {
+	for name, content := range cases {
 		t.Run(name, func(t *testing.T) {
 			p := *p
 			p.RecordDir = t.TempDir()
-			require.NoError(t, os.WriteFile(filepath.Join(p.RecordDir, "records.db"), text(), 0o600))
+			require.NoError(t, os.WriteFile(filepath.Join(p.RecordDir, "records.db"), content, 0o600))
 			d, err := New(&p, Outfit{})
 			require.NoError(t, err)
 			if name == "as it was" {
 				assert.Contains(t, d.recording.Verdict.Why, "recovered")
 			}
 			stop, ended := run(t, d)
-			following(t, "p", func() []string { return []string{d.Address()} })
+			following(t, func() []string { return []string{d.Address()} })
 			assert.Eventually(t, func() bool { return d.State().Listed && d.State().Proxies == 1 }, 5*time.Second, time.Millisecond)
 			stop()
 			assert.NoError(t, <-ended)
@@ -83,7 +88,8 @@
 	_, ended := run(t, d)
 	require.Eventually(t, func() bool { return d.State().Listed }, 5*time.Second, time.Millisecond)
 	now := *p
-	now.LinesPerS, now.DrainGrace = 777, 3*time.Second
+	now.LinesPerS = 777
+	now.DrainGrace = 3 * time.Second
 	changed, _, err := d.Reload(t.Context(), &now)
 	require.NoError(t, err)
 	assert.Len(t, changed, 2)
@@ -93,7 +99,10 @@
 	for _, c := range []struct {
 		terms *terms.Pilot
 		want  string
-	}{{&now, "recovered from"}, {p, "cold start: the record is of other terms"}} {
+	}{
+		{&now, "recovered from"},
+		{p, "cold start: the record is of other terms"},
+	} {
 		back, err := New(c.terms, Outfit{})
 		require.NoError(t, err)
 		assert.Contains(t, back.recording.Verdict.Why, c.want)
