--- a/cmd/indigousher/experiment.go
+++ b/cmd/indigousher/experiment.go
@@ -9,11 +9,11 @@
 
 	"github.com/spf13/cobra"
 
-	"indigousher/internal/day"
+	"indigousher/internal/controller"
 	"indigousher/internal/emulator"
 	"indigousher/internal/experiment"
-	"indigousher/internal/pilot"
 	"indigousher/internal/rehearsal"
+	"indigousher/internal/scenario"
 )
 
 func emulateCommand() *cobra.Command {
@@ -26,7 +26,7 @@
 			if len(args) > 0 {
 				name = args[0]
 			}
-			d, err := day.Load(name)
+			d, err := scenario.Load(name)
 			if err != nil {
 				return err
 			}
@@ -54,7 +54,7 @@
 				return err
 			}
 			rehearsal.Print(out, d, []rehearsal.Column{{Name: "indigousher", Outcome: &rehearsal.Outcome{Report: o.Report,
-				Most: pilot.State{MostLines: o.MostLines, MostMessages: o.Crowded}}}})
+				Most: controller.State{MostLines: o.MostLines, MostMessages: o.Crowded}}}})
 			fmt.Fprintf(out, "%d events in %.0f ms, of these the pilots' turns %.0f ms; digest %016x\n", o.Done, o.TookMs, o.PilotMs, o.Digest)
 			if !o.Report.Kept() {
 				return errBroken
--- a/cmd/indigousher/keys.go
+++ b/cmd/indigousher/keys.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"indigousher/internal/keys"
+	"indigousher/internal/identity"
 )
 
 func keysCommand() *cobra.Command {
@@ -17,24 +17,24 @@
 		Long: "Makes an authority whose own key is not kept, and one certificate for each identity. ROLE is proxy, pilot,\n" +
 			"operator or source. A deployment has its own authority; its certificates need the same identity as a URI.",
 		Args: cobra.MinimumNArgs(2), RunE: func(cmd *cobra.Command, args []string) error {
-			var who []keys.Identity
+			var who []identity.Identity
 			for _, a := range args[1:] {
 				parts := strings.Split(a, "/")
 				if len(parts) != 3 {
 					return fmt.Errorf("%q is not ROLE/ZONE/NAME", a)
 				}
-				i, err := keys.Named(parts[0], parts[1], parts[2])
+				i, err := identity.Named(parts[0], parts[1], parts[2])
 				if err != nil {
 					return err
 				}
 				who = append(who, i)
 			}
-			authority, err := keys.NewAuthority("rehearsal", lasts)
+			authority, err := identity.NewAuthority("rehearsal", lasts)
 			if err != nil {
 				return err
 			}
 			if secret != "" {
-				if err := keys.NewSecret(secret); err != nil {
+				if err := identity.NewSecret(secret); err != nil {
 					return err
 				}
 				fmt.Fprintln(cmd.OutOrStdout(), "secret between pilots:", secret)
--- a/cmd/indigousher/kill_test.go
+++ b/cmd/indigousher/kill_test.go
@@ -20,10 +20,10 @@
 
 	"indigousher/internal/daemon"
 	"indigousher/internal/record"
-	"indigousher/internal/standin/follow"
-	"indigousher/internal/standin/links"
-	"indigousher/internal/standin/proxy"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/network"
+	"indigousher/internal/testbed/proxy"
+	"indigousher/internal/testbed/routing"
 )
 
 // world is a pilot's process and what it needs.
@@ -35,7 +35,7 @@
 }
 
 func freePort(t *testing.T) string {
-	l, err := links.Listen("") // off the address that outgoing connections take ports from
+	l, err := network.Listen("") // off the address that outgoing connections take ports from
 	require.NoError(t, err)
 	defer l.Close()
 	return l.Addr().String()
@@ -93,11 +93,11 @@
 }
 
 // followed starts proxies that follow the pilot.
-func (w *world) followed() *trail.Book {
-	book := trail.NewBook()
+func (w *world) followed() *eventlog.Book {
+	book := eventlog.NewBook()
 	for i := range 3 {
 		name := fmt.Sprint("p", i)
-		p := proxy.New(proxy.Make{Name: name, Zone: "a", Habits: follow.Habits{Kinds: []string{"read"}}, Rate: 1,
+		p := proxy.New(proxy.Make{Name: name, Zone: "a", Habits: routing.Habits{Kinds: []string{"read"}}, Rate: 1,
 			Standing: func() []string { return []string{"127.0.0.1:9000"} }, Pilots: func() []string { return []string{w.listen} },
 			Dial: (&net.Dialer{}).DialContext, Redial: 20 * time.Millisecond}, book.Trail(name))
 		require.NoError(w.t, p.Start())
@@ -160,7 +160,7 @@
 	require.Eventually(t, func() bool {
 		joins := 0
 		for _, e := range book.Events() {
-			if e.What == trail.Join {
+			if e.What == eventlog.Join {
 				joins++
 			}
 		}
--- a/cmd/indigousher/main.go
+++ b/cmd/indigousher/main.go
@@ -12,8 +12,8 @@
 	"github.com/spf13/cobra"
 	"go.uber.org/zap"
 
+	"indigousher/internal/config"
 	"indigousher/internal/daemon"
-	"indigousher/internal/terms"
 )
 
 func main() {
@@ -52,7 +52,7 @@
 }
 
 func runPilot(ctx context.Context, file string, takeOver bool) error {
-	t, err := terms.ReadPilot(file)
+	t, err := config.ReadPilot(file)
 	if err != nil {
 		return err
 	}
@@ -93,7 +93,7 @@
 
 // reload reads the file again. A wrong one changes nothing.
 func reload(ctx context.Context, d *daemon.Daemon, file string, log *zap.Logger) {
-	now, err := terms.ReadPilot(file)
+	now, err := config.ReadPilot(file)
 	if err != nil {
 		log.Error("reload refused, the old terms stand", zap.Error(err))
 		return
@@ -130,7 +130,7 @@
 func checkCommand() *cobra.Command {
 	return &cobra.Command{Use: "check FILE", Short: "Check a pilot's terms; say file:line:column of what is wrong",
 		Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			t, err := terms.ReadPilot(args[0])
+			t, err := config.ReadPilot(args[0])
 			if err != nil {
 				return err
 			}
--- a/cmd/indigousher/platform.go
+++ b/cmd/indigousher/platform.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap/zapcore"
 
 	"indigousher/internal/platform"
-	"indigousher/internal/platform/config"
+	"indigousher/internal/platform/placement"
 )
 
 // endWithin is how long a pilot on the platform may take to end after SIGTERM.
@@ -22,7 +22,7 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP) // before anything else: one that comes early must not end the program
 	defer signal.Stop(hup)
-	p, err := config.Read(os.Getenv)
+	p, err := placement.Read(os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -43,7 +43,7 @@
 	if p.Left != "" {
 		log.Warn("part of the configuration is left out", zap.String("what", p.Left))
 	}
-	x := platform.New(p, func() (*config.Placement, error) { return config.Read(os.Getenv) }, log)
+	x := platform.New(p, func() (*placement.Placement, error) { return placement.Read(os.Getenv) }, log)
 	err = x.Run(ctx, reload)
 	log.Info("pilot has stopped", zap.Error(err))
 	return err
--- a/cmd/indigousher/records.go
+++ b/cmd/indigousher/records.go
@@ -13,17 +13,17 @@
 
 	"github.com/spf13/cobra"
 
-	"indigousher/brain"
+	"indigousher/internal/config"
+	"indigousher/internal/controller"
 	"indigousher/internal/daemon"
-	"indigousher/internal/pilot"
 	"indigousher/internal/record"
-	"indigousher/internal/terms"
+	"indigousher/planner"
 )
 
 // errDiffers ends a replay that did not order what was recorded.
 var errDiffers = errors.New("the replay does not order what was recorded")
 
-func module(seed int64, t map[string]any) pilot.Decider { return brain.New(seed, t) }
+func module(seed int64, t map[string]any) controller.Decider { return planner.New(seed, t) }
 
 // withStore opens a store for reading and closes it after use.
 func withStore(dir string, f func(*record.Store) error) error {
@@ -56,7 +56,7 @@
 	}
 	var other map[string]any
 	if with != "" {
-		t, err := terms.ReadPilot(with)
+		t, err := config.ReadPilot(with)
 		if err != nil {
 			return err
 		}
--- a/cmd/indigousher/rehearse.go
+++ b/cmd/indigousher/rehearse.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
-	"indigousher/internal/day"
 	"indigousher/internal/rehearsal"
+	"indigousher/internal/scenario"
 )
 
 // errBroken ends a rehearsal in which a rule did not hold.
@@ -30,7 +30,7 @@
 			if len(args) > 0 {
 				name = args[0]
 			}
-			day, err := day.Load(name)
+			day, err := scenario.Load(name)
 			if err != nil {
 				return err
 			}
@@ -85,8 +85,8 @@
 }
 
 func listDays(out io.Writer) error {
-	for _, n := range day.Days() {
-		d, err := day.Load(n)
+	for _, n := range scenario.Days() {
+		d, err := scenario.Load(n)
 		if err != nil {
 			return err
 		}
--- a/cmd/indigousher/silence_test.go
+++ b/cmd/indigousher/silence_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"indigousher/internal/standin/catalog"
-	"indigousher/internal/standin/relay"
+	"indigousher/internal/testbed/catalog"
+	"indigousher/internal/testbed/relay"
 )
 
 // Figures of the deployment that falls silent.
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -6,11 +6,11 @@
 	"fmt"
 	"os"
 
-	"indigousher/internal/simwire"
+	"indigousher/internal/simulator"
 )
 
 func main() {
-	if err := simwire.Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simulator.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
 		os.Exit(1)
 	}
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -9,8 +9,8 @@
 	"slices"
 	"strings"
 
-	"indigousher/internal/standin/trail"
-	"indigousher/internal/terms"
+	"indigousher/internal/config"
+	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/wire"
 )
 
@@ -135,7 +135,7 @@
 
 // Auditor walks through the trails once, by time.
 type Auditor struct {
-	terms     *terms.Common
+	terms     *config.Common
 	names     map[string]string // endpoints' trail names by address
 	addresses map[string][]string
 	service   *server
@@ -154,7 +154,7 @@
 const grid = 50.0
 
 // Judge gives the verdicts. Addresses maps an endpoint's address to its name in the trails.
-func Judge(events []trail.Event, t *terms.Common, addresses map[string]string) *Report {
+func Judge(events []eventlog.Event, t *config.Common, addresses map[string]string) *Report {
 	a := New(t)
 	for address, name := range addresses {
 		a.Place(address, name)
@@ -166,7 +166,7 @@
 }
 
 // New returns an auditor that has seen nothing.
-func New(t *terms.Common) *Auditor {
+func New(t *config.Common) *Auditor {
 	a := &Auditor{terms: t, names: map[string]string{}, addresses: map[string][]string{}, service: newServer(t), proxies: map[string]*proxyState{}, pilots: map[string]*pilotState{},
 		endpoints: map[string]*endpointState{}, effects: map[string]map[uint64]int{}, cutZones: map[string]bool{},
 		dumb: map[string]bool{}, report: &Report{}}
@@ -183,7 +183,7 @@
 }
 
 // Take takes in the next event.
-func (a *Auditor) Take(e trail.Event) {
+func (a *Auditor) Take(e eventlog.Event) {
 	for a.tick+grid <= e.At {
 		a.tick += grid
 		a.lookBare()
@@ -216,43 +216,43 @@
 }
 
 // take folds one event into the state and checks what it bears on.
-func (a *Auditor) take(e trail.Event) {
+func (a *Auditor) take(e eventlog.Event) {
 	switch e.What {
-	case trail.Start:
+	case eventlog.Start:
 		a.start(e)
-	case trail.Stop:
+	case eventlog.Stop:
 		if p := a.proxies[e.Who]; p != nil {
 			p.pilot = ""
 		}
-	case trail.Join:
+	case eventlog.Join:
 		p := a.proxy(e.Who)
 		p.zone, p.pilot, p.joined, p.messages = e.Kind, e.Peer, e.At, nil
 		clear(p.bare)
 		p.orderAt = math.Inf(-1)
-	case trail.Leave:
+	case eventlog.Leave:
 		a.proxy(e.Who).pilot = ""
-	case trail.Lines:
+	case eventlog.Lines:
 		a.proxy(e.Who).setLines(e, a.terms.Kinds)
-	case trail.Got:
+	case eventlog.Got:
 		a.message(e)
-	case trail.Send:
+	case eventlog.Send:
 		a.send(e)
-	case trail.Arrive:
+	case eventlog.Arrive:
 		a.arrive(e)
-	case trail.Effect:
+	case eventlog.Effect:
 		a.effect(e)
-	case trail.Told:
+	case eventlog.Told:
 		a.told(e)
-	case trail.Cut, trail.Mended:
+	case eventlog.Cut, eventlog.Mended:
 		if e.Text != "" {
-			a.cutZones[e.Text] = e.What == trail.Cut
+			a.cutZones[e.Text] = e.What == eventlog.Cut
 		} else {
-			a.dumb[e.Peer] = e.What == trail.Cut
+			a.dumb[e.Peer] = e.What == eventlog.Cut
 		}
 	}
 }
 
-func (a *Auditor) start(e trail.Event) {
+func (a *Auditor) start(e eventlog.Event) {
 	switch {
 	case e.Kind == "cold" || e.Kind == "warm": // an endpoint's; its address may once have been another's
 		a.endpoints[e.Who] = &endpointState{started: e.At, cold: e.Kind == "cold", capacity: e.Value}
@@ -279,7 +279,7 @@
 	return pilot
 }
 
-func (a *Auditor) message(e trail.Event) {
+func (a *Auditor) message(e eventlog.Event) {
 	p, pilot := a.proxy(e.Who), a.pilot(e.Peer)
 	p.orderAt = e.At - e.Value
 	p.messages = append(p.messages, e.At)
@@ -296,7 +296,7 @@
 }
 
 // setLines notes how many lines a kind has.
-func (p *proxyState) setLines(e trail.Event, kinds []terms.ReqKind) {
+func (p *proxyState) setLines(e eventlog.Event, kinds []config.ReqKind) {
 	p.lines[e.Kind] = e.N
 	p.empty = false
 	for _, k := range kinds {
@@ -335,7 +335,7 @@
 }
 
 // anyWarm returns whether a pilot's list shows a ready, warm endpoint open to a kind.
-func (a *Auditor) anyWarm(p *pilotState, zone string, k terms.ReqKind) bool {
+func (a *Auditor) anyWarm(p *pilotState, zone string, k config.ReqKind) bool {
 	for _, t := range p.told {
 		if t.phase == wire.PhaseReady && a.tick-t.started >= float64(a.terms.Cold.Milliseconds()) &&
 			(len(k.OnlyMachines) == 0 || slices.Contains(k.OnlyMachines, t.machine)) &&
@@ -346,7 +346,7 @@
 	return false
 }
 
-func (a *Auditor) effect(e trail.Event) {
+func (a *Auditor) effect(e eventlog.Event) {
 	for _, k := range a.terms.Kinds {
 		if k.Name != e.Kind || k.Repeats == "replayable" {
 			continue
@@ -361,7 +361,7 @@
 }
 
 // send checks rule 3.
-func (a *Auditor) send(e trail.Event) {
+func (a *Auditor) send(e eventlog.Event) {
 	v, p := &a.report.Verdicts[DrainsKept], a.proxy(e.Who)
 	v.Checked++
 	pilot := a.joined(e.Who, p)
@@ -381,7 +381,7 @@
 const slack = 4
 
 // arrive checks rule 4: the work sent within the span to an endpoint that is cold.
-func (a *Auditor) arrive(e trail.Event) {
+func (a *Auditor) arrive(e eventlog.Event) {
 	ep := a.endpoints[e.Who]
 	age, cold := e.At-ep.started, float64(a.terms.Cold.Milliseconds())
 	if !ep.cold || age > cold {
@@ -410,7 +410,7 @@
 }
 
 // informed returns whether a proxy's pilot had the time to know of an endpoint's start.
-func (a *Auditor) informed(e trail.Event, ep *endpointState) bool {
+func (a *Auditor) informed(e eventlog.Event, ep *endpointState) bool {
 	p := a.proxies[e.Peer]
 	if p == nil || p.pilot == "" {
 		return false
@@ -424,7 +424,7 @@
 	return false
 }
 
-func (a *Auditor) told(e trail.Event) {
+func (a *Auditor) told(e eventlog.Event) {
 	pilot := a.pilot(e.Peer)
 	if e.N < 0 { // a whole list begins: what it does not name again is gone
 		for _, t := range pilot.told {
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -6,54 +6,54 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"indigousher/internal/standin/trail"
-	"indigousher/internal/terms"
+	"indigousher/internal/config"
+	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/wire"
 )
 
 // stage is a pilot, a proxy that follows it and a warm endpoint x at x:1; y at y:1 is there as well.
-func stage() []trail.Event {
-	return []trail.Event{{At: 0, Who: "pilot-0", What: trail.Start, Kind: "pilot", Text: "a"},
-		{At: 1, Who: "x", What: trail.Start, Kind: "warm", Value: 1}, {At: 1, Who: "list", What: trail.Told, Peer: "pilot-0", Text: "x:1", Kind: "a/std", Value: -1},
-		{At: 2, Who: "p", What: trail.Join, Peer: "pilot-0", Kind: "a"},
-		{At: 3, Who: "p", What: trail.Lines, Kind: "read", N: 2}, {At: 3, Who: "p", What: trail.Lines, Kind: "book", N: 2}}
+func stage() []eventlog.Event {
+	return []eventlog.Event{{At: 0, Who: "pilot-0", What: eventlog.Start, Kind: "pilot", Text: "a"},
+		{At: 1, Who: "x", What: eventlog.Start, Kind: "warm", Value: 1}, {At: 1, Who: "list", What: eventlog.Told, Peer: "pilot-0", Text: "x:1", Kind: "a/std", Value: -1},
+		{At: 2, Who: "p", What: eventlog.Join, Peer: "pilot-0", Kind: "a"},
+		{At: 3, Who: "p", What: eventlog.Lines, Kind: "read", N: 2}, {At: 3, Who: "p", What: eventlog.Lines, Kind: "book", N: 2}}
 }
 
 // TestLimits holds each rule's verdict against its limit, from both sides, on trails made by hand: within it is kept, a
 // little beyond it is broken. A fault in the audit would pass for the program's merit.
 func TestLimits(t *testing.T) {
-	c := terms.CommonDefaults()
-	c.Zones, c.Machines, c.Kinds = []string{"a"}, []string{"std"}, []terms.ReqKind{{Name: "read", Repeats: "replayable", Payoff: 1},
+	c := config.CommonDefaults()
+	c.Zones, c.Machines, c.Kinds = []string{"a"}, []string{"std"}, []config.ReqKind{{Name: "read", Repeats: "replayable", Payoff: 1},
 		{Name: "book", Repeats: "non-replayable", Payoff: 5}}
-	told := func(at float64, endpoint string, phase int, age float64) trail.Event {
-		return trail.Event{At: at, Who: "list", What: trail.Told, Peer: "pilot-0", Text: endpoint, Kind: "a/std", N: phase, Value: age}
+	told := func(at float64, endpoint string, phase int, age float64) eventlog.Event {
+		return eventlog.Event{At: at, Who: "list", What: eventlog.Told, Peer: "pilot-0", Text: endpoint, Kind: "a/std", N: phase, Value: age}
 	}
-	sent := func(at float64) trail.Event {
-		return trail.Event{At: at, Who: "p", What: trail.Send, Peer: "x:1", Kind: "read"}
+	sent := func(at float64) eventlog.Event {
+		return eventlog.Event{At: at, Who: "p", What: eventlog.Send, Peer: "x:1", Kind: "read"}
 	}
-	got := func(at, since, waited float64, lines int) trail.Event {
-		return trail.Event{At: at, Who: "p", What: trail.Got, Peer: "pilot-0", N: lines, Since: since, Value: waited}
+	got := func(at, since, waited float64, lines int) eventlog.Event {
+		return eventlog.Event{At: at, Who: "p", What: eventlog.Got, Peer: "pilot-0", N: lines, Since: since, Value: waited}
 	}
-	bare := func(from, to float64) []trail.Event {
-		return []trail.Event{{At: from, Who: "p", What: trail.Lines, Kind: "book", N: 0}, {At: to, Who: "p", What: trail.Lines, Kind: "book", N: 1}}
+	bare := func(from, to float64) []eventlog.Event {
+		return []eventlog.Event{{At: from, Who: "p", What: eventlog.Lines, Kind: "book", N: 0}, {At: to, Who: "p", What: eventlog.Lines, Kind: "book", N: 1}}
 	}
-	effects := func(kind string, n int) (list []trail.Event) {
+	effects := func(kind string, n int) (list []eventlog.Event) {
 		for i := range n {
-			list = append(list, trail.Event{At: 100 + float64(i), Who: "x", What: trail.Effect, Kind: kind, Req: 7})
+			list = append(list, eventlog.Event{At: 100 + float64(i), Who: "x", What: eventlog.Effect, Kind: kind, Req: 7})
 		}
 		return list
 	}
-	cold := func(began, first, work float64, n int, knows bool) (list []trail.Event) {
-		list = append(list, trail.Event{At: began, Who: "y", What: trail.Start, Kind: "cold", Value: 1})
+	cold := func(began, first, work float64, n int, knows bool) (list []eventlog.Event) {
+		list = append(list, eventlog.Event{At: began, Who: "y", What: eventlog.Start, Kind: "cold", Value: 1})
 		if knows {
 			list = append(list, told(began+10, "y:1", wire.PhaseReady, 10))
 		}
 		for i := range n {
-			list = append(list, trail.Event{At: began + first + float64(i)*10, Who: "y", What: trail.Arrive, Peer: "p", Kind: "read", Value: work})
+			list = append(list, eventlog.Event{At: began + first + float64(i)*10, Who: "y", What: eventlog.Arrive, Peer: "p", Kind: "read", Value: work})
 		}
 		return list
 	}
-	messages := func(n int, apart float64) (list []trail.Event) {
+	messages := func(n int, apart float64) (list []eventlog.Event) {
 		for i := range n {
 			at := 100 + float64(i)*apart
 			list = append(list, got(at, at-1, 1, 5))
@@ -66,37 +66,37 @@
 		name   string
 		rule   Rule
 		broken bool
-		events []trail.Event
+		events []eventlog.Event
 	}{
 		{"bare for less than it may be", NobodyBare, false, bare(1000, 3900)},
 		{"bare for longer", NobodyBare, true, bare(1000, 4200)},
 		{"bare twice, each for less", NobodyBare, false, append(bare(1000, 3500), bare(3600, 6000)...)},
-		{"bare while no warm one is listed", NobodyBare, false, append([]trail.Event{told(500, "x:1", wire.PhaseDraining, -1)}, bare(1000, 9000)...)},
-		{"bare while only a cold one is listed", NobodyBare, false, append([]trail.Event{told(500, "x:1", wire.PhaseReady, 10)}, bare(1000, 9000)...)},
-		{"bare once the cold one is warm", NobodyBare, true, append([]trail.Event{told(500, "x:1", wire.PhaseReady, 10)}, bare(1000, 19000)...)},
-		{"bare while it has no pilot", NobodyBare, false, append([]trail.Event{{At: 900, Who: "p", What: trail.Leave, Peer: "pilot-0"}}, bare(1000, 9000)...)},
+		{"bare while no warm one is listed", NobodyBare, false, append([]eventlog.Event{told(500, "x:1", wire.PhaseDraining, -1)}, bare(1000, 9000)...)},
+		{"bare while only a cold one is listed", NobodyBare, false, append([]eventlog.Event{told(500, "x:1", wire.PhaseReady, 10)}, bare(1000, 9000)...)},
+		{"bare once the cold one is warm", NobodyBare, true, append([]eventlog.Event{told(500, "x:1", wire.PhaseReady, 10)}, bare(1000, 19000)...)},
+		{"bare while it has no pilot", NobodyBare, false, append([]eventlog.Event{{At: 900, Who: "p", What: eventlog.Leave, Peer: "pilot-0"}}, bare(1000, 9000)...)},
 		{"one effect", NoEffectTwice, false, effects("book", 1)},
 		{"two effects", NoEffectTwice, true, effects("book", 2)},
 		{"two of a replayable kind", NoEffectTwice, false, effects("read", 2)},
-		{"a drain kept", DrainsKept, false, []trail.Event{told(1000, "x:1", wire.PhaseDraining, -1), sent(2990)}},
-		{"a drain broken", DrainsKept, true, []trail.Event{told(1000, "x:1", wire.PhaseDraining, -1), sent(3010)}},
-		{"gone, broken", DrainsKept, true, []trail.Event{told(1000, "x:1", wire.PhaseGone, -1), sent(3010)}},
-		{"back again", DrainsKept, false, []trail.Event{told(1000, "x:1", wire.PhaseDraining, -1), told(2000, "x:1", wire.PhaseReady, -1), sent(3500)}},
-		{"named by the whole list", DrainsKept, false, []trail.Event{{At: 1000, Who: "list", What: trail.Told, Peer: "pilot-0", N: -1},
+		{"a drain kept", DrainsKept, false, []eventlog.Event{told(1000, "x:1", wire.PhaseDraining, -1), sent(2990)}},
+		{"a drain broken", DrainsKept, true, []eventlog.Event{told(1000, "x:1", wire.PhaseDraining, -1), sent(3010)}},
+		{"gone, broken", DrainsKept, true, []eventlog.Event{told(1000, "x:1", wire.PhaseGone, -1), sent(3010)}},
+		{"back again", DrainsKept, false, []eventlog.Event{told(1000, "x:1", wire.PhaseDraining, -1), told(2000, "x:1", wire.PhaseReady, -1), sent(3500)}},
+		{"named by the whole list", DrainsKept, false, []eventlog.Event{{At: 1000, Who: "list", What: eventlog.Told, Peer: "pilot-0", N: -1},
 			told(1000, "x:1", wire.PhaseReady, -1), sent(3500)}},
-		{"not named by the whole list", DrainsKept, true, []trail.Event{{At: 1000, Who: "list", What: trail.Told, Peer: "pilot-0", N: -1}, sent(3500)}},
-		{"joined since", DrainsKept, false, []trail.Event{told(1000, "x:1", wire.PhaseDraining, -1),
-			{At: 2500, Who: "p", What: trail.Join, Peer: "pilot-0", Kind: "a"}, sent(4400)}},
-		{"while it is cut off", DrainsKept, false, []trail.Event{told(1000, "x:1", wire.PhaseDraining, -1), {At: 1500, Who: "links", What: trail.Cut, Peer: "p"}, sent(4400)}},
+		{"not named by the whole list", DrainsKept, true, []eventlog.Event{{At: 1000, Who: "list", What: eventlog.Told, Peer: "pilot-0", N: -1}, sent(3500)}},
+		{"joined since", DrainsKept, false, []eventlog.Event{told(1000, "x:1", wire.PhaseDraining, -1),
+			{At: 2500, Who: "p", What: eventlog.Join, Peer: "pilot-0", Kind: "a"}, sent(4400)}},
+		{"while it is cut off", DrainsKept, false, []eventlog.Event{told(1000, "x:1", wire.PhaseDraining, -1), {At: 1500, Who: "links", What: eventlog.Cut, Peer: "p"}, sent(4400)}},
 		{"a cold one bears it", ColdKept, false, cold(1000, 12000, 40, bearable, true)},
 		{"a cold one pushed over", ColdKept, true, cold(1000, 12000, 40, bearable+14, true)},
 		{"by proxies whose pilot can't know", ColdKept, false, cold(1000, 12000, 40, bearable+14, false)},
 		{"just before it is warm", ColdKept, true, cold(1000, 13500, 40, 140, true)},
 		{"once it is warm", ColdKept, false, cold(1000, 15001, 40, 400, true)},
 		{"spread over more than the span", ColdKept, false, append(cold(1000, 11000, 40, 60, true), cold(1000, 13000, 40, 60, true)[2:]...)},
-		{"as many lines as may wait", ShortQueue, false, []trail.Event{got(200, 100, 100, 3000), got(250, 100, 150, 3000)}},
-		{"more lines", ShortQueue, true, []trail.Event{got(200, 100, 100, 3000), got(250, 100, 150, 3001)}},
-		{"more, one after the other", ShortQueue, false, []trail.Event{got(200, 100, 100, 3000), got(300, 200, 100, 3001)}},
+		{"as many lines as may wait", ShortQueue, false, []eventlog.Event{got(200, 100, 100, 3000), got(250, 100, 150, 3000)}},
+		{"more lines", ShortQueue, true, []eventlog.Event{got(200, 100, 100, 3000), got(250, 100, 150, 3001)}},
+		{"more, one after the other", ShortQueue, false, []eventlog.Event{got(200, 100, 100, 3000), got(300, 200, 100, 3001)}},
 		{"as many messages as may be", ShortQueue, false, messages(30, 100)},
 		{"more messages", ShortQueue, true, messages(31, 300)},
 		{"more, over a longer time", ShortQueue, false, messages(60, 350)},
--- a/internal/audit/service.go
+++ b/internal/audit/service.go
@@ -1,8 +1,8 @@
 package audit
 
 import (
-	"indigousher/internal/standin/trail"
-	"indigousher/internal/terms"
+	"indigousher/internal/config"
+	"indigousher/internal/testbed/eventlog"
 )
 
 // WindowMs is the width of a window of service.
@@ -31,12 +31,12 @@
 // server reckons the service from what clients say.
 type server struct {
 	Service
-	terms *terms.Common
+	terms *config.Common
 	kinds map[string]int
 	asked map[uint64]float64 // and not answered yet
 }
 
-func newServer(t *terms.Common) *server {
+func newServer(t *config.Common) *server {
 	s := &server{Service: Service{Kinds: make([]Part, len(t.Kinds))}, terms: t, kinds: map[string]int{}, asked: map[uint64]float64{}}
 	for i, k := range t.Kinds {
 		s.kinds[k.Name] = i
@@ -44,16 +44,16 @@
 	return s
 }
 
-func (s *server) take(e trail.Event) {
+func (s *server) take(e eventlog.Event) {
 	switch e.What {
-	case trail.Asked:
+	case eventlog.Asked:
 		s.asked[e.Req] = e.At
-	case trail.Answered:
+	case eventlog.Answered:
 		s.answered(e)
 	}
 }
 
-func (s *server) answered(e trail.Event) {
+func (s *server) answered(e eventlog.Event) {
 	asked := s.asked[e.Req]
 	delete(s.asked, e.Req)
 	k, known := s.kinds[e.Kind]
--- a/internal/pause/pause.go
+++ b/internal/backoff/pause.go
@@ -1,6 +1,6 @@
-// Package pause waits for a span or the end of a context, whichever comes first. Edges that try again use it; it keeps
+// Package backoff waits for a span or the end of a context, whichever comes first. Edges that try again use it; it keeps
 // no clock of the pilot's and decides nothing.
-package pause
+package backoff
 
 import (
 	"context"
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -9,12 +9,12 @@
 	"math"
 	"slices"
 
-	"indigousher/brain"
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
+	"indigousher/planner"
 )
 
 // Make makes a policy for one pilot.
-type Make func(seed int64, terms map[string]any) pilot.Decider
+type Make func(seed int64, terms map[string]any) controller.Decider
 
 // Names lists the policies that Named knows, in the order in which they are shown.
 func Names() []string {
@@ -24,8 +24,8 @@
 // Named returns a policy by name.
 func Named(name string) (Make, error) {
 	of := func(plan func(*policy, int) map[int]float64, everyMs float64, own bool) Make {
-		return func(seed int64, _ map[string]any) pilot.Decider {
-			return &policy{seed: seed, plan: plan, everyMs: everyMs, own: own, listed: map[int]brain.Entry{}, proxies: map[int]brain.Joined{},
+		return func(seed int64, _ map[string]any) controller.Decider {
+			return &policy{seed: seed, plan: plan, everyMs: everyMs, own: own, listed: map[int]planner.Entry{}, proxies: map[int]planner.Joined{},
 				tables: map[int]map[int]float64{}, util: map[int]float64{}, weight: map[int]float64{}}
 		}
 	}
@@ -41,7 +41,7 @@
 	case "feedback":
 		return of((*policy).feedback, 1000, false), nil
 	case "oracle":
-		return func(seed int64, t map[string]any) pilot.Decider {
+		return func(seed int64, t map[string]any) controller.Decider {
 			p := of((*policy).oracle, 100, false)(seed, t).(*policy)
 			return &Oracle{policy: p}
 		}, nil
@@ -56,9 +56,9 @@
 	everyMs float64 // anew so often; 0: on changes only
 	own     bool    // a table for each proxy, else one for all
 	dueMs   float64
-	listed  map[int]brain.Entry
+	listed  map[int]planner.Entry
 	order   []int // of what is ready
-	proxies map[int]brain.Joined
+	proxies map[int]planner.Joined
 	tables  map[int]map[int]float64
 	util    map[int]float64 // last told
 	weight  map[int]float64 // of feedback
@@ -66,19 +66,19 @@
 }
 
 // Handle follows the list and the proxies.
-func (p *policy) Handle(nowMs float64, notes []brain.Note) (orders []brain.Order) {
+func (p *policy) Handle(nowMs float64, notes []planner.Note) (orders []planner.Order) {
 	changed, fresh := false, []int(nil)
 	for _, n := range notes {
 		switch n := n.(type) {
-		case brain.Listing:
+		case planner.Listing:
 			p.list(n)
 			changed = true
-		case brain.Joined:
+		case planner.Joined:
 			p.proxies[n.Proxy] = n
 			fresh = append(fresh, n.Proxy)
-		case brain.Left:
+		case planner.Left:
 			delete(p.proxies, n.Proxy)
-		case brain.Met:
+		case planner.Met:
 			if u, told := n.Load["util"]; told {
 				p.util[n.Endpoint] = u
 			}
@@ -87,13 +87,13 @@
 	due := p.everyMs > 0 && nowMs >= p.dueMs
 	if due {
 		p.dueMs = nowMs + p.everyMs
-		orders = append(orders, brain.WakeAt{AtMs: p.dueMs, Name: "again"})
+		orders = append(orders, planner.WakeAt{AtMs: p.dueMs, Name: "again"})
 	}
 	if changed || due || p.own && len(fresh) > 0 {
 		orders = append(orders, p.push()...)
 	}
 	for _, x := range fresh {
-		orders = append(orders, brain.Bind{Table: p.table(x), Proxy: x})
+		orders = append(orders, planner.Bind{Table: p.table(x), Proxy: x})
 	}
 	return orders
 }
@@ -108,8 +108,8 @@
 	return 0
 }
 
-func (p *policy) list(l brain.Listing) {
-	if l.Mode == brain.Whole {
+func (p *policy) list(l planner.Listing) {
+	if l.Mode == planner.Whole {
 		clear(p.listed)
 	}
 	for _, e := range l.Entries {
@@ -117,14 +117,14 @@
 	}
 	p.order = p.order[:0]
 	for _, i := range slices.Sorted(maps.Keys(p.listed)) {
-		if p.listed[i].Phase == brain.Ready {
+		if p.listed[i].Phase == planner.Ready {
 			p.order = append(p.order, i)
 		}
 	}
 }
 
 // push sends the lines that differ.
-func (p *policy) push() (orders []brain.Order) {
+func (p *policy) push() (orders []planner.Order) {
 	who := []int{0}
 	if p.own {
 		who = slices.Sorted(maps.Keys(p.proxies))
@@ -139,13 +139,13 @@
 		for _, i := range slices.Sorted(maps.Keys(has)) {
 			if want[i] == 0 {
 				delete(has, i)
-				orders = append(orders, brain.SetLine{Table: number, Endpoint: i})
+				orders = append(orders, planner.SetLine{Table: number, Endpoint: i})
 			}
 		}
 		for _, i := range slices.Sorted(maps.Keys(want)) {
 			if has[i] != want[i] {
 				has[i] = want[i]
-				orders = append(orders, brain.SetLine{Table: number, Endpoint: i, Weight: want[i]})
+				orders = append(orders, planner.SetLine{Table: number, Endpoint: i, Weight: want[i]})
 			}
 		}
 	}
--- a/internal/terms/read.go
+++ b/internal/config/read.go
@@ -1,6 +1,6 @@
-// Package terms reads what a pilot is told at its start, from HCL, checks it and gives each package its typed part.
+// Package config reads what a pilot is told at its start, from HCL, checks it and gives each package its typed part.
 // Every complaint names file, line and column. It opens no file but the one it is given and applies nothing.
-package terms
+package config
 
 import (
 	"fmt"
--- a/internal/terms/terms.go
+++ b/internal/config/terms.go
@@ -1,4 +1,4 @@
-package terms
+package config
 
 import (
 	"errors"
@@ -13,10 +13,10 @@
 	"github.com/hashicorp/hcl/v2"
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 
-	"indigousher/brain"
-	"indigousher/intake"
-	"indigousher/internal/keys"
+	"indigousher/internal/identity"
 	"indigousher/internal/wire"
+	"indigousher/planner"
+	"indigousher/telemetry"
 )
 
 // ReqKind is what is told of one kind of req.
@@ -66,7 +66,7 @@
 	Listen, Admin string
 	Handover      string // path of the socket over which a new process takes over; "": none
 	GRPC          string // where proxies join over gRPC and xDS; "": not
-	Keys          keys.Files
+	Keys          identity.Files
 	Plain         bool // no keys; on loopback only
 	NewPerS       float64
 
@@ -287,7 +287,7 @@
 	if (p.ListFile == "") == (p.ListAddress == "") {
 		say("list: one of file and address is wanted")
 	}
-	if p.Plain == (p.Keys != keys.Files{}) {
+	if p.Plain == (p.Keys != identity.Files{}) {
 		say("keys: authority, certificate and private_key are wanted, or plain = true")
 	}
 	if !p.Plain && p.PeersListen != "" && p.PeersSecret == "" {
@@ -471,8 +471,8 @@
 			diags = append(diags, named(b.SrcRange, e.Endpoint, 1)...)
 			diags = append(diags, named(b.SrcRange, e.Zone, 0)...)
 			diags = append(diags, named(b.SrcRange, e.Machine, 0)...)
-			if !brain.SoundWeight(e.Weight) {
-				diags = append(diags, complaint(b.SrcRange, "weight %g: 0 or %g to %g is wanted", e.Weight, 1/brain.MostFigure, brain.MostFigure))
+			if !planner.SoundWeight(e.Weight) {
+				diags = append(diags, complaint(b.SrcRange, "weight %g: 0 or %g to %g is wanted", e.Weight, 1/planner.MostFigure, planner.MostFigure))
 			}
 			seen[e.Endpoint] = true
 			l.Entries = append(l.Entries, e)
@@ -488,8 +488,8 @@
 }
 
 // Intake returns the report intake's part.
-func (p *Pilot) Intake() intake.Terms {
-	return intake.Terms{LinesPerS: p.IntakeLinesPerS, ToldPerS: float64(p.ReportLinesPerS), Standing: p.IntakeStanding,
+func (p *Pilot) Intake() telemetry.Terms {
+	return telemetry.Terms{LinesPerS: p.IntakeLinesPerS, ToldPerS: float64(p.ReportLinesPerS), Standing: p.IntakeStanding,
 		PeriodMs: ms(p.Period), HalfMs: ms(p.IntakeHalf), LongestMs: ms(p.IntakeLongest), Slowest: p.IntakeSlowest,
 		ColdMs: ms(p.Cold), MostSenders: p.MaxStreams}
 }
--- a/internal/terms/write.go
+++ b/internal/config/write.go
@@ -1,4 +1,4 @@
-package terms
+package config
 
 import (
 	"fmt"
--- a/internal/pilot/core.go
+++ b/internal/controller/core.go
@@ -1,24 +1,24 @@
-// Package pilot is the runtime around the decisions: it turns what edges report into the module's notes, carries out
+// Package controller is the runtime around the decisions: it turns what edges report into the module's notes, carries out
 // what the module orders, and keeps the channel to the proxies. It decides nothing about routing. Core and Channel
 // are driven with explicit times and hold no goroutine, so the same code runs on sockets (Loop) and in virtual time.
 // Edges call Loop.Post and implement the small interfaces of this file; cmd/indigousher wires them.
-package pilot
+package controller
 
 import (
 	"fmt"
 	"maps"
 	"slices"
 
-	"indigousher/brain"
-	"indigousher/intake"
-	"indigousher/internal/translate"
+	"indigousher/internal/settings"
 	"indigousher/internal/wire"
+	"indigousher/planner"
+	"indigousher/telemetry"
 )
 
 // Decider is what decides; brain.Brain is the one that ships.
 type Decider interface {
 	// Handle takes in what happened by nowMs and returns what is to be done about it.
-	Handle(nowMs float64, notes []brain.Note) []brain.Order
+	Handle(nowMs float64, notes []planner.Note) []planner.Order
 	// Reconfigure takes over changed settings: all of them, changed and not. What was derived from the settings at the
 	// start (zones, request kinds, parts of a zone) stays as it is.
 	Reconfigure(settings map[string]any)
@@ -97,7 +97,7 @@
 type Retermed struct{ Terms map[string]any }
 
 // Told brings what an intake passed on, in a replay.
-type Told struct{ Notes []brain.Note }
+type Told struct{ Notes []planner.Note }
 
 // Plan names all that a Core is made from.
 type Plan struct {
@@ -108,7 +108,7 @@
 	HeadLines              int
 	MessagesMost           int
 	MessagesOverMs         float64
-	Intake                 intake.Terms
+	Intake                 telemetry.Terms
 	MostProxies            int // distinct names in a life; more are refused
 	List                   ListSource
 	Prober                 Prober
@@ -118,14 +118,14 @@
 	Odd                    func(what string, fields ...string) // what an edge said that can't be used
 	Meter                  *Meter
 	// Turn, if not nil, hears of each turn: its inputs, what the intake passed on, and the orders.
-	Turn     func(nowMs float64, inputs []Input, told []brain.Note, orders []brain.Order)
+	Turn     func(nowMs float64, inputs []Input, told []planner.Note, orders []planner.Order)
 	Replayed bool // what the intake passed on comes as Told; the core's own is not asked
 }
 
 // table is a numbered table as ordered so far.
 type table struct {
 	lines  map[int]float64
-	levels map[int]brain.Admit
+	levels map[int]planner.Admit
 }
 
 // session is a joined proxy.
@@ -151,18 +151,18 @@
 // Core holds what the orders so far amount to. It is used by one goroutine.
 type Core struct {
 	plan                              Plan
-	endpoints, zones, machines, kinds translate.Names
-	proxies                           translate.Names
+	endpoints, zones, machines, kinds settings.Names
+	proxies                           settings.Names
 	sessions                          map[int]*session
 	streams                           map[Stream]*session
 	tables                            map[int]*table
-	everywhere                        map[int]brain.Admit
+	everywhere                        map[int]planner.Admit
 	withdrawn                         map[int]bool
 	slices                            map[int]keyRange // in this pilot's charge, by number, which is that of their table
 	stamps                            map[int]startStamp
 	alarms                            alarms
 	gate                              *gate
-	told                              []brain.Note // of a replay, for this turn
+	told                              []planner.Note // of a replay, for this turn
 	listed                            map[string]wire.Entry
 	listVersion                       int
 	listNow                           uint64 // on the list's clock, at listAt of ours
@@ -173,7 +173,7 @@
 	sorted                            []*session // by proxy; nil: to be made
 	begun                             bool
 	relayed                           map[int]bool    // joined proxies whose streams the relay holds
-	turn                              []brain.Order   // what this turn ordered of the relay
+	turn                              []planner.Order // what this turn ordered of the relay
 	retired                           map[int]float64 // endpoints no longer listed, and since when
 	Believed                          Believed
 	Heard                             int // notes handed to the module
@@ -191,7 +191,7 @@
 // NewCore returns a core that has been told nothing.
 func NewCore(p Plan) *Core {
 	c := &Core{plan: p, sessions: map[int]*session{}, streams: map[Stream]*session{}, tables: map[int]*table{},
-		everywhere: map[int]brain.Admit{}, withdrawn: map[int]bool{}, slices: map[int]keyRange{}, relayed: map[int]bool{}, retired: map[int]float64{}, stamps: map[int]startStamp{},
+		everywhere: map[int]planner.Admit{}, withdrawn: map[int]bool{}, slices: map[int]keyRange{}, relayed: map[int]bool{}, retired: map[int]float64{}, stamps: map[int]startStamp{},
 		Channel: NewChannel(p.LinesPerS, p.Backlog, p.MessagesMost, p.MessagesOverMs, p.Meter)}
 	for _, z := range p.Zones {
 		c.zones.In(z)
@@ -217,12 +217,12 @@
 // Handle takes in what came, lets the module decide and fills the channel. Times never go back.
 func (c *Core) Handle(nowMs float64, inputs []Input) {
 	c.now = max(c.now, nowMs)
-	var notes []brain.Note
+	var notes []planner.Note
 	for _, in := range inputs {
 		notes = c.note(notes, in)
 	}
 	for _, name := range c.alarms.pop(c.now) {
-		notes = append(notes, brain.Alarm{Name: name})
+		notes = append(notes, planner.Alarm{Name: name})
 	}
 	before := len(notes)
 	switch {
@@ -233,12 +233,12 @@
 	default:
 		notes = c.tell(notes)
 	}
-	var orders []brain.Order
+	var orders []planner.Order
 	asked := len(notes) > 0 || !c.begun // the module wakes itself for whatever else is due
 	if asked {
 		c.begun = true
 		c.Heard += len(notes)
-		orders = c.plan.Meter.decide(func() []brain.Order { return c.plan.Decider.Handle(c.now, notes) })
+		orders = c.plan.Meter.decide(func() []planner.Order { return c.plan.Decider.Handle(c.now, notes) })
 	}
 	if c.plan.Turn != nil && (asked || len(inputs) > 0) {
 		c.plan.Turn(c.now, inputs, notes[before:], orders)
@@ -281,7 +281,7 @@
 }
 
 // tell adds what the intake passes on, and asks streams for what it wants of them.
-func (c *Core) tell(notes []brain.Note) []brain.Note {
+func (c *Core) tell(notes []planner.Note) []planner.Note {
 	notes, asks, unknown := c.gate.tell(notes, c.now, c.plan.Meter)
 	for _, a := range asks {
 		if err := a.stream.Ask(a.pace); err != nil {
@@ -295,7 +295,7 @@
 }
 
 // note turns an input into notes.
-func (c *Core) note(notes []brain.Note, in Input) []brain.Note {
+func (c *Core) note(notes []planner.Note, in Input) []planner.Note {
 	switch in := in.(type) {
 	case Join:
 		return c.join(notes, in)
@@ -307,17 +307,17 @@
 		c.Report(c.now, in.Stream, in.Sums)
 	case Applied:
 		if s := c.streams[in.Stream]; s != nil && s.answers(in.Done.Mark) {
-			return append(notes, brain.Applied{Proxy: s.proxy, Number: in.Done.Mark, TookMs: in.Done.TookMs})
+			return append(notes, planner.Applied{Proxy: s.proxy, Number: in.Done.Mark, TookMs: in.Done.TookMs})
 		}
 	case Listed:
 		return append(notes, c.listing(in))
 	case SliceGiven:
 		return c.slice(notes, in.Slices)
 	case ListLost:
-		return append(notes, brain.Listing{Mode: brain.ListFailed})
+		return append(notes, planner.Listing{Mode: planner.ListFailed})
 	case Probed:
 		if i, known := c.endpoints.Find(in.Endpoint); known {
-			return append(notes, brain.Probed{Endpoint: i, OK: in.Outcome == "ok", Outcome: in.Outcome,
+			return append(notes, planner.Probed{Endpoint: i, OK: in.Outcome == "ok", Outcome: in.Outcome,
 				TookMs: in.TookMs, Load: load(in.Load, func(f wire.Figure) { c.odd(oddFigure, f.Name, fmt.Sprint(f.Value)) })})
 		}
 	case Told:
@@ -329,7 +329,7 @@
 			}
 		}
 	case Heard:
-		return append(notes, brain.Gossip{From: in.From, Text: in.Text})
+		return append(notes, planner.Gossip{From: in.From, Text: in.Text})
 	case Retermed:
 		maps.Copy(c.plan.Terms, in.Terms)
 		c.plan.Decider.Reconfigure(c.plan.Terms)
@@ -352,14 +352,14 @@
 }
 
 // join takes in a stream. One under the same name is ended first: the newer one is the one that lives.
-func (c *Core) join(notes []brain.Note, in Join) []brain.Note {
+func (c *Core) join(notes []planner.Note, in Join) []planner.Note {
 	zone, known := c.zones.Find(in.Hello.Zone)
 	if !known {
 		c.odd("proxy of an unknown zone", in.Hello.Proxy, in.Hello.Zone)
 		in.Stream.Close("unknown zone")
 		return notes
 	}
-	if !brain.Sound(in.Hello.Rate) {
+	if !planner.Sound(in.Hello.Rate) {
 		c.odd("rate out of range", in.Hello.Proxy, fmt.Sprint(in.Hello.Rate))
 		in.Stream.Close("rate out of range")
 		return notes
@@ -400,30 +400,30 @@
 	for _, number := range slices.Sorted(maps.Keys(c.slices)) {
 		c.layRange(s, number)
 	}
-	return append(notes, brain.Joined{Proxy: proxy, Zone: zone, Rate: in.Hello.Rate, Fresh: in.Hello.Fresh})
+	return append(notes, planner.Joined{Proxy: proxy, Zone: zone, Rate: in.Hello.Rate, Fresh: in.Hello.Fresh})
 }
 
 // drop forgets a session and what waits for it in the channel.
-func (c *Core) drop(s *session) brain.Note {
+func (c *Core) drop(s *session) planner.Note {
 	delete(c.sessions, s.proxy)
 	delete(c.streams, s.stream)
 	c.sorted = nil
 	c.Channel.Drop(s)
 	c.gate.leave(s)
 	c.plan.Meter.joined(len(c.sessions))
-	return brain.Left{Proxy: s.proxy}
+	return planner.Left{Proxy: s.proxy}
 }
 
 // listing turns list entries into a note. A start is told as its age on this pilot's clock when its stamp was first
 // seen, and stays so: the module takes any other figure for a restart.
-func (c *Core) listing(in Listed) brain.Note {
+func (c *Core) listing(in Listed) planner.Note {
 	l := in.List
-	out, named, before := brain.Listing{Mode: brain.Changes, Version: l.Version}, map[int]bool{}, c.listed
+	out, named, before := planner.Listing{Mode: planner.Changes, Version: l.Version}, map[int]bool{}, c.listed
 	c.listVersion, c.listNow, c.listAt = l.Version, l.Now, c.now
 	if l.Whole {
-		out.Mode = brain.Whole
+		out.Mode = planner.Whole
 		if in.Remembered {
-			out.Mode = brain.Remembered
+			out.Mode = planner.Remembered
 		}
 		c.listed = map[string]wire.Entry{}
 	}
@@ -433,7 +433,7 @@
 			c.odd("endpoint of an unknown zone", e.Endpoint, e.Zone)
 			continue
 		}
-		if !brain.SoundWeight(e.Weight) { // its phase counts all the same: a drain is not lost over a wrong weight
+		if !planner.SoundWeight(e.Weight) { // its phase counts all the same: a drain is not lost over a wrong weight
 			c.odd("weight out of range", e.Endpoint, fmt.Sprint(e.Weight))
 			e.Weight = before[e.Endpoint].Weight
 		}
@@ -449,8 +449,8 @@
 			}
 			c.stamps[i] = startStamp{e.Started, told}
 		}
-		entry := brain.Entry{Endpoint: i, Zone: zone, Machine: c.machines.In(e.Machine), Cell: e.Cell,
-			Phase: brain.Phase(e.Phase), Weight: e.Weight, Started: c.stamps[i].toldMs}
+		entry := planner.Entry{Endpoint: i, Zone: zone, Machine: c.machines.In(e.Machine), Cell: e.Cell,
+			Phase: planner.Phase(e.Phase), Weight: e.Weight, Started: c.stamps[i].toldMs}
 		named[i] = true
 		if c.plan.Relay == nil {
 			c.gate.list(c.now, e.Endpoint, entry)
@@ -468,7 +468,7 @@
 // slice turns a slice that is given or taken into notes: its charge, and the lines stored of it. Proxies learn the range
 // of its keys and the stored lines, which stand until the module orders others. A slice's number is that of its table, so
 // one that the deployment does not have would wipe a zone's table at every proxy.
-func (c *Core) slice(notes []brain.Note, x *wire.Slices) []brain.Note {
+func (c *Core) slice(notes []planner.Note, x *wire.Slices) []planner.Note {
 	if most, _ := c.plan.Terms["slices"].(float64); float64(x.Slice) >= most {
 		c.odd("slice that the terms do not tell of", fmt.Sprint(x.Slice))
 		return notes
@@ -478,10 +478,10 @@
 	if delete(c.slices, x.Slice); x.Given {
 		c.slices[x.Slice] = keyRange{x.From, x.To}
 	}
-	notes = append(notes, brain.SliceCharge{Slice: x.Slice, Given: x.Given})
+	notes = append(notes, planner.SliceCharge{Slice: x.Slice, Given: x.Given})
 	for _, l := range x.Lines {
-		if i, known := c.endpoints.Find(l.Endpoint); known && x.Given && brain.SoundWeight(l.Weight) {
-			notes = append(notes, brain.SliceLine{Slice: x.Slice, Endpoint: i, Weight: l.Weight})
+		if i, known := c.endpoints.Find(l.Endpoint); known && x.Given && planner.SoundWeight(l.Weight) {
+			notes = append(notes, planner.SliceLine{Slice: x.Slice, Endpoint: i, Weight: l.Weight})
 			c.table(x.Slice).lines[i] = l.Weight
 		} else {
 			c.odd("stored line of an unknown endpoint or weight", l.Endpoint, fmt.Sprint(l.Weight))
@@ -505,23 +505,23 @@
 }
 
 // carryOut does one order.
-func (c *Core) carryOut(o brain.Order) {
+func (c *Core) carryOut(o planner.Order) {
 	if c.relay(o) {
 		return
 	}
 	switch o := o.(type) {
-	case brain.SetLine:
+	case planner.SetLine:
 		c.setLine(o)
-	case brain.ClearTable:
+	case planner.ClearTable:
 		delete(c.tables, o.Table)
 		c.toUsers(o.Table, wire.Op{Kind: wire.OpClear, Table: o.Table})
-	case brain.Bind:
+	case planner.Bind:
 		c.bind(o)
-	case brain.Withdraw:
+	case planner.Withdraw:
 		c.withdraw(o)
-	case brain.Admit:
+	case planner.Admit:
 		c.admit(o)
-	case brain.Mark:
+	case planner.Mark:
 		for _, s := range c.inOrder() {
 			if s.pending != nil || o.All {
 				c.write(s, wire.Op{Kind: wire.OpMark, Number: o.Number})
@@ -529,17 +529,17 @@
 				s.marks = s.marks[max(0, len(s.marks)-mostMarks):]
 			}
 		}
-	case brain.Probe:
+	case planner.Probe:
 		c.plan.Prober.Probe(c.endpoints.Name(o.Endpoint))
-	case brain.Tell:
+	case planner.Tell:
 		c.plan.Peers.Tell(o.Peer, o.Text)
-	case brain.WakeAt:
+	case planner.WakeAt:
 		c.alarms.push(o.AtMs, o.Name)
-	case brain.Watch:
+	case planner.Watch:
 		c.plan.List.Watch(o.On)
-	case brain.FetchList:
+	case planner.FetchList:
 		c.plan.List.Fetch()
-	case brain.Log:
+	case planner.Log:
 		c.plan.Log(o.Text)
 	default:
 		c.odd("order that can't be carried out", fmt.Sprintf("%T", o))
@@ -548,13 +548,13 @@
 
 func (c *Core) table(number int) *table {
 	if c.tables[number] == nil {
-		c.tables[number] = &table{lines: map[int]float64{}, levels: map[int]brain.Admit{}}
+		c.tables[number] = &table{lines: map[int]float64{}, levels: map[int]planner.Admit{}}
 	}
 	return c.tables[number]
 }
 
 // setLine changes a line at all users of its table. An endpoint shut out stays so where it was not held before.
-func (c *Core) setLine(o brain.SetLine) {
+func (c *Core) setLine(o planner.SetLine) {
 	t, name := c.table(o.Table), c.endpoints.Name(o.Endpoint)
 	c.toUsers(o.Table, wire.Op{Kind: wire.OpSet, Table: o.Table, Endpoint: name, Weight: o.Weight})
 	if o.Weight == 0 {
@@ -568,7 +568,7 @@
 }
 
 // bind sends a whole table, or what differs from the one that the proxy said it has: its lines, levels, those for all, and which of its endpoints are shut out.
-func (c *Core) bind(o brain.Bind) {
+func (c *Core) bind(o planner.Bind) {
 	s := c.sessions[o.Proxy]
 	if s == nil {
 		c.odd("bind of a proxy that has left", c.proxies.Name(o.Proxy))
@@ -607,7 +607,7 @@
 	for _, name := range slices.Sorted(maps.Keys(has)) { // what it has beyond that
 		c.write(s, wire.Op{Kind: wire.OpSet, Table: number, Endpoint: name})
 	}
-	for _, levels := range []map[int]brain.Admit{t.levels, c.everywhere} {
+	for _, levels := range []map[int]planner.Admit{t.levels, c.everywhere} {
 		for _, k := range slices.Sorted(maps.Keys(levels)) {
 			c.write(s, admitOp(levels[k]))
 		}
@@ -615,7 +615,7 @@
 }
 
 // withdraw tells the proxies that hold an endpoint, as far as this pilot knows what they hold.
-func (c *Core) withdraw(o brain.Withdraw) {
+func (c *Core) withdraw(o planner.Withdraw) {
 	if c.withdrawn[o.Endpoint] = o.Out; !o.Out {
 		delete(c.withdrawn, o.Endpoint)
 	}
@@ -644,8 +644,8 @@
 	return false
 }
 
-func (c *Core) admit(o brain.Admit) {
-	if o.Table == brain.EveryTable {
+func (c *Core) admit(o planner.Admit) {
+	if o.Table == planner.EveryTable {
 		c.everywhere[o.Kinds] = o
 		for _, s := range c.inOrder() {
 			c.write(s, admitOp(o))
@@ -656,7 +656,7 @@
 	c.toUsers(o.Table, admitOp(o))
 }
 
-func admitOp(o brain.Admit) wire.Op {
+func admitOp(o planner.Admit) wire.Op {
 	return wire.Op{Kind: wire.OpAdmit, Table: o.Table, Kinds: o.Kinds, Weight: o.Level, Again: o.Again}
 }
 
@@ -708,33 +708,33 @@
 
 // knows returns whether a recorded note names what there is, in figures that the intake would have passed on. The module
 // takes any index for one that it may use.
-func (c *Core) knows(n brain.Note) bool {
+func (c *Core) knows(n planner.Note) bool {
 	within := func(i, n int) bool { return i >= 0 && i < n }
 	switch n := n.(type) {
-	case brain.Met:
+	case planner.Met:
 		for _, v := range n.Load {
-			if !brain.Sound(v) {
+			if !planner.Sound(v) {
 				return false
 			}
 		}
 		return within(n.Endpoint, c.endpoints.Len()) && within(n.Zone, c.zones.Len()) && n.Failed >= 0 && n.Tries >= n.Failed &&
-			brain.Sound(n.MeanMs) && brain.Sound(n.SpanMs)
-	case brain.Demand:
-		return within(n.Proxy, c.proxies.Len()) && within(n.Kind, c.kinds.Len()) && n.Reqs >= 0 && brain.Sound(n.SpanMs)
-	case brain.SliceDemand:
-		return within(n.Kind, c.kinds.Len()) && n.Reqs >= 0 && brain.Sound(n.SpanMs)
+			planner.Sound(n.MeanMs) && planner.Sound(n.SpanMs)
+	case planner.Demand:
+		return within(n.Proxy, c.proxies.Len()) && within(n.Kind, c.kinds.Len()) && n.Reqs >= 0 && planner.Sound(n.SpanMs)
+	case planner.SliceDemand:
+		return within(n.Kind, c.kinds.Len()) && n.Reqs >= 0 && planner.Sound(n.SpanMs)
 	}
 	return false
 }
 
 // load turns a load report into the module's. Figures that none can be are left out and said to wrong.
-func load(figures []wire.Figure, wrong func(f wire.Figure)) brain.Load {
+func load(figures []wire.Figure, wrong func(f wire.Figure)) planner.Load {
 	if len(figures) == 0 {
 		return nil
 	}
-	l := make(brain.Load, len(figures))
+	l := make(planner.Load, len(figures))
 	for _, f := range figures {
-		if !brain.Sound(f.Value) {
+		if !planner.Sound(f.Value) {
 			wrong(f)
 			continue
 		}
--- a/internal/pilot/core_test.go
+++ b/internal/controller/core_test.go
@@ -1,4 +1,4 @@
-package pilot
+package controller
 
 import (
 	"context"
@@ -14,19 +14,19 @@
 	"go.uber.org/zap"
 	"pgregory.net/rapid"
 
-	"indigousher/brain"
-	"indigousher/intake"
 	"indigousher/internal/wire"
+	"indigousher/planner"
+	"indigousher/telemetry"
 )
 
 // script orders what a test wants and keeps what it is told.
 type script struct {
-	orders [][]brain.Order
-	notes  []brain.Note
+	orders [][]planner.Order
+	notes  []planner.Note
 	times  []float64
 }
 
-func (s *script) Handle(nowMs float64, notes []brain.Note) []brain.Order {
+func (s *script) Handle(nowMs float64, notes []planner.Note) []planner.Order {
 	s.notes, s.times = append(s.notes, notes...), append(s.times, nowMs)
 	if len(s.orders) == 0 {
 		return nil
@@ -68,7 +68,7 @@
 
 func plan(d Decider, edge *fake) Plan {
 	return Plan{Decider: d, Terms: map[string]any{"slices": 16.0}, Zones: []string{"a", "b"}, Machines: []string{"std"},
-		Kinds: []string{"read", "book"}, HeadLines: 4, Intake: intake.Terms{PeriodMs: 1000, HalfMs: 1e9, LongestMs: 60000}, MostProxies: 3, MessagesOverMs: 10000, List: edge,
+		Kinds: []string{"read", "book"}, HeadLines: 4, Intake: telemetry.Terms{PeriodMs: 1000, HalfMs: 1e9, LongestMs: 60000}, MostProxies: 3, MessagesOverMs: 10000, List: edge,
 		Prober: edge, Peers: edge, Log: func(t string) { edge.calls = append(edge.calls, "log "+t) },
 		Odd: func(what string, _ ...string) { edge.calls = append(edge.calls, "odd "+what) }}
 }
@@ -87,7 +87,7 @@
 
 // TestNotes shows that every note of the module's interface has a source.
 func TestNotes(t *testing.T) {
-	d, edge, stream := &script{orders: [][]brain.Order{{brain.WakeAt{AtMs: 150, Name: "bell"}}, nil, {brain.Mark{Number: 9, All: true}}}}, &fake{}, &fake{}
+	d, edge, stream := &script{orders: [][]planner.Order{{planner.WakeAt{AtMs: 150, Name: "bell"}}, nil, {planner.Mark{Number: 9, All: true}}}}, &fake{}, &fake{}
 	c := NewCore(plan(d, edge))
 	c.Handle(0, nil)
 	c.Handle(100, []Input{listed(true, entry("x", 0), entry("y", 4000)), Join{stream, hello("p", "b")}})
@@ -98,65 +98,65 @@
 		Reported{stream, &wire.Sums{Seq: 1, SpanMs: 500, Met: []wire.Met{{Endpoint: "x", Tries: 4, Failed: 1, MeanMs: 20},
 			{Endpoint: "never listed", Tries: 1}}, Demand: []wire.Demand{{Kind: "book", Reqs: 5, Unanswered: 1}}}}})
 	c.Handle(2300, []Input{Leave{stream}, Leave{stream}})
-	assert.Equal(t, []brain.Note{
-		brain.Listing{Mode: brain.Whole, Version: 7, Entries: []brain.Entry{{Endpoint: 0, Zone: 1, Weight: 2},
+	assert.Equal(t, []planner.Note{
+		planner.Listing{Mode: planner.Whole, Version: 7, Entries: []planner.Entry{{Endpoint: 0, Zone: 1, Weight: 2},
 			{Endpoint: 1, Zone: 1, Weight: 2, Started: -900}}},
-		brain.Joined{Proxy: 0, Zone: 1, Rate: 2, Fresh: true},
-		brain.Alarm{Name: "bell"},
-		brain.Listing{Mode: brain.Changes, Version: 7, Entries: []brain.Entry{{Endpoint: 1, Zone: 1, Weight: 2, Started: -900}}},
-		brain.Listing{Mode: brain.ListFailed},
-		brain.Gossip{From: 3, Text: "hi"},
-		brain.Applied{Proxy: 0, Number: 9, TookMs: 2},
-		brain.Probed{Endpoint: 0, OK: true, Outcome: "ok", TookMs: 5, Load: brain.Load{"util": 0.5}},
-		brain.Met{Endpoint: 0, Zone: 1, Tries: 4, Failed: 1, MeanMs: 20, SpanMs: 500},
-		brain.Demand{Proxy: 0, Kind: 1, Reqs: 5, Unanswered: 1, SpanMs: 500},
-		brain.Left{Proxy: 0},
+		planner.Joined{Proxy: 0, Zone: 1, Rate: 2, Fresh: true},
+		planner.Alarm{Name: "bell"},
+		planner.Listing{Mode: planner.Changes, Version: 7, Entries: []planner.Entry{{Endpoint: 1, Zone: 1, Weight: 2, Started: -900}}},
+		planner.Listing{Mode: planner.ListFailed},
+		planner.Gossip{From: 3, Text: "hi"},
+		planner.Applied{Proxy: 0, Number: 9, TookMs: 2},
+		planner.Probed{Endpoint: 0, OK: true, Outcome: "ok", TookMs: 5, Load: planner.Load{"util": 0.5}},
+		planner.Met{Endpoint: 0, Zone: 1, Tries: 4, Failed: 1, MeanMs: 20, SpanMs: 500},
+		planner.Demand{Proxy: 0, Kind: 1, Reqs: 5, Unanswered: 1, SpanMs: 500},
+		planner.Left{Proxy: 0},
 	}, d.notes)
 	assert.Equal(t, []string{"odd sums of an unknown endpoint"}, edge.calls)
 }
 
 // TestOrders shows what each order amounts to at a proxy or an edge.
 func TestOrders(t *testing.T) {
-	set := func(e int, w float64) brain.Order { return brain.SetLine{Table: 5, Endpoint: e, Weight: w} }
+	set := func(e int, w float64) planner.Order { return planner.SetLine{Table: 5, Endpoint: e, Weight: w} }
 	setOp := func(e string, w float64) wire.Op {
 		return wire.Op{Kind: wire.OpSet, Table: 5, Endpoint: e, Weight: w}
 	}
 	bindOp := wire.Op{Kind: wire.OpBind, Table: 5, Kinds: 3}
 	out := func(e string) wire.Op { return wire.Op{Kind: wire.OpWithdraw, Endpoint: e, Out: true} }
-	bind := brain.Bind{Table: 5, Proxy: 0}
+	bind := planner.Bind{Table: 5, Proxy: 0}
 	for _, c := range []struct {
 		name   string
-		orders []brain.Order
+		orders []planner.Order
 		want   []wire.Op
 		calls  []string
 	}{
-		{"a table that nobody uses", []brain.Order{set(0, 1)}, nil, nil},
-		{"a bind sends the whole table", []brain.Order{set(1, 2), set(0, 1), bind}, []wire.Op{bindOp, setOp("x", 1), setOp("y", 2)}, nil},
-		{"a line after a bind", []brain.Order{bind, set(0, 1)}, []wire.Op{bindOp, setOp("x", 1)}, nil},
-		{"a line that goes", []brain.Order{set(0, 1), bind, set(0, 0)}, []wire.Op{bindOp, setOp("x", 1), setOp("x", 0)}, nil},
-		{"a bind tells what is shut out", []brain.Order{set(1, 1), brain.Withdraw{Endpoint: 1, Out: true}, bind},
+		{"a table that nobody uses", []planner.Order{set(0, 1)}, nil, nil},
+		{"a bind sends the whole table", []planner.Order{set(1, 2), set(0, 1), bind}, []wire.Op{bindOp, setOp("x", 1), setOp("y", 2)}, nil},
+		{"a line after a bind", []planner.Order{bind, set(0, 1)}, []wire.Op{bindOp, setOp("x", 1)}, nil},
+		{"a line that goes", []planner.Order{set(0, 1), bind, set(0, 0)}, []wire.Op{bindOp, setOp("x", 1), setOp("x", 0)}, nil},
+		{"a bind tells what is shut out", []planner.Order{set(1, 1), planner.Withdraw{Endpoint: 1, Out: true}, bind},
 			[]wire.Op{bindOp, setOp("y", 1), out("y")}, nil},
-		{"a line of what is shut out", []brain.Order{bind, brain.Withdraw{Endpoint: 1, Out: true}, set(1, 1)},
+		{"a line of what is shut out", []planner.Order{bind, planner.Withdraw{Endpoint: 1, Out: true}, set(1, 1)},
 			[]wire.Op{bindOp, setOp("y", 1), out("y")}, nil},
-		{"withdrawn where the standing table holds it", []brain.Order{brain.Withdraw{Endpoint: 0, Out: true}}, []wire.Op{out("x")}, nil},
-		{"withdrawn where nobody holds it", []brain.Order{brain.Withdraw{Endpoint: 1, Out: true}}, nil, nil},
-		{"a table cleared", []brain.Order{set(0, 1), bind, brain.ClearTable{Table: 5}, brain.Withdraw{Endpoint: 0, Out: true}},
+		{"withdrawn where the standing table holds it", []planner.Order{planner.Withdraw{Endpoint: 0, Out: true}}, []wire.Op{out("x")}, nil},
+		{"withdrawn where nobody holds it", []planner.Order{planner.Withdraw{Endpoint: 1, Out: true}}, nil, nil},
+		{"a table cleared", []planner.Order{set(0, 1), bind, planner.ClearTable{Table: 5}, planner.Withdraw{Endpoint: 0, Out: true}},
 			[]wire.Op{bindOp, setOp("x", 1), {Kind: wire.OpClear, Table: 5}}, nil},
-		{"levels", []brain.Order{brain.Admit{Table: 5, Kinds: 1, Level: 0.5, Again: 1}, bind},
+		{"levels", []planner.Order{planner.Admit{Table: 5, Kinds: 1, Level: 0.5, Again: 1}, bind},
 			[]wire.Op{bindOp, {Kind: wire.OpAdmit, Table: 5, Kinds: 1, Weight: 0.5, Again: 1}}, nil},
-		{"levels for all", []brain.Order{brain.Admit{Table: brain.EveryTable, Kinds: 1, Level: 0.5}},
-			[]wire.Op{{Kind: wire.OpAdmit, Table: brain.EveryTable, Kinds: 1, Weight: 0.5}}, nil},
-		{"a mark goes with a message", []brain.Order{brain.Withdraw{Endpoint: 0, Out: true}, brain.Mark{Number: 4}},
+		{"levels for all", []planner.Order{planner.Admit{Table: planner.EveryTable, Kinds: 1, Level: 0.5}},
+			[]wire.Op{{Kind: wire.OpAdmit, Table: planner.EveryTable, Kinds: 1, Weight: 0.5}}, nil},
+		{"a mark goes with a message", []planner.Order{planner.Withdraw{Endpoint: 0, Out: true}, planner.Mark{Number: 4}},
 			[]wire.Op{out("x"), {Kind: wire.OpMark, Number: 4}}, nil},
-		{"a mark without a message", []brain.Order{brain.Mark{Number: 4}}, nil, nil},
-		{"a mark for all", []brain.Order{brain.Mark{Number: 4, All: true}}, []wire.Op{{Kind: wire.OpMark, Number: 4}}, nil},
-		{"the edges", []brain.Order{brain.Probe{Endpoint: 1}, brain.Tell{Peer: -1, Text: "t"}, brain.Watch{On: true},
-			brain.FetchList{}, brain.Log{Text: "l"}}, nil, []string{"probe y", "tell -1 t", "watch true", "fetch", "log l"}},
-		{"a proxy that is not joined", []brain.Order{brain.Bind{Table: 5, Proxy: 2}}, nil,
+		{"a mark without a message", []planner.Order{planner.Mark{Number: 4}}, nil, nil},
+		{"a mark for all", []planner.Order{planner.Mark{Number: 4, All: true}}, []wire.Op{{Kind: wire.OpMark, Number: 4}}, nil},
+		{"the edges", []planner.Order{planner.Probe{Endpoint: 1}, planner.Tell{Peer: -1, Text: "t"}, planner.Watch{On: true},
+			planner.FetchList{}, planner.Log{Text: "l"}}, nil, []string{"probe y", "tell -1 t", "watch true", "fetch", "log l"}},
+		{"a proxy that is not joined", []planner.Order{planner.Bind{Table: 5, Proxy: 2}}, nil,
 			[]string{"odd bind of a proxy that has left"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d, edge, stream := &script{orders: [][]brain.Order{nil, c.orders}}, &fake{}, &fake{}
+			d, edge, stream := &script{orders: [][]planner.Order{nil, c.orders}}, &fake{}, &fake{}
 			core := NewCore(plan(d, edge))
 			core.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0))})
 			core.Handle(1, []Input{Join{stream, hello("p", "a", "x", "unknown")}})
@@ -190,16 +190,16 @@
 	c.Handle(1100, nil)
 	c.Handle(1200, []Input{SliceGiven{&wire.Slices{Slice: 7}}, load(3)})
 	c.Handle(2300, nil)
-	assert.Equal(t, []brain.Note{brain.SliceCharge{Slice: 7, Given: true}, brain.SliceLine{Slice: 7, Endpoint: 0, Weight: 2},
-		brain.SliceDemand{Slice: 7, Kind: 1, Reqs: 10, Unanswered: 2, SpanMs: 1100}, brain.SliceCharge{Slice: 7}}, d.notes)
+	assert.Equal(t, []planner.Note{planner.SliceCharge{Slice: 7, Given: true}, planner.SliceLine{Slice: 7, Endpoint: 0, Weight: 2},
+		planner.SliceDemand{Slice: 7, Kind: 1, Reqs: 10, Unanswered: 2, SpanMs: 1100}, planner.SliceCharge{Slice: 7}}, d.notes)
 }
 
 // TestWithdrawnAtAll guards a withdrawal against passing over any of the proxies that hold the endpoint: by a table of this
 // pilot's, by what they held when they joined, or by both.
 func TestWithdrawnAtAll(t *testing.T) {
-	bind := func(proxy int) brain.Order { return brain.Bind{Table: 5, Proxy: proxy, Kinds: 1} }
-	d := &script{orders: [][]brain.Order{nil, nil, {brain.SetLine{Table: 5, Endpoint: 0, Weight: 1}, bind(0), bind(1)},
-		{brain.Withdraw{Endpoint: 0, Out: true}}, {brain.Withdraw{Endpoint: 0}}}}
+	bind := func(proxy int) planner.Order { return planner.Bind{Table: 5, Proxy: proxy, Kinds: 1} }
+	d := &script{orders: [][]planner.Order{nil, nil, {planner.SetLine{Table: 5, Endpoint: 0, Weight: 1}, bind(0), bind(1)},
+		{planner.Withdraw{Endpoint: 0, Out: true}}, {planner.Withdraw{Endpoint: 0}}}}
 	p := plan(d, &fake{})
 	p.MostProxies = 5
 	c := NewCore(p)
@@ -243,7 +243,7 @@
 	c.Handle(2200, nil)
 	for _, n := range d.notes {
 		switch n.(type) {
-		case brain.Met, brain.Demand:
+		case planner.Met, planner.Demand:
 			t.Errorf("%+v", n)
 		}
 	}
@@ -252,8 +252,8 @@
 // TestHeld guards a return, to this pilot or another, before or after a crash: of a table that the proxy has only what
 // differs is sent.
 func TestHeld(t *testing.T) {
-	d, edge, stream := &script{orders: [][]brain.Order{nil, {brain.SetLine{Table: 5, Endpoint: 0, Weight: 1},
-		brain.SetLine{Table: 5, Endpoint: 1, Weight: 2}, brain.Bind{Table: 5, Proxy: 0}, brain.Bind{Table: 5, Proxy: 0}}}}, &fake{}, &fake{}
+	d, edge, stream := &script{orders: [][]planner.Order{nil, {planner.SetLine{Table: 5, Endpoint: 0, Weight: 1},
+		planner.SetLine{Table: 5, Endpoint: 1, Weight: 2}, planner.Bind{Table: 5, Proxy: 0}, planner.Bind{Table: 5, Proxy: 0}}}}, &fake{}, &fake{}
 	c := NewCore(plan(d, edge))
 	c.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0))})
 	h := hello("p", "a", "x")
@@ -276,7 +276,7 @@
 	assert.NotEmpty(t, first.closed)
 	c.Handle(2, []Input{Leave{first}, Applied{first, wire.Done{Mark: 1}}}) // of no stream that lives
 	assert.Len(t, c.sessions, 1)
-	assert.Equal(t, []brain.Note{brain.Joined{Rate: 2, Fresh: true}, brain.Left{}, brain.Joined{Rate: 2, Fresh: true}}, d.notes)
+	assert.Equal(t, []planner.Note{planner.Joined{Rate: 2, Fresh: true}, planner.Left{}, planner.Joined{Rate: 2, Fresh: true}}, d.notes)
 	stranger := &fake{}
 	c.Handle(3, []Input{Join{stranger, hello("q", "nowhere")}})
 	assert.Equal(t, "unknown zone", stranger.closed)
@@ -296,7 +296,7 @@
 	c.Handle(9000, []Input{Listed{List: &wire.List{Now: 9200, Entries: []wire.Entry{entry("x", 9100)}}}})
 	var starts []float64
 	for _, n := range d.notes {
-		starts = append(starts, n.(brain.Listing).Entries[0].Started)
+		starts = append(starts, n.(planner.Listing).Entries[0].Started)
 	}
 	assert.Equal(t, []float64{-1000, -1000, -1000, 8900}, starts)
 }
@@ -319,7 +319,7 @@
 	}
 	var tries []int
 	for _, n := range d.notes {
-		tries = append(tries, n.(brain.Met).Tries)
+		tries = append(tries, n.(planner.Met).Tries)
 	}
 	assert.Equal(t, []int{6, 4}, tries)
 }
@@ -362,7 +362,7 @@
 		play := func() (all []string) {
 			terms := map[string]any{"req_kinds": []any{map[string]any{"name": "read"}, map[string]any{"name": "book"}}}
 			edge := &fake{}
-			c := NewCore(plan(brain.New(1, terms), edge))
+			c := NewCore(plan(planner.New(1, terms), edge))
 			streams := []*fake{{}, {}, {}}
 			for i, s := range steps {
 				now := float64(i) * 170
@@ -401,7 +401,7 @@
 // TestLoop drives the loop in the test's bubble of time: it starts by itself, wakes for alarms and ends when asked.
 func TestLoop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d, stream := &script{orders: [][]brain.Order{{brain.WakeAt{AtMs: 2500, Name: "bell"}}}}, &fake{}
+		d, stream := &script{orders: [][]planner.Order{{planner.WakeAt{AtMs: 2500, Name: "bell"}}}}, &fake{}
 		l := NewLoop(NewCore(plan(d, &fake{})), RealClock{}, zap.NewNop())
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
--- a/internal/pilot/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -1,4 +1,4 @@
-package pilot
+package controller
 
 import (
 	"container/heap"
@@ -8,10 +8,10 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"indigousher/brain"
-	"indigousher/intake"
-	"indigousher/internal/standin/follow"
+	"indigousher/internal/testbed/routing"
 	"indigousher/internal/wire"
+	"indigousher/planner"
+	"indigousher/telemetry"
 )
 
 // town drives a core with the module inside and following proxies around it, in virtual time: messages and answers
@@ -30,7 +30,7 @@
 	t      *town
 	name   string
 	zone   string
-	follow *follow.Follower
+	follow *routing.Follower
 }
 
 func (v *villager) Close(string) {}
@@ -109,9 +109,9 @@
 		c(terms)
 	}
 	t := &town{late: 275}
-	t.core = NewCore(Plan{Decider: brain.New(1, terms), Terms: terms, Zones: zones, Machines: []string{"std"},
+	t.core = NewCore(Plan{Decider: planner.New(1, terms), Terms: terms, Zones: zones, Machines: []string{"std"},
 		Kinds: []string{"read"}, LinesPerS: pace, Backlog: backlog, HeadLines: 3, MessagesMost: 30, MessagesOverMs: 10000,
-		Intake: intake.Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000}, MostProxies: 1 << 16, List: &fake{}, Prober: &fake{}, Peers: &fake{}, Log: func(string) {},
+		Intake: telemetry.Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000}, MostProxies: 1 << 16, List: &fake{}, Prober: &fake{}, Peers: &fake{}, Log: func(string) {},
 		Odd: func(string, ...string) {}})
 	var entries []wire.Entry
 	for i := range endpoints {
@@ -134,7 +134,7 @@
 				holds = append(holds, e.Endpoint)
 			}
 		}
-		v.follow = follow.NewFollower(follow.Habits{Kinds: []string{"read"}}, holds, 1)
+		v.follow = routing.NewFollower(routing.Habits{Kinds: []string{"read"}}, holds, 1)
 		v.follow.Joined()
 		t.handle(Join{v, wire.Hello{Proxy: v.name, Zone: v.zone, Rate: 2, Holds: holds}})
 	}
--- a/internal/pilot/gate.go
+++ b/internal/controller/gate.go
@@ -1,4 +1,4 @@
-package pilot
+package controller
 
 import (
 	"maps"
@@ -7,34 +7,34 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"indigousher/brain"
-	"indigousher/intake"
 	"indigousher/internal/wire"
+	"indigousher/planner"
+	"indigousher/telemetry"
 )
 
 // gate stands between the streams and the loop: reports are taken in where they are read, by any goroutine, and told
 // to the loop once a period. What becomes of them the intake module decides; the gate knows names and holds the lock.
 type gate struct {
 	mu        sync.Mutex
-	in        *intake.Intake[[]wire.Figure]
+	in        *telemetry.Intake[[]wire.Figure]
 	proxies   map[Stream]int
 	streams   map[int]Stream
 	endpoints map[string]int
 	kinds     map[string]int
-	report    intake.Report[[]wire.Figure]
+	report    telemetry.Report[[]wire.Figure]
 	periodMs  float64
 	lastMs    float64
-	slices    map[int]map[int]*brain.SliceDemand // in this pilot's charge, by slice and kind: what came since the last telling
-	unknown   map[string]int                     // what was named that nobody knows, since the last telling
+	slices    map[int]map[int]*planner.SliceDemand // in this pilot's charge, by slice and kind: what came since the last telling
+	unknown   map[string]int                       // what was named that nobody knows, since the last telling
 	ages      *hdrhistogram.Histogram
 }
 
 // oldest is the greatest age that the histogram tells apart, in ms.
 const oldest = 600_000
 
-func newGate(t intake.Terms, kinds []string) *gate {
-	g := &gate{in: intake.New[[]wire.Figure](t), proxies: map[Stream]int{}, streams: map[int]Stream{},
-		endpoints: map[string]int{}, kinds: map[string]int{}, periodMs: t.PeriodMs, slices: map[int]map[int]*brain.SliceDemand{}, unknown: map[string]int{},
+func newGate(t telemetry.Terms, kinds []string) *gate {
+	g := &gate{in: telemetry.New[[]wire.Figure](t), proxies: map[Stream]int{}, streams: map[int]Stream{},
+		endpoints: map[string]int{}, kinds: map[string]int{}, periodMs: t.PeriodMs, slices: map[int]map[int]*planner.SliceDemand{}, unknown: map[string]int{},
 		ages: hdrhistogram.New(1, oldest, 2)}
 	for k, name := range kinds {
 		g.kinds[name] = k
@@ -63,7 +63,7 @@
 }
 
 // list tells of an endpoint as the module hears of it.
-func (g *gate) list(nowMs float64, name string, e brain.Entry) {
+func (g *gate) list(nowMs float64, name string, e planner.Entry) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.endpoints[name] = e.Endpoint
@@ -76,7 +76,7 @@
 	defer g.mu.Unlock()
 	for _, i := range g.endpoints {
 		if !named[i] {
-			g.in.List(nowMs, i, brain.Gone, 0)
+			g.in.List(nowMs, i, planner.Gone, 0)
 		}
 	}
 }
@@ -99,7 +99,7 @@
 			g.unknown["sums of an unknown endpoint"]++
 			e = -1
 		}
-		r.Lines = append(r.Lines, intake.Line[[]wire.Figure]{Endpoint: e, Tries: m.Tries, Failed: m.Failed,
+		r.Lines = append(r.Lines, telemetry.Line[[]wire.Figure]{Endpoint: e, Tries: m.Tries, Failed: m.Failed,
 			MeanMs: m.MeanMs, Load: m.Load, HasLoad: len(m.Load) > 0})
 	}
 	for _, d := range sums.Demand {
@@ -108,7 +108,7 @@
 			g.unknown["demand of an unknown req kind"]++
 			continue
 		}
-		r.Kinds = append(r.Kinds, intake.KindLine{Kind: k, Reqs: d.Reqs, Unanswered: d.Unanswered})
+		r.Kinds = append(r.Kinds, telemetry.KindLine{Kind: k, Reqs: d.Reqs, Unanswered: d.Unanswered})
 	}
 	g.in.Take(nowMs, r)
 	if joined {
@@ -121,7 +121,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if delete(g.slices, number); given {
-		g.slices[number] = map[int]*brain.SliceDemand{}
+		g.slices[number] = map[int]*planner.SliceDemand{}
 	}
 }
 
@@ -135,14 +135,14 @@
 			continue
 		}
 		if of[k] == nil {
-			of[k] = &brain.SliceDemand{Slice: x.Slice, Kind: k}
+			of[k] = &planner.SliceDemand{Slice: x.Slice, Kind: k}
 		}
 		of[k].Reqs, of[k].Unanswered = of[k].Reqs+x.Reqs, of[k].Unanswered+x.Unanswered
 	}
 }
 
 // tellSlices passes on what came for slices.
-func (g *gate) tellSlices(notes []brain.Note, spanMs float64) []brain.Note {
+func (g *gate) tellSlices(notes []planner.Note, spanMs float64) []planner.Note {
 	for _, number := range slices.Sorted(maps.Keys(g.slices)) {
 		of := g.slices[number]
 		for _, k := range slices.Sorted(maps.Keys(of)) {
@@ -161,7 +161,7 @@
 }
 
 // tell passes on what a period may, and what streams are to be asked for.
-func (g *gate) tell(notes []brain.Note, nowMs float64, m *Meter) ([]brain.Note, []asked, map[string]int) {
+func (g *gate) tell(notes []planner.Note, nowMs float64, m *Meter) ([]planner.Note, []asked, map[string]int) {
 	if nowMs < g.due() {
 		return notes, nil, nil
 	}
@@ -195,7 +195,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	counts = map[string]uint64{}
-	for i, r := range intake.Reasons() {
+	for i, r := range telemetry.Reasons() {
 		if g.in.Counts[i] > 0 {
 			counts[r.String()] = g.in.Counts[i]
 		}
--- a/internal/pilot/meter.go
+++ b/internal/controller/meter.go
@@ -1,4 +1,4 @@
-package pilot
+package controller
 
 import (
 	"time"
@@ -6,9 +6,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"indigousher/brain"
-	"indigousher/intake"
 	"indigousher/internal/wire"
+	"indigousher/planner"
+	"indigousher/telemetry"
 )
 
 // Meter holds the runtime's metrics. A nil Meter counts nothing.
@@ -103,7 +103,7 @@
 	if m.counted == nil {
 		m.counted = make([]uint64, len(counts))
 	}
-	for i, r := range intake.Reasons() {
+	for i, r := range telemetry.Reasons() {
 		m.reported.WithLabelValues(r.String()).Add(float64(counts[i] - m.counted[i]))
 		m.counted[i] = counts[i]
 	}
@@ -131,7 +131,7 @@
 }
 
 // decide times the module.
-func (m *Meter) decide(f func() []brain.Order) []brain.Order {
+func (m *Meter) decide(f func() []planner.Order) []planner.Order {
 	if m == nil {
 		return f()
 	}
--- a/internal/pilot/relayed.go
+++ b/internal/controller/relayed.go
@@ -1,19 +1,19 @@
-package pilot
+package controller
 
 import (
 	"fmt"
 	"maps"
 	"slices"
 
-	"indigousher/brain"
-	"indigousher/internal/translate"
+	"indigousher/internal/settings"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // Relay carries what one turn ordered to proxies whose streams others hold. It queues and paces by itself: the core
 // lays no messages out and its channel stays empty. Carry must not block and keeps nothing of what it is given.
 type Relay interface {
-	Carry(turn []brain.Order, endpoint func(i int) string)
+	Carry(turn []planner.Order, endpoint func(i int) string)
 	// Gone says that what waits for a proxy is void.
 	Gone(proxy int)
 }
@@ -60,7 +60,7 @@
 }
 
 // relayedNote turns an input about relayed proxies into notes.
-func (c *Core) relayedNote(notes []brain.Note, in Input) []brain.Note {
+func (c *Core) relayedNote(notes []planner.Note, in Input) []planner.Note {
 	switch in := in.(type) {
 	case Relayed:
 		return c.relayedJoin(notes, in)
@@ -68,10 +68,10 @@
 		return c.relayedLeave(notes, in.Proxy)
 	case RelayApplied:
 		if c.relayed[in.Proxy] {
-			return append(notes, brain.Applied{Proxy: in.Proxy, Number: in.Mark, TookMs: in.TookMs})
+			return append(notes, planner.Applied{Proxy: in.Proxy, Number: in.Mark, TookMs: in.TookMs})
 		}
 	case RelayStalled:
-		return append(notes, brain.Stalled{ForMs: in.ForMs, Again: in.Again, Joined: in.Joined})
+		return append(notes, planner.Stalled{ForMs: in.ForMs, Again: in.Again, Joined: in.Joined})
 	case ZoneMet:
 		zone, known := c.zones.Find(in.Zone)
 		endpoint, listed := c.endpoints.Find(in.Endpoint)
@@ -81,8 +81,8 @@
 		}
 		c.Believed.Reports++
 		c.Believed.SpanMs += in.SpanMs
-		return append(notes, brain.Met{Endpoint: endpoint, Zone: zone, Tries: in.Tries, Failed: in.Failed,
-			MeanMs: in.MeanMs, SpanMs: in.SpanMs, Load: translate.Load(in.Load)})
+		return append(notes, planner.Met{Endpoint: endpoint, Zone: zone, Tries: in.Tries, Failed: in.Failed,
+			MeanMs: in.MeanMs, SpanMs: in.SpanMs, Load: settings.Load(in.Load)})
 	case ProxyDemand:
 		kind, known := c.kinds.Find(in.Kind)
 		if !known || !c.provides(in.Proxy) {
@@ -91,7 +91,7 @@
 		}
 		c.Believed.Reports++
 		c.Believed.SpanMs += in.SpanMs
-		return append(notes, brain.Demand{Proxy: in.Proxy, Kind: kind, Reqs: in.Reqs, Unanswered: in.Unanswered,
+		return append(notes, planner.Demand{Proxy: in.Proxy, Kind: kind, Reqs: in.Reqs, Unanswered: in.Unanswered,
 			SpanMs: in.SpanMs})
 	}
 	return notes
@@ -100,9 +100,9 @@
 // provides returns whether the terms tell of a proxy of that number.
 func (c *Core) provides(proxy int) bool { return proxy >= 0 && proxy < c.plan.MostProxies }
 
-func (c *Core) relayedJoin(notes []brain.Note, in Relayed) []brain.Note {
+func (c *Core) relayedJoin(notes []planner.Note, in Relayed) []planner.Note {
 	zone, known := c.zones.Find(in.Zone)
-	if !known || !c.provides(in.Proxy) || !brain.Sound(in.Rate) {
+	if !known || !c.provides(in.Proxy) || !planner.Sound(in.Rate) {
 		c.odd("proxy of an unknown number or zone", fmt.Sprint(in.Proxy), in.Zone)
 		return notes
 	}
@@ -111,16 +111,16 @@
 		notes = c.relayedLeave(notes, in.Proxy)
 	}
 	c.relayed[in.Proxy] = true
-	return append(notes, brain.Joined{Proxy: in.Proxy, Zone: zone, Rate: in.Rate, Fresh: in.Fresh, Stood: stood})
+	return append(notes, planner.Joined{Proxy: in.Proxy, Zone: zone, Rate: in.Rate, Fresh: in.Fresh, Stood: stood})
 }
 
-func (c *Core) relayedLeave(notes []brain.Note, proxy int) []brain.Note {
+func (c *Core) relayedLeave(notes []planner.Note, proxy int) []planner.Note {
 	if !c.relayed[proxy] {
 		return notes
 	}
 	delete(c.relayed, proxy)
 	c.plan.Relay.Gone(proxy)
-	return append(notes, brain.Left{Proxy: proxy})
+	return append(notes, planner.Left{Proxy: proxy})
 }
 
 // Believed counts what the core took in of reports, for the pilot's own book-keeping.
@@ -164,17 +164,17 @@
 }
 
 // relay collects an order for the relay, if that is where it goes.
-func (c *Core) relay(o brain.Order) bool {
+func (c *Core) relay(o planner.Order) bool {
 	if c.plan.Relay == nil {
 		return false
 	}
 	switch o := o.(type) {
-	case brain.Bind:
+	case planner.Bind:
 		if !c.relayed[o.Proxy] {
 			c.odd("bind of a proxy that has left", fmt.Sprint(o.Proxy))
 			return true
 		}
-	case brain.SetLine, brain.ClearTable, brain.Withdraw, brain.Admit, brain.Mark:
+	case planner.SetLine, planner.ClearTable, planner.Withdraw, planner.Admit, planner.Mark:
 	default:
 		return false
 	}
--- a/internal/pilot/relayed_test.go
+++ b/internal/controller/relayed_test.go
@@ -1,4 +1,4 @@
-package pilot
+package controller
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"indigousher/brain"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // carried is a relay that counts.
@@ -17,10 +17,10 @@
 	names  map[string]bool
 }
 
-func (c *carried) Carry(turn []brain.Order, endpoint func(int) string) {
+func (c *carried) Carry(turn []planner.Order, endpoint func(int) string) {
 	c.orders += len(turn)
 	for _, o := range turn {
-		if l, ok := o.(brain.SetLine); ok {
+		if l, ok := o.(planner.SetLine); ok {
 			c.names[endpoint(l.Endpoint)] = true
 		}
 	}
@@ -38,7 +38,7 @@
 func TestGenerations(t *testing.T) {
 	terms := map[string]any{"instances": 1.0, "lines_per_s": 1000.0, "backlog": 1500.0, "proxy_count": 10.0, "zones": []any{"a", "b"},
 		"req_kinds": []any{map[string]any{"payoff": 1.0}}}
-	c, k := relayedCore(brain.New(1, terms))
+	c, k := relayedCore(planner.New(1, terms))
 	c.Handle(0, []Input{Relayed{Proxy: 1, Zone: "a", Rate: 5, Fresh: true}})
 	most, last := 0, ""
 	for g := range 500 {
@@ -74,27 +74,27 @@
 	met := ZoneMet{Zone: "a", Endpoint: "x", Tries: 2, Failed: 1, MeanMs: 3, SpanMs: 4, Load: map[string]float64{"qps": 2}}
 	for name, c := range map[string]struct {
 		in   []Input
-		want []brain.Note
+		want []planner.Note
 	}{
-		"joined and left": {[]Input{join, Unrelayed{3}, Unrelayed{3}}, []brain.Note{brain.Joined{Proxy: 3, Rate: 2}, brain.Left{Proxy: 3}}},
-		"joined again":    {[]Input{join, join}, []brain.Note{brain.Joined{Proxy: 3, Rate: 2}, brain.Left{Proxy: 3}, brain.Joined{Proxy: 3, Rate: 2}}},
+		"joined and left": {[]Input{join, Unrelayed{3}, Unrelayed{3}}, []planner.Note{planner.Joined{Proxy: 3, Rate: 2}, planner.Left{Proxy: 3}}},
+		"joined again":    {[]Input{join, join}, []planner.Note{planner.Joined{Proxy: 3, Rate: 2}, planner.Left{Proxy: 3}, planner.Joined{Proxy: 3, Rate: 2}}},
 		"has stood": {[]Input{join, Relayed{Proxy: 3, Zone: "a", Rate: 2, Stood: true}},
-			[]brain.Note{brain.Joined{Proxy: 3, Rate: 2}, brain.Joined{Proxy: 3, Rate: 2, Stood: true}}},
-		"unknown has stood": {[]Input{Relayed{Proxy: 3, Zone: "a", Rate: 2, Stood: true}}, []brain.Note{brain.Joined{Proxy: 3, Rate: 2}}},
+			[]planner.Note{planner.Joined{Proxy: 3, Rate: 2}, planner.Joined{Proxy: 3, Rate: 2, Stood: true}}},
+		"unknown has stood": {[]Input{Relayed{Proxy: 3, Zone: "a", Rate: 2, Stood: true}}, []planner.Note{planner.Joined{Proxy: 3, Rate: 2}}},
 		"stalled": {[]Input{RelayStalled{ForMs: 3, Again: []int{7}}, RelayStalled{}},
-			[]brain.Note{brain.Stalled{ForMs: 3, Again: []int{7}}, brain.Stalled{}}},
+			[]planner.Note{planner.Stalled{ForMs: 3, Again: []int{7}}, planner.Stalled{}}},
 		"beyond all": {[]Input{Relayed{Proxy: 10, Zone: "a"}, Relayed{Proxy: -1, Zone: "a"}, Relayed{Proxy: 1, Zone: "z"}}, nil},
-		"applied":    {[]Input{RelayApplied{Proxy: 3, Mark: 1}, join, RelayApplied{3, 1, 5}}, []brain.Note{brain.Joined{Proxy: 3, Rate: 2}, brain.Applied{Proxy: 3, Number: 1, TookMs: 5}}},
+		"applied":    {[]Input{RelayApplied{Proxy: 3, Mark: 1}, join, RelayApplied{3, 1, 5}}, []planner.Note{planner.Joined{Proxy: 3, Rate: 2}, planner.Applied{Proxy: 3, Number: 1, TookMs: 5}}},
 		"met": {[]Input{met, ZoneMet{Zone: "z", Endpoint: "x"}, ZoneMet{Zone: "a", Endpoint: "y"}},
-			[]brain.Note{brain.Met{Tries: 2, Failed: 1, MeanMs: 3, SpanMs: 4, Load: brain.Load{"rate": 2}}}},
+			[]planner.Note{planner.Met{Tries: 2, Failed: 1, MeanMs: 3, SpanMs: 4, Load: planner.Load{"rate": 2}}}},
 		"demand": {[]Input{ProxyDemand{Proxy: 2, Kind: "read", Reqs: 3, SpanMs: 4}, ProxyDemand{Proxy: 99, Kind: "read"}, ProxyDemand{Proxy: 2, Kind: "none"}},
-			[]brain.Note{brain.Demand{Proxy: 2, Reqs: 3, SpanMs: 4}}},
+			[]planner.Note{planner.Demand{Proxy: 2, Reqs: 3, SpanMs: 4}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := &scripted{}
 			core, _ := relayedCore(d)
 			core.Handle(0, []Input{Listed{List: &wire.List{Whole: true, Entries: []wire.Entry{entry}}, Remembered: true}})
-			assert.Equal(t, brain.Remembered, d.notes[0].(brain.Listing).Mode)
+			assert.Equal(t, planner.Remembered, d.notes[0].(planner.Listing).Mode)
 			d.notes = nil
 			core.Handle(1, c.in)
 			assert.Equal(t, c.want, d.notes)
@@ -107,7 +107,7 @@
 func TestOneTurnIsOneCall(t *testing.T) {
 	d := &scripted{}
 	c, k := relayedCore(d)
-	d.orders = []brain.Order{brain.SetLine{Table: 1, Weight: 1}, brain.Bind{Table: 1, Proxy: 3}, brain.Bind{Table: 1, Proxy: 4}, brain.Mark{Number: 1}}
+	d.orders = []planner.Order{planner.SetLine{Table: 1, Weight: 1}, planner.Bind{Table: 1, Proxy: 3}, planner.Bind{Table: 1, Proxy: 4}, planner.Mark{Number: 1}}
 	c.Handle(0, []Input{Relayed{Proxy: 3, Zone: "a"}})
 	assert.Equal(t, 3, k.orders)
 	assert.Equal(t, 0, c.Channel.Lines(), "nothing is paced twice")
@@ -117,11 +117,11 @@
 
 // scripted keeps notes and orders what it is told to, once.
 type scripted struct {
-	notes  []brain.Note
-	orders []brain.Order
+	notes  []planner.Note
+	orders []planner.Order
 }
 
-func (s *scripted) Handle(_ float64, notes []brain.Note) []brain.Order {
+func (s *scripted) Handle(_ float64, notes []planner.Note) []planner.Order {
 	s.notes = append(s.notes, notes...)
 	o := s.orders
 	s.orders = nil
--- a/internal/pilot/shares.go
+++ b/internal/controller/shares.go
@@ -1,4 +1,4 @@
-package pilot
+package controller
 
 import (
 	"maps"
--- a/internal/daemon/assemble.go
+++ b/internal/daemon/assemble.go
@@ -5,13 +5,13 @@
 
 	"go.uber.org/zap"
 
-	"indigousher/internal/edge/list"
-	"indigousher/internal/pilot"
-	"indigousher/internal/terms"
+	"indigousher/internal/config"
+	"indigousher/internal/controller"
+	"indigousher/internal/transport/discovery"
 )
 
 // assemble puts the controller together, step by step. After an error New closes what stands by then.
-func (d *Daemon) assemble(cfg *terms.Pilot) error {
+func (d *Daemon) assemble(cfg *config.Pilot) error {
 	if err := d.loadKeys(cfg); err != nil {
 		return err
 	}
@@ -40,23 +40,23 @@
 type lateLoop struct{ d *Daemon }
 
 // Post passes an input on; the loop is there once anything runs.
-func (l lateLoop) Post(ctx context.Context, in pilot.Input) error { return l.d.loop.Post(ctx, in) }
+func (l lateLoop) Post(ctx context.Context, in controller.Input) error { return l.d.loop.Post(ctx, in) }
 
 // followEndpointList makes the source of the endpoint list: a stream from a server, or a file.
-func (d *Daemon) followEndpointList(cfg *terms.Pilot) {
+func (d *Daemon) followEndpointList(cfg *config.Pilot) {
 	log := d.options.Log.Named("list")
 	if cfg.ListAddress != "" {
-		d.endpointSource = list.NewStream(cfg.Name, cfg.ListAddress, d.options.Dial, lateLoop{d}, cfg.ListSilence, log)
+		d.endpointSource = discovery.NewStream(cfg.Name, cfg.ListAddress, d.options.Dial, lateLoop{d}, cfg.ListSilence, log)
 		return
 	}
-	d.endpointSource = list.NewFile(cfg.ListFile, terms.ReadList, lateLoop{d}, log)
+	d.endpointSource = discovery.NewFile(cfg.ListFile, config.ReadList, lateLoop{d}, log)
 }
 
 // coreOptions returns a core's options, with a new planner.
-func (d *Daemon) coreOptions(cfg *terms.Pilot) pilot.Plan {
+func (d *Daemon) coreOptions(cfg *config.Pilot) controller.Plan {
 	settings := cfg.ForModule(cfg.Rank)
 	log := d.options.Log
-	return pilot.Plan{
+	return controller.Plan{
 		Decider:        d.options.Decide(int64(cfg.Seed), settings),
 		Terms:          settings,
 		Zones:          cfg.Zones,
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -1,15 +1,15 @@
 package daemon
 
 import (
-	"indigousher/internal/edge/peers"
-	"indigousher/internal/edge/probe"
-	"indigousher/internal/pilot"
+	"indigousher/internal/config"
+	"indigousher/internal/controller"
 	"indigousher/internal/record"
-	"indigousher/internal/terms"
+	"indigousher/internal/transport/gossip"
+	"indigousher/internal/transport/healthcheck"
 )
 
 // buildCore makes the core and its loop: rebuilt from the record, or new.
-func (d *Daemon) buildCore(cfg *terms.Pilot) error {
+func (d *Daemon) buildCore(cfg *config.Pilot) error {
 	options := d.coreOptions(cfg)
 	var resumeAtMs float64 // on the controller's clock; 0: it starts at 0
 	if cfg.RecordDir != "" {
@@ -25,9 +25,9 @@
 		}
 	}
 	if d.core == nil {
-		d.core = pilot.NewCore(options)
+		d.core = controller.NewCore(options)
 	}
-	d.loop = pilot.NewLoop(d.core, d.options.Clock, d.options.Log)
+	d.loop = controller.NewLoop(d.core, d.options.Clock, d.options.Log)
 	if resumeAtMs > 0 {
 		d.loop.GoOn(resumeAtMs)
 	}
@@ -36,17 +36,17 @@
 
 // newRecorder returns what records the core's turns.
 func (d *Daemon) newRecorder() *record.Recorder {
-	checkpoint := func() []pilot.Input { return d.core.Checkpoint() } // the core is made after the recorder
+	checkpoint := func() []controller.Input { return d.core.Checkpoint() } // the core is made after the recorder
 	return record.NewRecorder(d.recording.writer.Turn, checkpoint)
 }
 
 // replayOptions returns the options of a core that is being rebuilt: nothing that it commands reaches anybody.
-func (d *Daemon) replayOptions(cfg *terms.Pilot) pilot.Plan {
+func (d *Daemon) replayOptions(cfg *config.Pilot) controller.Plan {
 	options := d.coreOptions(cfg)
 	options.Replayed = true
 	options.List = disabledSource{}
-	options.Prober = probe.Never{}
-	options.Peers = peers.Nobody{}
+	options.Prober = healthcheck.Never{}
+	options.Peers = gossip.Nobody{}
 	options.Meter = nil
 	options.Log = func(string) {}
 	options.Odd = func(string, ...string) {}
--- a/internal/daemon/core_bench_test.go
+++ b/internal/daemon/core_bench_test.go
@@ -11,12 +11,12 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
-	"indigousher/brain"
-	"indigousher/intake"
-	"indigousher/internal/pilot"
+	"indigousher/internal/config"
+	"indigousher/internal/controller"
 	"indigousher/internal/record"
-	"indigousher/internal/terms"
 	"indigousher/internal/wire"
+	"indigousher/planner"
+	"indigousher/telemetry"
 )
 
 // BenchmarkCore measures the controller's own cost beside the planner's: seconds of load reports at full size, in the
@@ -40,8 +40,8 @@
 type coreBench struct {
 	planner  *timedDecider
 	settings map[string]any
-	options  pilot.Plan
-	core     *pilot.Core
+	options  controller.Plan
+	core     *controller.Core
 
 	streams []*sink
 	reports []*wire.Sums // one for each stream
@@ -57,16 +57,16 @@
 }
 
 func newCoreBench() *coreBench {
-	cfg := terms.CommonDefaults()
+	cfg := config.CommonDefaults()
 	cfg.Zones = zones
 	cfg.Machines = []string{"std"}
 	cfg.Proxies = manyProxies
 	cfg.LinesPerS = 20000
 	cfg.Backlog = 30000
-	cfg.Kinds = []terms.ReqKind{{Name: "read", Repeats: "replayable", ResponseTarget: time.Second, Payoff: 1}}
+	cfg.Kinds = []config.ReqKind{{Name: "read", Repeats: "replayable", ResponseTarget: time.Second, Payoff: 1}}
 	settings := cfg.ForModule(0)
-	bench := &coreBench{settings: settings, planner: &timedDecider{Decider: brain.New(1, settings)}, nowMs: 1}
-	bench.options = pilot.Plan{
+	bench := &coreBench{settings: settings, planner: &timedDecider{Decider: planner.New(1, settings)}, nowMs: 1}
+	bench.options = controller.Plan{
 		Decider:     bench.planner,
 		Terms:       settings,
 		Zones:       zones,
@@ -75,7 +75,7 @@
 		LinesPerS:   cfg.LinesPerS,
 		Backlog:     cfg.Backlog,
 		HeadLines:   4,
-		Intake:      intake.Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000},
+		Intake:      telemetry.Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000},
 		MostProxies: 1 << 16,
 		List:        idle{},
 		Prober:      idle{},
@@ -104,7 +104,7 @@
 		cancel()
 		require.NoError(b, <-done)
 	}
-	checkpoint := func() []pilot.Input { return c.core.Checkpoint() }
+	checkpoint := func() []controller.Input { return c.core.Checkpoint() }
 	c.options.Turn = record.NewRecorder(c.writer.Turn, checkpoint).Turn
 }
 
@@ -128,13 +128,13 @@
 
 // join lists all endpoints and joins all proxies.
 func (c *coreBench) join() {
-	c.core = pilot.NewCore(c.options)
+	c.core = controller.NewCore(c.options)
 	entries := fleet()
-	c.core.Handle(0, []pilot.Input{pilot.Listed{List: &wire.List{Whole: true, Entries: entries}}})
+	c.core.Handle(0, []controller.Input{controller.Listed{List: &wire.List{Whole: true, Entries: entries}}})
 	for i := range manyProxies {
 		stream := &sink{}
 		hello := wire.Hello{Proxy: fmt.Sprint(i), Zone: zones[i%3], Rate: 2}
-		c.core.Handle(1, []pilot.Input{pilot.Join{Stream: stream, Hello: hello}})
+		c.core.Handle(1, []controller.Input{controller.Join{Stream: stream, Hello: hello}})
 		c.streams = append(c.streams, stream)
 		c.reports = append(c.reports, benchReport(entries, i))
 	}
@@ -167,7 +167,7 @@
 		c.nowMs += 1000.0 / manyProxies
 		events := c.core.Heard
 		began := time.Now()
-		c.core.Handle(c.nowMs, []pilot.Input{pilot.Reported{Stream: stream, Sums: report}})
+		c.core.Handle(c.nowMs, []controller.Input{controller.Reported{Stream: stream, Sums: report}})
 		if c.core.Heard > events {
 			c.turnsMs = append(c.turnsMs, time.Since(began).Seconds()*1000)
 		}
@@ -191,7 +191,7 @@
 // replay measures a replay of the record, which must command the same.
 func (c *coreBench) replay(b *testing.B) {
 	began := time.Now()
-	newDecider := func(seed int64, settings map[string]any) pilot.Decider { return brain.New(seed, settings) }
+	newDecider := func(seed int64, settings map[string]any) controller.Decider { return planner.New(seed, settings) }
 	result, err := record.Replay(c.store, c.life, nil, newDecider)
 	require.NoError(b, err)
 	require.Empty(b, result.FirstDiff)
@@ -202,12 +202,12 @@
 
 // timedDecider measures a planner's own time.
 type timedDecider struct {
-	pilot.Decider
+	controller.Decider
 	took time.Duration
 }
 
 // Handle asks the planner.
-func (d *timedDecider) Handle(nowMs float64, events []brain.Note) []brain.Order {
+func (d *timedDecider) Handle(nowMs float64, events []planner.Note) []planner.Order {
 	start := time.Now()
 	defer func() { d.took += time.Since(start) }()
 	return d.Decider.Handle(nowMs, events)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -10,41 +10,41 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/collectors"
 
-	"indigousher/internal/edge/framed"
-	"indigousher/internal/edge/grpcedge"
-	"indigousher/internal/edge/peers"
-	"indigousher/internal/edge/probe"
-	"indigousher/internal/edge/xdsedge"
-	"indigousher/internal/keys"
-	"indigousher/internal/pilot"
-	"indigousher/internal/terms"
+	"indigousher/internal/config"
+	"indigousher/internal/controller"
+	"indigousher/internal/identity"
+	"indigousher/internal/transport/framed"
+	"indigousher/internal/transport/gossip"
+	"indigousher/internal/transport/grpcapi"
+	"indigousher/internal/transport/healthcheck"
+	"indigousher/internal/transport/xds"
 )
 
 // endpointSource is a source of the endpoint list that runs.
 type endpointSource interface {
-	pilot.ListSource
+	controller.ListSource
 	Run(ctx context.Context) error
 }
 
 // Daemon is one controller.
 type Daemon struct {
-	config   atomic.Pointer[terms.Pilot] // as it stands after the last reload
+	config   atomic.Pointer[config.Pilot] // as it stands after the last reload
 	options  Outfit
 	registry *prometheus.Registry
-	metrics  *pilot.Meter
+	metrics  *controller.Meter
 
-	core      *pilot.Core
-	loop      *pilot.Loop
+	core      *controller.Core
+	loop      *controller.Loop
 	recording *recording // nil: nothing is recorded
 
 	// The transports; those that the configuration does not ask for are nil.
 	framedServer   *framed.Server
-	grpcServer     *grpcedge.Server
-	xdsServer      *xdsedge.Server // with grpcServer, on the same listener
+	grpcServer     *grpcapi.Server
+	xdsServer      *xds.Server // with grpcServer, on the same listener
 	endpointSource endpointSource
-	healthChecker  *probe.Prober
-	gossip         *peers.Post
-	keyStore       *keys.Ring // nil: all is in plain text
+	healthChecker  *healthcheck.Prober
+	gossip         *gossip.Post
+	keyStore       *identity.Ring // nil: all is in plain text
 
 	// The listeners, and handles on them that may be handed over.
 	streamListener net.Listener
@@ -58,11 +58,11 @@
 }
 
 // New opens the listeners and assembles the controller. Nothing runs before Run.
-func New(cfg *terms.Pilot, o Outfit) (*Daemon, error) {
+func New(cfg *config.Pilot, o Outfit) (*Daemon, error) {
 	o.setDefaults()
 	d := &Daemon{options: o, registry: prometheus.NewRegistry(), listenerFiles: map[string]*os.File{}}
 	d.config.Store(cfg)
-	d.metrics = pilot.NewMeter(d.registry)
+	d.metrics = controller.NewMeter(d.registry)
 	d.registry.MustRegister(
 		collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
@@ -79,7 +79,7 @@
 }
 
 // State returns what the loop shows of itself.
-func (d *Daemon) State() pilot.State { return d.loop.State() }
+func (d *Daemon) State() controller.State { return d.loop.State() }
 
 // Meter returns the controller's metrics.
-func (d *Daemon) Meter() *pilot.Meter { return d.metrics }
+func (d *Daemon) Meter() *controller.Meter { return d.metrics }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -16,10 +16,10 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
-	"indigousher/internal/standin/follow"
-	"indigousher/internal/standin/proxy"
-	"indigousher/internal/standin/trail"
-	"indigousher/internal/terms"
+	"indigousher/internal/config"
+	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/proxy"
+	"indigousher/internal/testbed/routing"
 )
 
 func TestMain(m *testing.M) {
@@ -28,7 +28,7 @@
 }
 
 // pilotTerms writes a file with the endpoint list and returns a configuration that names it.
-func pilotTerms(t *testing.T, endpoints ...string) *terms.Pilot {
+func pilotTerms(t *testing.T, endpoints ...string) *config.Pilot {
 	path := filepath.Join(t.TempDir(), "endpoints.hcl")
 	list := ""
 	for _, e := range endpoints {
@@ -49,7 +49,7 @@
 list { file = %q }
 keys { plain = true }
 `, path)
-	p, err := terms.Parse("p.hcl", []byte(text))
+	p, err := config.Parse("p.hcl", []byte(text))
 	require.NoError(t, err)
 	return p
 }
@@ -75,13 +75,13 @@
 }
 
 // following starts a proxy of the testbed that follows a controller, and returns what befalls it.
-func following(t *testing.T, addresses func() []string) *trail.Book {
+func following(t *testing.T, addresses func() []string) *eventlog.Book {
 	const name = "p"
-	book := trail.NewBook()
+	book := eventlog.NewBook()
 	p := proxy.New(proxy.Make{
 		Name:     name,
 		Zone:     "a",
-		Habits:   follow.Habits{Kinds: []string{"read"}},
+		Habits:   routing.Habits{Kinds: []string{"read"}},
 		Rate:     1,
 		Standing: func() []string { return []string{"old:1"} },
 		Pilots:   addresses,
@@ -93,7 +93,7 @@
 	return book
 }
 
-func count(b *trail.Book, what trail.What) (n int) {
+func count(b *eventlog.Book, what eventlog.What) (n int) {
 	for _, e := range b.Events() {
 		if e.What == what {
 			n++
@@ -110,7 +110,7 @@
 	stop, ended := run(t, d)
 	book := following(t, func() []string { return []string{d.Address()} })
 	require.Eventually(t, func() bool { return d.State().Listed && d.State().Proxies == 1 }, 5*time.Second, time.Millisecond)
-	require.Eventually(t, func() bool { return count(book, trail.Got) > 0 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return count(book, eventlog.Got) > 0 }, 5*time.Second, time.Millisecond)
 	for path, want := range map[string]string{
 		"/healthz": "ok",
 		"/readyz":  "ok",
@@ -130,7 +130,7 @@
 	assert.Equal(t, []string{"Name"}, restart)
 	stop()
 	assert.NoError(t, <-ended)
-	assert.Equal(t, 1, count(book, trail.Leave))
+	assert.Equal(t, 1, count(book, eventlog.Leave))
 }
 
 // TestStopAndReload guards against a reload that comes as the pilot stops: it ends, and nothing hangs.
@@ -168,7 +168,7 @@
 	first.Kill()
 	assert.NoError(t, <-ended)
 	assert.Eventually(t, func() bool { return second.State().Proxies == 1 }, 5*time.Second, time.Millisecond)
-	assert.GreaterOrEqual(t, count(book, trail.Join), 2)
+	assert.GreaterOrEqual(t, count(book, eventlog.Join), 2)
 }
 
 // TestNoStart shows how a pilot fails that can't have what it needs.
@@ -176,11 +176,11 @@
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer mustClose(t, taken)
-	for name, change := range map[string]func(*terms.Pilot){
-		"listen for proxies":   func(p *terms.Pilot) { p.Listen = taken.Addr().String() },
-		"listen for operators": func(p *terms.Pilot) { p.Admin = taken.Addr().String() },
-		"listen for pilots":    func(p *terms.Pilot) { p.PeersListen = "127.0.0.1:none" },
-		"address of pilot 1": func(p *terms.Pilot) {
+	for name, change := range map[string]func(*config.Pilot){
+		"listen for proxies":   func(p *config.Pilot) { p.Listen = taken.Addr().String() },
+		"listen for operators": func(p *config.Pilot) { p.Admin = taken.Addr().String() },
+		"listen for pilots":    func(p *config.Pilot) { p.PeersListen = "127.0.0.1:none" },
+		"address of pilot 1": func(p *config.Pilot) {
 			p.PeersListen = "127.0.0.1:0"
 			p.Peers = map[string]string{"1": "x"}
 		},
--- a/internal/daemon/goodproxy_test.go
+++ b/internal/daemon/goodproxy_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"indigousher/internal/standin/proxy"
+	"indigousher/internal/testbed/proxy"
 	"indigousher/internal/wire"
 )
 
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -6,14 +6,14 @@
 	"net"
 	"strconv"
 
-	"indigousher/internal/edge/peers"
-	"indigousher/internal/keys"
-	"indigousher/internal/pilot"
-	"indigousher/internal/terms"
+	"indigousher/internal/config"
+	"indigousher/internal/controller"
+	"indigousher/internal/identity"
+	"indigousher/internal/transport/gossip"
 )
 
 // openGossip opens the socket between controllers, if the configuration names one.
-func (d *Daemon) openGossip(cfg *terms.Pilot) error {
+func (d *Daemon) openGossip(cfg *config.Pilot) error {
 	if cfg.PeersListen == "" {
 		return nil
 	}
@@ -26,7 +26,7 @@
 		return fmt.Errorf("listen for pilots: %w", err)
 	}
 	log := d.options.Log.Named("peers")
-	service, err := peers.Open(d.options.Packet(conn), cfg.Rank, addressesByRank(cfg.Peers), lateLoop{d}, log)
+	service, err := gossip.Open(d.options.Packet(conn), cfg.Rank, addressesByRank(cfg.Peers), lateLoop{d}, log)
 	if err != nil {
 		return errors.Join(err, conn.Close())
 	}
@@ -36,11 +36,11 @@
 }
 
 // loadGossipSecret returns the secret in a file; without a file there is none.
-func loadGossipSecret(file string) (*keys.Secret, error) {
+func loadGossipSecret(file string) (*identity.Secret, error) {
 	if file == "" {
 		return nil, nil
 	}
-	return keys.LoadSecret(file)
+	return identity.LoadSecret(file)
 }
 
 // addressesByRank returns the controllers' addresses. Their ranks were checked with the configuration.
@@ -54,9 +54,9 @@
 }
 
 // peersForCore returns the way to the other controllers, or one that leads nowhere.
-func (d *Daemon) peersForCore() pilot.Peers {
+func (d *Daemon) peersForCore() controller.Peers {
 	if d.gossip == nil {
-		return peers.Nobody{}
+		return gossip.Nobody{}
 	}
 	return d.gossip
 }
--- a/internal/daemon/healthcheck.go
+++ b/internal/daemon/healthcheck.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"indigousher/internal/edge/probe"
-	"indigousher/internal/pilot"
-	"indigousher/internal/terms"
+	"indigousher/internal/config"
+	"indigousher/internal/controller"
+	"indigousher/internal/transport/healthcheck"
 )
 
 const (
@@ -16,16 +16,16 @@
 )
 
 // startHealthChecks makes the health checker, if the configuration asks for health checks.
-func (d *Daemon) startHealthChecks(cfg *terms.Pilot) {
+func (d *Daemon) startHealthChecks(cfg *config.Pilot) {
 	if cfg.Probing {
-		d.healthChecker = probe.New(d.running, d.options.Dial, lateLoop{d}, healthCheckTimeout, maxHealthChecks)
+		d.healthChecker = healthcheck.New(d.running, d.options.Dial, lateLoop{d}, healthCheckTimeout, maxHealthChecks)
 	}
 }
 
 // proberForCore returns the health checker, or one that checks nothing.
-func (d *Daemon) proberForCore() pilot.Prober {
+func (d *Daemon) proberForCore() controller.Prober {
 	if d.healthChecker == nil {
-		return probe.Never{}
+		return healthcheck.Never{}
 	}
 	return d.healthChecker
 }
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -8,8 +8,8 @@
 
 	"go.uber.org/zap"
 
+	"indigousher/internal/config"
 	"indigousher/internal/handover"
-	"indigousher/internal/terms"
 )
 
 // errNoSocket says that a takeover was asked for without a handover socket.
@@ -17,7 +17,7 @@
 
 // Host runs a controller's process: the controller, its takeover from another process, and its handoff to one.
 type Host struct {
-	config  *terms.Pilot
+	config  *config.Pilot
 	options Outfit
 
 	mu     sync.Mutex // guards what follows; files is set once, by the first start
@@ -32,7 +32,7 @@
 }
 
 // Begin starts a controller; with takeOver it is taken over from the process that runs.
-func Begin(ctx context.Context, cfg *terms.Pilot, o Outfit, takeOver bool) (*Host, error) {
+func Begin(ctx context.Context, cfg *config.Pilot, o Outfit, takeOver bool) (*Host, error) {
 	o.setDefaults()
 	h := &Host{config: cfg, options: o, faults: make(chan error, 1)}
 	var err error
--- a/internal/daemon/hostile_test.go
+++ b/internal/daemon/hostile_test.go
@@ -19,8 +19,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"indigousher/internal/standin/proxy"
-	"indigousher/internal/terms"
+	"indigousher/internal/config"
+	"indigousher/internal/testbed/proxy"
 	"indigousher/internal/wire"
 )
 
@@ -84,7 +84,7 @@
 }
 
 // hostileConfig returns a configuration with every port open and short deadlines.
-func hostileConfig(t *testing.T, list net.Addr) *terms.Pilot {
+func hostileConfig(t *testing.T, list net.Addr) *config.Pilot {
 	secret := filepath.Join(t.TempDir(), "secret")
 	require.NoError(t, os.WriteFile(secret, []byte(strings.Repeat("ab", 32)), 0o600))
 	text := fmt.Sprintf(`zones = ["a"]
@@ -114,7 +114,7 @@
 }
 keys { plain = true }
 `, list, secret)
-	p, err := terms.Parse("p.hcl", []byte(text))
+	p, err := config.Parse("p.hcl", []byte(text))
 	require.NoError(t, err)
 	return p
 }
--- a/internal/daemon/identity.go
+++ b/internal/daemon/identity.go
@@ -10,8 +10,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"go.uber.org/zap"
 
-	"indigousher/internal/keys"
-	"indigousher/internal/terms"
+	"indigousher/internal/config"
+	"indigousher/internal/identity"
 )
 
 const (
@@ -23,19 +23,19 @@
 
 // loadKeys loads this controller's keys, unless the configuration has all in plain text, checks that they are its own,
 // and shows when they end.
-func (d *Daemon) loadKeys(cfg *terms.Pilot) error {
+func (d *Daemon) loadKeys(cfg *config.Pilot) error {
 	if cfg.Plain {
 		return nil
 	}
 	log := d.options.Log.Named("keys")
 	var err error
-	d.keyStore, err = keys.Load(cfg.Keys, func(from net.Addr, err error) {
+	d.keyStore, err = identity.Load(cfg.Keys, func(from net.Addr, err error) {
 		log.Warn("peer not let in", zap.Stringer("from", from), zap.Error(err))
 	})
 	if err != nil {
 		return err
 	}
-	if own := d.keyStore.Identity(); own.Role != keys.Pilot || own.Name != cfg.Name || own.Zone != cfg.Zone {
+	if own := d.keyStore.Identity(); own.Role != identity.Pilot || own.Name != cfg.Name || own.Zone != cfg.Zone {
 		return fmt.Errorf("keys: the certificate is of %s, this is pilot %s of %s", own, cfg.Name, cfg.Zone)
 	}
 	return d.registry.Register(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
@@ -53,7 +53,7 @@
 		if err != nil || address != d.config.Load().ListAddress {
 			return conn, err
 		}
-		return tls.Client(conn, d.keyStore.Client(keys.Source)), nil
+		return tls.Client(conn, d.keyStore.Client(identity.Source)), nil
 	}
 }
 
--- a/internal/daemon/listchange_bench_test.go
+++ b/internal/daemon/listchange_bench_test.go
@@ -9,11 +9,11 @@
 
 	"github.com/stretchr/testify/require"
 
-	"indigousher/internal/standin/follow"
-	"indigousher/internal/standin/list"
-	"indigousher/internal/standin/proxy"
-	"indigousher/internal/standin/trail"
-	"indigousher/internal/terms"
+	"indigousher/internal/config"
+	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/proxy"
+	"indigousher/internal/testbed/registry"
+	"indigousher/internal/testbed/routing"
 	"indigousher/internal/wire"
 )
 
@@ -40,11 +40,11 @@
 }
 
 // benchConfig returns a configuration without limits of the channel's messages.
-func benchConfig(listAddress string, proxies int) terms.Pilot {
-	cfg := terms.Defaults()
+func benchConfig(listAddress string, proxies int) config.Pilot {
+	cfg := config.Defaults()
 	cfg.Zones = zones
 	cfg.Machines = []string{"std"}
-	cfg.Kinds = []terms.ReqKind{{
+	cfg.Kinds = []config.ReqKind{{
 		Name:           "read",
 		Repeats:        "replayable",
 		ResponseTarget: time.Second,
@@ -79,8 +79,8 @@
 }
 
 func benchmarkListChange(b *testing.B, linesPerS float64) {
-	book := trail.NewBook()
-	source := list.New(book.Trail("list"))
+	book := eventlog.NewBook()
+	source := registry.New(book.Trail("list"))
 	require.NoError(b, source.Start())
 	defer source.Close()
 	entries := fleet()
@@ -114,12 +114,12 @@
 	require.NoError(b, <-ended)
 }
 
-func startBenchProxy(b *testing.B, d *Daemon, book *trail.Book, i int) *proxy.Proxy {
+func startBenchProxy(b *testing.B, d *Daemon, book *eventlog.Book, i int) *proxy.Proxy {
 	name := fmt.Sprintf("p%d", i)
 	p := proxy.New(proxy.Make{
 		Name:     name,
 		Zone:     zones[i%3],
-		Habits:   follow.Habits{Kinds: []string{"read"}},
+		Habits:   routing.Habits{Kinds: []string{"read"}},
 		Rate:     2,
 		Standing: func() []string { return nil },
 		Pilots:   func() []string { return []string{d.Address()} },
@@ -131,7 +131,7 @@
 }
 
 // awaitLines waits until each proxy has applied lines after a time, and returns how long each took, in ms, sorted.
-func awaitLines(book *trail.Book, since float64) []float64 {
+func awaitLines(book *eventlog.Book, since float64) []float64 {
 	for {
 		applied := linesApplied(book, since)
 		if len(applied) < manyProxies {
@@ -148,10 +148,10 @@
 }
 
 // linesApplied returns when each proxy applied lines last, of those that have after a time.
-func linesApplied(book *trail.Book, since float64) map[string]float64 {
+func linesApplied(book *eventlog.Book, since float64) map[string]float64 {
 	applied := map[string]float64{}
 	for _, e := range book.Events() {
-		if e.What == trail.Lines && e.At >= since && e.N > 0 {
+		if e.What == eventlog.Lines && e.At >= since && e.N > 0 {
 			applied[e.Who] = e.At
 		}
 	}
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -8,8 +8,8 @@
 
 	"golang.org/x/net/netutil"
 
-	"indigousher/internal/keys"
-	"indigousher/internal/terms"
+	"indigousher/internal/config"
+	"indigousher/internal/identity"
 )
 
 // Names of the listeners, as one process hands them over to another.
@@ -21,7 +21,7 @@
 
 // listenForProxies opens the listener of the framed protocol, and has TLS spoken on it and to the endpoint list if there
 // are keys.
-func (d *Daemon) listenForProxies(cfg *terms.Pilot) (err error) {
+func (d *Daemon) listenForProxies(cfg *config.Pilot) (err error) {
 	d.streamListener, err = d.options.listen(streamListenerName, cfg.Listen)
 	if err != nil {
 		return fmt.Errorf("listen for proxies: %w", err)
@@ -30,14 +30,14 @@
 		return err
 	}
 	if d.keyStore != nil {
-		d.streamListener = tls.NewListener(d.streamListener, d.keyStore.Server(keys.Proxy))
+		d.streamListener = tls.NewListener(d.streamListener, d.keyStore.Server(identity.Proxy))
 		d.options.Dial = d.withTLS(d.options.Dial)
 	}
 	return nil
 }
 
 // listenForOperators opens the listener of the admin interface, if the configuration names one.
-func (d *Daemon) listenForOperators(cfg *terms.Pilot) (err error) {
+func (d *Daemon) listenForOperators(cfg *config.Pilot) (err error) {
 	if cfg.Admin == "" {
 		return nil
 	}
@@ -49,7 +49,7 @@
 }
 
 // listenForGRPC opens the listener that gRPC and xDS share.
-func (d *Daemon) listenForGRPC(cfg *terms.Pilot) (err error) {
+func (d *Daemon) listenForGRPC(cfg *config.Pilot) (err error) {
 	d.grpcListener, err = d.options.listen(grpcListenerName, cfg.GRPC)
 	if err != nil {
 		return fmt.Errorf("listen for gRPC: %w", err)
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -7,8 +7,8 @@
 
 	"go.uber.org/zap"
 
-	"indigousher/brain"
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
+	"indigousher/planner"
 )
 
 // dialTimeout is how long a dial of an endpoint or of the endpoint list may take.
@@ -21,13 +21,13 @@
 type Outfit struct {
 	Log   *zap.Logger
 	Level *zap.AtomicLevel // of Log; set by a reload; nil: nothing is set
-	Clock pilot.Clock
+	Clock controller.Clock
 	// Dial reaches endpoints and the endpoint list.
 	Dial dialFunc
 	// Packet wraps the socket between controllers.
 	Packet func(net.PacketConn) net.PacketConn
 	// Decide makes the planner.
-	Decide func(seed int64, settings map[string]any) pilot.Decider
+	Decide func(seed int64, settings map[string]any) controller.Decider
 	// Listeners that were taken over, by the names that Files gives; others are opened.
 	Listeners map[string]net.Listener
 }
@@ -38,7 +38,7 @@
 		o.Log = zap.NewNop()
 	}
 	if o.Clock == nil {
-		o.Clock = pilot.RealClock{}
+		o.Clock = controller.RealClock{}
 	}
 	if o.Dial == nil {
 		o.Dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
@@ -47,7 +47,7 @@
 		o.Packet = func(c net.PacketConn) net.PacketConn { return c }
 	}
 	if o.Decide == nil {
-		o.Decide = func(seed int64, settings map[string]any) pilot.Decider { return brain.New(seed, settings) }
+		o.Decide = func(seed int64, settings map[string]any) controller.Decider { return planner.New(seed, settings) }
 	}
 }
 
--- a/internal/daemon/recording.go
+++ b/internal/daemon/recording.go
@@ -9,9 +9,9 @@
 
 	"go.uber.org/zap"
 
-	"indigousher/internal/pilot"
+	"indigousher/internal/config"
+	"indigousher/internal/controller"
 	"indigousher/internal/record"
-	"indigousher/internal/terms"
 	"indigousher/recovery"
 )
 
@@ -33,7 +33,7 @@
 // openRecord opens the store, begins a new life in it, and returns a core rebuilt from the life before; nil for a cold
 // start. What is wrong with a record is logged and never keeps a controller from starting, but for a store that another
 // process holds.
-func (d *Daemon) openRecord(cfg *terms.Pilot) (*pilot.Core, error) {
+func (d *Daemon) openRecord(cfg *config.Pilot) (*controller.Core, error) {
 	store, err := d.openStore(cfg.RecordDir)
 	if err != nil {
 		return nil, err
@@ -64,7 +64,7 @@
 }
 
 // recoverOrStartCold returns a core rebuilt from the life before; nil for a cold start, also when the recovery fails.
-func (d *Daemon) recoverOrStartCold(r *recording, cfg *terms.Pilot) *pilot.Core {
+func (d *Daemon) recoverOrStartCold(r *recording, cfg *config.Pilot) *controller.Core {
 	began := time.Now()
 	core, err := d.recover(r, cfg)
 	if err != nil {
@@ -77,7 +77,7 @@
 }
 
 // beginLife begins a new life in the store.
-func (d *Daemon) beginLife(r *recording, cfg *terms.Pilot) error {
+func (d *Daemon) beginLife(r *recording, cfg *config.Pilot) error {
 	r.life = lifeID(time.Now())
 	life := record.Life{
 		ID:      r.life,
@@ -101,7 +101,7 @@
 func lifeID(t time.Time) string { return t.UTC().Format("20060102T150405.000000000") }
 
 // plannerSettings returns the planner's settings as a life keeps them.
-func plannerSettings(cfg *terms.Pilot) (string, error) {
+func plannerSettings(cfg *config.Pilot) (string, error) {
 	settings, err := json.Marshal(cfg.ForModule(cfg.Rank))
 	if err != nil {
 		return "", fmt.Errorf("record terms: %w", err)
@@ -110,7 +110,7 @@
 }
 
 // updateSettings stores the settings of a reload: without them a return would take the life for one of other settings.
-func (r *recording) updateSettings(cfg *terms.Pilot) error {
+func (r *recording) updateSettings(cfg *config.Pilot) error {
 	settings, err := plannerSettings(cfg)
 	if err != nil {
 		return err
--- a/internal/daemon/recover.go
+++ b/internal/daemon/recover.go
@@ -4,15 +4,15 @@
 	"cmp"
 	"time"
 
-	"indigousher/internal/pilot"
+	"indigousher/internal/config"
+	"indigousher/internal/controller"
 	"indigousher/internal/record"
-	"indigousher/internal/terms"
 	"indigousher/recovery"
 )
 
 // recover reads the last life and, if its record is good for it, returns a core rebuilt from its end, whose commands were
 // held back. It returns nil for a cold start.
-func (d *Daemon) recover(r *recording, cfg *terms.Pilot) (*pilot.Core, error) {
+func (d *Daemon) recover(r *recording, cfg *config.Pilot) (*controller.Core, error) {
 	limits := recovery.Bounds{
 		TailMs: float64(cfg.RecoverTail.Milliseconds()),
 		GapMs:  float64(cfg.RecoverWithin.Milliseconds()),
@@ -33,7 +33,7 @@
 	if r.Verdict.Cold() {
 		return nil, nil
 	}
-	core := pilot.NewCore(d.replayOptions(cfg))
+	core := controller.NewCore(d.replayOptions(cfg))
 	if err := record.Restore(core, tail); err != nil {
 		return nil, err
 	}
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -6,22 +6,22 @@
 
 	"go.uber.org/zap"
 
-	"indigousher/internal/pilot"
-	"indigousher/internal/terms"
+	"indigousher/internal/config"
+	"indigousher/internal/controller"
 )
 
 // Reload takes over what may change of a new configuration. It returns the names of the fields that have changed, and of
 // those that want a restart and keep their old values.
-func (d *Daemon) Reload(ctx context.Context, cfg *terms.Pilot) (changed, restart []string, err error) {
-	changed, restart = terms.Reload(d.config.Load(), cfg)
+func (d *Daemon) Reload(ctx context.Context, cfg *config.Pilot) (changed, restart []string, err error) {
+	changed, restart = config.Reload(d.config.Load(), cfg)
 	if len(changed) == 0 {
 		return nil, restart, nil
 	}
-	if err := d.loop.Post(ctx, pilot.Retermed{Terms: cfg.Live()}); err != nil {
+	if err := d.loop.Post(ctx, controller.Retermed{Terms: cfg.Live()}); err != nil {
 		return nil, nil, fmt.Errorf("reload: %w", err)
 	}
 	d.setLogLevel(cfg.LogLevel)
-	d.config.Store(terms.Merge(d.config.Load(), cfg))
+	d.config.Store(config.Merge(d.config.Load(), cfg))
 	if d.recording != nil {
 		if err := d.recording.updateSettings(d.config.Load()); err != nil {
 			d.options.Log.Error("terms not recorded; a return will start cold", zap.Error(err))
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -8,7 +8,7 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"indigousher/internal/edge/admin"
+	"indigousher/internal/transport/admin"
 )
 
 // drainPollInterval is how often a shutdown looks whether all streams have ended.
--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -3,10 +3,10 @@
 import (
 	"context"
 
-	"indigousher/internal/edge/framed"
-	"indigousher/internal/edge/grpcedge"
-	"indigousher/internal/edge/xdsedge"
-	"indigousher/internal/terms"
+	"indigousher/internal/config"
+	"indigousher/internal/transport/framed"
+	"indigousher/internal/transport/grpcapi"
+	"indigousher/internal/transport/xds"
 )
 
 // linesPerQueueSlot converts the framed protocol's queue of messages into gRPC's queue of lines: so many lines are what a
@@ -14,7 +14,7 @@
 const linesPerQueueSlot = 100
 
 // openFramed makes the server of the framed protocol.
-func (d *Daemon) openFramed(cfg *terms.Pilot) {
+func (d *Daemon) openFramed(cfg *config.Pilot) {
 	d.framedServer = framed.NewServer(framed.Door{
 		Pilot:         cfg.Name,
 		Beat:          cfg.Beat,
@@ -29,14 +29,14 @@
 }
 
 // openGRPC opens the listener and makes the servers of gRPC and xDS, if the configuration names an address.
-func (d *Daemon) openGRPC(cfg *terms.Pilot) error {
+func (d *Daemon) openGRPC(cfg *config.Pilot) error {
 	if cfg.GRPC == "" {
 		return nil
 	}
 	if err := d.listenForGRPC(cfg); err != nil {
 		return err
 	}
-	d.grpcServer = grpcedge.New(grpcedge.Door{
+	d.grpcServer = grpcapi.New(grpcapi.Door{
 		Pilot:      cfg.Name,
 		Beat:       cfg.Beat,
 		Period:     cfg.Period,
@@ -48,7 +48,7 @@
 		NewPerS:    cfg.NewPerS,
 		Keys:       d.keyStore,
 	}, d.loop, d.options.Log.Named("grpc"))
-	d.xdsServer = xdsedge.New(xdsedge.Door{
+	d.xdsServer = xds.New(xds.Door{
 		Kinds:      cfg.KindNames(),
 		Period:     cfg.Period,
 		SeenWithin: cfg.SeenWithin,
@@ -65,5 +65,5 @@
 	if d.keyStore == nil {
 		return nil
 	}
-	return grpcedge.Claims
+	return grpcapi.Claims
 }
--- a/internal/daemon/torn_test.go
+++ b/internal/daemon/torn_test.go
@@ -11,11 +11,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"indigousher/internal/terms"
+	"indigousher/internal/config"
 )
 
 // recordedLife lets a pilot live for a moment with a record and a proxy, and returns its terms.
-func recordedLife(t *testing.T) *terms.Pilot {
+func recordedLife(t *testing.T) *config.Pilot {
 	p := pilotTerms(t, "x:1", "y:1")
 	p.RecordDir = t.TempDir()
 	d, err := New(p, Outfit{})
@@ -97,7 +97,7 @@
 	d.Kill()
 	require.NoError(t, <-ended)
 	for _, c := range []struct {
-		terms *terms.Pilot
+		terms *config.Pilot
 		want  string
 	}{
 		{&now, "recovered from"},
--- a/internal/daemon/transports_bench_test.go
+++ b/internal/daemon/transports_bench_test.go
@@ -21,10 +21,10 @@
 	"google.golang.org/grpc/credentials"
 	"google.golang.org/grpc/credentials/insecure"
 
-	"indigousher/internal/keys"
-	"indigousher/internal/standin/list"
-	"indigousher/internal/standin/proxy"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/identity"
+	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/proxy"
+	"indigousher/internal/testbed/registry"
 	"indigousher/internal/wire"
 )
 
@@ -32,7 +32,7 @@
 // having it, and what a line costs on both sides together. Proxies and controller share one process. One operation is one
 // change.
 func BenchmarkTransports(b *testing.B) {
-	authority, err := keys.NewAuthority("bench", time.Hour)
+	authority, err := identity.NewAuthority("bench", time.Hour)
 	require.NoError(b, err)
 	for _, proxies := range []int{34, 450, 2000} {
 		for _, transport := range []string{"framed", "framed+tls", "grpc", "grpc+tls", "xds"} {
@@ -47,9 +47,9 @@
 type transportBench struct {
 	transport string
 	proxies   int
-	authority *keys.Authority
+	authority *identity.Authority
 	keyDir    string // "" without TLS
-	source    *list.List
+	source    *registry.List
 	entries   []wire.Entry
 	daemon    *Daemon
 	stop      context.CancelFunc
@@ -60,18 +60,18 @@
 	following sync.WaitGroup
 }
 
-func newTransportBench(b *testing.B, transport string, proxies int, authority *keys.Authority) *transportBench {
+func newTransportBench(b *testing.B, transport string, proxies int, authority *identity.Authority) *transportBench {
 	t := &transportBench{
 		transport: transport,
 		proxies:   proxies,
 		authority: authority,
-		source:    list.New(trail.NewBook().Trail("list")),
+		source:    registry.New(eventlog.NewBook().Trail("list")),
 		entries:   fleet(),
 		seen:      &sightings{at: map[string]time.Time{}},
 	}
 	if transport == "framed+tls" || transport == "grpc+tls" {
 		t.keyDir = b.TempDir()
-		t.source.Seal(t.keyStore(b, keys.Source, "-", "list").Server(keys.Pilot))
+		t.source.Seal(t.keyStore(b, identity.Source, "-", "list").Server(identity.Pilot))
 	}
 	require.NoError(b, t.source.Start())
 	b.Cleanup(func() { t.source.Close() })
@@ -92,7 +92,7 @@
 	cfg.MaxStreams = 5000
 	cfg.Plain = t.keyDir == ""
 	if t.keyDir != "" {
-		cfg.Keys = t.issue(b, keys.Pilot, "a", cfg.Name)
+		cfg.Keys = t.issue(b, identity.Pilot, "a", cfg.Name)
 	}
 	var err error
 	t.daemon, err = New(&cfg, Outfit{})
@@ -100,15 +100,15 @@
 	t.stop, t.ended = run(b, t.daemon)
 }
 
-func (t *transportBench) issue(b *testing.B, role keys.Role, zone, name string) keys.Files {
+func (t *transportBench) issue(b *testing.B, role identity.Role, zone, name string) identity.Files {
 	from := time.Now().Add(-time.Minute)
-	files, err := t.authority.Issue(t.keyDir, keys.Identity{Role: role, Zone: zone, Name: name}, from, time.Hour)
+	files, err := t.authority.Issue(t.keyDir, identity.Identity{Role: role, Zone: zone, Name: name}, from, time.Hour)
 	require.NoError(b, err)
 	return files
 }
 
-func (t *transportBench) keyStore(b *testing.B, role keys.Role, zone, name string) *keys.Ring {
-	store, err := keys.Load(t.issue(b, role, zone, name), nil)
+func (t *transportBench) keyStore(b *testing.B, role identity.Role, zone, name string) *identity.Ring {
+	store, err := identity.Load(t.issue(b, role, zone, name), nil)
 	require.NoError(b, err)
 	return store
 }
@@ -156,7 +156,7 @@
 func (t *transportBench) startProxy(ctx context.Context, b *testing.B, i int) {
 	p := &benchProxy{bench: t, name: fmt.Sprintf("p%d", i), zone: zones[i%3]}
 	if t.keyDir != "" {
-		p.tls = t.keyStore(b, keys.Proxy, p.zone, p.name).Client(keys.Pilot)
+		p.tls = t.keyStore(b, identity.Proxy, p.zone, p.name).Client(identity.Pilot)
 	}
 	t.following.Go(func() {
 		if err := p.follow(ctx); err != nil && ctx.Err() == nil {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 
 	"indigousher/internal/audit"
-	"indigousher/internal/day"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/scenario"
+	"indigousher/internal/testbed/eventlog"
 )
 
 // TestClock guards the one order of events: by time, those of one moment as they were asked for.
@@ -41,11 +41,11 @@
 // TestDays plays every day that ships, and drawn ones that once broke rule 4 (incident 019): the rules hold, drains and
 // lists are looked at in truth, and the same day gives the same events twice.
 func TestDays(t *testing.T) {
-	for _, name := range append(day.Days(), "../../experiments/found-5216.hcl", "../../experiments/found-5216-4.hcl",
+	for _, name := range append(scenario.Days(), "../../experiments/found-5216.hcl", "../../experiments/found-5216-4.hcl",
 		"../../experiments/found-5216-hang.hcl") {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d, err := day.Load(name)
+			d, err := scenario.Load(name)
 			require.NoError(t, err)
 			o, err := Play{Day: d, Judged: true}.Run(t.Context())
 			require.NoError(t, err)
@@ -64,13 +64,13 @@
 
 // TestToldInTime guards against a list that pilots do not hear of, as once here: all rules hold where nothing is told.
 func TestToldInTime(t *testing.T) {
-	d, err := day.Load("replacement")
+	d, err := scenario.Load("replacement")
 	require.NoError(t, err)
 	o, err := Play{Day: d, Keep: true}.Run(t.Context())
 	require.NoError(t, err)
 	told := 0
 	for _, e := range o.Events {
-		if e.What == trail.Told && e.At > 5000 {
+		if e.What == eventlog.Told && e.At > 5000 {
 			told++
 		}
 	}
@@ -79,7 +79,7 @@
 
 // TestTrace follows decisions from the first report that went into them to their application, in virtual time.
 func TestTrace(t *testing.T) {
-	d, err := day.Load("bad-day-short")
+	d, err := scenario.Load("bad-day-short")
 	require.NoError(t, err)
 	var out bytes.Buffer
 	trace, err := NewTracer(&out)
@@ -121,8 +121,8 @@
 }
 
 // one is a fleet of endpoints alike behind one proxy that has a line to each, and no pilot.
-func one(endpoints, cores, queue int, discipline string, rate, workMs, cv float64, length time.Duration, pick string) *day.Day {
-	d, err := day.Read("one.hcl", []byte(fmt.Sprintf(`zones = ["a"]
+func one(endpoints, cores, queue int, discipline string, rate, workMs, cv float64, length time.Duration, pick string) *scenario.Day {
+	d, err := scenario.Read("one.hcl", []byte(fmt.Sprintf(`zones = ["a"]
 machines = ["std"]
 length = "%ds"
 req_kind "read" {
@@ -158,7 +158,7 @@
 // TestClosedForms holds means against queueing theory: waiting by Erlang C and by Pollaczek-Khinchine, loss by Erlang B,
 // sharing, Little's law, and two choices beside one.
 func TestClosedForms(t *testing.T) {
-	mean := func(t *testing.T, d *day.Day) (took, lost float64) {
+	mean := func(t *testing.T, d *scenario.Day) (took, lost float64) {
 		var means, losses []float64
 		for seed := range 8 {
 			d.Seed = seed + 1
@@ -242,7 +242,7 @@
 			t.Parallel()
 			var digests []uint64
 			for range 2 {
-				d, err := day.Read("long.hcl", []byte("like = \"quiet\"\n"+c.text))
+				d, err := scenario.Read("long.hcl", []byte("like = \"quiet\"\n"+c.text))
 				require.NoError(t, err)
 				o, err := Play{Day: d, Judged: true}.Run(t.Context())
 				require.NoError(t, err)
@@ -279,7 +279,7 @@
 
 // BenchmarkWholeDay plays 24 virtual hours of one pilot and few reqs.
 func BenchmarkWholeDay(b *testing.B) {
-	d, err := day.Read("whole.hcl", []byte("like = \"quiet\"\nlength = \"24h\"\nclients {\n rate = 0.2\n}\nreports {\n period = \"10s\"\n}\nfleet {\n pilots = [\"a\"]\n proxies = [\"a\"]\n}\n"))
+	d, err := scenario.Read("whole.hcl", []byte("like = \"quiet\"\nlength = \"24h\"\nclients {\n rate = 0.2\n}\nreports {\n period = \"10s\"\n}\nfleet {\n pilots = [\"a\"]\n proxies = [\"a\"]\n}\n"))
 	require.NoError(b, err)
 	var events uint64
 	for b.Loop() {
@@ -295,7 +295,7 @@
 func BenchmarkEmulator(b *testing.B) {
 	for _, times := range []int{1, 10, 100} {
 		b.Run(fmt.Sprintf("proxies=%d", 6*times), func(b *testing.B) {
-			d, err := day.Load("quiet")
+			d, err := scenario.Load("quiet")
 			require.NoError(b, err)
 			var all []string
 			for range times {
--- a/internal/emulator/list.go
+++ b/internal/emulator/list.go
@@ -4,8 +4,8 @@
 	"maps"
 	"slices"
 
-	"indigousher/internal/pilot"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/controller"
+	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/wire"
 )
 
@@ -55,17 +55,17 @@
 			return
 		}
 		if m.Whole {
-			l.w.note("list", trail.Event{What: trail.Told, Peer: s.place.name, N: -1})
+			l.w.note("list", eventlog.Event{What: eventlog.Told, Peer: s.place.name, N: -1})
 		}
 		for _, e := range m.Entries {
 			age := -1.0
 			if e.Started != 0 {
 				age = float64(m.Now - e.Started)
 			}
-			l.w.note("list", trail.Event{What: trail.Told, Peer: s.place.name, Text: e.Endpoint, Kind: e.Zone + "/" + e.Machine,
+			l.w.note("list", eventlog.Event{What: eventlog.Told, Peer: s.place.name, Text: e.Endpoint, Kind: e.Zone + "/" + e.Machine,
 				N: e.Phase, Value: age})
 		}
-		s.post(pilot.Listed{List: m})
+		s.post(controller.Listed{List: m})
 	})
 }
 
@@ -85,7 +85,7 @@
 		if l.down {
 			l.w.After(l.silentMs, func() {
 				if s.run == r {
-					s.post(pilot.ListLost{})
+					s.post(controller.ListLost{})
 				}
 			})
 			return
@@ -104,7 +104,7 @@
 func (l *source) giveTo(s *seat, r *pilotRun, x wire.Slices) {
 	l.w.ways.carry(l.place, s.place, func() {
 		if s.run == r && !l.down {
-			s.post(pilot.SliceGiven{Slices: &x})
+			s.post(controller.SliceGiven{Slices: &x})
 		}
 	})
 }
@@ -126,7 +126,7 @@
 		if r := l.follows[s]; r != nil && s.run == r {
 			l.w.After(l.silentMs, func() {
 				if s.run == r && l.down {
-					s.post(pilot.ListLost{})
+					s.post(controller.ListLost{})
 				}
 			})
 		}
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 	"time"
 
-	"indigousher/internal/standin/endpoint"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/testbed/endpoint"
+	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/wire"
 )
 
@@ -56,7 +56,7 @@
 func (m *machine) start(cold bool) {
 	m.starts++
 	m.run = &running{since: m.w.now, cold: cold, conns: map[string]bool{}, turn: m.w.now}
-	m.w.note(m.Name, trail.Event{What: trail.Start, N: m.starts, Value: float64(m.Cores) * m.Speed, Text: m.Zone,
+	m.w.note(m.Name, eventlog.Event{What: eventlog.Start, N: m.starts, Value: float64(m.Cores) * m.Speed, Text: m.Zone,
 		Kind: map[bool]string{true: "cold", false: "warm"}[cold]})
 	m.reports(m.run)
 }
@@ -65,7 +65,7 @@
 	if m.run == nil {
 		return
 	}
-	m.w.note(m.Name, trail.Event{What: trail.Stop, N: m.starts})
+	m.w.note(m.Name, eventlog.Event{What: eventlog.Stop, N: m.starts})
 	m.run = nil
 	for _, p := range m.w.proxies { // connections break: what was in hand comes back as lost
 		p.broken(m.Name)
@@ -131,7 +131,7 @@
 	if r == nil {
 		return
 	}
-	m.w.note(m.Name, trail.Event{What: trail.Arrive, Peer: t.req.From, Kind: t.req.Kind, Req: t.req.Name, Value: t.req.WorkMs})
+	m.w.note(m.Name, eventlog.Event{What: eventlog.Arrive, Peer: t.req.From, Kind: t.req.Kind, Req: t.req.Name, Value: t.req.WorkMs})
 	struck := m.mood.OnlyFor == "" || m.mood.OnlyFor == t.req.Kind
 	fails := struck && m.mood.Errors > 0 && m.rnd.Float64() < m.mood.Errors
 	if m.pushed(r, t.req.WorkMs) || m.mood.Hang && struck {
@@ -166,7 +166,7 @@
 	}
 	over, part := r.push.Over(&m.Model, time.Duration((m.w.now-r.since)*float64(time.Millisecond)), work)
 	if r.fallen = over; over {
-		m.w.note(m.Name, trail.Event{What: trail.Fell, N: m.starts, Value: part})
+		m.w.note(m.Name, eventlog.Event{What: eventlog.Fell, N: m.starts, Value: part})
 	}
 	return over
 }
@@ -252,7 +252,7 @@
 		m.ledger[t.req.Name] = true
 	}
 	if m.Effects[t.req.Kind] && !repeat {
-		m.w.note(m.Name, trail.Event{What: trail.Effect, Peer: t.req.From, Kind: t.req.Kind, Req: t.req.Name})
+		m.w.note(m.Name, eventlog.Event{What: eventlog.Effect, Peer: t.req.From, Kind: t.req.Kind, Req: t.req.Name})
 	}
 	t.answer(wire.Fine, 0, r.load)
 }
--- a/internal/emulator/nostate_test.go
+++ b/internal/emulator/nostate_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"indigousher/internal/day"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/scenario"
+	"indigousher/internal/testbed/eventlog"
 )
 
 // soundAfter returns how long after a time the tables were sound again: from then on until another time, in each second,
@@ -18,7 +18,7 @@
 		names[n] = true
 	}
 	for _, e := range o.Events {
-		if e.What == trail.Arrive && e.At >= from && e.At < to {
+		if e.What == eventlog.Arrive && e.At >= from && e.At < to {
 			s := int((e.At - from) / 1000)
 			tries[s]++
 			if names[e.Who] {
@@ -43,7 +43,7 @@
 	for seed := 3; seed < 7; seed++ {
 		var service [2]float64
 		for i, record := range []bool{false, true} {
-			d, err := day.Load("no-state")
+			d, err := scenario.Load("no-state")
 			require.NoError(t, err)
 			d.Seed, d.Record = seed, record
 			o, err := Play{Day: d, Judged: true, Keep: true}.Run(t.Context())
--- a/internal/emulator/pilot.go
+++ b/internal/emulator/pilot.go
@@ -4,10 +4,10 @@
 	"fmt"
 
 	"indigousher/internal/baseline"
-	"indigousher/internal/pilot"
+	"indigousher/internal/config"
+	"indigousher/internal/controller"
 	"indigousher/internal/record"
-	"indigousher/internal/standin/trail"
-	"indigousher/internal/terms"
+	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/wire"
 	"indigousher/recovery"
 )
@@ -17,7 +17,7 @@
 	w       *World
 	place   place
 	rank    int
-	terms   terms.Pilot
+	terms   config.Pilot
 	run     *pilotRun
 	streams map[*stream]bool
 	disk    []record.Turn // of the last life, as kept
@@ -40,8 +40,8 @@
 type pilotRun struct {
 	s           *seat
 	born        float64 // when its own clock showed 0
-	core        *pilot.Core
-	inputs      []pilot.Input
+	core        *controller.Core
+	inputs      []controller.Input
 	turning     bool
 	wakeAt      float64
 	wake        uint64
@@ -64,11 +64,11 @@
 // start begins a process, on the record of the last life where the day has pilots record.
 func (s *seat) start() {
 	w := s.w
-	w.note(s.place.name, trail.Event{What: trail.Start, Kind: "pilot", Text: s.place.zone})
+	w.note(s.place.name, eventlog.Event{What: eventlog.Start, Kind: "pilot", Text: s.place.zone})
 	r := &pilotRun{s: s, born: w.now, wakeAt: -1}
 	s.run = r
 	told := s.terms.ForModule(s.rank)
-	plan := pilot.Plan{Decider: w.decide(int64(s.terms.Seed), told), Terms: told, Zones: s.terms.Zones, Machines: s.terms.Machines,
+	plan := controller.Plan{Decider: w.decide(int64(s.terms.Seed), told), Terms: told, Zones: s.terms.Zones, Machines: s.terms.Machines,
 		Kinds: s.terms.KindNames(), LinesPerS: s.terms.LinesPerS, Backlog: s.terms.Backlog, HeadLines: s.terms.HeadLines,
 		MessagesMost: s.terms.MessagesMost, MessagesOverMs: float64(s.terms.MessagesOver.Milliseconds()), Intake: s.terms.Intake(),
 		MostProxies: s.terms.MostProxies, List: listEnd{s, r}, Prober: probeEnd{s, r}, Peers: peerEnd{s, r},
@@ -78,7 +78,7 @@
 		plan = s.recover(plan, r, &begin)
 	}
 	if r.core == nil {
-		r.core = pilot.NewCore(plan)
+		r.core = controller.NewCore(plan)
 	}
 	if o, is := plan.Decider.(*baseline.Oracle); is {
 		o.Know(func(i int) (float64, bool) { return w.truth(r.core.EndpointName(i)) })
@@ -95,7 +95,7 @@
 }
 
 // recover rebuilds the core from the record if that is worth anything, and has the new life recorded.
-func (s *seat) recover(plan pilot.Plan, r *pilotRun, begin *Start) pilot.Plan {
+func (s *seat) recover(plan controller.Plan, r *pilotRun, begin *Start) controller.Plan {
 	w := s.w
 	bounds := recovery.Bounds{TailMs: float64(s.terms.RecoverTail.Milliseconds()), GapMs: float64(s.terms.RecoverWithin.Milliseconds())}
 	facts := recovery.Facts{SameFormat: true, SameModule: s.diskOf == w.fingerprint, SameTerms: true, Turns: len(s.disk), GapMs: w.now - s.diskAt}
@@ -104,14 +104,14 @@
 		facts.Lives, facts.SpanMs = 1, max(1, s.disk[len(s.disk)-1].AtMs-s.disk[from].AtMs)
 	}
 	recorder := record.NewRecorder(func(t func() *record.Turn) { r.written = append(r.written, *t()) },
-		func() []pilot.Input { return r.core.Checkpoint() })
+		func() []controller.Input { return r.core.Checkpoint() })
 	plan.Turn = recorder.Turn
 	if begin.Verdict = recovery.Decide(facts, bounds); !begin.Verdict.Cold() {
 		held := plan
 		held.Turn, held.Replayed, held.LinesPerS, held.Backlog = nil, true, 0, 0
 		held.List, held.Prober, held.Peers = listEnd{}, probeEnd{}, peerEnd{}
 		held.Log, held.Odd = func(string) {}, func(string, ...string) {}
-		core := pilot.NewCore(held)
+		core := controller.NewCore(held)
 		took := stopwatch()
 		if err := record.Restore(core, s.disk[from:]); err != nil {
 			w.fail(fmt.Errorf("restore %s: %w", s.place.name, err))
@@ -155,7 +155,7 @@
 		s.commit(r)
 	}
 	s.run = nil
-	s.w.note(s.place.name, trail.Event{What: trail.Stop})
+	s.w.note(s.place.name, eventlog.Event{What: eventlog.Stop})
 	s.w.pilotStopped(r)
 	for _, st := range s.w.streamsOf(s) {
 		st.broke(true)
@@ -163,7 +163,7 @@
 }
 
 // post hands an input to the loop; those of one moment are handled together.
-func (s *seat) post(in pilot.Input) {
+func (s *seat) post(in controller.Input) {
 	r := s.run
 	if r == nil {
 		return
@@ -263,7 +263,7 @@
 			return
 		}
 		answered = true
-		p.s.post(pilot.Probed{Endpoint: name, Outcome: outcome, Load: load})
+		p.s.post(controller.Probed{Endpoint: name, Outcome: outcome, Load: load})
 	}
 	w.After(probeTimeoutMs, func() { done("timeout", nil) })
 	if m == nil {
@@ -296,7 +296,7 @@
 		}
 		p.s.w.After(p.s.w.ways.delay(p.s.place, other.place), func() {
 			if other.run != nil {
-				other.post(pilot.Heard{From: p.s.rank, Text: text})
+				other.post(controller.Heard{From: p.s.rank, Text: text})
 			}
 		})
 	}
@@ -306,5 +306,5 @@
 func (r *pilotRun) reload(times float64) {
 	t := &r.s.terms
 	t.LinesPerS *= times
-	r.s.post(pilot.Retermed{Terms: t.Live()})
+	r.s.post(controller.Retermed{Terms: t.Live()})
 }
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -4,9 +4,9 @@
 	"math"
 	"math/rand/v2"
 
-	"indigousher/internal/pilot"
-	"indigousher/internal/standin/follow"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/controller"
+	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/routing"
 	"indigousher/internal/wire"
 )
 
@@ -14,7 +14,7 @@
 type plain struct {
 	w       *World
 	place   place
-	habits  follow.Habits
+	habits  routing.Habits
 	rate    float64
 	home    int // number among the pilots of its zone
 	life    *plainLife
@@ -29,11 +29,11 @@
 // plainLife is one process.
 type plainLife struct {
 	p      *plain
-	follow *follow.Follower
+	follow *routing.Follower
 	stream *stream
 	lines  []int
 	rnd    *rand.Rand
-	wish   follow.Wish
+	wish   routing.Wish
 	period float64
 	busy   float64 // until when it applies lines and stands still
 	conns  map[string]*conn
@@ -69,13 +69,13 @@
 
 func (p *plain) start() {
 	p.boots++
-	li := &plainLife{p: p, follow: follow.NewFollower(p.habits, p.w.standing(p.place.zone), p.seed+uint64(p.boots)),
+	li := &plainLife{p: p, follow: routing.NewFollower(p.habits, p.w.standing(p.place.zone), p.seed+uint64(p.boots)),
 		lines: make([]int, len(p.habits.Kinds)), rnd: rand.New(rand.NewPCG(p.seed, uint64(p.boots))), conns: map[string]*conn{}}
 	for k := range li.lines {
 		li.lines[k] = -1
 	}
 	p.life = li
-	p.w.note(p.place.name, trail.Event{What: trail.Start, N: p.boots, Text: p.place.zone})
+	p.w.note(p.place.name, eventlog.Event{What: eventlog.Start, N: p.boots, Text: p.place.zone})
 	li.showLines()
 	li.dial(0)
 }
@@ -86,7 +86,7 @@
 		return
 	}
 	p.life = nil
-	p.w.note(p.place.name, trail.Event{What: trail.Stop})
+	p.w.note(p.place.name, eventlog.Event{What: eventlog.Stop})
 	if li.stream != nil {
 		li.stream.broke(false)
 	}
@@ -121,7 +121,7 @@
 	for k, name := range li.p.habits.Kinds {
 		if n := li.follow.Lines(k); n != li.lines[k] {
 			li.lines[k] = n
-			li.p.w.note(li.p.place.name, trail.Event{What: trail.Lines, Kind: name, N: n})
+			li.p.w.note(li.p.place.name, eventlog.Event{What: eventlog.Lines, Kind: name, N: n})
 		}
 	}
 }
@@ -162,9 +162,9 @@
 	li.stream = &stream{w: p.w, li: li, to: to, run: to.run}
 	to.streams[li.stream] = true
 	li.follow.Joined()
-	li.wish = follow.Wish{}
-	p.w.note(p.place.name, trail.Event{What: trail.Join, Peer: to.place.name, Kind: p.place.zone})
-	to.post(pilot.Join{Stream: li.stream, Hello: hello})
+	li.wish = routing.Wish{}
+	p.w.note(p.place.name, eventlog.Event{What: eventlog.Join, Peer: to.place.name, Kind: p.place.zone})
+	to.post(controller.Join{Stream: li.stream, Hello: hello})
 	li.period = p.w.period
 	li.report(li.stream, li.period*li.rnd.Float64())
 }
@@ -189,7 +189,7 @@
 		return
 	}
 	came := p.w.now
-	p.w.note(p.place.name, trail.Event{What: trail.Got, Peer: s.to.place.name, N: o.Lines, Value: o.AgeMs, Since: s.to.run.born + o.AtMs})
+	p.w.note(p.place.name, eventlog.Event{What: eventlog.Got, Peer: s.to.place.name, N: o.Lines, Value: o.AgeMs, Since: s.to.run.born + o.AtMs})
 	li.busy = max(li.busy, p.w.now) + float64(len(o.Ops))*p.w.apply
 	p.w.At(li.busy, func() {
 		if p.life != li || li.stream != s {
@@ -201,7 +201,7 @@
 		li.retire()
 		for _, n := range marks {
 			took := p.w.now - came
-			s.up(func() { s.to.post(pilot.Applied{Stream: s, Done: wire.Done{Mark: n, TookMs: took}}) })
+			s.up(func() { s.to.post(controller.Applied{Stream: s, Done: wire.Done{Mark: n, TookMs: took}}) })
 		}
 	})
 }
@@ -239,8 +239,8 @@
 	kind := p.w.kind[req.Kind]
 	li.follow.Came(kind, req.Key)
 	if !li.follow.Admit(kind) {
-		p.w.note(p.place.name, trail.Event{What: trail.Refuse, Kind: req.Kind, Req: req.Name, Text: "level"})
-		answer(&wire.Answer{Outcome: wire.Denied, ComeBackMs: follow.ComeBackMs})
+		p.w.note(p.place.name, eventlog.Event{What: eventlog.Refuse, Kind: req.Kind, Req: req.Name, Text: "level"})
+		answer(&wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.ComeBackMs})
 		return
 	}
 	u := &reqUnder{li: li, req: req, kind: kind, answer: answer, until: p.w.now + min(limit, p.w.limits[kind])}
@@ -252,15 +252,15 @@
 	li, p := u.li, u.li.p
 	name := li.follow.Pick(p.w.now, u.kind, u.req.Key, u.tried)
 	if name == "" {
-		p.w.note(p.place.name, trail.Event{What: trail.Refuse, Kind: u.req.Kind, Req: u.req.Name, Text: "no line"})
+		p.w.note(p.place.name, eventlog.Event{What: eventlog.Refuse, Kind: u.req.Kind, Req: u.req.Name, Text: "no line"})
 		u.end()
 		return
 	}
 	li.follow.Sent(name)
 	u.tried = append(u.tried, name)
-	p.w.note(p.place.name, trail.Event{What: trail.Send, Peer: name, Kind: u.req.Kind, Req: u.req.Name, Text: u.req.Key, N: len(u.tried)})
+	p.w.note(p.place.name, eventlog.Event{What: eventlog.Send, Peer: name, Kind: u.req.Kind, Req: u.req.Name, Text: u.req.Key, N: len(u.tried)})
 	p.w.Tries++
-	wait := follow.Patience(li.follow.Again(u.kind), len(u.tried), u.until-p.w.now, p.w.firstWait*p.w.targets[u.kind])
+	wait := routing.Patience(li.follow.Again(u.kind), len(u.tried), u.until-p.w.now, p.w.firstWait*p.w.targets[u.kind])
 	t := &try{req: u, name: name, start: p.w.now}
 	p.w.waits[u.kind].add(p.w.now+wait, t)
 	li.send(t, wait)
@@ -362,7 +362,7 @@
 	}
 	proof := outcome == wire.Denied
 	u.ran = u.ran || !proof
-	if !follow.TryFollows(u.li.follow.Again(u.kind), len(u.tried), proof) || w.now >= u.until-1e-6 || u.li.p.life != u.li {
+	if !routing.TryFollows(u.li.follow.Again(u.kind), len(u.tried), proof) || w.now >= u.until-1e-6 || u.li.p.life != u.li {
 		u.end()
 		return
 	}
@@ -371,7 +371,7 @@
 
 func (u *reqUnder) end() {
 	if !u.ran {
-		u.answer(&wire.Answer{Outcome: wire.Denied, ComeBackMs: follow.ComeBackMs})
+		u.answer(&wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.ComeBackMs})
 		return
 	}
 	u.li.follow.Unanswered(u.kind, u.req.Key)
@@ -416,7 +416,7 @@
 func (s *stream) Ask(m *wire.Pace) error {
 	s.w.ways.carry(s.to.place, s.li.p.place, func() {
 		if !s.ended && s.li.p.heed {
-			s.li.wish = follow.Wish{Lines: m.Lines, Changes: m.Changes}
+			s.li.wish = routing.Wish{Lines: m.Lines, Changes: m.Changes}
 			s.li.period = math.Max(1, float64(m.PeriodMs))
 		}
 	})
@@ -443,14 +443,14 @@
 	s.ended = true
 	delete(s.to.streams, s)
 	if s.to.run == s.run && s.run != nil {
-		s.to.post(pilot.Leave{Stream: s})
+		s.to.post(controller.Leave{Stream: s})
 	}
 	if s.li.stream != s {
 		return
 	}
 	s.li.stream = nil
 	if s.li.p.life == s.li {
-		s.w.note(s.li.p.place.name, trail.Event{What: trail.Leave, Peer: s.to.place.name})
+		s.w.note(s.li.p.place.name, eventlog.Event{What: eventlog.Leave, Peer: s.to.place.name})
 		if redial {
 			s.li.redial(0)
 		}
--- a/internal/emulator/tries_test.go
+++ b/internal/emulator/tries_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"indigousher/internal/day"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/scenario"
+	"indigousher/internal/testbed/eventlog"
 )
 
 // counted is what a day's trails tell of the tries of one req kind.
@@ -21,7 +21,7 @@
 func (c *counted) each() float64 { return float64(c.sends) / float64(max(1, c.reqs)) }
 
 // countTries counts over all layers, by req kind, between two times.
-func countTries(events []trail.Event, from, to float64) map[string]*counted {
+func countTries(events []eventlog.Event, from, to float64) map[string]*counted {
 	type one struct {
 		kind        string
 		asked       float64
@@ -29,7 +29,7 @@
 	}
 	reqs, out := map[uint64]*one{}, map[string]*counted{}
 	for _, e := range events {
-		if e.What == trail.Asked && e.At >= from && e.At < to {
+		if e.What == eventlog.Asked && e.At >= from && e.At < to {
 			reqs[e.Req] = &one{kind: e.Kind, asked: e.At}
 			if out[e.Kind] == nil {
 				out[e.Kind] = &counted{}
@@ -42,15 +42,15 @@
 		}
 		c := out[r.kind]
 		switch e.What {
-		case trail.Send:
+		case eventlog.Send:
 			r.sends++
 			c.sends, c.most, c.latest = c.sends+1, max(c.most, r.sends), max(c.latest, e.At-r.asked)
-		case trail.Arrive:
+		case eventlog.Arrive:
 			c.arrives++
-		case trail.Effect:
+		case eventlog.Effect:
 			r.runs++
 			c.mostRan = max(c.mostRan, r.runs)
-		case trail.Answered:
+		case eventlog.Answered:
 			c.answered = max(c.answered, e.At-r.asked)
 		}
 	}
@@ -107,7 +107,7 @@
 		for _, usual := range []int{0, 1} {
 			t.Run(fmt.Sprint(name, ", usual ", usual), func(t *testing.T) {
 				t.Parallel()
-				d, err := day.Read("tries.hcl", []byte(failing(way, usual)))
+				d, err := scenario.Read("tries.hcl", []byte(failing(way, usual)))
 				require.NoError(t, err)
 				o, err := Play{Day: d, Keep: true}.Run(t.Context())
 				require.NoError(t, err)
--- a/internal/emulator/trouble.go
+++ b/internal/emulator/trouble.go
@@ -3,15 +3,15 @@
 import (
 	"slices"
 
-	"indigousher/internal/day"
-	"indigousher/internal/standin/client"
-	"indigousher/internal/standin/endpoint"
-	"indigousher/internal/standin/trail"
+	"indigousher/internal/scenario"
+	"indigousher/internal/testbed/endpoint"
+	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/loadgen"
 	"indigousher/internal/wire"
 )
 
 // strike plays one trouble, as the rehearsal does on sockets.
-func (w *World) strike(t day.Trouble) {
+func (w *World) strike(t scenario.Trouble) {
 	lasts := ms(t.For)
 	switch t.What {
 	case "hang", "fast_errors", "class_fail", "handshake_slow", "answers_twice", "pause":
@@ -43,7 +43,7 @@
 	} // the others are the clients' doing
 }
 
-func (w *World) machinesOf(t day.Trouble) (struck []*machine) {
+func (w *World) machinesOf(t scenario.Trouble) (struck []*machine) {
 	var names []string
 	for _, m := range w.machines {
 		if t.Zone == "" || m.Zone == t.Zone {
@@ -57,7 +57,7 @@
 }
 
 // moods plays what changes how endpoints answer.
-func (w *World) moods(t day.Trouble) {
+func (w *World) moods(t scenario.Trouble) {
 	struck := w.machinesOf(t)
 	for _, m := range struck {
 		switch t.What {
@@ -82,7 +82,7 @@
 
 func (w *World) dumb(name string, dumb bool) {
 	w.ways.dumb[name] = dumb
-	w.note("links", trail.Event{What: map[bool]trail.What{true: trail.Cut, false: trail.Mended}[dumb], Peer: name})
+	w.note("links", eventlog.Event{What: map[bool]eventlog.What{true: eventlog.Cut, false: eventlog.Mended}[dumb], Peer: name})
 	if !dumb {
 		w.ways.changed()
 	}
@@ -91,7 +91,7 @@
 
 func (w *World) cut(zone string, cut bool) {
 	w.ways.zone(zone).cut = cut
-	w.note("links", trail.Event{What: map[bool]trail.What{true: trail.Cut, false: trail.Mended}[cut], Text: zone})
+	w.note("links", eventlog.Event{What: map[bool]eventlog.What{true: eventlog.Cut, false: eventlog.Mended}[cut], Text: zone})
 	if !cut {
 		w.ways.changed()
 	}
@@ -110,7 +110,7 @@
 }
 
 // fate plays what happens to one endpoint's process.
-func (w *World) fate(t day.Trouble, m *machine, i int) {
+func (w *World) fate(t scenario.Trouble, m *machine, i int) {
 	late, lasts := ms(w.Day.ListLate), ms(t.For)
 	gone := func(x *wire.Entry) { x.Phase = wire.PhaseGone }
 	drains := func(x *wire.Entry) { x.Phase = wire.PhaseDraining }
@@ -170,7 +170,7 @@
 	if w.byName[name] != nil {
 		return
 	}
-	group := slices.IndexFunc(w.Day.Groups, func(g day.Group) bool { return g.Zone == m.Zone && g.Machine == m.Machine })
+	group := slices.IndexFunc(w.Day.Groups, func(g scenario.Group) bool { return g.Zone == m.Zone && g.Machine == m.Machine })
 	w.addMachine(name, group, true)
 	w.tell(name, ms(w.Day.ListLate), func(*wire.Entry) {})
 }
@@ -190,7 +190,7 @@
 }
 
 // zoneLoss takes a zone's endpoints, and with a size over a half its proxies and pilots.
-func (w *World) zoneLoss(t day.Trouble) {
+func (w *World) zoneLoss(t scenario.Trouble) {
 	struck := w.machinesOf(t)
 	for _, m := range struck {
 		m.kill()
@@ -229,7 +229,7 @@
 	})
 }
 
-func (w *World) proxiesOf(t day.Trouble) (struck []*plain) {
+func (w *World) proxiesOf(t scenario.Trouble) (struck []*plain) {
 	var names []string
 	by := map[string]*plain{}
 	for _, p := range w.proxies {
@@ -243,7 +243,7 @@
 	return struck
 }
 
-func (w *World) proxyTrouble(t day.Trouble) {
+func (w *World) proxyTrouble(t scenario.Trouble) {
 	struck := w.proxiesOf(t)
 	each := func(f func(p *plain)) func() {
 		return func() {
@@ -301,7 +301,7 @@
 	}
 }
 
-func (w *World) pilotTrouble(t day.Trouble) {
+func (w *World) pilotTrouble(t scenario.Trouble) {
 	var names []string
 	by := map[string]*seat{}
 	for _, s := range w.seats {
@@ -363,9 +363,9 @@
 }
 
 func (w *World) giveSlice(i int) {
-	x := wire.Slices{Slice: i, Given: true, From: client.Key(i * day.KeysEach), To: client.Key((i + 1) * day.KeysEach),
+	x := wire.Slices{Slice: i, Given: true, From: loadgen.Key(i * scenario.KeysEach), To: loadgen.Key((i + 1) * scenario.KeysEach),
 		Lines: []wire.HeldLine{{Endpoint: w.owners[i], Weight: 1}}}
-	w.note("rehearsal", trail.Event{What: trail.Given, Peer: w.owners[i], N: i, Text: x.From})
+	w.note("rehearsal", eventlog.Event{What: eventlog.Given, Peer: w.owners[i], N: i, Text: x.From})
 	w.list.give(x)
 }
 
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -13,35 +13,35 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/cespare/xxhash/v2"
 
-	"indigousher/brain"
 	"indigousher/internal/audit"
-	"indigousher/internal/day"
-	"indigousher/internal/pilot"
+	"indigousher/internal/config"
+	"indigousher/internal/controller"
 	"indigousher/internal/record"
-	"indigousher/internal/standin/client"
-	"indigousher/internal/standin/endpoint"
-	"indigousher/internal/standin/follow"
-	"indigousher/internal/standin/trail"
-	"indigousher/internal/terms"
+	"indigousher/internal/scenario"
+	"indigousher/internal/testbed/endpoint"
+	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/loadgen"
+	"indigousher/internal/testbed/routing"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // Play is one emulated day.
 type Play struct {
-	Day    *day.Day
-	Decide func(seed int64, terms map[string]any) pilot.Decider // nil: the module
-	Bare   bool                                                 // no pilots: standing tables only
-	Talk   bool                                                 // pilots may tell each other
-	Keep   bool                                                 // all events are kept in the outcome
-	Log    func(atMs float64, pilot, text string)               // the module's lines; nil: nobody
-	Trace  *Tracer                                              // nil: none; it is for one run
-	Judged bool                                                 // false: no audit, for speed
+	Day    *scenario.Day
+	Decide func(seed int64, terms map[string]any) controller.Decider // nil: the module
+	Bare   bool                                                      // no pilots: standing tables only
+	Talk   bool                                                      // pilots may tell each other
+	Keep   bool                                                      // all events are kept in the outcome
+	Log    func(atMs float64, pilot, text string)                    // the module's lines; nil: nobody
+	Trace  *Tracer                                                   // nil: none; it is for one run
+	Judged bool                                                      // false: no audit, for speed
 }
 
 // Outcome is what a day left.
 type Outcome struct {
 	Report    *audit.Report
-	Events    []trail.Event
+	Events    []eventlog.Event
 	Done      uint64 // events of the clock
 	Reqs      uint64
 	Tries     uint64
@@ -105,7 +105,7 @@
 	w.clients()
 	for _, t := range p.Day.Troubles {
 		w.At(ms(t.At), func() {
-			w.note("rehearsal", trail.Event{What: trail.Note, Text: t.String()})
+			w.note("rehearsal", eventlog.Event{What: eventlog.Note, Text: t.String()})
 			w.strike(t)
 		})
 	}
@@ -141,7 +141,7 @@
 		w.limits, w.targets = append(w.limits, ms(k.ClientTimeout)), append(w.targets, ms(k.ResponseTarget))
 	}
 	if w.Decide == nil {
-		w.Decide = func(seed int64, t map[string]any) pilot.Decider { return brain.New(seed, t) }
+		w.Decide = func(seed int64, t map[string]any) controller.Decider { return planner.New(seed, t) }
 	}
 	if d.Record {
 		w.fingerprint = record.Fingerprint(w.Decide)
@@ -149,7 +149,7 @@
 	return w
 }
 
-func (w *World) decide(seed int64, t map[string]any) pilot.Decider {
+func (w *World) decide(seed int64, t map[string]any) controller.Decider {
 	d := w.Decide(seed, t)
 	return d
 }
@@ -164,7 +164,7 @@
 }
 
 // note adds an event to the trails.
-func (w *World) note(who string, e trail.Event) {
+func (w *World) note(who string, e eventlog.Event) {
 	e.At, e.Who = w.now, who
 	w.sum.add(&e)
 	if w.Judged {
@@ -212,7 +212,7 @@
 	for i, z := range d.ProxyZones {
 		p := &plain{w: w, place: place{fmt.Sprintf("proxy-%s-%d", z, counts[z]), z}, rate: d.Rate / float64(len(d.ProxyZones)),
 			home: i, seed: uint64(d.Seed*1000 + i), reports: 1, heed: true,
-			habits: follow.Habits{Kinds: d.KindNames(), Pick: d.Pick, EjectsAfter: d.EjectsAfter, EjectMs: ms(d.EjectFor),
+			habits: routing.Habits{Kinds: d.KindNames(), Pick: d.Pick, EjectsAfter: d.EjectsAfter, EjectMs: ms(d.EjectFor),
 				TryAgain: d.RetryHow}}
 		p.heed = !slices.Contains(d.Heedless, p.place.name)
 		counts[z]++
@@ -221,8 +221,8 @@
 	}
 }
 
-func (w *World) pilotTerms(s *seat) terms.Pilot {
-	t := terms.Defaults()
+func (w *World) pilotTerms(s *seat) config.Pilot {
+	t := config.Defaults()
 	t.Common, t.Name, t.Zone, t.Rank, t.Seed = w.Day.Common, s.place.name, s.place.zone, s.rank, w.Day.Seed+s.rank
 	t.IntakeLinesPerS, t.IntakeStanding = w.Day.IntakeLinesPerS, w.Day.IntakeStanding
 	t.MaxStreams = max(t.MaxStreams, 2*len(w.Day.ProxyZones))
@@ -329,8 +329,8 @@
 
 // clients ask reqs at their times, one drawn after another.
 func (w *World) clients() {
-	load := client.Of(w.Day)
-	source := client.NewSource(load)
+	load := loadgen.Of(w.Day)
+	source := loadgen.NewSource(load)
 	name := uint64(0)
 	var next func()
 	next = func() {
@@ -348,10 +348,10 @@
 }
 
 // ask takes a client's req through its retries.
-func (w *World) ask(name uint64, a client.Asked, k *client.Kind, retries int, backoff float64) {
+func (w *World) ask(name uint64, a loadgen.Asked, k *loadgen.Kind, retries int, backoff float64) {
 	w.out.Reqs++
 	start, until := w.now, w.now+ms(k.Timeout)
-	w.note("clients", trail.Event{What: trail.Asked, Kind: k.Name, Req: name})
+	w.note("clients", eventlog.Event{What: eventlog.Asked, Kind: k.Name, Req: name})
 	c := &asking{w: w, name: name, a: a, k: k, start: start, until: until, retries: retries, backoff: backoff}
 	w.patience[a.Kind].add(until, c)
 	c.try()
@@ -361,8 +361,8 @@
 type asking struct {
 	w            *World
 	name         uint64
-	a            client.Asked
-	k            *client.Kind
+	a            loadgen.Asked
+	k            *loadgen.Kind
 	start, until float64
 	tried        int
 	retries      int
@@ -384,7 +384,7 @@
 	if outcome == "done" {
 		_ = c.w.out.Latency.RecordValue(max(1, int64(took*1000))) // within its range by the client timeout
 	}
-	c.w.note("clients", trail.Event{What: trail.Answered, Kind: c.k.Name, Req: c.name, Value: took, Text: outcome})
+	c.w.note("clients", eventlog.Event{What: eventlog.Answered, Kind: c.k.Name, Req: c.name, Value: took, Text: outcome})
 }
 
 func (c *asking) try() {
@@ -441,7 +441,7 @@
 // digest mixes what tells events apart.
 type digest struct{ h uint64 }
 
-func (d *digest) add(e *trail.Event) {
+func (d *digest) add(e *eventlog.Event) {
 	h := d.h
 	if h == 0 {
 		h = 14695981039346656037
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -15,8 +15,8 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 
 	"indigousher/internal/baseline"
-	"indigousher/internal/day"
-	"indigousher/internal/terms"
+	"indigousher/internal/config"
+	"indigousher/internal/scenario"
 )
 
 // Plan is one experiment file.
@@ -37,8 +37,8 @@
 }
 
 // factors are what can be varied, and what a level does to a day.
-var factors = map[string]func(d *day.Day, v float64){
-	"size": func(d *day.Day, v float64) { // endpoints, proxies, reqs and the channel together
+var factors = map[string]func(d *scenario.Day, v float64){
+	"size": func(d *scenario.Day, v float64) { // endpoints, proxies, reqs and the channel together
 		count(d, v)
 		crowd(d, v)
 		d.Rate *= v
@@ -47,28 +47,28 @@
 	},
 	"endpoints": count,
 	"proxies":   crowd,
-	"load":      func(d *day.Day, v float64) { d.Rate *= v },
-	"pilots": func(d *day.Day, v float64) {
+	"load":      func(d *scenario.Day, v float64) { d.Rate *= v },
+	"pilots": func(d *scenario.Day, v float64) {
 		d.PilotZones = nil
 		for i := range int(v) {
 			d.PilotZones = append(d.PilotZones, d.Zones[i%len(d.Zones)])
 		}
 		d.Instances = max(1, int(v))
 	},
-	"report_s": func(d *day.Day, v float64) { d.Period = time.Duration(v * float64(time.Second)) },
-	"way_ms":   func(d *day.Day, v float64) { d.Way = time.Duration(v * float64(time.Millisecond)) },
-	"record":   func(d *day.Day, v float64) { d.Record = v > 0 },
-	"uneven":   func(d *day.Day, v float64) { d.Uneven = v },
-	"length_s": func(d *day.Day, v float64) { d.Length = time.Duration(v * float64(time.Second)) },
+	"report_s": func(d *scenario.Day, v float64) { d.Period = time.Duration(v * float64(time.Second)) },
+	"way_ms":   func(d *scenario.Day, v float64) { d.Way = time.Duration(v * float64(time.Millisecond)) },
+	"record":   func(d *scenario.Day, v float64) { d.Record = v > 0 },
+	"uneven":   func(d *scenario.Day, v float64) { d.Uneven = v },
+	"length_s": func(d *scenario.Day, v float64) { d.Length = time.Duration(v * float64(time.Second)) },
 }
 
-func count(d *day.Day, v float64) {
+func count(d *scenario.Day, v float64) {
 	for i := range d.Groups {
 		d.Groups[i].Count = max(1, int(float64(d.Groups[i].Count)*v+0.5))
 	}
 }
 
-func crowd(d *day.Day, v float64) {
+func crowd(d *scenario.Day, v float64) {
 	zones := slices.Clone(d.ProxyZones)
 	d.ProxyZones = nil
 	for i := range max(1, int(float64(len(zones))*v+0.5)) {
@@ -89,20 +89,20 @@
 
 // Read reads and checks an experiment file.
 func Read(path string) (*Plan, error) {
-	text, err := terms.ReadFile(path)
+	text, err := config.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("read experiment: %w", err)
 	}
 	p := &Plan{Name: strings.TrimSuffix(filepath.Base(path), ".hcl"), Repeats: 5, Budget: 10 * time.Minute,
 		Policies: []string{Ours}, folder: filepath.Dir(path)}
-	body, diags := terms.Open(path, text)
+	body, diags := config.Open(path, text)
 	if !diags.HasErrors() {
-		diags = terms.Read(body, []terms.Field{{Name: "about", Into: &p.About}, {Name: "day", Into: &p.Day, Needed: true},
+		diags = config.Read(body, []config.Field{{Name: "about", Into: &p.About}, {Name: "day", Into: &p.Day, Needed: true},
 			{Name: "repeats", Into: &p.Repeats, Least: 1, Most: 10000}, {Name: "budget", Into: &p.Budget, Least: 1},
-			{Name: "policies", Into: &p.Policies}}, []terms.Sub{{Name: "factor", Labels: 1, Read: p.factor}})
+			{Name: "policies", Into: &p.Policies}}, []config.Sub{{Name: "factor", Labels: 1, Read: p.factor}})
 	}
 	if diags.HasErrors() {
-		return nil, terms.Complaints(diags)
+		return nil, config.Complaints(diags)
 	}
 	for _, x := range p.Policies {
 		if !slices.Contains(policies(), x) {
@@ -117,7 +117,7 @@
 
 func (p *Plan) factor(labels []string, b *hclsyntax.Body) hcl.Diagnostics {
 	var levels []string
-	diags := terms.Read(b, []terms.Field{{Name: "levels", Into: &levels, Needed: true}}, nil)
+	diags := config.Read(b, []config.Field{{Name: "levels", Into: &levels, Needed: true}}, nil)
 	wrong := func(text string) {
 		diags = append(diags, &hcl.Diagnostic{Severity: hcl.DiagError, Summary: text, Subject: b.SrcRange.Ptr()})
 	}
@@ -137,11 +137,11 @@
 }
 
 // load reads the day anew: levels change it.
-func (p *Plan) load() (*day.Day, error) {
-	if slices.Contains(day.Days(), p.Day) || filepath.IsAbs(p.Day) {
-		return day.Load(p.Day)
+func (p *Plan) load() (*scenario.Day, error) {
+	if slices.Contains(scenario.Days(), p.Day) || filepath.IsAbs(p.Day) {
+		return scenario.Load(p.Day)
 	}
-	return day.Load(filepath.Join(p.folder, p.Day))
+	return scenario.Load(filepath.Join(p.folder, p.Day))
 }
 
 // Cell is one combination of levels, for one policy.
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -20,8 +20,8 @@
 	"gonum.org/v1/gonum/stat"
 
 	"indigousher/internal/baseline"
+	"indigousher/internal/controller"
 	"indigousher/internal/emulator"
-	"indigousher/internal/pilot"
 	"indigousher/internal/record"
 )
 
@@ -206,7 +206,7 @@
 		if err != nil {
 			return nil, false, err
 		}
-		play.Decide = func(seed int64, t map[string]any) pilot.Decider { return make(seed, t) }
+		play.Decide = func(seed int64, t map[string]any) controller.Decider { return make(seed, t) }
 	}
 	o, err := play.Run(ctx)
 	if err != nil {
--- a/internal/handover/handoff.go
+++ b/internal/handover/handoff.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"indigousher/internal/pause"
+	"indigousher/internal/backoff"
 	"indigousher/recovery"
 )
 
@@ -146,7 +146,7 @@
 			lock, err := GetClaim(o.socket)
 			if err != nil {
 				event = recovery.Refused
-				pause.For(ctx, lockRetryInterval)
+				backoff.For(ctx, lockRetryInterval)
 				continue
 			}
 			machine.Next(recovery.Claimed)
--- a/internal/keys/authority.go
+++ b/internal/identity/authority.go
@@ -1,4 +1,4 @@
-package keys
+package identity
 
 import (
 	"crypto/ecdsa"
--- a/internal/platform/peek/peek.go
+++ b/internal/platform/connstate/peek.go
@@ -1,5 +1,5 @@
-// Package peek looks at what a TCP connection's other side has done, without reading anything and without waiting.
-package peek
+// Package connstate looks at what a TCP connection's other side has done, without reading anything and without waiting.
+package connstate
 
 import (
 	"errors"
--- a/internal/platform/peek/peek_test.go
+++ b/internal/platform/connstate/peek_test.go
@@ -1,4 +1,4 @@
-package peek
+package connstate
 
 import (
 	"net"
--- a/internal/platform/agent/agent.go
+++ b/internal/platform/discovery/agent.go
@@ -1,7 +1,7 @@
-// Package agent follows the endpoint list at the platform's discovery agent: HTTP/1.1 watches, one after another on
+// Package discovery follows the endpoint list at the platform's discovery agent: HTTP/1.1 watches, one after another on
 // one connection. It parses, checks and hands over; what a list means the module decides. A call that fails or stays
 // silent is made again on a new connection, with the version held.
-package agent
+package discovery
 
 import (
 	"bufio"
@@ -18,8 +18,8 @@
 
 	"go.uber.org/zap"
 
-	"indigousher/internal/pause"
-	"indigousher/internal/pilot"
+	"indigousher/internal/backoff"
+	"indigousher/internal/controller"
 	"indigousher/internal/wire"
 )
 
@@ -100,7 +100,7 @@
 // Agent follows the list.
 type Agent struct {
 	Counters Counters
-	inbox    pilot.Inbox
+	inbox    controller.Inbox
 	log      *zap.Logger
 	mu       sync.Mutex
 	address  string
@@ -113,7 +113,7 @@
 }
 
 // New returns an agent that does nothing before Run. With watch it follows the list unasked.
-func New(address string, watch bool, inbox pilot.Inbox, log *zap.Logger) *Agent {
+func New(address string, watch bool, inbox controller.Inbox, log *zap.Logger) *Agent {
 	return &Agent{address: address, watching: watch, inbox: inbox, log: log, wake: make(chan struct{}, 1)}
 }
 
@@ -176,7 +176,7 @@
 		if err != nil && !moved {
 			a.Counters.Failed.Add(1)
 			a.log.Debug("discovery", zap.String("address", address), zap.Error(err))
-			pause.For(ctx, failedPause)
+			backoff.For(ctx, failedPause)
 		}
 	}
 	return nil
@@ -239,7 +239,7 @@
 	a.mu.Unlock()
 	if l.Whole || len(l.Entries) > 0 {
 		a.Counters.Lists.Add(1)
-		if err := a.inbox.Post(ctx, pilot.Listed{List: l}); err != nil {
+		if err := a.inbox.Post(ctx, controller.Listed{List: l}); err != nil {
 			return err
 		}
 	}
--- a/internal/platform/agent/agent_test.go
+++ b/internal/platform/discovery/agent_test.go
@@ -1,4 +1,4 @@
-package agent
+package discovery
 
 import (
 	"bufio"
@@ -17,7 +17,7 @@
 	"go.uber.org/goleak"
 	"go.uber.org/zap"
 
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 	"indigousher/internal/wire"
 )
 
@@ -28,10 +28,10 @@
 	got []*wire.List
 }
 
-func (b *inbox) Post(_ context.Context, in pilot.Input) error {
+func (b *inbox) Post(_ context.Context, in controller.Input) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.got = append(b.got, in.(pilot.Listed).List)
+	b.got = append(b.got, in.(controller.Listed).List)
 	return nil
 }
 
--- a/internal/platform/listener/line.go
+++ b/internal/platform/listener/line.go
@@ -5,8 +5,8 @@
 	"errors"
 	"strconv"
 
-	"indigousher/brain"
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
+	"indigousher/planner"
 )
 
 // ErrLine says that a line is no message that is taken here.
@@ -64,7 +64,7 @@
 
 func figure(text []byte) (float64, bool) {
 	v, err := strconv.ParseFloat(string(text), 64)
-	return v, err == nil && brain.Sound(v) // not-a-number is not sound
+	return v, err == nil && planner.Sound(v) // not-a-number is not sound
 }
 
 func (w *words) name(name string) (string, bool) {
@@ -73,8 +73,8 @@
 }
 
 // heard reads a report on an endpoint.
-func heard(w *words) (pilot.Input, error) {
-	m := pilot.ZoneMet{}
+func heard(w *words) (controller.Input, error) {
+	m := controller.ZoneMet{}
 	var ok [6]bool
 	m.Zone, ok[0] = w.name("locality")
 	m.Endpoint, ok[1] = w.name("endpoint")
@@ -102,8 +102,8 @@
 }
 
 // usage reads a report on a proxy.
-func usage(w *words) (pilot.Input, error) {
-	d := pilot.ProxyDemand{}
+func usage(w *words) (controller.Input, error) {
+	d := controller.ProxyDemand{}
 	var ok [5]bool
 	d.Proxy, ok[0] = w.count("node")
 	d.Kind, ok[1] = w.name("route")
--- a/internal/platform/listener/listener.go
+++ b/internal/platform/listener/listener.go
@@ -19,9 +19,9 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"indigousher/internal/pause"
-	"indigousher/internal/pilot"
-	"indigousher/internal/platform/peek"
+	"indigousher/internal/backoff"
+	"indigousher/internal/controller"
+	"indigousher/internal/platform/connstate"
 )
 
 // Figures of the listener.
@@ -42,7 +42,7 @@
 	Counters Counters
 	zones    []string
 	most     int // connections that have not joined
-	inbox    pilot.Inbox
+	inbox    controller.Inbox
 	log      *zap.Logger
 	mu       sync.Mutex
 	waiting  *list.List            // of net.Conn that have not joined, oldest first
@@ -52,7 +52,7 @@
 }
 
 // New returns a listener for collectors of these zones; most connections may stand that have not joined.
-func New(zones []string, most int, inbox pilot.Inbox, log *zap.Logger) *Listener {
+func New(zones []string, most int, inbox controller.Inbox, log *zap.Logger) *Listener {
 	return &Listener{zones: zones, most: max(1, most), inbox: inbox, log: log, waiting: list.New(),
 		joined: map[string][]net.Conn{}}
 }
@@ -71,9 +71,9 @@
 				_ = g.Wait() // only says that the listener is closed
 				return nil
 			}
-			if pause.Passing(err) { // no free descriptor: the oldest stranger goes
+			if backoff.Passing(err) { // no free descriptor: the oldest stranger goes
 				d.evict(0)
-				pause.For(ctx, 5*time.Millisecond)
+				backoff.For(ctx, 5*time.Millisecond)
 				continue
 			}
 			return fmt.Errorf("accept on %s: %w", l.Addr(), err)
@@ -103,7 +103,7 @@
 	for d.waiting.Len() > left {
 		goes := d.waiting.Front()
 		for place := goes; place != nil; place = place.Next() {
-			if conn, ok := place.Value.(net.Conn); ok && peek.At(conn) != peek.Data {
+			if conn, ok := place.Value.(net.Conn); ok && connstate.At(conn) != connstate.Data {
 				goes = place
 				break
 			}
@@ -276,7 +276,7 @@
 }
 
 // report reads a line. One of a known kind whose words are wrong is readable all the same.
-func report(w *words, line []byte) (in pilot.Input, readable bool) {
+func report(w *words, line []byte) (in controller.Input, readable bool) {
 	kind, _, _ := bytes.Cut(line, []byte(" "))
 	readable = string(kind) == "heard" || string(kind) == "usage"
 	if _, err := w.read(line); err != nil || !readable {
--- a/internal/platform/listener/listener_test.go
+++ b/internal/platform/listener/listener_test.go
@@ -16,28 +16,28 @@
 	"go.uber.org/goleak"
 	"go.uber.org/zap"
 
-	"indigousher/internal/pilot"
-	"indigousher/internal/platform/peek"
+	"indigousher/internal/controller"
+	"indigousher/internal/platform/connstate"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 type inbox struct {
 	mu  sync.Mutex
-	got []pilot.Input
+	got []controller.Input
 }
 
-func (b *inbox) Post(_ context.Context, in pilot.Input) error {
+func (b *inbox) Post(_ context.Context, in controller.Input) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.got = append(b.got, in)
 	return nil
 }
 
-func (b *inbox) all() []pilot.Input {
+func (b *inbox) all() []controller.Input {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]pilot.Input{}, b.got...)
+	return append([]controller.Input{}, b.got...)
 }
 
 // open starts a listener and returns how to dial it.
@@ -92,28 +92,28 @@
 
 // TestCollectors guards that a spoilt report costs itself alone, wherever its line is cut.
 func TestCollectors(t *testing.T) {
-	good := pilot.ZoneMet{Zone: "a", Endpoint: "x", Tries: 9, Failed: 2, MeanMs: 4.5, SpanMs: 1000, Load: map[string]float64{"util": 0.5}}
+	good := controller.ZoneMet{Zone: "a", Endpoint: "x", Tries: 9, Failed: 2, MeanMs: 4.5, SpanMs: 1000, Load: map[string]float64{"util": 0.5}}
 	text := "heard locality=a endpoint=x total=9 errors=2 rtt=4.5 interval=1000.0 metrics=util:0.5\r\n"
 	use := "usage node=3 route=read total=4 errors=1 interval=500\r\n"
-	demand := pilot.ProxyDemand{Proxy: 3, Kind: "read", Reqs: 4, Unanswered: 1, SpanMs: 500}
+	demand := controller.ProxyDemand{Proxy: 3, Kind: "read", Reqs: 4, Unanswered: 1, SpanMs: 500}
 	for name, c := range map[string]struct {
 		send   string
-		want   []pilot.Input
+		want   []controller.Input
 		closed bool
 	}{
-		"both kinds":        {text + use, []pilot.Input{good, demand}, false},
-		"a field is absent": {"heard locality=a endpoint=x total=9\r\n" + use, []pilot.Input{demand}, false},
-		"doubled":           {"usage node=3 node=4 route=read total=4 errors=1 interval=500\r\n" + use, []pilot.Input{demand}, false},
-		"not a number":      {strings.Replace(text, "4.5", "NaN", 1) + strings.Replace(text, "0.5", "inf", 1) + use, []pilot.Input{demand}, false},
-		"out of range":      {strings.Replace(text, "total=9", "total=99999999999999999999", 1) + strings.Replace(text, "errors=2", "errors=-1", 1) + use, []pilot.Input{demand}, false},
+		"both kinds":        {text + use, []controller.Input{good, demand}, false},
+		"a field is absent": {"heard locality=a endpoint=x total=9\r\n" + use, []controller.Input{demand}, false},
+		"doubled":           {"usage node=3 node=4 route=read total=4 errors=1 interval=500\r\n" + use, []controller.Input{demand}, false},
+		"not a number":      {strings.Replace(text, "4.5", "NaN", 1) + strings.Replace(text, "0.5", "inf", 1) + use, []controller.Input{demand}, false},
+		"out of range":      {strings.Replace(text, "total=9", "total=99999999999999999999", 1) + strings.Replace(text, "errors=2", "errors=-1", 1) + use, []controller.Input{demand}, false},
 		"more fail than are": {strings.Replace(text, "errors=2", "errors=10", 1) + strings.Replace(text, "interval=1000.0", "interval=0", 1) + use,
-			[]pilot.Input{demand}, false},
-		"spoilt for long":       {strings.Repeat("usage node=x\r\n", 50) + use, []pilot.Input{demand}, false},
-		"a long line":           {"heard " + strings.Repeat("y", 100000) + "\r\n" + use, []pilot.Input{demand}, false},
-		"one unreadable":        {"\x00\x01\x02\r\n" + use, []pilot.Input{demand}, false},
-		"goes on unreadable":    {use + strings.Repeat("\x07\x08\x09\n", 10), []pilot.Input{demand}, true},
-		"unreadable, no end":    {use + strings.Repeat("\x07", 3<<20), []pilot.Input{demand}, true},
-		"asks for sign of life": {"ping\r\n" + use, []pilot.Input{demand}, false},
+			[]controller.Input{demand}, false},
+		"spoilt for long":       {strings.Repeat("usage node=x\r\n", 50) + use, []controller.Input{demand}, false},
+		"a long line":           {"heard " + strings.Repeat("y", 100000) + "\r\n" + use, []controller.Input{demand}, false},
+		"one unreadable":        {"\x00\x01\x02\r\n" + use, []controller.Input{demand}, false},
+		"goes on unreadable":    {use + strings.Repeat("\x07\x08\x09\n", 10), []controller.Input{demand}, true},
+		"unreadable, no end":    {use + strings.Repeat("\x07", 3<<20), []controller.Input{demand}, true},
+		"asks for sign of life": {"ping\r\n" + use, []controller.Input{demand}, false},
 	} {
 		for _, piece := range []int{7, 1 << 20} {
 			t.Run(fmt.Sprint(name, " by ", piece), func(t *testing.T) {
@@ -187,13 +187,13 @@
 				conn, err := l.Accept()
 				require.NoError(t, err)
 				defer conn.Close()
-				require.Eventually(t, func() bool { return text == "" || peek.At(conn) == peek.Data }, 5*time.Second, time.Millisecond)
+				require.Eventually(t, func() bool { return text == "" || connstate.At(conn) == connstate.Data }, 5*time.Second, time.Millisecond)
 				d.enter(conn)
 				peers = append(peers, peer)
 			}
-			require.Eventually(t, func() bool { return peek.At(peers[c.gone]) == peek.Gone }, 5*time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return connstate.At(peers[c.gone]) == connstate.Gone }, 5*time.Second, time.Millisecond)
 			for i, peer := range peers {
-				assert.Equal(t, i == c.gone, peek.At(peer) == peek.Gone, "number %d", i)
+				assert.Equal(t, i == c.gone, connstate.At(peer) == connstate.Gone, "number %d", i)
 			}
 		})
 	}
@@ -261,9 +261,9 @@
 			assert.True(t, readable)
 		}
 		switch in := in.(type) {
-		case pilot.ZoneMet:
+		case controller.ZoneMet:
 			assert.True(t, in.Failed >= 0 && in.Failed <= in.Tries && in.SpanMs > 0 && in.MeanMs >= 0 && in.Zone != "" && in.Endpoint != "")
-		case pilot.ProxyDemand:
+		case controller.ProxyDemand:
 			assert.True(t, in.Unanswered >= 0 && in.Unanswered <= in.Reqs && in.Proxy >= 0 && in.Kind != "")
 		}
 	})
--- a/internal/platform/config/config.go
+++ b/internal/platform/placement/config.go
@@ -1,6 +1,6 @@
-// Package config reads what the operators' platform tells a pilot: the NODE_ variables and the JSON file they name. It
+// Package placement reads what the operators' platform tells a pilot: the NODE_ variables and the JSON file they name. It
 // checks all that the program relies on and names the field that is wrong. It applies nothing.
-package config
+package placement
 
 import (
 	"encoding/json"
@@ -11,11 +11,11 @@
 	"reflect"
 	"strconv"
 
-	"indigousher/brain"
-	"indigousher/internal/platform/agent"
-	"indigousher/internal/terms"
-	"indigousher/internal/translate"
+	"indigousher/internal/config"
+	"indigousher/internal/platform/discovery"
+	"indigousher/internal/settings"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // Bounds of the file and of what it may name.
@@ -44,12 +44,12 @@
 	Known    json.RawMessage `json:"known"`
 	Settings map[string]any  `json:"settings"`
 
-	Seed       int64                 `json:"-"`
-	Remembered *wire.List            `json:"-"` // nil: none
-	Deployment *translate.Deployment `json:"-"`
-	Proxies    int                   `json:"-"` // numbers below this exist
-	OnRequest  bool                  `json:"-"` // the list is told only after the module has asked
-	Left       string                `json:"-"` // what of the file is left out, as it can't be used; "": nothing
+	Seed       int64                `json:"-"`
+	Remembered *wire.List           `json:"-"` // nil: none
+	Deployment *settings.Deployment `json:"-"`
+	Proxies    int                  `json:"-"` // numbers below this exist
+	OnRequest  bool                 `json:"-"` // the list is told only after the module has asked
+	Left       string               `json:"-"` // what of the file is left out, as it can't be used; "": nothing
 }
 
 // Read reads the file that NODE_CONFIG names and holds the other variables against it.
@@ -74,7 +74,7 @@
 
 // ReadFile reads and checks a file.
 func ReadFile(path string) (*Placement, error) {
-	text, err := terms.ReadFile(path)
+	text, err := config.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("read NODE_CONFIG: %w", err)
 	}
@@ -87,8 +87,8 @@
 
 // Parse checks a file's text.
 func Parse(text []byte) (*Placement, error) {
-	if len(text) > terms.MostBytes {
-		return nil, fmt.Errorf("longer than %d bytes", terms.MostBytes)
+	if len(text) > config.MostBytes {
+		return nil, fmt.Errorf("longer than %d bytes", config.MostBytes)
 	}
 	p := &Placement{}
 	if err := json.Unmarshal(text, p); err != nil {
@@ -148,7 +148,7 @@
 	if len(p.Known) == 0 || string(p.Known) == "null" {
 		return nil
 	}
-	l, odd, err := agent.ParseList(p.Known)
+	l, odd, err := discovery.ParseList(p.Known)
 	if err != nil { // it is a help at the start; discovery tells the list anyway
 		p.Left = fmt.Sprintf("known: %v", err)
 		return nil
@@ -165,7 +165,7 @@
 	if len(p.Settings) == 0 {
 		return errors.New("settings are missing")
 	}
-	p.Deployment = translate.Read(p.Settings)
+	p.Deployment = settings.Read(p.Settings)
 	terms := p.Deployment.Terms
 	if n := len(p.Deployment.Zones.All()); n == 0 || n > mostZones {
 		return fmt.Errorf("settings: %d zones", n)
@@ -186,7 +186,7 @@
 		return err
 	}
 	for _, name := range []string{"lines_per_s", "backlog", "drain_grace", "cold"} {
-		if _, err := number(terms, name, 1e-3, brain.MostFigure); err != nil {
+		if _, err := number(terms, name, 1e-3, planner.MostFigure); err != nil {
 			return err
 		}
 	}
--- a/internal/platform/config/config_test.go
+++ b/internal/platform/placement/config_test.go
@@ -1,4 +1,4 @@
-package config
+package placement
 
 import (
 	"os"
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -13,14 +13,14 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"indigousher/brain"
-	"indigousher/internal/edge/peers"
-	"indigousher/internal/edge/probe"
-	"indigousher/internal/pilot"
-	"indigousher/internal/platform/agent"
-	"indigousher/internal/platform/config"
+	"indigousher/internal/controller"
+	"indigousher/internal/platform/discovery"
 	"indigousher/internal/platform/listener"
+	"indigousher/internal/platform/placement"
 	"indigousher/internal/platform/relay"
+	"indigousher/internal/transport/gossip"
+	"indigousher/internal/transport/healthcheck"
+	"indigousher/planner"
 )
 
 // Figures of the pilot's own.
@@ -36,48 +36,48 @@
 // Pilot is one pilot on the platform.
 type Pilot struct {
 	log       *zap.Logger
-	placement *config.Placement
-	loop      *pilot.Loop
+	placement *placement.Placement
+	loop      *controller.Loop
 	listener  *listener.Listener
 	orders    *relay.Orders
 	events    *relay.Events
-	agent     *agent.Agent
+	agent     *discovery.Agent
 	counters  relay.Counters
-	reread    func() (*config.Placement, error)
+	reread    func() (*placement.Placement, error)
 }
 
 // Limit sets the runtime to what the machine gives.
-func Limit(l config.Limits) {
+func Limit(l placement.Limits) {
 	runtime.GOMAXPROCS(max(1, int(l.Cores)))
 	debug.SetMemoryLimit(int64(l.MemoryMB * memoryPart * (1 << 20)))
 }
 
 // New puts a pilot together. Reread reads the configuration again.
-func New(p *config.Placement, reread func() (*config.Placement, error), log *zap.Logger) *Pilot {
+func New(p *placement.Placement, reread func() (*placement.Placement, error), log *zap.Logger) *Pilot {
 	x := &Pilot{log: log, placement: p, reread: reread}
 	kinds := p.Deployment.Kinds.All()
 	box := &inbox{}
 	x.orders = relay.NewOrders(p.Relay.Address, kinds, box, &x.counters, log)
-	x.agent = agent.New(p.Discovery, !p.OnRequest, box, log)
+	x.agent = discovery.New(p.Discovery, !p.OnRequest, box, log)
 	x.events = relay.NewEvents(p.Relay.Address, box, &x.counters, log)
 	spare := float64(p.Limits.Sockets - ownSockets)
 	x.listener = listener.New(p.Deployment.Zones.All(), int(spare*strangers), box, log)
-	core := pilot.NewCore(pilot.Plan{Decider: brain.New(p.Seed, p.Deployment.Terms), Terms: p.Deployment.Terms,
+	core := controller.NewCore(controller.Plan{Decider: planner.New(p.Seed, p.Deployment.Terms), Terms: p.Deployment.Terms,
 		Zones: p.Deployment.Zones.All(), Machines: p.Deployment.Machines.All(), Kinds: kinds, MostProxies: p.Proxies,
-		List: x.agent, Prober: probe.Never{}, Peers: peers.Nobody{}, Relay: x.orders,
+		List: x.agent, Prober: healthcheck.Never{}, Peers: gossip.Nobody{}, Relay: x.orders,
 		Log: func(text string) { log.Info(text) }, Odd: func(what string, fields ...string) {
 			log.Debug("odd", zap.String("what", what), zap.Strings("fields", fields))
 		}})
-	x.loop = pilot.NewLoop(core, pilot.RealClock{}, log)
+	x.loop = controller.NewLoop(core, controller.RealClock{}, log)
 	box.loop = x.loop
 	return x
 }
 
 // inbox is the loop, which is made after those who post to it.
-type inbox struct{ loop *pilot.Loop }
+type inbox struct{ loop *controller.Loop }
 
 // Post hands an input to the loop.
-func (b *inbox) Post(ctx context.Context, in pilot.Input) error { return b.loop.Post(ctx, in) }
+func (b *inbox) Post(ctx context.Context, in controller.Input) error { return b.loop.Post(ctx, in) }
 
 // Run listens and runs until ctx ends.
 func (x *Pilot) Run(ctx context.Context, reload <-chan struct{}) error {
@@ -86,7 +86,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	if known := x.placement.Remembered; known != nil {
-		if err := x.loop.Post(ctx, pilot.Listed{List: known, Remembered: true}); err != nil {
+		if err := x.loop.Post(ctx, controller.Listed{List: known, Remembered: true}); err != nil {
 			return err
 		}
 	}
@@ -140,7 +140,7 @@
 		return false
 	}
 	x.log.Info("reloaded", zap.String("discovery", now.Discovery), zap.String("relay", now.Relay.Address),
-		zap.Strings("want a restart", config.Restart(x.placement, now)))
+		zap.Strings("want a restart", placement.Restart(x.placement, now)))
 	x.agent.Move(now.Discovery)
 	x.orders.Move(now.Relay.Address)
 	x.events.Move(now.Relay.Address)
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -18,13 +18,13 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
-	"indigousher/brain"
-	"indigousher/internal/edge/peers"
-	"indigousher/internal/edge/probe"
-	"indigousher/internal/pilot"
-	"indigousher/internal/platform/config"
-	"indigousher/internal/simwire"
+	"indigousher/internal/controller"
+	"indigousher/internal/platform/placement"
+	"indigousher/internal/simulator"
+	"indigousher/internal/transport/gossip"
+	"indigousher/internal/transport/healthcheck"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 const settings = `{"dcs":["a","b"],"kinds":["m2"],"instances":1,"rank":0,"discovery":"pushed",
@@ -32,8 +32,8 @@
 "report":{"fields":["cpu_share","served_ps"]},"extra":{"proxy_count":40,"egress_per_s":800,"backlog":1200,"envelope":4,"admission":"share",
 "by_zone":true},"obligations":{"drain_grace":3000000000,"cold":10000000000}}`
 
-func placement(t *testing.T, listen, discovery, relay string) *config.Placement {
-	p, err := config.Parse([]byte(fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"5","limits":{"cores":0.5,"memory_mb":48,
+func newPlacement(t *testing.T, listen, discovery, relay string) *placement.Placement {
+	p, err := placement.Parse([]byte(fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"5","limits":{"cores":0.5,"memory_mb":48,
 "sockets":256},"relay":{"address":%q},"settings":%s}`, listen, discovery, relay, settings)))
 	require.NoError(t, err)
 	return p
@@ -42,14 +42,14 @@
 // kept keeps what a core hands to its relay.
 type kept struct{ lines []string }
 
-func (k *kept) Carry(turn []brain.Order, endpoint func(int) string) {
+func (k *kept) Carry(turn []planner.Order, endpoint func(int) string) {
 	for _, o := range turn {
 		switch o := o.(type) {
-		case brain.SetLine:
+		case planner.SetLine:
 			k.lines = append(k.lines, fmt.Sprintf("line %d %s %.9g", o.Table, endpoint(o.Endpoint), o.Weight))
-		case brain.Bind:
+		case planner.Bind:
 			k.lines = append(k.lines, fmt.Sprintf("bind %d %d %d", o.Proxy, o.Table, o.Kinds))
-		case brain.Mark:
+		case planner.Mark:
 			k.lines = append(k.lines, fmt.Sprintf("mark %d", o.Number))
 		}
 	}
@@ -59,17 +59,17 @@
 // TestSameSettingsSameOrders guards that simulator and platform give the module the same: one translation of settings
 // and names, the same notes, and so the same orders.
 func TestSameSettingsSameOrders(t *testing.T) {
-	p, k := placement(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1"), &kept{}
-	c := pilot.NewCore(pilot.Plan{Decider: brain.New(5, p.Deployment.Terms), Terms: p.Deployment.Terms, Zones: p.Deployment.Zones.All(),
-		Machines: p.Deployment.Machines.All(), Kinds: p.Deployment.Kinds.All(), MostProxies: p.Proxies, Relay: k, List: x{}, Prober: probe.Never{},
-		Peers: peers.Nobody{}, Log: func(string) {}, Odd: func(what string, _ ...string) { t.Error(what) }})
+	p, k := newPlacement(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1"), &kept{}
+	c := controller.NewCore(controller.Plan{Decider: planner.New(5, p.Deployment.Terms), Terms: p.Deployment.Terms, Zones: p.Deployment.Zones.All(),
+		Machines: p.Deployment.Machines.All(), Kinds: p.Deployment.Kinds.All(), MostProxies: p.Proxies, Relay: k, List: x{}, Prober: healthcheck.Never{},
+		Peers: gossip.Nobody{}, Log: func(string) {}, Odd: func(what string, _ ...string) { t.Error(what) }})
 	entries, hosts := []wire.Entry{}, []string{}
 	for i := range 6 {
 		name := fmt.Sprintf("10.0.0.%d:1", i)
 		entries = append(entries, wire.Entry{Endpoint: name, Zone: []string{"a", "b"}[i%2], Machine: "m2", Weight: float64(1 + i)})
 		hosts = append(hosts, fmt.Sprintf(`{"endpoint":%q,"zone":%q,"generation_hw":"m2","mode":"live","heft":%d}`, name, []string{"a", "b"}[i%2], 1+i))
 	}
-	c.Handle(0, []pilot.Input{pilot.Listed{List: &wire.List{Whole: true, Entries: entries}}, pilot.Relayed{Proxy: 3, Zone: "b", Rate: 7, Fresh: true}})
+	c.Handle(0, []controller.Input{controller.Listed{List: &wire.List{Whole: true, Entries: entries}}, controller.Relayed{Proxy: 3, Zone: "b", Rate: 7, Fresh: true}})
 	events := []string{`{"sim_time":0,"batch":1,"happened":[{"kind":"spawn","i":"pilot/0","rng_seed":5,"setup":` + strings.ReplaceAll(settings, "\n", "") +
 		`},{"kind":"discovery","i":"pilot/0","mode":"total","hosts":[` + strings.Join(hosts, ",") +
 		`]},{"kind":"stream_up","i":"pilot/0","edge":3,"zone":"b","heft":7,"active":true}]}`}
@@ -81,9 +81,9 @@
 	gather(0)
 	for s := 1; s < 12; s++ {
 		load := float64(s%5) / 2 // full for long enough that tables change
-		c.Handle(float64(1000*s), []pilot.Input{pilot.ZoneMet{Zone: "b", Endpoint: "10.0.0.1:1", Tries: 30, Failed: s, MeanMs: 20,
+		c.Handle(float64(1000*s), []controller.Input{controller.ZoneMet{Zone: "b", Endpoint: "10.0.0.1:1", Tries: 30, Failed: s, MeanMs: 20,
 			SpanMs: 1000, Load: map[string]float64{"util": load, "qps": 30}},
-			pilot.ProxyDemand{Proxy: 3, Kind: "write", Reqs: 30, SpanMs: 1000}})
+			controller.ProxyDemand{Proxy: 3, Kind: "write", Reqs: 30, SpanMs: 1000}})
 		events = append(events, fmt.Sprintf(`{"sim_time":%d,"batch":2,"happened":[{"kind":"tally","i":"pilot/0","endpoint":"10.0.0.1:1",`+
 			`"zone":"b","count":30,"errors":%d,"wait_time":20000000,"covers":1000000000,"feedback":{"cpu_share":%g,"served_ps":30}},`+
 			`{"kind":"proxy_stats","i":"pilot/0","edge":3,"qos":"write","count":30,"covers":1000000000}]}`, 1000*s*1000000, s, load))
@@ -96,7 +96,7 @@
 // simulated plays events through the simulator's adapter.
 func simulated(t *testing.T, events []string) (lines []string) {
 	var out strings.Builder
-	require.NoError(t, simwire.Serve(strings.NewReader(strings.Join(events, "\n")+"\n"), &out))
+	require.NoError(t, simulator.Serve(strings.NewReader(strings.Join(events, "\n")+"\n"), &out))
 	for _, text := range strings.Split(strings.TrimSpace(out.String()), "\n") {
 		var r struct{ Orders []map[string]any }
 		require.NoError(t, json.Unmarshal([]byte(text), &r))
@@ -213,10 +213,10 @@
 	listen := free.Addr().String()
 	require.NoError(t, free.Close())
 	old, now := s.open(t), s.open(t)
-	var next atomic.Pointer[config.Placement] // nil: the file is wrong
+	var next atomic.Pointer[placement.Placement] // nil: the file is wrong
 	ctx, cancel := context.WithCancel(context.Background())
 	reload, ended := make(chan struct{}, 1), make(chan error, 1)
-	p := New(placement(t, listen, old, old), func() (*config.Placement, error) {
+	p := New(newPlacement(t, listen, old, old), func() (*placement.Placement, error) {
 		if p := next.Load(); p != nil {
 			return p, nil
 		}
@@ -239,13 +239,13 @@
 	reload <- struct{}{}
 	require.Eventually(t, func() bool { return len(reload) == 0 }, 5*time.Second, time.Millisecond)
 	assert.Zero(t, s.asked(now+"/catalog/members"))
-	next.Store(placement(t, listen, now, now)) // the file was being written: it is read again unasked
+	next.Store(newPlacement(t, listen, now, now)) // the file was being written: it is read again unasked
 	require.Eventually(t, func() bool {
 		return s.asked(now+"/catalog/members") > 1 && s.asked(now+"/v1/events") > 1
 	}, 10*time.Second, time.Millisecond)
 
 	third := s.open(t)
-	next.Store(placement(t, listen, third, third))
+	next.Store(newPlacement(t, listen, third, third))
 	reload <- struct{}{}
 	reload <- struct{}{}
 	require.Eventually(t, func() bool {
--- a/internal/platform/relay/events.go
+++ b/internal/platform/relay/events.go
@@ -14,8 +14,8 @@
 
 	"go.uber.org/zap"
 
-	"indigousher/internal/pause"
-	"indigousher/internal/pilot"
+	"indigousher/internal/backoff"
+	"indigousher/internal/controller"
 )
 
 // Streams is how many connections carry the events: while one breaks the other goes on.
@@ -70,7 +70,7 @@
 // other tells in vain. Only where both were broken is anything inferred from what stands at the next opening.
 type Events struct {
 	Counters *Counters
-	inbox    pilot.Inbox
+	inbox    controller.Inbox
 	log      *zap.Logger
 	mu       sync.Mutex
 	address  string
@@ -80,7 +80,7 @@
 }
 
 // NewEvents returns a reader of a relay's events.
-func NewEvents(address string, inbox pilot.Inbox, c *Counters, log *zap.Logger) *Events {
+func NewEvents(address string, inbox controller.Inbox, c *Counters, log *zap.Logger) *Events {
 	return &Events{Counters: c, inbox: inbox, log: log, address: address, members: map[int]*member{}}
 }
 
@@ -110,7 +110,7 @@
 		n.closed(i, errors.Is(err, os.ErrDeadlineExceeded))
 		if ctx.Err() == nil {
 			n.log.Debug("event stream ended", zap.Int("stream", i), zap.Error(err))
-			pause.For(ctx, redial)
+			backoff.For(ctx, redial)
 		}
 	}
 	return nil
@@ -144,7 +144,7 @@
 	var opening sync.WaitGroup
 	opening.Go(func() {
 		for wait := standsFor; wait > 0; wait = n.opening(i) {
-			if !pause.For(octx, wait) {
+			if !backoff.For(octx, wait) {
 				return
 			}
 		}
@@ -245,7 +245,7 @@
 	slices.Sort(left)
 	for _, p := range left {
 		delete(n.members, p)
-		_ = n.inbox.Post(ctx, pilot.Unrelayed{Proxy: p}) // fails only when all ends
+		_ = n.inbox.Post(ctx, controller.Unrelayed{Proxy: p}) // fails only when all ends
 	}
 	n.mu.Unlock()
 }
@@ -271,7 +271,7 @@
 }
 
 // sort returns what an event says that is new; nil: nothing.
-func (n *Events) sort(l *stream, e *event) pilot.Input {
+func (n *Events) sort(l *stream, e *event) controller.Input {
 	p := *e.Object.Node
 	m := n.members[p]
 	switch e.Type {
@@ -286,7 +286,7 @@
 			return nil
 		}
 		n.members[p] = &member{zone: e.Object.Locality, since: l.heard}
-		return pilot.Relayed{Proxy: p, Zone: e.Object.Locality, Rate: e.Object.Rate, Fresh: e.Object.Cold,
+		return controller.Relayed{Proxy: p, Zone: e.Object.Locality, Rate: e.Object.Rate, Fresh: e.Object.Cold,
 			Stood: again && m.zone == e.Object.Locality && !e.Object.Cold}
 	case "left":
 		if l.standing != nil {
@@ -294,11 +294,11 @@
 		}
 		if m != nil {
 			delete(n.members, p)
-			return pilot.Unrelayed{Proxy: p}
+			return controller.Unrelayed{Proxy: p}
 		}
 	case "applied":
 		if m != nil && e.Object.Nonce != nil && e.Object.Latency != nil && m.answers(*e.Object.Nonce) {
-			return pilot.RelayApplied{Proxy: p, Mark: *e.Object.Nonce, TookMs: *e.Object.Latency}
+			return controller.RelayApplied{Proxy: p, Mark: *e.Object.Nonce, TookMs: *e.Object.Latency}
 		}
 	}
 	return nil
--- a/internal/platform/relay/events_test.go
+++ b/internal/platform/relay/events_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
-	"indigousher/internal/pilot"
+	"indigousher/internal/controller"
 )
 
 // inbox keeps inputs, short.
@@ -22,21 +22,21 @@
 	got []string
 }
 
-func (b *inbox) Post(_ context.Context, in pilot.Input) error {
+func (b *inbox) Post(_ context.Context, in controller.Input) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch in := in.(type) {
-	case pilot.Relayed:
+	case controller.Relayed:
 		b.got = append(b.got, fmt.Sprint(map[bool]string{true: "stood ", false: "joined "}[in.Stood], in.Proxy))
-	case pilot.Unrelayed:
+	case controller.Unrelayed:
 		b.got = append(b.got, fmt.Sprint("left ", in.Proxy))
-	case pilot.RelayStalled:
+	case controller.RelayStalled:
 		text := fmt.Sprint("stalled ", in.ForMs > 0, " ", in.Again)
 		if len(in.Joined) > 0 {
 			text += fmt.Sprint(" joined ", in.Joined)
 		}
 		b.got = append(b.got, text)
-	case pilot.RelayApplied:
+	case controller.RelayApplied:
 		b.got = append(b.got, fmt.Sprint("applied ", in.Proxy, " ", in.Mark))
 	}
 	return nil
--- a/internal/platform/relay/op.go
+++ b/internal/platform/relay/op.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strconv"
 
-	"indigousher/brain"
+	"indigousher/planner"
 )
 
 // op is one order, laid out. Of two with the same key the newer one alone counts. A key of no object is never outdated
@@ -21,34 +21,34 @@
 }
 
 // layOut turns an order into an op. Kinds are the req kinds' names in order.
-func layOut(o brain.Order, endpoint func(i int) string, kinds []string) (op, bool) {
+func layOut(o planner.Order, endpoint func(i int) string, kinds []string) (op, bool) {
 	switch o := o.(type) {
-	case brain.SetLine:
+	case planner.SetLine:
 		name, table := quoted(endpoint(o.Endpoint)), strconv.Itoa(o.Table)
 		return op{key: "line " + table + " " + name, proxy: -1, table: table, text: []byte(`{"verb":"SET","cluster":` + table +
 			`,"endpoint":` + name + `,"w":` + number(o.Weight) + `}`)}, true
-	case brain.ClearTable:
+	case planner.ClearTable:
 		table := strconv.Itoa(o.Table)
 		return op{key: "clear " + table, proxy: -1, table: table, clear: true,
 			text: []byte(`{"verb":"DEL","cluster":` + table + `}`)}, true
-	case brain.Bind:
+	case planner.Bind:
 		node := strconv.Itoa(o.Proxy)
 		return op{key: "bind " + node + " " + strconv.Itoa(o.Kinds), proxy: o.Proxy, text: []byte(`{"verb":"USE","node":` +
 			node + `,"cluster":` + strconv.Itoa(o.Table) + classes(o.Kinds, kinds) + `}`)}, true
-	case brain.Withdraw:
+	case planner.Withdraw:
 		name, verb := quoted(endpoint(o.Endpoint)), "IN"
 		if o.Out {
 			verb = "OUT"
 		}
 		return op{key: "out " + name, proxy: -1, text: []byte(`{"verb":"` + verb + `","endpoint":` + name + `}`)}, true
-	case brain.Admit:
+	case planner.Admit:
 		table, cluster := strconv.Itoa(o.Table), `,"cluster":`+strconv.Itoa(o.Table)
-		if o.Table == brain.EveryTable {
+		if o.Table == planner.EveryTable {
 			table, cluster = "", ""
 		}
 		return op{key: "level " + table + " " + strconv.Itoa(o.Kinds), proxy: -1, table: table, text: []byte(`{"verb":"LIMIT"` +
 			cluster + classes(o.Kinds, kinds) + `,"level":` + number(o.Level) + `,"retry":` + strconv.Itoa(o.Again) + `}`)}, true
-	case brain.Mark:
+	case planner.Mark:
 		text := `{"verb":"SYNC","ticket":` + strconv.Itoa(o.Number)
 		if o.All {
 			text += `,"set":1`
