--- a/cmd/indigousher/experiment.go
+++ b/cmd/indigousher/experiment.go
@@ -33,7 +33,7 @@
 			if seed != 0 {
 				d.Seed = seed
 			}
-			play := emulator.Play{Day: d, Judged: true}
+			play := emulator.Play{Scenario: d, Audited: true}
 			if log {
 				play.Log = func(at float64, pilot, text string) { fmt.Fprintf(out, "%8.3fs %s %s\n", at/1000, pilot, text) }
 			}
--- a/cmd/indigousher/keys.go
+++ b/cmd/indigousher/keys.go
@@ -23,7 +23,7 @@
 				if len(parts) != 3 {
 					return fmt.Errorf("%q is not ROLE/ZONE/NAME", a)
 				}
-				i, err := identity.Named(parts[0], parts[1], parts[2])
+				i, err := identity.New(parts[0], parts[1], parts[2])
 				if err != nil {
 					return err
 				}
--- a/cmd/indigousher/kill_test.go
+++ b/cmd/indigousher/kill_test.go
@@ -93,13 +93,13 @@
 }
 
 // followed starts proxies that follow the pilot.
-func (w *world) followed() *eventlog.Book {
-	book := eventlog.NewBook()
+func (w *world) followed() *eventlog.Log {
+	book := eventlog.NewLog()
 	for i := range 3 {
 		name := fmt.Sprint("p", i)
-		p := proxy.New(proxy.Make{Name: name, Zone: "a", Habits: routing.Habits{Kinds: []string{"read"}}, Rate: 1,
+		p := proxy.New(proxy.Options{Name: name, Zone: "a", Habits: routing.Policy{Kinds: []string{"read"}}, Rate: 1,
 			Standing: func() []string { return []string{"127.0.0.1:9000"} }, Pilots: func() []string { return []string{w.listen} },
-			Dial: (&net.Dialer{}).DialContext, Redial: 20 * time.Millisecond}, book.Trail(name))
+			Dial: (&net.Dialer{}).DialContext, Redial: 20 * time.Millisecond}, book.Stream(name))
 		require.NoError(w.t, p.Start())
 		w.t.Cleanup(p.Kill)
 	}
@@ -126,7 +126,7 @@
 		}
 	}
 	assert.Greater(t, recovered, 4)
-	s, err := daemon.Records(w.records)
+	s, err := daemon.OpenRecords(w.records)
 	require.NoError(t, err)
 	defer s.Close()
 	lives, err := s.Lives()
--- a/cmd/indigousher/main.go
+++ b/cmd/indigousher/main.go
@@ -63,7 +63,7 @@
 	defer func() { _ = log.Sync() }() // a terminal can't be synced
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	h, err := daemon.Begin(ctx, t, daemon.Outfit{Log: log, Level: &level}, takeOver)
+	h, err := daemon.Start(ctx, t, daemon.Options{Log: log, Level: &level}, takeOver)
 	if err != nil {
 		return err
 	}
--- a/cmd/indigousher/platform.go
+++ b/cmd/indigousher/platform.go
@@ -40,8 +40,8 @@
 		}
 	}()
 	log.Info("pilot starts", zap.String("pilot", p.Name), zap.String("listen", p.Listen))
-	if p.Left != "" {
-		log.Warn("part of the configuration is left out", zap.String("what", p.Left))
+	if p.Warning != "" {
+		log.Warn("part of the configuration is left out", zap.String("what", p.Warning))
 	}
 	x := platform.New(p, func() (*placement.Placement, error) { return placement.Read(os.Getenv) }, log)
 	err = x.Run(ctx, reload)
--- a/cmd/indigousher/records.go
+++ b/cmd/indigousher/records.go
@@ -27,7 +27,7 @@
 
 // withStore opens a store for reading and closes it after use.
 func withStore(dir string, f func(*record.Store) error) error {
-	s, err := daemon.Records(dir)
+	s, err := daemon.OpenRecords(dir)
 	if err != nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 		if err != nil {
 			return err
 		}
-		other = t.ForModule(t.Rank)
+		other = t.PlannerSettings(t.Rank)
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "life\tterms\tspan\tturns\tnotes\tgaps\tmessages\tlines\tset\tremoved\tshut out\tlevels\tbinds\tmost waiting\ttables\tfailed\testimated\tmean ms\testimated\ttrusted\ttook")
@@ -85,7 +85,7 @@
 				return errors.Join(w.Flush(), err)
 			}
 			fmt.Fprintf(w, "%s\t%s\t%.1f s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%016x\t%.4f\t%.4f\t%.1f\t%.1f\t%.2f\t%s\n", l.ID, x.name, r.SpanMs/1000, r.Turns,
-				r.Notes, r.Gaps, r.Messages, r.Lines, r.Sets, r.Zeros, r.Withdrawals, r.Levels, r.Binds, r.MostWaiting, r.Tables,
+				r.Events, r.Gaps, r.Messages, r.Lines, r.Sets, r.Removals, r.Exclusions, r.Levels, r.Assignments, r.MaxQueuedLines, r.Tables,
 				r.Estimate.Recorded, r.Estimate.Failed, r.Estimate.RecordedMs, r.Estimate.MeanMs, r.Estimate.Trusted,
 				time.Since(began).Round(time.Millisecond))
 			if r.FirstDiff != "" {
@@ -122,7 +122,7 @@
 			if err != nil {
 				return err
 			}
-			n, err := s.Prune(record.Bounds{Bytes: int64(mostMB * (1 << 20)), Age: keep}, time.Now())
+			n, err := s.Prune(record.Limits{Bytes: int64(mostMB * (1 << 20)), Age: keep}, time.Now())
 			fmt.Fprintf(cmd.OutOrStdout(), "%d segments dropped\n", n)
 			return errors.Join(err, s.Close())
 		}}
@@ -197,7 +197,7 @@
 				continue
 			}
 			for _, in := range turns[i].Inputs {
-				what := fmt.Sprintf("%+v", in.Note)
+				what := fmt.Sprintf("%+v", in.Event)
 				if in.Message != nil {
 					what = fmt.Sprintf("%+v", in.Message)
 				}
--- a/cmd/indigousher/rehearse.go
+++ b/cmd/indigousher/rehearse.go
@@ -43,7 +43,7 @@
 			}
 			fmt.Fprintf(out, "%s: %s\n%s, %d proxies, %d pilots\n", day.Name, day.About, day.Length,
 				len(day.ProxyZones), len(day.PilotZones))
-			play := rehearsal.Play{Day: day, Log: log, Say: func(format string, args ...any) {
+			play := rehearsal.Play{Scenario: day, Log: log, Say: func(format string, args ...any) {
 				fmt.Fprintf(out, format+"\n", args...)
 			}}
 			play.Records = records
@@ -85,7 +85,7 @@
 }
 
 func listDays(out io.Writer) error {
-	for _, n := range scenario.Days() {
+	for _, n := range scenario.Names() {
 		d, err := scenario.Load(n)
 		if err != nil {
 			return err
--- a/cmd/indigousher/search.go
+++ b/cmd/indigousher/search.go
@@ -52,7 +52,7 @@
 					return err
 				}
 				path := filepath.Join(found, fmt.Sprintf("found-%d-%d.hcl", f.Draft.Seed, i))
-				fmt.Fprintf(out, "BROKEN, shrunk to %d troubles, in %s: %v\n", len(f.Draft.Troubles), path, f.Broken)
+				fmt.Fprintf(out, "BROKEN, shrunk to %d troubles, in %s: %v\n", len(f.Draft.Faults), path, f.Broken)
 				if err := errors.Join(os.MkdirAll(found, 0o755), os.WriteFile(path, []byte(f.Draft.Text()), 0o644)); err != nil {
 					return err
 				}
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -33,8 +33,8 @@
 		"a short channel queue"}[r]
 }
 
-// Breach is one piece of evidence.
-type Breach struct {
+// Violation is one piece of evidence.
+type Violation struct {
 	At   float64 // ms
 	Who  string
 	Text string
@@ -43,15 +43,15 @@
 // Verdict is on one rule. Part is how near to the limit the worst moment came; above 1 the rule is broken. Checked
 // counts what was looked at, so that a rule kept for want of cases shows.
 type Verdict struct {
-	Rule     Rule
-	Part     float64
-	Worst    string
-	Checked  int
-	Breaches []Breach
+	Rule       Rule
+	Part       float64
+	Worst      string
+	Checked    int
+	Violations []Violation
 }
 
 // Kept returns whether the rule held.
-func (v *Verdict) Kept() bool { return len(v.Breaches) == 0 }
+func (v *Verdict) Kept() bool { return len(v.Violations) == 0 }
 
 const mostBreaches = 20
 
@@ -64,8 +64,8 @@
 	if part > v.Part {
 		v.Part, v.Worst = part, fmt.Sprintf("%.1fs %s %s", at/1000, who, text)
 	}
-	if part > 1 && len(v.Breaches) < mostBreaches {
-		v.Breaches = append(v.Breaches, Breach{at, who, text})
+	if part > 1 && len(v.Violations) < mostBreaches {
+		v.Violations = append(v.Violations, Violation{at, who, text})
 	}
 }
 
@@ -153,14 +153,14 @@
 // grid is how often standing conditions are looked at, in ms.
 const grid = 50.0
 
-// Judge gives the verdicts. Addresses maps an endpoint's address to its name in the trails.
-func Judge(events []eventlog.Event, t *config.Common, addresses map[string]string) *Report {
+// Check gives the verdicts. Addresses maps an endpoint's address to its name in the trails.
+func Check(events []eventlog.Event, t *config.Common, addresses map[string]string) *Report {
 	a := New(t)
 	for address, name := range addresses {
 		a.Place(address, name)
 	}
 	for _, e := range events {
-		a.Take(e)
+		a.Add(e)
 	}
 	return a.Report()
 }
@@ -182,8 +182,8 @@
 	a.addresses[name] = append(a.addresses[name], address)
 }
 
-// Take takes in the next event.
-func (a *Auditor) Take(e eventlog.Event) {
+// Add takes in the next event.
+func (a *Auditor) Add(e eventlog.Event) {
 	for a.tick+grid <= e.At {
 		a.tick += grid
 		a.lookBare()
@@ -296,7 +296,7 @@
 }
 
 // setLines notes how many lines a kind has.
-func (p *proxyState) setLines(e eventlog.Event, kinds []config.ReqKind) {
+func (p *proxyState) setLines(e eventlog.Event, kinds []config.RequestClass) {
 	p.lines[e.Kind] = e.N
 	p.empty = false
 	for _, k := range kinds {
@@ -335,7 +335,7 @@
 }
 
 // anyWarm returns whether a pilot's list shows a ready, warm endpoint open to a kind.
-func (a *Auditor) anyWarm(p *pilotState, zone string, k config.ReqKind) bool {
+func (a *Auditor) anyWarm(p *pilotState, zone string, k config.RequestClass) bool {
 	for _, t := range p.told {
 		if t.phase == wire.PhaseReady && a.tick-t.started >= float64(a.terms.Cold.Milliseconds()) &&
 			(len(k.OnlyMachines) == 0 || slices.Contains(k.OnlyMachines, t.machine)) &&
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -23,7 +23,7 @@
 // little beyond it is broken. A fault in the audit would pass for the program's merit.
 func TestLimits(t *testing.T) {
 	c := config.CommonDefaults()
-	c.Zones, c.Machines, c.Kinds = []string{"a"}, []string{"std"}, []config.ReqKind{{Name: "read", Repeats: "replayable", Payoff: 1},
+	c.Zones, c.Machines, c.Kinds = []string{"a"}, []string{"std"}, []config.RequestClass{{Name: "read", Repeats: "replayable", Payoff: 1},
 		{Name: "book", Repeats: "non-replayable", Payoff: 5}}
 	told := func(at float64, endpoint string, phase int, age float64) eventlog.Event {
 		return eventlog.Event{At: at, Who: "list", What: eventlog.Told, Peer: "pilot-0", Text: endpoint, Kind: "a/std", N: phase, Value: age}
@@ -102,10 +102,10 @@
 		{"more, over a longer time", ShortQueue, false, messages(60, 350)},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			r := Judge(append(stage(), x.events...), &c, map[string]string{"x:1": "x", "y:1": "y"})
+			r := Check(append(stage(), x.events...), &c, map[string]string{"x:1": "x", "y:1": "y"})
 			for i := range r.Verdicts {
 				v := &r.Verdicts[i]
-				assert.Equal(t, x.broken && v.Rule == x.rule, !v.Kept(), "%s: %v", v.Rule, v.Breaches)
+				assert.Equal(t, x.broken && v.Rule == x.rule, !v.Kept(), "%s: %v", v.Rule, v.Violations)
 			}
 
 			if x.broken {
--- a/internal/backoff/pause.go
+++ b/internal/backoff/pause.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// For waits and returns whether the whole span has passed.
-func For(ctx context.Context, d time.Duration) bool {
+// Sleep waits and returns whether the whole span has passed.
+func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -21,9 +21,9 @@
 	}
 }
 
-// Passing tells an accept that failed for want of a descriptor, or the like, and may be tried again after a pause from a
+// Temporary tells an accept that failed for want of a descriptor, or the like, and may be tried again after a pause from a
 // listener that is closed.
-func Passing(err error) bool {
+func Temporary(err error) bool {
 	var ne net.Error
 	return errors.As(err, &ne) && !errors.Is(err, net.ErrClosed)
 }
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -13,8 +13,8 @@
 	"indigousher/planner"
 )
 
-// Make makes a policy for one pilot.
-type Make func(seed int64, terms map[string]any) controller.Decider
+// Factory makes a policy for one pilot.
+type Factory func(seed int64, terms map[string]any) controller.Decider
 
 // Names lists the policies that Named knows, in the order in which they are shown.
 func Names() []string {
@@ -22,10 +22,10 @@
 }
 
 // Named returns a policy by name.
-func Named(name string) (Make, error) {
-	of := func(plan func(*policy, int) map[int]float64, everyMs float64, own bool) Make {
+func Named(name string) (Factory, error) {
+	of := func(plan func(*policy, int) map[int]float64, everyMs float64, own bool) Factory {
 		return func(seed int64, _ map[string]any) controller.Decider {
-			return &policy{seed: seed, plan: plan, everyMs: everyMs, own: own, listed: map[int]planner.Entry{}, proxies: map[int]planner.Joined{},
+			return &policy{seed: seed, plan: plan, everyMs: everyMs, own: own, listed: map[int]planner.Entry{}, proxies: map[int]planner.ProxyJoined{},
 				tables: map[int]map[int]float64{}, util: map[int]float64{}, weight: map[int]float64{}}
 		}
 	}
@@ -58,7 +58,7 @@
 	dueMs   float64
 	listed  map[int]planner.Entry
 	order   []int // of what is ready
-	proxies map[int]planner.Joined
+	proxies map[int]planner.ProxyJoined
 	tables  map[int]map[int]float64
 	util    map[int]float64 // last told
 	weight  map[int]float64 // of feedback
@@ -66,19 +66,19 @@
 }
 
 // Handle follows the list and the proxies.
-func (p *policy) Handle(nowMs float64, notes []planner.Note) (orders []planner.Order) {
+func (p *policy) Handle(nowMs float64, notes []planner.Event) (orders []planner.Command) {
 	changed, fresh := false, []int(nil)
 	for _, n := range notes {
 		switch n := n.(type) {
-		case planner.Listing:
+		case planner.EndpointUpdate:
 			p.list(n)
 			changed = true
-		case planner.Joined:
+		case planner.ProxyJoined:
 			p.proxies[n.Proxy] = n
 			fresh = append(fresh, n.Proxy)
-		case planner.Left:
+		case planner.ProxyLeft:
 			delete(p.proxies, n.Proxy)
-		case planner.Met:
+		case planner.EndpointStats:
 			if u, told := n.Load["util"]; told {
 				p.util[n.Endpoint] = u
 			}
@@ -87,13 +87,13 @@
 	due := p.everyMs > 0 && nowMs >= p.dueMs
 	if due {
 		p.dueMs = nowMs + p.everyMs
-		orders = append(orders, planner.WakeAt{AtMs: p.dueMs, Name: "again"})
+		orders = append(orders, planner.SetTimer{AtMs: p.dueMs, Name: "again"})
 	}
 	if changed || due || p.own && len(fresh) > 0 {
 		orders = append(orders, p.push()...)
 	}
 	for _, x := range fresh {
-		orders = append(orders, planner.Bind{Table: p.table(x), Proxy: x})
+		orders = append(orders, planner.AssignTable{Table: p.table(x), Proxy: x})
 	}
 	return orders
 }
@@ -108,8 +108,8 @@
 	return 0
 }
 
-func (p *policy) list(l planner.Listing) {
-	if l.Mode == planner.Whole {
+func (p *policy) list(l planner.EndpointUpdate) {
+	if l.Mode == planner.Snapshot {
 		clear(p.listed)
 	}
 	for _, e := range l.Entries {
@@ -124,7 +124,7 @@
 }
 
 // push sends the lines that differ.
-func (p *policy) push() (orders []planner.Order) {
+func (p *policy) push() (orders []planner.Command) {
 	who := []int{0}
 	if p.own {
 		who = slices.Sorted(maps.Keys(p.proxies))
@@ -139,13 +139,13 @@
 		for _, i := range slices.Sorted(maps.Keys(has)) {
 			if want[i] == 0 {
 				delete(has, i)
-				orders = append(orders, planner.SetLine{Table: number, Endpoint: i})
+				orders = append(orders, planner.SetWeight{Table: number, Endpoint: i})
 			}
 		}
 		for _, i := range slices.Sorted(maps.Keys(want)) {
 			if has[i] != want[i] {
 				has[i] = want[i]
-				orders = append(orders, planner.SetLine{Table: number, Endpoint: i, Weight: want[i]})
+				orders = append(orders, planner.SetWeight{Table: number, Endpoint: i, Weight: want[i]})
 			}
 		}
 	}
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -27,8 +27,8 @@
 	Needed      bool
 }
 
-// Sub is a sort of block inside another: it has Fields, or Read is called for each with its labels.
-type Sub struct {
+// Block is a sort of block inside another: it has Fields, or Read is called for each with its labels.
+type Block struct {
 	Name   string
 	Labels int
 	Most   int // how many there may be; 0: any number
@@ -97,7 +97,7 @@
 }
 
 // Read takes a body apart by its fields and blocks and complains of all that is unknown, missing or out of range.
-func Read(body *hclsyntax.Body, fields []Field, subs []Sub) hcl.Diagnostics {
+func Read(body *hclsyntax.Body, fields []Field, subs []Block) hcl.Diagnostics {
 	var diags hcl.Diagnostics
 	known := map[string]bool{}
 	for _, f := range fields {
@@ -121,7 +121,7 @@
 	return append(diags, readSubs(body, subs)...)
 }
 
-func readSubs(body *hclsyntax.Body, subs []Sub) (diags hcl.Diagnostics) {
+func readSubs(body *hclsyntax.Body, subs []Block) (diags hcl.Diagnostics) {
 	seen := map[string]int{}
 next:
 	for _, b := range body.Blocks {
--- a/internal/config/terms.go
+++ b/internal/config/terms.go
@@ -19,8 +19,8 @@
 	"indigousher/telemetry"
 )
 
-// ReqKind is what is told of one kind of req.
-type ReqKind struct {
+// RequestClass is what is told of one kind of req.
+type RequestClass struct {
 	Name                          string
 	ResponseTarget, ClientTimeout time.Duration
 	Payoff, LatePayoff            float64
@@ -34,7 +34,7 @@
 // Common is what pilots and their surroundings agree on.
 type Common struct {
 	Zones, Machines []string
-	Kinds           []ReqKind
+	Kinds           []RequestClass
 
 	LinesPerS, Backlog float64
 	HeadLines          int
@@ -129,21 +129,21 @@
 func Parse(name string, text []byte) (*Pilot, error) {
 	body, diags := Open(name, text)
 	if diags.HasErrors() {
-		return nil, Complaints(diags)
+		return nil, DiagnosticsError(diags)
 	}
 	p := Defaults()
-	diags = Read(body, p.Common.Lists(), append(p.Common.Subs(), p.subs()...))
+	diags = Read(body, p.Common.Attributes(), append(p.Common.Blocks(), p.subs()...))
 	if !diags.HasErrors() {
 		diags = append(diags, p.check(body)...)
 	}
 	if diags.HasErrors() {
-		return nil, Complaints(diags)
+		return nil, DiagnosticsError(diags)
 	}
 	return &p, nil
 }
 
-// Complaints joins diagnostics into one error, a line each: file:line:column: what.
-func Complaints(diags hcl.Diagnostics) error {
+// DiagnosticsError joins diagnostics into one error, a line each: file:line:column: what.
+func DiagnosticsError(diags hcl.Diagnostics) error {
 	var list []error
 	for _, d := range diags {
 		text := d.Summary
@@ -158,15 +158,15 @@
 	return errors.Join(list...)
 }
 
-// Lists lists the attributes that stand outside any block.
-func (c *Common) Lists() []Field {
+// Attributes lists the attributes that stand outside any block.
+func (c *Common) Attributes() []Field {
 	return []Field{{Name: "zones", Into: &c.Zones, Needed: true}, {Name: "machines", Into: &c.Machines, Needed: true}}
 }
 
-// Subs lists the blocks of the common part.
-func (c *Common) Subs() []Sub {
-	block := func(name string, fields ...Field) Sub { return Sub{Name: name, Most: 1, Fields: fields} }
-	return []Sub{
+// Blocks lists the blocks of the common part.
+func (c *Common) Blocks() []Block {
+	block := func(name string, fields ...Field) Block { return Block{Name: name, Most: 1, Fields: fields} }
+	return []Block{
 		{Name: "req_kind", Labels: 1, Most: 31, Read: c.readKind},
 		block("channel", Field{Name: "lines_per_s", Into: &c.LinesPerS, Least: 1},
 			Field{Name: "backlog", Into: &c.Backlog, Least: 1},
@@ -190,7 +190,7 @@
 }
 
 func (c *Common) readKind(labels []string, b *hclsyntax.Body) hcl.Diagnostics {
-	k := ReqKind{Name: labels[0], ResponseTarget: time.Second, ClientTimeout: 3 * time.Second, Payoff: 1,
+	k := RequestClass{Name: labels[0], ResponseTarget: time.Second, ClientTimeout: 3 * time.Second, Payoff: 1,
 		Repeats: "replayable", Group: "all", Window: 5 * time.Second}
 	diags := Read(b, k.fields(), nil)
 	check := func(what string, list, known []string) {
@@ -202,7 +202,7 @@
 	}
 	check("only_machines", k.OnlyMachines, c.Machines)
 	check("only_zones", k.OnlyZones, c.Zones)
-	if slices.ContainsFunc(c.Kinds, func(o ReqKind) bool { return o.Name == k.Name }) {
+	if slices.ContainsFunc(c.Kinds, func(o RequestClass) bool { return o.Name == k.Name }) {
 		diags = append(diags, complaint(b.SrcRange, "req_kind %q stands here twice", k.Name))
 	}
 	c.Kinds = append(c.Kinds, k)
@@ -210,7 +210,7 @@
 }
 
 // fields lists the attributes of a req kind.
-func (k *ReqKind) fields() []Field {
+func (k *RequestClass) fields() []Field {
 	return []Field{
 		{Name: "response_target", Into: &k.ResponseTarget, Least: 0.001},
 		{Name: "client_timeout", Into: &k.ClientTimeout, Least: 0.001},
@@ -222,9 +222,9 @@
 	}
 }
 
-func (p *Pilot) subs() []Sub {
-	block := func(name string, fields ...Field) Sub { return Sub{Name: name, Most: 1, Fields: fields} }
-	return []Sub{
+func (p *Pilot) subs() []Block {
+	block := func(name string, fields ...Field) Block { return Block{Name: name, Most: 1, Fields: fields} }
+	return []Block{
 		block("pilot", Field{Name: "name", Into: &p.Name}, Field{Name: "zone", Into: &p.Zone},
 			Field{Name: "rank", Into: &p.Rank, Most: 65535}, Field{Name: "instances", Into: &p.Instances, Least: 1},
 			Field{Name: "seed", Into: &p.Seed}, Field{Name: "listen", Into: &p.Listen},
@@ -265,7 +265,7 @@
 	if len(p.Kinds) == 0 {
 		say("no req_kind is told")
 	}
-	names := append([]string{p.Name}, p.KindNames()...)
+	names := append([]string{p.Name}, p.ClassNames()...)
 	for what, list := range map[string][]string{"zones": p.Zones, "machines": p.Machines} {
 		names = append(names, list...)
 		if n, twice := repeated(list); twice { // places in the list would differ from indices
@@ -354,13 +354,13 @@
 	return l
 }
 
-// ForModule returns the terms by the names that the module reads. Spans are milliseconds; zones, machines and req
+// PlannerSettings returns the terms by the names that the module reads. Spans are milliseconds; zones, machines and req
 // kinds are their places in the lists.
-func (c *Common) ForModule(rank int) map[string]any {
+func (c *Common) PlannerSettings(rank int) map[string]any {
 	place := func(in []string) func(string) any {
 		return func(n string) any { return float64(slices.Index(in, n)) }
 	}
-	kinds := list(c.Kinds, func(k ReqKind) any {
+	kinds := list(c.Kinds, func(k RequestClass) any {
 		return map[string]any{"name": k.Name, "response_target": ms(k.ResponseTarget), "payoff": k.Payoff,
 			"client_timeout": ms(k.ClientTimeout), "late_payoff": k.LatePayoff, "repeats": k.Repeats, "group": k.Group,
 			"window": ms(k.Window), "only_machines": list(k.OnlyMachines, place(c.Machines)),
@@ -372,8 +372,8 @@
 		discovery = "on_request"
 	}
 	return map[string]any{"req_kinds": kinds, "zones": list(c.Zones, text), "machines": list(c.Machines, text),
-		"kind_own_zone": list(c.Kinds, func(k ReqKind) any { return k.OwnZone }),
-		"kind_writes":   list(c.Kinds, func(k ReqKind) any { return k.Writes }),
+		"kind_own_zone": list(c.Kinds, func(k RequestClass) any { return k.OwnZone }),
+		"kind_writes":   list(c.Kinds, func(k RequestClass) any { return k.Writes }),
 		"fields":        list(c.Fields, text), "rank": float64(rank), "instances": float64(c.Instances),
 		"proxy_count": float64(c.Proxies), "slices": float64(c.Slices), "by_zone": c.ByZone, "discovery": discovery, "probing": c.Probing,
 		"cross_zone": c.CrossZone, "admission": c.Admission, "pick": c.Pick, "ejects_after": float64(c.EjectsAfter),
@@ -416,17 +416,17 @@
 	}
 }
 
-// Live returns the part of the module's terms that a reload brings.
-func (c *Common) Live() map[string]any {
-	all, part := c.ForModule(0), map[string]any{}
+// ReloadableSettings returns the part of the module's terms that a reload brings.
+func (c *Common) ReloadableSettings() map[string]any {
+	all, part := c.PlannerSettings(0), map[string]any{}
 	for _, name := range liveTerms {
 		part[name] = all[name]
 	}
 	return part
 }
 
-// KindNames lists the req kinds in order.
-func (c *Common) KindNames() (names []string) {
+// ClassNames lists the req kinds in order.
+func (c *Common) ClassNames() (names []string) {
 	for _, k := range c.Kinds {
 		names = append(names, k.Name)
 	}
@@ -447,11 +447,11 @@
 func ParseList(name string, text []byte) (*wire.List, error) {
 	body, diags := Open(name, text)
 	if diags.HasErrors() {
-		return nil, Complaints(diags)
+		return nil, DiagnosticsError(diags)
 	}
 	l := &wire.List{Whole: true, Now: uint64(time.Now().UnixMilli())}
 	phases, seen := []string{"ready", "draining", "gone"}, map[string]bool{}
-	diags = Read(body, []Field{{Name: "version", Into: &l.Version}}, []Sub{{Name: "endpoint", Labels: 1,
+	diags = Read(body, []Field{{Name: "version", Into: &l.Version}}, []Block{{Name: "endpoint", Labels: 1,
 		Read: func(labels []string, b *hclsyntax.Body) hcl.Diagnostics {
 			e, phase, started := wire.Entry{Endpoint: labels[0], Weight: 1}, "ready", ""
 			diags := Read(b, []Field{{Name: "zone", Into: &e.Zone, Needed: true}, {Name: "machine", Into: &e.Machine},
@@ -471,8 +471,8 @@
 			diags = append(diags, named(b.SrcRange, e.Endpoint, 1)...)
 			diags = append(diags, named(b.SrcRange, e.Zone, 0)...)
 			diags = append(diags, named(b.SrcRange, e.Machine, 0)...)
-			if !planner.SoundWeight(e.Weight) {
-				diags = append(diags, complaint(b.SrcRange, "weight %g: 0 or %g to %g is wanted", e.Weight, 1/planner.MostFigure, planner.MostFigure))
+			if !planner.ValidWeight(e.Weight) {
+				diags = append(diags, complaint(b.SrcRange, "weight %g: 0 or %g to %g is wanted", e.Weight, 1/planner.MaxFigure, planner.MaxFigure))
 			}
 			seen[e.Endpoint] = true
 			l.Entries = append(l.Entries, e)
@@ -482,14 +482,14 @@
 		diags = append(diags, complaint(body.MissingItemRange(), "no endpoint stands here"))
 	}
 	if diags.HasErrors() {
-		return nil, Complaints(diags)
+		return nil, DiagnosticsError(diags)
 	}
 	return l, nil
 }
 
-// Intake returns the report intake's part.
-func (p *Pilot) Intake() telemetry.Terms {
-	return telemetry.Terms{LinesPerS: p.IntakeLinesPerS, ToldPerS: float64(p.ReportLinesPerS), Standing: p.IntakeStanding,
+// TelemetryOptions returns the report intake's part.
+func (p *Pilot) TelemetryOptions() telemetry.Options {
+	return telemetry.Options{LinesPerS: p.IntakeLinesPerS, ToldPerS: float64(p.ReportLinesPerS), Standing: p.IntakeStanding,
 		PeriodMs: ms(p.Period), HalfMs: ms(p.IntakeHalf), LongestMs: ms(p.IntakeLongest), Slowest: p.IntakeSlowest,
 		ColdMs: ms(p.Cold), MostSenders: p.MaxStreams}
 }
--- a/internal/config/terms_test.go
+++ b/internal/config/terms_test.go
@@ -32,7 +32,7 @@
 	p := Defaults()
 	p.Zones, p.Machines, p.Zone, p.ListAddress, p.Plain = []string{"a", "b"}, []string{"std"}, "b", "127.0.0.1:1", true
 	p.Peers, p.Rank, p.Instances = map[string]string{"0": "127.0.0.1:2"}, 1, 2
-	p.Kinds = []ReqKind{{Name: "book", Repeats: "uniqued", Group: "zone", OnlyZones: []string{"b"}, Writes: true,
+	p.Kinds = []RequestClass{{Name: "book", Repeats: "uniqued", Group: "zone", OnlyZones: []string{"b"}, Writes: true,
 		ResponseTarget: 300 * time.Millisecond, ClientTimeout: time.Second, Payoff: 2.5, LatePayoff: 0.5, Window: time.Minute}}
 	back, err := Parse("text", p.Text())
 	require.NoError(t, err, "%s", p.Text())
@@ -111,7 +111,7 @@
 func TestForModule(t *testing.T) {
 	p, err := Parse("f.hcl", []byte(good))
 	require.NoError(t, err)
-	m := p.ForModule(0)
+	m := p.PlannerSettings(0)
 	kinds := m["req_kinds"].([]any)
 	assert.Equal(t, []any{1.0}, kinds[1].(map[string]any)["only_machines"])
 	assert.Equal(t, 1000.0, kinds[0].(map[string]any)["response_target"])
@@ -131,8 +131,8 @@
 	merged := Merge(old, now)
 	assert.Equal(t, 99.0, merged.LinesPerS)
 	assert.Equal(t, old.Listen, merged.Listen)
-	assert.Equal(t, 9000.0, now.Live()["cold"])
-	assert.NotContains(t, now.Live(), "req_kinds")
+	assert.Equal(t, 9000.0, now.ReloadableSettings()["cold"])
+	assert.NotContains(t, now.ReloadableSettings(), "req_kinds")
 }
 
 func TestParseList(t *testing.T) {
--- a/internal/config/write.go
+++ b/internal/config/write.go
@@ -12,8 +12,8 @@
 func (p *Pilot) Text() []byte {
 	f := hclwrite.NewEmptyFile()
 	body := f.Body()
-	put(body, p.Common.Lists())
-	for _, s := range append(p.Common.Subs(), p.subs()...) {
+	put(body, p.Common.Attributes())
+	for _, s := range append(p.Common.Blocks(), p.subs()...) {
 		if len(s.Fields) > 0 {
 			body.AppendNewline()
 			put(body.AppendNewBlock(s.Name, nil).Body(), s.Fields)
--- a/internal/controller/channel.go
+++ b/internal/controller/channel.go
@@ -27,22 +27,22 @@
 // Channel is the way from the module to the proxies: messages leave one after another at a pace counted in lines,
 // heads included. It plans nothing: the module's own count keeps the limits, the channel shows whether it does.
 type Channel struct {
-	pace     *rate.Limiter
-	queue    []*item
-	lines    int // that wait
-	backlog  float64
-	most     int
-	overMs   float64
-	meter    *Meter
-	origin   time.Time
-	lastDue  float64
-	MostSeen int // the most lines that have waited
-	Crowded  int // the most messages to one proxy within the span
-	Sent     int // lines, all in all
+	pace        *rate.Limiter
+	queue       []*item
+	lines       int // that wait
+	backlog     float64
+	most        int
+	overMs      float64
+	meter       *Metrics
+	origin      time.Time
+	lastDue     float64
+	MaxLines    int // the most lines that have waited
+	MaxMessages int // the most messages to one proxy within the span
+	Sent        int // lines, all in all
 }
 
 // NewChannel returns an empty channel. linesPerS of 0 leaves it unpaced.
-func NewChannel(linesPerS, backlog float64, most int, overMs float64, m *Meter) *Channel {
+func NewChannel(linesPerS, backlog float64, most int, overMs float64, m *Metrics) *Channel {
 	limit := rate.Limit(linesPerS)
 	if linesPerS <= 0 {
 		limit = rate.Inf
@@ -51,8 +51,8 @@
 		origin: time.Unix(0, 0)}
 }
 
-// Reterm takes over changed figures, by the names of the module's terms.
-func (c *Channel) Reterm(terms map[string]any) {
+// Reconfigure takes over changed figures, by the names of the module's terms.
+func (c *Channel) Reconfigure(terms map[string]any) {
 	if v, ok := terms["lines_per_s"].(float64); ok && v > 0 {
 		c.pace.SetLimit(rate.Limit(v))
 	}
@@ -64,9 +64,9 @@
 	}
 }
 
-// Put adds a message. Where even the bound of the queue is passed, the proxy's stream is ended: it comes back with
+// Enqueue adds a message. Where even the bound of the queue is passed, the proxy's stream is ended: it comes back with
 // what it holds, and the module hears of both.
-func (c *Channel) Put(nowMs float64, to *session, m *wire.Orders) {
+func (c *Channel) Enqueue(nowMs float64, to *session, m *wire.Orders) {
 	if c.backlog > 0 && float64(c.lines+m.Lines) > overfull*c.backlog {
 		c.meter.cutOff("channel overfull")
 		to.stream.Close("channel overfull")
@@ -76,7 +76,7 @@
 	it.dueMs = c.reserve(nowMs, m.Lines)
 	c.queue = append(c.queue, it)
 	c.lines += m.Lines
-	c.MostSeen = max(c.MostSeen, c.lines)
+	c.MaxLines = max(c.MaxLines, c.lines)
 	c.meter.waiting(c.lines, c.backlog)
 }
 
@@ -126,7 +126,7 @@
 		c.Sent += it.message.Lines
 		it.message.AtMs, it.message.AgeMs = it.atMs, nowMs-it.atMs
 		it.to.recent = append(within(it.to.recent, nowMs, c.overMs), nowMs)
-		c.Crowded = max(c.Crowded, len(it.to.recent))
+		c.MaxMessages = max(c.MaxMessages, len(it.to.recent))
 		c.meter.sent(it.message, len(it.to.recent), c.most)
 		if err := it.to.stream.Send(it.message); err != nil {
 			it.to.stream.Close(err.Error())
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -18,7 +18,7 @@
 // Decider is what decides; brain.Brain is the one that ships.
 type Decider interface {
 	// Handle takes in what happened by nowMs and returns what is to be done about it.
-	Handle(nowMs float64, notes []planner.Note) []planner.Order
+	Handle(nowMs float64, notes []planner.Event) []planner.Command
 	// Reconfigure takes over changed settings: all of them, changed and not. What was derived from the settings at the
 	// start (zones, request kinds, parts of a zone) stays as it is.
 	Reconfigure(settings map[string]any)
@@ -31,101 +31,101 @@
 	Close(reason string)
 }
 
-// ListSource is asked for the endpoint list; answers come as List or ListLost inputs.
-type ListSource interface {
+// EndpointSource is asked for the endpoint list; answers come as List or ListLost inputs.
+type EndpointSource interface {
 	Watch(on bool)
 	Fetch()
 }
 
-// Prober examines an endpoint; the answer comes as a Probed input.
-type Prober interface{ Probe(endpoint string) }
+// HealthChecker examines an endpoint; the answer comes as a Probed input.
+type HealthChecker interface{ Probe(endpoint string) }
 
-// Peers carries a short text to another pilot, or to all with peer -1. It may be lost.
-type Peers interface{ Tell(peer int, text string) }
+// GossipSender carries a short text to another pilot, or to all with peer -1. It may be lost.
+type GossipSender interface{ Tell(peer int, text string) }
 
 // Input is what an edge reports; one of the types below.
 type Input any
 
-// Join reports a proxy's new stream.
-type Join struct {
+// ProxyJoined reports a proxy's new stream.
+type ProxyJoined struct {
 	Stream Stream
 	Hello  wire.Hello
 }
 
-// Leave reports that a stream has ended.
-type Leave struct{ Stream Stream }
+// ProxyLeft reports that a stream has ended.
+type ProxyLeft struct{ Stream Stream }
 
-// Reported brings a proxy's sums.
-type Reported struct {
+// LoadReported brings a proxy's sums.
+type LoadReported struct {
 	Stream Stream
 	Sums   *wire.Sums
 }
 
-// Applied reports that a proxy has applied everything up to a mark.
-type Applied struct {
+// Acked reports that a proxy has applied everything up to a mark.
+type Acked struct {
 	Stream Stream
 	Done   wire.Done
 }
 
-// Listed brings entries of the list.
-type Listed struct {
-	List       *wire.List
-	Remembered bool // as it was before this start; it may be old
+// EndpointsListed brings entries of the list.
+type EndpointsListed struct {
+	List   *wire.List
+	Cached bool // as it was before this start; it may be old
 }
 
-// SliceGiven reports that the store has given a slice into this pilot's charge or taken it away.
-type SliceGiven struct{ Slices *wire.Slices }
+// SliceAssigned reports that the store has given a slice into this pilot's charge or taken it away.
+type SliceAssigned struct{ Slices *wire.Slices }
 
-// ListLost reports that a call to the list failed or that its changes stopped.
-type ListLost struct{}
+// EndpointListLost reports that a call to the list failed or that its changes stopped.
+type EndpointListLost struct{}
 
-// Probed answers a probe. Outcome is a short word: ok, error, denied, timeout, unreachable or reset.
-type Probed struct {
+// HealthChecked answers a probe. Outcome is a short word: ok, error, denied, timeout, unreachable or reset.
+type HealthChecked struct {
 	Endpoint string
 	Outcome  string
 	TookMs   float64
 	Load     []wire.Figure
 }
 
-// Heard brings a peer's text.
-type Heard struct {
+// GossipReceived brings a peer's text.
+type GossipReceived struct {
 	From int
 	Text string
 }
 
-// Retermed brings changed terms for the module; only values that it reads anew each time may be among them.
-type Retermed struct{ Terms map[string]any }
-
-// Told brings what an intake passed on, in a replay.
-type Told struct{ Notes []planner.Note }
-
-// Plan names all that a Core is made from.
-type Plan struct {
-	Decider                Decider
-	Terms                  map[string]any // the map the Decider reads
-	Zones, Machines, Kinds []string
-	LinesPerS, Backlog     float64
-	HeadLines              int
-	MessagesMost           int
-	MessagesOverMs         float64
-	Intake                 telemetry.Terms
-	MostProxies            int // distinct names in a life; more are refused
-	List                   ListSource
-	Prober                 Prober
-	Peers                  Peers
-	Relay                  Relay                               // where others hold the streams; nil: they are ours
-	Log                    func(text string)                   // the module's own lines
-	Odd                    func(what string, fields ...string) // what an edge said that can't be used
-	Meter                  *Meter
+// SettingsChanged brings changed terms for the module; only values that it reads anew each time may be among them.
+type SettingsChanged struct{ Settings map[string]any }
+
+// TelemetryBatch brings what an intake passed on, in a replay.
+type TelemetryBatch struct{ Events []planner.Event }
+
+// Options names all that a Core is made from.
+type Options struct {
+	Decider                  Decider
+	Settings                 map[string]any // the map the Decider reads
+	Zones, Machines, Classes []string
+	LinesPerS, Backlog       float64
+	HeadLines                int
+	MaxMessages              int
+	MessagesOverMs           float64
+	Telemetry                telemetry.Options
+	MaxProxies               int // distinct names in a life; more are refused
+	EndpointSource           EndpointSource
+	HealthChecker            HealthChecker
+	Gossip                   GossipSender
+	Relay                    Relay                               // where others hold the streams; nil: they are ours
+	Log                      func(text string)                   // the module's own lines
+	Malformed                func(what string, fields ...string) // what an edge said that can't be used
+	Metrics                  *Metrics
 	// Turn, if not nil, hears of each turn: its inputs, what the intake passed on, and the orders.
-	Turn     func(nowMs float64, inputs []Input, told []planner.Note, orders []planner.Order)
+	OnTurn   func(nowMs float64, inputs []Input, told []planner.Event, orders []planner.Command)
 	Replayed bool // what the intake passed on comes as Told; the core's own is not asked
 }
 
 // table is a numbered table as ordered so far.
 type table struct {
 	lines  map[int]float64
-	levels map[int]planner.Admit
+	levels map[int]planner.SetAdmission
 }
 
 // session is a joined proxy.
@@ -150,19 +150,19 @@
 
 // Core holds what the orders so far amount to. It is used by one goroutine.
 type Core struct {
-	plan                              Plan
+	plan                              Options
 	endpoints, zones, machines, kinds settings.Names
 	proxies                           settings.Names
 	sessions                          map[int]*session
 	streams                           map[Stream]*session
 	tables                            map[int]*table
-	everywhere                        map[int]planner.Admit
+	everywhere                        map[int]planner.SetAdmission
 	withdrawn                         map[int]bool
 	slices                            map[int]keyRange // in this pilot's charge, by number, which is that of their table
 	stamps                            map[int]startStamp
 	alarms                            alarms
 	gate                              *gate
-	told                              []planner.Note // of a replay, for this turn
+	told                              []planner.Event // of a replay, for this turn
 	listed                            map[string]wire.Entry
 	listVersion                       int
 	listNow                           uint64 // on the list's clock, at listAt of ours
@@ -172,11 +172,11 @@
 	touched                           []*session
 	sorted                            []*session // by proxy; nil: to be made
 	begun                             bool
-	relayed                           map[int]bool    // joined proxies whose streams the relay holds
-	turn                              []planner.Order // what this turn ordered of the relay
-	retired                           map[int]float64 // endpoints no longer listed, and since when
-	Believed                          Believed
-	Heard                             int // notes handed to the module
+	relayed                           map[int]bool      // joined proxies whose streams the relay holds
+	turn                              []planner.Command // what this turn ordered of the relay
+	retired                           map[int]float64   // endpoints no longer listed, and since when
+	ReportStats                       ReportStats
+	Events                            int // notes handed to the module
 }
 
 // keyRange is which keys fall into a slice.
@@ -189,20 +189,20 @@
 }
 
 // NewCore returns a core that has been told nothing.
-func NewCore(p Plan) *Core {
+func NewCore(p Options) *Core {
 	c := &Core{plan: p, sessions: map[int]*session{}, streams: map[Stream]*session{}, tables: map[int]*table{},
-		everywhere: map[int]planner.Admit{}, withdrawn: map[int]bool{}, slices: map[int]keyRange{}, relayed: map[int]bool{}, retired: map[int]float64{}, stamps: map[int]startStamp{},
-		Channel: NewChannel(p.LinesPerS, p.Backlog, p.MessagesMost, p.MessagesOverMs, p.Meter)}
+		everywhere: map[int]planner.SetAdmission{}, withdrawn: map[int]bool{}, slices: map[int]keyRange{}, relayed: map[int]bool{}, retired: map[int]float64{}, stamps: map[int]startStamp{},
+		Channel: NewChannel(p.LinesPerS, p.Backlog, p.MaxMessages, p.MessagesOverMs, p.Metrics)}
 	for _, z := range p.Zones {
-		c.zones.In(z)
+		c.zones.Intern(z)
 	}
 	for _, m := range p.Machines {
-		c.machines.In(m)
+		c.machines.Intern(m)
 	}
-	for _, k := range p.Kinds {
-		c.kinds.In(k)
+	for _, k := range p.Classes {
+		c.kinds.Intern(k)
 	}
-	c.gate, c.listed = newGate(p.Intake, p.Kinds), map[string]wire.Entry{}
+	c.gate, c.listed = newGate(p.Telemetry, p.Classes), map[string]wire.Entry{}
 	return c
 }
 
@@ -217,12 +217,12 @@
 // Handle takes in what came, lets the module decide and fills the channel. Times never go back.
 func (c *Core) Handle(nowMs float64, inputs []Input) {
 	c.now = max(c.now, nowMs)
-	var notes []planner.Note
+	var notes []planner.Event
 	for _, in := range inputs {
 		notes = c.note(notes, in)
 	}
 	for _, name := range c.alarms.pop(c.now) {
-		notes = append(notes, planner.Alarm{Name: name})
+		notes = append(notes, planner.TimerFired{Name: name})
 	}
 	before := len(notes)
 	switch {
@@ -233,15 +233,15 @@
 	default:
 		notes = c.tell(notes)
 	}
-	var orders []planner.Order
+	var orders []planner.Command
 	asked := len(notes) > 0 || !c.begun // the module wakes itself for whatever else is due
 	if asked {
 		c.begun = true
-		c.Heard += len(notes)
-		orders = c.plan.Meter.decide(func() []planner.Order { return c.plan.Decider.Handle(c.now, notes) })
+		c.Events += len(notes)
+		orders = c.plan.Metrics.decide(func() []planner.Command { return c.plan.Decider.Handle(c.now, notes) })
 	}
-	if c.plan.Turn != nil && (asked || len(inputs) > 0) {
-		c.plan.Turn(c.now, inputs, notes[before:], orders)
+	if c.plan.OnTurn != nil && (asked || len(inputs) > 0) {
+		c.plan.OnTurn(c.now, inputs, notes[before:], orders)
 	}
 	for _, o := range orders {
 		c.carryOut(o)
@@ -250,17 +250,17 @@
 	c.handOver()
 }
 
-// Recovered ends a replay: whoever was joined has left, and what is ordered from now on goes out by the plan's edges.
-func (c *Core) Recovered(p Plan) {
+// FinishRecovery ends a replay: whoever was joined has left, and what is ordered from now on goes out by the plan's edges.
+func (c *Core) FinishRecovery(p Options) {
 	var leave []Input
 	clear(c.slices) // the store gives them again
 	for _, s := range c.inOrder() {
-		leave = append(leave, Leave{s.stream})
+		leave = append(leave, ProxyLeft{s.stream})
 	}
 	c.Handle(c.now, leave)
-	p.Decider, p.Terms = c.plan.Decider, c.plan.Terms
+	p.Decider, p.Settings = c.plan.Decider, c.plan.Settings
 	c.plan = p
-	c.Channel = NewChannel(p.LinesPerS, p.Backlog, p.MessagesMost, p.MessagesOverMs, p.Meter)
+	c.Channel = NewChannel(p.LinesPerS, p.Backlog, p.MaxMessages, p.MessagesOverMs, p.Metrics)
 	c.gate.lastMs = c.now
 }
 
@@ -273,16 +273,16 @@
 	for _, name := range slices.Sorted(maps.Keys(c.listed)) {
 		l.Entries = append(l.Entries, c.listed[name])
 	}
-	inputs := []Input{Listed{List: l}}
+	inputs := []Input{EndpointsListed{List: l}}
 	for _, s := range c.inOrder() {
-		inputs = append(inputs, Join{s.stream, s.hello})
+		inputs = append(inputs, ProxyJoined{s.stream, s.hello})
 	}
 	return inputs
 }
 
 // tell adds what the intake passes on, and asks streams for what it wants of them.
-func (c *Core) tell(notes []planner.Note) []planner.Note {
-	notes, asks, unknown := c.gate.tell(notes, c.now, c.plan.Meter)
+func (c *Core) tell(notes []planner.Event) []planner.Event {
+	notes, asks, unknown := c.gate.tell(notes, c.now, c.plan.Metrics)
 	for _, a := range asks {
 		if err := a.stream.Ask(a.pace); err != nil {
 			a.stream.Close(err.Error())
@@ -295,45 +295,45 @@
 }
 
 // note turns an input into notes.
-func (c *Core) note(notes []planner.Note, in Input) []planner.Note {
+func (c *Core) note(notes []planner.Event, in Input) []planner.Event {
 	switch in := in.(type) {
-	case Join:
+	case ProxyJoined:
 		return c.join(notes, in)
-	case Leave:
+	case ProxyLeft:
 		if s := c.streams[in.Stream]; s != nil {
 			return append(notes, c.drop(s))
 		}
-	case Reported: // on sockets the loop hands it to the gate at once
+	case LoadReported: // on sockets the loop hands it to the gate at once
 		c.Report(c.now, in.Stream, in.Sums)
-	case Applied:
+	case Acked:
 		if s := c.streams[in.Stream]; s != nil && s.answers(in.Done.Mark) {
-			return append(notes, planner.Applied{Proxy: s.proxy, Number: in.Done.Mark, TookMs: in.Done.TookMs})
+			return append(notes, planner.Ack{Proxy: s.proxy, Number: in.Done.Mark, TookMs: in.Done.TookMs})
 		}
-	case Listed:
+	case EndpointsListed:
 		return append(notes, c.listing(in))
-	case SliceGiven:
+	case SliceAssigned:
 		return c.slice(notes, in.Slices)
-	case ListLost:
-		return append(notes, planner.Listing{Mode: planner.ListFailed})
-	case Probed:
+	case EndpointListLost:
+		return append(notes, planner.EndpointUpdate{Mode: planner.UpdateFailed})
+	case HealthChecked:
 		if i, known := c.endpoints.Find(in.Endpoint); known {
-			return append(notes, planner.Probed{Endpoint: i, OK: in.Outcome == "ok", Outcome: in.Outcome,
+			return append(notes, planner.HealthCheckResult{Endpoint: i, OK: in.Outcome == "ok", Outcome: in.Outcome,
 				TookMs: in.TookMs, Load: load(in.Load, func(f wire.Figure) { c.odd(oddFigure, f.Name, fmt.Sprint(f.Value)) })})
 		}
-	case Told:
-		for _, n := range in.Notes {
+	case TelemetryBatch:
+		for _, n := range in.Events {
 			if c.knows(n) {
 				c.told = append(c.told, n)
 			} else {
 				c.odd("recorded note of nobody known")
 			}
 		}
-	case Heard:
+	case GossipReceived:
 		return append(notes, planner.Gossip{From: in.From, Text: in.Text})
-	case Retermed:
-		maps.Copy(c.plan.Terms, in.Terms)
-		c.plan.Decider.Reconfigure(c.plan.Terms)
-		c.Channel.Reterm(in.Terms)
+	case SettingsChanged:
+		maps.Copy(c.plan.Settings, in.Settings)
+		c.plan.Decider.Reconfigure(c.plan.Settings)
+		c.Channel.Reconfigure(in.Settings)
 	default:
 		return c.relayedNote(notes, in)
 	}
@@ -352,26 +352,26 @@
 }
 
 // join takes in a stream. One under the same name is ended first: the newer one is the one that lives.
-func (c *Core) join(notes []planner.Note, in Join) []planner.Note {
+func (c *Core) join(notes []planner.Event, in ProxyJoined) []planner.Event {
 	zone, known := c.zones.Find(in.Hello.Zone)
 	if !known {
 		c.odd("proxy of an unknown zone", in.Hello.Proxy, in.Hello.Zone)
 		in.Stream.Close("unknown zone")
 		return notes
 	}
-	if !planner.Sound(in.Hello.Rate) {
+	if !planner.ValidRate(in.Hello.Rate) {
 		c.odd("rate out of range", in.Hello.Proxy, fmt.Sprint(in.Hello.Rate))
 		in.Stream.Close("rate out of range")
 		return notes
 	}
 	proxy, known := c.proxies.Find(in.Hello.Proxy)
 	if !known {
-		if c.proxies.Len() >= c.plan.MostProxies {
+		if c.proxies.Len() >= c.plan.MaxProxies {
 			c.odd("too many proxies", in.Hello.Proxy)
 			in.Stream.Close("too many proxies")
 			return notes
 		}
-		proxy = c.proxies.In(in.Hello.Proxy)
+		proxy = c.proxies.Intern(in.Hello.Proxy)
 	}
 	if old := c.sessions[proxy]; old != nil {
 		notes = append(notes, c.drop(old))
@@ -396,34 +396,34 @@
 		}
 	}
 	c.sessions[proxy], c.streams[in.Stream], c.sorted = s, s, nil
-	c.plan.Meter.joined(len(c.sessions))
+	c.plan.Metrics.joined(len(c.sessions))
 	for _, number := range slices.Sorted(maps.Keys(c.slices)) {
 		c.layRange(s, number)
 	}
-	return append(notes, planner.Joined{Proxy: proxy, Zone: zone, Rate: in.Hello.Rate, Fresh: in.Hello.Fresh})
+	return append(notes, planner.ProxyJoined{Proxy: proxy, Zone: zone, Rate: in.Hello.Rate, Fresh: in.Hello.Fresh})
 }
 
 // drop forgets a session and what waits for it in the channel.
-func (c *Core) drop(s *session) planner.Note {
+func (c *Core) drop(s *session) planner.Event {
 	delete(c.sessions, s.proxy)
 	delete(c.streams, s.stream)
 	c.sorted = nil
 	c.Channel.Drop(s)
 	c.gate.leave(s)
-	c.plan.Meter.joined(len(c.sessions))
-	return planner.Left{Proxy: s.proxy}
+	c.plan.Metrics.joined(len(c.sessions))
+	return planner.ProxyLeft{Proxy: s.proxy}
 }
 
 // listing turns list entries into a note. A start is told as its age on this pilot's clock when its stamp was first
 // seen, and stays so: the module takes any other figure for a restart.
-func (c *Core) listing(in Listed) planner.Note {
+func (c *Core) listing(in EndpointsListed) planner.Event {
 	l := in.List
-	out, named, before := planner.Listing{Mode: planner.Changes, Version: l.Version}, map[int]bool{}, c.listed
+	out, named, before := planner.EndpointUpdate{Mode: planner.Delta, Version: l.Version}, map[int]bool{}, c.listed
 	c.listVersion, c.listNow, c.listAt = l.Version, l.Now, c.now
 	if l.Whole {
-		out.Mode = planner.Whole
-		if in.Remembered {
-			out.Mode = planner.Remembered
+		out.Mode = planner.Snapshot
+		if in.Cached {
+			out.Mode = planner.Cached
 		}
 		c.listed = map[string]wire.Entry{}
 	}
@@ -433,7 +433,7 @@
 			c.odd("endpoint of an unknown zone", e.Endpoint, e.Zone)
 			continue
 		}
-		if !planner.SoundWeight(e.Weight) { // its phase counts all the same: a drain is not lost over a wrong weight
+		if !planner.ValidWeight(e.Weight) { // its phase counts all the same: a drain is not lost over a wrong weight
 			c.odd("weight out of range", e.Endpoint, fmt.Sprint(e.Weight))
 			e.Weight = before[e.Endpoint].Weight
 		}
@@ -449,7 +449,7 @@
 			}
 			c.stamps[i] = startStamp{e.Started, told}
 		}
-		entry := planner.Entry{Endpoint: i, Zone: zone, Machine: c.machines.In(e.Machine), Cell: e.Cell,
+		entry := planner.Entry{Endpoint: i, Zone: zone, Machine: c.machines.Intern(e.Machine), Cell: e.Cell,
 			Phase: planner.Phase(e.Phase), Weight: e.Weight, Started: c.stamps[i].toldMs}
 		named[i] = true
 		if c.plan.Relay == nil {
@@ -468,8 +468,8 @@
 // slice turns a slice that is given or taken into notes: its charge, and the lines stored of it. Proxies learn the range
 // of its keys and the stored lines, which stand until the module orders others. A slice's number is that of its table, so
 // one that the deployment does not have would wipe a zone's table at every proxy.
-func (c *Core) slice(notes []planner.Note, x *wire.Slices) []planner.Note {
-	if most, _ := c.plan.Terms["slices"].(float64); float64(x.Slice) >= most {
+func (c *Core) slice(notes []planner.Event, x *wire.Slices) []planner.Event {
+	if most, _ := c.plan.Settings["slices"].(float64); float64(x.Slice) >= most {
 		c.odd("slice that the terms do not tell of", fmt.Sprint(x.Slice))
 		return notes
 	}
@@ -478,10 +478,10 @@
 	if delete(c.slices, x.Slice); x.Given {
 		c.slices[x.Slice] = keyRange{x.From, x.To}
 	}
-	notes = append(notes, planner.SliceCharge{Slice: x.Slice, Given: x.Given})
+	notes = append(notes, planner.SliceAssignment{Slice: x.Slice, Assigned: x.Given})
 	for _, l := range x.Lines {
-		if i, known := c.endpoints.Find(l.Endpoint); known && x.Given && planner.SoundWeight(l.Weight) {
-			notes = append(notes, planner.SliceLine{Slice: x.Slice, Endpoint: i, Weight: l.Weight})
+		if i, known := c.endpoints.Find(l.Endpoint); known && x.Given && planner.ValidWeight(l.Weight) {
+			notes = append(notes, planner.SliceWeight{Slice: x.Slice, Endpoint: i, Weight: l.Weight})
 			c.table(x.Slice).lines[i] = l.Weight
 		} else {
 			c.odd("stored line of an unknown endpoint or weight", l.Endpoint, fmt.Sprint(l.Weight))
@@ -505,23 +505,23 @@
 }
 
 // carryOut does one order.
-func (c *Core) carryOut(o planner.Order) {
+func (c *Core) carryOut(o planner.Command) {
 	if c.relay(o) {
 		return
 	}
 	switch o := o.(type) {
-	case planner.SetLine:
+	case planner.SetWeight:
 		c.setLine(o)
 	case planner.ClearTable:
 		delete(c.tables, o.Table)
 		c.toUsers(o.Table, wire.Op{Kind: wire.OpClear, Table: o.Table})
-	case planner.Bind:
+	case planner.AssignTable:
 		c.bind(o)
-	case planner.Withdraw:
+	case planner.SetExcluded:
 		c.withdraw(o)
-	case planner.Admit:
+	case planner.SetAdmission:
 		c.admit(o)
-	case planner.Mark:
+	case planner.AckRequest:
 		for _, s := range c.inOrder() {
 			if s.pending != nil || o.All {
 				c.write(s, wire.Op{Kind: wire.OpMark, Number: o.Number})
@@ -529,16 +529,16 @@
 				s.marks = s.marks[max(0, len(s.marks)-mostMarks):]
 			}
 		}
-	case planner.Probe:
-		c.plan.Prober.Probe(c.endpoints.Name(o.Endpoint))
-	case planner.Tell:
-		c.plan.Peers.Tell(o.Peer, o.Text)
-	case planner.WakeAt:
+	case planner.HealthCheck:
+		c.plan.HealthChecker.Probe(c.endpoints.Name(o.Endpoint))
+	case planner.SendGossip:
+		c.plan.Gossip.Tell(o.Peer, o.Text)
+	case planner.SetTimer:
 		c.alarms.push(o.AtMs, o.Name)
-	case planner.Watch:
-		c.plan.List.Watch(o.On)
-	case planner.FetchList:
-		c.plan.List.Fetch()
+	case planner.WatchEndpoints:
+		c.plan.EndpointSource.Watch(o.On)
+	case planner.FetchEndpoints:
+		c.plan.EndpointSource.Fetch()
 	case planner.Log:
 		c.plan.Log(o.Text)
 	default:
@@ -548,13 +548,13 @@
 
 func (c *Core) table(number int) *table {
 	if c.tables[number] == nil {
-		c.tables[number] = &table{lines: map[int]float64{}, levels: map[int]planner.Admit{}}
+		c.tables[number] = &table{lines: map[int]float64{}, levels: map[int]planner.SetAdmission{}}
 	}
 	return c.tables[number]
 }
 
 // setLine changes a line at all users of its table. An endpoint shut out stays so where it was not held before.
-func (c *Core) setLine(o planner.SetLine) {
+func (c *Core) setLine(o planner.SetWeight) {
 	t, name := c.table(o.Table), c.endpoints.Name(o.Endpoint)
 	c.toUsers(o.Table, wire.Op{Kind: wire.OpSet, Table: o.Table, Endpoint: name, Weight: o.Weight})
 	if o.Weight == 0 {
@@ -568,13 +568,13 @@
 }
 
 // bind sends a whole table, or what differs from the one that the proxy said it has: its lines, levels, those for all, and which of its endpoints are shut out.
-func (c *Core) bind(o planner.Bind) {
+func (c *Core) bind(o planner.AssignTable) {
 	s := c.sessions[o.Proxy]
 	if s == nil {
 		c.odd("bind of a proxy that has left", c.proxies.Name(o.Proxy))
 		return
 	}
-	kinds := o.Kinds
+	kinds := o.Classes
 	if kinds == 0 {
 		kinds = 1<<c.kinds.Len() - 1
 	}
@@ -607,7 +607,7 @@
 	for _, name := range slices.Sorted(maps.Keys(has)) { // what it has beyond that
 		c.write(s, wire.Op{Kind: wire.OpSet, Table: number, Endpoint: name})
 	}
-	for _, levels := range []map[int]planner.Admit{t.levels, c.everywhere} {
+	for _, levels := range []map[int]planner.SetAdmission{t.levels, c.everywhere} {
 		for _, k := range slices.Sorted(maps.Keys(levels)) {
 			c.write(s, admitOp(levels[k]))
 		}
@@ -615,11 +615,11 @@
 }
 
 // withdraw tells the proxies that hold an endpoint, as far as this pilot knows what they hold.
-func (c *Core) withdraw(o planner.Withdraw) {
-	if c.withdrawn[o.Endpoint] = o.Out; !o.Out {
+func (c *Core) withdraw(o planner.SetExcluded) {
+	if c.withdrawn[o.Endpoint] = o.Excluded; !o.Excluded {
 		delete(c.withdrawn, o.Endpoint)
 	}
-	op := wire.Op{Kind: wire.OpWithdraw, Endpoint: c.endpoints.Name(o.Endpoint), Out: o.Out}
+	op := wire.Op{Kind: wire.OpWithdraw, Endpoint: c.endpoints.Name(o.Endpoint), Out: o.Excluded}
 	for _, s := range c.inOrder() {
 		if c.holds(s, o.Endpoint) {
 			c.write(s, op)
@@ -644,20 +644,20 @@
 	return false
 }
 
-func (c *Core) admit(o planner.Admit) {
+func (c *Core) admit(o planner.SetAdmission) {
 	if o.Table == planner.EveryTable {
-		c.everywhere[o.Kinds] = o
+		c.everywhere[o.Classes] = o
 		for _, s := range c.inOrder() {
 			c.write(s, admitOp(o))
 		}
 		return
 	}
-	c.table(o.Table).levels[o.Kinds] = o
+	c.table(o.Table).levels[o.Classes] = o
 	c.toUsers(o.Table, admitOp(o))
 }
 
-func admitOp(o planner.Admit) wire.Op {
-	return wire.Op{Kind: wire.OpAdmit, Table: o.Table, Kinds: o.Kinds, Weight: o.Level, Again: o.Again}
+func admitOp(o planner.SetAdmission) wire.Op {
+	return wire.Op{Kind: wire.OpAdmit, Table: o.Table, Kinds: o.Classes, Weight: o.Level, Again: o.RetryMode}
 }
 
 // toUsers adds a line to the message of each proxy that uses a table.
@@ -694,35 +694,35 @@
 func (c *Core) dispatch() {
 	slices.SortFunc(c.touched, func(a, b *session) int { return a.proxy - b.proxy })
 	for _, s := range c.touched {
-		c.Channel.Put(c.now, s, s.pending)
+		c.Channel.Enqueue(c.now, s, s.pending)
 		s.pending = nil
 	}
 	c.touched = c.touched[:0]
 }
 
 func (c *Core) odd(what string, fields ...string) {
-	c.Believed.Odd++
-	c.plan.Meter.oddity(what)
-	c.plan.Odd(what, fields...)
+	c.ReportStats.Malformed++
+	c.plan.Metrics.oddity(what)
+	c.plan.Malformed(what, fields...)
 }
 
 // knows returns whether a recorded note names what there is, in figures that the intake would have passed on. The module
 // takes any index for one that it may use.
-func (c *Core) knows(n planner.Note) bool {
+func (c *Core) knows(n planner.Event) bool {
 	within := func(i, n int) bool { return i >= 0 && i < n }
 	switch n := n.(type) {
-	case planner.Met:
+	case planner.EndpointStats:
 		for _, v := range n.Load {
-			if !planner.Sound(v) {
+			if !planner.ValidRate(v) {
 				return false
 			}
 		}
-		return within(n.Endpoint, c.endpoints.Len()) && within(n.Zone, c.zones.Len()) && n.Failed >= 0 && n.Tries >= n.Failed &&
-			planner.Sound(n.MeanMs) && planner.Sound(n.SpanMs)
-	case planner.Demand:
-		return within(n.Proxy, c.proxies.Len()) && within(n.Kind, c.kinds.Len()) && n.Reqs >= 0 && planner.Sound(n.SpanMs)
-	case planner.SliceDemand:
-		return within(n.Kind, c.kinds.Len()) && n.Reqs >= 0 && planner.Sound(n.SpanMs)
+		return within(n.Endpoint, c.endpoints.Len()) && within(n.Zone, c.zones.Len()) && n.Failed >= 0 && n.Attempts >= n.Failed &&
+			planner.ValidRate(n.MeanMs) && planner.ValidRate(n.SpanMs)
+	case planner.RequestStats:
+		return within(n.Proxy, c.proxies.Len()) && within(n.Class, c.kinds.Len()) && n.Requests >= 0 && planner.ValidRate(n.SpanMs)
+	case planner.SliceStats:
+		return within(n.Class, c.kinds.Len()) && n.Requests >= 0 && planner.ValidRate(n.SpanMs)
 	}
 	return false
 }
@@ -734,7 +734,7 @@
 	}
 	l := make(planner.Load, len(figures))
 	for _, f := range figures {
-		if !planner.Sound(f.Value) {
+		if !planner.ValidRate(f.Value) {
 			wrong(f)
 			continue
 		}
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -42,7 +42,7 @@
 		for _, n := range v.follow.Apply(m.Ops) {
 			v.t.after(v.t.late, func() {
 				if !v.t.deaf {
-					v.t.handle(Applied{v, wire.Done{Mark: n, TookMs: 2 * v.t.late}})
+					v.t.handle(Acked{v, wire.Done{Mark: n, TookMs: 2 * v.t.late}})
 				}
 			})
 		}
@@ -109,10 +109,10 @@
 		c(terms)
 	}
 	t := &town{late: 275}
-	t.core = NewCore(Plan{Decider: planner.New(1, terms), Terms: terms, Zones: zones, Machines: []string{"std"},
-		Kinds: []string{"read"}, LinesPerS: pace, Backlog: backlog, HeadLines: 3, MessagesMost: 30, MessagesOverMs: 10000,
-		Intake: telemetry.Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000}, MostProxies: 1 << 16, List: &fake{}, Prober: &fake{}, Peers: &fake{}, Log: func(string) {},
-		Odd: func(string, ...string) {}})
+	t.core = NewCore(Options{Decider: planner.New(1, terms), Settings: terms, Zones: zones, Machines: []string{"std"},
+		Classes: []string{"read"}, LinesPerS: pace, Backlog: backlog, HeadLines: 3, MaxMessages: 30, MessagesOverMs: 10000,
+		Telemetry: telemetry.Options{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000}, MaxProxies: 1 << 16, EndpointSource: &fake{}, HealthChecker: &fake{}, Gossip: &fake{}, Log: func(string) {},
+		Malformed: func(string, ...string) {}})
 	var entries []wire.Entry
 	for i := range endpoints {
 		entries = append(entries, wire.Entry{Endpoint: fmt.Sprint("e", i), Zone: zones[i%3], Machine: "std", Weight: 1})
@@ -134,9 +134,9 @@
 				holds = append(holds, e.Endpoint)
 			}
 		}
-		v.follow = routing.NewFollower(routing.Habits{Kinds: []string{"read"}}, holds, 1)
+		v.follow = routing.NewFollower(routing.Policy{Kinds: []string{"read"}}, holds, 1)
 		v.follow.Joined()
-		t.handle(Join{v, wire.Hello{Proxy: v.name, Zone: v.zone, Rate: 2, Holds: holds}})
+		t.handle(ProxyJoined{v, wire.Hello{Proxy: v.name, Zone: v.zone, Rate: 2, Holds: holds}})
 	}
 }
 
@@ -180,7 +180,7 @@
 				e.Phase = wire.PhaseDraining
 				drained = append(drained, e)
 			}
-			before := w.core.Channel.MostSeen
+			before := w.core.Channel.MaxLines
 			w.handle(listed(false, drained...))
 			told := w.now
 			lastAt := map[string]float64{}
@@ -198,11 +198,11 @@
 			for _, at := range lastAt {
 				worst = max(worst, at-told)
 			}
-			t.Logf("worst drain %.0f ms, most lines %d (before %d), crowded %d", worst, w.core.Channel.MostSeen, before,
-				w.core.Channel.Crowded)
+			t.Logf("worst drain %.0f ms, most lines %d (before %d), crowded %d", worst, w.core.Channel.MaxLines, before,
+				w.core.Channel.MaxMessages)
 			assert.LessOrEqual(t, worst, grace)
-			assert.LessOrEqual(t, float64(w.core.Channel.MostSeen), c.backlog)
-			assert.LessOrEqual(t, w.core.Channel.Crowded, 30)
+			assert.LessOrEqual(t, float64(w.core.Channel.MaxLines), c.backlog)
+			assert.LessOrEqual(t, w.core.Channel.MaxMessages, 30)
 		})
 	}
 }
@@ -244,9 +244,9 @@
 			}
 		}
 	}
-	t.Logf("worst drain %.0f ms, most lines %d", worst, w.core.Channel.MostSeen)
+	t.Logf("worst drain %.0f ms, most lines %d", worst, w.core.Channel.MaxLines)
 	assert.LessOrEqual(t, worst, grace)
-	assert.LessOrEqual(t, w.core.Channel.MostSeen, 14000)
+	assert.LessOrEqual(t, w.core.Channel.MaxLines, 14000)
 }
 
 // TestWholeZoneDrained guards proxies against the drain of all endpoints of their zone at once, while one pilot has all of
@@ -297,10 +297,10 @@
 					}
 				}
 			}
-			t.Logf("bare for %.0f ms, last drain after %.0f ms, most lines %d", worst, last, w.core.Channel.MostSeen)
+			t.Logf("bare for %.0f ms, last drain after %.0f ms, most lines %d", worst, last, w.core.Channel.MaxLines)
 			assert.LessOrEqual(t, worst, c.most)
 			assert.Equal(t, c.fails, last > 5000, "last drain after %.0f ms", last)
-			assert.LessOrEqual(t, float64(w.core.Channel.MostSeen), c.backlog)
+			assert.LessOrEqual(t, float64(w.core.Channel.MaxLines), c.backlog)
 		})
 	}
 }
@@ -336,9 +336,9 @@
 			}
 		}
 	}
-	t.Logf("last drain after %.0f ms, most lines %d", last, w.core.Channel.MostSeen)
+	t.Logf("last drain after %.0f ms, most lines %d", last, w.core.Channel.MaxLines)
 	assert.LessOrEqual(t, last, grace)
-	assert.LessOrEqual(t, float64(w.core.Channel.MostSeen), backlog)
+	assert.LessOrEqual(t, float64(w.core.Channel.MaxLines), backlog)
 }
 
 // TestDrainsToldToHerds guards drains against proxies that come after them with tables of a pilot that knew of none, in two
@@ -375,9 +375,9 @@
 			}
 		}
 	}
-	t.Logf("worst drain %.0f ms, most lines %d", worst, w.core.Channel.MostSeen)
+	t.Logf("worst drain %.0f ms, most lines %d", worst, w.core.Channel.MaxLines)
 	assert.LessOrEqual(t, worst, grace)
-	assert.LessOrEqual(t, w.core.Channel.MostSeen, 14000)
+	assert.LessOrEqual(t, w.core.Channel.MaxLines, 14000)
 }
 
 // TestReleaseWithAllAtOnePilot guards drains where four of five pilots die in a release: all proxies come to one, whose
@@ -418,9 +418,9 @@
 		}
 		worst = max(worst, w.longest(told, joined))
 	}
-	t.Logf("worst drain %.0f ms, most lines %d", worst, w.core.Channel.MostSeen)
+	t.Logf("worst drain %.0f ms, most lines %d", worst, w.core.Channel.MaxLines)
 	assert.LessOrEqual(t, worst, grace)
-	assert.LessOrEqual(t, w.core.Channel.MostSeen, backlog)
+	assert.LessOrEqual(t, w.core.Channel.MaxLines, backlog)
 }
 
 // TestDrainsWhileTablesStand guards drains of proxies that are left on what they stand with, as chance among so many is
@@ -454,10 +454,10 @@
 				}
 				worst = max(worst, w.longest(told, nil))
 			}
-			t.Logf("worst drain %.0f ms, most lines %d", worst, w.core.Channel.MostSeen)
+			t.Logf("worst drain %.0f ms, most lines %d", worst, w.core.Channel.MaxLines)
 			assert.Len(t, told, c.drains)
 			assert.LessOrEqual(t, worst, grace)
-			assert.LessOrEqual(t, w.core.Channel.MostSeen, backlog)
+			assert.LessOrEqual(t, w.core.Channel.MaxLines, backlog)
 		})
 	}
 }
@@ -472,7 +472,7 @@
 			w, entries := newTown(201, 54, c.pace, backlog, 7200, func(terms map[string]any) { terms["lines_per_s"] = c.told })
 			w.join(w.streams, entries)
 			w.until(60000)
-			left := w.core.Channel.MostSeen
+			left := w.core.Channel.MaxLines
 			for step := 0; step < 150; step++ { // a zone comes back, others go, some each fifth of a second
 				var changed []wire.Entry
 				for k := range 8 {
@@ -486,9 +486,9 @@
 				w.handle(listed(false, changed...))
 				w.until(w.now + 200)
 			}
-			t.Logf("most lines %d, before %d", w.core.Channel.MostSeen, left)
-			assert.LessOrEqual(t, w.core.Channel.MostSeen, backlog)
-			assert.Greater(t, w.core.Channel.MostSeen, backlog/3, "there is much to say")
+			t.Logf("most lines %d, before %d", w.core.Channel.MaxLines, left)
+			assert.LessOrEqual(t, w.core.Channel.MaxLines, backlog)
+			assert.Greater(t, w.core.Channel.MaxLines, backlog/3, "there is much to say")
 		})
 	}
 }
--- a/internal/controller/gate.go
+++ b/internal/controller/gate.go
@@ -16,7 +16,7 @@
 // to the loop once a period. What becomes of them the intake module decides; the gate knows names and holds the lock.
 type gate struct {
 	mu        sync.Mutex
-	in        *telemetry.Intake[[]wire.Figure]
+	in        *telemetry.Aggregator[[]wire.Figure]
 	proxies   map[Stream]int
 	streams   map[int]Stream
 	endpoints map[string]int
@@ -24,17 +24,17 @@
 	report    telemetry.Report[[]wire.Figure]
 	periodMs  float64
 	lastMs    float64
-	slices    map[int]map[int]*planner.SliceDemand // in this pilot's charge, by slice and kind: what came since the last telling
-	unknown   map[string]int                       // what was named that nobody knows, since the last telling
+	slices    map[int]map[int]*planner.SliceStats // in this pilot's charge, by slice and kind: what came since the last telling
+	unknown   map[string]int                      // what was named that nobody knows, since the last telling
 	ages      *hdrhistogram.Histogram
 }
 
 // oldest is the greatest age that the histogram tells apart, in ms.
 const oldest = 600_000
 
-func newGate(t telemetry.Terms, kinds []string) *gate {
+func newGate(t telemetry.Options, kinds []string) *gate {
 	g := &gate{in: telemetry.New[[]wire.Figure](t), proxies: map[Stream]int{}, streams: map[int]Stream{},
-		endpoints: map[string]int{}, kinds: map[string]int{}, periodMs: t.PeriodMs, slices: map[int]map[int]*planner.SliceDemand{}, unknown: map[string]int{},
+		endpoints: map[string]int{}, kinds: map[string]int{}, periodMs: t.PeriodMs, slices: map[int]map[int]*planner.SliceStats{}, unknown: map[string]int{},
 		ages: hdrhistogram.New(1, oldest, 2)}
 	for k, name := range kinds {
 		g.kinds[name] = k
@@ -67,7 +67,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.endpoints[name] = e.Endpoint
-	g.in.List(nowMs, e.Endpoint, e.Phase, e.Started)
+	g.in.UpdateEndpoint(nowMs, e.Endpoint, e.Phase, e.Started)
 }
 
 // gone tells that all endpoints but some are no longer listed.
@@ -76,7 +76,7 @@
 	defer g.mu.Unlock()
 	for _, i := range g.endpoints {
 		if !named[i] {
-			g.in.List(nowMs, i, planner.Gone, 0)
+			g.in.UpdateEndpoint(nowMs, i, planner.Gone, 0)
 		}
 	}
 }
@@ -108,9 +108,9 @@
 			g.unknown["demand of an unknown req kind"]++
 			continue
 		}
-		r.Kinds = append(r.Kinds, telemetry.KindLine{Kind: k, Reqs: d.Reqs, Unanswered: d.Unanswered})
+		r.Kinds = append(r.Kinds, telemetry.ClassLine{Class: k, Requests: d.Reqs, Unanswered: d.Unanswered})
 	}
-	g.in.Take(nowMs, r)
+	g.in.Add(nowMs, r)
 	if joined {
 		g.sliceLoad(sums)
 	}
@@ -121,7 +121,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if delete(g.slices, number); given {
-		g.slices[number] = map[int]*planner.SliceDemand{}
+		g.slices[number] = map[int]*planner.SliceStats{}
 	}
 }
 
@@ -135,14 +135,14 @@
 			continue
 		}
 		if of[k] == nil {
-			of[k] = &planner.SliceDemand{Slice: x.Slice, Kind: k}
+			of[k] = &planner.SliceStats{Slice: x.Slice, Class: k}
 		}
-		of[k].Reqs, of[k].Unanswered = of[k].Reqs+x.Reqs, of[k].Unanswered+x.Unanswered
+		of[k].Requests, of[k].Unanswered = of[k].Requests+x.Reqs, of[k].Unanswered+x.Unanswered
 	}
 }
 
 // tellSlices passes on what came for slices.
-func (g *gate) tellSlices(notes []planner.Note, spanMs float64) []planner.Note {
+func (g *gate) tellSlices(notes []planner.Event, spanMs float64) []planner.Event {
 	for _, number := range slices.Sorted(maps.Keys(g.slices)) {
 		of := g.slices[number]
 		for _, k := range slices.Sorted(maps.Keys(of)) {
@@ -161,17 +161,17 @@
 }
 
 // tell passes on what a period may, and what streams are to be asked for.
-func (g *gate) tell(notes []planner.Note, nowMs float64, m *Meter) ([]planner.Note, []asked, map[string]int) {
+func (g *gate) tell(notes []planner.Event, nowMs float64, m *Metrics) ([]planner.Event, []asked, map[string]int) {
 	if nowMs < g.due() {
 		return notes, nil, nil
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	span := nowMs - g.lastMs
-	told := g.in.Tell(nowMs, span)
+	told := g.in.Flush(nowMs, span)
 	g.lastMs = nowMs
 	for i := range told.Mets {
-		notes = append(notes, told.Mets[i].Note(load(told.Mets[i].Load, func(wire.Figure) { g.unknown[oddFigure]++ })))
+		notes = append(notes, told.Mets[i].Stats(load(told.Mets[i].Load, func(wire.Figure) { g.unknown[oddFigure]++ })))
 	}
 	for _, d := range told.Demands {
 		notes = append(notes, d)
@@ -181,7 +181,7 @@
 		_ = g.ages.RecordValue(int64(min(max(a, 0), oldest))) // within its range by the line itself
 	}
 	var asks []asked
-	for _, a := range g.in.Deal(nowMs) {
+	for _, a := range g.in.Rebalance(nowMs) {
 		asks = append(asks, asked{g.streams[a.Sender], &wire.Pace{PeriodMs: int(a.PeriodMs), Lines: a.Lines, Changes: a.Changes}})
 	}
 	m.intake(g.in.Counts[:], told.Left, g.ages)
@@ -200,5 +200,5 @@
 			counts[r.String()] = g.in.Counts[i]
 		}
 	}
-	return g.in.Waiting(), g.in.MostOrder, counts
+	return g.in.Pending(), g.in.MostOrder, counts
 }
--- a/internal/controller/hostile_test.go
+++ b/internal/controller/hostile_test.go
@@ -28,7 +28,7 @@
 	huge, nan, inf := 1e308, math.NaN(), math.Inf(1)
 	met := func(change func(s *wire.Sums, m *wire.Met)) func(*town, *fake) {
 		return func(w *town, bad *fake) {
-			w.handle(Join{bad, wire.Hello{Proxy: "bad", Zone: "a", Rate: 2}})
+			w.handle(ProxyJoined{bad, wire.Hello{Proxy: "bad", Zone: "a", Rate: 2}})
 			for i := range 6 {
 				s := &wire.Sums{Seq: uint64(i + 1), AtMs: w.now, SpanMs: 1000}
 				for e := range 9 {
@@ -36,7 +36,7 @@
 					change(s, &m)
 					s.Met = append(s.Met, m)
 				}
-				w.handle(Reported{bad, s})
+				w.handle(LoadReported{bad, s})
 				w.until(w.now + 1000)
 			}
 		}
@@ -45,7 +45,7 @@
 		return met(func(_ *wire.Sums, m *wire.Met) { m.Load = []wire.Figure{{Name: name, Value: v}} })
 	}
 	rate := func(v float64) func(*town, *fake) {
-		return func(w *town, bad *fake) { w.handle(Join{bad, wire.Hello{Proxy: "bad", Zone: "a", Rate: v}}) }
+		return func(w *town, bad *fake) { w.handle(ProxyJoined{bad, wire.Hello{Proxy: "bad", Zone: "a", Rate: v}}) }
 	}
 	list := func(change func(e *wire.Entry)) func(*town, *fake) {
 		return func(w *town, _ *fake) {
@@ -76,18 +76,20 @@
 		"start at end":     list(func(e *wire.Entry) { e.Started = math.MaxUint64 }),
 		"start just past":  list(func(e *wire.Entry) { e.Started = 1 }),
 		"cell at end":      list(func(e *wire.Entry) { e.Cell = math.MaxInt32 }),
-		"probe's load":     func(w *town, _ *fake) { w.handle(Probed{"e1", "ok", huge, []wire.Figure{{Name: "util", Value: inf}}}) },
+		"probe's load": func(w *town, _ *fake) {
+			w.handle(HealthChecked{"e1", "ok", huge, []wire.Figure{{Name: "util", Value: inf}}})
+		},
 		"marks that never were": func(w *town, bad *fake) {
-			w.handle(Join{bad, wire.Hello{Proxy: "bad", Zone: "a", Rate: 2}})
+			w.handle(ProxyJoined{bad, wire.Hello{Proxy: "bad", Zone: "a", Rate: 2}})
 			for n := range 70000 {
-				w.handle(Applied{bad, wire.Done{Mark: n}})
+				w.handle(Acked{bad, wire.Done{Mark: n}})
 			}
 		},
 		"a slice where there are none": func(w *town, _ *fake) {
 			for n := range 3 {
-				w.handle(SliceGiven{&wire.Slices{Slice: n, Given: true}})
+				w.handle(SliceAssigned{&wire.Slices{Slice: n, Given: true}})
 			}
-			w.handle(SliceGiven{&wire.Slices{Slice: wire.EveryTable, Given: true}})
+			w.handle(SliceAssigned{&wire.Slices{Slice: wire.EveryTable, Given: true}})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -103,7 +105,7 @@
 			before := len(good[0].got)
 			w.until(w.now + 12000)
 			assert.GreaterOrEqual(t, len(good[0].got), before)
-			assert.LessOrEqual(t, w.core.Channel.MostSeen, 1500)
+			assert.LessOrEqual(t, w.core.Channel.MaxLines, 1500)
 			for _, v := range good {
 				for _, m := range v.got {
 					for _, op := range m.Ops {
@@ -135,6 +137,6 @@
 	for _, v := range some {
 		plain := &v.villager
 		t.join([]*villager{plain}, entries) // makes its follower
-		t.handle(Leave{plain}, Join{v, wire.Hello{Proxy: v.name, Zone: v.zone, Rate: 2, Fresh: true}})
+		t.handle(ProxyLeft{plain}, ProxyJoined{v, wire.Hello{Proxy: v.name, Zone: v.zone, Rate: 2, Fresh: true}})
 	}
 }
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -59,7 +59,7 @@
 	Standing, MostStanding                             int // sums that wait in the intake
 	Refused                                            map[string]uint64
 	Listed                                             bool
-	Believed                                           Believed
+	ReportStats                                        ReportStats
 	LastTurn                                           time.Time
 }
 
@@ -68,15 +68,15 @@
 	return &Loop{core: core, clock: clock, inbox: make(chan Input, inboxSize), log: log, start: clock.Now()}
 }
 
-// GoOn has the loop's time begin at a moment of a core that was recovered.
-func (l *Loop) GoOn(atMs float64) {
+// ResumeAt has the loop's time begin at a moment of a core that was recovered.
+func (l *Loop) ResumeAt(atMs float64) {
 	l.start = l.clock.Now().Add(-time.Duration(atMs * float64(time.Millisecond)))
 }
 
 // Post hands an input to the loop. It waits while the inbox is full, so a source that brings too much is slowed by
 // its own connection; it ends with ctx. Reports don't pass the inbox: they are taken in where they are read.
 func (l *Loop) Post(ctx context.Context, in Input) error {
-	if r, ok := in.(Reported); ok {
+	if r, ok := in.(LoadReported); ok {
 		l.core.Report(l.nowMs(), r.Stream, r.Sums)
 		return nil
 	}
@@ -106,7 +106,7 @@
 		now := l.nowMs()
 		if len(inputs) > 0 || l.core.Due() <= now || l.State().Turns == 0 {
 			l.core.Handle(now, inputs)
-			l.core.plan.Meter.took(len(inputs))
+			l.core.plan.Metrics.took(len(inputs))
 		}
 		l.core.Channel.Send(l.nowMs())
 		l.show(inputs)
@@ -156,14 +156,14 @@
 	l.mu.Lock()
 	l.state.Turns++
 	l.state.Proxies, l.state.Endpoints = len(l.core.sessions)+len(l.core.relayed), l.core.endpoints.Len()
-	l.state.Lines, l.state.MostLines, l.state.MostMessages = c.lines, c.MostSeen, c.Crowded
+	l.state.Lines, l.state.MostLines, l.state.MostMessages = c.lines, c.MaxLines, c.MaxMessages
 	if l.core.plan.Relay == nil {
 		l.state.Standing, l.state.MostStanding, l.state.Refused = l.core.gate.state()
 	}
-	l.state.Believed = l.core.Believed
+	l.state.ReportStats = l.core.ReportStats
 	l.state.LastTurn = l.clock.Now()
 	for _, in := range inputs {
-		if _, ok := in.(Listed); ok {
+		if _, ok := in.(EndpointsListed); ok {
 			l.state.Listed = true
 		}
 	}
--- a/internal/controller/meter.go
+++ b/internal/controller/meter.go
@@ -11,8 +11,8 @@
 	"indigousher/telemetry"
 )
 
-// Meter holds the runtime's metrics. A nil Meter counts nothing.
-type Meter struct {
+// Metrics holds the runtime's metrics. A nil Meter counts nothing.
+type Metrics struct {
 	proxies, lines, nearBacklog, nearMessages prometheus.Gauge
 	messages, linesSent                       prometheus.Counter
 	odd, cut                                  *prometheus.CounterVec
@@ -24,8 +24,8 @@
 	DecideTime                                time.Duration // the module's own, all in all
 }
 
-// NewMeter registers the metrics.
-func NewMeter(r prometheus.Registerer) *Meter {
+// NewMetrics registers the metrics.
+func NewMetrics(r prometheus.Registerer) *Metrics {
 	gauge := func(name, help string) prometheus.Gauge {
 		g := prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "indigousher", Name: name, Help: help})
 		r.MustRegister(g)
@@ -48,7 +48,7 @@
 		r.MustRegister(h)
 		return h
 	}
-	return &Meter{
+	return &Metrics{
 		proxies:      gauge("proxies_joined", "Proxies with a stream to this pilot."),
 		lines:        gauge("channel_lines", "Lines that wait in the channel, heads included."),
 		nearBacklog:  gauge("channel_backlog_part", "Waiting lines as a part of the backlog's limit."),
@@ -67,13 +67,13 @@
 	}
 }
 
-func (m *Meter) joined(n int) {
+func (m *Metrics) joined(n int) {
 	if m != nil {
 		m.proxies.Set(float64(n))
 	}
 }
 
-func (m *Meter) waiting(lines int, backlog float64) {
+func (m *Metrics) waiting(lines int, backlog float64) {
 	if m == nil {
 		return
 	}
@@ -83,7 +83,7 @@
 	}
 }
 
-func (m *Meter) sent(o *wire.Orders, recent, most int) {
+func (m *Metrics) sent(o *wire.Orders, recent, most int) {
 	if m == nil {
 		return
 	}
@@ -96,7 +96,7 @@
 }
 
 // intake shows what became of report lines; counts are those since the start, by reason.
-func (m *Meter) intake(counts []uint64, left int, ages *hdrhistogram.Histogram) {
+func (m *Metrics) intake(counts []uint64, left int, ages *hdrhistogram.Histogram) {
 	if m == nil {
 		return
 	}
@@ -112,26 +112,26 @@
 	m.ageWorst.Set(float64(ages.ValueAtQuantile(99)))
 }
 
-func (m *Meter) oddity(what string) {
+func (m *Metrics) oddity(what string) {
 	if m != nil {
 		m.odd.WithLabelValues(what).Inc()
 	}
 }
 
-func (m *Meter) cutOff(why string) {
+func (m *Metrics) cutOff(why string) {
 	if m != nil {
 		m.cut.WithLabelValues(why).Inc()
 	}
 }
 
-func (m *Meter) took(inputs int) {
+func (m *Metrics) took(inputs int) {
 	if m != nil {
 		m.inbox.Set(float64(inputs))
 	}
 }
 
 // decide times the module.
-func (m *Meter) decide(f func() []planner.Order) []planner.Order {
+func (m *Metrics) decide(f func() []planner.Command) []planner.Command {
 	if m == nil {
 		return f()
 	}
--- a/internal/controller/relayed.go
+++ b/internal/controller/relayed.go
@@ -13,25 +13,25 @@
 // Relay carries what one turn ordered to proxies whose streams others hold. It queues and paces by itself: the core
 // lays no messages out and its channel stays empty. Carry must not block and keeps nothing of what it is given.
 type Relay interface {
-	Carry(turn []planner.Order, endpoint func(i int) string)
+	Enqueue(turn []planner.Command, endpoint func(i int) string)
 	// Gone says that what waits for a proxy is void.
-	Gone(proxy int)
+	ProxyLeft(proxy int)
 }
 
-// Relayed says that a proxy, known by its number, has joined the relay in this pilot's charge; Stood, that it stands
+// RelayProxyJoined says that a proxy, known by its number, has joined the relay in this pilot's charge; Stood, that it stands
 // there after a time in which nobody saw whether it left and came back.
-type Relayed struct {
-	Proxy        int
-	Zone         string
-	Rate         float64
-	Fresh, Stood bool
+type RelayProxyJoined struct {
+	Proxy          int
+	Zone           string
+	Rate           float64
+	Fresh, Resumed bool
 }
 
-// Unrelayed says that it has left.
-type Unrelayed struct{ Proxy int }
+// RelayProxyLeft says that it has left.
+type RelayProxyLeft struct{ Proxy int }
 
-// RelayApplied says that it has applied everything up to a mark.
-type RelayApplied struct {
+// RelayAck says that it has applied everything up to a mark.
+type RelayAck struct {
 	Proxy, Mark int
 	TookMs      float64
 }
@@ -39,95 +39,95 @@
 // RelayStalled says that the relay has taken no orders for so long, or, with 0, that it takes them again. Again names the
 // marks of a call that may have been carried out and is said again, Joined those of orders that go out as one call now.
 type RelayStalled struct {
-	ForMs         float64
-	Again, Joined []int
+	ForMs            float64
+	Repeated, Merged []int
 }
 
-// ZoneMet is a line of what the proxies of a zone met, summed up elsewhere.
-type ZoneMet struct {
-	Zone, Endpoint string
-	Tries, Failed  int
-	MeanMs, SpanMs float64
-	Load           map[string]float64
+// ZoneStats is a line of what the proxies of a zone met, summed up elsewhere.
+type ZoneStats struct {
+	Zone, Endpoint   string
+	Attempts, Failed int
+	MeanMs, SpanMs   float64
+	Load             map[string]float64
 }
 
-// ProxyDemand is a line of what came to a proxy, summed up elsewhere.
-type ProxyDemand struct {
-	Proxy            int
-	Kind             string
-	Reqs, Unanswered int
-	SpanMs           float64
+// ProxyStats is a line of what came to a proxy, summed up elsewhere.
+type ProxyStats struct {
+	Proxy                int
+	Class                string
+	Requests, Unanswered int
+	SpanMs               float64
 }
 
 // relayedNote turns an input about relayed proxies into notes.
-func (c *Core) relayedNote(notes []planner.Note, in Input) []planner.Note {
+func (c *Core) relayedNote(notes []planner.Event, in Input) []planner.Event {
 	switch in := in.(type) {
-	case Relayed:
+	case RelayProxyJoined:
 		return c.relayedJoin(notes, in)
-	case Unrelayed:
+	case RelayProxyLeft:
 		return c.relayedLeave(notes, in.Proxy)
-	case RelayApplied:
+	case RelayAck:
 		if c.relayed[in.Proxy] {
-			return append(notes, planner.Applied{Proxy: in.Proxy, Number: in.Mark, TookMs: in.TookMs})
+			return append(notes, planner.Ack{Proxy: in.Proxy, Number: in.Mark, TookMs: in.TookMs})
 		}
 	case RelayStalled:
-		return append(notes, planner.Stalled{ForMs: in.ForMs, Again: in.Again, Joined: in.Joined})
-	case ZoneMet:
+		return append(notes, planner.ChannelStalled{ForMs: in.ForMs, Repeated: in.Repeated, Merged: in.Merged})
+	case ZoneStats:
 		zone, known := c.zones.Find(in.Zone)
 		endpoint, listed := c.endpoints.Find(in.Endpoint)
 		if !known || !listed {
 			c.odd("report of an unknown zone or endpoint")
 			return notes
 		}
-		c.Believed.Reports++
-		c.Believed.SpanMs += in.SpanMs
-		return append(notes, planner.Met{Endpoint: endpoint, Zone: zone, Tries: in.Tries, Failed: in.Failed,
-			MeanMs: in.MeanMs, SpanMs: in.SpanMs, Load: settings.Load(in.Load)})
-	case ProxyDemand:
-		kind, known := c.kinds.Find(in.Kind)
+		c.ReportStats.Reports++
+		c.ReportStats.SpanMs += in.SpanMs
+		return append(notes, planner.EndpointStats{Endpoint: endpoint, Zone: zone, Attempts: in.Attempts, Failed: in.Failed,
+			MeanMs: in.MeanMs, SpanMs: in.SpanMs, Load: settings.ParseLoad(in.Load)})
+	case ProxyStats:
+		kind, known := c.kinds.Find(in.Class)
 		if !known || !c.provides(in.Proxy) {
 			c.odd("demand of an unknown req kind or proxy")
 			return notes
 		}
-		c.Believed.Reports++
-		c.Believed.SpanMs += in.SpanMs
-		return append(notes, planner.Demand{Proxy: in.Proxy, Kind: kind, Reqs: in.Reqs, Unanswered: in.Unanswered,
+		c.ReportStats.Reports++
+		c.ReportStats.SpanMs += in.SpanMs
+		return append(notes, planner.RequestStats{Proxy: in.Proxy, Class: kind, Requests: in.Requests, Unanswered: in.Unanswered,
 			SpanMs: in.SpanMs})
 	}
 	return notes
 }
 
 // provides returns whether the terms tell of a proxy of that number.
-func (c *Core) provides(proxy int) bool { return proxy >= 0 && proxy < c.plan.MostProxies }
+func (c *Core) provides(proxy int) bool { return proxy >= 0 && proxy < c.plan.MaxProxies }
 
-func (c *Core) relayedJoin(notes []planner.Note, in Relayed) []planner.Note {
+func (c *Core) relayedJoin(notes []planner.Event, in RelayProxyJoined) []planner.Event {
 	zone, known := c.zones.Find(in.Zone)
-	if !known || !c.provides(in.Proxy) || !planner.Sound(in.Rate) {
+	if !known || !c.provides(in.Proxy) || !planner.ValidRate(in.Rate) {
 		c.odd("proxy of an unknown number or zone", fmt.Sprint(in.Proxy), in.Zone)
 		return notes
 	}
-	stood := in.Stood && c.relayed[in.Proxy]
+	stood := in.Resumed && c.relayed[in.Proxy]
 	if !stood {
 		notes = c.relayedLeave(notes, in.Proxy)
 	}
 	c.relayed[in.Proxy] = true
-	return append(notes, planner.Joined{Proxy: in.Proxy, Zone: zone, Rate: in.Rate, Fresh: in.Fresh, Stood: stood})
+	return append(notes, planner.ProxyJoined{Proxy: in.Proxy, Zone: zone, Rate: in.Rate, Fresh: in.Fresh, Resumed: stood})
 }
 
-func (c *Core) relayedLeave(notes []planner.Note, proxy int) []planner.Note {
+func (c *Core) relayedLeave(notes []planner.Event, proxy int) []planner.Event {
 	if !c.relayed[proxy] {
 		return notes
 	}
 	delete(c.relayed, proxy)
-	c.plan.Relay.Gone(proxy)
-	return append(notes, planner.Left{Proxy: proxy})
+	c.plan.Relay.ProxyLeft(proxy)
+	return append(notes, planner.ProxyLeft{Proxy: proxy})
 }
 
-// Believed counts what the core took in of reports, for the pilot's own book-keeping.
-type Believed struct {
-	Reports, Odd int
-	SpanMs       float64 // that all reports covered
-	Listed       int     // endpoints on the list as held
+// ReportStats counts what the core took in of reports, for the pilot's own book-keeping.
+type ReportStats struct {
+	Reports, Malformed int
+	SpanMs             float64 // that all reports covered
+	Listed             int     // endpoints on the list as held
 }
 
 // retiredMs is how long an endpoint's index stays its own once it is off the list: longer than anything that may still
@@ -149,12 +149,12 @@
 			return i
 		}
 	}
-	return c.endpoints.In(e.Endpoint)
+	return c.endpoints.Intern(e.Endpoint)
 }
 
 // retire notes which endpoints are off the list.
 func (c *Core) retire() {
-	c.Believed.Listed = len(c.listed)
+	c.ReportStats.Listed = len(c.listed)
 	for i, name := range c.endpoints.All() {
 		_, listed := c.listed[name]
 		if _, since := c.retired[i]; !listed && !since {
@@ -164,17 +164,17 @@
 }
 
 // relay collects an order for the relay, if that is where it goes.
-func (c *Core) relay(o planner.Order) bool {
+func (c *Core) relay(o planner.Command) bool {
 	if c.plan.Relay == nil {
 		return false
 	}
 	switch o := o.(type) {
-	case planner.Bind:
+	case planner.AssignTable:
 		if !c.relayed[o.Proxy] {
 			c.odd("bind of a proxy that has left", fmt.Sprint(o.Proxy))
 			return true
 		}
-	case planner.SetLine, planner.ClearTable, planner.Withdraw, planner.Admit, planner.Mark:
+	case planner.SetWeight, planner.ClearTable, planner.SetExcluded, planner.SetAdmission, planner.AckRequest:
 	default:
 		return false
 	}
@@ -185,7 +185,7 @@
 // handOver gives the relay what the turn ordered.
 func (c *Core) handOver() {
 	if len(c.turn) > 0 {
-		c.plan.Relay.Carry(c.turn, c.endpoints.Name)
+		c.plan.Relay.Enqueue(c.turn, c.endpoints.Name)
 		clear(c.turn)
 		c.turn = c.turn[:0]
 	}
--- a/internal/daemon/assemble.go
+++ b/internal/daemon/assemble.go
@@ -53,27 +53,27 @@
 }
 
 // coreOptions returns a core's options, with a new planner.
-func (d *Daemon) coreOptions(cfg *config.Pilot) controller.Plan {
-	settings := cfg.ForModule(cfg.Rank)
+func (d *Daemon) coreOptions(cfg *config.Pilot) controller.Options {
+	settings := cfg.PlannerSettings(cfg.Rank)
 	log := d.options.Log
-	return controller.Plan{
+	return controller.Options{
 		Decider:        d.options.Decide(int64(cfg.Seed), settings),
-		Terms:          settings,
+		Settings:       settings,
 		Zones:          cfg.Zones,
 		Machines:       cfg.Machines,
-		Kinds:          cfg.KindNames(),
+		Classes:        cfg.ClassNames(),
 		LinesPerS:      cfg.LinesPerS,
 		Backlog:        cfg.Backlog,
 		HeadLines:      cfg.HeadLines,
-		MessagesMost:   cfg.MessagesMost,
+		MaxMessages:    cfg.MessagesMost,
 		MessagesOverMs: float64(cfg.MessagesOver.Milliseconds()),
-		Intake:         cfg.Intake(),
-		MostProxies:    cfg.MostProxies,
-		List:           d.endpointSource,
-		Prober:         d.proberForCore(),
-		Peers:          d.peersForCore(),
+		Telemetry:      cfg.TelemetryOptions(),
+		MaxProxies:     cfg.MostProxies,
+		EndpointSource: d.endpointSource,
+		HealthChecker:  d.proberForCore(),
+		Gossip:         d.peersForCore(),
 		Log:            func(text string) { log.Info(text, zap.String("by", "module")) },
-		Odd:            func(what string, fields ...string) { log.Warn(what, zap.Strings("about", fields)) },
-		Meter:          d.metrics,
+		Malformed:      func(what string, fields ...string) { log.Warn(what, zap.Strings("about", fields)) },
+		Metrics:        d.metrics,
 	}
 }
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -17,10 +17,10 @@
 		if err != nil {
 			return err
 		}
-		options.Turn = d.newRecorder().Turn
+		options.OnTurn = d.newRecorder().Turn
 		if rebuilt != nil {
 			resumeAtMs = rebuilt.Now() + d.recording.Verdict.AwayMs
-			rebuilt.Recovered(options)
+			rebuilt.FinishRecovery(options)
 			d.core = rebuilt
 		}
 	}
@@ -29,7 +29,7 @@
 	}
 	d.loop = controller.NewLoop(d.core, d.options.Clock, d.options.Log)
 	if resumeAtMs > 0 {
-		d.loop.GoOn(resumeAtMs)
+		d.loop.ResumeAt(resumeAtMs)
 	}
 	return nil
 }
@@ -41,15 +41,15 @@
 }
 
 // replayOptions returns the options of a core that is being rebuilt: nothing that it commands reaches anybody.
-func (d *Daemon) replayOptions(cfg *config.Pilot) controller.Plan {
+func (d *Daemon) replayOptions(cfg *config.Pilot) controller.Options {
 	options := d.coreOptions(cfg)
 	options.Replayed = true
-	options.List = disabledSource{}
-	options.Prober = healthcheck.Never{}
-	options.Peers = gossip.Nobody{}
-	options.Meter = nil
+	options.EndpointSource = disabledSource{}
+	options.HealthChecker = healthcheck.Disabled{}
+	options.Gossip = gossip.Disabled{}
+	options.Metrics = nil
 	options.Log = func(string) {}
-	options.Odd = func(string, ...string) {}
+	options.Malformed = func(string, ...string) {}
 	options.LinesPerS = 0 // not paced: the channel leads nowhere
 	options.Backlog = 0
 	return options
--- a/internal/daemon/core_bench_test.go
+++ b/internal/daemon/core_bench_test.go
@@ -40,7 +40,7 @@
 type coreBench struct {
 	planner  *timedDecider
 	settings map[string]any
-	options  controller.Plan
+	options  controller.Options
 	core     *controller.Core
 
 	streams []*sink
@@ -63,25 +63,25 @@
 	cfg.Proxies = manyProxies
 	cfg.LinesPerS = 20000
 	cfg.Backlog = 30000
-	cfg.Kinds = []config.ReqKind{{Name: "read", Repeats: "replayable", ResponseTarget: time.Second, Payoff: 1}}
-	settings := cfg.ForModule(0)
+	cfg.Kinds = []config.RequestClass{{Name: "read", Repeats: "replayable", ResponseTarget: time.Second, Payoff: 1}}
+	settings := cfg.PlannerSettings(0)
 	bench := &coreBench{settings: settings, planner: &timedDecider{Decider: planner.New(1, settings)}, nowMs: 1}
-	bench.options = controller.Plan{
-		Decider:     bench.planner,
-		Terms:       settings,
-		Zones:       zones,
-		Machines:    cfg.Machines,
-		Kinds:       cfg.KindNames(),
-		LinesPerS:   cfg.LinesPerS,
-		Backlog:     cfg.Backlog,
-		HeadLines:   4,
-		Intake:      telemetry.Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000},
-		MostProxies: 1 << 16,
-		List:        idle{},
-		Prober:      idle{},
-		Peers:       idle{},
-		Log:         func(string) {},
-		Odd:         func(string, ...string) {},
+	bench.options = controller.Options{
+		Decider:        bench.planner,
+		Settings:       settings,
+		Zones:          zones,
+		Machines:       cfg.Machines,
+		Classes:        cfg.ClassNames(),
+		LinesPerS:      cfg.LinesPerS,
+		Backlog:        cfg.Backlog,
+		HeadLines:      4,
+		Telemetry:      telemetry.Options{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000},
+		MaxProxies:     1 << 16,
+		EndpointSource: idle{},
+		HealthChecker:  idle{},
+		Gossip:         idle{},
+		Log:            func(string) {},
+		Malformed:      func(string, ...string) {},
 	}
 	return bench
 }
@@ -94,8 +94,8 @@
 	b.Cleanup(func() { mustClose(b, c.store) })
 	settings, err := json.Marshal(c.settings)
 	require.NoError(b, err)
-	c.life = record.Life{ID: "a", Seed: 1, Terms: string(settings)}
-	c.writer, err = record.NewWriter(c.store, c.life, record.DefaultBounds(), zap.NewNop())
+	c.life = record.Life{ID: "a", Seed: 1, Settings: string(settings)}
+	c.writer, err = record.NewWriter(c.store, c.life, record.DefaultLimits(), zap.NewNop())
 	require.NoError(b, err)
 	ctx, cancel := context.WithCancel(b.Context())
 	done := make(chan error, 1)
@@ -105,7 +105,7 @@
 		require.NoError(b, <-done)
 	}
 	checkpoint := func() []controller.Input { return c.core.Checkpoint() }
-	c.options.Turn = record.NewRecorder(c.writer.Turn, checkpoint).Turn
+	c.options.OnTurn = record.NewRecorder(c.writer.Turn, checkpoint).Turn
 }
 
 // run measures, and reports.
@@ -120,7 +120,7 @@
 		return
 	}
 	time.Sleep(time.Second) // past a commit
-	b.ReportMetric(float64(c.writer.Bytes.Load())/float64(c.core.Heard), "bytes/note")
+	b.ReportMetric(float64(c.writer.Bytes.Load())/float64(c.core.Events), "bytes/note")
 	b.ReportMetric(float64(c.writer.Bytes.Load())/float64(b.N), "bytes/s-of-pilot")
 	c.stop()
 	c.replay(b)
@@ -130,16 +130,16 @@
 func (c *coreBench) join() {
 	c.core = controller.NewCore(c.options)
 	entries := fleet()
-	c.core.Handle(0, []controller.Input{controller.Listed{List: &wire.List{Whole: true, Entries: entries}}})
+	c.core.Handle(0, []controller.Input{controller.EndpointsListed{List: &wire.List{Whole: true, Entries: entries}}})
 	for i := range manyProxies {
 		stream := &sink{}
 		hello := wire.Hello{Proxy: fmt.Sprint(i), Zone: zones[i%3], Rate: 2}
-		c.core.Handle(1, []controller.Input{controller.Join{Stream: stream, Hello: hello}})
+		c.core.Handle(1, []controller.Input{controller.ProxyJoined{Stream: stream, Hello: hello}})
 		c.streams = append(c.streams, stream)
 		c.reports = append(c.reports, benchReport(entries, i))
 	}
 	c.planner.took = 0
-	c.core.Heard = 0
+	c.core.Events = 0
 }
 
 // benchReport returns what a proxy met in a second.
@@ -165,10 +165,10 @@
 		report.Seq++
 		report.AtMs = c.nowMs
 		c.nowMs += 1000.0 / manyProxies
-		events := c.core.Heard
+		events := c.core.Events
 		began := time.Now()
-		c.core.Handle(c.nowMs, []controller.Input{controller.Reported{Stream: stream, Sums: report}})
-		if c.core.Heard > events {
+		c.core.Handle(c.nowMs, []controller.Input{controller.LoadReported{Stream: stream, Sums: report}})
+		if c.core.Events > events {
 			c.turnsMs = append(c.turnsMs, time.Since(began).Seconds()*1000)
 		}
 		c.core.Channel.Send(c.nowMs)
@@ -183,7 +183,7 @@
 	b.ReportMetric(own/planner, "own/module")
 	b.ReportMetric(planner/float64(b.N)*1000, "module-ms/s")
 	b.ReportMetric(float64(c.inputs)*linesPerReport/own, "report-lines/own-s")
-	b.ReportMetric(float64(c.core.Heard)/all, "notes/s")
+	b.ReportMetric(float64(c.core.Events)/all, "notes/s")
 	slices.Sort(c.turnsMs)
 	b.ReportMetric(c.turnsMs[len(c.turnsMs)*99/100], "ms-turn-p99")
 }
@@ -207,7 +207,7 @@
 }
 
 // Handle asks the planner.
-func (d *timedDecider) Handle(nowMs float64, events []planner.Note) []planner.Order {
+func (d *timedDecider) Handle(nowMs float64, events []planner.Event) []planner.Command {
 	start := time.Now()
 	defer func() { d.took += time.Since(start) }()
 	return d.Decider.Handle(nowMs, events)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -22,16 +22,16 @@
 
 // endpointSource is a source of the endpoint list that runs.
 type endpointSource interface {
-	controller.ListSource
+	controller.EndpointSource
 	Run(ctx context.Context) error
 }
 
 // Daemon is one controller.
 type Daemon struct {
 	config   atomic.Pointer[config.Pilot] // as it stands after the last reload
-	options  Outfit
+	options  Options
 	registry *prometheus.Registry
-	metrics  *controller.Meter
+	metrics  *controller.Metrics
 
 	core      *controller.Core
 	loop      *controller.Loop
@@ -42,9 +42,9 @@
 	grpcServer     *grpcapi.Server
 	xdsServer      *xds.Server // with grpcServer, on the same listener
 	endpointSource endpointSource
-	healthChecker  *healthcheck.Prober
-	gossip         *gossip.Post
-	keyStore       *identity.Ring // nil: all is in plain text
+	healthChecker  *healthcheck.Checker
+	gossip         *gossip.Service
+	keyStore       *identity.KeyStore // nil: all is in plain text
 
 	// The listeners, and handles on them that may be handed over.
 	streamListener net.Listener
@@ -58,11 +58,11 @@
 }
 
 // New opens the listeners and assembles the controller. Nothing runs before Run.
-func New(cfg *config.Pilot, o Outfit) (*Daemon, error) {
+func New(cfg *config.Pilot, o Options) (*Daemon, error) {
 	o.setDefaults()
 	d := &Daemon{options: o, registry: prometheus.NewRegistry(), listenerFiles: map[string]*os.File{}}
 	d.config.Store(cfg)
-	d.metrics = controller.NewMeter(d.registry)
+	d.metrics = controller.NewMetrics(d.registry)
 	d.registry.MustRegister(
 		collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
@@ -81,5 +81,5 @@
 // State returns what the loop shows of itself.
 func (d *Daemon) State() controller.State { return d.loop.State() }
 
-// Meter returns the controller's metrics.
-func (d *Daemon) Meter() *controller.Meter { return d.metrics }
+// Metrics returns the controller's metrics.
+func (d *Daemon) Metrics() *controller.Metrics { return d.metrics }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -75,25 +75,25 @@
 }
 
 // following starts a proxy of the testbed that follows a controller, and returns what befalls it.
-func following(t *testing.T, addresses func() []string) *eventlog.Book {
+func following(t *testing.T, addresses func() []string) *eventlog.Log {
 	const name = "p"
-	book := eventlog.NewBook()
-	p := proxy.New(proxy.Make{
+	book := eventlog.NewLog()
+	p := proxy.New(proxy.Options{
 		Name:     name,
 		Zone:     "a",
-		Habits:   routing.Habits{Kinds: []string{"read"}},
+		Habits:   routing.Policy{Kinds: []string{"read"}},
 		Rate:     1,
 		Standing: func() []string { return []string{"old:1"} },
 		Pilots:   addresses,
 		Dial:     (&net.Dialer{}).DialContext,
 		Redial:   20 * time.Millisecond,
-	}, book.Trail(name))
+	}, book.Stream(name))
 	require.NoError(t, p.Start())
 	t.Cleanup(p.Kill)
 	return book
 }
 
-func count(b *eventlog.Book, what eventlog.What) (n int) {
+func count(b *eventlog.Log, what eventlog.What) (n int) {
 	for _, e := range b.Events() {
 		if e.What == what {
 			n++
@@ -105,7 +105,7 @@
 // TestLife takes a pilot from its start over a reload to its end, with a proxy that follows.
 func TestLife(t *testing.T) {
 	p := pilotTerms(t, "x:1", "y:1")
-	d, err := New(p, Outfit{})
+	d, err := New(p, Options{})
 	require.NoError(t, err)
 	stop, ended := run(t, d)
 	book := following(t, func() []string { return []string{d.Address()} })
@@ -136,7 +136,7 @@
 // TestStopAndReload guards against a reload that comes as the pilot stops: it ends, and nothing hangs.
 func TestStopAndReload(t *testing.T) {
 	p := pilotTerms(t)
-	d, err := New(p, Outfit{})
+	d, err := New(p, Options{})
 	require.NoError(t, err)
 	stop, ended := run(t, d)
 	var wg sync.WaitGroup
@@ -157,9 +157,9 @@
 // TestKilled shows what a killed pilot leaves to its proxies: a broken stream and the other pilot.
 func TestKilled(t *testing.T) {
 	p := pilotTerms(t, "x:1")
-	first, err := New(p, Outfit{})
+	first, err := New(p, Options{})
 	require.NoError(t, err)
-	second, err := New(p, Outfit{})
+	second, err := New(p, Options{})
 	require.NoError(t, err)
 	_, ended := run(t, first)
 	run(t, second)
@@ -187,12 +187,12 @@
 	} {
 		p := pilotTerms(t)
 		change(p)
-		_, err := New(p, Outfit{})
+		_, err := New(p, Options{})
 		assert.ErrorContains(t, err, name)
 	}
 	p := pilotTerms(t)
 	p.ListFile = "/nowhere/at/all.hcl"
-	d, err := New(p, Outfit{})
+	d, err := New(p, Options{})
 	require.NoError(t, err)
 	assert.ErrorContains(t, d.Run(t.Context()), "watch /nowhere/at/all.hcl")
 }
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -54,9 +54,9 @@
 }
 
 // peersForCore returns the way to the other controllers, or one that leads nowhere.
-func (d *Daemon) peersForCore() controller.Peers {
+func (d *Daemon) peersForCore() controller.GossipSender {
 	if d.gossip == nil {
-		return gossip.Nobody{}
+		return gossip.Disabled{}
 	}
 	return d.gossip
 }
--- a/internal/daemon/handoff.go
+++ b/internal/daemon/handoff.go
@@ -16,10 +16,10 @@
 	if h.config.Handover == "" {
 		return
 	}
-	handoff := handover.Offer{
+	handoff := handover.Handoff{
 		Files:  h.files,
 		Stop:   h.stopForHandoff,
-		Resume: func(lock *handover.Claimed) { h.resume(ctx, lock) },
+		Resume: func(lock *handover.Lock) { h.resume(ctx, lock) },
 	}
 	go func() {
 		taken, err := handoff.Serve(ctx, h.config.Handover)
@@ -36,7 +36,7 @@
 }
 
 // resume starts the controller again after a handoff that failed.
-func (h *Host) resume(ctx context.Context, lock *handover.Claimed) {
+func (h *Host) resume(ctx context.Context, lock *handover.Lock) {
 	h.mu.Lock()
 	h.lock = lock
 	h.mu.Unlock()
--- a/internal/daemon/healthcheck.go
+++ b/internal/daemon/healthcheck.go
@@ -23,9 +23,9 @@
 }
 
 // proberForCore returns the health checker, or one that checks nothing.
-func (d *Daemon) proberForCore() controller.Prober {
+func (d *Daemon) proberForCore() controller.HealthChecker {
 	if d.healthChecker == nil {
-		return healthcheck.Never{}
+		return healthcheck.Disabled{}
 	}
 	return d.healthChecker
 }
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -18,21 +18,21 @@
 // Host runs a controller's process: the controller, its takeover from another process, and its handoff to one.
 type Host struct {
 	config  *config.Pilot
-	options Outfit
+	options Options
 
 	mu     sync.Mutex // guards what follows; files is set once, by the first start
 	daemon *Daemon    // that runs, or ran last
 	stop   context.CancelFunc
 	ended  chan error          // has the error of the daemon's run once it has ended
 	files  map[string]*os.File // handles on the listeners, of the first daemon; they outlive each
-	lock   *handover.Claimed   // nil without a handover socket; with it nobody else serves meanwhile
+	lock   *handover.Lock      // nil without a handover socket; with it nobody else serves meanwhile
 
 	replaced chan error // the handoff has ended: another process has taken over, or it failed
 	faults   chan error // the daemon has ended by itself
 }
 
-// Begin starts a controller; with takeOver it is taken over from the process that runs.
-func Begin(ctx context.Context, cfg *config.Pilot, o Outfit, takeOver bool) (*Host, error) {
+// Start starts a controller; with takeOver it is taken over from the process that runs.
+func Start(ctx context.Context, cfg *config.Pilot, o Options, takeOver bool) (*Host, error) {
 	o.setDefaults()
 	h := &Host{config: cfg, options: o, faults: make(chan error, 1)}
 	var err error
@@ -51,14 +51,14 @@
 // startFirst starts the controller when no other process runs it, which the lock tells.
 func (h *Host) startFirst(ctx context.Context) error {
 	if h.config.Handover != "" {
-		lock, err := handover.GetClaim(h.config.Handover)
+		lock, err := handover.AcquireLock(h.config.Handover)
 		if err != nil {
 			return err
 		}
 		h.lock = lock
 	}
 	if err := h.start(ctx); err != nil {
-		h.lock.LetGo()
+		h.lock.Release()
 		return err
 	}
 	return nil
@@ -69,18 +69,18 @@
 	if h.config.Handover == "" {
 		return errNoSocket
 	}
-	takeover, err := handover.Take(h.config.Handover)
+	takeover, err := handover.RequestTakeover(h.config.Handover)
 	if err != nil {
 		return err
 	}
 	if h.lock, err = takeover.Claim(); err != nil {
-		takeover.Drop()
+		takeover.Abort()
 		return err
 	}
 	h.options.Listeners = takeover.Listeners
 	if err := h.start(ctx); err != nil {
-		h.lock.LetGo() // before the old process hears of it
-		takeover.Drop()
+		h.lock.Release() // before the old process hears of it
+		takeover.Abort()
 		return err
 	}
 	takeover.Started(true)
@@ -173,7 +173,7 @@
 func (h *Host) release() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.lock.LetGo()
+	h.lock.Release()
 }
 
 func closeFiles(files map[string]*os.File) {
--- a/internal/daemon/hostile_test.go
+++ b/internal/daemon/hostile_test.go
@@ -42,7 +42,7 @@
 		gossip = c
 		return c
 	}
-	d, err := New(hostileConfig(t, source.listener.Addr()), Outfit{Packet: capture})
+	d, err := New(hostileConfig(t, source.listener.Addr()), Options{Packet: capture})
 	require.NoError(t, err)
 	stop, ended := run(t, d)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/daemon/identity.go
+++ b/internal/daemon/identity.go
@@ -75,7 +75,7 @@
 	if left := time.Until(d.keyStore.Expires()); left < expiryWarning {
 		d.options.Log.Warn("certificate ends soon", zap.Duration("in", left.Round(time.Second)))
 	}
-	if err := d.keyStore.Wrong(); err != nil {
+	if err := d.keyStore.Err(); err != nil {
 		d.options.Log.Error("keys can't be read anew, the old ones stand", zap.Error(err))
 	}
 }
--- a/internal/daemon/listchange_bench_test.go
+++ b/internal/daemon/listchange_bench_test.go
@@ -44,7 +44,7 @@
 	cfg := config.Defaults()
 	cfg.Zones = zones
 	cfg.Machines = []string{"std"}
-	cfg.Kinds = []config.ReqKind{{
+	cfg.Kinds = []config.RequestClass{{
 		Name:           "read",
 		Repeats:        "replayable",
 		ResponseTarget: time.Second,
@@ -79,8 +79,8 @@
 }
 
 func benchmarkListChange(b *testing.B, linesPerS float64) {
-	book := eventlog.NewBook()
-	source := registry.New(book.Trail("list"))
+	book := eventlog.NewLog()
+	source := registry.New(book.Stream("list"))
 	require.NoError(b, source.Start())
 	defer source.Close()
 	entries := fleet()
@@ -88,7 +88,7 @@
 	cfg := benchConfig(source.Address(), manyProxies)
 	cfg.LinesPerS = linesPerS
 	cfg.Backlog = 1.5 * linesPerS
-	d, err := New(&cfg, Outfit{})
+	d, err := New(&cfg, Options{})
 	require.NoError(b, err)
 	stop, ended := run(b, d)
 	for i := range manyProxies {
@@ -114,24 +114,24 @@
 	require.NoError(b, <-ended)
 }
 
-func startBenchProxy(b *testing.B, d *Daemon, book *eventlog.Book, i int) *proxy.Proxy {
+func startBenchProxy(b *testing.B, d *Daemon, book *eventlog.Log, i int) *proxy.Proxy {
 	name := fmt.Sprintf("p%d", i)
-	p := proxy.New(proxy.Make{
+	p := proxy.New(proxy.Options{
 		Name:     name,
 		Zone:     zones[i%3],
-		Habits:   routing.Habits{Kinds: []string{"read"}},
+		Habits:   routing.Policy{Kinds: []string{"read"}},
 		Rate:     2,
 		Standing: func() []string { return nil },
 		Pilots:   func() []string { return []string{d.Address()} },
 		Dial:     (&net.Dialer{}).DialContext,
 		Redial:   50 * time.Millisecond,
-	}, book.Trail(name))
+	}, book.Stream(name))
 	require.NoError(b, p.Start())
 	return p
 }
 
 // awaitLines waits until each proxy has applied lines after a time, and returns how long each took, in ms, sorted.
-func awaitLines(book *eventlog.Book, since float64) []float64 {
+func awaitLines(book *eventlog.Log, since float64) []float64 {
 	for {
 		applied := linesApplied(book, since)
 		if len(applied) < manyProxies {
@@ -148,7 +148,7 @@
 }
 
 // linesApplied returns when each proxy applied lines last, of those that have after a time.
-func linesApplied(book *eventlog.Book, since float64) map[string]float64 {
+func linesApplied(book *eventlog.Log, since float64) map[string]float64 {
 	applied := map[string]float64{}
 	for _, e := range book.Events() {
 		if e.What == eventlog.Lines && e.At >= since && e.N > 0 {
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -17,8 +17,8 @@
 // dialFunc reaches an address.
 type dialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Outfit is what a controller is started with beside its configuration. Zero fields get what ships.
-type Outfit struct {
+// Options is what a controller is started with beside its configuration. Zero fields get what ships.
+type Options struct {
 	Log   *zap.Logger
 	Level *zap.AtomicLevel // of Log; set by a reload; nil: nothing is set
 	Clock controller.Clock
@@ -33,7 +33,7 @@
 }
 
 // setDefaults fills in what ships.
-func (o *Outfit) setDefaults() {
+func (o *Options) setDefaults() {
 	if o.Log == nil {
 		o.Log = zap.NewNop()
 	}
@@ -52,7 +52,7 @@
 }
 
 // listen returns a listener that was taken over, or opens one.
-func (o *Outfit) listen(name, address string) (net.Listener, error) {
+func (o *Options) listen(name, address string) (net.Listener, error) {
 	if l := o.Listeners[name]; l != nil {
 		return l, nil
 	}
--- a/internal/daemon/recording.go
+++ b/internal/daemon/recording.go
@@ -26,7 +26,7 @@
 	rebuiltFrom string // ID of the life before it, if this one goes on from there
 	fingerprint string // of the planner
 	settings    string // the planner's at the start, as a life keeps them
-	Verdict     recovery.Verdict
+	Verdict     recovery.Decision
 	Took        time.Duration // of the recovery
 }
 
@@ -54,10 +54,10 @@
 // openStore opens the store. A damaged file is set aside for whoever wants to look, and a new one begun.
 func (d *Daemon) openStore(dir string) (*record.Store, error) {
 	store, err := record.Open(dir, false)
-	if !errors.Is(err, record.ErrTorn) {
+	if !errors.Is(err, record.ErrCorrupt) {
 		return store, err
 	}
-	path, asideErr := record.SetAside(dir)
+	path, asideErr := record.Quarantine(dir)
 	err = errors.Join(err, asideErr)
 	d.options.Log.Error("records are torn and set aside", zap.String("file", path), zap.Error(err))
 	return record.Open(dir, false)
@@ -69,10 +69,10 @@
 	core, err := d.recover(r, cfg)
 	if err != nil {
 		d.options.Log.Error("recovery failed, starting cold", zap.Error(err))
-		r.Verdict = recovery.Verdict{Why: "cold start: recovery failed"}
+		r.Verdict = recovery.Decision{Reason: "cold start: recovery failed"}
 	}
 	r.Took = time.Since(began)
-	d.options.Log.Info(r.Verdict.Why, zap.Duration("took", r.Took))
+	d.options.Log.Info(r.Verdict.Reason, zap.Duration("took", r.Took))
 	return core
 }
 
@@ -80,16 +80,16 @@
 func (d *Daemon) beginLife(r *recording, cfg *config.Pilot) error {
 	r.life = lifeID(time.Now())
 	life := record.Life{
-		ID:      r.life,
-		Pilot:   cfg.Name,
-		Seed:    int64(cfg.Seed),
-		Module:  r.fingerprint,
-		Terms:   r.settings,
-		Started: time.Now(),
-		After:   r.rebuiltFrom,
-		TailMs:  float64(cfg.RecoverTail.Milliseconds()),
+		ID:       r.life,
+		Pilot:    cfg.Name,
+		Seed:     int64(cfg.Seed),
+		Module:   r.fingerprint,
+		Settings: r.settings,
+		Started:  time.Now(),
+		After:    r.rebuiltFrom,
+		TailMs:   float64(cfg.RecoverTail.Milliseconds()),
 	}
-	limits := record.DefaultBounds()
+	limits := record.DefaultLimits()
 	limits.Bytes = int64(cfg.RecordMostMB * bytesPerMB)
 	limits.Age = cfg.RecordKeep
 	var err error
@@ -102,7 +102,7 @@
 
 // plannerSettings returns the planner's settings as a life keeps them.
 func plannerSettings(cfg *config.Pilot) (string, error) {
-	settings, err := json.Marshal(cfg.ForModule(cfg.Rank))
+	settings, err := json.Marshal(cfg.PlannerSettings(cfg.Rank))
 	if err != nil {
 		return "", fmt.Errorf("record terms: %w", err)
 	}
@@ -115,14 +115,14 @@
 	if err != nil {
 		return err
 	}
-	return r.store.Reterm(r.life, settings)
+	return r.store.UpdateSettings(r.life, settings)
 }
 
 // close closes the store. Nobody may write any more.
 func (r *recording) close() error { return r.store.Close() }
 
-// Records opens a store for reading.
-func Records(dir string) (*record.Store, error) {
+// OpenRecords opens a store for reading.
+func OpenRecords(dir string) (*record.Store, error) {
 	if _, err := os.Stat(dir); err != nil {
 		return nil, fmt.Errorf("open records: %w", err)
 	}
--- a/internal/daemon/recover.go
+++ b/internal/daemon/recover.go
@@ -13,7 +13,7 @@
 // recover reads the last life and, if its record is good for it, returns a core rebuilt from its end, whose commands were
 // held back. It returns nil for a cold start.
 func (d *Daemon) recover(r *recording, cfg *config.Pilot) (*controller.Core, error) {
-	limits := recovery.Bounds{
+	limits := recovery.Limits{
 		TailMs: float64(cfg.RecoverTail.Milliseconds()),
 		GapMs:  float64(cfg.RecoverWithin.Milliseconds()),
 	}
@@ -22,7 +22,7 @@
 		return nil, err
 	}
 	last, failedStarts := r.lastLife(lives)
-	facts := recovery.Facts{Lives: len(lives), Barren: failedStarts}
+	facts := recovery.Facts{Lives: len(lives), FailedStarts: failedStarts}
 	var tail []record.Turn
 	if last.ID != "" && last.Format == record.Format {
 		if tail, err = r.readTail(last, limits.TailMs, &facts); err != nil {
@@ -54,7 +54,7 @@
 
 // readTail returns the turns that a recovery replays of a life, and notes what speaks for and against it.
 func (r *recording) readTail(last record.Life, tailMs float64, facts *recovery.Facts) ([]record.Turn, error) {
-	turns, torn, err := record.Tail(r.store, last.ID, tailMs)
+	turns, torn, err := record.ReadTail(r.store, last.ID, tailMs)
 	if err != nil {
 		return nil, err
 	}
@@ -62,9 +62,9 @@
 	facts.Torn = torn
 	facts.SameFormat = true
 	facts.SameModule = last.Module == r.fingerprint
-	facts.SameTerms = cmp.Or(last.Now, last.Terms) == r.settings
+	facts.SameSettings = cmp.Or(last.LatestSettings, last.Settings) == r.settings
 	facts.GapMs = float64(time.Since(r.store.LastAt(last.ID)).Milliseconds())
-	tail := turns[record.From(turns, tailMs):]
+	tail := turns[record.ReplayStart(turns, tailMs):]
 	if len(tail) > 0 {
 		spanMs := tail[len(tail)-1].AtMs - tail[0].AtMs
 		facts.SpanMs = max(1, spanMs) // a single turn is worth a replay
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -17,7 +17,7 @@
 	if len(changed) == 0 {
 		return nil, restart, nil
 	}
-	if err := d.loop.Post(ctx, controller.Retermed{Terms: cfg.Live()}); err != nil {
+	if err := d.loop.Post(ctx, controller.SettingsChanged{Settings: cfg.ReloadableSettings()}); err != nil {
 		return nil, nil, fmt.Errorf("reload: %w", err)
 	}
 	d.setLogLevel(cfg.LogLevel)
--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -15,7 +15,7 @@
 
 // openFramed makes the server of the framed protocol.
 func (d *Daemon) openFramed(cfg *config.Pilot) {
-	d.framedServer = framed.NewServer(framed.Door{
+	d.framedServer = framed.NewServer(framed.ListenerConfig{
 		Pilot:         cfg.Name,
 		Beat:          cfg.Beat,
 		Period:        cfg.Period,
@@ -36,7 +36,7 @@
 	if err := d.listenForGRPC(cfg); err != nil {
 		return err
 	}
-	d.grpcServer = grpcapi.New(grpcapi.Door{
+	d.grpcServer = grpcapi.New(grpcapi.ListenerConfig{
 		Pilot:      cfg.Name,
 		Beat:       cfg.Beat,
 		Period:     cfg.Period,
@@ -48,8 +48,8 @@
 		NewPerS:    cfg.NewPerS,
 		Keys:       d.keyStore,
 	}, d.loop, d.options.Log.Named("grpc"))
-	d.xdsServer = xds.New(xds.Door{
-		Kinds:      cfg.KindNames(),
+	d.xdsServer = xds.New(xds.ListenerConfig{
+		Kinds:      cfg.ClassNames(),
 		Period:     cfg.Period,
 		SeenWithin: cfg.SeenWithin,
 		HelloIn:    cfg.HelloDeadline,
--- a/internal/daemon/torn_test.go
+++ b/internal/daemon/torn_test.go
@@ -18,7 +18,7 @@
 func recordedLife(t *testing.T) *config.Pilot {
 	p := pilotTerms(t, "x:1", "y:1")
 	p.RecordDir = t.TempDir()
-	d, err := New(p, Outfit{})
+	d, err := New(p, Options{})
 	require.NoError(t, err)
 	stop, ended := run(t, d)
 	following(t, func() []string { return []string{d.Address()} })
@@ -64,10 +64,10 @@
 			p := *p
 			p.RecordDir = t.TempDir()
 			require.NoError(t, os.WriteFile(filepath.Join(p.RecordDir, "records.db"), content, 0o600))
-			d, err := New(&p, Outfit{})
+			d, err := New(&p, Options{})
 			require.NoError(t, err)
 			if name == "as it was" {
-				assert.Contains(t, d.recording.Verdict.Why, "recovered")
+				assert.Contains(t, d.recording.Verdict.Reason, "recovered")
 			}
 			stop, ended := run(t, d)
 			following(t, func() []string { return []string{d.Address()} })
@@ -83,7 +83,7 @@
 func TestReturnAfterReload(t *testing.T) {
 	p := pilotTerms(t, "x:1", "y:1")
 	p.RecordDir = t.TempDir()
-	d, err := New(p, Outfit{})
+	d, err := New(p, Options{})
 	require.NoError(t, err)
 	_, ended := run(t, d)
 	require.Eventually(t, func() bool { return d.State().Listed }, 5*time.Second, time.Millisecond)
@@ -103,9 +103,9 @@
 		{&now, "recovered from"},
 		{p, "cold start: the record is of other terms"},
 	} {
-		back, err := New(c.terms, Outfit{})
+		back, err := New(c.terms, Options{})
 		require.NoError(t, err)
-		assert.Contains(t, back.recording.Verdict.Why, c.want)
+		assert.Contains(t, back.recording.Verdict.Reason, c.want)
 		stop, ended := run(t, back)
 		require.Eventually(t, func() bool { return back.State().Listed }, 5*time.Second, time.Millisecond)
 		time.Sleep(500 * time.Millisecond)
--- a/internal/daemon/transports_bench_test.go
+++ b/internal/daemon/transports_bench_test.go
@@ -49,7 +49,7 @@
 	proxies   int
 	authority *identity.Authority
 	keyDir    string // "" without TLS
-	source    *registry.List
+	source    *registry.Registry
 	entries   []wire.Entry
 	daemon    *Daemon
 	stop      context.CancelFunc
@@ -65,7 +65,7 @@
 		transport: transport,
 		proxies:   proxies,
 		authority: authority,
-		source:    registry.New(eventlog.NewBook().Trail("list")),
+		source:    registry.New(eventlog.NewLog().Stream("list")),
 		entries:   fleet(),
 		seen:      &sightings{at: map[string]time.Time{}},
 	}
@@ -95,7 +95,7 @@
 		cfg.Keys = t.issue(b, identity.Pilot, "a", cfg.Name)
 	}
 	var err error
-	t.daemon, err = New(&cfg, Outfit{})
+	t.daemon, err = New(&cfg, Options{})
 	require.NoError(b, err)
 	t.stop, t.ended = run(b, t.daemon)
 }
@@ -107,7 +107,7 @@
 	return files
 }
 
-func (t *transportBench) keyStore(b *testing.B, role identity.Role, zone, name string) *identity.Ring {
+func (t *transportBench) keyStore(b *testing.B, role identity.Role, zone, name string) *identity.KeyStore {
 	store, err := identity.Load(t.issue(b, role, zone, name), nil)
 	require.NoError(b, err)
 	return store
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -41,20 +41,20 @@
 // TestDays plays every day that ships, and drawn ones that once broke rule 4 (incident 019): the rules hold, drains and
 // lists are looked at in truth, and the same day gives the same events twice.
 func TestDays(t *testing.T) {
-	for _, name := range append(scenario.Days(), "../../experiments/found-5216.hcl", "../../experiments/found-5216-4.hcl",
+	for _, name := range append(scenario.Names(), "../../experiments/found-5216.hcl", "../../experiments/found-5216-4.hcl",
 		"../../experiments/found-5216-hang.hcl") {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			d, err := scenario.Load(name)
 			require.NoError(t, err)
-			o, err := Play{Day: d, Judged: true}.Run(t.Context())
+			o, err := Play{Scenario: d, Audited: true}.Run(t.Context())
 			require.NoError(t, err)
 			for _, v := range o.Report.Verdicts {
-				assert.True(t, v.Kept(), "%s: %v", v.Rule, v.Breaches)
+				assert.True(t, v.Kept(), "%s: %v", v.Rule, v.Violations)
 			}
 			assert.Positive(t, o.Report.Verdicts[audit.DrainsKept].Checked)
 			assert.Greater(t, o.Report.Service.All.Share(), 0.8)
-			again, err := Play{Day: d, Judged: true}.Run(t.Context())
+			again, err := Play{Scenario: d, Audited: true}.Run(t.Context())
 			require.NoError(t, err)
 			assert.Equal(t, o.Digest, again.Digest)
 			t.Logf("%.3f, %d events", o.Report.Service.All.Share(), o.Done)
@@ -66,7 +66,7 @@
 func TestToldInTime(t *testing.T) {
 	d, err := scenario.Load("replacement")
 	require.NoError(t, err)
-	o, err := Play{Day: d, Keep: true}.Run(t.Context())
+	o, err := Play{Scenario: d, Keep: true}.Run(t.Context())
 	require.NoError(t, err)
 	told := 0
 	for _, e := range o.Events {
@@ -84,10 +84,10 @@
 	var out bytes.Buffer
 	trace, err := NewTracer(&out)
 	require.NoError(t, err)
-	o, err := Play{Day: d, Trace: trace}.Run(t.Context())
+	o, err := Play{Scenario: d, Trace: trace}.Run(t.Context())
 	require.NoError(t, err)
 	require.NoError(t, trace.Close(t.Context()))
-	plain, err := Play{Day: d}.Run(t.Context())
+	plain, err := Play{Scenario: d}.Run(t.Context())
 	require.NoError(t, err)
 	assert.Equal(t, plain.Digest, o.Digest, "to be looked at changes nothing")
 	type span struct {
@@ -121,7 +121,7 @@
 }
 
 // one is a fleet of endpoints alike behind one proxy that has a line to each, and no pilot.
-func one(endpoints, cores, queue int, discipline string, rate, workMs, cv float64, length time.Duration, pick string) *scenario.Day {
+func one(endpoints, cores, queue int, discipline string, rate, workMs, cv float64, length time.Duration, pick string) *scenario.Scenario {
 	d, err := scenario.Read("one.hcl", []byte(fmt.Sprintf(`zones = ["a"]
 machines = ["std"]
 length = "%ds"
@@ -158,11 +158,11 @@
 // TestClosedForms holds means against queueing theory: waiting by Erlang C and by Pollaczek-Khinchine, loss by Erlang B,
 // sharing, Little's law, and two choices beside one.
 func TestClosedForms(t *testing.T) {
-	mean := func(t *testing.T, d *scenario.Day) (took, lost float64) {
+	mean := func(t *testing.T, d *scenario.Scenario) (took, lost float64) {
 		var means, losses []float64
 		for seed := range 8 {
 			d.Seed = seed + 1
-			o, err := Play{Day: d, Bare: true}.Run(t.Context())
+			o, err := Play{Scenario: d, Bare: true}.Run(t.Context())
 			require.NoError(t, err)
 			means = append(means, o.Latency.Mean()/1000)
 			losses = append(losses, 1-float64(o.Latency.TotalCount())/float64(o.Reqs))
@@ -215,7 +215,7 @@
 // TestLittle holds the mean number in hand, looked at from outside, against rate times time in the system.
 func TestLittle(t *testing.T) {
 	d := one(1, 4, 1e6, "queue", 300, 10, 1, 200*time.Second, "weighted")
-	w := newWorld(Play{Day: d, Bare: true})
+	w := newWorld(Play{Scenario: d, Bare: true})
 	w.begin()
 	w.clients()
 	sum, looks := 0.0, 0.0
@@ -244,7 +244,7 @@
 			for range 2 {
 				d, err := scenario.Read("long.hcl", []byte("like = \"quiet\"\n"+c.text))
 				require.NoError(t, err)
-				o, err := Play{Day: d, Judged: true}.Run(t.Context())
+				o, err := Play{Scenario: d, Audited: true}.Run(t.Context())
 				require.NoError(t, err)
 				assert.True(t, o.Report.Kept(), "%+v", o.Report.Verdicts)
 				assert.GreaterOrEqual(t, o.Report.Service.All.Share(), c.served)
@@ -283,7 +283,7 @@
 	require.NoError(b, err)
 	var events uint64
 	for b.Loop() {
-		o, err := Play{Day: d, Judged: true}.Run(b.Context())
+		o, err := Play{Scenario: d, Audited: true}.Run(b.Context())
 		require.NoError(b, err)
 		require.True(b, o.Report.Kept())
 		events += o.Done
@@ -307,7 +307,7 @@
 			}
 			var events, reqs uint64
 			for b.Loop() {
-				o, err := Play{Day: d}.Run(b.Context())
+				o, err := Play{Scenario: d}.Run(b.Context())
 				require.NoError(b, err)
 				events, reqs = events+o.Done, reqs+o.Reqs
 			}
--- a/internal/emulator/list.go
+++ b/internal/emulator/list.go
@@ -65,7 +65,7 @@
 			l.w.note("list", eventlog.Event{What: eventlog.Told, Peer: s.place.name, Text: e.Endpoint, Kind: e.Zone + "/" + e.Machine,
 				N: e.Phase, Value: age})
 		}
-		s.post(controller.Listed{List: m})
+		s.post(controller.EndpointsListed{List: m})
 	})
 }
 
@@ -85,7 +85,7 @@
 		if l.down {
 			l.w.After(l.silentMs, func() {
 				if s.run == r {
-					s.post(controller.ListLost{})
+					s.post(controller.EndpointListLost{})
 				}
 			})
 			return
@@ -104,7 +104,7 @@
 func (l *source) giveTo(s *seat, r *pilotRun, x wire.Slices) {
 	l.w.ways.carry(l.place, s.place, func() {
 		if s.run == r && !l.down {
-			s.post(controller.SliceGiven{Slices: &x})
+			s.post(controller.SliceAssigned{Slices: &x})
 		}
 	})
 }
@@ -126,7 +126,7 @@
 		if r := l.follows[s]; r != nil && s.run == r {
 			l.w.After(l.silentMs, func() {
 				if s.run == r && l.down {
-					s.post(controller.ListLost{})
+					s.post(controller.EndpointListLost{})
 				}
 			})
 		}
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -16,7 +16,7 @@
 	w       *World
 	place   place
 	sharing bool // cores are shared by all that is in hand; else it waits for one
-	mood    endpoint.Mood
+	mood    endpoint.FaultMode
 	run     *running
 	starts  int
 	ledger  map[uint64]bool
--- a/internal/emulator/pilot.go
+++ b/internal/emulator/pilot.go
@@ -30,7 +30,7 @@
 // Start is how a pilot's process began.
 type Start struct {
 	AtMs      float64
-	Verdict   recovery.Verdict
+	Verdict   recovery.Decision
 	Replayed  int // turns
 	TookMs    float64
 	LinesSent int // by settleMs after
@@ -67,14 +67,14 @@
 	w.note(s.place.name, eventlog.Event{What: eventlog.Start, Kind: "pilot", Text: s.place.zone})
 	r := &pilotRun{s: s, born: w.now, wakeAt: -1}
 	s.run = r
-	told := s.terms.ForModule(s.rank)
-	plan := controller.Plan{Decider: w.decide(int64(s.terms.Seed), told), Terms: told, Zones: s.terms.Zones, Machines: s.terms.Machines,
-		Kinds: s.terms.KindNames(), LinesPerS: s.terms.LinesPerS, Backlog: s.terms.Backlog, HeadLines: s.terms.HeadLines,
-		MessagesMost: s.terms.MessagesMost, MessagesOverMs: float64(s.terms.MessagesOver.Milliseconds()), Intake: s.terms.Intake(),
-		MostProxies: s.terms.MostProxies, List: listEnd{s, r}, Prober: probeEnd{s, r}, Peers: peerEnd{s, r},
-		Log: func(text string) { w.say(s, text) }, Odd: func(what string, fields ...string) { w.odd(what, fields) }}
+	told := s.terms.PlannerSettings(s.rank)
+	plan := controller.Options{Decider: w.decide(int64(s.terms.Seed), told), Settings: told, Zones: s.terms.Zones, Machines: s.terms.Machines,
+		Classes: s.terms.ClassNames(), LinesPerS: s.terms.LinesPerS, Backlog: s.terms.Backlog, HeadLines: s.terms.HeadLines,
+		MaxMessages: s.terms.MessagesMost, MessagesOverMs: float64(s.terms.MessagesOver.Milliseconds()), Telemetry: s.terms.TelemetryOptions(),
+		MaxProxies: s.terms.MostProxies, EndpointSource: listEnd{s, r}, HealthChecker: probeEnd{s, r}, Gossip: peerEnd{s, r},
+		Log: func(text string) { w.say(s, text) }, Malformed: func(what string, fields ...string) { w.odd(what, fields) }}
 	begin := Start{AtMs: w.now}
-	if w.Day.Record {
+	if w.Scenario.Record {
 		plan = s.recover(plan, r, &begin)
 	}
 	if r.core == nil {
@@ -95,29 +95,29 @@
 }
 
 // recover rebuilds the core from the record if that is worth anything, and has the new life recorded.
-func (s *seat) recover(plan controller.Plan, r *pilotRun, begin *Start) controller.Plan {
+func (s *seat) recover(plan controller.Options, r *pilotRun, begin *Start) controller.Options {
 	w := s.w
-	bounds := recovery.Bounds{TailMs: float64(s.terms.RecoverTail.Milliseconds()), GapMs: float64(s.terms.RecoverWithin.Milliseconds())}
-	facts := recovery.Facts{SameFormat: true, SameModule: s.diskOf == w.fingerprint, SameTerms: true, Turns: len(s.disk), GapMs: w.now - s.diskAt}
-	from := record.From(s.disk, bounds.TailMs)
+	bounds := recovery.Limits{TailMs: float64(s.terms.RecoverTail.Milliseconds()), GapMs: float64(s.terms.RecoverWithin.Milliseconds())}
+	facts := recovery.Facts{SameFormat: true, SameModule: s.diskOf == w.fingerprint, SameSettings: true, Turns: len(s.disk), GapMs: w.now - s.diskAt}
+	from := record.ReplayStart(s.disk, bounds.TailMs)
 	if len(s.disk) > 0 && from < len(s.disk) {
 		facts.Lives, facts.SpanMs = 1, max(1, s.disk[len(s.disk)-1].AtMs-s.disk[from].AtMs)
 	}
 	recorder := record.NewRecorder(func(t func() *record.Turn) { r.written = append(r.written, *t()) },
 		func() []controller.Input { return r.core.Checkpoint() })
-	plan.Turn = recorder.Turn
+	plan.OnTurn = recorder.Turn
 	if begin.Verdict = recovery.Decide(facts, bounds); !begin.Verdict.Cold() {
 		held := plan
-		held.Turn, held.Replayed, held.LinesPerS, held.Backlog = nil, true, 0, 0
-		held.List, held.Prober, held.Peers = listEnd{}, probeEnd{}, peerEnd{}
-		held.Log, held.Odd = func(string) {}, func(string, ...string) {}
+		held.OnTurn, held.Replayed, held.LinesPerS, held.Backlog = nil, true, 0, 0
+		held.EndpointSource, held.HealthChecker, held.Gossip = listEnd{}, probeEnd{}, peerEnd{}
+		held.Log, held.Malformed = func(string) {}, func(string, ...string) {}
 		core := controller.NewCore(held)
 		took := stopwatch()
 		if err := record.Restore(core, s.disk[from:]); err != nil {
 			w.fail(fmt.Errorf("restore %s: %w", s.place.name, err))
 		} else {
 			begin.Replayed, begin.TookMs = len(s.disk)-from, took()
-			core.Recovered(plan)
+			core.FinishRecovery(plan)
 			r.core, r.born = core, w.now-core.Now()-begin.Verdict.AwayMs
 		}
 	}
@@ -140,7 +140,7 @@
 // commit puts what was written on the disk; of what is older than any rebuild needs nothing is kept.
 func (s *seat) commit(r *pilotRun) {
 	s.disk, s.diskAt, r.written = append(s.disk, r.written...), s.w.now, nil
-	if from := record.From(s.disk, 2*float64(s.terms.RecoverTail.Milliseconds())); from > 0 && from < len(s.disk) {
+	if from := record.ReplayStart(s.disk, 2*float64(s.terms.RecoverTail.Milliseconds())); from > 0 && from < len(s.disk) {
 		s.disk = append([]record.Turn{}, s.disk[from:]...)
 	}
 }
@@ -151,7 +151,7 @@
 	if r == nil {
 		return
 	}
-	if !force && s.w.Day.Record {
+	if !force && s.w.Scenario.Record {
 		s.commit(r)
 	}
 	s.run = nil
@@ -263,7 +263,7 @@
 			return
 		}
 		answered = true
-		p.s.post(controller.Probed{Endpoint: name, Outcome: outcome, Load: load})
+		p.s.post(controller.HealthChecked{Endpoint: name, Outcome: outcome, Load: load})
 	}
 	w.After(probeTimeoutMs, func() { done("timeout", nil) })
 	if m == nil {
@@ -296,7 +296,7 @@
 		}
 		p.s.w.After(p.s.w.ways.delay(p.s.place, other.place), func() {
 			if other.run != nil {
-				other.post(controller.Heard{From: p.s.rank, Text: text})
+				other.post(controller.GossipReceived{From: p.s.rank, Text: text})
 			}
 		})
 	}
@@ -306,5 +306,5 @@
 func (r *pilotRun) reload(times float64) {
 	t := &r.s.terms
 	t.LinesPerS *= times
-	r.s.post(controller.Retermed{Terms: t.Live()})
+	r.s.post(controller.SettingsChanged{Settings: t.ReloadableSettings()})
 }
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -14,7 +14,7 @@
 type plain struct {
 	w       *World
 	place   place
-	habits  routing.Habits
+	habits  routing.Policy
 	rate    float64
 	home    int // number among the pilots of its zone
 	life    *plainLife
@@ -33,7 +33,7 @@
 	stream *stream
 	lines  []int
 	rnd    *rand.Rand
-	wish   routing.Wish
+	wish   routing.ReportRequest
 	period float64
 	busy   float64 // until when it applies lines and stands still
 	conns  map[string]*conn
@@ -162,9 +162,9 @@
 	li.stream = &stream{w: p.w, li: li, to: to, run: to.run}
 	to.streams[li.stream] = true
 	li.follow.Joined()
-	li.wish = routing.Wish{}
+	li.wish = routing.ReportRequest{}
 	p.w.note(p.place.name, eventlog.Event{What: eventlog.Join, Peer: to.place.name, Kind: p.place.zone})
-	to.post(controller.Join{Stream: li.stream, Hello: hello})
+	to.post(controller.ProxyJoined{Stream: li.stream, Hello: hello})
 	li.period = p.w.period
 	li.report(li.stream, li.period*li.rnd.Float64())
 }
@@ -201,7 +201,7 @@
 		li.retire()
 		for _, n := range marks {
 			took := p.w.now - came
-			s.up(func() { s.to.post(controller.Applied{Stream: s, Done: wire.Done{Mark: n, TookMs: took}}) })
+			s.up(func() { s.to.post(controller.Acked{Stream: s, Done: wire.Done{Mark: n, TookMs: took}}) })
 		}
 	})
 }
@@ -416,7 +416,7 @@
 func (s *stream) Ask(m *wire.Pace) error {
 	s.w.ways.carry(s.to.place, s.li.p.place, func() {
 		if !s.ended && s.li.p.heed {
-			s.li.wish = routing.Wish{Lines: m.Lines, Changes: m.Changes}
+			s.li.wish = routing.ReportRequest{Lines: m.Lines, Changes: m.Changes}
 			s.li.period = math.Max(1, float64(m.PeriodMs))
 		}
 	})
@@ -443,7 +443,7 @@
 	s.ended = true
 	delete(s.to.streams, s)
 	if s.to.run == s.run && s.run != nil {
-		s.to.post(controller.Leave{Stream: s})
+		s.to.post(controller.ProxyLeft{Stream: s})
 	}
 	if s.li.stream != s {
 		return
--- a/internal/emulator/trouble.go
+++ b/internal/emulator/trouble.go
@@ -11,7 +11,7 @@
 )
 
 // strike plays one trouble, as the rehearsal does on sockets.
-func (w *World) strike(t scenario.Trouble) {
+func (w *World) strike(t scenario.Fault) {
 	lasts := ms(t.For)
 	switch t.What {
 	case "hang", "fast_errors", "class_fail", "handshake_slow", "answers_twice", "pause":
@@ -43,30 +43,30 @@
 	} // the others are the clients' doing
 }
 
-func (w *World) machinesOf(t scenario.Trouble) (struck []*machine) {
+func (w *World) machinesOf(t scenario.Fault) (struck []*machine) {
 	var names []string
 	for _, m := range w.machines {
 		if t.Zone == "" || m.Zone == t.Zone {
 			names = append(names, m.Name)
 		}
 	}
-	for _, n := range t.Chosen(names, w.rnd) {
+	for _, n := range t.Targets(names, w.rnd) {
 		struck = append(struck, w.byName[n])
 	}
 	return struck
 }
 
 // moods plays what changes how endpoints answer.
-func (w *World) moods(t scenario.Trouble) {
+func (w *World) moods(t scenario.Fault) {
 	struck := w.machinesOf(t)
 	for _, m := range struck {
 		switch t.What {
 		case "hang":
-			m.mood = endpoint.Mood{Hang: true, OnlyFor: t.Kind}
+			m.mood = endpoint.FaultMode{Hang: true, OnlyFor: t.Kind}
 		case "fast_errors", "class_fail":
-			m.mood = endpoint.Mood{Errors: t.Size, OnlyFor: t.Kind}
+			m.mood = endpoint.FaultMode{Errors: t.Size, OnlyFor: t.Kind}
 		case "handshake_slow":
-			m.mood = endpoint.Mood{Shakes: t.Size}
+			m.mood = endpoint.FaultMode{Shakes: t.Size}
 			w.slowDial[m.Name] = ms(t.Extra)
 		case "pause":
 			m.pausing = w.now + ms(t.For)
@@ -74,7 +74,7 @@
 	}
 	w.After(ms(t.For), func() {
 		for _, m := range struck {
-			m.mood = endpoint.Mood{}
+			m.mood = endpoint.FaultMode{}
 			delete(w.slowDial, m.Name)
 		}
 	})
@@ -100,7 +100,7 @@
 
 // silence ends streams over ways that stay cut until nobody has heard a beat for long enough.
 func (w *World) silence() {
-	w.After(3*ms(w.Day.Beat), func() {
+	w.After(3*ms(w.Scenario.Beat), func() {
 		for _, p := range w.proxies {
 			if p.life != nil && p.life.stream != nil && !w.ways.open(p.place, p.life.stream.to.place) {
 				p.life.stream.broke(true)
@@ -110,8 +110,8 @@
 }
 
 // fate plays what happens to one endpoint's process.
-func (w *World) fate(t scenario.Trouble, m *machine, i int) {
-	late, lasts := ms(w.Day.ListLate), ms(t.For)
+func (w *World) fate(t scenario.Fault, m *machine, i int) {
+	late, lasts := ms(w.Scenario.ListLate), ms(t.For)
 	gone := func(x *wire.Entry) { x.Phase = wire.PhaseGone }
 	drains := func(x *wire.Entry) { x.Phase = wire.PhaseDraining }
 	switch t.What {
@@ -144,7 +144,7 @@
 			w.successor(m)
 			w.After(ms(t.Extra), func() {
 				w.tell(m.Name, late, drains)
-				w.After(late+ms(w.Day.DrainGrace)+500, func() {
+				w.After(late+ms(w.Scenario.DrainGrace)+500, func() {
 					m.kill()
 					w.tell(m.Name, late, gone)
 				})
@@ -161,7 +161,7 @@
 		return // two troubles at once
 	}
 	m.start(true)
-	w.tell(m.Name, ms(w.Day.ListLate), func(x *wire.Entry) { x.Phase, x.Started = wire.PhaseReady, w.list.clock() })
+	w.tell(m.Name, ms(w.Scenario.ListLate), func(x *wire.Entry) { x.Phase, x.Started = wire.PhaseReady, w.list.clock() })
 }
 
 // successor starts a new machine beside one that goes.
@@ -170,9 +170,9 @@
 	if w.byName[name] != nil {
 		return
 	}
-	group := slices.IndexFunc(w.Day.Groups, func(g scenario.Group) bool { return g.Zone == m.Zone && g.Machine == m.Machine })
+	group := slices.IndexFunc(w.Scenario.Groups, func(g scenario.Group) bool { return g.Zone == m.Zone && g.Machine == m.Machine })
 	w.addMachine(name, group, true)
-	w.tell(name, ms(w.Day.ListLate), func(*wire.Entry) {})
+	w.tell(name, ms(w.Scenario.ListLate), func(*wire.Entry) {})
 }
 
 // flap lets an endpoint fail and recover by turns.
@@ -190,11 +190,11 @@
 }
 
 // zoneLoss takes a zone's endpoints, and with a size over a half its proxies and pilots.
-func (w *World) zoneLoss(t scenario.Trouble) {
+func (w *World) zoneLoss(t scenario.Fault) {
 	struck := w.machinesOf(t)
 	for _, m := range struck {
 		m.kill()
-		w.tell(m.Name, 4*ms(w.Day.ListLate), func(x *wire.Entry) { x.Phase = wire.PhaseGone })
+		w.tell(m.Name, 4*ms(w.Scenario.ListLate), func(x *wire.Entry) { x.Phase = wire.PhaseGone })
 	}
 	var proxies []*plain
 	var seats []*seat
@@ -229,7 +229,7 @@
 	})
 }
 
-func (w *World) proxiesOf(t scenario.Trouble) (struck []*plain) {
+func (w *World) proxiesOf(t scenario.Fault) (struck []*plain) {
 	var names []string
 	by := map[string]*plain{}
 	for _, p := range w.proxies {
@@ -237,13 +237,13 @@
 			names, by[p.place.name] = append(names, p.place.name), p
 		}
 	}
-	for _, n := range t.Chosen(names, w.rnd) {
+	for _, n := range t.Targets(names, w.rnd) {
 		struck = append(struck, by[n])
 	}
 	return struck
 }
 
-func (w *World) proxyTrouble(t scenario.Trouble) {
+func (w *World) proxyTrouble(t scenario.Fault) {
 	struck := w.proxiesOf(t)
 	each := func(f func(p *plain)) func() {
 		return func() {
@@ -301,7 +301,7 @@
 	}
 }
 
-func (w *World) pilotTrouble(t scenario.Trouble) {
+func (w *World) pilotTrouble(t scenario.Fault) {
 	var names []string
 	by := map[string]*seat{}
 	for _, s := range w.seats {
@@ -314,7 +314,7 @@
 			}
 		}
 	}
-	struck := t.Chosen(names, w.rnd)
+	struck := t.Targets(names, w.rnd)
 	for i, n := range struck {
 		s := by[n]
 		switch t.What {
@@ -356,14 +356,14 @@
 
 // dealSlices has the store give each slice to one endpoint, in turn.
 func (w *World) dealSlices() {
-	for i := range w.Day.Slices {
+	for i := range w.Scenario.Slices {
 		w.owners = append(w.owners, w.machines[i%len(w.machines)].Name)
 		w.giveSlice(i)
 	}
 }
 
 func (w *World) giveSlice(i int) {
-	x := wire.Slices{Slice: i, Given: true, From: loadgen.Key(i * scenario.KeysEach), To: loadgen.Key((i + 1) * scenario.KeysEach),
+	x := wire.Slices{Slice: i, Given: true, From: loadgen.Key(i * scenario.KeysPerSlice), To: loadgen.Key((i + 1) * scenario.KeysPerSlice),
 		Lines: []wire.HeldLine{{Endpoint: w.owners[i], Weight: 1}}}
 	w.note("rehearsal", eventlog.Event{What: eventlog.Given, Peer: w.owners[i], N: i, Text: x.From})
 	w.list.give(x)
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -28,14 +28,14 @@
 
 // Play is one emulated day.
 type Play struct {
-	Day    *scenario.Day
-	Decide func(seed int64, terms map[string]any) controller.Decider // nil: the module
-	Bare   bool                                                      // no pilots: standing tables only
-	Talk   bool                                                      // pilots may tell each other
-	Keep   bool                                                      // all events are kept in the outcome
-	Log    func(atMs float64, pilot, text string)                    // the module's lines; nil: nobody
-	Trace  *Tracer                                                   // nil: none; it is for one run
-	Judged bool                                                      // false: no audit, for speed
+	Scenario *scenario.Scenario
+	Decide   func(seed int64, terms map[string]any) controller.Decider // nil: the module
+	Bare     bool                                                      // no pilots: standing tables only
+	Talk     bool                                                      // pilots may tell each other
+	Keep     bool                                                      // all events are kept in the outcome
+	Log      func(atMs float64, pilot, text string)                    // the module's lines; nil: nobody
+	Trace    *Tracer                                                   // nil: none; it is for one run
+	Audited  bool                                                      // false: no audit, for speed
 }
 
 // Outcome is what a day left.
@@ -54,7 +54,7 @@
 	Latency   *hdrhistogram.Histogram // µs, of reqs that were done
 	Load      map[string]float64      // busy part of each endpoint's cores over the day
 	ZoneOf    map[string]string       // of endpoints
-	Odd       map[string]int
+	Malformed map[string]int
 	Digest    uint64 // of all events: the same for the same day and program
 }
 
@@ -103,13 +103,13 @@
 	took := stopwatch()
 	w.begin()
 	w.clients()
-	for _, t := range p.Day.Troubles {
+	for _, t := range p.Scenario.Faults {
 		w.At(ms(t.At), func() {
 			w.note("rehearsal", eventlog.Event{What: eventlog.Note, Text: t.String()})
 			w.strike(t)
 		})
 	}
-	end := ms(p.Day.Length)
+	end := ms(p.Scenario.Length)
 	longest := slices.Max(w.limits)
 	for at := 0.0; at < end+2*longest; {
 		at = min(at+100, end+2*longest)
@@ -125,11 +125,11 @@
 }
 
 func newWorld(p Play) *World {
-	d := p.Day
+	d := p.Scenario
 	w := &World{Play: p, rnd: rand.New(rand.NewPCG(uint64(d.Seed), 5)), byName: map[string]*machine{},
 		entries: map[string]wire.Entry{}, kind: map[string]int{}, slowDial: map[string]float64{}, redial: ms(d.Redial), apply: ms(d.Apply),
 		period: ms(d.Period), firstWait: d.FirstWait, seenWithin: ms(d.DrainGrace) / 2}
-	w.out = &Outcome{Latency: hdrhistogram.New(1, 600_000_000, 3), Load: map[string]float64{}, ZoneOf: map[string]string{}, Odd: map[string]int{},
+	w.out = &Outcome{Latency: hdrhistogram.New(1, 600_000_000, 3), Load: map[string]float64{}, ZoneOf: map[string]string{}, Malformed: map[string]int{},
 		Starts: map[string][]Start{}}
 	w.ways = &ways{w: w, zones: map[string]*weather{}, dumb: map[string]bool{}, near: ms(d.Way)}
 	w.list = &source{w: w, place: place{name: "list"}, entries: map[string]wire.Entry{}, slices: map[int]wire.Slices{},
@@ -167,8 +167,8 @@
 func (w *World) note(who string, e eventlog.Event) {
 	e.At, e.Who = w.now, who
 	w.sum.add(&e)
-	if w.Judged {
-		w.auditor.Take(e)
+	if w.Audited {
+		w.auditor.Add(e)
 	}
 	if w.Keep {
 		w.out.Events = append(w.out.Events, e)
@@ -181,13 +181,13 @@
 	}
 }
 
-func (w *World) odd(what string, _ []string) { w.out.Odd[what]++ }
+func (w *World) odd(what string, _ []string) { w.out.Malformed[what]++ }
 
 func (w *World) fail(err error) { w.err = errors.Join(w.err, err) }
 
 // begin starts endpoints, list, pilots and proxies, in this order.
 func (w *World) begin() {
-	d := w.Day
+	d := w.Scenario
 	for gi, g := range d.Groups {
 		for i := range g.Count {
 			w.addMachine(fmt.Sprintf("%s-%s-%d", g.Zone, g.Machine, i), gi, false)
@@ -212,7 +212,7 @@
 	for i, z := range d.ProxyZones {
 		p := &plain{w: w, place: place{fmt.Sprintf("proxy-%s-%d", z, counts[z]), z}, rate: d.Rate / float64(len(d.ProxyZones)),
 			home: i, seed: uint64(d.Seed*1000 + i), reports: 1, heed: true,
-			habits: routing.Habits{Kinds: d.KindNames(), Pick: d.Pick, EjectsAfter: d.EjectsAfter, EjectMs: ms(d.EjectFor),
+			habits: routing.Policy{Kinds: d.ClassNames(), Pick: d.Pick, EjectsAfter: d.EjectsAfter, EjectMs: ms(d.EjectFor),
 				TryAgain: d.RetryHow}}
 		p.heed = !slices.Contains(d.Heedless, p.place.name)
 		counts[z]++
@@ -223,25 +223,25 @@
 
 func (w *World) pilotTerms(s *seat) config.Pilot {
 	t := config.Defaults()
-	t.Common, t.Name, t.Zone, t.Rank, t.Seed = w.Day.Common, s.place.name, s.place.zone, s.rank, w.Day.Seed+s.rank
-	t.IntakeLinesPerS, t.IntakeStanding = w.Day.IntakeLinesPerS, w.Day.IntakeStanding
-	t.MaxStreams = max(t.MaxStreams, 2*len(w.Day.ProxyZones))
+	t.Common, t.Name, t.Zone, t.Rank, t.Seed = w.Scenario.Common, s.place.name, s.place.zone, s.rank, w.Scenario.Seed+s.rank
+	t.IntakeLinesPerS, t.IntakeStanding = w.Scenario.IntakeLinesPerS, w.Scenario.IntakeStanding
+	t.MaxStreams = max(t.MaxStreams, 2*len(w.Scenario.ProxyZones))
 	return t
 }
 
 func (w *World) addMachine(name string, group int, cold bool) *machine {
-	g := w.Day.Groups[group]
+	g := w.Scenario.Groups[group]
 	speed := g.Speed * math.Exp(g.Spread*w.rnd.NormFloat64())
 	effects, dedup := map[string]bool{}, map[string]bool{}
-	for _, k := range w.Day.Kinds {
+	for _, k := range w.Scenario.Kinds {
 		effects[k.Name], dedup[k.Name] = k.Repeats != "replayable", k.Repeats == "uniqued"
 	}
 	m := &machine{w: w, place: place{name, g.Zone}, sharing: g.Discipline == "sharing", thrash: g.Thrash, ledger: map[uint64]bool{},
 		Model: endpoint.Model{Name: name, Zone: g.Zone, Machine: g.Machine, Cores: g.Cores, Speed: speed, Queue: g.Queue, Conns: g.Conns,
-			HandshakeMs: ms(g.Handshake), ReportEvery: 400 * time.Millisecond, ReportLag: 200 * time.Millisecond, Noise: w.Day.NoisyReports,
-			Cold: w.Day.Cold, ColdFrom: w.Day.ColdFrom, FallMultiple: w.Day.FallMultiple, Fall: w.Day.Fall, ComeBackMs: 200,
+			HandshakeMs: ms(g.Handshake), ReportEvery: 400 * time.Millisecond, ReportLag: 200 * time.Millisecond, Noise: w.Scenario.NoisyReports,
+			Cold: w.Scenario.Cold, ColdFrom: w.Scenario.ColdFrom, FallMultiple: w.Scenario.FallMultiple, Fall: w.Scenario.Fall, ComeBackMs: 200,
 			Effects: effects, Dedup: dedup}}
-	m.rnd = rand.New(rand.NewPCG(uint64(w.Day.Seed*7919+len(w.machines)), 11))
+	m.rnd = rand.New(rand.NewPCG(uint64(w.Scenario.Seed*7919+len(w.machines)), 11))
 	w.auditor.Place(name, name)
 	w.machines, w.byName[name] = append(w.machines, m), m
 	e := wire.Entry{Endpoint: name, Zone: g.Zone, Machine: g.Machine, Weight: float64(g.Cores) * g.Speed}
@@ -283,7 +283,7 @@
 	if len(near) >= 3 {
 		all = near
 	}
-	n := min(len(all), w.Day.Standing)
+	n := min(len(all), w.Scenario.Standing)
 	for i := range n {
 		j := i + w.rnd.IntN(len(all)-i)
 		all[i], all[j] = all[j], all[i]
@@ -297,7 +297,7 @@
 		return nil
 	}
 	home := p.home % len(w.seats)
-	if w.Day.ByZone {
+	if w.Scenario.ByZone {
 		if i := slices.IndexFunc(w.seats, func(s *seat) bool { return s.place.zone == p.place.zone }); i >= 0 {
 			home = i
 		}
@@ -329,7 +329,7 @@
 
 // clients ask reqs at their times, one drawn after another.
 func (w *World) clients() {
-	load := loadgen.Of(w.Day)
+	load := loadgen.Of(w.Scenario)
 	source := loadgen.NewSource(load)
 	name := uint64(0)
 	var next func()
@@ -348,7 +348,7 @@
 }
 
 // ask takes a client's req through its retries.
-func (w *World) ask(name uint64, a loadgen.Asked, k *loadgen.Kind, retries int, backoff float64) {
+func (w *World) ask(name uint64, a loadgen.Request, k *loadgen.Kind, retries int, backoff float64) {
 	w.out.Reqs++
 	start, until := w.now, w.now+ms(k.Timeout)
 	w.note("clients", eventlog.Event{What: eventlog.Asked, Kind: k.Name, Req: name})
@@ -361,7 +361,7 @@
 type asking struct {
 	w            *World
 	name         uint64
-	a            loadgen.Asked
+	a            loadgen.Request
 	k            *loadgen.Kind
 	start, until float64
 	tried        int
@@ -417,7 +417,7 @@
 // pilotStopped adds up what a pilot's process counted.
 func (w *World) pilotStopped(r *pilotRun) {
 	c := r.core.Channel
-	w.out.MostLines, w.out.Crowded = max(w.out.MostLines, c.MostSeen), max(w.out.Crowded, c.Crowded)
+	w.out.MostLines, w.out.Crowded = max(w.out.MostLines, c.MaxLines), max(w.out.Crowded, c.MaxMessages)
 	w.out.Lines += c.Sent
 }
 
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -110,7 +110,7 @@
 			require.NoError(t, os.WriteFile(r.Store+".again", text, 0o600))
 			r.Store += ".again"
 			_, err := r.Run(t.Context())
-			assert.ErrorIs(t, err, record.ErrTorn)
+			assert.ErrorIs(t, err, record.ErrCorrupt)
 			assert.ErrorContains(t, err, r.Store)
 		}
 	}
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -37,8 +37,8 @@
 }
 
 // factors are what can be varied, and what a level does to a day.
-var factors = map[string]func(d *scenario.Day, v float64){
-	"size": func(d *scenario.Day, v float64) { // endpoints, proxies, reqs and the channel together
+var factors = map[string]func(d *scenario.Scenario, v float64){
+	"size": func(d *scenario.Scenario, v float64) { // endpoints, proxies, reqs and the channel together
 		count(d, v)
 		crowd(d, v)
 		d.Rate *= v
@@ -47,28 +47,28 @@
 	},
 	"endpoints": count,
 	"proxies":   crowd,
-	"load":      func(d *scenario.Day, v float64) { d.Rate *= v },
-	"pilots": func(d *scenario.Day, v float64) {
+	"load":      func(d *scenario.Scenario, v float64) { d.Rate *= v },
+	"pilots": func(d *scenario.Scenario, v float64) {
 		d.PilotZones = nil
 		for i := range int(v) {
 			d.PilotZones = append(d.PilotZones, d.Zones[i%len(d.Zones)])
 		}
 		d.Instances = max(1, int(v))
 	},
-	"report_s": func(d *scenario.Day, v float64) { d.Period = time.Duration(v * float64(time.Second)) },
-	"way_ms":   func(d *scenario.Day, v float64) { d.Way = time.Duration(v * float64(time.Millisecond)) },
-	"record":   func(d *scenario.Day, v float64) { d.Record = v > 0 },
-	"uneven":   func(d *scenario.Day, v float64) { d.Uneven = v },
-	"length_s": func(d *scenario.Day, v float64) { d.Length = time.Duration(v * float64(time.Second)) },
+	"report_s": func(d *scenario.Scenario, v float64) { d.Period = time.Duration(v * float64(time.Second)) },
+	"way_ms":   func(d *scenario.Scenario, v float64) { d.Way = time.Duration(v * float64(time.Millisecond)) },
+	"record":   func(d *scenario.Scenario, v float64) { d.Record = v > 0 },
+	"uneven":   func(d *scenario.Scenario, v float64) { d.Uneven = v },
+	"length_s": func(d *scenario.Scenario, v float64) { d.Length = time.Duration(v * float64(time.Second)) },
 }
 
-func count(d *scenario.Day, v float64) {
+func count(d *scenario.Scenario, v float64) {
 	for i := range d.Groups {
 		d.Groups[i].Count = max(1, int(float64(d.Groups[i].Count)*v+0.5))
 	}
 }
 
-func crowd(d *scenario.Day, v float64) {
+func crowd(d *scenario.Scenario, v float64) {
 	zones := slices.Clone(d.ProxyZones)
 	d.ProxyZones = nil
 	for i := range max(1, int(float64(len(zones))*v+0.5)) {
@@ -99,10 +99,10 @@
 	if !diags.HasErrors() {
 		diags = config.Read(body, []config.Field{{Name: "about", Into: &p.About}, {Name: "day", Into: &p.Day, Needed: true},
 			{Name: "repeats", Into: &p.Repeats, Least: 1, Most: 10000}, {Name: "budget", Into: &p.Budget, Least: 1},
-			{Name: "policies", Into: &p.Policies}}, []config.Sub{{Name: "factor", Labels: 1, Read: p.factor}})
+			{Name: "policies", Into: &p.Policies}}, []config.Block{{Name: "factor", Labels: 1, Read: p.factor}})
 	}
 	if diags.HasErrors() {
-		return nil, config.Complaints(diags)
+		return nil, config.DiagnosticsError(diags)
 	}
 	for _, x := range p.Policies {
 		if !slices.Contains(policies(), x) {
@@ -137,8 +137,8 @@
 }
 
 // load reads the day anew: levels change it.
-func (p *Plan) load() (*scenario.Day, error) {
-	if slices.Contains(scenario.Days(), p.Day) || filepath.IsAbs(p.Day) {
+func (p *Plan) load() (*scenario.Scenario, error) {
+	if slices.Contains(scenario.Names(), p.Day) || filepath.IsAbs(p.Day) {
 		return scenario.Load(p.Day)
 	}
 	return scenario.Load(filepath.Join(p.folder, p.Day))
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -189,7 +189,7 @@
 	if ctx.Err() != nil {
 		return nil, false, context.Cause(ctx)
 	}
-	play := emulator.Play{Day: d, Judged: true}
+	play := emulator.Play{Scenario: d, Audited: true}
 	switch c.Policy {
 	case Ours:
 	case Standing:
@@ -249,7 +249,7 @@
 		r.Nearest = max(r.Nearest, v.Part)
 		if !v.Kept() {
 			r.Broken++
-			r.Text += fmt.Sprintf("%s: %.2f s %s %s; ", v.Rule, v.Breaches[0].At/1000, v.Breaches[0].Who, v.Breaches[0].Text)
+			r.Text += fmt.Sprintf("%s: %.2f s %s %s; ", v.Rule, v.Violations[0].At/1000, v.Violations[0].Who, v.Violations[0].Text)
 		}
 	}
 	for _, q := range quantiles {
--- a/internal/handover/errors.go
+++ b/internal/handover/errors.go
@@ -8,6 +8,6 @@
 	ErrBusy = errors.New("another handover is under way")
 	// ErrBroken says that the connection or a message on it was not as it should be.
 	ErrBroken = errors.New("the handover broke")
-	// ErrHeld says that another process holds the lock.
-	ErrHeld = errors.New("another process of this pilot serves")
+	// ErrLocked says that another process holds the lock.
+	ErrLocked = errors.New("another process of this pilot serves")
 )
--- a/internal/handover/handoff.go
+++ b/internal/handover/handoff.go
@@ -25,14 +25,14 @@
 	defaultPatience = 100
 )
 
-// Offer is the side that hands off: the process that runs the controller.
-type Offer struct {
+// Handoff is the side that hands off: the process that runs the controller.
+type Handoff struct {
 	Files map[string]*os.File // listeners by name
 	// Stop ends the controller, its streams and its record, releases the lock, and returns when nothing of it writes any
 	// more.
 	Stop func()
 	// Resume starts the controller again, on the same listeners, with the lock got anew.
-	Resume func(*Claimed)
+	Resume func(*Lock)
 	// Patience is how often, 0.1 s apart, the lock is tried after the new process was lost; 0: a hundred times.
 	Patience int
 
@@ -41,7 +41,7 @@
 
 // Serve answers those who want to take over, one at a time, until one has or ctx ends. It returns whether one has. When it
 // returns, so have all goroutines that it started.
-func (o *Offer) Serve(ctx context.Context, socket string) (bool, error) {
+func (o *Handoff) Serve(ctx context.Context, socket string) (bool, error) {
 	o.socket = socket
 	listener, err := listenOn(socket)
 	if err != nil {
@@ -64,7 +64,7 @@
 
 // handoffServer accepts connections on the handover socket.
 type handoffServer struct {
-	offer    *Offer
+	offer    *Handoff
 	listener *net.UnixListener
 	slots    chan struct{} // one for each connection that is looked at
 	busy     atomic.Bool   // a handover is under way
@@ -130,8 +130,8 @@
 }
 
 // handOver goes through the steps with a process that wants to take over and returns whether it has.
-func (o *Offer) handOver(ctx context.Context, conn *net.UnixConn) bool {
-	machine := recovery.Old{Patience: cmp.Or(o.Patience, defaultPatience)}
+func (o *Handoff) handOver(ctx context.Context, conn *net.UnixConn) bool {
+	machine := recovery.Predecessor{Patience: cmp.Or(o.Patience, defaultPatience)}
 	event := recovery.Asked
 	for {
 		switch machine.Next(event) {
@@ -143,23 +143,23 @@
 		case recovery.SayGo:
 			event = exchange(conn, message{Step: stepGo}, nil, stepServing, recovery.ServingCame)
 		case recovery.Claim:
-			lock, err := GetClaim(o.socket)
+			lock, err := AcquireLock(o.socket)
 			if err != nil {
 				event = recovery.Refused
-				backoff.For(ctx, lockRetryInterval)
+				backoff.Sleep(ctx, lockRetryInterval)
 				continue
 			}
 			machine.Next(recovery.Claimed)
 			o.Resume(lock)
 			return false
 		default:
-			return machine.Gone()
+			return machine.Replaced()
 		}
 	}
 }
 
 // offerListeners sends the listeners and waits until the successor is ready.
-func (o *Offer) offerListeners(conn *net.UnixConn) recovery.Event {
+func (o *Handoff) offerListeners(conn *net.UnixConn) recovery.Event {
 	m := message{Step: stepOffer}
 	var files []*os.File
 	for name, file := range o.Files {
@@ -174,7 +174,7 @@
 	if err := send(conn, m, files); err != nil {
 		return recovery.Lost
 	}
-	if err := expect(conn, step, Within); err != nil {
+	if err := expect(conn, step, StepTimeout); err != nil {
 		return recovery.Lost
 	}
 	return came
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -20,10 +20,10 @@
 const patience = 8
 
 // requestUntilOffered requests to take over, again until somebody listens.
-func requestUntilOffered(t *testing.T, socket string) (takeover *Taking) {
+func requestUntilOffered(t *testing.T, socket string) (takeover *Takeover) {
 	require.Eventually(t, func() bool {
 		var err error
-		takeover, err = Take(socket)
+		takeover, err = RequestTakeover(socket)
 		return err == nil
 	}, 5*time.Second, time.Millisecond)
 	return takeover
@@ -56,7 +56,7 @@
 func mustClose(t *testing.T, c io.Closer) { assert.NoError(t, c.Close()) }
 
 // claimed requests to take over until it has the lock.
-func claimed(t *testing.T, socket string) (*Taking, *Claimed) {
+func claimed(t *testing.T, socket string) (*Takeover, *Lock) {
 	takeover := requestUntilOffered(t, socket)
 	lock, err := takeover.Claim()
 	require.NoError(t, err)
@@ -86,17 +86,17 @@
 			defer mustClose(t, l)
 			defer mustClose(t, file)
 			socket := filepath.Join(t.TempDir(), "handover.sock")
-			lock, err := GetClaim(socket)
+			lock, err := AcquireLock(socket)
 			require.NoError(t, err)
-			_, err = GetClaim(socket)
-			require.ErrorIs(t, err, ErrHeld)
+			_, err = AcquireLock(socket)
+			require.ErrorIs(t, err, ErrLocked)
 			stops := 0
 			resumes := 0
-			handoff := Offer{
+			handoff := Handoff{
 				Files:    map[string]*os.File{"streams": file},
 				Patience: patience,
-				Stop:     func() { stops++; lock.LetGo() },
-				Resume:   func(again *Claimed) { resumes++; again.LetGo() },
+				Stop:     func() { stops++; lock.Release() },
+				Resume:   func(again *Lock) { resumes++; again.Release() },
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			taken := make(chan bool, 1)
@@ -117,55 +117,55 @@
 			assert.Equal(t, c.resumes, resumes)
 		})
 	}
-	_, err := Take(filepath.Join(t.TempDir(), "nobody"))
+	_, err := RequestTakeover(filepath.Join(t.TempDir(), "nobody"))
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
 
 func takeOver(t *testing.T, socket string) {
 	takeover, lock := claimed(t, socket)
-	defer lock.LetGo()
+	defer lock.Release()
 	takeover.Started(true)
-	takeover.Drop()
+	takeover.Abort()
 }
 
 // takeOverSilently holds the lock for longer than the predecessor's patience.
 func takeOverSilently(t *testing.T, socket string) {
 	takeover, lock := claimed(t, socket)
-	takeover.Drop()
+	takeover.Abort()
 	time.Sleep((patience + 4) * lockRetryInterval)
-	lock.LetGo()
+	lock.Release()
 }
 
 func giveUpAfterOffer(t *testing.T, socket string) {
-	requestUntilOffered(t, socket).Drop()
+	requestUntilOffered(t, socket).Abort()
 }
 
 func dieWhenReady(t *testing.T, socket string) {
 	takeover := requestUntilOffered(t, socket)
 	require.NoError(t, send(takeover.conn, message{Step: stepReady}, nil))
-	takeover.Drop()
+	takeover.Abort()
 }
 
 // dieWithLock releases the lock within the predecessor's patience, as the kernel does when a process is dead.
 func dieWithLock(t *testing.T, socket string) {
 	takeover, lock := claimed(t, socket)
-	takeover.Drop()
+	takeover.Abort()
 	time.Sleep(3 * lockRetryInterval)
-	lock.LetGo()
+	lock.Release()
 	time.Sleep(3 * lockRetryInterval)
 }
 
 func takeOverBeforeAnother(t *testing.T, socket string) {
 	takeover := requestUntilOffered(t, socket)
-	_, err := Take(socket)
+	_, err := RequestTakeover(socket)
 	assert.ErrorIs(t, err, ErrBusy)
 	lock, err := takeover.Claim()
 	require.NoError(t, err)
-	defer lock.LetGo()
-	_, err = Take(socket)
+	defer lock.Release()
+	_, err = RequestTakeover(socket)
 	assert.ErrorIs(t, err, ErrBusy)
 	takeover.Started(true)
-	takeover.Drop()
+	takeover.Abort()
 }
 
 func sendNoise(t *testing.T, socket string) {
@@ -184,10 +184,10 @@
 	socket := filepath.Join(t.TempDir(), "handover.sock")
 	done := make(chan bool, 1)
 	go func() {
-		handoff := Offer{
+		handoff := Handoff{
 			Files:  map[string]*os.File{"streams": file},
 			Stop:   func() { mustClose(t, l) },
-			Resume: func(*Claimed) {},
+			Resume: func(*Lock) {},
 		}
 		ok, _ := handoff.Serve(t.Context(), socket)
 		mustClose(t, file)
@@ -195,7 +195,7 @@
 	}()
 	awaitSocket(t, socket)
 	takeover, lock := claimed(t, socket)
-	defer lock.LetGo()
+	defer lock.Release()
 	client, err := net.Dial("tcp", address) // nobody accepts now
 	require.NoError(t, err)
 	defer mustClose(t, client)
@@ -209,5 +209,5 @@
 	got, err := io.ReadAll(client)
 	require.NoError(t, err)
 	assert.Equal(t, "hello", string(got))
-	takeover.Drop()
+	takeover.Abort()
 }
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -23,8 +23,8 @@
 	stepServing = "serving" // successor: it serves
 )
 
-// Within is how long a side waits for each step of the other, and for its own message to go out.
-const Within = 20 * time.Second
+// StepTimeout is how long a side waits for each step of the other, and for its own message to go out.
+const StepTimeout = 20 * time.Second
 
 // maxMessageBytes bounds a message, and the files that come along, as they are in its control data.
 const maxMessageBytes = 4096
@@ -47,7 +47,7 @@
 	for _, file := range files {
 		descriptors = append(descriptors, int(file.Fd()))
 	}
-	_ = conn.SetWriteDeadline(time.Now().Add(Within)) // fails only if the write below does
+	_ = conn.SetWriteDeadline(time.Now().Add(StepTimeout)) // fails only if the write below does
 	if _, _, err := conn.WriteMsgUnix(text, syscall.UnixRights(descriptors...), nil); err != nil {
 		return fmt.Errorf("say %s: %w", m.Step, err)
 	}
--- a/internal/handover/message_hostile_test.go
+++ b/internal/handover/message_hostile_test.go
@@ -20,7 +20,7 @@
 	socket := filepath.Join(t.TempDir(), "handover.sock")
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	handoff := Offer{Stop: func() { t.Error("stopped for a bad asker") }, Resume: func(*Claimed) {}}
+	handoff := Handoff{Stop: func() { t.Error("stopped for a bad asker") }, Resume: func(*Lock) {}}
 	go func() { _, err := handoff.Serve(ctx, socket); ended <- err }()
 	defer func() { cancel(); assert.NoError(t, <-ended) }()
 	mustClose(t, dialSocket(t, socket))
@@ -46,7 +46,7 @@
 	}
 	assertNoGoroutinesStay(t, socket)
 	assertNoFilesStay(t, socket)
-	requestUntilOffered(t, socket).Drop() // while one is still silent
+	requestUntilOffered(t, socket).Abort() // while one is still silent
 }
 
 // assertNoGoroutinesStay makes many connections that end at once.
--- a/internal/handover/takeover.go
+++ b/internal/handover/takeover.go
@@ -9,42 +9,42 @@
 	"indigousher/recovery"
 )
 
-// Taking is the side that takes over: a new process that has been offered the listeners. Claim comes first, then Started
+// Takeover is the side that takes over: a new process that has been offered the listeners. Claim comes first, then Started
 // or Drop.
-type Taking struct {
+type Takeover struct {
 	Listeners map[string]net.Listener // by name; the caller's to close after Claim
 
 	conn    *net.UnixConn
 	socket  string
-	machine *recovery.New
+	machine *recovery.Successor
 }
 
-// Take asks the process that runs for its listeners. The error is ErrBusy if it is handing over to another one, and
+// RequestTakeover asks the process that runs for its listeners. The error is ErrBusy if it is handing over to another one, and
 // os.ErrNotExist if there is no handover socket.
-func Take(socket string) (*Taking, error) {
+func RequestTakeover(socket string) (*Takeover, error) {
 	conn, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: socket, Net: "unixpacket"})
 	if err != nil {
 		return nil, fmt.Errorf("take over: %w", err)
 	}
-	t := &Taking{
+	t := &Takeover{
 		Listeners: map[string]net.Listener{},
 		conn:      conn,
 		socket:    socket,
-		machine:   recovery.NewSide(),
+		machine:   recovery.NewSuccessor(),
 	}
 	if err := t.requestListeners(); err != nil {
-		t.Drop()
+		t.Abort()
 		return nil, err
 	}
 	return t, nil
 }
 
 // requestListeners sends the request and takes in the offer.
-func (t *Taking) requestListeners() error {
+func (t *Takeover) requestListeners() error {
 	if err := send(t.conn, message{Step: stepRequest}, nil); err != nil {
 		return err
 	}
-	m, files, err := receive(t.conn, stepOffer, Within)
+	m, files, err := receive(t.conn, stepOffer, StepTimeout)
 	if err != nil {
 		return fmt.Errorf("take over: %w", err)
 	}
@@ -55,7 +55,7 @@
 	return t.addListeners(m.Names, files)
 }
 
-func (t *Taking) addListeners(names []string, files []*os.File) error {
+func (t *Takeover) addListeners(names []string, files []*os.File) error {
 	for i, file := range files {
 		listener, err := net.FileListener(file)
 		if err != nil {
@@ -68,7 +68,7 @@
 
 // Claim says that all that can be checked is good, waits until the old process has stopped its controller and takes the
 // lock. If the old process is lost instead, the lock tells whether it still serves.
-func (t *Taking) Claim() (*Claimed, error) {
+func (t *Takeover) Claim() (*Lock, error) {
 	event := recovery.Offered
 	var failure error // what led to the end
 	for {
@@ -79,7 +79,7 @@
 				event = recovery.Lost
 			}
 		case recovery.Claim:
-			lock, err := GetClaim(t.socket)
+			lock, err := AcquireLock(t.socket)
 			if err == nil {
 				t.machine.Next(recovery.Claimed)
 				return lock, nil
@@ -93,16 +93,16 @@
 }
 
 // awaitStop says that this process can start and waits until the old one has stopped its controller.
-func (t *Taking) awaitStop() error {
+func (t *Takeover) awaitStop() error {
 	if err := send(t.conn, message{Step: stepReady}, nil); err != nil {
 		return err
 	}
-	return expect(t.conn, stepGo, Within)
+	return expect(t.conn, stepGo, StepTimeout)
 }
 
 // Started reports whether the controller runs; if so the old process is told, and ends. That it can't be told changes
 // nothing: who holds the lock serves.
-func (t *Taking) Started(runs bool) {
+func (t *Takeover) Started(runs bool) {
 	event := recovery.Started
 	if !runs {
 		event = recovery.Failed
@@ -113,8 +113,8 @@
 	_ = t.conn.Close()
 }
 
-// Drop gives up: the old process goes on.
-func (t *Taking) Drop() {
+// Abort gives up: the old process goes on.
+func (t *Takeover) Abort() {
 	for _, listener := range t.Listeners {
 		_ = listener.Close() // a handle of this process
 	}
--- a/internal/identity/keys.go
+++ b/internal/identity/keys.go
@@ -47,8 +47,8 @@
 // ErrIdentity says that a certificate names nobody, or somebody that may not be here.
 var ErrIdentity = errors.New("not an identity that is let in")
 
-// Of reads the identity from a certificate.
-func Of(c *x509.Certificate) (Identity, error) {
+// FromCertificate reads the identity from a certificate.
+func FromCertificate(c *x509.Certificate) (Identity, error) {
 	var found []Identity
 	for _, u := range c.URIs {
 		if i, ok := parse(u); ok {
@@ -71,8 +71,8 @@
 	return i, true
 }
 
-// Named returns an identity, if its parts can stand in a certificate.
-func Named(role, zone, name string) (Identity, error) {
+// New returns an identity, if its parts can stand in a certificate.
+func New(role, zone, name string) (Identity, error) {
 	i, ok := parse(&url.URL{Scheme: scheme, Host: role, Path: "/" + zone + "/" + name})
 	if !ok || zone == "" {
 		return Identity{}, fmt.Errorf("%s/%s/%s, roles are %v: %w", role, zone, name, roles, ErrIdentity)
@@ -85,9 +85,9 @@
 
 func (f Files) list() []string { return []string{f.Authority, f.Certificate, f.Key} }
 
-// Ring holds one's own certificate and the authority that others are checked against. Files that change are read anew
+// KeyStore holds one's own certificate and the authority that others are checked against. Files that change are read anew
 // at the next handshake; wrong ones leave the old in force.
-type Ring struct {
+type KeyStore struct {
 	files   Files
 	refused func(peer net.Addr, err error) // tells operators
 	mu      sync.Mutex
@@ -100,8 +100,8 @@
 const lookEvery = 200 * time.Millisecond
 
 // Load reads a ring. Refused is called, if not nil, for each peer that is turned away.
-func Load(f Files, refused func(net.Addr, error)) (*Ring, error) {
-	r := &Ring{files: f, refused: refused}
+func Load(f Files, refused func(net.Addr, error)) (*KeyStore, error) {
+	r := &KeyStore{files: f, refused: refused}
 	if err := r.read(); err != nil {
 		return nil, err
 	}
@@ -142,7 +142,7 @@
 	return t, nil
 }
 
-func (r *Ring) read() error {
+func (r *KeyStore) read() error {
 	stamp, err := newest(r.files.list()...)
 	if err != nil {
 		return err
@@ -156,7 +156,7 @@
 			return fmt.Errorf("keys: %s: %w", r.files.Certificate, err)
 		}
 	}
-	if _, err := Of(cert.Leaf); err != nil {
+	if _, err := FromCertificate(cert.Leaf); err != nil {
 		return fmt.Errorf("keys: %s: %w", r.files.Certificate, err)
 	}
 	pem, err := os.ReadFile(r.files.Authority)
@@ -172,15 +172,15 @@
 }
 
 // now returns the keys in force, after a look at the files.
-func (r *Ring) now() (*tls.Certificate, *x509.CertPool) {
+func (r *KeyStore) now() (*tls.Certificate, *x509.CertPool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.seen.anew(r.read, r.files.list()...)
 	return r.cert, r.pool
 }
 
-// Wrong returns what is wrong with files that have changed since they were read, if anything.
-func (r *Ring) Wrong() error {
+// Err returns what is wrong with files that have changed since they were read, if anything.
+func (r *KeyStore) Err() error {
 	r.now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -188,20 +188,20 @@
 }
 
 // Expires returns when one's own certificate ends.
-func (r *Ring) Expires() time.Time {
+func (r *KeyStore) Expires() time.Time {
 	cert, _ := r.now()
 	return cert.Leaf.NotAfter
 }
 
 // Identity returns who the ring's own certificate says one is.
-func (r *Ring) Identity() Identity {
+func (r *KeyStore) Identity() Identity {
 	cert, _ := r.now()
-	i, _ := Of(cert.Leaf) // checked when it was read
+	i, _ := FromCertificate(cert.Leaf) // checked when it was read
 	return i
 }
 
 // Server is for listeners that let some roles in.
-func (r *Ring) Server(let ...Role) *tls.Config {
+func (r *KeyStore) Server(let ...Role) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{"h2"},
 		GetConfigForClient: func(h *tls.ClientHelloInfo) (*tls.Config, error) {
 			cert, pool := r.now()
@@ -218,7 +218,7 @@
 }
 
 // Client is for those who dial one that has a role. Names of hosts don't count, identities do.
-func (r *Ring) Client(want ...Role) *tls.Config {
+func (r *KeyStore) Client(want ...Role) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{"h2"},
 		InsecureSkipVerify: true, // by host name; VerifyConnection checks the chain and the identity
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
@@ -244,7 +244,7 @@
 	if _, err := leaf.Verify(x509.VerifyOptions{Roots: pool, Intermediates: between, KeyUsages: []x509.ExtKeyUsage{use}}); err != nil {
 		return fmt.Errorf("certificate %q: %w", leaf.Subject.CommonName, err)
 	}
-	i, err := Of(leaf)
+	i, err := FromCertificate(leaf)
 	if err != nil {
 		return err
 	}
@@ -254,10 +254,10 @@
 	return nil
 }
 
-// Peer returns the identity of a connection's other side.
-func Peer(s tls.ConnectionState) (Identity, error) {
+// FromConnection returns the identity of a connection's other side.
+func FromConnection(s tls.ConnectionState) (Identity, error) {
 	if len(s.PeerCertificates) == 0 {
 		return Identity{}, fmt.Errorf("no certificate: %w", ErrIdentity)
 	}
-	return Of(s.PeerCertificates[0])
+	return FromCertificate(s.PeerCertificates[0])
 }
--- a/internal/identity/secret.go
+++ b/internal/identity/secret.go
@@ -99,8 +99,8 @@
 	return s.boxes
 }
 
-// Wrong returns what is wrong with a file that has changed since it was read, if anything.
-func (s *Secret) Wrong() error {
+// Err returns what is wrong with a file that has changed since it was read, if anything.
+func (s *Secret) Err() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.now()
@@ -138,9 +138,9 @@
 	return 0, nil, ErrSeal
 }
 
-// Once tells repeats of numbered messages from one sender: each number counts once, and none far below the newest.
+// ReplayFilter tells repeats of numbered messages from one sender: each number counts once, and none far below the newest.
 // Its zero value has seen nothing.
-type Once struct {
+type ReplayFilter struct {
 	seen   []uint64
 	newest uint64
 }
@@ -151,8 +151,8 @@
 	onceWithin = uint64(5 * time.Second)
 )
 
-// New returns whether a number is met for the first time.
-func (o *Once) New(number uint64) bool {
+// Accept returns whether a number is met for the first time.
+func (o *ReplayFilter) Accept(number uint64) bool {
 	if number+onceWithin < o.newest || slices.Contains(o.seen, number) ||
 		len(o.seen) == onceKeeps && number < o.seen[0] {
 		return false
--- a/internal/platform/discovery/agent.go
+++ b/internal/platform/discovery/agent.go
@@ -95,10 +95,10 @@
 }
 
 // Counters of the calls, for the pilot's book-keeping.
-type Counters struct{ Calls, Failed, Lists, Odd atomic.Int64 }
+type Counters struct{ Calls, Failed, Lists, Malformed atomic.Int64 }
 
-// Agent follows the list.
-type Agent struct {
+// Client follows the list.
+type Client struct {
 	Counters Counters
 	inbox    controller.Inbox
 	log      *zap.Logger
@@ -113,12 +113,12 @@
 }
 
 // New returns an agent that does nothing before Run. With watch it follows the list unasked.
-func New(address string, watch bool, inbox controller.Inbox, log *zap.Logger) *Agent {
-	return &Agent{address: address, watching: watch, inbox: inbox, log: log, wake: make(chan struct{}, 1)}
+func New(address string, watch bool, inbox controller.Inbox, log *zap.Logger) *Client {
+	return &Client{address: address, watching: watch, inbox: inbox, log: log, wake: make(chan struct{}, 1)}
 }
 
 // Watch begins or ends following the list.
-func (a *Agent) Watch(on bool) {
+func (a *Client) Watch(on bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.watching = on
@@ -126,15 +126,15 @@
 }
 
 // Fetch asks for the whole list once.
-func (a *Agent) Fetch() {
+func (a *Client) Fetch() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.fetch = true
 	a.nudge()
 }
 
-// Move has calls go to another address. The call under way is given up, the version held is kept.
-func (a *Agent) Move(address string) {
+// SetAddress has calls go to another address. The call under way is given up, the version held is kept.
+func (a *Client) SetAddress(address string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.address == address {
@@ -147,7 +147,7 @@
 	a.nudge()
 }
 
-func (a *Agent) nudge() {
+func (a *Client) nudge() {
 	select {
 	case a.wake <- struct{}{}:
 	default:
@@ -155,7 +155,7 @@
 }
 
 // Run follows the list until ctx ends.
-func (a *Agent) Run(ctx context.Context) error {
+func (a *Client) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		a.mu.Lock()
 		address, wanted := a.address, a.watching || a.fetch
@@ -176,14 +176,14 @@
 		if err != nil && !moved {
 			a.Counters.Failed.Add(1)
 			a.log.Debug("discovery", zap.String("address", address), zap.Error(err))
-			backoff.For(ctx, failedPause)
+			backoff.Sleep(ctx, failedPause)
 		}
 	}
 	return nil
 }
 
 // connected makes calls on one connection until it fails or nothing is wanted.
-func (a *Agent) connected(ctx context.Context, address string) error {
+func (a *Client) connected(ctx context.Context, address string) error {
 	conn, err := (&net.Dialer{Timeout: dialWithin}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return fmt.Errorf("dial discovery: %w", err)
@@ -206,7 +206,7 @@
 		if err != nil {
 			return err
 		}
-		a.Counters.Odd.Add(int64(odd))
+		a.Counters.Malformed.Add(int64(odd))
 		if err := a.take(ctx, l, path == whole); err != nil || last {
 			return err
 		}
@@ -214,7 +214,7 @@
 }
 
 // next returns the next call's path and how long it may take.
-func (a *Agent) next() (path string, within time.Duration, wanted bool) {
+func (a *Client) next() (path string, within time.Duration, wanted bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.fetch || !a.have {
@@ -232,14 +232,14 @@
 
 // take hands a list over. Changes without entries only say that the watch lives. Changes to what is not held here,
 // where the whole list was asked for or the version went back, count as told; the whole list is asked for next.
-func (a *Agent) take(ctx context.Context, l *wire.List, askedWhole bool) error {
+func (a *Client) take(ctx context.Context, l *wire.List, askedWhole bool) error {
 	a.mu.Lock()
 	unbased := !l.Whole && (askedWhole || a.have && l.Version < a.index)
 	a.have, a.index = !unbased, l.Version
 	a.mu.Unlock()
 	if l.Whole || len(l.Entries) > 0 {
 		a.Counters.Lists.Add(1)
-		if err := a.inbox.Post(ctx, controller.Listed{List: l}); err != nil {
+		if err := a.inbox.Post(ctx, controller.EndpointsListed{List: l}); err != nil {
 			return err
 		}
 	}
--- a/internal/platform/discovery/agent_test.go
+++ b/internal/platform/discovery/agent_test.go
@@ -31,7 +31,7 @@
 func (b *inbox) Post(_ context.Context, in controller.Input) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.got = append(b.got, in.(controller.Listed).List)
+	b.got = append(b.got, in.(controller.EndpointsListed).List)
 	return nil
 }
 
@@ -124,7 +124,7 @@
 	return append([]string{}, s.paths...)
 }
 
-func run(t *testing.T, a *Agent) {
+func run(t *testing.T, a *Client) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- a.Run(ctx) }()
@@ -173,8 +173,8 @@
 	a := New(old.l.Addr().String(), true, b, zap.NewNop())
 	run(t, a)
 	require.Eventually(t, func() bool { return len(old.asked()) > 1 }, 5*time.Second, time.Millisecond)
-	a.Move(now.l.Addr().String())
-	a.Move(now.l.Addr().String())
+	a.SetAddress(now.l.Addr().String())
+	a.SetAddress(now.l.Addr().String())
 	require.Eventually(t, func() bool { return len(now.asked()) > 1 }, 5*time.Second, time.Millisecond)
 	assert.Equal(t, []int{4, 5}, b.versions())
 	assert.Contains(t, now.asked()[0], "index=")
--- a/internal/platform/listener/line.go
+++ b/internal/platform/listener/line.go
@@ -64,7 +64,7 @@
 
 func figure(text []byte) (float64, bool) {
 	v, err := strconv.ParseFloat(string(text), 64)
-	return v, err == nil && planner.Sound(v) // not-a-number is not sound
+	return v, err == nil && planner.ValidRate(v) // not-a-number is not sound
 }
 
 func (w *words) name(name string) (string, bool) {
@@ -74,15 +74,15 @@
 
 // heard reads a report on an endpoint.
 func heard(w *words) (controller.Input, error) {
-	m := controller.ZoneMet{}
+	m := controller.ZoneStats{}
 	var ok [6]bool
 	m.Zone, ok[0] = w.name("locality")
 	m.Endpoint, ok[1] = w.name("endpoint")
-	m.Tries, ok[2] = w.count("total")
+	m.Attempts, ok[2] = w.count("total")
 	m.Failed, ok[3] = w.count("errors")
 	m.MeanMs, ok[4] = w.figure("rtt")
 	m.SpanMs, ok[5] = w.figure("interval")
-	if ok != [6]bool{true, true, true, true, true, true} || m.Failed > m.Tries || m.SpanMs == 0 {
+	if ok != [6]bool{true, true, true, true, true, true} || m.Failed > m.Attempts || m.SpanMs == 0 {
 		return nil, ErrLine
 	}
 	if text := w.get("metrics"); len(text) > 0 {
@@ -103,14 +103,14 @@
 
 // usage reads a report on a proxy.
 func usage(w *words) (controller.Input, error) {
-	d := controller.ProxyDemand{}
+	d := controller.ProxyStats{}
 	var ok [5]bool
 	d.Proxy, ok[0] = w.count("node")
-	d.Kind, ok[1] = w.name("route")
-	d.Reqs, ok[2] = w.count("total")
+	d.Class, ok[1] = w.name("route")
+	d.Requests, ok[2] = w.count("total")
 	d.Unanswered, ok[3] = w.count("errors")
 	d.SpanMs, ok[4] = w.figure("interval")
-	if ok != [5]bool{true, true, true, true, true} || d.Unanswered > d.Reqs || d.SpanMs == 0 {
+	if ok != [5]bool{true, true, true, true, true} || d.Unanswered > d.Requests || d.SpanMs == 0 {
 		return nil, ErrLine
 	}
 	return d, nil
--- a/internal/platform/listener/listener.go
+++ b/internal/platform/listener/listener.go
@@ -35,7 +35,7 @@
 )
 
 // Counters of what came, for the pilot's book-keeping.
-type Counters struct{ Accepted, Collectors, Reports, Spoilt, Refused, Silent, Evicted atomic.Int64 }
+type Counters struct{ Accepted, Collectors, Reports, Malformed, Refused, Silent, Evicted atomic.Int64 }
 
 // Listener accepts connections.
 type Listener struct {
@@ -71,9 +71,9 @@
 				_ = g.Wait() // only says that the listener is closed
 				return nil
 			}
-			if backoff.Passing(err) { // no free descriptor: the oldest stranger goes
+			if backoff.Temporary(err) { // no free descriptor: the oldest stranger goes
 				d.evict(0)
-				backoff.For(ctx, 5*time.Millisecond)
+				backoff.Sleep(ctx, 5*time.Millisecond)
 				continue
 			}
 			return fmt.Errorf("accept on %s: %w", l.Addr(), err)
@@ -260,7 +260,7 @@
 		}
 		in, readable := report(&w, line)
 		if in == nil {
-			d.Counters.Spoilt.Add(1)
+			d.Counters.Malformed.Add(1)
 			if spoilt++; readable {
 				spoilt = 0
 			}
--- a/internal/platform/listener/listener_test.go
+++ b/internal/platform/listener/listener_test.go
@@ -92,10 +92,10 @@
 
 // TestCollectors guards that a spoilt report costs itself alone, wherever its line is cut.
 func TestCollectors(t *testing.T) {
-	good := controller.ZoneMet{Zone: "a", Endpoint: "x", Tries: 9, Failed: 2, MeanMs: 4.5, SpanMs: 1000, Load: map[string]float64{"util": 0.5}}
+	good := controller.ZoneStats{Zone: "a", Endpoint: "x", Attempts: 9, Failed: 2, MeanMs: 4.5, SpanMs: 1000, Load: map[string]float64{"util": 0.5}}
 	text := "heard locality=a endpoint=x total=9 errors=2 rtt=4.5 interval=1000.0 metrics=util:0.5\r\n"
 	use := "usage node=3 route=read total=4 errors=1 interval=500\r\n"
-	demand := controller.ProxyDemand{Proxy: 3, Kind: "read", Reqs: 4, Unanswered: 1, SpanMs: 500}
+	demand := controller.ProxyStats{Proxy: 3, Class: "read", Requests: 4, Unanswered: 1, SpanMs: 500}
 	for name, c := range map[string]struct {
 		send   string
 		want   []controller.Input
@@ -261,10 +261,10 @@
 			assert.True(t, readable)
 		}
 		switch in := in.(type) {
-		case controller.ZoneMet:
-			assert.True(t, in.Failed >= 0 && in.Failed <= in.Tries && in.SpanMs > 0 && in.MeanMs >= 0 && in.Zone != "" && in.Endpoint != "")
-		case controller.ProxyDemand:
-			assert.True(t, in.Unanswered >= 0 && in.Unanswered <= in.Reqs && in.Proxy >= 0 && in.Kind != "")
+		case controller.ZoneStats:
+			assert.True(t, in.Failed >= 0 && in.Failed <= in.Attempts && in.SpanMs > 0 && in.MeanMs >= 0 && in.Zone != "" && in.Endpoint != "")
+		case controller.ProxyStats:
+			assert.True(t, in.Unanswered >= 0 && in.Unanswered <= in.Requests && in.Proxy >= 0 && in.Class != "")
 		}
 	})
 }
--- a/internal/platform/placement/config.go
+++ b/internal/platform/placement/config.go
@@ -45,11 +45,11 @@
 	Settings map[string]any  `json:"settings"`
 
 	Seed       int64                `json:"-"`
-	Remembered *wire.List           `json:"-"` // nil: none
+	Cached     *wire.List           `json:"-"` // nil: none
 	Deployment *settings.Deployment `json:"-"`
 	Proxies    int                  `json:"-"` // numbers below this exist
 	OnRequest  bool                 `json:"-"` // the list is told only after the module has asked
-	Left       string               `json:"-"` // what of the file is left out, as it can't be used; "": nothing
+	Warning    string               `json:"-"` // what of the file is left out, as it can't be used; "": nothing
 }
 
 // Read reads the file that NODE_CONFIG names and holds the other variables against it.
@@ -150,13 +150,13 @@
 	}
 	l, odd, err := discovery.ParseList(p.Known)
 	if err != nil { // it is a help at the start; discovery tells the list anyway
-		p.Left = fmt.Sprintf("known: %v", err)
+		p.Warning = fmt.Sprintf("known: %v", err)
 		return nil
 	}
 	if odd > 0 {
-		p.Left = fmt.Sprintf("known: %d entries that can't be used", odd)
+		p.Warning = fmt.Sprintf("known: %d entries that can't be used", odd)
 	}
-	p.Remembered = l
+	p.Cached = l
 	return nil
 }
 
@@ -165,12 +165,12 @@
 	if len(p.Settings) == 0 {
 		return errors.New("settings are missing")
 	}
-	p.Deployment = settings.Read(p.Settings)
-	terms := p.Deployment.Terms
+	p.Deployment = settings.Parse(p.Settings)
+	terms := p.Deployment.Settings
 	if n := len(p.Deployment.Zones.All()); n == 0 || n > mostZones {
 		return fmt.Errorf("settings: %d zones", n)
 	}
-	if len(p.Deployment.Kinds.All()) == 0 {
+	if len(p.Deployment.Classes.All()) == 0 {
 		return errors.New("settings: no req kinds")
 	}
 	proxies, err := number(terms, "proxy_count", 1, mostProxies)
@@ -186,7 +186,7 @@
 		return err
 	}
 	for _, name := range []string{"lines_per_s", "backlog", "drain_grace", "cold"} {
-		if _, err := number(terms, name, 1e-3, planner.MostFigure); err != nil {
+		if _, err := number(terms, name, 1e-3, planner.MaxFigure); err != nil {
 			return err
 		}
 	}
@@ -206,8 +206,8 @@
 	return v, nil
 }
 
-// Restart names the parts of a new file that count only after a restart.
-func Restart(old, now *Placement) (fields []string) {
+// RequiresRestart names the parts of a new file that count only after a restart.
+func RequiresRestart(old, now *Placement) (fields []string) {
 	for _, f := range []struct {
 		name string
 		same bool
--- a/internal/platform/placement/config_test.go
+++ b/internal/platform/placement/config_test.go
@@ -22,9 +22,9 @@
 	assert.Equal(t, -0x73e0cf2d85a4169c, int(p.Seed))
 	assert.Equal(t, 150, p.Proxies)
 	assert.False(t, p.OnRequest)
-	assert.Equal(t, 3000.0, p.Deployment.Terms["drain_grace"])
-	require.Len(t, p.Remembered.Entries, 1)
-	assert.Equal(t, 1, p.Remembered.Entries[0].Phase)
+	assert.Equal(t, 3000.0, p.Deployment.Settings["drain_grace"])
+	require.Len(t, p.Cached.Entries, 1)
+	assert.Equal(t, 1, p.Cached.Entries[0].Phase)
 }
 
 // TestWrongFilesAreNamed guards that a start with a wrong file says which field is at fault.
@@ -75,13 +75,13 @@
 		t.Run(name, func(t *testing.T) {
 			p, err := Parse([]byte(good[:at] + c.known + good[end:]))
 			require.NoError(t, err)
-			assert.Contains(t, p.Left, c.left)
-			assert.Equal(t, c.left == "", p.Left == "")
+			assert.Contains(t, p.Warning, c.left)
+			assert.Equal(t, c.left == "", p.Warning == "")
 			if c.holds < 0 {
-				assert.Nil(t, p.Remembered)
+				assert.Nil(t, p.Cached)
 				return
 			}
-			assert.Len(t, p.Remembered.Entries, c.holds)
+			assert.Len(t, p.Cached.Entries, c.holds)
 		})
 	}
 }
@@ -117,6 +117,6 @@
 		b, err := Parse([]byte(strings.Replace(good, change, map[string]string{`6400`: `6401`, `8500`: `8501`, `"n3"`: `"n4"`,
 			`"backlog":1200`: `"backlog":1300`}[change], 1)))
 		require.NoError(t, err)
-		assert.Equal(t, want, Restart(a, b))
+		assert.Equal(t, want, RequiresRestart(a, b))
 	}
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -39,9 +39,9 @@
 	placement *placement.Placement
 	loop      *controller.Loop
 	listener  *listener.Listener
-	orders    *relay.Orders
-	events    *relay.Events
-	agent     *discovery.Agent
+	orders    *relay.Sender
+	events    *relay.EventStream
+	agent     *discovery.Client
 	counters  relay.Counters
 	reread    func() (*placement.Placement, error)
 }
@@ -55,17 +55,17 @@
 // New puts a pilot together. Reread reads the configuration again.
 func New(p *placement.Placement, reread func() (*placement.Placement, error), log *zap.Logger) *Pilot {
 	x := &Pilot{log: log, placement: p, reread: reread}
-	kinds := p.Deployment.Kinds.All()
+	kinds := p.Deployment.Classes.All()
 	box := &inbox{}
-	x.orders = relay.NewOrders(p.Relay.Address, kinds, box, &x.counters, log)
+	x.orders = relay.NewSender(p.Relay.Address, kinds, box, &x.counters, log)
 	x.agent = discovery.New(p.Discovery, !p.OnRequest, box, log)
-	x.events = relay.NewEvents(p.Relay.Address, box, &x.counters, log)
+	x.events = relay.NewEventStream(p.Relay.Address, box, &x.counters, log)
 	spare := float64(p.Limits.Sockets - ownSockets)
 	x.listener = listener.New(p.Deployment.Zones.All(), int(spare*strangers), box, log)
-	core := controller.NewCore(controller.Plan{Decider: planner.New(p.Seed, p.Deployment.Terms), Terms: p.Deployment.Terms,
-		Zones: p.Deployment.Zones.All(), Machines: p.Deployment.Machines.All(), Kinds: kinds, MostProxies: p.Proxies,
-		List: x.agent, Prober: healthcheck.Never{}, Peers: gossip.Nobody{}, Relay: x.orders,
-		Log: func(text string) { log.Info(text) }, Odd: func(what string, fields ...string) {
+	core := controller.NewCore(controller.Options{Decider: planner.New(p.Seed, p.Deployment.Settings), Settings: p.Deployment.Settings,
+		Zones: p.Deployment.Zones.All(), Machines: p.Deployment.Machines.All(), Classes: kinds, MaxProxies: p.Proxies,
+		EndpointSource: x.agent, HealthChecker: healthcheck.Disabled{}, Gossip: gossip.Disabled{}, Relay: x.orders,
+		Log: func(text string) { log.Info(text) }, Malformed: func(what string, fields ...string) {
 			log.Debug("odd", zap.String("what", what), zap.Strings("fields", fields))
 		}})
 	x.loop = controller.NewLoop(core, controller.RealClock{}, log)
@@ -85,8 +85,8 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	if known := x.placement.Remembered; known != nil {
-		if err := x.loop.Post(ctx, controller.Listed{List: known, Remembered: true}); err != nil {
+	if known := x.placement.Cached; known != nil {
+		if err := x.loop.Post(ctx, controller.EndpointsListed{List: known, Cached: true}); err != nil {
 			return err
 		}
 	}
@@ -140,10 +140,10 @@
 		return false
 	}
 	x.log.Info("reloaded", zap.String("discovery", now.Discovery), zap.String("relay", now.Relay.Address),
-		zap.Strings("want a restart", placement.Restart(x.placement, now)))
-	x.agent.Move(now.Discovery)
-	x.orders.Move(now.Relay.Address)
-	x.events.Move(now.Relay.Address)
+		zap.Strings("want a restart", placement.RequiresRestart(x.placement, now)))
+	x.agent.SetAddress(now.Discovery)
+	x.orders.SetAddress(now.Relay.Address)
+	x.events.SetAddress(now.Relay.Address)
 	return true
 }
 
@@ -152,15 +152,15 @@
 	d, c, a := &x.listener.Counters, &x.counters, &x.agent.Counters
 	s := x.loop.State()
 	x.log.Info("counted", zap.Int("proxies", s.Proxies), zap.Int("endpoints", s.Endpoints),
-		zap.Int("listed", s.Believed.Listed), zap.Int("reports taken", s.Believed.Reports), zap.Int("odd", s.Believed.Odd),
-		zap.Float64("report covers ms", s.Believed.SpanMs/float64(max(1, s.Believed.Reports))),
+		zap.Int("listed", s.ReportStats.Listed), zap.Int("reports taken", s.ReportStats.Reports), zap.Int("odd", s.ReportStats.Malformed),
+		zap.Float64("report covers ms", s.ReportStats.SpanMs/float64(max(1, s.ReportStats.Reports))),
 		zap.Int64("orders", c.Made.Load()), zap.Int64("taken", c.Taken.Load()), zap.Int64("outdated", c.Outdated.Load()),
 		zap.Int64("dropped", c.Dropped.Load()), zap.Int64("uncertain", c.Uncertain.Load()),
 		zap.Int64("calls", c.Calls.Load()), zap.Int64("failed", c.Failed.Load()), zap.Int64("probes", c.Probes.Load()),
 		zap.Int64("events", c.Events.Load()), zap.Int64("gaps", c.Gaps.Load()),
-		zap.Int64("reports", d.Reports.Load()), zap.Int64("spoilt", d.Spoilt.Load()),
+		zap.Int64("reports", d.Reports.Load()), zap.Int64("spoilt", d.Malformed.Load()),
 		zap.Int64("accepted", d.Accepted.Load()), zap.Int64("refused", d.Refused.Load()),
 		zap.Int64("silent", d.Silent.Load()), zap.Int64("evicted", d.Evicted.Load()),
 		zap.Int64("list calls", a.Calls.Load()), zap.Int64("failed calls", a.Failed.Load()), zap.Int64("lists", a.Lists.Load()),
-		zap.Int64("odd entries", a.Odd.Load()))
+		zap.Int64("odd entries", a.Malformed.Load()))
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -42,34 +42,34 @@
 // kept keeps what a core hands to its relay.
 type kept struct{ lines []string }
 
-func (k *kept) Carry(turn []planner.Order, endpoint func(int) string) {
+func (k *kept) Enqueue(turn []planner.Command, endpoint func(int) string) {
 	for _, o := range turn {
 		switch o := o.(type) {
-		case planner.SetLine:
+		case planner.SetWeight:
 			k.lines = append(k.lines, fmt.Sprintf("line %d %s %.9g", o.Table, endpoint(o.Endpoint), o.Weight))
-		case planner.Bind:
-			k.lines = append(k.lines, fmt.Sprintf("bind %d %d %d", o.Proxy, o.Table, o.Kinds))
-		case planner.Mark:
+		case planner.AssignTable:
+			k.lines = append(k.lines, fmt.Sprintf("bind %d %d %d", o.Proxy, o.Table, o.Classes))
+		case planner.AckRequest:
 			k.lines = append(k.lines, fmt.Sprintf("mark %d", o.Number))
 		}
 	}
 }
-func (k *kept) Gone(int) {}
+func (k *kept) ProxyLeft(int) {}
 
 // TestSameSettingsSameOrders guards that simulator and platform give the module the same: one translation of settings
 // and names, the same notes, and so the same orders.
 func TestSameSettingsSameOrders(t *testing.T) {
 	p, k := newPlacement(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1"), &kept{}
-	c := controller.NewCore(controller.Plan{Decider: planner.New(5, p.Deployment.Terms), Terms: p.Deployment.Terms, Zones: p.Deployment.Zones.All(),
-		Machines: p.Deployment.Machines.All(), Kinds: p.Deployment.Kinds.All(), MostProxies: p.Proxies, Relay: k, List: x{}, Prober: healthcheck.Never{},
-		Peers: gossip.Nobody{}, Log: func(string) {}, Odd: func(what string, _ ...string) { t.Error(what) }})
+	c := controller.NewCore(controller.Options{Decider: planner.New(5, p.Deployment.Settings), Settings: p.Deployment.Settings, Zones: p.Deployment.Zones.All(),
+		Machines: p.Deployment.Machines.All(), Classes: p.Deployment.Classes.All(), MaxProxies: p.Proxies, Relay: k, EndpointSource: x{}, HealthChecker: healthcheck.Disabled{},
+		Gossip: gossip.Disabled{}, Log: func(string) {}, Malformed: func(what string, _ ...string) { t.Error(what) }})
 	entries, hosts := []wire.Entry{}, []string{}
 	for i := range 6 {
 		name := fmt.Sprintf("10.0.0.%d:1", i)
 		entries = append(entries, wire.Entry{Endpoint: name, Zone: []string{"a", "b"}[i%2], Machine: "m2", Weight: float64(1 + i)})
 		hosts = append(hosts, fmt.Sprintf(`{"endpoint":%q,"zone":%q,"generation_hw":"m2","mode":"live","heft":%d}`, name, []string{"a", "b"}[i%2], 1+i))
 	}
-	c.Handle(0, []controller.Input{controller.Listed{List: &wire.List{Whole: true, Entries: entries}}, controller.Relayed{Proxy: 3, Zone: "b", Rate: 7, Fresh: true}})
+	c.Handle(0, []controller.Input{controller.EndpointsListed{List: &wire.List{Whole: true, Entries: entries}}, controller.RelayProxyJoined{Proxy: 3, Zone: "b", Rate: 7, Fresh: true}})
 	events := []string{`{"sim_time":0,"batch":1,"happened":[{"kind":"spawn","i":"pilot/0","rng_seed":5,"setup":` + strings.ReplaceAll(settings, "\n", "") +
 		`},{"kind":"discovery","i":"pilot/0","mode":"total","hosts":[` + strings.Join(hosts, ",") +
 		`]},{"kind":"stream_up","i":"pilot/0","edge":3,"zone":"b","heft":7,"active":true}]}`}
@@ -81,9 +81,9 @@
 	gather(0)
 	for s := 1; s < 12; s++ {
 		load := float64(s%5) / 2 // full for long enough that tables change
-		c.Handle(float64(1000*s), []controller.Input{controller.ZoneMet{Zone: "b", Endpoint: "10.0.0.1:1", Tries: 30, Failed: s, MeanMs: 20,
+		c.Handle(float64(1000*s), []controller.Input{controller.ZoneStats{Zone: "b", Endpoint: "10.0.0.1:1", Attempts: 30, Failed: s, MeanMs: 20,
 			SpanMs: 1000, Load: map[string]float64{"util": load, "qps": 30}},
-			controller.ProxyDemand{Proxy: 3, Kind: "write", Reqs: 30, SpanMs: 1000}})
+			controller.ProxyStats{Proxy: 3, Class: "write", Requests: 30, SpanMs: 1000}})
 		events = append(events, fmt.Sprintf(`{"sim_time":%d,"batch":2,"happened":[{"kind":"tally","i":"pilot/0","endpoint":"10.0.0.1:1",`+
 			`"zone":"b","count":30,"errors":%d,"wait_time":20000000,"covers":1000000000,"feedback":{"cpu_share":%g,"served_ps":30}},`+
 			`{"kind":"proxy_stats","i":"pilot/0","edge":3,"qos":"write","count":30,"covers":1000000000}]}`, 1000*s*1000000, s, load))
--- a/internal/platform/relay/events.go
+++ b/internal/platform/relay/events.go
@@ -66,9 +66,9 @@
 	stands   time.Time    // a proxy that stands was told last
 }
 
-// Events reads the relay's event streams on two connections and makes one sequence of them: what one of them has told already the
+// EventStream reads the relay's event streams on two connections and makes one sequence of them: what one of them has told already the
 // other tells in vain. Only where both were broken is anything inferred from what stands at the next opening.
-type Events struct {
+type EventStream struct {
 	Counters *Counters
 	inbox    controller.Inbox
 	log      *zap.Logger
@@ -79,13 +79,13 @@
 	covered  time.Time // until when the events are known to be whole; zero: nothing has been told
 }
 
-// NewEvents returns a reader of a relay's events.
-func NewEvents(address string, inbox controller.Inbox, c *Counters, log *zap.Logger) *Events {
-	return &Events{Counters: c, inbox: inbox, log: log, address: address, members: map[int]*member{}}
+// NewEventStream returns a reader of a relay's events.
+func NewEventStream(address string, inbox controller.Inbox, c *Counters, log *zap.Logger) *EventStream {
+	return &EventStream{Counters: c, inbox: inbox, log: log, address: address, members: map[int]*member{}}
 }
 
-// Move has the streams go to another address, one after another: the second leaves when the first stands there.
-func (n *Events) Move(address string) {
+// SetAddress has the streams go to another address, one after another: the second leaves when the first stands there.
+func (n *EventStream) SetAddress(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.address == address {
@@ -98,7 +98,7 @@
 }
 
 // Run reads one of the streams until ctx ends; there is one call for each.
-func (n *Events) Run(ctx context.Context, i int) error {
+func (n *EventStream) Run(ctx context.Context, i int) error {
 	for ctx.Err() == nil {
 		cctx, cancel := context.WithCancel(ctx)
 		n.mu.Lock()
@@ -110,14 +110,14 @@
 		n.closed(i, errors.Is(err, os.ErrDeadlineExceeded))
 		if ctx.Err() == nil {
 			n.log.Debug("event stream ended", zap.Int("stream", i), zap.Error(err))
-			backoff.For(ctx, redial)
+			backoff.Sleep(ctx, redial)
 		}
 	}
 	return nil
 }
 
 // read opens a stream and reads it to its end.
-func (n *Events) read(ctx context.Context, address string, i int) error {
+func (n *EventStream) read(ctx context.Context, address string, i int) error {
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return fmt.Errorf("dial relay: %w", err)
@@ -144,7 +144,7 @@
 	var opening sync.WaitGroup
 	opening.Go(func() {
 		for wait := standsFor; wait > 0; wait = n.opening(i) {
-			if !backoff.For(octx, wait) {
+			if !backoff.Sleep(octx, wait) {
 				return
 			}
 		}
@@ -169,7 +169,7 @@
 }
 
 // opened notes that a stream begins, and whether there is a gap in the events before it.
-func (n *Events) opened(i int) {
+func (n *EventStream) opened(i int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now, l := time.Now(), &n.streams[i]
@@ -189,7 +189,7 @@
 
 // closed notes that a stream has ended. Where it had fallen silent and the other began after it last said anything, or
 // where it had yet to tell what stands after a gap, what happened in between neither has told: the other opens anew.
-func (n *Events) closed(i int, silent bool) {
+func (n *EventStream) closed(i int, silent bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l := &n.streams[i]
@@ -211,7 +211,7 @@
 
 // opening returns how long a stream may still be telling what stands. Thousands of proxies take their time, above all on
 // part of a core, and whoever is told late would be taken for one that has left.
-func (n *Events) opening(i int) time.Duration {
+func (n *EventStream) opening(i int) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.streams[i].standing == nil {
@@ -221,7 +221,7 @@
 }
 
 // stands ends the opening of a stream: after a gap, proxies that were not told have left.
-func (n *Events) stands(ctx context.Context, i int) {
+func (n *EventStream) stands(ctx context.Context, i int) {
 	n.mu.Lock()
 	l := &n.streams[i]
 	var left []int
@@ -245,13 +245,13 @@
 	slices.Sort(left)
 	for _, p := range left {
 		delete(n.members, p)
-		_ = n.inbox.Post(ctx, controller.Unrelayed{Proxy: p}) // fails only when all ends
+		_ = n.inbox.Post(ctx, controller.RelayProxyLeft{Proxy: p}) // fails only when all ends
 	}
 	n.mu.Unlock()
 }
 
 // take takes one event in.
-func (n *Events) take(ctx context.Context, i int, text []byte) error {
+func (n *EventStream) take(ctx context.Context, i int, text []byte) error {
 	var e event
 	if err := json.Unmarshal(text, &e); err != nil {
 		return fmt.Errorf("unreadable event: %w", err)
@@ -271,7 +271,7 @@
 }
 
 // sort returns what an event says that is new; nil: nothing.
-func (n *Events) sort(l *stream, e *event) controller.Input {
+func (n *EventStream) sort(l *stream, e *event) controller.Input {
 	p := *e.Object.Node
 	m := n.members[p]
 	switch e.Type {
@@ -286,19 +286,19 @@
 			return nil
 		}
 		n.members[p] = &member{zone: e.Object.Locality, since: l.heard}
-		return controller.Relayed{Proxy: p, Zone: e.Object.Locality, Rate: e.Object.Rate, Fresh: e.Object.Cold,
-			Stood: again && m.zone == e.Object.Locality && !e.Object.Cold}
+		return controller.RelayProxyJoined{Proxy: p, Zone: e.Object.Locality, Rate: e.Object.Rate, Fresh: e.Object.Cold,
+			Resumed: again && m.zone == e.Object.Locality && !e.Object.Cold}
 	case "left":
 		if l.standing != nil {
 			delete(l.standing, p)
 		}
 		if m != nil {
 			delete(n.members, p)
-			return controller.Unrelayed{Proxy: p}
+			return controller.RelayProxyLeft{Proxy: p}
 		}
 	case "applied":
 		if m != nil && e.Object.Nonce != nil && e.Object.Latency != nil && m.answers(*e.Object.Nonce) {
-			return controller.RelayApplied{Proxy: p, Mark: *e.Object.Nonce, TookMs: *e.Object.Latency}
+			return controller.RelayAck{Proxy: p, Mark: *e.Object.Nonce, TookMs: *e.Object.Latency}
 		}
 	}
 	return nil
