--- a/internal/transport/grpcapi/server.go
+++ b/internal/transport/grpcapi/server.go
@@ -26,8 +26,8 @@
 	pb "indigousher/proto/indigousher/v1"
 )
 
-// Door says how streams are kept.
-type Door struct {
+// ListenerConfig says how streams are kept.
+type ListenerConfig struct {
 	Pilot      string
 	Beat       time.Duration
 	Period     time.Duration
@@ -35,9 +35,9 @@
 	HelloIn    time.Duration
 	MaxMessage int
 	MaxStreams int
-	QueueLines int            // that may wait for one stream; they collapse to the newest state first
-	NewPerS    float64        // streams let in a second; a herd waits its turn
-	Keys       *identity.Ring // nil: plain text
+	QueueLines int                // that may wait for one stream; they collapse to the newest state first
+	NewPerS    float64            // streams let in a second; a herd waits its turn
+	Keys       *identity.KeyStore // nil: plain text
 }
 
 // Figures of the edge's own.
@@ -48,7 +48,7 @@
 // Server follows proxies.
 type Server struct {
 	pb.UnimplementedControlServer
-	door  Door
+	door  ListenerConfig
 	inbox controller.Inbox
 	log   *zap.Logger
 	pace  *rate.Limiter
@@ -60,7 +60,7 @@
 }
 
 // New returns a server that does not listen. Others may register on Registrar before Serve.
-func New(d Door, inbox controller.Inbox, log *zap.Logger) *Server {
+func New(d ListenerConfig, inbox controller.Inbox, log *zap.Logger) *Server {
 	s := &Server{door: d, inbox: inbox, log: log, live: map[*stream]bool{},
 		pace: rate.NewLimiter(rate.Limit(max(d.NewPerS, 1)), herd)}
 	if d.NewPerS <= 0 {
@@ -90,7 +90,7 @@
 		defer close(done)
 		s.mu.Lock()
 		for st := range s.live {
-			st.end.Say("this pilot stops", &pb.Downward{Says: &pb.Downward_Redirect{Redirect: &pb.Redirect{Reason: "this pilot stops"}}})
+			st.end.CloseWith("this pilot stops", &pb.Downward{Says: &pb.Downward_Redirect{Redirect: &pb.Redirect{Reason: "this pilot stops"}}})
 		}
 		s.mu.Unlock()
 		gone := make(chan struct{})
@@ -147,23 +147,23 @@
 		BeatMs: uint32(s.door.Beat.Milliseconds()), PeriodMs: uint32(s.door.Period.Milliseconds())}}}); err != nil {
 		return err
 	}
-	if err := s.inbox.Post(s.ctx, controller.Join{Stream: st, Hello: *hello}); err != nil {
+	if err := s.inbox.Post(s.ctx, controller.ProxyJoined{Stream: st, Hello: *hello}); err != nil {
 		return status.Error(codes.Unavailable, "this pilot stops")
 	}
 	heard := make(chan error, 1)
 	go func() { heard <- s.hear(g, st) }()
 	err = s.speak(ctx, g, st, heard)
-	st.end.End("")
-	log.Info("stream ended", zap.String("why", st.end.Why()), zap.Error(err))
+	st.end.Close("")
+	log.Info("stream ended", zap.String("why", st.end.Reason()), zap.Error(err))
 	lctx, cancel := context.WithTimeout(s.ctx, time.Second)
 	defer cancel()
-	_ = s.inbox.Post(lctx, controller.Leave{Stream: st}) // fails only as the loop has ended
+	_ = s.inbox.Post(lctx, controller.ProxyLeft{Stream: st}) // fails only as the loop has ended
 	return err
 }
 
 // greet reads and checks the hello. What is wrong with an identity only operators hear.
 func (s *Server) greet(g grpc.BidiStreamingServer[pb.Upward, pb.Downward]) (*wire.Hello, error) {
-	m, err := handshake.First(s.door.HelloIn, "a hello must come first", g.Recv)
+	m, err := handshake.ReceiveFirst(s.door.HelloIn, "a hello must come first", g.Recv)
 	if err != nil {
 		return nil, err
 	}
@@ -197,7 +197,7 @@
 	if !ok {
 		return identity.ErrIdentity
 	}
-	i, err := identity.Peer(info.State)
+	i, err := identity.FromConnection(info.State)
 	if err != nil {
 		return err
 	}
@@ -242,7 +242,7 @@
 			if err != nil {
 				return status.Error(codes.InvalidArgument, err.Error())
 			}
-			if err := s.inbox.Post(s.ctx, controller.Reported{Stream: st, Sums: sums}); err != nil {
+			if err := s.inbox.Post(s.ctx, controller.LoadReported{Stream: st, Sums: sums}); err != nil {
 				return status.Error(codes.Unavailable, "this pilot stops")
 			}
 		case *pb.Upward_Ack:
@@ -266,7 +266,7 @@
 		return err
 	}
 	for _, n := range marks {
-		if err := s.inbox.Post(s.ctx, controller.Applied{Stream: st, Done: wire.Done{Mark: n, TookMs: a.GetTookMs()}}); err != nil {
+		if err := s.inbox.Post(s.ctx, controller.Acked{Stream: st, Done: wire.Done{Mark: n, TookMs: a.GetTookMs()}}); err != nil {
 			return status.Error(codes.Unavailable, "this pilot stops")
 		}
 	}
@@ -287,11 +287,11 @@
 			return ctx.Err()
 		case <-s.ctx.Done():
 			return status.Error(codes.Unavailable, "this pilot is gone")
-		case <-st.end.Gone():
-			if word, has := st.end.Word(); has {
-				return errors.Join(g.Send(word), status.Error(codes.Unavailable, st.end.Why()))
+		case <-st.end.Done():
+			if word, has := st.end.LastMessage(); has {
+				return errors.Join(g.Send(word), status.Error(codes.Unavailable, st.end.Reason()))
 			}
-			return status.Error(codes.Unavailable, st.end.Why())
+			return status.Error(codes.Unavailable, st.end.Reason())
 		case <-st.wake:
 			if m = st.next(); m == nil {
 				continue
--- a/internal/transport/grpcapi/stream.go
+++ b/internal/transport/grpcapi/stream.go
@@ -21,7 +21,7 @@
 // of each line before the bound is passed.
 type stream struct {
 	wake    chan struct{}
-	end     *shutdown.Ending[*pb.Downward]
+	end     *shutdown.Notice[*pb.Downward]
 	mu      sync.Mutex
 	waiting []wire.Op
 	head    wire.Orders // when the first of what waits was ordered
@@ -147,5 +147,5 @@
 
 // Close ends the stream and tells the proxy why.
 func (st *stream) Close(reason string) {
-	st.end.Say(reason, &pb.Downward{Says: &pb.Downward_Redirect{Redirect: &pb.Redirect{Reason: reason, Final: true}}})
+	st.end.CloseWith(reason, &pb.Downward{Says: &pb.Downward_Redirect{Redirect: &pb.Redirect{Reason: reason, Final: true}}})
 }
--- a/internal/transport/handshake/opening.go
+++ b/internal/transport/handshake/opening.go
@@ -9,9 +9,9 @@
 	"google.golang.org/grpc/status"
 )
 
-// First waits for a stream's first message, no longer than within: a stream that says nothing is ended with why, as it
+// ReceiveFirst waits for a stream's first message, no longer than within: a stream that says nothing is ended with why, as it
 // would stand for as long as its connection does. The waiting itself ends with the stream.
-func First[M any](within time.Duration, why string, recv func() (M, error)) (M, error) {
+func ReceiveFirst[M any](within time.Duration, why string, recv func() (M, error)) (M, error) {
 	type first struct {
 		m   M
 		err error
--- a/internal/transport/handshake/opening_test.go
+++ b/internal/transport/handshake/opening_test.go
@@ -11,9 +11,9 @@
 func TestSilentOpening(t *testing.T) {
 	never := make(chan struct{})
 	defer close(never)
-	_, err := First(10*time.Millisecond, "nothing was said", func() (int, error) { <-never; return 0, nil })
+	_, err := ReceiveFirst(10*time.Millisecond, "nothing was said", func() (int, error) { <-never; return 0, nil })
 	assert.ErrorContains(t, err, "nothing was said")
-	n, err := First(time.Minute, "nothing was said", func() (int, error) { return 7, nil })
+	n, err := ReceiveFirst(time.Minute, "nothing was said", func() (int, error) { return 7, nil })
 	assert.NoError(t, err)
 	assert.Equal(t, 7, n)
 }
--- a/internal/transport/healthcheck/probe.go
+++ b/internal/transport/healthcheck/probe.go
@@ -18,8 +18,8 @@
 // Dial opens a connection.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Prober sends probes.
-type Prober struct {
+// Checker sends probes.
+type Checker struct {
 	Dial    Dial
 	Inbox   controller.Inbox
 	Timeout time.Duration
@@ -29,16 +29,16 @@
 }
 
 // New returns a prober whose probes end with ctx; at most so many are under way.
-func New(ctx context.Context, dial Dial, inbox controller.Inbox, timeout time.Duration, most int) *Prober {
-	return &Prober{Dial: dial, Inbox: inbox, Timeout: timeout, ctx: ctx, slots: make(chan struct{}, most)}
+func New(ctx context.Context, dial Dial, inbox controller.Inbox, timeout time.Duration, most int) *Checker {
+	return &Checker{Dial: dial, Inbox: inbox, Timeout: timeout, ctx: ctx, slots: make(chan struct{}, most)}
 }
 
 // Probe examines an endpoint. The answer comes as an input, also when it is that nothing could be asked.
-func (p *Prober) Probe(endpoint string) {
+func (p *Checker) Probe(endpoint string) {
 	p.wg.Add(1)
 	go func() {
 		defer p.wg.Done()
-		in := controller.Probed{Endpoint: endpoint, Outcome: "denied"}
+		in := controller.HealthChecked{Endpoint: endpoint, Outcome: "denied"}
 		select {
 		case p.slots <- struct{}{}:
 			in = p.ask(endpoint)
@@ -50,14 +50,14 @@
 }
 
 // Wait returns when no probe is under way.
-func (p *Prober) Wait() { p.wg.Wait() }
+func (p *Checker) Wait() { p.wg.Wait() }
 
-func (p *Prober) ask(endpoint string) controller.Probed {
+func (p *Checker) ask(endpoint string) controller.HealthChecked {
 	ctx, cancel := context.WithTimeout(p.ctx, p.Timeout)
 	defer cancel()
 	start := time.Now()
 	a, err := p.exchange(ctx, endpoint)
-	out := controller.Probed{Endpoint: endpoint, TookMs: float64(time.Since(start)) / float64(time.Millisecond)}
+	out := controller.HealthChecked{Endpoint: endpoint, TookMs: float64(time.Since(start)) / float64(time.Millisecond)}
 	switch {
 	case err == nil && a.Outcome == wire.Fine:
 		out.Outcome, out.Load = "ok", a.Load
@@ -85,7 +85,7 @@
 	return "reset"
 }
 
-func (p *Prober) exchange(ctx context.Context, endpoint string) (*wire.Answer, error) {
+func (p *Checker) exchange(ctx context.Context, endpoint string) (*wire.Answer, error) {
 	conn, err := p.Dial(ctx, "tcp", endpoint)
 	if err != nil {
 		return nil, errors.Join(errDial, err)
@@ -109,8 +109,8 @@
 	return a, nil
 }
 
-// Never is for pilots that may not probe.
-type Never struct{}
+// Disabled is for pilots that may not probe.
+type Disabled struct{}
 
 // Probe does nothing.
-func (Never) Probe(string) {}
+func (Disabled) Probe(string) {}
--- a/internal/transport/healthcheck/probe_test.go
+++ b/internal/transport/healthcheck/probe_test.go
@@ -25,7 +25,7 @@
 // TestProbe shows what each state of an endpoint is told as.
 func TestProbe(t *testing.T) {
 	e := endpoint.New(endpoint.Model{Name: "e", Cores: 1, Speed: 1, Conns: 9, ReportEvery: 5 * time.Millisecond},
-		eventlog.NewBook().Trail("e"))
+		eventlog.NewLog().Stream("e"))
 	require.NoError(t, e.Start(false))
 	t.Cleanup(e.Kill)
 	rude, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,23 +45,23 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	p := New(ctx, (&net.Dialer{}).DialContext, in, 150*time.Millisecond, 2)
-	ask := func(at string) controller.Probed {
+	ask := func(at string) controller.HealthChecked {
 		p.Probe(at)
-		return (<-in).(controller.Probed)
+		return (<-in).(controller.HealthChecked)
 	}
 	time.Sleep(20 * time.Millisecond)
 	fine := ask(e.Address())
 	assert.Equal(t, "ok", fine.Outcome)
 	assert.NotEmpty(t, fine.Load)
 	assert.Equal(t, "reset", ask(rude.Addr().String()).Outcome)
-	e.Set(endpoint.Mood{Hang: true})
+	e.SetFaultMode(endpoint.FaultMode{Hang: true})
 	assert.Equal(t, "timeout", ask(e.Address()).Outcome)
 	for range 12 { // the bound of those under way
 		p.Probe(e.Address())
 	}
 	denied := 0
 	for range 12 {
-		if (<-in).(controller.Probed).Outcome == "denied" {
+		if (<-in).(controller.HealthChecked).Outcome == "denied" {
 			denied++
 		}
 	}
--- a/internal/transport/shutdown/ending.go
+++ b/internal/transport/shutdown/ending.go
@@ -4,8 +4,8 @@
 
 import "sync"
 
-// Ending is one stream's. W is what a last word is.
-type Ending[W any] struct {
+// Notice is one stream's. W is what a last word is.
+type Notice[W any] struct {
 	gone chan struct{}
 	once sync.Once
 	mu   sync.Mutex
@@ -14,10 +14,10 @@
 }
 
 // New returns one of a stream that lives.
-func New[W any]() *Ending[W] { return &Ending[W]{gone: make(chan struct{})} }
+func New[W any]() *Notice[W] { return &Notice[W]{gone: make(chan struct{})} }
 
-// End ends the stream without a word, if it has not ended.
-func (e *Ending[W]) End(why string) {
+// Close ends the stream without a word, if it has not ended.
+func (e *Notice[W]) Close(why string) {
 	e.once.Do(func() {
 		e.mu.Lock()
 		e.why = why
@@ -26,28 +26,28 @@
 	})
 }
 
-// Say ends the stream with a last word; the first one counts.
-func (e *Ending[W]) Say(why string, word W) {
+// CloseWith ends the stream with a last word; the first one counts.
+func (e *Notice[W]) CloseWith(why string, word W) {
 	e.mu.Lock()
 	if e.word == nil {
 		e.word = &word
 	}
 	e.mu.Unlock()
-	e.End(why)
+	e.Close(why)
 }
 
-// Gone is closed once the stream ends.
-func (e *Ending[W]) Gone() <-chan struct{} { return e.gone }
+// Done is closed once the stream ends.
+func (e *Notice[W]) Done() <-chan struct{} { return e.gone }
 
-// Why returns the reason.
-func (e *Ending[W]) Why() string {
+// Reason returns the reason.
+func (e *Notice[W]) Reason() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.why
 }
 
-// Word returns the last word, if there is one.
-func (e *Ending[W]) Word() (word W, has bool) {
+// LastMessage returns the last word, if there is one.
+func (e *Notice[W]) LastMessage() (word W, has bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.word == nil {
--- a/internal/transport/xds/xds_test.go
+++ b/internal/transport/xds/xds_test.go
@@ -48,7 +48,7 @@
 // TestUnmodifiedClient has grpc-go's own xDS client follow a pilot: it takes the pilot's weights, leaves a drained
 // endpoint within the grace, goes to the next zone when its own has nothing left, and reports load back.
 func TestUnmodifiedClient(t *testing.T) {
-	source := registry.New(eventlog.NewBook().Trail("list"))
+	source := registry.New(eventlog.NewLog().Stream("list"))
 	require.NoError(t, source.Start())
 	t.Cleanup(source.Close)
 	var backends []*backend
@@ -78,7 +78,7 @@
 list { address = %q }
 `, source.Address())))
 	require.NoError(t, err)
-	d, err := daemon.New(p, daemon.Outfit{})
+	d, err := daemon.New(p, daemon.Options{})
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
--- a/internal/transport/xds/xdsedge.go
+++ b/internal/transport/xds/xdsedge.go
@@ -60,8 +60,8 @@
 	mostMarks    = 1024 // that wait for a proxy which asks for no endpoints; older ones are forgotten
 )
 
-// Door says how streams are kept.
-type Door struct {
+// ListenerConfig says how streams are kept.
+type ListenerConfig struct {
 	Kinds      []string
 	Period     time.Duration
 	SeenWithin time.Duration
@@ -75,7 +75,7 @@
 type Server struct {
 	ads.UnimplementedAggregatedDiscoveryServiceServer
 	lrs.UnimplementedLoadReportingServiceServer
-	door  Door
+	door  ListenerConfig
 	inbox controller.Inbox
 	log   *zap.Logger
 	mu    sync.Mutex
@@ -83,7 +83,7 @@
 }
 
 // New returns a server; Register lets it be asked.
-func New(d Door, inbox controller.Inbox, log *zap.Logger) *Server {
+func New(d ListenerConfig, inbox controller.Inbox, log *zap.Logger) *Server {
 	return &Server{door: d, inbox: inbox, log: log, nodes: map[string]*stream{}}
 }
 
@@ -111,7 +111,7 @@
 
 // StreamAggregatedResources serves one proxy.
 func (s *Server) StreamAggregatedResources(g ads.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
-	first, err := handshake.First(s.door.HelloIn, silent, g.Recv)
+	first, err := handshake.ReceiveFirst(s.door.HelloIn, silent, g.Recv)
 	if err != nil {
 		return err
 	}
@@ -124,7 +124,7 @@
 	n := first.GetNode()
 	hello := wire.Hello{Version: wire.Version, Proxy: n.GetId(), Zone: n.GetLocality().GetZone(), Fresh: true,
 		Rate: n.GetMetadata().GetFields()["reqs_per_second"].GetNumberValue()}
-	if err := s.inbox.Post(g.Context(), controller.Join{Stream: st, Hello: hello}); err != nil {
+	if err := s.inbox.Post(g.Context(), controller.ProxyJoined{Stream: st, Hello: hello}); err != nil {
 		return status.Error(codes.Unavailable, "this pilot stops")
 	}
 	heard := make(chan error, 1)
@@ -133,7 +133,7 @@
 	s.log.Info("stream ended", zap.String("proxy", n.GetId()), zap.Error(err))
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(g.Context()), time.Second)
 	defer cancel()
-	_ = s.inbox.Post(ctx, controller.Leave{Stream: st}) // fails only as the loop has ended
+	_ = s.inbox.Post(ctx, controller.ProxyLeft{Stream: st}) // fails only as the loop has ended
 	return err
 }
 
@@ -182,7 +182,7 @@
 			return err
 		}
 		for _, m := range marks {
-			if err := s.inbox.Post(g.Context(), controller.Applied{Stream: st, Done: m}); err != nil {
+			if err := s.inbox.Post(g.Context(), controller.Acked{Stream: st, Done: m}); err != nil {
 				return err
 			}
 		}
@@ -205,8 +205,8 @@
 			return err
 		case <-g.Context().Done():
 			return g.Context().Err()
-		case <-st.end.Gone():
-			return status.Error(codes.Unavailable, st.end.Why())
+		case <-st.end.Done():
+			return status.Error(codes.Unavailable, st.end.Reason())
 		case <-look.C:
 			if st.overdue(s.door.SeenWithin) {
 				return status.Error(codes.DeadlineExceeded, "an assignment is not acknowledged")
@@ -223,7 +223,7 @@
 
 // StreamLoadStats takes one proxy's load reports.
 func (s *Server) StreamLoadStats(g lrs.LoadReportingService_StreamLoadStatsServer) error {
-	first, err := handshake.First(s.door.HelloIn, silent, g.Recv)
+	first, err := handshake.ReceiveFirst(s.door.HelloIn, silent, g.Recv)
 	if err != nil {
 		return err
 	}
@@ -256,7 +256,7 @@
 		if sums == nil {
 			continue
 		}
-		if err := s.inbox.Post(g.Context(), controller.Reported{Stream: st, Sums: sums}); err != nil {
+		if err := s.inbox.Post(g.Context(), controller.LoadReported{Stream: st, Sums: sums}); err != nil {
 			return err
 		}
 	}
@@ -267,7 +267,7 @@
 	name    string
 	kinds   []string
 	wake    chan struct{}
-	end     *shutdown.Ending[struct{}]
+	end     *shutdown.Notice[struct{}]
 	mu      sync.Mutex
 	tables  map[int]*table
 	serves  map[string]int // table by kind, once bound
@@ -356,7 +356,7 @@
 func (st *stream) Ask(*wire.Pace) error { return nil }
 
 // Close ends the stream.
-func (st *stream) Close(reason string) { st.end.End(reason) }
+func (st *stream) Close(reason string) { st.end.Close(reason) }
 
 // request notes what is asked for, and returns the marks that an acknowledgement answers.
 func (st *stream) request(r *ads.DiscoveryRequest) (done []wire.Done, err error) {
--- a/planner/brain.go
+++ b/planner/brain.go
@@ -59,7 +59,7 @@
 	price, trust, load, warmth, tries, fails float64 // tries by the zone's proxies, fading
 }
 
-type Brain struct {
+type Planner struct {
 	inbox
 	brief           briefing
 	gathers, parts  int     // parts: tables that a zone's proxies are dealt to, for each group
@@ -73,11 +73,11 @@
 	sender          *sender
 	groups          []kindGroup
 	kinds           []briefing // what was told of each req kind
-	proxies         map[int]Joined
+	proxies         map[int]ProxyJoined
 	seen, usual     map[int]float64 // reqs that came by the proxies' zone, and ordinarily do, fading
 	asked           map[int]float64 // reqs by kind, fading
 	demand, joined  map[int]float64 // by zone of the proxies: reqs a second (at -1 of all), how many
-	orders          []Order
+	orders          []Command
 }
 
 type kindGroup struct {
@@ -86,8 +86,8 @@
 	ownZone         bool
 }
 
-func New(seed int64, terms map[string]any) *Brain {
-	b := &Brain{brief: terms, proxies: map[int]Joined{}, demand: map[int]float64{}, seen: map[int]float64{},
+func New(seed int64, terms map[string]any) *Planner {
+	b := &Planner{brief: terms, proxies: map[int]ProxyJoined{}, demand: map[int]float64{}, seen: map[int]float64{},
 		usual: map[int]float64{}, asked: map[int]float64{}, joined: map[int]float64{}}
 	// T, the load at which a penalty starts to grow: the less crossing zones costs, the sooner it pays.
 	b.knee = math.Min(0.85, 0.5+2*b.brief.num("cross_zone", 0.1))
@@ -107,9 +107,9 @@
 }
 
 // Reconfigure takes over changed settings. What New derived from the earlier ones stays.
-func (b *Brain) Reconfigure(settings map[string]any) { b.brief = settings }
+func (b *Planner) Reconfigure(settings map[string]any) { b.brief = settings }
 
-func (b *Brain) groupKinds() {
+func (b *Planner) groupKinds() {
 	own, _ := b.brief["kind_own_zone"].([]any)
 	for i, kind := range b.kinds {
 		g := kindGroup{ownZone: i < len(own) && own[i] == true}
@@ -124,7 +124,7 @@
 }
 
 // dealtTo is the number of parts of a zone's proxies: one, unless an endpoint can't take connections of all.
-func (b *Brain) dealtTo() int {
+func (b *Planner) dealtTo() int {
 	zones, _ := b.brief["zones"].([]any)
 	proxies := b.brief.num("proxy_count", 1)
 	if proxies <= ample*b.brief.num("conns_least", math.MaxFloat64) {
@@ -133,12 +133,12 @@
 	return max(1, min(mostParts, int(proxies)/(leastUsers*max(1, len(zones)*len(b.groups)))))
 }
 
-func (b *Brain) slot(p Joined) int { return p.Zone*b.parts + p.Proxy%b.parts } // its zone and part
+func (b *Planner) slot(p ProxyJoined) int { return p.Zone*b.parts + p.Proxy%b.parts } // its zone and part
 
-func (b *Brain) table(slot, g int) int { return slot*len(b.groups) + g } // of a slot, for a group
+func (b *Planner) table(slot, g int) int { return slot*len(b.groups) + g } // of a slot, for a group
 
 // work is a group's part of all work: its reqs, times their response targets for want of a better guess.
-func (b *Brain) work(g int) float64 {
+func (b *Planner) work(g int) float64 {
 	own, all := 0.0, 1e-9
 	for k, kind := range b.kinds {
 		w := (b.asked[k] + enoughReqs) * kind.num("response_target", 1000)
@@ -151,17 +151,17 @@
 	return (!g.ownZone || o.Zone == zone) && holds(g.machines, o.Machine) && holds(g.zones, o.Zone)
 }
 
-func (b *Brain) say(format string, args ...any) { b.order(Log{fmt.Sprintf(format, args...)}) }
+func (b *Planner) say(format string, args ...any) { b.order(Log{fmt.Sprintf(format, args...)}) }
 
-func (b *Brain) order(o Order) { b.orders = append(b.orders, o) }
+func (b *Planner) order(o Command) { b.orders = append(b.orders, o) }
 
-func (b *Brain) Handle(nowMs float64, notes []Note) []Order {
+func (b *Planner) Handle(nowMs float64, notes []Event) []Command {
 	b.now, b.orders = math.Max(b.now, nowMs), nil
 	if !b.woken { // each pilot gathers at its own point of the window
 		b.woken = true
-		b.order(WakeAt{b.now + gatherMs*(1+b.brief.num("rank", 0)/b.brief.num("instances", 1))/2, "gather"})
+		b.order(SetTimer{b.now + gatherMs*(1+b.brief.num("rank", 0)/b.brief.num("instances", 1))/2, "gather"})
 		if b.brief["discovery"] == "on_request" {
-			b.order(Watch{On: true})
+			b.order(WatchEndpoints{On: true})
 		}
 	}
 	for _, n := range notes {
@@ -172,21 +172,21 @@
 	return b.orders
 }
 
-func (b *Brain) sort(n Note) {
+func (b *Planner) sort(n Event) {
 	switch n := n.(type) {
-	case Listing:
+	case EndpointUpdate:
 		b.list(n)
-	case Alarm:
+	case TimerFired:
 		if n.Name == "gather" {
 			b.gathers++
-			b.order(WakeAt{b.now + gatherMs, "gather"})
+			b.order(SetTimer{b.now + gatherMs, "gather"})
 			b.round(true)
 		}
-	case Probed:
+	case HealthCheckResult:
 		b.be(n.Endpoint).post(n)
-	case Met: // counts that began before the endpoint started again tell of the process that is gone
+	case EndpointStats: // counts that began before the endpoint started again tell of the process that is gone
 		if at := b.be(n.Endpoint).Started; at != 0 && at > b.now-n.SpanMs {
-			n.Tries, n.Failed = 0, 0
+			n.Attempts, n.Failed = 0, 0
 		}
 		b.be(n.Endpoint).post(n)
 		b.region(n.Zone).post(n)
@@ -196,9 +196,9 @@
 	}
 }
 
-func (b *Brain) list(l Listing) {
-	if l.Mode == ListFailed {
-		b.order(Watch{On: true})
+func (b *Planner) list(l EndpointUpdate) {
+	if l.Mode == UpdateFailed {
+		b.order(WatchEndpoints{On: true})
 		return
 	}
 	named := map[int]bool{}
@@ -208,7 +208,7 @@
 		b.be(e.Endpoint).post(e)
 	}
 	for i, be := range b.bes {
-		if gone := be.Entry; l.Mode != Changes && be.listed && !named[i] {
+		if gone := be.Entry; l.Mode != Delta && be.listed && !named[i] {
 			gone.Phase = Gone
 			be.post(gone)
 		}
@@ -216,7 +216,7 @@
 	b.round(false)
 }
 
-func (b *Brain) round(step bool) {
+func (b *Planner) round(step bool) {
 	b.drain()
 	squares := 0.0
 	clear(b.joined)
@@ -240,9 +240,9 @@
 	}
 }
 
-func (b *Brain) rush(z int) float64 { return (b.seen[z] + enoughReqs) / (b.usual[z] + enoughReqs) }
+func (b *Planner) rush(z int) float64 { return (b.seen[z] + enoughReqs) / (b.usual[z] + enoughReqs) }
 
-func (b *Brain) drain() {
+func (b *Planner) drain() {
 	for busy := true; busy; {
 		busy = false
 		for i := 0; i < len(b.actors); i++ { // they may grow meanwhile
@@ -256,23 +256,23 @@
 	}
 }
 
-func (b *Brain) book(note any) {
+func (b *Planner) book(note any) {
 	switch n := note.(type) {
-	case Joined:
+	case ProxyJoined:
 		b.proxies[n.Proxy] = n
 		b.region(n.Zone)
-	case Left:
+	case ProxyLeft:
 		delete(b.proxies, n.Proxy)
-	case Demand:
+	case RequestStats:
 		if p, ours := b.proxies[n.Proxy]; ours {
-			b.seen[p.Zone] = lineFade*b.seen[p.Zone] + float64(n.Reqs)
-			b.asked[n.Kind] = lineFade*b.asked[n.Kind] + float64(n.Reqs)
+			b.seen[p.Zone] = lineFade*b.seen[p.Zone] + float64(n.Requests)
+			b.asked[n.Class] = lineFade*b.asked[n.Class] + float64(n.Requests)
 			b.usual[p.Zone] = lineFade*b.usual[p.Zone] + p.Rate*n.SpanMs/1000/float64(len(b.kinds))
 		}
 	}
 }
 
-func (b *Brain) be(i int) *endpoint {
+func (b *Planner) be(i int) *endpoint {
 	for len(b.bes) <= i {
 		e := &endpoint{b: b, Entry: Entry{Endpoint: len(b.bes)}, load: -1, heard: -staleMs,
 			views: map[int]*view{}, planned: append([]map[int]float64{{}}, make([]map[int]float64, lagGathers+1)...)}
@@ -282,7 +282,7 @@
 	return b.bes[i]
 }
 
-func (b *Brain) region(zone int) *region {
+func (b *Planner) region(zone int) *region {
 	for len(b.regions) <= zone {
 		r := &region{b: b, zone: len(b.regions), offers: map[int]*offer{}, sheds: map[int]float64{},
 			latency: map[int]float64{}, runs: map[int]float64{}}
@@ -290,7 +290,7 @@
 		b.regions, b.actors = append(b.regions, r), append(b.actors, &r.inbox)
 		for range len(b.groups) * b.parts {
 			b.sender.tables = append(b.sender.tables, &table{number: len(b.sender.tables), sent: map[int]float64{},
-				told: map[int]Admit{}, levels: map[int]Admit{}, want: map[int]float64{}})
+				told: map[int]SetAdmission{}, levels: map[int]SetAdmission{}, want: map[int]float64{}})
 		}
 	}
 	return b.regions[zone]
@@ -299,7 +299,7 @@
 type endpoint struct {
 	inbox
 	Entry
-	b             *Brain
+	b             *Planner
 	listed, again bool    // again: it has started anew
 	load, heard   float64 // of the last reports: load (below 0: none), and when
 	price         float64 // the penalty lambda
@@ -347,13 +347,13 @@
 	switch n := note.(type) {
 	case Entry:
 		e.relist(n)
-	case Met:
-		v, tries, bad := e.view(n.Zone), float64(n.Tries), float64(n.Failed)
+	case EndpointStats:
+		v, tries, bad := e.view(n.Zone), float64(n.Attempts), float64(n.Failed)
 		v.good, v.bad, v.tries, v.fails = v.good+math.Max(0, tries-bad), v.bad+bad, v.tries+tries, v.fails+bad
 		e.report(n.Load)
-	case Probed:
+	case HealthCheckResult:
 		e.report(n.Load)
-	case SetLine:
+	case SetWeight:
 		e.planned[0][n.Table] = n.Weight
 	case gather:
 		e.gather(n)
@@ -365,7 +365,7 @@
 		e.views, e.price, e.load, e.heard, e.span, e.again = map[int]*view{}, 0, -1, -staleMs, 0, true
 	}
 	if out := n.Phase != Ready; out != (e.listed && e.Phase != Ready) {
-		e.b.sender.post(Withdraw{n.Endpoint, out})
+		e.b.sender.post(SetExcluded{n.Endpoint, out})
 	}
 	e.Entry, e.listed = n, true
 }
@@ -407,7 +407,7 @@
 	return theta * e.b.part() * math.Min(1, gatherMs/math.Max(e.every, 1)) // one looked at often counts once
 }
 
-func (b *Brain) part() float64 {
+func (b *Planner) part() float64 {
 	part := math.Min(1, float64(len(b.proxies))/b.brief.num("proxy_count", 1))
 	return pick(b.brief["by_zone"] == true, 1, part)
 }
@@ -426,7 +426,7 @@
 		e.price = math.Max(0, math.Min(priciest, e.price+e.step()*(load*load-e.b.knee*e.b.knee)))
 		every := int(pick(seen < 8, 1, e.b.brief.num("instances", 1)))
 		if e.b.brief["probing"] == true && e.Phase == Ready && (e.b.gathers+e.Endpoint)%max(1, every) == 0 {
-			e.b.order(Probe{Endpoint: e.Endpoint})
+			e.b.order(HealthCheck{Endpoint: e.Endpoint})
 		}
 	}
 	o.price, o.Weight = e.price, pick(e.Weight > 0, e.Weight, 1)
@@ -469,7 +469,7 @@
 
 type region struct {
 	inbox
-	b       *Brain
+	b       *Planner
 	zone    int
 	offers  map[int]*offer
 	latency map[int]float64 // heard, by zone of the endpoints
@@ -482,7 +482,7 @@
 
 func (r *region) read(note any) {
 	switch n := note.(type) {
-	case Met:
+	case EndpointStats:
 		if o := r.offers[n.Endpoint]; o != nil && n.MeanMs > 0 {
 			old := r.latency[o.Zone]
 			r.latency[o.Zone] += (n.MeanMs - old) * pick(old > 0, 0.125, 1)
@@ -562,7 +562,7 @@
 		for _, l := range lines { // the fullest line stands still, so that spill alone moves few others
 			unit = math.Max(unit, l.x/math.Max(l.listed, 1e-9))
 			load += l.x * math.Min(1, r.offers[l.be].load)
-			r.b.bes[l.be].post(SetLine{r.b.table(r.zone, g), l.be, l.x * rush})
+			r.b.bes[l.be].post(SetWeight{r.b.table(r.zone, g), l.be, l.x * rush})
 		}
 		r.deal(g, lines, unit)
 		if step {
@@ -616,7 +616,7 @@
 				math.Max(0, math.Min(at[k]+mass, from+width-1)-math.Max(at[k], from-1))
 			in := over > pick(t.sent[l.be] > 0, stays, enters)*math.Min(mass, width)
 			part := pick(width < 1, math.Ceil(3*over/mass)/3, 1) * r.runs[2*g] / r.runs[2*g+k]
-			r.b.sender.post(SetLine{t.number, l.be, pick(in, l.x/unit*part, 0)})
+			r.b.sender.post(SetWeight{t.number, l.be, pick(in, l.x/unit*part, 0)})
 			at[k] += mass
 		}
 	}
@@ -724,13 +724,13 @@
 			}
 			way := pick(again && r.b.kinds[k]["repeats"] == "replayable", 2, usual)
 			for p := range r.b.parts {
-				r.b.sender.post(Admit{r.b.table(r.zone*r.b.parts+p, g), 1 << k, int(way), level})
+				r.b.sender.post(SetAdmission{r.b.table(r.zone*r.b.parts+p, g), 1 << k, int(way), level})
 			}
 		}
 	}
 }
 
-func (b *Brain) byPayoff() (order []int) {
+func (b *Planner) byPayoff() (order []int) {
 	var worth []float64
 	for k, of := range b.kinds {
 		order, worth = append(order, k), append(worth, of.num("payoff", 1)/of.num("response_target", 1000))
--- a/planner/brain_test.go
+++ b/planner/brain_test.go
@@ -15,12 +15,12 @@
 // bench drives one Brain by hand and keeps what its orders add up to.
 type bench struct {
 	t        *testing.T
-	b        *Brain
+	b        *Planner
 	now      float64
 	lines    map[int]map[int]float64
 	out      map[int]bool
-	levels   map[string]Admit
-	bound    map[int][]Bind
+	levels   map[string]SetAdmission
+	bound    map[int][]AssignTable
 	sets     int // lines ordered in the last step
 	messages int // orders of any line in the last step
 	probes   int
@@ -46,38 +46,38 @@
 		change(terms, entries)
 	}
 	p := &bench{t: t, b: New(1, terms), lines: map[int]map[int]float64{}, out: map[int]bool{},
-		levels: map[string]Admit{}, bound: map[int][]Bind{}}
-	p.step(Listing{Mode: Remembered, Entries: entries})
-	p.step(Joined{Proxy: 0, Zone: 0, Rate: 20}, Joined{Proxy: 1, Zone: 1, Rate: 20})
+		levels: map[string]SetAdmission{}, bound: map[int][]AssignTable{}}
+	p.step(EndpointUpdate{Mode: Cached, Entries: entries})
+	p.step(ProxyJoined{Proxy: 0, Zone: 0, Rate: 20}, ProxyJoined{Proxy: 1, Zone: 1, Rate: 20})
 	return p
 }
 
 // step hands notes over and checks what holds for all orders.
-func (p *bench) step(notes ...Note) []Order {
+func (p *bench) step(notes ...Event) []Command {
 	orders := p.b.Handle(p.now, notes)
 	p.sets, p.messages, p.probes = 0, 0, 0
 	for _, o := range orders {
 		switch o := o.(type) {
-		case SetLine:
+		case SetWeight:
 			require.False(p.t, math.IsNaN(o.Weight) || math.IsInf(o.Weight, 0) || o.Weight < 0, "%+v", o)
 			if p.lines[o.Table] == nil {
 				p.lines[o.Table] = map[int]float64{}
 			}
 			p.lines[o.Table][o.Endpoint] = o.Weight
 			p.sets++
-		case Withdraw:
-			p.out[o.Endpoint] = o.Out
-		case Admit:
-			p.levels[fmt.Sprint(o.Table, "/", o.Kinds)] = o
-		case Bind:
+		case SetExcluded:
+			p.out[o.Endpoint] = o.Excluded
+		case SetAdmission:
+			p.levels[fmt.Sprint(o.Table, "/", o.Classes)] = o
+		case AssignTable:
 			p.bound[o.Proxy] = append(p.bound[o.Proxy], o)
-		case Probe:
+		case HealthCheck:
 			p.probes++
 		case Log:
 			p.logs = append(p.logs, o.Text)
 		}
 		switch o.(type) {
-		case SetLine, Withdraw, Admit, Bind:
+		case SetWeight, SetExcluded, SetAdmission, AssignTable:
 			p.messages++
 		}
 	}
@@ -85,21 +85,21 @@
 }
 
 // gather lets whole windows pass, with the notes that each brings.
-func (p *bench) gather(windows int, notes func() []Note) {
+func (p *bench) gather(windows int, notes func() []Event) {
 	for range windows {
 		p.now += gatherMs
-		var all []Note
+		var all []Event
 		if notes != nil {
 			all = notes()
 		}
-		p.step(append(all, Alarm{"gather"})...)
+		p.step(append(all, TimerFired{"gather"})...)
 	}
 }
 
 // tries are one window's lines from a zone: good and failed tries and a load for each endpoint named.
-func tries(zone, good, failed int, util float64, endpoints ...int) (notes []Note) {
+func tries(zone, good, failed int, util float64, endpoints ...int) (notes []Event) {
 	for _, e := range endpoints {
-		m := Met{Endpoint: e, Zone: zone, Tries: good + failed, Failed: failed, MeanMs: 100, SpanMs: 1000}
+		m := EndpointStats{Endpoint: e, Zone: zone, Attempts: good + failed, Failed: failed, MeanMs: 100, SpanMs: 1000}
 		if util >= 0 {
 			m.Load = Load{"util": util, "rate": 20 * util}
 		}
@@ -125,14 +125,14 @@
 func TestOrdinaryPath(t *testing.T) {
 	all := []int{0, 1, 2, 3, 4, 5}
 	for name, c := range map[string]struct {
-		loads             func() []Note
+		loads             func() []Event
 		windows           int
 		ownLeast, ownMost float64
 	}{
 		"no reports: own zone alone":       {nil, 5, 1, 1},
-		"modest load: own zone alone":      {func() []Note { return tries(0, 10, 0, 0.4, all...) }, 10, 1, 1},
-		"own zone overfull: it spills":     {func() []Note { return append(tries(0, 10, 0, 1, 0, 1), tries(0, 2, 0, 0.2, 2, 3, 4, 5)...) }, 12, 0.1, 0.9},
-		"all overfull alike: home is best": {func() []Note { return tries(0, 10, 0, 1, all...) }, 12, 0.5, 1},
+		"modest load: own zone alone":      {func() []Event { return tries(0, 10, 0, 0.4, all...) }, 10, 1, 1},
+		"own zone overfull: it spills":     {func() []Event { return append(tries(0, 10, 0, 1, 0, 1), tries(0, 2, 0, 0.2, 2, 3, 4, 5)...) }, 12, 0.1, 0.9},
+		"all overfull alike: home is best": {func() []Event { return tries(0, 10, 0, 1, all...) }, 12, 0.5, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := pilot(t, nil)
@@ -146,11 +146,11 @@
 
 func TestPenaltyRisesAboveTargetAndComesDown(t *testing.T) {
 	p := pilot(t, nil)
-	p.gather(6, func() []Note { return tries(0, 10, 0, 1, 0) })
+	p.gather(6, func() []Event { return tries(0, 10, 0, 1, 0) })
 	high := p.b.bes[0].price
 	assert.Greater(t, high, theta*0.5)
 	assert.LessOrEqual(t, high, priciest)
-	p.gather(12, func() []Note { return tries(0, 10, 0, 0.2, 0) })
+	p.gather(12, func() []Event { return tries(0, 10, 0, 0.2, 0) })
 	assert.Zero(t, p.b.bes[0].price)
 	assert.Zero(t, p.b.bes[5].price, "no reports: the penalty stays 0")
 }
@@ -177,7 +177,7 @@
 
 func TestOnlyDifferencesAreSent(t *testing.T) {
 	p := pilot(t, nil)
-	steady := func() []Note { return tries(0, 10, 0, 0.4, 0, 1) }
+	steady := func() []Event { return tries(0, 10, 0, 0.4, 0, 1) }
 	p.gather(8, steady)
 	for range 5 {
 		p.gather(1, steady)
@@ -191,7 +191,7 @@
 func TestColdEndpointIsCapped(t *testing.T) {
 	p := pilot(t, nil)
 	p.now = 100000
-	p.step(Listing{Mode: Changes, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - 500}}})
+	p.step(EndpointUpdate{Mode: Delta, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - 500}}})
 	last := 0.0
 	for age := 1.5; age < 9; age++ {
 		p.gather(1, nil)
@@ -210,16 +210,16 @@
 		ejects float64
 		gone   bool // the other endpoint of its zone is lost
 		fresh  bool // the pilot has just started
-		notes  func() []Note
+		notes  func() []Event
 		most   float64
 	}{
-		"calm":                           {5, false, false, func() []Note { return tries(0, 20, 0, 0.3, all...) }, 0.37},
-		"much fails: nothing":            {5, false, false, func() []Note { return tries(0, 10, 10, 0.3, all...) }, 0},
-		"busy: nothing":                  {5, false, false, func() []Note { return tries(0, 20, 0, 0.9, all...) }, 0},
-		"no proxy avoids: a little":      {0, false, false, func() []Note { return tries(0, 20, 0, 0.9, all...) }, 0.4},
-		"fresh pilot: nothing":           {5, false, true, func() []Note { return tries(0, 20, 0, 0.3, all...) }, 0},
-		"last of its zone is no giant":   {5, true, false, func() []Note { return tries(0, 20, 0, 0.3, all...) }, 0.45},
-		"no giant where no proxy avoids": {0, true, false, func() []Note { return tries(0, 20, 0, 0.3, all...) }, 0.45},
+		"calm":                           {5, false, false, func() []Event { return tries(0, 20, 0, 0.3, all...) }, 0.37},
+		"much fails: nothing":            {5, false, false, func() []Event { return tries(0, 10, 10, 0.3, all...) }, 0},
+		"busy: nothing":                  {5, false, false, func() []Event { return tries(0, 20, 0, 0.9, all...) }, 0},
+		"no proxy avoids: a little":      {0, false, false, func() []Event { return tries(0, 20, 0, 0.9, all...) }, 0.4},
+		"fresh pilot: nothing":           {5, false, true, func() []Event { return tries(0, 20, 0, 0.3, all...) }, 0},
+		"last of its zone is no giant":   {5, true, false, func() []Event { return tries(0, 20, 0, 0.3, all...) }, 0.45},
+		"no giant where no proxy avoids": {0, true, false, func() []Event { return tries(0, 20, 0, 0.3, all...) }, 0.45},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := pilot(t, func(terms map[string]any, _ []Entry) { terms["ejects_after"] = c.ejects })
@@ -230,7 +230,7 @@
 			if c.gone {
 				list = append(list, Entry{Endpoint: 1, Zone: 0, Weight: 2, Phase: Gone})
 			}
-			p.step(Listing{Mode: Changes, Entries: list})
+			p.step(EndpointUpdate{Mode: Delta, Entries: list})
 			if name == "calm" { // its half of the zone, times what the told start and span say that it can do, now and later
 				assert.LessOrEqual(t, p.share(0, 0), 0.5*0.55+0.005)
 			}
@@ -245,8 +245,8 @@
 // than the others, and its traffic would stay with them for as long as the list says nothing.
 func TestMute(t *testing.T) {
 	p := pilot(t, nil)
-	p.gather(6, func() []Note { return tries(0, 3, 0, 0.3, 0, 1) })
-	p.gather(8, func() []Note { return append(tries(0, 0, 9, -1, 0, 1), tries(1, 20, 0, 0.3, 2, 3, 4, 5)...) })
+	p.gather(6, func() []Event { return tries(0, 3, 0, 0.3, 0, 1) })
+	p.gather(8, func() []Event { return append(tries(0, 0, 9, -1, 0, 1), tries(1, 20, 0, 0.3, 2, 3, 4, 5)...) })
 	assert.Contains(t, strings.Join(p.logs, "\n"), "endpoint 0 zone 0: out, good 0.")
 	assert.Greater(t, p.share(0, 2, 3, 4, 5), 0.7)
 }
@@ -256,15 +256,15 @@
 	var shares []float64
 	for _, reqs := range []int{20, 60} {
 		p := pilot(t, func(terms map[string]any, _ []Entry) { terms["ejects_after"] = 0.0 })
-		notes := func() []Note {
+		notes := func() []Event {
 			all := tries(0, 20, 0, 0.3, 0, 1, 2, 3, 4, 5)
 			for k := range 2 {
-				all = append(all, Demand{Proxy: 0, Kind: k, Reqs: reqs / 2, SpanMs: 1000})
+				all = append(all, RequestStats{Proxy: 0, Class: k, Requests: reqs / 2, SpanMs: 1000})
 			}
 			return all
 		}
 		p.gather(40, notes)
-		p.step(Listing{Mode: Changes, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - 5000}}})
+		p.step(EndpointUpdate{Mode: Delta, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - 5000}}})
 		p.gather(1, notes)
 		shares = append(shares, p.share(0, 0))
 	}
@@ -275,12 +275,12 @@
 // take does not fall to it (incident 019).
 func TestColdAmongTrials(t *testing.T) {
 	p := pilot(t, func(terms map[string]any, _ []Entry) { terms["ejects_after"] = 0.0 })
-	p.gather(8, func() []Note { return tries(0, 20, 0, 0.3, 0, 1, 2, 3, 4, 5) })
-	p.gather(10, func() []Note { return append(tries(0, 0, 9, -1, 1, 2, 3, 4, 5), tries(0, 20, 0, 0.3, 0)...) })
-	p.step(Listing{Mode: Changes, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - 4000}}})
+	p.gather(8, func() []Event { return tries(0, 20, 0, 0.3, 0, 1, 2, 3, 4, 5) })
+	p.gather(10, func() []Event { return append(tries(0, 0, 9, -1, 1, 2, 3, 4, 5), tries(0, 20, 0, 0.3, 0)...) })
+	p.step(EndpointUpdate{Mode: Delta, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - 4000}}})
 	trials := 0
 	for range 4 {
-		p.gather(1, func() []Note { return tries(0, 1, 0, -1, 1, 2, 3, 4, 5) })
+		p.gather(1, func() []Event { return tries(0, 1, 0, -1, 1, 2, 3, 4, 5) })
 		trials += len(slices.DeleteFunc(slices.Clone(p.logs), func(l string) bool { return !strings.Contains(l, "trial") }))
 		if trials > 0 {
 			assert.LessOrEqual(t, p.share(0, 0), 0.3)
@@ -291,9 +291,9 @@
 
 func TestFreshSpillIsNotSilence(t *testing.T) {
 	p := pilot(t, nil)
-	p.gather(8, func() []Note { return tries(0, 40, 0, 0.3, 0, 1) })
-	p.gather(3, func() []Note { return tries(0, 40, 0, 1.3, 0, 1) })
-	p.gather(3, func() []Note { return append(tries(0, 40, 0, 1.3, 0, 1), tries(0, 10, 0, 0.2, 2, 3)...) })
+	p.gather(8, func() []Event { return tries(0, 40, 0, 0.3, 0, 1) })
+	p.gather(3, func() []Event { return tries(0, 40, 0, 1.3, 0, 1) })
+	p.gather(3, func() []Event { return append(tries(0, 40, 0, 1.3, 0, 1), tries(0, 10, 0, 0.2, 2, 3)...) })
 	assert.Greater(t, p.share(0, 2, 3), 0.1)
 	for _, l := range p.logs {
 		assert.NotContains(t, l, "endpoint 2 zone 0: out")
@@ -304,38 +304,38 @@
 	for name, phase := range map[string]Phase{"draining": Draining, "gone": Gone} {
 		t.Run(name, func(t *testing.T) {
 			p := pilot(t, nil)
-			first := p.step(Listing{Mode: Changes, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Phase: phase}}})
+			first := p.step(EndpointUpdate{Mode: Delta, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Phase: phase}}})
 			require.NotEmpty(t, first)
-			assert.Contains(t, first, Withdraw{0, true}, "drains come first, at once")
+			assert.Contains(t, first, SetExcluded{0, true}, "drains come first, at once")
 			assert.Zero(t, p.lines[0][0])
 			p.now = 50000
-			p.step(Listing{Mode: Changes, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now}}})
+			p.step(EndpointUpdate{Mode: Delta, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now}}})
 			assert.False(t, p.out[0])
 			assert.Less(t, p.share(0, 0), 0.05, "back as a cold one")
 		})
 	}
 	p := pilot(t, nil)
-	p.step(Listing{Mode: Whole, Entries: []Entry{{Endpoint: 1, Zone: 0, Weight: 2}}})
+	p.step(EndpointUpdate{Mode: Snapshot, Entries: []Entry{{Endpoint: 1, Zone: 0, Weight: 2}}})
 	assert.True(t, p.out[0] && p.out[5] && !p.out[1], "what a whole list leaves out is gone")
 }
 
 func TestSymptoms(t *testing.T) {
 	others := []int{1, 2, 3, 4, 5}
 	for name, c := range map[string]struct {
-		notes func() []Note
+		notes func() []Event
 		gone  bool
 	}{
-		"fails fast":      {func() []Note { return append(tries(0, 3, 9, 0.3, 0), tries(0, 10, 0, 0.3, others...)...) }, true},
-		"answers nothing": {func() []Note { return append(tries(0, 0, 9, -1, 0), tries(0, 10, 0, 0.3, others...)...) }, true},
-		"its zone is lost": {func() []Note {
+		"fails fast":      {func() []Event { return append(tries(0, 3, 9, 0.3, 0), tries(0, 10, 0, 0.3, others...)...) }, true},
+		"answers nothing": {func() []Event { return append(tries(0, 0, 9, -1, 0), tries(0, 10, 0, 0.3, others...)...) }, true},
+		"its zone is lost": {func() []Event {
 			return append(tries(0, 0, 9, -1, 0, 1), tries(0, 10, 0, 0.3, 2, 3, 4, 5)...)
 		}, true},
-		"fails when overloaded": {func() []Note { return append(tries(0, 3, 9, 1, 0), tries(0, 10, 0, 0.3, others...)...) }, false},
-		"all fail alike":        {func() []Note { return tries(0, 4, 8, 0.3, 0, 1, 2, 3, 4, 5) }, false},
+		"fails when overloaded": {func() []Event { return append(tries(0, 3, 9, 1, 0), tries(0, 10, 0, 0.3, others...)...) }, false},
+		"all fail alike":        {func() []Event { return tries(0, 4, 8, 0.3, 0, 1, 2, 3, 4, 5) }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := pilot(t, nil)
-			p.gather(6, func() []Note { return tries(0, 20, 0, 0.3, 0, 1, 2, 3, 4, 5) })
+			p.gather(6, func() []Event { return tries(0, 20, 0, 0.3, 0, 1, 2, 3, 4, 5) })
 			p.gather(4, c.notes)
 			out := func(log string) bool { return strings.HasPrefix(log, "endpoint 0 zone 0: out") }
 			assert.Equal(t, c.gone, slices.ContainsFunc(p.logs, out), p.logs)
@@ -346,9 +346,9 @@
 
 func TestTrialsGrowRarer(t *testing.T) {
 	p := pilot(t, nil)
-	sick := func() []Note { return append(tries(0, 0, 10, 0.3, 0), tries(0, 10, 0, 0.3, 1, 2, 3)...) }
+	sick := func() []Event { return append(tries(0, 0, 10, 0.3, 0), tries(0, 10, 0, 0.3, 1, 2, 3)...) }
 	out := 0
-	p.gather(30, func() []Note {
+	p.gather(30, func() []Event {
 		if p.lines[0][0] == 0 {
 			out++
 			return tries(0, 10, 0, 0.3, 1, 2, 3)
@@ -357,7 +357,7 @@
 		return sick()
 	})
 	assert.Greater(t, out, 15)
-	p.gather(30, func() []Note {
+	p.gather(30, func() []Event {
 		return append(tries(0, 20, 0, 0.6*p.share(0, 0), 0), tries(0, 20, 0, 0.3, 1, 2, 3)...)
 	})
 	assert.InDelta(t, 0.5, p.share(0, 0), 0.15, "it returns once answers are good")
@@ -365,8 +365,8 @@
 
 func TestNoProxyIsLeftBare(t *testing.T) {
 	p := pilot(t, nil)
-	p.gather(6, func() []Note { return tries(0, 20, 0, 0.3, 0, 1, 2, 3, 4, 5) })
-	p.gather(20, func() []Note { return tries(0, 0, 20, -1, 0, 1, 2, 3, 4, 5) })
+	p.gather(6, func() []Event { return tries(0, 20, 0, 0.3, 0, 1, 2, 3, 4, 5) })
+	p.gather(20, func() []Event { return tries(0, 0, 20, -1, 0, 1, 2, 3, 4, 5) })
 	sum := 0.0
 	for _, w := range p.lines[0] {
 		sum += w
@@ -375,19 +375,19 @@
 }
 
 func TestLevels(t *testing.T) {
-	full := func() []Note {
-		return append(tries(0, 10, 10, 1, 0, 1, 2, 3, 4, 5), Demand{Proxy: 0, Kind: 0, Reqs: 10}, Demand{Proxy: 0, Kind: 1, Reqs: 10})
+	full := func() []Event {
+		return append(tries(0, 10, 10, 1, 0, 1, 2, 3, 4, 5), RequestStats{Proxy: 0, Class: 0, Requests: 10}, RequestStats{Proxy: 0, Class: 1, Requests: 10})
 	}
 	p := pilot(t, nil)
 	p.gather(8, full)
 	low, ok := p.levels["0/1"]
 	require.True(t, ok, "overload denies the kind with the least payoff for its time")
 	assert.Less(t, low.Level, 0.9)
-	assert.LessOrEqual(t, low.Again, 1, "no kind is tried again after a try that may have run")
+	assert.LessOrEqual(t, low.RetryMode, 1, "no kind is tried again after a try that may have run")
 	if high, ok := p.levels["0/2"]; ok {
 		assert.GreaterOrEqual(t, high.Level, low.Level)
 	}
-	p.gather(50, func() []Note { return tries(0, 10, 0, 0.3, 0, 1, 2, 3, 4, 5) })
+	p.gather(50, func() []Event { return tries(0, 10, 0, 0.3, 0, 1, 2, 3, 4, 5) })
 	assert.Equal(t, 1.0, p.levels["0/1"].Level)
 	none := pilot(t, func(terms map[string]any, _ []Entry) { terms["admission"] = "off" })
 	none.gather(8, full)
@@ -399,21 +399,21 @@
 // TestLevelsAsRates guards proxies that take levels as rates of their own: a share of 1, told as one req a second, had them
 // deny four of five reqs of a customer whose proxies bring 24 (calm+mass of seed 3 with 30 nodes, one zone, admission by rate).
 func TestLevelsAsRates(t *testing.T) {
-	demand := func() []Note {
-		return []Note{Demand{Proxy: 0, Kind: 0, Reqs: 15, SpanMs: 1000}, Demand{Proxy: 0, Kind: 1, Reqs: 5, SpanMs: 1000}}
+	demand := func() []Event {
+		return []Event{RequestStats{Proxy: 0, Class: 0, Requests: 15, SpanMs: 1000}, RequestStats{Proxy: 0, Class: 1, Requests: 5, SpanMs: 1000}}
 	}
 	p := pilot(t, func(terms map[string]any, _ []Entry) { terms["admission"], terms["retry_default"] = "rate", 1.0 })
-	p.gather(8, func() []Note { return append(tries(0, 10, 2, 0.3, 0, 1, 2, 3, 4, 5), demand()...) })
-	require.Equal(t, 2, p.levels["0/1"].Again, "some are tried again")
+	p.gather(8, func() []Event { return append(tries(0, 10, 2, 0.3, 0, 1, 2, 3, 4, 5), demand()...) })
+	require.Equal(t, 2, p.levels["0/1"].RetryMode, "some are tried again")
 	assert.Greater(t, p.levels["0/1"].Level, 1000.0, "and all are let in")
-	p.gather(3, func() []Note { return append(tries(0, 10, 10, 1, 0, 1, 2, 3, 4, 5), demand()...) })
+	p.gather(3, func() []Event { return append(tries(0, 10, 10, 1, 0, 1, 2, 3, 4, 5), demand()...) })
 	assert.Less(t, p.levels["0/1"].Level, 15.0, "overload denies the kind with the least payoff for its time")
 	assert.Greater(t, p.levels["0/1"].Level, 0.5)
 	assert.GreaterOrEqual(t, p.levels["0/2"].Level, 5.0, "and the other not yet")
-	p.gather(50, func() []Note { return append(tries(0, 10, 0, 0.3, 0, 1, 2, 3, 4, 5), demand()...) })
+	p.gather(50, func() []Event { return append(tries(0, 10, 0, 0.3, 0, 1, 2, 3, 4, 5), demand()...) })
 	assert.Greater(t, p.levels["0/1"].Level, 1000.0, "then all are let in again")
 	p = pilot(t, func(terms map[string]any, _ []Entry) { terms["admission"] = "rate" })
-	p.gather(30, func() []Note { return tries(0, 10, 10, 1, 0, 1, 2, 3, 4, 5) })
+	p.gather(30, func() []Event { return tries(0, 10, 10, 1, 0, 1, 2, 3, 4, 5) })
 	for _, l := range p.levels {
 		assert.Greater(t, l.Level, 0.0, "no zone without reqs is closed")
 	}
@@ -431,9 +431,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := pilot(t, func(terms map[string]any, _ []Entry) { terms["first_wait"] = c.firstWait })
-			p.gather(6, func() []Note { return tries(0, 10, c.failed, c.util, 0, 1, 2, 3, 4, 5) })
-			assert.Equal(t, c.want, p.levels["0/1"].Again)
-			assert.Equal(t, 1, p.levels["0/2"].Again, "never what is non-replayable")
+			p.gather(6, func() []Event { return tries(0, 10, c.failed, c.util, 0, 1, 2, 3, 4, 5) })
+			assert.Equal(t, c.want, p.levels["0/1"].RetryMode)
+			assert.Equal(t, 1, p.levels["0/2"].RetryMode, "never what is non-replayable")
 		})
 	}
 }
@@ -444,47 +444,47 @@
 	for i := range 300 {
 		list = append(list, Entry{Endpoint: i, Zone: i % 3, Weight: 3})
 	}
-	crowd := func(from, to int) (notes []Note) {
+	crowd := func(from, to int) (notes []Event) {
 		for i := from; i < to; i++ {
-			notes = append(notes, Joined{Proxy: i, Zone: i % 3, Rate: 10})
+			notes = append(notes, ProxyJoined{Proxy: i, Zone: i % 3, Rate: 10})
 		}
 		return notes
 	}
-	run := func() (all []Order) {
+	run := func() (all []Command) {
 		p := &bench{t: t, b: New(1, map[string]any{"lines_per_s": 4000.0, "head_lines": 4.0, "backlog": 8000.0,
 			"messages_most": 30.0, "messages_over": 10000.0, "proxy_count": 200.0, "req_kinds": []any{map[string]any{}}}),
-			lines: map[int]map[int]float64{}, out: map[int]bool{}, levels: map[string]Admit{}, bound: map[int][]Bind{}}
-		queue, written, marks := 0.0, map[int]int{}, []Note(nil)
+			lines: map[int]map[int]float64{}, out: map[int]bool{}, levels: map[string]SetAdmission{}, bound: map[int][]AssignTable{}}
+		queue, written, marks := 0.0, map[int]int{}, []Event(nil)
 		for tick := range 400 {
 			p.now = float64(tick) * 50
-			notes := []Note{Alarm{"bind"}}
+			notes := []Event{TimerFired{"bind"}}
 			if queue == 0 { // all has left the channel
 				notes, marks = append(notes, marks...), nil
 			}
 			switch {
 			case tick == 0:
-				notes = append(notes, append([]Note{Listing{Mode: Remembered, Entries: list}}, crowd(0, 100)...)...)
+				notes = append(notes, append([]Event{EndpointUpdate{Mode: Cached, Entries: list}}, crowd(0, 100)...)...)
 			case tick == 200: // the rest comes over, as a tenth of the endpoints goes
 				gone := slices.Clone(list[:30])
 				for i := range gone {
 					gone[i].Phase = Gone
 				}
-				notes = append(notes, append(crowd(100, 200), Listing{Mode: Changes, Entries: gone})...)
+				notes = append(notes, append(crowd(100, 200), EndpointUpdate{Mode: Delta, Entries: gone})...)
 			case tick%20 == 0:
 				bad := int(pick(tick < 100, 5, 0)) // endpoint 33 goes out and comes back
 				notes = append(notes, append(tries(0, 3, 0, 0.5, 99, 102), tries(0, 5-bad, bad, 0.1, 33)...)...)
-				notes = append(notes, Alarm{"gather"})
+				notes = append(notes, TimerFired{"gather"})
 			}
 			orders := p.step(notes...)
 			all = append(all, orders...)
 			for _, o := range orders {
 				switch o := o.(type) {
-				case Mark:
-					marks = append(marks, Applied{Number: o.Number})
-				case Bind:
+				case AckRequest:
+					marks = append(marks, Ack{Number: o.Number})
+				case AssignTable:
 					queue += 5 + float64(len(p.lines[o.Table]))
 					written[o.Proxy]++
-				case SetLine:
+				case SetWeight:
 					for i, b := range p.bound {
 						queue += pick(b[0].Table == o.Table, 1, 0)
 						written[i] += int(pick(b[0].Table == o.Table && tick%20 == 0, 1, 0)) / max(1, p.sets)
@@ -519,8 +519,8 @@
 
 func TestForesightSpillsBeforeReports(t *testing.T) {
 	p := pilot(t, nil)
-	p.step(Joined{Proxy: 2, Zone: 0, Rate: 200})
-	p.gather(3, func() []Note { return tries(0, 10, 0, 0.7, 0, 1, 2, 3, 4, 5) })
+	p.step(ProxyJoined{Proxy: 2, Zone: 0, Rate: 200})
+	p.gather(3, func() []Event { return tries(0, 10, 0, 0.7, 0, 1, 2, 3, 4, 5) })
 	assert.Less(t, p.share(0, 0, 1), 0.9, "a zone with most of the demand")
 	assert.Equal(t, 1.0, p.share(1, 2, 3))
 }
@@ -528,11 +528,11 @@
 func TestChannelStaysShort(t *testing.T) {
 	p := pilot(t, func(terms map[string]any, _ []Entry) { terms["lines_per_s"] = 20.0 })
 	for i := 2; i < 30; i++ {
-		p.step(Joined{Proxy: i, Zone: 0, Rate: 1})
+		p.step(ProxyJoined{Proxy: i, Zone: 0, Rate: 1})
 	}
 	sent := 0
 	for w := range 20 {
-		p.gather(1, func() []Note { return append(tries(0, 5, 0, float64(w%2), 0), tries(0, 5, 0, 0.5, 1, 2, 3)...) })
+		p.gather(1, func() []Event { return append(tries(0, 5, 0, float64(w%2), 0), tries(0, 5, 0, 0.5, 1, 2, 3)...) })
 		sent += p.sets * 30
 	}
 	assert.Less(t, sent, 1500, "what can wait waits while the channel is full")
@@ -575,22 +575,22 @@
 			others := []int{1, 2, 3, 4, 5}
 			for i := 2; i < c.endpoints; i++ {
 				others = append(others, 4+i)
-				p.step(Listing{Mode: Changes, Entries: []Entry{{Endpoint: 4 + i, Weight: 2}}})
+				p.step(EndpointUpdate{Mode: Delta, Entries: []Entry{{Endpoint: 4 + i, Weight: 2}}})
 			}
 			clear(p.bound)
 			for i := range c.proxies {
-				p.step(Joined{Proxy: i, Zone: 0, Rate: 1})
+				p.step(ProxyJoined{Proxy: i, Zone: 0, Rate: 1})
 			}
-			calm := func() []Note { return append(tries(0, 20, 0, 0.4, others...), tries(0, 20, 0, 0.4, 0)...) }
+			calm := func() []Event { return append(tries(0, 20, 0, 0.4, others...), tries(0, 20, 0, 0.4, 0)...) }
 			p.gather(10, calm)
 			if c.change != nil || c.load != 0.4 || c.failed > 0 {
 				require.Empty(t, p.bound)
 			}
 			if c.change != nil {
 				c.change(&entries[0], p.now)
-				p.step(Listing{Mode: Changes, Entries: entries[:1]})
+				p.step(EndpointUpdate{Mode: Delta, Entries: entries[:1]})
 			}
-			p.gather(30, func() []Note {
+			p.gather(30, func() []Event {
 				return append(tries(0, 20-c.failed, c.failed, c.load, 0), tries(0, 20, 0, c.rest, others...)...)
 			})
 			assert.Len(t, p.bound, int(pick(c.bound, float64(c.proxies), 0)))
@@ -603,22 +603,22 @@
 // after a call that nobody answered crosses twice.
 func TestStalledChannel(t *testing.T) {
 	for name, c := range map[string]struct {
-		told  func(second, mark int) Note
-		after Note    // a moment later
+		told  func(second, mark int) Event
+		after Event   // a moment later
 		least float64 // parts of the backlog that are ordered in 30 s
 		most  float64
 	}{
-		"open":           {func(int, int) Note { return nil }, nil, 1.5, 9},
-		"cut off":        {func(int, int) Note { return Stalled{ForMs: 700} }, nil, 0.1, 1},
-		"back for a bit": {func(s, _ int) Note { return Stalled{ForMs: pick(s%10 < 8, 700, 0)} }, nil, 0.1, 1.3},
-		"said twice":     {func(_, mark int) Note { return Stalled{ForMs: 1, Again: []int{mark}} }, Stalled{}, 0.1, 0.25},
+		"open":           {func(int, int) Event { return nil }, nil, 1.5, 9},
+		"cut off":        {func(int, int) Event { return ChannelStalled{ForMs: 700} }, nil, 0.1, 1},
+		"back for a bit": {func(s, _ int) Event { return ChannelStalled{ForMs: pick(s%10 < 8, 700, 0)} }, nil, 0.1, 1.3},
+		"said twice":     {func(_, mark int) Event { return ChannelStalled{ForMs: 1, Repeated: []int{mark}} }, ChannelStalled{}, 0.1, 0.25},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := pilot(t, func(terms map[string]any, _ []Entry) {
 				terms["proxy_count"], terms["backlog"], terms["lines_per_s"] = 100.0, 4800.0, 800.0
 			})
 			for i := 2; i < 100; i++ {
-				p.step(Joined{Proxy: i, Zone: 0, Rate: 1})
+				p.step(ProxyJoined{Proxy: i, Zone: 0, Rate: 1})
 			}
 			p.gather(20, nil)
 			require.Len(t, p.bound, 100)
@@ -626,11 +626,11 @@
 			for s := range 30 { // what it wants changes all the time
 				p.now += gatherMs
 				lines := 0.0
-				for _, o := range p.step(c.told(s, mark), Listing{Entries: []Entry{{Weight: float64(2 + 9*(s%2))}}}, Alarm{"gather"}) {
+				for _, o := range p.step(c.told(s, mark), EndpointUpdate{Entries: []Entry{{Weight: float64(2 + 9*(s%2))}}}, TimerFired{"gather"}) {
 					switch o := o.(type) {
-					case SetLine:
+					case SetWeight:
 						lines += pick(o.Table == 0, 1, 0)
-					case Mark:
+					case AckRequest:
 						mark = o.Number
 					}
 				}
@@ -649,21 +649,21 @@
 // (split+mass of seed 2). Taken for bound, one that came back would hear of no drain.
 func TestProxiesThatStood(t *testing.T) {
 	for name, c := range map[string]struct {
-		again    Joined
-		between  []Note // after it stood, before it answers
+		again    ProxyJoined
+		between  []Event // after it stood, before it answers
 		answers  bool
 		binds    int // beside the first, in the end
 		mayCount bool
 	}{
-		"answers to a mark on a line of its table": {Joined{Stood: true}, nil, true, 0, true},
-		"does not answer":                          {Joined{Stood: true}, nil, false, 1, true},
-		"came back":                                {Joined{}, nil, true, 1, false},
-		"answers to a withdrawal, which reaches all": {Joined{Stood: true},
-			[]Note{Listing{Entries: []Entry{{Endpoint: 1, Zone: 0, Weight: 2, Phase: Draining}}}}, true, 1, true},
+		"answers to a mark on a line of its table": {ProxyJoined{Resumed: true}, nil, true, 0, true},
+		"does not answer":                          {ProxyJoined{Resumed: true}, nil, false, 1, true},
+		"came back":                                {ProxyJoined{}, nil, true, 1, false},
+		"answers to a withdrawal, which reaches all": {ProxyJoined{Resumed: true},
+			[]Event{EndpointUpdate{Entries: []Entry{{Endpoint: 1, Zone: 0, Weight: 2, Phase: Draining}}}}, true, 1, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := pilot(t, nil)
-			p.gather(4, func() []Note { return tries(0, 20, 0, 0.4, 0, 1, 2, 3) })
+			p.gather(4, func() []Event { return tries(0, 20, 0, 0.4, 0, 1, 2, 3) })
 			require.Len(t, p.bound[0], 1)
 			c.again.Rate = 20
 			p.b.sender.window.estimate = p.b.brief.num("backlog", 0) / 3 // no room to bind anew at once
@@ -671,23 +671,23 @@
 			p.b.sender.window.estimate = p.b.brief.num("backlog", 0) / 3
 			assert.Equal(t, c.mayCount, p.b.sender.proxies[0].bound, "its lines cost")
 			p.now += 100
-			marks, orders := []int{}, p.step(append(c.between, Listing{Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 9}}})...)
+			marks, orders := []int{}, p.step(append(c.between, EndpointUpdate{Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 9}}})...)
 			if c.between != nil { // said halfway through the grace
 				p.now += 1100
 				p.b.sender.window.estimate = 2 * p.b.brief.num("backlog", 0) // nothing that can wait goes out
 				orders = p.step()
-				require.Contains(t, orders, Withdraw{1, true})
-				assert.True(t, slices.ContainsFunc(orders, func(o Order) bool { _, binds := o.(Bind); return binds }),
+				require.Contains(t, orders, SetExcluded{1, true})
+				assert.True(t, slices.ContainsFunc(orders, func(o Command) bool { _, binds := o.(AssignTable); return binds }),
 					"a withdrawal may reach nobody: a bind beside it brings an answer to the mark")
 			}
 			for _, o := range orders {
-				if m, ok := o.(Mark); ok {
+				if m, ok := o.(AckRequest); ok {
 					marks = append(marks, m.Number)
 				}
 			}
 			if c.answers && len(marks) > 0 {
 				p.now += 100
-				p.step(Applied{Proxy: 0, Number: marks[0]})
+				p.step(Ack{Proxy: 0, Number: marks[0]})
 			}
 			p.gather(6, nil)
 			assert.Len(t, p.bound[0], 1+c.binds)
@@ -710,18 +710,18 @@
 			p.step()
 			full := func() { p.b.sender.window.estimate, p.b.sender.window.left = 1400, p.b.sender.window.written } // no room for a table
 			full()
-			p.step(Joined{Proxy: 0, Zone: 0, Rate: 20}, Listing{Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Phase: Gone}}})
+			p.step(ProxyJoined{Proxy: 0, Zone: 0, Rate: 20}, EndpointUpdate{Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Phase: Gone}}})
 			p.now += 1000
 			full()
-			require.Contains(t, p.step(Alarm{"bind"}), Withdraw{0, true}, "halfway through the grace")
+			require.Contains(t, p.step(TimerFired{"bind"}), SetExcluded{0, true}, "halfway through the grace")
 			p.now += 100
 			if full(); !c.waits {
 				p.b.sender.window.estimate = 0
 			}
 			p.step()
 			full()
-			orders := p.step(Listing{Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - c.age}}})
-			assert.Equal(t, c.letsIn, slices.Contains(orders, Order(Withdraw{0, false})))
+			orders := p.step(EndpointUpdate{Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - c.age}}})
+			assert.Equal(t, c.letsIn, slices.Contains(orders, Command(SetExcluded{0, false})))
 			p.b.sender.window.estimate = 0
 			p.gather(2, nil)
 			assert.False(t, p.out[0], "it is let in in the end")
@@ -747,9 +747,9 @@
 		t.Run(name, func(t *testing.T) {
 			p := pilot(t, func(terms map[string]any, _ []Entry) { terms["fields"] = []any{"in_hand", "rate"} })
 			for s := range 20 {
-				p.gather(1, func() (notes []Note) {
+				p.gather(1, func() (notes []Event) {
 					for e := range 6 {
-						notes = append(notes, Met{Endpoint: e, Zone: 0, Tries: 20, MeanMs: 100, SpanMs: 1000, Load: c.load(s)})
+						notes = append(notes, EndpointStats{Endpoint: e, Zone: 0, Attempts: 20, MeanMs: 100, SpanMs: 1000, Load: c.load(s)})
 					}
 					return notes
 				})
@@ -770,11 +770,11 @@
 func TestEmptyListBindsNobody(t *testing.T) {
 	p := pilot(t, nil)
 	empty := &bench{t: t, b: New(1, p.b.brief), lines: map[int]map[int]float64{}, out: map[int]bool{},
-		levels: map[string]Admit{}, bound: map[int][]Bind{}}
-	empty.step(Joined{Proxy: 0, Zone: 0, Rate: 20})
+		levels: map[string]SetAdmission{}, bound: map[int][]AssignTable{}}
+	empty.step(ProxyJoined{Proxy: 0, Zone: 0, Rate: 20})
 	empty.gather(3, nil)
 	assert.Empty(t, empty.bound)
-	empty.step(Listing{Mode: Whole, Entries: []Entry{{Endpoint: 0, Weight: 1}}})
+	empty.step(EndpointUpdate{Mode: Snapshot, Entries: []Entry{{Endpoint: 0, Weight: 1}}})
 	assert.NotEmpty(t, empty.bound[0])
 	assert.Positive(t, empty.share(0, 0))
 }
@@ -782,20 +782,20 @@
 func TestOddInput(t *testing.T) {
 	for name, c := range map[string]struct {
 		terms map[string]any
-		notes []Note
+		notes []Event
 	}{
-		"nothing told":       {map[string]any{}, []Note{Joined{Proxy: 1, Zone: 2}, Alarm{"gather"}, Left{Proxy: 7}}},
-		"no endpoint":        {map[string]any{"req_kinds": []any{map[string]any{}}}, []Note{Joined{}, Alarm{"gather"}, Listing{Mode: Whole}}},
-		"one, weight 0":      {map[string]any{"req_kinds": []any{map[string]any{}}}, []Note{Listing{Mode: Whole, Entries: []Entry{{}}}, Joined{}, Joined{}, Alarm{"gather"}}},
-		"all draining":       {map[string]any{"req_kinds": []any{map[string]any{}}}, []Note{Listing{Entries: []Entry{{Phase: Draining}}}, Joined{}, Alarm{"gather"}}},
-		"unknown endpoint":   {map[string]any{"req_kinds": []any{map[string]any{}}}, []Note{Met{Endpoint: 9, Zone: 3, Tries: 5}, Probed{Endpoint: 4}, Alarm{"gather"}}},
-		"sums of strangers":  {map[string]any{"req_kinds": []any{map[string]any{}}}, []Note{Demand{Proxy: 9, Reqs: 500, SpanMs: 1000}, Applied{Proxy: 9, Number: 70000}, Gossip{}, Probed{Endpoint: 900, Load: Load{"util": 1, "rate": 5}}, Alarm{"gather"}}},
-		"slices":             {map[string]any{"slices": 64.0, "req_kinds": []any{map[string]any{}}}, []Note{Joined{}, SliceCharge{}, SliceLine{}, Alarm{"gather"}}},
-		"list must be asked": {map[string]any{"discovery": "on_request"}, []Note{Listing{Mode: ListFailed}}},
+		"nothing told":       {map[string]any{}, []Event{ProxyJoined{Proxy: 1, Zone: 2}, TimerFired{"gather"}, ProxyLeft{Proxy: 7}}},
+		"no endpoint":        {map[string]any{"req_kinds": []any{map[string]any{}}}, []Event{ProxyJoined{}, TimerFired{"gather"}, EndpointUpdate{Mode: Snapshot}}},
+		"one, weight 0":      {map[string]any{"req_kinds": []any{map[string]any{}}}, []Event{EndpointUpdate{Mode: Snapshot, Entries: []Entry{{}}}, ProxyJoined{}, ProxyJoined{}, TimerFired{"gather"}}},
+		"all draining":       {map[string]any{"req_kinds": []any{map[string]any{}}}, []Event{EndpointUpdate{Entries: []Entry{{Phase: Draining}}}, ProxyJoined{}, TimerFired{"gather"}}},
+		"unknown endpoint":   {map[string]any{"req_kinds": []any{map[string]any{}}}, []Event{EndpointStats{Endpoint: 9, Zone: 3, Attempts: 5}, HealthCheckResult{Endpoint: 4}, TimerFired{"gather"}}},
+		"sums of strangers":  {map[string]any{"req_kinds": []any{map[string]any{}}}, []Event{RequestStats{Proxy: 9, Requests: 500, SpanMs: 1000}, Ack{Proxy: 9, Number: 70000}, Gossip{}, HealthCheckResult{Endpoint: 900, Load: Load{"util": 1, "rate": 5}}, TimerFired{"gather"}}},
+		"slices":             {map[string]any{"slices": 64.0, "req_kinds": []any{map[string]any{}}}, []Event{ProxyJoined{}, SliceAssignment{}, SliceWeight{}, TimerFired{"gather"}}},
+		"list must be asked": {map[string]any{"discovery": "on_request"}, []Event{EndpointUpdate{Mode: UpdateFailed}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := &bench{t: t, b: New(3, c.terms), lines: map[int]map[int]float64{}, out: map[int]bool{},
-				levels: map[string]Admit{}, bound: map[int][]Bind{}}
+				levels: map[string]SetAdmission{}, bound: map[int][]AssignTable{}}
 			p.step(c.notes...)
 			p.now = -5
 			p.gather(3, nil)
@@ -807,11 +807,11 @@
 }
 
 func TestSameEventsSameOrders(t *testing.T) {
-	run := func() (all []Order) {
+	run := func() (all []Command) {
 		p := pilot(t, nil)
 		for w := range 15 {
 			p.now += gatherMs
-			all = append(all, p.step(append(tries(w%2, 7, w%4, 0.2*float64(w%6), 0, 1, 2, 3, 4, 5), Alarm{"gather"})...)...)
+			all = append(all, p.step(append(tries(w%2, 7, w%4, 0.2*float64(w%6), 0, 1, 2, 3, 4, 5), TimerFired{"gather"})...)...)
 		}
 		return all
 	}
@@ -840,7 +840,7 @@
 			p := pilot(t, func(terms map[string]any, _ []Entry) {
 				terms["proxy_count"], terms["conns_least"], terms["zones"] = c.proxies, c.conns, []any{"a", "b", "c"}
 			})
-			p.step(Listing{Mode: Whole, Entries: list})
+			p.step(EndpointUpdate{Mode: Snapshot, Entries: list})
 			assert.Equal(t, c.parts, p.b.parts)
 			users, sum := map[int]float64{}, map[int]float64{}
 			for part := range p.b.parts {
@@ -873,13 +873,13 @@
 		terms["ejects_after"], terms["fall_multiple"], terms["backlog"] = 5.0, 2.5, 600.0
 	})
 	for i := 2; i < 80; i++ {
-		p.step(Joined{Proxy: i, Zone: 0, Rate: 1})
+		p.step(ProxyJoined{Proxy: i, Zone: 0, Rate: 1})
 	}
-	p.gather(60, func() []Note { return tries(0, 20, 0, 0.8, all...) })
+	p.gather(60, func() []Event { return tries(0, 20, 0, 0.8, all...) })
 	require.Greater(t, len(p.bound), 70)
 	before := p.lines[0][0]
 	require.Positive(t, before)
-	p.step(Listing{Mode: Changes, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - 1000}}})
+	p.step(EndpointUpdate{Mode: Delta, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - 1000}}})
 	assert.Less(t, p.lines[0][0], before/2)
 }
 
@@ -891,7 +891,7 @@
 	}{"every gather": {1}, "every fourth": {4}} {
 		t.Run(name, func(t *testing.T) {
 			p, n := pilot(t, nil), 0
-			p.gather(80, func() []Note {
+			p.gather(80, func() []Event {
 				if n++; n%c.every == 0 {
 					return tries(0, 20, 0, 0.72, 0)
 				}
@@ -914,11 +914,11 @@
 	}{"they are served": {0.6, 1, 1}, "they are too many": {1, 0.1, 0.9}} {
 		t.Run(name, func(t *testing.T) {
 			p := pilot(t, func(terms map[string]any, _ []Entry) { terms["by_zone"], terms["proxy_count"] = true, 40.0 })
-			p.gather(10, func() []Note { return tries(0, 20, 0, 0.6, 0, 1) })
+			p.gather(10, func() []Event { return tries(0, 20, 0, 0.6, 0, 1) })
 			for i := 2; i < 40; i++ {
-				p.step(Joined{Proxy: i, Zone: 2, Rate: 0.5})
+				p.step(ProxyJoined{Proxy: i, Zone: 2, Rate: 0.5})
 			}
-			p.gather(6, func() []Note { return append(tries(2, 20, 0, c.util, 4, 5), tries(0, 20, 0, 0.6, 0, 1)...) })
+			p.gather(6, func() []Event { return append(tries(2, 20, 0, c.util, 4, 5), tries(0, 20, 0, 0.6, 0, 1)...) })
 			assert.GreaterOrEqual(t, p.share(2, 4, 5), c.least-1e-9)
 			assert.LessOrEqual(t, p.share(2, 4, 5), c.most+1e-9)
 		})
@@ -935,18 +935,18 @@
 	}{"sums of both lives": {6000, 0, 0.05, 0.02}, "sums of the new life": {500, 0.9, 1, 0}} {
 		t.Run(name, func(t *testing.T) {
 			p := pilot(t, func(terms map[string]any, _ []Entry) { terms["ejects_after"], terms["fall_multiple"] = 5.0, 2.5 })
-			p.gather(8, func() []Note { return tries(0, 20, 0, 0.3, 0, 1) })
-			p.gather(3, func() []Note { return tries(0, 0, 20, -1, 0, 1) })
+			p.gather(8, func() []Event { return tries(0, 20, 0, 0.3, 0, 1) })
+			p.gather(3, func() []Event { return tries(0, 0, 20, -1, 0, 1) })
 			require.Greater(t, p.b.regions[0].failing, 0.5)
 			var again []Entry
 			for i := range 2 {
 				again = append(again, Entry{Endpoint: i, Zone: 0, Weight: 2, Started: p.now - 1000})
 			}
-			p.step(Listing{Mode: Changes, Entries: again})
-			p.gather(4, func() []Note {
+			p.step(EndpointUpdate{Mode: Delta, Entries: again})
+			p.gather(4, func() []Event {
 				notes := tries(0, 0, 20, 0.3, 0, 1)
 				for i, n := range notes {
-					met, _ := n.(Met)
+					met, _ := n.(EndpointStats)
 					met.SpanMs = c.spanMs
 					notes[i] = met
 				}
@@ -977,8 +977,8 @@
 				terms["proxy_count"], terms["conns_least"], terms["zones"], terms["by_zone"] = 150.0, 74.0, []any{"a", "b", "c"}, true
 				terms["lines_per_s"] = 10000.0 // connections bound the tables here, not the channel
 			})
-			p.step(Listing{Mode: Whole, Entries: list})
-			p.gather(12, func() []Note { return tries(0, 20, 0, c.util, own[:10]...) })
+			p.step(EndpointUpdate{Mode: Snapshot, Entries: list})
+			p.gather(12, func() []Event { return tries(0, 20, 0, c.util, own[:10]...) })
 			in := map[int]int{} // tables that an endpoint is in
 			for part := range p.b.parts {
 				for i, w := range p.b.sender.tables[part].want {
@@ -1012,9 +1012,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := pilot(t, func(terms map[string]any, _ []Entry) { terms["ejects_after"] = 5.0 })
-			load := func() []Note { return tries(0, 20, 0, c.util, 0, 1, 2, 3, 4, 5) }
+			load := func() []Event { return tries(0, 20, 0, c.util, 0, 1, 2, 3, 4, 5) }
 			p.gather(8, load)
-			p.step(Listing{Mode: Changes, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - c.age}}})
+			p.step(EndpointUpdate{Mode: Delta, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - c.age}}})
 			p.gather(2, load)
 			assert.Equal(t, c.used, p.share(0, 0) > 0)
 		})
@@ -1032,11 +1032,11 @@
 	for i := range 198 {
 		list = append(list, Entry{Endpoint: i, Zone: i / 66, Weight: 3})
 	}
-	p.step(Listing{Mode: Whole, Entries: list})
+	p.step(EndpointUpdate{Mode: Snapshot, Entries: list})
 	for i := 2; i < 100; i++ {
-		p.step(Joined{Proxy: i, Zone: 0, Rate: 2})
+		p.step(ProxyJoined{Proxy: i, Zone: 0, Rate: 2})
 	}
-	p.gather(10, func() []Note { return tries(0, 5, 0, 0.4, 1, 2, 3) })
+	p.gather(10, func() []Event { return tries(0, 5, 0, 0.4, 1, 2, 3) })
 	assert.Len(t, p.bound, 100)
 	for i := range 100 {
 		lines := 0
@@ -1065,11 +1065,11 @@
 				if i <= c.proxies {
 					zone = 0
 				}
-				p.step(Joined{Proxy: i, Zone: zone, Rate: 1})
+				p.step(ProxyJoined{Proxy: i, Zone: zone, Rate: 1})
 			}
-			load := func() []Note { return tries(0, 20, 0, 0.45, 0, 1, 2, 3, 4, 5) }
+			load := func() []Event { return tries(0, 20, 0, 0.45, 0, 1, 2, 3, 4, 5) }
 			p.gather(8, load)
-			p.step(Listing{Mode: Changes, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - 2500}}})
+			p.step(EndpointUpdate{Mode: Delta, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: p.now - 2500}}})
 			p.gather(2, load)
 			assert.Equal(t, c.used, p.share(0, 0) > 0)
 		})
@@ -1087,7 +1087,7 @@
 				}
 			})
 			p.now = 300
-			p.step(append(tries(0, 0, 20, 0.3, 0, 1), Alarm{"gather"})...)
+			p.step(append(tries(0, 0, 20, 0.3, 0, 1), TimerFired{"gather"})...)
 			assert.InDelta(t, c.failing, p.b.regions[0].failing, 1e-9)
 		})
 	}
--- a/planner/port.go
+++ b/planner/port.go
@@ -3,18 +3,18 @@
 // kinds, proxies and tables are small indices.
 package planner
 
-// Note is something the pilot learned; one of the types below.
-type Note any
+// Event is something the pilot learned; one of the types below.
+type Event any
 
-// MostFigure bounds every weight, rate and figure of a load report that a note may carry. Beyond it sums of a few
+// MaxFigure bounds every weight, rate and figure of a load report that a note may carry. Beyond it sums of a few
 // overflow, and one infinity makes not-a-number of all weights that it touches, for good.
-const MostFigure = 1e9
+const MaxFigure = 1e9
 
-// Sound returns whether a rate or a figure of a load report may stand in a note.
-func Sound(v float64) bool { return v >= 0 && v <= MostFigure }
+// ValidRate returns whether a rate or a figure of a load report may stand in a note.
+func ValidRate(v float64) bool { return v >= 0 && v <= MaxFigure }
 
-// SoundWeight returns whether a weight may: 0, which says nothing, or one that others can be held against.
-func SoundWeight(v float64) bool { return v == 0 || v >= 1/MostFigure && v <= MostFigure }
+// ValidWeight returns whether a weight may: 0, which says nothing, or one that others can be held against.
+func ValidWeight(v float64) bool { return v == 0 || v >= 1/MaxFigure && v <= MaxFigure }
 
 // Phase is what the list says of an endpoint's process.
 type Phase int
@@ -33,29 +33,29 @@
 	Weight, Started               float64
 }
 
-// ListMode tells how a Listing applies to the list held so far.
-type ListMode int
+// UpdateMode tells how a Listing applies to the list held so far.
+type UpdateMode int
 
 // The ways a listing arrives.
 const (
-	Changes ListMode = iota
-	Whole
-	Remembered
-	ListFailed
+	Delta UpdateMode = iota
+	Snapshot
+	Cached
+	UpdateFailed
 )
 
-// Listing carries endpoint entries from discovery.
-type Listing struct {
-	Mode    ListMode
+// EndpointUpdate carries endpoint entries from discovery.
+type EndpointUpdate struct {
+	Mode    UpdateMode
 	Version int
 	Entries []Entry
 }
 
-// Alarm reports that a WakeAt has fallen due.
-type Alarm struct{ Name string }
+// TimerFired reports that a WakeAt has fallen due.
+type TimerFired struct{ Name string }
 
-// Probed is the result of one Probe.
-type Probed struct {
+// HealthCheckResult is the result of one Probe.
+type HealthCheckResult struct {
 	Endpoint int
 	OK       bool
 	Outcome  string
@@ -72,67 +72,67 @@
 	Text string
 }
 
-// Joined reports a proxy's stream; Fresh means that it holds only its standing table. Stood means that nobody saw
+// ProxyJoined reports a proxy's stream; Fresh means that it holds only its standing table. Stood means that nobody saw
 // whether it has left since it joined before: it may still be bound.
-type Joined struct {
-	Proxy, Zone  int
-	Rate         float64
-	Fresh, Stood bool
+type ProxyJoined struct {
+	Proxy, Zone    int
+	Rate           float64
+	Fresh, Resumed bool
 }
 
-// Left reports that a proxy's stream broke.
-type Left struct{ Proxy int }
+// ProxyLeft reports that a proxy's stream broke.
+type ProxyLeft struct{ Proxy int }
 
-// Met sums what the joined proxies of a zone met at an endpoint.
-type Met struct {
-	Endpoint, Zone, Tries, Failed int
-	MeanMs, SpanMs                float64
-	Load                          Load
+// EndpointStats sums what the joined proxies of a zone met at an endpoint.
+type EndpointStats struct {
+	Endpoint, Zone, Attempts, Failed int
+	MeanMs, SpanMs                   float64
+	Load                             Load
 }
 
-// Demand sums the reqs of a kind that came to a proxy.
-type Demand struct {
-	Proxy, Kind, Reqs, Unanswered int
-	SpanMs                        float64
+// RequestStats sums the reqs of a kind that came to a proxy.
+type RequestStats struct {
+	Proxy, Class, Requests, Unanswered int
+	SpanMs                             float64
 }
 
-// SliceDemand sums the reqs of a kind that came for a slice.
-type SliceDemand struct {
-	Slice, Kind, Reqs, Unanswered int
-	SpanMs                        float64
+// SliceStats sums the reqs of a kind that came for a slice.
+type SliceStats struct {
+	Slice, Class, Requests, Unanswered int
+	SpanMs                             float64
 }
 
-// SliceCharge gives a slice into this pilot's charge or takes it away.
-type SliceCharge struct {
-	Slice int
-	Given bool
+// SliceAssignment gives a slice into this pilot's charge or takes it away.
+type SliceAssignment struct {
+	Slice    int
+	Assigned bool
 }
 
-// SliceLine is one stored line of a slice just given.
-type SliceLine struct {
+// SliceWeight is one stored line of a slice just given.
+type SliceWeight struct {
 	Slice, Endpoint int
 	Weight          float64
 }
 
-// Applied reports that a proxy has applied everything up to a Mark.
-type Applied struct {
+// Ack reports that a proxy has applied everything up to a Mark.
+type Ack struct {
 	Proxy, Number int
 	TookMs        float64
 }
 
-// Stalled reports that the channel has taken no orders for so long, or, with 0, that it takes them again. Orders made
+// ChannelStalled reports that the channel has taken no orders for so long, or, with 0, that it takes them again. Orders made
 // meanwhile wait before it and may go out as one.
-type Stalled struct {
-	ForMs  float64
-	Again  []int // marks of orders that were one call, which may have crossed and goes out again
-	Joined []int // marks of orders that go out as one call, under the newest of them
+type ChannelStalled struct {
+	ForMs    float64
+	Repeated []int // marks of orders that were one call, which may have crossed and goes out again
+	Merged   []int // marks of orders that go out as one call, under the newest of them
 }
 
-// Order is something the pilot does; one of the types below.
-type Order any
+// Command is something the pilot does; one of the types below.
+type Command any
 
-// SetLine sets an endpoint's weight in a table; 0 removes the line.
-type SetLine struct {
+// SetWeight sets an endpoint's weight in a table; 0 removes the line.
+type SetWeight struct {
 	Table, Endpoint int
 	Weight          float64
 }
@@ -140,50 +140,50 @@
 // ClearTable removes all lines and levels of a table.
 type ClearTable struct{ Table int }
 
-// Bind puts a proxy on a table for the req kinds of a bit mask (0: all).
-type Bind struct{ Table, Proxy, Kinds int }
+// AssignTable puts a proxy on a table for the req kinds of a bit mask (0: all).
+type AssignTable struct{ Table, Proxy, Classes int }
 
-// Withdraw shuts an endpoint out of all tables of joined proxies, or lets it in again.
-type Withdraw struct {
+// SetExcluded shuts an endpoint out of all tables of joined proxies, or lets it in again.
+type SetExcluded struct {
 	Endpoint int
-	Out      bool
+	Excluded bool
 }
 
 // EveryTable is the table number of an Admit that counts for all joined proxies.
 const EveryTable = 65535
 
-// Admit sets the share or rate of req kinds let in, and the way of trying again.
-type Admit struct {
-	Table, Kinds, Again int
-	Level               float64
+// SetAdmission sets the share or rate of req kinds let in, and the way of trying again.
+type SetAdmission struct {
+	Table, Classes, RetryMode int
+	Level                     float64
 }
 
-// Mark asks the proxies reached (or all) to report with Applied.
-type Mark struct {
+// AckRequest asks the proxies reached (or all) to report with Applied.
+type AckRequest struct {
 	Number int
 	All    bool
 }
 
-// Probe examines an endpoint.
-type Probe struct{ Endpoint int }
+// HealthCheck examines an endpoint.
+type HealthCheck struct{ Endpoint int }
 
-// Tell sends a short text to a peer, or to all with Peer -1.
-type Tell struct {
+// SendGossip sends a short text to a peer, or to all with Peer -1.
+type SendGossip struct {
 	Peer int
 	Text string
 }
 
-// WakeAt asks for an Alarm.
-type WakeAt struct {
+// SetTimer asks for an Alarm.
+type SetTimer struct {
 	AtMs float64
 	Name string
 }
 
-// Watch subscribes to list changes or ends the subscription.
-type Watch struct{ On bool }
+// WatchEndpoints subscribes to list changes or ends the subscription.
+type WatchEndpoints struct{ On bool }
 
-// FetchList asks for the whole list once.
-type FetchList struct{}
+// FetchEndpoints asks for the whole list once.
+type FetchEndpoints struct{}
 
 // Log writes a line to the operators' log.
 type Log struct{ Text string }
--- a/planner/sender.go
+++ b/planner/sender.go
@@ -19,7 +19,7 @@
 // sender keeps what proxies have been sent and orders what they get next.
 type sender struct {
 	inbox
-	b              *Brain
+	b              *Planner
 	window         window
 	tables         []*table // by number: the slot's times the groups, and the group's
 	proxies        map[int]*proxy
@@ -42,7 +42,7 @@
 
 type table struct {
 	sent, want   map[int]float64
-	told, levels map[int]Admit
+	told, levels map[int]SetAdmission
 	solved       bool // since the last push
 	owed         int  // lines that a rule wants changed and that did not fit in the last push
 	pushed       float64
@@ -50,7 +50,7 @@
 }
 
 type proxy struct {
-	Joined
+	ProxyJoined
 	bound, served bool    // may be on its tables, so that their lines cost; surely is
 	at            float64 // when it joined
 	answered      float64 // when it last answered a mark
@@ -59,36 +59,36 @@
 
 func (c *sender) read(note any) {
 	switch n := note.(type) {
-	case SetLine:
+	case SetWeight:
 		c.tables[n.Table].want[n.Endpoint], c.tables[n.Table].solved = n.Weight, true
-	case Admit:
-		c.tables[n.Table].levels[n.Kinds] = n
-	case Withdraw:
-		if c.out[n.Endpoint] = c.b.now; !n.Out {
+	case SetAdmission:
+		c.tables[n.Table].levels[n.Classes] = n
+	case SetExcluded:
+		if c.out[n.Endpoint] = c.b.now; !n.Excluded {
 			delete(c.out, n.Endpoint)
 		}
-	case Joined:
+	case ProxyJoined:
 		old := c.proxies[n.Proxy]
-		c.proxies[n.Proxy] = &proxy{Joined: n, bound: n.Stood && old != nil && old.bound, at: c.b.now}
-	case Left:
+		c.proxies[n.Proxy] = &proxy{ProxyJoined: n, bound: n.Resumed && old != nil && old.bound, at: c.b.now}
+	case ProxyLeft:
 		delete(c.proxies, n.Proxy)
-	case Stalled:
+	case ChannelStalled:
 		c.stalled(n)
-	case Applied:
+	case Ack:
 		c.answered(n)
 	}
 }
 
 // stalled keeps the account true while orders can't cross, and marks anew what goes out again.
-func (c *sender) stalled(n Stalled) {
+func (c *sender) stalled(n ChannelStalled) {
 	c.window.stall(c.b.now, n.ForMs)
-	c.window.join(n.Joined)
-	if mark, again := c.window.repeat(c.b.now, n.Again); again {
-		c.b.order(Mark{Number: mark})
+	c.window.join(n.Merged)
+	if mark, again := c.window.repeat(c.b.now, n.Repeated); again {
+		c.b.order(AckRequest{Number: mark})
 	}
 }
 
-func (c *sender) answered(n Applied) {
+func (c *sender) answered(n Ack) {
 	probing := c.window.probes > 0
 	ordered, known := c.window.answer(c.b.now, n.Number, n.Proxy)
 	p := c.proxies[n.Proxy]
@@ -120,7 +120,7 @@
 	c.shut()
 	c.unblock(c.window.written > before)
 	if c.window.written > before {
-		c.b.order(Mark{Number: c.window.seal(c.b.now, c.each)})
+		c.b.order(AckRequest{Number: c.window.seal(c.b.now, c.each)})
 		c.each = map[int]float64{}
 	}
 }
@@ -156,7 +156,7 @@
 	if due > c.b.now {
 		if c.blocked.wake != due {
 			c.blocked.wake = due
-			c.b.order(WakeAt{due, "probe"})
+			c.b.order(SetTimer{due, "probe"})
 		}
 		return
 	}
@@ -193,7 +193,7 @@
 }
 
 func (c *sender) tablesOf(p *proxy) []*table {
-	first := c.b.table(c.b.slot(p.Joined), 0)
+	first := c.b.table(c.b.slot(p.ProxyJoined), 0)
 	return c.tables[first : first+len(c.b.groups)]
 }
 
@@ -201,7 +201,7 @@
 func (c *sender) bind(p *proxy) {
 	_, cost := c.cost(p)
 	for g, t := range c.tablesOf(p) {
-		c.b.order(Bind{Table: t.number, Proxy: p.Proxy, Kinds: c.b.groups[g].mask})
+		c.b.order(AssignTable{Table: t.number, Proxy: p.Proxy, Classes: c.b.groups[g].mask})
 	}
 	c.window.spend(cost)
 	c.each[p.Proxy] += cost
@@ -228,7 +228,7 @@
 		if waiting := c.window.estimate; waiting > 0 && waiting+cost > 0.3*c.b.brief.num("backlog", 1000) {
 			if c.bindWake <= c.b.now {
 				c.bindWake = c.b.now + bindMs
-				c.b.order(WakeAt{c.bindWake, "bind"})
+				c.b.order(SetTimer{c.bindWake, "bind"})
 			}
 			return
 		}
@@ -241,14 +241,14 @@
 func (c *sender) shut() {
 	unbound, bound, last, head, waits := map[int]float64{}, map[int]float64{}, c.lastWithdrawal, c.head(), []*proxy{}
 	for _, p := range c.proxies {
-		bound[c.b.slot(p.Joined)] += pick(p.bound, 1, 0)
+		bound[c.b.slot(p.ProxyJoined)] += pick(p.bound, 1, 0)
 		if !p.served {
 			unbound[p.Zone], waits = unbound[p.Zone]+1, append(waits, p)
 		}
 	}
 	for _, i := range slices.Sorted(maps.Keys(c.withdrawnAt)) { // standing lines would fell a cold one
 		if !c.gone(i) && (len(waits) == 0 || !c.cold(i)) {
-			c.b.order(Withdraw{i, false})
+			c.b.order(SetExcluded{i, false})
 			c.lastWithdrawal = c.b.now
 			delete(c.withdrawnAt, i)
 		}
@@ -275,7 +275,7 @@
 			c.blocked.withdrawals++
 			continue
 		}
-		c.b.order(Withdraw{i, true})
+		c.b.order(SetExcluded{i, true})
 		c.window.spend(cost)
 		for _, p := range waits {
 			c.each[p.Proxy] += lines(p)
@@ -314,7 +314,7 @@
 	slot := t.number / len(c.b.groups)
 	users, joined := 0.0, false
 	for _, p := range c.proxies {
-		ours := c.b.slot(p.Joined) == slot
+		ours := c.b.slot(p.ProxyJoined) == slot
 		joined, users = joined || ours, users+pick(ours && p.bound, 1, 0)
 	}
 	if t.owed = 0; !joined {
@@ -359,12 +359,12 @@
 		}
 		kept += pick(c.gone(k), 0, t.want[k]-t.sent[k])
 		t.sent[k], written = t.want[k], written+1
-		c.b.order(SetLine{Table: t.number, Endpoint: k, Weight: t.sent[k]})
+		c.b.order(SetWeight{Table: t.number, Endpoint: k, Weight: t.sent[k]})
 	}
 	maps.DeleteFunc(t.sent, func(_ int, weight float64) bool { return weight == 0 })
 	t.pushed = pick(written > 0, c.b.now, t.pushed)
 	for _, p := range c.proxies {
-		c.each[p.Proxy] += pick(written > 0 && c.b.slot(p.Joined) == slot && p.bound, written+head, 0)
+		c.each[p.Proxy] += pick(written > 0 && c.b.slot(p.ProxyJoined) == slot && p.bound, written+head, 0)
 	}
 	c.window.spend(pick(written > 0, users*(written+head), 0))
 }
--- a/planner/window_test.go
+++ b/planner/window_test.go
@@ -35,7 +35,7 @@
 
 // channelNote is an answer to a mark, or what a stall tells.
 type channelNote struct {
-	stall       *Stalled
+	stall       *ChannelStalled
 	proxy, mark int
 }
 
@@ -105,7 +105,7 @@
 	c := m.queue[0]
 	m.queue = m.queue[1:]
 	if len(c.marks) > 1 {
-		m.inbox = append(m.inbox, channelNote{stall: &Stalled{ForMs: pick(m.stalled, 1, 0), Joined: c.marks}})
+		m.inbox = append(m.inbox, channelNote{stall: &ChannelStalled{ForMs: pick(m.stalled, 1, 0), Merged: c.marks}})
 	}
 	return c
 }
@@ -119,7 +119,7 @@
 
 func (m *channelModel) answered() {
 	if m.stalled {
-		m.inbox = append(m.inbox, channelNote{stall: &Stalled{}})
+		m.inbox = append(m.inbox, channelNote{stall: &ChannelStalled{}})
 	}
 	m.stalled = false
 }
@@ -127,7 +127,7 @@
 // unanswered has the adapter give up waiting for an answer.
 func (m *channelModel) unanswered(c call) {
 	m.stalled = true
-	m.inbox = append(m.inbox, channelNote{stall: &Stalled{ForMs: 1, Again: c.marks}})
+	m.inbox = append(m.inbox, channelNote{stall: &ChannelStalled{ForMs: 1, Repeated: c.marks}})
 	m.queue = append([]call{c}, m.queue...)
 }
 
@@ -150,8 +150,8 @@
 		return
 	}
 	m.w.stall(1, n.stall.ForMs)
-	m.w.join(n.stall.Joined)
-	if mark, again := m.w.repeat(1, n.stall.Again); again {
+	m.w.join(n.stall.Merged)
+	if mark, again := m.w.repeat(1, n.stall.Repeated); again {
 		m.coming = append(m.coming, call{marks: []int{mark}})
 	}
 }
@@ -217,7 +217,7 @@
 // repetitionUnheard returns whether the window has yet to hear that a call goes out again. The adapter pauses meanwhile; in
 // the model it may be quicker than the loop.
 func (m *channelModel) repetitionUnheard() bool {
-	return slices.ContainsFunc(m.inbox, func(n channelNote) bool { return n.stall != nil && len(n.stall.Again) > 0 })
+	return slices.ContainsFunc(m.inbox, func(n channelNote) bool { return n.stall != nil && len(n.stall.Repeated) > 0 })
 }
 
 func (m *channelModel) inChannel() (lines float64) {
--- a/recovery/decision.go
+++ b/recovery/decision.go
@@ -8,63 +8,63 @@
 
 // Facts are what is known of the record at a start.
 type Facts struct {
-	Lives  int // recorded before this one
-	Barren int // of these, the latest in a row that left no turn: they died as they began
+	Lives        int // recorded before this one
+	FailedStarts int // of these, the latest in a row that left no turn: they died as they began
 
 	// Of the last life that left turns.
-	SameFormat bool    // it is stored in the present format
-	SameModule bool    // the planner that decided then decides now
-	SameTerms  bool    // under the same settings, as far as the planner reads them
-	Turns      int     // that can be read
-	Torn       bool    // something after them can't
-	GapMs      float64 // since its last turn, by the machine's clock; negative if that was set back
-	SpanMs     float64 // from the turn that a replay would begin at to its last
+	SameFormat   bool    // it is stored in the present format
+	SameModule   bool    // the planner that decided then decides now
+	SameSettings bool    // under the same settings, as far as the planner reads them
+	Turns        int     // that can be read
+	Torn         bool    // something after them can't
+	GapMs        float64 // since its last turn, by the machine's clock; negative if that was set back
+	SpanMs       float64 // from the turn that a replay would begin at to its last
 }
 
-// Bounds limit a recovery; they come from the settings.
-type Bounds struct {
+// Limits limit a recovery; they come from the settings.
+type Limits struct {
 	TailMs float64 // of turns to be replayed: how far back the planner's memory reaches
 	GapMs  float64 // beyond which what was known is worth nothing
 }
 
-// Verdict says how to begin.
-type Verdict struct {
+// Decision says how to begin.
+type Decision struct {
 	ReplayMs float64 // how much of the last life's end to replay; 0: none, a cold start
 	AwayMs   float64 // how much further its clock is by now
-	Why      string  // for the log
+	Reason   string  // for the log
 }
 
 // Cold returns whether nothing is replayed.
-func (v Verdict) Cold() bool { return v.ReplayMs == 0 }
+func (v Decision) Cold() bool { return v.ReplayMs == 0 }
 
 // Decide returns how to begin: cold if anything speaks against the record.
-func Decide(f Facts, b Bounds) Verdict {
+func Decide(f Facts, b Limits) Decision {
 	if reason := reasonAgainst(f, b); reason != "" {
-		return Verdict{Why: "cold start: " + reason}
+		return Decision{Reason: "cold start: " + reason}
 	}
-	v := Verdict{ReplayMs: min(f.SpanMs, b.TailMs), AwayMs: max(0, f.GapMs)}
-	v.Why = fmt.Sprintf("recovered from the last %.0f s, away for %.1f s", v.ReplayMs/1000, v.AwayMs/1000)
+	v := Decision{ReplayMs: min(f.SpanMs, b.TailMs), AwayMs: max(0, f.GapMs)}
+	v.Reason = fmt.Sprintf("recovered from the last %.0f s, away for %.1f s", v.ReplayMs/1000, v.AwayMs/1000)
 	if f.Torn {
-		v.Why += "; the record's end is torn"
+		v.Reason += "; the record's end is torn"
 	}
 	if f.GapMs < 0 {
-		v.Why += "; the clock was set back"
+		v.Reason += "; the clock was set back"
 	}
 	return v
 }
 
 // reasonAgainst returns the first reason not to use the record; "" if there is none.
-func reasonAgainst(f Facts, b Bounds) string {
+func reasonAgainst(f Facts, b Limits) string {
 	switch {
 	case f.Lives == 0:
 		return "there is no record"
 	case !f.SameFormat:
 		return "the record is of another format"
-	case f.Barren >= maxFailedStarts:
-		return fmt.Sprintf("%d starts in a row died before their first turn", f.Barren)
+	case f.FailedStarts >= maxFailedStarts:
+		return fmt.Sprintf("%d starts in a row died before their first turn", f.FailedStarts)
 	case !f.SameModule:
 		return "the record is of another module"
-	case !f.SameTerms:
+	case !f.SameSettings:
 		return "the record is of other terms"
 	case f.Turns == 0 || f.SpanMs <= 0:
 		return "the last life left no turn that can be read"
--- a/recovery/handover.go
+++ b/recovery/handover.go
@@ -38,21 +38,21 @@
 	Failed                   // the controller could not be started
 )
 
-// Act is what to do next.
-type Act int
+// Action is what to do next.
+type Action int
 
 // The actions.
 const (
-	Nothing    Act = iota
-	SayOffer       // predecessor: send the listeners, then wait for ReadyCame
-	StopPilot      // predecessor: end the controller, close its record, release the lock
-	SayGo          // predecessor: say that it has stopped, then wait for ServingCame
-	Claim          // try the lock once; at once the first time, then after a pause
-	StartPilot     // start the controller on the record
-	SayReady       // successor: say that it can start, then wait for GoCame
-	SayServing     // successor: say that it serves; nobody waits for an answer
-	LetGo          // release the lock, and end
-	End            // the process ends, or gives up what it tried
+	Nothing    Action = iota
+	SayOffer          // predecessor: send the listeners, then wait for ReadyCame
+	StopPilot         // predecessor: end the controller, close its record, release the lock
+	SayGo             // predecessor: say that it has stopped, then wait for ServingCame
+	Claim             // try the lock once; at once the first time, then after a pause
+	StartPilot        // start the controller on the record
+	SayReady          // successor: say that it can start, then wait for GoCame
+	SayServing        // successor: say that it serves; nobody waits for an answer
+	LetGo             // release the lock, and end
+	End               // the process ends, or gives up what it tried
 )
 
 // state is where a side stands.
--- a/recovery/predecessor.go
+++ b/recovery/predecessor.go
@@ -1,7 +1,7 @@
 package recovery
 
-// Old is the state machine of the process that runs the controller. Its zero value serves.
-type Old struct {
+// Predecessor is the state machine of the process that runs the controller. Its zero value serves.
+type Predecessor struct {
 	// Patience is how often the lock is tried after the successor was lost. If another process holds it all the while,
 	// that one serves.
 	Patience int
@@ -10,11 +10,11 @@
 	refusals int // of the lock, in a row
 }
 
-// Gone returns whether another process serves now.
-func (o *Old) Gone() bool { return o.state == stateEnded }
+// Replaced returns whether another process serves now.
+func (o *Predecessor) Replaced() bool { return o.state == stateEnded }
 
 // Next takes in an event and returns what to do. An event that does not fit the state changes nothing.
-func (o *Old) Next(e Event) Act {
+func (o *Predecessor) Next(e Event) Action {
 	switch o.state {
 	case stateServing:
 		return o.whenServing(e)
@@ -30,7 +30,7 @@
 	return Nothing
 }
 
-func (o *Old) whenServing(e Event) Act {
+func (o *Predecessor) whenServing(e Event) Action {
 	if e != Asked {
 		return Nothing
 	}
@@ -39,7 +39,7 @@
 }
 
 // whenOffered goes back to serving if the successor gave up: nothing was stopped.
-func (o *Old) whenOffered(e Event) Act {
+func (o *Predecessor) whenOffered(e Event) Action {
 	if e != ReadyCame {
 		o.state = stateServing
 		return Nothing
@@ -48,7 +48,7 @@
 	return StopPilot
 }
 
-func (o *Old) whenStopping(e Event) Act {
+func (o *Predecessor) whenStopping(e Event) Action {
 	if e != Stopped {
 		return Nothing
 	}
@@ -57,7 +57,7 @@
 }
 
 // whenReleased tries the lock unless the successor says that it serves: whether it does or has died, only the lock tells.
-func (o *Old) whenReleased(e Event) Act {
+func (o *Predecessor) whenReleased(e Event) Action {
 	if e == ServingCame {
 		o.state = stateEnded
 		return End
@@ -68,7 +68,7 @@
 }
 
 // whenReclaiming serves again with the lock, and ends if another process keeps it.
-func (o *Old) whenReclaiming(e Event) Act {
+func (o *Predecessor) whenReclaiming(e Event) Action {
 	switch e {
 	case Claimed:
 		o.state = stateServing
--- a/recovery/successor.go
+++ b/recovery/successor.go
@@ -1,13 +1,13 @@
 package recovery
 
-// New is the state machine of the process that takes over. NewSide makes one that has made its request.
-type New struct{ state state }
+// Successor is the state machine of the process that takes over. NewSide makes one that has made its request.
+type Successor struct{ state state }
 
-// NewSide returns the state machine of a process that has requested to take over.
-func NewSide() *New { return &New{state: stateRequesting} }
+// NewSuccessor returns the state machine of a process that has requested to take over.
+func NewSuccessor() *Successor { return &Successor{state: stateRequesting} }
 
 // Next takes in an event and returns what to do. Until it serves, an event that does not fit the state ends it.
-func (n *New) Next(e Event) Act {
+func (n *Successor) Next(e Event) Action {
 	switch n.state {
 	case stateRequesting:
 		return n.whenRequesting(e)
@@ -23,7 +23,7 @@
 	return n.end()
 }
 
-func (n *New) whenRequesting(e Event) Act {
+func (n *Successor) whenRequesting(e Event) Action {
 	if e != Offered {
 		return n.end()
 	}
@@ -32,7 +32,7 @@
 }
 
 // whenReady tries the lock also if the predecessor was lost: it may have stopped or died, and if not it has the lock.
-func (n *New) whenReady(e Event) Act {
+func (n *Successor) whenReady(e Event) Action {
 	if e != GoCame && e != Lost {
 		return n.end()
 	}
@@ -40,7 +40,7 @@
 	return Claim
 }
 
-func (n *New) whenClaiming(e Event) Act {
+func (n *Successor) whenClaiming(e Event) Action {
 	if e != Claimed {
 		return n.end()
 	}
@@ -49,7 +49,7 @@
 }
 
 // whenStarting releases the lock if the controller could not be started.
-func (n *New) whenStarting(e Event) Act {
+func (n *Successor) whenStarting(e Event) Action {
 	switch e {
 	case Started:
 		n.state = stateServing
@@ -62,7 +62,7 @@
 }
 
 // end gives up.
-func (n *New) end() Act {
+func (n *Successor) end() Action {
 	n.state = stateEnded
 	return End
 }
--- a/recovery/world_check_test.go
+++ b/recovery/world_check_test.go
@@ -81,7 +81,7 @@
 	knowsDrain := false
 	for _, t := range turns {
 		for _, in := range t.Inputs {
-			if in.Kind == record.Heard {
+			if in.Kind == record.KindGossip {
 				knowsGossip = true
 			}
 			if l, ok := in.Message.(*wire.List); ok && l.Version > 0 {
--- a/recovery/world_planner_test.go
+++ b/recovery/world_planner_test.go
@@ -19,62 +19,62 @@
 func (p *plainPlanner) Reconfigure(map[string]any) {}
 
 // Handle answers events at once.
-func (p *plainPlanner) Handle(_ float64, events []planner.Note) (commands []planner.Order) {
+func (p *plainPlanner) Handle(_ float64, events []planner.Event) (commands []planner.Command) {
 	for _, event := range events {
 		switch event := event.(type) {
-		case planner.Listing:
+		case planner.EndpointUpdate:
 			for _, e := range event.Entries {
 				commands = append(commands, p.endpoint(e)...)
 			}
-		case planner.Joined:
+		case planner.ProxyJoined:
 			p.joined[event.Proxy] = true
-		case planner.Left:
+		case planner.ProxyLeft:
 			delete(p.joined, event.Proxy)
 		case planner.Gossip:
-			commands = append(commands, planner.Tell{Peer: 0, Text: event.Text})
+			commands = append(commands, planner.SendGossip{Peer: 0, Text: event.Text})
 		}
 	}
 	if len(p.phase) == 0 {
 		return commands
 	}
 	for _, proxy := range slices.Sorted(maps.Keys(p.joined)) {
-		commands = append(commands, planner.Bind{Table: 1, Proxy: proxy})
+		commands = append(commands, planner.AssignTable{Table: 1, Proxy: proxy})
 		delete(p.joined, proxy)
 	}
 	return commands
 }
 
-func (p *plainPlanner) endpoint(e planner.Entry) (commands []planner.Order) {
+func (p *plainPlanner) endpoint(e planner.Entry) (commands []planner.Command) {
 	before, known := p.phase[e.Endpoint]
 	if !known {
-		commands = append(commands, planner.SetLine{Table: 1, Endpoint: e.Endpoint, Weight: 1})
+		commands = append(commands, planner.SetWeight{Table: 1, Endpoint: e.Endpoint, Weight: 1})
 	}
 	if before != e.Phase && e.Phase == planner.Draining {
-		commands = append(commands, planner.Withdraw{Endpoint: e.Endpoint, Out: true})
+		commands = append(commands, planner.SetExcluded{Endpoint: e.Endpoint, Excluded: true})
 	}
 	p.phase[e.Endpoint] = e.Phase
 	return commands
 }
 
 // options returns a core's options. While a record is replayed nothing goes out, unless that is the planted fault.
-func (w *world) options(replayed bool) controller.Plan {
-	options := controller.Plan{
-		Decider:     &plainPlanner{phase: map[int]planner.Phase{}, joined: map[int]bool{}},
-		Terms:       map[string]any{},
-		Zones:       []string{"a"},
-		Machines:    []string{"std"},
-		Kinds:       []string{"read"},
-		Intake:      telemetry.Terms{PeriodMs: 1e9, HalfMs: 1e9, LongestMs: 1e9},
-		MostProxies: 9,
-		List:        transport{},
-		Prober:      transport{},
-		Peers:       transport{},
-		Log:         func(string) {},
-		Odd:         func(string, ...string) {},
-		Replayed:    true,
+func (w *world) options(replayed bool) controller.Options {
+	options := controller.Options{
+		Decider:        &plainPlanner{phase: map[int]planner.Phase{}, joined: map[int]bool{}},
+		Settings:       map[string]any{},
+		Zones:          []string{"a"},
+		Machines:       []string{"std"},
+		Classes:        []string{"read"},
+		Telemetry:      telemetry.Options{PeriodMs: 1e9, HalfMs: 1e9, LongestMs: 1e9},
+		MaxProxies:     9,
+		EndpointSource: transport{},
+		HealthChecker:  transport{},
+		Gossip:         transport{},
+		Log:            func(string) {},
+		Malformed:      func(string, ...string) {},
+		Replayed:       true,
 	}
 	if !replayed || w.faults.replaySends {
-		options.Peers = transport{w}
+		options.Gossip = transport{w}
 	}
 	return options
 }
--- a/recovery/world_steps_test.go
+++ b/recovery/world_steps_test.go
@@ -103,7 +103,7 @@
 			if p.core != nil {
 				s[fmt.Sprint("note ", i)] = func() {
 					w.gossipSent++
-					w.feed(i, controller.Heard{From: 1, Text: "once"})
+					w.feed(i, controller.GossipReceived{From: 1, Text: "once"})
 				}
 			}
 		}
@@ -121,7 +121,7 @@
 	w.restarts++
 	p := w.processes[predecessorIndex]
 	p.alive = true
-	p.predecessor = &recovery.Old{Patience: lockTries}
+	p.predecessor = &recovery.Predecessor{Patience: lockTries}
 	if w.acquireLock(predecessorIndex) {
 		w.startController(predecessorIndex)
 	}
@@ -162,7 +162,7 @@
 	p.joined = i
 	p.stream = &stream{world: w, process: i, proxy: k}
 	p.follower.Joined()
-	w.feed(i, controller.Join{Stream: p.stream, Hello: hello})
+	w.feed(i, controller.ProxyJoined{Stream: p.stream, Hello: hello})
 }
 
 // reduce leaves out orders of steps that come to the same: what a proxy applies touches nothing but itself, so it comes
--- a/recovery/world_test.go
+++ b/recovery/world_test.go
@@ -13,9 +13,9 @@
 // process is one of the two, with one of the two state machines.
 type process struct {
 	alive       bool
-	predecessor *recovery.Old
-	successor   *recovery.New
-	action      recovery.Act     // to be done next
+	predecessor *recovery.Predecessor
+	successor   *recovery.Successor
+	action      recovery.Action  // to be done next
 	waiting     bool             // for the other's answer
 	requested   bool             // to take over
 	core        *controller.Core // nil while no controller runs
@@ -100,13 +100,13 @@
 	}
 	w.processes[predecessorIndex] = &process{
 		alive:       true,
-		predecessor: &recovery.Old{Patience: lockTries},
+		predecessor: &recovery.Predecessor{Patience: lockTries},
 		locked:      true,
 		listed:      -1,
 	}
-	w.processes[successorIndex] = &process{alive: true, successor: recovery.NewSide(), action: recovery.Nothing}
+	w.processes[successorIndex] = &process{alive: true, successor: recovery.NewSuccessor(), action: recovery.Nothing}
 	for i := range w.proxies {
-		habits := routing.Habits{Kinds: []string{"read"}}
+		habits := routing.Policy{Kinds: []string{"read"}}
 		follower := routing.NewFollower(habits, []string{"e0", "e1"}, uint64(i))
 		w.proxies[i] = &proxy{joined: -1, follower: follower}
 	}
@@ -121,11 +121,11 @@
 	options := w.options(false)
 	sink := func(makeTurn func() *record.Turn) { w.turns = append(w.turns, *makeTurn()) }
 	recorder := record.NewRecorder(sink, func() []controller.Input { return p.core.Checkpoint() })
-	options.Turn = recorder.Turn
+	options.OnTurn = recorder.Turn
 	if core == nil {
 		core = controller.NewCore(options)
 	} else {
-		core.Recovered(options)
+		core.FinishRecovery(options)
 	}
 	p.core = core
 	p.listed = -1
@@ -236,7 +236,7 @@
 			w.report(i, recovery.Started)
 		}
 	case recovery.LetGo, recovery.End:
-		if p.successor != nil || p.predecessor.Gone() {
+		if p.successor != nil || p.predecessor.Replaced() {
 			w.releaseLock(i)
 			p.alive = false
 		}
@@ -265,5 +265,5 @@
 		}
 		l.Entries = append(l.Entries, e)
 	}
-	return controller.Listed{List: l}
+	return controller.EndpointsListed{List: l}
 }
--- a/telemetry/intake.go
+++ b/telemetry/intake.go
@@ -16,8 +16,8 @@
 	"indigousher/planner"
 )
 
-// Terms are what the settings allow, received at start.
-type Terms struct {
+// Options are what the settings allow, received at start.
+type Options struct {
 	LinesPerS   float64 // report lines taken in a second, all senders together; 0: no limit
 	ToldPerS    float64 // lines passed on a second; 0: no limit
 	Standing    int     // sums that may wait to be passed on; 0: no limit
@@ -71,8 +71,8 @@
 	HasLoad       bool
 }
 
-// KindLine is what came to a proxy of one kind of req.
-type KindLine struct{ Kind, Reqs, Unanswered int }
+// ClassLine is what came to a proxy of one kind of req.
+type ClassLine struct{ Class, Requests, Unanswered int }
 
 // Report is one report. Seq counts a sender's reports from 1, AtMs is the sender's own clock when it was sent.
 type Report[L any] struct {
@@ -81,11 +81,11 @@
 	AtMs   float64
 	SpanMs float64
 	Lines  []Line[L]
-	Kinds  []KindLine
+	Kinds  []ClassLine
 }
 
-// Met is a sum that is passed on: brain.Met but for the load report, with its age.
-type Met[L any] struct {
+// EndpointSum is a sum that is passed on: brain.Met but for the load report, with its age.
+type EndpointSum[L any] struct {
 	Endpoint, Zone int
 	Tries, Failed  float64
 	MeanMs, SpanMs float64
@@ -101,9 +101,9 @@
 	Changes  bool
 }
 
-// Intake holds the sums that wait. It is used by one goroutine at a time.
-type Intake[L any] struct {
-	terms     Terms
+// Aggregator holds the sums that wait. It is used by one goroutine at a time.
+type Aggregator[L any] struct {
+	terms     Options
 	senders   map[int]*sender
 	zones     map[int]*zone
 	endpoints map[int]*endpoint
@@ -163,13 +163,13 @@
 }
 
 // New returns an intake that nobody has joined.
-func New[L any](t Terms) *Intake[L] {
-	return &Intake[L]{terms: t, senders: map[int]*sender{}, zones: map[int]*zone{}, endpoints: map[int]*endpoint{},
+func New[L any](t Options) *Aggregator[L] {
+	return &Aggregator[L]{terms: t, senders: map[int]*sender{}, zones: map[int]*zone{}, endpoints: map[int]*endpoint{},
 		mets: map[metKey]*sum[L]{}, demands: map[demandKey]*sum[L]{}, share: newShares()}
 }
 
 // Join takes a sender in. Its clock and numbers begin anew.
-func (in *Intake[L]) Join(nowMs float64, id, zoneOf int) bool {
+func (in *Aggregator[L]) Join(nowMs float64, id, zoneOf int) bool {
 	in.Leave(id)
 	if in.terms.MostSenders > 0 && len(in.senders) >= in.terms.MostSenders {
 		return false
@@ -180,7 +180,7 @@
 }
 
 // Leave forgets a sender and what waits of its demand.
-func (in *Intake[L]) Leave(id int) {
+func (in *Aggregator[L]) Leave(id int) {
 	s := in.senders[id]
 	if s == nil {
 		return
@@ -196,21 +196,21 @@
 }
 
 // forget takes a sum out of those that wait.
-func (in *Intake[L]) forget(d *sum[L]) {
+func (in *Aggregator[L]) forget(d *sum[L]) {
 	if d.queued {
 		in.order = slices.DeleteFunc(in.order, func(x *sum[L]) bool { return x == d })
 	}
 }
 
-func (in *Intake[L]) zone(i int) *zone {
+func (in *Aggregator[L]) zone(i int) *zone {
 	if in.zones[i] == nil {
 		in.zones[i] = &zone{}
 	}
 	return in.zones[i]
 }
 
-// List tells of an endpoint. One that is gone or has started anew loses what waits of it: it was another's.
-func (in *Intake[L]) List(nowMs float64, id int, phase planner.Phase, startedMs float64) {
+// UpdateEndpoint tells of an endpoint. One that is gone or has started anew loses what waits of it: it was another's.
+func (in *Aggregator[L]) UpdateEndpoint(nowMs float64, id int, phase planner.Phase, startedMs float64) {
 	e := in.endpoints[id]
 	if e == nil {
 		e = &endpoint{}
@@ -233,12 +233,12 @@
 
 // weight is what a moment's figures count, growing with time: later ones count more, and dividing by the weight of
 // now gives what is left of each (forward decay).
-func (in *Intake[L]) weight(ms float64) float64 {
+func (in *Aggregator[L]) weight(ms float64) float64 {
 	return math.Exp2((ms - in.landmark) / in.terms.HalfMs)
 }
 
 // spread is the mean weight of a span that ended at a moment.
-func (in *Intake[L]) spread(endMs, spanMs float64) float64 {
+func (in *Aggregator[L]) spread(endMs, spanMs float64) float64 {
 	x := spanMs / in.terms.HalfMs * math.Ln2
 	if x < 1e-6 {
 		return in.weight(endMs)
@@ -247,7 +247,7 @@
 }
 
 // rescale moves the landmark up before weights grow out of their range.
-func (in *Intake[L]) rescale(nowMs float64) {
+func (in *Aggregator[L]) rescale(nowMs float64) {
 	if nowMs-in.landmark < 200*in.terms.HalfMs {
 		return
 	}
@@ -270,8 +270,8 @@
 	s.weights, s.ages, s.span, s.covered = s.weights*f, s.ages*f, s.span*f, s.covered*f
 }
 
-// Take takes a report in. What it says is merged, sampled or refused; the counts tell which.
-func (in *Intake[L]) Take(nowMs float64, r *Report[L]) {
+// Add takes a report in. What it says is merged, sampled or refused; the counts tell which.
+func (in *Aggregator[L]) Add(nowMs float64, r *Report[L]) {
 	in.rescale(nowMs)
 	lines := len(r.Lines) + len(r.Kinds)
 	s := in.senders[r.Sender]
@@ -329,7 +329,7 @@
 )
 
 // check refuses what can't be true, and what has been heard.
-func (in *Intake[L]) check(s *sender, r *Report[L]) (Reason, bool) {
+func (in *Aggregator[L]) check(s *sender, r *Report[L]) (Reason, bool) {
 	switch {
 	case r.Seq <= s.seq:
 		return Repeated, false // or overtaken by a later one that stands for it
@@ -347,7 +347,7 @@
 }
 
 // met merges one line.
-func (in *Intake[L]) met(nowMs float64, s *sender, r *Report[L], k ranked, end, w, stands, age float64) {
+func (in *Aggregator[L]) met(nowMs float64, s *sender, r *Report[L], k ranked, end, w, stands, age float64) {
 	l := &r.Lines[k.index]
 	e := in.endpoints[l.Endpoint]
 	if absurd(l, r.SpanMs) {
@@ -386,7 +386,7 @@
 }
 
 // urgent returns whether a sum must not wait: its endpoint begins to fail, is cold, or drains.
-func (in *Intake[L]) urgent(nowMs float64, e *endpoint, m *sum[L]) bool {
+func (in *Aggregator[L]) urgent(nowMs float64, e *endpoint, m *sum[L]) bool {
 	failing := m.failed > failingPart*m.tries && m.failed > 0
 	return failing && !e.failing || e.drains || e.started != 0 && nowMs-e.started < in.terms.ColdMs
 }
@@ -395,7 +395,7 @@
 const failingPart = 0.2
 
 // sumOf returns the sum that a line belongs to, or nil where no more may wait.
-func (in *Intake[L]) sumOf(nowMs float64, key metKey, foremost bool) *sum[L] {
+func (in *Aggregator[L]) sumOf(nowMs float64, key metKey, foremost bool) *sum[L] {
 	z := in.zone(key.zone)
 	m := in.mets[key]
 	if m == nil {
@@ -412,7 +412,7 @@
 }
 
 // room returns whether one more sum may wait; for one that is urgent a demand makes way.
-func (in *Intake[L]) room(urgent bool) bool {
+func (in *Aggregator[L]) room(urgent bool) bool {
 	if in.terms.Standing <= 0 || len(in.order) < in.terms.Standing {
 		return true
 	}
@@ -433,7 +433,7 @@
 }
 
 // reset begins a sum anew: nothing waits of it, and what its zone has covered so far is not its own.
-func (in *Intake[L]) reset(s *sum[L]) {
+func (in *Aggregator[L]) reset(s *sum[L]) {
 	if s.ofDemand {
 		*s = sum[L]{demand: s.demand, ofDemand: true}
 		return
@@ -441,7 +441,7 @@
 	*s = sum[L]{met: s.met, covered: in.zone(s.met.zone).covered, carry: s.carry}
 }
 
-func (in *Intake[L]) queue(nowMs float64, m *sum[L]) {
+func (in *Aggregator[L]) queue(nowMs float64, m *sum[L]) {
 	if !m.queued {
 		m.queued, m.sinceMs = true, nowMs
 		in.order = append(in.order, m)
@@ -450,12 +450,12 @@
 }
 
 // demand merges one line of demand.
-func (in *Intake[L]) demand(nowMs float64, r *Report[L], k KindLine, w, stands, age float64) {
-	if k.Reqs < 0 || k.Unanswered < 0 || k.Unanswered > k.Reqs || float64(k.Reqs) > mostPerS*math.Max(1, r.SpanMs/1000) {
+func (in *Aggregator[L]) demand(nowMs float64, r *Report[L], k ClassLine, w, stands, age float64) {
+	if k.Requests < 0 || k.Unanswered < 0 || k.Unanswered > k.Requests || float64(k.Requests) > mostPerS*math.Max(1, r.SpanMs/1000) {
 		in.Counts[Absurd]++
 		return
 	}
-	key := demandKey{r.Sender, k.Kind}
+	key := demandKey{r.Sender, k.Class}
 	d := in.demands[key]
 	if d == nil {
 		d = &sum[L]{demand: key, ofDemand: true}
@@ -466,7 +466,7 @@
 		return
 	}
 	in.queue(nowMs, d)
-	d.tries += w * stands * float64(k.Reqs)
+	d.tries += w * stands * float64(k.Requests)
 	d.failed += w * stands * float64(k.Unanswered)
 	d.span += w * stands * r.SpanMs
 	d.weights, d.ages = d.weights+w, d.ages+w*(age+r.SpanMs/2)
@@ -483,7 +483,7 @@
 
 // choose returns the lines to keep: all that fit; else those of endpoints that fail, are cold or drain, and of the
 // others a priority sample by tries, whose scaled figures are true on average.
-func (in *Intake[L]) choose(nowMs float64, r *Report[L], room int) []ranked {
+func (in *Aggregator[L]) choose(nowMs float64, r *Report[L], room int) []ranked {
 	in.scratch = in.scratch[:0]
 	room = max(room, 1)
 	if len(r.Lines) <= room {
@@ -543,5 +543,5 @@
 	return (float64(x^x>>16) + 1) / (1 << 32)
 }
 
-// Waiting returns how many sums wait to be passed on.
-func (in *Intake[L]) Waiting() int { return len(in.order) }
+// Pending returns how many sums wait to be passed on.
+func (in *Aggregator[L]) Pending() int { return len(in.order) }
--- a/telemetry/intake_test.go
+++ b/telemetry/intake_test.go
@@ -16,7 +16,7 @@
 
 // crowd is a zone structure of senders with steady true rates, and what an intake makes of their reports.
 type crowd struct {
-	in        *Intake[float64]
+	in        *Aggregator[float64]
 	endpoints int
 	zones     int
 	senders   []*talker
@@ -50,15 +50,15 @@
 
 type seen struct{ tries, span, failed float64 }
 
-func terms() Terms {
-	return Terms{PeriodMs: 1000, HalfMs: 5000, LongestMs: 120000, Slowest: 8, ColdMs: 10000}
+func terms() Options {
+	return Options{PeriodMs: 1000, HalfMs: 5000, LongestMs: 120000, Slowest: 8, ColdMs: 10000}
 }
 
-func newCrowd(t Terms, senders, endpoints, zones int) *crowd {
+func newCrowd(t Options, senders, endpoints, zones int) *crowd {
 	c := &crowd{in: New[float64](t), endpoints: endpoints, zones: zones, told: map[metKey]*seen{},
 		truth: map[metKey]float64{}, src: rand.NewPCG(1, 2), rnd: rand.New(rand.NewPCG(3, 4))}
 	for e := range endpoints {
-		c.in.List(0, e, planner.Ready, 0)
+		c.in.UpdateEndpoint(0, e, planner.Ready, 0)
 	}
 	for i := range senders {
 		s := &talker{id: i, zone: i % zones, periodMs: t.PeriodMs, nextMs: t.PeriodMs * float64(i+1) / float64(senders),
@@ -89,7 +89,7 @@
 }
 
 // run lets time pass in steps of 20 ms; done is called with what each period tells.
-func (c *crowd) run(ms float64, done func(nowMs float64, t Told[float64])) {
+func (c *crowd) run(ms float64, done func(nowMs float64, t Batch[float64])) {
 	const step = 20.0
 	for end := c.now + ms; c.now < end; {
 		c.now += step
@@ -106,15 +106,15 @@
 		kept := c.mail[:0]
 		for _, m := range c.mail {
 			if m.at <= c.now {
-				c.in.Take(c.now, m.r)
+				c.in.Add(c.now, m.r)
 			} else {
 				kept = append(kept, m)
 			}
 		}
 		c.mail = kept
-		c.most = max(c.most, c.in.Waiting())
+		c.most = max(c.most, c.in.Pending())
 		if math.Mod(c.now, 1000) < step {
-			t := c.in.Tell(c.now, 1000)
+			t := c.in.Flush(c.now, 1000)
 			for _, m := range t.Mets {
 				key := metKey{m.Endpoint, m.Zone}
 				if c.told[key] == nil {
@@ -127,7 +127,7 @@
 			if done != nil {
 				done(c.now, t)
 			}
-			for _, a := range c.in.Deal(c.now) {
+			for _, a := range c.in.Rebalance(c.now) {
 				if s := c.senders[a.Sender]; !s.heedless {
 					s.periodMs = a.PeriodMs
 				}
@@ -161,18 +161,18 @@
 func TestTruth(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		terms  func(*Terms)
+		terms  func(*Options)
 		change func(*crowd)
 		within float64
 	}{
 		{"all well", nil, nil, 0.03},
-		{"a pace that fits half", func(t *Terms) { t.LinesPerS = 150 }, nil, 0.1},
-		{"ten times the reports for the pace", func(t *Terms) { t.LinesPerS = 400 }, func(c *crowd) {
+		{"a pace that fits half", func(t *Options) { t.LinesPerS = 150 }, nil, 0.1},
+		{"ten times the reports for the pace", func(t *Options) { t.LinesPerS = 400 }, func(c *crowd) {
 			for _, s := range c.senders {
 				s.times, s.heedless = 10, true
 			}
 		}, 0.3}, // one line of nine is kept: a standard error near 0.1 for the smallest, and this is the worst of 36
-		{"one sender talks as much as all others", func(t *Terms) { t.LinesPerS = 300 }, func(c *crowd) {
+		{"one sender talks as much as all others", func(t *Options) { t.LinesPerS = 300 }, func(c *crowd) {
 			c.senders[4].times, c.senders[4].heedless = 30, true
 		}, 0.1},
 		{"all in step", nil, func(c *crowd) {
@@ -197,7 +197,7 @@
 				return true, 0
 			}
 		}, 0.05},
-		{"few lines told a second", func(t *Terms) { t.ToldPerS = 20 }, nil, 0.1},
+		{"few lines told a second", func(t *Options) { t.ToldPerS = 20 }, nil, 0.1},
 		{"slow reports", nil, func(c *crowd) {
 			for _, s := range c.senders[:15] {
 				s.periodMs = 7000
@@ -261,18 +261,18 @@
 		t.Run(c.name, func(t *testing.T) {
 			in := New[float64](terms())
 			for e := range 3 {
-				in.List(0, e, planner.Ready, 0)
+				in.UpdateEndpoint(0, e, planner.Ready, 0)
 			}
-			in.List(500, 1, planner.Gone, 0)
+			in.UpdateEndpoint(500, 1, planner.Gone, 0)
 			require.True(t, in.Join(0, 0, 0))
-			in.Take(990, &Report[float64]{Sender: 0, Seq: 4, AtMs: 990, SpanMs: 1})
-			in.List(1000, 2, planner.Ready, 1000)
+			in.Add(990, &Report[float64]{Sender: 0, Seq: 4, AtMs: 990, SpanMs: 1})
+			in.UpdateEndpoint(1000, 2, planner.Ready, 1000)
 			r := good()
 			c.spoil(r)
-			in.Take(1000, r)
+			in.Add(1000, r)
 			assert.EqualValues(t, 1, in.Counts[c.reason])
 			assert.Zero(t, in.Counts[Merged])
-			assert.Empty(t, in.Tell(2000, 1000).Mets)
+			assert.Empty(t, in.Flush(2000, 1000).Mets)
 		})
 	}
 }
@@ -280,12 +280,12 @@
 // TestRestarted guards the living against reports that reach back before a restart: only the part after it counts.
 func TestRestarted(t *testing.T) {
 	in := New[float64](terms())
-	in.List(0, 0, planner.Ready, 0)
+	in.UpdateEndpoint(0, 0, planner.Ready, 0)
 	in.Join(0, 0, 0)
-	in.Take(1000, &Report[float64]{Seq: 1, AtMs: 1000, SpanMs: 1000, Lines: []Line[float64]{{Tries: 50, Failed: 50}}})
-	in.List(1500, 0, planner.Ready, 1500) // what waited of the former life goes
-	in.Take(2000, &Report[float64]{Seq: 2, AtMs: 2000, SpanMs: 1000, Lines: []Line[float64]{{Tries: 40, Load: 1, HasLoad: true}}})
-	told := in.Tell(2000, 1000).Mets
+	in.Add(1000, &Report[float64]{Seq: 1, AtMs: 1000, SpanMs: 1000, Lines: []Line[float64]{{Tries: 50, Failed: 50}}})
+	in.UpdateEndpoint(1500, 0, planner.Ready, 1500) // what waited of the former life goes
+	in.Add(2000, &Report[float64]{Seq: 2, AtMs: 2000, SpanMs: 1000, Lines: []Line[float64]{{Tries: 40, Load: 1, HasLoad: true}}})
+	told := in.Flush(2000, 1000).Mets
 	require.Len(t, told, 1)
 	assert.Zero(t, told[0].Failed)
 	assert.InDelta(t, 20, told[0].Tries, 2)
@@ -305,7 +305,7 @@
 		for _, s := range c.senders {
 			s.times = 100
 		}
-		c.run(8000, func(now float64, told Told[float64]) {
+		c.run(8000, func(now float64, told Batch[float64]) {
 			for _, m := range told.Mets {
 				if m.Endpoint == 13 && m.Failed > 0.5*m.Tries && at == 0 {
 					at = now
@@ -328,7 +328,7 @@
 	urgent := false
 	c.fails = func(e int, now float64) float64 { return map[bool]float64{true: 1}[e == 39 && now > 5000] }
 	c.rates = func(int, int) float64 { return 3 }
-	c.run(9000, func(_ float64, told Told[float64]) {
+	c.run(9000, func(_ float64, told Batch[float64]) {
 		for _, m := range told.Mets {
 			urgent = urgent || m.Endpoint == 39 && m.Failed > 0
 		}
@@ -398,7 +398,7 @@
 			}
 			c.bear = func(*talker, float64) (bool, float64) { return c.rnd.Float64() >= loss, late * c.rnd.Float64() }
 			var all string
-			c.run(6000, func(now float64, told Told[float64]) { all += fmt.Sprint(now, told) })
+			c.run(6000, func(now float64, told Batch[float64]) { all += fmt.Sprint(now, told) })
 			return all, c
 		}
 		first, c := play()
--- a/telemetry/scale_test.go
+++ b/telemetry/scale_test.go
@@ -20,7 +20,7 @@
 			t.LinesPerS = 1e9
 			in := New[float64](t)
 			for e := range c.endpoints {
-				in.List(0, e, planner.Ready, 0)
+				in.UpdateEndpoint(0, e, planner.Ready, 0)
 			}
 			for s := range c.senders {
 				in.Join(0, s, s%5)
@@ -34,10 +34,10 @@
 				for k := range r.Lines {
 					r.Lines[k] = Line[float64]{Endpoint: (i*7 + k*k*13) % c.endpoints, Tries: 3, MeanMs: 20, Load: 0.5, HasLoad: true}
 				}
-				in.Take(now, r)
+				in.Add(now, r)
 				if i++; now-told >= 1000 {
-					in.Tell(now, now-told)
-					in.Deal(now)
+					in.Flush(now, now-told)
+					in.Rebalance(now)
 					told = now
 				}
 			}
--- a/telemetry/share.go
+++ b/telemetry/share.go
@@ -22,7 +22,7 @@
 }
 
 // start is what a sender has when it joins: a second's worth, so that rejoining brings no more than staying.
-func (sh *shares) start(t Terms) float64 {
+func (sh *shares) start(t Options) float64 {
 	if t.LinesPerS <= 0 {
 		return math.Inf(1)
 	}
@@ -30,7 +30,7 @@
 }
 
 // tokens returns the lines that a sender may bring now.
-func (sh *shares) tokens(s *sender, nowMs float64, t Terms) float64 {
+func (sh *shares) tokens(s *sender, nowMs float64, t Options) float64 {
 	if t.LinesPerS <= 0 {
 		return math.Inf(1)
 	}
@@ -46,7 +46,7 @@
 }
 
 // recent is the weighed span that a sum which is new may count as covered: one period of all its zone's senders.
-func (sh *shares) recent(z *zone, weight float64, t Terms) float64 {
+func (sh *shares) recent(z *zone, weight float64, t Options) float64 {
 	return math.Min(z.covered, weight*t.PeriodMs*float64(sh.factor)*float64(z.senders))
 }
 
@@ -63,9 +63,9 @@
 	return math.Inf(1)
 }
 
-// Deal reckons the shares anew from what the last second brought, and what senders are to be asked. It is to be
+// Rebalance reckons the shares anew from what the last second brought, and what senders are to be asked. It is to be
 // called about once a second.
-func (in *Intake[L]) Deal(nowMs float64) (advice []Advice) {
+func (in *Aggregator[L]) Rebalance(nowMs float64) (advice []Advice) {
 	sh := &in.share
 	span := math.Max((nowMs-sh.secondMs)/1000, 0.1)
 	sh.secondMs = nowMs
@@ -113,7 +113,7 @@
 )
 
 // turn sets the factor: at once to what a crowd asks for, back one step at a time.
-func (sh *shares) turn(all float64, t Terms) {
+func (sh *shares) turn(all float64, t Options) {
 	most := max(1, t.Slowest)
 	switch pace := t.LinesPerS; {
 	case all > crowdPart*pace:
@@ -130,7 +130,7 @@
 
 // advise returns what has changed for each sender. Those that are released hear of it in turns, an eighth of them a
 // second, so that their reports do not come back together.
-func (in *Intake[L]) advise() (advice []Advice) {
+func (in *Aggregator[L]) advise() (advice []Advice) {
 	sh := &in.share
 	turn := int(sh.secondMs/1000) % 8
 	for _, id := range slices.Sorted(maps.Keys(in.senders)) {
--- a/telemetry/tell.go
+++ b/telemetry/tell.go
@@ -8,16 +8,16 @@
 	"indigousher/planner"
 )
 
-// Told is what one period passes on.
-type Told[L any] struct {
-	Mets    []Met[L]
-	Demands []planner.Demand
+// Batch is what one period passes on.
+type Batch[L any] struct {
+	Mets    []EndpointSum[L]
+	Demands []planner.RequestStats
 	Ages    []float64 // of each line, ms
 	Left    int       // sums that wait further
 }
 
-// Tell passes on what a period may: what is urgent first, then what has waited longest, whoever sent most.
-func (in *Intake[L]) Tell(nowMs, sinceMs float64) (out Told[L]) {
+// Flush passes on what a period may: what is urgent first, then what has waited longest, whoever sent most.
+func (in *Aggregator[L]) Flush(nowMs, sinceMs float64) (out Batch[L]) {
 	in.rescale(nowMs)
 	n := len(in.order)
 	if in.terms.ToldPerS > 0 {
@@ -46,9 +46,9 @@
 }
 
 // tellMet turns a sum into what it stands for now and begins it anew.
-func (in *Intake[L]) tellMet(s *sum[L], now float64) (m Met[L], ok bool) {
+func (in *Aggregator[L]) tellMet(s *sum[L], now float64) (m EndpointSum[L], ok bool) {
 	z := in.zone(s.met.zone)
-	m = Met[L]{Endpoint: s.met.endpoint, Zone: s.met.zone, Tries: s.tries / now, Failed: s.failed / now,
+	m = EndpointSum[L]{Endpoint: s.met.endpoint, Zone: s.met.zone, Tries: s.tries / now, Failed: s.failed / now,
 		MeanMs: s.work / math.Max(s.good, 1e-300), Load: s.load, HasLoad: s.hasLoad}
 	m.SpanMs = (z.covered - s.covered) / now / math.Max(1, float64(z.senders))
 	if s.good == 0 {
@@ -64,8 +64,8 @@
 	return m, m.SpanMs > 0
 }
 
-func (in *Intake[L]) tellDemand(s *sum[L], now float64) planner.Demand {
-	d := planner.Demand{Proxy: s.demand.proxy, Kind: s.demand.kind, Reqs: round(s.tries / now),
+func (in *Aggregator[L]) tellDemand(s *sum[L], now float64) planner.RequestStats {
+	d := planner.RequestStats{Proxy: s.demand.proxy, Class: s.demand.kind, Requests: round(s.tries / now),
 		Unanswered: round(s.failed / now), SpanMs: s.span / now}
 	in.reset(s)
 	return d
@@ -73,13 +73,13 @@
 
 func round(v float64) int { return int(math.Round(v)) }
 
-// Note returns a sum in the module's form. What is left of few failures after ageing is rounded up to one, so that one
+// Stats returns a sum in the module's form. What is left of few failures after ageing is rounded up to one, so that one
 // which was seen is told.
-func (m *Met[L]) Note(load planner.Load) planner.Met {
+func (m *EndpointSum[L]) Stats(load planner.Load) planner.EndpointStats {
 	tries, failed := round(m.Tries), round(m.Failed)
 	if m.Failed > 0 {
 		failed = max(failed, 1)
 	}
-	return planner.Met{Endpoint: m.Endpoint, Zone: m.Zone, Tries: max(tries, failed), Failed: failed, MeanMs: m.MeanMs,
+	return planner.EndpointStats{Endpoint: m.Endpoint, Zone: m.Zone, Attempts: max(tries, failed), Failed: failed, MeanMs: m.MeanMs,
 		SpanMs: m.SpanMs, Load: load}
 }
