--- /dev/null
+++ b/internal/platform/report.go
@@ -0,0 +1,70 @@
+package platform
+
+import (
+	"slices"
+
+	"go.uber.org/zap"
+
+	"indigousher/internal/controller"
+	"indigousher/internal/platform/discovery"
+	"indigousher/internal/platform/listener"
+	"indigousher/internal/platform/relay"
+)
+
+// report logs the controller's view beside the counters of the connections. Where they differ, data was lost in
+// between.
+func (p *Pilot) report() {
+	p.log.Info("counted", slices.Concat(
+		controllerFields(p.loop.State()),
+		relayFields(&p.relayCounters),
+		listenerFields(&p.listener.Counters),
+		discoveryFields(&p.discovery.Counters),
+	)...)
+}
+
+func controllerFields(s controller.State) []zap.Field {
+	reports := s.ReportStats
+	return []zap.Field{
+		zap.Int("proxies", s.Proxies),
+		zap.Int("endpoints", s.Endpoints),
+		zap.Int("listed", reports.Listed),
+		zap.Int("reports taken", reports.Reports),
+		zap.Int("odd", reports.Malformed),
+		zap.Float64("report covers ms", reports.SpanMs/float64(max(1, reports.Reports))),
+	}
+}
+
+func relayFields(c *relay.Counters) []zap.Field {
+	return []zap.Field{
+		zap.Int64("orders", c.Enqueued.Load()),
+		zap.Int64("taken", c.Executed.Load()),
+		zap.Int64("outdated", c.Superseded.Load()),
+		zap.Int64("dropped", c.Dropped.Load()),
+		zap.Int64("uncertain", c.OutcomeUnknown.Load()),
+		zap.Int64("calls", c.Calls.Load()),
+		zap.Int64("failed", c.FailedCalls.Load()),
+		zap.Int64("probes", c.Probes.Load()),
+		zap.Int64("events", c.Events.Load()),
+		zap.Int64("gaps", c.Gaps.Load()),
+	}
+}
+
+func listenerFields(c *listener.Counters) []zap.Field {
+	return []zap.Field{
+		zap.Int64("reports", c.Reports.Load()),
+		zap.Int64("spoilt", c.Malformed.Load()),
+		zap.Int64("accepted", c.Accepted.Load()),
+		zap.Int64("refused", c.Rejected.Load()),
+		zap.Int64("silent", c.Silent.Load()),
+		zap.Int64("evicted", c.Evicted.Load()),
+	}
+}
+
+func discoveryFields(c *discovery.Counters) []zap.Field {
+	return []zap.Field{
+		zap.Int64("list calls", c.Calls.Load()),
+		zap.Int64("failed calls", c.Failed.Load()),
+		zap.Int64("lists", c.Lists.Load()),
+		zap.Int64("odd entries", c.Malformed.Load()),
+	}
+}
--- /dev/null
+++ b/internal/platform/simulator_test.go
@@ -0,0 +1,149 @@
+package platform
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"indigousher/internal/controller"
+	"indigousher/internal/simulator"
+	"indigousher/internal/transport/gossip"
+	"indigousher/internal/transport/healthcheck"
+	"indigousher/internal/wire"
+	"indigousher/planner"
+)
+
+// recordingRelay keeps the commands that a core hands to its relay.
+type recordingRelay struct{ lines []string }
+
+// Enqueue keeps the commands that the simulator has as well.
+func (r *recordingRelay) Enqueue(turn []planner.Command, endpoint func(int) string) {
+	for _, c := range turn {
+		switch c := c.(type) {
+		case planner.SetWeight:
+			r.lines = append(r.lines, fmt.Sprintf("line %d %s %.9g", c.Table, endpoint(c.Endpoint), c.Weight))
+		case planner.AssignTable:
+			r.lines = append(r.lines, fmt.Sprintf("bind %d %d %d", c.Proxy, c.Table, c.Classes))
+		case planner.AckRequest:
+			r.lines = append(r.lines, fmt.Sprintf("mark %d", c.Number))
+		}
+	}
+}
+
+// ProxyLeft does nothing.
+func (r *recordingRelay) ProxyLeft(int) {}
+
+// noEndpointSource ignores all requests.
+type noEndpointSource struct{}
+
+// Watch does nothing.
+func (noEndpointSource) Watch(bool) {}
+
+// Fetch does nothing.
+func (noEndpointSource) Fetch() {}
+
+// bothSides feeds the same scenario to a core, as the platform's inputs, and to the simulator's adapter, as events.
+type bothSides struct {
+	core   *controller.Core
+	events []string
+}
+
+// start announces the endpoints and one proxy.
+func (b *bothSides) start() {
+	var entries []wire.Entry
+	var hosts []string
+	for i := range 6 {
+		name := fmt.Sprintf("10.0.0.%d:1", i)
+		zone := []string{"a", "b"}[i%2]
+		entries = append(entries, wire.Entry{Endpoint: name, Zone: zone, Machine: "m2", Weight: float64(1 + i)})
+		hosts = append(hosts, fmt.Sprintf(
+			`{"endpoint":%q,"zone":%q,"generation_hw":"m2","mode":"live","heft":%d}`, name, zone, 1+i))
+	}
+	b.core.Handle(0, []controller.Input{
+		controller.EndpointsListed{List: &wire.List{Whole: true, Entries: entries}},
+		controller.RelayProxyJoined{Proxy: 3, Zone: "b", Rate: 7, Fresh: true},
+	})
+	b.events = append(b.events, `{"sim_time":0,"batch":1,"happened":[`+
+		`{"kind":"spawn","i":"pilot/0","rng_seed":5,"setup":`+strings.ReplaceAll(operatorSettings, "\n", "")+`},`+
+		`{"kind":"discovery","i":"pilot/0","mode":"total","hosts":[`+strings.Join(hosts, ",")+`]},`+
+		`{"kind":"stream_up","i":"pilot/0","edge":3,"zone":"b","heft":7,"active":true}]}`)
+}
+
+// report reports one endpoint's load and one proxy's requests.
+func (b *bothSides) report(second int, load float64) {
+	b.core.Handle(float64(1000*second), []controller.Input{
+		controller.ZoneStats{
+			Zone: "b", Endpoint: "10.0.0.1:1", Attempts: 30, Failed: second, MeanMs: 20, SpanMs: 1000,
+			Load: map[string]float64{"util": load, "qps": 30},
+		},
+		controller.ProxyStats{Proxy: 3, Class: "write", Requests: 30, SpanMs: 1000},
+	})
+	b.events = append(b.events, fmt.Sprintf(`{"sim_time":%d,"batch":2,"happened":[`+
+		`{"kind":"tally","i":"pilot/0","endpoint":"10.0.0.1:1","zone":"b","count":30,"errors":%d,`+
+		`"wait_time":20000000,"covers":1000000000,"feedback":{"cpu_share":%g,"served_ps":30}},`+
+		`{"kind":"proxy_stats","i":"pilot/0","edge":3,"qos":"write","count":30,"covers":1000000000}]}`,
+		1000*second*1000000, second, load))
+}
+
+// controlRound lets the timer fire half a second after second.
+func (b *bothSides) controlRound(second int) {
+	nowMs := 500 + 1000*second
+	b.core.Handle(float64(nowMs), nil)
+	b.events = append(b.events, fmt.Sprintf(
+		`{"sim_time":%d,"batch":2,"happened":[{"kind":"bell","i":"pilot/0","ref":"gather"}]}`, nowMs*1000000))
+}
+
+// TestSameSettingsSameOrders checks that simulator and platform feed the planner the same: one translation of
+// settings and names, the same events, and so the same commands.
+func TestSameSettingsSameOrders(t *testing.T) {
+	p := newPlacement(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1")
+	relay := &recordingRelay{}
+	sides := &bothSides{core: controller.NewCore(controller.Options{
+		Decider:        planner.New(5, p.Deployment.Settings),
+		Settings:       p.Deployment.Settings,
+		Zones:          p.Deployment.Zones.All(),
+		Machines:       p.Deployment.Machines.All(),
+		Classes:        p.Deployment.Classes.All(),
+		MaxProxies:     p.Proxies,
+		Relay:          relay,
+		EndpointSource: noEndpointSource{},
+		HealthChecker:  healthcheck.Disabled{},
+		Gossip:         gossip.Disabled{},
+		Log:            func(string) {},
+		Malformed:      func(what string, _ ...string) { t.Error(what) },
+	})}
+	sides.start()
+	sides.controlRound(0)
+	for second := 1; second < 12; second++ {
+		load := float64(second%5) / 2 // full for long enough that tables change
+		sides.report(second, load)
+		sides.controlRound(second)
+	}
+	assert.Equal(t, simulated(t, sides.events), relay.lines)
+	assert.Greater(t, len(relay.lines), 7, "tables were laid and changed")
+}
+
+// simulated plays events through the simulator's adapter and returns the commands in recordingRelay's words.
+func simulated(t *testing.T, events []string) (lines []string) {
+	var out strings.Builder
+	require.NoError(t, simulator.Serve(strings.NewReader(strings.Join(events, "\n")+"\n"), &out))
+	for _, text := range strings.Split(strings.TrimSpace(out.String()), "\n") {
+		var answer struct{ Orders []map[string]any }
+		require.NoError(t, json.Unmarshal([]byte(text), &answer))
+		for _, c := range answer.Orders {
+			switch c["kind"] {
+			case "set_weight":
+				lines = append(lines, fmt.Sprintf("line %v %v %.9g", c["tbl"], c["endpoint"], c["heft"]))
+			case "use_table":
+				lines = append(lines, fmt.Sprintf("bind %v %v %v", c["edge"], c["tbl"], c["lanes"]))
+			case "checkpoint":
+				lines = append(lines, fmt.Sprintf("mark %v", c["epoch"]))
+			}
+		}
+	}
+	return lines
+}
--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -9,6 +9,7 @@
 
 	"indigousher/internal/controller"
 	"indigousher/internal/wire"
+	"indigousher/planner"
 )
 
 // Result is what a replay commanded.
--- /dev/null
+++ b/internal/settings/settings_test.go
@@ -0,0 +1,32 @@
+package settings
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// TestSettingsUnderPlannerNames checks the conversion of names, values, times and references.
+func TestSettingsUnderPlannerNames(t *testing.T) {
+	d := Parse(map[string]any{
+		"kinds": []any{"m", "n"}, "dcs": []any{"a", "b"}, "fresh_key": 3.0, "zone": "b",
+		"extra": map[string]any{"push_delay": 2e6, "admission": "share"},
+		"profiles": []any{
+			map[string]any{"name": "w", "idempotency": "non_idempotent", "aim": 5e6, "only_kinds": []any{"n"}},
+		},
+	})
+	assert.Equal(t, 2.0, d.Settings["late_mean"])
+	assert.Equal(t, 3.0, d.Settings["fresh_key"])
+	assert.Equal(t, 1.0, d.Settings["zone"])
+	classes, ok := d.Settings["req_kinds"].([]any)
+	require.True(t, ok)
+	kind, ok := classes[0].(map[string]any)
+	require.True(t, ok)
+	assert.Equal(t, []any{1.0}, kind["only_machines"])
+	assert.Equal(t, "non-replayable", kind["repeats"])
+	assert.Equal(t, 5.0, kind["response_target"])
+	assert.Equal(t, []string{"w"}, d.Classes.All())
+	_, err := d.Zones.Lookup(2)
+	assert.ErrorContains(t, err, "no id behind index 2")
+}
--- /dev/null
+++ b/internal/transport/grpcapi/encode.go
@@ -0,0 +1,131 @@
+package grpcapi
+
+import (
+	"indigousher/internal/wire"
+	pb "indigousher/proto/indigousher/v1"
+)
+
+// Hello encodes a hello.
+func Hello(h *wire.Hello) *pb.Hello {
+	hello := &pb.Hello{
+		Version:       uint32(h.Version),
+		Proxy:         h.Proxy,
+		Zone:          h.Zone,
+		Boot:          h.Boot,
+		ReqsPerSecond: h.Rate,
+		Fresh:         h.Fresh,
+		Holds:         h.Holds,
+	}
+	for _, t := range h.Tables {
+		table := &pb.HeldTable{Table: uint32(t.Table)}
+		for _, l := range t.Lines {
+			table.Lines = append(table.Lines, &pb.Line{Table: uint32(t.Table), Endpoint: l.Endpoint, Weight: l.Weight})
+		}
+		hello.Tables = append(hello.Tables, table)
+	}
+	return hello
+}
+
+// Report encodes a load report.
+func Report(s *wire.Sums) *pb.Report {
+	report := &pb.Report{Number: s.Seq, AtMs: s.AtMs, SpanMs: s.SpanMs}
+	for i := range s.Met {
+		report.Endpoints = append(report.Endpoints, endpointLoad(&s.Met[i]))
+	}
+	for _, d := range s.Demand {
+		kind := &pb.KindLoad{Kind: d.Kind, Reqs: uint32(d.Reqs), Unanswered: uint32(d.Unanswered)}
+		report.Kinds = append(report.Kinds, kind)
+	}
+	for _, l := range s.Slices {
+		slice := &pb.SliceLoad{
+			Slice:      uint32(l.Slice),
+			Kind:       l.Kind,
+			Reqs:       uint32(l.Reqs),
+			Unanswered: uint32(l.Unanswered),
+		}
+		report.Slices = append(report.Slices, slice)
+	}
+	return report
+}
+
+// endpointLoad encodes the load of one endpoint.
+func endpointLoad(m *wire.Met) *pb.EndpointLoad {
+	load := &pb.EndpointLoad{
+		Endpoint: m.Endpoint,
+		Tries:    uint32(m.Tries),
+		Failed:   uint32(m.Failed),
+		MeanMs:   m.MeanMs,
+	}
+	if len(m.Load) > 0 {
+		load.Figures = make(map[string]float64, len(m.Load))
+	}
+	for _, f := range m.Load {
+		load.Figures[f.Name] = f.Value
+	}
+	return load
+}
+
+// steps encodes the ops of an assignment. Marks are returned separately.
+func steps(ops []wire.Op) (list []*pb.Step, marks []uint32) {
+	for i := range ops {
+		if ops[i].Kind == wire.OpMark {
+			marks = append(marks, uint32(ops[i].Number))
+			continue
+		}
+		list = append(list, step(&ops[i]))
+	}
+	return list, marks
+}
+
+// step encodes one op other than a mark.
+func step(op *wire.Op) *pb.Step {
+	switch op.Kind {
+	case wire.OpBind:
+		return bindStep(op)
+	case wire.OpSet:
+		return lineStep(op)
+	case wire.OpClear:
+		return &pb.Step{Does: &pb.Step_Clear{Clear: &pb.Clear{Table: uint32(op.Table)}}}
+	case wire.OpWithdraw:
+		return &pb.Step{Does: &pb.Step_Withdraw{Withdraw: &pb.Withdraw{Endpoint: op.Endpoint, Out: op.Out}}}
+	case wire.OpAdmit:
+		return levelStep(op)
+	case wire.OpRange:
+		return rangeStep(op)
+	}
+	return nil
+}
+
+func bindStep(op *wire.Op) *pb.Step {
+	return &pb.Step{Does: &pb.Step_Bind{Bind: &pb.Bind{
+		Table: uint32(op.Table),
+		Kinds: uint32(op.Kinds),
+		Keep:  op.Keep,
+	}}}
+}
+
+func lineStep(op *wire.Op) *pb.Step {
+	return &pb.Step{Does: &pb.Step_Line{Line: &pb.Line{
+		Table:    uint32(op.Table),
+		Endpoint: op.Endpoint,
+		Weight:   op.Weight,
+	}}}
+}
+
+func levelStep(op *wire.Op) *pb.Step {
+	return &pb.Step{Does: &pb.Step_Level{Level: &pb.Level{
+		Table: uint32(op.Table),
+		Kinds: uint32(op.Kinds),
+		Share: op.Weight,
+		Again: uint32(op.Again),
+	}}}
+}
+
+func rangeStep(op *wire.Op) *pb.Step {
+	return &pb.Step{Does: &pb.Step_Range{Range: &pb.KeyRange{
+		Table: uint32(op.Table),
+		From:  []byte(op.From),
+		To:    []byte(op.To),
+		Gone:  op.Out,
+	}}}
+}
--- a/internal/transport/grpcapi/grpcedge_test.go
+++ b/internal/transport/grpcapi/grpcapi_test.go
@@ -21,13 +21,13 @@
 	"google.golang.org/protobuf/proto"
 
 	"indigousher/internal/controller"
-	"indigousher/internal/transport/shutdown"
 	"indigousher/internal/wire"
 	pb "indigousher/proto/indigousher/v1"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// inbox records inputs in order.
 type inbox struct {
 	mu  sync.Mutex
 	got []controller.Input
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// joins returns the streams that have joined, once there are n.
+// joins waits until n streams have joined and returns them.
 func (i *inbox) joins(t *testing.T, n int) (list []controller.Stream) {
 	require.Eventually(t, func() bool {
 		i.mu.Lock()
@@ -56,15 +56,22 @@
 	return list
 }
 
+// client is a proxy's side of one stream.
 type client struct {
 	t      *testing.T
 	stream grpc.BidiStreamingClient[pb.Upward, pb.Downward]
 	cancel context.CancelFunc
 }
 
+// plainText connects without TLS.
+var plainText = grpc.WithTransportCredentials(insecure.NewCredentials())
+
+// serve starts a server and returns a connection to it.
 func serve(t *testing.T, change func(*ListenerConfig)) (*Server, *inbox, *grpc.ClientConn) {
-	d := ListenerConfig{Pilot: "one", Beat: 100 * time.Millisecond, Period: time.Second, SeenWithin: 5 * time.Second,
-		HelloIn: time.Second, MaxMessage: 1 << 16, MaxStreams: 5000, QueueLines: 50}
+	d := ListenerConfig{
+		Pilot: "one", Beat: 100 * time.Millisecond, Period: time.Second, SeenWithin: 5 * time.Second,
+		HelloIn: time.Second, MaxMessage: 1 << 16, MaxStreams: 5000, QueueLines: 50,
+	}
 	if change != nil {
 		change(&d)
 	}
@@ -75,12 +82,17 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(ctx, l) }()
-	conn, err := grpc.NewClient("passthrough:///"+l.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
+	conn, err := grpc.NewClient("passthrough:///"+l.Addr().String(), plainText)
 	require.NoError(t, err)
-	t.Cleanup(func() { conn.Close(); cancel(); assert.NoError(t, <-done) })
+	t.Cleanup(func() {
+		assert.NoError(t, conn.Close())
+		cancel()
+		assert.NoError(t, <-done)
+	})
 	return s, in, conn
 }
 
+// follow opens a stream.
 func follow(t *testing.T, conn *grpc.ClientConn, options ...grpc.CallOption) *client {
 	ctx, cancel := context.WithCancel(t.Context())
 	g, err := pb.NewControlClient(conn).Follow(ctx, options...)
@@ -89,21 +101,23 @@
 	return &client{t, g, cancel}
 }
 
+// say sends a message; the stream may have ended.
 func (c *client) say(m *pb.Upward) { _ = c.stream.Send(m) }
 
-func (c *client) hello(h *pb.Hello) *pb.Welcome {
+// hello says hello and waits for the welcome.
+func (c *client) hello(h *pb.Hello) {
 	c.say(&pb.Upward{Says: &pb.Upward_Hello{Hello: h}})
 	m, err := c.stream.Recv()
 	require.NoError(c.t, err)
 	require.NotNil(c.t, m.GetWelcome())
-	return m.GetWelcome()
 }
 
+// ack acknowledges a version, or refuses it with a reason.
 func (c *client) ack(version uint64, refusal string) {
 	c.say(&pb.Upward{Says: &pb.Upward_Ack{Ack: &pb.Ack{Version: version, Refusal: refusal}}})
 }
 
-// assignment returns the next one; the client beats meanwhile.
+// assignment returns the next assignment; the client sends heartbeats meanwhile.
 func (c *client) assignment() *pb.Assignment {
 	for {
 		m, err := c.stream.Recv()
@@ -115,7 +129,7 @@
 	}
 }
 
-// end returns how the stream ends.
+// end waits for the end of the stream and returns its error.
 func (c *client) end() error {
 	for {
 		if _, err := c.stream.Recv(); err != nil {
@@ -132,8 +146,8 @@
 
 var bind = wire.Op{Kind: wire.OpBind, Table: 1, Kinds: 3}
 
-// TestMisbehaved is what clients do that they should not, and how the stream ends.
-func TestMisbehaved(t *testing.T) {
+// TestMisbehavingClient checks the status with which a stream ends after an invalid message of the client.
+func TestMisbehavingClient(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		do   func(c *client)
@@ -143,7 +157,9 @@
 		{"a refusal", func(c *client) { c.ack(1, "table 1 is unknown to me") }, codes.Aborted},
 		{"a refusal after taking it", func(c *client) { c.ack(1, ""); c.ack(1, "no") }, codes.Aborted},
 		{"the same taken twice", func(c *client) { c.ack(1, ""); c.ack(1, "") }, codes.InvalidArgument},
-		{"a second hello", func(c *client) { c.say(&pb.Upward{Says: &pb.Upward_Hello{Hello: hello("q")}}) }, codes.InvalidArgument},
+		{"a second hello", func(c *client) {
+			c.say(&pb.Upward{Says: &pb.Upward_Hello{Hello: hello("q")}})
+		}, codes.InvalidArgument},
 		{"figures that are none", func(c *client) {
 			c.say(&pb.Upward{Says: &pb.Upward_Report{Report: &pb.Report{SpanMs: -1}}})
 		}, codes.InvalidArgument},
@@ -167,9 +183,10 @@
 	}
 }
 
-// TestBomb guards against a small message that unpacks to far beyond the limit. The beat is long: packing it takes a busy
-// machine more than the three short ones after which the stream would end for silence.
-func TestBomb(t *testing.T) {
+// TestCompressedBomb checks that a small message that decompresses to far beyond the limit is rejected. The heartbeat
+// is long, since on a busy machine compressing the message takes longer than the three short intervals after which the
+// stream would end for silence.
+func TestCompressedBomb(t *testing.T) {
 	_, in, conn := serve(t, func(d *ListenerConfig) { d.Beat, d.SeenWithin = time.Minute, time.Minute })
 	cl := follow(t, conn, grpc.UseCompressor(gzip.Name))
 	cl.hello(hello("p"))
@@ -178,7 +195,7 @@
 	assert.Equal(t, codes.ResourceExhausted, status.Code(cl.end()))
 }
 
-// TestHellos shows which first words are taken.
+// TestHellos checks which first messages are accepted.
 func TestHellos(t *testing.T) {
 	late := &pb.Hello{Version: 1, Proxy: "p", Zone: "a"}
 	late.ProtoReflect().SetUnknown(protowire.AppendVarint(protowire.AppendTag(nil, 99, protowire.VarintType), 5))
@@ -188,7 +205,9 @@
 		want  codes.Code
 	}{
 		{"fields of a later version", &pb.Upward{Says: &pb.Upward_Hello{Hello: late}}, codes.OK},
-		{"an older version", &pb.Upward{Says: &pb.Upward_Hello{Hello: &pb.Hello{Version: 3, Proxy: "p", Zone: "a"}}}, codes.FailedPrecondition},
+		{"another version", &pb.Upward{Says: &pb.Upward_Hello{
+			Hello: &pb.Hello{Version: 3, Proxy: "p", Zone: "a"},
+		}}, codes.FailedPrecondition},
 		{"no name", &pb.Upward{Says: &pb.Upward_Hello{Hello: &pb.Hello{Version: 1, Zone: "a"}}}, codes.InvalidArgument},
 		{"a report first", &pb.Upward{Says: &pb.Upward_Report{Report: &pb.Report{}}}, codes.InvalidArgument},
 		{"nothing", nil, codes.DeadlineExceeded},
@@ -208,15 +227,15 @@
 	}
 }
 
-// TestHerd guards a pilot that returns against all streams at once: they are let in at a pace and none is turned away.
-func TestHerd(t *testing.T) {
+// TestReconnectStorm checks that many streams at once are admitted at a limited rate, and that none is rejected.
+func TestReconnectStorm(t *testing.T) {
 	const many = 2000
 	s, in, conn := serve(t, func(d *ListenerConfig) { d.NewPerS = 1000; d.Beat = 5 * time.Second })
 	var conns []*grpc.ClientConn
 	for range many / 50 {
-		c, err := grpc.NewClient(conn.Target(), grpc.WithTransportCredentials(insecure.NewCredentials()))
+		c, err := grpc.NewClient(conn.Target(), plainText)
 		require.NoError(t, err)
-		defer c.Close()
+		defer func() { assert.NoError(t, c.Close()) }()
 		conns = append(conns, c)
 	}
 	var wg sync.WaitGroup
@@ -231,15 +250,16 @@
 	wg.Wait()
 	assert.Equal(t, many, s.Streams())
 	assert.EqualValues(t, 1000, s.pace.Limit())
-	assert.Equal(t, herd, s.pace.Burst())
+	assert.Equal(t, newStreamBurst, s.pace.Burst())
 	assert.Len(t, in.joins(t, many), many)
 }
 
-// TestCollapse guards the queue of a slow stream: it holds the newest state of each line, and ends beyond its bound.
+// TestCollapse checks that the queue of a slow stream keeps the newest state of each line only, and is limited.
 func TestCollapse(t *testing.T) {
-	st := &stream{wake: make(chan struct{}, 1), end: shutdown.New[*pb.Downward](), most: 10}
+	st := newStream(10)
 	for i := range 1000 {
-		require.NoError(t, st.Send(&wire.Orders{Lines: 2, Ops: []wire.Op{set("x", float64(i)), set("y", 1), {Kind: wire.OpMark, Number: 1}}}))
+		ops := []wire.Op{set("x", float64(i)), set("y", 1), {Kind: wire.OpMark, Number: 1}}
+		require.NoError(t, st.Send(&wire.Orders{Lines: 2, Ops: ops}))
 	}
 	a := st.next().GetAssignment()
 	require.Len(t, a.GetSteps(), 2)
@@ -253,11 +273,15 @@
 	assert.ErrorIs(t, err, ErrSlow)
 }
 
-// FuzzUpward guards what is parsed before anybody is known.
+// FuzzUpward decodes arbitrary messages of proxies.
 func FuzzUpward(f *testing.F) {
-	for _, m := range []*pb.Upward{{Says: &pb.Upward_Hello{Hello: hello("p")}},
-		{Says: &pb.Upward_Report{Report: &pb.Report{Number: 1, Endpoints: []*pb.EndpointLoad{{Endpoint: "x", Tries: 2,
-			Figures: map[string]float64{"util": 1}}}}}}} {
+	for _, m := range []*pb.Upward{
+		{Says: &pb.Upward_Hello{Hello: hello("p")}},
+		{Says: &pb.Upward_Report{Report: &pb.Report{Number: 1, Endpoints: []*pb.EndpointLoad{{
+			Endpoint: "x", Tries: 2,
+			Figures: map[string]float64{"util": 1},
+		}}}}},
+	} {
 		b, err := proto.Marshal(m)
 		require.NoError(f, err)
 		f.Add(b)
@@ -268,12 +292,12 @@
 			return
 		}
 		if h := m.GetHello(); h != nil {
-			if out, err := HelloFrom(h); err == nil {
+			if out, err := helloFrom(h); err == nil {
 				assert.NotEmpty(t, out.Proxy)
 			}
 		}
 		if r := m.GetReport(); r != nil {
-			if out, err := ReportFrom(r); err == nil {
+			if out, err := reportFrom(r); err == nil {
 				assert.False(t, out.SpanMs < 0)
 			}
 		}
--- /dev/null
+++ b/internal/transport/xds/resources.go
@@ -0,0 +1,86 @@
+package xds
+
+import (
+	cluster "github.com/envoyproxy/go-control-plane/envoy/config/cluster/v3"
+	core "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
+	listener "github.com/envoyproxy/go-control-plane/envoy/config/listener/v3"
+	route "github.com/envoyproxy/go-control-plane/envoy/config/route/v3"
+	router "github.com/envoyproxy/go-control-plane/envoy/extensions/filters/http/router/v3"
+	hcm "github.com/envoyproxy/go-control-plane/envoy/extensions/filters/network/http_connection_manager/v3"
+	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/types/known/anypb"
+)
+
+// The resource types that are served.
+const (
+	typeListener = "type.googleapis.com/envoy.config.listener.v3.Listener"
+	typeCluster  = "type.googleapis.com/envoy.config.cluster.v3.Cluster"
+	typeEndpoint = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
+)
+
+var servedTypes = []string{typeListener, typeCluster, typeEndpoint}
+
+// resource returns the resource of a type for a request class.
+func (st *stream) resource(typeURL, class string) proto.Message {
+	switch typeURL {
+	case typeListener:
+		return listenerOf(class)
+	case typeCluster:
+		return clusterOf(class)
+	}
+	return st.routing.assignment(class)
+}
+
+// listenerOf returns the listener of a request class, which routes all requests to the cluster of the same name.
+func listenerOf(class string) *listener.Listener {
+	manager := &hcm.HttpConnectionManager{
+		RouteSpecifier: &hcm.HttpConnectionManager_RouteConfig{RouteConfig: routesOf(class)},
+		HttpFilters: []*hcm.HttpFilter{{
+			Name:       "router",
+			ConfigType: &hcm.HttpFilter_TypedConfig{TypedConfig: anyOf(&router.Router{})},
+		}},
+	}
+	return &listener.Listener{
+		Name:        class,
+		ApiListener: &listener.ApiListener{ApiListener: anyOf(manager)},
+	}
+}
+
+// routesOf returns the route configuration of a request class: one route to its cluster.
+func routesOf(class string) *route.RouteConfiguration {
+	all := &route.RouteMatch{PathSpecifier: &route.RouteMatch_Prefix{Prefix: ""}}
+	toCluster := &route.RouteAction{ClusterSpecifier: &route.RouteAction_Cluster{Cluster: class}}
+	return &route.RouteConfiguration{
+		Name: class,
+		VirtualHosts: []*route.VirtualHost{{
+			Name:    class,
+			Domains: []string{"*"},
+			Routes:  []*route.Route{{Match: all, Action: &route.Route_Route{Route: toCluster}}},
+		}},
+	}
+}
+
+// clusterOf returns the cluster of a request class. It gets its endpoints from the same ADS stream and reports its
+// load to the same server.
+func clusterOf(class string) *cluster.Cluster {
+	return &cluster.Cluster{
+		Name:                 class,
+		ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS},
+		EdsClusterConfig: &cluster.Cluster_EdsClusterConfig{
+			EdsConfig: &core.ConfigSource{
+				ConfigSourceSpecifier: &core.ConfigSource_Ads{Ads: &core.AggregatedConfigSource{}},
+			},
+			ServiceName: class,
+		},
+		LrsServer: &core.ConfigSource{
+			ConfigSourceSpecifier: &core.ConfigSource_Self{Self: &core.SelfConfigSource{}},
+		},
+		LbPolicy: cluster.Cluster_ROUND_ROBIN,
+	}
+}
+
+// anyOf packs a message. It can't fail for the messages built here.
+func anyOf(m proto.Message) *anypb.Any {
+	packed, _ := anypb.New(m)
+	return packed
+}
--- /dev/null
+++ b/telemetry/backpressure_test.go
@@ -0,0 +1,38 @@
+package telemetry
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// TestSlowedAndReleased checks that senders are slowed down at once and released in groups.
+func TestSlowedAndReleased(t *testing.T) {
+	options := testOptions()
+	options.LinesPerS = 400
+	c := newFleet(options, 64, 10, 2)
+	c.rates = func(int, int) float64 { return 5 }
+	c.run(4000, nil)
+	for _, s := range c.senders {
+		assert.Greater(t, s.periodMs, 1000.0)
+	}
+	c.rates = func(_, e int) float64 {
+		if e == 0 {
+			return 5
+		}
+		return 0
+	}
+	released, most := 0, 0
+	for range 60 {
+		c.run(1000, nil)
+		n := 0
+		for _, s := range c.senders {
+			if s.periodMs == 1000 {
+				n++
+			}
+		}
+		most, released = max(most, n-released), n
+	}
+	assert.Equal(t, len(c.senders), released)
+	assert.LessOrEqual(t, most, len(c.senders)/3, "not all in one second")
+}
