--- a/internal/daemon/oldstore_test.go
+++ b/internal/daemon/oldstore_test.go
@@ -62,9 +62,9 @@
 
 	d, err := New(p, Options{})
 	require.NoError(t, err)
-	assert.Contains(t, d.record.Verdict.Reason, "recovered from")
+	assert.Contains(t, d.recording.Verdict.Reason, "recovered from")
 	stop, ended := run(t, d)
-	following(t, "p", func() []string { return []string{d.Address()} })
+	following(t, func() []string { return []string{d.Address()} })
 	require.Eventually(t, func() bool { return d.State().Listed && d.State().Proxies == 1 }, 5*time.Second, time.Millisecond)
 	time.Sleep(500 * time.Millisecond) // past a commit
 	stop()
@@ -84,7 +84,7 @@
 func unpackStore(t *testing.T, dir string) {
 	file, err := os.Open(oldStore)
 	require.NoError(t, err)
-	defer file.Close()
+	defer mustClose(t, file)
 	reader, err := gzip.NewReader(file)
 	require.NoError(t, err)
 	content, err := io.ReadAll(reader)
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -31,9 +31,9 @@
 
 // message is one packet on the socket, as JSON.
 type message struct {
-	Version int
-	Step    string
-	Names   []string `json:",omitempty"` // of the listeners that come along, in their order
+	Version int      `json:"Version"`
+	Step    string   `json:"Step"`
+	Names   []string `json:"Names,omitempty"` // of the listeners that come along, in their order
 }
 
 // send sends a message, with files if there are any.
--- a/internal/record/life.go
+++ b/internal/record/life.go
@@ -10,16 +10,16 @@
 
 // Life describes the record of one incarnation of a controller, from its start to its end.
 type Life struct {
-	Format         int       // version of the stored format, see Format
-	ID             string    // sorts by start
-	Pilot          string    // the controller's name
-	Seed           int64     // of the planner
-	Module         string    // fingerprint of the planner, see Fingerprint
-	Settings       string    // the planner's settings at the start, as JSON
-	LatestSettings string    `json:",omitempty"` // the settings after the last reload, as JSON; "": as at the start
-	Started        time.Time // by the machine's clock, for people
-	After          string    // ID of the life that this one was rebuilt from; "": it began cold
-	TailMs         float64   // how much of that life's end was asked for
+	Format         int       `json:"Format"`        // version of the stored format, see Format
+	ID             string    `json:"ID"`            // sorts by start
+	Pilot          string    `json:"Pilot"`         // the controller's name
+	Seed           int64     `json:"Seed"`          // of the planner
+	Module         string    `json:"Module"`        // fingerprint of the planner, see Fingerprint
+	Settings       string    `json:"Terms"`         // the planner's settings at the start, as JSON
+	LatestSettings string    `json:"Now,omitempty"` // the settings after the last reload, as JSON; "": as at the start
+	Started        time.Time `json:"Started"`       // by the machine's clock, for people
+	After          string    `json:"After"`         // ID of the life that this one was rebuilt from; "": it began cold
+	TailMs         float64   `json:"TailMs"`        // how much of that life's end was asked for
 }
 
 // Lives returns all lives, oldest first.
--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -9,7 +9,6 @@
 
 	"indigousher/internal/controller"
 	"indigousher/internal/wire"
-	"indigousher/planner"
 )
 
 // Result is what a replay commanded.
