--- a/internal/daemon/assemble.go
+++ b/internal/daemon/assemble.go
@@ -46,7 +46,8 @@
 func (d *Daemon) followEndpointList(cfg *config.Pilot) {
 	log := d.options.Log.Named("list")
 	if cfg.ListAddress != "" {
-		d.endpointSource = discovery.NewStream(cfg.Name, cfg.ListAddress, d.options.Dial, lateLoop{d}, cfg.ListSilence, log)
+		d.endpointSource = discovery.NewStream(cfg.Name, cfg.ListAddress, d.options.Dial, lateLoop{d}, cfg.ListSilence,
+			log)
 		return
 	}
 	d.endpointSource = discovery.NewFile(cfg.ListFile, config.ReadList, lateLoop{d}, log)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -63,6 +63,11 @@
 	return cancel, ended
 }
 
+// listedAndJoined returns a condition: the daemon has the endpoint list and one proxy.
+func listedAndJoined(d *Daemon) func() bool {
+	return func() bool { return d.State().Listed && d.State().Proxies == 1 }
+}
+
 func mustClose(t testing.TB, c io.Closer) { assert.NoError(t, c.Close()) }
 
 func get(t *testing.T, d *Daemon, path string) (int, string) {
@@ -109,7 +114,7 @@
 	require.NoError(t, err)
 	stop, ended := run(t, d)
 	book := following(t, func() []string { return []string{d.Address()} })
-	require.Eventually(t, func() bool { return d.State().Listed && d.State().Proxies == 1 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, listedAndJoined(d), 5*time.Second, time.Millisecond)
 	require.Eventually(t, func() bool { return count(book, eventlog.Got) > 0 }, 5*time.Second, time.Millisecond)
 	for path, want := range map[string]string{
 		"/healthz": "ok",
--- a/internal/daemon/handoff.go
+++ b/internal/daemon/handoff.go
@@ -9,8 +9,8 @@
 	"indigousher/internal/handover"
 )
 
-// serveHandoff lets other processes take over, if the configuration names a handover socket. Its goroutine ends when one
-// has, or with ctx.
+// serveHandoff lets other processes take over, if the configuration names a handover socket. Its goroutine ends when
+// one has, or with ctx.
 func (h *Host) serveHandoff(ctx context.Context) {
 	h.replaced = make(chan error, 1)
 	if h.config.Handover == "" {
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// start makes a daemon, on the listeners that the host has, and runs it. Its goroutine ends when the run does, by stop, by
-// the end of ctx or by a fault.
+// start makes a daemon, on the listeners that the host has, and runs it. Its goroutine ends when the run does, by stop,
+// by the end of ctx or by a fault.
 func (h *Host) start(ctx context.Context) error {
 	d, err := New(h.config, h.options)
 	if err != nil {
--- a/internal/daemon/hostile_test.go
+++ b/internal/daemon/hostile_test.go
@@ -137,8 +137,8 @@
 // plausibleHello opens the streams of strangers that get past the hello.
 var plausibleHello = &wire.Hello{Version: 1, Proxy: "bad", Zone: "a", Rate: 3, Holds: []string{"x:1"}}
 
-// hostilePayloads returns what a stranger may send to any port: a stream cut off everywhere, with a byte changed, out of
-// order, too long, and of other protocols.
+// hostilePayloads returns what a stranger may send to any port: a stream cut off everywhere, with a byte changed, out
+// of order, too long, and of other protocols.
 func hostilePayloads(t *testing.T, random *rand.Rand) [][]byte {
 	hello := *plausibleHello
 	hello.Rate = 1e308
--- a/internal/daemon/identity.go
+++ b/internal/daemon/identity.go
@@ -45,8 +45,8 @@
 	}, func() float64 { return time.Until(d.keyStore.Expires()).Seconds() }))
 }
 
-// withTLS returns a dial that speaks TLS to the server of the endpoint list. Endpoints are checked in plain text, as their
-// proxies speak to them.
+// withTLS returns a dial that speaks TLS to the server of the endpoint list. Endpoints are checked in plain text, as
+// their proxies speak to them.
 func (d *Daemon) withTLS(dial dialFunc) dialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
--- a/internal/daemon/listchange_bench_test.go
+++ b/internal/daemon/listchange_bench_test.go
@@ -70,8 +70,8 @@
 	return changed
 }
 
-// BenchmarkListChange measures on sockets, at full size, from a change of the endpoint list to each proxy having applied
-// it: one endpoint of each zone drains and comes back.
+// BenchmarkListChange measures on sockets, at full size, from a change of the endpoint list to each proxy having
+// applied it: one endpoint of each zone drains and comes back.
 func BenchmarkListChange(b *testing.B) {
 	for _, linesPerS := range []float64{12000, 1e9} {
 		b.Run(fmt.Sprintf("lines_per_s=%.0e", linesPerS), func(b *testing.B) { benchmarkListChange(b, linesPerS) })
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -19,8 +19,8 @@
 	adminListenerName  = "admin"
 )
 
-// listenForProxies opens the listener of the framed protocol, and has TLS spoken on it and to the endpoint list if there
-// are keys.
+// listenForProxies opens the listener of the framed protocol, and has TLS spoken on it and to the endpoint list if
+// there are keys.
 func (d *Daemon) listenForProxies(cfg *config.Pilot) (err error) {
 	d.streamListener, err = d.options.listen(streamListenerName, cfg.Listen)
 	if err != nil {
--- a/internal/daemon/oldstore_test.go
+++ b/internal/daemon/oldstore_test.go
@@ -65,7 +65,7 @@
 	assert.Contains(t, d.recording.Verdict.Reason, "recovered from")
 	stop, ended := run(t, d)
 	following(t, func() []string { return []string{d.Address()} })
-	require.Eventually(t, func() bool { return d.State().Listed && d.State().Proxies == 1 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, listedAndJoined(d), 5*time.Second, time.Millisecond)
 	time.Sleep(500 * time.Millisecond) // past a commit
 	stop()
 	require.NoError(t, <-ended)
--- a/internal/daemon/recover.go
+++ b/internal/daemon/recover.go
@@ -10,8 +10,8 @@
 	"indigousher/recovery"
 )
 
-// recover reads the last life and, if its record is good for it, returns a core rebuilt from its end, whose commands were
-// held back. It returns nil for a cold start.
+// recover reads the last life and, if its record is good for it, returns a core rebuilt from its end, whose commands
+// were held back. It returns nil for a cold start.
 func (d *Daemon) recover(r *recording, cfg *config.Pilot) (*controller.Core, error) {
 	limits := recovery.Limits{
 		TailMs: float64(cfg.RecoverTail.Milliseconds()),
@@ -41,7 +41,8 @@
 	return core, nil
 }
 
-// lastLife returns the latest life that left anything, and how many after it left nothing. Without one the life's ID is "".
+// lastLife returns the latest life that left anything, and how many after it left nothing. Without one the life's ID is
+// "".
 func (r *recording) lastLife(lives []record.Life) (last record.Life, failedStarts int) {
 	for i := len(lives) - 1; i >= 0; i-- {
 		if _, chunks := r.store.Size(lives[i].ID); chunks > 0 {
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -10,8 +10,8 @@
 	"indigousher/internal/controller"
 )
 
-// Reload takes over what may change of a new configuration. It returns the names of the fields that have changed, and of
-// those that want a restart and keep their old values.
+// Reload takes over what may change of a new configuration. It returns the names of the fields that have changed, and
+// of those that want a restart and keep their old values.
 func (d *Daemon) Reload(ctx context.Context, cfg *config.Pilot) (changed, restart []string, err error) {
 	changed, restart = config.Reload(d.config.Load(), cfg)
 	if len(changed) == 0 {
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -14,8 +14,8 @@
 // drainPollInterval is how often a shutdown looks whether all streams have ended.
 const drainPollInterval = 20 * time.Millisecond
 
-// Run serves until ctx ends, then asks the proxies to dial another controller and waits for them to go, for the time that
-// the configuration gives. A part that fails ends it with an error. When it returns, so have all goroutines.
+// Run serves until ctx ends, then asks the proxies to dial another controller and waits for them to go, for the time
+// that the configuration gives. A part that fails ends it with an error. When it returns, so have all goroutines.
 func (d *Daemon) Run(ctx context.Context) error {
 	defer d.close()
 	group, running := errgroup.WithContext(d.running)
@@ -101,7 +101,7 @@
 	return err
 }
 
-// Kill ends the controller as the end of its process would: all sockets close at once and nobody is told.
+// Kill ends the controller as the end of its process would: all sockets close at once and nobody is notified.
 func (d *Daemon) Kill() {
 	d.killed.Store(true)
 	_ = d.streamListener.Close() // which its server takes for the end
--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -9,8 +9,8 @@
 	"indigousher/internal/transport/xds"
 )
 
-// linesPerQueueSlot converts the framed protocol's queue of messages into gRPC's queue of lines: so many lines are what a
-// message holds, about.
+// linesPerQueueSlot converts the framed protocol's queue of messages into gRPC's queue of lines: so many lines are what
+// a message holds, about.
 const linesPerQueueSlot = 100
 
 // openFramed makes the server of the framed protocol.
--- a/internal/daemon/torn_test.go
+++ b/internal/daemon/torn_test.go
@@ -29,8 +29,8 @@
 	return p
 }
 
-// TestTornRecord guards a pilot's start against a record whose file was cut off, overwritten or filled with anything: it
-// starts cold, says so, goes on recording, and leaves the old file for whoever wants to look.
+// TestTornRecord guards a pilot's start against a record whose file was cut off, overwritten or filled with anything:
+// it starts cold, says so, goes on recording, and leaves the old file for whoever wants to look.
 func TestTornRecord(t *testing.T) {
 	p := recordedLife(t)
 	path := filepath.Join(p.RecordDir, "records.db")
@@ -71,15 +71,15 @@
 			}
 			stop, ended := run(t, d)
 			following(t, func() []string { return []string{d.Address()} })
-			assert.Eventually(t, func() bool { return d.State().Listed && d.State().Proxies == 1 }, 5*time.Second, time.Millisecond)
+			assert.Eventually(t, listedAndJoined(d), 5*time.Second, time.Millisecond)
 			stop()
 			assert.NoError(t, <-ended)
 		})
 	}
 }
 
-// TestReturnAfterReload guards a return after terms were reloaded: the record is of the terms that were in force last, not
-// of those at the life's start.
+// TestReturnAfterReload guards a return after terms were reloaded: the record is of the terms that were in force last,
+// not of those at the life's start.
 func TestReturnAfterReload(t *testing.T) {
 	p := pilotTerms(t, "x:1", "y:1")
 	p.RecordDir = t.TempDir()
--- a/internal/daemon/transports_bench_test.go
+++ b/internal/daemon/transports_bench_test.go
@@ -29,8 +29,8 @@
 )
 
 // BenchmarkTransports measures the transports beside each other: from a change of the endpoint list to the last proxy
-// having it, and what a line costs on both sides together. Proxies and controller share one process. One operation is one
-// change.
+// having it, and what a line costs on both sides together. Proxies and controller share one process. One operation is
+// one change.
 func BenchmarkTransports(b *testing.B) {
 	authority, err := identity.NewAuthority("bench", time.Hour)
 	require.NoError(b, err)
--- a/internal/handover/handoff.go
+++ b/internal/handover/handoff.go
@@ -28,8 +28,8 @@
 // Handoff is the side that hands off: the process that runs the controller.
 type Handoff struct {
 	Files map[string]*os.File // listeners by name
-	// Stop ends the controller, its streams and its record, releases the lock, and returns when nothing of it writes any
-	// more.
+	// Stop ends the controller, its streams and its record, releases the lock, and returns when nothing of it writes
+	// any more.
 	Stop func()
 	// Resume starts the controller again, on the same listeners, with the lock got anew.
 	Resume func(*Lock)
@@ -39,8 +39,8 @@
 	socket string
 }
 
-// Serve answers those who want to take over, one at a time, until one has or ctx ends. It returns whether one has. When it
-// returns, so have all goroutines that it started.
+// Serve answers those who want to take over, one at a time, until one has or ctx ends. It returns whether one has. When
+// it returns, so have all goroutines that it started.
 func (o *Handoff) Serve(ctx context.Context, socket string) (bool, error) {
 	o.socket = socket
 	listener, err := listenOn(socket)
@@ -71,8 +71,8 @@
 	taken    atomic.Bool   // another process has taken over
 }
 
-// serve accepts until one has taken over, ctx ends or the listener fails. Each of these cancels the inner context, which
-// closes the listener and ends the waits of all connections; serve returns when the last of their goroutines has.
+// serve accepts until one has taken over, ctx ends or the listener fails. Each of these cancels the inner context,
+// which closes the listener and ends the waits of all connections; serve returns when the last of their goroutines has.
 func (s *handoffServer) serve(ctx context.Context) (bool, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -119,7 +119,7 @@
 		return // it means something else, or nothing
 	}
 	if !s.busy.CompareAndSwap(false, true) {
-		_ = send(conn, message{Step: stepBusy}, nil) // one that can't be told sees the connection end
+		_ = send(conn, message{Step: stepBusy}, nil) // if this fails the other process sees the connection end
 		return
 	}
 	defer s.busy.Store(false)
--- a/internal/handover/lock.go
+++ b/internal/handover/lock.go
@@ -14,8 +14,8 @@
 // dies.
 type Lock struct{ file *os.File }
 
-// AcquireLock takes the lock that belongs to a handover socket. It never waits: if another process holds it, the error is
-// ErrHeld.
+// AcquireLock takes the lock that belongs to a handover socket. It never waits: if another process holds it, the error
+// is ErrLocked.
 func AcquireLock(socket string) (*Lock, error) {
 	file, err := os.OpenFile(socket+lockSuffix, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
--- a/internal/handover/message_hostile_test.go
+++ b/internal/handover/message_hostile_test.go
@@ -14,13 +14,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestBadAsker guards the handover socket against those who ask and mean harm, or nothing: each is let go of, none holds
-// up one that really takes over, and nothing of them stays.
-func TestBadAsker(t *testing.T) {
+// TestBadRequester guards the handover socket against those who ask and mean harm, or nothing: each is let go of, none
+// holds up one that really takes over, and nothing of them stays.
+func TestBadRequester(t *testing.T) {
 	socket := filepath.Join(t.TempDir(), "handover.sock")
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	handoff := Handoff{Stop: func() { t.Error("stopped for a bad asker") }, Resume: func(*Lock) {}}
+	handoff := Handoff{Stop: func() { t.Error("stopped for a bad requester") }, Resume: func(*Lock) {}}
 	go func() { _, err := handoff.Serve(ctx, socket); ended <- err }()
 	defer func() { cancel(); assert.NoError(t, <-ended) }()
 	mustClose(t, dialSocket(t, socket))
--- a/internal/handover/message_test.go
+++ b/internal/handover/message_test.go
@@ -11,8 +11,10 @@
 // TestMessageJSON guards the form of a handover's messages: the process that is replaced may be of an earlier version.
 func TestMessageJSON(t *testing.T) {
 	for want, m := range map[string]message{
-		`{"Version":1,"Step":"offer","Names":["proxies","admin"]}`: {Version: 1, Step: "offer", Names: []string{"proxies", "admin"}},
-		`{"Version":1,"Step":"take"}`:                              {Version: 1, Step: "take"},
+		`{"Version":1,"Step":"offer","Names":["proxies","admin"]}`: {
+			Version: 1, Step: "offer", Names: []string{"proxies", "admin"},
+		},
+		`{"Version":1,"Step":"take"}`: {Version: 1, Step: "take"},
 	} {
 		got, err := json.Marshal(m)
 		require.NoError(t, err)
--- a/internal/handover/takeover.go
+++ b/internal/handover/takeover.go
@@ -9,8 +9,8 @@
 	"indigousher/recovery"
 )
 
-// Takeover is the side that takes over: a new process that has been offered the listeners. Claim comes first, then Started
-// or Drop.
+// Takeover is the side that takes over: a new process that has been offered the listeners. Claim comes first, then
+// Started or Abort.
 type Takeover struct {
 	Listeners map[string]net.Listener // by name; the caller's to close after Claim
 
@@ -19,8 +19,8 @@
 	machine *recovery.Successor
 }
 
-// RequestTakeover asks the process that runs for its listeners. The error is ErrBusy if it is handing over to another one, and
-// os.ErrNotExist if there is no handover socket.
+// RequestTakeover asks the process that runs for its listeners. The error is ErrBusy if it is handing over to another
+// one, and os.ErrNotExist if there is no handover socket.
 func RequestTakeover(socket string) (*Takeover, error) {
 	conn, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: socket, Net: "unixpacket"})
 	if err != nil {
@@ -100,8 +100,8 @@
 	return expect(t.conn, stepGo, StepTimeout)
 }
 
-// Started reports whether the controller runs; if so the old process is told, and ends. That it can't be told changes
-// nothing: who holds the lock serves.
+// Started reports whether the controller runs; if so the old process is notified, and ends. That it may not hear
+// changes nothing: who holds the lock serves.
 func (t *Takeover) Started(runs bool) {
 	event := recovery.Started
 	if !runs {
--- a/internal/record/chunk.go
+++ b/internal/record/chunk.go
@@ -30,7 +30,7 @@
 	return chunk
 }
 
-// decodeChunk returns a chunk's turns; all errors are ErrTorn.
+// decodeChunk returns a chunk's turns; all errors are ErrCorrupt.
 func (s *Store) decodeChunk(chunk []byte) ([]Turn, error) {
 	if len(chunk) < chunkHeaderBytes || !checksumMatches(chunk) {
 		return nil, fmt.Errorf("checksum: %w", ErrCorrupt)
--- a/internal/record/codec.go
+++ b/internal/record/codec.go
@@ -16,7 +16,8 @@
 	return e.buf, nil
 }
 
-// DecodeTurns decodes turns that Append put one behind another. With an error, which is ErrTorn, it returns those before it.
+// DecodeTurns decodes turns that Append put one behind another. With an error, which is ErrCorrupt, it returns those
+// before it.
 func DecodeTurns(b []byte) ([]Turn, error) {
 	d := decoder{buf: b}
 	var turns []Turn
--- a/internal/record/database.go
+++ b/internal/record/database.go
@@ -19,8 +19,8 @@
 // tornSuffix ends the name of a damaged file that was set aside.
 const tornSuffix = ".torn"
 
-// OpenFile opens or makes a store's file. A damaged one gives ErrTorn; one that can't be had, for want of permission,
-// space or its lock, another error.
+// OpenFile opens or makes a store's file. A damaged one gives ErrCorrupt; one that can't be had, for want of
+// permission, space or its lock, another error.
 func OpenFile(path string, readOnly bool) (*bbolt.DB, error) {
 	db, err := openDatabase(path, readOnly)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return db, nil
 }
 
-// openDatabase opens the file and gives ErrTorn for each error that neither the system nor the lock explains.
+// openDatabase opens the file and gives ErrCorrupt for each error that neither the system nor the lock explains.
 func openDatabase(path string, readOnly bool) (db *bbolt.DB, err error) {
 	err = panicsAsErrors(func() (err error) {
 		options := bbolt.Options{Timeout: lockTimeout, ReadOnly: readOnly, FreelistType: bbolt.FreelistMapType}
@@ -46,7 +46,7 @@
 	return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 }
 
-// checkPages returns ErrTorn if the file lacks pages that it speaks of, and panics or faults on a page that makes no
+// checkPages returns ErrCorrupt if the file lacks pages that it speaks of, and panics or faults on a page that makes no
 // sense.
 func checkPages(tx *bbolt.Tx) error {
 	info, err := os.Stat(tx.DB().Path())
@@ -69,7 +69,7 @@
 	})
 }
 
-// panicsAsErrors calls f and returns a panic as ErrTorn. The database panics on pages that make no sense, and a page
+// panicsAsErrors calls f and returns a panic as ErrCorrupt. The database panics on pages that make no sense, and a page
 // that the file no longer has faults; neither must end a controller.
 func panicsAsErrors(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
@@ -81,7 +81,8 @@
 	return f()
 }
 
-// Quarantine moves a damaged file out of the way, in place of one that was moved there before, and returns its new path.
+// Quarantine moves a damaged file out of the way, in place of one that was moved there before, and returns its new
+// path.
 func Quarantine(dir string) (string, error) {
 	from := filepath.Join(dir, fileName)
 	to := from + tornSuffix
--- a/internal/record/decode.go
+++ b/internal/record/decode.go
@@ -71,8 +71,8 @@
 	return s
 }
 
-// number reads what encoder.number wrote: an even varint is the double of a whole number, an odd one announces the eight
-// bytes of a fraction.
+// number reads what encoder.number wrote: an even varint is the double of a whole number, an odd one announces the
+// eight bytes of a fraction.
 func (d *decoder) number() float64 {
 	v := d.int()
 	if v&1 == 0 {
--- a/internal/record/digest_test.go
+++ b/internal/record/digest_test.go
@@ -39,12 +39,16 @@
 		assert.Equal(t, c.want, fmt.Sprintf("%016x", Digest([]planner.Command{c.order})), "%v", c.order)
 	}
 	assert.Equal(t, "0000000000000000", fmt.Sprintf("%016x", Digest(nil)))
-	all := []planner.Command{planner.SetWeight{Table: 1, Endpoint: 2, Weight: 0.5}, planner.AssignTable{Table: 1, Proxy: 2}, planner.AckRequest{Number: 1}}
+	all := []planner.Command{
+		planner.SetWeight{Table: 1, Endpoint: 2, Weight: 0.5},
+		planner.AssignTable{Table: 1, Proxy: 2},
+		planner.AckRequest{Number: 1},
+	}
 	assert.Equal(t, "1ed775898c4325d5", fmt.Sprintf("%016x", Digest(all)))
 }
 
-// TestFingerprintStays guards the value by which a pilot knows the record of one that decides as it does. Commit 7c7c6c6
-// wrote it into its lives; a change of what the planner decides changes it, a change of names must not.
+// TestFingerprintStays guards the value by which a pilot knows the record of one that decides as it does. Commit
+// 7c7c6c6 wrote it into its lives; a change of what the planner decides changes it, a change of names must not.
 func TestFingerprintStays(t *testing.T) {
 	module := func(seed int64, terms map[string]any) controller.Decider { return planner.New(seed, terms) }
 	assert.Equal(t, "701c66171943c29a", Fingerprint(module))
--- a/internal/record/doc.go
+++ b/internal/record/doc.go
@@ -1,6 +1,6 @@
 // Package record keeps the inputs of a controller, turn by turn, so that its state can be rebuilt after a crash and its
-// run can be replayed afterwards: each turn's time and inputs, and a digest of the commands that came of them. Turns are
-// encoded here and kept in an embedded database. It decides nothing about routing; docs/records.md has the layout.
+// run can be replayed afterwards: each turn's time and inputs, and a digest of the commands that came of them. Turns
+// are encoded here and kept in an embedded database. It decides nothing about routing; docs/records.md has the layout.
 //
 //	turn.go, kinds.go          what a record holds
 //	codec.go, input_codec.go   its bytes; primitives in encode.go and decode.go
--- a/internal/record/estimate.go
+++ b/internal/record/estimate.go
@@ -18,8 +18,8 @@
 
 // Estimate is what a replay's tables would have met, as far as the recorded day can tell: each endpoint's attempts fail
 // and take as they did then, weighted by the share that the tables give it. Recorded and RecordedMs are what was met in
-// truth, so that an estimate for the recorded settings shows how far it can be trusted. What more or less load would have
-// changed it can't tell.
+// truth, so that an estimate for the recorded settings shows how far it can be trusted. What more or less load would
+// have changed it can't tell.
 type Estimate struct {
 	Tries      float64 // attempts
 	Recorded   float64 // part of the attempts that failed, then
@@ -109,8 +109,8 @@
 	e.recordedSuccesses += succeeded
 }
 
-// estimateZone spreads a zone's attempts by the shares of the replay's tables. Shares of endpoints of which too little is
-// known go to the others in proportion.
+// estimateZone spreads a zone's attempts by the shares of the replay's tables. Shares of endpoints of which too little
+// is known go to the others in proportion.
 func (e *estimator) estimateZone(shares, attempts map[int]float64) {
 	total := 0.0
 	for _, endpoint := range slices.Sorted(maps.Keys(attempts)) {
--- a/internal/record/fingerprint.go
+++ b/internal/record/fingerprint.go
@@ -7,8 +7,8 @@
 	"indigousher/planner"
 )
 
-// The run that a planner's fingerprint is taken of. Stored lives hold fingerprints: a change of anything here, or of what
-// the planner does in this run, makes each of them one of another module, and the next start a cold one.
+// The run that a planner's fingerprint is taken of. Stored lives hold fingerprints: a change of anything here, or of
+// what the planner does in this run, makes each of them one of another planner, and the next start a cold one.
 const (
 	fingerprintSeed      = 7
 	fingerprintSteps     = 240 // of fingerprintStepMs: one minute
@@ -46,8 +46,8 @@
 	}
 }
 
-// fingerprintEvents returns what a step brings: all endpoints and proxies at first, then a control round and a load report
-// each second, and a change of the endpoint list halfway.
+// fingerprintEvents returns what a step brings: all endpoints and proxies at first, then a control round and a load
+// report each second, and a change of the endpoint list halfway.
 func fingerprintEvents(step int, nowMs float64) []planner.Event {
 	switch {
 	case step == 0:
--- a/internal/record/life_test.go
+++ b/internal/record/life_test.go
@@ -12,11 +12,23 @@
 // TestLifeJSON guards the form in which lives are stored: an earlier version wrote it, a later one reads it.
 func TestLifeJSON(t *testing.T) {
 	started := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
+	whole := Life{
+		Format:         2,
+		ID:             "i",
+		Pilot:          "p",
+		Seed:           7,
+		Module:         "m",
+		Settings:       "t",
+		LatestSettings: "n",
+		Started:        started,
+		After:          "a",
+		TailMs:         1.5,
+	}
 	for want, life := range map[string]Life{
-		`{"Format":2,"ID":"i","Pilot":"p","Seed":7,"Module":"m","Terms":"t","Now":"n","Started":"2026-03-01T12:00:00Z","After":"a","TailMs":1.5}`: {
-			Format: 2, ID: "i", Pilot: "p", Seed: 7, Module: "m", Settings: "t", LatestSettings: "n", Started: started, After: "a", TailMs: 1.5,
-		},
-		`{"Format":0,"ID":"","Pilot":"","Seed":0,"Module":"","Terms":"","Started":"2026-03-01T12:00:00Z","After":"","TailMs":0}`: {Started: started},
+		`{"Format":2,"ID":"i","Pilot":"p","Seed":7,"Module":"m","Terms":"t","Now":"n",` +
+			`"Started":"2026-03-01T12:00:00Z","After":"a","TailMs":1.5}`: whole,
+		`{"Format":0,"ID":"","Pilot":"","Seed":0,"Module":"","Terms":"",` +
+			`"Started":"2026-03-01T12:00:00Z","After":"","TailMs":0}`: {Started: started},
 	} {
 		got, err := json.Marshal(life)
 		require.NoError(t, err)
--- a/internal/record/main_test.go
+++ b/internal/record/main_test.go
@@ -34,14 +34,24 @@
 	{Kind: KindGossip, From: 2, Text: "hi"},
 	{Kind: KindSettingsChanged, Text: `{"backlog":5}`},
 	{Kind: KindCheckpoint},
-	{Kind: KindHealthChecked, Text: "x", HealthCheck: planner.HealthCheckResult{Outcome: "ok", TookMs: 1.25, Load: planner.Load{"util": 0.5}}},
+	{
+		Kind:        KindHealthChecked,
+		Text:        "x",
+		HealthCheck: planner.HealthCheckResult{Outcome: "ok", TookMs: 1.25, Load: planner.Load{"util": 0.5}},
+	},
 	{Kind: KindEndpointStats, Event: planner.EndpointStats{
 		Endpoint: 1, Zone: 2, Attempts: 30, Failed: 4, MeanMs: 12.5, SpanMs: 1000,
 		Load: planner.Load{"util": 0.25, "rate": 7},
 	}},
-	{Kind: KindSliceAssigned, Message: &wire.Slices{Slice: 3, Given: true, Lines: []wire.HeldLine{{Endpoint: "x", Weight: 1}}}},
+	{
+		Kind:    KindSliceAssigned,
+		Message: &wire.Slices{Slice: 3, Given: true, Lines: []wire.HeldLine{{Endpoint: "x", Weight: 1}}},
+	},
 	{Kind: KindSliceStats, Event: planner.SliceStats{Slice: 3, Class: 1, Requests: 4, Unanswered: 1, SpanMs: 1000}},
-	{Kind: KindRequestStats, Event: planner.RequestStats{Proxy: 4, Class: 1, Requests: 12, Unanswered: 1, SpanMs: 999.5}},
+	{
+		Kind:  KindRequestStats,
+		Event: planner.RequestStats{Proxy: 4, Class: 1, Requests: 12, Unanswered: 1, SpanMs: 999.5},
+	},
 }
 
 func sampleTurn(at float64) *Turn {
--- a/internal/record/prune.go
+++ b/internal/record/prune.go
@@ -15,8 +15,8 @@
 	at    time.Time // of its last chunk
 }
 
-// Prune drops the oldest segments until the rest keeps the bounds, and lives of which nothing is left. The last segment,
-// which may be being written, stays. It returns how many were dropped.
+// Prune drops the oldest segments until the rest keeps the bounds, and lives of which nothing is left. The last
+// segment, which may be being written, stays. It returns how many were dropped.
 func (s *Store) Prune(b Limits, now time.Time) (dropped int, err error) {
 	err = s.update(func(tx *bbolt.Tx) error {
 		segments, err := listSegments(tx)
--- a/internal/record/recorder.go
+++ b/internal/record/recorder.go
@@ -9,8 +9,8 @@
 	"indigousher/planner"
 )
 
-// CheckpointIntervalMs is how far checkpoints are apart, in ms of the controller's clock: a recovery replays up to so much
-// more than its tail.
+// CheckpointIntervalMs is how far checkpoints are apart, in ms of the controller's clock: a recovery replays up to so
+// much more than its tail.
 const CheckpointIntervalMs = 15_000.0
 
 // Recorder turns a core's turns into records. Turn is called by the control loop and only keeps what it is given; all
@@ -76,7 +76,8 @@
 	return to
 }
 
-// appendStats appends the events that telemetry made of load reports. They stand for the reports, which are not recorded.
+// appendStats appends the events that telemetry made of load reports. They stand for the reports, which are not
+// recorded.
 func appendStats(to []Input, events []planner.Event) []Input {
 	for _, event := range events {
 		switch event := event.(type) {
--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -50,7 +50,7 @@
 
 // Replay feeds a life to a core in virtual time. Without settings, nil, its own are used and commands are held against
 // the record. With others they can only be looked at, as the endpoints' answers are those of the recorded day. If the
-// life's record is damaged, the result covers what can be read and comes with ErrTorn.
+// life's record is damaged, the result covers what can be read and comes with ErrCorrupt.
 func Replay(s *Store, l Life, settings map[string]any, newDecider NewDecider) (*Result, error) {
 	isOwn := settings == nil
 	if isOwn {
--- a/internal/record/replayer.go
+++ b/internal/record/replayer.go
@@ -15,7 +15,7 @@
 // replayer feeds recorded turns to a core, whose transports are held back.
 type replayer struct {
 	core    *controller.Core
-	onSend  func(proxy string, commands *wire.Orders) // told what goes to a proxy; nil: nobody is
+	onSend  func(proxy string, commands *wire.Orders) // gets what goes to a proxy; may be nil
 	streams map[uint64]*replayStream                  // that are open, by their numbers in the record
 }
 
@@ -23,7 +23,7 @@
 	return &replayer{core: core, onSend: onSend, streams: map[uint64]*replayStream{}}
 }
 
-// replay feeds one turn. A turn that makes no sense gives ErrTorn and changes nothing of the core.
+// replay feeds one turn. A turn that makes no sense gives ErrCorrupt and changes nothing of the core.
 func (r *replayer) replay(t *Turn) error {
 	inputs, err := r.inputs(t)
 	if err != nil {
@@ -61,7 +61,8 @@
 	return inputs, nil
 }
 
-// convert returns an input as the core takes it. One that has no effect, such as of a stream that nobody opened, gives nil.
+// convert returns an input as the core takes it. One that has no effect, such as of a stream that nobody opened, gives
+// nil.
 func (r *replayer) convert(in *Input) (controller.Input, error) {
 	switch in.Kind {
 	case KindProxyJoined:
@@ -125,7 +126,11 @@
 }
 
 func healthChecked(in *Input) controller.Input {
-	result := controller.HealthChecked{Endpoint: in.Text, Outcome: in.HealthCheck.Outcome, TookMs: in.HealthCheck.TookMs}
+	result := controller.HealthChecked{
+		Endpoint: in.Text,
+		Outcome:  in.HealthCheck.Outcome,
+		TookMs:   in.HealthCheck.TookMs,
+	}
 	for name, value := range in.HealthCheck.Load {
 		result.Load = append(result.Load, wire.Figure{Name: name, Value: value})
 	}
--- a/internal/record/restore_test.go
+++ b/internal/record/restore_test.go
@@ -17,8 +17,9 @@
 func TestHostileTurns(t *testing.T) {
 	inf := math.Inf(1)
 	nan := math.NaN()
-	met := func(m planner.EndpointStats) Turn { return Turn{Inputs: []Input{{Kind: KindEndpointStats, Event: m}}} }
+	met := func(m planner.EndpointStats) Turn { return turnOf(Input{Kind: KindEndpointStats, Event: m}) }
 	infinite := planner.Load{"util": inf}
+	checked := planner.HealthCheckResult{Load: infinite}
 	for name, c := range map[string]struct {
 		turn Turn
 		torn bool
@@ -29,13 +30,13 @@
 		"zone below":          {met(planner.EndpointStats{Zone: -5, Attempts: 1, SpanMs: 1}), false},
 		"load infinite":       {met(planner.EndpointStats{Attempts: 1, SpanMs: 1, Load: infinite}), false},
 		"mean not a number":   {met(planner.EndpointStats{Attempts: 1, SpanMs: 1, MeanMs: nan}), false},
-		"kind beyond":         {Turn{Inputs: []Input{{Kind: KindRequestStats, Event: planner.RequestStats{Class: 1 << 40}}}}, false},
-		"slice's kind beyond": {Turn{Inputs: []Input{{Kind: KindSliceStats, Event: planner.SliceStats{Class: -1}}}}, false},
-		"probe's load":        {Turn{Inputs: []Input{{Kind: KindHealthChecked, Text: "x", HealthCheck: planner.HealthCheckResult{Load: infinite}}}}, false},
+		"kind beyond":         {turnOf(Input{Kind: KindRequestStats, Event: planner.RequestStats{Class: 1 << 40}}), false},
+		"slice's kind beyond": {turnOf(Input{Kind: KindSliceStats, Event: planner.SliceStats{Class: -1}}), false},
+		"probe's load":        {turnOf(Input{Kind: KindHealthChecked, Text: "x", HealthCheck: checked}), false},
 		"no time":             {Turn{AtMs: nan}, true},
 		"before all time":     {Turn{AtMs: -inf}, true},
 		"beyond all time":     {Turn{AtMs: 1e300}, true},
-		"terms that are none": {Turn{Inputs: []Input{{Kind: KindSettingsChanged, Text: "[1]"}}}, true},
+		"terms that are none": {turnOf(Input{Kind: KindSettingsChanged, Text: "[1]"}), true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			malformed := 0
@@ -68,6 +69,8 @@
 	Message: &wire.List{Whole: true, Entries: []wire.Entry{{Endpoint: "x", Zone: "a", Weight: 1}}},
 }}}
 
+func turnOf(in Input) Turn { return Turn{Inputs: []Input{in}} }
+
 // restoreOptions returns the options of a core that is to be restored, with the planner that ships.
 func restoreOptions(t *testing.T) controller.Options {
 	settings := map[string]any{
--- a/internal/record/segments.go
+++ b/internal/record/segments.go
@@ -31,8 +31,8 @@
 	return nil
 }
 
-// Read calls f with each chunk's turns of a life, in order. A damaged chunk ends it with ErrTorn; gap tells that turns
-// are missing before what follows, and comes without turns.
+// Read calls f with each chunk's turns of a life, in order. A damaged chunk ends it with ErrCorrupt; gap tells that
+// turns are missing before what follows, and comes without turns.
 func (s *Store) Read(life string, f func(turns []Turn, gap bool) error) error {
 	return s.view(func(tx *bbolt.Tx) error {
 		return forEachSegment(tx, life, func(segment *bbolt.Bucket) error {
--- a/internal/record/store.go
+++ b/internal/record/store.go
@@ -29,8 +29,8 @@
 	decompressor *zstd.Decoder
 }
 
-// Open opens the store in a folder, or makes it there. It fails if another process has it open, and with ErrTorn if its
-// file is damaged.
+// Open opens the store in a folder, or makes it there. It fails if another process has it open, and with ErrCorrupt if
+// its file is damaged.
 func Open(dir string, readOnly bool) (*Store, error) {
 	path := filepath.Join(dir, fileName)
 	db, err := OpenFile(path, readOnly)
@@ -73,12 +73,12 @@
 	return errors.Join(s.compressor.Close(), s.db.Close())
 }
 
-// view runs a transaction that only reads; damage that shows gives ErrTorn.
+// view runs a transaction that only reads; damage that shows gives ErrCorrupt.
 func (s *Store) view(f func(*bbolt.Tx) error) error {
 	return panicsAsErrors(func() error { return s.db.View(f) })
 }
 
-// update runs a transaction that may write; damage that shows gives ErrTorn.
+// update runs a transaction that may write; damage that shows gives ErrCorrupt.
 func (s *Store) update(f func(*bbolt.Tx) error) error {
 	return panicsAsErrors(func() error { return s.db.Update(f) })
 }
--- a/internal/record/tail.go
+++ b/internal/record/tail.go
@@ -8,8 +8,9 @@
 	"indigousher/internal/controller"
 )
 
-// ReplayStart returns the index of the turn from which a tail is to be replayed: the last start, a checkpoint or the life's
-// first turn, that lies at least tailMs before the end; else the earliest start. Without any it returns len(turns).
+// ReplayStart returns the index of the turn from which a tail is to be replayed: the last start, a checkpoint or the
+// life's first turn, that lies at least tailMs before the end; else the earliest start. Without any it returns
+// len(turns).
 func ReplayStart(turns []Turn, tailMs float64) int {
 	if len(turns) == 0 {
 		return 0
@@ -34,8 +35,8 @@
 	return isFirst || turns[i].IsCheckpoint()
 }
 
-// ReadTail reads the turns from which a life can be gone on from. Torn tells that what follows them can't be read. No more
-// than the tail and a chunk is held at a time: a life may be a week long.
+// ReadTail reads the turns from which a life can be gone on from. Torn tells that what follows them can't be read. No
+// more than the tail and a chunk is held at a time: a life may be a week long.
 func ReadTail(s *Store, life string, tailMs float64) (turns []Turn, torn bool, err error) {
 	err = s.Read(life, func(chunk []Turn, gap bool) error {
 		if gap {
--- a/internal/record/tail_test.go
+++ b/internal/record/tail_test.go
@@ -38,7 +38,8 @@
 	}
 }
 
-// TestTail guards the memory of a recovery: of a long life no more is held than what is gone on from, and that is the same.
+// TestTail guards the memory of a recovery: of a long life no more is held than what is gone on from, and that is the
+// same.
 func TestTail(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	defer closeStore(t, s)
--- a/recovery/decision.go
+++ b/recovery/decision.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// maxFailedStarts is how many lives in a row may end before their first turn until one begins cold: the record itself may
-// be what ends them.
+// maxFailedStarts is how many lives in a row may end before their first turn until one begins cold: the record itself
+// may be what ends them.
 const maxFailedStarts = 3
 
 // Facts are what is known of the record at a start.
--- a/recovery/decision_test.go
+++ b/recovery/decision_test.go
@@ -29,7 +29,15 @@
 		{"five times", func(f *Facts) { f.FailedStarts = 5 }, 0, 0, "5 starts in a row"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := Facts{Lives: 2, SameFormat: true, SameModule: true, SameSettings: true, Turns: 900, GapMs: 4000, SpanMs: 500000}
+			f := Facts{
+				Lives:        2,
+				SameFormat:   true,
+				SameModule:   true,
+				SameSettings: true,
+				Turns:        900,
+				GapMs:        4000,
+				SpanMs:       500000,
+			}
 			c.change(&f)
 			v := Decide(f, bounds)
 			assert.Equal(t, c.replay, v.ReplayMs)
--- a/recovery/explore_test.go
+++ b/recovery/explore_test.go
@@ -13,9 +13,9 @@
 )
 
 // The explorer takes two processes of one controller, three proxies, one change of the endpoint list or one gossip
-// between controllers, one crash and one lost connection through every order in which their steps can fall, up to states
-// that were met before. The state machines, the controller, the record's turns and the proxies' tables are those that
-// ship; only sockets, disk and lock are the explorer's.
+// between controllers, one crash and one lost connection through every order in which their steps can fall, up to
+// states that were met before. The state machines, the controller, the record's turns and the proxies' tables are those
+// that ship; only sockets, disk and lock are the explorer's.
 
 // rebuild repeats steps from the start.
 func rebuild(planted faults, path []string) *world {
@@ -66,8 +66,8 @@
 	return all
 }
 
-// explore visits every state that can be reached, breadth first, up to about maxStates, and returns how many there were,
-// and the shortest path to a state with a violation.
+// explore visits every state that can be reached, breadth first, up to about maxStates, and returns how many there
+// were, and the shortest path to a state with a violation.
 func explore(planted faults, maxStates int) (states int, path []string, violation string) {
 	seen := map[string]bool{}
 	level := [][]string{nil}
@@ -102,7 +102,12 @@
 	}{
 		{"as it ships, with a drain", faults{}, 12_000, ""},
 		{"as it ships, with a note", faults{withGossip: true}, 100_000, ""},
-		{"the old one goes on without the claim", faults{resumesUnlocked: true}, 100_000, "two processes run the pilot"},
+		{
+			"the old one goes on without the claim",
+			faults{resumesUnlocked: true},
+			100_000,
+			"two processes run the pilot",
+		},
 		{"the new one begins without the claim", faults{startsUnlocked: true}, 100_000, "two processes run the pilot"},
 		{
 			"what is replayed goes out again",
--- a/recovery/handover.go
+++ b/recovery/handover.go
@@ -1,15 +1,16 @@
 package recovery
 
 // A controller passes from one process, the predecessor, to another, the successor, by messages that can be lost at any
-// point. Who serves therefore does not follow from the messages but from a lock that only one process can hold, and that
-// falls free when its holder dies.
+// point. Who serves therefore does not follow from the messages but from a lock that only one process can hold, and
+// that falls free when its holder dies.
 //
-// Invariant: a process runs the controller only while it holds the lock, so at most one does. Either side that loses the
-// other tries the lock: if it gets it, the other does not serve; if not, the other does. A predecessor releases the lock
-// only after its controller has stopped and its record is closed; a successor starts its controller only with the lock.
+// Invariant: a process runs the controller only while it holds the lock, so at most one does. Either side that loses
+// the other tries the lock: if it gets it, the other does not serve; if not, the other does. A predecessor releases the
+// lock only after its controller has stopped and its record is closed; a successor starts its controller only with the
+// lock.
 //
-// The two state machines, Old and New, say what each side does next. Whoever drives them does it and reports what came of
-// it as the next event:
+// The two state machines, Predecessor and Successor, say what each side does next. Whoever drives them does it and
+// reports what came of it as the next event:
 //
 //	predecessor                                successor
 //	serving     -- Asked ----> SayOffer        requesting -- Offered -------> SayReady
--- a/recovery/predecessor.go
+++ b/recovery/predecessor.go
@@ -56,7 +56,8 @@
 	return SayGo
 }
 
-// whenReleased tries the lock unless the successor says that it serves: whether it does or has died, only the lock tells.
+// whenReleased tries the lock unless the successor says that it serves: whether it does or has died, only the lock
+// tells.
 func (o *Predecessor) whenReleased(e Event) Action {
 	if e == ServingCame {
 		o.state = stateEnded
