--- a/internal/record/estimate.go
+++ b/internal/record/estimate.go
@@ -21,7 +21,7 @@
 // truth, so that an estimate for the recorded settings shows how far it can be trusted. What more or less load would
 // have changed it can't tell.
 type Estimate struct {
-	Tries      float64 // attempts
+	Attempts   float64 // attempts
 	Recorded   float64 // part of the attempts that failed, then
 	Failed     float64 // part of the attempts that fail, by these tables
 	RecordedMs float64 // mean of the attempts that succeeded, then
@@ -116,7 +116,7 @@
 	for _, endpoint := range slices.Sorted(maps.Keys(attempts)) {
 		total += attempts[endpoint]
 	}
-	e.sum.Tries += total
+	e.sum.Attempts += total
 	known := e.knownEndpoints(shares)
 	knownShare := 0.0
 	for _, endpoint := range known {
@@ -159,7 +159,7 @@
 // result divides the totals.
 func (e *estimator) result() Estimate {
 	r := e.sum
-	attempts := max(r.Tries, 1)
+	attempts := max(r.Attempts, 1)
 	r.Recorded /= attempts
 	r.Failed /= attempts
 	r.Trusted /= attempts
--- a/internal/rehearsal/record_test.go
+++ b/internal/rehearsal/record_test.go
@@ -58,7 +58,7 @@
 			assert.Positive(t, r.Sets)
 			assert.Greater(t, r.Turns, 5)
 			g := r.Estimate
-			assert.Positive(t, g.Tries) // how near an estimate comes is TestEstimate's
+			assert.Positive(t, g.Attempts) // how near an estimate comes is TestEstimate's
 			assert.LessOrEqual(t, g.Failed, 1.0)
 			assert.LessOrEqual(t, g.Trusted, 1.0001)
 			again, err := record.Replay(s, l, nil, module)
