--- /dev/null
+++ b/cmd/indigousher/pilot.go
@@ -0,0 +1,104 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"os/signal"
+	"syscall"
+
+	"github.com/spf13/cobra"
+	"go.uber.org/zap"
+
+	"indigousher/internal/config"
+	"indigousher/internal/daemon"
+)
+
+func pilotCommand() *cobra.Command {
+	var file string
+	var takeOver, onPlatform bool
+	c := &cobra.Command{Use: "pilot -f FILE", Short: "Run a pilot until it is told to stop (SIGTERM); SIGHUP reloads",
+		Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
+			if onPlatform {
+				return runOnPlatform(cmd.Context())
+			}
+			return runPilot(cmd.Context(), file, takeOver)
+		}}
+	c.Flags().StringVarP(&file, "file", "f", "", "the pilot's terms, in HCL")
+	c.Flags().BoolVar(&takeOver, "take-over", false, "take listeners and state over from the pilot that runs with these terms")
+	c.Flags().BoolVar(&onPlatform, "platform", false, "run on the operators' platform: NODE_CONFIG names the terms")
+	c.MarkFlagsOneRequired("file", "platform")
+	c.MarkFlagsMutuallyExclusive("file", "platform")
+	return c
+}
+
+func runPilot(ctx context.Context, file string, takeOver bool) error {
+	t, err := config.ReadPilot(file)
+	if err != nil {
+		return err
+	}
+	log, level, err := logger(t.LogFormat, t.LogLevel)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = log.Sync() }() // a terminal can't be synced
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	h, err := daemon.Start(ctx, t, daemon.Options{Log: log, Level: &level}, takeOver)
+	if err != nil {
+		return err
+	}
+	log.Info("pilot starts", zap.Stringer("pilot", t), zap.String("proxies", h.Daemon().Address()),
+		zap.String("admin", h.Daemon().AdminAddress()))
+	hup := make(chan os.Signal, 1)
+	signal.Notify(hup, syscall.SIGHUP)
+	defer signal.Stop(hup)
+	reloads := make(chan struct{})
+	go func() {
+		defer close(reloads)
+		for {
+			select {
+			case <-hup:
+				reload(ctx, h.Daemon(), file, log)
+			case <-ctx.Done():
+				return
+			}
+		}
+	}()
+	err = h.Wait(ctx)
+	cancel()
+	<-reloads
+	log.Info("pilot has stopped", zap.Error(err))
+	return err
+}
+
+// reload reads the file again. A wrong one changes nothing.
+func reload(ctx context.Context, d *daemon.Daemon, file string, log *zap.Logger) {
+	now, err := config.ReadPilot(file)
+	if err != nil {
+		log.Error("reload refused, the old terms stand", zap.Error(err))
+		return
+	}
+	changed, restart, err := d.Reload(ctx, now)
+	if err != nil {
+		log.Error("reload failed, the old terms stand", zap.Error(err))
+		return
+	}
+	log.Info("reloaded", zap.Strings("changed", changed))
+	if len(restart) > 0 {
+		log.Warn("these want a restart and stay as they were", zap.Strings("fields", restart))
+	}
+}
+
+func checkCommand() *cobra.Command {
+	return &cobra.Command{Use: "check FILE", Short: "Check a pilot's terms; say file:line:column of what is wrong",
+		Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
+			t, err := config.ReadPilot(args[0])
+			if err != nil {
+				return err
+			}
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: good; pilot %s, %d zones, %d kinds of req\n", args[0], t, len(t.Zones),
+				len(t.Kinds))
+			return nil
+		}}
+}
