--- a/cmd/indigousher/emulate.go
+++ b/cmd/indigousher/emulate.go
@@ -54,7 +54,7 @@
 				Most: controller.State{MostLines: o.MostLines, MostMessages: o.Crowded}}}})
 			fmt.Fprintf(out, "%d events in %.0f ms, of these the pilots' turns %.0f ms; digest %016x\n", o.Done, o.TookMs, o.PilotMs, o.Digest)
 			if !o.Report.Kept() {
-				return errBroken
+				return errViolation
 			}
 			return nil
 		}}
--- a/cmd/indigousher/kill_test.go
+++ b/cmd/indigousher/kill_test.go
@@ -134,7 +134,7 @@
 	turns := 0
 	for _, l := range lives {
 		require.NoError(t, s.Read(l.ID, func(ts []record.Turn, _ bool) error { turns += len(ts); return nil }))
-		r, err := record.Replay(s, l, nil, module)
+		r, err := record.Replay(s, l, nil, newPlanner)
 		require.NoError(t, err)
 		assert.Empty(t, r.FirstDiff, l.ID)
 	}
--- a/cmd/indigousher/rehearse.go
+++ b/cmd/indigousher/rehearse.go
@@ -13,8 +13,8 @@
 	"indigousher/internal/scenario"
 )
 
-// errBroken ends a rehearsal in which a rule did not hold.
-var errBroken = errors.New("a rule was broken")
+// errViolation ends a rehearsal in which a rule did not hold.
+var errViolation = errors.New("a rule was broken")
 
 func rehearseCommand() *cobra.Command {
 	var list, baselines, processes bool
@@ -70,7 +70,7 @@
 			rehearsal.Print(out, day, append([]rehearsal.Column{{Name: "indigousher", Outcome: o}}, tables...))
 			fmt.Fprintf(out, "played in %s\n", o.Took.Round(time.Millisecond))
 			if !o.Report.Kept() {
-				return errBroken
+				return errViolation
 			}
 			return nil
 		}}
--- a/cmd/indigousher/replay.go
+++ b/cmd/indigousher/replay.go
@@ -18,8 +18,8 @@
 // errDiffers ends a replay that did not command what was recorded.
 var errDiffers = errors.New("the replay does not order what was recorded")
 
-// module makes the planner that ships.
-func module(seed int64, settings map[string]any) controller.Decider { return planner.New(seed, settings) }
+// newPlanner makes the planner that ships.
+func newPlanner(seed int64, settings map[string]any) controller.Decider { return planner.New(seed, settings) }
 
 func replayCommand() *cobra.Command {
 	var with, life string
@@ -110,7 +110,7 @@
 
 func (t *replayTable) replayWith(life record.Life, name string, settings map[string]any) error {
 	began := time.Now()
-	r, err := record.Replay(t.store, life, settings, module)
+	r, err := record.Replay(t.store, life, settings, newPlanner)
 	if err != nil {
 		return err
 	}
--- a/cmd/indigousher/search.go
+++ b/cmd/indigousher/search.go
@@ -58,7 +58,7 @@
 				}
 			}
 			if len(bad) > 0 {
-				return errBroken
+				return errViolation
 			}
 			return nil
 		}}
