--- a/cmd/indigousher/experiment.go
+++ b/cmd/indigousher/experiment.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"os"
@@ -12,44 +13,50 @@
 	"indigousher/internal/experiment"
 )
 
+// gcPercent lets the heap grow to five times what is in use between collections: runs make much that soon goes, and
+// memory is there.
+const gcPercent = 400
+
 func experimentCommand() *cobra.Command {
 	var store, html string
-	c := &cobra.Command{Use: "experiment FILE", Short: "Play emulated days with factors varied, beside baselines; keep results as tables and charts",
-		Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			plan, err := experiment.Read(args[0])
-			if err != nil {
-				return err
-			}
-			program, err := experiment.Program()
-			if err != nil {
-				return err
-			}
+	c := &cobra.Command{
+		Use:   "experiment FILE",
+		Short: "Play emulated days with factors varied, beside baselines; keep results as tables and charts",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
 			base := strings.TrimSuffix(args[0], ".hcl")
-			if store == "" {
-				store = base + ".db"
-			}
-			if html == "" {
-				html = base + ".html"
-			}
-			debug.SetGCPercent(400) // runs make much that soon goes; memory is there
-			r := experiment.Runner{Plan: plan, Store: store, Program: program, Say: func(done, all int) {
-				fmt.Fprintf(cmd.ErrOrStderr(), "\r%d of %d runs", done, all)
-			}}
-			t, err := r.Run(cmd.Context())
-			fmt.Fprintln(cmd.ErrOrStderr())
-			if err != nil {
-				return err
-			}
-			if err := t.Print(cmd.OutOrStdout()); err != nil {
-				return err
-			}
-			f, err := os.Create(html)
-			if err != nil {
-				return fmt.Errorf("write report: %w", err)
-			}
-			return errors.Join(t.Report(f), f.Close())
-		}}
+			return runExperiment(cmd, args[0], cmp.Or(store, base+".db"), cmp.Or(html, base+".html"))
+		},
+	}
 	c.Flags().StringVar(&store, "store", "", "file of results; FILE with .db if not told")
 	c.Flags().StringVar(&html, "html", "", "report; FILE with .html if not told")
 	return c
 }
+
+// runExperiment plays what a file plans, prints the table, and writes the report.
+func runExperiment(cmd *cobra.Command, file, store, html string) error {
+	plan, err := experiment.Read(file)
+	if err != nil {
+		return err
+	}
+	program, err := experiment.Program()
+	if err != nil {
+		return err
+	}
+	debug.SetGCPercent(gcPercent)
+	progress := func(done, all int) { printf(cmd.ErrOrStderr(), "\r%d of %d runs", done, all) }
+	runner := experiment.Runner{Plan: plan, Store: store, Program: program, Say: progress}
+	table, err := runner.Run(cmd.Context())
+	printf(cmd.ErrOrStderr(), "\n")
+	if err != nil {
+		return err
+	}
+	if err := table.Print(cmd.OutOrStdout()); err != nil {
+		return err
+	}
+	f, err := os.Create(html)
+	if err != nil {
+		return fmt.Errorf("write report: %w", err)
+	}
+	return errors.Join(table.Report(f), f.Close())
+}
--- a/cmd/indigousher/export_test.go
+++ b/cmd/indigousher/export_test.go
@@ -49,12 +49,16 @@
 
 // everyInput has one of each kind of recorded input.
 var everyInput = []record.Input{
-	{Kind: record.KindProxyJoined, Stream: 3, Message: &wire.Hello{Version: 1, Proxy: "p", Zone: "a", Boot: 8, Rate: 2.5, Fresh: true, Holds: []string{"x"},
-		Tables: []wire.HeldTable{{Table: 2, Lines: []wire.HeldLine{{Endpoint: "x", Weight: 0.5}}}}}},
+	{Kind: record.KindProxyJoined, Stream: 3, Message: &wire.Hello{
+		Version: 1, Proxy: "p", Zone: "a", Boot: 8, Rate: 2.5, Fresh: true, Holds: []string{"x"},
+		Tables: []wire.HeldTable{{Table: 2, Lines: []wire.HeldLine{{Endpoint: "x", Weight: 0.5}}}},
+	}},
 	{Kind: record.KindProxyLeft, Stream: 3},
 	{Kind: record.KindAcked, Stream: 3, Message: &wire.Done{Mark: 9, TookMs: 0.5}},
-	{Kind: record.KindEndpointsListed, Message: &wire.List{Version: 2, Now: 5, Whole: true, Entries: []wire.Entry{{Endpoint: "x", Zone: "a", Machine: "m",
-		Cell: 4, Phase: 1, Weight: 1, Started: 3}}}},
+	{Kind: record.KindEndpointsListed, Message: &wire.List{Version: 2, Now: 5, Whole: true, Entries: []wire.Entry{{
+		Endpoint: "x", Zone: "a", Machine: "m",
+		Cell: 4, Phase: 1, Weight: 1, Started: 3,
+	}}}},
 	{Kind: record.KindEndpointListLost},
 	{Kind: record.KindGossip, From: 2, Text: "hi"},
 	{Kind: record.KindSettingsChanged, Text: `{"backlog":5}`},
--- a/cmd/indigousher/kill_test.go
+++ b/cmd/indigousher/kill_test.go
@@ -43,8 +43,10 @@
 
 func newWorld(t *testing.T) *world {
 	dir := t.TempDir()
-	w := &world{t: t, binary: filepath.Join(dir, "indigousher"), file: filepath.Join(dir, "pilot.hcl"),
-		records: filepath.Join(dir, "records"), listen: freePort(t), admin: freePort(t)}
+	w := &world{
+		t: t, binary: filepath.Join(dir, "indigousher"), file: filepath.Join(dir, "pilot.hcl"),
+		records: filepath.Join(dir, "records"), listen: freePort(t), admin: freePort(t),
+	}
 	out, err := exec.Command("go", "build", "-o", w.binary, ".").CombinedOutput()
 	require.NoError(t, err, "%s", out)
 	require.NoError(t, os.Mkdir(w.records, 0o755))
@@ -97,9 +99,11 @@
 	book := eventlog.NewLog()
 	for i := range 3 {
 		name := fmt.Sprint("p", i)
-		p := proxy.New(proxy.Options{Name: name, Zone: "a", Habits: routing.Policy{Kinds: []string{"read"}}, Rate: 1,
+		p := proxy.New(proxy.Options{
+			Name: name, Zone: "a", Habits: routing.Policy{Kinds: []string{"read"}}, Rate: 1,
 			Standing: func() []string { return []string{"127.0.0.1:9000"} }, Pilots: func() []string { return []string{w.listen} },
-			Dial: (&net.Dialer{}).DialContext, Redial: 20 * time.Millisecond}, book.Stream(name))
+			Dial: (&net.Dialer{}).DialContext, Redial: 20 * time.Millisecond,
+		}, book.Stream(name))
 		require.NoError(w.t, p.Start())
 		w.t.Cleanup(p.Kill)
 	}
@@ -141,8 +145,8 @@
 	assert.Positive(t, turns)
 }
 
-// TestUpgraded guards an upgrade of real processes: the new one takes over, the old one ends by itself with status 0, and a
-// new one that is wrong leaves the old in its place.
+// TestUpgraded guards an upgrade of real processes: the new one takes over, the old one ends by itself with status 0,
+// and a new one that is wrong leaves the old in its place.
 func TestUpgraded(t *testing.T) {
 	w := newWorld(t)
 	book := w.followed()
--- a/cmd/indigousher/main.go
+++ b/cmd/indigousher/main.go
@@ -20,10 +20,25 @@
 	}
 }
 
+// root is the command without a subcommand.
 func root() *cobra.Command {
-	c := &cobra.Command{Use: "indigousher", Short: "A central planner behind plain proxies",
-		SilenceUsage: true, SilenceErrors: true}
-	c.AddCommand(pilotCommand(), checkCommand(), rehearseCommand(), emulateCommand(), experimentCommand(), searchCommand(), keysCommand(), replayCommand(), recordsCommand(),
-		versionCommand())
+	c := &cobra.Command{
+		Use:           "indigousher",
+		Short:         "A central planner behind plain proxies",
+		SilenceUsage:  true,
+		SilenceErrors: true,
+	}
+	c.AddCommand(
+		pilotCommand(),
+		checkCommand(),
+		rehearseCommand(),
+		emulateCommand(),
+		experimentCommand(),
+		searchCommand(),
+		keysCommand(),
+		replayCommand(),
+		recordsCommand(),
+		versionCommand(),
+	)
 	return c
 }
--- a/cmd/indigousher/pilot.go
+++ b/cmd/indigousher/pilot.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"os"
 	"os/signal"
 	"syscall"
@@ -17,13 +16,17 @@
 func pilotCommand() *cobra.Command {
 	var file string
 	var takeOver, onPlatform bool
-	c := &cobra.Command{Use: "pilot -f FILE", Short: "Run a pilot until it is told to stop (SIGTERM); SIGHUP reloads",
-		Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
+	c := &cobra.Command{
+		Use:   "pilot -f FILE",
+		Short: "Run a pilot until it is told to stop (SIGTERM); SIGHUP reloads",
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
 			if onPlatform {
 				return runOnPlatform(cmd.Context())
 			}
 			return runPilot(cmd.Context(), file, takeOver)
-		}}
+		},
+	}
 	c.Flags().StringVarP(&file, "file", "f", "", "the pilot's terms, in HCL")
 	c.Flags().BoolVar(&takeOver, "take-over", false, "take listeners and state over from the pilot that runs with these terms")
 	c.Flags().BoolVar(&onPlatform, "platform", false, "run on the operators' platform: NODE_CONFIG names the terms")
@@ -32,54 +35,60 @@
 	return c
 }
 
+// runPilot runs a controller until ctx ends, it fails, or another process has taken over.
 func runPilot(ctx context.Context, file string, takeOver bool) error {
-	t, err := config.ReadPilot(file)
+	cfg, err := config.ReadPilot(file)
 	if err != nil {
 		return err
 	}
-	log, level, err := logger(t.LogFormat, t.LogLevel)
+	log, level, err := logger(cfg.LogFormat, cfg.LogLevel)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = log.Sync() }() // a terminal can't be synced
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	h, err := daemon.Start(ctx, t, daemon.Options{Log: log, Level: &level}, takeOver)
+	host, err := daemon.Start(ctx, cfg, daemon.Options{Log: log, Level: &level}, takeOver)
 	if err != nil {
 		return err
 	}
-	log.Info("pilot starts", zap.Stringer("pilot", t), zap.String("proxies", h.Daemon().Address()),
-		zap.String("admin", h.Daemon().AdminAddress()))
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
-	defer signal.Stop(hup)
-	reloads := make(chan struct{})
+	log.Info("pilot starts", zap.Stringer("pilot", cfg), zap.String("proxies", host.Daemon().Address()),
+		zap.String("admin", host.Daemon().AdminAddress()))
+	hangup := make(chan os.Signal, 1)
+	signal.Notify(hangup, syscall.SIGHUP)
+	defer signal.Stop(hangup)
+	reloads := make(chan struct{}) // closed when reloadOn has returned, which it does with ctx
 	go func() {
 		defer close(reloads)
-		for {
-			select {
-			case <-hup:
-				reload(ctx, h.Daemon(), file, log)
-			case <-ctx.Done():
-				return
-			}
-		}
+		reloadOn(ctx, hangup, host, file, log)
 	}()
-	err = h.Wait(ctx)
+	err = host.Wait(ctx)
 	cancel()
 	<-reloads
 	log.Info("pilot has stopped", zap.Error(err))
 	return err
 }
 
-// reload reads the file again. A wrong one changes nothing.
+// reloadOn reloads the configuration at each signal until ctx ends.
+func reloadOn(ctx context.Context, hangup <-chan os.Signal, host *daemon.Host, file string, log *zap.Logger) {
+	for {
+		select {
+		case <-hangup:
+			reload(ctx, host.Daemon(), file, log)
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// reload reads the configuration again. A wrong one changes nothing.
 func reload(ctx context.Context, d *daemon.Daemon, file string, log *zap.Logger) {
-	now, err := config.ReadPilot(file)
+	cfg, err := config.ReadPilot(file)
 	if err != nil {
 		log.Error("reload refused, the old terms stand", zap.Error(err))
 		return
 	}
-	changed, restart, err := d.Reload(ctx, now)
+	changed, restart, err := d.Reload(ctx, cfg)
 	if err != nil {
 		log.Error("reload failed, the old terms stand", zap.Error(err))
 		return
@@ -91,14 +100,18 @@
 }
 
 func checkCommand() *cobra.Command {
-	return &cobra.Command{Use: "check FILE", Short: "Check a pilot's terms; say file:line:column of what is wrong",
-		Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			t, err := config.ReadPilot(args[0])
+	return &cobra.Command{
+		Use:   "check FILE",
+		Short: "Check a pilot's terms; say file:line:column of what is wrong",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			cfg, err := config.ReadPilot(args[0])
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: good; pilot %s, %d zones, %d kinds of req\n", args[0], t, len(t.Zones),
-				len(t.Kinds))
+			printf(cmd.OutOrStdout(), "%s: good; pilot %s, %d zones, %d kinds of req\n", args[0], cfg, len(cfg.Zones),
+				len(cfg.Kinds))
 			return nil
-		}}
+		},
+	}
 }
--- a/cmd/indigousher/platform.go
+++ b/cmd/indigousher/platform.go
@@ -17,42 +17,48 @@
 // endWithin is how long a pilot on the platform may take to end after SIGTERM.
 const endWithin = 300 * time.Millisecond
 
-// runOnPlatform runs a pilot on the operators' platform until it is told to stop.
+// maxLinesPerS is how many equal log lines a second are written; further ones are dropped.
+const maxLinesPerS = 20
+
+// runOnPlatform runs a controller on the operators' platform until it is told to stop.
 func runOnPlatform(ctx context.Context) error {
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP) // before anything else: one that comes early must not end the program
-	defer signal.Stop(hup)
-	p, err := placement.Read(os.Getenv)
+	hangup := make(chan os.Signal, 1)
+	signal.Notify(hangup, syscall.SIGHUP) // before anything else: one that comes early must not end the program
+	defer signal.Stop(hangup)
+	settings, err := placement.Read(os.Getenv)
 	if err != nil {
 		return err
 	}
-	platform.Limit(p.Limits)
+	platform.Limit(settings.Limits)
 	log := platformLog()
 	defer func() { _ = log.Sync() }() // a pipe can't be synced
 	context.AfterFunc(ctx, func() { time.AfterFunc(endWithin, func() { os.Exit(0) }) })
 	reload := make(chan struct{}, 1)
-	go func() {
-		for range hup {
-			select {
-			case reload <- struct{}{}:
-			default: // one that waits reads the newest file
-			}
-		}
-	}()
-	log.Info("pilot starts", zap.String("pilot", p.Name), zap.String("listen", p.Listen))
-	if p.Warning != "" {
-		log.Warn("part of the configuration is left out", zap.String("what", p.Warning))
+	go passOn(hangup, reload) // for as long as the program runs
+	log.Info("pilot starts", zap.String("pilot", settings.Name), zap.String("listen", settings.Listen))
+	if settings.Warning != "" {
+		log.Warn("part of the configuration is left out", zap.String("what", settings.Warning))
 	}
-	x := platform.New(p, func() (*placement.Placement, error) { return placement.Read(os.Getenv) }, log)
-	err = x.Run(ctx, reload)
+	readAgain := func() (*placement.Placement, error) { return placement.Read(os.Getenv) }
+	err = platform.New(settings, readAgain, log).Run(ctx, reload)
 	log.Info("pilot has stopped", zap.Error(err))
 	return err
 }
 
-// platformLog writes lines for people, no more than so many of each a second.
+// passOn asks for a reload at each signal, unless one is waiting already: that one reads the newest file.
+func passOn(hangup <-chan os.Signal, reload chan<- struct{}) {
+	for range hangup {
+		select {
+		case reload <- struct{}{}:
+		default:
+		}
+	}
+}
+
+// platformLog writes lines for people.
 func platformLog() *zap.Logger {
-	e := zap.NewDevelopmentEncoderConfig()
-	e.EncodeTime = zapcore.TimeEncoderOfLayout("15:04:05.000")
-	core := zapcore.NewCore(zapcore.NewConsoleEncoder(e), zapcore.Lock(os.Stdout), zap.InfoLevel)
-	return zap.New(zapcore.NewSamplerWithOptions(core, time.Second, 20, 0))
+	encoding := zap.NewDevelopmentEncoderConfig()
+	encoding.EncodeTime = zapcore.TimeEncoderOfLayout("15:04:05.000")
+	core := zapcore.NewCore(zapcore.NewConsoleEncoder(encoding), zapcore.Lock(os.Stdout), zap.InfoLevel)
+	return zap.New(zapcore.NewSamplerWithOptions(core, time.Second, maxLinesPerS, 0))
 }
--- a/cmd/indigousher/platform_test.go
+++ b/cmd/indigousher/platform_test.go
@@ -17,7 +17,8 @@
 )
 
 // TestPlatformProcess guards the process as the platform starts it: a wrong file ends it with one line that names the
-// field; SIGHUP, also several and early, never ends it; SIGTERM does with exit code 0, also while all it talks to hangs.
+// field; SIGHUP, also several and early, never ends it; SIGTERM does with exit code 0, also while all it talks to
+// hangs.
 func TestPlatformProcess(t *testing.T) {
 	dir := t.TempDir()
 	binary, file := filepath.Join(dir, "indigousher"), filepath.Join(dir, "config.json")
--- a/cmd/indigousher/rehearse.go
+++ b/cmd/indigousher/rehearse.go
@@ -1,8 +1,8 @@
 package main
 
 import (
+	"context"
 	"errors"
-	"fmt"
 	"io"
 	"os"
 	"time"
@@ -16,81 +16,101 @@
 // errViolation ends a rehearsal in which a rule did not hold.
 var errViolation = errors.New("a rule was broken")
 
+// rehearseOptions are the flags of the command.
+type rehearseOptions struct {
+	baselines bool   // also play with standing tables and with one even table
+	processes bool   // controllers are processes of their own
+	trails    string // folder for the trails; "": they are not kept
+	records   string // folder for the controllers' records; "": one that goes with the scenario
+	logLevel  string // of the controllers
+	seed      int    // 0: the scenario's
+}
+
 func rehearseCommand() *cobra.Command {
-	var list, baselines, processes bool
-	var record, records, logLevel string
-	var seed int
-	c := &cobra.Command{Use: "rehearse [DAY]", Short: "Play a day on loopback and check the five rules (the bad day if none is named)",
-		Args: cobra.MaximumNArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			out := cmd.OutOrStdout()
+	var list bool
+	var o rehearseOptions
+	c := &cobra.Command{
+		Use:   "rehearse [DAY]",
+		Short: "Play a day on loopback and check the five rules (the bad day if none is named)",
+		Args:  cobra.MaximumNArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
 			if list {
-				return listDays(out)
-			}
-			name := "bad-day"
-			if len(args) > 0 {
-				name = args[0]
-			}
-			day, err := scenario.Load(name)
-			if err != nil {
-				return err
-			}
-			if seed != 0 {
-				day.Seed = seed
-			}
-			log, _, err := logger("console", logLevel)
-			if err != nil {
-				return err
-			}
-			fmt.Fprintf(out, "%s: %s\n%s, %d proxies, %d pilots\n", day.Name, day.About, day.Length,
-				len(day.ProxyZones), len(day.PilotZones))
-			play := rehearsal.Play{Scenario: day, Log: log, Say: func(format string, args ...any) {
-				fmt.Fprintf(out, format+"\n", args...)
-			}}
-			play.Records = records
-			if processes {
-				if play.Binary, err = os.Executable(); err != nil {
-					return err
-				}
-			}
-			var tables []rehearsal.Column
-			if baselines {
-				if tables, err = rehearsal.Baselines(cmd.Context(), play); err != nil {
-					return err
-				}
+				return listScenarios(cmd.OutOrStdout())
 			}
-			o, err := play.Run(cmd.Context())
-			if err != nil {
-				return err
-			}
-			if record != "" {
-				if err := o.Book.Save(record); err != nil {
-					return err
-				}
-			}
-			rehearsal.Print(out, day, append([]rehearsal.Column{{Name: "indigousher", Outcome: o}}, tables...))
-			fmt.Fprintf(out, "played in %s\n", o.Took.Round(time.Millisecond))
-			if !o.Report.Kept() {
-				return errViolation
-			}
-			return nil
-		}}
+			return rehearse(cmd.Context(), cmd.OutOrStdout(), args, o)
+		},
+	}
 	c.Flags().BoolVar(&list, "list", false, "list the days that ship")
-	c.Flags().BoolVar(&baselines, "baselines", false, "also play the day with standing tables only, and with one even table")
-	c.Flags().StringVar(&record, "record", "", "leave the trails in this folder, as JSON lines")
-	c.Flags().StringVar(&logLevel, "log", "error", "level of the pilots' log: debug, info, warn or error")
-	c.Flags().StringVar(&records, "pilot-records", "", "where pilots record on days on which they do; gone with the day if not told")
-	c.Flags().BoolVar(&processes, "processes", false, "pilots are processes of their own; a kill is signal 9")
-	c.Flags().IntVar(&seed, "seed", 0, "another seed than the day's")
+	c.Flags().BoolVar(&o.baselines, "baselines", false, "also play the day with standing tables only, and with one even table")
+	c.Flags().StringVar(&o.trails, "record", "", "leave the trails in this folder, as JSON lines")
+	c.Flags().StringVar(&o.logLevel, "log", "error", "level of the pilots' log: debug, info, warn or error")
+	c.Flags().StringVar(&o.records, "pilot-records", "",
+		"where pilots record on days on which they do; gone with the day if not told")
+	c.Flags().BoolVar(&o.processes, "processes", false, "pilots are processes of their own; a kill is signal 9")
+	c.Flags().IntVar(&o.seed, "seed", 0, "another seed than the day's")
 	return c
 }
 
-func listDays(out io.Writer) error {
-	for _, n := range scenario.Names() {
-		d, err := scenario.Load(n)
+// rehearse plays a scenario, prints what came of it, and returns errViolation if a rule did not hold.
+func rehearse(ctx context.Context, out io.Writer, args []string, o rehearseOptions) error {
+	s, err := loadScenario(args, o.seed)
+	if err != nil {
+		return err
+	}
+	play, err := o.play(out, s)
+	if err != nil {
+		return err
+	}
+	printf(out, "%s: %s\n%s, %d proxies, %d pilots\n", s.Name, s.About, s.Length, len(s.ProxyZones), len(s.PilotZones))
+	var baselines []rehearsal.Column
+	if o.baselines {
+		if baselines, err = rehearsal.Baselines(ctx, play); err != nil {
+			return err
+		}
+	}
+	outcome, err := play.Run(ctx)
+	if err != nil {
+		return err
+	}
+	if o.trails != "" {
+		if err := outcome.Book.Save(o.trails); err != nil {
+			return err
+		}
+	}
+	rehearsal.Print(out, s, append([]rehearsal.Column{{Name: "indigousher", Outcome: outcome}}, baselines...))
+	printf(out, "played in %s\n", outcome.Took.Round(time.Millisecond))
+	if !outcome.Report.Kept() {
+		return errViolation
+	}
+	return nil
+}
+
+// play returns how to play a scenario.
+func (o rehearseOptions) play(out io.Writer, s *scenario.Scenario) (rehearsal.Play, error) {
+	log, _, err := logger("console", o.logLevel)
+	if err != nil {
+		return rehearsal.Play{}, err
+	}
+	play := rehearsal.Play{
+		Scenario: s,
+		Log:      log,
+		Records:  o.records,
+		Say:      func(format string, args ...any) { printf(out, format+"\n", args...) },
+	}
+	if o.processes {
+		play.Binary, err = os.Executable()
+	}
+	return play, err
+}
+
+// listScenarios prints a line for each scenario that ships.
+func listScenarios(out io.Writer) error {
+	for _, name := range scenario.Names() {
+		s, err := scenario.Load(name)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "%-20s %4.0fs  %s\n", n, d.Length.Seconds(), d.About)
+		printf(out, "%-20s %4.0fs  %s\n", name, s.Length.Seconds(), s.About)
 	}
 	return nil
 }
--- a/cmd/indigousher/replay.go
+++ b/cmd/indigousher/replay.go
@@ -19,7 +19,9 @@
 var errDiffers = errors.New("the replay does not order what was recorded")
 
 // newPlanner makes the planner that ships.
-func newPlanner(seed int64, settings map[string]any) controller.Decider { return planner.New(seed, settings) }
+func newPlanner(seed int64, settings map[string]any) controller.Decider {
+	return planner.New(seed, settings)
+}
 
 func replayCommand() *cobra.Command {
 	var with, life string
--- a/cmd/indigousher/search.go
+++ b/cmd/indigousher/search.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -15,85 +16,128 @@
 	"indigousher/internal/search"
 )
 
+// rules is how many rules the audit has.
+const rules = 5
+
+// searchOptions are the flags of the command.
+type searchOptions struct {
+	scenarios int    // to draw
+	endpoints int    // of each, about
+	seed      int    // of the first
+	climbs    int    // steps towards each rule's limit
+	folder    string // for scenarios that break a rule
+}
+
 func searchCommand() *cobra.Command {
-	var days, endpoints, seed, climbs int
-	var found string
-	c := &cobra.Command{Use: "search", Short: "Draw days with overlapping troubles, play them in virtual time, climb towards limits, shrink what breaks",
-		Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-			out := cmd.OutOrStdout()
-			s := &search.Search{}
-			finds, err := s.Random(cmd.Context(), seed, days, endpoints)
-			if err != nil {
-				return err
-			}
-			distances(out, finds, endpoints)
-			var bad []*search.Find
-			for _, f := range finds {
-				if len(f.Broken) > 0 {
-					bad = append(bad, f)
-				}
-			}
-			for rule := range audit.Rule(5) {
-				best := slices.MaxFunc(finds, func(a, b *search.Find) int { return int(1e6 * (a.Near[rule] - b.Near[rule])) })
-				if climbs == 0 || len(best.Broken) > 0 {
-					continue
-				}
-				near := best.Near[rule]
-				if best, err = s.Climb(cmd.Context(), best, rule, climbs, uint64(seed)); err != nil {
-					return err
-				}
-				fmt.Fprintf(out, "climbed towards %q: %.2f to %.2f\n", rule, near, best.Near[rule])
-				if len(best.Broken) > 0 {
-					bad = append(bad, best)
-				}
-			}
-			for i, f := range bad {
-				if f, err = s.Shrink(cmd.Context(), f); err != nil {
-					return err
-				}
-				path := filepath.Join(found, fmt.Sprintf("found-%d-%d.hcl", f.Draft.Seed, i))
-				fmt.Fprintf(out, "BROKEN, shrunk to %d troubles, in %s: %v\n", len(f.Draft.Faults), path, f.Broken)
-				if err := errors.Join(os.MkdirAll(found, 0o755), os.WriteFile(path, []byte(f.Draft.Text()), 0o644)); err != nil {
-					return err
-				}
-			}
-			if len(bad) > 0 {
-				return errViolation
-			}
-			return nil
-		}}
-	c.Flags().IntVar(&days, "days", 100, "days to draw")
-	c.Flags().IntVar(&endpoints, "endpoints", 30, "about how many endpoints")
-	c.Flags().IntVar(&seed, "seed", 1, "of the first day")
-	c.Flags().IntVar(&climbs, "climb", 0, "steps of climbing towards each rule's limit")
-	c.Flags().StringVar(&found, "found", "found", "folder for days that break a rule")
+	var o searchOptions
+	c := &cobra.Command{
+		Use: "search",
+		Short: "Draw days with overlapping troubles, play them in virtual time, climb towards limits, " +
+			"shrink what breaks",
+		Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return runSearch(cmd.Context(), cmd.OutOrStdout(), o)
+		},
+	}
+	c.Flags().IntVar(&o.scenarios, "days", 100, "days to draw")
+	c.Flags().IntVar(&o.endpoints, "endpoints", 30, "about how many endpoints")
+	c.Flags().IntVar(&o.seed, "seed", 1, "of the first day")
+	c.Flags().IntVar(&o.climbs, "climb", 0, "steps of climbing towards each rule's limit")
+	c.Flags().StringVar(&o.folder, "found", "found", "folder for days that break a rule")
 	return c
 }
 
-// distances shows how near days came to each limit.
-func distances(out io.Writer, finds []*search.Find, endpoints int) {
-	quantiles := func(of func(*search.Find) float64) string {
-		var v []float64
-		for _, f := range finds {
-			v = append(v, of(f))
+// runSearch draws, climbs and shrinks, and returns errViolation if a rule was broken.
+func runSearch(ctx context.Context, out io.Writer, o searchOptions) error {
+	s := &search.Search{}
+	finds, err := s.Random(ctx, o.seed, o.scenarios, o.endpoints)
+	if err != nil {
+		return err
+	}
+	printDistances(out, finds, o.endpoints)
+	var broken []*search.Find
+	for _, f := range finds {
+		if len(f.Broken) > 0 {
+			broken = append(broken, f)
 		}
-		slices.Sort(v)
-		text := ""
-		for _, q := range []float64{0.5, 0.9, 0.99, 1} {
-			text += fmt.Sprintf("  %.3f", stat.Quantile(q, stat.Empirical, v, nil))
+	}
+	climbed, err := climb(ctx, out, s, finds, o)
+	if err != nil {
+		return err
+	}
+	broken = append(broken, climbed...)
+	for i, f := range broken {
+		if err := shrink(ctx, out, s, f, i, o.folder); err != nil {
+			return err
 		}
-		return text
 	}
+	if len(broken) > 0 {
+		return errViolation
+	}
+	return nil
+}
+
+// climb goes from the find nearest to each rule's limit towards it, and returns finds that break a rule. Rules that
+// were broken already are left out.
+func climb(ctx context.Context, out io.Writer, s *search.Search, finds []*search.Find, o searchOptions) ([]*search.Find, error) {
+	if o.climbs == 0 {
+		return nil, nil
+	}
+	var broken []*search.Find
+	for rule := range audit.Rule(rules) {
+		nearest := slices.MaxFunc(finds, func(a, b *search.Find) int { return int(1e6 * (a.Near[rule] - b.Near[rule])) })
+		if len(nearest.Broken) > 0 {
+			continue
+		}
+		climbed, err := s.Climb(ctx, nearest, rule, o.climbs, uint64(o.seed))
+		if err != nil {
+			return nil, err
+		}
+		printf(out, "climbed towards %q: %.2f to %.2f\n", rule, nearest.Near[rule], climbed.Near[rule])
+		if len(climbed.Broken) > 0 {
+			broken = append(broken, climbed)
+		}
+	}
+	return broken, nil
+}
+
+// shrink takes away of a scenario what it does not need to break a rule, and writes the rest to a file.
+func shrink(ctx context.Context, out io.Writer, s *search.Search, f *search.Find, number int, folder string) error {
+	shrunk, err := s.Shrink(ctx, f)
+	if err != nil {
+		return err
+	}
+	path := filepath.Join(folder, fmt.Sprintf("found-%d-%d.hcl", shrunk.Draft.Seed, number))
+	printf(out, "BROKEN, shrunk to %d troubles, in %s: %v\n", len(shrunk.Draft.Faults), path, shrunk.Broken)
+	return errors.Join(os.MkdirAll(folder, 0o755), os.WriteFile(path, []byte(shrunk.Draft.Text()), 0o644))
+}
+
+// printDistances shows how near scenarios came to each limit.
+func printDistances(out io.Writer, finds []*search.Find, endpoints int) {
 	broken := 0
 	for _, f := range finds {
 		if len(f.Broken) > 0 {
 			broken++
 		}
 	}
-	fmt.Fprintf(out, "%d days of about %d endpoints, %d with a broken rule\nnearest to the limit (1 is the limit): median, 90%%, 99%%, worst\n",
-		len(finds), endpoints, broken)
-	for rule := range audit.Rule(5) {
-		fmt.Fprintf(out, "%-28s%s\n", rule, quantiles(func(f *search.Find) float64 { return f.Near[rule] }))
+	printf(out, "%d days of about %d endpoints, %d with a broken rule\n"+
+		"nearest to the limit (1 is the limit): median, 90%%, 99%%, worst\n", len(finds), endpoints, broken)
+	for rule := range audit.Rule(rules) {
+		printf(out, "%-28s%s\n", rule, quantiles(finds, func(f *search.Find) float64 { return f.Near[rule] }))
+	}
+	printf(out, "%-28s%s\n", "service lost", quantiles(finds, func(f *search.Find) float64 { return 1 - f.Service }))
+}
+
+// quantiles shows the median, the 90th and 99th percentile, and the largest of a figure.
+func quantiles(finds []*search.Find, figure func(*search.Find) float64) string {
+	var values []float64
+	for _, f := range finds {
+		values = append(values, figure(f))
+	}
+	slices.Sort(values)
+	text := ""
+	for _, q := range []float64{0.5, 0.9, 0.99, 1} {
+		text += fmt.Sprintf("  %.3f", stat.Quantile(q, stat.Empirical, values, nil))
 	}
-	fmt.Fprintf(out, "%-28s%s\n", "service lost", quantiles(func(f *search.Find) float64 { return 1 - f.Service }))
+	return text
 }
--- a/cmd/indigousher/silence_test.go
+++ b/cmd/indigousher/silence_test.go
@@ -67,8 +67,10 @@
 	}
 	s := &silentSite{t: t}
 	var err error
-	s.relay, err = relay.Start(relay.Config{Proxies: proxies, Standing: standing, LinesPerS: 800, HeadLines: 4,
-		Transit: 150 * time.Millisecond})
+	s.relay, err = relay.Start(relay.Config{
+		Proxies: proxies, Standing: standing, LinesPerS: 800, HeadLines: 4,
+		Transit: 150 * time.Millisecond,
+	})
 	require.NoError(t, err)
 	t.Cleanup(s.relay.Close)
 	s.catalog, err = catalog.Start(members)
@@ -128,8 +130,8 @@
 	}, within, 10*time.Millisecond, "drains %v are kept within the grace", names)
 }
 
-// TestDrainsAfterASilentRelay plays incident 029 with a real process: the relay says nothing for five seconds while a call
-// that concerns all proxies is under way, and two endpoints of each zone drain a second after it answers again.
+// TestDrainsAfterASilentRelay plays incident 029 with a real process: the relay says nothing for five seconds while a
+// call that concerns all proxies is under way, and two endpoints of each zone drain a second after it answers again.
 func TestDrainsAfterASilentRelay(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "indigousher")
 	out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput()
--- a/cmd/indigousher/silences_test.go
+++ b/cmd/indigousher/silences_test.go
@@ -28,8 +28,8 @@
 	leastLeftActive = 12
 )
 
-// failureWaits is how long limits still wait after a failure. The rules give 1.5 s from the last call that was silent or
-// unreadable and 0.5 s from one that was reset; the last call may be 0.6 and 0.35 s before the failure's end.
+// failureWaits is how long limits still wait after a failure. The rules give 1.5 s from the last call that was silent
+// or unreadable and 0.5 s from one that was reset; the last call may be 0.6 and 0.35 s before the failure's end.
 var failureWaits = map[relay.Failure]time.Duration{
 	relay.Silent:     900 * time.Millisecond,
 	relay.Unreadable: 1150 * time.Millisecond,
@@ -166,10 +166,10 @@
 	}
 }
 
-// TestDrainsUnderSeededSilences plays drawn days with a real process: the relay is silent, resets its calls or answers in a
-// form that can't be read for 0.3 to 8 s, again and again, and carries out all, half or none of what it reads meanwhile; event streams are broken for up to a second, with the
-// answers to marks; endpoints drain and return. Drains are kept within the grace, which waits in silences, and the channel
-// stays short.
+// TestDrainsUnderSeededSilences plays drawn days with a real process: the relay is silent, resets its calls or answers
+// in a form that can't be read for 0.3 to 8 s, again and again, and carries out all, half or none of what it reads
+// meanwhile; event streams are broken for up to a second, with the answers to marks; endpoints drain and return. Drains
+// are kept within the grace, which waits in silences, and the channel stays short.
 func TestDrainsUnderSeededSilences(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "indigousher")
 	out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput()
@@ -182,8 +182,10 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			random := rand.New(rand.NewPCG(uint64(seed), 29))
-			d := &silentDay{plan: drawSilences(random), random: random, drained: map[string]time.Duration{},
-				broken: map[string]bool{}}
+			d := &silentDay{
+				plan: drawSilences(random), random: random, drained: map[string]time.Duration{},
+				broken: map[string]bool{},
+			}
 			d.silentSite = startSilentSite(t, binary)
 			d.settle()
 			d.play()
