--- a/cmd/indigousher/emulate.go
+++ b/cmd/indigousher/emulate.go
@@ -75,7 +75,8 @@
 	most := controller.State{MostLines: outcome.MostLines, MostMessages: outcome.Crowded}
 	column := rehearsal.Column{Name: "indigousher", Outcome: &rehearsal.Outcome{Report: outcome.Report, Most: most}}
 	rehearsal.Print(out, s, []rehearsal.Column{column})
-	printf(out, "%d events in %.0f ms, of these the pilots' turns %.0f ms; digest %016x\n", outcome.Done, outcome.TookMs,
+	printf(out, "%d events in %.0f ms, of these the pilots' turns %.0f ms; digest %016x\n",
+		outcome.Done, outcome.TookMs,
 		outcome.PilotMs, outcome.Digest)
 	if !outcome.Report.Kept() {
 		return errViolation
--- a/cmd/indigousher/export_test.go
+++ b/cmd/indigousher/export_test.go
@@ -25,8 +25,9 @@
 	dir := t.TempDir()
 	store, err := record.Open(dir, false)
 	require.NoError(t, err)
-	defer store.Close()
-	writer, err := record.NewWriter(store, record.Life{ID: "life"}, record.Limits{SegmentBytes: 1 << 20, CommitInterval: time.Millisecond}, zap.NewNop())
+	defer mustClose(t, store)
+	limits := record.Limits{SegmentBytes: 1 << 20, CommitInterval: time.Millisecond}
+	writer, err := record.NewWriter(store, record.Life{ID: "life"}, limits, zap.NewNop())
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	writer.Turn(func() *record.Turn { return &record.Turn{AtMs: 1250.5, Digest: 77, Inputs: everyInput} })
@@ -62,9 +63,33 @@
 	{Kind: record.KindEndpointListLost},
 	{Kind: record.KindGossip, From: 2, Text: "hi"},
 	{Kind: record.KindSettingsChanged, Text: `{"backlog":5}`},
-	{Kind: record.KindHealthChecked, Text: "x", HealthCheck: planner.HealthCheckResult{Outcome: "ok", TookMs: 1.25, Load: planner.Load{"util": 0.5}}},
-	{Kind: record.KindEndpointStats, Event: planner.EndpointStats{Endpoint: 1, Zone: 2, Attempts: 30, Failed: 4, MeanMs: 12.5, SpanMs: 1000, Load: planner.Load{"util": 0.25, "rate": 7}}},
-	{Kind: record.KindSliceAssigned, Message: &wire.Slices{Slice: 3, Given: true, Lines: []wire.HeldLine{{Endpoint: "x", Weight: 1}}, From: "a", To: "b"}},
-	{Kind: record.KindSliceStats, Event: planner.SliceStats{Slice: 3, Class: 1, Requests: 4, Unanswered: 1, SpanMs: 1000}},
-	{Kind: record.KindRequestStats, Event: planner.RequestStats{Proxy: 4, Class: 1, Requests: 12, Unanswered: 1, SpanMs: 999.5}},
+	{
+		Kind:        record.KindHealthChecked,
+		Text:        "x",
+		HealthCheck: planner.HealthCheckResult{Outcome: "ok", TookMs: 1.25, Load: planner.Load{"util": 0.5}},
+	},
+	{Kind: record.KindEndpointStats, Event: planner.EndpointStats{
+		Endpoint: 1,
+		Zone:     2,
+		Attempts: 30,
+		Failed:   4,
+		MeanMs:   12.5,
+		SpanMs:   1000,
+		Load:     planner.Load{"util": 0.25, "rate": 7},
+	}},
+	{Kind: record.KindSliceAssigned, Message: &wire.Slices{
+		Slice: 3,
+		Given: true,
+		Lines: []wire.HeldLine{{Endpoint: "x", Weight: 1}},
+		From:  "a",
+		To:    "b",
+	}},
+	{
+		Kind:  record.KindSliceStats,
+		Event: planner.SliceStats{Slice: 3, Class: 1, Requests: 4, Unanswered: 1, SpanMs: 1000},
+	},
+	{
+		Kind:  record.KindRequestStats,
+		Event: planner.RequestStats{Proxy: 4, Class: 1, Requests: 12, Unanswered: 1, SpanMs: 999.5},
+	},
 }
--- a/cmd/indigousher/kill_test.go
+++ b/cmd/indigousher/kill_test.go
@@ -34,10 +34,12 @@
 	listen, admin string
 }
 
+func mustClose(t *testing.T, c io.Closer) { assert.NoError(t, c.Close()) }
+
 func freePort(t *testing.T) string {
 	l, err := network.Listen("") // off the address that outgoing connections take ports from
 	require.NoError(t, err)
-	defer l.Close()
+	defer mustClose(t, l)
 	return l.Addr().String()
 }
 
@@ -89,7 +91,7 @@
 	if err != nil {
 		return false
 	}
-	defer r.Body.Close()
+	defer mustClose(w.t, r.Body)
 	_, _ = io.Copy(io.Discard, r.Body)
 	return r.StatusCode == http.StatusOK
 }
@@ -101,8 +103,9 @@
 		name := fmt.Sprint("p", i)
 		p := proxy.New(proxy.Options{
 			Name: name, Zone: "a", Habits: routing.Policy{Kinds: []string{"read"}}, Rate: 1,
-			Standing: func() []string { return []string{"127.0.0.1:9000"} }, Pilots: func() []string { return []string{w.listen} },
-			Dial: (&net.Dialer{}).DialContext, Redial: 20 * time.Millisecond,
+			Standing: func() []string { return []string{"127.0.0.1:9000"} },
+			Pilots:   func() []string { return []string{w.listen} },
+			Dial:     (&net.Dialer{}).DialContext, Redial: 20 * time.Millisecond,
 		}, book.Stream(name))
 		require.NoError(w.t, p.Start())
 		w.t.Cleanup(p.Kill)
@@ -132,7 +135,7 @@
 	assert.Greater(t, recovered, 4)
 	s, err := daemon.OpenRecords(w.records)
 	require.NoError(t, err)
-	defer s.Close()
+	defer mustClose(t, s)
 	lives, err := s.Lives()
 	require.NoError(t, err)
 	turns := 0
--- a/cmd/indigousher/pilot.go
+++ b/cmd/indigousher/pilot.go
@@ -28,7 +28,8 @@
 		},
 	}
 	c.Flags().StringVarP(&file, "file", "f", "", "the pilot's terms, in HCL")
-	c.Flags().BoolVar(&takeOver, "take-over", false, "take listeners and state over from the pilot that runs with these terms")
+	c.Flags().BoolVar(&takeOver, "take-over", false,
+		"take listeners and state over from the pilot that runs with these terms")
 	c.Flags().BoolVar(&onPlatform, "platform", false, "run on the operators' platform: NODE_CONFIG names the terms")
 	c.MarkFlagsOneRequired("file", "platform")
 	c.MarkFlagsMutuallyExclusive("file", "platform")
--- a/cmd/indigousher/platform_test.go
+++ b/cmd/indigousher/platform_test.go
@@ -26,7 +26,7 @@
 	require.NoError(t, err, "%s", out)
 	hanging, err := net.Listen("tcp", "127.0.0.1:0") // takes connections and never answers
 	require.NoError(t, err)
-	defer hanging.Close()
+	defer mustClose(t, hanging)
 	listen := freePort(t)
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1f","limits":{"cores":0.5,"memory_mb":48,"sockets":256},
 "relay":{"address":%q},"settings":{"dcs":["a"],"kinds":["m"],"instances":1,"rank":0,"discovery":"pushed","profiles":[{"name":"read"}],
@@ -92,7 +92,7 @@
 		conn, err = net.Dial("tcp", listen)
 		return err == nil
 	}, 10*time.Second, time.Millisecond)
-	defer conn.Close()
+	defer mustClose(t, conn)
 	for range 3 {
 		require.NoError(t, c.Process.Signal(syscall.SIGHUP))
 	}
--- a/cmd/indigousher/rehearse.go
+++ b/cmd/indigousher/rehearse.go
@@ -41,7 +41,8 @@
 		},
 	}
 	c.Flags().BoolVar(&list, "list", false, "list the days that ship")
-	c.Flags().BoolVar(&o.baselines, "baselines", false, "also play the day with standing tables only, and with one even table")
+	c.Flags().BoolVar(&o.baselines, "baselines", false,
+		"also play the day with standing tables only, and with one even table")
 	c.Flags().StringVar(&o.trails, "record", "", "leave the trails in this folder, as JSON lines")
 	c.Flags().StringVar(&o.logLevel, "log", "error", "level of the pilots' log: debug, info, warn or error")
 	c.Flags().StringVar(&o.records, "pilot-records", "",
--- a/cmd/indigousher/search.go
+++ b/cmd/indigousher/search.go
@@ -79,13 +79,17 @@
 
 // climb goes from the find nearest to each rule's limit towards it, and returns finds that break a rule. Rules that
 // were broken already are left out.
-func climb(ctx context.Context, out io.Writer, s *search.Search, finds []*search.Find, o searchOptions) ([]*search.Find, error) {
+func climb(
+	ctx context.Context, out io.Writer, s *search.Search, finds []*search.Find, o searchOptions,
+) ([]*search.Find, error) {
 	if o.climbs == 0 {
 		return nil, nil
 	}
 	var broken []*search.Find
 	for rule := range audit.Rule(rules) {
-		nearest := slices.MaxFunc(finds, func(a, b *search.Find) int { return int(1e6 * (a.Near[rule] - b.Near[rule])) })
+		nearest := slices.MaxFunc(finds, func(a, b *search.Find) int {
+			return int(1e6 * (a.Near[rule] - b.Near[rule])) // the sixth decimal decides
+		})
 		if len(nearest.Broken) > 0 {
 			continue
 		}
--- a/cmd/indigousher/silences_test.go
+++ b/cmd/indigousher/silences_test.go
@@ -55,7 +55,8 @@
 	for at := between(time.Second, 3*time.Second); at < silencesLast-12*time.Second; {
 		s := span{at, at + between(300*time.Millisecond, 8*time.Second)}
 		p.silences = append(p.silences, s)
-		p.failures = append(p.failures, []relay.Failure{relay.Silent, relay.Silent, relay.Unreadable, relay.Resetting}[r.IntN(4)])
+		kinds := []relay.Failure{relay.Silent, relay.Silent, relay.Unreadable, relay.Resetting}
+		p.failures = append(p.failures, kinds[r.IntN(len(kinds))])
 		p.carried = append(p.carried, []float64{0, 0.5, 1}[r.IntN(3)])
 		at = s.to + between(500*time.Millisecond, 6*time.Second)
 	}
