--- /dev/null
+++ b/internal/controller/endpoints_test.go
@@ -0,0 +1,72 @@
+package controller
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"indigousher/internal/wire"
+	"indigousher/planner"
+)
+
+// TestRestamped guards the start of an endpoint against jitter of the list's clock, which would look like a restart.
+func TestRestamped(t *testing.T) {
+	d := &scriptedDecider{}
+	c := NewCore(newOptions(d, &fakeTransport{}))
+	for i, at := range []uint64{5000, 6003, 9100} {
+		list := &wire.List{Now: at, Entries: []wire.Entry{entry("x", 4000)}}
+		c.Handle(float64(i*1000), []Input{EndpointsListed{List: list}})
+	}
+	c.Handle(9000, []Input{EndpointsListed{List: &wire.List{Now: 9200, Entries: []wire.Entry{entry("x", 9100)}}}})
+	var starts []float64
+	for _, n := range d.events {
+		listing, ok := n.(planner.EndpointUpdate)
+		require.True(t, ok, "%T", n)
+		starts = append(starts, listing.Entries[0].Started)
+	}
+	assert.Equal(t, []float64{-1000, -1000, -1000, 8900}, starts)
+}
+
+// TestGenerations guards memory: endpoints give way to new ones under new names for as long as a pilot lives, and
+// each name would keep an index, its actor and its lines in the decider.
+func TestGenerations(t *testing.T) {
+	terms := map[string]any{
+		"instances":   1.0,
+		"lines_per_s": 1000.0,
+		"backlog":     1500.0,
+		"proxy_count": 10.0,
+		"zones":       []any{"a", "b"},
+		"req_kinds":   []any{map[string]any{"payoff": 1.0}},
+	}
+	c, relay := newRelayCore(planner.New(1, terms))
+	c.Handle(0, []Input{RelayProxyJoined{Proxy: 1, Zone: "a", Rate: 5, Fresh: true}})
+	most, last := 0, ""
+	for g := range 500 {
+		l := &wire.List{Version: g, Whole: g%7 == 0, Now: uint64(1e9 + 5000*g)}
+		for i := range 4 {
+			if last = fmt.Sprint("e", g, "-", i); g > 0 && !l.Whole {
+				before := fmt.Sprint("e", g-1, "-", i)
+				l.Entries = append(l.Entries, wire.Entry{Endpoint: before, Zone: "a", Machine: "m", Phase: wire.PhaseGone})
+			}
+			l.Entries = append(l.Entries,
+				wire.Entry{Endpoint: last, Zone: "a", Machine: "m", Weight: 1, Started: l.Now - 100})
+		}
+		c.Handle(float64(5000*g), []Input{EndpointsListed{List: l}})
+		for s := 1; s <= 4; s++ {
+			c.Handle(float64(5000*g+1000*s), []Input{ZoneStats{Zone: "a", Endpoint: last, Attempts: 9, SpanMs: 1000}})
+		}
+		if g == 100 {
+			most = c.endpoints.len()
+		}
+	}
+	assert.LessOrEqual(t, c.endpoints.len(), most, "indices of those long gone are used again")
+	assert.Less(t, most, 100)
+	_, known := c.endpoints.find("e1-0")
+	assert.False(t, known, "the name of one long gone is forgotten")
+	assert.LessOrEqual(t, len(c.endpoints.retiredAtMs), most)
+	assert.True(t, relay.names[last], "a new endpoint under a used index is planned by its own name")
+	assert.Zero(t, c.ReportStats.Malformed)
+	assert.Equal(t, 2000, c.ReportStats.Reports)
+}
--- /dev/null
+++ b/internal/controller/events.go
@@ -0,0 +1,65 @@
+package controller
+
+import (
+	"fmt"
+	"maps"
+
+	"indigousher/planner"
+)
+
+// outcomeOK is the outcome of a health check that the endpoint passed.
+const outcomeOK = "ok"
+
+// handleInput takes over what an input says and appends what the decider is to hear of it.
+func (c *Core) handleInput(events []planner.Event, in Input) []planner.Event {
+	switch in := in.(type) {
+	case ProxyJoined:
+		return c.join(events, in)
+	case ProxyLeft:
+		return c.leave(events, in)
+	case LoadReported: // in virtual time; on sockets the loop takes it in where it is read
+		c.Report(c.now, in.Stream, in.Sums)
+	case Acked:
+		return c.acknowledge(events, in)
+	case EndpointsListed:
+		return append(events, c.applyList(in))
+	case EndpointListLost:
+		return append(events, planner.EndpointUpdate{Mode: planner.UpdateFailed})
+	case SliceAssigned:
+		return c.assignSlice(events, in.Slices)
+	case HealthChecked:
+		return c.healthChecked(events, in)
+	case GossipReceived:
+		return append(events, planner.Gossip{From: in.From, Text: in.Text})
+	case SettingsChanged:
+		c.changeSettings(in.Settings)
+	case TelemetryBatch:
+		c.acceptRecorded(in.Events)
+	default:
+		return c.handleRelayInput(events, in)
+	}
+	return events
+}
+
+// healthChecked appends the result of a health check, if its endpoint is known.
+func (c *Core) healthChecked(events []planner.Event, in HealthChecked) []planner.Event {
+	endpoint, known := c.endpoints.find(in.Endpoint)
+	if !known {
+		return events
+	}
+	load, outOfRange := loadReport(in.Load)
+	for _, f := range outOfRange {
+		c.reportMalformed(malformedLoadFigure, f.Name, fmt.Sprint(f.Value))
+	}
+	return append(events, planner.HealthCheckResult{
+		Endpoint: endpoint, OK: in.Outcome == outcomeOK, Outcome: in.Outcome,
+		TookMs: in.TookMs, Load: load,
+	})
+}
+
+// changeSettings puts changed settings into those of the decider, and into the channel's limits.
+func (c *Core) changeSettings(changed map[string]any) {
+	maps.Copy(c.options.Settings, changed)
+	c.options.Decider.Reconfigure(c.options.Settings)
+	c.Channel.Reconfigure(changed)
+}
--- /dev/null
+++ b/internal/controller/fakes_test.go
@@ -0,0 +1,143 @@
+package controller
+
+import (
+	"errors"
+	"fmt"
+
+	"indigousher/internal/wire"
+	"indigousher/planner"
+	"indigousher/telemetry"
+)
+
+// scriptedDecider returns one scripted list of commands a call and keeps the events and times that it was given.
+type scriptedDecider struct {
+	commands [][]planner.Command
+	events   []planner.Event
+	times    []float64
+}
+
+func (s *scriptedDecider) Handle(nowMs float64, events []planner.Event) []planner.Command {
+	s.events = append(s.events, events...)
+	s.times = append(s.times, nowMs)
+	if len(s.commands) == 0 {
+		return nil
+	}
+	o := s.commands[0]
+	s.commands = s.commands[1:]
+	return o
+}
+
+// Reconfigure keeps nothing: what the settings hold is looked at in the options.
+func (s *scriptedDecider) Reconfigure(map[string]any) {}
+
+// fakeTransport stands for a proxy's stream, the endpoint list, the health checker and the peers.
+type fakeTransport struct {
+	sent   []*wire.Orders
+	closed string
+	calls  []string
+	full   bool
+}
+
+func (f *fakeTransport) Send(m *wire.Orders) error {
+	if f.full {
+		return errors.New("full")
+	}
+	f.sent = append(f.sent, m)
+	return nil
+}
+
+func (f *fakeTransport) Ask(m *wire.Pace) error {
+	f.calls = append(f.calls, fmt.Sprint("pace ", m.PeriodMs))
+	return nil
+}
+func (f *fakeTransport) Close(reason string)   { f.closed = reason }
+func (f *fakeTransport) Watch(on bool)         { f.calls = append(f.calls, fmt.Sprint("watch ", on)) }
+func (f *fakeTransport) Fetch()                { f.calls = append(f.calls, "fetch") }
+func (f *fakeTransport) Probe(endpoint string) { f.calls = append(f.calls, "probe "+endpoint) }
+func (f *fakeTransport) Tell(peer int, text string) {
+	f.calls = append(f.calls, fmt.Sprint("tell ", peer, " ", text))
+}
+
+// newOptions returns options whose transports are all one fake.
+func newOptions(d Decider, transport *fakeTransport) Options {
+	return Options{
+		Decider:        d,
+		Settings:       map[string]any{"slices": 16.0},
+		Zones:          []string{"a", "b"},
+		Machines:       []string{"std"},
+		Classes:        []string{"read", "book"},
+		HeadLines:      4,
+		MessagesOverMs: 10000,
+		Telemetry:      telemetry.Options{PeriodMs: 1000, HalfMs: 1e9, LongestMs: 60000},
+		MaxProxies:     3,
+		EndpointSource: transport,
+		HealthChecker:  transport,
+		Gossip:         transport,
+		Log:            func(t string) { transport.calls = append(transport.calls, "log "+t) },
+		Malformed:      func(what string, _ ...string) { transport.calls = append(transport.calls, "odd "+what) },
+	}
+}
+
+// hello returns what a proxy that holds some endpoints says first.
+func hello(name, zone string, holds ...string) wire.Hello {
+	return wire.Hello{Version: 1, Proxy: name, Zone: zone, Rate: 2, Fresh: true, Holds: holds}
+}
+
+// listed returns entries of a list whose clock stands at 5000 ms.
+func listed(whole bool, entries ...wire.Entry) EndpointsListed {
+	return EndpointsListed{List: &wire.List{Version: 7, Now: 5000, Whole: whole, Entries: entries}}
+}
+
+// entry returns an endpoint of zone b that started at a time of the list's clock.
+func entry(name string, started uint64) wire.Entry {
+	return wire.Entry{Endpoint: name, Zone: "b", Machine: "std", Weight: 2, Started: started}
+}
+
+// oneTurnDecider keeps the events that it was given and returns its commands once.
+type oneTurnDecider struct {
+	events   []planner.Event
+	commands []planner.Command
+}
+
+func (s *oneTurnDecider) Handle(_ float64, events []planner.Event) []planner.Command {
+	s.events = append(s.events, events...)
+	o := s.commands
+	s.commands = nil
+	return o
+}
+
+// Reconfigure does nothing.
+func (s *oneTurnDecider) Reconfigure(map[string]any) {}
+
+// recordingRelay is a relay that counts the commands it is given.
+type recordingRelay struct {
+	commands int
+	gone     []int
+	names    map[string]bool
+}
+
+func (c *recordingRelay) Enqueue(turn []planner.Command, endpoint func(int) string) {
+	c.commands += len(turn)
+	for _, o := range turn {
+		if l, ok := o.(planner.SetWeight); ok {
+			c.names[endpoint(l.Endpoint)] = true
+		}
+	}
+}
+func (c *recordingRelay) ProxyLeft(proxy int) { c.gone = append(c.gone, proxy) }
+
+// newRelayCore returns a core whose streams a relay holds.
+func newRelayCore(d Decider) (*Core, *recordingRelay) {
+	relay := &recordingRelay{names: map[string]bool{}}
+	return NewCore(Options{
+		Decider:    d,
+		Settings:   map[string]any{},
+		Zones:      []string{"a", "b"},
+		Machines:   []string{"m"},
+		Classes:    []string{"read"},
+		MaxProxies: 10,
+		Relay:      relay,
+		Log:        func(string) {},
+		Malformed:  func(string, ...string) {},
+	}), relay
+}
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -10,62 +10,68 @@
 	"go.uber.org/zap"
 )
 
-// Clock is the pilot's own clock; nothing of another machine's counts.
-type Clock interface {
-	Now() time.Time
-	// After sends once the time has passed, unless stop is called first.
-	After(time.Duration) (fired <-chan time.Time, stop func() bool)
-}
-
-// RealClock is the machine's clock.
-type RealClock struct{}
-
-// Now returns the time with the machine's monotonic reading.
-func (RealClock) Now() time.Time { return time.Now() }
-
-// After starts a timer.
-func (RealClock) After(d time.Duration) (<-chan time.Time, func() bool) {
-	t := time.NewTimer(d)
-	return t.C, t.Stop
-}
-
-// Sizes of the loop: inputs that may wait before edges are held up, and inputs of one turn.
 const (
+	// inboxSize is how many inputs may wait before Post blocks the transports.
 	inboxSize = 4096
-	turnSize  = 4096
+	// turnSize bounds the inputs that one turn handles, so that the channel is served in between.
+	turnSize = 4096
+	// longestWaitMs bounds the sleep of the loop: a timer that is far off or missing is looked at again after it.
+	longestWaitMs = 1000
+	// warnFraction is the part of the backlog limit from which waiting lines are logged.
+	warnFraction = 0.8
+	// warnInterval is the shortest time between two such log lines.
+	warnInterval = time.Second
 )
 
+// Inbox is where transports put inputs: the loop, mostly.
+type Inbox interface {
+	Post(ctx context.Context, in Input) error
+}
+
 // Loop is the one goroutine that drives a Core: it takes inputs from a bounded inbox and wakes when something is due.
+// Run is that goroutine; the caller starts it, and it ends with its context. Post and State may be called by others.
 type Loop struct {
-	core   *Core
+	core   *Core // touched by Run alone, but for reports, which have a lock of their own
 	clock  Clock
 	inbox  chan Input
 	log    *zap.Logger
-	start  time.Time
-	warned time.Time
-	mu     sync.Mutex
-	state  State
-}
+	start  time.Time // the moment 0 of the core's clock
+	warned time.Time // when the backlog was last logged
 
-// Inbox is where edges put inputs: the loop, mostly.
-type Inbox interface {
-	Post(ctx context.Context, in Input) error
+	mu    sync.Mutex // guards state
+	state State
 }
 
-// State is what the loop shows of itself after each turn.
+// State is what the loop shows of itself after each turn. Its JSON is shown by the admin listener.
 type State struct {
-	Proxies      int               `json:"Proxies"`
-	Endpoints    int               `json:"Endpoints"`
-	Lines        int               `json:"Lines"`
-	MostLines    int               `json:"MostLines"`
-	MostMessages int               `json:"MostMessages"`
-	Turns        int               `json:"Turns"`
-	Standing     int               `json:"Standing"`     // sums that wait in the intake
-	MostStanding int               `json:"MostStanding"` // sums that wait in the intake
-	Refused      map[string]uint64 `json:"Refused"`
-	Listed       bool              `json:"Listed"`
-	ReportStats  ReportStats       `json:"Believed"`
-	LastTurn     time.Time         `json:"LastTurn"`
+	// Joined proxies and known endpoints.
+	Proxies   int `json:"Proxies"`
+	Endpoints int `json:"Endpoints"`
+
+	// Lines that wait in the channel, the most that ever did, and the most messages to one proxy within the span of
+	// the limit on them.
+	Lines        int `json:"Lines"`
+	MostLines    int `json:"MostLines"`
+	MostMessages int `json:"MostMessages"`
+
+	// Turns of the loop since its start.
+	Turns int `json:"Turns"`
+
+	// Sums of reports that wait to be passed on, and the most that ever did.
+	Standing     int `json:"Standing"`
+	MostStanding int `json:"MostStanding"`
+
+	// Refused counts report lines by what became of them.
+	Refused map[string]uint64 `json:"Refused"`
+
+	// Listed is whether the endpoint list has arrived.
+	Listed bool `json:"Listed"`
+
+	// ReportStats counts the reports that were taken in.
+	ReportStats ReportStats `json:"Believed"`
+
+	// LastTurn is when the last turn ended.
+	LastTurn time.Time `json:"LastTurn"`
 }
 
 // NewLoop returns a loop that has not started.
@@ -73,7 +79,7 @@
 	return &Loop{core: core, clock: clock, inbox: make(chan Input, inboxSize), log: log, start: clock.Now()}
 }
 
-// ResumeAt has the loop's time begin at a moment of a core that was recovered.
+// ResumeAt has the loop's time begin at a moment of a core that was recovered. It is called before Run.
 func (l *Loop) ResumeAt(atMs float64) {
 	l.start = l.clock.Now().Add(-time.Duration(atMs * float64(time.Millisecond)))
 }
@@ -100,25 +106,20 @@
 	return l.state
 }
 
+// nowMs returns the time of the core's clock.
 func (l *Loop) nowMs() float64 {
 	return float64(l.clock.Now().Sub(l.start)) / float64(time.Millisecond)
 }
 
-// Run turns until ctx ends. The module hears of the start at once, with a first turn without input.
+// Run turns until ctx ends, which is no error. The decider hears of the start at once, with a first turn without input.
 func (l *Loop) Run(ctx context.Context) error {
 	var inputs []Input
 	for {
-		now := l.nowMs()
-		if len(inputs) > 0 || l.core.Due() <= now || l.State().Turns == 0 {
-			l.core.Handle(now, inputs)
-			l.core.plan.Metrics.took(len(inputs))
-		}
-		l.core.Channel.Send(l.nowMs())
-		l.show(inputs)
+		l.turn(inputs)
 		inputs = inputs[:0]
-		in, err := l.wait(ctx)
-		if err != nil {
-			return nil // asked to stop: no fault of the loop
+		in, ended := l.wait(ctx)
+		if ended {
+			return nil
 		}
 		if in != nil {
 			inputs = l.gather(append(inputs, in))
@@ -126,19 +127,31 @@
 	}
 }
 
-// wait returns the next input, or nil when something is due.
-func (l *Loop) wait(ctx context.Context) (Input, error) {
-	due := math.Min(l.core.Due(), l.core.Channel.Due()) - l.nowMs()
-	// a far or missing alarm is looked at again in a second
-	fired, stop := l.clock.After(time.Duration(math.Max(0, math.Min(due, 1000)) * float64(time.Millisecond)))
+// turn has the core handle what has come or is due, sends what may leave the channel, and publishes the state.
+func (l *Loop) turn(inputs []Input) {
+	now := l.nowMs()
+	if len(inputs) > 0 || l.core.Due() <= now || l.State().Turns == 0 {
+		l.core.Handle(now, inputs)
+		l.core.options.Metrics.setInputs(len(inputs))
+	}
+	l.core.Channel.Send(l.nowMs())
+	l.publish(inputs)
+	l.warnNearLimit()
+}
+
+// wait returns the next input, or nil when something is due, and whether ctx has ended.
+func (l *Loop) wait(ctx context.Context) (in Input, ended bool) {
+	waitMs := math.Min(l.core.Due(), l.core.Channel.Due()) - l.nowMs()
+	waitMs = math.Max(0, math.Min(waitMs, longestWaitMs))
+	fired, stop := l.clock.After(time.Duration(waitMs * float64(time.Millisecond)))
 	defer stop()
 	select {
-	case in := <-l.inbox:
-		return in, nil
+	case in = <-l.inbox:
+		return in, false
 	case <-fired:
-		return nil, nil
+		return nil, false
 	case <-ctx.Done():
-		return nil, ctx.Err()
+		return nil, true
 	}
 }
 
@@ -155,15 +168,18 @@
 	return inputs
 }
 
-// show publishes the state and warns, at most once a second, when a limit of the channel is near.
-func (l *Loop) show(inputs []Input) {
-	c := l.core.Channel
+// publish renews the state that others may look at.
+func (l *Loop) publish(inputs []Input) {
 	l.mu.Lock()
+	defer l.mu.Unlock()
 	l.state.Turns++
-	l.state.Proxies, l.state.Endpoints = len(l.core.sessions)+len(l.core.relayed), l.core.endpoints.Len()
-	l.state.Lines, l.state.MostLines, l.state.MostMessages = c.lines, c.MaxLines, c.MaxMessages
-	if l.core.plan.Relay == nil {
-		l.state.Standing, l.state.MostStanding, l.state.Refused = l.core.gate.state()
+	l.state.Proxies = l.core.sessions.len() + len(l.core.relayed.joined)
+	l.state.Endpoints = l.core.endpoints.len()
+	l.state.Lines = l.core.Channel.waitingLines
+	l.state.MostLines = l.core.Channel.MaxLines
+	l.state.MostMessages = l.core.Channel.MaxMessages
+	if l.core.options.Relay == nil {
+		l.state.Standing, l.state.MostStanding, l.state.Refused = l.core.reports.stats()
 	}
 	l.state.ReportStats = l.core.ReportStats
 	l.state.LastTurn = l.clock.Now()
@@ -172,9 +188,18 @@
 			l.state.Listed = true
 		}
 	}
-	l.mu.Unlock()
-	if c.backlog > 0 && float64(c.lines) > nearPart*c.backlog && l.clock.Now().Sub(l.warned) > time.Second {
-		l.warned = l.clock.Now()
-		l.log.Warn("channel near its limit", zap.Int("lines", c.lines), zap.Float64("backlog", c.backlog))
+}
+
+// warnNearLimit logs, at most once in warnInterval, that the channel nears its backlog limit.
+func (l *Loop) warnNearLimit() {
+	channel := l.core.Channel
+	if channel.backlog <= 0 || float64(channel.waitingLines) <= warnFraction*channel.backlog {
+		return
+	}
+	now := l.clock.Now()
+	if now.Sub(l.warned) <= warnInterval {
+		return
 	}
+	l.warned = now
+	l.log.Warn("channel near its limit", zap.Int("lines", channel.waitingLines), zap.Float64("backlog", channel.backlog))
 }
