--- a/cmd/indigousher/kill_test.go
+++ b/cmd/indigousher/kill_test.go
@@ -34,17 +34,21 @@
 	listen, admin string
 }
 
+func mustClose(t *testing.T, c io.Closer) { assert.NoError(t, c.Close()) }
+
 func freePort(t *testing.T) string {
 	l, err := network.Listen("") // off the address that outgoing connections take ports from
 	require.NoError(t, err)
-	defer l.Close()
+	defer mustClose(t, l)
 	return l.Addr().String()
 }
 
 func newWorld(t *testing.T) *world {
 	dir := t.TempDir()
-	w := &world{t: t, binary: filepath.Join(dir, "indigousher"), file: filepath.Join(dir, "pilot.hcl"),
-		records: filepath.Join(dir, "records"), listen: freePort(t), admin: freePort(t)}
+	w := &world{
+		t: t, binary: filepath.Join(dir, "indigousher"), file: filepath.Join(dir, "pilot.hcl"),
+		records: filepath.Join(dir, "records"), listen: freePort(t), admin: freePort(t),
+	}
 	out, err := exec.Command("go", "build", "-o", w.binary, ".").CombinedOutput()
 	require.NoError(t, err, "%s", out)
 	require.NoError(t, os.Mkdir(w.records, 0o755))
@@ -87,7 +91,7 @@
 	if err != nil {
 		return false
 	}
-	defer r.Body.Close()
+	defer mustClose(w.t, r.Body)
 	_, _ = io.Copy(io.Discard, r.Body)
 	return r.StatusCode == http.StatusOK
 }
@@ -97,9 +101,12 @@
 	book := eventlog.NewLog()
 	for i := range 3 {
 		name := fmt.Sprint("p", i)
-		p := proxy.New(proxy.Options{Name: name, Zone: "a", Habits: routing.Policy{Kinds: []string{"read"}}, Rate: 1,
-			Standing: func() []string { return []string{"127.0.0.1:9000"} }, Pilots: func() []string { return []string{w.listen} },
-			Dial: (&net.Dialer{}).DialContext, Redial: 20 * time.Millisecond}, book.Stream(name))
+		p := proxy.New(proxy.Options{
+			Name: name, Zone: "a", Habits: routing.Policy{Kinds: []string{"read"}}, Rate: 1,
+			Standing: func() []string { return []string{"127.0.0.1:9000"} },
+			Pilots:   func() []string { return []string{w.listen} },
+			Dial:     (&net.Dialer{}).DialContext, Redial: 20 * time.Millisecond,
+		}, book.Stream(name))
 		require.NoError(w.t, p.Start())
 		w.t.Cleanup(p.Kill)
 	}
@@ -128,21 +135,21 @@
 	assert.Greater(t, recovered, 4)
 	s, err := daemon.OpenRecords(w.records)
 	require.NoError(t, err)
-	defer s.Close()
+	defer mustClose(t, s)
 	lives, err := s.Lives()
 	require.NoError(t, err)
 	turns := 0
 	for _, l := range lives {
 		require.NoError(t, s.Read(l.ID, func(ts []record.Turn, _ bool) error { turns += len(ts); return nil }))
-		r, err := record.Replay(s, l, nil, module)
+		r, err := record.Replay(s, l, nil, newPlanner)
 		require.NoError(t, err)
 		assert.Empty(t, r.FirstDiff, l.ID)
 	}
 	assert.Positive(t, turns)
 }
 
-// TestUpgraded guards an upgrade of real processes: the new one takes over, the old one ends by itself with status 0, and a
-// new one that is wrong leaves the old in its place.
+// TestUpgraded guards an upgrade of real processes: the new one takes over, the old one ends by itself with status 0,
+// and a new one that is wrong leaves the old in its place.
 func TestUpgraded(t *testing.T) {
 	w := newWorld(t)
 	book := w.followed()
--- a/cmd/indigousher/silences_test.go
+++ b/cmd/indigousher/silences_test.go
@@ -28,8 +28,8 @@
 	leastLeftActive = 12
 )
 
-// failureWaits is how long limits still wait after a failure. The rules give 1.5 s from the last call that was silent or
-// unreadable and 0.5 s from one that was reset; the last call may be 0.6 and 0.35 s before the failure's end.
+// failureWaits is how long limits still wait after a failure. The rules give 1.5 s from the last call that was silent
+// or unreadable and 0.5 s from one that was reset; the last call may be 0.6 and 0.35 s before the failure's end.
 var failureWaits = map[relay.Failure]time.Duration{
 	relay.Silent:     900 * time.Millisecond,
 	relay.Unreadable: 1150 * time.Millisecond,
@@ -55,7 +55,8 @@
 	for at := between(time.Second, 3*time.Second); at < silencesLast-12*time.Second; {
 		s := span{at, at + between(300*time.Millisecond, 8*time.Second)}
 		p.silences = append(p.silences, s)
-		p.failures = append(p.failures, []relay.Failure{relay.Silent, relay.Silent, relay.Unreadable, relay.Resetting}[r.IntN(4)])
+		kinds := []relay.Failure{relay.Silent, relay.Silent, relay.Unreadable, relay.Resetting}
+		p.failures = append(p.failures, kinds[r.IntN(len(kinds))])
 		p.carried = append(p.carried, []float64{0, 0.5, 1}[r.IntN(3)])
 		at = s.to + between(500*time.Millisecond, 6*time.Second)
 	}
@@ -166,10 +167,10 @@
 	}
 }
 
-// TestDrainsUnderSeededSilences plays drawn days with a real process: the relay is silent, resets its calls or answers in a
-// form that can't be read for 0.3 to 8 s, again and again, and carries out all, half or none of what it reads meanwhile; event streams are broken for up to a second, with the
-// answers to marks; endpoints drain and return. Drains are kept within the grace, which waits in silences, and the channel
-// stays short.
+// TestDrainsUnderSeededSilences plays drawn days with a real process: the relay is silent, resets its calls or answers
+// in a form that can't be read for 0.3 to 8 s, again and again, and carries out all, half or none of what it reads
+// meanwhile; event streams are broken for up to a second, with the answers to marks; endpoints drain and return. Drains
+// are kept within the grace, which waits in silences, and the channel stays short.
 func TestDrainsUnderSeededSilences(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "indigousher")
 	out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput()
@@ -182,8 +183,10 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			random := rand.New(rand.NewPCG(uint64(seed), 29))
-			d := &silentDay{plan: drawSilences(random), random: random, drained: map[string]time.Duration{},
-				broken: map[string]bool{}}
+			d := &silentDay{
+				plan: drawSilences(random), random: random, drained: map[string]time.Duration{},
+				broken: map[string]bool{},
+			}
 			d.silentSite = startSilentSite(t, binary)
 			d.settle()
 			d.play()
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"net"
 	"os"
 	"sync"
 
@@ -13,158 +12,148 @@
 	"indigousher/internal/handover"
 )
 
-// Host runs a pilot's process: the pilot, and what lets a new process take over from it or it from an old one.
+// errNoSocket says that a takeover was asked for without a handover socket.
+var errNoSocket = errors.New("take over: the terms name no handover socket")
+
+// Host runs a controller's process: the controller, its takeover from another process, and its handoff to one.
 type Host struct {
-	terms  *config.Pilot
-	outfit Options
-	mu     sync.Mutex
-	d      *Daemon
+	config  *config.Pilot
+	options Options
+
+	mu     sync.Mutex // guards what follows; files is set once, by the first start
+	daemon *Daemon    // that runs, or ran last
 	stop   context.CancelFunc
-	ended  chan error
-	files  map[string]*os.File
-	claim  *handover.Lock // where a handover socket is told: nobody else serves meanwhile
-	taken  chan error     // the offer has ended
-	faults chan error     // the pilot ended by itself
+	ended  chan error          // has the error of the daemon's run once it has ended
+	files  map[string]*os.File // handles on the listeners, of the first daemon; they outlive each
+	lock   *handover.Lock      // nil without a handover socket; with it nobody else serves meanwhile
+
+	replaced chan error // the handoff has ended: another process has taken over, or it failed
+	faults   chan error // the daemon has ended by itself
 }
 
-// Start starts a pilot; with takeOver it is taken over from the process that runs.
-func Start(ctx context.Context, t *config.Pilot, o Options, takeOver bool) (*Host, error) {
-	o.fill()
-	h := &Host{terms: t, outfit: o, faults: make(chan error, 1)}
-	if !takeOver {
-		if t.Handover != "" {
-			var err error
-			if h.claim, err = handover.AcquireLock(t.Handover); err != nil {
-				return nil, err
-			}
-		}
-		if err := h.start(ctx); err != nil {
-			h.claim.Release()
-			return nil, err
-		}
-		h.offer(ctx)
-		return h, nil
-	}
-	if t.Handover == "" {
-		return nil, errors.New("take over: the terms name no handover socket")
+// Start starts a controller; with takeOver it is taken over from the process that runs.
+func Start(ctx context.Context, cfg *config.Pilot, o Options, takeOver bool) (*Host, error) {
+	o.setDefaults()
+	h := &Host{config: cfg, options: o, faults: make(chan error, 1)}
+	var err error
+	if takeOver {
+		err = h.takeOver(ctx)
+	} else {
+		err = h.startFirst(ctx)
 	}
-	taking, err := handover.RequestTakeover(t.Handover)
 	if err != nil {
 		return nil, err
 	}
-	if h.claim, err = taking.Claim(); err != nil {
-		taking.Abort()
-		return nil, err
+	h.serveHandoff(ctx)
+	return h, nil
+}
+
+// startFirst starts the controller when no other process runs it, which the lock tells.
+func (h *Host) startFirst(ctx context.Context) error {
+	if h.config.Handover != "" {
+		lock, err := handover.AcquireLock(h.config.Handover)
+		if err != nil {
+			return err
+		}
+		h.lock = lock
+	}
+	if err := h.start(ctx); err != nil {
+		h.lock.Release()
+		return err
 	}
-	h.outfit.Listeners = taking.Listeners
-	err = h.start(ctx)
+	return nil
+}
+
+// takeOver starts the controller on the listeners of the process that runs it, once that has stopped.
+func (h *Host) takeOver(ctx context.Context) error {
+	if h.config.Handover == "" {
+		return errNoSocket
+	}
+	takeover, err := handover.RequestTakeover(h.config.Handover)
 	if err != nil {
-		h.claim.Release() // before the old one hears of it
-		taking.Abort()
-		return nil, err
+		return err
 	}
-	taking.Started(true)
-	h.offer(ctx)
-	return h, nil
+	if h.lock, err = takeover.Claim(); err != nil {
+		takeover.Abort()
+		return err
+	}
+	h.options.Listeners = takeover.Listeners
+	if err := h.start(ctx); err != nil {
+		h.lock.Release() // before the old process hears of it
+		takeover.Abort()
+		return err
+	}
+	takeover.Started(true)
+	return nil
 }
 
-// start begins the pilot, on the listeners that the host has.
+// start makes a daemon, on the listeners that the host has, and runs it. Its goroutine ends when the run does, by stop,
+// by the end of ctx or by a fault.
 func (h *Host) start(ctx context.Context) error {
-	d, err := New(h.terms, h.outfit)
+	d, err := New(h.config, h.options)
 	if err != nil {
 		return err
 	}
-	dctx, stop := context.WithCancel(ctx)
+	ctx, stop := context.WithCancel(ctx)
 	ended := make(chan error, 1)
-	h.mu.Lock()
-	h.d, h.stop, h.ended = d, stop, ended
-	if h.files == nil {
-		h.files = d.Files()
-	} else {
-		closeFiles(d.Files())
-	}
-	h.mu.Unlock()
+	h.setDaemon(d, stop, ended)
 	go func() {
-		err := d.Run(dctx)
+		err := d.Run(ctx)
 		ended <- err
-		if dctx.Err() == nil { // by a fault, not asked
+		if ctx.Err() == nil { // by a fault, not asked
 			h.faults <- err
 		}
 	}()
 	return nil
 }
 
-func closeFiles(files map[string]*os.File) {
-	for _, f := range files {
-		_ = f.Close()
+// setDaemon notes the daemon that runs. Handles on the listeners are kept of the first one.
+func (h *Host) setDaemon(d *Daemon, stop context.CancelFunc, ended chan error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.daemon = d
+	h.stop = stop
+	h.ended = ended
+	if h.files == nil {
+		h.files = d.Files()
+	} else {
+		closeFiles(d.Files())
 	}
 }
 
-// halt ends the pilot and its record; the files stay open.
+// halt ends the controller and its record; the listeners' files stay open.
 func (h *Host) halt() {
 	h.mu.Lock()
-	stop, ended := h.stop, h.ended
+	stop := h.stop
+	ended := h.ended
 	h.mu.Unlock()
 	stop()
 	if err := <-ended; err != nil {
-		h.outfit.Log.Error("pilot ended", zap.Error(err))
+		h.options.Log.Error("pilot ended", zap.Error(err))
 	}
-	ended <- nil
+	ended <- nil // for whoever waits next
 }
 
-// offer lets others take over.
-func (h *Host) offer(ctx context.Context) {
-	h.taken = make(chan error, 1)
-	if h.terms.Handover == "" {
-		return
-	}
-	o := handover.Handoff{Files: h.files, Stop: func() { h.halt(); h.letGo() }, Resume: func(claim *handover.Lock) {
-		h.mu.Lock()
-		h.claim = claim
-		h.mu.Unlock()
-		h.outfit.Log.Warn("handover failed, going on")
-		h.outfit.Listeners = map[string]net.Listener{}
-		for name, f := range h.files {
-			l, err := net.FileListener(f)
-			if err != nil {
-				h.outfit.Log.Error("listener lost", zap.String("name", name), zap.Error(err))
-				continue
-			}
-			h.outfit.Listeners[name] = l
-		}
-		if err := h.start(ctx); err != nil {
-			h.outfit.Log.Error("pilot can't go on", zap.Error(err))
-			h.taken <- err
-		}
-	}}
-	go func() {
-		taken, err := o.Serve(ctx, h.terms.Handover)
-		if taken || err != nil {
-			h.taken <- err
-		}
-	}()
-}
-
-// Daemon returns the pilot that runs.
+// Daemon returns the controller that runs.
 func (h *Host) Daemon() *Daemon {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.d
+	return h.daemon
 }
 
-// Wait returns when the pilot has ended: asked by ctx, by a fault, or as another process has taken over.
+// Wait returns when the controller has ended: asked by ctx, by a fault, or as another process has taken over.
 func (h *Host) Wait(ctx context.Context) error {
 	defer h.close()
 	h.mu.Lock()
 	ended := h.ended
 	h.mu.Unlock()
-	if h.terms.Handover == "" {
+	if h.config.Handover == "" {
 		return <-ended
 	}
 	select {
-	case err := <-h.taken:
+	case err := <-h.replaced:
 		if err == nil {
-			h.outfit.Log.Info("another process has taken over")
+			h.options.Log.Info("another process has taken over")
 		}
 		return err
 	case err := <-h.faults:
@@ -177,12 +166,18 @@
 
 func (h *Host) close() {
 	closeFiles(h.files)
-	h.letGo()
+	h.release()
 }
 
-// letGo gives up the claim to serve.
-func (h *Host) letGo() {
+// release releases the lock: another process may serve.
+func (h *Host) release() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.claim.Release()
+	h.lock.Release()
+}
+
+func closeFiles(files map[string]*os.File) {
+	for _, file := range files {
+		_ = file.Close() // a second handle; nothing is lost with it
+	}
 }
--- /dev/null
+++ b/internal/daemon/reload.go
@@ -0,0 +1,41 @@
+package daemon
+
+import (
+	"context"
+	"fmt"
+
+	"go.uber.org/zap"
+
+	"indigousher/internal/config"
+	"indigousher/internal/controller"
+)
+
+// Reload takes over what may change of a new configuration. It returns the names of the fields that have changed, and
+// of those that want a restart and keep their old values.
+func (d *Daemon) Reload(ctx context.Context, cfg *config.Pilot) (changed, restart []string, err error) {
+	changed, restart = config.Reload(d.config.Load(), cfg)
+	if len(changed) == 0 {
+		return nil, restart, nil
+	}
+	if err := d.loop.Post(ctx, controller.SettingsChanged{Settings: cfg.ReloadableSettings()}); err != nil {
+		return nil, nil, fmt.Errorf("reload: %w", err)
+	}
+	d.setLogLevel(cfg.LogLevel)
+	d.config.Store(config.Merge(d.config.Load(), cfg))
+	if d.recording != nil {
+		if err := d.recording.updateSettings(d.config.Load()); err != nil {
+			d.options.Log.Error("terms not recorded; a return will start cold", zap.Error(err))
+		}
+	}
+	return changed, restart, nil
+}
+
+// setLogLevel sets the level of the log, if it can be set. The level was checked with the configuration.
+func (d *Daemon) setLogLevel(level string) {
+	if d.options.Level == nil {
+		return
+	}
+	if parsed, err := zap.ParseAtomicLevel(level); err == nil {
+		d.options.Level.SetLevel(parsed.Level())
+	}
+}
--- /dev/null
+++ b/internal/handover/message_hostile_test.go
@@ -0,0 +1,90 @@
+package handover
+
+import (
+	"context"
+	"net"
+	"os"
+	"path/filepath"
+	"runtime"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// TestBadRequester guards the handover socket against those who ask and mean harm, or nothing: each is let go of, none
+// holds up one that really takes over, and nothing of them stays.
+func TestBadRequester(t *testing.T) {
+	socket := filepath.Join(t.TempDir(), "handover.sock")
+	ctx, cancel := context.WithCancel(t.Context())
+	ended := make(chan error, 1)
+	handoff := Handoff{Stop: func() { t.Error("stopped for a bad requester") }, Resume: func(*Lock) {}}
+	go func() { _, err := handoff.Serve(ctx, socket); ended <- err }()
+	defer func() { cancel(); assert.NoError(t, <-ended) }()
+	mustClose(t, dialSocket(t, socket))
+	silent := dialSocket(t, socket)
+	defer mustClose(t, silent)
+	for name, text := range map[string]string{
+		"no JSON":         "take",
+		"cut off":         `{"Version":1,"Step":"ta`,
+		"another version": `{"Version":2,"Step":"take"}`,
+		"another step":    `{"Version":1,"Step":"go"}`,
+		"nested":          strings.Repeat("[", maxMessageBytes),
+		"too long":        `{"Version":1,"Step":"take"}` + strings.Repeat(" ", 2*maxMessageBytes),
+		"wrong type":      `{"Version":"one"}`,
+		"not UTF-8":       "\xff\xfe",
+	} {
+		conn := dialSocket(t, socket)
+		_, err := conn.Write([]byte(text))
+		require.NoError(t, err, name)
+		require.NoError(t, conn.SetReadDeadline(time.Now().Add(5*time.Second)), name)
+		n, err := conn.Read(make([]byte, maxMessageBytes))
+		assert.True(t, n == 0 || err != nil, "%s was answered", name)
+		mustClose(t, conn)
+	}
+	assertNoGoroutinesStay(t, socket)
+	assertNoFilesStay(t, socket)
+	requestUntilOffered(t, socket).Abort() // while one is still silent
+}
+
+// assertNoGoroutinesStay makes many connections that end at once.
+func assertNoGoroutinesStay(t *testing.T, socket string) {
+	before := runtime.NumGoroutine()
+	for range 200 {
+		mustClose(t, dialSocket(t, socket))
+	}
+	assert.Eventually(t, func() bool { return runtime.NumGoroutine() <= before+2 }, 5*time.Second, time.Millisecond,
+		"goroutines of those who have gone stay")
+}
+
+// assertNoFilesStay sends files along with requests, which bring none.
+func assertNoFilesStay(t *testing.T, socket string) {
+	before, err := openFiles()
+	require.NoError(t, err)
+	for range 20 {
+		require.Eventually(t, func() bool { // the one before may still be on its way out
+			conn := dialSocket(t, socket)
+			defer mustClose(t, conn)
+			return requestWithFiles(conn) == nil
+		}, 10*time.Second, time.Millisecond)
+	}
+	assert.Eventually(t, func() bool {
+		now, err := openFiles()
+		return err == nil && now <= before+3
+	}, 5*time.Second, time.Millisecond, "files of those who have gone stay")
+}
+
+func requestWithFiles(conn *net.UnixConn) error {
+	if err := send(conn, message{Step: stepRequest}, []*os.File{os.Stdin, os.Stdin, os.Stdin}); err != nil {
+		return err
+	}
+	return expect(conn, stepOffer, 5*time.Second)
+}
+
+// openFiles returns how many files this process has open.
+func openFiles() (int, error) {
+	files, err := os.ReadDir("/proc/self/fd")
+	return len(files), err
+}
--- a/internal/record/digest.go
+++ b/internal/record/digest.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"hash/crc64"
-	"io"
 
 	"indigousher/planner"
 )
@@ -32,40 +31,42 @@
 // Digest sums up the commands of a turn, in their order. Turn.Digest holds it in a record.
 func Digest(orders []planner.Command) uint64 {
 	h := crc64.New(table)
+	var text []byte
 	for _, o := range orders {
-		writeDigest(h, o)
+		text = appendDigest(text[:0], o)
+		h.Write(text)
 	}
 	return h.Sum64()
 }
 
-// writeDigest writes the text of one command. Writes to a hash don't fail.
-func writeDigest(h io.Writer, order planner.Command) {
+// appendDigest appends the text of one command.
+func appendDigest(text []byte, order planner.Command) []byte {
 	switch o := order.(type) {
 	case planner.SetWeight:
-		fmt.Fprintf(h, digestSetLine, o.Table, o.Endpoint, o.Weight)
+		return fmt.Appendf(text, digestSetLine, o.Table, o.Endpoint, o.Weight)
 	case planner.ClearTable:
-		fmt.Fprintf(h, digestClearTable, o.Table)
+		return fmt.Appendf(text, digestClearTable, o.Table)
 	case planner.AssignTable:
-		fmt.Fprintf(h, digestBind, o.Table, o.Proxy, o.Classes)
+		return fmt.Appendf(text, digestBind, o.Table, o.Proxy, o.Classes)
 	case planner.SetExcluded:
-		fmt.Fprintf(h, digestWithdraw, o.Endpoint, o.Excluded)
+		return fmt.Appendf(text, digestWithdraw, o.Endpoint, o.Excluded)
 	case planner.SetAdmission:
-		fmt.Fprintf(h, digestAdmit, o.Table, o.Classes, o.RetryMode, o.Level)
+		return fmt.Appendf(text, digestAdmit, o.Table, o.Classes, o.RetryMode, o.Level)
 	case planner.AckRequest:
-		fmt.Fprintf(h, digestMark, o.Number, o.All)
+		return fmt.Appendf(text, digestMark, o.Number, o.All)
 	case planner.HealthCheck:
-		fmt.Fprintf(h, digestProbe, o.Endpoint)
+		return fmt.Appendf(text, digestProbe, o.Endpoint)
 	case planner.SendGossip:
-		fmt.Fprintf(h, digestTell, o.Peer, o.Text)
+		return fmt.Appendf(text, digestTell, o.Peer, o.Text)
 	case planner.SetTimer:
-		fmt.Fprintf(h, digestWakeAt, o.AtMs, o.Name)
+		return fmt.Appendf(text, digestWakeAt, o.AtMs, o.Name)
 	case planner.WatchEndpoints:
-		fmt.Fprintf(h, digestWatch, o.On)
+		return fmt.Appendf(text, digestWatch, o.On)
 	case planner.FetchEndpoints:
-		fmt.Fprint(h, digestFetchList)
+		return fmt.Append(text, digestFetchList)
 	case planner.Log:
-		fmt.Fprintf(h, digestLog, o.Text)
+		return fmt.Appendf(text, digestLog, o.Text)
 	default:
-		fmt.Fprintf(h, "%T%+v\n", order, order)
+		return fmt.Appendf(text, "%T%+v\n", order, order)
 	}
 }
--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -4,180 +4,177 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"hash"
 	"hash/crc64"
 
 	"indigousher/internal/controller"
 	"indigousher/internal/wire"
-	"indigousher/planner"
 )
 
-// Result is what a replay ordered.
+// Result is what a replay commanded.
 type Result struct {
-	Turns, Events, Gaps int
-	SpanMs              float64
-	Tables              uint64 // digest of all that was sent, by proxy
-	Messages, Lines     int
-	Exclusions          int // endpoints shut out
-	Sets, Removals      int // lines set, and of these removed
-	Levels              int // levels below 1 that were set
-	Assignments         int
-	MaxQueuedLines      int // lines in the channel
-	Estimate            Estimate
-	FirstDiff           string // where the replay first ordered otherwise than the record; "" for nowhere
+	Turns  int     // replayed, checkpoints left out
+	Events int     // events that the planner got
+	Gaps   int     // in the record
+	SpanMs float64 // from the first turn to the last
+
+	Tables   uint64 // digest of all that was sent to each proxy
+	Messages int    // sent
+	Lines    int    // in these
+
+	Exclusions     int // endpoints excluded
+	Sets           int // weights set
+	Removals       int // of these, weights of zero: lines removed
+	Levels         int // admission levels below 1 that were set
+	Assignments    int // tables assigned
+	MaxQueuedLines int // lines in the channel at once
+
+	Estimate  Estimate
+	FirstDiff string // where the replay first commanded otherwise than the record; "": nowhere
 }
 
-// NewDecider makes what decides in a replay.
-type NewDecider func(seed int64, terms map[string]any) controller.Decider
-
-// Replay feeds a life to a core in virtual time. With terms of nil its own are used and orders are held against the
-// record; with others they can only be looked at, as the world's answers are those of the recorded day.
-func Replay(s *Store, l Life, with map[string]any, decide NewDecider) (*Result, error) {
-	own := with == nil
-	terms := with
-	if own {
-		terms = map[string]any{}
-		if err := json.Unmarshal([]byte(l.Settings), &terms); err != nil {
-			return nil, fmt.Errorf("read terms of %s: %w", l.ID, err)
+// NewDecider makes the planner of a replay.
+type NewDecider func(seed int64, settings map[string]any) controller.Decider
+
+// lifeReplay is a replay under way.
+type lifeReplay struct {
+	result     *Result
+	core       *controller.Core
+	decider    *countingDecider
+	replayer   *replayer
+	sent       hash.Hash64 // of all messages
+	compare    bool        // hold the commands against the record
+	firstMs    float64     // when the first turn was, once there is one
+	lastTurnMs float64
+}
+
+// Replay feeds a life to a core in virtual time. Without settings, nil, its own are used and commands are held against
+// the record. With others they can only be looked at, as the endpoints' answers are those of the recorded day. If the
+// life's record is damaged, the result covers what can be read and comes with ErrCorrupt.
+func Replay(s *Store, l Life, settings map[string]any, newDecider NewDecider) (*Result, error) {
+	isOwn := settings == nil
+	if isOwn {
+		var err error
+		if settings, err = ownSettings(l); err != nil {
+			return nil, err
 		}
 	}
-	r := &Result{}
-	d := &listener{Decider: decide(l.Seed, terms), r: r}
-	plan, err := planOf(terms)
+	r, err := newLifeReplay(s, l, settings, newDecider)
+	if err != nil {
+		return nil, err
+	}
+	r.compare = isOwn
+	err = s.Read(l.ID, r.replayChunk)
+	r.finish()
+	if errors.Is(err, ErrCorrupt) {
+		return r.result, fmt.Errorf("%s after %d turns: %w", l.ID, r.result.Turns, err)
+	}
+	return r.result, err
+}
+
+// ownSettings returns the planner's settings at a life's start.
+func ownSettings(l Life) (map[string]any, error) {
+	settings := map[string]any{}
+	if err := json.Unmarshal([]byte(l.Settings), &settings); err != nil {
+		return nil, fmt.Errorf("read terms of %s: %w", l.ID, err)
+	}
+	return settings, nil
+}
+
+// newLifeReplay returns a replay at its start: a new core, rebuilt from the life before if the recorded one was.
+func newLifeReplay(s *Store, l Life, settings map[string]any, newDecider NewDecider) (*lifeReplay, error) {
+	r := &lifeReplay{result: &Result{}, sent: crc64.New(table)}
+	r.decider = &countingDecider{Decider: newDecider(l.Seed, settings), result: r.result}
+	options, err := optionsFromSettings(settings)
 	if err != nil {
 		return nil, err
 	}
-	plan.Decider, plan.Settings = d, terms
-	core := controller.NewCore(plan)
-	d.guess = newEstimator(core.Shares)
+	options.Decider = r.decider
+	options.Settings = settings
+	r.core = controller.NewCore(options)
+	r.decider.estimator = newEstimator(r.core.Shares)
 	if l.After != "" {
-		turns, _, err := ReadTail(s, l.After, l.TailMs)
-		if err != nil {
-			return nil, err
-		}
-		if err := Restore(core, turns[ReplayStart(turns, l.TailMs):]); err != nil {
+		if err := r.restore(s, l, options); err != nil {
 			return nil, err
 		}
-		core.FinishRecovery(plan)
-		*r = Result{}
-		core.Events = 0
-		d.guess = newEstimator(core.Shares)
-	}
-	sent := crc64.New(table)
-	p := Replayer{Core: core, Sent: func(proxy string, o *wire.Orders) {
-		r.Messages++
-		r.Lines += o.Lines
-		fmt.Fprintf(sent, "%s %v\n", proxy, o.Ops) // writes to a hash don't fail
-	}}
-	first := true
-	err = s.Read(l.ID, func(turns []Turn, gap bool) error {
-		if gap {
-			r.Gaps++
-		}
-		for i := range turns {
-			t := &turns[i]
-			if t.IsCheckpoint() {
-				continue
-			}
-			d.digest = Digest(nil)
-			if err := p.Play(t, 0); err != nil {
-				return err
-			}
-			if first {
-				first, r.SpanMs = false, -t.AtMs
-			}
-			if own && r.FirstDiff == "" && d.digest != t.Digest {
-				r.FirstDiff = fmt.Sprintf("turn %d at %.3f s, %d inputs, first %s", r.Turns, t.AtMs/1000, len(t.Inputs), describe(t))
-			}
-			r.Turns++
-			r.MaxQueuedLines = max(r.MaxQueuedLines, core.Channel.MaxLines)
-			d.lastMs = t.AtMs
-		}
-		return nil
-	})
-	r.SpanMs += d.lastMs
-	r.Events, r.Tables, r.Estimate = core.Events, sent.Sum64(), d.guess.result()
-	if errors.Is(err, ErrCorrupt) {
-		return r, fmt.Errorf("%s after %d turns: %w", l.ID, r.Turns, err)
 	}
-	return r, err
+	r.replayer = newReplayer(r.core, r.countMessage)
+	return r, nil
 }
 
-func describe(t *Turn) string {
-	if len(t.Inputs) == 0 {
-		return "an alarm"
+// restore rebuilds the core from the end of the life before, of which nothing is counted.
+func (r *lifeReplay) restore(s *Store, l Life, options controller.Options) error {
+	turns, _, err := ReadTail(s, l.After, l.TailMs)
+	if err != nil {
+		return err
 	}
-	if n := t.Inputs[0].Event; n != nil {
-		return fmt.Sprintf("%T%+v", n, n)
+	if err := Restore(r.core, turns[ReplayStart(turns, l.TailMs):]); err != nil {
+		return err
 	}
-	return fmt.Sprintf("%T%+v", t.Inputs[0].Message, t.Inputs[0].Message)
+	r.core.FinishRecovery(options)
+	r.core.Events = 0
+	*r.result = Result{}
+	r.decider.estimator = newEstimator(r.core.Shares)
+	return nil
 }
 
-// listener counts what is ordered.
-type listener struct {
-	controller.Decider
-	r      *Result
-	digest uint64
-	lastMs float64
-	guess  *estimator
+// countMessage takes in a message that goes to a proxy.
+func (r *lifeReplay) countMessage(proxy string, message *wire.Orders) {
+	r.result.Messages++
+	r.result.Lines += message.Lines
+	_, _ = fmt.Fprintf(r.sent, "%s %v\n", proxy, message.Ops) // writes to a hash don't fail
 }
 
-func (l *listener) Handle(nowMs float64, notes []planner.Event) []planner.Command {
-	l.guess.notes(notes) // by the tables that stand until now
-	orders := l.Decider.Handle(nowMs, notes)
-	l.digest = Digest(orders)
-	for _, o := range orders {
-		switch o := o.(type) {
-		case planner.SetWeight:
-			l.r.Sets++
-			if o.Weight == 0 {
-				l.r.Removals++
-			}
-		case planner.SetExcluded:
-			if o.Excluded {
-				l.r.Exclusions++
-			}
-		case planner.SetAdmission:
-			if o.Level < 1 {
-				l.r.Levels++
-			}
-		case planner.AssignTable:
-			l.r.Assignments++
+// replayChunk replays a chunk's turns but for checkpoints, which are no part of the life.
+func (r *lifeReplay) replayChunk(turns []Turn, gap bool) error {
+	if gap {
+		r.result.Gaps++
+	}
+	for i := range turns {
+		if turns[i].IsCheckpoint() {
+			continue
+		}
+		if err := r.replayTurn(&turns[i]); err != nil {
+			return err
 		}
 	}
-	return orders
+	return nil
 }
 
-// planOf makes a core's plan from the module's terms.
-func planOf(terms map[string]any) (p controller.Options, err error) {
-	texts := func(name string) (list []string) {
-		all, _ := terms[name].([]any)
-		for _, x := range all {
-			switch x := x.(type) {
-			case string:
-				list = append(list, x)
-			case map[string]any:
-				s, _ := x["name"].(string)
-				list = append(list, s)
-			}
-		}
-		return list
+func (r *lifeReplay) replayTurn(t *Turn) error {
+	r.decider.digest = Digest(nil) // of a turn in which the planner is not asked
+	if err := r.replayer.replay(t); err != nil {
+		return err
+	}
+	if r.result.Turns == 0 {
+		r.firstMs = t.AtMs
 	}
-	num := func(name string) float64 { v, _ := terms[name].(float64); return v }
-	p = controller.Options{Zones: texts("zones"), Machines: texts("machines"), Classes: texts("req_kinds"), LinesPerS: num("lines_per_s"),
-		Backlog: num("backlog"), HeadLines: int(num("head_lines")), MaxMessages: int(num("messages_most")),
-		MessagesOverMs: num("messages_over"), MaxProxies: 65535, EndpointSource: nobody{}, HealthChecker: nobody{}, Gossip: nobody{},
-		Log: func(string) {}, Malformed: func(string, ...string) {}, Replayed: true}
-	p.Telemetry.PeriodMs, p.Telemetry.HalfMs, p.Telemetry.LongestMs = 1000, 5000, 120000
-	if len(p.Zones) == 0 || len(p.Classes) == 0 {
-		return p, fmt.Errorf("terms without zones or req kinds: %w", ErrCorrupt)
+	if r.compare && r.result.FirstDiff == "" && r.decider.digest != t.Digest {
+		r.result.FirstDiff = fmt.Sprintf("turn %d at %.3f s, %d inputs, first %s", r.result.Turns, t.AtMs/1000,
+			len(t.Inputs), describeTurn(t))
 	}
-	return p, nil
+	r.result.Turns++
+	r.result.MaxQueuedLines = max(r.result.MaxQueuedLines, r.core.Channel.MaxLines)
+	r.lastTurnMs = t.AtMs
+	return nil
 }
 
-// nobody stands for edges that are not there in a replay.
-type nobody struct{}
+// finish completes the result.
+func (r *lifeReplay) finish() {
+	r.result.SpanMs = r.lastTurnMs - r.firstMs
+	r.result.Events = r.core.Events
+	r.result.Tables = r.sent.Sum64()
+	r.result.Estimate = r.decider.estimator.result()
+}
 
-func (nobody) Watch(bool)       {}
-func (nobody) Fetch()           {}
-func (nobody) Probe(string)     {}
-func (nobody) Tell(int, string) {}
+// describeTurn shows the first input of a turn to people.
+func describeTurn(t *Turn) string {
+	if len(t.Inputs) == 0 {
+		return "an alarm"
+	}
+	first := t.Inputs[0]
+	if first.Event != nil {
+		return fmt.Sprintf("%T%+v", first.Event, first.Event)
+	}
+	return fmt.Sprintf("%T%+v", first.Message, first.Message)
+}
--- /dev/null
+++ b/internal/record/tail_test.go
@@ -0,0 +1,69 @@
+package record
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"go.uber.org/zap"
+)
+
+// TestFrom guards which turn a tail begins at. In a life's times a negative one is that of a checkpoint.
+func TestFrom(t *testing.T) {
+	life := func(times ...float64) (turns []Turn) {
+		for _, at := range times {
+			turn := Turn{AtMs: max(at, -at)}
+			if at < 0 {
+				turn.Inputs = []Input{{Kind: KindCheckpoint}}
+			}
+			turns = append(turns, turn)
+		}
+		return turns
+	}
+	for _, c := range []struct {
+		name  string
+		turns []Turn
+		tail  float64
+		want  int
+	}{
+		{"nothing", nil, 60000, 0},
+		{"a short life", life(0, 1000, 2000), 60000, 0},
+		{"a long one", life(0, -15000, -30000, -45000, 50000), 20000, 2},
+		{"longer than what is kept", life(-90000, -105000, 110000), 60000, 0},
+		{"begun after a gap without a checkpoint", life(90000, 91000), 60000, 2},
+		{"a checkpoint after the gap", life(90000, -91000, 92000), 60000, 1},
+	} {
+		assert.Equal(t, c.want, ReplayStart(c.turns, c.tail), c.name)
+	}
+}
+
+// TestTail guards the memory of a recovery: of a long life no more is held than what is gone on from, and that is the
+// same.
+func TestTail(t *testing.T) {
+	s := openStore(t, t.TempDir())
+	defer closeStore(t, s)
+	w, err := NewWriter(s, Life{ID: "a"}, Limits{SegmentBytes: 1 << 12, CommitInterval: time.Hour}, zap.NewNop())
+	require.NoError(t, err)
+	var all []Turn
+	var encoded []byte
+	for i := range 3000 {
+		turn := Turn{AtMs: float64(i) * 200}
+		if i > 0 && i%75 == 0 {
+			turn.Inputs = []Input{{Kind: KindCheckpoint}}
+		}
+		all = append(all, turn)
+		encoded, err = AppendTurn(encoded, &turn)
+		require.NoError(t, err)
+		if i%50 == 49 {
+			w.commit(encoded)
+			encoded = encoded[:0]
+		}
+	}
+	for _, tail := range []float64{0, 1000, 60_000, 1e9} {
+		turns, torn, err := ReadTail(s, "a", tail)
+		require.NoError(t, err)
+		assert.False(t, torn)
+		assert.Equal(t, all[ReplayStart(all, tail):], turns, "%g ms", tail)
+	}
+}
--- a/recovery/handover.go
+++ b/recovery/handover.go
@@ -1,133 +1,74 @@
 package recovery
 
-// A pilot passes from one process to another by messages that can be lost at any point, so who serves does not follow
-// from them but from a claim that only one process can hold and that falls free when its holder dies. The two machines
-// below say what each side does next; who drives them does it and tells what came of it.
+// A controller passes from one process, the predecessor, to another, the successor, by messages that can be lost at any
+// point. Who serves therefore does not follow from the messages but from a lock that only one process can hold, and
+// that falls free when its holder dies.
+//
+// Invariant: a process runs the controller only while it holds the lock, so at most one does. Either side that loses
+// the other tries the lock: if it gets it, the other does not serve; if not, the other does. A predecessor releases the
+// lock only after its controller has stopped and its record is closed; a successor starts its controller only with the
+// lock.
+//
+// The two state machines, Predecessor and Successor, say what each side does next. Whoever drives them does it and
+// reports what came of it as the next event:
+//
+//	predecessor                                successor
+//	serving     -- Asked ----> SayOffer        requesting -- Offered -------> SayReady
+//	offered     -- ReadyCame > StopPilot       ready      -- GoCame, Lost --> Claim
+//	stopping    -- Stopped --> SayGo           claiming   -- Claimed -------> StartPilot
+//	released    -- ServingCame End             starting   -- Started -------> SayServing
+//	released    -- Lost -----> Claim           any        -- anything else -> End
+//	reclaiming  -- Claimed --> StartPilot
+//	reclaiming  -- Refused --> Claim, End
 
-// Event is what came of the act before.
+// Event is what came of the action before.
 type Event int
 
-// The events.
+// The events. Claim stands for the lock.
 const (
-	Asked     Event = iota // the old one: somebody wants to take over
-	ReadyCame              // the new one is ready
-	Stopped                // the pilot has ended, its record is closed, the claim let go
-	ServingCame
-	Offered // the new one: listeners came
-	GoCame
-	Lost    // the connection broke, or an answer took too long
-	Claimed // the claim was got
-	Refused // another holds it
-	Started // the pilot runs
-	Failed  // it could not be started
+	Asked       Event = iota // predecessor: a successor requests to take over
+	ReadyCame                // predecessor: the successor has the listeners and can start
+	Stopped                  // predecessor: the controller has ended, its record is closed, the lock released
+	ServingCame              // predecessor: the successor serves
+	Offered                  // successor: the listeners came
+	GoCame                   // successor: the predecessor has stopped
+	Lost                     // the connection broke, or an answer took too long
+	Claimed                  // the lock was got
+	Refused                  // another process holds the lock
+	Started                  // the controller runs
+	Failed                   // the controller could not be started
 )
 
 // Action is what to do next.
 type Action int
 
-// The acts.
+// The actions.
 const (
 	Nothing    Action = iota
-	SayOffer          // with the listeners; then wait for ready
-	StopPilot         // and its record, then let go of the claim
-	SayGo             // then wait for serving
-	Claim             // try once; at once the first time, then after a pause
-	StartPilot        // on the record
-	SayReady          // then wait for go
-	SayServing        // nobody waits for an answer
-	LetGo             // of the claim, and end
+	SayOffer          // predecessor: send the listeners, then wait for ReadyCame
+	StopPilot         // predecessor: end the controller, close its record, release the lock
+	SayGo             // predecessor: say that it has stopped, then wait for ServingCame
+	Claim             // try the lock once; at once the first time, then after a pause
+	StartPilot        // start the controller on the record
+	SayReady          // successor: say that it can start, then wait for GoCame
+	SayServing        // successor: say that it serves; nobody waits for an answer
+	LetGo             // release the lock, and end
 	End               // the process ends, or gives up what it tried
 )
 
-// step is where a side stands.
-type step int
+// state is where a side stands.
+type state int
 
+// The states of both sides. The zero value is a process that serves.
 const (
-	serving step = iota
-	offered
-	stopping
-	let
-	reclaiming
-	asking
-	ready
-	claiming
-	starting
-	over
+	stateServing    state = iota
+	stateOffered          // predecessor: listeners sent, waits for the successor to be ready
+	stateStopping         // predecessor: the controller is being stopped
+	stateReleased         // predecessor: lock released, waits for the successor to serve
+	stateReclaiming       // predecessor: the successor was lost, tries to get the lock again
+	stateRequesting       // successor: has requested to take over, waits for the listeners
+	stateReady            // successor: waits for the predecessor to stop
+	stateClaiming         // successor: tries the lock
+	stateStarting         // successor: has the lock, its controller is being started
+	stateEnded            // this process does not serve and will not
 )
-
-// Predecessor is the side of the process that runs. Its zero value serves.
-type Predecessor struct {
-	at    step
-	tries int
-	// Patience is how often the claim is tried after the new one was lost. If another holds it all the while, that one
-	// serves.
-	Patience int
-}
-
-// Replaced returns whether the other process serves now.
-func (o *Predecessor) Replaced() bool { return o.at == over }
-
-// Next takes in an event and returns what to do.
-func (o *Predecessor) Next(e Event) Action {
-	switch {
-	case o.at == serving && e == Asked:
-		o.at = offered
-		return SayOffer
-	case o.at == offered && e == ReadyCame:
-		o.at = stopping
-		return StopPilot
-	case o.at == offered: // the new one gave up before anything was stopped
-		o.at = serving
-		return Nothing
-	case o.at == stopping && e == Stopped:
-		o.at = let
-		return SayGo
-	case o.at == let && e == ServingCame:
-		o.at = over
-		return End
-	case o.at == let: // whether it serves or died only the claim can tell
-		o.at, o.tries = reclaiming, 0
-		return Claim
-	case o.at == reclaiming && e == Claimed:
-		o.at = serving
-		return StartPilot
-	case o.at == reclaiming && e == Refused:
-		if o.tries++; o.tries < o.Patience {
-			return Claim
-		}
-		o.at = over
-		return End
-	}
-	return Nothing
-}
-
-// Successor is the side of the process that takes over. Its zero value is of no use: NewSide makes one that has asked.
-type Successor struct{ at step }
-
-// NewSuccessor returns the machine of a process that has asked to take over.
-func NewSuccessor() *Successor { return &Successor{asking} }
-
-// Next takes in an event and returns what to do.
-func (n *Successor) Next(e Event) Action {
-	switch {
-	case n.at == asking && e == Offered:
-		n.at = ready
-		return SayReady
-	case n.at == ready && (e == GoCame || e == Lost): // a lost one may have stopped or died; if not, it has the claim
-		n.at = claiming
-		return Claim
-	case n.at == claiming && e == Claimed:
-		n.at = starting
-		return StartPilot
-	case n.at == starting && e == Started:
-		n.at = serving
-		return SayServing
-	case n.at == starting && e == Failed:
-		n.at = over
-		return LetGo
-	case n.at == serving: // lost or not: it has the claim
-		return Nothing
-	}
-	n.at = over
-	return End
-}
--- /dev/null
+++ b/recovery/predecessor.go
@@ -0,0 +1,86 @@
+package recovery
+
+// Predecessor is the state machine of the process that runs the controller. Its zero value serves.
+type Predecessor struct {
+	// Patience is how often the lock is tried after the successor was lost. If another process holds it all the while,
+	// that one serves.
+	Patience int
+
+	state    state
+	refusals int // of the lock, in a row
+}
+
+// Replaced returns whether another process serves now.
+func (o *Predecessor) Replaced() bool { return o.state == stateEnded }
+
+// Next takes in an event and returns what to do. An event that does not fit the state changes nothing.
+func (o *Predecessor) Next(e Event) Action {
+	switch o.state {
+	case stateServing:
+		return o.whenServing(e)
+	case stateOffered:
+		return o.whenOffered(e)
+	case stateStopping:
+		return o.whenStopping(e)
+	case stateReleased:
+		return o.whenReleased(e)
+	case stateReclaiming:
+		return o.whenReclaiming(e)
+	}
+	return Nothing
+}
+
+func (o *Predecessor) whenServing(e Event) Action {
+	if e != Asked {
+		return Nothing
+	}
+	o.state = stateOffered
+	return SayOffer
+}
+
+// whenOffered goes back to serving if the successor gave up: nothing was stopped.
+func (o *Predecessor) whenOffered(e Event) Action {
+	if e != ReadyCame {
+		o.state = stateServing
+		return Nothing
+	}
+	o.state = stateStopping
+	return StopPilot
+}
+
+func (o *Predecessor) whenStopping(e Event) Action {
+	if e != Stopped {
+		return Nothing
+	}
+	o.state = stateReleased
+	return SayGo
+}
+
+// whenReleased tries the lock unless the successor says that it serves: whether it does or has died, only the lock
+// tells.
+func (o *Predecessor) whenReleased(e Event) Action {
+	if e == ServingCame {
+		o.state = stateEnded
+		return End
+	}
+	o.state = stateReclaiming
+	o.refusals = 0
+	return Claim
+}
+
+// whenReclaiming serves again with the lock, and ends if another process keeps it.
+func (o *Predecessor) whenReclaiming(e Event) Action {
+	switch e {
+	case Claimed:
+		o.state = stateServing
+		return StartPilot
+	case Refused:
+		o.refusals++
+		if o.refusals < o.Patience {
+			return Claim
+		}
+		o.state = stateEnded
+		return End
+	}
+	return Nothing
+}
