--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -169,11 +169,13 @@
 	_, ended := run(t, first)
 	run(t, second)
 	book := following(t, func() []string { return []string{first.Address(), second.Address()} })
+	joins := func() int { return count(book, eventlog.Join) }
 	require.Eventually(t, func() bool { return first.State().Proxies == 1 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return joins() == 1 }, 5*time.Second, time.Millisecond) // it has read the welcome
 	first.Kill()
 	assert.NoError(t, <-ended)
 	assert.Eventually(t, func() bool { return second.State().Proxies == 1 }, 5*time.Second, time.Millisecond)
-	assert.GreaterOrEqual(t, count(book, eventlog.Join), 2)
+	assert.Eventually(t, func() bool { return joins() == 2 }, 5*time.Second, time.Millisecond)
 }
 
 // TestNoStart shows how a pilot fails that can't have what it needs.
