--- a/cmd/indigousher/pilot.go
+++ b/cmd/indigousher/pilot.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	log.Info("pilot starts", zap.Stringer("pilot", cfg), zap.String("proxies", host.Daemon().Address()),
+	log.Info("pilot starting", zap.Stringer("pilot", cfg), zap.String("proxies", host.Daemon().Address()),
 		zap.String("admin", host.Daemon().AdminAddress()))
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
@@ -66,7 +66,7 @@
 	err = host.Wait(ctx)
 	cancel()
 	<-reloads
-	log.Info("pilot has stopped", zap.Error(err))
+	log.Info("pilot stopped", zap.Error(err))
 	return err
 }
 
@@ -86,17 +86,17 @@
 func reload(ctx context.Context, d *daemon.Daemon, file string, log *zap.Logger) {
 	cfg, err := config.ReadPilot(file)
 	if err != nil {
-		log.Error("reload refused, the old terms stand", zap.Error(err))
+		log.Error("reload rejected, keeping the current settings", zap.Error(err))
 		return
 	}
 	changed, restart, err := d.Reload(ctx, cfg)
 	if err != nil {
-		log.Error("reload failed, the old terms stand", zap.Error(err))
+		log.Error("reload failed, keeping the current settings", zap.Error(err))
 		return
 	}
 	log.Info("reloaded", zap.Strings("changed", changed))
 	if len(restart) > 0 {
-		log.Warn("these want a restart and stay as they were", zap.Strings("fields", restart))
+		log.Warn("settings changed that need a restart", zap.Strings("fields", restart))
 	}
 }
 
--- a/cmd/indigousher/platform.go
+++ b/cmd/indigousher/platform.go
@@ -35,13 +35,13 @@
 	context.AfterFunc(ctx, func() { time.AfterFunc(endWithin, func() { os.Exit(0) }) })
 	reload := make(chan struct{}, 1)
 	go passOn(hangup, reload) // for as long as the program runs
-	log.Info("pilot starts", zap.String("pilot", settings.Name), zap.String("listen", settings.Listen))
+	log.Info("pilot starting", zap.String("pilot", settings.Name), zap.String("listen", settings.Listen))
 	if settings.Warning != "" {
-		log.Warn("part of the configuration is left out", zap.String("what", settings.Warning))
+		log.Warn("part of the configuration ignored", zap.String("reason", settings.Warning))
 	}
 	readAgain := func() (*placement.Placement, error) { return placement.Read(os.Getenv) }
 	err = platform.New(settings, readAgain, log).Run(ctx, reload)
-	log.Info("pilot has stopped", zap.Error(err))
+	log.Info("pilot stopped", zap.Error(err))
 	return err
 }
 
--- a/internal/daemon/handoff.go
+++ b/internal/daemon/handoff.go
@@ -40,10 +40,10 @@
 	h.mu.Lock()
 	h.lock = lock
 	h.mu.Unlock()
-	h.options.Log.Warn("handover failed, going on")
+	h.options.Log.Warn("handover failed, serving on")
 	h.options.Listeners = h.reopenListeners()
 	if err := h.start(ctx); err != nil {
-		h.options.Log.Error("pilot can't go on", zap.Error(err))
+		h.options.Log.Error("pilot can't resume", zap.Error(err))
 		h.replaced <- err
 	}
 }
--- a/internal/daemon/identity.go
+++ b/internal/daemon/identity.go
@@ -30,7 +30,7 @@
 	log := d.options.Log.Named("keys")
 	var err error
 	d.keyStore, err = identity.Load(cfg.Keys, func(from net.Addr, err error) {
-		log.Warn("peer not let in", zap.Stringer("from", from), zap.Error(err))
+		log.Warn("peer rejected", zap.Stringer("from", from), zap.Error(err))
 	})
 	if err != nil {
 		return err
@@ -73,9 +73,9 @@
 
 func (d *Daemon) checkKeys() {
 	if left := time.Until(d.keyStore.Expires()); left < expiryWarning {
-		d.options.Log.Warn("certificate ends soon", zap.Duration("in", left.Round(time.Second)))
+		d.options.Log.Warn("certificate expires soon", zap.Duration("in", left.Round(time.Second)))
 	}
 	if err := d.keyStore.Err(); err != nil {
-		d.options.Log.Error("keys can't be read anew, the old ones stand", zap.Error(err))
+		d.options.Log.Error("keys can't be reloaded, keeping the current ones", zap.Error(err))
 	}
 }
--- a/internal/daemon/recording.go
+++ b/internal/daemon/recording.go
@@ -59,7 +59,7 @@
 	}
 	path, asideErr := record.Quarantine(dir)
 	err = errors.Join(err, asideErr)
-	d.options.Log.Error("records are torn and set aside", zap.String("file", path), zap.Error(err))
+	d.options.Log.Error("records are corrupt and set aside", zap.String("file", path), zap.Error(err))
 	return record.Open(dir, false)
 }
 
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -24,7 +24,7 @@
 	d.config.Store(config.Merge(d.config.Load(), cfg))
 	if d.recording != nil {
 		if err := d.recording.updateSettings(d.config.Load()); err != nil {
-			d.options.Log.Error("terms not recorded; a return will start cold", zap.Error(err))
+			d.options.Log.Error("settings not recorded, the next start will be cold", zap.Error(err))
 		}
 	}
 	return changed, restart, nil
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -60,7 +60,7 @@
 	case <-running.Done():
 		return
 	}
-	d.options.Log.Info("stopping", zap.Int("proxies", d.openStreams()))
+	d.options.Log.Info("shutting down", zap.Int("proxies", d.openStreams()))
 	stopServing()
 	if d.xdsServer != nil {
 		d.xdsServer.Stop()
--- a/internal/record/writer.go
+++ b/internal/record/writer.go
@@ -112,7 +112,7 @@
 
 func (w *Writer) prune() {
 	if _, err := w.store.Prune(w.bounds, time.Now()); err != nil {
-		w.log.Warn("prune records", zap.Error(err))
+		w.log.Warn("pruning records failed", zap.Error(err))
 	}
 }
 
@@ -126,7 +126,7 @@
 	err := w.update(func(tx *bbolt.Tx) error { return w.putChunks(tx, encoded, lost > 0) })
 	if err != nil {
 		w.lost.Add(1)
-		w.log.Error("record not written; decisions go on, the record has a gap", zap.Error(err))
+		w.log.Error("record not written, continuing with a gap in it", zap.Error(err))
 		return
 	}
 	w.lost.Add(-lost)
