--- a/internal/simulator/conversation_test.go
+++ b/internal/simulator/conversation_test.go
@@ -39,8 +39,10 @@
 	for i := range wantLines {
 		require.Equal(t, string(wantLines[i]), string(gotLines[i]), "reply %d", i+1)
 	}
-	for _, action := range []string{"set_weight", "use_table", "withdraw", "gate_class", "checkpoint", "health_check", "set_timer",
-		"print", "stream_changes"} {
+	for _, action := range []string{
+		"set_weight", "use_table", "withdraw", "gate_class", "checkpoint", "health_check", "set_timer",
+		"print", "stream_changes",
+	} {
 		assert.Contains(t, got.String(), fmt.Sprintf(`"kind":%q`, action))
 	}
 }
@@ -48,7 +50,7 @@
 func readGzip(t *testing.T, path string) []byte {
 	file, err := os.Open(path)
 	require.NoError(t, err)
-	defer file.Close()
+	defer func() { assert.NoError(t, file.Close()) }()
 	reader, err := gzip.NewReader(file)
 	require.NoError(t, err)
 	content, err := io.ReadAll(reader)
@@ -96,8 +98,10 @@
 	}
 	const endpoints, second, start = 18, int64(1e9), int64(8_412_250_000)
 	host := func(i int, mode string, launched int64) map[string]any {
-		return map[string]any{"endpoint": fmt.Sprintf("10.0.%d.%d:80", i%3, i), "zone": zones[i%3], "generation_hw": kinds[i%2],
-			"group": i / 6, "mode": mode, "heft": 1 + float64(i%2), "launched": launched}
+		return map[string]any{
+			"endpoint": fmt.Sprintf("10.0.%d.%d:80", i%3, i), "zone": zones[i%3], "generation_hw": kinds[i%2],
+			"group": i / 6, "mode": mode, "heft": 1 + float64(i%2), "launched": launched,
+		}
 	}
 	var hosts []map[string]any
 	for i := range endpoints {
@@ -108,8 +112,10 @@
 		events = append(events, map[string]any{"kind": "spawn", "i": in.name, "rng_seed": 5 + n, "setup": in.settings},
 			map[string]any{"kind": "discovery", "i": in.name, "mode": "total", "epoch": 1, "hosts": hosts})
 		for p := range in.proxies {
-			events = append(events, map[string]any{"kind": "stream_up", "i": in.name, "edge": p, "zone": zones[p%3],
-				"heft": 10 + float64(p%5), "active": p%4 != 0})
+			events = append(events, map[string]any{
+				"kind": "stream_up", "i": in.name, "edge": p, "zone": zones[p%3],
+				"heft": 10 + float64(p%5), "active": p%4 != 0,
+			})
 		}
 		for s := range in.slices {
 			events = append(events, map[string]any{"kind": "handed", "i": in.name, "tbl": s, "active": true},
@@ -130,7 +136,8 @@
 
 // scriptQuarter returns what one instance is told in one quarter of a second.
 func scriptQuarter(rnd *rand.Rand, in scriptInstance, quarter int, clock int64, zones, classes []string,
-	host func(int, string, int64) map[string]any) (events []map[string]any) {
+	host func(int, string, int64) map[string]any,
+) (events []map[string]any) {
 	add := func(kind string, fields map[string]any) {
 		fields["kind"], fields["i"] = kind, in.name
 		events = append(events, fields)
@@ -147,15 +154,19 @@
 				if e == 4 && quarter > 40 && quarter < 90 || e == 7 && quarter > 130 {
 					failed = tries
 				}
-				add("tally", map[string]any{"endpoint": fmt.Sprintf("10.0.%d.%d:80", e%3, e), "zone": zones[z], "count": tries,
+				add("tally", map[string]any{
+					"endpoint": fmt.Sprintf("10.0.%d.%d:80", e%3, e), "zone": zones[z], "count": tries,
 					"errors": failed, "wait_time": 2e7 * (1 + rnd.Float64()), "covers": 1e9,
-					"feedback": map[string]any{"cpu_share": min(1, surge*(0.2+0.4*rnd.Float64())), "served_ps": 20 + 40*rnd.Float64()}})
+					"feedback": map[string]any{"cpu_share": min(1, surge*(0.2+0.4*rnd.Float64())), "served_ps": 20 + 40*rnd.Float64()},
+				})
 			}
 		}
 		for p := range in.proxies {
 			for _, class := range classes {
-				add("proxy_stats", map[string]any{"edge": p, "qos": class, "count": int(surge * float64(rnd.IntN(12))),
-					"errors": rnd.IntN(2), "covers": 1e9})
+				add("proxy_stats", map[string]any{
+					"edge": p, "qos": class, "count": int(surge * float64(rnd.IntN(12))),
+					"errors": rnd.IntN(2), "covers": 1e9,
+				})
 			}
 		}
 		for s := range in.slices {
@@ -216,17 +227,25 @@
 // scriptSettings are an instance's settings in the operators' words.
 func scriptSettings(rank int, admission, discovery string, byZone bool, slices int) map[string]any {
 	class := func(name, repeats string, worth float64, zones []any) map[string]any {
-		return map[string]any{"name": name, "aim": 3e8, "give_up": 2e9, "importance": worth, "late_worth": 0.2, "idempotency": repeats,
-			"group": "all", "window": 5e9, "only_zones": zones}
+		return map[string]any{
+			"name": name, "aim": 3e8, "give_up": 2e9, "importance": worth, "late_worth": 0.2, "idempotency": repeats,
+			"group": "all", "window": 5e9, "only_zones": zones,
+		}
 	}
-	return map[string]any{"dcs": []any{"north", "south", "east"}, "kinds": []any{"small", "large"}, "zone": "north", "instances": 3,
-		"rank": rank, "discovery": discovery, "profiles": []any{class("read", "read_like", 1, nil), class("write", "non_idempotent", 5, nil),
-			class("book", "idempotency_key", 2, []any{"north", "south"})},
+	return map[string]any{
+		"dcs": []any{"north", "south", "east"}, "kinds": []any{"small", "large"}, "zone": "north", "instances": 3,
+		"rank": rank, "discovery": discovery, "profiles": []any{
+			class("read", "read_like", 1, nil), class("write", "non_idempotent", 5, nil),
+			class("book", "idempotency_key", 2, []any{"north", "south"}),
+		},
 		"obligations": map[string]any{"drain_grace": 3e9, "fall": 1.5e9, "fall_multiple": 2.5, "cold": 9e9, "cold_from": 0.2},
 		"report":      map[string]any{"fields": []any{"cpu_share", "served_ps"}, "how": "inline"},
 		"prices":      map[string]any{"cross_zone": 0.1}, "policy_limits": map[string]any{"probing": true, "peers": true},
-		"extra": map[string]any{"proxy_count": 60, "egress_per_s": 700, "backlog": 900, "envelope": 4, "pushes_allowed": 30,
+		"extra": map[string]any{
+			"proxy_count": 60, "egress_per_s": 700, "backlog": 900, "envelope": 4, "pushes_allowed": 30,
 			"counted_over": 1e10, "admission": admission, "lb_method": "weighted", "by_zone": byZone, "empty_for": 4e9,
 			"conns_least": 25, "bootstrap": 5, "outlier_after": 5, "transit_max": 4e8, "push_delay": 1e8, "first_wait": 0.8,
-			"retry_default": 1, "partitions_n": slices, "report_every": 1e9, "class_own_zone": []any{false, false, false}}}
+			"retry_default": 1, "partitions_n": slices, "report_every": 1e9, "class_own_zone": []any{false, false, false},
+		},
+	}
 }
