--- a/cmd/indigousher/experiment.go
+++ b/cmd/indigousher/experiment.go
@@ -54,8 +54,8 @@
 				return err
 			}
 			rehearsal.Print(out, d, []rehearsal.Column{{Name: "indigousher", Outcome: &rehearsal.Outcome{Report: o.Report,
-				Most: controller.State{MostLines: o.MostLines, MostMessages: o.Crowded}}}})
-			fmt.Fprintf(out, "%d events in %.0f ms, of these the pilots' turns %.0f ms; digest %016x\n", o.Done, o.TookMs, o.PilotMs, o.Digest)
+				PilotMaxima: controller.State{MostLines: o.MaxQueueLines, MostMessages: o.MaxProxyMessages}}}})
+			fmt.Fprintf(out, "%d events in %.0f ms, of these the pilots' turns %.0f ms; digest %016x\n", o.ClockEvents, o.ElapsedMs, o.PilotMs, o.Digest)
 			if !o.Report.Kept() {
 				return errBroken
 			}
--- a/cmd/indigousher/rehearse.go
+++ b/cmd/indigousher/rehearse.go
@@ -43,7 +43,7 @@
 			}
 			fmt.Fprintf(out, "%s: %s\n%s, %d proxies, %d pilots\n", day.Name, day.About, day.Length,
 				len(day.ProxyZones), len(day.PilotZones))
-			play := rehearsal.Play{Scenario: day, Log: log, Say: func(format string, args ...any) {
+			play := rehearsal.Play{Scenario: day, Log: log, Progress: func(format string, args ...any) {
 				fmt.Fprintf(out, format+"\n", args...)
 			}}
 			play.Records = records
@@ -63,12 +63,12 @@
 				return err
 			}
 			if record != "" {
-				if err := o.Book.Save(record); err != nil {
+				if err := o.EventLog.Save(record); err != nil {
 					return err
 				}
 			}
 			rehearsal.Print(out, day, append([]rehearsal.Column{{Name: "indigousher", Outcome: o}}, tables...))
-			fmt.Fprintf(out, "played in %s\n", o.Took.Round(time.Millisecond))
+			fmt.Fprintf(out, "played in %s\n", o.Elapsed.Round(time.Millisecond))
 			if !o.Report.Kept() {
 				return errBroken
 			}
--- a/internal/audit/service.go
+++ b/internal/audit/service.go
@@ -8,11 +8,11 @@
 // WindowMs is the width of a window of service.
 const WindowMs = 5000.0
 
-// Part is the payoff earned and asked for.
-type Part struct{ Earned, Asked float64 }
+// Earnings is the payoff earned and asked for.
+type Earnings struct{ Earned, Asked float64 }
 
 // Share is earned over asked, 1 where nothing was asked.
-func (p Part) Share() float64 {
+func (p Earnings) Share() float64 {
 	if p.Asked == 0 {
 		return 1
 	}
@@ -21,46 +21,46 @@
 
 // Service is the payoff answered within the response target, over the payoff asked for.
 type Service struct {
-	All                   Part
-	Windows               []Part // by when reqs were asked
-	Kinds                 []Part
+	All                   Earnings
+	Windows               []Earnings // by when reqs were asked
+	Kinds                 []Earnings
 	Done, Denied, Errored int
 	Late                  int
 }
 
-// server reckons the service from what clients say.
-type server struct {
+// serviceMeter reckons the service from what clients say.
+type serviceMeter struct {
 	Service
-	terms *config.Common
-	kinds map[string]int
-	asked map[uint64]float64 // and not answered yet
+	settings   *config.Common
+	classIndex map[string]int
+	askedAt    map[uint64]float64 // and not answered yet
 }
 
-func newServer(t *config.Common) *server {
-	s := &server{Service: Service{Kinds: make([]Part, len(t.Kinds))}, terms: t, kinds: map[string]int{}, asked: map[uint64]float64{}}
+func newServiceMeter(t *config.Common) *serviceMeter {
+	s := &serviceMeter{Service: Service{Kinds: make([]Earnings, len(t.Kinds))}, settings: t, classIndex: map[string]int{}, askedAt: map[uint64]float64{}}
 	for i, k := range t.Kinds {
-		s.kinds[k.Name] = i
+		s.classIndex[k.Name] = i
 	}
 	return s
 }
 
-func (s *server) take(e eventlog.Event) {
+func (s *serviceMeter) record(e eventlog.Event) {
 	switch e.What {
 	case eventlog.Asked:
-		s.asked[e.Req] = e.At
+		s.askedAt[e.Req] = e.At
 	case eventlog.Answered:
-		s.answered(e)
+		s.recordAnswer(e)
 	}
 }
 
-func (s *server) answered(e eventlog.Event) {
-	asked := s.asked[e.Req]
-	delete(s.asked, e.Req)
-	k, known := s.kinds[e.Kind]
+func (s *serviceMeter) recordAnswer(e eventlog.Event) {
+	asked := s.askedAt[e.Req]
+	delete(s.askedAt, e.Req)
+	k, known := s.classIndex[e.Kind]
 	if !known {
 		return
 	}
-	kind, earned := s.terms.Kinds[k], 0.0
+	kind, earned := s.settings.Kinds[k], 0.0
 	switch e.Text {
 	case "done":
 		s.Done++
@@ -76,9 +76,9 @@
 	}
 	w := int(asked / WindowMs)
 	for len(s.Windows) <= w {
-		s.Windows = append(s.Windows, Part{})
+		s.Windows = append(s.Windows, Earnings{})
 	}
-	for _, p := range []*Part{&s.All, &s.Windows[w], &s.Service.Kinds[k]} {
+	for _, p := range []*Earnings{&s.All, &s.Windows[w], &s.Service.Kinds[k]} {
 		p.Earned += earned
 		p.Asked += kind.Payoff
 	}
--- a/internal/emulator/clock.go
+++ b/internal/emulator/clock.go
@@ -5,16 +5,16 @@
 
 // Clock is a heap of what is to come, by time, then in the order in which it was asked for. Its zero value stands at 0.
 type Clock struct {
-	now    float64 // ms
-	made   uint64
-	heap   []deed
-	Events uint64 // done so far
+	now       float64 // ms
+	scheduled uint64
+	heap      []timer
+	Events    uint64 // done so far
 }
 
-type deed struct {
+type timer struct {
 	at     float64
 	number uint64
-	do     func()
+	run    func()
 }
 
 // Now returns the time.
@@ -25,8 +25,8 @@
 
 // At has something done at a time; one that has passed counts as now.
 func (c *Clock) At(at float64, do func()) {
-	c.made++
-	c.heap = append(c.heap, deed{max(at, c.now), c.made, do})
+	c.scheduled++
+	c.heap = append(c.heap, timer{max(at, c.now), c.scheduled, do})
 	i := len(c.heap) - 1
 	for i > 0 {
 		up := (i - 1) / 4
@@ -38,7 +38,7 @@
 	}
 }
 
-func (d *deed) before(o *deed) bool { return d.at < o.at || d.at == o.at && d.number < o.number }
+func (d *timer) before(o *timer) bool { return d.at < o.at || d.at == o.at && d.number < o.number }
 
 // Until lets time pass.
 func (c *Clock) Until(at float64) {
@@ -46,15 +46,15 @@
 		d := c.pop()
 		c.now = d.at
 		c.Events++
-		d.do()
+		d.run()
 	}
 	c.now = max(c.now, at)
 }
 
-func (c *Clock) pop() deed {
+func (c *Clock) pop() timer {
 	first, last := c.heap[0], len(c.heap)-1
 	c.heap[0] = c.heap[last]
-	c.heap[last] = deed{}
+	c.heap[last] = timer{}
 	c.heap = c.heap[:last]
 	for i := 0; ; {
 		least := i
--- a/internal/emulator/deadlines.go
+++ b/internal/emulator/deadlines.go
@@ -1,27 +1,27 @@
 package emulator
 
-// pending is something that ends by itself or at its deadline.
-type pending interface {
+// expirable is something that ends by itself or at its deadline.
+type expirable interface {
 	isOver() bool
 	expire()
 }
 
-// deadlines keeps deadlines that come in order, as those of one kind of wait do, with one event for the first that still
+// deadlineQueue keeps deadlines that come in order, as those of one kind of wait do, with one event for the first that still
 // counts: most end before, and would only fill the clock's heap.
-type deadlines struct {
-	w     *World
-	list  []deadline
-	first int
-	armed bool
+type deadlineQueue struct {
+	w       *World
+	entries []deadline
+	first   int
+	armed   bool
 }
 
 type deadline struct {
 	at float64
-	p  pending
+	p  expirable
 }
 
-func (d *deadlines) add(at float64, p pending) {
-	if d.first < len(d.list) && at < d.list[len(d.list)-1].at {
+func (d *deadlineQueue) add(at float64, p expirable) {
+	if d.first < len(d.entries) && at < d.entries[len(d.entries)-1].at {
 		d.w.At(at, func() {
 			if !p.isOver() {
 				p.expire()
@@ -29,32 +29,32 @@
 		})
 		return
 	}
-	d.list = append(d.list, deadline{at, p})
+	d.entries = append(d.entries, deadline{at, p})
 	d.arm()
 }
 
-func (d *deadlines) arm() {
-	if !d.armed && d.first < len(d.list) {
+func (d *deadlineQueue) arm() {
+	if !d.armed && d.first < len(d.entries) {
 		d.armed = true
-		d.w.At(d.list[d.first].at, d.fire)
+		d.w.At(d.entries[d.first].at, d.fire)
 	}
 }
 
 // fire ends what is due and forgets what has ended.
-func (d *deadlines) fire() {
+func (d *deadlineQueue) fire() {
 	d.armed = false
-	for d.first < len(d.list) {
-		x := d.list[d.first]
+	for d.first < len(d.entries) {
+		x := d.entries[d.first]
 		if over := x.p.isOver(); !over && x.at > d.w.now {
 			break
 		} else if !over {
 			x.p.expire()
 		}
-		d.list[d.first] = deadline{}
+		d.entries[d.first] = deadline{}
 		d.first++
 	}
-	if d.first > 1024 && d.first > len(d.list)/2 {
-		d.list = append(d.list[:0:0], d.list[d.first:]...)
+	if d.first > 1024 && d.first > len(d.entries)/2 {
+		d.entries = append(d.entries[:0:0], d.entries[d.first:]...)
 		d.first = 0
 	}
 	d.arm()
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -52,12 +52,12 @@
 			for _, v := range o.Report.Verdicts {
 				assert.True(t, v.Kept(), "%s: %v", v.Rule, v.Violations)
 			}
-			assert.Positive(t, o.Report.Verdicts[audit.DrainsKept].Checked)
+			assert.Positive(t, o.Report.Verdicts[audit.DrainDeadline].Checked)
 			assert.Greater(t, o.Report.Service.All.Share(), 0.8)
 			again, err := Play{Scenario: d, Audited: true}.Run(t.Context())
 			require.NoError(t, err)
 			assert.Equal(t, o.Digest, again.Digest)
-			t.Logf("%.3f, %d events", o.Report.Service.All.Share(), o.Done)
+			t.Logf("%.3f, %d events", o.Report.Service.All.Share(), o.ClockEvents)
 		})
 	}
 }
@@ -66,7 +66,7 @@
 func TestToldInTime(t *testing.T) {
 	d, err := scenario.Load("replacement")
 	require.NoError(t, err)
-	o, err := Play{Scenario: d, Keep: true}.Run(t.Context())
+	o, err := Play{Scenario: d, KeepEvents: true}.Run(t.Context())
 	require.NoError(t, err)
 	told := 0
 	for _, e := range o.Events {
@@ -162,10 +162,10 @@
 		var means, losses []float64
 		for seed := range 8 {
 			d.Seed = seed + 1
-			o, err := Play{Scenario: d, Bare: true}.Run(t.Context())
+			o, err := Play{Scenario: d, WithoutPilots: true}.Run(t.Context())
 			require.NoError(t, err)
 			means = append(means, o.Latency.Mean()/1000)
-			losses = append(losses, 1-float64(o.Latency.TotalCount())/float64(o.Reqs))
+			losses = append(losses, 1-float64(o.Latency.TotalCount())/float64(o.Requests))
 		}
 		return avg(means), avg(losses)
 	}
@@ -215,13 +215,13 @@
 // TestLittle holds the mean number in hand, looked at from outside, against rate times time in the system.
 func TestLittle(t *testing.T) {
 	d := one(1, 4, 1e6, "queue", 300, 10, 1, 200*time.Second, "weighted")
-	w := newWorld(Play{Scenario: d, Bare: true})
-	w.begin()
-	w.clients()
+	w := newWorld(Play{Scenario: d, WithoutPilots: true})
+	w.startAll()
+	w.scheduleClients()
 	sum, looks := 0.0, 0.0
 	for at := 1000.0; at < 200_000; at += 7.3 {
 		w.Until(at)
-		sum, looks = sum+float64(w.machines[0].run.inHand), looks+1
+		sum, looks = sum+float64(w.endpoints[0].process.inHand), looks+1
 	}
 	o := w.outcome(0)
 	assert.InEpsilon(t, float64(o.Latency.TotalCount())/200*o.Latency.Mean()/1e6, sum/looks, 0.02)
@@ -249,7 +249,7 @@
 				assert.True(t, o.Report.Kept(), "%+v", o.Report.Verdicts)
 				assert.GreaterOrEqual(t, o.Report.Service.All.Share(), c.served)
 				digests = append(digests, o.Digest)
-				t.Logf("%d events, service %.3f", o.Done, o.Report.Service.All.Share())
+				t.Logf("%d events, service %.3f", o.ClockEvents, o.Report.Service.All.Share())
 			}
 			assert.Equal(t, digests[0], digests[1])
 		})
@@ -286,7 +286,7 @@
 		o, err := Play{Scenario: d, Audited: true}.Run(b.Context())
 		require.NoError(b, err)
 		require.True(b, o.Report.Kept())
-		events += o.Done
+		events += o.ClockEvents
 	}
 	b.ReportMetric(float64(events)/b.Elapsed().Seconds(), "events/s")
 }
@@ -309,7 +309,7 @@
 			for b.Loop() {
 				o, err := Play{Scenario: d}.Run(b.Context())
 				require.NoError(b, err)
-				events, reqs = events+o.Done, reqs+o.Reqs
+				events, reqs = events+o.ClockEvents, reqs+o.Requests
 			}
 			took := b.Elapsed().Seconds()
 			b.ReportMetric(float64(events)/took, "events/s")
--- a/internal/emulator/list.go
+++ b/internal/emulator/list.go
@@ -9,25 +9,25 @@
 	"indigousher/internal/wire"
 )
 
-// source is the endpoint list: it tells those who follow it of changes, late.
-type source struct {
+// registry is the endpoint list: it tells those who follow it of changes, late.
+type registry struct {
 	w        *World
 	place    place
 	entries  map[string]wire.Entry
 	slices   map[int]wire.Slices
 	version  int
 	down     bool
-	follows  map[*seat]*pilotRun
+	watchers map[*emulatedPilot]*pilotProcess
 	silentMs float64 // after which a pilot takes a silent list for lost
 }
 
 // epochMs is the list's clock at the emulator's start.
 const epochMs = 1e12
 
-func (l *source) clock() uint64 { return uint64(epochMs + l.w.now) }
+func (l *registry) clock() uint64 { return uint64(epochMs + l.w.now) }
 
-// put changes entries after a while.
-func (l *source) put(after float64, entries ...wire.Entry) {
+// update changes entries after a while.
+func (l *registry) update(after float64, entries ...wire.Entry) {
 	l.w.After(after, func() {
 		l.version++
 		for _, e := range entries {
@@ -40,51 +40,51 @@
 		if l.down {
 			return
 		}
-		for _, s := range l.w.seats {
-			if r := l.follows[s]; r != nil && s.run == r {
-				l.tell(s, r, &wire.List{Version: l.version, Now: l.clock(), Entries: entries})
+		for _, s := range l.w.pilots {
+			if r := l.watchers[s]; r != nil && s.process == r {
+				l.notify(s, r, &wire.List{Version: l.version, Now: l.clock(), Entries: entries})
 			}
 		}
 	})
 }
 
-// tell brings a message to a pilot, and leaves in the trail what it is told.
-func (l *source) tell(s *seat, r *pilotRun, m *wire.List) {
-	l.w.ways.carry(l.place, s.place, func() {
-		if s.run != r || l.down {
+// notify brings a message to a pilot, and leaves in the trail what it is told.
+func (l *registry) notify(s *emulatedPilot, r *pilotProcess, m *wire.List) {
+	l.w.network.carry(l.place, s.place, func() {
+		if s.process != r || l.down {
 			return
 		}
 		if m.Whole {
-			l.w.note("list", eventlog.Event{What: eventlog.Told, Peer: s.place.name, N: -1})
+			l.w.logEvent("list", eventlog.Event{What: eventlog.Told, Peer: s.place.name, N: -1})
 		}
 		for _, e := range m.Entries {
 			age := -1.0
 			if e.Started != 0 {
 				age = float64(m.Now - e.Started)
 			}
-			l.w.note("list", eventlog.Event{What: eventlog.Told, Peer: s.place.name, Text: e.Endpoint, Kind: e.Zone + "/" + e.Machine,
+			l.w.logEvent("list", eventlog.Event{What: eventlog.Told, Peer: s.place.name, Text: e.Endpoint, Kind: e.Zone + "/" + e.Machine,
 				N: e.Phase, Value: age})
 		}
 		s.post(controller.EndpointsListed{List: m})
 	})
 }
 
-// follow has a pilot told of changes from now on.
-func (l *source) follow(s *seat, r *pilotRun) {
-	l.w.ways.carry(s.place, l.place, func() {
+// watch has a pilot told of changes from now on.
+func (l *registry) watch(s *emulatedPilot, r *pilotProcess) {
+	l.w.network.carry(s.place, l.place, func() {
 		if !l.down {
-			l.follows[s] = r
+			l.watchers[s] = r
 		}
 	})
 }
 
-// whole sends everything once.
-func (l *source) whole(s *seat, r *pilotRun) {
-	l.w.ways.carry(s.place, l.place, func() {
-		l.follows[s] = r
+// sendSnapshot sends everything once.
+func (l *registry) sendSnapshot(s *emulatedPilot, r *pilotProcess) {
+	l.w.network.carry(s.place, l.place, func() {
+		l.watchers[s] = r
 		if l.down {
 			l.w.After(l.silentMs, func() {
-				if s.run == r {
+				if s.process == r {
 					s.post(controller.EndpointListLost{})
 				}
 			})
@@ -94,38 +94,38 @@
 		for _, name := range slices.Sorted(maps.Keys(l.entries)) {
 			m.Entries = append(m.Entries, l.entries[name])
 		}
-		l.tell(s, r, m)
+		l.notify(s, r, m)
 		for _, i := range slices.Sorted(maps.Keys(l.slices)) {
-			l.giveTo(s, r, l.slices[i])
+			l.sendSlice(s, r, l.slices[i])
 		}
 	})
 }
 
-func (l *source) giveTo(s *seat, r *pilotRun, x wire.Slices) {
-	l.w.ways.carry(l.place, s.place, func() {
-		if s.run == r && !l.down {
+func (l *registry) sendSlice(s *emulatedPilot, r *pilotProcess, x wire.Slices) {
+	l.w.network.carry(l.place, s.place, func() {
+		if s.process == r && !l.down {
 			s.post(controller.SliceAssigned{Slices: &x})
 		}
 	})
 }
 
-// give gives a slice into the charge of all that follow or will.
-func (l *source) give(x wire.Slices) {
+// assignSlice gives a slice into the charge of all that follow or will.
+func (l *registry) assignSlice(x wire.Slices) {
 	l.slices[x.Slice] = x
-	for _, s := range l.w.seats {
-		if r := l.follows[s]; r != nil && s.run == r {
-			l.giveTo(s, r, x)
+	for _, s := range l.w.pilots {
+		if r := l.watchers[s]; r != nil && s.process == r {
+			l.sendSlice(s, r, x)
 		}
 	}
 }
 
 // stop takes the list away; pilots notice after a silence.
-func (l *source) stop() {
+func (l *registry) stop() {
 	l.down = true
-	for _, s := range l.w.seats {
-		if r := l.follows[s]; r != nil && s.run == r {
+	for _, s := range l.w.pilots {
+		if r := l.watchers[s]; r != nil && s.process == r {
 			l.w.After(l.silentMs, func() {
-				if s.run == r && l.down {
+				if s.process == r && l.down {
 					s.post(controller.EndpointListLost{})
 				}
 			})
@@ -133,13 +133,13 @@
 	}
 }
 
-// again brings it back: those who followed dial again and are told everything.
-func (l *source) again() {
+// resume brings it back: those who followed dial again and are told everything.
+func (l *registry) resume() {
 	l.down = false
-	for _, s := range l.w.seats {
-		if r := s.run; r != nil {
-			l.follows[s] = r
-			l.whole(s, r)
+	for _, s := range l.w.pilots {
+		if r := s.process; r != nil {
+			l.watchers[s] = r
+			l.sendSnapshot(s, r)
 		}
 	}
 }
--- a/internal/emulator/nostate_test.go
+++ b/internal/emulator/nostate_test.go
@@ -46,7 +46,7 @@
 			d, err := scenario.Load("no-state")
 			require.NoError(t, err)
 			d.Seed, d.Record = seed, record
-			o, err := Play{Scenario: d, Audited: true, Keep: true}.Run(t.Context())
+			o, err := Play{Scenario: d, Audited: true, KeepEvents: true}.Run(t.Context())
 			require.NoError(t, err)
 			assert.True(t, o.Report.Kept(), "seed %d, record %v", seed, record)
 			for name, starts := range o.Starts {
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -10,136 +10,136 @@
 	"indigousher/internal/wire"
 )
 
-// plain is a proxy: the follower of the stand-in on sockets, with its tries and its stream in virtual time.
-type plain struct {
-	w       *World
-	place   place
-	habits  routing.Policy
-	rate    float64
-	home    int // number among the pilots of its zone
-	life    *plainLife
-	boots   int
-	seed    uint64
-	unable  bool // reaches no pilot
-	mute    bool // does not read
-	reports float64
-	heed    bool
+// emulatedProxy is a proxy: the follower of the stand-in on sockets, with its tries and its stream in virtual time.
+type emulatedProxy struct {
+	w            *World
+	place        place
+	policy       routing.Policy
+	rate         float64
+	home         int // number among the pilots of its zone
+	process      *proxyProcess
+	boots        int
+	seed         uint64
+	unreachable  bool // reaches no pilot
+	muted        bool // does not read
+	reportFactor float64
+	heedsPace    bool
 }
 
-// plainLife is one process.
-type plainLife struct {
-	p      *plain
-	follow *routing.Follower
-	stream *stream
-	lines  []int
-	rnd    *rand.Rand
-	wish   routing.ReportRequest
-	period float64
-	busy   float64 // until when it applies lines and stands still
-	conns  map[string]*conn
+// proxyProcess is one process.
+type proxyProcess struct {
+	proxy          *emulatedProxy
+	follower       *routing.Follower
+	stream         *stream
+	loggedLines    []int
+	random         *rand.Rand
+	reportRequest  routing.ReportRequest
+	reportPeriodMs float64
+	busyUntil      float64 // until when it applies lines and stands still
+	connections    map[string]*connection
 }
 
-// conn is what is under way to one endpoint over its connection.
-type conn struct {
-	run   *running // that took it
-	tries map[*try]bool
+// connection is what is under way to one endpoint over its connection.
+type connection struct {
+	process  *endpointProcess // that took it
+	attempts map[*attempt]bool
 }
 
-// try is one try of a req.
-type try struct {
-	req   *reqUnder
-	name  string
-	start float64
-	over  bool
+// attempt is one try of a req.
+type attempt struct {
+	request  *proxyRequest
+	endpoint string
+	start    float64
+	ended    bool
 }
 
-// reqUnder is a req under way in a proxy.
-type reqUnder struct {
-	li     *plainLife
-	req    *wire.Req
-	kind   int
-	until  float64
-	tried  []string
-	ran    bool
-	answer func(*wire.Answer)
+// proxyRequest is a req under way in a proxy.
+type proxyRequest struct {
+	process    *proxyProcess
+	req        *wire.Req
+	class      int
+	deadline   float64
+	tried      []string
+	mayHaveRun bool
+	answer     func(*wire.Answer)
 }
 
 // dialTimeoutMs is how long a proxy waits for a connection to an endpoint.
 const dialTimeoutMs = 250
 
-func (p *plain) start() {
+func (p *emulatedProxy) start() {
 	p.boots++
-	li := &plainLife{p: p, follow: routing.NewFollower(p.habits, p.w.standing(p.place.zone), p.seed+uint64(p.boots)),
-		lines: make([]int, len(p.habits.Kinds)), rnd: rand.New(rand.NewPCG(p.seed, uint64(p.boots))), conns: map[string]*conn{}}
-	for k := range li.lines {
-		li.lines[k] = -1
-	}
-	p.life = li
-	p.w.note(p.place.name, eventlog.Event{What: eventlog.Start, N: p.boots, Text: p.place.zone})
-	li.showLines()
+	li := &proxyProcess{proxy: p, follower: routing.NewFollower(p.policy, p.w.drawStaticTable(p.place.zone), p.seed+uint64(p.boots)),
+		loggedLines: make([]int, len(p.policy.Kinds)), random: rand.New(rand.NewPCG(p.seed, uint64(p.boots))), connections: map[string]*connection{}}
+	for k := range li.loggedLines {
+		li.loggedLines[k] = -1
+	}
+	p.process = li
+	p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Start, N: p.boots, Text: p.place.zone})
+	li.logLines()
 	li.dial(0)
 }
 
-func (p *plain) kill() {
-	li := p.life
+func (p *emulatedProxy) kill() {
+	li := p.process
 	if li == nil {
 		return
 	}
-	p.life = nil
-	p.w.note(p.place.name, eventlog.Event{What: eventlog.Stop})
+	p.process = nil
+	p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Stop})
 	if li.stream != nil {
-		li.stream.broke(false)
+		li.stream.end(false)
 	}
-	for _, m := range p.w.machines {
-		if m.run != nil {
-			delete(m.run.conns, p.place.name)
+	for _, m := range p.w.endpoints {
+		if m.process != nil {
+			delete(m.process.connections, p.place.name)
 		}
 	}
 }
 
-// drop breaks its stream.
-func (p *plain) drop() {
-	if p.life != nil && p.life.stream != nil {
-		p.life.stream.broke(true)
+// breakStream breaks its stream.
+func (p *emulatedProxy) breakStream() {
+	if p.process != nil && p.process.stream != nil {
+		p.process.stream.end(true)
 	}
 }
 
-// broken ends what is under way to an endpoint whose process died.
-func (p *plain) broken(name string) {
-	if p.life == nil || p.life.conns[name] == nil {
+// endpointDied ends what is under way to an endpoint whose process died.
+func (p *emulatedProxy) endpointDied(name string) {
+	if p.process == nil || p.process.connections[name] == nil {
 		return
 	}
-	li := p.life
-	c := li.conns[name]
-	delete(li.conns, name)
-	for _, t := range p.w.inOrder(c.tries) {
-		p.w.ways.carry(place{name: name}, p.place, func() { li.back(t, nil) })
+	li := p.process
+	c := li.connections[name]
+	delete(li.connections, name)
+	for _, t := range p.w.sortedAttempts(c.attempts) {
+		p.w.network.carry(place{name: name}, p.place, func() { li.attemptEnded(t, nil) })
 	}
 }
 
-func (li *plainLife) showLines() {
-	for k, name := range li.p.habits.Kinds {
-		if n := li.follow.Lines(k); n != li.lines[k] {
-			li.lines[k] = n
-			li.p.w.note(li.p.place.name, eventlog.Event{What: eventlog.Lines, Kind: name, N: n})
+func (li *proxyProcess) logLines() {
+	for k, name := range li.proxy.policy.Kinds {
+		if n := li.follower.Lines(k); n != li.loggedLines[k] {
+			li.loggedLines[k] = n
+			li.proxy.w.logEvent(li.proxy.place.name, eventlog.Event{What: eventlog.Lines, Kind: name, N: n})
 		}
 	}
 }
 
 // dial tries one pilot after another until one takes the stream.
-func (li *plainLife) dial(n int) {
-	p := li.p
-	if p.life != li {
+func (li *proxyProcess) dial(n int) {
+	p := li.proxy
+	if p.process != li {
 		return
 	}
-	pilots := p.w.reach(p)
+	pilots := p.w.reachablePilots(p)
 	if len(pilots) > 0 {
-		if s := pilots[n%len(pilots)]; s.runs() && p.w.ways.open(p.place, s.place) {
-			p.w.After(2*p.w.ways.delay(p.place, s.place), func() {
-				if p.life != li || li.stream != nil {
+		if s := pilots[n%len(pilots)]; s.runs() && p.w.network.open(p.place, s.place) {
+			p.w.After(2*p.w.network.delay(p.place, s.place), func() {
+				if p.process != li || li.stream != nil {
 					return
 				}
-				if !s.runs() || !p.w.ways.open(p.place, s.place) {
+				if !s.runs() || !p.w.network.open(p.place, s.place) {
 					li.redial(n + 1)
 					return
 				}
@@ -151,151 +151,151 @@
 	li.redial(n + 1)
 }
 
-func (li *plainLife) redial(n int) {
-	li.p.w.After((0.5+li.rnd.Float64())*li.p.w.redial, func() { li.dial(n) })
+func (li *proxyProcess) redial(n int) {
+	li.proxy.w.After((0.5+li.random.Float64())*li.proxy.w.redialMs, func() { li.dial(n) })
 }
 
-func (li *plainLife) join(to *seat) {
-	p := li.p
+func (li *proxyProcess) join(to *emulatedPilot) {
+	p := li.proxy
 	hello := wire.Hello{Version: wire.Version, Proxy: p.place.name, Zone: p.place.zone, Boot: uint64(p.boots), Rate: p.rate,
-		Fresh: li.follow.Fresh(), Holds: li.follow.Holds(), Tables: li.follow.Tables()}
-	li.stream = &stream{w: p.w, li: li, to: to, run: to.run}
+		Fresh: li.follower.Fresh(), Holds: li.follower.Holds(), Tables: li.follower.Tables()}
+	li.stream = &stream{w: p.w, process: li, pilot: to, pilotProcess: to.process}
 	to.streams[li.stream] = true
-	li.follow.Joined()
-	li.wish = routing.ReportRequest{}
-	p.w.note(p.place.name, eventlog.Event{What: eventlog.Join, Peer: to.place.name, Kind: p.place.zone})
+	li.follower.Joined()
+	li.reportRequest = routing.ReportRequest{}
+	p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Join, Peer: to.place.name, Kind: p.place.zone})
 	to.post(controller.ProxyJoined{Stream: li.stream, Hello: hello})
-	li.period = p.w.period
-	li.report(li.stream, li.period*li.rnd.Float64())
+	li.reportPeriodMs = p.w.reportPeriodMs
+	li.scheduleReport(li.stream, li.reportPeriodMs*li.random.Float64())
 }
 
-// report sends sums each period while a stream lasts.
-func (li *plainLife) report(s *stream, in float64) {
-	li.p.w.After(in, func() {
+// scheduleReport sends sums each period while a stream lasts.
+func (li *proxyProcess) scheduleReport(s *stream, in float64) {
+	li.proxy.w.After(in, func() {
 		if li.stream != s {
 			return
 		}
-		sums := li.follow.Sums(li.p.w.now, li.wish)
-		s.up(func() { s.to.report(s, sums) })
-		li.report(s, li.period/li.p.reports)
+		sums := li.follower.Sums(li.proxy.w.now, li.reportRequest)
+		s.sendUp(func() { s.pilot.report(s, sums) })
+		li.scheduleReport(s, li.reportPeriodMs/li.proxy.reportFactor)
 	})
 }
 
 // apply carries out a message; the proxy stands still for as long as its lines take.
-func (li *plainLife) apply(s *stream, o *wire.Orders, traced func(what string, from float64)) {
-	p := li.p
-	if p.mute {
+func (li *proxyProcess) apply(s *stream, o *wire.Orders, traced func(what string, from float64)) {
+	p := li.proxy
+	if p.muted {
 		s.unread = append(s.unread, func() { li.apply(s, o, traced) })
 		return
 	}
 	came := p.w.now
-	p.w.note(p.place.name, eventlog.Event{What: eventlog.Got, Peer: s.to.place.name, N: o.Lines, Value: o.AgeMs, Since: s.to.run.born + o.AtMs})
-	li.busy = max(li.busy, p.w.now) + float64(len(o.Ops))*p.w.apply
-	p.w.At(li.busy, func() {
-		if p.life != li || li.stream != s {
+	p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Got, Peer: s.pilot.place.name, N: o.Lines, Value: o.AgeMs, Since: s.pilot.process.startedAt + o.AtMs})
+	li.busyUntil = max(li.busyUntil, p.w.now) + float64(len(o.Ops))*p.w.applyMs
+	p.w.At(li.busyUntil, func() {
+		if p.process != li || li.stream != s {
 			return
 		}
-		marks := li.follow.Apply(o.Ops)
+		marks := li.follower.Apply(o.Ops)
 		traced("apply", came)
-		li.showLines()
-		li.retire()
+		li.logLines()
+		li.closeUnused()
 		for _, n := range marks {
 			took := p.w.now - came
-			s.up(func() { s.to.post(controller.Acked{Stream: s, Done: wire.Done{Mark: n, TookMs: took}}) })
+			s.sendUp(func() { s.pilot.post(controller.Acked{Stream: s, Done: wire.Done{Mark: n, TookMs: took}}) })
 		}
 	})
 }
 
-// retire closes connections to endpoints that no table names any more; what is under way over them ends as it will.
-func (li *plainLife) retire() {
-	if len(li.conns) == 0 {
+// closeUnused closes connections to endpoints that no table names any more; what is under way over them ends as it will.
+func (li *proxyProcess) closeUnused() {
+	if len(li.connections) == 0 {
 		return
 	}
 	held := map[string]bool{}
-	for _, name := range li.follow.Holds() {
+	for _, name := range li.follower.Holds() {
 		held[name] = true
 	}
-	for name, c := range li.conns {
-		if !held[name] && len(c.tries) == 0 {
-			delete(li.conns, name)
-			if c.run != nil {
-				delete(c.run.conns, li.p.place.name)
+	for name, c := range li.connections {
+		if !held[name] && len(c.attempts) == 0 {
+			delete(li.connections, name)
+			if c.process != nil {
+				delete(c.process.connections, li.proxy.place.name)
 			}
 		}
 	}
 }
 
 // handle takes a req through its tries; one that comes while lines are applied waits for them.
-func (p *plain) handle(req *wire.Req, limit float64, answer func(*wire.Answer)) {
-	li := p.life
+func (p *emulatedProxy) handle(req *wire.Req, limit float64, answer func(*wire.Answer)) {
+	li := p.process
 	if li == nil {
 		answer(nil)
 		return
 	}
-	if li.busy > p.w.now {
-		p.w.At(li.busy, func() { p.handle(req, limit-(li.busy-p.w.now), answer) })
+	if li.busyUntil > p.w.now {
+		p.w.At(li.busyUntil, func() { p.handle(req, limit-(li.busyUntil-p.w.now), answer) })
 		return
 	}
-	kind := p.w.kind[req.Kind]
-	li.follow.Came(kind, req.Key)
-	if !li.follow.Admit(kind) {
-		p.w.note(p.place.name, eventlog.Event{What: eventlog.Refuse, Kind: req.Kind, Req: req.Name, Text: "level"})
+	kind := p.w.classIndex[req.Kind]
+	li.follower.Came(kind, req.Key)
+	if !li.follower.Admit(kind) {
+		p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Refuse, Kind: req.Kind, Req: req.Name, Text: "level"})
 		answer(&wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.ComeBackMs})
 		return
 	}
-	u := &reqUnder{li: li, req: req, kind: kind, answer: answer, until: p.w.now + min(limit, p.w.limits[kind])}
-	u.next()
+	u := &proxyRequest{process: li, req: req, class: kind, answer: answer, deadline: p.w.now + min(limit, p.w.timeoutsMs[kind])}
+	u.sendNext()
 }
 
-// next sends the next try.
-func (u *reqUnder) next() {
-	li, p := u.li, u.li.p
-	name := li.follow.Pick(p.w.now, u.kind, u.req.Key, u.tried)
+// sendNext sends the next try.
+func (u *proxyRequest) sendNext() {
+	li, p := u.process, u.process.proxy
+	name := li.follower.Pick(p.w.now, u.class, u.req.Key, u.tried)
 	if name == "" {
-		p.w.note(p.place.name, eventlog.Event{What: eventlog.Refuse, Kind: u.req.Kind, Req: u.req.Name, Text: "no line"})
-		u.end()
+		p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Refuse, Kind: u.req.Kind, Req: u.req.Name, Text: "no line"})
+		u.fail()
 		return
 	}
-	li.follow.Sent(name)
+	li.follower.Sent(name)
 	u.tried = append(u.tried, name)
-	p.w.note(p.place.name, eventlog.Event{What: eventlog.Send, Peer: name, Kind: u.req.Kind, Req: u.req.Name, Text: u.req.Key, N: len(u.tried)})
-	p.w.Tries++
-	wait := routing.Patience(li.follow.Again(u.kind), len(u.tried), u.until-p.w.now, p.w.firstWait*p.w.targets[u.kind])
-	t := &try{req: u, name: name, start: p.w.now}
-	p.w.waits[u.kind].add(p.w.now+wait, t)
+	p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Send, Peer: name, Kind: u.req.Kind, Req: u.req.Name, Text: u.req.Key, N: len(u.tried)})
+	p.w.Attempts++
+	wait := routing.Patience(li.follower.Again(u.class), len(u.tried), u.deadline-p.w.now, p.w.firstWaitFactor*p.w.targetsMs[u.class])
+	t := &attempt{request: u, endpoint: name, start: p.w.now}
+	p.w.attemptDeadlines[u.class].add(p.w.now+wait, t)
 	li.send(t, wait)
 }
 
 // send brings a try to its endpoint over the proxy's connection.
-func (li *plainLife) send(t *try, wait float64) {
-	p := li.p
-	m := p.w.byName[t.name]
+func (li *proxyProcess) send(t *attempt, wait float64) {
+	p := li.proxy
+	m := p.w.endpointByName[t.endpoint]
 	if m == nil {
-		p.w.After(p.w.ways.near, func() { li.never(t) })
+		p.w.After(p.w.network.oneWayMs, func() { li.notSent(t) })
 		return
 	}
-	c := li.conns[t.name]
+	c := li.connections[t.endpoint]
 	trip := 1.0
-	if c == nil || c.run != m.run {
+	if c == nil || c.process != m.process {
 		trip = 3 // a connection is opened first
 	}
-	req := &wire.Req{Name: t.req.req.Name, Kind: t.req.req.Kind, From: p.place.name, WorkMs: t.req.req.WorkMs, LimitMs: wait}
+	req := &wire.Req{Name: t.request.req.Name, Kind: t.request.req.Kind, From: p.place.name, WorkMs: t.request.req.WorkMs, LimitMs: wait}
 	arrive := func() {
 		ok, cost := m.connect(p.place.name)
 		if !ok {
-			p.w.ways.carry(m.place, p.place, func() { li.never(t) })
+			p.w.network.carry(m.place, p.place, func() { li.notSent(t) })
 			return
 		}
-		c := li.conns[t.name]
-		if c == nil || c.run != m.run {
-			c = &conn{run: m.run, tries: map[*try]bool{}}
-			li.conns[t.name] = c
+		c := li.connections[t.endpoint]
+		if c == nil || c.process != m.process {
+			c = &connection{process: m.process, attempts: map[*attempt]bool{}}
+			li.connections[t.endpoint] = c
 		}
-		c.tries[t] = true
+		c.attempts[t] = true
 		take := func() {
-			m.take(&task{req: req, answer: func(o wire.Outcome, comeBack float64, load []wire.Figure) {
-				p.w.ways.carry(m.place, p.place, func() {
-					li.back(t, &wire.Answer{Outcome: o, ComeBackMs: comeBack, Load: load})
+			m.accept(&task{request: req, answer: func(o wire.Outcome, comeBack float64, load []wire.Figure) {
+				p.w.network.carry(m.place, p.place, func() {
+					li.attemptEnded(t, &wire.Answer{Outcome: o, ComeBackMs: comeBack, Load: load})
 				})
 			}})
 		}
@@ -305,107 +305,109 @@
 		}
 		take()
 	}
-	if trip > 1 && !p.w.ways.open(p.place, m.place) {
-		p.w.After(dialTimeoutMs, func() { li.never(t) })
+	if trip > 1 && !p.w.network.open(p.place, m.place) {
+		p.w.After(dialTimeoutMs, func() { li.notSent(t) })
 		return
 	}
-	p.w.ways.carry(p.place, m.place, func() {
+	p.w.network.carry(p.place, m.place, func() {
 		if trip > 1 {
-			p.w.After((trip-1)*p.w.ways.near, arrive)
+			p.w.After((trip-1)*p.w.network.oneWayMs, arrive)
 			return
 		}
 		arrive()
 	})
 }
 
-func (m *machine) dialMs() float64 { return m.w.slowDial[m.Name] }
+func (m *emulatedEndpoint) dialMs() float64 { return m.w.dialDelayMs[m.Name] }
 
-// never is a try that never left.
-func (li *plainLife) never(t *try) {
-	if t.over {
+// notSent is a try that never left.
+func (li *proxyProcess) notSent(t *attempt) {
+	if t.ended {
 		return
 	}
-	t.over = true
-	li.follow.Back(li.p.w.now, t.name, false, li.p.w.now-t.start, nil)
-	t.req.after(wire.Denied)
+	t.ended = true
+	li.follower.Back(li.proxy.w.now, t.endpoint, false, li.proxy.w.now-t.start, nil)
+	t.request.retryOrEnd(wire.Denied)
 }
 
-func (t *try) isOver() bool { return t.over }
+func (t *attempt) isOver() bool { return t.ended }
 
 // expire is a try that got no answer in its time.
-func (t *try) expire() { t.req.li.back(t, nil) }
+func (t *attempt) expire() { t.request.process.attemptEnded(t, nil) }
 
-// back takes in how a try ended.
-func (li *plainLife) back(t *try, a *wire.Answer) {
-	if t.over {
+// attemptEnded takes in how a try ended.
+func (li *proxyProcess) attemptEnded(t *attempt, a *wire.Answer) {
+	if t.ended {
 		return
 	}
-	t.over = true
-	if c := li.conns[t.name]; c != nil {
-		delete(c.tries, t)
+	t.ended = true
+	if c := li.connections[t.endpoint]; c != nil {
+		delete(c.attempts, t)
 	}
 	outcome := wire.Errored
 	var load []wire.Figure
 	if a != nil {
 		outcome, load = a.Outcome, a.Load
 	}
-	li.follow.Back(li.p.w.now, t.name, outcome == wire.Fine, li.p.w.now-t.start, load)
-	t.req.after(outcome)
+	li.follower.Back(li.proxy.w.now, t.endpoint, outcome == wire.Fine, li.proxy.w.now-t.start, load)
+	t.request.retryOrEnd(outcome)
 }
 
-// after decides, as proxies do, whether a try follows.
-func (u *reqUnder) after(outcome wire.Outcome) {
-	w := u.li.p.w
+// retryOrEnd decides, as proxies do, whether a try follows.
+func (u *proxyRequest) retryOrEnd(outcome wire.Outcome) {
+	w := u.process.proxy.w
 	if outcome == wire.Fine {
 		u.answer(&wire.Answer{Outcome: wire.Fine})
 		return
 	}
 	proof := outcome == wire.Denied
-	u.ran = u.ran || !proof
-	if !routing.TryFollows(u.li.follow.Again(u.kind), len(u.tried), proof) || w.now >= u.until-1e-6 || u.li.p.life != u.li {
-		u.end()
+	u.mayHaveRun = u.mayHaveRun || !proof
+	if !routing.TryFollows(u.process.follower.Again(u.class), len(u.tried), proof) || w.now >= u.deadline-1e-6 || u.process.proxy.process != u.process {
+		u.fail()
 		return
 	}
-	u.next()
+	u.sendNext()
 }
 
-func (u *reqUnder) end() {
-	if !u.ran {
+func (u *proxyRequest) fail() {
+	if !u.mayHaveRun {
 		u.answer(&wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.ComeBackMs})
 		return
 	}
-	u.li.follow.Unanswered(u.kind, u.req.Key)
+	u.process.follower.Unanswered(u.class, u.req.Key)
 	u.answer(&wire.Answer{Outcome: wire.Errored})
 }
 
 // stream is a proxy's to a pilot. It implements pilot.Stream.
 type stream struct {
-	w      *World
-	li     *plainLife
-	to     *seat
-	run    *pilotRun
-	ended  bool
-	unread []func() // messages that a proxy which does not read will apply
+	w            *World
+	process      *proxyProcess
+	pilot        *emulatedPilot
+	pilotProcess *pilotProcess
+	ended        bool
+	unread       []func() // messages that a proxy which does not read will apply
 }
 
 // Send brings orders down. A proxy that does not read has its stream cut once it has not read for the time it may.
 func (s *stream) Send(o *wire.Orders) error {
 	traced := func(string, float64) {}
-	if t := s.w.Trace; t != nil && s.run != nil {
-		d, left := t.message(s.run, s.li.p.place.name, min(s.run.born+o.AtMs, s.w.now), o.Lines), s.w.now
-		traced = func(what string, from float64) { t.part(d, what, s.li.p.place.name, max(from, left), s.w.now, o.Lines) }
+	if t := s.w.Trace; t != nil && s.pilotProcess != nil {
+		d, left := t.message(s.pilotProcess, s.process.proxy.place.name, min(s.pilotProcess.startedAt+o.AtMs, s.w.now), o.Lines), s.w.now
+		traced = func(what string, from float64) {
+			t.part(d, what, s.process.proxy.place.name, max(from, left), s.w.now, o.Lines)
+		}
 	}
 	left := s.w.now
-	s.w.ways.carry(s.to.place, s.li.p.place, func() {
-		if !s.ended && s.li.p.life == s.li {
+	s.w.network.carry(s.pilot.place, s.process.proxy.place, func() {
+		if !s.ended && s.process.proxy.process == s.process {
 			traced("way", left)
-			s.li.apply(s, o, traced)
+			s.process.apply(s, o, traced)
 		}
 	})
-	if s.li.p.mute {
-		s.w.After(s.w.seenWithin, func() {
+	if s.process.proxy.muted {
+		s.w.After(s.w.muteLimitMs, func() {
 			if len(s.unread) > 0 {
-				s.broke(true)
+				s.end(true)
 			}
 		})
 	}
@@ -414,45 +416,45 @@
 
 // Ask brings a wish for reports down.
 func (s *stream) Ask(m *wire.Pace) error {
-	s.w.ways.carry(s.to.place, s.li.p.place, func() {
-		if !s.ended && s.li.p.heed {
-			s.li.wish = routing.ReportRequest{Lines: m.Lines, Changes: m.Changes}
-			s.li.period = math.Max(1, float64(m.PeriodMs))
+	s.w.network.carry(s.pilot.place, s.process.proxy.place, func() {
+		if !s.ended && s.process.proxy.heedsPace {
+			s.process.reportRequest = routing.ReportRequest{Lines: m.Lines, Changes: m.Changes}
+			s.process.reportPeriodMs = math.Max(1, float64(m.PeriodMs))
 		}
 	})
 	return nil
 }
 
 // Close ends it from the pilot's side.
-func (s *stream) Close(string) { s.w.After(0, func() { s.broke(true) }) }
+func (s *stream) Close(string) { s.w.After(0, func() { s.end(true) }) }
 
-// up brings something to the pilot.
-func (s *stream) up(do func()) {
-	s.w.ways.carry(s.li.p.place, s.to.place, func() {
-		if !s.ended && s.to.run == s.run && s.run != nil {
+// sendUp brings something to the pilot.
+func (s *stream) sendUp(do func()) {
+	s.w.network.carry(s.process.proxy.place, s.pilot.place, func() {
+		if !s.ended && s.pilot.process == s.pilotProcess && s.pilotProcess != nil {
 			do()
 		}
 	})
 }
 
-// broke ends it on both sides; the pilot hears of it, and the proxy dials again.
-func (s *stream) broke(redial bool) {
+// end ends it on both sides; the pilot hears of it, and the proxy dials again.
+func (s *stream) end(redial bool) {
 	if s.ended {
 		return
 	}
 	s.ended = true
-	delete(s.to.streams, s)
-	if s.to.run == s.run && s.run != nil {
-		s.to.post(controller.ProxyLeft{Stream: s})
+	delete(s.pilot.streams, s)
+	if s.pilot.process == s.pilotProcess && s.pilotProcess != nil {
+		s.pilot.post(controller.ProxyLeft{Stream: s})
 	}
-	if s.li.stream != s {
+	if s.process.stream != s {
 		return
 	}
-	s.li.stream = nil
-	if s.li.p.life == s.li {
-		s.w.note(s.li.p.place.name, eventlog.Event{What: eventlog.Leave, Peer: s.to.place.name})
+	s.process.stream = nil
+	if s.process.proxy.process == s.process {
+		s.w.logEvent(s.process.proxy.place.name, eventlog.Event{What: eventlog.Leave, Peer: s.pilot.place.name})
 		if redial {
-			s.li.redial(0)
+			s.process.redial(0)
 		}
 	}
 }
--- a/internal/emulator/trace.go
+++ b/internal/emulator/trace.go
@@ -18,7 +18,7 @@
 type Tracer struct {
 	provider *trace.TracerProvider
 	tracer   api.Tracer
-	open     map[*pilotRun]*decision
+	open     map[*pilotProcess]*decision
 }
 
 // decision is one turn that ordered something.
@@ -36,7 +36,7 @@
 		return nil, fmt.Errorf("trace: %w", err)
 	}
 	p := trace.NewTracerProvider(trace.WithBatcher(exporter))
-	return &Tracer{provider: p, tracer: p.Tracer("indigousher/emulator"), open: map[*pilotRun]*decision{}}, nil
+	return &Tracer{provider: p, tracer: p.Tracer("indigousher/emulator"), open: map[*pilotProcess]*decision{}}, nil
 }
 
 // Close ends what is open and writes all.
@@ -55,7 +55,7 @@
 	return time.UnixMilli(epochMs).Add(time.Duration(ms * float64(time.Millisecond)))
 }
 
-func (t *Tracer) end(r *pilotRun) {
+func (t *Tracer) end(r *pilotProcess) {
 	if d := t.open[r]; d != nil {
 		d.span.End(api.WithTimestamp(virtual(d.last)))
 		delete(t.open, r)
@@ -63,7 +63,7 @@
 }
 
 // message notes a message that left a pilot's channel; ordered is when it was.
-func (t *Tracer) message(r *pilotRun, proxy string, ordered float64, lines int) *decision {
+func (t *Tracer) message(r *pilotProcess, proxy string, ordered float64, lines int) *decision {
 	d := t.open[r]
 	if d == nil || d.ordered != ordered {
 		t.end(r)
@@ -72,14 +72,14 @@
 			from = min(ordered, r.firstReport)
 		}
 		ctx, span := t.tracer.Start(context.Background(), "decision", api.WithTimestamp(virtual(from)),
-			api.WithAttributes(attribute.String("pilot", r.s.place.name), attribute.Int("reports", r.reports)))
+			api.WithAttributes(attribute.String("pilot", r.pilot.place.name), attribute.Int("reports", r.reports)))
 		_, gather := t.tracer.Start(ctx, "gather", api.WithTimestamp(virtual(from)))
 		gather.End(api.WithTimestamp(virtual(ordered)))
 		r.reports = 0
 		d = &decision{ctx, span, ordered, ordered}
 		t.open[r] = d
 	}
-	t.part(d, "channel", proxy, ordered, r.s.w.now, lines)
+	t.part(d, "channel", proxy, ordered, r.pilot.w.now, lines)
 	return d
 }
 
--- a/internal/emulator/tries_test.go
+++ b/internal/emulator/tries_test.go
@@ -109,7 +109,7 @@
 				t.Parallel()
 				d, err := scenario.Read("tries.hcl", []byte(failing(way, usual)))
 				require.NoError(t, err)
-				o, err := Play{Scenario: d, Keep: true}.Run(t.Context())
+				o, err := Play{Scenario: d, KeepEvents: true}.Run(t.Context())
 				require.NoError(t, err)
 				for kind, c := range countTries(o.Events, 8000, 20000) {
 					t.Logf("%s: %.2f tries a req, %.2f came in, most %d, %d took effect, last try after %.0f ms, last answer after %.0f",
--- a/internal/emulator/trouble.go
+++ b/internal/emulator/trouble.go
@@ -10,180 +10,180 @@
 	"indigousher/internal/wire"
 )
 
-// strike plays one trouble, as the rehearsal does on sockets.
-func (w *World) strike(t scenario.Fault) {
-	lasts := ms(t.For)
+// playFault plays one trouble, as the rehearsal does on sockets.
+func (w *World) playFault(t scenario.Fault) {
+	lasts := milliseconds(t.For)
 	switch t.What {
 	case "hang", "fast_errors", "class_fail", "handshake_slow", "answers_twice", "pause":
-		w.moods(t)
+		w.playBehaviour(t)
 	case "vanish", "crash", "restart", "drain", "preempt", "replace", "flapping":
-		for i, m := range w.machinesOf(t) {
-			w.fate(t, m, i)
+		for i, m := range w.faultEndpoints(t) {
+			w.playLifecycle(t, m, i)
 		}
 	case "zone_cut":
-		w.cut(t.Zone, true)
-		w.After(lasts, func() { w.cut(t.Zone, false) })
+		w.cutZone(t.Zone, true)
+		w.After(lasts, func() { w.cutZone(t.Zone, false) })
 	case "slow_link":
-		z := w.ways.zone(t.Zone)
-		z.delay, z.loss = ms(t.Extra), t.Loss
+		z := w.network.zone(t.Zone)
+		z.delay, z.loss = milliseconds(t.Extra), t.Loss
 		w.After(lasts, func() { z.delay, z.loss = 0, 0 })
 	case "zone_loss":
 		w.zoneLoss(t)
 	case "proxy_crash", "proxy_roll", "reconnect", "counter_down", "mute_proxy", "report_burst", "silent":
-		w.proxyTrouble(t)
+		w.playProxyFault(t)
 	case "pilot_kill", "pilot_roll", "handover", "reload", "pilot_pause":
-		w.pilotTrouble(t)
+		w.playPilotFault(t)
 	case "list_down":
-		w.list.stop()
-		w.After(lasts, w.list.again)
+		w.registry.stop()
+		w.After(lasts, w.registry.resume)
 	case "list_all":
 		w.listAll()
 	case "slice_move":
-		w.moveSlices(w.machinesOf(t))
+		w.moveSlices(w.faultEndpoints(t))
 	} // the others are the clients' doing
 }
 
-func (w *World) machinesOf(t scenario.Fault) (struck []*machine) {
+func (w *World) faultEndpoints(t scenario.Fault) (struck []*emulatedEndpoint) {
 	var names []string
-	for _, m := range w.machines {
+	for _, m := range w.endpoints {
 		if t.Zone == "" || m.Zone == t.Zone {
 			names = append(names, m.Name)
 		}
 	}
-	for _, n := range t.Targets(names, w.rnd) {
-		struck = append(struck, w.byName[n])
+	for _, n := range t.Targets(names, w.random) {
+		struck = append(struck, w.endpointByName[n])
 	}
 	return struck
 }
 
-// moods plays what changes how endpoints answer.
-func (w *World) moods(t scenario.Fault) {
-	struck := w.machinesOf(t)
+// playBehaviour plays what changes how endpoints answer.
+func (w *World) playBehaviour(t scenario.Fault) {
+	struck := w.faultEndpoints(t)
 	for _, m := range struck {
 		switch t.What {
 		case "hang":
-			m.mood = endpoint.FaultMode{Hang: true, OnlyFor: t.Kind}
+			m.fault = endpoint.FaultMode{Hang: true, OnlyFor: t.Kind}
 		case "fast_errors", "class_fail":
-			m.mood = endpoint.FaultMode{Errors: t.Size, OnlyFor: t.Kind}
+			m.fault = endpoint.FaultMode{Errors: t.Size, OnlyFor: t.Kind}
 		case "handshake_slow":
-			m.mood = endpoint.FaultMode{Shakes: t.Size}
-			w.slowDial[m.Name] = ms(t.Extra)
+			m.fault = endpoint.FaultMode{Shakes: t.Size}
+			w.dialDelayMs[m.Name] = milliseconds(t.Extra)
 		case "pause":
-			m.pausing = w.now + ms(t.For)
+			m.pausedUntil = w.now + milliseconds(t.For)
 		}
 	}
-	w.After(ms(t.For), func() {
+	w.After(milliseconds(t.For), func() {
 		for _, m := range struck {
-			m.mood = endpoint.FaultMode{}
-			delete(w.slowDial, m.Name)
+			m.fault = endpoint.FaultMode{}
+			delete(w.dialDelayMs, m.Name)
 		}
 	})
 }
 
-func (w *World) dumb(name string, dumb bool) {
-	w.ways.dumb[name] = dumb
-	w.note("links", eventlog.Event{What: map[bool]eventlog.What{true: eventlog.Cut, false: eventlog.Mended}[dumb], Peer: name})
+func (w *World) setBlackhole(name string, dumb bool) {
+	w.network.blackholed[name] = dumb
+	w.logEvent("links", eventlog.Event{What: map[bool]eventlog.What{true: eventlog.Cut, false: eventlog.Mended}[dumb], Peer: name})
 	if !dumb {
-		w.ways.changed()
+		w.network.releaseHeld()
 	}
-	w.silence()
+	w.endSilentStreams()
 }
 
-func (w *World) cut(zone string, cut bool) {
-	w.ways.zone(zone).cut = cut
-	w.note("links", eventlog.Event{What: map[bool]eventlog.What{true: eventlog.Cut, false: eventlog.Mended}[cut], Text: zone})
+func (w *World) cutZone(zone string, cut bool) {
+	w.network.zone(zone).cut = cut
+	w.logEvent("links", eventlog.Event{What: map[bool]eventlog.What{true: eventlog.Cut, false: eventlog.Mended}[cut], Text: zone})
 	if !cut {
-		w.ways.changed()
+		w.network.releaseHeld()
 	}
-	w.silence()
+	w.endSilentStreams()
 }
 
-// silence ends streams over ways that stay cut until nobody has heard a beat for long enough.
-func (w *World) silence() {
-	w.After(3*ms(w.Scenario.Beat), func() {
+// endSilentStreams ends streams over ways that stay cut until nobody has heard a beat for long enough.
+func (w *World) endSilentStreams() {
+	w.After(3*milliseconds(w.Scenario.Beat), func() {
 		for _, p := range w.proxies {
-			if p.life != nil && p.life.stream != nil && !w.ways.open(p.place, p.life.stream.to.place) {
-				p.life.stream.broke(true)
+			if p.process != nil && p.process.stream != nil && !w.network.open(p.place, p.process.stream.pilot.place) {
+				p.process.stream.end(true)
 			}
 		}
 	})
 }
 
-// fate plays what happens to one endpoint's process.
-func (w *World) fate(t scenario.Fault, m *machine, i int) {
-	late, lasts := ms(w.Scenario.ListLate), ms(t.For)
+// playLifecycle plays what happens to one endpoint's process.
+func (w *World) playLifecycle(t scenario.Fault, m *emulatedEndpoint, i int) {
+	late, lasts := milliseconds(w.Scenario.ListLate), milliseconds(t.For)
 	gone := func(x *wire.Entry) { x.Phase = wire.PhaseGone }
 	drains := func(x *wire.Entry) { x.Phase = wire.PhaseDraining }
 	switch t.What {
 	case "vanish":
-		w.dumb(m.Name, true)
-		w.tell(m.Name, 4*late, gone)
+		w.setBlackhole(m.Name, true)
+		w.updateEntry(m.Name, 4*late, gone)
 		w.After(lasts, func() {
 			m.kill()
-			w.dumb(m.Name, false)
-			w.cold(m)
+			w.setBlackhole(m.Name, false)
+			w.restartCold(m)
 		})
 	case "crash":
 		m.kill()
-		w.tell(m.Name, late, gone)
-		w.After(lasts, func() { w.cold(m) })
+		w.updateEntry(m.Name, late, gone)
+		w.After(lasts, func() { w.restartCold(m) })
 	case "restart":
 		m.kill()
-		w.cold(m)
+		w.restartCold(m)
 	case "drain", "preempt":
-		w.tell(m.Name, late, drains)
+		w.updateEntry(m.Name, late, drains)
 		w.After(late+lasts, func() {
 			m.kill()
-			w.tell(m.Name, late, gone)
+			w.updateEntry(m.Name, late, gone)
 			if t.What == "preempt" {
-				w.After(ms(t.Extra), func() { w.successor(m) })
+				w.After(milliseconds(t.Extra), func() { w.addSuccessor(m) })
 			}
 		})
 	case "replace": // one after another: the new one first
-		w.After(float64(i)*ms(t.Every), func() {
-			w.successor(m)
-			w.After(ms(t.Extra), func() {
-				w.tell(m.Name, late, drains)
-				w.After(late+ms(w.Scenario.DrainGrace)+500, func() {
+		w.After(float64(i)*milliseconds(t.Every), func() {
+			w.addSuccessor(m)
+			w.After(milliseconds(t.Extra), func() {
+				w.updateEntry(m.Name, late, drains)
+				w.After(late+milliseconds(w.Scenario.DrainGrace)+500, func() {
 					m.kill()
-					w.tell(m.Name, late, gone)
+					w.updateEntry(m.Name, late, gone)
 				})
 			})
 		})
 	case "flapping":
-		w.flap(m, w.now+lasts, ms(t.Every)*(1+float64(i)/7))
+		w.flap(m, w.now+lasts, milliseconds(t.Every)*(1+float64(i)/7))
 	}
 }
 
-// cold starts an endpoint's process again and has the list say so.
-func (w *World) cold(m *machine) {
-	if m.run != nil {
+// restartCold starts an endpoint's process again and has the list say so.
+func (w *World) restartCold(m *emulatedEndpoint) {
+	if m.process != nil {
 		return // two troubles at once
 	}
 	m.start(true)
-	w.tell(m.Name, ms(w.Scenario.ListLate), func(x *wire.Entry) { x.Phase, x.Started = wire.PhaseReady, w.list.clock() })
+	w.updateEntry(m.Name, milliseconds(w.Scenario.ListLate), func(x *wire.Entry) { x.Phase, x.Started = wire.PhaseReady, w.registry.clock() })
 }
 
-// successor starts a new machine beside one that goes.
-func (w *World) successor(m *machine) {
+// addSuccessor starts a new machine beside one that goes.
+func (w *World) addSuccessor(m *emulatedEndpoint) {
 	name := m.Name + "-next"
-	if w.byName[name] != nil {
+	if w.endpointByName[name] != nil {
 		return
 	}
 	group := slices.IndexFunc(w.Scenario.Groups, func(g scenario.Group) bool { return g.Zone == m.Zone && g.Machine == m.Machine })
-	w.addMachine(name, group, true)
-	w.tell(name, ms(w.Scenario.ListLate), func(*wire.Entry) {})
+	w.addEndpoint(name, group, true)
+	w.updateEntry(name, milliseconds(w.Scenario.ListLate), func(*wire.Entry) {})
 }
 
 // flap lets an endpoint fail and recover by turns.
-func (w *World) flap(m *machine, until, turn float64) {
+func (w *World) flap(m *emulatedEndpoint, until, turn float64) {
 	if w.now >= until {
 		return
 	}
 	w.After(0.6*turn, func() {
 		m.kill()
 		w.After(0.4*turn, func() {
-			w.cold(m)
+			w.restartCold(m)
 			w.flap(m, until, turn)
 		})
 	})
@@ -191,13 +191,13 @@
 
 // zoneLoss takes a zone's endpoints, and with a size over a half its proxies and pilots.
 func (w *World) zoneLoss(t scenario.Fault) {
-	struck := w.machinesOf(t)
+	struck := w.faultEndpoints(t)
 	for _, m := range struck {
 		m.kill()
-		w.tell(m.Name, 4*ms(w.Scenario.ListLate), func(x *wire.Entry) { x.Phase = wire.PhaseGone })
+		w.updateEntry(m.Name, 4*milliseconds(w.Scenario.ListLate), func(x *wire.Entry) { x.Phase = wire.PhaseGone })
 	}
-	var proxies []*plain
-	var seats []*seat
+	var proxies []*emulatedProxy
+	var seats []*emulatedPilot
 	if t.Size > 0.5 {
 		for _, p := range w.proxies {
 			if p.place.zone == t.Zone {
@@ -205,77 +205,77 @@
 				proxies = append(proxies, p)
 			}
 		}
-		for _, s := range w.seats {
+		for _, s := range w.pilots {
 			if s.place.zone == t.Zone {
 				s.stop(true)
 				seats = append(seats, s)
 			}
 		}
 	}
-	w.After(ms(t.For), func() {
+	w.After(milliseconds(t.For), func() {
 		for _, m := range struck {
-			w.cold(m)
+			w.restartCold(m)
 		}
 		for _, s := range seats {
-			if s.run == nil {
+			if s.process == nil {
 				s.start()
 			}
 		}
 		for _, p := range proxies {
-			if p.life == nil {
+			if p.process == nil {
 				p.start()
 			}
 		}
 	})
 }
 
-func (w *World) proxiesOf(t scenario.Fault) (struck []*plain) {
+func (w *World) faultProxies(t scenario.Fault) (struck []*emulatedProxy) {
 	var names []string
-	by := map[string]*plain{}
+	by := map[string]*emulatedProxy{}
 	for _, p := range w.proxies {
 		if t.Zone == "" || p.place.zone == t.Zone {
 			names, by[p.place.name] = append(names, p.place.name), p
 		}
 	}
-	for _, n := range t.Targets(names, w.rnd) {
+	for _, n := range t.Targets(names, w.random) {
 		struck = append(struck, by[n])
 	}
 	return struck
 }
 
-func (w *World) proxyTrouble(t scenario.Fault) {
-	struck := w.proxiesOf(t)
-	each := func(f func(p *plain)) func() {
+func (w *World) playProxyFault(t scenario.Fault) {
+	struck := w.faultProxies(t)
+	each := func(f func(p *emulatedProxy)) func() {
 		return func() {
 			for _, p := range struck {
 				f(p)
 			}
 		}
 	}
-	var begin, end func(p *plain)
+	var begin, end func(p *emulatedProxy)
 	switch t.What {
 	case "reconnect":
-		begin, end = (*plain).drop, func(*plain) {}
+		begin, end = (*emulatedProxy).breakStream, func(*emulatedProxy) {}
 	case "counter_down":
-		begin, end = func(p *plain) { p.unable = true; p.drop() }, func(p *plain) { p.unable = false }
+		begin, end = func(p *emulatedProxy) { p.unreachable = true; p.breakStream() }, func(p *emulatedProxy) { p.unreachable = false }
 	case "mute_proxy":
-		begin, end = func(p *plain) { p.mute = true }, (*plain).reads
+		begin, end = func(p *emulatedProxy) { p.muted = true }, (*emulatedProxy).resumeReading
 	case "silent":
-		begin, end = func(p *plain) { w.dumb(p.place.name, true) }, func(p *plain) { w.dumb(p.place.name, false) }
+		begin, end = func(p *emulatedProxy) { w.setBlackhole(p.place.name, true) }, func(p *emulatedProxy) { w.setBlackhole(p.place.name, false) }
 	case "report_burst":
-		begin, end = func(p *plain) { p.reports = t.Size }, func(p *plain) { p.reports = 1 }
+		begin, end = func(p *emulatedProxy) { p.reportFactor = t.Size }, func(p *emulatedProxy) { p.reportFactor = 1 }
 	case "proxy_crash":
-		begin, end = (*plain).kill, func(p *plain) {
-			if p.life == nil {
+		begin, end = (*emulatedProxy).kill, func(p *emulatedProxy) {
+			if p.process == nil {
 				p.start()
 			}
 		}
 	case "proxy_roll":
 		for i, p := range struck {
-			w.After(float64(i)*(ms(t.Extra)+ms(t.Every)), func() {
+			w.After(float64(i)*(milliseconds(t.Extra)+milliseconds(t.Every)), func() {
 				p.kill()
-				w.After(ms(t.Extra), func() {
-					if p.life == nil {
+				w.After(milliseconds(t.Extra), func() {
+					if p.process == nil {
 						p.start()
 					}
 				})
@@ -284,16 +284,16 @@
 		return
 	}
 	each(begin)()
-	w.After(ms(t.For), each(end))
+	w.After(milliseconds(t.For), each(end))
 }
 
-// reads lets a proxy read again: what has come meanwhile is applied in order.
-func (p *plain) reads() {
-	p.mute = false
-	if p.life == nil || p.life.stream == nil {
+// resumeReading lets a proxy read again: what has come meanwhile is applied in order.
+func (p *emulatedProxy) resumeReading() {
+	p.muted = false
+	if p.process == nil || p.process.stream == nil {
 		return
 	}
-	s := p.life.stream
+	s := p.process.stream
 	waits := s.unread
 	s.unread = nil
 	for _, apply := range waits {
@@ -301,86 +301,86 @@
 	}
 }
 
-func (w *World) pilotTrouble(t scenario.Fault) {
+func (w *World) playPilotFault(t scenario.Fault) {
 	var names []string
-	by := map[string]*seat{}
-	for _, s := range w.seats {
+	by := map[string]*emulatedPilot{}
+	for _, s := range w.pilots {
 		names, by[s.place.name] = append(names, s.place.name), s
 	}
-	back := func(s *seat) func() {
+	back := func(s *emulatedPilot) func() {
 		return func() {
-			if s.run == nil {
+			if s.process == nil {
 				s.start()
 			}
 		}
 	}
-	struck := t.Targets(names, w.rnd)
+	struck := t.Targets(names, w.random)
 	for i, n := range struck {
 		s := by[n]
 		switch t.What {
 		case "pilot_kill":
 			s.stop(true)
-			w.After(ms(t.For), back(s))
+			w.After(milliseconds(t.For), back(s))
 		case "pilot_roll":
-			w.After(float64(i)*(ms(t.Extra)+ms(t.Every)), func() {
+			w.After(float64(i)*(milliseconds(t.Extra)+milliseconds(t.Every)), func() {
 				s.stop(false)
-				w.After(ms(t.Extra), back(s))
+				w.After(milliseconds(t.Extra), back(s))
 			})
 		case "handover":
-			w.handOver(s, w.now+ms(t.For), max(ms(t.Every), 1))
+			w.handOver(s, w.now+milliseconds(t.For), max(milliseconds(t.Every), 1))
 		case "pilot_pause":
-			s.paused = w.now + ms(t.For) // nobody hears of it meanwhile either
-			w.dumb(n, true)
-			w.After(ms(t.For), func() { w.dumb(n, false) })
+			s.pausedUntil = w.now + milliseconds(t.For) // nobody hears of it meanwhile either
+			w.setBlackhole(n, true)
+			w.After(milliseconds(t.For), func() { w.setBlackhole(n, false) })
 		case "reload":
-			if s.run != nil {
-				s.run.reload(t.Size)
+			if s.process != nil {
+				s.process.reload(t.Size)
 			}
 		}
 	}
 }
 
 // handOver has one process after another take over: the old one ends in order and the new one begins.
-func (w *World) handOver(s *seat, until, every float64) {
+func (w *World) handOver(s *emulatedPilot, until, every float64) {
 	if w.now >= until {
 		return
 	}
 	s.stop(false)
 	w.After(1, func() {
-		if s.run == nil {
+		if s.process == nil {
 			s.start()
 		}
 		w.After(every, func() { w.handOver(s, until, every) })
 	})
 }
 
-// dealSlices has the store give each slice to one endpoint, in turn.
-func (w *World) dealSlices() {
+// assignSlices has the store give each slice to one endpoint, in turn.
+func (w *World) assignSlices() {
 	for i := range w.Scenario.Slices {
-		w.owners = append(w.owners, w.machines[i%len(w.machines)].Name)
-		w.giveSlice(i)
+		w.sliceOwners = append(w.sliceOwners, w.endpoints[i%len(w.endpoints)].Name)
+		w.assignSlice(i)
 	}
 }
 
-func (w *World) giveSlice(i int) {
+func (w *World) assignSlice(i int) {
 	x := wire.Slices{Slice: i, Given: true, From: loadgen.Key(i * scenario.KeysPerSlice), To: loadgen.Key((i + 1) * scenario.KeysPerSlice),
-		Lines: []wire.HeldLine{{Endpoint: w.owners[i], Weight: 1}}}
-	w.note("rehearsal", eventlog.Event{What: eventlog.Given, Peer: w.owners[i], N: i, Text: x.From})
-	w.list.give(x)
+		Lines: []wire.HeldLine{{Endpoint: w.sliceOwners[i], Weight: 1}}}
+	w.logEvent("rehearsal", eventlog.Event{What: eventlog.Given, Peer: w.sliceOwners[i], N: i, Text: x.From})
+	w.registry.assignSlice(x)
 }
 
 // moveSlices has the store give the slices of some endpoints to the others, in turn.
-func (w *World) moveSlices(from []*machine) {
+func (w *World) moveSlices(from []*emulatedEndpoint) {
 	var stay []string
-	for _, m := range w.machines {
+	for _, m := range w.endpoints {
 		if !slices.Contains(from, m) {
 			stay = append(stay, m.Name)
 		}
 	}
-	for i, owner := range w.owners {
-		if slices.Contains(from, w.byName[owner]) && len(stay) > 0 {
-			w.owners[i] = stay[i%len(stay)]
-			w.giveSlice(i)
+	for i, owner := range w.sliceOwners {
+		if slices.Contains(from, w.endpointByName[owner]) && len(stay) > 0 {
+			w.sliceOwners[i] = stay[i%len(stay)]
+			w.assignSlice(i)
 		}
 	}
 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -194,7 +194,7 @@
 	switch c.Policy {
 	case Ours:
 	case Standing:
-		play.Bare = true
+		play.WithoutPilots = true
 	case Two:
 		d.Pick = "two"
 		fallthrough
@@ -231,9 +231,9 @@
 	s := &o.Report.Service
 	n := math.Max(1, float64(s.Done+s.Denied+s.Errored))
 	r := &Result{Service: s.All.Share(), Worst: 1, Errored: float64(s.Errored) / n, Denied: float64(s.Denied) / n,
-		TriesEach: float64(o.Tries) / n, P50: float64(o.Latency.ValueAtQuantile(50)) / 1000, P99: float64(o.Latency.ValueAtQuantile(99)) / 1000,
-		LinesPerS: float64(o.Lines) / seconds, MostLines: float64(o.MostLines) / backlog, PilotMs: o.PilotMs / seconds,
-		Events: float64(o.Done), TookMs: o.TookMs}
+		TriesEach: float64(o.Attempts) / n, P50: float64(o.Latency.ValueAtQuantile(50)) / 1000, P99: float64(o.Latency.ValueAtQuantile(99)) / 1000,
+		LinesPerS: float64(o.LinesSent) / seconds, MostLines: float64(o.MaxQueueLines) / backlog, PilotMs: o.PilotMs / seconds,
+		Events: float64(o.ClockEvents), TookMs: o.ElapsedMs}
 	for _, w := range s.Windows {
 		r.Windows = append(r.Windows, w.Share())
 		r.Worst = min(r.Worst, w.Share())
@@ -247,7 +247,7 @@
 	}
 	for i := range o.Report.Verdicts {
 		v := &o.Report.Verdicts[i]
-		r.Nearest = max(r.Nearest, v.Part)
+		r.Nearest = max(r.Nearest, v.LimitFraction)
 		if !v.Kept() {
 			r.Broken++
 			r.Text += fmt.Sprintf("%s: %.2f s %s %s; ", v.Rule, v.Violations[0].At/1000, v.Violations[0].Who, v.Violations[0].Text)
--- a/internal/rehearsal/process.go
+++ b/internal/rehearsal/process.go
@@ -34,20 +34,20 @@
 }
 
 // startProcess begins a pilot's process on its terms, at the address of the first, and returns when it is ready.
-func (s *stage) startProcess(st *seat, place network.Place) error {
+func (s *stage) startProcess(st *pilot, place network.Place) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if st.terms.Admin == "" {
+	if st.settings.Admin == "" {
 		var err [2]error
-		st.terms.Listen, err[0] = freeAddress()
-		st.terms.Admin, err[1] = freeAddress()
+		st.settings.Listen, err[0] = freeAddress()
+		st.settings.Admin, err[1] = freeAddress()
 		if err := errors.Join(err[:]...); err != nil {
 			return err
 		}
-		s.net.Put(st.terms.Listen, place)
+		s.network.Put(st.settings.Listen, place)
 	}
 	file := filepath.Join(s.Records, st.name+".hcl")
-	if err := os.WriteFile(file, st.terms.Text(), 0o600); err != nil {
+	if err := os.WriteFile(file, st.settings.Text(), 0o600); err != nil {
 		return fmt.Errorf("start %s: %w", st.name, err)
 	}
 	log, err := os.OpenFile(filepath.Join(s.Records, st.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -66,7 +66,7 @@
 	st.process = p
 	client := http.Client{Timeout: time.Second}
 	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		r, err := client.Get("http://" + st.terms.Admin + "/readyz")
+		r, err := client.Get("http://" + st.settings.Admin + "/readyz")
 		if err != nil {
 			continue
 		}
--- a/internal/rehearsal/record_test.go
+++ b/internal/rehearsal/record_test.go
@@ -83,7 +83,7 @@
 	assert.True(t, o.Report.Kept())
 	assert.Zero(t, o.Report.Service.Denied+o.Report.Service.Errored)
 	handed := 0
-	for _, e := range o.Book.Events() {
+	for _, e := range o.EventLog.Events() {
 		if e.Text == "handed over" {
 			handed++
 		}
--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/rehearsal/rehearsal_test.go
@@ -33,7 +33,7 @@
 			require.NoError(t, err)
 			for _, v := range o.Report.Verdicts {
 				assert.True(t, v.Kept(), "%s: %v", v.Rule, v.Violations)
-				assert.True(t, v.Checked > 0 || v.Rule == audit.ColdKept, "%s was not looked at", v.Rule)
+				assert.True(t, v.Checked > 0 || v.Rule == audit.SlowStartBudget, "%s was not looked at", v.Rule)
 			}
 			assert.Greater(t, o.Report.Service.All.Share(), 0.8)
 		})
@@ -70,7 +70,7 @@
 		day   string
 		spoil func(float64, []planner.Command) []planner.Command
 	}{
-		{"a table emptied", audit.NobodyBare, `rules { bare_for = "1500ms" }`,
+		{"a table emptied", audit.EndpointCoverage, `rules { bare_for = "1500ms" }`,
 			each(func(now float64, o planner.Command) []planner.Command {
 				if s, ok := o.(planner.SetWeight); ok {
 					s.Weight = 0
@@ -78,7 +78,7 @@
 				}
 				return []planner.Command{o}
 			})},
-		{"a non-replayable req repeated", audit.NoEffectTwice, `trouble "slow_link" {
+		{"a non-replayable req repeated", audit.SingleEffect, `trouble "slow_link" {
 				at = "1s"
 				for = "5s"
 				zone = "c"
@@ -95,7 +95,7 @@
 				}
 				return []planner.Command{o}
 			})},
-		{"a drain ignored", audit.DrainsKept, `rules { drain_grace = "1s" }
+		{"a drain ignored", audit.DrainDeadline, `rules { drain_grace = "1s" }
 			trouble "drain" {
 				at = "2s"
 				for = "5s"
@@ -112,7 +112,7 @@
 				}
 				return []planner.Command{o}
 			})},
-		{"a cold endpoint flooded", audit.ColdKept, `rules {
+		{"a cold endpoint flooded", audit.SlowStartBudget, `rules {
 				cold = "20s"
 				cold_from = 0.1
 				drain_grace = "500ms"
@@ -139,7 +139,7 @@
 				}
 				return orders
 			}},
-		{"a channel overfilled", audit.ShortQueue, `channel {
+		{"a channel overfilled", audit.ChannelQueue, `channel {
 				backlog = 100
 				lines_per_s = 400
 			}`,
@@ -248,13 +248,13 @@
 	}}.Run(t.Context())
 	require.NoError(t, err)
 	assert.True(t, o.Report.Kept())
-	assert.LessOrEqual(t, o.Most.MostStanding, 60)
+	assert.LessOrEqual(t, o.PilotMaxima.MostStanding, 60)
 	sent, all := map[string]float64{}, map[string]float64{}
 	names := map[string]bool{}
-	for _, e := range o.Book.Events() {
+	for _, e := range o.EventLog.Events() {
 		if e.What == eventlog.Send {
 			zone := strings.Split(e.Who, "-")[1]
-			if o.Zones[e.Peer] == zone { // others are crossed to only now and then
+			if o.ZoneByAddress[e.Peer] == zone { // others are crossed to only now and then
 				sent[zone+" "+e.Peer]++
 			}
 			all[zone]++
--- a/internal/rehearsal/show.go
+++ b/internal/rehearsal/show.go
@@ -26,7 +26,7 @@
 		if !v.Kept() {
 			verdict = "BROKEN"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%.2f  %s\n", v.Rule, verdict, v.Checked, v.Part, v.Worst)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%.2f  %s\n", v.Rule, verdict, v.Checked, v.LimitFraction, v.Worst)
 	}
 	fmt.Fprint(w, "\nservice")
 	for _, c := range columns {
@@ -34,18 +34,18 @@
 	}
 	fmt.Fprintln(w)
 	for i := range columns[0].Outcome.Report.Service.Windows {
-		row(w, fmt.Sprintf("%3.0f to %3.0f s", float64(i)*audit.WindowMs/1000, float64(i+1)*audit.WindowMs/1000), columns,
-			func(s *audit.Service) audit.Part {
+		printEarnings(w, fmt.Sprintf("%3.0f to %3.0f s", float64(i)*audit.WindowMs/1000, float64(i+1)*audit.WindowMs/1000), columns,
+			func(s *audit.Service) audit.Earnings {
 				if i < len(s.Windows) {
 					return s.Windows[i]
 				}
-				return audit.Part{}
+				return audit.Earnings{}
 			})
 	}
 	for i, k := range d.Kinds {
-		row(w, k.Name, columns, func(s *audit.Service) audit.Part { return s.Kinds[i] })
+		printEarnings(w, k.Name, columns, func(s *audit.Service) audit.Earnings { return s.Kinds[i] })
 	}
-	row(w, "whole day", columns, func(s *audit.Service) audit.Part { return s.All })
+	printEarnings(w, "whole day", columns, func(s *audit.Service) audit.Earnings { return s.All })
 	_ = w.Flush() // a terminal that has gone has no reader either
 	for _, v := range columns[0].Outcome.Report.Verdicts {
 		for _, b := range v.Violations {
@@ -54,10 +54,10 @@
 	}
 	s := columns[0].Outcome.Report.Service
 	fmt.Fprintf(out, "%d done (%d late), %d denied, %d errored; at most %d lines in a channel, %d messages to a proxy\n",
-		s.Done, s.Late, s.Denied, s.Errored, columns[0].Outcome.Most.MostLines, columns[0].Outcome.Most.MostMessages)
+		s.Done, s.Late, s.Denied, s.Errored, columns[0].Outcome.PilotMaxima.MostLines, columns[0].Outcome.PilotMaxima.MostMessages)
 }
 
-func row(w io.Writer, name string, columns []Column, part func(*audit.Service) audit.Part) {
+func printEarnings(w io.Writer, name string, columns []Column, part func(*audit.Service) audit.Earnings) {
 	fmt.Fprint(w, name)
 	for _, c := range columns {
 		fmt.Fprintf(w, "\t%.3f", part(&c.Outcome.Report.Service).Share())
@@ -68,7 +68,7 @@
 // Baselines plays a day with standing tables only and with one even table for all proxies.
 func Baselines(ctx context.Context, p Play) ([]Column, error) {
 	standing, even := p, p
-	standing.Bare = true
+	standing.WithoutPilots = true
 	table, err := baseline.Named("even")
 	if err != nil {
 		return nil, err
@@ -79,7 +79,7 @@
 		name string
 		play Play
 	}{{"standing tables", standing}, {"one even table", even}} {
-		p.Say("baseline: %s", c.name)
+		p.Progress("baseline: %s", c.name)
 		o, err := c.play.Run(ctx)
 		if err != nil {
 			return nil, fmt.Errorf("baseline %s: %w", c.name, err)
--- a/internal/rehearsal/slices.go
+++ b/internal/rehearsal/slices.go
@@ -8,20 +8,20 @@
 	"indigousher/internal/wire"
 )
 
-// dealSlices has the store give each slice to one endpoint, in turn.
-func (s *stage) dealSlices() {
+// assignSlices has the store give each slice to one endpoint, in turn.
+func (s *stage) assignSlices() {
 	for i := range s.Scenario.Slices {
-		s.owners = append(s.owners, s.endpoints[i%len(s.endpoints)].Address())
-		s.give(i)
+		s.sliceOwners = append(s.sliceOwners, s.endpoints[i%len(s.endpoints)].Address())
+		s.assignSlice(i)
 	}
 }
 
-// give tells pilots what the store holds of a slice.
-func (s *stage) give(i int) {
+// assignSlice tells pilots what the store holds of a slice.
+func (s *stage) assignSlice(i int) {
 	x := wire.Slices{Slice: i, Given: true, From: loadgen.Key(i * scenario.KeysPerSlice), To: loadgen.Key((i + 1) * scenario.KeysPerSlice),
-		Lines: []wire.HeldLine{{Endpoint: s.owners[i], Weight: 1}}}
-	s.own.Add(eventlog.Event{What: eventlog.Given, Peer: s.owners[i], N: i, Text: x.From})
-	s.list.Give(x)
+		Lines: []wire.HeldLine{{Endpoint: s.sliceOwners[i], Weight: 1}}}
+	s.stream.Add(eventlog.Event{What: eventlog.Given, Peer: s.sliceOwners[i], N: i, Text: x.From})
+	s.registry.Give(x)
 }
 
 // moveSlices has the store give the slices of some endpoints to the others, in turn.
@@ -38,10 +38,10 @@
 		}
 	}
 	s.mu.Unlock()
-	for i, owner := range s.owners {
+	for i, owner := range s.sliceOwners {
 		if leaving[owner] && len(stay) > 0 {
-			s.owners[i] = stay[i%len(stay)]
-			s.give(i)
+			s.sliceOwners[i] = stay[i%len(stay)]
+			s.assignSlice(i)
 		}
 	}
 }
--- a/internal/rehearsal/slices_test.go
+++ b/internal/rehearsal/slices_test.go
@@ -29,7 +29,7 @@
 	given, firsts := map[string][]gift{}, []string{}
 	sent, astray, moved := 0, 0, 0
 	const joined, follows = 1500, 600 // ms
-	for _, e := range o.Book.Events() {
+	for _, e := range o.EventLog.Events() {
 		switch e.What {
 		case eventlog.Given:
 			if given[e.Text] = append(given[e.Text], gift{e.At, e.Peer}); len(given[e.Text]) == 1 {
--- a/internal/rehearsal/stage.go
+++ b/internal/rehearsal/stage.go
@@ -42,11 +42,11 @@
 
 // Play is one playing of a day.
 type Play struct {
-	Scenario *scenario.Scenario
-	Decide   Decide // nil: the module
-	Bare     bool   // no pilots: standing tables only
-	Log      *zap.Logger
-	Say      func(format string, args ...any) // progress
+	Scenario      *scenario.Scenario
+	Decide        Decide // nil: the module
+	WithoutPilots bool   // no pilots: standing tables only
+	Log           *zap.Logger
+	Progress      func(format string, args ...any) // progress
 	// Records is where pilots record on days that have them do so; a folder that goes with the day if it is empty.
 	Records string
 	// Binary, if told, is the program: pilots are then processes of their own, which a kill ends with signal 9. Their list,
@@ -56,41 +56,41 @@
 
 // Outcome is what a day left.
 type Outcome struct {
-	Report *audit.Report
-	Book   *eventlog.Log
-	Most   controller.State // the most lines and messages that any pilot counted itself
-	Took   time.Duration
-	Zones  map[string]string // of endpoints, by address
+	Report        *audit.Report
+	EventLog      *eventlog.Log
+	PilotMaxima   controller.State // the most lines and messages that any pilot counted itself
+	Elapsed       time.Duration
+	ZoneByAddress map[string]string // of endpoints, by address
 }
 
 // stage holds everything that runs.
 type stage struct {
 	Play
-	book      *eventlog.Log
-	own       *eventlog.Stream
-	net       *network.Network
-	list      *registry.Registry
-	mu        sync.Mutex
-	endpoints []*endpoint.Endpoint
-	entries   map[string]wire.Entry // as they truly are, by name
-	proxies   []*proxy.Proxy
-	unreached map[string]*atomic.Bool
-	muted     map[string]*atomic.Bool
-	reports   map[string]*atomic.Int64 // how many times as often a proxy reports, in thousandths
-	pilots    []*seat
-	rnd       *rand.Rand
-	most      controller.State
-	authority *identity.Authority
-	keyDir    string
-	owners    []string // of slices, by number; addresses of endpoints
+	eventLog      *eventlog.Log
+	stream        *eventlog.Stream
+	network       *network.Network
+	registry      *registry.Registry
+	mu            sync.Mutex
+	endpoints     []*endpoint.Endpoint
+	entries       map[string]wire.Entry // as they truly are, by name
+	proxies       []*proxy.Proxy
+	unreached     map[string]*atomic.Bool
+	muted         map[string]*atomic.Bool
+	reportFactors map[string]*atomic.Int64 // how many times as often a proxy reports, in thousandths
+	pilots        []*pilot
+	random        *rand.Rand
+	maxima        controller.State
+	authority     *identity.Authority
+	keyDir        string
+	sliceOwners   []string // of slices, by number; addresses of endpoints
 }
 
-// seat is a pilot's place; its process may die and come back.
-type seat struct {
+// pilot is a pilot's place; its process may die and come back.
+type pilot struct {
 	name, zone string
-	terms      config.Pilot
+	settings   config.Pilot
 	mu         sync.Mutex
-	h          *daemon.Host
+	host       *daemon.Host
 	cancel     context.CancelFunc
 	done       chan struct{}
 	process    *process // with Play.Binary
@@ -98,20 +98,20 @@
 
 // Run plays the day and judges it.
 func (p Play) Run(ctx context.Context) (*Outcome, error) {
-	if p.Say == nil {
-		p.Say = func(string, ...any) {}
+	if p.Progress == nil {
+		p.Progress = func(string, ...any) {}
 	}
 	if p.Log == nil {
 		p.Log = zap.NewNop()
 	}
 	began := time.Now()
-	s := &stage{Play: p, book: eventlog.NewLog(), entries: map[string]wire.Entry{},
-		unreached: map[string]*atomic.Bool{}, muted: map[string]*atomic.Bool{}, reports: map[string]*atomic.Int64{},
-		rnd: rand.New(rand.NewPCG(uint64(p.Scenario.Seed), 5))}
-	s.own = s.book.Stream("rehearsal")
-	s.net = network.New(s.book.Stream("links"), uint64(p.Scenario.Seed))
-	s.list = registry.New(s.book.Stream("list"))
-	defer s.end()
+	s := &stage{Play: p, eventLog: eventlog.NewLog(), entries: map[string]wire.Entry{},
+		unreached: map[string]*atomic.Bool{}, muted: map[string]*atomic.Bool{}, reportFactors: map[string]*atomic.Int64{},
+		random: rand.New(rand.NewPCG(uint64(p.Scenario.Seed), 5))}
+	s.stream = s.eventLog.Stream("rehearsal")
+	s.network = network.New(s.eventLog.Stream("links"), uint64(p.Scenario.Seed))
+	s.registry = registry.New(s.eventLog.Stream("list"))
+	defer s.stopAll()
 	if s.Records == "" {
 		dir, err := os.MkdirTemp("", "indigousher-records-")
 		if err != nil {
@@ -120,7 +120,7 @@
 		s.Records = dir
 		defer os.RemoveAll(dir)
 	}
-	if err := s.begin(); err != nil {
+	if err := s.startAll(); err != nil {
 		return nil, err
 	}
 	if err := s.play(ctx); err != nil {
@@ -132,28 +132,28 @@
 	}
 	for _, st := range s.pilots {
 		st.mu.Lock()
-		h := st.h
+		h := st.host
 		st.mu.Unlock()
 		if h != nil {
-			s.count(h.Daemon())
+			s.recordMaxima(h.Daemon())
 		}
 	}
 	s.mu.Lock()
-	most := s.most
+	most := s.maxima
 	s.mu.Unlock()
-	return &Outcome{Report: audit.Check(s.book.Events(), &s.Scenario.Common, addresses), Book: s.book, Most: most, Zones: zones,
-		Took: time.Since(began)}, nil
+	return &Outcome{Report: audit.Check(s.eventLog.Events(), &s.Scenario.Common, addresses), EventLog: s.eventLog, PilotMaxima: most, ZoneByAddress: zones,
+		Elapsed: time.Since(began)}, nil
 }
 
-// begin starts endpoints, list, pilots and proxies, in this order.
-func (s *stage) begin() error {
+// startAll starts endpoints, list, pilots and proxies, in this order.
+func (s *stage) startAll() error {
 	if err := s.openKeys(); err != nil {
 		return err
 	}
-	if err := s.list.Start(); err != nil {
+	if err := s.registry.Start(); err != nil {
 		return err
 	}
-	s.net.Put(s.list.Address(), network.Place{Name: "list"})
+	s.network.Put(s.registry.Address(), network.Place{Name: "list"})
 	for gi, g := range s.Scenario.Groups {
 		for i := range g.Count {
 			if _, err := s.addEndpoint(fmt.Sprintf("%s-%s-%d", g.Zone, g.Machine, i), gi, false); err != nil {
@@ -164,11 +164,11 @@
 	if !s.Scenario.ListEmpty {
 		s.listAll()
 	}
-	s.dealSlices()
-	if !s.Bare {
+	s.assignSlices()
+	if !s.WithoutPilots {
 		for i, z := range s.Scenario.PilotZones {
-			st := &seat{name: fmt.Sprintf("pilot-%d", i), zone: z}
-			st.terms = s.pilotTerms(st, i)
+			st := &pilot{name: fmt.Sprintf("pilot-%d", i), zone: z}
+			st.settings = s.pilotTerms(st, i)
 			s.pilots = append(s.pilots, st)
 			if err := s.startPilot(st, false); err != nil {
 				return err
@@ -186,10 +186,10 @@
 	return nil
 }
 
-func (s *stage) pilotTerms(st *seat, rank int) config.Pilot {
+func (s *stage) pilotTerms(st *pilot, rank int) config.Pilot {
 	t := config.Defaults()
 	t.Common, t.Name, t.Zone, t.Rank, t.Seed = s.Scenario.Common, st.name, st.zone, rank, s.Scenario.Seed+rank
-	t.Listen, t.Admin, t.ListAddress = net.JoinHostPort(network.Host, "0"), "", s.list.Address()
+	t.Listen, t.Admin, t.ListAddress = net.JoinHostPort(network.Host, "0"), "", s.registry.Address()
 	t.Beat, t.WriteDeadline, t.ListSilence = s.Scenario.Beat, s.Scenario.WriteWithin, 2*time.Second
 	t.SeenWithin, t.Plain = s.Scenario.DrainGrace/2, true
 	if s.Scenario.Keys {
@@ -217,14 +217,14 @@
 }
 
 // startPilot begins a pilot's process, at the address of the first, or has a new one take over from it.
-func (s *stage) startPilot(st *seat, takeOver bool) error {
+func (s *stage) startPilot(st *pilot, takeOver bool) error {
 	place := network.Place{Name: st.name, Zone: st.zone}
-	s.book.Stream(st.name).Add(eventlog.Event{What: eventlog.Start, Kind: "pilot", Text: st.zone})
+	s.eventLog.Stream(st.name).Add(eventlog.Event{What: eventlog.Start, Kind: "pilot", Text: st.zone})
 	if s.Binary != "" {
 		return s.startProcess(st, place)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	h, err := daemon.Start(ctx, &st.terms, daemon.Options{Log: s.Log.Named(st.name), Dial: s.net.Dialer(place, 2*time.Second),
+	h, err := daemon.Start(ctx, &st.settings, daemon.Options{Log: s.Log.Named(st.name), Dial: s.network.Dialer(place, 2*time.Second),
 		Decide: s.Decide}, takeOver)
 	if err != nil {
 		cancel()
@@ -232,13 +232,13 @@
 	}
 	done := make(chan struct{})
 	st.mu.Lock()
-	st.h, st.cancel, st.done = h, cancel, done
-	st.terms.Listen = h.Daemon().Address()
+	st.host, st.cancel, st.done = h, cancel, done
+	st.settings.Listen = h.Daemon().Address()
 	if h.Daemon().GRPCAddress() != "" {
-		st.terms.GRPC = h.Daemon().GRPCAddress()
-		s.net.Put(st.terms.GRPC, place)
+		st.settings.GRPC = h.Daemon().GRPCAddress()
+		s.network.Put(st.settings.GRPC, place)
 	}
-	s.net.Put(st.terms.Listen, place)
+	s.network.Put(st.settings.Listen, place)
 	st.mu.Unlock()
 	go func() {
 		defer close(done)
@@ -250,7 +250,7 @@
 }
 
 // handOver has a new pilot take over from a seat's.
-func (s *stage) handOver(st *seat) error {
+func (s *stage) handOver(st *pilot) error {
 	st.mu.Lock()
 	cancel, done := st.cancel, st.done
 	st.mu.Unlock()
@@ -263,15 +263,15 @@
 }
 
 // stopPilot ends a pilot's process, by force or by asking.
-func (s *stage) stopPilot(st *seat, force bool) {
+func (s *stage) stopPilot(st *pilot, force bool) {
 	st.mu.Lock()
-	h, cancel, done := st.h, st.cancel, st.done
+	h, cancel, done := st.host, st.cancel, st.done
 	p := st.process
-	st.h, st.process = nil, nil
+	st.host, st.process = nil, nil
 	st.mu.Unlock()
 	if p != nil {
 		p.stop(force)
-		s.book.Stream(st.name).Add(eventlog.Event{What: eventlog.Stop})
+		s.eventLog.Stream(st.name).Add(eventlog.Event{What: eventlog.Stop})
 		return
 	}
 	if h == nil {
@@ -283,25 +283,25 @@
 	}
 	cancel()
 	<-done
-	s.book.Stream(st.name).Add(eventlog.Event{What: eventlog.Stop})
-	s.count(d)
+	s.eventLog.Stream(st.name).Add(eventlog.Event{What: eventlog.Stop})
+	s.recordMaxima(d)
 }
 
-// count keeps the most that any pilot counted itself.
-func (s *stage) count(d *daemon.Daemon) {
+// recordMaxima keeps the most that any pilot counted itself.
+func (s *stage) recordMaxima(d *daemon.Daemon) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st := d.State()
-	s.most.MostLines = max(s.most.MostLines, st.MostLines)
-	s.most.MostMessages = max(s.most.MostMessages, st.MostMessages)
-	s.most.MostStanding = max(s.most.MostStanding, st.MostStanding)
+	s.maxima.MostLines = max(s.maxima.MostLines, st.MostLines)
+	s.maxima.MostMessages = max(s.maxima.MostMessages, st.MostMessages)
+	s.maxima.MostStanding = max(s.maxima.MostStanding, st.MostStanding)
 }
 
 // addEndpoint starts an endpoint of a group.
 func (s *stage) addEndpoint(name string, group int, cold bool) (*endpoint.Endpoint, error) {
 	g := s.Scenario.Groups[group]
 	s.mu.Lock()
-	speed := g.Speed * math.Exp(g.Spread*s.rnd.NormFloat64())
+	speed := g.Speed * math.Exp(g.Spread*s.random.NormFloat64())
 	s.mu.Unlock()
 	effects, dedup := map[string]bool{}, map[string]bool{}
 	for _, k := range s.Scenario.Kinds {
@@ -311,11 +311,11 @@
 		Queue: g.Queue, Conns: g.Conns, HandshakeMs: float64(g.Handshake) / float64(time.Millisecond),
 		ReportEvery: 400 * time.Millisecond, ReportLag: 200 * time.Millisecond, Noise: s.Scenario.NoisyReports,
 		Cold: s.Scenario.Cold, ColdFrom: s.Scenario.ColdFrom, FallMultiple: s.Scenario.FallMultiple, Fall: s.Scenario.Fall, ComeBackMs: 200,
-		Effects: effects, Dedup: dedup, Seed: uint64(s.Scenario.Seed + len(name)*7919)}, s.book.Stream(name))
+		Effects: effects, Dedup: dedup, Seed: uint64(s.Scenario.Seed + len(name)*7919)}, s.eventLog.Stream(name))
 	if err := e.Start(cold); err != nil {
 		return nil, err
 	}
-	s.net.Put(e.Address(), network.Place{Name: name, Zone: g.Zone})
+	s.network.Put(e.Address(), network.Place{Name: name, Zone: g.Zone})
 	entry := wire.Entry{Endpoint: e.Address(), Zone: g.Zone, Machine: g.Machine, Weight: float64(g.Cores) * g.Speed}
 	if cold {
 		entry.Started = registry.Stamp(time.Now())
@@ -327,14 +327,14 @@
 	return e, nil
 }
 
-// tell changes an endpoint's entry and has the list say so after a while.
-func (s *stage) tell(name string, after time.Duration, change func(*wire.Entry)) {
+// updateEntry changes an endpoint's entry and has the list say so after a while.
+func (s *stage) updateEntry(name string, after time.Duration, change func(*wire.Entry)) {
 	s.mu.Lock()
 	e := s.entries[name]
 	change(&e)
 	s.entries[name] = e
 	s.mu.Unlock()
-	s.list.Put(after, e)
+	s.registry.Put(after, e)
 }
 
 func (s *stage) listAll() {
@@ -344,11 +344,11 @@
 		all = append(all, s.entries[e.Name])
 	}
 	s.mu.Unlock()
-	s.list.Put(0, all...)
+	s.registry.Put(0, all...)
 }
 
-// standing draws a proxy's table at its start: from the list, in its zone if three are there.
-func (s *stage) standing(zone string) []string {
+// drawStaticTable draws a proxy's table at its start: from the list, in its zone if three are there.
+func (s *stage) drawStaticTable(zone string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var near, all []string
@@ -363,7 +363,7 @@
 	if len(near) >= 3 {
 		all = near
 	}
-	s.rnd.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+	s.random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all[:min(len(all), s.Scenario.Standing)]
 }
 
@@ -371,7 +371,7 @@
 	down, mute := &atomic.Bool{}, &atomic.Bool{}
 	times := &atomic.Int64{}
 	times.Store(1000)
-	s.unreached[name], s.muted[name], s.reports[name] = down, mute, times
+	s.unreached[name], s.muted[name], s.reportFactors[name] = down, mute, times
 	var targets, limits []time.Duration
 	for _, k := range s.Scenario.Kinds {
 		targets, limits = append(targets, k.ResponseTarget), append(limits, k.ClientTimeout)
@@ -384,16 +384,16 @@
 	}
 	p := proxy.New(proxy.Options{Name: name, Zone: zone, Habits: routing.Policy{Kinds: s.Scenario.ClassNames(), Pick: s.Scenario.Pick,
 		EjectsAfter: s.Scenario.EjectsAfter, EjectMs: float64(s.Scenario.EjectFor.Milliseconds()), TryAgain: s.Scenario.RetryHow},
-		Rate: s.Scenario.Rate / float64(len(s.Scenario.ProxyZones)), Standing: func() []string { return s.standing(zone) },
-		Pilots: func() []string { return s.reach(zone, number, down, over) }, Join: join, Dial: s.net.Dialer(place, time.Second),
+		Rate: s.Scenario.Rate / float64(len(s.Scenario.ProxyZones)), Standing: func() []string { return s.drawStaticTable(zone) },
+		Pilots: func() []string { return s.reachablePilots(zone, number, down, over) }, Join: join, Dial: s.network.Dialer(place, time.Second),
 		DialTimeout: 250 * time.Millisecond, Redial: s.Scenario.Redial, ApplyPerLine: s.Scenario.Apply, FirstWait: s.Scenario.FirstWait,
 		Targets: targets, Limits: limits, Seed: uint64(s.Scenario.Seed*1000 + number), MuteReads: mute.Load,
 		Reports: func() float64 { return float64(times.Load()) / 1000 }, Heedless: slices.Contains(s.Scenario.Heedless, name)},
-		s.book.Stream(name))
+		s.eventLog.Stream(name))
 	if err := p.Start(); err != nil {
 		return err
 	}
-	s.net.Put(p.Address(), place)
+	s.network.Put(p.Address(), place)
 	s.proxies = append(s.proxies, p)
 	return nil
 }
@@ -402,7 +402,7 @@
 func (s *stage) joiner(name, zone string, overGRPC bool) (func() proxy.Joiner, error) {
 	var sealed *tls.Config
 	if s.Scenario.Keys {
-		ring, err := s.ring(identity.Identity{Role: identity.Proxy, Zone: zone, Name: name})
+		ring, err := s.issueKeys(identity.Identity{Role: identity.Proxy, Zone: zone, Name: name})
 		if err != nil {
 			return nil, err
 		}
@@ -416,8 +416,8 @@
 	}, nil
 }
 
-// ring issues and loads keys for one that takes part.
-func (s *stage) ring(who identity.Identity) (*identity.KeyStore, error) {
+// issueKeys issues and loads keys for one that takes part.
+func (s *stage) issueKeys(who identity.Identity) (*identity.KeyStore, error) {
 	f, err := s.authority.Issue(s.keyDir, who, time.Now().Add(-time.Minute), time.Hour)
 	if err != nil {
 		return nil, err
@@ -436,23 +436,23 @@
 	if s.authority, err = identity.NewAuthority("rehearsal", time.Hour); err != nil {
 		return err
 	}
-	ring, err := s.ring(identity.Identity{Role: identity.Source, Zone: "-", Name: "list"})
+	ring, err := s.issueKeys(identity.Identity{Role: identity.Source, Zone: "-", Name: "list"})
 	if err != nil {
 		return err
 	}
-	s.list.Seal(ring.Server(identity.Pilot))
+	s.registry.Seal(ring.Server(identity.Pilot))
 	return nil
 }
 
-// reach lists the pilots that a proxy may dial, its home first.
-func (s *stage) reach(zone string, number int, down *atomic.Bool, overGRPC bool) []string {
+// reachablePilots lists the pilots that a proxy may dial, its home first.
+func (s *stage) reachablePilots(zone string, number int, down *atomic.Bool, overGRPC bool) []string {
 	if down.Load() || len(s.pilots) == 0 {
 		return nil
 	}
 	var at []string
 	home := number % len(s.pilots)
 	if s.Scenario.ByZone {
-		if i := slices.IndexFunc(s.pilots, func(p *seat) bool { return p.zone == zone }); i >= 0 {
+		if i := slices.IndexFunc(s.pilots, func(p *pilot) bool { return p.zone == zone }); i >= 0 {
 			home = i
 		}
 	}
@@ -460,9 +460,9 @@
 		st := s.pilots[(home+i)%len(s.pilots)]
 		st.mu.Lock()
 		if overGRPC {
-			at = append(at, st.terms.GRPC)
+			at = append(at, st.settings.GRPC)
 		} else {
-			at = append(at, st.terms.Listen)
+			at = append(at, st.settings.Listen)
 		}
 		st.mu.Unlock()
 	}
@@ -484,13 +484,13 @@
 	for i, t := range s.Scenario.Faults {
 		wg.Go(func() {
 			if backoff.Sleep(ctx, time.Until(start.Add(t.At))) {
-				s.own.Add(eventlog.Event{What: eventlog.Note, Text: t.String()})
-				s.Say("%5.1fs  %s", time.Since(start).Seconds(), t)
-				errs[i] = s.strike(ctx, t)
+				s.stream.Add(eventlog.Event{What: eventlog.Note, Text: t.String()})
+				s.Progress("%5.1fs  %s", time.Since(start).Seconds(), t)
+				errs[i] = s.playFault(ctx, t)
 			}
 		})
 	}
-	loadgen.NewClients(load, s.book.Stream("clients"), addresses).Run(ctx)
+	loadgen.NewClients(load, s.eventLog.Stream("clients"), addresses).Run(ctx)
 	asked := ctx.Err()
 	cancel()
 	wg.Wait()
@@ -500,8 +500,8 @@
 	return errors.Join(errs...)
 }
 
-// end stops all that runs; what a test started it leaves nothing of.
-func (s *stage) end() {
+// stopAll stops all that runs; what a test started it leaves nothing of.
+func (s *stage) stopAll() {
 	if s.keyDir != "" {
 		defer os.RemoveAll(s.keyDir)
 	}
@@ -511,27 +511,27 @@
 	for _, st := range s.pilots {
 		s.stopPilot(st, true)
 	}
-	s.list.Close()
+	s.registry.Close()
 	for _, e := range s.endpoints {
 		e.Kill()
 	}
 	for _, z := range s.Scenario.Zones { // what a cut holds back may end
-		s.net.Cut(z, false)
+		s.network.Cut(z, false)
 	}
 	for _, e := range s.endpoints {
-		s.net.SetBlackhole(e.Name, false)
+		s.network.SetBlackhole(e.Name, false)
 	}
 	for _, p := range s.proxies {
-		s.net.SetBlackhole(p.Name, false)
+		s.network.SetBlackhole(p.Name, false)
 	}
 	for _, st := range s.pilots {
-		s.net.SetBlackhole(st.name, false)
+		s.network.SetBlackhole(st.name, false)
 	}
 }
 
-// chosen returns the names that a trouble strikes.
-func (s *stage) chosen(t scenario.Fault, names []string) []string {
+// targets returns the names that a trouble strikes.
+func (s *stage) targets(t scenario.Fault, names []string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return t.Targets(names, s.rnd)
+	return t.Targets(names, s.random)
 }
--- a/internal/rehearsal/strike.go
+++ b/internal/rehearsal/strike.go
@@ -19,43 +19,43 @@
 	"indigousher/internal/wire"
 )
 
-// strike plays one trouble from its beginning to its end.
-func (s *stage) strike(ctx context.Context, t scenario.Fault) error {
+// playFault plays one trouble from its beginning to its end.
+func (s *stage) playFault(ctx context.Context, t scenario.Fault) error {
 	switch t.What {
 	case "hang", "fast_errors", "class_fail", "handshake_slow", "answers_twice":
-		s.moods(ctx, t)
+		s.playBehaviour(ctx, t)
 	case "vanish", "crash", "restart", "drain", "preempt", "replace", "flapping":
-		return s.each(s.endpointsOf(t), func(e *endpoint.Endpoint, i int) error { return s.machine(ctx, t, e, i) })
+		return s.forEachEndpoint(s.faultEndpoints(t), func(e *endpoint.Endpoint, i int) error { return s.playLifecycle(ctx, t, e, i) })
 	case "zone_cut":
-		s.net.Cut(t.Zone, true)
+		s.network.Cut(t.Zone, true)
 		backoff.Sleep(ctx, t.For)
-		s.net.Cut(t.Zone, false)
+		s.network.Cut(t.Zone, false)
 	case "slow_link":
-		s.net.Slow(t.Zone, t.Extra, t.Loss)
+		s.network.Slow(t.Zone, t.Extra, t.Loss)
 		backoff.Sleep(ctx, t.For)
-		s.net.Slow(t.Zone, 0, 0)
+		s.network.Slow(t.Zone, 0, 0)
 	case "zone_loss":
 		return s.zoneLoss(ctx, t)
 	case "proxy_crash", "proxy_roll", "reconnect", "counter_down", "mute_proxy", "report_burst", "silent":
-		return s.proxyTrouble(ctx, t)
+		return s.playProxyFault(ctx, t)
 	case "pilot_kill", "pilot_roll", "reload", "handover":
-		return s.pilotTrouble(ctx, t)
+		return s.playPilotFault(ctx, t)
 	case "list_down":
-		s.list.Stop()
+		s.registry.Stop()
 		backoff.Sleep(ctx, t.For)
 		if ctx.Err() == nil {
-			return s.list.Start()
+			return s.registry.Start()
 		}
 	case "list_all":
 		s.listAll()
 	case "slice_move":
-		s.moveSlices(s.endpointsOf(t))
+		s.moveSlices(s.faultEndpoints(t))
 	}
 	return nil // the others are the clients' doing
 }
 
-// each runs a step for several at once and joins what went wrong.
-func (s *stage) each(list []*endpoint.Endpoint, step func(*endpoint.Endpoint, int) error) error {
+// forEachEndpoint runs a step for several at once and joins what went wrong.
+func (s *stage) forEachEndpoint(list []*endpoint.Endpoint, step func(*endpoint.Endpoint, int) error) error {
 	errs := make([]error, len(list))
 	var wg sync.WaitGroup
 	for i, e := range list {
@@ -65,7 +65,7 @@
 	return errors.Join(errs...)
 }
 
-func (s *stage) endpointsOf(t scenario.Fault) (struck []*endpoint.Endpoint) {
+func (s *stage) faultEndpoints(t scenario.Fault) (struck []*endpoint.Endpoint) {
 	s.mu.Lock()
 	var names []string
 	by := map[string]*endpoint.Endpoint{}
@@ -76,15 +76,15 @@
 		}
 	}
 	s.mu.Unlock()
-	for _, n := range s.chosen(t, names) {
+	for _, n := range s.targets(t, names) {
 		struck = append(struck, by[n])
 	}
 	return struck
 }
 
-// moods plays what changes how endpoints answer.
-func (s *stage) moods(ctx context.Context, t scenario.Fault) {
-	struck := s.endpointsOf(t)
+// playBehaviour plays what changes how endpoints answer.
+func (s *stage) playBehaviour(ctx context.Context, t scenario.Fault) {
+	struck := s.faultEndpoints(t)
 	for _, e := range struck {
 		switch t.What {
 		case "hang":
@@ -95,80 +95,80 @@
 			e.SetFaultMode(endpoint.FaultMode{Twice: true})
 		case "handshake_slow":
 			e.SetFaultMode(endpoint.FaultMode{Shakes: t.Size})
-			s.net.SlowDial(e.Name, t.Extra)
+			s.network.SlowDial(e.Name, t.Extra)
 		}
 	}
 	backoff.Sleep(ctx, t.For)
 	for _, e := range struck {
 		e.SetFaultMode(endpoint.FaultMode{})
-		s.net.SlowDial(e.Name, 0)
+		s.network.SlowDial(e.Name, 0)
 	}
 }
 
-// machine plays what happens to one endpoint's process.
-func (s *stage) machine(ctx context.Context, t scenario.Fault, e *endpoint.Endpoint, i int) error {
+// playLifecycle plays what happens to one endpoint's process.
+func (s *stage) playLifecycle(ctx context.Context, t scenario.Fault, e *endpoint.Endpoint, i int) error {
 	late := s.Scenario.ListLate
 	switch t.What {
 	case "vanish":
-		s.net.SetBlackhole(e.Name, true)
-		s.tell(e.Name, 4*late, func(x *wire.Entry) { x.Phase = wire.PhaseGone })
+		s.network.SetBlackhole(e.Name, true)
+		s.updateEntry(e.Name, 4*late, func(x *wire.Entry) { x.Phase = wire.PhaseGone })
 		backoff.Sleep(ctx, t.For)
 		e.Kill()
-		s.net.SetBlackhole(e.Name, false)
-		return s.cold(e)
+		s.network.SetBlackhole(e.Name, false)
+		return s.restartCold(e)
 	case "crash":
 		e.Kill()
-		s.tell(e.Name, late, func(x *wire.Entry) { x.Phase = wire.PhaseGone })
+		s.updateEntry(e.Name, late, func(x *wire.Entry) { x.Phase = wire.PhaseGone })
 		backoff.Sleep(ctx, t.For)
-		return s.cold(e)
+		return s.restartCold(e)
 	case "restart":
 		e.Kill()
-		return s.cold(e)
+		return s.restartCold(e)
 	case "drain", "preempt":
-		s.tell(e.Name, late, func(x *wire.Entry) { x.Phase = wire.PhaseDraining })
+		s.updateEntry(e.Name, late, func(x *wire.Entry) { x.Phase = wire.PhaseDraining })
 		backoff.Sleep(ctx, late+t.For)
 		e.Kill()
-		s.tell(e.Name, late, func(x *wire.Entry) { x.Phase = wire.PhaseGone })
+		s.updateEntry(e.Name, late, func(x *wire.Entry) { x.Phase = wire.PhaseGone })
 		if t.What == "preempt" && backoff.Sleep(ctx, t.Extra) {
-			return s.successor(e, late)
+			return s.addSuccessor(e, late)
 		}
 	case "replace": // one after another: the new one first
 		if !backoff.Sleep(ctx, time.Duration(i)*t.Every) {
 			return nil
 		}
-		if err := s.successor(e, late); err != nil {
+		if err := s.addSuccessor(e, late); err != nil {
 			return err
 		}
 		backoff.Sleep(ctx, t.Extra)
-		s.tell(e.Name, late, func(x *wire.Entry) { x.Phase = wire.PhaseDraining })
+		s.updateEntry(e.Name, late, func(x *wire.Entry) { x.Phase = wire.PhaseDraining })
 		backoff.Sleep(ctx, late+s.Scenario.DrainGrace+500*time.Millisecond)
 		e.Kill()
-		s.tell(e.Name, late, func(x *wire.Entry) { x.Phase = wire.PhaseGone })
+		s.updateEntry(e.Name, late, func(x *wire.Entry) { x.Phase = wire.PhaseGone })
 	case "flapping":
 		return s.flap(ctx, t, e, i)
 	}
 	return nil
 }
 
-// cold starts an endpoint's process again and has the list say so.
-func (s *stage) cold(e *endpoint.Endpoint) error {
+// restartCold starts an endpoint's process again and has the list say so.
+func (s *stage) restartCold(e *endpoint.Endpoint) error {
 	if err := e.Start(true); err != nil {
 		return err
 	}
-	s.tell(e.Name, s.Scenario.ListLate, func(x *wire.Entry) {
+	s.updateEntry(e.Name, s.Scenario.ListLate, func(x *wire.Entry) {
 		x.Phase, x.Started = wire.PhaseReady, registry.Stamp(time.Now())
 	})
 	return nil
 }
 
-// successor starts a new machine beside one that goes.
-func (s *stage) successor(e *endpoint.Endpoint, late time.Duration) error {
+// addSuccessor starts a new machine beside one that goes.
+func (s *stage) addSuccessor(e *endpoint.Endpoint, late time.Duration) error {
 	group := slices.IndexFunc(s.Scenario.Groups, func(g scenario.Group) bool { return g.Zone == e.Zone && g.Machine == e.Machine })
 	name := e.Name + "-next"
 	if _, err := s.addEndpoint(name, group, true); err != nil {
 		return fmt.Errorf("replace %s: %w", e.Name, err)
 	}
-	s.tell(name, late, func(*wire.Entry) {})
+	s.updateEntry(name, late, func(*wire.Entry) {})
 	return nil
 }
 
@@ -183,7 +183,7 @@
 		}
 		e.Kill()
 		backoff.Sleep(ctx, turn*4/10)
-		if err := s.cold(e); err != nil {
+		if err := s.restartCold(e); err != nil {
 			return err
 		}
 	}
@@ -192,13 +192,13 @@
 
 // zoneLoss takes a zone's endpoints, and with a size over a half its proxies and pilots.
 func (s *stage) zoneLoss(ctx context.Context, t scenario.Fault) error {
-	struck := s.endpointsOf(t)
+	struck := s.faultEndpoints(t)
 	for _, e := range struck {
 		e.Kill()
-		s.tell(e.Name, 4*s.Scenario.ListLate, func(x *wire.Entry) { x.Phase = wire.PhaseGone })
+		s.updateEntry(e.Name, 4*s.Scenario.ListLate, func(x *wire.Entry) { x.Phase = wire.PhaseGone })
 	}
 	var proxies []*proxy.Proxy
-	var pilots []*seat
+	var pilots []*pilot
 	if t.Size > 0.5 {
 		for _, p := range s.proxies {
 			if p.Zone == t.Zone {
@@ -218,7 +218,7 @@
 	}
 	var errs []error
 	for _, e := range struck {
-		errs = append(errs, s.cold(e))
+		errs = append(errs, s.restartCold(e))
 	}
 	for _, st := range pilots {
 		errs = append(errs, s.startPilot(st, false))
@@ -229,13 +229,13 @@
 	return errors.Join(errs...)
 }
 
-func (s *stage) proxyTrouble(ctx context.Context, t scenario.Fault) error {
+func (s *stage) playProxyFault(ctx context.Context, t scenario.Fault) error {
 	var names []string
 	by := map[string]*proxy.Proxy{}
 	for _, p := range s.proxies {
 		names, by[p.Name] = append(names, p.Name), p
 	}
-	struck := s.chosen(t, names)
+	struck := s.targets(t, names)
 	switch t.What {
 	case "reconnect":
 		for _, n := range struck {
@@ -260,19 +260,19 @@
 		}
 	case "silent": // in the middle of whatever it says
 		for _, n := range struck {
-			s.net.SetBlackhole(n, true)
+			s.network.SetBlackhole(n, true)
 		}
 		backoff.Sleep(ctx, t.For)
 		for _, n := range struck {
-			s.net.SetBlackhole(n, false)
+			s.network.SetBlackhole(n, false)
 		}
 	case "report_burst":
 		for _, n := range struck {
-			s.reports[n].Store(int64(t.Size * 1000))
+			s.reportFactors[n].Store(int64(t.Size * 1000))
 		}
 		backoff.Sleep(ctx, t.For)
 		for _, n := range struck {
-			s.reports[n].Store(1000)
+			s.reportFactors[n].Store(1000)
 		}
 	case "proxy_crash":
 		for _, n := range struck {
@@ -301,13 +301,13 @@
 	return nil
 }
 
-func (s *stage) pilotTrouble(ctx context.Context, t scenario.Fault) error {
+func (s *stage) playPilotFault(ctx context.Context, t scenario.Fault) error {
 	var names []string
 	for _, st := range s.pilots {
 		names = append(names, st.name)
 	}
-	var struck []*seat
-	for _, n := range s.chosen(t, names) {
+	var struck []*pilot
+	for _, n := range s.targets(t, names) {
 		struck = append(struck, s.pilots[slices.Index(names, n)])
 	}
 	switch t.What {
@@ -318,7 +318,7 @@
 				if err := s.handOver(st); err != nil {
 					return err
 				}
-				s.own.Add(eventlog.Event{What: eventlog.Note, Peer: st.name, Text: "handed over"})
+				s.stream.Add(eventlog.Event{What: eventlog.Note, Peer: st.name, Text: "handed over"})
 				backoff.Sleep(ctx, t.Every)
 			}
 		}
@@ -356,9 +356,9 @@
 }
 
 // reload hands a running pilot new terms: a channel of another pace, and a zone list that wants a restart.
-func (s *stage) reload(ctx context.Context, st *seat, t scenario.Fault) error {
+func (s *stage) reload(ctx context.Context, st *pilot, t scenario.Fault) error {
 	st.mu.Lock()
-	h, now := st.h, st.terms
+	h, now := st.host, st.settings
 	st.mu.Unlock()
 	if h == nil {
 		return nil
--- a/internal/search/search.go
+++ b/internal/search/search.go
@@ -43,10 +43,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("drawn day %d: %w", d.Seed, err)
 	}
-	f := &Find{Draft: d, Service: o.Report.Service.All.Share(), Events: o.Done}
+	f := &Find{Draft: d, Service: o.Report.Service.All.Share(), Events: o.ClockEvents}
 	for i := range o.Report.Verdicts {
 		v := &o.Report.Verdicts[i]
-		f.Near[i] = v.Part
+		f.Near[i] = v.LimitFraction
 		if !v.Kept() {
 			b := v.Violations[0]
 			f.Broken = append(f.Broken, fmt.Sprintf("%s: %.2f s %s %s", v.Rule, b.At/1000, b.Who, b.Text))
--- a/internal/search/search_test.go
+++ b/internal/search/search_test.go
@@ -54,8 +54,8 @@
 	f, err := s.Play(t.Context(), d)
 	require.NoError(t, err)
 	require.NotEmpty(t, f.Broken)
-	require.Greater(t, f.Near[audit.DrainsKept], 1.0)
-	f.Broken = []string{audit.DrainsKept.String() + ": planted"}
+	require.Greater(t, f.Near[audit.DrainDeadline], 1.0)
+	f.Broken = []string{audit.DrainDeadline.String() + ": planted"}
 	small, err := s.Shrink(t.Context(), f)
 	require.NoError(t, err)
 	require.Len(t, small.Draft.Faults, 1, "%s", small.Draft.Text())
@@ -72,8 +72,8 @@
 	require.NoError(t, err)
 	best := f
 	for seed := uint64(1); seed < 6 && best.Near == f.Near; seed++ { // not every way up begins in a few steps
-		best, err = s.Climb(t.Context(), f, audit.ShortQueue, 10, seed)
+		best, err = s.Climb(t.Context(), f, audit.ChannelQueue, 10, seed)
 		require.NoError(t, err)
 	}
-	assert.Greater(t, best.Near[audit.ShortQueue], f.Near[audit.ShortQueue])
+	assert.Greater(t, best.Near[audit.ChannelQueue], f.Near[audit.ChannelQueue])
 }
