--- a/internal/emulator/clock.go
+++ b/internal/emulator/clock.go
@@ -1,6 +1,3 @@
-// Package emulator plays days in virtual time: the shipped runtime, intake, channel and module, the followers and the
-// audit of the rehearsal, around models of endpoints, ways and clients. One seed gives one order of events. Nothing here
-// decides anything about routing.
 package emulator
 
 // Clock is a heap of what is to come, by time, then in the order in which it was asked for. Its zero value stands at 0.
--- a/internal/emulator/machine.go
+++ b/internal/emulator/endpoint.go
@@ -53,6 +53,30 @@
 	answer  func(outcome wire.Outcome, comeBackMs float64, load []wire.Figure)
 }
 
+func (w *World) addEndpoint(name string, group int, cold bool) *emulatedEndpoint {
+	g := w.Scenario.Groups[group]
+	speed := g.Speed * math.Exp(g.Spread*w.random.NormFloat64())
+	effects, dedup := map[string]bool{}, map[string]bool{}
+	for _, k := range w.Scenario.Kinds {
+		effects[k.Name], dedup[k.Name] = k.Repeats != "replayable", k.Repeats == "uniqued"
+	}
+	m := &emulatedEndpoint{w: w, place: place{name, g.Zone}, sharing: g.Discipline == "sharing", thrash: g.Thrash, done: map[uint64]bool{},
+		Model: endpoint.Model{Name: name, Zone: g.Zone, Machine: g.Machine, Cores: g.Cores, Speed: speed, Queue: g.Queue, Conns: g.Conns,
+			HandshakeMs: milliseconds(g.Handshake), ReportEvery: 400 * time.Millisecond, ReportLag: 200 * time.Millisecond, Noise: w.Scenario.NoisyReports,
+			Cold: w.Scenario.Cold, ColdFrom: w.Scenario.ColdFrom, FallMultiple: w.Scenario.FallMultiple, Fall: w.Scenario.Fall, ComeBackMs: 200,
+			Effects: effects, Dedup: dedup}}
+	m.random = rand.New(rand.NewPCG(uint64(w.Scenario.Seed*7919+len(w.endpoints)), 11))
+	w.auditor.AddAddress(name, name)
+	w.endpoints, w.endpointByName[name] = append(w.endpoints, m), m
+	e := wire.Entry{Endpoint: name, Zone: g.Zone, Machine: g.Machine, Weight: float64(g.Cores) * g.Speed}
+	if cold {
+		e.Started = w.registry.clock()
+	}
+	w.entries[name] = e
+	m.start(cold)
+	return m
+}
+
 func (m *emulatedEndpoint) start(cold bool) {
 	m.starts++
 	m.process = &endpointProcess{since: m.w.now, cold: cold, connections: map[string]bool{}, countedAt: m.w.now}
@@ -80,30 +104,6 @@
 	return w
 }
 
-// scheduleReport refreshes the load report now and then; what is shown is as old as the lag.
-func (m *emulatedEndpoint) scheduleReport(r *endpointProcess) {
-	every := float64(m.ReportEvery) / float64(time.Millisecond)
-	m.w.After(every, func() {
-		if m.process != r {
-			return
-		}
-		noise := func() float64 { return math.Max(0, 1+m.Noise*m.random.NormFloat64()) }
-		if m.sharing {
-			m.countSharedWork(r)
-		}
-		util := math.Min(1, (r.busyMs-r.reportedBusyMs)/every/float64(m.Cores)) * noise()
-		fresh := []wire.Figure{{Name: "util", Value: util}, {Name: "rate", Value: (r.served - r.reportedServed) / every * 1000 * noise()},
-			{Name: "waiting", Value: float64(max(0, r.inHand-m.Cores))}, {Name: "in_hand", Value: float64(r.inHand)}}
-		r.reportedBusyMs, r.reportedServed = r.busyMs, r.served
-		if m.ReportLag > 0 {
-			r.load, r.nextLoad = r.nextLoad, fresh
-		} else {
-			r.load = fresh
-		}
-		m.scheduleReport(r)
-	})
-}
-
 // connect returns whether a proxy's connection is taken, and what it costs in ms.
 func (m *emulatedEndpoint) connect(from string) (ok bool, costMs float64) {
 	r := m.process
@@ -125,6 +125,8 @@
 	return true, cost
 }
 
+func (m *emulatedEndpoint) dialMs() float64 { return m.w.dialDelayMs[m.Name] }
+
 // accept lets a req in, denies it, fails it or never answers.
 func (m *emulatedEndpoint) accept(t *task) {
 	r := m.process
@@ -193,56 +195,6 @@
 	})
 }
 
-// countSharedWork counts off the work done since the last turn: each task in hand gets its part of the cores.
-func (m *emulatedEndpoint) countSharedWork(r *endpointProcess) {
-	span := m.w.now - max(r.countedAt, min(m.pausedUntil, m.w.now))
-	r.countedAt = m.w.now
-	n := len(r.shared)
-	if n == 0 || span <= 0 {
-		return
-	}
-	each := min(1, float64(m.Cores)/float64(n)) * m.Speed * m.warmth(r) * span
-	for _, t := range r.shared {
-		t.workMs -= each
-	}
-	r.busyMs += span * float64(min(n, m.Cores))
-}
-
-// scheduleSharedEnd wakes when the task with the least work left is done.
-func (m *emulatedEndpoint) scheduleSharedEnd(r *endpointProcess) {
-	n := len(r.shared)
-	if n == 0 {
-		return
-	}
-	least := math.Inf(1)
-	for _, t := range r.shared {
-		least = min(least, t.workMs)
-	}
-	speed := min(1, float64(m.Cores)/float64(n)) * m.Speed * m.warmth(r)
-	r.wakeNumber++
-	number := r.wakeNumber
-	m.w.After(max(0, least/speed)+max(0, m.pausedUntil-m.w.now), func() {
-		if m.process != r || r.wakeNumber != number {
-			return
-		}
-		m.countSharedWork(r)
-		kept := r.shared[:0]
-		var done []*task
-		for _, t := range r.shared {
-			if t.workMs <= 1e-9 {
-				done = append(done, t)
-			} else {
-				kept = append(kept, t)
-			}
-		}
-		r.shared = kept
-		for _, t := range done {
-			m.finish(r, t)
-		}
-		m.scheduleSharedEnd(r)
-	})
-}
-
 // finish books a task's effect and answers it.
 func (m *emulatedEndpoint) finish(r *endpointProcess, t *task) {
 	r.inHand--
--- a/internal/emulator/pilot.go
+++ b/internal/emulator/pilot.go
@@ -1,15 +1,12 @@
 package emulator
 
 import (
-	"fmt"
-
 	"indigousher/internal/baseline"
 	"indigousher/internal/config"
 	"indigousher/internal/controller"
 	"indigousher/internal/record"
 	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/wire"
-	"indigousher/recovery"
 )
 
 // emulatedPilot is a pilot's place; its process can die and come back.
@@ -27,15 +24,6 @@
 	Starts            []Start
 }
 
-// Start is how a pilot's process began.
-type Start struct {
-	AtMs      float64
-	Verdict   recovery.Decision
-	Replayed  int // turns
-	TookMs    float64
-	LinesSent int // by settleMs after
-}
-
 // pilotProcess is one process: the shipped runtime, driven by the clock.
 type pilotProcess struct {
 	pilot         *emulatedPilot
@@ -58,9 +46,6 @@
 // settleMs is how long after a start its lines are counted.
 const settleMs = 10_000
 
-// commitEveryMs is how often the record is committed.
-const commitEveryMs = 200
-
 // start begins a process, on the record of the last life where the day has pilots record.
 func (s *emulatedPilot) start() {
 	w := s.w
@@ -94,57 +79,6 @@
 	w.registry.sendSnapshot(s, r) // a source that streams is watched from the start
 }
 
-// recover rebuilds the core from the record if that is worth anything, and has the new life recorded.
-func (s *emulatedPilot) recover(plan controller.Options, r *pilotProcess, begin *Start) controller.Options {
-	w := s.w
-	bounds := recovery.Limits{TailMs: float64(s.settings.RecoverTail.Milliseconds()), GapMs: float64(s.settings.RecoverWithin.Milliseconds())}
-	facts := recovery.Facts{SameFormat: true, SameModule: s.storedFingerprint == w.fingerprint, SameSettings: true, Turns: len(s.storedTurns), GapMs: w.now - s.storedAt}
-	from := record.ReplayStart(s.storedTurns, bounds.TailMs)
-	if len(s.storedTurns) > 0 && from < len(s.storedTurns) {
-		facts.Lives, facts.SpanMs = 1, max(1, s.storedTurns[len(s.storedTurns)-1].AtMs-s.storedTurns[from].AtMs)
-	}
-	recorder := record.NewRecorder(func(t func() *record.Turn) { r.uncommitted = append(r.uncommitted, *t()) },
-		func() []controller.Input { return r.core.Checkpoint() })
-	plan.OnTurn = recorder.Turn
-	if begin.Verdict = recovery.Decide(facts, bounds); !begin.Verdict.Cold() {
-		held := plan
-		held.OnTurn, held.Replayed, held.LinesPerS, held.Backlog = nil, true, 0, 0
-		held.EndpointSource, held.HealthChecker, held.Gossip = endpointSource{}, healthChecker{}, gossip{}
-		held.Log, held.Malformed = func(string) {}, func(string, ...string) {}
-		core := controller.NewCore(held)
-		took := stopwatch()
-		if err := record.Restore(core, s.storedTurns[from:]); err != nil {
-			w.fail(fmt.Errorf("restore %s: %w", s.place.name, err))
-		} else {
-			begin.Replayed, begin.TookMs = len(s.storedTurns)-from, took()
-			core.FinishRecovery(plan)
-			r.core, r.startedAt = core, w.now-core.Now()-begin.Verdict.AwayMs
-		}
-	}
-	s.storedTurns, s.storedFingerprint = nil, w.fingerprint
-	s.scheduleCommit(r)
-	return plan
-}
-
-// scheduleCommit commits what was recorded, now and then.
-func (s *emulatedPilot) scheduleCommit(r *pilotProcess) {
-	s.w.After(commitEveryMs, func() {
-		if s.process != r {
-			return
-		}
-		s.commit(r)
-		s.scheduleCommit(r)
-	})
-}
-
-// commit puts what was written on the disk; of what is older than any rebuild needs nothing is kept.
-func (s *emulatedPilot) commit(r *pilotProcess) {
-	s.storedTurns, s.storedAt, r.uncommitted = append(s.storedTurns, r.uncommitted...), s.w.now, nil
-	if from := record.ReplayStart(s.storedTurns, 2*float64(s.settings.RecoverTail.Milliseconds())); from > 0 && from < len(s.storedTurns) {
-		s.storedTurns = append([]record.Turn{}, s.storedTurns[from:]...)
-	}
-}
-
 // stop ends the process: by force what was not committed is lost, asked it commits first.
 func (s *emulatedPilot) stop(force bool) {
 	r := s.process
@@ -225,83 +159,6 @@
 	})
 }
 
-// endpointSource is a pilot's end of the list; its zero value does nothing.
-type endpointSource struct {
-	pilot   *emulatedPilot
-	process *pilotProcess
-}
-
-func (l endpointSource) Watch(on bool) {
-	if l.pilot != nil && on {
-		l.pilot.w.registry.watch(l.pilot, l.process)
-	}
-}
-
-func (l endpointSource) Fetch() {
-	if l.pilot != nil {
-		l.pilot.w.registry.sendSnapshot(l.pilot, l.process)
-	}
-}
-
-// healthChecker examines endpoints.
-type healthChecker struct {
-	pilot   *emulatedPilot
-	process *pilotProcess
-}
-
-// probeTimeoutMs is how long an answer to a probe is waited for.
-const probeTimeoutMs = 1000
-
-func (p healthChecker) Probe(name string) {
-	if p.pilot == nil || !p.pilot.settings.Probing {
-		return
-	}
-	w, m := p.pilot.w, p.pilot.w.endpointByName[name]
-	answered := false
-	done := func(outcome string, load []wire.Figure) {
-		if answered || p.pilot.process != p.process {
-			return
-		}
-		answered = true
-		p.pilot.post(controller.HealthChecked{Endpoint: name, Outcome: outcome, Load: load})
-	}
-	w.After(probeTimeoutMs, func() { done("timeout", nil) })
-	if m == nil {
-		return
-	}
-	w.network.carry(p.pilot.place, m.place, func() {
-		switch {
-		case m.process == nil:
-			w.network.carry(m.place, p.pilot.place, func() { done("unreachable", nil) })
-		case !m.fault.Hang:
-			load := m.process.load
-			w.network.carry(m.place, p.pilot.place, func() { done("ok", load) })
-		}
-	})
-}
-
-// gossip carries notes between pilots; a part of them is lost where ways are lossy.
-type gossip struct {
-	pilot   *emulatedPilot
-	process *pilotProcess
-}
-
-func (p gossip) Tell(peer int, text string) {
-	if p.pilot == nil || !p.pilot.w.Gossip {
-		return
-	}
-	for _, other := range p.pilot.w.pilots {
-		if other == p.pilot || peer >= 0 && other.rank != peer || !p.pilot.w.network.open(p.pilot.place, other.place) {
-			continue
-		}
-		p.pilot.w.After(p.pilot.w.network.delay(p.pilot.place, other.place), func() {
-			if other.process != nil {
-				other.post(controller.GossipReceived{From: p.pilot.rank, Text: text})
-			}
-		})
-	}
-}
-
 // reload hands the running pilot a channel of another pace.
 func (r *pilotProcess) reload(times float64) {
 	t := &r.pilot.settings
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -1,8 +1,8 @@
 package emulator
 
 import (
-	"math"
 	"math/rand/v2"
+	"slices"
 
 	"indigousher/internal/controller"
 	"indigousher/internal/testbed/eventlog"
@@ -39,34 +39,6 @@
 	connections    map[string]*connection
 }
 
-// connection is what is under way to one endpoint over its connection.
-type connection struct {
-	process  *endpointProcess // that took it
-	attempts map[*attempt]bool
-}
-
-// attempt is one try of a req.
-type attempt struct {
-	request  *proxyRequest
-	endpoint string
-	start    float64
-	ended    bool
-}
-
-// proxyRequest is a req under way in a proxy.
-type proxyRequest struct {
-	process    *proxyProcess
-	req        *wire.Req
-	class      int
-	deadline   float64
-	tried      []string
-	mayHaveRun bool
-	answer     func(*wire.Answer)
-}
-
-// dialTimeoutMs is how long a proxy waits for a connection to an endpoint.
-const dialTimeoutMs = 250
-
 func (p *emulatedProxy) start() {
 	p.boots++
 	li := &proxyProcess{proxy: p, follower: routing.NewFollower(p.policy, p.w.drawStaticTable(p.place.zone), p.seed+uint64(p.boots)),
@@ -117,6 +89,56 @@
 	}
 }
 
+// resumeReading lets a proxy read again: what has come meanwhile is applied in order.
+func (p *emulatedProxy) resumeReading() {
+	p.muted = false
+	if p.process == nil || p.process.stream == nil {
+		return
+	}
+	s := p.process.stream
+	waits := s.unread
+	s.unread = nil
+	for _, apply := range waits {
+		apply()
+	}
+}
+
+// drawStaticTable draws a proxy's table at its start: from the list, in its zone if three are there.
+func (w *World) drawStaticTable(zone string) []string {
+	var near, all []string
+	for _, m := range w.endpoints {
+		if w.entries[m.Name].Phase == wire.PhaseReady {
+			all = append(all, m.Name)
+			if m.Zone == zone {
+				near = append(near, m.Name)
+			}
+		}
+	}
+	if len(near) >= 3 {
+		all = near
+	}
+	n := min(len(all), w.Scenario.Standing)
+	for i := range n {
+		j := i + w.random.IntN(len(all)-i)
+		all[i], all[j] = all[j], all[i]
+	}
+	return all[:n]
+}
+
+// reachablePilots lists the pilots that a proxy may dial, its home first.
+func (w *World) reachablePilots(p *emulatedProxy) []*emulatedPilot {
+	if p.unreachable || len(w.pilots) == 0 {
+		return nil
+	}
+	home := p.home % len(w.pilots)
+	if w.Scenario.ByZone {
+		if i := slices.IndexFunc(w.pilots, func(s *emulatedPilot) bool { return s.place.zone == p.place.zone }); i >= 0 {
+			home = i
+		}
+	}
+	return append(slices.Clone(w.pilots[home:]), w.pilots[:home]...)
+}
+
 func (li *proxyProcess) logLines() {
 	for k, name := range li.proxy.policy.Kinds {
 		if n := li.follower.Lines(k); n != li.loggedLines[k] {
@@ -224,237 +246,3 @@
 		}
 	}
 }
-
-// handle takes a req through its tries; one that comes while lines are applied waits for them.
-func (p *emulatedProxy) handle(req *wire.Req, limit float64, answer func(*wire.Answer)) {
-	li := p.process
-	if li == nil {
-		answer(nil)
-		return
-	}
-	if li.busyUntil > p.w.now {
-		p.w.At(li.busyUntil, func() { p.handle(req, limit-(li.busyUntil-p.w.now), answer) })
-		return
-	}
-	kind := p.w.classIndex[req.Kind]
-	li.follower.Came(kind, req.Key)
-	if !li.follower.Admit(kind) {
-		p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Refuse, Kind: req.Kind, Req: req.Name, Text: "level"})
-		answer(&wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.ComeBackMs})
-		return
-	}
-	u := &proxyRequest{process: li, req: req, class: kind, answer: answer, deadline: p.w.now + min(limit, p.w.timeoutsMs[kind])}
-	u.sendNext()
-}
-
-// sendNext sends the next try.
-func (u *proxyRequest) sendNext() {
-	li, p := u.process, u.process.proxy
-	name := li.follower.Pick(p.w.now, u.class, u.req.Key, u.tried)
-	if name == "" {
-		p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Refuse, Kind: u.req.Kind, Req: u.req.Name, Text: "no line"})
-		u.fail()
-		return
-	}
-	li.follower.Sent(name)
-	u.tried = append(u.tried, name)
-	p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Send, Peer: name, Kind: u.req.Kind, Req: u.req.Name, Text: u.req.Key, N: len(u.tried)})
-	p.w.Attempts++
-	wait := routing.Patience(li.follower.Again(u.class), len(u.tried), u.deadline-p.w.now, p.w.firstWaitFactor*p.w.targetsMs[u.class])
-	t := &attempt{request: u, endpoint: name, start: p.w.now}
-	p.w.attemptDeadlines[u.class].add(p.w.now+wait, t)
-	li.send(t, wait)
-}
-
-// send brings a try to its endpoint over the proxy's connection.
-func (li *proxyProcess) send(t *attempt, wait float64) {
-	p := li.proxy
-	m := p.w.endpointByName[t.endpoint]
-	if m == nil {
-		p.w.After(p.w.network.oneWayMs, func() { li.notSent(t) })
-		return
-	}
-	c := li.connections[t.endpoint]
-	trip := 1.0
-	if c == nil || c.process != m.process {
-		trip = 3 // a connection is opened first
-	}
-	req := &wire.Req{Name: t.request.req.Name, Kind: t.request.req.Kind, From: p.place.name, WorkMs: t.request.req.WorkMs, LimitMs: wait}
-	arrive := func() {
-		ok, cost := m.connect(p.place.name)
-		if !ok {
-			p.w.network.carry(m.place, p.place, func() { li.notSent(t) })
-			return
-		}
-		c := li.connections[t.endpoint]
-		if c == nil || c.process != m.process {
-			c = &connection{process: m.process, attempts: map[*attempt]bool{}}
-			li.connections[t.endpoint] = c
-		}
-		c.attempts[t] = true
-		take := func() {
-			m.accept(&task{request: req, answer: func(o wire.Outcome, comeBack float64, load []wire.Figure) {
-				p.w.network.carry(m.place, p.place, func() {
-					li.attemptEnded(t, &wire.Answer{Outcome: o, ComeBackMs: comeBack, Load: load})
-				})
-			}})
-		}
-		if cost > 0 {
-			p.w.After(cost+m.dialMs(), take)
-			return
-		}
-		take()
-	}
-	if trip > 1 && !p.w.network.open(p.place, m.place) {
-		p.w.After(dialTimeoutMs, func() { li.notSent(t) })
-		return
-	}
-	p.w.network.carry(p.place, m.place, func() {
-		if trip > 1 {
-			p.w.After((trip-1)*p.w.network.oneWayMs, arrive)
-			return
-		}
-		arrive()
-	})
-}
-
-func (m *emulatedEndpoint) dialMs() float64 { return m.w.dialDelayMs[m.Name] }
-
-// notSent is a try that never left.
-func (li *proxyProcess) notSent(t *attempt) {
-	if t.ended {
-		return
-	}
-	t.ended = true
-	li.follower.Back(li.proxy.w.now, t.endpoint, false, li.proxy.w.now-t.start, nil)
-	t.request.retryOrEnd(wire.Denied)
-}
-
-func (t *attempt) isOver() bool { return t.ended }
-
-// expire is a try that got no answer in its time.
-func (t *attempt) expire() { t.request.process.attemptEnded(t, nil) }
-
-// attemptEnded takes in how a try ended.
-func (li *proxyProcess) attemptEnded(t *attempt, a *wire.Answer) {
-	if t.ended {
-		return
-	}
-	t.ended = true
-	if c := li.connections[t.endpoint]; c != nil {
-		delete(c.attempts, t)
-	}
-	outcome := wire.Errored
-	var load []wire.Figure
-	if a != nil {
-		outcome, load = a.Outcome, a.Load
-	}
-	li.follower.Back(li.proxy.w.now, t.endpoint, outcome == wire.Fine, li.proxy.w.now-t.start, load)
-	t.request.retryOrEnd(outcome)
-}
-
-// retryOrEnd decides, as proxies do, whether a try follows.
-func (u *proxyRequest) retryOrEnd(outcome wire.Outcome) {
-	w := u.process.proxy.w
-	if outcome == wire.Fine {
-		u.answer(&wire.Answer{Outcome: wire.Fine})
-		return
-	}
-	proof := outcome == wire.Denied
-	u.mayHaveRun = u.mayHaveRun || !proof
-	if !routing.TryFollows(u.process.follower.Again(u.class), len(u.tried), proof) || w.now >= u.deadline-1e-6 || u.process.proxy.process != u.process {
-		u.fail()
-		return
-	}
-	u.sendNext()
-}
-
-func (u *proxyRequest) fail() {
-	if !u.mayHaveRun {
-		u.answer(&wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.ComeBackMs})
-		return
-	}
-	u.process.follower.Unanswered(u.class, u.req.Key)
-	u.answer(&wire.Answer{Outcome: wire.Errored})
-}
-
-// stream is a proxy's to a pilot. It implements pilot.Stream.
-type stream struct {
-	w            *World
-	process      *proxyProcess
-	pilot        *emulatedPilot
-	pilotProcess *pilotProcess
-	ended        bool
-	unread       []func() // messages that a proxy which does not read will apply
-}
-
-// Send brings orders down. A proxy that does not read has its stream cut once it has not read for the time it may.
-func (s *stream) Send(o *wire.Orders) error {
-	traced := func(string, float64) {}
-	if t := s.w.Trace; t != nil && s.pilotProcess != nil {
-		d, left := t.message(s.pilotProcess, s.process.proxy.place.name, min(s.pilotProcess.startedAt+o.AtMs, s.w.now), o.Lines), s.w.now
-		traced = func(what string, from float64) {
-			t.part(d, what, s.process.proxy.place.name, max(from, left), s.w.now, o.Lines)
-		}
-	}
-	left := s.w.now
-	s.w.network.carry(s.pilot.place, s.process.proxy.place, func() {
-		if !s.ended && s.process.proxy.process == s.process {
-			traced("way", left)
-			s.process.apply(s, o, traced)
-		}
-	})
-	if s.process.proxy.muted {
-		s.w.After(s.w.muteLimitMs, func() {
-			if len(s.unread) > 0 {
-				s.end(true)
-			}
-		})
-	}
-	return nil
-}
-
-// Ask brings a wish for reports down.
-func (s *stream) Ask(m *wire.Pace) error {
-	s.w.network.carry(s.pilot.place, s.process.proxy.place, func() {
-		if !s.ended && s.process.proxy.heedsPace {
-			s.process.reportRequest = routing.ReportRequest{Lines: m.Lines, Changes: m.Changes}
-			s.process.reportPeriodMs = math.Max(1, float64(m.PeriodMs))
-		}
-	})
-	return nil
-}
-
-// Close ends it from the pilot's side.
-func (s *stream) Close(string) { s.w.After(0, func() { s.end(true) }) }
-
-// sendUp brings something to the pilot.
-func (s *stream) sendUp(do func()) {
-	s.w.network.carry(s.process.proxy.place, s.pilot.place, func() {
-		if !s.ended && s.pilot.process == s.pilotProcess && s.pilotProcess != nil {
-			do()
-		}
-	})
-}
-
-// end ends it on both sides; the pilot hears of it, and the proxy dials again.
-func (s *stream) end(redial bool) {
-	if s.ended {
-		return
-	}
-	s.ended = true
-	delete(s.pilot.streams, s)
-	if s.pilot.process == s.pilotProcess && s.pilotProcess != nil {
-		s.pilot.post(controller.ProxyLeft{Stream: s})
-	}
-	if s.process.stream != s {
-		return
-	}
-	s.process.stream = nil
-	if s.process.proxy.process == s.process {
-		s.w.logEvent(s.process.proxy.place.name, eventlog.Event{What: eventlog.Leave, Peer: s.pilot.place.name})
-		if redial {
-			s.process.redial(0)
-		}
-	}
-}
--- a/internal/emulator/list.go
+++ b/internal/emulator/registry.go
@@ -143,3 +143,19 @@
 		}
 	}
 }
+
+func (w *World) listAll() {
+	var all []wire.Entry
+	for _, m := range w.endpoints {
+		all = append(all, w.entries[m.Name])
+	}
+	w.registry.update(0, all...)
+}
+
+// updateEntry changes an endpoint's entry and has the list say so after a while.
+func (w *World) updateEntry(name string, after float64, change func(*wire.Entry)) {
+	e := w.entries[name]
+	change(&e)
+	w.entries[name] = e
+	w.registry.update(after, e)
+}
