--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,37 +1,41 @@
-// Package audit judges a rehearsal by what crossed the sockets: it reads the trails of the stand-ins and the terms,
-// nothing of the pilot, and gives a verdict on each of the five rules with its evidence, and the service.
+// Package audit judges a run of a scenario by what crossed the sockets. It reads the event logs of the testbed and the
+// settings, nothing of the pilot, and gives a verdict on each of the five rules with its evidence, and the service that
+// the clients had.
 package audit
 
 import (
-	"math"
-
 	"indigousher/internal/config"
 	"indigousher/internal/testbed/eventlog"
 )
 
-// Auditor walks through the trails once, by time.
+// checkIntervalMs is how often conditions that last are checked, in ms; far below the limits, which are seconds.
+const checkIntervalMs = 50.0
+
+// Auditor goes through the events of a run once, in the order of their times.
 type Auditor struct {
-	settings        *config.Common
-	nameByAddress   map[string]string // endpoints' trail names by address
+	settings  *config.Common
+	service   *serviceMeter
+	report    *Report
+	checkedAt float64 // ms; when lasting conditions were last checked
+
+	// Names of endpoints in the event logs and their addresses. A name may have had several addresses.
+	nameByAddress   map[string]string
 	addressesByName map[string][]string
-	service         *serviceMeter
-	sortedProxies   []*proxyState // by name
-	proxies         map[string]*proxyState
-	pilots          map[string]*pilotState
-	endpoints       map[string]*endpointState
-	effectCounts    map[string]map[uint64]int
-	cutZones        map[string]bool
-	blackholed      map[string]bool
-	report          *Report
-	checkedAt       float64
-}
 
-// checkIntervalMs is how often standing conditions are looked at, in ms.
-const checkIntervalMs = 50.0
+	// What the events have shown so far, by name.
+	proxies       map[string]*proxyState
+	sortedProxies []*proxyState // by name
+	pilots        map[string]*pilotState
+	endpoints     map[string]*endpointState
+
+	effectCounts map[string]map[uint64]int // of each request, by request class
+	cutZones     map[string]bool
+	blackholed   map[string]bool // by name: nothing passes to or from it
+}
 
-// Check gives the verdicts. Addresses maps an endpoint's address to its name in the trails.
-func Check(events []eventlog.Event, t *config.Common, addresses map[string]string) *Report {
-	a := New(t)
+// Check audits a complete run. Addresses maps an endpoint's address to its name in the event logs.
+func Check(events []eventlog.Event, settings *config.Common, addresses map[string]string) *Report {
+	a := New(settings)
 	for address, name := range addresses {
 		a.AddAddress(address, name)
 	}
@@ -41,24 +45,30 @@
 	return a.Report()
 }
 
-// New returns an auditor that has seen nothing.
-func New(t *config.Common) *Auditor {
-	a := &Auditor{settings: t, nameByAddress: map[string]string{}, addressesByName: map[string][]string{}, service: newServiceMeter(t), proxies: map[string]*proxyState{}, pilots: map[string]*pilotState{},
-		endpoints: map[string]*endpointState{}, effectCounts: map[string]map[uint64]int{}, cutZones: map[string]bool{},
-		blackholed: map[string]bool{}, report: &Report{}}
-	for i := range a.report.Verdicts {
-		a.report.Verdicts[i].Rule = Rule(i)
+// New returns an auditor that has seen no events.
+func New(settings *config.Common) *Auditor {
+	return &Auditor{
+		settings:        settings,
+		service:         newServiceMeter(settings),
+		report:          newReport(),
+		nameByAddress:   map[string]string{},
+		addressesByName: map[string][]string{},
+		proxies:         map[string]*proxyState{},
+		pilots:          map[string]*pilotState{},
+		endpoints:       map[string]*endpointState{},
+		effectCounts:    map[string]map[uint64]int{},
+		cutZones:        map[string]bool{},
+		blackholed:      map[string]bool{},
 	}
-	return a
 }
 
-// AddAddress tells an endpoint's address and its name in the trails.
+// AddAddress registers an endpoint's address under its name in the event logs.
 func (a *Auditor) AddAddress(address, name string) {
 	a.nameByAddress[address] = name
 	a.addressesByName[name] = append(a.addressesByName[name], address)
 }
 
-// Add takes in the next event.
+// Add takes in the next event. Lasting conditions are first checked up to its time.
 func (a *Auditor) Add(e eventlog.Event) {
 	for a.checkedAt+checkIntervalMs <= e.At {
 		a.checkedAt += checkIntervalMs
@@ -68,27 +78,25 @@
 	a.apply(e)
 }
 
-// Report ends the audit.
+// Report ends the audit and returns its result.
 func (a *Auditor) Report() *Report {
 	a.checkQueues()
 	a.report.Service = a.service.Service
 	return a.report
 }
 
-// apply folds one event into the state and checks what it bears on.
+// verdict returns the verdict on a rule.
+func (a *Auditor) verdict(r Rule) *Verdict { return &a.report.Verdicts[r] }
+
+// apply updates the state by one event and checks the rules that it bears on.
 func (a *Auditor) apply(e eventlog.Event) {
 	switch e.What {
 	case eventlog.Start:
 		a.recordStart(e)
 	case eventlog.Stop:
-		if p := a.proxies[e.Who]; p != nil {
-			p.pilot = ""
-		}
+		a.recordStop(e)
 	case eventlog.Join:
-		p := a.proxy(e.Who)
-		p.zone, p.pilot, p.joinedAt, p.messageTimes = e.Kind, e.Peer, e.At, nil
-		clear(p.uncoveredSince)
-		p.lastCommandAt = math.Inf(-1)
+		a.recordJoin(e)
 	case eventlog.Leave:
 		a.proxy(e.Who).pilot = ""
 	case eventlog.Lines:
@@ -104,10 +112,6 @@
 	case eventlog.Told:
 		a.recordListed(e)
 	case eventlog.Cut, eventlog.Mended:
-		if e.Text != "" {
-			a.cutZones[e.Text] = e.What == eventlog.Cut
-		} else {
-			a.blackholed[e.Peer] = e.What == eventlog.Cut
-		}
+		a.recordCut(e)
 	}
 }
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -13,18 +13,24 @@
 
 // stage is a pilot, a proxy that follows it and a warm endpoint x at x:1; y at y:1 is there as well.
 func stage() []eventlog.Event {
-	return []eventlog.Event{{At: 0, Who: "pilot-0", What: eventlog.Start, Kind: "pilot", Text: "a"},
-		{At: 1, Who: "x", What: eventlog.Start, Kind: "warm", Value: 1}, {At: 1, Who: "list", What: eventlog.Told, Peer: "pilot-0", Text: "x:1", Kind: "a/std", Value: -1},
+	return []eventlog.Event{
+		{At: 0, Who: "pilot-0", What: eventlog.Start, Kind: "pilot", Text: "a"},
+		{At: 1, Who: "x", What: eventlog.Start, Kind: "warm", Value: 1},
+		{At: 1, Who: "list", What: eventlog.Told, Peer: "pilot-0", Text: "x:1", Kind: "a/std", Value: -1},
 		{At: 2, Who: "p", What: eventlog.Join, Peer: "pilot-0", Kind: "a"},
-		{At: 3, Who: "p", What: eventlog.Lines, Kind: "read", N: 2}, {At: 3, Who: "p", What: eventlog.Lines, Kind: "book", N: 2}}
+		{At: 3, Who: "p", What: eventlog.Lines, Kind: "read", N: 2},
+		{At: 3, Who: "p", What: eventlog.Lines, Kind: "book", N: 2},
+	}
 }
 
 // TestLimits holds each rule's verdict against its limit, from both sides, on trails made by hand: within it is kept, a
 // little beyond it is broken. A fault in the audit would pass for the program's merit.
 func TestLimits(t *testing.T) {
 	c := config.CommonDefaults()
-	c.Zones, c.Machines, c.Kinds = []string{"a"}, []string{"std"}, []config.RequestClass{{Name: "read", Repeats: "replayable", Payoff: 1},
-		{Name: "book", Repeats: "non-replayable", Payoff: 5}}
+	c.Zones, c.Machines, c.Kinds = []string{"a"}, []string{"std"}, []config.RequestClass{
+		{Name: "read", Repeats: "replayable", Payoff: 1},
+		{Name: "book", Repeats: "non-replayable", Payoff: 5},
+	}
 	told := func(at float64, endpoint string, phase int, age float64) eventlog.Event {
 		return eventlog.Event{At: at, Who: "list", What: eventlog.Told, Peer: "pilot-0", Text: endpoint, Kind: "a/std", N: phase, Value: age}
 	}
@@ -82,11 +88,16 @@
 		{"a drain broken", DrainDeadline, true, []eventlog.Event{told(1000, "x:1", wire.PhaseDraining, -1), sent(3010)}},
 		{"gone, broken", DrainDeadline, true, []eventlog.Event{told(1000, "x:1", wire.PhaseGone, -1), sent(3010)}},
 		{"back again", DrainDeadline, false, []eventlog.Event{told(1000, "x:1", wire.PhaseDraining, -1), told(2000, "x:1", wire.PhaseReady, -1), sent(3500)}},
-		{"named by the whole list", DrainDeadline, false, []eventlog.Event{{At: 1000, Who: "list", What: eventlog.Told, Peer: "pilot-0", N: -1},
-			told(1000, "x:1", wire.PhaseReady, -1), sent(3500)}},
+		{"named by the whole list", DrainDeadline, false, []eventlog.Event{
+			{At: 1000, Who: "list", What: eventlog.Told, Peer: "pilot-0", N: -1},
+			told(1000, "x:1", wire.PhaseReady, -1), sent(3500),
+		}},
 		{"not named by the whole list", DrainDeadline, true, []eventlog.Event{{At: 1000, Who: "list", What: eventlog.Told, Peer: "pilot-0", N: -1}, sent(3500)}},
-		{"joined since", DrainDeadline, false, []eventlog.Event{told(1000, "x:1", wire.PhaseDraining, -1),
-			{At: 2500, Who: "p", What: eventlog.Join, Peer: "pilot-0", Kind: "a"}, sent(4400)}},
+		{"joined since", DrainDeadline, false, []eventlog.Event{
+			told(1000, "x:1", wire.PhaseDraining, -1),
+			{At: 2500, Who: "p", What: eventlog.Join, Peer: "pilot-0", Kind: "a"},
+			sent(4400),
+		}},
 		{"while it is cut off", DrainDeadline, false, []eventlog.Event{told(1000, "x:1", wire.PhaseDraining, -1), {At: 1500, Who: "links", What: eventlog.Cut, Peer: "p"}, sent(4400)}},
 		{"a cold one bears it", SlowStartBudget, false, cold(1000, 12000, 40, bearable, true)},
 		{"a cold one pushed over", SlowStartBudget, true, cold(1000, 12000, 40, bearable+14, true)},
--- a/internal/audit/channel.go
+++ b/internal/audit/channel.go
@@ -1,57 +1,81 @@
 package audit
 
 import (
+	"cmp"
 	"maps"
 	"slices"
 
 	"indigousher/internal/testbed/eventlog"
 )
 
+// queuedMessage is a message that lay in a pilot's channel before it was sent.
 type queuedMessage struct {
-	from, to float64
-	lines    int
+	from  float64 // ms; when it was queued
+	to    float64 // ms; when it was sent
+	lines int
 }
 
+// queueChange is a moment at which the length of a queue changed.
+type queueChange struct {
+	at    float64 // ms
+	lines int     // negative for a message that was sent
+}
+
+// recordMessage notes a message that a proxy received, and checks the first half of the rule ChannelQueue: no proxy
+// receives more messages within a span than it may.
 func (a *Auditor) recordMessage(e eventlog.Event) {
-	p, pilot := a.proxy(e.Who), a.pilot(e.Peer)
-	p.lastCommandAt = e.At - e.Value
-	p.messageTimes = append(p.messageTimes, e.At)
-	pilot.queued[pilot.life] = append(pilot.queued[pilot.life], queuedMessage{e.Since, e.Since + e.Value, e.N})
-	if most := a.settings.MessagesMost; most > 0 {
-		span := float64(a.settings.MessagesOver.Milliseconds())
-		for p.messageTimes[0] < e.At-span {
-			p.messageTimes = p.messageTimes[1:]
-		}
-		n := len(p.messageTimes)
-		a.report.Verdicts[ChannelQueue].observe(float64(n)/float64(most), e.At, e.Who, "%d messages of %s, %d allowed", n,
-			e.Peer, most)
+	proxy := a.proxy(e.Who)
+	proxy.lastCommandAt = e.At - e.Value
+	proxy.messageTimes = append(proxy.messageTimes, e.At)
+
+	pilot := a.pilot(e.Peer)
+	message := queuedMessage{from: e.Since, to: e.Since + e.Value, lines: e.N}
+	pilot.queued[pilot.incarnation] = append(pilot.queued[pilot.incarnation], message)
+
+	limit := a.settings.MessagesMost
+	if limit <= 0 {
+		return
+	}
+	span := float64(a.settings.MessagesOver.Milliseconds())
+	for proxy.messageTimes[0] < e.At-span {
+		proxy.messageTimes = proxy.messageTimes[1:]
 	}
+	count := len(proxy.messageTimes)
+	a.verdict(ChannelQueue).observe(float64(count)/float64(limit), e.At, e.Who, "%d messages of %s, %d allowed",
+		count, e.Peer, limit)
 }
 
-// checkQueues checks rule 5 from when messages lay in each pilot's channel.
+// checkQueues checks the second half of the rule ChannelQueue: no channel holds more lines than its queue limit. It is
+// done at the end, since a message shows only when it is received how long it was queued.
 func (a *Auditor) checkQueues() {
-	v := &a.report.Verdicts[ChannelQueue]
 	for _, name := range slices.Sorted(maps.Keys(a.pilots)) {
-		for _, waits := range a.pilots[name].queued {
-			type step struct {
-				at    float64
-				lines int
-			}
-			var steps []step
-			for _, w := range waits {
-				steps = append(steps, step{w.from, w.lines}, step{w.to, -w.lines})
-			}
-			slices.SortFunc(steps, func(x, y step) int {
-				if x.at != y.at {
-					return map[bool]int{true: -1, false: 1}[x.at < y.at]
-				}
-				return x.lines - y.lines // what leaves goes first
-			})
-			lines := 0
-			for _, s := range steps {
-				lines += s.lines
-				v.observe(float64(lines)/a.settings.Backlog, s.at, name, "%d lines wait, %.0f allowed", lines, a.settings.Backlog)
-			}
+		for _, messages := range a.pilots[name].queued {
+			a.checkQueue(name, messages)
 		}
 	}
 }
+
+// checkQueue checks the queue of one incarnation of a pilot.
+func (a *Auditor) checkQueue(pilot string, messages []queuedMessage) {
+	lines := 0
+	for _, change := range queueChanges(messages) {
+		lines += change.lines
+		a.verdict(ChannelQueue).observe(float64(lines)/a.settings.Backlog, change.at, pilot, "%d lines wait, %.0f allowed",
+			lines, a.settings.Backlog)
+	}
+}
+
+// queueChanges returns by time how the length of a queue changed; at the same moment, what is sent goes first.
+func queueChanges(messages []queuedMessage) []queueChange {
+	var changes []queueChange
+	for _, m := range messages {
+		changes = append(changes, queueChange{at: m.from, lines: m.lines}, queueChange{at: m.to, lines: -m.lines})
+	}
+	slices.SortFunc(changes, func(x, y queueChange) int {
+		if x.at != y.at {
+			return cmp.Compare(x.at, y.at)
+		}
+		return x.lines - y.lines
+	})
+	return changes
+}
--- a/internal/audit/coverage.go
+++ b/internal/audit/coverage.go
@@ -1,58 +1,64 @@
 package audit
 
 import (
-	"slices"
-
 	"indigousher/internal/config"
 	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/wire"
 )
 
-// recordLines notes how many lines a kind has.
-func (p *proxyState) recordLines(e eventlog.Event, kinds []config.RequestClass) {
+// recordLines notes how many endpoints a proxy's table has for a request class.
+func (p *proxyState) recordLines(e eventlog.Event, classes []config.RequestClass) {
 	p.lineCounts[e.Kind] = e.N
 	p.uncovered = false
-	for _, k := range kinds {
-		if p.lineCounts[k.Name] == 0 {
+	for _, class := range classes {
+		if p.lineCounts[class.Name] == 0 {
 			p.uncovered = true
 		} else {
-			delete(p.uncoveredSince, k.Name)
+			delete(p.uncoveredSince, class.Name)
 		}
 	}
 }
 
-// checkCoverage checks rule 1 for every joined proxy.
+// checkCoverage checks the rule EndpointCoverage: no connected proxy is without an endpoint for a request class for
+// longer than the limit while its pilot knows of a warm one.
 func (a *Auditor) checkCoverage() {
-	v := &a.report.Verdicts[EndpointCoverage]
-	limit := float64(a.settings.BareFor.Milliseconds())
-	for _, p := range a.sortedProxies {
-		if !p.uncovered {
-			v.Checked += len(a.settings.Kinds)
+	for _, proxy := range a.sortedProxies {
+		if !proxy.uncovered {
+			a.verdict(EndpointCoverage).Checked += len(a.settings.Kinds)
 			continue
 		}
-		name := p.name
-		pilot := a.connectedPilot(name, p)
-		for _, k := range a.settings.Kinds {
-			if pilot == nil || p.lineCounts[k.Name] > 0 || !a.hasWarmEndpoint(pilot, p.zone, k) {
-				delete(p.uncoveredSince, k.Name)
-				v.Checked++
-				continue
-			}
-			if _, was := p.uncoveredSince[k.Name]; !was {
-				p.uncoveredSince[k.Name] = a.checkedAt
-			}
-			lasts := a.checkedAt - p.uncoveredSince[k.Name]
-			v.observe(lasts/limit, a.checkedAt, name, "no line for %s for %.0f ms of %.0f", k.Name, lasts, limit)
+		pilot := a.connectedPilot(proxy)
+		for i := range a.settings.Kinds {
+			a.checkClassCoverage(proxy, pilot, &a.settings.Kinds[i])
 		}
 	}
 }
 
-// hasWarmEndpoint returns whether a pilot's list shows a ready, warm endpoint open to a kind.
-func (a *Auditor) hasWarmEndpoint(p *pilotState, zone string, k config.RequestClass) bool {
-	for _, t := range p.listed {
-		if t.phase == wire.PhaseReady && a.checkedAt-t.startedAt >= float64(a.settings.Cold.Milliseconds()) &&
-			(len(k.OnlyMachines) == 0 || slices.Contains(k.OnlyMachines, t.machine)) &&
-			(len(k.OnlyZones) == 0 || slices.Contains(k.OnlyZones, t.zone)) && (!k.OwnZone || t.zone == zone) {
+// checkClassCoverage checks one request class of a proxy; pilot is nil where it is connected to none.
+func (a *Auditor) checkClassCoverage(proxy *proxyState, pilot *pilotState, class *config.RequestClass) {
+	verdict := a.verdict(EndpointCoverage)
+	if pilot == nil || proxy.lineCounts[class.Name] > 0 || !a.hasWarmEndpoint(pilot, proxy.zone, class) {
+		delete(proxy.uncoveredSince, class.Name)
+		verdict.Checked++
+		return
+	}
+	since, known := proxy.uncoveredSince[class.Name]
+	if !known {
+		since = a.checkedAt
+		proxy.uncoveredSince[class.Name] = since
+	}
+	lasted := a.checkedAt - since
+	limit := float64(a.settings.BareFor.Milliseconds())
+	verdict.observe(lasted/limit, a.checkedAt, proxy.name, "no line for %s for %.0f ms of %.0f", class.Name, lasted, limit)
+}
+
+// hasWarmEndpoint returns whether a pilot's list shows a ready, warm endpoint that may serve a request class for proxies
+// of a zone.
+func (a *Auditor) hasWarmEndpoint(pilot *pilotState, zone string, class *config.RequestClass) bool {
+	warmUpMs := float64(a.settings.Cold.Milliseconds())
+	for _, listed := range pilot.listed {
+		isWarm := a.checkedAt-listed.startedAt >= warmUpMs
+		if listed.phase == wire.PhaseReady && isWarm && listed.opensTo(class, zone) {
 			return true
 		}
 	}
--- a/internal/audit/effects.go
+++ b/internal/audit/effects.go
@@ -1,19 +1,29 @@
 package audit
 
 import (
+	"slices"
+
+	"indigousher/internal/config"
 	"indigousher/internal/testbed/eventlog"
 )
 
+// repeatsReplayable is the setting of a request class whose requests are idempotent.
+const repeatsReplayable = "replayable"
+
+// checkEffect checks the rule SingleEffect: a request that is not idempotent takes effect at most once.
 func (a *Auditor) checkEffect(e eventlog.Event) {
-	for _, k := range a.settings.Kinds {
-		if k.Name != e.Kind || k.Repeats == "replayable" {
-			continue
-		}
-		if a.effectCounts[k.Name] == nil {
-			a.effectCounts[k.Name] = map[uint64]int{}
-		}
-		a.effectCounts[k.Name][e.Req]++
-		n := a.effectCounts[k.Name][e.Req]
-		a.report.Verdicts[SingleEffect].observe(float64(n-1)*2, e.At, e.Who, "%s %d took effect %d times", k.Name, e.Req, n)
+	class := slices.IndexFunc(a.settings.Kinds, func(c config.RequestClass) bool { return c.Name == e.Kind })
+	if class < 0 || a.settings.Kinds[class].Repeats == repeatsReplayable {
+		return
+	}
+	counts := a.effectCounts[e.Kind]
+	if counts == nil {
+		counts = map[uint64]int{}
+		a.effectCounts[e.Kind] = counts
 	}
+	counts[e.Req]++
+	count := counts[e.Req]
+	// The first effect is 0, the second already twice the limit: there is nothing in between.
+	fraction := float64(count-1) * 2
+	a.verdict(SingleEffect).observe(fraction, e.At, e.Who, "%s %d took effect %d times", e.Kind, e.Req, count)
 }
--- a/internal/audit/service.go
+++ b/internal/audit/service.go
@@ -5,45 +5,60 @@
 	"indigousher/internal/testbed/eventlog"
 )
 
-// WindowMs is the width of a window of service.
+// WindowMs is the width of a window of Service.Windows, in ms.
 const WindowMs = 5000.0
 
-// Earnings is the payoff earned and asked for.
+// Outcomes of a request as a client logs them in Event.Text; any other is an error.
+const (
+	outcomeDone     = "done"
+	outcomeRejected = "denied"
+)
+
+// Earnings is the sum of priority weights earned by answers, and of those asked for.
 type Earnings struct{ Earned, Asked float64 }
 
 // Share is earned over asked, 1 where nothing was asked.
-func (p Earnings) Share() float64 {
-	if p.Asked == 0 {
+func (e Earnings) Share() float64 {
+	if e.Asked == 0 {
 		return 1
 	}
-	return p.Earned / p.Asked
+	return e.Earned / e.Asked
 }
 
-// Service is the payoff answered within the response target, over the payoff asked for.
+// Service is the priority weight of the answers within the latency objective, over that of all requests. A late answer
+// earns the reduced weight of its class.
 type Service struct {
-	All                   Earnings
-	Windows               []Earnings // by when reqs were asked
-	Kinds                 []Earnings
+	All     Earnings
+	Windows []Earnings // by when the requests were sent, each WindowMs wide
+	Kinds   []Earnings // by request class, in the order of the settings
+
+	// Counts of requests by outcome. Late ones are among those done.
 	Done, Denied, Errored int
 	Late                  int
 }
 
-// serviceMeter reckons the service from what clients say.
+// serviceMeter adds up the service from the clients' events.
 type serviceMeter struct {
 	Service
 	settings   *config.Common
-	classIndex map[string]int
-	askedAt    map[uint64]float64 // and not answered yet
+	classIndex map[string]int     // by name
+	askedAt    map[uint64]float64 // ms, by request; of those not answered yet
 }
 
-func newServiceMeter(t *config.Common) *serviceMeter {
-	s := &serviceMeter{Service: Service{Kinds: make([]Earnings, len(t.Kinds))}, settings: t, classIndex: map[string]int{}, askedAt: map[uint64]float64{}}
-	for i, k := range t.Kinds {
-		s.classIndex[k.Name] = i
+func newServiceMeter(settings *config.Common) *serviceMeter {
+	s := &serviceMeter{
+		Service:    Service{Kinds: make([]Earnings, len(settings.Kinds))},
+		settings:   settings,
+		classIndex: map[string]int{},
+		askedAt:    map[uint64]float64{},
+	}
+	for i, class := range settings.Kinds {
+		s.classIndex[class.Name] = i
 	}
 	return s
 }
 
+// record takes in an event; all but those of clients are ignored.
 func (s *serviceMeter) record(e eventlog.Event) {
 	switch e.What {
 	case eventlog.Asked:
@@ -53,33 +68,40 @@
 	}
 }
 
+// recordAnswer adds the end of a request. Its service counts in the window in which the request was sent.
 func (s *serviceMeter) recordAnswer(e eventlog.Event) {
-	asked := s.askedAt[e.Req]
+	askedAt := s.askedAt[e.Req]
 	delete(s.askedAt, e.Req)
-	k, known := s.classIndex[e.Kind]
+	class, known := s.classIndex[e.Kind]
 	if !known {
 		return
 	}
-	kind, earned := s.settings.Kinds[k], 0.0
+	asked := s.settings.Kinds[class].Payoff
+	earned := s.earned(e, &s.settings.Kinds[class])
+	window := int(askedAt / WindowMs)
+	for len(s.Windows) <= window {
+		s.Windows = append(s.Windows, Earnings{})
+	}
+	for _, sum := range []*Earnings{&s.All, &s.Windows[window], &s.Kinds[class]} {
+		sum.Earned += earned
+		sum.Asked += asked
+	}
+}
+
+// earned counts the outcome of a request and returns the priority weight that it earned.
+func (s *serviceMeter) earned(e eventlog.Event, class *config.RequestClass) float64 {
 	switch e.Text {
-	case "done":
+	case outcomeDone:
 		s.Done++
-		earned = kind.Payoff
-		if e.Value > float64(kind.ResponseTarget.Milliseconds()) {
-			s.Late++
-			earned *= kind.LatePayoff
+		if e.Value <= float64(class.ResponseTarget.Milliseconds()) {
+			return class.Payoff
 		}
-	case "denied":
+		s.Late++
+		return class.Payoff * class.LatePayoff
+	case outcomeRejected:
 		s.Denied++
 	default:
 		s.Errored++
 	}
-	w := int(asked / WindowMs)
-	for len(s.Windows) <= w {
-		s.Windows = append(s.Windows, Earnings{})
-	}
-	for _, p := range []*Earnings{&s.All, &s.Windows[w], &s.Service.Kinds[k]} {
-		p.Earned += earned
-		p.Asked += kind.Payoff
-	}
+	return 0
 }
