--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -31,46 +31,46 @@
 	w.result.Requests++
 	start, until := w.now, w.now+milliseconds(k.Timeout)
 	w.logEvent("clients", eventlog.Event{What: eventlog.Asked, Kind: k.Name, Req: name})
-	c := &clientRequest{w: w, name: name, request: a, class: k, start: start, deadline: until, retries: retries, backoff: backoff}
+	c := &clientRequest{w: w, number: name, request: a, class: k, startedAt: start, deadline: until, retries: retries, backoffMs: backoff}
 	w.clientDeadlines[a.Kind].add(until, c)
 	c.attempt()
 }
 
 // clientRequest is a client's req under way.
 type clientRequest struct {
-	w               *World
-	name            uint64
-	request         loadgen.Request
-	class           *loadgen.Kind
-	start, deadline float64
-	attempts        int
-	retries         int
-	backoff         float64
-	done            bool
+	w                   *World
+	number              uint64
+	request             loadgen.Request
+	class               *loadgen.Kind
+	startedAt, deadline float64
+	attempts            int
+	retries             int
+	backoffMs           float64
+	ended               bool
 }
 
-func (c *clientRequest) isOver() bool { return c.done }
+func (c *clientRequest) isOver() bool { return c.ended }
 
 // expire ends a req whose client has lost its patience.
 func (c *clientRequest) expire() { c.end("errored") }
 
 func (c *clientRequest) end(outcome string) {
-	if c.done {
+	if c.ended {
 		return
 	}
-	c.done = true
-	took := c.w.now - c.start
+	c.ended = true
+	took := c.w.now - c.startedAt
 	if outcome == "done" {
 		_ = c.w.result.Latency.RecordValue(max(1, int64(took*1000))) // within its range by the client timeout
 	}
-	c.w.logEvent("clients", eventlog.Event{What: eventlog.Answered, Kind: c.class.Name, Req: c.name, Value: took, Text: outcome})
+	c.w.logEvent("clients", eventlog.Event{What: eventlog.Answered, Kind: c.class.Name, Req: c.number, Value: took, Text: outcome})
 }
 
 func (c *clientRequest) attempt() {
-	if c.done {
+	if c.ended {
 		return
 	}
-	req := &wire.Req{Name: c.name, Kind: c.class.Name, Key: c.request.Key, From: "client", WorkMs: c.request.WorkMs}
+	req := &wire.Req{Name: c.number, Kind: c.class.Name, Key: c.request.Key, From: "client", WorkMs: c.request.WorkMs}
 	c.w.proxies[c.request.Proxy].handle(req, c.deadline-c.w.now, c.answered)
 }
 
@@ -85,7 +85,7 @@
 		c.end(map[bool]string{true: "denied", false: "errored"}[never])
 		return
 	}
-	wait := c.backoff
+	wait := c.backoffMs
 	if ans != nil {
 		wait = max(wait, ans.ComeBackMs)
 	}
--- a/internal/emulator/clock.go
+++ b/internal/emulator/clock.go
@@ -2,10 +2,10 @@
 
 // Clock is a heap of what is to come, by time, then in the order in which it was asked for. Its zero value stands at 0.
 type Clock struct {
-	now       float64 // ms
-	scheduled uint64
-	heap      []timer
-	Events    uint64 // done so far
+	now    float64 // ms
+	set    uint64
+	heap   []timer
+	Events uint64 // done so far
 }
 
 type timer struct {
@@ -22,8 +22,8 @@
 
 // At has something done at a time; one that has passed counts as now.
 func (c *Clock) At(at float64, do func()) {
-	c.scheduled++
-	c.heap = append(c.heap, timer{max(at, c.now), c.scheduled, do})
+	c.set++
+	c.heap = append(c.heap, timer{max(at, c.now), c.set, do})
 	i := len(c.heap) - 1
 	for i > 0 {
 		up := (i - 1) / 4
--- a/internal/emulator/deadlines.go
+++ b/internal/emulator/deadlines.go
@@ -16,8 +16,8 @@
 }
 
 type deadline struct {
-	at float64
-	p  expirable
+	at   float64
+	wait expirable
 }
 
 func (d *deadlineQueue) add(at float64, p expirable) {
@@ -45,10 +45,10 @@
 	d.armed = false
 	for d.first < len(d.entries) {
 		x := d.entries[d.first]
-		if over := x.p.isOver(); !over && x.at > d.w.now {
+		if over := x.wait.isOver(); !over && x.at > d.w.now {
 			break
 		} else if !over {
-			x.p.expire()
+			x.wait.expire()
 		}
 		d.entries[d.first] = deadline{}
 		d.first++
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -221,7 +221,7 @@
 	sum, looks := 0.0, 0.0
 	for at := 1000.0; at < 200_000; at += 7.3 {
 		w.Until(at)
-		sum, looks = sum+float64(w.endpoints[0].process.inHand), looks+1
+		sum, looks = sum+float64(w.endpoints[0].process.inFlight), looks+1
 	}
 	o := w.outcome(0)
 	assert.InEpsilon(t, float64(o.Latency.TotalCount())/200*o.Latency.Mean()/1e6, sum/looks, 0.02)
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -15,11 +15,11 @@
 	endpoint.Model
 	w           *World
 	place       place
-	sharing     bool // cores are shared by all that is in hand; else it waits for one
+	sharesCores bool // cores are shared by all that is in hand; else it waits for one
 	fault       endpoint.FaultMode
 	process     *endpointProcess
 	starts      int
-	done        map[uint64]bool
+	completed   map[uint64]bool
 	random      *rand.Rand
 	pausedUntil float64 // until when all cores stand still
 	thrash      float64 // part by which it slows for each req in hand beyond its cores
@@ -27,19 +27,19 @@
 
 // endpointProcess is one process.
 type endpointProcess struct {
-	since          float64
+	startedAt      float64
 	cold           bool
 	connections    map[string]bool
 	queue          []*task
-	working        int
-	shared         []*task // with sharing: all in hand
+	busyCores      int
+	sharing        []*task // with sharing: all in hand
 	countedAt      float64 // with sharing: when work was last counted off
 	wakeNumber     uint64
-	inHand         int
+	inFlight       int
 	busyMs         float64 // core-ms
 	served         float64
 	overload       endpoint.Push
-	fallen         bool
+	collapsed      bool
 	load           []wire.Figure
 	nextLoad       []wire.Figure
 	reportedBusyMs float64
@@ -60,7 +60,7 @@
 	for _, k := range w.Scenario.Kinds {
 		effects[k.Name], dedup[k.Name] = k.Repeats != "replayable", k.Repeats == "uniqued"
 	}
-	m := &emulatedEndpoint{w: w, place: place{name, g.Zone}, sharing: g.Discipline == "sharing", thrash: g.Thrash, done: map[uint64]bool{},
+	m := &emulatedEndpoint{w: w, place: place{name, g.Zone}, sharesCores: g.Discipline == "sharing", thrash: g.Thrash, completed: map[uint64]bool{},
 		Model: endpoint.Model{Name: name, Zone: g.Zone, Machine: g.Machine, Cores: g.Cores, Speed: speed, Queue: g.Queue, Conns: g.Conns,
 			HandshakeMs: milliseconds(g.Handshake), ReportEvery: 400 * time.Millisecond, ReportLag: 200 * time.Millisecond, Noise: w.Scenario.NoisyReports,
 			Cold: w.Scenario.Cold, ColdFrom: w.Scenario.ColdFrom, FallMultiple: w.Scenario.FallMultiple, Fall: w.Scenario.Fall, ComeBackMs: 200,
@@ -79,10 +79,10 @@
 
 func (m *emulatedEndpoint) start(cold bool) {
 	m.starts++
-	m.process = &endpointProcess{since: m.w.now, cold: cold, connections: map[string]bool{}, countedAt: m.w.now}
+	m.process = &endpointProcess{startedAt: m.w.now, cold: cold, connections: map[string]bool{}, countedAt: m.w.now}
 	m.w.logEvent(m.Name, eventlog.Event{What: eventlog.Start, N: m.starts, Value: float64(m.Cores) * m.Speed, Text: m.Zone,
 		Kind: map[bool]string{true: "cold", false: "warm"}[cold]})
-	m.scheduleReport(m.process)
+	m.scheduleLoadReport(m.process)
 }
 
 func (m *emulatedEndpoint) kill() {
@@ -97,8 +97,8 @@
 }
 
 func (m *emulatedEndpoint) warmth(r *endpointProcess) float64 {
-	w := m.Warmth(r.cold, time.Duration((m.w.now-r.since)*float64(time.Millisecond)))
-	if over := r.inHand - m.Cores; m.thrash > 0 && over > 0 {
+	w := m.Warmth(r.cold, time.Duration((m.w.now-r.startedAt)*float64(time.Millisecond)))
+	if over := r.inFlight - m.Cores; m.thrash > 0 && over > 0 {
 		w /= 1 + m.thrash*float64(over)
 	}
 	return w
@@ -143,19 +143,19 @@
 	case fails:
 		t.answer(wire.Errored, 0, r.load)
 		return
-	case r.inHand >= m.Cores+m.Queue:
+	case r.inFlight >= m.Cores+m.Queue:
 		t.answer(wire.Denied, m.ComeBackMs, r.load)
 		return
 	}
-	r.inHand++
+	r.inFlight++
 	t.workMs = t.request.WorkMs
-	if m.sharing {
+	if m.sharesCores {
 		m.countSharedWork(r)
-		r.shared = append(r.shared, t)
+		r.sharing = append(r.sharing, t)
 		m.scheduleSharedEnd(r)
 		return
 	}
-	if r.working < m.Cores {
+	if r.busyCores < m.Cores {
 		m.runOnCore(r, t)
 		return
 	}
@@ -163,11 +163,11 @@
 }
 
 func (m *emulatedEndpoint) overloaded(r *endpointProcess, work float64) bool {
-	if r.fallen || !r.cold {
-		return r.fallen
+	if r.collapsed || !r.cold {
+		return r.collapsed
 	}
-	over, part := r.overload.Over(&m.Model, time.Duration((m.w.now-r.since)*float64(time.Millisecond)), work)
-	if r.fallen = over; over {
+	over, part := r.overload.Over(&m.Model, time.Duration((m.w.now-r.startedAt)*float64(time.Millisecond)), work)
+	if r.collapsed = over; over {
 		m.w.logEvent(m.Name, eventlog.Event{What: eventlog.Fell, N: m.starts, Value: part})
 	}
 	return over
@@ -175,7 +175,7 @@
 
 // runOnCore has a core do a task, then the next that waits.
 func (m *emulatedEndpoint) runOnCore(r *endpointProcess, t *task) {
-	r.working++
+	r.busyCores++
 	took := t.workMs / (m.Speed * m.warmth(r))
 	if m.pausedUntil > m.w.now {
 		took += m.pausedUntil - m.w.now
@@ -185,9 +185,9 @@
 			return
 		}
 		r.busyMs += took
-		r.working--
+		r.busyCores--
 		m.finish(r, t)
-		if len(r.queue) > 0 && r.working < m.Cores {
+		if len(r.queue) > 0 && r.busyCores < m.Cores {
 			next := r.queue[0]
 			r.queue = r.queue[1:]
 			m.runOnCore(r, next)
@@ -197,11 +197,11 @@
 
 // finish books a task's effect and answers it.
 func (m *emulatedEndpoint) finish(r *endpointProcess, t *task) {
-	r.inHand--
+	r.inFlight--
 	r.served++
-	repeat := m.Dedup[t.request.Kind] && m.done[t.request.Name]
+	repeat := m.Dedup[t.request.Kind] && m.completed[t.request.Name]
 	if m.Dedup[t.request.Kind] {
-		m.done[t.request.Name] = true
+		m.completed[t.request.Name] = true
 	}
 	if m.Effects[t.request.Kind] && !repeat {
 		m.w.logEvent(m.Name, eventlog.Event{What: eventlog.Effect, Peer: t.request.From, Kind: t.request.Kind, Req: t.request.Name})
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -15,12 +15,12 @@
 			w.playLifecycle(t, m, i)
 		}
 	case "zone_cut":
-		w.cutZone(t.Zone, true)
-		w.After(lasts, func() { w.cutZone(t.Zone, false) })
+		w.setZoneCut(t.Zone, true)
+		w.After(lasts, func() { w.setZoneCut(t.Zone, false) })
 	case "slow_link":
 		z := w.network.zone(t.Zone)
-		z.delay, z.loss = milliseconds(t.Extra), t.Loss
-		w.After(lasts, func() { z.delay, z.loss = 0, 0 })
+		z.extraDelayMs, z.loss = milliseconds(t.Extra), t.Loss
+		w.After(lasts, func() { z.extraDelayMs, z.loss = 0, 0 })
 	case "zone_loss":
 		w.zoneLoss(t)
 	case "proxy_crash", "proxy_roll", "reconnect", "counter_down", "mute_proxy", "report_burst", "silent":
--- a/internal/emulator/faults_network.go
+++ b/internal/emulator/faults_network.go
@@ -13,7 +13,7 @@
 	w.endSilentStreams()
 }
 
-func (w *World) cutZone(zone string, cut bool) {
+func (w *World) setZoneCut(zone string, cut bool) {
 	w.network.zone(zone).cut = cut
 	w.logEvent("links", eventlog.Event{What: map[bool]eventlog.What{true: eventlog.Cut, false: eventlog.Mended}[cut], Text: zone})
 	if !cut {
--- a/internal/emulator/forwarding.go
+++ b/internal/emulator/forwarding.go
@@ -15,7 +15,7 @@
 // proxyRequest is a req under way in a proxy.
 type proxyRequest struct {
 	process    *proxyProcess
-	req        *wire.Req
+	request    *wire.Req
 	class      int
 	deadline   float64
 	tried      []string
@@ -25,10 +25,10 @@
 
 // attempt is one try of a req.
 type attempt struct {
-	request  *proxyRequest
-	endpoint string
-	start    float64
-	ended    bool
+	request   *proxyRequest
+	endpoint  string
+	startedAt float64
+	ended     bool
 }
 
 // connection is what is under way to one endpoint over its connection.
@@ -55,25 +55,25 @@
 		answer(&wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.ComeBackMs})
 		return
 	}
-	u := &proxyRequest{process: li, req: req, class: kind, answer: answer, deadline: p.w.now + min(limit, p.w.timeoutsMs[kind])}
+	u := &proxyRequest{process: li, request: req, class: kind, answer: answer, deadline: p.w.now + min(limit, p.w.timeoutsMs[kind])}
 	u.sendNext()
 }
 
 // sendNext sends the next try.
 func (u *proxyRequest) sendNext() {
 	li, p := u.process, u.process.proxy
-	name := li.follower.Pick(p.w.now, u.class, u.req.Key, u.tried)
+	name := li.follower.Pick(p.w.now, u.class, u.request.Key, u.tried)
 	if name == "" {
-		p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Refuse, Kind: u.req.Kind, Req: u.req.Name, Text: "no line"})
+		p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Refuse, Kind: u.request.Kind, Req: u.request.Name, Text: "no line"})
 		u.fail()
 		return
 	}
 	li.follower.Sent(name)
 	u.tried = append(u.tried, name)
-	p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Send, Peer: name, Kind: u.req.Kind, Req: u.req.Name, Text: u.req.Key, N: len(u.tried)})
+	p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Send, Peer: name, Kind: u.request.Kind, Req: u.request.Name, Text: u.request.Key, N: len(u.tried)})
 	p.w.Attempts++
 	wait := routing.Patience(li.follower.Again(u.class), len(u.tried), u.deadline-p.w.now, p.w.firstWaitFactor*p.w.targetsMs[u.class])
-	t := &attempt{request: u, endpoint: name, start: p.w.now}
+	t := &attempt{request: u, endpoint: name, startedAt: p.w.now}
 	p.w.attemptDeadlines[u.class].add(p.w.now+wait, t)
 	li.send(t, wait)
 }
@@ -91,7 +91,7 @@
 	if c == nil || c.process != m.process {
 		trip = 3 // a connection is opened first
 	}
-	req := &wire.Req{Name: t.request.req.Name, Kind: t.request.req.Kind, From: p.place.name, WorkMs: t.request.req.WorkMs, LimitMs: wait}
+	req := &wire.Req{Name: t.request.request.Name, Kind: t.request.request.Kind, From: p.place.name, WorkMs: t.request.request.WorkMs, LimitMs: wait}
 	arrive := func() {
 		ok, cost := m.connect(p.place.name)
 		if !ok {
@@ -136,7 +136,7 @@
 		return
 	}
 	t.ended = true
-	li.follower.Back(li.proxy.w.now, t.endpoint, false, li.proxy.w.now-t.start, nil)
+	li.follower.Back(li.proxy.w.now, t.endpoint, false, li.proxy.w.now-t.startedAt, nil)
 	t.request.retryOrEnd(wire.Denied)
 }
 
@@ -159,7 +159,7 @@
 	if a != nil {
 		outcome, load = a.Outcome, a.Load
 	}
-	li.follower.Back(li.proxy.w.now, t.endpoint, outcome == wire.Fine, li.proxy.w.now-t.start, load)
+	li.follower.Back(li.proxy.w.now, t.endpoint, outcome == wire.Fine, li.proxy.w.now-t.startedAt, load)
 	t.request.retryOrEnd(outcome)
 }
 
@@ -184,7 +184,7 @@
 		u.answer(&wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.ComeBackMs})
 		return
 	}
-	u.process.follower.Unanswered(u.class, u.req.Key)
+	u.process.follower.Unanswered(u.class, u.request.Key)
 	u.answer(&wire.Answer{Outcome: wire.Errored})
 }
 
@@ -192,10 +192,10 @@
 func (w *World) sortedAttempts(tries map[*attempt]bool) []*attempt {
 	list := slices.Collect(maps.Keys(tries))
 	slices.SortFunc(list, func(a, b *attempt) int {
-		if a.request.req.Name != b.request.req.Name {
-			return map[bool]int{true: -1, false: 1}[a.request.req.Name < b.request.req.Name]
+		if a.request.request.Name != b.request.request.Name {
+			return map[bool]int{true: -1, false: 1}[a.request.request.Name < b.request.request.Name]
 		}
-		return map[bool]int{true: -1, false: 1}[a.start < b.start]
+		return map[bool]int{true: -1, false: 1}[a.startedAt < b.startedAt]
 	})
 	return list
 }
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -5,9 +5,9 @@
 
 // zoneLink is the state of the ways of one zone to all others.
 type zoneLink struct {
-	cut   bool
-	delay float64 // ms more
-	loss  float64 // part of the messages that come 200 ms later
+	cut          bool
+	extraDelayMs float64 // ms more
+	loss         float64 // part of the messages that come 200 ms later
 }
 
 // network is the network between places, as links is on sockets: what a cut holds back comes when it is mended.
@@ -21,11 +21,11 @@
 
 type heldMessage struct {
 	from, to place
-	do       func()
+	deliver  func()
 }
 
-// repeatMs is how much later TCP's repeat brings what was lost.
-const repeatMs = 200
+// retransmitMs is how much later TCP's repeat brings what was lost.
+const retransmitMs = 200
 
 func (n *network) zone(z string) *zoneLink {
 	if n.zones[z] == nil {
@@ -49,9 +49,9 @@
 		return ms
 	}
 	x, y := n.zone(a.zone), n.zone(b.zone)
-	ms += max(x.delay, y.delay)
+	ms += max(x.extraDelayMs, y.extraDelayMs)
 	if p := max(x.loss, y.loss); p > 0 && n.w.random.Float64() < p {
-		ms += repeatMs
+		ms += retransmitMs
 	}
 	return ms
 }
@@ -76,6 +76,6 @@
 	waits := n.held
 	n.held = nil
 	for _, h := range waits {
-		n.carry(h.from, h.to, h.do)
+		n.carry(h.from, h.to, h.deliver)
 	}
 }
--- a/internal/emulator/pilot.go
+++ b/internal/emulator/pilot.go
@@ -26,19 +26,19 @@
 
 // pilotProcess is one process: the shipped runtime, driven by the clock.
 type pilotProcess struct {
-	pilot         *emulatedPilot
-	startedAt     float64 // when its own clock showed 0
-	core          *controller.Core
-	inputs        []controller.Input
-	turnScheduled bool
-	wakeAt        float64
-	wakeNumber    uint64
-	uncommitted   []record.Turn // not kept yet
-	reports       int           // since the last decision that was traced
-	firstReport   float64
+	pilot          *emulatedPilot
+	startedAt      float64 // when its own clock showed 0
+	core           *controller.Core
+	inputs         []controller.Input
+	turnScheduled  bool
+	wakeAt         float64
+	wakeNumber     uint64
+	uncommitted    []record.Turn // not kept yet
+	pendingReports int           // since the last decision that was traced
+	firstReport    float64
 }
 
-func (s *emulatedPilot) runs() bool { return s.process != nil }
+func (s *emulatedPilot) running() bool { return s.process != nil }
 
 // clockEpsilonMs is less than anything that counts, in ms.
 const clockEpsilonMs = 1e-6
@@ -90,7 +90,7 @@
 	}
 	s.process = nil
 	s.w.logEvent(s.place.name, eventlog.Event{What: eventlog.Stop})
-	s.w.pilotStopped(r)
+	s.w.countStopped(r)
 	for _, st := range s.w.streamsOf(s) {
 		st.end(true)
 	}
@@ -116,7 +116,7 @@
 // report takes sums past the loop, as on sockets.
 func (s *emulatedPilot) report(st *stream, sums *wire.Sums) {
 	if s.process != nil {
-		if s.process.reports++; s.process.reports == 1 {
+		if s.process.pendingReports++; s.process.pendingReports == 1 {
 			s.process.firstReport = s.w.now
 		}
 		s.process.core.Report(s.w.now-s.process.startedAt, st, sums)
--- a/internal/emulator/play.go
+++ b/internal/emulator/play.go
@@ -79,13 +79,13 @@
 func (w *World) outcome(tookMs float64) *Outcome {
 	for _, s := range w.pilots {
 		if s.process != nil {
-			w.pilotStopped(s.process)
+			w.countStopped(s.process)
 		}
 		w.result.Starts[s.place.name] = s.Starts
 	}
 	for _, m := range w.endpoints {
 		if w.result.ZoneOf[m.Name] = m.Zone; m.process != nil {
-			w.result.Load[m.Name] = m.process.busyMs / max(1, w.now-m.process.since) / float64(m.Cores)
+			w.result.Load[m.Name] = m.process.busyMs / max(1, w.now-m.process.startedAt) / float64(m.Cores)
 		}
 	}
 	o := w.result
@@ -93,8 +93,8 @@
 	return o
 }
 
-// pilotStopped adds up what a pilot's process counted.
-func (w *World) pilotStopped(r *pilotProcess) {
+// countStopped adds up what a pilot's process counted.
+func (w *World) countStopped(r *pilotProcess) {
 	c := r.core.Channel
 	w.result.MaxQueueLines, w.result.MaxProxyMessages = max(w.result.MaxQueueLines, c.MaxLines), max(w.result.MaxProxyMessages, c.MaxMessages)
 	w.result.LinesSent += c.Sent
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -18,7 +18,7 @@
 	rate         float64
 	home         int // number among the pilots of its zone
 	process      *proxyProcess
-	boots        int
+	starts       int
 	seed         uint64
 	unreachable  bool // reaches no pilot
 	muted        bool // does not read
@@ -40,14 +40,14 @@
 }
 
 func (p *emulatedProxy) start() {
-	p.boots++
-	li := &proxyProcess{proxy: p, follower: routing.NewFollower(p.policy, p.w.drawStaticTable(p.place.zone), p.seed+uint64(p.boots)),
-		loggedLines: make([]int, len(p.policy.Kinds)), random: rand.New(rand.NewPCG(p.seed, uint64(p.boots))), connections: map[string]*connection{}}
+	p.starts++
+	li := &proxyProcess{proxy: p, follower: routing.NewFollower(p.policy, p.w.drawStaticTable(p.place.zone), p.seed+uint64(p.starts)),
+		loggedLines: make([]int, len(p.policy.Kinds)), random: rand.New(rand.NewPCG(p.seed, uint64(p.starts))), connections: map[string]*connection{}}
 	for k := range li.loggedLines {
 		li.loggedLines[k] = -1
 	}
 	p.process = li
-	p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Start, N: p.boots, Text: p.place.zone})
+	p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Start, N: p.starts, Text: p.place.zone})
 	li.logLines()
 	li.dial(0)
 }
@@ -156,12 +156,12 @@
 	}
 	pilots := p.w.reachablePilots(p)
 	if len(pilots) > 0 {
-		if s := pilots[n%len(pilots)]; s.runs() && p.w.network.open(p.place, s.place) {
+		if s := pilots[n%len(pilots)]; s.running() && p.w.network.open(p.place, s.place) {
 			p.w.After(2*p.w.network.delay(p.place, s.place), func() {
 				if p.process != li || li.stream != nil {
 					return
 				}
-				if !s.runs() || !p.w.network.open(p.place, s.place) {
+				if !s.running() || !p.w.network.open(p.place, s.place) {
 					li.redial(n + 1)
 					return
 				}
@@ -179,7 +179,7 @@
 
 func (li *proxyProcess) join(to *emulatedPilot) {
 	p := li.proxy
-	hello := wire.Hello{Version: wire.Version, Proxy: p.place.name, Zone: p.place.zone, Boot: uint64(p.boots), Rate: p.rate,
+	hello := wire.Hello{Version: wire.Version, Proxy: p.place.name, Zone: p.place.zone, Boot: uint64(p.starts), Rate: p.rate,
 		Fresh: li.follower.Fresh(), Holds: li.follower.Holds(), Tables: li.follower.Tables()}
 	li.stream = &stream{w: p.w, process: li, pilot: to, pilotProcess: to.process}
 	to.streams[li.stream] = true
--- a/internal/emulator/registry.go
+++ b/internal/emulator/registry.go
@@ -16,7 +16,7 @@
 	entries  map[string]wire.Entry
 	slices   map[int]wire.Slices
 	version  int
-	down     bool
+	stopped  bool
 	watchers map[*emulatedPilot]*pilotProcess
 	silentMs float64 // after which a pilot takes a silent list for lost
 }
@@ -37,7 +37,7 @@
 				l.entries[e.Endpoint] = e
 			}
 		}
-		if l.down {
+		if l.stopped {
 			return
 		}
 		for _, s := range l.w.pilots {
@@ -51,7 +51,7 @@
 // notify brings a message to a pilot, and leaves in the trail what it is told.
 func (l *registry) notify(s *emulatedPilot, r *pilotProcess, m *wire.List) {
 	l.w.network.carry(l.place, s.place, func() {
-		if s.process != r || l.down {
+		if s.process != r || l.stopped {
 			return
 		}
 		if m.Whole {
@@ -72,7 +72,7 @@
 // watch has a pilot told of changes from now on.
 func (l *registry) watch(s *emulatedPilot, r *pilotProcess) {
 	l.w.network.carry(s.place, l.place, func() {
-		if !l.down {
+		if !l.stopped {
 			l.watchers[s] = r
 		}
 	})
@@ -82,7 +82,7 @@
 func (l *registry) sendSnapshot(s *emulatedPilot, r *pilotProcess) {
 	l.w.network.carry(s.place, l.place, func() {
 		l.watchers[s] = r
-		if l.down {
+		if l.stopped {
 			l.w.After(l.silentMs, func() {
 				if s.process == r {
 					s.post(controller.EndpointListLost{})
@@ -103,7 +103,7 @@
 
 func (l *registry) sendSlice(s *emulatedPilot, r *pilotProcess, x wire.Slices) {
 	l.w.network.carry(l.place, s.place, func() {
-		if s.process == r && !l.down {
+		if s.process == r && !l.stopped {
 			s.post(controller.SliceAssigned{Slices: &x})
 		}
 	})
@@ -121,11 +121,11 @@
 
 // stop takes the list away; pilots notice after a silence.
 func (l *registry) stop() {
-	l.down = true
+	l.stopped = true
 	for _, s := range l.w.pilots {
 		if r := l.watchers[s]; r != nil && s.process == r {
 			l.w.After(l.silentMs, func() {
-				if s.process == r && l.down {
+				if s.process == r && l.stopped {
 					s.post(controller.EndpointListLost{})
 				}
 			})
@@ -135,7 +135,7 @@
 
 // resume brings it back: those who followed dial again and are told everything.
 func (l *registry) resume() {
-	l.down = false
+	l.stopped = false
 	for _, s := range l.w.pilots {
 		if r := s.process; r != nil {
 			l.watchers[s] = r
--- a/internal/emulator/sharing.go
+++ b/internal/emulator/sharing.go
@@ -8,12 +8,12 @@
 func (m *emulatedEndpoint) countSharedWork(r *endpointProcess) {
 	span := m.w.now - max(r.countedAt, min(m.pausedUntil, m.w.now))
 	r.countedAt = m.w.now
-	n := len(r.shared)
+	n := len(r.sharing)
 	if n == 0 || span <= 0 {
 		return
 	}
 	each := min(1, float64(m.Cores)/float64(n)) * m.Speed * m.warmth(r) * span
-	for _, t := range r.shared {
+	for _, t := range r.sharing {
 		t.workMs -= each
 	}
 	r.busyMs += span * float64(min(n, m.Cores))
@@ -21,12 +21,12 @@
 
 // scheduleSharedEnd wakes when the task with the least work left is done.
 func (m *emulatedEndpoint) scheduleSharedEnd(r *endpointProcess) {
-	n := len(r.shared)
+	n := len(r.sharing)
 	if n == 0 {
 		return
 	}
 	least := math.Inf(1)
-	for _, t := range r.shared {
+	for _, t := range r.sharing {
 		least = min(least, t.workMs)
 	}
 	speed := min(1, float64(m.Cores)/float64(n)) * m.Speed * m.warmth(r)
@@ -37,16 +37,16 @@
 			return
 		}
 		m.countSharedWork(r)
-		kept := r.shared[:0]
+		kept := r.sharing[:0]
 		var done []*task
-		for _, t := range r.shared {
+		for _, t := range r.sharing {
 			if t.workMs <= 1e-9 {
 				done = append(done, t)
 			} else {
 				kept = append(kept, t)
 			}
 		}
-		r.shared = kept
+		r.sharing = kept
 		for _, t := range done {
 			m.finish(r, t)
 		}
--- a/internal/emulator/slices.go
+++ b/internal/emulator/slices.go
@@ -13,11 +13,11 @@
 func (w *World) assignSlices() {
 	for i := range w.Scenario.Slices {
 		w.sliceOwners = append(w.sliceOwners, w.endpoints[i%len(w.endpoints)].Name)
-		w.assignSlice(i)
+		w.announceSlice(i)
 	}
 }
 
-func (w *World) assignSlice(i int) {
+func (w *World) announceSlice(i int) {
 	x := wire.Slices{Slice: i, Given: true, From: loadgen.Key(i * scenario.KeysPerSlice), To: loadgen.Key((i + 1) * scenario.KeysPerSlice),
 		Lines: []wire.HeldLine{{Endpoint: w.sliceOwners[i], Weight: 1}}}
 	w.logEvent("rehearsal", eventlog.Event{What: eventlog.Given, Peer: w.sliceOwners[i], N: i, Text: x.From})
@@ -35,7 +35,7 @@
 	for i, owner := range w.sliceOwners {
 		if slices.Contains(from, w.endpointByName[owner]) && len(stay) > 0 {
 			w.sliceOwners[i] = stay[i%len(stay)]
-			w.assignSlice(i)
+			w.announceSlice(i)
 		}
 	}
 }
--- a/internal/emulator/stream.go
+++ b/internal/emulator/stream.go
@@ -23,9 +23,9 @@
 func (s *stream) Send(o *wire.Orders) error {
 	traced := func(string, float64) {}
 	if t := s.w.Trace; t != nil && s.pilotProcess != nil {
-		d, left := t.message(s.pilotProcess, s.process.proxy.place.name, min(s.pilotProcess.startedAt+o.AtMs, s.w.now), o.Lines), s.w.now
+		d, left := t.recordMessage(s.pilotProcess, s.process.proxy.place.name, min(s.pilotProcess.startedAt+o.AtMs, s.w.now), o.Lines), s.w.now
 		traced = func(what string, from float64) {
-			t.part(d, what, s.process.proxy.place.name, max(from, left), s.w.now, o.Lines)
+			t.recordPart(d, what, s.process.proxy.place.name, max(from, left), s.w.now, o.Lines)
 		}
 	}
 	left := s.w.now
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -82,10 +82,10 @@
 // trueLoad tells how busy an endpoint truly is, as a part of its cores, and whether it answers at all.
 func (w *World) trueLoad(name string) (busy float64, runs bool) {
 	m := w.endpointByName[name]
-	if m == nil || m.process == nil || m.process.fallen || m.fault.Hang {
+	if m == nil || m.process == nil || m.process.collapsed || m.fault.Hang {
 		return 0, false
 	}
-	return float64(m.process.inHand) / float64(m.Cores), true
+	return float64(m.process.inFlight) / float64(m.Cores), true
 }
 
 // logEvent adds an event to the trails.
@@ -126,7 +126,7 @@
 	if !w.WithoutPilots {
 		for i, z := range d.PilotZones {
 			s := &emulatedPilot{w: w, place: place{fmt.Sprintf("pilot-%d", i), z}, rank: i, streams: map[*stream]bool{}}
-			s.settings = w.pilotTerms(s)
+			s.settings = w.pilotSettings(s)
 			w.pilots = append(w.pilots, s)
 		}
 		for _, s := range w.pilots {
@@ -146,7 +146,7 @@
 	}
 }
 
-func (w *World) pilotTerms(s *emulatedPilot) config.Pilot {
+func (w *World) pilotSettings(s *emulatedPilot) config.Pilot {
 	t := config.Defaults()
 	t.Common, t.Name, t.Zone, t.Rank, t.Seed = w.Scenario.Common, s.place.name, s.place.zone, s.rank, w.Scenario.Seed+s.rank
 	t.IntakeLinesPerS, t.IntakeStanding = w.Scenario.IntakeLinesPerS, w.Scenario.IntakeStanding
