--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -6,89 +6,129 @@
 	"indigousher/internal/wire"
 )
 
-// scheduleClients ask reqs at their times, one drawn after another.
+// clientsName is who logs the clients' events.
+const clientsName = "clients"
+
+// Outcomes of a request as its client logs them.
+const (
+	outcomeDone     = "done"
+	outcomeRejected = "denied"
+	outcomeErrored  = "errored"
+)
+
+// scheduleClients has requests sent at their times. Each is drawn once the one before it has been sent.
 func (w *World) scheduleClients() {
 	load := loadgen.Of(w.Scenario)
 	source := loadgen.NewSource(load)
-	name := uint64(0)
-	var next func()
-	next = func() {
-		a, more := source.Next()
+	number := uint64(0)
+	var scheduleNext func()
+	scheduleNext = func() {
+		request, more := source.Next()
 		if !more {
 			return
 		}
-		w.At(milliseconds(a.At), func() {
-			name++
-			w.startRequest(name, a, &load.Kinds[a.Kind], load.Retries, milliseconds(load.Backoff))
-			next()
+		w.At(milliseconds(request.At), func() {
+			number++
+			w.startRequest(number, request, &load)
+			scheduleNext()
 		})
 	}
-	next()
+	scheduleNext()
 }
 
-// startRequest takes a client's req through its retries.
-func (w *World) startRequest(name uint64, a loadgen.Request, k *loadgen.Kind, retries int, backoff float64) {
-	w.result.Requests++
-	start, until := w.now, w.now+milliseconds(k.Timeout)
-	w.logEvent("clients", eventlog.Event{What: eventlog.Asked, Kind: k.Name, Req: name})
-	c := &clientRequest{w: w, number: name, request: a, class: k, startedAt: start, deadline: until, retries: retries, backoffMs: backoff}
-	w.clientDeadlines[a.Kind].add(until, c)
-	c.attempt()
-}
-
-// clientRequest is a client's req under way.
+// clientRequest is a client's request with its attempts. It ends with the first success, with its last retry or at the
+// client's timeout.
 type clientRequest struct {
-	w                   *World
-	number              uint64
-	request             loadgen.Request
-	class               *loadgen.Kind
-	startedAt, deadline float64
-	attempts            int
-	retries             int
-	backoffMs           float64
-	ended               bool
+	w         *World
+	number    uint64
+	request   loadgen.Request
+	class     *loadgen.Kind
+	startedAt float64 // ms
+	deadline  float64 // ms
+	attempts  int     // after the first
+	retries   int     // that the client makes at most
+	backoffMs float64 // before each retry
+	ended     bool
 }
 
-func (c *clientRequest) isOver() bool { return c.ended }
-
-// expire ends a req whose client has lost its patience.
-func (c *clientRequest) expire() { c.end("errored") }
-
-func (c *clientRequest) end(outcome string) {
-	if c.ended {
-		return
-	}
-	c.ended = true
-	took := c.w.now - c.startedAt
-	if outcome == "done" {
-		_ = c.w.result.Latency.RecordValue(max(1, int64(took*1000))) // within its range by the client timeout
+// startRequest sends a request on behalf of a client.
+func (w *World) startRequest(number uint64, request loadgen.Request, load *loadgen.Load) {
+	class := &load.Kinds[request.Kind]
+	w.result.Requests++
+	w.logEvent(clientsName, eventlog.Event{What: eventlog.Asked, Kind: class.Name, Req: number})
+	c := &clientRequest{
+		w:         w,
+		number:    number,
+		request:   request,
+		class:     class,
+		startedAt: w.now,
+		deadline:  w.now + milliseconds(class.Timeout),
+		retries:   load.Retries,
+		backoffMs: milliseconds(load.Backoff),
 	}
-	c.w.logEvent("clients", eventlog.Event{What: eventlog.Answered, Kind: c.class.Name, Req: c.number, Value: took, Text: outcome})
+	w.clientDeadlines[request.Kind].add(c.deadline, c)
+	c.attempt()
 }
 
+// attempt sends the request to its proxy, with what is left of the client's timeout.
 func (c *clientRequest) attempt() {
 	if c.ended {
 		return
 	}
-	req := &wire.Req{Name: c.number, Kind: c.class.Name, Key: c.request.Key, From: "client", WorkMs: c.request.WorkMs}
-	c.w.proxies[c.request.Proxy].handle(req, c.deadline-c.w.now, c.answered)
+	request := &wire.Req{Name: c.number, Kind: c.class.Name, Key: c.request.Key, From: "client", WorkMs: c.request.WorkMs}
+	c.w.proxies[c.request.Proxy].handle(request, c.deadline-c.w.now, c.answered)
 }
 
-// answered takes in a proxy's answer; nil is one that does not run, and takes nothing.
-func (c *clientRequest) answered(ans *wire.Answer) {
-	never := ans == nil || ans.Outcome == wire.Denied
-	switch {
-	case ans != nil && ans.Outcome == wire.Fine:
-		c.end("done")
+// answered takes the proxy's answer to an attempt; nil means that the proxy does not run and has done nothing.
+func (c *clientRequest) answered(answer *wire.Answer) {
+	if answer != nil && answer.Outcome == wire.Fine {
+		c.end(outcomeDone)
 		return
-	case c.attempts >= c.retries || !never && !c.class.Replayable:
-		c.end(map[bool]string{true: "denied", false: "errored"}[never])
+	}
+	neverRan := answer == nil || answer.Outcome == wire.Denied
+	mayRetry := neverRan || c.class.Replayable
+	if c.attempts >= c.retries || !mayRetry {
+		c.endFailed(neverRan)
 		return
 	}
 	wait := c.backoffMs
-	if ans != nil {
-		wait = max(wait, ans.ComeBackMs)
+	if answer != nil {
+		wait = max(wait, answer.ComeBackMs)
 	}
 	c.attempts++
 	c.w.After(wait, c.attempt)
 }
+
+// endFailed ends a request that got no answer. One that never ran anywhere counts as rejected.
+func (c *clientRequest) endFailed(neverRan bool) {
+	if neverRan {
+		c.end(outcomeRejected)
+		return
+	}
+	c.end(outcomeErrored)
+}
+
+// isOver implements expirable.
+func (c *clientRequest) isOver() bool { return c.ended }
+
+// expire ends the request at the client's timeout.
+func (c *clientRequest) expire() { c.end(outcomeErrored) }
+
+func (c *clientRequest) end(outcome string) {
+	if c.ended {
+		return
+	}
+	c.ended = true
+	tookMs := c.w.now - c.startedAt
+	if outcome == outcomeDone {
+		micros := max(minLatencyMicros, int64(tookMs*1000))
+		_ = c.w.result.Latency.RecordValue(micros) // within its range: the client's timeout is shorter
+	}
+	c.w.logEvent(clientsName, eventlog.Event{
+		What:  eventlog.Answered,
+		Kind:  c.class.Name,
+		Req:   c.number,
+		Value: tookMs,
+		Text:  outcome,
+	})
+}
--- a/internal/emulator/clock.go
+++ b/internal/emulator/clock.go
@@ -1,67 +1,89 @@
 package emulator
 
-// Clock is a heap of what is to come, by time, then in the order in which it was asked for. Its zero value stands at 0.
+// Clock is a clock of virtual time with timers. Timers fire by time, those of one moment in the order in which they were
+// set. Its zero value stands at 0.
 type Clock struct {
 	now    float64 // ms
-	set    uint64
-	heap   []timer
-	Events uint64 // done so far
+	set    uint64  // timers set so far
+	heap   []timer // the root is the next to fire
+	Events uint64  // timers that have fired
 }
 
+// heapWidth is the number of children of a node in the heap. Four are faster than two: a level less to walk, and the
+// children lie together in memory.
+const heapWidth = 4
+
+// timer is something that happens at a time.
 type timer struct {
-	at     float64
-	number uint64
+	at     float64 // ms
+	number uint64  // in the order of setting
 	run    func()
 }
 
-// Now returns the time.
+func (t *timer) before(other *timer) bool {
+	if t.at != other.at {
+		return t.at < other.at
+	}
+	return t.number < other.number
+}
+
+// Now returns the time in ms.
 func (c *Clock) Now() float64 { return c.now }
 
-// After has something done later; never before what was asked for earlier for the same moment.
-func (c *Clock) After(ms float64, do func()) { c.At(c.now+ms, do) }
+// After runs something after a delay in ms.
+func (c *Clock) After(delayMs float64, run func()) { c.At(c.now+delayMs, run) }
 
-// At has something done at a time; one that has passed counts as now.
-func (c *Clock) At(at float64, do func()) {
+// At runs something at a time in ms; one that has passed counts as now.
+func (c *Clock) At(at float64, run func()) {
 	c.set++
-	c.heap = append(c.heap, timer{max(at, c.now), c.set, do})
-	i := len(c.heap) - 1
-	for i > 0 {
-		up := (i - 1) / 4
-		if !c.heap[i].before(&c.heap[up]) {
-			break
-		}
-		c.heap[i], c.heap[up] = c.heap[up], c.heap[i]
-		i = up
-	}
+	c.heap = append(c.heap, timer{at: max(at, c.now), number: c.set, run: run})
+	c.siftUp(len(c.heap) - 1)
 }
 
-func (d *timer) before(o *timer) bool { return d.at < o.at || d.at == o.at && d.number < o.number }
-
-// Until lets time pass.
+// Until lets time pass up to a moment in ms and runs what is due.
 func (c *Clock) Until(at float64) {
 	for len(c.heap) > 0 && c.heap[0].at <= at {
-		d := c.pop()
-		c.now = d.at
+		next := c.pop()
+		c.now = next.at
 		c.Events++
-		d.run()
+		next.run()
 	}
 	c.now = max(c.now, at)
 }
 
+// pop removes the next timer from the heap.
 func (c *Clock) pop() timer {
-	first, last := c.heap[0], len(c.heap)-1
+	first := c.heap[0]
+	last := len(c.heap) - 1
 	c.heap[0] = c.heap[last]
-	c.heap[last] = timer{}
+	c.heap[last] = timer{} // lets go of its function
 	c.heap = c.heap[:last]
-	for i := 0; ; {
+	c.siftDown(0)
+	return first
+}
+
+func (c *Clock) siftUp(i int) {
+	for i > 0 {
+		parent := (i - 1) / heapWidth
+		if !c.heap[i].before(&c.heap[parent]) {
+			return
+		}
+		c.heap[i], c.heap[parent] = c.heap[parent], c.heap[i]
+		i = parent
+	}
+}
+
+func (c *Clock) siftDown(i int) {
+	for {
 		least := i
-		for k := 4*i + 1; k <= 4*i+4 && k < last; k++ {
-			if c.heap[k].before(&c.heap[least]) {
-				least = k
+		firstChild := heapWidth*i + 1
+		for child := firstChild; child < firstChild+heapWidth && child < len(c.heap); child++ {
+			if c.heap[child].before(&c.heap[least]) {
+				least = child
 			}
 		}
 		if least == i {
-			return first
+			return
 		}
 		c.heap[i], c.heap[least] = c.heap[least], c.heap[i]
 		i = least
--- a/internal/emulator/commands_test.go
+++ b/internal/emulator/commands_test.go
@@ -139,10 +139,12 @@
 			struck[fault.What] = true
 		}
 	}
-	for _, what := range []string{"hang", "fast_errors", "class_fail", "vanish", "crash", "restart", "drain", "preempt", "replace",
+	for _, what := range []string{
+		"hang", "fast_errors", "class_fail", "vanish", "crash", "restart", "drain", "preempt", "replace",
 		"flapping", "zone_cut", "zone_loss", "slow_link", "handshake_slow", "proxy_crash", "proxy_roll", "pilot_kill",
 		"pilot_roll", "reconnect", "counter_down", "burst", "hot_caller", "heavy_tail", "shift", "list_down", "list_all",
-		"reload", "mute_proxy", "report_burst", "answers_twice", "silent", "handover", "slice_move", "pause", "pilot_pause"} {
+		"reload", "mute_proxy", "report_burst", "answers_twice", "silent", "handover", "slice_move", "pause", "pilot_pause",
+	} {
 		assert.Contains(t, struck, what)
 	}
 	proxies := []int{}
--- a/internal/emulator/deadlines.go
+++ b/internal/emulator/deadlines.go
@@ -6,56 +6,70 @@
 	expire()
 }
 
-// deadlineQueue keeps deadlines that come in order, as those of one kind of wait do, with one event for the first that still
-// counts: most end before, and would only fill the clock's heap.
+// deadlineQueue holds the deadlines of one kind of wait. They come almost in order of time, and most waits end before
+// them; one timer for the first that still counts keeps the clock's heap small.
 type deadlineQueue struct {
 	w       *World
-	entries []deadline
+	entries []deadline // by time; those before first have passed
 	first   int
-	armed   bool
+	armed   bool // a timer is set for the first entry
 }
 
 type deadline struct {
-	at   float64
+	at   float64 // ms
 	wait expirable
 }
 
-func (d *deadlineQueue) add(at float64, p expirable) {
-	if d.first < len(d.entries) && at < d.entries[len(d.entries)-1].at {
-		d.w.At(at, func() {
-			if !p.isOver() {
-				p.expire()
-			}
-		})
+// compactAfter is how many passed entries may pile up at least before they are dropped.
+const compactAfter = 1024
+
+// add sets a deadline in ms. One that comes out of order gets a timer of its own.
+func (q *deadlineQueue) add(at float64, wait expirable) {
+	pending := len(q.entries) - q.first
+	if pending > 0 && at < q.entries[len(q.entries)-1].at {
+		q.w.At(at, func() { expireUnlessOver(wait) })
 		return
 	}
-	d.entries = append(d.entries, deadline{at, p})
-	d.arm()
+	q.entries = append(q.entries, deadline{at: at, wait: wait})
+	q.arm()
+}
+
+func expireUnlessOver(wait expirable) {
+	if !wait.isOver() {
+		wait.expire()
+	}
 }
 
-func (d *deadlineQueue) arm() {
-	if !d.armed && d.first < len(d.entries) {
-		d.armed = true
-		d.w.At(d.entries[d.first].at, d.fire)
+// arm sets the timer for the first entry, unless one is set.
+func (q *deadlineQueue) arm() {
+	if !q.armed && q.first < len(q.entries) {
+		q.armed = true
+		q.w.At(q.entries[q.first].at, q.fire)
 	}
 }
 
-// fire ends what is due and forgets what has ended.
-func (d *deadlineQueue) fire() {
-	d.armed = false
-	for d.first < len(d.entries) {
-		x := d.entries[d.first]
-		if over := x.wait.isOver(); !over && x.at > d.w.now {
-			break
-		} else if !over {
-			x.wait.expire()
+// fire ends the waits that are due and skips those that have ended.
+func (q *deadlineQueue) fire() {
+	q.armed = false
+	for q.first < len(q.entries) {
+		next := q.entries[q.first]
+		if !next.wait.isOver() {
+			if next.at > q.w.now {
+				break
+			}
+			next.wait.expire()
 		}
-		d.entries[d.first] = deadline{}
-		d.first++
+		q.entries[q.first] = deadline{} // lets go of the wait
+		q.first++
 	}
-	if d.first > 1024 && d.first > len(d.entries)/2 {
-		d.entries = append(d.entries[:0:0], d.entries[d.first:]...)
-		d.first = 0
+	q.compact()
+	q.arm()
+}
+
+// compact drops passed entries once they are many and the greater part.
+func (q *deadlineQueue) compact() {
+	if q.first > compactAfter && q.first > len(q.entries)/2 {
+		q.entries = append(q.entries[:0:0], q.entries[q.first:]...)
+		q.first = 0
 	}
-	d.arm()
 }
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -10,201 +10,298 @@
 	"indigousher/internal/wire"
 )
 
-// emulatedEndpoint is an endpoint: the model that the stand-in on sockets is made of, with its work done in virtual time.
+// emulatedEndpoint is an endpoint. It follows the model of the testbed's endpoint, with the work done in virtual time.
 type emulatedEndpoint struct {
 	endpoint.Model
 	w           *World
 	place       place
-	sharesCores bool // cores are shared by all that is in hand; else it waits for one
-	fault       endpoint.FaultMode
-	process     *endpointProcess
+	random      *rand.Rand       // a sequence of its own
+	sharesCores bool             // all requests in flight share the cores; otherwise each waits for one
+	thrash      float64          // by how much it slows for each request in flight beyond its cores
+	process     *endpointProcess // nil while it does not run
 	starts      int
-	completed   map[uint64]bool
-	random      *rand.Rand
-	pausedUntil float64 // until when all cores stand still
-	thrash      float64 // part by which it slows for each req in hand beyond its cores
+	completed   map[uint64]bool // requests that took effect, of classes whose repeats are dropped; outlives the process
+
+	fault       endpoint.FaultMode
+	pausedUntil float64 // ms; all cores stand still until then
 }
 
-// endpointProcess is one process.
+// endpointProcess is one process of an endpoint.
 type endpointProcess struct {
-	startedAt      float64
-	cold           bool
-	connections    map[string]bool
-	queue          []*task
-	busyCores      int
-	sharing        []*task // with sharing: all in hand
-	countedAt      float64 // with sharing: when work was last counted off
-	wakeNumber     uint64
-	inFlight       int
-	busyMs         float64 // core-ms
-	served         float64
-	overload       endpoint.Push
-	collapsed      bool
+	startedAt   float64 // ms
+	cold        bool    // it warms up first
+	connections map[string]bool
+
+	inFlight  int     // requests that were accepted and not answered
+	queue     []*task // waiting for a core
+	busyCores int
+	busyMs    float64 // core-ms spent so far
+	served    float64 // requests so far
+
+	// With sharesCores.
+	sharing    []*task // all in flight
+	countedAt  float64 // ms; up to when their work has been counted off
+	wakeNumber uint64  // of the last timer; earlier ones are void
+
+	// Overload while it warms up; once collapsed it answers nothing.
+	overload  endpoint.Push
+	collapsed bool
+
+	// Load report: what is shown, what follows it with the lag, and the sums at the last one.
 	load           []wire.Figure
 	nextLoad       []wire.Figure
 	reportedBusyMs float64
 	reportedServed float64
 }
 
-// task is a req in hand.
+// task is a request in flight at an endpoint.
 type task struct {
 	request *wire.Req
-	workMs  float64 // ms on a core of speed 1 that are left
+	workMs  float64 // left, on a core of speed 1
 	answer  func(outcome wire.Outcome, comeBackMs float64, load []wire.Figure)
 }
 
-func (w *World) addEndpoint(name string, group int, cold bool) *emulatedEndpoint {
+// What endpoints of the testbed do alike.
+const (
+	loadReportEvery  = 400 * time.Millisecond
+	loadReportLag    = 200 * time.Millisecond
+	endpointRetryMs  = 200  // Retry-After of a rejection
+	endpointSeedStep = 7919 // keeps the sequences of runs with neighbouring seeds apart
+)
+
+// disciplineSharing is the setting of endpoints whose requests share the cores.
+const disciplineSharing = "sharing"
+
+// Settings of a request class that say whether a request may be repeated.
+const (
+	repeatsReplayable = "replayable" // idempotent
+	repeatsUniqued    = "uniqued"    // with an idempotency key: repeats are dropped
+)
+
+// addEndpoint starts an endpoint of a group of the scenario.
+func (w *World) addEndpoint(name string, group int, cold bool) {
 	g := w.Scenario.Groups[group]
 	speed := g.Speed * math.Exp(g.Spread*w.random.NormFloat64())
-	effects, dedup := map[string]bool{}, map[string]bool{}
-	for _, k := range w.Scenario.Kinds {
-		effects[k.Name], dedup[k.Name] = k.Repeats != "replayable", k.Repeats == "uniqued"
-	}
-	m := &emulatedEndpoint{w: w, place: place{name, g.Zone}, sharesCores: g.Discipline == "sharing", thrash: g.Thrash, completed: map[uint64]bool{},
-		Model: endpoint.Model{Name: name, Zone: g.Zone, Machine: g.Machine, Cores: g.Cores, Speed: speed, Queue: g.Queue, Conns: g.Conns,
-			HandshakeMs: milliseconds(g.Handshake), ReportEvery: 400 * time.Millisecond, ReportLag: 200 * time.Millisecond, Noise: w.Scenario.NoisyReports,
-			Cold: w.Scenario.Cold, ColdFrom: w.Scenario.ColdFrom, FallMultiple: w.Scenario.FallMultiple, Fall: w.Scenario.Fall, ComeBackMs: 200,
-			Effects: effects, Dedup: dedup}}
-	m.random = rand.New(rand.NewPCG(uint64(w.Scenario.Seed*7919+len(w.endpoints)), 11))
+	model := w.endpointModel(name, group, speed)
+	seed := uint64(w.Scenario.Seed*endpointSeedStep + len(w.endpoints))
+	added := &emulatedEndpoint{
+		Model:       model,
+		w:           w,
+		place:       place{name: name, zone: g.Zone},
+		random:      rand.New(rand.NewPCG(seed, endpointStream)),
+		sharesCores: g.Discipline == disciplineSharing,
+		thrash:      g.Thrash,
+		completed:   map[uint64]bool{},
+	}
 	w.auditor.AddAddress(name, name)
-	w.endpoints, w.endpointByName[name] = append(w.endpoints, m), m
-	e := wire.Entry{Endpoint: name, Zone: g.Zone, Machine: g.Machine, Weight: float64(g.Cores) * g.Speed}
+	w.endpoints = append(w.endpoints, added)
+	w.endpointByName[name] = added
+	entry := wire.Entry{Endpoint: name, Zone: g.Zone, Machine: g.Machine, Weight: float64(g.Cores) * g.Speed}
 	if cold {
-		e.Started = w.registry.clock()
+		entry.Started = w.registry.clock()
 	}
-	w.entries[name] = e
-	m.start(cold)
-	return m
+	w.entries[name] = entry
+	added.start(cold)
 }
 
-func (m *emulatedEndpoint) start(cold bool) {
-	m.starts++
-	m.process = &endpointProcess{startedAt: m.w.now, cold: cold, connections: map[string]bool{}, countedAt: m.w.now}
-	m.w.logEvent(m.Name, eventlog.Event{What: eventlog.Start, N: m.starts, Value: float64(m.Cores) * m.Speed, Text: m.Zone,
-		Kind: map[bool]string{true: "cold", false: "warm"}[cold]})
-	m.scheduleLoadReport(m.process)
+func (w *World) endpointModel(name string, group int, speed float64) endpoint.Model {
+	s := w.Scenario
+	g := s.Groups[group]
+	effects := map[string]bool{}
+	dedup := map[string]bool{}
+	for _, class := range s.Kinds {
+		effects[class.Name] = class.Repeats != repeatsReplayable
+		dedup[class.Name] = class.Repeats == repeatsUniqued
+	}
+	return endpoint.Model{
+		Name:         name,
+		Zone:         g.Zone,
+		Machine:      g.Machine,
+		Cores:        g.Cores,
+		Speed:        speed,
+		Queue:        g.Queue,
+		Conns:        g.Conns,
+		HandshakeMs:  milliseconds(g.Handshake),
+		ReportEvery:  loadReportEvery,
+		ReportLag:    loadReportLag,
+		Noise:        s.NoisyReports,
+		Cold:         s.Cold,
+		ColdFrom:     s.ColdFrom,
+		FallMultiple: s.FallMultiple,
+		Fall:         s.Fall,
+		ComeBackMs:   endpointRetryMs,
+		Effects:      effects,
+		Dedup:        dedup,
+	}
 }
 
-func (m *emulatedEndpoint) kill() {
-	if m.process == nil {
+// start begins a process.
+func (e *emulatedEndpoint) start(cold bool) {
+	e.starts++
+	e.process = &endpointProcess{startedAt: e.w.now, cold: cold, connections: map[string]bool{}, countedAt: e.w.now}
+	kind := "warm"
+	if cold {
+		kind = "cold"
+	}
+	e.w.logEvent(e.Name, eventlog.Event{
+		What:  eventlog.Start,
+		N:     e.starts,
+		Value: float64(e.Cores) * e.Speed,
+		Text:  e.Zone,
+		Kind:  kind,
+	})
+	e.scheduleLoadReport(e.process)
+}
+
+// kill ends the process. Its connections break, so that what was in flight fails at the proxies.
+func (e *emulatedEndpoint) kill() {
+	if e.process == nil {
 		return
 	}
-	m.w.logEvent(m.Name, eventlog.Event{What: eventlog.Stop, N: m.starts})
-	m.process = nil
-	for _, p := range m.w.proxies { // connections break: what was in hand comes back as lost
-		p.endpointDied(m.Name)
+	e.w.logEvent(e.Name, eventlog.Event{What: eventlog.Stop, N: e.starts})
+	e.process = nil
+	for _, proxy := range e.w.proxies {
+		proxy.endpointDied(e.Name)
 	}
 }
 
-func (m *emulatedEndpoint) warmth(r *endpointProcess) float64 {
-	w := m.Warmth(r.cold, time.Duration((m.w.now-r.startedAt)*float64(time.Millisecond)))
-	if over := r.inFlight - m.Cores; m.thrash > 0 && over > 0 {
-		w /= 1 + m.thrash*float64(over)
+// age returns how long a process has run.
+func (e *emulatedEndpoint) age(process *endpointProcess) time.Duration {
+	return time.Duration((e.w.now - process.startedAt) * float64(time.Millisecond))
+}
+
+// warmth returns the fraction of its speed at which a process works, by its age and by how many requests are in flight.
+func (e *emulatedEndpoint) warmth(process *endpointProcess) float64 {
+	warmth := e.Warmth(process.cold, e.age(process))
+	excess := process.inFlight - e.Cores
+	if e.thrash > 0 && excess > 0 {
+		warmth /= 1 + e.thrash*float64(excess)
 	}
-	return w
+	return warmth
 }
 
-// connect returns whether a proxy's connection is taken, and what it costs in ms.
-func (m *emulatedEndpoint) connect(from string) (ok bool, costMs float64) {
-	r := m.process
-	if r == nil {
+// connect returns whether a proxy's connection is accepted, and what the handshake costs in ms; nothing for one that is
+// there already.
+func (e *emulatedEndpoint) connect(from string) (accepted bool, costMs float64) {
+	process := e.process
+	if process == nil {
 		return false, 0
 	}
-	if r.connections[from] {
+	if process.connections[from] {
 		return true, 0
 	}
-	if len(r.connections) >= m.Conns {
+	if len(process.connections) >= e.Conns {
 		return false, 0
 	}
-	r.connections[from] = true
-	cost := m.HandshakeMs + m.fault.Shakes
-	if cost > 0 {
-		cost /= m.Speed * m.warmth(r)
-		r.busyMs += cost
+	process.connections[from] = true
+	costMs = e.HandshakeMs + e.fault.Shakes
+	if costMs > 0 {
+		costMs /= e.Speed * e.warmth(process)
+		process.busyMs += costMs
 	}
-	return true, cost
+	return true, costMs
 }
 
-func (m *emulatedEndpoint) dialMs() float64 { return m.w.dialDelayMs[m.Name] }
+// dialDelayMs returns what a fault adds to each new connection.
+func (e *emulatedEndpoint) dialDelayMs() float64 { return e.w.dialDelayMs[e.Name] }
 
-// accept lets a req in, denies it, fails it or never answers.
-func (m *emulatedEndpoint) accept(t *task) {
-	r := m.process
-	if r == nil {
+// accept takes a request that arrives: it is processed, rejected, failed, or never answered.
+func (e *emulatedEndpoint) accept(t *task) {
+	process := e.process
+	if process == nil {
 		return
 	}
-	m.w.logEvent(m.Name, eventlog.Event{What: eventlog.Arrive, Peer: t.request.From, Kind: t.request.Kind, Req: t.request.Name, Value: t.request.WorkMs})
-	struck := m.fault.OnlyFor == "" || m.fault.OnlyFor == t.request.Kind
-	fails := struck && m.fault.Errors > 0 && m.random.Float64() < m.fault.Errors
-	if m.overloaded(r, t.request.WorkMs) || m.fault.Hang && struck {
+	e.w.logEvent(e.Name, eventlog.Event{
+		What:  eventlog.Arrive,
+		Peer:  t.request.From,
+		Kind:  t.request.Kind,
+		Req:   t.request.Name,
+		Value: t.request.WorkMs,
+	})
+	faulty := e.fault.OnlyFor == "" || e.fault.OnlyFor == t.request.Kind
+	fails := faulty && e.fault.Errors > 0 && e.random.Float64() < e.fault.Errors
+	hangs := faulty && e.fault.Hang
+	if e.overloaded(process, t.request.WorkMs) || hangs {
 		return
 	}
-	switch {
-	case fails:
-		t.answer(wire.Errored, 0, r.load)
-		return
-	case r.inFlight >= m.Cores+m.Queue:
-		t.answer(wire.Denied, m.ComeBackMs, r.load)
+	if fails {
+		t.answer(wire.Errored, 0, process.load)
 		return
 	}
-	r.inFlight++
-	t.workMs = t.request.WorkMs
-	if m.sharesCores {
-		m.countSharedWork(r)
-		r.sharing = append(r.sharing, t)
-		m.scheduleSharedEnd(r)
+	if process.inFlight >= e.Cores+e.Queue {
+		t.answer(wire.Denied, e.ComeBackMs, process.load)
 		return
 	}
-	if r.busyCores < m.Cores {
-		m.runOnCore(r, t)
-		return
+	process.inFlight++
+	t.workMs = t.request.WorkMs
+	e.begin(process, t)
+}
+
+// begin has a request worked on, at once or once a core is free.
+func (e *emulatedEndpoint) begin(process *endpointProcess, t *task) {
+	switch {
+	case e.sharesCores:
+		e.countSharedWork(process)
+		process.sharing = append(process.sharing, t)
+		e.scheduleSharedEnd(process)
+	case process.busyCores < e.Cores:
+		e.runOnCore(process, t)
+	default:
+		process.queue = append(process.queue, t)
 	}
-	r.queue = append(r.queue, t)
 }
 
-func (m *emulatedEndpoint) overloaded(r *endpointProcess, work float64) bool {
-	if r.collapsed || !r.cold {
-		return r.collapsed
+// overloaded counts the work that arrives while a process warms up, and returns whether the process has collapsed.
+func (e *emulatedEndpoint) overloaded(process *endpointProcess, workMs float64) bool {
+	if process.collapsed || !process.cold {
+		return process.collapsed
 	}
-	over, part := r.overload.Over(&m.Model, time.Duration((m.w.now-r.startedAt)*float64(time.Millisecond)), work)
-	if r.collapsed = over; over {
-		m.w.logEvent(m.Name, eventlog.Event{What: eventlog.Fell, N: m.starts, Value: part})
+	over, fraction := process.overload.Over(&e.Model, e.age(process), workMs)
+	process.collapsed = over
+	if over {
+		e.w.logEvent(e.Name, eventlog.Event{What: eventlog.Fell, N: e.starts, Value: fraction})
 	}
 	return over
 }
 
-// runOnCore has a core do a task, then the next that waits.
-func (m *emulatedEndpoint) runOnCore(r *endpointProcess, t *task) {
-	r.busyCores++
-	took := t.workMs / (m.Speed * m.warmth(r))
-	if m.pausedUntil > m.w.now {
-		took += m.pausedUntil - m.w.now
+// runOnCore has a core work on a request, then on the next that waits.
+func (e *emulatedEndpoint) runOnCore(process *endpointProcess, t *task) {
+	process.busyCores++
+	tookMs := t.workMs / (e.Speed * e.warmth(process))
+	if e.pausedUntil > e.w.now {
+		tookMs += e.pausedUntil - e.w.now
 	}
-	m.w.After(took, func() {
-		if m.process != r {
+	e.w.After(tookMs, func() {
+		if e.process != process {
 			return
 		}
-		r.busyMs += took
-		r.busyCores--
-		m.finish(r, t)
-		if len(r.queue) > 0 && r.busyCores < m.Cores {
-			next := r.queue[0]
-			r.queue = r.queue[1:]
-			m.runOnCore(r, next)
+		process.busyMs += tookMs
+		process.busyCores--
+		e.finish(process, t)
+		if len(process.queue) > 0 && process.busyCores < e.Cores {
+			next := process.queue[0]
+			process.queue = process.queue[1:]
+			e.runOnCore(process, next)
 		}
 	})
 }
 
-// finish books a task's effect and answers it.
-func (m *emulatedEndpoint) finish(r *endpointProcess, t *task) {
-	r.inFlight--
-	r.served++
-	repeat := m.Dedup[t.request.Kind] && m.completed[t.request.Name]
-	if m.Dedup[t.request.Kind] {
-		m.completed[t.request.Name] = true
+// finish lets a request take effect and answers it. A repeat that is dropped is answered as well.
+func (e *emulatedEndpoint) finish(process *endpointProcess, t *task) {
+	process.inFlight--
+	process.served++
+	isRepeat := false
+	if e.Dedup[t.request.Kind] {
+		isRepeat = e.completed[t.request.Name]
+		e.completed[t.request.Name] = true
 	}
-	if m.Effects[t.request.Kind] && !repeat {
-		m.w.logEvent(m.Name, eventlog.Event{What: eventlog.Effect, Peer: t.request.From, Kind: t.request.Kind, Req: t.request.Name})
+	if e.Effects[t.request.Kind] && !isRepeat {
+		e.w.logEvent(e.Name, eventlog.Event{
+			What: eventlog.Effect,
+			Peer: t.request.From,
+			Kind: t.request.Kind,
+			Req:  t.request.Name,
+		})
 	}
-	t.answer(wire.Fine, 0, r.load)
+	t.answer(wire.Fine, 0, process.load)
 }
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -2,37 +2,67 @@
 
 import (
 	"indigousher/internal/scenario"
+	"indigousher/internal/testbed/eventlog"
 )
 
-// playFault plays one trouble, as the rehearsal does on sockets.
-func (w *World) playFault(t scenario.Fault) {
-	lasts := milliseconds(t.For)
-	switch t.What {
-	case "hang", "fast_errors", "class_fail", "handshake_slow", "answers_twice", "pause":
-		w.playBehaviour(t)
-	case "vanish", "crash", "restart", "drain", "preempt", "replace", "flapping":
-		for i, m := range w.faultEndpoints(t) {
-			w.playLifecycle(t, m, i)
-		}
-	case "zone_cut":
-		w.setZoneCut(t.Zone, true)
-		w.After(lasts, func() { w.setZoneCut(t.Zone, false) })
-	case "slow_link":
-		z := w.network.zone(t.Zone)
-		z.extraDelayMs, z.loss = milliseconds(t.Extra), t.Loss
-		w.After(lasts, func() { z.extraDelayMs, z.loss = 0, 0 })
-	case "zone_loss":
-		w.zoneLoss(t)
-	case "proxy_crash", "proxy_roll", "reconnect", "counter_down", "mute_proxy", "report_burst", "silent":
-		w.playProxyFault(t)
-	case "pilot_kill", "pilot_roll", "handover", "reload", "pilot_pause":
-		w.playPilotFault(t)
-	case "list_down":
-		w.registry.stop()
-		w.After(lasts, w.registry.resume)
-	case "list_all":
-		w.listAll()
-	case "slice_move":
-		w.moveSlices(w.faultEndpoints(t))
-	} // the others are the clients' doing
+// faultHandlers play the faults by their names in scenario files, as the rehearsal does on sockets. Names that are not
+// here, as bursts, are faults of the clients: the load generator plays them.
+var faultHandlers = map[string]func(*World, scenario.Fault){
+	// Endpoints that answer otherwise than they should.
+	"hang":           (*World).hang,
+	"fast_errors":    (*World).failRequests,
+	"class_fail":     (*World).failRequests,
+	"handshake_slow": (*World).slowHandshakes,
+	"answers_twice":  (*World).answerTwice,
+	"pause":          (*World).pauseEndpoints,
+
+	// Endpoints' processes.
+	"vanish":   (*World).vanishEndpoints,
+	"crash":    (*World).crashEndpoints,
+	"restart":  (*World).restartEndpoints,
+	"drain":    (*World).drainEndpoints,
+	"preempt":  (*World).preemptEndpoints,
+	"replace":  (*World).replaceEndpoints,
+	"flapping": (*World).flapEndpoints,
+
+	// Network, zones and registry.
+	"zone_cut":   (*World).cutZone,
+	"slow_link":  (*World).slowZone,
+	"zone_loss":  (*World).loseZone,
+	"list_down":  (*World).stopRegistry,
+	"list_all":   func(w *World, _ scenario.Fault) { w.listAll() },
+	"slice_move": func(w *World, f scenario.Fault) { w.moveSlices(w.faultEndpoints(f)) },
+
+	// Proxies.
+	"reconnect":    (*World).reconnectProxies,
+	"counter_down": (*World).isolateProxies,
+	"mute_proxy":   (*World).muteProxies,
+	"silent":       (*World).silenceProxies,
+	"report_burst": (*World).floodReports,
+	"proxy_crash":  (*World).crashProxies,
+	"proxy_roll":   (*World).rollProxies,
+
+	// Pilots.
+	"pilot_kill":  (*World).killPilots,
+	"pilot_roll":  (*World).rollPilots,
+	"handover":    (*World).handOverPilots,
+	"pilot_pause": (*World).pausePilots,
+	"reload":      (*World).reloadPilots,
+}
+
+// scheduleFaults has the faults of the scenario played at their times.
+func (w *World) scheduleFaults() {
+	for _, fault := range w.Scenario.Faults {
+		w.At(milliseconds(fault.At), func() {
+			w.logEvent(rehearsalName, eventlog.Event{What: eventlog.Note, Text: fault.String()})
+			w.playFault(fault)
+		})
+	}
+}
+
+// playFault begins a fault; the handler schedules its end.
+func (w *World) playFault(fault scenario.Fault) {
+	if handler := faultHandlers[fault.What]; handler != nil {
+		handler(w, fault)
+	}
 }
--- a/internal/emulator/faults_network.go
+++ b/internal/emulator/faults_network.go
@@ -1,34 +1,72 @@
 package emulator
 
 import (
+	"indigousher/internal/scenario"
 	"indigousher/internal/testbed/eventlog"
 )
 
-func (w *World) setBlackhole(name string, dumb bool) {
-	w.network.blackholed[name] = dumb
-	w.logEvent("links", eventlog.Event{What: map[bool]eventlog.What{true: eventlog.Cut, false: eventlog.Mended}[dumb], Peer: name})
-	if !dumb {
-		w.network.releaseHeld()
+// linksName is who logs cuts.
+const linksName = "links"
+
+// missedHeartbeats is after how many heartbeats that did not come a stream is taken for broken.
+const missedHeartbeats = 3
+
+// cutEvent returns what is logged where a cut begins or ends.
+func cutEvent(cut bool) eventlog.What {
+	if cut {
+		return eventlog.Cut
 	}
-	w.endSilentStreams()
+	return eventlog.Mended
 }
 
+// setBlackhole begins or ends the cut of everything to and from one name.
+func (w *World) setBlackhole(name string, cut bool) {
+	w.network.blackholed[name] = cut
+	w.logEvent(linksName, eventlog.Event{What: cutEvent(cut), Peer: name})
+	w.cutChanged(cut)
+}
+
+// setZoneCut begins or ends the cut between a zone and all others.
 func (w *World) setZoneCut(zone string, cut bool) {
 	w.network.zone(zone).cut = cut
-	w.logEvent("links", eventlog.Event{What: map[bool]eventlog.What{true: eventlog.Cut, false: eventlog.Mended}[cut], Text: zone})
+	w.logEvent(linksName, eventlog.Event{What: cutEvent(cut), Text: zone})
+	w.cutChanged(cut)
+}
+
+func (w *World) cutChanged(cut bool) {
 	if !cut {
 		w.network.releaseHeld()
 	}
 	w.endSilentStreams()
 }
 
-// endSilentStreams ends streams over ways that stay cut until nobody has heard a beat for long enough.
+// endSilentStreams ends the streams over links that stay cut until the heartbeats have been missed.
 func (w *World) endSilentStreams() {
-	w.After(3*milliseconds(w.Scenario.Beat), func() {
-		for _, p := range w.proxies {
-			if p.process != nil && p.process.stream != nil && !w.network.open(p.place, p.process.stream.pilot.place) {
-				p.process.stream.end(true)
+	w.After(missedHeartbeats*milliseconds(w.Scenario.Beat), func() {
+		for _, proxy := range w.proxies {
+			if s := proxy.stream(); s != nil && !w.network.open(proxy.place, s.pilot.place) {
+				s.end(true)
 			}
 		}
 	})
 }
+
+func (w *World) cutZone(fault scenario.Fault) {
+	w.setZoneCut(fault.Zone, true)
+	w.After(milliseconds(fault.For), func() { w.setZoneCut(fault.Zone, false) })
+}
+
+func (w *World) slowZone(fault scenario.Fault) {
+	link := w.network.zone(fault.Zone)
+	link.extraDelayMs = milliseconds(fault.Extra)
+	link.loss = fault.Loss
+	w.After(milliseconds(fault.For), func() {
+		link.extraDelayMs = 0
+		link.loss = 0
+	})
+}
+
+func (w *World) stopRegistry(fault scenario.Fault) {
+	w.registry.stop()
+	w.After(milliseconds(fault.For), w.registry.resume)
+}
--- a/internal/emulator/faults_pilot.go
+++ b/internal/emulator/faults_pilot.go
@@ -1,58 +1,81 @@
 package emulator
 
-import (
-	"indigousher/internal/scenario"
+import "indigousher/internal/scenario"
+
+const (
+	// handoverMs is how long nobody serves while one process takes over from another.
+	handoverMs = 1
+	// minHandoverEveryMs is the least time between two handovers.
+	minHandoverEveryMs = 1
 )
 
-func (w *World) playPilotFault(t scenario.Fault) {
+// faultPilots draws the pilots that a fault strikes.
+func (w *World) faultPilots(fault scenario.Fault) []*emulatedPilot {
 	var names []string
-	by := map[string]*emulatedPilot{}
-	for _, s := range w.pilots {
-		names, by[s.place.name] = append(names, s.place.name), s
-	}
-	back := func(s *emulatedPilot) func() {
-		return func() {
-			if s.process == nil {
-				s.start()
-			}
-		}
+	byName := map[string]*emulatedPilot{}
+	for _, pilot := range w.pilots {
+		names = append(names, pilot.place.name)
+		byName[pilot.place.name] = pilot
+	}
+	var struck []*emulatedPilot
+	for _, name := range fault.Targets(names, w.random) {
+		struck = append(struck, byName[name])
+	}
+	return struck
+}
+
+func (w *World) killPilots(fault scenario.Fault) {
+	for _, pilot := range w.faultPilots(fault) {
+		pilot.stop(true)
+		w.After(milliseconds(fault.For), pilot.startUnlessRunning)
+	}
+}
+
+// rollPilots restarts pilots one after another.
+func (w *World) rollPilots(fault scenario.Fault) {
+	downMs := milliseconds(fault.Extra)
+	for i, pilot := range w.faultPilots(fault) {
+		w.After(float64(i)*(downMs+milliseconds(fault.Every)), func() {
+			pilot.stop(false)
+			w.After(downMs, pilot.startUnlessRunning)
+		})
 	}
-	struck := t.Targets(names, w.random)
-	for i, n := range struck {
-		s := by[n]
-		switch t.What {
-		case "pilot_kill":
-			s.stop(true)
-			w.After(milliseconds(t.For), back(s))
-		case "pilot_roll":
-			w.After(float64(i)*(milliseconds(t.Extra)+milliseconds(t.Every)), func() {
-				s.stop(false)
-				w.After(milliseconds(t.Extra), back(s))
-			})
-		case "handover":
-			w.handOver(s, w.now+milliseconds(t.For), max(milliseconds(t.Every), 1))
-		case "pilot_pause":
-			s.pausedUntil = w.now + milliseconds(t.For) // nobody hears of it meanwhile either
-			w.setBlackhole(n, true)
-			w.After(milliseconds(t.For), func() { w.setBlackhole(n, false) })
-		case "reload":
-			if s.process != nil {
-				s.process.reload(t.Size)
-			}
+}
+
+// pausePilots has pilots stand still. Nothing reaches them meanwhile, and nobody hears of them.
+func (w *World) pausePilots(fault scenario.Fault) {
+	for _, pilot := range w.faultPilots(fault) {
+		pilot.pausedUntil = w.now + milliseconds(fault.For)
+		w.setBlackhole(pilot.place.name, true)
+		w.After(milliseconds(fault.For), func() { w.setBlackhole(pilot.place.name, false) })
+	}
+}
+
+func (w *World) reloadPilots(fault scenario.Fault) {
+	for _, pilot := range w.faultPilots(fault) {
+		if pilot.running() {
+			pilot.reload(fault.Size)
 		}
 	}
 }
 
-// handOver has one process after another take over: the old one ends in order and the new one begins.
-func (w *World) handOver(s *emulatedPilot, until, every float64) {
+func (w *World) handOverPilots(fault scenario.Fault) {
+	until := w.now + milliseconds(fault.For)
+	everyMs := max(milliseconds(fault.Every), minHandoverEveryMs)
+	for _, pilot := range w.faultPilots(fault) {
+		w.handOver(pilot, until, everyMs)
+	}
+}
+
+// handOver has one process of a pilot after another take over, until a time in ms: the old one ends in order and the new
+// one begins.
+func (w *World) handOver(pilot *emulatedPilot, until, everyMs float64) {
 	if w.now >= until {
 		return
 	}
-	s.stop(false)
-	w.After(1, func() {
-		if s.process == nil {
-			s.start()
-		}
-		w.After(every, func() { w.handOver(s, until, every) })
+	pilot.stop(false)
+	w.After(handoverMs, func() {
+		pilot.startUnlessRunning()
+		w.After(everyMs, func() { w.handOver(pilot, until, everyMs) })
 	})
 }
--- a/internal/emulator/faults_proxy.go
+++ b/internal/emulator/faults_proxy.go
@@ -1,63 +1,80 @@
 package emulator
 
-import (
-	"indigousher/internal/scenario"
-)
+import "indigousher/internal/scenario"
 
-func (w *World) faultProxies(t scenario.Fault) (struck []*emulatedProxy) {
+// faultProxies draws the proxies that a fault strikes.
+func (w *World) faultProxies(fault scenario.Fault) []*emulatedProxy {
 	var names []string
-	by := map[string]*emulatedProxy{}
-	for _, p := range w.proxies {
-		if t.Zone == "" || p.place.zone == t.Zone {
-			names, by[p.place.name] = append(names, p.place.name), p
+	byName := map[string]*emulatedProxy{}
+	for _, proxy := range w.proxies {
+		if fault.Zone == "" || proxy.place.zone == fault.Zone {
+			names = append(names, proxy.place.name)
+			byName[proxy.place.name] = proxy
 		}
 	}
-	for _, n := range t.Targets(names, w.random) {
-		struck = append(struck, by[n])
+	var struck []*emulatedProxy
+	for _, name := range fault.Targets(names, w.random) {
+		struck = append(struck, byName[name])
 	}
 	return struck
 }
 
-func (w *World) playProxyFault(t scenario.Fault) {
-	struck := w.faultProxies(t)
-	each := func(f func(p *emulatedProxy)) func() {
-		return func() {
-			for _, p := range struck {
-				f(p)
-			}
-		}
+// strikeProxies does something to the proxies that a fault strikes, and something else at the fault's end.
+func (w *World) strikeProxies(fault scenario.Fault, begin, end func(*emulatedProxy)) {
+	struck := w.faultProxies(fault)
+	for _, proxy := range struck {
+		begin(proxy)
 	}
-	var begin, end func(p *emulatedProxy)
-	switch t.What {
-	case "reconnect":
-		begin, end = (*emulatedProxy).breakStream, func(*emulatedProxy) {}
-	case "counter_down":
-		begin, end = func(p *emulatedProxy) { p.unreachable = true; p.breakStream() }, func(p *emulatedProxy) { p.unreachable = false }
-	case "mute_proxy":
-		begin, end = func(p *emulatedProxy) { p.muted = true }, (*emulatedProxy).resumeReading
-	case "silent":
-		begin, end = func(p *emulatedProxy) { w.setBlackhole(p.place.name, true) }, func(p *emulatedProxy) { w.setBlackhole(p.place.name, false) }
-	case "report_burst":
-		begin, end = func(p *emulatedProxy) { p.reportFactor = t.Size }, func(p *emulatedProxy) { p.reportFactor = 1 }
-	case "proxy_crash":
-		begin, end = (*emulatedProxy).kill, func(p *emulatedProxy) {
-			if p.process == nil {
-				p.start()
-			}
-		}
-	case "proxy_roll":
-		for i, p := range struck {
-			w.After(float64(i)*(milliseconds(t.Extra)+milliseconds(t.Every)), func() {
-				p.kill()
-				w.After(milliseconds(t.Extra), func() {
-					if p.process == nil {
-						p.start()
-					}
-				})
-			})
+	w.After(milliseconds(fault.For), func() {
+		for _, proxy := range struck {
+			end(proxy)
 		}
-		return
+	})
+}
+
+func (w *World) reconnectProxies(fault scenario.Fault) {
+	w.strikeProxies(fault, (*emulatedProxy).breakStream, func(*emulatedProxy) {})
+}
+
+// isolateProxies has proxies reach no pilot.
+func (w *World) isolateProxies(fault scenario.Fault) {
+	isolate := func(proxy *emulatedProxy) {
+		proxy.unreachable = true
+		proxy.breakStream()
+	}
+	w.strikeProxies(fault, isolate, func(proxy *emulatedProxy) { proxy.unreachable = false })
+}
+
+// muteProxies has proxies read nothing from their streams.
+func (w *World) muteProxies(fault scenario.Fault) {
+	w.strikeProxies(fault, func(proxy *emulatedProxy) { proxy.muted = true }, (*emulatedProxy).resumeReading)
+}
+
+// silenceProxies cuts proxies off without closing their connections.
+func (w *World) silenceProxies(fault scenario.Fault) {
+	w.strikeProxies(fault,
+		func(proxy *emulatedProxy) { w.setBlackhole(proxy.place.name, true) },
+		func(proxy *emulatedProxy) { w.setBlackhole(proxy.place.name, false) })
+}
+
+// floodReports has proxies report more often.
+func (w *World) floodReports(fault scenario.Fault) {
+	w.strikeProxies(fault,
+		func(proxy *emulatedProxy) { proxy.reportFactor = fault.Size },
+		func(proxy *emulatedProxy) { proxy.reportFactor = 1 })
+}
+
+func (w *World) crashProxies(fault scenario.Fault) {
+	w.strikeProxies(fault, (*emulatedProxy).kill, (*emulatedProxy).startUnlessRunning)
+}
+
+// rollProxies restarts proxies one after another.
+func (w *World) rollProxies(fault scenario.Fault) {
+	downMs := milliseconds(fault.Extra)
+	for i, proxy := range w.faultProxies(fault) {
+		w.After(float64(i)*(downMs+milliseconds(fault.Every)), func() {
+			proxy.kill()
+			w.After(downMs, proxy.startUnlessRunning)
+		})
 	}
-	each(begin)()
-	w.After(milliseconds(t.For), each(end))
 }
--- a/internal/emulator/faults_zone.go
+++ b/internal/emulator/faults_zone.go
@@ -5,42 +5,55 @@
 	"indigousher/internal/wire"
 )
 
-// zoneLoss takes a zone's endpoints, and with a size over a half its proxies and pilots.
-func (w *World) zoneLoss(t scenario.Fault) {
-	struck := w.faultEndpoints(t)
-	for _, m := range struck {
-		m.kill()
-		w.updateEntry(m.Name, 4*milliseconds(w.Scenario.ListLate), func(x *wire.Entry) { x.Phase = wire.PhaseGone })
+// wholeZoneSize is the size of a zone loss above which the zone's proxies and pilots are lost as well.
+const wholeZoneSize = 0.5
+
+// loseZone ends a zone's endpoints, and its proxies and pilots where the loss is large. All come back at the end.
+func (w *World) loseZone(fault scenario.Fault) {
+	endpoints := w.faultEndpoints(fault)
+	for _, e := range endpoints {
+		e.kill()
+		w.setPhase(e.Name, lostListFactor*w.listDelayMs(), wire.PhaseGone)
 	}
 	var proxies []*emulatedProxy
-	var seats []*emulatedPilot
-	if t.Size > 0.5 {
-		for _, p := range w.proxies {
-			if p.place.zone == t.Zone {
-				p.kill()
-				proxies = append(proxies, p)
-			}
-		}
-		for _, s := range w.pilots {
-			if s.place.zone == t.Zone {
-				s.stop(true)
-				seats = append(seats, s)
-			}
-		}
+	var pilots []*emulatedPilot
+	if fault.Size > wholeZoneSize {
+		proxies = w.killProxiesOf(fault.Zone)
+		pilots = w.killPilotsOf(fault.Zone)
 	}
-	w.After(milliseconds(t.For), func() {
-		for _, m := range struck {
-			w.restartCold(m)
+	w.After(milliseconds(fault.For), func() {
+		for _, e := range endpoints {
+			w.restartCold(e)
 		}
-		for _, s := range seats {
-			if s.process == nil {
-				s.start()
-			}
+		for _, pilot := range pilots {
+			pilot.startUnlessRunning()
 		}
-		for _, p := range proxies {
-			if p.process == nil {
-				p.start()
-			}
+		for _, proxy := range proxies {
+			proxy.startUnlessRunning()
 		}
 	})
 }
+
+// killProxiesOf ends the proxies of a zone and returns them.
+func (w *World) killProxiesOf(zone string) []*emulatedProxy {
+	var killed []*emulatedProxy
+	for _, proxy := range w.proxies {
+		if proxy.place.zone == zone {
+			proxy.kill()
+			killed = append(killed, proxy)
+		}
+	}
+	return killed
+}
+
+// killPilotsOf ends the pilots of a zone and returns them.
+func (w *World) killPilotsOf(zone string) []*emulatedPilot {
+	var killed []*emulatedPilot
+	for _, pilot := range w.pilots {
+		if pilot.place.zone == zone {
+			pilot.stop(true)
+			killed = append(killed, pilot)
+		}
+	}
+	return killed
+}
--- a/internal/emulator/forwarding.go
+++ b/internal/emulator/forwarding.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"cmp"
 	"maps"
 	"slices"
 
@@ -9,193 +10,272 @@
 	"indigousher/internal/wire"
 )
 
-// dialTimeoutMs is how long a proxy waits for a connection to an endpoint.
-const dialTimeoutMs = 250
+const (
+	// dialTimeoutMs is how long a proxy waits for a connection to an endpoint.
+	dialTimeoutMs = 250
+	// connectTrips is how many one-way trips the opening of a connection takes before a request can be sent on it.
+	connectTrips = 2
+	// deadlineToleranceMs is less time than counts; rounding may leave it before a deadline that has come.
+	deadlineToleranceMs = 1e-6
+)
+
+// Reasons for which a proxy rejects a request, as it logs them.
+const (
+	rejectedByAdmission  = "level"
+	rejectedWithoutRoute = "no line"
+)
 
-// proxyRequest is a req under way in a proxy.
+// proxyRequest is a request that a proxy forwards, with its attempts.
 type proxyRequest struct {
 	process    *proxyProcess
 	request    *wire.Req
-	class      int
-	deadline   float64
-	tried      []string
-	mayHaveRun bool
+	class      int      // number of the request class
+	deadline   float64  // ms
+	tried      []string // endpoints, in the order of the attempts
+	mayHaveRun bool     // some attempt did not prove that it had no effect
 	answer     func(*wire.Answer)
 }
 
-// attempt is one try of a req.
+// attempt is one sending of a request to an endpoint.
 type attempt struct {
 	request   *proxyRequest
 	endpoint  string
-	startedAt float64
+	startedAt float64 // ms
 	ended     bool
 }
 
-// connection is what is under way to one endpoint over its connection.
+// connection is a proxy's connection to one endpoint.
 type connection struct {
-	process  *endpointProcess // that took it
+	process  *endpointProcess // that accepted it
 	attempts map[*attempt]bool
 }
 
-// handle takes a req through its tries; one that comes while lines are applied waits for them.
-func (p *emulatedProxy) handle(req *wire.Req, limit float64, answer func(*wire.Answer)) {
-	li := p.process
-	if li == nil {
+// handle forwards a request and answers it within a limit in ms. One that comes while a message is applied waits for
+// that. The answer is nil where the proxy does not run.
+func (p *emulatedProxy) handle(request *wire.Req, limitMs float64, answer func(*wire.Answer)) {
+	process := p.process
+	if process == nil {
 		answer(nil)
 		return
 	}
-	if li.busyUntil > p.w.now {
-		p.w.At(li.busyUntil, func() { p.handle(req, limit-(li.busyUntil-p.w.now), answer) })
+	if process.busyUntil > p.w.now {
+		p.w.At(process.busyUntil, func() { p.handle(request, limitMs-(process.busyUntil-p.w.now), answer) })
+		return
+	}
+	class := p.w.classIndex[request.Kind]
+	process.follower.Came(class, request.Key)
+	if !process.follower.Admit(class) {
+		p.logRejected(request, rejectedByAdmission)
+		answer(rejection())
 		return
 	}
-	kind := p.w.classIndex[req.Kind]
-	li.follower.Came(kind, req.Key)
-	if !li.follower.Admit(kind) {
-		p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Refuse, Kind: req.Kind, Req: req.Name, Text: "level"})
-		answer(&wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.ComeBackMs})
+	forwarded := &proxyRequest{
+		process:  process,
+		request:  request,
+		class:    class,
+		deadline: p.w.now + min(limitMs, p.w.timeoutsMs[class]),
+		answer:   answer,
+	}
+	forwarded.sendNext()
+}
+
+func (p *emulatedProxy) logRejected(request *wire.Req, reason string) {
+	p.logEvent(eventlog.Event{What: eventlog.Refuse, Kind: request.Kind, Req: request.Name, Text: reason})
+}
+
+// rejection is the answer to a request that has had no effect.
+func rejection() *wire.Answer {
+	return &wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.ComeBackMs}
+}
+
+// sendNext picks an endpoint for the next attempt and sends it there.
+func (r *proxyRequest) sendNext() {
+	w := r.process.proxy.w
+	follower := r.process.follower
+	endpoint := follower.Pick(w.now, r.class, r.request.Key, r.tried)
+	if endpoint == "" {
+		r.process.proxy.logRejected(r.request, rejectedWithoutRoute)
+		r.fail()
 		return
 	}
-	u := &proxyRequest{process: li, request: req, class: kind, answer: answer, deadline: p.w.now + min(limit, p.w.timeoutsMs[kind])}
-	u.sendNext()
+	follower.Sent(endpoint)
+	r.tried = append(r.tried, endpoint)
+	r.process.proxy.logEvent(eventlog.Event{
+		What: eventlog.Send,
+		Peer: endpoint,
+		Kind: r.request.Kind,
+		Req:  r.request.Name,
+		Text: r.request.Key,
+		N:    len(r.tried),
+	})
+	w.Attempts++
+	firstWaitMs := w.firstWaitFactor * w.targetsMs[r.class]
+	waitMs := routing.Patience(follower.Again(r.class), len(r.tried), r.deadline-w.now, firstWaitMs)
+	next := &attempt{request: r, endpoint: endpoint, startedAt: w.now}
+	w.attemptDeadlines[r.class].add(w.now+waitMs, next)
+	r.process.send(next, waitMs)
 }
 
-// sendNext sends the next try.
-func (u *proxyRequest) sendNext() {
-	li, p := u.process, u.process.proxy
-	name := li.follower.Pick(p.w.now, u.class, u.request.Key, u.tried)
-	if name == "" {
-		p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Refuse, Kind: u.request.Kind, Req: u.request.Name, Text: "no line"})
-		u.fail()
+// send brings an attempt to its endpoint over the proxy's connection, which is opened first if need be.
+func (pp *proxyProcess) send(a *attempt, waitMs float64) {
+	p := pp.proxy
+	endpoint := p.w.endpointByName[a.endpoint]
+	if endpoint == nil {
+		p.w.After(p.w.network.oneWayMs, func() { pp.notSent(a) })
 		return
 	}
-	li.follower.Sent(name)
-	u.tried = append(u.tried, name)
-	p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Send, Peer: name, Kind: u.request.Kind, Req: u.request.Name, Text: u.request.Key, N: len(u.tried)})
-	p.w.Attempts++
-	wait := routing.Patience(li.follower.Again(u.class), len(u.tried), u.deadline-p.w.now, p.w.firstWaitFactor*p.w.targetsMs[u.class])
-	t := &attempt{request: u, endpoint: name, startedAt: p.w.now}
-	p.w.attemptDeadlines[u.class].add(p.w.now+wait, t)
-	li.send(t, wait)
-}
-
-// send brings a try to its endpoint over the proxy's connection.
-func (li *proxyProcess) send(t *attempt, wait float64) {
-	p := li.proxy
-	m := p.w.endpointByName[t.endpoint]
-	if m == nil {
-		p.w.After(p.w.network.oneWayMs, func() { li.notSent(t) })
+	if pp.isConnected(endpoint) {
+		p.w.network.carry(p.place, endpoint.place, func() { pp.arrive(a, endpoint, waitMs) })
 		return
 	}
-	c := li.connections[t.endpoint]
-	trip := 1.0
-	if c == nil || c.process != m.process {
-		trip = 3 // a connection is opened first
-	}
-	req := &wire.Req{Name: t.request.request.Name, Kind: t.request.request.Kind, From: p.place.name, WorkMs: t.request.request.WorkMs, LimitMs: wait}
-	arrive := func() {
-		ok, cost := m.connect(p.place.name)
-		if !ok {
-			p.w.network.carry(m.place, p.place, func() { li.notSent(t) })
-			return
-		}
-		c := li.connections[t.endpoint]
-		if c == nil || c.process != m.process {
-			c = &connection{process: m.process, attempts: map[*attempt]bool{}}
-			li.connections[t.endpoint] = c
-		}
-		c.attempts[t] = true
-		take := func() {
-			m.accept(&task{request: req, answer: func(o wire.Outcome, comeBack float64, load []wire.Figure) {
-				p.w.network.carry(m.place, p.place, func() {
-					li.attemptEnded(t, &wire.Answer{Outcome: o, ComeBackMs: comeBack, Load: load})
-				})
-			}})
-		}
-		if cost > 0 {
-			p.w.After(cost+m.dialMs(), take)
-			return
-		}
-		take()
-	}
-	if trip > 1 && !p.w.network.open(p.place, m.place) {
-		p.w.After(dialTimeoutMs, func() { li.notSent(t) })
+	if !p.w.network.open(p.place, endpoint.place) {
+		p.w.After(dialTimeoutMs, func() { pp.notSent(a) })
 		return
 	}
-	p.w.network.carry(p.place, m.place, func() {
-		if trip > 1 {
-			p.w.After((trip-1)*p.w.network.oneWayMs, arrive)
-			return
-		}
-		arrive()
+	p.w.network.carry(p.place, endpoint.place, func() {
+		p.w.After(connectTrips*p.w.network.oneWayMs, func() { pp.arrive(a, endpoint, waitMs) })
 	})
 }
 
-// notSent is a try that never left.
-func (li *proxyProcess) notSent(t *attempt) {
-	if t.ended {
+// isConnected returns whether there is a connection to an endpoint's present process.
+func (pp *proxyProcess) isConnected(endpoint *emulatedEndpoint) bool {
+	c := pp.connections[endpoint.Name]
+	return c != nil && c.process == endpoint.process
+}
+
+// arrive hands an attempt to its endpoint, once the endpoint has accepted the connection.
+func (pp *proxyProcess) arrive(a *attempt, endpoint *emulatedEndpoint, waitMs float64) {
+	p := pp.proxy
+	accepted, costMs := endpoint.connect(p.place.name)
+	if !accepted {
+		p.w.network.carry(endpoint.place, p.place, func() { pp.notSent(a) })
+		return
+	}
+	if !pp.isConnected(endpoint) {
+		pp.connections[a.endpoint] = &connection{process: endpoint.process, attempts: map[*attempt]bool{}}
+	}
+	pp.connections[a.endpoint].attempts[a] = true
+	received := a.received(endpoint, waitMs)
+	if costMs > 0 {
+		p.w.After(costMs+endpoint.dialDelayMs(), func() { endpoint.accept(received) })
 		return
 	}
-	t.ended = true
-	li.follower.Back(li.proxy.w.now, t.endpoint, false, li.proxy.w.now-t.startedAt, nil)
-	t.request.retryOrEnd(wire.Denied)
+	endpoint.accept(received)
 }
 
-func (t *attempt) isOver() bool { return t.ended }
+// received returns an attempt as the endpoint sees it; its answer goes back over the network.
+func (a *attempt) received(endpoint *emulatedEndpoint, waitMs float64) *task {
+	process := a.request.process
+	p := process.proxy
+	request := &wire.Req{
+		Name:    a.request.request.Name,
+		Kind:    a.request.request.Kind,
+		From:    p.place.name,
+		WorkMs:  a.request.request.WorkMs,
+		LimitMs: waitMs,
+	}
+	answer := func(outcome wire.Outcome, comeBackMs float64, load []wire.Figure) {
+		p.w.network.carry(endpoint.place, p.place, func() {
+			process.attemptEnded(a, &wire.Answer{Outcome: outcome, ComeBackMs: comeBackMs, Load: load})
+		})
+	}
+	return &task{request: request, answer: answer}
+}
 
-// expire is a try that got no answer in its time.
-func (t *attempt) expire() { t.request.process.attemptEnded(t, nil) }
+// notSent ends an attempt that never left: it proves that the request has not run.
+func (pp *proxyProcess) notSent(a *attempt) {
+	if a.ended {
+		return
+	}
+	a.ended = true
+	now := pp.proxy.w.now
+	pp.follower.Back(now, a.endpoint, false, now-a.startedAt, nil)
+	a.request.retryOrEnd(wire.Denied)
+}
+
+// isOver implements expirable.
+func (a *attempt) isOver() bool { return a.ended }
 
-// attemptEnded takes in how a try ended.
-func (li *proxyProcess) attemptEnded(t *attempt, a *wire.Answer) {
-	if t.ended {
+// expire ends an attempt that was not answered in time.
+func (a *attempt) expire() { a.request.process.attemptEnded(a, nil) }
+
+// attemptEnded takes the answer to an attempt; nil means that there was none.
+func (pp *proxyProcess) attemptEnded(a *attempt, answer *wire.Answer) {
+	if a.ended {
 		return
 	}
-	t.ended = true
-	if c := li.connections[t.endpoint]; c != nil {
-		delete(c.attempts, t)
+	a.ended = true
+	if c := pp.connections[a.endpoint]; c != nil {
+		delete(c.attempts, a)
 	}
 	outcome := wire.Errored
 	var load []wire.Figure
-	if a != nil {
-		outcome, load = a.Outcome, a.Load
+	if answer != nil {
+		outcome = answer.Outcome
+		load = answer.Load
 	}
-	li.follower.Back(li.proxy.w.now, t.endpoint, outcome == wire.Fine, li.proxy.w.now-t.startedAt, load)
-	t.request.retryOrEnd(outcome)
+	now := pp.proxy.w.now
+	pp.follower.Back(now, a.endpoint, outcome == wire.Fine, now-a.startedAt, load)
+	a.request.retryOrEnd(outcome)
 }
 
-// retryOrEnd decides, as proxies do, whether a try follows.
-func (u *proxyRequest) retryOrEnd(outcome wire.Outcome) {
-	w := u.process.proxy.w
+// endpointDied ends what is in flight to an endpoint whose process has ended.
+func (p *emulatedProxy) endpointDied(name string) {
+	process := p.process
+	if process == nil || process.connections[name] == nil {
+		return
+	}
+	broken := process.connections[name]
+	delete(process.connections, name)
+	for _, a := range sortedAttempts(broken.attempts) {
+		p.w.network.carry(place{name: name}, p.place, func() { process.attemptEnded(a, nil) })
+	}
+}
+
+// retryOrEnd answers a request after an attempt, or sends it once more where the retry policy lets it.
+func (r *proxyRequest) retryOrEnd(outcome wire.Outcome) {
 	if outcome == wire.Fine {
-		u.answer(&wire.Answer{Outcome: wire.Fine})
+		r.answer(&wire.Answer{Outcome: wire.Fine})
 		return
 	}
-	proof := outcome == wire.Denied
-	u.mayHaveRun = u.mayHaveRun || !proof
-	if !routing.TryFollows(u.process.follower.Again(u.class), len(u.tried), proof) || w.now >= u.deadline-1e-6 || u.process.proxy.process != u.process {
-		u.fail()
+	didNotRun := outcome == wire.Denied
+	if !didNotRun {
+		r.mayHaveRun = true
+	}
+	if r.mayRetry(didNotRun) {
+		r.sendNext()
 		return
 	}
-	u.sendNext()
+	r.fail()
+}
+
+// mayRetry returns whether another attempt may follow one that failed.
+func (r *proxyRequest) mayRetry(didNotRun bool) bool {
+	p := r.process.proxy
+	if !routing.TryFollows(r.process.follower.Again(r.class), len(r.tried), didNotRun) {
+		return false
+	}
+	return p.w.now < r.deadline-deadlineToleranceMs && p.process == r.process
 }
 
-func (u *proxyRequest) fail() {
-	if !u.mayHaveRun {
-		u.answer(&wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.ComeBackMs})
+// fail answers a request that did not succeed: as rejected if it certainly has had no effect.
+func (r *proxyRequest) fail() {
+	if !r.mayHaveRun {
+		r.answer(rejection())
 		return
 	}
-	u.process.follower.Unanswered(u.class, u.request.Key)
-	u.answer(&wire.Answer{Outcome: wire.Errored})
+	r.process.follower.Unanswered(r.class, r.request.Key)
+	r.answer(&wire.Answer{Outcome: wire.Errored})
 }
 
-// sortedAttempts lists tries by req.
-func (w *World) sortedAttempts(tries map[*attempt]bool) []*attempt {
-	list := slices.Collect(maps.Keys(tries))
-	slices.SortFunc(list, func(a, b *attempt) int {
-		if a.request.request.Name != b.request.request.Name {
-			return map[bool]int{true: -1, false: 1}[a.request.request.Name < b.request.request.Name]
-		}
-		return map[bool]int{true: -1, false: 1}[a.startedAt < b.startedAt]
+// sortedAttempts lists attempts by request, those of one request by when they were sent.
+func sortedAttempts(attempts map[*attempt]bool) []*attempt {
+	list := slices.Collect(maps.Keys(attempts))
+	slices.SortFunc(list, func(x, y *attempt) int {
+		return cmp.Or(
+			cmp.Compare(x.request.request.Name, y.request.request.Name),
+			cmp.Compare(x.startedAt, y.startedAt),
+		)
 	})
 	return list
 }
--- a/internal/emulator/loadreport.go
+++ b/internal/emulator/loadreport.go
@@ -2,31 +2,53 @@
 
 import (
 	"math"
-	"time"
 
 	"indigousher/internal/wire"
 )
 
-// scheduleLoadReport refreshes the load report now and then; what is shown is as old as the lag.
-func (m *emulatedEndpoint) scheduleLoadReport(r *endpointProcess) {
-	every := float64(m.ReportEvery) / float64(time.Millisecond)
-	m.w.After(every, func() {
-		if m.process != r {
+// Names of the figures in a load report, as endpoints spell them.
+const (
+	figureUtilization = "util"    // busy fraction of the cores
+	figureRate        = "rate"    // requests a second
+	figureWaiting     = "waiting" // requests beyond the cores
+	figureInFlight    = "in_hand" // requests
+)
+
+// scheduleLoadReport renews a process's load report from time to time, until the process ends. What it shows is as old
+// as the lag.
+func (e *emulatedEndpoint) scheduleLoadReport(process *endpointProcess) {
+	e.w.After(milliseconds(e.ReportEvery), func() {
+		if e.process != process {
 			return
 		}
-		noise := func() float64 { return math.Max(0, 1+m.Noise*m.random.NormFloat64()) }
-		if m.sharesCores {
-			m.countSharedWork(r)
-		}
-		util := math.Min(1, (r.busyMs-r.reportedBusyMs)/every/float64(m.Cores)) * noise()
-		fresh := []wire.Figure{{Name: "util", Value: util}, {Name: "rate", Value: (r.served - r.reportedServed) / every * 1000 * noise()},
-			{Name: "waiting", Value: float64(max(0, r.inFlight-m.Cores))}, {Name: "in_hand", Value: float64(r.inFlight)}}
-		r.reportedBusyMs, r.reportedServed = r.busyMs, r.served
-		if m.ReportLag > 0 {
-			r.load, r.nextLoad = r.nextLoad, fresh
+		report := e.measureLoad(process)
+		if e.ReportLag > 0 {
+			process.load = process.nextLoad
+			process.nextLoad = report
 		} else {
-			r.load = fresh
+			process.load = report
 		}
-		m.scheduleLoadReport(r)
+		e.scheduleLoadReport(process)
 	})
 }
+
+// measureLoad returns the load since the last report, with noise on what is measured over time.
+func (e *emulatedEndpoint) measureLoad(process *endpointProcess) []wire.Figure {
+	if e.sharesCores {
+		e.countSharedWork(process)
+	}
+	everyMs := milliseconds(e.ReportEvery)
+	utilization := math.Min(1, (process.busyMs-process.reportedBusyMs)/everyMs/float64(e.Cores)) * e.noise()
+	rate := (process.served - process.reportedServed) / everyMs * 1000 * e.noise()
+	process.reportedBusyMs = process.busyMs
+	process.reportedServed = process.served
+	return []wire.Figure{
+		{Name: figureUtilization, Value: utilization},
+		{Name: figureRate, Value: rate},
+		{Name: figureWaiting, Value: float64(max(0, process.inFlight-e.Cores))},
+		{Name: figureInFlight, Value: float64(process.inFlight)},
+	}
+}
+
+// noise draws a factor around 1.
+func (e *emulatedEndpoint) noise() float64 { return math.Max(0, 1+e.Noise*e.random.NormFloat64()) }
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -1,22 +1,25 @@
 package emulator
 
-// place is where something stands. A zone of "" reaches all.
+// place is where something stands. The zone "" reaches all others, as the registry does.
 type place struct{ name, zone string }
 
-// zoneLink is the state of the ways of one zone to all others.
+// zoneLink is the state of the links between one zone and all others.
 type zoneLink struct {
 	cut          bool
-	extraDelayMs float64 // ms more
-	loss         float64 // part of the messages that come 200 ms later
+	extraDelayMs float64
+	loss         float64 // part of the messages that come only with TCP's retransmission
 }
 
-// network is the network between places, as links is on sockets: what a cut holds back comes when it is mended.
+// retransmitMs is how much later TCP's retransmission brings what was lost.
+const retransmitMs = 200
+
+// network carries messages between places. What a cut holds back comes once it is mended, as with TCP.
 type network struct {
 	w          *World
 	zones      map[string]*zoneLink
-	blackholed map[string]bool
-	held       []heldMessage
-	oneWayMs   float64 // ms one way
+	blackholed map[string]bool // by name: nothing passes to or from it
+	held       []heldMessage   // in the order in which they were held back
+	oneWayMs   float64         // within a zone
 }
 
 type heldMessage struct {
@@ -24,58 +27,70 @@
 	deliver  func()
 }
 
-// retransmitMs is how much later TCP's repeat brings what was lost.
-const retransmitMs = 200
+func newNetwork(w *World, oneWayMs float64) *network {
+	return &network{w: w, zones: map[string]*zoneLink{}, blackholed: map[string]bool{}, oneWayMs: oneWayMs}
+}
 
-func (n *network) zone(z string) *zoneLink {
-	if n.zones[z] == nil {
-		n.zones[z] = &zoneLink{}
+// zone returns the links of a zone.
+func (n *network) zone(name string) *zoneLink {
+	if n.zones[name] == nil {
+		n.zones[name] = &zoneLink{}
 	}
-	return n.zones[z]
+	return n.zones[name]
+}
+
+// crossesZones returns whether the links between zones matter between two places.
+func crossesZones(from, to place) bool {
+	return from.zone != to.zone && from.zone != "" && to.zone != ""
 }
 
 // open returns whether messages pass between two places.
-func (n *network) open(a, b place) bool {
-	if n.blackholed[a.name] || n.blackholed[b.name] {
+func (n *network) open(from, to place) bool {
+	if n.blackholed[from.name] || n.blackholed[to.name] {
 		return false
 	}
-	return a.zone == b.zone || a.zone == "" || b.zone == "" || !n.zone(a.zone).cut && !n.zone(b.zone).cut
+	if !crossesZones(from, to) {
+		return true
+	}
+	return !n.zone(from.zone).cut && !n.zone(to.zone).cut
 }
 
-// delay returns how long a message takes.
-func (n *network) delay(a, b place) float64 {
-	ms := n.oneWayMs
-	if a.zone == b.zone || a.zone == "" || b.zone == "" {
-		return ms
+// delay returns how long a message takes, in ms. It may draw whether the message is lost at first.
+func (n *network) delay(from, to place) float64 {
+	delayMs := n.oneWayMs
+	if !crossesZones(from, to) {
+		return delayMs
 	}
-	x, y := n.zone(a.zone), n.zone(b.zone)
-	ms += max(x.extraDelayMs, y.extraDelayMs)
-	if p := max(x.loss, y.loss); p > 0 && n.w.random.Float64() < p {
-		ms += retransmitMs
+	source := n.zone(from.zone)
+	target := n.zone(to.zone)
+	delayMs += max(source.extraDelayMs, target.extraDelayMs)
+	loss := max(source.loss, target.loss)
+	if loss > 0 && n.w.random.Float64() < loss {
+		delayMs += retransmitMs
 	}
-	return ms
+	return delayMs
 }
 
-// carry brings something from one place to another.
-func (n *network) carry(a, b place, do func()) {
-	if !n.open(a, b) {
-		n.held = append(n.held, heldMessage{a, b, do})
+// carry delivers a message to another place after its delay. A cut holds it back, at its sending or its arrival.
+func (n *network) carry(from, to place, deliver func()) {
+	if !n.open(from, to) {
+		n.held = append(n.held, heldMessage{from: from, to: to, deliver: deliver})
 		return
 	}
-	n.w.After(n.delay(a, b), func() {
-		if !n.open(a, b) {
-			n.held = append(n.held, heldMessage{a, b, do})
+	n.w.After(n.delay(from, to), func() {
+		if !n.open(from, to) {
+			n.held = append(n.held, heldMessage{from: from, to: to, deliver: deliver})
 			return
 		}
-		do()
+		deliver()
 	})
 }
 
-// releaseHeld lets through what a mended way held back, in order.
+// releaseHeld sends again, in order, what was held back; what still can't pass is held again.
 func (n *network) releaseHeld() {
-	waits := n.held
+	waiting := n.held
 	n.held = nil
-	for _, h := range waits {
-		n.carry(h.from, h.to, h.deliver)
+	for _, message := range waiting {
+		n.carry(message.from, message.to, message.deliver)
 	}
 }
--- a/internal/emulator/pilot.go
+++ b/internal/emulator/pilot.go
@@ -9,159 +9,207 @@
 	"indigousher/internal/wire"
 )
 
-// emulatedPilot is a pilot's place; its process can die and come back.
+// emulatedPilot is a pilot; its process can end and come back.
 type emulatedPilot struct {
-	w                 *World
-	place             place
-	rank              int
-	settings          config.Pilot
-	process           *pilotProcess
-	streams           map[*stream]bool
-	storedTurns       []record.Turn // of the last life, as kept
-	storedAt          float64       // when it was last written
-	storedFingerprint string        // fingerprint of what decided then
-	pausedUntil       float64       // until when its loop stands still
-	Starts            []Start
+	w           *World
+	place       place
+	rank        int // its number among the pilots
+	settings    config.Pilot
+	process     *pilotProcess // nil while it does not run
+	streams     map[*stream]bool
+	pausedUntil float64 // ms; its loop stands still until then
+	Starts      []Start // of its processes
+
+	// The record, as committed.
+	storedTurns       []record.Turn
+	storedAt          float64 // ms; last commit
+	storedFingerprint string  // of what decided then
 }
 
-// pilotProcess is one process: the shipped runtime, driven by the clock.
+// pilotProcess is one process of a pilot: the shipped runtime, driven by virtual time.
 type pilotProcess struct {
-	pilot          *emulatedPilot
-	startedAt      float64 // when its own clock showed 0
-	core           *controller.Core
-	inputs         []controller.Input
-	turnScheduled  bool
-	wakeAt         float64
-	wakeNumber     uint64
-	uncommitted    []record.Turn // not kept yet
-	pendingReports int           // since the last decision that was traced
+	pilot     *emulatedPilot
+	startedAt float64 // ms; when the process's own clock showed 0
+	core      *controller.Core
+
+	// The loop. Inputs of one moment are handled in one turn.
+	inputs        []controller.Input
+	turnScheduled bool
+	wakeAt        float64 // ms; when the next timer fires, noWake: none is set
+	wakeNumber    uint64  // of the last timer; earlier ones are void
+
+	uncommitted []record.Turn
+
+	// For the tracer: load reports since the last decision that was traced, and when the first of them came.
+	pendingReports int
 	firstReport    float64
 }
 
-func (s *emulatedPilot) running() bool { return s.process != nil }
-
-// clockEpsilonMs is less than anything that counts, in ms.
-const clockEpsilonMs = 1e-6
-
-// settleMs is how long after a start its lines are counted.
-const settleMs = 10_000
-
-// start begins a process, on the record of the last life where the day has pilots record.
-func (s *emulatedPilot) start() {
-	w := s.w
-	w.logEvent(s.place.name, eventlog.Event{What: eventlog.Start, Kind: "pilot", Text: s.place.zone})
-	r := &pilotProcess{pilot: s, startedAt: w.now, wakeAt: -1}
-	s.process = r
-	told := s.settings.PlannerSettings(s.rank)
-	plan := controller.Options{Decider: w.decide(int64(s.settings.Seed), told), Settings: told, Zones: s.settings.Zones, Machines: s.settings.Machines,
-		Classes: s.settings.ClassNames(), LinesPerS: s.settings.LinesPerS, Backlog: s.settings.Backlog, HeadLines: s.settings.HeadLines,
-		MaxMessages: s.settings.MessagesMost, MessagesOverMs: float64(s.settings.MessagesOver.Milliseconds()), Telemetry: s.settings.TelemetryOptions(),
-		MaxProxies: s.settings.MostProxies, EndpointSource: endpointSource{s, r}, HealthChecker: healthChecker{s, r}, Gossip: gossip{s, r},
-		Log: func(text string) { w.logLine(s, text) }, Malformed: func(what string, fields ...string) { w.countMalformed(what, fields) }}
-	begin := Start{AtMs: w.now}
-	if w.Scenario.Record {
-		plan = s.recover(plan, r, &begin)
+const (
+	// clockEpsilonMs is added to the loop's clock, so that rounding does not leave what is due for ever just ahead. It is
+	// less than any time that counts.
+	clockEpsilonMs = 1e-6
+	// settleMs is how long after a start the lines sent since are counted.
+	settleMs = 10_000
+	// noWake is pilotProcess.wakeAt where no timer is set.
+	noWake = -1
+	// farAheadMs is further ahead than any run lasts; no timer is set for what is due then.
+	farAheadMs = 1e9
+)
+
+func (p *emulatedPilot) running() bool { return p.process != nil }
+
+// start begins a process, recovered from the record where the scenario has pilots record.
+func (p *emulatedPilot) start() {
+	p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Start, Kind: "pilot", Text: p.place.zone})
+	process := &pilotProcess{pilot: p, startedAt: p.w.now, wakeAt: noWake}
+	p.process = process
+	options := p.controllerOptions(process)
+	begun := Start{AtMs: p.w.now}
+	if p.w.Scenario.Record {
+		options = p.recoverCore(options, process, &begun)
 	}
-	if r.core == nil {
-		r.core = controller.NewCore(plan)
+	if process.core == nil {
+		process.core = controller.NewCore(options)
 	}
-	if o, is := plan.Decider.(*baseline.Oracle); is {
-		o.Know(func(i int) (float64, bool) { return w.trueLoad(r.core.EndpointName(i)) })
+	if oracle, ok := options.Decider.(*baseline.Oracle); ok {
+		oracle.Know(func(endpoint int) (float64, bool) { return p.w.trueLoad(process.core.EndpointName(endpoint)) })
+	}
+	p.Starts = append(p.Starts, begun)
+	p.scheduleLineCount(process, len(p.Starts)-1)
+	process.turn()
+	p.w.registry.sendSnapshot(p, process)
+}
+
+// startUnlessRunning begins a process after a fault, unless another fault's end has begun one.
+func (p *emulatedPilot) startUnlessRunning() {
+	if p.process == nil {
+		p.start()
+	}
+}
+
+// controllerOptions returns the options of the runtime for a process, as the shipped daemon sets them.
+func (p *emulatedPilot) controllerOptions(process *pilotProcess) controller.Options {
+	s := &p.settings
+	plannerSettings := s.PlannerSettings(p.rank)
+	return controller.Options{
+		Decider:        p.w.Decide(int64(s.Seed), plannerSettings),
+		Settings:       plannerSettings,
+		Zones:          s.Zones,
+		Machines:       s.Machines,
+		Classes:        s.ClassNames(),
+		LinesPerS:      s.LinesPerS,
+		Backlog:        s.Backlog,
+		HeadLines:      s.HeadLines,
+		MaxMessages:    s.MessagesMost,
+		MessagesOverMs: float64(s.MessagesOver.Milliseconds()),
+		Telemetry:      s.TelemetryOptions(),
+		MaxProxies:     s.MostProxies,
+		EndpointSource: endpointSource{pilot: p, process: process},
+		HealthChecker:  healthChecker{pilot: p, process: process},
+		Gossip:         gossip{pilot: p},
+		Log:            func(text string) { p.w.logLine(p, text) },
+		Malformed:      func(what string, _ ...string) { p.w.countMalformed(what) },
 	}
-	s.Starts = append(s.Starts, begin)
-	number := len(s.Starts) - 1
-	w.After(settleMs, func() {
-		if s.process == r {
-			s.Starts[number].LinesSent = r.core.Channel.Sent
+}
+
+// scheduleLineCount notes how many lines a process sent in its first time.
+func (p *emulatedPilot) scheduleLineCount(process *pilotProcess, start int) {
+	p.w.After(settleMs, func() {
+		if p.process == process {
+			p.Starts[start].LinesSent = process.core.Channel.Sent
 		}
 	})
-	r.turn()
-	w.registry.sendSnapshot(s, r) // a source that streams is watched from the start
 }
 
-// stop ends the process: by force what was not committed is lost, asked it commits first.
-func (s *emulatedPilot) stop(force bool) {
-	r := s.process
-	if r == nil {
+// stop ends the process. One that is killed loses what it has not committed; one that is asked commits first.
+func (p *emulatedPilot) stop(kill bool) {
+	process := p.process
+	if process == nil {
 		return
 	}
-	if !force && s.w.Scenario.Record {
-		s.commit(r)
+	if !kill && p.w.Scenario.Record {
+		p.commit(process)
 	}
-	s.process = nil
-	s.w.logEvent(s.place.name, eventlog.Event{What: eventlog.Stop})
-	s.w.countStopped(r)
-	for _, st := range s.w.streamsOf(s) {
-		st.end(true)
+	p.process = nil
+	p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Stop})
+	p.w.countStopped(process)
+	for _, s := range p.w.streamsOf(p) {
+		s.end(true)
 	}
 }
 
-// post hands an input to the loop; those of one moment are handled together.
-func (s *emulatedPilot) post(in controller.Input) {
-	r := s.process
-	if r == nil {
+// post hands an input to the loop; inputs of one moment are handled in one turn.
+func (p *emulatedPilot) post(input controller.Input) {
+	process := p.process
+	if process == nil {
 		return
 	}
-	r.inputs = append(r.inputs, in)
-	if !r.turnScheduled {
-		r.turnScheduled = true
-		s.w.At(max(s.w.now, s.pausedUntil), func() {
-			if s.process == r {
-				r.turn()
-			}
-		})
+	process.inputs = append(process.inputs, input)
+	if process.turnScheduled {
+		return
 	}
+	process.turnScheduled = true
+	p.w.At(max(p.w.now, p.pausedUntil), func() {
+		if p.process == process {
+			process.turn()
+		}
+	})
 }
 
-// report takes sums past the loop, as on sockets.
-func (s *emulatedPilot) report(st *stream, sums *wire.Sums) {
-	if s.process != nil {
-		if s.process.pendingReports++; s.process.pendingReports == 1 {
-			s.process.firstReport = s.w.now
-		}
-		s.process.core.Report(s.w.now-s.process.startedAt, st, sums)
-		s.process.scheduleWake()
+// report hands a load report to telemetry without a turn of the loop, as the shipped transports do.
+func (p *emulatedPilot) report(s *stream, sums *wire.Sums) {
+	process := p.process
+	if process == nil {
+		return
+	}
+	process.pendingReports++
+	if process.pendingReports == 1 {
+		process.firstReport = p.w.now
 	}
+	process.core.Report(p.w.now-process.startedAt, s, sums)
+	process.scheduleWake()
+}
+
+// reload changes the rate of the running pilot's channel by a factor.
+func (p *emulatedPilot) reload(factor float64) {
+	p.settings.LinesPerS *= factor
+	p.post(controller.SettingsChanged{Settings: p.settings.ReloadableSettings()})
 }
 
 // turn is one turn of the loop.
-func (r *pilotProcess) turn() {
-	r.turnScheduled = false
-	w := r.pilot.w
-	now := w.now - r.startedAt + clockEpsilonMs // else rounding could leave what is due just ahead for ever
-	took := stopwatch()
-	inputs := r.inputs
-	r.inputs = nil
-	r.core.Handle(now, inputs)
-	r.core.Channel.Send(now)
-	w.PilotMs += took()
-	r.scheduleWake()
+func (pp *pilotProcess) turn() {
+	pp.turnScheduled = false
+	w := pp.pilot.w
+	now := w.now - pp.startedAt + clockEpsilonMs
+	elapsed := stopwatch()
+	inputs := pp.inputs
+	pp.inputs = nil
+	pp.core.Handle(now, inputs)
+	pp.core.Channel.Send(now)
+	w.PilotMs += elapsed()
+	pp.scheduleWake()
 }
 
-// scheduleWake wakes when something is due.
-func (r *pilotProcess) scheduleWake() {
-	due := r.startedAt + min(r.core.Due(), r.core.Channel.Due())
-	if r.wakeAt >= r.pilot.w.now && r.wakeAt <= due {
+// scheduleWake sets the timer for a turn when the core or the channel has something due, unless an earlier one is set.
+func (pp *pilotProcess) scheduleWake() {
+	pilot := pp.pilot
+	w := pilot.w
+	due := pp.startedAt + min(pp.core.Due(), pp.core.Channel.Due())
+	if pp.wakeAt >= w.now && pp.wakeAt <= due {
 		return
 	}
-	r.wakeNumber++
-	number, s := r.wakeNumber, r.pilot
-	r.wakeAt = max(due, s.pausedUntil)
-	if due-s.w.now > 1e9 { // nothing in sight
-		r.wakeAt = -1
+	pp.wakeNumber++
+	number := pp.wakeNumber
+	if due-w.now > farAheadMs {
+		pp.wakeAt = noWake
 		return
 	}
-	s.w.At(r.wakeAt, func() {
-		if s.process == r && r.wakeNumber == number {
-			r.wakeAt = -1
-			r.turn()
+	pp.wakeAt = max(due, pilot.pausedUntil)
+	w.At(pp.wakeAt, func() {
+		if pilot.process == pp && pp.wakeNumber == number {
+			pp.wakeAt = noWake
+			pp.turn()
 		}
 	})
 }
-
-// reload hands the running pilot a channel of another pace.
-func (r *pilotProcess) reload(times float64) {
-	t := &r.pilot.settings
-	t.LinesPerS *= times
-	r.pilot.post(controller.SettingsChanged{Settings: t.ReloadableSettings()})
-}
--- a/internal/emulator/pilotports.go
+++ b/internal/emulator/pilotports.go
@@ -5,79 +5,93 @@
 	"indigousher/internal/wire"
 )
 
-// endpointSource is a pilot's end of the list; its zero value does nothing.
+// endpointSource connects a pilot's process to the registry. It implements controller.EndpointSource; its zero value does
+// nothing.
 type endpointSource struct {
 	pilot   *emulatedPilot
 	process *pilotProcess
 }
 
-func (l endpointSource) Watch(on bool) {
-	if l.pilot != nil && on {
-		l.pilot.w.registry.watch(l.pilot, l.process)
+// Watch begins to watch the endpoint list. A watch in virtual time needs no end: it goes with the process.
+func (s endpointSource) Watch(on bool) {
+	if s.pilot != nil && on {
+		s.pilot.w.registry.watch(s.pilot, s.process)
 	}
 }
 
-func (l endpointSource) Fetch() {
-	if l.pilot != nil {
-		l.pilot.w.registry.sendSnapshot(l.pilot, l.process)
+// Fetch asks for a snapshot of the endpoint list.
+func (s endpointSource) Fetch() {
+	if s.pilot != nil {
+		s.pilot.w.registry.sendSnapshot(s.pilot, s.process)
 	}
 }
 
-// healthChecker examines endpoints.
+// healthChecker examines endpoints for a pilot's process. It implements controller.HealthChecker; its zero value does
+// nothing.
 type healthChecker struct {
 	pilot   *emulatedPilot
 	process *pilotProcess
 }
 
-// probeTimeoutMs is how long an answer to a probe is waited for.
-const probeTimeoutMs = 1000
+// healthCheckTimeoutMs is how long the answer to a health check is waited for.
+const healthCheckTimeoutMs = 1000
 
-func (p healthChecker) Probe(name string) {
-	if p.pilot == nil || !p.pilot.settings.Probing {
+// Outcomes of a health check.
+const (
+	healthOK          = "ok"
+	healthTimeout     = "timeout"
+	healthUnreachable = "unreachable"
+)
+
+// Probe examines an endpoint and posts the outcome to the pilot's loop, at the timeout at the latest.
+func (c healthChecker) Probe(name string) {
+	if c.pilot == nil || !c.pilot.settings.Probing {
 		return
 	}
-	w, m := p.pilot.w, p.pilot.w.endpointByName[name]
+	w := c.pilot.w
 	answered := false
-	done := func(outcome string, load []wire.Figure) {
-		if answered || p.pilot.process != p.process {
+	answer := func(outcome string, load []wire.Figure) {
+		if answered || c.pilot.process != c.process {
 			return
 		}
 		answered = true
-		p.pilot.post(controller.HealthChecked{Endpoint: name, Outcome: outcome, Load: load})
+		c.pilot.post(controller.HealthChecked{Endpoint: name, Outcome: outcome, Load: load})
 	}
-	w.After(probeTimeoutMs, func() { done("timeout", nil) })
-	if m == nil {
+	w.After(healthCheckTimeoutMs, func() { answer(healthTimeout, nil) })
+	endpoint := w.endpointByName[name]
+	if endpoint == nil {
 		return
 	}
-	w.network.carry(p.pilot.place, m.place, func() {
+	w.network.carry(c.pilot.place, endpoint.place, func() {
 		switch {
-		case m.process == nil:
-			w.network.carry(m.place, p.pilot.place, func() { done("unreachable", nil) })
-		case !m.fault.Hang:
-			load := m.process.load
-			w.network.carry(m.place, p.pilot.place, func() { done("ok", load) })
+		case endpoint.process == nil:
+			w.network.carry(endpoint.place, c.pilot.place, func() { answer(healthUnreachable, nil) })
+		case !endpoint.fault.Hang:
+			load := endpoint.process.load
+			w.network.carry(endpoint.place, c.pilot.place, func() { answer(healthOK, load) })
 		}
 	})
 }
 
-// gossip carries notes between pilots; a part of them is lost where ways are lossy.
+// gossip sends short texts to the other pilots; a cut loses them. It implements controller.GossipSender; its zero value
+// does nothing.
 type gossip struct {
-	pilot   *emulatedPilot
-	process *pilotProcess
+	pilot *emulatedPilot
 }
 
-func (p gossip) Tell(peer int, text string) {
-	if p.pilot == nil || !p.pilot.w.Gossip {
+// Tell sends a text to one pilot, or to all others if the number is negative.
+func (g gossip) Tell(peer int, text string) {
+	if g.pilot == nil || !g.pilot.w.Gossip {
 		return
 	}
-	for _, other := range p.pilot.w.pilots {
-		if other == p.pilot || peer >= 0 && other.rank != peer || !p.pilot.w.network.open(p.pilot.place, other.place) {
+	w := g.pilot.w
+	for _, other := range w.pilots {
+		isAddressed := peer < 0 || other.rank == peer
+		if other == g.pilot || !isAddressed || !w.network.open(g.pilot.place, other.place) {
 			continue
 		}
-		p.pilot.w.After(p.pilot.w.network.delay(p.pilot.place, other.place), func() {
-			if other.process != nil {
-				other.post(controller.GossipReceived{From: p.pilot.rank, Text: text})
-			}
+		w.After(w.network.delay(g.pilot.place, other.place), func() {
+			other.post(controller.GossipReceived{From: g.pilot.rank, Text: text})
 		})
 	}
 }
--- a/internal/emulator/pilotrecord.go
+++ b/internal/emulator/pilotrecord.go
@@ -12,61 +12,100 @@
 type Start struct {
 	AtMs      float64
 	Verdict   recovery.Decision
-	Replayed  int // turns
-	TookMs    float64
-	LinesSent int // by settleMs after
+	Replayed  int     // turns of the record
+	TookMs    float64 // real time of the replay
+	LinesSent int     // in the first settleMs
 }
 
-// commitEveryMs is how often the record is committed.
-const commitEveryMs = 200
+const (
+	// commitEveryMs is how often the record is committed.
+	commitEveryMs = 200
+	// keptTails is how many times the longest replay the record reaches back at least.
+	keptTails = 2
+)
 
-// recover rebuilds the core from the record if that is worth anything, and has the new life recorded.
-func (s *emulatedPilot) recover(plan controller.Options, r *pilotProcess, begin *Start) controller.Options {
-	w := s.w
-	bounds := recovery.Limits{TailMs: float64(s.settings.RecoverTail.Milliseconds()), GapMs: float64(s.settings.RecoverWithin.Milliseconds())}
-	facts := recovery.Facts{SameFormat: true, SameModule: s.storedFingerprint == w.fingerprint, SameSettings: true, Turns: len(s.storedTurns), GapMs: w.now - s.storedAt}
-	from := record.ReplayStart(s.storedTurns, bounds.TailMs)
-	if len(s.storedTurns) > 0 && from < len(s.storedTurns) {
-		facts.Lives, facts.SpanMs = 1, max(1, s.storedTurns[len(s.storedTurns)-1].AtMs-s.storedTurns[from].AtMs)
+// recoverCore has the process recorded, and replays the record of the last one where recovery decides so. It returns the
+// options with the recorder.
+func (p *emulatedPilot) recoverCore(options controller.Options, process *pilotProcess, begun *Start) controller.Options {
+	limits := recovery.Limits{
+		TailMs: float64(p.settings.RecoverTail.Milliseconds()),
+		GapMs:  float64(p.settings.RecoverWithin.Milliseconds()),
 	}
-	recorder := record.NewRecorder(func(t func() *record.Turn) { r.uncommitted = append(r.uncommitted, *t()) },
-		func() []controller.Input { return r.core.Checkpoint() })
-	plan.OnTurn = recorder.Turn
-	if begin.Verdict = recovery.Decide(facts, bounds); !begin.Verdict.Cold() {
-		held := plan
-		held.OnTurn, held.Replayed, held.LinesPerS, held.Backlog = nil, true, 0, 0
-		held.EndpointSource, held.HealthChecker, held.Gossip = endpointSource{}, healthChecker{}, gossip{}
-		held.Log, held.Malformed = func(string) {}, func(string, ...string) {}
-		core := controller.NewCore(held)
-		took := stopwatch()
-		if err := record.Restore(core, s.storedTurns[from:]); err != nil {
-			w.fail(fmt.Errorf("restore %s: %w", s.place.name, err))
-		} else {
-			begin.Replayed, begin.TookMs = len(s.storedTurns)-from, took()
-			core.FinishRecovery(plan)
-			r.core, r.startedAt = core, w.now-core.Now()-begin.Verdict.AwayMs
-		}
+	from := record.ReplayStart(p.storedTurns, limits.TailMs)
+	facts := p.recoveryFacts(from)
+	recorder := record.NewRecorder(
+		func(turn func() *record.Turn) { process.uncommitted = append(process.uncommitted, *turn()) },
+		func() []controller.Input { return process.core.Checkpoint() })
+	options.OnTurn = recorder.Turn
+	begun.Verdict = recovery.Decide(facts, limits)
+	if !begun.Verdict.Cold() {
+		p.replay(options, process, begun, from)
+	}
+	p.storedTurns = nil
+	p.storedFingerprint = p.w.fingerprint
+	p.scheduleCommit(process)
+	return options
+}
+
+// recoveryFacts describes the record from a turn on.
+func (p *emulatedPilot) recoveryFacts(from int) recovery.Facts {
+	facts := recovery.Facts{
+		SameFormat:   true,
+		SameModule:   p.storedFingerprint == p.w.fingerprint,
+		SameSettings: true,
+		Turns:        len(p.storedTurns),
+		GapMs:        p.w.now - p.storedAt,
+	}
+	if last := len(p.storedTurns) - 1; from <= last {
+		facts.Lives = 1
+		facts.SpanMs = max(1, p.storedTurns[last].AtMs-p.storedTurns[from].AtMs)
+	}
+	return facts
+}
+
+// replay rebuilds the core of a process from the record. Nothing that is decided meanwhile leaves the core.
+func (p *emulatedPilot) replay(options controller.Options, process *pilotProcess, begun *Start, from int) {
+	silent := options
+	silent.OnTurn = nil
+	silent.Replayed = true
+	silent.LinesPerS = 0
+	silent.Backlog = 0
+	silent.EndpointSource = endpointSource{}
+	silent.HealthChecker = healthChecker{}
+	silent.Gossip = gossip{}
+	silent.Log = func(string) {}
+	silent.Malformed = func(string, ...string) {}
+	core := controller.NewCore(silent)
+	elapsed := stopwatch()
+	if err := record.Restore(core, p.storedTurns[from:]); err != nil {
+		p.w.fail(fmt.Errorf("restore %s: %w", p.place.name, err))
+		return
 	}
-	s.storedTurns, s.storedFingerprint = nil, w.fingerprint
-	s.scheduleCommit(r)
-	return plan
+	begun.Replayed = len(p.storedTurns) - from
+	begun.TookMs = elapsed()
+	core.FinishRecovery(options)
+	process.core = core
+	process.startedAt = p.w.now - core.Now() - begun.Verdict.AwayMs
 }
 
-// scheduleCommit commits what was recorded, now and then.
-func (s *emulatedPilot) scheduleCommit(r *pilotProcess) {
-	s.w.After(commitEveryMs, func() {
-		if s.process != r {
+// scheduleCommit commits the record from time to time, until the process ends.
+func (p *emulatedPilot) scheduleCommit(process *pilotProcess) {
+	p.w.After(commitEveryMs, func() {
+		if p.process != process {
 			return
 		}
-		s.commit(r)
-		s.scheduleCommit(r)
+		p.commit(process)
+		p.scheduleCommit(process)
 	})
 }
 
-// commit puts what was written on the disk; of what is older than any rebuild needs nothing is kept.
-func (s *emulatedPilot) commit(r *pilotProcess) {
-	s.storedTurns, s.storedAt, r.uncommitted = append(s.storedTurns, r.uncommitted...), s.w.now, nil
-	if from := record.ReplayStart(s.storedTurns, 2*float64(s.settings.RecoverTail.Milliseconds())); from > 0 && from < len(s.storedTurns) {
-		s.storedTurns = append([]record.Turn{}, s.storedTurns[from:]...)
+// commit stores what has been recorded, and drops what is older than any replay needs.
+func (p *emulatedPilot) commit(process *pilotProcess) {
+	p.storedTurns = append(p.storedTurns, process.uncommitted...)
+	p.storedAt = p.w.now
+	process.uncommitted = nil
+	from := record.ReplayStart(p.storedTurns, keptTails*float64(p.settings.RecoverTail.Milliseconds()))
+	if from > 0 && from < len(p.storedTurns) {
+		p.storedTurns = append([]record.Turn{}, p.storedTurns[from:]...)
 	}
 }
--- a/internal/emulator/play.go
+++ b/internal/emulator/play.go
@@ -1,6 +1,6 @@
-// Package emulator plays days in virtual time: the shipped runtime, intake, channel and module, the followers and the
-// audit of the rehearsal, around models of endpoints, ways and clients. One seed gives one order of events. Nothing here
-// decides anything about routing.
+// Package emulator plays scenarios in virtual time: the shipped runtime, telemetry, channel and planner, the proxies'
+// routing and the audit of the rehearsal, around models of endpoints, network and clients. One seed gives one order of
+// events. Nothing here decides anything about routing.
 package emulator
 
 import (
@@ -17,34 +17,80 @@
 	"indigousher/internal/testbed/eventlog"
 )
 
-// Play is one emulated day.
+// Play is one run of a scenario.
 type Play struct {
-	Scenario      *scenario.Scenario
-	Decide        func(seed int64, terms map[string]any) controller.Decider // nil: the module
-	WithoutPilots bool                                                      // no pilots: standing tables only
-	Gossip        bool                                                      // pilots may tell each other
-	KeepEvents    bool                                                      // all events are kept in the outcome
-	Log           func(atMs float64, pilot, text string)                    // the module's lines; nil: nobody
-	Trace         *Tracer                                                   // nil: none; it is for one run
-	Audited       bool                                                      // false: no audit, for speed
+	Scenario *scenario.Scenario
+	// Decide makes what decides in a pilot; nil: the planner.
+	Decide func(seed int64, settings map[string]any) controller.Decider
+	// WithoutPilots leaves the proxies on their static tables.
+	WithoutPilots bool
+	// Gossip lets pilots send gossip to each other.
+	Gossip bool
+	// KeepEvents keeps all events in the outcome.
+	KeepEvents bool
+	// Audited has the five rules checked; leaving it out saves time.
+	Audited bool
+	// Log takes the planner's log lines; nil: they are dropped.
+	Log func(atMs float64, pilot, text string)
+	// Trace takes the spans of one run; nil: there are none.
+	Trace *Tracer
 }
 
-// Run plays the day to its end, or until ctx ends.
+// Outcome is the result of a run.
+type Outcome struct {
+	Report *audit.Report
+	Events []eventlog.Event
+	// Digest of all events; the same for the same scenario and program.
+	Digest uint64
+
+	ClockEvents      uint64 // timers that fired
+	Requests         uint64 // sent by clients
+	Attempts         uint64 // forwarded by proxies
+	MaxQueueLines    int    // in any pilot's channel
+	MaxProxyMessages int    // to one proxy within the span over which messages are counted
+	LinesSent        int    // by all pilots
+	Malformed        map[string]int
+
+	Starts  map[string][]Start      // of pilots' processes, by pilot
+	Latency *hdrhistogram.Histogram // µs, of requests that succeeded
+	Load    map[string]float64      // busy fraction of an endpoint's cores since its start, by endpoint
+	ZoneOf  map[string]string       // by endpoint
+
+	PilotMs   float64 // real time taken by the pilots' turns
+	ElapsedMs float64 // real time of the whole run
+}
+
+// Latencies are recorded in µs up to ten minutes, to three significant figures.
+const (
+	minLatencyMicros   = 1
+	maxLatencyMicros   = 600_000_000
+	latencySignificant = 3
+)
+
+// stepMs is how much virtual time passes between two looks at whether the run was stopped.
+const stepMs = 100
+
+func newOutcome() *Outcome {
+	return &Outcome{
+		Latency:   hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencySignificant),
+		Load:      map[string]float64{},
+		ZoneOf:    map[string]string{},
+		Malformed: map[string]int{},
+		Starts:    map[string][]Start{},
+	}
+}
+
+// Run plays the scenario to its end, or until ctx ends. It goes on for twice the longest client timeout after the end,
+// so that every request has an outcome.
 func (p Play) Run(ctx context.Context) (*Outcome, error) {
 	w := newWorld(p)
-	took := stopwatch()
+	elapsed := stopwatch()
 	w.startAll()
 	w.scheduleClients()
-	for _, t := range p.Scenario.Faults {
-		w.At(milliseconds(t.At), func() {
-			w.logEvent("rehearsal", eventlog.Event{What: eventlog.Note, Text: t.String()})
-			w.playFault(t)
-		})
-	}
-	end := milliseconds(p.Scenario.Length)
-	longest := slices.Max(w.timeoutsMs)
-	for at := 0.0; at < end+2*longest; {
-		at = min(at+100, end+2*longest)
+	w.scheduleFaults()
+	end := milliseconds(p.Scenario.Length) + 2*slices.Max(w.timeoutsMs)
+	for at := 0.0; at < end; {
+		at = min(at+stepMs, end)
 		w.Until(at)
 		if w.err != nil {
 			return nil, w.err
@@ -53,57 +99,44 @@
 			return nil, fmt.Errorf("the day was stopped: %w", err)
 		}
 	}
-	return w.outcome(took()), nil
-}
-
-// Outcome is what a day left.
-type Outcome struct {
-	Report           *audit.Report
-	Events           []eventlog.Event
-	ClockEvents      uint64 // events of the clock
-	Requests         uint64
-	Attempts         uint64
-	MaxQueueLines    int // in any pilot's channel
-	MaxProxyMessages int // messages to one proxy within the span
-	LinesSent        int // sent by all pilots
-	Starts           map[string][]Start
-	PilotMs          float64                 // real time of the pilots' turns
-	ElapsedMs        float64                 // real time of all
-	Latency          *hdrhistogram.Histogram // µs, of reqs that were done
-	Load             map[string]float64      // busy part of each endpoint's cores over the day
-	ZoneOf           map[string]string       // of endpoints
-	Malformed        map[string]int
-	Digest           uint64 // of all events: the same for the same day and program
+	return w.outcome(elapsed()), nil
 }
 
-func (w *World) outcome(tookMs float64) *Outcome {
-	for _, s := range w.pilots {
-		if s.process != nil {
-			w.countStopped(s.process)
+// outcome collects the result at the end of a run.
+func (w *World) outcome(elapsedMs float64) *Outcome {
+	for _, pilot := range w.pilots {
+		if pilot.process != nil {
+			w.countStopped(pilot.process)
 		}
-		w.result.Starts[s.place.name] = s.Starts
+		w.result.Starts[pilot.place.name] = pilot.Starts
 	}
-	for _, m := range w.endpoints {
-		if w.result.ZoneOf[m.Name] = m.Zone; m.process != nil {
-			w.result.Load[m.Name] = m.process.busyMs / max(1, w.now-m.process.startedAt) / float64(m.Cores)
+	for _, endpoint := range w.endpoints {
+		w.result.ZoneOf[endpoint.Name] = endpoint.Zone
+		if process := endpoint.process; process != nil {
+			w.result.Load[endpoint.Name] = process.busyMs / max(1, w.now-process.startedAt) / float64(endpoint.Cores)
 		}
 	}
-	o := w.result
-	o.Report, o.ClockEvents, o.Attempts, o.PilotMs, o.ElapsedMs, o.Digest = w.auditor.Report(), w.Events, w.Attempts, w.PilotMs, tookMs, w.digest.hash
-	return o
+	w.result.Report = w.auditor.Report()
+	w.result.Digest = w.digest.hash
+	w.result.ClockEvents = w.Events
+	w.result.Attempts = w.Attempts
+	w.result.PilotMs = w.PilotMs
+	w.result.ElapsedMs = elapsedMs
+	return w.result
 }
 
-// countStopped adds up what a pilot's process counted.
-func (w *World) countStopped(r *pilotProcess) {
-	c := r.core.Channel
-	w.result.MaxQueueLines, w.result.MaxProxyMessages = max(w.result.MaxQueueLines, c.MaxLines), max(w.result.MaxProxyMessages, c.MaxMessages)
-	w.result.LinesSent += c.Sent
+// countStopped adds up what a pilot's process counted, at its end.
+func (w *World) countStopped(process *pilotProcess) {
+	channel := process.core.Channel
+	w.result.MaxQueueLines = max(w.result.MaxQueueLines, channel.MaxLines)
+	w.result.MaxProxyMessages = max(w.result.MaxProxyMessages, channel.MaxMessages)
+	w.result.LinesSent += channel.Sent
 }
 
-// stopwatch returns how much real time has passed since, in ms.
+// stopwatch starts measuring real time and returns a function that tells how much has passed, in ms.
 func stopwatch() func() float64 {
 	start := time.Now()
-	return func() float64 { return float64(time.Since(start)) / float64(time.Millisecond) }
+	return func() float64 { return milliseconds(time.Since(start)) }
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -10,239 +10,296 @@
 	"indigousher/internal/wire"
 )
 
-// emulatedProxy is a proxy: the follower of the stand-in on sockets, with its tries and its stream in virtual time.
+// emulatedProxy is a proxy: the routing of the testbed's proxy, with its attempts and its stream in virtual time.
 type emulatedProxy struct {
-	w            *World
-	place        place
-	policy       routing.Policy
-	rate         float64
-	home         int // number among the pilots of its zone
-	process      *proxyProcess
-	starts       int
-	seed         uint64
-	unreachable  bool // reaches no pilot
-	muted        bool // does not read
-	reportFactor float64
-	heedsPace    bool
-}
-
-// proxyProcess is one process.
+	w       *World
+	place   place
+	policy  routing.Policy
+	rate    float64 // requests a second that it says it usually gets
+	home    int     // number of the pilot that it dials first
+	seed    uint64
+	process *proxyProcess // nil while it does not run
+	starts  int
+
+	// Faults.
+	unreachable  bool    // it reaches no pilot
+	muted        bool    // it does not read
+	reportFactor float64 // how many times as often it reports
+	heedsPace    bool    // it reports as the pilot asks it to
+}
+
+// proxyProcess is one process of a proxy.
 type proxyProcess struct {
 	proxy          *emulatedProxy
 	follower       *routing.Follower
-	stream         *stream
-	loggedLines    []int
 	random         *rand.Rand
+	stream         *stream // to a pilot; nil: none
 	reportRequest  routing.ReportRequest
 	reportPeriodMs float64
-	busyUntil      float64 // until when it applies lines and stands still
-	connections    map[string]*connection
+	busyUntil      float64                // ms; it applies a message until then and forwards nothing
+	loggedLines    []int                  // endpoints last logged, by request class; -1: none yet
+	connections    map[string]*connection // by endpoint
 }
 
+// minOwnZone is how many endpoints its own zone must have for a proxy's static table to hold only those.
+const minOwnZone = 3
+
+// start begins a process, on a static table.
 func (p *emulatedProxy) start() {
 	p.starts++
-	li := &proxyProcess{proxy: p, follower: routing.NewFollower(p.policy, p.w.drawStaticTable(p.place.zone), p.seed+uint64(p.starts)),
-		loggedLines: make([]int, len(p.policy.Kinds)), random: rand.New(rand.NewPCG(p.seed, uint64(p.starts))), connections: map[string]*connection{}}
-	for k := range li.loggedLines {
-		li.loggedLines[k] = -1
+	process := &proxyProcess{
+		proxy:       p,
+		follower:    routing.NewFollower(p.policy, p.w.drawStaticTable(p.place.zone), p.seed+uint64(p.starts)),
+		random:      rand.New(rand.NewPCG(p.seed, uint64(p.starts))),
+		loggedLines: make([]int, len(p.policy.Kinds)),
+		connections: map[string]*connection{},
+	}
+	for class := range process.loggedLines {
+		process.loggedLines[class] = -1
+	}
+	p.process = process
+	p.logEvent(eventlog.Event{What: eventlog.Start, N: p.starts, Text: p.place.zone})
+	process.logLines()
+	process.dial(0)
+}
+
+// startUnlessRunning begins a process after a fault, unless another fault's end has begun one.
+func (p *emulatedProxy) startUnlessRunning() {
+	if p.process == nil {
+		p.start()
 	}
-	p.process = li
-	p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Start, N: p.starts, Text: p.place.zone})
-	li.logLines()
-	li.dial(0)
 }
 
+// kill ends the process; its stream and its connections break.
 func (p *emulatedProxy) kill() {
-	li := p.process
-	if li == nil {
+	process := p.process
+	if process == nil {
 		return
 	}
 	p.process = nil
-	p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Stop})
-	if li.stream != nil {
-		li.stream.end(false)
+	p.logEvent(eventlog.Event{What: eventlog.Stop})
+	if process.stream != nil {
+		process.stream.end(false)
 	}
-	for _, m := range p.w.endpoints {
-		if m.process != nil {
-			delete(m.process.connections, p.place.name)
+	for _, endpoint := range p.w.endpoints {
+		if endpoint.process != nil {
+			delete(endpoint.process.connections, p.place.name)
 		}
 	}
 }
 
-// breakStream breaks its stream.
-func (p *emulatedProxy) breakStream() {
-	if p.process != nil && p.process.stream != nil {
-		p.process.stream.end(true)
+func (p *emulatedProxy) logEvent(e eventlog.Event) { p.w.logEvent(p.place.name, e) }
+
+// stream returns the proxy's stream to a pilot, nil if there is none.
+func (p *emulatedProxy) stream() *stream {
+	if p.process == nil {
+		return nil
 	}
+	return p.process.stream
 }
 
-// endpointDied ends what is under way to an endpoint whose process died.
-func (p *emulatedProxy) endpointDied(name string) {
-	if p.process == nil || p.process.connections[name] == nil {
-		return
-	}
-	li := p.process
-	c := li.connections[name]
-	delete(li.connections, name)
-	for _, t := range p.w.sortedAttempts(c.attempts) {
-		p.w.network.carry(place{name: name}, p.place, func() { li.attemptEnded(t, nil) })
+// breakStream ends the stream to the pilot, as a lost connection does.
+func (p *emulatedProxy) breakStream() {
+	if s := p.stream(); s != nil {
+		s.end(true)
 	}
 }
 
-// resumeReading lets a proxy read again: what has come meanwhile is applied in order.
+// resumeReading ends a mute: what has come meanwhile is applied in order.
 func (p *emulatedProxy) resumeReading() {
 	p.muted = false
-	if p.process == nil || p.process.stream == nil {
+	s := p.stream()
+	if s == nil {
 		return
 	}
-	s := p.process.stream
-	waits := s.unread
+	waiting := s.unread
 	s.unread = nil
-	for _, apply := range waits {
+	for _, apply := range waiting {
 		apply()
 	}
 }
 
-// drawStaticTable draws a proxy's table at its start: from the list, in its zone if three are there.
+// drawStaticTable draws the endpoints of a proxy's static table from those that are ready: from its own zone if that has
+// enough.
 func (w *World) drawStaticTable(zone string) []string {
-	var near, all []string
-	for _, m := range w.endpoints {
-		if w.entries[m.Name].Phase == wire.PhaseReady {
-			all = append(all, m.Name)
-			if m.Zone == zone {
-				near = append(near, m.Name)
-			}
+	var all, near []string
+	for _, endpoint := range w.endpoints {
+		if w.entries[endpoint.Name].Phase != wire.PhaseReady {
+			continue
+		}
+		all = append(all, endpoint.Name)
+		if endpoint.Zone == zone {
+			near = append(near, endpoint.Name)
 		}
 	}
-	if len(near) >= 3 {
-		all = near
+	candidates := all
+	if len(near) >= minOwnZone {
+		candidates = near
 	}
-	n := min(len(all), w.Scenario.Standing)
-	for i := range n {
-		j := i + w.random.IntN(len(all)-i)
-		all[i], all[j] = all[j], all[i]
+	count := min(len(candidates), w.Scenario.Standing)
+	for i := range count { // the first steps of a Fisher-Yates shuffle
+		j := i + w.random.IntN(len(candidates)-i)
+		candidates[i], candidates[j] = candidates[j], candidates[i]
 	}
-	return all[:n]
+	return candidates[:count]
 }
 
-// reachablePilots lists the pilots that a proxy may dial, its home first.
+// reachablePilots lists the pilots that a proxy may dial, in the order in which it does: its home first.
 func (w *World) reachablePilots(p *emulatedProxy) []*emulatedPilot {
 	if p.unreachable || len(w.pilots) == 0 {
 		return nil
 	}
 	home := p.home % len(w.pilots)
 	if w.Scenario.ByZone {
-		if i := slices.IndexFunc(w.pilots, func(s *emulatedPilot) bool { return s.place.zone == p.place.zone }); i >= 0 {
-			home = i
+		inZone := slices.IndexFunc(w.pilots, func(pilot *emulatedPilot) bool { return pilot.place.zone == p.place.zone })
+		if inZone >= 0 {
+			home = inZone
 		}
 	}
 	return append(slices.Clone(w.pilots[home:]), w.pilots[:home]...)
 }
 
-func (li *proxyProcess) logLines() {
-	for k, name := range li.proxy.policy.Kinds {
-		if n := li.follower.Lines(k); n != li.loggedLines[k] {
-			li.loggedLines[k] = n
-			li.proxy.w.logEvent(li.proxy.place.name, eventlog.Event{What: eventlog.Lines, Kind: name, N: n})
+// logLines logs how many endpoints the tables have for each request class, where that has changed.
+func (pp *proxyProcess) logLines() {
+	for class, name := range pp.proxy.policy.Kinds {
+		lines := pp.follower.Lines(class)
+		if lines == pp.loggedLines[class] {
+			continue
 		}
+		pp.loggedLines[class] = lines
+		pp.proxy.logEvent(eventlog.Event{What: eventlog.Lines, Kind: name, N: lines})
 	}
 }
 
-// dial tries one pilot after another until one takes the stream.
-func (li *proxyProcess) dial(n int) {
-	p := li.proxy
-	if p.process != li {
+// dial tries to join a pilot, the next one in order for each failed attempt.
+func (pp *proxyProcess) dial(attempt int) {
+	p := pp.proxy
+	if p.process != pp {
 		return
 	}
 	pilots := p.w.reachablePilots(p)
-	if len(pilots) > 0 {
-		if s := pilots[n%len(pilots)]; s.running() && p.w.network.open(p.place, s.place) {
-			p.w.After(2*p.w.network.delay(p.place, s.place), func() {
-				if p.process != li || li.stream != nil {
-					return
-				}
-				if !s.running() || !p.w.network.open(p.place, s.place) {
-					li.redial(n + 1)
-					return
-				}
-				li.join(s)
-			})
+	if len(pilots) == 0 {
+		pp.redial(attempt + 1)
+		return
+	}
+	pilot := pilots[attempt%len(pilots)]
+	if !pp.canReach(pilot) {
+		pp.redial(attempt + 1)
+		return
+	}
+	roundTripMs := 2 * p.w.network.delay(p.place, pilot.place)
+	p.w.After(roundTripMs, func() {
+		if p.process != pp || pp.stream != nil {
 			return
 		}
-	}
-	li.redial(n + 1)
+		if !pp.canReach(pilot) {
+			pp.redial(attempt + 1)
+			return
+		}
+		pp.join(pilot)
+	})
 }
 
-func (li *proxyProcess) redial(n int) {
-	li.proxy.w.After((0.5+li.random.Float64())*li.proxy.w.redialMs, func() { li.dial(n) })
+func (pp *proxyProcess) canReach(pilot *emulatedPilot) bool {
+	return pilot.running() && pp.proxy.w.network.open(pp.proxy.place, pilot.place)
 }
 
-func (li *proxyProcess) join(to *emulatedPilot) {
-	p := li.proxy
-	hello := wire.Hello{Version: wire.Version, Proxy: p.place.name, Zone: p.place.zone, Boot: uint64(p.starts), Rate: p.rate,
-		Fresh: li.follower.Fresh(), Holds: li.follower.Holds(), Tables: li.follower.Tables()}
-	li.stream = &stream{w: p.w, process: li, pilot: to, pilotProcess: to.process}
-	to.streams[li.stream] = true
-	li.follower.Joined()
-	li.reportRequest = routing.ReportRequest{}
-	p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Join, Peer: to.place.name, Kind: p.place.zone})
-	to.post(controller.ProxyJoined{Stream: li.stream, Hello: hello})
-	li.reportPeriodMs = p.w.reportPeriodMs
-	li.scheduleReport(li.stream, li.reportPeriodMs*li.random.Float64())
+// redial dials after a pause, spread so that proxies do not come back all at once.
+func (pp *proxyProcess) redial(attempt int) {
+	jitter := 0.5 + pp.random.Float64()
+	pp.proxy.w.After(jitter*pp.proxy.w.redialMs, func() { pp.dial(attempt) })
 }
 
-// scheduleReport sends sums each period while a stream lasts.
-func (li *proxyProcess) scheduleReport(s *stream, in float64) {
-	li.proxy.w.After(in, func() {
-		if li.stream != s {
+// join opens the stream to a pilot and begins to report.
+func (pp *proxyProcess) join(pilot *emulatedPilot) {
+	p := pp.proxy
+	hello := wire.Hello{
+		Version: wire.Version,
+		Proxy:   p.place.name,
+		Zone:    p.place.zone,
+		Boot:    uint64(p.starts),
+		Rate:    p.rate,
+		Fresh:   pp.follower.Fresh(),
+		Holds:   pp.follower.Holds(),
+		Tables:  pp.follower.Tables(),
+	}
+	pp.stream = &stream{w: p.w, process: pp, pilot: pilot, pilotProcess: pilot.process}
+	pilot.streams[pp.stream] = true
+	pp.follower.Joined()
+	pp.reportRequest = routing.ReportRequest{}
+	p.logEvent(eventlog.Event{What: eventlog.Join, Peer: pilot.place.name, Kind: p.place.zone})
+	pilot.post(controller.ProxyJoined{Stream: pp.stream, Hello: hello})
+	pp.reportPeriodMs = p.w.reportPeriodMs
+	firstMs := pp.reportPeriodMs * pp.random.Float64() // so that proxies do not report all at once
+	pp.scheduleReport(pp.stream, firstMs)
+}
+
+// scheduleReport sends a report after a delay and one each period from then on, until the stream ends.
+func (pp *proxyProcess) scheduleReport(s *stream, delayMs float64) {
+	pp.proxy.w.After(delayMs, func() {
+		if pp.stream != s {
 			return
 		}
-		sums := li.follower.Sums(li.proxy.w.now, li.reportRequest)
+		sums := pp.follower.Sums(pp.proxy.w.now, pp.reportRequest)
 		s.sendUp(func() { s.pilot.report(s, sums) })
-		li.scheduleReport(s, li.reportPeriodMs/li.proxy.reportFactor)
+		pp.scheduleReport(s, pp.reportPeriodMs/pp.proxy.reportFactor)
 	})
 }
 
-// apply carries out a message; the proxy stands still for as long as its lines take.
-func (li *proxyProcess) apply(s *stream, o *wire.Orders, traced func(what string, from float64)) {
-	p := li.proxy
+// apply carries out a message of the pilot; the proxy forwards nothing for as long as its lines take. Traced, if not
+// nil, is told when the message has been applied, and since when it was there.
+func (pp *proxyProcess) apply(s *stream, message *wire.Orders, traced spanEnd) {
+	p := pp.proxy
 	if p.muted {
-		s.unread = append(s.unread, func() { li.apply(s, o, traced) })
+		s.unread = append(s.unread, func() { pp.apply(s, message, traced) })
 		return
 	}
-	came := p.w.now
-	p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Got, Peer: s.pilot.place.name, N: o.Lines, Value: o.AgeMs, Since: s.pilot.process.startedAt + o.AtMs})
-	li.busyUntil = max(li.busyUntil, p.w.now) + float64(len(o.Ops))*p.w.applyMs
-	p.w.At(li.busyUntil, func() {
-		if p.process != li || li.stream != s {
+	receivedAt := p.w.now
+	p.logEvent(eventlog.Event{
+		What:  eventlog.Got,
+		Peer:  s.pilot.place.name,
+		N:     message.Lines,
+		Value: message.AgeMs,
+		Since: s.pilot.process.startedAt + message.AtMs,
+	})
+	pp.busyUntil = max(pp.busyUntil, p.w.now) + float64(len(message.Ops))*p.w.applyMs
+	p.w.At(pp.busyUntil, func() {
+		if p.process != pp || pp.stream != s {
 			return
 		}
-		marks := li.follower.Apply(o.Ops)
-		traced("apply", came)
-		li.logLines()
-		li.closeUnused()
-		for _, n := range marks {
-			took := p.w.now - came
-			s.sendUp(func() { s.pilot.post(controller.Acked{Stream: s, Done: wire.Done{Mark: n, TookMs: took}}) })
+		ackRequests := pp.follower.Apply(message.Ops)
+		traced.end(spanApply, receivedAt)
+		pp.logLines()
+		pp.closeUnused()
+		for _, mark := range ackRequests {
+			pp.acknowledge(s, mark, p.w.now-receivedAt)
 		}
 	})
 }
 
-// closeUnused closes connections to endpoints that no table names any more; what is under way over them ends as it will.
-func (li *proxyProcess) closeUnused() {
-	if len(li.connections) == 0 {
+// acknowledge tells the pilot that everything sent before an ack request has been applied.
+func (pp *proxyProcess) acknowledge(s *stream, mark int, tookMs float64) {
+	s.sendUp(func() {
+		s.pilot.post(controller.Acked{Stream: s, Done: wire.Done{Mark: mark, TookMs: tookMs}})
+	})
+}
+
+// closeUnused closes the connections to endpoints that no table names any more, unless something is in flight on them.
+func (pp *proxyProcess) closeUnused() {
+	if len(pp.connections) == 0 {
 		return
 	}
 	held := map[string]bool{}
-	for _, name := range li.follower.Holds() {
+	for _, name := range pp.follower.Holds() {
 		held[name] = true
 	}
-	for name, c := range li.connections {
-		if !held[name] && len(c.attempts) == 0 {
-			delete(li.connections, name)
-			if c.process != nil {
-				delete(c.process.connections, li.proxy.place.name)
-			}
+	for name, c := range pp.connections {
+		if held[name] || len(c.attempts) > 0 {
+			continue
+		}
+		delete(pp.connections, name)
+		if c.process != nil {
+			delete(c.process.connections, pp.proxy.place.name)
 		}
 	}
 }
--- a/internal/emulator/registry.go
+++ b/internal/emulator/registry.go
@@ -9,7 +9,22 @@
 	"indigousher/internal/wire"
 )
 
-// registry is the endpoint list: it tells those who follow it of changes, late.
+// registryName is the registry's name, and who logs what it tells pilots.
+const registryName = "list"
+
+// epochMs is the registry's clock at the start of the run, in Unix ms.
+const epochMs = 1e12
+
+// listSilenceMs is after how long a pilot takes a silent endpoint list for lost.
+const listSilenceMs = 2000
+
+// longAgo is the age in a logged list entry of an endpoint whose start is not known.
+const longAgo = -1.0
+
+// snapshotMarker is Event.N where a snapshot of the list begins.
+const snapshotMarker = -1
+
+// registry is the source of the endpoint list. It notifies the pilots that watch it of changes, with a delay.
 type registry struct {
 	w        *World
 	place    place
@@ -18,144 +33,169 @@
 	version  int
 	stopped  bool
 	watchers map[*emulatedPilot]*pilotProcess
-	silentMs float64 // after which a pilot takes a silent list for lost
 }
 
-// epochMs is the list's clock at the emulator's start.
-const epochMs = 1e12
+func newRegistry(w *World) *registry {
+	return &registry{
+		w:        w,
+		place:    place{name: registryName},
+		entries:  map[string]wire.Entry{},
+		slices:   map[int]wire.Slices{},
+		watchers: map[*emulatedPilot]*pilotProcess{},
+	}
+}
+
+// listAll puts all endpoints on the list at once.
+func (w *World) listAll() {
+	var all []wire.Entry
+	for _, endpoint := range w.endpoints {
+		all = append(all, w.entries[endpoint.Name])
+	}
+	w.registry.update(0, all...)
+}
 
-func (l *registry) clock() uint64 { return uint64(epochMs + l.w.now) }
+// updateEntry changes an endpoint's entry, and the list after a delay in ms.
+func (w *World) updateEntry(name string, delayMs float64, change func(*wire.Entry)) {
+	entry := w.entries[name]
+	change(&entry)
+	w.entries[name] = entry
+	w.registry.update(delayMs, entry)
+}
 
-// update changes entries after a while.
-func (l *registry) update(after float64, entries ...wire.Entry) {
-	l.w.After(after, func() {
-		l.version++
-		for _, e := range entries {
-			if e.Phase == wire.PhaseGone {
-				delete(l.entries, e.Endpoint)
+// setPhase changes the phase of an endpoint, and the list after a delay in ms.
+func (w *World) setPhase(name string, delayMs float64, phase int) {
+	w.updateEntry(name, delayMs, func(entry *wire.Entry) { entry.Phase = phase })
+}
+
+// clock returns the registry's time in Unix ms.
+func (r *registry) clock() uint64 { return uint64(epochMs + r.w.now) }
+
+// update changes entries after a delay in ms and notifies the watchers.
+func (r *registry) update(delayMs float64, entries ...wire.Entry) {
+	r.w.After(delayMs, func() {
+		r.version++
+		for _, entry := range entries {
+			if entry.Phase == wire.PhaseGone {
+				delete(r.entries, entry.Endpoint)
 			} else {
-				l.entries[e.Endpoint] = e
+				r.entries[entry.Endpoint] = entry
 			}
 		}
-		if l.stopped {
+		if r.stopped {
 			return
 		}
-		for _, s := range l.w.pilots {
-			if r := l.watchers[s]; r != nil && s.process == r {
-				l.notify(s, r, &wire.List{Version: l.version, Now: l.clock(), Entries: entries})
-			}
-		}
+		r.eachWatcher(func(pilot *emulatedPilot, process *pilotProcess) {
+			r.notify(pilot, process, &wire.List{Version: r.version, Now: r.clock(), Entries: entries})
+		})
 	})
 }
 
-// notify brings a message to a pilot, and leaves in the trail what it is told.
-func (l *registry) notify(s *emulatedPilot, r *pilotProcess, m *wire.List) {
-	l.w.network.carry(l.place, s.place, func() {
-		if s.process != r || l.stopped {
-			return
-		}
-		if m.Whole {
-			l.w.logEvent("list", eventlog.Event{What: eventlog.Told, Peer: s.place.name, N: -1})
+// eachWatcher visits the watching processes that still run, in the order of the pilots.
+func (r *registry) eachWatcher(visit func(*emulatedPilot, *pilotProcess)) {
+	for _, pilot := range r.w.pilots {
+		if process := r.watchers[pilot]; process != nil && pilot.process == process {
+			visit(pilot, process)
 		}
-		for _, e := range m.Entries {
-			age := -1.0
-			if e.Started != 0 {
-				age = float64(m.Now - e.Started)
-			}
-			l.w.logEvent("list", eventlog.Event{What: eventlog.Told, Peer: s.place.name, Text: e.Endpoint, Kind: e.Zone + "/" + e.Machine,
-				N: e.Phase, Value: age})
+	}
+}
+
+// notify brings a message to a pilot's process and logs what the pilot learns.
+func (r *registry) notify(pilot *emulatedPilot, process *pilotProcess, list *wire.List) {
+	r.w.network.carry(r.place, pilot.place, func() {
+		if pilot.process != process || r.stopped {
+			return
 		}
-		s.post(controller.EndpointsListed{List: m})
+		r.logNotified(pilot, list)
+		pilot.post(controller.EndpointsListed{List: list})
 	})
 }
 
-// watch has a pilot told of changes from now on.
-func (l *registry) watch(s *emulatedPilot, r *pilotProcess) {
-	l.w.network.carry(s.place, l.place, func() {
-		if !l.stopped {
-			l.watchers[s] = r
+func (r *registry) logNotified(pilot *emulatedPilot, list *wire.List) {
+	if list.Whole {
+		r.w.logEvent(registryName, eventlog.Event{What: eventlog.Told, Peer: pilot.place.name, N: snapshotMarker})
+	}
+	for _, entry := range list.Entries {
+		age := longAgo
+		if entry.Started != 0 {
+			age = float64(list.Now - entry.Started)
+		}
+		r.w.logEvent(registryName, eventlog.Event{
+			What:  eventlog.Told,
+			Peer:  pilot.place.name,
+			Text:  entry.Endpoint,
+			Kind:  entry.Zone + "/" + entry.Machine,
+			N:     entry.Phase,
+			Value: age,
+		})
+	}
+}
+
+// watch has a pilot's process notified of changes from now on.
+func (r *registry) watch(pilot *emulatedPilot, process *pilotProcess) {
+	r.w.network.carry(pilot.place, r.place, func() {
+		if !r.stopped {
+			r.watchers[pilot] = process
 		}
 	})
 }
 
-// sendSnapshot sends everything once.
-func (l *registry) sendSnapshot(s *emulatedPilot, r *pilotProcess) {
-	l.w.network.carry(s.place, l.place, func() {
-		l.watchers[s] = r
-		if l.stopped {
-			l.w.After(l.silentMs, func() {
-				if s.process == r {
-					s.post(controller.EndpointListLost{})
+// sendSnapshot answers a pilot's request for the complete list. While the registry is stopped the pilot takes the list
+// for lost after a while.
+func (r *registry) sendSnapshot(pilot *emulatedPilot, process *pilotProcess) {
+	r.w.network.carry(pilot.place, r.place, func() {
+		r.watchers[pilot] = process
+		if r.stopped {
+			r.w.After(listSilenceMs, func() {
+				if pilot.process == process {
+					pilot.post(controller.EndpointListLost{})
 				}
 			})
 			return
 		}
-		m := &wire.List{Version: l.version, Now: l.clock(), Whole: true}
-		for _, name := range slices.Sorted(maps.Keys(l.entries)) {
-			m.Entries = append(m.Entries, l.entries[name])
+		snapshot := &wire.List{Version: r.version, Now: r.clock(), Whole: true}
+		for _, name := range slices.Sorted(maps.Keys(r.entries)) {
+			snapshot.Entries = append(snapshot.Entries, r.entries[name])
 		}
-		l.notify(s, r, m)
-		for _, i := range slices.Sorted(maps.Keys(l.slices)) {
-			l.sendSlice(s, r, l.slices[i])
+		r.notify(pilot, process, snapshot)
+		for _, slice := range slices.Sorted(maps.Keys(r.slices)) {
+			r.sendSlice(pilot, process, r.slices[slice])
 		}
 	})
 }
 
-func (l *registry) sendSlice(s *emulatedPilot, r *pilotProcess, x wire.Slices) {
-	l.w.network.carry(l.place, s.place, func() {
-		if s.process == r && !l.stopped {
-			s.post(controller.SliceAssigned{Slices: &x})
-		}
-	})
+// assignSlice keeps a slice's owner and notifies the watchers.
+func (r *registry) assignSlice(assignment wire.Slices) {
+	r.slices[assignment.Slice] = assignment
+	r.eachWatcher(func(pilot *emulatedPilot, process *pilotProcess) { r.sendSlice(pilot, process, assignment) })
 }
 
-// assignSlice gives a slice into the charge of all that follow or will.
-func (l *registry) assignSlice(x wire.Slices) {
-	l.slices[x.Slice] = x
-	for _, s := range l.w.pilots {
-		if r := l.watchers[s]; r != nil && s.process == r {
-			l.sendSlice(s, r, x)
+func (r *registry) sendSlice(pilot *emulatedPilot, process *pilotProcess, assignment wire.Slices) {
+	r.w.network.carry(r.place, pilot.place, func() {
+		if pilot.process == process && !r.stopped {
+			pilot.post(controller.SliceAssigned{Slices: &assignment})
 		}
-	}
+	})
 }
 
-// stop takes the list away; pilots notice after a silence.
-func (l *registry) stop() {
-	l.stopped = true
-	for _, s := range l.w.pilots {
-		if r := l.watchers[s]; r != nil && s.process == r {
-			l.w.After(l.silentMs, func() {
-				if s.process == r && l.stopped {
-					s.post(controller.EndpointListLost{})
-				}
-			})
-		}
-	}
+// stop takes the registry away. The pilots notice by its silence, unless it is back by then.
+func (r *registry) stop() {
+	r.stopped = true
+	r.eachWatcher(func(pilot *emulatedPilot, process *pilotProcess) {
+		r.w.After(listSilenceMs, func() {
+			if pilot.process == process && r.stopped {
+				pilot.post(controller.EndpointListLost{})
+			}
+		})
+	})
 }
 
-// resume brings it back: those who followed dial again and are told everything.
-func (l *registry) resume() {
-	l.stopped = false
-	for _, s := range l.w.pilots {
-		if r := s.process; r != nil {
-			l.watchers[s] = r
-			l.sendSnapshot(s, r)
+// resume brings the registry back: all running pilots connect again and get a snapshot.
+func (r *registry) resume() {
+	r.stopped = false
+	for _, pilot := range r.w.pilots {
+		if process := pilot.process; process != nil {
+			r.watchers[pilot] = process
+			r.sendSnapshot(pilot, process)
 		}
 	}
 }
-
-func (w *World) listAll() {
-	var all []wire.Entry
-	for _, m := range w.endpoints {
-		all = append(all, w.entries[m.Name])
-	}
-	w.registry.update(0, all...)
-}
-
-// updateEntry changes an endpoint's entry and has the list say so after a while.
-func (w *World) updateEntry(name string, after float64, change func(*wire.Entry)) {
-	e := w.entries[name]
-	change(&e)
-	w.entries[name] = e
-	w.registry.update(after, e)
-}
--- a/internal/emulator/sharing.go
+++ b/internal/emulator/sharing.go
@@ -1,55 +1,67 @@
 package emulator
 
-import (
-	"math"
-)
+import "math"
 
-// countSharedWork counts off the work done since the last turn: each task in hand gets its part of the cores.
-func (m *emulatedEndpoint) countSharedWork(r *endpointProcess) {
-	span := m.w.now - max(r.countedAt, min(m.pausedUntil, m.w.now))
-	r.countedAt = m.w.now
-	n := len(r.sharing)
-	if n == 0 || span <= 0 {
+// workToleranceMs is less work than counts; rounding may leave it of a request that is done.
+const workToleranceMs = 1e-9
+
+// countSharedWork counts off the work done since the last time: each request in flight has its part of the cores.
+func (e *emulatedEndpoint) countSharedWork(process *endpointProcess) {
+	spanMs := e.w.now - max(process.countedAt, min(e.pausedUntil, e.w.now))
+	process.countedAt = e.w.now
+	inFlight := len(process.sharing)
+	if inFlight == 0 || spanMs <= 0 {
 		return
 	}
-	each := min(1, float64(m.Cores)/float64(n)) * m.Speed * m.warmth(r) * span
-	for _, t := range r.sharing {
-		t.workMs -= each
+	done := e.shareOfCores(inFlight) * e.Speed * e.warmth(process) * spanMs
+	for _, t := range process.sharing {
+		t.workMs -= done
 	}
-	r.busyMs += span * float64(min(n, m.Cores))
+	process.busyMs += spanMs * float64(min(inFlight, e.Cores))
+}
+
+// shareOfCores returns how much of a core each of some requests has.
+func (e *emulatedEndpoint) shareOfCores(requests int) float64 {
+	return min(1, float64(e.Cores)/float64(requests))
 }
 
-// scheduleSharedEnd wakes when the task with the least work left is done.
-func (m *emulatedEndpoint) scheduleSharedEnd(r *endpointProcess) {
-	n := len(r.sharing)
-	if n == 0 {
+// scheduleSharedEnd sets the timer for when the request with the least work left is done. Each call makes earlier timers
+// void, since the requests' parts have changed.
+func (e *emulatedEndpoint) scheduleSharedEnd(process *endpointProcess) {
+	inFlight := len(process.sharing)
+	if inFlight == 0 {
 		return
 	}
-	least := math.Inf(1)
-	for _, t := range r.sharing {
-		least = min(least, t.workMs)
+	leastMs := math.Inf(1)
+	for _, t := range process.sharing {
+		leastMs = min(leastMs, t.workMs)
 	}
-	speed := min(1, float64(m.Cores)/float64(n)) * m.Speed * m.warmth(r)
-	r.wakeNumber++
-	number := r.wakeNumber
-	m.w.After(max(0, least/speed)+max(0, m.pausedUntil-m.w.now), func() {
-		if m.process != r || r.wakeNumber != number {
+	speed := e.shareOfCores(inFlight) * e.Speed * e.warmth(process)
+	process.wakeNumber++
+	number := process.wakeNumber
+	e.w.After(max(0, leastMs/speed)+max(0, e.pausedUntil-e.w.now), func() {
+		if e.process != process || process.wakeNumber != number {
 			return
 		}
-		m.countSharedWork(r)
-		kept := r.sharing[:0]
-		var done []*task
-		for _, t := range r.sharing {
-			if t.workMs <= 1e-9 {
-				done = append(done, t)
-			} else {
-				kept = append(kept, t)
-			}
-		}
-		r.sharing = kept
-		for _, t := range done {
-			m.finish(r, t)
+		e.countSharedWork(process)
+		for _, t := range process.takeDone() {
+			e.finish(process, t)
 		}
-		m.scheduleSharedEnd(r)
+		e.scheduleSharedEnd(process)
 	})
 }
+
+// takeDone removes the requests that are done and returns them.
+func (p *endpointProcess) takeDone() []*task {
+	left := p.sharing[:0]
+	var done []*task
+	for _, t := range p.sharing {
+		if t.workMs <= workToleranceMs {
+			done = append(done, t)
+		} else {
+			left = append(left, t)
+		}
+	}
+	p.sharing = left
+	return done
+}
--- a/internal/emulator/slices.go
+++ b/internal/emulator/slices.go
@@ -9,33 +9,47 @@
 	"indigousher/internal/wire"
 )
 
-// assignSlices has the store give each slice to one endpoint, in turn.
+// rehearsalName is who logs what the run itself does.
+const rehearsalName = "rehearsal"
+
+// assignSlices gives the slices of the key space to the endpoints, in turn.
 func (w *World) assignSlices() {
-	for i := range w.Scenario.Slices {
-		w.sliceOwners = append(w.sliceOwners, w.endpoints[i%len(w.endpoints)].Name)
-		w.announceSlice(i)
+	for slice := range w.Scenario.Slices {
+		owner := w.endpoints[slice%len(w.endpoints)]
+		w.sliceOwners = append(w.sliceOwners, owner.Name)
+		w.announceSlice(slice)
 	}
 }
 
-func (w *World) announceSlice(i int) {
-	x := wire.Slices{Slice: i, Given: true, From: loadgen.Key(i * scenario.KeysPerSlice), To: loadgen.Key((i + 1) * scenario.KeysPerSlice),
-		Lines: []wire.HeldLine{{Endpoint: w.sliceOwners[i], Weight: 1}}}
-	w.logEvent("rehearsal", eventlog.Event{What: eventlog.Given, Peer: w.sliceOwners[i], N: i, Text: x.From})
-	w.registry.assignSlice(x)
+// announceSlice has the registry notify the pilots of a slice's owner.
+func (w *World) announceSlice(slice int) {
+	owner := w.sliceOwners[slice]
+	assignment := wire.Slices{
+		Slice: slice,
+		Given: true,
+		From:  loadgen.Key(slice * scenario.KeysPerSlice),
+		To:    loadgen.Key((slice + 1) * scenario.KeysPerSlice),
+		Lines: []wire.HeldLine{{Endpoint: owner, Weight: 1}},
+	}
+	w.logEvent(rehearsalName, eventlog.Event{What: eventlog.Given, Peer: owner, N: slice, Text: assignment.From})
+	w.registry.assignSlice(assignment)
 }
 
-// moveSlices has the store give the slices of some endpoints to the others, in turn.
+// moveSlices gives the slices of some endpoints to the others, in turn.
 func (w *World) moveSlices(from []*emulatedEndpoint) {
-	var stay []string
-	for _, m := range w.endpoints {
-		if !slices.Contains(from, m) {
-			stay = append(stay, m.Name)
+	var staying []string
+	for _, endpoint := range w.endpoints {
+		if !slices.Contains(from, endpoint) {
+			staying = append(staying, endpoint.Name)
 		}
 	}
-	for i, owner := range w.sliceOwners {
-		if slices.Contains(from, w.endpointByName[owner]) && len(stay) > 0 {
-			w.sliceOwners[i] = stay[i%len(stay)]
-			w.announceSlice(i)
+	if len(staying) == 0 {
+		return
+	}
+	for slice, owner := range w.sliceOwners {
+		if slices.Contains(from, w.endpointByName[owner]) {
+			w.sliceOwners[slice] = staying[slice%len(staying)]
+			w.announceSlice(slice)
 		}
 	}
 }
--- a/internal/emulator/stream.go
+++ b/internal/emulator/stream.go
@@ -9,30 +9,47 @@
 	"indigousher/internal/wire"
 )
 
-// stream is a proxy's to a pilot. It implements pilot.Stream.
+// stream is a proxy's stream to a pilot. It implements controller.Stream.
 type stream struct {
 	w            *World
 	process      *proxyProcess
 	pilot        *emulatedPilot
 	pilotProcess *pilotProcess
 	ended        bool
-	unread       []func() // messages that a proxy which does not read will apply
+	unread       []func() // messages that a muted proxy has yet to apply
 }
 
-// Send brings orders down. A proxy that does not read has its stream cut once it has not read for the time it may.
-func (s *stream) Send(o *wire.Orders) error {
-	traced := func(string, float64) {}
-	if t := s.w.Trace; t != nil && s.pilotProcess != nil {
-		d, left := t.recordMessage(s.pilotProcess, s.process.proxy.place.name, min(s.pilotProcess.startedAt+o.AtMs, s.w.now), o.Lines), s.w.now
-		traced = func(what string, from float64) {
-			t.recordPart(d, what, s.process.proxy.place.name, max(from, left), s.w.now, o.Lines)
+// isCurrent returns whether the stream goes to the proxy's present process.
+func (s *stream) isCurrent() bool { return !s.ended && s.process.proxy.process == s.process }
+
+// reachesPilot returns whether the pilot's process is still the one that the proxy joined.
+func (s *stream) reachesPilot() bool {
+	return s.pilotProcess != nil && s.pilot.process == s.pilotProcess
+}
+
+// sendDown brings something to the proxy.
+func (s *stream) sendDown(deliver func()) {
+	s.w.network.carry(s.pilot.place, s.process.proxy.place, deliver)
+}
+
+// sendUp brings something to the pilot.
+func (s *stream) sendUp(deliver func()) {
+	s.w.network.carry(s.process.proxy.place, s.pilot.place, func() {
+		if !s.ended && s.reachesPilot() {
+			deliver()
 		}
-	}
-	left := s.w.now
-	s.w.network.carry(s.pilot.place, s.process.proxy.place, func() {
-		if !s.ended && s.process.proxy.process == s.process {
-			traced("way", left)
-			s.process.apply(s, o, traced)
+	})
+}
+
+// Send brings a message with commands to the proxy. A muted proxy has its stream ended once it has read nothing for as
+// long as it may.
+func (s *stream) Send(message *wire.Orders) error {
+	traced := s.trace(message)
+	sentAt := s.w.now
+	s.sendDown(func() {
+		if s.isCurrent() {
+			traced.end(spanNetwork, sentAt)
+			s.process.apply(s, message, traced)
 		}
 	})
 	if s.process.proxy.muted {
@@ -45,56 +62,66 @@
 	return nil
 }
 
-// Ask brings a wish for reports down.
-func (s *stream) Ask(m *wire.Pace) error {
-	s.w.network.carry(s.pilot.place, s.process.proxy.place, func() {
+// trace notes that a message leaves the channel, and returns what notes the further parts of its way; nil without a
+// tracer.
+func (s *stream) trace(message *wire.Orders) spanEnd {
+	tracer := s.w.Trace
+	if tracer == nil || s.pilotProcess == nil {
+		return nil
+	}
+	proxy := s.process.proxy.place.name
+	decidedAt := min(s.pilotProcess.startedAt+message.AtMs, s.w.now)
+	decision := tracer.recordMessage(s.pilotProcess, proxy, decidedAt, message.Lines)
+	sentAt := s.w.now
+	return func(name string, from float64) {
+		tracer.recordPart(decision, name, proxy, max(from, sentAt), s.w.now, message.Lines)
+	}
+}
+
+// Ask brings the pilot's wishes for load reports to the proxy.
+func (s *stream) Ask(pace *wire.Pace) error {
+	s.sendDown(func() {
 		if !s.ended && s.process.proxy.heedsPace {
-			s.process.reportRequest = routing.ReportRequest{Lines: m.Lines, Changes: m.Changes}
-			s.process.reportPeriodMs = math.Max(1, float64(m.PeriodMs))
+			s.process.reportRequest = routing.ReportRequest{Lines: pace.Lines, Changes: pace.Changes}
+			s.process.reportPeriodMs = math.Max(1, float64(pace.PeriodMs))
 		}
 	})
 	return nil
 }
 
-// Close ends it from the pilot's side.
+// Close ends the stream from the pilot's side, once the present turn is over.
 func (s *stream) Close(string) { s.w.After(0, func() { s.end(true) }) }
 
-// sendUp brings something to the pilot.
-func (s *stream) sendUp(do func()) {
-	s.w.network.carry(s.process.proxy.place, s.pilot.place, func() {
-		if !s.ended && s.pilot.process == s.pilotProcess && s.pilotProcess != nil {
-			do()
-		}
-	})
-}
-
-// end ends it on both sides; the pilot hears of it, and the proxy dials again.
+// end ends the stream on both sides: the pilot is notified, and the proxy dials again if it is to.
 func (s *stream) end(redial bool) {
 	if s.ended {
 		return
 	}
 	s.ended = true
 	delete(s.pilot.streams, s)
-	if s.pilot.process == s.pilotProcess && s.pilotProcess != nil {
+	if s.reachesPilot() {
 		s.pilot.post(controller.ProxyLeft{Stream: s})
 	}
 	if s.process.stream != s {
 		return
 	}
 	s.process.stream = nil
-	if s.process.proxy.process == s.process {
-		s.w.logEvent(s.process.proxy.place.name, eventlog.Event{What: eventlog.Leave, Peer: s.pilot.place.name})
-		if redial {
-			s.process.redial(0)
-		}
+	proxy := s.process.proxy
+	if proxy.process != s.process {
+		return
+	}
+	proxy.logEvent(eventlog.Event{What: eventlog.Leave, Peer: s.pilot.place.name})
+	if redial {
+		s.process.redial(0)
 	}
 }
 
-// streamsOf lists a pilot's streams by proxy.
-func (w *World) streamsOf(s *emulatedPilot) (list []*stream) {
-	for _, p := range w.proxies {
-		if p.process != nil && p.process.stream != nil && s.streams[p.process.stream] {
-			list = append(list, p.process.stream)
+// streamsOf lists a pilot's streams, in the order of the proxies.
+func (w *World) streamsOf(pilot *emulatedPilot) []*stream {
+	var list []*stream
+	for _, proxy := range w.proxies {
+		if s := proxy.stream(); s != nil && pilot.streams[s] {
+			list = append(list, s)
 		}
 	}
 	return list
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -6,8 +6,6 @@
 	"math/rand/v2"
 	"slices"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"indigousher/internal/audit"
 	"indigousher/internal/config"
 	"indigousher/internal/controller"
@@ -18,79 +16,99 @@
 	"indigousher/planner"
 )
 
-// World is a day under way.
+// World holds everything that takes part in a run.
 type World struct {
 	Play
 	Clock
-	random           *rand.Rand
-	network          *network
-	registry         *registry
-	endpoints        []*emulatedEndpoint
-	endpointByName   map[string]*emulatedEndpoint
-	entries          map[string]wire.Entry // as they truly are
-	sliceOwners      []string
-	proxies          []*emulatedProxy
-	pilots           []*emulatedPilot
+	random *rand.Rand // draws in the order of events
+
+	network        *network
+	registry       *registry
+	endpoints      []*emulatedEndpoint
+	endpointByName map[string]*emulatedEndpoint
+	entries        map[string]wire.Entry // endpoints as they truly are, whatever the registry has been told
+	dialDelayMs    map[string]float64    // that a fault adds to new connections, by endpoint
+	proxies        []*emulatedProxy
+	pilots         []*emulatedPilot
+	sliceOwners    []string // endpoints, by slice
+
+	// By request class, in the order of the scenario.
 	classIndex       map[string]int
-	timeoutsMs       []float64
-	attemptDeadlines []*deadlineQueue // of tries, by kind
-	clientDeadlines  []*deadlineQueue // of clients
-	targetsMs        []float64
-	dialDelayMs      map[string]float64
+	timeoutsMs       []float64 // of clients
+	targetsMs        []float64 // latency objectives
+	attemptDeadlines []*deadlineQueue
+	clientDeadlines  []*deadlineQueue
 
-	redialMs, applyMs, reportPeriodMs, firstWaitFactor, muteLimitMs float64
+	// Timing of proxies.
+	redialMs        float64 // mean pause before a proxy dials a pilot again
+	applyMs         float64 // that a proxy takes for each line of a message
+	reportPeriodMs  float64
+	firstWaitFactor float64 // how long a first attempt is waited for, in latency objectives
+	muteLimitMs     float64 // for which a proxy may read nothing before its stream is ended
 
 	auditor     *audit.Auditor
 	digest      eventDigest
 	result      *Outcome
-	Attempts    uint64
-	PilotMs     float64
-	fingerprint string
-	err         error
+	Attempts    uint64  // so far
+	PilotMs     float64 // real time taken by pilots' turns so far
+	fingerprint string  // of what decides; empty where pilots do not record
+	err         error   // ends the run
 }
 
+// worldStream and endpointStream tell the random sequences of one seed apart.
+const (
+	worldStream    = 5
+	endpointStream = 11
+)
+
 func newWorld(p Play) *World {
-	d := p.Scenario
-	w := &World{Play: p, random: rand.New(rand.NewPCG(uint64(d.Seed), 5)), endpointByName: map[string]*emulatedEndpoint{},
-		entries: map[string]wire.Entry{}, classIndex: map[string]int{}, dialDelayMs: map[string]float64{}, redialMs: milliseconds(d.Redial), applyMs: milliseconds(d.Apply),
-		reportPeriodMs: milliseconds(d.Period), firstWaitFactor: d.FirstWait, muteLimitMs: milliseconds(d.DrainGrace) / 2}
-	w.result = &Outcome{Latency: hdrhistogram.New(1, 600_000_000, 3), Load: map[string]float64{}, ZoneOf: map[string]string{}, Malformed: map[string]int{},
-		Starts: map[string][]Start{}}
-	w.network = &network{w: w, zones: map[string]*zoneLink{}, blackholed: map[string]bool{}, oneWayMs: milliseconds(d.Way)}
-	w.registry = &registry{w: w, place: place{name: "list"}, entries: map[string]wire.Entry{}, slices: map[int]wire.Slices{},
-		watchers: map[*emulatedPilot]*pilotProcess{}, silentMs: 2000}
-	w.auditor = audit.New(&d.Common)
-	for i, k := range d.Kinds {
-		w.classIndex[k.Name] = i
-		w.attemptDeadlines, w.clientDeadlines = append(w.attemptDeadlines, &deadlineQueue{w: w}), append(w.clientDeadlines, &deadlineQueue{w: w})
-		w.timeoutsMs, w.targetsMs = append(w.timeoutsMs, milliseconds(k.ClientTimeout)), append(w.targetsMs, milliseconds(k.ResponseTarget))
+	s := p.Scenario
+	w := &World{
+		Play:            p,
+		random:          rand.New(rand.NewPCG(uint64(s.Seed), worldStream)),
+		endpointByName:  map[string]*emulatedEndpoint{},
+		entries:         map[string]wire.Entry{},
+		dialDelayMs:     map[string]float64{},
+		classIndex:      map[string]int{},
+		redialMs:        milliseconds(s.Redial),
+		applyMs:         milliseconds(s.Apply),
+		reportPeriodMs:  milliseconds(s.Period),
+		firstWaitFactor: s.FirstWait,
+		muteLimitMs:     milliseconds(s.DrainGrace) / 2,
+		auditor:         audit.New(&s.Common),
+		result:          newOutcome(),
+	}
+	w.network = newNetwork(w, milliseconds(s.Way))
+	w.registry = newRegistry(w)
+	for i, class := range s.Kinds {
+		w.classIndex[class.Name] = i
+		w.timeoutsMs = append(w.timeoutsMs, milliseconds(class.ClientTimeout))
+		w.targetsMs = append(w.targetsMs, milliseconds(class.ResponseTarget))
+		w.attemptDeadlines = append(w.attemptDeadlines, &deadlineQueue{w: w})
+		w.clientDeadlines = append(w.clientDeadlines, &deadlineQueue{w: w})
 	}
 	if w.Decide == nil {
-		w.Decide = func(seed int64, t map[string]any) controller.Decider { return planner.New(seed, t) }
+		w.Decide = func(seed int64, settings map[string]any) controller.Decider { return planner.New(seed, settings) }
 	}
-	if d.Record {
+	if s.Record {
 		w.fingerprint = record.Fingerprint(w.Decide)
 	}
 	return w
 }
 
-func (w *World) decide(seed int64, t map[string]any) controller.Decider {
-	d := w.Decide(seed, t)
-	return d
-}
-
-// trueLoad tells how busy an endpoint truly is, as a part of its cores, and whether it answers at all.
+// trueLoad returns the busy fraction of an endpoint's cores, and whether it answers at all: what no pilot can know.
 func (w *World) trueLoad(name string) (busy float64, runs bool) {
-	m := w.endpointByName[name]
-	if m == nil || m.process == nil || m.process.collapsed || m.fault.Hang {
+	endpoint := w.endpointByName[name]
+	if endpoint == nil || endpoint.process == nil || endpoint.process.collapsed || endpoint.fault.Hang {
 		return 0, false
 	}
-	return float64(m.process.inFlight) / float64(m.Cores), true
+	return float64(endpoint.process.inFlight) / float64(endpoint.Cores), true
 }
 
-// logEvent adds an event to the trails.
+// logEvent adds an event of the present moment to the event log.
 func (w *World) logEvent(who string, e eventlog.Event) {
-	e.At, e.Who = w.now, who
+	e.At = w.now
+	e.Who = who
 	w.digest.add(&e)
 	if w.Audited {
 		w.auditor.Add(e)
@@ -100,56 +118,93 @@
 	}
 }
 
-func (w *World) logLine(s *emulatedPilot, text string) {
+// logLine hands on a line that a pilot's planner logged.
+func (w *World) logLine(pilot *emulatedPilot, text string) {
 	if w.Log != nil {
-		w.Log(w.now, s.place.name, text)
+		w.Log(w.now, pilot.place.name, text)
 	}
 }
 
-func (w *World) countMalformed(what string, _ []string) { w.result.Malformed[what]++ }
+func (w *World) countMalformed(what string) { w.result.Malformed[what]++ }
 
+// fail ends the run with an error at the next step.
 func (w *World) fail(err error) { w.err = errors.Join(w.err, err) }
 
-// startAll starts endpoints, list, pilots and proxies, in this order.
+// startAll starts endpoints, registry, pilots and proxies, in this order.
 func (w *World) startAll() {
-	d := w.Scenario
-	for gi, g := range d.Groups {
-		for i := range g.Count {
-			w.addEndpoint(fmt.Sprintf("%s-%s-%d", g.Zone, g.Machine, i), gi, false)
-		}
-	}
-	if !d.ListEmpty {
+	w.startEndpoints()
+	if !w.Scenario.ListEmpty {
 		w.listAll()
 	}
 	w.Until(0)
 	w.assignSlices()
 	if !w.WithoutPilots {
-		for i, z := range d.PilotZones {
-			s := &emulatedPilot{w: w, place: place{fmt.Sprintf("pilot-%d", i), z}, rank: i, streams: map[*stream]bool{}}
-			s.settings = w.pilotSettings(s)
-			w.pilots = append(w.pilots, s)
+		w.startPilots()
+	}
+	w.startProxies()
+}
+
+func (w *World) startEndpoints() {
+	for group, g := range w.Scenario.Groups {
+		for i := range g.Count {
+			w.addEndpoint(fmt.Sprintf("%s-%s-%d", g.Zone, g.Machine, i), group, false)
 		}
-		for _, s := range w.pilots {
-			s.start()
+	}
+}
+
+// startPilots starts the pilots once all are known: the first may send to the others at once.
+func (w *World) startPilots() {
+	for rank, zone := range w.Scenario.PilotZones {
+		pilot := &emulatedPilot{
+			w:       w,
+			place:   place{name: fmt.Sprintf("pilot-%d", rank), zone: zone},
+			rank:    rank,
+			streams: map[*stream]bool{},
 		}
+		pilot.settings = w.pilotSettings(pilot)
+		w.pilots = append(w.pilots, pilot)
 	}
-	counts := map[string]int{}
-	for i, z := range d.ProxyZones {
-		p := &emulatedProxy{w: w, place: place{fmt.Sprintf("proxy-%s-%d", z, counts[z]), z}, rate: d.Rate / float64(len(d.ProxyZones)),
-			home: i, seed: uint64(d.Seed*1000 + i), reportFactor: 1, heedsPace: true,
-			policy: routing.Policy{Kinds: d.ClassNames(), Pick: d.Pick, EjectsAfter: d.EjectsAfter, EjectMs: milliseconds(d.EjectFor),
-				TryAgain: d.RetryHow}}
-		p.heedsPace = !slices.Contains(d.Heedless, p.place.name)
-		counts[z]++
-		w.proxies = append(w.proxies, p)
-		p.start()
+	for _, pilot := range w.pilots {
+		pilot.start()
 	}
 }
 
-func (w *World) pilotSettings(s *emulatedPilot) config.Pilot {
-	t := config.Defaults()
-	t.Common, t.Name, t.Zone, t.Rank, t.Seed = w.Scenario.Common, s.place.name, s.place.zone, s.rank, w.Scenario.Seed+s.rank
-	t.IntakeLinesPerS, t.IntakeStanding = w.Scenario.IntakeLinesPerS, w.Scenario.IntakeStanding
-	t.MaxStreams = max(t.MaxStreams, 2*len(w.Scenario.ProxyZones))
-	return t
+func (w *World) pilotSettings(pilot *emulatedPilot) config.Pilot {
+	settings := config.Defaults()
+	settings.Common = w.Scenario.Common
+	settings.Name = pilot.place.name
+	settings.Zone = pilot.place.zone
+	settings.Rank = pilot.rank
+	settings.Seed = w.Scenario.Seed + pilot.rank
+	settings.IntakeLinesPerS = w.Scenario.IntakeLinesPerS
+	settings.IntakeStanding = w.Scenario.IntakeStanding
+	settings.MaxStreams = max(settings.MaxStreams, 2*len(w.Scenario.ProxyZones))
+	return settings
+}
+
+func (w *World) startProxies() {
+	s := w.Scenario
+	inZone := map[string]int{}
+	for number, zone := range s.ProxyZones {
+		name := fmt.Sprintf("proxy-%s-%d", zone, inZone[zone])
+		inZone[zone]++
+		proxy := &emulatedProxy{
+			w:     w,
+			place: place{name: name, zone: zone},
+			rate:  s.Rate / float64(len(s.ProxyZones)),
+			home:  number,
+			seed:  uint64(s.Seed*1000 + number),
+			policy: routing.Policy{
+				Kinds:       s.ClassNames(),
+				Pick:        s.Pick,
+				EjectsAfter: s.EjectsAfter,
+				EjectMs:     milliseconds(s.EjectFor),
+				TryAgain:    s.RetryHow,
+			},
+			reportFactor: 1,
+			heedsPace:    !slices.Contains(s.Heedless, name),
+		}
+		w.proxies = append(w.proxies, proxy)
+		proxy.start()
+	}
 }
