--- a/internal/rehearsal/faults.go
+++ b/internal/rehearsal/faults.go
@@ -14,7 +14,7 @@
 func (s *stage) playFault(ctx context.Context, t scenario.Fault) error {
 	switch t.What {
 	case "hang", "fast_errors", "class_fail", "handshake_slow", "answers_twice":
-		s.playBehaviour(ctx, t)
+		s.setFaultMode(ctx, t)
 	case "vanish", "crash", "restart", "drain", "preempt", "replace", "flapping":
 		return s.forEachEndpoint(s.faultEndpoints(t), func(e *endpoint.Endpoint, i int) error { return s.playLifecycle(ctx, t, e, i) })
 	case "zone_cut":
--- a/internal/rehearsal/faults_endpoint.go
+++ b/internal/rehearsal/faults_endpoint.go
@@ -30,8 +30,8 @@
 	return struck
 }
 
-// playBehaviour plays what changes how endpoints answer.
-func (s *stage) playBehaviour(ctx context.Context, t scenario.Fault) {
+// setFaultMode plays what changes how endpoints answer.
+func (s *stage) setFaultMode(ctx context.Context, t scenario.Fault) {
 	struck := s.faultEndpoints(t)
 	for _, e := range struck {
 		switch t.What {
--- a/internal/rehearsal/faults_pilot.go
+++ b/internal/rehearsal/faults_pilot.go
@@ -30,7 +30,7 @@
 				if err := s.handOver(st); err != nil {
 					return err
 				}
-				s.stream.Add(eventlog.Event{What: eventlog.Note, Peer: st.name, Text: "handed over"})
+				s.ownLog.Add(eventlog.Event{What: eventlog.Note, Peer: st.name, Text: "handed over"})
 				backoff.Sleep(ctx, t.Every)
 			}
 		}
--- a/internal/rehearsal/faults_proxy.go
+++ b/internal/rehearsal/faults_proxy.go
@@ -22,12 +22,12 @@
 		}
 	case "counter_down":
 		for _, n := range struck {
-			s.unreached[n].Store(true)
+			s.isolated[n].Store(true)
 			by[n].Drop()
 		}
 		backoff.Sleep(ctx, t.For)
 		for _, n := range struck {
-			s.unreached[n].Store(false)
+			s.isolated[n].Store(false)
 		}
 	case "mute_proxy":
 		for _, n := range struck {
--- a/internal/rehearsal/pilots.go
+++ b/internal/rehearsal/pilots.go
@@ -31,7 +31,7 @@
 	process    *process // with Play.Binary
 }
 
-func (s *stage) pilotTerms(st *pilot, rank int) config.Pilot {
+func (s *stage) pilotSettings(st *pilot, rank int) config.Pilot {
 	t := config.Defaults()
 	t.Common, t.Name, t.Zone, t.Rank, t.Seed = s.Scenario.Common, st.name, st.zone, rank, s.Scenario.Seed+rank
 	t.Listen, t.Admin, t.ListAddress = net.JoinHostPort(network.Host, "0"), "", s.registry.Address()
--- a/internal/rehearsal/play.go
+++ b/internal/rehearsal/play.go
@@ -61,9 +61,9 @@
 	}
 	began := time.Now()
 	s := &stage{Play: p, eventLog: eventlog.NewLog(), entries: map[string]wire.Entry{},
-		unreached: map[string]*atomic.Bool{}, muted: map[string]*atomic.Bool{}, reportFactors: map[string]*atomic.Int64{},
+		isolated: map[string]*atomic.Bool{}, muted: map[string]*atomic.Bool{}, reportFactors: map[string]*atomic.Int64{},
 		random: rand.New(rand.NewPCG(uint64(p.Scenario.Seed), 5))}
-	s.stream = s.eventLog.Stream("rehearsal")
+	s.ownLog = s.eventLog.Stream("rehearsal")
 	s.network = network.New(s.eventLog.Stream("links"), uint64(p.Scenario.Seed))
 	s.registry = registry.New(s.eventLog.Stream("list"))
 	defer s.stopAll()
@@ -115,7 +115,7 @@
 	for i, t := range s.Scenario.Faults {
 		wg.Go(func() {
 			if backoff.Sleep(ctx, time.Until(start.Add(t.At))) {
-				s.stream.Add(eventlog.Event{What: eventlog.Note, Text: t.String()})
+				s.ownLog.Add(eventlog.Event{What: eventlog.Note, Text: t.String()})
 				s.Progress("%5.1fs  %s", time.Since(start).Seconds(), t)
 				errs[i] = s.playFault(ctx, t)
 			}
--- a/internal/rehearsal/proxies.go
+++ b/internal/rehearsal/proxies.go
@@ -17,7 +17,7 @@
 	down, mute := &atomic.Bool{}, &atomic.Bool{}
 	times := &atomic.Int64{}
 	times.Store(1000)
-	s.unreached[name], s.muted[name], s.reportFactors[name] = down, mute, times
+	s.isolated[name], s.muted[name], s.reportFactors[name] = down, mute, times
 	var targets, limits []time.Duration
 	for _, k := range s.Scenario.Kinds {
 		targets, limits = append(targets, k.ResponseTarget), append(limits, k.ClientTimeout)
--- a/internal/rehearsal/slices.go
+++ b/internal/rehearsal/slices.go
@@ -12,15 +12,15 @@
 func (s *stage) assignSlices() {
 	for i := range s.Scenario.Slices {
 		s.sliceOwners = append(s.sliceOwners, s.endpoints[i%len(s.endpoints)].Address())
-		s.assignSlice(i)
+		s.announceSlice(i)
 	}
 }
 
-// assignSlice tells pilots what the store holds of a slice.
-func (s *stage) assignSlice(i int) {
+// announceSlice tells pilots what the store holds of a slice.
+func (s *stage) announceSlice(i int) {
 	x := wire.Slices{Slice: i, Given: true, From: loadgen.Key(i * scenario.KeysPerSlice), To: loadgen.Key((i + 1) * scenario.KeysPerSlice),
 		Lines: []wire.HeldLine{{Endpoint: s.sliceOwners[i], Weight: 1}}}
-	s.stream.Add(eventlog.Event{What: eventlog.Given, Peer: s.sliceOwners[i], N: i, Text: x.From})
+	s.ownLog.Add(eventlog.Event{What: eventlog.Given, Peer: s.sliceOwners[i], N: i, Text: x.From})
 	s.registry.Give(x)
 }
 
@@ -41,7 +41,7 @@
 	for i, owner := range s.sliceOwners {
 		if leaving[owner] && len(stay) > 0 {
 			s.sliceOwners[i] = stay[i%len(stay)]
-			s.assignSlice(i)
+			s.announceSlice(i)
 		}
 	}
 }
--- a/internal/rehearsal/stage.go
+++ b/internal/rehearsal/stage.go
@@ -21,14 +21,14 @@
 type stage struct {
 	Play
 	eventLog      *eventlog.Log
-	stream        *eventlog.Stream
+	ownLog        *eventlog.Stream
 	network       *network.Network
 	registry      *registry.Registry
 	mu            sync.Mutex
 	endpoints     []*endpoint.Endpoint
 	entries       map[string]wire.Entry // as they truly are, by name
 	proxies       []*proxy.Proxy
-	unreached     map[string]*atomic.Bool
+	isolated      map[string]*atomic.Bool
 	muted         map[string]*atomic.Bool
 	reportFactors map[string]*atomic.Int64 // how many times as often a proxy reports, in thousandths
 	pilots        []*pilot
@@ -62,7 +62,7 @@
 	if !s.WithoutPilots {
 		for i, z := range s.Scenario.PilotZones {
 			st := &pilot{name: fmt.Sprintf("pilot-%d", i), zone: z}
-			st.settings = s.pilotTerms(st, i)
+			st.settings = s.pilotSettings(st, i)
 			s.pilots = append(s.pilots, st)
 			if err := s.startPilot(st, false); err != nil {
 				return err
