--- a/internal/rehearsal/baselines.go
+++ b/internal/rehearsal/baselines.go
@@ -7,26 +7,30 @@
 	"indigousher/internal/baseline"
 )
 
-// Baselines plays a day with standing tables only and with one even table for all proxies.
+// Baselines plays a scenario with static tables only and with one even table for all proxies, to compare with.
 func Baselines(ctx context.Context, p Play) ([]Column, error) {
-	standing, even := p, p
-	standing.WithoutPilots = true
-	table, err := baseline.Named("even")
+	evenTable, err := baseline.Named("even")
 	if err != nil {
 		return nil, err
 	}
-	even.Decide = Decide(table)
+	static := p
+	static.WithoutPilots = true
+	even := p
+	even.Decide = Decide(evenTable)
 	var columns []Column
-	for _, c := range []struct {
+	for _, b := range []struct {
 		name string
 		play Play
-	}{{"standing tables", standing}, {"one even table", even}} {
-		p.Progress("baseline: %s", c.name)
-		o, err := c.play.Run(ctx)
+	}{
+		{"standing tables", static},
+		{"one even table", even},
+	} {
+		p.Progress("baseline: %s", b.name)
+		outcome, err := b.play.Run(ctx)
 		if err != nil {
-			return nil, fmt.Errorf("baseline %s: %w", c.name, err)
+			return nil, fmt.Errorf("baseline %s: %w", b.name, err)
 		}
-		columns = append(columns, Column{c.name, o})
+		columns = append(columns, Column{Name: b.name, Outcome: outcome})
 	}
 	return columns, nil
 }
--- a/internal/rehearsal/endpoints.go
+++ b/internal/rehearsal/endpoints.go
@@ -10,46 +10,92 @@
 	"indigousher/internal/wire"
 )
 
-// addEndpoint starts an endpoint of a group.
-func (s *stage) addEndpoint(name string, group int, cold bool) (*endpoint.Endpoint, error) {
+// What endpoints of the testbed do alike.
+const (
+	loadReportEvery  = 400 * time.Millisecond
+	loadReportLag    = 200 * time.Millisecond
+	endpointRetryMs  = 200  // Retry-After of a rejection
+	endpointSeedStep = 7919 // keeps the sequences of endpoints with names of different lengths apart
+)
+
+// Settings of a request class that say whether a request may be repeated.
+const (
+	repeatsReplayable = "replayable" // idempotent
+	repeatsUniqued    = "uniqued"    // with an idempotency key: repeats are dropped
+)
+
+// minOwnZone is how many endpoints its own zone must have for a proxy's static table to hold only those.
+const minOwnZone = 3
+
+// addEndpoint starts an endpoint of a group of the scenario.
+func (s *stage) addEndpoint(name string, group int, cold bool) error {
 	g := s.Scenario.Groups[group]
 	s.mu.Lock()
 	speed := g.Speed * math.Exp(g.Spread*s.random.NormFloat64())
 	s.mu.Unlock()
-	effects, dedup := map[string]bool{}, map[string]bool{}
-	for _, k := range s.Scenario.Kinds {
-		effects[k.Name], dedup[k.Name] = k.Repeats != "replayable", k.Repeats == "uniqued"
-	}
-	e := endpoint.New(endpoint.Model{Name: name, Zone: g.Zone, Machine: g.Machine, Cores: g.Cores, Speed: speed,
-		Queue: g.Queue, Conns: g.Conns, HandshakeMs: float64(g.Handshake) / float64(time.Millisecond),
-		ReportEvery: 400 * time.Millisecond, ReportLag: 200 * time.Millisecond, Noise: s.Scenario.NoisyReports,
-		Cold: s.Scenario.Cold, ColdFrom: s.Scenario.ColdFrom, FallMultiple: s.Scenario.FallMultiple, Fall: s.Scenario.Fall, ComeBackMs: 200,
-		Effects: effects, Dedup: dedup, Seed: uint64(s.Scenario.Seed + len(name)*7919)}, s.eventLog.Stream(name))
-	if err := e.Start(cold); err != nil {
-		return nil, err
+	added := endpoint.New(s.endpointModel(name, group, speed), s.eventLog.Stream(name))
+	if err := added.Start(cold); err != nil {
+		return err
 	}
-	s.network.Put(e.Address(), network.Place{Name: name, Zone: g.Zone})
-	entry := wire.Entry{Endpoint: e.Address(), Zone: g.Zone, Machine: g.Machine, Weight: float64(g.Cores) * g.Speed}
+	s.network.Put(added.Address(), network.Place{Name: name, Zone: g.Zone})
+	entry := wire.Entry{Endpoint: added.Address(), Zone: g.Zone, Machine: g.Machine, Weight: float64(g.Cores) * g.Speed}
 	if cold {
 		entry.Started = registry.Stamp(time.Now())
 	}
 	s.mu.Lock()
-	s.endpoints = append(s.endpoints, e)
+	s.endpoints = append(s.endpoints, added)
 	s.entries[name] = entry
 	s.mu.Unlock()
-	return e, nil
+	return nil
 }
 
-// updateEntry changes an endpoint's entry and has the list say so after a while.
-func (s *stage) updateEntry(name string, after time.Duration, change func(*wire.Entry)) {
+func (s *stage) endpointModel(name string, group int, speed float64) endpoint.Model {
+	g := s.Scenario.Groups[group]
+	effects := map[string]bool{}
+	dedup := map[string]bool{}
+	for _, class := range s.Scenario.Kinds {
+		effects[class.Name] = class.Repeats != repeatsReplayable
+		dedup[class.Name] = class.Repeats == repeatsUniqued
+	}
+	return endpoint.Model{
+		Name:         name,
+		Zone:         g.Zone,
+		Machine:      g.Machine,
+		Cores:        g.Cores,
+		Speed:        speed,
+		Queue:        g.Queue,
+		Conns:        g.Conns,
+		HandshakeMs:  float64(g.Handshake) / float64(time.Millisecond),
+		ReportEvery:  loadReportEvery,
+		ReportLag:    loadReportLag,
+		Noise:        s.Scenario.NoisyReports,
+		Cold:         s.Scenario.Cold,
+		ColdFrom:     s.Scenario.ColdFrom,
+		FallMultiple: s.Scenario.FallMultiple,
+		Fall:         s.Scenario.Fall,
+		ComeBackMs:   endpointRetryMs,
+		Effects:      effects,
+		Dedup:        dedup,
+		Seed:         uint64(s.Scenario.Seed + len(name)*endpointSeedStep),
+	}
+}
+
+// updateEntry changes an endpoint's entry, and the list after a delay.
+func (s *stage) updateEntry(name string, delay time.Duration, change func(*wire.Entry)) {
 	s.mu.Lock()
-	e := s.entries[name]
-	change(&e)
-	s.entries[name] = e
+	entry := s.entries[name]
+	change(&entry)
+	s.entries[name] = entry
 	s.mu.Unlock()
-	s.registry.Put(after, e)
+	s.registry.Put(delay, entry)
 }
 
+// setPhase changes the phase of an endpoint, and the list after a delay.
+func (s *stage) setPhase(name string, delay time.Duration, phase int) {
+	s.updateEntry(name, delay, func(entry *wire.Entry) { entry.Phase = phase })
+}
+
+// listAll puts all endpoints on the list at once.
 func (s *stage) listAll() {
 	s.mu.Lock()
 	var all []wire.Entry
@@ -60,22 +106,26 @@
 	s.registry.Put(0, all...)
 }
 
-// drawStaticTable draws a proxy's table at its start: from the list, in its zone if three are there.
+// drawStaticTable draws the endpoints of a proxy's static table from those that are ready: from its own zone if that has
+// enough.
 func (s *stage) drawStaticTable(zone string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var near, all []string
+	var all, near []string
 	for _, e := range s.endpoints {
-		if x := s.entries[e.Name]; x.Phase == wire.PhaseReady {
-			all = append(all, x.Endpoint)
-			if x.Zone == zone {
-				near = append(near, x.Endpoint)
-			}
+		entry := s.entries[e.Name]
+		if entry.Phase != wire.PhaseReady {
+			continue
+		}
+		all = append(all, entry.Endpoint)
+		if entry.Zone == zone {
+			near = append(near, entry.Endpoint)
 		}
 	}
-	if len(near) >= 3 {
-		all = near
+	candidates := all
+	if len(near) >= minOwnZone {
+		candidates = near
 	}
-	s.random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	return all[:min(len(all), s.Scenario.Standing)]
+	s.random.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+	return candidates[:min(len(candidates), s.Scenario.Standing)]
 }
--- a/internal/rehearsal/faults.go
+++ b/internal/rehearsal/faults.go
@@ -2,56 +2,98 @@
 
 import (
 	"context"
-	"errors"
-	"sync"
 
 	"indigousher/internal/backoff"
 	"indigousher/internal/scenario"
-	"indigousher/internal/testbed/endpoint"
 )
 
-// playFault plays one trouble from its beginning to its end.
-func (s *stage) playFault(ctx context.Context, t scenario.Fault) error {
-	switch t.What {
-	case "hang", "fast_errors", "class_fail", "handshake_slow", "answers_twice":
-		s.setFaultMode(ctx, t)
-	case "vanish", "crash", "restart", "drain", "preempt", "replace", "flapping":
-		return s.forEachEndpoint(s.faultEndpoints(t), func(e *endpoint.Endpoint, i int) error { return s.playLifecycle(ctx, t, e, i) })
-	case "zone_cut":
-		s.network.Cut(t.Zone, true)
-		backoff.Sleep(ctx, t.For)
-		s.network.Cut(t.Zone, false)
-	case "slow_link":
-		s.network.Slow(t.Zone, t.Extra, t.Loss)
-		backoff.Sleep(ctx, t.For)
-		s.network.Slow(t.Zone, 0, 0)
-	case "zone_loss":
-		return s.zoneLoss(ctx, t)
-	case "proxy_crash", "proxy_roll", "reconnect", "counter_down", "mute_proxy", "report_burst", "silent":
-		return s.playProxyFault(ctx, t)
-	case "pilot_kill", "pilot_roll", "reload", "handover":
-		return s.playPilotFault(ctx, t)
-	case "list_down":
-		s.registry.Stop()
-		backoff.Sleep(ctx, t.For)
-		if ctx.Err() == nil {
-			return s.registry.Start()
-		}
-	case "list_all":
-		s.listAll()
-	case "slice_move":
-		s.moveSlices(s.faultEndpoints(t))
+// faultHandover is the name of the fault for which pilots need a handover socket.
+const faultHandover = "handover"
+
+// faultHandler plays a fault from its beginning to its end, or until ctx ends.
+type faultHandler func(s *stage, ctx context.Context, fault scenario.Fault) error
+
+// faultHandlers play the faults by their names in scenario files. Names that are not here, as bursts, are faults of the
+// clients: the load generator plays them.
+var faultHandlers = map[string]faultHandler{
+	// Endpoints that answer otherwise than they should.
+	"hang":           (*stage).hang,
+	"fast_errors":    (*stage).failRequests,
+	"class_fail":     (*stage).failRequests,
+	"answers_twice":  (*stage).answerTwice,
+	"handshake_slow": (*stage).slowHandshakes,
+
+	// Endpoints' processes.
+	"vanish":   (*stage).vanishEndpoints,
+	"crash":    (*stage).crashEndpoints,
+	"restart":  (*stage).restartEndpoints,
+	"drain":    (*stage).drainEndpoints,
+	"preempt":  (*stage).preemptEndpoints,
+	"replace":  (*stage).replaceEndpoints,
+	"flapping": (*stage).flapEndpoints,
+
+	// Network, zones and registry.
+	"zone_cut":   (*stage).cutZone,
+	"slow_link":  (*stage).slowZone,
+	"zone_loss":  (*stage).loseZone,
+	"list_down":  (*stage).stopRegistry,
+	"list_all":   (*stage).listAllNow,
+	"slice_move": (*stage).moveSlicesAway,
+
+	// Proxies.
+	"reconnect":    (*stage).reconnectProxies,
+	"counter_down": (*stage).isolateProxies,
+	"mute_proxy":   (*stage).muteProxies,
+	"silent":       (*stage).silenceProxies,
+	"report_burst": (*stage).floodReports,
+	"proxy_crash":  (*stage).crashProxies,
+	"proxy_roll":   (*stage).rollProxies,
+
+	// Pilots.
+	"pilot_kill":  (*stage).killPilots,
+	"pilot_roll":  (*stage).rollPilots,
+	"reload":      (*stage).reloadPilots,
+	faultHandover: (*stage).handOverPilots,
+}
+
+// playFault plays a fault from its beginning to its end, or until ctx ends.
+func (s *stage) playFault(ctx context.Context, fault scenario.Fault) error {
+	handler := faultHandlers[fault.What]
+	if handler == nil {
+		return nil
 	}
-	return nil // the others are the clients' doing
+	return handler(s, ctx, fault)
 }
 
-// forEachEndpoint runs a step for several at once and joins what went wrong.
-func (s *stage) forEachEndpoint(list []*endpoint.Endpoint, step func(*endpoint.Endpoint, int) error) error {
-	errs := make([]error, len(list))
-	var wg sync.WaitGroup
-	for i, e := range list {
-		wg.Go(func() { errs[i] = step(e, i) })
+func (s *stage) cutZone(ctx context.Context, fault scenario.Fault) error {
+	s.network.Cut(fault.Zone, true)
+	backoff.Sleep(ctx, fault.For)
+	s.network.Cut(fault.Zone, false)
+	return nil
+}
+
+func (s *stage) slowZone(ctx context.Context, fault scenario.Fault) error {
+	s.network.Slow(fault.Zone, fault.Extra, fault.Loss)
+	backoff.Sleep(ctx, fault.For)
+	s.network.Slow(fault.Zone, 0, 0)
+	return nil
+}
+
+// stopRegistry takes the registry away. At the end of the run it stays so.
+func (s *stage) stopRegistry(ctx context.Context, fault scenario.Fault) error {
+	s.registry.Stop()
+	if !backoff.Sleep(ctx, fault.For) {
+		return nil
 	}
-	wg.Wait()
-	return errors.Join(errs...)
+	return s.registry.Start() //nolint:contextcheck // it outlives the fault and ends in stopAll
+}
+
+func (s *stage) listAllNow(context.Context, scenario.Fault) error {
+	s.listAll()
+	return nil
+}
+
+func (s *stage) moveSlicesAway(_ context.Context, fault scenario.Fault) error {
+	s.moveSlices(s.faultEndpoints(fault))
+	return nil
 }
--- a/internal/rehearsal/faults_endpoint.go
+++ b/internal/rehearsal/faults_endpoint.go
@@ -2,8 +2,10 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"slices"
+	"sync"
 	"time"
 
 	"indigousher/internal/backoff"
@@ -13,127 +15,202 @@
 	"indigousher/internal/wire"
 )
 
-func (s *stage) faultEndpoints(t scenario.Fault) (struck []*endpoint.Endpoint) {
+const (
+	// lostListFactor is how many times as long the registry takes to notice an endpoint that vanishes without a word.
+	lostListFactor = 4
+	// replaceSlack is how long after its drain deadline a replaced endpoint ends.
+	replaceSlack = 500 * time.Millisecond
+	// flapRateSteps spreads the periods of flapping endpoints: each takes a part of so many longer than the one before.
+	flapRateSteps = 7
+)
+
+// faultEndpoints draws the endpoints that a fault strikes.
+func (s *stage) faultEndpoints(fault scenario.Fault) []*endpoint.Endpoint {
 	s.mu.Lock()
 	var names []string
-	by := map[string]*endpoint.Endpoint{}
+	byName := map[string]*endpoint.Endpoint{}
 	for _, e := range s.endpoints {
-		if t.Zone == "" || e.Zone == t.Zone {
+		if fault.Zone == "" || e.Zone == fault.Zone {
 			names = append(names, e.Name)
-			by[e.Name] = e
+			byName[e.Name] = e
 		}
 	}
 	s.mu.Unlock()
-	for _, n := range s.targets(t, names) {
-		struck = append(struck, by[n])
+	var struck []*endpoint.Endpoint
+	for _, name := range s.targets(fault, names) {
+		struck = append(struck, byName[name])
 	}
 	return struck
 }
 
-// setFaultMode plays what changes how endpoints answer.
-func (s *stage) setFaultMode(ctx context.Context, t scenario.Fault) {
-	struck := s.faultEndpoints(t)
+// forEachEndpoint runs a step for all endpoints that a fault strikes at once, waits for all, and joins their errors. The
+// step is told the endpoint's place in the order.
+func (s *stage) forEachEndpoint(fault scenario.Fault, step func(e *endpoint.Endpoint, i int) error) error {
+	struck := s.faultEndpoints(fault)
+	errs := make([]error, len(struck))
+	var wg sync.WaitGroup
+	for i, e := range struck {
+		wg.Go(func() { errs[i] = step(e, i) })
+	}
+	wg.Wait()
+	return errors.Join(errs...)
+}
+
+// setFaultMode has some endpoints answer otherwise until the fault ends.
+func (s *stage) setFaultMode(ctx context.Context, fault scenario.Fault, mode endpoint.FaultMode) error {
+	s.setFaultModeOf(ctx, fault, mode, s.faultEndpoints(fault))
+	return nil
+}
+
+func (s *stage) setFaultModeOf(ctx context.Context, fault scenario.Fault, mode endpoint.FaultMode,
+	struck []*endpoint.Endpoint,
+) {
 	for _, e := range struck {
-		switch t.What {
-		case "hang":
-			e.SetFaultMode(endpoint.FaultMode{Hang: true, OnlyFor: t.Kind})
-		case "fast_errors", "class_fail":
-			e.SetFaultMode(endpoint.FaultMode{Errors: t.Size, OnlyFor: t.Kind})
-		case "answers_twice":
-			e.SetFaultMode(endpoint.FaultMode{Twice: true})
-		case "handshake_slow":
-			e.SetFaultMode(endpoint.FaultMode{Shakes: t.Size})
-			s.network.SlowDial(e.Name, t.Extra)
-		}
+		e.SetFaultMode(mode)
 	}
-	backoff.Sleep(ctx, t.For)
+	backoff.Sleep(ctx, fault.For)
 	for _, e := range struck {
 		e.SetFaultMode(endpoint.FaultMode{})
 		s.network.SlowDial(e.Name, 0)
 	}
 }
 
-// playLifecycle plays what happens to one endpoint's process.
-func (s *stage) playLifecycle(ctx context.Context, t scenario.Fault, e *endpoint.Endpoint, i int) error {
-	late := s.Scenario.ListLate
-	switch t.What {
-	case "vanish":
+func (s *stage) hang(ctx context.Context, fault scenario.Fault) error {
+	return s.setFaultMode(ctx, fault, endpoint.FaultMode{Hang: true, OnlyFor: fault.Kind})
+}
+
+func (s *stage) failRequests(ctx context.Context, fault scenario.Fault) error {
+	return s.setFaultMode(ctx, fault, endpoint.FaultMode{Errors: fault.Size, OnlyFor: fault.Kind})
+}
+
+func (s *stage) answerTwice(ctx context.Context, fault scenario.Fault) error {
+	return s.setFaultMode(ctx, fault, endpoint.FaultMode{Twice: true})
+}
+
+func (s *stage) slowHandshakes(ctx context.Context, fault scenario.Fault) error {
+	struck := s.faultEndpoints(fault)
+	for _, e := range struck {
+		s.network.SlowDial(e.Name, fault.Extra)
+	}
+	s.setFaultModeOf(ctx, fault, endpoint.FaultMode{Shakes: fault.Size}, struck)
+	return nil
+}
+
+// killEndpoint ends an endpoint's process and has the list say so.
+func (s *stage) killEndpoint(e *endpoint.Endpoint) {
+	e.Kill()
+	s.setPhase(e.Name, s.Scenario.ListLate, wire.PhaseGone)
+}
+
+// vanishEndpoints cuts endpoints off; at the end they come back cold.
+func (s *stage) vanishEndpoints(ctx context.Context, fault scenario.Fault) error {
+	return s.forEachEndpoint(fault, func(e *endpoint.Endpoint, _ int) error {
 		s.network.SetBlackhole(e.Name, true)
-		s.updateEntry(e.Name, 4*late, func(x *wire.Entry) { x.Phase = wire.PhaseGone })
-		backoff.Sleep(ctx, t.For)
+		s.setPhase(e.Name, lostListFactor*s.Scenario.ListLate, wire.PhaseGone)
+		backoff.Sleep(ctx, fault.For)
 		e.Kill()
 		s.network.SetBlackhole(e.Name, false)
 		return s.restartCold(e)
-	case "crash":
-		e.Kill()
-		s.updateEntry(e.Name, late, func(x *wire.Entry) { x.Phase = wire.PhaseGone })
-		backoff.Sleep(ctx, t.For)
+	})
+}
+
+func (s *stage) crashEndpoints(ctx context.Context, fault scenario.Fault) error {
+	return s.forEachEndpoint(fault, func(e *endpoint.Endpoint, _ int) error {
+		s.killEndpoint(e)
+		backoff.Sleep(ctx, fault.For)
 		return s.restartCold(e)
-	case "restart":
+	})
+}
+
+func (s *stage) restartEndpoints(_ context.Context, fault scenario.Fault) error {
+	return s.forEachEndpoint(fault, func(e *endpoint.Endpoint, _ int) error {
 		e.Kill()
 		return s.restartCold(e)
-	case "drain", "preempt":
-		s.updateEntry(e.Name, late, func(x *wire.Entry) { x.Phase = wire.PhaseDraining })
-		backoff.Sleep(ctx, late+t.For)
-		e.Kill()
-		s.updateEntry(e.Name, late, func(x *wire.Entry) { x.Phase = wire.PhaseGone })
-		if t.What == "preempt" && backoff.Sleep(ctx, t.Extra) {
-			return s.addSuccessor(e, late)
+	})
+}
+
+// drainEndpoints has endpoints drain and end for good.
+func (s *stage) drainEndpoints(ctx context.Context, fault scenario.Fault) error {
+	return s.forEachEndpoint(fault, func(e *endpoint.Endpoint, _ int) error {
+		s.drainThenKill(ctx, fault, e)
+		return nil
+	})
+}
+
+// preemptEndpoints has endpoints drain, end, and later be replaced by new ones.
+func (s *stage) preemptEndpoints(ctx context.Context, fault scenario.Fault) error {
+	return s.forEachEndpoint(fault, func(e *endpoint.Endpoint, _ int) error {
+		s.drainThenKill(ctx, fault, e)
+		if !backoff.Sleep(ctx, fault.Extra) {
+			return nil
 		}
-	case "replace": // one after another: the new one first
-		if !backoff.Sleep(ctx, time.Duration(i)*t.Every) {
+		return s.addSuccessor(e)
+	})
+}
+
+func (s *stage) drainThenKill(ctx context.Context, fault scenario.Fault, e *endpoint.Endpoint) {
+	s.setPhase(e.Name, s.Scenario.ListLate, wire.PhaseDraining)
+	backoff.Sleep(ctx, s.Scenario.ListLate+fault.For)
+	s.killEndpoint(e)
+}
+
+// replaceEndpoints replaces endpoints one after another: the new one starts first, then the old one drains and ends.
+func (s *stage) replaceEndpoints(ctx context.Context, fault scenario.Fault) error {
+	return s.forEachEndpoint(fault, func(e *endpoint.Endpoint, i int) error {
+		if !backoff.Sleep(ctx, time.Duration(i)*fault.Every) {
 			return nil
 		}
-		if err := s.addSuccessor(e, late); err != nil {
+		if err := s.addSuccessor(e); err != nil {
 			return err
 		}
-		backoff.Sleep(ctx, t.Extra)
-		s.updateEntry(e.Name, late, func(x *wire.Entry) { x.Phase = wire.PhaseDraining })
-		backoff.Sleep(ctx, late+s.Scenario.DrainGrace+500*time.Millisecond)
-		e.Kill()
-		s.updateEntry(e.Name, late, func(x *wire.Entry) { x.Phase = wire.PhaseGone })
-	case "flapping":
-		return s.flap(ctx, t, e, i)
-	}
-	return nil
+		backoff.Sleep(ctx, fault.Extra)
+		s.setPhase(e.Name, s.Scenario.ListLate, wire.PhaseDraining)
+		backoff.Sleep(ctx, s.Scenario.ListLate+s.Scenario.DrainGrace+replaceSlack)
+		s.killEndpoint(e)
+		return nil
+	})
+}
+
+// flapEndpoints has endpoints fail and recover by turns, each with a period of its own.
+func (s *stage) flapEndpoints(ctx context.Context, fault scenario.Fault) error {
+	return s.forEachEndpoint(fault, func(e *endpoint.Endpoint, i int) error {
+		until := time.Now().Add(fault.For)
+		period := fault.Every + time.Duration(i)*fault.Every/flapRateSteps
+		for ctx.Err() == nil && time.Now().Before(until) {
+			if !backoff.Sleep(ctx, period*6/10) {
+				return nil
+			}
+			e.Kill()
+			backoff.Sleep(ctx, period*4/10)
+			if err := s.restartCold(e); err != nil {
+				return err
+			}
+		}
+		return nil
+	})
 }
 
-// restartCold starts an endpoint's process again and has the list say so.
+// restartCold starts an endpoint's process and has the list say so.
 func (s *stage) restartCold(e *endpoint.Endpoint) error {
 	if err := e.Start(true); err != nil {
 		return err
 	}
-	s.updateEntry(e.Name, s.Scenario.ListLate, func(x *wire.Entry) {
-		x.Phase, x.Started = wire.PhaseReady, registry.Stamp(time.Now())
+	s.updateEntry(e.Name, s.Scenario.ListLate, func(entry *wire.Entry) {
+		entry.Phase = wire.PhaseReady
+		entry.Started = registry.Stamp(time.Now())
 	})
 	return nil
 }
 
-// addSuccessor starts a new machine beside one that goes.
-func (s *stage) addSuccessor(e *endpoint.Endpoint, late time.Duration) error {
-	group := slices.IndexFunc(s.Scenario.Groups, func(g scenario.Group) bool { return g.Zone == e.Zone && g.Machine == e.Machine })
+// addSuccessor starts a new endpoint beside one that goes, of the same group.
+func (s *stage) addSuccessor(e *endpoint.Endpoint) error {
+	group := slices.IndexFunc(s.Scenario.Groups, func(g scenario.Group) bool {
+		return g.Zone == e.Zone && g.Machine == e.Machine
+	})
 	name := e.Name + "-next"
-	if _, err := s.addEndpoint(name, group, true); err != nil {
+	if err := s.addEndpoint(name, group, true); err != nil {
 		return fmt.Errorf("replace %s: %w", e.Name, err)
 	}
-	s.updateEntry(name, late, func(*wire.Entry) {})
-	return nil
-}
-
-// flap lets an endpoint fail and recover by turns, each of its own length.
-func (s *stage) flap(ctx context.Context, t scenario.Fault, e *endpoint.Endpoint, i int) error {
-	until := time.Now().Add(t.For)
-	turn := t.Every + time.Duration(i)*t.Every/7
-	for ctx.Err() == nil && time.Now().Before(until) {
-		backoff.Sleep(ctx, turn*6/10)
-		if ctx.Err() != nil {
-			return nil
-		}
-		e.Kill()
-		backoff.Sleep(ctx, turn*4/10)
-		if err := s.restartCold(e); err != nil {
-			return err
-		}
-	}
+	s.updateEntry(name, s.Scenario.ListLate, func(*wire.Entry) {})
 	return nil
 }
--- a/internal/rehearsal/faults_pilot.go
+++ b/internal/rehearsal/faults_pilot.go
@@ -13,78 +13,94 @@
 	"indigousher/internal/testbed/eventlog"
 )
 
-func (s *stage) playPilotFault(ctx context.Context, t scenario.Fault) error {
+// faultPilots draws the pilots that a fault strikes.
+func (s *stage) faultPilots(fault scenario.Fault) []*pilot {
 	var names []string
-	for _, st := range s.pilots {
-		names = append(names, st.name)
+	for _, p := range s.pilots {
+		names = append(names, p.name)
 	}
 	var struck []*pilot
-	for _, n := range s.targets(t, names) {
-		struck = append(struck, s.pilots[slices.Index(names, n)])
+	for _, name := range s.targets(fault, names) {
+		struck = append(struck, s.pilots[slices.Index(names, name)])
 	}
-	switch t.What {
-	case "handover": // again and again, each of them in turn
-		until := time.Now().Add(t.For)
-		for ctx.Err() == nil && time.Now().Before(until) {
-			for _, st := range struck {
-				if err := s.handOver(st); err != nil {
-					return err
-				}
-				s.ownLog.Add(eventlog.Event{What: eventlog.Note, Peer: st.name, Text: "handed over"})
-				backoff.Sleep(ctx, t.Every)
+	return struck
+}
+
+// handOverPilots has new processes take over from the pilots, one pilot after another, until the fault ends.
+func (s *stage) handOverPilots(ctx context.Context, fault scenario.Fault) error {
+	struck := s.faultPilots(fault)
+	until := time.Now().Add(fault.For)
+	for ctx.Err() == nil && time.Now().Before(until) {
+		for _, p := range struck {
+			if err := s.handOver(p); err != nil { //nolint:contextcheck // the pilot outlives the fault and ends in stopAll
+				return err
 			}
+			s.ownLog.Add(eventlog.Event{What: eventlog.Note, Peer: p.name, Text: "handed over"})
+			backoff.Sleep(ctx, fault.Every)
 		}
-	case "pilot_kill":
-		for _, st := range struck {
-			s.stopPilot(st, true)
+	}
+	return nil
+}
+
+func (s *stage) killPilots(ctx context.Context, fault scenario.Fault) error {
+	struck := s.faultPilots(fault)
+	for _, p := range struck {
+		s.stopPilot(p, true)
+	}
+	if !backoff.Sleep(ctx, fault.For) {
+		return nil
+	}
+	for _, p := range struck {
+		if err := s.startPilot(p, false); err != nil { //nolint:contextcheck // it outlives the fault and ends in stopAll
+			return err
 		}
-		if !backoff.Sleep(ctx, t.For) {
+	}
+	return nil
+}
+
+// rollPilots restarts pilots one after another.
+func (s *stage) rollPilots(ctx context.Context, fault scenario.Fault) error {
+	for _, p := range s.faultPilots(fault) {
+		s.stopPilot(p, false)
+		if !backoff.Sleep(ctx, fault.Extra) {
 			return nil
 		}
-		for _, st := range struck {
-			if err := s.startPilot(st, false); err != nil {
-				return err
-			}
-		}
-	case "pilot_roll":
-		for _, st := range struck {
-			s.stopPilot(st, false)
-			if !backoff.Sleep(ctx, t.Extra) {
-				return nil
-			}
-			if err := s.startPilot(st, false); err != nil {
-				return err
-			}
-			backoff.Sleep(ctx, t.Every)
+		if err := s.startPilot(p, false); err != nil { //nolint:contextcheck // it outlives the fault and ends in stopAll
+			return err
 		}
-	case "reload":
-		for _, st := range struck {
-			if err := s.reload(ctx, st, t); err != nil {
-				return err
-			}
+		backoff.Sleep(ctx, fault.Every)
+	}
+	return nil
+}
+
+func (s *stage) reloadPilots(ctx context.Context, fault scenario.Fault) error {
+	for _, p := range s.faultPilots(fault) {
+		if err := s.reload(ctx, p, fault.Size); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-// reload hands a running pilot new terms: a channel of another pace, and a zone list that wants a restart.
-func (s *stage) reload(ctx context.Context, st *pilot, t scenario.Fault) error {
-	st.mu.Lock()
-	h, now := st.host, st.settings
-	st.mu.Unlock()
-	if h == nil {
+// reload hands a running pilot new settings: the rate of its channel changed by a factor, which applies at once, and a
+// number of streams that needs a restart. It returns an error where the pilot says otherwise.
+func (s *stage) reload(ctx context.Context, p *pilot, factor float64) error {
+	p.mu.Lock()
+	host := p.host
+	settings := p.settings
+	p.mu.Unlock()
+	if host == nil {
 		return nil
 	}
-	d := h.Daemon()
-	now.LinesPerS *= t.Size
-	now.Kinds = append([]config.RequestClass{}, now.Kinds...)
-	now.MaxStreams++
-	changed, restart, err := d.Reload(ctx, &now)
+	settings.LinesPerS *= factor
+	settings.Kinds = append([]config.RequestClass{}, settings.Kinds...)
+	settings.MaxStreams++
+	changed, restart, err := host.Daemon().Reload(ctx, &settings)
 	if err != nil {
 		return err
 	}
 	if strings.Join(changed, ",") != "LinesPerS" || strings.Join(restart, ",") != "MaxStreams" {
-		return fmt.Errorf("reload of %s changed %v and left %v", st.name, changed, restart)
+		return fmt.Errorf("reload of %s changed %v and left %v", p.name, changed, restart)
 	}
 	return nil
 }
--- a/internal/rehearsal/faults_proxy.go
+++ b/internal/rehearsal/faults_proxy.go
@@ -8,74 +8,98 @@
 	"indigousher/internal/testbed/proxy"
 )
 
-func (s *stage) playProxyFault(ctx context.Context, t scenario.Fault) error {
+// faultProxies draws the proxies that a fault strikes, of whatever zone.
+func (s *stage) faultProxies(fault scenario.Fault) []*proxy.Proxy {
 	var names []string
-	by := map[string]*proxy.Proxy{}
+	byName := map[string]*proxy.Proxy{}
 	for _, p := range s.proxies {
-		names, by[p.Name] = append(names, p.Name), p
+		names = append(names, p.Name)
+		byName[p.Name] = p
 	}
-	struck := s.targets(t, names)
-	switch t.What {
-	case "reconnect":
-		for _, n := range struck {
-			by[n].Drop()
-		}
-	case "counter_down":
-		for _, n := range struck {
-			s.isolated[n].Store(true)
-			by[n].Drop()
-		}
-		backoff.Sleep(ctx, t.For)
-		for _, n := range struck {
-			s.isolated[n].Store(false)
-		}
-	case "mute_proxy":
-		for _, n := range struck {
-			s.muted[n].Store(true)
-		}
-		backoff.Sleep(ctx, t.For)
-		for _, n := range struck {
-			s.muted[n].Store(false)
-		}
-	case "silent": // in the middle of whatever it says
-		for _, n := range struck {
-			s.network.SetBlackhole(n, true)
-		}
-		backoff.Sleep(ctx, t.For)
-		for _, n := range struck {
-			s.network.SetBlackhole(n, false)
-		}
-	case "report_burst":
-		for _, n := range struck {
-			s.reportFactors[n].Store(int64(t.Size * 1000))
-		}
-		backoff.Sleep(ctx, t.For)
-		for _, n := range struck {
-			s.reportFactors[n].Store(1000)
-		}
-	case "proxy_crash":
-		for _, n := range struck {
-			by[n].Kill()
+	var struck []*proxy.Proxy
+	for _, name := range s.targets(fault, names) {
+		struck = append(struck, byName[name])
+	}
+	return struck
+}
+
+// strikeProxies does something to the proxies that a fault strikes, and undoes it at the fault's end or when ctx ends.
+func (s *stage) strikeProxies(ctx context.Context, fault scenario.Fault, begin, end func(*proxy.Proxy)) error {
+	struck := s.faultProxies(fault)
+	for _, p := range struck {
+		begin(p)
+	}
+	backoff.Sleep(ctx, fault.For)
+	for _, p := range struck {
+		end(p)
+	}
+	return nil
+}
+
+func (s *stage) reconnectProxies(_ context.Context, fault scenario.Fault) error {
+	for _, p := range s.faultProxies(fault) {
+		p.Drop()
+	}
+	return nil
+}
+
+// isolateProxies has proxies reach no pilot.
+func (s *stage) isolateProxies(ctx context.Context, fault scenario.Fault) error {
+	isolate := func(p *proxy.Proxy) {
+		s.isolated[p.Name].Store(true)
+		p.Drop()
+	}
+	return s.strikeProxies(ctx, fault, isolate, func(p *proxy.Proxy) { s.isolated[p.Name].Store(false) })
+}
+
+// muteProxies has proxies read nothing from their streams.
+func (s *stage) muteProxies(ctx context.Context, fault scenario.Fault) error {
+	return s.strikeProxies(ctx, fault,
+		func(p *proxy.Proxy) { s.muted[p.Name].Store(true) },
+		func(p *proxy.Proxy) { s.muted[p.Name].Store(false) })
+}
+
+// silenceProxies cuts proxies off without closing their connections, in the middle of whatever they send.
+func (s *stage) silenceProxies(ctx context.Context, fault scenario.Fault) error {
+	return s.strikeProxies(ctx, fault,
+		func(p *proxy.Proxy) { s.network.SetBlackhole(p.Name, true) },
+		func(p *proxy.Proxy) { s.network.SetBlackhole(p.Name, false) })
+}
+
+// floodReports has proxies report more often.
+func (s *stage) floodReports(ctx context.Context, fault scenario.Fault) error {
+	return s.strikeProxies(ctx, fault,
+		func(p *proxy.Proxy) { s.reportFactors[p.Name].Store(int64(fault.Size * factorUnit)) },
+		func(p *proxy.Proxy) { s.reportFactors[p.Name].Store(factorUnit) })
+}
+
+func (s *stage) crashProxies(ctx context.Context, fault scenario.Fault) error {
+	struck := s.faultProxies(fault)
+	for _, p := range struck {
+		p.Kill()
+	}
+	if !backoff.Sleep(ctx, fault.For) {
+		return nil
+	}
+	for _, p := range struck {
+		if err := p.Start(); err != nil { //nolint:contextcheck // it outlives the fault and ends in stopAll
+			return err
 		}
-		if !backoff.Sleep(ctx, t.For) {
+	}
+	return nil
+}
+
+// rollProxies restarts proxies one after another.
+func (s *stage) rollProxies(ctx context.Context, fault scenario.Fault) error {
+	for _, p := range s.faultProxies(fault) {
+		p.Kill()
+		if !backoff.Sleep(ctx, fault.Extra) {
 			return nil
 		}
-		for _, n := range struck {
-			if err := by[n].Start(); err != nil {
-				return err
-			}
-		}
-	case "proxy_roll":
-		for _, n := range struck {
-			by[n].Kill()
-			if !backoff.Sleep(ctx, t.Extra) {
-				return nil
-			}
-			if err := by[n].Start(); err != nil {
-				return err
-			}
-			backoff.Sleep(ctx, t.Every)
+		if err := p.Start(); err != nil { //nolint:contextcheck // it outlives the fault and ends in stopAll
+			return err
 		}
+		backoff.Sleep(ctx, fault.Every)
 	}
 	return nil
 }
--- a/internal/rehearsal/faults_zone.go
+++ b/internal/rehearsal/faults_zone.go
@@ -10,41 +10,58 @@
 	"indigousher/internal/wire"
 )
 
-// zoneLoss takes a zone's endpoints, and with a size over a half its proxies and pilots.
-func (s *stage) zoneLoss(ctx context.Context, t scenario.Fault) error {
-	struck := s.faultEndpoints(t)
-	for _, e := range struck {
+// wholeZoneSize is the size of a zone loss above which the zone's proxies and pilots are lost as well.
+const wholeZoneSize = 0.5
+
+// loseZone ends a zone's endpoints, and its proxies and pilots where the loss is large. All come back at the end.
+func (s *stage) loseZone(ctx context.Context, fault scenario.Fault) error {
+	endpoints := s.faultEndpoints(fault)
+	for _, e := range endpoints {
 		e.Kill()
-		s.updateEntry(e.Name, 4*s.Scenario.ListLate, func(x *wire.Entry) { x.Phase = wire.PhaseGone })
+		s.setPhase(e.Name, lostListFactor*s.Scenario.ListLate, wire.PhaseGone)
 	}
 	var proxies []*proxy.Proxy
 	var pilots []*pilot
-	if t.Size > 0.5 {
-		for _, p := range s.proxies {
-			if p.Zone == t.Zone {
-				p.Kill()
-				proxies = append(proxies, p)
-			}
-		}
-		for _, st := range s.pilots {
-			if st.zone == t.Zone {
-				s.stopPilot(st, true)
-				pilots = append(pilots, st)
-			}
-		}
+	if fault.Size > wholeZoneSize {
+		proxies = s.killProxiesOf(fault.Zone)
+		pilots = s.killPilotsOf(fault.Zone)
 	}
-	if !backoff.Sleep(ctx, t.For) {
+	if !backoff.Sleep(ctx, fault.For) {
 		return nil
 	}
 	var errs []error
-	for _, e := range struck {
+	for _, e := range endpoints {
 		errs = append(errs, s.restartCold(e))
 	}
-	for _, st := range pilots {
-		errs = append(errs, s.startPilot(st, false))
+	for _, p := range pilots {
+		errs = append(errs, s.startPilot(p, false)) //nolint:contextcheck // it outlives the fault and ends in stopAll
 	}
 	for _, p := range proxies {
-		errs = append(errs, p.Start())
+		errs = append(errs, p.Start()) //nolint:contextcheck // it outlives the fault and ends in stopAll
 	}
 	return errors.Join(errs...)
 }
+
+// killProxiesOf ends the proxies of a zone and returns them.
+func (s *stage) killProxiesOf(zone string) []*proxy.Proxy {
+	var killed []*proxy.Proxy
+	for _, p := range s.proxies {
+		if p.Zone == zone {
+			p.Kill()
+			killed = append(killed, p)
+		}
+	}
+	return killed
+}
+
+// killPilotsOf ends the pilots of a zone and returns them.
+func (s *stage) killPilotsOf(zone string) []*pilot {
+	var killed []*pilot
+	for _, p := range s.pilots {
+		if p.zone == zone {
+			s.stopPilot(p, true)
+			killed = append(killed, p)
+		}
+	}
+	return killed
+}
--- a/internal/rehearsal/keys.go
+++ b/internal/rehearsal/keys.go
@@ -8,30 +8,45 @@
 	"indigousher/internal/identity"
 )
 
-// openKeys makes the day's authority and keys for the list.
-func (s *stage) openKeys() (err error) {
+const (
+	// keyLifetime is longer than any run.
+	keyLifetime = time.Hour
+	// keyBackdate makes keys valid at once, whatever rounding does to the times in them.
+	keyBackdate = time.Minute
+)
+
+// openKeys makes the authority of the run and the keys of the registry, where the scenario has keys.
+func (s *stage) openKeys() error {
 	if !s.Scenario.Keys {
 		return nil
 	}
-	if s.keyDir, err = os.MkdirTemp("", "indigousher-rehearsal-"); err != nil {
+	dir, err := os.MkdirTemp("", "indigousher-rehearsal-")
+	if err != nil {
 		return fmt.Errorf("make keys: %w", err)
 	}
-	if s.authority, err = identity.NewAuthority("rehearsal", time.Hour); err != nil {
+	s.keyDir = dir
+	s.authority, err = identity.NewAuthority("rehearsal", keyLifetime)
+	if err != nil {
 		return err
 	}
-	ring, err := s.issueKeys(identity.Identity{Role: identity.Source, Zone: "-", Name: "list"})
+	keys, err := s.issueKeys(identity.Identity{Role: identity.Source, Zone: "-", Name: "list"})
 	if err != nil {
 		return err
 	}
-	s.registry.Seal(ring.Server(identity.Pilot))
+	s.registry.Seal(keys.Server(identity.Pilot))
 	return nil
 }
 
-// issueKeys issues and loads keys for one that takes part.
+// issueFiles issues the key files of an identity.
+func (s *stage) issueFiles(who identity.Identity) (identity.Files, error) {
+	return s.authority.Issue(s.keyDir, who, time.Now().Add(-keyBackdate), keyLifetime)
+}
+
+// issueKeys issues the keys of an identity and loads them.
 func (s *stage) issueKeys(who identity.Identity) (*identity.KeyStore, error) {
-	f, err := s.authority.Issue(s.keyDir, who, time.Now().Add(-time.Minute), time.Hour)
+	files, err := s.issueFiles(who)
 	if err != nil {
 		return nil, err
 	}
-	return identity.Load(f, nil)
+	return identity.Load(files, nil)
 }
--- a/internal/rehearsal/pilots.go
+++ b/internal/rehearsal/pilots.go
@@ -20,86 +20,132 @@
 	"indigousher/internal/testbed/network"
 )
 
-// pilot is a pilot's place; its process may die and come back.
+const (
+	// listSilence is after how long a pilot takes a silent endpoint list for lost.
+	listSilence = 2 * time.Second
+	// pilotDialTimeout is how long a pilot waits for a connection.
+	pilotDialTimeout = 2 * time.Second
+	// recordFolderMode is the mode of the folders of records.
+	recordFolderMode = 0o755
+)
+
+// pilot is a pilot; its process can end and come back.
 type pilot struct {
 	name, zone string
-	settings   config.Pilot
-	mu         sync.Mutex
-	host       *daemon.Host
-	cancel     context.CancelFunc
-	done       chan struct{}
-	process    *process // with Play.Binary
+
+	mu       sync.Mutex // guards the rest
+	settings config.Pilot
+	host     *daemon.Host       // nil while it does not run
+	cancel   context.CancelFunc // ends the host
+	done     chan struct{}      // closed when the host has ended
+	process  *process           // with Play.Binary, in place of the host
+}
+
+// runningHost returns the pilot's host, nil while it does not run in this process.
+func (p *pilot) runningHost() *daemon.Host {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.host
 }
 
-func (s *stage) pilotSettings(st *pilot, rank int) config.Pilot {
-	t := config.Defaults()
-	t.Common, t.Name, t.Zone, t.Rank, t.Seed = s.Scenario.Common, st.name, st.zone, rank, s.Scenario.Seed+rank
-	t.Listen, t.Admin, t.ListAddress = net.JoinHostPort(network.Host, "0"), "", s.registry.Address()
-	t.Beat, t.WriteDeadline, t.ListSilence = s.Scenario.Beat, s.Scenario.WriteWithin, 2*time.Second
-	t.SeenWithin, t.Plain = s.Scenario.DrainGrace/2, true
+// pilotSettings returns the settings of a pilot as the scenario has them.
+func (s *stage) pilotSettings(p *pilot, rank int) config.Pilot {
+	settings := config.Defaults()
+	settings.Common = s.Scenario.Common
+	settings.Name = p.name
+	settings.Zone = p.zone
+	settings.Rank = rank
+	settings.Seed = s.Scenario.Seed + rank
+	settings.Listen = net.JoinHostPort(network.Host, "0")
+	settings.Admin = ""
+	settings.ListAddress = s.registry.Address()
+	settings.Beat = s.Scenario.Beat
+	settings.WriteDeadline = s.Scenario.WriteWithin
+	settings.ListSilence = listSilence
+	settings.SeenWithin = s.Scenario.DrainGrace / 2
+	settings.IntakeLinesPerS = s.Scenario.IntakeLinesPerS
+	settings.IntakeStanding = s.Scenario.IntakeStanding
+	settings.Plain = !s.Scenario.Keys
 	if s.Scenario.Keys {
-		f, err := s.authority.Issue(s.keyDir, identity.Identity{Role: identity.Pilot, Zone: st.zone, Name: st.name},
-			time.Now().Add(-time.Minute), time.Hour)
-		if err != nil {
-			s.Log.Error("issue keys", zap.Error(err)) // the pilot says so at its start
-		}
-		t.Plain, t.Keys = false, f
+		settings.Keys = s.pilotKeys(p)
 	}
-	if slices.ContainsFunc(s.Scenario.Faults, func(x scenario.Fault) bool { return x.What == "handover" }) {
-		t.Handover = filepath.Join(s.Records, st.name+".sock")
+	if slices.ContainsFunc(s.Scenario.Faults, func(f scenario.Fault) bool { return f.What == faultHandover }) {
+		settings.Handover = filepath.Join(s.Records, p.name+".sock")
 	}
 	if s.Scenario.Record {
-		t.RecordDir = filepath.Join(s.Records, st.name)
-		if err := os.MkdirAll(t.RecordDir, 0o755); err != nil {
-			s.Log.Error("make folder for records", zap.Error(err)) // the pilot says so at its start
-		}
+		settings.RecordDir = s.recordFolder(p)
 	}
 	if len(s.Scenario.OverGRPC) > 0 {
-		t.GRPC = net.JoinHostPort(network.Host, "0")
+		settings.GRPC = net.JoinHostPort(network.Host, "0")
 	}
-	t.IntakeLinesPerS, t.IntakeStanding = s.Scenario.IntakeLinesPerS, s.Scenario.IntakeStanding
-	return t
+	return settings
 }
 
-// startPilot begins a pilot's process, at the address of the first, or has a new one take over from it.
-func (s *stage) startPilot(st *pilot, takeOver bool) error {
-	place := network.Place{Name: st.name, Zone: st.zone}
-	s.eventLog.Stream(st.name).Add(eventlog.Event{What: eventlog.Start, Kind: "pilot", Text: st.zone})
+// pilotKeys issues the keys of a pilot. One that has none says so at its start.
+func (s *stage) pilotKeys(p *pilot) identity.Files {
+	files, err := s.issueFiles(identity.Identity{Role: identity.Pilot, Zone: p.zone, Name: p.name})
+	if err != nil {
+		s.Log.Error("issue keys", zap.Error(err))
+	}
+	return files
+}
+
+// recordFolder makes the folder of a pilot's records. A pilot whose folder is missing says so at its start.
+func (s *stage) recordFolder(p *pilot) string {
+	dir := filepath.Join(s.Records, p.name)
+	if err := os.MkdirAll(dir, recordFolderMode); err != nil {
+		s.Log.Error("make folder for records", zap.Error(err))
+	}
+	return dir
+}
+
+// startPilot begins a pilot's process, at the address of its first one, or has a new one take over from the running one.
+// It ends in stopPilot or by a handover.
+func (s *stage) startPilot(p *pilot, takeOver bool) error {
+	place := network.Place{Name: p.name, Zone: p.zone}
+	s.eventLog.Stream(p.name).Add(eventlog.Event{What: eventlog.Start, Kind: "pilot", Text: p.zone})
 	if s.Binary != "" {
-		return s.startProcess(st, place)
+		return s.startProcess(p, place)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	h, err := daemon.Start(ctx, &st.settings, daemon.Options{Log: s.Log.Named(st.name), Dial: s.network.Dialer(place, 2*time.Second),
-		Decide: s.Decide}, takeOver)
+	options := daemon.Options{
+		Log:    s.Log.Named(p.name),
+		Dial:   s.network.Dialer(place, pilotDialTimeout),
+		Decide: s.Decide,
+	}
+	host, err := daemon.Start(ctx, &p.settings, options, takeOver)
 	if err != nil {
 		cancel()
-		return fmt.Errorf("start %s: %w", st.name, err)
+		return fmt.Errorf("start %s: %w", p.name, err)
 	}
 	done := make(chan struct{})
-	st.mu.Lock()
-	st.host, st.cancel, st.done = h, cancel, done
-	st.settings.Listen = h.Daemon().Address()
-	if h.Daemon().GRPCAddress() != "" {
-		st.settings.GRPC = h.Daemon().GRPCAddress()
-		s.network.Put(st.settings.GRPC, place)
+	p.mu.Lock()
+	p.host = host
+	p.cancel = cancel
+	p.done = done
+	p.settings.Listen = host.Daemon().Address()
+	s.network.Put(p.settings.Listen, place)
+	if address := host.Daemon().GRPCAddress(); address != "" {
+		p.settings.GRPC = address
+		s.network.Put(address, place)
 	}
-	s.network.Put(st.settings.Listen, place)
-	st.mu.Unlock()
-	go func() {
+	p.mu.Unlock()
+	go func() { // ends with the host: by cancel, a kill or a handover
 		defer close(done)
-		if err := h.Wait(ctx); err != nil {
-			s.Log.Error("pilot ended", zap.String("pilot", st.name), zap.Error(err))
+		if err := host.Wait(ctx); err != nil {
+			s.Log.Error("pilot ended", zap.String("pilot", p.name), zap.Error(err))
 		}
 	}()
 	return nil
 }
 
-// handOver has a new pilot take over from a seat's.
-func (s *stage) handOver(st *pilot) error {
-	st.mu.Lock()
-	cancel, done := st.cancel, st.done
-	st.mu.Unlock()
-	if err := s.startPilot(st, true); err != nil {
+// handOver has a new process of a pilot take over, and waits for the end of the old one.
+func (s *stage) handOver(p *pilot) error {
+	p.mu.Lock()
+	cancel := p.cancel
+	done := p.done
+	p.mu.Unlock()
+	if err := s.startPilot(p, true); err != nil {
 		return err
 	}
 	<-done
@@ -107,37 +153,40 @@
 	return nil
 }
 
-// stopPilot ends a pilot's process, by force or by asking.
-func (s *stage) stopPilot(st *pilot, force bool) {
-	st.mu.Lock()
-	h, cancel, done := st.host, st.cancel, st.done
-	p := st.process
-	st.host, st.process = nil, nil
-	st.mu.Unlock()
-	if p != nil {
-		p.stop(force)
-		s.eventLog.Stream(st.name).Add(eventlog.Event{What: eventlog.Stop})
+// stopPilot ends a pilot's process, by a kill or by asking, and waits for its end.
+func (s *stage) stopPilot(p *pilot, kill bool) {
+	p.mu.Lock()
+	host := p.host
+	cancel := p.cancel
+	done := p.done
+	process := p.process
+	p.host = nil
+	p.process = nil
+	p.mu.Unlock()
+	if process != nil {
+		process.stop(kill)
+		s.eventLog.Stream(p.name).Add(eventlog.Event{What: eventlog.Stop})
 		return
 	}
-	if h == nil {
+	if host == nil {
 		return
 	}
-	d := h.Daemon()
-	if force {
-		d.Kill()
+	stopped := host.Daemon()
+	if kill {
+		stopped.Kill()
 	}
 	cancel()
 	<-done
-	s.eventLog.Stream(st.name).Add(eventlog.Event{What: eventlog.Stop})
-	s.recordMaxima(d)
+	s.eventLog.Stream(p.name).Add(eventlog.Event{What: eventlog.Stop})
+	s.recordMaxima(stopped)
 }
 
 // recordMaxima keeps the most that any pilot counted itself.
 func (s *stage) recordMaxima(d *daemon.Daemon) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	st := d.State()
-	s.maxima.MostLines = max(s.maxima.MostLines, st.MostLines)
-	s.maxima.MostMessages = max(s.maxima.MostMessages, st.MostMessages)
-	s.maxima.MostStanding = max(s.maxima.MostStanding, st.MostStanding)
+	state := d.State()
+	s.maxima.MostLines = max(s.maxima.MostLines, state.MostLines)
+	s.maxima.MostMessages = max(s.maxima.MostMessages, state.MostMessages)
+	s.maxima.MostStanding = max(s.maxima.MostStanding, state.MostStanding)
 }
--- a/internal/rehearsal/play.go
+++ b/internal/rehearsal/play.go
@@ -1,15 +1,13 @@
-// Package rehearsal plays a day on loopback sockets: it brings up stand-ins and pilots as a day file says, lets the
-// timed troubles happen, and has the audit judge the trails. It is no part of what ships beside the command.
+// Package rehearsal plays a scenario on loopback sockets: it starts testbed and pilots as the scenario says, plays its
+// faults at their times, and has the audit judge the event logs. It is no part of what ships beside the command.
 package rehearsal
 
 import (
 	"context"
 	"errors"
 	"fmt"
-	"math/rand/v2"
 	"os"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"go.uber.org/zap"
@@ -20,52 +18,44 @@
 	"indigousher/internal/scenario"
 	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/testbed/loadgen"
-	"indigousher/internal/testbed/network"
-	"indigousher/internal/testbed/registry"
-	"indigousher/internal/wire"
 )
 
 // Decide makes what decides in a pilot.
-type Decide func(seed int64, terms map[string]any) controller.Decider
+type Decide func(seed int64, settings map[string]any) controller.Decider
 
-// Play is one playing of a day.
+// Play is one run of a scenario.
 type Play struct {
-	Scenario      *scenario.Scenario
-	Decide        Decide // nil: the module
-	WithoutPilots bool   // no pilots: standing tables only
-	Log           *zap.Logger
-	Progress      func(format string, args ...any) // progress
-	// Records is where pilots record on days that have them do so; a folder that goes with the day if it is empty.
+	Scenario *scenario.Scenario
+	// Decide makes what decides in a pilot; nil: the planner.
+	Decide Decide
+	// WithoutPilots leaves the proxies on their static tables.
+	WithoutPilots bool
+	// Log takes the log lines of pilots and testbed; nil: they are dropped.
+	Log *zap.Logger
+	// Progress is told of each fault when it begins; nil: nobody is.
+	Progress func(format string, args ...any)
+	// Records is the folder for the pilots' records in scenarios that have them record; if empty, a temporary folder that
+	// is removed after the run.
 	Records string
-	// Binary, if told, is the program: pilots are then processes of their own, which a kill ends with signal 9. Their list,
-	// proxies and clients stay here; cuts between a pilot and the list are not played.
+	// Binary, if set, is the program: pilots then are processes of their own, and a kill ends them with SIGKILL. Registry,
+	// proxies and clients stay in this process; cuts between a pilot and the registry are not played.
 	Binary string
 }
 
-// Outcome is what a day left.
+// Outcome is the result of a run.
 type Outcome struct {
 	Report        *audit.Report
 	EventLog      *eventlog.Log
 	PilotMaxima   controller.State // the most lines and messages that any pilot counted itself
 	Elapsed       time.Duration
-	ZoneByAddress map[string]string // of endpoints, by address
+	ZoneByAddress map[string]string // of endpoints
 }
 
-// Run plays the day and judges it.
+// Run plays the scenario and judges it. All that it started has ended when it returns.
 func (p Play) Run(ctx context.Context) (*Outcome, error) {
-	if p.Progress == nil {
-		p.Progress = func(string, ...any) {}
-	}
-	if p.Log == nil {
-		p.Log = zap.NewNop()
-	}
+	p.setDefaults()
 	began := time.Now()
-	s := &stage{Play: p, eventLog: eventlog.NewLog(), entries: map[string]wire.Entry{},
-		isolated: map[string]*atomic.Bool{}, muted: map[string]*atomic.Bool{}, reportFactors: map[string]*atomic.Int64{},
-		random: rand.New(rand.NewPCG(uint64(p.Scenario.Seed), 5))}
-	s.ownLog = s.eventLog.Stream("rehearsal")
-	s.network = network.New(s.eventLog.Stream("links"), uint64(p.Scenario.Seed))
-	s.registry = registry.New(s.eventLog.Stream("list"))
+	s := newStage(p)
 	defer s.stopAll()
 	if s.Records == "" {
 		dir, err := os.MkdirTemp("", "indigousher-records-")
@@ -73,67 +63,83 @@
 			return nil, fmt.Errorf("make folder for records: %w", err)
 		}
 		s.Records = dir
-		defer os.RemoveAll(dir)
+		defer removeTemporary(dir)
 	}
-	if err := s.startAll(); err != nil {
+	if err := s.startAll(); err != nil { //nolint:contextcheck // what starts here ends in stopAll, not with the context
 		return nil, err
 	}
 	if err := s.play(ctx); err != nil {
 		return nil, err
 	}
-	addresses, zones := map[string]string{}, map[string]string{}
-	for _, e := range s.endpoints {
-		addresses[e.Address()], zones[e.Address()] = e.Name, e.Zone
+	return s.outcome(began), nil
+}
+
+func (p *Play) setDefaults() {
+	if p.Progress == nil {
+		p.Progress = func(string, ...any) {}
 	}
-	for _, st := range s.pilots {
-		st.mu.Lock()
-		h := st.host
-		st.mu.Unlock()
-		if h != nil {
-			s.recordMaxima(h.Daemon())
-		}
+	if p.Log == nil {
+		p.Log = zap.NewNop()
 	}
-	s.mu.Lock()
-	most := s.maxima
-	s.mu.Unlock()
-	return &Outcome{Report: audit.Check(s.eventLog.Events(), &s.Scenario.Common, addresses), EventLog: s.eventLog, PilotMaxima: most, ZoneByAddress: zones,
-		Elapsed: time.Since(began)}, nil
 }
 
-// play lets clients ask and troubles happen until the day is over.
+// removeTemporary removes a temporary folder. What can't be removed is left to the system.
+func removeTemporary(dir string) { _ = os.RemoveAll(dir) }
+
+// play runs the clients and the faults until the clients are through.
 func (s *stage) play(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	load := loadgen.Of(s.Scenario)
 	var addresses []string
-	for _, p := range s.proxies {
-		addresses = append(addresses, p.Address())
+	for _, proxy := range s.proxies {
+		addresses = append(addresses, proxy.Address())
 	}
-	var wg sync.WaitGroup
+	load := loadgen.Of(s.Scenario)
+
+	// Each fault has a goroutine of its own, which ends with the fault or with ctx.
+	var faults sync.WaitGroup
 	start := time.Now()
 	errs := make([]error, len(s.Scenario.Faults))
-	for i, t := range s.Scenario.Faults {
-		wg.Go(func() {
-			if backoff.Sleep(ctx, time.Until(start.Add(t.At))) {
-				s.ownLog.Add(eventlog.Event{What: eventlog.Note, Text: t.String()})
-				s.Progress("%5.1fs  %s", time.Since(start).Seconds(), t)
-				errs[i] = s.playFault(ctx, t)
+	for i, fault := range s.Scenario.Faults {
+		faults.Go(func() {
+			if backoff.Sleep(ctx, time.Until(start.Add(fault.At))) {
+				s.ownLog.Add(eventlog.Event{What: eventlog.Note, Text: fault.String()})
+				s.Progress("%5.1fs  %s", time.Since(start).Seconds(), fault)
+				errs[i] = s.playFault(ctx, fault)
 			}
 		})
 	}
 	loadgen.NewClients(load, s.eventLog.Stream("clients"), addresses).Run(ctx)
-	asked := ctx.Err()
+	stopped := ctx.Err()
 	cancel()
-	wg.Wait()
-	if asked != nil {
-		return fmt.Errorf("the day was stopped: %w", asked)
+	faults.Wait()
+	if stopped != nil {
+		return fmt.Errorf("the day was stopped: %w", stopped)
 	}
 	return errors.Join(errs...)
 }
 
-// targets returns the names that a trouble strikes.
-func (s *stage) targets(t scenario.Fault, names []string) []string {
+// outcome judges the run.
+func (s *stage) outcome(began time.Time) *Outcome {
+	nameByAddress := map[string]string{}
+	zoneByAddress := map[string]string{}
+	for _, endpoint := range s.endpoints {
+		nameByAddress[endpoint.Address()] = endpoint.Name
+		zoneByAddress[endpoint.Address()] = endpoint.Zone
+	}
+	for _, p := range s.pilots {
+		if host := p.runningHost(); host != nil {
+			s.recordMaxima(host.Daemon())
+		}
+	}
 	s.mu.Lock()
-	defer s.mu.Unlock()
-	return t.Targets(names, s.random)
+	maxima := s.maxima
+	s.mu.Unlock()
+	return &Outcome{
+		Report:        audit.Check(s.eventLog.Events(), &s.Scenario.Common, nameByAddress),
+		EventLog:      s.eventLog,
+		PilotMaxima:   maxima,
+		Elapsed:       time.Since(began),
+		ZoneByAddress: zoneByAddress,
+	}
 }
--- a/internal/rehearsal/print.go
+++ b/internal/rehearsal/print.go
@@ -9,56 +9,83 @@
 	"indigousher/internal/scenario"
 )
 
-// Column is one playing of a day under a name.
+// Column is one run of a scenario under a name.
 type Column struct {
 	Name    string
 	Outcome *Outcome
 }
 
-// Print writes verdicts and service of one or more playings as tables.
-func Print(out io.Writer, d *scenario.Scenario, columns []Column) {
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "\nrule\tverdict\tlooked at\tnearest to the limit")
-	for _, v := range columns[0].Outcome.Report.Verdicts {
+// printer writes text. It ignores write errors: where the terminal has gone there is no reader either.
+type printer struct{ io.Writer }
+
+func (p printer) printf(format string, args ...any) { _, _ = fmt.Fprintf(p, format, args...) }
+
+// Print writes the verdicts on the first of some runs, and the service of all, as tables.
+func Print(out io.Writer, s *scenario.Scenario, columns []Column) {
+	first := columns[0].Outcome
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	printVerdicts(printer{table}, first.Report)
+	printService(printer{table}, s, columns)
+	_ = table.Flush() // as printer does
+	printViolations(printer{out}, first.Report)
+	printTotals(printer{out}, first)
+}
+
+func printVerdicts(p printer, report *audit.Report) {
+	p.printf("\nrule\tverdict\tlooked at\tnearest to the limit\n")
+	for i := range report.Verdicts {
+		v := &report.Verdicts[i]
 		verdict := "kept"
 		if !v.Kept() {
 			verdict = "BROKEN"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%.2f  %s\n", v.Rule, verdict, v.Checked, v.LimitFraction, v.Worst)
+		p.printf("%s\t%s\t%d\t%.2f  %s\n", v.Rule, verdict, v.Checked, v.LimitFraction, v.Worst)
 	}
-	fmt.Fprint(w, "\nservice")
+}
+
+// printService writes a row for each window of the first run, for each request class, and for the whole run.
+func printService(p printer, s *scenario.Scenario, columns []Column) {
+	p.printf("\nservice")
 	for _, c := range columns {
-		fmt.Fprintf(w, "\t%s", c.Name)
+		p.printf("\t%s", c.Name)
 	}
-	fmt.Fprintln(w)
+	p.printf("\n")
 	for i := range columns[0].Outcome.Report.Service.Windows {
-		printEarnings(w, fmt.Sprintf("%3.0f to %3.0f s", float64(i)*audit.WindowMs/1000, float64(i+1)*audit.WindowMs/1000), columns,
-			func(s *audit.Service) audit.Earnings {
-				if i < len(s.Windows) {
-					return s.Windows[i]
-				}
-				return audit.Earnings{}
-			})
-	}
-	for i, k := range d.Kinds {
-		printEarnings(w, k.Name, columns, func(s *audit.Service) audit.Earnings { return s.Kinds[i] })
+		from := float64(i) * audit.WindowMs / 1000
+		to := float64(i+1) * audit.WindowMs / 1000
+		printEarnings(p, fmt.Sprintf("%3.0f to %3.0f s", from, to), columns, func(s *audit.Service) audit.Earnings {
+			if i < len(s.Windows) {
+				return s.Windows[i]
+			}
+			return audit.Earnings{}
+		})
 	}
-	printEarnings(w, "whole day", columns, func(s *audit.Service) audit.Earnings { return s.All })
-	_ = w.Flush() // a terminal that has gone has no reader either
-	for _, v := range columns[0].Outcome.Report.Verdicts {
-		for _, b := range v.Violations {
-			fmt.Fprintf(out, "BROKEN %s: %.2fs %s %s\n", v.Rule, b.At/1000, b.Who, b.Text)
-		}
+	for i, class := range s.Kinds {
+		printEarnings(p, class.Name, columns, func(s *audit.Service) audit.Earnings { return s.Kinds[i] })
 	}
-	s := columns[0].Outcome.Report.Service
-	fmt.Fprintf(out, "%d done (%d late), %d denied, %d errored; at most %d lines in a channel, %d messages to a proxy\n",
-		s.Done, s.Late, s.Denied, s.Errored, columns[0].Outcome.PilotMaxima.MostLines, columns[0].Outcome.PilotMaxima.MostMessages)
+	printEarnings(p, "whole day", columns, func(s *audit.Service) audit.Earnings { return s.All })
 }
 
-func printEarnings(w io.Writer, name string, columns []Column, part func(*audit.Service) audit.Earnings) {
-	fmt.Fprint(w, name)
+// printEarnings writes one row: a share of the service for each run.
+func printEarnings(p printer, name string, columns []Column, earnings func(*audit.Service) audit.Earnings) {
+	p.printf("%s", name)
 	for _, c := range columns {
-		fmt.Fprintf(w, "\t%.3f", part(&c.Outcome.Report.Service).Share())
+		p.printf("\t%.3f", earnings(&c.Outcome.Report.Service).Share())
 	}
-	fmt.Fprintln(w)
+	p.printf("\n")
+}
+
+func printViolations(p printer, report *audit.Report) {
+	for i := range report.Verdicts {
+		v := &report.Verdicts[i]
+		for _, violation := range v.Violations {
+			p.printf("BROKEN %s: %.2fs %s %s\n", v.Rule, violation.At/1000, violation.Who, violation.Text)
+		}
+	}
+}
+
+func printTotals(p printer, o *Outcome) {
+	s := &o.Report.Service
+	p.printf("%d done (%d late), %d denied, %d errored; at most %d lines in a channel, %d messages to a proxy\n",
+		s.Done, s.Late, s.Denied, s.Errored, o.PilotMaxima.MostLines, o.PilotMaxima.MostMessages)
 }
--- a/internal/rehearsal/proxies.go
+++ b/internal/rehearsal/proxies.go
@@ -13,76 +13,129 @@
 	"indigousher/internal/testbed/routing"
 )
 
+const (
+	// proxyDialTimeout is how long a proxy waits for a connection to a pilot.
+	proxyDialTimeout = time.Second
+	// endpointDialTimeout is how long a proxy waits for a connection to an endpoint.
+	endpointDialTimeout = 250 * time.Millisecond
+	// proxySeedStep keeps the sequences of proxies in runs with neighbouring seeds apart.
+	proxySeedStep = 1000
+	// factorUnit is the unit of stage.reportFactors: they are kept in thousandths.
+	factorUnit = 1000
+)
+
+// addProxy starts a proxy.
 func (s *stage) addProxy(name, zone string, number int) error {
-	down, mute := &atomic.Bool{}, &atomic.Bool{}
-	times := &atomic.Int64{}
-	times.Store(1000)
-	s.isolated[name], s.muted[name], s.reportFactors[name] = down, mute, times
-	var targets, limits []time.Duration
-	for _, k := range s.Scenario.Kinds {
-		targets, limits = append(targets, k.ResponseTarget), append(limits, k.ClientTimeout)
-	}
-	place := network.Place{Name: name, Zone: zone}
-	over := slices.ContainsFunc(s.Scenario.OverGRPC, func(pattern string) bool { ok, err := path.Match(pattern, name); return ok && err == nil })
-	join, err := s.joiner(name, zone, over)
+	isolated := &atomic.Bool{}
+	muted := &atomic.Bool{}
+	reportFactor := &atomic.Int64{}
+	reportFactor.Store(factorUnit)
+	s.isolated[name] = isolated
+	s.muted[name] = muted
+	s.reportFactors[name] = reportFactor
+
+	overGRPC := s.speaksGRPC(name)
+	join, err := s.joiner(name, zone, overGRPC)
 	if err != nil {
 		return err
 	}
-	p := proxy.New(proxy.Options{Name: name, Zone: zone, Habits: routing.Policy{Kinds: s.Scenario.ClassNames(), Pick: s.Scenario.Pick,
-		EjectsAfter: s.Scenario.EjectsAfter, EjectMs: float64(s.Scenario.EjectFor.Milliseconds()), TryAgain: s.Scenario.RetryHow},
-		Rate: s.Scenario.Rate / float64(len(s.Scenario.ProxyZones)), Standing: func() []string { return s.drawStaticTable(zone) },
-		Pilots: func() []string { return s.reachablePilots(zone, number, down, over) }, Join: join, Dial: s.network.Dialer(place, time.Second),
-		DialTimeout: 250 * time.Millisecond, Redial: s.Scenario.Redial, ApplyPerLine: s.Scenario.Apply, FirstWait: s.Scenario.FirstWait,
-		Targets: targets, Limits: limits, Seed: uint64(s.Scenario.Seed*1000 + number), MuteReads: mute.Load,
-		Reports: func() float64 { return float64(times.Load()) / 1000 }, Heedless: slices.Contains(s.Scenario.Heedless, name)},
-		s.eventLog.Stream(name))
-	if err := p.Start(); err != nil {
+	options := s.proxyOptions(name, zone, number)
+	options.Pilots = func() []string { return s.reachablePilots(zone, number, isolated, overGRPC) }
+	options.Join = join
+	options.MuteReads = muted.Load
+	options.Reports = func() float64 { return float64(reportFactor.Load()) / factorUnit }
+	added := proxy.New(options, s.eventLog.Stream(name))
+	if err := added.Start(); err != nil {
 		return err
 	}
-	s.network.Put(p.Address(), place)
-	s.proxies = append(s.proxies, p)
+	s.network.Put(added.Address(), network.Place{Name: name, Zone: zone})
+	s.proxies = append(s.proxies, added)
 	return nil
 }
 
-// joiner returns how a proxy joins, with keys of its own if the day has them.
+// proxyOptions returns the options of a proxy that come from the scenario alone.
+func (s *stage) proxyOptions(name, zone string, number int) proxy.Options {
+	var targets, limits []time.Duration
+	for _, class := range s.Scenario.Kinds {
+		targets = append(targets, class.ResponseTarget)
+		limits = append(limits, class.ClientTimeout)
+	}
+	return proxy.Options{
+		Name: name,
+		Zone: zone,
+		Habits: routing.Policy{
+			Kinds:       s.Scenario.ClassNames(),
+			Pick:        s.Scenario.Pick,
+			EjectsAfter: s.Scenario.EjectsAfter,
+			EjectMs:     float64(s.Scenario.EjectFor.Milliseconds()),
+			TryAgain:    s.Scenario.RetryHow,
+		},
+		Rate:         s.Scenario.Rate / float64(len(s.Scenario.ProxyZones)),
+		Standing:     func() []string { return s.drawStaticTable(zone) },
+		Dial:         s.network.Dialer(network.Place{Name: name, Zone: zone}, proxyDialTimeout),
+		DialTimeout:  endpointDialTimeout,
+		Redial:       s.Scenario.Redial,
+		ApplyPerLine: s.Scenario.Apply,
+		FirstWait:    s.Scenario.FirstWait,
+		Targets:      targets,
+		Limits:       limits,
+		Seed:         uint64(s.Scenario.Seed*proxySeedStep + number),
+		Heedless:     slices.Contains(s.Scenario.Heedless, name),
+	}
+}
+
+// speaksGRPC returns whether a proxy joins over gRPC, by the patterns of the scenario.
+func (s *stage) speaksGRPC(name string) bool {
+	return slices.ContainsFunc(s.Scenario.OverGRPC, func(pattern string) bool {
+		matches, err := path.Match(pattern, name)
+		return err == nil && matches
+	})
+}
+
+// joiner returns how a proxy joins, with keys of its own if the scenario has them.
 func (s *stage) joiner(name, zone string, overGRPC bool) (func() proxy.Joiner, error) {
-	var sealed *tls.Config
+	var tlsConfig *tls.Config
 	if s.Scenario.Keys {
-		ring, err := s.issueKeys(identity.Identity{Role: identity.Proxy, Zone: zone, Name: name})
+		keys, err := s.issueKeys(identity.Identity{Role: identity.Proxy, Zone: zone, Name: name})
 		if err != nil {
 			return nil, err
 		}
-		sealed = ring.Client(identity.Pilot)
+		tlsConfig = keys.Client(identity.Pilot)
 	}
 	return func() proxy.Joiner {
 		if overGRPC {
-			return proxy.GRPC(sealed, false)
+			return proxy.GRPC(tlsConfig, false)
 		}
-		return proxy.Framed(sealed)
+		return proxy.Framed(tlsConfig)
 	}, nil
 }
 
-// reachablePilots lists the pilots that a proxy may dial, its home first.
-func (s *stage) reachablePilots(zone string, number int, down *atomic.Bool, overGRPC bool) []string {
-	if down.Load() || len(s.pilots) == 0 {
+// reachablePilots lists the addresses of the pilots that a proxy may dial, in the order in which it does: its home first.
+func (s *stage) reachablePilots(zone string, number int, isolated *atomic.Bool, overGRPC bool) []string {
+	if isolated.Load() || len(s.pilots) == 0 {
 		return nil
 	}
-	var at []string
 	home := number % len(s.pilots)
 	if s.Scenario.ByZone {
-		if i := slices.IndexFunc(s.pilots, func(p *pilot) bool { return p.zone == zone }); i >= 0 {
-			home = i
+		inZone := slices.IndexFunc(s.pilots, func(p *pilot) bool { return p.zone == zone })
+		if inZone >= 0 {
+			home = inZone
 		}
 	}
+	var addresses []string
 	for i := range s.pilots {
-		st := s.pilots[(home+i)%len(s.pilots)]
-		st.mu.Lock()
-		if overGRPC {
-			at = append(at, st.settings.GRPC)
-		} else {
-			at = append(at, st.settings.Listen)
-		}
-		st.mu.Unlock()
+		p := s.pilots[(home+i)%len(s.pilots)]
+		addresses = append(addresses, p.address(overGRPC))
+	}
+	return addresses
+}
+
+// address returns where a pilot accepts proxies.
+func (p *pilot) address(overGRPC bool) string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if overGRPC {
+		return p.settings.GRPC
 	}
-	return at
+	return p.settings.Listen
 }
--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/rehearsal/rehearsal_test.go
@@ -70,15 +70,18 @@
 		day   string
 		spoil func(float64, []planner.Command) []planner.Command
 	}{
-		{"a table emptied", audit.EndpointCoverage, `rules { bare_for = "1500ms" }`,
+		{
+			"a table emptied", audit.EndpointCoverage, `rules { bare_for = "1500ms" }`,
 			each(func(now float64, o planner.Command) []planner.Command {
 				if s, ok := o.(planner.SetWeight); ok {
 					s.Weight = 0
 					return []planner.Command{s}
 				}
 				return []planner.Command{o}
-			})},
-		{"a non-replayable req repeated", audit.SingleEffect, `trouble "slow_link" {
+			}),
+		},
+		{
+			"a non-replayable req repeated", audit.SingleEffect, `trouble "slow_link" {
 				at = "1s"
 				for = "5s"
 				zone = "c"
@@ -94,8 +97,10 @@
 					return []planner.Command{a}
 				}
 				return []planner.Command{o}
-			})},
-		{"a drain ignored", audit.DrainDeadline, `rules { drain_grace = "1s" }
+			}),
+		},
+		{
+			"a drain ignored", audit.DrainDeadline, `rules { drain_grace = "1s" }
 			trouble "drain" {
 				at = "2s"
 				for = "5s"
@@ -111,8 +116,10 @@
 					}
 				}
 				return []planner.Command{o}
-			})},
-		{"a cold endpoint flooded", audit.SlowStartBudget, `rules {
+			}),
+		},
+		{
+			"a cold endpoint flooded", audit.SlowStartBudget, `rules {
 				cold = "20s"
 				cold_from = 0.1
 				drain_grace = "500ms"
@@ -138,8 +145,10 @@
 					}
 				}
 				return orders
-			}},
-		{"a channel overfilled", audit.ChannelQueue, `channel {
+			},
+		},
+		{
+			"a channel overfilled", audit.ChannelQueue, `channel {
 				backlog = 100
 				lines_per_s = 400
 			}`,
@@ -150,7 +159,8 @@
 					}
 				}
 				return orders
-			}},
+			},
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/rehearsal/slices.go
+++ b/internal/rehearsal/slices.go
@@ -8,40 +8,56 @@
 	"indigousher/internal/wire"
 )
 
-// assignSlices has the store give each slice to one endpoint, in turn.
+// assignSlices gives the slices of the key space to the endpoints, in turn.
 func (s *stage) assignSlices() {
-	for i := range s.Scenario.Slices {
-		s.sliceOwners = append(s.sliceOwners, s.endpoints[i%len(s.endpoints)].Address())
-		s.announceSlice(i)
+	for slice := range s.Scenario.Slices {
+		owner := s.endpoints[slice%len(s.endpoints)]
+		s.sliceOwners = append(s.sliceOwners, owner.Address())
+		s.announceSlice(slice)
 	}
 }
 
-// announceSlice tells pilots what the store holds of a slice.
-func (s *stage) announceSlice(i int) {
-	x := wire.Slices{Slice: i, Given: true, From: loadgen.Key(i * scenario.KeysPerSlice), To: loadgen.Key((i + 1) * scenario.KeysPerSlice),
-		Lines: []wire.HeldLine{{Endpoint: s.sliceOwners[i], Weight: 1}}}
-	s.ownLog.Add(eventlog.Event{What: eventlog.Given, Peer: s.sliceOwners[i], N: i, Text: x.From})
-	s.registry.Give(x)
+// announceSlice has the registry notify the pilots of a slice's owner.
+func (s *stage) announceSlice(slice int) {
+	owner := s.sliceOwners[slice]
+	assignment := wire.Slices{
+		Slice: slice,
+		Given: true,
+		From:  loadgen.Key(slice * scenario.KeysPerSlice),
+		To:    loadgen.Key((slice + 1) * scenario.KeysPerSlice),
+		Lines: []wire.HeldLine{{Endpoint: owner, Weight: 1}},
+	}
+	s.ownLog.Add(eventlog.Event{What: eventlog.Given, Peer: owner, N: slice, Text: assignment.From})
+	s.registry.Give(assignment)
 }
 
-// moveSlices has the store give the slices of some endpoints to the others, in turn.
+// moveSlices gives the slices of some endpoints to the others, in turn.
 func (s *stage) moveSlices(from []*endpoint.Endpoint) {
 	leaving := map[string]bool{}
 	for _, e := range from {
 		leaving[e.Address()] = true
 	}
+	staying := s.addressesExcept(leaving)
+	if len(staying) == 0 {
+		return
+	}
+	for slice, owner := range s.sliceOwners {
+		if leaving[owner] {
+			s.sliceOwners[slice] = staying[slice%len(staying)]
+			s.announceSlice(slice)
+		}
+	}
+}
+
+// addressesExcept lists the addresses of all other endpoints.
+func (s *stage) addressesExcept(leaving map[string]bool) []string {
 	s.mu.Lock()
-	var stay []string
+	defer s.mu.Unlock()
+	var staying []string
 	for _, e := range s.endpoints {
 		if !leaving[e.Address()] {
-			stay = append(stay, e.Address())
-		}
-	}
-	s.mu.Unlock()
-	for i, owner := range s.sliceOwners {
-		if leaving[owner] && len(stay) > 0 {
-			s.sliceOwners[i] = stay[i%len(stay)]
-			s.announceSlice(i)
+			staying = append(staying, e.Address())
 		}
 	}
+	return staying
 }
--- a/internal/rehearsal/stage.go
+++ b/internal/rehearsal/stage.go
@@ -3,12 +3,12 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"os"
 	"sync"
 	"sync/atomic"
 
 	"indigousher/internal/controller"
 	"indigousher/internal/identity"
+	"indigousher/internal/scenario"
 	"indigousher/internal/testbed/endpoint"
 	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/testbed/network"
@@ -17,29 +17,54 @@
 	"indigousher/internal/wire"
 )
 
-// stage holds everything that runs.
+// stage holds all that takes part in a run.
 type stage struct {
 	Play
-	eventLog      *eventlog.Log
-	ownLog        *eventlog.Stream
-	network       *network.Network
-	registry      *registry.Registry
-	mu            sync.Mutex
-	endpoints     []*endpoint.Endpoint
-	entries       map[string]wire.Entry // as they truly are, by name
-	proxies       []*proxy.Proxy
-	isolated      map[string]*atomic.Bool
-	muted         map[string]*atomic.Bool
-	reportFactors map[string]*atomic.Int64 // how many times as often a proxy reports, in thousandths
-	pilots        []*pilot
-	random        *rand.Rand
-	maxima        controller.State
-	authority     *identity.Authority
-	keyDir        string
-	sliceOwners   []string // of slices, by number; addresses of endpoints
+	eventLog *eventlog.Log
+	ownLog   *eventlog.Stream // of what the rehearsal itself does
+	network  *network.Network
+	registry *registry.Registry
+
+	// Set up before the run begins and not changed after.
+	proxies   []*proxy.Proxy
+	pilots    []*pilot
+	authority *identity.Authority
+	keyDir    string
+
+	// Faults of proxies, by name; the maps are not changed once the run has begun.
+	isolated      map[string]*atomic.Bool  // it reaches no pilot
+	muted         map[string]*atomic.Bool  // it reads nothing
+	reportFactors map[string]*atomic.Int64 // how many times as often it reports, in thousandths
+
+	sliceOwners []string // addresses of endpoints, by slice
+
+	mu        sync.Mutex // guards the rest
+	endpoints []*endpoint.Endpoint
+	entries   map[string]wire.Entry // endpoints as they truly are, by name, whatever the registry has been told
+	random    *rand.Rand
+	maxima    controller.State
+}
+
+// randomStream tells the random sequence of a run apart from others of the same seed.
+const randomStream = 5
+
+func newStage(p Play) *stage {
+	s := &stage{
+		Play:          p,
+		eventLog:      eventlog.NewLog(),
+		isolated:      map[string]*atomic.Bool{},
+		muted:         map[string]*atomic.Bool{},
+		reportFactors: map[string]*atomic.Int64{},
+		entries:       map[string]wire.Entry{},
+		random:        rand.New(rand.NewPCG(uint64(p.Scenario.Seed), randomStream)),
+	}
+	s.ownLog = s.eventLog.Stream("rehearsal")
+	s.network = network.New(s.eventLog.Stream("links"), uint64(p.Scenario.Seed))
+	s.registry = registry.New(s.eventLog.Stream("list"))
+	return s
 }
 
-// startAll starts endpoints, list, pilots and proxies, in this order.
+// startAll starts registry, endpoints, pilots and proxies, in this order.
 func (s *stage) startAll() error {
 	if err := s.openKeys(); err != nil {
 		return err
@@ -48,63 +73,92 @@
 		return err
 	}
 	s.network.Put(s.registry.Address(), network.Place{Name: "list"})
-	for gi, g := range s.Scenario.Groups {
-		for i := range g.Count {
-			if _, err := s.addEndpoint(fmt.Sprintf("%s-%s-%d", g.Zone, g.Machine, i), gi, false); err != nil {
-				return err
-			}
-		}
+	if err := s.startEndpoints(); err != nil {
+		return err
 	}
 	if !s.Scenario.ListEmpty {
 		s.listAll()
 	}
 	s.assignSlices()
 	if !s.WithoutPilots {
-		for i, z := range s.Scenario.PilotZones {
-			st := &pilot{name: fmt.Sprintf("pilot-%d", i), zone: z}
-			st.settings = s.pilotSettings(st, i)
-			s.pilots = append(s.pilots, st)
-			if err := s.startPilot(st, false); err != nil {
+		if err := s.startPilots(); err != nil {
+			return err
+		}
+	}
+	return s.startProxies()
+}
+
+func (s *stage) startEndpoints() error {
+	for group, g := range s.Scenario.Groups {
+		for i := range g.Count {
+			if err := s.addEndpoint(fmt.Sprintf("%s-%s-%d", g.Zone, g.Machine, i), group, false); err != nil {
 				return err
 			}
 		}
 	}
-	counts := map[string]int{}
-	for i, z := range s.Scenario.ProxyZones {
-		name := fmt.Sprintf("proxy-%s-%d", z, counts[z])
-		counts[z]++
-		if err := s.addProxy(name, z, i); err != nil {
+	return nil
+}
+
+func (s *stage) startPilots() error {
+	for rank, zone := range s.Scenario.PilotZones {
+		p := &pilot{name: fmt.Sprintf("pilot-%d", rank), zone: zone}
+		p.settings = s.pilotSettings(p, rank)
+		s.pilots = append(s.pilots, p)
+		if err := s.startPilot(p, false); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (s *stage) startProxies() error {
+	inZone := map[string]int{}
+	for number, zone := range s.Scenario.ProxyZones {
+		name := fmt.Sprintf("proxy-%s-%d", zone, inZone[zone])
+		inZone[zone]++
+		if err := s.addProxy(name, zone, number); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// stopAll stops all that runs; what a test started it leaves nothing of.
+// stopAll ends all that runs. Cuts are mended last, so that what they hold back ends as well.
 func (s *stage) stopAll() {
 	if s.keyDir != "" {
-		defer os.RemoveAll(s.keyDir)
+		defer removeTemporary(s.keyDir)
 	}
-	for _, p := range s.proxies {
-		p.Kill()
+	for _, proxy := range s.proxies {
+		proxy.Kill()
 	}
-	for _, st := range s.pilots {
-		s.stopPilot(st, true)
+	for _, p := range s.pilots {
+		s.stopPilot(p, true)
 	}
 	s.registry.Close()
-	for _, e := range s.endpoints {
-		e.Kill()
+	for _, endpoint := range s.endpoints {
+		endpoint.Kill()
 	}
-	for _, z := range s.Scenario.Zones { // what a cut holds back may end
-		s.network.Cut(z, false)
+	s.mendAll()
+}
+
+func (s *stage) mendAll() {
+	for _, zone := range s.Scenario.Zones {
+		s.network.Cut(zone, false)
 	}
-	for _, e := range s.endpoints {
-		s.network.SetBlackhole(e.Name, false)
+	for _, endpoint := range s.endpoints {
+		s.network.SetBlackhole(endpoint.Name, false)
 	}
-	for _, p := range s.proxies {
-		s.network.SetBlackhole(p.Name, false)
+	for _, proxy := range s.proxies {
+		s.network.SetBlackhole(proxy.Name, false)
 	}
-	for _, st := range s.pilots {
-		s.network.SetBlackhole(st.name, false)
+	for _, p := range s.pilots {
+		s.network.SetBlackhole(p.name, false)
 	}
 }
+
+// targets draws the names that a fault strikes.
+func (s *stage) targets(fault scenario.Fault, names []string) []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return fault.Targets(names, s.random)
+}
