--- a/cmd/indigousher/experiment.go
+++ b/cmd/indigousher/experiment.go
@@ -87,7 +87,7 @@
 				html = base + ".html"
 			}
 			debug.SetGCPercent(400) // runs make much that soon goes; memory is there
-			r := experiment.Runner{Plan: plan, Store: store, Program: program, Say: func(done, all int) {
+			r := experiment.Runner{Plan: plan, Store: store, Program: program, Progress: func(done, all int) {
 				fmt.Fprintf(cmd.ErrOrStderr(), "\r%d of %d runs", done, all)
 			}}
 			t, err := r.Run(cmd.Context())
--- a/cmd/indigousher/search.go
+++ b/cmd/indigousher/search.go
@@ -27,22 +27,22 @@
 				return err
 			}
 			distances(out, finds, endpoints)
-			var bad []*search.Find
+			var bad []*search.Finding
 			for _, f := range finds {
 				if len(f.Broken) > 0 {
 					bad = append(bad, f)
 				}
 			}
 			for rule := range audit.Rule(5) {
-				best := slices.MaxFunc(finds, func(a, b *search.Find) int { return int(1e6 * (a.Near[rule] - b.Near[rule])) })
+				best := slices.MaxFunc(finds, func(a, b *search.Finding) int { return int(1e6 * (a.LimitFractions[rule] - b.LimitFractions[rule])) })
 				if climbs == 0 || len(best.Broken) > 0 {
 					continue
 				}
-				near := best.Near[rule]
+				near := best.LimitFractions[rule]
 				if best, err = s.Climb(cmd.Context(), best, rule, climbs, uint64(seed)); err != nil {
 					return err
 				}
-				fmt.Fprintf(out, "climbed towards %q: %.2f to %.2f\n", rule, near, best.Near[rule])
+				fmt.Fprintf(out, "climbed towards %q: %.2f to %.2f\n", rule, near, best.LimitFractions[rule])
 				if len(best.Broken) > 0 {
 					bad = append(bad, best)
 				}
@@ -71,8 +71,8 @@
 }
 
 // distances shows how near days came to each limit.
-func distances(out io.Writer, finds []*search.Find, endpoints int) {
-	quantiles := func(of func(*search.Find) float64) string {
+func distances(out io.Writer, finds []*search.Finding, endpoints int) {
+	quantiles := func(of func(*search.Finding) float64) string {
 		var v []float64
 		for _, f := range finds {
 			v = append(v, of(f))
@@ -93,7 +93,7 @@
 	fmt.Fprintf(out, "%d days of about %d endpoints, %d with a broken rule\nnearest to the limit (1 is the limit): median, 90%%, 99%%, worst\n",
 		len(finds), endpoints, broken)
 	for rule := range audit.Rule(5) {
-		fmt.Fprintf(out, "%-28s%s\n", rule, quantiles(func(f *search.Find) float64 { return f.Near[rule] }))
+		fmt.Fprintf(out, "%-28s%s\n", rule, quantiles(func(f *search.Finding) float64 { return f.LimitFractions[rule] }))
 	}
-	fmt.Fprintf(out, "%-28s%s\n", "service lost", quantiles(func(f *search.Find) float64 { return 1 - f.Service }))
+	fmt.Fprintf(out, "%-28s%s\n", "service lost", quantiles(func(f *search.Finding) float64 { return 1 - f.Service }))
 }
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -25,8 +25,8 @@
 func Named(name string) (Factory, error) {
 	of := func(plan func(*policy, int) map[int]float64, everyMs float64, own bool) Factory {
 		return func(seed int64, _ map[string]any) controller.Decider {
-			return &policy{seed: seed, plan: plan, everyMs: everyMs, own: own, listed: map[int]planner.Entry{}, proxies: map[int]planner.ProxyJoined{},
-				tables: map[int]map[int]float64{}, util: map[int]float64{}, weight: map[int]float64{}}
+			return &policy{seed: seed, weights: plan, everyMs: everyMs, ownTables: own, listed: map[int]planner.Entry{}, proxies: map[int]planner.ProxyJoined{},
+				tables: map[int]map[int]float64{}, utilization: map[int]float64{}, feedbackWeight: map[int]float64{}}
 		}
 	}
 	switch name {
@@ -51,18 +51,18 @@
 
 // policy keeps the list, who is joined and the tables as ordered, and sends what differs at once.
 type policy struct {
-	seed    int64
-	plan    func(p *policy, proxy int) map[int]float64
-	everyMs float64 // anew so often; 0: on changes only
-	own     bool    // a table for each proxy, else one for all
-	dueMs   float64
-	listed  map[int]planner.Entry
-	order   []int // of what is ready
-	proxies map[int]planner.ProxyJoined
-	tables  map[int]map[int]float64
-	util    map[int]float64 // last told
-	weight  map[int]float64 // of feedback
-	truth   func(endpoint int) (busy float64, runs bool)
+	seed           int64
+	weights        func(p *policy, proxy int) map[int]float64
+	everyMs        float64 // anew so often; 0: on changes only
+	ownTables      bool    // a table for each proxy, else one for all
+	dueMs          float64
+	listed         map[int]planner.Entry
+	ready          []int // of what is ready
+	proxies        map[int]planner.ProxyJoined
+	tables         map[int]map[int]float64
+	utilization    map[int]float64 // last told
+	feedbackWeight map[int]float64 // of feedback
+	trueLoad       func(endpoint int) (busy float64, runs bool)
 }
 
 // Handle follows the list and the proxies.
@@ -71,7 +71,7 @@
 	for _, n := range notes {
 		switch n := n.(type) {
 		case planner.EndpointUpdate:
-			p.list(n)
+			p.updateList(n)
 			changed = true
 		case planner.ProxyJoined:
 			p.proxies[n.Proxy] = n
@@ -80,7 +80,7 @@
 			delete(p.proxies, n.Proxy)
 		case planner.EndpointStats:
 			if u, told := n.Load["util"]; told {
-				p.util[n.Endpoint] = u
+				p.utilization[n.Endpoint] = u
 			}
 		}
 	}
@@ -89,8 +89,8 @@
 		p.dueMs = nowMs + p.everyMs
 		orders = append(orders, planner.SetTimer{AtMs: p.dueMs, Name: "again"})
 	}
-	if changed || due || p.own && len(fresh) > 0 {
-		orders = append(orders, p.push()...)
+	if changed || due || p.ownTables && len(fresh) > 0 {
+		orders = append(orders, p.publish()...)
 	}
 	for _, x := range fresh {
 		orders = append(orders, planner.AssignTable{Table: p.table(x), Proxy: x})
@@ -102,36 +102,36 @@
 func (p *policy) Reconfigure(map[string]any) {}
 
 func (p *policy) table(proxy int) int {
-	if p.own {
+	if p.ownTables {
 		return proxy + 1
 	}
 	return 0
 }
 
-func (p *policy) list(l planner.EndpointUpdate) {
+func (p *policy) updateList(l planner.EndpointUpdate) {
 	if l.Mode == planner.Snapshot {
 		clear(p.listed)
 	}
 	for _, e := range l.Entries {
 		p.listed[e.Endpoint] = e
 	}
-	p.order = p.order[:0]
+	p.ready = p.ready[:0]
 	for _, i := range slices.Sorted(maps.Keys(p.listed)) {
 		if p.listed[i].Phase == planner.Ready {
-			p.order = append(p.order, i)
+			p.ready = append(p.ready, i)
 		}
 	}
 }
 
-// push sends the lines that differ.
-func (p *policy) push() (orders []planner.Command) {
+// publish sends the lines that differ.
+func (p *policy) publish() (orders []planner.Command) {
 	who := []int{0}
-	if p.own {
+	if p.ownTables {
 		who = slices.Sorted(maps.Keys(p.proxies))
 	}
 	for _, x := range who {
 		number := p.table(x)
-		want, has := p.plan(p, x), p.tables[number]
+		want, has := p.weights(p, x), p.tables[number]
 		if has == nil {
 			has = map[int]float64{}
 			p.tables[number] = has
@@ -155,25 +155,25 @@
 // even gives each endpoint its listed weight.
 func (p *policy) even(int) map[int]float64 {
 	out := map[int]float64{}
-	for _, i := range p.order {
+	for _, i := range p.ready {
 		out[i] = max(p.listed[i].Weight, 1e-9)
 	}
 	return out
 }
 
-// lines is how many endpoints a proxy of its own table gets.
-const lines = 8
+// subsetSize is how many endpoints a proxy of its own table gets.
+const subsetSize = 8
 
-func (p *policy) chance(a, b int) uint32 {
+func (p *policy) rank(a, b int) uint32 {
 	return crc32.ChecksumIEEE(fmt.Appendf(nil, "%d %d %d", p.seed, a, b))
 }
 
 // subset draws endpoints for each proxy.
 func (p *policy) subset(proxy int) map[int]float64 {
-	order := slices.Clone(p.order)
-	slices.SortFunc(order, func(a, b int) int { return int(p.chance(proxy, a)>>1) - int(p.chance(proxy, b)>>1) })
+	order := slices.Clone(p.ready)
+	slices.SortFunc(order, func(a, b int) int { return int(p.rank(proxy, a)>>1) - int(p.rank(proxy, b)>>1) })
 	out := map[int]float64{}
-	for _, i := range order[:min(lines, len(order))] {
+	for _, i := range order[:min(subsetSize, len(order))] {
 		out[i] = max(p.listed[i].Weight, 1e-9)
 	}
 	return out
@@ -181,14 +181,14 @@
 
 // aperture gives each proxy a window on a ring, windows laid out evenly.
 func (p *policy) aperture(proxy int) map[int]float64 {
-	n, out := len(p.order), map[int]float64{}
+	n, out := len(p.ready), map[int]float64{}
 	if n == 0 {
 		return out
 	}
 	place, _ := slices.BinarySearch(slices.Sorted(maps.Keys(p.proxies)), proxy)
 	from := float64(place) / float64(max(1, len(p.proxies))) * float64(n)
-	for k := range min(lines, n) {
-		i := p.order[(int(from)+k)%n]
+	for k := range min(subsetSize, n) {
+		i := p.ready[(int(from)+k)%n]
 		out[i] = max(p.listed[i].Weight, 1e-9)
 	}
 	return out
@@ -197,8 +197,8 @@
 // inverse gives weights by the inverse of the load last told.
 func (p *policy) inverse(int) map[int]float64 {
 	out := map[int]float64{}
-	for _, i := range p.order {
-		out[i] = round(max(p.listed[i].Weight, 1e-9) / max(0.05, p.util[i]))
+	for _, i := range p.ready {
+		out[i] = roundWeight(max(p.listed[i].Weight, 1e-9) / max(0.05, p.utilization[i]))
 	}
 	return out
 }
@@ -206,39 +206,39 @@
 // feedback moves each weight by how far its load is from the mean, without any price for what it costs.
 func (p *policy) feedback(int) map[int]float64 {
 	sum, out := 0.0, map[int]float64{}
-	for _, i := range p.order {
-		sum += p.util[i]
+	for _, i := range p.ready {
+		sum += p.utilization[i]
 	}
-	mean := sum / float64(max(1, len(p.order)))
-	for _, i := range p.order {
-		if p.weight[i] == 0 {
-			p.weight[i] = max(p.listed[i].Weight, 1e-9)
+	mean := sum / float64(max(1, len(p.ready)))
+	for _, i := range p.ready {
+		if p.feedbackWeight[i] == 0 {
+			p.feedbackWeight[i] = max(p.listed[i].Weight, 1e-9)
 		}
-		p.weight[i] *= math.Exp(min(0.5, max(-0.5, mean-p.util[i])))
-		out[i] = round(p.weight[i])
+		p.feedbackWeight[i] *= math.Exp(min(0.5, max(-0.5, mean-p.utilization[i])))
+		out[i] = roundWeight(p.feedbackWeight[i])
 	}
 	return out
 }
 
-// round keeps a weight to about two figures, so that not every line differs each time.
-func round(w float64) float64 { return math.Exp(math.Round(math.Log(w)*20) / 20) }
+// roundWeight keeps a weight to about two figures, so that not every line differs each time.
+func roundWeight(w float64) float64 { return math.Exp(math.Round(math.Log(w)*20) / 20) }
 
 // Oracle spreads by the true state, which no pilot can know; whoever runs it tells it the truth and the names.
 type Oracle struct{ *policy }
 
-// Know tells it where the truth is to be had.
-func (o *Oracle) Know(truth func(endpoint int) (busy float64, runs bool)) { o.truth = truth }
+// SetTrueLoad tells it where the truth is to be had.
+func (o *Oracle) SetTrueLoad(truth func(endpoint int) (busy float64, runs bool)) { o.trueLoad = truth }
 
 // oracle gives weight by the room that there truly is.
 func (p *policy) oracle(int) map[int]float64 {
 	out := map[int]float64{}
-	for _, i := range p.order {
+	for _, i := range p.ready {
 		busy, runs := 0.0, true
-		if p.truth != nil {
-			busy, runs = p.truth(i)
+		if p.trueLoad != nil {
+			busy, runs = p.trueLoad(i)
 		}
 		if runs {
-			out[i] = round(max(p.listed[i].Weight, 1e-9) / (0.2 + busy*busy))
+			out[i] = roundWeight(max(p.listed[i].Weight, 1e-9) / (0.2 + busy*busy))
 		}
 	}
 	if len(out) == 0 {
--- a/internal/emulator/pilot.go
+++ b/internal/emulator/pilot.go
@@ -73,7 +73,7 @@
 		process.core = controller.NewCore(options)
 	}
 	if oracle, ok := options.Decider.(*baseline.Oracle); ok {
-		oracle.Know(func(endpoint int) (float64, bool) { return p.w.trueLoad(process.core.EndpointName(endpoint)) })
+		oracle.SetTrueLoad(func(endpoint int) (float64, bool) { return p.w.trueLoad(process.core.EndpointName(endpoint)) })
 	}
 	p.Starts = append(p.Starts, begun)
 	p.scheduleLineCount(process, len(p.Starts)-1)
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -55,30 +55,30 @@
 	whole := &Runner{Plan: p, Store: filepath.Join(t.TempDir(), "whole.db"), Program: "one"}
 	want, err := whole.Run(t.Context())
 	require.NoError(t, err)
-	assert.Zero(t, want.Left+want.Taken)
+	assert.Zero(t, want.LeftOut+want.Reused)
 	ctx, cancel := context.WithCancel(t.Context())
-	broken := &Runner{Plan: p, Store: filepath.Join(t.TempDir(), "broken.db"), Program: "one", Workers: 1, Say: func(done, _ int) {
+	broken := &Runner{Plan: p, Store: filepath.Join(t.TempDir(), "broken.db"), Program: "one", Workers: 1, Progress: func(done, _ int) {
 		if done == 5 {
 			cancel()
 		}
 	}}
 	_, err = broken.Run(ctx)
 	require.ErrorIs(t, err, context.Canceled)
-	broken.Say = nil
+	broken.Progress = nil
 	got, err := broken.Run(t.Context())
 	require.NoError(t, err)
-	assert.GreaterOrEqual(t, got.Taken, 4)
-	assert.Less(t, got.Taken, 10)
+	assert.GreaterOrEqual(t, got.Reused, 4)
+	assert.Less(t, got.Reused, 10)
 	assert.Equal(t, shown(t, want), shown(t, got))
 	broken.Program = "another"
 	got, err = broken.Run(t.Context())
 	require.NoError(t, err)
-	assert.Zero(t, got.Taken)
+	assert.Zero(t, got.Reused)
 	p.Budget = time.Nanosecond
 	broken.Program = "a third"
 	got, err = broken.Run(t.Context())
 	require.NoError(t, err)
-	assert.Equal(t, 54, got.Left)
+	assert.Equal(t, 54, got.LeftOut)
 	var b bytes.Buffer
 	require.NoError(t, got.Print(&b))
 	assert.Contains(t, b.String(), "54 runs were left out")
@@ -130,21 +130,21 @@
 	}
 	ours, even := -1, -1
 	for i, c := range x.Cells {
-		if c.Levels[0] == 1 && c.Policy == Ours {
+		if c.Levels[0] == 1 && c.Policy == Planner {
 			ours = i
 		} else if c.Levels[0] == 1 && c.Policy == "even" {
 			even = i
 		}
 	}
 	assert.Greater(t, x.Figure(ours, Metrics[0]).Mean, x.Figure(even, Metrics[0]).Mean, "a hang costs one even table more")
-	assert.Negative(t, x.Beside(even, Metrics[0]).Mean)
+	assert.Negative(t, x.Difference(even, Metrics[0]).Mean)
 }
 
 // TestFigure holds the interval against a textbook's: five values, t of 2.776.
 func TestFigure(t *testing.T) {
-	f := figure([]float64{1, 2, 3, 4, 5})
+	f := newFigure([]float64{1, 2, 3, 4, 5})
 	assert.InDelta(t, 3, f.Mean, 1e-9)
-	assert.InDelta(t, 2.776*1.5811/2.2361, f.Half, 1e-3)
+	assert.InDelta(t, 2.776*1.5811/2.2361, f.HalfWidth, 1e-3)
 }
 
 // TestWrong guards against files that name what is not there.
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -39,14 +39,14 @@
 // factors are what can be varied, and what a level does to a day.
 var factors = map[string]func(d *scenario.Scenario, v float64){
 	"size": func(d *scenario.Scenario, v float64) { // endpoints, proxies, reqs and the channel together
-		count(d, v)
-		crowd(d, v)
+		scaleEndpoints(d, v)
+		scaleProxies(d, v)
 		d.Rate *= v
 		d.LinesPerS, d.Backlog = d.LinesPerS*v, d.Backlog*v
 		d.IntakeLinesPerS, d.IntakeStanding = d.IntakeLinesPerS*v, int(float64(d.IntakeStanding)*v)
 	},
-	"endpoints": count,
-	"proxies":   crowd,
+	"endpoints": scaleEndpoints,
+	"proxies":   scaleProxies,
 	"load":      func(d *scenario.Scenario, v float64) { d.Rate *= v },
 	"pilots": func(d *scenario.Scenario, v float64) {
 		d.PilotZones = nil
@@ -62,13 +62,13 @@
 	"length_s": func(d *scenario.Scenario, v float64) { d.Length = time.Duration(v * float64(time.Second)) },
 }
 
-func count(d *scenario.Scenario, v float64) {
+func scaleEndpoints(d *scenario.Scenario, v float64) {
 	for i := range d.Groups {
 		d.Groups[i].Count = max(1, int(float64(d.Groups[i].Count)*v+0.5))
 	}
 }
 
-func crowd(d *scenario.Scenario, v float64) {
+func scaleProxies(d *scenario.Scenario, v float64) {
 	zones := slices.Clone(d.ProxyZones)
 	d.ProxyZones = nil
 	for i := range max(1, int(float64(len(zones))*v+0.5)) {
@@ -77,15 +77,15 @@
 	d.Proxies = len(d.ProxyZones)
 }
 
-// Ours is the name of the module among the policies; Standing that of no pilot at all; Two that of even tables whose
+// Planner is the name of the module among the policies; Standing that of no pilot at all; Two that of even tables whose
 // proxies take the less busy of two, by what they know themselves.
 const (
-	Ours     = "indigousher"
-	Standing = "standing"
-	Two      = "two"
+	Planner    = "indigousher"
+	Standing   = "standing"
+	TwoChoices = "two"
 )
 
-func policies() []string { return append([]string{Ours, Standing, Two}, baseline.Names()...) }
+func policies() []string { return append([]string{Planner, Standing, TwoChoices}, baseline.Names()...) }
 
 // Read reads and checks an experiment file.
 func Read(path string) (*Plan, error) {
@@ -94,7 +94,7 @@
 		return nil, fmt.Errorf("read experiment: %w", err)
 	}
 	p := &Plan{Name: strings.TrimSuffix(filepath.Base(path), ".hcl"), Repeats: 5, Budget: 10 * time.Minute,
-		Policies: []string{Ours}, folder: filepath.Dir(path)}
+		Policies: []string{Planner}, folder: filepath.Dir(path)}
 	body, diags := config.Open(path, text)
 	if !diags.HasErrors() {
 		diags = config.Read(body, []config.Field{{Name: "about", Into: &p.About}, {Name: "day", Into: &p.Day, Needed: true},
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -56,7 +56,7 @@
 		Rows             []pageRow
 		Charts           []chart
 		Heats            []heat
-	}{Name: t.Plan.Name, About: t.Plan.About, Day: t.Plan.Day, Repeats: t.Plan.Repeats, Left: t.Left}
+	}{Name: t.Plan.Name, About: t.Plan.About, Day: t.Plan.Day, Repeats: t.Plan.Repeats, Left: t.LeftOut}
 	for _, m := range Metrics {
 		view.Heads = append(view.Heads, m.Name)
 	}
@@ -66,7 +66,7 @@
 		for _, m := range Metrics {
 			row.Cells = append(row.Cells, t.Figure(i, m).String())
 		}
-		row.Cells = append(row.Cells, t.Beside(i, Metrics[0]).String())
+		row.Cells = append(row.Cells, t.Difference(i, Metrics[0]).String())
 		row.Broken = t.Figure(i, broken).Mean > 0
 		view.Rows = append(view.Rows, row)
 	}
@@ -135,18 +135,18 @@
 				continue
 			}
 			points = append(points, plotter.XY{X: c.Levels[0], Y: g.Mean})
-			bars = append(bars, struct{ Low, High float64 }{g.Half, g.Half})
+			bars = append(bars, struct{ Low, High float64 }{g.HalfWidth, g.HalfWidth})
 			met = append(met, g.Mean)
 			differs = differs || g.Mean != met[0]
 		}
 		if len(points) == 0 {
 			continue
 		}
-		if err := add(p, n, policy, points, bars); err != nil {
+		if err := addLine(p, n, policy, points, bars); err != nil {
 			return chart{}, false, err
 		}
 	}
-	svg, err := drawn(p)
+	svg, err := render(p)
 	return chart{m.Name + " against " + f.Name, svg}, differs, err
 }
 
@@ -159,7 +159,7 @@
 	return true
 }
 
-func add(p *plot.Plot, n int, name string, points plotter.XYs, bars plotter.YErrors) error {
+func addLine(p *plot.Plot, n int, name string, points plotter.XYs, bars plotter.YErrors) error {
 	line, dots, err := plotter.NewLinePoints(points)
 	if err != nil {
 		return fmt.Errorf("draw %s: %w", name, err)
@@ -243,12 +243,12 @@
 			sums[i].Y /= runs
 		}
 		if len(sums) > 0 {
-			if err := add(p, n, policy, sums, nil); err != nil {
+			if err := addLine(p, n, policy, sums, nil); err != nil {
 				return chart{}, err
 			}
 		}
 	}
-	svg, err := drawn(p)
+	svg, err := render(p)
 	return chart{title, svg}, err
 }
 
@@ -286,7 +286,7 @@
 	return list
 }
 
-func drawn(p *plot.Plot) (template.HTML, error) {
+func render(p *plot.Plot) (template.HTML, error) {
 	p.BackgroundColor = color.White
 	p.Legend.Top = true
 	p.Add(plotter.NewGrid())
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -94,11 +94,11 @@
 
 // Runner plays a plan.
 type Runner struct {
-	Plan    *Plan
-	Store   string              // file; results in it are not played again
-	Program string              // of another one nothing is taken
-	Say     func(done, all int) // progress
-	Workers int                 // 0: one a core
+	Plan     *Plan
+	Store    string              // file; results in it are not played again
+	Program  string              // of another one nothing is taken
+	Progress func(done, all int) // progress
+	Workers  int                 // 0: one a core
 }
 
 // Table holds results by cell and seed; nil where a run was left out.
@@ -106,8 +106,8 @@
 	Plan    *Plan
 	Cells   []Cell
 	Results [][]*Result
-	Left    int // runs that the budget left out
-	Taken   int // from the store
+	LeftOut int // runs that the budget left out
+	Reused  int // from the store
 }
 
 // Run plays what the store does not have. Runs of one seed share their random numbers over all cells.
@@ -135,7 +135,7 @@
 	for seed := range r.Plan.Repeats { // all cells of one seed before the next: an early end leaves pairs
 		for i, c := range t.Cells {
 			g.Go(func() error {
-				res, taken, err := r.one(gctx, db, c, seed+1)
+				res, taken, err := r.runCell(gctx, db, c, seed+1)
 				if errors.Is(err, context.DeadlineExceeded) {
 					err = nil
 				}
@@ -144,12 +144,12 @@
 				t.Results[i][seed] = res
 				done++
 				if res == nil {
-					t.Left++
+					t.LeftOut++
 				} else if taken {
-					t.Taken++
+					t.Reused++
 				}
-				if r.Say != nil {
-					r.Say(done, all)
+				if r.Progress != nil {
+					r.Progress(done, all)
 				}
 				return err
 			})
@@ -160,8 +160,8 @@
 
 var errBudget = fmt.Errorf("the experiment's budget is spent: %w", context.DeadlineExceeded)
 
-// one returns a run's result, from the store or played.
-func (r *Runner) one(ctx context.Context, db *bbolt.DB, c Cell, seed int) (*Result, bool, error) {
+// runCell returns a run's result, from the store or played.
+func (r *Runner) runCell(ctx context.Context, db *bbolt.DB, c Cell, seed int) (*Result, bool, error) {
 	d, err := r.Plan.load()
 	if err != nil {
 		return nil, false, err
@@ -192,15 +192,15 @@
 	}
 	play := emulator.Play{Scenario: d, Audited: true}
 	switch c.Policy {
-	case Ours:
+	case Planner:
 	case Standing:
 		play.WithoutPilots = true
-	case Two:
+	case TwoChoices:
 		d.Pick = "two"
 		fallthrough
 	default:
 		name := c.Policy
-		if name == Two {
+		if name == TwoChoices {
 			name = "even"
 		}
 		make, err := baseline.Named(name)
@@ -256,7 +256,7 @@
 	for _, q := range quantiles {
 		r.Quantiles = append(r.Quantiles, float64(o.Latency.ValueAtQuantile(100*q))/1000)
 	}
-	r.loads(o.Load, o.ZoneOf)
+	r.setLoads(o.Load, o.ZoneOf)
 	returned := 0.0
 	for _, starts := range o.Starts {
 		for _, b := range starts[min(1, len(starts)):] {
@@ -272,8 +272,8 @@
 // quantiles are those of the curve of latency.
 var quantiles = []float64{0.05, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.999}
 
-// loads takes in what endpoints carried.
-func (r *Result) loads(load map[string]float64, zone map[string]string) {
+// setLoads takes in what endpoints carried.
+func (r *Result) setLoads(load map[string]float64, zone map[string]string) {
 	if len(load) == 0 {
 		return
 	}
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -12,8 +12,8 @@
 
 // Figure is a mean with half the width of its 95% confidence interval, by Student's t; 0 runs: there is none.
 type Figure struct {
-	Mean, Half float64
-	Runs       int
+	Mean, HalfWidth float64
+	Runs            int
 }
 
 // String shows a figure.
@@ -21,14 +21,14 @@
 	switch {
 	case f.Runs == 0:
 		return "-"
-	case f.Half == 0:
+	case f.HalfWidth == 0:
 		return fmt.Sprintf("%.4g", f.Mean)
 	}
-	return fmt.Sprintf("%.4g ±%.2g", f.Mean, f.Half)
+	return fmt.Sprintf("%.4g ±%.2g", f.Mean, f.HalfWidth)
 }
 
-// figure reckons one from values.
-func figure(v []float64) Figure {
+// newFigure reckons one from values.
+func newFigure(v []float64) Figure {
 	f := Figure{Runs: len(v)}
 	if len(v) == 0 {
 		return f
@@ -37,7 +37,7 @@
 	f.Mean = mean
 	if len(v) > 1 && sd > 0 {
 		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(v) - 1)}.Quantile(0.975)
-		f.Half = t * sd / math.Sqrt(float64(len(v)))
+		f.HalfWidth = t * sd / math.Sqrt(float64(len(v)))
 	}
 	return f
 }
@@ -45,11 +45,11 @@
 // Figure returns a metric of a cell.
 func (t *Table) Figure(cell int, m Metric) Figure {
 	v, _ := t.values(cell, m)
-	return figure(v)
+	return newFigure(v)
 }
 
-// Beside returns a metric of a cell less that of the first policy at the same levels, seed by seed.
-func (t *Table) Beside(cell int, m Metric) Figure {
+// Difference returns a metric of a cell less that of the first policy at the same levels, seed by seed.
+func (t *Table) Difference(cell int, m Metric) Figure {
 	base := t.base(cell)
 	if base < 0 || base == cell {
 		return Figure{}
@@ -60,7 +60,7 @@
 			diffs = append(diffs, m.Of(r)-m.Of(b))
 		}
 	}
-	return figure(diffs)
+	return newFigure(diffs)
 }
 
 // Print writes the table as text.
@@ -77,14 +77,14 @@
 		for _, m := range Metrics {
 			fmt.Fprintf(w, "\t%s", t.Figure(i, m))
 		}
-		fmt.Fprintf(w, "\t%s\n", t.Beside(i, Metrics[0]))
+		fmt.Fprintf(w, "\t%s\n", t.Difference(i, Metrics[0]))
 	}
-	if t.Left > 0 {
-		fmt.Fprintf(w, "%d runs were left out: the budget was spent\n", t.Left)
+	if t.LeftOut > 0 {
+		fmt.Fprintf(w, "%d runs were left out: the budget was spent\n", t.LeftOut)
 	}
 	for i, c := range t.Cells {
 		for seed, r := range t.Results[i] {
-			if r != nil && r.Broken > 0 && c.Policy == Ours {
+			if r != nil && r.Broken > 0 && c.Policy == Planner {
 				fmt.Fprintf(w, "BROKEN at %s, seed %d: %s\n", t.Plan.Label(c.Levels), seed+1, r.Text)
 			}
 		}
--- a/internal/search/draw.go
+++ b/internal/search/draw.go
@@ -15,18 +15,18 @@
 
 // Draft is a drawn day: its fleet and its troubles, as a file would tell them.
 type Draft struct {
-	Seed                int
-	Endpoints, Proxies  int // in each of three zones
-	Pilots              int
-	Load                float64 // of the fleet's capacity
-	Length              time.Duration
-	ListLate, Period    time.Duration
-	Speeds, Uneven      float64
-	Queue               int
-	RetryHow, Retries   int
-	Record, ByZone      bool
-	Faults              []scenario.Fault
-	LinesPerS, MostMsgs int
+	Seed                      int
+	Endpoints, Proxies        int // in each of three zones
+	Pilots                    int
+	Load                      float64 // of the fleet's capacity
+	Length                    time.Duration
+	ListLate, Period          time.Duration
+	SpeedSpread, DemandSpread float64
+	Queue                     int
+	RetryHow, Retries         int
+	Record, ByZone            bool
+	Faults                    []scenario.Fault
+	LinesPerS, MaxMessages    int
 }
 
 var zones = []string{"a", "b", "c"}
@@ -36,30 +36,30 @@
 	rnd := rand.New(rand.NewPCG(uint64(seed), 41))
 	between := func(a, b float64) float64 { return a + (b-a)*rnd.Float64() }
 	d := &Draft{Seed: seed, Endpoints: max(1, endpoints/3), Load: between(0.3, 0.75), Length: 40 * time.Second,
-		ListLate: span(between(100, 1500)), Period: span(between(400, 2000)), Speeds: between(0, 0.35), Uneven: between(0, 1),
+		ListLate: milliseconds(between(100, 1500)), Period: milliseconds(between(400, 2000)), SpeedSpread: between(0, 0.35), DemandSpread: between(0, 1),
 		Queue: int(between(5, 60)), RetryHow: rnd.IntN(2), Retries: rnd.IntN(3), Record: rnd.IntN(2) == 0, ByZone: rnd.IntN(2) == 0,
 		Pilots: 1 + rnd.IntN(4)}
 	d.Proxies = max(1, int(float64(d.Endpoints)*between(0.5, 2)))
 	lines := float64(6*d.Proxies) * between(12, 40)
 	d.LinesPerS = int(max(300, lines))
-	d.MostMsgs = 20 + rnd.IntN(30)
+	d.MaxMessages = 20 + rnd.IntN(30)
 	for range 1 + rnd.IntN(5) {
-		d.Faults = append(d.Faults, draw(rnd, d)...)
+		d.Faults = append(d.Faults, drawFaults(rnd, d)...)
 	}
-	d.order()
+	d.sortFaults()
 	return d
 }
 
-func span(ms float64) time.Duration { return time.Duration(ms) * time.Millisecond }
+func milliseconds(ms float64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-func (d *Draft) order() {
+func (d *Draft) sortFaults() {
 	slices.SortStableFunc(d.Faults, func(a, b scenario.Fault) int { return int(a.At - b.At) })
 }
 
-// draw draws one trouble, or several that strike the same at once.
-func draw(rnd *rand.Rand, d *Draft) []scenario.Fault {
+// drawFaults draws one trouble, or several that strike the same at once.
+func drawFaults(rnd *rand.Rand, d *Draft) []scenario.Fault {
 	between := func(a, b float64) float64 { return a + (b-a)*rnd.Float64() }
-	t := scenario.Fault{At: span(between(4000, 30000)), For: span(between(300, 9000))}
+	t := scenario.Fault{At: milliseconds(between(4000, 30000)), For: milliseconds(between(300, 9000))}
 	zone := zones[rnd.IntN(len(zones))]
 	part := func(most float64) float64 { return math.Round(between(0.02, most)*1000) / 1000 }
 	kinds := []func() []scenario.Fault{
@@ -77,16 +77,16 @@
 		func() []scenario.Fault { t.What, t.Part = "restart", part(0.3); return []scenario.Fault{t} },
 		func() []scenario.Fault { t.What, t.Part = "drain", part(0.3); return []scenario.Fault{t} },
 		func() []scenario.Fault {
-			t.What, t.Part, t.Extra = "preempt", part(0.3), span(between(100, 3000))
+			t.What, t.Part, t.Extra = "preempt", part(0.3), milliseconds(between(100, 3000))
 			return []scenario.Fault{t}
 		},
 		func() []scenario.Fault {
-			t.What, t.Part, t.Every = "flapping", part(0.15), span(between(1500, 6000))
+			t.What, t.Part, t.Every = "flapping", part(0.15), milliseconds(between(1500, 6000))
 			return []scenario.Fault{t}
 		},
 		func() []scenario.Fault { t.What, t.Zone = "zone_cut", zone; return []scenario.Fault{t} },
 		func() []scenario.Fault {
-			t.What, t.Zone, t.Extra, t.Loss = "slow_link", zone, span(between(20, 600)), part(0.3)
+			t.What, t.Zone, t.Extra, t.Loss = "slow_link", zone, milliseconds(between(20, 600)), part(0.3)
 			return []scenario.Fault{t}
 		},
 		func() []scenario.Fault {
@@ -111,7 +111,7 @@
 			return []scenario.Fault{t}
 		},
 		func() []scenario.Fault {
-			t.What, t.Extra = "pilot_roll", span(between(100, 2000))
+			t.What, t.Extra = "pilot_roll", milliseconds(between(100, 2000))
 			return []scenario.Fault{t}
 		},
 		func() []scenario.Fault { t.What = "list_down"; return []scenario.Fault{t} },
@@ -122,15 +122,15 @@
 			return []scenario.Fault{t}
 		},
 		func() []scenario.Fault { t.What, t.Part = "pause", part(0.4); return []scenario.Fault{t} },
-		func() []scenario.Fault { return compose(rnd, d, t) },
-		func() []scenario.Fault { return compose(rnd, d, t) },
+		func() []scenario.Fault { return composeFaults(rnd, d, t) },
+		func() []scenario.Fault { return composeFaults(rnd, d, t) },
 	}
 	return kinds[rnd.IntN(len(kinds))]()
 }
 
-// compose makes a trouble that no list holds from primitives: who is struck, what stops for them, what is late or lies
+// composeFaults makes a trouble that no list holds from primitives: who is struck, what stops for them, what is late or lies
 // meanwhile, and how they return.
-func compose(rnd *rand.Rand, d *Draft, t scenario.Fault) (all []scenario.Fault) {
+func composeFaults(rnd *rand.Rand, d *Draft, t scenario.Fault) (all []scenario.Fault) {
 	who := fmt.Sprintf("%s-std-%d", zones[rnd.IntN(3)], rnd.IntN(10)) // a few alike: as one rack
 	switch rnd.IntN(3) {
 	case 0:
@@ -145,7 +145,7 @@
 			x.Size = rnd.Float64()
 		}
 		if what == "handshake_slow" {
-			x.Size, x.Extra = 50*rnd.Float64(), span(300*rnd.Float64())
+			x.Size, x.Extra = 50*rnd.Float64(), milliseconds(300*rnd.Float64())
 		}
 		if x.At < d.Length {
 			all = append(all, x)
@@ -196,19 +196,19 @@
 	fmt.Fprintf(&b, "fleet {\n  pilots  = %s\n  proxies = %s\n  times   = %d\n  record  = %v\n}\n", quoted(pilots), quoted(zones), d.Proxies, d.Record)
 	fmt.Fprintf(&b, "proxies {\n  by_zone   = %v\n  try_again = %d\n}\n", d.ByZone, d.RetryHow)
 	fmt.Fprintf(&b, "reports {\n  period = %q\n}\nlist {\n  late = %q\n}\n", d.Period, d.ListLate)
-	fmt.Fprintf(&b, "channel {\n  lines_per_s   = %d\n  backlog       = %d\n  messages_most = %d\n}\n", d.LinesPerS, d.LinesPerS*3/2, d.MostMsgs)
+	fmt.Fprintf(&b, "channel {\n  lines_per_s   = %d\n  backlog       = %d\n  messages_most = %d\n}\n", d.LinesPerS, d.LinesPerS*3/2, d.MaxMessages)
 	const cores, workS = 2, 0.0325
-	fmt.Fprintf(&b, "clients {\n  rate    = %.1f\n  retries = %d\n  uneven  = %.2f\n}\n", d.Load*float64(3*d.Endpoints*cores)/workS, d.Retries, d.Uneven)
+	fmt.Fprintf(&b, "clients {\n  rate    = %.1f\n  retries = %d\n  uneven  = %.2f\n}\n", d.Load*float64(3*d.Endpoints*cores)/workS, d.Retries, d.DemandSpread)
 	for _, z := range zones {
-		fmt.Fprintf(&b, "endpoints \"std\" {\n  zone   = %q\n  count  = %d\n  spread = %.2f\n  queue  = %d\n}\n", z, d.Endpoints, d.Speeds, d.Queue)
+		fmt.Fprintf(&b, "endpoints \"std\" {\n  zone   = %q\n  count  = %d\n  spread = %.2f\n  queue  = %d\n}\n", z, d.Endpoints, d.SpeedSpread, d.Queue)
 	}
 	for _, t := range d.Faults {
-		b.WriteString(troubleText(t, quoted))
+		b.WriteString(faultText(t, quoted))
 	}
 	return b.String()
 }
 
-func troubleText(t scenario.Fault, quoted func([]string) string) string {
+func faultText(t scenario.Fault, quoted func([]string) string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "trouble %q {\n  at = %q\n", t.What, t.At)
 	if len(t.Who) > 0 {
--- a/internal/search/search.go
+++ b/internal/search/search.go
@@ -18,23 +18,23 @@
 	"indigousher/internal/scenario"
 )
 
-// Find is what one drawn day came to.
-type Find struct {
-	Draft   *Draft
-	Service float64
-	Near    [5]float64 // to each rule's limit
-	Broken  []string   // rules, with the first breach
-	Events  uint64
+// Finding is what one drawn day came to.
+type Finding struct {
+	Draft          *Draft
+	Service        float64
+	LimitFractions [5]float64 // to each rule's limit
+	Broken         []string   // rules, with the first breach
+	Events         uint64
 }
 
 // Search plays drawn days.
 type Search struct {
-	Decide func(seed int64, terms map[string]any) controller.Decider // nil: the module
-	Say    func(f *Find)
+	Decide   func(seed int64, terms map[string]any) controller.Decider // nil: the module
+	Progress func(f *Finding)
 }
 
 // Play plays one draft.
-func (s *Search) Play(ctx context.Context, d *Draft) (*Find, error) {
+func (s *Search) Play(ctx context.Context, d *Draft) (*Finding, error) {
 	x, err := d.Scenario()
 	if err != nil {
 		return nil, fmt.Errorf("drawn day %d: %w", d.Seed, err)
@@ -43,10 +43,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("drawn day %d: %w", d.Seed, err)
 	}
-	f := &Find{Draft: d, Service: o.Report.Service.All.Share(), Events: o.ClockEvents}
+	f := &Finding{Draft: d, Service: o.Report.Service.All.Share(), Events: o.ClockEvents}
 	for i := range o.Report.Verdicts {
 		v := &o.Report.Verdicts[i]
-		f.Near[i] = v.LimitFraction
+		f.LimitFractions[i] = v.LimitFraction
 		if !v.Kept() {
 			b := v.Violations[0]
 			f.Broken = append(f.Broken, fmt.Sprintf("%s: %.2f s %s %s", v.Rule, b.At/1000, b.Who, b.Text))
@@ -56,8 +56,8 @@
 }
 
 // Random plays days of many seeds over all cores and returns them by seed.
-func (s *Search) Random(ctx context.Context, from, many, endpoints int) ([]*Find, error) {
-	finds := make([]*Find, many)
+func (s *Search) Random(ctx context.Context, from, many, endpoints int) ([]*Finding, error) {
+	finds := make([]*Finding, many)
 	var mu sync.Mutex
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(runtime.GOMAXPROCS(0))
@@ -69,8 +69,8 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			if finds[i] = f; s.Say != nil {
-				s.Say(f)
+			if finds[i] = f; s.Progress != nil {
+				s.Progress(f)
 			}
 			return nil
 		})
@@ -79,7 +79,7 @@
 }
 
 // Climb changes a draft step by step and keeps what comes nearer to a rule's limit.
-func (s *Search) Climb(ctx context.Context, f *Find, rule audit.Rule, steps int, seed uint64) (*Find, error) {
+func (s *Search) Climb(ctx context.Context, f *Finding, rule audit.Rule, steps int, seed uint64) (*Finding, error) {
 	rnd := rand.New(rand.NewPCG(seed, 43))
 	best := f
 	for range steps {
@@ -87,7 +87,7 @@
 		if err != nil {
 			return best, err
 		}
-		if next.Near[rule] > best.Near[rule] {
+		if next.LimitFractions[rule] > best.LimitFractions[rule] {
 			best = next
 		}
 		if len(best.Broken) > 0 {
@@ -107,28 +107,28 @@
 	}
 	switch k := rnd.IntN(7); {
 	case k == 0 || len(c.Faults) == 0:
-		c.Faults = append(c.Faults, draw(rnd, &c)...)
+		c.Faults = append(c.Faults, drawFaults(rnd, &c)...)
 	case k == 1 && len(c.Faults) > 1:
 		c.Faults = slices.Delete(c.Faults, i, i+1)
 	case k == 2:
-		c.Faults[i].At = min(max(0, c.Faults[i].At+span(2000*rnd.NormFloat64())), c.Length-time.Second)
+		c.Faults[i].At = min(max(0, c.Faults[i].At+milliseconds(2000*rnd.NormFloat64())), c.Length-time.Second)
 	case k == 3:
-		c.Faults[i].For = max(span(100), time.Duration(float64(c.Faults[i].For)*(0.5+rnd.Float64())))
+		c.Faults[i].For = max(milliseconds(100), time.Duration(float64(c.Faults[i].For)*(0.5+rnd.Float64())))
 	case k == 4:
 		c.Faults[i].Part = min(1, c.Faults[i].Part*(0.6+rnd.Float64()))
 	case k == 5:
 		c.Load = min(0.9, max(0.1, c.Load+0.08*rnd.NormFloat64()))
 	default:
-		c.ListLate = span(2000 * rnd.Float64())
+		c.ListLate = milliseconds(2000 * rnd.Float64())
 	}
-	c.order()
+	c.sortFaults()
 	return &c
 }
 
 // Shrink takes away all that the breach of a rule does not need: troubles, then their length, then the fleet's size.
-func (s *Search) Shrink(ctx context.Context, f *Find) (*Find, error) {
+func (s *Search) Shrink(ctx context.Context, f *Finding) (*Finding, error) {
 	rule, _, _ := strings.Cut(f.Broken[0], ":")
-	breaks := func(d *Draft) (*Find, error) {
+	breaks := func(d *Draft) (*Finding, error) {
 		n, err := s.Play(ctx, d)
 		if err != nil {
 			return nil, err
--- a/internal/search/search_test.go
+++ b/internal/search/search_test.go
@@ -50,11 +50,11 @@
 	d := Draw(7, 12)
 	d.Faults = append(d.Faults, scenario.Fault{What: "drain", At: 9e9, For: 8e9, Part: 0.3}, scenario.Fault{What: "burst", At: 4e9, For: 2e9, Size: 1.2},
 		scenario.Fault{What: "reconnect", At: 6e9, Part: 0.5})
-	d.order()
+	d.sortFaults()
 	f, err := s.Play(t.Context(), d)
 	require.NoError(t, err)
 	require.NotEmpty(t, f.Broken)
-	require.Greater(t, f.Near[audit.DrainDeadline], 1.0)
+	require.Greater(t, f.LimitFractions[audit.DrainDeadline], 1.0)
 	f.Broken = []string{audit.DrainDeadline.String() + ": planted"}
 	small, err := s.Shrink(t.Context(), f)
 	require.NoError(t, err)
@@ -71,9 +71,9 @@
 	f, err := s.Play(t.Context(), Draw(3, 12))
 	require.NoError(t, err)
 	best := f
-	for seed := uint64(1); seed < 6 && best.Near == f.Near; seed++ { // not every way up begins in a few steps
+	for seed := uint64(1); seed < 6 && best.LimitFractions == f.LimitFractions; seed++ { // not every way up begins in a few steps
 		best, err = s.Climb(t.Context(), f, audit.ChannelQueue, 10, seed)
 		require.NoError(t, err)
 	}
-	assert.Greater(t, best.Near[audit.ChannelQueue], f.Near[audit.ChannelQueue])
+	assert.Greater(t, best.LimitFractions[audit.ChannelQueue], f.LimitFractions[audit.ChannelQueue])
 }
