--- /dev/null
+++ b/internal/search/text.go
@@ -0,0 +1,102 @@
+package search
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"indigousher/internal/scenario"
+)
+
+const (
+	// coresEach and workSeconds give the capacity of a drawn fleet: cores of an endpoint, and the mean work of a request of
+	// the scenario that drafts are like, in seconds on one core.
+	coresEach   = 2
+	workSeconds = 0.0325
+)
+
+// Text returns the draft as a scenario file.
+func (d *Draft) Text() string {
+	var b strings.Builder
+	d.writeHead(&b)
+	d.writeFleet(&b)
+	d.writeLoad(&b)
+	for _, fault := range d.Faults {
+		writeFault(&b, &fault)
+	}
+	return b.String()
+}
+
+func (d *Draft) writeHead(b *strings.Builder) {
+	fmt.Fprintf(b, "about  = \"Drawn: %d endpoints, %d proxies, %d pilots, load %.2f.\"\n",
+		len(zones)*d.Endpoints, len(zones)*d.Proxies, d.Pilots, d.Load)
+	fmt.Fprintf(b, "like   = \"quiet\"\nlength = %q\nseed   = %d\n\n", d.Length, d.Seed)
+}
+
+func (d *Draft) writeFleet(b *strings.Builder) {
+	var pilots []string
+	for i := range d.Pilots {
+		pilots = append(pilots, zones[i%len(zones)])
+	}
+	fmt.Fprintf(b, "fleet {\n  pilots  = %s\n  proxies = %s\n  times   = %d\n  record  = %v\n}\n",
+		quotedList(pilots), quotedList(zones), d.Proxies, d.Record)
+	fmt.Fprintf(b, "proxies {\n  by_zone   = %v\n  try_again = %d\n}\n", d.ByZone, d.RetryHow)
+	fmt.Fprintf(b, "reports {\n  period = %q\n}\nlist {\n  late = %q\n}\n", d.Period, d.ListLate)
+	queueLimit := d.LinesPerS * 3 / 2
+	fmt.Fprintf(b, "channel {\n  lines_per_s   = %d\n  backlog       = %d\n  messages_most = %d\n}\n",
+		d.LinesPerS, queueLimit, d.MaxMessages)
+}
+
+func (d *Draft) writeLoad(b *strings.Builder) {
+	rate := d.Load * float64(len(zones)*d.Endpoints*coresEach) / workSeconds
+	fmt.Fprintf(b, "clients {\n  rate    = %.1f\n  retries = %d\n  uneven  = %.2f\n}\n", rate, d.Retries, d.DemandSpread)
+	for _, zone := range zones {
+		fmt.Fprintf(b, "endpoints \"std\" {\n  zone   = %q\n  count  = %d\n  spread = %.2f\n  queue  = %d\n}\n",
+			zone, d.Endpoints, d.SpeedSpread, d.Queue)
+	}
+}
+
+// writeFault writes a fault; fields of 0 are left out.
+func writeFault(b *strings.Builder, f *scenario.Fault) {
+	fmt.Fprintf(b, "trouble %q {\n  at = %q\n", f.What, f.At)
+	if len(f.Who) > 0 {
+		fmt.Fprintf(b, "  who = %s\n", quotedList(f.Who))
+	}
+	writeDuration(b, "for", f.For)
+	writeDuration(b, "every", f.Every)
+	writeDuration(b, "extra", f.Extra)
+	writeNumber(b, "part", f.Part)
+	writeNumber(b, "size", f.Size)
+	writeNumber(b, "loss", f.Loss)
+	writeNumber(b, "count", float64(f.Count))
+	writeString(b, "zone", f.Zone)
+	writeString(b, "kind", f.Kind)
+	b.WriteString("}\n")
+}
+
+func writeDuration(b *strings.Builder, key string, value time.Duration) {
+	if value > 0 {
+		fmt.Fprintf(b, "  %s = %q\n", key, value)
+	}
+}
+
+func writeNumber(b *strings.Builder, key string, value float64) {
+	if value > 0 {
+		fmt.Fprintf(b, "  %s = %g\n", key, value)
+	}
+}
+
+func writeString(b *strings.Builder, key, value string) {
+	if value != "" {
+		fmt.Fprintf(b, "  %s = %q\n", key, value)
+	}
+}
+
+// quotedList returns a list of strings as it stands in a scenario file.
+func quotedList(list []string) string {
+	var quoted []string
+	for _, s := range list {
+		quoted = append(quoted, fmt.Sprintf("%q", s))
+	}
+	return "[" + strings.Join(quoted, ", ") + "]"
+}
