--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -4,12 +4,39 @@
 	"fmt"
 	"io"
 	"math"
+	"slices"
 	"text/tabwriter"
 
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
+// Table holds results by cell and seed; nil where a run was left out.
+type Table struct {
+	Plan    *Plan
+	Cells   []Cell
+	Results [][]*Result
+	LeftOut int // runs that the budget left out
+	Reused  int // from the store
+}
+
+// values returns a metric's values of a cell, by seed, and whether each is there.
+func (t *Table) values(cell int, m Metric) (v []float64, seeds []int) {
+	for seed, r := range t.Results[cell] {
+		if r != nil {
+			v, seeds = append(v, m.Of(r)), append(seeds, seed)
+		}
+	}
+	return v, seeds
+}
+
+// base returns the cell of the first policy with the same levels.
+func (t *Table) base(cell int) int {
+	return slices.IndexFunc(t.Cells, func(c Cell) bool {
+		return c.Policy == t.Plan.Policies[0] && slices.Equal(c.Levels, t.Cells[cell].Levels)
+	})
+}
+
 // Figure is a mean with half the width of its 95% confidence interval, by Student's t; 0 runs: there is none.
 type Figure struct {
 	Mean, HalfWidth float64
