--- a/internal/experiment/charts.go
+++ b/internal/experiment/charts.go
@@ -6,7 +6,6 @@
 	"html/template"
 	"image/color"
 	"math"
-	"slices"
 
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
@@ -18,106 +17,134 @@
 	"indigousher/internal/audit"
 )
 
+// chart is a drawn plot.
 type chart struct {
 	Title string
 	SVG   template.HTML
 }
 
-// charts draws each metric that differs against the first factor, and service by time at each level.
-func (t *Table) charts() (list []chart, err error) {
-	if len(t.Plan.Factors) > 0 && len(t.Plan.Factors[0].Levels) > 1 {
-		for _, m := range Metrics {
-			c, differs, err := t.against(m)
-			if err != nil {
-				return nil, err
-			}
-			if differs {
-				list = append(list, c)
-			}
-		}
+// logScaleFrom is from which ratio of the last to the first level on the axis of levels is logarithmic.
+const logScaleFrom = 10
+
+// charts draws each metric that differs against the first factor, and the curves over time, quantiles and endpoints at
+// each combination of levels.
+func (t *Table) charts() ([]chart, error) {
+	list, err := t.factorCharts()
+	if err != nil {
+		return nil, err
 	}
-	var combos [][]float64
 	for _, c := range t.Cells {
-		if c.Policy == t.Plan.Policies[0] {
-			combos = append(combos, c.Levels)
+		if c.Policy != t.Plan.Policies[0] {
+			continue
 		}
-	}
-	for _, levels := range combos {
 		for _, draw := range []func([]float64) (chart, error){t.byTime, t.byQuantile, t.byEndpoint} {
-			c, err := draw(levels)
+			drawn, err := draw(c.Levels)
 			if err != nil {
 				return nil, err
 			}
-			list = append(list, c)
+			list = append(list, drawn)
 		}
 	}
 	return list, nil
 }
 
-// against draws a metric against the first factor, one line for each policy at the first levels of the others.
-func (t *Table) against(m Metric) (chart, bool, error) {
-	p := plot.New()
-	f := t.Plan.Factors[0]
-	p.X.Label.Text, p.Y.Label.Text = f.Name, m.Name
-	first, last := f.Levels[0], f.Levels[len(f.Levels)-1]
-	if first > 0 && last/first >= 10 {
-		p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
-	}
-	differs := false
-	var met []float64
-	for n, policy := range t.Plan.Policies {
-		var points plotter.XYs
-		var bars plotter.YErrors
-		for i, c := range t.Cells {
-			if c.Policy != policy || !t.firstOfOthers(c.Levels) {
-				continue
-			}
-			g := t.Figure(i, m)
-			if g.Runs == 0 {
-				continue
-			}
-			points = append(points, plotter.XY{X: c.Levels[0], Y: g.Mean})
-			bars = append(bars, struct{ Low, High float64 }{g.HalfWidth, g.HalfWidth})
-			met = append(met, g.Mean)
-			differs = differs || g.Mean != met[0]
+// factorCharts draws each metric that differs against the first factor, if that has several levels.
+func (t *Table) factorCharts() ([]chart, error) {
+	if len(t.Plan.Factors) == 0 || len(t.Plan.Factors[0].Levels) < 2 {
+		return nil, nil
+	}
+	var list []chart
+	for _, m := range Metrics {
+		drawn, differs, err := t.against(m)
+		if err != nil {
+			return nil, err
+		}
+		if differs {
+			list = append(list, drawn)
 		}
+	}
+	return list, nil
+}
+
+// against draws a metric against the first factor, one line for each policy at the first levels of the others. It also
+// returns whether the metric differs anywhere.
+func (t *Table) against(m Metric) (drawn chart, differs bool, err error) {
+	factor := t.Plan.Factors[0]
+	p := plot.New()
+	p.X.Label.Text = factor.Name
+	p.Y.Label.Text = m.Name
+	first := factor.Levels[0]
+	last := factor.Levels[len(factor.Levels)-1]
+	if first > 0 && last/first >= logScaleFrom {
+		p.X.Scale = plot.LogScale{}
+		p.X.Tick.Marker = plot.LogTicks{Prec: -1}
+	}
+	var all plotter.XYs
+	for number, policy := range t.Plan.Policies {
+		points, bars := t.factorLine(policy, m)
 		if len(points) == 0 {
 			continue
 		}
-		if err := addLine(p, n, policy, points, bars); err != nil {
+		all = append(all, points...)
+		if err := addLine(p, number, policy, points, bars); err != nil {
 			return chart{}, false, err
 		}
 	}
+	for _, point := range all {
+		differs = differs || point.Y != all[0].Y
+	}
 	svg, err := render(p)
-	return chart{m.Name + " against " + f.Name, svg}, differs, err
+	return chart{Title: m.Name + " against " + factor.Name, SVG: svg}, differs, err
 }
 
+// factorLine returns the means of a metric against the first factor for a policy, with the bars of their intervals.
+func (t *Table) factorLine(policy string, m Metric) (plotter.XYs, plotter.YErrors) {
+	var points plotter.XYs
+	var bars plotter.YErrors
+	for i, c := range t.Cells {
+		if c.Policy != policy || !t.firstOfOthers(c.Levels) {
+			continue
+		}
+		figure := t.Figure(i, m)
+		if figure.Runs == 0 {
+			continue
+		}
+		points = append(points, plotter.XY{X: c.Levels[0], Y: figure.Mean})
+		bars = append(bars, struct{ Low, High float64 }{figure.HalfWidth, figure.HalfWidth})
+	}
+	return points, bars
+}
+
+// firstOfOthers returns whether all factors but the first are at their first levels.
 func (t *Table) firstOfOthers(levels []float64) bool {
-	for i, f := range t.Plan.Factors[1:] {
-		if levels[i+1] != f.Levels[0] {
+	for i, factor := range t.Plan.Factors[1:] {
+		if levels[i+1] != factor.Levels[0] {
 			return false
 		}
 	}
 	return true
 }
 
-func addLine(p *plot.Plot, n int, name string, points plotter.XYs, bars plotter.YErrors) error {
+// addLine adds a line with its dots to a plot, and bars if there are any. The number gives the colour.
+func addLine(p *plot.Plot, number int, name string, points plotter.XYs, bars plotter.YErrors) error {
 	line, dots, err := plotter.NewLinePoints(points)
 	if err != nil {
 		return fmt.Errorf("draw %s: %w", name, err)
 	}
-	line.Color, dots.Color, dots.Shape = plotutil.Color(n), plotutil.Color(n), draw.CircleGlyph{}
+	line.Color = plotutil.Color(number)
+	dots.Color = plotutil.Color(number)
+	dots.Shape = draw.CircleGlyph{}
 	p.Add(line, dots)
 	if bars != nil {
-		e, err := plotter.NewYErrorBars(struct {
+		errorBars, err := plotter.NewYErrorBars(struct {
 			plotter.XYer
 			plotter.YErrorer
 		}{points, bars})
 		if err != nil {
 			return fmt.Errorf("draw %s: %w", name, err)
 		}
-		e.Color = plotutil.Color(n)
-		p.Add(e)
+		errorBars.Color = plotutil.Color(number)
+		p.Add(errorBars)
 	}
 	p.Legend.Add(name, line)
 	return nil
@@ -126,8 +153,10 @@
 // byTime draws service by windows of time.
 func (t *Table) byTime(levels []float64) (chart, error) {
 	p := plot.New()
-	p.X.Label.Text, p.Y.Label.Text = "s", "service"
-	p.Y.Min, p.Y.Max = 0, 1
+	p.X.Label.Text = "s"
+	p.Y.Label.Text = "service"
+	p.Y.Min = 0
+	p.Y.Max = 1
 	return t.curves(p, "service by time: "+t.Plan.Label(levels), levels, func(r *Result) plotter.XYs {
 		var points plotter.XYs
 		for i, w := range r.Windows {
@@ -140,7 +169,8 @@
 // byQuantile draws latency by quantile; the last steps are wide on a scale of what is left.
 func (t *Table) byQuantile(levels []float64) (chart, error) {
 	p := plot.New()
-	p.X.Label.Text, p.Y.Label.Text = "nines of the quantile", "ms"
+	p.X.Label.Text = "nines of the quantile"
+	p.Y.Label.Text = "ms"
 	return t.curves(p, "latency by quantile: "+t.Plan.Label(levels), levels, func(r *Result) plotter.XYs {
 		var points plotter.XYs
 		for i, v := range r.Quantiles {
@@ -153,11 +183,12 @@
 // byEndpoint draws what endpoints carried, least first.
 func (t *Table) byEndpoint(levels []float64) (chart, error) {
 	p := plot.New()
-	p.X.Label.Text, p.Y.Label.Text = "part of the endpoints", "busy part of their cores"
+	p.X.Label.Text = "part of the endpoints"
+	p.Y.Label.Text = "busy part of their cores"
 	return t.curves(p, "load by endpoint: "+t.Plan.Label(levels), levels, func(r *Result) plotter.XYs {
 		var points plotter.XYs
 		for i, v := range r.Loads {
-			points = append(points, plotter.XY{X: float64(i) / 20, Y: v})
+			points = append(points, plotter.XY{X: float64(i) / loadSteps, Y: v})
 		}
 		return points
 	})
@@ -165,43 +196,56 @@
 
 // curves draws the mean curve of each policy's runs.
 func (t *Table) curves(p *plot.Plot, title string, levels []float64, of func(*Result) plotter.XYs) (chart, error) {
-	for n, policy := range t.Plan.Policies {
-		cell := slices.IndexFunc(t.Cells, func(c Cell) bool { return c.Policy == policy && slices.Equal(c.Levels, levels) })
-		var sums plotter.XYs
-		runs := 0.0
-		for _, r := range t.Results[cell] {
-			if r == nil {
-				continue
-			}
-			runs++
-			for i, xy := range of(r) {
-				if i == len(sums) {
-					sums = append(sums, plotter.XY{X: xy.X})
-				}
-				sums[i].Y += xy.Y
-			}
+	for number, policy := range t.Plan.Policies {
+		points := meanCurve(t.Results[t.cell(policy, levels)], of)
+		if len(points) == 0 {
+			continue
 		}
-		for i := range sums {
-			sums[i].Y /= runs
+		if err := addLine(p, number, policy, points, nil); err != nil {
+			return chart{}, err
 		}
-		if len(sums) > 0 {
-			if err := addLine(p, n, policy, sums, nil); err != nil {
-				return chart{}, err
+	}
+	svg, err := render(p)
+	return chart{Title: title, SVG: svg}, err
+}
+
+// meanCurve returns the mean of the curves of some results; those that were left out are nil.
+func meanCurve(results []*Result, of func(*Result) plotter.XYs) plotter.XYs {
+	var mean plotter.XYs
+	runs := 0.0
+	for _, r := range results {
+		if r == nil {
+			continue
+		}
+		runs++
+		for i, point := range of(r) {
+			if i == len(mean) {
+				mean = append(mean, plotter.XY{X: point.X})
 			}
+			mean[i].Y += point.Y
 		}
 	}
-	svg, err := render(p)
-	return chart{title, svg}, err
+	for i := range mean {
+		mean[i].Y /= runs
+	}
+	return mean
 }
 
+// Size of a chart.
+const (
+	chartWidth  = 20 * vg.Centimeter
+	chartHeight = 10 * vg.Centimeter
+)
+
+// render returns a plot as SVG to stand within a page.
 func render(p *plot.Plot) (template.HTML, error) {
 	p.BackgroundColor = color.White
 	p.Legend.Top = true
 	p.Add(plotter.NewGrid())
-	c := vgsvg.New(20*vg.Centimeter, 10*vg.Centimeter)
-	p.Draw(draw.New(c))
+	canvas := vgsvg.New(chartWidth, chartHeight)
+	p.Draw(draw.New(canvas))
 	var b bytes.Buffer
-	if _, err := c.WriteTo(&b); err != nil {
+	if _, err := canvas.WriteTo(&b); err != nil {
 		return "", fmt.Errorf("draw: %w", err)
 	}
 	text := b.Bytes()
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -150,8 +150,10 @@
 // TestWrong guards against files that name what is not there.
 func TestWrong(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
-		{`"load"`, `"lode"`, `factor "lode" is not known`}, {`"even"`, `"evn"`, `policy "evn" is not known`},
-		{`"0.5"`, `"half"`, "no number"}, {`"day.hcl"`, `"none.hcl"`, "none.hcl"},
+		{`"load"`, `"lode"`, `factor "lode" is not known`},
+		{`"even"`, `"evn"`, `policy "evn" is not known`},
+		{`"0.5"`, `"half"`, "no number"},
+		{`"day.hcl"`, `"none.hcl"`, "none.hcl"},
 	} {
 		path := filepath.Join(t.TempDir(), "wrong.hcl")
 		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(text, c.from, c.to, 1)), 0o600))
--- a/internal/experiment/factors.go
+++ b/internal/experiment/factors.go
@@ -13,43 +13,60 @@
 	Levels []float64
 }
 
-// factors are what can be varied, and what a level does to a day.
-var factors = map[string]func(d *scenario.Scenario, v float64){
-	"size": func(d *scenario.Scenario, v float64) { // endpoints, proxies, reqs and the channel together
-		scaleEndpoints(d, v)
-		scaleProxies(d, v)
-		d.Rate *= v
-		d.LinesPerS, d.Backlog = d.LinesPerS*v, d.Backlog*v
-		d.IntakeLinesPerS, d.IntakeStanding = d.IntakeLinesPerS*v, int(float64(d.IntakeStanding)*v)
-	},
+// factorEffects are the factors by name, and what a level of each does to a scenario.
+var factorEffects = map[string]func(s *scenario.Scenario, level float64){
+	"size":      scaleAll,
 	"endpoints": scaleEndpoints,
 	"proxies":   scaleProxies,
-	"load":      func(d *scenario.Scenario, v float64) { d.Rate *= v },
-	"pilots": func(d *scenario.Scenario, v float64) {
-		d.PilotZones = nil
-		for i := range int(v) {
-			d.PilotZones = append(d.PilotZones, d.Zones[i%len(d.Zones)])
-		}
-		d.Instances = max(1, int(v))
-	},
-	"report_s": func(d *scenario.Scenario, v float64) { d.Period = time.Duration(v * float64(time.Second)) },
-	"way_ms":   func(d *scenario.Scenario, v float64) { d.Way = time.Duration(v * float64(time.Millisecond)) },
-	"record":   func(d *scenario.Scenario, v float64) { d.Record = v > 0 },
-	"uneven":   func(d *scenario.Scenario, v float64) { d.Uneven = v },
-	"length_s": func(d *scenario.Scenario, v float64) { d.Length = time.Duration(v * float64(time.Second)) },
+	"load":      func(s *scenario.Scenario, level float64) { s.Rate *= level },
+	"pilots":    setPilots,
+	"report_s":  func(s *scenario.Scenario, level float64) { s.Period = scaled(level, time.Second) },
+	"way_ms":    func(s *scenario.Scenario, level float64) { s.Way = scaled(level, time.Millisecond) },
+	"record":    func(s *scenario.Scenario, level float64) { s.Record = level > 0 },
+	"uneven":    func(s *scenario.Scenario, level float64) { s.Uneven = level },
+	"length_s":  func(s *scenario.Scenario, level float64) { s.Length = scaled(level, time.Second) },
 }
 
-func scaleEndpoints(d *scenario.Scenario, v float64) {
-	for i := range d.Groups {
-		d.Groups[i].Count = max(1, int(float64(d.Groups[i].Count)*v+0.5))
+func scaled(level float64, unit time.Duration) time.Duration {
+	return time.Duration(level * float64(unit))
+}
+
+// scaledCount returns a count times a factor, rounded, at least 1.
+func scaledCount(count int, factor float64) int { return max(1, int(float64(count)*factor+0.5)) }
+
+// scaleAll scales endpoints, proxies, requests, channel and telemetry together.
+func scaleAll(s *scenario.Scenario, factor float64) {
+	scaleEndpoints(s, factor)
+	scaleProxies(s, factor)
+	s.Rate *= factor
+	s.LinesPerS *= factor
+	s.Backlog *= factor
+	s.IntakeLinesPerS *= factor
+	s.IntakeStanding = int(float64(s.IntakeStanding) * factor)
+}
+
+func scaleEndpoints(s *scenario.Scenario, factor float64) {
+	for i := range s.Groups {
+		s.Groups[i].Count = scaledCount(s.Groups[i].Count, factor)
+	}
+}
+
+// scaleProxies keeps the zones' parts of the proxies, as far as whole numbers do.
+func scaleProxies(s *scenario.Scenario, factor float64) {
+	zones := slices.Clone(s.ProxyZones)
+	s.ProxyZones = nil
+	for i := range scaledCount(len(zones), factor) {
+		s.ProxyZones = append(s.ProxyZones, zones[i%len(zones)])
 	}
+	s.Proxies = len(s.ProxyZones)
 }
 
-func scaleProxies(d *scenario.Scenario, v float64) {
-	zones := slices.Clone(d.ProxyZones)
-	d.ProxyZones = nil
-	for i := range max(1, int(float64(len(zones))*v+0.5)) {
-		d.ProxyZones = append(d.ProxyZones, zones[i%len(zones)])
+// setPilots sets the number of pilots, and spreads them over the zones.
+func setPilots(s *scenario.Scenario, level float64) {
+	count := int(level)
+	s.PilotZones = nil
+	for i := range count {
+		s.PilotZones = append(s.PilotZones, s.Zones[i%len(s.Zones)])
 	}
-	d.Proxies = len(d.ProxyZones)
+	s.Instances = max(1, count)
 }
--- a/internal/experiment/heatmap.go
+++ b/internal/experiment/heatmap.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// heat is the mean load of each zone, by policy and levels.
+// heat is a row of the heat map: the mean load of each zone, for a cell.
 type heat struct {
 	Policy, Levels string
 	Cells          []heatCell
@@ -15,28 +15,48 @@
 
 type heatCell struct {
 	Zone  string
-	Load  float64
+	Load  float64 // mean busy fraction of its endpoints
 	Shade template.CSS
 }
 
-// heats lists them for all cells.
-func (t *Table) heats() (list []heat) {
+// idleHue is the hue of an idle zone, green, in degrees; a busy one is red at 0.
+const idleHue = 120
+
+// heats returns the heat map.
+func (t *Table) heats() []heat {
+	var list []heat
 	for i, c := range t.Cells {
-		sums, runs := map[string]float64{}, 0.0
-		for _, r := range t.Results[i] {
-			if r != nil {
-				runs++
-				for z, l := range r.Zones {
-					sums[z] += l
-				}
-			}
-		}
-		h := heat{Policy: c.Policy, Levels: t.Plan.Label(c.Levels)}
-		for _, z := range slices.Sorted(maps.Keys(sums)) {
-			l := sums[z] / runs
-			h.Cells = append(h.Cells, heatCell{z, l, template.CSS(fmt.Sprintf("background:hsl(%.0f,80%%,75%%)", 120*(1-min(1, l))))})
+		row := heat{Policy: c.Policy, Levels: t.Plan.Label(c.Levels)}
+		loads := meanZoneLoads(t.Results[i])
+		for _, zone := range slices.Sorted(maps.Keys(loads)) {
+			row.Cells = append(row.Cells, heatCell{Zone: zone, Load: loads[zone], Shade: shade(loads[zone])})
 		}
-		list = append(list, h)
+		list = append(list, row)
 	}
 	return list
 }
+
+// meanZoneLoads returns the mean load of each zone over some results; those that were left out are nil.
+func meanZoneLoads(results []*Result) map[string]float64 {
+	loads := map[string]float64{}
+	runs := 0.0
+	for _, r := range results {
+		if r == nil {
+			continue
+		}
+		runs++
+		for zone, load := range r.Zones {
+			loads[zone] += load
+		}
+	}
+	for zone := range loads {
+		loads[zone] /= runs
+	}
+	return loads
+}
+
+// shade returns the background for a load.
+func shade(load float64) template.CSS {
+	hue := idleHue * (1 - min(1, load))
+	return template.CSS(fmt.Sprintf("background:hsl(%.0f,80%%,75%%)", hue))
+}
--- a/internal/experiment/metrics.go
+++ b/internal/experiment/metrics.go
@@ -6,17 +6,24 @@
 	Of   func(*Result) float64
 }
 
-// broken counts rules.
+// broken counts the rules that were broken.
 var broken = Metric{"rules broken", func(r *Result) float64 { return r.Broken }}
 
 // Metrics are those shown, in this order.
 var Metrics = []Metric{
-	{"service", func(r *Result) float64 { return r.Service }}, {"worst 5 s", func(r *Result) float64 { return r.Worst }},
-	{"errored", func(r *Result) float64 { return r.Errored }}, {"denied", func(r *Result) float64 { return r.Denied }},
+	{"service", func(r *Result) float64 { return r.Service }},
+	{"worst 5 s", func(r *Result) float64 { return r.Worst }},
+	{"errored", func(r *Result) float64 { return r.Errored }},
+	{"denied", func(r *Result) float64 { return r.Denied }},
 	{"tries each", func(r *Result) float64 { return r.TriesEach }},
-	{"p50 ms", func(r *Result) float64 { return r.P50 }}, {"p99 ms", func(r *Result) float64 { return r.P99 }},
-	{"busiest / mean", func(r *Result) float64 { return r.Spread }}, {"lines / s", func(r *Result) float64 { return r.LinesPerS }},
-	{"queue / backlog", func(r *Result) float64 { return r.MostLines }}, broken,
-	{"nearest limit", func(r *Result) float64 { return r.Nearest }}, {"rebuilt ms", func(r *Result) float64 { return r.RebuiltMs }},
-	{"lines after", func(r *Result) float64 { return r.LinesAfter }}, {"pilot ms / s", func(r *Result) float64 { return r.PilotMs }},
+	{"p50 ms", func(r *Result) float64 { return r.P50 }},
+	{"p99 ms", func(r *Result) float64 { return r.P99 }},
+	{"busiest / mean", func(r *Result) float64 { return r.Spread }},
+	{"lines / s", func(r *Result) float64 { return r.LinesPerS }},
+	{"queue / backlog", func(r *Result) float64 { return r.MostLines }},
+	broken,
+	{"nearest limit", func(r *Result) float64 { return r.Nearest }},
+	{"rebuilt ms", func(r *Result) float64 { return r.RebuiltMs }},
+	{"lines after", func(r *Result) float64 { return r.LinesAfter }},
+	{"pilot ms / s", func(r *Result) float64 { return r.PilotMs }},
 }
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -22,6 +22,17 @@
 {{end}}</table>{{range .Charts}}<h2>{{.Title}}</h2>{{.SVG}}{{end}}</body></html>
 `))
 
+// pageView is what the page is made of.
+type pageView struct {
+	Name, About, Day string
+	Repeats, Left    int
+	Heads            []string
+	Rows             []pageRow
+	Charts           []chart
+	Heats            []heat
+}
+
+// pageRow is a row of the page's table.
 type pageRow struct {
 	Policy, Levels string
 	Cells          []string
@@ -30,18 +41,32 @@
 
 // Report writes the table and its charts as one HTML file.
 func (t *Table) Report(out io.Writer) error {
-	view := struct {
-		Name, About, Day string
-		Repeats, Left    int
-		Heads            []string
-		Rows             []pageRow
-		Charts           []chart
-		Heats            []heat
-	}{Name: t.Plan.Name, About: t.Plan.About, Day: t.Plan.Day, Repeats: t.Plan.Repeats, Left: t.LeftOut}
+	charts, err := t.charts()
+	if err != nil {
+		return err
+	}
+	view := pageView{
+		Name:    t.Plan.Name,
+		About:   t.Plan.About,
+		Day:     t.Plan.Day,
+		Repeats: t.Plan.Repeats,
+		Left:    t.LeftOut,
+		Rows:    t.pageRows(),
+		Charts:  charts,
+		Heats:   t.heats(),
+	}
 	for _, m := range Metrics {
 		view.Heads = append(view.Heads, m.Name)
 	}
 	view.Heads = append(view.Heads, "service beside "+t.Plan.Policies[0])
+	if err := page.Execute(out, view); err != nil {
+		return fmt.Errorf("write report: %w", err)
+	}
+	return nil
+}
+
+func (t *Table) pageRows() []pageRow {
+	var rows []pageRow
 	for i, c := range t.Cells {
 		row := pageRow{Policy: c.Policy, Levels: t.Plan.Label(c.Levels)}
 		for _, m := range Metrics {
@@ -49,15 +74,7 @@
 		}
 		row.Cells = append(row.Cells, t.Difference(i, Metrics[0]).String())
 		row.Broken = t.Figure(i, broken).Mean > 0
-		view.Rows = append(view.Rows, row)
-	}
-	charts, err := t.charts()
-	if err != nil {
-		return err
+		rows = append(rows, row)
 	}
-	view.Charts, view.Heats = charts, t.heats()
-	if err := page.Execute(out, view); err != nil {
-		return fmt.Errorf("write report: %w", err)
-	}
-	return nil
+	return rows
 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"crypto/sha256"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"runtime"
@@ -16,15 +14,22 @@
 	"indigousher/internal/controller"
 	"indigousher/internal/emulator"
 	"indigousher/internal/record"
+	"indigousher/internal/scenario"
 )
 
+// errBudget ends runs once the budget is spent. What they would have given is left out.
+var errBudget = fmt.Errorf("the experiment's budget is spent: %w", context.DeadlineExceeded)
+
+// seedStep keeps the seeds of runs of scenarios with neighbouring seeds apart.
+const seedStep = 100_003
+
 // Runner plays a plan.
 type Runner struct {
 	Plan     *Plan
 	Store    string              // file; results in it are not played again
-	Program  string              // of another one nothing is taken
-	Progress func(done, all int) // progress
-	Workers  int                 // 0: one a core
+	Program  string              // results of another one are not taken
+	Progress func(done, all int) // told of each run that is through, one at a time; nil: nobody is
+	Workers  int                 // runs at the same time; 0: one for each core
 }
 
 // Run plays what the store does not have. Runs of one seed share their random numbers over all cells.
@@ -33,38 +38,26 @@
 	if err != nil {
 		return nil, fmt.Errorf("open results: %w", err)
 	}
-	defer db.Close()
-	t := &Table{Plan: r.Plan, Cells: r.Plan.Cells()}
-	t.Results = make([][]*Result, len(t.Cells))
-	for i := range t.Results {
-		t.Results[i] = make([]*Result, r.Plan.Repeats)
-	}
+	defer func() { _ = db.Close() }() // each result was committed on its own
+	table := newTable(r.Plan)
 	ctx, cancel := context.WithTimeoutCause(ctx, r.Plan.Budget, errBudget)
 	defer cancel()
-	var mu sync.Mutex
-	done, all := 0, len(t.Cells)*r.Plan.Repeats
-	g, gctx := errgroup.WithContext(ctx)
-	workers := r.Workers
-	if workers == 0 {
-		workers = runtime.GOMAXPROCS(0)
-	}
-	g.SetLimit(workers)
-	for seed := range r.Plan.Repeats { // all cells of one seed before the next: an early end leaves pairs
-		for i, c := range t.Cells {
-			g.Go(func() error {
-				res, taken, err := r.runCell(gctx, db, c, seed+1)
+	runs, ctx := errgroup.WithContext(ctx)
+	runs.SetLimit(r.workers())
+	var mu sync.Mutex // guards the table and calls of Progress
+	done := 0
+	all := len(table.Cells) * r.Plan.Repeats
+	for repeat := range r.Plan.Repeats { // all cells of one seed before the next: an early end leaves pairs
+		for cell := range table.Cells {
+			runs.Go(func() error { // ends with its run or with ctx
+				result, reused, err := r.runCell(ctx, db, table.Cells[cell], repeat+1)
 				if errors.Is(err, context.DeadlineExceeded) {
 					err = nil
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				t.Results[i][seed] = res
+				table.add(cell, repeat, result, reused)
 				done++
-				if res == nil {
-					t.LeftOut++
-				} else if taken {
-					t.Reused++
-				}
 				if r.Progress != nil {
 					r.Progress(done, all)
 				}
@@ -72,74 +65,75 @@
 			})
 		}
 	}
-	return t, g.Wait()
+	return table, runs.Wait()
 }
 
-var errBudget = fmt.Errorf("the experiment's budget is spent: %w", context.DeadlineExceeded)
+func (r *Runner) workers() int {
+	if r.Workers == 0 {
+		return runtime.GOMAXPROCS(0)
+	}
+	return r.Workers
+}
 
-// runCell returns a run's result, from the store or played.
-func (r *Runner) runCell(ctx context.Context, db *bbolt.DB, c Cell, seed int) (*Result, bool, error) {
-	d, err := r.Plan.load()
+// runCell returns the result of a cell with a seed, and whether it was in the store.
+func (r *Runner) runCell(ctx context.Context, db *bbolt.DB, cell Cell, seed int) (result *Result, reused bool, err error) {
+	s, err := r.cellScenario(cell, seed)
 	if err != nil {
 		return nil, false, err
 	}
-	for i, f := range r.Plan.Factors {
-		factors[f.Name](d, c.Levels[i])
-	}
-	d.Seed = d.Seed*100_003 + seed
-	text, err := json.Marshal(d)
+	key, err := newResultKey(r.Program, cell.Policy, s)
 	if err != nil {
-		return nil, false, fmt.Errorf("lay out day: %w", err)
+		return nil, false, err
 	}
-	sum := sha256.Sum256(append([]byte(r.Program+" "+c.Policy+" "), text...))
-	var found *Result
-	err = db.View(func(tx *bbolt.Tx) error {
-		b := tx.Bucket(bucket)
-		if b == nil || b.Get(sum[:]) == nil {
-			return nil
-		}
-		found = &Result{}
-		return json.Unmarshal(b.Get(sum[:]), found)
-	})
+	found, err := storedResult(db, key)
 	if err != nil || found != nil {
 		return found, true, err
 	}
 	if ctx.Err() != nil {
 		return nil, false, context.Cause(ctx)
 	}
-	play := emulator.Play{Scenario: d, Audited: true}
-	switch c.Policy {
+	play, err := newPlay(s, cell.Policy)
+	if err != nil {
+		return nil, false, err
+	}
+	outcome, err := play.Run(ctx)
+	if err != nil {
+		return nil, false, err
+	}
+	result = newResult(outcome, s.Length.Seconds(), s.Backlog)
+	return result, false, storeResult(db, key, result)
+}
+
+// cellScenario returns the scenario of a cell with a seed.
+func (r *Runner) cellScenario(cell Cell, seed int) (*scenario.Scenario, error) {
+	s, err := r.Plan.loadScenario()
+	if err != nil {
+		return nil, err
+	}
+	for i, factor := range r.Plan.Factors {
+		factorEffects[factor.Name](s, cell.Levels[i])
+	}
+	s.Seed = s.Seed*seedStep + seed
+	return s, nil
+}
+
+// newPlay sets up a run of a scenario under a policy.
+func newPlay(s *scenario.Scenario, policy string) (*emulator.Play, error) {
+	play := &emulator.Play{Scenario: s, Audited: true}
+	switch policy {
 	case Planner:
+		return play, nil
 	case Standing:
 		play.WithoutPilots = true
+		return play, nil
 	case TwoChoices:
-		d.Pick = "two"
-		fallthrough
-	default:
-		name := c.Policy
-		if name == TwoChoices {
-			name = "even"
-		}
-		make, err := baseline.Named(name)
-		if err != nil {
-			return nil, false, err
-		}
-		play.Decide = func(seed int64, t map[string]any) controller.Decider { return make(seed, t) }
+		s.Pick = "two"
+		policy = "even"
 	}
-	o, err := play.Run(ctx)
+	factory, err := baseline.Named(policy)
 	if err != nil {
-		return nil, false, err
+		return nil, err
 	}
-	res := resultOf(o, d.Length.Seconds(), d.Backlog)
-	out, err := json.Marshal(res)
-	if err != nil {
-		return nil, false, fmt.Errorf("lay out result: %w", err)
-	}
-	return res, false, db.Batch(func(tx *bbolt.Tx) error {
-		b, err := tx.CreateBucketIfNotExists(bucket)
-		if err != nil {
-			return err
-		}
-		return b.Put(sum[:], out)
-	})
+	play.Decide = func(seed int64, settings map[string]any) controller.Decider { return factory(seed, settings) }
+	return play, nil
 }
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -11,36 +11,42 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Table holds results by cell and seed; nil where a run was left out.
+// Table holds the results of an experiment.
 type Table struct {
 	Plan    *Plan
 	Cells   []Cell
-	Results [][]*Result
-	LeftOut int // runs that the budget left out
-	Reused  int // from the store
+	Results [][]*Result // by cell and repeat; nil where a run was left out
+	LeftOut int         // runs that the budget did not allow
+	Reused  int         // results from the store
 }
 
-// values returns a metric's values of a cell, by seed, and whether each is there.
-func (t *Table) values(cell int, m Metric) (v []float64, seeds []int) {
-	for seed, r := range t.Results[cell] {
-		if r != nil {
-			v, seeds = append(v, m.Of(r)), append(seeds, seed)
-		}
+func newTable(p *Plan) *Table {
+	t := &Table{Plan: p, Cells: p.Cells()}
+	t.Results = make([][]*Result, len(t.Cells))
+	for i := range t.Results {
+		t.Results[i] = make([]*Result, p.Repeats)
 	}
-	return v, seeds
+	return t
 }
 
-// base returns the cell of the first policy with the same levels.
-func (t *Table) base(cell int) int {
-	return slices.IndexFunc(t.Cells, func(c Cell) bool {
-		return c.Policy == t.Plan.Policies[0] && slices.Equal(c.Levels, t.Cells[cell].Levels)
-	})
+// add sets a result, nil for a run that was left out.
+func (t *Table) add(cell, repeat int, result *Result, reused bool) {
+	t.Results[cell][repeat] = result
+	if result == nil {
+		t.LeftOut++
+	} else if reused {
+		t.Reused++
+	}
 }
 
-// Figure is a mean with half the width of its 95% confidence interval, by Student's t; 0 runs: there is none.
+// confidence is the quantile of Student's t for an interval of 95% on both sides.
+const confidence = 0.975
+
+// Figure is a mean with half the width of its 95% confidence interval, by Student's t. With 0 runs there is none.
 type Figure struct {
-	Mean, HalfWidth float64
-	Runs            int
+	Mean      float64
+	HalfWidth float64
+	Runs      int
 }
 
 // String shows a figure.
@@ -54,67 +60,94 @@
 	return fmt.Sprintf("%.4g ±%.2g", f.Mean, f.HalfWidth)
 }
 
-// newFigure reckons one from values.
-func newFigure(v []float64) Figure {
-	f := Figure{Runs: len(v)}
-	if len(v) == 0 {
+// newFigure returns the figure of some values.
+func newFigure(values []float64) Figure {
+	f := Figure{Runs: len(values)}
+	if len(values) == 0 {
 		return f
 	}
-	mean, sd := stat.MeanStdDev(v, nil)
+	mean, deviation := stat.MeanStdDev(values, nil)
 	f.Mean = mean
-	if len(v) > 1 && sd > 0 {
-		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(v) - 1)}.Quantile(0.975)
-		f.HalfWidth = t * sd / math.Sqrt(float64(len(v)))
+	if len(values) > 1 && deviation > 0 {
+		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(values) - 1)}.Quantile(confidence)
+		f.HalfWidth = t * deviation / math.Sqrt(float64(len(values)))
 	}
 	return f
 }
 
 // Figure returns a metric of a cell.
-func (t *Table) Figure(cell int, m Metric) Figure {
-	v, _ := t.values(cell, m)
-	return newFigure(v)
+func (t *Table) Figure(cell int, m Metric) Figure { return newFigure(t.values(cell, m)) }
+
+// values returns a metric of a cell's results, by seed.
+func (t *Table) values(cell int, m Metric) []float64 {
+	var values []float64
+	for _, r := range t.Results[cell] {
+		if r != nil {
+			values = append(values, m.Of(r))
+		}
+	}
+	return values
 }
 
-// Difference returns a metric of a cell less that of the first policy at the same levels, seed by seed.
+// Difference returns a metric of a cell less that of the first policy at the same levels, paired by seed.
 func (t *Table) Difference(cell int, m Metric) Figure {
 	base := t.base(cell)
 	if base < 0 || base == cell {
 		return Figure{}
 	}
-	var diffs []float64
+	var differences []float64
 	for seed, r := range t.Results[cell] {
 		if b := t.Results[base][seed]; r != nil && b != nil {
-			diffs = append(diffs, m.Of(r)-m.Of(b))
+			differences = append(differences, m.Of(r)-m.Of(b))
 		}
 	}
-	return newFigure(diffs)
+	return newFigure(differences)
+}
+
+// base returns the cell of the first policy at the same levels, -1 if there is none.
+func (t *Table) base(cell int) int { return t.cell(t.Plan.Policies[0], t.Cells[cell].Levels) }
+
+// cell returns the cell of a policy at some levels, -1 if there is none.
+func (t *Table) cell(policy string, levels []float64) int {
+	return slices.IndexFunc(t.Cells, func(c Cell) bool {
+		return c.Policy == policy && slices.Equal(c.Levels, levels)
+	})
 }
 
 // Print writes the table as text.
 func (t *Table) Print(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprint(w, "policy\tlevels\truns")
+	// Errors of the writer show at the end, in Flush.
+	printf := func(format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
+	printf("policy\tlevels\truns")
 	for _, m := range Metrics {
-		fmt.Fprintf(w, "\t%s", m.Name)
+		printf("\t%s", m.Name)
 	}
-	fmt.Fprintf(w, "\tservice beside %s\n", t.Plan.Policies[0])
+	printf("\tservice beside %s\n", t.Plan.Policies[0])
 	for i, c := range t.Cells {
-		v, _ := t.values(i, Metrics[0])
-		fmt.Fprintf(w, "%s\t%s\t%d", c.Policy, t.Plan.Label(c.Levels), len(v))
+		printf("%s\t%s\t%d", c.Policy, t.Plan.Label(c.Levels), len(t.values(i, Metrics[0])))
 		for _, m := range Metrics {
-			fmt.Fprintf(w, "\t%s", t.Figure(i, m))
+			printf("\t%s", t.Figure(i, m))
 		}
-		fmt.Fprintf(w, "\t%s\n", t.Difference(i, Metrics[0]))
+		printf("\t%s\n", t.Difference(i, Metrics[0]))
 	}
 	if t.LeftOut > 0 {
-		fmt.Fprintf(w, "%d runs were left out: the budget was spent\n", t.LeftOut)
+		printf("%d runs were left out: the budget was spent\n", t.LeftOut)
 	}
+	t.printBroken(printf)
+	return w.Flush()
+}
+
+// printBroken lists the runs of the planner in which a rule was broken.
+func (t *Table) printBroken(printf func(format string, args ...any)) {
 	for i, c := range t.Cells {
-		for seed, r := range t.Results[i] {
-			if r != nil && r.Broken > 0 && c.Policy == Planner {
-				fmt.Fprintf(w, "BROKEN at %s, seed %d: %s\n", t.Plan.Label(c.Levels), seed+1, r.Text)
+		if c.Policy != Planner {
+			continue
+		}
+		for repeat, r := range t.Results[i] {
+			if r != nil && r.Broken > 0 {
+				printf("BROKEN at %s, seed %d: %s\n", t.Plan.Label(c.Levels), repeat+1, r.Text)
 			}
 		}
 	}
-	return w.Flush()
 }
