--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -66,7 +66,8 @@
 		}
 		return list
 	}
-	// at 12 s of 15 a cold endpoint does 0.2+0.8*12/15 of its 1 ms a ms: 3 times that for 1.5 s are 3,780 ms, and 4 reqs of slack
+	// at 12 s of 15 a cold endpoint does 0.2+0.8*12/15 of its 1 ms a ms: 3 times that for 1.5 s are 3,780 ms, and 4
+	// reqs of slack
 	const bearable = 94 // of 40 ms each
 	for _, x := range []struct {
 		name   string
--- a/internal/audit/channel.go
+++ b/internal/audit/channel.go
@@ -60,8 +60,8 @@
 	lines := 0
 	for _, change := range queueChanges(messages) {
 		lines += change.lines
-		a.verdict(ChannelQueue).observe(float64(lines)/a.settings.Backlog, change.at, pilot, "%d lines wait, %.0f allowed",
-			lines, a.settings.Backlog)
+		a.verdict(ChannelQueue).observe(float64(lines)/a.settings.Backlog, change.at, pilot,
+			"%d lines wait, %.0f allowed", lines, a.settings.Backlog)
 	}
 }
 
--- a/internal/audit/coverage.go
+++ b/internal/audit/coverage.go
@@ -49,11 +49,12 @@
 	}
 	lasted := a.checkedAt - since
 	limit := float64(a.settings.BareFor.Milliseconds())
-	verdict.observe(lasted/limit, a.checkedAt, proxy.name, "no line for %s for %.0f ms of %.0f", class.Name, lasted, limit)
+	verdict.observe(lasted/limit, a.checkedAt, proxy.name,
+		"no line for %s for %.0f ms of %.0f", class.Name, lasted, limit)
 }
 
-// hasWarmEndpoint returns whether a pilot's list shows a ready, warm endpoint that may serve a request class for proxies
-// of a zone.
+// hasWarmEndpoint returns whether a pilot's list shows a ready, warm endpoint that may serve a request class for
+// proxies of a zone.
 func (a *Auditor) hasWarmEndpoint(pilot *pilotState, zone string, class *config.RequestClass) bool {
 	warmUpMs := float64(a.settings.Cold.Milliseconds())
 	for _, listed := range pilot.listed {
--- a/internal/audit/slowstart.go
+++ b/internal/audit/slowstart.go
@@ -20,8 +20,8 @@
 	informed bool    // the sender's pilot knew of the start
 }
 
-// checkSlowStart checks the rule SlowStartBudget: the work that is sent within a span to an endpoint that warms up stays
-// within its budget.
+// checkSlowStart checks the rule SlowStartBudget: the work that is sent within a span to an endpoint that warms up
+// stays within its budget.
 func (a *Auditor) checkSlowStart(e eventlog.Event) {
 	endpoint := a.endpoints[e.Who]
 	age := e.At - endpoint.startedAt
--- a/internal/audit/state.go
+++ b/internal/audit/state.go
@@ -20,8 +20,8 @@
 // snapshotMarker is Event.N of the Told event with which an endpoint list sent as a whole begins.
 const snapshotMarker = -1
 
-// startToleranceMs is how far two reports of an endpoint's start may lie apart and still mean the same start: the age in
-// a message is taken when it is sent, not when it is received.
+// startToleranceMs is how far two reports of an endpoint's start may lie apart and still mean the same start: the age
+// in a message is taken when it is sent, not when it is received.
 const startToleranceMs = 500
 
 // proxyState is what the events show of a proxy.
@@ -182,7 +182,8 @@
 	}
 }
 
-// setPhase changes the phase of an endpoint. A snapshot that names the phase of before it leaves its beginning as it was.
+// setPhase changes the phase of an endpoint. A snapshot that names the phase of before it leaves its beginning as it
+// was.
 func (l *listedEndpoint) setPhase(phase int, at float64) {
 	if l.phase == phase {
 		return
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -75,7 +75,13 @@
 	if c.ended {
 		return
 	}
-	request := &wire.Req{Name: c.number, Kind: c.class.Name, Key: c.request.Key, From: "client", WorkMs: c.request.WorkMs}
+	request := &wire.Req{
+		Name:   c.number,
+		Kind:   c.class.Name,
+		Key:    c.request.Key,
+		From:   "client",
+		WorkMs: c.request.WorkMs,
+	}
 	c.w.proxies[c.request.Proxy].handle(request, c.deadline-c.w.now, c.answered)
 }
 
--- a/internal/emulator/clock.go
+++ b/internal/emulator/clock.go
@@ -1,7 +1,7 @@
 package emulator
 
-// Clock is a clock of virtual time with timers. Timers fire by time, those of one moment in the order in which they were
-// set. Its zero value stands at 0.
+// Clock is a clock of virtual time with timers. Timers fire by time, those of one moment in the order in which they
+// were set. Its zero value stands at 0.
 type Clock struct {
 	now    float64 // ms
 	set    uint64  // timers set so far
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -155,8 +155,8 @@
 	return d
 }
 
-// TestClosedForms holds means against queueing theory: waiting by Erlang C and by Pollaczek-Khinchine, loss by Erlang B,
-// sharing, Little's law, and two choices beside one.
+// TestClosedForms holds means against queueing theory: waiting by Erlang C and by Pollaczek-Khinchine, loss by Erlang
+// B, sharing, Little's law, and two choices beside one.
 func TestClosedForms(t *testing.T) {
 	mean := func(t *testing.T, d *scenario.Scenario) (took, lost float64) {
 		var means, losses []float64
@@ -169,7 +169,8 @@
 		}
 		return avg(means), avg(losses)
 	}
-	// work is lognormal: with a variation of 1 the mean of one server's queue follows Pollaczek-Khinchine as M/M/1's does
+	// work is lognormal: with a variation of 1 the mean of one server's queue follows Pollaczek-Khinchine as M/M/1's
+	// does
 	for _, c := range []struct {
 		name             string
 		cores            int
@@ -227,8 +228,8 @@
 	assert.InEpsilon(t, float64(o.Latency.TotalCount())/200*o.Latency.Mean()/1e6, sum/looks, 0.02)
 }
 
-// TestLong guards days that are long, overloaded without end, or almost without reqs on many endpoints: they end, keep the
-// rules and repeat themselves.
+// TestLong guards days that are long, overloaded without end, or almost without reqs on many endpoints: they end, keep
+// the rules and repeat themselves.
 func TestLong(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
--- a/internal/emulator/faults_endpoint.go
+++ b/internal/emulator/faults_endpoint.go
@@ -13,7 +13,8 @@
 	lostListFactor = 4
 	// replaceSlackMs is how long after its drain deadline a replaced endpoint ends.
 	replaceSlackMs = 500
-	// A flapping endpoint is up for the first part of its period and down for the rest. Each flaps at a rate of its own.
+	// A flapping endpoint is up for the first part of its period and down for the rest. Each flaps at a rate of its
+	// own.
 	flapUp        = 0.6
 	flapDown      = 0.4
 	flapRateSteps = 7
--- a/internal/emulator/faults_pilot.go
+++ b/internal/emulator/faults_pilot.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// handOver has one process of a pilot after another take over, until a time in ms: the old one ends in order and the new
-// one begins.
+// handOver has one process of a pilot after another take over, until a time in ms: the old one ends in order and the
+// new one begins.
 func (w *World) handOver(pilot *emulatedPilot, until, everyMs float64) {
 	if w.now >= until {
 		return
--- a/internal/emulator/nostate_test.go
+++ b/internal/emulator/nostate_test.go
@@ -10,8 +10,8 @@
 	"indigousher/internal/testbed/eventlog"
 )
 
-// soundAfter returns how long after a time the tables were sound again: from then on until another time, in each second,
-// fewer than a part of the tries went to some endpoints.
+// soundAfter returns how long after a time the tables were sound again: from then on until another time, in each
+// second, fewer than a part of the tries went to some endpoints.
 func soundAfter(o *Outcome, struck []string, from, to, part float64) float64 {
 	names, tries, bad := map[string]bool{}, map[int]float64{}, map[int]float64{}
 	for _, n := range struck {
@@ -35,9 +35,9 @@
 	return sound
 }
 
-// TestNoState guards pilots that come back in the middle of a rough day with no record and no list, to proxies under heavy
-// load, half of which have just started with standing tables, while endpoints hang, drain and are cold: the rules hold, and
-// the tables are sound again soon after there is a list. Beside it the same day with state.
+// TestNoState guards pilots that come back in the middle of a rough day with no record and no list, to proxies under
+// heavy load, half of which have just started with standing tables, while endpoints hang, drain and are cold: the rules
+// hold, and the tables are sound again soon after there is a list. Beside it the same day with state.
 func TestNoState(t *testing.T) {
 	const back, listed, healed = 17200, 21000, 28000
 	for seed := 3; seed < 7; seed++ {
--- a/internal/emulator/pilot.go
+++ b/internal/emulator/pilot.go
@@ -46,8 +46,8 @@
 }
 
 const (
-	// clockEpsilonMs is added to the loop's clock, so that rounding does not leave what is due for ever just ahead. It is
-	// less than any time that counts.
+	// clockEpsilonMs is added to the loop's clock, so that rounding does not leave what is due for ever just ahead. It
+	// is less than any time that counts.
 	clockEpsilonMs = 1e-6
 	// settleMs is how long after a start the lines sent since are counted.
 	settleMs = 10_000
@@ -73,7 +73,9 @@
 		process.core = controller.NewCore(options)
 	}
 	if oracle, ok := options.Decider.(*baseline.Oracle); ok {
-		oracle.SetTrueLoad(func(endpoint int) (float64, bool) { return p.w.trueLoad(process.core.EndpointName(endpoint)) })
+		oracle.SetTrueLoad(func(endpoint int) (float64, bool) {
+			return p.w.trueLoad(process.core.EndpointName(endpoint))
+		})
 	}
 	p.Starts = append(p.Starts, begun)
 	p.scheduleLineCount(process, len(p.Starts)-1)
--- a/internal/emulator/pilotports.go
+++ b/internal/emulator/pilotports.go
@@ -5,8 +5,8 @@
 	"indigousher/internal/wire"
 )
 
-// endpointSource connects a pilot's process to the registry. It implements controller.EndpointSource; its zero value does
-// nothing.
+// endpointSource connects a pilot's process to the registry. It implements controller.EndpointSource; its zero value
+// does nothing.
 type endpointSource struct {
 	pilot   *emulatedPilot
 	process *pilotProcess
--- a/internal/emulator/pilotrecord.go
+++ b/internal/emulator/pilotrecord.go
@@ -24,9 +24,11 @@
 	keptTails = 2
 )
 
-// recoverCore has the process recorded, and replays the record of the last one where recovery decides so. It returns the
-// options with the recorder.
-func (p *emulatedPilot) recoverCore(options controller.Options, process *pilotProcess, begun *Start) controller.Options {
+// recoverCore has the process recorded, and replays the record of the last one where recovery decides so. It returns
+// the options with the recorder.
+func (p *emulatedPilot) recoverCore(
+	options controller.Options, process *pilotProcess, begun *Start,
+) controller.Options {
 	limits := recovery.Limits{
 		TailMs: float64(p.settings.RecoverTail.Milliseconds()),
 		GapMs:  float64(p.settings.RecoverWithin.Milliseconds()),
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// drawStaticTable draws the endpoints of a proxy's static table from those that are ready: from its own zone if that has
-// enough.
+// drawStaticTable draws the endpoints of a proxy's static table from those that are ready: from its own zone if that
+// has enough.
 func (w *World) drawStaticTable(zone string) []string {
 	var all, near []string
 	for _, endpoint := range w.endpoints {
@@ -151,7 +151,9 @@
 	}
 	home := p.home % len(w.pilots)
 	if w.Scenario.ByZone {
-		inZone := slices.IndexFunc(w.pilots, func(pilot *emulatedPilot) bool { return pilot.place.zone == p.place.zone })
+		inZone := slices.IndexFunc(w.pilots, func(pilot *emulatedPilot) bool {
+			return pilot.place.zone == p.place.zone
+		})
 		if inZone >= 0 {
 			home = inZone
 		}
@@ -246,8 +248,8 @@
 	})
 }
 
-// apply carries out a message of the pilot; the proxy forwards nothing for as long as its lines take. Traced, if not
-// nil, is told when the message has been applied, and since when it was there.
+// apply carries out a message of the pilot; the proxy forwards nothing for as long as its lines take. Traced notes in
+// the trace when the message has been applied; it may be nil.
 func (pp *proxyProcess) apply(s *stream, message *wire.Orders, traced spanEnd) {
 	p := pp.proxy
 	if p.muted {
--- a/internal/emulator/sharing.go
+++ b/internal/emulator/sharing.go
@@ -25,8 +25,8 @@
 	return min(1, float64(e.Cores)/float64(requests))
 }
 
-// scheduleSharedEnd sets the timer for when the request with the least work left is done. Each call makes earlier timers
-// void, since the requests' parts have changed.
+// scheduleSharedEnd sets the timer for when the request with the least work left is done. Each call makes earlier
+// timers void, since the requests' parts have changed.
 func (e *emulatedEndpoint) scheduleSharedEnd(process *endpointProcess) {
 	inFlight := len(process.sharing)
 	if inFlight == 0 {
--- a/internal/emulator/trace.go
+++ b/internal/emulator/trace.go
@@ -31,8 +31,8 @@
 }
 
 // Tracer writes the decisions of a run as OpenTelemetry spans in virtual time. A decision begins with the first load
-// report that went into it and ends when the last proxy has applied it. Its child spans are the gathering of reports and,
-// for each message, the wait in the channel, the way and the application.
+// report that went into it and ends when the last proxy has applied it. Its child spans are the gathering of reports
+// and, for each message, the wait in the channel, the way and the application.
 type Tracer struct {
 	provider      *trace.TracerProvider
 	tracer        api.Tracer
@@ -79,8 +79,8 @@
 
 func at(atMs float64) api.SpanEventOption { return api.WithTimestamp(wallTime(atMs)) }
 
-// recordMessage notes that a message left the channel of a pilot's process, and returns the decision that it belongs to:
-// that made at decidedAt.
+// recordMessage notes that a message left the channel of a pilot's process, and returns the decision that it belongs
+// to: that made at decidedAt.
 func (t *Tracer) recordMessage(process *pilotProcess, proxy string, decidedAt float64, lines int) *decision {
 	d := t.openDecisions[process]
 	if d == nil || d.decidedAt != decidedAt {
--- a/internal/emulator/tries_test.go
+++ b/internal/emulator/tries_test.go
@@ -90,9 +90,9 @@
 %s`, usual, way)
 }
 
-// TestTriesOverAllLayers counts what one req can cause at endpoints, by clients' retries, proxies' second tries and pilots
-// that restart together, while a whole fleet fails: never more than docs/design.md says, none after the client timeout,
-// and no non-replayable one twice once it may have run.
+// TestTriesOverAllLayers counts what one req can cause at endpoints, by clients' retries, proxies' second tries and
+// pilots that restart together, while a whole fleet fails: never more than docs/design.md says, none after the client
+// timeout, and no non-replayable one twice once it may have run.
 func TestTriesOverAllLayers(t *testing.T) {
 	trouble := func(what string) string {
 		return fmt.Sprintf("trouble %q {\n  at = \"8s\"\n  for = \"12s\"\n  size = 1\n}\n", what)
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -26,7 +26,7 @@
 	registry       *registry
 	endpoints      []*emulatedEndpoint
 	endpointByName map[string]*emulatedEndpoint
-	entries        map[string]wire.Entry // endpoints as they truly are, whatever the registry has been told
+	entries        map[string]wire.Entry // endpoints as they truly are, whatever the registry says
 	dialDelayMs    map[string]float64    // that a fault adds to new connections, by endpoint
 	proxies        []*emulatedProxy
 	pilots         []*emulatedPilot
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -48,8 +48,8 @@
 	return b.String()
 }
 
-// TestResumed guards experiments that are interrupted: they go on where they were, give the tables of one that was not, and
-// take nothing from another program's runs.
+// TestResumed guards experiments that are interrupted: they go on where they were, give the tables of one that was not,
+// and take nothing from another program's runs.
 func TestResumed(t *testing.T) {
 	p := plan(t, text)
 	whole := &Runner{Plan: p, Store: filepath.Join(t.TempDir(), "whole.db"), Program: "one"}
@@ -84,8 +84,8 @@
 	assert.Contains(t, b.String(), "54 runs were left out")
 }
 
-// TestTornStore guards against a store of results that was cut off or overwritten: the experiment says which file it is, and
-// neither panics nor takes anything from it.
+// TestTornStore guards against a store of results that was cut off or overwritten: the experiment says which file it
+// is, and neither panics nor takes anything from it.
 func TestTornStore(t *testing.T) {
 	p := plan(t, text)
 	r := &Runner{Plan: p, Store: filepath.Join(t.TempDir(), "x.db"), Program: "one"}
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -1,6 +1,6 @@
-// Package experiment plays emulated scenarios over and over, with factors varied, beside baselines, and shows the results
-// as tables and charts. Results are kept in a store: an experiment that was interrupted goes on, and results of another
-// program are never mixed in.
+// Package experiment plays emulated scenarios over and over, with factors varied, beside baselines, and shows the
+// results as tables and charts. Results are kept in a store: an experiment that was interrupted goes on, and results of
+// another program are never mixed in.
 package experiment
 
 import (
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -35,7 +35,7 @@
 	TookMs     float64            `json:"TookMs"`     // real time
 	Text       string             `json:"Text"`       // first violation of each broken rule
 	Quantiles  []float64          `json:"Quantiles"`  // of latency in ms, at each of quantiles
-	Loads      []float64          `json:"Loads"`      // busy fractions of endpoints, at each loadSteps-th quantile from 0 to 1
+	Loads      []float64          `json:"Loads"`      // busy fractions of endpoints, at loadSteps+1 quantiles
 	Zones      map[string]float64 `json:"Zones"`      // mean busy fraction of each zone's endpoints
 }
 
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -28,7 +28,7 @@
 	Plan     *Plan
 	Store    string              // file; results in it are not played again
 	Program  string              // results of another one are not taken
-	Progress func(done, all int) // told of each run that is through, one at a time; nil: nobody is
+	Progress func(done, all int) // called after each run, one at a time; may be nil
 	Workers  int                 // runs at the same time; 0: one for each core
 }
 
@@ -76,7 +76,9 @@
 }
 
 // runCell returns the result of a cell with a seed, and whether it was in the store.
-func (r *Runner) runCell(ctx context.Context, db *bbolt.DB, cell Cell, seed int) (result *Result, reused bool, err error) {
+func (r *Runner) runCell(
+	ctx context.Context, db *bbolt.DB, cell Cell, seed int,
+) (result *Result, reused bool, err error) {
 	s, err := r.cellScenario(cell, seed)
 	if err != nil {
 		return nil, false, err
--- a/internal/experiment/stored_test.go
+++ b/internal/experiment/stored_test.go
@@ -12,8 +12,8 @@
 	"indigousher/internal/scenario"
 )
 
-// TestStoredNames guards the names under which results are kept: the JSON of a day is part of the key of its results, and
-// a result is kept as JSON.
+// TestStoredNames guards the names under which results are kept: the JSON of a day is part of the key of its results,
+// and a result is kept as JSON.
 func TestStoredNames(t *testing.T) {
 	sum := sha256.New()
 	for _, name := range scenario.Names() {
--- a/internal/rehearsal/endpoints.go
+++ b/internal/rehearsal/endpoints.go
@@ -106,8 +106,8 @@
 	s.registry.Put(0, all...)
 }
 
-// drawStaticTable draws the endpoints of a proxy's static table from those that are ready: from its own zone if that has
-// enough.
+// drawStaticTable draws the endpoints of a proxy's static table from those that are ready: from its own zone if that
+// has enough.
 func (s *stage) drawStaticTable(zone string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/rehearsal/faults.go
+++ b/internal/rehearsal/faults.go
@@ -85,7 +85,7 @@
 	if !backoff.Sleep(ctx, fault.For) {
 		return nil
 	}
-	return s.registry.Start() //nolint:contextcheck // it outlives the fault and ends in stopAll
+	return s.registry.Start() //nolint:contextcheck // ends in stopAll, not with the fault
 }
 
 func (s *stage) listAllNow(context.Context, scenario.Fault) error {
--- a/internal/rehearsal/faults_endpoint.go
+++ b/internal/rehearsal/faults_endpoint.go
@@ -43,8 +43,8 @@
 	return struck
 }
 
-// forEachEndpoint runs a step for all endpoints that a fault strikes at once, waits for all, and joins their errors. The
-// step is told the endpoint's place in the order.
+// forEachEndpoint runs a step for all endpoints that a fault strikes at once, waits for all, and joins their errors.
+// The step also gets the place of the endpoint in the order.
 func (s *stage) forEachEndpoint(fault scenario.Fault, step func(e *endpoint.Endpoint, i int) error) error {
 	struck := s.faultEndpoints(fault)
 	errs := make([]error, len(struck))
--- a/internal/rehearsal/faults_pilot.go
+++ b/internal/rehearsal/faults_pilot.go
@@ -32,7 +32,7 @@
 	until := time.Now().Add(fault.For)
 	for ctx.Err() == nil && time.Now().Before(until) {
 		for _, p := range struck {
-			if err := s.handOver(p); err != nil { //nolint:contextcheck // the pilot outlives the fault and ends in stopAll
+			if err := s.handOver(p); err != nil { //nolint:contextcheck // ends in stopAll, not with the fault
 				return err
 			}
 			s.ownLog.Add(eventlog.Event{What: eventlog.Note, Peer: p.name, Text: "handed over"})
@@ -51,7 +51,7 @@
 		return nil
 	}
 	for _, p := range struck {
-		if err := s.startPilot(p, false); err != nil { //nolint:contextcheck // it outlives the fault and ends in stopAll
+		if err := s.startPilot(p, false); err != nil { //nolint:contextcheck // ends in stopAll, not with the fault
 			return err
 		}
 	}
@@ -65,7 +65,7 @@
 		if !backoff.Sleep(ctx, fault.Extra) {
 			return nil
 		}
-		if err := s.startPilot(p, false); err != nil { //nolint:contextcheck // it outlives the fault and ends in stopAll
+		if err := s.startPilot(p, false); err != nil { //nolint:contextcheck // ends in stopAll, not with the fault
 			return err
 		}
 		backoff.Sleep(ctx, fault.Every)
--- a/internal/rehearsal/faults_proxy.go
+++ b/internal/rehearsal/faults_proxy.go
@@ -82,7 +82,7 @@
 		return nil
 	}
 	for _, p := range struck {
-		if err := p.Start(); err != nil { //nolint:contextcheck // it outlives the fault and ends in stopAll
+		if err := p.Start(); err != nil { //nolint:contextcheck // ends in stopAll, not with the fault
 			return err
 		}
 	}
@@ -96,7 +96,7 @@
 		if !backoff.Sleep(ctx, fault.Extra) {
 			return nil
 		}
-		if err := p.Start(); err != nil { //nolint:contextcheck // it outlives the fault and ends in stopAll
+		if err := p.Start(); err != nil { //nolint:contextcheck // ends in stopAll, not with the fault
 			return err
 		}
 		backoff.Sleep(ctx, fault.Every)
--- a/internal/rehearsal/faults_zone.go
+++ b/internal/rehearsal/faults_zone.go
@@ -34,10 +34,10 @@
 		errs = append(errs, s.restartCold(e))
 	}
 	for _, p := range pilots {
-		errs = append(errs, s.startPilot(p, false)) //nolint:contextcheck // it outlives the fault and ends in stopAll
+		errs = append(errs, s.startPilot(p, false)) //nolint:contextcheck // ends in stopAll, not with the fault
 	}
 	for _, p := range proxies {
-		errs = append(errs, p.Start()) //nolint:contextcheck // it outlives the fault and ends in stopAll
+		errs = append(errs, p.Start()) //nolint:contextcheck // ends in stopAll, not with the fault
 	}
 	return errors.Join(errs...)
 }
--- a/internal/rehearsal/pilots.go
+++ b/internal/rehearsal/pilots.go
@@ -99,8 +99,8 @@
 	return dir
 }
 
-// startPilot begins a pilot's process, at the address of its first one, or has a new one take over from the running one.
-// It ends in stopPilot or by a handover.
+// startPilot begins a pilot's process, at the address of its first one, or has a new one take over from the running
+// one. It ends in stopPilot or by a handover.
 func (s *stage) startPilot(p *pilot, takeOver bool) error {
 	place := network.Place{Name: p.name, Zone: p.zone}
 	s.eventLog.Stream(p.name).Add(eventlog.Event{What: eventlog.Start, Kind: "pilot", Text: p.zone})
--- a/internal/rehearsal/play.go
+++ b/internal/rehearsal/play.go
@@ -32,13 +32,13 @@
 	WithoutPilots bool
 	// Log takes the log lines of pilots and testbed; nil: they are dropped.
 	Log *zap.Logger
-	// Progress is told of each fault when it begins; nil: nobody is.
+	// Progress is called when a fault begins; may be nil.
 	Progress func(format string, args ...any)
-	// Records is the folder for the pilots' records in scenarios that have them record; if empty, a temporary folder that
-	// is removed after the run.
+	// Records is the folder for the pilots' records in scenarios that have them record; if empty, a temporary folder
+	// that is removed after the run.
 	Records string
-	// Binary, if set, is the program: pilots then are processes of their own, and a kill ends them with SIGKILL. Registry,
-	// proxies and clients stay in this process; cuts between a pilot and the registry are not played.
+	// Binary, if set, is the program: pilots then are processes of their own, and a kill ends them with SIGKILL.
+	// Registry, proxies and clients stay in this process; cuts between a pilot and the registry are not played.
 	Binary string
 }
 
@@ -65,7 +65,7 @@
 		s.Records = dir
 		defer removeTemporary(dir)
 	}
-	if err := s.startAll(); err != nil { //nolint:contextcheck // what starts here ends in stopAll, not with the context
+	if err := s.startAll(); err != nil { //nolint:contextcheck // ends in stopAll, not with ctx
 		return nil, err
 	}
 	if err := s.play(ctx); err != nil {
--- a/internal/rehearsal/proxies.go
+++ b/internal/rehearsal/proxies.go
@@ -110,7 +110,8 @@
 	}, nil
 }
 
-// reachablePilots lists the addresses of the pilots that a proxy may dial, in the order in which it does: its home first.
+// reachablePilots lists the addresses of the pilots that a proxy may dial, in the order in which it does: its home
+// first.
 func (s *stage) reachablePilots(zone string, number int, isolated *atomic.Bool, overGRPC bool) []string {
 	if isolated.Load() || len(s.pilots) == 0 {
 		return nil
--- a/internal/rehearsal/record_test.go
+++ b/internal/rehearsal/record_test.go
@@ -15,8 +15,8 @@
 
 func module(seed int64, terms map[string]any) controller.Decider { return planner.New(seed, terms) }
 
-// TestRecordedDay guards the record of a day on sockets: pilots that are killed come back by it and keep the rules, and a
-// replay of each life orders the same, byte for byte.
+// TestRecordedDay guards the record of a day on sockets: pilots that are killed come back by it and keep the rules, and
+// a replay of each life orders the same, byte for byte.
 func TestRecordedDay(t *testing.T) {
 	t.Parallel()
 	day, err := scenario.Read("recorded.hcl", []byte(`like = "bad-day-short"
--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/rehearsal/rehearsal_test.go
@@ -21,8 +21,9 @@
 	"indigousher/planner"
 )
 
-// TestDays guards the five rules through the whole program: endpoints that hang, vanish and drain, a cut, broken streams
-// and a dead pilot; and, all over gRPC with keys, one that answers twice and a proxy that goes silent in mid-report.
+// TestDays guards the five rules through the whole program: endpoints that hang, vanish and drain, a cut, broken
+// streams and a dead pilot; and, all over gRPC with keys, one that answers twice and a proxy that goes silent in
+// mid-report.
 func TestDays(t *testing.T) {
 	for _, name := range []string{"bad-day-short", "month-end"} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/rehearsal/stage.go
+++ b/internal/rehearsal/stage.go
@@ -40,7 +40,7 @@
 
 	mu        sync.Mutex // guards the rest
 	endpoints []*endpoint.Endpoint
-	entries   map[string]wire.Entry // endpoints as they truly are, by name, whatever the registry has been told
+	entries   map[string]wire.Entry // endpoints as they truly are, by name, whatever the registry says
 	random    *rand.Rand
 	maxima    controller.State
 }
--- a/internal/search/neighbours.go
+++ b/internal/search/neighbours.go
@@ -50,8 +50,8 @@
 	return c
 }
 
-// smaller lists copies of a draft with one thing less, the greatest steps first: a fault, half of the fleet, a pilot, the
-// time after the last fault, half of a fault's length.
+// smaller lists copies of a draft with one thing less, the greatest steps first: a fault, half of the fleet, a pilot,
+// the time after the last fault, half of a fault's length.
 func smaller(d *Draft) []*Draft {
 	var list []*Draft
 	add := func(change func(c *Draft)) {
--- a/internal/search/search.go
+++ b/internal/search/search.go
@@ -1,5 +1,5 @@
-// Package search draws scenarios with overlapping faults, looks for those that come near to a limit or break a rule, and
-// shrinks what it finds to what matters. It plays them in the emulator and judges by the audit; it changes nothing.
+// Package search draws scenarios with overlapping faults, looks for those that come near to a limit or break a rule,
+// and shrinks what it finds to what matters. It plays them in the emulator and judges by the audit; it changes nothing.
 package search
 
 import (
@@ -36,7 +36,7 @@
 type Search struct {
 	// Decide makes what decides in a pilot; nil: the planner.
 	Decide func(seed int64, settings map[string]any) controller.Decider
-	// Progress is told of each finding of Random, one at a time; nil: nobody is.
+	// Progress is called with each finding of Random, one at a time; may be nil.
 	Progress func(f *Finding)
 }
 
--- a/internal/search/text.go
+++ b/internal/search/text.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// coresEach and workSeconds give the capacity of a drawn fleet: cores of an endpoint, and the mean work of a request of
-	// the scenario that drafts are like, in seconds on one core.
+	// coresEach and workSeconds give the capacity of a drawn fleet: cores of an endpoint, and the mean work of a
+	// request of the scenario that drafts are like, in seconds on one core.
 	coresEach   = 2
 	workSeconds = 0.0325
 )
@@ -49,7 +49,8 @@
 
 func (d *Draft) writeLoad(b *strings.Builder) {
 	rate := d.Load * float64(len(zones)*d.Endpoints*coresEach) / workSeconds
-	fmt.Fprintf(b, "clients {\n  rate    = %.1f\n  retries = %d\n  uneven  = %.2f\n}\n", rate, d.Retries, d.DemandSpread)
+	fmt.Fprintf(b, "clients {\n  rate    = %.1f\n  retries = %d\n  uneven  = %.2f\n}\n",
+		rate, d.Retries, d.DemandSpread)
 	for _, zone := range zones {
 		fmt.Fprintf(b, "endpoints \"std\" {\n  zone   = %q\n  count  = %d\n  spread = %.2f\n  queue  = %d\n}\n",
 			zone, d.Endpoints, d.SpeedSpread, d.Queue)
