--- a/internal/audit/report.go
+++ b/internal/audit/report.go
@@ -2,7 +2,7 @@
 
 // Report is the whole judgement on one run of a scenario.
 type Report struct {
-	Verdicts [ruleCount]Verdict // by Rule
+	Verdicts [RuleCount]Verdict // by Rule
 	Service  Service
 }
 
--- a/internal/audit/verdict.go
+++ b/internal/audit/verdict.go
@@ -12,11 +12,12 @@
 	DrainDeadline                // nothing is sent to a draining endpoint after its deadline (drains.go)
 	SlowStartBudget              // no endpoint that warms up is overloaded (slowstart.go)
 	ChannelQueue                 // no channel queues more than it may (channel.go)
-	ruleCount
+	// RuleCount is the number of rules.
+	RuleCount
 )
 
 // ruleNames are the names shown to operators.
-var ruleNames = [ruleCount]string{
+var ruleNames = [RuleCount]string{
 	EndpointCoverage: "no proxy without a line",
 	SingleEffect:     "no effect twice",
 	DrainDeadline:    "drains kept",
