--- a/cmd/indigousher/search.go
+++ b/cmd/indigousher/search.go
@@ -33,7 +33,7 @@
 					bad = append(bad, f)
 				}
 			}
-			for rule := range audit.Rule(5) {
+			for rule := range audit.RuleCount {
 				best := slices.MaxFunc(finds, func(a, b *search.Finding) int { return int(1e6 * (a.LimitFractions[rule] - b.LimitFractions[rule])) })
 				if climbs == 0 || len(best.Broken) > 0 {
 					continue
@@ -92,7 +92,7 @@
 	}
 	fmt.Fprintf(out, "%d days of about %d endpoints, %d with a broken rule\nnearest to the limit (1 is the limit): median, 90%%, 99%%, worst\n",
 		len(finds), endpoints, broken)
-	for rule := range audit.Rule(5) {
+	for rule := range audit.RuleCount {
 		fmt.Fprintf(out, "%-28s%s\n", rule, quantiles(func(f *search.Finding) float64 { return f.LimitFractions[rule] }))
 	}
 	fmt.Fprintf(out, "%-28s%s\n", "service lost", quantiles(func(f *search.Finding) float64 { return 1 - f.Service }))
--- a/internal/search/search.go
+++ b/internal/search/search.go
@@ -17,9 +17,6 @@
 	"indigousher/internal/emulator"
 )
 
-// ruleCount is the number of rules that the audit judges.
-const ruleCount = 5
-
 // climbStream tells the random sequence of a climb apart from others of the same seed.
 const climbStream = 43
 
@@ -27,9 +24,9 @@
 type Finding struct {
 	Draft          *Draft
 	Service        float64
-	LimitFractions [ruleCount]float64 // how near to each rule's limit it came; 1 is the limit
-	Broken         []string           // rules, each with its first violation
-	Events         uint64             // of the emulator's clock
+	LimitFractions [audit.RuleCount]float64 // how near to each rule's limit it came; 1 is the limit
+	Broken         []string                 // rules, each with its first violation
+	Events         uint64                   // of the emulator's clock
 }
 
 // Search plays drawn scenarios.
