--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -11,8 +11,8 @@
 	"indigousher/internal/wire"
 )
 
-// stage is a pilot, a proxy that follows it and a warm endpoint x at x:1; y at y:1 is there as well.
-func stage() []eventlog.Event {
+// baseEvents is a pilot, a proxy that follows it and a warm endpoint x at x:1; y at y:1 is there as well.
+func baseEvents() []eventlog.Event {
 	return []eventlog.Event{
 		{At: 0, Who: "pilot-0", What: eventlog.Start, Kind: "pilot", Text: "a"},
 		{At: 1, Who: "x", What: eventlog.Start, Kind: "warm", Value: 1},
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestLimits holds each rule's verdict against its limit, from both sides, on trails made by hand: within it is kept, a
-// little beyond it is broken. A fault in the audit would pass for the program's merit.
+// TestLimits holds each rule's verdict against its limit, from both sides, on event logs made by hand: within it is
+// kept, a little beyond it is broken. A fault in the audit would pass for the program's merit.
 func TestLimits(t *testing.T) {
 	c := config.CommonDefaults()
 	c.Zones, c.Machines, c.Kinds = []string{"a"}, []string{"std"}, []config.RequestClass{
@@ -67,7 +67,7 @@
 		return list
 	}
 	// at 12 s of 15 a cold endpoint does 0.2+0.8*12/15 of its 1 ms a ms: 3 times that for 1.5 s are 3,780 ms, and 4
-	// reqs of slack
+	// requests of slack
 	const bearable = 94 // of 40 ms each
 	for _, x := range []struct {
 		name   string
@@ -114,7 +114,7 @@
 		{"more, over a longer time", ChannelQueue, false, messages(60, 350)},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			r := Check(append(stage(), x.events...), &c, map[string]string{"x:1": "x", "y:1": "y"})
+			r := Check(append(baseEvents(), x.events...), &c, map[string]string{"x:1": "x", "y:1": "y"})
 			for i := range r.Verdicts {
 				v := &r.Verdicts[i]
 				assert.Equal(t, x.broken && v.Rule == x.rule, !v.Kept(), "%s: %v", v.Rule, v.Violations)
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -120,8 +120,8 @@
 	assert.Greater(t, whole, 10)
 }
 
-// one is a fleet of endpoints alike behind one proxy that has a line to each, and no pilot.
-func one(endpoints, cores, queue int, discipline string, rate, workMs, cv float64, length time.Duration, pick string) *scenario.Scenario {
+// singleGroup is a fleet of endpoints alike behind one proxy that has a line to each, and no pilot.
+func singleGroup(endpoints, cores, queue int, discipline string, rate, workMs, cv float64, length time.Duration, pick string) *scenario.Scenario {
 	d, err := scenario.Read("one.hcl", []byte(fmt.Sprintf(`zones = ["a"]
 machines = ["std"]
 length = "%ds"
@@ -167,7 +167,7 @@
 			means = append(means, o.Latency.Mean()/1000)
 			losses = append(losses, 1-float64(o.Latency.TotalCount())/float64(o.Requests))
 		}
-		return avg(means), avg(losses)
+		return mean(means), mean(losses)
 	}
 	// work is lognormal: with a variation of 1 the mean of one server's queue follows Pollaczek-Khinchine as M/M/1's
 	// does
@@ -188,21 +188,21 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			got, _ := mean(t, one(1, c.cores, c.queue, c.discipline, c.rate, c.workMs, c.cv, 200*time.Second, "weighted"))
+			got, _ := mean(t, singleGroup(1, c.cores, c.queue, c.discipline, c.rate, c.workMs, c.cv, 200*time.Second, "weighted"))
 			t.Logf("%.2f ms, %.2f by theory", got, c.want)
 			assert.InEpsilon(t, c.want, got, c.within)
 		})
 	}
 	t.Run("M/G/c/c loses by Erlang B, whatever the variation", func(t *testing.T) {
 		t.Parallel()
-		_, lost := mean(t, one(1, 4, 0, "queue", 300, 10, 1, 100*time.Second, "weighted"))
+		_, lost := mean(t, singleGroup(1, 4, 0, "queue", 300, 10, 1, 100*time.Second, "weighted"))
 		t.Logf("%.4f, %.4f by theory", lost, erlangB(4, 3))
 		assert.InEpsilon(t, erlangB(4, 3), lost, 0.05)
 	})
 	t.Run("two choices beside one", func(t *testing.T) {
 		t.Parallel()
-		single, _ := mean(t, one(50, 1, 1e6, "queue", 4500, 10, 1, 10*time.Second, "weighted"))
-		two, _ := mean(t, one(50, 1, 1e6, "queue", 4500, 10, 1, 10*time.Second, "two"))
+		single, _ := mean(t, singleGroup(50, 1, 1e6, "queue", 4500, 10, 1, 10*time.Second, "weighted"))
+		two, _ := mean(t, singleGroup(50, 1, 1e6, "queue", 4500, 10, 1, 10*time.Second, "two"))
 		want := 0.0 // mean time with two choices among many: the sum over i of rho^(2^i-2), by Mitzenmacher
 		for i := 1; i < 30; i++ {
 			want += math.Pow(0.9, math.Pow(2, float64(i))-2)
@@ -215,7 +215,7 @@
 
 // TestLittle holds the mean number in hand, looked at from outside, against rate times time in the system.
 func TestLittle(t *testing.T) {
-	d := one(1, 4, 1e6, "queue", 300, 10, 1, 200*time.Second, "weighted")
+	d := singleGroup(1, 4, 1e6, "queue", 300, 10, 1, 200*time.Second, "weighted")
 	w := newWorld(Play{Scenario: d, WithoutPilots: true})
 	w.startAll()
 	w.scheduleClients()
@@ -228,8 +228,8 @@
 	assert.InEpsilon(t, float64(o.Latency.TotalCount())/200*o.Latency.Mean()/1e6, sum/looks, 0.02)
 }
 
-// TestLong guards days that are long, overloaded without end, or almost without reqs on many endpoints: they end, keep
-// the rules and repeat themselves.
+// TestLong guards days that are long, overloaded without end, or almost without requests on many endpoints: they end,
+// keep the rules and repeat themselves.
 func TestLong(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
@@ -257,7 +257,7 @@
 	}
 }
 
-func avg(list []float64) float64 {
+func mean(list []float64) float64 {
 	sum := 0.0
 	for _, x := range list {
 		sum += x
@@ -278,7 +278,7 @@
 	return b / (1 - load/float64(c)*(1-b))
 }
 
-// BenchmarkWholeDay plays 24 virtual hours of one pilot and few reqs.
+// BenchmarkWholeDay plays 24 virtual hours of one pilot and few requests.
 func BenchmarkWholeDay(b *testing.B) {
 	d, err := scenario.Read("whole.hcl", []byte("like = \"quiet\"\nlength = \"24h\"\nclients {\n rate = 0.2\n}\nreports {\n period = \"10s\"\n}\nfleet {\n pilots = [\"a\"]\n proxies = [\"a\"]\n}\n"))
 	require.NoError(b, err)
--- a/internal/emulator/nostate_test.go
+++ b/internal/emulator/nostate_test.go
@@ -10,9 +10,9 @@
 	"indigousher/internal/testbed/eventlog"
 )
 
-// soundAfter returns how long after a time the tables were sound again: from then on until another time, in each
-// second, fewer than a part of the tries went to some endpoints.
-func soundAfter(o *Outcome, struck []string, from, to, part float64) float64 {
+// healthyAfter returns how long after a time the tables were sound again: from then on until another time, in each
+// second, fewer than a part of the attempts went to some endpoints.
+func healthyAfter(o *Outcome, struck []string, from, to, part float64) float64 {
 	names, tries, bad := map[string]bool{}, map[int]float64{}, map[int]float64{}
 	for _, n := range struck {
 		names[n] = true
@@ -54,7 +54,7 @@
 			}
 			service[i] = o.Report.Service.All.Share()
 			w := o.Report.Service.Windows
-			sound := soundAfter(o, []string{"a-std-0", "b-std-0"}, back, healed, 0.08) // half of an even share
+			sound := healthyAfter(o, []string{"a-std-0", "b-std-0"}, back, healed, 0.08) // half of an even share
 			assert.LessOrEqual(t, sound, float64(listed-back+5000), "seed %d, record %v", seed, record)
 			t.Logf("seed %d, record %v: service %.3f, from 15 s %.3f %.3f %.3f, sound %.0f ms after the return",
 				seed, record, service[i], w[3].Share(), w[4].Share(), w[5].Share(), sound)
--- a/internal/emulator/tries_test.go
+++ b/internal/emulator/tries_test.go
@@ -11,30 +11,30 @@
 	"indigousher/internal/testbed/eventlog"
 )
 
-// counted is what a day's trails tell of the tries of one req kind.
-type counted struct {
-	reqs, sends, arrives int
-	most, mostRan        int     // tries of one req; of these, such as took effect
-	latest, answered     float64 // ms after it was asked: the last try, the last answer
+// attemptCounts is what a day's event logs tell of the attempts of one request class.
+type attemptCounts struct {
+	requests, sends, arrives int
+	maxAttempts, maxEffects  int     // tries of one req; of these, such as took effect
+	lastAttempt, lastAnswer  float64 // ms after it was asked: the last try, the last answer
 }
 
-func (c *counted) each() float64 { return float64(c.sends) / float64(max(1, c.reqs)) }
+func (c *attemptCounts) perRequest() float64 { return float64(c.sends) / float64(max(1, c.requests)) }
 
-// countTries counts over all layers, by req kind, between two times.
-func countTries(events []eventlog.Event, from, to float64) map[string]*counted {
+// countAttempts counts over all layers, by request class, between two times.
+func countAttempts(events []eventlog.Event, from, to float64) map[string]*attemptCounts {
 	type one struct {
 		kind        string
 		asked       float64
 		sends, runs int
 	}
-	reqs, out := map[uint64]*one{}, map[string]*counted{}
+	reqs, out := map[uint64]*one{}, map[string]*attemptCounts{}
 	for _, e := range events {
 		if e.What == eventlog.Asked && e.At >= from && e.At < to {
 			reqs[e.Req] = &one{kind: e.Kind, asked: e.At}
 			if out[e.Kind] == nil {
-				out[e.Kind] = &counted{}
+				out[e.Kind] = &attemptCounts{}
 			}
-			out[e.Kind].reqs++
+			out[e.Kind].requests++
 		}
 		r := reqs[e.Req]
 		if r == nil {
@@ -44,21 +44,21 @@
 		switch e.What {
 		case eventlog.Send:
 			r.sends++
-			c.sends, c.most, c.latest = c.sends+1, max(c.most, r.sends), max(c.latest, e.At-r.asked)
+			c.sends, c.maxAttempts, c.lastAttempt = c.sends+1, max(c.maxAttempts, r.sends), max(c.lastAttempt, e.At-r.asked)
 		case eventlog.Arrive:
 			c.arrives++
 		case eventlog.Effect:
 			r.runs++
-			c.mostRan = max(c.mostRan, r.runs)
+			c.maxEffects = max(c.maxEffects, r.runs)
 		case eventlog.Answered:
-			c.answered = max(c.answered, e.At-r.asked)
+			c.lastAnswer = max(c.lastAnswer, e.At-r.asked)
 		}
 	}
 	return out
 }
 
-// failing is a day whose whole fleet fails in one way from 8 to 20 s, with a third of it to spare before.
-func failing(way string, usual int) string {
+// failingScenario is a day whose whole fleet fails in one way from 8 to 20 s, with a third of it to spare before.
+func failingScenario(way string, usual int) string {
 	return fmt.Sprintf(`like = "quiet"
 length = "26s"
 seed = 7
@@ -90,7 +90,7 @@
 %s`, usual, way)
 }
 
-// TestTriesOverAllLayers counts what one req can cause at endpoints, by clients' retries, proxies' second tries and
+// TestTriesOverAllLayers counts what one request can cause at endpoints, by clients' retries, proxies' retries and
 // pilots that restart together, while a whole fleet fails: never more than docs/design.md says, none after the client
 // timeout, and no non-replayable one twice once it may have run.
 func TestTriesOverAllLayers(t *testing.T) {
@@ -107,19 +107,19 @@
 		for _, usual := range []int{0, 1} {
 			t.Run(fmt.Sprint(name, ", usual ", usual), func(t *testing.T) {
 				t.Parallel()
-				d, err := scenario.Read("tries.hcl", []byte(failing(way, usual)))
+				d, err := scenario.Read("tries.hcl", []byte(failingScenario(way, usual)))
 				require.NoError(t, err)
 				o, err := Play{Scenario: d, KeepEvents: true}.Run(t.Context())
 				require.NoError(t, err)
-				for kind, c := range countTries(o.Events, 8000, 20000) {
+				for kind, c := range countAttempts(o.Events, 8000, 20000) {
 					t.Logf("%s: %.2f tries a req, %.2f came in, most %d, %d took effect, last try after %.0f ms, last answer after %.0f",
-						kind, c.each(), float64(c.arrives)/float64(c.reqs), c.most, c.mostRan, c.latest, c.answered)
+						kind, c.perRequest(), float64(c.arrives)/float64(c.requests), c.maxAttempts, c.maxEffects, c.lastAttempt, c.lastAnswer)
 					limit := map[string]float64{"read": 1500, "post": 2000, "book": 2000}[kind]
-					assert.LessOrEqual(t, c.most, 2*(1+d.Retries), "%s: two tries for each time that a client asks", kind)
-					assert.LessOrEqual(t, c.each(), 3.4, "%s: mostly one while most of them fail", kind)
-					assert.True(t, kind != "book" || c.mostRan <= 1, "non-replayable")
-					assert.Less(t, c.latest, limit, "%s: last try", kind)
-					assert.Less(t, c.answered, limit+50, "%s: last answer", kind)
+					assert.LessOrEqual(t, c.maxAttempts, 2*(1+d.Retries), "%s: two tries for each time that a client asks", kind)
+					assert.LessOrEqual(t, c.perRequest(), 3.4, "%s: mostly one while most of them fail", kind)
+					assert.True(t, kind != "book" || c.maxEffects <= 1, "non-replayable")
+					assert.Less(t, c.lastAttempt, limit, "%s: last try", kind)
+					assert.Less(t, c.lastAnswer, limit+50, "%s: last answer", kind)
 				}
 				assert.True(t, o.Report.Kept())
 			})
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -16,7 +16,7 @@
 	"indigousher/internal/record"
 )
 
-const text = `about = "a test"
+const planText = `about = "a test"
 day = "day.hcl"
 repeats = 3
 budget = "2m"
@@ -26,7 +26,7 @@
 }
 `
 
-func plan(t *testing.T, text string) *Plan {
+func readPlan(t *testing.T, text string) *Plan {
 	dir := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "day.hcl"), []byte("like = \"quiet\"\nlength = \"6s\"\ntrouble \"hang\" {\n at = \"2s\"\n for = \"3s\"\n part = 0.1\n}\n"), 0o600))
 	path := filepath.Join(dir, "test.hcl")
@@ -36,8 +36,8 @@
 	return p
 }
 
-// shown is a table as people see it, without what is of real time.
-func shown(t *testing.T, x *Table) string {
+// printed is a table as people see it, without what is of real time.
+func printed(t *testing.T, x *Table) string {
 	for _, cell := range x.Results {
 		for _, r := range cell {
 			r.PilotMs, r.TookMs = 0, 0
@@ -51,7 +51,7 @@
 // TestResumed guards experiments that are interrupted: they go on where they were, give the tables of one that was not,
 // and take nothing from another program's runs.
 func TestResumed(t *testing.T) {
-	p := plan(t, text)
+	p := readPlan(t, planText)
 	whole := &Runner{Plan: p, Store: filepath.Join(t.TempDir(), "whole.db"), Program: "one"}
 	want, err := whole.Run(t.Context())
 	require.NoError(t, err)
@@ -69,7 +69,7 @@
 	require.NoError(t, err)
 	assert.GreaterOrEqual(t, got.Reused, 4)
 	assert.Less(t, got.Reused, 10)
-	assert.Equal(t, shown(t, want), shown(t, got))
+	assert.Equal(t, printed(t, want), printed(t, got))
 	broken.Program = "another"
 	got, err = broken.Run(t.Context())
 	require.NoError(t, err)
@@ -87,7 +87,7 @@
 // TestTornStore guards against a store of results that was cut off or overwritten: the experiment says which file it
 // is, and neither panics nor takes anything from it.
 func TestTornStore(t *testing.T) {
-	p := plan(t, text)
+	p := readPlan(t, planText)
 	r := &Runner{Plan: p, Store: filepath.Join(t.TempDir(), "x.db"), Program: "one"}
 	_, err := r.Run(t.Context())
 	require.NoError(t, err)
@@ -119,7 +119,7 @@
 
 // TestReport guards the report against what would need a network: it holds its charts and names no address.
 func TestReport(t *testing.T) {
-	p := plan(t, strings.Replace(text, "repeats = 3", "repeats = 2", 1))
+	p := readPlan(t, strings.Replace(planText, "repeats = 3", "repeats = 2", 1))
 	x, err := (&Runner{Plan: p, Store: filepath.Join(t.TempDir(), "x.db"), Program: "one"}).Run(t.Context())
 	require.NoError(t, err)
 	var b bytes.Buffer
@@ -156,7 +156,7 @@
 		{`"day.hcl"`, `"none.hcl"`, "none.hcl"},
 	} {
 		path := filepath.Join(t.TempDir(), "wrong.hcl")
-		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(text, c.from, c.to, 1)), 0o600))
+		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(planText, c.from, c.to, 1)), 0o600))
 		_, err := Read(path)
 		assert.ErrorContains(t, err, c.want)
 	}
--- a/internal/rehearsal/record_test.go
+++ b/internal/rehearsal/record_test.go
@@ -13,7 +13,7 @@
 	"indigousher/planner"
 )
 
-func module(seed int64, terms map[string]any) controller.Decider { return planner.New(seed, terms) }
+func newPlanner(seed int64, terms map[string]any) controller.Decider { return planner.New(seed, terms) }
 
 // TestRecordedDay guards the record of a day on sockets: pilots that are killed come back by it and keep the rules, and
 // a replay of each life orders the same, byte for byte.
@@ -52,7 +52,7 @@
 		require.Len(t, lives, 2)
 		assert.Equal(t, lives[0].ID, lives[1].After)
 		for _, l := range lives {
-			r, err := record.Replay(s, l, nil, module)
+			r, err := record.Replay(s, l, nil, newPlanner)
 			require.NoError(t, err)
 			assert.Empty(t, r.FirstDiff, l.ID)
 			assert.Positive(t, r.Sets)
@@ -61,7 +61,7 @@
 			assert.Positive(t, g.Tries) // how near an estimate comes is TestEstimate's
 			assert.LessOrEqual(t, g.Failed, 1.0)
 			assert.LessOrEqual(t, g.Trusted, 1.0001)
-			again, err := record.Replay(s, l, nil, module)
+			again, err := record.Replay(s, l, nil, newPlanner)
 			require.NoError(t, err)
 			assert.Equal(t, r, again, "a replay repeats itself")
 		}
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestHandovers guards reqs against upgrades: pilots hand over under steady traffic and no req is lost, denied or done
-// twice.
+// TestHandovers guards requests against upgrades: pilots hand over under steady traffic and no request is lost, denied
+// or done twice.
 func TestHandovers(t *testing.T) {
 	t.Parallel()
 	day, err := scenario.Load("handover")
--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/rehearsal/rehearsal_test.go
@@ -41,19 +41,19 @@
 	}
 }
 
-// meddler passes the module's orders on through a planted break.
-type meddler struct {
-	brain *planner.Planner
-	spoil func(nowMs float64, orders []planner.Command) []planner.Command
+// tampering passes the planner's commands on through a planted break.
+type tampering struct {
+	decider *planner.Planner
+	spoil   func(nowMs float64, orders []planner.Command) []planner.Command
 }
 
-func (m *meddler) Reconfigure(settings map[string]any) { m.brain.Reconfigure(settings) }
+func (m *tampering) Reconfigure(settings map[string]any) { m.decider.Reconfigure(settings) }
 
-func (m *meddler) Handle(nowMs float64, notes []planner.Event) []planner.Command {
-	return m.spoil(nowMs, m.brain.Handle(nowMs, notes))
+func (m *tampering) Handle(nowMs float64, notes []planner.Event) []planner.Command {
+	return m.spoil(nowMs, m.decider.Handle(nowMs, notes))
 }
 
-// each replaces orders one by one.
+// each replaces commands one by one.
 func each(f func(nowMs float64, o planner.Command) []planner.Command) func(float64, []planner.Command) []planner.Command {
 	return func(nowMs float64, orders []planner.Command) (out []planner.Command) {
 		for _, o := range orders {
@@ -63,7 +63,7 @@
 	}
 }
 
-// TestPlantedBreaks shows that the audit sees each rule broken when the module's orders are falsified on their way.
+// TestPlantedBreaks shows that the audit sees each rule broken when the planner's commands are falsified on their way.
 func TestPlantedBreaks(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -168,7 +168,7 @@
 			day, err := scenario.Read(c.name+".hcl", []byte("like = \"quiet\"\nlength = \"9s\"\nlist {\n late = \"200ms\"\n}\n"+c.day))
 			require.NoError(t, err)
 			o, err := Play{Scenario: day, Decide: func(seed int64, terms map[string]any) controller.Decider {
-				return &meddler{planner.New(seed, terms), c.spoil}
+				return &tampering{planner.New(seed, terms), c.spoil}
 			}}.Run(t.Context())
 			require.NoError(t, err)
 			for _, v := range o.Report.Verdicts {
@@ -205,14 +205,14 @@
 	assert.ErrorIs(t, err, context.Canceled)
 }
 
-// listener passes notes on and keeps what the module was told of load.
-type listener struct {
+// loadListener passes events on and keeps what the planner was told of load.
+type loadListener struct {
 	controller.Decider
 	mu   *sync.Mutex
 	told map[string]*[2]float64 // tries and span by zone and endpoint
 }
 
-func (l *listener) Handle(nowMs float64, notes []planner.Event) []planner.Command {
+func (l *loadListener) Handle(nowMs float64, notes []planner.Event) []planner.Command {
 	l.mu.Lock()
 	for _, n := range notes {
 		if m, ok := n.(planner.EndpointStats); ok {
@@ -228,8 +228,8 @@
 	return l.Decider.Handle(nowMs, notes)
 }
 
-// TestReportBurst guards the load that the module is told, and the bound of what waits, while reports come tenfold and
-// then a hundredfold over real sockets. Load is compared with the tries that the proxies sent.
+// TestReportBurst guards the load that the planner is told, and the bound of what waits, while reports come tenfold and
+// then a hundredfold over real sockets. Load is compared with the attempts that the proxies sent.
 func TestReportBurst(t *testing.T) {
 	t.Parallel()
 	day, err := scenario.Read("burst.hcl", []byte(`like = "quiet"
@@ -255,7 +255,7 @@
 	require.NoError(t, err)
 	told, mu := map[string]*[2]float64{}, &sync.Mutex{}
 	o, err := Play{Scenario: day, Decide: func(seed int64, terms map[string]any) controller.Decider {
-		return &listener{planner.New(seed, terms), mu, told}
+		return &loadListener{planner.New(seed, terms), mu, told}
 	}}.Run(t.Context())
 	require.NoError(t, err)
 	assert.True(t, o.Report.Kept())
--- a/internal/search/search_test.go
+++ b/internal/search/search_test.go
@@ -28,10 +28,10 @@
 	assert.Greater(t, len(whats), 22)
 }
 
-// heedless leaves a planted fault in the module's orders: endpoints are never shut out.
-type heedless struct{ controller.Decider }
+// neverExcludes leaves a planted fault in the planner's commands: endpoints are never shut out.
+type neverExcludes struct{ controller.Decider }
 
-func (h heedless) Handle(now float64, notes []planner.Event) (out []planner.Command) {
+func (h neverExcludes) Handle(now float64, notes []planner.Event) (out []planner.Command) {
 	for _, o := range h.Decider.Handle(now, notes) {
 		if _, is := o.(planner.SetExcluded); is {
 			continue
@@ -44,9 +44,11 @@
 	return out
 }
 
-// TestShrunk shows that a planted fault is found, and that what is found is shrunk to the trouble it needs.
+// TestShrunk shows that a planted fault is found, and that what is found is shrunk to the fault it needs.
 func TestShrunk(t *testing.T) {
-	s := &Search{Decide: func(seed int64, terms map[string]any) controller.Decider { return heedless{planner.New(seed, terms)} }}
+	s := &Search{Decide: func(seed int64, terms map[string]any) controller.Decider {
+		return neverExcludes{planner.New(seed, terms)}
+	}}
 	d := Draw(7, 12)
 	d.Faults = append(d.Faults, scenario.Fault{What: "drain", At: 9e9, For: 8e9, Part: 0.3}, scenario.Fault{What: "burst", At: 4e9, For: 2e9, Size: 1.2},
 		scenario.Fault{What: "reconnect", At: 6e9, Part: 0.5})
