--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -32,7 +32,10 @@
 		{Name: "book", Repeats: "non-replayable", Payoff: 5},
 	}
 	told := func(at float64, endpoint string, phase int, age float64) eventlog.Event {
-		return eventlog.Event{At: at, Who: "list", What: eventlog.Told, Peer: "pilot-0", Text: endpoint, Kind: "a/std", N: phase, Value: age}
+		return eventlog.Event{
+			At: at, Who: "list", What: eventlog.Told, Peer: "pilot-0",
+			Text: endpoint, Kind: "a/std", N: phase, Value: age,
+		}
 	}
 	sent := func(at float64) eventlog.Event {
 		return eventlog.Event{At: at, Who: "p", What: eventlog.Send, Peer: "x:1", Kind: "read"}
@@ -41,7 +44,10 @@
 		return eventlog.Event{At: at, Who: "p", What: eventlog.Got, Peer: "pilot-0", N: lines, Since: since, Value: waited}
 	}
 	bare := func(from, to float64) []eventlog.Event {
-		return []eventlog.Event{{At: from, Who: "p", What: eventlog.Lines, Kind: "book", N: 0}, {At: to, Who: "p", What: eventlog.Lines, Kind: "book", N: 1}}
+		return []eventlog.Event{
+			{At: from, Who: "p", What: eventlog.Lines, Kind: "book", N: 0},
+			{At: to, Who: "p", What: eventlog.Lines, Kind: "book", N: 1},
+		}
 	}
 	effects := func(kind string, n int) (list []eventlog.Event) {
 		for i := range n {
@@ -55,7 +61,8 @@
 			list = append(list, told(began+10, "y:1", wire.PhaseReady, 10))
 		}
 		for i := range n {
-			list = append(list, eventlog.Event{At: began + first + float64(i)*10, Who: "y", What: eventlog.Arrive, Peer: "p", Kind: "read", Value: work})
+			at := began + first + float64(i)*10
+			list = append(list, eventlog.Event{At: at, Who: "y", What: eventlog.Arrive, Peer: "p", Kind: "read", Value: work})
 		}
 		return list
 	}
@@ -78,37 +85,74 @@
 		{"bare for less than it may be", EndpointCoverage, false, bare(1000, 3900)},
 		{"bare for longer", EndpointCoverage, true, bare(1000, 4200)},
 		{"bare twice, each for less", EndpointCoverage, false, append(bare(1000, 3500), bare(3600, 6000)...)},
-		{"bare while no warm one is listed", EndpointCoverage, false, append([]eventlog.Event{told(500, "x:1", wire.PhaseDraining, -1)}, bare(1000, 9000)...)},
-		{"bare while only a cold one is listed", EndpointCoverage, false, append([]eventlog.Event{told(500, "x:1", wire.PhaseReady, 10)}, bare(1000, 9000)...)},
-		{"bare once the cold one is warm", EndpointCoverage, true, append([]eventlog.Event{told(500, "x:1", wire.PhaseReady, 10)}, bare(1000, 19000)...)},
-		{"bare while it has no pilot", EndpointCoverage, false, append([]eventlog.Event{{At: 900, Who: "p", What: eventlog.Leave, Peer: "pilot-0"}}, bare(1000, 9000)...)},
+		{
+			"bare while no warm one is listed", EndpointCoverage, false,
+			append([]eventlog.Event{told(500, "x:1", wire.PhaseDraining, -1)}, bare(1000, 9000)...),
+		},
+		{
+			"bare while only a cold one is listed", EndpointCoverage, false,
+			append([]eventlog.Event{told(500, "x:1", wire.PhaseReady, 10)}, bare(1000, 9000)...),
+		},
+		{
+			"bare once the cold one is warm", EndpointCoverage, true,
+			append([]eventlog.Event{told(500, "x:1", wire.PhaseReady, 10)}, bare(1000, 19000)...),
+		},
+		{
+			"bare while it has no pilot", EndpointCoverage, false,
+			append([]eventlog.Event{{At: 900, Who: "p", What: eventlog.Leave, Peer: "pilot-0"}}, bare(1000, 9000)...),
+		},
 		{"one effect", SingleEffect, false, effects("book", 1)},
 		{"two effects", SingleEffect, true, effects("book", 2)},
 		{"two of a replayable kind", SingleEffect, false, effects("read", 2)},
 		{"a drain kept", DrainDeadline, false, []eventlog.Event{told(1000, "x:1", wire.PhaseDraining, -1), sent(2990)}},
-		{"a drain broken", DrainDeadline, true, []eventlog.Event{told(1000, "x:1", wire.PhaseDraining, -1), sent(3010)}},
+		{
+			"a drain broken", DrainDeadline, true,
+			[]eventlog.Event{told(1000, "x:1", wire.PhaseDraining, -1), sent(3010)},
+		},
 		{"gone, broken", DrainDeadline, true, []eventlog.Event{told(1000, "x:1", wire.PhaseGone, -1), sent(3010)}},
-		{"back again", DrainDeadline, false, []eventlog.Event{told(1000, "x:1", wire.PhaseDraining, -1), told(2000, "x:1", wire.PhaseReady, -1), sent(3500)}},
+		{
+			"back again", DrainDeadline, false,
+			[]eventlog.Event{told(1000, "x:1", wire.PhaseDraining, -1), told(2000, "x:1", wire.PhaseReady, -1), sent(3500)},
+		},
 		{"named by the whole list", DrainDeadline, false, []eventlog.Event{
 			{At: 1000, Who: "list", What: eventlog.Told, Peer: "pilot-0", N: -1},
 			told(1000, "x:1", wire.PhaseReady, -1), sent(3500),
 		}},
-		{"not named by the whole list", DrainDeadline, true, []eventlog.Event{{At: 1000, Who: "list", What: eventlog.Told, Peer: "pilot-0", N: -1}, sent(3500)}},
+		{
+			"not named by the whole list", DrainDeadline, true,
+			[]eventlog.Event{{At: 1000, Who: "list", What: eventlog.Told, Peer: "pilot-0", N: -1}, sent(3500)},
+		},
 		{"joined since", DrainDeadline, false, []eventlog.Event{
 			told(1000, "x:1", wire.PhaseDraining, -1),
 			{At: 2500, Who: "p", What: eventlog.Join, Peer: "pilot-0", Kind: "a"},
 			sent(4400),
 		}},
-		{"while it is cut off", DrainDeadline, false, []eventlog.Event{told(1000, "x:1", wire.PhaseDraining, -1), {At: 1500, Who: "links", What: eventlog.Cut, Peer: "p"}, sent(4400)}},
+		{
+			"while it is cut off", DrainDeadline, false,
+			[]eventlog.Event{
+				told(1000, "x:1", wire.PhaseDraining, -1),
+				{At: 1500, Who: "links", What: eventlog.Cut, Peer: "p"},
+				sent(4400),
+			},
+		},
 		{"a cold one bears it", SlowStartBudget, false, cold(1000, 12000, 40, bearable, true)},
 		{"a cold one pushed over", SlowStartBudget, true, cold(1000, 12000, 40, bearable+14, true)},
 		{"by proxies whose pilot can't know", SlowStartBudget, false, cold(1000, 12000, 40, bearable+14, false)},
 		{"just before it is warm", SlowStartBudget, true, cold(1000, 13500, 40, 140, true)},
 		{"once it is warm", SlowStartBudget, false, cold(1000, 15001, 40, 400, true)},
-		{"spread over more than the span", SlowStartBudget, false, append(cold(1000, 11000, 40, 60, true), cold(1000, 13000, 40, 60, true)[2:]...)},
-		{"as many lines as may wait", ChannelQueue, false, []eventlog.Event{got(200, 100, 100, 3000), got(250, 100, 150, 3000)}},
+		{
+			"spread over more than the span", SlowStartBudget, false,
+			append(cold(1000, 11000, 40, 60, true), cold(1000, 13000, 40, 60, true)[2:]...),
+		},
+		{
+			"as many lines as may wait", ChannelQueue, false,
+			[]eventlog.Event{got(200, 100, 100, 3000), got(250, 100, 150, 3000)},
+		},
 		{"more lines", ChannelQueue, true, []eventlog.Event{got(200, 100, 100, 3000), got(250, 100, 150, 3001)}},
-		{"more, one after the other", ChannelQueue, false, []eventlog.Event{got(200, 100, 100, 3000), got(300, 200, 100, 3001)}},
+		{
+			"more, one after the other", ChannelQueue, false,
+			[]eventlog.Event{got(200, 100, 100, 3000), got(300, 200, 100, 3001)},
+		},
 		{"as many messages as may be", ChannelQueue, false, messages(30, 100)},
 		{"more messages", ChannelQueue, true, messages(31, 300)},
 		{"more, over a longer time", ChannelQueue, false, messages(60, 350)},
