--- a/cmd/indigousher/experiment.go
+++ b/cmd/indigousher/experiment.go
@@ -45,7 +45,7 @@
 	}
 	debug.SetGCPercent(gcPercent)
 	progress := func(done, all int) { printf(cmd.ErrOrStderr(), "\r%d of %d runs", done, all) }
-	runner := experiment.Runner{Plan: plan, Store: store, Program: program, Say: progress}
+	runner := experiment.Runner{Plan: plan, Store: store, Program: program, Progress: progress}
 	table, err := runner.Run(cmd.Context())
 	printf(cmd.ErrOrStderr(), "\n")
 	if err != nil {
--- a/cmd/indigousher/rehearse.go
+++ b/cmd/indigousher/rehearse.go
@@ -74,12 +74,12 @@
 		return err
 	}
 	if o.trails != "" {
-		if err := outcome.Book.Save(o.trails); err != nil {
+		if err := outcome.EventLog.Save(o.trails); err != nil {
 			return err
 		}
 	}
 	rehearsal.Print(out, s, append([]rehearsal.Column{{Name: "indigousher", Outcome: outcome}}, baselines...))
-	printf(out, "played in %s\n", outcome.Took.Round(time.Millisecond))
+	printf(out, "played in %s\n", outcome.Elapsed.Round(time.Millisecond))
 	if !outcome.Report.Kept() {
 		return errViolation
 	}
@@ -96,7 +96,7 @@
 		Scenario: s,
 		Log:      log,
 		Records:  o.records,
-		Say:      func(format string, args ...any) { printf(out, format+"\n", args...) },
+		Progress: func(format string, args ...any) { printf(out, format+"\n", args...) },
 	}
 	if o.processes {
 		play.Binary, err = os.Executable()
--- a/cmd/indigousher/search.go
+++ b/cmd/indigousher/search.go
@@ -55,7 +55,7 @@
 		return err
 	}
 	printDistances(out, finds, o.endpoints)
-	var broken []*search.Find
+	var broken []*search.Finding
 	for _, f := range finds {
 		if len(f.Broken) > 0 {
 			broken = append(broken, f)
@@ -80,15 +80,15 @@
 // climb goes from the find nearest to each rule's limit towards it, and returns finds that break a rule. Rules that
 // were broken already are left out.
 func climb(
-	ctx context.Context, out io.Writer, s *search.Search, finds []*search.Find, o searchOptions,
-) ([]*search.Find, error) {
+	ctx context.Context, out io.Writer, s *search.Search, finds []*search.Finding, o searchOptions,
+) ([]*search.Finding, error) {
 	if o.climbs == 0 {
 		return nil, nil
 	}
-	var broken []*search.Find
+	var broken []*search.Finding
 	for rule := range audit.Rule(rules) {
-		nearest := slices.MaxFunc(finds, func(a, b *search.Find) int {
-			return int(1e6 * (a.Near[rule] - b.Near[rule])) // the sixth decimal decides
+		nearest := slices.MaxFunc(finds, func(a, b *search.Finding) int {
+			return int(1e6 * (a.LimitFractions[rule] - b.LimitFractions[rule])) // the sixth decimal decides
 		})
 		if len(nearest.Broken) > 0 {
 			continue
@@ -97,7 +97,7 @@
 		if err != nil {
 			return nil, err
 		}
-		printf(out, "climbed towards %q: %.2f to %.2f\n", rule, nearest.Near[rule], climbed.Near[rule])
+		printf(out, "climbed towards %q: %.2f to %.2f\n", rule, nearest.LimitFractions[rule], climbed.LimitFractions[rule])
 		if len(climbed.Broken) > 0 {
 			broken = append(broken, climbed)
 		}
@@ -106,7 +106,7 @@
 }
 
 // shrink takes away of a scenario what it does not need to break a rule, and writes the rest to a file.
-func shrink(ctx context.Context, out io.Writer, s *search.Search, f *search.Find, number int, folder string) error {
+func shrink(ctx context.Context, out io.Writer, s *search.Search, f *search.Finding, number int, folder string) error {
 	shrunk, err := s.Shrink(ctx, f)
 	if err != nil {
 		return err
@@ -117,7 +117,7 @@
 }
 
 // printDistances shows how near scenarios came to each limit.
-func printDistances(out io.Writer, finds []*search.Find, endpoints int) {
+func printDistances(out io.Writer, finds []*search.Finding, endpoints int) {
 	broken := 0
 	for _, f := range finds {
 		if len(f.Broken) > 0 {
@@ -127,13 +127,13 @@
 	printf(out, "%d days of about %d endpoints, %d with a broken rule\n"+
 		"nearest to the limit (1 is the limit): median, 90%%, 99%%, worst\n", len(finds), endpoints, broken)
 	for rule := range audit.Rule(rules) {
-		printf(out, "%-28s%s\n", rule, quantiles(finds, func(f *search.Find) float64 { return f.Near[rule] }))
+		printf(out, "%-28s%s\n", rule, quantiles(finds, func(f *search.Finding) float64 { return f.LimitFractions[rule] }))
 	}
-	printf(out, "%-28s%s\n", "service lost", quantiles(finds, func(f *search.Find) float64 { return 1 - f.Service }))
+	printf(out, "%-28s%s\n", "service lost", quantiles(finds, func(f *search.Finding) float64 { return 1 - f.Service }))
 }
 
 // quantiles shows the median, the 90th and 99th percentile, and the largest of a figure.
-func quantiles(finds []*search.Find, figure func(*search.Find) float64) string {
+func quantiles(finds []*search.Finding, figure func(*search.Finding) float64) string {
 	var values []float64
 	for _, f := range finds {
 		values = append(values, figure(f))
--- a/internal/emulator/deadlines.go
+++ b/internal/emulator/deadlines.go
@@ -1,61 +1,75 @@
 package emulator
 
-// pending is something that ends by itself or at its deadline.
-type pending interface {
+// expirable is something that ends by itself or at its deadline.
+type expirable interface {
 	isOver() bool
 	expire()
 }
 
-// deadlines keeps deadlines that come in order, as those of one kind of wait do, with one event for the first that still
-// counts: most end before, and would only fill the clock's heap.
-type deadlines struct {
-	w     *World
-	list  []deadline
-	first int
-	armed bool
+// deadlineQueue holds the deadlines of one kind of wait. They come almost in order of time, and most waits end before
+// them; one timer for the first that still counts keeps the clock's heap small.
+type deadlineQueue struct {
+	w       *World
+	entries []deadline // by time; those before first have passed
+	first   int
+	armed   bool // a timer is set for the first entry
 }
 
 type deadline struct {
-	at float64
-	p  pending
+	at   float64 // ms
+	wait expirable
 }
 
-func (d *deadlines) add(at float64, p pending) {
-	if d.first < len(d.list) && at < d.list[len(d.list)-1].at {
-		d.w.At(at, func() {
-			if !p.isOver() {
-				p.expire()
-			}
-		})
+// compactAfter is how many passed entries may pile up at least before they are dropped.
+const compactAfter = 1024
+
+// add sets a deadline in ms. One that comes out of order gets a timer of its own.
+func (q *deadlineQueue) add(at float64, wait expirable) {
+	pending := len(q.entries) - q.first
+	if pending > 0 && at < q.entries[len(q.entries)-1].at {
+		q.w.At(at, func() { expireUnlessOver(wait) })
 		return
 	}
-	d.list = append(d.list, deadline{at, p})
-	d.arm()
+	q.entries = append(q.entries, deadline{at: at, wait: wait})
+	q.arm()
+}
+
+func expireUnlessOver(wait expirable) {
+	if !wait.isOver() {
+		wait.expire()
+	}
 }
 
-func (d *deadlines) arm() {
-	if !d.armed && d.first < len(d.list) {
-		d.armed = true
-		d.w.At(d.list[d.first].at, d.fire)
+// arm sets the timer for the first entry, unless one is set.
+func (q *deadlineQueue) arm() {
+	if !q.armed && q.first < len(q.entries) {
+		q.armed = true
+		q.w.At(q.entries[q.first].at, q.fire)
 	}
 }
 
-// fire ends what is due and forgets what has ended.
-func (d *deadlines) fire() {
-	d.armed = false
-	for d.first < len(d.list) {
-		x := d.list[d.first]
-		if over := x.p.isOver(); !over && x.at > d.w.now {
-			break
-		} else if !over {
-			x.p.expire()
+// fire ends the waits that are due and skips those that have ended.
+func (q *deadlineQueue) fire() {
+	q.armed = false
+	for q.first < len(q.entries) {
+		next := q.entries[q.first]
+		if !next.wait.isOver() {
+			if next.at > q.w.now {
+				break
+			}
+			next.wait.expire()
 		}
-		d.list[d.first] = deadline{}
-		d.first++
+		q.entries[q.first] = deadline{} // lets go of the wait
+		q.first++
 	}
-	if d.first > 1024 && d.first > len(d.list)/2 {
-		d.list = append(d.list[:0:0], d.list[d.first:]...)
-		d.first = 0
+	q.compact()
+	q.arm()
+}
+
+// compact drops passed entries once they are many and the greater part.
+func (q *deadlineQueue) compact() {
+	if q.first > compactAfter && q.first > len(q.entries)/2 {
+		q.entries = append(q.entries[:0:0], q.entries[q.first:]...)
+		q.first = 0
 	}
-	d.arm()
 }
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -1,8 +1,8 @@
 package emulator
 
 import (
-	"math"
 	"math/rand/v2"
+	"slices"
 
 	"indigousher/internal/controller"
 	"indigousher/internal/testbed/eventlog"
@@ -10,449 +10,298 @@
 	"indigousher/internal/wire"
 )
 
-// plain is a proxy: the follower of the stand-in on sockets, with its tries and its stream in virtual time.
-type plain struct {
+// emulatedProxy is a proxy: the routing of the testbed's proxy, with its attempts and its stream in virtual time.
+type emulatedProxy struct {
 	w       *World
 	place   place
-	habits  routing.Policy
-	rate    float64
-	home    int // number among the pilots of its zone
-	life    *plainLife
-	boots   int
+	policy  routing.Policy
+	rate    float64 // requests a second that it says it usually gets
+	home    int     // number of the pilot that it dials first
 	seed    uint64
-	unable  bool // reaches no pilot
-	mute    bool // does not read
-	reports float64
-	heed    bool
+	process *proxyProcess // nil while it does not run
+	starts  int
+
+	// Faults.
+	unreachable  bool    // it reaches no pilot
+	muted        bool    // it does not read
+	reportFactor float64 // how many times as often it reports
+	heedsPace    bool    // it reports as the pilot asks it to
 }
 
-// plainLife is one process.
-type plainLife struct {
-	p      *plain
-	follow *routing.Follower
-	stream *stream
-	lines  []int
-	rnd    *rand.Rand
-	wish   routing.ReportRequest
-	period float64
-	busy   float64 // until when it applies lines and stands still
-	conns  map[string]*conn
+// proxyProcess is one process of a proxy.
+type proxyProcess struct {
+	proxy          *emulatedProxy
+	follower       *routing.Follower
+	random         *rand.Rand
+	stream         *stream // to a pilot; nil: none
+	reportRequest  routing.ReportRequest
+	reportPeriodMs float64
+	busyUntil      float64                // ms; it applies a message until then and forwards nothing
+	loggedLines    []int                  // endpoints last logged, by request class; -1: none yet
+	connections    map[string]*connection // by endpoint
 }
 
-// conn is what is under way to one endpoint over its connection.
-type conn struct {
-	run   *running // that took it
-	tries map[*try]bool
+// minOwnZone is how many endpoints its own zone must have for a proxy's static table to hold only those.
+const minOwnZone = 3
+
+// start begins a process, on a static table.
+func (p *emulatedProxy) start() {
+	p.starts++
+	process := &proxyProcess{
+		proxy:       p,
+		follower:    routing.NewFollower(p.policy, p.w.drawStaticTable(p.place.zone), p.seed+uint64(p.starts)),
+		random:      rand.New(rand.NewPCG(p.seed, uint64(p.starts))),
+		loggedLines: make([]int, len(p.policy.Kinds)),
+		connections: map[string]*connection{},
+	}
+	for class := range process.loggedLines {
+		process.loggedLines[class] = -1
+	}
+	p.process = process
+	p.logEvent(eventlog.Event{What: eventlog.Start, N: p.starts, Text: p.place.zone})
+	process.logLines()
+	process.dial(0)
 }
 
-// try is one try of a req.
-type try struct {
-	req   *reqUnder
-	name  string
-	start float64
-	over  bool
-}
-
-// reqUnder is a req under way in a proxy.
-type reqUnder struct {
-	li     *plainLife
-	req    *wire.Req
-	kind   int
-	until  float64
-	tried  []string
-	ran    bool
-	answer func(*wire.Answer)
-}
-
-// dialTimeoutMs is how long a proxy waits for a connection to an endpoint.
-const dialTimeoutMs = 250
-
-func (p *plain) start() {
-	p.boots++
-	li := &plainLife{p: p, follow: routing.NewFollower(p.habits, p.w.standing(p.place.zone), p.seed+uint64(p.boots)),
-		lines: make([]int, len(p.habits.Kinds)), rnd: rand.New(rand.NewPCG(p.seed, uint64(p.boots))), conns: map[string]*conn{}}
-	for k := range li.lines {
-		li.lines[k] = -1
+// startUnlessRunning begins a process after a fault, unless another fault's end has begun one.
+func (p *emulatedProxy) startUnlessRunning() {
+	if p.process == nil {
+		p.start()
 	}
-	p.life = li
-	p.w.note(p.place.name, eventlog.Event{What: eventlog.Start, N: p.boots, Text: p.place.zone})
-	li.showLines()
-	li.dial(0)
 }
 
-func (p *plain) kill() {
-	li := p.life
-	if li == nil {
+// kill ends the process; its stream and its connections break.
+func (p *emulatedProxy) kill() {
+	process := p.process
+	if process == nil {
 		return
 	}
-	p.life = nil
-	p.w.note(p.place.name, eventlog.Event{What: eventlog.Stop})
-	if li.stream != nil {
-		li.stream.broke(false)
+	p.process = nil
+	p.logEvent(eventlog.Event{What: eventlog.Stop})
+	if process.stream != nil {
+		process.stream.end(false)
 	}
-	for _, m := range p.w.machines {
-		if m.run != nil {
-			delete(m.run.conns, p.place.name)
+	for _, endpoint := range p.w.endpoints {
+		if endpoint.process != nil {
+			delete(endpoint.process.connections, p.place.name)
 		}
 	}
 }
 
-// drop breaks its stream.
-func (p *plain) drop() {
-	if p.life != nil && p.life.stream != nil {
-		p.life.stream.broke(true)
-	}
-}
+func (p *emulatedProxy) logEvent(e eventlog.Event) { p.w.logEvent(p.place.name, e) }
 
-// broken ends what is under way to an endpoint whose process died.
-func (p *plain) broken(name string) {
-	if p.life == nil || p.life.conns[name] == nil {
-		return
-	}
-	li := p.life
-	c := li.conns[name]
-	delete(li.conns, name)
-	for _, t := range p.w.inOrder(c.tries) {
-		p.w.ways.carry(place{name: name}, p.place, func() { li.back(t, nil) })
+// stream returns the proxy's stream to a pilot, nil if there is none.
+func (p *emulatedProxy) stream() *stream {
+	if p.process == nil {
+		return nil
 	}
+	return p.process.stream
 }
 
-func (li *plainLife) showLines() {
-	for k, name := range li.p.habits.Kinds {
-		if n := li.follow.Lines(k); n != li.lines[k] {
-			li.lines[k] = n
-			li.p.w.note(li.p.place.name, eventlog.Event{What: eventlog.Lines, Kind: name, N: n})
-		}
+// breakStream ends the stream to the pilot, as a lost connection does.
+func (p *emulatedProxy) breakStream() {
+	if s := p.stream(); s != nil {
+		s.end(true)
 	}
 }
 
-// dial tries one pilot after another until one takes the stream.
-func (li *plainLife) dial(n int) {
-	p := li.p
-	if p.life != li {
+// resumeReading ends a mute: what has come meanwhile is applied in order.
+func (p *emulatedProxy) resumeReading() {
+	p.muted = false
+	s := p.stream()
+	if s == nil {
 		return
 	}
-	pilots := p.w.reach(p)
-	if len(pilots) > 0 {
-		if s := pilots[n%len(pilots)]; s.runs() && p.w.ways.open(p.place, s.place) {
-			p.w.After(2*p.w.ways.delay(p.place, s.place), func() {
-				if p.life != li || li.stream != nil {
-					return
-				}
-				if !s.runs() || !p.w.ways.open(p.place, s.place) {
-					li.redial(n + 1)
-					return
-				}
-				li.join(s)
-			})
-			return
-		}
+	waiting := s.unread
+	s.unread = nil
+	for _, apply := range waiting {
+		apply()
 	}
-	li.redial(n + 1)
-}
-
-func (li *plainLife) redial(n int) {
-	li.p.w.After((0.5+li.rnd.Float64())*li.p.w.redial, func() { li.dial(n) })
-}
-
-func (li *plainLife) join(to *seat) {
-	p := li.p
-	hello := wire.Hello{Version: wire.Version, Proxy: p.place.name, Zone: p.place.zone, Boot: uint64(p.boots), Rate: p.rate,
-		Fresh: li.follow.Fresh(), Holds: li.follow.Holds(), Tables: li.follow.Tables()}
-	li.stream = &stream{w: p.w, li: li, to: to, run: to.run}
-	to.streams[li.stream] = true
-	li.follow.Joined()
-	li.wish = routing.ReportRequest{}
-	p.w.note(p.place.name, eventlog.Event{What: eventlog.Join, Peer: to.place.name, Kind: p.place.zone})
-	to.post(controller.ProxyJoined{Stream: li.stream, Hello: hello})
-	li.period = p.w.period
-	li.report(li.stream, li.period*li.rnd.Float64())
-}
-
-// report sends sums each period while a stream lasts.
-func (li *plainLife) report(s *stream, in float64) {
-	li.p.w.After(in, func() {
-		if li.stream != s {
-			return
-		}
-		sums := li.follow.Sums(li.p.w.now, li.wish)
-		s.up(func() { s.to.report(s, sums) })
-		li.report(s, li.period/li.p.reports)
-	})
 }
 
-// apply carries out a message; the proxy stands still for as long as its lines take.
-func (li *plainLife) apply(s *stream, o *wire.Orders, traced func(what string, from float64)) {
-	p := li.p
-	if p.mute {
-		s.unread = append(s.unread, func() { li.apply(s, o, traced) })
-		return
-	}
-	came := p.w.now
-	p.w.note(p.place.name, eventlog.Event{What: eventlog.Got, Peer: s.to.place.name, N: o.Lines, Value: o.AgeMs, Since: s.to.run.born + o.AtMs})
-	li.busy = max(li.busy, p.w.now) + float64(len(o.Ops))*p.w.apply
-	p.w.At(li.busy, func() {
-		if p.life != li || li.stream != s {
-			return
+// drawStaticTable draws the endpoints of a proxy's static table from those that are ready: from its own zone if that
+// has enough.
+func (w *World) drawStaticTable(zone string) []string {
+	var all, near []string
+	for _, endpoint := range w.endpoints {
+		if w.entries[endpoint.Name].Phase != wire.PhaseReady {
+			continue
 		}
-		marks := li.follow.Apply(o.Ops)
-		traced("apply", came)
-		li.showLines()
-		li.retire()
-		for _, n := range marks {
-			took := p.w.now - came
-			s.up(func() { s.to.post(controller.Acked{Stream: s, Done: wire.Done{Mark: n, TookMs: took}}) })
+		all = append(all, endpoint.Name)
+		if endpoint.Zone == zone {
+			near = append(near, endpoint.Name)
 		}
-	})
-}
-
-// retire closes connections to endpoints that no table names any more; what is under way over them ends as it will.
-func (li *plainLife) retire() {
-	if len(li.conns) == 0 {
-		return
 	}
-	held := map[string]bool{}
-	for _, name := range li.follow.Holds() {
-		held[name] = true
+	candidates := all
+	if len(near) >= minOwnZone {
+		candidates = near
 	}
-	for name, c := range li.conns {
-		if !held[name] && len(c.tries) == 0 {
-			delete(li.conns, name)
-			if c.run != nil {
-				delete(c.run.conns, li.p.place.name)
-			}
-		}
+	count := min(len(candidates), w.Scenario.Standing)
+	for i := range count { // the first steps of a Fisher-Yates shuffle
+		j := i + w.random.IntN(len(candidates)-i)
+		candidates[i], candidates[j] = candidates[j], candidates[i]
 	}
+	return candidates[:count]
 }
 
-// handle takes a req through its tries; one that comes while lines are applied waits for them.
-func (p *plain) handle(req *wire.Req, limit float64, answer func(*wire.Answer)) {
-	li := p.life
-	if li == nil {
-		answer(nil)
-		return
+// reachablePilots lists the pilots that a proxy may dial, in the order in which it does: its home first.
+func (w *World) reachablePilots(p *emulatedProxy) []*emulatedPilot {
+	if p.unreachable || len(w.pilots) == 0 {
+		return nil
 	}
-	if li.busy > p.w.now {
-		p.w.At(li.busy, func() { p.handle(req, limit-(li.busy-p.w.now), answer) })
-		return
-	}
-	kind := p.w.kind[req.Kind]
-	li.follow.Came(kind, req.Key)
-	if !li.follow.Admit(kind) {
-		p.w.note(p.place.name, eventlog.Event{What: eventlog.Refuse, Kind: req.Kind, Req: req.Name, Text: "level"})
-		answer(&wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.ComeBackMs})
-		return
+	home := p.home % len(w.pilots)
+	if w.Scenario.ByZone {
+		inZone := slices.IndexFunc(w.pilots, func(pilot *emulatedPilot) bool {
+			return pilot.place.zone == p.place.zone
+		})
+		if inZone >= 0 {
+			home = inZone
+		}
 	}
-	u := &reqUnder{li: li, req: req, kind: kind, answer: answer, until: p.w.now + min(limit, p.w.limits[kind])}
-	u.next()
+	return append(slices.Clone(w.pilots[home:]), w.pilots[:home]...)
 }
 
-// next sends the next try.
-func (u *reqUnder) next() {
-	li, p := u.li, u.li.p
-	name := li.follow.Pick(p.w.now, u.kind, u.req.Key, u.tried)
-	if name == "" {
-		p.w.note(p.place.name, eventlog.Event{What: eventlog.Refuse, Kind: u.req.Kind, Req: u.req.Name, Text: "no line"})
-		u.end()
-		return
+// logLines logs how many endpoints the tables have for each request class, where that has changed.
+func (pp *proxyProcess) logLines() {
+	for class, name := range pp.proxy.policy.Kinds {
+		lines := pp.follower.Lines(class)
+		if lines == pp.loggedLines[class] {
+			continue
+		}
+		pp.loggedLines[class] = lines
+		pp.proxy.logEvent(eventlog.Event{What: eventlog.Lines, Kind: name, N: lines})
 	}
-	li.follow.Sent(name)
-	u.tried = append(u.tried, name)
-	p.w.note(p.place.name, eventlog.Event{What: eventlog.Send, Peer: name, Kind: u.req.Kind, Req: u.req.Name, Text: u.req.Key, N: len(u.tried)})
-	p.w.Tries++
-	wait := routing.Patience(li.follow.Again(u.kind), len(u.tried), u.until-p.w.now, p.w.firstWait*p.w.targets[u.kind])
-	t := &try{req: u, name: name, start: p.w.now}
-	p.w.waits[u.kind].add(p.w.now+wait, t)
-	li.send(t, wait)
 }
 
-// send brings a try to its endpoint over the proxy's connection.
-func (li *plainLife) send(t *try, wait float64) {
-	p := li.p
-	m := p.w.byName[t.name]
-	if m == nil {
-		p.w.After(p.w.ways.near, func() { li.never(t) })
+// dial tries to join a pilot, the next one in order for each failed attempt.
+func (pp *proxyProcess) dial(attempt int) {
+	p := pp.proxy
+	if p.process != pp {
 		return
 	}
-	c := li.conns[t.name]
-	trip := 1.0
-	if c == nil || c.run != m.run {
-		trip = 3 // a connection is opened first
-	}
-	req := &wire.Req{Name: t.req.req.Name, Kind: t.req.req.Kind, From: p.place.name, WorkMs: t.req.req.WorkMs, LimitMs: wait}
-	arrive := func() {
-		ok, cost := m.connect(p.place.name)
-		if !ok {
-			p.w.ways.carry(m.place, p.place, func() { li.never(t) })
-			return
-		}
-		c := li.conns[t.name]
-		if c == nil || c.run != m.run {
-			c = &conn{run: m.run, tries: map[*try]bool{}}
-			li.conns[t.name] = c
-		}
-		c.tries[t] = true
-		take := func() {
-			m.take(&task{req: req, answer: func(o wire.Outcome, comeBack float64, load []wire.Figure) {
-				p.w.ways.carry(m.place, p.place, func() {
-					li.back(t, &wire.Answer{Outcome: o, ComeBackMs: comeBack, Load: load})
-				})
-			}})
-		}
-		if cost > 0 {
-			p.w.After(cost+m.dialMs(), take)
-			return
-		}
-		take()
+	pilots := p.w.reachablePilots(p)
+	if len(pilots) == 0 {
+		pp.redial(attempt + 1)
+		return
 	}
-	if trip > 1 && !p.w.ways.open(p.place, m.place) {
-		p.w.After(dialTimeoutMs, func() { li.never(t) })
+	pilot := pilots[attempt%len(pilots)]
+	if !pp.canReach(pilot) {
+		pp.redial(attempt + 1)
 		return
 	}
-	p.w.ways.carry(p.place, m.place, func() {
-		if trip > 1 {
-			p.w.After((trip-1)*p.w.ways.near, arrive)
+	roundTripMs := 2 * p.w.network.delay(p.place, pilot.place)
+	p.w.After(roundTripMs, func() {
+		if p.process != pp || pp.stream != nil {
 			return
 		}
-		arrive()
+		if !pp.canReach(pilot) {
+			pp.redial(attempt + 1)
+			return
+		}
+		pp.join(pilot)
 	})
 }
 
-func (m *machine) dialMs() float64 { return m.w.slowDial[m.Name] }
-
-// never is a try that never left.
-func (li *plainLife) never(t *try) {
-	if t.over {
-		return
-	}
-	t.over = true
-	li.follow.Back(li.p.w.now, t.name, false, li.p.w.now-t.start, nil)
-	t.req.after(wire.Denied)
-}
-
-func (t *try) isOver() bool { return t.over }
-
-// expire is a try that got no answer in its time.
-func (t *try) expire() { t.req.li.back(t, nil) }
-
-// back takes in how a try ended.
-func (li *plainLife) back(t *try, a *wire.Answer) {
-	if t.over {
-		return
-	}
-	t.over = true
-	if c := li.conns[t.name]; c != nil {
-		delete(c.tries, t)
-	}
-	outcome := wire.Errored
-	var load []wire.Figure
-	if a != nil {
-		outcome, load = a.Outcome, a.Load
-	}
-	li.follow.Back(li.p.w.now, t.name, outcome == wire.Fine, li.p.w.now-t.start, load)
-	t.req.after(outcome)
-}
-
-// after decides, as proxies do, whether a try follows.
-func (u *reqUnder) after(outcome wire.Outcome) {
-	w := u.li.p.w
-	if outcome == wire.Fine {
-		u.answer(&wire.Answer{Outcome: wire.Fine})
-		return
-	}
-	proof := outcome == wire.Denied
-	u.ran = u.ran || !proof
-	if !routing.TryFollows(u.li.follow.Again(u.kind), len(u.tried), proof) || w.now >= u.until-1e-6 || u.li.p.life != u.li {
-		u.end()
-		return
-	}
-	u.next()
+func (pp *proxyProcess) canReach(pilot *emulatedPilot) bool {
+	return pilot.running() && pp.proxy.w.network.open(pp.proxy.place, pilot.place)
 }
 
-func (u *reqUnder) end() {
-	if !u.ran {
-		u.answer(&wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.ComeBackMs})
-		return
-	}
-	u.li.follow.Unanswered(u.kind, u.req.Key)
-	u.answer(&wire.Answer{Outcome: wire.Errored})
+// redial dials after a pause, spread so that proxies do not come back all at once.
+func (pp *proxyProcess) redial(attempt int) {
+	jitter := 0.5 + pp.random.Float64()
+	pp.proxy.w.After(jitter*pp.proxy.w.redialMs, func() { pp.dial(attempt) })
 }
 
-// stream is a proxy's to a pilot. It implements pilot.Stream.
-type stream struct {
-	w      *World
-	li     *plainLife
-	to     *seat
-	run    *pilotRun
-	ended  bool
-	unread []func() // messages that a proxy which does not read will apply
+// join opens the stream to a pilot and begins to report.
+func (pp *proxyProcess) join(pilot *emulatedPilot) {
+	p := pp.proxy
+	hello := wire.Hello{
+		Version: wire.Version,
+		Proxy:   p.place.name,
+		Zone:    p.place.zone,
+		Boot:    uint64(p.starts),
+		Rate:    p.rate,
+		Fresh:   pp.follower.Fresh(),
+		Holds:   pp.follower.Holds(),
+		Tables:  pp.follower.Tables(),
+	}
+	pp.stream = &stream{w: p.w, process: pp, pilot: pilot, pilotProcess: pilot.process}
+	pilot.streams[pp.stream] = true
+	pp.follower.Joined()
+	pp.reportRequest = routing.ReportRequest{}
+	p.logEvent(eventlog.Event{What: eventlog.Join, Peer: pilot.place.name, Kind: p.place.zone})
+	pilot.post(controller.ProxyJoined{Stream: pp.stream, Hello: hello})
+	pp.reportPeriodMs = p.w.reportPeriodMs
+	firstMs := pp.reportPeriodMs * pp.random.Float64() // so that proxies do not report all at once
+	pp.scheduleReport(pp.stream, firstMs)
 }
 
-// Send brings orders down. A proxy that does not read has its stream cut once it has not read for the time it may.
-func (s *stream) Send(o *wire.Orders) error {
-	traced := func(string, float64) {}
-	if t := s.w.Trace; t != nil && s.run != nil {
-		d, left := t.message(s.run, s.li.p.place.name, min(s.run.born+o.AtMs, s.w.now), o.Lines), s.w.now
-		traced = func(what string, from float64) { t.part(d, what, s.li.p.place.name, max(from, left), s.w.now, o.Lines) }
-	}
-	left := s.w.now
-	s.w.ways.carry(s.to.place, s.li.p.place, func() {
-		if !s.ended && s.li.p.life == s.li {
-			traced("way", left)
-			s.li.apply(s, o, traced)
+// scheduleReport sends a report after a delay and one each period from then on, until the stream ends.
+func (pp *proxyProcess) scheduleReport(s *stream, delayMs float64) {
+	pp.proxy.w.After(delayMs, func() {
+		if pp.stream != s {
+			return
 		}
+		sums := pp.follower.Sums(pp.proxy.w.now, pp.reportRequest)
+		s.sendUp(func() { s.pilot.report(s, sums) })
+		pp.scheduleReport(s, pp.reportPeriodMs/pp.proxy.reportFactor)
 	})
-	if s.li.p.mute {
-		s.w.After(s.w.seenWithin, func() {
-			if len(s.unread) > 0 {
-				s.broke(true)
-			}
-		})
-	}
-	return nil
 }
 
-// Ask brings a wish for reports down.
-func (s *stream) Ask(m *wire.Pace) error {
-	s.w.ways.carry(s.to.place, s.li.p.place, func() {
-		if !s.ended && s.li.p.heed {
-			s.li.wish = routing.ReportRequest{Lines: m.Lines, Changes: m.Changes}
-			s.li.period = math.Max(1, float64(m.PeriodMs))
+// apply carries out a message of the pilot; the proxy forwards nothing for as long as its lines take. Traced notes in
+// the trace when the message has been applied; it may be nil.
+func (pp *proxyProcess) apply(s *stream, message *wire.Orders, traced spanEnd) {
+	p := pp.proxy
+	if p.muted {
+		s.unread = append(s.unread, func() { pp.apply(s, message, traced) })
+		return
+	}
+	receivedAt := p.w.now
+	p.logEvent(eventlog.Event{
+		What:  eventlog.Got,
+		Peer:  s.pilot.place.name,
+		N:     message.Lines,
+		Value: message.AgeMs,
+		Since: s.pilot.process.startedAt + message.AtMs,
+	})
+	pp.busyUntil = max(pp.busyUntil, p.w.now) + float64(len(message.Ops))*p.w.applyMs
+	p.w.At(pp.busyUntil, func() {
+		if p.process != pp || pp.stream != s {
+			return
+		}
+		ackRequests := pp.follower.Apply(message.Ops)
+		traced.end(spanApply, receivedAt)
+		pp.logLines()
+		pp.closeUnused()
+		for _, mark := range ackRequests {
+			pp.acknowledge(s, mark, p.w.now-receivedAt)
 		}
 	})
-	return nil
 }
 
-// Close ends it from the pilot's side.
-func (s *stream) Close(string) { s.w.After(0, func() { s.broke(true) }) }
-
-// up brings something to the pilot.
-func (s *stream) up(do func()) {
-	s.w.ways.carry(s.li.p.place, s.to.place, func() {
-		if !s.ended && s.to.run == s.run && s.run != nil {
-			do()
-		}
+// acknowledge tells the pilot that everything sent before an ack request has been applied.
+func (pp *proxyProcess) acknowledge(s *stream, mark int, tookMs float64) {
+	s.sendUp(func() {
+		s.pilot.post(controller.Acked{Stream: s, Done: wire.Done{Mark: mark, TookMs: tookMs}})
 	})
 }
 
-// broke ends it on both sides; the pilot hears of it, and the proxy dials again.
-func (s *stream) broke(redial bool) {
-	if s.ended {
+// closeUnused closes the connections to endpoints that no table names any more, unless something is in flight on them.
+func (pp *proxyProcess) closeUnused() {
+	if len(pp.connections) == 0 {
 		return
 	}
-	s.ended = true
-	delete(s.to.streams, s)
-	if s.to.run == s.run && s.run != nil {
-		s.to.post(controller.ProxyLeft{Stream: s})
-	}
-	if s.li.stream != s {
-		return
+	held := map[string]bool{}
+	for _, name := range pp.follower.Holds() {
+		held[name] = true
 	}
-	s.li.stream = nil
-	if s.li.p.life == s.li {
-		s.w.note(s.li.p.place.name, eventlog.Event{What: eventlog.Leave, Peer: s.to.place.name})
-		if redial {
-			s.li.redial(0)
+	for name, c := range pp.connections {
+		if held[name] || len(c.attempts) > 0 {
+			continue
+		}
+		delete(pp.connections, name)
+		if c.process != nil {
+			delete(c.process.connections, pp.proxy.place.name)
 		}
 	}
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -16,7 +16,7 @@
 	"indigousher/internal/record"
 )
 
-const text = `about = "a test"
+const planText = `about = "a test"
 day = "day.hcl"
 repeats = 3
 budget = "2m"
@@ -26,7 +26,7 @@
 }
 `
 
-func plan(t *testing.T, text string) *Plan {
+func readPlan(t *testing.T, text string) *Plan {
 	dir := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "day.hcl"), []byte("like = \"quiet\"\nlength = \"6s\"\ntrouble \"hang\" {\n at = \"2s\"\n for = \"3s\"\n part = 0.1\n}\n"), 0o600))
 	path := filepath.Join(dir, "test.hcl")
@@ -36,8 +36,8 @@
 	return p
 }
 
-// shown is a table as people see it, without what is of real time.
-func shown(t *testing.T, x *Table) string {
+// printed is a table as people see it, without what is of real time.
+func printed(t *testing.T, x *Table) string {
 	for _, cell := range x.Results {
 		for _, r := range cell {
 			r.PilotMs, r.TookMs = 0, 0
@@ -48,46 +48,46 @@
 	return b.String()
 }
 
-// TestResumed guards experiments that are interrupted: they go on where they were, give the tables of one that was not, and
-// take nothing from another program's runs.
+// TestResumed guards experiments that are interrupted: they go on where they were, give the tables of one that was not,
+// and take nothing from another program's runs.
 func TestResumed(t *testing.T) {
-	p := plan(t, text)
+	p := readPlan(t, planText)
 	whole := &Runner{Plan: p, Store: filepath.Join(t.TempDir(), "whole.db"), Program: "one"}
 	want, err := whole.Run(t.Context())
 	require.NoError(t, err)
-	assert.Zero(t, want.Left+want.Taken)
+	assert.Zero(t, want.LeftOut+want.Reused)
 	ctx, cancel := context.WithCancel(t.Context())
-	broken := &Runner{Plan: p, Store: filepath.Join(t.TempDir(), "broken.db"), Program: "one", Workers: 1, Say: func(done, _ int) {
+	broken := &Runner{Plan: p, Store: filepath.Join(t.TempDir(), "broken.db"), Program: "one", Workers: 1, Progress: func(done, _ int) {
 		if done == 5 {
 			cancel()
 		}
 	}}
 	_, err = broken.Run(ctx)
 	require.ErrorIs(t, err, context.Canceled)
-	broken.Say = nil
+	broken.Progress = nil
 	got, err := broken.Run(t.Context())
 	require.NoError(t, err)
-	assert.GreaterOrEqual(t, got.Taken, 4)
-	assert.Less(t, got.Taken, 10)
-	assert.Equal(t, shown(t, want), shown(t, got))
+	assert.GreaterOrEqual(t, got.Reused, 4)
+	assert.Less(t, got.Reused, 10)
+	assert.Equal(t, printed(t, want), printed(t, got))
 	broken.Program = "another"
 	got, err = broken.Run(t.Context())
 	require.NoError(t, err)
-	assert.Zero(t, got.Taken)
+	assert.Zero(t, got.Reused)
 	p.Budget = time.Nanosecond
 	broken.Program = "a third"
 	got, err = broken.Run(t.Context())
 	require.NoError(t, err)
-	assert.Equal(t, 54, got.Left)
+	assert.Equal(t, 54, got.LeftOut)
 	var b bytes.Buffer
 	require.NoError(t, got.Print(&b))
 	assert.Contains(t, b.String(), "54 runs were left out")
 }
 
-// TestTornStore guards against a store of results that was cut off or overwritten: the experiment says which file it is, and
-// neither panics nor takes anything from it.
+// TestTornStore guards against a store of results that was cut off or overwritten: the experiment says which file it
+// is, and neither panics nor takes anything from it.
 func TestTornStore(t *testing.T) {
-	p := plan(t, text)
+	p := readPlan(t, planText)
 	r := &Runner{Plan: p, Store: filepath.Join(t.TempDir(), "x.db"), Program: "one"}
 	_, err := r.Run(t.Context())
 	require.NoError(t, err)
@@ -119,7 +119,7 @@
 
 // TestReport guards the report against what would need a network: it holds its charts and names no address.
 func TestReport(t *testing.T) {
-	p := plan(t, strings.Replace(text, "repeats = 3", "repeats = 2", 1))
+	p := readPlan(t, strings.Replace(planText, "repeats = 3", "repeats = 2", 1))
 	x, err := (&Runner{Plan: p, Store: filepath.Join(t.TempDir(), "x.db"), Program: "one"}).Run(t.Context())
 	require.NoError(t, err)
 	var b bytes.Buffer
@@ -130,31 +130,33 @@
 	}
 	ours, even := -1, -1
 	for i, c := range x.Cells {
-		if c.Levels[0] == 1 && c.Policy == Ours {
+		if c.Levels[0] == 1 && c.Policy == Planner {
 			ours = i
 		} else if c.Levels[0] == 1 && c.Policy == "even" {
 			even = i
 		}
 	}
 	assert.Greater(t, x.Figure(ours, Metrics[0]).Mean, x.Figure(even, Metrics[0]).Mean, "a hang costs one even table more")
-	assert.Negative(t, x.Beside(even, Metrics[0]).Mean)
+	assert.Negative(t, x.Difference(even, Metrics[0]).Mean)
 }
 
 // TestFigure holds the interval against a textbook's: five values, t of 2.776.
 func TestFigure(t *testing.T) {
-	f := figure([]float64{1, 2, 3, 4, 5})
+	f := newFigure([]float64{1, 2, 3, 4, 5})
 	assert.InDelta(t, 3, f.Mean, 1e-9)
-	assert.InDelta(t, 2.776*1.5811/2.2361, f.Half, 1e-3)
+	assert.InDelta(t, 2.776*1.5811/2.2361, f.HalfWidth, 1e-3)
 }
 
 // TestWrong guards against files that name what is not there.
 func TestWrong(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
-		{`"load"`, `"lode"`, `factor "lode" is not known`}, {`"even"`, `"evn"`, `policy "evn" is not known`},
-		{`"0.5"`, `"half"`, "no number"}, {`"day.hcl"`, `"none.hcl"`, "none.hcl"},
+		{`"load"`, `"lode"`, `factor "lode" is not known`},
+		{`"even"`, `"evn"`, `policy "evn" is not known`},
+		{`"0.5"`, `"half"`, "no number"},
+		{`"day.hcl"`, `"none.hcl"`, "none.hcl"},
 	} {
 		path := filepath.Join(t.TempDir(), "wrong.hcl")
-		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(text, c.from, c.to, 1)), 0o600))
+		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(planText, c.from, c.to, 1)), 0o600))
 		_, err := Read(path)
 		assert.ErrorContains(t, err, c.want)
 	}
--- /dev/null
+++ b/internal/rehearsal/proxies.go
@@ -0,0 +1,142 @@
+package rehearsal
+
+import (
+	"crypto/tls"
+	"path"
+	"slices"
+	"sync/atomic"
+	"time"
+
+	"indigousher/internal/identity"
+	"indigousher/internal/testbed/network"
+	"indigousher/internal/testbed/proxy"
+	"indigousher/internal/testbed/routing"
+)
+
+const (
+	// proxyDialTimeout is how long a proxy waits for a connection to a pilot.
+	proxyDialTimeout = time.Second
+	// endpointDialTimeout is how long a proxy waits for a connection to an endpoint.
+	endpointDialTimeout = 250 * time.Millisecond
+	// proxySeedStep keeps the sequences of proxies in runs with neighbouring seeds apart.
+	proxySeedStep = 1000
+	// factorUnit is the unit of stage.reportFactors: they are kept in thousandths.
+	factorUnit = 1000
+)
+
+// addProxy starts a proxy.
+func (s *stage) addProxy(name, zone string, number int) error {
+	isolated := &atomic.Bool{}
+	muted := &atomic.Bool{}
+	reportFactor := &atomic.Int64{}
+	reportFactor.Store(factorUnit)
+	s.isolated[name] = isolated
+	s.muted[name] = muted
+	s.reportFactors[name] = reportFactor
+
+	overGRPC := s.speaksGRPC(name)
+	join, err := s.joiner(name, zone, overGRPC)
+	if err != nil {
+		return err
+	}
+	options := s.proxyOptions(name, zone, number)
+	options.Pilots = func() []string { return s.reachablePilots(zone, number, isolated, overGRPC) }
+	options.Join = join
+	options.MuteReads = muted.Load
+	options.Reports = func() float64 { return float64(reportFactor.Load()) / factorUnit }
+	added := proxy.New(options, s.eventLog.Stream(name))
+	if err := added.Start(); err != nil {
+		return err
+	}
+	s.network.Put(added.Address(), network.Place{Name: name, Zone: zone})
+	s.proxies = append(s.proxies, added)
+	return nil
+}
+
+// proxyOptions returns the options of a proxy that come from the scenario alone.
+func (s *stage) proxyOptions(name, zone string, number int) proxy.Options {
+	var targets, limits []time.Duration
+	for _, class := range s.Scenario.Kinds {
+		targets = append(targets, class.ResponseTarget)
+		limits = append(limits, class.ClientTimeout)
+	}
+	return proxy.Options{
+		Name: name,
+		Zone: zone,
+		Habits: routing.Policy{
+			Kinds:       s.Scenario.ClassNames(),
+			Pick:        s.Scenario.Pick,
+			EjectsAfter: s.Scenario.EjectsAfter,
+			EjectMs:     float64(s.Scenario.EjectFor.Milliseconds()),
+			TryAgain:    s.Scenario.RetryHow,
+		},
+		Rate:         s.Scenario.Rate / float64(len(s.Scenario.ProxyZones)),
+		Standing:     func() []string { return s.drawStaticTable(zone) },
+		Dial:         s.network.Dialer(network.Place{Name: name, Zone: zone}, proxyDialTimeout),
+		DialTimeout:  endpointDialTimeout,
+		Redial:       s.Scenario.Redial,
+		ApplyPerLine: s.Scenario.Apply,
+		FirstWait:    s.Scenario.FirstWait,
+		Targets:      targets,
+		Limits:       limits,
+		Seed:         uint64(s.Scenario.Seed*proxySeedStep + number),
+		Heedless:     slices.Contains(s.Scenario.IgnoresPace, name),
+	}
+}
+
+// speaksGRPC returns whether a proxy joins over gRPC, by the patterns of the scenario.
+func (s *stage) speaksGRPC(name string) bool {
+	return slices.ContainsFunc(s.Scenario.OverGRPC, func(pattern string) bool {
+		matches, err := path.Match(pattern, name)
+		return err == nil && matches
+	})
+}
+
+// joiner returns how a proxy joins, with keys of its own if the scenario has them.
+func (s *stage) joiner(name, zone string, overGRPC bool) (func() proxy.Joiner, error) {
+	var tlsConfig *tls.Config
+	if s.Scenario.Keys {
+		keys, err := s.issueKeys(identity.Identity{Role: identity.Proxy, Zone: zone, Name: name})
+		if err != nil {
+			return nil, err
+		}
+		tlsConfig = keys.Client(identity.Pilot)
+	}
+	return func() proxy.Joiner {
+		if overGRPC {
+			return proxy.GRPC(tlsConfig, false)
+		}
+		return proxy.Framed(tlsConfig)
+	}, nil
+}
+
+// reachablePilots lists the addresses of the pilots that a proxy may dial, in the order in which it does: its home
+// first.
+func (s *stage) reachablePilots(zone string, number int, isolated *atomic.Bool, overGRPC bool) []string {
+	if isolated.Load() || len(s.pilots) == 0 {
+		return nil
+	}
+	home := number % len(s.pilots)
+	if s.Scenario.ByZone {
+		inZone := slices.IndexFunc(s.pilots, func(p *pilot) bool { return p.zone == zone })
+		if inZone >= 0 {
+			home = inZone
+		}
+	}
+	var addresses []string
+	for i := range s.pilots {
+		p := s.pilots[(home+i)%len(s.pilots)]
+		addresses = append(addresses, p.address(overGRPC))
+	}
+	return addresses
+}
+
+// address returns where a pilot accepts proxies.
+func (p *pilot) address(overGRPC bool) string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if overGRPC {
+		return p.settings.GRPC
+	}
+	return p.settings.Listen
+}
--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/rehearsal/rehearsal_test.go
@@ -21,8 +21,9 @@
 	"indigousher/planner"
 )
 
-// TestDays guards the five rules through the whole program: endpoints that hang, vanish and drain, a cut, broken streams
-// and a dead pilot; and, all over gRPC with keys, one that answers twice and a proxy that goes silent in mid-report.
+// TestDays guards the five rules through the whole program: endpoints that hang, vanish and drain, a cut, broken
+// streams and a dead pilot; and, all over gRPC with keys, one that answers twice and a proxy that goes silent in
+// mid-report.
 func TestDays(t *testing.T) {
 	for _, name := range []string{"bad-day-short", "month-end"} {
 		t.Run(name, func(t *testing.T) {
@@ -33,26 +34,26 @@
 			require.NoError(t, err)
 			for _, v := range o.Report.Verdicts {
 				assert.True(t, v.Kept(), "%s: %v", v.Rule, v.Violations)
-				assert.True(t, v.Checked > 0 || v.Rule == audit.ColdKept, "%s was not looked at", v.Rule)
+				assert.True(t, v.Checked > 0 || v.Rule == audit.SlowStartBudget, "%s was not looked at", v.Rule)
 			}
 			assert.Greater(t, o.Report.Service.All.Share(), 0.8)
 		})
 	}
 }
 
-// meddler passes the module's orders on through a planted break.
-type meddler struct {
-	brain *planner.Planner
-	spoil func(nowMs float64, orders []planner.Command) []planner.Command
+// tampering passes the planner's commands on through a planted break.
+type tampering struct {
+	decider *planner.Planner
+	spoil   func(nowMs float64, orders []planner.Command) []planner.Command
 }
 
-func (m *meddler) Reconfigure(settings map[string]any) { m.brain.Reconfigure(settings) }
+func (m *tampering) Reconfigure(settings map[string]any) { m.decider.Reconfigure(settings) }
 
-func (m *meddler) Handle(nowMs float64, notes []planner.Event) []planner.Command {
-	return m.spoil(nowMs, m.brain.Handle(nowMs, notes))
+func (m *tampering) Handle(nowMs float64, notes []planner.Event) []planner.Command {
+	return m.spoil(nowMs, m.decider.Handle(nowMs, notes))
 }
 
-// each replaces orders one by one.
+// each replaces commands one by one.
 func each(f func(nowMs float64, o planner.Command) []planner.Command) func(float64, []planner.Command) []planner.Command {
 	return func(nowMs float64, orders []planner.Command) (out []planner.Command) {
 		for _, o := range orders {
@@ -62,7 +63,7 @@
 	}
 }
 
-// TestPlantedBreaks shows that the audit sees each rule broken when the module's orders are falsified on their way.
+// TestPlantedBreaks shows that the audit sees each rule broken when the planner's commands are falsified on their way.
 func TestPlantedBreaks(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -70,15 +71,18 @@
 		day   string
 		spoil func(float64, []planner.Command) []planner.Command
 	}{
-		{"a table emptied", audit.NobodyBare, `rules { bare_for = "1500ms" }`,
+		{
+			"a table emptied", audit.EndpointCoverage, `rules { bare_for = "1500ms" }`,
 			each(func(now float64, o planner.Command) []planner.Command {
 				if s, ok := o.(planner.SetWeight); ok {
 					s.Weight = 0
 					return []planner.Command{s}
 				}
 				return []planner.Command{o}
-			})},
-		{"a non-replayable req repeated", audit.NoEffectTwice, `trouble "slow_link" {
+			}),
+		},
+		{
+			"a non-replayable req repeated", audit.SingleEffect, `trouble "slow_link" {
 				at = "1s"
 				for = "5s"
 				zone = "c"
@@ -94,8 +98,10 @@
 					return []planner.Command{a}
 				}
 				return []planner.Command{o}
-			})},
-		{"a drain ignored", audit.DrainsKept, `rules { drain_grace = "1s" }
+			}),
+		},
+		{
+			"a drain ignored", audit.DrainDeadline, `rules { drain_grace = "1s" }
 			trouble "drain" {
 				at = "2s"
 				for = "5s"
@@ -111,8 +117,10 @@
 					}
 				}
 				return []planner.Command{o}
-			})},
-		{"a cold endpoint flooded", audit.ColdKept, `rules {
+			}),
+		},
+		{
+			"a cold endpoint flooded", audit.SlowStartBudget, `rules {
 				cold = "20s"
 				cold_from = 0.1
 				drain_grace = "500ms"
@@ -138,8 +146,10 @@
 					}
 				}
 				return orders
-			}},
-		{"a channel overfilled", audit.ShortQueue, `channel {
+			},
+		},
+		{
+			"a channel overfilled", audit.ChannelQueue, `channel {
 				backlog = 100
 				lines_per_s = 400
 			}`,
@@ -150,14 +160,15 @@
 					}
 				}
 				return orders
-			}},
+			},
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			day, err := scenario.Read(c.name+".hcl", []byte("like = \"quiet\"\nlength = \"9s\"\nlist {\n late = \"200ms\"\n}\n"+c.day))
 			require.NoError(t, err)
 			o, err := Play{Scenario: day, Decide: func(seed int64, terms map[string]any) controller.Decider {
-				return &meddler{planner.New(seed, terms), c.spoil}
+				return &tampering{planner.New(seed, terms), c.spoil}
 			}}.Run(t.Context())
 			require.NoError(t, err)
 			for _, v := range o.Report.Verdicts {
@@ -194,14 +205,14 @@
 	assert.ErrorIs(t, err, context.Canceled)
 }
 
-// listener passes notes on and keeps what the module was told of load.
-type listener struct {
+// loadListener passes events on and keeps what the planner was told of load.
+type loadListener struct {
 	controller.Decider
 	mu   *sync.Mutex
 	told map[string]*[2]float64 // tries and span by zone and endpoint
 }
 
-func (l *listener) Handle(nowMs float64, notes []planner.Event) []planner.Command {
+func (l *loadListener) Handle(nowMs float64, notes []planner.Event) []planner.Command {
 	l.mu.Lock()
 	for _, n := range notes {
 		if m, ok := n.(planner.EndpointStats); ok {
@@ -217,8 +228,8 @@
 	return l.Decider.Handle(nowMs, notes)
 }
 
-// TestReportBurst guards the load that the module is told, and the bound of what waits, while reports come tenfold and
-// then a hundredfold over real sockets. Load is compared with the tries that the proxies sent.
+// TestReportBurst guards the load that the planner is told, and the bound of what waits, while reports come tenfold and
+// then a hundredfold over real sockets. Load is compared with the attempts that the proxies sent.
 func TestReportBurst(t *testing.T) {
 	t.Parallel()
 	day, err := scenario.Read("burst.hcl", []byte(`like = "quiet"
@@ -244,17 +255,17 @@
 	require.NoError(t, err)
 	told, mu := map[string]*[2]float64{}, &sync.Mutex{}
 	o, err := Play{Scenario: day, Decide: func(seed int64, terms map[string]any) controller.Decider {
-		return &listener{planner.New(seed, terms), mu, told}
+		return &loadListener{planner.New(seed, terms), mu, told}
 	}}.Run(t.Context())
 	require.NoError(t, err)
 	assert.True(t, o.Report.Kept())
-	assert.LessOrEqual(t, o.Most.MostStanding, 60)
+	assert.LessOrEqual(t, o.PilotMaxima.MostStanding, 60)
 	sent, all := map[string]float64{}, map[string]float64{}
 	names := map[string]bool{}
-	for _, e := range o.Book.Events() {
+	for _, e := range o.EventLog.Events() {
 		if e.What == eventlog.Send {
 			zone := strings.Split(e.Who, "-")[1]
-			if o.Zones[e.Peer] == zone { // others are crossed to only now and then
+			if o.ZoneByAddress[e.Peer] == zone { // others are crossed to only now and then
 				sent[zone+" "+e.Peer]++
 			}
 			all[zone]++
--- a/internal/search/search_test.go
+++ b/internal/search/search_test.go
@@ -28,10 +28,10 @@
 	assert.Greater(t, len(whats), 22)
 }
 
-// heedless leaves a planted fault in the module's orders: endpoints are never shut out.
-type heedless struct{ controller.Decider }
+// neverExcludes leaves a planted fault in the planner's commands: endpoints are never shut out.
+type neverExcludes struct{ controller.Decider }
 
-func (h heedless) Handle(now float64, notes []planner.Event) (out []planner.Command) {
+func (h neverExcludes) Handle(now float64, notes []planner.Event) (out []planner.Command) {
 	for _, o := range h.Decider.Handle(now, notes) {
 		if _, is := o.(planner.SetExcluded); is {
 			continue
@@ -44,18 +44,20 @@
 	return out
 }
 
-// TestShrunk shows that a planted fault is found, and that what is found is shrunk to the trouble it needs.
+// TestShrunk shows that a planted fault is found, and that what is found is shrunk to the fault it needs.
 func TestShrunk(t *testing.T) {
-	s := &Search{Decide: func(seed int64, terms map[string]any) controller.Decider { return heedless{planner.New(seed, terms)} }}
+	s := &Search{Decide: func(seed int64, terms map[string]any) controller.Decider {
+		return neverExcludes{planner.New(seed, terms)}
+	}}
 	d := Draw(7, 12)
 	d.Faults = append(d.Faults, scenario.Fault{What: "drain", At: 9e9, For: 8e9, Part: 0.3}, scenario.Fault{What: "burst", At: 4e9, For: 2e9, Size: 1.2},
 		scenario.Fault{What: "reconnect", At: 6e9, Part: 0.5})
-	d.order()
+	d.sortFaults()
 	f, err := s.Play(t.Context(), d)
 	require.NoError(t, err)
 	require.NotEmpty(t, f.Broken)
-	require.Greater(t, f.Near[audit.DrainsKept], 1.0)
-	f.Broken = []string{audit.DrainsKept.String() + ": planted"}
+	require.Greater(t, f.LimitFractions[audit.DrainDeadline], 1.0)
+	f.Broken = []string{audit.DrainDeadline.String() + ": planted"}
 	small, err := s.Shrink(t.Context(), f)
 	require.NoError(t, err)
 	require.Len(t, small.Draft.Faults, 1, "%s", small.Draft.Text())
@@ -71,9 +73,9 @@
 	f, err := s.Play(t.Context(), Draw(3, 12))
 	require.NoError(t, err)
 	best := f
-	for seed := uint64(1); seed < 6 && best.Near == f.Near; seed++ { // not every way up begins in a few steps
-		best, err = s.Climb(t.Context(), f, audit.ShortQueue, 10, seed)
+	for seed := uint64(1); seed < 6 && best.LimitFractions == f.LimitFractions; seed++ { // not every way up begins in a few steps
+		best, err = s.Climb(t.Context(), f, audit.ChannelQueue, 10, seed)
 		require.NoError(t, err)
 	}
-	assert.Greater(t, best.Near[audit.ShortQueue], f.Near[audit.ShortQueue])
+	assert.Greater(t, best.LimitFractions[audit.ChannelQueue], f.LimitFractions[audit.ChannelQueue])
 }
