--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -46,7 +46,7 @@
 				f.until(f.now + 50)
 				for _, v := range f.streams {
 					for _, e := range drained {
-						if v.follow.Open(0, e.Endpoint) {
+						if v.follow.Eligible(0, e.Endpoint) {
 							lastAt[v.name+" "+e.Endpoint] = f.now
 						}
 					}
@@ -97,7 +97,7 @@
 	for f.now < 75000 {
 		f.until(f.now + 50)
 		for _, v := range f.streams {
-			if slices.ContainsFunc(drained, func(e wire.Entry) bool { return v.follow.Open(0, e.Endpoint) }) {
+			if slices.ContainsFunc(drained, func(e wire.Entry) bool { return v.follow.Eligible(0, e.Endpoint) }) {
 				worst = f.now - 60300
 			}
 		}
@@ -145,10 +145,10 @@
 			for f.now < told+15000 {
 				f.until(f.now + 50)
 				for _, v := range f.streams {
-					if slices.ContainsFunc(drained, func(e wire.Entry) bool { return v.follow.Open(0, e.Endpoint) }) {
+					if slices.ContainsFunc(drained, func(e wire.Entry) bool { return v.follow.Eligible(0, e.Endpoint) }) {
 						last = f.now - told
 					}
-					if slices.ContainsFunc(entries, func(e wire.Entry) bool { return v.follow.Open(0, e.Endpoint) }) {
+					if slices.ContainsFunc(entries, func(e wire.Entry) bool { return v.follow.Eligible(0, e.Endpoint) }) {
 						delete(since, v.name)
 					} else if _, was := since[v.name]; !was {
 						since[v.name] = f.now
@@ -192,7 +192,7 @@
 	for f.now < told+10000 {
 		f.until(f.now + 50)
 		for _, v := range f.streams {
-			if slices.ContainsFunc(drained, func(e wire.Entry) bool { return v.follow.Open(0, e.Endpoint) }) {
+			if slices.ContainsFunc(drained, func(e wire.Entry) bool { return v.follow.Eligible(0, e.Endpoint) }) {
 				last = f.now - told
 			}
 		}
@@ -231,7 +231,7 @@
 	for f.now < 50000 {
 		f.until(f.now + 50)
 		for _, v := range f.streams {
-			if slices.ContainsFunc(drained, func(e wire.Entry) bool { return v.follow.Open(0, e.Endpoint) }) {
+			if slices.ContainsFunc(drained, func(e wire.Entry) bool { return v.follow.Eligible(0, e.Endpoint) }) {
 				worst = max(worst, f.now-max(30000, joined[v.name]))
 			}
 		}
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -26,7 +26,7 @@
 	fleet  *fleet
 	name   string
 	zone   string
-	follow *routing.Follower
+	follow *routing.Router
 }
 
 func (v *fleetProxy) Close(string) {}
@@ -159,8 +159,8 @@
 				holds = append(holds, e.Endpoint)
 			}
 		}
-		v.follow = routing.NewFollower(routing.Policy{Kinds: []string{"read"}}, holds, 1)
-		v.follow.Joined()
+		v.follow = routing.NewRouter(routing.Policy{Classes: []string{"read"}}, holds, 1)
+		v.follow.StreamJoined()
 		f.handle(ProxyJoined{v, wire.Hello{Proxy: v.name, Zone: v.zone, Rate: 2, Holds: holds}})
 	}
 }
@@ -170,7 +170,7 @@
 func (f *fleet) longestHeldMs(told, joined map[string]float64) (ms float64) {
 	for _, v := range f.streams {
 		for name, at := range told {
-			if v.follow != nil && v.follow.Open(0, name) {
+			if v.follow != nil && v.follow.Eligible(0, name) {
 				ms = max(ms, f.now-max(at, joined[v.name]))
 			}
 		}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -84,14 +84,14 @@
 	const name = "p"
 	book := eventlog.NewLog()
 	p := proxy.New(proxy.Options{
-		Name:     name,
-		Zone:     "a",
-		Habits:   routing.Policy{Kinds: []string{"read"}},
-		Rate:     1,
-		Standing: func() []string { return []string{"old:1"} },
-		Pilots:   addresses,
-		Dial:     (&net.Dialer{}).DialContext,
-		Redial:   20 * time.Millisecond,
+		Name:        name,
+		Zone:        "a",
+		Routing:     routing.Policy{Classes: []string{"read"}},
+		Rate:        1,
+		StaticTable: func() []string { return []string{"old:1"} },
+		Pilots:      addresses,
+		Dial:        (&net.Dialer{}).DialContext,
+		RedialPause: 20 * time.Millisecond,
 	}, book.Stream(name))
 	require.NoError(t, p.Start())
 	t.Cleanup(p.Kill)
--- a/internal/daemon/listchange_bench_test.go
+++ b/internal/daemon/listchange_bench_test.go
@@ -117,14 +117,14 @@
 func startBenchProxy(b *testing.B, d *Daemon, book *eventlog.Log, i int) *proxy.Proxy {
 	name := fmt.Sprintf("p%d", i)
 	p := proxy.New(proxy.Options{
-		Name:     name,
-		Zone:     zones[i%3],
-		Habits:   routing.Policy{Kinds: []string{"read"}},
-		Rate:     2,
-		Standing: func() []string { return nil },
-		Pilots:   func() []string { return []string{d.Address()} },
-		Dial:     (&net.Dialer{}).DialContext,
-		Redial:   50 * time.Millisecond,
+		Name:        name,
+		Zone:        zones[i%3],
+		Routing:     routing.Policy{Classes: []string{"read"}},
+		Rate:        2,
+		StaticTable: func() []string { return nil },
+		Pilots:      func() []string { return []string{d.Address()} },
+		Dial:        (&net.Dialer{}).DialContext,
+		RedialPause: 50 * time.Millisecond,
 	}, book.Stream(name))
 	require.NoError(b, p.Start())
 	return p
--- a/internal/daemon/transports_bench_test.go
+++ b/internal/daemon/transports_bench_test.go
@@ -71,7 +71,7 @@
 	}
 	if transport == "framed+tls" || transport == "grpc+tls" {
 		t.keyDir = b.TempDir()
-		t.source.Seal(t.keyStore(b, identity.Source, "-", "list").Server(identity.Pilot))
+		t.source.UseTLS(t.keyStore(b, identity.Source, "-", "list").Server(identity.Pilot))
 	}
 	require.NoError(b, t.source.Start())
 	b.Cleanup(func() { t.source.Close() })
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -18,7 +18,7 @@
 
 // scheduleClients has requests sent at their times. Each is drawn once the one before it has been sent.
 func (w *World) scheduleClients() {
-	load := loadgen.Of(w.Scenario)
+	load := loadgen.FromScenario(w.Scenario)
 	source := loadgen.NewSource(load)
 	number := uint64(0)
 	var scheduleNext func()
@@ -42,7 +42,7 @@
 	w         *World
 	number    uint64
 	request   loadgen.Request
-	class     *loadgen.Kind
+	class     *loadgen.RequestClass
 	startedAt float64 // ms
 	deadline  float64 // ms
 	attempts  int     // after the first
@@ -53,7 +53,7 @@
 
 // startRequest sends a request on behalf of a client.
 func (w *World) startRequest(number uint64, request loadgen.Request, load *loadgen.Load) {
-	class := &load.Kinds[request.Kind]
+	class := &load.Classes[request.Class]
 	w.result.Requests++
 	w.logEvent(clientsName, eventlog.Event{What: eventlog.Asked, Kind: class.Name, Req: number})
 	c := &clientRequest{
@@ -66,7 +66,7 @@
 		retries:   load.Retries,
 		backoffMs: milliseconds(load.Backoff),
 	}
-	w.clientDeadlines[request.Kind].add(c.deadline, c)
+	w.clientDeadlines[request.Class].add(c.deadline, c)
 	c.attempt()
 }
 
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -44,7 +44,7 @@
 	wakeNumber uint64  // of the last timer; earlier ones are void
 
 	// Overload while it warms up; once collapsed it answers nothing.
-	overload  endpoint.Push
+	overload  endpoint.WarmUpLoad
 	collapsed bool
 
 	// Load report: what is shown, what follows it with the lag, and the sums at the last one.
@@ -114,24 +114,24 @@
 		dedup[class.Name] = class.Repeats == repeatsUniqued
 	}
 	return endpoint.Model{
-		Name:         name,
-		Zone:         g.Zone,
-		Machine:      g.Machine,
-		Cores:        g.Cores,
-		Speed:        speed,
-		Queue:        g.Queue,
-		Conns:        g.MaxConnections,
-		HandshakeMs:  milliseconds(g.Handshake),
-		ReportEvery:  loadReportEvery,
-		ReportLag:    loadReportLag,
-		Noise:        s.NoisyReports,
-		Cold:         s.Cold,
-		ColdFrom:     s.ColdFrom,
-		FallMultiple: s.FallMultiple,
-		Fall:         s.Fall,
-		ComeBackMs:   endpointRetryMs,
-		Effects:      effects,
-		Dedup:        dedup,
+		Name:             name,
+		Zone:             g.Zone,
+		Machine:          g.Machine,
+		Cores:            g.Cores,
+		Speed:            speed,
+		QueueLimit:       g.Queue,
+		MaxConnections:   g.MaxConnections,
+		HandshakeMs:      milliseconds(g.Handshake),
+		ReportEvery:      loadReportEvery,
+		ReportLag:        loadReportLag,
+		ReportNoise:      s.NoisyReports,
+		WarmUp:           s.Cold,
+		WarmUpFrom:       s.ColdFrom,
+		OverloadMultiple: s.FallMultiple,
+		OverloadWindow:   s.Fall,
+		RetryAfterMs:     endpointRetryMs,
+		Effects:          effects,
+		Deduplicated:     dedup,
 	}
 }
 
@@ -172,7 +172,7 @@
 
 // warmth returns the fraction of its speed at which a process works, by its age and by how many requests are in flight.
 func (e *emulatedEndpoint) warmth(process *endpointProcess) float64 {
-	warmth := e.Warmth(process.cold, e.age(process))
+	warmth := e.SpeedFraction(process.cold, e.age(process))
 	excess := process.inFlight - e.Cores
 	if e.thrash > 0 && excess > 0 {
 		warmth /= 1 + e.thrash*float64(excess)
@@ -190,11 +190,11 @@
 	if process.connections[from] {
 		return true, 0
 	}
-	if len(process.connections) >= e.Conns {
+	if len(process.connections) >= e.MaxConnections {
 		return false, 0
 	}
 	process.connections[from] = true
-	costMs = e.HandshakeMs + e.fault.Shakes
+	costMs = e.HandshakeMs + e.fault.ExtraHandshakeMs
 	if costMs > 0 {
 		costMs /= e.Speed * e.warmth(process)
 		process.busyMs += costMs
@@ -218,8 +218,8 @@
 		Req:   t.request.Name,
 		Value: t.request.WorkMs,
 	})
-	faulty := e.fault.OnlyFor == "" || e.fault.OnlyFor == t.request.Kind
-	fails := faulty && e.fault.Errors > 0 && e.random.Float64() < e.fault.Errors
+	faulty := e.fault.OnlyClass == "" || e.fault.OnlyClass == t.request.Kind
+	fails := faulty && e.fault.ErrorFraction > 0 && e.random.Float64() < e.fault.ErrorFraction
 	hangs := faulty && e.fault.Hang
 	if e.overloaded(process, t.request.WorkMs) || hangs {
 		return
@@ -228,8 +228,8 @@
 		t.answer(wire.Errored, 0, process.load)
 		return
 	}
-	if process.inFlight >= e.Cores+e.Queue {
-		t.answer(wire.Denied, e.ComeBackMs, process.load)
+	if process.inFlight >= e.Cores+e.QueueLimit {
+		t.answer(wire.Denied, e.RetryAfterMs, process.load)
 		return
 	}
 	process.inFlight++
@@ -256,7 +256,7 @@
 	if process.collapsed || !process.cold {
 		return process.collapsed
 	}
-	over, fraction := process.overload.Over(&e.Model, e.age(process), workMs)
+	over, fraction := process.overload.Add(&e.Model, e.age(process), workMs)
 	process.collapsed = over
 	if over {
 		e.w.logEvent(e.Name, eventlog.Event{What: eventlog.Fell, N: e.starts, Value: fraction})
@@ -291,7 +291,7 @@
 	process.inFlight--
 	process.served++
 	isRepeat := false
-	if e.Dedup[t.request.Kind] {
+	if e.Deduplicated[t.request.Kind] {
 		isRepeat = e.completed[t.request.Name]
 		e.completed[t.request.Name] = true
 	}
--- a/internal/emulator/faults_endpoint.go
+++ b/internal/emulator/faults_endpoint.go
@@ -56,15 +56,15 @@
 }
 
 func (w *World) hang(fault scenario.Fault) {
-	w.setFaultMode(fault, endpoint.FaultMode{Hang: true, OnlyFor: fault.Kind})
+	w.setFaultMode(fault, endpoint.FaultMode{Hang: true, OnlyClass: fault.Kind})
 }
 
 func (w *World) failRequests(fault scenario.Fault) {
-	w.setFaultMode(fault, endpoint.FaultMode{Errors: fault.Size, OnlyFor: fault.Kind})
+	w.setFaultMode(fault, endpoint.FaultMode{ErrorFraction: fault.Size, OnlyClass: fault.Kind})
 }
 
 func (w *World) slowHandshakes(fault scenario.Fault) {
-	for _, e := range w.setFaultMode(fault, endpoint.FaultMode{Shakes: fault.Size}) {
+	for _, e := range w.setFaultMode(fault, endpoint.FaultMode{ExtraHandshakeMs: fault.Size}) {
 		w.dialDelayMs[e.Name] = milliseconds(fault.Extra)
 	}
 }
--- a/internal/emulator/forwarding.go
+++ b/internal/emulator/forwarding.go
@@ -63,7 +63,7 @@
 		return
 	}
 	class := p.w.classIndex[request.Kind]
-	process.follower.Came(class, request.Key)
+	process.follower.RequestArrived(class, request.Key)
 	if !process.follower.Admit(class) {
 		p.logRejected(request, rejectedByAdmission)
 		answer(rejection())
@@ -85,7 +85,7 @@
 
 // rejection is the answer to a request that has had no effect.
 func rejection() *wire.Answer {
-	return &wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.ComeBackMs}
+	return &wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.RetryAfterMs}
 }
 
 // sendNext picks an endpoint for the next attempt and sends it there.
@@ -98,7 +98,7 @@
 		r.fail()
 		return
 	}
-	follower.Sent(endpoint)
+	follower.AttemptStarted(endpoint)
 	r.tried = append(r.tried, endpoint)
 	r.process.proxy.logEvent(eventlog.Event{
 		What: eventlog.Send,
@@ -110,7 +110,7 @@
 	})
 	w.Attempts++
 	firstWaitMs := w.firstWaitFactor * w.targetsMs[r.class]
-	waitMs := routing.Patience(follower.Again(r.class), len(r.tried), r.deadline-w.now, firstWaitMs)
+	waitMs := routing.AttemptTimeout(follower.RetryMode(r.class), len(r.tried), r.deadline-w.now, firstWaitMs)
 	next := &attempt{request: r, endpoint: endpoint, startedAt: w.now}
 	w.attemptDeadlines[r.class].add(w.now+waitMs, next)
 	r.process.send(next, waitMs)
@@ -189,7 +189,7 @@
 	}
 	a.ended = true
 	now := pp.proxy.w.now
-	pp.follower.Back(now, a.endpoint, false, now-a.startedAt, nil)
+	pp.follower.AttemptFinished(now, a.endpoint, false, now-a.startedAt, nil)
 	a.request.retryOrEnd(wire.Denied)
 }
 
@@ -215,7 +215,7 @@
 		load = answer.Load
 	}
 	now := pp.proxy.w.now
-	pp.follower.Back(now, a.endpoint, outcome == wire.Fine, now-a.startedAt, load)
+	pp.follower.AttemptFinished(now, a.endpoint, outcome == wire.Fine, now-a.startedAt, load)
 	a.request.retryOrEnd(outcome)
 }
 
@@ -252,7 +252,7 @@
 // mayRetry returns whether another attempt may follow one that failed.
 func (r *proxyRequest) mayRetry(didNotRun bool) bool {
 	p := r.process.proxy
-	if !routing.TryFollows(r.process.follower.Again(r.class), len(r.tried), didNotRun) {
+	if !routing.RetryAllowed(r.process.follower.RetryMode(r.class), len(r.tried), didNotRun) {
 		return false
 	}
 	return p.w.now < r.deadline-deadlineToleranceMs && p.process == r.process
@@ -264,7 +264,7 @@
 		r.answer(rejection())
 		return
 	}
-	r.process.follower.Unanswered(r.class, r.request.Key)
+	r.process.follower.RequestUnanswered(r.class, r.request.Key)
 	r.answer(&wire.Answer{Outcome: wire.Errored})
 }
 
--- a/internal/emulator/loadreport.go
+++ b/internal/emulator/loadreport.go
@@ -51,4 +51,6 @@
 }
 
 // noise draws a factor around 1.
-func (e *emulatedEndpoint) noise() float64 { return math.Max(0, 1+e.Noise*e.random.NormFloat64()) }
+func (e *emulatedEndpoint) noise() float64 {
+	return math.Max(0, 1+e.ReportNoise*e.random.NormFloat64())
+}
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -31,7 +31,7 @@
 // proxyProcess is one process of a proxy.
 type proxyProcess struct {
 	proxy          *emulatedProxy
-	follower       *routing.Follower
+	follower       *routing.Router
 	random         *rand.Rand
 	stream         *stream // to a pilot; nil: none
 	reportRequest  routing.ReportRequest
@@ -49,9 +49,9 @@
 	p.starts++
 	process := &proxyProcess{
 		proxy:       p,
-		follower:    routing.NewFollower(p.policy, p.w.drawStaticTable(p.place.zone), p.seed+uint64(p.starts)),
+		follower:    routing.NewRouter(p.policy, p.w.drawStaticTable(p.place.zone), p.seed+uint64(p.starts)),
 		random:      rand.New(rand.NewPCG(p.seed, uint64(p.starts))),
-		loggedLines: make([]int, len(p.policy.Kinds)),
+		loggedLines: make([]int, len(p.policy.Classes)),
 		connections: map[string]*connection{},
 	}
 	for class := range process.loggedLines {
@@ -163,8 +163,8 @@
 
 // logLines logs how many endpoints the tables have for each request class, where that has changed.
 func (pp *proxyProcess) logLines() {
-	for class, name := range pp.proxy.policy.Kinds {
-		lines := pp.follower.Lines(class)
+	for class, name := range pp.proxy.policy.Classes {
+		lines := pp.follower.EligibleCount(class)
 		if lines == pp.loggedLines[class] {
 			continue
 		}
@@ -222,12 +222,12 @@
 		Boot:    uint64(p.starts),
 		Rate:    p.rate,
 		Fresh:   pp.follower.Fresh(),
-		Holds:   pp.follower.Holds(),
-		Tables:  pp.follower.Tables(),
+		Holds:   pp.follower.Endpoints(),
+		Tables:  pp.follower.HeldTables(),
 	}
 	pp.stream = &stream{w: p.w, process: pp, pilot: pilot, pilotProcess: pilot.process}
 	pilot.streams[pp.stream] = true
-	pp.follower.Joined()
+	pp.follower.StreamJoined()
 	pp.reportRequest = routing.ReportRequest{}
 	p.logEvent(eventlog.Event{What: eventlog.Join, Peer: pilot.place.name, Kind: p.place.zone})
 	pilot.post(controller.ProxyJoined{Stream: pp.stream, Hello: hello})
@@ -242,7 +242,7 @@
 		if pp.stream != s {
 			return
 		}
-		sums := pp.follower.Sums(pp.proxy.w.now, pp.reportRequest)
+		sums := pp.follower.Report(pp.proxy.w.now, pp.reportRequest)
 		s.sendUp(func() { s.pilot.report(s, sums) })
 		pp.scheduleReport(s, pp.reportPeriodMs/pp.proxy.reportFactor)
 	})
@@ -292,7 +292,7 @@
 		return
 	}
 	held := map[string]bool{}
-	for _, name := range pp.follower.Holds() {
+	for _, name := range pp.follower.Endpoints() {
 		held[name] = true
 	}
 	for name, c := range pp.connections {
--- a/internal/rehearsal/faults_endpoint.go
+++ b/internal/rehearsal/faults_endpoint.go
@@ -76,15 +76,15 @@
 }
 
 func (s *stage) hang(ctx context.Context, fault scenario.Fault) error {
-	return s.setFaultMode(ctx, fault, endpoint.FaultMode{Hang: true, OnlyFor: fault.Kind})
+	return s.setFaultMode(ctx, fault, endpoint.FaultMode{Hang: true, OnlyClass: fault.Kind})
 }
 
 func (s *stage) failRequests(ctx context.Context, fault scenario.Fault) error {
-	return s.setFaultMode(ctx, fault, endpoint.FaultMode{Errors: fault.Size, OnlyFor: fault.Kind})
+	return s.setFaultMode(ctx, fault, endpoint.FaultMode{ErrorFraction: fault.Size, OnlyClass: fault.Kind})
 }
 
 func (s *stage) answerTwice(ctx context.Context, fault scenario.Fault) error {
-	return s.setFaultMode(ctx, fault, endpoint.FaultMode{Twice: true})
+	return s.setFaultMode(ctx, fault, endpoint.FaultMode{AnswerTwice: true})
 }
 
 func (s *stage) slowHandshakes(ctx context.Context, fault scenario.Fault) error {
@@ -92,7 +92,7 @@
 	for _, e := range struck {
 		s.network.SlowDial(e.Name, fault.Extra)
 	}
-	s.setFaultModeOf(ctx, fault, endpoint.FaultMode{Shakes: fault.Size}, struck)
+	s.setFaultModeOf(ctx, fault, endpoint.FaultMode{ExtraHandshakeMs: fault.Size}, struck)
 	return nil
 }
 
--- a/internal/rehearsal/faults_proxy.go
+++ b/internal/rehearsal/faults_proxy.go
@@ -38,7 +38,7 @@
 
 func (s *stage) reconnectProxies(_ context.Context, fault scenario.Fault) error {
 	for _, p := range s.faultProxies(fault) {
-		p.Drop()
+		p.DropStream()
 	}
 	return nil
 }
@@ -47,7 +47,7 @@
 func (s *stage) isolateProxies(ctx context.Context, fault scenario.Fault) error {
 	isolate := func(p *proxy.Proxy) {
 		s.isolated[p.Name].Store(true)
-		p.Drop()
+		p.DropStream()
 	}
 	return s.strikeProxies(ctx, fault, isolate, func(p *proxy.Proxy) { s.isolated[p.Name].Store(false) })
 }
--- a/internal/rehearsal/keys.go
+++ b/internal/rehearsal/keys.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	s.registry.Seal(keys.Server(identity.Pilot))
+	s.registry.UseTLS(keys.Server(identity.Pilot))
 	return nil
 }
 
--- a/internal/rehearsal/play.go
+++ b/internal/rehearsal/play.go
@@ -94,7 +94,7 @@
 	for _, proxy := range s.proxies {
 		addresses = append(addresses, proxy.Address())
 	}
-	load := loadgen.Of(s.Scenario)
+	load := loadgen.FromScenario(s.Scenario)
 
 	// Each fault has a goroutine of its own, which ends with the fault or with ctx.
 	var faults sync.WaitGroup
--- a/internal/rehearsal/proxies.go
+++ b/internal/rehearsal/proxies.go
@@ -41,9 +41,9 @@
 	}
 	options := s.proxyOptions(name, zone, number)
 	options.Pilots = func() []string { return s.reachablePilots(zone, number, isolated, overGRPC) }
-	options.Join = join
-	options.MuteReads = muted.Load
-	options.Reports = func() float64 { return float64(reportFactor.Load()) / factorUnit }
+	options.NewJoiner = join
+	options.StopReading = muted.Load
+	options.ReportFactor = func() float64 { return float64(reportFactor.Load()) / factorUnit }
 	added := proxy.New(options, s.eventLog.Stream(name))
 	if err := added.Start(); err != nil {
 		return err
@@ -63,24 +63,24 @@
 	return proxy.Options{
 		Name: name,
 		Zone: zone,
-		Habits: routing.Policy{
-			Kinds:       s.Scenario.ClassNames(),
-			Pick:        s.Scenario.Pick,
-			EjectsAfter: s.Scenario.EjectsAfter,
-			EjectMs:     float64(s.Scenario.EjectFor.Milliseconds()),
-			TryAgain:    s.Scenario.RetryHow,
+		Routing: routing.Policy{
+			Classes:    s.Scenario.ClassNames(),
+			Algorithm:  s.Scenario.Pick,
+			EjectAfter: s.Scenario.EjectsAfter,
+			EjectionMs: float64(s.Scenario.EjectFor.Milliseconds()),
+			RetryMode:  s.Scenario.RetryHow,
 		},
-		Rate:         s.Scenario.Rate / float64(len(s.Scenario.ProxyZones)),
-		Standing:     func() []string { return s.drawStaticTable(zone) },
-		Dial:         s.network.Dialer(network.Place{Name: name, Zone: zone}, proxyDialTimeout),
-		DialTimeout:  endpointDialTimeout,
-		Redial:       s.Scenario.Redial,
-		ApplyPerLine: s.Scenario.Apply,
-		FirstWait:    s.Scenario.FirstWait,
-		Targets:      targets,
-		Limits:       limits,
-		Seed:         uint64(s.Scenario.Seed*proxySeedStep + number),
-		Heedless:     slices.Contains(s.Scenario.IgnoresPace, name),
+		Rate:                 s.Scenario.Rate / float64(len(s.Scenario.ProxyZones)),
+		StaticTable:          func() []string { return s.drawStaticTable(zone) },
+		Dial:                 s.network.Dialer(network.Place{Name: name, Zone: zone}, proxyDialTimeout),
+		DialTimeout:          endpointDialTimeout,
+		RedialPause:          s.Scenario.Redial,
+		ApplyPerLine:         s.Scenario.Apply,
+		FirstAttemptShare:    s.Scenario.FirstWait,
+		LatencyObjectives:    targets,
+		ClientTimeouts:       limits,
+		Seed:                 uint64(s.Scenario.Seed*proxySeedStep + number),
+		IgnoreReportRequests: slices.Contains(s.Scenario.IgnoresPace, name),
 	}
 }
 
--- a/internal/rehearsal/slices.go
+++ b/internal/rehearsal/slices.go
@@ -28,7 +28,7 @@
 		Lines: []wire.HeldLine{{Endpoint: owner, Weight: 1}},
 	}
 	s.ownLog.Add(eventlog.Event{What: eventlog.Given, Peer: owner, N: slice, Text: assignment.From})
-	s.registry.Give(assignment)
+	s.registry.AssignSlice(assignment)
 }
 
 // moveSlices gives the slices of some endpoints to the others, in turn.
--- a/recovery/world_check_test.go
+++ b/recovery/world_check_test.go
@@ -18,7 +18,7 @@
 		return "an effect was ordered twice"
 	}
 	for k, p := range w.proxies {
-		if p.follower.Lines(0) == 0 {
+		if p.follower.EligibleCount(0) == 0 {
 			return fmt.Sprintf("p%d has no line", k)
 		}
 	}
@@ -40,9 +40,9 @@
 		return fmt.Sprintf("%d processes run the pilot in the end", running)
 	}
 	for k, p := range w.proxies {
-		usesDrained := w.listChanges > 0 && p.follower.Open(0, "e0")
-		if p.joined < 0 || usesDrained || !p.follower.Open(0, "e1") {
-			return fmt.Sprintf("p%d is at %d and may pick from %v in the end", k, p.joined, p.follower.Holds())
+		usesDrained := w.listChanges > 0 && p.follower.Eligible(0, "e0")
+		if p.joined < 0 || usesDrained || !p.follower.Eligible(0, "e1") {
+			return fmt.Sprintf("p%d is at %d and may pick from %v in the end", k, p.joined, p.follower.Endpoints())
 		}
 	}
 	return ""
@@ -68,7 +68,7 @@
 }
 
 func (p *proxy) signature() string {
-	s := fmt.Sprintf("%d %v %v %v", p.joined, p.follower.Tables(), p.follower.Open(0, "e0"), p.follower.Open(0, "e1"))
+	s := fmt.Sprintf("%d %v %v %v", p.joined, p.follower.HeldTables(), p.follower.Eligible(0, "e0"), p.follower.Eligible(0, "e1"))
 	for _, commands := range p.incoming {
 		s += fmt.Sprint(commands.Ops)
 	}
--- a/recovery/world_steps_test.go
+++ b/recovery/world_steps_test.go
@@ -156,12 +156,12 @@
 		Zone:    "a",
 		Rate:    1,
 		Fresh:   p.follower.Fresh(),
-		Holds:   p.follower.Holds(),
-		Tables:  p.follower.Tables(),
+		Holds:   p.follower.Endpoints(),
+		Tables:  p.follower.HeldTables(),
 	}
 	p.joined = i
 	p.stream = &stream{world: w, process: i, proxy: k}
-	p.follower.Joined()
+	p.follower.StreamJoined()
 	w.feed(i, controller.ProxyJoined{Stream: p.stream, Hello: hello})
 }
 
--- a/recovery/world_test.go
+++ b/recovery/world_test.go
@@ -33,7 +33,7 @@
 
 // proxy follows whoever has its stream.
 type proxy struct {
-	follower *routing.Follower
+	follower *routing.Router
 	joined   int // a process, -1 none
 	incoming []*wire.Orders
 	stream   *stream
@@ -106,8 +106,8 @@
 	}
 	w.processes[successorIndex] = &process{alive: true, successor: recovery.NewSuccessor(), action: recovery.Nothing}
 	for i := range w.proxies {
-		habits := routing.Policy{Kinds: []string{"read"}}
-		follower := routing.NewFollower(habits, []string{"e0", "e1"}, uint64(i))
+		habits := routing.Policy{Classes: []string{"read"}}
+		follower := routing.NewRouter(habits, []string{"e0", "e1"}, uint64(i))
 		w.proxies[i] = &proxy{joined: -1, follower: follower}
 	}
 	w.startController(predecessorIndex)
