--- a/cmd/indigousher/kill_test.go
+++ b/cmd/indigousher/kill_test.go
@@ -97,9 +97,9 @@
 	book := eventlog.NewLog()
 	for i := range 3 {
 		name := fmt.Sprint("p", i)
-		p := proxy.New(proxy.Options{Name: name, Zone: "a", Habits: routing.Policy{Kinds: []string{"read"}}, Rate: 1,
-			Standing: func() []string { return []string{"127.0.0.1:9000"} }, Pilots: func() []string { return []string{w.listen} },
-			Dial: (&net.Dialer{}).DialContext, Redial: 20 * time.Millisecond}, book.Stream(name))
+		p := proxy.New(proxy.Options{Name: name, Zone: "a", Routing: routing.Policy{Classes: []string{"read"}}, Rate: 1,
+			StaticTable: func() []string { return []string{"127.0.0.1:9000"} }, Pilots: func() []string { return []string{w.listen} },
+			Dial: (&net.Dialer{}).DialContext, RedialPause: 20 * time.Millisecond}, book.Stream(name))
 		require.NoError(w.t, p.Start())
 		w.t.Cleanup(p.Kill)
 	}
--- a/cmd/indigousher/silence_test.go
+++ b/cmd/indigousher/silence_test.go
@@ -67,7 +67,7 @@
 	}
 	s := &silentSite{t: t}
 	var err error
-	s.relay, err = relay.Start(relay.Config{Proxies: proxies, Standing: standing, LinesPerS: 800, HeadLines: 4,
+	s.relay, err = relay.Start(relay.Config{Proxies: proxies, StaticTable: standing, LinesPerSecond: 800, OverheadLines: 4,
 		Transit: 150 * time.Millisecond})
 	require.NoError(t, err)
 	t.Cleanup(s.relay.Close)
@@ -103,7 +103,7 @@
 func (s *silentSite) settle() {
 	require.Eventually(s.t, func() bool {
 		waiting, _ := s.relay.Waiting()
-		return s.relay.Bound() == silenceProxies && waiting == 0
+		return s.relay.AssignedCount() == silenceProxies && waiting == 0
 	}, 30*time.Second, 10*time.Millisecond, "all are bound")
 }
 
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -30,7 +30,7 @@
 	t      *town
 	name   string
 	zone   string
-	follow *routing.Follower
+	follow *routing.Router
 }
 
 func (v *villager) Close(string) {}
@@ -134,8 +134,8 @@
 				holds = append(holds, e.Endpoint)
 			}
 		}
-		v.follow = routing.NewFollower(routing.Policy{Kinds: []string{"read"}}, holds, 1)
-		v.follow.Joined()
+		v.follow = routing.NewRouter(routing.Policy{Classes: []string{"read"}}, holds, 1)
+		v.follow.StreamJoined()
 		t.handle(ProxyJoined{v, wire.Hello{Proxy: v.name, Zone: v.zone, Rate: 2, Holds: holds}})
 	}
 }
@@ -145,7 +145,7 @@
 func (t *town) longest(told, joined map[string]float64) (ms float64) {
 	for _, v := range t.streams {
 		for name, at := range told {
-			if v.follow != nil && v.follow.Open(0, name) {
+			if v.follow != nil && v.follow.Eligible(0, name) {
 				ms = max(ms, t.now-max(at, joined[v.name]))
 			}
 		}
@@ -188,7 +188,7 @@
 				w.until(w.now + 50)
 				for _, v := range w.streams {
 					for _, e := range drained {
-						if v.follow.Open(0, e.Endpoint) {
+						if v.follow.Eligible(0, e.Endpoint) {
 							lastAt[v.name+" "+e.Endpoint] = w.now
 						}
 					}
@@ -239,7 +239,7 @@
 	for w.now < 75000 {
 		w.until(w.now + 50)
 		for _, v := range w.streams {
-			if slices.ContainsFunc(drained, func(e wire.Entry) bool { return v.follow.Open(0, e.Endpoint) }) {
+			if slices.ContainsFunc(drained, func(e wire.Entry) bool { return v.follow.Eligible(0, e.Endpoint) }) {
 				worst = w.now - 60300
 			}
 		}
@@ -285,10 +285,10 @@
 			for w.now < told+15000 {
 				w.until(w.now + 50)
 				for _, v := range w.streams {
-					if slices.ContainsFunc(drained, func(e wire.Entry) bool { return v.follow.Open(0, e.Endpoint) }) {
+					if slices.ContainsFunc(drained, func(e wire.Entry) bool { return v.follow.Eligible(0, e.Endpoint) }) {
 						last = w.now - told
 					}
-					if slices.ContainsFunc(entries, func(e wire.Entry) bool { return v.follow.Open(0, e.Endpoint) }) {
+					if slices.ContainsFunc(entries, func(e wire.Entry) bool { return v.follow.Eligible(0, e.Endpoint) }) {
 						delete(since, v.name)
 					} else if _, was := since[v.name]; !was {
 						since[v.name] = w.now
@@ -331,7 +331,7 @@
 	for w.now < told+10000 {
 		w.until(w.now + 50)
 		for _, v := range w.streams {
-			if slices.ContainsFunc(drained, func(e wire.Entry) bool { return v.follow.Open(0, e.Endpoint) }) {
+			if slices.ContainsFunc(drained, func(e wire.Entry) bool { return v.follow.Eligible(0, e.Endpoint) }) {
 				last = w.now - told
 			}
 		}
@@ -370,7 +370,7 @@
 	for w.now < 50000 {
 		w.until(w.now + 50)
 		for _, v := range w.streams {
-			if slices.ContainsFunc(drained, func(e wire.Entry) bool { return v.follow.Open(0, e.Endpoint) }) {
+			if slices.ContainsFunc(drained, func(e wire.Entry) bool { return v.follow.Eligible(0, e.Endpoint) }) {
 				worst = max(worst, w.now-max(30000, joined[v.name]))
 			}
 		}
--- a/internal/controller/hostile_test.go
+++ b/internal/controller/hostile_test.go
@@ -114,7 +114,7 @@
 				}
 				open := 0
 				for e := range 9 {
-					if v.follow.Open(0, fmt.Sprint("e", e)) {
+					if v.follow.Eligible(0, fmt.Sprint("e", e)) {
 						open++
 					}
 				}
@@ -126,7 +126,7 @@
 			w.handle(listed(false, e))
 			w.until(w.now + 2000)
 			for _, v := range good {
-				assert.False(t, v.follow.Open(0, "e4"), "%s after a drain", v.name)
+				assert.False(t, v.follow.Eligible(0, "e4"), "%s after a drain", v.name)
 			}
 		})
 	}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -73,9 +73,9 @@
 // following starts a proxy of the stand-ins that follows a pilot.
 func following(t *testing.T, name string, pilots func() []string) *eventlog.Log {
 	book := eventlog.NewLog()
-	p := proxy.New(proxy.Options{Name: name, Zone: "a", Habits: routing.Policy{Kinds: []string{"read"}}, Rate: 1,
-		Standing: func() []string { return []string{"old:1"} }, Pilots: pilots, Dial: (&net.Dialer{}).DialContext,
-		Redial: 20 * time.Millisecond}, book.Stream(name))
+	p := proxy.New(proxy.Options{Name: name, Zone: "a", Routing: routing.Policy{Classes: []string{"read"}}, Rate: 1,
+		StaticTable: func() []string { return []string{"old:1"} }, Pilots: pilots, Dial: (&net.Dialer{}).DialContext,
+		RedialPause: 20 * time.Millisecond}, book.Stream(name))
 	require.NoError(t, p.Start())
 	t.Cleanup(p.Kill)
 	return book
--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -62,9 +62,9 @@
 			stop, ended := runB(b, d)
 			for i := range manyProxies {
 				name := fmt.Sprintf("p%d", i)
-				p := proxy.New(proxy.Options{Name: name, Zone: zones[i%3], Habits: routing.Policy{Kinds: []string{"read"}}, Rate: 2,
-					Standing: func() []string { return nil }, Pilots: func() []string { return []string{d.Address()} },
-					Dial: (&net.Dialer{}).DialContext, Redial: 50 * time.Millisecond}, book.Stream(name))
+				p := proxy.New(proxy.Options{Name: name, Zone: zones[i%3], Routing: routing.Policy{Classes: []string{"read"}}, Rate: 2,
+					StaticTable: func() []string { return nil }, Pilots: func() []string { return []string{d.Address()} },
+					Dial: (&net.Dialer{}).DialContext, RedialPause: 50 * time.Millisecond}, book.Stream(name))
 				require.NoError(b, p.Start())
 				defer p.Kill()
 			}
--- a/internal/daemon/transports_test.go
+++ b/internal/daemon/transports_test.go
@@ -158,7 +158,7 @@
 	if sealed {
 		ring, err := identity.Load(issue(identity.Source, "-", "list"), nil)
 		require.NoError(b, err)
-		l.Seal(ring.Server(identity.Pilot))
+		l.UseTLS(ring.Server(identity.Pilot))
 		t.Keys = issue(identity.Pilot, "a", t.Name)
 	}
 	require.NoError(b, l.Start())
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -38,7 +38,7 @@
 	inHand  int
 	busy    float64 // core-ms
 	served  float64
-	push    endpoint.Push
+	push    endpoint.WarmUpLoad
 	fallen  bool
 	load    []wire.Figure
 	late    []wire.Figure
@@ -73,7 +73,7 @@
 }
 
 func (m *machine) warmth(r *running) float64 {
-	w := m.Warmth(r.cold, time.Duration((m.w.now-r.since)*float64(time.Millisecond)))
+	w := m.SpeedFraction(r.cold, time.Duration((m.w.now-r.since)*float64(time.Millisecond)))
 	if over := r.inHand - m.Cores; m.thrash > 0 && over > 0 {
 		w /= 1 + m.thrash*float64(over)
 	}
@@ -87,7 +87,7 @@
 		if m.run != r {
 			return
 		}
-		noise := func() float64 { return math.Max(0, 1+m.Noise*m.rnd.NormFloat64()) }
+		noise := func() float64 { return math.Max(0, 1+m.ReportNoise*m.rnd.NormFloat64()) }
 		if m.sharing {
 			m.share(r)
 		}
@@ -113,11 +113,11 @@
 	if r.conns[from] {
 		return true, 0
 	}
-	if len(r.conns) >= m.Conns {
+	if len(r.conns) >= m.MaxConnections {
 		return false, 0
 	}
 	r.conns[from] = true
-	cost := m.HandshakeMs + m.mood.Shakes
+	cost := m.HandshakeMs + m.mood.ExtraHandshakeMs
 	if cost > 0 {
 		cost /= m.Speed * m.warmth(r)
 		r.busy += cost
@@ -132,8 +132,8 @@
 		return
 	}
 	m.w.note(m.Name, eventlog.Event{What: eventlog.Arrive, Peer: t.req.From, Kind: t.req.Kind, Req: t.req.Name, Value: t.req.WorkMs})
-	struck := m.mood.OnlyFor == "" || m.mood.OnlyFor == t.req.Kind
-	fails := struck && m.mood.Errors > 0 && m.rnd.Float64() < m.mood.Errors
+	struck := m.mood.OnlyClass == "" || m.mood.OnlyClass == t.req.Kind
+	fails := struck && m.mood.ErrorFraction > 0 && m.rnd.Float64() < m.mood.ErrorFraction
 	if m.pushed(r, t.req.WorkMs) || m.mood.Hang && struck {
 		return
 	}
@@ -141,8 +141,8 @@
 	case fails:
 		t.answer(wire.Errored, 0, r.load)
 		return
-	case r.inHand >= m.Cores+m.Queue:
-		t.answer(wire.Denied, m.ComeBackMs, r.load)
+	case r.inHand >= m.Cores+m.QueueLimit:
+		t.answer(wire.Denied, m.RetryAfterMs, r.load)
 		return
 	}
 	r.inHand++
@@ -164,7 +164,7 @@
 	if r.fallen || !r.cold {
 		return r.fallen
 	}
-	over, part := r.push.Over(&m.Model, time.Duration((m.w.now-r.since)*float64(time.Millisecond)), work)
+	over, part := r.push.Add(&m.Model, time.Duration((m.w.now-r.since)*float64(time.Millisecond)), work)
 	if r.fallen = over; over {
 		m.w.note(m.Name, eventlog.Event{What: eventlog.Fell, N: m.starts, Value: part})
 	}
@@ -247,8 +247,8 @@
 func (m *machine) finish(r *running, t *task) {
 	r.inHand--
 	r.served++
-	repeat := m.Dedup[t.req.Kind] && m.ledger[t.req.Name]
-	if m.Dedup[t.req.Kind] {
+	repeat := m.Deduplicated[t.req.Kind] && m.ledger[t.req.Name]
+	if m.Deduplicated[t.req.Kind] {
 		m.ledger[t.req.Name] = true
 	}
 	if m.Effects[t.req.Kind] && !repeat {
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -29,7 +29,7 @@
 // plainLife is one process.
 type plainLife struct {
 	p      *plain
-	follow *routing.Follower
+	follow *routing.Router
 	stream *stream
 	lines  []int
 	rnd    *rand.Rand
@@ -69,8 +69,8 @@
 
 func (p *plain) start() {
 	p.boots++
-	li := &plainLife{p: p, follow: routing.NewFollower(p.habits, p.w.standing(p.place.zone), p.seed+uint64(p.boots)),
-		lines: make([]int, len(p.habits.Kinds)), rnd: rand.New(rand.NewPCG(p.seed, uint64(p.boots))), conns: map[string]*conn{}}
+	li := &plainLife{p: p, follow: routing.NewRouter(p.habits, p.w.standing(p.place.zone), p.seed+uint64(p.boots)),
+		lines: make([]int, len(p.habits.Classes)), rnd: rand.New(rand.NewPCG(p.seed, uint64(p.boots))), conns: map[string]*conn{}}
 	for k := range li.lines {
 		li.lines[k] = -1
 	}
@@ -118,8 +118,8 @@
 }
 
 func (li *plainLife) showLines() {
-	for k, name := range li.p.habits.Kinds {
-		if n := li.follow.Lines(k); n != li.lines[k] {
+	for k, name := range li.p.habits.Classes {
+		if n := li.follow.EligibleCount(k); n != li.lines[k] {
 			li.lines[k] = n
 			li.p.w.note(li.p.place.name, eventlog.Event{What: eventlog.Lines, Kind: name, N: n})
 		}
@@ -158,10 +158,10 @@
 func (li *plainLife) join(to *seat) {
 	p := li.p
 	hello := wire.Hello{Version: wire.Version, Proxy: p.place.name, Zone: p.place.zone, Boot: uint64(p.boots), Rate: p.rate,
-		Fresh: li.follow.Fresh(), Holds: li.follow.Holds(), Tables: li.follow.Tables()}
+		Fresh: li.follow.Fresh(), Holds: li.follow.Endpoints(), Tables: li.follow.HeldTables()}
 	li.stream = &stream{w: p.w, li: li, to: to, run: to.run}
 	to.streams[li.stream] = true
-	li.follow.Joined()
+	li.follow.StreamJoined()
 	li.wish = routing.ReportRequest{}
 	p.w.note(p.place.name, eventlog.Event{What: eventlog.Join, Peer: to.place.name, Kind: p.place.zone})
 	to.post(controller.ProxyJoined{Stream: li.stream, Hello: hello})
@@ -175,7 +175,7 @@
 		if li.stream != s {
 			return
 		}
-		sums := li.follow.Sums(li.p.w.now, li.wish)
+		sums := li.follow.Report(li.p.w.now, li.wish)
 		s.up(func() { s.to.report(s, sums) })
 		li.report(s, li.period/li.p.reports)
 	})
@@ -212,7 +212,7 @@
 		return
 	}
 	held := map[string]bool{}
-	for _, name := range li.follow.Holds() {
+	for _, name := range li.follow.Endpoints() {
 		held[name] = true
 	}
 	for name, c := range li.conns {
@@ -237,10 +237,10 @@
 		return
 	}
 	kind := p.w.kind[req.Kind]
-	li.follow.Came(kind, req.Key)
+	li.follow.RequestArrived(kind, req.Key)
 	if !li.follow.Admit(kind) {
 		p.w.note(p.place.name, eventlog.Event{What: eventlog.Refuse, Kind: req.Kind, Req: req.Name, Text: "level"})
-		answer(&wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.ComeBackMs})
+		answer(&wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.RetryAfterMs})
 		return
 	}
 	u := &reqUnder{li: li, req: req, kind: kind, answer: answer, until: p.w.now + min(limit, p.w.limits[kind])}
@@ -256,11 +256,11 @@
 		u.end()
 		return
 	}
-	li.follow.Sent(name)
+	li.follow.AttemptStarted(name)
 	u.tried = append(u.tried, name)
 	p.w.note(p.place.name, eventlog.Event{What: eventlog.Send, Peer: name, Kind: u.req.Kind, Req: u.req.Name, Text: u.req.Key, N: len(u.tried)})
 	p.w.Tries++
-	wait := routing.Patience(li.follow.Again(u.kind), len(u.tried), u.until-p.w.now, p.w.firstWait*p.w.targets[u.kind])
+	wait := routing.AttemptTimeout(li.follow.RetryMode(u.kind), len(u.tried), u.until-p.w.now, p.w.firstWait*p.w.targets[u.kind])
 	t := &try{req: u, name: name, start: p.w.now}
 	p.w.waits[u.kind].add(p.w.now+wait, t)
 	li.send(t, wait)
@@ -326,7 +326,7 @@
 		return
 	}
 	t.over = true
-	li.follow.Back(li.p.w.now, t.name, false, li.p.w.now-t.start, nil)
+	li.follow.AttemptFinished(li.p.w.now, t.name, false, li.p.w.now-t.start, nil)
 	t.req.after(wire.Denied)
 }
 
@@ -349,7 +349,7 @@
 	if a != nil {
 		outcome, load = a.Outcome, a.Load
 	}
-	li.follow.Back(li.p.w.now, t.name, outcome == wire.Fine, li.p.w.now-t.start, load)
+	li.follow.AttemptFinished(li.p.w.now, t.name, outcome == wire.Fine, li.p.w.now-t.start, load)
 	t.req.after(outcome)
 }
 
@@ -362,7 +362,7 @@
 	}
 	proof := outcome == wire.Denied
 	u.ran = u.ran || !proof
-	if !routing.TryFollows(u.li.follow.Again(u.kind), len(u.tried), proof) || w.now >= u.until-1e-6 || u.li.p.life != u.li {
+	if !routing.RetryAllowed(u.li.follow.RetryMode(u.kind), len(u.tried), proof) || w.now >= u.until-1e-6 || u.li.p.life != u.li {
 		u.end()
 		return
 	}
@@ -371,10 +371,10 @@
 
 func (u *reqUnder) end() {
 	if !u.ran {
-		u.answer(&wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.ComeBackMs})
+		u.answer(&wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.RetryAfterMs})
 		return
 	}
-	u.li.follow.Unanswered(u.kind, u.req.Key)
+	u.li.follow.RequestUnanswered(u.kind, u.req.Key)
 	u.answer(&wire.Answer{Outcome: wire.Errored})
 }
 
@@ -416,7 +416,7 @@
 func (s *stream) Ask(m *wire.Pace) error {
 	s.w.ways.carry(s.to.place, s.li.p.place, func() {
 		if !s.ended && s.li.p.heed {
-			s.li.wish = routing.ReportRequest{Lines: m.Lines, Changes: m.Changes}
+			s.li.wish = routing.ReportRequest{MaxEndpoints: m.Lines, ChangesOnly: m.Changes}
 			s.li.period = math.Max(1, float64(m.PeriodMs))
 		}
 	})
--- a/internal/emulator/trouble.go
+++ b/internal/emulator/trouble.go
@@ -62,11 +62,11 @@
 	for _, m := range struck {
 		switch t.What {
 		case "hang":
-			m.mood = endpoint.FaultMode{Hang: true, OnlyFor: t.Kind}
+			m.mood = endpoint.FaultMode{Hang: true, OnlyClass: t.Kind}
 		case "fast_errors", "class_fail":
-			m.mood = endpoint.FaultMode{Errors: t.Size, OnlyFor: t.Kind}
+			m.mood = endpoint.FaultMode{ErrorFraction: t.Size, OnlyClass: t.Kind}
 		case "handshake_slow":
-			m.mood = endpoint.FaultMode{Shakes: t.Size}
+			m.mood = endpoint.FaultMode{ExtraHandshakeMs: t.Size}
 			w.slowDial[m.Name] = ms(t.Extra)
 		case "pause":
 			m.pausing = w.now + ms(t.For)
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -212,8 +212,8 @@
 	for i, z := range d.ProxyZones {
 		p := &plain{w: w, place: place{fmt.Sprintf("proxy-%s-%d", z, counts[z]), z}, rate: d.Rate / float64(len(d.ProxyZones)),
 			home: i, seed: uint64(d.Seed*1000 + i), reports: 1, heed: true,
-			habits: routing.Policy{Kinds: d.ClassNames(), Pick: d.Pick, EjectsAfter: d.EjectsAfter, EjectMs: ms(d.EjectFor),
-				TryAgain: d.RetryHow}}
+			habits: routing.Policy{Classes: d.ClassNames(), Algorithm: d.Pick, EjectAfter: d.EjectsAfter, EjectionMs: ms(d.EjectFor),
+				RetryMode: d.RetryHow}}
 		p.heed = !slices.Contains(d.Heedless, p.place.name)
 		counts[z]++
 		w.proxies = append(w.proxies, p)
@@ -237,10 +237,10 @@
 		effects[k.Name], dedup[k.Name] = k.Repeats != "replayable", k.Repeats == "uniqued"
 	}
 	m := &machine{w: w, place: place{name, g.Zone}, sharing: g.Discipline == "sharing", thrash: g.Thrash, ledger: map[uint64]bool{},
-		Model: endpoint.Model{Name: name, Zone: g.Zone, Machine: g.Machine, Cores: g.Cores, Speed: speed, Queue: g.Queue, Conns: g.Conns,
-			HandshakeMs: ms(g.Handshake), ReportEvery: 400 * time.Millisecond, ReportLag: 200 * time.Millisecond, Noise: w.Scenario.NoisyReports,
-			Cold: w.Scenario.Cold, ColdFrom: w.Scenario.ColdFrom, FallMultiple: w.Scenario.FallMultiple, Fall: w.Scenario.Fall, ComeBackMs: 200,
-			Effects: effects, Dedup: dedup}}
+		Model: endpoint.Model{Name: name, Zone: g.Zone, Machine: g.Machine, Cores: g.Cores, Speed: speed, QueueLimit: g.Queue, MaxConnections: g.Conns,
+			HandshakeMs: ms(g.Handshake), ReportEvery: 400 * time.Millisecond, ReportLag: 200 * time.Millisecond, ReportNoise: w.Scenario.NoisyReports,
+			WarmUp: w.Scenario.Cold, WarmUpFrom: w.Scenario.ColdFrom, OverloadMultiple: w.Scenario.FallMultiple, OverloadWindow: w.Scenario.Fall, RetryAfterMs: 200,
+			Effects: effects, Deduplicated: dedup}}
 	m.rnd = rand.New(rand.NewPCG(uint64(w.Scenario.Seed*7919+len(w.machines)), 11))
 	w.auditor.Place(name, name)
 	w.machines, w.byName[name] = append(w.machines, m), m
@@ -329,7 +329,7 @@
 
 // clients ask reqs at their times, one drawn after another.
 func (w *World) clients() {
-	load := loadgen.Of(w.Scenario)
+	load := loadgen.FromScenario(w.Scenario)
 	source := loadgen.NewSource(load)
 	name := uint64(0)
 	var next func()
@@ -340,7 +340,7 @@
 		}
 		w.At(ms(a.At), func() {
 			name++
-			w.ask(name, a, &load.Kinds[a.Kind], load.Retries, ms(load.Backoff))
+			w.ask(name, a, &load.Classes[a.Class], load.Retries, ms(load.Backoff))
 			next()
 		})
 	}
@@ -348,12 +348,12 @@
 }
 
 // ask takes a client's req through its retries.
-func (w *World) ask(name uint64, a loadgen.Request, k *loadgen.Kind, retries int, backoff float64) {
+func (w *World) ask(name uint64, a loadgen.Request, k *loadgen.RequestClass, retries int, backoff float64) {
 	w.out.Reqs++
 	start, until := w.now, w.now+ms(k.Timeout)
 	w.note("clients", eventlog.Event{What: eventlog.Asked, Kind: k.Name, Req: name})
 	c := &asking{w: w, name: name, a: a, k: k, start: start, until: until, retries: retries, backoff: backoff}
-	w.patience[a.Kind].add(until, c)
+	w.patience[a.Class].add(until, c)
 	c.try()
 }
 
@@ -362,7 +362,7 @@
 	w            *World
 	name         uint64
 	a            loadgen.Request
-	k            *loadgen.Kind
+	k            *loadgen.RequestClass
 	start, until float64
 	tried        int
 	retries      int
--- a/internal/platform/relay/retry_test.go
+++ b/internal/platform/relay/retry_test.go
@@ -13,7 +13,7 @@
 
 // silentRelay returns a stand-in relay that answers nothing, not even probes, and executes nothing until it recovers.
 func silentRelay(t *testing.T) *standin.Relay {
-	s, err := standin.Start(standin.Config{Proxies: []standin.Proxy{{Number: 3, Zone: "a"}}, LinesPerS: 1000})
+	s, err := standin.Start(standin.Config{Proxies: []standin.Proxy{{Number: 3, Zone: "a"}}, LinesPerSecond: 1000})
 	require.NoError(t, err)
 	t.Cleanup(s.Close)
 	s.Fail(standin.Silent, func(int) bool { return false })
@@ -99,7 +99,7 @@
 		return len(all) > 0 && all[len(all)-1] == "stalled false []"
 	})
 	assert.Zero(t, sender.Counters.Executed.Load())
-	assert.Zero(t, s.Bound())
+	assert.Zero(t, s.AssignedCount())
 }
 
 // TestUnreadableProbeAnswers checks a relay that executes calls and whose answers cannot be decoded for a while: a
--- a/internal/rehearsal/slices.go
+++ b/internal/rehearsal/slices.go
@@ -21,7 +21,7 @@
 	x := wire.Slices{Slice: i, Given: true, From: loadgen.Key(i * scenario.KeysPerSlice), To: loadgen.Key((i + 1) * scenario.KeysPerSlice),
 		Lines: []wire.HeldLine{{Endpoint: s.owners[i], Weight: 1}}}
 	s.own.Add(eventlog.Event{What: eventlog.Given, Peer: s.owners[i], N: i, Text: x.From})
-	s.list.Give(x)
+	s.list.AssignSlice(x)
 }
 
 // moveSlices has the store give the slices of some endpoints to the others, in turn.
--- a/internal/rehearsal/stage.go
+++ b/internal/rehearsal/stage.go
@@ -308,10 +308,10 @@
 		effects[k.Name], dedup[k.Name] = k.Repeats != "replayable", k.Repeats == "uniqued"
 	}
 	e := endpoint.New(endpoint.Model{Name: name, Zone: g.Zone, Machine: g.Machine, Cores: g.Cores, Speed: speed,
-		Queue: g.Queue, Conns: g.Conns, HandshakeMs: float64(g.Handshake) / float64(time.Millisecond),
-		ReportEvery: 400 * time.Millisecond, ReportLag: 200 * time.Millisecond, Noise: s.Scenario.NoisyReports,
-		Cold: s.Scenario.Cold, ColdFrom: s.Scenario.ColdFrom, FallMultiple: s.Scenario.FallMultiple, Fall: s.Scenario.Fall, ComeBackMs: 200,
-		Effects: effects, Dedup: dedup, Seed: uint64(s.Scenario.Seed + len(name)*7919)}, s.book.Stream(name))
+		QueueLimit: g.Queue, MaxConnections: g.Conns, HandshakeMs: float64(g.Handshake) / float64(time.Millisecond),
+		ReportEvery: 400 * time.Millisecond, ReportLag: 200 * time.Millisecond, ReportNoise: s.Scenario.NoisyReports,
+		WarmUp: s.Scenario.Cold, WarmUpFrom: s.Scenario.ColdFrom, OverloadMultiple: s.Scenario.FallMultiple, OverloadWindow: s.Scenario.Fall, RetryAfterMs: 200,
+		Effects: effects, Deduplicated: dedup, Seed: uint64(s.Scenario.Seed + len(name)*7919)}, s.book.Stream(name))
 	if err := e.Start(cold); err != nil {
 		return nil, err
 	}
@@ -382,13 +382,13 @@
 	if err != nil {
 		return err
 	}
-	p := proxy.New(proxy.Options{Name: name, Zone: zone, Habits: routing.Policy{Kinds: s.Scenario.ClassNames(), Pick: s.Scenario.Pick,
-		EjectsAfter: s.Scenario.EjectsAfter, EjectMs: float64(s.Scenario.EjectFor.Milliseconds()), TryAgain: s.Scenario.RetryHow},
-		Rate: s.Scenario.Rate / float64(len(s.Scenario.ProxyZones)), Standing: func() []string { return s.standing(zone) },
-		Pilots: func() []string { return s.reach(zone, number, down, over) }, Join: join, Dial: s.net.Dialer(place, time.Second),
-		DialTimeout: 250 * time.Millisecond, Redial: s.Scenario.Redial, ApplyPerLine: s.Scenario.Apply, FirstWait: s.Scenario.FirstWait,
-		Targets: targets, Limits: limits, Seed: uint64(s.Scenario.Seed*1000 + number), MuteReads: mute.Load,
-		Reports: func() float64 { return float64(times.Load()) / 1000 }, Heedless: slices.Contains(s.Scenario.Heedless, name)},
+	p := proxy.New(proxy.Options{Name: name, Zone: zone, Routing: routing.Policy{Classes: s.Scenario.ClassNames(), Algorithm: s.Scenario.Pick,
+		EjectAfter: s.Scenario.EjectsAfter, EjectionMs: float64(s.Scenario.EjectFor.Milliseconds()), RetryMode: s.Scenario.RetryHow},
+		Rate: s.Scenario.Rate / float64(len(s.Scenario.ProxyZones)), StaticTable: func() []string { return s.standing(zone) },
+		Pilots: func() []string { return s.reach(zone, number, down, over) }, NewJoiner: join, Dial: s.net.Dialer(place, time.Second),
+		DialTimeout: 250 * time.Millisecond, RedialPause: s.Scenario.Redial, ApplyPerLine: s.Scenario.Apply, FirstAttemptShare: s.Scenario.FirstWait,
+		LatencyObjectives: targets, ClientTimeouts: limits, Seed: uint64(s.Scenario.Seed*1000 + number), StopReading: mute.Load,
+		ReportFactor: func() float64 { return float64(times.Load()) / 1000 }, IgnoreReportRequests: slices.Contains(s.Scenario.Heedless, name)},
 		s.book.Stream(name))
 	if err := p.Start(); err != nil {
 		return err
@@ -440,7 +440,7 @@
 	if err != nil {
 		return err
 	}
-	s.list.Seal(ring.Server(identity.Pilot))
+	s.list.UseTLS(ring.Server(identity.Pilot))
 	return nil
 }
 
@@ -473,7 +473,7 @@
 func (s *stage) play(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	load := loadgen.Of(s.Scenario)
+	load := loadgen.FromScenario(s.Scenario)
 	var addresses []string
 	for _, p := range s.proxies {
 		addresses = append(addresses, p.Address())
--- a/internal/rehearsal/strike.go
+++ b/internal/rehearsal/strike.go
@@ -88,13 +88,13 @@
 	for _, e := range struck {
 		switch t.What {
 		case "hang":
-			e.SetFaultMode(endpoint.FaultMode{Hang: true, OnlyFor: t.Kind})
+			e.SetFaultMode(endpoint.FaultMode{Hang: true, OnlyClass: t.Kind})
 		case "fast_errors", "class_fail":
-			e.SetFaultMode(endpoint.FaultMode{Errors: t.Size, OnlyFor: t.Kind})
+			e.SetFaultMode(endpoint.FaultMode{ErrorFraction: t.Size, OnlyClass: t.Kind})
 		case "answers_twice":
-			e.SetFaultMode(endpoint.FaultMode{Twice: true})
+			e.SetFaultMode(endpoint.FaultMode{AnswerTwice: true})
 		case "handshake_slow":
-			e.SetFaultMode(endpoint.FaultMode{Shakes: t.Size})
+			e.SetFaultMode(endpoint.FaultMode{ExtraHandshakeMs: t.Size})
 			s.net.SlowDial(e.Name, t.Extra)
 		}
 	}
@@ -239,12 +239,12 @@
 	switch t.What {
 	case "reconnect":
 		for _, n := range struck {
-			by[n].Drop()
+			by[n].DropStream()
 		}
 	case "counter_down":
 		for _, n := range struck {
 			s.unreached[n].Store(true)
-			by[n].Drop()
+			by[n].DropStream()
 		}
 		backoff.Sleep(ctx, t.For)
 		for _, n := range struck {
--- a/internal/testbed/endpoint/endpoint.go
+++ b/internal/testbed/endpoint/endpoint.go
@@ -23,58 +23,58 @@
 	Cell                   int
 	Cores                  int
 	Speed                  float64
-	Queue                  int // reqs that wait; one more is denied
-	Conns                  int // connections it takes
+	QueueLimit                  int // reqs that wait; one more is denied
+	MaxConnections                  int // connections it takes
 	HandshakeMs            float64
 	ReportEvery, ReportLag time.Duration
-	Noise                  float64 // of a report, as a part of the figure
-	Cold                   time.Duration
-	ColdFrom, FallMultiple float64
-	Fall                   time.Duration
-	ComeBackMs             float64
+	ReportNoise                  float64 // of a report, as a part of the figure
+	WarmUp                   time.Duration
+	WarmUpFrom, OverloadMultiple float64
+	OverloadWindow                   time.Duration
+	RetryAfterMs             float64
 	Effects                map[string]bool // kinds whose effects go into the ledger
-	Dedup                  map[string]bool // kinds whose repeats are dropped (uniqued)
+	Deduplicated                  map[string]bool // kinds whose repeats are dropped (uniqued)
 	Seed                   uint64
 }
 
 // FaultMode is what is wrong with an endpoint.
 type FaultMode struct {
 	Hang    bool
-	Errors  float64 // part of the reqs that fail at once
-	OnlyFor string  // of this kind, if not empty
-	Shakes  float64 // more ms of work for a new connection
-	Twice   bool    // answers each req twice
+	ErrorFraction  float64 // part of the reqs that fail at once
+	OnlyClass string  // of this class, if not empty
+	ExtraHandshakeMs  float64 // more ms of work for a new connection
+	AnswerTwice   bool    // answers each req twice
 }
 
 // Endpoint is one machine; its process can die and come back.
 type Endpoint struct {
 	Model
 	address string
-	book    *eventlog.Stream
+	events    *eventlog.Stream
 	mu      sync.Mutex
-	life    *life
+	process    *process
 	starts  int
-	mood    FaultMode
+	fault    FaultMode
 	ledger  map[uint64]bool // reqs that took effect, for kinds whose repeats are dropped
-	rnd     *rand.Rand
+	random     *rand.Rand
 }
 
-// life is one process.
-type life struct {
+// process is one process.
+type process struct {
 	ctx     context.Context
 	cancel  context.CancelFunc
 	wg      sync.WaitGroup
-	since   time.Time
+	started   time.Time
 	cold    bool
 	conns   map[net.Conn]bool
 	jobs    chan job
-	busy    float64 // core-seconds used
+	busyCoreSeconds    float64 // core-seconds used
 	served  float64
 	waiting int
-	inHand  int
-	push    Push
+	inFlight  int
+	warmUpLoad    WarmUpLoad
 	load    []wire.Figure
-	fallen  bool
+	overloaded  bool
 }
 
 type job struct {
@@ -84,14 +84,14 @@
 
 // New returns an endpoint that has not started.
 func New(m Model, book *eventlog.Stream) *Endpoint {
-	return &Endpoint{Model: m, book: book, ledger: map[uint64]bool{}, rnd: rand.New(rand.NewPCG(m.Seed, 11))}
+	return &Endpoint{Model: m, events: book, ledger: map[uint64]bool{}, random: rand.New(rand.NewPCG(m.Seed, 11))}
 }
 
 // Start begins a process at the address of the first one, cold or warm.
 func (e *Endpoint) Start(cold bool) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.life != nil {
+	if e.process != nil {
 		return fmt.Errorf("start %s: it runs", e.Name)
 	}
 	l, err := network.Listen(e.address)
@@ -100,16 +100,16 @@
 	}
 	e.address = l.Addr().String()
 	e.starts++
-	li := &life{since: time.Now(), cold: cold, conns: map[net.Conn]bool{}, jobs: make(chan job, e.Queue+e.Cores)}
-	li.ctx, li.cancel = context.WithCancel(context.Background())
-	e.life = li
-	e.book.Add(eventlog.Event{What: eventlog.Start, N: e.starts, Value: float64(e.Cores) * e.Speed, Text: e.Zone,
+	proc := &process{started: time.Now(), cold: cold, conns: map[net.Conn]bool{}, jobs: make(chan job, e.QueueLimit+e.Cores)}
+	proc.ctx, proc.cancel = context.WithCancel(context.Background())
+	e.process = proc
+	e.events.Add(eventlog.Event{What: eventlog.Start, N: e.starts, Value: float64(e.Cores) * e.Speed, Text: e.Zone,
 		Kind: map[bool]string{true: "cold", false: "warm"}[cold]})
-	context.AfterFunc(li.ctx, func() { _ = l.Close() })
-	li.wg.Go(func() { e.accept(li, l) })
-	li.wg.Go(func() { e.reports(li) })
+	context.AfterFunc(proc.ctx, func() { _ = l.Close() })
+	proc.wg.Go(func() { e.accept(proc, l) })
+	proc.wg.Go(func() { e.refreshReports(proc) })
 	for range e.Cores {
-		li.wg.Go(func() { e.core(li) })
+		proc.wg.Go(func() { e.runCore(proc) })
 	}
 	return nil
 }
@@ -117,18 +117,18 @@
 // Kill ends the process: connections break, work is lost.
 func (e *Endpoint) Kill() {
 	e.mu.Lock()
-	li := e.life
-	e.life = nil
-	if li != nil {
-		e.book.Add(eventlog.Event{What: eventlog.Stop, N: e.starts})
-		li.cancel()
-		for c := range li.conns {
+	proc := e.process
+	e.process = nil
+	if proc != nil {
+		e.events.Add(eventlog.Event{What: eventlog.Stop, N: e.starts})
+		proc.cancel()
+		for c := range proc.conns {
 			_ = c.Close()
 		}
 	}
 	e.mu.Unlock()
-	if li != nil {
-		li.wg.Wait()
+	if proc != nil {
+		proc.wg.Wait()
 	}
 }
 
@@ -139,46 +139,46 @@
 	return e.address
 }
 
-// SetFaultMode changes the mood.
+// SetFaultMode changes the fault.
 func (e *Endpoint) SetFaultMode(m FaultMode) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.mood = m
+	e.fault = m
 }
 
-// warmth returns the part of its full speed at a time.
-func (e *Endpoint) warmth(li *life, now time.Time) float64 {
-	return e.Warmth(li.cold, now.Sub(li.since))
+// speedFraction returns the part of its full speed at a time.
+func (e *Endpoint) speedFraction(proc *process, now time.Time) float64 {
+	return e.SpeedFraction(proc.cold, now.Sub(proc.started))
 }
 
-func (e *Endpoint) accept(li *life, l net.Listener) {
+func (e *Endpoint) accept(proc *process, l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
 		e.mu.Lock()
-		full := len(li.conns) >= e.Conns || li.ctx.Err() != nil
+		full := len(proc.conns) >= e.MaxConnections || proc.ctx.Err() != nil
 		if !full {
-			li.conns[c] = true
+			proc.conns[c] = true
 		}
 		e.mu.Unlock()
 		if full {
 			_ = c.Close()
 			continue
 		}
-		li.wg.Go(func() { e.serve(li, c) })
+		proc.wg.Go(func() { e.serve(proc, c) })
 	}
 }
 
-func (e *Endpoint) serve(li *life, c net.Conn) {
+func (e *Endpoint) serve(proc *process, c net.Conn) {
 	defer func() {
 		e.mu.Lock()
-		delete(li.conns, c)
+		delete(proc.conns, c)
 		e.mu.Unlock()
 		_ = c.Close()
 	}()
-	e.greet(li)
+	e.handshake(proc)
 	var mu sync.Mutex
 	w := wire.NewWriter(c)
 	reply := func(a *wire.Answer) {
@@ -186,7 +186,7 @@
 		defer mu.Unlock()
 		_ = c.SetWriteDeadline(time.Now().Add(time.Second))
 		times := 1
-		if e.moodNow().Twice {
+		if e.currentFault().AnswerTwice {
 			times = 2
 		}
 		for range times {
@@ -203,10 +203,10 @@
 		}
 		switch m := m.(type) {
 		case *wire.Req:
-			e.take(li, m, reply)
+			e.admit(proc, m, reply)
 		case *wire.Probe:
-			if !e.moodNow().Hang {
-				reply(&wire.Answer{Number: m.Number, Outcome: wire.Fine, Load: e.report(li)})
+			if !e.currentFault().Hang {
+				reply(&wire.Answer{Number: m.Number, Outcome: wire.Fine, Load: e.currentReport(proc)})
 			}
 		default:
 			return
@@ -214,40 +214,40 @@
 	}
 }
 
-// greet spends what a new connection costs.
-func (e *Endpoint) greet(li *life) {
-	cost := e.HandshakeMs + e.moodNow().Shakes
-	e.spend(li, cost)
+// handshake spends what a new connection costs.
+func (e *Endpoint) handshake(proc *process) {
+	cost := e.HandshakeMs + e.currentFault().ExtraHandshakeMs
+	e.spend(proc, cost)
 }
 
-func (e *Endpoint) moodNow() FaultMode {
+func (e *Endpoint) currentFault() FaultMode {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.mood
+	return e.fault
 }
 
-func (e *Endpoint) report(li *life) []wire.Figure {
+func (e *Endpoint) currentReport(proc *process) []wire.Figure {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return li.load
+	return proc.load
 }
 
-// take lets a req in, denies it or fails it.
-func (e *Endpoint) take(li *life, m *wire.Req, reply func(*wire.Answer)) {
-	e.book.Add(eventlog.Event{What: eventlog.Arrive, Peer: m.From, Kind: m.Kind, Req: m.Name, Value: m.WorkMs})
+// admit lets a req in, denies it or fails it.
+func (e *Endpoint) admit(proc *process, m *wire.Req, reply func(*wire.Answer)) {
+	e.events.Add(eventlog.Event{What: eventlog.Arrive, Peer: m.From, Kind: m.Kind, Req: m.Name, Value: m.WorkMs})
 	now := time.Now()
 	e.mu.Lock()
-	mood := e.mood
-	struck := mood.OnlyFor == "" || mood.OnlyFor == m.Kind
-	fails := struck && mood.Errors > 0 && e.rnd.Float64() < mood.Errors
-	over := e.pushed(li, now, m.WorkMs)
-	full := li.inHand >= e.Cores+e.Queue
-	hangs := mood.Hang && struck
+	fault := e.fault
+	struck := fault.OnlyClass == "" || fault.OnlyClass == m.Kind
+	fails := struck && fault.ErrorFraction > 0 && e.random.Float64() < fault.ErrorFraction
+	over := e.overloaded(proc, now, m.WorkMs)
+	full := proc.inFlight >= e.Cores+e.QueueLimit
+	hangs := fault.Hang && struck
 	if !fails && !over && !full && !hangs {
-		li.inHand++
-		li.waiting++
+		proc.inFlight++
+		proc.waiting++
 	}
-	load := li.load
+	load := proc.load
 	e.mu.Unlock()
 	switch {
 	case over || hangs:
@@ -255,77 +255,77 @@
 	case fails:
 		reply(&wire.Answer{Number: m.Number, Outcome: wire.Errored, Load: load})
 	case full:
-		reply(&wire.Answer{Number: m.Number, Outcome: wire.Denied, ComeBackMs: e.ComeBackMs, Load: load})
+		reply(&wire.Answer{Number: m.Number, Outcome: wire.Denied, ComeBackMs: e.RetryAfterMs, Load: load})
 	default:
-		li.jobs <- job{m, reply} // has room for all that inHand lets in
+		proc.jobs <- job{m, reply} // has room for all that inHand lets in
 	}
 }
 
-// pushed notes work that comes to a cold process and returns whether it has fallen over.
-func (e *Endpoint) pushed(li *life, now time.Time, work float64) bool {
-	if li.fallen || !li.cold {
-		return li.fallen
+// overloaded notes work that comes to a cold process and returns whether it has fallen over.
+func (e *Endpoint) overloaded(proc *process, now time.Time, work float64) bool {
+	if proc.overloaded || !proc.cold {
+		return proc.overloaded
 	}
-	over, part := li.push.Over(&e.Model, now.Sub(li.since), work)
-	if li.fallen = over; over {
-		e.book.Add(eventlog.Event{What: eventlog.Fell, N: e.starts, Value: part})
+	over, part := proc.warmUpLoad.Add(&e.Model, now.Sub(proc.started), work)
+	if proc.overloaded = over; over {
+		e.events.Add(eventlog.Event{What: eventlog.Fell, N: e.starts, Value: part})
 	}
 	return over
 }
 
-// core does one core's work.
-func (e *Endpoint) core(li *life) {
+// runCore does one core's work.
+func (e *Endpoint) runCore(proc *process) {
 	for {
 		select {
-		case <-li.ctx.Done():
+		case <-proc.ctx.Done():
 			return
-		case j := <-li.jobs:
-			e.work(li, j)
+		case j := <-proc.jobs:
+			e.execute(proc, j)
 		}
 	}
 }
 
-func (e *Endpoint) work(li *life, j job) {
+func (e *Endpoint) execute(proc *process, j job) {
 	e.mu.Lock()
-	li.waiting--
+	proc.waiting--
 	e.mu.Unlock()
-	done := e.spend(li, j.req.WorkMs)
+	done := e.spend(proc, j.req.WorkMs)
 	e.mu.Lock()
-	li.inHand--
-	li.served++
-	repeat := e.Dedup[j.req.Kind] && e.ledger[j.req.Name]
-	if e.Dedup[j.req.Kind] {
+	proc.inFlight--
+	proc.served++
+	repeat := e.Deduplicated[j.req.Kind] && e.ledger[j.req.Name]
+	if e.Deduplicated[j.req.Kind] {
 		e.ledger[j.req.Name] = true
 	}
-	load := li.load
+	load := proc.load
 	e.mu.Unlock()
 	if !done {
 		return
 	}
 	if e.Effects[j.req.Kind] && !repeat {
-		e.book.Add(eventlog.Event{What: eventlog.Effect, Peer: j.req.From, Kind: j.req.Kind, Req: j.req.Name})
+		e.events.Add(eventlog.Event{What: eventlog.Effect, Peer: j.req.From, Kind: j.req.Kind, Req: j.req.Name})
 	}
 	j.reply(&wire.Answer{Number: j.req.Number, Outcome: wire.Fine, Load: load})
 }
 
 // spend sleeps for as long as work takes now, and returns false if the process ended meanwhile.
-func (e *Endpoint) spend(li *life, workMs float64) bool {
-	took := workMs / (e.Speed * e.warmth(li, time.Now()))
+func (e *Endpoint) spend(proc *process, workMs float64) bool {
+	took := workMs / (e.Speed * e.speedFraction(proc, time.Now()))
 	t := time.NewTimer(time.Duration(took * float64(time.Millisecond)))
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-li.ctx.Done():
+	case <-proc.ctx.Done():
 		return false
 	}
 	e.mu.Lock()
-	li.busy += took / 1000
+	proc.busyCoreSeconds += took / 1000
 	e.mu.Unlock()
 	return true
 }
 
-// reports refreshes the load report now and then. What is shown is as old as the lag.
-func (e *Endpoint) reports(li *life) {
+// refreshReports refreshes the load report now and then. What is shown is as old as the lag.
+func (e *Endpoint) refreshReports(proc *process) {
 	tick := time.NewTicker(e.ReportEvery)
 	defer tick.Stop()
 	var busy, served float64
@@ -333,22 +333,22 @@
 	var late []wire.Figure
 	for {
 		select {
-		case <-li.ctx.Done():
+		case <-proc.ctx.Done():
 			return
 		case <-tick.C:
 		}
 		e.mu.Lock()
 		span := time.Since(last).Seconds()
 		last = time.Now()
-		noise := func() float64 { return math.Max(0, 1+e.Noise*e.rnd.NormFloat64()) }
-		util := math.Min(1, (li.busy-busy)/span/float64(e.Cores)) * noise()
-		fresh := []wire.Figure{{Name: "util", Value: util}, {Name: "rate", Value: (li.served - served) / span * noise()},
-			{Name: "waiting", Value: float64(li.waiting)}, {Name: "in_hand", Value: float64(li.inHand)}}
-		busy, served = li.busy, li.served
+		noise := func() float64 { return math.Max(0, 1+e.ReportNoise*e.random.NormFloat64()) }
+		util := math.Min(1, (proc.busyCoreSeconds-busy)/span/float64(e.Cores)) * noise()
+		fresh := []wire.Figure{{Name: "util", Value: util}, {Name: "rate", Value: (proc.served - served) / span * noise()},
+			{Name: "waiting", Value: float64(proc.waiting)}, {Name: "in_hand", Value: float64(proc.inFlight)}}
+		busy, served = proc.busyCoreSeconds, proc.served
 		if e.ReportLag > 0 {
-			li.load, late = late, fresh
+			proc.load, late = late, fresh
 		} else {
-			li.load = fresh
+			proc.load = fresh
 		}
 		e.mu.Unlock()
 	}
--- a/internal/testbed/eventlog/trail.go
+++ b/internal/testbed/eventlog/trail.go
@@ -57,11 +57,11 @@
 type Log struct {
 	began  time.Time
 	mu     sync.Mutex
-	trails map[string]*Stream
+	streams map[string]*Stream
 }
 
 // NewLog returns a book whose clock starts now.
-func NewLog() *Log { return &Log{began: time.Now(), trails: map[string]*Stream{}} }
+func NewLog() *Log { return &Log{began: time.Now(), streams: map[string]*Stream{}} }
 
 // Now returns the time in ms since the rehearsal began.
 func (b *Log) Now() float64 { return float64(time.Since(b.began)) / float64(time.Millisecond) }
@@ -70,10 +70,10 @@
 func (b *Log) Stream(who string) *Stream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.trails[who] == nil {
-		b.trails[who] = &Stream{who: who, book: b}
+	if b.streams[who] == nil {
+		b.streams[who] = &Stream{who: who, log: b}
 	}
-	return b.trails[who]
+	return b.streams[who]
 }
 
 // Events returns all events by time; those of one moment by who saw them, then in that one's order.
@@ -81,8 +81,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var all []Event
-	for _, who := range slices.Sorted(maps.Keys(b.trails)) {
-		t := b.trails[who]
+	for _, who := range slices.Sorted(maps.Keys(b.streams)) {
+		t := b.streams[who]
 		t.mu.Lock()
 		all = append(all, t.events...)
 		t.mu.Unlock()
@@ -139,7 +139,7 @@
 // Stream is what one stand-in saw.
 type Stream struct {
 	who    string
-	book   *Log
+	log   *Log
 	mu     sync.Mutex
 	events []Event
 }
@@ -148,9 +148,9 @@
 func (t *Stream) Add(e Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e.At, e.Who = t.book.Now(), t.who
+	e.At, e.Who = t.log.Now(), t.who
 	t.events = append(t.events, e)
 }
 
 // Now returns the book's time.
-func (t *Stream) Now() float64 { return t.book.Now() }
+func (t *Stream) Now() float64 { return t.log.Now() }
--- a/internal/testbed/loadgen/client.go
+++ b/internal/testbed/loadgen/client.go
@@ -20,8 +20,8 @@
 	"indigousher/internal/wire"
 )
 
-// Kind is a kind of req as clients ask it.
-type Kind struct {
+// RequestClass is a kind of req as clients ask it.
+type RequestClass struct {
 	Name       string
 	Share      float64
 	WorkMs, CV float64
@@ -31,65 +31,65 @@
 
 // Load is what clients ask for.
 type Load struct {
-	Kinds   []Kind
+	Classes   []RequestClass
 	Rate    float64 // reqs a second, all proxies together
 	Weights []float64
-	Over    time.Duration
+	Length    time.Duration
 	Retries int
 	Backoff time.Duration
 	Seed    uint64
 	Keys    int // 0: reqs have none
-	Swells  []Spike
+	Spikes  []Spike
 }
 
 // Spike changes the load for a while. Fields of 0 change nothing.
 type Spike struct {
 	From, For   time.Duration
-	Times       float64 // all reqs
-	Caller      int     // one proxy's share grows to Part, from 1; 0: none
-	Part        float64
-	Heavy       float64 // part of a kind's reqs whose work is Times as much
-	Kind        string  // with Heavy
-	TowardsZone []int   // proxies to which Part of all reqs moves, for good if For is 0
+	Factor       float64 // all reqs
+	HotProxy      int     // one proxy's share grows to Part, from 1; 0: none
+	Fraction        float64
+	HeavyFraction       float64 // part of a kind's reqs whose work is Times as much
+	HeavyClass        string  // with Heavy
+	TargetProxies []int   // proxies to which Part of all reqs moves, for good if For is 0
 }
 
 func (s Spike) covers(at time.Duration) bool {
 	return at >= s.From && (s.For == 0 || at < s.From+s.For)
 }
 
-// Of makes the clients' load of a day and of its troubles. Callers' weights are drawn from the day's seed, the same on
+// FromScenario makes the clients' load of a day and of its troubles. Callers' weights are drawn from the day's seed, the same on
 // sockets and in virtual time.
-func Of(d *scenario.Scenario) Load {
+func FromScenario(d *scenario.Scenario) Load {
 	rnd := rand.New(rand.NewPCG(uint64(d.Seed), 47))
-	l := Load{Rate: d.Rate, Over: d.Length, Retries: d.Retries, Backoff: d.Backoff, Seed: uint64(d.Seed),
+	l := Load{Rate: d.Rate, Length: d.Length, Retries: d.Retries, Backoff: d.Backoff, Seed: uint64(d.Seed),
 		Keys: d.Slices * scenario.KeysPerSlice}
 	for _, x := range d.Demands {
 		k := d.Kinds[slices.Index(d.ClassNames(), x.Kind)]
-		l.Kinds = append(l.Kinds, Kind{Name: x.Kind, Share: x.Share, CV: x.CV, Timeout: k.ClientTimeout,
+		l.Classes = append(l.Classes, RequestClass{Name: x.Kind, Share: x.Share, CV: x.CV, Timeout: k.ClientTimeout,
 			WorkMs: float64(x.Work) / float64(time.Millisecond), Replayable: k.Repeats != "non-replayable"})
 	}
 	for range d.ProxyZones {
 		l.Weights = append(l.Weights, math.Exp(d.Uneven*rnd.NormFloat64()))
 	}
 	for _, t := range d.Faults {
-		w := Spike{From: t.At, For: t.For, Times: t.Size}
+		w := Spike{From: t.At, For: t.For, Factor: t.Size}
 		switch t.What {
 		case "burst":
 		case "hot_caller":
-			w.Caller, w.Part, w.Times = 1, t.Part, 0
+			w.HotProxy, w.Fraction, w.Factor = 1, t.Part, 0
 		case "heavy_tail":
-			w.Heavy, w.Kind = t.Part, t.Kind
+			w.HeavyFraction, w.HeavyClass = t.Part, t.Kind
 		case "shift":
-			w.For, w.Part, w.Times = 0, t.Part, 0
+			w.For, w.Fraction, w.Factor = 0, t.Part, 0
 			for i, z := range d.ProxyZones {
 				if z == t.Zone {
-					w.TowardsZone = append(w.TowardsZone, i)
+					w.TargetProxies = append(w.TargetProxies, i)
 				}
 			}
 		default:
 			continue
 		}
-		l.Swells = append(l.Swells, w)
+		l.Spikes = append(l.Spikes, w)
 	}
 	return l
 }
@@ -98,7 +98,7 @@
 type Request struct {
 	At     time.Duration
 	Proxy  int
-	Kind   int
+	Class   int
 	WorkMs float64
 	Key    string
 }
@@ -106,27 +106,27 @@
 // Source draws the reqs of a day one after another.
 type Source struct {
 	load   Load
-	rnd    *rand.Rand
-	gap    distuv.Exponential
-	peak   float64
-	at     float64 // s
-	kinds  []float64
-	works  []distuv.LogNormal
-	spread chooser // by the weights of no swell
+	random    *rand.Rand
+	interarrival    distuv.Exponential
+	peakRate   float64
+	nowSeconds     float64 // s
+	classShares  []float64
+	work  []distuv.LogNormal
+	byWeight chooser // by the weights of no swell
 }
 
 // NewSource begins a day.
 func NewSource(l Load) *Source {
 	src := rand.NewPCG(l.Seed, 23)
-	s := &Source{load: l, rnd: rand.New(src), peak: l.Rate, spread: newChooser(l.Weights)}
-	for _, w := range l.Swells {
-		s.peak = math.Max(s.peak, l.Rate*w.Times)
+	s := &Source{load: l, random: rand.New(src), peakRate: l.Rate, byWeight: newChooser(l.Weights)}
+	for _, w := range l.Spikes {
+		s.peakRate = math.Max(s.peakRate, l.Rate*w.Factor)
 	}
-	s.gap = distuv.Exponential{Rate: s.peak, Src: src}
-	for _, k := range l.Kinds {
+	s.interarrival = distuv.Exponential{Rate: s.peakRate, Src: src}
+	for _, k := range l.Classes {
 		sigma := math.Sqrt(math.Log(1 + k.CV*k.CV))
-		s.kinds = append(s.kinds, k.Share)
-		s.works = append(s.works, distuv.LogNormal{Mu: math.Log(k.WorkMs) - sigma*sigma/2, Sigma: sigma, Src: src})
+		s.classShares = append(s.classShares, k.Share)
+		s.work = append(s.work, distuv.LogNormal{Mu: math.Log(k.WorkMs) - sigma*sigma/2, Sigma: sigma, Src: src})
 	}
 	return s
 }
@@ -134,55 +134,55 @@
 // Next returns the next req, or false at the day's end.
 func (s *Source) Next() (Request, bool) {
 	for {
-		s.at += s.gap.Rand()
-		t := time.Duration(s.at * float64(time.Second))
-		if t >= s.load.Over {
+		s.nowSeconds += s.interarrival.Rand()
+		t := time.Duration(s.nowSeconds * float64(time.Second))
+		if t >= s.load.Length {
 			return Request{}, false
 		}
-		if a, taken := s.one(t); taken {
+		if a, taken := s.candidate(t); taken {
 			return a, true
 		}
 	}
 }
 
-// one draws a req at a time; the swells that cover it thin it out from the peak's rate, or change it.
-func (s *Source) one(t time.Duration) (a Request, taken bool) {
-	rate, spread := s.load.Rate, s.spread
+// candidate draws a req at a time; the swells that cover it thin it out from the peak's rate, or change it.
+func (s *Source) candidate(t time.Duration) (a Request, taken bool) {
+	rate, spread := s.load.Rate, s.byWeight
 	heavy, heavyKind, times := 0.0, "", 1.0
 	var weights []float64
-	for _, w := range s.load.Swells {
+	for _, w := range s.load.Spikes {
 		if !w.covers(t) {
 			continue
 		}
 		switch {
-		case w.Heavy > 0:
-			heavy, heavyKind, times = w.Heavy, w.Kind, w.Times
-		case w.Caller > 0 || len(w.TowardsZone) > 0:
+		case w.HeavyFraction > 0:
+			heavy, heavyKind, times = w.HeavyFraction, w.HeavyClass, w.Factor
+		case w.HotProxy > 0 || len(w.TargetProxies) > 0:
 			if weights == nil {
 				weights = slices.Clone(s.load.Weights)
 			}
-			to := w.TowardsZone
-			if w.Caller > 0 {
-				to = []int{w.Caller - 1}
+			to := w.TargetProxies
+			if w.HotProxy > 0 {
+				to = []int{w.HotProxy - 1}
 			}
-			shift(weights, to, w.Part)
-		case w.Times > 0:
-			rate *= w.Times
+			moveWeight(weights, to, w.Fraction)
+		case w.Factor > 0:
+			rate *= w.Factor
 		}
 	}
-	if s.rnd.Float64() >= rate/s.peak {
+	if s.random.Float64() >= rate/s.peakRate {
 		return a, false
 	}
 	if weights != nil {
 		spread = newChooser(weights)
 	}
-	a = Request{At: t, Proxy: spread.draw(s.rnd), Kind: pick(s.rnd, s.kinds)}
-	a.WorkMs = s.works[a.Kind].Rand()
-	if heavy > 0 && (heavyKind == "" || heavyKind == s.load.Kinds[a.Kind].Name) && s.rnd.Float64() < heavy {
+	a = Request{At: t, Proxy: spread.draw(s.random), Class: drawIndex(s.random, s.classShares)}
+	a.WorkMs = s.work[a.Class].Rand()
+	if heavy > 0 && (heavyKind == "" || heavyKind == s.load.Classes[a.Class].Name) && s.random.Float64() < heavy {
 		a.WorkMs *= times
 	}
 	if s.load.Keys > 0 {
-		a.Key = Key(s.rnd.IntN(s.load.Keys))
+		a.Key = Key(s.random.IntN(s.load.Keys))
 	}
 	return a, true
 }
@@ -207,8 +207,8 @@
 // Key is a key by its number; their order is that of the numbers.
 func Key(i int) string { return fmt.Sprintf("key-%06d", i) }
 
-// shift moves a part of all weight to some of the proxies.
-func shift(weights []float64, to []int, part float64) {
+// moveWeight moves a part of all weight to some of the proxies.
+func moveWeight(weights []float64, to []int, part float64) {
 	sum, mine := 0.0, 1e-9
 	for i, w := range weights {
 		sum += w
@@ -225,7 +225,7 @@
 	}
 }
 
-func pick(rnd *rand.Rand, weights []float64) int {
+func drawIndex(rnd *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
@@ -242,16 +242,16 @@
 // Clients asks.
 type Clients struct {
 	Load Load
-	Book *eventlog.Stream
-	Ask  []*proxy.Asker // by proxy
+	Events *eventlog.Stream
+	Proxies  []*proxy.Client // by proxy
 }
 
 // NewClients returns a crowd whose askers dial the addresses.
 func NewClients(l Load, book *eventlog.Stream, addresses []string) *Clients {
-	c := &Clients{Load: l, Book: book}
+	c := &Clients{Load: l, Events: book}
 	dial := (&net.Dialer{}).DialContext
 	for _, a := range addresses {
-		c.Ask = append(c.Ask, proxy.NewAsker(a, dial, 250*time.Millisecond))
+		c.Proxies = append(c.Proxies, proxy.NewClient(a, dial, 250*time.Millisecond))
 	}
 	return c
 }
@@ -277,27 +277,27 @@
 		if ctx.Err() != nil {
 			break
 		}
-		wg.Go(func() { c.one(ctx, uint64(i+1), a) })
+		wg.Go(func() { c.run(ctx, uint64(i+1), a) })
 	}
 	wg.Wait()
-	for _, a := range c.Ask {
+	for _, a := range c.Proxies {
 		a.Close()
 	}
 }
 
-// one takes a req through its retries.
-func (c *Clients) one(ctx context.Context, name uint64, a Request) {
-	k := c.Load.Kinds[a.Kind]
-	c.Book.Add(eventlog.Event{What: eventlog.Asked, Kind: k.Name, Req: name})
+// run takes a req through its retries.
+func (c *Clients) run(ctx context.Context, name uint64, a Request) {
+	k := c.Load.Classes[a.Class]
+	c.Events.Add(eventlog.Event{What: eventlog.Asked, Kind: k.Name, Req: name})
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, k.Timeout)
 	defer cancel()
 	outcome := "errored"
 	for try := 0; ; try++ {
 		left := time.Until(start.Add(k.Timeout))
-		ans, err := c.Ask[a.Proxy].Ask(ctx, &wire.Req{Name: name, Kind: k.Name, Key: a.Key, From: "client", WorkMs: a.WorkMs,
+		ans, err := c.Proxies[a.Proxy].Do(ctx, &wire.Req{Name: name, Kind: k.Name, Key: a.Key, From: "client", WorkMs: a.WorkMs,
 			LimitMs: float64(left) / float64(time.Millisecond)})
-		never := proxy.Never(err) || err == nil && ans.Outcome == wire.Denied
+		never := proxy.NotSent(err) || err == nil && ans.Outcome == wire.Denied
 		if err == nil && ans.Outcome == wire.Fine {
 			outcome = "done"
 			break
@@ -323,5 +323,5 @@
 		}
 	}
 	took := float64(time.Since(start)) / float64(time.Millisecond)
-	c.Book.Add(eventlog.Event{What: eventlog.Answered, Kind: k.Name, Req: name, Value: took, Text: outcome})
+	c.Events.Add(eventlog.Event{What: eventlog.Answered, Kind: k.Name, Req: name, Value: took, Text: outcome})
 }
--- a/internal/testbed/network/links.go
+++ b/internal/testbed/network/links.go
@@ -18,8 +18,8 @@
 // Place is where something stands: its name and its zone. A zone of "" reaches all.
 type Place struct{ Name, Zone string }
 
-// weather is the state of the ways of one zone to all others.
-type weather struct {
+// impairment is the state of the ways of one zone to all others.
+type impairment struct {
 	cut   bool
 	delay time.Duration
 	loss  float64
@@ -42,18 +42,18 @@
 type Network struct {
 	mu      sync.Mutex
 	places  map[string]Place // by address
-	zones   map[string]weather
-	dumb    map[string]bool          // places that neither send nor receive
-	slow    map[string]time.Duration // more time to set up a connection to a place
+	zones   map[string]impairment
+	blackholed    map[string]bool          // places that neither send nor receive
+	dialDelay    map[string]time.Duration // more time to set up a connection to a place
 	changed chan struct{}
-	trail   *eventlog.Stream
-	rnd     *rand.Rand
+	events   *eventlog.Stream
+	random     *rand.Rand
 }
 
 // New returns a net of clear ways.
 func New(t *eventlog.Stream, seed uint64) *Network {
-	return &Network{places: map[string]Place{}, zones: map[string]weather{}, dumb: map[string]bool{},
-		slow: map[string]time.Duration{}, changed: make(chan struct{}), trail: t, rnd: rand.New(rand.NewPCG(seed, 7))}
+	return &Network{places: map[string]Place{}, zones: map[string]impairment{}, blackholed: map[string]bool{},
+		dialDelay: map[string]time.Duration{}, changed: make(chan struct{}), events: t, random: rand.New(rand.NewPCG(seed, 7))}
 }
 
 // Put says where an address stands.
@@ -74,7 +74,7 @@
 // Cut cuts a zone off from all others, or mends it.
 func (n *Network) Cut(zone string, cut bool) {
 	n.change(func() { w := n.zones[zone]; w.cut = cut; n.zones[zone] = w })
-	n.trail.Add(eventlog.Event{What: map[bool]eventlog.What{true: eventlog.Cut, false: eventlog.Mended}[cut], Text: zone})
+	n.events.Add(eventlog.Event{What: map[bool]eventlog.What{true: eventlog.Cut, false: eventlog.Mended}[cut], Text: zone})
 }
 
 // Slow makes the ways between a zone and all others slow and lossy; zeros end it.
@@ -84,20 +84,20 @@
 
 // SetBlackhole silences a place, as a machine that loses its power, or lets it speak.
 func (n *Network) SetBlackhole(name string, dumb bool) {
-	n.change(func() { n.dumb[name] = dumb })
-	n.trail.Add(eventlog.Event{What: map[bool]eventlog.What{true: eventlog.Cut, false: eventlog.Mended}[dumb], Peer: name})
+	n.change(func() { n.blackholed[name] = dumb })
+	n.events.Add(eventlog.Event{What: map[bool]eventlog.What{true: eventlog.Cut, false: eventlog.Mended}[dumb], Peer: name})
 }
 
 // SlowDial makes connections to a place take longer to set up.
-func (n *Network) SlowDial(name string, by time.Duration) { n.change(func() { n.slow[name] = by }) }
+func (n *Network) SlowDial(name string, by time.Duration) { n.change(func() { n.dialDelay[name] = by }) }
 
-// way returns the state between two places and a channel that closes when anything changes.
-func (n *Network) way(a, b Place) (open bool, delay time.Duration, loss float64, changed <-chan struct{}) {
+// path returns the state between two places and a channel that closes when anything changes.
+func (n *Network) path(a, b Place) (open bool, delay time.Duration, loss float64, changed <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	open = !n.dumb[a.Name] && !n.dumb[b.Name]
+	open = !n.blackholed[a.Name] && !n.blackholed[b.Name]
 	if a.Zone != b.Zone && a.Zone != "" && b.Zone != "" {
-		for _, w := range []weather{n.zones[a.Zone], n.zones[b.Zone]} {
+		for _, w := range []impairment{n.zones[a.Zone], n.zones[b.Zone]} {
 			open = open && !w.cut
 			delay, loss = max(delay, w.delay), max(loss, w.loss)
 		}
@@ -111,7 +111,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.rnd.Float64() < p
+	return n.random.Float64() < p
 }
 
 // Dialer returns how a place dials.
@@ -120,23 +120,23 @@
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		n.mu.Lock()
-		to, extra := n.places[address], n.slow[n.places[address].Name]
+		to, extra := n.places[address], n.dialDelay[n.places[address].Name]
 		n.mu.Unlock()
-		if err := n.pass(ctx, from, to, extra); err != nil {
+		if err := n.awaitDial(ctx, from, to, extra); err != nil {
 			return nil, &net.OpError{Op: "dial", Net: network, Err: err}
 		}
 		inner, err := (&net.Dialer{}).DialContext(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return n.join(inner, from, to), nil
+		return n.connect(inner, from, to), nil
 	}
 }
 
-// pass waits for an open way and for as long as a greeting takes on it.
-func (n *Network) pass(ctx context.Context, from, to Place, extra time.Duration) error {
+// awaitDial waits for an open way and for as long as a greeting takes on it.
+func (n *Network) awaitDial(ctx context.Context, from, to Place, extra time.Duration) error {
 	for {
-		open, delay, _, changed := n.way(from, to)
+		open, delay, _, changed := n.path(from, to)
 		if !open {
 			select {
 			case <-changed:
@@ -165,8 +165,8 @@
 func (timeout) Timeout() bool   { return true }
 func (timeout) Temporary() bool { return true }
 
-// join puts the ways' weather between the caller and an open connection.
-func (n *Network) join(inner net.Conn, from, to Place) net.Conn {
+// connect puts the ways' weather between the caller and an open connection.
+func (n *Network) connect(inner net.Conn, from, to Place) net.Conn {
 	near, far := net.Pipe()
 	done := make(chan struct{})
 	var once sync.Once
@@ -177,8 +177,8 @@
 			_ = inner.Close()
 		})
 	}
-	go n.carry(far, inner, from, to, done, end)
-	go n.carry(inner, far, from, to, done, end)
+	go n.forward(far, inner, from, to, done, end)
+	go n.forward(inner, far, from, to, done, end)
 	return &conn{Conn: near, inner: inner}
 }
 
@@ -199,23 +199,23 @@
 
 // Limits of one direction: what is on its way at once, and what a repeat costs.
 const (
-	laneChunks = 256
+	maxChunksInFlight = 256
 	chunkBytes = 16 << 10
-	repeat     = 200 * time.Millisecond
+	retransmitDelay     = 200 * time.Millisecond
 )
 
-// carry moves one direction from its reader to its writer, each piece when its time has come and the way is open.
-func (n *Network) carry(from, to net.Conn, a, b Place, done <-chan struct{}, end func()) {
-	lane := make(chan chunk, laneChunks)
+// forward moves one direction from its reader to its writer, each piece when its time has come and the way is open.
+func (n *Network) forward(from, to net.Conn, a, b Place, done <-chan struct{}, end func()) {
+	lane := make(chan chunk, maxChunksInFlight)
 	go func() {
 		defer close(lane)
 		buf := make([]byte, chunkBytes)
 		for {
 			k, err := from.Read(buf)
 			if k > 0 {
-				_, delay, loss, _ := n.way(a, b)
+				_, delay, loss, _ := n.path(a, b)
 				for n.lost(loss) {
-					delay += repeat
+					delay += retransmitDelay
 				}
 				select {
 				case lane <- chunk{append([]byte(nil), buf[:k]...), time.Now().Add(delay)}:
@@ -230,18 +230,18 @@
 	}()
 	defer end()
 	for c := range lane {
-		if !n.await(a, b, c.due, done) {
+		if !n.awaitDelivery(a, b, c.due, done) {
 			return
 		}
 		if _, err := to.Write(c.b); err != nil {
 			return
 		}
 	}
-	n.await(a, b, time.Time{}, done) // the end of a stream does not pass a cut either
+	n.awaitDelivery(a, b, time.Time{}, done) // the end of a stream does not pass a cut either
 }
 
-// await returns whether a piece may go on, when its time has come.
-func (n *Network) await(a, b Place, due time.Time, done <-chan struct{}) bool {
+// awaitDelivery returns whether a piece may go on, when its time has come.
+func (n *Network) awaitDelivery(a, b Place, due time.Time, done <-chan struct{}) bool {
 	if d := time.Until(due); d > 0 {
 		t := time.NewTimer(d)
 		defer t.Stop()
@@ -252,7 +252,7 @@
 		}
 	}
 	for {
-		open, _, _, changed := n.way(a, b)
+		open, _, _, changed := n.path(a, b)
 		if open {
 			return true
 		}
--- a/internal/testbed/proxy/line.go
+++ b/internal/testbed/proxy/line.go
@@ -19,8 +19,8 @@
 	pb "indigousher/proto/indigousher/v1"
 )
 
-// Line is a proxy's stream to a pilot, over whichever transport.
-type Line interface {
+// Stream is a proxy's stream to a pilot, over whichever transport.
+type Stream interface {
 	Write(m wire.Message, within time.Duration) error
 	Read(within time.Duration) (wire.Message, error)
 	Last() uint32 // number of the last message read
@@ -28,14 +28,14 @@
 }
 
 // Joiner opens a line and says hello.
-type Joiner func(ctx context.Context, dial Dial, address string, hello *wire.Hello) (Line, *wire.Welcome, error)
+type Joiner func(ctx context.Context, dial Dial, address string, hello *wire.Hello) (Stream, *wire.Welcome, error)
 
-// helloWithin is how long a pilot may take to answer a hello.
-const helloWithin = 2 * time.Second
+// helloTimeout is how long a pilot may take to answer a hello.
+const helloTimeout = 2 * time.Second
 
 // Framed joins over the framed wire, under TLS if c is not nil.
 func Framed(c *tls.Config) Joiner {
-	return func(ctx context.Context, dial Dial, address string, hello *wire.Hello) (Line, *wire.Welcome, error) {
+	return func(ctx context.Context, dial Dial, address string, hello *wire.Hello) (Stream, *wire.Welcome, error) {
 		conn, err := dial(ctx, "tcp", address)
 		if err != nil {
 			return nil, nil, err
@@ -43,12 +43,12 @@
 		if c != nil {
 			conn = tls.Client(conn, c)
 		}
-		l := &framedLine{conn: conn, w: wire.NewWriter(conn), r: wire.NewReader(conn, 0)}
-		if err := l.Write(hello, helloWithin); err != nil {
+		l := &framedStream{conn: conn, writer: wire.NewWriter(conn), reader: wire.NewReader(conn, 0)}
+		if err := l.Write(hello, helloTimeout); err != nil {
 			l.Close()
 			return nil, nil, err
 		}
-		m, err := l.Read(helloWithin)
+		m, err := l.Read(helloTimeout)
 		if err == nil {
 			if w, ok := m.(*wire.Welcome); ok {
 				return l, w, nil
@@ -60,29 +60,29 @@
 	}
 }
 
-type framedLine struct {
+type framedStream struct {
 	conn net.Conn
-	w    *wire.Writer
-	r    *wire.Reader
+	writer    *wire.Writer
+	reader    *wire.Reader
 }
 
-func (l *framedLine) Write(m wire.Message, within time.Duration) error {
+func (l *framedStream) Write(m wire.Message, within time.Duration) error {
 	_ = l.conn.SetWriteDeadline(time.Now().Add(within))
-	_, err := l.w.Write(m)
+	_, err := l.writer.Write(m)
 	return err
 }
 
-func (l *framedLine) Read(within time.Duration) (wire.Message, error) {
+func (l *framedStream) Read(within time.Duration) (wire.Message, error) {
 	_ = l.conn.SetReadDeadline(time.Now().Add(within))
-	return l.r.Read()
+	return l.reader.Read()
 }
 
-func (l *framedLine) Last() uint32 { return l.r.Last() }
-func (l *framedLine) Close()       { _ = l.conn.Close() }
+func (l *framedStream) Last() uint32 { return l.reader.Last() }
+func (l *framedStream) Close()       { _ = l.conn.Close() }
 
 // GRPC joins over gRPC, under TLS if c is not nil. Zip has it send its messages compressed.
 func GRPC(c *tls.Config, zip bool) Joiner {
-	return func(ctx context.Context, dial Dial, address string, hello *wire.Hello) (Line, *wire.Welcome, error) {
+	return func(ctx context.Context, dial Dial, address string, hello *wire.Hello) (Stream, *wire.Welcome, error) {
 		creds := insecure.NewCredentials()
 		if c != nil {
 			creds = credentials.NewTLS(c)
@@ -94,12 +94,12 @@
 			return nil, nil, err
 		}
 		ctx, cancel := context.WithCancel(ctx)
-		l := &grpcLine{conn: conn, cancel: cancel, got: make(chan *pb.Downward), failed: make(chan struct{})}
+		l := &grpcStream{conn: conn, cancel: cancel, received: make(chan *pb.Downward), failed: make(chan struct{})}
 		var options []grpc.CallOption
 		if zip {
 			options = append(options, grpc.UseCompressor(gzip.Name))
 		}
-		timer := time.AfterFunc(helloWithin, cancel)
+		timer := time.AfterFunc(helloTimeout, cancel)
 		if l.stream, err = pb.NewControlClient(conn).Follow(ctx, options...); err == nil {
 			err = l.stream.Send(&pb.Upward{Says: &pb.Upward_Hello{Hello: grpcapi.Hello(hello)}})
 		}
@@ -122,27 +122,27 @@
 	}
 }
 
-// grpcLine speaks proto and is spoken to in the framed wire's messages.
-type grpcLine struct {
+// grpcStream speaks proto and is spoken to in the framed wire's messages.
+type grpcStream struct {
 	conn   *grpc.ClientConn
 	stream grpc.BidiStreamingClient[pb.Upward, pb.Downward]
 	cancel context.CancelFunc
-	got    chan *pb.Downward
+	received    chan *pb.Downward
 	failed chan struct{}
 	err    error
 	mu     sync.Mutex
 	last   uint32
-	owed   []owed
+	unacknowledged   []assignment
 }
 
-// owed is an assignment read and not acknowledged; at is the number of its message.
-type owed struct {
+// assignment is an assignment read and not acknowledged; at is the number of its message.
+type assignment struct {
 	at      uint32
 	version uint64
 	marks   []uint32
 }
 
-func (l *grpcLine) receive() {
+func (l *grpcStream) receive() {
 	defer close(l.failed)
 	for {
 		m, err := l.stream.Recv()
@@ -151,7 +151,7 @@
 			return
 		}
 		select {
-		case l.got <- m:
+		case l.received <- m:
 		case <-l.stream.Context().Done():
 			l.err = l.stream.Context().Err()
 			return
@@ -160,12 +160,12 @@
 }
 
 // Write sends a message. A Done or a Beat that shows an assignment as dealt with acknowledges it.
-func (l *grpcLine) Write(m wire.Message, _ time.Duration) error {
+func (l *grpcStream) Write(m wire.Message, _ time.Duration) error {
 	switch m := m.(type) {
 	case *wire.Sums:
 		return l.stream.Send(&pb.Upward{Says: &pb.Upward_Report{Report: grpcapi.Report(m)}})
 	case *wire.Done:
-		return l.acknowledge(m.TookMs, func(o owed) bool {
+		return l.acknowledge(m.TookMs, func(o assignment) bool {
 			for _, n := range o.marks {
 				if int(n) == m.Mark {
 					return true
@@ -174,7 +174,7 @@
 			return false
 		})
 	case *wire.Beat:
-		if err := l.acknowledge(0, func(o owed) bool { return o.at <= m.Seen }); err != nil {
+		if err := l.acknowledge(0, func(o assignment) bool { return o.at <= m.Seen }); err != nil {
 			return err
 		}
 		return l.stream.Send(&pb.Upward{Says: &pb.Upward_Beat{Beat: &pb.Beat{}}})
@@ -183,10 +183,10 @@
 }
 
 // acknowledge acknowledges all up to the last that is due.
-func (l *grpcLine) acknowledge(tookMs float64, due func(owed) bool) error {
+func (l *grpcStream) acknowledge(tookMs float64, due func(assignment) bool) error {
 	l.mu.Lock()
 	n := 0
-	for i, o := range l.owed {
+	for i, o := range l.unacknowledged {
 		if due(o) {
 			n = i + 1
 		}
@@ -195,19 +195,19 @@
 		l.mu.Unlock()
 		return nil
 	}
-	version := l.owed[n-1].version
-	l.owed = l.owed[n:]
+	version := l.unacknowledged[n-1].version
+	l.unacknowledged = l.unacknowledged[n:]
 	l.mu.Unlock()
 	return l.stream.Send(&pb.Upward{Says: &pb.Upward_Ack{Ack: &pb.Ack{Version: version, TookMs: tookMs}}})
 }
 
 // Read returns the next message in the framed wire's form.
-func (l *grpcLine) Read(within time.Duration) (wire.Message, error) {
+func (l *grpcStream) Read(within time.Duration) (wire.Message, error) {
 	t := time.NewTimer(within)
 	defer t.Stop()
 	var m *pb.Downward
 	select {
-	case m = <-l.got:
+	case m = <-l.received:
 	case <-l.failed:
 		return nil, l.err
 	case <-t.C:
@@ -218,7 +218,7 @@
 	l.last++
 	switch x := m.GetSays().(type) {
 	case *pb.Downward_Assignment:
-		l.owed = append(l.owed, owed{l.last, x.Assignment.GetVersion(), x.Assignment.GetMarks()})
+		l.unacknowledged = append(l.unacknowledged, assignment{l.last, x.Assignment.GetVersion(), x.Assignment.GetMarks()})
 		return grpcapi.OrdersFrom(x.Assignment), nil
 	case *pb.Downward_Pace:
 		return &wire.Pace{PeriodMs: int(x.Pace.GetPeriodMs()), Lines: int(x.Pace.GetLines()), Changes: x.Pace.GetChanges()}, nil
@@ -228,13 +228,13 @@
 	return &wire.Beat{}, nil
 }
 
-func (l *grpcLine) Last() uint32 {
+func (l *grpcStream) Last() uint32 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.last
 }
 
-func (l *grpcLine) Close() {
+func (l *grpcStream) Close() {
 	l.cancel()
 	_ = l.conn.Close()
 }
--- a/internal/testbed/proxy/pool.go
+++ b/internal/testbed/proxy/pool.go
@@ -17,38 +17,38 @@
 	dial    Dial
 	timeout time.Duration
 	mu      sync.Mutex
-	open    *multi
+	open    *connection
 	dialing chan struct{}
 	retired bool
 }
 
-// multi is an open connection with the reqs that wait on it.
-type multi struct {
+// connection is an open connection with the reqs that wait on it.
+type connection struct {
 	conn    net.Conn
 	mu      sync.Mutex
-	w       *wire.Writer
-	next    uint64
+	writer       *wire.Writer
+	lastNumber    uint64
 	waiting map[uint64]chan *wire.Answer
 	err     error
 }
 
-// do sends a req and waits for its answer. An error that is errNever proves that nothing was sent.
-func (p *pool) do(ctx context.Context, req *wire.Req) (*wire.Answer, error) {
+// roundTrip sends a req and waits for its answer. An error that is errNever proves that nothing was sent.
+func (p *pool) roundTrip(ctx context.Context, req *wire.Req) (*wire.Answer, error) {
 	m, err := p.connect(ctx)
 	if err != nil {
-		return nil, errors.Join(errNever, err)
+		return nil, errors.Join(errNotSent, err)
 	}
 	ch := make(chan *wire.Answer, 1)
 	m.mu.Lock()
 	if m.err != nil {
 		m.mu.Unlock()
-		return nil, errors.Join(errNever, m.err)
+		return nil, errors.Join(errNotSent, m.err)
 	}
-	m.next++
-	req.Number = m.next
+	m.lastNumber++
+	req.Number = m.lastNumber
 	m.waiting[req.Number] = ch
 	_ = m.conn.SetWriteDeadline(time.Now().Add(time.Second))
-	_, err = m.w.Write(req)
+	_, err = m.writer.Write(req)
 	m.mu.Unlock()
 	if err != nil {
 		m.fail(err)
@@ -71,7 +71,7 @@
 }
 
 // connect returns the open connection or opens one; several callers share one dial.
-func (p *pool) connect(ctx context.Context) (*multi, error) {
+func (p *pool) connect(ctx context.Context) (*connection, error) {
 	for {
 		p.mu.Lock()
 		if p.open != nil && p.open.alive() {
@@ -82,7 +82,7 @@
 		if wait == nil {
 			p.dialing = make(chan struct{})
 			p.mu.Unlock()
-			return p.dialNow(ctx)
+			return p.dialConnection(ctx)
 		}
 		p.mu.Unlock()
 		select {
@@ -99,7 +99,7 @@
 	}
 }
 
-func (p *pool) dialNow(ctx context.Context) (*multi, error) {
+func (p *pool) dialConnection(ctx context.Context) (*connection, error) {
 	dctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), p.timeout)
 	defer cancel()
 	conn, err := p.dial(dctx, "tcp", p.address)
@@ -114,7 +114,7 @@
 		_ = conn.Close()
 		return nil, net.ErrClosed
 	}
-	m := &multi{conn: conn, w: wire.NewWriter(conn), waiting: map[uint64]chan *wire.Answer{}}
+	m := &connection{conn: conn, writer: wire.NewWriter(conn), waiting: map[uint64]chan *wire.Answer{}}
 	p.open = m
 	go m.read()
 	return m, nil
@@ -142,20 +142,20 @@
 			_ = m.conn.Close()
 			return
 		}
-		time.AfterFunc(lingerMost, func() { _ = m.conn.Close() })
+		time.AfterFunc(retireTimeout, func() { _ = m.conn.Close() })
 	}
 }
 
-// lingerMost is how long reqs at an endpoint that has left the tables may still be answered.
-const lingerMost = 5 * time.Second
+// retireTimeout is how long reqs at an endpoint that has left the tables may still be answered.
+const retireTimeout = 5 * time.Second
 
-func (m *multi) alive() bool {
+func (m *connection) alive() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.err == nil
 }
 
-func (m *multi) fail(err error) {
+func (m *connection) fail(err error) {
 	_ = m.conn.Close()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -168,7 +168,7 @@
 	}
 }
 
-func (m *multi) read() {
+func (m *connection) read() {
 	r := wire.NewReader(m.conn, 1<<16)
 	for {
 		msg, err := r.Read()
@@ -190,21 +190,21 @@
 	}
 }
 
-// Asker is one client's way to a proxy.
-type Asker struct{ pool pool }
+// Client is one client's way to a proxy.
+type Client struct{ pool pool }
 
-// NewAsker returns an asker that has not dialled.
-func NewAsker(address string, dial Dial, timeout time.Duration) *Asker {
-	return &Asker{pool{address: address, dial: dial, timeout: timeout}}
+// NewClient returns an asker that has not dialled.
+func NewClient(address string, dial Dial, timeout time.Duration) *Client {
+	return &Client{pool{address: address, dial: dial, timeout: timeout}}
 }
 
-// Ask sends a req and waits for its answer.
-func (a *Asker) Ask(ctx context.Context, req *wire.Req) (*wire.Answer, error) {
-	return a.pool.do(ctx, req)
+// Do sends a req and waits for its answer.
+func (a *Client) Do(ctx context.Context, req *wire.Req) (*wire.Answer, error) {
+	return a.pool.roundTrip(ctx, req)
 }
 
-// Never returns whether an error proves that a req never left.
-func Never(err error) bool { return errors.Is(err, errNever) }
+// NotSent returns whether an error proves that a req never left.
+func NotSent(err error) bool { return errors.Is(err, errNotSent) }
 
 // Close ends the connection.
-func (a *Asker) Close() { a.pool.close() }
+func (a *Client) Close() { a.pool.close() }
--- a/internal/testbed/proxy/pool_test.go
+++ b/internal/testbed/proxy/pool_test.go
@@ -58,13 +58,13 @@
 		"broken before the answer": {(&net.Dialer{}).DialContext, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := NewAsker(l.Addr().String(), x.dial, time.Second)
+			a := NewClient(l.Addr().String(), x.dial, time.Second)
 			defer a.Close()
 			ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 			defer cancel()
-			_, err := a.Ask(ctx, &wire.Req{Name: 1, Kind: "book", From: "client", WorkMs: 1, LimitMs: 1000})
+			_, err := a.Do(ctx, &wire.Req{Name: 1, Kind: "book", From: "client", WorkMs: 1, LimitMs: 1000})
 			require.Error(t, err)
-			assert.Equal(t, x.never, Never(err), "%v", err)
+			assert.Equal(t, x.never, NotSent(err), "%v", err)
 		})
 	}
 }
--- a/internal/testbed/proxy/proxy.go
+++ b/internal/testbed/proxy/proxy.go
@@ -25,61 +25,61 @@
 // Options is what a proxy is made of.
 type Options struct {
 	Name, Zone   string
-	Habits       routing.Policy
+	Routing       routing.Policy
 	Rate         float64 // reqs a second that ordinarily come
-	Standing     func() []string
+	StaticTable     func() []string
 	Pilots       func() []string // addresses to dial, the home pilot first
 	Dial         Dial            // to pilots and endpoints
 	DialTimeout  time.Duration
-	Redial       time.Duration // mean wait before dialling again
+	RedialPause       time.Duration // mean wait before dialling again
 	ApplyPerLine time.Duration // for which it stands still
-	FirstWait    float64       // part of the response target that a try which may be followed waits
-	Targets      []time.Duration
-	Limits       []time.Duration // client timeout by kind
+	FirstAttemptShare    float64       // part of the response target that a try which may be followed waits
+	LatencyObjectives      []time.Duration
+	ClientTimeouts       []time.Duration // client timeout by class
 	Seed         uint64
 	// Faults of the stand-in itself, for tests.
-	MuteReads func() bool    // does not read its stream while true
-	Join      func() Joiner  // made anew for each process; nil: the framed wire in plain
-	Heedless  bool           // reports as ever, whatever it is asked for
-	Reports   func() float64 // as many times as often
-	ClockMs   float64
+	StopReading func() bool    // does not read its stream while true
+	NewJoiner      func() Joiner  // made anew for each process; nil: the framed wire in plain
+	IgnoreReportRequests  bool           // reports as ever, whatever it is asked for
+	ReportFactor   func() float64 // as many times as often
+	ClockOffsetMs   float64
 }
 
 // Proxy is one proxy; its process can die and come back.
 type Proxy struct {
 	Options
-	book    *eventlog.Stream
+	events    *eventlog.Stream
 	mu      sync.Mutex
 	address string
-	life    *life
-	boots   int
+	process    *process
+	starts   int
 }
 
-// life is one process.
-type life struct {
+// process is one process.
+type process struct {
 	ctx     context.Context
 	cancel  context.CancelFunc
 	wg      sync.WaitGroup
-	still   sync.RWMutex // held while lines are applied
+	applying   sync.RWMutex // held while lines are applied
 	mu      sync.Mutex   // guards follower and below
-	follow  *routing.Follower
-	conns   map[string]*pool
+	router  *routing.Router
+	pools   map[string]*pool
 	clients map[net.Conn]bool
-	stream  Line
+	stream  Stream
 	join    Joiner
-	lines   []int
-	rnd     *rand.Rand
-	wish    routing.ReportRequest
+	eligible   []int
+	random     *rand.Rand
+	reportRequest    routing.ReportRequest
 }
 
 // New returns a proxy that has not started.
-func New(m Options, book *eventlog.Stream) *Proxy { return &Proxy{Options: m, book: book} }
+func New(m Options, book *eventlog.Stream) *Proxy { return &Proxy{Options: m, events: book} }
 
 // Start begins a process: a standing table is drawn and a pilot dialled.
 func (p *Proxy) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.life != nil {
+	if p.process != nil {
 		return fmt.Errorf("start %s: it runs", p.Name)
 	}
 	l, err := network.Listen(p.address)
@@ -87,64 +87,64 @@
 		return fmt.Errorf("start %s: %w", p.Name, err)
 	}
 	p.address = l.Addr().String()
-	p.boots++
-	li := &life{follow: routing.NewFollower(p.Habits, p.Standing(), p.Seed+uint64(p.boots)), conns: map[string]*pool{},
-		clients: map[net.Conn]bool{}, lines: make([]int, len(p.Habits.Kinds)),
-		rnd: rand.New(rand.NewPCG(p.Seed, uint64(p.boots)))}
-	for k := range li.lines {
-		li.lines[k] = -1
+	p.starts++
+	proc := &process{router: routing.NewRouter(p.Routing, p.StaticTable(), p.Seed+uint64(p.starts)), pools: map[string]*pool{},
+		clients: map[net.Conn]bool{}, eligible: make([]int, len(p.Routing.Classes)),
+		random: rand.New(rand.NewPCG(p.Seed, uint64(p.starts)))}
+	for k := range proc.eligible {
+		proc.eligible[k] = -1
 	}
-	if li.join = Framed(nil); p.Join != nil {
-		li.join = p.Join()
+	if proc.join = Framed(nil); p.NewJoiner != nil {
+		proc.join = p.NewJoiner()
 	}
-	li.ctx, li.cancel = context.WithCancel(context.Background())
-	p.life = li
-	p.book.Add(eventlog.Event{What: eventlog.Start, N: p.boots, Text: p.Zone})
-	li.showLines(p)
-	context.AfterFunc(li.ctx, func() { _ = l.Close() })
-	li.wg.Go(func() { p.accept(li, l) })
-	boot := p.boots
-	li.wg.Go(func() { p.keepStream(li, boot) })
+	proc.ctx, proc.cancel = context.WithCancel(context.Background())
+	p.process = proc
+	p.events.Add(eventlog.Event{What: eventlog.Start, N: p.starts, Text: p.Zone})
+	proc.logEligible(p)
+	context.AfterFunc(proc.ctx, func() { _ = l.Close() })
+	proc.wg.Go(func() { p.accept(proc, l) })
+	boot := p.starts
+	proc.wg.Go(func() { p.maintainStream(proc, boot) })
 	return nil
 }
 
 // Kill ends the process: all its sockets close.
 func (p *Proxy) Kill() {
 	p.mu.Lock()
-	li := p.life
-	p.life = nil
+	proc := p.process
+	p.process = nil
 	p.mu.Unlock()
-	if li == nil {
+	if proc == nil {
 		return
 	}
-	p.book.Add(eventlog.Event{What: eventlog.Stop})
-	li.cancel()
-	li.mu.Lock()
-	for c := range li.clients {
+	p.events.Add(eventlog.Event{What: eventlog.Stop})
+	proc.cancel()
+	proc.mu.Lock()
+	for c := range proc.clients {
 		_ = c.Close()
 	}
-	for _, pl := range li.conns {
+	for _, pl := range proc.pools {
 		pl.close()
 	}
-	if li.stream != nil {
-		li.stream.Close()
+	if proc.stream != nil {
+		proc.stream.Close()
 	}
-	li.mu.Unlock()
-	li.wg.Wait()
+	proc.mu.Unlock()
+	proc.wg.Wait()
 }
 
-// Drop breaks its stream to the pilot.
-func (p *Proxy) Drop() {
+// DropStream breaks its stream to the pilot.
+func (p *Proxy) DropStream() {
 	p.mu.Lock()
-	li := p.life
+	proc := p.process
 	p.mu.Unlock()
-	if li == nil {
+	if proc == nil {
 		return
 	}
-	li.mu.Lock()
-	defer li.mu.Unlock()
-	if li.stream != nil {
-		li.stream.Close()
+	proc.mu.Lock()
+	defer proc.mu.Unlock()
+	if proc.stream != nil {
+		proc.stream.Close()
 	}
 }
 
@@ -155,58 +155,58 @@
 	return p.address
 }
 
-// showLines notes how many lines each kind has, where that has changed. The caller holds li.mu or owns li.
-func (li *life) showLines(p *Proxy) {
-	for k, name := range p.Habits.Kinds {
-		if n := li.follow.Lines(k); n != li.lines[k] {
-			li.lines[k] = n
-			p.book.Add(eventlog.Event{What: eventlog.Lines, Kind: name, N: n})
+// logEligible notes how many lines each class has, where that has changed. The caller holds proc.mu or owns proc.
+func (proc *process) logEligible(p *Proxy) {
+	for k, name := range p.Routing.Classes {
+		if n := proc.router.EligibleCount(k); n != proc.eligible[k] {
+			proc.eligible[k] = n
+			p.events.Add(eventlog.Event{What: eventlog.Lines, Kind: name, N: n})
 		}
 	}
 }
 
-// keepStream keeps a stream to one pilot at a time.
-func (p *Proxy) keepStream(li *life, boot int) {
-	for try := 0; li.ctx.Err() == nil; try++ {
+// maintainStream keeps a stream to one pilot at a time.
+func (p *Proxy) maintainStream(proc *process, boot int) {
+	for try := 0; proc.ctx.Err() == nil; try++ {
 		pilots := p.Pilots()
-		if len(pilots) > 0 && p.stream(li, boot, pilots[try%len(pilots)]) {
+		if len(pilots) > 0 && p.runStream(proc, boot, pilots[try%len(pilots)]) {
 			try = -1 // it had a pilot: home first again
 		}
-		if li.ctx.Err() != nil {
+		if proc.ctx.Err() != nil {
 			return
 		}
-		wait := time.Duration((0.5 + li.rnd.Float64()) * float64(p.Redial))
+		wait := time.Duration((0.5 + proc.random.Float64()) * float64(p.RedialPause))
 		t := time.NewTimer(wait)
 		select {
 		case <-t.C:
-		case <-li.ctx.Done():
+		case <-proc.ctx.Done():
 		}
 		t.Stop()
 	}
 }
 
-// stream holds one stream to its end and returns whether there was one.
-func (p *Proxy) stream(li *life, boot int, address string) bool {
-	li.mu.Lock()
+// runStream holds one stream to its end and returns whether there was one.
+func (p *Proxy) runStream(proc *process, boot int, address string) bool {
+	proc.mu.Lock()
 	hello := &wire.Hello{Version: wire.Version, Proxy: p.Name, Zone: p.Zone, Boot: uint64(boot), Rate: p.Rate,
-		Fresh: li.follow.Fresh(), Holds: li.follow.Holds(), Tables: li.follow.Tables()}
-	li.mu.Unlock()
-	line, welcome, err := li.join(li.ctx, p.Dial, address, hello)
+		Fresh: proc.router.Fresh(), Holds: proc.router.Endpoints(), Tables: proc.router.HeldTables()}
+	proc.mu.Unlock()
+	line, welcome, err := proc.join(proc.ctx, p.Dial, address, hello)
 	if err != nil {
 		return false
 	}
 	defer line.Close()
-	li.mu.Lock()
-	li.stream = line
-	li.follow.Joined()
-	li.wish = routing.ReportRequest{}
-	li.mu.Unlock()
-	if li.ctx.Err() != nil {
+	proc.mu.Lock()
+	proc.stream = line
+	proc.router.StreamJoined()
+	proc.reportRequest = routing.ReportRequest{}
+	proc.mu.Unlock()
+	if proc.ctx.Err() != nil {
 		return false
 	}
-	p.book.Add(eventlog.Event{What: eventlog.Join, Peer: welcome.Pilot, Kind: p.Zone})
-	defer p.book.Add(eventlog.Event{What: eventlog.Leave, Peer: welcome.Pilot})
-	ctx, cancel := context.WithCancel(li.ctx)
+	p.events.Add(eventlog.Event{What: eventlog.Join, Peer: welcome.Pilot, Kind: p.Zone})
+	defer p.events.Add(eventlog.Event{What: eventlog.Leave, Peer: welcome.Pilot})
+	ctx, cancel := context.WithCancel(proc.ctx)
 	defer cancel()
 	out := make(chan wire.Message, 16)
 	beat := time.Duration(welcome.BeatMs) * time.Millisecond
@@ -217,22 +217,22 @@
 	wg.Go(func() {
 		defer cancel() // a stream that can't be written to has ended, also for a proxy that does not read
 		defer line.Close()
-		p.speak(ctx, li, line, out, &seen, beat, &period)
+		p.sendLoop(ctx, proc, line, out, &seen, beat, &period)
 	})
-	p.hear(ctx, li, line, out, beat, welcome.Pilot, &seen, &period)
+	p.receiveLoop(ctx, proc, line, out, beat, welcome.Pilot, &seen, &period)
 	cancel()
 	line.Close()
 	wg.Wait()
 	return true
 }
 
-// speak sends beats, sums and marks.
-func (p *Proxy) speak(ctx context.Context, li *life, line Line, out <-chan wire.Message,
+// sendLoop sends beats, sums and marks.
+func (p *Proxy) sendLoop(ctx context.Context, proc *process, line Stream, out <-chan wire.Message,
 	seen *atomic.Uint32, beat time.Duration, period *atomic.Int64) {
 	every := func() time.Duration {
 		d := time.Duration(max(period.Load(), 1)) * time.Millisecond
-		if p.Reports != nil {
-			d = time.Duration(float64(d) / p.Reports())
+		if p.ReportFactor != nil {
+			d = time.Duration(float64(d) / p.ReportFactor())
 		}
 		return d
 	}
@@ -249,9 +249,9 @@
 			m = &wire.Beat{Seen: seen.Load()}
 		case <-sums.C:
 			sums.Reset(every())
-			li.mu.Lock()
-			m = li.follow.Sums(p.book.Now()+p.ClockMs, li.wish)
-			li.mu.Unlock()
+			proc.mu.Lock()
+			m = proc.router.Report(p.events.Now()+p.ClockOffsetMs, proc.reportRequest)
+			proc.mu.Unlock()
 		}
 		if err := line.Write(m, 3*beat); err != nil {
 			return
@@ -259,11 +259,11 @@
 	}
 }
 
-// hear applies what the pilot orders.
-func (p *Proxy) hear(ctx context.Context, li *life, line Line, out chan<- wire.Message,
+// receiveLoop applies what the pilot orders.
+func (p *Proxy) receiveLoop(ctx context.Context, proc *process, line Stream, out chan<- wire.Message,
 	beat time.Duration, pilot string, seen *atomic.Uint32, period *atomic.Int64) {
 	for {
-		for p.MuteReads != nil && p.MuteReads() && ctx.Err() == nil {
+		for p.StopReading != nil && p.StopReading() && ctx.Err() == nil {
 			time.Sleep(20 * time.Millisecond)
 		}
 		m, err := line.Read(3 * beat)
@@ -273,8 +273,8 @@
 		switch m := m.(type) {
 		case *wire.Orders:
 			came := time.Now()
-			p.book.Add(eventlog.Event{What: eventlog.Got, Peer: pilot, N: m.Lines, Value: m.AgeMs, Since: m.AtMs})
-			marks := p.apply(li, m)
+			p.events.Add(eventlog.Event{What: eventlog.Got, Peer: pilot, N: m.Lines, Value: m.AgeMs, Since: m.AtMs})
+			marks := p.apply(proc, m)
 			for _, n := range marks {
 				took := float64(time.Since(came)) / float64(time.Millisecond)
 				select {
@@ -284,10 +284,10 @@
 				}
 			}
 		case *wire.Pace:
-			if !p.Heedless {
-				li.mu.Lock()
-				li.wish = routing.ReportRequest{Lines: m.Lines, Changes: m.Changes}
-				li.mu.Unlock()
+			if !p.IgnoreReportRequests {
+				proc.mu.Lock()
+				proc.reportRequest = routing.ReportRequest{MaxEndpoints: m.Lines, ChangesOnly: m.Changes}
+				proc.mu.Unlock()
 				period.Store(int64(m.PeriodMs))
 			}
 		case *wire.Redirect, *wire.Refuse:
@@ -298,50 +298,50 @@
 }
 
 // apply stands still for as long as the lines take.
-func (p *Proxy) apply(li *life, m *wire.Orders) []int {
-	li.still.Lock()
-	defer li.still.Unlock()
+func (p *Proxy) apply(proc *process, m *wire.Orders) []int {
+	proc.applying.Lock()
+	defer proc.applying.Unlock()
 	if p.ApplyPerLine > 0 {
 		time.Sleep(time.Duration(len(m.Ops)) * p.ApplyPerLine)
 	}
-	li.mu.Lock()
-	defer li.mu.Unlock()
-	marks := li.follow.Apply(m.Ops)
-	li.showLines(p)
-	holds := li.follow.Holds()
-	for name, pl := range li.conns {
+	proc.mu.Lock()
+	defer proc.mu.Unlock()
+	marks := proc.router.Apply(m.Ops)
+	proc.logEligible(p)
+	holds := proc.router.Endpoints()
+	for name, pl := range proc.pools {
 		if !slices.Contains(holds, name) {
 			pl.retire()
-			delete(li.conns, name)
+			delete(proc.pools, name)
 		}
 	}
 	return marks
 }
 
-func (p *Proxy) accept(li *life, l net.Listener) {
+func (p *Proxy) accept(proc *process, l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		li.mu.Lock()
-		if li.ctx.Err() != nil {
-			li.mu.Unlock()
+		proc.mu.Lock()
+		if proc.ctx.Err() != nil {
+			proc.mu.Unlock()
 			_ = c.Close()
 			return
 		}
-		li.clients[c] = true
-		li.mu.Unlock()
-		li.wg.Go(func() { p.serve(li, c) })
+		proc.clients[c] = true
+		proc.mu.Unlock()
+		proc.wg.Go(func() { p.serve(proc, c) })
 	}
 }
 
 // serve answers one client's connection.
-func (p *Proxy) serve(li *life, c net.Conn) {
+func (p *Proxy) serve(proc *process, c net.Conn) {
 	defer func() {
-		li.mu.Lock()
-		delete(li.clients, c)
-		li.mu.Unlock()
+		proc.mu.Lock()
+		delete(proc.clients, c)
+		proc.mu.Unlock()
 		_ = c.Close()
 	}()
 	var mu sync.Mutex
@@ -358,7 +358,7 @@
 			return
 		}
 		wg.Go(func() {
-			a := p.handle(li, req)
+			a := p.handle(proc, req)
 			a.Number = req.Number
 			mu.Lock()
 			defer mu.Unlock()
@@ -371,93 +371,93 @@
 }
 
 // handle takes one req through its tries.
-func (p *Proxy) handle(li *life, req *wire.Req) *wire.Answer {
-	kind := slices.Index(p.Habits.Kinds, req.Kind)
-	if kind < 0 {
+func (p *Proxy) handle(proc *process, req *wire.Req) *wire.Answer {
+	class := slices.Index(p.Routing.Classes, req.Kind)
+	if class < 0 {
 		return &wire.Answer{Outcome: wire.Denied}
 	}
-	until := time.Now().Add(min(p.Limits[kind], time.Duration(req.LimitMs*float64(time.Millisecond))))
-	li.still.RLock() // a proxy that applies lines stands still
-	li.mu.Lock()
-	li.follow.Came(kind, req.Key)
-	admitted := li.follow.Admit(kind)
-	li.mu.Unlock()
-	li.still.RUnlock()
+	until := time.Now().Add(min(p.ClientTimeouts[class], time.Duration(req.LimitMs*float64(time.Millisecond))))
+	proc.applying.RLock() // a proxy that applies lines stands still
+	proc.mu.Lock()
+	proc.router.RequestArrived(class, req.Key)
+	admitted := proc.router.Admit(class)
+	proc.mu.Unlock()
+	proc.applying.RUnlock()
 	if !admitted {
-		p.book.Add(eventlog.Event{What: eventlog.Refuse, Kind: req.Kind, Req: req.Name, Text: "level"})
-		return &wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.ComeBackMs}
+		p.events.Add(eventlog.Event{What: eventlog.Refuse, Kind: req.Kind, Req: req.Name, Text: "level"})
+		return &wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.RetryAfterMs}
 	}
 	var tried []string
 	ran := false
 	for {
-		name, again := p.choose(li, req, kind, tried)
+		name, again := p.pickEndpoint(proc, req, class, tried)
 		if name == "" {
-			p.book.Add(eventlog.Event{What: eventlog.Refuse, Kind: req.Kind, Req: req.Name, Text: "no line"})
+			p.events.Add(eventlog.Event{What: eventlog.Refuse, Kind: req.Kind, Req: req.Name, Text: "no line"})
 			break
 		}
 		tried = append(tried, name)
-		a, err := p.try(li, name, kind, req, len(tried), p.patience(again, kind, len(tried), until))
+		a, err := p.attempt(proc, name, class, req, len(tried), p.attemptTimeout(again, class, len(tried), until))
 		if err == nil && a.Outcome == wire.Fine {
 			return &wire.Answer{Outcome: wire.Fine}
 		}
-		proof := errors.Is(err, errNever) || err == nil && a.Outcome == wire.Denied
+		proof := errors.Is(err, errNotSent) || err == nil && a.Outcome == wire.Denied
 		ran = ran || !proof
-		if !routing.TryFollows(again, len(tried), proof) || !time.Now().Before(until) || li.ctx.Err() != nil {
+		if !routing.RetryAllowed(again, len(tried), proof) || !time.Now().Before(until) || proc.ctx.Err() != nil {
 			break
 		}
 	}
 	if !ran {
-		return &wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.ComeBackMs}
+		return &wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.RetryAfterMs}
 	}
-	li.mu.Lock()
-	li.follow.Unanswered(kind, req.Key)
-	li.mu.Unlock()
+	proc.mu.Lock()
+	proc.router.RequestUnanswered(class, req.Key)
+	proc.mu.Unlock()
 	return &wire.Answer{Outcome: wire.Errored}
 }
 
-func (p *Proxy) choose(li *life, req *wire.Req, kind int, tried []string) (string, int) {
-	li.still.RLock()
-	defer li.still.RUnlock()
-	li.mu.Lock()
-	defer li.mu.Unlock()
-	name := li.follow.Pick(p.book.Now(), kind, req.Key, tried)
+func (p *Proxy) pickEndpoint(proc *process, req *wire.Req, class int, tried []string) (string, int) {
+	proc.applying.RLock()
+	defer proc.applying.RUnlock()
+	proc.mu.Lock()
+	defer proc.mu.Unlock()
+	name := proc.router.Pick(p.events.Now(), class, req.Key, tried)
 	if name != "" {
-		li.follow.Sent(name)
+		proc.router.AttemptStarted(name)
 		// noted here: what picks and what counts as sent must not be parted by a message that is applied between
-		p.book.Add(eventlog.Event{What: eventlog.Send, Peer: name, Kind: req.Kind, Req: req.Name, Text: req.Key,
+		p.events.Add(eventlog.Event{What: eventlog.Send, Peer: name, Kind: req.Kind, Req: req.Name, Text: req.Key,
 			N: len(tried) + 1})
 	}
-	return name, li.follow.Again(kind)
+	return name, proc.router.RetryMode(class)
 }
 
-// patience is how long a try waits: what is left, less where another may follow.
-func (p *Proxy) patience(again, kind, try int, until time.Time) time.Duration {
-	return routing.Patience(again, try, time.Until(until), time.Duration(p.FirstWait*float64(p.Targets[kind])))
+// attemptTimeout is how long a try waits: what is left, less where another may follow.
+func (p *Proxy) attemptTimeout(again, class, try int, until time.Time) time.Duration {
+	return routing.AttemptTimeout(again, try, time.Until(until), time.Duration(p.FirstAttemptShare*float64(p.LatencyObjectives[class])))
 }
 
-// errNever proves that a try never ran.
-var errNever = errors.New("the try never left")
+// errNotSent proves that a try never ran.
+var errNotSent = errors.New("the try never left")
 
-func (p *Proxy) try(li *life, name string, kind int, req *wire.Req, n int, wait time.Duration) (*wire.Answer, error) {
+func (p *Proxy) attempt(proc *process, name string, class int, req *wire.Req, n int, wait time.Duration) (*wire.Answer, error) {
 	start := time.Now()
-	ctx, cancel := context.WithTimeout(li.ctx, wait)
+	ctx, cancel := context.WithTimeout(proc.ctx, wait)
 	defer cancel()
-	li.mu.Lock()
-	pl := li.conns[name]
+	proc.mu.Lock()
+	pl := proc.pools[name]
 	if pl == nil {
 		pl = &pool{address: name, dial: p.Dial, timeout: p.DialTimeout}
-		li.conns[name] = pl
+		proc.pools[name] = pl
 	}
-	li.mu.Unlock()
-	a, err := pl.do(ctx, &wire.Req{Name: req.Name, Kind: req.Kind, Key: req.Key, From: p.Name, WorkMs: req.WorkMs,
+	proc.mu.Unlock()
+	a, err := pl.roundTrip(ctx, &wire.Req{Name: req.Name, Kind: req.Kind, Key: req.Key, From: p.Name, WorkMs: req.WorkMs,
 		LimitMs: float64(wait) / float64(time.Millisecond)})
 	good := err == nil && a.Outcome == wire.Fine
 	var load []wire.Figure
 	if a != nil {
 		load = a.Load
 	}
-	li.mu.Lock()
-	li.follow.Back(p.book.Now(), name, good, float64(time.Since(start))/float64(time.Millisecond), load)
-	li.mu.Unlock()
+	proc.mu.Lock()
+	proc.router.AttemptFinished(p.events.Now(), name, good, float64(time.Since(start))/float64(time.Millisecond), load)
+	proc.mu.Unlock()
 	return a, err
 }
--- a/internal/testbed/registry/list.go
+++ b/internal/testbed/registry/list.go
@@ -19,38 +19,38 @@
 
 // Registry is the source.
 type Registry struct {
-	book    *eventlog.Stream
+	events    *eventlog.Stream
 	mu      sync.Mutex
 	entries map[string]wire.Entry
 	slices  map[int]wire.Slices // as last given, by slice
 	version int
-	peers   map[*peer]bool
+	subscribers   map[*subscriber]bool
 	address string
 	ctx     context.Context
 	cancel  context.CancelFunc
 	wg      sync.WaitGroup
 	timers  map[*time.Timer]bool
-	sealed  *tls.Config
+	tlsConfig  *tls.Config
 }
 
-// peer is a pilot that follows.
-type peer struct {
+// subscriber is a pilot that follows.
+type subscriber struct {
 	conn  net.Conn
 	who   string
 	out   chan wire.Message
 	watch bool
 }
 
-// queue is how many changes may wait for a pilot that reads slowly; one more ends its connection.
-const queue = 1024
+// maxQueuedChanges is how many changes may wait for a pilot that reads slowly; one more ends its connection.
+const maxQueuedChanges = 1024
 
 // New returns an empty list that is not served.
 func New(book *eventlog.Stream) *Registry {
-	return &Registry{book: book, entries: map[string]wire.Entry{}, slices: map[int]wire.Slices{}, peers: map[*peer]bool{}, timers: map[*time.Timer]bool{}}
+	return &Registry{events: book, entries: map[string]wire.Entry{}, slices: map[int]wire.Slices{}, subscribers: map[*subscriber]bool{}, timers: map[*time.Timer]bool{}}
 }
 
-// Seal has the list served under TLS from its next start on.
-func (l *Registry) Seal(c *tls.Config) { l.sealed = c }
+// UseTLS has the list served under TLS from its next start on.
+func (l *Registry) UseTLS(c *tls.Config) { l.tlsConfig = c }
 
 // Start serves the list, at the address of the first time.
 func (l *Registry) Start() error {
@@ -61,13 +61,13 @@
 		return fmt.Errorf("start list: %w", err)
 	}
 	l.address = ln.Addr().String()
-	if l.sealed != nil {
-		ln = tls.NewListener(ln, l.sealed)
+	if l.tlsConfig != nil {
+		ln = tls.NewListener(ln, l.tlsConfig)
 	}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
 	ctx := l.ctx
 	context.AfterFunc(ctx, func() { _ = ln.Close() })
-	l.book.Add(eventlog.Event{What: eventlog.Start})
+	l.events.Add(eventlog.Event{What: eventlog.Start})
 	l.wg.Go(func() {
 		for {
 			c, err := ln.Accept()
@@ -86,8 +86,8 @@
 	if l.cancel != nil {
 		l.cancel()
 	}
-	l.book.Add(eventlog.Event{What: eventlog.Stop})
-	for p := range l.peers {
+	l.events.Add(eventlog.Event{What: eventlog.Stop})
+	for p := range l.subscribers {
 		_ = p.conn.Close()
 	}
 	l.mu.Unlock()
@@ -144,25 +144,25 @@
 			l.entries[e.Endpoint] = e
 		}
 	}
-	for p := range l.peers {
+	for p := range l.subscribers {
 		if p.watch {
 			l.push(p, &wire.List{Version: l.version, Now: now(), Entries: entries})
 		}
 	}
 }
 
-// Give gives a slice into the charge of all that follow or will, or takes it away, as the store of a deployment with
+// AssignSlice gives a slice into the charge of all that follow or will, or takes it away, as the store of a deployment with
 // slices would.
-func (l *Registry) Give(x wire.Slices) {
+func (l *Registry) AssignSlice(x wire.Slices) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.slices[x.Slice] = x
-	for p := range l.peers {
+	for p := range l.subscribers {
 		l.push(p, &x)
 	}
 }
 
-func (l *Registry) push(p *peer, m wire.Message) {
+func (l *Registry) push(p *subscriber, m wire.Message) {
 	select {
 	case p.out <- m:
 	default:
@@ -171,9 +171,9 @@
 }
 
 func (l *Registry) serve(ctx context.Context, c net.Conn) {
-	p := &peer{conn: c, out: make(chan wire.Message, queue)}
+	p := &subscriber{conn: c, out: make(chan wire.Message, maxQueuedChanges)}
 	l.mu.Lock()
-	l.peers[p] = true
+	l.subscribers[p] = true
 	l.mu.Unlock()
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
@@ -182,7 +182,7 @@
 		_ = c.Close()
 		wg.Wait()
 		l.mu.Lock()
-		delete(l.peers, p)
+		delete(l.subscribers, p)
 		l.mu.Unlock()
 	}()
 	wg.Go(func() { l.write(ctx, p) })
@@ -215,7 +215,7 @@
 	}
 }
 
-func (l *Registry) write(ctx context.Context, p *peer) {
+func (l *Registry) write(ctx context.Context, p *subscriber) {
 	defer p.conn.Close()
 	w := wire.NewWriter(p.conn)
 	beat := time.NewTicker(300 * time.Millisecond)
@@ -228,7 +228,7 @@
 		case x := <-p.out:
 			m = x
 			if told, ok := x.(*wire.List); ok {
-				l.note(p, told)
+				l.logUpdate(p, told)
 			}
 		case <-beat.C:
 		}
@@ -239,20 +239,20 @@
 	}
 }
 
-// note leaves in the trail what a pilot is told. Of a whole list also what it no longer names follows from it.
-func (l *Registry) note(p *peer, m *wire.List) {
+// logUpdate leaves in the trail what a pilot is told. Of a whole list also what it no longer names follows from it.
+func (l *Registry) logUpdate(p *subscriber, m *wire.List) {
 	l.mu.Lock()
 	who := p.who
 	l.mu.Unlock()
 	if m.Whole {
-		l.book.Add(eventlog.Event{What: eventlog.Told, Peer: who, N: -1})
+		l.events.Add(eventlog.Event{What: eventlog.Told, Peer: who, N: -1})
 	}
 	for _, e := range m.Entries {
 		age := -1.0
 		if e.Started != 0 {
 			age = float64(m.Now - e.Started)
 		}
-		l.book.Add(eventlog.Event{What: eventlog.Told, Peer: who, Text: e.Endpoint, Kind: e.Zone + "/" + e.Machine, N: e.Phase,
+		l.events.Add(eventlog.Event{What: eventlog.Told, Peer: who, Text: e.Endpoint, Kind: e.Zone + "/" + e.Machine, N: e.Phase,
 			Value: age})
 	}
 }
--- a/internal/testbed/relay/network.go
+++ b/internal/testbed/relay/network.go
@@ -12,7 +12,7 @@
 
 // Figures of the event streams.
 const (
-	signOfLife   = time.Second
+	keepaliveInterval   = time.Second
 	streamBuffer = 4096 // events; a reader that lags further behind is cut off
 )
 
@@ -94,7 +94,7 @@
 			r.stream(conn)
 			return
 		}
-		answer, failure := r.take(body)
+		answer, failure := r.handleCall(body)
 		switch failure {
 		case Silent:
 			continue // read on until the connection is reset
@@ -112,7 +112,7 @@
 func (r *Relay) stream(conn net.Conn) {
 	events := make(chan string, streamBuffer)
 	r.mu.Lock()
-	if r.broken {
+	if r.streamsBroken {
 		r.mu.Unlock()
 		reset(conn)
 		return
@@ -121,7 +121,7 @@
 		events <- "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 		for _, p := range r.proxies {
 			events <- chunk(fmt.Sprintf(`{"type":"joined","object":{"node":%d,"locality":%q,"w":%g,"cold":%t}}`,
-				p.Number, p.Zone, p.Rate, !p.bound))
+				p.Number, p.Zone, p.Rate, !p.assigned))
 		}
 		r.streams[conn] = events
 	}
@@ -132,7 +132,7 @@
 		_, _ = io.Copy(io.Discard, conn) // ends when the connection does
 		close(closed)
 	}()
-	ticker := time.NewTicker(signOfLife)
+	ticker := time.NewTicker(keepaliveInterval)
 	defer ticker.Stop()
 	for {
 		text := ""
@@ -158,8 +158,8 @@
 	delete(r.streams, conn)
 }
 
-// tell hands an event to all streams; r.mu is held. While the relay is silent events are lost.
-func (r *Relay) tell(event string) {
+// publish hands an event to all streams; r.mu is held. While the relay is silent events are lost.
+func (r *Relay) publish(event string) {
 	if r.failure == Silent {
 		return
 	}
--- a/internal/testbed/relay/relay.go
+++ b/internal/testbed/relay/relay.go
@@ -23,14 +23,14 @@
 // Config is what a relay is started with.
 type Config struct {
 	Proxies   []Proxy
-	Standing  map[string][]string // endpoints that proxies of a zone send to before a table is bound
-	LinesPerS float64             // pace of the channel
-	HeadLines int                 // lines that each message costs beside its own
+	StaticTable  map[string][]string // endpoints that proxies of a zone send to before a table is bound
+	LinesPerSecond float64             // pace of the channel
+	OverheadLines int                 // lines that each message costs beside its own
 	Transit   time.Duration       // from leaving the channel to the proxy
 }
 
-// order is one order of a call.
-type order struct {
+// command is one order of a call.
+type command struct {
 	Verb     string  `json:"verb"`
 	Cluster  *int    `json:"cluster"`
 	Endpoint string  `json:"endpoint"`
@@ -45,8 +45,8 @@
 	clear    bool
 	endpoint string
 	weight   *float64 // nil: not a line of the table
-	out      *bool    // nil: not a withdrawal
-	mark     int      // 0: none
+	excluded      *bool    // nil: not a withdrawal
+	ackRequest     int      // 0: none
 }
 
 // message is what one call brings to one proxy.
@@ -60,9 +60,9 @@
 type proxyState struct {
 	Proxy
 	table *int // as ordered
-	bound bool // as applied: sends by its lines, no longer by the standing ones
+	assigned bool // as applied: sends by its lines, no longer by the standing ones
 	lines map[string]float64
-	out   map[string]bool
+	excluded   map[string]bool
 }
 
 // Relay is a relay that runs.
@@ -71,24 +71,24 @@
 	mu        sync.Mutex
 	proxies   map[int]*proxyState
 	tables    map[int]map[string]float64 // as ordered
-	withdrawn map[string]bool            // as ordered
-	free      time.Time                  // when the channel has sent all that waits
+	excluded map[string]bool            // as ordered
+	channelFreeAt      time.Time                  // when the channel has sent all that waits
 	waiting   int                        // lines in the channel
-	most      int                        // lines that ever were
+	mostWaiting      int                        // lines that ever were
 	calls     int                        // calls that named at least one order
 	failing   bool
 	failure   Failure
-	broken    bool                // event streams are reset at once
-	carryOut  func(call int) bool // whether a call that gets no answer is carried out
+	streamsBroken    bool                // event streams are reset at once
+	executes  func(call int) bool // whether a call that gets no answer is carried out
 	network
 }
 
 // Start serves on a free port of the loopback address.
 func Start(config Config) (*Relay, error) {
 	r := &Relay{config: config, proxies: map[int]*proxyState{}, tables: map[int]map[string]float64{},
-		withdrawn: map[string]bool{}}
+		excluded: map[string]bool{}}
 	for _, p := range config.Proxies {
-		r.proxies[p.Number] = &proxyState{Proxy: p, lines: map[string]float64{}, out: map[string]bool{}}
+		r.proxies[p.Number] = &proxyState{Proxy: p, lines: map[string]float64{}, excluded: map[string]bool{}}
 	}
 	if err := r.listen(); err != nil {
 		return nil, err
@@ -111,7 +111,7 @@
 func (r *Relay) Fail(how Failure, carryOut func(n int) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.failure, r.carryOut, r.calls = how, carryOut, 0
+	r.failure, r.executes, r.calls = how, carryOut, 0
 }
 
 // Recover has the relay answer again; connections of a silence are reset.
@@ -129,7 +129,7 @@
 func (r *Relay) BreakStreams(broken bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.broken = broken
+	r.streamsBroken = broken
 	for conn := range r.streams {
 		if broken {
 			reset(conn)
@@ -149,16 +149,16 @@
 func (r *Relay) Waiting() (now, most int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.waiting, r.most
+	return r.waiting, r.mostWaiting
 }
 
-// Bound returns how many proxies have applied a table.
-func (r *Relay) Bound() int {
+// AssignedCount returns how many proxies have applied a table.
+func (r *Relay) AssignedCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
 	for _, p := range r.proxies {
-		if p.bound {
+		if p.assigned {
 			n++
 		}
 	}
@@ -172,20 +172,20 @@
 	for _, number := range slices.Sorted(maps.Keys(r.proxies)) {
 		p := r.proxies[number]
 		sends := p.lines[endpoint] > 0
-		if !p.bound {
-			sends = slices.Contains(r.config.Standing[p.Zone], endpoint)
+		if !p.assigned {
+			sends = slices.Contains(r.config.StaticTable[p.Zone], endpoint)
 		}
-		if sends && !p.out[endpoint] {
+		if sends && !p.excluded[endpoint] {
 			proxies = append(proxies, number)
 		}
 	}
 	return proxies
 }
 
-// take reads a call and returns what is said to it, and how it fails.
-func (r *Relay) take(body []byte) (answer string, failure Failure) {
+// handleCall reads a call and returns what is said to it, and how it fails.
+func (r *Relay) handleCall(body []byte) (answer string, failure Failure) {
 	var call struct {
-		Ops []order `json:"ops"`
+		Ops []command `json:"ops"`
 	}
 	err := json.Unmarshal(body, &call)
 	r.mu.Lock()
@@ -196,18 +196,18 @@
 	if len(call.Ops) > 0 {
 		r.calls++
 	}
-	if r.failure != None && !r.carryOut(r.calls) {
-		return unreadable, r.failure
+	if r.failure != None && !r.executes(r.calls) {
+		return truncatedAnswer, r.failure
 	}
-	answer = fmt.Sprintf(`{"ok_count":%d}`, r.carry(call.Ops))
+	answer = fmt.Sprintf(`{"ok_count":%d}`, r.execute(call.Ops))
 	if r.failure == Unreadable {
-		answer = unreadable
+		answer = truncatedAnswer
 	}
 	return answer, r.failure
 }
 
-// unreadable is what a spoilt answer looks like.
-const unreadable = `{"ok_cou`
+// truncatedAnswer is what a spoilt answer looks like.
+const truncatedAnswer = `{"ok_cou`
 
 func (r *Relay) isSilent() bool {
 	r.mu.Lock()
@@ -215,8 +215,8 @@
 	return r.failure == Silent
 }
 
-// carry carries orders out up to the first that names an unknown proxy, and returns how many it took.
-func (r *Relay) carry(orders []order) (taken int) {
+// execute carries orders out up to the first that names an unknown proxy, and returns how many it took.
+func (r *Relay) execute(orders []command) (taken int) {
 	messages := map[int]*message{}
 	for _, o := range orders {
 		if o.Verb == "USE" && r.proxies[o.Node] == nil {
@@ -232,26 +232,26 @@
 }
 
 // apply changes the tables as ordered and adds to each proxy's message what the order brings it.
-func (r *Relay) apply(o order, messages map[int]*message) {
+func (r *Relay) apply(o command, messages map[int]*message) {
 	switch o.Verb {
 	case "SET":
 		weight := o.Weight
 		r.table(*o.Cluster)[o.Endpoint] = weight
-		r.toUsers(messages, o.Cluster, change{endpoint: o.Endpoint, weight: &weight})
+		r.addForUsers(messages, o.Cluster, change{endpoint: o.Endpoint, weight: &weight})
 	case "DEL":
 		clear(r.table(*o.Cluster))
-		r.toUsers(messages, o.Cluster, change{clear: true})
+		r.addForUsers(messages, o.Cluster, change{clear: true})
 	case "USE":
-		r.bind(messages, r.proxies[o.Node], *o.Cluster)
+		r.assign(messages, r.proxies[o.Node], *o.Cluster)
 	case "OUT", "IN":
 		out := o.Verb == "OUT"
-		r.withdrawn[o.Endpoint] = out
-		r.toHolders(messages, o.Endpoint, change{endpoint: o.Endpoint, out: &out})
+		r.excluded[o.Endpoint] = out
+		r.addForHolders(messages, o.Endpoint, change{endpoint: o.Endpoint, excluded: &out})
 	case "LIMIT":
-		r.toUsers(messages, o.Cluster, change{})
+		r.addForUsers(messages, o.Cluster, change{})
 	case "SYNC":
 		for _, m := range messages {
-			m.add(change{mark: o.Ticket})
+			m.add(change{ackRequest: o.Ticket})
 		}
 	}
 }
@@ -263,45 +263,45 @@
 	return r.tables[number]
 }
 
-// bind lays out a whole table and what of it is withdrawn.
-func (r *Relay) bind(messages map[int]*message, p *proxyState, table int) {
+// assign lays out a whole table and what of it is withdrawn.
+func (r *Relay) assign(messages map[int]*message, p *proxyState, table int) {
 	p.table = &table
-	r.to(messages, p, change{clear: true})
+	r.addFor(messages, p, change{clear: true})
 	lines := r.table(table)
 	for _, endpoint := range slices.Sorted(maps.Keys(lines)) {
 		weight := lines[endpoint]
-		r.to(messages, p, change{endpoint: endpoint, weight: &weight})
-		if r.withdrawn[endpoint] {
-			r.to(messages, p, change{endpoint: endpoint, out: &[]bool{true}[0]})
+		r.addFor(messages, p, change{endpoint: endpoint, weight: &weight})
+		if r.excluded[endpoint] {
+			r.addFor(messages, p, change{endpoint: endpoint, excluded: &[]bool{true}[0]})
 		}
 	}
 }
 
-// toUsers adds a change to the message of each proxy on a table, or of all proxies.
-func (r *Relay) toUsers(messages map[int]*message, table *int, c change) {
+// addForUsers adds a change to the message of each proxy on a table, or of all proxies.
+func (r *Relay) addForUsers(messages map[int]*message, table *int, c change) {
 	for _, p := range r.proxies {
 		if table == nil || p.table != nil && *p.table == *table {
-			r.to(messages, p, c)
+			r.addFor(messages, p, c)
 		}
 	}
 }
 
-// toHolders adds a change to the message of each proxy whose table names an endpoint.
-func (r *Relay) toHolders(messages map[int]*message, endpoint string, c change) {
+// addForHolders adds a change to the message of each proxy whose table names an endpoint.
+func (r *Relay) addForHolders(messages map[int]*message, endpoint string, c change) {
 	for _, p := range r.proxies {
-		holds := slices.Contains(r.config.Standing[p.Zone], endpoint)
+		holds := slices.Contains(r.config.StaticTable[p.Zone], endpoint)
 		if p.table != nil {
 			holds = r.table(*p.table)[endpoint] > 0
 		}
 		if holds {
-			r.to(messages, p, c)
+			r.addFor(messages, p, c)
 		}
 	}
 }
 
-func (r *Relay) to(messages map[int]*message, p *proxyState, c change) {
+func (r *Relay) addFor(messages map[int]*message, p *proxyState, c change) {
 	if messages[p.Number] == nil {
-		messages[p.Number] = &message{proxy: p.Number, lines: r.config.HeadLines}
+		messages[p.Number] = &message{proxy: p.Number, lines: r.config.OverheadLines}
 	}
 	messages[p.Number].add(c)
 }
@@ -314,13 +314,13 @@
 // send puts a message into the channel: it leaves after all before it and is applied a transit later.
 func (r *Relay) send(m *message) {
 	r.waiting += m.lines
-	r.most = max(r.most, r.waiting)
+	r.mostWaiting = max(r.mostWaiting, r.waiting)
 	now := time.Now()
-	if r.free.Before(now) {
-		r.free = now
+	if r.channelFreeAt.Before(now) {
+		r.channelFreeAt = now
 	}
-	r.free = r.free.Add(time.Duration(float64(m.lines) / r.config.LinesPerS * float64(time.Second)))
-	leaves := r.free.Sub(now)
+	r.channelFreeAt = r.channelFreeAt.Add(time.Duration(float64(m.lines) / r.config.LinesPerSecond * float64(time.Second)))
+	leaves := r.channelFreeAt.Sub(now)
 	time.AfterFunc(leaves, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -338,13 +338,13 @@
 		switch {
 		case c.clear:
 			clear(p.lines)
-			p.bound = true
+			p.assigned = true
 		case c.weight != nil:
 			p.lines[c.endpoint] = *c.weight
-		case c.out != nil:
-			p.out[c.endpoint] = *c.out
-		case c.mark != 0:
-			r.tell(fmt.Sprintf(`{"type":"applied","object":{"node":%d,"nonce":%d,"latency":%d}}`, m.proxy, c.mark,
+		case c.excluded != nil:
+			p.excluded[c.endpoint] = *c.excluded
+		case c.ackRequest != 0:
+			r.publish(fmt.Sprintf(`{"type":"applied","object":{"node":%d,"nonce":%d,"latency":%d}}`, m.proxy, c.ackRequest,
 				r.config.Transit.Milliseconds()))
 		}
 	}
--- a/internal/transport/discovery/discovery_test.go
+++ b/internal/transport/discovery/discovery_test.go
@@ -79,7 +79,7 @@
 	in.has(t, "whole x", "changes y")
 	s.Fetch()
 	in.has(t, "whole x", "changes y", "whole x y")
-	l.Give(wire.Slices{Slice: 7, Given: true, Lines: []wire.HeldLine{{Endpoint: "x", Weight: 1}}})
+	l.AssignSlice(wire.Slices{Slice: 7, Given: true, Lines: []wire.HeldLine{{Endpoint: "x", Weight: 1}}})
 	in.has(t, "whole x", "changes y", "whole x y", "slice 7 true [{x 1}]")
 	l.Stop()
 	l.Put(0, wire.Entry{Endpoint: "x", Phase: wire.PhaseGone})
--- a/internal/transport/healthcheck/healthcheck_test.go
+++ b/internal/transport/healthcheck/healthcheck_test.go
@@ -53,7 +53,7 @@
 
 // TestProbe checks the outcome for each state of an endpoint, and the limit of concurrent checks.
 func TestProbe(t *testing.T) {
-	model := endpoint.Model{Name: "e", Cores: 1, Speed: 1, Conns: 9, ReportEvery: 5 * time.Millisecond}
+	model := endpoint.Model{Name: "e", Cores: 1, Speed: 1, MaxConnections: 9, ReportEvery: 5 * time.Millisecond}
 	e := endpoint.New(model, eventlog.NewLog().Stream("e"))
 	require.NoError(t, e.Start(false))
 	t.Cleanup(e.Kill)
--- a/internal/transport/transports_test.go
+++ b/internal/transport/transports_test.go
@@ -111,7 +111,7 @@
 }
 
 // read returns the next message other than a heartbeat, and sends heartbeats meanwhile.
-func read(t *testing.T, l proxy.Line) wire.Message {
+func read(t *testing.T, l proxy.Stream) wire.Message {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
 		m, err := l.Read(5 * time.Second)
@@ -126,7 +126,7 @@
 }
 
 // ends waits for the end of a line and returns the last message other than a heartbeat.
-func ends(l proxy.Line) (last wire.Message) {
+func ends(l proxy.Stream) (last wire.Message) {
 	for {
 		m, err := l.Read(5 * time.Second)
 		if err != nil {
--- a/recovery/explore_test.go
+++ b/recovery/explore_test.go
@@ -88,7 +88,7 @@
 
 // proxy follows whoever has its stream.
 type proxy struct {
-	follow *routing.Follower
+	follow *routing.Router
 	to     int // a process, -1 nobody
 	coming []*wire.Orders
 	stream *stream
@@ -145,7 +145,7 @@
 	w.procs[0] = &process{alive: true, old: &recovery.Predecessor{Patience: 2}, claimed: true, listed: -1}
 	w.procs[1] = &process{alive: true, taker: recovery.NewSuccessor(), act: recovery.Nothing}
 	for i := range w.proxies {
-		w.proxies[i] = &proxy{to: -1, follow: routing.NewFollower(routing.Policy{Kinds: []string{"read"}}, []string{"e0", "e1"}, uint64(i))}
+		w.proxies[i] = &proxy{to: -1, follow: routing.NewRouter(routing.Policy{Classes: []string{"read"}}, []string{"e0", "e1"}, uint64(i))}
 	}
 	w.begin(0)
 	return w
@@ -396,9 +396,9 @@
 			if p.to < 0 && q.core != nil {
 				s[fmt.Sprint("join ", k, " ", i)] = func() {
 					hello := wire.Hello{Version: 1, Proxy: fmt.Sprint("p", k), Zone: "a", Rate: 1, Fresh: p.follow.Fresh(),
-						Holds: p.follow.Holds(), Tables: p.follow.Tables()}
+						Holds: p.follow.Endpoints(), Tables: p.follow.HeldTables()}
 					p.to, p.stream = i, &stream{w, i, k}
-					p.follow.Joined()
+					p.follow.StreamJoined()
 					w.feed(i, controller.ProxyJoined{Stream: p.stream, Hello: hello})
 				}
 			}
@@ -427,7 +427,7 @@
 		return "an effect was ordered twice"
 	}
 	for k, p := range w.proxies {
-		if p.follow.Lines(0) == 0 {
+		if p.follow.EligibleCount(0) == 0 {
 			return fmt.Sprintf("p%d has no line", k)
 		}
 	}
@@ -444,8 +444,8 @@
 		return fmt.Sprintf("%d processes run the pilot in the end", running)
 	}
 	for k, p := range w.proxies {
-		if p.to < 0 || w.list > 0 && p.follow.Open(0, "e0") || !p.follow.Open(0, "e1") {
-			return fmt.Sprintf("p%d is at %d and may pick from %v in the end", k, p.to, p.follow.Holds())
+		if p.to < 0 || w.list > 0 && p.follow.Eligible(0, "e0") || !p.follow.Eligible(0, "e1") {
+			return fmt.Sprintf("p%d is at %d and may pick from %v in the end", k, p.to, p.follow.Endpoints())
 		}
 	}
 	return ""
@@ -459,7 +459,7 @@
 	}
 	var proxies []string // one is like another
 	for _, p := range w.proxies {
-		s := fmt.Sprintf("%d %v %v %v", p.to, p.follow.Tables(), p.follow.Open(0, "e0"), p.follow.Open(0, "e1"))
+		s := fmt.Sprintf("%d %v %v %v", p.to, p.follow.HeldTables(), p.follow.Eligible(0, "e0"), p.follow.Eligible(0, "e1"))
 		for _, o := range p.coming {
 			s += fmt.Sprint(o.Ops)
 		}
