--- /dev/null
+++ b/internal/testbed/routing/apply.go
@@ -0,0 +1,39 @@
+package routing
+
+import "indigousher/internal/wire"
+
+// Apply carries out all operations of one message and returns the numbers of the acks that it asks for.
+func (r *Router) Apply(ops []wire.Op) (ackRequests []int) {
+	defer r.invalidateCandidates()
+	for _, o := range ops {
+		switch o.Kind {
+		case wire.OpBind:
+			r.assign(o)
+		case wire.OpSet:
+			r.table(o.Table).setWeight(o.Endpoint, o.Weight)
+		case wire.OpClear:
+			t := r.table(o.Table)
+			clear(t.lines)
+			clear(t.admission)
+		case wire.OpWithdraw:
+			r.setExcluded(o.Endpoint, o.Out)
+		case wire.OpAdmit:
+			r.setAdmission(o)
+		case wire.OpMark:
+			ackRequests = append(ackRequests, o.Number)
+		case wire.OpRange:
+			r.assignRange(o)
+		}
+	}
+	return ackRequests
+}
+
+// setExcluded takes an endpoint out of use whatever the tables say, or readmits it.
+func (r *Router) setExcluded(endpoint string, excluded bool) {
+	if excluded {
+		r.excluded[endpoint] = true
+		return
+	}
+	delete(r.excluded, endpoint)
+	delete(r.previouslyExcluded, endpoint)
+}
