--- a/internal/testbed/proxy/pool_test.go
+++ b/internal/testbed/proxy/pool_test.go
@@ -24,7 +24,7 @@
 		return f.Conn.Write(b)
 	}
 	_, _ = f.Conn.Write(b[:f.bears])
-	_ = f.Conn.Close()
+	_ = f.Close()
 	return f.bears, errors.New("broken")
 }
 
@@ -33,7 +33,7 @@
 func TestProof(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer l.Close()
+	defer func() { _ = l.Close() }() // the test is over
 	go func() {
 		for {
 			c, err := l.Accept()
--- /dev/null
+++ b/internal/testbed/proxy/request.go
@@ -0,0 +1,142 @@
+package proxy
+
+import (
+	"context"
+	"errors"
+	"slices"
+	"time"
+
+	"indigousher/internal/testbed/eventlog"
+	"indigousher/internal/testbed/routing"
+	"indigousher/internal/wire"
+)
+
+// Reasons of a rejection, as the event log spells them.
+const (
+	rejectedByLevel = "level"   // by the admission level
+	noEndpoint      = "no line" // no table has an endpoint for it
+)
+
+// handle takes one request from its arrival to its answer.
+func (p *process) handle(req *wire.Req) *wire.Answer {
+	class := slices.Index(p.Routing.Classes, req.Kind)
+	if class < 0 {
+		return &wire.Answer{Outcome: wire.Denied}
+	}
+	clientTimeout := time.Duration(req.LimitMs * float64(time.Millisecond))
+	deadline := time.Now().Add(min(p.ClientTimeouts[class], clientTimeout))
+	if !p.admit(req, class) {
+		p.logRejection(req, rejectedByLevel)
+		return &wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.RetryAfterMs}
+	}
+	outcome := p.forward(req, class, deadline)
+	switch outcome {
+	case wire.Denied:
+		return &wire.Answer{Outcome: outcome, ComeBackMs: routing.RetryAfterMs}
+	case wire.Errored:
+		p.mu.Lock()
+		p.router.RequestUnanswered(class, req.Key)
+		p.mu.Unlock()
+	}
+	return &wire.Answer{Outcome: outcome}
+}
+
+// admit counts a request and draws whether it is admitted. It waits while lines are applied.
+func (p *process) admit(req *wire.Req, class int) bool {
+	p.applying.RLock()
+	defer p.applying.RUnlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.router.RequestArrived(class, req.Key)
+	return p.router.Admit(class)
+}
+
+// forward sends a request to one endpoint after another, as retries are allowed. It returns wire.Denied only where no
+// attempt can have run.
+func (p *process) forward(req *wire.Req, class int, deadline time.Time) wire.Outcome {
+	var tried []string
+	failure := wire.Denied
+	for {
+		endpoint, retryMode := p.pickEndpoint(req, class, tried)
+		if endpoint == "" {
+			p.logRejection(req, noEndpoint)
+			return failure
+		}
+		tried = append(tried, endpoint)
+		answer, err := p.attempt(endpoint, req, p.attemptTimeout(retryMode, class, len(tried), deadline))
+		if err == nil && answer.Outcome == wire.Fine {
+			return wire.Fine
+		}
+		notRun := errors.Is(err, errNotSent) || err == nil && answer.Outcome == wire.Denied
+		if !notRun {
+			failure = wire.Errored
+		}
+		if !routing.RetryAllowed(retryMode, len(tried), notRun) || !time.Now().Before(deadline) || p.ctx.Err() != nil {
+			return failure
+		}
+	}
+}
+
+func (p *process) logRejection(req *wire.Req, reason string) {
+	p.events.Add(eventlog.Event{What: eventlog.Refuse, Kind: req.Kind, Req: req.Name, Text: reason})
+}
+
+// pickEndpoint picks the endpoint of the next attempt, "" if there is none, and returns the retry mode with it. It waits
+// while lines are applied.
+func (p *process) pickEndpoint(req *wire.Req, class int, tried []string) (endpoint string, retryMode int) {
+	p.applying.RLock()
+	defer p.applying.RUnlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	endpoint = p.router.Pick(p.events.Now(), class, req.Key, tried)
+	if endpoint != "" {
+		p.router.AttemptStarted(endpoint)
+		// Logged under the locks, so that no message that is applied comes between the pick and the log.
+		p.events.Add(eventlog.Event{
+			What: eventlog.Send, Peer: endpoint, Kind: req.Kind, Req: req.Name, Text: req.Key, N: len(tried) + 1,
+		})
+	}
+	return endpoint, p.router.RetryMode(class)
+}
+
+// attemptTimeout returns how long an attempt, counted from 1, waits for its answer.
+func (p *process) attemptTimeout(retryMode, class, attempt int, deadline time.Time) time.Duration {
+	first := time.Duration(p.FirstAttemptShare * float64(p.LatencyObjectives[class]))
+	return routing.AttemptTimeout(retryMode, attempt, time.Until(deadline), first)
+}
+
+// attempt sends a request to one endpoint and waits for its answer. An error that is errNotSent says that the endpoint
+// had nothing of it.
+func (p *process) attempt(endpoint string, req *wire.Req, timeout time.Duration) (*wire.Answer, error) {
+	start := time.Now()
+	ctx, cancel := context.WithTimeout(p.ctx, timeout)
+	defer cancel()
+	answer, err := p.poolOf(endpoint).roundTrip(ctx, &wire.Req{
+		Name:    req.Name,
+		Kind:    req.Kind,
+		Key:     req.Key,
+		From:    p.Name,
+		WorkMs:  req.WorkMs,
+		LimitMs: float64(timeout) / float64(time.Millisecond),
+	})
+	succeeded := err == nil && answer.Outcome == wire.Fine
+	var load []wire.Figure
+	if answer != nil {
+		load = answer.Load
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	tookMs := float64(time.Since(start)) / float64(time.Millisecond)
+	p.router.AttemptFinished(p.events.Now(), endpoint, succeeded, tookMs, load)
+	return answer, err
+}
+
+// poolOf returns the connection to an endpoint, one that is not open if it is new.
+func (p *process) poolOf(endpoint string) *pool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.pools[endpoint] == nil {
+		p.pools[endpoint] = &pool{address: endpoint, dial: p.Dial, timeout: p.DialTimeout}
+	}
+	return p.pools[endpoint]
+}
