--- /dev/null
+++ b/internal/testbed/loadgen/weights.go
@@ -0,0 +1,60 @@
+package loadgen
+
+import (
+	"math/rand/v2"
+	"slices"
+)
+
+// minTargetWeight keeps moveWeight from dividing by 0 where the targets have no weight.
+const minTargetWeight = 1e-9
+
+// chooser draws indices in proportion to weights; it holds the sum of the weights up to each.
+type chooser []float64
+
+func newChooser(weights []float64) chooser {
+	sums := make(chooser, 0, len(weights))
+	sum := 0.0
+	for _, weight := range weights {
+		sum += weight
+		sums = append(sums, sum)
+	}
+	return sums
+}
+
+func (c chooser) draw(random *rand.Rand) int {
+	i, _ := slices.BinarySearch(c, random.Float64()*c[len(c)-1])
+	return min(i, len(c)-1)
+}
+
+// drawIndex draws an index in proportion to the weights.
+func drawIndex(random *rand.Rand, weights []float64) int {
+	sum := 0.0
+	for _, weight := range weights {
+		sum += weight
+	}
+	rest := random.Float64() * sum
+	for i, weight := range weights {
+		if rest -= weight; rest < 0 {
+			return i
+		}
+	}
+	return len(weights) - 1 // rounding
+}
+
+// moveWeight moves a fraction of all weight to some of the proxies, in proportion to their own weights.
+func moveWeight(weights []float64, targets []int, fraction float64) {
+	sum := 0.0
+	targetSum := minTargetWeight
+	for i, weight := range weights {
+		sum += weight
+		if slices.Contains(targets, i) {
+			targetSum += weight
+		}
+	}
+	for i, before := range weights {
+		weights[i] *= 1 - fraction
+		if slices.Contains(targets, i) {
+			weights[i] += fraction * sum * before / targetSum
+		}
+	}
+}
