--- a/internal/testbed/catalog/catalog.go
+++ b/internal/testbed/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog is a stand-in for the platform's discovery agent on loopback: it serves the list of endpoints and its
-// changes over HTTP. It decides nothing. Tests start it beside the stand-in relay.
+// Package catalog is the platform's discovery agent on loopback for tests: it serves the endpoint list and its changes
+// over HTTP. It decides nothing. Tests start it beside package relay's relay.
 package catalog
 
 import (
@@ -13,28 +13,29 @@
 	"time"
 )
 
-// Statuses that an endpoint is listed in.
+// Statuses of an endpoint, as the platform spells them.
 const (
 	Active  = "active"
-	Leaving = "leaving"
-	Left    = "left"
+	Leaving = "leaving" // draining
+	Left    = "left"    // gone: in changes, but not in the whole list
 )
 
-// longestWatch bounds how long a watch waits for a change.
-const longestWatch = 10 * time.Second
+// maxWatch bounds how long a watch waits for a change.
+const maxWatch = 10 * time.Second
 
 // Member is one endpoint on the list.
 type Member struct{ Name, Zone, Status string }
 
 // Catalog serves a list that the test changes.
 type Catalog struct {
-	mu      sync.Mutex
+	server  *http.Server
+	address string
+
+	mu      sync.Mutex // guards what follows
 	version int
 	members []Member
-	changed []int         // version at which each member last changed
+	changed []int         // by member: the version at which it last changed
 	notify  chan struct{} // closed at the next change
-	server  *http.Server
-	address string
 }
 
 // Start serves a first list on a free port of the loopback address.
@@ -43,12 +44,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen for discovery: %w", err)
 	}
-	c := &Catalog{version: 1, members: slices.Clone(members), changed: make([]int, len(members)),
-		notify: make(chan struct{}), address: listener.Addr().String()}
+	c := &Catalog{
+		version: 1,
+		members: slices.Clone(members),
+		changed: make([]int, len(members)),
+		notify:  make(chan struct{}),
+		address: listener.Addr().String(),
+	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog/members", c.serve)
-	c.server = &http.Server{Handler: mux, ReadHeaderTimeout: longestWatch}
-	go func() { _ = c.server.Serve(listener) }() // ends with Close
+	c.server = &http.Server{Handler: mux, ReadHeaderTimeout: maxWatch}
+	go func() { _ = c.server.Serve(listener) }() // ends with Close, as does its error
 	return c, nil
 }
 
@@ -81,14 +87,15 @@
 		return
 	}
 	wait, _ := strconv.Atoi(query.Get("wait")) // absent: no wait
-	c.await(request, since, min(longestWatch, time.Duration(wait)*time.Millisecond))
+	c.await(request, since, min(maxWatch, time.Duration(wait)*time.Millisecond))
 	_, _ = w.Write(c.list(since))
 }
 
 // await returns once something newer than a version exists, or the wait is over.
 func (c *Catalog) await(request *http.Request, since int, wait time.Duration) {
 	c.mu.Lock()
-	version, notify := c.version, c.notify
+	version := c.version
+	notify := c.notify
 	c.mu.Unlock()
 	if version > since {
 		return
@@ -100,16 +107,25 @@
 	}
 }
 
-// list lays out what changed after a version, or the whole list after version 0.
+// list returns the answer with what changed after a version, or with the whole list after version 0.
 func (c *Catalog) list(since int) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var entries []string
 	for i, m := range c.members {
-		if since == 0 && m.Status != Left || since > 0 && c.changed[i] > since {
+		if c.isListed(i, since) {
 			entries = append(entries, fmt.Sprintf(`{"name":%q,"zone":%q,"type":"m","status":%q,"weight":1,"since_ms":0}`,
 				m.Name, m.Zone, m.Status))
 		}
 	}
-	return fmt.Appendf(nil, `{"index":%d,"snapshot":%t,"endpoints":[%s]}`, c.version, since == 0, strings.Join(entries, ","))
+	return fmt.Appendf(nil, `{"index":%d,"snapshot":%t,"endpoints":[%s]}`,
+		c.version, since == 0, strings.Join(entries, ","))
+}
+
+// isListed returns whether a member belongs into an answer. The caller holds mu.
+func (c *Catalog) isListed(member, since int) bool {
+	if since == 0 {
+		return c.members[member].Status != Left
+	}
+	return since > 0 && c.changed[member] > since
 }
--- a/internal/testbed/loadgen/load.go
+++ b/internal/testbed/loadgen/load.go
@@ -1,5 +1,5 @@
-// Package loadgen generates the load of clients: an open loop of requests, drawn ahead from a seed, that are sent to the
-// proxies when their time comes whether or not earlier ones are answered, with retries and client timeouts.
+// Package loadgen generates the load of clients: an open loop of requests, drawn ahead from a seed, that are sent to
+// the proxies when their time comes whether or not earlier ones are answered, with retries and client timeouts.
 package loadgen
 
 import (
--- a/internal/testbed/loadgen/source.go
+++ b/internal/testbed/loadgen/source.go
@@ -18,8 +18,8 @@
 	Key    string
 }
 
-// Source draws the requests of a load one after another. Candidates arrive as a Poisson process at the peak rate and are
-// thinned out to the rate of the moment.
+// Source draws the requests of a load one after another. Candidates arrive as a Poisson process at the peak rate and
+// are thinned out to the rate of the moment.
 type Source struct {
 	load         Load
 	random       *rand.Rand
--- a/internal/testbed/proxy/pool_test.go
+++ b/internal/testbed/proxy/pool_test.go
@@ -28,8 +28,8 @@
 	return f.bears, errors.New("broken")
 }
 
-// TestProof guards what counts as proof that a try never ran: that no connection came about does, that one broke while the
-// req was written, or before its answer, does not, as the endpoint may have had all of it.
+// TestProof guards what counts as proof that an attempt never ran: that no connection came about does; that one broke
+// while the request was written, or before its answer, does not, as the endpoint may have had all of it.
 func TestProof(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -50,7 +50,9 @@
 		dial  Dial
 		never bool
 	}{
-		"no connection": {func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }, true},
+		"no connection": {func(context.Context, string, string) (net.Conn, error) {
+			return nil, errors.New("refused")
+		}, true},
 		"broken while it is written": {func(ctx context.Context, network, at string) (net.Conn, error) {
 			c, err := (&net.Dialer{}).DialContext(ctx, network, at)
 			return &frail{c, 7}, err
--- a/internal/testbed/proxy/request.go
+++ b/internal/testbed/proxy/request.go
@@ -81,8 +81,8 @@
 	p.events.Add(eventlog.Event{What: eventlog.Refuse, Kind: req.Kind, Req: req.Name, Text: reason})
 }
 
-// pickEndpoint picks the endpoint of the next attempt, "" if there is none, and returns the retry mode with it. It waits
-// while lines are applied.
+// pickEndpoint picks the endpoint of the next attempt, "" if there is none, and returns the retry mode with it. It
+// waits while lines are applied.
 func (p *process) pickEndpoint(req *wire.Req, class int, tried []string) (endpoint string, retryMode int) {
 	p.applying.RLock()
 	defer p.applying.RUnlock()
--- a/internal/testbed/routing/router.go
+++ b/internal/testbed/routing/router.go
@@ -76,9 +76,9 @@
 	return r
 }
 
-// StreamJoined begins a new stream. Classes keep their tables until they are assigned others, and endpoints stay excluded
-// for them until then. The numbers of the tables and the admission for all tables end with the stream before. Slices
-// keep their tables and numbers until their pilot says otherwise.
+// StreamJoined begins a new stream. Classes keep their tables until they are assigned others, and endpoints stay
+// excluded for them until then. The numbers of the tables and the admission for all tables end with the stream before.
+// Slices keep their tables and numbers until their pilot says otherwise.
 func (r *Router) StreamJoined() {
 	defer r.invalidateCandidates()
 	r.previousTables = r.tables
