--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -17,7 +17,7 @@
 	server server
 	inbox  *inbox
 	stream controller.Stream // the controller's end
-	line   proxy.Stream        // the proxy's
+	line   proxy.Stream      // the proxy's
 	stop   func()            // shuts the server down
 }
 
