--- a/internal/daemon/assemble.go
+++ b/internal/daemon/assemble.go
@@ -73,8 +73,8 @@
 		EndpointSource: d.endpointSource,
 		HealthChecker:  d.proberForCore(),
 		Gossip:         d.peersForCore(),
-		Log:            func(text string) { log.Info(text, zap.String("by", "module")) },
-		Malformed:      func(what string, fields ...string) { log.Warn(what, zap.Strings("about", fields)) },
+		Log:            func(text string) { log.Info(text, zap.String("source", "planner")) },
+		Malformed:      func(what string, fields ...string) { log.Warn(what, zap.Strings("fields", fields)) },
 		Metrics:        d.metrics,
 	}
 }
