--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -61,28 +61,17 @@
 	answer  func(outcome wire.Outcome, comeBackMs float64, load []wire.Figure)
 }
 
-// What endpoints of the testbed do alike.
-const (
-	loadReportEvery  = 400 * time.Millisecond
-	loadReportLag    = 200 * time.Millisecond
-	endpointRetryMs  = 200  // Retry-After of a rejection
-	endpointSeedStep = 7919 // keeps the sequences of runs with neighbouring seeds apart
-)
+// endpointSeedStep keeps the sequences of runs with neighbouring seeds apart.
+const endpointSeedStep = 7919
 
 // disciplineSharing is the setting of endpoints whose requests share the cores.
 const disciplineSharing = "sharing"
 
-// Settings of a request class that say whether a request may be repeated.
-const (
-	repeatsReplayable = "replayable" // idempotent
-	repeatsUniqued    = "uniqued"    // with an idempotency key: repeats are dropped
-)
-
 // addEndpoint starts an endpoint of a group of the scenario.
 func (w *World) addEndpoint(name string, group int, cold bool) {
 	g := w.Scenario.Groups[group]
 	speed := g.Speed * math.Exp(g.Spread*w.random.NormFloat64())
-	model := w.endpointModel(name, group, speed)
+	model := endpoint.FromScenario(w.Scenario, group, name, speed)
 	seed := uint64(w.Scenario.Seed*endpointSeedStep + len(w.endpoints))
 	added := &emulatedEndpoint{
 		Model:       model,
@@ -104,37 +93,6 @@
 	added.start(cold)
 }
 
-func (w *World) endpointModel(name string, group int, speed float64) endpoint.Model {
-	s := w.Scenario
-	g := s.Groups[group]
-	effects := map[string]bool{}
-	dedup := map[string]bool{}
-	for _, class := range s.Kinds {
-		effects[class.Name] = class.Repeats != repeatsReplayable
-		dedup[class.Name] = class.Repeats == repeatsUniqued
-	}
-	return endpoint.Model{
-		Name:             name,
-		Zone:             g.Zone,
-		Machine:          g.Machine,
-		Cores:            g.Cores,
-		Speed:            speed,
-		QueueLimit:       g.Queue,
-		MaxConnections:   g.MaxConnections,
-		HandshakeMs:      milliseconds(g.Handshake),
-		ReportEvery:      loadReportEvery,
-		ReportLag:        loadReportLag,
-		ReportNoise:      s.NoisyReports,
-		WarmUp:           s.Cold,
-		WarmUpFrom:       s.ColdFrom,
-		OverloadMultiple: s.FallMultiple,
-		OverloadWindow:   s.Fall,
-		RetryAfterMs:     endpointRetryMs,
-		Effects:          effects,
-		Deduplicated:     dedup,
-	}
-}
-
 // start begins a process.
 func (e *emulatedEndpoint) start(cold bool) {
 	e.starts++
--- a/internal/emulator/slices.go
+++ b/internal/emulator/slices.go
@@ -3,10 +3,8 @@
 import (
 	"slices"
 
-	"indigousher/internal/scenario"
 	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/testbed/loadgen"
-	"indigousher/internal/wire"
 )
 
 // rehearsalName is who logs what the run itself does.
@@ -24,13 +22,7 @@
 // announceSlice has the registry notify the pilots of a slice's owner.
 func (w *World) announceSlice(slice int) {
 	owner := w.sliceOwners[slice]
-	assignment := wire.Slices{
-		Slice: slice,
-		Given: true,
-		From:  loadgen.Key(slice * scenario.KeysPerSlice),
-		To:    loadgen.Key((slice + 1) * scenario.KeysPerSlice),
-		Lines: []wire.HeldLine{{Endpoint: owner, Weight: 1}},
-	}
+	assignment := loadgen.SliceAssignment(slice, owner)
 	w.logEvent(rehearsalName, eventlog.Event{What: eventlog.Given, Peer: owner, N: slice, Text: assignment.From})
 	w.registry.assignSlice(assignment)
 }
--- a/internal/rehearsal/endpoints.go
+++ b/internal/rehearsal/endpoints.go
@@ -10,19 +10,8 @@
 	"indigousher/internal/wire"
 )
 
-// What endpoints of the testbed do alike.
-const (
-	loadReportEvery  = 400 * time.Millisecond
-	loadReportLag    = 200 * time.Millisecond
-	endpointRetryMs  = 200  // Retry-After of a rejection
-	endpointSeedStep = 7919 // keeps the sequences of endpoints with names of different lengths apart
-)
-
-// Settings of a request class that say whether a request may be repeated.
-const (
-	repeatsReplayable = "replayable" // idempotent
-	repeatsUniqued    = "uniqued"    // with an idempotency key: repeats are dropped
-)
+// endpointSeedStep keeps the sequences of endpoints with names of different lengths apart.
+const endpointSeedStep = 7919
 
 // minOwnZone is how many endpoints its own zone must have for a proxy's static table to hold only those.
 const minOwnZone = 3
@@ -33,7 +22,9 @@
 	s.mu.Lock()
 	speed := g.Speed * math.Exp(g.Spread*s.random.NormFloat64())
 	s.mu.Unlock()
-	added := endpoint.New(s.endpointModel(name, group, speed), s.eventLog.Stream(name))
+	model := endpoint.FromScenario(s.Scenario, group, name, speed)
+	model.Seed = uint64(s.Scenario.Seed + len(name)*endpointSeedStep)
+	added := endpoint.New(model, s.eventLog.Stream(name))
 	if err := added.Start(cold); err != nil {
 		return err
 	}
@@ -49,37 +40,6 @@
 	return nil
 }
 
-func (s *stage) endpointModel(name string, group int, speed float64) endpoint.Model {
-	g := s.Scenario.Groups[group]
-	effects := map[string]bool{}
-	dedup := map[string]bool{}
-	for _, class := range s.Scenario.Kinds {
-		effects[class.Name] = class.Repeats != repeatsReplayable
-		dedup[class.Name] = class.Repeats == repeatsUniqued
-	}
-	return endpoint.Model{
-		Name:             name,
-		Zone:             g.Zone,
-		Machine:          g.Machine,
-		Cores:            g.Cores,
-		Speed:            speed,
-		QueueLimit:       g.Queue,
-		MaxConnections:   g.MaxConnections,
-		HandshakeMs:      float64(g.Handshake) / float64(time.Millisecond),
-		ReportEvery:      loadReportEvery,
-		ReportLag:        loadReportLag,
-		ReportNoise:      s.Scenario.NoisyReports,
-		WarmUp:           s.Scenario.Cold,
-		WarmUpFrom:       s.Scenario.ColdFrom,
-		OverloadMultiple: s.Scenario.FallMultiple,
-		OverloadWindow:   s.Scenario.Fall,
-		RetryAfterMs:     endpointRetryMs,
-		Effects:          effects,
-		Deduplicated:     dedup,
-		Seed:             uint64(s.Scenario.Seed + len(name)*endpointSeedStep),
-	}
-}
-
 // updateEntry changes an endpoint's entry, and the list after a delay.
 func (s *stage) updateEntry(name string, delay time.Duration, change func(*wire.Entry)) {
 	s.mu.Lock()
--- a/internal/rehearsal/slices.go
+++ b/internal/rehearsal/slices.go
@@ -1,11 +1,9 @@
 package rehearsal
 
 import (
-	"indigousher/internal/scenario"
 	"indigousher/internal/testbed/endpoint"
 	"indigousher/internal/testbed/eventlog"
 	"indigousher/internal/testbed/loadgen"
-	"indigousher/internal/wire"
 )
 
 // assignSlices gives the slices of the key space to the endpoints, in turn.
@@ -20,13 +18,7 @@
 // announceSlice has the registry notify the pilots of a slice's owner.
 func (s *stage) announceSlice(slice int) {
 	owner := s.sliceOwners[slice]
-	assignment := wire.Slices{
-		Slice: slice,
-		Given: true,
-		From:  loadgen.Key(slice * scenario.KeysPerSlice),
-		To:    loadgen.Key((slice + 1) * scenario.KeysPerSlice),
-		Lines: []wire.HeldLine{{Endpoint: owner, Weight: 1}},
-	}
+	assignment := loadgen.SliceAssignment(slice, owner)
 	s.ownLog.Add(eventlog.Event{What: eventlog.Given, Peer: owner, N: slice, Text: assignment.From})
 	s.registry.AssignSlice(assignment)
 }
--- a/internal/testbed/loadgen/load.go
+++ b/internal/testbed/loadgen/load.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"indigousher/internal/scenario"
+	"indigousher/internal/wire"
 )
 
 // Second words of random generators' seeds. They keep draws of different things apart.
@@ -128,3 +129,14 @@
 
 // Key returns a key by its number. Keys are ordered as their numbers.
 func Key(i int) string { return fmt.Sprintf("key-%06d", i) }
+
+// SliceAssignment gives a slice of the key space to one endpoint.
+func SliceAssignment(slice int, owner string) wire.Slices {
+	return wire.Slices{
+		Slice: slice,
+		Given: true,
+		From:  Key(slice * scenario.KeysPerSlice),
+		To:    Key((slice + 1) * scenario.KeysPerSlice),
+		Lines: []wire.HeldLine{{Endpoint: owner, Weight: 1}},
+	}
+}
