--- a/cmd/indigousher/emulate.go
+++ b/cmd/indigousher/emulate.go
@@ -45,16 +45,16 @@
 	var o emulateOptions
 	c := &cobra.Command{
 		Use:   "emulate [DAY]",
-		Short: "Play a day in virtual time and check the five rules",
+		Short: "Play a scenario in virtual time and check the five rules",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return emulate(cmd.Context(), cmd.OutOrStdout(), args, o)
 		},
 	}
-	c.Flags().IntVar(&o.seed, "seed", 0, "another seed than the day's")
+	c.Flags().IntVar(&o.seed, "seed", 0, "another seed than the scenario's")
 	c.Flags().StringVar(&o.traceFile, "trace", "",
 		"write each decision's spans, from report to applied, to this file (OpenTelemetry, JSON)")
-	c.Flags().BoolVar(&o.log, "log", false, "show the module's lines")
+	c.Flags().BoolVar(&o.log, "log", false, "show the planner's log lines")
 	return c
 }
 
--- a/cmd/indigousher/experiment.go
+++ b/cmd/indigousher/experiment.go
@@ -21,15 +21,15 @@
 	var store, html string
 	c := &cobra.Command{
 		Use:   "experiment FILE",
-		Short: "Play emulated days with factors varied, beside baselines; keep results as tables and charts",
+		Short: "Play scenarios in virtual time with factors varied, beside baselines; keep results as tables and charts",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			base := strings.TrimSuffix(args[0], ".hcl")
 			return runExperiment(cmd, args[0], cmp.Or(store, base+".db"), cmp.Or(html, base+".html"))
 		},
 	}
-	c.Flags().StringVar(&store, "store", "", "file of results; FILE with .db if not told")
-	c.Flags().StringVar(&html, "html", "", "report; FILE with .html if not told")
+	c.Flags().StringVar(&store, "store", "", "file of results; default: FILE with .db")
+	c.Flags().StringVar(&html, "html", "", "report; default: FILE with .html")
 	return c
 }
 
--- a/cmd/indigousher/pilot.go
+++ b/cmd/indigousher/pilot.go
@@ -18,7 +18,7 @@
 	var takeOver, onPlatform bool
 	c := &cobra.Command{
 		Use:   "pilot -f FILE",
-		Short: "Run a pilot until it is told to stop (SIGTERM); SIGHUP reloads",
+		Short: "Run a pilot until it is asked to stop (SIGTERM); SIGHUP reloads",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if onPlatform {
@@ -27,10 +27,10 @@
 			return runPilot(cmd.Context(), file, takeOver)
 		},
 	}
-	c.Flags().StringVarP(&file, "file", "f", "", "the pilot's terms, in HCL")
+	c.Flags().StringVarP(&file, "file", "f", "", "the pilot's settings, in HCL")
 	c.Flags().BoolVar(&takeOver, "take-over", false,
-		"take listeners and state over from the pilot that runs with these terms")
-	c.Flags().BoolVar(&onPlatform, "platform", false, "run on the operators' platform: NODE_CONFIG names the terms")
+		"take listeners and state over from the pilot that runs with these settings")
+	c.Flags().BoolVar(&onPlatform, "platform", false, "run on the operators' platform: NODE_CONFIG names the settings")
 	c.MarkFlagsOneRequired("file", "platform")
 	c.MarkFlagsMutuallyExclusive("file", "platform")
 	return c
@@ -103,14 +103,14 @@
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a pilot's terms; say file:line:column of what is wrong",
+		Short: "Check a pilot's settings; print file:line:column of each error",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			cfg, err := config.ReadPilot(args[0])
 			if err != nil {
 				return err
 			}
-			printf(cmd.OutOrStdout(), "%s: good; pilot %s, %d zones, %d kinds of req\n", args[0], cfg, len(cfg.Zones),
+			printf(cmd.OutOrStdout(), "%s: good; pilot %s, %d zones, %d request classes\n", args[0], cfg, len(cfg.Zones),
 				len(cfg.Kinds))
 			return nil
 		},
--- a/cmd/indigousher/records.go
+++ b/cmd/indigousher/records.go
@@ -45,7 +45,7 @@
 func verifyCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "verify DIR",
-		Short: "Read everything; say what is torn or missing",
+		Short: "Read everything; report what is corrupt or missing",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return withStore(args[0], func(s *record.Store) error { return verify(cmd.OutOrStdout(), s) })
--- a/cmd/indigousher/rehearse.go
+++ b/cmd/indigousher/rehearse.go
@@ -31,7 +31,7 @@
 	var o rehearseOptions
 	c := &cobra.Command{
 		Use:   "rehearse [DAY]",
-		Short: "Play a day on loopback and check the five rules (the bad day if none is named)",
+		Short: "Play a scenario on loopback and check the five rules (bad-day if none is named)",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if list {
@@ -40,15 +40,15 @@
 			return rehearse(cmd.Context(), cmd.OutOrStdout(), args, o)
 		},
 	}
-	c.Flags().BoolVar(&list, "list", false, "list the days that ship")
+	c.Flags().BoolVar(&list, "list", false, "list the scenarios that ship")
 	c.Flags().BoolVar(&o.baselines, "baselines", false,
-		"also play the day with standing tables only, and with one even table")
-	c.Flags().StringVar(&o.trails, "record", "", "leave the trails in this folder, as JSON lines")
+		"also play the scenario with static tables only, and with one even table")
+	c.Flags().StringVar(&o.trails, "record", "", "leave the event logs in this folder, as JSON lines")
 	c.Flags().StringVar(&o.logLevel, "log", "error", "level of the pilots' log: debug, info, warn or error")
 	c.Flags().StringVar(&o.records, "pilot-records", "",
-		"where pilots record on days on which they do; gone with the day if not told")
+		"where pilots keep records in scenarios that have them record; default: a folder removed at the end")
 	c.Flags().BoolVar(&o.processes, "processes", false, "pilots are processes of their own; a kill is signal 9")
-	c.Flags().IntVar(&o.seed, "seed", 0, "another seed than the day's")
+	c.Flags().IntVar(&o.seed, "seed", 0, "another seed than the scenario's")
 	return c
 }
 
--- a/cmd/indigousher/replay.go
+++ b/cmd/indigousher/replay.go
@@ -27,17 +27,17 @@
 	var with, life string
 	c := &cobra.Command{
 		Use:   "replay DIR",
-		Short: "Replay a pilot's record, against its own terms or others",
-		Long: "Against its own terms each turn must order what was recorded; the first difference is shown and ends it with status 1.\n" +
-			"Against others (--with) what is ordered stands beside it. The world's answers stay those of the recorded day: each\n" +
-			"endpoint is held to fail and to take as it did then. The estimate for the own terms beside what was recorded shows\n" +
+		Short: "Replay a pilot's record, against its own settings or others",
+		Long: "Against its own settings each turn must command what was recorded; the first difference is shown and ends it with status 1.\n" +
+			"Against others (--with) what is commanded is shown beside it. The world's answers stay those of the recorded run: each\n" +
+			"endpoint is held to fail and to take as it did then. The estimate for the own settings beside what was recorded shows\n" +
 			"how good that is; 'trusted' is the part of the tries that went where the record tells of a like load.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return withStore(args[0], func(s *record.Store) error { return replay(cmd.OutOrStdout(), s, life, with) })
 		},
 	}
-	c.Flags().StringVar(&with, "with", "", "a pilot's terms to replay against")
+	c.Flags().StringVar(&with, "with", "", "a pilot's settings to replay against")
 	c.Flags().StringVar(&life, "life", "", "only this life")
 	return c
 }
@@ -94,7 +94,7 @@
 
 func newReplayTable(out io.Writer, s *record.Store) *replayTable {
 	t := &replayTable{Writer: tabwriter.NewWriter(out, 0, 4, 2, ' ', 0), store: s}
-	printf(t, "life\tterms\tspan\tturns\tnotes\tgaps\tmessages\tlines\tset\tremoved\tshut out\tlevels\tbinds\tmost waiting\t"+
+	printf(t, "life\tsettings\tspan\tturns\tevents\tgaps\tmessages\tlines\tset\tremoved\texcluded\tlevels\tassigned\tmost queued\t"+
 		"tables\tfailed\testimated\tmean ms\testimated\ttrusted\ttook\n")
 	return t
 }
--- a/cmd/indigousher/search.go
+++ b/cmd/indigousher/search.go
@@ -32,18 +32,18 @@
 	var o searchOptions
 	c := &cobra.Command{
 		Use: "search",
-		Short: "Draw days with overlapping troubles, play them in virtual time, climb towards limits, " +
+		Short: "Draw scenarios with overlapping faults, play them in virtual time, climb towards limits, " +
 			"shrink what breaks",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return runSearch(cmd.Context(), cmd.OutOrStdout(), o)
 		},
 	}
-	c.Flags().IntVar(&o.scenarios, "days", 100, "days to draw")
+	c.Flags().IntVar(&o.scenarios, "days", 100, "scenarios to draw")
 	c.Flags().IntVar(&o.endpoints, "endpoints", 30, "about how many endpoints")
-	c.Flags().IntVar(&o.seed, "seed", 1, "of the first day")
+	c.Flags().IntVar(&o.seed, "seed", 1, "of the first scenario")
 	c.Flags().IntVar(&o.climbs, "climb", 0, "steps of climbing towards each rule's limit")
-	c.Flags().StringVar(&o.folder, "found", "found", "folder for days that break a rule")
+	c.Flags().StringVar(&o.folder, "found", "found", "folder for scenarios that break a rule")
 	return c
 }
 
@@ -112,7 +112,7 @@
 		return err
 	}
 	path := filepath.Join(folder, fmt.Sprintf("found-%d-%d.hcl", shrunk.Draft.Seed, number))
-	printf(out, "BROKEN, shrunk to %d troubles, in %s: %v\n", len(shrunk.Draft.Faults), path, shrunk.Broken)
+	printf(out, "BROKEN, shrunk to %d faults, in %s: %v\n", len(shrunk.Draft.Faults), path, shrunk.Broken)
 	return errors.Join(os.MkdirAll(folder, 0o755), os.WriteFile(path, []byte(shrunk.Draft.Text()), 0o644))
 }
 
@@ -124,7 +124,7 @@
 			broken++
 		}
 	}
-	printf(out, "%d days of about %d endpoints, %d with a broken rule\n"+
+	printf(out, "%d scenarios of about %d endpoints, %d with a broken rule\n"+
 		"nearest to the limit (1 is the limit): median, 90%%, 99%%, worst\n", len(finds), endpoints, broken)
 	for rule := range audit.Rule(rules) {
 		printf(out, "%-28s%s\n", rule, quantiles(finds, func(f *search.Finding) float64 { return f.LimitFractions[rule] }))
--- a/internal/experiment/metrics.go
+++ b/internal/experiment/metrics.go
@@ -13,9 +13,9 @@
 var Metrics = []Metric{
 	{"service", func(r *Result) float64 { return r.Service }},
 	{"worst 5 s", func(r *Result) float64 { return r.Worst }},
-	{"errored", func(r *Result) float64 { return r.Errored }},
-	{"denied", func(r *Result) float64 { return r.Denied }},
-	{"tries each", func(r *Result) float64 { return r.TriesEach }},
+	{"failed", func(r *Result) float64 { return r.Errored }},
+	{"rejected", func(r *Result) float64 { return r.Denied }},
+	{"attempts each", func(r *Result) float64 { return r.TriesEach }},
 	{"p50 ms", func(r *Result) float64 { return r.P50 }},
 	{"p99 ms", func(r *Result) float64 { return r.P99 }},
 	{"busiest / mean", func(r *Result) float64 { return r.Spread }},
@@ -23,7 +23,7 @@
 	{"queue / backlog", func(r *Result) float64 { return r.MostLines }},
 	broken,
 	{"nearest limit", func(r *Result) float64 { return r.Nearest }},
-	{"rebuilt ms", func(r *Result) float64 { return r.RebuiltMs }},
+	{"recovery ms", func(r *Result) float64 { return r.RebuiltMs }},
 	{"lines after", func(r *Result) float64 { return r.LinesAfter }},
 	{"pilot ms / s", func(r *Result) float64 { return r.PilotMs }},
 }
--- a/internal/rehearsal/print.go
+++ b/internal/rehearsal/print.go
@@ -32,7 +32,7 @@
 }
 
 func printVerdicts(p printer, report *audit.Report) {
-	p.printf("\nrule\tverdict\tlooked at\tnearest to the limit\n")
+	p.printf("\nrule\tverdict\tchecked\tnearest to the limit\n")
 	for i := range report.Verdicts {
 		v := &report.Verdicts[i]
 		verdict := "kept"
@@ -63,7 +63,7 @@
 	for i, class := range s.Kinds {
 		printEarnings(p, class.Name, columns, func(s *audit.Service) audit.Earnings { return s.Kinds[i] })
 	}
-	printEarnings(p, "whole day", columns, func(s *audit.Service) audit.Earnings { return s.All })
+	printEarnings(p, "whole run", columns, func(s *audit.Service) audit.Earnings { return s.All })
 }
 
 // printEarnings writes one row: a share of the service for each run.
@@ -86,6 +86,6 @@
 
 func printTotals(p printer, o *Outcome) {
 	s := &o.Report.Service
-	p.printf("%d done (%d late), %d denied, %d errored; at most %d lines in a channel, %d messages to a proxy\n",
+	p.printf("%d succeeded (%d late), %d rejected, %d failed; at most %d lines in a channel, %d messages to a proxy\n",
 		s.Done, s.Late, s.Denied, s.Errored, o.PilotMaxima.MostLines, o.PilotMaxima.MostMessages)
 }
