--- a/internal/audit/effects.go
+++ b/internal/audit/effects.go
@@ -7,13 +7,10 @@
 	"indigousher/internal/testbed/eventlog"
 )
 
-// repeatsReplayable is the setting of a request class whose requests are idempotent.
-const repeatsReplayable = "replayable"
-
 // checkEffect checks the rule SingleEffect: a request that is not idempotent takes effect at most once.
 func (a *Auditor) checkEffect(e eventlog.Event) {
 	class := slices.IndexFunc(a.settings.Kinds, func(c config.RequestClass) bool { return c.Name == e.Kind })
-	if class < 0 || a.settings.Kinds[class].Repeats == repeatsReplayable {
+	if class < 0 || a.settings.Kinds[class].Repeats == config.RepeatsReplayable {
 		return
 	}
 	counts := a.effectCounts[e.Kind]
--- a/internal/config/request_class.go
+++ b/internal/config/request_class.go
@@ -16,9 +16,9 @@
 
 // Values of RequestClass.Repeats.
 const (
-	repeatsReplayable    = "replayable"     // idempotent: safe to repeat anywhere
-	repeatsUniqued       = "uniqued"        // safe to repeat within Group and Window, by an idempotency key
-	repeatsNonReplayable = "non-replayable" // may be repeated only if it is proven that nothing ran
+	RepeatsReplayable    = "replayable"     // idempotent: safe to repeat anywhere
+	RepeatsUniqued       = "uniqued"        // safe to repeat within Group and Window, by an idempotency key
+	RepeatsNonReplayable = "non-replayable" // may be repeated only if it is proven that nothing ran
 )
 
 // RequestClass describes one class of requests. The JSON keys are those of stored experiment results.
@@ -28,9 +28,9 @@
 	ClientTimeout  time.Duration `json:"ClientTimeout"`  // for which clients wait, all attempts together
 	Payoff         float64       `json:"Payoff"`         // priority weight
 	LatePayoff     float64       `json:"LatePayoff"`     // fraction of Payoff that a later answer earns
-	Repeats        string        `json:"Repeats"`        // whether a request may be repeated: repeatsReplayable, ...
-	Group          string        `json:"Group"`          // repeatsUniqued: endpoints that share seen keys: all, zone, cell
-	Window         time.Duration `json:"Window"`         // repeatsUniqued: for which seen keys are kept
+	Repeats        string        `json:"Repeats"`        // whether a request may be repeated: RepeatsReplayable, ...
+	Group          string        `json:"Group"`          // RepeatsUniqued: endpoints that share seen keys: all, zone, cell
+	Window         time.Duration `json:"Window"`         // RepeatsUniqued: for which seen keys are kept
 	OnlyMachines   []string      `json:"OnlyMachines"`   // machine types that may serve it; none means all
 	OnlyZones      []string      `json:"OnlyZones"`      // zones that may serve it; none means all
 	OwnZone        bool          `json:"OwnZone"`        // only the caller's zone may serve it
@@ -44,7 +44,7 @@
 		ResponseTarget: time.Second,
 		ClientTimeout:  3 * time.Second,
 		Payoff:         1,
-		Repeats:        repeatsReplayable,
+		Repeats:        RepeatsReplayable,
 		Group:          "all",
 		Window:         5 * time.Second,
 	}
@@ -57,7 +57,7 @@
 		{Name: "client_timeout", Into: &k.ClientTimeout, Min: 0.001},
 		{Name: "payoff", Into: &k.Payoff},
 		{Name: "late_payoff", Into: &k.LatePayoff, Max: 1},
-		{Name: "repeats", Into: &k.Repeats, OneOf: []string{repeatsReplayable, repeatsUniqued, repeatsNonReplayable}},
+		{Name: "repeats", Into: &k.Repeats, OneOf: []string{RepeatsReplayable, RepeatsUniqued, RepeatsNonReplayable}},
 		{Name: "group", Into: &k.Group, OneOf: []string{"all", "zone", "cell"}},
 		{Name: "window", Into: &k.Window},
 		{Name: "only_machines", Into: &k.OnlyMachines},
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -103,7 +103,7 @@
 // validateRetries checks that the proxies don't repeat non-idempotent requests by default.
 func (p *Pilot) validateRetries(v *validator) {
 	for _, class := range p.Kinds {
-		if class.Repeats == repeatsNonReplayable && p.RetryHow > retryIfNothingRan {
+		if class.Repeats == RepeatsNonReplayable && p.RetryHow > retryIfNothingRan {
 			v.errorf("proxies: try_again %d has proxies repeat %q by themselves, which is non-replayable; 0 or 1 may stand",
 				p.RetryHow, class.Name)
 		}
--- a/internal/testbed/endpoint/scenario.go
+++ b/internal/testbed/endpoint/scenario.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"indigousher/internal/config"
 	"indigousher/internal/scenario"
 )
 
@@ -13,12 +14,6 @@
 	rejectionWaitMs = 200 // Retry-After of a rejection
 )
 
-// How a scenario says whether the requests of a class may be repeated.
-const (
-	repeatsReplayable = "replayable" // idempotent
-	repeatsUniqued    = "uniqued"    // with an idempotency key: repeats are dropped
-)
-
 // FromScenario returns the model of an endpoint of one of a scenario's groups, without a seed. Speed is the endpoint's
 // own, drawn around that of its group.
 func FromScenario(s *scenario.Scenario, group int, name string, speed float64) Model {
@@ -26,8 +21,8 @@
 	effects := map[string]bool{}
 	deduplicated := map[string]bool{}
 	for _, class := range s.Kinds {
-		effects[class.Name] = class.Repeats != repeatsReplayable
-		deduplicated[class.Name] = class.Repeats == repeatsUniqued
+		effects[class.Name] = class.Repeats != config.RepeatsReplayable
+		deduplicated[class.Name] = class.Repeats == config.RepeatsUniqued
 	}
 	return Model{
 		Name:             name,
--- a/internal/testbed/loadgen/load.go
+++ b/internal/testbed/loadgen/load.go
@@ -9,6 +9,7 @@
 	"slices"
 	"time"
 
+	"indigousher/internal/config"
 	"indigousher/internal/scenario"
 	"indigousher/internal/wire"
 )
@@ -85,7 +86,7 @@
 			WorkMs:     float64(demand.Work) / float64(time.Millisecond),
 			CV:         demand.CV,
 			Timeout:    class.ClientTimeout,
-			Replayable: class.Repeats != "non-replayable",
+			Replayable: class.Repeats != config.RepeatsNonReplayable,
 		})
 	}
 	random := rand.New(rand.NewPCG(uint64(s.Seed), weightStream))
--- a/recovery/successor.go
+++ b/recovery/successor.go
@@ -1,6 +1,6 @@
 package recovery
 
-// Successor is the state machine of the process that takes over. NewSide makes one that has made its request.
+// Successor is the state machine of the process that takes over. NewSuccessor makes one that has made its request.
 type Successor struct{ state state }
 
 // NewSuccessor returns the state machine of a process that has requested to take over.
