--- a/planner/penalty.go
+++ b/planner/penalty.go
@@ -48,7 +48,7 @@
 // penaltyStep returns theta, scaled by the fraction of the demand that this planner sees, and by the reports per
 // round, so that a report that is used in several rounds counts once.
 func (e *endpoint) penaltyStep() float64 {
-	return penaltyGain * e.planner.demandSeen() * math.Min(1, roundMs/math.Max(e.load.interval, 1))
+	return penaltyGain * e.planner.demandFraction() * math.Min(1, roundMs/math.Max(e.load.interval, 1))
 }
 
 // reportCorrection returns the factor that brings a load report up to date: the ratio of the endpoint's planned load
@@ -68,7 +68,7 @@
 	if reported > 0 {
 		change := present / math.Max(reported, 1e-9)
 		bounded := math.Max(minReportCorrection, math.Min(maxReportCorrection, change))
-		correction = 1 + p.demandSeen()*(bounded-1)
+		correction = 1 + p.demandFraction()*(bounded-1)
 	}
 	return correction
 }
--- a/planner/penalty_test.go
+++ b/planner/penalty_test.go
@@ -36,7 +36,7 @@
 			})
 			e := h.planner.endpoints[0]
 			assert.InDelta(t, float64(c.every)*roundMs, math.Max(e.load.interval, roundMs), 0.3*roundMs)
-			step := penaltyGain * h.planner.demandSeen() / float64(c.every)
+			step := penaltyGain * h.planner.demandFraction() / float64(c.every)
 			assert.InDelta(t, step, e.penaltyStep(), 0.3*step)
 		})
 	}
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -122,13 +122,13 @@
 func (p *Planner) dispatch(event Event) {
 	switch event := event.(type) {
 	case EndpointUpdate:
-		p.updateList(event)
+		p.updateEndpointList(event)
 	case TimerFired:
 		p.timerFired(event)
 	case HealthCheckResult:
 		p.endpoint(event.Endpoint).mailbox.enqueue(event)
 	case EndpointStats:
-		p.takeStats(event)
+		p.handleStats(event)
 	case ProxyJoined:
 		p.mailbox.enqueue(event)
 		p.publisher.mailbox.enqueue(event)
@@ -154,9 +154,9 @@
 	p.controlRound(true)
 }
 
-// takeStats passes on what the proxies of a zone observed at an endpoint. Counts that began before the endpoint
+// handleStats passes on what the proxies of a zone observed at an endpoint. Counts that began before the endpoint
 // started again belong to the process that is gone: they are dropped, its load report is not.
-func (p *Planner) takeStats(stats EndpointStats) {
+func (p *Planner) handleStats(stats EndpointStats) {
 	e := p.endpoint(stats.Endpoint)
 	if e.Started != 0 && e.Started > p.now-stats.SpanMs {
 		stats.Attempts = 0
@@ -166,28 +166,28 @@
 	p.region(stats.Zone).mailbox.enqueue(stats)
 }
 
-// updateList applies an update of the endpoint list and plans again. Endpoints that a complete list omits are gone.
-func (p *Planner) updateList(list EndpointUpdate) {
+// updateEndpointList applies an update of the endpoint list and plans again. Endpoints that a complete list omits are gone.
+func (p *Planner) updateEndpointList(list EndpointUpdate) {
 	if list.Mode == UpdateFailed {
 		p.command(WatchEndpoints{On: true})
 		return
 	}
-	named := map[int]bool{}
+	present := map[int]bool{}
 	for _, entry := range list.Entries {
-		named[entry.Endpoint] = true
+		present[entry.Endpoint] = true
 		p.region(entry.Zone)
 		p.endpoint(entry.Endpoint).mailbox.enqueue(entry)
 	}
 	if list.Mode != Delta {
-		p.removeUnnamed(named)
+		p.removeMissing(present)
 	}
 	p.controlRound(false)
 }
 
-// removeUnnamed marks listed endpoints that a complete list omits as gone.
-func (p *Planner) removeUnnamed(named map[int]bool) {
+// removeMissing marks listed endpoints that a complete list omits as gone.
+func (p *Planner) removeMissing(present map[int]bool) {
 	for i, e := range p.endpoints {
-		if e.listed && !named[i] {
+		if e.listed && !present[i] {
 			gone := e.Entry
 			gone.Phase = Gone
 			e.mailbox.enqueue(gone)
@@ -246,9 +246,9 @@
 	return p.regions[zone]
 }
 
-// demandSeen returns the fraction of the demand that this planner sees: that of the proxies that joined it. The other
+// demandFraction returns the fraction of the demand that this planner sees: that of the proxies that joined it. The other
 // controllers plan for the rest, so each corrects only its fraction of an imbalance.
-func (p *Planner) demandSeen() float64 {
+func (p *Planner) demandFraction() float64 {
 	if p.settings.ZonesKeptWhole {
 		return 1
 	}
--- a/planner/zonecost.go
+++ b/planner/zonecost.go
@@ -131,7 +131,7 @@
 	if !p.settings.ReportsUtilization { // a short queue doesn't show how full an endpoint is
 		load = math.Max(load, p.targetLoad)
 	}
-	seen := p.demandSeen()
+	seen := p.demandFraction()
 	crowding := seen*p.demand.rates[r.zone]/math.Max(part*p.demand.total, 1e-9) + 1 - seen
 	stay := math.Max(p.targetLoad, load) / math.Max(load*crowding, 1e-9)
 	if stay < 1 {
