--- a/planner/drain.go
+++ b/planner/drain.go
@@ -165,7 +165,7 @@
 		pb.linesSinceAck[proxy.Proxy] += pb.exclusionCost(endpoint, proxy, to)
 	}
 	x.lastChange = now
-	x.excludedAt[endpoint] = math.Max(now, earliestMs)
+	x.excludedAt[endpoint] = math.Max(now, minTimestampMs)
 }
 
 // exclusionCost returns the lines that an exclusion costs at a proxy: none if it cannot hold the endpoint.
--- a/planner/flowcontrol.go
+++ b/planner/flowcontrol.go
@@ -15,11 +15,11 @@
 	// probeTimer names the timer of the next probe.
 	probeTimer = "probe"
 
-	// probeWays is the wait before the first probe, in longest delivery times: there and back.
-	probeWays = 2.0
+	// probeWaitDeliveries is the wait before the first probe, in longest delivery times: there and back.
+	probeWaitDeliveries = 2.0
 
-	// earliestMs stands in for the time 0 where 0 means that something has not happened.
-	earliestMs = 1e-3
+	// minTimestampMs stands in for the time 0 where 0 means that something has not happened.
+	minTimestampMs = 1e-3
 )
 
 // blockage describes urgent lines that wait for room in the channel.
@@ -34,8 +34,8 @@
 	return pb.window.inFlight()+lines < pb.planner.settings.BacklogLines
 }
 
-// stalled corrects the account while commands cannot be sent, and requests a new acknowledgement of repeated calls.
-func (pb *publisher) stalled(stall ChannelStalled) {
+// handleStall corrects the account while commands cannot be sent, and requests a new acknowledgement of repeated calls.
+func (pb *publisher) handleStall(stall ChannelStalled) {
 	now := pb.planner.now
 	pb.window.stall(now, stall.ForMs)
 	pb.window.join(stall.Merged)
@@ -44,8 +44,8 @@
 	}
 }
 
-// acknowledged renews the window.
-func (pb *publisher) acknowledged(ack Ack) {
+// handleAck renews the window.
+func (pb *publisher) handleAck(ack Ack) {
 	wasProbing := pb.window.probes > 0
 	orderedAt, known := pb.window.acknowledge(pb.planner.now, ack.Number, ack.Proxy)
 	proxy := pb.proxies[ack.Proxy]
@@ -58,9 +58,9 @@
 	pb.confirm(proxy, orderedAt)
 }
 
-// watchBlockage probes the window while urgent lines wait for room, unless this flush requests an acknowledgement
+// updateBlockage probes the window while urgent lines wait for room, unless this flush requests an acknowledgement
 // anyway, and writes to the log when that begins and ends.
-func (pb *publisher) watchBlockage(acksRequested bool) {
+func (pb *publisher) updateBlockage(acksRequested bool) {
 	p := pb.planner
 	blocked := &pb.blocked
 	pending := blocked.exclusions
@@ -76,7 +76,7 @@
 		return
 	}
 	if blocked.since == 0 {
-		blocked.since = math.Max(p.now, earliestMs)
+		blocked.since = math.Max(p.now, minTimestampMs)
 		p.logf("channel full: %d drains wait, %.0f lines in flight of %.0f, %d marks kept, last answer %.0f ms ago",
 			pending, pb.window.inFlight(), p.settings.BacklogLines, len(pb.window.batches), p.now-pb.window.ackedAt)
 	}
@@ -89,7 +89,7 @@
 // all earlier lines have left.
 func (pb *publisher) probe() {
 	p := pb.planner
-	due := pb.window.nextProbeAt(probeWays * p.settings.DeliveryMs)
+	due := pb.window.nextProbeAt(probeWaitDeliveries * p.settings.DeliveryMs)
 	if due > p.now {
 		if pb.blocked.probeAt != due {
 			pb.blocked.probeAt = due
@@ -112,8 +112,8 @@
 // there is none with tables.
 func (pb *publisher) probeTarget() *proxyState {
 	var target *proxyState
-	for _, name := range slices.Sorted(maps.Keys(pb.proxies)) {
-		proxy := pb.proxies[name]
+	for _, index := range slices.Sorted(maps.Keys(pb.proxies)) {
+		proxy := pb.proxies[index]
 		if weights, _ := pb.assignmentCost(proxy); weights == 0 {
 			continue
 		}
--- a/planner/publisher.go
+++ b/planner/publisher.go
@@ -94,9 +94,9 @@
 	case ProxyLeft:
 		delete(pb.proxies, message.Proxy)
 	case ChannelStalled:
-		pb.stalled(message)
+		pb.handleStall(message)
 	case Ack:
-		pb.acknowledged(message)
+		pb.handleAck(message)
 	}
 }
 
@@ -111,7 +111,7 @@
 	}
 	pb.assignWaiting()
 	pb.excludeUnavailable()
-	pb.watchBlockage(pb.window.written > before)
+	pb.updateBlockage(pb.window.written > before)
 	if pb.window.written > before { // by the above, or by a probe
 		p.command(AckRequest{Number: pb.window.seal(p.now, pb.linesSinceAck)})
 		pb.linesSinceAck = map[int]float64{}
