--- a/planner/channelmodel_test.go
+++ b/planner/channelmodel_test.go
@@ -166,7 +166,7 @@
 		return
 	}
 	m.window.stall(1, event.stall.ForMs)
-	m.window.join(event.stall.Merged)
+	m.window.mergeBatches(event.stall.Merged)
 	if number, resent := m.window.resend(1, event.stall.Repeated); resent {
 		m.commanded = append(m.commanded, call{numbers: []int{number}})
 	}
--- a/planner/flowcontrol.go
+++ b/planner/flowcontrol.go
@@ -38,7 +38,7 @@
 func (pb *publisher) handleStall(stall ChannelStalled) {
 	now := pb.planner.now
 	pb.window.stall(now, stall.ForMs)
-	pb.window.join(stall.Merged)
+	pb.window.mergeBatches(stall.Merged)
 	if number, resent := pb.window.resend(now, stall.Repeated); resent {
 		pb.planner.command(AckRequest{Number: number})
 	}
@@ -104,7 +104,7 @@
 	p.logf("channel probed with proxy %d: %.0f lines in flight, last answer %.0f ms ago", proxy.Proxy,
 		pb.window.inFlight(), p.now-pb.window.ackedAt)
 	proxy.probedAt = p.now
-	pb.window.probed()
+	pb.window.countProbe()
 	pb.assign(proxy)
 }
 
--- a/planner/sendwindow.go
+++ b/planner/sendwindow.go
@@ -14,15 +14,15 @@
 	// may still be in a proxy's tables.
 	lineLifetimeMs = 30000.0
 
-	// ackNumbers bounds the numbers of requests for an acknowledgement; they start again from 0.
-	ackNumbers = 65535
+	// ackNumberModulus bounds the numbers of requests for an acknowledgement; they start again from 0.
+	ackNumberModulus = 65535
 
 	// maxProbeDoublings bounds how often the wait between probes doubles.
 	maxProbeDoublings = 4
 
-	// unackedPacePart is the fraction of the configured pace at which lines are assumed to leave without an
+	// unackedRateFraction is the fraction of the configured pace at which lines are assumed to leave without an
 	// acknowledgement.
-	unackedPacePart = 0.25
+	unackedRateFraction = 0.25
 )
 
 // sendWindow is the account of the channel. Lines have positions in the order in which they go out. A request for an
@@ -76,14 +76,14 @@
 	if w.stalledMs > 0 {
 		span = math.Min(span, 0)
 	}
-	gone := span * linesPerMs * unackedPacePart
+	assumedDelivered := span * linesPerMs * unackedRateFraction
 	w.advancedAt = now
-	w.queued = math.Max(0, w.queued-gone)
+	w.queued = math.Max(0, w.queued-assumedDelivered)
 	if w.inFlight() <= 0 {
 		w.busySince = now
 	}
 	if w.ackedAt == 0 || now-math.Max(w.ackedAt, w.busySince) > lineLifetimeMs {
-		w.delivered = math.Min(w.written, w.delivered+gone)
+		w.delivered = math.Min(w.written, w.delivered+assumedDelivered)
 	}
 }
 
@@ -102,7 +102,7 @@
 		w.batches = map[int]*batch{}
 	}
 	w.lastNumber = max(int(now), w.lastNumber+1)
-	number = w.lastNumber % ackNumbers
+	number = w.lastNumber % ackNumberModulus
 	b.sealedAt = now
 	b.acked = map[int]bool{}
 	w.batches[number] = b
@@ -127,36 +127,36 @@
 
 // stall notes that the channel has taken nothing for so long, or, with 0, that it takes commands again. Lines that
 // were assumed to have left meanwhile have not.
-func (w *sendWindow) stall(now, forMs float64) {
-	w.stalledMs = forMs
-	w.advancedAt = now + forMs
+func (w *sendWindow) stall(now, durationMs float64) {
+	w.stalledMs = durationMs
+	w.advancedAt = now + durationMs
 }
 
-// join makes one batch of those that go out as one call, under the newest number, as each proxy gets one message of
+// mergeBatches makes one batch of those that go out as one call, under the newest number, as each proxy gets one message of
 // all.
-func (w *sendWindow) join(numbers []int) {
-	parts := w.current(numbers)
+func (w *sendWindow) mergeBatches(numbers []int) {
+	current := w.currentBatches(numbers)
 	newest := -1
 	for _, number := range numbers {
-		if b := parts[number]; b != nil && (newest < 0 || b.start > parts[newest].start) {
+		if b := current[number]; b != nil && (newest < 0 || b.start > current[newest].start) {
 			newest = number
 		}
 	}
 	if newest < 0 {
 		return // it goes out under an older number, whose acknowledgements are taken to be of the first time
 	}
-	for _, number := range slices.Sorted(maps.Keys(parts)) {
+	for _, number := range slices.Sorted(maps.Keys(current)) {
 		if number != newest {
-			parts[newest].absorb(parts[number])
+			current[newest].merge(current[number])
 			delete(w.batches, number)
 		}
 	}
 }
 
-// current returns by number the batches that a call with some numbers brings. Of what goes out again that is the last
+// currentBatches returns by number the batches that a call with some numbers brings. Of what goes out again that is the last
 // repetition, also if its own number comes too late for the call.
-func (w *sendWindow) current(numbers []int) map[int]*batch {
-	parts := map[int]*batch{}
+func (w *sendWindow) currentBatches(numbers []int) map[int]*batch {
+	current := map[int]*batch{}
 	for _, number := range numbers {
 		b := w.batches[number]
 		for b != nil && b.resent {
@@ -164,14 +164,14 @@
 			b = w.batches[number]
 		}
 		if b != nil {
-			parts[number] = b
+			current[number] = b
 		}
 	}
-	return parts
+	return current
 }
 
-// absorb takes in an older batch that goes out in the same call.
-func (b *batch) absorb(older *batch) {
+// merge takes in an older batch that goes out in the same call.
+func (b *batch) merge(older *batch) {
 	b.start = math.Min(b.start, older.start)
 	b.orderedAt = math.Min(b.orderedAt, older.orderedAt)
 	b.lines += older.lines
@@ -184,29 +184,29 @@
 // resend notes that a call may have crossed and goes out again: its lines count once more, behind the first time and
 // before all that is newer. Its new number distinguishes the two; ok is false where nothing is known of the call.
 func (w *sendWindow) resend(now float64, numbers []int) (number int, ok bool) {
-	w.join(numbers)
-	var first *batch
-	for _, b := range w.current(numbers) {
-		if first == nil || b.start > first.start {
-			first = b
+	w.mergeBatches(numbers)
+	var original *batch
+	for _, b := range w.currentBatches(numbers) {
+		if original == nil || b.start > original.start {
+			original = b
 		}
 	}
-	if first == nil {
+	if original == nil {
 		return 0, false
 	}
-	start := first.start + first.lines
-	w.shiftBehind(start, first)
-	w.add(first.lines)
-	w.sealed += first.lines
+	start := original.start + original.lines
+	w.shiftAfter(start, original)
+	w.add(original.lines)
+	w.sealed += original.lines
 	number = w.register(now,
-		&batch{orderedAt: first.orderedAt, start: start, lines: first.lines, linesTo: first.linesTo})
-	first.resent = true
-	first.resentAs = number
+		&batch{orderedAt: original.orderedAt, start: start, lines: original.lines, linesTo: original.linesTo})
+	original.resent = true
+	original.resentAs = number
 	return number, true
 }
 
-// shiftBehind moves the batches from a position on behind a repetition of another batch.
-func (w *sendWindow) shiftBehind(start float64, repeated *batch) {
+// shiftAfter moves the batches from a position on behind a repetition of another batch.
+func (w *sendWindow) shiftAfter(start float64, repeated *batch) {
 	for _, b := range w.batches {
 		if b != repeated && b.start >= start {
 			b.start += repeated.lines
@@ -217,9 +217,9 @@
 // nextProbeAt returns when a sender that the count holds back should put a small batch into the channel all the same,
 // as TCP's persist timer does at a shut window: its acknowledgement shows what has left. First is the wait after the
 // last sign of life; it doubles with each probe that brings none.
-func (w *sendWindow) nextProbeAt(first float64) float64 {
-	return math.Max(w.ackedAt, w.sealedAt) + first*math.Exp2(w.probes)
+func (w *sendWindow) nextProbeAt(firstWait float64) float64 {
+	return math.Max(w.ackedAt, w.sealedAt) + firstWait*math.Exp2(w.probes)
 }
 
-// probed notes that a probe goes out.
-func (w *sendWindow) probed() { w.probes = math.Min(w.probes+1, maxProbeDoublings) }
+// countProbe notes that a probe goes out.
+func (w *sendWindow) countProbe() { w.probes = math.Min(w.probes+1, maxProbeDoublings) }
--- a/planner/sendwindow_test.go
+++ b/planner/sendwindow_test.go
@@ -63,7 +63,7 @@
 	number := w.seal(1000, map[int]float64{3: 9})
 	assert.Equal(t, 1500.0, w.nextProbeAt(500))
 	for _, wait := range []float64{1000, 2000, 4000, 8000, 8000} {
-		w.probed()
+		w.countProbe()
 		assert.Equal(t, 1000+wait, w.nextProbeAt(500))
 	}
 	w.stall(2000, 700)
