--- a/planner/drain.go
+++ b/planner/drain.go
@@ -36,20 +36,20 @@
 
 // isUnavailable returns whether an endpoint drains or is gone.
 func (x *exclusion) isUnavailable(endpoint int) bool {
-	_, is := x.unavailable[endpoint]
-	return is
+	_, found := x.unavailable[endpoint]
+	return found
 }
 
-// audience is who has to be notified of an exclusion.
-type audience struct {
+// recipients is who has to be notified of an exclusion.
+type recipients struct {
 	waiting          []*proxyState   // proxies that wait for their tables, in any order
 	waitingOfZone    map[int]float64 // how many
 	assignedOfSubset map[int]float64 // how many proxies have tables, by subset
 }
 
-// audience counts the proxies that wait for their tables and those that have them.
-func (pb *publisher) audience() audience {
-	to := audience{waitingOfZone: map[int]float64{}, assignedOfSubset: map[int]float64{}}
+// recipients counts the proxies that wait for their tables and those that have them.
+func (pb *publisher) recipients() recipients {
+	to := recipients{waitingOfZone: map[int]float64{}, assignedOfSubset: map[int]float64{}}
 	for _, proxy := range pb.proxies {
 		if proxy.assigned {
 			to.assignedOfSubset[pb.planner.subset(proxy.ProxyJoined)]++
@@ -66,24 +66,24 @@
 // room.
 func (pb *publisher) excludeUnavailable() {
 	x := &pb.exclusion
-	to := pb.audience()
+	to := pb.recipients()
 	lastChange := x.lastChange
-	pb.admitReady(to)
-	acked := len(pb.linesSinceAck) > 0 // some proxy has lines to acknowledge anyway
+	pb.readmitReady(to)
+	ackExpected := len(pb.linesSinceAck) > 0 // some proxy has lines to acknowledge anyway
 	before := pb.window.written
 	for _, endpoint := range slices.Sorted(maps.Keys(x.unavailable)) {
-		if pb.isExclusionDue(endpoint, to) && !pb.isHeld(endpoint, to) {
+		if pb.isExclusionDue(endpoint, to) && !pb.isInAssignedTable(endpoint, to) {
 			pb.exclude(endpoint, to, lastChange)
 		}
 	}
-	if pb.window.written > before && !acked {
+	if pb.window.written > before && !ackExpected {
 		pb.assignForAck()
 	}
 }
 
-// admitReady lets in excluded endpoints that are ready again. An endpoint that warms up has to wait while proxies
+// readmitReady lets in excluded endpoints that are ready again. An endpoint that warms up has to wait while proxies
 // wait for their tables: their standing lines have weights that the planner did not set, and would overload it.
-func (pb *publisher) admitReady(to audience) {
+func (pb *publisher) readmitReady(to recipients) {
 	x := &pb.exclusion
 	for _, endpoint := range slices.Sorted(maps.Keys(x.excludedAt)) {
 		safe := len(to.waiting) == 0 || !pb.planner.isWarmingUp(endpoint)
@@ -97,55 +97,55 @@
 
 // isExclusionDue returns whether an unavailable endpoint is to be excluded now: once, if no proxy waits for its
 // tables, or when the deadline of some waiting proxy that may hold it is over.
-func (pb *publisher) isExclusionDue(endpoint int, to audience) bool {
+func (pb *publisher) isExclusionDue(endpoint int, to recipients) bool {
 	if len(to.waiting) == 0 && pb.exclusion.excludedAt[endpoint] == 0 {
 		return true
 	}
 	for _, proxy := range to.waiting {
-		if pb.mayHold(endpoint, proxy, to) && pb.isDeadlineOver(endpoint, proxy) {
+		if pb.mayHold(endpoint, proxy, to) && pb.isDeadlineReached(endpoint, proxy) {
 			return true
 		}
 	}
 	return false
 }
 
-// isDeadlineOver returns whether a waiting proxy has to be notified now that an endpoint is unavailable: it has not
+// isDeadlineReached returns whether a waiting proxy has to be notified now that an endpoint is unavailable: it has not
 // been since it joined, and its lines of that time may still stand.
-func (pb *publisher) isDeadlineOver(endpoint int, proxy *proxyState) bool {
+func (pb *publisher) isDeadlineReached(endpoint int, proxy *proxyState) bool {
 	x := &pb.exclusion
-	since := pb.concernedSince(endpoint, proxy)
+	since := pb.mayHoldSince(endpoint, proxy)
 	return since > x.excludedAt[endpoint] && since < x.unavailable[endpoint]+lineLifetimeMs &&
 		pb.planner.now >= pb.exclusionDeadline(endpoint, proxy)
 }
 
-// concernedSince returns since when a proxy may hold an unavailable endpoint.
-func (pb *publisher) concernedSince(endpoint int, proxy *proxyState) float64 {
+// mayHoldSince returns since when a proxy may hold an unavailable endpoint.
+func (pb *publisher) mayHoldSince(endpoint int, proxy *proxyState) float64 {
 	return math.Max(proxy.joinedAt, pb.exclusion.unavailable[endpoint])
 }
 
 // exclusionDeadline returns when a waiting proxy is notified that an endpoint is unavailable: halfway through the drain
 // grace, which leaves the other half for the message to arrive.
 func (pb *publisher) exclusionDeadline(endpoint int, proxy *proxyState) float64 {
-	return pb.concernedSince(endpoint, proxy) + pb.planner.settings.DrainGraceMs/2
+	return pb.mayHoldSince(endpoint, proxy) + pb.planner.settings.DrainGraceMs/2
 }
 
 // mayHold returns whether a waiting proxy may hold an endpoint: one of its own zone, or of a zone none of whose proxies
 // wait, which others may spill over to.
-func (pb *publisher) mayHold(endpoint int, proxy *proxyState, to audience) bool {
+func (pb *publisher) mayHold(endpoint int, proxy *proxyState, to recipients) bool {
 	zone := pb.planner.endpoints[endpoint].Zone
 	return proxy.Zone == zone || to.waitingOfZone[zone] == 0
 }
 
-// isHeld returns whether a table that proxies hold has a line of an endpoint. Removing the line comes first, at the
+// isInAssignedTable returns whether a table that proxies hold has a line of an endpoint. Removing the line comes first, at the
 // same cost.
-func (pb *publisher) isHeld(endpoint int, to audience) bool {
+func (pb *publisher) isInAssignedTable(endpoint int, to recipients) bool {
 	return slices.ContainsFunc(pb.tables, func(t *table) bool {
 		return t.sent[endpoint] > 0 && to.assignedOfSubset[pb.planner.subsetOfTable(t.number)] > 0
 	})
 }
 
 // exclude excludes an endpoint if messages are allowed now and fit into the channel; if they do not fit, it is blocked.
-func (pb *publisher) exclude(endpoint int, to audience, lastChange float64) {
+func (pb *publisher) exclude(endpoint int, to recipients, lastChange float64) {
 	x := &pb.exclusion
 	now := pb.planner.now
 	cost := 0.0
@@ -169,7 +169,7 @@
 }
 
 // exclusionCost returns the lines that an exclusion costs at a proxy: none if it cannot hold the endpoint.
-func (pb *publisher) exclusionCost(endpoint int, proxy *proxyState, to audience) float64 {
+func (pb *publisher) exclusionCost(endpoint int, proxy *proxyState, to recipients) float64 {
 	if !pb.mayHold(endpoint, proxy, to) {
 		return 0
 	}
