--- a/planner/membership.go
+++ b/planner/membership.go
@@ -13,8 +13,8 @@
 	// assignmentWaitMs is the time between two attempts to assign tables for which the channel has no room.
 	assignmentWaitMs = 100.0
 
-	// assignmentPart is the fraction of the backlog up to which tables are assigned.
-	assignmentPart = 0.3
+	// assignmentBacklogFraction is the fraction of the backlog up to which tables are assigned.
+	assignmentBacklogFraction = 0.3
 
 	// assignmentTimer names the timer of the next attempt.
 	assignmentTimer = "bind"
@@ -32,10 +32,10 @@
 
 // join adds a proxy. One that resumed may still hold its tables; only an acknowledgement of their lines proves it.
 func (pb *publisher) join(joined ProxyJoined) {
-	before := pb.proxies[joined.Proxy]
+	previous := pb.proxies[joined.Proxy]
 	pb.proxies[joined.Proxy] = &proxyState{
 		ProxyJoined: joined,
-		assigned:    joined.Resumed && before != nil && before.assigned,
+		assigned:    joined.Resumed && previous != nil && previous.assigned,
 		joinedAt:    pb.planner.now,
 	}
 }
@@ -81,23 +81,23 @@
 // rest.
 func (pb *publisher) assignWaiting() {
 	worthwhile := worthwhileGap * math.Min(1, pb.zoneHeaderSeconds())
-	for _, name := range pb.waitingProxies() {
-		proxy := pb.proxies[name]
+	for _, index := range pb.waitingProxies() {
+		proxy := pb.proxies[index]
 		weights, cost := pb.assignmentCost(proxy)
 		if weights == 0 || pb.planner.regions[proxy.Zone].divergence < worthwhile {
 			continue // its standing table is better than an empty one, or as good
 		}
 		queued := pb.window.queued
-		if queued > 0 && queued+cost > assignmentPart*pb.planner.settings.BacklogLines {
-			pb.assignLater()
+		if queued > 0 && queued+cost > assignmentBacklogFraction*pb.planner.settings.BacklogLines {
+			pb.scheduleAssignment()
 			return
 		}
 		pb.assign(proxy)
 	}
 }
 
-// assignLater sets the timer of the next attempt, unless it is set.
-func (pb *publisher) assignLater() {
+// scheduleAssignment sets the timer of the next attempt, unless it is set.
+func (pb *publisher) scheduleAssignment() {
 	now := pb.planner.now
 	if pb.assignmentAt <= now {
 		pb.assignmentAt = now + assignmentWaitMs
@@ -115,9 +115,9 @@
 // waitingProxies returns the proxies that wait for their tables, first those whose own zone has no ready endpoint.
 func (pb *publisher) waitingProxies() []int {
 	var waiting []int
-	for name, proxy := range pb.proxies {
+	for index, proxy := range pb.proxies {
 		if !proxy.confirmed {
-			waiting = append(waiting, name)
+			waiting = append(waiting, index)
 		}
 	}
 	slices.Sort(waiting)
@@ -162,7 +162,7 @@
 // weight, by the endpoints' states, and by chance, as a standing table has few lines, drawn from the endpoints of its
 // zone.
 func (r *region) planDivergence(group int, allocations []allocation) float64 {
-	standing := make([]float64, len(allocations)) // weight that standing tables have, by allocation
+	static := make([]float64, len(allocations)) // weight that standing tables have, by allocation
 	sum := 1e-9
 	count := 0.0
 	divergence := 0.0
@@ -172,16 +172,16 @@
 			continue
 		}
 		if c.Started == 0 { // one that started since then is in no standing table
-			standing[i] = c.weight
+			static[i] = c.weight
 		}
-		sum += standing[i]
-		if standing[i] > 0 {
+		sum += static[i]
+		if static[i] > 0 {
 			count++
 		}
 		divergence += r.stateDivergence(c)
 	}
 	for i := range allocations {
-		divergence += math.Abs(allocations[i].share - standing[i]/sum)
+		divergence += math.Abs(allocations[i].share - static[i]/sum)
 	}
 	return divergence + r.chanceDivergence(count)
 }
