--- a/planner/flowcontrol.go
+++ b/planner/flowcontrol.go
@@ -53,7 +53,7 @@
 		return
 	}
 	if wasProbing {
-		pb.reopened = true
+		pb.windowReopened = true
 	}
 	pb.confirm(proxy, orderedAt)
 }
--- a/planner/membership.go
+++ b/planner/membership.go
@@ -80,7 +80,7 @@
 // assignWaiting assigns tables to proxies that wait for them, while the channel has room, and sets a timer for the
 // rest.
 func (pb *publisher) assignWaiting() {
-	worthwhile := worthwhileGap * math.Min(1, pb.zoneHeaderSeconds())
+	worthwhile := minWorthwhileDiff * math.Min(1, pb.zoneHeaderSeconds())
 	for _, index := range pb.waitingProxies() {
 		proxy := pb.proxies[index]
 		weights, cost := pb.assignmentCost(proxy)
@@ -99,9 +99,9 @@
 // scheduleAssignment sets the timer of the next attempt, unless it is set.
 func (pb *publisher) scheduleAssignment() {
 	now := pb.planner.now
-	if pb.assignmentAt <= now {
-		pb.assignmentAt = now + assignmentWaitMs
-		pb.planner.command(SetTimer{pb.assignmentAt, assignmentTimer})
+	if pb.nextAssignmentAt <= now {
+		pb.nextAssignmentAt = now + assignmentWaitMs
+		pb.planner.command(SetTimer{pb.nextAssignmentAt, assignmentTimer})
 	}
 }
 
@@ -152,10 +152,10 @@
 
 const (
 	// A restarted endpoint that warms up justifies an assignment by itself, as standing tables have its old weight.
-	restartDivergence = worthwhileGap
+	restartDivergence = minWorthwhileDiff
 
 	// Two unavailable endpoints do so, too: notifying proxies of both costs as much.
-	unavailableDivergence = worthwhileGap / 2
+	unavailableDivergence = minWorthwhileDiff / 2
 )
 
 // planDivergence returns the fraction of a group's requests that standing tables route differently than planned, by
--- a/planner/publisher.go
+++ b/planner/publisher.go
@@ -17,9 +17,9 @@
 	tolerance        = 0.12
 	channelTolerance = 0.2
 
-	// worthwhileGap is the least sum of gaps, as a fraction of a table's weight, that justifies headers that take a
+	// minWorthwhileDiff is the least sum of gaps, as a fraction of a table's weight, that justifies headers that take a
 	// second of the channel or more; headers that take less are justified by less in proportion.
-	worthwhileGap = 0.5
+	minWorthwhileDiff = 0.5
 
 	// backlogDivisor limits lines that can wait to a third of the backlog; the rest is for urgent ones.
 	backlogDivisor = 3.0
@@ -42,9 +42,9 @@
 	window    sendWindow
 	blocked   blockage
 
-	linesSinceAck map[int]float64 // to each proxy since the last request for an acknowledgement went out
-	reopened      bool            // a probe was answered: pending lines need not wait for the next round
-	assignmentAt  float64         // ms, when the assignment of tables goes on
+	linesSinceAck    map[int]float64 // to each proxy since the last request for an acknowledgement went out
+	windowReopened   bool            // a probe was answered: pending lines need not wait for the next round
+	nextAssignmentAt float64         // ms, when the assignment of tables goes on
 }
 
 // table is a routing table of the proxies of a subset, for a class group.
@@ -104,15 +104,15 @@
 // tables for waiting proxies, then exclusions of endpoints. A request for an acknowledgement follows.
 func (pb *publisher) flush() {
 	p := pb.planner
-	before := pb.window.written
+	writtenBefore := pb.window.written
 	pb.window.advance(p.now, pb.linesPerSecond()/1000)
 	for _, t := range pb.tablesToPush() {
 		pb.push(t)
 	}
 	pb.assignWaiting()
 	pb.excludeUnavailable()
-	pb.updateBlockage(pb.window.written > before)
-	if pb.window.written > before { // by the above, or by a probe
+	pb.updateBlockage(pb.window.written > writtenBefore)
+	if pb.window.written > writtenBefore { // by the above, or by a probe
 		p.command(AckRequest{Number: pb.window.seal(p.now, pb.linesSinceAck)})
 		pb.linesSinceAck = map[int]float64{}
 	}
@@ -121,15 +121,15 @@
 // tablesToPush returns the tables that were planned again, and those with pending lines if a probe was acknowledged:
 // the one that waited longest first.
 func (pb *publisher) tablesToPush() []*table {
-	var turns []*table
+	var due []*table
 	for _, t := range pb.tables {
-		if t.planned || pb.reopened && t.pending > 0 {
-			turns = append(turns, t)
+		if t.planned || pb.windowReopened && t.pending > 0 {
+			due = append(due, t)
 		}
 	}
-	pb.reopened = false
-	slices.SortStableFunc(turns, func(a, b *table) int { return cmp.Compare(a.pushedAt, b.pushedAt) })
-	return turns
+	pb.windowReopened = false
+	slices.SortStableFunc(due, func(a, b *table) int { return cmp.Compare(a.pushedAt, b.pushedAt) })
+	return due
 }
 
 // headerLines returns what a message costs beside the lines it brings, with its request for an acknowledgement.
@@ -145,13 +145,13 @@
 	return messageSpacing * pb.planner.settings.MessageSpanMs / pb.planner.settings.MessageLimit
 }
 
-// delta is what goes out of a table in one push.
-type delta struct {
-	table   *table
-	users   float64 // proxies that hold the table
-	header  float64 // lines that a message costs beside those it brings
-	budget  float64 // lines that may go out of what can wait
-	written float64 // lines and levels that go out
+// tableUpdate is what goes out of a table in one push.
+type tableUpdate struct {
+	table       *table
+	users       float64 // proxies that hold the table
+	headerLines float64 // lines that a message costs beside those it brings
+	budget      float64 // lines that may go out of what can wait
+	written     float64 // lines and levels that go out
 }
 
 // push sends a table's differences, as far as there is room. A table that no joined proxy uses is not sent.
@@ -162,15 +162,15 @@
 		return
 	}
 	t.planned = false
-	d := &delta{table: t, users: users, header: pb.headerLines()}
-	d.budget = pb.lineBudget(d)
-	pb.writeLevels(d)
-	gaps := pb.gaps(d)
-	if d.written == 0 && !pb.isWorthwhile(d, gaps) {
-		gaps.lines = nil // their headers would cost more than they gain
+	update := &tableUpdate{table: t, users: users, headerLines: pb.headerLines()}
+	update.budget = pb.lineBudget(update)
+	pb.writeLevels(update)
+	diff := pb.diff(update)
+	if update.written == 0 && !pb.isWorthwhile(update, diff) {
+		diff.lines = nil // their headers would cost more than they gain
 	}
-	pb.writeLines(d, gaps)
-	pb.account(d)
+	pb.writeLines(update, diff)
+	pb.countSentLines(update)
 }
 
 // usersOf returns how many proxies hold a table, and whether any proxy of its subset has joined.
@@ -189,23 +189,23 @@
 }
 
 // lineBudget returns how many lines that can wait may go out of a table.
-func (pb *publisher) lineBudget(d *delta) float64 {
-	if d.users > 0 && d.table.pushedAt+pb.messageInterval() > pb.planner.now {
+func (pb *publisher) lineBudget(update *tableUpdate) float64 {
+	if update.users > 0 && update.table.pushedAt+pb.messageInterval() > pb.planner.now {
 		return 0
 	}
 	room := pb.planner.settings.BacklogLines/backlogDivisor - pb.window.queued
-	return room/math.Max(d.users, 1e-9) - d.header
+	return room/math.Max(update.users, 1e-9) - update.headerLines
 }
 
 // writeLevels sends the admission levels that differ.
-func (pb *publisher) writeLevels(d *delta) {
-	t := d.table
-	for _, kinds := range slices.Sorted(maps.Keys(t.admissionWanted)) {
-		wanted := t.admissionWanted[kinds]
-		if d.budget >= 1 && t.admissionSent[kinds] != wanted {
-			t.admissionSent[kinds] = wanted
-			d.budget--
-			d.written++
+func (pb *publisher) writeLevels(update *tableUpdate) {
+	t := update.table
+	for _, classes := range slices.Sorted(maps.Keys(t.admissionWanted)) {
+		wanted := t.admissionWanted[classes]
+		if update.budget >= 1 && t.admissionSent[classes] != wanted {
+			t.admissionSent[classes] = wanted
+			update.budget--
+			update.written++
 			pb.planner.command(wanted)
 		}
 	}
@@ -213,109 +213,109 @@
 
 // Sizes that sort gaps before all others. Their sum may be infinite, which is harmless.
 const (
-	unavailableGap = math.MaxFloat64
-	restartGap     = math.MaxFloat64 / 2
+	unavailableSize = math.MaxFloat64
+	restartSize     = math.MaxFloat64 / 2
 )
 
-// gap is the difference between a line as planned and as last sent.
-type gap struct {
+// lineDiff is the difference between a line as planned and as last sent.
+type lineDiff struct {
 	endpoint int
 	size     float64
 }
 
 // isUrgent returns whether the line doesn't wait for a budget: its endpoint drains, is gone, or has restarted.
-func (g gap) isUrgent() bool { return g.size >= restartGap }
-
-// tableGaps is how a table as planned differs from what was sent.
-type tableGaps struct {
-	lines []gap   // the largest first
-	sum   float64 // of the sizes
-	kept  float64 // weight sent of the endpoints that are available
-	full  float64 // weight planned
+func (d lineDiff) isUrgent() bool { return d.size >= restartSize }
+
+// tableDiff is how a table as planned differs from what was sent.
+type tableDiff struct {
+	lines         []lineDiff // the largest first
+	sizeSum       float64    // of the sizes
+	sentWeight    float64    // weight sent of the endpoints that are available
+	plannedWeight float64    // weight planned
 }
 
-// gaps returns the lines of a table that differ by more than the tolerance.
-func (pb *publisher) gaps(d *delta) tableGaps {
-	t := d.table
-	threshold := pb.tolerance(d)
-	gaps := tableGaps{}
+// diff returns the lines of a table that differ by more than the tolerance.
+func (pb *publisher) diff(update *tableUpdate) tableDiff {
+	t := update.table
+	threshold := pb.tolerance(update)
+	diff := tableDiff{}
 	for _, endpoint := range slices.Sorted(maps.Keys(t.wanted)) {
 		wanted := t.wanted[endpoint]
 		sent := t.sent[endpoint]
 		if !pb.exclusion.isUnavailable(endpoint) {
-			gaps.kept += sent
+			diff.sentWeight += sent
 		}
-		gaps.full += wanted
+		diff.plannedWeight += wanted
 		if size := math.Abs(sent - wanted); size > threshold*math.Max(sent, wanted) {
-			g := gap{endpoint, pb.gapSize(endpoint, size, wanted, sent)}
-			gaps.lines = append(gaps.lines, g)
-			gaps.sum += g.size
+			line := lineDiff{endpoint, pb.diffSize(endpoint, size, wanted, sent)}
+			diff.lines = append(diff.lines, line)
+			diff.sizeSum += line.size
 		}
 	}
-	slices.SortStableFunc(gaps.lines, func(a, b gap) int { return cmp.Compare(b.size, a.size) })
-	return gaps
+	slices.SortStableFunc(diff.lines, func(a, b lineDiff) int { return cmp.Compare(b.size, a.size) })
+	return diff
 }
 
 // tolerance returns the fraction by which a line has to differ to be sent. It grows with the time that the channel
 // takes for all tables of the zone.
-func (pb *publisher) tolerance(d *delta) float64 {
-	lines := d.users * float64(pb.planner.subsetsOfZone*len(d.table.wanted))
+func (pb *publisher) tolerance(update *tableUpdate) float64 {
+	lines := update.users * float64(pb.planner.subsetsOfZone*len(update.table.wanted))
 	return tolerance + channelTolerance*math.Min(1, lines/pb.linesPerSecond())
 }
 
-// gapSize returns the size of a gap, by which lines are sorted. An endpoint that has restarted is overloaded by its old
+// diffSize returns the size of a gap, by which lines are sorted. An endpoint that has restarted is overloaded by its old
 // weight unless that is cut at once.
-func (pb *publisher) gapSize(endpoint int, size, wanted, sent float64) float64 {
+func (pb *publisher) diffSize(endpoint int, size, wanted, sent float64) float64 {
 	switch {
 	case pb.exclusion.isUnavailable(endpoint):
-		return unavailableGap
+		return unavailableSize
 	case pb.planner.isWarmingUp(endpoint) && wanted < sent/2:
-		return restartGap
+		return restartSize
 	}
 	return size
 }
 
 // isWorthwhile returns whether the gaps justify the cost of the headers that go out with them.
-func (pb *publisher) isWorthwhile(d *delta, gaps tableGaps) bool {
-	headers := d.users * float64(pb.planner.subsetsOfZone) * d.header
+func (pb *publisher) isWorthwhile(update *tableUpdate, diff tableDiff) bool {
+	headers := update.users * float64(pb.planner.subsetsOfZone) * update.headerLines
 	seconds := headers / pb.linesPerSecond()
-	return gaps.sum >= worthwhileGap*math.Min(1, seconds)*gaps.full
+	return diff.sizeSum >= minWorthwhileDiff*math.Min(1, seconds)*diff.plannedWeight
 }
 
 // writeLines sends the lines that differ, the largest gap first. Urgent ones go out while they fit below the backlog,
 // and are pending otherwise; others need a budget, unless less than half of the table stands.
-func (pb *publisher) writeLines(d *delta, gaps tableGaps) {
-	t := d.table
-	for _, g := range gaps.lines {
-		fits := d.users == 0 || pb.fits(d.users*(d.written+d.header+1))
-		if !fits && g.isUrgent() {
+func (pb *publisher) writeLines(update *tableUpdate, diff tableDiff) {
+	t := update.table
+	for _, line := range diff.lines {
+		fits := update.users == 0 || pb.fits(update.users*(update.written+update.headerLines+1))
+		if !fits && line.isUrgent() {
 			t.pending++
 			continue
 		}
-		d.budget--
-		overBudget := d.budget < 0 && !g.isUrgent() && gaps.kept > gaps.full/2
+		update.budget--
+		overBudget := update.budget < 0 && !line.isUrgent() && diff.sentWeight > diff.plannedWeight/2
 		if !fits || overBudget {
 			break
 		}
-		wanted := t.wanted[g.endpoint]
-		if !pb.exclusion.isUnavailable(g.endpoint) {
-			gaps.kept += wanted - t.sent[g.endpoint]
+		wanted := t.wanted[line.endpoint]
+		if !pb.exclusion.isUnavailable(line.endpoint) {
+			diff.sentWeight += wanted - t.sent[line.endpoint]
 		}
-		t.sent[g.endpoint] = wanted
-		d.written++
-		pb.planner.command(SetWeight{Table: t.number, Endpoint: g.endpoint, Weight: wanted})
+		t.sent[line.endpoint] = wanted
+		update.written++
+		pb.planner.command(SetWeight{Table: t.number, Endpoint: line.endpoint, Weight: wanted})
 	}
 	maps.DeleteFunc(t.sent, func(_ int, weight float64) bool { return weight == 0 })
 }
 
-// account counts the lines that were sent of a table.
-func (pb *publisher) account(d *delta) {
+// countSentLines counts the lines that were sent of a table.
+func (pb *publisher) countSentLines(update *tableUpdate) {
 	lines := 0.0 // to each proxy that holds it
-	if d.written > 0 {
-		d.table.pushedAt = pb.planner.now
-		lines = d.written + d.header
+	if update.written > 0 {
+		update.table.pushedAt = pb.planner.now
+		lines = update.written + update.headerLines
 	}
-	subset := pb.planner.subsetOfTable(d.table.number)
+	subset := pb.planner.subsetOfTable(update.table.number)
 	for _, proxy := range pb.proxies {
 		received := 0.0
 		if proxy.assigned && pb.planner.subset(proxy.ProxyJoined) == subset {
@@ -323,5 +323,5 @@
 		}
 		pb.linesSinceAck[proxy.Proxy] += received // even 0: excludeUnavailable checks for entries
 	}
-	pb.window.add(d.users * lines)
+	pb.window.add(update.users * lines)
 }
