--- a/internal/config/endpoint_list.go
+++ b/internal/config/endpoint_list.go
@@ -89,7 +89,7 @@
 	diags = append(diags, checkName(at, entry.Machine, 0)...)
 	if !planner.ValidWeight(entry.Weight) {
 		diags = append(diags, Diagnostic(at, "weight %g: 0 or %g to %g is wanted",
-			entry.Weight, 1/planner.MaxFigure, planner.MaxFigure))
+			entry.Weight, 1/planner.MaxValue, planner.MaxValue))
 	}
 	return diags
 }
--- a/internal/platform/placement/checks.go
+++ b/internal/platform/placement/checks.go
@@ -123,7 +123,7 @@
 		return err
 	}
 	for _, name := range []string{"lines_per_s", "backlog", "drain_grace", "cold"} {
-		if _, err := numberWithin(plannerSettings, name, minSetting, planner.MaxFigure); err != nil {
+		if _, err := numberWithin(plannerSettings, name, minSetting, planner.MaxValue); err != nil {
 			return err
 		}
 	}
