--- a/planner/limits.go
+++ b/planner/limits.go
@@ -1,12 +1,12 @@
 package planner
 
-// MaxValue bounds every weight, rate and value of a load report that an event may carry. Beyond it sums of a few
-// overflow, and one infinity would make not-a-number of all weights that it touches.
+// MaxValue is the upper bound of every weight, rate and load report value in an event. It keeps sums from overflowing
+// to infinity; a single infinity would turn all weights computed from it into NaN.
 const MaxValue = 1e9
 
-// ValidRate returns whether v may stand in an event as a rate or a value of a load report.
+// ValidRate returns whether an event may carry v as a rate, a time span or a load report value: 0 to MaxValue.
 func ValidRate(v float64) bool { return v >= 0 && v <= MaxValue }
 
-// ValidWeight returns whether v may stand in an event as a weight: 0, which says nothing, or a figure that others can
-// be compared with.
+// ValidWeight returns whether an event may carry v as a weight: 0 (unspecified), or a value from 1/MaxValue to
+// MaxValue, so that ratios of weights stay finite.
 func ValidWeight(v float64) bool { return v == 0 || v >= 1/MaxValue && v <= MaxValue }
