--- a/planner/planner.go
+++ b/planner/planner.go
@@ -1,10 +1,11 @@
 package planner
 
-// This file holds the planner's main loop: events in, control rounds, commands out. The planner is a sub-controller of
-// the ACCO algorithm ("A Distributed Hybrid Load Management Model for Anycast CDNs", section IV-A). Its regions are
-// the zones of the proxies that joined it. Once in a round each endpoint steps its penalty (penalty.go) and each
-// region solves for its shares anew (region.go); the publisher sends the proxies what changed (publisher.go).
-// docs/design.md says what was changed of the algorithm, and why.
+// This file holds the planner's main loop: it dispatches events, runs control rounds and collects commands. The planner
+// is a sub-controller of the ACCO algorithm ("A Distributed Hybrid Load Management Model for Anycast CDNs", section
+// IV-A). Its regions are the zones of the joined proxies. In each control round, every endpoint updates its penalty
+// (penalty.go) and every region recomputes its endpoints' shares of the requests (region.go); the publisher then sends
+// the changes to the proxies (publisher.go). docs/design.md lists the differences from the published algorithm and the
+// reasons for them.
 
 import (
 	"fmt"
@@ -12,61 +13,61 @@
 )
 
 const (
-	// roundMs is the interval between control rounds. Load reports arrive about as often.
+	// roundMs is the interval between control rounds, in ms. Load reports arrive about as often.
 	roundMs = 1000.0
 
-	// staleMs is the age from which a load report says nothing of an endpoint's present load.
+	// staleMs is the age, in ms, from which a load report no longer counts as an endpoint's current load.
 	staleMs = 5000.0
 
-	// settlingRounds is the number of rounds after a start in which too little is known to give requests to endpoints
-	// that warm up.
+	// settlingRounds is the number of control rounds after the planner's start in which endpoints that are warming up
+	// get no requests, because too little is known about the fleet's load.
 	settlingRounds = 5
 
-	// roundTimer names the timer of the control rounds.
+	// roundTimer is the name of the timer that starts each control round.
 	roundTimer = "gather"
 )
 
-// Target load of an endpoint, as a fraction of its capacity.
+// Target load of an endpoint, as a fraction of its capacity. It rises with the cost of requests that cross zones.
 const (
-	baseTargetLoad          = 0.5  // where crossing zones costs nothing
-	maxTargetLoad           = 0.85 // where it costs a lot: a zone should keep its requests nearly until it is full
-	targetLoadCrossZoneGain = 2.0  // by how much the target rises with the cost of crossing zones
+	baseTargetLoad          = 0.5  // if crossing zones costs nothing
+	maxTargetLoad           = 0.85 // upper bound: with a high cost, a zone keeps its requests until it is nearly full
+	targetLoadCrossZoneGain = 2.0  // increase of the target load per unit of cross-zone cost
 )
 
-// Planner plans how the proxies spread their requests over the endpoints. It is a plain state machine, without a clock,
-// goroutines or any I/O: the same events at the same times bring the same commands. Call New once, then Handle with
-// each moment's events. It is not safe for concurrent use.
+// Planner plans how the proxies distribute their requests over the endpoints. It is a deterministic state machine
+// without a clock, goroutines or I/O: the same events at the same times produce the same commands. Create it with New
+// and pass it events with Handle. It is not safe for concurrent use.
 type Planner struct {
 	mailbox mailbox[plannerMessage]
 	actors  []actor // in creation order: the planner itself, the publisher, then endpoints and regions
 
-	settings Settings // the latest
+	settings Settings // from New or the latest call of Reconfigure
 
-	// Derived from the settings given to New. Reconfigure leaves them as they are, since tables are numbered by them.
-	targetLoad    float64 // T of the penalty's step: the load above which a penalty grows
+	// Derived from the settings passed to New. Reconfigure does not change them, because table numbers depend on them.
+	targetLoad    float64 // fraction of the capacity; an endpoint's penalty grows above it
 	classes       []RequestClass
 	shedSequence  []int // classes in the order in which their load is shed
 	groups        []classGroup
-	subsetsOfZone int // number of subsets that the proxies of each zone are divided into
+	subsetsOfZone int // number of subsets into which the proxies of each zone are divided
 
-	now      float64 // ms
-	started  bool
-	rounds   int // timed ones
-	commands []Command
+	now      float64   // time of the current call of Handle, in ms
+	started  bool      // the timer of the first control round has been set
+	rounds   int       // timed control rounds so far
+	commands []Command // output of the current call of Handle
 
-	proxies map[int]ProxyJoined // joined proxies, as they described themselves
+	proxies map[int]ProxyJoined // joined proxies by index, as described in their join events
 	demand  demand
 	load    fleetLoad
 
-	endpoints []*endpoint // by index
-	regions   []*region   // by zone
+	endpoints []*endpoint // indexed by endpoint
+	regions   []*region   // indexed by zone
 	publisher *publisher
 }
 
-// New returns a planner. Settings of a wrong type count as missing; ParseSettings reports them. The seed is unused,
-// since the planner draws no random numbers.
+// New returns a planner with the given settings. A setting of the wrong type takes its default; ParseSettings reports
+// such errors. The seed is unused because the planner draws no random numbers.
 func New(_ int64, settings map[string]any) *Planner {
-	parsed, _ := ParseSettings(settings) // New cannot fail: a value of a wrong type has its default
+	parsed, _ := ParseSettings(settings) // the error can be ignored: invalid settings take their defaults
 	p := &Planner{settings: parsed, classes: parsed.Classes, proxies: map[int]ProxyJoined{}, demand: newDemand()}
 	p.targetLoad = targetLoad(parsed.CrossZoneCost)
 	p.shedSequence = shedSequence(p.classes)
@@ -80,19 +81,21 @@
 	return p
 }
 
-// Reconfigure takes over changed settings: all of them, changed and not. What New derived from the earlier ones stays:
-// the target load, the request classes and their groups, and the subsets of a zone's proxies.
+// Reconfigure replaces all settings, so the map must also contain the unchanged ones. Values that New derived from the
+// original settings do not change: the target load, the request classes and their groups, and the number of subsets of
+// each zone's proxies.
 func (p *Planner) Reconfigure(settings map[string]any) {
-	p.settings, _ = ParseSettings(settings) // as New does
+	p.settings, _ = ParseSettings(settings) // errors are ignored, as in New
 }
 
-// targetLoad returns T, the load at which a penalty starts to grow: the less crossing zones costs, the sooner it pays.
+// targetLoad returns the load, as a fraction of the capacity, above which an endpoint's penalty grows. It is lower if
+// crossing zones is cheap, so that requests spill over to other zones sooner.
 func targetLoad(crossZoneCost float64) float64 {
 	return math.Min(maxTargetLoad, baseTargetLoad+targetLoadCrossZoneGain*crossZoneCost)
 }
 
-// Handle processes the events up to a time and returns the commands that follow from them, in order. Time never runs
-// backwards: an earlier time counts as the latest one so far.
+// Handle processes events that occurred up to nowMs and returns the resulting commands in the order in which they are
+// to be carried out. Time never goes backwards: a nowMs below that of an earlier call is raised to it.
 func (p *Planner) Handle(nowMs float64, events []Event) []Command {
 	p.now = math.Max(p.now, nowMs)
 	p.commands = nil
@@ -105,8 +108,8 @@
 	return p.commands
 }
 
-// start sets the timer of the first round, when Handle is first called. Controllers spread their rounds over the
-// interval by their rank, so that not all of them change their tables at once.
+// start sets the timer of the first control round on the first call of Handle. Pilots spread their rounds over the
+// interval by rank, so that they do not all change their tables at the same time.
 func (p *Planner) start() {
 	if p.started {
 		return
@@ -118,7 +121,7 @@
 	}
 }
 
-// dispatch passes an event to the actors that it concerns. Events of other types do not affect the plan.
+// dispatch passes an event to the actors that it concerns. Events of types that it omits do not affect the plan.
 func (p *Planner) dispatch(event Event) {
 	switch event := event.(type) {
 	case EndpointUpdate:
@@ -144,7 +147,8 @@
 	}
 }
 
-// timerFired begins a timed round. The other timers need no handling: each call of Handle flushes the publisher.
+// timerFired starts a control round and sets the timer of the next one. The publisher's timers need no handling,
+// because every call of Handle flushes the publisher.
 func (p *Planner) timerFired(timer TimerFired) {
 	if timer.Name != roundTimer {
 		return
@@ -154,8 +158,9 @@
 	p.controlRound(true)
 }
 
-// handleStats passes on what the proxies of a zone observed at an endpoint. Counts that began before the endpoint
-// started again belong to the process that is gone: they are dropped, its load report is not.
+// handleStats passes the statistics of a zone's proxies about an endpoint to that endpoint and to the zone's region. If
+// the endpoint restarted within the statistics' period, the attempt counts include attempts at its previous process and
+// are dropped; the load report is kept.
 func (p *Planner) handleStats(stats EndpointStats) {
 	e := p.endpoint(stats.Endpoint)
 	if e.Started != 0 && e.Started > p.now-stats.SpanMs {
@@ -166,7 +171,8 @@
 	p.region(stats.Zone).mailbox.enqueue(stats)
 }
 
-// updateEndpointList applies an update of the endpoint list and plans again. Endpoints that a complete list omits are gone.
+// updateEndpointList applies an update of the endpoint list and runs a control round. Endpoints that are missing from a
+// complete list count as gone. If the list could not be fetched, it only renews the subscription.
 func (p *Planner) updateEndpointList(list EndpointUpdate) {
 	if list.Mode == UpdateFailed {
 		p.command(WatchEndpoints{On: true})
@@ -184,7 +190,7 @@
 	p.controlRound(false)
 }
 
-// removeMissing marks listed endpoints that a complete list omits as gone.
+// removeMissing marks listed endpoints that are not present in a complete list as gone.
 func (p *Planner) removeMissing(present map[int]bool) {
 	for i, e := range p.endpoints {
 		if e.listed && !present[i] {
@@ -195,8 +201,9 @@
 	}
 }
 
-// controlRound lets all endpoints update themselves and then all regions plan again. The regions begin only after all
-// endpoints have made their offers.
+// controlRound updates all endpoints and then has all regions recompute their plans. The regions start only after every
+// endpoint has sent them its state. Timed rounds, unlike those caused by a list update, also update penalties, health
+// and admission.
 func (p *Planner) controlRound(timed bool) {
 	p.deliverAll()
 	p.demand.update(p.proxies, p.settings.ProxyCount.Or(1))
@@ -210,7 +217,7 @@
 	}
 }
 
-// receive handles a message to the planner itself: which proxies have joined, and which requests come to them.
+// receive handles a message to the planner itself: a proxy that joined or left, or a proxy's request statistics.
 func (p *Planner) receive(message plannerMessage) {
 	switch message := message.(type) {
 	case ProxyJoined:
@@ -225,7 +232,7 @@
 	}
 }
 
-// endpoint returns the state of an endpoint, creating it when it is first mentioned.
+// endpoint returns the state of the endpoint with an index and creates it on first use.
 func (p *Planner) endpoint(index int) *endpoint {
 	for len(p.endpoints) <= index {
 		e := newEndpoint(p, len(p.endpoints))
@@ -235,7 +242,7 @@
 	return p.endpoints[index]
 }
 
-// region returns the region of a zone, creating it and its tables when the zone is first mentioned.
+// region returns the region of a zone and creates it, with its tables, on first use.
 func (p *Planner) region(zone int) *region {
 	for len(p.regions) <= zone {
 		r := newRegion(p, len(p.regions))
@@ -246,8 +253,9 @@
 	return p.regions[zone]
 }
 
-// demandFraction returns the fraction of the demand that this planner sees: that of the proxies that joined it. The other
-// controllers plan for the rest, so each corrects only its fraction of an imbalance.
+// demandFraction returns the fraction of the total demand that this pilot plans for, estimated as the fraction of all
+// proxies that joined it. The other pilots plan for the rest, so each corrects only its fraction of an imbalance. It is
+// 1 if all proxies of a zone join the same pilot.
 func (p *Planner) demandFraction() float64 {
 	if p.settings.ZonesKeptWhole {
 		return 1
@@ -255,8 +263,8 @@
 	return math.Min(1, float64(len(p.proxies))/p.settings.ProxyCount.Or(1))
 }
 
-// command adds a command to those that Handle returns.
+// command appends a command to those that Handle returns.
 func (p *Planner) command(command Command) { p.commands = append(p.commands, command) }
 
-// logf writes a line to the operators' log.
+// logf adds a command that writes a formatted line to the operators' log.
 func (p *Planner) logf(format string, args ...any) { p.command(Log{fmt.Sprintf(format, args...)}) }
