--- a/planner/publisher.go
+++ b/planner/publisher.go
@@ -1,8 +1,9 @@
 package planner
 
-// This file decides which differences of the tables go out to the proxies, and when. The publisher keeps what each
-// table was last sent, and sends what differs by enough, as far as the channel has room: see flowcontrol.go. It sends
-// first what drains or has started anew, then the largest differences; the rest waits for the next round.
+// This file decides which table changes are sent to the proxies, and when. The publisher keeps the last sent state of
+// each table and sends the lines that differ sufficiently from the plan while the channel has room (flowcontrol.go).
+// Lines of endpoints that drain or have restarted are sent first, then the largest differences; the remaining lines
+// wait for the next control round.
 
 import (
 	"cmp"
@@ -12,54 +13,56 @@
 )
 
 const (
-	// A line is sent if the weights differ by this fraction of the larger: a base, plus up to channelTolerance in
-	// proportion to the seconds that the channel takes for all tables of a zone.
+	// A line is sent if its planned and last sent weights differ by more than a fraction of the larger one. The
+	// fraction is tolerance, plus up to channelTolerance in proportion to the seconds (at most 1) that the channel
+	// needs to send all tables of a zone.
 	tolerance        = 0.12
 	channelTolerance = 0.2
-
-	// minWorthwhileDiff is the least sum of gaps, as a fraction of a table's weight, that justifies headers that take a
-	// second of the channel or more; headers that take less are justified by less in proportion.
+	// minWorthwhileDiff is the smallest sum of weight differences, as a fraction of a table's planned weight, for which
+	// messages are sent whose headers occupy the channel for a second or more. For headers that take less time, the
+	// minimum is proportionally smaller.
 	minWorthwhileDiff = 0.5
 
-	// backlogDivisor limits lines that can wait to a third of the backlog; the rest is for urgent ones.
+	// backlogDivisor limits deferrable lines to a third of the backlog; the rest is reserved for urgent lines.
 	backlogDivisor = 3.0
 
-	// messageSpacing leaves room for half as many further messages to a proxy within its limit.
+	// messageSpacing is the interval between regular messages to a proxy, relative to the shortest that its message
+	// limit allows. It leaves room for half as many urgent messages within the limit.
 	messageSpacing = 1.5
 
-	// defaultLinesPerSecond stands in for a pace of the channel that is not configured.
+	// defaultLinesPerSecond is the rate of the channel if none is configured.
 	defaultLinesPerSecond = 1000.0
 )
 
-// publisher is an actor: it keeps what the proxies hold and commands what they get next.
+// publisher is the actor that tracks which tables and lines the proxies hold and issues the commands that update them.
 type publisher struct {
 	mailbox mailbox[publisherMessage]
 	planner *Planner
 
-	tables    []*table // by number
-	proxies   map[int]*proxyState
+	tables    []*table            // indexed by number
+	proxies   map[int]*proxyState // joined proxies by index
 	exclusion exclusion
 	window    sendWindow
 	blocked   blockage
 
-	linesSinceAck    map[int]float64 // to each proxy since the last request for an acknowledgement went out
-	windowReopened   bool            // a probe was answered: pending lines need not wait for the next round
-	nextAssignmentAt float64         // ms, when the assignment of tables goes on
+	linesSinceAck    map[int]float64 // lines sent to each proxy since the last request for an acknowledgement
+	windowReopened   bool            // a probe was acknowledged: pending lines can be sent before the next round
+	nextAssignmentAt float64         // ms, when the next attempt to assign tables is due
 }
 
-// table is a routing table of the proxies of a subset, for a class group.
+// table is the routing table that the proxies of one subset use for the request classes of one group.
 type table struct {
 	number          int
 	sent            map[int]float64      // weights by endpoint, as last sent
 	wanted          map[int]float64      // weights by endpoint, as last planned
-	admissionSent   map[int]SetAdmission // by class mask
-	admissionWanted map[int]SetAdmission
-	planned         bool    // since the last push
-	pending         int     // urgent lines that did not fit in the last push
-	pushedAt        float64 // ms, when lines or levels of it last went out
+	admissionSent   map[int]SetAdmission // by class mask, as last sent
+	admissionWanted map[int]SetAdmission // by class mask, as last planned
+	planned         bool                 // the plan was recomputed since the last push
+	pending         int                  // urgent lines that did not fit into the channel in the last push
+	pushedAt        float64              // ms, when lines or admission levels of the table were last sent
 }
 
-// newPublisher returns a publisher for a fleet of which nothing is known.
+// newPublisher returns a publisher without tables or proxies.
 func newPublisher(p *Planner) *publisher {
 	pb := &publisher{
 		planner: p, proxies: map[int]*proxyState{}, exclusion: newExclusion(),
@@ -69,7 +72,7 @@
 	return pb
 }
 
-// addTables adds empty tables.
+// addTables adds count empty tables.
 func (pb *publisher) addTables(count int) {
 	for range count {
 		pb.tables = append(pb.tables, &table{
@@ -79,7 +82,7 @@
 	}
 }
 
-// receive takes in a message to the publisher.
+// receive handles a message to the publisher.
 func (pb *publisher) receive(message publisherMessage) {
 	switch message := message.(type) {
 	case wantedWeight:
@@ -100,8 +103,9 @@
 	}
 }
 
-// flush commands all that the channel has room for, at the end of each call of Handle: differences of tables, then
-// tables for waiting proxies, then exclusions of endpoints. A request for an acknowledgement follows.
+// flush runs at the end of each call of Handle and issues commands while the channel has room: first changed lines of
+// tables, then assignments of tables to waiting proxies, then exclusions of endpoints. If anything was sent, a request
+// for an acknowledgement follows.
 func (pb *publisher) flush() {
 	p := pb.planner
 	writtenBefore := pb.window.written
@@ -112,14 +116,14 @@
 	pb.assignWaiting()
 	pb.excludeUnavailable()
 	pb.updateBlockage(pb.window.written > writtenBefore)
-	if pb.window.written > writtenBefore { // by the above, or by a probe
+	if pb.window.written > writtenBefore { // checked again because updateBlockage may have sent a probe
 		p.command(AckRequest{Number: pb.window.seal(p.now, pb.linesSinceAck)})
 		pb.linesSinceAck = map[int]float64{}
 	}
 }
 
-// tablesToPush returns the tables that were planned again, and those with pending lines if a probe was acknowledged:
-// the one that waited longest first.
+// tablesToPush returns the tables whose plan was recomputed and, if a probe was acknowledged, those with pending lines.
+// The table that was pushed least recently comes first.
 func (pb *publisher) tablesToPush() []*table {
 	var due []*table
 	for _, t := range pb.tables {
@@ -132,29 +136,30 @@
 	return due
 }
 
-// headerLines returns what a message costs beside the lines it brings, with its request for an acknowledgement.
+// headerLines returns the overhead of a message in lines, including its request for an acknowledgement.
 func (pb *publisher) headerLines() float64 { return pb.planner.settings.HeaderLines + 1 }
 
-// linesPerSecond returns the pace of the channel.
+// linesPerSecond returns the rate of the channel.
 func (pb *publisher) linesPerSecond() float64 {
 	return pb.planner.settings.LinesPerSecond.Or(defaultLinesPerSecond)
 }
 
-// messageInterval returns how far apart the messages of a proxy are, in ms.
+// messageInterval returns the minimum time between regular messages to a proxy, in ms.
 func (pb *publisher) messageInterval() float64 {
 	return messageSpacing * pb.planner.settings.MessageSpanMs / pb.planner.settings.MessageLimit
 }
 
-// tableUpdate is what goes out of a table in one push.
+// tableUpdate is the state of one push of a table.
 type tableUpdate struct {
 	table       *table
-	users       float64 // proxies that hold the table
-	headerLines float64 // lines that a message costs beside those it brings
-	budget      float64 // lines that may go out of what can wait
-	written     float64 // lines and levels that go out
+	users       float64 // number of proxies that hold the table
+	headerLines float64 // overhead of a message, in lines
+	budget      float64 // deferrable lines that may still be sent; negative if exceeded
+	written     float64 // lines and admission levels sent so far
 }
 
-// push sends a table's differences, as far as there is room. A table that no joined proxy uses is not sent.
+// push sends a table's changed lines and admission levels while the channel has room. It does nothing if no proxy of
+// the table's subset has joined.
 func (pb *publisher) push(t *table) {
 	users, joined := pb.usersOf(t)
 	t.pending = 0
@@ -167,13 +172,13 @@
 	pb.writeLevels(update)
 	diff := pb.diff(update)
 	if update.written == 0 && !pb.isWorthwhile(update, diff) {
-		diff.lines = nil // their headers would cost more than they gain
+		diff.lines = nil // the message headers would cost more than the update gains
 	}
 	pb.writeLines(update, diff)
 	pb.countSentLines(update)
 }
 
-// usersOf returns how many proxies hold a table, and whether any proxy of its subset has joined.
+// usersOf returns the number of proxies that hold a table, and whether any proxy of the table's subset has joined.
 func (pb *publisher) usersOf(t *table) (users float64, joined bool) {
 	subset := pb.planner.subsetOfTable(t.number)
 	for _, proxy := range pb.proxies {
@@ -188,7 +193,8 @@
 	return users, joined
 }
 
-// lineBudget returns how many lines that can wait may go out of a table.
+// lineBudget returns how many deferrable lines of a table may be sent now. It is 0 if the last push to the table's
+// users was too recent, and negative if the channel has no room for a message.
 func (pb *publisher) lineBudget(update *tableUpdate) float64 {
 	if update.users > 0 && update.table.pushedAt+pb.messageInterval() > pb.planner.now {
 		return 0
@@ -197,7 +203,7 @@
 	return room/math.Max(update.users, 1e-9) - update.headerLines
 }
 
-// writeLevels sends the admission levels that differ.
+// writeLevels sends the admission levels that changed, while the budget lasts.
 func (pb *publisher) writeLevels(update *tableUpdate) {
 	t := update.table
 	for _, classes := range slices.Sorted(maps.Keys(t.admissionWanted)) {
@@ -211,30 +217,32 @@
 	}
 }
 
-// Sizes that sort gaps before all others. Their sum may be infinite, which is harmless.
+// Sizes given to urgent differences, so that they sort before all others. Their sum may be infinite, which is harmless.
 const (
 	unavailableSize = math.MaxFloat64
 	restartSize     = math.MaxFloat64 / 2
 )
 
-// lineDiff is the difference between a line as planned and as last sent.
+// lineDiff is a line whose planned weight differs from the last sent one.
 type lineDiff struct {
 	endpoint int
-	size     float64
+	size     float64 // difference of the weights, or the size given to urgent differences
 }
 
-// isUrgent returns whether the line doesn't wait for a budget: its endpoint drains, is gone, or has restarted.
+// isUrgent returns whether the line is sent regardless of the budget, because its endpoint drains, is gone, or has
+// restarted.
 func (d lineDiff) isUrgent() bool { return d.size >= restartSize }
 
-// tableDiff is how a table as planned differs from what was sent.
+// tableDiff describes how the plan of a table differs from its last sent state.
 type tableDiff struct {
-	lines         []lineDiff // the largest first
-	sizeSum       float64    // of the sizes
-	sentWeight    float64    // weight sent of the endpoints that are available
-	plannedWeight float64    // weight planned
+	lines         []lineDiff // in descending order of size
+	sizeSum       float64    // sum of the sizes of all lines
+	sentWeight    float64    // total weight sent for endpoints that are available
+	plannedWeight float64    // total weight planned
 }
 
-// diff returns the lines of a table that differ by more than the tolerance.
+// diff compares the plan of a table with its last sent state. The result contains the lines that differ by more than
+// the tolerance.
 func (pb *publisher) diff(update *tableUpdate) tableDiff {
 	t := update.table
 	threshold := pb.tolerance(update)
@@ -256,15 +264,15 @@
 	return diff
 }
 
-// tolerance returns the fraction by which a line has to differ to be sent. It grows with the time that the channel
-// takes for all tables of the zone.
+// tolerance returns the fraction by which a line's planned and sent weights must differ for the line to be sent. It
+// grows with the time that the channel needs to send all tables of the zone.
 func (pb *publisher) tolerance(update *tableUpdate) float64 {
 	lines := update.users * float64(pb.planner.subsetsOfZone*len(update.table.wanted))
 	return tolerance + channelTolerance*math.Min(1, lines/pb.linesPerSecond())
 }
 
-// diffSize returns the size of a gap, by which lines are sorted. An endpoint that has restarted is overloaded by its old
-// weight unless that is cut at once.
+// diffSize returns the size by which a difference is sorted. Unavailable endpoints come first, then endpoints that have
+// restarted and should get less than half of their sent weight: their old weight would overload them.
 func (pb *publisher) diffSize(endpoint int, size, wanted, sent float64) float64 {
 	switch {
 	case pb.exclusion.isUnavailable(endpoint):
@@ -275,15 +283,16 @@
 	return size
 }
 
-// isWorthwhile returns whether the gaps justify the cost of the headers that go out with them.
+// isWorthwhile returns whether the differences are large enough to justify the message headers needed to send them.
 func (pb *publisher) isWorthwhile(update *tableUpdate, diff tableDiff) bool {
 	headers := update.users * float64(pb.planner.subsetsOfZone) * update.headerLines
 	seconds := headers / pb.linesPerSecond()
 	return diff.sizeSum >= minWorthwhileDiff*math.Min(1, seconds)*diff.plannedWeight
 }
 
-// writeLines sends the lines that differ, the largest gap first. Urgent ones go out while they fit below the backlog,
-// and are pending otherwise; others need a budget, unless less than half of the table stands.
+// writeLines sends the changed lines in descending order of size. Urgent lines need only room in the backlog and count
+// as pending if there is none. Other lines also need budget, except while the available endpoints have no more than
+// half of the table's planned weight.
 func (pb *publisher) writeLines(update *tableUpdate, diff tableDiff) {
 	t := update.table
 	for _, line := range diff.lines {
@@ -308,9 +317,9 @@
 	maps.DeleteFunc(t.sent, func(_ int, weight float64) bool { return weight == 0 })
 }
 
-// countSentLines counts the lines that were sent of a table.
+// countSentLines adds the lines of a push to the send window and to the counts of the proxies that hold the table.
 func (pb *publisher) countSentLines(update *tableUpdate) {
-	lines := 0.0 // to each proxy that holds it
+	lines := 0.0 // to each proxy that holds the table
 	if update.written > 0 {
 		update.table.pushedAt = pb.planner.now
 		lines = update.written + update.headerLines
@@ -321,7 +330,7 @@
 		if proxy.assigned && pb.planner.subset(proxy.ProxyJoined) == subset {
 			received = lines
 		}
-		pb.linesSinceAck[proxy.Proxy] += received // even 0: excludeUnavailable checks for entries
+		pb.linesSinceAck[proxy.Proxy] += received // adds even 0, as excludeUnavailable checks whether entries exist
 	}
 	pb.window.add(update.users * lines)
 }
