--- a/planner/events.go
+++ b/planner/events.go
@@ -1,23 +1,24 @@
 package planner
 
-// Event is something that happened: what the runtime tells the planner. The set is closed; its members are the types of
-// this file. Times and spans are milliseconds on the pilot's own clock. Endpoints, zones, machines, request classes,
-// proxies and tables are small indices that the runtime gives.
+// Event is an input of the planner, sent by the runtime. Only the types of this file implement it. Times and spans are
+// in milliseconds on the pilot's clock. Endpoints, zones, machine types, request classes, proxies and tables are
+// identified by small indices that the runtime assigns.
 type Event interface{ event() }
 
-// Phase is the state of an endpoint's process as the endpoint list has it.
+// Phase is the state of an endpoint's process according to the endpoint list.
 type Phase int
 
-// The phases of an endpoint. A draining endpoint finishes what it has and takes nothing new; one that is gone is no
-// longer listed.
+// The phases of an endpoint. A draining endpoint finishes its current requests and should get no new ones. An endpoint
+// that is gone is no longer listed.
 const (
 	Ready Phase = iota
 	Draining
 	Gone
 )
 
-// Entry is one endpoint as listed. Weight is its nominal capacity relative to others, or 0 where the list says nothing.
-// Started is when its process started, or 0 for the distant past; an endpoint that started lately is warming up.
+// Entry describes one endpoint of the endpoint list. Weight is its nominal capacity relative to other endpoints; 0
+// means unspecified. Started is the time at which its process started, in ms; 0 means long ago. An endpoint that
+// started recently is warming up.
 type Entry struct {
 	Endpoint int
 	Zone     int
@@ -28,19 +29,18 @@
 	Started  float64
 }
 
-// UpdateMode tells how the entries of an EndpointUpdate apply to the list held so far.
+// UpdateMode defines how the entries of an EndpointUpdate apply to the list received so far.
 type UpdateMode int
 
-// The ways an endpoint list arrives: entries that changed; all entries, in place of those held; a cached list from
-// before this start, which may be old; and no list, as the source failed.
+// The modes of an endpoint list update.
 const (
-	Delta UpdateMode = iota
-	Snapshot
-	Cached
-	UpdateFailed
+	Delta        UpdateMode = iota // only the entries that changed
+	Snapshot                       // the complete list, which replaces the previous one
+	Cached                         // a complete list stored by an earlier run of the pilot, possibly out of date
+	UpdateFailed                   // no list, because its source failed
 )
 
-// EndpointUpdate is a watch event of the endpoint list. Version is the list's own number.
+// EndpointUpdate reports a change of the endpoint list. Version is the version number that its source gives the list.
 type EndpointUpdate struct {
 	Mode    UpdateMode
 	Version int
@@ -54,8 +54,8 @@
 
 func (TimerFired) event() {}
 
-// HealthCheckResult is the result of one health check. Outcome is a short word such as "ok" or "timeout"; Load is the
-// load report that came with the answer, if any.
+// HealthCheckResult is the result of one health check. OK is whether it succeeded, Outcome a short word such as "ok" or
+// "timeout", TookMs its duration in ms, and Load the load report in the response; nil means none.
 type HealthCheckResult struct {
 	Endpoint int     `json:"Endpoint"`
 	OK       bool    `json:"OK"`
@@ -66,11 +66,12 @@
 
 func (HealthCheckResult) event() {}
 
-// Load is a load report: values by name. The names are in_hand (requests in flight), waiting (queue length), util (busy
-// share of the capacity, 0 to 1 and above), service_ms, rate (requests a second) and errored_rate.
+// Load is a load report: values by name. The names are in_hand (requests in flight), waiting (queue length), util
+// (utilization as a fraction of the capacity, may exceed 1), service_ms (time to serve a request), rate (requests per
+// second) and errored_rate (failed requests).
 type Load map[string]float64
 
-// Gossip is a short message from another pilot.
+// Gossip is a short text message from another pilot.
 type Gossip struct {
 	From int
 	Text string
@@ -78,9 +79,9 @@
 
 func (Gossip) event() {}
 
-// ProxyJoined reports that a proxy has opened its stream. Rate is how many requests a second ordinarily come to it.
-// Fresh means that it holds only the static table it started with. Resumed means that the streams were not watched
-// for a while and the proxy may have been joined all along: it may still use the tables it was assigned before.
+// ProxyJoined reports that a proxy has opened its stream. Rate is its ordinary demand in requests per second. Fresh
+// means that it holds only the static table it started with. Resumed means that the pilot missed events for a while, so
+// the proxy may have been joined all along and may still use the tables it was assigned before.
 type ProxyJoined struct {
 	Proxy   int
 	Zone    int
@@ -96,8 +97,8 @@
 
 func (ProxyLeft) event() {}
 
-// EndpointStats sums up what the joined proxies of a zone met at one endpoint over SpanMs: attempts, failures, the mean
-// time of an answer, and the endpoint's last load report.
+// EndpointStats summarizes the attempts of a zone's joined proxies at one endpoint over the last SpanMs: the number of
+// attempts and of failed ones, the mean response time in ms (0 means unknown), and the endpoint's latest load report.
 type EndpointStats struct {
 	Endpoint int     `json:"Endpoint"`
 	Zone     int     `json:"Zone"`
@@ -110,7 +111,8 @@
 
 func (EndpointStats) event() {}
 
-// RequestStats sums up the requests of one class that came to a proxy over SpanMs.
+// RequestStats summarizes the requests of one class that a proxy received over the last SpanMs. Unanswered is how many
+// of them got no answer.
 type RequestStats struct {
 	Proxy      int     `json:"Proxy"`
 	Class      int     `json:"Kind"`
@@ -121,7 +123,8 @@
 
 func (RequestStats) event() {}
 
-// SliceStats sums up the requests of one class that came for the keys of a slice over SpanMs.
+// SliceStats summarizes the requests of one class for the keys of a slice over the last SpanMs. Unanswered is how many
+// of them got no answer.
 type SliceStats struct {
 	Slice      int     `json:"Slice"`
 	Class      int     `json:"Kind"`
@@ -132,7 +135,7 @@
 
 func (SliceStats) event() {}
 
-// SliceAssignment reports that this pilot has become responsible for a slice, or no longer is.
+// SliceAssignment reports that this pilot has become responsible for a slice (Assigned) or has ceased to be.
 type SliceAssignment struct {
 	Slice    int
 	Assigned bool
@@ -140,7 +143,7 @@
 
 func (SliceAssignment) event() {}
 
-// SliceWeight is one stored weight of a slice that was just assigned.
+// SliceWeight is one stored weight of a slice that has just been assigned to this pilot.
 type SliceWeight struct {
 	Slice    int
 	Endpoint int
@@ -149,7 +152,8 @@
 
 func (SliceWeight) event() {}
 
-// Ack acknowledges an AckRequest: the proxy has applied everything that was sent to it before.
+// Ack reports that a proxy has acknowledged the AckRequest with this number: it has applied everything that was sent to
+// it before the request. TookMs is the time in ms that this took the proxy from the arrival of the request.
 type Ack struct {
 	Proxy  int
 	Number int
@@ -158,12 +162,12 @@
 
 func (Ack) event() {}
 
-// ChannelStalled reports that the channel to the proxies has taken no commands for so long or, with ForMs 0, that it
-// takes them again. Commands made meanwhile wait before it and may go out as one call.
+// ChannelStalled reports that the channel to the proxies has accepted no commands for ForMs milliseconds or, if ForMs
+// is 0, that it accepts them again. Commands issued in the meantime are queued and may be sent in one call.
 type ChannelStalled struct {
 	ForMs    float64
-	Repeated []int // numbers of the ack requests in a call whose outcome is unknown and that is sent again
-	Merged   []int // numbers of the ack requests in calls that go out as one, under the newest of them
+	Repeated []int // numbers of the ack requests in a call that is sent again because its outcome is unknown
+	Merged   []int // numbers of the ack requests in calls that are sent as one call, under the newest of these numbers
 }
 
 func (ChannelStalled) event() {}
