--- a/planner/commands.go
+++ b/planner/commands.go
@@ -1,10 +1,10 @@
 package planner
 
-// Command is something for the runtime to do. The set is closed; its members are the types of this file. Commands of
-// one turn are carried out in their order.
+// Command is an output of the planner, which the runtime carries out. Only the types of this file implement it. The
+// commands returned by one call of Handle are carried out in order.
 type Command interface{ command() }
 
-// SetWeight sets an endpoint's weight in a table; 0 removes the endpoint from it.
+// SetWeight sets an endpoint's weight in a table; weight 0 removes the endpoint from the table.
 type SetWeight struct {
 	Table    int
 	Endpoint int
@@ -18,7 +18,7 @@
 
 func (ClearTable) command() {}
 
-// AssignTable assigns a table to a proxy for the request classes of a bit mask (0: all).
+// AssignTable assigns a table to a proxy for some request classes. Classes is a bit mask; 0 means all classes.
 type AssignTable struct {
 	Table   int
 	Proxy   int
@@ -27,7 +27,7 @@
 
 func (AssignTable) command() {}
 
-// SetExcluded excludes an endpoint at all joined proxies, whatever their tables say, or lets it in again.
+// SetExcluded excludes an endpoint at all joined proxies, regardless of their tables, or ends its exclusion.
 type SetExcluded struct {
 	Endpoint int
 	Excluded bool
@@ -35,11 +35,12 @@
 
 func (SetExcluded) command() {}
 
-// EveryTable is the table number of a SetAdmission that counts for all joined proxies.
+// EveryTable is the table number of a SetAdmission that applies to all joined proxies.
 const EveryTable = 65535
 
-// SetAdmission sets how many requests of some classes (a bit mask) the users of a table admit, and how they retry.
-// Level is a share from 0 to 1 or a rate in requests a second, as the deployment has it.
+// SetAdmission sets how many requests of some classes the proxies that use a table admit, and their retry policy.
+// Classes is a bit mask. Level is a fraction from 0 to 1 or a rate in requests per second, depending on the setting
+// "admission".
 type SetAdmission struct {
 	Table     int
 	Classes   int
@@ -49,8 +50,8 @@
 
 func (SetAdmission) command() {}
 
-// AckRequest asks the proxies that this turn reaches, or all, to acknowledge (with an Ack) once they have applied
-// everything sent before.
+// AckRequest asks the proxies that receive a command of the same call of Handle, or all proxies if All is set, for an
+// acknowledgement (see Ack) once they have applied everything sent before.
 type AckRequest struct {
 	Number int
 	All    bool
@@ -58,12 +59,12 @@
 
 func (AckRequest) command() {}
 
-// HealthCheck checks the health of an endpoint.
+// HealthCheck starts a health check of an endpoint.
 type HealthCheck struct{ Endpoint int }
 
 func (HealthCheck) command() {}
 
-// SendGossip sends a short text to another pilot, or to all with Peer -1. It may get lost.
+// SendGossip sends a short text to another pilot, or to all other pilots if Peer is -1. Delivery is not guaranteed.
 type SendGossip struct {
 	Peer int
 	Text string
@@ -71,7 +72,7 @@
 
 func (SendGossip) command() {}
 
-// SetTimer asks for a TimerFired event at a time on the pilot's clock.
+// SetTimer requests a TimerFired event with the given name at a time on the pilot's clock, in ms.
 type SetTimer struct {
 	AtMs float64
 	Name string
@@ -79,12 +80,12 @@
 
 func (SetTimer) command() {}
 
-// WatchEndpoints subscribes to changes of the endpoint list or ends the subscription.
+// WatchEndpoints subscribes to changes of the endpoint list (On) or ends the subscription.
 type WatchEndpoints struct{ On bool }
 
 func (WatchEndpoints) command() {}
 
-// FetchEndpoints asks for the whole endpoint list once.
+// FetchEndpoints requests the complete endpoint list once.
 type FetchEndpoints struct{}
 
 func (FetchEndpoints) command() {}
