--- a/planner/mailbox.go
+++ b/planner/mailbox.go
@@ -1,25 +1,25 @@
 package planner
 
-// This file holds the actors' mailboxes and the closed sets of messages that each actor takes. The planner, the
-// publisher, each endpoint and each region are actors: a message waits in the receiver's mailbox until it is
-// delivered, so that the order of all work, and with it of the commands, follows from the events alone.
+// This file holds the actors' mailboxes and the types of message that each actor accepts. The planner, the publisher,
+// each endpoint and each region are actors. A message stays in the receiver's mailbox until it is delivered, so the
+// order of all work, and thus of the commands, depends only on the events.
 
-// actor is anything with a mailbox.
+// actor is implemented by everything that has a mailbox.
 type actor interface {
-	// deliver passes the waiting messages to the actor and returns whether there were any.
+	// deliver passes the messages in the mailbox to the actor and returns whether there were any.
 	deliver() bool
 }
 
-// mailbox keeps an actor's messages until they are delivered.
+// mailbox queues an actor's messages until they are delivered.
 type mailbox[M any] struct {
 	waiting []M
 	receive func(message M)
 }
 
-// enqueue adds a message.
+// enqueue appends a message to the mailbox.
 func (m *mailbox[M]) enqueue(message M) { m.waiting = append(m.waiting, message) }
 
-// deliver implements actor. Messages that are enqueued meanwhile wait for the next delivery.
+// deliver implements actor. Messages enqueued during the call stay in the mailbox until the next call.
 func (m *mailbox[M]) deliver() bool {
 	messages := m.waiting
 	m.waiting = nil
@@ -29,11 +29,11 @@
 	return len(messages) > 0
 }
 
-// deliverAll delivers messages, actor by actor in creation order, until none waits.
+// deliverAll delivers the messages of all actors, in creation order, and repeats this until all mailboxes are empty.
 func (p *Planner) deliverAll() {
 	for delivered := true; delivered; {
 		delivered = false
-		for i := 0; i < len(p.actors); i++ { // a delivery may add actors
+		for i := 0; i < len(p.actors); i++ { // not a range loop, because deliveries may add actors
 			if p.actors[i].deliver() {
 				delivered = true
 			}
@@ -41,15 +41,14 @@
 	}
 }
 
-// plannerMessage is what the planner takes: ProxyJoined, ProxyLeft or RequestStats.
+// plannerMessage is a message to the planner: ProxyJoined, ProxyLeft or RequestStats.
 type plannerMessage interface{ toPlanner() }
 
 func (ProxyJoined) toPlanner()  {}
 func (ProxyLeft) toPlanner()    {}
 func (RequestStats) toPlanner() {}
 
-// endpointMessage is what an endpoint takes: Entry, EndpointStats, HealthCheckResult, plannedShare or
-// roundStart.
+// endpointMessage is a message to an endpoint: Entry, EndpointStats, HealthCheckResult, plannedShare or roundStart.
 type endpointMessage interface{ toEndpoint() }
 
 func (Entry) toEndpoint()             {}
@@ -58,14 +57,14 @@
 func (plannedShare) toEndpoint()      {}
 func (roundStart) toEndpoint()        {}
 
-// regionMessage is what a region takes: EndpointStats, *candidate or roundStart.
+// regionMessage is a message to a region: EndpointStats, *candidate or roundStart.
 type regionMessage interface{ toRegion() }
 
 func (EndpointStats) toRegion() {}
 func (*candidate) toRegion()    {}
 func (roundStart) toRegion()    {}
 
-// publisherMessage is what the publisher takes: ProxyJoined, ProxyLeft, Ack, ChannelStalled, wantedWeight,
+// publisherMessage is a message to the publisher: ProxyJoined, ProxyLeft, Ack, ChannelStalled, wantedWeight,
 // wantedAdmission or availability.
 type publisherMessage interface{ toPublisher() }
 
@@ -77,27 +76,27 @@
 func (wantedAdmission) toPublisher() {}
 func (availability) toPublisher()    {}
 
-// roundStart begins a control round. Timed rounds update penalties, health and admission; the others only adapt the
+// roundStart starts a control round. Timed rounds update penalties, health and admission; other rounds only adapt the
 // tables to a changed endpoint list.
 type roundStart struct{ timed bool }
 
-// plannedShare informs an endpoint of its planned share of a region's requests of a class group, as a multiple of the
-// region's ordinary demand.
+// plannedShare tells an endpoint which share of a region's requests of a class group it is planned to get, as a
+// multiple of the region's ordinary demand.
 type plannedShare struct {
-	plan  int // region and group, see planNumber
+	plan  int // number of the region and group, see planNumber
 	share float64
 }
 
-// wantedWeight gives the publisher the weight that an endpoint should have in a table; 0: it should not be in it.
+// wantedWeight tells the publisher the planned weight of an endpoint in a table; 0 removes the endpoint from the table.
 type wantedWeight struct {
 	table, endpoint int
 	weight          float64
 }
 
-// wantedAdmission gives the publisher the admission level that a table should have for a class.
+// wantedAdmission tells the publisher the planned admission level and retry policy of a table for a request class.
 type wantedAdmission struct{ command SetAdmission }
 
-// availability informs the publisher that an endpoint drains or is gone, or that it is ready again.
+// availability tells the publisher that an endpoint drains or is gone, or that it is ready again.
 type availability struct {
 	endpoint int
 	ready    bool
