--- a/planner/flowcontrol.go
+++ b/planner/flowcontrol.go
@@ -1,9 +1,9 @@
 package planner
 
-// This file controls the flow of lines to the channel. Lines may be written as long as they fit below the backlog
-// (fits), by the account of the window (sendwindow.go). Acknowledgements renew the window (acknowledged); proxies
-// send them on request behind each batch. While urgent lines do not fit and nothing is received, one proxy is
-// assigned its tables again as a probe, like TCP's zero window probe.
+// This file implements flow control for the channel to the proxies. Lines may be sent while the lines in flight, as
+// tracked by the send window (sendwindow.go), stay below the configured backlog. Each batch of lines ends with a
+// request for an acknowledgement, and acknowledgements open the window again. If urgent lines do not fit and no
+// acknowledgement arrives, one proxy is assigned its tables again as a probe, similar to TCP's zero window probe.
 
 import (
 	"maps"
@@ -12,29 +12,31 @@
 )
 
 const (
-	// probeTimer names the timer of the next probe.
+	// probeTimer is the name of the timer of the next probe.
 	probeTimer = "probe"
 
-	// probeWaitDeliveries is the wait before the first probe, in longest delivery times: there and back.
+	// probeWaitDeliveries is the wait before the first probe, as a multiple of the longest delivery time of a message:
+	// once for the lines and once for the acknowledgement.
 	probeWaitDeliveries = 2.0
 
-	// minTimestampMs stands in for the time 0 where 0 means that something has not happened.
+	// minTimestampMs replaces the time 0 in fields where 0 means that something has not happened.
 	minTimestampMs = 1e-3
 )
 
-// blockage describes urgent lines that wait for room in the channel.
+// blockage describes urgent lines and exclusions that wait for room in the channel.
 type blockage struct {
-	exclusions int     // exclusions that are due in this flush but do not fit
-	since      float64 // ms, when the first was held back; 0: nothing is
-	probeAt    float64 // ms, when the next probe is due, as the timer is set
+	exclusions int     // exclusions that are due in the current flush but do not fit
+	since      float64 // ms, when the channel became full; 0 if nothing waits for room
+	probeAt    float64 // ms, time for which the probe timer is set
 }
 
-// fits returns whether some lines, with those that may still wait in the channel, stay below its backlog.
+// fits returns whether the lines can be sent: together with the lines in flight they must stay below the backlog.
 func (pb *publisher) fits(lines float64) bool {
 	return pb.window.inFlight()+lines < pb.planner.settings.BacklogLines
 }
 
-// handleStall corrects the account while commands cannot be sent, and requests a new acknowledgement of repeated calls.
+// handleStall updates the send window while the channel accepts no commands, or accepts them again. For a call that is
+// sent again, it requests a new acknowledgement.
 func (pb *publisher) handleStall(stall ChannelStalled) {
 	now := pb.planner.now
 	pb.window.stall(now, stall.ForMs)
@@ -44,7 +46,7 @@
 	}
 }
 
-// handleAck renews the window.
+// handleAck applies an acknowledgement to the send window and to the state of the proxy that sent it.
 func (pb *publisher) handleAck(ack Ack) {
 	wasProbing := pb.window.probes > 0
 	orderedAt, known := pb.window.acknowledge(pb.planner.now, ack.Number, ack.Proxy)
@@ -58,8 +60,9 @@
 	pb.confirm(proxy, orderedAt)
 }
 
-// updateBlockage probes the window while urgent lines wait for room, unless this flush requests an acknowledgement
-// anyway, and writes to the log when that begins and ends.
+// updateBlockage checks whether urgent lines or exclusions wait for room in the channel and logs when this starts and
+// ends. While it lasts, it sends probes, except in a flush that requests an acknowledgement anyway or while the channel
+// accepts no commands.
 func (pb *publisher) updateBlockage(acksRequested bool) {
 	p := pb.planner
 	blocked := &pb.blocked
@@ -85,8 +88,8 @@
 	}
 }
 
-// probe assigns one proxy its tables again, once a probe is due: the smallest batch whose acknowledgement proves that
-// all earlier lines have left.
+// probe assigns one proxy its tables again if a probe is due, and otherwise sets the probe timer. The assignment is the
+// smallest batch whose acknowledgement proves that all earlier lines have left the channel.
 func (pb *publisher) probe() {
 	p := pb.planner
 	due := pb.window.nextProbeAt(probeWaitDeliveries * p.settings.DeliveryMs)
@@ -108,8 +111,8 @@
 	pb.assign(proxy)
 }
 
-// probeTarget returns the proxy that was probed least recently and, among those, acknowledged most recently; nil if
-// there is none with tables.
+// probeTarget returns the proxy that was probed least recently and, among equals, acknowledged most recently. It
+// returns nil if the tables of all proxies are empty.
 func (pb *publisher) probeTarget() *proxyState {
 	var target *proxyState
 	for _, index := range slices.Sorted(maps.Keys(pb.proxies)) {
