--- a/planner/sendwindow.go
+++ b/planner/sendwindow.go
@@ -1,7 +1,7 @@
 package planner
 
-// This file keeps account of the channel, as a transport's send window does of a connection: which lines may still
-// wait in it. It makes no decisions; flowcontrol.go does.
+// This file tracks which lines may still be in the channel, as the send window of a transport protocol does for a
+// connection. Decisions based on it are made in flowcontrol.go.
 
 import (
 	"maps"
@@ -10,67 +10,67 @@
 )
 
 const (
-	// lineLifetimeMs is how long a request for an acknowledgement stays open, and how long an unavailable endpoint
-	// may still be in a proxy's tables.
+	// lineLifetimeMs is how long a batch can be acknowledged after it was sent, and for how long an endpoint that
+	// became unavailable may still be in a proxy's tables.
 	lineLifetimeMs = 30000.0
 
-	// ackNumberModulus bounds the numbers of requests for an acknowledgement; they start again from 0.
+	// ackNumberModulus is the value at which the numbers of requests for an acknowledgement wrap around to 0.
 	ackNumberModulus = 65535
 
-	// maxProbeDoublings bounds how often the wait between probes doubles.
+	// maxProbeDoublings limits how often the wait between probes doubles.
 	maxProbeDoublings = 4
 
-	// unackedRateFraction is the fraction of the configured pace at which lines are assumed to leave without an
-	// acknowledgement.
+	// unackedRateFraction is the fraction of the channel's configured rate at which lines are assumed to leave it while
+	// no acknowledgement arrives.
 	unackedRateFraction = 0.25
 )
 
-// sendWindow is the account of the channel. Lines have positions in the order in which they go out. A request for an
-// acknowledgement goes out behind a batch of lines; since messages leave one after another, an acknowledgement proves
-// that everything before its batch has left, and that proxy's own lines of it. What is in flight is never taken to be
-// less than it is: lines that may have crossed twice count twice, and acknowledgements that were lost leave the count
-// too high. It comes down with any acknowledgement of a later batch, so a sender whom the count holds back has to
-// probe: see nextProbeAt. The zero value is an empty channel. Times are in ms.
+// sendWindow tracks the lines in the channel. Lines have positions in the order in which they are sent. Each batch of
+// lines ends with a request for an acknowledgement. Since the channel delivers messages in order, an acknowledgement
+// proves that all lines before its batch have left the channel, and also the acknowledging proxy's lines of the batch.
+// The number of lines in flight is never underestimated: lines that may have been sent twice count twice, and lost
+// acknowledgements leave the number too high until a later batch is acknowledged. A sender that waits for room
+// therefore has to send probes, see nextProbeAt. The zero value represents an empty channel. Times are in ms.
 type sendWindow struct {
-	written   float64        // position behind the last line
-	delivered float64        // position up to which lines are known to have left
-	queued    float64        // estimate of the lines that wait, by batches and pace, for lines that can be deferred
-	sealed    float64        // position behind the last line of a batch
+	written   float64        // position after the last line sent
+	delivered float64        // position up to which all lines are known to have left the channel
+	queued    float64        // estimate of the lines in the channel by its rate; limits deferrable lines
+	sealed    float64        // position after the last line of the latest batch
 	batches   map[int]*batch // by the number of their request for an acknowledgement
 
-	lastNumber int     // before it was reduced to ackNumbers
-	advancedAt float64 // until when the passing of time is accounted for
-	stalledMs  float64 // how long the channel took nothing, as last reported; 0: it takes commands
-	ackedAt    float64 // when the last acknowledgement came; 0: none has
+	lastNumber int     // number of the latest batch, before the modulo operation
+	advancedAt float64 // time up to which advance has updated the window
+	stalledMs  float64 // how long the channel has accepted no commands, as last reported; 0 if it accepts them
+	ackedAt    float64 // when the latest acknowledgement arrived; 0 if none has
 	busySince  float64 // since when lines have been in flight
-	sealedAt   float64 // when the last batch went out
-	probes     float64 // since the last acknowledgement
+	sealedAt   float64 // when the latest batch was sent
+	probes     float64 // probes sent since the latest acknowledgement, up to maxProbeDoublings
 }
 
-// batch is the lines that go out with one request for an acknowledgement.
+// batch is a sequence of lines that ends with one request for an acknowledgement.
 type batch struct {
-	orderedAt float64         // ms, when the oldest of its lines was ordered
-	sealedAt  float64         // ms, when its request was
+	orderedAt float64         // ms, when the oldest of its lines was commanded
+	sealedAt  float64         // ms, when its request for an acknowledgement was sent
 	start     float64         // position of its first line
-	lines     float64         // how many
-	delivered float64         // how many of them are known to have left
-	linesTo   map[int]float64 // by proxy
+	lines     float64         // number of lines
+	delivered float64         // number of lines known to have left the channel
+	linesTo   map[int]float64 // number of lines by proxy
 	acked     map[int]bool    // proxies that have acknowledged it
-	resent    bool            // it goes out again,
-	resentAs  int             // under this number
+	resent    bool            // it has been sent again, as batch resentAs
+	resentAs  int             // number of the batch that repeats it, if resent
 }
 
-// inFlight returns how many lines may wait in the channel at most.
+// inFlight returns the maximum number of lines that may still be in the channel.
 func (w *sendWindow) inFlight() float64 { return w.written - w.delivered }
 
-// add notes that lines are put into the channel.
+// add records that lines are sent to the channel.
 func (w *sendWindow) add(lines float64) {
 	w.written += lines
 	w.queued += lines
 }
 
-// advance accounts for the time since the last call. It reduces the lines in flight only while there is nobody to
-// acknowledge them.
+// advance reduces the estimate of queued lines by the time since the last call and the rate of the channel. It reduces
+// the lines in flight in this way only if no acknowledgement has ever arrived, or none for lineLifetimeMs.
 func (w *sendWindow) advance(now, linesPerMs float64) {
 	span := now - w.advancedAt
 	if w.stalledMs > 0 {
@@ -87,8 +87,8 @@
 	}
 }
 
-// seal makes a batch of all lines added since the last one and returns the number of its request for an
-// acknowledgement. linesTo are those of each proxy.
+// seal ends a batch with all lines added since the previous batch and returns the number of its request for an
+// acknowledgement. linesTo is the number of lines by proxy. Batches older than lineLifetimeMs are dropped.
 func (w *sendWindow) seal(now float64, linesTo map[int]float64) (number int) {
 	maps.DeleteFunc(w.batches, func(_ int, b *batch) bool { return now-b.sealedAt > lineLifetimeMs })
 	number = w.register(now, &batch{orderedAt: now, start: w.sealed, lines: w.written - w.sealed, linesTo: linesTo})
@@ -96,7 +96,7 @@
 	return number
 }
 
-// register gives a batch a number that no other batch has.
+// register assigns a batch a new number, which increases with the time in ms so that no other batch has it.
 func (w *sendWindow) register(now float64, b *batch) (number int) {
 	if w.batches == nil {
 		w.batches = map[int]*batch{}
@@ -110,7 +110,8 @@
 	return number
 }
 
-// acknowledge notes that a proxy has applied everything up to a batch, and returns when its lines were ordered.
+// acknowledge records that a proxy has applied all its lines up to and including a batch. It returns when the oldest
+// line of the batch was commanded. known is false if there is no such batch or the proxy has acknowledged it before.
 func (w *sendWindow) acknowledge(now float64, number, proxy int) (orderedAt float64, known bool) {
 	b := w.batches[number]
 	if b == nil || b.acked[proxy] {
@@ -125,15 +126,15 @@
 	return b.orderedAt, true
 }
 
-// stall notes that the channel has taken nothing for so long, or, with 0, that it takes commands again. Lines that
-// were assumed to have left meanwhile have not.
+// stall records that the channel has accepted no commands for durationMs or, if that is 0, that it accepts them again.
+// The next call of advance takes back the lines that were assumed to have left during the stall.
 func (w *sendWindow) stall(now, durationMs float64) {
 	w.stalledMs = durationMs
 	w.advancedAt = now + durationMs
 }
 
-// mergeBatches makes one batch of those that go out as one call, under the newest number, as each proxy gets one message of
-// all.
+// mergeBatches merges the batches that are sent in one call into the one with the newest number, because each proxy
+// receives a single message for all of them.
 func (w *sendWindow) mergeBatches(numbers []int) {
 	current := w.currentBatches(numbers)
 	newest := -1
@@ -143,7 +144,7 @@
 		}
 	}
 	if newest < 0 {
-		return // it goes out under an older number, whose acknowledgements are taken to be of the first time
+		return // all numbers are outdated by a resend; acknowledgements count for the first sending
 	}
 	for _, number := range slices.Sorted(maps.Keys(current)) {
 		if number != newest {
@@ -153,8 +154,8 @@
 	}
 }
 
-// currentBatches returns by number the batches that a call with some numbers brings. Of what goes out again that is the last
-// repetition, also if its own number comes too late for the call.
+// currentBatches returns the batches, by number, that a call with the given numbers contains. A batch that was resent
+// is replaced by its latest repetition, even if the number of that repetition was assigned too late for the call.
 func (w *sendWindow) currentBatches(numbers []int) map[int]*batch {
 	current := map[int]*batch{}
 	for _, number := range numbers {
@@ -170,7 +171,7 @@
 	return current
 }
 
-// merge takes in an older batch that goes out in the same call.
+// merge adds the lines of an older batch that is sent in the same call.
 func (b *batch) merge(older *batch) {
 	b.start = math.Min(b.start, older.start)
 	b.orderedAt = math.Min(b.orderedAt, older.orderedAt)
@@ -181,8 +182,9 @@
 	}
 }
 
-// resend notes that a call may have crossed and goes out again: its lines count once more, behind the first time and
-// before all that is newer. Its new number distinguishes the two; ok is false where nothing is known of the call.
+// resend records that a call is sent again although it may have been delivered. Its lines count a second time, at
+// positions after those of the first sending and before all newer lines. The returned number identifies the second
+// sending. ok is false if no batch of the call is known.
 func (w *sendWindow) resend(now float64, numbers []int) (number int, ok bool) {
 	w.mergeBatches(numbers)
 	var original *batch
@@ -205,7 +207,8 @@
 	return number, true
 }
 
-// shiftAfter moves the batches from a position on behind a repetition of another batch.
+// shiftAfter increases the positions of all batches from start on by the length of a repeated batch, to insert its
+// second sending there.
 func (w *sendWindow) shiftAfter(start float64, repeated *batch) {
 	for _, b := range w.batches {
 		if b != repeated && b.start >= start {
@@ -214,12 +217,12 @@
 	}
 }
 
-// nextProbeAt returns when a sender that the count holds back should put a small batch into the channel all the same,
-// as TCP's persist timer does at a shut window: its acknowledgement shows what has left. First is the wait after the
-// last sign of life; it doubles with each probe that brings none.
+// nextProbeAt returns when a sender that waits for room should send a small batch regardless, as TCP's persist timer
+// does for a zero window: its acknowledgement shows which lines have left the channel. firstWait is the time in ms from
+// the latest acknowledgement or batch to the first probe; the wait doubles with each unacknowledged probe.
 func (w *sendWindow) nextProbeAt(firstWait float64) float64 {
 	return math.Max(w.ackedAt, w.sealedAt) + firstWait*math.Exp2(w.probes)
 }
 
-// countProbe notes that a probe goes out.
+// countProbe records that a probe is sent. The count is limited to maxProbeDoublings.
 func (w *sendWindow) countProbe() { w.probes = math.Min(w.probes+1, maxProbeDoublings) }
