--- a/planner/drain.go
+++ b/planner/drain.go
@@ -1,11 +1,9 @@
 package planner
 
-// This file excludes endpoints that drain or are gone. Proxies with assigned tables are notified by lines, which go
-// before all others (publisher.go). Proxies that wait for their tables are notified by SetExcluded, which reaches all
-// of them, but only halfway through the drain grace: most have their tables by then, which costs less. An excluded
-// endpoint that is ready again is let in again.
-//
-// exclusionDeadline returns the deadline of a drain.
+// This file excludes endpoints that drain or are gone. Proxies with assigned tables are notified by lines of these
+// tables, which are sent before all others (publisher.go). Proxies that still wait for their tables are notified by
+// SetExcluded, which reaches all proxies, but only halfway through the drain grace (exclusionDeadline): by then most
+// proxies have their tables, so fewer messages are needed. An excluded endpoint that is ready again is readmitted.
 
 import (
 	"maps"
@@ -15,12 +13,12 @@
 
 // exclusion tracks which endpoints are unavailable, and which of them are excluded. Times are in ms.
 type exclusion struct {
-	unavailable map[int]float64 // endpoints that drain or are gone, and since when
-	excludedAt  map[int]float64 // excluded endpoints, and since when
-	lastChange  float64         // when an endpoint was last excluded or let in again
+	unavailable map[int]float64 // by endpoint that drains or is gone, the time since when
+	excludedAt  map[int]float64 // by excluded endpoint, the time of its exclusion
+	lastChange  float64         // time of the latest exclusion or readmission of any endpoint
 }
 
-// newExclusion returns the state in which all endpoints are available.
+// newExclusion returns an exclusion state in which all endpoints are available.
 func newExclusion() exclusion {
 	return exclusion{unavailable: map[int]float64{}, excludedAt: map[int]float64{}}
 }
@@ -40,14 +38,14 @@
 	return found
 }
 
-// recipients is who has to be notified of an exclusion.
+// recipients describes the proxies that an exclusion may have to reach.
 type recipients struct {
 	waiting          []*proxyState   // proxies that wait for their tables, in any order
-	waitingOfZone    map[int]float64 // how many
-	assignedOfSubset map[int]float64 // how many proxies have tables, by subset
+	waitingOfZone    map[int]float64 // number of waiting proxies, by zone
+	assignedOfSubset map[int]float64 // number of proxies that have assigned tables, by subset
 }
 
-// recipients counts the proxies that wait for their tables and those that have them.
+// recipients returns the proxies that wait for their tables, and the numbers of waiting and of assigned proxies.
 func (pb *publisher) recipients() recipients {
 	to := recipients{waitingOfZone: map[int]float64{}, assignedOfSubset: map[int]float64{}}
 	for _, proxy := range pb.proxies {
@@ -62,14 +60,14 @@
 	return to
 }
 
-// excludeUnavailable lets in endpoints that are ready again and excludes those that are due, as far as the channel has
-// room.
+// excludeUnavailable readmits endpoints that are ready again and excludes unavailable endpoints whose exclusion is due,
+// while the channel has room.
 func (pb *publisher) excludeUnavailable() {
 	x := &pb.exclusion
 	to := pb.recipients()
 	lastChange := x.lastChange
 	pb.readmitReady(to)
-	ackExpected := len(pb.linesSinceAck) > 0 // some proxy has lines to acknowledge anyway
+	ackExpected := len(pb.linesSinceAck) > 0 // some proxy was sent lines that it will acknowledge
 	before := pb.window.written
 	for _, endpoint := range slices.Sorted(maps.Keys(x.unavailable)) {
 		if pb.isExclusionDue(endpoint, to) && !pb.isInAssignedTable(endpoint, to) {
@@ -81,8 +79,9 @@
 	}
 }
 
-// readmitReady lets in excluded endpoints that are ready again. An endpoint that warms up has to wait while proxies
-// wait for their tables: their standing lines have weights that the planner did not set, and would overload it.
+// readmitReady ends the exclusion of endpoints that are ready again. An endpoint that is warming up stays excluded
+// while any proxy waits for its tables: such a proxy uses its static table, whose weights the planner did not set, and
+// would overload the endpoint.
 func (pb *publisher) readmitReady(to recipients) {
 	x := &pb.exclusion
 	for _, endpoint := range slices.Sorted(maps.Keys(x.excludedAt)) {
@@ -95,8 +94,8 @@
 	}
 }
 
-// isExclusionDue returns whether an unavailable endpoint is to be excluded now: once, if no proxy waits for its
-// tables, or when the deadline of some waiting proxy that may hold it is over.
+// isExclusionDue returns whether an unavailable endpoint should be excluded now. If no proxy waits for its tables, the
+// endpoint is excluded once; otherwise it is excluded when a waiting proxy that may hold it reaches its deadline.
 func (pb *publisher) isExclusionDue(endpoint int, to recipients) bool {
 	if len(to.waiting) == 0 && pb.exclusion.excludedAt[endpoint] == 0 {
 		return true
@@ -109,8 +108,9 @@
 	return false
 }
 
-// isDeadlineReached returns whether a waiting proxy has to be notified now that an endpoint is unavailable: it has not
-// been since it joined, and its lines of that time may still stand.
+// isDeadlineReached returns whether a waiting proxy must be notified now that an endpoint is unavailable. This is the
+// case if the endpoint has not been excluded since the proxy may hold it, the proxy joined no later than lineLifetimeMs
+// after the endpoint became unavailable, and the deadline has passed.
 func (pb *publisher) isDeadlineReached(endpoint int, proxy *proxyState) bool {
 	x := &pb.exclusion
 	since := pb.mayHoldSince(endpoint, proxy)
@@ -118,33 +118,35 @@
 		pb.planner.now >= pb.exclusionDeadline(endpoint, proxy)
 }
 
-// mayHoldSince returns since when a proxy may hold an unavailable endpoint.
+// mayHoldSince returns the time, in ms, from which an unavailable endpoint may wrongly be in a proxy's table: when the
+// proxy joined or the endpoint became unavailable, whichever is later.
 func (pb *publisher) mayHoldSince(endpoint int, proxy *proxyState) float64 {
 	return math.Max(proxy.joinedAt, pb.exclusion.unavailable[endpoint])
 }
 
-// exclusionDeadline returns when a waiting proxy is notified that an endpoint is unavailable: halfway through the drain
-// grace, which leaves the other half for the message to arrive.
+// exclusionDeadline returns the time, in ms, at which a waiting proxy is notified that an endpoint is unavailable. It
+// is halfway through the drain grace, which leaves the other half for the message to arrive.
 func (pb *publisher) exclusionDeadline(endpoint int, proxy *proxyState) float64 {
 	return pb.mayHoldSince(endpoint, proxy) + pb.planner.settings.DrainGraceMs/2
 }
 
-// mayHold returns whether a waiting proxy may hold an endpoint: one of its own zone, or of a zone none of whose proxies
-// wait, which others may spill over to.
+// mayHold returns whether a waiting proxy's table may contain an endpoint. This is assumed for endpoints of the proxy's
+// zone, and for endpoints of zones without waiting proxies, to which requests of other zones may spill over.
 func (pb *publisher) mayHold(endpoint int, proxy *proxyState, to recipients) bool {
 	zone := pb.planner.endpoints[endpoint].Zone
 	return proxy.Zone == zone || to.waitingOfZone[zone] == 0
 }
 
-// isInAssignedTable returns whether a table that proxies hold has a line of an endpoint. Removing the line comes first, at the
-// same cost.
+// isInAssignedTable returns whether a table that is assigned to any proxy has a line of an endpoint. In that case the
+// line is removed first, which costs as much as an exclusion.
 func (pb *publisher) isInAssignedTable(endpoint int, to recipients) bool {
 	return slices.ContainsFunc(pb.tables, func(t *table) bool {
 		return t.sent[endpoint] > 0 && to.assignedOfSubset[pb.planner.subsetOfTable(t.number)] > 0
 	})
 }
 
-// exclude excludes an endpoint if messages are allowed now and fit into the channel; if they do not fit, it is blocked.
+// exclude excludes an endpoint. If this takes messages to waiting proxies, it does nothing until the message interval
+// since lastChange has passed, and counts the exclusion as blocked if the messages do not fit into the channel.
 func (pb *publisher) exclude(endpoint int, to recipients, lastChange float64) {
 	x := &pb.exclusion
 	now := pb.planner.now
@@ -168,7 +170,8 @@
 	x.excludedAt[endpoint] = math.Max(now, minTimestampMs)
 }
 
-// exclusionCost returns the lines that an exclusion costs at a proxy: none if it cannot hold the endpoint.
+// exclusionCost returns how many lines the exclusion of an endpoint adds to the messages to a proxy. It is 0 if the
+// proxy cannot hold the endpoint, and includes the message overhead if no other lines were sent to the proxy.
 func (pb *publisher) exclusionCost(endpoint int, proxy *proxyState, to recipients) float64 {
 	if !pb.mayHold(endpoint, proxy, to) {
 		return 0
@@ -179,9 +182,9 @@
 	return 1
 }
 
-// assignForAck assigns one proxy its tables beside exclusions that go out alone. Those are counted for all proxies
-// that may hold the endpoint; if none does, no proxy receives the request for an acknowledgement, and the count would
-// stand until a probe.
+// assignForAck assigns one proxy its tables if exclusions are the only commands of a flush. Their lines count for all
+// proxies that may hold the endpoint. If none holds it, no proxy receives the request for an acknowledgement, and
+// without this assignment the lines would count as in flight until a probe is acknowledged.
 func (pb *publisher) assignForAck() {
 	proxy := pb.probeTarget()
 	if proxy == nil {
