--- a/planner/membership.go
+++ b/planner/membership.go
@@ -1,8 +1,8 @@
 package planner
 
 // This file tracks the joined proxies and assigns them their tables: all tables of their subset at once, when they
-// join, or when the assignment may be stale because a proxy may have left unnoticed. As long as standing tables route
-// about as planned, none are assigned.
+// join or when an earlier assignment may be stale because the proxy may have left unnoticed. No tables are assigned
+// while the static tables, with which the proxies start, route requests about as planned.
 
 import (
 	"math"
@@ -10,27 +10,27 @@
 )
 
 const (
-	// assignmentWaitMs is the time between two attempts to assign tables for which the channel has no room.
+	// assignmentWaitMs is the time between two attempts to assign tables while the channel has no room for them.
 	assignmentWaitMs = 100.0
 
-	// assignmentBacklogFraction is the fraction of the backlog up to which tables are assigned.
+	// assignmentBacklogFraction is the fraction of the backlog that queued lines may reach by assignments of tables.
 	assignmentBacklogFraction = 0.3
 
-	// assignmentTimer names the timer of the next attempt.
+	// assignmentTimer is the name of the timer of the next attempt to assign tables.
 	assignmentTimer = "bind"
 )
 
-// proxyState is a joined proxy. Times are in ms.
+// proxyState is the state of a joined proxy. Times are in ms.
 type proxyState struct {
 	ProxyJoined
-	assigned  bool // it may hold its tables, so that their lines count
-	confirmed bool // it does hold them: they were assigned since it joined, or it acknowledged their lines
+	assigned  bool // it may hold its tables, so their lines are counted for it
+	confirmed bool // it holds its tables: they were assigned after it joined, or it acknowledged their lines
 	joinedAt  float64
-	ackedAt   float64 // when it last acknowledged anything
-	probedAt  float64 // when the window was last probed with it
+	ackedAt   float64 // time of its latest acknowledgement; 0 if none
+	probedAt  float64 // time when it was last assigned its tables as a probe; 0 if never
 }
 
-// join adds a proxy. One that resumed may still hold its tables; only an acknowledgement of their lines proves it.
+// join adds a proxy. A resumed proxy may still hold its tables, but only an acknowledgement of their lines proves it.
 func (pb *publisher) join(joined ProxyJoined) {
 	previous := pb.proxies[joined.Proxy]
 	pb.proxies[joined.Proxy] = &proxyState{
@@ -40,8 +40,9 @@
 	}
 }
 
-// confirm notes that a proxy acknowledged lines that were ordered at a given time. If it had joined by then, and no
-// exclusion was commanded since, which reaches all proxies, the lines can only be those of a table that it holds.
+// confirm records that a proxy acknowledged lines that were commanded at a given time. If this was after the proxy
+// joined and after the latest exclusion or readmission, which reach all proxies, the lines must belong to a table that
+// the proxy holds.
 func (pb *publisher) confirm(proxy *proxyState, orderedAt float64) {
 	proxy.ackedAt = pb.planner.now
 	if orderedAt > math.Max(proxy.joinedAt, pb.exclusion.lastChange) {
@@ -49,13 +50,14 @@
 	}
 }
 
-// tablesOf returns the tables of a proxy's subset, by class group.
+// tablesOf returns the tables of a proxy's subset, indexed by class group.
 func (pb *publisher) tablesOf(proxy *proxyState) []*table {
 	first := pb.planner.tableNumber(pb.planner.subset(proxy.ProxyJoined), 0)
 	return pb.tables[first : first+len(pb.planner.groups)]
 }
 
-// assignmentCost returns how many weights the tables of a proxy have, and the lines that it costs to assign them.
+// assignmentCost returns how many weights the tables of a proxy contain, and how many lines of the channel it takes to
+// assign them.
 func (pb *publisher) assignmentCost(proxy *proxyState) (weights int, cost float64) {
 	cost = pb.headerLines()
 	for _, t := range pb.tablesOf(proxy) {
@@ -65,7 +67,7 @@
 	return weights, cost
 }
 
-// assign assigns a proxy its tables.
+// assign assigns a proxy all tables of its subset.
 func (pb *publisher) assign(proxy *proxyState) {
 	_, cost := pb.assignmentCost(proxy)
 	for group, t := range pb.tablesOf(proxy) {
@@ -77,15 +79,15 @@
 	proxy.confirmed = true
 }
 
-// assignWaiting assigns tables to proxies that wait for them, while the channel has room, and sets a timer for the
-// rest.
+// assignWaiting assigns tables to the proxies that wait for them, while the channel has room. If room is lacking, it
+// sets a timer for the next attempt.
 func (pb *publisher) assignWaiting() {
 	worthwhile := minWorthwhileDiff * math.Min(1, pb.zoneHeaderSeconds())
 	for _, index := range pb.waitingProxies() {
 		proxy := pb.proxies[index]
 		weights, cost := pb.assignmentCost(proxy)
 		if weights == 0 || pb.planner.regions[proxy.Zone].divergence < worthwhile {
-			continue // its standing table is better than an empty one, or as good
+			continue // the static table is better than an empty one, or routes about as planned
 		}
 		queued := pb.window.queued
 		if queued > 0 && queued+cost > assignmentBacklogFraction*pb.planner.settings.BacklogLines {
@@ -96,7 +98,7 @@
 	}
 }
 
-// scheduleAssignment sets the timer of the next attempt, unless it is set.
+// scheduleAssignment sets the timer of the next attempt to assign tables, unless it is already set.
 func (pb *publisher) scheduleAssignment() {
 	now := pb.planner.now
 	if pb.nextAssignmentAt <= now {
@@ -105,14 +107,16 @@
 	}
 }
 
-// zoneHeaderSeconds returns how many seconds the channel takes for a message to each proxy of an average zone.
+// zoneHeaderSeconds returns how many seconds the channel needs for the headers of one message to each proxy of an
+// average zone.
 func (pb *publisher) zoneHeaderSeconds() float64 {
 	p := pb.planner
 	proxies := p.settings.ProxyCount.Or(1) / p.settings.Instances / float64(len(p.regions))
 	return pb.headerLines() / pb.linesPerSecond() * proxies
 }
 
-// waitingProxies returns the proxies that wait for their tables, first those whose own zone has no ready endpoint.
+// waitingProxies returns the indices of the proxies that wait for their tables. Proxies whose own zone has no ready
+// endpoint come first.
 func (pb *publisher) waitingProxies() []int {
 	var waiting []int
 	for index, proxy := range pb.proxies {
@@ -128,7 +132,7 @@
 	return waiting
 }
 
-// compareBool puts false before true.
+// compareBool is a comparison function that orders false before true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
@@ -139,7 +143,7 @@
 	return 1
 }
 
-// readyZones returns the zones with an endpoint that is ready.
+// readyZones returns the set of zones that have at least one ready endpoint.
 func (p *Planner) readyZones() map[int]bool {
 	ready := map[int]bool{}
 	for _, e := range p.endpoints {
@@ -151,18 +155,20 @@
 }
 
 const (
-	// A restarted endpoint that warms up justifies an assignment by itself, as standing tables have its old weight.
+	// restartDivergence is the divergence of a restarted endpoint that is warming up. It justifies an assignment of
+	// tables by itself, because the static tables contain the endpoint's old weight.
 	restartDivergence = minWorthwhileDiff
 
-	// Two unavailable endpoints do so, too: notifying proxies of both costs as much.
+	// unavailableDivergence is the divergence of an endpoint that drains or is gone. Two such endpoints justify an
+	// assignment of tables, because notifying the proxies of both exclusions costs as much.
 	unavailableDivergence = minWorthwhileDiff / 2
 )
 
-// planDivergence returns the fraction of a group's requests that standing tables route differently than planned, by
-// weight, by the endpoints' states, and by chance, as a standing table has few lines, drawn from the endpoints of its
-// zone.
+// planDivergence estimates the fraction of a group's requests that the proxies' static tables route differently than
+// planned. It adds up the differences in weight, a divergence for the endpoints' states, and the random error that
+// arises because a static table has only a few lines, drawn at random from the endpoints of its zone.
 func (r *region) planDivergence(group int, allocations []allocation) float64 {
-	static := make([]float64, len(allocations)) // weight that standing tables have, by allocation
+	static := make([]float64, len(allocations)) // weight in the static tables, by allocation
 	sum := 1e-9
 	count := 0.0
 	divergence := 0.0
@@ -171,7 +177,7 @@
 		if c.Zone != r.zone || !r.planner.groups[group].mayUse(r.zone, c) {
 			continue
 		}
-		if c.Started == 0 { // one that started since then is in no standing table
+		if c.Started == 0 { // the static tables do not contain endpoints that started later
 			static[i] = c.weight
 		}
 		sum += static[i]
@@ -186,7 +192,8 @@
 	return divergence + r.chanceDivergence(count)
 }
 
-// stateDivergence returns the divergence that counts for an endpoint's state.
+// stateDivergence returns the divergence that an endpoint's state adds: for an endpoint that is not ready, or that has
+// restarted and is warming up. It is 0 for all others.
 func (r *region) stateDivergence(c *candidate) float64 {
 	switch {
 	case c.Phase != Ready:
@@ -197,8 +204,8 @@
 	return 0
 }
 
-// chanceDivergence estimates the divergence by the random choice of standing lines: the deviation of the shares of some
-// endpoints, given the lines of all standing tables.
+// chanceDivergence estimates the divergence caused by the random selection of the lines of static tables: the expected
+// deviation of the shares of the given number of endpoints, by the number of lines in all static tables.
 func (r *region) chanceDivergence(endpoints float64) float64 {
 	p := r.planner
 	zones := float64(len(p.regions))
