--- a/planner/flowcontrol.go
+++ b/planner/flowcontrol.go
@@ -49,7 +49,7 @@
 // handleAck applies an acknowledgement to the send window and to the state of the proxy that sent it.
 func (pb *publisher) handleAck(ack Ack) {
 	wasProbing := pb.window.probes > 0
-	orderedAt, known := pb.window.acknowledge(pb.planner.now, ack.Number, ack.Proxy)
+	commandedAt, known := pb.window.acknowledge(pb.planner.now, ack.Number, ack.Proxy)
 	proxy := pb.proxies[ack.Proxy]
 	if !known || proxy == nil {
 		return
@@ -57,7 +57,7 @@
 	if wasProbing {
 		pb.windowReopened = true
 	}
-	pb.confirm(proxy, orderedAt)
+	pb.confirm(proxy, commandedAt)
 }
 
 // updateBlockage checks whether urgent lines or exclusions wait for room in the channel and logs when this starts and
--- a/planner/membership.go
+++ b/planner/membership.go
@@ -43,9 +43,9 @@
 // confirm records that a proxy acknowledged lines that were commanded at a given time. If this was after the proxy
 // joined and after the latest exclusion or readmission, which reach all proxies, the lines must belong to a table that
 // the proxy holds.
-func (pb *publisher) confirm(proxy *proxyState, orderedAt float64) {
+func (pb *publisher) confirm(proxy *proxyState, commandedAt float64) {
 	proxy.ackedAt = pb.planner.now
-	if orderedAt > math.Max(proxy.joinedAt, pb.exclusion.lastChange) {
+	if commandedAt > math.Max(proxy.joinedAt, pb.exclusion.lastChange) {
 		proxy.confirmed = proxy.assigned
 	}
 }
--- a/planner/sendwindow.go
+++ b/planner/sendwindow.go
@@ -49,15 +49,15 @@
 
 // batch is a sequence of lines that ends with one request for an acknowledgement.
 type batch struct {
-	orderedAt float64         // ms, when the oldest of its lines was commanded
-	sealedAt  float64         // ms, when its request for an acknowledgement was sent
-	start     float64         // position of its first line
-	lines     float64         // number of lines
-	delivered float64         // number of lines known to have left the channel
-	linesTo   map[int]float64 // number of lines by proxy
-	acked     map[int]bool    // proxies that have acknowledged it
-	resent    bool            // it has been sent again, as batch resentAs
-	resentAs  int             // number of the batch that repeats it, if resent
+	commandedAt float64         // ms, when the oldest of its lines was commanded
+	sealedAt    float64         // ms, when its request for an acknowledgement was sent
+	start       float64         // position of its first line
+	lines       float64         // number of lines
+	delivered   float64         // number of lines known to have left the channel
+	linesTo     map[int]float64 // number of lines by proxy
+	acked       map[int]bool    // proxies that have acknowledged it
+	resent      bool            // it has been sent again, as batch resentAs
+	resentAs    int             // number of the batch that repeats it, if resent
 }
 
 // inFlight returns the maximum number of lines that may still be in the channel.
@@ -91,7 +91,7 @@
 // acknowledgement. linesTo is the number of lines by proxy. Batches older than lineLifetimeMs are dropped.
 func (w *sendWindow) seal(now float64, linesTo map[int]float64) (number int) {
 	maps.DeleteFunc(w.batches, func(_ int, b *batch) bool { return now-b.sealedAt > lineLifetimeMs })
-	number = w.register(now, &batch{orderedAt: now, start: w.sealed, lines: w.written - w.sealed, linesTo: linesTo})
+	number = w.register(now, &batch{commandedAt: now, start: w.sealed, lines: w.written - w.sealed, linesTo: linesTo})
 	w.sealed = w.written
 	return number
 }
@@ -112,7 +112,7 @@
 
 // acknowledge records that a proxy has applied all its lines up to and including a batch. It returns when the oldest
 // line of the batch was commanded. known is false if there is no such batch or the proxy has acknowledged it before.
-func (w *sendWindow) acknowledge(now float64, number, proxy int) (orderedAt float64, known bool) {
+func (w *sendWindow) acknowledge(now float64, number, proxy int) (commandedAt float64, known bool) {
 	b := w.batches[number]
 	if b == nil || b.acked[proxy] {
 		return 0, false
@@ -123,7 +123,7 @@
 	w.probes = 0
 	w.delivered = math.Max(w.delivered, math.Min(w.written, b.start+b.delivered))
 	w.queued = math.Min(w.queued, w.written-b.start)
-	return b.orderedAt, true
+	return b.commandedAt, true
 }
 
 // stall records that the channel has accepted no commands for durationMs or, if that is 0, that it accepts them again.
@@ -174,7 +174,7 @@
 // merge adds the lines of an older batch that is sent in the same call.
 func (b *batch) merge(older *batch) {
 	b.start = math.Min(b.start, older.start)
-	b.orderedAt = math.Min(b.orderedAt, older.orderedAt)
+	b.commandedAt = math.Min(b.commandedAt, older.commandedAt)
 	b.lines += older.lines
 	b.linesTo = maps.Clone(b.linesTo)
 	for proxy, lines := range older.linesTo {
@@ -201,7 +201,7 @@
 	w.add(original.lines)
 	w.sealed += original.lines
 	number = w.register(now,
-		&batch{orderedAt: original.orderedAt, start: start, lines: original.lines, linesTo: original.linesTo})
+		&batch{commandedAt: original.commandedAt, start: start, lines: original.lines, linesTo: original.linesTo})
 	original.resent = true
 	original.resentAs = number
 	return number, true
