--- a/planner/channelmodel_test.go
+++ b/planner/channelmodel_test.go
@@ -10,14 +10,14 @@
 // It plays the adapter: after a call that failed all that waits goes out as one, under the newest number.
 type channelModel struct {
 	window     sendWindow
-	commanded  []call          // not yet with the adapter
+	issued     []call          // not yet with the adapter
 	queue      []call          // with the adapter, oldest first
 	unanswered *call           // a call that got no answer and that the adapter still waits for
 	channel    []channelItem   // messages in the relay's channel, oldest first
 	events     []channelEvent  // on the way to the window, in order
 	acked      map[[2]int]bool // acknowledgements that came before: the event reader passes each on once
 	stalled    bool
-	remaining  limits
+	remaining  stepBudget
 }
 
 // call is what goes out at once: lines for each proxy, and the requests for an acknowledgement behind them.
@@ -36,11 +36,11 @@
 }
 
 // limits are how often each thing may still happen.
-type limits struct {
-	writes    int
-	uncertain int // calls without an answer
-	lost      int // acknowledgements
-	probes    int
+type stepBudget struct {
+	writes          int
+	unansweredCalls int // calls without an answer
+	lostAcks        int // acknowledgements
+	probes          int
 }
 
 // modelBacklog is the number of lines that the model lets wait.
@@ -55,7 +55,7 @@
 		copied.acked = maps.Clone(b.acked)
 		c.window.batches[number] = &copied
 	}
-	c.commanded = slices.Clone(m.commanded)
+	c.issued = slices.Clone(m.issued)
 	c.queue = slices.Clone(m.queue)
 	c.channel = slices.Clone(m.channel)
 	c.events = slices.Clone(m.events)
@@ -82,7 +82,7 @@
 		unanswered = fmt.Sprint(*m.unanswered)
 	}
 	w := &m.window
-	return fmt.Sprint(w.written, w.delivered, w.sealed, w.stalledMs, w.probes, batches, m.commanded,
+	return fmt.Sprint(w.written, w.delivered, w.sealed, w.stalledMs, w.probes, batches, m.issued,
 		m.queue, unanswered, m.channel, events, m.acked, m.stalled, m.remaining)
 }
 
@@ -93,28 +93,28 @@
 		lines[proxy] = float64(count)
 		m.window.add(float64(count))
 	}
-	m.commanded = append(m.commanded, call{linesTo: linesTo, numbers: []int{m.window.seal(1, lines)}})
+	m.issued = append(m.issued, call{linesTo: linesTo, numbers: []int{m.window.seal(1, lines)}})
 }
 
 // next takes the adapter's next call out.
-func (m *channelModel) next() call {
+func (m *channelModel) takeCall() call {
 	if m.stalled && len(m.queue) > 1 {
-		m.queue = []call{merge(m.queue)}
+		m.queue = []call{mergeCalls(m.queue)}
 	}
 	c := m.queue[0]
 	m.queue = m.queue[1:]
 	if len(c.numbers) > 1 {
-		news := &ChannelStalled{Merged: c.numbers}
+		stall := &ChannelStalled{Merged: c.numbers}
 		if m.stalled {
-			news.ForMs = 1
+			stall.ForMs = 1
 		}
-		m.events = append(m.events, channelEvent{stall: news})
+		m.events = append(m.events, channelEvent{stall: stall})
 	}
 	return c
 }
 
 // merge makes one call of several.
-func merge(calls []call) call {
+func mergeCalls(calls []call) call {
 	all := call{linesTo: map[int]int{}}
 	for _, c := range calls {
 		for proxy, lines := range c.linesTo {
@@ -126,7 +126,7 @@
 }
 
 // cross puts a call's messages into the channel.
-func (m *channelModel) cross(c call) {
+func (m *channelModel) sendCall(c call) {
 	for _, proxy := range slices.Sorted(maps.Keys(c.linesTo)) {
 		m.channel = append(m.channel, channelItem{proxy, c.linesTo[proxy], c.numbers[len(c.numbers)-1]})
 	}
@@ -141,7 +141,7 @@
 }
 
 // callTimedOut has the adapter give up waiting for an answer.
-func (m *channelModel) callTimedOut(c call) {
+func (m *channelModel) requeueCall(c call) {
 	m.stalled = true
 	m.events = append(m.events, channelEvent{stall: &ChannelStalled{ForMs: 1, Repeated: c.numbers}})
 	m.queue = append([]call{c}, m.queue...)
@@ -168,29 +168,29 @@
 	m.window.stall(1, event.stall.ForMs)
 	m.window.mergeBatches(event.stall.Merged)
 	if number, resent := m.window.resend(1, event.stall.Repeated); resent {
-		m.commanded = append(m.commanded, call{numbers: []int{number}})
+		m.issued = append(m.issued, call{numbers: []int{number}})
 	}
 }
 
 // passOn hands the next call to the adapter.
-func (m *channelModel) passOn() {
-	m.queue = append(m.queue, m.commanded[0])
-	m.commanded = m.commanded[1:]
+func (m *channelModel) queueCall() {
+	m.queue = append(m.queue, m.issued[0])
+	m.issued = m.issued[1:]
 }
 
 // timeOut has the adapter give up the call that it waits for.
-func (m *channelModel) timeOut() {
+func (m *channelModel) timeOutCall() {
 	out := *m.unanswered
 	m.unanswered = nil
-	m.callTimedOut(out)
+	m.requeueCall(out)
 }
 
 // callWithoutAnswer makes the next call, whose answer does not come; it may have crossed or not.
-func (m *channelModel) callWithoutAnswer(crosses bool) {
-	m.remaining.uncertain--
-	out := m.next()
-	if crosses {
-		m.cross(out)
+func (m *channelModel) sendWithoutAnswer(delivered bool) {
+	m.remaining.unansweredCalls--
+	out := m.takeCall()
+	if delivered {
+		m.sendCall(out)
 	}
 	m.unanswered = &out
 }
@@ -202,28 +202,28 @@
 
 // steps returns every state that one event leads to.
 func (m *channelModel) steps() (next []*channelModel) {
-	when := func(can bool, do func(*channelModel)) {
-		if can {
+	addStep := func(possible bool, do func(*channelModel)) {
+		if possible {
 			c := m.clone()
 			do(c)
 			next = append(next, c)
 		}
 	}
 	calls := len(m.queue) > 0 && m.unanswered == nil
-	uncertain := calls && m.remaining.uncertain > 0
+	uncertain := calls && m.remaining.unansweredCalls > 0
 	ackComing := len(m.events) > 0 && m.events[0].stall == nil
-	when(m.mayWrite(2), func(c *channelModel) { c.remaining.writes--; c.write(map[int]int{0: 1, 1: 1}) })
-	when(m.mayWrite(1), func(c *channelModel) { c.remaining.writes--; c.write(map[int]int{1: 1}) })
+	addStep(m.mayWrite(2), func(c *channelModel) { c.remaining.writes--; c.write(map[int]int{0: 1, 1: 1}) })
+	addStep(m.mayWrite(1), func(c *channelModel) { c.remaining.writes--; c.write(map[int]int{1: 1}) })
 	mayProbe := m.remaining.probes > 0 && m.window.stalledMs == 0
-	when(mayProbe, func(c *channelModel) { c.remaining.probes--; c.write(map[int]int{0: 1}) })
-	when(len(m.commanded) > 0, (*channelModel).passOn)
-	when(calls, func(c *channelModel) { c.cross(c.next()); c.callAnswered() })
-	when(uncertain, func(c *channelModel) { c.callWithoutAnswer(true) })
-	when(uncertain, func(c *channelModel) { c.callWithoutAnswer(false) })
-	when(m.unanswered != nil, (*channelModel).timeOut)
-	when(len(m.channel) > 0, (*channelModel).deliver)
-	when(len(m.events) > 0, (*channelModel).handleEvent)
-	when(ackComing && m.remaining.lost > 0, func(c *channelModel) { c.remaining.lost--; c.events = c.events[1:] })
+	addStep(mayProbe, func(c *channelModel) { c.remaining.probes--; c.write(map[int]int{0: 1}) })
+	addStep(len(m.issued) > 0, (*channelModel).queueCall)
+	addStep(calls, func(c *channelModel) { c.sendCall(c.takeCall()); c.callAnswered() })
+	addStep(uncertain, func(c *channelModel) { c.sendWithoutAnswer(true) })
+	addStep(uncertain, func(c *channelModel) { c.sendWithoutAnswer(false) })
+	addStep(m.unanswered != nil, (*channelModel).timeOutCall)
+	addStep(len(m.channel) > 0, (*channelModel).deliver)
+	addStep(len(m.events) > 0, (*channelModel).handleEvent)
+	addStep(ackComing && m.remaining.lostAcks > 0, func(c *channelModel) { c.remaining.lostAcks--; c.events = c.events[1:] })
 	return next
 }
 
@@ -232,13 +232,13 @@
 	for {
 		switch {
 		case m.unanswered != nil:
-			m.timeOut()
+			m.timeOutCall()
 		case len(m.events) > 0:
 			m.handleEvent()
-		case len(m.commanded) > 0:
-			m.passOn()
+		case len(m.issued) > 0:
+			m.queueCall()
 		case len(m.queue) > 0:
-			m.cross(m.next())
+			m.sendCall(m.takeCall())
 			m.callAnswered()
 		case len(m.channel) > 0:
 			m.deliver()
--- a/planner/drain_test.go
+++ b/planner/drain_test.go
@@ -13,9 +13,9 @@
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, nil)
 			leaving := Entry{Endpoint: 0, Zone: 0, Weight: 2, Phase: phase}
-			first := h.step(EndpointUpdate{Mode: Delta, Entries: []Entry{leaving}})
-			require.NotEmpty(t, first)
-			assert.Contains(t, first, SetExcluded{0, true}, "drains come first, at once")
+			commands := h.step(EndpointUpdate{Mode: Delta, Entries: []Entry{leaving}})
+			require.NotEmpty(t, commands)
+			assert.Contains(t, commands, SetExcluded{0, true}, "drains come first, at once")
 			assert.Zero(t, h.weights[0][0])
 			h.now = 50000
 			h.step(restarted(h.now))
@@ -33,9 +33,9 @@
 // times what one could do).
 func TestWarmingEndpointsAreAdmittedLast(t *testing.T) {
 	for name, c := range map[string]struct {
-		age      float64
-		waits    bool // a proxy has yet to get its table
-		admitted bool
+		age        float64
+		proxyWaits bool // a proxy has yet to get its table
+		admitted   bool
 	}{
 		"warming up, standing lines":  {1, true, false},
 		"warming up, all have tables": {1, false, true},
@@ -46,23 +46,23 @@
 			h.now = 50000
 			h.step()
 			window := &h.planner.publisher.window
-			full := func() { // no room for a table
+			fillChannel := func() { // no room for a table
 				window.queued = 1400
 				window.delivered = window.written
 			}
-			full()
+			fillChannel()
 			gone := Entry{Endpoint: 0, Zone: 0, Weight: 2, Phase: Gone}
 			h.step(ProxyJoined{Proxy: 0, Zone: 0, Rate: 20}, EndpointUpdate{Entries: []Entry{gone}})
 			h.now += 1000
-			full()
+			fillChannel()
 			require.Contains(t, h.step(TimerFired{assignmentTimer}), SetExcluded{0, true}, "halfway through the grace")
 			h.now += 100
-			full()
-			if !c.waits {
+			fillChannel()
+			if !c.proxyWaits {
 				window.queued = 0
 			}
 			h.step()
-			full()
+			fillChannel()
 			commands := h.step(restarted(h.now - c.age))
 			assert.Equal(t, c.admitted, slices.Contains(commands, Command(SetExcluded{0, false})))
 			window.queued = 0
--- a/planner/flowcontrol_test.go
+++ b/planner/flowcontrol_test.go
@@ -12,10 +12,10 @@
 // repeated after a call that nobody answered crosses twice.
 func TestStalledChannel(t *testing.T) {
 	for name, c := range map[string]struct {
-		stall func(second, number int) Event
-		after Event   // a moment later
-		least float64 // parts of the backlog that are written in 30 s
-		most  float64
+		stall      func(second, number int) Event
+		later      Event   // a moment later
+		minWritten float64 // parts of the backlog that are written in 30 s
+		maxWritten float64
 	}{
 		"open":    {func(int, int) Event { return nil }, nil, 1.5, 9},
 		"cut off": {func(int, int) Event { return ChannelStalled{ForMs: 700} }, nil, 0.1, 1},
@@ -51,10 +51,10 @@
 					number = numbers[len(numbers)-1]
 				}
 				h.now++
-				h.step(c.after)
+				h.step(c.later)
 			}
-			assert.GreaterOrEqual(t, written, c.least*4800, "there is something to write")
-			assert.LessOrEqual(t, written, c.most*4800)
+			assert.GreaterOrEqual(t, written, c.minWritten*4800, "there is something to write")
+			assert.LessOrEqual(t, written, c.maxWritten*4800)
 		})
 	}
 }
--- a/planner/harness_test.go
+++ b/planner/harness_test.go
@@ -73,7 +73,7 @@
 	h.messages = 0
 	h.checks = 0
 	for _, command := range commands {
-		h.take(command)
+		h.apply(command)
 		switch command.(type) {
 		case SetWeight, SetExcluded, SetAdmission, AssignTable:
 			h.messages++
@@ -83,7 +83,7 @@
 }
 
 // take adds a command to what the commands came to.
-func (h *harness) take(command Command) {
+func (h *harness) apply(command Command) {
 	switch command := command.(type) {
 	case SetWeight:
 		weight := command.Weight
@@ -177,7 +177,7 @@
 }
 
 // used returns how many endpoints of a table have weight.
-func used(weights map[int]float64) int {
+func weightedEndpoints(weights map[int]float64) int {
 	count := 0
 	for _, weight := range weights {
 		if weight > 0 {
--- a/planner/membership_test.go
+++ b/planner/membership_test.go
@@ -9,11 +9,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestAssignmentWhereItPays guards the channel of thousands: all were assigned tables at the start, which took it
+// TestTablesAreAssignedIfPlanDiverges guards the channel of thousands: all were assigned tables at the start, which took it
 // half a minute, and tables changed once in ten seconds served less than those they replaced (calm+mass of seed 3 at
 // full size: 0.82 with tables, 0.85 without, 0.09 of G for commands). Whatever standing tables can't bring has all
 // assigned again.
-func TestAssignmentWhereItPays(t *testing.T) {
+func TestTablesAreAssignedIfPlanDiverges(t *testing.T) {
 	started := func(e *Entry, now float64) { e.Started = now }
 	drains := func(e *Entry, _ float64) { e.Phase = Draining }
 	for name, c := range map[string]struct {
@@ -22,7 +22,7 @@
 		change             func(e *Entry, now float64) // of one endpoint of the zone, after ten rounds
 		load               float64                     // of it then; of the others 0.4
 		failed             int
-		rest               float64 // load of the others then
+		othersLoad         float64 // load of the others then
 		assigned           bool
 	}{
 		"nothing diverges":               {500, 2, nil, nil, 0.4, 0, 0.4, false},
@@ -54,8 +54,8 @@
 			}
 			clear(h.assigned)
 			h.join(0, c.proxies, 0, 1)
-			calm := together(steady(0, 20, 0, 0.4, others...), steady(0, 20, 0, 0.4, 0))
-			h.rounds(10, calm)
+			evenLoad := together(steady(0, 20, 0, 0.4, others...), steady(0, 20, 0, 0.4, 0))
+			h.rounds(10, evenLoad)
 			if c.change != nil || c.load != 0.4 || c.failed > 0 {
 				require.Empty(t, h.assigned)
 			}
@@ -63,12 +63,12 @@
 				c.change(&entries[0], h.now)
 				h.step(EndpointUpdate{Mode: Delta, Entries: entries[:1]})
 			}
-			h.rounds(30, together(steady(0, 20-c.failed, c.failed, c.load, 0), steady(0, 20, 0, c.rest, others...)))
-			want := 0
+			h.rounds(30, together(steady(0, 20-c.failed, c.failed, c.load, 0), steady(0, 20, 0, c.othersLoad, others...)))
+			wantAssigned := 0
 			if c.assigned {
-				want = c.proxies
+				wantAssigned = c.proxies
 			}
-			assert.Len(t, h.assigned, want)
+			assert.Len(t, h.assigned, wantAssigned)
 		})
 	}
 }
@@ -78,11 +78,11 @@
 // (split+mass of seed 2). Taken for assigned, one that came back would be notified of no drain.
 func TestStaleAssignments(t *testing.T) {
 	for name, c := range map[string]struct {
-		rejoined    ProxyJoined
-		between     []Event // after it rejoined, before it acknowledges
-		acks        bool
-		assignments int // beside the first, in the end
-		mayCount    bool
+		rejoined      ProxyJoined
+		beforeAck     []Event // after it rejoined, before it acknowledges
+		acknowledges  bool
+		assignments   int // beside the first, in the end
+		assignedAfter bool
 	}{
 		"acknowledges a line of its table": {ProxyJoined{Resumed: true}, nil, true, 0, true},
 		"does not acknowledge":             {ProxyJoined{Resumed: true}, nil, false, 1, true},
@@ -101,11 +101,11 @@
 			h.planner.publisher.window.queued = h.planner.settings.BacklogLines / 3 // no room to assign at once
 			h.step(c.rejoined)
 			h.planner.publisher.window.queued = h.planner.settings.BacklogLines / 3
-			assert.Equal(t, c.mayCount, h.planner.publisher.proxies[0].assigned, "its lines cost")
+			assert.Equal(t, c.assignedAfter, h.planner.publisher.proxies[0].assigned, "its lines cost")
 			h.now += 100
 			reweighted := EndpointUpdate{Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 9}}}
-			commands := h.step(append(c.between, reweighted)...)
-			if c.between != nil { // excluded halfway through the grace
+			commands := h.step(append(c.beforeAck, reweighted)...)
+			if c.beforeAck != nil { // excluded halfway through the grace
 				h.now += 1100
 				h.planner.publisher.window.queued = 2 * h.planner.settings.BacklogLines // nothing that can wait goes out
 				commands = h.step()
@@ -114,7 +114,7 @@
 				assert.True(t, slices.ContainsFunc(commands, assigns),
 					"an exclusion may reach nobody: an assignment beside it brings an acknowledgement")
 			}
-			if numbers := ackRequests(commands); c.acks && len(numbers) > 0 {
+			if numbers := ackRequests(commands); c.acknowledges && len(numbers) > 0 {
 				h.now += 100
 				h.step(Ack{Proxy: 0, Number: numbers[0]})
 			}
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -24,7 +24,7 @@
 	fullFleetTickMs       = 50
 	fullFleetBacklog      = 8000.0
 	fullFleetLinesPerTick = 4000 * 0.05
-	fullFleetLaterTick    = 200 // when the second half of the proxies joins, as a tenth of the endpoints goes
+	fullFleetChangeTick   = 200 // when the second half of the proxies joins, as a tenth of the endpoints goes
 	fullFleetRoundTicks   = 20
 )
 
@@ -54,7 +54,7 @@
 	switch {
 	case tick == 0:
 		return append([]Event{EndpointUpdate{Mode: Cached, Entries: f.list}}, f.joining(0, 100)...)
-	case tick == fullFleetLaterTick:
+	case tick == fullFleetChangeTick:
 		gone := slices.Clone(f.list[:30])
 		for i := range gone {
 			gone[i].Phase = Gone
@@ -82,14 +82,14 @@
 	commands := f.step(append(events, f.events(tick)...)...)
 	f.all = append(f.all, commands...)
 	for _, command := range commands {
-		f.carry(tick, command)
+		f.sendToChannel(tick, command)
 	}
 	assert.Less(f.t, f.queue, fullFleetBacklog, "tick %d", tick)
 	f.queue = math.Max(0, f.queue-fullFleetLinesPerTick)
 }
 
 // carry puts a command into the channel.
-func (f *fullFleet) carry(tick int, command Command) {
+func (f *fullFleet) sendToChannel(tick int, command Command) {
 	switch command := command.(type) {
 	case AckRequest:
 		f.acks = append(f.acks, Ack{Number: command.Number})
--- a/planner/sendwindow_test.go
+++ b/planner/sendwindow_test.go
@@ -15,16 +15,16 @@
 // minutes (played on 2026-12-02).
 func TestSendWindowInAllOrders(t *testing.T) {
 	for _, c := range []struct {
-		may   limits
-		least int // states
+		budget    stepBudget
+		minStates int // states
 	}{
-		{limits{writes: 2, uncertain: 2}, 1000},
-		{limits{writes: 2, uncertain: 1, lost: 1}, 1000},
-		{limits{writes: 1, uncertain: 1, lost: 2, probes: 1}, 1000},
+		{stepBudget{writes: 2, unansweredCalls: 2}, 1000},
+		{stepBudget{writes: 2, unansweredCalls: 1, lostAcks: 1}, 1000},
+		{stepBudget{writes: 1, unansweredCalls: 1, lostAcks: 2, probes: 1}, 1000},
 	} {
-		t.Run(fmt.Sprintf("%+v", c.may), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%+v", c.budget), func(t *testing.T) {
 			t.Parallel()
-			assert.Greater(t, exploreWindow(t, &channelModel{acked: map[[2]int]bool{}, remaining: c.may}), c.least)
+			assert.Greater(t, exploreWindow(t, &channelModel{acked: map[[2]int]bool{}, remaining: c.budget}), c.minStates)
 		})
 	}
 }
@@ -32,10 +32,10 @@
 // exploreWindow checks all states that can be reached and returns how many there are.
 func exploreWindow(t *testing.T, start *channelModel) int {
 	visited := map[string]bool{start.key(): true}
-	todo := []*channelModel{start}
-	for len(todo) > 0 {
-		m := todo[len(todo)-1]
-		todo = todo[:len(todo)-1]
+	unexplored := []*channelModel{start}
+	for len(unexplored) > 0 {
+		m := unexplored[len(unexplored)-1]
+		unexplored = unexplored[:len(unexplored)-1]
 		if !m.resendPending() {
 			require.LessOrEqual(t, m.inChannel(), m.window.inFlight(), "%s", m.key())
 		}
@@ -47,7 +47,7 @@
 		for _, next := range m.steps() {
 			if key := next.key(); !visited[key] {
 				visited[key] = true
-				todo = append(todo, next)
+				unexplored = append(unexplored, next)
 			}
 		}
 	}
--- a/planner/subset_test.go
+++ b/planner/subset_test.go
@@ -131,7 +131,7 @@
 	h.rounds(10, steady(0, 5, 0, 0.4, 1, 2, 3))
 	assert.Len(t, h.assigned, 100)
 	for i := range 100 {
-		assert.Positive(t, used(h.weights[h.assigned[i][0].Table]), "proxy %d", i)
+		assert.Positive(t, weightedEndpoints(h.weights[h.assigned[i][0].Table]), "proxy %d", i)
 	}
 }
 
