--- a/planner/publisher_test.go
+++ b/planner/publisher_test.go
@@ -16,7 +16,7 @@
 		assert.Zero(t, h.messages)
 	}
 	for proxy, assignments := range h.assigned {
-		assert.Len(t, assignments, 1, "one shared table for each zone, proxy %d", proxy)
+		assert.Len(t, assignments, 1, "the proxies of a zone share one table, proxy %d", proxy)
 	}
 }
 
@@ -28,12 +28,12 @@
 		h.rounds(1, func() []Event { return append(attempts(0, 5, 0, float64(w%2), 0), attempts(0, 5, 0, 0.5, 1, 2, 3)...) })
 		sent += h.written * 30
 	}
-	assert.Less(t, sent, 1500, "what can wait waits while the channel is full")
+	assert.Less(t, sent, 1500, "deferrable lines are held back while the channel is full")
 }
 
-// TestRestartedEndpointIsCutAtOnce guards endpoints that start again while a controller has far more proxies than its
-// channel serves: their lines stood with the old weight until there was room, and they fell over (wide+reset+stale,
-// seed 993204896464).
+// TestRestartedEndpointIsCutAtOnce guards against overload of endpoints that restart while a pilot has far more proxies
+// than its channel can update in time: their lines kept the old weight until the channel had room, and the endpoints
+// failed (scenario wide+reset+stale, seed 993204896464).
 func TestRestartedEndpointIsCutAtOnce(t *testing.T) {
 	all := []int{0, 1, 2, 3, 4, 5}
 	h := newHarness(t, func(settings map[string]any, _ []Entry) {
