--- a/planner/flowcontrol_test.go
+++ b/planner/flowcontrol_test.go
@@ -7,19 +7,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStalledChannel guards the backlog (rule 5) when the channel is cut off: what is commanded meanwhile goes out at
-// once when it is back, and was taken for gone (split+mass of seed 2: 5308 lines where 4800 may wait). What is
-// repeated after a call that nobody answered crosses twice.
+// TestStalledChannel guards the channel's backlog limit while the channel accepts no commands. Commands issued
+// meanwhile are all sent when it accepts commands again; when they were assumed to have left the channel, the limit was
+// exceeded (simulated scenario split+mass, seed 2: 5308 lines with a limit of 4800). Lines of a call that is repeated
+// after a timeout may be delivered twice.
 func TestStalledChannel(t *testing.T) {
 	for name, c := range map[string]struct {
-		stall      func(second, number int) Event
-		later      Event   // a moment later
-		minWritten float64 // parts of the backlog that are written in 30 s
-		maxWritten float64
+		stall      func(second, number int) Event // event of each second; number is that of the latest ack request
+		later      Event                          // event 1 ms after stall
+		minWritten float64                        // least lines written in 30 s, as a multiple of the backlog
+		maxWritten float64                        // most lines written in 30 s, as a multiple of the backlog
 	}{
 		"open":    {func(int, int) Event { return nil }, nil, 1.5, 9},
-		"cut off": {func(int, int) Event { return ChannelStalled{ForMs: 700} }, nil, 0.1, 1},
-		"back for a bit": {func(second, _ int) Event {
+		"stalled": {func(int, int) Event { return ChannelStalled{ForMs: 700} }, nil, 0.1, 1},
+		"open for 2 s in 10": {func(second, _ int) Event {
 			if second%10 < 8 {
 				return ChannelStalled{ForMs: 700}
 			}
@@ -39,8 +40,8 @@
 			h.rounds(20, nil)
 			require.Len(t, h.assigned, 100)
 			written := 0.0
-			number := -1             // of the last request for an acknowledgement
-			for second := range 30 { // what it wants changes all the time
+			number := -1             // of the latest request for an acknowledgement
+			for second := range 30 { // the endpoint's listed weight changes each second
 				h.now += roundMs
 				update := EndpointUpdate{Entries: []Entry{{Weight: float64(2 + 9*(second%2))}}}
 				commands := h.step(c.stall(second, number), update, TimerFired{roundTimer})
@@ -53,13 +54,13 @@
 				h.now++
 				h.step(c.later)
 			}
-			assert.GreaterOrEqual(t, written, c.minWritten*4800, "there is something to write")
+			assert.GreaterOrEqual(t, written, c.minWritten*4800, "lines are written")
 			assert.LessOrEqual(t, written, c.maxWritten*4800)
 		})
 	}
 }
 
-// linesOfTable returns how many weights of a table are set by commands.
+// linesOfTable returns how many weights of a table the commands set.
 func linesOfTable(commands []Command, table int) float64 {
 	lines := 0.0
 	for _, command := range commands {
