--- a/planner/sendwindow_test.go
+++ b/planner/sendwindow_test.go
@@ -9,14 +9,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSendWindowInAllOrders visits all orders of calls, losses, repetitions, merged calls and late or lost
-// acknowledgements in small. The account is never under what waits in the channel, and from everywhere one
-// acknowledged probe empties it. The limits are those of seconds; {2, 2, 2, 1} has 3,718,914 states and takes five
-// minutes (played on 2026-12-02).
+// TestSendWindowInAllOrders explores all orders of calls, losses, repetitions, merged calls and late or lost
+// acknowledgements in a small model of the channel. In every state, the lines in flight must not be fewer than the
+// lines in the channel, and one acknowledged probe must bring them to 0. The budgets are chosen so that the test takes
+// seconds; a budget of {2, 2, 2, 1} has 3,718,914 states and takes five minutes (run on 2026-12-02).
 func TestSendWindowInAllOrders(t *testing.T) {
 	for _, c := range []struct {
 		budget    stepBudget
-		minStates int // states
+		minStates int // the model must have more states than this
 	}{
 		{stepBudget{writes: 2, unansweredCalls: 2}, 1000},
 		{stepBudget{writes: 2, unansweredCalls: 1, lostAcks: 1}, 1000},
@@ -29,7 +29,7 @@
 	}
 }
 
-// exploreWindow checks all states that can be reached and returns how many there are.
+// exploreWindow checks all states reachable from start and returns their number.
 func exploreWindow(t *testing.T, start *channelModel) int {
 	visited := map[string]bool{start.key(): true}
 	unexplored := []*channelModel{start}
@@ -55,8 +55,8 @@
 	return len(visited)
 }
 
-// TestProbeBackoff guards the wait before a probe: it runs from the last sign of life and doubles while none comes,
-// to a limit.
+// TestProbeBackoff checks the wait before a probe: it starts at the latest acknowledgement or batch and doubles with
+// each unacknowledged probe, up to a limit.
 func TestProbeBackoff(t *testing.T) {
 	w := sendWindow{}
 	w.add(9)
@@ -68,15 +68,15 @@
 	}
 	w.stall(2000, 700)
 	w.stall(3000, 0)
-	assert.Equal(t, 1000+8000.0, w.nextProbeAt(500), "a stall is no sign of life")
+	assert.Equal(t, 1000+8000.0, w.nextProbeAt(500), "a stall does not reset the wait")
 	_, known := w.acknowledge(4000, number, 3)
 	assert.True(t, known)
 	assert.Equal(t, 4500.0, w.nextProbeAt(500))
 	assert.Zero(t, w.inFlight())
 }
 
-// TestAckNumbersDiffer guards requests for an acknowledgement in one millisecond: were their numbers one, an
-// acknowledgement of the older would count for the newer.
+// TestAckNumbersDiffer checks that batches sealed within one millisecond get different numbers. With equal numbers, an
+// acknowledgement of the older batch would count for the newer one.
 func TestAckNumbersDiffer(t *testing.T) {
 	w := sendWindow{}
 	numbers := map[int]bool{}
