--- a/planner/channelmodel_test.go
+++ b/planner/channelmodel_test.go
@@ -6,47 +6,49 @@
 	"slices"
 )
 
-// channelModel is a small world around a window: the calls on their way to the relay, its channel, and what comes back.
-// It plays the adapter: after a call that failed all that waits goes out as one, under the newest number.
+// channelModel is a small model of a send window and its environment: the adapter that sends commands to the relay in
+// calls, the relay's channel, and the events that come back. Like the real adapter, it sends all queued commands in a
+// single call after a failed call, under the newest number.
 type channelModel struct {
 	window     sendWindow
-	issued     []call          // not yet with the adapter
-	queue      []call          // with the adapter, oldest first
-	unanswered *call           // a call that got no answer and that the adapter still waits for
+	issued     []call          // calls that have not reached the adapter, oldest first
+	queue      []call          // calls queued at the adapter, oldest first
+	unanswered *call           // call that will get no answer, until the adapter's timeout; nil: none
 	channel    []channelItem   // messages in the relay's channel, oldest first
-	events     []channelEvent  // on the way to the window, in order
-	acked      map[[2]int]bool // acknowledgements that came before: the event reader passes each on once
-	stalled    bool
+	events     []channelEvent  // events that have not reached the window, oldest first
+	acked      map[[2]int]bool // acknowledgements, by proxy and number, that have been sent: each is sent only once
+	stalled    bool            // the adapter's latest call timed out
 	remaining  stepBudget
 }
 
-// call is what goes out at once: lines for each proxy, and the requests for an acknowledgement behind them.
+// call is one call to the relay: lines by proxy, followed by requests for an acknowledgement.
 type call struct {
-	linesTo map[int]int
-	numbers []int // of the requests, the newest last
+	linesTo map[int]int // number of lines by proxy
+	numbers []int       // numbers of the requests, the newest last
 }
 
-// channelItem is a message in the channel, with a request for an acknowledgement.
+// channelItem is a message to a proxy in the channel, with its number of lines and the number of its request for an
+// acknowledgement.
 type channelItem struct{ proxy, lines, number int }
 
-// channelEvent is an acknowledgement, or news of a stall.
+// channelEvent is an acknowledgement or a ChannelStalled event.
 type channelEvent struct {
-	stall         *ChannelStalled // nil: an acknowledgement
-	proxy, number int
+	stall         *ChannelStalled // nil for an acknowledgement
+	proxy, number int             // of an acknowledgement
 }
 
-// limits are how often each thing may still happen.
+// stepBudget is the number of steps of each kind that may still happen.
 type stepBudget struct {
-	writes          int
-	unansweredCalls int // calls without an answer
-	lostAcks        int // acknowledgements
-	probes          int
+	writes          int // batches of lines that are written
+	unansweredCalls int // calls that time out
+	lostAcks        int // acknowledgements that are lost
+	probes          int // probes that are sent
 }
 
-// modelBacklog is the number of lines that the model lets wait.
+// modelBacklog is the largest number of lines that the model allows in flight.
 const modelBacklog = 5
 
-// clone returns a copy that shares nothing that changes.
+// clone returns a copy that shares no mutable state with the original.
 func (m *channelModel) clone() *channelModel {
 	c := *m
 	c.window.batches = map[int]*batch{}
@@ -63,7 +65,7 @@
 	return &c
 }
 
-// key returns a text that differs between states that differ.
+// key returns a string that identifies the state: different states have different keys.
 func (m *channelModel) key() string {
 	var batches []string
 	for _, number := range slices.Sorted(maps.Keys(m.window.batches)) {
@@ -86,7 +88,7 @@
 		m.queue, unanswered, m.channel, events, m.acked, m.stalled, m.remaining)
 }
 
-// write puts lines into the channel as publisher.flush does.
+// write adds lines to the window and issues a call with them, as publisher.flush does.
 func (m *channelModel) write(linesTo map[int]int) {
 	lines := map[int]float64{}
 	for proxy, count := range linesTo {
@@ -96,7 +98,7 @@
 	m.issued = append(m.issued, call{linesTo: linesTo, numbers: []int{m.window.seal(1, lines)}})
 }
 
-// next takes the adapter's next call out.
+// takeCall removes the adapter's next call from its queue. During a stall it first merges all queued calls.
 func (m *channelModel) takeCall() call {
 	if m.stalled && len(m.queue) > 1 {
 		m.queue = []call{mergeCalls(m.queue)}
@@ -113,7 +115,7 @@
 	return c
 }
 
-// merge makes one call of several.
+// mergeCalls merges several calls into one.
 func mergeCalls(calls []call) call {
 	all := call{linesTo: map[int]int{}}
 	for _, c := range calls {
@@ -125,14 +127,14 @@
 	return all
 }
 
-// cross puts a call's messages into the channel.
+// sendCall delivers a call to the relay, which adds its messages to the channel.
 func (m *channelModel) sendCall(c call) {
 	for _, proxy := range slices.Sorted(maps.Keys(c.linesTo)) {
 		m.channel = append(m.channel, channelItem{proxy, c.linesTo[proxy], c.numbers[len(c.numbers)-1]})
 	}
 }
 
-// callAnswered ends a stall.
+// callAnswered records that the relay answered a call, which ends a stall.
 func (m *channelModel) callAnswered() {
 	if m.stalled {
 		m.events = append(m.events, channelEvent{stall: &ChannelStalled{}})
@@ -140,14 +142,14 @@
 	m.stalled = false
 }
 
-// callTimedOut has the adapter give up waiting for an answer.
+// requeueCall reports that a call timed out and puts it back to the front of the adapter's queue.
 func (m *channelModel) requeueCall(c call) {
 	m.stalled = true
 	m.events = append(m.events, channelEvent{stall: &ChannelStalled{ForMs: 1, Repeated: c.numbers}})
 	m.queue = append([]call{c}, m.queue...)
 }
 
-// deliver has the first message leave the channel and its proxy acknowledge it.
+// deliver removes the first message from the channel and lets its proxy acknowledge it.
 func (m *channelModel) deliver() {
 	item := m.channel[0]
 	m.channel = m.channel[1:]
@@ -157,7 +159,7 @@
 	}
 }
 
-// handleEvent has the window take in the next event, as publisher.stalled and acknowledged do.
+// handleEvent applies the next event to the window, as publisher.handleStall and publisher.handleAck do.
 func (m *channelModel) handleEvent() {
 	event := m.events[0]
 	m.events = m.events[1:]
@@ -172,20 +174,20 @@
 	}
 }
 
-// passOn hands the next call to the adapter.
+// queueCall moves the next issued call to the adapter's queue.
 func (m *channelModel) queueCall() {
 	m.queue = append(m.queue, m.issued[0])
 	m.issued = m.issued[1:]
 }
 
-// timeOut has the adapter give up the call that it waits for.
+// timeOutCall ends the adapter's wait for the answer to the unanswered call.
 func (m *channelModel) timeOutCall() {
 	out := *m.unanswered
 	m.unanswered = nil
 	m.requeueCall(out)
 }
 
-// callWithoutAnswer makes the next call, whose answer does not come; it may have crossed or not.
+// sendWithoutAnswer makes the adapter's next call, which gets no answer, whether or not it was delivered.
 func (m *channelModel) sendWithoutAnswer(delivered bool) {
 	m.remaining.unansweredCalls--
 	out := m.takeCall()
@@ -195,12 +197,12 @@
 	m.unanswered = &out
 }
 
-// mayWrite returns whether the backlog holds more lines and some writes remain.
+// mayWrite returns whether the budget allows another write and the given lines fit into the backlog.
 func (m *channelModel) mayWrite(lines float64) bool {
 	return m.remaining.writes > 0 && m.window.inFlight()+lines <= modelBacklog
 }
 
-// steps returns every state that one event leads to.
+// steps returns all states that can follow this state in one step.
 func (m *channelModel) steps() (next []*channelModel) {
 	addStep := func(possible bool, do func(*channelModel)) {
 		if possible {
@@ -227,7 +229,7 @@
 	return next
 }
 
-// settle lets all that is under way arrive, without further faults.
+// settle runs the model without further faults until all calls, messages and events have arrived.
 func (m *channelModel) settle() {
 	for {
 		switch {
@@ -248,15 +250,15 @@
 	}
 }
 
-// resendPending returns whether the news that a call goes out again has yet to reach the window. The adapter pauses
-// meanwhile; in the model it may be quicker than the loop.
+// resendPending returns whether an event that reports a repeated call has not yet reached the window. The real adapter
+// pauses in this time; in the model it may continue before the planner handles the event.
 func (m *channelModel) resendPending() bool {
 	return slices.ContainsFunc(m.events, func(event channelEvent) bool {
 		return event.stall != nil && len(event.stall.Repeated) > 0
 	})
 }
 
-// inChannel returns how many lines wait in the channel.
+// inChannel returns the number of lines in the channel.
 func (m *channelModel) inChannel() (lines float64) {
 	for _, item := range m.channel {
 		lines += float64(item.lines)
