--- a/planner/bench_test.go
+++ b/planner/bench_test.go
@@ -7,10 +7,10 @@
 	"indigousher/planner"
 )
 
-// benchFleet is the size of a fleet in three zones.
+// benchFleet is a fleet of the given size in three zones.
 type benchFleet struct{ endpoints, proxies int }
 
-// settings returns settings with two class groups, wide enough a channel, and tables for subsets of the proxies.
+// settings returns settings with two class groups, a channel that is never full, and tables for subsets of the proxies.
 func (f benchFleet) settings() map[string]any {
 	return map[string]any{
 		"instances": 1.0, "lines_per_s": 1e6, "head_lines": 4.0, "backlog": 1e6, "cold": 10000.0, "messages_most": 30.0,
@@ -24,7 +24,7 @@
 	}
 }
 
-// start returns a planner that knows the fleet.
+// start returns a planner that has received the fleet's endpoint list and proxies.
 func (f benchFleet) start() *planner.Planner {
 	p := planner.New(1, f.settings())
 	list := planner.EndpointUpdate{Mode: planner.Snapshot}
@@ -39,8 +39,9 @@
 	return p
 }
 
-// round returns the events of a round: what each zone's proxies saw of each endpoint, and acknowledgements of the last
-// command batch. Loads go up and down, some attempts fail.
+// round returns the events of a control round: each zone's statistics for each endpoint, each proxy's request
+// statistics, and acknowledgements of the latest request unless ack is negative. Loads vary from round to round, and
+// some attempts fail.
 func (f benchFleet) round(number, ack int) []planner.Event {
 	var events []planner.Event
 	for zone := range 3 {
@@ -61,7 +62,7 @@
 	return append(events, planner.TimerFired{Name: "gather"})
 }
 
-// BenchmarkControlRound measures a round with reports of every endpoint from every zone.
+// BenchmarkControlRound measures a control round with statistics of every endpoint from every zone.
 func BenchmarkControlRound(b *testing.B) {
 	for _, fleet := range []benchFleet{{12, 12}, {120, 150}, {600, 400}} {
 		b.Run(fmt.Sprintf("endpoints=%d,proxies=%d", fleet.endpoints, fleet.proxies), func(b *testing.B) {
@@ -82,7 +83,7 @@
 	}
 }
 
-// BenchmarkJoin measures a proxy that joins a fleet that is at work.
+// BenchmarkJoin measures the event that a proxy joins a running fleet.
 func BenchmarkJoin(b *testing.B) {
 	fleet := benchFleet{120, 1000}
 	p := fleet.start()
--- a/planner/drain_test.go
+++ b/planner/drain_test.go
@@ -55,7 +55,7 @@
 			h.step(ProxyJoined{Proxy: 0, Zone: 0, Rate: 20}, EndpointUpdate{Entries: []Entry{gone}})
 			h.now += 1000
 			fillChannel()
-			require.Contains(t, h.step(TimerFired{assignmentTimer}), SetExcluded{0, true}, "excluded halfway through the drain grace")
+			require.Contains(t, h.step(TimerFired{assignmentTimer}), SetExcluded{0, true}, "halfway through the drain grace")
 			h.now += 100
 			fillChannel()
 			if !c.proxyWaits {
--- a/planner/harness_test.go
+++ b/planner/harness_test.go
@@ -8,28 +8,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// harness drives one planner by hand and keeps what its commands add up to.
+// harness passes events to a planner and tracks the state that results from its commands.
 type harness struct {
 	t        *testing.T
 	planner  *Planner
 	settings map[string]any
 	now      float64 // ms
 
-	// What all commands came to.
+	// State after all commands so far.
 	weights   map[int]map[int]float64 // by table and endpoint
-	excluded  map[int]bool
+	excluded  map[int]bool            // by endpoint
 	admission map[string]SetAdmission // by "table/classes"
 	assigned  map[int][]AssignTable   // by proxy, in order
-	logs      []string
+	logs      []string                // texts of all Log commands
 
-	// What the commands of the last step were.
-	written  int // weights that were set
-	messages int // commands to proxies
-	checks   int // health checks
+	// Counts of the commands of the latest step.
+	written  int // SetWeight commands
+	messages int // commands to proxies, without ack requests
+	checks   int // HealthCheck commands
 }
 
-// newHarness starts a planner with three zones of two endpoints (0,1 / 2,3 / 4,5) and a proxy in each of zones 0 and 1.
-// The settings and the endpoint list may be changed before.
+// newHarness starts a planner with three zones of two endpoints (0,1 / 2,3 / 4,5) and one proxy each in zones 0 and 1.
+// Unless nil, change can modify the settings and the endpoint list before the start.
 func newHarness(t *testing.T, change func(settings map[string]any, entries []Entry)) *harness {
 	settings := map[string]any{
 		"instances": 1.0, "rank": 0.0, "lines_per_s": 1000.0, "head_lines": 4.0, "backlog": 1500.0, "cold": 10000.0,
@@ -53,7 +53,7 @@
 	return h
 }
 
-// newEmptyHarness starts a planner that knows neither endpoints nor proxies.
+// newEmptyHarness starts a planner without endpoints and proxies.
 func newEmptyHarness(t *testing.T, settings map[string]any) *harness {
 	return &harness{
 		t:         t,
@@ -66,7 +66,7 @@
 	}
 }
 
-// step hands over events and checks what holds for all commands.
+// step passes events to the planner, checks its commands and applies them to the harness's state.
 func (h *harness) step(events ...Event) []Command {
 	commands := h.planner.Handle(h.now, events)
 	h.written = 0
@@ -82,7 +82,7 @@
 	return commands
 }
 
-// take adds a command to what the commands came to.
+// apply applies a command to the harness's state.
 func (h *harness) apply(command Command) {
 	switch command := command.(type) {
 	case SetWeight:
@@ -106,7 +106,7 @@
 	}
 }
 
-// rounds lets control rounds pass, each with the events that a function returns.
+// rounds runs a number of control rounds, each with the events returned by a call of events; nil means none.
 func (h *harness) rounds(count int, events func() []Event) {
 	for range count {
 		h.now += roundMs
@@ -118,15 +118,15 @@
 	}
 }
 
-// join has proxies of a zone join, with numbers from one up to below another.
+// join lets the proxies with indices from (inclusive) to below (exclusive) join in a zone.
 func (h *harness) join(from, below, zone int, rate float64) {
 	for i := from; i < below; i++ {
 		h.step(ProxyJoined{Proxy: i, Zone: zone, Rate: rate})
 	}
 }
 
-// attempts are a round's stats from a zone's proxies: answered and failed attempts and, if utilization is not below
-// 0, a load report, for each endpoint named.
+// attempts returns the statistics of a zone's proxies for one round: for each endpoint, the numbers of answered and
+// failed attempts and a load report with the utilization. A negative utilization means no load report.
 func attempts(zone, answered, failed int, utilization float64, endpoints ...int) (events []Event) {
 	for _, endpoint := range endpoints {
 		stats := EndpointStats{
@@ -141,12 +141,12 @@
 	return events
 }
 
-// steady returns a function that returns the same attempts in each round.
+// steady returns a function that returns the same attempts for every round.
 func steady(zone, answered, failed int, utilization float64, endpoints ...int) func() []Event {
 	return func() []Event { return attempts(zone, answered, failed, utilization, endpoints...) }
 }
 
-// together returns a function that returns the events of several.
+// together returns a function that returns the events of several functions.
 func together(parts ...func() []Event) func() []Event {
 	return func() (events []Event) {
 		for _, part := range parts {
@@ -156,12 +156,12 @@
 	}
 }
 
-// restarted returns the list update for endpoint 0, of zone 0, that has started again at some time.
+// restarted returns a list update that reports a start of endpoint 0, in zone 0, at a time in ms.
 func restarted(at float64) EndpointUpdate {
 	return EndpointUpdate{Mode: Delta, Entries: []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: at}}}
 }
 
-// share returns the part of a table's weight that some endpoints have.
+// share returns the fraction of a table's total weight that the given endpoints have.
 func (h *harness) share(table int, endpoints ...int) float64 {
 	sum := 0.0
 	part := 0.0
@@ -176,7 +176,7 @@
 	return part / sum
 }
 
-// used returns how many endpoints of a table have weight.
+// weightedEndpoints returns how many endpoints have a weight above 0.
 func weightedEndpoints(weights map[int]float64) int {
 	count := 0
 	for _, weight := range weights {
--- a/planner/mailbox_test.go
+++ b/planner/mailbox_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestDeliveryOrder shows that actors take turns in creation order, and that what is enqueued during a delivery waits for
-// the next turn.
+// TestDeliveryOrder checks that mailboxes are delivered in the actors' creation order, and that messages enqueued
+// during a delivery are delivered with the next one.
 func TestDeliveryOrder(t *testing.T) {
 	var first, second mailbox[string]
 	var delivered []string
@@ -29,5 +29,5 @@
 	first.enqueue("b")
 	p.deliverAll()
 	assert.Equal(t, []string{"first a", "first b", "second d", "first c", "first e"}, delivered)
-	assert.False(t, first.deliver(), "nothing is left")
+	assert.False(t, first.deliver(), "all mailboxes are empty")
 }
--- a/planner/membership_test.go
+++ b/planner/membership_test.go
@@ -76,8 +76,8 @@
 
 // TestStaleAssignments checks what is assumed about the tables of proxies that rejoin. When resumed proxies were
 // assumed to have no tables, lines to 76 proxies with tables were not counted, the channel overflowed, and drains
-// reached them 8 s late (simulated scenario split+mass, seed 2). Conversely, a proxy that is wrongly assumed to have its
-// tables would not be notified of drains.
+// reached them 8 s late (simulated scenario split+mass, seed 2). Conversely, a proxy that is wrongly assumed to have
+// its tables would not be notified of drains.
 func TestStaleAssignments(t *testing.T) {
 	for name, c := range map[string]struct {
 		rejoined      ProxyJoined
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -8,27 +8,27 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// fullFleet is a fleet of 300 endpoints in three zones and 200 proxies on one controller, and its channel of 4000
-// lines a second.
+// fullFleet simulates a fleet of 300 endpoints in three zones and 200 proxies at one pilot, with a channel of 4000
+// lines per second.
 type fullFleet struct {
 	*harness
 	list []Entry
 
-	queue    float64     // lines that wait in the channel
-	acks     []Event     // of what has left it
-	perProxy map[int]int // messages by proxy
-	all      []Command
+	queue    float64     // lines in the channel
+	acks     []Event     // acknowledgements to be delivered once the channel is empty
+	perProxy map[int]int // number of messages by proxy
+	all      []Command   // commands of all ticks so far
 }
 
 const (
 	fullFleetTickMs       = 50
 	fullFleetBacklog      = 8000.0
 	fullFleetLinesPerTick = 4000 * 0.05
-	fullFleetChangeTick   = 200 // when the second half of the proxies joins, as a tenth of the endpoints goes
+	fullFleetChangeTick   = 200 // when half of the proxies join and a tenth of the endpoints leave
 	fullFleetRoundTicks   = 20
 )
 
-// newFullFleet returns the fleet before anything happens.
+// newFullFleet returns the fleet before the first tick.
 func newFullFleet(t *testing.T) *fullFleet {
 	f := &fullFleet{perProxy: map[int]int{}}
 	for i := range 300 {
@@ -41,7 +41,7 @@
 	return f
 }
 
-// joining returns the events of proxies that join, with numbers from one up to below another.
+// joining returns the events with which the proxies with indices from (inclusive) to below (exclusive) join.
 func (f *fullFleet) joining(from, below int) (events []Event) {
 	for i := from; i < below; i++ {
 		events = append(events, ProxyJoined{Proxy: i, Zone: i % 3, Rate: 10})
@@ -49,7 +49,7 @@
 	return events
 }
 
-// events returns what happens in a tick, but for acknowledgements.
+// events returns the events of a tick, without acknowledgements.
 func (f *fullFleet) events(tick int) []Event {
 	switch {
 	case tick == 0:
@@ -62,7 +62,7 @@
 		return append(f.joining(100, 200), EndpointUpdate{Mode: Delta, Entries: gone})
 	case tick%fullFleetRoundTicks == 0:
 		failed := 0
-		if tick < 100 { // endpoint 33 is ejected and comes back
+		if tick < 100 { // endpoint 33 is ejected and later put on trial
 			failed = 5
 		}
 		events := append(attempts(0, 3, 0, 0.5, 99, 102), attempts(0, 5-failed, failed, 0.1, 33)...)
@@ -71,11 +71,11 @@
 	return nil
 }
 
-// tick lets 50 ms pass.
+// tick simulates 50 ms: it delivers events, and puts the resulting commands into the channel.
 func (f *fullFleet) tick(tick int) {
 	f.now = float64(tick) * fullFleetTickMs
 	events := []Event{TimerFired{assignmentTimer}}
-	if f.queue == 0 { // all has left the channel
+	if f.queue == 0 { // all messages have left the channel
 		events = append(events, f.acks...)
 		f.acks = nil
 	}
@@ -88,7 +88,7 @@
 	f.queue = math.Max(0, f.queue-fullFleetLinesPerTick)
 }
 
-// carry puts a command into the channel.
+// sendToChannel adds the messages of a command to the channel.
 func (f *fullFleet) sendToChannel(tick int, command Command) {
 	switch command := command.(type) {
 	case AckRequest:
@@ -109,28 +109,30 @@
 	}
 }
 
-// run plays 20 seconds and returns all commands.
+// run simulates 20 s and returns all commands.
 func (f *fullFleet) run() []Command {
 	for tick := range 400 {
 		f.tick(tick)
 	}
-	assert.Len(f.t, f.assigned, 200, "all have tables in the end")
+	assert.Len(f.t, f.assigned, 200, "all proxies have tables in the end")
 	for _, messages := range f.perProxy {
 		assert.LessOrEqual(f.t, messages, 30)
 	}
 	for i := range 30 {
-		assert.Zero(f.t, f.weights[i%3][i], "what is gone is in no table")
+		assert.Zero(f.t, f.weights[i%3][i], "endpoints that are gone are in no table")
 	}
-	assert.NotZero(f.t, f.weights[0][33], "a trial's line is small, but it is sent")
+	assert.NotZero(f.t, f.weights[0][33], "the line of an endpoint on trial has a small weight, but is sent")
 	return f.all
 }
 
-// TestFullSize holds a full fleet within the channel's backlog and the proxies' message limit, twice the same.
+// TestFullSize checks that the channel's backlog and the proxies' message limit hold for a full-size fleet, and that
+// two runs produce the same commands.
 func TestFullSize(t *testing.T) {
 	assert.Equal(t, newFullFleet(t).run(), newFullFleet(t).run())
 }
 
-// TestMalformedInput hands over events of unknown endpoints, proxies and lists, with few settings or none.
+// TestMalformedInput checks that events of unknown endpoints, proxies and lists, with few settings or none, do not
+// cause a panic or an invalid weight.
 func TestMalformedInput(t *testing.T) {
 	round := TimerFired{roundTimer}
 	oneClass := map[string]any{"req_kinds": []any{map[string]any{}}}
@@ -140,7 +142,7 @@
 	}{
 		"no settings":      {map[string]any{}, []Event{ProxyJoined{Proxy: 1, Zone: 2}, round, ProxyLeft{Proxy: 7}}},
 		"no endpoint":      {oneClass, []Event{ProxyJoined{}, round, EndpointUpdate{Mode: Snapshot}}},
-		"one, weight 0":    {oneClass, []Event{EndpointUpdate{Mode: Snapshot, Entries: []Entry{{}}}, ProxyJoined{}, ProxyJoined{}, round}},
+		"weight 0":         {oneClass, []Event{EndpointUpdate{Mode: Snapshot, Entries: []Entry{{}}}, ProxyJoined{}, ProxyJoined{}, round}},
 		"all draining":     {oneClass, []Event{EndpointUpdate{Entries: []Entry{{Phase: Draining}}}, ProxyJoined{}, round}},
 		"unknown endpoint": {oneClass, []Event{EndpointStats{Endpoint: 9, Zone: 3, Attempts: 5}, HealthCheckResult{Endpoint: 4}, round}},
 		"stats of unknown proxies": {oneClass, []Event{
@@ -154,7 +156,7 @@
 			map[string]any{"slices": 64.0, "req_kinds": []any{map[string]any{}}},
 			[]Event{ProxyJoined{}, SliceAssignment{}, SliceWeight{}, round},
 		},
-		"list on request": {map[string]any{"discovery": "on_request"}, []Event{EndpointUpdate{Mode: UpdateFailed}}},
+		"failed list update": {map[string]any{"discovery": "on_request"}, []Event{EndpointUpdate{Mode: UpdateFailed}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newEmptyHarness(t, c.settings)
@@ -168,7 +170,7 @@
 	}
 }
 
-// TestSameEventsSameCommands shows that nothing but the events decides.
+// TestSameEventsSameCommands checks that the planner is deterministic: the same events produce the same commands.
 func TestSameEventsSameCommands(t *testing.T) {
 	run := func() (all []Command) {
 		h := newHarness(t, nil)
