--- a/planner/drain.go
+++ b/planner/drain.go
@@ -13,8 +13,8 @@
 
 // exclusion tracks which endpoints are unavailable, and which of them are excluded. Times are in ms.
 type exclusion struct {
-	unavailable map[int]float64 // by endpoint that drains or is gone, the time since when
-	excludedAt  map[int]float64 // by excluded endpoint, the time of its exclusion
+	unavailable map[int]float64 // endpoints that drain or are gone, with the time at which this was reported
+	excludedAt  map[int]float64 // excluded endpoints, with the time of the exclusion
 	lastChange  float64         // time of the latest exclusion or readmission of any endpoint
 }
 
@@ -95,7 +95,7 @@
 }
 
 // isExclusionDue returns whether an unavailable endpoint should be excluded now. If no proxy waits for its tables, the
-// endpoint is excluded once; otherwise it is excluded when a waiting proxy that may hold it reaches its deadline.
+// endpoint is excluded once; otherwise it is excluded at the deadline of each waiting proxy that may hold it.
 func (pb *publisher) isExclusionDue(endpoint int, to recipients) bool {
 	if len(to.waiting) == 0 && pb.exclusion.excludedAt[endpoint] == 0 {
 		return true
@@ -145,8 +145,8 @@
 	})
 }
 
-// exclude excludes an endpoint. If this takes messages to waiting proxies, it does nothing until the message interval
-// since lastChange has passed, and counts the exclusion as blocked if the messages do not fit into the channel.
+// exclude excludes an endpoint. If this requires messages to waiting proxies, it does nothing until the message
+// interval since lastChange has passed, and counts the exclusion as blocked if the messages do not fit into the channel.
 func (pb *publisher) exclude(endpoint int, to recipients, lastChange float64) {
 	x := &pb.exclusion
 	now := pb.planner.now
--- a/planner/events.go
+++ b/planner/events.go
@@ -67,8 +67,8 @@
 func (HealthCheckResult) event() {}
 
 // Load is a load report: values by name. The names are in_hand (requests in flight), waiting (queue length), util
-// (utilization as a fraction of the capacity, may exceed 1), service_ms (time to serve a request), rate (requests per
-// second) and errored_rate (failed requests).
+// (utilization as a fraction of the capacity, may exceed 1), service_ms (service time of a request), rate (requests
+// per second) and errored_rate (failed requests per second).
 type Load map[string]float64
 
 // Gossip is a short text message from another pilot.
--- a/planner/flowcontrol.go
+++ b/planner/flowcontrol.go
@@ -26,7 +26,7 @@
 // blockage describes urgent lines and exclusions that wait for room in the channel.
 type blockage struct {
 	exclusions int     // exclusions that are due in the current flush but do not fit
-	since      float64 // ms, when the channel became full; 0 if nothing waits for room
+	since      float64 // ms, when something first lacked room; 0 if nothing waits for room
 	probeAt    float64 // ms, time for which the probe timer is set
 }
 
--- a/planner/harness_test.go
+++ b/planner/harness_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// rounds runs a number of control rounds, each with the events returned by a call of events; nil means none.
+// rounds runs a number of control rounds, each with the events that a call of events returns. events may be nil.
 func (h *harness) rounds(count int, events func() []Event) {
 	for range count {
 		h.now += roundMs
--- a/planner/membership.go
+++ b/planner/membership.go
@@ -13,7 +13,7 @@
 	// assignmentWaitMs is the time between two attempts to assign tables while the channel has no room for them.
 	assignmentWaitMs = 100.0
 
-	// assignmentBacklogFraction is the fraction of the backlog that queued lines may reach by assignments of tables.
+	// assignmentBacklogFraction is the fraction of the channel's backlog that assignments of tables may fill.
 	assignmentBacklogFraction = 0.3
 
 	// assignmentTimer is the name of the timer of the next attempt to assign tables.
@@ -82,11 +82,11 @@
 // assignWaiting assigns tables to the proxies that wait for them, while the channel has room. If room is lacking, it
 // sets a timer for the next attempt.
 func (pb *publisher) assignWaiting() {
-	worthwhile := minWorthwhileDiff * math.Min(1, pb.zoneHeaderSeconds())
+	minDivergence := minWorthwhileDiff * math.Min(1, pb.zoneHeaderSeconds())
 	for _, index := range pb.waitingProxies() {
 		proxy := pb.proxies[index]
 		weights, cost := pb.assignmentCost(proxy)
-		if weights == 0 || pb.planner.regions[proxy.Zone].divergence < worthwhile {
+		if weights == 0 || pb.planner.regions[proxy.Zone].divergence < minDivergence {
 			continue // the static table is better than an empty one, or routes about as planned
 		}
 		queued := pb.window.queued
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -29,8 +29,8 @@
 
 // Target load of an endpoint, as a fraction of its capacity. It rises with the cost of requests that cross zones.
 const (
-	baseTargetLoad          = 0.5  // if crossing zones costs nothing
-	maxTargetLoad           = 0.85 // upper bound: with a high cost, a zone keeps its requests until it is nearly full
+	baseTargetLoad          = 0.5  // target load if crossing zones costs nothing
+	maxTargetLoad           = 0.85 // highest target load: if crossing costs much, a zone should be nearly full first
 	targetLoadCrossZoneGain = 2.0  // increase of the target load per unit of cross-zone cost
 )
 
@@ -44,7 +44,7 @@
 	settings Settings // from New or the latest call of Reconfigure
 
 	// Derived from the settings passed to New. Reconfigure does not change them, because table numbers depend on them.
-	targetLoad    float64 // fraction of the capacity; an endpoint's penalty grows above it
+	targetLoad    float64 // load above which an endpoint's penalty grows, as a fraction of its capacity
 	classes       []RequestClass
 	shedSequence  []int // classes in the order in which their load is shed
 	groups        []classGroup
@@ -232,7 +232,7 @@
 	}
 }
 
-// endpoint returns the state of the endpoint with an index and creates it on first use.
+// endpoint returns the state of the endpoint with the given index and creates it on first use.
 func (p *Planner) endpoint(index int) *endpoint {
 	for len(p.endpoints) <= index {
 		e := newEndpoint(p, len(p.endpoints))
--- a/planner/publisher.go
+++ b/planner/publisher.go
@@ -13,24 +13,25 @@
 )
 
 const (
-	// A line is sent if its planned and last sent weights differ by more than a fraction of the larger one. The
-	// fraction is tolerance, plus up to channelTolerance in proportion to the seconds (at most 1) that the channel
-	// needs to send all tables of a zone.
+	// tolerance and channelTolerance define which lines of a table are sent: those whose planned and last sent weights
+	// differ by more than a fraction of the larger one. The fraction is tolerance, plus channelTolerance times the
+	// seconds (at most 1) that the channel needs to send all tables of a zone.
 	tolerance        = 0.12
 	channelTolerance = 0.2
-	// minWorthwhileDiff is the smallest sum of weight differences, as a fraction of a table's planned weight, for which
-	// messages are sent whose headers occupy the channel for a second or more. For headers that take less time, the
+	// minWorthwhileDiff is the smallest sum of weight differences that is worth sending, as a fraction of a table's
+	// planned weight, if the message headers occupy the channel for a second or more. If they take less time, the
 	// minimum is proportionally smaller.
 	minWorthwhileDiff = 0.5
 
-	// backlogDivisor limits deferrable lines to a third of the backlog; the rest is reserved for urgent lines.
+	// backlogDivisor limits the queue of deferrable lines to a third of the channel's backlog; the rest is reserved for
+	// urgent lines (see isUrgent).
 	backlogDivisor = 3.0
 
 	// messageSpacing is the interval between regular messages to a proxy, relative to the shortest that its message
 	// limit allows. It leaves room for half as many urgent messages within the limit.
 	messageSpacing = 1.5
 
-	// defaultLinesPerSecond is the rate of the channel if none is configured.
+	// defaultLinesPerSecond is the rate of the channel, in lines per second, if none is configured.
 	defaultLinesPerSecond = 1000.0
 )
 
@@ -104,8 +105,8 @@
 }
 
 // flush runs at the end of each call of Handle and issues commands while the channel has room: first changed lines of
-// tables, then assignments of tables to waiting proxies, then exclusions of endpoints. If anything was sent, a request
-// for an acknowledgement follows.
+// tables, then assignments of tables to proxies that wait for them, then exclusions of endpoints. If anything was sent,
+// a request for an acknowledgement follows.
 func (pb *publisher) flush() {
 	p := pb.planner
 	writtenBefore := pb.window.written
@@ -139,7 +140,7 @@
 // headerLines returns the overhead of a message in lines, including its request for an acknowledgement.
 func (pb *publisher) headerLines() float64 { return pb.planner.settings.HeaderLines + 1 }
 
-// linesPerSecond returns the rate of the channel.
+// linesPerSecond returns the rate of the channel in lines per second.
 func (pb *publisher) linesPerSecond() float64 {
 	return pb.planner.settings.LinesPerSecond.Or(defaultLinesPerSecond)
 }
@@ -149,7 +150,7 @@
 	return messageSpacing * pb.planner.settings.MessageSpanMs / pb.planner.settings.MessageLimit
 }
 
-// tableUpdate is the state of one push of a table.
+// tableUpdate tracks the push of one table, which sends the table's changes to the proxies that hold it.
 type tableUpdate struct {
 	table       *table
 	users       float64 // number of proxies that hold the table
@@ -230,15 +231,15 @@
 }
 
 // isUrgent returns whether the line is sent regardless of the budget, because its endpoint drains, is gone, or has
-// restarted.
+// restarted and would be overloaded by its old weight.
 func (d lineDiff) isUrgent() bool { return d.size >= restartSize }
 
 // tableDiff describes how the plan of a table differs from its last sent state.
 type tableDiff struct {
 	lines         []lineDiff // in descending order of size
 	sizeSum       float64    // sum of the sizes of all lines
-	sentWeight    float64    // total weight sent for endpoints that are available
-	plannedWeight float64    // total weight planned
+	sentWeight    float64    // total weight last sent for endpoints that are available
+	plannedWeight float64    // total planned weight of all endpoints
 }
 
 // diff compares the plan of a table with its last sent state. The result contains the lines that differ by more than
@@ -291,8 +292,8 @@
 }
 
 // writeLines sends the changed lines in descending order of size. Urgent lines need only room in the backlog and count
-// as pending if there is none. Other lines also need budget, except while the available endpoints have no more than
-// half of the table's planned weight.
+// as pending if there is none. Other lines also need budget, except while the weight sent for available endpoints is at
+// most half of the table's planned weight.
 func (pb *publisher) writeLines(update *tableUpdate, diff tableDiff) {
 	t := update.table
 	for _, line := range diff.lines {
@@ -319,7 +320,7 @@
 
 // countSentLines adds the lines of a push to the send window and to the counts of the proxies that hold the table.
 func (pb *publisher) countSentLines(update *tableUpdate) {
-	lines := 0.0 // to each proxy that holds the table
+	lines := 0.0 // sent to each proxy that holds the table, with the message overhead
 	if update.written > 0 {
 		update.table.pushedAt = pb.planner.now
 		lines = update.written + update.headerLines
--- a/planner/sendwindow.go
+++ b/planner/sendwindow.go
@@ -34,7 +34,7 @@
 type sendWindow struct {
 	written   float64        // position after the last line sent
 	delivered float64        // position up to which all lines are known to have left the channel
-	queued    float64        // estimate of the lines in the channel by its rate; limits deferrable lines
+	queued    float64        // estimated lines in the channel, by its rate; used to limit deferrable lines
 	sealed    float64        // position after the last line of the latest batch
 	batches   map[int]*batch // by the number of their request for an acknowledgement
 
@@ -42,7 +42,7 @@
 	advancedAt float64 // time up to which advance has updated the window
 	stalledMs  float64 // how long the channel has accepted no commands, as last reported; 0 if it accepts them
 	ackedAt    float64 // when the latest acknowledgement arrived; 0 if none has
-	busySince  float64 // since when lines have been in flight
+	busySince  float64 // time since which lines have been in flight
 	sealedAt   float64 // when the latest batch was sent
 	probes     float64 // probes sent since the latest acknowledgement, up to maxProbeDoublings
 }
@@ -69,8 +69,9 @@
 	w.queued += lines
 }
 
-// advance reduces the estimate of queued lines by the time since the last call and the rate of the channel. It reduces
-// the lines in flight in this way only if no acknowledgement has ever arrived, or none for lineLifetimeMs.
+// advance reduces the estimate of queued lines by those that may have left since the last call, assuming a fraction
+// (unackedRateFraction) of the channel's rate. It reduces the lines in flight in the same way, but only if no
+// acknowledgement has ever arrived, or none for lineLifetimeMs.
 func (w *sendWindow) advance(now, linesPerMs float64) {
 	span := now - w.advancedAt
 	if w.stalledMs > 0 {
