--- a/planner/channelmodel_test.go
+++ b/planner/channelmodel_test.go
@@ -211,21 +211,21 @@
 			next = append(next, c)
 		}
 	}
-	calls := len(m.queue) > 0 && m.unanswered == nil
-	uncertain := calls && m.remaining.unansweredCalls > 0
-	ackComing := len(m.events) > 0 && m.events[0].stall == nil
+	mayCall := len(m.queue) > 0 && m.unanswered == nil
+	mayTimeOut := mayCall && m.remaining.unansweredCalls > 0
+	ackIsNext := len(m.events) > 0 && m.events[0].stall == nil
 	addStep(m.mayWrite(2), func(c *channelModel) { c.remaining.writes--; c.write(map[int]int{0: 1, 1: 1}) })
 	addStep(m.mayWrite(1), func(c *channelModel) { c.remaining.writes--; c.write(map[int]int{1: 1}) })
 	mayProbe := m.remaining.probes > 0 && m.window.stalledMs == 0
 	addStep(mayProbe, func(c *channelModel) { c.remaining.probes--; c.write(map[int]int{0: 1}) })
 	addStep(len(m.issued) > 0, (*channelModel).queueCall)
-	addStep(calls, func(c *channelModel) { c.sendCall(c.takeCall()); c.callAnswered() })
-	addStep(uncertain, func(c *channelModel) { c.sendWithoutAnswer(true) })
-	addStep(uncertain, func(c *channelModel) { c.sendWithoutAnswer(false) })
+	addStep(mayCall, func(c *channelModel) { c.sendCall(c.takeCall()); c.callAnswered() })
+	addStep(mayTimeOut, func(c *channelModel) { c.sendWithoutAnswer(true) })
+	addStep(mayTimeOut, func(c *channelModel) { c.sendWithoutAnswer(false) })
 	addStep(m.unanswered != nil, (*channelModel).timeOutCall)
 	addStep(len(m.channel) > 0, (*channelModel).deliver)
 	addStep(len(m.events) > 0, (*channelModel).handleEvent)
-	addStep(ackComing && m.remaining.lostAcks > 0, func(c *channelModel) { c.remaining.lostAcks--; c.events = c.events[1:] })
+	addStep(ackIsNext && m.remaining.lostAcks > 0, func(c *channelModel) { c.remaining.lostAcks--; c.events = c.events[1:] })
 	return next
 }
 
