--- a/planner/channelmodel_test.go
+++ b/planner/channelmodel_test.go
@@ -6,47 +6,49 @@
 	"slices"
 )
 
-// channelModel is a small world around a window: the calls on their way to the relay, its channel, and what comes back.
-// It plays the adapter: after a call that failed all that waits goes out as one, under the newest number.
+// channelModel is a small model of a send window and its environment: the adapter that sends commands to the relay in
+// calls, the relay's channel, and the events that come back. Like the real adapter, it sends all queued commands in a
+// single call after a failed call, under the newest number.
 type channelModel struct {
 	window     sendWindow
-	commanded  []call          // not yet with the adapter
-	queue      []call          // with the adapter, oldest first
-	unanswered *call           // a call that got no answer and that the adapter still waits for
+	issued     []call          // calls that have not reached the adapter, oldest first
+	queue      []call          // calls queued at the adapter, oldest first
+	unanswered *call           // call that will get no answer, until the adapter's timeout; nil: none
 	channel    []channelItem   // messages in the relay's channel, oldest first
-	events     []channelEvent  // on the way to the window, in order
-	acked      map[[2]int]bool // acknowledgements that came before: the event reader passes each on once
-	stalled    bool
-	remaining  limits
+	events     []channelEvent  // events that have not reached the window, oldest first
+	acked      map[[2]int]bool // acknowledgements, by proxy and number, that have been sent: each is sent only once
+	stalled    bool            // the adapter's latest call timed out
+	remaining  stepBudget
 }
 
-// call is what goes out at once: lines for each proxy, and the requests for an acknowledgement behind them.
+// call is one call to the relay: lines by proxy, followed by requests for an acknowledgement.
 type call struct {
-	linesTo map[int]int
-	numbers []int // of the requests, the newest last
+	linesTo map[int]int // number of lines by proxy
+	numbers []int       // numbers of the requests, the newest last
 }
 
-// channelItem is a message in the channel, with a request for an acknowledgement.
+// channelItem is a message to a proxy in the channel, with its number of lines and the number of its request for an
+// acknowledgement.
 type channelItem struct{ proxy, lines, number int }
 
-// channelEvent is an acknowledgement, or news of a stall.
+// channelEvent is an acknowledgement or a ChannelStalled event.
 type channelEvent struct {
-	stall         *ChannelStalled // nil: an acknowledgement
-	proxy, number int
+	stall         *ChannelStalled // nil for an acknowledgement
+	proxy, number int             // of an acknowledgement
 }
 
-// limits are how often each thing may still happen.
-type limits struct {
-	writes    int
-	uncertain int // calls without an answer
-	lost      int // acknowledgements
-	probes    int
+// stepBudget is the number of steps of each kind that may still happen.
+type stepBudget struct {
+	writes          int // batches of lines that are written
+	unansweredCalls int // calls that time out
+	lostAcks        int // acknowledgements that are lost
+	probes          int // probes that are sent
 }
 
-// modelBacklog is the number of lines that the model lets wait.
+// modelBacklog is the largest number of lines that the model allows in flight.
 const modelBacklog = 5
 
-// clone returns a copy that shares nothing that changes.
+// clone returns a copy that shares no mutable state with the original.
 func (m *channelModel) clone() *channelModel {
 	c := *m
 	c.window.batches = map[int]*batch{}
@@ -55,7 +57,7 @@
 		copied.acked = maps.Clone(b.acked)
 		c.window.batches[number] = &copied
 	}
-	c.commanded = slices.Clone(m.commanded)
+	c.issued = slices.Clone(m.issued)
 	c.queue = slices.Clone(m.queue)
 	c.channel = slices.Clone(m.channel)
 	c.events = slices.Clone(m.events)
@@ -63,7 +65,7 @@
 	return &c
 }
 
-// key returns a text that differs between states that differ.
+// key returns a string that identifies the state: different states have different keys.
 func (m *channelModel) key() string {
 	var batches []string
 	for _, number := range slices.Sorted(maps.Keys(m.window.batches)) {
@@ -82,39 +84,39 @@
 		unanswered = fmt.Sprint(*m.unanswered)
 	}
 	w := &m.window
-	return fmt.Sprint(w.written, w.delivered, w.sealed, w.stalledMs, w.probes, batches, m.commanded,
+	return fmt.Sprint(w.written, w.delivered, w.sealed, w.stalledMs, w.probes, batches, m.issued,
 		m.queue, unanswered, m.channel, events, m.acked, m.stalled, m.remaining)
 }
 
-// write puts lines into the channel as publisher.flush does.
+// write adds lines to the window and issues a call with them, as publisher.flush does.
 func (m *channelModel) write(linesTo map[int]int) {
 	lines := map[int]float64{}
 	for proxy, count := range linesTo {
 		lines[proxy] = float64(count)
 		m.window.add(float64(count))
 	}
-	m.commanded = append(m.commanded, call{linesTo: linesTo, numbers: []int{m.window.seal(1, lines)}})
+	m.issued = append(m.issued, call{linesTo: linesTo, numbers: []int{m.window.seal(1, lines)}})
 }
 
-// next takes the adapter's next call out.
-func (m *channelModel) next() call {
+// takeCall removes the adapter's next call from its queue. During a stall it first merges all queued calls.
+func (m *channelModel) takeCall() call {
 	if m.stalled && len(m.queue) > 1 {
-		m.queue = []call{merge(m.queue)}
+		m.queue = []call{mergeCalls(m.queue)}
 	}
 	c := m.queue[0]
 	m.queue = m.queue[1:]
 	if len(c.numbers) > 1 {
-		news := &ChannelStalled{Merged: c.numbers}
+		stall := &ChannelStalled{Merged: c.numbers}
 		if m.stalled {
-			news.ForMs = 1
+			stall.ForMs = 1
 		}
-		m.events = append(m.events, channelEvent{stall: news})
+		m.events = append(m.events, channelEvent{stall: stall})
 	}
 	return c
 }
 
-// merge makes one call of several.
-func merge(calls []call) call {
+// mergeCalls merges several calls into one.
+func mergeCalls(calls []call) call {
 	all := call{linesTo: map[int]int{}}
 	for _, c := range calls {
 		for proxy, lines := range c.linesTo {
@@ -125,14 +127,14 @@
 	return all
 }
 
-// cross puts a call's messages into the channel.
-func (m *channelModel) cross(c call) {
+// sendCall delivers a call to the relay, which adds its messages to the channel.
+func (m *channelModel) sendCall(c call) {
 	for _, proxy := range slices.Sorted(maps.Keys(c.linesTo)) {
 		m.channel = append(m.channel, channelItem{proxy, c.linesTo[proxy], c.numbers[len(c.numbers)-1]})
 	}
 }
 
-// callAnswered ends a stall.
+// callAnswered records that the relay answered a call, which ends a stall.
 func (m *channelModel) callAnswered() {
 	if m.stalled {
 		m.events = append(m.events, channelEvent{stall: &ChannelStalled{}})
@@ -140,14 +142,14 @@
 	m.stalled = false
 }
 
-// callTimedOut has the adapter give up waiting for an answer.
-func (m *channelModel) callTimedOut(c call) {
+// requeueCall reports that a call timed out and puts it back to the front of the adapter's queue.
+func (m *channelModel) requeueCall(c call) {
 	m.stalled = true
 	m.events = append(m.events, channelEvent{stall: &ChannelStalled{ForMs: 1, Repeated: c.numbers}})
 	m.queue = append([]call{c}, m.queue...)
 }
 
-// deliver has the first message leave the channel and its proxy acknowledge it.
+// deliver removes the first message from the channel and lets its proxy acknowledge it.
 func (m *channelModel) deliver() {
 	item := m.channel[0]
 	m.channel = m.channel[1:]
@@ -157,7 +159,7 @@
 	}
 }
 
-// handleEvent has the window take in the next event, as publisher.stalled and acknowledged do.
+// handleEvent applies the next event to the window, as publisher.handleStall and publisher.handleAck do.
 func (m *channelModel) handleEvent() {
 	event := m.events[0]
 	m.events = m.events[1:]
@@ -166,79 +168,79 @@
 		return
 	}
 	m.window.stall(1, event.stall.ForMs)
-	m.window.join(event.stall.Merged)
+	m.window.mergeBatches(event.stall.Merged)
 	if number, resent := m.window.resend(1, event.stall.Repeated); resent {
-		m.commanded = append(m.commanded, call{numbers: []int{number}})
+		m.issued = append(m.issued, call{numbers: []int{number}})
 	}
 }
 
-// passOn hands the next call to the adapter.
-func (m *channelModel) passOn() {
-	m.queue = append(m.queue, m.commanded[0])
-	m.commanded = m.commanded[1:]
+// queueCall moves the next issued call to the adapter's queue.
+func (m *channelModel) queueCall() {
+	m.queue = append(m.queue, m.issued[0])
+	m.issued = m.issued[1:]
 }
 
-// timeOut has the adapter give up the call that it waits for.
-func (m *channelModel) timeOut() {
+// timeOutCall ends the adapter's wait for the answer to the unanswered call.
+func (m *channelModel) timeOutCall() {
 	out := *m.unanswered
 	m.unanswered = nil
-	m.callTimedOut(out)
+	m.requeueCall(out)
 }
 
-// callWithoutAnswer makes the next call, whose answer does not come; it may have crossed or not.
-func (m *channelModel) callWithoutAnswer(crosses bool) {
-	m.remaining.uncertain--
-	out := m.next()
-	if crosses {
-		m.cross(out)
+// sendWithoutAnswer makes the adapter's next call, which gets no answer, whether or not it was delivered.
+func (m *channelModel) sendWithoutAnswer(delivered bool) {
+	m.remaining.unansweredCalls--
+	out := m.takeCall()
+	if delivered {
+		m.sendCall(out)
 	}
 	m.unanswered = &out
 }
 
-// mayWrite returns whether the backlog holds more lines and some writes remain.
+// mayWrite returns whether the budget allows another write and the given lines fit into the backlog.
 func (m *channelModel) mayWrite(lines float64) bool {
 	return m.remaining.writes > 0 && m.window.inFlight()+lines <= modelBacklog
 }
 
-// steps returns every state that one event leads to.
+// steps returns all states that can follow this state in one step.
 func (m *channelModel) steps() (next []*channelModel) {
-	when := func(can bool, do func(*channelModel)) {
-		if can {
+	addStep := func(possible bool, do func(*channelModel)) {
+		if possible {
 			c := m.clone()
 			do(c)
 			next = append(next, c)
 		}
 	}
-	calls := len(m.queue) > 0 && m.unanswered == nil
-	uncertain := calls && m.remaining.uncertain > 0
-	ackComing := len(m.events) > 0 && m.events[0].stall == nil
-	when(m.mayWrite(2), func(c *channelModel) { c.remaining.writes--; c.write(map[int]int{0: 1, 1: 1}) })
-	when(m.mayWrite(1), func(c *channelModel) { c.remaining.writes--; c.write(map[int]int{1: 1}) })
+	mayCall := len(m.queue) > 0 && m.unanswered == nil
+	mayTimeOut := mayCall && m.remaining.unansweredCalls > 0
+	ackIsNext := len(m.events) > 0 && m.events[0].stall == nil
+	addStep(m.mayWrite(2), func(c *channelModel) { c.remaining.writes--; c.write(map[int]int{0: 1, 1: 1}) })
+	addStep(m.mayWrite(1), func(c *channelModel) { c.remaining.writes--; c.write(map[int]int{1: 1}) })
 	mayProbe := m.remaining.probes > 0 && m.window.stalledMs == 0
-	when(mayProbe, func(c *channelModel) { c.remaining.probes--; c.write(map[int]int{0: 1}) })
-	when(len(m.commanded) > 0, (*channelModel).passOn)
-	when(calls, func(c *channelModel) { c.cross(c.next()); c.callAnswered() })
-	when(uncertain, func(c *channelModel) { c.callWithoutAnswer(true) })
-	when(uncertain, func(c *channelModel) { c.callWithoutAnswer(false) })
-	when(m.unanswered != nil, (*channelModel).timeOut)
-	when(len(m.channel) > 0, (*channelModel).deliver)
-	when(len(m.events) > 0, (*channelModel).handleEvent)
-	when(ackComing && m.remaining.lost > 0, func(c *channelModel) { c.remaining.lost--; c.events = c.events[1:] })
+	addStep(mayProbe, func(c *channelModel) { c.remaining.probes--; c.write(map[int]int{0: 1}) })
+	addStep(len(m.issued) > 0, (*channelModel).queueCall)
+	addStep(mayCall, func(c *channelModel) { c.sendCall(c.takeCall()); c.callAnswered() })
+	addStep(mayTimeOut, func(c *channelModel) { c.sendWithoutAnswer(true) })
+	addStep(mayTimeOut, func(c *channelModel) { c.sendWithoutAnswer(false) })
+	addStep(m.unanswered != nil, (*channelModel).timeOutCall)
+	addStep(len(m.channel) > 0, (*channelModel).deliver)
+	addStep(len(m.events) > 0, (*channelModel).handleEvent)
+	addStep(ackIsNext && m.remaining.lostAcks > 0, func(c *channelModel) { c.remaining.lostAcks--; c.events = c.events[1:] })
 	return next
 }
 
-// settle lets all that is under way arrive, without further faults.
+// settle runs the model without further faults until all calls, messages and events have arrived.
 func (m *channelModel) settle() {
 	for {
 		switch {
 		case m.unanswered != nil:
-			m.timeOut()
+			m.timeOutCall()
 		case len(m.events) > 0:
 			m.handleEvent()
-		case len(m.commanded) > 0:
-			m.passOn()
+		case len(m.issued) > 0:
+			m.queueCall()
 		case len(m.queue) > 0:
-			m.cross(m.next())
+			m.sendCall(m.takeCall())
 			m.callAnswered()
 		case len(m.channel) > 0:
 			m.deliver()
@@ -248,15 +250,15 @@
 	}
 }
 
-// resendPending returns whether the news that a call goes out again has yet to reach the window. The adapter pauses
-// meanwhile; in the model it may be quicker than the loop.
+// resendPending returns whether an event that reports a repeated call has not yet reached the window. The real adapter
+// pauses in this time; in the model it may continue before the planner handles the event.
 func (m *channelModel) resendPending() bool {
 	return slices.ContainsFunc(m.events, func(event channelEvent) bool {
 		return event.stall != nil && len(event.stall.Repeated) > 0
 	})
 }
 
-// inChannel returns how many lines wait in the channel.
+// inChannel returns the number of lines in the channel.
 func (m *channelModel) inChannel() (lines float64) {
 	for _, item := range m.channel {
 		lines += float64(item.lines)
--- a/planner/flowcontrol.go
+++ b/planner/flowcontrol.go
@@ -1,9 +1,9 @@
 package planner
 
-// This file controls the flow of lines to the channel. Lines may be written as long as they fit below the backlog
-// (fits), by the account of the window (sendwindow.go). Acknowledgements renew the window (acknowledged); proxies
-// send them on request behind each batch. While urgent lines do not fit and nothing is received, one proxy is
-// assigned its tables again as a probe, like TCP's zero window probe.
+// This file implements flow control for the channel to the proxies. Lines may be sent while the lines in flight, as
+// tracked by the send window (sendwindow.go), stay below the configured backlog. Each batch of lines ends with a
+// request for an acknowledgement, and acknowledgements open the window again. If urgent lines do not fit and no
+// acknowledgement arrives, one proxy is assigned its tables again as a probe, similar to TCP's zero window probe.
 
 import (
 	"maps"
@@ -12,55 +12,58 @@
 )
 
 const (
-	// probeTimer names the timer of the next probe.
+	// probeTimer is the name of the timer of the next probe.
 	probeTimer = "probe"
 
-	// probeWays is the wait before the first probe, in longest delivery times: there and back.
-	probeWays = 2.0
+	// probeWaitDeliveries is the wait before the first probe, as a multiple of the longest delivery time of a message:
+	// once for the lines and once for the acknowledgement.
+	probeWaitDeliveries = 2.0
 
-	// earliestMs stands in for the time 0 where 0 means that something has not happened.
-	earliestMs = 1e-3
+	// minTimestampMs replaces the time 0 in fields where 0 means that something has not happened.
+	minTimestampMs = 1e-3
 )
 
-// blockage describes urgent lines that wait for room in the channel.
+// blockage describes urgent lines and exclusions that wait for room in the channel.
 type blockage struct {
-	exclusions int     // exclusions that are due in this flush but do not fit
-	since      float64 // ms, when the first was held back; 0: nothing is
-	probeAt    float64 // ms, when the next probe is due, as the timer is set
+	exclusions int     // exclusions that are due in the current flush but do not fit
+	since      float64 // ms, when something first lacked room; 0 if nothing waits for room
+	probeAt    float64 // ms, time for which the probe timer is set
 }
 
-// fits returns whether some lines, with those that may still wait in the channel, stay below its backlog.
+// fits returns whether the lines can be sent: together with the lines in flight they must stay below the backlog.
 func (pb *publisher) fits(lines float64) bool {
 	return pb.window.inFlight()+lines < pb.planner.settings.BacklogLines
 }
 
-// stalled corrects the account while commands cannot be sent, and requests a new acknowledgement of repeated calls.
-func (pb *publisher) stalled(stall ChannelStalled) {
+// handleStall updates the send window while the channel accepts no commands, or accepts them again. For a call that is
+// sent again, it requests a new acknowledgement.
+func (pb *publisher) handleStall(stall ChannelStalled) {
 	now := pb.planner.now
 	pb.window.stall(now, stall.ForMs)
-	pb.window.join(stall.Merged)
+	pb.window.mergeBatches(stall.Merged)
 	if number, resent := pb.window.resend(now, stall.Repeated); resent {
 		pb.planner.command(AckRequest{Number: number})
 	}
 }
 
-// acknowledged renews the window.
-func (pb *publisher) acknowledged(ack Ack) {
+// handleAck applies an acknowledgement to the send window and to the state of the proxy that sent it.
+func (pb *publisher) handleAck(ack Ack) {
 	wasProbing := pb.window.probes > 0
-	orderedAt, known := pb.window.acknowledge(pb.planner.now, ack.Number, ack.Proxy)
+	commandedAt, known := pb.window.acknowledge(pb.planner.now, ack.Number, ack.Proxy)
 	proxy := pb.proxies[ack.Proxy]
 	if !known || proxy == nil {
 		return
 	}
 	if wasProbing {
-		pb.reopened = true
+		pb.windowReopened = true
 	}
-	pb.confirm(proxy, orderedAt)
+	pb.confirm(proxy, commandedAt)
 }
 
-// watchBlockage probes the window while urgent lines wait for room, unless this flush requests an acknowledgement
-// anyway, and writes to the log when that begins and ends.
-func (pb *publisher) watchBlockage(acksRequested bool) {
+// updateBlockage checks whether urgent lines or exclusions wait for room in the channel and logs when this starts and
+// ends. While it lasts, it sends probes, except in a flush that requests an acknowledgement anyway or while the channel
+// accepts no commands.
+func (pb *publisher) updateBlockage(acksRequested bool) {
 	p := pb.planner
 	blocked := &pb.blocked
 	pending := blocked.exclusions
@@ -76,7 +79,7 @@
 		return
 	}
 	if blocked.since == 0 {
-		blocked.since = math.Max(p.now, earliestMs)
+		blocked.since = math.Max(p.now, minTimestampMs)
 		p.logf("channel full: %d drains wait, %.0f lines in flight of %.0f, %d marks kept, last answer %.0f ms ago",
 			pending, pb.window.inFlight(), p.settings.BacklogLines, len(pb.window.batches), p.now-pb.window.ackedAt)
 	}
@@ -85,11 +88,11 @@
 	}
 }
 
-// probe assigns one proxy its tables again, once a probe is due: the smallest batch whose acknowledgement proves that
-// all earlier lines have left.
+// probe assigns one proxy its tables again if a probe is due, and otherwise sets the probe timer. The assignment is the
+// smallest batch whose acknowledgement proves that all earlier lines have left the channel.
 func (pb *publisher) probe() {
 	p := pb.planner
-	due := pb.window.nextProbeAt(probeWays * p.settings.DeliveryMs)
+	due := pb.window.nextProbeAt(probeWaitDeliveries * p.settings.DeliveryMs)
 	if due > p.now {
 		if pb.blocked.probeAt != due {
 			pb.blocked.probeAt = due
@@ -104,16 +107,16 @@
 	p.logf("channel probed with proxy %d: %.0f lines in flight, last answer %.0f ms ago", proxy.Proxy,
 		pb.window.inFlight(), p.now-pb.window.ackedAt)
 	proxy.probedAt = p.now
-	pb.window.probed()
+	pb.window.countProbe()
 	pb.assign(proxy)
 }
 
-// probeTarget returns the proxy that was probed least recently and, among those, acknowledged most recently; nil if
-// there is none with tables.
+// probeTarget returns the proxy that was probed least recently and, among equals, acknowledged most recently. It
+// returns nil if the tables of all proxies are empty.
 func (pb *publisher) probeTarget() *proxyState {
 	var target *proxyState
-	for _, name := range slices.Sorted(maps.Keys(pb.proxies)) {
-		proxy := pb.proxies[name]
+	for _, index := range slices.Sorted(maps.Keys(pb.proxies)) {
+		proxy := pb.proxies[index]
 		if weights, _ := pb.assignmentCost(proxy); weights == 0 {
 			continue
 		}
