--- a/cmd/indigousher/platform.go
+++ b/cmd/indigousher/platform.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return err
 	}
-	platform.Limit(settings.Limits)
+	platform.SetRuntimeLimits(settings.Limits)
 	log := platformLog()
 	defer func() { _ = log.Sync() }() // a pipe can't be synced
 	context.AfterFunc(ctx, func() { time.AfterFunc(endWithin, func() { os.Exit(0) }) })
--- a/internal/platform/limits.go
+++ b/internal/platform/limits.go
@@ -18,8 +18,8 @@
 	unidentifiedShare = 0.4
 )
 
-// Limit sets the limits of the Go runtime to those of the machine.
-func Limit(l placement.Limits) {
+// SetRuntimeLimits sets the limits of the Go runtime to those of the machine.
+func SetRuntimeLimits(l placement.Limits) {
 	runtime.GOMAXPROCS(max(1, int(l.Cores)))
 	debug.SetMemoryLimit(int64(l.MemoryMB * memoryLimitShare * (1 << 20)))
 }
