--- a/internal/platform/placement/checks.go
+++ b/internal/platform/placement/checks.go
@@ -117,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	p.Proxies = int(proxies)
+	p.MaxProxies = int(proxies)
 	p.OnRequest = plannerSettings["discovery"] == "on_request"
 	if err := checkInstances(plannerSettings); err != nil {
 		return err
--- a/internal/platform/placement/parse_test.go
+++ b/internal/platform/placement/parse_test.go
@@ -23,7 +23,7 @@
 	p, err := Parse([]byte(goodFile))
 	require.NoError(t, err)
 	assert.Equal(t, -0x73e0cf2d85a4169c, int(p.Seed))
-	assert.Equal(t, 150, p.Proxies)
+	assert.Equal(t, 150, p.MaxProxies)
 	assert.False(t, p.OnRequest)
 	assert.Equal(t, 3000.0, p.Deployment.Settings["drain_grace"])
 	require.Len(t, p.Cached.Entries, 1)
--- a/internal/platform/placement/placement.go
+++ b/internal/platform/placement/placement.go
@@ -35,7 +35,7 @@
 	Seed       int64                `json:"-"`
 	Cached     *wire.List           `json:"-"` // Known, or nil if absent or invalid
 	Deployment *settings.Deployment `json:"-"`
-	Proxies    int                  `json:"-"` // upper bound of proxy numbers, exclusive
+	MaxProxies int                  `json:"-"` // upper bound of proxy numbers, exclusive
 	OnRequest  bool                 `json:"-"` // the endpoint list is followed only on request of the planner
 	Warning    string               `json:"-"` // describes an ignored part of the file, or ""
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -51,7 +51,7 @@
 		Zones:          zones,
 		Machines:       deployment.Machines.All(),
 		Classes:        classes,
-		MaxProxies:     initial.Proxies,
+		MaxProxies:     initial.MaxProxies,
 		EndpointSource: p.discovery,
 		HealthChecker:  healthcheck.Disabled{},
 		Gossip:         gossip.Disabled{},
--- a/internal/platform/simulator_test.go
+++ b/internal/platform/simulator_test.go
@@ -108,7 +108,7 @@
 		Zones:          p.Deployment.Zones.All(),
 		Machines:       p.Deployment.Machines.All(),
 		Classes:        p.Deployment.Classes.All(),
-		MaxProxies:     p.Proxies,
+		MaxProxies:     p.MaxProxies,
 		Relay:          relay,
 		EndpointSource: noEndpointSource{},
 		HealthChecker:  healthcheck.Disabled{},
