--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -88,7 +88,7 @@
 	group.Go(func() error { return p.loop.Run(ctx) })
 	group.Go(func() error { return p.listener.Serve(ctx, socket) })
 	group.Go(func() error { return p.sender.Run(ctx) })
-	for i := range relay.Subscriptions {
+	for i := range relay.SubscriptionCount {
 		group.Go(func() error { return p.events.Run(ctx, i) })
 	}
 	group.Go(func() error { return p.discovery.Run(ctx) })
--- a/internal/platform/relay/eventstream.go
+++ b/internal/platform/relay/eventstream.go
@@ -17,8 +17,8 @@
 	"indigousher/internal/controller"
 )
 
-// Subscriptions is the number of redundant connections: while one is broken the other delivers the events.
-const Subscriptions = 2
+// SubscriptionCount is the number of redundant connections: while one is broken the other delivers the events.
+const SubscriptionCount = 2
 
 // Limits of the connection of a subscription.
 const (
@@ -46,7 +46,7 @@
 	mu            sync.Mutex
 	address       string
 	members       map[int]*member // connected proxies, by number
-	subscriptions [Subscriptions]subscription
+	subscriptions [SubscriptionCount]subscription
 	completeUntil time.Time // all events up to then were received; zero if none was yet
 }
 
