--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -22,9 +22,9 @@
 
 // Pilot is one pilot on the platform.
 type Pilot struct {
-	log     *zap.Logger
-	initial *placement.Placement                 // of the start, not changed by reloads
-	reread  func() (*placement.Placement, error) // reads the current placement
+	log           *zap.Logger
+	initial       *placement.Placement                 // of the start, not changed by reloads
+	readPlacement func() (*placement.Placement, error) // reads the current placement
 
 	loop          *controller.Loop
 	listener      *listener.Listener
@@ -34,17 +34,17 @@
 	discovery     *discovery.Client
 }
 
-// New assembles a pilot. It does nothing before Run. reread reads the current placement, for reloads.
-func New(initial *placement.Placement, reread func() (*placement.Placement, error), log *zap.Logger) *Pilot {
-	p := &Pilot{log: log, initial: initial, reread: reread}
+// New assembles a pilot. It does nothing before Run. readPlacement reads the current placement, for reloads.
+func New(initial *placement.Placement, readPlacement func() (*placement.Placement, error), log *zap.Logger) *Pilot {
+	p := &Pilot{log: log, initial: initial, readPlacement: readPlacement}
 	deployment := initial.Deployment
 	classes := deployment.Classes.All()
 	zones := deployment.Zones.All()
-	box := &inbox{}
-	p.sender = relay.NewSender(initial.Relay.Address, classes, box, &p.relayCounters, log)
-	p.discovery = discovery.New(initial.Discovery, !initial.OnRequest, box, log)
-	p.events = relay.NewEventStream(initial.Relay.Address, box, &p.relayCounters, log)
-	p.listener = listener.New(zones, maxUnidentified(initial.Limits), box, log)
+	inbox := &loopInbox{}
+	p.sender = relay.NewSender(initial.Relay.Address, classes, inbox, &p.relayCounters, log)
+	p.discovery = discovery.New(initial.Discovery, !initial.OnRequest, inbox, log)
+	p.events = relay.NewEventStream(initial.Relay.Address, inbox, &p.relayCounters, log)
+	p.listener = listener.New(zones, maxUnidentified(initial.Limits), inbox, log)
 	core := controller.NewCore(controller.Options{
 		Decider:        planner.New(initial.Seed, deployment.Settings),
 		Settings:       deployment.Settings,
@@ -62,15 +62,15 @@
 		},
 	})
 	p.loop = controller.NewLoop(core, controller.RealClock{}, log)
-	box.loop = p.loop
+	inbox.loop = p.loop
 	return p
 }
 
-// inbox forwards to the loop, which is created after those that post to it.
-type inbox struct{ loop *controller.Loop }
+// loopInbox forwards to the loop, which is created after those that post to it.
+type loopInbox struct{ loop *controller.Loop }
 
 // Post posts an input to the loop.
-func (b *inbox) Post(ctx context.Context, in controller.Input) error { return b.loop.Post(ctx, in) }
+func (b *loopInbox) Post(ctx context.Context, in controller.Input) error { return b.loop.Post(ctx, in) }
 
 // Run listens and runs until ctx ends or a part fails; all parts have returned then. A value on reload triggers a
 // reload of the placement.
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -44,13 +44,13 @@
 
 // TestPilot checks the start, reloads of a valid and an invalid file, and the end of a pilot on sockets.
 func TestPilot(t *testing.T) {
-	s := &scriptedSite{calls: map[string]int{}}
+	fake := &fakePlatform{calls: map[string]int{}}
 	listen := freeAddress(t)
-	first := s.open(t)
-	second := s.open(t)
-	third := s.open(t)
+	first := fake.listen(t)
+	second := fake.listen(t)
+	third := fake.listen(t)
 	var file atomic.Pointer[placement.Placement] // nil: it is wrong
-	reread := func() (*placement.Placement, error) {
+	readPlacement := func() (*placement.Placement, error) {
 		if p := file.Load(); p != nil {
 			return p, nil
 		}
@@ -59,27 +59,27 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	reload := make(chan struct{}, 1)
 	ended := make(chan error, 1)
-	p := New(newPlacement(t, listen, first, first), reread, zap.NewNop())
+	p := New(newPlacement(t, listen, first, first), readPlacement, zap.NewNop())
 	go func() { ended <- p.Run(ctx, reload) }()
 
 	checkPing(t, listen)
 	require.Eventually(t, func() bool {
-		return s.hasExecuted(first+" USE 3") && s.hasExecuted(first+" SET <nil> s-1")
+		return fake.hasExecuted(first+" USE 3") && fake.hasExecuted(first+" SET <nil> s-1")
 	}, 10*time.Second, time.Millisecond)
 
 	reload <- struct{}{}
 	require.Eventually(t, func() bool { return len(reload) == 0 }, 5*time.Second, time.Millisecond)
-	assert.Zero(t, s.asked(second+membersPath))
+	assert.Zero(t, fake.callCount(second+membersPath))
 	file.Store(newPlacement(t, listen, second, second)) // it was being written: it is read again unasked
 	require.Eventually(t, func() bool {
-		return s.asked(second+membersPath) > 1 && s.asked(second+eventsPath) > 1
+		return fake.callCount(second+membersPath) > 1 && fake.callCount(second+eventsPath) > 1
 	}, 10*time.Second, time.Millisecond)
 
 	file.Store(newPlacement(t, listen, third, third))
 	reload <- struct{}{}
 	reload <- struct{}{}
 	require.Eventually(t, func() bool {
-		return s.asked(third+membersPath) > 1 && s.asked(third+eventsPath) > 1
+		return fake.callCount(third+membersPath) > 1 && fake.callCount(third+eventsPath) > 1
 	}, 10*time.Second, time.Millisecond)
 
 	began := time.Now()
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -18,18 +18,18 @@
 // reload reads the placement and applies its addresses. It returns whether the placement is valid; an invalid one
 // changes nothing and is logged if logFailure is set.
 func (p *Pilot) reload(logFailure bool) bool {
-	now, err := p.reread()
+	current, err := p.readPlacement()
 	if err != nil {
 		if logFailure {
 			p.log.Error("reload rejected, keeping the current configuration", zap.Error(err))
 		}
 		return false
 	}
-	p.log.Info("reloaded", zap.String("discovery", now.Discovery), zap.String("relay", now.Relay.Address),
-		zap.Strings("restart_needed", placement.RequiresRestart(p.initial, now)))
-	p.discovery.SetAddress(now.Discovery)
-	p.sender.SetAddress(now.Relay.Address)
-	p.events.SetAddress(now.Relay.Address)
+	p.log.Info("reloaded", zap.String("discovery", current.Discovery), zap.String("relay", current.Relay.Address),
+		zap.Strings("restart_needed", placement.RequiresRestart(p.initial, current)))
+	p.discovery.SetAddress(current.Discovery)
+	p.sender.SetAddress(current.Relay.Address)
+	p.events.SetAddress(current.Relay.Address)
 	return true
 }
 
--- a/internal/platform/scriptedsite_test.go
+++ b/internal/platform/scriptedsite_test.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	membersPath = "/catalog/members"
-	eventsPath  = "/v1/events"
-	ordersPath  = "/v1/orders"
+	membersPath  = "/catalog/members"
+	eventsPath   = "/v1/events"
+	commandsPath = "/v1/orders"
 )
 
-// scriptedSite is the platform around one pilot: discovery with one endpoint and a relay with one proxy, at any
+// fakePlatform is the platform around one pilot: discovery with one endpoint and a relay with one proxy, at any
 // number of addresses.
-type scriptedSite struct {
+type fakePlatform struct {
 	mu       sync.Mutex
 	executed []string       // commands: the address, verb, proxy and endpoint
 	calls    map[string]int // by address and path
 }
 
-// open returns another address of the site.
-func (s *scriptedSite) open(t *testing.T) (address string) {
+// listen returns another address of the site.
+func (s *fakePlatform) listen(t *testing.T) (address string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -48,7 +48,7 @@
 	return address
 }
 
-func (s *scriptedSite) serve(conn net.Conn, address string) {
+func (s *fakePlatform) serve(conn net.Conn, address string) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	for {
@@ -66,7 +66,7 @@
 			serveEvents(conn)
 			return
 		}
-		answer, err := s.answer(address, path, number, body)
+		answer, err := s.respond(address, path, number, body)
 		if err != nil {
 			return
 		}
@@ -78,7 +78,7 @@
 }
 
 // countCall notes a call and returns its number, from 1.
-func (s *scriptedSite) countCall(what string) int {
+func (s *fakePlatform) countCall(what string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls[what]++
@@ -99,16 +99,16 @@
 	}
 }
 
-// answer returns the answer of discovery or the relay to a call.
-func (s *scriptedSite) answer(address, path string, number int, body []byte) (string, error) {
-	if path == ordersPath {
+// respond returns the answer of discovery or the relay to a call.
+func (s *fakePlatform) respond(address, path string, number int, body []byte) (string, error) {
+	if path == commandsPath {
 		return s.execute(address, body)
 	}
-	return listAnswer(number), nil
+	return listResponse(number), nil
 }
 
 // execute notes the commands of a call and returns its answer.
-func (s *scriptedSite) execute(address string, body []byte) (answer string, err error) {
+func (s *fakePlatform) execute(address string, body []byte) (answer string, err error) {
 	var call struct{ Ops []map[string]any }
 	if err := json.Unmarshal(body, &call); err != nil {
 		return "", err
@@ -122,8 +122,8 @@
 	return fmt.Sprintf(`{"ok_count":%d}`, len(call.Ops)), nil
 }
 
-// listAnswer returns the whole list to the first call and no changes to it to others.
-func listAnswer(number int) string {
+// listResponse returns the whole list to the first call and no changes to it to others.
+func listResponse(number int) string {
 	if number == 1 {
 		return `{"index":7,"snapshot":true,"endpoints":[{"name":"s-1","zone":"b","type":"m2","group":1,` +
 			`"status":"active","weight":1,"since_ms":0}]}`
@@ -133,14 +133,14 @@
 }
 
 // hasExecuted reports whether a text is contained in the commands.
-func (s *scriptedSite) hasExecuted(what string) bool {
+func (s *fakePlatform) hasExecuted(what string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return strings.Contains(strings.Join(s.executed, "\n"), what)
 }
 
-// asked returns how many calls came for an address and path.
-func (s *scriptedSite) asked(what string) int {
+// callCount returns how many calls came for an address and path.
+func (s *fakePlatform) callCount(what string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[what]
--- a/internal/platform/simulator_test.go
+++ b/internal/platform/simulator_test.go
@@ -46,14 +46,14 @@
 // Fetch does nothing.
 func (noEndpointSource) Fetch() {}
 
-// bothSides feeds the same scenario to a core, as the platform's inputs, and to the simulator's adapter, as events.
-type bothSides struct {
+// parityHarness feeds the same scenario to a core, as the platform's inputs, and to the simulator's adapter, as events.
+type parityHarness struct {
 	core   *controller.Core
 	events []string
 }
 
 // start announces the endpoints and one proxy.
-func (b *bothSides) start() {
+func (b *parityHarness) start() {
 	var entries []wire.Entry
 	var hosts []string
 	for i := range 6 {
@@ -74,7 +74,7 @@
 }
 
 // report reports one endpoint's load and one proxy's requests.
-func (b *bothSides) report(second int, load float64) {
+func (b *parityHarness) report(second int, load float64) {
 	b.core.Handle(float64(1000*second), []controller.Input{
 		controller.ZoneStats{
 			Zone: "b", Endpoint: "10.0.0.1:1", Attempts: 30, Failed: second, MeanMs: 20, SpanMs: 1000,
@@ -90,19 +90,19 @@
 }
 
 // controlRound lets the timer fire half a second after second.
-func (b *bothSides) controlRound(second int) {
+func (b *parityHarness) controlRound(second int) {
 	nowMs := 500 + 1000*second
 	b.core.Handle(float64(nowMs), nil)
 	b.events = append(b.events, fmt.Sprintf(
 		`{"sim_time":%d,"batch":2,"happened":[{"kind":"bell","i":"pilot/0","ref":"gather"}]}`, nowMs*1000000))
 }
 
-// TestSameSettingsSameOrders checks that simulator and platform feed the planner the same: one translation of
+// TestSimulatorParity checks that simulator and platform feed the planner the same: one translation of
 // settings and names, the same events, and so the same commands.
-func TestSameSettingsSameOrders(t *testing.T) {
+func TestSimulatorParity(t *testing.T) {
 	p := newPlacement(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1")
 	relay := &recordingRelay{}
-	sides := &bothSides{core: controller.NewCore(controller.Options{
+	harness := &parityHarness{core: controller.NewCore(controller.Options{
 		Decider:        planner.New(5, p.Deployment.Settings),
 		Settings:       p.Deployment.Settings,
 		Zones:          p.Deployment.Zones.All(),
@@ -116,19 +116,19 @@
 		Log:            func(string) {},
 		Malformed:      func(what string, _ ...string) { t.Error(what) },
 	})}
-	sides.start()
-	sides.controlRound(0)
+	harness.start()
+	harness.controlRound(0)
 	for second := 1; second < 12; second++ {
 		load := float64(second%5) / 2 // full for long enough that tables change
-		sides.report(second, load)
-		sides.controlRound(second)
+		harness.report(second, load)
+		harness.controlRound(second)
 	}
-	assert.Equal(t, simulated(t, sides.events), relay.lines)
+	assert.Equal(t, simulatorCommands(t, harness.events), relay.lines)
 	assert.Greater(t, len(relay.lines), 7, "tables were laid and changed")
 }
 
-// simulated plays events through the simulator's adapter and returns the commands in recordingRelay's words.
-func simulated(t *testing.T, events []string) (lines []string) {
+// simulatorCommands plays events through the simulator's adapter and returns the commands in recordingRelay's words.
+func simulatorCommands(t *testing.T, events []string) (lines []string) {
 	var out strings.Builder
 	require.NoError(t, simulator.Serve(strings.NewReader(strings.Join(events, "\n")+"\n"), &out))
 	for _, text := range strings.Split(strings.TrimSpace(out.String()), "\n") {
