--- a/internal/platform/placement/checks.go
+++ b/internal/platform/placement/checks.go
@@ -13,21 +13,21 @@
 
 // Bounds of the fields. They keep a mistyped value from exhausting the memory.
 const (
-	maxProxies  = 65535
-	maxZones    = 1024
-	maxPort     = 65535
-	maxCores    = 1024
-	minMemoryMB = 8 // the program does not start with less
-	maxMemoryMB = 1e7
-	minSockets  = 32
-	maxSockets  = 1 << 20
-	minSetting  = 1e-3 // of settings that have to be positive
+	maxProxies         = 65535
+	maxZones           = 1024
+	maxPort            = 65535
+	maxCores           = 1024
+	minMemoryMB        = 8 // the program does not start with less
+	maxMemoryMB        = 1e7
+	minSockets         = 32
+	maxSockets         = 1 << 20
+	minPositiveSetting = 1e-3 // of settings that have to be positive
 )
 
 // checkAddresses checks the pilot's name and the addresses.
 func (p *Placement) checkAddresses() error {
 	if p.Name == "" {
-		return missing("name")
+		return missingField("name")
 	}
 	for _, a := range []struct{ field, address string }{
 		{"listen", p.Listen},
@@ -35,10 +35,10 @@
 		{"relay.address", p.Relay.Address},
 	} {
 		if a.address == "" {
-			return missing(a.field)
+			return missingField(a.field)
 		}
 		if !isAddress(a.address) {
-			return wrongField(a.field, "%s: %q is no address and port", a.field, a.address)
+			return invalidField(a.field, "%s: %q is no address and port", a.field, a.address)
 		}
 	}
 	return nil
@@ -56,11 +56,11 @@
 
 func (p *Placement) parseSeed() error {
 	if p.SeedText == "" {
-		return missing("seed")
+		return missingField("seed")
 	}
 	seed, err := strconv.ParseUint(p.SeedText, 16, 64)
 	if err != nil {
-		return wrongField("seed", "seed: %q is no hexadecimal number of 64 bits", p.SeedText)
+		return invalidField("seed", "seed: %q is no hexadecimal number of 64 bits", p.SeedText)
 	}
 	p.Seed = int64(seed)
 	return nil
@@ -69,15 +69,15 @@
 func (p *Placement) checkLimits() error {
 	cores := p.Limits.Cores
 	if !(cores > 0 && cores <= maxCores) { // negated so that NaN is invalid
-		return wrongField("limits.cores", "limits.cores: %g", cores)
+		return invalidField("limits.cores", "limits.cores: %g", cores)
 	}
 	memory := p.Limits.MemoryMB
 	if !(memory >= minMemoryMB && memory < maxMemoryMB) {
-		return wrongField("limits.memory_mb", "limits.memory_mb: %g", memory)
+		return invalidField("limits.memory_mb", "limits.memory_mb: %g", memory)
 	}
 	sockets := p.Limits.Sockets
 	if sockets < minSockets || sockets > maxSockets {
-		return wrongField("limits.sockets", "limits.sockets: %d", sockets)
+		return invalidField("limits.sockets", "limits.sockets: %d", sockets)
 	}
 	return nil
 }
@@ -103,14 +103,14 @@
 // parseSettings translates the operators' settings and validates those that the program or the planner requires.
 func (p *Placement) parseSettings() error {
 	if len(p.Settings) == 0 {
-		return wrongField("settings", "settings are %w", ErrMissing)
+		return invalidField("settings", "settings are %w", ErrMissing)
 	}
 	p.Deployment = settings.Parse(p.Settings)
 	if n := len(p.Deployment.Zones.All()); n == 0 || n > maxZones {
-		return wrongField("settings", "settings: %d zones", n)
+		return invalidField("settings", "settings: %d zones", n)
 	}
 	if len(p.Deployment.Classes.All()) == 0 {
-		return wrongField("settings", "settings: no req kinds")
+		return invalidField("settings", "settings: no req kinds")
 	}
 	plannerSettings := p.Deployment.Settings
 	proxies, err := numberWithin(plannerSettings, "proxy_count", 1, maxProxies)
@@ -123,7 +123,7 @@
 		return err
 	}
 	for _, name := range []string{"lines_per_s", "backlog", "drain_grace", "cold"} {
-		if _, err := numberWithin(plannerSettings, name, minSetting, planner.MaxFigure); err != nil {
+		if _, err := numberWithin(plannerSettings, name, minPositiveSetting, planner.MaxFigure); err != nil {
 			return err
 		}
 	}
@@ -145,10 +145,10 @@
 	field := "settings: " + name
 	v, ok := plannerSettings[name].(float64)
 	if !ok {
-		return 0, wrongField(field, "settings: %s is missing or no number", name)
+		return 0, invalidField(field, "settings: %s is missing or no number", name)
 	}
 	if math.IsNaN(v) || v < low || v > high {
-		return 0, wrongField(field, "settings: %s: %g is outside %g to %g", name, v, low, high)
+		return 0, invalidField(field, "settings: %s: %g is outside %g to %g", name, v, low, high)
 	}
 	return v, nil
 }
--- a/internal/platform/placement/checks_test.go
+++ b/internal/platform/placement/checks_test.go
@@ -25,8 +25,8 @@
 		"a backlog of text": {`"backlog":1200`, `"backlog":"long"`, "backlog"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			require.Contains(t, goodFile, c.from)
-			_, err := Parse([]byte(strings.Replace(goodFile, c.from, c.to, 1)))
+			require.Contains(t, validFile, c.from)
+			_, err := Parse([]byte(strings.Replace(validFile, c.from, c.to, 1)))
 			assert.ErrorContains(t, err, c.says)
 			assert.NotContains(t, err.Error(), "\n")
 		})
@@ -36,14 +36,14 @@
 // TestCachedList checks the endpoint list from before the start: it may be absent, empty, or malformed as a whole or
 // in part, and the pilot starts with the valid part and a warning.
 func TestCachedList(t *testing.T) {
-	at := strings.Index(goodFile, `"known":`)
-	end := strings.Index(goodFile, `"settings":`)
+	at := strings.Index(validFile, `"known":`)
+	end := strings.Index(validFile, `"settings":`)
 	for name, c := range map[string]struct {
 		known   string
 		warns   string
 		entries int // -1: no list
 	}{
-		"whole":           {goodFile[at:end], "", 1},
+		"whole":           {validFile[at:end], "", 1},
 		"absent":          {"", "", -1},
 		"null":            {`"known":null,`, "", -1},
 		"empty":           {`"known":{"index":0,"snapshot":true,"endpoints":[]},`, "", 0},
@@ -51,12 +51,12 @@
 		"endpoints null":  {`"known":{"index":0,"snapshot":true,"endpoints":null},`, "known: not a list", -1},
 		"of another type": {`"known":7,`, "known: not a list", -1},
 		"a malformed entry": {
-			strings.Replace(goodFile[at:end], "]}", `,{"name":"s-2","status":"asleep"}]}`, 1), "known: 1 entries", 1,
+			strings.Replace(validFile[at:end], "]}", `,{"name":"s-2","status":"asleep"}]}`, 1), "known: 1 entries", 1,
 		},
-		"only malformed entries": {strings.Replace(goodFile[at:end], "leaving", "asleep", 1), "known: 1 entries", 0},
+		"only malformed entries": {strings.Replace(validFile[at:end], "leaving", "asleep", 1), "known: 1 entries", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, err := Parse([]byte(goodFile[:at] + c.known + goodFile[end:]))
+			p, err := Parse([]byte(validFile[:at] + c.known + validFile[end:]))
 			require.NoError(t, err)
 			assert.Contains(t, p.Warning, c.warns)
 			assert.Equal(t, c.warns == "", p.Warning == "")
--- a/internal/platform/placement/errors.go
+++ b/internal/platform/placement/errors.go
@@ -22,9 +22,9 @@
 // Unwrap returns the cause.
 func (e *FieldError) Unwrap() error { return e.err }
 
-// wrongField returns a FieldError. The formatted text has to name the field.
-func wrongField(field, format string, args ...any) error {
+// invalidField returns a FieldError. The formatted text has to name the field.
+func invalidField(field, format string, args ...any) error {
 	return &FieldError{Field: field, err: fmt.Errorf(format, args...)}
 }
 
-func missing(field string) error { return wrongField(field, "%s is %w", field, ErrMissing) }
+func missingField(field string) error { return invalidField(field, "%s is %w", field, ErrMissing) }
--- a/internal/platform/placement/errors_test.go
+++ b/internal/platform/placement/errors_test.go
@@ -36,8 +36,8 @@
 		"a great rank": {`"rank":1`, `"rank":2`, "settings: rank", "settings: rank: 2 is outside 0 to 1", false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			require.Contains(t, goodFile, c.from)
-			_, err := Parse([]byte(strings.Replace(goodFile, c.from, c.to, 1)))
+			require.Contains(t, validFile, c.from)
+			_, err := Parse([]byte(strings.Replace(validFile, c.from, c.to, 1)))
 			require.EqualError(t, err, c.text)
 			var fieldError *FieldError
 			require.ErrorAs(t, err, &fieldError)
--- a/internal/platform/placement/parse.go
+++ b/internal/platform/placement/parse.go
@@ -27,7 +27,7 @@
 	} {
 		expected := getenv(v.variable)
 		if expected != "" && expected != v.value {
-			return nil, wrongField(v.field, "%s: %s is %q, but %s is %q", path, v.field, v.value, v.variable, expected)
+			return nil, invalidField(v.field, "%s: %s is %q, but %s is %q", path, v.field, v.value, v.variable, expected)
 		}
 	}
 	return p, nil
--- a/internal/platform/placement/parse_test.go
+++ b/internal/platform/placement/parse_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// goodFile is a file with all fields.
-const goodFile = `{"name":"n3","listen":"127.0.0.4:3000","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
+// validFile is a file with all fields.
+const validFile = `{"name":"n3","listen":"127.0.0.4:3000","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":0.5,"memory_mb":48,"sockets":256},"relay":{"address":"127.2.0.2:6400"},"peers":["127.3.0.1:7946"],
 "known":{"index":41,"snapshot":true,"endpoints":[
 {"name":"s-1","zone":"a","type":"m2","group":3,"status":"leaving","weight":1.5,"since_ms":7}]},
@@ -20,7 +20,7 @@
 "obligations":{"drain_grace":3000000000,"cold":10000000000}}}`
 
 func TestParse(t *testing.T) {
-	p, err := Parse([]byte(goodFile))
+	p, err := Parse([]byte(validFile))
 	require.NoError(t, err)
 	assert.Equal(t, -0x73e0cf2d85a4169c, int(p.Seed))
 	assert.Equal(t, 150, p.MaxProxies)
@@ -32,7 +32,7 @@
 
 func TestRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	require.NoError(t, os.WriteFile(path, []byte(goodFile), 0o600))
+	require.NoError(t, os.WriteFile(path, []byte(validFile), 0o600))
 	for name, c := range map[string]struct {
 		env  map[string]string
 		says string
--- a/internal/platform/placement/restart_test.go
+++ b/internal/platform/placement/restart_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestRequiresRestart(t *testing.T) {
-	old, err := Parse([]byte(goodFile))
+	old, err := Parse([]byte(validFile))
 	require.NoError(t, err)
 	for name, c := range map[string]struct {
 		from, to string
@@ -21,9 +21,9 @@
 		"settings":  {`"backlog":1200`, `"backlog":1300`, []string{"settings"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			now, err := Parse([]byte(strings.Replace(goodFile, c.from, c.to, 1)))
+			updated, err := Parse([]byte(strings.Replace(validFile, c.from, c.to, 1)))
 			require.NoError(t, err)
-			assert.Equal(t, c.want, RequiresRestart(old, now))
+			assert.Equal(t, c.want, RequiresRestart(old, updated))
 		})
 	}
 }
