--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,4 +1,5 @@
-// Package backoff waits between retries. It uses the real clock, not that of the controller.
+// Package backoff provides interruptible pauses between retries. It uses the system clock rather than the controller's
+// clock, which tests and replays can replace.
 package backoff
 
 import (
@@ -8,7 +9,7 @@
 	"time"
 )
 
-// Sleep waits for span and returns true, or false if ctx ended before.
+// Sleep pauses for span. It returns true after the full pause, or false as soon as ctx is cancelled.
 func Sleep(ctx context.Context, span time.Duration) bool {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
@@ -20,8 +21,8 @@
 	}
 }
 
-// Temporary reports whether accept failed temporarily, as without a free descriptor, so that it can be retried after a
-// pause. It returns false for a closed listener.
+// Temporary reports whether err, returned by a listener's Accept, is temporary, so that Accept can be retried after a
+// pause. An example is running out of file descriptors. It returns false if the listener is closed.
 func Temporary(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && !errors.Is(err, net.ErrClosed)
