--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,5 +1,6 @@
-// Package platform runs the pilot on the operators' platform: the planner and controller loop as elsewhere, connected
-// to the platform's placement, listener, relay and discovery. It only assembles; cmd/indigousher calls it.
+// Package platform runs a pilot on the operators' platform. It connects the planner and the control loop, which are the
+// same as in other deployments, to the platform's configuration file (placement), listener, relay and discovery agent.
+// The package only assembles these parts; cmd/indigousher starts it.
 package platform
 
 import (
@@ -20,11 +21,11 @@
 	"indigousher/planner"
 )
 
-// Pilot is one pilot on the platform.
+// Pilot is one pilot process on the operators' platform.
 type Pilot struct {
 	log           *zap.Logger
-	initial       *placement.Placement                 // of the start, not changed by reloads
-	readPlacement func() (*placement.Placement, error) // reads the current placement
+	initial       *placement.Placement                 // placement at startup; reloads do not change it
+	readPlacement func() (*placement.Placement, error) // reads the placement again, for reloads
 
 	loop          *controller.Loop
 	listener      *listener.Listener
@@ -34,7 +35,7 @@
 	discovery     *discovery.Client
 }
 
-// New assembles a pilot. It does nothing before Run. readPlacement reads the current placement, for reloads.
+// New returns a pilot that is idle until Run is called. Each reload calls readPlacement to read the placement again.
 func New(initial *placement.Placement, readPlacement func() (*placement.Placement, error), log *zap.Logger) *Pilot {
 	p := &Pilot{log: log, initial: initial, readPlacement: readPlacement}
 	deployment := initial.Deployment
@@ -66,14 +67,15 @@
 	return p
 }
 
-// loopInbox forwards to the loop, which is created after those that post to it.
+// loopInbox forwards inputs to the control loop. The relay, listener and discovery clients need an inbox before the
+// loop is created, so loop is set afterwards.
 type loopInbox struct{ loop *controller.Loop }
 
-// Post posts an input to the loop.
+// Post delivers an input to the control loop.
 func (b *loopInbox) Post(ctx context.Context, in controller.Input) error { return b.loop.Post(ctx, in) }
 
-// Run listens and runs until ctx ends or a part fails; all parts have returned then. A value on reload triggers a
-// reload of the placement.
+// Run opens the listening socket and runs all parts of the pilot until ctx is cancelled or one of them fails. It
+// returns after every part has returned. Each value received from reload triggers a reload of the placement.
 func (p *Pilot) Run(ctx context.Context, reload <-chan struct{}) error {
 	socket, err := net.Listen("tcp", p.initial.Listen)
 	if err != nil {
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -8,15 +8,16 @@
 	"indigousher/internal/platform/placement"
 )
 
-// An invalid file may be in the middle of being written. It is read again every reloadRetryInterval, up to
-// maxReloadRetries times.
+// Retries of a reload whose file is invalid, because the file may still be in the middle of being written.
 const (
+	// reloadRetryInterval is the time between two attempts.
 	reloadRetryInterval = 100 * time.Millisecond
-	maxReloadRetries    = 30
+	// maxReloadRetries is the number of further attempts after the first one.
+	maxReloadRetries = 30
 )
 
-// reload reads the placement and applies its addresses. It returns whether the placement is valid; an invalid one
-// changes nothing and is logged if logFailure is set.
+// reload reads the placement again and switches to its discovery and relay addresses. It returns false and changes
+// nothing if the placement cannot be read or is invalid, and logs the error only if logFailure is true.
 func (p *Pilot) reload(logFailure bool) bool {
 	current, err := p.readPlacement()
 	if err != nil {
@@ -33,8 +34,8 @@
 	return true
 }
 
-// retryReload reloads if retries are left and returns how many are left afterwards: none after success. Only the
-// failure of the last one is logged.
+// retryReload attempts another reload if retries is positive. It returns the number of retries left, which is 0 after a
+// success. Only a failure of the last retry is logged.
 func (p *Pilot) retryReload(retries int) (left int) {
 	if retries == 0 {
 		return 0
--- a/internal/platform/report.go
+++ b/internal/platform/report.go
@@ -11,10 +11,10 @@
 	"indigousher/internal/platform/relay"
 )
 
-// report logs the controller's view beside the counters of the connections. Where they differ, data was lost in
-// between.
+// report logs the controller's statistics together with the counters of the relay, listener and discovery connections.
+// A difference between the two shows that data was lost between a connection and the controller.
 func (p *Pilot) report() {
-	p.log.Info("report statistics", slices.Concat(
+	p.log.Info("pilot statistics", slices.Concat(
 		controllerFields(p.loop.State()),
 		relayFields(&p.relayCounters),
 		listenerFields(&p.listener.Counters),
--- a/internal/platform/supervise.go
+++ b/internal/platform/supervise.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// reportInterval is the time between two reports of the counters.
+// reportInterval is the time between two log lines with the pilot's statistics.
 const reportInterval = 10 * time.Second
 
-// supervise reloads the placement on request and reports the counters periodically, until ctx ends.
+// supervise reloads the placement on request and logs the pilot's statistics every reportInterval, until ctx is
+// cancelled.
 func (p *Pilot) supervise(ctx context.Context, reload <-chan struct{}) error {
 	report := time.NewTicker(reportInterval)
 	defer report.Stop()
-	retry := time.NewTimer(reloadRetryInterval) // the first expiry finds no retries
+	retry := time.NewTimer(reloadRetryInterval) // harmless when it first fires: retries is 0 then
 	defer retry.Stop()
-	retries := 0 // retries left after a failed reload
+	retries := 0 // remaining retries of a failed reload
 	for {
 		select {
 		case <-reload:
