--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -17,7 +17,8 @@
 	"indigousher/internal/platform/placement"
 )
 
-// operatorSettings are the operators' settings, as in the simulator's spawn event and in the platform's file.
+// operatorSettings are settings in the operators' format, which is the same in the simulator's spawn event and in the
+// placement file.
 const operatorSettings = `{"dcs":["a","b"],"kinds":["m2"],"instances":1,"rank":0,"discovery":"pushed",
 "profiles":[{"name":"read","aim":1000000000,"importance":2,"idempotency":"read_like"},
 {"name":"write","aim":500000000,"importance":5}],
@@ -25,7 +26,7 @@
 "extra":{"proxy_count":40,"egress_per_s":800,"backlog":1200,"envelope":4,"admission":"share","by_zone":true},
 "obligations":{"drain_grace":3000000000,"cold":10000000000}}`
 
-// newPlacement returns the placement of a pilot with these addresses.
+// newPlacement returns a placement with operatorSettings and the given addresses.
 func newPlacement(t *testing.T, listen, discovery, relay string) *placement.Placement {
 	p, err := placement.Parse([]byte(fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"5",
 "limits":{"cores":0.5,"memory_mb":48,"sockets":256},"relay":{"address":%q},"settings":%s}`,
@@ -34,7 +35,7 @@
 	return p
 }
 
-// freeAddress returns an address at which a pilot can listen.
+// freeAddress returns a loopback address with a port that is not in use.
 func freeAddress(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -42,14 +43,15 @@
 	return listener.Addr().String()
 }
 
-// TestPilot checks the start, reloads of a valid and an invalid file, and the end of a pilot on sockets.
+// TestPilot runs a pilot on real sockets. It checks startup, reloads of valid and invalid files, and that the pilot
+// stops in time while calls are in flight.
 func TestPilot(t *testing.T) {
 	fake := &fakePlatform{calls: map[string]int{}}
 	listen := freeAddress(t)
 	first := fake.listen(t)
 	second := fake.listen(t)
 	third := fake.listen(t)
-	var file atomic.Pointer[placement.Placement] // nil: it is wrong
+	var file atomic.Pointer[placement.Placement] // what readPlacement returns; nil simulates an invalid file
 	readPlacement := func() (*placement.Placement, error) {
 		if p := file.Load(); p != nil {
 			return p, nil
@@ -70,7 +72,7 @@
 	reload <- struct{}{}
 	require.Eventually(t, func() bool { return len(reload) == 0 }, 5*time.Second, time.Millisecond)
 	assert.Zero(t, fake.callCount(second+membersPath))
-	file.Store(newPlacement(t, listen, second, second)) // it was being written: it is read again unasked
+	file.Store(newPlacement(t, listen, second, second)) // the invalid file becomes valid: it is retried without another reload request
 	require.Eventually(t, func() bool {
 		return fake.callCount(second+membersPath) > 1 && fake.callCount(second+eventsPath) > 1
 	}, 10*time.Second, time.Millisecond)
@@ -85,10 +87,11 @@
 	began := time.Now()
 	cancel()
 	assert.NoError(t, <-ended)
-	assert.Less(t, time.Since(began), 5*time.Second, "it ends, whatever hangs")
+	assert.Less(t, time.Since(began), 5*time.Second, "Run returns although calls are in flight")
 }
 
-// checkPing checks that the pilot listens and answers a ping. It keeps the connection open until the test ends.
+// checkPing checks that the pilot accepts connections and replies to a ping. The connection stays open until the test
+// ends.
 func checkPing(t *testing.T, address string) {
 	var conn net.Conn
 	require.Eventually(t, func() bool {
--- a/internal/platform/scriptedsite_test.go
+++ b/internal/platform/scriptedsite_test.go
@@ -21,21 +21,21 @@
 	commandsPath = "/v1/orders"
 )
 
-// fakePlatform is the platform around one pilot: discovery with one endpoint and a relay with one proxy, at any
-// number of addresses.
+// fakePlatform serves the pilot's dependencies: a discovery agent with one endpoint and a relay with one proxy. Both
+// are available at each address that listen returns.
 type fakePlatform struct {
 	mu       sync.Mutex
-	executed []string       // commands: the address, verb, proxy and endpoint
-	calls    map[string]int // by address and path
+	executed []string       // one text per command: address, verb, proxy and endpoint
+	calls    map[string]int // number of calls, by address followed by path
 }
 
-// listen returns another address of the site.
+// listen starts serving at a new address and returns it.
 func (s *fakePlatform) listen(t *testing.T) (address string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
 	address = listener.Addr().String()
-	go func() { // until the listener is closed
+	go func() { // ends when the listener is closed
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
@@ -77,7 +77,7 @@
 	}
 }
 
-// countCall notes a call and returns its number, from 1.
+// countCall counts a call to an address and path and returns how many there were, including this one.
 func (s *fakePlatform) countCall(what string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +85,7 @@
 	return s.calls[what]
 }
 
-// serveEvents announces one proxy and sends a few keepalives.
+// serveEvents writes an event stream that announces one proxy and then sends five keepalives.
 func serveEvents(conn io.Writer) {
 	_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	events := []string{
@@ -99,7 +99,8 @@
 	}
 }
 
-// respond returns the answer of discovery or the relay to a call.
+// respond returns the response body of discovery or the relay to a call. number counts the calls to this address and
+// path, from 1.
 func (s *fakePlatform) respond(address, path string, number int, body []byte) (string, error) {
 	if path == commandsPath {
 		return s.execute(address, body)
@@ -107,7 +108,7 @@
 	return listResponse(number), nil
 }
 
-// execute notes the commands of a call and returns its answer.
+// execute records the commands in a call to the relay and returns the response body.
 func (s *fakePlatform) execute(address string, body []byte) (answer string, err error) {
 	var call struct{ Ops []map[string]any }
 	if err := json.Unmarshal(body, &call); err != nil {
@@ -122,7 +123,7 @@
 	return fmt.Sprintf(`{"ok_count":%d}`, len(call.Ops)), nil
 }
 
-// listResponse returns the whole list to the first call and no changes to it to others.
+// listResponse returns the whole endpoint list for call number 1, and an empty set of changes for later calls.
 func listResponse(number int) string {
 	if number == 1 {
 		return `{"index":7,"snapshot":true,"endpoints":[{"name":"s-1","zone":"b","type":"m2","group":1,` +
@@ -132,14 +133,14 @@
 	return `{"index":7,"snapshot":false,"endpoints":[]}`
 }
 
-// hasExecuted reports whether a text is contained in the commands.
+// hasExecuted reports whether the texts of the executed commands contain what.
 func (s *fakePlatform) hasExecuted(what string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return strings.Contains(strings.Join(s.executed, "\n"), what)
 }
 
-// callCount returns how many calls came for an address and path.
+// callCount returns the number of calls to an address followed by a path.
 func (s *fakePlatform) callCount(what string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/platform/simulator_test.go
+++ b/internal/platform/simulator_test.go
@@ -17,10 +17,10 @@
 	"indigousher/planner"
 )
 
-// recordingRelay keeps the commands that a core hands to its relay.
+// recordingRelay is a controller.Relay that records the enqueued commands as texts.
 type recordingRelay struct{ lines []string }
 
-// Enqueue keeps the commands that the simulator has as well.
+// Enqueue records the commands of the kinds that the simulator protocol supports too.
 func (r *recordingRelay) Enqueue(turn []planner.Command, endpoint func(int) string) {
 	for _, c := range turn {
 		switch c := c.(type) {
@@ -37,7 +37,7 @@
 // ProxyLeft does nothing.
 func (r *recordingRelay) ProxyLeft(int) {}
 
-// noEndpointSource ignores all requests.
+// noEndpointSource is a controller.EndpointSource that ignores all requests.
 type noEndpointSource struct{}
 
 // Watch does nothing.
@@ -46,13 +46,14 @@
 // Fetch does nothing.
 func (noEndpointSource) Fetch() {}
 
-// parityHarness feeds the same scenario to a core, as the platform's inputs, and to the simulator's adapter, as events.
+// parityHarness feeds one scenario to a core, as inputs from the platform, and collects the same scenario as events for
+// the simulator adapter.
 type parityHarness struct {
 	core   *controller.Core
-	events []string
+	events []string // JSON lines for the simulator adapter
 }
 
-// start announces the endpoints and one proxy.
+// start announces six endpoints and one proxy at time 0.
 func (b *parityHarness) start() {
 	var entries []wire.Entry
 	var hosts []string
@@ -73,7 +74,7 @@
 		`{"kind":"stream_up","i":"pilot/0","edge":3,"zone":"b","heft":7,"active":true}]}`)
 }
 
-// report reports one endpoint's load and one proxy's requests.
+// report reports an endpoint's load and a proxy's request counts at the given time in seconds.
 func (b *parityHarness) report(second int, load float64) {
 	b.core.Handle(float64(1000*second), []controller.Input{
 		controller.ZoneStats{
@@ -89,7 +90,7 @@
 		1000*second*1000000, second, load))
 }
 
-// controlRound lets the timer fire half a second after second.
+// controlRound fires the timers half a second after the given time in seconds.
 func (b *parityHarness) controlRound(second int) {
 	nowMs := 500 + 1000*second
 	b.core.Handle(float64(nowMs), nil)
@@ -97,8 +98,8 @@
 		`{"sim_time":%d,"batch":2,"happened":[{"kind":"bell","i":"pilot/0","ref":"gather"}]}`, nowMs*1000000))
 }
 
-// TestSimulatorParity checks that simulator and platform feed the planner the same: one translation of
-// settings and names, the same events, and so the same commands.
+// TestSimulatorParity checks that the platform integration and the simulator adapter translate settings, names and
+// events in the same way, so that the planner returns the same commands for one scenario.
 func TestSimulatorParity(t *testing.T) {
 	p := newPlacement(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1")
 	relay := &recordingRelay{}
@@ -119,15 +120,16 @@
 	harness.start()
 	harness.controlRound(0)
 	for second := 1; second < 12; second++ {
-		load := float64(second%5) / 2 // full for long enough that tables change
+		load := float64(second%5) / 2 // overloaded in enough rounds that the planner changes tables
 		harness.report(second, load)
 		harness.controlRound(second)
 	}
 	assert.Equal(t, simulatorCommands(t, harness.events), relay.lines)
-	assert.Greater(t, len(relay.lines), 7, "tables were laid and changed")
+	assert.Greater(t, len(relay.lines), 7, "the planner has created and changed tables")
 }
 
-// simulatorCommands plays events through the simulator's adapter and returns the commands in recordingRelay's words.
+// simulatorCommands feeds events to the simulator adapter and returns the resulting commands in the format of
+// recordingRelay.
 func simulatorCommands(t *testing.T, events []string) (lines []string) {
 	var out strings.Builder
 	require.NoError(t, simulator.Serve(strings.NewReader(strings.Join(events, "\n")+"\n"), &out))
