--- a/internal/platform/connstate/connstate_test.go
+++ b/internal/platform/connstate/connstate_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pair returns both ends of a connection.
-func pair(t *testing.T) (conn, other net.Conn) {
+// connPair returns both ends of a connection.
+func connPair(t *testing.T) (conn, other net.Conn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
@@ -25,7 +25,7 @@
 
 func TestPeek(t *testing.T) {
 	for name, c := range map[string]struct {
-		does func(other *net.TCPConn) error
+		act  func(other *net.TCPConn) error
 		want State
 	}{
 		"nothing":          {func(*net.TCPConn) error { return nil }, Idle},
@@ -35,10 +35,10 @@
 		"sends and closes": {func(o *net.TCPConn) error { _, _ = o.Write([]byte("x")); return o.Close() }, Readable},
 	} {
 		t.Run(name, func(t *testing.T) {
-			conn, other := pair(t)
+			conn, other := connPair(t)
 			tcp, ok := other.(*net.TCPConn)
 			require.True(t, ok)
-			require.NoError(t, c.does(tcp))
+			require.NoError(t, c.act(tcp))
 			require.Eventually(t, func() bool { return Peek(conn) == c.want }, 5*time.Second, time.Millisecond)
 			assert.Equal(t, c.want, Peek(conn), "looking takes nothing away")
 		})
@@ -48,7 +48,7 @@
 
 // TestPeekWhileRead checks that Peek does not wait for another goroutine that reads from the connection.
 func TestPeekWhileRead(t *testing.T) {
-	conn, other := pair(t)
+	conn, other := connPair(t)
 	reading := make(chan struct{})
 	ended := make(chan struct{})
 	go func() {
