--- a/internal/platform/discovery/client_test.go
+++ b/internal/platform/discovery/client_test.go
@@ -45,8 +45,8 @@
 	return versions
 }
 
-// run runs a client until the test ends.
-func run(t *testing.T, client *Client) {
+// startClient runs a client until the test ends.
+func startClient(t *testing.T, client *Client) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- client.Run(ctx) }()
@@ -64,29 +64,29 @@
 
 // TestSetAddress checks a reload: the list is neither forgotten nor posted twice.
 func TestSetAddress(t *testing.T) {
-	before := newScriptedAgent(t, list(4, true, "x"))
-	after := newScriptedAgent(t, list(5, false, "y"))
+	before := newScriptedAgent(t, listResponse(4, true, "x"))
+	after := newScriptedAgent(t, listResponse(5, false, "y"))
 	b := &inbox{}
 	client := New(before.address(), true, b, zap.NewNop())
-	run(t, client)
-	eventually(t, func() bool { return len(before.asked()) > 1 })
+	startClient(t, client)
+	eventually(t, func() bool { return len(before.requestedPaths()) > 1 })
 	client.SetAddress(after.address())
 	client.SetAddress(after.address())
-	eventually(t, func() bool { return len(after.asked()) > 1 })
+	eventually(t, func() bool { return len(after.requestedPaths()) > 1 })
 	assert.Equal(t, []int{4, 5}, b.versions())
-	assert.Contains(t, after.asked()[0], "index=")
+	assert.Contains(t, after.requestedPaths()[0], "index=")
 }
 
 // TestOnRequest checks that nothing is requested before the planner asks for it.
 func TestOnRequest(t *testing.T) {
-	s := newScriptedAgent(t, list(4, true, "x"), list(5, true, "x"))
+	s := newScriptedAgent(t, listResponse(4, true, "x"), listResponse(5, true, "x"))
 	b := &inbox{}
 	client := New(s.address(), false, b, zap.NewNop())
-	run(t, client)
+	startClient(t, client)
 	time.Sleep(20 * time.Millisecond)
-	assert.Empty(t, s.asked())
+	assert.Empty(t, s.requestedPaths())
 	client.Fetch()
 	eventually(t, func() bool { return len(b.versions()) == 1 })
 	client.Watch(true)
-	eventually(t, func() bool { return len(s.asked()) > 2 })
+	eventually(t, func() bool { return len(s.requestedPaths()) > 2 })
 }
--- a/internal/platform/discovery/scriptedagent_test.go
+++ b/internal/platform/discovery/scriptedagent_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// list returns an answer with a list of active endpoints.
-func list(index int, snapshot bool, names ...string) string {
+// listResponse returns an answer with a list of active endpoints.
+func listResponse(index int, snapshot bool, names ...string) string {
 	var entries []string
 	for _, name := range names {
 		entries = append(entries, fmt.Sprintf(
@@ -65,16 +65,16 @@
 		case "reset":
 			return
 		case "half":
-			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n"+list(4, true, "x")[:20])
+			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n"+listResponse(4, true, "x")[:20])
 			return
 		case "silent":
 			_, _ = reader.ReadByte() // until the other side gives up
 			return
 		case "":
 			time.Sleep(20 * time.Millisecond)
-			step = list(1000+number, false)
+			step = listResponse(1000+number, false)
 		}
-		if writeAnswer(conn, step) != nil {
+		if writeResponse(conn, step) != nil {
 			return
 		}
 	}
@@ -92,8 +92,8 @@
 	return step, number
 }
 
-// writeAnswer sends a step's body, byte by byte if the step says so.
-func writeAnswer(conn net.Conn, step string) error {
+// writeResponse sends a step's body, byte by byte if the step says so.
+func writeResponse(conn net.Conn, step string) error {
 	body, byteByByte := strings.CutPrefix(step, "bytes")
 	answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	piece := len(answer)
@@ -110,7 +110,7 @@
 	return nil
 }
 
-func (s *scriptedAgent) asked() []string {
+func (s *scriptedAgent) requestedPaths() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string{}, s.paths...)
--- a/internal/platform/discovery/watch.go
+++ b/internal/platform/discovery/watch.go
@@ -19,8 +19,8 @@
 const (
 	// watchWait is how long discovery may delay its answer until the list changes.
 	watchWait = 1000 * time.Millisecond
-	// answerTimeout bounds a call, in addition to the wait.
-	answerTimeout = 400 * time.Millisecond
+	// responseTimeout bounds a call, in addition to the wait.
+	responseTimeout = 400 * time.Millisecond
 	// dialTimeout bounds connecting.
 	dialTimeout = 500 * time.Millisecond
 	// retryDelay is the pause after an error.
@@ -44,10 +44,10 @@
 	defer cancel()
 	c.mu.Lock()
 	address := c.address
-	wanted := c.watching || c.fetch
+	hasRequest := c.watching || c.fetch
 	c.cancelCall = cancel
 	c.mu.Unlock()
-	if !wanted {
+	if !hasRequest {
 		select {
 		case <-c.wake:
 		case <-callCtx.Done():
@@ -75,16 +75,16 @@
 	defer stop()
 	reader := bufio.NewReader(conn)
 	for {
-		path, timeout, wanted := c.nextRequest()
-		if !wanted {
+		path, timeout, ok := c.nextRequest()
+		if !ok {
 			return nil
 		}
 		c.Counters.Calls.Add(1)
-		answer, err := get(conn, reader, address, path, timeout)
+		resp, err := get(conn, reader, address, path, timeout)
 		if err != nil {
 			return err
 		}
-		list, malformed, err := ParseList(answer.body)
+		list, malformed, err := ParseList(resp.body)
 		if err != nil {
 			return err
 		}
@@ -92,14 +92,14 @@
 		if err := c.deliver(ctx, list, path == membersPath); err != nil {
 			return err
 		}
-		if answer.closing {
+		if resp.closing {
 			return nil
 		}
 	}
 }
 
 // nextRequest returns the path and timeout of the next call, and whether there is one to make.
-func (c *Client) nextRequest() (path string, timeout time.Duration, wanted bool) {
+func (c *Client) nextRequest() (path string, timeout time.Duration, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.watching && !c.fetch {
@@ -107,19 +107,19 @@
 	}
 	if c.fetch || !c.hasList {
 		c.fetch = false
-		return membersPath, answerTimeout, true
+		return membersPath, responseTimeout, true
 	}
 	path = fmt.Sprintf("%s?index=%d&wait=%d", membersPath, c.version, watchWait.Milliseconds())
-	return path, watchWait + answerTimeout, true
+	return path, watchWait + responseTimeout, true
 }
 
 // deliver posts a list and records its version. Changes without entries are only a keepalive. Changes without their
 // base, because the whole list was requested or the version decreased, are posted as well, but then an error is
 // returned and the whole list is requested next.
-func (c *Client) deliver(ctx context.Context, list *wire.List, askedWhole bool) error {
+func (c *Client) deliver(ctx context.Context, list *wire.List, requestedWhole bool) error {
 	c.mu.Lock()
-	withoutBase := !list.Whole && (askedWhole || c.hasList && list.Version < c.version)
-	c.hasList = !withoutBase
+	baseMissing := !list.Whole && (requestedWhole || c.hasList && list.Version < c.version)
+	c.hasList = !baseMissing
 	c.version = list.Version
 	c.mu.Unlock()
 	if list.Whole || len(list.Entries) > 0 {
@@ -128,7 +128,7 @@
 			return err
 		}
 	}
-	if withoutBase {
+	if baseMissing {
 		return fmt.Errorf("%w: changes to a version not held here, %d", ErrInvalidList, list.Version)
 	}
 	return nil
--- a/internal/platform/discovery/watch_test.go
+++ b/internal/platform/discovery/watch_test.go
@@ -10,10 +10,10 @@
 	"go.uber.org/zap"
 )
 
-// wholePath requests the whole list, changesFrom the changes from a version.
+// wholePath requests the whole list, changesPath the changes from a version.
 const wholePath = "/catalog/members"
 
-func changesFrom(version int) string {
+func changesPath(version int) string {
 	return fmt.Sprintf("/catalog/members?index=%d&wait=1000", version)
 }
 
@@ -26,57 +26,57 @@
 		paths    []string // asked for
 	}{
 		"whole, then changes": {
-			[]string{list(4, true, "x"), list(5, false, "y"), list(6, false)},
+			[]string{listResponse(4, true, "x"), listResponse(5, false, "y"), listResponse(6, false)},
 			[]int{4, 5},
-			[]string{wholePath, changesFrom(4), changesFrom(5), changesFrom(6)},
+			[]string{wholePath, changesPath(4), changesPath(5), changesPath(6)},
 		},
 		"whole after a gap": {
-			[]string{list(4, true, "x"), list(9, true, "y")},
+			[]string{listResponse(4, true, "x"), listResponse(9, true, "y")},
 			[]int{4, 9},
-			[]string{wholePath, changesFrom(4), changesFrom(9)},
+			[]string{wholePath, changesPath(4), changesPath(9)},
 		},
 		"reset": {
-			[]string{"reset", list(4, true, "x"), "reset", list(5, false, "y")},
+			[]string{"reset", listResponse(4, true, "x"), "reset", listResponse(5, false, "y")},
 			[]int{4, 5},
-			[]string{wholePath, wholePath, changesFrom(4), changesFrom(4)},
+			[]string{wholePath, wholePath, changesPath(4), changesPath(4)},
 		},
 		"silent": {
-			[]string{list(4, true, "x"), "silent", list(5, false, "y")},
+			[]string{listResponse(4, true, "x"), "silent", listResponse(5, false, "y")},
 			[]int{4, 5},
-			[]string{wholePath, changesFrom(4), changesFrom(4)},
+			[]string{wholePath, changesPath(4), changesPath(4)},
 		},
 		"changes where the whole list was asked for": {
-			[]string{list(4, false, "x"), list(4, true, "x", "y"), list(5, false, "y")},
+			[]string{listResponse(4, false, "x"), listResponse(4, true, "x", "y"), listResponse(5, false, "y")},
 			[]int{4, 4, 5},
-			[]string{wholePath, wholePath, changesFrom(4), changesFrom(5)},
+			[]string{wholePath, wholePath, changesPath(4), changesPath(5)},
 		},
 		"a version gone back": {
-			[]string{list(9, true, "x"), list(3, false, "y"), list(3, true, "y"), list(4, false, "z")},
+			[]string{listResponse(9, true, "x"), listResponse(3, false, "y"), listResponse(3, true, "y"), listResponse(4, false, "z")},
 			[]int{9, 3, 3, 4},
-			[]string{wholePath, changesFrom(9), wholePath, changesFrom(3), changesFrom(4)},
+			[]string{wholePath, changesPath(9), wholePath, changesPath(3), changesPath(4)},
 		},
 		"a whole list of a version gone back": {
-			[]string{list(9, true, "x"), list(3, true, "y")},
+			[]string{listResponse(9, true, "x"), listResponse(3, true, "y")},
 			[]int{9, 3},
-			[]string{wholePath, changesFrom(9), changesFrom(3)},
+			[]string{wholePath, changesPath(9), changesPath(3)},
 		},
 		"an empty whole list": {
-			[]string{list(4, true, "x"), list(5, true)},
+			[]string{listResponse(4, true, "x"), listResponse(5, true)},
 			[]int{4, 5},
-			[]string{wholePath, changesFrom(4), changesFrom(5)},
+			[]string{wholePath, changesPath(4), changesPath(5)},
 		},
 		"an answer that breaks half way": {
-			[]string{"half", list(4, true, "x")},
+			[]string{"half", listResponse(4, true, "x")},
 			[]int{4},
-			[]string{wholePath, wholePath, changesFrom(4)},
+			[]string{wholePath, wholePath, changesPath(4)},
 		},
 		"an answer in single bytes": {
-			[]string{"bytes" + list(4, true, "x")},
+			[]string{"bytes" + listResponse(4, true, "x")},
 			[]int{4},
-			[]string{wholePath, changesFrom(4)},
+			[]string{wholePath, changesPath(4)},
 		},
 		"no list": {
-			[]string{`{"error":1}`, `<html>`, list(4, true, "x")},
+			[]string{`{"error":1}`, `<html>`, listResponse(4, true, "x")},
 			[]int{4},
 			[]string{wholePath, wholePath, wholePath},
 		},
@@ -85,10 +85,10 @@
 			t.Parallel()
 			s := newScriptedAgent(t, c.steps...)
 			b := &inbox{}
-			run(t, New(s.address(), true, b, zap.NewNop()))
-			require.Eventually(t, func() bool { return len(s.asked()) > len(c.steps) }, 10*time.Second, time.Millisecond)
+			startClient(t, New(s.address(), true, b, zap.NewNop()))
+			require.Eventually(t, func() bool { return len(s.requestedPaths()) > len(c.steps) }, 10*time.Second, time.Millisecond)
 			assert.Equal(t, c.versions, b.versions())
-			assert.Equal(t, c.paths, s.asked()[:len(c.paths)])
+			assert.Equal(t, c.paths, s.requestedPaths()[:len(c.paths)])
 		})
 	}
 }
