--- a/internal/platform/listener/collectors.go
+++ b/internal/platform/listener/collectors.go
@@ -10,14 +10,14 @@
 // connection the old one may still have data to read when the next one is opened.
 const maxCollectorsPerZone = 2
 
-// collectors holds the connections of collectors.
-type collectors struct {
+// collectorConns holds the connections of collectors.
+type collectorConns struct {
 	mu     sync.Mutex
 	byZone map[string][]net.Conn // oldest first
 }
 
 // add adds a collector's connection and closes the oldest one of its zone if there are too many.
-func (c *collectors) add(zone string, conn net.Conn) {
+func (c *collectorConns) add(zone string, conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	conns := append(c.byZone[zone], conn)
@@ -29,7 +29,7 @@
 }
 
 // remove removes a connection. It does nothing if the connection was replaced.
-func (c *collectors) remove(zone string, conn net.Conn) {
+func (c *collectorConns) remove(zone string, conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.byZone[zone] = slices.DeleteFunc(c.byZone[zone], func(other net.Conn) bool { return other == conn })
--- a/internal/platform/listener/collectors_test.go
+++ b/internal/platform/listener/collectors_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// standing returns the number of a zone's connections.
-func (c *collectors) standing(zone string) int {
+// connectionCount returns the number of a zone's connections.
+func (c *collectorConns) connectionCount(zone string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.byZone[zone])
@@ -32,13 +32,13 @@
 	require.NoError(t, conns[0].SetReadDeadline(time.Now().Add(5*time.Second)))
 	_, err := conns[0].Read(make([]byte, 1))
 	assert.ErrorIs(t, err, io.EOF)
-	assert.Equal(t, maxCollectorsPerZone, l.collectors.standing("b"))
+	assert.Equal(t, maxCollectorsPerZone, l.collectors.connectionCount("b"))
 }
 
-// TestOlderCollectorConnectionClosesLast checks a collector that reconnects before its old connection ends, and
+// TestOverlappingCollectorConnections checks a collector that reconnects before its old connection ends, and
 // closes that one later: the reports on the new one are posted. A connection that resets while it is rejected has no
 // effect on others.
-func TestOlderCollectorConnectionClosesLast(t *testing.T) {
+func TestOverlappingCollectorConnections(t *testing.T) {
 	l, b, dial := startListener(t, 20)
 	join := func(number int64) net.Conn {
 		conn := dial()
@@ -53,14 +53,14 @@
 	require.NoError(t, err)
 	eventually(t, func() bool { return len(b.all()) == 1 })
 	require.NoError(t, older.Close())
-	eventually(t, func() bool { return l.collectors.standing("a") == 1 })
+	eventually(t, func() bool { return l.collectors.connectionCount("a") == 1 })
 
-	rude, ok := dial().(*net.TCPConn)
+	resetConn, ok := dial().(*net.TCPConn)
 	require.True(t, ok)
-	_, err = io.WriteString(rude, strings.Repeat("x", 1000))
+	_, err = io.WriteString(resetConn, strings.Repeat("x", 1000))
 	require.NoError(t, err)
-	require.NoError(t, rude.SetLinger(0))
-	require.NoError(t, rude.Close())
+	require.NoError(t, resetConn.SetLinger(0))
+	require.NoError(t, resetConn.Close())
 
 	_, err = io.WriteString(newer, proxyLine)
 	require.NoError(t, err)
--- a/internal/platform/listener/handshake.go
+++ b/internal/platform/listener/handshake.go
@@ -14,8 +14,8 @@
 const (
 	// identifyTimeout bounds the time until a connection has identified itself.
 	identifyTimeout = 1200 * time.Millisecond
-	// maxGreetingBytes bounds a line before identification.
-	maxGreetingBytes = 256
+	// maxIdentifyLineBytes bounds a line before identification.
+	maxIdentifyLineBytes = 256
 	// writeTimeout bounds writing a reply, and reading the rest of a rejected connection.
 	writeTimeout = 300 * time.Millisecond
 	// maxDiscardedReads reads of up to discardBufferBytes bound how much is read of a rejected connection.
@@ -31,7 +31,7 @@
 	if err := conn.SetDeadline(time.Now().Add(identifyTimeout)); err != nil {
 		return "", nil, err
 	}
-	buffer := make([]byte, maxGreetingBytes)
+	buffer := make([]byte, maxIdentifyLineBytes)
 	filled := 0
 	for {
 		end := bytes.IndexByte(buffer[:filled], '\n')
--- a/internal/platform/listener/listener.go
+++ b/internal/platform/listener/listener.go
@@ -29,8 +29,8 @@
 	inbox controller.Inbox
 	log   *zap.Logger
 
-	unidentified unidentified
-	collectors   collectors
+	unidentified unidentifiedConns
+	collectors   collectorConns
 	rejections   rejectionLog
 }
 
@@ -58,9 +58,9 @@
 		conn, err := socket.Accept()
 		if err == nil {
 			l.Counters.Accepted.Add(1)
-			place := l.unidentified.add(conn)
+			element := l.unidentified.add(conn)
 			group.Go(func() error {
-				l.serve(ctx, conn, place)
+				l.serve(ctx, conn, element)
 				return nil
 			})
 			continue
--- a/internal/platform/listener/report.go
+++ b/internal/platform/listener/report.go
@@ -14,8 +14,8 @@
 
 // Sizes of a zone's report.
 const (
-	maxMetrics  = 16 // limit of the load metrics of an endpoint
-	metricsHint = 4  // their usual number
+	maxMetrics      = 16 // limit of the load metrics of an endpoint
+	expectedMetrics = 4  // their usual number
 )
 
 // parseReport parses a collector's line. in is nil if the line is malformed; it is still readable if its kind is
@@ -63,7 +63,7 @@
 
 // parseMetrics returns an endpoint's load metrics from comma-separated name:value pairs.
 func parseMetrics(text []byte) (map[string]float64, error) {
-	load := make(map[string]float64, metricsHint)
+	load := make(map[string]float64, expectedMetrics)
 	for len(text) > 0 {
 		var pair []byte
 		pair, text, _ = bytes.Cut(text, []byte(","))
--- a/internal/platform/listener/session.go
+++ b/internal/platform/listener/session.go
@@ -24,12 +24,12 @@
 )
 
 // serve handles one connection until it or ctx ends.
-func (l *Listener) serve(ctx context.Context, conn net.Conn, place *list.Element) {
+func (l *Listener) serve(ctx context.Context, conn net.Conn, element *list.Element) {
 	defer func() { _ = conn.Close() }() // its data is not needed any more
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	zone, rest, err := l.identify(conn)
-	l.unidentified.remove(place)
+	l.unidentified.remove(element)
 	if err != nil {
 		return
 	}
--- a/internal/platform/listener/unidentified.go
+++ b/internal/platform/listener/unidentified.go
@@ -9,8 +9,8 @@
 	"indigousher/internal/platform/connstate"
 )
 
-// unidentified holds the connections that have not identified themselves as a collector and bounds their number.
-type unidentified struct {
+// unidentifiedConns holds the connections that have not identified themselves as a collector and bounds their number.
+type unidentifiedConns struct {
 	limit   int
 	evicted *atomic.Int64
 
@@ -20,7 +20,7 @@
 
 // add adds a connection, after evicting others if there is no room. It returns the place of the connection for
 // remove.
-func (u *unidentified) add(conn net.Conn) *list.Element {
+func (u *unidentifiedConns) add(conn net.Conn) *list.Element {
 	u.evictTo(u.limit - 1)
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -28,30 +28,30 @@
 }
 
 // remove removes a connection. It does nothing if the connection was evicted.
-func (u *unidentified) remove(place *list.Element) {
+func (u *unidentifiedConns) remove(element *list.Element) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.conns.Remove(place)
+	u.conns.Remove(element)
 }
 
 // evictTo closes connections until no more than remaining are left.
-func (u *unidentified) evictTo(remaining int) {
+func (u *unidentifiedConns) evictTo(remaining int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for u.conns.Len() > remaining {
-		conn, _ := u.conns.Remove(u.nextEvicted()).(net.Conn) // add adds nothing else
-		_ = conn.Close()                                      // its data is not needed any more
+		conn, _ := u.conns.Remove(u.evictionCandidate()).(net.Conn) // add adds nothing else
+		_ = conn.Close()                                            // its data is not needed any more
 		u.evicted.Add(1)
 	}
 }
 
-// nextEvicted returns the oldest connection without unread data, or the oldest one if all have some. So a flood of
+// evictionCandidate returns the oldest connection without unread data, or the oldest one if all have some. So a flood of
 // connections does not evict a collector whose first line was received but not read yet. The caller holds mu, and
 // there is a connection.
-func (u *unidentified) nextEvicted() *list.Element {
-	for place := u.conns.Front(); place != nil; place = place.Next() {
-		if conn, ok := place.Value.(net.Conn); ok && connstate.Peek(conn) != connstate.Readable {
-			return place
+func (u *unidentifiedConns) evictionCandidate() *list.Element {
+	for element := u.conns.Front(); element != nil; element = element.Next() {
+		if conn, ok := element.Value.(net.Conn); ok && connstate.Peek(conn) != connstate.Readable {
+			return element
 		}
 	}
 	return u.conns.Front()
--- a/internal/platform/listener/unidentified_test.go
+++ b/internal/platform/listener/unidentified_test.go
@@ -12,9 +12,9 @@
 	"indigousher/internal/platform/connstate"
 )
 
-// TestCollectorAmongHundreds checks that silent connections use no more than their share of the descriptors, and that
+// TestCollectorConnectsDuringFlood checks that silent connections use no more than their share of the descriptors, and that
 // a collector can join all the same.
-func TestCollectorAmongHundreds(t *testing.T) {
+func TestCollectorConnectsDuringFlood(t *testing.T) {
 	l, b, dial := startListener(t, 20)
 	for range 300 {
 		dial()
@@ -33,7 +33,7 @@
 // evicted; another connection is. If all have sent something the oldest is evicted.
 func TestEvictionSparesJoiningCollector(t *testing.T) {
 	for name, c := range map[string]struct {
-		says    []string // in the order of connecting; there is room for three
+		sent    []string // in the order of connecting; there is room for three
 		evicted int
 	}{
 		"nobody says anything":   {[]string{"", "", "", ""}, 0},
@@ -47,7 +47,7 @@
 			defer func() { _ = socket.Close() }()
 			l := New([]string{"a"}, 3, &inbox{}, zap.NewNop())
 			var peers []net.Conn
-			for _, text := range c.says {
+			for _, text := range c.sent {
 				peer, err := net.Dial("tcp", socket.Addr().String())
 				require.NoError(t, err)
 				defer func() { _ = peer.Close() }()
