--- a/internal/platform/placement/checks_test.go
+++ b/internal/platform/placement/checks_test.go
@@ -10,7 +10,7 @@
 
 // TestErrorsNameTheField checks that the error for an invalid file names the field.
 func TestErrorsNameTheField(t *testing.T) {
-	for name, c := range map[string]struct{ from, to, says string }{
+	for name, c := range map[string]struct{ from, to, wantError string }{
 		"cut off":           {`}}}`, ``, "not readable"},
 		"no name":           {`"n3"`, `""`, "name is missing"},
 		"no discovery":      {`"discovery":"127.2.0.1:8500",`, ``, "discovery is missing"},
@@ -27,7 +27,7 @@
 		t.Run(name, func(t *testing.T) {
 			require.Contains(t, validFile, c.from)
 			_, err := Parse([]byte(strings.Replace(validFile, c.from, c.to, 1)))
-			assert.ErrorContains(t, err, c.says)
+			assert.ErrorContains(t, err, c.wantError)
 			assert.NotContains(t, err.Error(), "\n")
 		})
 	}
--- a/internal/platform/placement/parse_test.go
+++ b/internal/platform/placement/parse_test.go
@@ -34,8 +34,8 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(path, []byte(validFile), 0o600))
 	for name, c := range map[string]struct {
-		env  map[string]string
-		says string
+		env       map[string]string
+		wantError string
 	}{
 		"all agree":    {map[string]string{"NODE_CONFIG": path, "NODE_NAME": "n3", "NODE_LISTEN": "127.0.0.4:3000"}, ""},
 		"alone":        {map[string]string{"NODE_CONFIG": path}, ""},
@@ -45,11 +45,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Read(func(k string) string { return c.env[k] })
-			if c.says == "" {
+			if c.wantError == "" {
 				assert.NoError(t, err)
 				return
 			}
-			assert.ErrorContains(t, err, c.says)
+			assert.ErrorContains(t, err, c.wantError)
 		})
 	}
 }
