--- a/internal/platform/relay/call.go
+++ b/internal/platform/relay/call.go
@@ -51,23 +51,23 @@
 	return append([]byte(head), body.Bytes()...)
 }
 
-// parseAnswer returns how many commands of a call the relay has executed, according to the body of its answer. If that
+// parseResponse returns how many commands of a call the relay has executed, according to the body of its answer. If that
 // cannot be decoded, or the count is impossible for a call of this length, the outcome is unknown.
-func parseAnswer(body []byte, commands int) (executed int, err error) {
-	var answer struct {
+func parseResponse(body []byte, commands int) (executed int, err error) {
+	var decoded struct {
 		Count *int    `json:"ok_count"`
 		Error *string `json:"error"`
 	}
-	if err := json.Unmarshal(body, &answer); err != nil {
+	if err := json.Unmarshal(body, &decoded); err != nil {
 		return 0, fmt.Errorf("%w: unreadable answer: %w", errOutcomeUnknown, err)
 	}
 	switch {
-	case answer.Error != nil && *answer.Error == "limit":
+	case decoded.Error != nil && *decoded.Error == "limit":
 		return 0, errRunNotStarted
-	case answer.Error != nil:
-		return 0, fmt.Errorf("%w: %.80q", errRejected, *answer.Error)
-	case answer.Count == nil || *answer.Count < 0 || *answer.Count > commands:
+	case decoded.Error != nil:
+		return 0, fmt.Errorf("%w: %.80q", errRejected, *decoded.Error)
+	case decoded.Count == nil || *decoded.Count < 0 || *decoded.Count > commands:
 		return 0, fmt.Errorf("%w: no possible count in the answer", errOutcomeUnknown)
 	}
-	return *answer.Count, nil
+	return *decoded.Count, nil
 }
--- a/internal/platform/relay/connection.go
+++ b/internal/platform/relay/connection.go
@@ -16,16 +16,16 @@
 const (
 	// dialTimeout bounds connecting to the relay.
 	dialTimeout = 400 * time.Millisecond
-	// answerTimeout bounds writing a request and reading its answer. The relay answers within 50 ms; the rest is margin
+	// responseTimeout bounds writing a request and reading its answer. The relay answers within 50 ms; the rest is margin
 	// for a loaded machine.
-	answerTimeout = 300 * time.Millisecond
+	responseTimeout = 300 * time.Millisecond
 	// maxIdle is how long a connection may be unused and still be reused. The relay closes idle connections, and a
 	// call on a connection that is being closed has an unknown outcome.
 	maxIdle = 300 * time.Millisecond
-	// maxAnswerBytes bounds the body of an answer.
-	maxAnswerBytes = 1 << 16
-	// answerBufferBytes is the size of the read buffer. Answers have a body of some 20 bytes.
-	answerBufferBytes = 1024
+	// maxResponseBytes bounds the body of an answer.
+	maxResponseBytes = 1 << 16
+	// responseBufferBytes is the size of the read buffer. Answers have a body of some 20 bytes.
+	responseBufferBytes = 1024
 )
 
 // dialer opens connections to the relay, for calls and for event subscriptions.
@@ -56,15 +56,15 @@
 			return response{}, err
 		}
 	}
-	if err := c.conn.SetDeadline(time.Now().Add(answerTimeout)); err != nil {
+	if err := c.conn.SetDeadline(time.Now().Add(responseTimeout)); err != nil {
 		return response{}, fmt.Errorf("%w: set deadline: %w", errNotExecuted, err)
 	}
 	if _, err := c.conn.Write(encodeRequest(address, next)); err != nil { // the last byte was not sent
 		return response{}, fmt.Errorf("%w: write call: %w", errNotExecuted, err)
 	}
-	answer, err := c.readResponse()
+	resp, err := c.readResponse()
 	c.lastUsed = time.Now()
-	return answer, err
+	return resp, err
 }
 
 // reusable reports whether the open connection, if any, leads to address and is still usable: the relay has neither
@@ -83,7 +83,7 @@
 	}
 	c.conn = conn
 	c.address = address
-	c.reader = bufio.NewReaderSize(conn, answerBufferBytes)
+	c.reader = bufio.NewReaderSize(conn, responseBufferBytes)
 	return nil
 }
 
@@ -94,7 +94,7 @@
 		return response{}, fmt.Errorf("%w: read answer: %w", errOutcomeUnknown, err)
 	}
 	defer func() { _ = resp.Body.Close() }() // it has been read, or the connection is closed next
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return response{}, fmt.Errorf("%w: read answer: %w", errOutcomeUnknown, err)
 	}
--- a/internal/platform/relay/connection_test.go
+++ b/internal/platform/relay/connection_test.go
@@ -27,7 +27,7 @@
 // TestIdleConnectionClosedByRelay checks that a connection closed by the relay is not reused.
 func TestIdleConnectionClosedByRelay(t *testing.T) {
 	s := newScriptedRelay(t)
-	s.closing = true
+	s.closeAfterResponse = true
 	sender := startSender(t, s.address())
 	for i := 1; i <= 5; i++ {
 		sender.Enqueue([]planner.Command{planner.SetWeight{Table: i, Weight: 1}}, endpointName)
--- a/internal/platform/relay/doc.go
+++ b/internal/platform/relay/doc.go
@@ -8,9 +8,9 @@
 //
 //   - A call that was not sent completely, or arrived before the run started, is retried without limit (retry.go,
 //     callFailed), with backoff (outage.go, nextPause).
-//   - A call whose outcome is unknown is retried once per outage (retry.go, outcomeUnknown), because only empty calls
+//   - A call whose outcome is unknown is retried once per outage (retry.go, handleUnknownOutcome), because only empty calls
 //     are sent until one of them is answered (retry.go, probe).
-//   - A call rejected as a whole is sent maxRejections times in total and then dropped (retry.go, rejected).
+//   - A call rejected as a whole is sent maxRejections times in total and then dropped (retry.go, handleRejection).
 //   - A command at which the relay halted is retried once and then dropped (retry.go, retryHalted).
 //
 // A retried call is first merged with everything queued, so that it never overwrites newer state (merge.go).
--- a/internal/platform/relay/event.go
+++ b/internal/platform/relay/event.go
@@ -30,7 +30,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.subscriptions[i].lastHeard = time.Now()
+	s.subscriptions[i].lastReceived = time.Now()
 	if e.Type == "" || e.Object.Node == nil {
 		return nil // a keepalive
 	}
@@ -61,32 +61,32 @@
 	proxy := *e.Object.Node
 	zone := e.Object.Locality
 	cold := e.Object.Cold
-	known := s.members[proxy]
-	rejoined := known != nil && sub.mayHaveRejoined(proxy, known, cold)
+	current := s.proxies[proxy]
+	reconnected := current != nil && sub.mayHaveReconnected(proxy, current, cold)
 	if sub.state == receivingSnapshot {
 		sub.announced[proxy] = true
-		sub.lastAnnounced = sub.lastHeard
+		sub.lastAnnounced = sub.lastReceived
 	}
-	sameZone := known != nil && known.zone == zone
-	if sameZone && !rejoined {
+	sameZone := current != nil && current.zone == zone
+	if sameZone && !reconnected {
 		return nil
 	}
-	s.members[proxy] = &member{zone: zone, since: sub.lastHeard}
+	s.proxies[proxy] = &connectedProxy{zone: zone, announcedAt: sub.lastReceived}
 	return controller.RelayProxyJoined{
 		Proxy:   proxy,
 		Zone:    zone,
 		Rate:    e.Object.Rate,
 		Fresh:   cold,
-		Resumed: rejoined && sameZone && !cold,
+		Resumed: reconnected && sameZone && !cold,
 	}
 }
 
-// mayHaveRejoined reports whether a known proxy, announced by a snapshot after a gap, may have reconnected in the
+// mayHaveReconnected reports whether a known proxy, announced by a snapshot after a gap, may have reconnected in the
 // gap: the gap was long enough, or the proxy itself says that it is cold. If the other subscription announced the
 // proxy after this one opened, it is a member by that announcement and has not reconnected since: at a start both
 // announce all proxies.
-func (sub *subscription) mayHaveRejoined(proxy int, known *member, cold bool) bool {
-	if known.since.After(sub.openedAt) {
+func (sub *subscription) mayHaveReconnected(proxy int, current *connectedProxy, cold bool) bool {
+	if current.announcedAt.After(sub.openedAt) {
 		return false
 	}
 	if sub.state != receivingSnapshot || !sub.afterGap || sub.announced[proxy] {
@@ -98,17 +98,17 @@
 // applyLeft handles that a proxy has left, which the other subscription may have delivered before.
 func (s *EventStream) applyLeft(sub *subscription, proxy int) controller.Input {
 	delete(sub.announced, proxy)
-	if s.members[proxy] == nil {
+	if s.proxies[proxy] == nil {
 		return nil
 	}
-	delete(s.members, proxy)
+	delete(s.proxies, proxy)
 	return controller.RelayProxyLeft{Proxy: proxy}
 }
 
 // applyAck handles that a proxy has applied all commands up to an ack request.
 func (s *EventStream) applyAck(e *event) controller.Input {
-	known := s.members[*e.Object.Node]
-	if known == nil || e.Object.Nonce == nil || e.Object.Latency == nil || !known.recordAck(*e.Object.Nonce) {
+	current := s.proxies[*e.Object.Node]
+	if current == nil || e.Object.Nonce == nil || e.Object.Latency == nil || !current.recordAck(*e.Object.Nonce) {
 		return nil
 	}
 	return controller.RelayAck{Proxy: *e.Object.Node, Mark: *e.Object.Nonce, TookMs: *e.Object.Latency}
--- a/internal/platform/relay/eventstream.go
+++ b/internal/platform/relay/eventstream.go
@@ -28,8 +28,8 @@
 	redialDelay = 30 * time.Millisecond
 	// maxEventBytes bounds a line of the stream.
 	maxEventBytes = 1 << 16
-	// headBufferBytes and lineBufferBytes are the initial sizes of the read buffers of the connection and of a line.
-	headBufferBytes = 16384
+	// connBufferBytes and lineBufferBytes are the initial sizes of the read buffers of the connection and of a line.
+	connBufferBytes = 16384
 	lineBufferBytes = 4096
 )
 
@@ -45,14 +45,14 @@
 	// which they were applied here.
 	mu            sync.Mutex
 	address       string
-	members       map[int]*member // connected proxies, by number
+	proxies       map[int]*connectedProxy // connected proxies, by number
 	subscriptions [SubscriptionCount]subscription
 	completeUntil time.Time // all events up to then were received; zero if none was yet
 }
 
 // NewEventStream returns a receiver of the events of the relay at address. It receives nothing before Run.
 func NewEventStream(address string, inbox controller.Inbox, c *Counters, log *zap.Logger) *EventStream {
-	return &EventStream{Counters: c, inbox: inbox, log: log, address: address, members: map[int]*member{}}
+	return &EventStream{Counters: c, inbox: inbox, log: log, address: address, proxies: map[int]*connectedProxy{}}
 }
 
 // SetAddress changes the relay's address. The first subscription moves at once, the second after the first has
@@ -125,7 +125,7 @@
 	if _, err := conn.Write([]byte("GET /v1/events HTTP/1.1\r\nHost: " + address + "\r\n\r\n")); err != nil {
 		return nil, fmt.Errorf("ask for events: %w", err)
 	}
-	response, err := http.ReadResponse(bufio.NewReaderSize(conn, headBufferBytes), nil)
+	response, err := http.ReadResponse(bufio.NewReaderSize(conn, connBufferBytes), nil)
 	if err != nil {
 		return nil, fmt.Errorf("read events: %w", err)
 	}
--- a/internal/platform/relay/eventstream_test.go
+++ b/internal/platform/relay/eventstream_test.go
@@ -25,16 +25,16 @@
 // step drives an event stream by hand.
 type step func(t *testing.T, events *EventStream)
 
-func opens(i int) step { return func(_ *testing.T, events *EventStream) { events.subscribed(i) } }
+func open(i int) step { return func(_ *testing.T, events *EventStream) { events.subscribed(i) } }
 
-// firstCloses ends the first subscription, not by silence.
-func firstCloses(_ *testing.T, events *EventStream) { events.unsubscribed(0, false) }
+// closeFirst ends the first subscription, not by silence.
+func closeFirst(_ *testing.T, events *EventStream) { events.unsubscribed(0, false) }
 
-func snapshotEnds(i int) step {
+func finishSnapshot(i int) step {
 	return func(_ *testing.T, events *EventStream) { events.endSnapshot(context.Background(), i) }
 }
 
-func tells(i int, line string) step {
+func receive(i int, line string) step {
 	return func(t *testing.T, events *EventStream) {
 		require.NoError(t, events.handleLine(context.Background(), i, []byte(line)))
 	}
@@ -53,68 +53,68 @@
 	}{
 		"told once": {
 			[]step{
-				opens(0), opens(1), tells(0, joined(1, true)), tells(1, joined(1, true)),
-				tells(0, applied(1, 7)), tells(1, applied(1, 7)), tells(0, left(1)), tells(1, left(1)),
+				open(0), open(1), receive(0, joined(1, true)), receive(1, joined(1, true)),
+				receive(0, applied(1, 7)), receive(1, applied(1, 7)), receive(0, left(1)), receive(1, left(1)),
 			},
 			[]string{"joined 1", "applied 1 7", "left 1"},
 		},
 		"a start: the second tells first": {
 			[]step{
-				opens(0), opens(1), tells(1, joined(1, true)), tells(0, joined(1, true)),
-				tells(0, joined(2, true)), tells(1, joined(2, true)), snapshotEnds(0), snapshotEnds(1),
+				open(0), open(1), receive(1, joined(1, true)), receive(0, joined(1, true)),
+				receive(0, joined(2, true)), receive(1, joined(2, true)), finishSnapshot(0), finishSnapshot(1),
 			},
 			[]string{"joined 1", "joined 2"},
 		},
 		"a gap: the second tells first": {
 			[]step{
-				opens(0), tells(0, joined(1, true)), snapshotEnds(0), firstCloses, longGap,
-				opens(0), opens(1), tells(1, joined(1, true)), tells(0, joined(1, true)),
+				open(0), receive(0, joined(1, true)), finishSnapshot(0), closeFirst, longGap,
+				open(0), open(1), receive(1, joined(1, true)), receive(0, joined(1, true)),
 			},
 			[]string{"joined 1", "joined 1"},
 		},
 		"a proxy comes back": {
-			[]step{opens(0), tells(0, joined(1, true)), tells(0, left(1)), tells(0, joined(1, false))},
+			[]step{open(0), receive(0, joined(1, true)), receive(0, left(1)), receive(0, joined(1, false))},
 			[]string{"joined 1", "left 1", "joined 1"},
 		},
 		"one subscription breaks": {
 			[]step{
-				opens(0), opens(1), tells(0, joined(1, true)), tells(0, joined(2, true)), snapshotEnds(0), snapshotEnds(1),
-				firstCloses, tells(1, left(2)), opens(0), tells(0, joined(1, false)), snapshotEnds(0),
+				open(0), open(1), receive(0, joined(1, true)), receive(0, joined(2, true)), finishSnapshot(0), finishSnapshot(1),
+				closeFirst, receive(1, left(2)), open(0), receive(0, joined(1, false)), finishSnapshot(0),
 			},
 			[]string{"joined 1", "joined 2", "left 2"},
 		},
 		"a gap: one that is not told has left, one that stands may have come back": {
 			[]step{
-				opens(0), tells(0, joined(1, true)), tells(0, joined(2, true)), snapshotEnds(0), firstCloses, longGap,
-				opens(0), tells(0, joined(1, false)), snapshotEnds(0),
+				open(0), receive(0, joined(1, true)), receive(0, joined(2, true)), finishSnapshot(0), closeFirst, longGap,
+				open(0), receive(0, joined(1, false)), finishSnapshot(0),
 			},
 			[]string{"joined 1", "joined 2", "stood 1", "left 2"},
 		},
 		"a gap: one that started anew has not stood": {
 			[]step{
-				opens(0), tells(0, joined(1, false)), snapshotEnds(0), firstCloses, longGap,
-				opens(0), tells(0, joined(1, true)),
+				open(0), receive(0, joined(1, false)), finishSnapshot(0), closeFirst, longGap,
+				open(0), receive(0, joined(1, true)),
 			},
 			[]string{"joined 1", "joined 1"},
 		},
 		"a short gap: one that stands has stood": {
 			[]step{
-				opens(0), tells(0, joined(1, true)), tells(0, joined(2, true)), snapshotEnds(0), firstCloses,
-				opens(0), tells(0, joined(1, false)), tells(0, joined(2, true)), snapshotEnds(0),
+				open(0), receive(0, joined(1, true)), receive(0, joined(2, true)), finishSnapshot(0), closeFirst,
+				open(0), receive(0, joined(1, false)), receive(0, joined(2, true)), finishSnapshot(0),
 			},
 			[]string{"joined 1", "joined 2", "joined 2"},
 		},
 		"a snapshot that breaks makes nobody leave": {
 			[]step{
-				opens(0), tells(0, joined(1, true)), snapshotEnds(0), firstCloses, longGap,
-				opens(0), firstCloses, opens(0), tells(0, joined(1, false)), snapshotEnds(0),
+				open(0), receive(0, joined(1, true)), finishSnapshot(0), closeFirst, longGap,
+				open(0), closeFirst, open(0), receive(0, joined(1, false)), finishSnapshot(0),
 			},
 			[]string{"joined 1", "stood 1"},
 		},
 		"events of unknown proxies": {
 			[]step{
-				opens(0), tells(0, applied(4, 1)), tells(0, left(4)), tells(0, "{}"),
-				tells(0, `{"type":"joined","object":{}}`),
+				open(0), receive(0, applied(4, 1)), receive(0, left(4)), receive(0, "{}"),
+				receive(0, `{"type":"joined","object":{}}`),
 			},
 			nil,
 		},
@@ -125,8 +125,8 @@
 			for i := range events.subscriptions {
 				events.subscriptions[i].cancel = func() {}
 			}
-			for _, does := range c.steps {
-				does(t, events)
+			for _, apply := range c.steps {
+				apply(t, events)
 			}
 			assert.Equal(t, c.want, b.got)
 		})
--- a/internal/platform/relay/member.go
+++ b/internal/platform/relay/member.go
@@ -8,10 +8,10 @@
 // rememberedAcks is how many acks of a proxy are remembered to recognise the duplicates of the other subscription.
 const rememberedAcks = 8
 
-// member is a connected proxy. EventStream.mu guards it.
-type member struct {
-	zone  string
-	since time.Time // when its joining was announced
+// connectedProxy is a connected proxy. EventStream.mu guards it.
+type connectedProxy struct {
+	zone        string
+	announcedAt time.Time // when its joining was announced
 
 	// The last acknowledged numbers plus 1 (0 is a free slot), and how many were recorded in all.
 	acked   [rememberedAcks]int
@@ -19,11 +19,11 @@
 }
 
 // recordAck records an ack and reports whether it is new.
-func (m *member) recordAck(number int) bool {
-	if slices.Contains(m.acked[:], number+1) {
+func (p *connectedProxy) recordAck(number int) bool {
+	if slices.Contains(p.acked[:], number+1) {
 		return false
 	}
-	m.acked[m.nextAck%rememberedAcks] = number + 1
-	m.nextAck++
+	p.acked[p.nextAck%rememberedAcks] = number + 1
+	p.nextAck++
 	return true
 }
--- a/internal/platform/relay/member_test.go
+++ b/internal/platform/relay/member_test.go
@@ -8,7 +8,7 @@
 
 // TestRecordAck checks that an ack counts once, number 0 included, while it is among the last ones.
 func TestRecordAck(t *testing.T) {
-	m := &member{}
+	m := &connectedProxy{}
 	for number := range rememberedAcks {
 		assert.True(t, m.recordAck(number))
 		assert.False(t, m.recordAck(number))
--- a/internal/platform/relay/outage.go
+++ b/internal/platform/relay/outage.go
@@ -21,7 +21,7 @@
 // States: inactive (reportedUntil is zero; calls are sent as they are queued) and active (only probes are sent until
 // one is answered). begin makes it active; Sender.endOutage replaces it by an inactive one.
 type outage struct {
-	since         time.Time     // start of the first failed call
+	startedAt     time.Time     // start of the first failed call
 	reportedUntil time.Time     // end of the period reported to the controller; zero if inactive
 	failures      int           // failed calls and probes
 	backoff       time.Duration // pause after the next failure
@@ -33,12 +33,12 @@
 func (o *outage) active() bool { return !o.reportedUntil.IsZero() }
 
 // begin makes the outage active from the start of the failed call. It does nothing if it is active already.
-func (o *outage) begin(callBegan time.Time) {
+func (o *outage) begin(callStart time.Time) {
 	if o.active() {
 		return
 	}
-	o.since = callBegan
-	o.reportedUntil = callBegan
+	o.startedAt = callStart
+	o.reportedUntil = callStart
 }
 
 // unreportedMs returns the milliseconds since the last report to the controller and marks them as reported. It returns
--- a/internal/platform/relay/outage_test.go
+++ b/internal/platform/relay/outage_test.go
@@ -25,11 +25,11 @@
 func TestOutageStates(t *testing.T) {
 	o := newOutage()
 	assert.False(t, o.active())
-	began := time.Now()
-	o.begin(began)
-	o.begin(began.Add(time.Hour))
+	start := time.Now()
+	o.begin(start)
+	o.begin(start.Add(time.Hour))
 	assert.True(t, o.active())
-	assert.Equal(t, began, o.since)
+	assert.Equal(t, start, o.startedAt)
 	assert.GreaterOrEqual(t, o.unreportedMs(), 1.0)
 	assert.GreaterOrEqual(t, o.unreportedMs(), 1.0, "reported just now")
 }
--- a/internal/platform/relay/queue.go
+++ b/internal/platform/relay/queue.go
@@ -18,10 +18,10 @@
 	counters *Counters     // Superseded counts the dropped commands
 	wake     chan struct{} // capacity 1; holds a token if calls were enqueued since the last wait
 
-	mu       sync.Mutex // guards the fields below
-	address  string
-	calls    []call
-	departed []int // proxies that disconnected since the call in flight was dequeued
+	mu          sync.Mutex // guards the fields below
+	address     string
+	calls       []call
+	leftProxies []int // proxies that disconnected since the call in flight was dequeued
 }
 
 func newCallQueue(address string, counters *Counters) callQueue {
@@ -52,11 +52,11 @@
 
 // dequeue removes and returns the oldest call and the address to send it to. With merged, all calls are merged first.
 // It returns nil if the queue is empty.
-func (q *callQueue) dequeue(merged bool) (next call, address string) {
+func (q *callQueue) dequeue(mergeFirst bool) (next call, address string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.departed = q.departed[:0]
-	if merged {
+	q.leftProxies = q.leftProxies[:0]
+	if mergeFirst {
 		q.mergeAll()
 	}
 	for len(q.calls) > 0 {
@@ -87,7 +87,7 @@
 // pushFront inserts a call at the front, without the commands for proxies that disconnected while it was in flight. The
 // caller holds mu.
 func (q *callQueue) pushFront(c call) {
-	q.calls = append([]call{q.dropProxies(c, q.departed...)}, q.calls...)
+	q.calls = append([]call{q.dropProxies(c, q.leftProxies...)}, q.calls...)
 }
 
 // mergeAll merges all queued calls and drops superseded commands. The caller holds mu.
@@ -102,7 +102,7 @@
 func (q *callQueue) dropProxy(proxy int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.departed = append(q.departed, proxy)
+	q.leftProxies = append(q.leftProxies, proxy)
 	for i, c := range q.calls {
 		q.calls[i] = q.dropProxies(c, proxy)
 	}
--- a/internal/platform/relay/retry.go
+++ b/internal/platform/relay/retry.go
@@ -18,29 +18,29 @@
 
 // callFailed requeues or drops a failed call, reports the outage and pauses. Every decision to retry a whole call is
 // made here.
-func (s *Sender) callFailed(ctx context.Context, began time.Time, failed call, err error) {
+func (s *Sender) callFailed(ctx context.Context, callStart time.Time, failed call, err error) {
 	s.Counters.FailedCalls.Add(1)
 	var repeatedAcks []int
 	switch {
 	case errors.Is(err, errRunNotStarted): // expected before the run; not logged
 	case errors.Is(err, errOutcomeUnknown):
-		repeatedAcks = s.outcomeUnknown(failed, err)
+		repeatedAcks = s.handleUnknownOutcome(failed, err)
 	case errors.Is(err, errRejected):
-		failed = s.rejected(failed, err)
+		failed = s.handleRejection(failed, err)
 	default: // errNotExecuted
 		s.log.Warn("relay call failed", zap.Int("commands", len(failed)), zap.Error(err))
 	}
 	s.queue.requeueMerged(failed)
-	s.pauseAfterFailure(ctx, began, repeatedAcks, err)
+	s.pauseAfterFailure(ctx, callStart, repeatedAcks, err)
 }
 
-// outcomeUnknown records that the commands of a call may be executed twice. It returns the ack requests whose
+// handleUnknownOutcome records that the commands of a call may be executed twice. It returns the ack requests whose
 // commands the controller has to count twice. probe limits this to one retry per outage.
 //
 // The first part of a turn that was split into several calls has no ack request. It returns those of the next queued
 // call then, which also covers the part behind it. Counting that part twice is too much, which the next ack corrects;
 // not counting the first part twice would be too little, which nothing corrects.
-func (s *Sender) outcomeUnknown(failed call, err error) (repeatedAcks []int) {
+func (s *Sender) handleUnknownOutcome(failed call, err error) (repeatedAcks []int) {
 	s.Counters.OutcomeUnknown.Add(int64(len(failed)))
 	repeatedAcks = failed.ackNumbers()
 	if len(repeatedAcks) == 0 {
@@ -51,8 +51,8 @@
 	return repeatedAcks
 }
 
-// rejected returns what to retry of a call that was rejected as a whole: all of it, or nothing after maxRejections.
-func (s *Sender) rejected(failed call, err error) call {
+// handleRejection returns what to retry of a call that was rejected as a whole: all of it, or nothing after maxRejections.
+func (s *Sender) handleRejection(failed call, err error) call {
 	s.rejections++
 	if s.rejections < maxRejections {
 		return failed
@@ -84,9 +84,9 @@
 func (s *Sender) probe(ctx context.Context) bool {
 	address := s.queue.currentAddress()
 	s.Counters.Probes.Add(1)
-	answer, err := s.connection.roundTrip(ctx, address, nil)
+	resp, err := s.connection.roundTrip(ctx, address, nil)
 	if err == nil {
-		_, err = parseAnswer(answer.body, 0)
+		_, err = parseResponse(resp.body, 0)
 	}
 	if err == nil || errors.Is(err, errRejected) {
 		return true
@@ -100,9 +100,9 @@
 // pauseAfterFailure reports to the controller for how long the relay has taken nothing, and pauses. Queued commands
 // have not been sent: if the controller believed them sent, the commands planned meanwhile would overflow the relay's
 // channel once it recovers.
-func (s *Sender) pauseAfterFailure(ctx context.Context, began time.Time, repeatedAcks []int, failure error) {
+func (s *Sender) pauseAfterFailure(ctx context.Context, callStart time.Time, repeatedAcks []int, failure error) {
 	s.connection.close()
-	s.outage.begin(began)
+	s.outage.begin(callStart)
 	s.outage.failures++
 	s.post(ctx, controller.RelayStalled{ForMs: s.outage.unreportedMs(), Repeated: repeatedAcks})
 	backoff.Sleep(ctx, s.outage.nextPause(failure))
@@ -112,7 +112,7 @@
 // if the queue is empty.
 func (s *Sender) endOutage(ctx context.Context, answered call) {
 	if s.outage.active() {
-		s.log.Info("relay accepts calls again", zap.Duration("after", time.Since(s.outage.since)),
+		s.log.Info("relay accepts calls again", zap.Duration("after", time.Since(s.outage.startedAt)),
 			zap.Int("attempts", s.outage.failures), zap.Int("commands", len(answered)), zap.Ints("ack_requests", answered.ackNumbers()))
 		s.post(ctx, controller.RelayStalled{})
 	}
--- a/internal/platform/relay/retry_test.go
+++ b/internal/platform/relay/retry_test.go
@@ -7,16 +7,16 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 
-	standin "indigousher/internal/testbed/relay"
+	testrelay "indigousher/internal/testbed/relay"
 	"indigousher/planner"
 )
 
 // silentRelay returns a stand-in relay that answers nothing, not even probes, and executes nothing until it recovers.
-func silentRelay(t *testing.T) *standin.Relay {
-	s, err := standin.Start(standin.Config{Proxies: []standin.Proxy{{Number: 3, Zone: "a"}}, LinesPerSecond: 1000})
+func silentRelay(t *testing.T) *testrelay.Relay {
+	s, err := testrelay.Start(testrelay.Config{Proxies: []testrelay.Proxy{{Number: 3, Zone: "a"}}, LinesPerSecond: 1000})
 	require.NoError(t, err)
 	t.Cleanup(s.Close)
-	s.Fail(standin.Silent, func(int) bool { return false })
+	s.Fail(testrelay.Silent, func(int) bool { return false })
 	return s
 }
 
--- a/internal/platform/relay/scriptedrelay_test.go
+++ b/internal/platform/relay/scriptedrelay_test.go
@@ -24,12 +24,12 @@
 // scriptedRelay is a relay that answers each call with commands by the next step of a script, and all later calls
 // with success.
 type scriptedRelay struct {
-	t        *testing.T
-	listener net.Listener
-	closing  bool // each connection is closed once a call is answered
+	t                  *testing.T
+	listener           net.Listener
+	closeAfterResponse bool // each connection is closed once a call is answered
 
 	mu       sync.Mutex
-	steps    []string // names in stepAnswers, or "halt N": it executes N commands and says so
+	steps    []string // names in scriptedResponses, or "halt N": it executes N commands and says so
 	calls    int      // that carried commands
 	executed []string // commands, summarized
 	open     int      // connections
@@ -38,26 +38,26 @@
 	unreadableProbes int
 }
 
-// stepAnswer is what a step of a script does.
-type stepAnswer struct {
-	body     string // of the answer; "": there is none, and the connection ends
-	skips    bool   // it executes nothing of the call
-	silent   bool   // it waits until the other side has given up
-	cutShort bool   // the last bytes never come
+// scriptedResponse is what a step of a script does.
+type scriptedResponse struct {
+	body        string // of the answer; "": there is none, and the connection ends
+	notExecuted bool   // it executes nothing of the call
+	silent      bool   // it waits until the other side has given up
+	truncated   bool   // the last bytes never come
 }
 
-var stepAnswers = map[string]stepAnswer{
+var scriptedResponses = map[string]scriptedResponse{
 	"lost":      {},
-	"broken":    {skips: true},
+	"broken":    {notExecuted: true},
 	"late":      {silent: true},
-	"half":      {body: `{"ok_count":4}`, cutShort: true},
+	"half":      {body: `{"ok_count":4}`, truncated: true},
 	"garbage":   {body: `{ok`},
 	"too many":  {body: `{"ok_count":99}`},
 	"negative":  {body: `{"ok_count":-1}`},
 	"absent":    {body: `{}`},
 	"text":      {body: `{"ok_count":"4"}`},
-	"limit":     {body: `{"error":"limit"}`, skips: true},
-	"malformed": {body: `{"error":"malformed"}`, skips: true},
+	"limit":     {body: `{"error":"limit"}`, notExecuted: true},
+	"malformed": {body: `{"error":"malformed"}`, notExecuted: true},
 }
 
 func newScriptedRelay(t *testing.T, steps ...string) *scriptedRelay {
@@ -105,41 +105,41 @@
 			return
 		}
 		body, err := io.ReadAll(request.Body)
-		if err != nil || !s.answer(conn, body) || s.closing {
+		if err != nil || !s.respond(conn, body) || s.closeAfterResponse {
 			return
 		}
 	}
 }
 
-// answer takes one call and returns whether the connection stays.
-func (s *scriptedRelay) answer(conn net.Conn, body []byte) bool {
+// respond takes one call and returns whether the connection stays.
+func (s *scriptedRelay) respond(conn net.Conn, body []byte) bool {
 	var call struct{ Ops []map[string]any }
 	if !assert.NoError(s.t, json.Unmarshal(body, &call)) {
 		return false
 	}
 	if len(call.Ops) == 0 { // a probe: the script is of calls that carry commands
-		return s.answerProbe(conn)
+		return s.respondToProbe(conn)
 	}
 	step, scripted, executed := s.execute(call.Ops)
 	switch {
 	case step.silent:
-		time.Sleep(2 * answerTimeout)
+		time.Sleep(2 * responseTimeout)
 		return false
 	case scripted && step.body == "":
 		return false
-	case step.cutShort:
+	case step.truncated:
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(step.body), step.body[:7])
 		return false
 	case scripted:
-		return writeAnswer(conn, step.body)
+		return writeResponse(conn, step.body)
 	default:
-		return writeAnswer(conn, fmt.Sprintf(`{"ok_count":%d}`, executed))
+		return writeResponse(conn, fmt.Sprintf(`{"ok_count":%d}`, executed))
 	}
 }
 
 // execute takes the script's next step and executes commands by it. It returns how many, and whether the step is one of
-// stepAnswers.
-func (s *scriptedRelay) execute(commands []map[string]any) (step stepAnswer, scripted bool, executed int) {
+// scriptedResponses.
+func (s *scriptedRelay) execute(commands []map[string]any) (step scriptedResponse, scripted bool, executed int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	name := "ok"
@@ -149,8 +149,8 @@
 	s.calls++
 	executed = len(commands)
 	_, _ = fmt.Sscanf(name, "halt %d", &executed) // other names leave it as it is
-	step, scripted = stepAnswers[name]
-	if step.skips {
+	step, scripted = scriptedResponses[name]
+	if step.notExecuted {
 		executed = 0
 	}
 	for _, c := range commands[:executed] {
@@ -159,7 +159,7 @@
 	return step, scripted, executed
 }
 
-func (s *scriptedRelay) answerProbe(conn net.Conn) bool {
+func (s *scriptedRelay) respondToProbe(conn net.Conn) bool {
 	s.mu.Lock()
 	body := `{"ok_count":0}`
 	if s.unreadableProbes > 0 {
@@ -167,10 +167,10 @@
 		body = `{"ok_cou`
 	}
 	s.mu.Unlock()
-	return writeAnswer(conn, body)
+	return writeResponse(conn, body)
 }
 
-func writeAnswer(conn net.Conn, body string) bool {
+func writeResponse(conn net.Conn, body string) bool {
 	_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	return err == nil
 }
--- a/internal/platform/relay/sender.go
+++ b/internal/platform/relay/sender.go
@@ -77,11 +77,11 @@
 		s.queue.wait(ctx)
 		return
 	}
-	began := time.Now()
+	callStart := time.Now()
 	s.reportMerged(ctx, next)
 	executed, err := s.send(ctx, address, next)
 	if err != nil {
-		s.callFailed(ctx, began, next, err)
+		s.callFailed(ctx, callStart, next, err)
 		return
 	}
 	s.endOutage(ctx, next)
@@ -105,12 +105,12 @@
 // send makes one call and returns how many of its commands the relay executed, from the first on.
 func (s *Sender) send(ctx context.Context, address string, next call) (executed int, err error) {
 	s.Counters.Calls.Add(1)
-	answer, err := s.connection.roundTrip(ctx, address, next)
+	resp, err := s.connection.roundTrip(ctx, address, next)
 	if err != nil {
 		return 0, err
 	}
-	executed, err = parseAnswer(answer.body, len(next))
-	if err == nil && answer.closing {
+	executed, err = parseResponse(resp.body, len(next))
+	if err == nil && resp.closing {
 		s.connection.close()
 	}
 	return executed, err
--- a/internal/platform/relay/snapshot.go
+++ b/internal/platform/relay/snapshot.go
@@ -56,26 +56,26 @@
 	if sub.state != receivingSnapshot {
 		return
 	}
-	var departed []int
+	var missing []int
 	if sub.afterGap {
 		s.log.Info("proxies announced after a gap in the event streams", zap.Int("stream", i), zap.Int("announced", len(sub.announced)),
-			zap.Int("known", len(s.members)), zap.Bool("long", sub.afterLongGap))
-		departed = s.missingIn(sub)
+			zap.Int("known", len(s.proxies)), zap.Bool("long", sub.afterLongGap))
+		missing = s.missingProxies(sub)
 	}
 	sub.state = live
 	sub.announced = nil
 	if sub.address == s.address {
 		s.cancelAtOldAddress()
 	}
-	for _, proxy := range departed {
-		delete(s.members, proxy)
+	for _, proxy := range missing {
+		delete(s.proxies, proxy)
 		_ = s.inbox.Post(ctx, controller.RelayProxyLeft{Proxy: proxy}) // fails only after ctx has ended
 	}
 }
 
-// missingIn returns the members missing in a subscription's snapshot, in ascending order. The caller holds mu.
-func (s *EventStream) missingIn(sub *subscription) (proxies []int) {
-	for proxy := range s.members {
+// missingProxies returns the members missing in a subscription's snapshot, in ascending order. The caller holds mu.
+func (s *EventStream) missingProxies(sub *subscription) (proxies []int) {
+	for proxy := range s.proxies {
 		if !sub.announced[proxy] {
 			proxies = append(proxies, proxy)
 		}
--- a/internal/platform/relay/subscription.go
+++ b/internal/platform/relay/subscription.go
@@ -9,8 +9,8 @@
 
 // Limits by which gaps in the events are judged.
 const (
-	// liveWithin: a subscription that received data since then is working. Keepalives are sent every second.
-	liveWithin = 1300 * time.Millisecond
+	// liveTimeout: a subscription that received data since then is working. Keepalives are sent every second.
+	liveTimeout = 1300 * time.Millisecond
 	// maxShortGap: in a gap up to this long no proxy can have disconnected and reconnected, as reconnecting takes
 	// longer.
 	maxShortGap = 300 * time.Millisecond
@@ -32,9 +32,9 @@
 	address string
 	cancel  context.CancelFunc // closes the connection; nil before the first one
 
-	state     subscriptionState
-	openedAt  time.Time
-	lastHeard time.Time // time of the last event or keepalive, or of opening
+	state        subscriptionState
+	openedAt     time.Time
+	lastReceived time.Time // time of the last event or keepalive, or of opening
 
 	// The snapshot.
 	announced     map[int]bool // proxies announced since opening; nil unless receivingSnapshot
@@ -47,7 +47,7 @@
 func (sub *subscription) beginSnapshot(now time.Time) {
 	sub.state = receivingSnapshot
 	sub.openedAt = now
-	sub.lastHeard = now
+	sub.lastReceived = now
 	sub.announced = map[int]bool{}
 	sub.lastAnnounced = now
 	sub.afterGap = false
@@ -80,7 +80,7 @@
 func (s *EventStream) otherIsLive(i int, now time.Time) bool {
 	for j := range s.subscriptions {
 		other := &s.subscriptions[j]
-		if j != i && other.state != disconnected && now.Sub(other.lastHeard) < liveWithin {
+		if j != i && other.state != disconnected && now.Sub(other.lastReceived) < liveTimeout {
 			return true
 		}
 	}
@@ -90,25 +90,25 @@
 // unsubscribed records that subscription i has ended, and whether by silence. The other one has to reopen, and so
 // receive a new snapshot, if it misses events as well: those between the last data of the silent one and its own
 // opening, or those that an unfinished snapshot after a gap would have revealed.
-func (s *EventStream) unsubscribed(i int, silent bool) {
+func (s *EventStream) unsubscribed(i int, timedOut bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sub := &s.subscriptions[i]
 	if sub.state == disconnected {
 		return
 	}
-	snapshotMissed := sub.afterGap && sub.state == receivingSnapshot
+	snapshotIncomplete := sub.afterGap && sub.state == receivingSnapshot
 	sub.disconnect()
-	if !snapshotMissed && sub.lastHeard.After(s.completeUntil) {
-		s.completeUntil = sub.lastHeard
+	if !snapshotIncomplete && sub.lastReceived.After(s.completeUntil) {
+		s.completeUntil = sub.lastReceived
 	}
 	for j := range s.subscriptions {
 		other := &s.subscriptions[j]
 		if j == i || other.state == disconnected || other.afterGap {
 			continue
 		}
-		begunInSilence := silent && other.openedAt.After(sub.lastHeard)
-		if snapshotMissed || begunInSilence {
+		openedDuringSilence := timedOut && other.openedAt.After(sub.lastReceived)
+		if snapshotIncomplete || openedDuringSilence {
 			other.disconnect()
 			other.cancel()
 		}
