--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -72,7 +72,8 @@
 	reload <- struct{}{}
 	require.Eventually(t, func() bool { return len(reload) == 0 }, 5*time.Second, time.Millisecond)
 	assert.Zero(t, fake.callCount(second+membersPath))
-	file.Store(newPlacement(t, listen, second, second)) // the invalid file becomes valid: it is retried without another reload request
+	// The file becomes valid. The pilot's retry must find it without another reload request.
+	file.Store(newPlacement(t, listen, second, second))
 	require.Eventually(t, func() bool {
 		return fake.callCount(second+membersPath) > 1 && fake.callCount(second+eventsPath) > 1
 	}, 10*time.Second, time.Millisecond)
