--- a/internal/platform/placement/restart.go
+++ b/internal/platform/placement/restart.go
@@ -2,8 +2,8 @@
 
 import "reflect"
 
-// RequiresRestart returns the names of the changed fields that take effect only after a restart. The addresses of
-// discovery and the relay take effect at once.
+// RequiresRestart returns the names of the changed fields that take effect only after a restart of the pilot. Changed
+// addresses of discovery and the relay are not among them, because a reload applies those.
 func RequiresRestart(old, updated *Placement) (fields []string) {
 	for _, f := range []struct {
 		name string
--- a/internal/platform/placement/restart_test.go
+++ b/internal/platform/placement/restart_test.go
@@ -8,6 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// TestRequiresRestart checks which changed fields are reported as needing a restart.
 func TestRequiresRestart(t *testing.T) {
 	old, err := Parse([]byte(validFile))
 	require.NoError(t, err)
