--- a/internal/platform/placement/parse.go
+++ b/internal/platform/placement/parse.go
@@ -8,10 +8,11 @@
 	"indigousher/internal/config"
 )
 
-// ErrNoFile says that the environment does not name a file.
+// ErrNoFile means that the environment variable NODE_CONFIG, which names the placement file, is not set.
 var ErrNoFile = errors.New("NODE_CONFIG is not set")
 
-// Read reads the file that NODE_CONFIG names. NODE_NAME and NODE_LISTEN have to agree with it if they are set.
+// Read reads and validates the placement file that the environment variable NODE_CONFIG names. If NODE_NAME or
+// NODE_LISTEN is set, the file must contain the same value.
 func Read(getenv func(string) string) (*Placement, error) {
 	path := getenv("NODE_CONFIG")
 	if path == "" {
@@ -33,7 +34,7 @@
 	return p, nil
 }
 
-// ReadFile reads and validates a file.
+// ReadFile reads and validates the placement file at path.
 func ReadFile(path string) (*Placement, error) {
 	text, err := config.ReadFile(path)
 	if err != nil {
@@ -46,14 +47,14 @@
 	return p, nil
 }
 
-// Parse parses and validates the text of a file. It returns a FieldError for an invalid field.
+// Parse parses and validates the content of a placement file. The error for an invalid field is a FieldError.
 func Parse(text []byte) (*Placement, error) {
 	if len(text) > config.MaxBytes {
-		return nil, fmt.Errorf("longer than %d bytes", config.MaxBytes)
+		return nil, fmt.Errorf("file is longer than %d bytes", config.MaxBytes)
 	}
 	p := &Placement{}
 	if err := json.Unmarshal(text, p); err != nil {
-		return nil, fmt.Errorf("not readable: %w", err)
+		return nil, fmt.Errorf("file is not readable as JSON: %w", err)
 	}
 	checks := []func() error{p.checkAddresses, p.parseSeed, p.checkLimits, p.parseKnown, p.parseSettings}
 	for _, check := range checks {
