--- a/internal/platform/connstate/connstate.go
+++ b/internal/platform/connstate/connstate.go
@@ -1,4 +1,4 @@
-// Package connstate determines the state of a TCP connection without reading from it and without blocking.
+// Package connstate determines the state of a TCP connection without consuming data from it and without blocking.
 package connstate
 
 import (
@@ -7,18 +7,18 @@
 	"syscall"
 )
 
-// State is the state of a connection.
+// State is the state of a TCP connection as seen from the local side.
 type State int
 
 // States of a connection.
 const (
-	Idle     State = iota // open, no unread data
-	Readable              // unread data, whether or not the peer has closed
-	Closed                // closed or reset by the peer, or closed locally
+	Idle     State = iota // open, no unread data is buffered
+	Readable              // unread data is buffered; the peer may have closed the connection
+	Closed                // closed or reset by the peer with no unread data, or closed locally
 )
 
-// Peek returns a connection's state. A connection other than TCP is Idle. It may be used while another goroutine
-// reads.
+// Peek returns the state of conn. It returns Idle if conn is nil or not a TCP connection. It is safe to call while
+// another goroutine reads from conn.
 func Peek(conn net.Conn) State {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -29,7 +29,7 @@
 		return Closed
 	}
 	var state State
-	err = raw.Control(func(fd uintptr) { // unlike raw.Read it does not wait for a reader
+	err = raw.Control(func(fd uintptr) { // unlike raw.Read, does not wait for a concurrent reader
 		state = peekSocket(int(fd))
 	})
 	if err != nil {
@@ -38,7 +38,7 @@
 	return state
 }
 
-// peekSocket returns the state of a non-blocking socket.
+// peekSocket returns the state of the socket fd. It does not block.
 func peekSocket(fd int) State {
 	var buffer [1]byte
 	n, _, err := syscall.Recvfrom(fd, buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/platform/connstate/connstate_test.go
+++ b/internal/platform/connstate/connstate_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// connPair returns both ends of a connection.
+// connPair returns both ends of a new TCP connection. They are closed when the test ends.
 func connPair(t *testing.T) (conn, other net.Conn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -23,6 +23,7 @@
 	return conn, other
 }
 
+// TestPeek checks the state that each action of the peer leads to, and that Peek consumes no data.
 func TestPeek(t *testing.T) {
 	for name, c := range map[string]struct {
 		act  func(other *net.TCPConn) error
@@ -40,13 +41,13 @@
 			require.True(t, ok)
 			require.NoError(t, c.act(tcp))
 			require.Eventually(t, func() bool { return Peek(conn) == c.want }, 5*time.Second, time.Millisecond)
-			assert.Equal(t, c.want, Peek(conn), "looking takes nothing away")
+			assert.Equal(t, c.want, Peek(conn), "the first Peek consumed data")
 		})
 	}
 	assert.Equal(t, Idle, Peek(nil))
 }
 
-// TestPeekWhileRead checks that Peek does not wait for another goroutine that reads from the connection.
+// TestPeekWhileRead checks that Peek does not block while another goroutine reads from the connection.
 func TestPeekWhileRead(t *testing.T) {
 	conn, other := connPair(t)
 	reading := make(chan struct{})
@@ -63,7 +64,7 @@
 	case state := <-peeked:
 		assert.Equal(t, Idle, state)
 	case <-time.After(5 * time.Second):
-		t.Error("it waits for the reader")
+		t.Error("Peek waits for the reader")
 		_ = other.Close()
 		<-peeked
 	}
