--- a/internal/platform/discovery/list_test.go
+++ b/internal/platform/discovery/list_test.go
@@ -9,6 +9,7 @@
 	"indigousher/internal/wire"
 )
 
+// TestParseList checks that malformed entries are skipped and counted, and that a text without a list is an error.
 func TestParseList(t *testing.T) {
 	list, malformed, err := ParseList([]byte(`{"index":3,"snapshot":false,"endpoints":[
 		{"name":"x","zone":"a","status":"left"},
--- a/internal/platform/placement/checks_test.go
+++ b/internal/platform/placement/checks_test.go
@@ -48,14 +48,16 @@
 		"absent":         {"", "", -1},
 		"null":           {`"known":null,`, "", -1},
 		"empty":          {`"known":{"index":0,"snapshot":true,"endpoints":[]},`, "", 0},
-		"no list":        {`"known":{"snapshot":true,"endpoints":[]},`, "known: not a list", -1},
-		"endpoints null": {`"known":{"index":0,"snapshot":true,"endpoints":null},`, "known: not a list", -1},
-		"wrong type":     {`"known":7,`, "known: not a list", -1},
+		"no list":        {`"known":{"snapshot":true,"endpoints":[]},`, "known: invalid endpoint list", -1},
+		"endpoints null": {`"known":{"index":0,"snapshot":true,"endpoints":null},`, "known: invalid endpoint list", -1},
+		"wrong type":     {`"known":7,`, "known: invalid endpoint list", -1},
 		"a malformed entry": {
 			strings.Replace(validFile[at:end], "]}", `,{"name":"s-2","status":"asleep"}]}`, 1),
 			"known: 1 malformed entries", 1,
 		},
-		"only malformed entries": {strings.Replace(validFile[at:end], "leaving", "asleep", 1), "known: 1 malformed entries", 0},
+		"only malformed entries": {
+			strings.Replace(validFile[at:end], "leaving", "asleep", 1), "known: 1 malformed entries", 0,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, err := Parse([]byte(validFile[:at] + c.known + validFile[end:]))
