--- a/internal/platform/discovery/client_test.go
+++ b/internal/platform/discovery/client_test.go
@@ -18,13 +18,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// inbox keeps the lists that are posted to it.
+// inbox is a controller.Inbox that records the lists posted to it.
 type inbox struct {
 	mu  sync.Mutex
-	got []*wire.List
+	got []*wire.List // in the order posted
 }
 
-// Post keeps a list, and takes nothing else.
+// Post records a list. Any other input is an error.
 func (b *inbox) Post(_ context.Context, in controller.Input) error {
 	listed, ok := in.(controller.EndpointsListed)
 	if !ok {
@@ -36,6 +36,7 @@
 	return nil
 }
 
+// versions returns the versions of the posted lists, in order.
 func (b *inbox) versions() (versions []int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -45,7 +46,7 @@
 	return versions
 }
 
-// startClient runs a client until the test ends.
+// startClient runs a client in the background until the test ends, and checks that Run returns nil.
 func startClient(t *testing.T, client *Client) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -56,13 +57,14 @@
 	})
 }
 
-// eventually waits for a condition that other goroutines establish.
+// eventually waits up to 5 s for a condition to become true.
 func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
 	require.Eventually(t, condition, 5*time.Second, time.Millisecond)
 }
 
-// TestSetAddress checks a reload: the list is neither forgotten nor posted twice.
+// TestSetAddress checks that after a change of the address the client requests changes from its last version, so that
+// the whole list is not posted again.
 func TestSetAddress(t *testing.T) {
 	before := newScriptedAgent(t, listResponse(4, true, "x"))
 	after := newScriptedAgent(t, listResponse(5, false, "y"))
@@ -77,7 +79,7 @@
 	assert.Contains(t, after.requestedPaths()[0], "index=")
 }
 
-// TestOnRequest checks that nothing is requested before the planner asks for it.
+// TestOnRequest checks that a client created without watching makes no request before Fetch or Watch is called.
 func TestOnRequest(t *testing.T) {
 	s := newScriptedAgent(t, listResponse(4, true, "x"), listResponse(5, true, "x"))
 	b := &inbox{}
--- a/internal/platform/discovery/scriptedagent_test.go
+++ b/internal/platform/discovery/scriptedagent_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// listResponse returns an answer with a list of active endpoints.
+// listResponse returns a response body with a list of active endpoints.
 func listResponse(index int, snapshot bool, names ...string) string {
 	var entries []string
 	for _, name := range names {
@@ -24,20 +24,27 @@
 	return fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[%s]}`, index, snapshot, strings.Join(entries, ","))
 }
 
-// scriptedAgent is discovery's agent. It answers calls by the steps of a script: a body, "bytes" and a body, sent
-// byte by byte, "reset", "half" an answer, or "silent". After the script calls wait and return no changes.
+// scriptedAgent is a fake discovery agent. Each request is handled according to the next step of a script:
+//
+//   - "reset" closes the connection without a response.
+//   - "half" sends an incomplete response and closes the connection.
+//   - "silent" sends nothing until the client closes the connection.
+//   - "bytes" followed by a body sends a response with this body in single bytes.
+//   - Any other text is sent as the response body.
+//
+// After the last step, a response without changes is sent after 20 ms.
 type scriptedAgent struct {
 	listener net.Listener
 	mu       sync.Mutex
 	steps    []string
-	paths    []string // asked for
+	paths    []string // paths of all requests, in order
 }
 
 func newScriptedAgent(t *testing.T, steps ...string) *scriptedAgent {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	s := &scriptedAgent{listener: listener, steps: steps}
-	go func() { // until the listener is closed
+	go func() { // ends when the listener is closed
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
@@ -68,7 +75,7 @@
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n"+listResponse(4, true, "x")[:20])
 			return
 		case "silent":
-			_, _ = reader.ReadByte() // until the other side gives up
+			_, _ = reader.ReadByte() // returns when the client closes the connection
 			return
 		case "":
 			time.Sleep(20 * time.Millisecond)
@@ -80,7 +87,8 @@
 	}
 }
 
-// next notes a call and returns its step, "" after the script, and its number from 0.
+// next records the path of a request. It returns the request's step, which is "" after the end of the script, and its
+// number, from 0.
 func (s *scriptedAgent) next(path string) (step string, number int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +100,7 @@
 	return step, number
 }
 
-// writeResponse sends a step's body, byte by byte if the step says so.
+// writeResponse sends a response with the step's body, in single bytes if the step begins with "bytes".
 func writeResponse(conn net.Conn, step string) error {
 	body, byteByByte := strings.CutPrefix(step, "bytes")
 	answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
@@ -110,6 +118,7 @@
 	return nil
 }
 
+// requestedPaths returns the paths of all requests so far, in order.
 func (s *scriptedAgent) requestedPaths() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/platform/discovery/watch_test.go
+++ b/internal/platform/discovery/watch_test.go
@@ -10,20 +10,21 @@
 	"go.uber.org/zap"
 )
 
-// wholePath requests the whole list, changesPath the changes from a version.
+// wholePath is the request path of the whole list.
 const wholePath = "/catalog/members"
 
+// changesPath returns the request path of the changes since a version.
 func changesPath(version int) string {
 	return fmt.Sprintf("/catalog/members?index=%d&wait=1000", version)
 }
 
-// TestWatch checks that each call starts from the current version, however the one before ended, and that each list
-// is posted once.
+// TestWatch checks that each request asks for changes since the last received version, however the previous request
+// ended, and that each list is posted once.
 func TestWatch(t *testing.T) {
 	for name, c := range map[string]struct {
 		steps    []string
-		versions []int    // handed over
-		paths    []string // asked for
+		versions []int    // of the posted lists
+		paths    []string // of the requests
 	}{
 		"whole, then changes": {
 			[]string{listResponse(4, true, "x"), listResponse(5, false, "y"), listResponse(6, false)},
@@ -45,37 +46,40 @@
 			[]int{4, 5},
 			[]string{wholePath, changesPath(4), changesPath(4)},
 		},
-		"changes where the whole list was asked for": {
+		"changes in place of the whole list": {
 			[]string{listResponse(4, false, "x"), listResponse(4, true, "x", "y"), listResponse(5, false, "y")},
 			[]int{4, 4, 5},
 			[]string{wholePath, wholePath, changesPath(4), changesPath(5)},
 		},
-		"a version gone back": {
-			[]string{listResponse(9, true, "x"), listResponse(3, false, "y"), listResponse(3, true, "y"), listResponse(4, false, "z")},
+		"version decreases": {
+			[]string{
+				listResponse(9, true, "x"), listResponse(3, false, "y"), listResponse(3, true, "y"),
+				listResponse(4, false, "z"),
+			},
 			[]int{9, 3, 3, 4},
 			[]string{wholePath, changesPath(9), wholePath, changesPath(3), changesPath(4)},
 		},
-		"a whole list of a version gone back": {
+		"whole list with a lower version": {
 			[]string{listResponse(9, true, "x"), listResponse(3, true, "y")},
 			[]int{9, 3},
 			[]string{wholePath, changesPath(9), changesPath(3)},
 		},
-		"an empty whole list": {
+		"empty whole list": {
 			[]string{listResponse(4, true, "x"), listResponse(5, true)},
 			[]int{4, 5},
 			[]string{wholePath, changesPath(4), changesPath(5)},
 		},
-		"an answer that breaks half way": {
+		"incomplete response": {
 			[]string{"half", listResponse(4, true, "x")},
 			[]int{4},
 			[]string{wholePath, wholePath, changesPath(4)},
 		},
-		"an answer in single bytes": {
+		"response in single bytes": {
 			[]string{"bytes" + listResponse(4, true, "x")},
 			[]int{4},
 			[]string{wholePath, changesPath(4)},
 		},
-		"no list": {
+		"response without a list": {
 			[]string{`{"error":1}`, `<html>`, listResponse(4, true, "x")},
 			[]int{4},
 			[]string{wholePath, wholePath, wholePath},
@@ -86,7 +90,8 @@
 			s := newScriptedAgent(t, c.steps...)
 			b := &inbox{}
 			startClient(t, New(s.address(), true, b, zap.NewNop()))
-			require.Eventually(t, func() bool { return len(s.requestedPaths()) > len(c.steps) }, 10*time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return len(s.requestedPaths()) > len(c.steps) },
+				10*time.Second, time.Millisecond)
 			assert.Equal(t, c.versions, b.versions())
 			assert.Equal(t, c.paths, s.requestedPaths()[:len(c.paths)])
 		})
