--- a/internal/platform/discovery/client.go
+++ b/internal/platform/discovery/client.go
@@ -1,6 +1,6 @@
-// Package discovery follows the endpoint list of the platform's discovery agent with HTTP/1.1 watches, one at a time on
-// one connection. It parses and validates lists and posts them; the planner decides what they mean. After an error or
-// timeout it reconnects and continues from the version it has.
+// Package discovery keeps the pilot's endpoint list up to date with the platform's discovery agent. It uses HTTP/1.1
+// long polling, with one request at a time on one connection. It parses and validates each list and posts it to the
+// controller; the planner interprets it. After an error or timeout it reconnects and continues from the last version.
 package discovery
 
 import (
@@ -12,33 +12,34 @@
 	"indigousher/internal/controller"
 )
 
-// Client follows the list. All methods but Run may be called from any goroutine; Run is called once.
+// Client watches the endpoint list. Run must be called once; all other methods may be called from any goroutine.
 type Client struct {
 	Counters Counters
 
 	inbox controller.Inbox
 	log   *zap.Logger
-	wake  chan struct{} // capacity 1; holds a token if the fields below have changed since the last wait
+	wake  chan struct{} // capacity 1; holds a value if the desired state has changed since Run last waited
 
 	mu sync.Mutex // guards the fields below
 
 	// Desired state.
 	address    string
-	watching   bool               // follow the list
+	watching   bool               // keep requesting changes to the list
 	fetch      bool               // request the whole list once
-	cancelCall context.CancelFunc // ends the call or wait in progress; nil before Run
+	cancelCall context.CancelFunc // cancels the request or wait in progress; nil before Run
 
 	// Actual state.
-	hasList bool // a list was posted, and changes to its version can be requested
-	version int
+	hasList bool // a list was posted and changes relative to version can be requested
+	version int  // version of the last received list
 }
 
-// New returns a client that does nothing before Run. With watch it follows the list from the start.
+// New returns a client that is idle until Run is called. If watch is true, it watches the list from the start,
+// otherwise it makes no request before Watch or Fetch is called.
 func New(address string, watch bool, inbox controller.Inbox, log *zap.Logger) *Client {
 	return &Client{address: address, watching: watch, inbox: inbox, log: log, wake: make(chan struct{}, 1)}
 }
 
-// Watch starts or stops following the list.
+// Watch starts or stops watching the list for changes.
 func (c *Client) Watch(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,7 +47,7 @@
 	c.signal()
 }
 
-// Fetch requests the whole list once.
+// Fetch requests the whole list once, even if the client is not watching.
 func (c *Client) Fetch() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,7 +55,8 @@
 	c.signal()
 }
 
-// SetAddress changes the address. The call in flight is cancelled, the version is kept.
+// SetAddress changes the address of the discovery agent. A request in flight is cancelled. The list's version is kept,
+// so the next request at the new address asks only for changes.
 func (c *Client) SetAddress(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,7 +70,7 @@
 	c.signal()
 }
 
-// signal wakes Run if it waits.
+// signal wakes Run if it is waiting for a change of the desired state.
 func (c *Client) signal() {
 	select {
 	case c.wake <- struct{}{}:
--- a/internal/platform/discovery/watch.go
+++ b/internal/platform/discovery/watch.go
@@ -14,23 +14,23 @@
 	"indigousher/internal/wire"
 )
 
-// Times of the watch. The wait is short so that a dead call is detected early: the platform counts news as delivered
-// 2 s after the end of a wait, whether they were received or not.
+// Timeouts of the watch. watchWait is short so that a request without a response is detected early: 2 s after the end
+// of a wait the platform counts changes as delivered, whether or not the pilot has received them.
 const (
-	// watchWait is how long discovery may delay its answer until the list changes.
+	// watchWait is how long the agent may hold back its response while the list does not change.
 	watchWait = 1000 * time.Millisecond
-	// responseTimeout bounds a call, in addition to the wait.
+	// responseTimeout is the time allowed for a request and its response, in addition to watchWait.
 	responseTimeout = 400 * time.Millisecond
-	// dialTimeout bounds connecting.
+	// dialTimeout is the time allowed for opening a connection.
 	dialTimeout = 500 * time.Millisecond
-	// retryDelay is the pause after an error.
+	// retryDelay is the pause before reconnecting after an error.
 	retryDelay = 50 * time.Millisecond
 )
 
-// membersPath is the path of the whole list.
+// membersPath is the request path of the whole list. With the parameters index and wait it returns changes only.
 const membersPath = "/catalog/members"
 
-// Run follows the list until ctx ends.
+// Run keeps the list up to date until ctx is cancelled. It returns nil.
 func (c *Client) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		c.runOnce(ctx)
@@ -38,7 +38,8 @@
 	return nil
 }
 
-// runOnce watches on one connection or, if nothing is to be requested, waits. A change of the address ends either.
+// runOnce makes requests on one connection, or waits for a change of the desired state if there is nothing to request.
+// A change of the address ends both. After an error it pauses for retryDelay.
 func (c *Client) runOnce(ctx context.Context) {
 	callCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -55,7 +56,7 @@
 		return
 	}
 	err := c.watchOn(callCtx, address)
-	if err == nil || callCtx.Err() != nil { // nothing more to request, or not at this address
+	if err == nil || callCtx.Err() != nil { // no more requests, the agent closed the connection, or it was cancelled
 		return
 	}
 	c.Counters.Failed.Add(1)
@@ -63,14 +64,14 @@
 	backoff.Sleep(ctx, retryDelay)
 }
 
-// watchOn makes calls on one connection until an error, until discovery closes it, or until nothing is to be
-// requested.
+// watchOn connects to address and makes requests until an error occurs. It returns nil when there is nothing more to
+// request or the agent closes the connection.
 func (c *Client) watchOn(ctx context.Context, address string) error {
 	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return fmt.Errorf("dial discovery: %w", err)
 	}
-	defer func() { _ = conn.Close() }() // its data is not needed any more
+	defer func() { _ = conn.Close() }() // no more data is needed from it
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	reader := bufio.NewReader(conn)
@@ -98,7 +99,7 @@
 	}
 }
 
-// nextRequest returns the path and timeout of the next call, and whether there is one to make.
+// nextRequest returns the path and timeout of the next request. ok is false if there is nothing to request.
 func (c *Client) nextRequest() (path string, timeout time.Duration, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,9 +114,10 @@
 	return path, watchWait + responseTimeout, true
 }
 
-// deliver posts a list and records its version. Changes without entries are only a keepalive. Changes without their
-// base, because the whole list was requested or the version decreased, are posted as well, but then an error is
-// returned and the whole list is requested next.
+// deliver posts a list to the controller and records its version. A response with no changes is not posted.
+// requestedWhole says that the request was for the whole list. If the response contains only changes although the whole
+// list was requested, or changes with a version lower than the last one, the list that they apply to is unknown here.
+// They are posted, but deliver returns an error and the next request is for the whole list.
 func (c *Client) deliver(ctx context.Context, list *wire.List, requestedWhole bool) error {
 	c.mu.Lock()
 	baseMissing := !list.Whole && (requestedWhole || c.hasList && list.Version < c.version)
@@ -129,7 +131,7 @@
 		}
 	}
 	if baseMissing {
-		return fmt.Errorf("%w: changes to a version not held here, %d", ErrInvalidList, list.Version)
+		return fmt.Errorf("%w: changes with version %d do not apply to the local list", ErrInvalidList, list.Version)
 	}
 	return nil
 }
