--- a/internal/platform/listener/line.go
+++ b/internal/platform/listener/line.go
@@ -8,26 +8,27 @@
 	"indigousher/planner"
 )
 
-// ErrMalformedLine says that a line is not a message of the protocol. It contains neither the line nor the peer, so
-// that peers cannot fill the log.
-var ErrMalformedLine = errors.New("not a message")
+// ErrMalformedLine means that a line does not follow the protocol. Its text contains neither the line nor the peer's
+// address, so that a peer cannot fill the log with arbitrary data.
+var ErrMalformedLine = errors.New("malformed line")
 
-// Bounds of a line's values.
+// Limits of a line.
 const (
-	maxFields    = 12
-	maxCount     = 1 << 30
-	maxNameBytes = 256
+	maxFields    = 12      // number of fields
+	maxCount     = 1 << 30 // value of an integer field
+	maxNameBytes = 256     // length of a text field
 )
 
-// fields are the name=value pairs of a line. They refer to the line and are valid as long as it is. One value is
-// reused for all lines, so that parsing allocates only the texts that are kept.
+// fields holds the name=value pairs of a line. The slices refer to the line's buffer and become invalid with it. One
+// fields value is reused for all lines of a connection, so that parsing allocates only the texts that are kept.
 type fields struct {
 	names, values [maxFields][]byte
 	n             int  // number of fields
-	invalid       bool // a value requested since parse was missing or out of bounds
+	invalid       bool // count, float or text found a missing or out-of-range value since parse
 }
 
-// parse splits a line into its kind and its fields. A repeated name is an error.
+// parse splits a line into its first word, the kind, and its fields, which replace those of the previous line. A
+// repeated field name is an error.
 func (f *fields) parse(line []byte) (kind []byte, err error) {
 	f.n = 0
 	f.invalid = false
@@ -49,7 +50,7 @@
 	return kind, nil
 }
 
-// get returns a field's value, or nil if there is no such field.
+// get returns the value of a field, or nil if the line has no such field.
 func (f *fields) get(name string) []byte {
 	for i := range f.n {
 		if string(f.names[i]) == name {
@@ -59,7 +60,8 @@
 	return nil
 }
 
-// count returns an integer from 0 to maxCount. It sets invalid if the field is not one, as float and text do.
+// count returns the value of a field that holds an integer from 0 to maxCount. It sets f.invalid if the value is
+// missing or is not such an integer.
 func (f *fields) count(name string) int {
 	n, err := strconv.Atoi(string(f.get(name)))
 	if err != nil || n < 0 || n > maxCount {
@@ -68,7 +70,8 @@
 	return n
 }
 
-// float returns a number that the planner accepts: finite, not negative and bounded.
+// float returns the value of a field that holds a number accepted by planner.ValidRate: finite, not negative and
+// bounded. It sets f.invalid if the value is missing or is not such a number.
 func (f *fields) float(name string) float64 {
 	v, ok := parseFloat(f.get(name))
 	if !ok {
@@ -77,7 +80,8 @@
 	return v
 }
 
-// text returns a text of 1 to maxNameBytes bytes.
+// text returns the value of a field that holds a text of 1 to maxNameBytes bytes. It sets f.invalid if the value is
+// missing or has another length.
 func (f *fields) text(name string) string {
 	value := f.get(name)
 	if len(value) == 0 || len(value) > maxNameBytes {
@@ -86,7 +90,8 @@
 	return string(value)
 }
 
+// parseFloat parses a number and reports whether the planner accepts it.
 func parseFloat(text []byte) (float64, bool) {
 	v, err := strconv.ParseFloat(string(text), 64)
-	return v, err == nil && planner.ValidRate(v) // false for NaN
+	return v, err == nil && planner.ValidRate(v) // ValidRate rejects NaN
 }
--- a/internal/platform/listener/session.go
+++ b/internal/platform/listener/session.go
@@ -13,19 +13,21 @@
 	"go.uber.org/zap"
 )
 
-// Limits of a collector's session.
+// Limits of a collector's connection.
 const (
-	// maxLineBytes bounds a line. A longer one ends the session.
+	// maxLineBytes is the length above which a line ends the connection.
 	maxLineBytes = 1 << 20
-	// lineBufferBytes bounds a line that is parsed. A longer one is skipped.
+	// lineBufferBytes is the length above which a line is skipped instead of parsed.
 	lineBufferBytes = 8192
-	// maxUnreadableLines consecutive unreadable lines end the session: the peer speaks another protocol.
+	// maxUnreadableLines is the number of consecutive lines of unknown kind that ends the connection, because the peer
+	// appears to use another protocol.
 	maxUnreadableLines = 3
 )
 
-// serve handles one connection until it or ctx ends.
+// serve handles one connection until the connection ends or ctx is cancelled. element is the connection's element in
+// l.unidentified.
 func (l *Listener) serve(ctx context.Context, conn net.Conn, element *list.Element) {
-	defer func() { _ = conn.Close() }() // its data is not needed any more
+	defer func() { _ = conn.Close() }() // no more data is needed from it
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	zone, rest, err := l.identify(conn)
@@ -36,20 +38,21 @@
 	l.Counters.Collectors.Add(1)
 	l.collectors.add(zone, conn)
 	defer l.collectors.remove(zone, conn)
-	l.log.Info("collector joined", zap.String("zone", zone))
+	l.log.Info("collector connected", zap.String("zone", zone))
 	if err := conn.SetDeadline(time.Time{}); err != nil {
 		return
 	}
 	err = l.readReports(ctx, conn, rest)
-	l.log.Info("collector left", zap.String("zone", zone), zap.Error(err))
+	l.log.Info("collector disconnected", zap.String("zone", zone), zap.Error(err))
 }
 
-// readReports reads a collector's lines, starting with rest, which was read before, and posts the reports. A
-// malformed line is skipped; maxUnreadableLines in a row end the session.
+// readReports reads a collector's lines and posts the reports to the controller. rest is data that was already read
+// from the connection. A malformed line is skipped. It returns an error when the connection ends, or after
+// maxUnreadableLines consecutive lines of unknown kind.
 func (l *Listener) readReports(ctx context.Context, conn net.Conn, rest []byte) error {
 	reader := bufio.NewReaderSize(&prefixedReader{rest, conn}, lineBufferBytes)
 	var f fields
-	unreadable := 0 // lines in a row
+	unreadable := 0 // consecutive lines of unknown kind
 	for unreadable < maxUnreadableLines {
 		line, err := readLine(reader)
 		if err != nil {
@@ -75,16 +78,16 @@
 			return err
 		}
 	}
-	return fmt.Errorf("%d unreadable lines: %w", maxUnreadableLines, ErrMalformedLine)
+	return fmt.Errorf("%d consecutive lines of unknown kind: %w", maxUnreadableLines, ErrMalformedLine)
 }
 
-// prefixedReader reads a prefix and then a connection.
+// prefixedReader is an io.Reader of data that was already read from a connection, followed by the connection itself.
 type prefixedReader struct {
 	prefix []byte
 	conn   net.Conn
 }
 
-// Read reads from the prefix if any is left, otherwise from the connection.
+// Read reads from the prefix until it is used up, then from the connection.
 func (p *prefixedReader) Read(buffer []byte) (int, error) {
 	if len(p.prefix) > 0 {
 		n := copy(buffer, p.prefix)
@@ -94,8 +97,8 @@
 	return p.conn.Read(buffer)
 }
 
-// readLine returns a line without its end, valid until the next call. A line longer than the reader's buffer is
-// skipped and returned as empty; one longer than maxLineBytes is an error.
+// readLine returns the next line without its line end. The slice is valid until the next call. A line longer than the
+// reader's buffer is skipped and returned as nil. A line longer than maxLineBytes is an error.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
 	if err == nil {
@@ -103,7 +106,7 @@
 	}
 	for n := len(line); errors.Is(err, bufio.ErrBufferFull); n += len(line) {
 		if n > maxLineBytes {
-			return nil, fmt.Errorf("a line of over %d bytes: %w", maxLineBytes, ErrMalformedLine)
+			return nil, fmt.Errorf("line longer than %d bytes: %w", maxLineBytes, ErrMalformedLine)
 		}
 		line, err = r.ReadSlice('\n')
 	}
