--- a/internal/platform/listener/collectors_test.go
+++ b/internal/platform/listener/collectors_test.go
@@ -11,15 +11,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// connectionCount returns the number of a zone's connections.
+// connectionCount returns the number of open collector connections of a zone.
 func (c *collectorConns) connectionCount(zone string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.byZone[zone])
 }
 
-// TestCollectorReconnects checks the number of descriptors when collectors lose their connections silently and
-// reconnect.
+// TestCollectorReconnects checks that a collector which reconnects repeatedly, without closing its old connections,
+// does not use up the file descriptors: the oldest connections are closed.
 func TestCollectorReconnects(t *testing.T) {
 	l, _, dial := startListener(t, 20)
 	var conns []net.Conn
@@ -35,9 +35,9 @@
 	assert.Equal(t, maxCollectorsPerZone, l.collectors.connectionCount("b"))
 }
 
-// TestOverlappingCollectorConnections checks a collector that reconnects before its old connection ends, and
-// closes that one later: the reports on the new one are posted. A connection that resets while it is rejected has no
-// effect on others.
+// TestOverlappingCollectorConnections checks a collector that opens a new connection before it closes the old one.
+// Closing the old connection, within a line, must not affect reports on the new one. Neither must another connection
+// that is reset while it is being rejected.
 func TestOverlappingCollectorConnections(t *testing.T) {
 	l, b, dial := startListener(t, 20)
 	join := func(number int64) net.Conn {
@@ -49,7 +49,7 @@
 	}
 	older := join(1)
 	newer := join(2)
-	_, err := io.WriteString(older, proxyLine+"usage node=3 route=re") // its last line is half
+	_, err := io.WriteString(older, proxyLine+"usage node=3 route=re") // the last line is incomplete
 	require.NoError(t, err)
 	eventually(t, func() bool { return len(b.all()) == 1 })
 	require.NoError(t, older.Close())
@@ -65,5 +65,5 @@
 	_, err = io.WriteString(newer, proxyLine)
 	require.NoError(t, err)
 	eventually(t, func() bool { return len(b.all()) == 2 })
-	assert.Equal(t, b.all()[0], b.all()[1], "half a line is nothing")
+	assert.Equal(t, b.all()[0], b.all()[1], "an incomplete line was posted")
 }
--- a/internal/platform/listener/listener_test.go
+++ b/internal/platform/listener/listener_test.go
@@ -17,13 +17,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// inbox keeps what is posted to it.
+// inbox is a controller.Inbox that records the posted inputs.
 type inbox struct {
 	mu  sync.Mutex
 	got []controller.Input
 }
 
-// Post keeps an input.
+// Post records an input.
 func (b *inbox) Post(_ context.Context, in controller.Input) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -31,13 +31,14 @@
 	return nil
 }
 
+// all returns the posted inputs in order, never nil.
 func (b *inbox) all() []controller.Input {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]controller.Input{}, b.got...)
 }
 
-// startListener runs a listener until the test ends. dial connects to it.
+// startListener runs a listener for zones a and b until the test ends. dial opens a connection to it.
 func startListener(t *testing.T, maxUnidentified int) (l *Listener, b *inbox, dial func() net.Conn) {
 	b = &inbox{}
 	l = New([]string{"a", "b"}, maxUnidentified, b, zap.NewNop())
@@ -58,13 +59,14 @@
 	}
 }
 
-// eventually waits for a condition that other goroutines establish.
+// eventually waits up to 5 s for a condition to become true.
 func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
 	require.Eventually(t, condition, 5*time.Second, time.Millisecond)
 }
 
-// A report on a proxy, and what it is parsed to.
+// proxyLine is a report about a proxy.
 const proxyLine = "usage node=3 route=read total=4 errors=1 interval=500\r\n"
 
+// proxyStats is the input that proxyLine is parsed to.
 var proxyStats = controller.ProxyStats{Proxy: 3, Class: "read", Requests: 4, Unanswered: 1, SpanMs: 500}
--- a/internal/platform/listener/report_test.go
+++ b/internal/platform/listener/report_test.go
@@ -8,6 +8,7 @@
 	"indigousher/internal/controller"
 )
 
+// FuzzParseReport checks that every report that parseReport accepts holds valid values, whatever the line.
 func FuzzParseReport(f *testing.F) {
 	f.Add("heard locality=a endpoint=x total=9 errors=2 rtt=4.5 interval=1000.0 metrics=util:0.5")
 	f.Add("usage node=3 route=read total=4 errors=1 interval=500")
--- a/internal/platform/listener/session_test.go
+++ b/internal/platform/listener/session_test.go
@@ -14,7 +14,8 @@
 	"indigousher/internal/controller"
 )
 
-// TestCollectorReports checks that a malformed line has no effect on others, wherever the data is split.
+// TestCollectorReports checks that a malformed line does not affect the lines around it, however the data is split into
+// writes.
 func TestCollectorReports(t *testing.T) {
 	zoneLine := "heard locality=a endpoint=x total=9 errors=2 rtt=4.5 interval=1000.0 metrics=util:0.5\r\n"
 	zoneStats := controller.ZoneStats{
@@ -28,9 +29,9 @@
 		want   []controller.Input
 		closed bool
 	}{
-		"both kinds":        {zoneLine + proxyLine, []controller.Input{zoneStats, proxyStats}, false},
-		"a field is absent": {"heard locality=a endpoint=x total=9\r\n" + proxyLine, onlyProxyStats, false},
-		"a doubled field": {
+		"both kinds of reports": {zoneLine + proxyLine, []controller.Input{zoneStats, proxyStats}, false},
+		"missing fields":        {"heard locality=a endpoint=x total=9\r\n" + proxyLine, onlyProxyStats, false},
+		"repeated field": {
 			"usage node=3 node=4 route=read total=4 errors=1 interval=500\r\n" + proxyLine, onlyProxyStats, false,
 		},
 		"not a number": {with("4.5", "NaN") + with("0.5", "inf") + proxyLine, onlyProxyStats, false},
@@ -38,16 +39,16 @@
 			with("total=9", "total=99999999999999999999") + with("errors=2", "errors=-1") + proxyLine,
 			onlyProxyStats, false,
 		},
-		"more fail than are": {
+		"more errors than attempts": {
 			with("errors=2", "errors=10") + with("interval=1000.0", "interval=0") + proxyLine,
 			onlyProxyStats, false,
 		},
-		"malformed for long":  {strings.Repeat("usage node=x\r\n", 50) + proxyLine, onlyProxyStats, false},
-		"a long line":         {"heard " + strings.Repeat("y", 100000) + "\r\n" + proxyLine, onlyProxyStats, false},
-		"one unreadable":      {"\x00\x01\x02\r\n" + proxyLine, onlyProxyStats, false},
-		"goes on unreadable":  {proxyLine + strings.Repeat("\x07\x08\x09\n", 10), onlyProxyStats, true},
-		"unreadable, no end":  {proxyLine + strings.Repeat("\x07", 3<<20), onlyProxyStats, true},
-		"asks for life signs": {"ping\r\n" + proxyLine, onlyProxyStats, false},
+		"many malformed lines":       {strings.Repeat("usage node=x\r\n", 50) + proxyLine, onlyProxyStats, false},
+		"long line":                  {"heard " + strings.Repeat("y", 100000) + "\r\n" + proxyLine, onlyProxyStats, false},
+		"one line of unknown kind":   {"\x00\x01\x02\r\n" + proxyLine, onlyProxyStats, false},
+		"many lines of unknown kind": {proxyLine + strings.Repeat("\x07\x08\x09\n", 10), onlyProxyStats, true},
+		"unknown kind, no line end":  {proxyLine + strings.Repeat("\x07", 3<<20), onlyProxyStats, true},
+		"ping between lines":         {"ping\r\n" + proxyLine, onlyProxyStats, false},
 	} {
 		for _, piece := range []int{7, 1 << 20} {
 			t.Run(fmt.Sprint(name, " by ", piece), func(t *testing.T) {
@@ -63,14 +64,14 @@
 					require.NoError(t, conn.SetReadDeadline(time.Now().Add(5*time.Second)))
 					_, err := conn.Read(make([]byte, 1))
 					assert.Error(t, err)
-					assert.NotErrorIs(t, err, os.ErrDeadlineExceeded, "still open")
+					assert.NotErrorIs(t, err, os.ErrDeadlineExceeded, "the connection is still open")
 				}
 			})
 		}
 	}
 }
 
-// writeInPieces writes a text until the peer closes the connection.
+// writeInPieces writes a text in pieces of up to piece bytes. It stops if the peer closes the connection.
 func writeInPieces(conn io.Writer, text string, piece int) {
 	for len(text) > 0 {
 		n := min(piece, len(text))
--- a/internal/platform/listener/unidentified_test.go
+++ b/internal/platform/listener/unidentified_test.go
@@ -12,8 +12,8 @@
 	"indigousher/internal/platform/connstate"
 )
 
-// TestCollectorConnectsDuringFlood checks that silent connections use no more than their share of the descriptors, and that
-// a collector can join all the same.
+// TestCollectorConnectsDuringFlood checks that hundreds of silent connections are limited to their share of the file
+// descriptors and do not prevent a collector from connecting.
 func TestCollectorConnectsDuringFlood(t *testing.T) {
 	l, b, dial := startListener(t, 20)
 	for range 300 {
@@ -30,16 +30,17 @@
 }
 
 // TestEvictionSparesJoiningCollector checks that a collector whose first line was received but not read yet is not
-// evicted; another connection is. If all have sent something the oldest is evicted.
+// evicted while a connection without unread data exists. If every connection has unread data, the oldest one is
+// evicted.
 func TestEvictionSparesJoiningCollector(t *testing.T) {
 	for name, c := range map[string]struct {
-		sent    []string // in the order of connecting; there is room for three
-		evicted int
+		sent    []string // by each connection, in the order of connecting; the limit is 3
+		evicted int      // index of the evicted connection
 	}{
-		"nobody says anything":   {[]string{"", "", "", ""}, 0},
-		"a collector came first": {[]string{"collector locality=a\r\n", "", "", ""}, 1},
-		"half a line":            {[]string{"coll", "ping\r\n", "", ""}, 2},
-		"all say something":      {[]string{"x", "x", "x", "x"}, 0},
+		"all silent":               {[]string{"", "", "", ""}, 0},
+		"collector connects first": {[]string{"collector locality=a\r\n", "", "", ""}, 1},
+		"incomplete line first":    {[]string{"coll", "ping\r\n", "", ""}, 2},
+		"all have unread data":     {[]string{"x", "x", "x", "x"}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			socket, err := net.Listen("tcp", "127.0.0.1:0")
@@ -62,7 +63,7 @@
 			}
 			eventually(t, func() bool { return connstate.Peek(peers[c.evicted]) == connstate.Closed })
 			for i, peer := range peers {
-				assert.Equal(t, i == c.evicted, connstate.Peek(peer) == connstate.Closed, "number %d", i)
+				assert.Equal(t, i == c.evicted, connstate.Peek(peer) == connstate.Closed, "connection %d", i)
 			}
 		})
 	}
