--- a/internal/platform/listener/handshake.go
+++ b/internal/platform/listener/handshake.go
@@ -10,23 +10,26 @@
 	"go.uber.org/zap"
 )
 
-// Limits of unidentified connections.
+// Limits of connections that have not identified themselves as a collector's.
 const (
-	// identifyTimeout bounds the time until a connection has identified itself.
+	// identifyTimeout is the time that a connection has to identify itself after it was accepted.
 	identifyTimeout = 1200 * time.Millisecond
-	// maxIdentifyLineBytes bounds a line before identification.
+	// maxIdentifyLineBytes is the maximum length of a line before identification, including its end.
 	maxIdentifyLineBytes = 256
-	// writeTimeout bounds writing a reply, and reading the rest of a rejected connection.
+	// writeTimeout is the time allowed for writing a reply, and for discarding the remaining data of a rejected
+	// connection.
 	writeTimeout = 300 * time.Millisecond
-	// maxDiscardedReads reads of up to discardBufferBytes bound how much is read of a rejected connection.
+	// maxDiscardedReads is the maximum number of reads, of up to discardBufferBytes each, that discard the remaining
+	// data of a rejected connection.
 	maxDiscardedReads  = 64
 	discardBufferBytes = 512
-	// rejectionLogInterval is the minimum time between two log lines about rejections.
+	// rejectionLogInterval is the minimum time between two log lines about rejected connections.
 	rejectionLogInterval = time.Second
 )
 
-// identify reads up to the line that identifies a collector and returns what was read after it. It replies to pings,
-// rejects a connection that sends anything else, and returns an error for one that sends no whole line in time.
+// identify reads lines until one identifies the peer as a collector. It returns the collector's zone and the data that
+// was read after that line. It replies to pings. It rejects a connection that sends anything else, and returns an error
+// for one that has not identified itself within identifyTimeout.
 func (l *Listener) identify(conn net.Conn) (zone string, rest []byte, err error) {
 	if err := conn.SetDeadline(time.Now().Add(identifyTimeout)); err != nil {
 		return "", nil, err
@@ -61,7 +64,8 @@
 	}
 }
 
-// collectorZone returns the zone in a collector's first line, and whether it is such a line and the zone is ours.
+// collectorZone returns the zone in a line that identifies a collector. ok is false if the line has another form or the
+// zone is not one of the pilot's zones.
 func (l *Listener) collectorZone(line []byte) (zone string, ok bool) {
 	var f fields
 	kind, err := f.parse(line)
@@ -72,7 +76,7 @@
 	return zone, slices.Contains(l.zones, zone)
 }
 
-// reject informs the peer of the rejection. It always returns an error.
+// reject counts and logs a rejection and replies "refused" to the peer. It always returns an error.
 func (l *Listener) reject(conn net.Conn, reason string) error {
 	l.Counters.Rejected.Add(1)
 	l.rejections.record(reason)
@@ -85,10 +89,10 @@
 	return ErrMalformedLine
 }
 
-// discardRest closes the sending side and reads the remaining data for a while. Closing with unread data would reset
-// the connection, and the peer might lose the reply.
+// discardRest closes the sending side of a connection and discards received data, for at most writeTimeout. Closing a
+// connection with unread data would reset it, and the peer might not receive the reply.
 func discardRest(conn *net.TCPConn) {
-	_ = conn.CloseWrite() // if the peer has closed already, Read fails as well
+	_ = conn.CloseWrite() // after an error here Read fails too and ends the loop
 	_ = conn.SetReadDeadline(time.Now().Add(writeTimeout))
 	var buffer [discardBufferBytes]byte
 	for range maxDiscardedReads {
@@ -98,7 +102,7 @@
 	}
 }
 
-// writeLine writes a one-word reply, without waiting for a peer that does not read.
+// writeLine writes a one-word reply. It fails after writeTimeout if the peer does not read.
 func writeLine(conn net.Conn, word string) error {
 	if err := conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
@@ -107,16 +111,16 @@
 	return err
 }
 
-// rejectionLog logs rejections, at most one line per rejectionLogInterval.
+// rejectionLog logs rejected connections, with at most one line per rejectionLogInterval.
 type rejectionLog struct {
 	log *zap.Logger
 
 	mu       sync.Mutex
-	lastLine time.Time
-	unlogged int // rejections since lastLine
+	lastLine time.Time // time of the last log line; zero before the first one
+	unlogged int       // rejections since lastLine
 }
 
-// record counts a rejection and logs if a line is due.
+// record counts a rejection. If the last log line is old enough, it logs the reason and the number of rejections since.
 func (r *rejectionLog) record(reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/platform/listener/listener.go
+++ b/internal/platform/listener/listener.go
@@ -1,7 +1,8 @@
-// Package listener listens at the pilot's address on the operators' platform. Collectors identify themselves and send
-// load reports as lines of text; all other connections are rejected or closed. It parses and validates reports and
-// posts them, and keeps no data of unidentified connections. An error on one connection ends only that connection,
-// and unidentified connections use only the descriptors reserved for them.
+// Package listener accepts connections at the pilot's address on the operators' platform. Collectors identify
+// themselves and send load reports as lines of text; all other connections are rejected or closed. The package parses
+// and validates the reports and posts them to the controller. It keeps no data from connections that have not
+// identified themselves. An error on one connection ends only that connection. Unidentified connections are limited in
+// number, so that they cannot use up the process's file descriptors.
 package listener
 
 import (
@@ -18,14 +19,14 @@
 	"indigousher/internal/controller"
 )
 
-// acceptRetryDelay is the pause after accept has failed temporarily, as without a free descriptor.
+// acceptRetryDelay is the pause after a temporary failure of Accept, such as running out of file descriptors.
 const acceptRetryDelay = 5 * time.Millisecond
 
-// Listener accepts connections and posts the reports of collectors.
+// Listener accepts connections and posts the reports of collectors to the controller.
 type Listener struct {
 	Counters Counters
 
-	zones []string // whose collectors are accepted
+	zones []string // zones whose collectors are accepted
 	inbox controller.Inbox
 	log   *zap.Logger
 
@@ -34,8 +35,8 @@
 	rejections   rejectionLog
 }
 
-// New returns a listener for the collectors of zones. Up to maxUnidentified connections, at least one, may be open
-// without having identified themselves.
+// New returns a listener that accepts the collectors of the given zones. maxUnidentified is the maximum number of open
+// connections that have not identified themselves; a value below 1 means 1.
 func New(zones []string, maxUnidentified int, inbox controller.Inbox, log *zap.Logger) *Listener {
 	l := &Listener{zones: zones, inbox: inbox, log: log}
 	l.unidentified.limit = max(1, maxUnidentified)
@@ -46,8 +47,9 @@
 	return l
 }
 
-// Serve accepts connections until ctx ends, which closes the socket and all connections. Each connection is served by
-// a goroutine that ends with it.
+// Serve accepts connections on socket and handles each in its own goroutine. When ctx is cancelled, it closes the
+// socket and all connections, waits for the goroutines and returns nil. It returns an error if Accept fails
+// permanently.
 func (l *Listener) Serve(ctx context.Context, socket net.Listener) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
@@ -66,13 +68,13 @@
 			continue
 		}
 		if ctx.Err() != nil {
-			_ = group.Wait() // the result of closing the socket
-			return nil       //nolint:nilerr // the socket was closed because ctx has ended
+			_ = group.Wait() // the only possible error is from closing the socket
+			return nil       //nolint:nilerr // Accept failed because ctx was cancelled and the socket closed
 		}
 		if !backoff.Temporary(err) {
 			return fmt.Errorf("accept on %s: %w", socket.Addr(), err)
 		}
-		l.unidentified.evictTo(0) // to free descriptors
+		l.unidentified.evictTo(0) // frees file descriptors for the next Accept
 		backoff.Sleep(ctx, acceptRetryDelay)
 	}
 }
--- a/internal/platform/listener/report.go
+++ b/internal/platform/listener/report.go
@@ -6,20 +6,20 @@
 	"indigousher/internal/controller"
 )
 
-// Kinds of reports: the first word of a line.
+// Kinds of reports. The kind is the first word of a line.
 const (
-	zoneReport  = "heard" // a zone's requests to an endpoint
-	proxyReport = "usage" // a proxy's requests
+	zoneReport  = "heard" // statistics of a zone's attempts at one endpoint
+	proxyReport = "usage" // statistics of the requests of one class to a proxy
 )
 
-// Sizes of a zone's report.
+// Sizes of the set of load metrics in a zone report.
 const (
-	maxMetrics      = 16 // limit of the load metrics of an endpoint
-	expectedMetrics = 4  // their usual number
+	maxMetrics      = 16 // maximum number of metrics; a line with more is malformed
+	expectedMetrics = 4  // usual number of metrics; initial capacity of the map
 )
 
-// parseReport parses a collector's line. in is nil if the line is malformed; it is still readable if its kind is
-// known. f is overwritten.
+// parseReport parses a line from a collector and overwrites f. in is nil if the line is malformed. readable reports
+// whether the line begins with a known kind, even if the rest is malformed.
 func parseReport(f *fields, line []byte) (in controller.Input, readable bool) {
 	kind, _, _ := bytes.Cut(line, []byte(" "))
 	readable = string(kind) == zoneReport || string(kind) == proxyReport
@@ -38,7 +38,7 @@
 	return in, true
 }
 
-// parseZoneStats returns the report on an endpoint in the fields. Times are in milliseconds.
+// parseZoneStats converts the fields of a zone report. The rtt and interval fields are in milliseconds.
 func parseZoneStats(f *fields) (controller.Input, error) {
 	stats := controller.ZoneStats{
 		Zone:     f.text("locality"),
@@ -61,7 +61,7 @@
 	return stats, nil
 }
 
-// parseMetrics returns an endpoint's load metrics from comma-separated name:value pairs.
+// parseMetrics parses an endpoint's load metrics, which are comma-separated name:value pairs.
 func parseMetrics(text []byte) (map[string]float64, error) {
 	load := make(map[string]float64, expectedMetrics)
 	for len(text) > 0 {
@@ -77,7 +77,7 @@
 	return load, nil
 }
 
-// parseProxyStats returns the report on a proxy's requests in the fields. Times are in milliseconds.
+// parseProxyStats converts the fields of a proxy report. The interval field is in milliseconds.
 func parseProxyStats(f *fields) (controller.Input, error) {
 	stats := controller.ProxyStats{
 		Proxy:      f.count("node"),
--- a/internal/platform/listener/unidentified.go
+++ b/internal/platform/listener/unidentified.go
@@ -9,17 +9,17 @@
 	"indigousher/internal/platform/connstate"
 )
 
-// unidentifiedConns holds the connections that have not identified themselves as a collector and bounds their number.
+// unidentifiedConns holds the connections that have not identified themselves as a collector's, and limits their
+// number. Its methods may be called from any goroutine.
 type unidentifiedConns struct {
-	limit   int
-	evicted *atomic.Int64
+	limit   int           // maximum number of connections
+	evicted *atomic.Int64 // counts evicted connections
 
 	mu    sync.Mutex
-	conns *list.List // of net.Conn, oldest first
+	conns *list.List // elements are net.Conn, oldest first
 }
 
-// add adds a connection, after evicting others if there is no room. It returns the place of the connection for
-// remove.
+// add adds a connection, after evicting others if the limit is reached. It returns the list element to pass to remove.
 func (u *unidentifiedConns) add(conn net.Conn) *list.Element {
 	u.evictTo(u.limit - 1)
 	u.mu.Lock()
@@ -27,27 +27,27 @@
 	return u.conns.PushBack(conn)
 }
 
-// remove removes a connection. It does nothing if the connection was evicted.
+// remove removes the connection at a list element that add has returned. It does nothing if it has been evicted.
 func (u *unidentifiedConns) remove(element *list.Element) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.conns.Remove(element)
 }
 
-// evictTo closes connections until no more than remaining are left.
+// evictTo closes and removes connections until at most remaining are left.
 func (u *unidentifiedConns) evictTo(remaining int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for u.conns.Len() > remaining {
-		conn, _ := u.conns.Remove(u.evictionCandidate()).(net.Conn) // add adds nothing else
-		_ = conn.Close()                                            // its data is not needed any more
+		conn, _ := u.conns.Remove(u.evictionCandidate()).(net.Conn) // add stores only net.Conn values
+		_ = conn.Close()                                            // no more data is needed from it
 		u.evicted.Add(1)
 	}
 }
 
-// evictionCandidate returns the oldest connection without unread data, or the oldest one if all have some. So a flood of
-// connections does not evict a collector whose first line was received but not read yet. The caller holds mu, and
-// there is a connection.
+// evictionCandidate returns the oldest connection without unread data, or the oldest one if all have unread data. In
+// this way a flood of connections does not evict a collector whose first line has been received but not read yet. The
+// caller holds mu. conns must not be empty.
 func (u *unidentifiedConns) evictionCandidate() *list.Element {
 	for element := u.conns.Front(); element != nil; element = element.Next() {
 		if conn, ok := element.Value.(net.Conn); ok && connstate.Peek(conn) != connstate.Readable {
