--- a/internal/platform/relay/encode.go
+++ b/internal/platform/relay/encode.go
@@ -7,25 +7,26 @@
 	"indigousher/planner"
 )
 
-// noProxy is the proxy number of commands that name no proxy.
+// noProxy is the value of command.proxy for commands that do not name a proxy.
 const noProxy = -1
 
-// command is a planner command, encoded for the relay.
+// command is a planner command, encoded for the relay, with the properties that merging depends on.
 type command struct {
-	encoded []byte // JSON
+	encoded []byte // JSON object
 
-	// Inputs of merge.
-	key         string // identifies the state it sets; of two commands with one key only the newer counts
-	table       string // whose weights or admission it sets, or ""
-	clearsTable bool   // deletes its table, which supersedes everything set in it
-	proxy       int    // that it configures, or noProxy
-	acks        []int  // number of the ack request, and of those it has superseded
+	// Properties used by merge and callQueue.dropProxy.
+	key         string // identifies the state that the command sets: a newer command with the same key supersedes it
+	table       string // table whose weights or admission it sets or that it deletes; empty for other commands
+	clearsTable bool   // deletes table, which supersedes all earlier commands for the table
+	proxy       int    // proxy that it configures, or noProxy
+	acks        []int  // number of the ack request and of those that it supersedes; empty for other commands
 
-	halted bool // the relay has halted at it before
+	halted bool // the relay halted at this command in an earlier call
 }
 
-// encode returns the command as the relay expects it, and false if it is not for the relay. classNames are the names
-// of the request classes, indexed by bit of a class mask.
+// encode converts a planner command to the relay's format. It returns false for commands that are not for the relay.
+// endpointName returns the name of the endpoint with an index. classNames are the names of the request classes, indexed
+// by bit number in a class mask.
 func encode(c planner.Command, endpointName func(i int) string, classNames []string) (command, bool) {
 	switch c := c.(type) {
 	case planner.SetWeight:
@@ -48,7 +49,7 @@
 	endpoint := quote(endpointName(c.Endpoint))
 	table := strconv.Itoa(c.Table)
 	return command{
-		key:   "line " + table + " " + endpoint,
+		key:   "weight " + table + " " + endpoint,
 		proxy: noProxy,
 		table: table,
 		encoded: []byte(`{"verb":"SET","cluster":` + table + `,"endpoint":` + endpoint +
@@ -70,7 +71,7 @@
 func encodeAssignTable(c planner.AssignTable, classNames []string) command {
 	node := strconv.Itoa(c.Proxy)
 	return command{
-		key:   "bind " + node + " " + strconv.Itoa(c.Classes),
+		key:   "assign " + node + " " + strconv.Itoa(c.Classes),
 		proxy: c.Proxy,
 		encoded: []byte(`{"verb":"USE","node":` + node + `,"cluster":` + strconv.Itoa(c.Table) +
 			encodeClasses(c.Classes, classNames) + `}`),
@@ -84,13 +85,13 @@
 		verb = "OUT"
 	}
 	return command{
-		key:     "out " + endpoint,
+		key:     "exclude " + endpoint,
 		proxy:   noProxy,
 		encoded: []byte(`{"verb":"` + verb + `","endpoint":` + endpoint + `}`),
 	}
 }
 
-// encodeSetAdmission omits the table if the command is for all tables.
+// encodeSetAdmission encodes a command that sets an admission level. Without a table the command applies to all tables.
 func encodeSetAdmission(c planner.SetAdmission, classNames []string) command {
 	table := ""
 	cluster := ""
@@ -99,7 +100,7 @@
 		cluster = `,"cluster":` + table
 	}
 	return command{
-		key:   "level " + table + " " + strconv.Itoa(c.Classes),
+		key:   "admission " + table + " " + strconv.Itoa(c.Classes),
 		proxy: noProxy,
 		table: table,
 		encoded: []byte(`{"verb":"LIMIT"` + cluster + encodeClasses(c.Classes, classNames) +
@@ -120,15 +121,17 @@
 	}
 }
 
-// formatFloat returns the shortest text that parses to the same number.
+// formatFloat returns the shortest decimal text that parses to the same number.
 func formatFloat(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 
+// quote returns a string as JSON.
 func quote(s string) string {
 	text, _ := json.Marshal(s) // marshalling a string never fails
 	return string(text)
 }
 
-// encodeClasses returns the field that names the request classes of a mask. It is omitted for all classes.
+// encodeClasses returns the JSON field, with a leading comma, that lists the request classes in a mask. It returns an
+// empty text if the mask is 0 or contains all classes, because a command without the field applies to all.
 func encodeClasses(mask int, classNames []string) string {
 	if mask == 0 || mask == 1<<len(classNames)-1 {
 		return ""
--- a/internal/platform/relay/merge.go
+++ b/internal/platform/relay/merge.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// merge returns the commands without those that a later one supersedes, in the same order. A command is superseded by a
-// later one with the same key, or by one that clears its table. The ack numbers of superseded ack requests are added to
-// the one that is kept, whose ack covers them.
+// merge returns commands without the superseded ones, in the same order. A command is superseded by a later command
+// that has the same key or clears its table. The numbers of superseded ack requests are added to the ack request that
+// is kept, because an ack of that one covers them too.
 func merge(commands []command) []command {
 	seenKeys := map[string]bool{}
 	clearedTables := map[string]bool{}
@@ -31,12 +31,12 @@
 	return kept
 }
 
-// splitCalls splits a sequence into calls of at most maxCallBytes.
+// splitCalls splits commands into calls of at most maxCallBytes, in the same order.
 func splitCalls(commands []command) (calls []call) {
 	start := 0
-	size := 0 // in bytes, of the call beginning at start
+	size := 0 // bytes of the call that begins at start
 	for i, c := range commands {
-		commandBytes := len(c.encoded) + 1 // and a comma
+		commandBytes := len(c.encoded) + 1 // plus a comma
 		size += commandBytes
 		if size > maxCallBytes {
 			calls = append(calls, commands[start:i:i])
