--- a/internal/platform/relay/event.go
+++ b/internal/platform/relay/event.go
@@ -9,24 +9,24 @@
 	"indigousher/internal/controller"
 )
 
-// event is an event, one line of the stream. Without a type or proxy it is a keepalive.
+// event is one line of the event stream. An event without a type or a proxy number is a keepalive.
 type event struct {
-	Type   string `json:"type"` // "joined", "left" or "applied"
+	Type   string `json:"type"` // "joined", "left" or "applied"; empty for a keepalive
 	Object struct {
-		Node     *int     `json:"node"` // the proxy's number
-		Locality string   `json:"locality"`
-		Rate     float64  `json:"w"`       // requests per second it usually receives
-		Cold     bool     `json:"cold"`    // it has just started
-		Nonce    *int     `json:"nonce"`   // number of the acknowledged ack request
-		Latency  *float64 `json:"latency"` // ms from the ack request to the ack
+		Node     *int     `json:"node"`     // proxy number; nil for a keepalive
+		Locality string   `json:"locality"` // zone
+		Rate     float64  `json:"w"`        // requests per second that the proxy usually receives
+		Cold     bool     `json:"cold"`     // the proxy has just started
+		Nonce    *int     `json:"nonce"`    // number of the ack request that the proxy has answered
+		Latency  *float64 `json:"latency"`  // time from the ack request to the ack, in ms
 	} `json:"object"`
 }
 
-// handleLine parses a line of subscription i and posts it if it is news.
+// handleLine parses a line of subscription i. It posts an input to the controller if the event is not a duplicate.
 func (s *EventStream) handleLine(ctx context.Context, i int, text []byte) error {
 	var e event
 	if err := json.Unmarshal(text, &e); err != nil {
-		return fmt.Errorf("unreadable event: %w", err)
+		return fmt.Errorf("decode event: %w", err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,8 +42,8 @@
 	return s.inbox.Post(ctx, in)
 }
 
-// apply updates the members by an event and returns the input for the controller, or nil if it is not news. The
-// caller holds mu.
+// apply updates the set of connected proxies with an event. It returns the input for the controller, or nil if the
+// event is a duplicate or of an unknown type. The caller holds mu.
 func (s *EventStream) apply(sub *subscription, e *event) controller.Input {
 	switch e.Type {
 	case "joined":
@@ -56,7 +56,8 @@
 	return nil
 }
 
-// applyJoined handles the announcement of a proxy, which has joined or, in a snapshot, is connected.
+// applyJoined handles a "joined" event: a proxy has connected to the relay. During a snapshot the proxy may have
+// connected earlier. It returns nil if the proxy is already known in the same zone and has not reconnected.
 func (s *EventStream) applyJoined(sub *subscription, e *event) controller.Input {
 	proxy := *e.Object.Node
 	zone := e.Object.Locality
@@ -81,10 +82,11 @@
 	}
 }
 
-// mayHaveReconnected reports whether a known proxy, announced by a snapshot after a gap, may have reconnected in the
-// gap: the gap was long enough, or the proxy itself says that it is cold. If the other subscription announced the
-// proxy after this one opened, it is a member by that announcement and has not reconnected since: at a start both
-// announce all proxies.
+// mayHaveReconnected reports whether a proxy that was connected before a gap in the events, and is announced in the
+// snapshot after it, may have reconnected during the gap. This is so if the gap was longer than maxShortGap or the
+// event says that the proxy has just started. It is not so if this snapshot has announced the proxy before, or if the
+// other subscription announced it after this one opened, as happens at startup, when both subscriptions announce all
+// proxies.
 func (sub *subscription) mayHaveReconnected(proxy int, current *connectedProxy, cold bool) bool {
 	if current.announcedAt.After(sub.openedAt) {
 		return false
@@ -95,7 +97,8 @@
 	return sub.afterLongGap || cold
 }
 
-// applyLeft handles that a proxy has left, which the other subscription may have delivered before.
+// applyLeft handles a "left" event. It returns nil if the proxy is unknown, for example because the other subscription
+// has delivered the event already.
 func (s *EventStream) applyLeft(sub *subscription, proxy int) controller.Input {
 	delete(sub.announced, proxy)
 	if s.proxies[proxy] == nil {
@@ -105,7 +108,8 @@
 	return controller.RelayProxyLeft{Proxy: proxy}
 }
 
-// applyAck handles that a proxy has applied all commands up to an ack request.
+// applyAck handles an "applied" event: a proxy has applied all commands up to an ack request. It returns nil if the
+// proxy is unknown, a field is missing, or the event is a duplicate.
 func (s *EventStream) applyAck(e *event) controller.Input {
 	current := s.proxies[*e.Object.Node]
 	if current == nil || e.Object.Nonce == nil || e.Object.Latency == nil || !current.recordAck(*e.Object.Nonce) {
--- a/internal/platform/relay/eventstream.go
+++ b/internal/platform/relay/eventstream.go
@@ -17,46 +17,50 @@
 	"indigousher/internal/controller"
 )
 
-// SubscriptionCount is the number of redundant connections: while one is broken the other delivers the events.
+// SubscriptionCount is the number of redundant event subscriptions. While one is disconnected, the other delivers the
+// events.
 const SubscriptionCount = 2
 
-// Limits of the connection of a subscription.
+// Limits of a subscription's connection.
 const (
-	// silenceTimeout ends a subscription without data. The relay sends a keepalive every second.
+	// silenceTimeout is the time without data after which a subscription is closed. The relay sends a keepalive every
+	// second.
 	silenceTimeout = 2500 * time.Millisecond
-	// redialDelay is the pause before a subscription is reopened.
+	// redialDelay is the pause before a closed subscription is reopened.
 	redialDelay = 30 * time.Millisecond
-	// maxEventBytes bounds a line of the stream.
+	// maxEventBytes is the maximum length of a line of the stream, in bytes.
 	maxEventBytes = 1 << 16
-	// connBufferBytes and lineBufferBytes are the initial sizes of the read buffers of the connection and of a line.
+	// connBufferBytes and lineBufferBytes are the size of the connection's read buffer and the initial size of the line
+	// buffer.
 	connBufferBytes = 16384
 	lineBufferBytes = 4096
 )
 
-// EventStream receives the relay's events on two subscriptions and merges them into one sequence without duplicates.
-// Only after a gap, in which neither was connected, does it infer events from the next snapshot.
+// EventStream receives the relay's events on redundant subscriptions and merges them into one sequence without
+// duplicates. After a gap, in which no subscription received events, it infers the missed events from the next
+// snapshot.
 type EventStream struct {
 	Counters *Counters
 
 	inbox controller.Inbox
 	log   *zap.Logger
 
-	// mu guards the fields below. It is held while an event is posted, so that events reach the inbox in the order in
-	// which they were applied here.
+	// mu guards the fields below. It is held while an input is posted, so that the inbox receives the inputs in the order
+	// in which the events were applied.
 	mu            sync.Mutex
-	address       string
+	address       string                  // address of the relay for new connections
 	proxies       map[int]*connectedProxy // connected proxies, by number
 	subscriptions [SubscriptionCount]subscription
-	completeUntil time.Time // all events up to then were received; zero if none was yet
+	completeUntil time.Time // all events up to this time were received; zero before the first subscription ends
 }
 
-// NewEventStream returns a receiver of the events of the relay at address. It receives nothing before Run.
+// NewEventStream returns an event stream from the relay at address. It does not connect before Run is called.
 func NewEventStream(address string, inbox controller.Inbox, c *Counters, log *zap.Logger) *EventStream {
 	return &EventStream{Counters: c, inbox: inbox, log: log, address: address, proxies: map[int]*connectedProxy{}}
 }
 
-// SetAddress changes the relay's address. The first subscription moves at once, the second after the first has
-// received its snapshot at the new address (endSnapshot), so that no gap arises.
+// SetAddress changes the relay's address. The first subscription reconnects immediately. The second one reconnects
+// after the first has received its snapshot at the new address (endSnapshot), so that there is no gap in the events.
 func (s *EventStream) SetAddress(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +73,8 @@
 	}
 }
 
-// Run keeps subscription i open until ctx ends. It is called once for each subscription.
+// Run keeps subscription i open until ctx is cancelled, and returns nil. It must be called once for each subscription,
+// with i from 0 to SubscriptionCount-1.
 func (s *EventStream) Run(ctx context.Context, i int) error {
 	for ctx.Err() == nil {
 		err := s.subscribe(ctx, i)
@@ -81,7 +86,7 @@
 	return nil
 }
 
-// subscribe opens a subscription at the current address, receives its events and returns why it ended.
+// subscribe opens subscription i at the current address, receives events until it ends, and returns the reason.
 func (s *EventStream) subscribe(ctx context.Context, i int) error {
 	ctx, cancel := context.WithCancel(ctx)
 	s.mu.Lock()
@@ -95,44 +100,45 @@
 	return err
 }
 
-// receive connects to the relay, requests the events and handles them until the connection or ctx ends.
+// receive connects to the relay, requests the event stream and handles events until the connection ends or ctx is
+// cancelled.
 func (s *EventStream) receive(ctx context.Context, address string, i int) error {
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return fmt.Errorf("dial relay: %w", err)
 	}
-	defer func() { _ = conn.Close() }() // its data is not needed any more
+	defer func() { _ = conn.Close() }() // no more data is needed from it
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	response, err := requestEvents(conn, address)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = response.Body.Close() }() // it has been read, or the connection is closed next
+	defer func() { _ = response.Body.Close() }() // fully read, or the connection is closed next
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("read events: status %d", response.StatusCode)
+		return fmt.Errorf("request events: response status %d", response.StatusCode)
 	}
 	s.subscribed(i)
 	defer s.awaitSnapshot(ctx, i)()
 	return s.readLines(ctx, i, conn, response)
 }
 
-// requestEvents requests the events and reads the head of the response.
+// requestEvents sends the request for the event stream and reads the head of the response.
 func requestEvents(conn net.Conn, address string) (*http.Response, error) {
 	if err := conn.SetDeadline(time.Now().Add(silenceTimeout)); err != nil {
 		return nil, fmt.Errorf("set deadline: %w", err)
 	}
 	if _, err := conn.Write([]byte("GET /v1/events HTTP/1.1\r\nHost: " + address + "\r\n\r\n")); err != nil {
-		return nil, fmt.Errorf("ask for events: %w", err)
+		return nil, fmt.Errorf("request events: %w", err)
 	}
 	response, err := http.ReadResponse(bufio.NewReaderSize(conn, connBufferBytes), nil)
 	if err != nil {
-		return nil, fmt.Errorf("read events: %w", err)
+		return nil, fmt.Errorf("read response to event request: %w", err)
 	}
 	return response, nil
 }
 
-// readLines handles one event after another. It always returns an error, because the stream has no regular end.
+// readLines reads events and handles them. It always returns an error, because the stream has no regular end.
 func (s *EventStream) readLines(ctx context.Context, i int, conn net.Conn, response *http.Response) error {
 	scanner := bufio.NewScanner(response.Body)
 	scanner.Buffer(make([]byte, 0, lineBufferBytes), maxEventBytes)
@@ -147,5 +153,5 @@
 	if scanner.Err() != nil {
 		return fmt.Errorf("read events: %w", scanner.Err())
 	}
-	return errors.New("event stream ended")
+	return errors.New("relay ended the event stream")
 }
--- a/internal/platform/relay/snapshot.go
+++ b/internal/platform/relay/snapshot.go
@@ -12,12 +12,12 @@
 	"indigousher/internal/controller"
 )
 
-// snapshotQuietPeriod: a subscription that has announced no proxy for this long has announced all of them. The
-// protocol does not mark the end of a snapshot.
+// snapshotQuietPeriod is the time without an announcement of a proxy after which a subscription's snapshot is
+// considered complete. The protocol does not mark the end of a snapshot.
 const snapshotQuietPeriod = 200 * time.Millisecond
 
-// awaitSnapshot starts a goroutine that waits for the end of subscription i's snapshot. The returned function stops
-// the goroutine and waits for it to return.
+// awaitSnapshot starts a goroutine that waits until subscription i's snapshot is complete and then calls endSnapshot.
+// The returned function stops the goroutine and waits for it to return.
 func (s *EventStream) awaitSnapshot(ctx context.Context, i int) (stop func()) {
 	waitCtx, cancel := context.WithCancel(ctx)
 	var waiter sync.WaitGroup
@@ -35,9 +35,9 @@
 	}
 }
 
-// snapshotRemaining returns how long the snapshot may still continue; 0 or less if it is over. Announcing thousands
-// of proxies takes a while, especially with part of a core, and a proxy announced after the end would be taken for
-// disconnected.
+// snapshotRemaining returns the remaining quiet time before subscription i's snapshot is considered complete; 0 or less
+// if it is complete. Each announcement restarts the quiet period, because announcing thousands of proxies takes a while
+// with a fraction of a CPU core, and a proxy that is announced after the end would be treated as disconnected.
 func (s *EventStream) snapshotRemaining(i int) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,7 +48,8 @@
 	return snapshotQuietPeriod - time.Since(sub.lastAnnounced)
 }
 
-// endSnapshot makes subscription i live. After a gap, proxies missing in its snapshot have disconnected.
+// endSnapshot marks subscription i's snapshot as complete. If there was a gap in the events before the snapshot,
+// proxies missing from it have disconnected, and that is posted to the controller.
 func (s *EventStream) endSnapshot(ctx context.Context, i int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,8 +59,9 @@
 	}
 	var missing []int
 	if sub.afterGap {
-		s.log.Info("proxies announced after a gap in the event streams", zap.Int("stream", i), zap.Int("announced", len(sub.announced)),
-			zap.Int("known", len(s.proxies)), zap.Bool("long", sub.afterLongGap))
+		s.log.Info("received snapshot of proxies after a gap in the event streams", zap.Int("stream", i),
+			zap.Int("announced", len(sub.announced)), zap.Int("known", len(s.proxies)),
+			zap.Bool("long", sub.afterLongGap))
 		missing = s.missingProxies(sub)
 	}
 	sub.state = live
@@ -69,11 +71,12 @@
 	}
 	for _, proxy := range missing {
 		delete(s.proxies, proxy)
-		_ = s.inbox.Post(ctx, controller.RelayProxyLeft{Proxy: proxy}) // fails only after ctx has ended
+		_ = s.inbox.Post(ctx, controller.RelayProxyLeft{Proxy: proxy}) // fails only after ctx was cancelled
 	}
 }
 
-// missingProxies returns the members missing in a subscription's snapshot, in ascending order. The caller holds mu.
+// missingProxies returns the connected proxies that are missing from a subscription's snapshot, in ascending order. The
+// caller holds mu.
 func (s *EventStream) missingProxies(sub *subscription) (proxies []int) {
 	for proxy := range s.proxies {
 		if !sub.announced[proxy] {
@@ -84,8 +87,9 @@
 	return proxies
 }
 
-// cancelAtOldAddress closes the subscriptions at a former address. They delivered the events until the one at the new
-// address had received its snapshot. The caller holds mu.
+// cancelAtOldAddress closes the subscriptions at a previous address of the relay, which then reconnect at the current
+// one. They are closed only after another subscription has received its snapshot at the current address, so that there
+// is no gap in the events. The caller holds mu.
 func (s *EventStream) cancelAtOldAddress() {
 	for j := range s.subscriptions {
 		other := &s.subscriptions[j]
--- a/internal/platform/relay/subscription.go
+++ b/internal/platform/relay/subscription.go
@@ -7,43 +7,44 @@
 	"go.uber.org/zap"
 )
 
-// Limits by which gaps in the events are judged.
+// Time limits for detecting gaps in the events.
 const (
-	// liveTimeout: a subscription that received data since then is working. Keepalives are sent every second.
+	// liveTimeout is the time without data after which a subscription is considered broken. The relay sends keepalives
+	// every second.
 	liveTimeout = 1300 * time.Millisecond
-	// maxShortGap: in a gap up to this long no proxy can have disconnected and reconnected, as reconnecting takes
-	// longer.
+	// maxShortGap is the length of a gap up to which no proxy can have disconnected and reconnected, because
+	// reconnecting takes longer.
 	maxShortGap = 300 * time.Millisecond
 )
 
-// subscriptionState is the state of a subscription.
+// subscriptionState is the state of an event subscription.
 type subscriptionState int
 
-// States of a subscription. Transitions: subscribed from disconnected to receivingSnapshot, endSnapshot from there to
-// live, unsubscribed from either to disconnected.
+// States of a subscription. EventStream.subscribed changes the state from disconnected to receivingSnapshot,
+// endSnapshot from receivingSnapshot to live, and unsubscribed from any state to disconnected.
 const (
-	disconnected      subscriptionState = iota // closed, or about to be
-	receivingSnapshot                          // announces the connected proxies, mixed with new events
-	live                                       // delivers new events
+	disconnected      subscriptionState = iota // not connected, or being closed
+	receivingSnapshot                          // the relay announces the connected proxies, interleaved with new events
+	live                                       // the relay sends only new events
 )
 
-// subscription is one of the redundant connections. EventStream.mu guards it.
+// subscription is the state of one of the redundant event subscriptions. EventStream.mu guards it.
 type subscription struct {
-	address string
-	cancel  context.CancelFunc // closes the connection; nil before the first one
+	address string             // address of the relay that it was opened at
+	cancel  context.CancelFunc // closes the connection; nil before the first connection
 
 	state        subscriptionState
-	openedAt     time.Time
-	lastReceived time.Time // time of the last event or keepalive, or of opening
+	openedAt     time.Time // when the relay accepted the subscription
+	lastReceived time.Time // when the last event or keepalive was received; initially openedAt
 
-	// The snapshot.
-	announced     map[int]bool // proxies announced since opening; nil unless receivingSnapshot
-	lastAnnounced time.Time    // time of the last announcement, or of opening
-	afterGap      bool         // the other subscription was not working when this one opened
-	afterLongGap  bool         // for longer than maxShortGap: proxies may have reconnected unnoticed
+	// The snapshot that the relay sends after the subscription opens.
+	announced     map[int]bool // proxies announced in the snapshot; nil unless state is receivingSnapshot
+	lastAnnounced time.Time    // when a proxy was last announced; initially openedAt
+	afterGap      bool         // no other subscription was receiving events when this one opened
+	afterLongGap  bool         // the gap was longer than maxShortGap, so proxies may have reconnected unnoticed
 }
 
-// beginSnapshot resets the subscription when it opens.
+// beginSnapshot sets the state of a subscription that has just opened.
 func (sub *subscription) beginSnapshot(now time.Time) {
 	sub.state = receivingSnapshot
 	sub.openedAt = now
@@ -54,12 +55,13 @@
 	sub.afterLongGap = false
 }
 
+// disconnect marks the subscription as disconnected. It does not close the connection.
 func (sub *subscription) disconnect() {
 	sub.state = disconnected
 	sub.announced = nil
 }
 
-// subscribed records that subscription i has opened, and whether there is a gap in the events before it.
+// subscribed records that subscription i has opened and whether there was a gap in the events before.
 func (s *EventStream) subscribed(i int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,7 +69,7 @@
 	sub := &s.subscriptions[i]
 	sub.beginSnapshot(now)
 	sub.afterGap = !s.otherIsLive(i, now)
-	if !sub.afterGap || s.completeUntil.IsZero() { // nothing was received before, so nothing was missed
+	if !sub.afterGap || s.completeUntil.IsZero() { // no gap, or no events were received before it
 		return
 	}
 	gap := now.Sub(s.completeUntil)
@@ -76,7 +78,8 @@
 	s.log.Warn("gap in the event streams", zap.Duration("duration", gap))
 }
 
-// otherIsLive reports whether a subscription other than i is working. The caller holds mu.
+// otherIsLive reports whether a subscription other than i is connected and received data within liveTimeout. The caller
+// holds mu.
 func (s *EventStream) otherIsLive(i int, now time.Time) bool {
 	for j := range s.subscriptions {
 		other := &s.subscriptions[j]
@@ -87,9 +90,10 @@
 	return false
 }
 
-// unsubscribed records that subscription i has ended, and whether by silence. The other one has to reopen, and so
-// receive a new snapshot, if it misses events as well: those between the last data of the silent one and its own
-// opening, or those that an unfinished snapshot after a gap would have revealed.
+// unsubscribed records that subscription i has ended. timedOut means that it ended because no data arrived within
+// silenceTimeout. The other subscription must reconnect to receive a new snapshot if it may have missed events too.
+// That is so in two cases: it opened after i last received data, so neither received the events in between; or i ended
+// within a snapshot after a gap, so the events missed in the gap are still unknown.
 func (s *EventStream) unsubscribed(i int, timedOut bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
