--- a/internal/platform/relay/outage.go
+++ b/internal/platform/relay/outage.go
@@ -5,34 +5,38 @@
 	"time"
 )
 
-// Pauses between calls during an outage.
+// Pauses after failed calls and probes.
 const (
-	// minBackoff is the pause after the first failure. It doubles with each further one, up to maxBackoff.
+	// minBackoff is the pause after the first failure. It doubles with each further failure, up to maxBackoff.
 	minBackoff = 20 * time.Millisecond
+	// maxBackoff is the maximum pause.
 	maxBackoff = 320 * time.Millisecond
-	// notStartedBackoff is the constant pause after errRunNotStarted: the relay is reachable, and the start of the run
-	// does not depend on how often it is asked.
+	// notStartedBackoff is the pause after errRunNotStarted. It does not increase, because the relay is reachable and the
+	// start of the run does not depend on the number of calls.
 	notStartedBackoff = 100 * time.Millisecond
 )
 
-// outage is a period in which the relay takes no calls, from the first failed call to the first answered one. It is
-// owned by the goroutine of Sender.Run.
+// outage is a period in which the relay accepts no calls. It lasts from the start of the first failed call to the first
+// call that succeeds, or to the first successful probe if the queue is empty then. Only the goroutine of Sender.Run
+// uses it.
 //
-// States: inactive (reportedUntil is zero; calls are sent as they are queued) and active (only probes are sent until
-// one is answered). begin makes it active; Sender.endOutage replaces it by an inactive one.
+// An outage is inactive (reportedUntil is zero) or active. While it is active, Sender sends only probes until the relay
+// responds to one. begin makes an outage active; Sender.endOutage replaces it with an inactive one.
 type outage struct {
 	startedAt     time.Time     // start of the first failed call
 	reportedUntil time.Time     // end of the period reported to the controller; zero if inactive
-	failures      int           // failed calls and probes
+	failures      int           // number of failed calls and probes
 	backoff       time.Duration // pause after the next failure
 }
 
-// newOutage returns an inactive outage with the initial backoff.
+// newOutage returns an inactive outage whose first pause is minBackoff.
 func newOutage() outage { return outage{backoff: minBackoff} }
 
+// active reports whether an outage is in progress.
 func (o *outage) active() bool { return !o.reportedUntil.IsZero() }
 
-// begin makes the outage active from the start of the failed call. It does nothing if it is active already.
+// begin makes the outage active, with callStart as the start time of the failed call. It does nothing if the outage is
+// already active.
 func (o *outage) begin(callStart time.Time) {
 	if o.active() {
 		return
@@ -41,8 +45,8 @@
 	o.reportedUntil = callStart
 }
 
-// unreportedMs returns the milliseconds since the last report to the controller and marks them as reported. It returns
-// at least 1, because a report of 0 means the end of the outage.
+// unreportedMs returns the time since the last report to the controller, in ms, and records that it is reported now. It
+// returns at least 1, because 0 in a report means the end of the outage.
 func (o *outage) unreportedMs() float64 {
 	now := time.Now()
 	elapsed := max(1, float64(now.Sub(o.reportedUntil))/float64(time.Millisecond))
@@ -50,7 +54,8 @@
 	return elapsed
 }
 
-// nextPause returns the pause after a failure and doubles the next one.
+// nextPause returns the pause after a failure and doubles the following one, up to maxBackoff. After errRunNotStarted
+// it returns notStartedBackoff and resets the following pause to minBackoff.
 func (o *outage) nextPause(failure error) time.Duration {
 	if errors.Is(failure, errRunNotStarted) {
 		o.backoff = minBackoff
--- a/internal/platform/relay/retry.go
+++ b/internal/platform/relay/retry.go
@@ -12,34 +12,36 @@
 	"indigousher/internal/controller"
 )
 
-// maxRejections is how many consecutive calls the relay may reject as a whole before the last of them is dropped. A
-// malformed call is never accepted, but the answer itself may have been corrupted.
+// maxRejections is the number of consecutive rejections after which a call is dropped. The relay never accepts a
+// malformed call, but a rejection may also be due to a corrupted response, so the first ones are retried.
 const maxRejections = 3
 
-// callFailed requeues or drops a failed call, reports the outage and pauses. Every decision to retry a whole call is
-// made here.
+// callFailed puts a failed call back into the queue or drops it, reports the outage to the controller and pauses. It
+// decides for all causes of failure whether the whole call is retried. callStart is when the call was started.
 func (s *Sender) callFailed(ctx context.Context, callStart time.Time, failed call, err error) {
 	s.Counters.FailedCalls.Add(1)
 	var repeatedAcks []int
 	switch {
-	case errors.Is(err, errRunNotStarted): // expected before the run; not logged
+	case errors.Is(err, errRunNotStarted): // expected at startup, therefore not logged
 	case errors.Is(err, errOutcomeUnknown):
 		repeatedAcks = s.handleUnknownOutcome(failed, err)
 	case errors.Is(err, errRejected):
 		failed = s.handleRejection(failed, err)
-	default: // errNotExecuted
+	default: // the remaining cause is errNotExecuted
 		s.log.Warn("relay call failed", zap.Int("commands", len(failed)), zap.Error(err))
 	}
 	s.queue.requeueMerged(failed)
 	s.pauseAfterFailure(ctx, callStart, repeatedAcks, err)
 }
 
-// handleUnknownOutcome records that the commands of a call may be executed twice. It returns the ack requests whose
-// commands the controller has to count twice. probe limits this to one retry per outage.
+// handleUnknownOutcome counts and logs a call whose commands may be executed twice, because it is retried. It returns
+// the numbers of the ack requests whose commands the controller must count twice. Because of probe, there is at most
+// one such retry per outage.
 //
-// The first part of a turn that was split into several calls has no ack request. It returns those of the next queued
-// call then, which also covers the part behind it. Counting that part twice is too much, which the next ack corrects;
-// not counting the first part twice would be too little, which nothing corrects.
+// If the commands of one controller turn were split into several calls, only the last call has an ack request. For an
+// earlier call, the ack requests of the next queued call that has any are returned; they also cover the commands in
+// between. Counting those twice is too high until the next ack corrects it. Not counting the failed call twice would be
+// too low, and nothing would correct that.
 func (s *Sender) handleUnknownOutcome(failed call, err error) (repeatedAcks []int) {
 	s.Counters.OutcomeUnknown.Add(int64(len(failed)))
 	repeatedAcks = failed.ackNumbers()
@@ -51,36 +53,38 @@
 	return repeatedAcks
 }
 
-// handleRejection returns what to retry of a call that was rejected as a whole: all of it, or nothing after maxRejections.
+// handleRejection returns the commands to retry of a call that the relay rejected as a whole: all of them, or nil after
+// maxRejections consecutive rejections, when the call is dropped.
 func (s *Sender) handleRejection(failed call, err error) call {
 	s.rejections++
 	if s.rejections < maxRejections {
 		return failed
 	}
-	s.log.Error("relay call dropped", zap.Int("commands", len(failed)), zap.Error(err))
+	s.log.Error("relay call dropped after repeated rejections", zap.Int("commands", len(failed)), zap.Error(err))
 	s.Counters.Dropped.Add(int64(len(failed)))
 	s.rejections = 0
 	return nil
 }
 
-// retryHalted returns what to retry of the commands from the one at which the relay halted: all of them the first
-// time, in case the answer was corrupted, then all but that one. The relay sends nothing of a halted command to any
-// proxy, so the retry costs the proxies nothing.
+// retryHalted returns the commands to retry after the relay halted at rest[0]. The first time these are all of rest, in
+// case the response was corrupted. The second time rest[0] is dropped. The relay sends no part of a command at which it
+// halts to a proxy, so the retry adds no load on the proxies.
 func (s *Sender) retryHalted(rest call) call {
 	rest = slices.Clone(rest)
 	if !rest[0].halted {
 		rest[0].halted = true
 		return rest
 	}
-	s.log.Warn("command dropped, the relay halts at it", zap.ByteString("command", rest[0].encoded))
+	s.log.Warn("command dropped, the relay halted at it twice", zap.ByteString("command", rest[0].encoded))
 	s.Counters.Dropped.Add(1)
 	return rest[1:]
 }
 
-// probe makes an empty call, which costs the proxies nothing, and reports whether the relay answers. Retries wait for
-// that, so a call has an unknown outcome at most once per outage, however long it lasts, and its commands are sent at
-// most twice. The answer has to be decodable: with a relay whose answers are all corrupted, the outcome of the retry
-// would be unknown as well, and the call would be executed again each time.
+// probe sends an empty call, which adds no load on the proxies, and reports whether the relay responds. During an
+// outage no call is retried before a probe succeeds. A call therefore has an unknown outcome at most once per outage,
+// however long the outage lasts, and its commands are sent at most twice. A rejection counts as a response. A response
+// that cannot be decoded does not: while all responses are corrupted, each retry would have an unknown outcome again
+// and the call would be executed repeatedly.
 func (s *Sender) probe(ctx context.Context) bool {
 	address := s.queue.currentAddress()
 	s.Counters.Probes.Add(1)
@@ -91,15 +95,15 @@
 	if err == nil || errors.Is(err, errRejected) {
 		return true
 	}
-	s.log.Debug("relay unreachable", zap.Int("attempts", s.outage.failures), zap.Error(err))
+	s.log.Debug("relay probe failed", zap.Int("attempts", s.outage.failures), zap.Error(err))
 	s.queue.requeueMerged(nil)
 	s.pauseAfterFailure(ctx, time.Now(), nil, err)
 	return false
 }
 
-// pauseAfterFailure reports to the controller for how long the relay has taken nothing, and pauses. Queued commands
-// have not been sent: if the controller believed them sent, the commands planned meanwhile would overflow the relay's
-// channel once it recovers.
+// pauseAfterFailure reports to the controller for how long the relay has accepted no commands, closes the connection
+// and pauses. The controller must know that queued commands have not been sent. Otherwise it would plan more commands
+// in the meantime and overflow the relay's channel once the relay recovers.
 func (s *Sender) pauseAfterFailure(ctx context.Context, callStart time.Time, repeatedAcks []int, failure error) {
 	s.connection.close()
 	s.outage.begin(callStart)
@@ -108,12 +112,13 @@
 	backoff.Sleep(ctx, s.outage.nextPause(failure))
 }
 
-// endOutage ends an active outage and reports that to the controller. answered is the call that was answered, or nil
-// if the queue is empty.
+// endOutage ends the outage and, if it was active, reports the end to the controller. answered is the call that the
+// relay has accepted, or nil if the queue was empty.
 func (s *Sender) endOutage(ctx context.Context, answered call) {
 	if s.outage.active() {
 		s.log.Info("relay accepts calls again", zap.Duration("after", time.Since(s.outage.startedAt)),
-			zap.Int("attempts", s.outage.failures), zap.Int("commands", len(answered)), zap.Ints("ack_requests", answered.ackNumbers()))
+			zap.Int("attempts", s.outage.failures), zap.Int("commands", len(answered)),
+			zap.Ints("ack_requests", answered.ackNumbers()))
 		s.post(ctx, controller.RelayStalled{})
 	}
 	s.outage = newOutage()
--- a/internal/platform/relay/sender.go
+++ b/internal/platform/relay/sender.go
@@ -10,23 +10,24 @@
 	"indigousher/planner"
 )
 
-// Sender sends commands to the relay. All methods but Run may be called from any goroutine; Run is called once.
+// Sender sends commands to the relay. Run must be called once; all other methods may be called from any goroutine.
 type Sender struct {
 	Counters *Counters
 
-	inbox      controller.Inbox // receives reports of outages and merged calls
-	classNames []string         // names of the request classes, indexed by bit of a class mask
+	inbox      controller.Inbox // receives reports about outages and merged calls
+	classNames []string         // names of the request classes, indexed by bit number in a class mask
 	log        *zap.Logger
 
-	queue callQueue // filled by the controller, drained by Run
+	queue callQueue // the controller enqueues, Run dequeues
 
-	// Owned by the goroutine of Run.
+	// Used only by the goroutine of Run.
 	connection connection
 	outage     outage
-	rejections int // consecutive calls that the relay rejected as a whole
+	rejections int // number of consecutive calls that the relay rejected as a whole
 }
 
-// NewSender returns a sender to the relay at address. It sends nothing before Run.
+// NewSender returns a sender to the relay at address. It sends nothing before Run is called. classNames are the names
+// of the request classes, indexed by bit number in a class mask.
 func NewSender(address string, classNames []string, inbox controller.Inbox, c *Counters, log *zap.Logger) *Sender {
 	return &Sender{
 		Counters:   c,
@@ -37,7 +38,8 @@
 	}
 }
 
-// Enqueue queues the commands of one controller turn as one call.
+// Enqueue queues the commands of one turn of the control loop. It does not block. endpointName returns the name of the
+// endpoint with an index.
 func (s *Sender) Enqueue(turn []planner.Command, endpointName func(i int) string) {
 	var commands []command
 	for _, c := range turn {
@@ -49,13 +51,13 @@
 	s.queue.enqueue(commands)
 }
 
-// ProxyLeft drops the queued commands that name a disconnected proxy.
+// ProxyLeft drops the queued commands for a proxy that has disconnected from the relay.
 func (s *Sender) ProxyLeft(proxy int) { s.queue.dropProxy(proxy) }
 
-// SetAddress changes the relay's address for later calls. A call in flight completes at the old address.
+// SetAddress changes the relay's address. A call in flight is completed at the old address.
 func (s *Sender) SetAddress(address string) { s.queue.setAddress(address) }
 
-// Run sends the queued calls until ctx ends.
+// Run sends the queued calls until ctx is cancelled, and returns nil.
 func (s *Sender) Run(ctx context.Context) error {
 	defer s.connection.close()
 	s.outage = newOutage()
@@ -65,8 +67,8 @@
 	return nil
 }
 
-// sendNext sends the next call, or waits until there is one. During an outage it sends nothing until a probe is
-// answered.
+// sendNext sends the oldest queued call, or waits if the queue is empty. During an outage it sends a probe first and,
+// if that fails, no call.
 func (s *Sender) sendNext(ctx context.Context) {
 	if s.outage.active() && !s.probe(ctx) {
 		return
@@ -88,8 +90,8 @@
 	s.callAnswered(next, executed)
 }
 
-// reportMerged reports to the controller which ack requests are sent in one call. The controller must know before a
-// proxy can ack.
+// reportMerged reports to the controller if a call contains several ack requests, of which only the newest is sent. The
+// controller must have the report before a proxy can answer that ack request.
 func (s *Sender) reportMerged(ctx context.Context, next call) {
 	merged := next.ackNumbers()
 	if len(merged) < 2 {
@@ -102,7 +104,7 @@
 	s.post(ctx, in)
 }
 
-// send makes one call and returns how many of its commands the relay executed, from the first on.
+// send sends one call. It returns how many of the call's commands the relay has executed, counted from the first.
 func (s *Sender) send(ctx context.Context, address string, next call) (executed int, err error) {
 	s.Counters.Calls.Add(1)
 	resp, err := s.connection.roundTrip(ctx, address, next)
@@ -116,7 +118,8 @@
 	return executed, err
 }
 
-// callAnswered counts the executed commands. If the relay halted, it requeues the remaining ones.
+// callAnswered handles the relay's response to a call. It counts the executed commands. If the relay halted, it puts
+// the remaining commands back into the queue, as retryHalted decides.
 func (s *Sender) callAnswered(sent call, executed int) {
 	s.rejections = 0
 	s.Counters.Executed.Add(int64(executed))
@@ -128,5 +131,6 @@
 	}
 }
 
-// post reports the state of the relay to the controller. It fails only after ctx has ended, and then Run returns.
+// post reports the state of the relay to the controller. The error can be ignored: Post fails only after ctx was
+// cancelled, and then Run returns.
 func (s *Sender) post(ctx context.Context, in controller.RelayStalled) { _ = s.inbox.Post(ctx, in) }
