--- a/internal/platform/relay/counters.go
+++ b/internal/platform/relay/counters.go
@@ -2,15 +2,16 @@
 
 import "sync/atomic"
 
-// Counters of the traffic with the relay, for the platform's periodic report. A Sender and an EventStream share one.
+// Counters counts the traffic with the relay. A Sender and an EventStream share one. The platform logs the counters
+// periodically.
 type Counters struct {
-	// Commands. Once the queue is empty, Enqueued equals Executed + Superseded + Dropped. OutcomeUnknown counts the
-	// commands of calls that were retried without knowing whether they had been executed.
+	// Numbers of commands. When the queue is empty and no call is in flight, Enqueued equals Executed + Superseded +
+	// Dropped. OutcomeUnknown counts the commands of calls that were retried although the relay may have executed them.
 	Enqueued, Executed, Superseded, Dropped, OutcomeUnknown atomic.Int64
 
-	// Calls with commands, how many of them failed, and empty calls.
+	// Calls with commands, the failed ones among them, and empty calls, which test whether the relay responds.
 	Calls, FailedCalls, Probes atomic.Int64
 
-	// Events about proxies, on either subscription, and gaps in which neither was connected.
+	// Events about proxies, counted on each subscription, and gaps in which no subscription received events.
 	Events, Gaps atomic.Int64
 }
--- a/internal/platform/relay/doc.go
+++ b/internal/platform/relay/doc.go
@@ -1,17 +1,16 @@
-// Package relay is the client of the platform's relay, which holds the proxies' connections. Sender delivers the
-// planner's commands, one call per controller turn, in order. EventStream receives the proxies' events. The relay
-// itself queues and paces; this package queues only while a call is in flight or the relay is unreachable. It makes
-// no routing decisions.
+// Package relay is the client of the platform's relay, which holds the connections to the proxies. Sender delivers the
+// planner's commands in order, with one call for each turn of the control loop. EventStream receives the proxies'
+// events. The relay queues commands and limits their rate itself; this package queues them only while a call is in
+// flight or the relay is unreachable. It makes no routing decisions.
 //
-// Commands are delivered at least once. Every command sets state, so executing one twice has the same result as once.
-// Retries and their limits:
+// Commands are delivered at least once. Every command is idempotent, because it sets state. Retries and their limits:
 //
-//   - A call that was not sent completely, or arrived before the run started, is retried without limit (retry.go,
-//     callFailed), with backoff (outage.go, nextPause).
-//   - A call whose outcome is unknown is retried once per outage (retry.go, handleUnknownOutcome), because only empty calls
-//     are sent until one of them is answered (retry.go, probe).
-//   - A call rejected as a whole is sent maxRejections times in total and then dropped (retry.go, handleRejection).
-//   - A command at which the relay halted is retried once and then dropped (retry.go, retryHalted).
+//   - A call that was not sent completely, or that arrived before the relay accepts commands, is retried without limit
+//     (Sender.callFailed), with backoff (outage.nextPause).
+//   - A call whose outcome is unknown is retried once per outage (Sender.handleUnknownOutcome), because only empty
+//     calls are sent until the relay responds to one (Sender.probe).
+//   - A call rejected as a whole is sent maxRejections times in total and then dropped (Sender.handleRejection).
+//   - A command at which the relay halted is retried once and then dropped (Sender.retryHalted).
 //
-// A retried call is first merged with everything queued, so that it never overwrites newer state (merge.go).
+// Before a call is retried, it is merged with all queued calls, so that it never overwrites newer state (merge).
 package relay
--- a/internal/platform/relay/queue.go
+++ b/internal/platform/relay/queue.go
@@ -6,29 +6,30 @@
 	"sync"
 )
 
-// maxQueuedCalls bounds the queue: beyond it the calls are merged, which drops superseded commands.
+// maxQueuedCalls is the number of queued calls above which all of them are merged, which drops superseded commands.
 const maxQueuedCalls = 64
 
-// callQueue holds the calls to send, oldest first, and the address to send them to. The controller enqueues, one
-// worker dequeues.
+// callQueue holds the calls that are to be sent and the address to send them to. The controller enqueues commands. One
+// worker, the goroutine of Sender.Run, dequeues calls.
 //
-// Invariants: commands are dequeued in the order in which they were enqueued, except for dropped ones; a requeued
-// call is placed before everything newer.
+// Commands are dequeued in the order in which they were enqueued, except for dropped ones. A call that is put back is
+// placed before all newer ones.
 type callQueue struct {
-	counters *Counters     // Superseded counts the dropped commands
-	wake     chan struct{} // capacity 1; holds a token if calls were enqueued since the last wait
+	counters *Counters     // commands dropped by the queue are added to Superseded
+	wake     chan struct{} // capacity 1; holds a value if commands were enqueued since the last wait
 
 	mu          sync.Mutex // guards the fields below
-	address     string
-	calls       []call
-	leftProxies []int // proxies that disconnected since the call in flight was dequeued
+	address     string     // address of the relay for the next call
+	calls       []call     // oldest first
+	leftProxies []int      // proxies that disconnected since the last dequeue
 }
 
+// newCallQueue returns an empty queue of calls to the relay at address.
 func newCallQueue(address string, counters *Counters) callQueue {
 	return callQueue{counters: counters, wake: make(chan struct{}, 1), address: address}
 }
 
-// enqueue appends commands, as one call or several, and wakes the worker.
+// enqueue appends commands, as one call or, if they exceed maxCallBytes, as several, and wakes the worker.
 func (q *callQueue) enqueue(commands []command) {
 	q.mu.Lock()
 	q.calls = append(q.calls, splitCalls(commands)...)
@@ -42,7 +43,8 @@
 	}
 }
 
-// wait blocks until calls have been enqueued since it last returned, or ctx ends.
+// wait blocks until commands are enqueued or ctx is cancelled. It returns immediately if commands were enqueued since
+// it last returned.
 func (q *callQueue) wait(ctx context.Context) {
 	select {
 	case <-q.wake:
@@ -50,8 +52,8 @@
 	}
 }
 
-// dequeue removes and returns the oldest call and the address to send it to. With merged, all calls are merged first.
-// It returns nil if the queue is empty.
+// dequeue removes and returns the oldest call, with the address to send it to. If mergeFirst is true, it merges all
+// queued calls before. It returns nil if the queue is empty.
 func (q *callQueue) dequeue(mergeFirst bool) (next call, address string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -62,21 +64,21 @@
 	for len(q.calls) > 0 {
 		next = q.calls[0]
 		q.calls = q.calls[1:]
-		if len(next) > 0 { // its commands may have been dropped with their proxy
+		if len(next) > 0 { // skip a call whose commands were all dropped by dropProxy
 			return next, q.address
 		}
 	}
 	return nil, ""
 }
 
-// requeue puts a call, or the rest of one, back at the front.
+// requeue puts a call, or the remaining commands of one, back at the front of the queue.
 func (q *callQueue) requeue(c call) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.pushFront(c)
 }
 
-// requeueMerged puts a call back at the front and merges the whole queue.
+// requeueMerged puts a call back at the front of the queue and merges all queued calls.
 func (q *callQueue) requeueMerged(c call) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -84,13 +86,13 @@
 	q.mergeAll()
 }
 
-// pushFront inserts a call at the front, without the commands for proxies that disconnected while it was in flight. The
-// caller holds mu.
+// pushFront inserts a call at the front of the queue, without the commands for proxies that disconnected while it was
+// in flight. The caller holds mu.
 func (q *callQueue) pushFront(c call) {
 	q.calls = append([]call{q.dropProxies(c, q.leftProxies...)}, q.calls...)
 }
 
-// mergeAll merges all queued calls and drops superseded commands. The caller holds mu.
+// mergeAll merges all queued calls, which drops superseded commands. The caller holds mu.
 func (q *callQueue) mergeAll() {
 	all := slices.Concat(q.calls...)
 	kept := merge(all)
@@ -98,7 +100,8 @@
 	q.calls = splitCalls(kept)
 }
 
-// dropProxy drops the commands for a disconnected proxy, including those of the call in flight if it is requeued.
+// dropProxy drops the queued commands for a disconnected proxy. If the call in flight is put back into the queue later,
+// its commands for the proxy are dropped too.
 func (q *callQueue) dropProxy(proxy int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -115,7 +118,7 @@
 	return kept
 }
 
-// nextAckNumbers returns the ack numbers of the first queued call that has any.
+// nextAckNumbers returns the numbers of the ack requests in the first queued call that has any, or nil if none has.
 func (q *callQueue) nextAckNumbers() []int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -127,12 +130,14 @@
 	return nil
 }
 
+// setAddress sets the address for calls that are dequeued from now on.
 func (q *callQueue) setAddress(address string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.address = address
 }
 
+// currentAddress returns the address for the next call.
 func (q *callQueue) currentAddress() string {
 	q.mu.Lock()
 	defer q.mu.Unlock()
