--- a/internal/platform/relay/connection_test.go
+++ b/internal/platform/relay/connection_test.go
@@ -10,8 +10,8 @@
 	"indigousher/planner"
 )
 
-// TestConnectionClosedDuringCall checks a call on a reused connection that is closed as the request arrives: it is
-// retried.
+// TestConnectionClosedDuringCall checks that a call is retried if the relay closes a reused connection when the request
+// arrives.
 func TestConnectionClosedDuringCall(t *testing.T) {
 	s := newScriptedRelay(t, "ok", "broken")
 	sender := startSender(t, s.address())
@@ -24,7 +24,8 @@
 	assert.EqualValues(t, 1, sender.Counters.OutcomeUnknown.Load())
 }
 
-// TestIdleConnectionClosedByRelay checks that a connection closed by the relay is not reused.
+// TestIdleConnectionClosedByRelay checks that a connection which the relay closes after a response is not reused, so
+// that no call fails.
 func TestIdleConnectionClosedByRelay(t *testing.T) {
 	s := newScriptedRelay(t)
 	s.closeAfterResponse = true
--- a/internal/platform/relay/eventstream_test.go
+++ b/internal/platform/relay/eventstream_test.go
@@ -12,104 +12,111 @@
 	"go.uber.org/zap"
 )
 
+// joined returns a "joined" event of a proxy in zone a.
 func joined(proxy int, cold bool) string {
 	return fmt.Sprintf(`{"type":"joined","object":{"node":%d,"locality":"a","w":2.5,"cold":%t}}`, proxy, cold)
 }
 
+// left returns a "left" event.
 func left(proxy int) string { return fmt.Sprintf(`{"type":"left","object":{"node":%d}}`, proxy) }
 
+// applied returns the event that answers the ack request with a number.
 func applied(proxy, number int) string {
 	return fmt.Sprintf(`{"type":"applied","object":{"node":%d,"nonce":%d,"latency":3}}`, proxy, number)
 }
 
-// step drives an event stream by hand.
+// step calls a method of an event stream as its connections would, without a network.
 type step func(t *testing.T, events *EventStream)
 
+// open opens subscription i.
 func open(i int) step { return func(_ *testing.T, events *EventStream) { events.subscribed(i) } }
 
-// closeFirst ends the first subscription, not by silence.
+// closeFirst ends the first subscription by a closed connection, not by a timeout.
 func closeFirst(_ *testing.T, events *EventStream) { events.unsubscribed(0, false) }
 
+// finishSnapshot ends the snapshot of subscription i.
 func finishSnapshot(i int) step {
 	return func(_ *testing.T, events *EventStream) { events.endSnapshot(context.Background(), i) }
 }
 
+// receive delivers a line on subscription i.
 func receive(i int, line string) step {
 	return func(t *testing.T, events *EventStream) {
 		require.NoError(t, events.handleLine(context.Background(), i, []byte(line)))
 	}
 }
 
-// longGap lets time pass without a subscription.
+// longGap makes the current gap in the events a minute longer.
 func longGap(_ *testing.T, events *EventStream) {
 	events.completeUntil = events.completeUntil.Add(-time.Minute)
 }
 
-// TestEventSequence checks how the events of two subscriptions are merged into one sequence.
+// TestEventSequence checks that the events of two subscriptions are merged into one sequence without duplicates, and
+// which events are inferred from the snapshot after a gap.
 func TestEventSequence(t *testing.T) {
 	for name, c := range map[string]struct {
 		steps []step
 		want  []string
 	}{
-		"told once": {
+		"duplicates are dropped": {
 			[]step{
 				open(0), open(1), receive(0, joined(1, true)), receive(1, joined(1, true)),
 				receive(0, applied(1, 7)), receive(1, applied(1, 7)), receive(0, left(1)), receive(1, left(1)),
 			},
 			[]string{"joined 1", "applied 1 7", "left 1"},
 		},
-		"a start: the second tells first": {
+		"startup: second subscription announces first": {
 			[]step{
 				open(0), open(1), receive(1, joined(1, true)), receive(0, joined(1, true)),
 				receive(0, joined(2, true)), receive(1, joined(2, true)), finishSnapshot(0), finishSnapshot(1),
 			},
 			[]string{"joined 1", "joined 2"},
 		},
-		"a gap: the second tells first": {
+		"after a gap: second subscription announces first": {
 			[]step{
 				open(0), receive(0, joined(1, true)), finishSnapshot(0), closeFirst, longGap,
 				open(0), open(1), receive(1, joined(1, true)), receive(0, joined(1, true)),
 			},
 			[]string{"joined 1", "joined 1"},
 		},
-		"a proxy comes back": {
+		"proxy reconnects": {
 			[]step{open(0), receive(0, joined(1, true)), receive(0, left(1)), receive(0, joined(1, false))},
 			[]string{"joined 1", "left 1", "joined 1"},
 		},
-		"one subscription breaks": {
+		"one subscription disconnects": {
 			[]step{
 				open(0), open(1), receive(0, joined(1, true)), receive(0, joined(2, true)), finishSnapshot(0), finishSnapshot(1),
 				closeFirst, receive(1, left(2)), open(0), receive(0, joined(1, false)), finishSnapshot(0),
 			},
 			[]string{"joined 1", "joined 2", "left 2"},
 		},
-		"a gap: one that is not told has left, one that stands may have come back": {
+		"long gap: missing proxy has left, announced proxy may have reconnected": {
 			[]step{
 				open(0), receive(0, joined(1, true)), receive(0, joined(2, true)), finishSnapshot(0), closeFirst, longGap,
 				open(0), receive(0, joined(1, false)), finishSnapshot(0),
 			},
-			[]string{"joined 1", "joined 2", "stood 1", "left 2"},
+			[]string{"joined 1", "joined 2", "resumed 1", "left 2"},
 		},
-		"a gap: one that started anew has not stood": {
+		"long gap: cold proxy has restarted": {
 			[]step{
 				open(0), receive(0, joined(1, false)), finishSnapshot(0), closeFirst, longGap,
 				open(0), receive(0, joined(1, true)),
 			},
 			[]string{"joined 1", "joined 1"},
 		},
-		"a short gap: one that stands has stood": {
+		"short gap: only a cold proxy has reconnected": {
 			[]step{
 				open(0), receive(0, joined(1, true)), receive(0, joined(2, true)), finishSnapshot(0), closeFirst,
 				open(0), receive(0, joined(1, false)), receive(0, joined(2, true)), finishSnapshot(0),
 			},
 			[]string{"joined 1", "joined 2", "joined 2"},
 		},
-		"a snapshot that breaks makes nobody leave": {
+		"incomplete snapshot removes no proxy": {
 			[]step{
 				open(0), receive(0, joined(1, true)), finishSnapshot(0), closeFirst, longGap,
 				open(0), closeFirst, open(0), receive(0, joined(1, false)), finishSnapshot(0),
 			},
-			[]string{"joined 1", "stood 1"},
+			[]string{"joined 1", "resumed 1"},
 		},
 		"events of unknown proxies": {
 			[]step{
@@ -133,7 +140,8 @@
 	}
 }
 
-// runEvents runs one subscription. The function that it returns ends it and checks that it has.
+// runEvents runs the first subscription in the background. The returned function cancels it and checks that Run returns
+// nil.
 func runEvents(t *testing.T, events *EventStream) (end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -144,7 +152,7 @@
 	}
 }
 
-// TestEventStreamBreaksInsideLine checks that an incomplete line is ignored.
+// TestEventStreamBreaksInsideLine checks that an incomplete line is ignored when the connection ends within it.
 func TestEventStreamBreaksInsideLine(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -162,7 +170,7 @@
 		require.NoError(t, err)
 		require.NoError(t, conn.Close())
 	}
-	conn, err := listener.Accept() // the connections before it have ended
+	conn, err := listener.Accept() // all earlier connections have been handled when the client reconnects
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
 	end()
@@ -172,8 +180,8 @@
 	assert.NotEmpty(t, b.all())
 }
 
-// serveEvents sends a text on the first connection, in chunks of five bytes, and nothing more. It returns the
-// address, and fails the test if anything but the request is written to it.
+// serveEvents starts a server that sends text on the first connection, in chunks of up to five bytes, and nothing
+// afterwards. It returns the server's address. The test fails if the client sends anything after its request.
 func serveEvents(t *testing.T, text string) (address string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -189,10 +197,10 @@
 		}
 		_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 		if n, _ := conn.Read(buffer); n > 0 {
-			t.Error("something was written on an event stream")
+			t.Error("the client has sent data after its request")
 		}
 	}
-	go func() { // until the listener is closed
+	go func() { // ends when the listener is closed
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
@@ -205,8 +213,8 @@
 	return listener.Addr().String()
 }
 
-// TestEventStreamOnSockets checks lines split into chunks, a change of the address, and that nothing is written but
-// the request.
+// TestEventStreamOnSockets runs an event stream on real sockets. It checks lines that are split into chunks, a change
+// of the address, and that the client sends nothing after its request.
 func TestEventStreamOnSockets(t *testing.T) {
 	b := &inbox{}
 	address := serveEvents(t, joined(1, true)+"\n"+joined(2, true)+"\n")
--- a/internal/platform/relay/inbox_test.go
+++ b/internal/platform/relay/inbox_test.go
@@ -13,13 +13,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// inbox keeps what is posted to it, summarized.
+// inbox is a controller.Inbox that records a summary of each posted input.
 type inbox struct {
 	mu  sync.Mutex
 	got []string
 }
 
-// Post keeps an input.
+// Post records the summary of an input: its kind and its numbers.
 func (b *inbox) Post(_ context.Context, in controller.Input) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -27,7 +27,7 @@
 	case controller.RelayProxyJoined:
 		kind := "joined "
 		if in.Resumed {
-			kind = "stood "
+			kind = "resumed "
 		}
 		b.got = append(b.got, fmt.Sprint(kind, in.Proxy))
 	case controller.RelayProxyLeft:
@@ -35,7 +35,7 @@
 	case controller.RelayStalled:
 		text := fmt.Sprint("stalled ", in.ForMs > 0, " ", in.Repeated)
 		if len(in.Merged) > 0 {
-			text += fmt.Sprint(" joined ", in.Merged)
+			text += fmt.Sprint(" merged ", in.Merged)
 		}
 		b.got = append(b.got, text)
 	case controller.RelayAck:
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// all returns what was posted, never nil.
+// all returns the summaries in the order posted, never nil.
 func (b *inbox) all() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/platform/relay/member_test.go
+++ b/internal/platform/relay/member_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestRecordAck checks that an ack counts once, number 0 included, while it is among the last ones.
+// TestRecordAck checks that a repeated ack is recognized, also for number 0, as long as it is among the remembered
+// ones.
 func TestRecordAck(t *testing.T) {
 	m := &connectedProxy{}
 	for number := range rememberedAcks {
@@ -14,6 +15,6 @@
 		assert.False(t, m.recordAck(number))
 	}
 	assert.True(t, m.recordAck(rememberedAcks))
-	assert.True(t, m.recordAck(0), "forgotten meanwhile")
+	assert.True(t, m.recordAck(0), "number 0 is no longer remembered")
 	assert.False(t, m.recordAck(rememberedAcks))
 }
--- a/internal/platform/relay/merge_test.go
+++ b/internal/platform/relay/merge_test.go
@@ -10,6 +10,7 @@
 	"indigousher/planner"
 )
 
+// TestSplitCalls checks that no call exceeds the relay's size limit and that no command is lost.
 func TestSplitCalls(t *testing.T) {
 	var commands []command
 	for range 3000 {
@@ -24,6 +25,7 @@
 	assert.Empty(t, splitCalls(nil))
 }
 
+// TestClearSupersedesItsTable checks that clearing a table supersedes the earlier commands for this table only.
 func TestClearSupersedesItsTable(t *testing.T) {
 	var commands []command
 	for _, c := range []planner.Command{
--- a/internal/platform/relay/outage_test.go
+++ b/internal/platform/relay/outage_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestOutageBackoff checks that pauses double up to the maximum, and start anew after the relay was reached.
+// TestOutageBackoff checks that pauses double up to maxBackoff, and that errRunNotStarted resets them to minBackoff.
 func TestOutageBackoff(t *testing.T) {
 	o := newOutage()
 	unreachable := errors.New("unreachable")
@@ -20,8 +20,8 @@
 	assert.Equal(t, minBackoff, o.nextPause(unreachable))
 }
 
-// TestOutageStates checks that an outage begins with the first failed call, whatever fails later, and that no report of
-// it reads as its end.
+// TestOutageStates checks that later failures do not change the start of an outage, and that no report about it is 0,
+// which would mean its end.
 func TestOutageStates(t *testing.T) {
 	o := newOutage()
 	assert.False(t, o.active())
@@ -31,5 +31,5 @@
 	assert.True(t, o.active())
 	assert.Equal(t, start, o.startedAt)
 	assert.GreaterOrEqual(t, o.unreportedMs(), 1.0)
-	assert.GreaterOrEqual(t, o.unreportedMs(), 1.0, "reported just now")
+	assert.GreaterOrEqual(t, o.unreportedMs(), 1.0, "no time has passed since the last report")
 }
--- a/internal/platform/relay/queue_test.go
+++ b/internal/platform/relay/queue_test.go
@@ -10,7 +10,7 @@
 	"indigousher/planner"
 )
 
-// closedAddress returns an address at which nobody listens.
+// closedAddress returns a loopback address that refuses connections.
 func closedAddress(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -18,8 +18,9 @@
 	return listener.Addr().String()
 }
 
-// TestSupersededCommands checks the queue while the relay is unreachable: a weight set repeatedly is sent once, with
-// its last value, a disconnected proxy is assigned no table, and exclusions keep their place in the order.
+// TestSupersededCommands checks what is sent after the relay was unreachable: a weight that was set repeatedly is sent
+// once, with its last value; no table is assigned to a proxy that has disconnected; an exclusion keeps its position
+// between the other commands.
 func TestSupersededCommands(t *testing.T) {
 	sender := startSender(t, closedAddress(t))
 	for w := 1; w <= 100; w++ {
@@ -32,7 +33,7 @@
 	}
 	sender.Enqueue([]planner.Command{planner.SetExcluded{Endpoint: 2, Excluded: true}, setWeight(2, 0)}, endpointName)
 	sender.ProxyLeft(3)
-	eventually(t, func() bool { // a call that failed has merged all that waits
+	eventually(t, func() bool { // a failed call has merged all queued calls
 		sender.queue.mu.Lock()
 		defer sender.queue.mu.Unlock()
 		return len(sender.queue.calls) <= 1
--- a/internal/platform/relay/retry_test.go
+++ b/internal/platform/relay/retry_test.go
@@ -11,7 +11,8 @@
 	"indigousher/planner"
 )
 
-// silentRelay returns a stand-in relay that answers nothing, not even probes, and executes nothing until it recovers.
+// silentRelay returns a test relay that executes nothing and responds to nothing, not even to probes, until its Recover
+// method is called.
 func silentRelay(t *testing.T) *testrelay.Relay {
 	s, err := testrelay.Start(testrelay.Config{Proxies: []testrelay.Proxy{{Number: 3, Zone: "a"}}, LinesPerSecond: 1000})
 	require.NoError(t, err)
@@ -20,23 +21,23 @@
 	return s
 }
 
-// TestOutageReports checks what the controller hears for its count of the channel: that nothing is taken, that
-// commands are taken again, and which ack requests are among what may be executed twice, including those of merged
-// calls. It hears of the ack requests in a merged call before that is sent.
+// TestOutageReports checks the reports that the controller needs to count the commands in the relay's channel: that the
+// relay accepts no commands, that it accepts them again, and the ack requests of calls that may be executed twice,
+// including merged calls. The ack requests in a merged call must be reported before the call is sent.
 func TestOutageReports(t *testing.T) {
-	const merged = "stalled true [] joined [6 5]"
+	const merged = "stalled true [] merged [6 5]"
 	const ended = "stalled false []"
 	for name, c := range map[string]struct {
 		steps []string
 		want  []string
 	}{
-		"answered": {nil, []string{}},
-		"broken":   {[]string{"broken"}, []string{"stalled true [5]", merged, ended}},
-		"lost twice": {
+		"success":      {nil, []string{}},
+		"not executed": {[]string{"broken"}, []string{"stalled true [5]", merged, ended}},
+		"two responses lost": {
 			[]string{"lost", "lost"},
 			[]string{"stalled true [5]", merged, "stalled true [6 5]", merged, ended},
 		},
-		"before the run": {
+		"run has not started": {
 			[]string{"limit", "limit"},
 			[]string{"stalled true []", merged, "stalled true []", merged, ended},
 		},
@@ -57,8 +58,9 @@
 	}
 }
 
-// TestUnknownOutcomeOncePerOutage checks a long silence (incident 029): a call is sent once and retried once, merged
-// with everything queued by then, and the controller is informed of the ack requests in that call.
+// TestUnknownOutcomeOncePerOutage checks a relay that does not respond for a long time (incident 029). A call is sent
+// once and retried once after the relay responds again, merged with all calls queued in the meantime. The ack requests
+// in that call are reported to the controller.
 func TestUnknownOutcomeOncePerOutage(t *testing.T) {
 	s := silentRelay(t)
 	reports := &inbox{}
@@ -74,17 +76,17 @@
 		sender.Enqueue(turn, endpointName)
 	}
 	eventually(t, func() bool { return sender.Counters.Probes.Load() >= 5 })
-	assert.Equal(t, 1, s.Calls(), "only probes go out while nothing is answered")
+	assert.Equal(t, 1, s.Calls(), "a call was retried before a probe succeeded")
 	s.Recover()
 	eventually(t, func() bool { return sender.Counters.Executed.Load() > 0 })
 	assert.Equal(t, 2, s.Calls())
 	all := reports.all()
 	assert.Equal(t, "stalled true [5]", all[0])
-	assert.Equal(t, []string{"stalled true [] joined [8 7 6 5]", "stalled false []"}, all[len(all)-2:])
+	assert.Equal(t, []string{"stalled true [] merged [8 7 6 5]", "stalled false []"}, all[len(all)-2:])
 }
 
-// TestOutageEndsWithoutCalls checks the end of an outage whose call was dropped meanwhile: without it the planner
-// would wait forever.
+// TestOutageEndsWithoutCalls checks that the end of an outage is reported even if the failed call was dropped in the
+// meantime. Without the report the planner would wait forever.
 func TestOutageEndsWithoutCalls(t *testing.T) {
 	s := silentRelay(t)
 	reports := &inbox{}
@@ -102,9 +104,9 @@
 	assert.Zero(t, s.AssignedCount())
 }
 
-// TestUnreadableProbeAnswers checks a relay that executes calls and whose answers cannot be decoded for a while: a
-// call is not retried before an answer can.
-func TestUnreadableProbeAnswers(t *testing.T) {
+// TestUnreadableProbeResponses checks a relay that executes calls but whose responses cannot be decoded for a while. A
+// call must not be retried before a response can be decoded.
+func TestUnreadableProbeResponses(t *testing.T) {
 	s := newScriptedRelay(t, "garbage")
 	s.unreadableProbes = 4
 	sender := startSender(t, s.address())
@@ -114,8 +116,8 @@
 	assert.Equal(t, twice([]string{"SET 1 e1 2", "SYNC 5"}), s.executedCommands())
 }
 
-// TestUnknownOutcomeOfSplitTurn checks the count of a turn that is split into several calls, the first of which has
-// no ack request.
+// TestUnknownOutcomeOfSplitTurn checks which ack requests are reported if the commands of one turn are split into
+// several calls and the first call, which contains no ack request, has an unknown outcome.
 func TestUnknownOutcomeOfSplitTurn(t *testing.T) {
 	s := newScriptedRelay(t, "lost")
 	reports := &inbox{}
@@ -125,7 +127,7 @@
 		turn = append(turn, planner.SetWeight{Table: i, Endpoint: 1, Weight: 2})
 	}
 	sender.Enqueue(append(turn, planner.AckRequest{Number: 5}), endpointName)
-	require.Greater(t, len(sender.queue.calls), 1, "the turn is more than one call")
+	require.Greater(t, len(sender.queue.calls), 1, "the commands of the turn fit into one call")
 	runSender(t, sender)
 	eventually(t, func() bool { return len(reports.all()) > 0 })
 	assert.Equal(t, "stalled true [5]", reports.all()[0])
--- a/internal/platform/relay/scriptedrelay_test.go
+++ b/internal/platform/relay/scriptedrelay_test.go
@@ -21,31 +21,32 @@
 	"indigousher/planner"
 )
 
-// scriptedRelay is a relay that answers each call with commands by the next step of a script, and all later calls
-// with success.
+// scriptedRelay is a fake relay. It handles each call that has commands according to the next step of a script. After
+// the last step, all calls succeed.
 type scriptedRelay struct {
 	t                  *testing.T
 	listener           net.Listener
-	closeAfterResponse bool // each connection is closed once a call is answered
+	closeAfterResponse bool // close each connection after one response
 
 	mu       sync.Mutex
-	steps    []string // names in scriptedResponses, or "halt N": it executes N commands and says so
-	calls    int      // that carried commands
-	executed []string // commands, summarized
-	open     int      // connections
+	steps    []string // names in scriptedResponses; "halt N" executes N commands; others succeed
+	calls    int      // number of calls with commands
+	executed []string // summaries of the executed commands, in order
+	open     int      // number of open connections
 
-	// unreadableProbes is how many empty calls get an answer that can't be read, once the script has begun.
+	// unreadableProbes is the number of further empty calls that get a response which cannot be decoded.
 	unreadableProbes int
 }
 
-// scriptedResponse is what a step of a script does.
+// scriptedResponse describes how a call is handled.
 type scriptedResponse struct {
-	body        string // of the answer; "": there is none, and the connection ends
-	notExecuted bool   // it executes nothing of the call
-	silent      bool   // it waits until the other side has given up
-	truncated   bool   // the last bytes never come
+	body        string // response body; "": close the connection without a response
+	notExecuted bool   // execute none of the commands
+	silent      bool   // send no response until after the client's timeout
+	truncated   bool   // send only the first bytes of the body
 }
 
+// scriptedResponses are the responses by the name of a step.
 var scriptedResponses = map[string]scriptedResponse{
 	"lost":      {},
 	"broken":    {notExecuted: true},
@@ -64,7 +65,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	s := &scriptedRelay{t: t, listener: listener, steps: steps}
-	go s.accept() // until the listener is closed
+	go s.accept() // ends when the listener is closed
 	t.Cleanup(func() { _ = listener.Close() })
 	return s
 }
@@ -111,13 +112,13 @@
 	}
 }
 
-// respond takes one call and returns whether the connection stays.
+// respond handles one call. It returns false if the connection must be closed.
 func (s *scriptedRelay) respond(conn net.Conn, body []byte) bool {
 	var call struct{ Ops []map[string]any }
 	if !assert.NoError(s.t, json.Unmarshal(body, &call)) {
 		return false
 	}
-	if len(call.Ops) == 0 { // a probe: the script is of calls that carry commands
+	if len(call.Ops) == 0 { // a probe; the script is only for calls with commands
 		return s.respondToProbe(conn)
 	}
 	step, scripted, executed := s.execute(call.Ops)
@@ -137,8 +138,8 @@
 	}
 }
 
-// execute takes the script's next step and executes commands by it. It returns how many, and whether the step is one of
-// scriptedResponses.
+// execute takes the next step of the script and executes commands accordingly. It returns the number of executed
+// commands. scripted is true if the step is in scriptedResponses, and step is its value.
 func (s *scriptedRelay) execute(commands []map[string]any) (step scriptedResponse, scripted bool, executed int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,7 +149,7 @@
 	}
 	s.calls++
 	executed = len(commands)
-	_, _ = fmt.Sscanf(name, "halt %d", &executed) // other names leave it as it is
+	_, _ = fmt.Sscanf(name, "halt %d", &executed) // no effect for other names
 	step, scripted = scriptedResponses[name]
 	if step.notExecuted {
 		executed = 0
@@ -159,6 +160,7 @@
 	return step, scripted, executed
 }
 
+// respondToProbe responds to an empty call. It returns false if the connection must be closed.
 func (s *scriptedRelay) respondToProbe(conn net.Conn) bool {
 	s.mu.Lock()
 	body := `{"ok_count":0}`
@@ -170,11 +172,13 @@
 	return writeResponse(conn, body)
 }
 
+// writeResponse sends a response with a body and reports whether that succeeded.
 func writeResponse(conn net.Conn, body string) bool {
 	_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	return err == nil
 }
 
+// summarize returns a short text for a decoded command.
 func summarize(command map[string]any) string {
 	switch command["verb"] {
 	case "SET":
@@ -187,33 +191,36 @@
 	return fmt.Sprint(command["verb"], " ", command["endpoint"])
 }
 
+// executedCommands returns the summaries of all executed commands, in order.
 func (s *scriptedRelay) executedCommands() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string{}, s.executed...) // never nil
 }
 
+// callCount returns the number of calls with commands.
 func (s *scriptedRelay) callCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
+// endpointName returns the name of the endpoint with index i.
 func endpointName(i int) string { return fmt.Sprint("e", i) }
 
-// setWeight is a command on table 1.
+// setWeight returns a command that sets an endpoint's weight in table 1.
 func setWeight(endpoint int, weight float64) planner.Command {
 	return planner.SetWeight{Table: 1, Endpoint: endpoint, Weight: weight}
 }
 
-// startSender runs a sender to a relay until the test ends.
+// startSender returns a sender to the relay at address that runs until the test ends.
 func startSender(t *testing.T, address string) *Sender {
 	sender := NewSender(address, []string{"read", "write"}, &inbox{}, &Counters{}, zap.NewNop())
 	runSender(t, sender)
 	return sender
 }
 
-// runSender runs a sender until the test ends.
+// runSender runs a sender in the background until the test ends, and checks that Run returns nil.
 func runSender(t *testing.T, sender *Sender) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -224,14 +231,14 @@
 	})
 }
 
-// eventually waits for a condition that other goroutines establish.
+// eventually waits up to 10 s for a condition to become true.
 func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
 	require.Eventually(t, condition, 10*time.Second, time.Millisecond)
 }
 
-// twice returns what a relay executes of a call that is sent twice.
+// twice returns the commands that a relay executes if a call is sent twice.
 func twice(commands []string) []string { return slices.Concat(commands, commands) }
 
-// count returns how often a word occurs in texts.
+// count returns the number of occurrences of word in texts.
 func count(texts []string, word string) int { return strings.Count(strings.Join(texts, " "), word) }
--- a/internal/platform/relay/sender_test.go
+++ b/internal/platform/relay/sender_test.go
@@ -9,8 +9,8 @@
 	"indigousher/planner"
 )
 
-// TestCallOutcomes checks every outcome of a call. A call with an unknown outcome is retried once, in order, and
-// nothing older is executed after anything newer.
+// TestCallOutcomes checks the executed commands for every outcome of a call. A call with an unknown outcome is retried
+// once. No command is executed after a newer call's commands.
 func TestCallOutcomes(t *testing.T) {
 	turn := []planner.Command{
 		setWeight(1, 2),
@@ -23,22 +23,22 @@
 		steps []string
 		want  []string
 	}{
-		"answered":                 {[]string{"ok"}, whole},
-		"halted for good":          {[]string{"halt 1", "halt 0"}, []string{"SET 1 e1 2", "OUT e7", "SYNC 5"}},
-		"halted by mistake":        {[]string{"halt 1", "ok"}, whole},
-		"executed, answer lost":    {[]string{"lost"}, twice(whole)},
+		"success":                  {[]string{"ok"}, whole},
+		"halted twice":             {[]string{"halt 1", "halt 0"}, []string{"SET 1 e1 2", "OUT e7", "SYNC 5"}},
+		"halted once":              {[]string{"halt 1", "ok"}, whole},
+		"executed, response lost":  {[]string{"lost"}, twice(whole)},
 		"not executed":             {[]string{"broken"}, whole},
 		"not executed three times": {[]string{"broken", "broken", "broken"}, whole},
-		"silent":                   {[]string{"late"}, twice(whole)},
-		"unreadable":               {[]string{"garbage"}, twice(whole)},
+		"no response":              {[]string{"late"}, twice(whole)},
+		"undecodable response":     {[]string{"garbage"}, twice(whole)},
 		"impossible count":         {[]string{"too many"}, twice(whole)},
 		"negative count":           {[]string{"negative"}, twice(whole)},
 		"no count":                 {[]string{"absent"}, twice(whole)},
 		"count of a wrong type":    {[]string{"text"}, twice(whole)},
-		"half an answer":           {[]string{"half"}, twice(whole)},
-		"before the run":           {[]string{"limit", "limit", "ok"}, whole},
-		"malformed once":           {[]string{"malformed", "ok"}, whole},
-		"malformed for good":       {[]string{"malformed", "malformed", "malformed"}, []string{}},
+		"incomplete response":      {[]string{"half"}, twice(whole)},
+		"run has not started":      {[]string{"limit", "limit", "ok"}, whole},
+		"rejected once":            {[]string{"malformed", "ok"}, whole},
+		"rejected three times":     {[]string{"malformed", "malformed", "malformed"}, []string{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/platform/relay/subscription_test.go
+++ b/internal/platform/relay/subscription_test.go
@@ -9,8 +9,8 @@
 	"go.uber.org/zap"
 )
 
-// TestSilentSubscriptionReopensTheOther checks events between the last data of one subscription and the opening of
-// the other: neither has delivered them.
+// TestSilentSubscriptionReopensTheOther checks that if one subscription times out, the other one is reopened if it
+// opened after the first last received data. Neither has delivered the events in between.
 func TestSilentSubscriptionReopensTheOther(t *testing.T) {
 	events := NewEventStream("", &inbox{}, &Counters{}, zap.NewNop())
 	cancelled := 0
