--- a/internal/platform/discovery/watch.go
+++ b/internal/platform/discovery/watch.go
@@ -115,9 +115,9 @@
 }
 
 // deliver posts a list to the controller and records its version. A response with no changes is not posted.
-// requestedWhole says that the request was for the whole list. If the response contains only changes although the whole
-// list was requested, or changes with a version lower than the last one, the list that they apply to is unknown here.
-// They are posted, but deliver returns an error and the next request is for the whole list.
+// requestedWhole means that the request was for the whole list. If the response contains only changes although the
+// whole list was requested, or changes with a version lower than the last one, the list that they apply to is unknown
+// here. They are posted, but deliver returns an error and the next request is for the whole list.
 func (c *Client) deliver(ctx context.Context, list *wire.List, requestedWhole bool) error {
 	c.mu.Lock()
 	baseMissing := !list.Whole && (requestedWhole || c.hasList && list.Version < c.version)
--- a/internal/platform/relay/doc.go
+++ b/internal/platform/relay/doc.go
@@ -6,7 +6,7 @@
 // Commands are delivered at least once. Every command is idempotent, because it sets state. Retries and their limits:
 //
 //   - A call that was not sent completely, or that arrived before the relay accepts commands, is retried without limit
-//     (Sender.callFailed), with backoff (outage.nextPause).
+//     (Sender.handleFailure), with backoff (outage.nextPause).
 //   - A call whose outcome is unknown is retried once per outage (Sender.handleUnknownOutcome), because only empty
 //     calls are sent until the relay responds to one (Sender.probe).
 //   - A call rejected as a whole is sent maxRejections times in total and then dropped (Sender.handleRejection).
--- a/internal/platform/relay/outage_test.go
+++ b/internal/platform/relay/outage_test.go
@@ -16,7 +16,7 @@
 	for _, want := range []time.Duration{20, 40, 80, 160, 320, 320} {
 		assert.Equal(t, want*time.Millisecond, o.nextPause(unreachable))
 	}
-	assert.Equal(t, notStartedBackoff, o.nextPause(fmt.Errorf("answer: %w", errRunNotStarted)))
+	assert.Equal(t, notStartedBackoff, o.nextPause(fmt.Errorf("call: %w", errRunNotStarted)))
 	assert.Equal(t, minBackoff, o.nextPause(unreachable))
 }
 
--- a/internal/platform/relay/retry.go
+++ b/internal/platform/relay/retry.go
@@ -16,9 +16,9 @@
 // malformed call, but a rejection may also be due to a corrupted response, so the first ones are retried.
 const maxRejections = 3
 
-// callFailed puts a failed call back into the queue or drops it, reports the outage to the controller and pauses. It
+// handleFailure puts a failed call back into the queue or drops it, reports the outage to the controller and pauses. It
 // decides for all causes of failure whether the whole call is retried. callStart is when the call was started.
-func (s *Sender) callFailed(ctx context.Context, callStart time.Time, failed call, err error) {
+func (s *Sender) handleFailure(ctx context.Context, callStart time.Time, failed call, err error) {
 	s.Counters.FailedCalls.Add(1)
 	var repeatedAcks []int
 	switch {
@@ -112,13 +112,13 @@
 	backoff.Sleep(ctx, s.outage.nextPause(failure))
 }
 
-// endOutage ends the outage and, if it was active, reports the end to the controller. answered is the call that the
+// endOutage ends the outage and, if it was active, reports the end to the controller. accepted is the call that the
 // relay has accepted, or nil if the queue was empty.
-func (s *Sender) endOutage(ctx context.Context, answered call) {
+func (s *Sender) endOutage(ctx context.Context, accepted call) {
 	if s.outage.active() {
 		s.log.Info("relay accepts calls again", zap.Duration("after", time.Since(s.outage.startedAt)),
-			zap.Int("attempts", s.outage.failures), zap.Int("commands", len(answered)),
-			zap.Ints("ack_requests", answered.ackNumbers()))
+			zap.Int("attempts", s.outage.failures), zap.Int("commands", len(accepted)),
+			zap.Ints("ack_requests", accepted.ackNumbers()))
 		s.post(ctx, controller.RelayStalled{})
 	}
 	s.outage = newOutage()
--- a/internal/platform/relay/sender.go
+++ b/internal/platform/relay/sender.go
@@ -83,11 +83,11 @@
 	s.reportMerged(ctx, next)
 	executed, err := s.send(ctx, address, next)
 	if err != nil {
-		s.callFailed(ctx, callStart, next, err)
+		s.handleFailure(ctx, callStart, next, err)
 		return
 	}
 	s.endOutage(ctx, next)
-	s.callAnswered(next, executed)
+	s.handleResponse(next, executed)
 }
 
 // reportMerged reports to the controller if a call contains several ack requests, of which only the newest is sent. The
@@ -118,9 +118,9 @@
 	return executed, err
 }
 
-// callAnswered handles the relay's response to a call. It counts the executed commands. If the relay halted, it puts
+// handleResponse handles the relay's response to a call. It counts the executed commands. If the relay halted, it puts
 // the remaining commands back into the queue, as retryHalted decides.
-func (s *Sender) callAnswered(sent call, executed int) {
+func (s *Sender) handleResponse(sent call, executed int) {
 	s.rejections = 0
 	s.Counters.Executed.Add(int64(executed))
 	if executed == len(sent) {
--- a/internal/platform/relay/snapshot_test.go
+++ b/internal/platform/relay/snapshot_test.go
@@ -10,9 +10,9 @@
 	"go.uber.org/zap"
 )
 
-// TestSnapshotOfThousands checks that a snapshot lasts as long as proxies are announced. When snapshots ended after a
-// fixed time, proxies announced later were treated as disconnected and then as newly joined.
-func TestSnapshotOfThousands(t *testing.T) {
+// TestSnapshotWithThousandsOfProxies checks that a snapshot lasts as long as proxies are announced. When snapshots
+// ended after a fixed time, proxies announced later were treated as disconnected and then as newly joined.
+func TestSnapshotWithThousandsOfProxies(t *testing.T) {
 	events := NewEventStream("", &inbox{}, &Counters{}, zap.NewNop())
 	sub := &events.subscriptions[0]
 	assert.LessOrEqual(t, events.snapshotRemaining(0), time.Duration(0), "the subscription is not open")
