--- a/internal/platform/discovery/scriptedagent_test.go
+++ b/internal/platform/discovery/scriptedagent_test.go
@@ -103,17 +103,17 @@
 // writeResponse sends a response with the step's body, in single bytes if the step begins with "bytes".
 func writeResponse(conn net.Conn, step string) error {
 	body, byteByByte := strings.CutPrefix(step, "bytes")
-	answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	piece := len(answer)
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	piece := len(response)
 	if byteByByte {
 		piece = 1
 	}
-	for len(answer) > 0 {
-		n := min(piece, len(answer))
-		if _, err := io.WriteString(conn, answer[:n]); err != nil {
+	for len(response) > 0 {
+		n := min(piece, len(response))
+		if _, err := io.WriteString(conn, response[:n]); err != nil {
 			return err
 		}
-		answer = answer[n:]
+		response = response[n:]
 	}
 	return nil
 }
--- a/internal/platform/listener/session_test.go
+++ b/internal/platform/listener/session_test.go
@@ -22,7 +22,7 @@
 		Zone: "a", Endpoint: "x", Attempts: 9, Failed: 2, MeanMs: 4.5, SpanMs: 1000,
 		Load: map[string]float64{"util": 0.5},
 	}
-	with := func(old, replacement string) string { return strings.Replace(zoneLine, old, replacement, 1) }
+	replaceInLine := func(old, replacement string) string { return strings.Replace(zoneLine, old, replacement, 1) }
 	onlyProxyStats := []controller.Input{proxyStats}
 	for name, c := range map[string]struct {
 		send   string
@@ -34,13 +34,13 @@
 		"repeated field": {
 			"usage node=3 node=4 route=read total=4 errors=1 interval=500\r\n" + proxyLine, onlyProxyStats, false,
 		},
-		"not a number": {with("4.5", "NaN") + with("0.5", "inf") + proxyLine, onlyProxyStats, false},
+		"not a number": {replaceInLine("4.5", "NaN") + replaceInLine("0.5", "inf") + proxyLine, onlyProxyStats, false},
 		"out of range": {
-			with("total=9", "total=99999999999999999999") + with("errors=2", "errors=-1") + proxyLine,
+			replaceInLine("total=9", "total=99999999999999999999") + replaceInLine("errors=2", "errors=-1") + proxyLine,
 			onlyProxyStats, false,
 		},
 		"more errors than attempts": {
-			with("errors=2", "errors=10") + with("interval=1000.0", "interval=0") + proxyLine,
+			replaceInLine("errors=2", "errors=10") + replaceInLine("interval=1000.0", "interval=0") + proxyLine,
 			onlyProxyStats, false,
 		},
 		"many malformed lines":       {strings.Repeat("usage node=x\r\n", 50) + proxyLine, onlyProxyStats, false},
--- a/internal/platform/scriptedsite_test.go
+++ b/internal/platform/scriptedsite_test.go
@@ -66,11 +66,11 @@
 			serveEvents(conn)
 			return
 		}
-		answer, err := s.respond(address, path, number, body)
+		response, err := s.respond(address, path, number, body)
 		if err != nil {
 			return
 		}
-		_, err = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer), answer)
+		_, err = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(response), response)
 		if err != nil {
 			return
 		}
@@ -109,7 +109,7 @@
 }
 
 // execute records the commands in a call to the relay and returns the response body.
-func (s *fakePlatform) execute(address string, body []byte) (answer string, err error) {
+func (s *fakePlatform) execute(address string, body []byte) (response string, err error) {
 	var call struct{ Ops []map[string]any }
 	if err := json.Unmarshal(body, &call); err != nil {
 		return "", err
--- a/internal/platform/simulator_test.go
+++ b/internal/platform/simulator_test.go
@@ -134,9 +134,9 @@
 	var out strings.Builder
 	require.NoError(t, simulator.Serve(strings.NewReader(strings.Join(events, "\n")+"\n"), &out))
 	for _, text := range strings.Split(strings.TrimSpace(out.String()), "\n") {
-		var answer struct{ Orders []map[string]any }
-		require.NoError(t, json.Unmarshal([]byte(text), &answer))
-		for _, c := range answer.Orders {
+		var output struct{ Orders []map[string]any }
+		require.NoError(t, json.Unmarshal([]byte(text), &output))
+		for _, c := range output.Orders {
 			switch c["kind"] {
 			case "set_weight":
 				lines = append(lines, fmt.Sprintf("line %v %v %.9g", c["tbl"], c["endpoint"], c["heft"]))
