--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,5 +1,5 @@
 // Package backoff provides interruptible pauses between retries. It uses the system clock rather than the controller's
-// clock, which tests and replays can replace.
+// clock, which tests can replace.
 package backoff
 
 import (
--- a/internal/platform/listener/handshake.go
+++ b/internal/platform/listener/handshake.go
@@ -14,7 +14,7 @@
 const (
 	// identifyTimeout is the time that a connection has to identify itself after it was accepted.
 	identifyTimeout = 1200 * time.Millisecond
-	// maxIdentifyLineBytes is the maximum length of a line before identification, including its end.
+	// maxIdentifyLineBytes is the maximum length of a line before identification, in bytes, including the line end.
 	maxIdentifyLineBytes = 256
 	// writeTimeout is the time allowed for writing a reply, and for discarding the remaining data of a rejected
 	// connection.
--- a/internal/platform/listener/line.go
+++ b/internal/platform/listener/line.go
@@ -12,11 +12,11 @@
 // address, so that a peer cannot fill the log with arbitrary data.
 var ErrMalformedLine = errors.New("malformed line")
 
-// Limits of a line.
+// Limits of a line's fields. A line that exceeds one is malformed.
 const (
-	maxFields    = 12      // number of fields
+	maxFields    = 12      // number of fields in a line
 	maxCount     = 1 << 30 // value of an integer field
-	maxNameBytes = 256     // length of a text field
+	maxNameBytes = 256     // length of a text field's value, in bytes
 )
 
 // fields holds the name=value pairs of a line. The slices refer to the line's buffer and become invalid with it. One
--- a/internal/platform/listener/session.go
+++ b/internal/platform/listener/session.go
@@ -15,9 +15,9 @@
 
 // Limits of a collector's connection.
 const (
-	// maxLineBytes is the length above which a line ends the connection.
+	// maxLineBytes is the maximum length of a line, in bytes. A longer line ends the connection.
 	maxLineBytes = 1 << 20
-	// lineBufferBytes is the length above which a line is skipped instead of parsed.
+	// lineBufferBytes is the maximum length of a line that is parsed, in bytes. A longer line is skipped.
 	lineBufferBytes = 8192
 	// maxUnreadableLines is the number of consecutive lines of unknown kind that ends the connection, because the peer
 	// appears to use another protocol.
