--- a/internal/platform/connstate/connstate_test.go
+++ b/internal/platform/connstate/connstate_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pair returns both ends of a connection.
-func pair(t *testing.T) (conn, other net.Conn) {
+// connPair returns both ends of a new TCP connection. They are closed when the test ends.
+func connPair(t *testing.T) (conn, other net.Conn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
@@ -23,9 +23,10 @@
 	return conn, other
 }
 
+// TestPeek checks the state that each action of the peer leads to, and that Peek consumes no data.
 func TestPeek(t *testing.T) {
 	for name, c := range map[string]struct {
-		does func(other *net.TCPConn) error
+		act  func(other *net.TCPConn) error
 		want State
 	}{
 		"nothing":          {func(*net.TCPConn) error { return nil }, Idle},
@@ -35,20 +36,20 @@
 		"sends and closes": {func(o *net.TCPConn) error { _, _ = o.Write([]byte("x")); return o.Close() }, Readable},
 	} {
 		t.Run(name, func(t *testing.T) {
-			conn, other := pair(t)
+			conn, other := connPair(t)
 			tcp, ok := other.(*net.TCPConn)
 			require.True(t, ok)
-			require.NoError(t, c.does(tcp))
+			require.NoError(t, c.act(tcp))
 			require.Eventually(t, func() bool { return Peek(conn) == c.want }, 5*time.Second, time.Millisecond)
-			assert.Equal(t, c.want, Peek(conn), "looking takes nothing away")
+			assert.Equal(t, c.want, Peek(conn), "the first Peek consumed data")
 		})
 	}
 	assert.Equal(t, Idle, Peek(nil))
 }
 
-// TestPeekWhileRead checks that Peek does not wait for another goroutine that reads from the connection.
+// TestPeekWhileRead checks that Peek does not block while another goroutine reads from the connection.
 func TestPeekWhileRead(t *testing.T) {
-	conn, other := pair(t)
+	conn, other := connPair(t)
 	reading := make(chan struct{})
 	ended := make(chan struct{})
 	go func() {
@@ -63,7 +64,7 @@
 	case state := <-peeked:
 		assert.Equal(t, Idle, state)
 	case <-time.After(5 * time.Second):
-		t.Error("it waits for the reader")
+		t.Error("Peek waits for the reader")
 		_ = other.Close()
 		<-peeked
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,5 +1,6 @@
-// Package platform runs the pilot on the operators' platform: the planner and controller loop as elsewhere, connected
-// to the platform's placement, listener, relay and discovery. It only assembles; cmd/indigousher calls it.
+// Package platform runs a pilot on the operators' platform. It connects the planner and the control loop, which are the
+// same as in other deployments, to the platform's configuration file (placement), listener, relay and discovery agent.
+// The package only assembles these parts; cmd/indigousher starts it.
 package platform
 
 import (
@@ -20,11 +21,11 @@
 	"indigousher/planner"
 )
 
-// Pilot is one pilot on the platform.
+// Pilot is one pilot process on the operators' platform.
 type Pilot struct {
-	log     *zap.Logger
-	initial *placement.Placement                 // of the start, not changed by reloads
-	reread  func() (*placement.Placement, error) // reads the current placement
+	log           *zap.Logger
+	initial       *placement.Placement                 // placement at startup; reloads do not change it
+	readPlacement func() (*placement.Placement, error) // reads the placement again, for reloads
 
 	loop          *controller.Loop
 	listener      *listener.Listener
@@ -34,24 +35,24 @@
 	discovery     *discovery.Client
 }
 
-// New assembles a pilot. It does nothing before Run. reread reads the current placement, for reloads.
-func New(initial *placement.Placement, reread func() (*placement.Placement, error), log *zap.Logger) *Pilot {
-	p := &Pilot{log: log, initial: initial, reread: reread}
+// New returns a pilot that is idle until Run is called. Each reload calls readPlacement to read the placement again.
+func New(initial *placement.Placement, readPlacement func() (*placement.Placement, error), log *zap.Logger) *Pilot {
+	p := &Pilot{log: log, initial: initial, readPlacement: readPlacement}
 	deployment := initial.Deployment
 	classes := deployment.Classes.All()
 	zones := deployment.Zones.All()
-	box := &inbox{}
-	p.sender = relay.NewSender(initial.Relay.Address, classes, box, &p.relayCounters, log)
-	p.discovery = discovery.New(initial.Discovery, !initial.OnRequest, box, log)
-	p.events = relay.NewEventStream(initial.Relay.Address, box, &p.relayCounters, log)
-	p.listener = listener.New(zones, maxUnidentified(initial.Limits), box, log)
+	inbox := &loopInbox{}
+	p.sender = relay.NewSender(initial.Relay.Address, classes, inbox, &p.relayCounters, log)
+	p.discovery = discovery.New(initial.Discovery, !initial.OnRequest, inbox, log)
+	p.events = relay.NewEventStream(initial.Relay.Address, inbox, &p.relayCounters, log)
+	p.listener = listener.New(zones, maxUnidentified(initial.Limits), inbox, log)
 	core := controller.NewCore(controller.Options{
 		Decider:        planner.New(initial.Seed, deployment.Settings),
 		Settings:       deployment.Settings,
 		Zones:          zones,
 		Machines:       deployment.Machines.All(),
 		Classes:        classes,
-		MaxProxies:     initial.Proxies,
+		MaxProxies:     initial.MaxProxies,
 		EndpointSource: p.discovery,
 		HealthChecker:  healthcheck.Disabled{},
 		Gossip:         gossip.Disabled{},
@@ -62,18 +63,19 @@
 		},
 	})
 	p.loop = controller.NewLoop(core, controller.RealClock{}, log)
-	box.loop = p.loop
+	inbox.loop = p.loop
 	return p
 }
 
-// inbox forwards to the loop, which is created after those that post to it.
-type inbox struct{ loop *controller.Loop }
+// loopInbox forwards inputs to the control loop. The relay, listener and discovery clients need an inbox before the
+// loop is created, so loop is set afterwards.
+type loopInbox struct{ loop *controller.Loop }
 
-// Post posts an input to the loop.
-func (b *inbox) Post(ctx context.Context, in controller.Input) error { return b.loop.Post(ctx, in) }
+// Post delivers an input to the control loop.
+func (b *loopInbox) Post(ctx context.Context, in controller.Input) error { return b.loop.Post(ctx, in) }
 
-// Run listens and runs until ctx ends or a part fails; all parts have returned then. A value on reload triggers a
-// reload of the placement.
+// Run opens the listening socket and runs all parts of the pilot until ctx is cancelled or one of them fails. It
+// returns after every part has returned. Each value received from reload triggers a reload of the placement.
 func (p *Pilot) Run(ctx context.Context, reload <-chan struct{}) error {
 	socket, err := net.Listen("tcp", p.initial.Listen)
 	if err != nil {
@@ -88,7 +90,7 @@
 	group.Go(func() error { return p.loop.Run(ctx) })
 	group.Go(func() error { return p.listener.Serve(ctx, socket) })
 	group.Go(func() error { return p.sender.Run(ctx) })
-	for i := range relay.Subscriptions {
+	for i := range relay.SubscriptionCount {
 		group.Go(func() error { return p.events.Run(ctx, i) })
 	}
 	group.Go(func() error { return p.discovery.Run(ctx) })
--- a/internal/platform/relay/member.go
+++ b/internal/platform/relay/member.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// rememberedAcks is how many acks of a proxy are remembered to recognise the duplicates of the other subscription.
+// rememberedAcks is the number of recent acks that are remembered for each proxy, to recognize the duplicates that the
+// other subscription delivers.
 const rememberedAcks = 8
 
-// member is a connected proxy. EventStream.mu guards it.
-type member struct {
-	zone  string
-	since time.Time // when its joining was announced
+// connectedProxy is the state of a proxy that is connected to the relay. EventStream.mu guards it.
+type connectedProxy struct {
+	zone        string
+	announcedAt time.Time // when its "joined" event was received
 
-	// The last acknowledged numbers plus 1 (0 is a free slot), and how many were recorded in all.
-	acked   [rememberedAcks]int
-	nextAck int
+	acked   [rememberedAcks]int // ring buffer of ack request numbers plus 1; 0 is an unused element
+	nextAck int                 // number of acks recorded so far; modulo rememberedAcks, the next index in acked
 }
 
-// recordAck records an ack and reports whether it is new.
-func (m *member) recordAck(number int) bool {
-	if slices.Contains(m.acked[:], number+1) {
+// recordAck records the ack of a request number. It returns false if the ack is among the remembered ones.
+func (p *connectedProxy) recordAck(number int) bool {
+	if slices.Contains(p.acked[:], number+1) {
 		return false
 	}
-	m.acked[m.nextAck%rememberedAcks] = number + 1
-	m.nextAck++
+	p.acked[p.nextAck%rememberedAcks] = number + 1
+	p.nextAck++
 	return true
 }
--- a/internal/platform/scriptedsite_test.go
+++ b/internal/platform/scriptedsite_test.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	membersPath = "/catalog/members"
-	eventsPath  = "/v1/events"
-	ordersPath  = "/v1/orders"
+	membersPath  = "/catalog/members"
+	eventsPath   = "/v1/events"
+	commandsPath = "/v1/orders"
 )
 
-// scriptedSite is the platform around one pilot: discovery with one endpoint and a relay with one proxy, at any
-// number of addresses.
-type scriptedSite struct {
+// fakePlatform serves the pilot's dependencies: a discovery agent with one endpoint and a relay with one proxy. Both
+// are available at each address that listen returns.
+type fakePlatform struct {
 	mu       sync.Mutex
-	executed []string       // commands: the address, verb, proxy and endpoint
-	calls    map[string]int // by address and path
+	executed []string       // one text per command: address, verb, proxy and endpoint
+	calls    map[string]int // number of calls, by address followed by path
 }
 
-// open returns another address of the site.
-func (s *scriptedSite) open(t *testing.T) (address string) {
+// listen starts serving at a new address and returns it.
+func (s *fakePlatform) listen(t *testing.T) (address string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
 	address = listener.Addr().String()
-	go func() { // until the listener is closed
+	go func() { // ends when the listener is closed
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
@@ -48,7 +48,7 @@
 	return address
 }
 
-func (s *scriptedSite) serve(conn net.Conn, address string) {
+func (s *fakePlatform) serve(conn net.Conn, address string) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	for {
@@ -66,26 +66,26 @@
 			serveEvents(conn)
 			return
 		}
-		answer, err := s.answer(address, path, number, body)
+		response, err := s.respond(address, path, number, body)
 		if err != nil {
 			return
 		}
-		_, err = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer), answer)
+		_, err = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(response), response)
 		if err != nil {
 			return
 		}
 	}
 }
 
-// countCall notes a call and returns its number, from 1.
-func (s *scriptedSite) countCall(what string) int {
+// countCall counts a call to an address and path and returns how many there were, including this one.
+func (s *fakePlatform) countCall(what string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls[what]++
 	return s.calls[what]
 }
 
-// serveEvents announces one proxy and sends a few keepalives.
+// serveEvents writes an event stream that announces one proxy and then sends five keepalives.
 func serveEvents(conn io.Writer) {
 	_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	events := []string{
@@ -99,16 +99,17 @@
 	}
 }
 
-// answer returns the answer of discovery or the relay to a call.
-func (s *scriptedSite) answer(address, path string, number int, body []byte) (string, error) {
-	if path == ordersPath {
+// respond returns the response body of discovery or the relay to a call. number counts the calls to this address and
+// path, from 1.
+func (s *fakePlatform) respond(address, path string, number int, body []byte) (string, error) {
+	if path == commandsPath {
 		return s.execute(address, body)
 	}
-	return listAnswer(number), nil
+	return listResponse(number), nil
 }
 
-// execute notes the commands of a call and returns its answer.
-func (s *scriptedSite) execute(address string, body []byte) (answer string, err error) {
+// execute records the commands in a call to the relay and returns the response body.
+func (s *fakePlatform) execute(address string, body []byte) (response string, err error) {
 	var call struct{ Ops []map[string]any }
 	if err := json.Unmarshal(body, &call); err != nil {
 		return "", err
@@ -122,8 +123,8 @@
 	return fmt.Sprintf(`{"ok_count":%d}`, len(call.Ops)), nil
 }
 
-// listAnswer returns the whole list to the first call and no changes to it to others.
-func listAnswer(number int) string {
+// listResponse returns the whole endpoint list for call number 1, and an empty set of changes for later calls.
+func listResponse(number int) string {
 	if number == 1 {
 		return `{"index":7,"snapshot":true,"endpoints":[{"name":"s-1","zone":"b","type":"m2","group":1,` +
 			`"status":"active","weight":1,"since_ms":0}]}`
@@ -132,15 +133,15 @@
 	return `{"index":7,"snapshot":false,"endpoints":[]}`
 }
 
-// hasExecuted reports whether a text is contained in the commands.
-func (s *scriptedSite) hasExecuted(what string) bool {
+// hasExecuted reports whether the texts of the executed commands contain what.
+func (s *fakePlatform) hasExecuted(what string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return strings.Contains(strings.Join(s.executed, "\n"), what)
 }
 
-// asked returns how many calls came for an address and path.
-func (s *scriptedSite) asked(what string) int {
+// callCount returns the number of calls to an address followed by a path.
+func (s *fakePlatform) callCount(what string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[what]
--- a/internal/platform/simulator_test.go
+++ b/internal/platform/simulator_test.go
@@ -17,10 +17,10 @@
 	"indigousher/planner"
 )
 
-// recordingRelay keeps the commands that a core hands to its relay.
+// recordingRelay is a controller.Relay that records the enqueued commands as texts.
 type recordingRelay struct{ lines []string }
 
-// Enqueue keeps the commands that the simulator has as well.
+// Enqueue records the commands of the kinds that the simulator protocol supports too.
 func (r *recordingRelay) Enqueue(turn []planner.Command, endpoint func(int) string) {
 	for _, c := range turn {
 		switch c := c.(type) {
@@ -37,7 +37,7 @@
 // ProxyLeft does nothing.
 func (r *recordingRelay) ProxyLeft(int) {}
 
-// noEndpointSource ignores all requests.
+// noEndpointSource is a controller.EndpointSource that ignores all requests.
 type noEndpointSource struct{}
 
 // Watch does nothing.
@@ -46,14 +46,15 @@
 // Fetch does nothing.
 func (noEndpointSource) Fetch() {}
 
-// bothSides feeds the same scenario to a core, as the platform's inputs, and to the simulator's adapter, as events.
-type bothSides struct {
+// parityHarness feeds one scenario to a core, as inputs from the platform, and collects the same scenario as events for
+// the simulator adapter.
+type parityHarness struct {
 	core   *controller.Core
-	events []string
+	events []string // JSON lines for the simulator adapter
 }
 
-// start announces the endpoints and one proxy.
-func (b *bothSides) start() {
+// start announces six endpoints and one proxy at time 0.
+func (b *parityHarness) start() {
 	var entries []wire.Entry
 	var hosts []string
 	for i := range 6 {
@@ -73,8 +74,8 @@
 		`{"kind":"stream_up","i":"pilot/0","edge":3,"zone":"b","heft":7,"active":true}]}`)
 }
 
-// report reports one endpoint's load and one proxy's requests.
-func (b *bothSides) report(second int, load float64) {
+// report reports an endpoint's load and a proxy's request counts at the given time in seconds.
+func (b *parityHarness) report(second int, load float64) {
 	b.core.Handle(float64(1000*second), []controller.Input{
 		controller.ZoneStats{
 			Zone: "b", Endpoint: "10.0.0.1:1", Attempts: 30, Failed: second, MeanMs: 20, SpanMs: 1000,
@@ -89,26 +90,26 @@
 		1000*second*1000000, second, load))
 }
 
-// controlRound lets the timer fire half a second after second.
-func (b *bothSides) controlRound(second int) {
+// controlRound fires the timers half a second after the given time in seconds.
+func (b *parityHarness) controlRound(second int) {
 	nowMs := 500 + 1000*second
 	b.core.Handle(float64(nowMs), nil)
 	b.events = append(b.events, fmt.Sprintf(
 		`{"sim_time":%d,"batch":2,"happened":[{"kind":"bell","i":"pilot/0","ref":"gather"}]}`, nowMs*1000000))
 }
 
-// TestSameSettingsSameOrders checks that simulator and platform feed the planner the same: one translation of
-// settings and names, the same events, and so the same commands.
-func TestSameSettingsSameOrders(t *testing.T) {
+// TestSimulatorParity checks that the platform integration and the simulator adapter translate settings, names and
+// events in the same way, so that the planner returns the same commands for one scenario.
+func TestSimulatorParity(t *testing.T) {
 	p := newPlacement(t, "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1")
 	relay := &recordingRelay{}
-	sides := &bothSides{core: controller.NewCore(controller.Options{
+	harness := &parityHarness{core: controller.NewCore(controller.Options{
 		Decider:        planner.New(5, p.Deployment.Settings),
 		Settings:       p.Deployment.Settings,
 		Zones:          p.Deployment.Zones.All(),
 		Machines:       p.Deployment.Machines.All(),
 		Classes:        p.Deployment.Classes.All(),
-		MaxProxies:     p.Proxies,
+		MaxProxies:     p.MaxProxies,
 		Relay:          relay,
 		EndpointSource: noEndpointSource{},
 		HealthChecker:  healthcheck.Disabled{},
@@ -116,25 +117,26 @@
 		Log:            func(string) {},
 		Malformed:      func(what string, _ ...string) { t.Error(what) },
 	})}
-	sides.start()
-	sides.controlRound(0)
+	harness.start()
+	harness.controlRound(0)
 	for second := 1; second < 12; second++ {
-		load := float64(second%5) / 2 // full for long enough that tables change
-		sides.report(second, load)
-		sides.controlRound(second)
+		load := float64(second%5) / 2 // overloaded in enough rounds that the planner changes tables
+		harness.report(second, load)
+		harness.controlRound(second)
 	}
-	assert.Equal(t, simulated(t, sides.events), relay.lines)
-	assert.Greater(t, len(relay.lines), 7, "tables were laid and changed")
+	assert.Equal(t, simulatorCommands(t, harness.events), relay.lines)
+	assert.Greater(t, len(relay.lines), 7, "the planner has created and changed tables")
 }
 
-// simulated plays events through the simulator's adapter and returns the commands in recordingRelay's words.
-func simulated(t *testing.T, events []string) (lines []string) {
+// simulatorCommands feeds events to the simulator adapter and returns the resulting commands in the format of
+// recordingRelay.
+func simulatorCommands(t *testing.T, events []string) (lines []string) {
 	var out strings.Builder
 	require.NoError(t, simulator.Serve(strings.NewReader(strings.Join(events, "\n")+"\n"), &out))
 	for _, text := range strings.Split(strings.TrimSpace(out.String()), "\n") {
-		var answer struct{ Orders []map[string]any }
-		require.NoError(t, json.Unmarshal([]byte(text), &answer))
-		for _, c := range answer.Orders {
+		var output struct{ Orders []map[string]any }
+		require.NoError(t, json.Unmarshal([]byte(text), &output))
+		for _, c := range output.Orders {
 			switch c["kind"] {
 			case "set_weight":
 				lines = append(lines, fmt.Sprintf("line %v %v %.9g", c["tbl"], c["endpoint"], c["heft"]))
