--- a/internal/config/pilot.go
+++ b/internal/config/pilot.go
@@ -149,7 +149,7 @@
 func (p *Pilot) TelemetryOptions() telemetry.Options {
 	return telemetry.Options{
 		LinesPerS:   p.IntakeLinesPerS,
-		ToldPerS:    float64(p.ReportLinesPerS),
+		FlushedPerS: float64(p.ReportLinesPerS),
 		Standing:    p.IntakeStanding,
 		PeriodMs:    milliseconds(p.Period),
 		HalfMs:      milliseconds(p.IntakeHalf),
--- a/internal/controller/reportgate_test.go
+++ b/internal/controller/reportgate_test.go
@@ -46,7 +46,7 @@
 	d := &scriptedDecider{}
 	stream := &fakeTransport{}
 	p := newOptions(d, &fakeTransport{})
-	p.Telemetry.ToldPerS = 1
+	p.Telemetry.FlushedPerS = 1
 	c := NewCore(p)
 	c.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0)), ProxyJoined{stream, hello("p", "a")}})
 	report := func(at float64, seq uint64) {
--- a/telemetry/accuracy_test.go
+++ b/telemetry/accuracy_test.go
@@ -51,7 +51,7 @@
 				return true, 0
 			}
 		}, 0.05},
-		{"few lines flushed a second", func(o *Options) { o.ToldPerS = 20 }, nil, 0.1},
+		{"few lines flushed a second", func(o *Options) { o.FlushedPerS = 20 }, nil, 0.1},
 		{"slow reports", nil, func(c *fleet) {
 			for _, s := range c.senders[:15] {
 				s.periodMs = 7000
--- a/telemetry/flush.go
+++ b/telemetry/flush.go
@@ -73,10 +73,10 @@
 
 // flushLimit returns how many pending sums may be flushed for a period of sinceMs; at least one, if there is one.
 func (a *Aggregator[L]) flushLimit(sinceMs float64) int {
-	if a.options.ToldPerS <= 0 {
+	if a.options.FlushedPerS <= 0 {
 		return len(a.pending)
 	}
-	return min(len(a.pending), max(1, round(a.options.ToldPerS*sinceMs/1000)))
+	return min(len(a.pending), max(1, round(a.options.FlushedPerS*sinceMs/1000)))
 }
 
 // byUrgency orders urgent sums before others, and otherwise by the time at which they became pending.
--- a/telemetry/flush_test.go
+++ b/telemetry/flush_test.go
@@ -12,7 +12,7 @@
 func TestFailingSeenInBurst(t *testing.T) {
 	first := func(limit float64) (at float64) {
 		options := testOptions()
-		options.LinesPerS, options.ToldPerS = limit, limit/10
+		options.LinesPerS, options.FlushedPerS = limit, limit/10
 		c := newFleet(options, 60, 20, 3)
 		c.rates = func(_, e int) float64 {
 			if e == 13 {
