--- a/internal/config/pilot.go
+++ b/internal/config/pilot.go
@@ -150,7 +150,7 @@
 	return telemetry.Options{
 		LinesPerS:   p.IntakeLinesPerS,
 		FlushedPerS: float64(p.ReportLinesPerS),
-		Standing:    p.IntakeStanding,
+		MaxPending:  p.IntakeStanding,
 		PeriodMs:    milliseconds(p.Period),
 		HalfMs:      milliseconds(p.IntakeHalf),
 		LongestMs:   milliseconds(p.IntakeLongest),
--- a/telemetry/options.go
+++ b/telemetry/options.go
@@ -4,7 +4,7 @@
 type Options struct {
 	LinesPerS   float64 // report lines accepted per second, all senders together; 0: no limit
 	FlushedPerS float64 // lines flushed per second; 0: no limit
-	Standing    int     // sums that may be pending at once; 0: no limit
+	MaxPending  int     // sums that may be pending at once; 0: no limit
 	PeriodMs    float64 // between two reports of a sender, unless it was asked to report less often
 	HalfMs      float64 // half-life: the age at which a figure counts half
 	LongestMs   float64 // a report that covers more, or is older, is rejected
--- a/telemetry/properties_test.go
+++ b/telemetry/properties_test.go
@@ -15,7 +15,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		options := testOptions()
 		options.LinesPerS = rapid.Float64Range(50, 2000).Draw(rt, "linesPerS")
-		options.Standing = rapid.IntRange(8, 100).Draw(rt, "standing")
+		options.MaxPending = rapid.IntRange(8, 100).Draw(rt, "standing")
 		reportRates := rapid.SliceOfN(rapid.Float64Range(0.5, 20), 6, 6).Draw(rt, "reportRates")
 		loss := rapid.Float64Range(0, 0.6).Draw(rt, "loss")
 		late := rapid.Float64Range(0, 3000).Draw(rt, "late")
@@ -32,7 +32,7 @@
 		first, c := play()
 		second, _ := play()
 		require.Equal(rt, first, second)
-		require.LessOrEqual(rt, c.mostPending, options.Standing)
+		require.LessOrEqual(rt, c.mostPending, options.MaxPending)
 		for _, s := range c.senders {
 			require.True(rt, !s.arrived || c.in.senders[s.id].accepted > 0 || late > 0, "sender %d was never accepted", s.id)
 		}
--- a/telemetry/queue.go
+++ b/telemetry/queue.go
@@ -23,7 +23,7 @@
 // makeRoom reports whether one more sum may become pending. If necessary it evicts another one for an urgent sum: the
 // first demand, or else the first sum that is not urgent.
 func (a *Aggregator[L]) makeRoom(urgent bool) bool {
-	if a.options.Standing <= 0 || len(a.pending) < a.options.Standing {
+	if a.options.MaxPending <= 0 || len(a.pending) < a.options.MaxPending {
 		return true
 	}
 	if !urgent {
--- a/telemetry/queue_test.go
+++ b/telemetry/queue_test.go
@@ -9,7 +9,7 @@
 // TestPendingLimit checks the limit of pending sums, and that there is room for urgent ones.
 func TestPendingLimit(t *testing.T) {
 	options := testOptions()
-	options.Standing, options.FlushedPerS = 10, 5
+	options.MaxPending, options.FlushedPerS = 10, 5
 	c := newFleet(options, 30, 40, 3)
 	urgent := false
 	c.fails = func(e int, now float64) float64 {
