--- a/internal/config/pilot.go
+++ b/internal/config/pilot.go
@@ -152,7 +152,7 @@
 		FlushedPerS: float64(p.ReportLinesPerS),
 		MaxPending:  p.IntakeStanding,
 		PeriodMs:    milliseconds(p.Period),
-		HalfMs:      milliseconds(p.IntakeHalf),
+		HalfLifeMs:  milliseconds(p.IntakeHalf),
 		LongestMs:   milliseconds(p.IntakeLongest),
 		Slowest:     p.IntakeSlowest,
 		ColdMs:      milliseconds(p.Cold),
--- a/internal/record/settings_options.go
+++ b/internal/record/settings_options.go
@@ -35,7 +35,7 @@
 		Replayed:       true,
 	}
 	options.Telemetry.PeriodMs = replayPeriodMs
-	options.Telemetry.HalfMs = replayHalfLifeMs
+	options.Telemetry.HalfLifeMs = replayHalfLifeMs
 	options.Telemetry.LongestMs = replayLongestPeriodMs
 	if len(options.Zones) == 0 || len(options.Classes) == 0 {
 		return options, fmt.Errorf("terms without zones or req kinds: %w", ErrCorrupt)
--- a/telemetry/aggregator.go
+++ b/telemetry/aggregator.go
@@ -36,7 +36,7 @@
 func New[L any](o Options) *Aggregator[L] {
 	return &Aggregator[L]{
 		options:      o,
-		decay:        decay{halfLifeMs: o.HalfMs},
+		decay:        decay{halfLifeMs: o.HalfLifeMs},
 		quotas:       newQuotas(o),
 		slowdown:     newSlowdown(o),
 		senders:      map[int]*sender{},
