--- a/internal/config/pilot.go
+++ b/internal/config/pilot.go
@@ -153,7 +153,7 @@
 		MaxPending:  p.IntakeStanding,
 		PeriodMs:    milliseconds(p.Period),
 		HalfLifeMs:  milliseconds(p.IntakeHalf),
-		LongestMs:   milliseconds(p.IntakeLongest),
+		MaxAgeMs:    milliseconds(p.IntakeLongest),
 		Slowest:     p.IntakeSlowest,
 		ColdMs:      milliseconds(p.Cold),
 		MostSenders: p.MaxStreams,
--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -68,7 +68,7 @@
 		Classes:        []string{"read", "book"},
 		HeadLines:      4,
 		MessagesOverMs: 10000,
-		Telemetry:      telemetry.Options{PeriodMs: 1000, HalfLifeMs: 1e9, LongestMs: 60000},
+		Telemetry:      telemetry.Options{PeriodMs: 1000, HalfLifeMs: 1e9, MaxAgeMs: 60000},
 		MaxProxies:     3,
 		EndpointSource: transport,
 		HealthChecker:  transport,
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -130,7 +130,7 @@
 		HeadLines:      3,
 		MaxMessages:    30,
 		MessagesOverMs: 10000,
-		Telemetry:      telemetry.Options{PeriodMs: 1000, HalfLifeMs: 5000, LongestMs: 60000},
+		Telemetry:      telemetry.Options{PeriodMs: 1000, HalfLifeMs: 5000, MaxAgeMs: 60000},
 		MaxProxies:     1 << 16,
 		EndpointSource: &fakeTransport{},
 		HealthChecker:  &fakeTransport{},
--- a/internal/daemon/core_bench_test.go
+++ b/internal/daemon/core_bench_test.go
@@ -75,7 +75,7 @@
 		LinesPerS:      cfg.LinesPerS,
 		Backlog:        cfg.Backlog,
 		HeadLines:      4,
-		Telemetry:      telemetry.Options{PeriodMs: 1000, HalfLifeMs: 5000, LongestMs: 60000},
+		Telemetry:      telemetry.Options{PeriodMs: 1000, HalfLifeMs: 5000, MaxAgeMs: 60000},
 		MaxProxies:     1 << 16,
 		EndpointSource: idle{},
 		HealthChecker:  idle{},
--- a/internal/record/settings_options.go
+++ b/internal/record/settings_options.go
@@ -36,7 +36,7 @@
 	}
 	options.Telemetry.PeriodMs = replayPeriodMs
 	options.Telemetry.HalfLifeMs = replayHalfLifeMs
-	options.Telemetry.LongestMs = replayLongestPeriodMs
+	options.Telemetry.MaxAgeMs = replayLongestPeriodMs
 	if len(options.Zones) == 0 || len(options.Classes) == 0 {
 		return options, fmt.Errorf("terms without zones or req kinds: %w", ErrCorrupt)
 	}
--- a/internal/samplingerror/methods.go
+++ b/internal/samplingerror/methods.go
@@ -157,7 +157,7 @@
 		LinesPerS:  pace,
 		PeriodMs:   1000,
 		HalfLifeMs: halfMs,
-		LongestMs:  60000,
+		MaxAgeMs:   60000,
 		Slowest:    1,
 	})
 	for endpoint := range endpoints {
--- a/recovery/world_planner_test.go
+++ b/recovery/world_planner_test.go
@@ -64,7 +64,7 @@
 		Zones:          []string{"a"},
 		Machines:       []string{"std"},
 		Classes:        []string{"read"},
-		Telemetry:      telemetry.Options{PeriodMs: 1e9, HalfLifeMs: 1e9, LongestMs: 1e9},
+		Telemetry:      telemetry.Options{PeriodMs: 1e9, HalfLifeMs: 1e9, MaxAgeMs: 1e9},
 		MaxProxies:     9,
 		EndpointSource: transport{},
 		HealthChecker:  transport{},
--- a/telemetry/aggregator.go
+++ b/telemetry/aggregator.go
@@ -88,7 +88,7 @@
 func (a *Aggregator[L]) admit(
 	nowMs float64, s *sender, report *Report[L],
 ) (c contribution, room float64, reason Reason) {
-	if reason := report.validate(s.lastSeq, a.options.LongestMs); reason != Merged {
+	if reason := report.validate(s.lastSeq, a.options.MaxAgeMs); reason != Merged {
 		return c, 0, reason
 	}
 	reports := float64(report.Seq - s.lastSeq) // includes those before it that were lost
@@ -98,7 +98,7 @@
 	reports = math.Min(reports, maxReportsStoodFor)
 	s.lastSeq = report.Seq
 	ageMs := s.clock.age(nowMs, report.AtMs)
-	if ageMs > a.options.LongestMs {
+	if ageMs > a.options.MaxAgeMs {
 		return c, 0, Late
 	}
 	room = a.quotas.refill(s, nowMs, a.slowdown.factor)
