--- a/internal/config/pilot.go
+++ b/internal/config/pilot.go
@@ -154,7 +154,7 @@
 		PeriodMs:    milliseconds(p.Period),
 		HalfLifeMs:  milliseconds(p.IntakeHalf),
 		MaxAgeMs:    milliseconds(p.IntakeLongest),
-		Slowest:     p.IntakeSlowest,
+		MaxSlowdown: p.IntakeSlowest,
 		ColdMs:      milliseconds(p.Cold),
 		MostSenders: p.MaxStreams,
 	}
--- a/internal/samplingerror/methods.go
+++ b/internal/samplingerror/methods.go
@@ -154,11 +154,11 @@
 		pace = 0 // no limit
 	}
 	aggregator := telemetry.New[int](telemetry.Options{
-		LinesPerS:  pace,
-		PeriodMs:   1000,
-		HalfLifeMs: halfMs,
-		MaxAgeMs:   60000,
-		Slowest:    1,
+		LinesPerS:   pace,
+		PeriodMs:    1000,
+		HalfLifeMs:  halfMs,
+		MaxAgeMs:    60000,
+		MaxSlowdown: 1,
 	})
 	for endpoint := range endpoints {
 		aggregator.UpdateEndpoint(0, endpoint, planner.Ready, 0)
--- a/telemetry/backpressure.go
+++ b/telemetry/backpressure.go
@@ -51,7 +51,7 @@
 	switch {
 	case crowded:
 		wanted := int(math.Ceil(float64(d.factor) * linesPerS / (crowdedFraction * limit)))
-		d.factor = min(max(1, d.options.Slowest), max(d.factor, wanted))
+		d.factor = min(max(1, d.options.MaxSlowdown), max(d.factor, wanted))
 		d.calmFor = 0
 	case d.factor > 1 && linesPerS*float64(d.factor)/float64(d.factor-1) < calmFraction*limit:
 		d.calmFor++
--- a/telemetry/options.go
+++ b/telemetry/options.go
@@ -8,7 +8,7 @@
 	PeriodMs    float64 // between two reports of a sender, unless it was asked to report less often
 	HalfLifeMs  float64 // half-life: the age at which a figure counts half
 	MaxAgeMs    float64 // a report that covers more, or is older, is rejected
-	Slowest     int     // largest factor by which senders may be asked to stretch the period
+	MaxSlowdown int     // largest factor by which senders may be asked to stretch the period
 	ColdMs      float64 // how long an endpoint counts as warming up after its start
 	MostSenders int     // senders that may be joined at once; 0: no limit
 }
