--- a/internal/config/pilot.go
+++ b/internal/config/pilot.go
@@ -155,7 +155,7 @@
 		HalfLifeMs:  milliseconds(p.IntakeHalf),
 		MaxAgeMs:    milliseconds(p.IntakeLongest),
 		MaxSlowdown: p.IntakeSlowest,
-		ColdMs:      milliseconds(p.Cold),
+		WarmUpMs:    milliseconds(p.Cold),
 		MostSenders: p.MaxStreams,
 	}
 }
--- a/telemetry/aggregator.go
+++ b/telemetry/aggregator.go
@@ -177,7 +177,7 @@
 // urgent reports whether a sum is to be flushed before others: its endpoint begins to fail, warms up, or drains.
 func (a *Aggregator[L]) urgent(nowMs float64, e *endpoint, s *sum[L]) bool {
 	beginsToFail := s.failing() && !e.failing
-	return beginsToFail || e.draining || e.warmingUp(nowMs, a.options.ColdMs)
+	return beginsToFail || e.draining || e.warmingUp(nowMs, a.options.WarmUpMs)
 }
 
 // pendingEndpointSum returns the sum that a line belongs to, which becomes pending, or nil if too many are. A new sum
--- a/telemetry/fleet_test.go
+++ b/telemetry/fleet_test.go
@@ -50,7 +50,7 @@
 type flushedSum struct{ tries, span, failed float64 }
 
 func testOptions() Options {
-	return Options{PeriodMs: 1000, HalfLifeMs: 5000, MaxAgeMs: 120000, MaxSlowdown: 8, ColdMs: 10000}
+	return Options{PeriodMs: 1000, HalfLifeMs: 5000, MaxAgeMs: 120000, MaxSlowdown: 8, WarmUpMs: 10000}
 }
 
 func newFleet(o Options, senders, endpoints, zones int) *fleet {
--- a/telemetry/options.go
+++ b/telemetry/options.go
@@ -9,6 +9,6 @@
 	HalfLifeMs  float64 // half-life: the age at which a figure counts half
 	MaxAgeMs    float64 // a report that covers more, or is older, is rejected
 	MaxSlowdown int     // largest factor by which senders may be asked to stretch the period
-	ColdMs      float64 // how long an endpoint counts as warming up after its start
+	WarmUpMs    float64 // how long an endpoint counts as warming up after its start
 	MostSenders int     // senders that may be joined at once; 0: no limit
 }
--- a/telemetry/sampling.go
+++ b/telemetry/sampling.go
@@ -65,7 +65,7 @@
 		return false
 	}
 	failing := line.Failed > 0 && float64(line.Failed) > failingFraction*float64(line.Tries)
-	return e.draining || failing || e.warmingUp(nowMs, a.options.ColdMs)
+	return e.draining || failing || e.warmingUp(nowMs, a.options.WarmUpMs)
 }
 
 // byRank orders candidates by descending rank, and those of equal rank by their position in the report.
