--- a/internal/config/pilot.go
+++ b/internal/config/pilot.go
@@ -156,6 +156,6 @@
 		MaxAgeMs:    milliseconds(p.IntakeLongest),
 		MaxSlowdown: p.IntakeSlowest,
 		WarmUpMs:    milliseconds(p.Cold),
-		MostSenders: p.MaxStreams,
+		MaxSenders:  p.MaxStreams,
 	}
 }
--- a/telemetry/options.go
+++ b/telemetry/options.go
@@ -10,5 +10,5 @@
 	MaxAgeMs    float64 // a report that covers more, or is older, is rejected
 	MaxSlowdown int     // largest factor by which senders may be asked to stretch the period
 	WarmUpMs    float64 // how long an endpoint counts as warming up after its start
-	MostSenders int     // senders that may be joined at once; 0: no limit
+	MaxSenders  int     // senders that may be joined at once; 0: no limit
 }
--- a/telemetry/sender.go
+++ b/telemetry/sender.go
@@ -23,7 +23,7 @@
 // unknown, when the limit of senders is reached.
 func (a *Aggregator[L]) Join(nowMs float64, id, zoneID int) bool {
 	a.Leave(id)
-	if a.options.MostSenders > 0 && len(a.senders) >= a.options.MostSenders {
+	if a.options.MaxSenders > 0 && len(a.senders) >= a.options.MaxSenders {
 		return false
 	}
 	a.senders[id] = &sender{zone: zoneID, tokensAtMs: nowMs, tokens: a.quotas.initial()}
