--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -284,5 +284,5 @@
 			counts[reason.String()] = g.aggregator.Counts[i]
 		}
 	}
-	return g.aggregator.Pending(), g.aggregator.MostOrder, counts
+	return g.aggregator.Pending(), g.aggregator.MaxPending, counts
 }
--- a/telemetry/aggregator.go
+++ b/telemetry/aggregator.go
@@ -28,8 +28,8 @@
 	demandSums   map[proxyClass]*sum[L]
 	pending      []*sum[L] // sums to flush, in the order in which they became pending
 
-	Counts    [reasonCount]uint64 // lines, by what became of them
-	MostOrder int                 // the largest number of sums that have been pending at once
+	Counts     [reasonCount]uint64 // lines, by what became of them
+	MaxPending int                 // the largest number of sums that have been pending at once
 }
 
 // New returns an aggregator without senders.
--- a/telemetry/queue.go
+++ b/telemetry/queue.go
@@ -10,7 +10,7 @@
 	s.queued = true
 	s.queuedAtMs = nowMs
 	a.pending = append(a.pending, s)
-	a.MostOrder = max(a.MostOrder, len(a.pending))
+	a.MaxPending = max(a.MaxPending, len(a.pending))
 }
 
 // dequeue removes a sum from the pending ones.
