--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -219,7 +219,7 @@
 	spanMs := nowMs - g.lastFlushMs
 	g.lastFlushMs = nowMs
 	passed := g.aggregator.Flush(nowMs, spanMs)
-	events = g.appendEndpointStats(events, passed.Mets)
+	events = g.appendEndpointStats(events, passed.EndpointSums)
 	for _, demand := range passed.Demands {
 		events = append(events, demand)
 	}
--- a/internal/samplingerror/methods.go
+++ b/internal/samplingerror/methods.go
@@ -139,7 +139,7 @@
 		if second > 0 { // an endpoint without a new figure keeps its last one
 			copy(estimate[second], estimate[second-1])
 		}
-		for _, m := range aggregator.Flush(end, 1000).Mets {
+		for _, m := range aggregator.Flush(end, 1000).EndpointSums {
 			estimate[second][m.Endpoint] = m.Tries / m.SpanMs * 1000
 		}
 		aggregator.Rebalance(end)
--- a/telemetry/endpoint_test.go
+++ b/telemetry/endpoint_test.go
@@ -18,7 +18,7 @@
 	in.UpdateEndpoint(1500, 0, planner.Ready, 1500) // what waited of the former incarnation goes
 	lines := []Line[float64]{{Tries: 40, Load: 1, HasLoad: true}}
 	in.Add(2000, &Report[float64]{Seq: 2, AtMs: 2000, SpanMs: 1000, Lines: lines})
-	flushed := in.Flush(2000, 1000).Mets
+	flushed := in.Flush(2000, 1000).EndpointSums
 	require.Len(t, flushed, 1)
 	assert.Zero(t, flushed[0].Failed)
 	assert.InDelta(t, 20, flushed[0].Tries, 2)
--- a/telemetry/fleet_test.go
+++ b/telemetry/fleet_test.go
@@ -141,7 +141,7 @@
 
 // collect adds a batch to the totals.
 func (c *fleet) collect(batch Batch[float64]) {
-	for _, m := range batch.Mets {
+	for _, m := range batch.EndpointSums {
 		key := zoneEndpoint{m.Endpoint, m.Zone}
 		if c.flushed[key] == nil {
 			c.flushed[key] = &flushedSum{}
--- a/telemetry/flush.go
+++ b/telemetry/flush.go
@@ -41,10 +41,10 @@
 
 // Batch is what one flush passes on to the planner.
 type Batch[L any] struct {
-	Mets    []EndpointSum[L]
-	Demands []planner.RequestStats
-	Ages    []float64 // by flushed sum: mean age of its contributions, ms
-	Left    int       // sums that remain pending
+	EndpointSums []EndpointSum[L]
+	Demands      []planner.RequestStats
+	Ages         []float64 // by flushed sum: mean age of its contributions, ms
+	Left         int       // sums that remain pending
 }
 
 // Flush flushes pending sums, as many as the limit allows for the sinceMs since the last flush: urgent ones first, then
@@ -63,7 +63,7 @@
 			continue
 		}
 		if m := a.flushEndpoint(s, weight); m.SpanMs > 0 {
-			out.Mets = append(out.Mets, m)
+			out.EndpointSums = append(out.EndpointSums, m)
 		}
 	}
 	a.pending = append(a.pending[:0], a.pending[n:]...)
--- a/telemetry/queue_test.go
+++ b/telemetry/queue_test.go
@@ -20,7 +20,7 @@
 	}
 	c.rates = func(int, int) float64 { return 3 }
 	c.run(9000, func(_ float64, batch Batch[float64]) {
-		for _, m := range batch.Mets {
+		for _, m := range batch.EndpointSums {
 			urgent = urgent || m.Endpoint == 39 && m.Failed > 0
 		}
 	})
--- a/telemetry/report_test.go
+++ b/telemetry/report_test.go
@@ -50,7 +50,7 @@
 			in.Add(1000, r)
 			assert.EqualValues(t, 1, in.Counts[c.reason])
 			assert.Zero(t, in.Counts[Merged])
-			assert.Empty(t, in.Flush(2000, 1000).Mets)
+			assert.Empty(t, in.Flush(2000, 1000).EndpointSums)
 		})
 	}
 }
