--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -220,7 +220,7 @@
 	g.lastFlushMs = nowMs
 	passed := g.aggregator.Flush(nowMs, spanMs)
 	events = g.appendEndpointStats(events, passed.EndpointSums)
-	for _, demand := range passed.Demands {
+	for _, demand := range passed.RequestStats {
 		events = append(events, demand)
 	}
 	events = g.appendSliceStats(events, spanMs)
--- a/telemetry/flush.go
+++ b/telemetry/flush.go
@@ -42,7 +42,7 @@
 // Batch is what one flush passes on to the planner.
 type Batch[L any] struct {
 	EndpointSums []EndpointSum[L]
-	Demands      []planner.RequestStats
+	RequestStats []planner.RequestStats
 	Ages         []float64 // by flushed sum: mean age of its contributions, ms
 	Left         int       // sums that remain pending
 }
@@ -59,7 +59,7 @@
 	for _, s := range a.pending[:n] {
 		out.Ages = append(out.Ages, s.ageMs/math.Max(s.weight, smallestDivisor))
 		if s.isDemand {
-			out.Demands = append(out.Demands, a.flushDemand(s, weight))
+			out.RequestStats = append(out.RequestStats, a.flushDemand(s, weight))
 			continue
 		}
 		if m := a.flushEndpoint(s, weight); m.SpanMs > 0 {
