--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -224,7 +224,7 @@
 		events = append(events, demand)
 	}
 	events = g.appendSliceStats(events, spanMs)
-	g.recordAges(passed.Ages)
+	g.recordAges(passed.AgesMs)
 	requests = g.paceRequests(nowMs)
 	metrics.setTelemetry(g.aggregator.Counts[:], passed.Left, g.ages)
 	malformed = g.malformed
--- a/telemetry/flush.go
+++ b/telemetry/flush.go
@@ -43,7 +43,7 @@
 type Batch[L any] struct {
 	EndpointSums []EndpointSum[L]
 	RequestStats []planner.RequestStats
-	Ages         []float64 // by flushed sum: mean age of its contributions, ms
+	AgesMs       []float64 // by flushed sum: mean age of its contributions, ms
 	Left         int       // sums that remain pending
 }
 
@@ -57,7 +57,7 @@
 	}
 	weight := a.decay.weight(nowMs)
 	for _, s := range a.pending[:n] {
-		out.Ages = append(out.Ages, s.ageMs/math.Max(s.weight, smallestDivisor))
+		out.AgesMs = append(out.AgesMs, s.ageMs/math.Max(s.weight, smallestDivisor))
 		if s.isDemand {
 			out.RequestStats = append(out.RequestStats, a.flushDemand(s, weight))
 			continue
