--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -226,7 +226,7 @@
 	events = g.appendSliceStats(events, spanMs)
 	g.recordAges(passed.AgesMs)
 	requests = g.paceRequests(nowMs)
-	metrics.setTelemetry(g.aggregator.Counts[:], passed.Left, g.ages)
+	metrics.setTelemetry(g.aggregator.Counts[:], passed.Remaining, g.ages)
 	malformed = g.malformed
 	g.malformed = map[malformedReason]int{}
 	return events, requests, malformed
--- a/telemetry/flush.go
+++ b/telemetry/flush.go
@@ -44,7 +44,7 @@
 	EndpointSums []EndpointSum[L]
 	RequestStats []planner.RequestStats
 	AgesMs       []float64 // by flushed sum: mean age of its contributions, ms
-	Left         int       // sums that remain pending
+	Remaining    int       // sums that remain pending
 }
 
 // Flush flushes pending sums, as many as the limit allows for the sinceMs since the last flush: urgent ones first, then
@@ -67,7 +67,7 @@
 		}
 	}
 	a.pending = append(a.pending[:0], a.pending[n:]...)
-	out.Left = len(a.pending)
+	out.Remaining = len(a.pending)
 	return out
 }
 
