--- a/internal/samplingerror/methods.go
+++ b/internal/samplingerror/methods.go
@@ -140,7 +140,7 @@
 			copy(estimate[second], estimate[second-1])
 		}
 		for _, m := range aggregator.Flush(end, 1000).EndpointSums {
-			estimate[second][m.Endpoint] = m.Tries / m.SpanMs * 1000
+			estimate[second][m.Endpoint] = m.Attempts / m.SpanMs * 1000
 		}
 		aggregator.Rebalance(end)
 	})
--- a/telemetry/endpoint_test.go
+++ b/telemetry/endpoint_test.go
@@ -21,6 +21,6 @@
 	flushed := in.Flush(2000, 1000).EndpointSums
 	require.Len(t, flushed, 1)
 	assert.Zero(t, flushed[0].Failed)
-	assert.InDelta(t, 20, flushed[0].Tries, 2)
+	assert.InDelta(t, 20, flushed[0].Attempts, 2)
 	assert.False(t, flushed[0].HasLoad, "a load report may be of the former incarnation")
 }
--- a/telemetry/fleet_test.go
+++ b/telemetry/fleet_test.go
@@ -146,7 +146,7 @@
 		if c.flushed[key] == nil {
 			c.flushed[key] = &flushedSum{}
 		}
-		c.flushed[key].tries += m.Tries
+		c.flushed[key].tries += m.Attempts
 		c.flushed[key].failed += m.Failed
 		c.flushed[key].span += m.SpanMs
 	}
--- a/telemetry/flush.go
+++ b/telemetry/flush.go
@@ -13,17 +13,17 @@
 
 // EndpointSum is what the proxies of a zone observed at an endpoint. Load is the endpoint's newest load report.
 type EndpointSum[L any] struct {
-	Endpoint, Zone int
-	Tries, Failed  float64 // attempts, rounded with a carry to the next flush, and failures, not rounded
-	MeanMs, SpanMs float64 // mean time of the successful attempts; time covered, averaged over the zone's proxies
-	Load           L
-	HasLoad        bool
+	Endpoint, Zone   int
+	Attempts, Failed float64 // attempts, rounded with a carry to the next flush, and failures, not rounded
+	MeanMs, SpanMs   float64 // mean time of the successful attempts; time covered, averaged over the zone's proxies
+	Load             L
+	HasLoad          bool
 }
 
 // Stats converts the sum to the planner's event. What decay leaves of a few failures is rounded up to one, so that no
 // observed failure is lost.
 func (m *EndpointSum[L]) Stats(load planner.Load) planner.EndpointStats {
-	attempts := round(m.Tries)
+	attempts := round(m.Attempts)
 	failed := round(m.Failed)
 	if m.Failed > 0 {
 		failed = max(failed, 1)
@@ -109,8 +109,8 @@
 	if e := a.endpoints[s.zoneEndpoint.endpoint]; e != nil && attempts > 0 {
 		e.failing = m.Failed > failingFraction*attempts
 	}
-	m.Tries = math.Max(0, math.Round(attempts+s.carry)) // the planner counts whole attempts
-	s.carry = attempts + s.carry - m.Tries
+	m.Attempts = math.Max(0, math.Round(attempts+s.carry)) // the planner counts whole attempts
+	s.carry = attempts + s.carry - m.Attempts
 	a.reset(s)
 	return m
 }
--- a/telemetry/flush_test.go
+++ b/telemetry/flush_test.go
@@ -32,7 +32,7 @@
 		}
 		c.run(8000, func(now float64, batch Batch[float64]) {
 			for _, m := range batch.EndpointSums {
-				if m.Endpoint == 13 && m.Failed > 0.5*m.Tries && at == 0 {
+				if m.Endpoint == 13 && m.Failed > 0.5*m.Attempts && at == 0 {
 					at = now
 				}
 			}
