--- a/telemetry/aggregator.go
+++ b/telemetry/aggregator.go
@@ -148,8 +148,8 @@
 		return
 	}
 	scale := c.weight * c.reports * current * k.scale
-	succeeded := float64(line.Tries - line.Failed)
-	s.attempts += scale * float64(line.Tries)
+	succeeded := float64(line.Attempts - line.Failed)
+	s.attempts += scale * float64(line.Attempts)
 	s.failed += scale * float64(line.Failed)
 	s.succeeded += scale * succeeded
 	s.busyMs += scale * succeeded * line.MeanMs
--- a/telemetry/bench_test.go
+++ b/telemetry/bench_test.go
@@ -38,7 +38,7 @@
 				now += 1000 / float64(c.senders)
 				r.Sender, r.Seq, r.AtMs = i%c.senders, uint64(i/c.senders+1), now
 				for k := range r.Lines {
-					r.Lines[k] = Line[float64]{Endpoint: (i*7 + k*k*13) % c.endpoints, Tries: 3, MeanMs: 20, Load: 0.5, HasLoad: true}
+					r.Lines[k] = Line[float64]{Endpoint: (i*7 + k*k*13) % c.endpoints, Attempts: 3, MeanMs: 20, Load: 0.5, HasLoad: true}
 				}
 				in.Add(now, r)
 				if i++; now-flushed >= 1000 {
--- a/telemetry/endpoint_test.go
+++ b/telemetry/endpoint_test.go
@@ -14,9 +14,9 @@
 	in := New[float64](testOptions())
 	in.UpdateEndpoint(0, 0, planner.Ready, 0)
 	in.Join(0, 0, 0)
-	in.Add(1000, &Report[float64]{Seq: 1, AtMs: 1000, SpanMs: 1000, Lines: []Line[float64]{{Tries: 50, Failed: 50}}})
+	in.Add(1000, &Report[float64]{Seq: 1, AtMs: 1000, SpanMs: 1000, Lines: []Line[float64]{{Attempts: 50, Failed: 50}}})
 	in.UpdateEndpoint(1500, 0, planner.Ready, 1500) // what waited of the former incarnation goes
-	lines := []Line[float64]{{Tries: 40, Load: 1, HasLoad: true}}
+	lines := []Line[float64]{{Attempts: 40, Load: 1, HasLoad: true}}
 	in.Add(2000, &Report[float64]{Seq: 2, AtMs: 2000, SpanMs: 1000, Lines: lines})
 	flushed := in.Flush(2000, 1000).EndpointSums
 	require.Len(t, flushed, 1)
--- a/telemetry/fleet_test.go
+++ b/telemetry/fleet_test.go
@@ -84,7 +84,7 @@
 		c.truth[zoneEndpoint{e, s.zone}] += float64(tries)
 		if tries > 0 {
 			failed := int(math.Round(float64(tries) * c.fails(e, c.now)))
-			line := Line[float64]{Endpoint: e, Tries: tries, Failed: failed, MeanMs: 30, Load: c.now, HasLoad: true}
+			line := Line[float64]{Endpoint: e, Attempts: tries, Failed: failed, MeanMs: 30, Load: c.now, HasLoad: true}
 			r.Lines = append(r.Lines, line)
 		}
 	}
--- a/telemetry/report.go
+++ b/telemetry/report.go
@@ -11,11 +11,11 @@
 // Line is what a proxy observed at one endpoint since its last report. L is the caller's type of the endpoint's own
 // load report, which is passed through unread.
 type Line[L any] struct {
-	Endpoint      int
-	Tries, Failed int     // attempts, and how many of them failed
-	MeanMs        float64 // mean time of the attempts that succeeded
-	Load          L
-	HasLoad       bool
+	Endpoint         int
+	Attempts, Failed int     // attempts, and how many of them failed
+	MeanMs           float64 // mean time of the attempts that succeeded
+	Load             L
+	HasLoad          bool
 }
 
 // ClassLine counts the requests of one class that a proxy received since its last report.
@@ -52,13 +52,13 @@
 
 // absurd reports whether the line's figures are implausible for a report that covers spanMs.
 func (l *Line[L]) absurd(spanMs float64) bool {
-	if l.Tries < 0 || l.Failed < 0 || l.Failed > l.Tries {
+	if l.Attempts < 0 || l.Failed < 0 || l.Failed > l.Attempts {
 		return true
 	}
 	if !(l.MeanMs >= 0) || l.MeanMs > maxMeanMs { // not a number fails the first test
 		return true
 	}
-	return float64(l.Tries) > maxCount(spanMs)
+	return float64(l.Attempts) > maxCount(spanMs)
 }
 
 // absurd reports whether the line's figures are implausible for a report that covers spanMs.
--- a/telemetry/report_test.go
+++ b/telemetry/report_test.go
@@ -13,7 +13,7 @@
 // TestRefusedReports checks the reasons for which reports and lines are rejected.
 func TestRefusedReports(t *testing.T) {
 	good := func() *Report[float64] {
-		lines := []Line[float64]{{Endpoint: 0, Tries: 10, MeanMs: 5}}
+		lines := []Line[float64]{{Endpoint: 0, Attempts: 10, MeanMs: 5}}
 		return &Report[float64]{Sender: 0, Seq: 5, AtMs: 1000, SpanMs: 1000, Lines: lines}
 	}
 	for _, c := range []struct {
@@ -28,9 +28,9 @@
 		{"a span of days", func(r *Report[float64]) { r.SpanMs = 1e9 }, Absurd},
 		{"not a number", func(r *Report[float64]) { r.SpanMs = math.NaN() }, Absurd},
 		{"an infinite clock", func(r *Report[float64]) { r.AtMs = math.Inf(1) }, Absurd},
-		{"implausibly many attempts", func(r *Report[float64]) { r.Lines[0].Tries = 1e9 }, Absurd},
+		{"implausibly many attempts", func(r *Report[float64]) { r.Lines[0].Attempts = 1e9 }, Absurd},
 		{"more failures than attempts", func(r *Report[float64]) { r.Lines[0].Failed = 11 }, Absurd},
-		{"negative attempts", func(r *Report[float64]) { r.Lines[0].Tries = -1 }, Absurd},
+		{"negative attempts", func(r *Report[float64]) { r.Lines[0].Attempts = -1 }, Absurd},
 		{"a mean that is no number", func(r *Report[float64]) { r.Lines[0].MeanMs = math.NaN() }, Absurd},
 		{"never listed", func(r *Report[float64]) { r.Lines[0].Endpoint = 7 }, Unlisted},
 		{"gone", func(r *Report[float64]) { r.Lines[0].Endpoint = 1 }, Unlisted},
--- a/telemetry/sampling.go
+++ b/telemetry/sampling.go
@@ -32,7 +32,7 @@
 	threshold := a.candidates[room].rank
 	kept := a.candidates[:room]
 	for i := range kept {
-		attempts := float64(report.Lines[kept[i].line].Tries)
+		attempts := float64(report.Lines[kept[i].line].Attempts)
 		if !kept[i].foremost && attempts > 0 {
 			kept[i].scale = math.Max(attempts, threshold) / attempts
 		}
@@ -52,7 +52,7 @@
 			c.foremost = true
 			c.rank = math.Inf(1)
 		} else {
-			c.rank = math.Max(float64(line.Tries), 0.5) / uniform(report.Sender, report.Seq, line.Endpoint)
+			c.rank = math.Max(float64(line.Attempts), 0.5) / uniform(report.Sender, report.Seq, line.Endpoint)
 		}
 		a.candidates = append(a.candidates, c)
 	}
@@ -64,7 +64,7 @@
 	if e == nil {
 		return false
 	}
-	failing := line.Failed > 0 && float64(line.Failed) > failingFraction*float64(line.Tries)
+	failing := line.Failed > 0 && float64(line.Failed) > failingFraction*float64(line.Attempts)
 	return e.draining || failing || e.warmingUp(nowMs, a.options.WarmUpMs)
 }
 
