--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -170,14 +170,14 @@
 
 // fillClasses puts the requests that came to a proxy, by class, into a report.
 func (g *reportGate) fillClasses(r *report, demands []wire.Demand) {
-	r.Kinds = r.Kinds[:0]
+	r.ClassLines = r.ClassLines[:0]
 	for _, d := range demands {
 		class, known := g.classes[d.Kind]
 		if !known {
 			g.malformed[malformedReportClass]++
 			continue
 		}
-		r.Kinds = append(r.Kinds, telemetry.ClassLine{Class: class, Requests: d.Reqs, Unanswered: d.Unanswered})
+		r.ClassLines = append(r.ClassLines, telemetry.ClassLine{Class: class, Requests: d.Reqs, Unanswered: d.Unanswered})
 	}
 }
 
--- a/telemetry/aggregator.go
+++ b/telemetry/aggregator.go
@@ -72,15 +72,15 @@
 		return
 	}
 	a.zone(s.zone).covered += c.weight * report.SpanMs * c.reports
-	for i := range report.Kinds {
-		a.addDemand(nowMs, report.Sender, &report.Kinds[i], c)
+	for i := range report.ClassLines {
+		a.addDemand(nowMs, report.Sender, &report.ClassLines[i], c)
 	}
-	kept := a.sample(nowMs, report, int(math.Min(room, math.MaxInt32))-len(report.Kinds))
+	kept := a.sample(nowMs, report, int(math.Min(room, math.MaxInt32))-len(report.ClassLines))
 	for _, k := range kept {
 		a.addLine(nowMs, s.zone, &report.Lines[k.line], k, c)
 	}
 	a.Counts[Sampled] += uint64(len(report.Lines) - len(kept))
-	s.tokens -= float64(len(kept) + len(report.Kinds))
+	s.tokens -= float64(len(kept) + len(report.ClassLines))
 }
 
 // admit decides whether a report is accepted. It returns how the report counts and how many of its lines the sender's
--- a/telemetry/report.go
+++ b/telemetry/report.go
@@ -23,16 +23,16 @@
 
 // Report is a proxy's load report.
 type Report[L any] struct {
-	Sender int     // the proxy
-	Seq    uint64  // sequence number, from 1 when the sender joins
-	AtMs   float64 // when it was sent, on the sender's own clock
-	SpanMs float64 // time that it covers, up to AtMs
-	Lines  []Line[L]
-	Kinds  []ClassLine
+	Sender     int     // the proxy
+	Seq        uint64  // sequence number, from 1 when the sender joins
+	AtMs       float64 // when it was sent, on the sender's own clock
+	SpanMs     float64 // time that it covers, up to AtMs
+	Lines      []Line[L]
+	ClassLines []ClassLine
 }
 
 // lineCount returns the number of lines of both types.
-func (r *Report[L]) lineCount() int { return len(r.Lines) + len(r.Kinds) }
+func (r *Report[L]) lineCount() int { return len(r.Lines) + len(r.ClassLines) }
 
 // validate returns why the report as a whole is rejected, or Merged if it is not. lastSeq is the sequence number of the
 // sender's newest report, longestMs the longest plausible span.
