--- a/telemetry/backpressure.go
+++ b/telemetry/backpressure.go
@@ -27,7 +27,7 @@
 type Advice struct {
 	Sender   int
 	PeriodMs float64 // interval between reports
-	Lines    int     // largest number of lines in a report; 0: no limit
+	MaxLines int     // largest number of lines in a report; 0: no limit
 	Changes  bool    // report changed lines only
 }
 
@@ -98,7 +98,7 @@
 	advice := Advice{Sender: id, PeriodMs: a.options.PeriodMs * float64(factor), Changes: factor > changesOnlyAbove}
 	if factor > 1 {
 		linesPerS := a.quotas.linesPerS[a.senders[id].zone]
-		advice.Lines = max(minAdvisedLines, int(linesPerS*advice.PeriodMs/1000))
+		advice.MaxLines = max(minAdvisedLines, int(linesPerS*advice.PeriodMs/1000))
 	}
 	return advice
 }
