--- a/telemetry/backpressure.go
+++ b/telemetry/backpressure.go
@@ -25,10 +25,10 @@
 
 // Advice asks a sender to change how it reports.
 type Advice struct {
-	Sender   int
-	PeriodMs float64 // interval between reports
-	MaxLines int     // largest number of lines in a report; 0: no limit
-	Changes  bool    // report changed lines only
+	Sender      int
+	PeriodMs    float64 // interval between reports
+	MaxLines    int     // largest number of lines in a report; 0: no limit
+	ChangedOnly bool    // report changed lines only
 }
 
 // slowdown is the back-pressure on senders: the factor by which they are asked to stretch their report period.
@@ -95,7 +95,7 @@
 // adviceFor returns the advice for a sender at the present slowdown.
 func (a *Aggregator[L]) adviceFor(id int) Advice {
 	factor := a.slowdown.factor
-	advice := Advice{Sender: id, PeriodMs: a.options.PeriodMs * float64(factor), Changes: factor > changesOnlyAbove}
+	advice := Advice{Sender: id, PeriodMs: a.options.PeriodMs * float64(factor), ChangedOnly: factor > changesOnlyAbove}
 	if factor > 1 {
 		linesPerS := a.quotas.linesPerS[a.senders[id].zone]
 		advice.MaxLines = max(minAdvisedLines, int(linesPerS*advice.PeriodMs/1000))
