--- a/telemetry/aggregator.go
+++ b/telemetry/aggregator.go
@@ -62,7 +62,7 @@
 	lines := report.lineCount()
 	s := a.senders[report.Sender]
 	if s == nil {
-		a.Counts[Stranger] += uint64(lines)
+		a.Counts[UnknownSender] += uint64(lines)
 		return
 	}
 	s.offered += float64(lines)
--- a/telemetry/report_test.go
+++ b/telemetry/report_test.go
@@ -22,7 +22,7 @@
 		reason Reason
 	}{
 		{"repeated", func(r *Report[float64]) { r.Seq = 4 }, Repeated},
-		{"from an unknown sender", func(r *Report[float64]) { r.Sender = 9 }, Stranger},
+		{"from an unknown sender", func(r *Report[float64]) { r.Sender = 9 }, UnknownSender},
 		{"no span", func(r *Report[float64]) { r.SpanMs = 0 }, NoSpan},
 		{"a negative span", func(r *Report[float64]) { r.SpanMs = -1 }, Absurd},
 		{"a span of days", func(r *Report[float64]) { r.SpanMs = 1e9 }, Absurd},
