--- a/telemetry/aggregator.go
+++ b/telemetry/aggregator.go
@@ -130,7 +130,7 @@
 func (a *Aggregator[L]) addLine(nowMs float64, zoneID int, line *Line[L], k candidate, c contribution) {
 	e := a.endpoints[line.Endpoint]
 	if line.absurd(c.spanMs) {
-		a.Counts[Absurd]++
+		a.Counts[Implausible]++
 		return
 	}
 	if e == nil || !e.listed {
@@ -207,7 +207,7 @@
 // addDemand adds one line of requests to the sum of its proxy and class.
 func (a *Aggregator[L]) addDemand(nowMs float64, proxy int, line *ClassLine, c contribution) {
 	if line.absurd(c.spanMs) {
-		a.Counts[Absurd]++
+		a.Counts[Implausible]++
 		return
 	}
 	key := proxyClass{proxy, line.Class}
--- a/telemetry/reason.go
+++ b/telemetry/reason.go
@@ -10,7 +10,7 @@
 	OverShare                   // the sender's quota is used up; the next report represents this one
 	Repeated                    // the sequence number is not above the newest one
 	Late                        // the report was in transit for too long
-	Absurd                      // implausible figures
+	Implausible                 // implausible figures
 	NoSpan                      // the report has lines but covers no time
 	Unlisted                    // the endpoint is not in the endpoint list
 	Restarted                   // the report only covers time before the endpoint's restart
@@ -26,7 +26,7 @@
 	OverShare:     "over its share",
 	Repeated:      "repeated",
 	Late:          "too late",
-	Absurd:        "absurd",
+	Implausible:   "absurd",
 	NoSpan:        "no span",
 	Unlisted:      "endpoint not listed",
 	Restarted:     "endpoint restarted",
--- a/telemetry/report.go
+++ b/telemetry/report.go
@@ -41,9 +41,9 @@
 	case r.Seq <= lastSeq:
 		return Repeated
 	case !(r.SpanMs >= 0) || r.SpanMs > longestMs: // not a number fails the first test
-		return Absurd
+		return Implausible
 	case math.IsInf(r.AtMs, 0) || math.IsNaN(r.AtMs):
-		return Absurd
+		return Implausible
 	case r.SpanMs == 0 && r.lineCount() > 0:
 		return NoSpan
 	}
