--- a/telemetry/aggregator.go
+++ b/telemetry/aggregator.go
@@ -104,7 +104,7 @@
 	room = a.quotas.refill(s, nowMs, a.slowdown.factor)
 	if room < minRoom(report) && s.skipped < maxReportsStoodFor-1 {
 		s.skipped++
-		return c, 0, OverShare
+		return c, 0, OverQuota
 	}
 	reports = math.Min(reports+float64(s.skipped), maxReportsStoodFor)
 	s.skipped = 0
--- a/telemetry/reason.go
+++ b/telemetry/reason.go
@@ -7,7 +7,7 @@
 const (
 	Merged        Reason = iota // added to a sum
 	Sampled                     // not drawn; the scaled figures of the drawn lines represent it
-	OverShare                   // the sender's quota is used up; the next report represents this one
+	OverQuota                   // the sender's quota is used up; the next report represents this one
 	Repeated                    // the sequence number is not above the newest one
 	Late                        // the report was in transit for too long
 	Implausible                 // implausible figures
@@ -23,7 +23,7 @@
 var reasonNames = [reasonCount]string{
 	Merged:        "merged",
 	Sampled:       "sampled out",
-	OverShare:     "over its share",
+	OverQuota:     "over its share",
 	Repeated:      "repeated",
 	Late:          "too late",
 	Implausible:   "absurd",
