--- a/internal/handover/handoff.go
+++ b/internal/handover/handoff.go
@@ -131,7 +131,7 @@
 
 // handOver goes through the steps with a process that wants to take over and returns whether it has.
 func (o *Handoff) handOver(ctx context.Context, conn *net.UnixConn) bool {
-	machine := recovery.Predecessor{Patience: cmp.Or(o.Patience, defaultPatience)}
+	machine := recovery.Predecessor{MaxLockAttempts: cmp.Or(o.Patience, defaultPatience)}
 	event := recovery.Asked
 	for {
 		switch machine.Next(event) {
--- a/recovery/predecessor.go
+++ b/recovery/predecessor.go
@@ -4,7 +4,7 @@
 type Predecessor struct {
 	// Patience is how often the lock is tried after the successor was lost. If another process holds it all the while,
 	// that one serves.
-	Patience int
+	MaxLockAttempts int
 
 	state    state
 	refusals int // of the lock, in a row
@@ -76,7 +76,7 @@
 		return StartPilot
 	case Refused:
 		o.refusals++
-		if o.refusals < o.Patience {
+		if o.refusals < o.MaxLockAttempts {
 			return Claim
 		}
 		o.state = stateEnded
--- a/recovery/world_steps_test.go
+++ b/recovery/world_steps_test.go
@@ -121,7 +121,7 @@
 	w.restarts++
 	p := w.processes[predecessorIndex]
 	p.alive = true
-	p.predecessor = &recovery.Predecessor{Patience: lockTries}
+	p.predecessor = &recovery.Predecessor{MaxLockAttempts: lockTries}
 	if w.acquireLock(predecessorIndex) {
 		w.startController(predecessorIndex)
 	}
--- a/recovery/world_test.go
+++ b/recovery/world_test.go
@@ -100,7 +100,7 @@
 	}
 	w.processes[predecessorIndex] = &process{
 		alive:       true,
-		predecessor: &recovery.Predecessor{Patience: lockTries},
+		predecessor: &recovery.Predecessor{MaxLockAttempts: lockTries},
 		locked:      true,
 		listed:      -1,
 	}
