--- a/internal/daemon/recover.go
+++ b/internal/daemon/recover.go
@@ -22,7 +22,7 @@
 		return nil, err
 	}
 	last, failedStarts := r.lastLife(lives)
-	facts := recovery.Facts{Lives: len(lives), FailedStarts: failedStarts}
+	facts := recovery.Facts{Runs: len(lives), FailedStarts: failedStarts}
 	var tail []record.Turn
 	if last.ID != "" && last.Format == record.Format {
 		if tail, err = r.readTail(last, limits.TailMs, &facts); err != nil {
--- a/internal/emulator/pilotrecord.go
+++ b/internal/emulator/pilotrecord.go
@@ -59,7 +59,7 @@
 		GapMs:        p.w.now - p.storedAt,
 	}
 	if last := len(p.storedTurns) - 1; from <= last {
-		facts.Lives = 1
+		facts.Runs = 1
 		facts.SpanMs = max(1, p.storedTurns[last].AtMs-p.storedTurns[from].AtMs)
 	}
 	return facts
--- a/recovery/decision.go
+++ b/recovery/decision.go
@@ -8,7 +8,7 @@
 
 // Facts are what is known of the record at a start.
 type Facts struct {
-	Lives        int // recorded before this one
+	Runs         int // recorded before this one
 	FailedStarts int // of these, the latest in a row that left no turn: they died as they began
 
 	// Of the last life that left turns.
@@ -56,7 +56,7 @@
 // reasonAgainst returns the first reason not to use the record; "" if there is none.
 func reasonAgainst(f Facts, b Limits) string {
 	switch {
-	case f.Lives == 0:
+	case f.Runs == 0:
 		return "there is no record"
 	case !f.SameFormat:
 		return "the record is of another format"
--- a/recovery/decision_test.go
+++ b/recovery/decision_test.go
@@ -17,7 +17,7 @@
 	}{
 		{"all well", func(*Facts) {}, 60000, 4000, "away for 4.0 s"},
 		{"a short life", func(f *Facts) { f.SpanMs = 9000 }, 9000, 4000, "the last 9 s"},
-		{"the first start", func(f *Facts) { f.Lives = 0 }, 0, 0, "no record"},
+		{"the first start", func(f *Facts) { f.Runs = 0 }, 0, 0, "no record"},
 		{"of a later format", func(f *Facts) { f.SameFormat = false }, 0, 0, "another format"},
 		{"another module", func(f *Facts) { f.SameModule = false }, 0, 0, "another module"},
 		{"other terms", func(f *Facts) { f.SameSettings = false }, 0, 0, "other terms"},
@@ -30,7 +30,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := Facts{
-				Lives:        2,
+				Runs:         2,
 				SameFormat:   true,
 				SameModule:   true,
 				SameSettings: true,
