--- a/internal/daemon/recover.go
+++ b/internal/daemon/recover.go
@@ -14,8 +14,8 @@
 // were held back. It returns nil for a cold start.
 func (d *Daemon) recover(r *recording, cfg *config.Pilot) (*controller.Core, error) {
 	limits := recovery.Limits{
-		TailMs: float64(cfg.RecoverTail.Milliseconds()),
-		GapMs:  float64(cfg.RecoverWithin.Milliseconds()),
+		MaxReplayMs: float64(cfg.RecoverTail.Milliseconds()),
+		GapMs:       float64(cfg.RecoverWithin.Milliseconds()),
 	}
 	lives, err := r.store.Lives()
 	if err != nil {
@@ -25,7 +25,7 @@
 	facts := recovery.Facts{Runs: len(lives), FailedStarts: failedStarts}
 	var tail []record.Turn
 	if last.ID != "" && last.Format == record.Format {
-		if tail, err = r.readTail(last, limits.TailMs, &facts); err != nil {
+		if tail, err = r.readTail(last, limits.MaxReplayMs, &facts); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/emulator/pilotrecord.go
+++ b/internal/emulator/pilotrecord.go
@@ -30,10 +30,10 @@
 	options controller.Options, process *pilotProcess, begun *Start,
 ) controller.Options {
 	limits := recovery.Limits{
-		TailMs: float64(p.settings.RecoverTail.Milliseconds()),
-		GapMs:  float64(p.settings.RecoverWithin.Milliseconds()),
+		MaxReplayMs: float64(p.settings.RecoverTail.Milliseconds()),
+		GapMs:       float64(p.settings.RecoverWithin.Milliseconds()),
 	}
-	from := record.ReplayStart(p.storedTurns, limits.TailMs)
+	from := record.ReplayStart(p.storedTurns, limits.MaxReplayMs)
 	facts := p.recoveryFacts(from)
 	recorder := record.NewRecorder(
 		func(turn func() *record.Turn) { process.uncommitted = append(process.uncommitted, *turn()) },
--- a/recovery/decision.go
+++ b/recovery/decision.go
@@ -23,8 +23,8 @@
 
 // Limits limit a recovery; they come from the settings.
 type Limits struct {
-	TailMs float64 // of turns to be replayed: how far back the planner's memory reaches
-	GapMs  float64 // beyond which what was known is worth nothing
+	MaxReplayMs float64 // of turns to be replayed: how far back the planner's memory reaches
+	GapMs       float64 // beyond which what was known is worth nothing
 }
 
 // Decision says how to begin.
@@ -42,7 +42,7 @@
 	if reason := reasonAgainst(f, b); reason != "" {
 		return Decision{Reason: "cold start: " + reason}
 	}
-	v := Decision{ReplayMs: min(f.SpanMs, b.TailMs), AwayMs: max(0, f.GapMs)}
+	v := Decision{ReplayMs: min(f.SpanMs, b.MaxReplayMs), AwayMs: max(0, f.GapMs)}
 	v.Reason = fmt.Sprintf("recovered from the last %.0f s, away for %.1f s", v.ReplayMs/1000, v.AwayMs/1000)
 	if f.Torn {
 		v.Reason += "; the record's end is torn"
