--- a/internal/daemon/recover.go
+++ b/internal/daemon/recover.go
@@ -15,7 +15,7 @@
 func (d *Daemon) recover(r *recording, cfg *config.Pilot) (*controller.Core, error) {
 	limits := recovery.Limits{
 		MaxReplayMs: float64(cfg.RecoverTail.Milliseconds()),
-		GapMs:       float64(cfg.RecoverWithin.Milliseconds()),
+		MaxGapMs:    float64(cfg.RecoverWithin.Milliseconds()),
 	}
 	lives, err := r.store.Lives()
 	if err != nil {
--- a/internal/emulator/pilotrecord.go
+++ b/internal/emulator/pilotrecord.go
@@ -31,7 +31,7 @@
 ) controller.Options {
 	limits := recovery.Limits{
 		MaxReplayMs: float64(p.settings.RecoverTail.Milliseconds()),
-		GapMs:       float64(p.settings.RecoverWithin.Milliseconds()),
+		MaxGapMs:    float64(p.settings.RecoverWithin.Milliseconds()),
 	}
 	from := record.ReplayStart(p.storedTurns, limits.MaxReplayMs)
 	facts := p.recoveryFacts(from)
--- a/recovery/decision.go
+++ b/recovery/decision.go
@@ -24,7 +24,7 @@
 // Limits limit a recovery; they come from the settings.
 type Limits struct {
 	MaxReplayMs float64 // of turns to be replayed: how far back the planner's memory reaches
-	GapMs       float64 // beyond which what was known is worth nothing
+	MaxGapMs    float64 // beyond which what was known is worth nothing
 }
 
 // Decision says how to begin.
@@ -68,8 +68,8 @@
 		return "the record is of other terms"
 	case f.Turns == 0 || f.SpanMs <= 0:
 		return "the last life left no turn that can be read"
-	case f.GapMs > b.GapMs:
-		return fmt.Sprintf("the last turn is %.0f s old, %.0f s may be", f.GapMs/1000, b.GapMs/1000)
+	case f.GapMs > b.MaxGapMs:
+		return fmt.Sprintf("the last turn is %.0f s old, %.0f s may be", f.GapMs/1000, b.MaxGapMs/1000)
 	}
 	return ""
 }
--- a/recovery/decision_test.go
+++ b/recovery/decision_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestDecide(t *testing.T) {
-	bounds := Limits{MaxReplayMs: 60000, GapMs: 120000}
+	bounds := Limits{MaxReplayMs: 60000, MaxGapMs: 120000}
 	for _, c := range []struct {
 		name   string
 		change func(*Facts)
