--- a/internal/emulator/pilotrecord.go
+++ b/internal/emulator/pilotrecord.go
@@ -87,7 +87,7 @@
 	begun.TookMs = elapsed()
 	core.FinishRecovery(options)
 	process.core = core
-	process.startedAt = p.w.now - core.Now() - begun.Verdict.AwayMs
+	process.startedAt = p.w.now - core.Now() - begun.Verdict.DowntimeMs
 }
 
 // scheduleCommit commits the record from time to time, until the process ends.
--- a/recovery/decision.go
+++ b/recovery/decision.go
@@ -29,9 +29,9 @@
 
 // Decision says how to begin.
 type Decision struct {
-	ReplayMs float64 // how much of the last life's end to replay; 0: none, a cold start
-	AwayMs   float64 // how much further its clock is by now
-	Reason   string  // for the log
+	ReplayMs   float64 // how much of the last life's end to replay; 0: none, a cold start
+	DowntimeMs float64 // how much further its clock is by now
+	Reason     string  // for the log
 }
 
 // Cold returns whether nothing is replayed.
@@ -42,8 +42,8 @@
 	if reason := reasonAgainst(f, b); reason != "" {
 		return Decision{Reason: "cold start: " + reason}
 	}
-	v := Decision{ReplayMs: min(f.SpanMs, b.MaxReplayMs), AwayMs: max(0, f.GapMs)}
-	v.Reason = fmt.Sprintf("recovered from the last %.0f s, away for %.1f s", v.ReplayMs/1000, v.AwayMs/1000)
+	v := Decision{ReplayMs: min(f.SpanMs, b.MaxReplayMs), DowntimeMs: max(0, f.GapMs)}
+	v.Reason = fmt.Sprintf("recovered from the last %.0f s, away for %.1f s", v.ReplayMs/1000, v.DowntimeMs/1000)
 	if f.Torn {
 		v.Reason += "; the record's end is torn"
 	}
--- a/recovery/decision_test.go
+++ b/recovery/decision_test.go
@@ -41,7 +41,7 @@
 			c.change(&f)
 			v := Decide(f, bounds)
 			assert.Equal(t, c.replay, v.ReplayMs)
-			assert.Equal(t, c.away, v.AwayMs)
+			assert.Equal(t, c.away, v.DowntimeMs)
 			assert.Equal(t, c.replay == 0, v.Cold())
 			assert.Contains(t, v.Reason, c.why)
 		})
