--- a/internal/handover/handoff.go
+++ b/internal/handover/handoff.go
@@ -132,7 +132,7 @@
 // handOver goes through the steps with a process that wants to take over and returns whether it has.
 func (o *Handoff) handOver(ctx context.Context, conn *net.UnixConn) bool {
 	machine := recovery.Predecessor{MaxLockAttempts: cmp.Or(o.Patience, defaultPatience)}
-	event := recovery.Asked
+	event := recovery.TakeoverRequested
 	for {
 		switch machine.Next(event) {
 		case recovery.SayOffer:
--- a/recovery/handover.go
+++ b/recovery/handover.go
@@ -26,17 +26,17 @@
 
 // The events. Claim stands for the lock.
 const (
-	Asked       Event = iota // predecessor: a successor requests to take over
-	ReadyCame                // predecessor: the successor has the listeners and can start
-	Stopped                  // predecessor: the controller has ended, its record is closed, the lock released
-	ServingCame              // predecessor: the successor serves
-	Offered                  // successor: the listeners came
-	GoCame                   // successor: the predecessor has stopped
-	Lost                     // the connection broke, or an answer took too long
-	Claimed                  // the lock was got
-	Refused                  // another process holds the lock
-	Started                  // the controller runs
-	Failed                   // the controller could not be started
+	TakeoverRequested Event = iota // predecessor: a successor requests to take over
+	ReadyCame                      // predecessor: the successor has the listeners and can start
+	Stopped                        // predecessor: the controller has ended, its record is closed, the lock released
+	ServingCame                    // predecessor: the successor serves
+	Offered                        // successor: the listeners came
+	GoCame                         // successor: the predecessor has stopped
+	Lost                           // the connection broke, or an answer took too long
+	Claimed                        // the lock was got
+	Refused                        // another process holds the lock
+	Started                        // the controller runs
+	Failed                         // the controller could not be started
 )
 
 // Action is what to do next.
--- a/recovery/predecessor.go
+++ b/recovery/predecessor.go
@@ -31,7 +31,7 @@
 }
 
 func (o *Predecessor) whenServing(e Event) Action {
-	if e != Asked {
+	if e != TakeoverRequested {
 		return Nothing
 	}
 	o.state = stateOffered
--- a/recovery/world_steps_test.go
+++ b/recovery/world_steps_test.go
@@ -37,7 +37,7 @@
 			w.report(successorIndex, recovery.Lost)
 			return
 		}
-		w.report(predecessorIndex, recovery.Asked)
+		w.report(predecessorIndex, recovery.TakeoverRequested)
 		successor.waiting = true
 	}
 }
