--- a/internal/handover/handoff.go
+++ b/internal/handover/handoff.go
@@ -166,7 +166,7 @@
 		m.Names = append(m.Names, name)
 		files = append(files, file)
 	}
-	return exchange(conn, m, files, stepReady, recovery.ReadyCame)
+	return exchange(conn, m, files, stepReady, recovery.ReadyReceived)
 }
 
 // exchange sends a message and waits for a step of the other side, which gives an event; anything else gives Lost.
--- a/recovery/handover.go
+++ b/recovery/handover.go
@@ -27,7 +27,7 @@
 // The events. Claim stands for the lock.
 const (
 	TakeoverRequested Event = iota // predecessor: a successor requests to take over
-	ReadyCame                      // predecessor: the successor has the listeners and can start
+	ReadyReceived                  // predecessor: the successor has the listeners and can start
 	Stopped                        // predecessor: the controller has ended, its record is closed, the lock released
 	ServingCame                    // predecessor: the successor serves
 	Offered                        // successor: the listeners came
--- a/recovery/predecessor.go
+++ b/recovery/predecessor.go
@@ -40,7 +40,7 @@
 
 // whenOffered goes back to serving if the successor gave up: nothing was stopped.
 func (o *Predecessor) whenOffered(e Event) Action {
-	if e != ReadyCame {
+	if e != ReadyReceived {
 		o.state = stateServing
 		return Nothing
 	}
--- a/recovery/world_test.go
+++ b/recovery/world_test.go
@@ -218,7 +218,7 @@
 	case recovery.SayOffer:
 		w.sendAndWait(i, recovery.Offered)
 	case recovery.SayReady:
-		w.sendAndWait(i, recovery.ReadyCame)
+		w.sendAndWait(i, recovery.ReadyReceived)
 	case recovery.SayGo:
 		w.sendAndWait(i, recovery.GoCame)
 	case recovery.SayServing:
