--- a/internal/handover/handoff.go
+++ b/internal/handover/handoff.go
@@ -141,7 +141,7 @@
 			o.Stop()
 			event = recovery.Stopped
 		case recovery.SayGo:
-			event = exchange(conn, message{Step: stepGo}, nil, stepServing, recovery.ServingCame)
+			event = exchange(conn, message{Step: stepGo}, nil, stepServing, recovery.ServingReceived)
 		case recovery.Claim:
 			lock, err := AcquireLock(o.socket)
 			if err != nil {
--- a/recovery/handover.go
+++ b/recovery/handover.go
@@ -29,7 +29,7 @@
 	TakeoverRequested Event = iota // predecessor: a successor requests to take over
 	ReadyReceived                  // predecessor: the successor has the listeners and can start
 	Stopped                        // predecessor: the controller has ended, its record is closed, the lock released
-	ServingCame                    // predecessor: the successor serves
+	ServingReceived                // predecessor: the successor serves
 	Offered                        // successor: the listeners came
 	GoCame                         // successor: the predecessor has stopped
 	Lost                           // the connection broke, or an answer took too long
--- a/recovery/predecessor.go
+++ b/recovery/predecessor.go
@@ -59,7 +59,7 @@
 // whenReleased tries the lock unless the successor says that it serves: whether it does or has died, only the lock
 // tells.
 func (o *Predecessor) whenReleased(e Event) Action {
-	if e == ServingCame {
+	if e == ServingReceived {
 		o.state = stateEnded
 		return End
 	}
--- a/recovery/world_test.go
+++ b/recovery/world_test.go
@@ -222,7 +222,7 @@
 	case recovery.SayGo:
 		w.sendAndWait(i, recovery.GoCame)
 	case recovery.SayServing:
-		w.send(i, recovery.ServingCame)
+		w.send(i, recovery.ServingReceived)
 	case recovery.StopPilot:
 		w.committed = len(w.turns)
 		w.stopController(i)
