--- a/internal/handover/takeover.go
+++ b/internal/handover/takeover.go
@@ -69,7 +69,7 @@
 // Claim says that all that can be checked is good, waits until the old process has stopped its controller and takes the
 // lock. If the old process is lost instead, the lock tells whether it still serves.
 func (t *Takeover) Claim() (*Lock, error) {
-	event := recovery.Offered
+	event := recovery.OfferReceived
 	var failure error // what led to the end
 	for {
 		switch t.machine.Next(event) {
--- a/recovery/handover.go
+++ b/recovery/handover.go
@@ -30,7 +30,7 @@
 	ReadyReceived                  // predecessor: the successor has the listeners and can start
 	Stopped                        // predecessor: the controller has ended, its record is closed, the lock released
 	ServingReceived                // predecessor: the successor serves
-	Offered                        // successor: the listeners came
+	OfferReceived                  // successor: the listeners came
 	GoCame                         // successor: the predecessor has stopped
 	Lost                           // the connection broke, or an answer took too long
 	Claimed                        // the lock was got
--- a/recovery/successor.go
+++ b/recovery/successor.go
@@ -24,7 +24,7 @@
 }
 
 func (n *Successor) whenRequesting(e Event) Action {
-	if e != Offered {
+	if e != OfferReceived {
 		return n.end()
 	}
 	n.state = stateReady
--- a/recovery/world_test.go
+++ b/recovery/world_test.go
@@ -216,7 +216,7 @@
 	p.action = recovery.Nothing
 	switch action {
 	case recovery.SayOffer:
-		w.sendAndWait(i, recovery.Offered)
+		w.sendAndWait(i, recovery.OfferReceived)
 	case recovery.SayReady:
 		w.sendAndWait(i, recovery.ReadyReceived)
 	case recovery.SayGo:
