--- a/internal/handover/takeover.go
+++ b/internal/handover/takeover.go
@@ -74,7 +74,7 @@
 	for {
 		switch t.machine.Next(event) {
 		case recovery.SayReady:
-			event = recovery.GoCame
+			event = recovery.GoReceived
 			if failure = t.awaitStop(); failure != nil {
 				event = recovery.Lost
 			}
--- a/recovery/handover.go
+++ b/recovery/handover.go
@@ -31,7 +31,7 @@
 	Stopped                        // predecessor: the controller has ended, its record is closed, the lock released
 	ServingReceived                // predecessor: the successor serves
 	OfferReceived                  // successor: the listeners came
-	GoCame                         // successor: the predecessor has stopped
+	GoReceived                     // successor: the predecessor has stopped
 	Lost                           // the connection broke, or an answer took too long
 	Claimed                        // the lock was got
 	Refused                        // another process holds the lock
--- a/recovery/world_test.go
+++ b/recovery/world_test.go
@@ -220,7 +220,7 @@
 	case recovery.SayReady:
 		w.sendAndWait(i, recovery.ReadyReceived)
 	case recovery.SayGo:
-		w.sendAndWait(i, recovery.GoCame)
+		w.sendAndWait(i, recovery.GoReceived)
 	case recovery.SayServing:
 		w.send(i, recovery.ServingReceived)
 	case recovery.StopPilot:
