--- a/internal/handover/handoff.go
+++ b/internal/handover/handoff.go
@@ -172,10 +172,10 @@
 // exchange sends a message and waits for a step of the other side, which gives an event; anything else gives Lost.
 func exchange(conn *net.UnixConn, m message, files []*os.File, step string, came recovery.Event) recovery.Event {
 	if err := send(conn, m, files); err != nil {
-		return recovery.Lost
+		return recovery.PeerLost
 	}
 	if err := expect(conn, step, StepTimeout); err != nil {
-		return recovery.Lost
+		return recovery.PeerLost
 	}
 	return came
 }
--- a/internal/handover/takeover.go
+++ b/internal/handover/takeover.go
@@ -76,7 +76,7 @@
 		case recovery.SayReady:
 			event = recovery.GoReceived
 			if failure = t.awaitStop(); failure != nil {
-				event = recovery.Lost
+				event = recovery.PeerLost
 			}
 		case recovery.Claim:
 			lock, err := AcquireLock(t.socket)
--- a/recovery/handover.go
+++ b/recovery/handover.go
@@ -32,7 +32,7 @@
 	ServingReceived                // predecessor: the successor serves
 	OfferReceived                  // successor: the listeners came
 	GoReceived                     // successor: the predecessor has stopped
-	Lost                           // the connection broke, or an answer took too long
+	PeerLost                       // the connection broke, or an answer took too long
 	Claimed                        // the lock was got
 	Refused                        // another process holds the lock
 	Started                        // the controller runs
--- a/recovery/successor.go
+++ b/recovery/successor.go
@@ -33,7 +33,7 @@
 
 // whenReady tries the lock also if the predecessor was lost: it may have stopped or died, and if not it has the lock.
 func (n *Successor) whenReady(e Event) Action {
-	if e != GoReceived && e != Lost {
+	if e != GoReceived && e != PeerLost {
 		return n.end()
 	}
 	n.state = stateClaiming
--- a/recovery/world_steps_test.go
+++ b/recovery/world_steps_test.go
@@ -34,7 +34,7 @@
 	s["ask"] = func() {
 		successor.requested = true
 		if w.cut || !w.processes[predecessorIndex].alive {
-			w.report(successorIndex, recovery.Lost)
+			w.report(successorIndex, recovery.PeerLost)
 			return
 		}
 		w.report(predecessorIndex, recovery.TakeoverRequested)
@@ -58,7 +58,7 @@
 	if p.waiting && len(w.messages[i]) == 0 && (w.cut || !w.processes[1-i].alive) {
 		s[fmt.Sprint("lost ", i)] = func() {
 			w.cut = true
-			w.report(i, recovery.Lost)
+			w.report(i, recovery.PeerLost)
 		}
 	}
 	if w.crashes == 0 {
