--- a/internal/handover/handoff.go
+++ b/internal/handover/handoff.go
@@ -149,7 +149,7 @@
 				backoff.Sleep(ctx, lockRetryInterval)
 				continue
 			}
-			machine.Next(recovery.Claimed)
+			machine.Next(recovery.LockAcquired)
 			o.Resume(lock)
 			return false
 		default:
--- a/internal/handover/takeover.go
+++ b/internal/handover/takeover.go
@@ -81,7 +81,7 @@
 		case recovery.Claim:
 			lock, err := AcquireLock(t.socket)
 			if err == nil {
-				t.machine.Next(recovery.Claimed)
+				t.machine.Next(recovery.LockAcquired)
 				return lock, nil
 			}
 			event = recovery.Refused
--- a/recovery/handover.go
+++ b/recovery/handover.go
@@ -33,7 +33,7 @@
 	OfferReceived                  // successor: the listeners came
 	GoReceived                     // successor: the predecessor has stopped
 	PeerLost                       // the connection broke, or an answer took too long
-	Claimed                        // the lock was got
+	LockAcquired                   // the lock was got
 	Refused                        // another process holds the lock
 	Started                        // the controller runs
 	Failed                         // the controller could not be started
--- a/recovery/predecessor.go
+++ b/recovery/predecessor.go
@@ -71,7 +71,7 @@
 // whenReclaiming serves again with the lock, and ends if another process keeps it.
 func (o *Predecessor) whenReclaiming(e Event) Action {
 	switch e {
-	case Claimed:
+	case LockAcquired:
 		o.state = stateServing
 		return StartPilot
 	case Refused:
--- a/recovery/successor.go
+++ b/recovery/successor.go
@@ -41,7 +41,7 @@
 }
 
 func (n *Successor) whenClaiming(e Event) Action {
-	if e != Claimed {
+	if e != LockAcquired {
 		return n.end()
 	}
 	n.state = stateStarting
--- a/recovery/world_test.go
+++ b/recovery/world_test.go
@@ -250,7 +250,7 @@
 		ignoresLock = w.faults.startsUnlocked
 	}
 	if w.acquireLock(i) || ignoresLock {
-		return recovery.Claimed
+		return recovery.LockAcquired
 	}
 	return recovery.Refused
 }
