--- a/internal/handover/handoff.go
+++ b/internal/handover/handoff.go
@@ -145,7 +145,7 @@
 		case recovery.Claim:
 			lock, err := AcquireLock(o.socket)
 			if err != nil {
-				event = recovery.Refused
+				event = recovery.LockRefused
 				backoff.Sleep(ctx, lockRetryInterval)
 				continue
 			}
--- a/internal/handover/takeover.go
+++ b/internal/handover/takeover.go
@@ -84,7 +84,7 @@
 				t.machine.Next(recovery.LockAcquired)
 				return lock, nil
 			}
-			event = recovery.Refused
+			event = recovery.LockRefused
 			failure = errors.Join(failure, err)
 		default:
 			return nil, fmt.Errorf("take over: %w", failure)
--- a/recovery/handover.go
+++ b/recovery/handover.go
@@ -34,7 +34,7 @@
 	GoReceived                     // successor: the predecessor has stopped
 	PeerLost                       // the connection broke, or an answer took too long
 	LockAcquired                   // the lock was got
-	Refused                        // another process holds the lock
+	LockRefused                    // another process holds the lock
 	Started                        // the controller runs
 	Failed                         // the controller could not be started
 )
--- a/recovery/predecessor.go
+++ b/recovery/predecessor.go
@@ -74,7 +74,7 @@
 	case LockAcquired:
 		o.state = stateServing
 		return StartPilot
-	case Refused:
+	case LockRefused:
 		o.refusals++
 		if o.refusals < o.MaxLockAttempts {
 			return Claim
--- a/recovery/world_test.go
+++ b/recovery/world_test.go
@@ -252,7 +252,7 @@
 	if w.acquireLock(i) || ignoresLock {
 		return recovery.LockAcquired
 	}
-	return recovery.Refused
+	return recovery.LockRefused
 }
 
 // endpointList is the whole list as it is now: endpoint 0 drains after its change.
