--- a/internal/handover/handoff.go
+++ b/internal/handover/handoff.go
@@ -139,7 +139,7 @@
 			event = o.offerListeners(conn)
 		case recovery.StopPilot:
 			o.Stop()
-			event = recovery.Stopped
+			event = recovery.PilotStopped
 		case recovery.SayGo:
 			event = exchange(conn, message{Step: stepGo}, nil, stepServing, recovery.ServingReceived)
 		case recovery.Claim:
--- a/recovery/handover.go
+++ b/recovery/handover.go
@@ -28,7 +28,7 @@
 const (
 	TakeoverRequested Event = iota // predecessor: a successor requests to take over
 	ReadyReceived                  // predecessor: the successor has the listeners and can start
-	Stopped                        // predecessor: the controller has ended, its record is closed, the lock released
+	PilotStopped                   // predecessor: the controller has ended, its record is closed, the lock released
 	ServingReceived                // predecessor: the successor serves
 	OfferReceived                  // successor: the listeners came
 	GoReceived                     // successor: the predecessor has stopped
--- a/recovery/predecessor.go
+++ b/recovery/predecessor.go
@@ -49,7 +49,7 @@
 }
 
 func (o *Predecessor) whenStopping(e Event) Action {
-	if e != Stopped {
+	if e != PilotStopped {
 		return Nothing
 	}
 	o.state = stateReleased
--- a/recovery/world_test.go
+++ b/recovery/world_test.go
@@ -227,7 +227,7 @@
 		w.committed = len(w.turns)
 		w.stopController(i)
 		w.releaseLock(i)
-		w.report(i, recovery.Stopped)
+		w.report(i, recovery.PilotStopped)
 	case recovery.Claim:
 		w.report(i, w.tryLock(i))
 	case recovery.StartPilot:
