--- a/internal/handover/takeover.go
+++ b/internal/handover/takeover.go
@@ -103,7 +103,7 @@
 // Started reports whether the controller runs; if so the old process is notified, and ends. That it may not hear
 // changes nothing: who holds the lock serves.
 func (t *Takeover) Started(runs bool) {
-	event := recovery.Started
+	event := recovery.PilotStarted
 	if !runs {
 		event = recovery.Failed
 	}
--- a/recovery/handover.go
+++ b/recovery/handover.go
@@ -35,7 +35,7 @@
 	PeerLost                       // the connection broke, or an answer took too long
 	LockAcquired                   // the lock was got
 	LockRefused                    // another process holds the lock
-	Started                        // the controller runs
+	PilotStarted                   // the controller runs
 	Failed                         // the controller could not be started
 )
 
--- a/recovery/successor.go
+++ b/recovery/successor.go
@@ -51,7 +51,7 @@
 // whenStarting releases the lock if the controller could not be started.
 func (n *Successor) whenStarting(e Event) Action {
 	switch e {
-	case Started:
+	case PilotStarted:
 		n.state = stateServing
 		return SayServing
 	case Failed:
--- a/recovery/world_test.go
+++ b/recovery/world_test.go
@@ -233,7 +233,7 @@
 	case recovery.StartPilot:
 		w.startController(i)
 		if p.successor != nil {
-			w.report(i, recovery.Started)
+			w.report(i, recovery.PilotStarted)
 		}
 	case recovery.LetGo, recovery.End:
 		if p.successor != nil || p.predecessor.Replaced() {
