--- a/internal/handover/takeover.go
+++ b/internal/handover/takeover.go
@@ -105,7 +105,7 @@
 func (t *Takeover) Started(runs bool) {
 	event := recovery.PilotStarted
 	if !runs {
-		event = recovery.Failed
+		event = recovery.PilotStartFailed
 	}
 	if t.machine.Next(event) == recovery.SayServing {
 		_ = send(t.conn, message{Step: stepServing}, nil)
--- a/recovery/handover.go
+++ b/recovery/handover.go
@@ -36,7 +36,7 @@
 	LockAcquired                   // the lock was got
 	LockRefused                    // another process holds the lock
 	PilotStarted                   // the controller runs
-	Failed                         // the controller could not be started
+	PilotStartFailed               // the controller could not be started
 )
 
 // Action is what to do next.
--- a/recovery/successor.go
+++ b/recovery/successor.go
@@ -54,7 +54,7 @@
 	case PilotStarted:
 		n.state = stateServing
 		return SayServing
-	case Failed:
+	case PilotStartFailed:
 		n.state = stateEnded
 		return LetGo
 	}
