--- a/internal/handover/handoff.go
+++ b/internal/handover/handoff.go
@@ -135,7 +135,7 @@
 	event := recovery.TakeoverRequested
 	for {
 		switch machine.Next(event) {
-		case recovery.SayOffer:
+		case recovery.SendOffer:
 			event = o.offerListeners(conn)
 		case recovery.StopPilot:
 			o.Stop()
--- a/recovery/handover.go
+++ b/recovery/handover.go
@@ -45,7 +45,7 @@
 // The actions.
 const (
 	Nothing    Action = iota
-	SayOffer          // predecessor: send the listeners, then wait for ReadyCame
+	SendOffer         // predecessor: send the listeners, then wait for ReadyCame
 	StopPilot         // predecessor: end the controller, close its record, release the lock
 	SayGo             // predecessor: say that it has stopped, then wait for ServingCame
 	Claim             // try the lock once; at once the first time, then after a pause
--- a/recovery/predecessor.go
+++ b/recovery/predecessor.go
@@ -35,7 +35,7 @@
 		return Nothing
 	}
 	o.state = stateOffered
-	return SayOffer
+	return SendOffer
 }
 
 // whenOffered goes back to serving if the successor gave up: nothing was stopped.
--- a/recovery/world_test.go
+++ b/recovery/world_test.go
@@ -215,7 +215,7 @@
 	action := p.action
 	p.action = recovery.Nothing
 	switch action {
-	case recovery.SayOffer:
+	case recovery.SendOffer:
 		w.sendAndWait(i, recovery.OfferReceived)
 	case recovery.SayReady:
 		w.sendAndWait(i, recovery.ReadyReceived)
