--- a/internal/handover/handoff.go
+++ b/internal/handover/handoff.go
@@ -140,7 +140,7 @@
 		case recovery.StopPilot:
 			o.Stop()
 			event = recovery.PilotStopped
-		case recovery.SayGo:
+		case recovery.SendGo:
 			event = exchange(conn, message{Step: stepGo}, nil, stepServing, recovery.ServingReceived)
 		case recovery.Claim:
 			lock, err := AcquireLock(o.socket)
--- a/recovery/handover.go
+++ b/recovery/handover.go
@@ -47,7 +47,7 @@
 	Nothing    Action = iota
 	SendOffer         // predecessor: send the listeners, then wait for ReadyCame
 	StopPilot         // predecessor: end the controller, close its record, release the lock
-	SayGo             // predecessor: say that it has stopped, then wait for ServingCame
+	SendGo            // predecessor: say that it has stopped, then wait for ServingCame
 	Claim             // try the lock once; at once the first time, then after a pause
 	StartPilot        // start the controller on the record
 	SayReady          // successor: say that it can start, then wait for GoCame
--- a/recovery/predecessor.go
+++ b/recovery/predecessor.go
@@ -53,7 +53,7 @@
 		return Nothing
 	}
 	o.state = stateReleased
-	return SayGo
+	return SendGo
 }
 
 // whenReleased tries the lock unless the successor says that it serves: whether it does or has died, only the lock
--- a/recovery/world_test.go
+++ b/recovery/world_test.go
@@ -219,7 +219,7 @@
 		w.sendAndWait(i, recovery.OfferReceived)
 	case recovery.SayReady:
 		w.sendAndWait(i, recovery.ReadyReceived)
-	case recovery.SayGo:
+	case recovery.SendGo:
 		w.sendAndWait(i, recovery.GoReceived)
 	case recovery.SayServing:
 		w.send(i, recovery.ServingReceived)
