--- a/internal/handover/handoff.go
+++ b/internal/handover/handoff.go
@@ -142,7 +142,7 @@
 			event = recovery.PilotStopped
 		case recovery.SendGo:
 			event = exchange(conn, message{Step: stepGo}, nil, stepServing, recovery.ServingReceived)
-		case recovery.Claim:
+		case recovery.AcquireLock:
 			lock, err := AcquireLock(o.socket)
 			if err != nil {
 				event = recovery.LockRefused
--- a/internal/handover/takeover.go
+++ b/internal/handover/takeover.go
@@ -78,7 +78,7 @@
 			if failure = t.awaitStop(); failure != nil {
 				event = recovery.PeerLost
 			}
-		case recovery.Claim:
+		case recovery.AcquireLock:
 			lock, err := AcquireLock(t.socket)
 			if err == nil {
 				t.machine.Next(recovery.LockAcquired)
--- a/recovery/handover.go
+++ b/recovery/handover.go
@@ -44,16 +44,16 @@
 
 // The actions.
 const (
-	Nothing    Action = iota
-	SendOffer         // predecessor: send the listeners, then wait for ReadyCame
-	StopPilot         // predecessor: end the controller, close its record, release the lock
-	SendGo            // predecessor: say that it has stopped, then wait for ServingCame
-	Claim             // try the lock once; at once the first time, then after a pause
-	StartPilot        // start the controller on the record
-	SayReady          // successor: say that it can start, then wait for GoCame
-	SayServing        // successor: say that it serves; nobody waits for an answer
-	LetGo             // release the lock, and end
-	End               // the process ends, or gives up what it tried
+	Nothing     Action = iota
+	SendOffer          // predecessor: send the listeners, then wait for ReadyCame
+	StopPilot          // predecessor: end the controller, close its record, release the lock
+	SendGo             // predecessor: say that it has stopped, then wait for ServingCame
+	AcquireLock        // try the lock once; at once the first time, then after a pause
+	StartPilot         // start the controller on the record
+	SayReady           // successor: say that it can start, then wait for GoCame
+	SayServing         // successor: say that it serves; nobody waits for an answer
+	LetGo              // release the lock, and end
+	End                // the process ends, or gives up what it tried
 )
 
 // state is where a side stands.
--- a/recovery/predecessor.go
+++ b/recovery/predecessor.go
@@ -65,7 +65,7 @@
 	}
 	o.state = stateReclaiming
 	o.refusals = 0
-	return Claim
+	return AcquireLock
 }
 
 // whenReclaiming serves again with the lock, and ends if another process keeps it.
@@ -77,7 +77,7 @@
 	case LockRefused:
 		o.refusals++
 		if o.refusals < o.MaxLockAttempts {
-			return Claim
+			return AcquireLock
 		}
 		o.state = stateEnded
 		return End
--- a/recovery/successor.go
+++ b/recovery/successor.go
@@ -37,7 +37,7 @@
 		return n.end()
 	}
 	n.state = stateClaiming
-	return Claim
+	return AcquireLock
 }
 
 func (n *Successor) whenClaiming(e Event) Action {
--- a/recovery/world_test.go
+++ b/recovery/world_test.go
@@ -228,7 +228,7 @@
 		w.stopController(i)
 		w.releaseLock(i)
 		w.report(i, recovery.PilotStopped)
-	case recovery.Claim:
+	case recovery.AcquireLock:
 		w.report(i, w.tryLock(i))
 	case recovery.StartPilot:
 		w.startController(i)
