--- a/internal/handover/takeover.go
+++ b/internal/handover/takeover.go
@@ -73,7 +73,7 @@
 	var failure error // what led to the end
 	for {
 		switch t.machine.Next(event) {
-		case recovery.SayReady:
+		case recovery.SendReady:
 			event = recovery.GoReceived
 			if failure = t.awaitStop(); failure != nil {
 				event = recovery.PeerLost
--- a/recovery/handover.go
+++ b/recovery/handover.go
@@ -50,7 +50,7 @@
 	SendGo             // predecessor: say that it has stopped, then wait for ServingCame
 	AcquireLock        // try the lock once; at once the first time, then after a pause
 	StartPilot         // start the controller on the record
-	SayReady           // successor: say that it can start, then wait for GoCame
+	SendReady          // successor: say that it can start, then wait for GoCame
 	SayServing         // successor: say that it serves; nobody waits for an answer
 	LetGo              // release the lock, and end
 	End                // the process ends, or gives up what it tried
--- a/recovery/successor.go
+++ b/recovery/successor.go
@@ -28,7 +28,7 @@
 		return n.end()
 	}
 	n.state = stateReady
-	return SayReady
+	return SendReady
 }
 
 // whenReady tries the lock also if the predecessor was lost: it may have stopped or died, and if not it has the lock.
--- a/recovery/world_test.go
+++ b/recovery/world_test.go
@@ -217,7 +217,7 @@
 	switch action {
 	case recovery.SendOffer:
 		w.sendAndWait(i, recovery.OfferReceived)
-	case recovery.SayReady:
+	case recovery.SendReady:
 		w.sendAndWait(i, recovery.ReadyReceived)
 	case recovery.SendGo:
 		w.sendAndWait(i, recovery.GoReceived)
