--- a/internal/handover/takeover.go
+++ b/internal/handover/takeover.go
@@ -107,7 +107,7 @@
 	if !runs {
 		event = recovery.PilotStartFailed
 	}
-	if t.machine.Next(event) == recovery.SayServing {
+	if t.machine.Next(event) == recovery.SendServing {
 		_ = send(t.conn, message{Step: stepServing}, nil)
 	}
 	_ = t.conn.Close()
--- a/recovery/handover.go
+++ b/recovery/handover.go
@@ -51,7 +51,7 @@
 	AcquireLock        // try the lock once; at once the first time, then after a pause
 	StartPilot         // start the controller on the record
 	SendReady          // successor: say that it can start, then wait for GoCame
-	SayServing         // successor: say that it serves; nobody waits for an answer
+	SendServing        // successor: say that it serves; nobody waits for an answer
 	LetGo              // release the lock, and end
 	End                // the process ends, or gives up what it tried
 )
--- a/recovery/successor.go
+++ b/recovery/successor.go
@@ -53,7 +53,7 @@
 	switch e {
 	case PilotStarted:
 		n.state = stateServing
-		return SayServing
+		return SendServing
 	case PilotStartFailed:
 		n.state = stateEnded
 		return LetGo
--- a/recovery/world_test.go
+++ b/recovery/world_test.go
@@ -221,7 +221,7 @@
 		w.sendAndWait(i, recovery.ReadyReceived)
 	case recovery.SendGo:
 		w.sendAndWait(i, recovery.GoReceived)
-	case recovery.SayServing:
+	case recovery.SendServing:
 		w.send(i, recovery.ServingReceived)
 	case recovery.StopPilot:
 		w.committed = len(w.turns)
