--- a/recovery/handover.go
+++ b/recovery/handover.go
@@ -52,7 +52,7 @@
 	StartPilot         // start the controller on the record
 	SendReady          // successor: say that it can start, then wait for GoCame
 	SendServing        // successor: say that it serves; nobody waits for an answer
-	LetGo              // release the lock, and end
+	ReleaseLock        // release the lock, and end
 	End                // the process ends, or gives up what it tried
 )
 
--- a/recovery/successor.go
+++ b/recovery/successor.go
@@ -56,7 +56,7 @@
 		return SendServing
 	case PilotStartFailed:
 		n.state = stateEnded
-		return LetGo
+		return ReleaseLock
 	}
 	return n.end()
 }
--- a/recovery/world_test.go
+++ b/recovery/world_test.go
@@ -235,7 +235,7 @@
 		if p.successor != nil {
 			w.report(i, recovery.PilotStarted)
 		}
-	case recovery.LetGo, recovery.End:
+	case recovery.ReleaseLock, recovery.End:
 		if p.successor != nil || p.predecessor.Replaced() {
 			w.releaseLock(i)
 			p.alive = false
