--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -34,10 +34,10 @@
 		Acked{stream, wire.Done{Mark: 8}}, // never sent
 		HealthChecked{"x", "ok", 5, []wire.Figure{{Name: "util", Value: 0.5}}},
 		LoadReported{stream, &wire.Sums{
-			Seq:    1,
-			SpanMs: 500,
-			Met:    []wire.Met{{Endpoint: "x", Tries: 4, Failed: 1, MeanMs: 20}, {Endpoint: "never listed", Tries: 1}},
-			Demand: []wire.Demand{{Kind: "book", Reqs: 5, Unanswered: 1}},
+			Seq:           1,
+			SpanMs:        500,
+			EndpointStats: []wire.Met{{Endpoint: "x", Tries: 4, Failed: 1, MeanMs: 20}, {Endpoint: "never listed", Tries: 1}},
+			Demand:        []wire.Demand{{Kind: "book", Reqs: 5, Unanswered: 1}},
 		}},
 	})
 	c.Handle(2300, []Input{ProxyLeft{stream}, ProxyLeft{stream}})
@@ -196,7 +196,7 @@
 				case 3:
 					in = []Input{LoadReported{stream, &wire.Sums{
 						Seq: uint64(i + 1), AtMs: now, SpanMs: 200,
-						Met: []wire.Met{{Endpoint: "x", Tries: 9, Failed: i % 9}},
+						EndpointStats: []wire.Met{{Endpoint: "x", Tries: 9, Failed: i % 9}},
 					}}}
 				case 4:
 					e := entry("x", 0)
--- a/internal/controller/malformed_test.go
+++ b/internal/controller/malformed_test.go
@@ -34,7 +34,7 @@
 				for e := range 9 {
 					m := wire.Met{Endpoint: fmt.Sprint("e", e), Tries: 9, MeanMs: 20, Load: []wire.Figure{{Name: "util", Value: 0.4}}}
 					change(s, &m)
-					s.Met = append(s.Met, m)
+					s.EndpointStats = append(s.EndpointStats, m)
 				}
 				f.handle(LoadReported{bad, s})
 				f.until(f.now + 1000)
--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -143,7 +143,7 @@
 	r.Seq = sums.Seq
 	r.AtMs = sums.AtMs
 	r.SpanMs = sums.SpanMs
-	g.fillLines(r, sums.Met)
+	g.fillLines(r, sums.EndpointStats)
 	g.fillClasses(r, sums.Demand)
 	g.aggregator.Add(nowMs, r)
 	if joined {
--- a/internal/controller/reportgate_test.go
+++ b/internal/controller/reportgate_test.go
@@ -25,10 +25,10 @@
 	c.Handle(1, []Input{ProxyLeft{left}})
 	for i, s := range []Stream{&fakeTransport{}, left} {
 		c.Handle(float64(100+i), []Input{LoadReported{s, &wire.Sums{
-			Seq:    1,
-			SpanMs: 500,
-			Met:    []wire.Met{{Endpoint: "x", Tries: 4}},
-			Demand: []wire.Demand{{Kind: "book", Reqs: 5}},
+			Seq:           1,
+			SpanMs:        500,
+			EndpointStats: []wire.Met{{Endpoint: "x", Tries: 4}},
+			Demand:        []wire.Demand{{Kind: "book", Reqs: 5}},
 		}}})
 	}
 	c.Handle(2200, nil)
@@ -51,10 +51,10 @@
 	c.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0)), ProxyJoined{stream, hello("p", "a")}})
 	report := func(at float64, seq uint64) {
 		c.Handle(at, []Input{LoadReported{stream, &wire.Sums{
-			Seq:    seq,
-			AtMs:   at,
-			SpanMs: 100,
-			Met:    []wire.Met{{Endpoint: "x", Tries: 1, MeanMs: 10}, {Endpoint: "y", Tries: 2, Failed: 2}},
+			Seq:           seq,
+			AtMs:          at,
+			SpanMs:        100,
+			EndpointStats: []wire.Met{{Endpoint: "x", Tries: 1, MeanMs: 10}, {Endpoint: "y", Tries: 2, Failed: 2}},
 		}}})
 	}
 	d.events = nil
--- a/internal/daemon/hostile_test.go
+++ b/internal/daemon/hostile_test.go
@@ -174,7 +174,7 @@
 		Seq:    math.MaxUint64,
 		AtMs:   1e308,
 		SpanMs: 1e308,
-		Met: []wire.Met{
+		EndpointStats: []wire.Met{
 			{Endpoint: "x:1", Tries: math.MaxInt32, Failed: math.MaxInt32, MeanMs: 1e308, Load: load},
 			{Endpoint: "never:1", Tries: 5},
 		},
--- a/internal/testbed/routing/reports.go
+++ b/internal/testbed/routing/reports.go
@@ -113,7 +113,7 @@
 func (r *Router) Report(nowMs float64, request ReportRequest) *wire.Sums {
 	r.reportSeq++
 	report := &wire.Sums{Seq: r.reportSeq, AtMs: nowMs, SpanMs: math.Max(0, nowMs-r.lastReportMs)}
-	report.Met = r.reportEndpoints(request)
+	report.EndpointStats = r.reportEndpoints(request)
 	for _, class := range slices.Sorted(maps.Keys(r.demand)) {
 		report.Demand = append(report.Demand, *r.demand[class])
 	}
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -79,7 +79,7 @@
 		Seq:    1,
 		AtMs:   5,
 		SpanMs: 1000,
-		Met: []wire.Met{{
+		EndpointStats: []wire.Met{{
 			Endpoint: "x",
 			Tries:    4,
 			Failed:   1,
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -85,7 +85,7 @@
 		if err != nil {
 			return nil, err
 		}
-		sums.Met = append(sums.Met, met)
+		sums.EndpointStats = append(sums.EndpointStats, met)
 	}
 	for _, k := range r.GetKinds() {
 		demand := wire.Demand{Kind: k.GetKind(), Reqs: int(k.GetReqs()), Unanswered: int(k.GetUnanswered())}
--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -29,8 +29,8 @@
 // Report encodes a load report.
 func Report(s *wire.Sums) *pb.Report {
 	report := &pb.Report{Number: s.Seq, AtMs: s.AtMs, SpanMs: s.SpanMs}
-	for i := range s.Met {
-		report.Endpoints = append(report.Endpoints, endpointLoad(&s.Met[i]))
+	for i := range s.EndpointStats {
+		report.Endpoints = append(report.Endpoints, endpointLoad(&s.EndpointStats[i]))
 	}
 	for _, d := range s.Demand {
 		kind := &pb.KindLoad{Kind: d.Kind, Reqs: uint32(d.Reqs), Unanswered: uint32(d.Unanswered)}
--- a/internal/transport/xds/hostile_test.go
+++ b/internal/transport/xds/hostile_test.go
@@ -81,7 +81,7 @@
 			return
 		}
 		assert.True(t, s.SpanMs > 0 && !math.IsInf(s.SpanMs, 0), "%v", s.SpanMs)
-		for _, m := range s.Met {
+		for _, m := range s.EndpointStats {
 			assert.True(t, m.Failed >= 0 && m.Failed <= m.Tries, "%+v", m)
 		}
 		for _, d := range s.Demand {
--- a/internal/transport/xds/lrs.go
+++ b/internal/transport/xds/lrs.go
@@ -90,7 +90,7 @@
 		sums.Demand = append(sums.Demand, addCluster(byEndpoint, c))
 	}
 	for _, name := range slices.Sorted(maps.Keys(byEndpoint)) {
-		sums.Met = append(sums.Met, *byEndpoint[name])
+		sums.EndpointStats = append(sums.EndpointStats, *byEndpoint[name])
 	}
 	return sums, nil
 }
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -9,12 +9,12 @@
 
 // sampleSums has every field set.
 var sampleSums = &Sums{
-	Seq:    3,
-	AtMs:   5.5,
-	SpanMs: 1000,
-	Met:    []Met{{"x:1", 9, 2, 4.5, []Figure{{"util", 0.5}, {"rate", 3}}}},
-	Demand: []Demand{{"read", 5, 1}},
-	Slices: []SliceLoad{{7, "read", 3, 1}},
+	Seq:           3,
+	AtMs:          5.5,
+	SpanMs:        1000,
+	EndpointStats: []Met{{"x:1", 9, 2, 4.5, []Figure{{"util", 0.5}, {"rate", 3}}}},
+	Demand:        []Demand{{"read", 5, 1}},
+	Slices:        []SliceLoad{{7, "read", 3, 1}},
 }
 
 // samples has one of each message, every field set.
--- a/internal/wire/report.go
+++ b/internal/wire/report.go
@@ -2,12 +2,12 @@
 
 // Sums is a proxy's report on what happened since its last one.
 type Sums struct {
-	Seq    uint64  // number of the report in its stream, from 1
-	AtMs   float64 // on the proxy's own clock, of which only differences have a meaning
-	SpanMs float64 // time that the report covers
-	Met    []Met
-	Demand []Demand
-	Slices []SliceLoad // only in a deployment with slices
+	Seq           uint64  // number of the report in its stream, from 1
+	AtMs          float64 // on the proxy's own clock, of which only differences have a meaning
+	SpanMs        float64 // time that the report covers
+	EndpointStats []Met
+	Demand        []Demand
+	Slices        []SliceLoad // only in a deployment with slices
 }
 
 // Met sums a proxy's attempts at one endpoint.
@@ -46,9 +46,9 @@
 	e.uvarint(m.Seq)
 	e.float(m.AtMs)
 	e.float(m.SpanMs)
-	e.length(len(m.Met))
-	for i := range m.Met {
-		e.met(&m.Met[i])
+	e.length(len(m.EndpointStats))
+	for i := range m.EndpointStats {
+		e.met(&m.EndpointStats[i])
 	}
 	e.length(len(m.Demand))
 	for _, demand := range m.Demand {
@@ -69,7 +69,7 @@
 	m.Seq = d.uvarint()
 	m.AtMs = d.float()
 	m.SpanMs = d.float()
-	m.Met = decodeList(d, (*decoder).met)
+	m.EndpointStats = decodeList(d, (*decoder).met)
 	m.Demand = decodeList(d, (*decoder).demand)
 	m.Slices = decodeList(d, (*decoder).sliceLoad)
 }
