--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -144,7 +144,7 @@
 	r.AtMs = sums.AtMs
 	r.SpanMs = sums.SpanMs
 	g.fillLines(r, sums.EndpointStats)
-	g.fillClasses(r, sums.Demand)
+	g.fillClasses(r, sums.RequestStats)
 	g.aggregator.Add(nowMs, r)
 	if joined {
 		g.addSliceStats(sums.Slices)
--- a/internal/controller/reportgate_test.go
+++ b/internal/controller/reportgate_test.go
@@ -28,7 +28,7 @@
 			Seq:           1,
 			SpanMs:        500,
 			EndpointStats: []wire.Met{{Endpoint: "x", Tries: 4}},
-			Demand:        []wire.Demand{{Kind: "book", Reqs: 5}},
+			RequestStats:  []wire.Demand{{Kind: "book", Reqs: 5}},
 		}}})
 	}
 	c.Handle(2200, nil)
--- a/internal/daemon/hostile_test.go
+++ b/internal/daemon/hostile_test.go
@@ -178,7 +178,7 @@
 			{Endpoint: "x:1", Tries: math.MaxInt32, Failed: math.MaxInt32, MeanMs: 1e308, Load: load},
 			{Endpoint: "never:1", Tries: 5},
 		},
-		Demand: []wire.Demand{{Kind: "none", Reqs: 5, Unanswered: 9}},
+		RequestStats: []wire.Demand{{Kind: "none", Reqs: 5, Unanswered: 9}},
 	}
 }
 
--- a/internal/testbed/routing/reports.go
+++ b/internal/testbed/routing/reports.go
@@ -115,7 +115,7 @@
 	report := &wire.Sums{Seq: r.reportSeq, AtMs: nowMs, SpanMs: math.Max(0, nowMs-r.lastReportMs)}
 	report.EndpointStats = r.reportEndpoints(request)
 	for _, class := range slices.Sorted(maps.Keys(r.demand)) {
-		report.Demand = append(report.Demand, *r.demand[class])
+		report.RequestStats = append(report.RequestStats, *r.demand[class])
 	}
 	for _, key := range slices.SortedFunc(maps.Keys(r.sliceDemand), compareSliceClass) {
 		report.Slices = append(report.Slices, *r.sliceDemand[key])
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -86,8 +86,8 @@
 			MeanMs:   2,
 			Load:     []wire.Figure{{Name: "rate", Value: 3}, {Name: "util", Value: 0.5}},
 		}},
-		Demand: []wire.Demand{{Kind: "read", Reqs: 5, Unanswered: 1}},
-		Slices: []wire.SliceLoad{{Slice: 7, Kind: "read", Reqs: 3, Unanswered: 1}},
+		RequestStats: []wire.Demand{{Kind: "read", Reqs: 5, Unanswered: 1}},
+		Slices:       []wire.SliceLoad{{Slice: 7, Kind: "read", Reqs: 3, Unanswered: 1}},
 	}
 	require.NoError(t, s.line.Write(sums, time.Second))
 	assert.Equal(t, controller.LoadReported{Stream: s.stream, Sums: sums}, next[controller.LoadReported](t, s.inbox))
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -92,7 +92,7 @@
 		if err := checkText(demand.Kind); err != nil {
 			return nil, err
 		}
-		sums.Demand = append(sums.Demand, demand)
+		sums.RequestStats = append(sums.RequestStats, demand)
 	}
 	for _, l := range r.GetSlices() {
 		slice, err := sliceLoadFrom(l)
--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -32,7 +32,7 @@
 	for i := range s.EndpointStats {
 		report.Endpoints = append(report.Endpoints, endpointLoad(&s.EndpointStats[i]))
 	}
-	for _, d := range s.Demand {
+	for _, d := range s.RequestStats {
 		kind := &pb.KindLoad{Kind: d.Kind, Reqs: uint32(d.Reqs), Unanswered: uint32(d.Unanswered)}
 		report.Kinds = append(report.Kinds, kind)
 	}
--- a/internal/transport/xds/hostile_test.go
+++ b/internal/transport/xds/hostile_test.go
@@ -84,7 +84,7 @@
 		for _, m := range s.EndpointStats {
 			assert.True(t, m.Failed >= 0 && m.Failed <= m.Tries, "%+v", m)
 		}
-		for _, d := range s.Demand {
+		for _, d := range s.RequestStats {
 			assert.True(t, d.Unanswered >= 0 && d.Unanswered <= d.Reqs, "%+v", d)
 		}
 	})
--- a/internal/transport/xds/lrs.go
+++ b/internal/transport/xds/lrs.go
@@ -87,7 +87,7 @@
 			return nil, fmt.Errorf("load of %d localities: %w", len(c.GetUpstreamLocalityStats()), wire.ErrValue)
 		}
 		sums.SpanMs = math.Max(sums.SpanMs, milliseconds(c.GetLoadReportInterval().AsDuration()))
-		sums.Demand = append(sums.Demand, addCluster(byEndpoint, c))
+		sums.RequestStats = append(sums.RequestStats, addCluster(byEndpoint, c))
 	}
 	for _, name := range slices.Sorted(maps.Keys(byEndpoint)) {
 		sums.EndpointStats = append(sums.EndpointStats, *byEndpoint[name])
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -13,7 +13,7 @@
 	AtMs:          5.5,
 	SpanMs:        1000,
 	EndpointStats: []Met{{"x:1", 9, 2, 4.5, []Figure{{"util", 0.5}, {"rate", 3}}}},
-	Demand:        []Demand{{"read", 5, 1}},
+	RequestStats:  []Demand{{"read", 5, 1}},
 	Slices:        []SliceLoad{{7, "read", 3, 1}},
 }
 
--- a/internal/wire/report.go
+++ b/internal/wire/report.go
@@ -6,7 +6,7 @@
 	AtMs          float64 // on the proxy's own clock, of which only differences have a meaning
 	SpanMs        float64 // time that the report covers
 	EndpointStats []Met
-	Demand        []Demand
+	RequestStats  []Demand
 	Slices        []SliceLoad // only in a deployment with slices
 }
 
@@ -50,8 +50,8 @@
 	for i := range m.EndpointStats {
 		e.met(&m.EndpointStats[i])
 	}
-	e.length(len(m.Demand))
-	for _, demand := range m.Demand {
+	e.length(len(m.RequestStats))
+	for _, demand := range m.RequestStats {
 		e.text(demand.Kind)
 		e.varint(demand.Reqs)
 		e.varint(demand.Unanswered)
@@ -70,7 +70,7 @@
 	m.AtMs = d.float()
 	m.SpanMs = d.float()
 	m.EndpointStats = decodeList(d, (*decoder).met)
-	m.Demand = decodeList(d, (*decoder).demand)
+	m.RequestStats = decodeList(d, (*decoder).demand)
 	m.Slices = decodeList(d, (*decoder).sliceLoad)
 }
 
