--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -147,7 +147,7 @@
 	g.fillClasses(r, sums.RequestStats)
 	g.aggregator.Add(nowMs, r)
 	if joined {
-		g.addSliceStats(sums.Slices)
+		g.addSliceStats(sums.SliceStats)
 	}
 }
 
--- a/internal/testbed/routing/reports.go
+++ b/internal/testbed/routing/reports.go
@@ -118,7 +118,7 @@
 		report.RequestStats = append(report.RequestStats, *r.demand[class])
 	}
 	for _, key := range slices.SortedFunc(maps.Keys(r.sliceDemand), compareSliceClass) {
-		report.Slices = append(report.Slices, *r.sliceDemand[key])
+		report.SliceStats = append(report.SliceStats, *r.sliceDemand[key])
 	}
 	clear(r.demand)
 	clear(r.sliceDemand)
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -99,7 +99,7 @@
 		if err != nil {
 			return nil, err
 		}
-		sums.Slices = append(sums.Slices, slice)
+		sums.SliceStats = append(sums.SliceStats, slice)
 	}
 	return sums, nil
 }
--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -36,7 +36,7 @@
 		kind := &pb.KindLoad{Kind: d.Kind, Reqs: uint32(d.Reqs), Unanswered: uint32(d.Unanswered)}
 		report.Kinds = append(report.Kinds, kind)
 	}
-	for _, l := range s.Slices {
+	for _, l := range s.SliceStats {
 		slice := &pb.SliceLoad{
 			Slice:      uint32(l.Slice),
 			Kind:       l.Kind,
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -14,7 +14,7 @@
 	SpanMs:        1000,
 	EndpointStats: []Met{{"x:1", 9, 2, 4.5, []Figure{{"util", 0.5}, {"rate", 3}}}},
 	RequestStats:  []Demand{{"read", 5, 1}},
-	Slices:        []SliceLoad{{7, "read", 3, 1}},
+	SliceStats:    []SliceLoad{{7, "read", 3, 1}},
 }
 
 // samples has one of each message, every field set.
--- a/internal/wire/report.go
+++ b/internal/wire/report.go
@@ -7,7 +7,7 @@
 	SpanMs        float64 // time that the report covers
 	EndpointStats []Met
 	RequestStats  []Demand
-	Slices        []SliceLoad // only in a deployment with slices
+	SliceStats    []SliceLoad // only in a deployment with slices
 }
 
 // Met sums a proxy's attempts at one endpoint.
@@ -56,8 +56,8 @@
 		e.varint(demand.Reqs)
 		e.varint(demand.Unanswered)
 	}
-	e.length(len(m.Slices))
-	for _, load := range m.Slices {
+	e.length(len(m.SliceStats))
+	for _, load := range m.SliceStats {
 		e.varint(load.Slice)
 		e.text(load.Kind)
 		e.varint(load.Reqs)
@@ -71,7 +71,7 @@
 	m.SpanMs = d.float()
 	m.EndpointStats = decodeList(d, (*decoder).met)
 	m.RequestStats = decodeList(d, (*decoder).demand)
-	m.Slices = decodeList(d, (*decoder).sliceLoad)
+	m.SliceStats = decodeList(d, (*decoder).sliceLoad)
 }
 
 func (e *encoder) met(m *Met) {
