--- a/internal/controller/malformed_test.go
+++ b/internal/controller/malformed_test.go
@@ -32,7 +32,7 @@
 			for i := range 6 {
 				s := &wire.Sums{Seq: uint64(i + 1), AtMs: f.now, SpanMs: 1000}
 				for e := range 9 {
-					m := wire.Met{Endpoint: fmt.Sprint("e", e), Tries: 9, MeanMs: 20, Load: []wire.Figure{{Name: "util", Value: 0.4}}}
+					m := wire.Met{Endpoint: fmt.Sprint("e", e), Attempts: 9, MeanMs: 20, Load: []wire.Figure{{Name: "util", Value: 0.4}}}
 					change(s, &m)
 					s.EndpointStats = append(s.EndpointStats, m)
 				}
@@ -67,9 +67,9 @@
 		"span infinite":    met(func(s *wire.Sums, _ *wire.Met) { s.SpanMs = inf }),
 		"far future":       met(func(s *wire.Sums, _ *wire.Met) { s.AtMs = huge }),
 		"last sequence":    met(func(s *wire.Sums, _ *wire.Met) { s.Seq = math.MaxUint64 }),
-		"tries at end":     met(func(_ *wire.Sums, m *wire.Met) { m.Tries, m.Failed = math.MaxInt32, math.MaxInt32 }),
-		"failed above":     met(func(_ *wire.Sums, m *wire.Met) { m.Failed = m.Tries + 1 }),
-		"negative tries":   met(func(_ *wire.Sums, m *wire.Met) { m.Tries, m.Failed = -5, -9 }),
+		"tries at end":     met(func(_ *wire.Sums, m *wire.Met) { m.Attempts, m.Failed = math.MaxInt32, math.MaxInt32 }),
+		"failed above":     met(func(_ *wire.Sums, m *wire.Met) { m.Failed = m.Attempts + 1 }),
+		"negative tries":   met(func(_ *wire.Sums, m *wire.Met) { m.Attempts, m.Failed = -5, -9 }),
 		"weight huge":      list(func(e *wire.Entry) { e.Weight = huge }),
 		"weight infinite":  list(func(e *wire.Entry) { e.Weight = inf }),
 		"weight no number": list(func(e *wire.Entry) { e.Weight = nan }),
--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -162,7 +162,7 @@
 			endpoint = unknownIndex
 		}
 		r.Lines = append(r.Lines, reportLine{
-			Endpoint: endpoint, Attempts: stat.Tries, Failed: stat.Failed,
+			Endpoint: endpoint, Attempts: stat.Attempts, Failed: stat.Failed,
 			MeanMs: stat.MeanMs, Load: stat.Load, HasLoad: len(stat.Load) > 0,
 		})
 	}
--- a/internal/controller/reportgate_test.go
+++ b/internal/controller/reportgate_test.go
@@ -27,7 +27,7 @@
 		c.Handle(float64(100+i), []Input{LoadReported{s, &wire.Sums{
 			Seq:           1,
 			SpanMs:        500,
-			EndpointStats: []wire.Met{{Endpoint: "x", Tries: 4}},
+			EndpointStats: []wire.Met{{Endpoint: "x", Attempts: 4}},
 			RequestStats:  []wire.Demand{{Kind: "book", Reqs: 5}},
 		}}})
 	}
@@ -54,7 +54,7 @@
 			Seq:           seq,
 			AtMs:          at,
 			SpanMs:        100,
-			EndpointStats: []wire.Met{{Endpoint: "x", Tries: 1, MeanMs: 10}, {Endpoint: "y", Tries: 2, Failed: 2}},
+			EndpointStats: []wire.Met{{Endpoint: "x", Attempts: 1, MeanMs: 10}, {Endpoint: "y", Attempts: 2, Failed: 2}},
 		}}})
 	}
 	d.events = nil
--- a/internal/daemon/core_bench_test.go
+++ b/internal/daemon/core_bench_test.go
@@ -150,7 +150,7 @@
 		utilization := 0.4 + 0.3*float64(proxy%7)/7
 		report.EndpointStats = append(report.EndpointStats, wire.Met{
 			Endpoint: endpoint,
-			Tries:    1,
+			Attempts: 1,
 			MeanMs:   30,
 			Load:     []wire.Figure{{Name: "util", Value: utilization}, {Name: "rate", Value: 20}},
 		})
--- a/internal/daemon/hostile_test.go
+++ b/internal/daemon/hostile_test.go
@@ -175,8 +175,8 @@
 		AtMs:   1e308,
 		SpanMs: 1e308,
 		EndpointStats: []wire.Met{
-			{Endpoint: "x:1", Tries: math.MaxInt32, Failed: math.MaxInt32, MeanMs: 1e308, Load: load},
-			{Endpoint: "never:1", Tries: 5},
+			{Endpoint: "x:1", Attempts: math.MaxInt32, Failed: math.MaxInt32, MeanMs: 1e308, Load: load},
+			{Endpoint: "never:1", Attempts: 5},
 		},
 		RequestStats: []wire.Demand{{Kind: "none", Reqs: 5, Unanswered: 9}},
 	}
--- a/internal/testbed/routing/reports.go
+++ b/internal/testbed/routing/reports.go
@@ -35,7 +35,7 @@
 
 // add counts one attempt.
 func (s *endpointStats) add(succeeded bool, tookMs float64, load []wire.Figure) {
-	s.counts.Tries++
+	s.counts.Attempts++
 	if len(load) > 0 {
 		s.counts.Load = load
 	}
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -81,7 +81,7 @@
 		SpanMs: 1000,
 		EndpointStats: []wire.Met{{
 			Endpoint: "x",
-			Tries:    4,
+			Attempts: 4,
 			Failed:   1,
 			MeanMs:   2,
 			Load:     []wire.Figure{{Name: "rate", Value: 3}, {Name: "util", Value: 0.5}},
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -109,15 +109,15 @@
 func endpointLoadFrom(e *pb.EndpointLoad) (wire.Met, error) {
 	met := wire.Met{
 		Endpoint: e.GetEndpoint(),
-		Tries:    int(e.GetTries()),
+		Attempts: int(e.GetTries()),
 		Failed:   int(e.GetFailed()),
 		MeanMs:   e.GetMeanMs(),
 	}
 	if err := cmp.Or(checkText(met.Endpoint), checkFigure(met.MeanMs)); err != nil {
 		return wire.Met{}, err
 	}
-	if met.Failed > met.Tries {
-		return wire.Met{}, fmt.Errorf("%d failed of %d: %w", met.Failed, met.Tries, wire.ErrValue)
+	if met.Failed > met.Attempts {
+		return wire.Met{}, fmt.Errorf("%d failed of %d: %w", met.Failed, met.Attempts, wire.ErrValue)
 	}
 	for name, value := range e.GetFigures() {
 		if err := cmp.Or(checkText(name), checkFigure(value)); err != nil {
--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -52,7 +52,7 @@
 func endpointLoad(m *wire.Met) *pb.EndpointLoad {
 	load := &pb.EndpointLoad{
 		Endpoint: m.Endpoint,
-		Tries:    uint32(m.Tries),
+		Tries:    uint32(m.Attempts),
 		Failed:   uint32(m.Failed),
 		MeanMs:   m.MeanMs,
 	}
--- a/internal/transport/xds/hostile_test.go
+++ b/internal/transport/xds/hostile_test.go
@@ -82,7 +82,7 @@
 		}
 		assert.True(t, s.SpanMs > 0 && !math.IsInf(s.SpanMs, 0), "%v", s.SpanMs)
 		for _, m := range s.EndpointStats {
-			assert.True(t, m.Failed >= 0 && m.Failed <= m.Tries, "%+v", m)
+			assert.True(t, m.Failed >= 0 && m.Failed <= m.Attempts, "%+v", m)
 		}
 		for _, d := range s.RequestStats {
 			assert.True(t, d.Unanswered >= 0 && d.Unanswered <= d.Reqs, "%+v", d)
--- a/internal/transport/xds/lrs.go
+++ b/internal/transport/xds/lrs.go
@@ -108,7 +108,7 @@
 		}
 		succeeded := count(l.GetTotalSuccessfulRequests())
 		failed := count(l.GetTotalErrorRequests())
-		met.Tries += succeeded + failed
+		met.Attempts += succeeded + failed
 		met.Failed += failed
 		met.Load = append(met.Load, figures(l)...)
 		demand.Reqs += succeeded + failed
--- a/internal/wire/report.go
+++ b/internal/wire/report.go
@@ -13,7 +13,7 @@
 // Met sums a proxy's attempts at one endpoint.
 type Met struct {
 	Endpoint string
-	Tries    int
+	Attempts int
 	Failed   int // of Tries
 	MeanMs   float64
 	Load     []Figure // the last load report among the answers
@@ -76,15 +76,15 @@
 
 func (e *encoder) met(m *Met) {
 	e.text(m.Endpoint)
-	e.varint(m.Tries)
+	e.varint(m.Attempts)
 	e.varint(m.Failed)
 	e.float(m.MeanMs)
 	e.figures(m.Load)
 }
 
 func (d *decoder) met() Met {
-	m := Met{Endpoint: d.text(), Tries: d.count(), Failed: d.count(), MeanMs: d.float(), Load: d.figures()}
-	if m.Failed > m.Tries {
+	m := Met{Endpoint: d.text(), Attempts: d.count(), Failed: d.count(), MeanMs: d.float(), Load: d.figures()}
+	if m.Failed > m.Attempts {
 		d.fail(ErrValue)
 	}
 	return m
