--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -172,7 +172,7 @@
 func (g *reportGate) fillClasses(r *report, demands []wire.Demand) {
 	r.ClassLines = r.ClassLines[:0]
 	for _, d := range demands {
-		class, known := g.classes[d.Kind]
+		class, known := g.classes[d.Class]
 		if !known {
 			g.malformed[malformedReportClass]++
 			continue
--- a/internal/testbed/routing/reports.go
+++ b/internal/testbed/routing/reports.go
@@ -95,7 +95,7 @@
 func (r *Router) demandOfClass(class int) *wire.Demand {
 	name := r.policy.Classes[class]
 	if r.demand[name] == nil {
-		r.demand[name] = &wire.Demand{Kind: name}
+		r.demand[name] = &wire.Demand{Class: name}
 	}
 	return r.demand[name]
 }
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -88,8 +88,8 @@
 		sums.EndpointStats = append(sums.EndpointStats, met)
 	}
 	for _, k := range r.GetKinds() {
-		demand := wire.Demand{Kind: k.GetKind(), Reqs: int(k.GetReqs()), Unanswered: int(k.GetUnanswered())}
-		if err := checkText(demand.Kind); err != nil {
+		demand := wire.Demand{Class: k.GetKind(), Reqs: int(k.GetReqs()), Unanswered: int(k.GetUnanswered())}
+		if err := checkText(demand.Class); err != nil {
 			return nil, err
 		}
 		sums.RequestStats = append(sums.RequestStats, demand)
--- a/internal/wire/report.go
+++ b/internal/wire/report.go
@@ -27,7 +27,7 @@
 
 // Demand sums the requests of one class that a proxy received.
 type Demand struct {
-	Kind       string
+	Class      string
 	Reqs       int
 	Unanswered int
 }
@@ -52,7 +52,7 @@
 	}
 	e.length(len(m.RequestStats))
 	for _, demand := range m.RequestStats {
-		e.text(demand.Kind)
+		e.text(demand.Class)
 		e.varint(demand.Reqs)
 		e.varint(demand.Unanswered)
 	}
@@ -91,7 +91,7 @@
 }
 
 func (d *decoder) demand() Demand {
-	return Demand{Kind: d.text(), Reqs: d.count(), Unanswered: d.count()}
+	return Demand{Class: d.text(), Reqs: d.count(), Unanswered: d.count()}
 }
 
 func (d *decoder) sliceLoad() SliceLoad {
