--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -177,7 +177,7 @@
 			g.malformed[malformedReportClass]++
 			continue
 		}
-		r.ClassLines = append(r.ClassLines, telemetry.ClassLine{Class: class, Requests: d.Reqs, Unanswered: d.Unanswered})
+		r.ClassLines = append(r.ClassLines, telemetry.ClassLine{Class: class, Requests: d.Requests, Unanswered: d.Unanswered})
 	}
 }
 
--- a/internal/testbed/routing/reports.go
+++ b/internal/testbed/routing/reports.go
@@ -67,7 +67,7 @@
 
 // RequestArrived counts a request that a client sent.
 func (r *Router) RequestArrived(class int, key string) {
-	r.demandOfClass(class).Reqs++
+	r.demandOfClass(class).Requests++
 	if slice := r.sliceTable(key); slice != noSlice {
 		r.demandOfSlice(slice, class).Reqs++
 	}
--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -33,7 +33,7 @@
 		report.Endpoints = append(report.Endpoints, endpointLoad(&s.EndpointStats[i]))
 	}
 	for _, d := range s.RequestStats {
-		kind := &pb.KindLoad{Kind: d.Class, Reqs: uint32(d.Reqs), Unanswered: uint32(d.Unanswered)}
+		kind := &pb.KindLoad{Kind: d.Class, Reqs: uint32(d.Requests), Unanswered: uint32(d.Unanswered)}
 		report.Kinds = append(report.Kinds, kind)
 	}
 	for _, l := range s.SliceStats {
--- a/internal/transport/xds/hostile_test.go
+++ b/internal/transport/xds/hostile_test.go
@@ -85,7 +85,7 @@
 			assert.True(t, m.Failed >= 0 && m.Failed <= m.Attempts, "%+v", m)
 		}
 		for _, d := range s.RequestStats {
-			assert.True(t, d.Unanswered >= 0 && d.Unanswered <= d.Reqs, "%+v", d)
+			assert.True(t, d.Unanswered >= 0 && d.Unanswered <= d.Requests, "%+v", d)
 		}
 	})
 }
--- a/internal/transport/xds/lrs.go
+++ b/internal/transport/xds/lrs.go
@@ -98,7 +98,7 @@
 // addCluster adds the load of a cluster to its endpoints and returns the cluster's requests. Requests that the client
 // dropped under the drop policy are included.
 func addCluster(byEndpoint map[string]*wire.Met, c *endpoint.ClusterStats) wire.Demand {
-	demand := wire.Demand{Class: c.GetClusterName(), Reqs: count(c.GetTotalDroppedRequests())}
+	demand := wire.Demand{Class: c.GetClusterName(), Requests: count(c.GetTotalDroppedRequests())}
 	for _, l := range c.GetUpstreamLocalityStats() {
 		name := l.GetLocality().GetSubZone()
 		met := byEndpoint[name]
@@ -111,7 +111,7 @@
 		met.Attempts += succeeded + failed
 		met.Failed += failed
 		met.Load = append(met.Load, figures(l)...)
-		demand.Reqs += succeeded + failed
+		demand.Requests += succeeded + failed
 		demand.Unanswered += failed
 	}
 	return demand
--- a/internal/wire/report.go
+++ b/internal/wire/report.go
@@ -28,7 +28,7 @@
 // Demand sums the requests of one class that a proxy received.
 type Demand struct {
 	Class      string
-	Reqs       int
+	Requests   int
 	Unanswered int
 }
 
@@ -53,7 +53,7 @@
 	e.length(len(m.RequestStats))
 	for _, demand := range m.RequestStats {
 		e.text(demand.Class)
-		e.varint(demand.Reqs)
+		e.varint(demand.Requests)
 		e.varint(demand.Unanswered)
 	}
 	e.length(len(m.SliceStats))
@@ -91,7 +91,7 @@
 }
 
 func (d *decoder) demand() Demand {
-	return Demand{Class: d.text(), Reqs: d.count(), Unanswered: d.count()}
+	return Demand{Class: d.text(), Requests: d.count(), Unanswered: d.count()}
 }
 
 func (d *decoder) sliceLoad() SliceLoad {
