--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -184,7 +184,7 @@
 // addSliceStats adds up demand for the slices assigned to this pilot; it is bounded by these and the classes.
 func (g *reportGate) addSliceStats(loads []wire.SliceLoad) {
 	for _, load := range loads {
-		class, known := g.classes[load.Kind]
+		class, known := g.classes[load.Class]
 		byClass := g.sliceStats[load.Slice]
 		if !known || byClass == nil || load.Unanswered > load.Reqs {
 			g.malformed[malformedReportSlice]++
--- a/internal/testbed/routing/reports.go
+++ b/internal/testbed/routing/reports.go
@@ -103,7 +103,7 @@
 func (r *Router) demandOfSlice(table, class int) *wire.SliceLoad {
 	key := sliceClass{table, r.policy.Classes[class]}
 	if r.sliceDemand[key] == nil {
-		r.sliceDemand[key] = &wire.SliceLoad{Slice: table, Kind: key.class}
+		r.sliceDemand[key] = &wire.SliceLoad{Slice: table, Class: key.class}
 	}
 	return r.sliceDemand[key]
 }
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -133,11 +133,11 @@
 func sliceLoadFrom(l *pb.SliceLoad) (wire.SliceLoad, error) {
 	slice := wire.SliceLoad{
 		Slice:      int(l.GetSlice()),
-		Kind:       l.GetKind(),
+		Class:      l.GetKind(),
 		Reqs:       int(l.GetReqs()),
 		Unanswered: int(l.GetUnanswered()),
 	}
-	return slice, checkText(slice.Kind)
+	return slice, checkText(slice.Class)
 }
 
 // OrdersFrom decodes an assignment on the proxy's side. Unknown steps are ignored; marks come last.
--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -39,7 +39,7 @@
 	for _, l := range s.SliceStats {
 		slice := &pb.SliceLoad{
 			Slice:      uint32(l.Slice),
-			Kind:       l.Kind,
+			Kind:       l.Class,
 			Reqs:       uint32(l.Reqs),
 			Unanswered: uint32(l.Unanswered),
 		}
--- a/internal/wire/report.go
+++ b/internal/wire/report.go
@@ -35,7 +35,7 @@
 // SliceLoad sums the requests of one class for the keys of one slice.
 type SliceLoad struct {
 	Slice      int
-	Kind       string
+	Class      string
 	Reqs       int
 	Unanswered int
 }
@@ -59,7 +59,7 @@
 	e.length(len(m.SliceStats))
 	for _, load := range m.SliceStats {
 		e.varint(load.Slice)
-		e.text(load.Kind)
+		e.text(load.Class)
 		e.varint(load.Reqs)
 		e.varint(load.Unanswered)
 	}
@@ -95,7 +95,7 @@
 }
 
 func (d *decoder) sliceLoad() SliceLoad {
-	return SliceLoad{Slice: d.count(), Kind: d.text(), Reqs: d.count(), Unanswered: d.count()}
+	return SliceLoad{Slice: d.count(), Class: d.text(), Reqs: d.count(), Unanswered: d.count()}
 }
 
 func (e *encoder) figures(figures []Figure) {
