--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -186,7 +186,7 @@
 	for _, load := range loads {
 		class, known := g.classes[load.Class]
 		byClass := g.sliceStats[load.Slice]
-		if !known || byClass == nil || load.Unanswered > load.Reqs {
+		if !known || byClass == nil || load.Unanswered > load.Requests {
 			g.malformed[malformedReportSlice]++
 			continue
 		}
@@ -195,7 +195,7 @@
 			demand = &planner.SliceStats{Slice: load.Slice, Class: class}
 			byClass[class] = demand
 		}
-		demand.Requests += load.Reqs
+		demand.Requests += load.Requests
 		demand.Unanswered += load.Unanswered
 	}
 }
--- a/internal/controller/slices_test.go
+++ b/internal/controller/slices_test.go
@@ -18,8 +18,8 @@
 	d.events = nil
 	load := func(seq uint64) LoadReported {
 		return LoadReported{stream, &wire.Sums{Seq: seq, SpanMs: 500, SliceStats: []wire.SliceLoad{
-			{Slice: 7, Class: "book", Reqs: 5, Unanswered: 1},
-			{Slice: 8, Class: "book", Reqs: 1},
+			{Slice: 7, Class: "book", Requests: 5, Unanswered: 1},
+			{Slice: 8, Class: "book", Requests: 1},
 		}}}
 	}
 	c.Handle(100, []Input{SliceAssigned{&wire.Slices{Slice: 7, Given: true, Lines: []wire.HeldLine{
--- a/internal/testbed/routing/reports.go
+++ b/internal/testbed/routing/reports.go
@@ -69,7 +69,7 @@
 func (r *Router) RequestArrived(class int, key string) {
 	r.demandOfClass(class).Requests++
 	if slice := r.sliceTable(key); slice != noSlice {
-		r.demandOfSlice(slice, class).Reqs++
+		r.demandOfSlice(slice, class).Requests++
 	}
 }
 
@@ -81,7 +81,7 @@
 	if slice := r.sliceTable(key); slice != noSlice {
 		demand := r.demandOfSlice(slice, class)
 		demand.Unanswered++
-		demand.Reqs = max(demand.Reqs, demand.Unanswered)
+		demand.Requests = max(demand.Requests, demand.Unanswered)
 	}
 }
 
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -134,7 +134,7 @@
 	slice := wire.SliceLoad{
 		Slice:      int(l.GetSlice()),
 		Class:      l.GetKind(),
-		Reqs:       int(l.GetReqs()),
+		Requests:   int(l.GetReqs()),
 		Unanswered: int(l.GetUnanswered()),
 	}
 	return slice, checkText(slice.Class)
--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -40,7 +40,7 @@
 		slice := &pb.SliceLoad{
 			Slice:      uint32(l.Slice),
 			Kind:       l.Class,
-			Reqs:       uint32(l.Reqs),
+			Reqs:       uint32(l.Requests),
 			Unanswered: uint32(l.Unanswered),
 		}
 		report.Slices = append(report.Slices, slice)
--- a/internal/wire/report.go
+++ b/internal/wire/report.go
@@ -36,7 +36,7 @@
 type SliceLoad struct {
 	Slice      int
 	Class      string
-	Reqs       int
+	Requests   int
 	Unanswered int
 }
 
@@ -60,7 +60,7 @@
 	for _, load := range m.SliceStats {
 		e.varint(load.Slice)
 		e.text(load.Class)
-		e.varint(load.Reqs)
+		e.varint(load.Requests)
 		e.varint(load.Unanswered)
 	}
 }
@@ -95,7 +95,7 @@
 }
 
 func (d *decoder) sliceLoad() SliceLoad {
-	return SliceLoad{Slice: d.count(), Class: d.text(), Reqs: d.count(), Unanswered: d.count()}
+	return SliceLoad{Slice: d.count(), Class: d.text(), Requests: d.count(), Unanswered: d.count()}
 }
 
 func (e *encoder) figures(figures []Figure) {
