--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -68,7 +68,7 @@
 	setOp := func(e string, w float64) wire.Op {
 		return wire.Op{Kind: wire.OpSet, Table: 5, Endpoint: e, Weight: w}
 	}
-	bindOp := wire.Op{Kind: wire.OpBind, Table: 5, Kinds: 3}
+	bindOp := wire.Op{Kind: wire.OpBind, Table: 5, Classes: 3}
 	out := func(e string) wire.Op { return wire.Op{Kind: wire.OpWithdraw, Endpoint: e, Out: true} }
 	bind := planner.AssignTable{Table: 5, Proxy: 0}
 	for _, c := range []struct {
@@ -119,13 +119,13 @@
 		{
 			"levels",
 			[]planner.Command{planner.SetAdmission{Table: 5, Classes: 1, Level: 0.5, RetryMode: 1}, bind},
-			[]wire.Op{bindOp, {Kind: wire.OpAdmit, Table: 5, Kinds: 1, Weight: 0.5, Again: 1}},
+			[]wire.Op{bindOp, {Kind: wire.OpAdmit, Table: 5, Classes: 1, Weight: 0.5, Again: 1}},
 			nil,
 		},
 		{
 			"levels for all",
 			[]planner.Command{planner.SetAdmission{Table: planner.EveryTable, Classes: 1, Level: 0.5}},
-			[]wire.Op{{Kind: wire.OpAdmit, Table: planner.EveryTable, Kinds: 1, Weight: 0.5}},
+			[]wire.Op{{Kind: wire.OpAdmit, Table: planner.EveryTable, Classes: 1, Weight: 0.5}},
 			nil,
 		},
 		{
--- a/internal/testbed/routing/admission.go
+++ b/internal/testbed/routing/admission.go
@@ -22,9 +22,9 @@
 func (r *Router) setAdmission(o wire.Op) {
 	set := admission{admitted: o.Weight, retryMode: o.Again}
 	if o.Table == wire.EveryTable {
-		r.admissionOfAll[o.Kinds] = set
+		r.admissionOfAll[o.Classes] = set
 	} else {
-		r.table(o.Table).admission[o.Kinds] = set
+		r.table(o.Table).admission[o.Classes] = set
 	}
 }
 
--- a/internal/testbed/routing/table.go
+++ b/internal/testbed/routing/table.go
@@ -55,7 +55,7 @@
 	}
 	r.tables[o.Table] = t
 	for class := range r.byClass {
-		if o.Kinds == 0 || o.Kinds&(1<<class) != 0 {
+		if o.Classes == 0 || o.Classes&(1<<class) != 0 {
 			r.byClass[class] = t
 			r.assigned[class] = true
 		}
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -55,11 +55,11 @@
 // someOrders returns orders with an op of each kind.
 func someOrders() *wire.Orders {
 	return &wire.Orders{AtMs: 10, AgeMs: 3, Lines: 9, Ops: []wire.Op{
-		{Kind: wire.OpBind, Table: 2, Kinds: 3, Keep: true},
+		{Kind: wire.OpBind, Table: 2, Classes: 3, Keep: true},
 		{Kind: wire.OpSet, Table: 2, Endpoint: "x", Weight: 1},
 		{Kind: wire.OpSet, Table: 2, Endpoint: "y", Weight: 0.5},
 		{Kind: wire.OpWithdraw, Endpoint: "y", Out: true},
-		{Kind: wire.OpAdmit, Table: 2, Kinds: 1, Weight: 0.5, Again: 1},
+		{Kind: wire.OpAdmit, Table: 2, Classes: 1, Weight: 0.5, Again: 1},
 		{Kind: wire.OpRange, Table: 3, From: "a", To: "k"},
 		{Kind: wire.OpRange, Table: 4, Out: true},
 		{Kind: wire.OpMark, Number: 7},
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -159,7 +159,7 @@
 	switch does := s.GetDoes().(type) {
 	case *pb.Step_Bind:
 		b := does.Bind
-		return wire.Op{Kind: wire.OpBind, Table: int(b.GetTable()), Kinds: int(b.GetKinds()), Keep: b.GetKeep()}, true
+		return wire.Op{Kind: wire.OpBind, Table: int(b.GetTable()), Classes: int(b.GetKinds()), Keep: b.GetKeep()}, true
 	case *pb.Step_Line:
 		l := does.Line
 		return wire.Op{Kind: wire.OpSet, Table: int(l.GetTable()), Endpoint: l.GetEndpoint(), Weight: l.GetWeight()}, true
@@ -178,11 +178,11 @@
 
 func levelOpFrom(l *pb.Level) wire.Op {
 	return wire.Op{
-		Kind:   wire.OpAdmit,
-		Table:  int(l.GetTable()),
-		Kinds:  int(l.GetKinds()),
-		Weight: l.GetShare(),
-		Again:  int(l.GetAgain()),
+		Kind:    wire.OpAdmit,
+		Table:   int(l.GetTable()),
+		Classes: int(l.GetKinds()),
+		Weight:  l.GetShare(),
+		Again:   int(l.GetAgain()),
 	}
 }
 
--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -99,7 +99,7 @@
 func bindStep(op *wire.Op) *pb.Step {
 	return &pb.Step{Does: &pb.Step_Bind{Bind: &pb.Bind{
 		Table: uint32(op.Table),
-		Kinds: uint32(op.Kinds),
+		Kinds: uint32(op.Classes),
 		Keep:  op.Keep,
 	}}}
 }
@@ -115,7 +115,7 @@
 func levelStep(op *wire.Op) *pb.Step {
 	return &pb.Step{Does: &pb.Step_Level{Level: &pb.Level{
 		Table: uint32(op.Table),
-		Kinds: uint32(op.Kinds),
+		Kinds: uint32(op.Classes),
 		Share: op.Weight,
 		Again: uint32(op.Again),
 	}}}
--- a/internal/transport/xds/routing.go
+++ b/internal/transport/xds/routing.go
@@ -35,7 +35,7 @@
 func (r *routing) apply(op *wire.Op) {
 	switch op.Kind {
 	case wire.OpBind:
-		r.bind(op.Table, op.Kinds)
+		r.bind(op.Table, op.Classes)
 	case wire.OpSet:
 		r.setWeight(op.Table, op.Endpoint, op.Weight)
 	case wire.OpClear:
@@ -47,7 +47,7 @@
 			delete(r.excluded, op.Endpoint)
 		}
 	case wire.OpAdmit:
-		r.table(op.Table).levels[op.Kinds] = op.Weight
+		r.table(op.Table).levels[op.Classes] = op.Weight
 	}
 }
 
--- a/internal/wire/collapse.go
+++ b/internal/wire/collapse.go
@@ -42,7 +42,7 @@
 		key.endpoint = o.Endpoint
 	case OpAdmit, OpBind:
 		key.table = o.Table
-		key.kinds = o.Kinds
+		key.kinds = o.Classes
 	case OpWithdraw:
 		key.endpoint = o.Endpoint
 	case OpMark:
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -31,11 +31,11 @@
 	sampleSums,
 	&Done{Mark: 65534, TookMs: 0.25},
 	&Orders{AtMs: 5, AgeMs: 1.5, Lines: 9, Ops: []Op{
-		{Kind: OpBind, Table: 3, Kinds: 5, Keep: true},
+		{Kind: OpBind, Table: 3, Classes: 5, Keep: true},
 		{Kind: OpSet, Table: 3, Endpoint: "x:1", Weight: 0.75},
 		{Kind: OpClear, Table: 2},
 		{Kind: OpWithdraw, Endpoint: "y:2", Out: true},
-		{Kind: OpAdmit, Table: 65535, Kinds: 2, Weight: 0.5, Again: 3},
+		{Kind: OpAdmit, Table: 65535, Classes: 2, Weight: 0.5, Again: 3},
 		{Kind: OpMark, Number: 12},
 		{Kind: OpRange, Table: 4, From: "a", To: "b", Out: true},
 	}},
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -48,7 +48,7 @@
 type Op struct {
 	Kind     OpKind
 	Table    int
-	Kinds    int // bit mask of request classes
+	Classes  int // bit mask of request classes
 	Endpoint string
 	Weight   float64 // OpSet: weight; OpAdmit: admission level
 	Again    int     // OpAdmit: retry policy
@@ -64,7 +64,7 @@
 	switch o.Kind {
 	case OpBind:
 		e.varint(o.Table)
-		e.varint(o.Kinds)
+		e.varint(o.Classes)
 		e.bool(o.Keep)
 	case OpSet:
 		e.varint(o.Table)
@@ -77,7 +77,7 @@
 		e.bool(o.Out)
 	case OpAdmit:
 		e.varint(o.Table)
-		e.varint(o.Kinds)
+		e.varint(o.Classes)
 		e.float(o.Weight)
 		e.varint(o.Again)
 	case OpMark:
@@ -95,7 +95,7 @@
 	switch o.Kind {
 	case OpBind:
 		o.Table = d.count()
-		o.Kinds = d.count()
+		o.Classes = d.count()
 		o.Keep = d.bool()
 	case OpSet:
 		o.Table = d.count()
@@ -108,7 +108,7 @@
 		o.Out = d.bool()
 	case OpAdmit:
 		o.Table = d.count()
-		o.Kinds = d.count()
+		o.Classes = d.count()
 		o.Weight = d.float()
 		o.Again = d.count()
 	case OpMark:
