--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -32,10 +32,10 @@
 // admissionOp returns the line that sets an admission level.
 func admissionOp(command planner.SetAdmission) wire.Op {
 	return wire.Op{
-		Kind:    wire.OpAdmit,
-		Table:   command.Table,
-		Classes: command.Classes,
-		Weight:  command.Level,
-		Again:   command.RetryMode,
+		Kind:      wire.OpAdmit,
+		Table:     command.Table,
+		Classes:   command.Classes,
+		Weight:    command.Level,
+		RetryMode: command.RetryMode,
 	}
 }
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -119,7 +119,7 @@
 		{
 			"levels",
 			[]planner.Command{planner.SetAdmission{Table: 5, Classes: 1, Level: 0.5, RetryMode: 1}, bind},
-			[]wire.Op{bindOp, {Kind: wire.OpAdmit, Table: 5, Classes: 1, Weight: 0.5, Again: 1}},
+			[]wire.Op{bindOp, {Kind: wire.OpAdmit, Table: 5, Classes: 1, Weight: 0.5, RetryMode: 1}},
 			nil,
 		},
 		{
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -178,11 +178,11 @@
 
 func levelOpFrom(l *pb.Level) wire.Op {
 	return wire.Op{
-		Kind:    wire.OpAdmit,
-		Table:   int(l.GetTable()),
-		Classes: int(l.GetKinds()),
-		Weight:  l.GetShare(),
-		Again:   int(l.GetAgain()),
+		Kind:      wire.OpAdmit,
+		Table:     int(l.GetTable()),
+		Classes:   int(l.GetKinds()),
+		Weight:    l.GetShare(),
+		RetryMode: int(l.GetAgain()),
 	}
 }
 
--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -117,7 +117,7 @@
 		Table: uint32(op.Table),
 		Kinds: uint32(op.Classes),
 		Share: op.Weight,
-		Again: uint32(op.Again),
+		Again: uint32(op.RetryMode),
 	}}}
 }
 
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -35,7 +35,7 @@
 		{Kind: OpSet, Table: 3, Endpoint: "x:1", Weight: 0.75},
 		{Kind: OpClear, Table: 2},
 		{Kind: OpWithdraw, Endpoint: "y:2", Out: true},
-		{Kind: OpAdmit, Table: 65535, Classes: 2, Weight: 0.5, Again: 3},
+		{Kind: OpAdmit, Table: 65535, Classes: 2, Weight: 0.5, RetryMode: 3},
 		{Kind: OpMark, Number: 12},
 		{Kind: OpRange, Table: 4, From: "a", To: "b", Out: true},
 	}},
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -46,17 +46,17 @@
 
 // Op is one operation of Orders. Kind decides which of the other fields are used and encoded.
 type Op struct {
-	Kind     OpKind
-	Table    int
-	Classes  int // bit mask of request classes
-	Endpoint string
-	Weight   float64 // OpSet: weight; OpAdmit: admission level
-	Again    int     // OpAdmit: retry policy
-	Out      bool
-	Number   int  // OpMark: number of the mark
-	Keep     bool // OpBind: the lines that the proxy's Hello listed stay, the lines that follow change them
-	From     string
-	To       string // exclusive; "": no end
+	Kind      OpKind
+	Table     int
+	Classes   int // bit mask of request classes
+	Endpoint  string
+	Weight    float64 // OpSet: weight; OpAdmit: admission level
+	RetryMode int     // OpAdmit: retry policy
+	Out       bool
+	Number    int  // OpMark: number of the mark
+	Keep      bool // OpBind: the lines that the proxy's Hello listed stay, the lines that follow change them
+	From      string
+	To        string // exclusive; "": no end
 }
 
 func (o *Op) encode(e *encoder) {
@@ -79,7 +79,7 @@
 		e.varint(o.Table)
 		e.varint(o.Classes)
 		e.float(o.Weight)
-		e.varint(o.Again)
+		e.varint(o.RetryMode)
 	case OpMark:
 		e.varint(o.Number)
 	case OpRange:
@@ -110,7 +110,7 @@
 		o.Table = d.count()
 		o.Classes = d.count()
 		o.Weight = d.float()
-		o.Again = d.count()
+		o.RetryMode = d.count()
 	case OpMark:
 		o.Number = d.count()
 	case OpRange:
