--- a/internal/controller/slices.go
+++ b/internal/controller/slices.go
@@ -48,7 +48,7 @@
 		if update.Given {
 			c.sendSlice(s, update.Slice)
 		} else {
-			c.outbox.add(s, wire.Op{Kind: wire.OpRange, Table: update.Slice, Out: true})
+			c.outbox.add(s, wire.Op{Kind: wire.OpRange, Table: update.Slice, Remove: true})
 		}
 	}
 	return events
--- a/internal/testbed/routing/apply.go
+++ b/internal/testbed/routing/apply.go
@@ -16,7 +16,7 @@
 			clear(t.lines)
 			clear(t.admission)
 		case wire.OpWithdraw:
-			r.setExcluded(o.Endpoint, o.Out)
+			r.setExcluded(o.Endpoint, o.Remove)
 		case wire.OpAdmit:
 			r.setAdmission(o)
 		case wire.OpMark:
--- a/internal/testbed/routing/table.go
+++ b/internal/testbed/routing/table.go
@@ -78,7 +78,7 @@
 func (r *Router) assignRange(o wire.Op) {
 	r.ranges = slices.DeleteFunc(r.ranges, func(keys keyRange) bool { return keys.table == o.Table })
 	delete(r.tables, o.Table)
-	if o.Out {
+	if o.Remove {
 		return
 	}
 	r.tables[o.Table] = newTable()
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -58,10 +58,10 @@
 		{Kind: wire.OpBind, Table: 2, Classes: 3, Keep: true},
 		{Kind: wire.OpSet, Table: 2, Endpoint: "x", Weight: 1},
 		{Kind: wire.OpSet, Table: 2, Endpoint: "y", Weight: 0.5},
-		{Kind: wire.OpWithdraw, Endpoint: "y", Out: true},
+		{Kind: wire.OpWithdraw, Endpoint: "y", Remove: true},
 		{Kind: wire.OpAdmit, Table: 2, Classes: 1, Weight: 0.5, RetryMode: 1},
 		{Kind: wire.OpRange, Table: 3, From: "a", To: "k"},
-		{Kind: wire.OpRange, Table: 4, Out: true},
+		{Kind: wire.OpRange, Table: 4, Remove: true},
 		{Kind: wire.OpMark, Number: 7},
 	}}
 }
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -167,7 +167,7 @@
 		return wire.Op{Kind: wire.OpClear, Table: int(does.Clear.GetTable())}, true
 	case *pb.Step_Withdraw:
 		w := does.Withdraw
-		return wire.Op{Kind: wire.OpWithdraw, Endpoint: w.GetEndpoint(), Out: w.GetOut()}, true
+		return wire.Op{Kind: wire.OpWithdraw, Endpoint: w.GetEndpoint(), Remove: w.GetOut()}, true
 	case *pb.Step_Level:
 		return levelOpFrom(does.Level), true
 	case *pb.Step_Range:
@@ -188,10 +188,10 @@
 
 func rangeOpFrom(r *pb.KeyRange) wire.Op {
 	return wire.Op{
-		Kind:  wire.OpRange,
-		Table: int(r.GetTable()),
-		From:  string(r.GetFrom()),
-		To:    string(r.GetTo()),
-		Out:   r.GetGone(),
+		Kind:   wire.OpRange,
+		Table:  int(r.GetTable()),
+		From:   string(r.GetFrom()),
+		To:     string(r.GetTo()),
+		Remove: r.GetGone(),
 	}
 }
--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -87,7 +87,7 @@
 	case wire.OpClear:
 		return &pb.Step{Does: &pb.Step_Clear{Clear: &pb.Clear{Table: uint32(op.Table)}}}
 	case wire.OpWithdraw:
-		return &pb.Step{Does: &pb.Step_Withdraw{Withdraw: &pb.Withdraw{Endpoint: op.Endpoint, Out: op.Out}}}
+		return &pb.Step{Does: &pb.Step_Withdraw{Withdraw: &pb.Withdraw{Endpoint: op.Endpoint, Out: op.Remove}}}
 	case wire.OpAdmit:
 		return levelStep(op)
 	case wire.OpRange:
@@ -126,6 +126,6 @@
 		Table: uint32(op.Table),
 		From:  []byte(op.From),
 		To:    []byte(op.To),
-		Gone:  op.Out,
+		Gone:  op.Remove,
 	}}}
 }
--- a/internal/transport/xds/routing.go
+++ b/internal/transport/xds/routing.go
@@ -41,7 +41,7 @@
 	case wire.OpClear:
 		delete(r.tables, op.Table)
 	case wire.OpWithdraw:
-		if op.Out {
+		if op.Remove {
 			r.excluded[op.Endpoint] = true
 		} else {
 			delete(r.excluded, op.Endpoint)
--- a/internal/wire/collapse_test.go
+++ b/internal/wire/collapse_test.go
@@ -33,7 +33,7 @@
 		},
 		{
 			"exclusions outlive a reset, the last of an endpoint counts",
-			[]Op{{Kind: OpWithdraw, Endpoint: "x", Out: true}, {Kind: OpWithdraw, Endpoint: "x"}, {Kind: OpBind}},
+			[]Op{{Kind: OpWithdraw, Endpoint: "x", Remove: true}, {Kind: OpWithdraw, Endpoint: "x"}, {Kind: OpBind}},
 			[]Op{{Kind: OpWithdraw, Endpoint: "x"}, {Kind: OpBind}},
 		},
 		{
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -52,7 +52,7 @@
 	Endpoint  string
 	Weight    float64 // OpSet: weight; OpAdmit: admission level
 	RetryMode int     // OpAdmit: retry policy
-	Out       bool
+	Remove    bool
 	Number    int  // OpMark: number of the mark
 	Keep      bool // OpBind: the lines that the proxy's Hello listed stay, the lines that follow change them
 	From      string
@@ -74,7 +74,7 @@
 		e.varint(o.Table)
 	case OpWithdraw:
 		e.text(o.Endpoint)
-		e.bool(o.Out)
+		e.bool(o.Remove)
 	case OpAdmit:
 		e.varint(o.Table)
 		e.varint(o.Classes)
@@ -86,7 +86,7 @@
 		e.varint(o.Table)
 		e.text(o.From)
 		e.text(o.To)
-		e.bool(o.Out)
+		e.bool(o.Remove)
 	}
 }
 
@@ -105,7 +105,7 @@
 		o.Table = d.count()
 	case OpWithdraw:
 		o.Endpoint = d.text()
-		o.Out = d.bool()
+		o.Remove = d.bool()
 	case OpAdmit:
 		o.Table = d.count()
 		o.Classes = d.count()
@@ -117,7 +117,7 @@
 		o.Table = d.count()
 		o.From = d.text()
 		o.To = d.text()
-		o.Out = d.bool()
+		o.Remove = d.bool()
 		checkRange(d, o.From, o.To)
 	default:
 		d.fail(ErrValue)
