--- a/internal/testbed/routing/table.go
+++ b/internal/testbed/routing/table.go
@@ -46,7 +46,7 @@
 // before left in it. A class mask of 0 stands for all classes.
 func (r *Router) assign(o wire.Op) {
 	t := newTable()
-	if old := r.previousTables[o.Table]; o.Keep && old != nil {
+	if old := r.previousTables[o.Table]; o.KeepLines && old != nil {
 		t = old
 		clear(t.admission) // the pilot sends all of it again
 	}
--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -100,7 +100,7 @@
 	return &pb.Step{Does: &pb.Step_Bind{Bind: &pb.Bind{
 		Table: uint32(op.Table),
 		Kinds: uint32(op.Classes),
-		Keep:  op.Keep,
+		Keep:  op.KeepLines,
 	}}}
 }
 
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -54,7 +54,7 @@
 	RetryMode int     // OpAdmit: retry policy
 	Remove    bool
 	Number    int  // OpMark: number of the mark
-	Keep      bool // OpBind: the lines that the proxy's Hello listed stay, the lines that follow change them
+	KeepLines bool // OpBind: the lines that the proxy's Hello listed stay, the lines that follow change them
 	From      string
 	To        string // exclusive; "": no end
 }
@@ -65,7 +65,7 @@
 	case OpBind:
 		e.varint(o.Table)
 		e.varint(o.Classes)
-		e.bool(o.Keep)
+		e.bool(o.KeepLines)
 	case OpSet:
 		e.varint(o.Table)
 		e.text(o.Endpoint)
@@ -96,7 +96,7 @@
 	case OpBind:
 		o.Table = d.count()
 		o.Classes = d.count()
-		o.Keep = d.bool()
+		o.KeepLines = d.bool()
 	case OpSet:
 		o.Table = d.count()
 		o.Endpoint = d.text()
