--- a/internal/daemon/goodproxy_test.go
+++ b/internal/daemon/goodproxy_test.go
@@ -51,7 +51,7 @@
 func acknowledge(line proxy.Stream, ops []wire.Op) {
 	for _, op := range ops {
 		if op.Kind == wire.OpMark {
-			_ = line.Write(&wire.Done{Mark: op.Number}, time.Second) // a broken stream shows at the next read
+			_ = line.Write(&wire.Done{Mark: op.AckNumber}, time.Second) // a broken stream shows at the next read
 		}
 	}
 }
--- a/internal/testbed/routing/apply.go
+++ b/internal/testbed/routing/apply.go
@@ -20,7 +20,7 @@
 		case wire.OpAdmit:
 			r.setAdmission(o)
 		case wire.OpMark:
-			ackRequests = append(ackRequests, o.Number)
+			ackRequests = append(ackRequests, o.AckNumber)
 		case wire.OpRange:
 			r.assignRange(o)
 		}
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -149,7 +149,7 @@
 		}
 	}
 	for _, number := range a.GetMarks() {
-		orders.Ops = append(orders.Ops, wire.Op{Kind: wire.OpMark, Number: int(number)})
+		orders.Ops = append(orders.Ops, wire.Op{Kind: wire.OpMark, AckNumber: int(number)})
 	}
 	return orders
 }
--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -69,7 +69,7 @@
 func steps(ops []wire.Op) (list []*pb.Step, marks []uint32) {
 	for i := range ops {
 		if ops[i].Kind == wire.OpMark {
-			marks = append(marks, uint32(ops[i].Number))
+			marks = append(marks, uint32(ops[i].AckNumber))
 			continue
 		}
 		list = append(list, step(&ops[i]))
--- a/internal/transport/grpcapi/grpcapi_test.go
+++ b/internal/transport/grpcapi/grpcapi_test.go
@@ -258,7 +258,7 @@
 func TestCollapse(t *testing.T) {
 	st := newStream(10)
 	for i := range 1000 {
-		ops := []wire.Op{set("x", float64(i)), set("y", 1), {Kind: wire.OpMark, Number: 1}}
+		ops := []wire.Op{set("x", float64(i)), set("y", 1), {Kind: wire.OpMark, AckNumber: 1}}
 		require.NoError(t, st.Send(&wire.Orders{Lines: 2, Ops: ops}))
 	}
 	a := st.next().GetAssignment()
--- a/internal/transport/xds/stream.go
+++ b/internal/transport/xds/stream.go
@@ -46,7 +46,7 @@
 	defer st.mu.Unlock()
 	for i := range o.Ops {
 		if o.Ops[i].Kind == wire.OpMark {
-			st.versions.addMark(o.Ops[i].Number, time.Now())
+			st.versions.addMark(o.Ops[i].AckNumber, time.Now())
 			continue
 		}
 		st.routing.apply(&o.Ops[i])
--- a/internal/wire/collapse.go
+++ b/internal/wire/collapse.go
@@ -46,7 +46,7 @@
 	case OpWithdraw:
 		key.endpoint = o.Endpoint
 	case OpMark:
-		key.number = o.Number
+		key.number = o.AckNumber
 	case OpClear, OpRange:
 		key.table = o.Table
 	}
--- a/internal/wire/collapse_test.go
+++ b/internal/wire/collapse_test.go
@@ -38,8 +38,8 @@
 		},
 		{
 			"each mark is answered",
-			[]Op{{Kind: OpMark, Number: 1}, {Kind: OpMark, Number: 2}},
-			[]Op{{Kind: OpMark, Number: 1}, {Kind: OpMark, Number: 2}},
+			[]Op{{Kind: OpMark, AckNumber: 1}, {Kind: OpMark, AckNumber: 2}},
+			[]Op{{Kind: OpMark, AckNumber: 1}, {Kind: OpMark, AckNumber: 2}},
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -36,7 +36,7 @@
 		{Kind: OpClear, Table: 2},
 		{Kind: OpWithdraw, Endpoint: "y:2", Remove: true},
 		{Kind: OpAdmit, Table: 65535, Classes: 2, Weight: 0.5, RetryMode: 3},
-		{Kind: OpMark, Number: 12},
+		{Kind: OpMark, AckNumber: 12},
 		{Kind: OpRange, Table: 4, From: "a", To: "b", Remove: true},
 	}},
 	&ListAsk{Who: "one", Watch: true, Whole: true},
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -53,7 +53,7 @@
 	Weight    float64 // OpSet: weight; OpAdmit: admission level
 	RetryMode int     // OpAdmit: retry policy
 	Remove    bool
-	Number    int  // OpMark: number of the mark
+	AckNumber int  // OpMark: number of the mark
 	KeepLines bool // OpBind: the lines that the proxy's Hello listed stay, the lines that follow change them
 	From      string
 	To        string // exclusive; "": no end
@@ -81,7 +81,7 @@
 		e.float(o.Weight)
 		e.varint(o.RetryMode)
 	case OpMark:
-		e.varint(o.Number)
+		e.varint(o.AckNumber)
 	case OpRange:
 		e.varint(o.Table)
 		e.text(o.From)
@@ -112,7 +112,7 @@
 		o.Weight = d.float()
 		o.RetryMode = d.count()
 	case OpMark:
-		o.Number = d.count()
+		o.AckNumber = d.count()
 	case OpRange:
 		o.Table = d.count()
 		o.From = d.text()
