--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -76,11 +76,11 @@
 		return
 	}
 	request := &wire.Req{
-		Name:   c.number,
-		Kind:   c.class.Name,
-		Key:    c.request.Key,
-		From:   "client",
-		WorkMs: c.request.WorkMs,
+		RequestID: c.number,
+		Kind:      c.class.Name,
+		Key:       c.request.Key,
+		From:      "client",
+		WorkMs:    c.request.WorkMs,
 	}
 	c.w.proxies[c.request.Proxy].handle(request, c.deadline-c.w.now, c.answered)
 }
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -173,7 +173,7 @@
 		What:  eventlog.Arrive,
 		Peer:  t.request.From,
 		Kind:  t.request.Kind,
-		Req:   t.request.Name,
+		Req:   t.request.RequestID,
 		Value: t.request.WorkMs,
 	})
 	faulty := e.fault.OnlyClass == "" || e.fault.OnlyClass == t.request.Kind
@@ -250,15 +250,15 @@
 	process.served++
 	isRepeat := false
 	if e.Deduplicated[t.request.Kind] {
-		isRepeat = e.completed[t.request.Name]
-		e.completed[t.request.Name] = true
+		isRepeat = e.completed[t.request.RequestID]
+		e.completed[t.request.RequestID] = true
 	}
 	if e.Effects[t.request.Kind] && !isRepeat {
 		e.w.logEvent(e.Name, eventlog.Event{
 			What: eventlog.Effect,
 			Peer: t.request.From,
 			Kind: t.request.Kind,
-			Req:  t.request.Name,
+			Req:  t.request.RequestID,
 		})
 	}
 	t.answer(wire.Fine, 0, process.load)
--- a/internal/emulator/forwarding.go
+++ b/internal/emulator/forwarding.go
@@ -80,7 +80,7 @@
 }
 
 func (p *emulatedProxy) logRejected(request *wire.Req, reason string) {
-	p.logEvent(eventlog.Event{What: eventlog.Refuse, Kind: request.Kind, Req: request.Name, Text: reason})
+	p.logEvent(eventlog.Event{What: eventlog.Refuse, Kind: request.Kind, Req: request.RequestID, Text: reason})
 }
 
 // rejection is the answer to a request that has had no effect.
@@ -104,7 +104,7 @@
 		What: eventlog.Send,
 		Peer: endpoint,
 		Kind: r.request.Kind,
-		Req:  r.request.Name,
+		Req:  r.request.RequestID,
 		Text: r.request.Key,
 		N:    len(r.tried),
 	})
@@ -168,11 +168,11 @@
 	process := a.request.process
 	p := process.proxy
 	request := &wire.Req{
-		Name:    a.request.request.Name,
-		Kind:    a.request.request.Kind,
-		From:    p.place.name,
-		WorkMs:  a.request.request.WorkMs,
-		LimitMs: waitMs,
+		RequestID: a.request.request.RequestID,
+		Kind:      a.request.request.Kind,
+		From:      p.place.name,
+		WorkMs:    a.request.request.WorkMs,
+		LimitMs:   waitMs,
 	}
 	answer := func(outcome wire.Outcome, comeBackMs float64, load []wire.Figure) {
 		p.w.network.carry(endpoint.place, p.place, func() {
@@ -273,7 +273,7 @@
 	list := slices.Collect(maps.Keys(attempts))
 	slices.SortFunc(list, func(x, y *attempt) int {
 		return cmp.Or(
-			cmp.Compare(x.request.request.Name, y.request.request.Name),
+			cmp.Compare(x.request.request.RequestID, y.request.request.RequestID),
 			cmp.Compare(x.startedAt, y.startedAt),
 		)
 	})
--- a/internal/testbed/endpoint/process.go
+++ b/internal/testbed/endpoint/process.go
@@ -62,7 +62,7 @@
 
 // admit takes a request into the queue, rejects it or fails it.
 func (p *process) admit(req *wire.Req, reply func(*wire.Answer)) {
-	p.events.Add(eventlog.Event{What: eventlog.Arrive, Peer: req.From, Kind: req.Kind, Req: req.Name, Value: req.WorkMs})
+	p.events.Add(eventlog.Event{What: eventlog.Arrive, Peer: req.From, Kind: req.Kind, Req: req.RequestID, Value: req.WorkMs})
 	now := time.Now()
 	p.mu.Lock()
 	affected := p.fault.OnlyClass == "" || p.fault.OnlyClass == req.Kind
@@ -126,7 +126,7 @@
 		return
 	}
 	if p.Effects[j.req.Kind] && !repeat {
-		p.events.Add(eventlog.Event{What: eventlog.Effect, Peer: j.req.From, Kind: j.req.Kind, Req: j.req.Name})
+		p.events.Add(eventlog.Event{What: eventlog.Effect, Peer: j.req.From, Kind: j.req.Kind, Req: j.req.RequestID})
 	}
 	j.reply(&wire.Answer{Number: j.req.Number, Outcome: wire.Fine, Load: load})
 }
@@ -139,8 +139,8 @@
 	p.inFlight--
 	p.served++
 	if p.Deduplicated[req.Kind] {
-		repeat = p.ledger[req.Name]
-		p.ledger[req.Name] = true
+		repeat = p.ledger[req.RequestID]
+		p.ledger[req.RequestID] = true
 	}
 	return repeat, p.load
 }
--- a/internal/testbed/loadgen/clients.go
+++ b/internal/testbed/loadgen/clients.go
@@ -93,12 +93,12 @@
 // send sends a request once. It returns the outcome, and how long the proxy asks to wait before a retry.
 func (c *Clients) send(ctx context.Context, name uint64, request Request, deadline time.Time) (string, time.Duration) {
 	answer, err := c.Proxies[request.Proxy].Do(ctx, &wire.Req{
-		Name:    name,
-		Kind:    c.Load.Classes[request.Class].Name,
-		Key:     request.Key,
-		From:    "client",
-		WorkMs:  request.WorkMs,
-		LimitMs: float64(time.Until(deadline)) / float64(time.Millisecond),
+		RequestID: name,
+		Kind:      c.Load.Classes[request.Class].Name,
+		Key:       request.Key,
+		From:      "client",
+		WorkMs:    request.WorkMs,
+		LimitMs:   float64(time.Until(deadline)) / float64(time.Millisecond),
 	})
 	if err != nil {
 		if proxy.NotSent(err) {
--- a/internal/testbed/proxy/request.go
+++ b/internal/testbed/proxy/request.go
@@ -78,7 +78,7 @@
 }
 
 func (p *process) logRejection(req *wire.Req, reason string) {
-	p.events.Add(eventlog.Event{What: eventlog.Refuse, Kind: req.Kind, Req: req.Name, Text: reason})
+	p.events.Add(eventlog.Event{What: eventlog.Refuse, Kind: req.Kind, Req: req.RequestID, Text: reason})
 }
 
 // pickEndpoint picks the endpoint of the next attempt, "" if there is none, and returns the retry mode with it. It
@@ -93,7 +93,7 @@
 		p.router.AttemptStarted(endpoint)
 		// Logged under the locks, so that no message that is applied comes between the pick and the log.
 		p.events.Add(eventlog.Event{
-			What: eventlog.Send, Peer: endpoint, Kind: req.Kind, Req: req.Name, Text: req.Key, N: len(tried) + 1,
+			What: eventlog.Send, Peer: endpoint, Kind: req.Kind, Req: req.RequestID, Text: req.Key, N: len(tried) + 1,
 		})
 	}
 	return endpoint, p.router.RetryMode(class)
@@ -112,12 +112,12 @@
 	ctx, cancel := context.WithTimeout(p.ctx, timeout)
 	defer cancel()
 	answer, err := p.poolOf(endpoint).roundTrip(ctx, &wire.Req{
-		Name:    req.Name,
-		Kind:    req.Kind,
-		Key:     req.Key,
-		From:    p.Name,
-		WorkMs:  req.WorkMs,
-		LimitMs: float64(timeout) / float64(time.Millisecond),
+		RequestID: req.RequestID,
+		Kind:      req.Kind,
+		Key:       req.Key,
+		From:      p.Name,
+		WorkMs:    req.WorkMs,
+		LimitMs:   float64(timeout) / float64(time.Millisecond),
 	})
 	succeeded := err == nil && answer.Outcome == wire.Fine
 	var load []wire.Figure
--- a/internal/wire/request.go
+++ b/internal/wire/request.go
@@ -2,20 +2,20 @@
 
 // Req asks an endpoint, or a proxy in front of endpoints, for work. It belongs to the traffic of the testbed.
 type Req struct {
-	Number  uint64  // pairs it with its Answer on the connection
-	Name    uint64  // the same for all attempts of a request, so that a repeated effect is recognised
-	Kind    string  // request class
-	From    string  // name of the sender
-	Key     string  // in a deployment with slices
-	WorkMs  float64 // time that it takes on a core of speed 1
-	LimitMs float64 // for which the sender waits
+	Number    uint64  // pairs it with its Answer on the connection
+	RequestID uint64  // the same for all attempts of a request, so that a repeated effect is recognised
+	Kind      string  // request class
+	From      string  // name of the sender
+	Key       string  // in a deployment with slices
+	WorkMs    float64 // time that it takes on a core of speed 1
+	LimitMs   float64 // for which the sender waits
 }
 
 func (*Req) messageType() Type { return typeReq }
 
 func (m *Req) encode(e *encoder) {
 	e.uvarint(m.Number)
-	e.uvarint(m.Name)
+	e.uvarint(m.RequestID)
 	e.text(m.Kind)
 	e.text(m.From)
 	e.float(m.WorkMs)
@@ -25,7 +25,7 @@
 
 func (m *Req) decode(d *decoder) {
 	m.Number = d.uvarint()
-	m.Name = d.uvarint()
+	m.RequestID = d.uvarint()
 	m.Kind = d.text()
 	m.From = d.text()
 	m.WorkMs = d.float()
