--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -77,7 +77,7 @@
 	}
 	request := &wire.Req{
 		RequestID: c.number,
-		Kind:      c.class.Name,
+		Class:     c.class.Name,
 		Key:       c.request.Key,
 		From:      "client",
 		WorkMs:    c.request.WorkMs,
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -172,11 +172,11 @@
 	e.w.logEvent(e.Name, eventlog.Event{
 		What:  eventlog.Arrive,
 		Peer:  t.request.From,
-		Kind:  t.request.Kind,
+		Kind:  t.request.Class,
 		Req:   t.request.RequestID,
 		Value: t.request.WorkMs,
 	})
-	faulty := e.fault.OnlyClass == "" || e.fault.OnlyClass == t.request.Kind
+	faulty := e.fault.OnlyClass == "" || e.fault.OnlyClass == t.request.Class
 	fails := faulty && e.fault.ErrorFraction > 0 && e.random.Float64() < e.fault.ErrorFraction
 	hangs := faulty && e.fault.Hang
 	if e.overloaded(process, t.request.WorkMs) || hangs {
@@ -249,15 +249,15 @@
 	process.inFlight--
 	process.served++
 	isRepeat := false
-	if e.Deduplicated[t.request.Kind] {
+	if e.Deduplicated[t.request.Class] {
 		isRepeat = e.completed[t.request.RequestID]
 		e.completed[t.request.RequestID] = true
 	}
-	if e.Effects[t.request.Kind] && !isRepeat {
+	if e.Effects[t.request.Class] && !isRepeat {
 		e.w.logEvent(e.Name, eventlog.Event{
 			What: eventlog.Effect,
 			Peer: t.request.From,
-			Kind: t.request.Kind,
+			Kind: t.request.Class,
 			Req:  t.request.RequestID,
 		})
 	}
--- a/internal/emulator/forwarding.go
+++ b/internal/emulator/forwarding.go
@@ -62,7 +62,7 @@
 		p.w.At(process.busyUntil, func() { p.handle(request, limitMs-(process.busyUntil-p.w.now), answer) })
 		return
 	}
-	class := p.w.classIndex[request.Kind]
+	class := p.w.classIndex[request.Class]
 	process.follower.RequestArrived(class, request.Key)
 	if !process.follower.Admit(class) {
 		p.logRejected(request, rejectedByAdmission)
@@ -80,7 +80,7 @@
 }
 
 func (p *emulatedProxy) logRejected(request *wire.Req, reason string) {
-	p.logEvent(eventlog.Event{What: eventlog.Refuse, Kind: request.Kind, Req: request.RequestID, Text: reason})
+	p.logEvent(eventlog.Event{What: eventlog.Refuse, Kind: request.Class, Req: request.RequestID, Text: reason})
 }
 
 // rejection is the answer to a request that has had no effect.
@@ -103,7 +103,7 @@
 	r.process.proxy.logEvent(eventlog.Event{
 		What: eventlog.Send,
 		Peer: endpoint,
-		Kind: r.request.Kind,
+		Kind: r.request.Class,
 		Req:  r.request.RequestID,
 		Text: r.request.Key,
 		N:    len(r.tried),
@@ -169,7 +169,7 @@
 	p := process.proxy
 	request := &wire.Req{
 		RequestID: a.request.request.RequestID,
-		Kind:      a.request.request.Kind,
+		Class:     a.request.request.Class,
 		From:      p.place.name,
 		WorkMs:    a.request.request.WorkMs,
 		LimitMs:   waitMs,
--- a/internal/testbed/endpoint/process.go
+++ b/internal/testbed/endpoint/process.go
@@ -62,10 +62,10 @@
 
 // admit takes a request into the queue, rejects it or fails it.
 func (p *process) admit(req *wire.Req, reply func(*wire.Answer)) {
-	p.events.Add(eventlog.Event{What: eventlog.Arrive, Peer: req.From, Kind: req.Kind, Req: req.RequestID, Value: req.WorkMs})
+	p.events.Add(eventlog.Event{What: eventlog.Arrive, Peer: req.From, Kind: req.Class, Req: req.RequestID, Value: req.WorkMs})
 	now := time.Now()
 	p.mu.Lock()
-	affected := p.fault.OnlyClass == "" || p.fault.OnlyClass == req.Kind
+	affected := p.fault.OnlyClass == "" || p.fault.OnlyClass == req.Class
 	fails := affected && p.fault.ErrorFraction > 0 && p.random.Float64() < p.fault.ErrorFraction
 	overloaded := p.countWarmUpLoad(now, req.WorkMs)
 	full := p.inFlight >= p.Cores+p.QueueLimit
@@ -125,8 +125,8 @@
 	if !completed {
 		return
 	}
-	if p.Effects[j.req.Kind] && !repeat {
-		p.events.Add(eventlog.Event{What: eventlog.Effect, Peer: j.req.From, Kind: j.req.Kind, Req: j.req.RequestID})
+	if p.Effects[j.req.Class] && !repeat {
+		p.events.Add(eventlog.Event{What: eventlog.Effect, Peer: j.req.From, Kind: j.req.Class, Req: j.req.RequestID})
 	}
 	j.reply(&wire.Answer{Number: j.req.Number, Outcome: wire.Fine, Load: load})
 }
@@ -138,7 +138,7 @@
 	defer p.mu.Unlock()
 	p.inFlight--
 	p.served++
-	if p.Deduplicated[req.Kind] {
+	if p.Deduplicated[req.Class] {
 		repeat = p.ledger[req.RequestID]
 		p.ledger[req.RequestID] = true
 	}
--- a/internal/testbed/loadgen/clients.go
+++ b/internal/testbed/loadgen/clients.go
@@ -94,7 +94,7 @@
 func (c *Clients) send(ctx context.Context, name uint64, request Request, deadline time.Time) (string, time.Duration) {
 	answer, err := c.Proxies[request.Proxy].Do(ctx, &wire.Req{
 		RequestID: name,
-		Kind:      c.Load.Classes[request.Class].Name,
+		Class:     c.Load.Classes[request.Class].Name,
 		Key:       request.Key,
 		From:      "client",
 		WorkMs:    request.WorkMs,
--- a/internal/testbed/proxy/request.go
+++ b/internal/testbed/proxy/request.go
@@ -19,7 +19,7 @@
 
 // handle takes one request from its arrival to its answer.
 func (p *process) handle(req *wire.Req) *wire.Answer {
-	class := slices.Index(p.Routing.Classes, req.Kind)
+	class := slices.Index(p.Routing.Classes, req.Class)
 	if class < 0 {
 		return &wire.Answer{Outcome: wire.Denied}
 	}
@@ -78,7 +78,7 @@
 }
 
 func (p *process) logRejection(req *wire.Req, reason string) {
-	p.events.Add(eventlog.Event{What: eventlog.Refuse, Kind: req.Kind, Req: req.RequestID, Text: reason})
+	p.events.Add(eventlog.Event{What: eventlog.Refuse, Kind: req.Class, Req: req.RequestID, Text: reason})
 }
 
 // pickEndpoint picks the endpoint of the next attempt, "" if there is none, and returns the retry mode with it. It
@@ -93,7 +93,7 @@
 		p.router.AttemptStarted(endpoint)
 		// Logged under the locks, so that no message that is applied comes between the pick and the log.
 		p.events.Add(eventlog.Event{
-			What: eventlog.Send, Peer: endpoint, Kind: req.Kind, Req: req.RequestID, Text: req.Key, N: len(tried) + 1,
+			What: eventlog.Send, Peer: endpoint, Kind: req.Class, Req: req.RequestID, Text: req.Key, N: len(tried) + 1,
 		})
 	}
 	return endpoint, p.router.RetryMode(class)
@@ -113,7 +113,7 @@
 	defer cancel()
 	answer, err := p.poolOf(endpoint).roundTrip(ctx, &wire.Req{
 		RequestID: req.RequestID,
-		Kind:      req.Kind,
+		Class:     req.Class,
 		Key:       req.Key,
 		From:      p.Name,
 		WorkMs:    req.WorkMs,
--- a/internal/wire/request.go
+++ b/internal/wire/request.go
@@ -4,7 +4,7 @@
 type Req struct {
 	Number    uint64  // pairs it with its Answer on the connection
 	RequestID uint64  // the same for all attempts of a request, so that a repeated effect is recognised
-	Kind      string  // request class
+	Class     string  // request class
 	From      string  // name of the sender
 	Key       string  // in a deployment with slices
 	WorkMs    float64 // time that it takes on a core of speed 1
@@ -16,7 +16,7 @@
 func (m *Req) encode(e *encoder) {
 	e.uvarint(m.Number)
 	e.uvarint(m.RequestID)
-	e.text(m.Kind)
+	e.text(m.Class)
 	e.text(m.From)
 	e.float(m.WorkMs)
 	e.float(m.LimitMs)
@@ -26,7 +26,7 @@
 func (m *Req) decode(d *decoder) {
 	m.Number = d.uvarint()
 	m.RequestID = d.uvarint()
-	m.Kind = d.text()
+	m.Class = d.text()
 	m.From = d.text()
 	m.WorkMs = d.float()
 	m.LimitMs = d.float()
