--- a/internal/emulator/forwarding.go
+++ b/internal/emulator/forwarding.go
@@ -172,7 +172,7 @@
 		Class:     a.request.request.Class,
 		From:      p.place.name,
 		WorkMs:    a.request.request.WorkMs,
-		LimitMs:   waitMs,
+		TimeoutMs: waitMs,
 	}
 	answer := func(outcome wire.Outcome, comeBackMs float64, load []wire.Figure) {
 		p.w.network.carry(endpoint.place, p.place, func() {
--- a/internal/testbed/loadgen/clients.go
+++ b/internal/testbed/loadgen/clients.go
@@ -98,7 +98,7 @@
 		Key:       request.Key,
 		From:      "client",
 		WorkMs:    request.WorkMs,
-		LimitMs:   float64(time.Until(deadline)) / float64(time.Millisecond),
+		TimeoutMs: float64(time.Until(deadline)) / float64(time.Millisecond),
 	})
 	if err != nil {
 		if proxy.NotSent(err) {
--- a/internal/testbed/proxy/request.go
+++ b/internal/testbed/proxy/request.go
@@ -23,7 +23,7 @@
 	if class < 0 {
 		return &wire.Answer{Outcome: wire.Denied}
 	}
-	clientTimeout := time.Duration(req.LimitMs * float64(time.Millisecond))
+	clientTimeout := time.Duration(req.TimeoutMs * float64(time.Millisecond))
 	deadline := time.Now().Add(min(p.ClientTimeouts[class], clientTimeout))
 	if !p.admit(req, class) {
 		p.logRejection(req, rejectedByLevel)
@@ -117,7 +117,7 @@
 		Key:       req.Key,
 		From:      p.Name,
 		WorkMs:    req.WorkMs,
-		LimitMs:   float64(timeout) / float64(time.Millisecond),
+		TimeoutMs: float64(timeout) / float64(time.Millisecond),
 	})
 	succeeded := err == nil && answer.Outcome == wire.Fine
 	var load []wire.Figure
--- a/internal/wire/request.go
+++ b/internal/wire/request.go
@@ -8,7 +8,7 @@
 	From      string  // name of the sender
 	Key       string  // in a deployment with slices
 	WorkMs    float64 // time that it takes on a core of speed 1
-	LimitMs   float64 // for which the sender waits
+	TimeoutMs float64 // for which the sender waits
 }
 
 func (*Req) messageType() Type { return typeReq }
@@ -19,7 +19,7 @@
 	e.text(m.Class)
 	e.text(m.From)
 	e.float(m.WorkMs)
-	e.float(m.LimitMs)
+	e.float(m.TimeoutMs)
 	e.text(m.Key)
 }
 
@@ -29,7 +29,7 @@
 	m.Class = d.text()
 	m.From = d.text()
 	m.WorkMs = d.float()
-	m.LimitMs = d.float()
+	m.TimeoutMs = d.float()
 	m.Key = d.text()
 }
 
