--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -99,7 +99,7 @@
 	}
 	wait := c.backoffMs
 	if answer != nil {
-		wait = max(wait, answer.ComeBackMs)
+		wait = max(wait, answer.RetryAfterMs)
 	}
 	c.attempts++
 	c.w.After(wait, c.attempt)
--- a/internal/emulator/forwarding.go
+++ b/internal/emulator/forwarding.go
@@ -85,7 +85,7 @@
 
 // rejection is the answer to a request that has had no effect.
 func rejection() *wire.Answer {
-	return &wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.RetryAfterMs}
+	return &wire.Answer{Outcome: wire.Denied, RetryAfterMs: routing.RetryAfterMs}
 }
 
 // sendNext picks an endpoint for the next attempt and sends it there.
@@ -176,7 +176,7 @@
 	}
 	answer := func(outcome wire.Outcome, comeBackMs float64, load []wire.Figure) {
 		p.w.network.carry(endpoint.place, p.place, func() {
-			process.attemptEnded(a, &wire.Answer{Outcome: outcome, ComeBackMs: comeBackMs, Load: load})
+			process.attemptEnded(a, &wire.Answer{Outcome: outcome, RetryAfterMs: comeBackMs, Load: load})
 		})
 	}
 	return &task{request: request, answer: answer}
--- a/internal/testbed/endpoint/process.go
+++ b/internal/testbed/endpoint/process.go
@@ -82,7 +82,7 @@
 	case fails:
 		reply(&wire.Answer{Number: req.Number, Outcome: wire.Errored, Load: load})
 	case full:
-		reply(&wire.Answer{Number: req.Number, Outcome: wire.Denied, ComeBackMs: p.RetryAfterMs, Load: load})
+		reply(&wire.Answer{Number: req.Number, Outcome: wire.Denied, RetryAfterMs: p.RetryAfterMs, Load: load})
 	default:
 		p.jobs <- job{req, reply}
 	}
--- a/internal/testbed/loadgen/clients.go
+++ b/internal/testbed/loadgen/clients.go
@@ -106,7 +106,7 @@
 		}
 		return outcomeErrored, 0
 	}
-	retryAfter := time.Duration(answer.ComeBackMs * float64(time.Millisecond))
+	retryAfter := time.Duration(answer.RetryAfterMs * float64(time.Millisecond))
 	switch answer.Outcome {
 	case wire.Fine:
 		return outcomeDone, 0
--- a/internal/testbed/proxy/request.go
+++ b/internal/testbed/proxy/request.go
@@ -27,12 +27,12 @@
 	deadline := time.Now().Add(min(p.ClientTimeouts[class], clientTimeout))
 	if !p.admit(req, class) {
 		p.logRejection(req, rejectedByLevel)
-		return &wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.RetryAfterMs}
+		return &wire.Answer{Outcome: wire.Denied, RetryAfterMs: routing.RetryAfterMs}
 	}
 	outcome := p.forward(req, class, deadline)
 	switch outcome {
 	case wire.Denied:
-		return &wire.Answer{Outcome: outcome, ComeBackMs: routing.RetryAfterMs}
+		return &wire.Answer{Outcome: outcome, RetryAfterMs: routing.RetryAfterMs}
 	case wire.Errored:
 		p.mu.Lock()
 		p.router.RequestUnanswered(class, req.Key)
--- a/internal/wire/request.go
+++ b/internal/wire/request.go
@@ -45,10 +45,10 @@
 
 // Answer ends a Req or a Probe.
 type Answer struct {
-	Number     uint64
-	Outcome    Outcome
-	ComeBackMs float64  // Denied: retry after this time
-	Load       []Figure // the endpoint's load report
+	Number       uint64
+	Outcome      Outcome
+	RetryAfterMs float64  // Denied: retry after this time
+	Load         []Figure // the endpoint's load report
 }
 
 func (*Answer) messageType() Type { return typeAnswer }
@@ -56,14 +56,14 @@
 func (m *Answer) encode(e *encoder) {
 	e.uvarint(m.Number)
 	e.byte(byte(m.Outcome))
-	e.float(m.ComeBackMs)
+	e.float(m.RetryAfterMs)
 	e.figures(m.Load)
 }
 
 func (m *Answer) decode(d *decoder) {
 	m.Number = d.uvarint()
 	m.Outcome = Outcome(d.byte())
-	m.ComeBackMs = d.float()
+	m.RetryAfterMs = d.float()
 	if m.Outcome < Fine || m.Outcome > Denied {
 		d.fail(ErrValue)
 	}
