--- a/internal/testbed/proxy/grpc.go
+++ b/internal/testbed/proxy/grpc.go
@@ -150,7 +150,7 @@
 			return slices.ContainsFunc(a.ackRequests, func(number uint32) bool { return int(number) == m.Mark })
 		})
 	case *wire.Beat:
-		if err := s.acknowledge(0, func(a assignment) bool { return a.message <= m.Seen }); err != nil {
+		if err := s.acknowledge(0, func(a assignment) bool { return a.message <= m.LastProcessed }); err != nil {
 			return err
 		}
 		return s.stream.Send(&pb.Upward{Says: &pb.Upward_Beat{Beat: &pb.Beat{}}})
--- a/internal/transport/framed/framed_test.go
+++ b/internal/transport/framed/framed_test.go
@@ -246,7 +246,7 @@
 	st := in.joined(t, "deaf")
 	alive := func(seen uint32, during time.Duration) (err error) {
 		for end := time.Now().Add(during); time.Now().Before(end) && err == nil; time.Sleep(20 * time.Millisecond) {
-			_, err = w.Write(&wire.Beat{Seen: seen})
+			_, err = w.Write(&wire.Beat{LastProcessed: seen})
 		}
 		return err
 	}
--- a/internal/transport/framed/session.go
+++ b/internal/transport/framed/session.go
@@ -90,7 +90,7 @@
 	case *wire.Done:
 		return s.inbox.Post(ctx, controller.Acked{Stream: st, Done: *m})
 	case *wire.Beat:
-		st.unacked.acknowledge(m.Seen)
+		st.unacked.acknowledge(m.LastProcessed)
 		if st.unacked.olderThan(time.Now().Add(-s.config.SeenWithin)) {
 			return ErrSlow
 		}
--- a/internal/transport/transports_test.go
+++ b/internal/transport/transports_test.go
@@ -119,7 +119,7 @@
 		if _, is := m.(*wire.Beat); !is {
 			return m
 		}
-		require.NoError(t, l.Write(&wire.Beat{Seen: l.Last()}, time.Second))
+		require.NoError(t, l.Write(&wire.Beat{LastProcessed: l.Last()}, time.Second))
 	}
 	require.Fail(t, "only beats")
 	return nil
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -25,7 +25,7 @@
 	},
 	&Welcome{Version: 1, Pilot: "one", BeatMs: 300, PeriodMs: 1000},
 	&Refuse{Reason: "no"},
-	&Beat{Seen: 70000},
+	&Beat{LastProcessed: 70000},
 	&Redirect{Reason: "stops"},
 	&Bye{},
 	sampleSums,
