--- a/internal/testbed/registry/subscriber.go
+++ b/internal/testbed/registry/subscriber.go
@@ -89,7 +89,7 @@
 func (r *Registry) answer(s *subscriber, ask *wire.ListAsk) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s.name = ask.Who
+	s.name = ask.Pilot
 	s.watches = s.watches || ask.Watch
 	if !ask.Whole {
 		return
--- a/internal/wire/list.go
+++ b/internal/wire/list.go
@@ -2,7 +2,7 @@
 
 // ListAsk asks a list source for the endpoint list.
 type ListAsk struct {
-	Who   string // name of the pilot that asks
+	Pilot string // name of the pilot that asks
 	Watch bool   // send changes from now on
 	Whole bool   // send the complete list once
 }
@@ -10,13 +10,13 @@
 func (*ListAsk) messageType() Type { return typeListAsk }
 
 func (m *ListAsk) encode(e *encoder) {
-	e.text(m.Who)
+	e.text(m.Pilot)
 	e.bool(m.Watch)
 	e.bool(m.Whole)
 }
 
 func (m *ListAsk) decode(d *decoder) {
-	m.Who = d.text()
+	m.Pilot = d.text()
 	m.Watch = d.bool()
 	m.Whole = d.bool()
 }
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -39,7 +39,7 @@
 		{Kind: OpMark, AckNumber: 12},
 		{Kind: OpRange, Table: 4, From: "a", To: "b", Remove: true},
 	}},
-	&ListAsk{Who: "one", Watch: true, Whole: true},
+	&ListAsk{Pilot: "one", Watch: true, Whole: true},
 	&List{Version: 4, Now: 99, Whole: true, Entries: []Entry{{"x:1", "a", "std", 2, PhaseDraining, 1.5, 88}}},
 	&Req{Number: 1, RequestID: 2, Class: "read", From: "p", WorkMs: 30, TimeoutMs: 1500},
 	&Answer{Number: 1, Outcome: Denied, RetryAfterMs: 200, Load: []Figure{{"util", 1}}},
