--- a/internal/testbed/proxy/grpc.go
+++ b/internal/testbed/proxy/grpc.go
@@ -211,7 +211,7 @@
 	case *pb.Downward_Pace:
 		return &wire.Pace{
 			PeriodMs: int(says.Pace.GetPeriodMs()),
-			Lines:    int(says.Pace.GetLines()),
+			MaxLines: int(says.Pace.GetLines()),
 			Changes:  says.Pace.GetChanges(),
 		}
 	case *pb.Downward_Redirect:
--- a/internal/transport/grpcapi/stream.go
+++ b/internal/transport/grpcapi/stream.go
@@ -88,7 +88,7 @@
 		}
 		return &pb.Downward{Says: &pb.Downward_Pace{Pace: &pb.Pace{
 			PeriodMs: uint32(advice.PeriodMs),
-			Lines:    uint32(advice.Lines),
+			Lines:    uint32(advice.MaxLines),
 			Changes:  advice.Changes,
 		}}}
 	}
--- a/internal/wire/report.go
+++ b/internal/wire/report.go
@@ -115,7 +115,7 @@
 // Pace asks a proxy to change its reporting.
 type Pace struct {
 	PeriodMs int  // reporting interval
-	Lines    int  // most elements of Sums.Met in a report; 0: all
+	MaxLines int  // most elements of Sums.Met in a report; 0: all
 	Changes  bool // only elements that have changed
 }
 
@@ -123,12 +123,12 @@
 
 func (m *Pace) encode(e *encoder) {
 	e.varint(m.PeriodMs)
-	e.varint(m.Lines)
+	e.varint(m.MaxLines)
 	e.bool(m.Changes)
 }
 
 func (m *Pace) decode(d *decoder) {
 	m.PeriodMs = d.count()
-	m.Lines = d.count()
+	m.MaxLines = d.count()
 	m.Changes = d.bool()
 }
