--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -268,7 +268,7 @@
 // paceRequests returns how proxies are to report from now on, where that changes.
 func (g *reportGate) paceRequests(nowMs float64) (requests []paceRequest) {
 	for _, advice := range g.aggregator.Rebalance(nowMs) {
-		pace := &wire.Pace{PeriodMs: int(advice.PeriodMs), MaxLines: advice.MaxLines, Changes: advice.ChangedOnly}
+		pace := &wire.Pace{PeriodMs: int(advice.PeriodMs), MaxLines: advice.MaxLines, ChangedOnly: advice.ChangedOnly}
 		requests = append(requests, paceRequest{g.streams[advice.Sender], pace})
 	}
 	return requests
--- a/internal/emulator/stream.go
+++ b/internal/emulator/stream.go
@@ -82,7 +82,7 @@
 func (s *stream) Ask(pace *wire.Pace) error {
 	s.sendDown(func() {
 		if !s.ended && s.process.proxy.heedsPace {
-			s.process.reportRequest = routing.ReportRequest{MaxEndpoints: pace.MaxLines, ChangesOnly: pace.Changes}
+			s.process.reportRequest = routing.ReportRequest{MaxEndpoints: pace.MaxLines, ChangesOnly: pace.ChangedOnly}
 			s.process.reportPeriodMs = math.Max(1, float64(pace.PeriodMs))
 		}
 	})
--- a/internal/testbed/proxy/grpc.go
+++ b/internal/testbed/proxy/grpc.go
@@ -210,9 +210,9 @@
 		return grpcapi.OrdersFrom(says.Assignment)
 	case *pb.Downward_Pace:
 		return &wire.Pace{
-			PeriodMs: int(says.Pace.GetPeriodMs()),
-			MaxLines: int(says.Pace.GetLines()),
-			Changes:  says.Pace.GetChanges(),
+			PeriodMs:    int(says.Pace.GetPeriodMs()),
+			MaxLines:    int(says.Pace.GetLines()),
+			ChangedOnly: says.Pace.GetChanges(),
 		}
 	case *pb.Downward_Redirect:
 		return &wire.Redirect{Reason: says.Redirect.GetReason()}
--- a/internal/testbed/proxy/session.go
+++ b/internal/testbed/proxy/session.go
@@ -218,7 +218,7 @@
 		return
 	}
 	s.mu.Lock()
-	s.reportRequest = routing.ReportRequest{MaxEndpoints: m.MaxLines, ChangesOnly: m.Changes}
+	s.reportRequest = routing.ReportRequest{MaxEndpoints: m.MaxLines, ChangesOnly: m.ChangedOnly}
 	s.mu.Unlock()
 	s.periodMs.Store(int64(m.PeriodMs))
 }
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -94,8 +94,8 @@
 }
 
 func advice(t *testing.T, s session) {
-	require.NoError(t, s.stream.Ask(&wire.Pace{PeriodMs: 4000, MaxLines: 9, Changes: true}))
-	assert.Equal(t, &wire.Pace{PeriodMs: 4000, MaxLines: 9, Changes: true}, read(t, s.line))
+	require.NoError(t, s.stream.Ask(&wire.Pace{PeriodMs: 4000, MaxLines: 9, ChangedOnly: true}))
+	assert.Equal(t, &wire.Pace{PeriodMs: 4000, MaxLines: 9, ChangedOnly: true}, read(t, s.line))
 }
 
 func closedWithReason(t *testing.T, s session) {
--- a/internal/transport/grpcapi/stream.go
+++ b/internal/transport/grpcapi/stream.go
@@ -89,7 +89,7 @@
 		return &pb.Downward{Says: &pb.Downward_Pace{Pace: &pb.Pace{
 			PeriodMs: uint32(advice.PeriodMs),
 			Lines:    uint32(advice.MaxLines),
-			Changes:  advice.Changes,
+			Changes:  advice.ChangedOnly,
 		}}}
 	}
 	if st.pending.empty() {
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -45,7 +45,7 @@
 	&Answer{Number: 1, Outcome: Denied, RetryAfterMs: 200, Load: []Figure{{"util", 1}}},
 	&Probe{Number: 3},
 	&Slices{Slice: 4, Given: true, Lines: []HeldLine{{"x:1", 2}}},
-	&Pace{PeriodMs: 2000, MaxLines: 40, Changes: true},
+	&Pace{PeriodMs: 2000, MaxLines: 40, ChangedOnly: true},
 }
 
 // encodeBody encodes a message without its frame, whatever its size.
--- a/internal/wire/report.go
+++ b/internal/wire/report.go
@@ -114,9 +114,9 @@
 
 // Pace asks a proxy to change its reporting.
 type Pace struct {
-	PeriodMs int  // reporting interval
-	MaxLines int  // most elements of Sums.Met in a report; 0: all
-	Changes  bool // only elements that have changed
+	PeriodMs    int  // reporting interval
+	MaxLines    int  // most elements of Sums.Met in a report; 0: all
+	ChangedOnly bool // only elements that have changed
 }
 
 func (*Pace) messageType() Type { return typePace }
@@ -124,11 +124,11 @@
 func (m *Pace) encode(e *encoder) {
 	e.varint(m.PeriodMs)
 	e.varint(m.MaxLines)
-	e.bool(m.Changes)
+	e.bool(m.ChangedOnly)
 }
 
 func (m *Pace) decode(d *decoder) {
 	m.PeriodMs = d.count()
 	m.MaxLines = d.count()
-	m.Changes = d.bool()
+	m.ChangedOnly = d.bool()
 }
