--- a/internal/testbed/proxy/session.go
+++ b/internal/testbed/proxy/session.go
@@ -105,7 +105,7 @@
 		process: p,
 		stream:  stream,
 		pilot:   welcome.Pilot,
-		beat:    time.Duration(welcome.BeatMs) * time.Millisecond,
+		beat:    time.Duration(welcome.HeartbeatMs) * time.Millisecond,
 		acks:    make(chan wire.Message, maxQueuedAcks),
 	}
 	s.periodMs.Store(int64(welcome.PeriodMs))
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -82,10 +82,10 @@
 
 // Welcome accepts a Hello.
 type Welcome struct {
-	Version  int
-	Pilot    string // name
-	BeatMs   int    // heartbeat interval of both sides
-	PeriodMs int    // reporting interval
+	Version     int
+	Pilot       string // name
+	HeartbeatMs int    // heartbeat interval of both sides
+	PeriodMs    int    // reporting interval
 }
 
 func (*Welcome) messageType() Type { return typeWelcome }
@@ -93,14 +93,14 @@
 func (m *Welcome) encode(e *encoder) {
 	e.varint(m.Version)
 	e.text(m.Pilot)
-	e.varint(m.BeatMs)
+	e.varint(m.HeartbeatMs)
 	e.varint(m.PeriodMs)
 }
 
 func (m *Welcome) decode(d *decoder) {
 	m.Version = d.count()
 	m.Pilot = d.text()
-	m.BeatMs = d.count()
+	m.HeartbeatMs = d.count()
 	m.PeriodMs = d.count()
 }
 
