--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -33,7 +33,7 @@
 		Acked{stream, wire.Done{Mark: 9}}, // acknowledged before
 		Acked{stream, wire.Done{Mark: 8}}, // never sent
 		HealthChecked{"x", "ok", 5, []wire.Figure{{Name: "util", Value: 0.5}}},
-		LoadReported{stream, &wire.Sums{
+		LoadReported{stream, &wire.LoadReport{
 			Seq:           1,
 			SpanMs:        500,
 			EndpointStats: []wire.Met{{Endpoint: "x", Attempts: 4, Failed: 1, MeanMs: 20}, {Endpoint: "never listed", Attempts: 1}},
@@ -194,7 +194,7 @@
 				case 2:
 					in = []Input{ProxyLeft{stream}}
 				case 3:
-					in = []Input{LoadReported{stream, &wire.Sums{
+					in = []Input{LoadReported{stream, &wire.LoadReport{
 						Seq: uint64(i + 1), AtMs: now, SpanMs: 200,
 						EndpointStats: []wire.Met{{Endpoint: "x", Attempts: 9, Failed: i % 9}},
 					}}}
--- a/internal/controller/inputs.go
+++ b/internal/controller/inputs.go
@@ -23,7 +23,7 @@
 	// LoadReported brings a proxy's report: what it counted since its last one.
 	LoadReported struct {
 		Stream Stream
-		Sums   *wire.Sums
+		Sums   *wire.LoadReport
 	}
 
 	// Acked answers an ack request: the proxy has applied everything sent before it.
--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -131,7 +131,7 @@
 }
 
 // accept takes in one report.
-func (g *reportGate) accept(nowMs float64, from Stream, sums *wire.Sums) {
+func (g *reportGate) accept(nowMs float64, from Stream, sums *wire.LoadReport) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	proxy, joined := g.proxies[from]
--- a/internal/controller/reportgate_test.go
+++ b/internal/controller/reportgate_test.go
@@ -24,7 +24,7 @@
 	})
 	c.Handle(1, []Input{ProxyLeft{left}})
 	for i, s := range []Stream{&fakeTransport{}, left} {
-		c.Handle(float64(100+i), []Input{LoadReported{s, &wire.Sums{
+		c.Handle(float64(100+i), []Input{LoadReported{s, &wire.LoadReport{
 			Seq:           1,
 			SpanMs:        500,
 			EndpointStats: []wire.Met{{Endpoint: "x", Attempts: 4}},
@@ -50,7 +50,7 @@
 	c := NewCore(p)
 	c.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0)), ProxyJoined{stream, hello("p", "a")}})
 	report := func(at float64, seq uint64) {
-		c.Handle(at, []Input{LoadReported{stream, &wire.Sums{
+		c.Handle(at, []Input{LoadReported{stream, &wire.LoadReport{
 			Seq:           seq,
 			AtMs:          at,
 			SpanMs:        100,
--- a/internal/controller/telemetry.go
+++ b/internal/controller/telemetry.go
@@ -23,7 +23,9 @@
 
 // Report takes in a proxy's report, also in between turns and by any goroutine; the aggregator passes it on when
 // its period is over.
-func (c *Core) Report(nowMs float64, s Stream, sums *wire.Sums) { c.reports.accept(nowMs, s, sums) }
+func (c *Core) Report(nowMs float64, s Stream, sums *wire.LoadReport) {
+	c.reports.accept(nowMs, s, sums)
+}
 
 // appendTelemetry appends what reports come to in this turn, whichever way they come.
 func (c *Core) appendTelemetry(events []planner.Event) []planner.Event {
--- a/internal/daemon/core_bench_test.go
+++ b/internal/daemon/core_bench_test.go
@@ -44,7 +44,7 @@
 	core     *controller.Core
 
 	streams []*sink
-	reports []*wire.Sums // one for each stream
+	reports []*wire.LoadReport // one for each stream
 	nowMs   float64
 	inputs  int
 	turnsMs []float64 // of those that asked the planner
@@ -143,8 +143,8 @@
 }
 
 // benchReport returns what a proxy met in a second.
-func benchReport(entries []wire.Entry, proxy int) *wire.Sums {
-	report := &wire.Sums{SpanMs: 1000, RequestStats: []wire.Demand{{Class: "read", Requests: 2}}}
+func benchReport(entries []wire.Entry, proxy int) *wire.LoadReport {
+	report := &wire.LoadReport{SpanMs: 1000, RequestStats: []wire.Demand{{Class: "read", Requests: 2}}}
 	for k := range linesPerReport - 1 {
 		endpoint := entries[(proxy+k*endpointStep)%manyEndpoints].Endpoint
 		utilization := 0.4 + 0.3*float64(proxy%7)/7
--- a/internal/daemon/hostile_test.go
+++ b/internal/daemon/hostile_test.go
@@ -168,9 +168,9 @@
 }
 
 // hostileReport has figures at the limits of their types, and an endpoint that nobody listed.
-func hostileReport() *wire.Sums {
+func hostileReport() *wire.LoadReport {
 	load := []wire.Figure{{Name: "util", Value: 1e308}}
-	return &wire.Sums{
+	return &wire.LoadReport{
 		Seq:    math.MaxUint64,
 		AtMs:   1e308,
 		SpanMs: 1e308,
--- a/internal/emulator/pilot.go
+++ b/internal/emulator/pilot.go
@@ -160,7 +160,7 @@
 }
 
 // report hands a load report to telemetry without a turn of the loop, as the shipped transports do.
-func (p *emulatedPilot) report(s *stream, sums *wire.Sums) {
+func (p *emulatedPilot) report(s *stream, sums *wire.LoadReport) {
 	process := p.process
 	if process == nil {
 		return
--- a/internal/testbed/proxy/grpc.go
+++ b/internal/testbed/proxy/grpc.go
@@ -143,7 +143,7 @@
 // not used, as gRPC has none for a single message.
 func (s *grpcStream) Write(message wire.Message, _ time.Duration) error {
 	switch m := message.(type) {
-	case *wire.Sums:
+	case *wire.LoadReport:
 		return s.stream.Send(&pb.Upward{Says: &pb.Upward_Report{Report: grpcapi.Report(m)}})
 	case *wire.Done:
 		return s.acknowledge(m.TookMs, func(a assignment) bool {
--- a/internal/testbed/proxy/session.go
+++ b/internal/testbed/proxy/session.go
@@ -162,7 +162,7 @@
 	return period
 }
 
-func (s *session) report() *wire.Sums {
+func (s *session) report() *wire.LoadReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.router.Report(s.events.Now()+s.ClockOffsetMs, s.reportRequest)
--- a/internal/testbed/routing/reports.go
+++ b/internal/testbed/routing/reports.go
@@ -110,9 +110,9 @@
 
 // Report returns the load report since the last call. Endpoints that it leaves out by the pilot's request add up for a
 // later one.
-func (r *Router) Report(nowMs float64, request ReportRequest) *wire.Sums {
+func (r *Router) Report(nowMs float64, request ReportRequest) *wire.LoadReport {
 	r.reportSeq++
-	report := &wire.Sums{Seq: r.reportSeq, AtMs: nowMs, SpanMs: math.Max(0, nowMs-r.lastReportMs)}
+	report := &wire.LoadReport{Seq: r.reportSeq, AtMs: nowMs, SpanMs: math.Max(0, nowMs-r.lastReportMs)}
 	report.EndpointStats = r.reportEndpoints(request)
 	for _, class := range slices.Sorted(maps.Keys(r.demand)) {
 		report.RequestStats = append(report.RequestStats, *r.demand[class])
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -75,7 +75,7 @@
 }
 
 func report(t *testing.T, s session) {
-	sums := &wire.Sums{
+	sums := &wire.LoadReport{
 		Seq:    1,
 		AtMs:   5,
 		SpanMs: 1000,
--- a/internal/transport/framed/session.go
+++ b/internal/transport/framed/session.go
@@ -85,7 +85,7 @@
 // receive handles one message of a proxy.
 func (s *Server) receive(ctx context.Context, st *stream, m wire.Message) error {
 	switch m := m.(type) {
-	case *wire.Sums:
+	case *wire.LoadReport:
 		return s.inbox.Post(ctx, controller.LoadReported{Stream: st, Sums: m})
 	case *wire.Done:
 		return s.inbox.Post(ctx, controller.Acked{Stream: st, Done: *m})
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -72,8 +72,8 @@
 }
 
 // reportFrom decodes and validates a load report. The error wraps wire.ErrValue.
-func reportFrom(r *pb.Report) (*wire.Sums, error) {
-	sums := &wire.Sums{Seq: r.GetNumber(), AtMs: r.GetAtMs(), SpanMs: r.GetSpanMs()}
+func reportFrom(r *pb.Report) (*wire.LoadReport, error) {
+	sums := &wire.LoadReport{Seq: r.GetNumber(), AtMs: r.GetAtMs(), SpanMs: r.GetSpanMs()}
 	if len(r.GetEndpoints()) > wire.MaxItems || len(r.GetKinds()) > wire.MaxItems {
 		return nil, fmt.Errorf("report of %d lines: %w", len(r.GetEndpoints()), wire.ErrValue)
 	}
--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -27,7 +27,7 @@
 }
 
 // Report encodes a load report.
-func Report(s *wire.Sums) *pb.Report {
+func Report(s *wire.LoadReport) *pb.Report {
 	report := &pb.Report{Number: s.Seq, AtMs: s.AtMs, SpanMs: s.SpanMs}
 	for i := range s.EndpointStats {
 		report.Endpoints = append(report.Endpoints, endpointLoad(&s.EndpointStats[i]))
--- a/internal/transport/identity_test.go
+++ b/internal/transport/identity_test.go
@@ -137,7 +137,7 @@
 					_, err = authority.Issue(dir, controllerOne, from, 2*time.Hour)
 					require.NoError(t, err)
 				}
-				require.NoError(t, line.Write(&wire.Sums{Seq: uint64(i + 1), SpanMs: 10}, time.Second))
+				require.NoError(t, line.Write(&wire.LoadReport{Seq: uint64(i + 1), SpanMs: 10}, time.Second))
 				assert.EqualValues(t, i+1, next[controller.LoadReported](t, in).Sums.Seq)
 				time.Sleep(20 * time.Millisecond)
 			}
--- a/internal/transport/xds/lrs.go
+++ b/internal/transport/xds/lrs.go
@@ -56,7 +56,7 @@
 }
 
 // sums converts a load report, sent at atMs on the stream's clock. The result is nil if the report covers no time.
-func (st *stream) sums(r *lrs.LoadStatsRequest, atMs float64) (*wire.Sums, error) {
+func (st *stream) sums(r *lrs.LoadStatsRequest, atMs float64) (*wire.LoadReport, error) {
 	sums, err := sumsFrom(r, st.classes)
 	if err != nil || sums.SpanMs <= 0 {
 		return nil, err
@@ -76,8 +76,8 @@
 
 // sumsFrom sums a load report by endpoint and by request class. Clusters that are not request classes are ignored. LRS
 // carries no response times, so means are 0.
-func sumsFrom(r *lrs.LoadStatsRequest, classes []string) (*wire.Sums, error) {
-	sums := &wire.Sums{}
+func sumsFrom(r *lrs.LoadStatsRequest, classes []string) (*wire.LoadReport, error) {
+	sums := &wire.LoadReport{}
 	byEndpoint := map[string]*wire.Met{}
 	for _, c := range r.GetClusterStats() {
 		if !slices.Contains(classes, c.GetClusterName()) {
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -60,7 +60,7 @@
 	case typeBeat:
 		return &Beat{}
 	case typeSums:
-		return &Sums{}
+		return &LoadReport{}
 	case typeDone:
 		return &Done{}
 	case typeOrders:
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -8,7 +8,7 @@
 )
 
 // sampleSums has every field set.
-var sampleSums = &Sums{
+var sampleSums = &LoadReport{
 	Seq:           3,
 	AtMs:          5.5,
 	SpanMs:        1000,
--- a/internal/wire/report.go
+++ b/internal/wire/report.go
@@ -1,7 +1,7 @@
 package wire
 
 // Sums is a proxy's report on what happened since its last one.
-type Sums struct {
+type LoadReport struct {
 	Seq           uint64  // number of the report in its stream, from 1
 	AtMs          float64 // on the proxy's own clock, of which only differences have a meaning
 	SpanMs        float64 // time that the report covers
@@ -40,9 +40,9 @@
 	Unanswered int
 }
 
-func (*Sums) messageType() Type { return typeSums }
+func (*LoadReport) messageType() Type { return typeSums }
 
-func (m *Sums) encode(e *encoder) {
+func (m *LoadReport) encode(e *encoder) {
 	e.uvarint(m.Seq)
 	e.float(m.AtMs)
 	e.float(m.SpanMs)
@@ -65,7 +65,7 @@
 	}
 }
 
-func (m *Sums) decode(d *decoder) {
+func (m *LoadReport) decode(d *decoder) {
 	m.Seq = d.uvarint()
 	m.AtMs = d.float()
 	m.SpanMs = d.float()
