--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -36,7 +36,7 @@
 		LoadReported{stream, &wire.LoadReport{
 			Seq:           1,
 			SpanMs:        500,
-			EndpointStats: []wire.Met{{Endpoint: "x", Attempts: 4, Failed: 1, MeanMs: 20}, {Endpoint: "never listed", Attempts: 1}},
+			EndpointStats: []wire.EndpointStats{{Endpoint: "x", Attempts: 4, Failed: 1, MeanMs: 20}, {Endpoint: "never listed", Attempts: 1}},
 			RequestStats:  []wire.Demand{{Class: "book", Requests: 5, Unanswered: 1}},
 		}},
 	})
@@ -196,7 +196,7 @@
 				case 3:
 					in = []Input{LoadReported{stream, &wire.LoadReport{
 						Seq: uint64(i + 1), AtMs: now, SpanMs: 200,
-						EndpointStats: []wire.Met{{Endpoint: "x", Attempts: 9, Failed: i % 9}},
+						EndpointStats: []wire.EndpointStats{{Endpoint: "x", Attempts: 9, Failed: i % 9}},
 					}}}
 				case 4:
 					e := entry("x", 0)
--- a/internal/controller/malformed_test.go
+++ b/internal/controller/malformed_test.go
@@ -26,13 +26,13 @@
 // it says, what crosses to the others has sound weights and levels, they keep lines, and the module goes on.
 func TestHostile(t *testing.T) {
 	huge, nan, inf := 1e308, math.NaN(), math.Inf(1)
-	met := func(change func(s *wire.LoadReport, m *wire.Met)) func(*fleet, *fakeTransport) {
+	met := func(change func(s *wire.LoadReport, m *wire.EndpointStats)) func(*fleet, *fakeTransport) {
 		return func(f *fleet, bad *fakeTransport) {
 			f.handle(ProxyJoined{bad, wire.Hello{Proxy: "bad", Zone: "a", Rate: 2}})
 			for i := range 6 {
 				s := &wire.LoadReport{Seq: uint64(i + 1), AtMs: f.now, SpanMs: 1000}
 				for e := range 9 {
-					m := wire.Met{Endpoint: fmt.Sprint("e", e), Attempts: 9, MeanMs: 20, Load: []wire.Figure{{Name: "util", Value: 0.4}}}
+					m := wire.EndpointStats{Endpoint: fmt.Sprint("e", e), Attempts: 9, MeanMs: 20, Load: []wire.Figure{{Name: "util", Value: 0.4}}}
 					change(s, &m)
 					s.EndpointStats = append(s.EndpointStats, m)
 				}
@@ -42,7 +42,7 @@
 		}
 	}
 	load := func(name string, v float64) func(*fleet, *fakeTransport) {
-		return met(func(_ *wire.LoadReport, m *wire.Met) { m.Load = []wire.Figure{{Name: name, Value: v}} })
+		return met(func(_ *wire.LoadReport, m *wire.EndpointStats) { m.Load = []wire.Figure{{Name: name, Value: v}} })
 	}
 	rate := func(v float64) func(*fleet, *fakeTransport) {
 		return func(f *fleet, bad *fakeTransport) {
@@ -61,15 +61,15 @@
 		"load not a number": load("util", nan), "load infinite": load("util", inf), "load huge": load("util", huge),
 		"load negative": load("util", -huge), "queue infinite": load("waiting", inf), "queue huge": load("waiting", huge),
 		"queue negative": load("in_hand", -1), "served huge": load("rate", huge),
-		"mean huge":        met(func(_ *wire.LoadReport, m *wire.Met) { m.MeanMs = huge }),
-		"mean no number":   met(func(_ *wire.LoadReport, m *wire.Met) { m.MeanMs = nan }),
-		"no span":          met(func(s *wire.LoadReport, _ *wire.Met) { s.SpanMs = 5e-324 }),
-		"span infinite":    met(func(s *wire.LoadReport, _ *wire.Met) { s.SpanMs = inf }),
-		"far future":       met(func(s *wire.LoadReport, _ *wire.Met) { s.AtMs = huge }),
-		"last sequence":    met(func(s *wire.LoadReport, _ *wire.Met) { s.Seq = math.MaxUint64 }),
-		"tries at end":     met(func(_ *wire.LoadReport, m *wire.Met) { m.Attempts, m.Failed = math.MaxInt32, math.MaxInt32 }),
-		"failed above":     met(func(_ *wire.LoadReport, m *wire.Met) { m.Failed = m.Attempts + 1 }),
-		"negative tries":   met(func(_ *wire.LoadReport, m *wire.Met) { m.Attempts, m.Failed = -5, -9 }),
+		"mean huge":        met(func(_ *wire.LoadReport, m *wire.EndpointStats) { m.MeanMs = huge }),
+		"mean no number":   met(func(_ *wire.LoadReport, m *wire.EndpointStats) { m.MeanMs = nan }),
+		"no span":          met(func(s *wire.LoadReport, _ *wire.EndpointStats) { s.SpanMs = 5e-324 }),
+		"span infinite":    met(func(s *wire.LoadReport, _ *wire.EndpointStats) { s.SpanMs = inf }),
+		"far future":       met(func(s *wire.LoadReport, _ *wire.EndpointStats) { s.AtMs = huge }),
+		"last sequence":    met(func(s *wire.LoadReport, _ *wire.EndpointStats) { s.Seq = math.MaxUint64 }),
+		"tries at end":     met(func(_ *wire.LoadReport, m *wire.EndpointStats) { m.Attempts, m.Failed = math.MaxInt32, math.MaxInt32 }),
+		"failed above":     met(func(_ *wire.LoadReport, m *wire.EndpointStats) { m.Failed = m.Attempts + 1 }),
+		"negative tries":   met(func(_ *wire.LoadReport, m *wire.EndpointStats) { m.Attempts, m.Failed = -5, -9 }),
 		"weight huge":      list(func(e *wire.Entry) { e.Weight = huge }),
 		"weight infinite":  list(func(e *wire.Entry) { e.Weight = inf }),
 		"weight no number": list(func(e *wire.Entry) { e.Weight = nan }),
--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -152,7 +152,7 @@
 }
 
 // fillLines puts what a proxy met at endpoints into a report.
-func (g *reportGate) fillLines(r *report, stats []wire.Met) {
+func (g *reportGate) fillLines(r *report, stats []wire.EndpointStats) {
 	r.Lines = r.Lines[:0]
 	for i := range stats {
 		stat := &stats[i]
--- a/internal/controller/reportgate_test.go
+++ b/internal/controller/reportgate_test.go
@@ -27,7 +27,7 @@
 		c.Handle(float64(100+i), []Input{LoadReported{s, &wire.LoadReport{
 			Seq:           1,
 			SpanMs:        500,
-			EndpointStats: []wire.Met{{Endpoint: "x", Attempts: 4}},
+			EndpointStats: []wire.EndpointStats{{Endpoint: "x", Attempts: 4}},
 			RequestStats:  []wire.Demand{{Class: "book", Requests: 5}},
 		}}})
 	}
@@ -54,7 +54,7 @@
 			Seq:           seq,
 			AtMs:          at,
 			SpanMs:        100,
-			EndpointStats: []wire.Met{{Endpoint: "x", Attempts: 1, MeanMs: 10}, {Endpoint: "y", Attempts: 2, Failed: 2}},
+			EndpointStats: []wire.EndpointStats{{Endpoint: "x", Attempts: 1, MeanMs: 10}, {Endpoint: "y", Attempts: 2, Failed: 2}},
 		}}})
 	}
 	d.events = nil
--- a/internal/daemon/core_bench_test.go
+++ b/internal/daemon/core_bench_test.go
@@ -148,7 +148,7 @@
 	for k := range linesPerReport - 1 {
 		endpoint := entries[(proxy+k*endpointStep)%manyEndpoints].Endpoint
 		utilization := 0.4 + 0.3*float64(proxy%7)/7
-		report.EndpointStats = append(report.EndpointStats, wire.Met{
+		report.EndpointStats = append(report.EndpointStats, wire.EndpointStats{
 			Endpoint: endpoint,
 			Attempts: 1,
 			MeanMs:   30,
--- a/internal/daemon/hostile_test.go
+++ b/internal/daemon/hostile_test.go
@@ -174,7 +174,7 @@
 		Seq:    math.MaxUint64,
 		AtMs:   1e308,
 		SpanMs: 1e308,
-		EndpointStats: []wire.Met{
+		EndpointStats: []wire.EndpointStats{
 			{Endpoint: "x:1", Attempts: math.MaxInt32, Failed: math.MaxInt32, MeanMs: 1e308, Load: load},
 			{Endpoint: "never:1", Attempts: 5},
 		},
--- a/internal/testbed/routing/reports.go
+++ b/internal/testbed/routing/reports.go
@@ -27,7 +27,7 @@
 
 // endpointStats is what attempts at one endpoint showed since a report last named it.
 type endpointStats struct {
-	counts         wire.Met
+	counts         wire.EndpointStats
 	latencySumMs   float64 // of those that succeeded
 	succeeded      int
 	skippedReports int // that left it out
@@ -87,7 +87,7 @@
 
 func (r *Router) statsOf(endpoint string) *endpointStats {
 	if r.stats[endpoint] == nil {
-		r.stats[endpoint] = &endpointStats{counts: wire.Met{Endpoint: endpoint}}
+		r.stats[endpoint] = &endpointStats{counts: wire.EndpointStats{Endpoint: endpoint}}
 	}
 	return r.stats[endpoint]
 }
@@ -128,7 +128,7 @@
 
 // reportEndpoints takes the stats of the endpoints that a report names: those that failed first, then those that were
 // left out longest.
-func (r *Router) reportEndpoints(request ReportRequest) (reported []wire.Met) {
+func (r *Router) reportEndpoints(request ReportRequest) (reported []wire.EndpointStats) {
 	endpoints := slices.Sorted(maps.Keys(r.stats))
 	if request.MaxEndpoints > 0 || request.ChangesOnly {
 		slices.SortStableFunc(endpoints, func(a, b string) int { return r.stats[b].rank() - r.stats[a].rank() })
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -79,7 +79,7 @@
 		Seq:    1,
 		AtMs:   5,
 		SpanMs: 1000,
-		EndpointStats: []wire.Met{{
+		EndpointStats: []wire.EndpointStats{{
 			Endpoint: "x",
 			Attempts: 4,
 			Failed:   1,
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -106,22 +106,22 @@
 
 // endpointLoadFrom decodes and validates the load of one endpoint. The figures are sorted by name, since the iteration
 // order of a map varies.
-func endpointLoadFrom(e *pb.EndpointLoad) (wire.Met, error) {
-	met := wire.Met{
+func endpointLoadFrom(e *pb.EndpointLoad) (wire.EndpointStats, error) {
+	met := wire.EndpointStats{
 		Endpoint: e.GetEndpoint(),
 		Attempts: int(e.GetTries()),
 		Failed:   int(e.GetFailed()),
 		MeanMs:   e.GetMeanMs(),
 	}
 	if err := cmp.Or(checkText(met.Endpoint), checkFigure(met.MeanMs)); err != nil {
-		return wire.Met{}, err
+		return wire.EndpointStats{}, err
 	}
 	if met.Failed > met.Attempts {
-		return wire.Met{}, fmt.Errorf("%d failed of %d: %w", met.Failed, met.Attempts, wire.ErrValue)
+		return wire.EndpointStats{}, fmt.Errorf("%d failed of %d: %w", met.Failed, met.Attempts, wire.ErrValue)
 	}
 	for name, value := range e.GetFigures() {
 		if err := cmp.Or(checkText(name), checkFigure(value)); err != nil {
-			return wire.Met{}, err
+			return wire.EndpointStats{}, err
 		}
 		met.Load = append(met.Load, wire.Figure{Name: name, Value: value})
 	}
--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -49,7 +49,7 @@
 }
 
 // endpointLoad encodes the load of one endpoint.
-func endpointLoad(m *wire.Met) *pb.EndpointLoad {
+func endpointLoad(m *wire.EndpointStats) *pb.EndpointLoad {
 	load := &pb.EndpointLoad{
 		Endpoint: m.Endpoint,
 		Tries:    uint32(m.Attempts),
--- a/internal/transport/xds/lrs.go
+++ b/internal/transport/xds/lrs.go
@@ -78,7 +78,7 @@
 // carries no response times, so means are 0.
 func sumsFrom(r *lrs.LoadStatsRequest, classes []string) (*wire.LoadReport, error) {
 	sums := &wire.LoadReport{}
-	byEndpoint := map[string]*wire.Met{}
+	byEndpoint := map[string]*wire.EndpointStats{}
 	for _, c := range r.GetClusterStats() {
 		if !slices.Contains(classes, c.GetClusterName()) {
 			continue
@@ -97,13 +97,13 @@
 
 // addCluster adds the load of a cluster to its endpoints and returns the cluster's requests. Requests that the client
 // dropped under the drop policy are included.
-func addCluster(byEndpoint map[string]*wire.Met, c *endpoint.ClusterStats) wire.Demand {
+func addCluster(byEndpoint map[string]*wire.EndpointStats, c *endpoint.ClusterStats) wire.Demand {
 	demand := wire.Demand{Class: c.GetClusterName(), Requests: count(c.GetTotalDroppedRequests())}
 	for _, l := range c.GetUpstreamLocalityStats() {
 		name := l.GetLocality().GetSubZone()
 		met := byEndpoint[name]
 		if met == nil {
-			met = &wire.Met{Endpoint: name}
+			met = &wire.EndpointStats{Endpoint: name}
 			byEndpoint[name] = met
 		}
 		succeeded := count(l.GetTotalSuccessfulRequests())
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -85,7 +85,7 @@
 		{"NaN", messageFrame(&Done{TookMs: math.NaN()}), ErrValue},
 		{"negative float", messageFrame(&Done{TookMs: -1}), ErrValue},
 		{"negative count", messageFrame(&Done{Mark: -1}), ErrValue},
-		{"more failures than tries", messageFrame(&LoadReport{EndpointStats: []Met{{Endpoint: "x", Attempts: 1, Failed: 2}}}), ErrValue},
+		{"more failures than tries", messageFrame(&LoadReport{EndpointStats: []EndpointStats{{Endpoint: "x", Attempts: 1, Failed: 2}}}), ErrValue},
 		{"bool of 2", rawFrame(typeListAsk, 1, []byte{0, 2, 0}), ErrValue},
 		{"unknown operation", rawFrame(typeOrders, 1, append(ordersHead, 1, 99)), ErrValue},
 		{"hello without a name", messageFrame(&Hello{Version: 1, Zone: "a"}), ErrValue},
--- a/internal/wire/report.go
+++ b/internal/wire/report.go
@@ -5,13 +5,13 @@
 	Seq           uint64  // number of the report in its stream, from 1
 	AtMs          float64 // on the proxy's own clock, of which only differences have a meaning
 	SpanMs        float64 // time that the report covers
-	EndpointStats []Met
+	EndpointStats []EndpointStats
 	RequestStats  []Demand
 	SliceStats    []SliceLoad // only in a deployment with slices
 }
 
 // Met sums a proxy's attempts at one endpoint.
-type Met struct {
+type EndpointStats struct {
 	Endpoint string
 	Attempts int
 	Failed   int // of Tries
@@ -74,7 +74,7 @@
 	m.SliceStats = decodeList(d, (*decoder).sliceLoad)
 }
 
-func (e *encoder) met(m *Met) {
+func (e *encoder) met(m *EndpointStats) {
 	e.text(m.Endpoint)
 	e.varint(m.Attempts)
 	e.varint(m.Failed)
@@ -82,8 +82,8 @@
 	e.figures(m.Load)
 }
 
-func (d *decoder) met() Met {
-	m := Met{Endpoint: d.text(), Attempts: d.count(), Failed: d.count(), MeanMs: d.float(), Load: d.figures()}
+func (d *decoder) met() EndpointStats {
+	m := EndpointStats{Endpoint: d.text(), Attempts: d.count(), Failed: d.count(), MeanMs: d.float(), Load: d.figures()}
 	if m.Failed > m.Attempts {
 		d.fail(ErrValue)
 	}
