--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -37,7 +37,7 @@
 			Seq:           1,
 			SpanMs:        500,
 			EndpointStats: []wire.EndpointStats{{Endpoint: "x", Attempts: 4, Failed: 1, MeanMs: 20}, {Endpoint: "never listed", Attempts: 1}},
-			RequestStats:  []wire.Demand{{Class: "book", Requests: 5, Unanswered: 1}},
+			RequestStats:  []wire.RequestStats{{Class: "book", Requests: 5, Unanswered: 1}},
 		}},
 	})
 	c.Handle(2300, []Input{ProxyLeft{stream}, ProxyLeft{stream}})
--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -169,7 +169,7 @@
 }
 
 // fillClasses puts the requests that came to a proxy, by class, into a report.
-func (g *reportGate) fillClasses(r *report, demands []wire.Demand) {
+func (g *reportGate) fillClasses(r *report, demands []wire.RequestStats) {
 	r.ClassLines = r.ClassLines[:0]
 	for _, d := range demands {
 		class, known := g.classes[d.Class]
--- a/internal/controller/reportgate_test.go
+++ b/internal/controller/reportgate_test.go
@@ -28,7 +28,7 @@
 			Seq:           1,
 			SpanMs:        500,
 			EndpointStats: []wire.EndpointStats{{Endpoint: "x", Attempts: 4}},
-			RequestStats:  []wire.Demand{{Class: "book", Requests: 5}},
+			RequestStats:  []wire.RequestStats{{Class: "book", Requests: 5}},
 		}}})
 	}
 	c.Handle(2200, nil)
--- a/internal/daemon/core_bench_test.go
+++ b/internal/daemon/core_bench_test.go
@@ -144,7 +144,7 @@
 
 // benchReport returns what a proxy met in a second.
 func benchReport(entries []wire.Entry, proxy int) *wire.LoadReport {
-	report := &wire.LoadReport{SpanMs: 1000, RequestStats: []wire.Demand{{Class: "read", Requests: 2}}}
+	report := &wire.LoadReport{SpanMs: 1000, RequestStats: []wire.RequestStats{{Class: "read", Requests: 2}}}
 	for k := range linesPerReport - 1 {
 		endpoint := entries[(proxy+k*endpointStep)%manyEndpoints].Endpoint
 		utilization := 0.4 + 0.3*float64(proxy%7)/7
--- a/internal/daemon/hostile_test.go
+++ b/internal/daemon/hostile_test.go
@@ -178,7 +178,7 @@
 			{Endpoint: "x:1", Attempts: math.MaxInt32, Failed: math.MaxInt32, MeanMs: 1e308, Load: load},
 			{Endpoint: "never:1", Attempts: 5},
 		},
-		RequestStats: []wire.Demand{{Class: "none", Requests: 5, Unanswered: 9}},
+		RequestStats: []wire.RequestStats{{Class: "none", Requests: 5, Unanswered: 9}},
 	}
 }
 
--- a/internal/testbed/routing/reports.go
+++ b/internal/testbed/routing/reports.go
@@ -92,10 +92,10 @@
 	return r.stats[endpoint]
 }
 
-func (r *Router) demandOfClass(class int) *wire.Demand {
+func (r *Router) demandOfClass(class int) *wire.RequestStats {
 	name := r.policy.Classes[class]
 	if r.demand[name] == nil {
-		r.demand[name] = &wire.Demand{Class: name}
+		r.demand[name] = &wire.RequestStats{Class: name}
 	}
 	return r.demand[name]
 }
--- a/internal/testbed/routing/router.go
+++ b/internal/testbed/routing/router.go
@@ -41,7 +41,7 @@
 
 	// What the next load report will say.
 	stats        map[string]*endpointStats
-	demand       map[string]*wire.Demand
+	demand       map[string]*wire.RequestStats
 	sliceDemand  map[sliceClass]*wire.SliceLoad
 	lastReportMs float64
 	reportSeq    uint64 // number of the last report in this stream
@@ -63,7 +63,7 @@
 		consecutiveFailures: map[string]int{},
 		ejectedUntilMs:      map[string]float64{},
 		stats:               map[string]*endpointStats{},
-		demand:              map[string]*wire.Demand{},
+		demand:              map[string]*wire.RequestStats{},
 		sliceDemand:         map[sliceClass]*wire.SliceLoad{},
 	}
 	static := newTable()
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -86,7 +86,7 @@
 			MeanMs:   2,
 			Load:     []wire.Figure{{Name: "rate", Value: 3}, {Name: "util", Value: 0.5}},
 		}},
-		RequestStats: []wire.Demand{{Class: "read", Requests: 5, Unanswered: 1}},
+		RequestStats: []wire.RequestStats{{Class: "read", Requests: 5, Unanswered: 1}},
 		SliceStats:   []wire.SliceLoad{{Slice: 7, Class: "read", Requests: 3, Unanswered: 1}},
 	}
 	require.NoError(t, s.line.Write(sums, time.Second))
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -88,7 +88,7 @@
 		sums.EndpointStats = append(sums.EndpointStats, met)
 	}
 	for _, k := range r.GetKinds() {
-		demand := wire.Demand{Class: k.GetKind(), Requests: int(k.GetReqs()), Unanswered: int(k.GetUnanswered())}
+		demand := wire.RequestStats{Class: k.GetKind(), Requests: int(k.GetReqs()), Unanswered: int(k.GetUnanswered())}
 		if err := checkText(demand.Class); err != nil {
 			return nil, err
 		}
--- a/internal/transport/xds/lrs.go
+++ b/internal/transport/xds/lrs.go
@@ -97,8 +97,8 @@
 
 // addCluster adds the load of a cluster to its endpoints and returns the cluster's requests. Requests that the client
 // dropped under the drop policy are included.
-func addCluster(byEndpoint map[string]*wire.EndpointStats, c *endpoint.ClusterStats) wire.Demand {
-	demand := wire.Demand{Class: c.GetClusterName(), Requests: count(c.GetTotalDroppedRequests())}
+func addCluster(byEndpoint map[string]*wire.EndpointStats, c *endpoint.ClusterStats) wire.RequestStats {
+	demand := wire.RequestStats{Class: c.GetClusterName(), Requests: count(c.GetTotalDroppedRequests())}
 	for _, l := range c.GetUpstreamLocalityStats() {
 		name := l.GetLocality().GetSubZone()
 		met := byEndpoint[name]
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -13,7 +13,7 @@
 	AtMs:          5.5,
 	SpanMs:        1000,
 	EndpointStats: []EndpointStats{{"x:1", 9, 2, 4.5, []Figure{{"util", 0.5}, {"rate", 3}}}},
-	RequestStats:  []Demand{{"read", 5, 1}},
+	RequestStats:  []RequestStats{{"read", 5, 1}},
 	SliceStats:    []SliceLoad{{7, "read", 3, 1}},
 }
 
--- a/internal/wire/report.go
+++ b/internal/wire/report.go
@@ -6,7 +6,7 @@
 	AtMs          float64 // on the proxy's own clock, of which only differences have a meaning
 	SpanMs        float64 // time that the report covers
 	EndpointStats []EndpointStats
-	RequestStats  []Demand
+	RequestStats  []RequestStats
 	SliceStats    []SliceLoad // only in a deployment with slices
 }
 
@@ -26,7 +26,7 @@
 }
 
 // Demand sums the requests of one class that a proxy received.
-type Demand struct {
+type RequestStats struct {
 	Class      string
 	Requests   int
 	Unanswered int
@@ -90,8 +90,8 @@
 	return m
 }
 
-func (d *decoder) demand() Demand {
-	return Demand{Class: d.text(), Requests: d.count(), Unanswered: d.count()}
+func (d *decoder) demand() RequestStats {
+	return RequestStats{Class: d.text(), Requests: d.count(), Unanswered: d.count()}
 }
 
 func (d *decoder) sliceLoad() SliceLoad {
