--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -182,7 +182,7 @@
 }
 
 // addSliceStats adds up demand for the slices assigned to this pilot; it is bounded by these and the classes.
-func (g *reportGate) addSliceStats(loads []wire.SliceLoad) {
+func (g *reportGate) addSliceStats(loads []wire.SliceStats) {
 	for _, load := range loads {
 		class, known := g.classes[load.Class]
 		byClass := g.sliceStats[load.Slice]
--- a/internal/controller/slices_test.go
+++ b/internal/controller/slices_test.go
@@ -17,7 +17,7 @@
 	c.Handle(0, []Input{listed(true, entry("x", 0)), ProxyJoined{stream, hello("p", "a")}})
 	d.events = nil
 	load := func(seq uint64) LoadReported {
-		return LoadReported{stream, &wire.LoadReport{Seq: seq, SpanMs: 500, SliceStats: []wire.SliceLoad{
+		return LoadReported{stream, &wire.LoadReport{Seq: seq, SpanMs: 500, SliceStats: []wire.SliceStats{
 			{Slice: 7, Class: "book", Requests: 5, Unanswered: 1},
 			{Slice: 8, Class: "book", Requests: 1},
 		}}}
--- a/internal/testbed/routing/reports.go
+++ b/internal/testbed/routing/reports.go
@@ -100,10 +100,10 @@
 	return r.demand[name]
 }
 
-func (r *Router) demandOfSlice(table, class int) *wire.SliceLoad {
+func (r *Router) demandOfSlice(table, class int) *wire.SliceStats {
 	key := sliceClass{table, r.policy.Classes[class]}
 	if r.sliceDemand[key] == nil {
-		r.sliceDemand[key] = &wire.SliceLoad{Slice: table, Class: key.class}
+		r.sliceDemand[key] = &wire.SliceStats{Slice: table, Class: key.class}
 	}
 	return r.sliceDemand[key]
 }
--- a/internal/testbed/routing/router.go
+++ b/internal/testbed/routing/router.go
@@ -42,7 +42,7 @@
 	// What the next load report will say.
 	stats        map[string]*endpointStats
 	demand       map[string]*wire.RequestStats
-	sliceDemand  map[sliceClass]*wire.SliceLoad
+	sliceDemand  map[sliceClass]*wire.SliceStats
 	lastReportMs float64
 	reportSeq    uint64 // number of the last report in this stream
 }
@@ -64,7 +64,7 @@
 		ejectedUntilMs:      map[string]float64{},
 		stats:               map[string]*endpointStats{},
 		demand:              map[string]*wire.RequestStats{},
-		sliceDemand:         map[sliceClass]*wire.SliceLoad{},
+		sliceDemand:         map[sliceClass]*wire.SliceStats{},
 	}
 	static := newTable()
 	for _, endpoint := range staticEndpoints {
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -87,7 +87,7 @@
 			Load:     []wire.Figure{{Name: "rate", Value: 3}, {Name: "util", Value: 0.5}},
 		}},
 		RequestStats: []wire.RequestStats{{Class: "read", Requests: 5, Unanswered: 1}},
-		SliceStats:   []wire.SliceLoad{{Slice: 7, Class: "read", Requests: 3, Unanswered: 1}},
+		SliceStats:   []wire.SliceStats{{Slice: 7, Class: "read", Requests: 3, Unanswered: 1}},
 	}
 	require.NoError(t, s.line.Write(sums, time.Second))
 	assert.Equal(t, controller.LoadReported{Stream: s.stream, Sums: sums}, next[controller.LoadReported](t, s.inbox))
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -130,8 +130,8 @@
 }
 
 // sliceLoadFrom decodes and validates the load of one slice.
-func sliceLoadFrom(l *pb.SliceLoad) (wire.SliceLoad, error) {
-	slice := wire.SliceLoad{
+func sliceLoadFrom(l *pb.SliceLoad) (wire.SliceStats, error) {
+	slice := wire.SliceStats{
 		Slice:      int(l.GetSlice()),
 		Class:      l.GetKind(),
 		Requests:   int(l.GetReqs()),
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -14,7 +14,7 @@
 	SpanMs:        1000,
 	EndpointStats: []EndpointStats{{"x:1", 9, 2, 4.5, []Figure{{"util", 0.5}, {"rate", 3}}}},
 	RequestStats:  []RequestStats{{"read", 5, 1}},
-	SliceStats:    []SliceLoad{{7, "read", 3, 1}},
+	SliceStats:    []SliceStats{{7, "read", 3, 1}},
 }
 
 // samples has one of each message, every field set.
--- a/internal/wire/report.go
+++ b/internal/wire/report.go
@@ -7,7 +7,7 @@
 	SpanMs        float64 // time that the report covers
 	EndpointStats []EndpointStats
 	RequestStats  []RequestStats
-	SliceStats    []SliceLoad // only in a deployment with slices
+	SliceStats    []SliceStats // only in a deployment with slices
 }
 
 // Met sums a proxy's attempts at one endpoint.
@@ -33,7 +33,7 @@
 }
 
 // SliceLoad sums the requests of one class for the keys of one slice.
-type SliceLoad struct {
+type SliceStats struct {
 	Slice      int
 	Class      string
 	Requests   int
@@ -94,8 +94,8 @@
 	return RequestStats{Class: d.text(), Requests: d.count(), Unanswered: d.count()}
 }
 
-func (d *decoder) sliceLoad() SliceLoad {
-	return SliceLoad{Slice: d.count(), Class: d.text(), Requests: d.count(), Unanswered: d.count()}
+func (d *decoder) sliceLoad() SliceStats {
+	return SliceStats{Slice: d.count(), Class: d.text(), Requests: d.count(), Unanswered: d.count()}
 }
 
 func (e *encoder) figures(figures []Figure) {
