--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -32,7 +32,7 @@
 		Acked{stream, wire.Done{Mark: 9, TookMs: 2}},
 		Acked{stream, wire.Done{Mark: 9}}, // acknowledged before
 		Acked{stream, wire.Done{Mark: 8}}, // never sent
-		HealthChecked{"x", "ok", 5, []wire.Figure{{Name: "util", Value: 0.5}}},
+		HealthChecked{"x", "ok", 5, []wire.LoadMetric{{Name: "util", Value: 0.5}}},
 		LoadReported{stream, &wire.LoadReport{
 			Seq:           1,
 			SpanMs:        500,
--- a/internal/controller/inputs.go
+++ b/internal/controller/inputs.go
@@ -56,7 +56,7 @@
 		Endpoint string
 		Outcome  string
 		TookMs   float64
-		Load     []wire.Figure
+		Load     []wire.LoadMetric
 	}
 
 	// GossipReceived brings a peer's text.
--- a/internal/controller/loadreport.go
+++ b/internal/controller/loadreport.go
@@ -7,7 +7,7 @@
 
 // loadReport turns a load report into the decider's form: nil if it has no figures. Figures that none can be are left
 // out and returned.
-func loadReport(figures []wire.Figure) (load planner.Load, outOfRange []wire.Figure) {
+func loadReport(figures []wire.LoadMetric) (load planner.Load, outOfRange []wire.LoadMetric) {
 	if len(figures) == 0 {
 		return nil, nil
 	}
--- a/internal/controller/malformed_test.go
+++ b/internal/controller/malformed_test.go
@@ -32,7 +32,7 @@
 			for i := range 6 {
 				s := &wire.LoadReport{Seq: uint64(i + 1), AtMs: f.now, SpanMs: 1000}
 				for e := range 9 {
-					m := wire.EndpointStats{Endpoint: fmt.Sprint("e", e), Attempts: 9, MeanMs: 20, Load: []wire.Figure{{Name: "util", Value: 0.4}}}
+					m := wire.EndpointStats{Endpoint: fmt.Sprint("e", e), Attempts: 9, MeanMs: 20, Load: []wire.LoadMetric{{Name: "util", Value: 0.4}}}
 					change(s, &m)
 					s.EndpointStats = append(s.EndpointStats, m)
 				}
@@ -42,7 +42,7 @@
 		}
 	}
 	load := func(name string, v float64) func(*fleet, *fakeTransport) {
-		return met(func(_ *wire.LoadReport, m *wire.EndpointStats) { m.Load = []wire.Figure{{Name: name, Value: v}} })
+		return met(func(_ *wire.LoadReport, m *wire.EndpointStats) { m.Load = []wire.LoadMetric{{Name: name, Value: v}} })
 	}
 	rate := func(v float64) func(*fleet, *fakeTransport) {
 		return func(f *fleet, bad *fakeTransport) {
@@ -79,7 +79,7 @@
 		"start just past":  list(func(e *wire.Entry) { e.Started = 1 }),
 		"cell at end":      list(func(e *wire.Entry) { e.Cell = math.MaxInt32 }),
 		"probe's load": func(f *fleet, _ *fakeTransport) {
-			f.handle(HealthChecked{"e1", "ok", huge, []wire.Figure{{Name: "util", Value: inf}}})
+			f.handle(HealthChecked{"e1", "ok", huge, []wire.LoadMetric{{Name: "util", Value: inf}}})
 		},
 		"marks that never were": func(f *fleet, bad *fakeTransport) {
 			f.handle(ProxyJoined{bad, wire.Hello{Proxy: "bad", Zone: "a", Rate: 2}})
--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -23,10 +23,10 @@
 
 // The aggregator holds load reports as they came on the wire.
 type (
-	reportAggregator = telemetry.Aggregator[[]wire.Figure]
-	report           = telemetry.Report[[]wire.Figure]
-	reportLine       = telemetry.Line[[]wire.Figure]
-	endpointSum      = telemetry.EndpointSum[[]wire.Figure]
+	reportAggregator = telemetry.Aggregator[[]wire.LoadMetric]
+	report           = telemetry.Report[[]wire.LoadMetric]
+	reportLine       = telemetry.Line[[]wire.LoadMetric]
+	endpointSum      = telemetry.EndpointSum[[]wire.LoadMetric]
 )
 
 // reportGate stands between the streams and the loop: reports are taken in where they are read, by any goroutine, and
@@ -58,7 +58,7 @@
 // newReportGate returns a gate that no proxy has passed. classes are the request classes by index.
 func newReportGate(options telemetry.Options, classes []string) *reportGate {
 	g := &reportGate{
-		aggregator: telemetry.New[[]wire.Figure](options),
+		aggregator: telemetry.New[[]wire.LoadMetric](options),
 		proxies:    map[Stream]int{},
 		streams:    map[int]Stream{},
 		endpoints:  map[string]int{},
--- a/internal/daemon/core_bench_test.go
+++ b/internal/daemon/core_bench_test.go
@@ -152,7 +152,7 @@
 			Endpoint: endpoint,
 			Attempts: 1,
 			MeanMs:   30,
-			Load:     []wire.Figure{{Name: "util", Value: utilization}, {Name: "rate", Value: 20}},
+			Load:     []wire.LoadMetric{{Name: "util", Value: utilization}, {Name: "rate", Value: 20}},
 		})
 	}
 	return report
--- a/internal/daemon/hostile_test.go
+++ b/internal/daemon/hostile_test.go
@@ -169,7 +169,7 @@
 
 // hostileReport has figures at the limits of their types, and an endpoint that nobody listed.
 func hostileReport() *wire.LoadReport {
-	load := []wire.Figure{{Name: "util", Value: 1e308}}
+	load := []wire.LoadMetric{{Name: "util", Value: 1e308}}
 	return &wire.LoadReport{
 		Seq:    math.MaxUint64,
 		AtMs:   1e308,
@@ -299,7 +299,7 @@
 func startHostileEndpoint(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	load := []wire.Figure{{Name: "util", Value: 1e308}, {Name: "waiting", Value: 1e308}}
+	load := []wire.LoadMetric{{Name: "util", Value: 1e308}, {Name: "waiting", Value: 1e308}}
 	answers := [][]byte{
 		nil,
 		[]byte("HTTP/1.1 200 OK\r\n\r\n"),
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -48,8 +48,8 @@
 	collapsed bool
 
 	// Load report: what is shown, what follows it with the lag, and the sums at the last one.
-	load           []wire.Figure
-	nextLoad       []wire.Figure
+	load           []wire.LoadMetric
+	nextLoad       []wire.LoadMetric
 	reportedBusyMs float64
 	reportedServed float64
 }
@@ -58,7 +58,7 @@
 type task struct {
 	request *wire.Req
 	workMs  float64 // left, on a core of speed 1
-	answer  func(outcome wire.Outcome, comeBackMs float64, load []wire.Figure)
+	answer  func(outcome wire.Outcome, comeBackMs float64, load []wire.LoadMetric)
 }
 
 // endpointSeedStep keeps the sequences of runs with neighbouring seeds apart.
--- a/internal/emulator/forwarding.go
+++ b/internal/emulator/forwarding.go
@@ -174,7 +174,7 @@
 		WorkMs:    a.request.request.WorkMs,
 		TimeoutMs: waitMs,
 	}
-	answer := func(outcome wire.Outcome, comeBackMs float64, load []wire.Figure) {
+	answer := func(outcome wire.Outcome, comeBackMs float64, load []wire.LoadMetric) {
 		p.w.network.carry(endpoint.place, p.place, func() {
 			process.attemptEnded(a, &wire.Answer{Outcome: outcome, RetryAfterMs: comeBackMs, Load: load})
 		})
@@ -209,7 +209,7 @@
 		delete(c.attempts, a)
 	}
 	outcome := wire.Errored
-	var load []wire.Figure
+	var load []wire.LoadMetric
 	if answer != nil {
 		outcome = answer.Outcome
 		load = answer.Load
--- a/internal/emulator/loadreport.go
+++ b/internal/emulator/loadreport.go
@@ -33,7 +33,7 @@
 }
 
 // measureLoad returns the load since the last report, with noise on what is measured over time.
-func (e *emulatedEndpoint) measureLoad(process *endpointProcess) []wire.Figure {
+func (e *emulatedEndpoint) measureLoad(process *endpointProcess) []wire.LoadMetric {
 	if e.sharesCores {
 		e.countSharedWork(process)
 	}
@@ -42,7 +42,7 @@
 	rate := (process.served - process.reportedServed) / everyMs * 1000 * e.noise()
 	process.reportedBusyMs = process.busyMs
 	process.reportedServed = process.served
-	return []wire.Figure{
+	return []wire.LoadMetric{
 		{Name: figureUtilization, Value: utilization},
 		{Name: figureRate, Value: rate},
 		{Name: figureWaiting, Value: float64(max(0, process.inFlight-e.Cores))},
--- a/internal/emulator/pilotports.go
+++ b/internal/emulator/pilotports.go
@@ -50,7 +50,7 @@
 	}
 	w := c.pilot.w
 	answered := false
-	answer := func(outcome string, load []wire.Figure) {
+	answer := func(outcome string, load []wire.LoadMetric) {
 		if answered || c.pilot.process != c.process {
 			return
 		}
--- a/internal/record/recorder.go
+++ b/internal/record/recorder.go
@@ -133,7 +133,7 @@
 }
 
 // loadOf returns a load report as the planner knows it; an empty one is nil.
-func loadOf(figures []wire.Figure) planner.Load {
+func loadOf(figures []wire.LoadMetric) planner.Load {
 	if len(figures) == 0 {
 		return nil
 	}
--- a/internal/record/replayer.go
+++ b/internal/record/replayer.go
@@ -132,7 +132,7 @@
 		TookMs:   in.HealthCheck.TookMs,
 	}
 	for name, value := range in.HealthCheck.Load {
-		result.Load = append(result.Load, wire.Figure{Name: name, Value: value})
+		result.Load = append(result.Load, wire.LoadMetric{Name: name, Value: value})
 	}
 	return result
 }
--- a/internal/testbed/endpoint/process.go
+++ b/internal/testbed/endpoint/process.go
@@ -28,7 +28,7 @@
 	inFlight        int     // requests admitted and not executed yet
 	warmUpLoad      WarmUpLoad
 	overloaded      bool // while it warmed up: no request is answered any longer
-	load            []wire.Figure
+	load            []wire.LoadMetric
 }
 
 // job is an admitted request and the way to answer it.
@@ -133,7 +133,7 @@
 
 // countServed counts a request that has left its core and enters it into the ledger. It returns whether the ledger had
 // it already, and the load report.
-func (p *process) countServed(req *wire.Req) (repeat bool, load []wire.Figure) {
+func (p *process) countServed(req *wire.Req) (repeat bool, load []wire.LoadMetric) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.inFlight--
--- a/internal/testbed/endpoint/reports.go
+++ b/internal/testbed/endpoint/reports.go
@@ -7,7 +7,7 @@
 	"indigousher/internal/wire"
 )
 
-func (p *process) currentReport() []wire.Figure {
+func (p *process) currentReport() []wire.LoadMetric {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.load
@@ -19,7 +19,7 @@
 	ticker := time.NewTicker(p.ReportEvery)
 	defer ticker.Stop()
 	meter := loadMeter{process: p, last: time.Now()}
-	var delayed []wire.Figure
+	var delayed []wire.LoadMetric
 	for {
 		select {
 		case <-p.ctx.Done():
@@ -47,7 +47,7 @@
 }
 
 // measure returns the load since the last call. The caller holds the endpoint's mu.
-func (m *loadMeter) measure() []wire.Figure {
+func (m *loadMeter) measure() []wire.LoadMetric {
 	p := m.process
 	span := time.Since(m.last).Seconds()
 	m.last = time.Now()
@@ -55,7 +55,7 @@
 	rate := (p.served - m.served) / span * p.noise()
 	m.busyCoreSeconds = p.busyCoreSeconds
 	m.served = p.served
-	return []wire.Figure{
+	return []wire.LoadMetric{
 		{Name: "util", Value: utilization},
 		{Name: "rate", Value: rate},
 		{Name: "waiting", Value: float64(p.waiting)},
--- a/internal/testbed/proxy/request.go
+++ b/internal/testbed/proxy/request.go
@@ -120,7 +120,7 @@
 		TimeoutMs: float64(timeout) / float64(time.Millisecond),
 	})
 	succeeded := err == nil && answer.Outcome == wire.Fine
-	var load []wire.Figure
+	var load []wire.LoadMetric
 	if answer != nil {
 		load = answer.Load
 	}
--- a/internal/testbed/routing/ejection.go
+++ b/internal/testbed/routing/ejection.go
@@ -7,7 +7,7 @@
 
 // AttemptFinished counts an attempt that ended, with the endpoint's load report if its answer had one. An endpoint that
 // fails too often in a row is ejected.
-func (r *Router) AttemptFinished(nowMs float64, endpoint string, succeeded bool, tookMs float64, load []wire.Figure) {
+func (r *Router) AttemptFinished(nowMs float64, endpoint string, succeeded bool, tookMs float64, load []wire.LoadMetric) {
 	r.inFlight[endpoint]--
 	r.statsOf(endpoint).add(succeeded, tookMs, load)
 	if succeeded {
--- a/internal/testbed/routing/reports.go
+++ b/internal/testbed/routing/reports.go
@@ -34,7 +34,7 @@
 }
 
 // add counts one attempt.
-func (s *endpointStats) add(succeeded bool, tookMs float64, load []wire.Figure) {
+func (s *endpointStats) add(succeeded bool, tookMs float64, load []wire.LoadMetric) {
 	s.counts.Attempts++
 	if len(load) > 0 {
 		s.counts.Load = load
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -84,7 +84,7 @@
 			Attempts: 4,
 			Failed:   1,
 			MeanMs:   2,
-			Load:     []wire.Figure{{Name: "rate", Value: 3}, {Name: "util", Value: 0.5}},
+			Load:     []wire.LoadMetric{{Name: "rate", Value: 3}, {Name: "util", Value: 0.5}},
 		}},
 		RequestStats: []wire.RequestStats{{Class: "read", Requests: 5, Unanswered: 1}},
 		SliceStats:   []wire.SliceStats{{Slice: 7, Class: "read", Requests: 3, Unanswered: 1}},
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -123,9 +123,9 @@
 		if err := cmp.Or(checkText(name), checkFigure(value)); err != nil {
 			return wire.EndpointStats{}, err
 		}
-		met.Load = append(met.Load, wire.Figure{Name: name, Value: value})
+		met.Load = append(met.Load, wire.LoadMetric{Name: name, Value: value})
 	}
-	slices.SortFunc(met.Load, func(a, b wire.Figure) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(met.Load, func(a, b wire.LoadMetric) int { return cmp.Compare(a.Name, b.Name) })
 	return met, nil
 }
 
--- a/internal/transport/xds/lrs.go
+++ b/internal/transport/xds/lrs.go
@@ -118,12 +118,12 @@
 }
 
 // figures returns the mean of each figure of the endpoint's own load report, if the client forwards it (ORCA).
-func figures(l *endpoint.UpstreamLocalityStats) []wire.Figure {
-	var list []wire.Figure
+func figures(l *endpoint.UpstreamLocalityStats) []wire.LoadMetric {
+	var list []wire.LoadMetric
 	for _, f := range l.GetLoadMetricStats() {
 		n := f.GetNumRequestsFinishedWithMetric()
 		if n > 0 && f.GetTotalMetricValue() >= 0 {
-			list = append(list, wire.Figure{Name: f.GetMetricName(), Value: f.GetTotalMetricValue() / float64(n)})
+			list = append(list, wire.LoadMetric{Name: f.GetMetricName(), Value: f.GetTotalMetricValue() / float64(n)})
 		}
 	}
 	return list
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -12,7 +12,7 @@
 	Seq:           3,
 	AtMs:          5.5,
 	SpanMs:        1000,
-	EndpointStats: []EndpointStats{{"x:1", 9, 2, 4.5, []Figure{{"util", 0.5}, {"rate", 3}}}},
+	EndpointStats: []EndpointStats{{"x:1", 9, 2, 4.5, []LoadMetric{{"util", 0.5}, {"rate", 3}}}},
 	RequestStats:  []RequestStats{{"read", 5, 1}},
 	SliceStats:    []SliceStats{{7, "read", 3, 1}},
 }
@@ -42,7 +42,7 @@
 	&ListAsk{Pilot: "one", Watch: true, Whole: true},
 	&List{Version: 4, Now: 99, Whole: true, Entries: []Entry{{"x:1", "a", "std", 2, PhaseDraining, 1.5, 88}}},
 	&Req{Number: 1, RequestID: 2, Class: "read", From: "p", WorkMs: 30, TimeoutMs: 1500},
-	&Answer{Number: 1, Outcome: Denied, RetryAfterMs: 200, Load: []Figure{{"util", 1}}},
+	&Answer{Number: 1, Outcome: Denied, RetryAfterMs: 200, Load: []LoadMetric{{"util", 1}}},
 	&Probe{Number: 3},
 	&Slices{Slice: 4, Given: true, Lines: []HeldLine{{"x:1", 2}}},
 	&Pace{PeriodMs: 2000, MaxLines: 40, ChangedOnly: true},
--- a/internal/wire/report.go
+++ b/internal/wire/report.go
@@ -16,11 +16,11 @@
 	Attempts int
 	Failed   int // of Tries
 	MeanMs   float64
-	Load     []Figure // the last load report among the answers
+	Load     []LoadMetric // the last load report among the answers
 }
 
 // Figure is one value of a load report.
-type Figure struct {
+type LoadMetric struct {
 	Name  string
 	Value float64
 }
@@ -98,7 +98,7 @@
 	return SliceStats{Slice: d.count(), Class: d.text(), Requests: d.count(), Unanswered: d.count()}
 }
 
-func (e *encoder) figures(figures []Figure) {
+func (e *encoder) figures(figures []LoadMetric) {
 	e.length(len(figures))
 	for _, figure := range figures {
 		e.text(figure.Name)
@@ -106,10 +106,10 @@
 	}
 }
 
-func (d *decoder) figures() []Figure { return decodeList(d, (*decoder).figure) }
+func (d *decoder) figures() []LoadMetric { return decodeList(d, (*decoder).figure) }
 
-func (d *decoder) figure() Figure {
-	return Figure{Name: d.text(), Value: d.float()}
+func (d *decoder) figure() LoadMetric {
+	return LoadMetric{Name: d.text(), Value: d.float()}
 }
 
 // Pace asks a proxy to change its reporting.
--- a/internal/wire/request.go
+++ b/internal/wire/request.go
@@ -47,8 +47,8 @@
 type Answer struct {
 	Number       uint64
 	Outcome      Outcome
-	RetryAfterMs float64  // Denied: retry after this time
-	Load         []Figure // the endpoint's load report
+	RetryAfterMs float64      // Denied: retry after this time
+	Load         []LoadMetric // the endpoint's load report
 }
 
 func (*Answer) messageType() Type { return typeAnswer }
