--- a/internal/controller/channel.go
+++ b/internal/controller/channel.go
@@ -23,7 +23,7 @@
 // queuedMessage is a message in the channel.
 type queuedMessage struct {
 	to      *session
-	message *wire.Orders
+	message *wire.Commands
 	atMs    float64 // when it was put into the channel
 	dueMs   float64 // when it leaves
 }
@@ -84,7 +84,7 @@
 
 // Enqueue adds a message. Where even the bound of the queue is passed, the proxy's stream is closed: it comes back with
 // what it holds, and the decider hears of both.
-func (c *Channel) Enqueue(nowMs float64, to *session, m *wire.Orders) {
+func (c *Channel) Enqueue(nowMs float64, to *session, m *wire.Commands) {
 	if c.backlog > 0 && float64(c.waitingLines+m.Lines) > queueLimitFactor*c.backlog {
 		c.metrics.streamClosed(closeChannelFull)
 		to.stream.Close(closeChannelFull)
--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -32,13 +32,13 @@
 
 // fakeTransport stands for a proxy's stream, the endpoint list, the health checker and the peers.
 type fakeTransport struct {
-	sent   []*wire.Orders
+	sent   []*wire.Commands
 	closed string
 	calls  []string
 	full   bool
 }
 
-func (f *fakeTransport) Send(m *wire.Orders) error {
+func (f *fakeTransport) Send(m *wire.Commands) error {
 	if f.full {
 		return errors.New("full")
 	}
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -33,7 +33,7 @@
 
 func (v *fleetProxy) Ask(*wire.Pace) error { return nil }
 
-func (v *fleetProxy) Send(m *wire.Orders) error {
+func (v *fleetProxy) Send(m *wire.Commands) error {
 	v.fleet.after(v.fleet.delayMs, func() {
 		for _, n := range v.follow.Apply(m.Ops) {
 			v.fleet.after(v.fleet.delayMs, func() {
--- a/internal/controller/malformed_test.go
+++ b/internal/controller/malformed_test.go
@@ -14,10 +14,10 @@
 // recordingProxy is a well-behaved proxy that keeps the messages sent to it.
 type recordingProxy struct {
 	fleetProxy
-	got []*wire.Orders
+	got []*wire.Commands
 }
 
-func (p *recordingProxy) Send(m *wire.Orders) error {
+func (p *recordingProxy) Send(m *wire.Commands) error {
 	p.got = append(p.got, m)
 	return p.fleetProxy.Send(m)
 }
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -122,7 +122,7 @@
 }
 
 // messageSent counts a message that left the channel; recent is how many left to its proxy lately, limit how many may.
-func (m *Metrics) messageSent(o *wire.Orders, recent, limit int) {
+func (m *Metrics) messageSent(o *wire.Commands, recent, limit int) {
 	if m == nil {
 		return
 	}
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -16,7 +16,7 @@
 // add appends a line to a proxy's message of this turn.
 func (o *outbox) add(s *session, op wire.Op) {
 	if s.pending == nil {
-		s.pending = &wire.Orders{Lines: o.headLines}
+		s.pending = &wire.Commands{Lines: o.headLines}
 		o.touched = append(o.touched, s)
 	}
 	s.pending.Ops = append(s.pending.Ops, op)
--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -34,7 +34,7 @@
 	heldTables map[int]map[string]float64
 
 	// pending is the message of the turn under way, nil if there is none; see outbox.
-	pending *wire.Orders
+	pending *wire.Commands
 	// recentSends are when messages left to the proxy lately; they are the channel's.
 	recentSends sendTimes
 	// acks are the ack requests sent to the proxy that it has not answered.
--- a/internal/controller/transports.go
+++ b/internal/controller/transports.go
@@ -19,7 +19,7 @@
 // the stream has ended. Streams are compared: two of them are equal only if they are the same.
 type Stream interface {
 	// Send takes over a message. An error ends the stream: the core closes it.
-	Send(*wire.Orders) error
+	Send(*wire.Commands) error
 	// Ask asks the proxy to report otherwise. An error ends the stream, as with Send.
 	Ask(*wire.Pace) error
 	// Close ends the stream and tells the proxy why. The transport reports its end as ProxyLeft.
--- a/internal/daemon/core_bench_test.go
+++ b/internal/daemon/core_bench_test.go
@@ -217,7 +217,7 @@
 type sink struct{ lines int }
 
 // Send counts lines.
-func (s *sink) Send(m *wire.Orders) error {
+func (s *sink) Send(m *wire.Commands) error {
 	s.lines += m.Lines
 	return nil
 }
--- a/internal/daemon/goodproxy_test.go
+++ b/internal/daemon/goodproxy_test.go
@@ -31,7 +31,7 @@
 		if m, err = line.Read(5 * time.Second); err != nil {
 			break
 		}
-		if commands, ok := m.(*wire.Orders); ok {
+		if commands, ok := m.(*wire.Commands); ok {
 			g.keep(commands.Ops)
 			acknowledge(line, commands.Ops)
 		}
--- a/internal/daemon/hostile_test.go
+++ b/internal/daemon/hostile_test.go
@@ -156,7 +156,7 @@
 	return append(payloads,
 		framesOf(t, &hello),
 		framesOf(t, plausibleHello, plausibleHello),
-		framesOf(t, plausibleHello, &wire.Orders{}),
+		framesOf(t, plausibleHello, &wire.Commands{}),
 		framesOf(t, &wire.Done{Mark: 1}),
 		bytes.Repeat([]byte{0}, 1<<20),
 		bytes.Repeat([]byte{0xff}, 1<<20),
--- a/internal/daemon/transports_bench_test.go
+++ b/internal/daemon/transports_bench_test.go
@@ -259,7 +259,7 @@
 		if err != nil {
 			return nil //nolint:nilerr // the benchmark is over
 		}
-		if commands, ok := m.(*wire.Orders); ok {
+		if commands, ok := m.(*wire.Commands); ok {
 			p.bench.seen.add(p.name, len(commands.Ops))
 			acknowledge(line, commands.Ops)
 		}
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -250,7 +250,7 @@
 
 // apply carries out a message of the pilot; the proxy forwards nothing for as long as its lines take. Traced notes in
 // the trace when the message has been applied; it may be nil.
-func (pp *proxyProcess) apply(s *stream, message *wire.Orders, traced spanEnd) {
+func (pp *proxyProcess) apply(s *stream, message *wire.Commands, traced spanEnd) {
 	p := pp.proxy
 	if p.muted {
 		s.unread = append(s.unread, func() { pp.apply(s, message, traced) })
--- a/internal/emulator/stream.go
+++ b/internal/emulator/stream.go
@@ -43,7 +43,7 @@
 
 // Send brings a message with commands to the proxy. A muted proxy has its stream ended once it has read nothing for as
 // long as it may.
-func (s *stream) Send(message *wire.Orders) error {
+func (s *stream) Send(message *wire.Commands) error {
 	traced := s.trace(message)
 	sentAt := s.w.now
 	s.sendDown(func() {
@@ -64,7 +64,7 @@
 
 // trace notes that a message leaves the channel, and returns what notes the further parts of its way; nil without a
 // tracer.
-func (s *stream) trace(message *wire.Orders) spanEnd {
+func (s *stream) trace(message *wire.Commands) spanEnd {
 	tracer := s.w.Trace
 	if tracer == nil || s.pilotProcess == nil {
 		return nil
--- a/internal/record/replayer.go
+++ b/internal/record/replayer.go
@@ -15,11 +15,11 @@
 // replayer feeds recorded turns to a core, whose transports are held back.
 type replayer struct {
 	core    *controller.Core
-	onSend  func(proxy string, commands *wire.Orders) // gets what goes to a proxy; may be nil
-	streams map[uint64]*replayStream                  // that are open, by their numbers in the record
+	onSend  func(proxy string, commands *wire.Commands) // gets what goes to a proxy; may be nil
+	streams map[uint64]*replayStream                    // that are open, by their numbers in the record
 }
 
-func newReplayer(core *controller.Core, onSend func(proxy string, commands *wire.Orders)) *replayer {
+func newReplayer(core *controller.Core, onSend func(proxy string, commands *wire.Commands)) *replayer {
 	return &replayer{core: core, onSend: onSend, streams: map[uint64]*replayStream{}}
 }
 
@@ -99,7 +99,7 @@
 	}
 	s := &replayStream{}
 	if r.onSend != nil {
-		s.onSend = func(commands *wire.Orders) { r.onSend(hello.Proxy, commands) }
+		s.onSend = func(commands *wire.Commands) { r.onSend(hello.Proxy, commands) }
 	}
 	r.streams[in.Stream] = s
 	return controller.ProxyJoined{Stream: s, Hello: *hello}, nil
@@ -147,11 +147,11 @@
 
 // replayStream stands for a proxy's stream in a replay: what is sent to it goes nowhere, or to onSend.
 type replayStream struct {
-	onSend func(*wire.Orders)
+	onSend func(*wire.Commands)
 }
 
 // Send hands commands to onSend.
-func (s *replayStream) Send(commands *wire.Orders) error {
+func (s *replayStream) Send(commands *wire.Commands) error {
 	if s.onSend != nil {
 		s.onSend(commands)
 	}
--- a/internal/testbed/proxy/session.go
+++ b/internal/testbed/proxy/session.go
@@ -188,7 +188,7 @@
 // receive carries out one message and returns whether the stream goes on.
 func (s *session) receive(ctx context.Context, message wire.Message) bool {
 	switch m := message.(type) {
-	case *wire.Orders:
+	case *wire.Commands:
 		return s.receiveOrders(ctx, m)
 	case *wire.Pace:
 		s.setReportRequest(m)
@@ -199,7 +199,7 @@
 }
 
 // receiveOrders applies the lines of a message and hands the acks that it asks for to the sending goroutine.
-func (s *session) receiveOrders(ctx context.Context, m *wire.Orders) bool {
+func (s *session) receiveOrders(ctx context.Context, m *wire.Commands) bool {
 	arrived := time.Now()
 	s.events.Add(eventlog.Event{What: eventlog.Got, Peer: s.pilot, N: m.Lines, Value: m.AgeMs, Since: m.AtMs})
 	for _, number := range s.apply(m) {
@@ -225,7 +225,7 @@
 
 // apply applies the lines of a message, with no request routed for as long as they take, and returns the numbers of
 // the acks that it asks for.
-func (p *process) apply(m *wire.Orders) (ackRequests []int) {
+func (p *process) apply(m *wire.Commands) (ackRequests []int) {
 	p.applying.Lock()
 	defer p.applying.Unlock()
 	if p.ApplyPerLine > 0 {
--- a/internal/transport/framed/framed_test.go
+++ b/internal/transport/framed/framed_test.go
@@ -156,11 +156,11 @@
 				require.NoError(t, err)
 			}
 			in.left(t, in.joined(t, "bad"))
-			require.NoError(t, in.joined(t, "good").Send(&wire.Orders{Lines: 5}))
+			require.NoError(t, in.joined(t, "good").Send(&wire.Commands{Lines: 5}))
 			for {
 				m, err := goodR.Read()
 				require.NoError(t, err)
-				if _, orders := m.(*wire.Orders); orders {
+				if _, orders := m.(*wire.Commands); orders {
 					return
 				}
 			}
@@ -203,7 +203,7 @@
 	_, r, w := join(t, address, "quick")
 	join(t, address, "slow")
 	slow, quick := in.joined(t, "slow"), in.joined(t, "quick")
-	big := &wire.Orders{}
+	big := &wire.Commands{}
 	for range 20000 {
 		big.Ops = append(big.Ops, wire.Op{Kind: wire.OpSet, Endpoint: "127.0.0.1:12345", Weight: 1})
 	}
@@ -215,7 +215,7 @@
 			if err != nil {
 				break
 			}
-			if _, ok := m.(*wire.Orders); ok {
+			if _, ok := m.(*wire.Commands); ok {
 				n++
 				_, _ = w.Write(&wire.Beat{})
 			}
@@ -227,7 +227,7 @@
 		if slowErr == nil {
 			slowErr = slow.Send(big)
 		}
-		for quick.Send(&wire.Orders{Lines: 1}) != nil {
+		for quick.Send(&wire.Commands{Lines: 1}) != nil {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -250,14 +250,14 @@
 		}
 		return err
 	}
-	require.NoError(t, st.Send(&wire.Orders{Lines: 1}))
+	require.NoError(t, st.Send(&wire.Commands{Lines: 1}))
 	require.NoError(t, alive(1, 300*time.Millisecond))
 	for r.Last() < 2 {
 		_, err := r.Read()
 		require.NoError(t, err)
 	}
 	require.NoError(t, alive(9, 700*time.Millisecond), "all is dealt with")
-	require.NoError(t, st.Send(&wire.Orders{Lines: 1}))
+	require.NoError(t, st.Send(&wire.Commands{Lines: 1}))
 	assert.Error(t, alive(1, 5*time.Second))
 	in.left(t, st)
 	_ = c.Close() // the server has closed it
--- a/internal/transport/grpcapi/grpcapi_test.go
+++ b/internal/transport/grpcapi/grpcapi_test.go
@@ -175,7 +175,7 @@
 			_, in, conn := serve(t, nil)
 			cl := follow(t, conn)
 			cl.hello(hello("p"))
-			require.NoError(t, in.joins(t, 1)[0].Send(&wire.Orders{Ops: []wire.Op{bind, set("x", 1)}}))
+			require.NoError(t, in.joins(t, 1)[0].Send(&wire.Commands{Ops: []wire.Op{bind, set("x", 1)}}))
 			cl.assignment()
 			c.do(cl)
 			assert.Equal(t, c.want, status.Code(cl.end()))
@@ -259,7 +259,7 @@
 	st := newStream(10)
 	for i := range 1000 {
 		ops := []wire.Op{set("x", float64(i)), set("y", 1), {Kind: wire.OpMark, AckNumber: 1}}
-		require.NoError(t, st.Send(&wire.Orders{Lines: 2, Ops: ops}))
+		require.NoError(t, st.Send(&wire.Commands{Lines: 2, Ops: ops}))
 	}
 	a := st.next().GetAssignment()
 	require.Len(t, a.GetSteps(), 2)
@@ -268,7 +268,7 @@
 	assert.EqualValues(t, 2000, a.GetLines())
 	var err error
 	for i := range 20 {
-		err = st.Send(&wire.Orders{Ops: []wire.Op{set(strings.Repeat("e", i+1), 1)}})
+		err = st.Send(&wire.Commands{Ops: []wire.Op{set(strings.Repeat("e", i+1), 1)}})
 	}
 	assert.ErrorIs(t, err, ErrSlow)
 }
--- a/internal/transport/grpcapi/stream.go
+++ b/internal/transport/grpcapi/stream.go
@@ -40,7 +40,7 @@
 }
 
 // Send queues orders. It returns ErrSlow if the queue exceeds its limit.
-func (st *stream) Send(o *wire.Orders) error {
+func (st *stream) Send(o *wire.Commands) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if err := st.pending.add(o); err != nil {
@@ -145,7 +145,7 @@
 func (p *pendingOps) empty() bool { return len(p.ops) == 0 }
 
 // add appends orders. It returns ErrSlow if the ops exceed the limit even when collapsed.
-func (p *pendingOps) add(o *wire.Orders) error {
+func (p *pendingOps) add(o *wire.Commands) error {
 	if p.empty() {
 		p.orderedMs = o.AtMs
 		p.waitedMs = o.AgeMs
--- a/internal/transport/xds/stream.go
+++ b/internal/transport/xds/stream.go
@@ -41,7 +41,7 @@
 }
 
 // Send applies orders to the routing state. Only the newest state is ever sent, so there is no queue to overflow.
-func (st *stream) Send(o *wire.Orders) error {
+func (st *stream) Send(o *wire.Commands) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	for i := range o.Ops {
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -125,7 +125,7 @@
 
 // BenchmarkOrders writes and reads a message of 400 weights.
 func BenchmarkOrders(b *testing.B) {
-	m := &Orders{Lines: 400}
+	m := &Commands{Lines: 400}
 	for range 400 {
 		m.Ops = append(m.Ops, Op{Kind: OpSet, Table: 3, Endpoint: "127.0.0.1:30000", Weight: 0.75})
 	}
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -64,7 +64,7 @@
 	case typeDone:
 		return &Done{}
 	case typeOrders:
-		return &Orders{}
+		return &Commands{}
 	case typeRedirect:
 		return &Redirect{}
 	case typeBye:
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -4,16 +4,16 @@
 const EveryTable = 65535
 
 // Orders is a message of operations from a pilot to a proxy.
-type Orders struct {
+type Commands struct {
 	AtMs  float64 // when the planner issued it, on the pilot's clock
 	AgeMs float64 // time that it waited in the pilot's channel
 	Lines int     // its cost in the channel, in lines, heads included
 	Ops   []Op
 }
 
-func (*Orders) messageType() Type { return typeOrders }
+func (*Commands) messageType() Type { return typeOrders }
 
-func (m *Orders) encode(e *encoder) {
+func (m *Commands) encode(e *encoder) {
 	e.float(m.AtMs)
 	e.float(m.AgeMs)
 	e.varint(m.Lines)
@@ -23,7 +23,7 @@
 	}
 }
 
-func (m *Orders) decode(d *decoder) {
+func (m *Commands) decode(d *decoder) {
 	m.AtMs = d.float()
 	m.AgeMs = d.float()
 	m.Lines = d.count()
--- a/recovery/world_test.go
+++ b/recovery/world_test.go
@@ -35,7 +35,7 @@
 type proxy struct {
 	follower *routing.Router
 	joined   int // a process, -1 none
-	incoming []*wire.Orders
+	incoming []*wire.Commands
 	stream   *stream
 }
 
@@ -47,7 +47,7 @@
 }
 
 // Send hands commands to the proxy, if this is its stream still.
-func (s *stream) Send(commands *wire.Orders) error {
+func (s *stream) Send(commands *wire.Commands) error {
 	if !s.world.processes[s.process].locked {
 		s.world.violation = "a process without the claim wrote to a proxy"
 	}
