--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -25,7 +25,7 @@
 	}
 	s.assign(command.Table, classes)
 	held, keep := s.takeHeldTable(command.Table)
-	c.outbox.add(s, wire.Op{Kind: wire.OpBind, Table: command.Table, Classes: classes, KeepLines: keep})
+	c.outbox.add(s, wire.Op{Kind: wire.OpAssignTable, Table: command.Table, Classes: classes, KeepLines: keep})
 	c.sendTable(s, command.Table, held, keep)
 }
 
--- a/internal/controller/assignment_test.go
+++ b/internal/controller/assignment_test.go
@@ -33,9 +33,9 @@
 	require.Len(t, stream.sent, 1)
 	set := func(e string, w float64) wire.Op { return wire.Op{Kind: wire.OpSet, Table: 5, Endpoint: e, Weight: w} }
 	assert.Equal(t, []wire.Op{
-		{Kind: wire.OpBind, Table: 5, Classes: 3, KeepLines: true},
+		{Kind: wire.OpAssignTable, Table: 5, Classes: 3, KeepLines: true},
 		set("y", 2), set("gone", 0),
-		{Kind: wire.OpBind, Table: 5, Classes: 3},
+		{Kind: wire.OpAssignTable, Table: 5, Classes: 3},
 		set("x", 1), set("y", 2),
 	}, stream.sent[0].Ops)
 }
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -68,7 +68,7 @@
 	setOp := func(e string, w float64) wire.Op {
 		return wire.Op{Kind: wire.OpSet, Table: 5, Endpoint: e, Weight: w}
 	}
-	bindOp := wire.Op{Kind: wire.OpBind, Table: 5, Classes: 3}
+	bindOp := wire.Op{Kind: wire.OpAssignTable, Table: 5, Classes: 3}
 	out := func(e string) wire.Op { return wire.Op{Kind: wire.OpWithdraw, Endpoint: e, Remove: true} }
 	bind := planner.AssignTable{Table: 5, Proxy: 0}
 	for _, c := range []struct {
--- a/internal/daemon/hostile_test.go
+++ b/internal/daemon/hostile_test.go
@@ -52,7 +52,7 @@
 		good.follow(ctx, d.Address(), proxy.Framed(nil))
 		close(followed)
 	}()
-	isBind := func(op wire.Op) bool { return op.Kind == wire.OpBind }
+	isBind := func(op wire.Op) bool { return op.Kind == wire.OpAssignTable }
 	require.Eventually(t, good.got(isBind), 10*time.Second, 5*time.Millisecond)
 	before := runtime.NumGoroutine()
 
--- a/internal/testbed/routing/apply.go
+++ b/internal/testbed/routing/apply.go
@@ -7,7 +7,7 @@
 	defer r.invalidateCandidates()
 	for _, o := range ops {
 		switch o.Kind {
-		case wire.OpBind:
+		case wire.OpAssignTable:
 			r.assign(o)
 		case wire.OpSet:
 			r.table(o.Table).setWeight(o.Endpoint, o.Weight)
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -55,7 +55,7 @@
 // someOrders returns orders with an op of each kind.
 func someOrders() *wire.Commands {
 	return &wire.Commands{AtMs: 10, AgeMs: 3, Lines: 9, Ops: []wire.Op{
-		{Kind: wire.OpBind, Table: 2, Classes: 3, KeepLines: true},
+		{Kind: wire.OpAssignTable, Table: 2, Classes: 3, KeepLines: true},
 		{Kind: wire.OpSet, Table: 2, Endpoint: "x", Weight: 1},
 		{Kind: wire.OpSet, Table: 2, Endpoint: "y", Weight: 0.5},
 		{Kind: wire.OpWithdraw, Endpoint: "y", Remove: true},
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -159,7 +159,7 @@
 	switch does := s.GetDoes().(type) {
 	case *pb.Step_Bind:
 		b := does.Bind
-		return wire.Op{Kind: wire.OpBind, Table: int(b.GetTable()), Classes: int(b.GetKinds()), KeepLines: b.GetKeep()}, true
+		return wire.Op{Kind: wire.OpAssignTable, Table: int(b.GetTable()), Classes: int(b.GetKinds()), KeepLines: b.GetKeep()}, true
 	case *pb.Step_Line:
 		l := does.Line
 		return wire.Op{Kind: wire.OpSet, Table: int(l.GetTable()), Endpoint: l.GetEndpoint(), Weight: l.GetWeight()}, true
--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -80,7 +80,7 @@
 // step encodes one op other than a mark.
 func step(op *wire.Op) *pb.Step {
 	switch op.Kind {
-	case wire.OpBind:
+	case wire.OpAssignTable:
 		return bindStep(op)
 	case wire.OpSet:
 		return lineStep(op)
--- a/internal/transport/grpcapi/grpcapi_test.go
+++ b/internal/transport/grpcapi/grpcapi_test.go
@@ -144,7 +144,7 @@
 	return wire.Op{Kind: wire.OpSet, Table: 1, Endpoint: e, Weight: w}
 }
 
-var bind = wire.Op{Kind: wire.OpBind, Table: 1, Classes: 3}
+var bind = wire.Op{Kind: wire.OpAssignTable, Table: 1, Classes: 3}
 
 // TestMisbehavingClient checks the status with which a stream ends after an invalid message of the client.
 func TestMisbehavingClient(t *testing.T) {
--- a/internal/transport/xds/routing.go
+++ b/internal/transport/xds/routing.go
@@ -34,7 +34,7 @@
 // apply applies an op. Key ranges can't be represented in xDS and are ignored.
 func (r *routing) apply(op *wire.Op) {
 	switch op.Kind {
-	case wire.OpBind:
+	case wire.OpAssignTable:
 		r.bind(op.Table, op.Classes)
 	case wire.OpSet:
 		r.setWeight(op.Table, op.Endpoint, op.Weight)
--- a/internal/wire/collapse.go
+++ b/internal/wire/collapse.go
@@ -40,7 +40,7 @@
 	case OpSet:
 		key.table = o.Table
 		key.endpoint = o.Endpoint
-	case OpAdmit, OpBind:
+	case OpAdmit, OpAssignTable:
 		key.table = o.Table
 		key.kinds = o.Classes
 	case OpWithdraw:
@@ -56,7 +56,7 @@
 // resetsTable reports whether the operation drops what its table held before.
 func (o *Op) resetsTable() bool {
 	switch o.Kind {
-	case OpBind, OpClear, OpRange:
+	case OpAssignTable, OpClear, OpRange:
 		return true
 	}
 	return false
--- a/internal/wire/collapse_test.go
+++ b/internal/wire/collapse_test.go
@@ -28,13 +28,13 @@
 		},
 		{
 			"a level of all tables outlives a reset",
-			[]Op{{Kind: OpAdmit, Table: EveryTable}, {Kind: OpBind, Table: EveryTable}},
-			[]Op{{Kind: OpAdmit, Table: EveryTable}, {Kind: OpBind, Table: EveryTable}},
+			[]Op{{Kind: OpAdmit, Table: EveryTable}, {Kind: OpAssignTable, Table: EveryTable}},
+			[]Op{{Kind: OpAdmit, Table: EveryTable}, {Kind: OpAssignTable, Table: EveryTable}},
 		},
 		{
 			"exclusions outlive a reset, the last of an endpoint counts",
-			[]Op{{Kind: OpWithdraw, Endpoint: "x", Remove: true}, {Kind: OpWithdraw, Endpoint: "x"}, {Kind: OpBind}},
-			[]Op{{Kind: OpWithdraw, Endpoint: "x"}, {Kind: OpBind}},
+			[]Op{{Kind: OpWithdraw, Endpoint: "x", Remove: true}, {Kind: OpWithdraw, Endpoint: "x"}, {Kind: OpAssignTable}},
+			[]Op{{Kind: OpWithdraw, Endpoint: "x"}, {Kind: OpAssignTable}},
 		},
 		{
 			"each mark is answered",
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -31,7 +31,7 @@
 	sampleSums,
 	&Done{Mark: 65534, TookMs: 0.25},
 	&Commands{AtMs: 5, AgeMs: 1.5, Lines: 9, Ops: []Op{
-		{Kind: OpBind, Table: 3, Classes: 5, KeepLines: true},
+		{Kind: OpAssignTable, Table: 3, Classes: 5, KeepLines: true},
 		{Kind: OpSet, Table: 3, Endpoint: "x:1", Weight: 0.75},
 		{Kind: OpClear, Table: 2},
 		{Kind: OpWithdraw, Endpoint: "y:2", Remove: true},
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -35,13 +35,13 @@
 
 // The types of operations. Their values are part of the protocol.
 const (
-	OpBind     OpKind = 1 // assign a table to the classes Kinds and reset it; OpSet and OpAdmit follow
-	OpSet      OpKind = 2 // set the weight of an endpoint in a table; 0 removes it
-	OpClear    OpKind = 3 // remove the lines and levels of a table
-	OpWithdraw OpKind = 4 // exclude an endpoint (Out) or let it in again
-	OpAdmit    OpKind = 5 // set the admission level and the retry policy of the classes Kinds
-	OpMark     OpKind = 6 // answer with Done
-	OpRange    OpKind = 7 // assign a table to the keys from From to To and reset it; Out: remove the assignment
+	OpAssignTable OpKind = 1 // assign a table to the classes Kinds and reset it; OpSet and OpAdmit follow
+	OpSet         OpKind = 2 // set the weight of an endpoint in a table; 0 removes it
+	OpClear       OpKind = 3 // remove the lines and levels of a table
+	OpWithdraw    OpKind = 4 // exclude an endpoint (Out) or let it in again
+	OpAdmit       OpKind = 5 // set the admission level and the retry policy of the classes Kinds
+	OpMark        OpKind = 6 // answer with Done
+	OpRange       OpKind = 7 // assign a table to the keys from From to To and reset it; Out: remove the assignment
 )
 
 // Op is one operation of Orders. Kind decides which of the other fields are used and encoded.
@@ -62,7 +62,7 @@
 func (o *Op) encode(e *encoder) {
 	e.byte(byte(o.Kind))
 	switch o.Kind {
-	case OpBind:
+	case OpAssignTable:
 		e.varint(o.Table)
 		e.varint(o.Classes)
 		e.bool(o.KeepLines)
@@ -93,7 +93,7 @@
 func decodeOp(d *decoder) Op {
 	o := Op{Kind: OpKind(d.byte())}
 	switch o.Kind {
-	case OpBind:
+	case OpAssignTable:
 		o.Table = d.count()
 		o.Classes = d.count()
 		o.KeepLines = d.bool()
