--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -38,7 +38,7 @@
 		name := c.endpoints.name(endpoint)
 		weight := t.weights[endpoint]
 		if !keep || held[name] != weight {
-			c.outbox.add(s, wire.Op{Kind: wire.OpSet, Table: number, Endpoint: name, Weight: weight})
+			c.outbox.add(s, wire.Op{Kind: wire.OpSetWeight, Table: number, Endpoint: name, Weight: weight})
 		}
 		delete(held, name)
 		if c.excluded[endpoint] {
@@ -46,7 +46,7 @@
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(held)) {
-		c.outbox.add(s, wire.Op{Kind: wire.OpSet, Table: number, Endpoint: name})
+		c.outbox.add(s, wire.Op{Kind: wire.OpSetWeight, Table: number, Endpoint: name})
 	}
 	c.sendLevels(s, t.levels)
 	c.sendLevels(s, c.tables.globalLevels)
--- a/internal/controller/assignment_test.go
+++ b/internal/controller/assignment_test.go
@@ -31,7 +31,9 @@
 	c.Handle(1, []Input{ProxyJoined{stream, h}})
 	c.Channel.Send(1)
 	require.Len(t, stream.sent, 1)
-	set := func(e string, w float64) wire.Op { return wire.Op{Kind: wire.OpSet, Table: 5, Endpoint: e, Weight: w} }
+	set := func(e string, w float64) wire.Op {
+		return wire.Op{Kind: wire.OpSetWeight, Table: 5, Endpoint: e, Weight: w}
+	}
 	assert.Equal(t, []wire.Op{
 		{Kind: wire.OpAssignTable, Table: 5, Classes: 3, KeepLines: true},
 		set("y", 2), set("gone", 0),
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -66,7 +66,7 @@
 func TestOrders(t *testing.T) {
 	set := func(e int, w float64) planner.Command { return planner.SetWeight{Table: 5, Endpoint: e, Weight: w} }
 	setOp := func(e string, w float64) wire.Op {
-		return wire.Op{Kind: wire.OpSet, Table: 5, Endpoint: e, Weight: w}
+		return wire.Op{Kind: wire.OpSetWeight, Table: 5, Endpoint: e, Weight: w}
 	}
 	bindOp := wire.Op{Kind: wire.OpAssignTable, Table: 5, Classes: 3}
 	out := func(e string) wire.Op { return wire.Op{Kind: wire.OpWithdraw, Endpoint: e, Remove: true} }
--- a/internal/controller/tables.go
+++ b/internal/controller/tables.go
@@ -56,7 +56,7 @@
 func (c *Core) setWeight(command planner.SetWeight) {
 	t := c.tables.table(command.Table)
 	name := c.endpoints.name(command.Endpoint)
-	c.sendToUsers(command.Table, wire.Op{Kind: wire.OpSet, Table: command.Table, Endpoint: name, Weight: command.Weight})
+	c.sendToUsers(command.Table, wire.Op{Kind: wire.OpSetWeight, Table: command.Table, Endpoint: name, Weight: command.Weight})
 	if command.Weight == 0 {
 		delete(t.weights, command.Endpoint)
 		return
--- a/internal/daemon/goodproxy_test.go
+++ b/internal/daemon/goodproxy_test.go
@@ -85,7 +85,7 @@
 	for _, op := range g.ops {
 		require.False(t, op.Weight < 0 || op.Weight > 1 || math.IsNaN(op.Weight), "%+v", op)
 		require.NotEqual(t, wire.OpRange, op.Kind)
-		if op.Kind == wire.OpSet {
+		if op.Kind == wire.OpSetWeight {
 			weights[op.Endpoint] = op.Weight
 		}
 	}
--- a/internal/daemon/hostile_test.go
+++ b/internal/daemon/hostile_test.go
@@ -69,7 +69,7 @@
 
 	isDrained := func(op wire.Op) bool {
 		isExcluded := op.Kind == wire.OpWithdraw && op.Remove
-		isRemoved := op.Kind == wire.OpSet && op.Weight == 0
+		isRemoved := op.Kind == wire.OpSetWeight && op.Weight == 0
 		return op.Endpoint == "z:1" && (isExcluded || isRemoved)
 	}
 	require.Eventually(t, good.got(isDrained), 30*time.Second, 5*time.Millisecond, "a drain still reaches the proxy")
--- a/internal/testbed/routing/apply.go
+++ b/internal/testbed/routing/apply.go
@@ -9,7 +9,7 @@
 		switch o.Kind {
 		case wire.OpAssignTable:
 			r.assign(o)
-		case wire.OpSet:
+		case wire.OpSetWeight:
 			r.table(o.Table).setWeight(o.Endpoint, o.Weight)
 		case wire.OpClear:
 			t := r.table(o.Table)
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -56,8 +56,8 @@
 func someOrders() *wire.Commands {
 	return &wire.Commands{AtMs: 10, AgeMs: 3, Lines: 9, Ops: []wire.Op{
 		{Kind: wire.OpAssignTable, Table: 2, Classes: 3, KeepLines: true},
-		{Kind: wire.OpSet, Table: 2, Endpoint: "x", Weight: 1},
-		{Kind: wire.OpSet, Table: 2, Endpoint: "y", Weight: 0.5},
+		{Kind: wire.OpSetWeight, Table: 2, Endpoint: "x", Weight: 1},
+		{Kind: wire.OpSetWeight, Table: 2, Endpoint: "y", Weight: 0.5},
 		{Kind: wire.OpWithdraw, Endpoint: "y", Remove: true},
 		{Kind: wire.OpAdmit, Table: 2, Classes: 1, Weight: 0.5, RetryMode: 1},
 		{Kind: wire.OpRange, Table: 3, From: "a", To: "k"},
--- a/internal/transport/framed/framed_test.go
+++ b/internal/transport/framed/framed_test.go
@@ -205,7 +205,7 @@
 	slow, quick := in.joined(t, "slow"), in.joined(t, "quick")
 	big := &wire.Commands{}
 	for range 20000 {
-		big.Ops = append(big.Ops, wire.Op{Kind: wire.OpSet, Endpoint: "127.0.0.1:12345", Weight: 1})
+		big.Ops = append(big.Ops, wire.Op{Kind: wire.OpSetWeight, Endpoint: "127.0.0.1:12345", Weight: 1})
 	}
 	got := make(chan int, 1)
 	go func() {
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -162,7 +162,7 @@
 		return wire.Op{Kind: wire.OpAssignTable, Table: int(b.GetTable()), Classes: int(b.GetKinds()), KeepLines: b.GetKeep()}, true
 	case *pb.Step_Line:
 		l := does.Line
-		return wire.Op{Kind: wire.OpSet, Table: int(l.GetTable()), Endpoint: l.GetEndpoint(), Weight: l.GetWeight()}, true
+		return wire.Op{Kind: wire.OpSetWeight, Table: int(l.GetTable()), Endpoint: l.GetEndpoint(), Weight: l.GetWeight()}, true
 	case *pb.Step_Clear:
 		return wire.Op{Kind: wire.OpClear, Table: int(does.Clear.GetTable())}, true
 	case *pb.Step_Withdraw:
--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -82,7 +82,7 @@
 	switch op.Kind {
 	case wire.OpAssignTable:
 		return bindStep(op)
-	case wire.OpSet:
+	case wire.OpSetWeight:
 		return lineStep(op)
 	case wire.OpClear:
 		return &pb.Step{Does: &pb.Step_Clear{Clear: &pb.Clear{Table: uint32(op.Table)}}}
--- a/internal/transport/grpcapi/grpcapi_test.go
+++ b/internal/transport/grpcapi/grpcapi_test.go
@@ -141,7 +141,7 @@
 func hello(name string) *pb.Hello { return &pb.Hello{Version: 1, Proxy: name, Zone: "a"} }
 
 func set(e string, w float64) wire.Op {
-	return wire.Op{Kind: wire.OpSet, Table: 1, Endpoint: e, Weight: w}
+	return wire.Op{Kind: wire.OpSetWeight, Table: 1, Endpoint: e, Weight: w}
 }
 
 var bind = wire.Op{Kind: wire.OpAssignTable, Table: 1, Classes: 3}
--- a/internal/transport/xds/routing.go
+++ b/internal/transport/xds/routing.go
@@ -36,7 +36,7 @@
 	switch op.Kind {
 	case wire.OpAssignTable:
 		r.bind(op.Table, op.Classes)
-	case wire.OpSet:
+	case wire.OpSetWeight:
 		r.setWeight(op.Table, op.Endpoint, op.Weight)
 	case wire.OpClear:
 		delete(r.tables, op.Table)
--- a/internal/wire/collapse.go
+++ b/internal/wire/collapse.go
@@ -37,7 +37,7 @@
 func collapseKey(o *Op) opKey {
 	key := opKey{kind: o.Kind}
 	switch o.Kind {
-	case OpSet:
+	case OpSetWeight:
 		key.table = o.Table
 		key.endpoint = o.Endpoint
 	case OpAdmit, OpAssignTable:
@@ -66,7 +66,7 @@
 // outlives the reset of one.
 func (o *Op) isDroppedByReset() bool {
 	switch o.Kind {
-	case OpSet, OpClear:
+	case OpSetWeight, OpClear:
 		return true
 	case OpAdmit:
 		return o.Table != EveryTable
--- a/internal/wire/collapse_test.go
+++ b/internal/wire/collapse_test.go
@@ -9,7 +9,7 @@
 // TestCollapse checks which operations are dropped, one rule a case.
 func TestCollapse(t *testing.T) {
 	set := func(table int, endpoint string, weight float64) Op {
-		return Op{Kind: OpSet, Table: table, Endpoint: endpoint, Weight: weight}
+		return Op{Kind: OpSetWeight, Table: table, Endpoint: endpoint, Weight: weight}
 	}
 	for _, c := range []struct {
 		name     string
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -127,7 +127,7 @@
 func BenchmarkOrders(b *testing.B) {
 	m := &Commands{Lines: 400}
 	for range 400 {
-		m.Ops = append(m.Ops, Op{Kind: OpSet, Table: 3, Endpoint: "127.0.0.1:30000", Weight: 0.75})
+		m.Ops = append(m.Ops, Op{Kind: OpSetWeight, Table: 3, Endpoint: "127.0.0.1:30000", Weight: 0.75})
 	}
 	var buf bytes.Buffer
 	b.ReportAllocs()
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -32,7 +32,7 @@
 	&Done{Mark: 65534, TookMs: 0.25},
 	&Commands{AtMs: 5, AgeMs: 1.5, Lines: 9, Ops: []Op{
 		{Kind: OpAssignTable, Table: 3, Classes: 5, KeepLines: true},
-		{Kind: OpSet, Table: 3, Endpoint: "x:1", Weight: 0.75},
+		{Kind: OpSetWeight, Table: 3, Endpoint: "x:1", Weight: 0.75},
 		{Kind: OpClear, Table: 2},
 		{Kind: OpWithdraw, Endpoint: "y:2", Remove: true},
 		{Kind: OpAdmit, Table: 65535, Classes: 2, Weight: 0.5, RetryMode: 3},
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -36,7 +36,7 @@
 // The types of operations. Their values are part of the protocol.
 const (
 	OpAssignTable OpKind = 1 // assign a table to the classes Kinds and reset it; OpSet and OpAdmit follow
-	OpSet         OpKind = 2 // set the weight of an endpoint in a table; 0 removes it
+	OpSetWeight   OpKind = 2 // set the weight of an endpoint in a table; 0 removes it
 	OpClear       OpKind = 3 // remove the lines and levels of a table
 	OpWithdraw    OpKind = 4 // exclude an endpoint (Out) or let it in again
 	OpAdmit       OpKind = 5 // set the admission level and the retry policy of the classes Kinds
@@ -66,7 +66,7 @@
 		e.varint(o.Table)
 		e.varint(o.Classes)
 		e.bool(o.KeepLines)
-	case OpSet:
+	case OpSetWeight:
 		e.varint(o.Table)
 		e.text(o.Endpoint)
 		e.float(o.Weight)
@@ -97,7 +97,7 @@
 		o.Table = d.count()
 		o.Classes = d.count()
 		o.KeepLines = d.bool()
-	case OpSet:
+	case OpSetWeight:
 		o.Table = d.count()
 		o.Endpoint = d.text()
 		o.Weight = d.float()
