--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -113,7 +113,7 @@
 		{
 			"a table cleared",
 			[]planner.Command{set(0, 1), bind, planner.ClearTable{Table: 5}, planner.SetExcluded{Endpoint: 0, Excluded: true}},
-			[]wire.Op{bindOp, setOp("x", 1), {Kind: wire.OpClear, Table: 5}},
+			[]wire.Op{bindOp, setOp("x", 1), {Kind: wire.OpClearTable, Table: 5}},
 			nil,
 		},
 		{
--- a/internal/controller/tables.go
+++ b/internal/controller/tables.go
@@ -48,7 +48,7 @@
 // clearTable removes a table's lines and levels, also at its users.
 func (c *Core) clearTable(command planner.ClearTable) {
 	c.tables.remove(command.Table)
-	c.sendToUsers(command.Table, wire.Op{Kind: wire.OpClear, Table: command.Table})
+	c.sendToUsers(command.Table, wire.Op{Kind: wire.OpClearTable, Table: command.Table})
 }
 
 // setWeight changes a line at all users of its table. An endpoint that is excluded stays so where it was not held
--- a/internal/testbed/routing/apply.go
+++ b/internal/testbed/routing/apply.go
@@ -11,7 +11,7 @@
 			r.assign(o)
 		case wire.OpSetWeight:
 			r.table(o.Table).setWeight(o.Endpoint, o.Weight)
-		case wire.OpClear:
+		case wire.OpClearTable:
 			t := r.table(o.Table)
 			clear(t.lines)
 			clear(t.admission)
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -164,7 +164,7 @@
 		l := does.Line
 		return wire.Op{Kind: wire.OpSetWeight, Table: int(l.GetTable()), Endpoint: l.GetEndpoint(), Weight: l.GetWeight()}, true
 	case *pb.Step_Clear:
-		return wire.Op{Kind: wire.OpClear, Table: int(does.Clear.GetTable())}, true
+		return wire.Op{Kind: wire.OpClearTable, Table: int(does.Clear.GetTable())}, true
 	case *pb.Step_Withdraw:
 		w := does.Withdraw
 		return wire.Op{Kind: wire.OpWithdraw, Endpoint: w.GetEndpoint(), Remove: w.GetOut()}, true
--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -84,7 +84,7 @@
 		return bindStep(op)
 	case wire.OpSetWeight:
 		return lineStep(op)
-	case wire.OpClear:
+	case wire.OpClearTable:
 		return &pb.Step{Does: &pb.Step_Clear{Clear: &pb.Clear{Table: uint32(op.Table)}}}
 	case wire.OpWithdraw:
 		return &pb.Step{Does: &pb.Step_Withdraw{Withdraw: &pb.Withdraw{Endpoint: op.Endpoint, Out: op.Remove}}}
--- a/internal/transport/xds/routing.go
+++ b/internal/transport/xds/routing.go
@@ -38,7 +38,7 @@
 		r.bind(op.Table, op.Classes)
 	case wire.OpSetWeight:
 		r.setWeight(op.Table, op.Endpoint, op.Weight)
-	case wire.OpClear:
+	case wire.OpClearTable:
 		delete(r.tables, op.Table)
 	case wire.OpWithdraw:
 		if op.Remove {
--- a/internal/wire/collapse.go
+++ b/internal/wire/collapse.go
@@ -47,7 +47,7 @@
 		key.endpoint = o.Endpoint
 	case OpMark:
 		key.number = o.AckNumber
-	case OpClear, OpRange:
+	case OpClearTable, OpRange:
 		key.table = o.Table
 	}
 	return key
@@ -56,7 +56,7 @@
 // resetsTable reports whether the operation drops what its table held before.
 func (o *Op) resetsTable() bool {
 	switch o.Kind {
-	case OpAssignTable, OpClear, OpRange:
+	case OpAssignTable, OpClearTable, OpRange:
 		return true
 	}
 	return false
@@ -66,7 +66,7 @@
 // outlives the reset of one.
 func (o *Op) isDroppedByReset() bool {
 	switch o.Kind {
-	case OpSetWeight, OpClear:
+	case OpSetWeight, OpClearTable:
 		return true
 	case OpAdmit:
 		return o.Table != EveryTable
--- a/internal/wire/collapse_test.go
+++ b/internal/wire/collapse_test.go
@@ -23,8 +23,8 @@
 		{"lines of other tables stay", []Op{set(1, "x", 1), set(2, "x", 2)}, []Op{set(1, "x", 1), set(2, "x", 2)}},
 		{
 			"a clear drops earlier lines and levels of its table",
-			[]Op{set(1, "x", 1), {Kind: OpAdmit, Table: 1}, {Kind: OpClear, Table: 1}, set(1, "x", 2)},
-			[]Op{{Kind: OpClear, Table: 1}, set(1, "x", 2)},
+			[]Op{set(1, "x", 1), {Kind: OpAdmit, Table: 1}, {Kind: OpClearTable, Table: 1}, set(1, "x", 2)},
+			[]Op{{Kind: OpClearTable, Table: 1}, set(1, "x", 2)},
 		},
 		{
 			"a level of all tables outlives a reset",
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -33,7 +33,7 @@
 	&Commands{AtMs: 5, AgeMs: 1.5, Lines: 9, Ops: []Op{
 		{Kind: OpAssignTable, Table: 3, Classes: 5, KeepLines: true},
 		{Kind: OpSetWeight, Table: 3, Endpoint: "x:1", Weight: 0.75},
-		{Kind: OpClear, Table: 2},
+		{Kind: OpClearTable, Table: 2},
 		{Kind: OpWithdraw, Endpoint: "y:2", Remove: true},
 		{Kind: OpAdmit, Table: 65535, Classes: 2, Weight: 0.5, RetryMode: 3},
 		{Kind: OpMark, AckNumber: 12},
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -37,7 +37,7 @@
 const (
 	OpAssignTable OpKind = 1 // assign a table to the classes Kinds and reset it; OpSet and OpAdmit follow
 	OpSetWeight   OpKind = 2 // set the weight of an endpoint in a table; 0 removes it
-	OpClear       OpKind = 3 // remove the lines and levels of a table
+	OpClearTable  OpKind = 3 // remove the lines and levels of a table
 	OpWithdraw    OpKind = 4 // exclude an endpoint (Out) or let it in again
 	OpAdmit       OpKind = 5 // set the admission level and the retry policy of the classes Kinds
 	OpMark        OpKind = 6 // answer with Done
@@ -70,7 +70,7 @@
 		e.varint(o.Table)
 		e.text(o.Endpoint)
 		e.float(o.Weight)
-	case OpClear:
+	case OpClearTable:
 		e.varint(o.Table)
 	case OpWithdraw:
 		e.text(o.Endpoint)
@@ -101,7 +101,7 @@
 		o.Table = d.count()
 		o.Endpoint = d.text()
 		o.Weight = d.float()
-	case OpClear:
+	case OpClearTable:
 		o.Table = d.count()
 	case OpWithdraw:
 		o.Endpoint = d.text()
