--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -42,7 +42,7 @@
 		}
 		delete(held, name)
 		if c.excluded[endpoint] {
-			c.outbox.add(s, wire.Op{Kind: wire.OpWithdraw, Endpoint: name, Remove: true})
+			c.outbox.add(s, wire.Op{Kind: wire.OpSetExcluded, Endpoint: name, Remove: true})
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(held)) {
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -69,7 +69,7 @@
 		return wire.Op{Kind: wire.OpSetWeight, Table: 5, Endpoint: e, Weight: w}
 	}
 	bindOp := wire.Op{Kind: wire.OpAssignTable, Table: 5, Classes: 3}
-	out := func(e string) wire.Op { return wire.Op{Kind: wire.OpWithdraw, Endpoint: e, Remove: true} }
+	out := func(e string) wire.Op { return wire.Op{Kind: wire.OpSetExcluded, Endpoint: e, Remove: true} }
 	bind := planner.AssignTable{Table: 5, Proxy: 0}
 	for _, c := range []struct {
 		name     string
--- a/internal/controller/exclusion.go
+++ b/internal/controller/exclusion.go
@@ -21,7 +21,7 @@
 // what they hold.
 func (c *Core) setExcluded(command planner.SetExcluded) {
 	c.excluded.set(command.Endpoint, command.Excluded)
-	op := wire.Op{Kind: wire.OpWithdraw, Endpoint: c.endpoints.name(command.Endpoint), Remove: command.Excluded}
+	op := wire.Op{Kind: wire.OpSetExcluded, Endpoint: c.endpoints.name(command.Endpoint), Remove: command.Excluded}
 	for _, s := range c.sessions.inOrder() {
 		if c.holds(s, command.Endpoint) {
 			c.outbox.add(s, op)
--- a/internal/controller/exclusion_test.go
+++ b/internal/controller/exclusion_test.go
@@ -39,7 +39,7 @@
 			told := 0
 			for _, m := range s.sent {
 				for _, op := range m.Ops {
-					if op.Kind == wire.OpWithdraw && op.Endpoint == "x" && op.Remove == out {
+					if op.Kind == wire.OpSetExcluded && op.Endpoint == "x" && op.Remove == out {
 						told++
 					}
 				}
--- a/internal/controller/tables.go
+++ b/internal/controller/tables.go
@@ -62,7 +62,7 @@
 		return
 	}
 	if c.excluded[command.Endpoint] && t.weights[command.Endpoint] == 0 {
-		c.sendToUsers(command.Table, wire.Op{Kind: wire.OpWithdraw, Endpoint: name, Remove: true})
+		c.sendToUsers(command.Table, wire.Op{Kind: wire.OpSetExcluded, Endpoint: name, Remove: true})
 	}
 	t.weights[command.Endpoint] = command.Weight
 }
--- a/internal/daemon/hostile_test.go
+++ b/internal/daemon/hostile_test.go
@@ -68,7 +68,7 @@
 	source.answers <- framesOf(t, &wire.List{Version: 2, Now: 2e6, Whole: true, Entries: entries})
 
 	isDrained := func(op wire.Op) bool {
-		isExcluded := op.Kind == wire.OpWithdraw && op.Remove
+		isExcluded := op.Kind == wire.OpSetExcluded && op.Remove
 		isRemoved := op.Kind == wire.OpSetWeight && op.Weight == 0
 		return op.Endpoint == "z:1" && (isExcluded || isRemoved)
 	}
--- a/internal/testbed/routing/apply.go
+++ b/internal/testbed/routing/apply.go
@@ -15,7 +15,7 @@
 			t := r.table(o.Table)
 			clear(t.lines)
 			clear(t.admission)
-		case wire.OpWithdraw:
+		case wire.OpSetExcluded:
 			r.setExcluded(o.Endpoint, o.Remove)
 		case wire.OpAdmit:
 			r.setAdmission(o)
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -167,7 +167,7 @@
 		return wire.Op{Kind: wire.OpClearTable, Table: int(does.Clear.GetTable())}, true
 	case *pb.Step_Withdraw:
 		w := does.Withdraw
-		return wire.Op{Kind: wire.OpWithdraw, Endpoint: w.GetEndpoint(), Remove: w.GetOut()}, true
+		return wire.Op{Kind: wire.OpSetExcluded, Endpoint: w.GetEndpoint(), Remove: w.GetOut()}, true
 	case *pb.Step_Level:
 		return levelOpFrom(does.Level), true
 	case *pb.Step_Range:
--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -86,7 +86,7 @@
 		return lineStep(op)
 	case wire.OpClearTable:
 		return &pb.Step{Does: &pb.Step_Clear{Clear: &pb.Clear{Table: uint32(op.Table)}}}
-	case wire.OpWithdraw:
+	case wire.OpSetExcluded:
 		return &pb.Step{Does: &pb.Step_Withdraw{Withdraw: &pb.Withdraw{Endpoint: op.Endpoint, Out: op.Remove}}}
 	case wire.OpAdmit:
 		return levelStep(op)
--- a/internal/transport/xds/routing.go
+++ b/internal/transport/xds/routing.go
@@ -40,7 +40,7 @@
 		r.setWeight(op.Table, op.Endpoint, op.Weight)
 	case wire.OpClearTable:
 		delete(r.tables, op.Table)
-	case wire.OpWithdraw:
+	case wire.OpSetExcluded:
 		if op.Remove {
 			r.excluded[op.Endpoint] = true
 		} else {
--- a/internal/wire/collapse.go
+++ b/internal/wire/collapse.go
@@ -43,7 +43,7 @@
 	case OpAdmit, OpAssignTable:
 		key.table = o.Table
 		key.kinds = o.Classes
-	case OpWithdraw:
+	case OpSetExcluded:
 		key.endpoint = o.Endpoint
 	case OpMark:
 		key.number = o.AckNumber
--- a/internal/wire/collapse_test.go
+++ b/internal/wire/collapse_test.go
@@ -33,8 +33,8 @@
 		},
 		{
 			"exclusions outlive a reset, the last of an endpoint counts",
-			[]Op{{Kind: OpWithdraw, Endpoint: "x", Remove: true}, {Kind: OpWithdraw, Endpoint: "x"}, {Kind: OpAssignTable}},
-			[]Op{{Kind: OpWithdraw, Endpoint: "x"}, {Kind: OpAssignTable}},
+			[]Op{{Kind: OpSetExcluded, Endpoint: "x", Remove: true}, {Kind: OpSetExcluded, Endpoint: "x"}, {Kind: OpAssignTable}},
+			[]Op{{Kind: OpSetExcluded, Endpoint: "x"}, {Kind: OpAssignTable}},
 		},
 		{
 			"each mark is answered",
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -38,7 +38,7 @@
 	OpAssignTable OpKind = 1 // assign a table to the classes Kinds and reset it; OpSet and OpAdmit follow
 	OpSetWeight   OpKind = 2 // set the weight of an endpoint in a table; 0 removes it
 	OpClearTable  OpKind = 3 // remove the lines and levels of a table
-	OpWithdraw    OpKind = 4 // exclude an endpoint (Out) or let it in again
+	OpSetExcluded OpKind = 4 // exclude an endpoint (Out) or let it in again
 	OpAdmit       OpKind = 5 // set the admission level and the retry policy of the classes Kinds
 	OpMark        OpKind = 6 // answer with Done
 	OpRange       OpKind = 7 // assign a table to the keys from From to To and reset it; Out: remove the assignment
@@ -72,7 +72,7 @@
 		e.float(o.Weight)
 	case OpClearTable:
 		e.varint(o.Table)
-	case OpWithdraw:
+	case OpSetExcluded:
 		e.text(o.Endpoint)
 		e.bool(o.Remove)
 	case OpAdmit:
@@ -103,7 +103,7 @@
 		o.Weight = d.float()
 	case OpClearTable:
 		o.Table = d.count()
-	case OpWithdraw:
+	case OpSetExcluded:
 		o.Endpoint = d.text()
 		o.Remove = d.bool()
 	case OpAdmit:
