--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -32,7 +32,7 @@
 // admissionOp returns the line that sets an admission level.
 func admissionOp(command planner.SetAdmission) wire.Op {
 	return wire.Op{
-		Kind:      wire.OpAdmit,
+		Kind:      wire.OpSetAdmission,
 		Table:     command.Table,
 		Classes:   command.Classes,
 		Weight:    command.Level,
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -119,13 +119,13 @@
 		{
 			"levels",
 			[]planner.Command{planner.SetAdmission{Table: 5, Classes: 1, Level: 0.5, RetryMode: 1}, bind},
-			[]wire.Op{bindOp, {Kind: wire.OpAdmit, Table: 5, Classes: 1, Weight: 0.5, RetryMode: 1}},
+			[]wire.Op{bindOp, {Kind: wire.OpSetAdmission, Table: 5, Classes: 1, Weight: 0.5, RetryMode: 1}},
 			nil,
 		},
 		{
 			"levels for all",
 			[]planner.Command{planner.SetAdmission{Table: planner.EveryTable, Classes: 1, Level: 0.5}},
-			[]wire.Op{{Kind: wire.OpAdmit, Table: planner.EveryTable, Classes: 1, Weight: 0.5}},
+			[]wire.Op{{Kind: wire.OpSetAdmission, Table: planner.EveryTable, Classes: 1, Weight: 0.5}},
 			nil,
 		},
 		{
--- a/internal/testbed/routing/apply.go
+++ b/internal/testbed/routing/apply.go
@@ -17,7 +17,7 @@
 			clear(t.admission)
 		case wire.OpSetExcluded:
 			r.setExcluded(o.Endpoint, o.Remove)
-		case wire.OpAdmit:
+		case wire.OpSetAdmission:
 			r.setAdmission(o)
 		case wire.OpMark:
 			ackRequests = append(ackRequests, o.AckNumber)
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -59,7 +59,7 @@
 		{Kind: wire.OpSetWeight, Table: 2, Endpoint: "x", Weight: 1},
 		{Kind: wire.OpSetWeight, Table: 2, Endpoint: "y", Weight: 0.5},
 		{Kind: wire.OpSetExcluded, Endpoint: "y", Remove: true},
-		{Kind: wire.OpAdmit, Table: 2, Classes: 1, Weight: 0.5, RetryMode: 1},
+		{Kind: wire.OpSetAdmission, Table: 2, Classes: 1, Weight: 0.5, RetryMode: 1},
 		{Kind: wire.OpRange, Table: 3, From: "a", To: "k"},
 		{Kind: wire.OpRange, Table: 4, Remove: true},
 		{Kind: wire.OpMark, AckNumber: 7},
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -178,7 +178,7 @@
 
 func levelOpFrom(l *pb.Level) wire.Op {
 	return wire.Op{
-		Kind:      wire.OpAdmit,
+		Kind:      wire.OpSetAdmission,
 		Table:     int(l.GetTable()),
 		Classes:   int(l.GetKinds()),
 		Weight:    l.GetShare(),
--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -88,7 +88,7 @@
 		return &pb.Step{Does: &pb.Step_Clear{Clear: &pb.Clear{Table: uint32(op.Table)}}}
 	case wire.OpSetExcluded:
 		return &pb.Step{Does: &pb.Step_Withdraw{Withdraw: &pb.Withdraw{Endpoint: op.Endpoint, Out: op.Remove}}}
-	case wire.OpAdmit:
+	case wire.OpSetAdmission:
 		return levelStep(op)
 	case wire.OpRange:
 		return rangeStep(op)
--- a/internal/transport/xds/routing.go
+++ b/internal/transport/xds/routing.go
@@ -46,7 +46,7 @@
 		} else {
 			delete(r.excluded, op.Endpoint)
 		}
-	case wire.OpAdmit:
+	case wire.OpSetAdmission:
 		r.table(op.Table).levels[op.Classes] = op.Weight
 	}
 }
--- a/internal/wire/collapse.go
+++ b/internal/wire/collapse.go
@@ -40,7 +40,7 @@
 	case OpSetWeight:
 		key.table = o.Table
 		key.endpoint = o.Endpoint
-	case OpAdmit, OpAssignTable:
+	case OpSetAdmission, OpAssignTable:
 		key.table = o.Table
 		key.kinds = o.Classes
 	case OpSetExcluded:
@@ -68,7 +68,7 @@
 	switch o.Kind {
 	case OpSetWeight, OpClearTable:
 		return true
-	case OpAdmit:
+	case OpSetAdmission:
 		return o.Table != EveryTable
 	}
 	return false
--- a/internal/wire/collapse_test.go
+++ b/internal/wire/collapse_test.go
@@ -23,13 +23,13 @@
 		{"lines of other tables stay", []Op{set(1, "x", 1), set(2, "x", 2)}, []Op{set(1, "x", 1), set(2, "x", 2)}},
 		{
 			"a clear drops earlier lines and levels of its table",
-			[]Op{set(1, "x", 1), {Kind: OpAdmit, Table: 1}, {Kind: OpClearTable, Table: 1}, set(1, "x", 2)},
+			[]Op{set(1, "x", 1), {Kind: OpSetAdmission, Table: 1}, {Kind: OpClearTable, Table: 1}, set(1, "x", 2)},
 			[]Op{{Kind: OpClearTable, Table: 1}, set(1, "x", 2)},
 		},
 		{
 			"a level of all tables outlives a reset",
-			[]Op{{Kind: OpAdmit, Table: EveryTable}, {Kind: OpAssignTable, Table: EveryTable}},
-			[]Op{{Kind: OpAdmit, Table: EveryTable}, {Kind: OpAssignTable, Table: EveryTable}},
+			[]Op{{Kind: OpSetAdmission, Table: EveryTable}, {Kind: OpAssignTable, Table: EveryTable}},
+			[]Op{{Kind: OpSetAdmission, Table: EveryTable}, {Kind: OpAssignTable, Table: EveryTable}},
 		},
 		{
 			"exclusions outlive a reset, the last of an endpoint counts",
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -35,7 +35,7 @@
 		{Kind: OpSetWeight, Table: 3, Endpoint: "x:1", Weight: 0.75},
 		{Kind: OpClearTable, Table: 2},
 		{Kind: OpSetExcluded, Endpoint: "y:2", Remove: true},
-		{Kind: OpAdmit, Table: 65535, Classes: 2, Weight: 0.5, RetryMode: 3},
+		{Kind: OpSetAdmission, Table: 65535, Classes: 2, Weight: 0.5, RetryMode: 3},
 		{Kind: OpMark, AckNumber: 12},
 		{Kind: OpRange, Table: 4, From: "a", To: "b", Remove: true},
 	}},
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -35,13 +35,13 @@
 
 // The types of operations. Their values are part of the protocol.
 const (
-	OpAssignTable OpKind = 1 // assign a table to the classes Kinds and reset it; OpSet and OpAdmit follow
-	OpSetWeight   OpKind = 2 // set the weight of an endpoint in a table; 0 removes it
-	OpClearTable  OpKind = 3 // remove the lines and levels of a table
-	OpSetExcluded OpKind = 4 // exclude an endpoint (Out) or let it in again
-	OpAdmit       OpKind = 5 // set the admission level and the retry policy of the classes Kinds
-	OpMark        OpKind = 6 // answer with Done
-	OpRange       OpKind = 7 // assign a table to the keys from From to To and reset it; Out: remove the assignment
+	OpAssignTable  OpKind = 1 // assign a table to the classes Kinds and reset it; OpSet and OpAdmit follow
+	OpSetWeight    OpKind = 2 // set the weight of an endpoint in a table; 0 removes it
+	OpClearTable   OpKind = 3 // remove the lines and levels of a table
+	OpSetExcluded  OpKind = 4 // exclude an endpoint (Out) or let it in again
+	OpSetAdmission OpKind = 5 // set the admission level and the retry policy of the classes Kinds
+	OpMark         OpKind = 6 // answer with Done
+	OpRange        OpKind = 7 // assign a table to the keys from From to To and reset it; Out: remove the assignment
 )
 
 // Op is one operation of Orders. Kind decides which of the other fields are used and encoded.
@@ -75,7 +75,7 @@
 	case OpSetExcluded:
 		e.text(o.Endpoint)
 		e.bool(o.Remove)
-	case OpAdmit:
+	case OpSetAdmission:
 		e.varint(o.Table)
 		e.varint(o.Classes)
 		e.float(o.Weight)
@@ -106,7 +106,7 @@
 	case OpSetExcluded:
 		o.Endpoint = d.text()
 		o.Remove = d.bool()
-	case OpAdmit:
+	case OpSetAdmission:
 		o.Table = d.count()
 		o.Classes = d.count()
 		o.Weight = d.float()
