--- a/internal/controller/acks.go
+++ b/internal/controller/acks.go
@@ -43,7 +43,7 @@
 func (c *Core) requestAcks(command planner.AckRequest) {
 	for _, s := range c.sessions.inOrder() {
 		if s.pending != nil || command.All {
-			c.outbox.add(s, wire.Op{Kind: wire.OpMark, AckNumber: command.Number})
+			c.outbox.add(s, wire.Op{Kind: wire.OpAckRequest, AckNumber: command.Number})
 			s.acks.add(command.Number)
 		}
 	}
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -131,14 +131,14 @@
 		{
 			"a mark goes with a message",
 			[]planner.Command{planner.SetExcluded{Endpoint: 0, Excluded: true}, planner.AckRequest{Number: 4}},
-			[]wire.Op{out("x"), {Kind: wire.OpMark, AckNumber: 4}},
+			[]wire.Op{out("x"), {Kind: wire.OpAckRequest, AckNumber: 4}},
 			nil,
 		},
 		{"a mark without a message", []planner.Command{planner.AckRequest{Number: 4}}, nil, nil},
 		{
 			"a mark for all",
 			[]planner.Command{planner.AckRequest{Number: 4, All: true}},
-			[]wire.Op{{Kind: wire.OpMark, AckNumber: 4}},
+			[]wire.Op{{Kind: wire.OpAckRequest, AckNumber: 4}},
 			nil,
 		},
 		{"the edges", []planner.Command{
--- a/internal/daemon/goodproxy_test.go
+++ b/internal/daemon/goodproxy_test.go
@@ -50,7 +50,7 @@
 // acknowledge answers the marks among ops.
 func acknowledge(line proxy.Stream, ops []wire.Op) {
 	for _, op := range ops {
-		if op.Kind == wire.OpMark {
+		if op.Kind == wire.OpAckRequest {
 			_ = line.Write(&wire.Done{Mark: op.AckNumber}, time.Second) // a broken stream shows at the next read
 		}
 	}
--- a/internal/testbed/routing/apply.go
+++ b/internal/testbed/routing/apply.go
@@ -19,7 +19,7 @@
 			r.setExcluded(o.Endpoint, o.Remove)
 		case wire.OpSetAdmission:
 			r.setAdmission(o)
-		case wire.OpMark:
+		case wire.OpAckRequest:
 			ackRequests = append(ackRequests, o.AckNumber)
 		case wire.OpRange:
 			r.assignRange(o)
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -62,7 +62,7 @@
 		{Kind: wire.OpSetAdmission, Table: 2, Classes: 1, Weight: 0.5, RetryMode: 1},
 		{Kind: wire.OpRange, Table: 3, From: "a", To: "k"},
 		{Kind: wire.OpRange, Table: 4, Remove: true},
-		{Kind: wire.OpMark, AckNumber: 7},
+		{Kind: wire.OpAckRequest, AckNumber: 7},
 	}}
 }
 
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -149,7 +149,7 @@
 		}
 	}
 	for _, number := range a.GetMarks() {
-		orders.Ops = append(orders.Ops, wire.Op{Kind: wire.OpMark, AckNumber: int(number)})
+		orders.Ops = append(orders.Ops, wire.Op{Kind: wire.OpAckRequest, AckNumber: int(number)})
 	}
 	return orders
 }
--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -68,7 +68,7 @@
 // steps encodes the ops of an assignment. Marks are returned separately.
 func steps(ops []wire.Op) (list []*pb.Step, marks []uint32) {
 	for i := range ops {
-		if ops[i].Kind == wire.OpMark {
+		if ops[i].Kind == wire.OpAckRequest {
 			marks = append(marks, uint32(ops[i].AckNumber))
 			continue
 		}
--- a/internal/transport/grpcapi/grpcapi_test.go
+++ b/internal/transport/grpcapi/grpcapi_test.go
@@ -258,7 +258,7 @@
 func TestCollapse(t *testing.T) {
 	st := newStream(10)
 	for i := range 1000 {
-		ops := []wire.Op{set("x", float64(i)), set("y", 1), {Kind: wire.OpMark, AckNumber: 1}}
+		ops := []wire.Op{set("x", float64(i)), set("y", 1), {Kind: wire.OpAckRequest, AckNumber: 1}}
 		require.NoError(t, st.Send(&wire.Commands{Lines: 2, Ops: ops}))
 	}
 	a := st.next().GetAssignment()
--- a/internal/transport/xds/hostile_test.go
+++ b/internal/transport/xds/hostile_test.go
@@ -25,7 +25,7 @@
 	for i := range 5000 {
 		_, err := st.request(&ads.DiscoveryRequest{TypeUrl: fmt.Sprint("type/", i), ResourceNames: []string{"read"}})
 		require.NoError(t, err)
-		ops := []wire.Op{{Kind: wire.OpAssignTable, Table: 1, Classes: 1}, {Kind: wire.OpMark, AckNumber: i}}
+		ops := []wire.Op{{Kind: wire.OpAssignTable, Table: 1, Classes: 1}, {Kind: wire.OpAckRequest, AckNumber: i}}
 		require.NoError(t, st.Send(&wire.Commands{Ops: ops}))
 	}
 	assert.Empty(t, st.subscriptions.names)
--- a/internal/transport/xds/stream.go
+++ b/internal/transport/xds/stream.go
@@ -45,7 +45,7 @@
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	for i := range o.Ops {
-		if o.Ops[i].Kind == wire.OpMark {
+		if o.Ops[i].Kind == wire.OpAckRequest {
 			st.versions.addMark(o.Ops[i].AckNumber, time.Now())
 			continue
 		}
--- a/internal/wire/collapse.go
+++ b/internal/wire/collapse.go
@@ -45,7 +45,7 @@
 		key.kinds = o.Classes
 	case OpSetExcluded:
 		key.endpoint = o.Endpoint
-	case OpMark:
+	case OpAckRequest:
 		key.number = o.AckNumber
 	case OpClearTable, OpRange:
 		key.table = o.Table
--- a/internal/wire/collapse_test.go
+++ b/internal/wire/collapse_test.go
@@ -38,8 +38,8 @@
 		},
 		{
 			"each mark is answered",
-			[]Op{{Kind: OpMark, AckNumber: 1}, {Kind: OpMark, AckNumber: 2}},
-			[]Op{{Kind: OpMark, AckNumber: 1}, {Kind: OpMark, AckNumber: 2}},
+			[]Op{{Kind: OpAckRequest, AckNumber: 1}, {Kind: OpAckRequest, AckNumber: 2}},
+			[]Op{{Kind: OpAckRequest, AckNumber: 1}, {Kind: OpAckRequest, AckNumber: 2}},
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -36,7 +36,7 @@
 		{Kind: OpClearTable, Table: 2},
 		{Kind: OpSetExcluded, Endpoint: "y:2", Remove: true},
 		{Kind: OpSetAdmission, Table: 65535, Classes: 2, Weight: 0.5, RetryMode: 3},
-		{Kind: OpMark, AckNumber: 12},
+		{Kind: OpAckRequest, AckNumber: 12},
 		{Kind: OpRange, Table: 4, From: "a", To: "b", Remove: true},
 	}},
 	&ListAsk{Pilot: "one", Watch: true, Whole: true},
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -40,7 +40,7 @@
 	OpClearTable   OpKind = 3 // remove the lines and levels of a table
 	OpSetExcluded  OpKind = 4 // exclude an endpoint (Out) or let it in again
 	OpSetAdmission OpKind = 5 // set the admission level and the retry policy of the classes Kinds
-	OpMark         OpKind = 6 // answer with Done
+	OpAckRequest   OpKind = 6 // answer with Done
 	OpRange        OpKind = 7 // assign a table to the keys from From to To and reset it; Out: remove the assignment
 )
 
@@ -80,7 +80,7 @@
 		e.varint(o.Classes)
 		e.float(o.Weight)
 		e.varint(o.RetryMode)
-	case OpMark:
+	case OpAckRequest:
 		e.varint(o.AckNumber)
 	case OpRange:
 		e.varint(o.Table)
@@ -111,7 +111,7 @@
 		o.Classes = d.count()
 		o.Weight = d.float()
 		o.RetryMode = d.count()
-	case OpMark:
+	case OpAckRequest:
 		o.AckNumber = d.count()
 	case OpRange:
 		o.Table = d.count()
