--- a/internal/controller/slices.go
+++ b/internal/controller/slices.go
@@ -48,7 +48,7 @@
 		if update.Given {
 			c.sendSlice(s, update.Slice)
 		} else {
-			c.outbox.add(s, wire.Op{Kind: wire.OpRange, Table: update.Slice, Remove: true})
+			c.outbox.add(s, wire.Op{Kind: wire.OpAssignRange, Table: update.Slice, Remove: true})
 		}
 	}
 	return events
@@ -71,6 +71,6 @@
 // sendSlice sends a slice's range of keys with its lines and levels to a proxy.
 func (c *Core) sendSlice(s *session, number int) {
 	keys := c.slices[number]
-	c.outbox.add(s, wire.Op{Kind: wire.OpRange, Table: number, From: keys.from, To: keys.to})
+	c.outbox.add(s, wire.Op{Kind: wire.OpAssignRange, Table: number, From: keys.from, To: keys.to})
 	c.sendTable(s, number, nil, false)
 }
--- a/internal/daemon/goodproxy_test.go
+++ b/internal/daemon/goodproxy_test.go
@@ -84,7 +84,7 @@
 	weights := map[string]float64{}
 	for _, op := range g.ops {
 		require.False(t, op.Weight < 0 || op.Weight > 1 || math.IsNaN(op.Weight), "%+v", op)
-		require.NotEqual(t, wire.OpRange, op.Kind)
+		require.NotEqual(t, wire.OpAssignRange, op.Kind)
 		if op.Kind == wire.OpSetWeight {
 			weights[op.Endpoint] = op.Weight
 		}
--- a/internal/testbed/routing/apply.go
+++ b/internal/testbed/routing/apply.go
@@ -21,7 +21,7 @@
 			r.setAdmission(o)
 		case wire.OpAckRequest:
 			ackRequests = append(ackRequests, o.AckNumber)
-		case wire.OpRange:
+		case wire.OpAssignRange:
 			r.assignRange(o)
 		}
 	}
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -60,8 +60,8 @@
 		{Kind: wire.OpSetWeight, Table: 2, Endpoint: "y", Weight: 0.5},
 		{Kind: wire.OpSetExcluded, Endpoint: "y", Remove: true},
 		{Kind: wire.OpSetAdmission, Table: 2, Classes: 1, Weight: 0.5, RetryMode: 1},
-		{Kind: wire.OpRange, Table: 3, From: "a", To: "k"},
-		{Kind: wire.OpRange, Table: 4, Remove: true},
+		{Kind: wire.OpAssignRange, Table: 3, From: "a", To: "k"},
+		{Kind: wire.OpAssignRange, Table: 4, Remove: true},
 		{Kind: wire.OpAckRequest, AckNumber: 7},
 	}}
 }
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -188,7 +188,7 @@
 
 func rangeOpFrom(r *pb.KeyRange) wire.Op {
 	return wire.Op{
-		Kind:   wire.OpRange,
+		Kind:   wire.OpAssignRange,
 		Table:  int(r.GetTable()),
 		From:   string(r.GetFrom()),
 		To:     string(r.GetTo()),
--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -90,7 +90,7 @@
 		return &pb.Step{Does: &pb.Step_Withdraw{Withdraw: &pb.Withdraw{Endpoint: op.Endpoint, Out: op.Remove}}}
 	case wire.OpSetAdmission:
 		return levelStep(op)
-	case wire.OpRange:
+	case wire.OpAssignRange:
 		return rangeStep(op)
 	}
 	return nil
--- a/internal/wire/collapse.go
+++ b/internal/wire/collapse.go
@@ -47,7 +47,7 @@
 		key.endpoint = o.Endpoint
 	case OpAckRequest:
 		key.number = o.AckNumber
-	case OpClearTable, OpRange:
+	case OpClearTable, OpAssignRange:
 		key.table = o.Table
 	}
 	return key
@@ -56,7 +56,7 @@
 // resetsTable reports whether the operation drops what its table held before.
 func (o *Op) resetsTable() bool {
 	switch o.Kind {
-	case OpAssignTable, OpClearTable, OpRange:
+	case OpAssignTable, OpClearTable, OpAssignRange:
 		return true
 	}
 	return false
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -37,7 +37,7 @@
 		{Kind: OpSetExcluded, Endpoint: "y:2", Remove: true},
 		{Kind: OpSetAdmission, Table: 65535, Classes: 2, Weight: 0.5, RetryMode: 3},
 		{Kind: OpAckRequest, AckNumber: 12},
-		{Kind: OpRange, Table: 4, From: "a", To: "b", Remove: true},
+		{Kind: OpAssignRange, Table: 4, From: "a", To: "b", Remove: true},
 	}},
 	&ListAsk{Pilot: "one", Watch: true, Whole: true},
 	&List{Version: 4, Now: 99, Whole: true, Entries: []Entry{{"x:1", "a", "std", 2, PhaseDraining, 1.5, 88}}},
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -41,7 +41,7 @@
 	OpSetExcluded  OpKind = 4 // exclude an endpoint (Out) or let it in again
 	OpSetAdmission OpKind = 5 // set the admission level and the retry policy of the classes Kinds
 	OpAckRequest   OpKind = 6 // answer with Done
-	OpRange        OpKind = 7 // assign a table to the keys from From to To and reset it; Out: remove the assignment
+	OpAssignRange  OpKind = 7 // assign a table to the keys from From to To and reset it; Out: remove the assignment
 )
 
 // Op is one operation of Orders. Kind decides which of the other fields are used and encoded.
@@ -82,7 +82,7 @@
 		e.varint(o.RetryMode)
 	case OpAckRequest:
 		e.varint(o.AckNumber)
-	case OpRange:
+	case OpAssignRange:
 		e.varint(o.Table)
 		e.text(o.From)
 		e.text(o.To)
@@ -113,7 +113,7 @@
 		o.RetryMode = d.count()
 	case OpAckRequest:
 		o.AckNumber = d.count()
-	case OpRange:
+	case OpAssignRange:
 		o.Table = d.count()
 		o.From = d.text()
 		o.To = d.text()
