--- a/internal/config/common.go
+++ b/internal/config/common.go
@@ -144,7 +144,7 @@
 func (c *Common) proxiesBlock() Block {
 	return SingleBlock("proxies",
 		Field{Name: "count", Into: &c.Proxies, Min: 1, Max: maxProxies},
-		Field{Name: "slices", Into: &c.Slices, Max: wire.EveryTable - 1},
+		Field{Name: "slices", Into: &c.Slices, Max: wire.AllTables - 1},
 		Field{Name: "by_zone", Into: &c.ByZone},
 		Field{Name: "ejects_after", Into: &c.EjectsAfter},
 		Field{Name: "try_again", Into: &c.RetryHow, Min: retryNever, Max: retryTwice},
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -57,9 +57,9 @@
 // validateTables checks that the tables, one for each zone and class, can be numbered.
 func (p *Pilot) validateTables(v *validator) {
 	tables := len(p.Zones) * max(1, len(p.Kinds))
-	if tables >= wire.EveryTable {
+	if tables >= wire.AllTables {
 		v.errorf("%d zones and %d kinds of req want %d tables, fewer than %d may be",
-			len(p.Zones), len(p.Kinds), tables, wire.EveryTable)
+			len(p.Zones), len(p.Kinds), tables, wire.AllTables)
 	}
 }
 
--- a/internal/controller/malformed_test.go
+++ b/internal/controller/malformed_test.go
@@ -91,7 +91,7 @@
 			for n := range 3 {
 				f.handle(SliceAssigned{&wire.Slices{Slice: n, Given: true}})
 			}
-			f.handle(SliceAssigned{&wire.Slices{Slice: wire.EveryTable, Given: true}})
+			f.handle(SliceAssigned{&wire.Slices{Slice: wire.AllTables, Given: true}})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/daemon/hostile_test.go
+++ b/internal/daemon/hostile_test.go
@@ -241,7 +241,7 @@
 		messages = append(messages,
 			&wire.List{Version: math.MaxInt32, Now: 1, Entries: []wire.Entry{e, e}},
 			&wire.Slices{Slice: 0, Given: true},
-			&wire.Slices{Slice: wire.EveryTable, Given: true},
+			&wire.Slices{Slice: wire.AllTables, Given: true},
 		)
 	}
 	noList := &wire.Hello{Version: 1, Proxy: "p", Zone: "a"} // ends a connection
--- a/internal/testbed/routing/admission.go
+++ b/internal/testbed/routing/admission.go
@@ -21,7 +21,7 @@
 // setAdmission sets the admission of some classes in one table or in all.
 func (r *Router) setAdmission(o wire.Op) {
 	set := admission{admitted: o.Weight, retryMode: o.RetryMode}
-	if o.Table == wire.EveryTable {
+	if o.Table == wire.AllTables {
 		r.admissionOfAll[o.Classes] = set
 	} else {
 		r.table(o.Table).admission[o.Classes] = set
--- a/internal/transport/xds/routing.go
+++ b/internal/transport/xds/routing.go
@@ -86,7 +86,7 @@
 func (r *routing) level(t *table, class string) float64 {
 	level := 1.0
 	i := slices.Index(r.classes, class)
-	for _, levels := range []map[int]float64{t.levels, r.table(wire.EveryTable).levels} {
+	for _, levels := range []map[int]float64{t.levels, r.table(wire.AllTables).levels} {
 		for mask, v := range levels {
 			if inMask(mask, i) {
 				level = math.Min(level, v)
--- a/internal/wire/collapse.go
+++ b/internal/wire/collapse.go
@@ -69,7 +69,7 @@
 	case OpSetWeight, OpClearTable:
 		return true
 	case OpSetAdmission:
-		return o.Table != EveryTable
+		return o.Table != AllTables
 	}
 	return false
 }
--- a/internal/wire/collapse_test.go
+++ b/internal/wire/collapse_test.go
@@ -28,8 +28,8 @@
 		},
 		{
 			"a level of all tables outlives a reset",
-			[]Op{{Kind: OpSetAdmission, Table: EveryTable}, {Kind: OpAssignTable, Table: EveryTable}},
-			[]Op{{Kind: OpSetAdmission, Table: EveryTable}, {Kind: OpAssignTable, Table: EveryTable}},
+			[]Op{{Kind: OpSetAdmission, Table: AllTables}, {Kind: OpAssignTable, Table: AllTables}},
+			[]Op{{Kind: OpSetAdmission, Table: AllTables}, {Kind: OpAssignTable, Table: AllTables}},
 		},
 		{
 			"exclusions outlive a reset, the last of an endpoint counts",
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -1,7 +1,7 @@
 package wire
 
 // EveryTable is the table number of an OpAdmit that applies to all tables.
-const EveryTable = 65535
+const AllTables = 65535
 
 // Orders is a message of operations from a pilot to a proxy.
 type Commands struct {
