--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -75,7 +75,7 @@
 	if c.ended {
 		return
 	}
-	request := &wire.Req{
+	request := &wire.Request{
 		RequestID: c.number,
 		Class:     c.class.Name,
 		Key:       c.request.Key,
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -56,7 +56,7 @@
 
 // task is a request in flight at an endpoint.
 type task struct {
-	request *wire.Req
+	request *wire.Request
 	workMs  float64 // left, on a core of speed 1
 	answer  func(outcome wire.Outcome, comeBackMs float64, load []wire.LoadMetric)
 }
--- a/internal/emulator/forwarding.go
+++ b/internal/emulator/forwarding.go
@@ -28,7 +28,7 @@
 // proxyRequest is a request that a proxy forwards, with its attempts.
 type proxyRequest struct {
 	process    *proxyProcess
-	request    *wire.Req
+	request    *wire.Request
 	class      int      // number of the request class
 	deadline   float64  // ms
 	tried      []string // endpoints, in the order of the attempts
@@ -52,7 +52,7 @@
 
 // handle forwards a request and answers it within a limit in ms. One that comes while a message is applied waits for
 // that. The answer is nil where the proxy does not run.
-func (p *emulatedProxy) handle(request *wire.Req, limitMs float64, answer func(*wire.Answer)) {
+func (p *emulatedProxy) handle(request *wire.Request, limitMs float64, answer func(*wire.Answer)) {
 	process := p.process
 	if process == nil {
 		answer(nil)
@@ -79,7 +79,7 @@
 	forwarded.sendNext()
 }
 
-func (p *emulatedProxy) logRejected(request *wire.Req, reason string) {
+func (p *emulatedProxy) logRejected(request *wire.Request, reason string) {
 	p.logEvent(eventlog.Event{What: eventlog.Refuse, Kind: request.Class, Req: request.RequestID, Text: reason})
 }
 
@@ -167,7 +167,7 @@
 func (a *attempt) received(endpoint *emulatedEndpoint, waitMs float64) *task {
 	process := a.request.process
 	p := process.proxy
-	request := &wire.Req{
+	request := &wire.Request{
 		RequestID: a.request.request.RequestID,
 		Class:     a.request.request.Class,
 		From:      p.place.name,
--- a/internal/testbed/endpoint/process.go
+++ b/internal/testbed/endpoint/process.go
@@ -33,7 +33,7 @@
 
 // job is an admitted request and the way to answer it.
 type job struct {
-	req   *wire.Req
+	req   *wire.Request
 	reply func(*wire.Answer)
 }
 
@@ -61,7 +61,7 @@
 }
 
 // admit takes a request into the queue, rejects it or fails it.
-func (p *process) admit(req *wire.Req, reply func(*wire.Answer)) {
+func (p *process) admit(req *wire.Request, reply func(*wire.Answer)) {
 	p.events.Add(eventlog.Event{What: eventlog.Arrive, Peer: req.From, Kind: req.Class, Req: req.RequestID, Value: req.WorkMs})
 	now := time.Now()
 	p.mu.Lock()
@@ -133,7 +133,7 @@
 
 // countServed counts a request that has left its core and enters it into the ledger. It returns whether the ledger had
 // it already, and the load report.
-func (p *process) countServed(req *wire.Req) (repeat bool, load []wire.LoadMetric) {
+func (p *process) countServed(req *wire.Request) (repeat bool, load []wire.LoadMetric) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.inFlight--
--- a/internal/testbed/endpoint/server.go
+++ b/internal/testbed/endpoint/server.go
@@ -63,7 +63,7 @@
 			return
 		}
 		switch m := message.(type) {
-		case *wire.Req:
+		case *wire.Request:
 			p.admit(m, reply)
 		case *wire.Probe:
 			if !p.currentFault().Hang {
--- a/internal/testbed/loadgen/clients.go
+++ b/internal/testbed/loadgen/clients.go
@@ -92,7 +92,7 @@
 
 // send sends a request once. It returns the outcome, and how long the proxy asks to wait before a retry.
 func (c *Clients) send(ctx context.Context, name uint64, request Request, deadline time.Time) (string, time.Duration) {
-	answer, err := c.Proxies[request.Proxy].Do(ctx, &wire.Req{
+	answer, err := c.Proxies[request.Proxy].Do(ctx, &wire.Request{
 		RequestID: name,
 		Class:     c.Load.Classes[request.Class].Name,
 		Key:       request.Key,
--- a/internal/testbed/proxy/connection.go
+++ b/internal/testbed/proxy/connection.go
@@ -36,7 +36,7 @@
 }
 
 // roundTrip sends a request and waits for its answer.
-func (c *connection) roundTrip(ctx context.Context, req *wire.Req) (*wire.Answer, error) {
+func (c *connection) roundTrip(ctx context.Context, req *wire.Request) (*wire.Answer, error) {
 	answer, err := c.send(req)
 	if err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 
 // send numbers and sends a request, and returns where its answer will come; the channel is closed if the connection
 // fails. The error of a write is not errNotSent, as part of the request, or all of it, may have arrived.
-func (c *connection) send(req *wire.Req) (<-chan *wire.Answer, error) {
+func (c *connection) send(req *wire.Request) (<-chan *wire.Answer, error) {
 	answer := make(chan *wire.Answer, 1)
 	c.mu.Lock()
 	if c.err != nil {
--- a/internal/testbed/proxy/pool_test.go
+++ b/internal/testbed/proxy/pool_test.go
@@ -64,7 +64,7 @@
 			defer a.Close()
 			ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 			defer cancel()
-			_, err := a.Do(ctx, &wire.Req{RequestID: 1, Class: "book", From: "client", WorkMs: 1, TimeoutMs: 1000})
+			_, err := a.Do(ctx, &wire.Request{RequestID: 1, Class: "book", From: "client", WorkMs: 1, TimeoutMs: 1000})
 			require.Error(t, err)
 			assert.Equal(t, x.never, NotSent(err), "%v", err)
 		})
--- a/internal/testbed/proxy/request.go
+++ b/internal/testbed/proxy/request.go
@@ -18,7 +18,7 @@
 )
 
 // handle takes one request from its arrival to its answer.
-func (p *process) handle(req *wire.Req) *wire.Answer {
+func (p *process) handle(req *wire.Request) *wire.Answer {
 	class := slices.Index(p.Routing.Classes, req.Class)
 	if class < 0 {
 		return &wire.Answer{Outcome: wire.Denied}
@@ -42,7 +42,7 @@
 }
 
 // admit counts a request and draws whether it is admitted. It waits while lines are applied.
-func (p *process) admit(req *wire.Req, class int) bool {
+func (p *process) admit(req *wire.Request, class int) bool {
 	p.applying.RLock()
 	defer p.applying.RUnlock()
 	p.mu.Lock()
@@ -53,7 +53,7 @@
 
 // forward sends a request to one endpoint after another, as retries are allowed. It returns wire.Denied only where no
 // attempt can have run.
-func (p *process) forward(req *wire.Req, class int, deadline time.Time) wire.Outcome {
+func (p *process) forward(req *wire.Request, class int, deadline time.Time) wire.Outcome {
 	var tried []string
 	failure := wire.Denied
 	for {
@@ -77,13 +77,13 @@
 	}
 }
 
-func (p *process) logRejection(req *wire.Req, reason string) {
+func (p *process) logRejection(req *wire.Request, reason string) {
 	p.events.Add(eventlog.Event{What: eventlog.Refuse, Kind: req.Class, Req: req.RequestID, Text: reason})
 }
 
 // pickEndpoint picks the endpoint of the next attempt, "" if there is none, and returns the retry mode with it. It
 // waits while lines are applied.
-func (p *process) pickEndpoint(req *wire.Req, class int, tried []string) (endpoint string, retryMode int) {
+func (p *process) pickEndpoint(req *wire.Request, class int, tried []string) (endpoint string, retryMode int) {
 	p.applying.RLock()
 	defer p.applying.RUnlock()
 	p.mu.Lock()
@@ -107,11 +107,11 @@
 
 // attempt sends a request to one endpoint and waits for its answer. An error that is errNotSent says that the endpoint
 // had nothing of it.
-func (p *process) attempt(endpoint string, req *wire.Req, timeout time.Duration) (*wire.Answer, error) {
+func (p *process) attempt(endpoint string, req *wire.Request, timeout time.Duration) (*wire.Answer, error) {
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(p.ctx, timeout)
 	defer cancel()
-	answer, err := p.poolOf(endpoint).roundTrip(ctx, &wire.Req{
+	answer, err := p.poolOf(endpoint).roundTrip(ctx, &wire.Request{
 		RequestID: req.RequestID,
 		Class:     req.Class,
 		Key:       req.Key,
--- a/internal/testbed/proxy/server.go
+++ b/internal/testbed/proxy/server.go
@@ -63,7 +63,7 @@
 		if err != nil {
 			return
 		}
-		req, ok := message.(*wire.Req)
+		req, ok := message.(*wire.Request)
 		if !ok {
 			return
 		}
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -74,7 +74,7 @@
 	case typeList:
 		return &List{}
 	case typeReq:
-		return &Req{}
+		return &Request{}
 	case typeAnswer:
 		return &Answer{}
 	case typeProbe:
--- a/internal/wire/request.go
+++ b/internal/wire/request.go
@@ -1,7 +1,7 @@
 package wire
 
 // Req asks an endpoint, or a proxy in front of endpoints, for work. It belongs to the traffic of the testbed.
-type Req struct {
+type Request struct {
 	Number    uint64  // pairs it with its Answer on the connection
 	RequestID uint64  // the same for all attempts of a request, so that a repeated effect is recognised
 	Class     string  // request class
@@ -11,9 +11,9 @@
 	TimeoutMs float64 // for which the sender waits
 }
 
-func (*Req) messageType() Type { return typeReq }
+func (*Request) messageType() Type { return typeReq }
 
-func (m *Req) encode(e *encoder) {
+func (m *Request) encode(e *encoder) {
 	e.uvarint(m.Number)
 	e.uvarint(m.RequestID)
 	e.text(m.Class)
@@ -23,7 +23,7 @@
 	e.text(m.Key)
 }
 
-func (m *Req) decode(d *decoder) {
+func (m *Request) decode(d *decoder) {
 	m.Number = d.uvarint()
 	m.RequestID = d.uvarint()
 	m.Class = d.text()
