--- a/internal/emulator/forwarding.go
+++ b/internal/emulator/forwarding.go
@@ -33,7 +33,7 @@
 	deadline   float64  // ms
 	tried      []string // endpoints, in the order of the attempts
 	mayHaveRun bool     // some attempt did not prove that it had no effect
-	answer     func(*wire.Answer)
+	answer     func(*wire.Response)
 }
 
 // attempt is one sending of a request to an endpoint.
@@ -52,7 +52,7 @@
 
 // handle forwards a request and answers it within a limit in ms. One that comes while a message is applied waits for
 // that. The answer is nil where the proxy does not run.
-func (p *emulatedProxy) handle(request *wire.Request, limitMs float64, answer func(*wire.Answer)) {
+func (p *emulatedProxy) handle(request *wire.Request, limitMs float64, answer func(*wire.Response)) {
 	process := p.process
 	if process == nil {
 		answer(nil)
@@ -84,8 +84,8 @@
 }
 
 // rejection is the answer to a request that has had no effect.
-func rejection() *wire.Answer {
-	return &wire.Answer{Outcome: wire.Denied, RetryAfterMs: routing.RetryAfterMs}
+func rejection() *wire.Response {
+	return &wire.Response{Outcome: wire.Denied, RetryAfterMs: routing.RetryAfterMs}
 }
 
 // sendNext picks an endpoint for the next attempt and sends it there.
@@ -176,7 +176,7 @@
 	}
 	answer := func(outcome wire.Outcome, comeBackMs float64, load []wire.LoadMetric) {
 		p.w.network.carry(endpoint.place, p.place, func() {
-			process.attemptEnded(a, &wire.Answer{Outcome: outcome, RetryAfterMs: comeBackMs, Load: load})
+			process.attemptEnded(a, &wire.Response{Outcome: outcome, RetryAfterMs: comeBackMs, Load: load})
 		})
 	}
 	return &task{request: request, answer: answer}
@@ -200,7 +200,7 @@
 func (a *attempt) expire() { a.request.process.attemptEnded(a, nil) }
 
 // attemptEnded takes the answer to an attempt; nil means that there was none.
-func (pp *proxyProcess) attemptEnded(a *attempt, answer *wire.Answer) {
+func (pp *proxyProcess) attemptEnded(a *attempt, answer *wire.Response) {
 	if a.ended {
 		return
 	}
@@ -235,7 +235,7 @@
 // retryOrEnd answers a request after an attempt, or sends it once more where the retry policy lets it.
 func (r *proxyRequest) retryOrEnd(outcome wire.Outcome) {
 	if outcome == wire.Fine {
-		r.answer(&wire.Answer{Outcome: wire.Fine})
+		r.answer(&wire.Response{Outcome: wire.Fine})
 		return
 	}
 	didNotRun := outcome == wire.Denied
@@ -265,7 +265,7 @@
 		return
 	}
 	r.process.follower.RequestUnanswered(r.class, r.request.Key)
-	r.answer(&wire.Answer{Outcome: wire.Errored})
+	r.answer(&wire.Response{Outcome: wire.Errored})
 }
 
 // sortedAttempts lists attempts by request, those of one request by when they were sent.
--- a/internal/testbed/endpoint/process.go
+++ b/internal/testbed/endpoint/process.go
@@ -34,7 +34,7 @@
 // job is an admitted request and the way to answer it.
 type job struct {
 	req   *wire.Request
-	reply func(*wire.Answer)
+	reply func(*wire.Response)
 }
 
 // newProcess makes a process that does nothing yet.
@@ -61,7 +61,7 @@
 }
 
 // admit takes a request into the queue, rejects it or fails it.
-func (p *process) admit(req *wire.Request, reply func(*wire.Answer)) {
+func (p *process) admit(req *wire.Request, reply func(*wire.Response)) {
 	p.events.Add(eventlog.Event{What: eventlog.Arrive, Peer: req.From, Kind: req.Class, Req: req.RequestID, Value: req.WorkMs})
 	now := time.Now()
 	p.mu.Lock()
@@ -80,9 +80,9 @@
 	case overloaded || hangs:
 		return // taken and never answered
 	case fails:
-		reply(&wire.Answer{Number: req.Number, Outcome: wire.Errored, Load: load})
+		reply(&wire.Response{Number: req.Number, Outcome: wire.Errored, Load: load})
 	case full:
-		reply(&wire.Answer{Number: req.Number, Outcome: wire.Denied, RetryAfterMs: p.RetryAfterMs, Load: load})
+		reply(&wire.Response{Number: req.Number, Outcome: wire.Denied, RetryAfterMs: p.RetryAfterMs, Load: load})
 	default:
 		p.jobs <- job{req, reply}
 	}
@@ -128,7 +128,7 @@
 	if p.Effects[j.req.Class] && !repeat {
 		p.events.Add(eventlog.Event{What: eventlog.Effect, Peer: j.req.From, Kind: j.req.Class, Req: j.req.RequestID})
 	}
-	j.reply(&wire.Answer{Number: j.req.Number, Outcome: wire.Fine, Load: load})
+	j.reply(&wire.Response{Number: j.req.Number, Outcome: wire.Fine, Load: load})
 }
 
 // countServed counts a request that has left its core and enters it into the ledger. It returns whether the ledger had
--- a/internal/testbed/endpoint/server.go
+++ b/internal/testbed/endpoint/server.go
@@ -67,7 +67,7 @@
 			p.admit(m, reply)
 		case *wire.Probe:
 			if !p.currentFault().Hang {
-				reply(&wire.Answer{Number: m.Number, Outcome: wire.Fine, Load: p.currentReport()})
+				reply(&wire.Response{Number: m.Number, Outcome: wire.Fine, Load: p.currentReport()})
 			}
 		default:
 			return
@@ -79,10 +79,10 @@
 func (p *process) handshake() { p.work(p.HandshakeMs + p.currentFault().ExtraHandshakeMs) }
 
 // replier returns how answers are written to a connection, from any goroutine.
-func (p *process) replier(conn net.Conn) func(*wire.Answer) {
+func (p *process) replier(conn net.Conn) func(*wire.Response) {
 	var mu sync.Mutex
 	writer := wire.NewWriter(conn)
-	return func(answer *wire.Answer) {
+	return func(answer *wire.Response) {
 		mu.Lock()
 		defer mu.Unlock()
 		_ = conn.SetWriteDeadline(time.Now().Add(answerTimeout)) // if it failed, so will the write
--- a/internal/testbed/proxy/client.go
+++ b/internal/testbed/proxy/client.go
@@ -17,7 +17,7 @@
 }
 
 // Do sends a request and waits for its answer.
-func (c *Client) Do(ctx context.Context, req *wire.Request) (*wire.Answer, error) {
+func (c *Client) Do(ctx context.Context, req *wire.Request) (*wire.Response, error) {
 	return c.pool.roundTrip(ctx, req)
 }
 
--- a/internal/testbed/proxy/connection.go
+++ b/internal/testbed/proxy/connection.go
@@ -22,8 +22,8 @@
 	mu         sync.Mutex // guards what follows
 	writer     *wire.Writer
 	lastNumber uint64
-	waiting    map[uint64]chan *wire.Answer // by number; each has room for its one answer
-	err        error                        // why the connection failed; nil while it is open
+	waiting    map[uint64]chan *wire.Response // by number; each has room for its one answer
+	err        error                          // why the connection failed; nil while it is open
 }
 
 func newConnection(conn net.Conn, address string) *connection {
@@ -31,12 +31,12 @@
 		conn:    conn,
 		address: address,
 		writer:  wire.NewWriter(conn),
-		waiting: map[uint64]chan *wire.Answer{},
+		waiting: map[uint64]chan *wire.Response{},
 	}
 }
 
 // roundTrip sends a request and waits for its answer.
-func (c *connection) roundTrip(ctx context.Context, req *wire.Request) (*wire.Answer, error) {
+func (c *connection) roundTrip(ctx context.Context, req *wire.Request) (*wire.Response, error) {
 	answer, err := c.send(req)
 	if err != nil {
 		return nil, err
@@ -55,8 +55,8 @@
 
 // send numbers and sends a request, and returns where its answer will come; the channel is closed if the connection
 // fails. The error of a write is not errNotSent, as part of the request, or all of it, may have arrived.
-func (c *connection) send(req *wire.Request) (<-chan *wire.Answer, error) {
-	answer := make(chan *wire.Answer, 1)
+func (c *connection) send(req *wire.Request) (<-chan *wire.Response, error) {
+	answer := make(chan *wire.Response, 1)
 	c.mu.Lock()
 	if c.err != nil {
 		defer c.mu.Unlock()
@@ -117,7 +117,7 @@
 			c.fail(err)
 			return
 		}
-		answer, ok := message.(*wire.Answer)
+		answer, ok := message.(*wire.Response)
 		if !ok {
 			c.fail(wire.ErrType)
 			return
@@ -127,7 +127,7 @@
 }
 
 // deliver hands an answer to its request, if that still waits.
-func (c *connection) deliver(answer *wire.Answer) {
+func (c *connection) deliver(answer *wire.Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if waiting := c.waiting[answer.Number]; waiting != nil {
--- a/internal/testbed/proxy/pool.go
+++ b/internal/testbed/proxy/pool.go
@@ -29,7 +29,7 @@
 }
 
 // roundTrip sends a request and waits for its answer. An error that is errNotSent says that nothing was sent.
-func (p *pool) roundTrip(ctx context.Context, req *wire.Request) (*wire.Answer, error) {
+func (p *pool) roundTrip(ctx context.Context, req *wire.Request) (*wire.Response, error) {
 	conn, err := p.connect(ctx)
 	if err != nil {
 		return nil, errors.Join(errNotSent, err)
--- a/internal/testbed/proxy/request.go
+++ b/internal/testbed/proxy/request.go
@@ -18,27 +18,27 @@
 )
 
 // handle takes one request from its arrival to its answer.
-func (p *process) handle(req *wire.Request) *wire.Answer {
+func (p *process) handle(req *wire.Request) *wire.Response {
 	class := slices.Index(p.Routing.Classes, req.Class)
 	if class < 0 {
-		return &wire.Answer{Outcome: wire.Denied}
+		return &wire.Response{Outcome: wire.Denied}
 	}
 	clientTimeout := time.Duration(req.TimeoutMs * float64(time.Millisecond))
 	deadline := time.Now().Add(min(p.ClientTimeouts[class], clientTimeout))
 	if !p.admit(req, class) {
 		p.logRejection(req, rejectedByLevel)
-		return &wire.Answer{Outcome: wire.Denied, RetryAfterMs: routing.RetryAfterMs}
+		return &wire.Response{Outcome: wire.Denied, RetryAfterMs: routing.RetryAfterMs}
 	}
 	outcome := p.forward(req, class, deadline)
 	switch outcome {
 	case wire.Denied:
-		return &wire.Answer{Outcome: outcome, RetryAfterMs: routing.RetryAfterMs}
+		return &wire.Response{Outcome: outcome, RetryAfterMs: routing.RetryAfterMs}
 	case wire.Errored:
 		p.mu.Lock()
 		p.router.RequestUnanswered(class, req.Key)
 		p.mu.Unlock()
 	}
-	return &wire.Answer{Outcome: outcome}
+	return &wire.Response{Outcome: outcome}
 }
 
 // admit counts a request and draws whether it is admitted. It waits while lines are applied.
@@ -107,7 +107,7 @@
 
 // attempt sends a request to one endpoint and waits for its answer. An error that is errNotSent says that the endpoint
 // had nothing of it.
-func (p *process) attempt(endpoint string, req *wire.Request, timeout time.Duration) (*wire.Answer, error) {
+func (p *process) attempt(endpoint string, req *wire.Request, timeout time.Duration) (*wire.Response, error) {
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(p.ctx, timeout)
 	defer cancel()
--- a/internal/transport/healthcheck/healthcheck.go
+++ b/internal/transport/healthcheck/healthcheck.go
@@ -107,7 +107,7 @@
 }
 
 // exchange requests an endpoint's load report and returns the answer.
-func (c *Checker) exchange(ctx context.Context, endpoint string) (*wire.Answer, error) {
+func (c *Checker) exchange(ctx context.Context, endpoint string) (*wire.Response, error) {
 	conn, err := c.dial(ctx, "tcp", endpoint)
 	if err != nil {
 		return nil, errors.Join(errDial, err)
@@ -124,7 +124,7 @@
 	if err != nil {
 		return nil, err
 	}
-	answer, ok := m.(*wire.Answer)
+	answer, ok := m.(*wire.Response)
 	if !ok {
 		return nil, fmt.Errorf("%T to a probe: %w", m, wire.ErrType)
 	}
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -76,7 +76,7 @@
 	case typeReq:
 		return &Request{}
 	case typeAnswer:
-		return &Answer{}
+		return &Response{}
 	case typeProbe:
 		return &Probe{}
 	case typePace:
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -42,7 +42,7 @@
 	&ListAsk{Pilot: "one", Watch: true, Whole: true},
 	&List{Version: 4, Now: 99, Whole: true, Entries: []Entry{{"x:1", "a", "std", 2, PhaseDraining, 1.5, 88}}},
 	&Request{Number: 1, RequestID: 2, Class: "read", From: "p", WorkMs: 30, TimeoutMs: 1500},
-	&Answer{Number: 1, Outcome: Denied, RetryAfterMs: 200, Load: []LoadMetric{{"util", 1}}},
+	&Response{Number: 1, Outcome: Denied, RetryAfterMs: 200, Load: []LoadMetric{{"util", 1}}},
 	&Probe{Number: 3},
 	&Slices{Slice: 4, Given: true, Lines: []HeldLine{{"x:1", 2}}},
 	&Pace{PeriodMs: 2000, MaxLines: 40, ChangedOnly: true},
--- a/internal/wire/request.go
+++ b/internal/wire/request.go
@@ -44,23 +44,23 @@
 )
 
 // Answer ends a Req or a Probe.
-type Answer struct {
+type Response struct {
 	Number       uint64
 	Outcome      Outcome
 	RetryAfterMs float64      // Denied: retry after this time
 	Load         []LoadMetric // the endpoint's load report
 }
 
-func (*Answer) messageType() Type { return typeAnswer }
+func (*Response) messageType() Type { return typeAnswer }
 
-func (m *Answer) encode(e *encoder) {
+func (m *Response) encode(e *encoder) {
 	e.uvarint(m.Number)
 	e.byte(byte(m.Outcome))
 	e.float(m.RetryAfterMs)
 	e.figures(m.Load)
 }
 
-func (m *Answer) decode(d *decoder) {
+func (m *Response) decode(d *decoder) {
 	m.Number = d.uvarint()
 	m.Outcome = Outcome(d.byte())
 	m.RetryAfterMs = d.float()
