--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -87,7 +87,7 @@
 
 // answered takes the proxy's answer to an attempt; nil means that the proxy does not run and has done nothing.
 func (c *clientRequest) answered(answer *wire.Response) {
-	if answer != nil && answer.Outcome == wire.Fine {
+	if answer != nil && answer.Outcome == wire.Succeeded {
 		c.end(outcomeDone)
 		return
 	}
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -261,5 +261,5 @@
 			Req:  t.request.RequestID,
 		})
 	}
-	t.answer(wire.Fine, 0, process.load)
+	t.answer(wire.Succeeded, 0, process.load)
 }
--- a/internal/emulator/forwarding.go
+++ b/internal/emulator/forwarding.go
@@ -215,7 +215,7 @@
 		load = answer.Load
 	}
 	now := pp.proxy.w.now
-	pp.follower.AttemptFinished(now, a.endpoint, outcome == wire.Fine, now-a.startedAt, load)
+	pp.follower.AttemptFinished(now, a.endpoint, outcome == wire.Succeeded, now-a.startedAt, load)
 	a.request.retryOrEnd(outcome)
 }
 
@@ -234,8 +234,8 @@
 
 // retryOrEnd answers a request after an attempt, or sends it once more where the retry policy lets it.
 func (r *proxyRequest) retryOrEnd(outcome wire.Outcome) {
-	if outcome == wire.Fine {
-		r.answer(&wire.Response{Outcome: wire.Fine})
+	if outcome == wire.Succeeded {
+		r.answer(&wire.Response{Outcome: wire.Succeeded})
 		return
 	}
 	didNotRun := outcome == wire.Denied
--- a/internal/testbed/endpoint/process.go
+++ b/internal/testbed/endpoint/process.go
@@ -128,7 +128,7 @@
 	if p.Effects[j.req.Class] && !repeat {
 		p.events.Add(eventlog.Event{What: eventlog.Effect, Peer: j.req.From, Kind: j.req.Class, Req: j.req.RequestID})
 	}
-	j.reply(&wire.Response{Number: j.req.Number, Outcome: wire.Fine, Load: load})
+	j.reply(&wire.Response{Number: j.req.Number, Outcome: wire.Succeeded, Load: load})
 }
 
 // countServed counts a request that has left its core and enters it into the ledger. It returns whether the ledger had
--- a/internal/testbed/endpoint/server.go
+++ b/internal/testbed/endpoint/server.go
@@ -67,7 +67,7 @@
 			p.admit(m, reply)
 		case *wire.Probe:
 			if !p.currentFault().Hang {
-				reply(&wire.Response{Number: m.Number, Outcome: wire.Fine, Load: p.currentReport()})
+				reply(&wire.Response{Number: m.Number, Outcome: wire.Succeeded, Load: p.currentReport()})
 			}
 		default:
 			return
--- a/internal/testbed/loadgen/clients.go
+++ b/internal/testbed/loadgen/clients.go
@@ -108,7 +108,7 @@
 	}
 	retryAfter := time.Duration(answer.RetryAfterMs * float64(time.Millisecond))
 	switch answer.Outcome {
-	case wire.Fine:
+	case wire.Succeeded:
 		return outcomeDone, 0
 	case wire.Denied:
 		return outcomeRejected, retryAfter
--- a/internal/testbed/proxy/request.go
+++ b/internal/testbed/proxy/request.go
@@ -64,8 +64,8 @@
 		}
 		tried = append(tried, endpoint)
 		answer, err := p.attempt(endpoint, req, p.attemptTimeout(retryMode, class, len(tried), deadline))
-		if err == nil && answer.Outcome == wire.Fine {
-			return wire.Fine
+		if err == nil && answer.Outcome == wire.Succeeded {
+			return wire.Succeeded
 		}
 		notRun := errors.Is(err, errNotSent) || err == nil && answer.Outcome == wire.Denied
 		if !notRun {
@@ -119,7 +119,7 @@
 		WorkMs:    req.WorkMs,
 		TimeoutMs: float64(timeout) / float64(time.Millisecond),
 	})
-	succeeded := err == nil && answer.Outcome == wire.Fine
+	succeeded := err == nil && answer.Outcome == wire.Succeeded
 	var load []wire.LoadMetric
 	if answer != nil {
 		load = answer.Load
--- a/internal/transport/healthcheck/healthcheck.go
+++ b/internal/transport/healthcheck/healthcheck.go
@@ -83,7 +83,7 @@
 		return result
 	}
 	switch answer.Outcome {
-	case wire.Fine:
+	case wire.Succeeded:
 		result.Outcome = outcomeOK
 		result.Load = answer.Load
 	case wire.Denied:
--- a/internal/wire/request.go
+++ b/internal/wire/request.go
@@ -38,9 +38,9 @@
 
 // The outcomes of an Answer. Their values are part of the protocol.
 const (
-	Fine    Outcome = 1
-	Errored Outcome = 2 // it was executed, or may have been, and failed
-	Denied  Outcome = 3 // it was rejected before it was executed
+	Succeeded Outcome = 1
+	Errored   Outcome = 2 // it was executed, or may have been, and failed
+	Denied    Outcome = 3 // it was rejected before it was executed
 )
 
 // Answer ends a Req or a Probe.
@@ -64,7 +64,7 @@
 	m.Number = d.uvarint()
 	m.Outcome = Outcome(d.byte())
 	m.RetryAfterMs = d.float()
-	if m.Outcome < Fine || m.Outcome > Denied {
+	if m.Outcome < Succeeded || m.Outcome > Denied {
 		d.fail(ErrValue)
 	}
 	m.Load = d.figures()
