--- a/internal/daemon/goodproxy_test.go
+++ b/internal/daemon/goodproxy_test.go
@@ -35,7 +35,7 @@
 			g.keep(commands.Ops)
 			acknowledge(line, commands.Ops)
 		}
-		err = line.Write(&wire.Beat{LastProcessed: line.Last()}, time.Second)
+		err = line.Write(&wire.Heartbeat{LastProcessed: line.Last()}, time.Second)
 	}
 	if line != nil {
 		defer line.Close()
--- a/internal/daemon/hostile_test.go
+++ b/internal/daemon/hostile_test.go
@@ -304,7 +304,7 @@
 		nil,
 		[]byte("HTTP/1.1 200 OK\r\n\r\n"),
 		{0xff, 0xff, 0xff, 0xff, 1, 0, 0, 0, 1},
-		framesOf(t, &wire.Beat{}),
+		framesOf(t, &wire.Heartbeat{}),
 		framesOf(t, &wire.Response{Number: 1, Outcome: wire.Succeeded, Load: load}),
 	}
 	var serving sync.WaitGroup
--- a/internal/daemon/transports_bench_test.go
+++ b/internal/daemon/transports_bench_test.go
@@ -263,7 +263,7 @@
 			p.bench.seen.add(p.name, len(commands.Ops))
 			acknowledge(line, commands.Ops)
 		}
-		_ = line.Write(&wire.Beat{LastProcessed: line.Last()}, time.Second) // a broken stream shows at the next read
+		_ = line.Write(&wire.Heartbeat{LastProcessed: line.Last()}, time.Second) // a broken stream shows at the next read
 	}
 }
 
--- a/internal/testbed/proxy/grpc.go
+++ b/internal/testbed/proxy/grpc.go
@@ -149,7 +149,7 @@
 		return s.acknowledge(m.TookMs, func(a assignment) bool {
 			return slices.ContainsFunc(a.ackRequests, func(number uint32) bool { return int(number) == m.Mark })
 		})
-	case *wire.Beat:
+	case *wire.Heartbeat:
 		if err := s.acknowledge(0, func(a assignment) bool { return a.message <= m.LastProcessed }); err != nil {
 			return err
 		}
@@ -217,7 +217,7 @@
 	case *pb.Downward_Redirect:
 		return &wire.Redirect{Reason: says.Redirect.GetReason()}
 	}
-	return &wire.Beat{}
+	return &wire.Heartbeat{}
 }
 
 // Last implements Stream.
--- a/internal/testbed/proxy/session.go
+++ b/internal/testbed/proxy/session.go
@@ -142,7 +142,7 @@
 			return
 		case message = <-s.acks:
 		case <-beats.C:
-			message = &wire.Beat{LastProcessed: s.seen.Load()}
+			message = &wire.Heartbeat{LastProcessed: s.seen.Load()}
 		case <-reports.C:
 			reports.Reset(s.reportPeriod())
 			message = s.report()
--- a/internal/testbed/registry/subscriber.go
+++ b/internal/testbed/registry/subscriber.go
@@ -113,7 +113,7 @@
 	beats := time.NewTicker(beatInterval)
 	defer beats.Stop()
 	for {
-		var message wire.Message = &wire.Beat{}
+		var message wire.Message = &wire.Heartbeat{}
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -141,7 +141,7 @@
 			assert.Equal(t, s.stream, x.Stream)
 			return
 		case <-time.After(30 * time.Millisecond):
-			_ = s.line.Write(&wire.Beat{}, time.Second) // fails once the stream has ended
+			_ = s.line.Write(&wire.Heartbeat{}, time.Second) // fails once the stream has ended
 		}
 	}
 }
--- a/internal/transport/discovery/stream.go
+++ b/internal/transport/discovery/stream.go
@@ -155,7 +155,7 @@
 // receive handles one message of the source.
 func (s *Stream) receive(ctx context.Context, m wire.Message) error {
 	switch m := m.(type) {
-	case *wire.Beat:
+	case *wire.Heartbeat:
 		return nil
 	case *wire.List:
 		return s.inbox.Post(ctx, controller.EndpointsListed{List: m})
--- a/internal/transport/framed/framed_test.go
+++ b/internal/transport/framed/framed_test.go
@@ -112,7 +112,7 @@
 		if err != nil {
 			return last
 		}
-		if _, beat := m.(*wire.Beat); !beat {
+		if _, beat := m.(*wire.Heartbeat); !beat {
 			last = m
 		}
 	}
@@ -152,7 +152,7 @@
 					open = false
 				case <-time.After(50 * time.Millisecond):
 				}
-				_, err := goodW.Write(&wire.Beat{})
+				_, err := goodW.Write(&wire.Heartbeat{})
 				require.NoError(t, err)
 			}
 			in.left(t, in.joined(t, "bad"))
@@ -175,7 +175,7 @@
 		first  wire.Message
 		answer wire.Message
 	}{
-		{"no hello", &wire.Beat{}, &wire.Refuse{Reason: "a hello must come first"}},
+		{"no hello", &wire.Heartbeat{}, &wire.Refuse{Reason: "a hello must come first"}},
 		{
 			"another version", &wire.Hello{Version: 9, Proxy: "p", Zone: "a"},
 			&wire.Refuse{Reason: "version 9 is not spoken here, 1 is"},
@@ -217,7 +217,7 @@
 			}
 			if _, ok := m.(*wire.Commands); ok {
 				n++
-				_, _ = w.Write(&wire.Beat{})
+				_, _ = w.Write(&wire.Heartbeat{})
 			}
 		}
 		got <- n
@@ -246,7 +246,7 @@
 	st := in.joined(t, "deaf")
 	alive := func(seen uint32, during time.Duration) (err error) {
 		for end := time.Now().Add(during); time.Now().Before(end) && err == nil; time.Sleep(20 * time.Millisecond) {
-			_, err = w.Write(&wire.Beat{LastProcessed: seen})
+			_, err = w.Write(&wire.Heartbeat{LastProcessed: seen})
 		}
 		return err
 	}
--- a/internal/transport/framed/session.go
+++ b/internal/transport/framed/session.go
@@ -89,7 +89,7 @@
 		return s.inbox.Post(ctx, controller.LoadReported{Stream: st, Sums: m})
 	case *wire.Done:
 		return s.inbox.Post(ctx, controller.Acked{Stream: st, Done: *m})
-	case *wire.Beat:
+	case *wire.Heartbeat:
 		st.unacked.acknowledge(m.LastProcessed)
 		if st.unacked.olderThan(time.Now().Add(-s.config.SeenWithin)) {
 			return ErrSlow
@@ -111,7 +111,7 @@
 			}
 			st.unacked.add(w.Last(), time.Now())
 		case <-heartbeat.C:
-			if err := s.write(st, w, &wire.Beat{}); err != nil {
+			if err := s.write(st, w, &wire.Heartbeat{}); err != nil {
 				return err
 			}
 		case <-st.end.Done():
--- a/internal/transport/healthcheck/healthcheck_test.go
+++ b/internal/transport/healthcheck/healthcheck_test.go
@@ -37,7 +37,7 @@
 			if err != nil {
 				return
 			}
-			_, _ = wire.NewWriter(c).Write(&wire.Beat{}) // the other side may have closed it
+			_, _ = wire.NewWriter(c).Write(&wire.Heartbeat{}) // the other side may have closed it
 			_ = c.Close()
 		}
 	}()
--- a/internal/transport/transports_test.go
+++ b/internal/transport/transports_test.go
@@ -116,10 +116,10 @@
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
 		m, err := l.Read(5 * time.Second)
 		require.NoError(t, err)
-		if _, is := m.(*wire.Beat); !is {
+		if _, is := m.(*wire.Heartbeat); !is {
 			return m
 		}
-		require.NoError(t, l.Write(&wire.Beat{LastProcessed: l.Last()}, time.Second))
+		require.NoError(t, l.Write(&wire.Heartbeat{LastProcessed: l.Last()}, time.Second))
 	}
 	require.Fail(t, "only beats")
 	return nil
@@ -132,7 +132,7 @@
 		if err != nil {
 			return last
 		}
-		if _, is := m.(*wire.Beat); !is {
+		if _, is := m.(*wire.Heartbeat); !is {
 			last = m
 		}
 	}
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -58,7 +58,7 @@
 	case typeRefuse:
 		return &Refuse{}
 	case typeBeat:
-		return &Beat{}
+		return &Heartbeat{}
 	case typeSums:
 		return &LoadReport{}
 	case typeDone:
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -25,7 +25,7 @@
 	},
 	&Welcome{Version: 1, Pilot: "one", HeartbeatMs: 300, PeriodMs: 1000},
 	&Refuse{Reason: "no"},
-	&Beat{LastProcessed: 70000},
+	&Heartbeat{LastProcessed: 70000},
 	&Redirect{Reason: "stops"},
 	&Bye{},
 	sampleSums,
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -115,13 +115,13 @@
 
 // Beat is a heartbeat, sent when a side has nothing else to send. Seen is the number of the last frame of the other
 // side that was processed: a proxy whose heartbeats arrive while its Seen doesn't advance has stopped reading.
-type Beat struct{ LastProcessed uint32 }
+type Heartbeat struct{ LastProcessed uint32 }
 
-func (*Beat) messageType() Type { return typeBeat }
+func (*Heartbeat) messageType() Type { return typeBeat }
 
-func (m *Beat) encode(e *encoder) { e.uvarint(uint64(m.LastProcessed)) }
+func (m *Heartbeat) encode(e *encoder) { e.uvarint(uint64(m.LastProcessed)) }
 
-func (m *Beat) decode(d *decoder) {
+func (m *Heartbeat) decode(d *decoder) {
 	v := d.uvarint()
 	if v > math.MaxUint32 {
 		d.fail(ErrValue)
