--- a/internal/testbed/registry/subscriber.go
+++ b/internal/testbed/registry/subscriber.go
@@ -65,7 +65,7 @@
 		if err != nil {
 			return
 		}
-		ask, ok := message.(*wire.ListAsk)
+		ask, ok := message.(*wire.ListRequest)
 		if !ok {
 			return
 		}
@@ -86,7 +86,7 @@
 }
 
 // answer queues what a pilot asks for.
-func (r *Registry) answer(s *subscriber, ask *wire.ListAsk) {
+func (r *Registry) answer(s *subscriber, ask *wire.ListRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s.name = ask.Pilot
--- a/internal/transport/discovery/stream.go
+++ b/internal/transport/discovery/stream.go
@@ -38,7 +38,7 @@
 	inbox   controller.Inbox
 	log     *zap.Logger
 	silence time.Duration // time without a message after which the source is lost
-	asks    chan wire.ListAsk
+	asks    chan wire.ListRequest
 }
 
 // NewStream returns a source that is not connected yet; who is this controller's name.
@@ -50,18 +50,18 @@
 		inbox:   inbox,
 		log:     log,
 		silence: silence,
-		asks:    make(chan wire.ListAsk, maxQueuedAsks),
+		asks:    make(chan wire.ListRequest, maxQueuedAsks),
 	}
 }
 
 // Watch requests or ends the subscription to changes. A source is subscribed to from the start.
-func (s *Stream) Watch(on bool) { s.ask(wire.ListAsk{Pilot: s.name, Watch: on}) }
+func (s *Stream) Watch(on bool) { s.ask(wire.ListRequest{Pilot: s.name, Watch: on}) }
 
 // Fetch requests the complete list once.
-func (s *Stream) Fetch() { s.ask(wire.ListAsk{Pilot: s.name, Watch: true, Whole: true}) }
+func (s *Stream) Fetch() { s.ask(wire.ListRequest{Pilot: s.name, Watch: true, Whole: true}) }
 
 // ask queues a request, or drops it if the queue is full.
-func (s *Stream) ask(a wire.ListAsk) {
+func (s *Stream) ask(a wire.ListRequest) {
 	select {
 	case s.asks <- a:
 	default:
@@ -119,7 +119,7 @@
 // writeAsks requests the complete list, and then writes the controller's requests until ctx ends.
 func (s *Stream) writeAsks(ctx context.Context, conn net.Conn) error {
 	w := wire.NewWriter(conn)
-	ask := wire.ListAsk{Pilot: s.name, Watch: true, Whole: true}
+	ask := wire.ListRequest{Pilot: s.name, Watch: true, Whole: true}
 	for {
 		if err := conn.SetWriteDeadline(time.Now().Add(s.silence)); err != nil {
 			return nil //nolint:nilerr // the connection is closed, and readAll returns why
--- a/internal/wire/list.go
+++ b/internal/wire/list.go
@@ -1,21 +1,21 @@
 package wire
 
 // ListAsk asks a list source for the endpoint list.
-type ListAsk struct {
+type ListRequest struct {
 	Pilot string // name of the pilot that asks
 	Watch bool   // send changes from now on
 	Whole bool   // send the complete list once
 }
 
-func (*ListAsk) messageType() Type { return typeListAsk }
+func (*ListRequest) messageType() Type { return typeListAsk }
 
-func (m *ListAsk) encode(e *encoder) {
+func (m *ListRequest) encode(e *encoder) {
 	e.text(m.Pilot)
 	e.bool(m.Watch)
 	e.bool(m.Whole)
 }
 
-func (m *ListAsk) decode(d *decoder) {
+func (m *ListRequest) decode(d *decoder) {
 	m.Pilot = d.text()
 	m.Watch = d.bool()
 	m.Whole = d.bool()
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -70,7 +70,7 @@
 	case typeBye:
 		return &Bye{}
 	case typeListAsk:
-		return &ListAsk{}
+		return &ListRequest{}
 	case typeList:
 		return &List{}
 	case typeReq:
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -39,7 +39,7 @@
 		{Kind: OpAckRequest, AckNumber: 12},
 		{Kind: OpAssignRange, Table: 4, From: "a", To: "b", Remove: true},
 	}},
-	&ListAsk{Pilot: "one", Watch: true, Whole: true},
+	&ListRequest{Pilot: "one", Watch: true, Whole: true},
 	&List{Version: 4, Now: 99, Whole: true, Entries: []Entry{{"x:1", "a", "std", 2, PhaseDraining, 1.5, 88}}},
 	&Request{Number: 1, RequestID: 2, Class: "read", From: "p", WorkMs: 30, TimeoutMs: 1500},
 	&Response{Number: 1, Outcome: Denied, RetryAfterMs: 200, Load: []LoadMetric{{"util", 1}}},
