--- a/internal/config/endpoint_list_test.go
+++ b/internal/config/endpoint_list_test.go
@@ -90,7 +90,7 @@
 		if err != nil {
 			return
 		}
-		_, err = wire.Body(l)
+		_, err = wire.EncodeBody(l)
 		assert.NoError(t, err)
 		for _, e := range l.Entries {
 			assert.True(t, e.Endpoint != "" && len(e.Endpoint) <= wire.MaxText && e.Weight >= 0 && e.Weight <= 1e9, "%+v", e)
--- a/internal/record/input_codec.go
+++ b/internal/record/input_codec.go
@@ -12,7 +12,7 @@
 
 // message encodes a message of the wire protocol as the body that it has there, with the number of its stream.
 func (e *encoder) message(in *Input) error {
-	body, err := wire.Body(in.Message)
+	body, err := wire.EncodeBody(in.Message)
 	if err != nil {
 		return fmt.Errorf("lay out input: %w", err)
 	}
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -100,7 +100,7 @@
 }
 
 // Body encodes a message without a frame, for records and other stores.
-func Body(m Message) ([]byte, error) {
+func EncodeBody(m Message) ([]byte, error) {
 	var e encoder
 	m.encode(&e)
 	if len(e.b) > MaxFrame {
