--- a/internal/record/input_codec.go
+++ b/internal/record/input_codec.go
@@ -28,7 +28,7 @@
 		return
 	}
 	message := emptyMessage(in.Kind)
-	if err := wire.Unbody(message, []byte(body)); err != nil {
+	if err := wire.DecodeBody(message, []byte(body)); err != nil {
 		d.err = fmt.Errorf("%w: %w", ErrCorrupt, err)
 		return
 	}
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -93,7 +93,7 @@
 	if m == nil {
 		return nil, fmt.Errorf("type %d: %w", t, ErrType)
 	}
-	if err := Unbody(m, body); err != nil {
+	if err := DecodeBody(m, body); err != nil {
 		return nil, fmt.Errorf("%T: %w", m, err)
 	}
 	return m, nil
@@ -110,7 +110,7 @@
 }
 
 // Unbody decodes what Body encoded into a message. After an error the message may be filled in part.
-func Unbody(into Message, body []byte) error {
+func DecodeBody(into Message, body []byte) error {
 	d := decoder{b: body}
 	into.decode(&d)
 	if d.err == nil && len(d.b) > 0 {
