--- a/telemetry/accuracy_test.go
+++ b/telemetry/accuracy_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestTruth checks the accuracy of the flushed rates for each way in which reports can go wrong.
-func TestTruth(t *testing.T) {
+func TestFlushedRateAccuracy(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		options func(*Options)
@@ -69,14 +69,14 @@
 			}
 			cr.run(60000, nil)
 			off, about := cr.worstError(60000)
-			t.Logf("worst %.3f %s; counts %v", off, about, cr.in.Counts)
+			t.Logf("worst %.3f %s; counts %v", off, about, cr.aggregator.Counts)
 			assert.Less(t, off, c.within, about)
 		})
 	}
 }
 
 // TestRejoin checks the accuracy when all senders return at once after a restart, each with a minute of data.
-func TestRejoin(t *testing.T) {
+func TestSimultaneousRejoin(t *testing.T) {
 	c := newFleet(testOptions(), 30, 12, 3)
 	c.now = 60000
 	for _, s := range c.senders {
--- a/telemetry/aggregator.go
+++ b/telemetry/aggregator.go
@@ -5,9 +5,9 @@
 const (
 	// maxReportsStoodFor is the largest number of reports that one may represent: itself and those before it that were
 	// lost or skipped. A longer gap means that the sender was silent, from which no rate can be derived.
-	maxReportsStoodFor = 8
+	maxRepresentedReports = 8
 	// minLines is the quota, in lines, below which a report is skipped; the next one represents it too.
-	minLines = 1.0
+	minQuotaLines = 1.0
 	// maxLoadAgeMs is the age at which an endpoint's own load report says nothing about its present load any more.
 	maxLoadAgeMs = 20000
 )
@@ -25,7 +25,7 @@
 	candidates []candidate // reused from report to report
 
 	endpointSums map[zoneEndpoint]*sum[L]
-	demandSums   map[proxyClass]*sum[L]
+	requestSums  map[proxyClass]*sum[L]
 	pending      []*sum[L] // sums to flush, in the order in which they became pending
 
 	Counts     [reasonCount]uint64 // lines, by what became of them
@@ -43,7 +43,7 @@
 		zones:        map[int]*zone{},
 		endpoints:    map[int]*endpoint{},
 		endpointSums: map[zoneEndpoint]*sum[L]{},
-		demandSums:   map[proxyClass]*sum[L]{},
+		requestSums:  map[proxyClass]*sum[L]{},
 	}
 }
 
@@ -71,9 +71,9 @@
 		a.Counts[reason] += uint64(lines)
 		return
 	}
-	a.zone(s.zone).covered += c.weight * report.SpanMs * c.reports
+	a.zone(s.zone).coveredMs += c.weight * report.SpanMs * c.reports
 	for i := range report.ClassLines {
-		a.addDemand(nowMs, report.Sender, &report.ClassLines[i], c)
+		a.addRequests(nowMs, report.Sender, &report.ClassLines[i], c)
 	}
 	kept := a.sample(nowMs, report, int(math.Min(room, math.MaxInt32))-len(report.ClassLines))
 	for _, k := range kept {
@@ -95,18 +95,18 @@
 	if s.lastSeq == 0 {
 		reports = 1
 	}
-	reports = math.Min(reports, maxReportsStoodFor)
+	reports = math.Min(reports, maxRepresentedReports)
 	s.lastSeq = report.Seq
 	ageMs := s.clock.age(nowMs, report.AtMs)
 	if ageMs > a.options.MaxAgeMs {
 		return c, 0, Late
 	}
 	room = a.quotas.refill(s, nowMs, a.slowdown.factor)
-	if room < minRoom(report) && s.skipped < maxReportsStoodFor-1 {
+	if room < minQuota(report) && s.skipped < maxRepresentedReports-1 {
 		s.skipped++
 		return c, 0, OverQuota
 	}
-	reports = math.Min(reports+float64(s.skipped), maxReportsStoodFor)
+	reports = math.Min(reports+float64(s.skipped), maxRepresentedReports)
 	s.skipped = 0
 	s.accepted++
 	endMs := nowMs - ageMs
@@ -122,14 +122,14 @@
 
 // minRoom returns the quota, in lines, below which a report is skipped. The threshold differs from sender to sender:
 // otherwise senders that report in step would be skipped in step, and whole seconds would be without reports.
-func minRoom[L any](report *Report[L]) float64 {
-	return math.Min(float64(report.lineCount()), minLines*(1+uniform(report.Sender, 0, 0)))
+func minQuota[L any](report *Report[L]) float64 {
+	return math.Min(float64(report.lineCount()), minQuotaLines*(1+uniform(report.Sender, 0, 0)))
 }
 
 // addLine adds one line of a report to the sum of its endpoint and zone.
-func (a *Aggregator[L]) addLine(nowMs float64, zoneID int, line *Line[L], k candidate, c contribution) {
+func (a *Aggregator[L]) addLine(nowMs float64, zoneID int, line *Line[L], sampled candidate, c contribution) {
 	e := a.endpoints[line.Endpoint]
-	if line.absurd(c.spanMs) {
+	if line.implausible(c.spanMs) {
 		a.Counts[Implausible]++
 		return
 	}
@@ -142,12 +142,12 @@
 		a.Counts[Restarted]++
 		return
 	}
-	s := a.pendingEndpointSum(nowMs, zoneEndpoint{line.Endpoint, zoneID}, k.foremost || line.Failed > 0)
+	s := a.pendingEndpointSum(nowMs, zoneEndpoint{line.Endpoint, zoneID}, sampled.alwaysKept || line.Failed > 0)
 	if s == nil {
 		a.Counts[Evicted]++
 		return
 	}
-	scale := c.weight * c.reports * current * k.scale
+	scale := c.weight * c.reports * current * sampled.scale
 	succeeded := float64(line.Attempts - line.Failed)
 	s.attempts += scale * float64(line.Attempts)
 	s.failed += scale * float64(line.Failed)
@@ -182,16 +182,16 @@
 
 // pendingEndpointSum returns the sum that a line belongs to, which becomes pending, or nil if too many are. A new sum
 // counts as covered what the zone's senders reported in one period: none of those reports mentioned the endpoint.
-func (a *Aggregator[L]) pendingEndpointSum(nowMs float64, key zoneEndpoint, foremost bool) *sum[L] {
+func (a *Aggregator[L]) pendingEndpointSum(nowMs float64, key zoneEndpoint, mustKeep bool) *sum[L] {
 	z := a.zone(key.zone)
 	s := a.endpointSums[key]
 	if s == nil {
 		s = &sum[L]{zoneEndpoint: key}
-		s.zoneCovered = z.covered - a.recentlyCovered(nowMs, z)
+		s.zoneCoveredMs = z.coveredMs - a.recentlyCoveredMs(nowMs, z)
 		a.endpointSums[key] = s
 	}
-	if !s.queued && !a.makeRoom(foremost) {
-		s.zoneCovered = z.covered // attempts that are not counted must not count as covered time either
+	if !s.queued && !a.makeRoom(mustKeep) {
+		s.zoneCoveredMs = z.coveredMs // attempts that are not counted must not count as covered time either
 		return nil
 	}
 	a.enqueue(nowMs, s)
@@ -199,22 +199,22 @@
 }
 
 // recentlyCovered returns the weighted time that the reports of one period cover, of all the zone's senders.
-func (a *Aggregator[L]) recentlyCovered(nowMs float64, z *zone) float64 {
+func (a *Aggregator[L]) recentlyCoveredMs(nowMs float64, z *zone) float64 {
 	weight := a.decay.weight(nowMs)
-	return math.Min(z.covered, weight*a.options.PeriodMs*float64(a.slowdown.factor)*float64(z.senders))
+	return math.Min(z.coveredMs, weight*a.options.PeriodMs*float64(a.slowdown.factor)*float64(z.senders))
 }
 
 // addDemand adds one line of requests to the sum of its proxy and class.
-func (a *Aggregator[L]) addDemand(nowMs float64, proxy int, line *ClassLine, c contribution) {
-	if line.absurd(c.spanMs) {
+func (a *Aggregator[L]) addRequests(nowMs float64, proxy int, line *ClassLine, c contribution) {
+	if line.implausible(c.spanMs) {
 		a.Counts[Implausible]++
 		return
 	}
 	key := proxyClass{proxy, line.Class}
-	s := a.demandSums[key]
+	s := a.requestSums[key]
 	if s == nil {
-		s = &sum[L]{proxyClass: key, isDemand: true}
-		a.demandSums[key] = s
+		s = &sum[L]{proxyClass: key, isRequestSum: true}
+		a.requestSums[key] = s
 	}
 	if !s.queued && !a.makeRoom(false) {
 		a.Counts[Evicted]++
@@ -235,12 +235,12 @@
 	}
 	factor := a.decay.moveLandmark(nowMs)
 	for _, z := range a.zones {
-		z.covered *= factor
+		z.coveredMs *= factor
 	}
 	for _, s := range a.endpointSums {
 		s.rescale(factor)
 	}
-	for _, s := range a.demandSums {
+	for _, s := range a.requestSums {
 		s.rescale(factor)
 	}
 }
--- a/telemetry/backpressure.go
+++ b/telemetry/backpressure.go
@@ -9,11 +9,11 @@
 
 const (
 	// crowdedFraction of the limit is the load above which senders are asked to report less often.
-	crowdedFraction = 0.9
+	highLoadFraction = 0.9
 	// calmFraction of the limit is the load below which the slowdown is reduced: the load expected after the reduction.
-	calmFraction = 0.5
+	lowLoadFraction = 0.5
 	// calmSeconds is how long the load must have been that low.
-	calmSeconds = 3
+	lowLoadSeconds = 3
 	// minAdvisedLines is the smallest number of lines per report that a sender is asked to keep to.
 	minAdvisedLines = 4
 	// releaseGroups is the number of groups in which senders are released, one group a second, so that their reports do
@@ -33,10 +33,10 @@
 
 // slowdown is the back-pressure on senders: the factor by which they are asked to stretch their report period.
 type slowdown struct {
-	options Options
-	factor  int         // 1: the configured period
-	calmFor int         // seconds for which the load has been low
-	advised map[int]int // by sender: the factor it was last asked for; absent: 1
+	options    Options
+	factor     int         // 1: the configured period
+	lowLoadFor int         // seconds for which the load has been low
+	advised    map[int]int // by sender: the factor it was last asked for; absent: 1
 }
 
 func newSlowdown(o Options) slowdown {
@@ -47,20 +47,20 @@
 // time.
 func (d *slowdown) update(linesPerS float64) {
 	limit := d.options.LinesPerS
-	crowded := linesPerS > crowdedFraction*limit
+	overloaded := linesPerS > highLoadFraction*limit
 	switch {
-	case crowded:
-		wanted := int(math.Ceil(float64(d.factor) * linesPerS / (crowdedFraction * limit)))
-		d.factor = min(max(1, d.options.MaxSlowdown), max(d.factor, wanted))
-		d.calmFor = 0
-	case d.factor > 1 && linesPerS*float64(d.factor)/float64(d.factor-1) < calmFraction*limit:
-		d.calmFor++
-		if d.calmFor >= calmSeconds {
+	case overloaded:
+		required := int(math.Ceil(float64(d.factor) * linesPerS / (highLoadFraction * limit)))
+		d.factor = min(max(1, d.options.MaxSlowdown), max(d.factor, required))
+		d.lowLoadFor = 0
+	case d.factor > 1 && linesPerS*float64(d.factor)/float64(d.factor-1) < lowLoadFraction*limit:
+		d.lowLoadFor++
+		if d.lowLoadFor >= lowLoadSeconds {
 			d.factor--
-			d.calmFor = 0
+			d.lowLoadFor = 0
 		}
 	default:
-		d.calmFor = 0
+		d.lowLoadFor = 0
 	}
 }
 
--- a/telemetry/backpressure_test.go
+++ b/telemetry/backpressure_test.go
@@ -22,7 +22,7 @@
 		}
 		return 0
 	}
-	released, most := 0, 0
+	released, maxReleased := 0, 0
 	for range 60 {
 		c.run(1000, nil)
 		n := 0
@@ -31,8 +31,8 @@
 				n++
 			}
 		}
-		most, released = max(most, n-released), n
+		maxReleased, released = max(maxReleased, n-released), n
 	}
 	assert.Equal(t, len(c.senders), released)
-	assert.LessOrEqual(t, most, len(c.senders)/3, "not all in one second")
+	assert.LessOrEqual(t, maxReleased, len(c.senders)/3, "not all in one second")
 }
--- a/telemetry/bench_test.go
+++ b/telemetry/bench_test.go
@@ -24,12 +24,12 @@
 			runtime.ReadMemStats(&before)
 			o := testOptions()
 			o.LinesPerS = 1e9
-			in := New[float64](o)
+			aggregator := New[float64](o)
 			for e := range c.endpoints {
-				in.UpdateEndpoint(0, e, planner.Ready, 0)
+				aggregator.UpdateEndpoint(0, e, planner.Ready, 0)
 			}
 			for s := range c.senders {
-				in.Join(0, s, s%5)
+				aggregator.Join(0, s, s%5)
 			}
 			r := &Report[float64]{SpanMs: 1000, Lines: make([]Line[float64], 20)}
 			now, flushed, i := 0.0, 0.0, 0
@@ -40,10 +40,10 @@
 				for k := range r.Lines {
 					r.Lines[k] = Line[float64]{Endpoint: (i*7 + k*k*13) % c.endpoints, Attempts: 3, MeanMs: 20, Load: 0.5, HasLoad: true}
 				}
-				in.Add(now, r)
+				aggregator.Add(now, r)
 				if i++; now-flushed >= 1000 {
-					in.Flush(now, now-flushed)
-					in.Rebalance(now)
+					aggregator.Flush(now, now-flushed)
+					aggregator.Rebalance(now)
 					flushed = now
 				}
 			}
@@ -51,7 +51,7 @@
 			runtime.ReadMemStats(&after)
 			b.ReportMetric(float64(b.N*20)/b.Elapsed().Seconds(), "lines/s")
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/1e6, "MB-held")
-			runtime.KeepAlive(in)
+			runtime.KeepAlive(aggregator)
 		})
 	}
 }
--- a/telemetry/endpoint_test.go
+++ b/telemetry/endpoint_test.go
@@ -10,15 +10,15 @@
 )
 
 // TestRestarted checks that of a report that reaches back before a restart only the part after it counts.
-func TestRestarted(t *testing.T) {
-	in := New[float64](testOptions())
-	in.UpdateEndpoint(0, 0, planner.Ready, 0)
-	in.Join(0, 0, 0)
-	in.Add(1000, &Report[float64]{Seq: 1, AtMs: 1000, SpanMs: 1000, Lines: []Line[float64]{{Attempts: 50, Failed: 50}}})
-	in.UpdateEndpoint(1500, 0, planner.Ready, 1500) // what waited of the former incarnation goes
+func TestEndpointRestart(t *testing.T) {
+	aggregator := New[float64](testOptions())
+	aggregator.UpdateEndpoint(0, 0, planner.Ready, 0)
+	aggregator.Join(0, 0, 0)
+	aggregator.Add(1000, &Report[float64]{Seq: 1, AtMs: 1000, SpanMs: 1000, Lines: []Line[float64]{{Attempts: 50, Failed: 50}}})
+	aggregator.UpdateEndpoint(1500, 0, planner.Ready, 1500) // what waited of the former incarnation goes
 	lines := []Line[float64]{{Attempts: 40, Load: 1, HasLoad: true}}
-	in.Add(2000, &Report[float64]{Seq: 2, AtMs: 2000, SpanMs: 1000, Lines: lines})
-	flushed := in.Flush(2000, 1000).EndpointSums
+	aggregator.Add(2000, &Report[float64]{Seq: 2, AtMs: 2000, SpanMs: 1000, Lines: lines})
+	flushed := aggregator.Flush(2000, 1000).EndpointSums
 	require.Len(t, flushed, 1)
 	assert.Zero(t, flushed[0].Failed)
 	assert.InDelta(t, 20, flushed[0].Attempts, 2)
--- a/telemetry/fleet_test.go
+++ b/telemetry/fleet_test.go
@@ -12,18 +12,18 @@
 
 // fleet simulates senders with constant true rates that report to an aggregator.
 type fleet struct {
-	in          *Aggregator[float64]
+	aggregator  *Aggregator[float64]
 	endpoints   int
 	zones       int
 	senders     []*reporter
 	now         float64
 	flushed     map[zoneEndpoint]*flushedSum
-	mostPending int
+	maxPending  int
 	rates       func(sender, endpoint int) float64 // attempts a second
-	fails       func(endpoint int, nowMs float64) float64
+	failureRate func(endpoint int, nowMs float64) float64
 	deliver     func(s *reporter, nowMs float64) (arrives bool, lateMs float64)
 	inFlight    []delivery
-	truth       map[zoneEndpoint]float64 // attempts that were made
+	attempts    map[zoneEndpoint]float64 // attempts that were made
 	src         rand.Source
 	rnd         *rand.Rand
 }
@@ -55,11 +55,11 @@
 
 func newFleet(o Options, senders, endpoints, zones int) *fleet {
 	c := &fleet{
-		in: New[float64](o), endpoints: endpoints, zones: zones, flushed: map[zoneEndpoint]*flushedSum{},
-		truth: map[zoneEndpoint]float64{}, src: rand.NewPCG(1, 2), rnd: rand.New(rand.NewPCG(3, 4)),
+		aggregator: New[float64](o), endpoints: endpoints, zones: zones, flushed: map[zoneEndpoint]*flushedSum{},
+		attempts: map[zoneEndpoint]float64{}, src: rand.NewPCG(1, 2), rnd: rand.New(rand.NewPCG(3, 4)),
 	}
 	for e := range endpoints {
-		c.in.UpdateEndpoint(0, e, planner.Ready, 0)
+		c.aggregator.UpdateEndpoint(0, e, planner.Ready, 0)
 	}
 	for i := range senders {
 		s := &reporter{
@@ -67,10 +67,10 @@
 			reportsPerPeriod: 1,
 		}
 		c.senders = append(c.senders, s)
-		c.in.Join(0, i, s.zone)
+		c.aggregator.Join(0, i, s.zone)
 	}
 	c.rates = func(s, e int) float64 { return 20 / (1 + float64(e)) * (1 + float64(s%3)) }
-	c.fails = func(int, float64) float64 { return 0 }
+	c.failureRate = func(int, float64) float64 { return 0 }
 	c.deliver = func(*reporter, float64) (bool, float64) { return true, 0 }
 	return c
 }
@@ -81,9 +81,9 @@
 	r := &Report[float64]{Sender: s.id, Seq: s.lastSeq, AtMs: c.now*(1+s.drift) + s.clockMs, SpanMs: c.now - s.lastMs}
 	for e := range c.endpoints {
 		tries := int(distuv.Poisson{Lambda: c.rates(s.id, e) * r.SpanMs / 1000, Src: c.src}.Rand())
-		c.truth[zoneEndpoint{e, s.zone}] += float64(tries)
+		c.attempts[zoneEndpoint{e, s.zone}] += float64(tries)
 		if tries > 0 {
-			failed := int(math.Round(float64(tries) * c.fails(e, c.now)))
+			failed := int(math.Round(float64(tries) * c.failureRate(e, c.now)))
 			line := Line[float64]{Endpoint: e, Attempts: tries, Failed: failed, MeanMs: 30, Load: c.now, HasLoad: true}
 			r.Lines = append(r.Lines, line)
 		}
@@ -99,16 +99,16 @@
 		c.now += step
 		c.sendDue()
 		c.receiveDue()
-		c.mostPending = max(c.mostPending, c.in.Pending())
+		c.maxPending = max(c.maxPending, c.aggregator.Pending())
 		if math.Mod(c.now, 1000) >= step {
 			continue
 		}
-		batch := c.in.Flush(c.now, 1000)
+		batch := c.aggregator.Flush(c.now, 1000)
 		c.collect(batch)
 		if done != nil {
 			done(c.now, batch)
 		}
-		c.follow(c.in.Rebalance(c.now))
+		c.applyAdvice(c.aggregator.Rebalance(c.now))
 	}
 }
 
@@ -131,7 +131,7 @@
 	kept := c.inFlight[:0]
 	for _, d := range c.inFlight {
 		if d.at <= c.now {
-			c.in.Add(c.now, d.report)
+			c.aggregator.Add(c.now, d.report)
 		} else {
 			kept = append(kept, d)
 		}
@@ -153,7 +153,7 @@
 }
 
 // follow applies advice to the senders, except those that ignore it.
-func (c *fleet) follow(advice []Advice) {
+func (c *fleet) applyAdvice(advice []Advice) {
 	for _, a := range advice {
 		if s := c.senders[a.Sender]; !s.ignoresAdvice {
 			s.periodMs = a.PeriodMs
@@ -165,10 +165,10 @@
 // zone's attempts.
 func (c *fleet) worstError(overMs float64) (worst float64, about string) {
 	all := map[int]float64{}
-	for key, n := range c.truth {
+	for key, n := range c.attempts {
 		all[key.zone] += n
 	}
-	for key, n := range c.truth {
+	for key, n := range c.attempts {
 		if n < all[key.zone]/100 {
 			continue
 		}
--- a/telemetry/flush.go
+++ b/telemetry/flush.go
@@ -58,8 +58,8 @@
 	weight := a.decay.weight(nowMs)
 	for _, s := range a.pending[:n] {
 		out.AgesMs = append(out.AgesMs, s.ageMs/math.Max(s.weight, smallestDivisor))
-		if s.isDemand {
-			out.RequestStats = append(out.RequestStats, a.flushDemand(s, weight))
+		if s.isRequestSum {
+			out.RequestStats = append(out.RequestStats, a.flushRequests(s, weight))
 			continue
 		}
 		if m := a.flushEndpoint(s, weight); m.SpanMs > 0 {
@@ -99,7 +99,7 @@
 		Endpoint: s.zoneEndpoint.endpoint,
 		Zone:     s.zoneEndpoint.zone,
 		Failed:   s.failed / weight,
-		SpanMs:   (z.covered - s.zoneCovered) / weight / math.Max(1, float64(z.senders)),
+		SpanMs:   (z.coveredMs - s.zoneCoveredMs) / weight / math.Max(1, float64(z.senders)),
 		Load:     s.load,
 		HasLoad:  s.hasLoad,
 	}
@@ -116,7 +116,7 @@
 }
 
 // flushDemand returns the decayed value of a sum of requests, given the weight of now, and resets the sum.
-func (a *Aggregator[L]) flushDemand(s *sum[L], weight float64) planner.RequestStats {
+func (a *Aggregator[L]) flushRequests(s *sum[L], weight float64) planner.RequestStats {
 	d := planner.RequestStats{
 		Proxy:      s.proxyClass.proxy,
 		Class:      s.proxyClass.class,
--- a/telemetry/flush_test.go
+++ b/telemetry/flush_test.go
@@ -10,7 +10,7 @@
 // TestFailingSeenInBurst checks that an endpoint with a tenth of the others' traffic that begins to fail during a
 // hundredfold burst of reports is flushed within two periods of when an unlimited aggregator flushes it.
 func TestFailingSeenInBurst(t *testing.T) {
-	first := func(limit float64) (at float64) {
+	firstFlushMs := func(limit float64) (at float64) {
 		options := testOptions()
 		options.LinesPerS, options.FlushedPerS = limit, limit/10
 		c := newFleet(options, 60, 20, 3)
@@ -20,7 +20,7 @@
 			}
 			return 5
 		}
-		c.fails = func(e int, now float64) float64 {
+		c.failureRate = func(e int, now float64) float64 {
 			if e == 13 && now > 20300 {
 				return 1
 			}
@@ -39,7 +39,7 @@
 		})
 		return at
 	}
-	unlimited, limited := first(0), first(800)
+	unlimited, limited := firstFlushMs(0), firstFlushMs(800)
 	require.NotZero(t, unlimited)
 	require.NotZero(t, limited)
 	assert.LessOrEqual(t, limited, unlimited+2000)
--- a/telemetry/properties_test.go
+++ b/telemetry/properties_test.go
@@ -19,7 +19,7 @@
 		reportRates := rapid.SliceOfN(rapid.Float64Range(0.5, 20), 6, 6).Draw(rt, "reportRates")
 		loss := rapid.Float64Range(0, 0.6).Draw(rt, "loss")
 		late := rapid.Float64Range(0, 3000).Draw(rt, "late")
-		play := func() (string, *fleet) {
+		run := func() (string, *fleet) {
 			c := newFleet(options, 6, 5, 2)
 			for i, s := range c.senders {
 				s.reportsPerPeriod = reportRates[i]
@@ -29,12 +29,12 @@
 			c.run(6000, func(now float64, batch Batch[float64]) { all += fmt.Sprint(now, batch) })
 			return all, c
 		}
-		first, c := play()
-		second, _ := play()
+		first, c := run()
+		second, _ := run()
 		require.Equal(rt, first, second)
-		require.LessOrEqual(rt, c.mostPending, options.MaxPending)
+		require.LessOrEqual(rt, c.maxPending, options.MaxPending)
 		for _, s := range c.senders {
-			require.True(rt, !s.arrived || c.in.senders[s.id].accepted > 0 || late > 0, "sender %d was never accepted", s.id)
+			require.True(rt, !s.arrived || c.aggregator.senders[s.id].accepted > 0 || late > 0, "sender %d was never accepted", s.id)
 		}
 		for key, x := range c.flushed {
 			require.False(rt, math.IsNaN(x.tries) || x.tries < 0 || x.failed > x.tries+1e-9, "%v %+v", key, x)
--- a/telemetry/queue.go
+++ b/telemetry/queue.go
@@ -29,7 +29,7 @@
 	if !urgent {
 		return false
 	}
-	victim := slices.IndexFunc(a.pending, func(s *sum[L]) bool { return s.isDemand })
+	victim := slices.IndexFunc(a.pending, func(s *sum[L]) bool { return s.isRequestSum })
 	if victim < 0 {
 		victim = slices.IndexFunc(a.pending, func(s *sum[L]) bool { return !s.urgent })
 	}
--- a/telemetry/queue_test.go
+++ b/telemetry/queue_test.go
@@ -12,7 +12,7 @@
 	options.MaxPending, options.FlushedPerS = 10, 5
 	c := newFleet(options, 30, 40, 3)
 	urgent := false
-	c.fails = func(e int, now float64) float64 {
+	c.failureRate = func(e int, now float64) float64 {
 		if e == 39 && now > 5000 {
 			return 1
 		}
@@ -24,7 +24,7 @@
 			urgent = urgent || m.Endpoint == 39 && m.Failed > 0
 		}
 	})
-	assert.LessOrEqual(t, c.mostPending, 10)
+	assert.LessOrEqual(t, c.maxPending, 10)
 	assert.True(t, urgent)
-	assert.Positive(t, c.in.Counts[Evicted])
+	assert.Positive(t, c.aggregator.Counts[Evicted])
 }
--- a/telemetry/quota.go
+++ b/telemetry/quota.go
@@ -46,7 +46,7 @@
 	if !known {
 		linesPerS = q.options.LinesPerS
 	}
-	limit := math.Max(2*minLines, linesPerS*math.Max(1, q.options.PeriodMs*float64(slowdown)/1000))
+	limit := math.Max(2*minQuotaLines, linesPerS*math.Max(1, q.options.PeriodMs*float64(slowdown)/1000))
 	s.tokens = math.Min(limit, s.tokens+linesPerS*(nowMs-s.tokensAtMs)/1000)
 	s.tokensAtMs = nowMs
 	return s.tokens
@@ -57,12 +57,12 @@
 	byZone := make(map[int]float64, len(offered))
 	demands := make([]float64, 0, len(offered))
 	for zoneID, senders := range offered {
-		byZone[zoneID] = add(senders)
+		byZone[zoneID] = sumInOrder(senders)
 		demands = append(demands, byZone[zoneID])
 	}
 	zoneLimit := fairShare(q.options.LinesPerS, demands)
 	for zoneID, senders := range offered {
-		if total <= q.options.LinesPerS*calmFraction { // far below the limit: no sender is held to what it offered
+		if total <= q.options.LinesPerS*lowLoadFraction { // far below the limit: no sender is held to what it offered
 			q.linesPerS[zoneID] = q.options.LinesPerS
 			continue
 		}
@@ -72,7 +72,7 @@
 }
 
 // add returns the sum of figures, added in their order.
-func add(figures []float64) float64 {
+func sumInOrder(figures []float64) float64 {
 	total := 0.0
 	for _, v := range figures {
 		total += v
--- a/telemetry/report.go
+++ b/telemetry/report.go
@@ -51,7 +51,7 @@
 }
 
 // absurd reports whether the line's figures are implausible for a report that covers spanMs.
-func (l *Line[L]) absurd(spanMs float64) bool {
+func (l *Line[L]) implausible(spanMs float64) bool {
 	if l.Attempts < 0 || l.Failed < 0 || l.Failed > l.Attempts {
 		return true
 	}
@@ -62,7 +62,7 @@
 }
 
 // absurd reports whether the line's figures are implausible for a report that covers spanMs.
-func (l *ClassLine) absurd(spanMs float64) bool {
+func (l *ClassLine) implausible(spanMs float64) bool {
 	if l.Requests < 0 || l.Unanswered < 0 || l.Unanswered > l.Requests {
 		return true
 	}
--- a/telemetry/report_test.go
+++ b/telemetry/report_test.go
@@ -11,14 +11,14 @@
 )
 
 // TestRefusedReports checks the reasons for which reports and lines are rejected.
-func TestRefusedReports(t *testing.T) {
+func TestRejectedReports(t *testing.T) {
 	good := func() *Report[float64] {
 		lines := []Line[float64]{{Endpoint: 0, Attempts: 10, MeanMs: 5}}
 		return &Report[float64]{Sender: 0, Seq: 5, AtMs: 1000, SpanMs: 1000, Lines: lines}
 	}
 	for _, c := range []struct {
 		name   string
-		spoil  func(*Report[float64])
+		modify func(*Report[float64])
 		reason Reason
 	}{
 		{"repeated", func(r *Report[float64]) { r.Seq = 4 }, Repeated},
@@ -37,20 +37,20 @@
 		{"of the incarnation before a restart", func(r *Report[float64]) { r.Lines[0].Endpoint = 2 }, Restarted},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			in := New[float64](testOptions())
+			aggregator := New[float64](testOptions())
 			for e := range 3 {
-				in.UpdateEndpoint(0, e, planner.Ready, 0)
+				aggregator.UpdateEndpoint(0, e, planner.Ready, 0)
 			}
-			in.UpdateEndpoint(500, 1, planner.Gone, 0)
-			require.True(t, in.Join(0, 0, 0))
-			in.Add(990, &Report[float64]{Sender: 0, Seq: 4, AtMs: 990, SpanMs: 1})
-			in.UpdateEndpoint(1000, 2, planner.Ready, 1000)
+			aggregator.UpdateEndpoint(500, 1, planner.Gone, 0)
+			require.True(t, aggregator.Join(0, 0, 0))
+			aggregator.Add(990, &Report[float64]{Sender: 0, Seq: 4, AtMs: 990, SpanMs: 1})
+			aggregator.UpdateEndpoint(1000, 2, planner.Ready, 1000)
 			r := good()
-			c.spoil(r)
-			in.Add(1000, r)
-			assert.EqualValues(t, 1, in.Counts[c.reason])
-			assert.Zero(t, in.Counts[Merged])
-			assert.Empty(t, in.Flush(2000, 1000).EndpointSums)
+			c.modify(r)
+			aggregator.Add(1000, r)
+			assert.EqualValues(t, 1, aggregator.Counts[c.reason])
+			assert.Zero(t, aggregator.Counts[Merged])
+			assert.Empty(t, aggregator.Flush(2000, 1000).EndpointSums)
 		})
 	}
 }
--- a/telemetry/sampling.go
+++ b/telemetry/sampling.go
@@ -8,32 +8,32 @@
 
 // candidate is a line of a report that may be kept.
 type candidate struct {
-	line     int     // index into the report's lines
-	rank     float64 // the greatest are kept
-	scale    float64 // factor for the line's figures, to represent the lines that are left out
-	foremost bool    // kept without being sampled
+	line       int     // index into the report's lines
+	rank       float64 // the greatest are kept
+	scale      float64 // factor for the line's figures, to represent the lines that are left out
+	alwaysKept bool    // kept without being sampled
 }
 
 // sample returns the lines of a report to keep, in the order of merging. All are kept if there is room. Otherwise lines
 // of endpoints that fail, warm up or drain come first, and the rest is a priority sample by attempts, whose scaled
 // figures are unbiased (Duffield, Lund and Thorup, "Priority sampling for estimation of arbitrary subset sums").
 // The result is valid until the next call.
-func (a *Aggregator[L]) sample(nowMs float64, report *Report[L], room int) []candidate {
-	room = max(room, 1)
-	if len(report.Lines) <= room {
+func (a *Aggregator[L]) sample(nowMs float64, report *Report[L], limit int) []candidate {
+	limit = max(limit, 1)
+	if len(report.Lines) <= limit {
 		a.candidates = a.candidates[:0]
 		for i := range report.Lines {
 			a.candidates = append(a.candidates, candidate{line: i, scale: 1})
 		}
 		return a.candidates
 	}
-	a.rankLines(nowMs, report, room-1)
+	a.rankLines(nowMs, report, limit-1)
 	slices.SortFunc(a.candidates, byRank)
-	threshold := a.candidates[room].rank
-	kept := a.candidates[:room]
+	threshold := a.candidates[limit].rank
+	kept := a.candidates[:limit]
 	for i := range kept {
 		attempts := float64(report.Lines[kept[i].line].Attempts)
-		if !kept[i].foremost && attempts > 0 {
+		if !kept[i].alwaysKept && attempts > 0 {
 			kept[i].scale = math.Max(attempts, threshold) / attempts
 		}
 	}
@@ -41,15 +41,15 @@
 }
 
 // rankLines makes a candidate of each line. At most maxForemost are foremost, so that some of the others are kept too.
-func (a *Aggregator[L]) rankLines(nowMs float64, report *Report[L], maxForemost int) {
+func (a *Aggregator[L]) rankLines(nowMs float64, report *Report[L], maxAlwaysKept int) {
 	a.candidates = a.candidates[:0]
-	foremost := 0
+	alwaysKept := 0
 	for i := range report.Lines {
 		line := &report.Lines[i]
 		c := candidate{line: i, scale: 1}
-		if foremost < maxForemost && a.mustKeep(nowMs, line) {
-			foremost++
-			c.foremost = true
+		if alwaysKept < maxAlwaysKept && a.mustKeep(nowMs, line) {
+			alwaysKept++
+			c.alwaysKept = true
 			c.rank = math.Inf(1)
 		} else {
 			c.rank = math.Max(float64(line.Attempts), 0.5) / uniform(report.Sender, report.Seq, line.Endpoint)
--- a/telemetry/sender.go
+++ b/telemetry/sender.go
@@ -15,8 +15,8 @@
 
 // zone is the state that a zone's senders share.
 type zone struct {
-	senders int
-	covered float64 // time that the reports of all its senders covered, in ms, weighted by age
+	senders   int
+	coveredMs float64 // time that the reports of all its senders covered, in ms, weighted by age
 }
 
 // Join admits a sender. Its clock offset and sequence numbers start over. It returns false, and the sender stays
@@ -39,10 +39,10 @@
 	}
 	a.zone(s.zone).senders--
 	delete(a.senders, id)
-	for key, demand := range a.demandSums {
+	for key, demand := range a.requestSums {
 		if key.proxy == id {
 			a.dequeue(demand)
-			delete(a.demandSums, key)
+			delete(a.requestSums, key)
 		}
 	}
 }
--- a/telemetry/sum.go
+++ b/telemetry/sum.go
@@ -11,7 +11,7 @@
 type sum[L any] struct {
 	zoneEndpoint zoneEndpoint // its key, unless isDemand
 	proxyClass   proxyClass   // its key, if isDemand
-	isDemand     bool
+	isRequestSum bool
 
 	queued     bool // it is pending
 	urgent     bool // it is flushed before sums that are not
@@ -25,8 +25,8 @@
 	ageMs     float64 // total of the contributions' ages, each times its weight
 	spanMs    float64 // demand only: time covered
 
-	zoneCovered float64 // zone.covered at the last flush
-	carry       float64 // attempts that rounding left over at the last flush; not weighted
+	zoneCoveredMs float64 // zone.covered at the last flush
+	carry         float64 // attempts that rounding left over at the last flush; not weighted
 
 	load      L // the endpoint's newest load report
 	hasLoad   bool
@@ -42,7 +42,7 @@
 	s.weight *= factor
 	s.ageMs *= factor
 	s.spanMs *= factor
-	s.zoneCovered *= factor
+	s.zoneCoveredMs *= factor
 }
 
 // addAge adds the mean age of a contribution's figures.
@@ -58,9 +58,9 @@
 
 // reset empties a sum after it was flushed or evicted. The time that its zone's reports have covered so far is used up.
 func (a *Aggregator[L]) reset(s *sum[L]) {
-	if s.isDemand {
-		*s = sum[L]{proxyClass: s.proxyClass, isDemand: true}
+	if s.isRequestSum {
+		*s = sum[L]{proxyClass: s.proxyClass, isRequestSum: true}
 		return
 	}
-	*s = sum[L]{zoneEndpoint: s.zoneEndpoint, zoneCovered: a.zone(s.zoneEndpoint.zone).covered, carry: s.carry}
+	*s = sum[L]{zoneEndpoint: s.zoneEndpoint, zoneCoveredMs: a.zone(s.zoneEndpoint.zone).coveredMs, carry: s.carry}
 }
