--- a/recovery/decision.go
+++ b/recovery/decision.go
@@ -39,7 +39,7 @@
 
 // Decide returns how to begin: cold if anything speaks against the record.
 func Decide(f Facts, b Limits) Decision {
-	if reason := reasonAgainst(f, b); reason != "" {
+	if reason := coldStartReason(f, b); reason != "" {
 		return Decision{Reason: "cold start: " + reason}
 	}
 	v := Decision{ReplayMs: min(f.SpanMs, b.MaxReplayMs), DowntimeMs: max(0, f.GapMs)}
@@ -54,7 +54,7 @@
 }
 
 // reasonAgainst returns the first reason not to use the record; "" if there is none.
-func reasonAgainst(f Facts, b Limits) string {
+func coldStartReason(f Facts, b Limits) string {
 	switch {
 	case f.Runs == 0:
 		return "there is no record"
--- a/recovery/explore_test.go
+++ b/recovery/explore_test.go
@@ -18,8 +18,8 @@
 // that ship; only sockets, disk and lock are the explorer's.
 
 // rebuild repeats steps from the start.
-func rebuild(planted faults, path []string) *world {
-	w := newWorld(planted)
+func rebuild(injected faults, path []string) *system {
+	w := newSystem(injected)
 	for _, name := range path {
 		w.steps()[name]()
 	}
@@ -32,8 +32,8 @@
 	children  map[string]string // signatures by step
 }
 
-func expand(planted faults, path []string) expansion {
-	w := rebuild(planted, path)
+func expand(injected faults, path []string) expansion {
+	w := rebuild(injected, path)
 	steps := w.steps()
 	settled := true
 	for name := range steps {
@@ -44,7 +44,7 @@
 	}
 	children := map[string]string{}
 	for name := range steps {
-		child := rebuild(planted, path)
+		child := rebuild(injected, path)
 		child.steps()[name]()
 		children[name] = child.signature()
 	}
@@ -52,13 +52,13 @@
 }
 
 // expandAll expands the states that paths lead to, as many at once as there are processors.
-func expandAll(planted faults, paths [][]string) []expansion {
+func expandAll(injected faults, paths [][]string) []expansion {
 	all := make([]expansion, len(paths))
 	var g errgroup.Group
 	g.SetLimit(runtime.GOMAXPROCS(0))
 	for i, path := range paths {
 		g.Go(func() error {
-			all[i] = expand(planted, path)
+			all[i] = expand(injected, path)
 			return nil
 		})
 	}
@@ -68,12 +68,12 @@
 
 // explore visits every state that can be reached, breadth first, up to about maxStates, and returns how many there
 // were, and the shortest path to a state with a violation.
-func explore(planted faults, maxStates int) (states int, path []string, violation string) {
+func explore(injected faults, maxStates int) (states int, path []string, violation string) {
 	seen := map[string]bool{}
 	level := [][]string{nil}
 	for len(level) > 0 && states < maxStates {
 		var next [][]string
-		for i, e := range expandAll(planted, level) {
+		for i, e := range expandAll(injected, level) {
 			if e.violation != "" {
 				return states, level[i], e.violation
 			}
@@ -92,11 +92,11 @@
 	return states, nil, ""
 }
 
-// TestExplored visits all orders of steps of recovery and handover, and shows that faults which are planted are found.
-func TestExplored(t *testing.T) {
+// TestExplored visits all orders of steps of recovery and handover, and shows that faults which are injected are found.
+func TestNoViolationInReachableStates(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		planted   faults
+		injected   faults
 		maxStates int // docs/records.md has what all of them came to
 		want      string
 	}{
@@ -117,7 +117,7 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			states, path, violation := explore(c.planted, c.maxStates)
+			states, path, violation := explore(c.injected, c.maxStates)
 			require.Equal(t, c.want, violation, "%v", path)
 			if c.want == "" {
 				assert.Greater(t, states, 10_000)
--- a/recovery/predecessor.go
+++ b/recovery/predecessor.go
@@ -6,8 +6,8 @@
 	// that one serves.
 	MaxLockAttempts int
 
-	state    state
-	refusals int // of the lock, in a row
+	state              state
+	failedLockAttempts int // of the lock, in a row
 }
 
 // Replaced returns whether another process serves now.
@@ -64,7 +64,7 @@
 		return End
 	}
 	o.state = stateReclaiming
-	o.refusals = 0
+	o.failedLockAttempts = 0
 	return AcquireLock
 }
 
@@ -75,8 +75,8 @@
 		o.state = stateServing
 		return StartPilot
 	case LockRefused:
-		o.refusals++
-		if o.refusals < o.MaxLockAttempts {
+		o.failedLockAttempts++
+		if o.failedLockAttempts < o.MaxLockAttempts {
 			return AcquireLock
 		}
 		o.state = stateEnded
--- a/recovery/world_check_test.go
+++ b/recovery/world_check_test.go
@@ -10,7 +10,7 @@
 )
 
 // violationIn returns what no state may show and, where nothing more can happen by itself, what then must hold.
-func (w *world) violationIn(settled bool) string {
+func (w *system) violationIn(settled bool) string {
 	if w.violation != "" {
 		return w.violation
 	}
@@ -18,18 +18,18 @@
 		return "an effect was ordered twice"
 	}
 	for k, p := range w.proxies {
-		if p.follower.EligibleCount(0) == 0 {
+		if p.router.EligibleCount(0) == 0 {
 			return fmt.Sprintf("p%d has no line", k)
 		}
 	}
 	if settled {
-		return w.violationInTheEnd()
+		return w.finalViolation()
 	}
 	return ""
 }
 
 // violationInTheEnd returns what is wrong when nothing more happens: one process serves, and all proxies follow it.
-func (w *world) violationInTheEnd() string {
+func (w *system) finalViolation() string {
 	running := 0
 	for _, p := range w.processes {
 		if p.core != nil {
@@ -40,16 +40,16 @@
 		return fmt.Sprintf("%d processes run the pilot in the end", running)
 	}
 	for k, p := range w.proxies {
-		usesDrained := w.listChanges > 0 && p.follower.Eligible(0, "e0")
-		if p.joined < 0 || usesDrained || !p.follower.Eligible(0, "e1") {
-			return fmt.Sprintf("p%d is at %d and may pick from %v in the end", k, p.joined, p.follower.Endpoints())
+		usesDrained := w.listChanges > 0 && p.router.Eligible(0, "e0")
+		if p.joined < 0 || usesDrained || !p.router.Eligible(0, "e1") {
+			return fmt.Sprintf("p%d is at %d and may pick from %v in the end", k, p.joined, p.router.Endpoints())
 		}
 	}
 	return ""
 }
 
 // signature tells states apart.
-func (w *world) signature() string {
+func (w *system) signature() string {
 	var b strings.Builder
 	for i, p := range w.processes {
 		fmt.Fprintf(&b, "%v %+v %+v %d %v %v %v %d %v|", p.alive, p.predecessor, p.successor, p.action, p.requested,
@@ -68,7 +68,7 @@
 }
 
 func (p *proxy) signature() string {
-	s := fmt.Sprintf("%d %v %v %v", p.joined, p.follower.HeldTables(), p.follower.Eligible(0, "e0"), p.follower.Eligible(0, "e1"))
+	s := fmt.Sprintf("%d %v %v %v", p.joined, p.router.HeldTables(), p.router.Eligible(0, "e0"), p.router.Eligible(0, "e1"))
 	for _, commands := range p.incoming {
 		s += fmt.Sprint(commands.Ops)
 	}
--- a/recovery/world_planner_test.go
+++ b/recovery/world_planner_test.go
@@ -10,16 +10,16 @@
 )
 
 // plainPlanner puts all endpoints into one table, excludes those that drain, and passes each gossip on once.
-type plainPlanner struct {
+type stubPlanner struct {
 	phase  map[int]planner.Phase // by endpoint
 	joined map[int]bool          // proxies without a table yet
 }
 
 // Reconfigure does nothing.
-func (p *plainPlanner) Reconfigure(map[string]any) {}
+func (p *stubPlanner) Reconfigure(map[string]any) {}
 
 // Handle answers events at once.
-func (p *plainPlanner) Handle(_ float64, events []planner.Event) (commands []planner.Command) {
+func (p *stubPlanner) Handle(_ float64, events []planner.Event) (commands []planner.Command) {
 	for _, event := range events {
 		switch event := event.(type) {
 		case planner.EndpointUpdate:
@@ -44,7 +44,7 @@
 	return commands
 }
 
-func (p *plainPlanner) endpoint(e planner.Entry) (commands []planner.Command) {
+func (p *stubPlanner) endpoint(e planner.Entry) (commands []planner.Command) {
 	before, known := p.phase[e.Endpoint]
 	if !known {
 		commands = append(commands, planner.SetWeight{Table: 1, Endpoint: e.Endpoint, Weight: 1})
@@ -56,10 +56,10 @@
 	return commands
 }
 
-// options returns a core's options. While a record is replayed nothing goes out, unless that is the planted fault.
-func (w *world) options(replayed bool) controller.Options {
+// options returns a core's options. While a record is replayed nothing goes out, unless that is the injected fault.
+func (w *system) options(replayed bool) controller.Options {
 	options := controller.Options{
-		Decider:        &plainPlanner{phase: map[int]planner.Phase{}, joined: map[int]bool{}},
+		Decider:        &stubPlanner{phase: map[int]planner.Phase{}, joined: map[int]bool{}},
 		Settings:       map[string]any{},
 		Zones:          []string{"a"},
 		Machines:       []string{"std"},
@@ -80,7 +80,7 @@
 }
 
 // transport counts the gossip that is commanded, if it has a world.
-type transport struct{ world *world }
+type transport struct{ system *system }
 
 // Watch does nothing.
 func (transport) Watch(bool) {}
@@ -93,7 +93,7 @@
 
 // Tell counts.
 func (t transport) Tell(int, string) {
-	if t.world != nil {
-		t.world.gossipCommanded++
+	if t.system != nil {
+		t.system.gossipCommanded++
 	}
 }
--- a/recovery/world_steps_test.go
+++ b/recovery/world_steps_test.go
@@ -12,7 +12,7 @@
 // steps are what can happen now, by name. Those whose name begins with "!" are faults: nothing waits for them.
 type steps map[string]func()
 
-func (w *world) steps() steps {
+func (w *system) steps() steps {
 	s := steps{}
 	w.addRequest(s)
 	for i, p := range w.processes {
@@ -20,13 +20,13 @@
 			w.addProcessSteps(s, i)
 		}
 	}
-	w.addWorldSteps(s)
+	w.addEnvironmentSteps(s)
 	w.addProxySteps(s)
 	return w.reduce(s)
 }
 
 // addRequest lets the successor request to take over.
-func (w *world) addRequest(s steps) {
+func (w *system) addRequest(s steps) {
 	successor := w.processes[successorIndex]
 	if !successor.alive || successor.requested {
 		return
@@ -43,7 +43,7 @@
 }
 
 // addProcessSteps lets a process act, hear of the other or of the endpoint list, or crash.
-func (w *world) addProcessSteps(s steps, i int) {
+func (w *system) addProcessSteps(s steps, i int) {
 	p := w.processes[i]
 	if p.action != recovery.Nothing {
 		s[fmt.Sprint("do ", i)] = func() { w.act(i) }
@@ -73,7 +73,7 @@
 }
 
 // crash ends a process; what it had not committed is gone.
-func (w *world) crash(i int) {
+func (w *system) crash(i int) {
 	p := w.processes[i]
 	w.crashes++
 	if p.core != nil {
@@ -88,7 +88,7 @@
 
 // addWorldSteps lets the connection break, the endpoint list change, gossip come, the disk catch up, and a process be
 // restarted by whoever watches over processes.
-func (w *world) addWorldSteps(s steps) {
+func (w *system) addEnvironmentSteps(s steps) {
 	if w.losses == 0 && !w.cut {
 		s["!cut"] = func() {
 			w.losses++
@@ -117,7 +117,7 @@
 }
 
 // restart starts the first process again, with its controller if the lock is free.
-func (w *world) restart() {
+func (w *system) restart() {
 	w.restarts++
 	p := w.processes[predecessorIndex]
 	p.alive = true
@@ -128,11 +128,11 @@
 }
 
 // addProxySteps lets proxies apply what came and join whoever runs a controller.
-func (w *world) addProxySteps(s steps) {
+func (w *system) addProxySteps(s steps) {
 	for k, p := range w.proxies {
 		if len(p.incoming) > 0 {
 			s[fmt.Sprint("apply ", k)] = func() {
-				p.follower.Apply(p.incoming[0].Ops)
+				p.router.Apply(p.incoming[0].Ops)
 				p.incoming = p.incoming[1:]
 			}
 		}
@@ -148,26 +148,26 @@
 }
 
 // join opens a proxy's stream to a process.
-func (w *world) join(k, i int) {
+func (w *system) join(k, i int) {
 	p := w.proxies[k]
 	hello := wire.Hello{
 		Version: 1,
 		Proxy:   fmt.Sprint("p", k),
 		Zone:    "a",
 		Rate:    1,
-		Fresh:   p.follower.Fresh(),
-		Holds:   p.follower.Endpoints(),
-		Tables:  p.follower.HeldTables(),
+		Fresh:   p.router.Fresh(),
+		Holds:   p.router.Endpoints(),
+		Tables:  p.router.HeldTables(),
 	}
 	p.joined = i
-	p.stream = &stream{world: w, process: i, proxy: k}
-	p.follower.StreamJoined()
+	p.stream = &stream{system: w, process: i, proxy: k}
+	p.router.StreamJoined()
 	w.feed(i, controller.ProxyJoined{Stream: p.stream, Hello: hello})
 }
 
 // reduce leaves out orders of steps that come to the same: what a proxy applies touches nothing but itself, so it comes
 // first, unless its stream could end before.
-func (w *world) reduce(s steps) steps {
+func (w *system) reduce(s steps) steps {
 	for k := range w.proxies {
 		apply := fmt.Sprint("apply ", k)
 		if s[apply] == nil {
--- a/recovery/world_test.go
+++ b/recovery/world_test.go
@@ -23,7 +23,7 @@
 	locked      bool             // it holds the lock
 }
 
-// faults are planted.
+// faults are injected.
 type faults struct {
 	withGossip      bool // gossip comes instead of a change of the endpoint list
 	resumesUnlocked bool // the predecessor goes on without the lock, as it did before there was one
@@ -33,7 +33,7 @@
 
 // proxy follows whoever has its stream.
 type proxy struct {
-	follower *routing.Router
+	router   *routing.Router
 	joined   int // a process, -1 none
 	incoming []*wire.Commands
 	stream   *stream
@@ -41,17 +41,17 @@
 
 // stream is a proxy's end in a process.
 type stream struct {
-	world   *world
+	system  *system
 	process int
 	proxy   int
 }
 
 // Send hands commands to the proxy, if this is its stream still.
 func (s *stream) Send(commands *wire.Commands) error {
-	if !s.world.processes[s.process].locked {
-		s.world.violation = "a process without the claim wrote to a proxy"
+	if !s.system.processes[s.process].locked {
+		s.system.violation = "a process without the claim wrote to a proxy"
 	}
-	p := s.world.proxies[s.proxy]
+	p := s.system.proxies[s.proxy]
 	if p.stream == s {
 		p.incoming = append(p.incoming, commands)
 	}
@@ -65,7 +65,7 @@
 func (s *stream) Close(string) {}
 
 // world is one state, built by its steps.
-type world struct {
+type system struct {
 	faults          faults
 	processes       [2]*process
 	proxies         [3]*proxy
@@ -91,9 +91,9 @@
 	successorIndex   = 1
 )
 
-func newWorld(planted faults) *world {
-	w := &world{faults: planted, lockHolder: predecessorIndex}
-	if planted.withGossip {
+func newSystem(injected faults) *system {
+	w := &system{faults: injected, lockHolder: predecessorIndex}
+	if injected.withGossip {
 		w.listChanges = 1
 	} else {
 		w.gossipSent = 1
@@ -108,14 +108,14 @@
 	for i := range w.proxies {
 		habits := routing.Policy{Classes: []string{"read"}}
 		follower := routing.NewRouter(habits, []string{"e0", "e1"}, uint64(i))
-		w.proxies[i] = &proxy{joined: -1, follower: follower}
+		w.proxies[i] = &proxy{joined: -1, router: follower}
 	}
 	w.startController(predecessorIndex)
 	return w
 }
 
 // startController starts a process's controller on what the disk holds.
-func (w *world) startController(i int) {
+func (w *system) startController(i int) {
 	p := w.processes[i]
 	core := w.restoredCore()
 	options := w.options(false)
@@ -137,7 +137,7 @@
 }
 
 // restoredCore returns a core rebuilt from what the disk holds, nil if that is nothing.
-func (w *world) restoredCore() *controller.Core {
+func (w *system) restoredCore() *controller.Core {
 	if w.committed == 0 {
 		return nil
 	}
@@ -150,7 +150,7 @@
 }
 
 // stopController ends a process's controller and the streams to it.
-func (w *world) stopController(i int) {
+func (w *system) stopController(i int) {
 	w.processes[i].core = nil
 	for _, p := range w.proxies {
 		if p.joined == i {
@@ -162,7 +162,7 @@
 }
 
 // feed gives a process's controller an input.
-func (w *world) feed(i int, in controller.Input) {
+func (w *system) feed(i int, in controller.Input) {
 	p := w.processes[i]
 	w.nowMs++
 	p.core.Handle(w.nowMs, []controller.Input{in})
@@ -170,7 +170,7 @@
 }
 
 // acquireLock returns whether a process holds the lock, which it gets if nobody does.
-func (w *world) acquireLock(i int) bool {
+func (w *system) acquireLock(i int) bool {
 	if w.lockHolder < 0 {
 		w.lockHolder = i
 		w.processes[i].locked = true
@@ -178,7 +178,7 @@
 	return w.lockHolder == i
 }
 
-func (w *world) releaseLock(i int) {
+func (w *system) releaseLock(i int) {
 	if w.processes[i].locked {
 		w.lockHolder = -1
 		w.processes[i].locked = false
@@ -186,7 +186,7 @@
 }
 
 // report hands an event to a process's state machine.
-func (w *world) report(i int, e recovery.Event) {
+func (w *system) report(i int, e recovery.Event) {
 	p := w.processes[i]
 	p.waiting = false
 	if p.successor != nil {
@@ -197,20 +197,20 @@
 }
 
 // send sends a message to the other process, as the event that it will be there.
-func (w *world) send(from int, e recovery.Event) {
+func (w *system) send(from int, e recovery.Event) {
 	if !w.cut {
 		w.messages[1-from] = append(w.messages[1-from], e)
 	}
 }
 
 // sendAndWait sends a message that wants an answer.
-func (w *world) sendAndWait(from int, e recovery.Event) {
+func (w *system) sendAndWait(from int, e recovery.Event) {
 	w.send(from, e)
 	w.processes[from].waiting = true
 }
 
 // act does what a process's state machine wants.
-func (w *world) act(i int) {
+func (w *system) act(i int) {
 	p := w.processes[i]
 	action := p.action
 	p.action = recovery.Nothing
@@ -243,8 +243,8 @@
 	}
 }
 
-// tryLock returns what came of trying the lock. A planted fault takes it for got.
-func (w *world) tryLock(i int) recovery.Event {
+// tryLock returns what came of trying the lock. A injected fault takes it for got.
+func (w *system) tryLock(i int) recovery.Event {
 	ignoresLock := w.faults.resumesUnlocked
 	if w.processes[i].successor != nil {
 		ignoresLock = w.faults.startsUnlocked
@@ -256,7 +256,7 @@
 }
 
 // endpointList is the whole list as it is now: endpoint 0 drains after its change.
-func (w *world) endpointList() controller.Input {
+func (w *system) endpointList() controller.Input {
 	l := &wire.List{Version: w.listChanges, Whole: true}
 	for i := range endpoints {
 		e := wire.Entry{Endpoint: fmt.Sprint("e", i), Zone: "a", Machine: "std", Weight: 1}
