--- a/internal/wire/collapse.go
+++ b/internal/wire/collapse.go
@@ -28,7 +28,7 @@
 type opKey struct {
 	kind     OpKind
 	table    int
-	kinds    int
+	classes  int
 	endpoint string
 	number   int
 }
@@ -42,7 +42,7 @@
 		key.endpoint = o.Endpoint
 	case OpSetAdmission, OpAssignTable:
 		key.table = o.Table
-		key.kinds = o.Classes
+		key.classes = o.Classes
 	case OpSetExcluded:
 		key.endpoint = o.Endpoint
 	case OpAckRequest:
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -40,7 +40,7 @@
 }
 
 // TestFrameBytesStay checks that the frames of the samples keep their bytes, which peers of other builds read.
-func TestFrameBytesStay(t *testing.T) {
+func TestFrameEncodingUnchanged(t *testing.T) {
 	const want = "cbda7e13fa89e217fddffb755029e31df501d26d7f8f812d46b035e67e6832d4"
 	assert.Equal(t, want, fmt.Sprintf("%x", sha256.Sum256(writeSamples(t).Bytes())))
 }
@@ -59,8 +59,8 @@
 
 // TestMalformed checks the errors of malformed frames and bodies.
 func TestMalformed(t *testing.T) {
-	beat := rawFrame(typeBeat, 1, []byte{0})
-	sums := encodeBody(sampleSums)
+	beat := rawFrame(typeHeartbeat, 1, []byte{0})
+	sums := encodeBody(sampleLoadReport)
 	sumsHead := make([]byte, 17) // Seq, AtMs and SpanMs: 1 + 8 + 8 bytes
 	ordersHead := make([]byte, 17)
 	for _, c := range []struct {
@@ -69,25 +69,25 @@
 		want error
 	}{
 		{"truncated header", beat[:5], io.ErrUnexpectedEOF},
-		{"truncated body", rawFrame(typeSums, 1, sums)[:20], io.ErrUnexpectedEOF},
+		{"truncated body", rawFrame(typeLoadReport, 1, sums)[:20], io.ErrUnexpectedEOF},
 		{"truncated header with a length beyond the limit", binary.BigEndian.AppendUint32(nil, 1<<30), io.ErrUnexpectedEOF},
-		{"length beyond the limit", rawFrame(typeBeat, 1, make([]byte, 5000)), ErrTooLarge},
-		{"first frame numbered 2", rawFrame(typeBeat, 2, []byte{0}), ErrSequence},
+		{"length beyond the limit", rawFrame(typeHeartbeat, 1, make([]byte, 5000)), ErrTooLarge},
+		{"first frame numbered 2", rawFrame(typeHeartbeat, 2, []byte{0}), ErrSequence},
 		{"repeated frame", append(bytes.Clone(beat), beat...), ErrSequence},
-		{"missing frame", append(bytes.Clone(beat), rawFrame(typeBeat, 3, []byte{0})...), ErrSequence},
+		{"missing frame", append(bytes.Clone(beat), rawFrame(typeHeartbeat, 3, []byte{0})...), ErrSequence},
 		{"unknown message type", rawFrame(200, 1, nil), ErrType},
-		{"trailing byte in the body", rawFrame(typeBeat, 1, []byte{1, 1}), ErrTrailing},
-		{"body that ends early", rawFrame(typeSums, 1, sums[:len(sums)-3]), ErrTruncated},
-		{"more items than bytes", rawFrame(typeSums, 1, append(sumsHead, 0xff, 0x01)), ErrTruncated},
-		{"more items than MaxItems", rawFrame(typeSums, 1, append(sumsHead, 0xff, 0xff, 0xff, 0x7f)), ErrValue},
+		{"trailing byte in the body", rawFrame(typeHeartbeat, 1, []byte{1, 1}), ErrTrailing},
+		{"body that ends early", rawFrame(typeLoadReport, 1, sums[:len(sums)-3]), ErrTruncated},
+		{"more items than bytes", rawFrame(typeLoadReport, 1, append(sumsHead, 0xff, 0x01)), ErrTruncated},
+		{"more items than MaxItems", rawFrame(typeLoadReport, 1, append(sumsHead, 0xff, 0xff, 0xff, 0x7f)), ErrValue},
 		{"text longer than MaxText", rawFrame(typeRefuse, 1, append([]byte{0x80, 0x02}, make([]byte, 256)...)), ErrValue},
 		{"text that is not UTF-8", rawFrame(typeRefuse, 1, []byte{1, 0xff}), ErrValue},
 		{"NaN", messageFrame(&Done{TookMs: math.NaN()}), ErrValue},
 		{"negative float", messageFrame(&Done{TookMs: -1}), ErrValue},
 		{"negative count", messageFrame(&Done{Mark: -1}), ErrValue},
 		{"more failures than tries", messageFrame(&LoadReport{EndpointStats: []EndpointStats{{Endpoint: "x", Attempts: 1, Failed: 2}}}), ErrValue},
-		{"bool of 2", rawFrame(typeListAsk, 1, []byte{0, 2, 0}), ErrValue},
-		{"unknown operation", rawFrame(typeOrders, 1, append(ordersHead, 1, 99)), ErrValue},
+		{"bool of 2", rawFrame(typeListRequest, 1, []byte{0, 2, 0}), ErrValue},
+		{"unknown operation", rawFrame(typeCommands, 1, append(ordersHead, 1, 99)), ErrValue},
 		{"hello without a name", messageFrame(&Hello{Version: 1, Zone: "a"}), ErrValue},
 		{"unknown phase", messageFrame(&List{Entries: []Entry{{Endpoint: "x", Phase: 3}}}), ErrValue},
 		{"empty key range", messageFrame(&Slices{From: "b", To: "a"}), ErrValue},
--- a/internal/wire/list.go
+++ b/internal/wire/list.go
@@ -7,7 +7,7 @@
 	Whole bool   // send the complete list once
 }
 
-func (*ListRequest) messageType() Type { return typeListAsk }
+func (*ListRequest) messageType() Type { return typeListRequest }
 
 func (m *ListRequest) encode(e *encoder) {
 	e.text(m.Pilot)
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -30,22 +30,22 @@
 
 // The message types. Their values are part of the protocol.
 const (
-	typeHello    Type = 1
-	typeWelcome  Type = 2
-	typeRefuse   Type = 3
-	typeBeat     Type = 4
-	typeSums     Type = 5
-	typeDone     Type = 6
-	typeOrders   Type = 7
-	typeRedirect Type = 8
-	typeBye      Type = 9
-	typeListAsk  Type = 10
-	typeList     Type = 11
-	typeReq      Type = 12
-	typeAnswer   Type = 13
-	typeProbe    Type = 14
-	typePace     Type = 15
-	typeSlices   Type = 16
+	typeHello       Type = 1
+	typeWelcome     Type = 2
+	typeRefuse      Type = 3
+	typeHeartbeat   Type = 4
+	typeLoadReport  Type = 5
+	typeDone        Type = 6
+	typeCommands    Type = 7
+	typeRedirect    Type = 8
+	typeBye         Type = 9
+	typeListRequest Type = 10
+	typeList        Type = 11
+	typeRequest     Type = 12
+	typeResponse    Type = 13
+	typeProbe       Type = 14
+	typePace        Type = 15
+	typeSlices      Type = 16
 )
 
 // newMessage returns an empty message of a type, nil if the type is unknown.
@@ -57,25 +57,25 @@
 		return &Welcome{}
 	case typeRefuse:
 		return &Refuse{}
-	case typeBeat:
+	case typeHeartbeat:
 		return &Heartbeat{}
-	case typeSums:
+	case typeLoadReport:
 		return &LoadReport{}
 	case typeDone:
 		return &Done{}
-	case typeOrders:
+	case typeCommands:
 		return &Commands{}
 	case typeRedirect:
 		return &Redirect{}
 	case typeBye:
 		return &Bye{}
-	case typeListAsk:
+	case typeListRequest:
 		return &ListRequest{}
 	case typeList:
 		return &List{}
-	case typeReq:
+	case typeRequest:
 		return &Request{}
-	case typeAnswer:
+	case typeResponse:
 		return &Response{}
 	case typeProbe:
 		return &Probe{}
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -8,7 +8,7 @@
 )
 
 // sampleSums has every field set.
-var sampleSums = &LoadReport{
+var sampleLoadReport = &LoadReport{
 	Seq:           3,
 	AtMs:          5.5,
 	SpanMs:        1000,
@@ -28,7 +28,7 @@
 	&Heartbeat{LastProcessed: 70000},
 	&Redirect{Reason: "stops"},
 	&Bye{},
-	sampleSums,
+	sampleLoadReport,
 	&Done{Mark: 65534, TookMs: 0.25},
 	&Commands{AtMs: 5, AgeMs: 1.5, Lines: 9, Ops: []Op{
 		{Kind: OpAssignTable, Table: 3, Classes: 5, KeepLines: true},
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -11,7 +11,7 @@
 	Ops   []Op
 }
 
-func (*Commands) messageType() Type { return typeOrders }
+func (*Commands) messageType() Type { return typeCommands }
 
 func (m *Commands) encode(e *encoder) {
 	e.float(m.AtMs)
--- a/internal/wire/report.go
+++ b/internal/wire/report.go
@@ -40,7 +40,7 @@
 	Unanswered int
 }
 
-func (*LoadReport) messageType() Type { return typeSums }
+func (*LoadReport) messageType() Type { return typeLoadReport }
 
 func (m *LoadReport) encode(e *encoder) {
 	e.uvarint(m.Seq)
@@ -48,7 +48,7 @@
 	e.float(m.SpanMs)
 	e.length(len(m.EndpointStats))
 	for i := range m.EndpointStats {
-		e.met(&m.EndpointStats[i])
+		e.endpointStats(&m.EndpointStats[i])
 	}
 	e.length(len(m.RequestStats))
 	for _, demand := range m.RequestStats {
@@ -69,36 +69,36 @@
 	m.Seq = d.uvarint()
 	m.AtMs = d.float()
 	m.SpanMs = d.float()
-	m.EndpointStats = decodeList(d, (*decoder).met)
-	m.RequestStats = decodeList(d, (*decoder).demand)
-	m.SliceStats = decodeList(d, (*decoder).sliceLoad)
+	m.EndpointStats = decodeList(d, (*decoder).endpointStats)
+	m.RequestStats = decodeList(d, (*decoder).requestStats)
+	m.SliceStats = decodeList(d, (*decoder).sliceStats)
 }
 
-func (e *encoder) met(m *EndpointStats) {
+func (e *encoder) endpointStats(m *EndpointStats) {
 	e.text(m.Endpoint)
 	e.varint(m.Attempts)
 	e.varint(m.Failed)
 	e.float(m.MeanMs)
-	e.figures(m.Load)
+	e.loadMetrics(m.Load)
 }
 
-func (d *decoder) met() EndpointStats {
-	m := EndpointStats{Endpoint: d.text(), Attempts: d.count(), Failed: d.count(), MeanMs: d.float(), Load: d.figures()}
+func (d *decoder) endpointStats() EndpointStats {
+	m := EndpointStats{Endpoint: d.text(), Attempts: d.count(), Failed: d.count(), MeanMs: d.float(), Load: d.loadMetrics()}
 	if m.Failed > m.Attempts {
 		d.fail(ErrValue)
 	}
 	return m
 }
 
-func (d *decoder) demand() RequestStats {
+func (d *decoder) requestStats() RequestStats {
 	return RequestStats{Class: d.text(), Requests: d.count(), Unanswered: d.count()}
 }
 
-func (d *decoder) sliceLoad() SliceStats {
+func (d *decoder) sliceStats() SliceStats {
 	return SliceStats{Slice: d.count(), Class: d.text(), Requests: d.count(), Unanswered: d.count()}
 }
 
-func (e *encoder) figures(figures []LoadMetric) {
+func (e *encoder) loadMetrics(figures []LoadMetric) {
 	e.length(len(figures))
 	for _, figure := range figures {
 		e.text(figure.Name)
@@ -106,9 +106,9 @@
 	}
 }
 
-func (d *decoder) figures() []LoadMetric { return decodeList(d, (*decoder).figure) }
+func (d *decoder) loadMetrics() []LoadMetric { return decodeList(d, (*decoder).loadMetric) }
 
-func (d *decoder) figure() LoadMetric {
+func (d *decoder) loadMetric() LoadMetric {
 	return LoadMetric{Name: d.text(), Value: d.float()}
 }
 
--- a/internal/wire/request.go
+++ b/internal/wire/request.go
@@ -11,7 +11,7 @@
 	TimeoutMs float64 // for which the sender waits
 }
 
-func (*Request) messageType() Type { return typeReq }
+func (*Request) messageType() Type { return typeRequest }
 
 func (m *Request) encode(e *encoder) {
 	e.uvarint(m.Number)
@@ -51,13 +51,13 @@
 	Load         []LoadMetric // the endpoint's load report
 }
 
-func (*Response) messageType() Type { return typeAnswer }
+func (*Response) messageType() Type { return typeResponse }
 
 func (m *Response) encode(e *encoder) {
 	e.uvarint(m.Number)
 	e.byte(byte(m.Outcome))
 	e.float(m.RetryAfterMs)
-	e.figures(m.Load)
+	e.loadMetrics(m.Load)
 }
 
 func (m *Response) decode(d *decoder) {
@@ -67,7 +67,7 @@
 	if m.Outcome < Succeeded || m.Outcome > Denied {
 		d.fail(ErrValue)
 	}
-	m.Load = d.figures()
+	m.Load = d.loadMetrics()
 }
 
 // Probe is a health check: it asks an endpoint for a load report, which is answered without queueing.
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -117,7 +117,7 @@
 // side that was processed: a proxy whose heartbeats arrive while its Seen doesn't advance has stopped reading.
 type Heartbeat struct{ LastProcessed uint32 }
 
-func (*Heartbeat) messageType() Type { return typeBeat }
+func (*Heartbeat) messageType() Type { return typeHeartbeat }
 
 func (m *Heartbeat) encode(e *encoder) { e.uvarint(uint64(m.LastProcessed)) }
 
