--- a/internal/simulator/conversation_test.go
+++ b/internal/simulator/conversation_test.go
@@ -20,7 +20,7 @@
 
 // TestConversationStays feeds the adapter a recorded conversation of three instances, with every kind of event in it, and
 // holds its replies byte by byte against those of commit 7c7c6c6.
-func TestConversationStays(t *testing.T) {
+func TestRecordedConversation(t *testing.T) {
 	const input, output = "testdata/conversation.in.jsonl.gz", "testdata/conversation.out.jsonl.gz"
 	if *update {
 		batches := script()
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -47,9 +47,9 @@
 	Setup map[string]any `json:"setup"`
 
 	// Endpoint list. Number is the list's version; in an acknowledgement it is the number of the request.
-	Mode   string     `json:"mode"`
-	Number int        `json:"epoch"`
-	Lines  []listLine `json:"hosts"`
+	Mode    string     `json:"mode"`
+	Number  int        `json:"epoch"`
+	Entries []listLine `json:"hosts"`
 
 	// Timer.
 	Timer string `json:"ref"`
@@ -143,8 +143,8 @@
 		return nil, fmt.Errorf("unknown mode of list %q", e.Mode)
 	}
 	listing := planner.EndpointUpdate{Mode: mode, Version: e.Number}
-	for i := range e.Lines {
-		entry, err := in.decodeListLine(&e.Lines[i])
+	for i := range e.Entries {
+		entry, err := in.decodeListLine(&e.Entries[i])
 		if err != nil {
 			return nil, err
 		}
@@ -171,7 +171,7 @@
 		Weight:   line.Weight,
 	}
 	if line.LaunchedNs != 0 {
-		entry.Started = in.planTime(line.LaunchedNs)
+		entry.Started = in.plannerTime(line.LaunchedNs)
 	}
 	return entry, nil
 }
--- a/internal/simulator/host.go
+++ b/internal/simulator/host.go
@@ -14,7 +14,7 @@
 func newHost() *host { return &host{instances: map[string]*instance{}} }
 
 // turn is one instance's part of a batch.
-type turn struct {
+type instanceBatch struct {
 	instance *instance
 	events   []planner.Event
 }
@@ -25,13 +25,13 @@
 	if err := json.Unmarshal(line, &b); err != nil {
 		return fmt.Errorf("malformed batch: %w", err)
 	}
-	turns, err := h.turns(&b)
+	parts, err := h.groupByInstance(&b)
 	if err != nil {
 		return err
 	}
 	out := reply{Number: b.Number, Commands: []command{}}
-	for _, t := range turns {
-		commands, err := t.instance.handle(b.ClockNs, t.events)
+	for _, part := range parts {
+		commands, err := part.instance.handle(b.ClockNs, part.events)
 		if err != nil {
 			return err
 		}
@@ -42,12 +42,12 @@
 
 // turns groups a batch's events by instance, in the order in which the instances first appear, and starts and ends
 // instances on the way. Instances that have ended by the end of the batch get no turn.
-func (h *host) turns(b *batch) ([]*turn, error) {
-	var order []*turn
-	byInstance := map[*instance]*turn{}
-	turnOf := func(in *instance) *turn {
+func (h *host) groupByInstance(b *batch) ([]*instanceBatch, error) {
+	var order []*instanceBatch
+	byInstance := map[*instance]*instanceBatch{}
+	batchOf := func(in *instance) *instanceBatch {
 		if byInstance[in] == nil {
-			byInstance[in] = &turn{instance: in}
+			byInstance[in] = &instanceBatch{instance: in}
 			order = append(order, byInstance[in])
 		}
 		return byInstance[in]
@@ -60,7 +60,7 @@
 		if e.Kind == eventStart {
 			in := newInstance(&e, b.ClockNs)
 			h.instances[in.name] = in
-			turnOf(in)
+			batchOf(in)
 			continue
 		}
 		in := h.instances[e.Instance]
@@ -75,21 +75,21 @@
 		if err != nil {
 			return nil, fmt.Errorf("event %d: %w", i+1, err)
 		}
-		t := turnOf(in)
-		t.events = append(t.events, decoded)
+		part := batchOf(in)
+		part.events = append(part.events, decoded)
 	}
-	return h.living(order), nil
+	return h.running(order), nil
 }
 
 // living returns the turns of instances that are still running; a restart under the same name is another instance.
-func (h *host) living(all []*turn) []*turn {
-	living := all[:0]
-	for _, t := range all {
-		if h.instances[t.instance.name] == t.instance {
-			living = append(living, t)
+func (h *host) running(all []*instanceBatch) []*instanceBatch {
+	kept := all[:0]
+	for _, part := range all {
+		if h.instances[part.instance.name] == part.instance {
+			kept = append(kept, part)
 		}
 	}
-	return living
+	return kept
 }
 
 // write writes the reply as one line.
--- a/internal/simulator/instance.go
+++ b/internal/simulator/instance.go
@@ -43,7 +43,7 @@
 		}
 	}()
 	in.trackProxies(events)
-	for _, c := range in.planner.Handle(in.planTime(clockNs), events) {
+	for _, c := range in.planner.Handle(in.plannerTime(clockNs), events) {
 		encoded, err := in.encode(c)
 		if err != nil {
 			return nil, fmt.Errorf("instance %s: %w", in.name, err)
@@ -66,7 +66,7 @@
 }
 
 // planTime converts simulator time to the planner's time: milliseconds since the instance's start.
-func (in *instance) planTime(clockNs int64) float64 {
+func (in *instance) plannerTime(clockNs int64) float64 {
 	return float64(clockNs-in.originNs) / settings.NsPerMs
 }
 
