--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -22,7 +22,7 @@
 
 // internAll assigns an index to each name of a list. Other settings are ignored.
 func (n *Names) internAll(list any) {
-	for _, name := range texts(list) {
+	for _, name := range stringList(list) {
 		n.Intern(name)
 	}
 }
@@ -46,14 +46,14 @@
 // indices returns the indices of a list of names, as JSON numbers.
 func (n *Names) indices(list any) []any {
 	var indices []any
-	for _, name := range texts(list) {
+	for _, name := range stringList(list) {
 		indices = append(indices, float64(n.Intern(name)))
 	}
 	return indices
 }
 
 // texts returns the strings of a list, or nil if the setting is not a list.
-func texts(setting any) []string {
+func stringList(setting any) []string {
 	list, _ := setting.([]any)
 	var found []string
 	for _, item := range list {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestSettingsUnderPlannerNames checks the conversion of names, values, times and references.
-func TestSettingsUnderPlannerNames(t *testing.T) {
+func TestParse(t *testing.T) {
 	d := Parse(map[string]any{
 		"kinds": []any{"m", "n"}, "dcs": []any{"a", "b"}, "fresh_key": 3.0, "zone": "b",
 		"extra": map[string]any{"push_delay": 2e6, "admission": "share"},
--- a/internal/settings/variants_test.go
+++ b/internal/settings/variants_test.go
@@ -221,7 +221,7 @@
 type proxyClass struct{ proxy, class int }
 
 // tables is the state that a planner has ordered so far.
-type tables struct {
+type tableState struct {
 	weights map[int]map[int]float64 // by table and endpoint
 	bound   map[proxyClass]int      // table
 }
@@ -230,33 +230,33 @@
 func (v *variant) checkTables(t *testing.T, d *Deployment) {
 	list, machineOf := v.fleet(d)
 	proxies := 20 * d.Zones.Len()
-	notes := []planner.Event{list}
+	events := []planner.Event{list}
 	for p := range proxies {
-		notes = append(notes, planner.ProxyJoined{Proxy: p, Zone: p % d.Zones.Len(), Rate: 5})
+		events = append(events, planner.ProxyJoined{Proxy: p, Zone: p % d.Zones.Len(), Rate: 5})
 	}
-	decider := planner.New(1, d.Settings)
-	got := tables{weights: map[int]map[int]float64{}, bound: map[proxyClass]int{}}
+	p := planner.New(1, d.Settings)
+	got := tableState{weights: map[int]map[int]float64{}, bound: map[proxyClass]int{}}
 	for round := range 60 {
-		for _, order := range decider.Handle(float64(500*round), notes) {
-			v.apply(t, &got, order)
+		for _, command := range p.Handle(float64(500*round), events) {
+			v.apply(t, &got, command)
 		}
-		notes = []planner.Event{planner.TimerFired{Name: "gather"}, planner.TimerFired{Name: "bind"}}
+		events = []planner.Event{planner.TimerFired{Name: "gather"}, planner.TimerFired{Name: "bind"}}
 	}
 	for p := range proxies {
 		for i, c := range v.Class {
 			number, bound := got.bound[proxyClass{p, i}]
 			require.True(t, bound, "proxy %d, %s", p, c.Name)
-			open := 0
+			eligible := 0
 			for endpoint, weight := range got.weights[number] {
 				if weight == 0 {
 					continue
 				}
-				open++
+				eligible++
 				if len(c.OnlyKinds) > 0 {
 					assert.Contains(t, c.OnlyKinds, d.Machines.Name(machineOf[endpoint]), c.Name)
 				}
 			}
-			assert.Positive(t, open, "proxy %d, %s", p, c.Name)
+			assert.Positive(t, eligible, "proxy %d, %s", p, c.Name)
 		}
 	}
 }
@@ -278,8 +278,8 @@
 }
 
 // apply applies a command. No endpoint is overloaded here, so all requests must be admitted.
-func (v *variant) apply(t *testing.T, got *tables, order planner.Command) {
-	switch o := order.(type) {
+func (v *variant) apply(t *testing.T, got *tableState, command planner.Command) {
+	switch o := command.(type) {
 	case planner.SetWeight:
 		if got.weights[o.Table] == nil {
 			got.weights[o.Table] = map[int]float64{}
