--- a/telemetry/aggregator.go
+++ b/telemetry/aggregator.go
@@ -3,17 +3,19 @@
 import "math"
 
 const (
-	// maxReportsStoodFor is the largest number of reports that one may represent: itself and those before it that were
-	// lost or skipped. A longer gap means that the sender was silent, from which no rate can be derived.
+	// maxRepresentedReports is the largest number of reports that one accepted report may represent: itself and the
+	// reports before it that were lost or skipped. A longer gap means that the sender was silent, and no rate can be
+	// derived from silence.
 	maxRepresentedReports = 8
-	// minLines is the quota, in lines, below which a report is skipped; the next one represents it too.
+	// minQuotaLines is the quota, in lines, below which a report is skipped. The next accepted report of the same
+	// sender then counts for the skipped one as well.
 	minQuotaLines = 1.0
-	// maxLoadAgeMs is the age at which an endpoint's own load report says nothing about its present load any more.
+	// maxLoadAgeMs is the age in ms from which on an endpoint's own load report is ignored as outdated.
 	maxLoadAgeMs = 20000
 )
 
-// Aggregator accumulates the proxies' reports until they are flushed. It is not safe for concurrent use; its caller
-// holds a lock.
+// Aggregator accumulates the load reports of proxies between two flushes. It is not safe for concurrent use. L is the
+// type of the load report of an endpoint, which the aggregator stores and returns without interpreting it.
 type Aggregator[L any] struct {
 	options    Options
 	decay      decay
@@ -22,17 +24,17 @@
 	senders    map[int]*sender
 	zones      map[int]*zone
 	endpoints  map[int]*endpoint
-	candidates []candidate // reused from report to report
+	candidates []candidate // buffer of sample, reused for each report
 
 	endpointSums map[zoneEndpoint]*sum[L]
 	requestSums  map[proxyClass]*sum[L]
-	pending      []*sum[L] // sums to flush, in the order in which they became pending
+	pending      []*sum[L] // sums that have changed since their last flush, in the order in which they first changed
 
-	Counts     [reasonCount]uint64 // lines, by what became of them
-	MaxPending int                 // the largest number of sums that have been pending at once
+	Counts     [reasonCount]uint64 // number of report lines by outcome, indexed by Reason
+	MaxPending int                 // largest number of sums that were pending at the same time
 }
 
-// New returns an aggregator without senders.
+// New returns an aggregator that has no senders and no endpoints.
 func New[L any](o Options) *Aggregator[L] {
 	return &Aggregator[L]{
 		options:      o,
@@ -47,16 +49,16 @@
 	}
 }
 
-// contribution says how the figures of one report count in the sums that they are added to.
+// contribution holds the factors with which the counts of one report are added to the sums.
 type contribution struct {
-	endMs   float64 // end of the span that the report covers, on the caller's clock
-	spanMs  float64
-	ageMs   float64 // how long the report was in transit
-	weight  float64 // mean decay weight of the span
-	reports float64 // how many reports it represents, see maxReportsStoodFor
+	endMs   float64 // end of the reported period, ms on the caller's clock
+	spanMs  float64 // length of the reported period
+	ageMs   float64 // estimated delivery delay of the report
+	weight  float64 // mean decay weight of the reported period
+	reports float64 // number of reports that this one represents, see maxRepresentedReports
 }
 
-// Add adds a report to the sums. Each of its lines is merged, sampled out or rejected, and counted in Counts.
+// Add adds a report to the sums. It merges, drops or rejects each line of the report and counts the outcome in Counts.
 func (a *Aggregator[L]) Add(nowMs float64, report *Report[L]) {
 	a.rescale(nowMs)
 	lines := report.lineCount()
@@ -83,15 +85,15 @@
 	s.tokens -= float64(len(kept) + len(report.ClassLines))
 }
 
-// admit decides whether a report is accepted. It returns how the report counts and how many of its lines the sender's
-// quota has room for; a reason other than Merged says why the report is rejected or skipped.
+// admit decides whether a report is accepted. If so, it returns the factors for the counts of the report, the number of
+// lines that the sender's quota allows, and Merged. Otherwise it returns why the report is rejected or skipped.
 func (a *Aggregator[L]) admit(
 	nowMs float64, s *sender, report *Report[L],
 ) (c contribution, room float64, reason Reason) {
 	if reason := report.validate(s.lastSeq, a.options.MaxAgeMs); reason != Merged {
 		return c, 0, reason
 	}
-	reports := float64(report.Seq - s.lastSeq) // includes those before it that were lost
+	reports := float64(report.Seq - s.lastSeq) // includes lost reports before this one
 	if s.lastSeq == 0 {
 		reports = 1
 	}
@@ -120,13 +122,14 @@
 	return c, room, Merged
 }
 
-// minRoom returns the quota, in lines, below which a report is skipped. The threshold differs from sender to sender:
-// otherwise senders that report in step would be skipped in step, and whole seconds would be without reports.
+// minQuota returns the quota, in lines, below which a report is skipped. The threshold differs between senders.
+// Otherwise senders that report at the same time would also be skipped at the same time, which would leave whole
+// seconds without any report.
 func minQuota[L any](report *Report[L]) float64 {
 	return math.Min(float64(report.lineCount()), minQuotaLines*(1+uniform(report.Sender, 0, 0)))
 }
 
-// addLine adds one line of a report to the sum of its endpoint and zone.
+// addLine adds one line of a report to the sum of its endpoint and zone, or counts why the line is rejected.
 func (a *Aggregator[L]) addLine(nowMs float64, zoneID int, line *Line[L], sampled candidate, c contribution) {
 	e := a.endpoints[line.Endpoint]
 	if line.implausible(c.spanMs) {
@@ -154,14 +157,15 @@
 	s.succeeded += scale * succeeded
 	s.busyMs += scale * succeeded * line.MeanMs
 	s.addAge(c)
-	if current == 1 { // otherwise the load report may be of the previous incarnation
+	if current == 1 { // otherwise the load report may be from before the endpoint's restart
 		s.updateLoad(line, c)
 	}
 	s.urgent = s.urgent || a.urgent(nowMs, e, s)
 	a.Counts[Merged]++
 }
 
-// updateLoad keeps a line's load report, unless there is none, it is too old, or a newer one is kept already.
+// updateLoad replaces the stored load report of the sum by that of a line, unless the line has none, it is older than
+// maxLoadAgeMs, or the stored one is newer.
 func (s *sum[L]) updateLoad(line *Line[L], c contribution) {
 	if !line.HasLoad || c.ageMs >= maxLoadAgeMs {
 		return
@@ -174,14 +178,16 @@
 	s.loadEndMs = c.endMs
 }
 
-// urgent reports whether a sum is to be flushed before others: its endpoint begins to fail, warms up, or drains.
+// urgent reports whether a sum must be flushed before others: its endpoint has started to fail, is warming up or is
+// draining.
 func (a *Aggregator[L]) urgent(nowMs float64, e *endpoint, s *sum[L]) bool {
 	beginsToFail := s.failing() && !e.failing
 	return beginsToFail || e.draining || e.warmingUp(nowMs, a.options.WarmUpMs)
 }
 
-// pendingEndpointSum returns the sum that a line belongs to, which becomes pending, or nil if too many are. A new sum
-// counts as covered what the zone's senders reported in one period: none of those reports mentioned the endpoint.
+// pendingEndpointSum returns the sum for a key and marks it as pending. It returns nil if too many sums are pending. A
+// new sum starts with the time that the zone's senders covered in the last report period, because none of their reports
+// mentioned the endpoint. mustKeep allows another sum to be evicted to make room.
 func (a *Aggregator[L]) pendingEndpointSum(nowMs float64, key zoneEndpoint, mustKeep bool) *sum[L] {
 	z := a.zone(key.zone)
 	s := a.endpointSums[key]
@@ -191,20 +197,21 @@
 		a.endpointSums[key] = s
 	}
 	if !s.queued && !a.makeRoom(mustKeep) {
-		s.zoneCoveredMs = z.coveredMs // attempts that are not counted must not count as covered time either
+		s.zoneCoveredMs = z.coveredMs // without the attempts, the time in which they were made must not count either
 		return nil
 	}
 	a.enqueue(nowMs, s)
 	return s
 }
 
-// recentlyCovered returns the weighted time that the reports of one period cover, of all the zone's senders.
+// recentlyCoveredMs returns the time that one report of each of the zone's senders covers, weighted by age and limited
+// to the time that the zone's reports have covered.
 func (a *Aggregator[L]) recentlyCoveredMs(nowMs float64, z *zone) float64 {
 	weight := a.decay.weight(nowMs)
 	return math.Min(z.coveredMs, weight*a.options.PeriodMs*float64(a.slowdown.factor)*float64(z.senders))
 }
 
-// addDemand adds one line of requests to the sum of its proxy and class.
+// addRequests adds the request counts of one class to the sum of the proxy and the class.
 func (a *Aggregator[L]) addRequests(nowMs float64, proxy int, line *ClassLine, c contribution) {
 	if line.implausible(c.spanMs) {
 		a.Counts[Implausible]++
@@ -228,7 +235,8 @@
 	a.Counts[Merged]++
 }
 
-// rescale moves the decay's landmark and multiplies all weighted sums before they leave a float's range.
+// rescale moves the reference time of the decay and rescales all weighted sums, if the weights could otherwise soon
+// overflow a float64.
 func (a *Aggregator[L]) rescale(nowMs float64) {
 	if !a.decay.rescaleDue(nowMs) {
 		return
