--- a/telemetry/backpressure.go
+++ b/telemetry/backpressure.go
@@ -8,43 +8,46 @@
 )
 
 const (
-	// crowdedFraction of the limit is the load above which senders are asked to report less often.
+	// highLoadFraction is the fraction of the line limit above which senders are asked to report less often.
 	highLoadFraction = 0.9
-	// calmFraction of the limit is the load below which the slowdown is reduced: the load expected after the reduction.
+	// lowLoadFraction is the fraction of the line limit below which the slowdown is reduced. It is compared with the
+	// load that is expected after the reduction.
 	lowLoadFraction = 0.5
-	// calmSeconds is how long the load must have been that low.
+	// lowLoadSeconds is the time in seconds for which the load must stay below lowLoadFraction before the slowdown is
+	// reduced.
 	lowLoadSeconds = 3
-	// minAdvisedLines is the smallest number of lines per report that a sender is asked to keep to.
+	// minAdvisedLines is the smallest limit on the lines of a report that a sender is asked to apply.
 	minAdvisedLines = 4
-	// releaseGroups is the number of groups in which senders are released, one group a second, so that their reports do
-	// not return all at once.
+	// releaseGroups is the number of groups into which senders are divided when the slowdown is reduced. One group per
+	// second returns to shorter report periods, so that the load does not rise all at once.
 	releaseGroups = 8
-	// changesOnlyAbove is the slowdown above which senders are asked for changed lines only.
+	// changesOnlyAbove is the slowdown factor above which senders are asked to report only lines that have changed.
 	changesOnlyAbove = 2
 )
 
-// Advice asks a sender to change how it reports.
+// Advice asks a sender to change how often and how much it reports.
 type Advice struct {
 	Sender      int
-	PeriodMs    float64 // interval between reports
+	PeriodMs    float64 // interval between reports, ms
 	MaxLines    int     // largest number of lines in a report; 0: no limit
-	ChangedOnly bool    // report changed lines only
+	ChangedOnly bool    // report only lines that have changed
 }
 
-// slowdown is the back-pressure on senders: the factor by which they are asked to stretch their report period.
+// slowdown is the state of the back-pressure on senders: the factor by which they are asked to lengthen their report
+// period.
 type slowdown struct {
 	options    Options
-	factor     int         // 1: the configured period
-	lowLoadFor int         // seconds for which the load has been low
-	advised    map[int]int // by sender: the factor it was last asked for; absent: 1
+	factor     int         // 1 means the configured report period
+	lowLoadFor int         // updates in a row, about one per second, at which the load was low
+	advised    map[int]int // factor last sent to each sender; a missing entry means 1
 }
 
 func newSlowdown(o Options) slowdown {
 	return slowdown{options: o, factor: 1, advised: map[int]int{}}
 }
 
-// update adjusts the factor to the lines per second that arrived: up at once, as far as needed, and down one step at a
-// time.
+// update adjusts the factor to the number of lines that arrived per second. It raises the factor at once as far as
+// necessary, and lowers it by one step at a time.
 func (d *slowdown) update(linesPerS float64) {
 	limit := d.options.LinesPerS
 	overloaded := linesPerS > highLoadFraction*limit
@@ -64,16 +67,16 @@
 	}
 }
 
-// lastAdvised returns the factor that a sender was last asked for.
+// lastAdvised returns the slowdown factor that was last sent to a sender, 1 if none was sent.
 func (d *slowdown) lastAdvised(id int) int { return max(1, d.advised[id]) }
 
-// releaseGroup returns the group in which a sender is released.
+// releaseGroup returns the group, from 0 to releaseGroups-1, with which a sender returns to shorter report periods.
 func releaseGroup(id int) int {
 	return int(crc32.ChecksumIEEE([]byte{byte(id), byte(id >> 8), byte(id >> 16)})) % releaseGroups
 }
 
-// advise returns advice for each sender whose factor has changed, in the order of senders. Senders are slowed down at
-// once, and released when it is their group's turn.
+// advise returns advice for each sender whose factor has changed, ordered by sender ID. A higher factor is sent at
+// once, a lower one only in the second that belongs to the sender's release group.
 func (a *Aggregator[L]) advise(nowMs float64) (advice []Advice) {
 	group := int(nowMs/1000) % releaseGroups
 	for _, id := range slices.Sorted(maps.Keys(a.senders)) {
@@ -92,7 +95,7 @@
 	return advice
 }
 
-// adviceFor returns the advice for a sender at the present slowdown.
+// adviceFor returns the advice for a sender at the current slowdown.
 func (a *Aggregator[L]) adviceFor(id int) Advice {
 	factor := a.slowdown.factor
 	advice := Advice{Sender: id, PeriodMs: a.options.PeriodMs * float64(factor), ChangedOnly: factor > changesOnlyAbove}
--- a/telemetry/backpressure_test.go
+++ b/telemetry/backpressure_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestSlowedAndReleased checks that senders are slowed down at once and released in groups.
+// TestSlowedAndReleased checks that all senders are slowed down within seconds of an overload, and that they return to
+// the configured report period in groups after it.
 func TestSlowedAndReleased(t *testing.T) {
 	options := testOptions()
 	options.LinesPerS = 400
@@ -34,5 +35,5 @@
 		maxReleased, released = max(maxReleased, n-released), n
 	}
 	assert.Equal(t, len(c.senders), released)
-	assert.LessOrEqual(t, maxReleased, len(c.senders)/3, "not all in one second")
+	assert.LessOrEqual(t, maxReleased, len(c.senders)/3, "senders released within one second")
 }
