--- a/telemetry/decay_test.go
+++ b/telemetry/decay_test.go
@@ -6,20 +6,21 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestDecayHalves checks the weights of moments and spans against the half-life.
+// TestDecayHalves checks that weights halve with each half-life, and that the mean weight of a span is the mean over
+// its points in time.
 func TestDecayHalves(t *testing.T) {
 	d := decay{halfLifeMs: 5000}
 	assert.InDelta(t, 0.5, d.weight(0)/d.weight(5000), 1e-12)
 	assert.InDelta(t, 0.25, d.weight(0)/d.weight(10000), 1e-12)
-	assert.InDelta(t, d.weight(3000), d.meanWeight(3000, 1e-9), 1e-9, "no span is a moment")
+	assert.InDelta(t, d.weight(3000), d.meanWeight(3000, 1e-9), 1e-9, "a span of length zero is a point in time")
 	sum := 0.0
 	for ms := 0.5; ms < 4000; ms++ {
 		sum += d.weight(ms)
 	}
-	assert.InDelta(t, sum/4000, d.meanWeight(4000, 4000), 1e-6, "the mean of a span's moments")
+	assert.InDelta(t, sum/4000, d.meanWeight(4000, 4000), 1e-6, "mean over the points in time of the span")
 }
 
-// TestDecayRescaled checks that moving the landmark does not change decayed values.
+// TestDecayRescaled checks that decayed values stay the same when the landmark is moved.
 func TestDecayRescaled(t *testing.T) {
 	d := decay{halfLifeMs: 5000}
 	const now = rescaleAfter * 5000.0
