--- a/telemetry/doc.go
+++ b/telemetry/doc.go
@@ -1,15 +1,15 @@
-// Package telemetry aggregates the load reports of proxies: it merges, samples or rejects their lines, and once a
-// period it flushes what has accumulated to the planner.
+// Package telemetry aggregates the load reports of proxies. It merges, samples or rejects the lines of each report, and
+// returns the accumulated sums for the planner once per period.
 //
-// The package is pure: it takes plain values with their times and returns plain values. It has no I/O, clock,
-// goroutine or log, and the same calls give the same results. The controller calls it from the goroutines that read
-// reports, under a lock of its own, ahead of its loop. docs/intake.md gives the reasons and the measurements.
+// The package is deterministic: it performs no I/O, reads no clock, starts no goroutine and writes no log, and the same
+// calls return the same results. The controller calls it from the goroutines that read reports, under a mutex that is
+// independent of the control loop. docs/intake.md describes the design and the measurements.
 //
-// Attempts are summed by endpoint and zone, and requests by proxy and request class, so memory is bounded by the
-// number of listed endpoints and joined proxies, never by the number of reports. Each zone also keeps the time that
-// its proxies' reports covered: attempts divided by covered time is the rate, no matter how many reports were lost,
-// sampled out or late. Both sides of that quotient are weighted by age (see decay).
+// Attempts are summed by endpoint and zone, and requests by proxy and request class. Memory is therefore bounded by the
+// number of listed endpoints and joined proxies, not by the number of reports. Each zone also sums the time that the
+// reports of its proxies covered. The rate is the number of attempts divided by the covered time, which stays correct
+// when reports are lost, sampled out or late. Both sums are weighted by age (see decay).
 //
-// Times are milliseconds on the caller's clock unless a name says otherwise; endpoints, zones, proxies and request
-// classes are the small integers that the planner uses.
+// Times are milliseconds on the caller's clock unless stated otherwise. Endpoints, zones, proxies and request classes
+// are identified by the small integer indices that the planner uses.
 package telemetry
