--- a/telemetry/flush.go
+++ b/telemetry/flush.go
@@ -8,20 +8,20 @@
 	"indigousher/planner"
 )
 
-// smallestDivisor replaces a divisor of zero.
+// smallestDivisor is used in place of a divisor of zero.
 const smallestDivisor = 1e-300
 
-// EndpointSum is what the proxies of a zone observed at an endpoint. Load is the endpoint's newest load report.
+// EndpointSum holds the statistics of the attempts that the proxies of a zone made at an endpoint.
 type EndpointSum[L any] struct {
 	Endpoint, Zone   int
-	Attempts, Failed float64 // attempts, rounded with a carry to the next flush, and failures, not rounded
-	MeanMs, SpanMs   float64 // mean time of the successful attempts; time covered, averaged over the zone's proxies
+	Attempts, Failed float64 // Attempts is rounded, and the remainder is added at the next flush; Failed is not rounded
+	MeanMs, SpanMs   float64 // mean duration of successful attempts; covered time, averaged over the zone's proxies
 	Load             L
 	HasLoad          bool
 }
 
-// Stats converts the sum to the planner's event. What decay leaves of a few failures is rounded up to one, so that no
-// observed failure is lost.
+// Stats converts the sum to an event of the planner. A positive number of failures that decay has reduced below one is
+// rounded up to one, so that every observed failure reaches the planner.
 func (m *EndpointSum[L]) Stats(load planner.Load) planner.EndpointStats {
 	attempts := round(m.Attempts)
 	failed := round(m.Failed)
@@ -39,16 +39,16 @@
 	}
 }
 
-// Batch is what one flush passes on to the planner.
+// Batch holds the sums that one call of Flush returned.
 type Batch[L any] struct {
 	EndpointSums []EndpointSum[L]
 	RequestStats []planner.RequestStats
-	AgesMs       []float64 // by flushed sum: mean age of its contributions, ms
-	Remaining    int       // sums that remain pending
+	AgesMs       []float64 // mean age of the reports in each flushed sum, ms
+	Remaining    int       // number of sums that are still pending
 }
 
-// Flush flushes pending sums, as many as the limit allows for the sinceMs since the last flush: urgent ones first, then
-// those that have been pending longest. It does not matter how much a sender reports.
+// Flush returns and resets pending sums, at most as many as Options.FlushedPerS allows for the sinceMs since the last
+// flush. Urgent sums come first, then those that have been pending longest, regardless of how much each sender reports.
 func (a *Aggregator[L]) Flush(nowMs, sinceMs float64) (out Batch[L]) {
 	a.rescale(nowMs)
 	n := a.flushLimit(sinceMs)
@@ -71,7 +71,8 @@
 	return out
 }
 
-// flushLimit returns how many pending sums may be flushed for a period of sinceMs; at least one, if there is one.
+// flushLimit returns how many pending sums may be flushed sinceMs after the last flush. It is at least one if any sum
+// is pending.
 func (a *Aggregator[L]) flushLimit(sinceMs float64) int {
 	if a.options.FlushedPerS <= 0 {
 		return len(a.pending)
@@ -79,7 +80,8 @@
 	return min(len(a.pending), max(1, round(a.options.FlushedPerS*sinceMs/1000)))
 }
 
-// byUrgency orders urgent sums before others, and otherwise by the time at which they became pending.
+// byUrgency is a comparison function that orders urgent sums before others, and then by the time at which they became
+// pending.
 func byUrgency[L any](a, b *sum[L]) int {
 	if a.urgent != b.urgent {
 		if a.urgent {
@@ -90,8 +92,9 @@
 	return cmp.Compare(a.queuedAtMs, b.queuedAtMs)
 }
 
-// flushEndpoint returns a sum's decayed value, given the weight of now, and resets the sum. SpanMs is 0 if the zone's
-// reports have covered no time since the last flush, in which case there is no rate.
+// flushEndpoint returns the decayed value of a sum of attempts and resets the sum. weight is the current decay weight.
+// SpanMs of the result is 0 if the reports of the zone have covered no time since the last flush, so that there is no
+// rate.
 func (a *Aggregator[L]) flushEndpoint(s *sum[L], weight float64) EndpointSum[L] {
 	z := a.zone(s.zoneEndpoint.zone)
 	attempts := s.attempts / weight
@@ -109,13 +112,13 @@
 	if e := a.endpoints[s.zoneEndpoint.endpoint]; e != nil && attempts > 0 {
 		e.failing = m.Failed > failingFraction*attempts
 	}
-	m.Attempts = math.Max(0, math.Round(attempts+s.carry)) // the planner counts whole attempts
+	m.Attempts = math.Max(0, math.Round(attempts+s.carry)) // the planner takes whole attempts
 	s.carry = attempts + s.carry - m.Attempts
 	a.reset(s)
 	return m
 }
 
-// flushDemand returns the decayed value of a sum of requests, given the weight of now, and resets the sum.
+// flushRequests returns the decayed value of a sum of requests and resets the sum. weight is the current decay weight.
 func (a *Aggregator[L]) flushRequests(s *sum[L], weight float64) planner.RequestStats {
 	d := planner.RequestStats{
 		Proxy:      s.proxyClass.proxy,
--- a/telemetry/flush_test.go
+++ b/telemetry/flush_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFailingSeenInBurst checks that an endpoint with a tenth of the others' traffic that begins to fail during a
-// hundredfold burst of reports is flushed within two periods of when an unlimited aggregator flushes it.
+// TestFailingSeenInBurst checks that the failures of an endpoint with a tenth of the usual traffic reach the planner at
+// most two periods later than without limits, while senders report a hundred times as often as they should.
 func TestFailingSeenInBurst(t *testing.T) {
 	firstFlushMs := func(limit float64) (at float64) {
 		options := testOptions()
