--- a/telemetry/options.go
+++ b/telemetry/options.go
@@ -1,14 +1,14 @@
 package telemetry
 
-// Options configures an aggregator. It does not change during the aggregator's life.
+// Options configures an aggregator. It is fixed when the aggregator is created.
 type Options struct {
-	LinesPerS   float64 // report lines accepted per second, all senders together; 0: no limit
-	FlushedPerS float64 // lines flushed per second; 0: no limit
-	MaxPending  int     // sums that may be pending at once; 0: no limit
-	PeriodMs    float64 // between two reports of a sender, unless it was asked to report less often
-	HalfLifeMs  float64 // half-life: the age at which a figure counts half
-	MaxAgeMs    float64 // a report that covers more, or is older, is rejected
-	MaxSlowdown int     // largest factor by which senders may be asked to stretch the period
-	WarmUpMs    float64 // how long an endpoint counts as warming up after its start
-	MaxSenders  int     // senders that may be joined at once; 0: no limit
+	LinesPerS   float64 // report lines accepted per second from all senders together; 0: no limit
+	FlushedPerS float64 // sums flushed per second; 0: no limit
+	MaxPending  int     // largest number of pending sums; 0: no limit
+	PeriodMs    float64 // configured interval between two reports of a sender
+	HalfLifeMs  float64 // age at which a reported value counts half
+	MaxAgeMs    float64 // a report that is older or covers a longer period is rejected
+	MaxSlowdown int     // largest factor by which senders are asked to lengthen PeriodMs
+	WarmUpMs    float64 // time after its start for which an endpoint counts as warming up
+	MaxSenders  int     // largest number of joined senders; 0: no limit
 }
