--- a/telemetry/queue.go
+++ b/telemetry/queue.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// enqueue makes a sum pending if it is not yet.
+// enqueue adds a sum to the pending sums, unless it is already among them.
 func (a *Aggregator[L]) enqueue(nowMs float64, s *sum[L]) {
 	if s.queued {
 		return
@@ -13,15 +13,15 @@
 	a.MaxPending = max(a.MaxPending, len(a.pending))
 }
 
-// dequeue removes a sum from the pending ones.
+// dequeue removes a sum from the pending sums.
 func (a *Aggregator[L]) dequeue(s *sum[L]) {
 	if s.queued {
 		a.pending = slices.DeleteFunc(a.pending, func(other *sum[L]) bool { return other == s })
 	}
 }
 
-// makeRoom reports whether one more sum may become pending. If necessary it evicts another one for an urgent sum: the
-// first demand, or else the first sum that is not urgent.
+// makeRoom reports whether one more sum may become pending. If the limit is reached and the new sum is urgent, it
+// evicts the oldest pending sum of requests, or else the oldest sum that is not urgent.
 func (a *Aggregator[L]) makeRoom(urgent bool) bool {
 	if a.options.MaxPending <= 0 || len(a.pending) < a.options.MaxPending {
 		return true
@@ -42,5 +42,5 @@
 	return true
 }
 
-// Pending returns how many sums are pending.
+// Pending returns the number of sums that wait for the next flush.
 func (a *Aggregator[L]) Pending() int { return len(a.pending) }
--- a/telemetry/queue_test.go
+++ b/telemetry/queue_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestPendingLimit checks the limit of pending sums, and that there is room for urgent ones.
+// TestPendingLimit checks that no more sums are pending than the limit allows, and that a failing endpoint is flushed
+// even when the limit is reached.
 func TestPendingLimit(t *testing.T) {
 	options := testOptions()
 	options.MaxPending, options.FlushedPerS = 10, 5
