--- a/telemetry/quota.go
+++ b/telemetry/quota.go
@@ -7,17 +7,19 @@
 )
 
 const (
-	// quotaHeadroom is the factor by which a zone's quota may exceed what the zone offered, so that it can grow.
+	// quotaHeadroom is the factor by which a zone's quota may exceed the lines that the zone sent, so that its load can
+	// grow.
 	quotaHeadroom = 1.25
-	// minRebalanceS is the shortest time in seconds over which a rate is computed.
+	// minRebalanceS is the shortest interval in seconds over which Rebalance computes a rate.
 	minRebalanceS = 0.1
 )
 
-// quotas divide the report lines accepted per second among the zones, and a zone's lines among its senders, by max-min
-// fairness: each gets what it offers, up to its fair share. A sender's quota fills a token bucket.
+// quotas holds the limits on report lines per second. The total is divided among zones, and the quota of a zone among
+// its senders, by max-min fairness: each gets what it sends, up to its fair share. The quota of a sender is the refill
+// rate of its token bucket.
 type quotas struct {
 	options        Options
-	linesPerS      map[int]float64 // by zone: the quota of one sender
+	linesPerS      map[int]float64 // lines per second that each sender of a zone may send, by zone
 	rebalancedAtMs float64
 }
 
@@ -25,10 +27,11 @@
 	return quotas{options: o, linesPerS: map[int]float64{}}
 }
 
-// unlimited reports whether all lines are accepted.
+// unlimited reports whether there is no limit on report lines.
 func (q *quotas) unlimited() bool { return q.options.LinesPerS <= 0 }
 
-// initial returns the tokens of a new sender: one second's worth, so that nothing is gained by joining again.
+// initial returns the number of tokens, in lines, with which a new sender starts: one second at the total limit, so
+// that a sender gains nothing by reconnecting.
 func (q *quotas) initial() float64 {
 	if q.unlimited() {
 		return math.Inf(1)
@@ -36,8 +39,8 @@
 	return q.options.LinesPerS
 }
 
-// refill adds the tokens earned since the last refill to a sender's bucket, and returns its tokens. The bucket holds
-// one report period, which slowdown stretches.
+// refill adds the tokens for the time since the last refill to a sender's bucket, and returns the number of tokens in
+// it. The capacity of the bucket is the quota for one report period, whose length is multiplied by slowdown.
 func (q *quotas) refill(s *sender, nowMs float64, slowdown int) float64 {
 	if q.unlimited() {
 		return math.Inf(1)
@@ -52,7 +55,7 @@
 	return s.tokens
 }
 
-// set computes the quotas from the lines per second that each sender offered, by zone, and their total.
+// set computes the quotas from the lines per second that each sender sent, grouped by zone, and their total.
 func (q *quotas) set(offered map[int][]float64, total float64) {
 	byZone := make(map[int]float64, len(offered))
 	demands := make([]float64, 0, len(offered))
@@ -62,7 +65,7 @@
 	}
 	zoneLimit := fairShare(q.options.LinesPerS, demands)
 	for zoneID, senders := range offered {
-		if total <= q.options.LinesPerS*lowLoadFraction { // far below the limit: no sender is held to what it offered
+		if total <= q.options.LinesPerS*lowLoadFraction { // far below the limit, which applies to each sender
 			q.linesPerS[zoneID] = q.options.LinesPerS
 			continue
 		}
@@ -71,7 +74,7 @@
 	}
 }
 
-// add returns the sum of figures, added in their order.
+// sumInOrder returns the sum of values, added in their order so that the result is reproducible.
 func sumInOrder(figures []float64) float64 {
 	total := 0.0
 	for _, v := range figures {
@@ -80,8 +83,8 @@
 	return total
 }
 
-// fairShare returns the max-min fair share of a total: the level up to which every demand is met. It is infinite if the
-// total meets all demands in full. It sorts demands.
+// fairShare returns the max-min fair share of a total: the largest amount such that the total suffices if no demand
+// gets more than it. It returns +Inf if the total covers all demands. It sorts demands in place.
 func fairShare(total float64, demands []float64) float64 {
 	slices.Sort(demands)
 	for i, demand := range demands {
@@ -94,8 +97,8 @@
 	return math.Inf(1)
 }
 
-// Rebalance recomputes the senders' quotas and the slowdown from what was offered since the last call, and returns
-// advice for the senders whose slowdown changed. It is called about once a second.
+// Rebalance recomputes the quotas and the slowdown of senders from the lines that were sent since the last call, and
+// returns advice for the senders whose slowdown changed. The caller calls it about once per second.
 func (a *Aggregator[L]) Rebalance(nowMs float64) []Advice {
 	elapsedS := math.Max((nowMs-a.quotas.rebalancedAtMs)/1000, minRebalanceS)
 	a.quotas.rebalancedAtMs = nowMs
@@ -108,8 +111,8 @@
 	return a.advise(nowMs)
 }
 
-// takeOffered returns the lines per second that each sender offered, by zone and in the order of the senders, and their
-// total. It resets the counts.
+// takeOffered returns the lines per second that each sender sent since the last call, grouped by zone and ordered by
+// sender ID, and their total. It resets the counters.
 func (a *Aggregator[L]) takeOffered(elapsedS float64) (byZone map[int][]float64, total float64) {
 	byZone = map[int][]float64{}
 	for _, id := range slices.Sorted(maps.Keys(a.senders)) {
--- a/telemetry/quota_test.go
+++ b/telemetry/quota_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestFairShare checks max-min fair shares computed by hand.
+// TestFairShare checks fairShare against max-min fair shares that were computed by hand.
 func TestFairShare(t *testing.T) {
 	for _, c := range []struct {
 		total   float64
