--- a/telemetry/report_test.go
+++ b/telemetry/report_test.go
@@ -10,7 +10,7 @@
 	"indigousher/planner"
 )
 
-// TestRefusedReports checks the reasons for which reports and lines are rejected.
+// TestRejectedReports checks that invalid reports and lines are rejected and counted under the right reason.
 func TestRejectedReports(t *testing.T) {
 	good := func() *Report[float64] {
 		lines := []Line[float64]{{Endpoint: 0, Attempts: 10, MeanMs: 5}}
@@ -21,20 +21,20 @@
 		modify func(*Report[float64])
 		reason Reason
 	}{
-		{"repeated", func(r *Report[float64]) { r.Seq = 4 }, Repeated},
+		{"repeated sequence number", func(r *Report[float64]) { r.Seq = 4 }, Repeated},
 		{"from an unknown sender", func(r *Report[float64]) { r.Sender = 9 }, UnknownSender},
-		{"no span", func(r *Report[float64]) { r.SpanMs = 0 }, NoSpan},
-		{"a negative span", func(r *Report[float64]) { r.SpanMs = -1 }, Implausible},
-		{"a span of days", func(r *Report[float64]) { r.SpanMs = 1e9 }, Implausible},
-		{"not a number", func(r *Report[float64]) { r.SpanMs = math.NaN() }, Implausible},
-		{"an infinite clock", func(r *Report[float64]) { r.AtMs = math.Inf(1) }, Implausible},
+		{"period of length zero", func(r *Report[float64]) { r.SpanMs = 0 }, NoSpan},
+		{"negative period", func(r *Report[float64]) { r.SpanMs = -1 }, Implausible},
+		{"period of days", func(r *Report[float64]) { r.SpanMs = 1e9 }, Implausible},
+		{"period that is not a number", func(r *Report[float64]) { r.SpanMs = math.NaN() }, Implausible},
+		{"infinite time of sending", func(r *Report[float64]) { r.AtMs = math.Inf(1) }, Implausible},
 		{"implausibly many attempts", func(r *Report[float64]) { r.Lines[0].Attempts = 1e9 }, Implausible},
 		{"more failures than attempts", func(r *Report[float64]) { r.Lines[0].Failed = 11 }, Implausible},
 		{"negative attempts", func(r *Report[float64]) { r.Lines[0].Attempts = -1 }, Implausible},
-		{"a mean that is no number", func(r *Report[float64]) { r.Lines[0].MeanMs = math.NaN() }, Implausible},
-		{"never listed", func(r *Report[float64]) { r.Lines[0].Endpoint = 7 }, Unlisted},
-		{"gone", func(r *Report[float64]) { r.Lines[0].Endpoint = 1 }, Unlisted},
-		{"of the incarnation before a restart", func(r *Report[float64]) { r.Lines[0].Endpoint = 2 }, Restarted},
+		{"mean duration that is not a number", func(r *Report[float64]) { r.Lines[0].MeanMs = math.NaN() }, Implausible},
+		{"endpoint never listed", func(r *Report[float64]) { r.Lines[0].Endpoint = 7 }, Unlisted},
+		{"endpoint gone from the list", func(r *Report[float64]) { r.Lines[0].Endpoint = 1 }, Unlisted},
+		{"period before a restart of the endpoint", func(r *Report[float64]) { r.Lines[0].Endpoint = 2 }, Restarted},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			aggregator := New[float64](testOptions())
