--- a/telemetry/sampling.go
+++ b/telemetry/sampling.go
@@ -6,18 +6,18 @@
 	"slices"
 )
 
-// candidate is a line of a report that may be kept.
+// candidate is a line of a report from which sample selects.
 type candidate struct {
 	line       int     // index into the report's lines
-	rank       float64 // the greatest are kept
-	scale      float64 // factor for the line's figures, to represent the lines that are left out
-	alwaysKept bool    // kept without being sampled
+	rank       float64 // priority; the lines with the highest ranks are kept
+	scale      float64 // factor for the line's counts, which makes up for dropped lines
+	alwaysKept bool    // kept regardless of the sample
 }
 
-// sample returns the lines of a report to keep, in the order of merging. All are kept if there is room. Otherwise lines
-// of endpoints that fail, warm up or drain come first, and the rest is a priority sample by attempts, whose scaled
-// figures are unbiased (Duffield, Lund and Thorup, "Priority sampling for estimation of arbitrary subset sums").
-// The result is valid until the next call.
+// sample returns the lines of a report to keep, in the order in which to merge them. It keeps all lines if there are no
+// more than limit. Otherwise lines of endpoints that fail, warm up or drain come first, and the rest is a priority
+// sample by attempts, whose scaled counts are unbiased estimates (Duffield, Lund and Thorup, "Priority sampling for
+// estimation of arbitrary subset sums"). The result is valid until the next call.
 func (a *Aggregator[L]) sample(nowMs float64, report *Report[L], limit int) []candidate {
 	limit = max(limit, 1)
 	if len(report.Lines) <= limit {
@@ -40,7 +40,8 @@
 	return kept
 }
 
-// rankLines makes a candidate of each line. At most maxForemost are foremost, so that some of the others are kept too.
+// rankLines fills candidates with the lines of a report. At most maxAlwaysKept of them are kept regardless of the
+// sample, so that some of the other lines are kept too.
 func (a *Aggregator[L]) rankLines(nowMs float64, report *Report[L], maxAlwaysKept int) {
 	a.candidates = a.candidates[:0]
 	alwaysKept := 0
@@ -58,7 +59,7 @@
 	}
 }
 
-// mustKeep reports whether a line is about an endpoint that fails, warms up or drains.
+// mustKeep reports whether the endpoint of a line is failing, warming up or draining.
 func (a *Aggregator[L]) mustKeep(nowMs float64, line *Line[L]) bool {
 	e := a.endpoints[line.Endpoint]
 	if e == nil {
@@ -68,7 +69,7 @@
 	return e.draining || failing || e.warmingUp(nowMs, a.options.WarmUpMs)
 }
 
-// byRank orders candidates by descending rank, and those of equal rank by their position in the report.
+// byRank is a comparison function that orders candidates by descending rank, and then by position in the report.
 func byRank(a, b candidate) int {
 	switch {
 	case a.rank > b.rank:
@@ -79,9 +80,9 @@
 	return a.line - b.line
 }
 
-// uniform returns a pseudo-random number in (0, 1] that depends on the line only, so that replays draw the same sample.
-// A checksum alone is linear: lines that differ in the same bits would differ by the same pattern in every report, so
-// its bits are mixed further (multiplications and shifts of the integer hash lowbias32).
+// uniform returns a pseudo-random number in (0, 1] that depends only on its arguments, so that a replay draws the same
+// sample. CRC-32 is linear: for inputs that differ in the same bits, the checksums differ by the same pattern in every
+// report. The checksum is therefore mixed further, with the multiplications and shifts of the integer hash lowbias32.
 func uniform(sender int, seq uint64, endpoint int) float64 {
 	var b [20]byte
 	for i := range 8 {
