--- a/telemetry/sender.go
+++ b/telemetry/sender.go
@@ -1,26 +1,26 @@
 package telemetry
 
-// sender is the state of one joined proxy. It belongs to the aggregator.
+// sender is the state that the aggregator keeps for a proxy that has joined.
 type sender struct {
 	zone    int
-	lastSeq uint64 // sequence number of its newest report; 0: none yet
+	lastSeq uint64 // sequence number of the newest report; 0: no report yet
 	clock   clockOffset
 
-	tokens     float64 // report lines left in its token bucket, as of tokensAtMs
+	tokens     float64 // tokens in the bucket at tokensAtMs; one token per report line
 	tokensAtMs float64
-	offered    float64 // lines that it sent since the last rebalance, accepted or not
-	skipped    int     // reports skipped since the last that was accepted
-	accepted   int     // reports accepted in all
+	offered    float64 // lines sent since the last call of Rebalance, accepted or not
+	skipped    int     // reports skipped since the last accepted report
+	accepted   int     // number of accepted reports since the sender joined
 }
 
-// zone is the state that a zone's senders share.
+// zone is the state that the aggregator keeps for all senders of a zone together.
 type zone struct {
 	senders   int
-	coveredMs float64 // time that the reports of all its senders covered, in ms, weighted by age
+	coveredMs float64 // total time covered by the reports of all senders, weighted by age
 }
 
-// Join admits a sender. Its clock offset and sequence numbers start over. It returns false, and the sender stays
-// unknown, when the limit of senders is reached.
+// Join adds a sender, or resets its state if it is known. It returns false without adding the sender if
+// Options.MaxSenders have joined.
 func (a *Aggregator[L]) Join(nowMs float64, id, zoneID int) bool {
 	a.Leave(id)
 	if a.options.MaxSenders > 0 && len(a.senders) >= a.options.MaxSenders {
@@ -31,7 +31,7 @@
 	return true
 }
 
-// Leave removes a sender and the pending sums of its requests.
+// Leave removes a sender and the sums of its requests. It does nothing for an unknown sender.
 func (a *Aggregator[L]) Leave(id int) {
 	s := a.senders[id]
 	if s == nil {
@@ -47,7 +47,7 @@
 	}
 }
 
-// zone returns the state of a zone and creates it on first use.
+// zone returns the state of a zone, which it creates on first use.
 func (a *Aggregator[L]) zone(id int) *zone {
 	if a.zones[id] == nil {
 		a.zones[id] = &zone{}
