--- a/telemetry/sum.go
+++ b/telemetry/sum.go
@@ -1,39 +1,39 @@
 package telemetry
 
-// zoneEndpoint names the sum of what the proxies of a zone saw at an endpoint.
+// zoneEndpoint is the key of a sum of attempts: those that the proxies of a zone made at an endpoint.
 type zoneEndpoint struct{ endpoint, zone int }
 
-// proxyClass names the sum of the requests of one class that came to a proxy.
+// proxyClass is the key of a sum of requests: those of one class that a proxy received.
 type proxyClass struct{ proxy, class int }
 
-// sum accumulates what was reported of one zoneEndpoint or one proxyClass since its last flush. Its figures are
-// weighted by decay unless noted otherwise.
+// sum accumulates the reported attempts of one zoneEndpoint, or the reported requests of one proxyClass, since its last
+// flush. Its values are weighted by age unless noted otherwise.
 type sum[L any] struct {
-	zoneEndpoint zoneEndpoint // its key, unless isDemand
-	proxyClass   proxyClass   // its key, if isDemand
+	zoneEndpoint zoneEndpoint // key, unless isRequestSum
+	proxyClass   proxyClass   // key, if isRequestSum
 	isRequestSum bool
 
-	queued     bool // it is pending
-	urgent     bool // it is flushed before sums that are not
+	queued     bool // the sum is among the pending sums
+	urgent     bool // the sum is flushed before sums that are not urgent
 	queuedAtMs float64
 
-	attempts  float64 // demand: requests
-	failed    float64 // demand: requests that were not answered
+	attempts  float64 // attempts, or requests if isRequestSum
+	failed    float64 // failed attempts, or unanswered requests if isRequestSum
 	succeeded float64
-	busyMs    float64 // total time of the attempts that succeeded
-	weight    float64 // total weight of the contributions, for their mean age
-	ageMs     float64 // total of the contributions' ages, each times its weight
-	spanMs    float64 // demand only: time covered
+	busyMs    float64 // total duration of successful attempts
+	weight    float64 // total weight of the added reports, by which ageMs is divided
+	ageMs     float64 // weighted total of the ages of the added reports
+	spanMs    float64 // total covered time, only if isRequestSum
 
-	zoneCoveredMs float64 // zone.covered at the last flush
-	carry         float64 // attempts that rounding left over at the last flush; not weighted
+	zoneCoveredMs float64 // zone.coveredMs at the last flush
+	carry         float64 // rounding remainder of the attempts at the last flush, from -0.5 to 0.5; not weighted
 
-	load      L // the endpoint's newest load report
+	load      L // newest load report of the endpoint, valid if hasLoad
 	hasLoad   bool
-	loadEndMs float64 // end of the span of the report that brought it
+	loadEndMs float64 // end of the period of the report that contained load
 }
 
-// rescale multiplies all weighted figures.
+// rescale multiplies all weighted values by a factor.
 func (s *sum[L]) rescale(factor float64) {
 	s.attempts *= factor
 	s.failed *= factor
@@ -45,18 +45,19 @@
 	s.zoneCoveredMs *= factor
 }
 
-// addAge adds the mean age of a contribution's figures.
+// addAge adds the mean age of the values of a report to the weighted total of ages.
 func (s *sum[L]) addAge(c contribution) {
 	s.weight += c.weight
 	s.ageMs += c.weight * (c.ageMs + c.spanMs/2)
 }
 
-// failing reports whether so many of the attempts failed that the endpoint counts as failing.
+// failing reports whether more than failingFraction of the attempts failed.
 func (s *sum[L]) failing() bool {
 	return s.failed > failingFraction*s.attempts && s.failed > 0
 }
 
-// reset empties a sum after it was flushed or evicted. The time that its zone's reports have covered so far is used up.
+// reset empties a sum after it was flushed or evicted. The next flush counts only the time that the reports of the zone
+// cover from now on.
 func (a *Aggregator[L]) reset(s *sum[L]) {
 	if s.isRequestSum {
 		*s = sum[L]{proxyClass: s.proxyClass, isRequestSum: true}
