--- a/telemetry/accuracy_test.go
+++ b/telemetry/accuracy_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestTruth checks the accuracy of the flushed rates for each way in which reports can go wrong.
+// TestFlushedRateAccuracy checks that the flushed rates stay close to the true rates when reports are limited,
+// lost, delayed, sent all at the same time or sent with wrong clocks.
 func TestFlushedRateAccuracy(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -14,17 +15,17 @@
 		change  func(*fleet)
 		within  float64
 	}{
-		{"all well", nil, nil, 0.03},
-		{"a limit that fits half", func(o *Options) { o.LinesPerS = 150 }, nil, 0.1},
-		{"ten times the reports for the limit", func(o *Options) { o.LinesPerS = 400 }, func(c *fleet) {
+		{"no faults", nil, nil, 0.03},
+		{"limit of half the lines", func(o *Options) { o.LinesPerS = 150 }, nil, 0.1},
+		{"ten times as many reports as the limit allows", func(o *Options) { o.LinesPerS = 400 }, func(c *fleet) {
 			for _, s := range c.senders {
 				s.reportsPerPeriod, s.ignoresAdvice = 10, true
 			}
-		}, 0.3}, // one line of nine is kept: a standard error near 0.1 for the smallest, and this is the worst of 36
+		}, 0.3}, // one line in nine is kept: a standard error near 0.1 for the smallest rate, and the worst of 36 sums counts
 		{"one sender reports as much as all others", func(o *Options) { o.LinesPerS = 300 }, func(c *fleet) {
 			c.senders[4].reportsPerPeriod, c.senders[4].ignoresAdvice = 30, true
 		}, 0.1},
-		{"all in step", nil, func(c *fleet) {
+		{"all senders report at the same time", nil, func(c *fleet) {
 			for _, s := range c.senders {
 				s.nextMs = 1000
 			}
@@ -40,7 +41,7 @@
 				return true, 0
 			}
 		}, 0.05},
-		{"clocks that are wrong, drift and jump", nil, func(c *fleet) {
+		{"sender clocks with offset, drift and jumps", nil, func(c *fleet) {
 			for i, s := range c.senders {
 				s.clockMs, s.drift = float64(i)*1e7, float64(i-15)*2e-4
 			}
@@ -51,8 +52,8 @@
 				return true, 0
 			}
 		}, 0.05},
-		{"few lines flushed a second", func(o *Options) { o.FlushedPerS = 20 }, nil, 0.1},
-		{"slow reports", nil, func(c *fleet) {
+		{"20 lines flushed per second", func(o *Options) { o.FlushedPerS = 20 }, nil, 0.1},
+		{"half of the senders report every seven seconds", nil, func(c *fleet) {
 			for _, s := range c.senders[:15] {
 				s.periodMs = 7000
 			}
@@ -63,19 +64,20 @@
 			if c.options != nil {
 				c.options(&options)
 			}
-			cr := newFleet(options, 30, 12, 3)
+			f := newFleet(options, 30, 12, 3)
 			if c.change != nil {
-				c.change(cr)
+				c.change(f)
 			}
-			cr.run(60000, nil)
-			off, about := cr.worstError(60000)
-			t.Logf("worst %.3f %s; counts %v", off, about, cr.aggregator.Counts)
-			assert.Less(t, off, c.within, about)
+			f.run(60000, nil)
+			relativeError, where := f.worstError(60000)
+			t.Logf("largest relative error %.3f, %s; line counts by reason %v", relativeError, where, f.aggregator.Counts)
+			assert.Less(t, relativeError, c.within, where)
 		})
 	}
 }
 
-// TestRejoin checks the accuracy when all senders return at once after a restart, each with a minute of data.
+// TestSimultaneousRejoin checks the accuracy of the flushed rates when all senders report at once after the aggregator
+// was restarted, and each report covers a minute.
 func TestSimultaneousRejoin(t *testing.T) {
 	c := newFleet(testOptions(), 30, 12, 3)
 	c.now = 60000
@@ -83,6 +85,6 @@
 		s.lastMs, s.nextMs = 0, 60000
 	}
 	c.run(8000, nil)
-	off, about := c.worstError(68000)
-	assert.Less(t, off, 0.1, about)
+	relativeError, where := c.worstError(68000)
+	assert.Less(t, relativeError, 0.1, where)
 }
--- a/telemetry/bench_test.go
+++ b/telemetry/bench_test.go
@@ -8,8 +8,8 @@
 	"indigousher/planner"
 )
 
-// BenchmarkAdd measures the throughput of one core in lines per second, and the memory held. Each operation is one
-// report of 20 lines.
+// BenchmarkAdd measures the throughput of Add on one core in lines per second, and the heap in use after the run. Each
+// operation adds one report of 20 lines.
 func BenchmarkAdd(b *testing.B) {
 	for _, c := range []struct{ endpoints, senders int }{
 		{100, 100},
--- a/telemetry/fleet_test.go
+++ b/telemetry/fleet_test.go
@@ -10,7 +10,7 @@
 	"indigousher/planner"
 )
 
-// fleet simulates senders with constant true rates that report to an aggregator.
+// fleet simulates proxies that make attempts at known rates and report them to an aggregator.
 type fleet struct {
 	aggregator  *Aggregator[float64]
 	endpoints   int
@@ -19,16 +19,16 @@
 	now         float64
 	flushed     map[zoneEndpoint]*flushedSum
 	maxPending  int
-	rates       func(sender, endpoint int) float64 // attempts a second
+	rates       func(sender, endpoint int) float64 // attempts per second of a sender at an endpoint
 	failureRate func(endpoint int, nowMs float64) float64
 	deliver     func(s *reporter, nowMs float64) (arrives bool, lateMs float64)
 	inFlight    []delivery
-	attempts    map[zoneEndpoint]float64 // attempts that were made
+	attempts    map[zoneEndpoint]float64 // attempts made so far
 	src         rand.Source
 	rnd         *rand.Rand
 }
 
-// reporter is a simulated proxy.
+// reporter is a simulated proxy that sends reports.
 type reporter struct {
 	id, zone         int
 	lastSeq          uint64
@@ -37,22 +37,26 @@
 	clockMs, drift   float64
 	ignoresAdvice    bool
 	arrived          bool
-	reportsPerPeriod float64 // reports sent where one is due
+	reportsPerPeriod float64 // 1 for a correct proxy
 }
 
-// delivery is a report in transit.
+// delivery is a report on its way to the aggregator; at is its arrival time in ms.
 type delivery struct {
 	at     float64
 	report *Report[float64]
 }
 
-// flushedSum is the total that was flushed of one sum.
-type flushedSum struct{ tries, span, failed float64 }
+// flushedSum totals what the aggregator flushed for one endpoint and zone; span is in ms.
+type flushedSum struct{ attempts, span, failed float64 }
 
+// testOptions returns the options that the tests modify: no limits, a report period of one second and a half-life of
+// five.
 func testOptions() Options {
 	return Options{PeriodMs: 1000, HalfLifeMs: 5000, MaxAgeMs: 120000, MaxSlowdown: 8, WarmUpMs: 10000}
 }
 
+// newFleet returns a fleet of senders, whose zones alternate, that have joined an aggregator with the given endpoints.
+// The reports of the senders are spread over the report period.
 func newFleet(o Options, senders, endpoints, zones int) *fleet {
 	c := &fleet{
 		aggregator: New[float64](o), endpoints: endpoints, zones: zones, flushed: map[zoneEndpoint]*flushedSum{},
@@ -75,16 +79,16 @@
 	return c
 }
 
-// report returns a sender's report, of random attempts at the true rates.
+// report returns the next report of a sender, with Poisson-distributed attempts at the configured rates.
 func (c *fleet) report(s *reporter) *Report[float64] {
 	s.lastSeq++
 	r := &Report[float64]{Sender: s.id, Seq: s.lastSeq, AtMs: c.now*(1+s.drift) + s.clockMs, SpanMs: c.now - s.lastMs}
 	for e := range c.endpoints {
-		tries := int(distuv.Poisson{Lambda: c.rates(s.id, e) * r.SpanMs / 1000, Src: c.src}.Rand())
-		c.attempts[zoneEndpoint{e, s.zone}] += float64(tries)
-		if tries > 0 {
-			failed := int(math.Round(float64(tries) * c.failureRate(e, c.now)))
-			line := Line[float64]{Endpoint: e, Attempts: tries, Failed: failed, MeanMs: 30, Load: c.now, HasLoad: true}
+		attempts := int(distuv.Poisson{Lambda: c.rates(s.id, e) * r.SpanMs / 1000, Src: c.src}.Rand())
+		c.attempts[zoneEndpoint{e, s.zone}] += float64(attempts)
+		if attempts > 0 {
+			failed := int(math.Round(float64(attempts) * c.failureRate(e, c.now)))
+			line := Line[float64]{Endpoint: e, Attempts: attempts, Failed: failed, MeanMs: 30, Load: c.now, HasLoad: true}
 			r.Lines = append(r.Lines, line)
 		}
 	}
@@ -92,7 +96,8 @@
 	return r
 }
 
-// run advances time in steps of 20 ms and flushes once a second; done is called with each batch.
+// run simulates ms milliseconds in steps of 20 ms and flushes once per second. It calls done with each flushed batch,
+// unless done is nil.
 func (c *fleet) run(ms float64, done func(nowMs float64, t Batch[float64])) {
 	const step = 20.0
 	for end := c.now + ms; c.now < end; {
@@ -112,7 +117,7 @@
 	}
 }
 
-// sendDue sends the reports that are due.
+// sendDue makes each sender send the reports that are due by now.
 func (c *fleet) sendDue() {
 	for _, s := range c.senders {
 		for s.nextMs <= c.now {
@@ -126,7 +131,7 @@
 	}
 }
 
-// receiveDue delivers the reports whose time has come.
+// receiveDue adds the reports that have arrived by now to the aggregator.
 func (c *fleet) receiveDue() {
 	kept := c.inFlight[:0]
 	for _, d := range c.inFlight {
@@ -139,20 +144,20 @@
 	c.inFlight = kept
 }
 
-// collect adds a batch to the totals.
+// collect adds the endpoint sums of a batch to the totals of flushed.
 func (c *fleet) collect(batch Batch[float64]) {
 	for _, m := range batch.EndpointSums {
 		key := zoneEndpoint{m.Endpoint, m.Zone}
 		if c.flushed[key] == nil {
 			c.flushed[key] = &flushedSum{}
 		}
-		c.flushed[key].tries += m.Attempts
+		c.flushed[key].attempts += m.Attempts
 		c.flushed[key].failed += m.Failed
 		c.flushed[key].span += m.SpanMs
 	}
 }
 
-// follow applies advice to the senders, except those that ignore it.
+// applyAdvice sets the report period of the advised senders, except those that ignore advice.
 func (c *fleet) applyAdvice(advice []Advice) {
 	for _, a := range advice {
 		if s := c.senders[a.Sender]; !s.ignoresAdvice {
@@ -161,9 +166,9 @@
 	}
 }
 
-// worstError returns the largest relative error of a flushed rate, among endpoints with at least a hundredth of their
-// zone's attempts.
-func (c *fleet) worstError(overMs float64) (worst float64, about string) {
+// worstError returns the largest relative error of the flushed rates over the last overMs, and which endpoint and zone
+// it concerns. Endpoints with less than a hundredth of their zone's attempts are left out.
+func (c *fleet) worstError(overMs float64) (worst float64, where string) {
 	all := map[int]float64{}
 	for key, n := range c.attempts {
 		all[key.zone] += n
@@ -175,12 +180,13 @@
 		want := n / overMs * 1000
 		got := 0.0
 		if x := c.flushed[key]; x != nil && x.span > 0 {
-			got = x.tries / x.span * 1000
+			got = x.attempts / x.span * 1000
 		}
-		if off := math.Abs(got-want) / want; off > worst {
-			worst = off
-			about = fmt.Sprintf("endpoint %d zone %d: flushed %.2f, true %.2f a second", key.endpoint, key.zone, got, want)
+		if relativeError := math.Abs(got-want) / want; relativeError > worst {
+			worst = relativeError
+			where = fmt.Sprintf("endpoint %d zone %d: flushed %.2f, true %.2f per second",
+				key.endpoint, key.zone, got, want)
 		}
 	}
-	return worst, about
+	return worst, where
 }
--- a/telemetry/properties_test.go
+++ b/telemetry/properties_test.go
@@ -9,8 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestProperties checks for random loads, losses and delays that no sender starves, that the limit of pending sums is
-// kept, that equal inputs give equal outputs, and that flushed figures are plausible.
+// TestProperties checks with random report rates, losses and delays that reports of every sender are accepted, that the
+// limit of pending sums is respected, that equal inputs give equal outputs, and that no flushed value is NaN, negative
+// or contradictory.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		options := testOptions()
@@ -34,10 +35,10 @@
 		require.Equal(rt, first, second)
 		require.LessOrEqual(rt, c.maxPending, options.MaxPending)
 		for _, s := range c.senders {
-			require.True(rt, !s.arrived || c.aggregator.senders[s.id].accepted > 0 || late > 0, "sender %d was never accepted", s.id)
+			require.True(rt, !s.arrived || c.aggregator.senders[s.id].accepted > 0 || late > 0, "no report of sender %d accepted", s.id)
 		}
 		for key, x := range c.flushed {
-			require.False(rt, math.IsNaN(x.tries) || x.tries < 0 || x.failed > x.tries+1e-9, "%v %+v", key, x)
+			require.False(rt, math.IsNaN(x.attempts) || x.attempts < 0 || x.failed > x.attempts+1e-9, "%v %+v", key, x)
 		}
 	})
 }
