--- a/internal/daemon/torn_test.go
+++ b/internal/daemon/torn_test.go
@@ -101,7 +101,7 @@
 		want  string
 	}{
 		{&now, "recovered from"},
-		{p, "cold start: the record is of other terms"},
+		{p, "cold start: the record was made with other planner settings"},
 	} {
 		back, err := New(c.terms, Options{})
 		require.NoError(t, err)
--- a/recovery/decision.go
+++ b/recovery/decision.go
@@ -2,50 +2,52 @@
 
 import "fmt"
 
-// maxFailedStarts is how many lives in a row may end before their first turn until one begins cold: the record itself
-// may be what ends them.
+// maxFailedStarts is the number of consecutive runs that ended before their first turn after which the controller
+// starts cold. Replaying the record may be what crashes them.
 const maxFailedStarts = 3
 
-// Facts are what is known of the record at a start.
+// Facts describes the record that a starting controller finds.
 type Facts struct {
-	Runs         int // recorded before this one
-	FailedStarts int // of these, the latest in a row that left no turn: they died as they began
+	Runs         int // number of recorded runs before this one
+	FailedStarts int // number of consecutive runs at the end of the record that ended before their first turn
 
-	// Of the last life that left turns.
-	SameFormat   bool    // it is stored in the present format
-	SameModule   bool    // the planner that decided then decides now
-	SameSettings bool    // under the same settings, as far as the planner reads them
-	Turns        int     // that can be read
-	Torn         bool    // something after them can't
-	GapMs        float64 // since its last turn, by the machine's clock; negative if that was set back
-	SpanMs       float64 // from the turn that a replay would begin at to its last
+	// The fields below describe the last run that recorded at least one turn, a turn being one pass of the control
+	// loop.
+	SameFormat   bool    // the run is stored in the current format
+	SameModule   bool    // the run used the same version of the planner
+	SameSettings bool    // the run used the same planner settings
+	Turns        int     // number of readable turns
+	Torn         bool    // data after the readable turns is incomplete or damaged
+	GapMs        float64 // wall-clock time since the last turn; negative if the clock was set back
+	SpanMs       float64 // time from the turn at which a replay would begin to the last turn
 }
 
-// Limits limit a recovery; they come from the settings.
+// Limits holds the limits on a recovery, which come from the settings.
 type Limits struct {
-	MaxReplayMs float64 // of turns to be replayed: how far back the planner's memory reaches
-	MaxGapMs    float64 // beyond which what was known is worth nothing
+	MaxReplayMs float64 // longest time to replay; older input no longer affects the planner
+	MaxGapMs    float64 // longest time since the last turn; an older record is not used
 }
 
-// Decision says how to begin.
+// Decision describes how a controller starts.
 type Decision struct {
-	ReplayMs   float64 // how much of the last life's end to replay; 0: none, a cold start
-	DowntimeMs float64 // how much further its clock is by now
-	Reason     string  // for the log
+	ReplayMs   float64 // time at the end of the last run to replay; 0: cold start
+	DowntimeMs float64 // time between the last recorded turn and this start
+	Reason     string  // explanation for the log
 }
 
-// Cold returns whether nothing is replayed.
+// Cold reports whether the controller starts without replaying the record.
 func (v Decision) Cold() bool { return v.ReplayMs == 0 }
 
-// Decide returns how to begin: cold if anything speaks against the record.
+// Decide returns how a controller starts: from the record if it can be used within the limits, and cold otherwise.
 func Decide(f Facts, b Limits) Decision {
 	if reason := coldStartReason(f, b); reason != "" {
 		return Decision{Reason: "cold start: " + reason}
 	}
 	v := Decision{ReplayMs: min(f.SpanMs, b.MaxReplayMs), DowntimeMs: max(0, f.GapMs)}
-	v.Reason = fmt.Sprintf("recovered from the last %.0f s, away for %.1f s", v.ReplayMs/1000, v.DowntimeMs/1000)
+	v.Reason = fmt.Sprintf("recovered from the last %.0f s of the record, down for %.1f s",
+		v.ReplayMs/1000, v.DowntimeMs/1000)
 	if f.Torn {
-		v.Reason += "; the record's end is torn"
+		v.Reason += "; the end of the record is torn"
 	}
 	if f.GapMs < 0 {
 		v.Reason += "; the clock was set back"
@@ -53,23 +55,23 @@
 	return v
 }
 
-// reasonAgainst returns the first reason not to use the record; "" if there is none.
+// coldStartReason returns the first reason why the record cannot be used, or "" if it can.
 func coldStartReason(f Facts, b Limits) string {
 	switch {
 	case f.Runs == 0:
-		return "there is no record"
+		return "no record found"
 	case !f.SameFormat:
-		return "the record is of another format"
+		return "the record has another format"
 	case f.FailedStarts >= maxFailedStarts:
-		return fmt.Sprintf("%d starts in a row died before their first turn", f.FailedStarts)
+		return fmt.Sprintf("%d starts in a row ended before their first turn", f.FailedStarts)
 	case !f.SameModule:
-		return "the record is of another module"
+		return "the record was made by another version of the planner"
 	case !f.SameSettings:
-		return "the record is of other terms"
+		return "the record was made with other planner settings"
 	case f.Turns == 0 || f.SpanMs <= 0:
-		return "the last life left no turn that can be read"
+		return "the last run left no readable turn"
 	case f.GapMs > b.MaxGapMs:
-		return fmt.Sprintf("the last turn is %.0f s old, %.0f s may be", f.GapMs/1000, b.MaxGapMs/1000)
+		return fmt.Sprintf("the last turn is %.0f s old, the limit is %.0f s", f.GapMs/1000, b.MaxGapMs/1000)
 	}
 	return ""
 }
--- a/recovery/decision_test.go
+++ b/recovery/decision_test.go
@@ -6,8 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// TestDecide checks, for each state of the record, how much of it is replayed and which reason is logged.
 func TestDecide(t *testing.T) {
-	bounds := Limits{MaxReplayMs: 60000, MaxGapMs: 120000}
+	limits := Limits{MaxReplayMs: 60000, MaxGapMs: 120000}
 	for _, c := range []struct {
 		name   string
 		change func(*Facts)
@@ -15,18 +16,18 @@
 		away   float64
 		why    string
 	}{
-		{"all well", func(*Facts) {}, 60000, 4000, "away for 4.0 s"},
-		{"a short life", func(f *Facts) { f.SpanMs = 9000 }, 9000, 4000, "the last 9 s"},
-		{"the first start", func(f *Facts) { f.Runs = 0 }, 0, 0, "no record"},
-		{"of a later format", func(f *Facts) { f.SameFormat = false }, 0, 0, "another format"},
-		{"another module", func(f *Facts) { f.SameModule = false }, 0, 0, "another module"},
-		{"other terms", func(f *Facts) { f.SameSettings = false }, 0, 0, "other terms"},
-		{"too old", func(f *Facts) { f.GapMs = 300000 }, 0, 0, "300 s old"},
-		{"the clock set back an hour", func(f *Facts) { f.GapMs = -3.6e6 }, 60000, 0, "set back"},
-		{"a torn end", func(f *Facts) { f.Torn = true }, 60000, 4000, "torn"},
-		{"nothing but torn", func(f *Facts) { f.Torn, f.Turns = true, 0 }, 0, 0, "no turn"},
-		{"twice died at its beginning", func(f *Facts) { f.FailedStarts = 2 }, 60000, 4000, "recovered"},
-		{"five times", func(f *Facts) { f.FailedStarts = 5 }, 0, 0, "5 starts in a row"},
+		{"usable record", func(*Facts) {}, 60000, 4000, "down for 4.0 s"},
+		{"short run", func(f *Facts) { f.SpanMs = 9000 }, 9000, 4000, "the last 9 s"},
+		{"first start", func(f *Facts) { f.Runs = 0 }, 0, 0, "no record found"},
+		{"another format", func(f *Facts) { f.SameFormat = false }, 0, 0, "another format"},
+		{"another version of the planner", func(f *Facts) { f.SameModule = false }, 0, 0, "another version of the planner"},
+		{"other settings", func(f *Facts) { f.SameSettings = false }, 0, 0, "other planner settings"},
+		{"old record", func(f *Facts) { f.GapMs = 300000 }, 0, 0, "300 s old"},
+		{"clock set back by an hour", func(f *Facts) { f.GapMs = -3.6e6 }, 60000, 0, "set back"},
+		{"torn end", func(f *Facts) { f.Torn = true }, 60000, 4000, "torn"},
+		{"torn at the beginning", func(f *Facts) { f.Torn, f.Turns = true, 0 }, 0, 0, "no readable turn"},
+		{"two failed starts", func(f *Facts) { f.FailedStarts = 2 }, 60000, 4000, "recovered"},
+		{"five failed starts", func(f *Facts) { f.FailedStarts = 5 }, 0, 0, "5 starts in a row"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := Facts{
@@ -39,7 +40,7 @@
 				SpanMs:       500000,
 			}
 			c.change(&f)
-			v := Decide(f, bounds)
+			v := Decide(f, limits)
 			assert.Equal(t, c.replay, v.ReplayMs)
 			assert.Equal(t, c.away, v.DowntimeMs)
 			assert.Equal(t, c.replay == 0, v.Cold())
