--- a/recovery/predecessor.go
+++ b/recovery/predecessor.go
@@ -1,19 +1,21 @@
 package recovery
 
-// Predecessor is the state machine of the process that runs the controller. Its zero value serves.
+// Predecessor is the state machine of the process that runs the controller and may hand it over. The zero value is
+// ready to use.
 type Predecessor struct {
-	// Patience is how often the lock is tried after the successor was lost. If another process holds it all the while,
-	// that one serves.
+	// MaxLockAttempts is the number of attempts to acquire the lock after the connection to the successor was lost. If
+	// all of them fail, another process runs the controller. At least one attempt is made.
 	MaxLockAttempts int
 
 	state              state
-	failedLockAttempts int // of the lock, in a row
+	failedLockAttempts int // consecutive attempts at which another process held the lock
 }
 
-// Replaced returns whether another process serves now.
+// Replaced reports whether another process has taken over the controller.
 func (o *Predecessor) Replaced() bool { return o.state == stateEnded }
 
-// Next takes in an event and returns what to do. An event that does not fit the state changes nothing.
+// Next processes an event and returns the next action. An event that is not expected in the current state is ignored,
+// except where a state treats it as the loss of the successor.
 func (o *Predecessor) Next(e Event) Action {
 	switch o.state {
 	case stateServing:
@@ -30,6 +32,7 @@
 	return Nothing
 }
 
+// whenServing offers the listeners to a process that requests to take over.
 func (o *Predecessor) whenServing(e Event) Action {
 	if e != TakeoverRequested {
 		return Nothing
@@ -38,7 +41,8 @@
 	return SendOffer
 }
 
-// whenOffered goes back to serving if the successor gave up: nothing was stopped.
+// whenOffered stops the controller when the successor is ready. On any other event it returns to serving, because the
+// controller is still running.
 func (o *Predecessor) whenOffered(e Event) Action {
 	if e != ReadyReceived {
 		o.state = stateServing
@@ -48,6 +52,7 @@
 	return StopPilot
 }
 
+// whenStopping tells the successor to go ahead when the controller has stopped.
 func (o *Predecessor) whenStopping(e Event) Action {
 	if e != PilotStopped {
 		return Nothing
@@ -56,8 +61,8 @@
 	return SendGo
 }
 
-// whenReleased tries the lock unless the successor says that it serves: whether it does or has died, only the lock
-// tells.
+// whenReleased ends if the successor reports that it runs the controller. On any other event it tries to acquire the
+// lock, because only the lock shows whether the successor runs the controller or has exited.
 func (o *Predecessor) whenReleased(e Event) Action {
 	if e == ServingReceived {
 		o.state = stateEnded
@@ -68,7 +73,8 @@
 	return AcquireLock
 }
 
-// whenReclaiming serves again with the lock, and ends if another process keeps it.
+// whenReclaiming restarts the controller if the lock was acquired. It ends if another process has held the lock at
+// MaxLockAttempts attempts in a row.
 func (o *Predecessor) whenReclaiming(e Event) Action {
 	switch e {
 	case LockAcquired:
