--- a/recovery/successor.go
+++ b/recovery/successor.go
@@ -1,12 +1,13 @@
 package recovery
 
-// Successor is the state machine of the process that takes over. NewSuccessor makes one that has made its request.
+// Successor is the state machine of the process that takes over the controller. It must be created with NewSuccessor.
 type Successor struct{ state state }
 
-// NewSuccessor returns the state machine of a process that has requested to take over.
+// NewSuccessor returns the state machine of a process that has sent its request to take over.
 func NewSuccessor() *Successor { return &Successor{state: stateRequesting} }
 
-// Next takes in an event and returns what to do. Until it serves, an event that does not fit the state ends it.
+// Next processes an event and returns the next action. An event that is not expected in the current state ends the
+// takeover, unless the controller of this process is already running.
 func (n *Successor) Next(e Event) Action {
 	switch n.state {
 	case stateRequesting:
@@ -17,12 +18,13 @@
 		return n.whenClaiming(e)
 	case stateStarting:
 		return n.whenStarting(e)
-	case stateServing: // it has the lock, whatever becomes of the predecessor
+	case stateServing: // it holds the lock, so events from the predecessor no longer matter
 		return Nothing
 	}
 	return n.end()
 }
 
+// whenRequesting reports that this process is ready when it has received the listeners.
 func (n *Successor) whenRequesting(e Event) Action {
 	if e != OfferReceived {
 		return n.end()
@@ -31,7 +33,8 @@
 	return SendReady
 }
 
-// whenReady tries the lock also if the predecessor was lost: it may have stopped or died, and if not it has the lock.
+// whenReady tries to acquire the lock when the predecessor has stopped its controller. It also does so when the
+// connection was lost: the predecessor may have exited, and if it is still running it holds the lock.
 func (n *Successor) whenReady(e Event) Action {
 	if e != GoReceived && e != PeerLost {
 		return n.end()
@@ -40,6 +43,7 @@
 	return AcquireLock
 }
 
+// whenClaiming starts the controller when the lock was acquired.
 func (n *Successor) whenClaiming(e Event) Action {
 	if e != LockAcquired {
 		return n.end()
@@ -48,7 +52,7 @@
 	return StartPilot
 }
 
-// whenStarting releases the lock if the controller could not be started.
+// whenStarting reports success when the controller runs, and releases the lock if it could not be started.
 func (n *Successor) whenStarting(e Event) Action {
 	switch e {
 	case PilotStarted:
@@ -61,7 +65,7 @@
 	return n.end()
 }
 
-// end gives up.
+// end abandons the takeover.
 func (n *Successor) end() Action {
 	n.state = stateEnded
 	return End
