--- a/recovery/doc.go
+++ b/recovery/doc.go
@@ -1,4 +1,5 @@
-// Package recovery decides how a controller that starts begins, from the record of the life before it or cold
-// (decision.go), and what each of two processes does next when one takes over from the other (handover.go,
-// predecessor.go, successor.go). It has no I/O, clock, goroutine or log: callers gather the facts and do as it says.
+// Package recovery decides how a controller starts: from the record of its previous run, or cold (Decide). It also
+// contains the state machines of the two processes in a handover, where one takes over the controller from the other
+// (Predecessor and Successor). The package performs no I/O, reads no clock, starts no goroutine and writes no log.
+// Callers collect the input and carry out the decisions.
 package recovery
