--- a/recovery/explore_test.go
+++ b/recovery/explore_test.go
@@ -12,12 +12,13 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// The explorer takes two processes of one controller, three proxies, one change of the endpoint list or one gossip
-// between controllers, one crash and one lost connection through every order in which their steps can fall, up to
-// states that were met before. The state machines, the controller, the record's turns and the proxies' tables are those
-// that ship; only sockets, disk and lock are the explorer's.
+// The tests in this file check the handover and the recovery by exploring a model of the system: two processes of one
+// controller, three proxies, one change of the endpoint list or one gossip message, at most one crash and at most one
+// lost connection. They execute every possible order of steps and skip states that were visited before. The state
+// machines, the controller, the recorder and the routing tables are the production code; only sockets, disk and lock
+// are simulated.
 
-// rebuild repeats steps from the start.
+// rebuild returns the state that a path of steps leads to from the initial state.
 func rebuild(injected faults, path []string) *system {
 	w := newSystem(injected)
 	for _, name := range path {
@@ -26,12 +27,13 @@
 	return w
 }
 
-// expansion is what one state leads to.
+// expansion is the result of checking one state and executing each of its possible steps.
 type expansion struct {
-	violation string
-	children  map[string]string // signatures by step
+	violation string            // "" if the state is valid
+	children  map[string]string // signatures of the following states, by step name
 }
 
+// expand checks the state that a path leads to and executes each step that is possible in it.
 func expand(injected faults, path []string) expansion {
 	w := rebuild(injected, path)
 	steps := w.steps()
@@ -51,7 +53,7 @@
 	return expansion{children: children}
 }
 
-// expandAll expands the states that paths lead to, as many at once as there are processors.
+// expandAll expands the states that paths lead to, with one goroutine per processor.
 func expandAll(injected faults, paths [][]string) []expansion {
 	all := make([]expansion, len(paths))
 	var g errgroup.Group
@@ -62,12 +64,12 @@
 			return nil
 		})
 	}
-	_ = g.Wait() // none fails
+	_ = g.Wait() // the goroutines return no errors
 	return all
 }
 
-// explore visits every state that can be reached, breadth first, up to about maxStates, and returns how many there
-// were, and the shortest path to a state with a violation.
+// explore visits the reachable states breadth first until it finds a violation or has visited about maxStates. It
+// returns the number of visited states, and the shortest path to a violation and its description, if there is one.
 func explore(injected faults, maxStates int) (states int, path []string, violation string) {
 	seen := map[string]bool{}
 	level := [][]string{nil}
@@ -92,28 +94,34 @@
 	return states, nil, ""
 }
 
-// TestExplored visits all orders of steps of recovery and handover, and shows that faults which are injected are found.
+// TestNoViolationInReachableStates checks that no order of steps of a recovery or handover violates the invariants, and
+// that the explorer finds the violations that injected faults cause.
 func TestNoViolationInReachableStates(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		injected   faults
-		maxStates int // docs/records.md has what all of them came to
+		injected  faults
+		maxStates int // docs/records.md reports the results without this limit
 		want      string
 	}{
-		{"as it ships, with a drain", faults{}, 12_000, ""},
-		{"as it ships, with a note", faults{withGossip: true}, 100_000, ""},
+		{"no fault, with a drain", faults{}, 12_000, ""},
+		{"no fault, with gossip", faults{withGossip: true}, 100_000, ""},
 		{
-			"the old one goes on without the claim",
+			"predecessor resumes without the lock",
 			faults{resumesUnlocked: true},
 			100_000,
-			"two processes run the pilot",
+			"two processes run the controller",
 		},
-		{"the new one begins without the claim", faults{startsUnlocked: true}, 100_000, "two processes run the pilot"},
 		{
-			"what is replayed goes out again",
+			"successor starts without the lock",
+			faults{startsUnlocked: true},
+			100_000,
+			"two processes run the controller",
+		},
+		{
+			"replayed commands are sent again",
 			faults{withGossip: true, replaySends: true},
 			100_000,
-			"an effect was ordered twice",
+			"gossip was sent twice",
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/recovery/world_planner_test.go
+++ b/recovery/world_planner_test.go
@@ -9,16 +9,17 @@
 	"indigousher/telemetry"
 )
 
-// plainPlanner puts all endpoints into one table, excludes those that drain, and passes each gossip on once.
+// stubPlanner assigns one table with all endpoints to every proxy, excludes draining endpoints, and answers each gossip
+// message with one of its own.
 type stubPlanner struct {
-	phase  map[int]planner.Phase // by endpoint
-	joined map[int]bool          // proxies without a table yet
+	phase  map[int]planner.Phase // by endpoint index
+	joined map[int]bool          // joined proxies to which no table has been assigned
 }
 
-// Reconfigure does nothing.
+// Reconfigure implements the planner interface of the controller. It does nothing.
 func (p *stubPlanner) Reconfigure(map[string]any) {}
 
-// Handle answers events at once.
+// Handle returns the commands for a batch of events.
 func (p *stubPlanner) Handle(_ float64, events []planner.Event) (commands []planner.Command) {
 	for _, event := range events {
 		switch event := event.(type) {
@@ -44,6 +45,7 @@
 	return commands
 }
 
+// endpoint returns the commands for one entry of the endpoint list.
 func (p *stubPlanner) endpoint(e planner.Entry) (commands []planner.Command) {
 	before, known := p.phase[e.Endpoint]
 	if !known {
@@ -56,7 +58,8 @@
 	return commands
 }
 
-// options returns a core's options. While a record is replayed nothing goes out, unless that is the injected fault.
+// options returns the options of a controller core. A core that replays a record sends nothing, unless the injected
+// fault replaySends is set.
 func (w *system) options(replayed bool) controller.Options {
 	options := controller.Options{
 		Decider:        &stubPlanner{phase: map[int]planner.Phase{}, joined: map[int]bool{}},
@@ -79,19 +82,20 @@
 	return options
 }
 
-// transport counts the gossip that is commanded, if it has a world.
+// transport implements the interfaces through which the core reaches other components. It counts gossip messages,
+// unless system is nil, and ignores everything else.
 type transport struct{ system *system }
 
-// Watch does nothing.
+// Watch ignores a request to watch the endpoint list.
 func (transport) Watch(bool) {}
 
-// Fetch does nothing.
+// Fetch ignores a request for the endpoint list.
 func (transport) Fetch() {}
 
-// Probe does nothing.
+// Probe ignores a request for a health check.
 func (transport) Probe(string) {}
 
-// Tell counts.
+// Tell counts a gossip message.
 func (t transport) Tell(int, string) {
 	if t.system != nil {
 		t.system.gossipCommanded++
--- a/recovery/world_steps_test.go
+++ b/recovery/world_steps_test.go
@@ -9,9 +9,11 @@
 	"indigousher/recovery"
 )
 
-// steps are what can happen now, by name. Those whose name begins with "!" are faults: nothing waits for them.
+// steps holds the steps that are possible in a state, by name. Names of faults begin with "!": a state in which only
+// faults are possible is final.
 type steps map[string]func()
 
+// steps returns the steps that are possible in the state.
 func (w *system) steps() steps {
 	s := steps{}
 	w.addRequest(s)
@@ -25,7 +27,7 @@
 	return w.reduce(s)
 }
 
-// addRequest lets the successor request to take over.
+// addRequest adds the step in which the successor requests to take over.
 func (w *system) addRequest(s steps) {
 	successor := w.processes[successorIndex]
 	if !successor.alive || successor.requested {
@@ -33,7 +35,7 @@
 	}
 	s["ask"] = func() {
 		successor.requested = true
-		if w.cut || !w.processes[predecessorIndex].alive {
+		if w.disconnected || !w.processes[predecessorIndex].alive {
 			w.report(successorIndex, recovery.PeerLost)
 			return
 		}
@@ -42,7 +44,8 @@
 	}
 }
 
-// addProcessSteps lets a process act, hear of the other or of the endpoint list, or crash.
+// addProcessSteps adds the steps of one process: execute its next action, receive a message, detect a lost connection,
+// receive the endpoint list, and crash.
 func (w *system) addProcessSteps(s steps, i int) {
 	p := w.processes[i]
 	if p.action != recovery.Nothing {
@@ -55,9 +58,9 @@
 			w.report(i, e)
 		}
 	}
-	if p.waiting && len(w.messages[i]) == 0 && (w.cut || !w.processes[1-i].alive) {
+	if p.waiting && len(w.messages[i]) == 0 && (w.disconnected || !w.processes[1-i].alive) {
 		s[fmt.Sprint("lost ", i)] = func() {
-			w.cut = true
+			w.disconnected = true
 			w.report(i, recovery.PeerLost)
 		}
 	}
@@ -72,7 +75,7 @@
 	}
 }
 
-// crash ends a process; what it had not committed is gone.
+// crash ends a process and discards the turns that it had not committed to disk.
 func (w *system) crash(i int) {
 	p := w.processes[i]
 	w.crashes++
@@ -86,13 +89,13 @@
 	p.waiting = false
 }
 
-// addWorldSteps lets the connection break, the endpoint list change, gossip come, the disk catch up, and a process be
-// restarted by whoever watches over processes.
+// addEnvironmentSteps adds the steps outside the processes: the connection fails, the endpoint list changes, a gossip
+// message arrives, turns are committed to disk, and the supervisor restarts a process.
 func (w *system) addEnvironmentSteps(s steps) {
-	if w.losses == 0 && !w.cut {
+	if w.connectionLosses == 0 && !w.disconnected {
 		s["!cut"] = func() {
-			w.losses++
-			w.cut = true
+			w.connectionLosses++
+			w.disconnected = true
 		}
 	}
 	if w.listChanges == 0 {
@@ -116,18 +119,19 @@
 	}
 }
 
-// restart starts the first process again, with its controller if the lock is free.
+// restart starts the first process again, and its controller if the lock is free.
 func (w *system) restart() {
 	w.restarts++
 	p := w.processes[predecessorIndex]
 	p.alive = true
-	p.predecessor = &recovery.Predecessor{MaxLockAttempts: lockTries}
+	p.predecessor = &recovery.Predecessor{MaxLockAttempts: maxLockAttempts}
 	if w.acquireLock(predecessorIndex) {
 		w.startController(predecessorIndex)
 	}
 }
 
-// addProxySteps lets proxies apply what came and join whoever runs a controller.
+// addProxySteps adds the steps of the proxies: apply received commands, and connect to a process that runs the
+// controller.
 func (w *system) addProxySteps(s steps) {
 	for k, p := range w.proxies {
 		if len(p.incoming) > 0 {
@@ -147,7 +151,7 @@
 	}
 }
 
-// join opens a proxy's stream to a process.
+// join opens a stream from proxy k to process i.
 func (w *system) join(k, i int) {
 	p := w.proxies[k]
 	hello := wire.Hello{
@@ -165,8 +169,8 @@
 	w.feed(i, controller.ProxyJoined{Stream: p.stream, Hello: hello})
 }
 
-// reduce leaves out orders of steps that come to the same: what a proxy applies touches nothing but itself, so it comes
-// first, unless its stream could end before.
+// reduce drops steps whose order does not matter (partial order reduction). Applying commands affects only the proxy,
+// so it is executed before all steps except those that could end the stream of the proxy.
 func (w *system) reduce(s steps) steps {
 	for k := range w.proxies {
 		apply := fmt.Sprint("apply ", k)
--- a/recovery/world_test.go
+++ b/recovery/world_test.go
@@ -10,46 +10,46 @@
 	"indigousher/recovery"
 )
 
-// process is one of the two, with one of the two state machines.
+// process is one of the two processes. Exactly one of predecessor and successor is set.
 type process struct {
 	alive       bool
 	predecessor *recovery.Predecessor
 	successor   *recovery.Successor
-	action      recovery.Action  // to be done next
-	waiting     bool             // for the other's answer
-	requested   bool             // to take over
-	core        *controller.Core // nil while no controller runs
-	listed      int              // changes of the endpoint list that it knows of, -1 none
-	locked      bool             // it holds the lock
+	action      recovery.Action  // next action of the state machine
+	waiting     bool             // it waits for a message of the other process
+	requested   bool             // the successor has requested to take over
+	core        *controller.Core // controller; nil while it is not running
+	listed      int              // number of list changes in the last endpoint list it received; -1: no list yet
+	locked      bool             // the process holds the lock
 }
 
-// faults are injected.
+// faults selects the variant of the model and the faults that are injected into it.
 type faults struct {
-	withGossip      bool // gossip comes instead of a change of the endpoint list
-	resumesUnlocked bool // the predecessor goes on without the lock, as it did before there was one
-	startsUnlocked  bool // the successor starts without the lock
-	replaySends     bool // what is replayed goes out again
+	withGossip      bool // a gossip message arrives instead of a change of the endpoint list
+	resumesUnlocked bool // the predecessor restarts its controller without the lock, as before the lock was introduced
+	startsUnlocked  bool // the successor starts its controller without the lock
+	replaySends     bool // commands of a replay are sent again
 }
 
-// proxy follows whoever has its stream.
+// proxy is a simulated proxy with the routing tables of the testbed.
 type proxy struct {
 	router   *routing.Router
-	joined   int // a process, -1 none
+	joined   int // index of the process it is connected to; -1: none
 	incoming []*wire.Commands
 	stream   *stream
 }
 
-// stream is a proxy's end in a process.
+// stream is the controller's end of a connection between a process and a proxy.
 type stream struct {
 	system  *system
 	process int
 	proxy   int
 }
 
-// Send hands commands to the proxy, if this is its stream still.
+// Send queues commands at the proxy, unless the proxy has another stream by now.
 func (s *stream) Send(commands *wire.Commands) error {
 	if !s.system.processes[s.process].locked {
-		s.system.violation = "a process without the claim wrote to a proxy"
+		s.system.violation = "a process without the lock wrote to a proxy"
 	}
 	p := s.system.proxies[s.proxy]
 	if p.stream == s {
@@ -58,39 +58,40 @@
 	return nil
 }
 
-// Ask does nothing.
+// Ask ignores changes of the reporting interval.
 func (s *stream) Ask(*wire.Pace) error { return nil }
 
-// Close does nothing.
+// Close ignores that the controller closes the stream.
 func (s *stream) Close(string) {}
 
-// world is one state, built by its steps.
+// system is one state of the model. It is reached from newSystem by executing steps.
 type system struct {
-	faults          faults
-	processes       [2]*process
-	proxies         [3]*proxy
-	lockHolder      int                 // a process, -1 none
-	messages        [2][]recovery.Event // on their way to each process
-	cut             bool                // the connection between the two
-	turns           []record.Turn       // recorded
-	committed       int                 // of these on the disk
-	listChanges     int                 // so far
-	crashes         int
-	losses          int // of the connection
-	restarts        int
-	gossipSent      int
-	gossipCommanded int
-	violation       string // of what no state may show; "": none
-	nowMs           float64
+	faults           faults
+	processes        [2]*process
+	proxies          [3]*proxy
+	lockHolder       int                 // index of the process that holds the lock; -1: none
+	messages         [2][]recovery.Event // undelivered messages to each process
+	disconnected     bool                // the connection between the processes has failed
+	turns            []record.Turn       // recorded turns
+	committed        int                 // number of recorded turns that are committed to disk
+	listChanges      int                 // changes of the endpoint list so far
+	crashes          int
+	connectionLosses int // failures of the connection between the processes so far
+	restarts         int
+	gossipSent       int
+	gossipCommanded  int
+	violation        string // first violation found while executing steps; "": none
+	nowMs            float64
 }
 
 const (
 	endpoints        = 2
-	lockTries        = 2 // of the predecessor after the successor was lost
+	maxLockAttempts  = 2 // attempts of the predecessor to acquire the lock after the successor was lost
 	predecessorIndex = 0
 	successorIndex   = 1
 )
 
+// newSystem returns the initial state, in which the predecessor runs the controller.
 func newSystem(injected faults) *system {
 	w := &system{faults: injected, lockHolder: predecessorIndex}
 	if injected.withGossip {
@@ -100,21 +101,21 @@
 	}
 	w.processes[predecessorIndex] = &process{
 		alive:       true,
-		predecessor: &recovery.Predecessor{MaxLockAttempts: lockTries},
+		predecessor: &recovery.Predecessor{MaxLockAttempts: maxLockAttempts},
 		locked:      true,
 		listed:      -1,
 	}
 	w.processes[successorIndex] = &process{alive: true, successor: recovery.NewSuccessor(), action: recovery.Nothing}
 	for i := range w.proxies {
-		habits := routing.Policy{Classes: []string{"read"}}
-		follower := routing.NewRouter(habits, []string{"e0", "e1"}, uint64(i))
-		w.proxies[i] = &proxy{joined: -1, router: follower}
+		policy := routing.Policy{Classes: []string{"read"}}
+		router := routing.NewRouter(policy, []string{"e0", "e1"}, uint64(i))
+		w.proxies[i] = &proxy{joined: -1, router: router}
 	}
 	w.startController(predecessorIndex)
 	return w
 }
 
-// startController starts a process's controller on what the disk holds.
+// startController starts the controller of process i from the committed turns.
 func (w *system) startController(i int) {
 	p := w.processes[i]
 	core := w.restoredCore()
@@ -131,12 +132,12 @@
 	p.listed = -1
 	for k, other := range w.processes {
 		if k != i && other.core != nil {
-			w.violation = "two processes run the pilot"
+			w.violation = "two processes run the controller"
 		}
 	}
 }
 
-// restoredCore returns a core rebuilt from what the disk holds, nil if that is nothing.
+// restoredCore returns a controller core restored from the committed turns, or nil if there are none.
 func (w *system) restoredCore() *controller.Core {
 	if w.committed == 0 {
 		return nil
@@ -149,7 +150,7 @@
 	return core
 }
 
-// stopController ends a process's controller and the streams to it.
+// stopController stops the controller of process i and closes its streams.
 func (w *system) stopController(i int) {
 	w.processes[i].core = nil
 	for _, p := range w.proxies {
@@ -161,7 +162,7 @@
 	}
 }
 
-// feed gives a process's controller an input.
+// feed passes an input to the controller of process i and sends the resulting commands.
 func (w *system) feed(i int, in controller.Input) {
 	p := w.processes[i]
 	w.nowMs++
@@ -169,7 +170,7 @@
 	p.core.Channel.Send(w.nowMs)
 }
 
-// acquireLock returns whether a process holds the lock, which it gets if nobody does.
+// acquireLock acquires the lock for process i if it is free, and reports whether the process holds it.
 func (w *system) acquireLock(i int) bool {
 	if w.lockHolder < 0 {
 		w.lockHolder = i
@@ -178,6 +179,7 @@
 	return w.lockHolder == i
 }
 
+// releaseLock releases the lock if process i holds it.
 func (w *system) releaseLock(i int) {
 	if w.processes[i].locked {
 		w.lockHolder = -1
@@ -185,7 +187,7 @@
 	}
 }
 
-// report hands an event to a process's state machine.
+// report passes an event to the state machine of process i and stores the resulting action.
 func (w *system) report(i int, e recovery.Event) {
 	p := w.processes[i]
 	p.waiting = false
@@ -196,20 +198,21 @@
 	}
 }
 
-// send sends a message to the other process, as the event that it will be there.
+// send queues a message for the other process, represented by the event that it causes there. The message is lost if
+// the connection has failed.
 func (w *system) send(from int, e recovery.Event) {
-	if !w.cut {
+	if !w.disconnected {
 		w.messages[1-from] = append(w.messages[1-from], e)
 	}
 }
 
-// sendAndWait sends a message that wants an answer.
+// sendAndWait sends a message and waits for an answer.
 func (w *system) sendAndWait(from int, e recovery.Event) {
 	w.send(from, e)
 	w.processes[from].waiting = true
 }
 
-// act does what a process's state machine wants.
+// act executes the next action of process i.
 func (w *system) act(i int) {
 	p := w.processes[i]
 	action := p.action
@@ -243,7 +246,8 @@
 	}
 }
 
-// tryLock returns what came of trying the lock. A injected fault takes it for got.
+// tryLock tries to acquire the lock for process i and returns the resulting event. With an injected fault it returns
+// LockAcquired even if another process holds the lock.
 func (w *system) tryLock(i int) recovery.Event {
 	ignoresLock := w.faults.resumesUnlocked
 	if w.processes[i].successor != nil {
@@ -255,7 +259,7 @@
 	return recovery.LockRefused
 }
 
-// endpointList is the whole list as it is now: endpoint 0 drains after its change.
+// endpointList returns the current, complete endpoint list. Endpoint 0 is draining after the list has changed.
 func (w *system) endpointList() controller.Input {
 	l := &wire.List{Version: w.listChanges, Whole: true}
 	for i := range endpoints {
