--- a/internal/wire/collapse.go
+++ b/internal/wire/collapse.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// Collapse returns the fewest operations with the same effect. Of several on one line, level, exclusion or table only
-// the last is kept, and operations on a table that a later OpBind, OpClear or OpRange resets are dropped. The order is
-// otherwise kept.
+// Collapse removes operations that later ones make redundant. Of several operations that set the same weight, admission
+// level, exclusion or table assignment it keeps only the last. It drops operations on a table that a later
+// OpAssignTable, OpClearTable or OpAssignRange resets. The order of the remaining operations does not change.
 func Collapse(ops []Op) []Op {
 	seen := map[opKey]bool{}
-	reset := map[int]bool{} // tables that a later operation resets
+	reset := map[int]bool{} // numbers of the tables that a later operation resets
 	kept := make([]Op, 0, len(ops))
 	for _, op := range slices.Backward(ops) {
 		key := collapseKey(&op)
@@ -24,7 +24,7 @@
 	return kept
 }
 
-// opKey identifies what an operation sets: of several with the same key only the last has an effect.
+// opKey identifies what an operation sets. Of several operations with equal keys only the last has an effect.
 type opKey struct {
 	kind     OpKind
 	table    int
@@ -33,7 +33,7 @@
 	number   int
 }
 
-// collapseKey returns the key of an operation.
+// collapseKey returns the key by which Collapse compares an operation with others.
 func collapseKey(o *Op) opKey {
 	key := opKey{kind: o.Kind}
 	switch o.Kind {
@@ -53,7 +53,7 @@
 	return key
 }
 
-// resetsTable reports whether the operation drops what its table held before.
+// resetsTable reports whether the operation removes the earlier content of its table.
 func (o *Op) resetsTable() bool {
 	switch o.Kind {
 	case OpAssignTable, OpClearTable, OpAssignRange:
@@ -62,8 +62,8 @@
 	return false
 }
 
-// isDroppedByReset reports whether the operation has no effect if its table is reset later. An OpAdmit for all tables
-// outlives the reset of one.
+// isDroppedByReset reports whether the operation has no effect if its table is reset later. An OpSetAdmission for all
+// tables stays in effect when one table is reset.
 func (o *Op) isDroppedByReset() bool {
 	switch o.Kind {
 	case OpSetWeight, OpClearTable:
