--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -6,22 +6,23 @@
 	"unicode/utf8"
 )
 
-// Limits on what a body holds. A peer that exceeds one has its stream closed.
+// Limits on the content of a message body. A body that exceeds one is an error, which ends the stream.
 const (
-	MaxText  = 255   // bytes of a name, reason or other string
-	MaxItems = 65535 // elements of a list in a message
+	MaxText  = 255   // largest length of a string, bytes
+	MaxItems = 65535 // largest number of elements of a list
 )
 
-// floatBytes is the size of an encoded float64.
+// floatBytes is the size of an encoded float64 in bytes.
 const floatBytes = 8
 
-// decoder consumes the body of a message. It keeps the first error; after it all methods return zero values.
+// decoder decodes the body of a message from front to back. It keeps the first error in err. After an error its methods
+// return zero values.
 type decoder struct {
-	b   []byte // what is left of the body
+	b   []byte // part of the body that is not yet decoded
 	err error
 }
 
-// fail sets the error unless there is one, and drops the rest of the body.
+// fail records an error, unless there is one already, and discards the rest of the body.
 func (d *decoder) fail(err error) {
 	if d.err == nil {
 		d.err = err
@@ -29,6 +30,7 @@
 	d.b = nil
 }
 
+// uvarint decodes an unsigned integer of up to 64 bits.
 func (d *decoder) uvarint() uint64 {
 	v, n := binary.Uvarint(d.b)
 	if n <= 0 {
@@ -39,7 +41,7 @@
 	return v
 }
 
-// varint decodes an integer of 32 bits.
+// varint decodes a signed integer. A value outside the range of 32 bits is an error.
 func (d *decoder) varint() int {
 	v, n := binary.Varint(d.b)
 	if n <= 0 {
@@ -54,7 +56,7 @@
 	return int(v)
 }
 
-// count decodes a non-negative integer of 32 bits.
+// count decodes a signed integer of 32 bits. A negative value is an error.
 func (d *decoder) count() int {
 	v := d.varint()
 	if v < 0 {
@@ -64,7 +66,7 @@
 	return v
 }
 
-// float decodes a fraction; NaN, infinities and negative values are errors.
+// float decodes a non-negative floating-point number. NaN, infinities and negative values are errors.
 func (d *decoder) float() float64 {
 	if len(d.b) < floatBytes {
 		d.fail(ErrTruncated)
@@ -79,6 +81,7 @@
 	return v
 }
 
+// byte decodes a single byte.
 func (d *decoder) byte() byte {
 	if len(d.b) == 0 {
 		d.fail(ErrTruncated)
@@ -89,6 +92,7 @@
 	return v
 }
 
+// bool decodes a byte that is 0 or 1. Any other value is an error.
 func (d *decoder) bool() bool {
 	v := d.byte()
 	if v > 1 {
@@ -97,7 +101,7 @@
 	return v == 1
 }
 
-// text decodes a string of valid UTF-8, MaxText bytes at most.
+// text decodes a string of at most MaxText bytes. Invalid UTF-8 is an error.
 func (d *decoder) text() string {
 	n := d.uvarint()
 	if n > MaxText {
@@ -120,8 +124,8 @@
 // texts decodes a list of strings.
 func (d *decoder) texts() []string { return decodeList(d, (*decoder).text) }
 
-// length decodes the length of a list. Each element takes at least one byte, so a length beyond the rest of the body is
-// rejected before anything is allocated for it.
+// length decodes the length of a list. Each element takes at least one byte, so a length that exceeds the rest of the
+// body is rejected before memory is allocated for the list.
 func (d *decoder) length() int {
 	n := d.uvarint()
 	if n > MaxItems {
@@ -135,7 +139,7 @@
 	return int(n)
 }
 
-// decodeList decodes a list by its elements. It returns nil for an empty list and after an error.
+// decodeList decodes a list whose elements are decoded by element. It returns nil for an empty list and after an error.
 func decodeList[T any](d *decoder, element func(*decoder) T) []T {
 	var list []T
 	for range d.length() {
