--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -1,11 +1,12 @@
-// Package wire is the framed protocol between pilots, proxies and the source of the endpoint list. It defines the
-// frames, the messages and their encoding. It owns no connection, starts no goroutine and decides nothing;
-// internal/transport and internal/testbed use it. docs/pilot.md describes the protocol.
+// Package wire implements the framed protocol between pilots, proxies and the source of the endpoint list. It defines
+// the frames, the messages and their encoding. It opens no connections and starts no goroutines; internal/transport and
+// internal/testbed build the protocol sessions on it. docs/pilot.md describes the protocol.
 //
-// A frame is a header of nine bytes (length of the body, type, sequence number, all big-endian) and a body. Integers in
-// a body are varints, fractions are eight bytes of IEEE 754, strings are a length and UTF-8. Each direction numbers its
-// frames from 1 without a gap.
+// A frame consists of a header of nine bytes and a body. The header contains the length of the body in bytes (4 bytes),
+// the message type (1 byte) and the sequence number (4 bytes), all big-endian. In a body, integers are varints,
+// floating-point numbers are eight bytes in IEEE 754 format, and strings are a length followed by UTF-8. Frames are
+// numbered consecutively from 1 in each direction.
 //
-// Each message stands with its encoding and decoding in the file of its purpose: session.go, report.go, orders.go,
+// Messages are grouped into files by purpose, each next to its encoding and decoding: session.go, report.go, orders.go,
 // slices.go, list.go and request.go.
 package wire
