--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -7,27 +7,28 @@
 	"io"
 )
 
-// MaxFrame is the largest body of a frame in bytes. A peer that sends a larger one has its stream closed.
+// MaxFrame is the largest size of a frame body in bytes. A larger body is an error, which ends the stream.
 const MaxFrame = 1 << 20
 
-// Layout of a frame's header.
+// Layout of the frame header: offsets and size in bytes.
 const (
-	typeOffset     = 4 // after the length, 4 bytes
-	sequenceOffset = 5 // after the type, 1 byte
+	typeOffset     = 4 // offset of the message type, after the length of the body
+	sequenceOffset = 5 // offset of the sequence number, after the message type
 	headerBytes    = 9
 )
 
-// Writer numbers and writes frames. It is not safe for concurrent use.
+// Writer writes messages as numbered frames. It is not safe for concurrent use.
 type Writer struct {
 	to   io.Writer
-	next uint32 // sequence number of the next frame
+	next uint32 // sequence number for the next frame
 	buf  encoder
 }
 
-// NewWriter returns a writer whose first frame has number 1.
+// NewWriter returns a writer whose first frame has sequence number 1.
 func NewWriter(to io.Writer) *Writer { return &Writer{to: to, next: 1} }
 
-// Write sends one message with one call of the underlying writer and returns the number of bytes written.
+// Write writes one message as a frame, with a single call of the underlying writer, and returns the number of bytes
+// written. It returns an error that wraps ErrTooLarge, and writes nothing, if the body exceeds MaxFrame.
 func (w *Writer) Write(m Message) (int, error) {
 	w.buf.b = append(w.buf.b[:0], make([]byte, headerBytes)...)
 	m.encode(&w.buf)
@@ -47,19 +48,20 @@
 	return n, nil
 }
 
-// Last returns the number of the last frame written, 0 before the first.
+// Last returns the sequence number of the last frame written, or 0 if there is none.
 func (w *Writer) Last() uint32 { return w.next - 1 }
 
-// Reader reads frames and checks their size and order. It is not safe for concurrent use.
+// Reader reads messages from frames, and checks the size and the sequence number of each frame. It is not safe for
+// concurrent use.
 type Reader struct {
 	from    io.Reader
-	next    uint32 // sequence number of the next frame
-	maxBody int    // bytes
-	body    []byte // buffer, used again for each frame
+	next    uint32 // expected sequence number of the next frame
+	maxBody int    // largest accepted body, bytes
+	body    []byte // buffer for the body, reused for each frame
 }
 
-// NewReader returns a reader that accepts bodies of up to maxBody bytes, or MaxFrame if maxBody is not from 1 to
-// MaxFrame.
+// NewReader returns a reader that accepts bodies of up to maxBody bytes. If maxBody is zero, negative or above
+// MaxFrame, the limit is MaxFrame.
 func NewReader(from io.Reader, maxBody int) *Reader {
 	if maxBody <= 0 || maxBody > MaxFrame {
 		maxBody = MaxFrame
@@ -67,7 +69,7 @@
 	return &Reader{from: from, next: 1, maxBody: maxBody}
 }
 
-// Read returns the next message. io.EOF means that the stream ended between two frames.
+// Read reads the next message. It returns io.EOF if the stream ended between two frames.
 func (r *Reader) Read() (Message, error) {
 	t, size, err := r.readHeader()
 	if err != nil {
@@ -84,7 +86,7 @@
 	return m, nil
 }
 
-// readHeader reads a frame's header and returns the type and the size of its body.
+// readHeader reads and checks the header of a frame, and returns the message type and the size of the body in bytes.
 func (r *Reader) readHeader() (t Type, size int, err error) {
 	var header [headerBytes]byte
 	if _, err := io.ReadFull(r.from, header[:]); err != nil {
@@ -98,12 +100,12 @@
 		return 0, 0, fmt.Errorf("read frame %d of %d bytes: %w", r.next, size, ErrTooLarge)
 	}
 	if number := binary.BigEndian.Uint32(header[sequenceOffset:]); number != r.next {
-		return 0, 0, fmt.Errorf("read frame %d, numbered %d: %w", r.next, number, ErrSequence)
+		return 0, 0, fmt.Errorf("read frame %d: received sequence number %d: %w", r.next, number, ErrSequence)
 	}
 	return Type(header[typeOffset]), size, nil
 }
 
-// readBody reads a frame's body into the buffer.
+// readBody reads a frame body of size bytes into the buffer.
 func (r *Reader) readBody(size int) error {
 	if cap(r.body) < size {
 		r.body = make([]byte, size)
@@ -115,5 +117,5 @@
 	return nil
 }
 
-// Last returns the number of the last frame read, 0 before the first.
+// Last returns the sequence number of the last frame read, or 0 if there is none.
 func (r *Reader) Last() uint32 { return r.next - 1 }
