--- a/internal/wire/list.go
+++ b/internal/wire/list.go
@@ -1,9 +1,9 @@
 package wire
 
-// ListAsk asks a list source for the endpoint list.
+// ListRequest requests the endpoint list, or changes to it, from the source of the list.
 type ListRequest struct {
-	Pilot string // name of the pilot that asks
-	Watch bool   // send changes from now on
+	Pilot string // name of the requesting pilot
+	Watch bool   // send changes of the list from now on
 	Whole bool   // send the complete list once
 }
 
@@ -21,22 +21,22 @@
 	m.Whole = d.bool()
 }
 
-// List carries entries of the endpoint list.
+// List contains the endpoint list or changes to it.
 type List struct {
 	Version int     `json:"Version"`
-	Now     uint64  `json:"Now"`   // ms on the list's clock
-	Whole   bool    `json:"Whole"` // the list is complete: an endpoint without an entry is gone
+	Now     uint64  `json:"Now"`   // time of sending, ms on the clock of the list source
+	Whole   bool    `json:"Whole"` // the list is complete; an endpoint without an entry is gone
 	Entries []Entry `json:"Entries"`
 }
 
-// Phases of an endpoint. Their values are part of the protocol.
+// Phases of an endpoint, the values of Entry.Phase. The numbers are part of the protocol.
 const (
 	PhaseReady    = 0
 	PhaseDraining = 1
 	PhaseGone     = 2
 )
 
-// Entry is one endpoint of a list.
+// Entry describes one endpoint of a List. Phase is one of the Phase constants.
 type Entry struct {
 	Endpoint string  `json:"Endpoint"`
 	Zone     string  `json:"Zone"`
@@ -45,8 +45,8 @@
 	Phase    int     `json:"Phase"`
 	Weight   float64 `json:"Weight"`
 
-	// Started is in ms on the list's own clock, 0 for the distant past. Receivers use only its distance from List.Now, so
-	// their clocks may differ.
+	// Started is the start of the endpoint's process in ms on the clock of the list source, or 0 if it is unknown.
+	// Receivers use only its difference from List.Now, so that their clocks need not agree with that of the source.
 	Started uint64 `json:"Started"`
 }
 
