--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -1,13 +1,13 @@
 package wire
 
-// EveryTable is the table number of an OpAdmit that applies to all tables.
+// AllTables is the table number in an OpSetAdmission that applies to all tables.
 const AllTables = 65535
 
-// Orders is a message of operations from a pilot to a proxy.
+// Commands contains operations that a pilot sends to a proxy, to be applied in order.
 type Commands struct {
-	AtMs  float64 // when the planner issued it, on the pilot's clock
-	AgeMs float64 // time that it waited in the pilot's channel
-	Lines int     // its cost in the channel, in lines, heads included
+	AtMs  float64 // time at which the planner issued the operations, ms on the pilot's clock
+	AgeMs float64 // time that the message was queued at the pilot, ms
+	Lines int     // cost of the message for flow control, in lines including message overhead
 	Ops   []Op
 }
 
@@ -30,35 +30,36 @@
 	m.Ops = decodeList(d, decodeOp)
 }
 
-// OpKind is the type of an operation.
+// OpKind is the type of an operation in Commands.
 type OpKind byte
 
-// The types of operations. Their values are part of the protocol.
+// The types of operations. The numbers are part of the protocol.
 const (
-	OpAssignTable  OpKind = 1 // assign a table to the classes Kinds and reset it; OpSet and OpAdmit follow
-	OpSetWeight    OpKind = 2 // set the weight of an endpoint in a table; 0 removes it
-	OpClearTable   OpKind = 3 // remove the lines and levels of a table
-	OpSetExcluded  OpKind = 4 // exclude an endpoint (Out) or let it in again
-	OpSetAdmission OpKind = 5 // set the admission level and the retry policy of the classes Kinds
-	OpAckRequest   OpKind = 6 // answer with Done
-	OpAssignRange  OpKind = 7 // assign a table to the keys from From to To and reset it; Out: remove the assignment
+	OpAssignTable  OpKind = 1 // assign a table to the request classes in Op.Classes and reset the table
+	OpSetWeight    OpKind = 2 // set the weight of an endpoint in a table; weight 0 removes the endpoint
+	OpClearTable   OpKind = 3 // remove all weights and admission levels of a table
+	OpSetExcluded  OpKind = 4 // exclude an endpoint from all tables if Op.Remove is set, otherwise end its exclusion
+	OpSetAdmission OpKind = 5 // set the admission level and the retry policy of the request classes in Op.Classes
+	OpAckRequest   OpKind = 6 // request a Done message
+	OpAssignRange  OpKind = 7 // assign a table to a range of keys and reset it, or remove the assignment if Op.Remove is set
 )
 
-// Op is one operation of Orders. Kind decides which of the other fields are used and encoded.
+// Op is one operation in Commands. Kind determines which of the other fields are used and encoded.
 type Op struct {
 	Kind      OpKind
 	Table     int
-	Classes   int // bit mask of request classes
+	Classes   int // bit mask of request class indices
 	Endpoint  string
-	Weight    float64 // OpSet: weight; OpAdmit: admission level
-	RetryMode int     // OpAdmit: retry policy
-	Remove    bool
-	AckNumber int  // OpMark: number of the mark
-	KeepLines bool // OpBind: the lines that the proxy's Hello listed stay, the lines that follow change them
-	From      string
-	To        string // exclusive; "": no end
+	Weight    float64 // OpSetWeight: weight of the endpoint; OpSetAdmission: admission level
+	RetryMode int     // OpSetAdmission: number of the retry policy
+	Remove    bool    // OpSetExcluded: exclude the endpoint; OpAssignRange: remove the assignment
+	AckNumber int     // OpAckRequest: number to return in Done.Mark
+	KeepLines bool    // OpAssignTable: do not reset the table, but keep the weights that the proxy's Hello listed
+	From      string  // OpAssignRange: first key of the range
+	To        string  // OpAssignRange: end of the range, exclusive; "": no end
 }
 
+// encode encodes the operation with the fields that its kind uses.
 func (o *Op) encode(e *encoder) {
 	e.byte(byte(o.Kind))
 	switch o.Kind {
@@ -90,6 +91,7 @@
 	}
 }
 
+// decodeOp decodes an operation. An unknown kind is an error.
 func decodeOp(d *decoder) Op {
 	o := Op{Kind: OpKind(d.byte())}
 	switch o.Kind {
@@ -125,10 +127,10 @@
 	return o
 }
 
-// Done acknowledges that a proxy has applied everything up to a mark.
+// Done acknowledges that a proxy has applied all operations up to an OpAckRequest.
 type Done struct {
-	Mark   int     `json:"Mark"`
-	TookMs float64 `json:"TookMs"` // from the arrival of the mark until everything was applied
+	Mark   int     `json:"Mark"`   // Op.AckNumber of the request
+	TookMs float64 `json:"TookMs"` // time from the arrival of the request until all operations were applied, ms
 }
 
 func (*Done) messageType() Type { return typeDone }
