--- a/internal/wire/report.go
+++ b/internal/wire/report.go
@@ -1,38 +1,38 @@
 package wire
 
-// Sums is a proxy's report on what happened since its last one.
+// LoadReport is the report of a proxy about its traffic since its previous report.
 type LoadReport struct {
-	Seq           uint64  // number of the report in its stream, from 1
-	AtMs          float64 // on the proxy's own clock, of which only differences have a meaning
-	SpanMs        float64 // time that the report covers
+	Seq           uint64  // sequence number of the report in its stream, from 1
+	AtMs          float64 // time of sending, ms on the proxy's clock, which need not agree with the receiver's
+	SpanMs        float64 // length of the reported period, ms
 	EndpointStats []EndpointStats
 	RequestStats  []RequestStats
-	SliceStats    []SliceStats // only in a deployment with slices
+	SliceStats    []SliceStats // empty in a deployment without slices
 }
 
-// Met sums a proxy's attempts at one endpoint.
+// EndpointStats holds the statistics of a proxy's attempts at one endpoint.
 type EndpointStats struct {
 	Endpoint string
 	Attempts int
-	Failed   int // of Tries
-	MeanMs   float64
-	Load     []LoadMetric // the last load report among the answers
+	Failed   int          // number of failed attempts
+	MeanMs   float64      // mean duration of successful attempts
+	Load     []LoadMetric // last load report that a response of the endpoint contained
 }
 
-// Figure is one value of a load report.
+// LoadMetric is one value of the load report of an endpoint, such as its utilization.
 type LoadMetric struct {
 	Name  string
 	Value float64
 }
 
-// Demand sums the requests of one class that a proxy received.
+// RequestStats counts the requests of one class that a proxy received, and those that it did not answer.
 type RequestStats struct {
 	Class      string
 	Requests   int
 	Unanswered int
 }
 
-// SliceLoad sums the requests of one class for the keys of one slice.
+// SliceStats counts the requests of one class for the keys of one slice, and those that were not answered.
 type SliceStats struct {
 	Slice      int
 	Class      string
@@ -83,7 +83,13 @@
 }
 
 func (d *decoder) endpointStats() EndpointStats {
-	m := EndpointStats{Endpoint: d.text(), Attempts: d.count(), Failed: d.count(), MeanMs: d.float(), Load: d.loadMetrics()}
+	m := EndpointStats{
+		Endpoint: d.text(),
+		Attempts: d.count(),
+		Failed:   d.count(),
+		MeanMs:   d.float(),
+		Load:     d.loadMetrics(),
+	}
 	if m.Failed > m.Attempts {
 		d.fail(ErrValue)
 	}
@@ -112,11 +118,11 @@
 	return LoadMetric{Name: d.text(), Value: d.float()}
 }
 
-// Pace asks a proxy to change its reporting.
+// Pace asks a proxy to change how often and how much it reports.
 type Pace struct {
-	PeriodMs    int  // reporting interval
-	MaxLines    int  // most elements of Sums.Met in a report; 0: all
-	ChangedOnly bool // only elements that have changed
+	PeriodMs    int  // interval between reports, ms
+	MaxLines    int  // largest number of elements of LoadReport.EndpointStats; 0: no limit
+	ChangedOnly bool // report only endpoints whose statistics have changed
 }
 
 func (*Pace) messageType() Type { return typePace }
