--- a/internal/wire/request.go
+++ b/internal/wire/request.go
@@ -1,14 +1,14 @@
 package wire
 
-// Req asks an endpoint, or a proxy in front of endpoints, for work. It belongs to the traffic of the testbed.
+// Request is an attempt of the testbed at an endpoint, or a request of a testbed client to a proxy.
 type Request struct {
-	Number    uint64  // pairs it with its Answer on the connection
-	RequestID uint64  // the same for all attempts of a request, so that a repeated effect is recognised
-	Class     string  // request class
+	Number    uint64  // identifies the Response on the same connection
+	RequestID uint64  // equal for all attempts of a request, so that repeated execution can be detected
+	Class     string  // name of the request class
 	From      string  // name of the sender
-	Key       string  // in a deployment with slices
-	WorkMs    float64 // time that it takes on a core of speed 1
-	TimeoutMs float64 // for which the sender waits
+	Key       string  // key that the request accesses, in a deployment with slices
+	WorkMs    float64 // processing time on a core of speed 1, ms
+	TimeoutMs float64 // time for which the sender waits for the response, ms
 }
 
 func (*Request) messageType() Type { return typeRequest }
@@ -33,22 +33,22 @@
 	m.Key = d.text()
 }
 
-// Outcome is how an attempt ended.
+// Outcome is the result of a request or health check.
 type Outcome byte
 
-// The outcomes of an Answer. Their values are part of the protocol.
+// The outcomes of a Response. The numbers are part of the protocol.
 const (
 	Succeeded Outcome = 1
-	Errored   Outcome = 2 // it was executed, or may have been, and failed
-	Denied    Outcome = 3 // it was rejected before it was executed
+	Errored   Outcome = 2 // it failed, and may have been executed
+	Denied    Outcome = 3 // it was rejected without being executed
 )
 
-// Answer ends a Req or a Probe.
+// Response answers a Request or a Probe.
 type Response struct {
 	Number       uint64
 	Outcome      Outcome
-	RetryAfterMs float64      // Denied: retry after this time
-	Load         []LoadMetric // the endpoint's load report
+	RetryAfterMs float64      // if Denied: time after which a retry is allowed, ms
+	Load         []LoadMetric // load report of the endpoint
 }
 
 func (*Response) messageType() Type { return typeResponse }
@@ -70,7 +70,7 @@
 	m.Load = d.loadMetrics()
 }
 
-// Probe is a health check: it asks an endpoint for a load report, which is answered without queueing.
+// Probe is a health check. The endpoint answers it with a load report, without queueing it behind requests.
 type Probe struct{ Number uint64 }
 
 func (*Probe) messageType() Type { return typeProbe }
