--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -2,30 +2,30 @@
 
 import "math"
 
-// Hello opens a proxy's stream.
+// Hello is the first message of a proxy on a stream to a pilot.
 type Hello struct {
-	Version int     `json:"Version"`
+	Version int     `json:"Version"` // protocol version, see the constant Version
 	Proxy   string  `json:"Proxy"`
 	Zone    string  `json:"Zone"`
-	Boot    uint64  `json:"Boot"`  // differs at each start of the proxy's process
-	Rate    float64 `json:"Rate"`  // requests a second that the proxy ordinarily receives
-	Fresh   bool    `json:"Fresh"` // the proxy has only its bootstrap table
+	Boot    uint64  `json:"Boot"`  // differs for each start of the proxy's process
+	Rate    float64 `json:"Rate"`  // usual number of requests per second that the proxy receives
+	Fresh   bool    `json:"Fresh"` // the proxy has no table other than its bootstrap table
 
-	// Holds lists the endpoints in the proxy's tables.
+	// Holds lists the endpoints in all tables of the proxy.
 	Holds []string `json:"Holds"`
 
-	// Tables are the complete tables of the proxy's last stream. A table that is assigned again is sent as the lines that
-	// differ from them.
+	// Tables contains the complete tables that the proxy received on its previous stream. If the pilot assigns one of
+	// them again, it sends only the differences.
 	Tables []HeldTable `json:"Tables"`
 }
 
-// HeldTable is a table as a proxy has it.
+// HeldTable is a routing table that a proxy already has.
 type HeldTable struct {
 	Table int        `json:"Table"`
 	Lines []HeldLine `json:"Lines"`
 }
 
-// HeldLine is the weight of one endpoint in a table.
+// HeldLine is the weight of one endpoint in a routing table.
 type HeldLine struct {
 	Endpoint string  `json:"Endpoint"`
 	Weight   float64 `json:"Weight"`
@@ -80,12 +80,12 @@
 	return HeldLine{Endpoint: d.text(), Weight: d.float()}
 }
 
-// Welcome accepts a Hello.
+// Welcome is the answer to a Hello that the pilot accepts.
 type Welcome struct {
 	Version     int
-	Pilot       string // name
-	HeartbeatMs int    // heartbeat interval of both sides
-	PeriodMs    int    // reporting interval
+	Pilot       string // name of the pilot
+	HeartbeatMs int    // interval of heartbeats in both directions, ms
+	PeriodMs    int    // interval between load reports, ms
 }
 
 func (*Welcome) messageType() Type { return typeWelcome }
@@ -104,7 +104,7 @@
 	m.PeriodMs = d.count()
 }
 
-// Refuse rejects a Hello, or ends a stream because of an error on it.
+// Refuse rejects a Hello, or announces that the sender closes the stream because of an error.
 type Refuse struct{ Reason string }
 
 func (*Refuse) messageType() Type { return typeRefuse }
@@ -113,8 +113,9 @@
 
 func (m *Refuse) decode(d *decoder) { m.Reason = d.text() }
 
-// Beat is a heartbeat, sent when a side has nothing else to send. Seen is the number of the last frame of the other
-// side that was processed: a proxy whose heartbeats arrive while its Seen doesn't advance has stopped reading.
+// Heartbeat is sent periodically in both directions. LastProcessed is the sequence number of the last frame of the peer
+// that the sender has processed. A proxy whose heartbeats arrive while LastProcessed does not advance has stopped
+// processing messages.
 type Heartbeat struct{ LastProcessed uint32 }
 
 func (*Heartbeat) messageType() Type { return typeHeartbeat }
@@ -129,7 +130,7 @@
 	m.LastProcessed = uint32(v)
 }
 
-// Redirect asks a proxy to connect to another pilot.
+// Redirect asks a proxy to close the stream and connect to another pilot.
 type Redirect struct{ Reason string }
 
 func (*Redirect) messageType() Type { return typeRedirect }
@@ -138,7 +139,7 @@
 
 func (m *Redirect) decode(d *decoder) { m.Reason = d.text() }
 
-// Bye announces that the sender closes the stream on purpose.
+// Bye announces that the sender closes the stream intentionally.
 type Bye struct{}
 
 func (*Bye) messageType() Type { return typeBye }
