--- a/internal/wire/slices.go
+++ b/internal/wire/slices.go
@@ -1,13 +1,13 @@
 package wire
 
-// Slices notifies a pilot that the store has assigned a key slice to it, with the stored lines of the slice, or has
-// taken the slice away.
+// Slices notifies a pilot that a slice of the keys has been assigned to it, with the stored weights of the slice, or
+// that the assignment has ended.
 type Slices struct {
 	Slice int        `json:"Slice"`
-	Given bool       `json:"Given"` // assigned, not taken away
+	Given bool       `json:"Given"` // true: assigned; false: the assignment has ended
 	Lines []HeldLine `json:"Lines"`
 	From  string     `json:"From"` // first key of the slice
-	To    string     `json:"To"`   // exclusive; "": no end
+	To    string     `json:"To"`   // end of the slice, exclusive; "": no end
 }
 
 func (*Slices) messageType() Type { return typeSlices }
@@ -29,7 +29,7 @@
 	checkRange(d, m.From, m.To)
 }
 
-// checkRange rejects a range that holds no key.
+// checkRange sets an error if the range of keys is empty. An empty to means that the range has no end.
 func checkRange(d *decoder, from, to string) {
 	if to != "" && to <= from {
 		d.fail(ErrValue)
