--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -5,30 +5,30 @@
 	"fmt"
 )
 
-// Version is the version of the protocol that a Hello and a Welcome announce.
+// Version is the protocol version of this package. Hello and Welcome messages contain it.
 const Version = 1
 
-// Errors that end a stream. None of them is temporary.
+// Errors in a stream of frames. They are permanent: the stream cannot be used after one of them.
 var (
-	ErrTooLarge  = errors.New("frame larger than the limit")
+	ErrTooLarge  = errors.New("message body exceeds the size limit")
 	ErrSequence  = errors.New("frame repeated, missing or out of order")
-	ErrTruncated = errors.New("body ends too early")
-	ErrTrailing  = errors.New("body longer than its message")
-	ErrType      = errors.New("unknown type of message")
+	ErrTruncated = errors.New("message body is truncated")
+	ErrTrailing  = errors.New("unexpected bytes after the message")
+	ErrType      = errors.New("unexpected message type")
 	ErrValue     = errors.New("value out of range")
 )
 
-// Message is one of the messages of this package.
+// Message is implemented by all message types of the protocol.
 type Message interface {
 	messageType() Type
 	encode(*encoder)
 	decode(*decoder)
 }
 
-// Type is the number of a message type in a frame's header.
+// Type is the message type in a frame header.
 type Type byte
 
-// The message types. Their values are part of the protocol.
+// The message types. The numbers are part of the protocol.
 const (
 	typeHello       Type = 1
 	typeWelcome     Type = 2
@@ -48,7 +48,7 @@
 	typeSlices      Type = 16
 )
 
-// newMessage returns an empty message of a type, nil if the type is unknown.
+// newMessage returns an empty message of the given type, or nil if the type is unknown.
 func newMessage(t Type) Message {
 	switch t {
 	case typeHello:
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// Decode decodes the body of a frame. The message doesn't refer to body.
+// Decode decodes a frame body into a new message of the given type. The message does not retain body.
 func Decode(t Type, body []byte) (Message, error) {
 	m := newMessage(t)
 	if m == nil {
@@ -99,7 +99,7 @@
 	return m, nil
 }
 
-// Body encodes a message without a frame, for records and other stores.
+// EncodeBody encodes a message without a frame, for storage.
 func EncodeBody(m Message) ([]byte, error) {
 	var e encoder
 	m.encode(&e)
@@ -109,7 +109,7 @@
 	return e.b, nil
 }
 
-// Unbody decodes what Body encoded into a message. After an error the message may be filled in part.
+// DecodeBody decodes a body from EncodeBody into an existing message. After an error the message may be incomplete.
 func DecodeBody(into Message, body []byte) error {
 	d := decoder{b: body}
 	into.decode(&d)
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sampleSums has every field set.
+// sampleLoadReport is a load report with a value in every field.
 var sampleLoadReport = &LoadReport{
 	Seq:           3,
 	AtMs:          5.5,
@@ -17,7 +17,7 @@
 	SliceStats:    []SliceStats{{7, "read", 3, 1}},
 }
 
-// samples has one of each message, every field set.
+// samples contains one message of each type, with a value in nearly every field.
 var samples = []Message{
 	&Hello{
 		Version: 1, Proxy: "p", Zone: "a", Boot: 7, Rate: 2.5, Fresh: true, Holds: []string{"x:1", "y:2"},
@@ -48,15 +48,15 @@
 	&Pace{PeriodMs: 2000, MaxLines: 40, ChangedOnly: true},
 }
 
-// encodeBody encodes a message without its frame, whatever its size.
+// encodeBody encodes a message without a frame and without checking its size.
 func encodeBody(m Message) []byte {
 	var e encoder
 	m.encode(&e)
 	return e.b
 }
 
-// FuzzDecode checks that no body crashes the decoder, and that an accepted message is the same after it is encoded
-// again.
+// FuzzDecode checks that the decoder does not panic on arbitrary bodies, and that a decoded message is equal after it
+// was encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	for _, m := range samples {
 		f.Add(byte(m.messageType()), encodeBody(m))
