--- a/internal/settings/names_test.go
+++ b/internal/settings/names_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestRename checks that an index that is renamed repeatedly keeps the last name only.
+// TestRename checks that repeated renaming of an index leaves only the last name, and adds no indices.
 func TestRename(t *testing.T) {
 	var d Names
 	d.Intern("a")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,13 +1,13 @@
 package settings
 
-// Deployment holds a deployment's settings in the planner's form, and the names behind the indices in them.
+// Deployment holds the settings of a deployment in the planner's form, and the names for the indices in them.
 type Deployment struct {
 	Settings                 map[string]any
 	Zones, Machines, Classes Names
 }
 
-// Parse converts a deployment's settings: it assigns indices to names, replaces references to names by indices, and
-// flattens the settings under the planner's names. It modifies its argument.
+// Parse converts the settings of a deployment to the planner's form. It assigns indices to names, replaces references
+// to names by indices, renames the settings, and flattens nested settings into one map. It modifies its argument.
 func Parse(settings map[string]any) *Deployment {
 	d := &Deployment{Settings: map[string]any{}}
 	d.Zones.internAll(settings["dcs"])
@@ -20,15 +20,15 @@
 	return d
 }
 
-// internAll assigns an index to each name of a list. Other settings are ignored.
+// internAll assigns an index to each string in list. It ignores other elements, and does nothing if list is not a list.
 func (n *Names) internAll(list any) {
 	for _, name := range stringList(list) {
 		n.Intern(name)
 	}
 }
 
-// readClasses assigns indices to the request classes, and replaces the names of hardware models and zones that a class
-// is restricted to by their indices.
+// readClasses assigns indices to the request classes in profiles. In each class it replaces the names of the hardware
+// models and zones to which the class is restricted by their indices.
 func (d *Deployment) readClasses(profiles any) {
 	list, _ := profiles.([]any)
 	for _, item := range list {
@@ -43,7 +43,7 @@
 	}
 }
 
-// indices returns the indices of a list of names, as JSON numbers.
+// indices returns the indices of a list of names as float64, like numbers decoded from JSON.
 func (n *Names) indices(list any) []any {
 	var indices []any
 	for _, name := range stringList(list) {
@@ -52,7 +52,7 @@
 	return indices
 }
 
-// texts returns the strings of a list, or nil if the setting is not a list.
+// stringList returns the strings in a setting that is a list, or nil if the setting is not a list.
 func stringList(setting any) []string {
 	list, _ := setting.([]any)
 	var found []string
@@ -64,7 +64,7 @@
 	return found
 }
 
-// renameAll returns the settings under the planner's names, with times in milliseconds, recursively.
+// renameAll returns a copy of settings, including nested ones, with the planner's names and times in milliseconds.
 func renameAll(settings map[string]any) map[string]any {
 	renamed := make(map[string]any, len(settings))
 	for name, value := range settings {
@@ -73,7 +73,7 @@
 	return renamed
 }
 
-// renameValue converts the value of the setting called name; elements of a list have no name.
+// renameValue converts the value of the setting called name. name is empty for elements of a list.
 func renameValue(name string, value any) any {
 	switch v := value.(type) {
 	case map[string]any:
@@ -94,7 +94,7 @@
 	return value
 }
 
-// flatten copies settings, and those nested in them, into one map.
+// flatten copies settings from one map into another, with nested settings at the top level.
 func flatten(into, from map[string]any) {
 	for name, value := range from {
 		if nested, ok := value.(map[string]any); ok {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSettingsUnderPlannerNames checks the conversion of names, values, times and references.
+// TestParse checks that Parse renames settings and their values, converts times to milliseconds, flattens nested
+// settings and replaces references to names by indices.
 func TestParse(t *testing.T) {
 	d := Parse(map[string]any{
 		"kinds": []any{"m", "n"}, "dcs": []any{"a", "b"}, "fresh_key": 3.0, "zone": "b",
@@ -28,5 +29,5 @@
 	assert.Equal(t, 5.0, kind["response_target"])
 	assert.Equal(t, []string{"w"}, d.Classes.All())
 	_, err := d.Zones.Lookup(2)
-	assert.ErrorContains(t, err, "no id behind index 2")
+	assert.ErrorContains(t, err, "no name is assigned to index 2")
 }
--- a/internal/simulator/commands.go
+++ b/internal/simulator/commands.go
@@ -8,20 +8,20 @@
 	"indigousher/planner"
 )
 
-// reply is one line to the simulator. It answers the batch with the same number.
+// reply is the line that the adapter writes for each batch. It has the number of the batch.
 type reply struct {
 	Number   int64     `json:"batch"`
 	Commands []command `json:"orders"`
 }
 
-// command is a command in the simulator's format: one of the types below. Their fields are sorted by JSON name, the
-// order that recorded conversations have.
+// command is a command in the format of the simulator. The types that implement it declare their fields in the order of
+// their JSON names, which is the order in recorded conversations.
 type command interface{ isCommand() }
 
-// commandKind is the simulator's name of a command.
+// commandKind is the type of a command, as the simulator names it.
 type commandKind string
 
-// The kinds of commands.
+// The types of commands.
 const (
 	commandSetWeight      commandKind = "set_weight"
 	commandClearTable     commandKind = "reset_table"
@@ -38,7 +38,7 @@
 	commandBroken         commandKind = "broken"
 )
 
-// header is common to all commands: the instance that issues it, and the kind.
+// header holds the fields that all commands have: the name of the issuing instance and the type.
 type header struct {
 	Instance string      `json:"i"`
 	Kind     commandKind `json:"kind"`
@@ -46,9 +46,10 @@
 
 func (header) isCommand() {}
 
-// simpleCommand has no fields of its own.
+// simpleCommand is a command without further fields.
 type simpleCommand struct{ header }
 
+// setWeightCommand sets the weight of an endpoint in a table.
 type setWeightCommand struct {
 	Endpoint string  `json:"endpoint"`
 	Weight   float64 `json:"heft"`
@@ -56,75 +57,85 @@
 	Table int `json:"tbl"`
 }
 
+// clearTableCommand removes the content of a table.
 type clearTableCommand struct {
 	header
 	Table int `json:"tbl"`
 }
 
+// assignTableCommand assigns a table to request classes of a proxy.
 type assignTableCommand struct {
 	Proxy int `json:"edge"`
 	header
-	Classes int `json:"lanes"` // bit mask; 0: all
+	Classes int `json:"lanes"` // bit mask of request class indices; 0: all
 	Table   int `json:"tbl"`
 }
 
+// setExcludedCommand excludes an endpoint from all tables or ends its exclusion.
 type setExcludedCommand struct {
 	Excluded bool   `json:"active"`
 	Endpoint string `json:"endpoint"`
 	header
 }
 
+// setAdmissionCommand sets the admission level and the retry mode of request classes.
 type setAdmissionCommand struct {
 	header
-	Classes   int     `json:"lanes"` // bit mask; 0: all
+	Classes   int     `json:"lanes"` // bit mask of request class indices; 0: all
 	Level     float64 `json:"level"`
 	RetryMode int     `json:"retry_mode"`
 	Table     int     `json:"tbl"`
 }
 
+// ackRequestCommand requests acknowledgements from proxies.
 type ackRequestCommand struct {
-	All    bool `json:"active"` // ask all proxies, not only those with changes
+	All    bool `json:"active"` // request it from all proxies, not only from those with changes
 	Number int  `json:"epoch"`
 	header
 }
 
+// healthCheckCommand requests a health check of an endpoint.
 type healthCheckCommand struct {
 	Endpoint string `json:"endpoint"`
 	header
 }
 
+// sendGossipCommand sends a message to another instance.
 type sendGossipCommand struct {
 	Text string `json:"contents"`
 	header
 	Peer int `json:"neighbour_id"`
 }
 
+// setTimerCommand sets a timer; DueNs is in simulator time.
 type setTimerCommand struct {
 	DueNs int64 `json:"due_at"`
 	header
 	Timer string `json:"ref"`
 }
 
+// watchEndpointsCommand starts or stops the delivery of changes of the endpoint list.
 type watchEndpointsCommand struct {
 	On bool `json:"active"`
 	header
 }
 
-// textCommand is a log line, or reports why an instance is broken.
+// textCommand is a log line, or the message of a planner that panicked.
 type textCommand struct {
 	Text string `json:"body_text"`
 	header
 }
 
-// header returns the header of a command of this instance.
+// header returns the common fields of a command that this instance issues.
 func (in *instance) header(kind commandKind) header { return header{Instance: in.name, Kind: kind} }
 
-// broken reports that the instance's planner panicked.
+// broken returns the command that reports a panic of the planner to the simulator.
 func (in *instance) broken(cause any) command {
 	return textCommand{header: in.header(commandBroken), Text: fmt.Sprint(cause)}
 }
 
-// encode converts a command of the planner to the simulator's format.
+// encode converts a command of the planner to the simulator's format. It returns an error if the command refers to an
+// unknown endpoint or proxy, or has an unknown type.
 func (in *instance) encode(c planner.Command) (command, error) {
 	switch c := c.(type) {
 	case planner.SetWeight:
@@ -152,7 +163,7 @@
 	case planner.Log:
 		return textCommand{header: in.header(commandLog), Text: c.Text}, nil
 	}
-	return nil, errors.New("unknown order " + strconv.Quote(fmt.Sprintf("%T", c)))
+	return nil, errors.New("unknown command " + strconv.Quote(fmt.Sprintf("%T", c)))
 }
 
 func (in *instance) encodeSetWeight(c planner.SetWeight) (command, error) {
@@ -168,10 +179,11 @@
 	}, nil
 }
 
-// encodeAssignTable rejects a proxy that has not joined: the simulator would treat the command as a violation.
+// encodeAssignTable returns an error if the proxy has not joined, because the simulator would count the command as a
+// protocol violation.
 func (in *instance) encodeAssignTable(c planner.AssignTable) (command, error) {
 	if !in.joined[c.Proxy] {
-		return nil, fmt.Errorf("bind of proxy %d, which is not joined", c.Proxy)
+		return nil, fmt.Errorf("use_table: proxy %d has not joined", c.Proxy)
 	}
 	return assignTableCommand{
 		header:  in.header(commandAssignTable),
@@ -207,7 +219,8 @@
 	return healthCheckCommand{header: in.header(commandHealthCheck), Endpoint: name}, nil
 }
 
-// endpointName returns the name of the endpoint that a command is about.
+// endpointName returns the name of the endpoint with the given index. kind is the command that refers to it, for the
+// error message.
 func (in *instance) endpointName(endpoint int, kind commandKind) (string, error) {
 	name, err := in.endpoints.Lookup(endpoint)
 	if err != nil {
--- a/internal/simulator/commands_test.go
+++ b/internal/simulator/commands_test.go
@@ -10,8 +10,8 @@
 	"indigousher/planner"
 )
 
-// TestCommandBytes checks the encoding of each command, including the order of keys, which recorded conversations
-// contain.
+// TestCommandBytes checks the JSON encoding of each command, including the order of its keys, because recorded
+// conversations are compared byte by byte.
 func TestCommandBytes(t *testing.T) {
 	in := &instance{name: "pilot/0", originNs: 7, joined: map[int]bool{4: true}}
 	endpoint := in.endpoints.Intern("x:1")
@@ -79,18 +79,18 @@
 	assert.Equal(t, `{"body_text":"index out of range","i":"pilot/0","kind":"broken"}`, string(bytes))
 }
 
-// TestUnencodable checks the errors for commands that the simulator would treat as violations.
+// TestUnencodable checks the errors for commands that the simulator would count as protocol violations.
 func TestUnencodable(t *testing.T) {
 	in := &instance{name: "pilot/0", joined: map[int]bool{}}
 	for _, c := range []struct {
 		command planner.Command
 		want    string
 	}{
-		{planner.SetWeight{Endpoint: 3}, "set_weight: no id behind index 3"},
-		{planner.SetExcluded{Endpoint: 3}, "withdraw: no id behind index 3"},
-		{planner.HealthCheck{Endpoint: 3}, "health_check: no id behind index 3"},
-		{planner.AssignTable{Proxy: 4}, "bind of proxy 4, which is not joined"},
-		{nil, `unknown order "<nil>"`},
+		{planner.SetWeight{Endpoint: 3}, "set_weight: no name is assigned to index 3"},
+		{planner.SetExcluded{Endpoint: 3}, "withdraw: no name is assigned to index 3"},
+		{planner.HealthCheck{Endpoint: 3}, "health_check: no name is assigned to index 3"},
+		{planner.AssignTable{Proxy: 4}, "use_table: proxy 4 has not joined"},
+		{nil, `unknown command "<nil>"`},
 	} {
 		_, err := in.encode(c.command)
 		assert.EqualError(t, err, c.want)
