--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -8,14 +8,14 @@
 	"indigousher/planner"
 )
 
-// batch is one line from the simulator: the events up to a moment of its clock.
+// batch is one line of input from the simulator. It contains the events up to ClockNs.
 type batch struct {
 	ClockNs int64             `json:"sim_time"`
 	Number  int64             `json:"batch"`
 	Events  []json.RawMessage `json:"happened"`
 }
 
-// The kinds of events. The host handles the first two, the planner the others.
+// The types of events, as the simulator names them. The host handles eventStart and eventEnd, the planner the others.
 const (
 	eventStart           = "spawn"
 	eventEnd             = "teardown"
@@ -33,33 +33,34 @@
 	eventAcknowledgement = "confirmed"
 )
 
-// healthCheckPassed is the result of a successful health check.
+// healthCheckPassed is the value of event.Result for a successful health check.
 const healthCheckPassed = "S"
 
-// event is an event of any kind; each kind uses some of the fields. A field of the wrong type is an error in every
-// kind. The error text of encoding/json contains the names of this type and of the field's type.
+// event is an event of any type. Each type of event uses some of the fields, but a field with a value of the wrong type
+// is always an error. The error text of encoding/json contains the Go names of this type and of the types of its
+// fields.
 type event struct {
 	Kind     string `json:"kind"`
 	Instance string `json:"i"`
 
-	// Start of an instance.
+	// Start of an instance: the seed and the settings of its planner.
 	Seed  int64          `json:"rng_seed"`
 	Setup map[string]any `json:"setup"`
 
-	// Endpoint list. Number is the list's version; in an acknowledgement it is the number of the request.
+	// Endpoint list. Number is the version of the list, or in an acknowledgement the number of the request.
 	Mode    string     `json:"mode"`
 	Number  int        `json:"epoch"`
 	Entries []listLine `json:"hosts"`
 
-	// Timer.
+	// Name of a timer.
 	Timer string `json:"ref"`
 
-	// Identity of the endpoint or proxy.
+	// Name of the endpoint, number of the proxy, and name of the zone.
 	Endpoint string `json:"endpoint"`
 	Proxy    int    `json:"edge"`
 	Zone     string `json:"zone"`
 
-	// Statistics and results. WaitNs is a duration or a mean duration, SpanNs the time that the counts cover.
+	// Statistics and results. WaitNs is a duration or a mean duration, and SpanNs is the length of the counted period.
 	Result string             `json:"result"`
 	WaitNs float64            `json:"wait_time"`
 	Load   map[string]float64 `json:"feedback"`
@@ -68,18 +69,18 @@
 	Count  int                `json:"count"`
 	Class  string             `json:"qos"`
 
-	// Gossip: the sender's rank and the message.
+	// Gossip. From is the rank of the sending instance, and Text is the message.
 	From int    `json:"by"`
 	Text string `json:"contents"`
 
-	// Weight is a proxy's usual request rate or the weight of an endpoint. Active means that a proxy only holds its
-	// bootstrap table, or that a slice is assigned to this instance.
+	// Weight is the usual request rate of a proxy, per second, or the weight of an endpoint. Active means that a proxy
+	// has only its bootstrap table, or that a slice is assigned to this instance. Slice is the index of a slice.
 	Weight float64 `json:"heft"`
 	Active bool    `json:"active"`
 	Slice  int     `json:"tbl"`
 }
 
-// listLine is one line of the endpoint list.
+// listLine is one endpoint in an endpoint list of the simulator.
 type listLine struct {
 	Endpoint   string  `json:"endpoint"`
 	Zone       string  `json:"zone"`
@@ -87,10 +88,10 @@
 	Cell       int     `json:"group"`
 	Mode       string  `json:"mode"`
 	Weight     float64 `json:"heft"`
-	LaunchedNs int64   `json:"launched"` // 0: unknown, long ago
+	LaunchedNs int64   `json:"launched"` // start of the process in simulator time; 0: unknown, long ago
 }
 
-// listModes are the simulator's names for the modes of an endpoint list.
+// listModes maps the simulator's names for the modes of an endpoint list to the planner's modes.
 var listModes = map[string]planner.UpdateMode{
 	"incr":      planner.Delta,
 	"total":     planner.Snapshot,
@@ -98,14 +99,15 @@
 	"lost":      planner.UpdateFailed,
 }
 
-// phases are the simulator's names for the phases of an endpoint.
+// phases maps the simulator's names for the phases of an endpoint to the planner's phases.
 var phases = map[string]planner.Phase{
 	"live":      planner.Ready,
 	"quiescing": planner.Draining,
 	"dead":      planner.Gone,
 }
 
-// decode converts an event of the simulator to the planner's. New names are given an index.
+// decode converts an event of the simulator to an event of the planner. It assigns indices to new names. It returns an
+// error if the type of the event is unknown or a value is out of range.
 func (in *instance) decode(e *event) (planner.Event, error) {
 	switch e.Kind {
 	case eventEndpoints:
@@ -133,14 +135,14 @@
 	case eventAcknowledgement:
 		return planner.Ack{Proxy: e.Proxy, Number: e.Number, TookMs: e.WaitNs / settings.NsPerMs}, nil
 	}
-	return nil, fmt.Errorf("unknown kind of event %q", e.Kind)
+	return nil, fmt.Errorf("unknown event type %q", e.Kind)
 }
 
-// decodeEndpoints decodes an endpoint list or a change to it.
+// decodeEndpoints converts an endpoint list or a change to it.
 func (in *instance) decodeEndpoints(e *event) (planner.Event, error) {
 	mode, ok := listModes[e.Mode]
 	if !ok {
-		return nil, fmt.Errorf("unknown mode of list %q", e.Mode)
+		return nil, fmt.Errorf("unknown endpoint list mode %q", e.Mode)
 	}
 	listing := planner.EndpointUpdate{Mode: mode, Version: e.Number}
 	for i := range e.Entries {
@@ -153,11 +155,11 @@
 	return listing, nil
 }
 
-// decodeListLine decodes one line of the list.
+// decodeListLine converts one endpoint of a list.
 func (in *instance) decodeListLine(line *listLine) (planner.Entry, error) {
 	phase, ok := phases[line.Mode]
 	if !ok {
-		return planner.Entry{}, fmt.Errorf("unknown state %q of endpoint %q", line.Mode, line.Endpoint)
+		return planner.Entry{}, fmt.Errorf("unknown phase %q of endpoint %q", line.Mode, line.Endpoint)
 	}
 	if !planner.ValidWeight(line.Weight) {
 		return planner.Entry{}, fmt.Errorf("weight %g of endpoint %q is out of range", line.Weight, line.Endpoint)
@@ -176,6 +178,7 @@
 	return entry, nil
 }
 
+// decodeProxyJoined converts the start of a stream from a proxy.
 func (in *instance) decodeProxyJoined(e *event) (planner.Event, error) {
 	if !planner.ValidRate(e.Weight) {
 		return nil, fmt.Errorf("rate %g of proxy %d is out of range", e.Weight, e.Proxy)
@@ -183,6 +186,7 @@
 	return planner.ProxyJoined{Proxy: e.Proxy, Zone: in.zones.Intern(e.Zone), Rate: e.Weight, Fresh: e.Active}, nil
 }
 
+// decodeHealthCheck converts the result of a health check.
 func (in *instance) decodeHealthCheck(e *event) planner.Event {
 	return planner.HealthCheckResult{
 		Endpoint: in.endpoints.Intern(e.Endpoint),
@@ -193,6 +197,7 @@
 	}
 }
 
+// decodeEndpointStats converts the statistics of attempts at an endpoint.
 func (in *instance) decodeEndpointStats(e *event) planner.Event {
 	return planner.EndpointStats{
 		Endpoint: in.endpoints.Intern(e.Endpoint),
@@ -205,6 +210,7 @@
 	}
 }
 
+// decodeRequestStats converts the request counts of a proxy.
 func (in *instance) decodeRequestStats(e *event) planner.Event {
 	return planner.RequestStats{
 		Proxy:      e.Proxy,
@@ -215,6 +221,7 @@
 	}
 }
 
+// decodeSliceStats converts the request counts of a slice.
 func (in *instance) decodeSliceStats(e *event) planner.Event {
 	return planner.SliceStats{
 		Slice:      e.Slice,
--- a/internal/simulator/serve_test.go
+++ b/internal/simulator/serve_test.go
@@ -10,22 +10,22 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// spawn starts an instance that knows one endpoint.
+// spawn contains the events that start an instance and give it an endpoint list with one endpoint.
 const spawn = `{"kind":"spawn","i":"pilot/0","rng_seed":5,"setup":{"dcs":["a","b"],"kinds":["m"],"instances":1,` +
 	`"zone":"b","profiles":[{"name":"read","aim":1000000000,"importance":2,"only_kinds":["m"]}],` +
 	`"extra":{"envelope":4}}},` +
 	`{"kind":"discovery","i":"pilot/0","mode":"warm_copy","hosts":[{"endpoint":"x:1","zone":"a",` +
 	`"generation_hw":"m","mode":"live","heft":2}]}`
 
-// joined starts an instance and has a proxy join it.
+// joined contains the events of spawn and one that connects a proxy to the instance.
 const joined = spawn + `,{"kind":"stream_up","i":"pilot/0","edge":4,"zone":"a","heft":1}`
 
-// batchOf returns a batch with the given events.
+// batchOf returns an input line: a batch of the given events.
 func batchOf(clockNs int, events string) string {
 	return fmt.Sprintf(`{"sim_time":%d,"batch":1,"happened":[%s]}`, clockNs, events)
 }
 
-// TestServe checks replies and errors for complete inputs.
+// TestServe checks the reply or the error for inputs of one batch.
 func TestServe(t *testing.T) {
 	for name, c := range map[string]struct{ in, want, fails string }{
 		"empty batch":   {`{"sim_time":5,"batch":3,"happened":[]}`, `{"batch":3,"orders":[]}`, ""},
@@ -34,7 +34,7 @@
 		"binds a proxy": {batchOf(5, joined), `"edge":4`, ""},
 		"ended":         {batchOf(5, spawn+`,{"kind":"teardown","i":"pilot/0"}`), `{"batch":1,"orders":[]}`, ""},
 		"malformed":     {`{"batch":`, "", "line 1: malformed batch"},
-		"unknown event": {batchOf(0, spawn+`,{"kind":"fog","i":"pilot/0"}`), "", `unknown kind of event "fog"`},
+		"unknown event": {batchOf(0, spawn+`,{"kind":"fog","i":"pilot/0"}`), "", `unknown event type "fog"`},
 		"no instance":   {batchOf(0, `{"kind":"bell","i":"pilot/9"}`), "", `unknown instance "pilot/9"`},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// withLoad returns an input with an endpoint's load report.
+// withLoad returns an input in which an endpoint reports the given load and the planner then computes new weights.
 func withLoad(load string) string {
 	return batchOf(5, joined) + `
 {"sim_time":1600000005,"batch":2,"happened":[{"kind":"tally","i":"pilot/0","endpoint":"x:1","zone":"a","count":9,` +
@@ -59,8 +59,8 @@
 `
 }
 
-// TestHostileInput checks inputs that are truncated, too long or deeply nested, and figures out of range, which would
-// result in weights that can't be encoded.
+// TestHostileInput checks that truncated, overlong and deeply nested inputs end in an error and not in a panic, and
+// that load values out of range do not result in weights that cannot be encoded.
 func TestHostileInput(t *testing.T) {
 	for name, c := range map[string]struct{ in, fails string }{
 		"nested":          {`{"batch":1,"happened":` + strings.Repeat("[", 20000), "line 1: malformed batch"},
@@ -84,19 +84,19 @@
 		})
 	}
 	good := withLoad(`{"cpu_share":0.5}`)
-	for n := range len(good) { // cut off anywhere: an answer or an error, never an end of the process
+	for n := range len(good) { // truncated input must not cause a panic
 		_ = Serve(strings.NewReader(good[:n]), io.Discard)
 	}
 	endless := io.MultiReader(strings.NewReader(`{"batch":"`), io.LimitReader(zeros{}, maxLineBytes+1))
 	assert.ErrorIs(t, Serve(endless, io.Discard), errLineTooLong)
 }
 
-// zeros is an endless reader.
+// zeros is a reader that returns the digit 0 without end.
 type zeros struct{}
 
 func (zeros) Read(b []byte) (int, error) { return copy(b, bytes.Repeat([]byte{'0'}, len(b))), nil }
 
-// FuzzServe serves arbitrary input; the planner must not panic.
+// FuzzServe checks that the planner does not panic on arbitrary input.
 func FuzzServe(f *testing.F) {
 	f.Add([]byte(withLoad(`{"cpu_share":0.5}`)))
 	f.Fuzz(func(t *testing.T, in []byte) {
