--- a/internal/simulator/host.go
+++ b/internal/simulator/host.go
@@ -8,18 +8,18 @@
 	"indigousher/planner"
 )
 
-// host holds the running instances by name.
+// host manages the running instances. instances is keyed by name.
 type host struct{ instances map[string]*instance }
 
 func newHost() *host { return &host{instances: map[string]*instance{}} }
 
-// turn is one instance's part of a batch.
+// instanceBatch holds the events of a batch that are for one instance.
 type instanceBatch struct {
 	instance *instance
 	events   []planner.Event
 }
 
-// answer reads one batch, lets each instance handle its part, and writes the reply.
+// answer decodes one batch, lets each instance handle its events, and writes the reply.
 func (h *host) answer(line []byte, w *bufio.Writer) error {
 	var b batch
 	if err := json.Unmarshal(line, &b); err != nil {
@@ -40,8 +40,9 @@
 	return out.write(w)
 }
 
-// turns groups a batch's events by instance, in the order in which the instances first appear, and starts and ends
-// instances on the way. Instances that have ended by the end of the batch get no turn.
+// groupByInstance decodes the events of a batch and groups them by instance, in the order in which the instances first
+// appear. It starts and ends instances as the events require. Events of instances that have ended by the end of the
+// batch are dropped.
 func (h *host) groupByInstance(b *batch) ([]*instanceBatch, error) {
 	var order []*instanceBatch
 	byInstance := map[*instance]*instanceBatch{}
@@ -81,7 +82,8 @@
 	return h.running(order), nil
 }
 
-// living returns the turns of instances that are still running; a restart under the same name is another instance.
+// running returns those batches whose instances are still running. An instance that was restarted under the same name
+// counts as another instance.
 func (h *host) running(all []*instanceBatch) []*instanceBatch {
 	kept := all[:0]
 	for _, part := range all {
@@ -92,7 +94,7 @@
 	return kept
 }
 
-// write writes the reply as one line.
+// write writes the reply as one line of JSON and flushes the writer.
 func (r *reply) write(w *bufio.Writer) error {
 	line, err := json.Marshal(r)
 	if err != nil {
