--- a/internal/simulator/instance.go
+++ b/internal/simulator/instance.go
@@ -8,18 +8,18 @@
 	"indigousher/planner"
 )
 
-// instance is one simulated controller: its planner, and the names behind the planner's indices.
+// instance is one simulated controller. It holds a planner and the names for the indices that the planner uses.
 type instance struct {
 	name     string
 	planner  *planner.Planner
-	originNs int64 // simulator time of the start, the origin of the planner's time
+	originNs int64 // simulator time at which the planner's time is zero
 
 	endpoints, zones, classes, models settings.Names
 
-	joined map[int]bool // proxies with an open stream
+	joined map[int]bool // numbers of the proxies with an open stream
 }
 
-// newInstance creates an instance from its start event.
+// newInstance returns the instance that a start event describes. clockNs is the current simulator time.
 func newInstance(e *event, clockNs int64) *instance {
 	deployment := settings.Parse(e.Setup)
 	return &instance{
@@ -33,8 +33,8 @@
 	}
 }
 
-// handle passes events to the planner and returns its commands. If the planner panics, the panic is reported to the
-// simulator in place of commands, and the other instances continue.
+// handle passes events to the planner and returns its commands. If the planner panics, it returns a single command that
+// reports the panic to the simulator, so that the other instances can continue.
 func (in *instance) handle(clockNs int64, events []planner.Event) (commands []command, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -53,7 +53,7 @@
 	return commands, nil
 }
 
-// trackProxies records which proxies join and leave.
+// trackProxies updates the set of joined proxies from events.
 func (in *instance) trackProxies(events []planner.Event) {
 	for _, e := range events {
 		switch e := e.(type) {
@@ -65,12 +65,12 @@
 	}
 }
 
-// planTime converts simulator time to the planner's time: milliseconds since the instance's start.
+// plannerTime converts simulator time to the planner's time, which is in milliseconds since the start of the instance.
 func (in *instance) plannerTime(clockNs int64) float64 {
 	return float64(clockNs-in.originNs) / settings.NsPerMs
 }
 
-// simulatorTime converts the planner's time to simulator time.
+// simulatorTime converts the planner's time to simulator time, rounded to the nearest nanosecond.
 func (in *instance) simulatorTime(atMs float64) int64 {
 	return in.originNs + int64(math.Round(atMs*settings.NsPerMs))
 }
