--- a/internal/simulator/serve.go
+++ b/internal/simulator/serve.go
@@ -9,17 +9,18 @@
 )
 
 const (
-	// maxLineBytes bounds the memory that an endless line of input can take.
+	// maxLineBytes is the largest accepted length of an input line. It limits the memory that a line without end can
+	// use.
 	maxLineBytes = 1 << 26
-	// readBufferBytes is large enough for most batches to be read in one call.
+	// readBufferBytes is the size of the input buffer, large enough to read most batches in one call.
 	readBufferBytes = 1 << 20
 )
 
-// errLineTooLong says that a line of input exceeds maxLineBytes.
+// errLineTooLong is returned for an input line that exceeds maxLineBytes.
 var errLineTooLong = fmt.Errorf("line longer than %d bytes", maxLineBytes)
 
-// Serve reads batches from in and writes a reply to each to out, until the input ends. It stops with an error if the
-// input fails, if a batch is malformed, or if a command can't be encoded.
+// Serve reads batches from in and writes a reply to each of them to out. It returns nil at the end of the input. It
+// returns an error if reading or writing fails, if a batch is malformed, or if a command cannot be encoded.
 func Serve(in io.Reader, out io.Writer) error {
 	h := newHost()
 	r := bufio.NewReaderSize(in, readBufferBytes)
@@ -40,7 +41,7 @@
 	}
 }
 
-// readLine reads up to the end of a line. At the end of the input it returns the rest along with io.EOF.
+// readLine reads a line including its end. At the end of the input it returns the remaining bytes together with io.EOF.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	var line []byte
 	for {
