--- a/internal/simulator/conversation_test.go
+++ b/internal/simulator/conversation_test.go
@@ -16,10 +16,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "record the conversation anew; only where a change of decisions is meant")
+var update = flag.Bool("update", false, "record the conversation again; only after an intended change of decisions")
 
-// TestConversationStays feeds the adapter a recorded conversation of three instances, with every kind of event in it, and
-// holds its replies byte by byte against those of commit 7c7c6c6.
+// TestRecordedConversation sends a recorded conversation of three instances to the adapter, and compares the replies
+// byte by byte with those recorded at commit 7c7c6c6. It guards against unintended changes of the planner's decisions.
 func TestRecordedConversation(t *testing.T) {
 	const input, output = "testdata/conversation.in.jsonl.gz", "testdata/conversation.out.jsonl.gz"
 	if *update {
@@ -47,6 +47,7 @@
 	}
 }
 
+// readGzip returns the decompressed content of a file.
 func readGzip(t *testing.T, path string) []byte {
 	file, err := os.Open(path)
 	require.NoError(t, err)
@@ -58,6 +59,7 @@
 	return content
 }
 
+// writeGzip writes content to a compressed file.
 func writeGzip(t *testing.T, path string, content []byte) {
 	var compressed bytes.Buffer
 	writer := gzip.NewWriter(&compressed)
@@ -67,7 +69,7 @@
 	require.NoError(t, os.WriteFile(path, compressed.Bytes(), 0o644))
 }
 
-// scriptInstance is one pilot's settings in the script.
+// scriptInstance describes one controller instance of the generated conversation.
 type scriptInstance struct {
 	name     string
 	settings map[string]any
@@ -75,8 +77,8 @@
 	slices   int
 }
 
-// script writes a conversation of 60 simulated seconds from a fixed seed: endpoints fail, hang, drain, restart and come
-// back cold, proxies join and leave, demand surges, lists get lost.
+// script generates the batches of a conversation of 60 simulated seconds from a fixed seed. Endpoints fail, hang, drain
+// and restart, proxies join and leave, the request rate rises temporarily, and endpoint lists are lost.
 func script() []byte {
 	var out bytes.Buffer
 	rnd := rand.New(rand.NewPCG(11, 29))
@@ -134,7 +136,7 @@
 	return out.Bytes()
 }
 
-// scriptQuarter returns what one instance is told in one quarter of a second.
+// scriptQuarter returns the events of one instance in one quarter of a second.
 func scriptQuarter(rnd *rand.Rand, in scriptInstance, quarter int, clock int64, zones, classes []string,
 	host func(int, string, int64) map[string]any,
 ) (events []map[string]any) {
@@ -224,7 +226,7 @@
 	return events
 }
 
-// scriptSettings are an instance's settings in the operators' words.
+// scriptSettings returns the settings of an instance, under the names that operators use.
 func scriptSettings(rank int, admission, discovery string, byZone bool, slices int) map[string]any {
 	class := func(name, repeats string, worth float64, zones []any) map[string]any {
 		return map[string]any{
