--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,5 +1,5 @@
-// Package settings converts the operators' settings and load reports to the planner's: it renames settings and
-// figures, converts times to milliseconds, and replaces names of zones, hardware models and request classes by small
-// indices. The simulator's adapter and the platform's adapter share it, so that equal settings result in equal
-// planners. It performs no I/O and makes no decisions.
+// Package settings converts settings and load reports from the form that operators use to the form that the planner
+// uses. It renames settings and load metrics, converts times to milliseconds, and replaces the names of zones, hardware
+// models and request classes by small indices. The adapters of the simulator and of the platform share it, so that
+// equal settings result in equally configured planners.
 package settings
