--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -2,7 +2,8 @@
 
 import "indigousher/planner"
 
-// ParseLoad renames the figures of a load report to the planner's names. Invalid figures are left out.
+// ParseLoad converts a load report to the planner's form, in which metrics have other names. It drops invalid values.
+// It returns nil for an empty report.
 func ParseLoad(figures map[string]float64) planner.Load {
 	if len(figures) == 0 {
 		return nil
--- a/internal/settings/load_test.go
+++ b/internal/settings/load_test.go
@@ -9,7 +9,8 @@
 	"indigousher/planner"
 )
 
-// TestLoadNames checks that the platform's and the simulator's names of figures result in the same load report.
+// TestLoadNames checks that load reports with the metric names of the platform and of the simulator are converted to
+// the same load, and that invalid values are dropped.
 func TestLoadNames(t *testing.T) {
 	want := planner.Load{"util": 0.5, "rate": 7}
 	assert.Equal(t, want, ParseLoad(map[string]float64{"util": 0.5, "qps": 7}))
