--- a/internal/settings/vocabulary.go
+++ b/internal/settings/vocabulary.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// NsPerMs converts the operators' unit of time, the nanosecond, to the planner's, the millisecond.
+// NsPerMs is the number of nanoseconds, the operators' unit of time, per millisecond, the planner's unit of time.
 const NsPerMs = 1e6
 
-// plannerNames maps the operators' names of settings, of values of settings, and of figures of load reports to the
-// planner's, where they differ.
+// plannerNames maps the operators' names of settings, setting values and load metrics to the planner's names, where
+// they differ.
 var plannerNames = map[string]string{
-	// Deployment.
+	// Settings of the deployment.
 	"dcs":          "zones",
 	"kinds":        "machines",
 	"partitions_n": "slices",
 	"bootstrap":    "standing",
 
-	// Request classes and values of their settings.
+	// Settings of request classes and values of those settings.
 	"profiles":        "req_kinds",
 	"aim":             "response_target",
 	"aim_stretch":     "target_stretch",
@@ -30,12 +30,12 @@
 	"read_like":       "replayable",
 	"non_idempotent":  "non-replayable",
 
-	// Proxies.
+	// Settings of proxies.
 	"lb_method":     "pick",
 	"outlier_after": "ejects_after",
 	"empty_for":     "bare_for",
 
-	// Channel to the proxies.
+	// Settings of the channel from a controller to its proxies.
 	"egress_per_s":   "lines_per_s",
 	"envelope":       "head_lines",
 	"pushes_allowed": "messages_most",
@@ -43,7 +43,7 @@
 	"push_delay":     "late_mean",
 	"transit_max":    "late_most",
 
-	// Figures of load reports, simulator names.
+	// Load metrics, as the simulator names them.
 	"cpu_share": "util",
 	"served_ps": "rate",
 	"pending":   "waiting",
@@ -51,7 +51,7 @@
 	"busy_reqs": "in_hand",
 	"failed_ps": "errored_rate",
 
-	// Figures of load reports, platform names.
+	// Load metrics, as the platform names them.
 	"qps":        "rate",
 	"queue":      "waiting",
 	"latency_ms": "service_ms",
@@ -59,13 +59,13 @@
 	"eps":        "errored_rate",
 }
 
-// durations are the operators' names of settings that are times in nanoseconds.
+// durations lists the settings whose values are times in nanoseconds, by the operators' names.
 var durations = []string{
 	"aim", "give_up", "window", "empty_for", "write_lease", "push_delay", "transit_max", "counted_over", "report_every",
 	"lingers", "waits_for_table", "conn_idle", "dial_timeout", "ask_within", "cold", "drain_grace", "fall", "tick",
 }
 
-// plannerName returns the planner's name for an operators' name; shared names are returned unchanged.
+// plannerName returns the planner's name for an operators' name. It returns a name that is the same in both unchanged.
 func plannerName(name string) string {
 	if renamed, ok := plannerNames[name]; ok {
 		return renamed
@@ -73,5 +73,5 @@
 	return name
 }
 
-// isDuration reports whether the operators' name of a setting denotes a time.
+// isDuration reports whether the value of a setting, given by the operators' name, is a time in nanoseconds.
 func isDuration(name string) bool { return slices.Contains(durations, name) }
