--- a/internal/settings/variants_test.go
+++ b/internal/settings/variants_test.go
@@ -11,7 +11,7 @@
 	"indigousher/planner"
 )
 
-// variant is the content of a site file in deploy/sites.
+// variant is the content of a file in deploy/sites, which describes one deployment.
 type variant struct {
 	Net    struct{ Zones []string }
 	Rules  map[string]float64
@@ -56,7 +56,7 @@
 	plannerEffects  = map[string]string{"safe": "replayable", "keyed": "uniqued", "unsafe": "non-replayable"}
 )
 
-// settings returns the settings of a controller of the variant, under the platform's names.
+// settings returns the settings of a controller in the deployment, under the names that the platform uses.
 func (v *variant) settings() map[string]any {
 	var models, fields []string
 	for _, m := range v.Tier[0].Kind {
@@ -99,7 +99,7 @@
 	}
 }
 
-// profiles returns the request classes, under the platform's names.
+// profiles returns the settings of the request classes, under the names that the platform uses.
 func (v *variant) profiles() (profiles []any) {
 	for _, c := range v.Class {
 		p := map[string]any{
@@ -120,7 +120,7 @@
 	return profiles
 }
 
-// asList returns names as decoded from JSON.
+// asList returns names in the form that decoding JSON produces.
 func asList(names []string) (list []any) {
 	for _, n := range names {
 		list = append(list, n)
@@ -128,7 +128,7 @@
 	return list
 }
 
-// asSettings returns figures as decoded from JSON.
+// asSettings returns numbers in the form that decoding JSON produces.
 func asSettings(figures map[string]float64) map[string]any {
 	settings := map[string]any{}
 	for name, v := range figures {
@@ -137,8 +137,8 @@
 	return settings
 }
 
-// TestVariants checks for each deployment in deploy/sites that all its classes, zones, limits and prices reach the
-// planner, and that each proxy gets tables that serve each class where it is allowed.
+// TestVariants checks, for each deployment in deploy/sites, that all request classes, zones, limits and prices reach
+// the planner, and that the planner assigns each proxy tables in which each class has allowed endpoints only.
 func TestVariants(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/sites/*.toml")
 	require.NoError(t, err)
@@ -156,7 +156,7 @@
 	}
 }
 
-// checkSettings checks the settings other than request classes.
+// checkSettings checks all settings except those of request classes.
 func (v *variant) checkSettings(t *testing.T, d *Deployment) {
 	assert.Equal(t, v.Net.Zones, d.Zones.All())
 	assert.Len(t, d.Machines.All(), len(v.Tier[0].Kind))
@@ -194,7 +194,7 @@
 	assert.Equal(t, fields, d.Settings["fields"])
 }
 
-// checkClasses checks the request classes.
+// checkClasses checks the settings of the request classes.
 func (v *variant) checkClasses(t *testing.T, d *Deployment) {
 	classes, _ := d.Settings["req_kinds"].([]any)
 	require.Len(t, classes, len(v.Class))
@@ -217,16 +217,17 @@
 	}
 }
 
-// proxyClass is a request class at a proxy.
+// proxyClass identifies a request class at a proxy by their indices.
 type proxyClass struct{ proxy, class int }
 
-// tables is the state that a planner has ordered so far.
+// tableState is the routing state that results from the commands of a planner.
 type tableState struct {
-	weights map[int]map[int]float64 // by table and endpoint
-	bound   map[proxyClass]int      // table
+	weights map[int]map[int]float64 // weight of each endpoint, by table and endpoint
+	bound   map[proxyClass]int      // table of each request class at a proxy
 }
 
-// checkTables lets the planner assign tables to a fleet of the variant, and checks which endpoints serve each class.
+// checkTables lets the planner assign tables in the deployment, and checks that each class has endpoints at each proxy,
+// and only endpoints of the hardware models that it allows.
 func (v *variant) checkTables(t *testing.T, d *Deployment) {
 	list, machineOf := v.fleet(d)
 	proxies := 20 * d.Zones.Len()
@@ -261,7 +262,8 @@
 	}
 }
 
-// fleet returns three endpoints of each hardware model in each zone, and the model of each endpoint.
+// fleet returns an endpoint list with three endpoints of each hardware model in each zone, and the model of each
+// endpoint.
 func (v *variant) fleet(d *Deployment) (list planner.EndpointUpdate, machineOf map[int]int) {
 	list.Mode = planner.Snapshot
 	machineOf = map[int]int{}
@@ -277,7 +279,8 @@
 	return list, machineOf
 }
 
-// apply applies a command. No endpoint is overloaded here, so all requests must be admitted.
+// apply applies a command of the planner to the routing state. It also checks that all requests are admitted, because
+// no endpoint is overloaded in this test.
 func (v *variant) apply(t *testing.T, got *tableState, command planner.Command) {
 	switch o := command.(type) {
 	case planner.SetWeight:
