--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -153,7 +153,7 @@
 
 // fillLines puts what a proxy met at endpoints into a report.
 func (g *reportGate) fillLines(r *report, stats []wire.EndpointStats) {
-	r.Lines = r.Lines[:0]
+	r.EndpointLines = r.EndpointLines[:0]
 	for i := range stats {
 		stat := &stats[i]
 		endpoint, known := g.endpoints[stat.Endpoint]
@@ -161,7 +161,7 @@
 			g.malformed[malformedReportEndpoint]++
 			endpoint = unknownIndex
 		}
-		r.Lines = append(r.Lines, reportLine{
+		r.EndpointLines = append(r.EndpointLines, reportLine{
 			Endpoint: endpoint, Attempts: stat.Attempts, Failed: stat.Failed,
 			MeanMs: stat.MeanMs, Load: stat.Load, HasLoad: len(stat.Load) > 0,
 		})
--- a/internal/samplingerror/methods.go
+++ b/internal/samplingerror/methods.go
@@ -178,7 +178,7 @@
 		n := 0
 		for n < len(lines) && lines[n].sender == sender {
 			l := telemetry.Line[int]{Endpoint: lines[n].endpoint, Attempts: int(lines[n].tries)}
-			report.Lines = append(report.Lines, l)
+			report.EndpointLines = append(report.EndpointLines, l)
 			n++
 		}
 		aggregator.Add(now, &report)
--- a/telemetry/aggregator.go
+++ b/telemetry/aggregator.go
@@ -79,9 +79,9 @@
 	}
 	kept := a.sample(nowMs, report, int(math.Min(room, math.MaxInt32))-len(report.ClassLines))
 	for _, k := range kept {
-		a.addLine(nowMs, s.zone, &report.Lines[k.line], k, c)
+		a.addLine(nowMs, s.zone, &report.EndpointLines[k.line], k, c)
 	}
-	a.Counts[Sampled] += uint64(len(report.Lines) - len(kept))
+	a.Counts[Sampled] += uint64(len(report.EndpointLines) - len(kept))
 	s.tokens -= float64(len(kept) + len(report.ClassLines))
 }
 
--- a/telemetry/fleet_test.go
+++ b/telemetry/fleet_test.go
@@ -89,7 +89,7 @@
 		if attempts > 0 {
 			failed := int(math.Round(float64(attempts) * c.failureRate(e, c.now)))
 			line := Line[float64]{Endpoint: e, Attempts: attempts, Failed: failed, MeanMs: 30, Load: c.now, HasLoad: true}
-			r.Lines = append(r.Lines, line)
+			r.EndpointLines = append(r.EndpointLines, line)
 		}
 	}
 	s.lastMs = c.now
--- a/telemetry/report.go
+++ b/telemetry/report.go
@@ -24,16 +24,16 @@
 
 // Report is the load report of a proxy for the period since its previous report.
 type Report[L any] struct {
-	Sender     int     // ID of the proxy
-	Seq        uint64  // sequence number, starts at 1 when the sender joins
-	AtMs       float64 // time of sending, ms on the sender's clock
-	SpanMs     float64 // length of the reported period, which ends at AtMs
-	Lines      []Line[L]
-	ClassLines []ClassLine
+	Sender        int     // ID of the proxy
+	Seq           uint64  // sequence number, starts at 1 when the sender joins
+	AtMs          float64 // time of sending, ms on the sender's clock
+	SpanMs        float64 // length of the reported period, which ends at AtMs
+	EndpointLines []Line[L]
+	ClassLines    []ClassLine
 }
 
 // lineCount returns the number of endpoint lines and class lines.
-func (r *Report[L]) lineCount() int { return len(r.Lines) + len(r.ClassLines) }
+func (r *Report[L]) lineCount() int { return len(r.EndpointLines) + len(r.ClassLines) }
 
 // validate returns why the whole report is rejected, or Merged if it is valid. lastSeq is the sequence number of the
 // sender's newest report, longestMs the longest period that a report may cover.
--- a/telemetry/report_test.go
+++ b/telemetry/report_test.go
@@ -14,7 +14,7 @@
 func TestRejectedReports(t *testing.T) {
 	good := func() *Report[float64] {
 		lines := []Line[float64]{{Endpoint: 0, Attempts: 10, MeanMs: 5}}
-		return &Report[float64]{Sender: 0, Seq: 5, AtMs: 1000, SpanMs: 1000, Lines: lines}
+		return &Report[float64]{Sender: 0, Seq: 5, AtMs: 1000, SpanMs: 1000, EndpointLines: lines}
 	}
 	for _, c := range []struct {
 		name   string
@@ -28,13 +28,13 @@
 		{"period of days", func(r *Report[float64]) { r.SpanMs = 1e9 }, Implausible},
 		{"period that is not a number", func(r *Report[float64]) { r.SpanMs = math.NaN() }, Implausible},
 		{"infinite time of sending", func(r *Report[float64]) { r.AtMs = math.Inf(1) }, Implausible},
-		{"implausibly many attempts", func(r *Report[float64]) { r.Lines[0].Attempts = 1e9 }, Implausible},
-		{"more failures than attempts", func(r *Report[float64]) { r.Lines[0].Failed = 11 }, Implausible},
-		{"negative attempts", func(r *Report[float64]) { r.Lines[0].Attempts = -1 }, Implausible},
-		{"mean duration that is not a number", func(r *Report[float64]) { r.Lines[0].MeanMs = math.NaN() }, Implausible},
-		{"endpoint never listed", func(r *Report[float64]) { r.Lines[0].Endpoint = 7 }, Unlisted},
-		{"endpoint gone from the list", func(r *Report[float64]) { r.Lines[0].Endpoint = 1 }, Unlisted},
-		{"period before a restart of the endpoint", func(r *Report[float64]) { r.Lines[0].Endpoint = 2 }, Restarted},
+		{"implausibly many attempts", func(r *Report[float64]) { r.EndpointLines[0].Attempts = 1e9 }, Implausible},
+		{"more failures than attempts", func(r *Report[float64]) { r.EndpointLines[0].Failed = 11 }, Implausible},
+		{"negative attempts", func(r *Report[float64]) { r.EndpointLines[0].Attempts = -1 }, Implausible},
+		{"mean duration that is not a number", func(r *Report[float64]) { r.EndpointLines[0].MeanMs = math.NaN() }, Implausible},
+		{"endpoint never listed", func(r *Report[float64]) { r.EndpointLines[0].Endpoint = 7 }, Unlisted},
+		{"endpoint gone from the list", func(r *Report[float64]) { r.EndpointLines[0].Endpoint = 1 }, Unlisted},
+		{"period before a restart of the endpoint", func(r *Report[float64]) { r.EndpointLines[0].Endpoint = 2 }, Restarted},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			aggregator := New[float64](testOptions())
--- a/telemetry/sampling.go
+++ b/telemetry/sampling.go
@@ -20,9 +20,9 @@
 // estimation of arbitrary subset sums"). The result is valid until the next call.
 func (a *Aggregator[L]) sample(nowMs float64, report *Report[L], limit int) []candidate {
 	limit = max(limit, 1)
-	if len(report.Lines) <= limit {
+	if len(report.EndpointLines) <= limit {
 		a.candidates = a.candidates[:0]
-		for i := range report.Lines {
+		for i := range report.EndpointLines {
 			a.candidates = append(a.candidates, candidate{line: i, scale: 1})
 		}
 		return a.candidates
@@ -32,7 +32,7 @@
 	threshold := a.candidates[limit].rank
 	kept := a.candidates[:limit]
 	for i := range kept {
-		attempts := float64(report.Lines[kept[i].line].Attempts)
+		attempts := float64(report.EndpointLines[kept[i].line].Attempts)
 		if !kept[i].alwaysKept && attempts > 0 {
 			kept[i].scale = math.Max(attempts, threshold) / attempts
 		}
@@ -45,8 +45,8 @@
 func (a *Aggregator[L]) rankLines(nowMs float64, report *Report[L], maxAlwaysKept int) {
 	a.candidates = a.candidates[:0]
 	alwaysKept := 0
-	for i := range report.Lines {
-		line := &report.Lines[i]
+	for i := range report.EndpointLines {
+		line := &report.EndpointLines[i]
 		c := candidate{line: i, scale: 1}
 		if alwaysKept < maxAlwaysKept && a.mustKeep(nowMs, line) {
 			alwaysKept++
