--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -25,7 +25,7 @@
 type (
 	reportAggregator = telemetry.Aggregator[[]wire.LoadMetric]
 	report           = telemetry.Report[[]wire.LoadMetric]
-	reportLine       = telemetry.Line[[]wire.LoadMetric]
+	reportLine       = telemetry.EndpointLine[[]wire.LoadMetric]
 	endpointSum      = telemetry.EndpointSum[[]wire.LoadMetric]
 )
 
--- a/internal/samplingerror/methods.go
+++ b/internal/samplingerror/methods.go
@@ -177,7 +177,7 @@
 		report := telemetry.Report[int]{Sender: sender, Seq: uint64(second + 1), AtMs: now, SpanMs: 1000}
 		n := 0
 		for n < len(lines) && lines[n].sender == sender {
-			l := telemetry.Line[int]{Endpoint: lines[n].endpoint, Attempts: int(lines[n].tries)}
+			l := telemetry.EndpointLine[int]{Endpoint: lines[n].endpoint, Attempts: int(lines[n].tries)}
 			report.EndpointLines = append(report.EndpointLines, l)
 			n++
 		}
--- a/telemetry/aggregator.go
+++ b/telemetry/aggregator.go
@@ -130,7 +130,7 @@
 }
 
 // addLine adds one line of a report to the sum of its endpoint and zone, or counts why the line is rejected.
-func (a *Aggregator[L]) addLine(nowMs float64, zoneID int, line *Line[L], sampled candidate, c contribution) {
+func (a *Aggregator[L]) addLine(nowMs float64, zoneID int, line *EndpointLine[L], sampled candidate, c contribution) {
 	e := a.endpoints[line.Endpoint]
 	if line.implausible(c.spanMs) {
 		a.Counts[Implausible]++
@@ -166,7 +166,7 @@
 
 // updateLoad replaces the stored load report of the sum by that of a line, unless the line has none, it is older than
 // maxLoadAgeMs, or the stored one is newer.
-func (s *sum[L]) updateLoad(line *Line[L], c contribution) {
+func (s *sum[L]) updateLoad(line *EndpointLine[L], c contribution) {
 	if !line.HasLoad || c.ageMs >= maxLoadAgeMs {
 		return
 	}
--- a/telemetry/bench_test.go
+++ b/telemetry/bench_test.go
@@ -31,14 +31,14 @@
 			for s := range c.senders {
 				aggregator.Join(0, s, s%5)
 			}
-			r := &Report[float64]{SpanMs: 1000, EndpointLines: make([]Line[float64], 20)}
+			r := &Report[float64]{SpanMs: 1000, EndpointLines: make([]EndpointLine[float64], 20)}
 			now, flushed, i := 0.0, 0.0, 0
 			b.ReportAllocs()
 			for b.Loop() {
 				now += 1000 / float64(c.senders)
 				r.Sender, r.Seq, r.AtMs = i%c.senders, uint64(i/c.senders+1), now
 				for k := range r.EndpointLines {
-					r.EndpointLines[k] = Line[float64]{Endpoint: (i*7 + k*k*13) % c.endpoints, Attempts: 3, MeanMs: 20, Load: 0.5, HasLoad: true}
+					r.EndpointLines[k] = EndpointLine[float64]{Endpoint: (i*7 + k*k*13) % c.endpoints, Attempts: 3, MeanMs: 20, Load: 0.5, HasLoad: true}
 				}
 				aggregator.Add(now, r)
 				if i++; now-flushed >= 1000 {
--- a/telemetry/endpoint_test.go
+++ b/telemetry/endpoint_test.go
@@ -15,9 +15,9 @@
 	aggregator := New[float64](testOptions())
 	aggregator.UpdateEndpoint(0, 0, planner.Ready, 0)
 	aggregator.Join(0, 0, 0)
-	aggregator.Add(1000, &Report[float64]{Seq: 1, AtMs: 1000, SpanMs: 1000, EndpointLines: []Line[float64]{{Attempts: 50, Failed: 50}}})
+	aggregator.Add(1000, &Report[float64]{Seq: 1, AtMs: 1000, SpanMs: 1000, EndpointLines: []EndpointLine[float64]{{Attempts: 50, Failed: 50}}})
 	aggregator.UpdateEndpoint(1500, 0, planner.Ready, 1500) // a restart, which drops the sum of the first report
-	lines := []Line[float64]{{Attempts: 40, Load: 1, HasLoad: true}}
+	lines := []EndpointLine[float64]{{Attempts: 40, Load: 1, HasLoad: true}}
 	aggregator.Add(2000, &Report[float64]{Seq: 2, AtMs: 2000, SpanMs: 1000, EndpointLines: lines})
 	flushed := aggregator.Flush(2000, 1000).EndpointSums
 	require.Len(t, flushed, 1)
--- a/telemetry/fleet_test.go
+++ b/telemetry/fleet_test.go
@@ -88,7 +88,7 @@
 		c.attempts[zoneEndpoint{e, s.zone}] += float64(attempts)
 		if attempts > 0 {
 			failed := int(math.Round(float64(attempts) * c.failureRate(e, c.now)))
-			line := Line[float64]{Endpoint: e, Attempts: attempts, Failed: failed, MeanMs: 30, Load: c.now, HasLoad: true}
+			line := EndpointLine[float64]{Endpoint: e, Attempts: attempts, Failed: failed, MeanMs: 30, Load: c.now, HasLoad: true}
 			r.EndpointLines = append(r.EndpointLines, line)
 		}
 	}
--- a/telemetry/report.go
+++ b/telemetry/report.go
@@ -10,7 +10,7 @@
 
 // Line holds the statistics of a proxy's attempts at one endpoint since its last report. L is the type of the load
 // report of an endpoint, which this package does not interpret.
-type Line[L any] struct {
+type EndpointLine[L any] struct {
 	Endpoint         int
 	Attempts, Failed int     // number of attempts, and how many of them failed
 	MeanMs           float64 // mean duration of successful attempts
@@ -28,7 +28,7 @@
 	Seq           uint64  // sequence number, starts at 1 when the sender joins
 	AtMs          float64 // time of sending, ms on the sender's clock
 	SpanMs        float64 // length of the reported period, which ends at AtMs
-	EndpointLines []Line[L]
+	EndpointLines []EndpointLine[L]
 	ClassLines    []ClassLine
 }
 
@@ -52,7 +52,7 @@
 }
 
 // implausible reports whether a value of the line cannot be right in a report that covers spanMs.
-func (l *Line[L]) implausible(spanMs float64) bool {
+func (l *EndpointLine[L]) implausible(spanMs float64) bool {
 	if l.Attempts < 0 || l.Failed < 0 || l.Failed > l.Attempts {
 		return true
 	}
--- a/telemetry/report_test.go
+++ b/telemetry/report_test.go
@@ -13,7 +13,7 @@
 // TestRejectedReports checks that invalid reports and lines are rejected and counted under the right reason.
 func TestRejectedReports(t *testing.T) {
 	good := func() *Report[float64] {
-		lines := []Line[float64]{{Endpoint: 0, Attempts: 10, MeanMs: 5}}
+		lines := []EndpointLine[float64]{{Endpoint: 0, Attempts: 10, MeanMs: 5}}
 		return &Report[float64]{Sender: 0, Seq: 5, AtMs: 1000, SpanMs: 1000, EndpointLines: lines}
 	}
 	for _, c := range []struct {
--- a/telemetry/sampling.go
+++ b/telemetry/sampling.go
@@ -60,7 +60,7 @@
 }
 
 // mustKeep reports whether the endpoint of a line is failing, warming up or draining.
-func (a *Aggregator[L]) mustKeep(nowMs float64, line *Line[L]) bool {
+func (a *Aggregator[L]) mustKeep(nowMs float64, line *EndpointLine[L]) bool {
 	e := a.endpoints[line.Endpoint]
 	if e == nil {
 		return false
