--- a/internal/emulator/pilotrecord.go
+++ b/internal/emulator/pilotrecord.go
@@ -53,7 +53,7 @@
 func (p *emulatedPilot) recoveryFacts(from int) recovery.Facts {
 	facts := recovery.Facts{
 		SameFormat:   true,
-		SameModule:   p.storedFingerprint == p.w.fingerprint,
+		SamePlanner:  p.storedFingerprint == p.w.fingerprint,
 		SameSettings: true,
 		Turns:        len(p.storedTurns),
 		GapMs:        p.w.now - p.storedAt,
--- a/recovery/decision.go
+++ b/recovery/decision.go
@@ -14,7 +14,7 @@
 	// The fields below describe the last run that recorded at least one turn, a turn being one pass of the control
 	// loop.
 	SameFormat   bool    // the run is stored in the current format
-	SameModule   bool    // the run used the same version of the planner
+	SamePlanner  bool    // the run used the same version of the planner
 	SameSettings bool    // the run used the same planner settings
 	Turns        int     // number of readable turns
 	Torn         bool    // data after the readable turns is incomplete or damaged
@@ -64,7 +64,7 @@
 		return "the record has another format"
 	case f.FailedStarts >= maxFailedStarts:
 		return fmt.Sprintf("%d starts in a row ended before their first turn", f.FailedStarts)
-	case !f.SameModule:
+	case !f.SamePlanner:
 		return "the record was made by another version of the planner"
 	case !f.SameSettings:
 		return "the record was made with other planner settings"
--- a/recovery/decision_test.go
+++ b/recovery/decision_test.go
@@ -20,7 +20,7 @@
 		{"short run", func(f *Facts) { f.SpanMs = 9000 }, 9000, 4000, "the last 9 s"},
 		{"first start", func(f *Facts) { f.Runs = 0 }, 0, 0, "no record found"},
 		{"another format", func(f *Facts) { f.SameFormat = false }, 0, 0, "another format"},
-		{"another version of the planner", func(f *Facts) { f.SameModule = false }, 0, 0, "another version of the planner"},
+		{"another version of the planner", func(f *Facts) { f.SamePlanner = false }, 0, 0, "another version of the planner"},
 		{"other settings", func(f *Facts) { f.SameSettings = false }, 0, 0, "other planner settings"},
 		{"old record", func(f *Facts) { f.GapMs = 300000 }, 0, 0, "300 s old"},
 		{"clock set back by an hour", func(f *Facts) { f.GapMs = -3.6e6 }, 60000, 0, "set back"},
@@ -33,7 +33,7 @@
 			f := Facts{
 				Runs:         2,
 				SameFormat:   true,
-				SameModule:   true,
+				SamePlanner:  true,
 				SameSettings: true,
 				Turns:        900,
 				GapMs:        4000,
