--- a/internal/daemon/recover.go
+++ b/internal/daemon/recover.go
@@ -22,7 +22,7 @@
 		return nil, err
 	}
 	last, failedStarts := r.lastLife(lives)
-	facts := recovery.Facts{Runs: len(lives), FailedStarts: failedStarts}
+	facts := recovery.RecordInfo{Runs: len(lives), FailedStarts: failedStarts}
 	var tail []record.Turn
 	if last.ID != "" && last.Format == record.Format {
 		if tail, err = r.readTail(last, limits.MaxReplayMs, &facts); err != nil {
@@ -54,7 +54,7 @@
 }
 
 // readTail returns the turns that a recovery replays of a life, and notes what speaks for and against it.
-func (r *recording) readTail(last record.Life, tailMs float64, facts *recovery.Facts) ([]record.Turn, error) {
+func (r *recording) readTail(last record.Life, tailMs float64, facts *recovery.RecordInfo) ([]record.Turn, error) {
 	turns, torn, err := record.ReadTail(r.store, last.ID, tailMs)
 	if err != nil {
 		return nil, err
--- a/internal/emulator/pilotrecord.go
+++ b/internal/emulator/pilotrecord.go
@@ -50,8 +50,8 @@
 }
 
 // recoveryFacts describes the record from a turn on.
-func (p *emulatedPilot) recoveryFacts(from int) recovery.Facts {
-	facts := recovery.Facts{
+func (p *emulatedPilot) recoveryFacts(from int) recovery.RecordInfo {
+	facts := recovery.RecordInfo{
 		SameFormat:   true,
 		SamePlanner:  p.storedFingerprint == p.w.fingerprint,
 		SameSettings: true,
--- a/recovery/decision.go
+++ b/recovery/decision.go
@@ -7,7 +7,7 @@
 const maxFailedStarts = 3
 
 // Facts describes the record that a starting controller finds.
-type Facts struct {
+type RecordInfo struct {
 	Runs         int // number of recorded runs before this one
 	FailedStarts int // number of consecutive runs at the end of the record that ended before their first turn
 
@@ -39,7 +39,7 @@
 func (v Decision) Cold() bool { return v.ReplayMs == 0 }
 
 // Decide returns how a controller starts: from the record if it can be used within the limits, and cold otherwise.
-func Decide(f Facts, b Limits) Decision {
+func Decide(f RecordInfo, b Limits) Decision {
 	if reason := coldStartReason(f, b); reason != "" {
 		return Decision{Reason: "cold start: " + reason}
 	}
@@ -56,7 +56,7 @@
 }
 
 // coldStartReason returns the first reason why the record cannot be used, or "" if it can.
-func coldStartReason(f Facts, b Limits) string {
+func coldStartReason(f RecordInfo, b Limits) string {
 	switch {
 	case f.Runs == 0:
 		return "no record found"
