--- a/recovery/handover.go
+++ b/recovery/handover.go
@@ -55,7 +55,7 @@
 
 // The actions that Predecessor and Successor return.
 const (
-	Nothing     Action = iota
+	NoAction    Action = iota
 	SendOffer          // predecessor: send the listeners, then wait for ReadyReceived
 	StopPilot          // predecessor: stop the controller, close its record and release the lock
 	SendGo             // predecessor: tell the successor that the controller has stopped, then wait for ServingReceived
--- a/recovery/predecessor.go
+++ b/recovery/predecessor.go
@@ -29,13 +29,13 @@
 	case stateReclaiming:
 		return o.whenReclaiming(e)
 	}
-	return Nothing
+	return NoAction
 }
 
 // whenServing offers the listeners to a process that requests to take over.
 func (o *Predecessor) whenServing(e Event) Action {
 	if e != TakeoverRequested {
-		return Nothing
+		return NoAction
 	}
 	o.state = stateOffered
 	return SendOffer
@@ -46,7 +46,7 @@
 func (o *Predecessor) whenOffered(e Event) Action {
 	if e != ReadyReceived {
 		o.state = stateServing
-		return Nothing
+		return NoAction
 	}
 	o.state = stateStopping
 	return StopPilot
@@ -55,7 +55,7 @@
 // whenStopping tells the successor to go ahead when the controller has stopped.
 func (o *Predecessor) whenStopping(e Event) Action {
 	if e != PilotStopped {
-		return Nothing
+		return NoAction
 	}
 	o.state = stateReleased
 	return SendGo
@@ -88,5 +88,5 @@
 		o.state = stateEnded
 		return End
 	}
-	return Nothing
+	return NoAction
 }
--- a/recovery/successor.go
+++ b/recovery/successor.go
@@ -19,7 +19,7 @@
 	case stateStarting:
 		return n.whenStarting(e)
 	case stateServing: // it holds the lock, so events from the predecessor no longer matter
-		return Nothing
+		return NoAction
 	}
 	return n.end()
 }
--- a/recovery/world_steps_test.go
+++ b/recovery/world_steps_test.go
@@ -48,7 +48,7 @@
 // receive the endpoint list, and crash.
 func (w *system) addProcessSteps(s steps, i int) {
 	p := w.processes[i]
-	if p.action != recovery.Nothing {
+	if p.action != recovery.NoAction {
 		s[fmt.Sprint("do ", i)] = func() { w.act(i) }
 	}
 	if p.waiting && len(w.messages[i]) > 0 {
@@ -85,7 +85,7 @@
 	w.stopController(i)
 	w.releaseLock(i)
 	p.alive = false
-	p.action = recovery.Nothing
+	p.action = recovery.NoAction
 	p.waiting = false
 }
 
--- a/recovery/world_test.go
+++ b/recovery/world_test.go
@@ -105,7 +105,7 @@
 		locked:      true,
 		listed:      -1,
 	}
-	w.processes[successorIndex] = &process{alive: true, successor: recovery.NewSuccessor(), action: recovery.Nothing}
+	w.processes[successorIndex] = &process{alive: true, successor: recovery.NewSuccessor(), action: recovery.NoAction}
 	for i := range w.proxies {
 		policy := routing.Policy{Classes: []string{"read"}}
 		router := routing.NewRouter(policy, []string{"e0", "e1"}, uint64(i))
@@ -216,7 +216,7 @@
 func (w *system) act(i int) {
 	p := w.processes[i]
 	action := p.action
-	p.action = recovery.Nothing
+	p.action = recovery.NoAction
 	switch action {
 	case recovery.SendOffer:
 		w.sendAndWait(i, recovery.OfferReceived)
