--- a/internal/controller/channel.go
+++ b/internal/controller/channel.go
@@ -85,14 +85,14 @@
 // Enqueue adds a message. Where even the bound of the queue is passed, the proxy's stream is closed: it comes back with
 // what it holds, and the decider hears of both.
 func (c *Channel) Enqueue(nowMs float64, to *session, m *wire.Commands) {
-	if c.backlog > 0 && float64(c.waitingLines+m.Lines) > queueLimitFactor*c.backlog {
+	if c.backlog > 0 && float64(c.waitingLines+m.CostLines) > queueLimitFactor*c.backlog {
 		c.metrics.streamClosed(closeChannelFull)
 		to.stream.Close(closeChannelFull)
 		return
 	}
-	dueMs := c.reserve(nowMs, m.Lines)
+	dueMs := c.reserve(nowMs, m.CostLines)
 	c.queue = append(c.queue, &queuedMessage{to: to, message: m, atMs: nowMs, dueMs: dueMs})
-	c.waitingLines += m.Lines
+	c.waitingLines += m.CostLines
 	c.MaxLines = max(c.MaxLines, c.waitingLines)
 	c.metrics.setWaiting(c.waitingLines, c.backlog)
 }
@@ -114,7 +114,7 @@
 	kept := c.queue[:0]
 	for _, queued := range c.queue {
 		if queued.to == s {
-			c.waitingLines -= queued.message.Lines
+			c.waitingLines -= queued.message.CostLines
 			continue
 		}
 		kept = append(kept, queued)
@@ -138,7 +138,7 @@
 	for left < len(c.queue) && c.queue[left].dueMs <= nowMs {
 		queued := c.queue[left]
 		left++
-		lines += queued.message.Lines
+		lines += queued.message.CostLines
 		c.deliver(nowMs, queued)
 	}
 	if left > 0 {
@@ -151,8 +151,8 @@
 // deliver hands a message to its stream. A stream that fails is closed.
 func (c *Channel) deliver(nowMs float64, queued *queuedMessage) {
 	message := queued.message
-	c.waitingLines -= message.Lines
-	c.Sent += message.Lines
+	c.waitingLines -= message.CostLines
+	c.Sent += message.CostLines
 	message.AtMs = queued.atMs
 	message.AgeMs = nowMs - queued.atMs
 	recent := queued.to.recentSends.add(nowMs, c.messageSpanMs)
--- a/internal/controller/channel_test.go
+++ b/internal/controller/channel_test.go
@@ -15,9 +15,9 @@
 	a, b := &fakeTransport{}, &fakeTransport{}
 	sa, sb := &session{stream: a}, &session{stream: b}
 	for i := range 10 {
-		c.Enqueue(0, sa, &wire.Commands{Lines: 20, AtMs: float64(i)})
+		c.Enqueue(0, sa, &wire.Commands{CostLines: 20, AtMs: float64(i)})
 	}
-	c.Enqueue(0, sb, &wire.Commands{Lines: 50})
+	c.Enqueue(0, sb, &wire.Commands{CostLines: 50})
 	assert.Equal(t, 250, c.Lines())
 	c.Send(100)
 	assert.InDelta(t, 5, len(a.sent), 1)
@@ -29,13 +29,13 @@
 	assert.InDelta(t, 260, b.sent[0].AgeMs, 1)
 	assert.True(t, math.IsInf(c.Due(), 1))
 	for range 200 {
-		c.Enqueue(300, sb, &wire.Commands{Lines: 20})
+		c.Enqueue(300, sb, &wire.Commands{CostLines: 20})
 	}
 	assert.LessOrEqual(t, c.Lines(), queueLimitFactor*400)
 	assert.Equal(t, "channel overfull", b.closed)
 	full := &fakeTransport{full: true}
 	c = NewChannel(0, 0, 0, 10000, nil)
-	c.Enqueue(0, &session{stream: full}, &wire.Commands{Lines: 1})
+	c.Enqueue(0, &session{stream: full}, &wire.Commands{CostLines: 1})
 	c.Send(0)
 	assert.Equal(t, "full", full.closed)
 }
@@ -89,7 +89,7 @@
 	for b.Loop() {
 		now++
 		for _, s := range sessions {
-			c.Enqueue(now, s, &wire.Commands{Lines: 114, Ops: ops})
+			c.Enqueue(now, s, &wire.Commands{CostLines: 114, Ops: ops})
 		}
 		lines += c.Send(now)
 		for _, s := range sessions {
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -166,8 +166,8 @@
 			var ops []wire.Op
 			for _, m := range stream.sent {
 				ops = append(ops, m.Ops...)
-				assert.Equal(t, len(m.Ops)+4, m.Lines)
-				assert.Equal(t, lines, m.Lines, "one message for each proxy")
+				assert.Equal(t, len(m.Ops)+4, m.CostLines)
+				assert.Equal(t, lines, m.CostLines, "one message for each proxy")
 			}
 			assert.Equal(t, c.want, ops)
 			assert.Equal(t, c.calls, edge.calls)
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -127,7 +127,7 @@
 		return
 	}
 	m.messagesSent.Inc()
-	m.linesSent.Add(float64(o.Lines))
+	m.linesSent.Add(float64(o.CostLines))
 	m.waitSeconds.Observe(o.AgeMs / 1000)
 	if limit > 0 {
 		m.messageFraction.Set(float64(recent) / float64(limit))
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -16,11 +16,11 @@
 // add appends a line to a proxy's message of this turn.
 func (o *outbox) add(s *session, op wire.Op) {
 	if s.pending == nil {
-		s.pending = &wire.Commands{Lines: o.headLines}
+		s.pending = &wire.Commands{CostLines: o.headLines}
 		o.touched = append(o.touched, s)
 	}
 	s.pending.Ops = append(s.pending.Ops, op)
-	s.pending.Lines++
+	s.pending.CostLines++
 }
 
 // flush puts the messages of this turn into the channel, by proxy.
--- a/internal/daemon/core_bench_test.go
+++ b/internal/daemon/core_bench_test.go
@@ -218,7 +218,7 @@
 
 // Send counts lines.
 func (s *sink) Send(m *wire.Commands) error {
-	s.lines += m.Lines
+	s.lines += m.CostLines
 	return nil
 }
 
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -260,7 +260,7 @@
 	p.logEvent(eventlog.Event{
 		What:  eventlog.Got,
 		Peer:  s.pilot.place.name,
-		N:     message.Lines,
+		N:     message.CostLines,
 		Value: message.AgeMs,
 		Since: s.pilot.process.startedAt + message.AtMs,
 	})
--- a/internal/emulator/stream.go
+++ b/internal/emulator/stream.go
@@ -71,10 +71,10 @@
 	}
 	proxy := s.process.proxy.place.name
 	decidedAt := min(s.pilotProcess.startedAt+message.AtMs, s.w.now)
-	decision := tracer.recordMessage(s.pilotProcess, proxy, decidedAt, message.Lines)
+	decision := tracer.recordMessage(s.pilotProcess, proxy, decidedAt, message.CostLines)
 	sentAt := s.w.now
 	return func(name string, from float64) {
-		tracer.recordPart(decision, name, proxy, max(from, sentAt), s.w.now, message.Lines)
+		tracer.recordPart(decision, name, proxy, max(from, sentAt), s.w.now, message.CostLines)
 	}
 }
 
--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -121,7 +121,7 @@
 // countMessage takes in a message that goes to a proxy.
 func (r *lifeReplay) countMessage(proxy string, message *wire.Commands) {
 	r.result.Messages++
-	r.result.Lines += message.Lines
+	r.result.Lines += message.CostLines
 	_, _ = fmt.Fprintf(r.sent, "%s %v\n", proxy, message.Ops) // writes to a hash don't fail
 }
 
--- a/internal/testbed/proxy/session.go
+++ b/internal/testbed/proxy/session.go
@@ -201,7 +201,7 @@
 // receiveOrders applies the lines of a message and hands the acks that it asks for to the sending goroutine.
 func (s *session) receiveOrders(ctx context.Context, m *wire.Commands) bool {
 	arrived := time.Now()
-	s.events.Add(eventlog.Event{What: eventlog.Got, Peer: s.pilot, N: m.Lines, Value: m.AgeMs, Since: m.AtMs})
+	s.events.Add(eventlog.Event{What: eventlog.Got, Peer: s.pilot, N: m.CostLines, Value: m.AgeMs, Since: m.AtMs})
 	for _, number := range s.apply(m) {
 		tookMs := float64(time.Since(arrived)) / float64(time.Millisecond)
 		select {
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -54,7 +54,7 @@
 
 // someOrders returns orders with an op of each kind.
 func someOrders() *wire.Commands {
-	return &wire.Commands{AtMs: 10, AgeMs: 3, Lines: 9, Ops: []wire.Op{
+	return &wire.Commands{AtMs: 10, AgeMs: 3, CostLines: 9, Ops: []wire.Op{
 		{Kind: wire.OpAssignTable, Table: 2, Classes: 3, KeepLines: true},
 		{Kind: wire.OpSetWeight, Table: 2, Endpoint: "x", Weight: 1},
 		{Kind: wire.OpSetWeight, Table: 2, Endpoint: "y", Weight: 0.5},
--- a/internal/transport/framed/framed_test.go
+++ b/internal/transport/framed/framed_test.go
@@ -156,7 +156,7 @@
 				require.NoError(t, err)
 			}
 			in.left(t, in.joined(t, "bad"))
-			require.NoError(t, in.joined(t, "good").Send(&wire.Commands{Lines: 5}))
+			require.NoError(t, in.joined(t, "good").Send(&wire.Commands{CostLines: 5}))
 			for {
 				m, err := goodR.Read()
 				require.NoError(t, err)
@@ -227,7 +227,7 @@
 		if slowErr == nil {
 			slowErr = slow.Send(big)
 		}
-		for quick.Send(&wire.Commands{Lines: 1}) != nil {
+		for quick.Send(&wire.Commands{CostLines: 1}) != nil {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -250,14 +250,14 @@
 		}
 		return err
 	}
-	require.NoError(t, st.Send(&wire.Commands{Lines: 1}))
+	require.NoError(t, st.Send(&wire.Commands{CostLines: 1}))
 	require.NoError(t, alive(1, 300*time.Millisecond))
 	for r.Last() < 2 {
 		_, err := r.Read()
 		require.NoError(t, err)
 	}
 	require.NoError(t, alive(9, 700*time.Millisecond), "all is dealt with")
-	require.NoError(t, st.Send(&wire.Commands{Lines: 1}))
+	require.NoError(t, st.Send(&wire.Commands{CostLines: 1}))
 	assert.Error(t, alive(1, 5*time.Second))
 	in.left(t, st)
 	_ = c.Close() // the server has closed it
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -142,7 +142,7 @@
 
 // OrdersFrom decodes an assignment on the proxy's side. Unknown steps are ignored; marks come last.
 func OrdersFrom(a *pb.Assignment) *wire.Commands {
-	orders := &wire.Commands{AtMs: a.GetOrderedMs(), AgeMs: a.GetWaitedMs(), Lines: int(a.GetLines())}
+	orders := &wire.Commands{AtMs: a.GetOrderedMs(), AgeMs: a.GetWaitedMs(), CostLines: int(a.GetLines())}
 	for _, s := range a.GetSteps() {
 		if op, known := opFrom(s); known {
 			orders.Ops = append(orders.Ops, op)
--- a/internal/transport/grpcapi/grpcapi_test.go
+++ b/internal/transport/grpcapi/grpcapi_test.go
@@ -259,7 +259,7 @@
 	st := newStream(10)
 	for i := range 1000 {
 		ops := []wire.Op{set("x", float64(i)), set("y", 1), {Kind: wire.OpAckRequest, AckNumber: 1}}
-		require.NoError(t, st.Send(&wire.Commands{Lines: 2, Ops: ops}))
+		require.NoError(t, st.Send(&wire.Commands{CostLines: 2, Ops: ops}))
 	}
 	a := st.next().GetAssignment()
 	require.Len(t, a.GetSteps(), 2)
--- a/internal/transport/grpcapi/stream.go
+++ b/internal/transport/grpcapi/stream.go
@@ -152,7 +152,7 @@
 		p.lines = 0
 	}
 	p.ops = append(p.ops, o.Ops...)
-	p.lines += o.Lines
+	p.lines += o.CostLines
 	if len(p.ops) > p.limit {
 		p.ops = wire.Collapse(p.ops)
 	}
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -130,7 +130,7 @@
 
 // BenchmarkOrders measures writing and reading a Commands message with 400 weights.
 func BenchmarkOrders(b *testing.B) {
-	m := &Commands{Lines: 400}
+	m := &Commands{CostLines: 400}
 	for range 400 {
 		m.Ops = append(m.Ops, Op{Kind: OpSetWeight, Table: 3, Endpoint: "127.0.0.1:30000", Weight: 0.75})
 	}
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -30,7 +30,7 @@
 	&Bye{},
 	sampleLoadReport,
 	&Done{Mark: 65534, TookMs: 0.25},
-	&Commands{AtMs: 5, AgeMs: 1.5, Lines: 9, Ops: []Op{
+	&Commands{AtMs: 5, AgeMs: 1.5, CostLines: 9, Ops: []Op{
 		{Kind: OpAssignTable, Table: 3, Classes: 5, KeepLines: true},
 		{Kind: OpSetWeight, Table: 3, Endpoint: "x:1", Weight: 0.75},
 		{Kind: OpClearTable, Table: 2},
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -5,10 +5,10 @@
 
 // Commands contains operations that a pilot sends to a proxy, to be applied in order.
 type Commands struct {
-	AtMs  float64 // time at which the planner issued the operations, ms on the pilot's clock
-	AgeMs float64 // time that the message was queued at the pilot, ms
-	Lines int     // cost of the message for flow control, in lines including message overhead
-	Ops   []Op
+	AtMs      float64 // time at which the planner issued the operations, ms on the pilot's clock
+	AgeMs     float64 // time that the message was queued at the pilot, ms
+	CostLines int     // cost of the message for flow control, in lines including message overhead
+	Ops       []Op
 }
 
 func (*Commands) messageType() Type { return typeCommands }
@@ -16,7 +16,7 @@
 func (m *Commands) encode(e *encoder) {
 	e.float(m.AtMs)
 	e.float(m.AgeMs)
-	e.varint(m.Lines)
+	e.varint(m.CostLines)
 	e.length(len(m.Ops))
 	for i := range m.Ops {
 		m.Ops[i].encode(e)
@@ -26,7 +26,7 @@
 func (m *Commands) decode(d *decoder) {
 	m.AtMs = d.float()
 	m.AgeMs = d.float()
-	m.Lines = d.count()
+	m.CostLines = d.count()
 	m.Ops = decodeList(d, decodeOp)
 }
 
