--- a/internal/testbed/proxy/grpc.go
+++ b/internal/testbed/proxy/grpc.go
@@ -97,10 +97,10 @@
 		return nil, fmt.Errorf("no welcome: %w", wire.ErrType)
 	}
 	return &wire.Welcome{
-		Version:     int(welcome.GetVersion()),
-		Pilot:       welcome.GetPilot(),
-		HeartbeatMs: int(welcome.GetBeatMs()),
-		PeriodMs:    int(welcome.GetPeriodMs()),
+		Version:        int(welcome.GetVersion()),
+		Pilot:          welcome.GetPilot(),
+		HeartbeatMs:    int(welcome.GetBeatMs()),
+		ReportPeriodMs: int(welcome.GetPeriodMs()),
 	}, nil
 }
 
--- a/internal/testbed/proxy/session.go
+++ b/internal/testbed/proxy/session.go
@@ -108,7 +108,7 @@
 		beat:    time.Duration(welcome.HeartbeatMs) * time.Millisecond,
 		acks:    make(chan wire.Message, maxQueuedAcks),
 	}
-	s.periodMs.Store(int64(welcome.PeriodMs))
+	s.periodMs.Store(int64(welcome.ReportPeriodMs))
 	return s
 }
 
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -43,7 +43,7 @@
 				line, welcome, err := tr.join(nil)(t.Context(), dial, address, hello())
 				require.NoError(t, err)
 				defer line.Close()
-				assert.Equal(t, &wire.Welcome{Version: 1, Pilot: "one", HeartbeatMs: 100, PeriodMs: 1000}, welcome)
+				assert.Equal(t, &wire.Welcome{Version: 1, Pilot: "one", HeartbeatMs: 100, ReportPeriodMs: 1000}, welcome)
 				joined := next[controller.ProxyJoined](t, in)
 				assert.Equal(t, *hello(), joined.Hello)
 				c.run(t, session{server: s, inbox: in, stream: joined.Stream, line: line, stop: stop})
--- a/internal/transport/framed/handshake.go
+++ b/internal/transport/framed/handshake.go
@@ -47,10 +47,10 @@
 // welcome returns the answer to an accepted hello.
 func (s *Server) welcome() *wire.Welcome {
 	return &wire.Welcome{
-		Version:     wire.Version,
-		Pilot:       s.config.Pilot,
-		HeartbeatMs: int(s.config.Beat.Milliseconds()),
-		PeriodMs:    int(s.config.Period.Milliseconds()),
+		Version:        wire.Version,
+		Pilot:          s.config.Pilot,
+		HeartbeatMs:    int(s.config.Beat.Milliseconds()),
+		ReportPeriodMs: int(s.config.Period.Milliseconds()),
 	}
 }
 
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -23,7 +23,7 @@
 		Version: 1, Proxy: "p", Zone: "a", Boot: 7, Rate: 2.5, Fresh: true, Holds: []string{"x:1", "y:2"},
 		Tables: []HeldTable{{Table: 2, Lines: []HeldLine{{"x:1", 0.5}}}},
 	},
-	&Welcome{Version: 1, Pilot: "one", HeartbeatMs: 300, PeriodMs: 1000},
+	&Welcome{Version: 1, Pilot: "one", HeartbeatMs: 300, ReportPeriodMs: 1000},
 	&Refuse{Reason: "no"},
 	&Heartbeat{LastProcessed: 70000},
 	&Redirect{Reason: "stops"},
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -82,10 +82,10 @@
 
 // Welcome is the answer to a Hello that the pilot accepts.
 type Welcome struct {
-	Version     int
-	Pilot       string // name of the pilot
-	HeartbeatMs int    // interval of heartbeats in both directions, ms
-	PeriodMs    int    // interval between load reports, ms
+	Version        int
+	Pilot          string // name of the pilot
+	HeartbeatMs    int    // interval of heartbeats in both directions, ms
+	ReportPeriodMs int    // interval between load reports, ms
 }
 
 func (*Welcome) messageType() Type { return typeWelcome }
@@ -94,14 +94,14 @@
 	e.varint(m.Version)
 	e.text(m.Pilot)
 	e.varint(m.HeartbeatMs)
-	e.varint(m.PeriodMs)
+	e.varint(m.ReportPeriodMs)
 }
 
 func (m *Welcome) decode(d *decoder) {
 	m.Version = d.count()
 	m.Pilot = d.text()
 	m.HeartbeatMs = d.count()
-	m.PeriodMs = d.count()
+	m.ReportPeriodMs = d.count()
 }
 
 // Refuse rejects a Hello, or announces that the sender closes the stream because of an error.
