--- a/recovery/decision.go
+++ b/recovery/decision.go
@@ -6,7 +6,7 @@
 // starts cold. Replaying the record may be what crashes them.
 const maxFailedStarts = 3
 
-// Facts describes the record that a starting controller finds.
+// RecordInfo describes the record that a starting controller finds.
 type RecordInfo struct {
 	Runs         int // number of recorded runs before this one
 	FailedStarts int // number of consecutive runs at the end of the record that ended before their first turn
@@ -36,42 +36,42 @@
 }
 
 // Cold reports whether the controller starts without replaying the record.
-func (v Decision) Cold() bool { return v.ReplayMs == 0 }
+func (d Decision) Cold() bool { return d.ReplayMs == 0 }
 
 // Decide returns how a controller starts: from the record if it can be used within the limits, and cold otherwise.
-func Decide(f RecordInfo, b Limits) Decision {
-	if reason := coldStartReason(f, b); reason != "" {
+func Decide(info RecordInfo, limits Limits) Decision {
+	if reason := coldStartReason(info, limits); reason != "" {
 		return Decision{Reason: "cold start: " + reason}
 	}
-	v := Decision{ReplayMs: min(f.SpanMs, b.MaxReplayMs), DowntimeMs: max(0, f.GapMs)}
-	v.Reason = fmt.Sprintf("recovered from the last %.0f s of the record, down for %.1f s",
-		v.ReplayMs/1000, v.DowntimeMs/1000)
-	if f.Torn {
-		v.Reason += "; the end of the record is torn"
+	decision := Decision{ReplayMs: min(info.SpanMs, limits.MaxReplayMs), DowntimeMs: max(0, info.GapMs)}
+	decision.Reason = fmt.Sprintf("recovered from the last %.0f s of the record, down for %.1f s",
+		decision.ReplayMs/1000, decision.DowntimeMs/1000)
+	if info.Torn {
+		decision.Reason += "; the end of the record is torn"
 	}
-	if f.GapMs < 0 {
-		v.Reason += "; the clock was set back"
+	if info.GapMs < 0 {
+		decision.Reason += "; the clock was set back"
 	}
-	return v
+	return decision
 }
 
 // coldStartReason returns the first reason why the record cannot be used, or "" if it can.
-func coldStartReason(f RecordInfo, b Limits) string {
+func coldStartReason(info RecordInfo, limits Limits) string {
 	switch {
-	case f.Runs == 0:
+	case info.Runs == 0:
 		return "no record found"
-	case !f.SameFormat:
+	case !info.SameFormat:
 		return "the record has another format"
-	case f.FailedStarts >= maxFailedStarts:
-		return fmt.Sprintf("%d starts in a row ended before their first turn", f.FailedStarts)
-	case !f.SamePlanner:
+	case info.FailedStarts >= maxFailedStarts:
+		return fmt.Sprintf("%d starts in a row ended before their first turn", info.FailedStarts)
+	case !info.SamePlanner:
 		return "the record was made by another version of the planner"
-	case !f.SameSettings:
+	case !info.SameSettings:
 		return "the record was made with other planner settings"
-	case f.Turns == 0 || f.SpanMs <= 0:
+	case info.Turns == 0 || info.SpanMs <= 0:
 		return "the last run left no readable turn"
-	case f.GapMs > b.MaxGapMs:
-		return fmt.Sprintf("the last turn is %.0f s old, the limit is %.0f s", f.GapMs/1000, b.MaxGapMs/1000)
+	case info.GapMs > limits.MaxGapMs:
+		return fmt.Sprintf("the last turn is %.0f s old, the limit is %.0f s", info.GapMs/1000, limits.MaxGapMs/1000)
 	}
 	return ""
 }
--- a/recovery/handover.go
+++ b/recovery/handover.go
@@ -16,7 +16,7 @@
 //	state         event                          action
 //	serving       TakeoverRequested              SendOffer
 //	offered       ReadyReceived                  StopPilot
-//	offered       any other event                Nothing; the state is serving again
+//	offered       any other event                NoAction; the state is serving again
 //	stopping      PilotStopped                   SendGo
 //	released      ServingReceived                End
 //	released      any other event                AcquireLock
--- a/telemetry/report.go
+++ b/telemetry/report.go
@@ -8,7 +8,7 @@
 	maxMeanMs       = 1e7 // largest mean duration of an attempt, ms
 )
 
-// Line holds the statistics of a proxy's attempts at one endpoint since its last report. L is the type of the load
+// EndpointLine holds the statistics of a proxy's attempts at one endpoint since its last report. L is the type of the load
 // report of an endpoint, which this package does not interpret.
 type EndpointLine[L any] struct {
 	Endpoint         int
