--- a/internal/wire/list.go
+++ b/internal/wire/list.go
@@ -45,8 +45,9 @@
 	Phase    int     `json:"Phase"`
 	Weight   float64 `json:"Weight"`
 
-	// Started is the start of the endpoint's process in ms on the clock of the list source, or 0 if it is unknown.
-	// Receivers use only its difference from List.Now, so that their clocks need not agree with that of the source.
+	// Started is the start of the endpoint's process in ms on the clock of the list source, or 0 if it was long
+	// ago or is unknown. Receivers use only its difference from List.Now, so that their clocks need not agree with that
+	// of the source.
 	Started uint64 `json:"Started"`
 }
 
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -8,7 +8,7 @@
 // Version is the protocol version of this package. Hello and Welcome messages contain it.
 const Version = 1
 
-// Errors in a stream of frames. They are permanent: the stream cannot be used after one of them.
+// Errors of encoding, decoding and framing. They are permanent: repeating the operation cannot succeed.
 var (
 	ErrTooLarge  = errors.New("message body exceeds the size limit")
 	ErrSequence  = errors.New("frame repeated, missing or out of order")
--- a/internal/wire/report.go
+++ b/internal/wire/report.go
@@ -51,17 +51,17 @@
 		e.endpointStats(&m.EndpointStats[i])
 	}
 	e.length(len(m.RequestStats))
-	for _, demand := range m.RequestStats {
-		e.text(demand.Class)
-		e.varint(demand.Requests)
-		e.varint(demand.Unanswered)
+	for _, stats := range m.RequestStats {
+		e.text(stats.Class)
+		e.varint(stats.Requests)
+		e.varint(stats.Unanswered)
 	}
 	e.length(len(m.SliceStats))
-	for _, load := range m.SliceStats {
-		e.varint(load.Slice)
-		e.text(load.Class)
-		e.varint(load.Requests)
-		e.varint(load.Unanswered)
+	for _, stats := range m.SliceStats {
+		e.varint(stats.Slice)
+		e.text(stats.Class)
+		e.varint(stats.Requests)
+		e.varint(stats.Unanswered)
 	}
 }
 
@@ -104,11 +104,11 @@
 	return SliceStats{Slice: d.count(), Class: d.text(), Requests: d.count(), Unanswered: d.count()}
 }
 
-func (e *encoder) loadMetrics(figures []LoadMetric) {
-	e.length(len(figures))
-	for _, figure := range figures {
-		e.text(figure.Name)
-		e.float(figure.Value)
+func (e *encoder) loadMetrics(metrics []LoadMetric) {
+	e.length(len(metrics))
+	for _, metric := range metrics {
+		e.text(metric.Name)
+		e.float(metric.Value)
 	}
 }
 
