--- a/internal/config/pilot.go
+++ b/internal/config/pilot.go
@@ -149,13 +149,13 @@
 func (p *Pilot) TelemetryOptions() telemetry.Options {
 	return telemetry.Options{
 		LinesPerS:   p.IntakeLinesPerS,
-		ToldPerS:    float64(p.ReportLinesPerS),
-		Standing:    p.IntakeStanding,
+		FlushedPerS: float64(p.ReportLinesPerS),
+		MaxPending:  p.IntakeStanding,
 		PeriodMs:    milliseconds(p.Period),
-		HalfMs:      milliseconds(p.IntakeHalf),
-		LongestMs:   milliseconds(p.IntakeLongest),
-		Slowest:     p.IntakeSlowest,
-		ColdMs:      milliseconds(p.Cold),
-		MostSenders: p.MaxStreams,
+		HalfLifeMs:  milliseconds(p.IntakeHalf),
+		MaxAgeMs:    milliseconds(p.IntakeLongest),
+		MaxSlowdown: p.IntakeSlowest,
+		WarmUpMs:    milliseconds(p.Cold),
+		MaxSenders:  p.MaxStreams,
 	}
 }
--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -25,7 +25,7 @@
 	}
 	s.assign(command.Table, classes)
 	held, keep := s.takeHeldTable(command.Table)
-	c.outbox.add(s, wire.Op{Kind: wire.OpBind, Table: command.Table, Kinds: classes, Keep: keep})
+	c.outbox.add(s, wire.Op{Kind: wire.OpAssignTable, Table: command.Table, Classes: classes, KeepLines: keep})
 	c.sendTable(s, command.Table, held, keep)
 }
 
@@ -38,15 +38,15 @@
 		name := c.endpoints.name(endpoint)
 		weight := t.weights[endpoint]
 		if !keep || held[name] != weight {
-			c.outbox.add(s, wire.Op{Kind: wire.OpSet, Table: number, Endpoint: name, Weight: weight})
+			c.outbox.add(s, wire.Op{Kind: wire.OpSetWeight, Table: number, Endpoint: name, Weight: weight})
 		}
 		delete(held, name)
 		if c.excluded[endpoint] {
-			c.outbox.add(s, wire.Op{Kind: wire.OpWithdraw, Endpoint: name, Out: true})
+			c.outbox.add(s, wire.Op{Kind: wire.OpSetExcluded, Endpoint: name, Remove: true})
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(held)) {
-		c.outbox.add(s, wire.Op{Kind: wire.OpSet, Table: number, Endpoint: name})
+		c.outbox.add(s, wire.Op{Kind: wire.OpSetWeight, Table: number, Endpoint: name})
 	}
 	c.sendLevels(s, t.levels)
 	c.sendLevels(s, c.tables.globalLevels)
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -32,12 +32,12 @@
 		Acked{stream, wire.Done{Mark: 9, TookMs: 2}},
 		Acked{stream, wire.Done{Mark: 9}}, // acknowledged before
 		Acked{stream, wire.Done{Mark: 8}}, // never sent
-		HealthChecked{"x", "ok", 5, []wire.Figure{{Name: "util", Value: 0.5}}},
-		LoadReported{stream, &wire.Sums{
-			Seq:    1,
-			SpanMs: 500,
-			Met:    []wire.Met{{Endpoint: "x", Tries: 4, Failed: 1, MeanMs: 20}, {Endpoint: "never listed", Tries: 1}},
-			Demand: []wire.Demand{{Kind: "book", Reqs: 5, Unanswered: 1}},
+		HealthChecked{"x", "ok", 5, []wire.LoadMetric{{Name: "util", Value: 0.5}}},
+		LoadReported{stream, &wire.LoadReport{
+			Seq:           1,
+			SpanMs:        500,
+			EndpointStats: []wire.EndpointStats{{Endpoint: "x", Attempts: 4, Failed: 1, MeanMs: 20}, {Endpoint: "never listed", Attempts: 1}},
+			RequestStats:  []wire.RequestStats{{Class: "book", Requests: 5, Unanswered: 1}},
 		}},
 	})
 	c.Handle(2300, []Input{ProxyLeft{stream}, ProxyLeft{stream}})
@@ -66,10 +66,10 @@
 func TestOrders(t *testing.T) {
 	set := func(e int, w float64) planner.Command { return planner.SetWeight{Table: 5, Endpoint: e, Weight: w} }
 	setOp := func(e string, w float64) wire.Op {
-		return wire.Op{Kind: wire.OpSet, Table: 5, Endpoint: e, Weight: w}
+		return wire.Op{Kind: wire.OpSetWeight, Table: 5, Endpoint: e, Weight: w}
 	}
-	bindOp := wire.Op{Kind: wire.OpBind, Table: 5, Kinds: 3}
-	out := func(e string) wire.Op { return wire.Op{Kind: wire.OpWithdraw, Endpoint: e, Out: true} }
+	bindOp := wire.Op{Kind: wire.OpAssignTable, Table: 5, Classes: 3}
+	out := func(e string) wire.Op { return wire.Op{Kind: wire.OpSetExcluded, Endpoint: e, Remove: true} }
 	bind := planner.AssignTable{Table: 5, Proxy: 0}
 	for _, c := range []struct {
 		name     string
@@ -113,32 +113,32 @@
 		{
 			"a table cleared",
 			[]planner.Command{set(0, 1), bind, planner.ClearTable{Table: 5}, planner.SetExcluded{Endpoint: 0, Excluded: true}},
-			[]wire.Op{bindOp, setOp("x", 1), {Kind: wire.OpClear, Table: 5}},
+			[]wire.Op{bindOp, setOp("x", 1), {Kind: wire.OpClearTable, Table: 5}},
 			nil,
 		},
 		{
 			"levels",
 			[]planner.Command{planner.SetAdmission{Table: 5, Classes: 1, Level: 0.5, RetryMode: 1}, bind},
-			[]wire.Op{bindOp, {Kind: wire.OpAdmit, Table: 5, Kinds: 1, Weight: 0.5, Again: 1}},
+			[]wire.Op{bindOp, {Kind: wire.OpSetAdmission, Table: 5, Classes: 1, Weight: 0.5, RetryMode: 1}},
 			nil,
 		},
 		{
 			"levels for all",
 			[]planner.Command{planner.SetAdmission{Table: planner.EveryTable, Classes: 1, Level: 0.5}},
-			[]wire.Op{{Kind: wire.OpAdmit, Table: planner.EveryTable, Kinds: 1, Weight: 0.5}},
+			[]wire.Op{{Kind: wire.OpSetAdmission, Table: planner.EveryTable, Classes: 1, Weight: 0.5}},
 			nil,
 		},
 		{
 			"a mark goes with a message",
 			[]planner.Command{planner.SetExcluded{Endpoint: 0, Excluded: true}, planner.AckRequest{Number: 4}},
-			[]wire.Op{out("x"), {Kind: wire.OpMark, Number: 4}},
+			[]wire.Op{out("x"), {Kind: wire.OpAckRequest, AckNumber: 4}},
 			nil,
 		},
 		{"a mark without a message", []planner.Command{planner.AckRequest{Number: 4}}, nil, nil},
 		{
 			"a mark for all",
 			[]planner.Command{planner.AckRequest{Number: 4, All: true}},
-			[]wire.Op{{Kind: wire.OpMark, Number: 4}},
+			[]wire.Op{{Kind: wire.OpAckRequest, AckNumber: 4}},
 			nil,
 		},
 		{"the edges", []planner.Command{
@@ -166,8 +166,8 @@
 			var ops []wire.Op
 			for _, m := range stream.sent {
 				ops = append(ops, m.Ops...)
-				assert.Equal(t, len(m.Ops)+4, m.Lines)
-				assert.Equal(t, lines, m.Lines, "one message for each proxy")
+				assert.Equal(t, len(m.Ops)+4, m.CostLines)
+				assert.Equal(t, lines, m.CostLines, "one message for each proxy")
 			}
 			assert.Equal(t, c.want, ops)
 			assert.Equal(t, c.calls, edge.calls)
@@ -194,9 +194,9 @@
 				case 2:
 					in = []Input{ProxyLeft{stream}}
 				case 3:
-					in = []Input{LoadReported{stream, &wire.Sums{
+					in = []Input{LoadReported{stream, &wire.LoadReport{
 						Seq: uint64(i + 1), AtMs: now, SpanMs: 200,
-						Met: []wire.Met{{Endpoint: "x", Tries: 9, Failed: i % 9}},
+						EndpointStats: []wire.EndpointStats{{Endpoint: "x", Attempts: 9, Failed: i % 9}},
 					}}}
 				case 4:
 					e := entry("x", 0)
--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -32,13 +32,13 @@
 
 // fakeTransport stands for a proxy's stream, the endpoint list, the health checker and the peers.
 type fakeTransport struct {
-	sent   []*wire.Orders
+	sent   []*wire.Commands
 	closed string
 	calls  []string
 	full   bool
 }
 
-func (f *fakeTransport) Send(m *wire.Orders) error {
+func (f *fakeTransport) Send(m *wire.Commands) error {
 	if f.full {
 		return errors.New("full")
 	}
@@ -68,7 +68,7 @@
 		Classes:        []string{"read", "book"},
 		HeadLines:      4,
 		MessagesOverMs: 10000,
-		Telemetry:      telemetry.Options{PeriodMs: 1000, HalfMs: 1e9, LongestMs: 60000},
+		Telemetry:      telemetry.Options{PeriodMs: 1000, HalfLifeMs: 1e9, MaxAgeMs: 60000},
 		MaxProxies:     3,
 		EndpointSource: transport,
 		HealthChecker:  transport,
--- a/internal/controller/inputs.go
+++ b/internal/controller/inputs.go
@@ -23,7 +23,7 @@
 	// LoadReported brings a proxy's report: what it counted since its last one.
 	LoadReported struct {
 		Stream Stream
-		Sums   *wire.Sums
+		Sums   *wire.LoadReport
 	}
 
 	// Acked answers an ack request: the proxy has applied everything sent before it.
@@ -56,7 +56,7 @@
 		Endpoint string
 		Outcome  string
 		TookMs   float64
-		Load     []wire.Figure
+		Load     []wire.LoadMetric
 	}
 
 	// GossipReceived brings a peer's text.
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -122,12 +122,12 @@
 }
 
 // messageSent counts a message that left the channel; recent is how many left to its proxy lately, limit how many may.
-func (m *Metrics) messageSent(o *wire.Orders, recent, limit int) {
+func (m *Metrics) messageSent(o *wire.Commands, recent, limit int) {
 	if m == nil {
 		return
 	}
 	m.messagesSent.Inc()
-	m.linesSent.Add(float64(o.Lines))
+	m.linesSent.Add(float64(o.CostLines))
 	m.waitSeconds.Observe(o.AgeMs / 1000)
 	if limit > 0 {
 		m.messageFraction.Set(float64(recent) / float64(limit))
--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -23,10 +23,10 @@
 
 // The aggregator holds load reports as they came on the wire.
 type (
-	reportAggregator = telemetry.Aggregator[[]wire.Figure]
-	report           = telemetry.Report[[]wire.Figure]
-	reportLine       = telemetry.Line[[]wire.Figure]
-	endpointSum      = telemetry.EndpointSum[[]wire.Figure]
+	reportAggregator = telemetry.Aggregator[[]wire.LoadMetric]
+	report           = telemetry.Report[[]wire.LoadMetric]
+	reportLine       = telemetry.EndpointLine[[]wire.LoadMetric]
+	endpointSum      = telemetry.EndpointSum[[]wire.LoadMetric]
 )
 
 // reportGate stands between the streams and the loop: reports are taken in where they are read, by any goroutine, and
@@ -58,7 +58,7 @@
 // newReportGate returns a gate that no proxy has passed. classes are the request classes by index.
 func newReportGate(options telemetry.Options, classes []string) *reportGate {
 	g := &reportGate{
-		aggregator: telemetry.New[[]wire.Figure](options),
+		aggregator: telemetry.New[[]wire.LoadMetric](options),
 		proxies:    map[Stream]int{},
 		streams:    map[int]Stream{},
 		endpoints:  map[string]int{},
@@ -131,7 +131,7 @@
 }
 
 // accept takes in one report.
-func (g *reportGate) accept(nowMs float64, from Stream, sums *wire.Sums) {
+func (g *reportGate) accept(nowMs float64, from Stream, sums *wire.LoadReport) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	proxy, joined := g.proxies[from]
@@ -143,17 +143,17 @@
 	r.Seq = sums.Seq
 	r.AtMs = sums.AtMs
 	r.SpanMs = sums.SpanMs
-	g.fillLines(r, sums.Met)
-	g.fillClasses(r, sums.Demand)
+	g.fillLines(r, sums.EndpointStats)
+	g.fillClasses(r, sums.RequestStats)
 	g.aggregator.Add(nowMs, r)
 	if joined {
-		g.addSliceStats(sums.Slices)
+		g.addSliceStats(sums.SliceStats)
 	}
 }
 
 // fillLines puts what a proxy met at endpoints into a report.
-func (g *reportGate) fillLines(r *report, stats []wire.Met) {
-	r.Lines = r.Lines[:0]
+func (g *reportGate) fillLines(r *report, stats []wire.EndpointStats) {
+	r.EndpointLines = r.EndpointLines[:0]
 	for i := range stats {
 		stat := &stats[i]
 		endpoint, known := g.endpoints[stat.Endpoint]
@@ -161,32 +161,32 @@
 			g.malformed[malformedReportEndpoint]++
 			endpoint = unknownIndex
 		}
-		r.Lines = append(r.Lines, reportLine{
-			Endpoint: endpoint, Tries: stat.Tries, Failed: stat.Failed,
+		r.EndpointLines = append(r.EndpointLines, reportLine{
+			Endpoint: endpoint, Attempts: stat.Attempts, Failed: stat.Failed,
 			MeanMs: stat.MeanMs, Load: stat.Load, HasLoad: len(stat.Load) > 0,
 		})
 	}
 }
 
 // fillClasses puts the requests that came to a proxy, by class, into a report.
-func (g *reportGate) fillClasses(r *report, demands []wire.Demand) {
-	r.Kinds = r.Kinds[:0]
+func (g *reportGate) fillClasses(r *report, demands []wire.RequestStats) {
+	r.ClassLines = r.ClassLines[:0]
 	for _, d := range demands {
-		class, known := g.classes[d.Kind]
+		class, known := g.classes[d.Class]
 		if !known {
 			g.malformed[malformedReportClass]++
 			continue
 		}
-		r.Kinds = append(r.Kinds, telemetry.ClassLine{Class: class, Requests: d.Reqs, Unanswered: d.Unanswered})
+		r.ClassLines = append(r.ClassLines, telemetry.ClassLine{Class: class, Requests: d.Requests, Unanswered: d.Unanswered})
 	}
 }
 
 // addSliceStats adds up demand for the slices assigned to this pilot; it is bounded by these and the classes.
-func (g *reportGate) addSliceStats(loads []wire.SliceLoad) {
+func (g *reportGate) addSliceStats(loads []wire.SliceStats) {
 	for _, load := range loads {
-		class, known := g.classes[load.Kind]
+		class, known := g.classes[load.Class]
 		byClass := g.sliceStats[load.Slice]
-		if !known || byClass == nil || load.Unanswered > load.Reqs {
+		if !known || byClass == nil || load.Unanswered > load.Requests {
 			g.malformed[malformedReportSlice]++
 			continue
 		}
@@ -195,7 +195,7 @@
 			demand = &planner.SliceStats{Slice: load.Slice, Class: class}
 			byClass[class] = demand
 		}
-		demand.Requests += load.Reqs
+		demand.Requests += load.Requests
 		demand.Unanswered += load.Unanswered
 	}
 }
@@ -219,14 +219,14 @@
 	spanMs := nowMs - g.lastFlushMs
 	g.lastFlushMs = nowMs
 	passed := g.aggregator.Flush(nowMs, spanMs)
-	events = g.appendEndpointStats(events, passed.Mets)
-	for _, demand := range passed.Demands {
+	events = g.appendEndpointStats(events, passed.EndpointSums)
+	for _, demand := range passed.RequestStats {
 		events = append(events, demand)
 	}
 	events = g.appendSliceStats(events, spanMs)
-	g.recordAges(passed.Ages)
+	g.recordAges(passed.AgesMs)
 	requests = g.paceRequests(nowMs)
-	metrics.setTelemetry(g.aggregator.Counts[:], passed.Left, g.ages)
+	metrics.setTelemetry(g.aggregator.Counts[:], passed.Remaining, g.ages)
 	malformed = g.malformed
 	g.malformed = map[malformedReason]int{}
 	return events, requests, malformed
@@ -268,7 +268,7 @@
 // paceRequests returns how proxies are to report from now on, where that changes.
 func (g *reportGate) paceRequests(nowMs float64) (requests []paceRequest) {
 	for _, advice := range g.aggregator.Rebalance(nowMs) {
-		pace := &wire.Pace{PeriodMs: int(advice.PeriodMs), Lines: advice.Lines, Changes: advice.Changes}
+		pace := &wire.Pace{PeriodMs: int(advice.PeriodMs), MaxLines: advice.MaxLines, ChangedOnly: advice.ChangedOnly}
 		requests = append(requests, paceRequest{g.streams[advice.Sender], pace})
 	}
 	return requests
@@ -284,5 +284,5 @@
 			counts[reason.String()] = g.aggregator.Counts[i]
 		}
 	}
-	return g.aggregator.Pending(), g.aggregator.MostOrder, counts
+	return g.aggregator.Pending(), g.aggregator.MaxPending, counts
 }
--- a/internal/controller/slices_test.go
+++ b/internal/controller/slices_test.go
@@ -17,9 +17,9 @@
 	c.Handle(0, []Input{listed(true, entry("x", 0)), ProxyJoined{stream, hello("p", "a")}})
 	d.events = nil
 	load := func(seq uint64) LoadReported {
-		return LoadReported{stream, &wire.Sums{Seq: seq, SpanMs: 500, Slices: []wire.SliceLoad{
-			{Slice: 7, Kind: "book", Reqs: 5, Unanswered: 1},
-			{Slice: 8, Kind: "book", Reqs: 1},
+		return LoadReported{stream, &wire.LoadReport{Seq: seq, SpanMs: 500, SliceStats: []wire.SliceStats{
+			{Slice: 7, Class: "book", Requests: 5, Unanswered: 1},
+			{Slice: 8, Class: "book", Requests: 1},
 		}}}
 	}
 	c.Handle(100, []Input{SliceAssigned{&wire.Slices{Slice: 7, Given: true, Lines: []wire.HeldLine{
--- a/internal/controller/tables.go
+++ b/internal/controller/tables.go
@@ -48,7 +48,7 @@
 // clearTable removes a table's lines and levels, also at its users.
 func (c *Core) clearTable(command planner.ClearTable) {
 	c.tables.remove(command.Table)
-	c.sendToUsers(command.Table, wire.Op{Kind: wire.OpClear, Table: command.Table})
+	c.sendToUsers(command.Table, wire.Op{Kind: wire.OpClearTable, Table: command.Table})
 }
 
 // setWeight changes a line at all users of its table. An endpoint that is excluded stays so where it was not held
@@ -56,13 +56,13 @@
 func (c *Core) setWeight(command planner.SetWeight) {
 	t := c.tables.table(command.Table)
 	name := c.endpoints.name(command.Endpoint)
-	c.sendToUsers(command.Table, wire.Op{Kind: wire.OpSet, Table: command.Table, Endpoint: name, Weight: command.Weight})
+	c.sendToUsers(command.Table, wire.Op{Kind: wire.OpSetWeight, Table: command.Table, Endpoint: name, Weight: command.Weight})
 	if command.Weight == 0 {
 		delete(t.weights, command.Endpoint)
 		return
 	}
 	if c.excluded[command.Endpoint] && t.weights[command.Endpoint] == 0 {
-		c.sendToUsers(command.Table, wire.Op{Kind: wire.OpWithdraw, Endpoint: name, Out: true})
+		c.sendToUsers(command.Table, wire.Op{Kind: wire.OpSetExcluded, Endpoint: name, Remove: true})
 	}
 	t.weights[command.Endpoint] = command.Weight
 }
--- a/internal/daemon/core_bench_test.go
+++ b/internal/daemon/core_bench_test.go
@@ -44,7 +44,7 @@
 	core     *controller.Core
 
 	streams []*sink
-	reports []*wire.Sums // one for each stream
+	reports []*wire.LoadReport // one for each stream
 	nowMs   float64
 	inputs  int
 	turnsMs []float64 // of those that asked the planner
@@ -75,7 +75,7 @@
 		LinesPerS:      cfg.LinesPerS,
 		Backlog:        cfg.Backlog,
 		HeadLines:      4,
-		Telemetry:      telemetry.Options{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000},
+		Telemetry:      telemetry.Options{PeriodMs: 1000, HalfLifeMs: 5000, MaxAgeMs: 60000},
 		MaxProxies:     1 << 16,
 		EndpointSource: idle{},
 		HealthChecker:  idle{},
@@ -143,16 +143,16 @@
 }
 
 // benchReport returns what a proxy met in a second.
-func benchReport(entries []wire.Entry, proxy int) *wire.Sums {
-	report := &wire.Sums{SpanMs: 1000, Demand: []wire.Demand{{Kind: "read", Reqs: 2}}}
+func benchReport(entries []wire.Entry, proxy int) *wire.LoadReport {
+	report := &wire.LoadReport{SpanMs: 1000, RequestStats: []wire.RequestStats{{Class: "read", Requests: 2}}}
 	for k := range linesPerReport - 1 {
 		endpoint := entries[(proxy+k*endpointStep)%manyEndpoints].Endpoint
 		utilization := 0.4 + 0.3*float64(proxy%7)/7
-		report.Met = append(report.Met, wire.Met{
+		report.EndpointStats = append(report.EndpointStats, wire.EndpointStats{
 			Endpoint: endpoint,
-			Tries:    1,
+			Attempts: 1,
 			MeanMs:   30,
-			Load:     []wire.Figure{{Name: "util", Value: utilization}, {Name: "rate", Value: 20}},
+			Load:     []wire.LoadMetric{{Name: "util", Value: utilization}, {Name: "rate", Value: 20}},
 		})
 	}
 	return report
@@ -217,8 +217,8 @@
 type sink struct{ lines int }
 
 // Send counts lines.
-func (s *sink) Send(m *wire.Orders) error {
-	s.lines += m.Lines
+func (s *sink) Send(m *wire.Commands) error {
+	s.lines += m.CostLines
 	return nil
 }
 
--- a/internal/daemon/goodproxy_test.go
+++ b/internal/daemon/goodproxy_test.go
@@ -31,11 +31,11 @@
 		if m, err = line.Read(5 * time.Second); err != nil {
 			break
 		}
-		if commands, ok := m.(*wire.Orders); ok {
+		if commands, ok := m.(*wire.Commands); ok {
 			g.keep(commands.Ops)
 			acknowledge(line, commands.Ops)
 		}
-		err = line.Write(&wire.Beat{Seen: line.Last()}, time.Second)
+		err = line.Write(&wire.Heartbeat{LastProcessed: line.Last()}, time.Second)
 	}
 	if line != nil {
 		defer line.Close()
@@ -50,8 +50,8 @@
 // acknowledge answers the marks among ops.
 func acknowledge(line proxy.Stream, ops []wire.Op) {
 	for _, op := range ops {
-		if op.Kind == wire.OpMark {
-			_ = line.Write(&wire.Done{Mark: op.Number}, time.Second) // a broken stream shows at the next read
+		if op.Kind == wire.OpAckRequest {
+			_ = line.Write(&wire.Done{Mark: op.AckNumber}, time.Second) // a broken stream shows at the next read
 		}
 	}
 }
@@ -84,8 +84,8 @@
 	weights := map[string]float64{}
 	for _, op := range g.ops {
 		require.False(t, op.Weight < 0 || op.Weight > 1 || math.IsNaN(op.Weight), "%+v", op)
-		require.NotEqual(t, wire.OpRange, op.Kind)
-		if op.Kind == wire.OpSet {
+		require.NotEqual(t, wire.OpAssignRange, op.Kind)
+		if op.Kind == wire.OpSetWeight {
 			weights[op.Endpoint] = op.Weight
 		}
 	}
--- a/internal/daemon/hostile_test.go
+++ b/internal/daemon/hostile_test.go
@@ -52,7 +52,7 @@
 		good.follow(ctx, d.Address(), proxy.Framed(nil))
 		close(followed)
 	}()
-	isBind := func(op wire.Op) bool { return op.Kind == wire.OpBind }
+	isBind := func(op wire.Op) bool { return op.Kind == wire.OpAssignTable }
 	require.Eventually(t, good.got(isBind), 10*time.Second, 5*time.Millisecond)
 	before := runtime.NumGoroutine()
 
@@ -68,8 +68,8 @@
 	source.answers <- framesOf(t, &wire.List{Version: 2, Now: 2e6, Whole: true, Entries: entries})
 
 	isDrained := func(op wire.Op) bool {
-		isExcluded := op.Kind == wire.OpWithdraw && op.Out
-		isRemoved := op.Kind == wire.OpSet && op.Weight == 0
+		isExcluded := op.Kind == wire.OpSetExcluded && op.Remove
+		isRemoved := op.Kind == wire.OpSetWeight && op.Weight == 0
 		return op.Endpoint == "z:1" && (isExcluded || isRemoved)
 	}
 	require.Eventually(t, good.got(isDrained), 30*time.Second, 5*time.Millisecond, "a drain still reaches the proxy")
@@ -156,7 +156,7 @@
 	return append(payloads,
 		framesOf(t, &hello),
 		framesOf(t, plausibleHello, plausibleHello),
-		framesOf(t, plausibleHello, &wire.Orders{}),
+		framesOf(t, plausibleHello, &wire.Commands{}),
 		framesOf(t, &wire.Done{Mark: 1}),
 		bytes.Repeat([]byte{0}, 1<<20),
 		bytes.Repeat([]byte{0xff}, 1<<20),
@@ -168,17 +168,17 @@
 }
 
 // hostileReport has figures at the limits of their types, and an endpoint that nobody listed.
-func hostileReport() *wire.Sums {
-	load := []wire.Figure{{Name: "util", Value: 1e308}}
-	return &wire.Sums{
+func hostileReport() *wire.LoadReport {
+	load := []wire.LoadMetric{{Name: "util", Value: 1e308}}
+	return &wire.LoadReport{
 		Seq:    math.MaxUint64,
 		AtMs:   1e308,
 		SpanMs: 1e308,
-		Met: []wire.Met{
-			{Endpoint: "x:1", Tries: math.MaxInt32, Failed: math.MaxInt32, MeanMs: 1e308, Load: load},
-			{Endpoint: "never:1", Tries: 5},
+		EndpointStats: []wire.EndpointStats{
+			{Endpoint: "x:1", Attempts: math.MaxInt32, Failed: math.MaxInt32, MeanMs: 1e308, Load: load},
+			{Endpoint: "never:1", Attempts: 5},
 		},
-		Demand: []wire.Demand{{Kind: "none", Reqs: 5, Unanswered: 9}},
+		RequestStats: []wire.RequestStats{{Class: "none", Requests: 5, Unanswered: 9}},
 	}
 }
 
@@ -241,7 +241,7 @@
 		messages = append(messages,
 			&wire.List{Version: math.MaxInt32, Now: 1, Entries: []wire.Entry{e, e}},
 			&wire.Slices{Slice: 0, Given: true},
-			&wire.Slices{Slice: wire.EveryTable, Given: true},
+			&wire.Slices{Slice: wire.AllTables, Given: true},
 		)
 	}
 	noList := &wire.Hello{Version: 1, Proxy: "p", Zone: "a"} // ends a connection
@@ -299,13 +299,13 @@
 func startHostileEndpoint(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	load := []wire.Figure{{Name: "util", Value: 1e308}, {Name: "waiting", Value: 1e308}}
+	load := []wire.LoadMetric{{Name: "util", Value: 1e308}, {Name: "waiting", Value: 1e308}}
 	answers := [][]byte{
 		nil,
 		[]byte("HTTP/1.1 200 OK\r\n\r\n"),
 		{0xff, 0xff, 0xff, 0xff, 1, 0, 0, 0, 1},
-		framesOf(t, &wire.Beat{}),
-		framesOf(t, &wire.Answer{Number: 1, Outcome: wire.Fine, Load: load}),
+		framesOf(t, &wire.Heartbeat{}),
+		framesOf(t, &wire.Response{Number: 1, Outcome: wire.Succeeded, Load: load}),
 	}
 	var serving sync.WaitGroup
 	serving.Go(func() {
--- a/internal/daemon/recover.go
+++ b/internal/daemon/recover.go
@@ -14,18 +14,18 @@
 // were held back. It returns nil for a cold start.
 func (d *Daemon) recover(r *recording, cfg *config.Pilot) (*controller.Core, error) {
 	limits := recovery.Limits{
-		TailMs: float64(cfg.RecoverTail.Milliseconds()),
-		GapMs:  float64(cfg.RecoverWithin.Milliseconds()),
+		MaxReplayMs: float64(cfg.RecoverTail.Milliseconds()),
+		MaxGapMs:    float64(cfg.RecoverWithin.Milliseconds()),
 	}
 	lives, err := r.store.Lives()
 	if err != nil {
 		return nil, err
 	}
 	last, failedStarts := r.lastLife(lives)
-	facts := recovery.Facts{Lives: len(lives), FailedStarts: failedStarts}
+	facts := recovery.RecordInfo{Runs: len(lives), FailedStarts: failedStarts}
 	var tail []record.Turn
 	if last.ID != "" && last.Format == record.Format {
-		if tail, err = r.readTail(last, limits.TailMs, &facts); err != nil {
+		if tail, err = r.readTail(last, limits.MaxReplayMs, &facts); err != nil {
 			return nil, err
 		}
 	}
@@ -54,7 +54,7 @@
 }
 
 // readTail returns the turns that a recovery replays of a life, and notes what speaks for and against it.
-func (r *recording) readTail(last record.Life, tailMs float64, facts *recovery.Facts) ([]record.Turn, error) {
+func (r *recording) readTail(last record.Life, tailMs float64, facts *recovery.RecordInfo) ([]record.Turn, error) {
 	turns, torn, err := record.ReadTail(r.store, last.ID, tailMs)
 	if err != nil {
 		return nil, err
@@ -62,7 +62,7 @@
 	facts.Turns = len(turns)
 	facts.Torn = torn
 	facts.SameFormat = true
-	facts.SameModule = last.Module == r.fingerprint
+	facts.SamePlanner = last.Module == r.fingerprint
 	facts.SameSettings = cmp.Or(last.LatestSettings, last.Settings) == r.settings
 	facts.GapMs = float64(time.Since(r.store.LastAt(last.ID)).Milliseconds())
 	tail := turns[record.ReplayStart(turns, tailMs):]
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -75,19 +75,19 @@
 	if c.ended {
 		return
 	}
-	request := &wire.Req{
-		Name:   c.number,
-		Kind:   c.class.Name,
-		Key:    c.request.Key,
-		From:   "client",
-		WorkMs: c.request.WorkMs,
+	request := &wire.Request{
+		RequestID: c.number,
+		Class:     c.class.Name,
+		Key:       c.request.Key,
+		From:      "client",
+		WorkMs:    c.request.WorkMs,
 	}
 	c.w.proxies[c.request.Proxy].handle(request, c.deadline-c.w.now, c.answered)
 }
 
 // answered takes the proxy's answer to an attempt; nil means that the proxy does not run and has done nothing.
-func (c *clientRequest) answered(answer *wire.Answer) {
-	if answer != nil && answer.Outcome == wire.Fine {
+func (c *clientRequest) answered(answer *wire.Response) {
+	if answer != nil && answer.Outcome == wire.Succeeded {
 		c.end(outcomeDone)
 		return
 	}
@@ -99,7 +99,7 @@
 	}
 	wait := c.backoffMs
 	if answer != nil {
-		wait = max(wait, answer.ComeBackMs)
+		wait = max(wait, answer.RetryAfterMs)
 	}
 	c.attempts++
 	c.w.After(wait, c.attempt)
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -48,17 +48,17 @@
 	collapsed bool
 
 	// Load report: what is shown, what follows it with the lag, and the sums at the last one.
-	load           []wire.Figure
-	nextLoad       []wire.Figure
+	load           []wire.LoadMetric
+	nextLoad       []wire.LoadMetric
 	reportedBusyMs float64
 	reportedServed float64
 }
 
 // task is a request in flight at an endpoint.
 type task struct {
-	request *wire.Req
+	request *wire.Request
 	workMs  float64 // left, on a core of speed 1
-	answer  func(outcome wire.Outcome, comeBackMs float64, load []wire.Figure)
+	answer  func(outcome wire.Outcome, comeBackMs float64, load []wire.LoadMetric)
 }
 
 // endpointSeedStep keeps the sequences of runs with neighbouring seeds apart.
@@ -172,11 +172,11 @@
 	e.w.logEvent(e.Name, eventlog.Event{
 		What:  eventlog.Arrive,
 		Peer:  t.request.From,
-		Kind:  t.request.Kind,
-		Req:   t.request.Name,
+		Kind:  t.request.Class,
+		Req:   t.request.RequestID,
 		Value: t.request.WorkMs,
 	})
-	faulty := e.fault.OnlyClass == "" || e.fault.OnlyClass == t.request.Kind
+	faulty := e.fault.OnlyClass == "" || e.fault.OnlyClass == t.request.Class
 	fails := faulty && e.fault.ErrorFraction > 0 && e.random.Float64() < e.fault.ErrorFraction
 	hangs := faulty && e.fault.Hang
 	if e.overloaded(process, t.request.WorkMs) || hangs {
@@ -249,17 +249,17 @@
 	process.inFlight--
 	process.served++
 	isRepeat := false
-	if e.Deduplicated[t.request.Kind] {
-		isRepeat = e.completed[t.request.Name]
-		e.completed[t.request.Name] = true
+	if e.Deduplicated[t.request.Class] {
+		isRepeat = e.completed[t.request.RequestID]
+		e.completed[t.request.RequestID] = true
 	}
-	if e.Effects[t.request.Kind] && !isRepeat {
+	if e.Effects[t.request.Class] && !isRepeat {
 		e.w.logEvent(e.Name, eventlog.Event{
 			What: eventlog.Effect,
 			Peer: t.request.From,
-			Kind: t.request.Kind,
-			Req:  t.request.Name,
+			Kind: t.request.Class,
+			Req:  t.request.RequestID,
 		})
 	}
-	t.answer(wire.Fine, 0, process.load)
+	t.answer(wire.Succeeded, 0, process.load)
 }
--- a/internal/emulator/forwarding.go
+++ b/internal/emulator/forwarding.go
@@ -28,12 +28,12 @@
 // proxyRequest is a request that a proxy forwards, with its attempts.
 type proxyRequest struct {
 	process    *proxyProcess
-	request    *wire.Req
+	request    *wire.Request
 	class      int      // number of the request class
 	deadline   float64  // ms
 	tried      []string // endpoints, in the order of the attempts
 	mayHaveRun bool     // some attempt did not prove that it had no effect
-	answer     func(*wire.Answer)
+	answer     func(*wire.Response)
 }
 
 // attempt is one sending of a request to an endpoint.
@@ -52,7 +52,7 @@
 
 // handle forwards a request and answers it within a limit in ms. One that comes while a message is applied waits for
 // that. The answer is nil where the proxy does not run.
-func (p *emulatedProxy) handle(request *wire.Req, limitMs float64, answer func(*wire.Answer)) {
+func (p *emulatedProxy) handle(request *wire.Request, limitMs float64, answer func(*wire.Response)) {
 	process := p.process
 	if process == nil {
 		answer(nil)
@@ -62,7 +62,7 @@
 		p.w.At(process.busyUntil, func() { p.handle(request, limitMs-(process.busyUntil-p.w.now), answer) })
 		return
 	}
-	class := p.w.classIndex[request.Kind]
+	class := p.w.classIndex[request.Class]
 	process.follower.RequestArrived(class, request.Key)
 	if !process.follower.Admit(class) {
 		p.logRejected(request, rejectedByAdmission)
@@ -79,13 +79,13 @@
 	forwarded.sendNext()
 }
 
-func (p *emulatedProxy) logRejected(request *wire.Req, reason string) {
-	p.logEvent(eventlog.Event{What: eventlog.Refuse, Kind: request.Kind, Req: request.Name, Text: reason})
+func (p *emulatedProxy) logRejected(request *wire.Request, reason string) {
+	p.logEvent(eventlog.Event{What: eventlog.Refuse, Kind: request.Class, Req: request.RequestID, Text: reason})
 }
 
 // rejection is the answer to a request that has had no effect.
-func rejection() *wire.Answer {
-	return &wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.RetryAfterMs}
+func rejection() *wire.Response {
+	return &wire.Response{Outcome: wire.Denied, RetryAfterMs: routing.RetryAfterMs}
 }
 
 // sendNext picks an endpoint for the next attempt and sends it there.
@@ -103,8 +103,8 @@
 	r.process.proxy.logEvent(eventlog.Event{
 		What: eventlog.Send,
 		Peer: endpoint,
-		Kind: r.request.Kind,
-		Req:  r.request.Name,
+		Kind: r.request.Class,
+		Req:  r.request.RequestID,
 		Text: r.request.Key,
 		N:    len(r.tried),
 	})
@@ -167,16 +167,16 @@
 func (a *attempt) received(endpoint *emulatedEndpoint, waitMs float64) *task {
 	process := a.request.process
 	p := process.proxy
-	request := &wire.Req{
-		Name:    a.request.request.Name,
-		Kind:    a.request.request.Kind,
-		From:    p.place.name,
-		WorkMs:  a.request.request.WorkMs,
-		LimitMs: waitMs,
+	request := &wire.Request{
+		RequestID: a.request.request.RequestID,
+		Class:     a.request.request.Class,
+		From:      p.place.name,
+		WorkMs:    a.request.request.WorkMs,
+		TimeoutMs: waitMs,
 	}
-	answer := func(outcome wire.Outcome, comeBackMs float64, load []wire.Figure) {
+	answer := func(outcome wire.Outcome, comeBackMs float64, load []wire.LoadMetric) {
 		p.w.network.carry(endpoint.place, p.place, func() {
-			process.attemptEnded(a, &wire.Answer{Outcome: outcome, ComeBackMs: comeBackMs, Load: load})
+			process.attemptEnded(a, &wire.Response{Outcome: outcome, RetryAfterMs: comeBackMs, Load: load})
 		})
 	}
 	return &task{request: request, answer: answer}
@@ -200,7 +200,7 @@
 func (a *attempt) expire() { a.request.process.attemptEnded(a, nil) }
 
 // attemptEnded takes the answer to an attempt; nil means that there was none.
-func (pp *proxyProcess) attemptEnded(a *attempt, answer *wire.Answer) {
+func (pp *proxyProcess) attemptEnded(a *attempt, answer *wire.Response) {
 	if a.ended {
 		return
 	}
@@ -209,13 +209,13 @@
 		delete(c.attempts, a)
 	}
 	outcome := wire.Errored
-	var load []wire.Figure
+	var load []wire.LoadMetric
 	if answer != nil {
 		outcome = answer.Outcome
 		load = answer.Load
 	}
 	now := pp.proxy.w.now
-	pp.follower.AttemptFinished(now, a.endpoint, outcome == wire.Fine, now-a.startedAt, load)
+	pp.follower.AttemptFinished(now, a.endpoint, outcome == wire.Succeeded, now-a.startedAt, load)
 	a.request.retryOrEnd(outcome)
 }
 
@@ -234,8 +234,8 @@
 
 // retryOrEnd answers a request after an attempt, or sends it once more where the retry policy lets it.
 func (r *proxyRequest) retryOrEnd(outcome wire.Outcome) {
-	if outcome == wire.Fine {
-		r.answer(&wire.Answer{Outcome: wire.Fine})
+	if outcome == wire.Succeeded {
+		r.answer(&wire.Response{Outcome: wire.Succeeded})
 		return
 	}
 	didNotRun := outcome == wire.Denied
@@ -265,7 +265,7 @@
 		return
 	}
 	r.process.follower.RequestUnanswered(r.class, r.request.Key)
-	r.answer(&wire.Answer{Outcome: wire.Errored})
+	r.answer(&wire.Response{Outcome: wire.Errored})
 }
 
 // sortedAttempts lists attempts by request, those of one request by when they were sent.
@@ -273,7 +273,7 @@
 	list := slices.Collect(maps.Keys(attempts))
 	slices.SortFunc(list, func(x, y *attempt) int {
 		return cmp.Or(
-			cmp.Compare(x.request.request.Name, y.request.request.Name),
+			cmp.Compare(x.request.request.RequestID, y.request.request.RequestID),
 			cmp.Compare(x.startedAt, y.startedAt),
 		)
 	})
--- a/internal/emulator/pilotrecord.go
+++ b/internal/emulator/pilotrecord.go
@@ -30,10 +30,10 @@
 	options controller.Options, process *pilotProcess, begun *Start,
 ) controller.Options {
 	limits := recovery.Limits{
-		TailMs: float64(p.settings.RecoverTail.Milliseconds()),
-		GapMs:  float64(p.settings.RecoverWithin.Milliseconds()),
+		MaxReplayMs: float64(p.settings.RecoverTail.Milliseconds()),
+		MaxGapMs:    float64(p.settings.RecoverWithin.Milliseconds()),
 	}
-	from := record.ReplayStart(p.storedTurns, limits.TailMs)
+	from := record.ReplayStart(p.storedTurns, limits.MaxReplayMs)
 	facts := p.recoveryFacts(from)
 	recorder := record.NewRecorder(
 		func(turn func() *record.Turn) { process.uncommitted = append(process.uncommitted, *turn()) },
@@ -50,16 +50,16 @@
 }
 
 // recoveryFacts describes the record from a turn on.
-func (p *emulatedPilot) recoveryFacts(from int) recovery.Facts {
-	facts := recovery.Facts{
+func (p *emulatedPilot) recoveryFacts(from int) recovery.RecordInfo {
+	facts := recovery.RecordInfo{
 		SameFormat:   true,
-		SameModule:   p.storedFingerprint == p.w.fingerprint,
+		SamePlanner:  p.storedFingerprint == p.w.fingerprint,
 		SameSettings: true,
 		Turns:        len(p.storedTurns),
 		GapMs:        p.w.now - p.storedAt,
 	}
 	if last := len(p.storedTurns) - 1; from <= last {
-		facts.Lives = 1
+		facts.Runs = 1
 		facts.SpanMs = max(1, p.storedTurns[last].AtMs-p.storedTurns[from].AtMs)
 	}
 	return facts
@@ -87,7 +87,7 @@
 	begun.TookMs = elapsed()
 	core.FinishRecovery(options)
 	process.core = core
-	process.startedAt = p.w.now - core.Now() - begun.Verdict.AwayMs
+	process.startedAt = p.w.now - core.Now() - begun.Verdict.DowntimeMs
 }
 
 // scheduleCommit commits the record from time to time, until the process ends.
--- a/internal/emulator/stream.go
+++ b/internal/emulator/stream.go
@@ -43,7 +43,7 @@
 
 // Send brings a message with commands to the proxy. A muted proxy has its stream ended once it has read nothing for as
 // long as it may.
-func (s *stream) Send(message *wire.Orders) error {
+func (s *stream) Send(message *wire.Commands) error {
 	traced := s.trace(message)
 	sentAt := s.w.now
 	s.sendDown(func() {
@@ -64,17 +64,17 @@
 
 // trace notes that a message leaves the channel, and returns what notes the further parts of its way; nil without a
 // tracer.
-func (s *stream) trace(message *wire.Orders) spanEnd {
+func (s *stream) trace(message *wire.Commands) spanEnd {
 	tracer := s.w.Trace
 	if tracer == nil || s.pilotProcess == nil {
 		return nil
 	}
 	proxy := s.process.proxy.place.name
 	decidedAt := min(s.pilotProcess.startedAt+message.AtMs, s.w.now)
-	decision := tracer.recordMessage(s.pilotProcess, proxy, decidedAt, message.Lines)
+	decision := tracer.recordMessage(s.pilotProcess, proxy, decidedAt, message.CostLines)
 	sentAt := s.w.now
 	return func(name string, from float64) {
-		tracer.recordPart(decision, name, proxy, max(from, sentAt), s.w.now, message.Lines)
+		tracer.recordPart(decision, name, proxy, max(from, sentAt), s.w.now, message.CostLines)
 	}
 }
 
@@ -82,7 +82,7 @@
 func (s *stream) Ask(pace *wire.Pace) error {
 	s.sendDown(func() {
 		if !s.ended && s.process.proxy.heedsPace {
-			s.process.reportRequest = routing.ReportRequest{MaxEndpoints: pace.Lines, ChangesOnly: pace.Changes}
+			s.process.reportRequest = routing.ReportRequest{MaxEndpoints: pace.MaxLines, ChangesOnly: pace.ChangedOnly}
 			s.process.reportPeriodMs = math.Max(1, float64(pace.PeriodMs))
 		}
 	})
--- a/internal/handover/handoff.go
+++ b/internal/handover/handoff.go
@@ -131,25 +131,25 @@
 
 // handOver goes through the steps with a process that wants to take over and returns whether it has.
 func (o *Handoff) handOver(ctx context.Context, conn *net.UnixConn) bool {
-	machine := recovery.Predecessor{Patience: cmp.Or(o.Patience, defaultPatience)}
-	event := recovery.Asked
+	machine := recovery.Predecessor{MaxLockAttempts: cmp.Or(o.Patience, defaultPatience)}
+	event := recovery.TakeoverRequested
 	for {
 		switch machine.Next(event) {
-		case recovery.SayOffer:
+		case recovery.SendOffer:
 			event = o.offerListeners(conn)
 		case recovery.StopPilot:
 			o.Stop()
-			event = recovery.Stopped
-		case recovery.SayGo:
-			event = exchange(conn, message{Step: stepGo}, nil, stepServing, recovery.ServingCame)
-		case recovery.Claim:
+			event = recovery.PilotStopped
+		case recovery.SendGo:
+			event = exchange(conn, message{Step: stepGo}, nil, stepServing, recovery.ServingReceived)
+		case recovery.AcquireLock:
 			lock, err := AcquireLock(o.socket)
 			if err != nil {
-				event = recovery.Refused
+				event = recovery.LockRefused
 				backoff.Sleep(ctx, lockRetryInterval)
 				continue
 			}
-			machine.Next(recovery.Claimed)
+			machine.Next(recovery.LockAcquired)
 			o.Resume(lock)
 			return false
 		default:
@@ -166,16 +166,16 @@
 		m.Names = append(m.Names, name)
 		files = append(files, file)
 	}
-	return exchange(conn, m, files, stepReady, recovery.ReadyCame)
+	return exchange(conn, m, files, stepReady, recovery.ReadyReceived)
 }
 
 // exchange sends a message and waits for a step of the other side, which gives an event; anything else gives Lost.
 func exchange(conn *net.UnixConn, m message, files []*os.File, step string, came recovery.Event) recovery.Event {
 	if err := send(conn, m, files); err != nil {
-		return recovery.Lost
+		return recovery.PeerLost
 	}
 	if err := expect(conn, step, StepTimeout); err != nil {
-		return recovery.Lost
+		return recovery.PeerLost
 	}
 	return came
 }
--- a/internal/handover/takeover.go
+++ b/internal/handover/takeover.go
@@ -69,22 +69,22 @@
 // Claim says that all that can be checked is good, waits until the old process has stopped its controller and takes the
 // lock. If the old process is lost instead, the lock tells whether it still serves.
 func (t *Takeover) Claim() (*Lock, error) {
-	event := recovery.Offered
+	event := recovery.OfferReceived
 	var failure error // what led to the end
 	for {
 		switch t.machine.Next(event) {
-		case recovery.SayReady:
-			event = recovery.GoCame
+		case recovery.SendReady:
+			event = recovery.GoReceived
 			if failure = t.awaitStop(); failure != nil {
-				event = recovery.Lost
+				event = recovery.PeerLost
 			}
-		case recovery.Claim:
+		case recovery.AcquireLock:
 			lock, err := AcquireLock(t.socket)
 			if err == nil {
-				t.machine.Next(recovery.Claimed)
+				t.machine.Next(recovery.LockAcquired)
 				return lock, nil
 			}
-			event = recovery.Refused
+			event = recovery.LockRefused
 			failure = errors.Join(failure, err)
 		default:
 			return nil, fmt.Errorf("take over: %w", failure)
@@ -103,11 +103,11 @@
 // Started reports whether the controller runs; if so the old process is notified, and ends. That it may not hear
 // changes nothing: who holds the lock serves.
 func (t *Takeover) Started(runs bool) {
-	event := recovery.Started
+	event := recovery.PilotStarted
 	if !runs {
-		event = recovery.Failed
+		event = recovery.PilotStartFailed
 	}
-	if t.machine.Next(event) == recovery.SayServing {
+	if t.machine.Next(event) == recovery.SendServing {
 		_ = send(t.conn, message{Step: stepServing}, nil)
 	}
 	_ = t.conn.Close()
--- a/internal/record/input_codec.go
+++ b/internal/record/input_codec.go
@@ -12,7 +12,7 @@
 
 // message encodes a message of the wire protocol as the body that it has there, with the number of its stream.
 func (e *encoder) message(in *Input) error {
-	body, err := wire.Body(in.Message)
+	body, err := wire.EncodeBody(in.Message)
 	if err != nil {
 		return fmt.Errorf("lay out input: %w", err)
 	}
@@ -28,7 +28,7 @@
 		return
 	}
 	message := emptyMessage(in.Kind)
-	if err := wire.Unbody(message, []byte(body)); err != nil {
+	if err := wire.DecodeBody(message, []byte(body)); err != nil {
 		d.err = fmt.Errorf("%w: %w", ErrCorrupt, err)
 		return
 	}
--- a/internal/record/settings_options.go
+++ b/internal/record/settings_options.go
@@ -35,8 +35,8 @@
 		Replayed:       true,
 	}
 	options.Telemetry.PeriodMs = replayPeriodMs
-	options.Telemetry.HalfMs = replayHalfLifeMs
-	options.Telemetry.LongestMs = replayLongestPeriodMs
+	options.Telemetry.HalfLifeMs = replayHalfLifeMs
+	options.Telemetry.MaxAgeMs = replayLongestPeriodMs
 	if len(options.Zones) == 0 || len(options.Classes) == 0 {
 		return options, fmt.Errorf("terms without zones or req kinds: %w", ErrCorrupt)
 	}
--- a/internal/samplingerror/methods.go
+++ b/internal/samplingerror/methods.go
@@ -139,8 +139,8 @@
 		if second > 0 { // an endpoint without a new figure keeps its last one
 			copy(estimate[second], estimate[second-1])
 		}
-		for _, m := range aggregator.Flush(end, 1000).Mets {
-			estimate[second][m.Endpoint] = m.Tries / m.SpanMs * 1000
+		for _, m := range aggregator.Flush(end, 1000).EndpointSums {
+			estimate[second][m.Endpoint] = m.Attempts / m.SpanMs * 1000
 		}
 		aggregator.Rebalance(end)
 	})
@@ -154,11 +154,11 @@
 		pace = 0 // no limit
 	}
 	aggregator := telemetry.New[int](telemetry.Options{
-		LinesPerS: pace,
-		PeriodMs:  1000,
-		HalfMs:    halfMs,
-		LongestMs: 60000,
-		Slowest:   1,
+		LinesPerS:   pace,
+		PeriodMs:    1000,
+		HalfLifeMs:  halfMs,
+		MaxAgeMs:    60000,
+		MaxSlowdown: 1,
 	})
 	for endpoint := range endpoints {
 		aggregator.UpdateEndpoint(0, endpoint, planner.Ready, 0)
@@ -177,8 +177,8 @@
 		report := telemetry.Report[int]{Sender: sender, Seq: uint64(second + 1), AtMs: now, SpanMs: 1000}
 		n := 0
 		for n < len(lines) && lines[n].sender == sender {
-			l := telemetry.Line[int]{Endpoint: lines[n].endpoint, Tries: int(lines[n].tries)}
-			report.Lines = append(report.Lines, l)
+			l := telemetry.EndpointLine[int]{Endpoint: lines[n].endpoint, Attempts: int(lines[n].tries)}
+			report.EndpointLines = append(report.EndpointLines, l)
 			n++
 		}
 		aggregator.Add(now, &report)
--- a/internal/testbed/endpoint/process.go
+++ b/internal/testbed/endpoint/process.go
@@ -28,13 +28,13 @@
 	inFlight        int     // requests admitted and not executed yet
 	warmUpLoad      WarmUpLoad
 	overloaded      bool // while it warmed up: no request is answered any longer
-	load            []wire.Figure
+	load            []wire.LoadMetric
 }
 
 // job is an admitted request and the way to answer it.
 type job struct {
-	req   *wire.Req
-	reply func(*wire.Answer)
+	req   *wire.Request
+	reply func(*wire.Response)
 }
 
 // newProcess makes a process that does nothing yet.
@@ -61,11 +61,11 @@
 }
 
 // admit takes a request into the queue, rejects it or fails it.
-func (p *process) admit(req *wire.Req, reply func(*wire.Answer)) {
-	p.events.Add(eventlog.Event{What: eventlog.Arrive, Peer: req.From, Kind: req.Kind, Req: req.Name, Value: req.WorkMs})
+func (p *process) admit(req *wire.Request, reply func(*wire.Response)) {
+	p.events.Add(eventlog.Event{What: eventlog.Arrive, Peer: req.From, Kind: req.Class, Req: req.RequestID, Value: req.WorkMs})
 	now := time.Now()
 	p.mu.Lock()
-	affected := p.fault.OnlyClass == "" || p.fault.OnlyClass == req.Kind
+	affected := p.fault.OnlyClass == "" || p.fault.OnlyClass == req.Class
 	fails := affected && p.fault.ErrorFraction > 0 && p.random.Float64() < p.fault.ErrorFraction
 	overloaded := p.countWarmUpLoad(now, req.WorkMs)
 	full := p.inFlight >= p.Cores+p.QueueLimit
@@ -80,9 +80,9 @@
 	case overloaded || hangs:
 		return // taken and never answered
 	case fails:
-		reply(&wire.Answer{Number: req.Number, Outcome: wire.Errored, Load: load})
+		reply(&wire.Response{Number: req.Number, Outcome: wire.Errored, Load: load})
 	case full:
-		reply(&wire.Answer{Number: req.Number, Outcome: wire.Denied, ComeBackMs: p.RetryAfterMs, Load: load})
+		reply(&wire.Response{Number: req.Number, Outcome: wire.Denied, RetryAfterMs: p.RetryAfterMs, Load: load})
 	default:
 		p.jobs <- job{req, reply}
 	}
@@ -125,22 +125,22 @@
 	if !completed {
 		return
 	}
-	if p.Effects[j.req.Kind] && !repeat {
-		p.events.Add(eventlog.Event{What: eventlog.Effect, Peer: j.req.From, Kind: j.req.Kind, Req: j.req.Name})
+	if p.Effects[j.req.Class] && !repeat {
+		p.events.Add(eventlog.Event{What: eventlog.Effect, Peer: j.req.From, Kind: j.req.Class, Req: j.req.RequestID})
 	}
-	j.reply(&wire.Answer{Number: j.req.Number, Outcome: wire.Fine, Load: load})
+	j.reply(&wire.Response{Number: j.req.Number, Outcome: wire.Succeeded, Load: load})
 }
 
 // countServed counts a request that has left its core and enters it into the ledger. It returns whether the ledger had
 // it already, and the load report.
-func (p *process) countServed(req *wire.Req) (repeat bool, load []wire.Figure) {
+func (p *process) countServed(req *wire.Request) (repeat bool, load []wire.LoadMetric) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.inFlight--
 	p.served++
-	if p.Deduplicated[req.Kind] {
-		repeat = p.ledger[req.Name]
-		p.ledger[req.Name] = true
+	if p.Deduplicated[req.Class] {
+		repeat = p.ledger[req.RequestID]
+		p.ledger[req.RequestID] = true
 	}
 	return repeat, p.load
 }
--- a/internal/testbed/loadgen/clients.go
+++ b/internal/testbed/loadgen/clients.go
@@ -92,13 +92,13 @@
 
 // send sends a request once. It returns the outcome, and how long the proxy asks to wait before a retry.
 func (c *Clients) send(ctx context.Context, name uint64, request Request, deadline time.Time) (string, time.Duration) {
-	answer, err := c.Proxies[request.Proxy].Do(ctx, &wire.Req{
-		Name:    name,
-		Kind:    c.Load.Classes[request.Class].Name,
-		Key:     request.Key,
-		From:    "client",
-		WorkMs:  request.WorkMs,
-		LimitMs: float64(time.Until(deadline)) / float64(time.Millisecond),
+	answer, err := c.Proxies[request.Proxy].Do(ctx, &wire.Request{
+		RequestID: name,
+		Class:     c.Load.Classes[request.Class].Name,
+		Key:       request.Key,
+		From:      "client",
+		WorkMs:    request.WorkMs,
+		TimeoutMs: float64(time.Until(deadline)) / float64(time.Millisecond),
 	})
 	if err != nil {
 		if proxy.NotSent(err) {
@@ -106,9 +106,9 @@
 		}
 		return outcomeErrored, 0
 	}
-	retryAfter := time.Duration(answer.ComeBackMs * float64(time.Millisecond))
+	retryAfter := time.Duration(answer.RetryAfterMs * float64(time.Millisecond))
 	switch answer.Outcome {
-	case wire.Fine:
+	case wire.Succeeded:
 		return outcomeDone, 0
 	case wire.Denied:
 		return outcomeRejected, retryAfter
--- a/internal/testbed/proxy/grpc.go
+++ b/internal/testbed/proxy/grpc.go
@@ -97,10 +97,10 @@
 		return nil, fmt.Errorf("no welcome: %w", wire.ErrType)
 	}
 	return &wire.Welcome{
-		Version:  int(welcome.GetVersion()),
-		Pilot:    welcome.GetPilot(),
-		BeatMs:   int(welcome.GetBeatMs()),
-		PeriodMs: int(welcome.GetPeriodMs()),
+		Version:        int(welcome.GetVersion()),
+		Pilot:          welcome.GetPilot(),
+		HeartbeatMs:    int(welcome.GetBeatMs()),
+		ReportPeriodMs: int(welcome.GetPeriodMs()),
 	}, nil
 }
 
@@ -143,14 +143,14 @@
 // not used, as gRPC has none for a single message.
 func (s *grpcStream) Write(message wire.Message, _ time.Duration) error {
 	switch m := message.(type) {
-	case *wire.Sums:
+	case *wire.LoadReport:
 		return s.stream.Send(&pb.Upward{Says: &pb.Upward_Report{Report: grpcapi.Report(m)}})
 	case *wire.Done:
 		return s.acknowledge(m.TookMs, func(a assignment) bool {
 			return slices.ContainsFunc(a.ackRequests, func(number uint32) bool { return int(number) == m.Mark })
 		})
-	case *wire.Beat:
-		if err := s.acknowledge(0, func(a assignment) bool { return a.message <= m.Seen }); err != nil {
+	case *wire.Heartbeat:
+		if err := s.acknowledge(0, func(a assignment) bool { return a.message <= m.LastProcessed }); err != nil {
 			return err
 		}
 		return s.stream.Send(&pb.Upward{Says: &pb.Upward_Beat{Beat: &pb.Beat{}}})
@@ -210,14 +210,14 @@
 		return grpcapi.OrdersFrom(says.Assignment)
 	case *pb.Downward_Pace:
 		return &wire.Pace{
-			PeriodMs: int(says.Pace.GetPeriodMs()),
-			Lines:    int(says.Pace.GetLines()),
-			Changes:  says.Pace.GetChanges(),
+			PeriodMs:    int(says.Pace.GetPeriodMs()),
+			MaxLines:    int(says.Pace.GetLines()),
+			ChangedOnly: says.Pace.GetChanges(),
 		}
 	case *pb.Downward_Redirect:
 		return &wire.Redirect{Reason: says.Redirect.GetReason()}
 	}
-	return &wire.Beat{}
+	return &wire.Heartbeat{}
 }
 
 // Last implements Stream.
--- a/internal/testbed/proxy/request.go
+++ b/internal/testbed/proxy/request.go
@@ -18,31 +18,31 @@
 )
 
 // handle takes one request from its arrival to its answer.
-func (p *process) handle(req *wire.Req) *wire.Answer {
-	class := slices.Index(p.Routing.Classes, req.Kind)
+func (p *process) handle(req *wire.Request) *wire.Response {
+	class := slices.Index(p.Routing.Classes, req.Class)
 	if class < 0 {
-		return &wire.Answer{Outcome: wire.Denied}
+		return &wire.Response{Outcome: wire.Denied}
 	}
-	clientTimeout := time.Duration(req.LimitMs * float64(time.Millisecond))
+	clientTimeout := time.Duration(req.TimeoutMs * float64(time.Millisecond))
 	deadline := time.Now().Add(min(p.ClientTimeouts[class], clientTimeout))
 	if !p.admit(req, class) {
 		p.logRejection(req, rejectedByLevel)
-		return &wire.Answer{Outcome: wire.Denied, ComeBackMs: routing.RetryAfterMs}
+		return &wire.Response{Outcome: wire.Denied, RetryAfterMs: routing.RetryAfterMs}
 	}
 	outcome := p.forward(req, class, deadline)
 	switch outcome {
 	case wire.Denied:
-		return &wire.Answer{Outcome: outcome, ComeBackMs: routing.RetryAfterMs}
+		return &wire.Response{Outcome: outcome, RetryAfterMs: routing.RetryAfterMs}
 	case wire.Errored:
 		p.mu.Lock()
 		p.router.RequestUnanswered(class, req.Key)
 		p.mu.Unlock()
 	}
-	return &wire.Answer{Outcome: outcome}
+	return &wire.Response{Outcome: outcome}
 }
 
 // admit counts a request and draws whether it is admitted. It waits while lines are applied.
-func (p *process) admit(req *wire.Req, class int) bool {
+func (p *process) admit(req *wire.Request, class int) bool {
 	p.applying.RLock()
 	defer p.applying.RUnlock()
 	p.mu.Lock()
@@ -53,7 +53,7 @@
 
 // forward sends a request to one endpoint after another, as retries are allowed. It returns wire.Denied only where no
 // attempt can have run.
-func (p *process) forward(req *wire.Req, class int, deadline time.Time) wire.Outcome {
+func (p *process) forward(req *wire.Request, class int, deadline time.Time) wire.Outcome {
 	var tried []string
 	failure := wire.Denied
 	for {
@@ -64,8 +64,8 @@
 		}
 		tried = append(tried, endpoint)
 		answer, err := p.attempt(endpoint, req, p.attemptTimeout(retryMode, class, len(tried), deadline))
-		if err == nil && answer.Outcome == wire.Fine {
-			return wire.Fine
+		if err == nil && answer.Outcome == wire.Succeeded {
+			return wire.Succeeded
 		}
 		notRun := errors.Is(err, errNotSent) || err == nil && answer.Outcome == wire.Denied
 		if !notRun {
@@ -77,13 +77,13 @@
 	}
 }
 
-func (p *process) logRejection(req *wire.Req, reason string) {
-	p.events.Add(eventlog.Event{What: eventlog.Refuse, Kind: req.Kind, Req: req.Name, Text: reason})
+func (p *process) logRejection(req *wire.Request, reason string) {
+	p.events.Add(eventlog.Event{What: eventlog.Refuse, Kind: req.Class, Req: req.RequestID, Text: reason})
 }
 
 // pickEndpoint picks the endpoint of the next attempt, "" if there is none, and returns the retry mode with it. It
 // waits while lines are applied.
-func (p *process) pickEndpoint(req *wire.Req, class int, tried []string) (endpoint string, retryMode int) {
+func (p *process) pickEndpoint(req *wire.Request, class int, tried []string) (endpoint string, retryMode int) {
 	p.applying.RLock()
 	defer p.applying.RUnlock()
 	p.mu.Lock()
@@ -93,7 +93,7 @@
 		p.router.AttemptStarted(endpoint)
 		// Logged under the locks, so that no message that is applied comes between the pick and the log.
 		p.events.Add(eventlog.Event{
-			What: eventlog.Send, Peer: endpoint, Kind: req.Kind, Req: req.Name, Text: req.Key, N: len(tried) + 1,
+			What: eventlog.Send, Peer: endpoint, Kind: req.Class, Req: req.RequestID, Text: req.Key, N: len(tried) + 1,
 		})
 	}
 	return endpoint, p.router.RetryMode(class)
@@ -107,20 +107,20 @@
 
 // attempt sends a request to one endpoint and waits for its answer. An error that is errNotSent says that the endpoint
 // had nothing of it.
-func (p *process) attempt(endpoint string, req *wire.Req, timeout time.Duration) (*wire.Answer, error) {
+func (p *process) attempt(endpoint string, req *wire.Request, timeout time.Duration) (*wire.Response, error) {
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(p.ctx, timeout)
 	defer cancel()
-	answer, err := p.poolOf(endpoint).roundTrip(ctx, &wire.Req{
-		Name:    req.Name,
-		Kind:    req.Kind,
-		Key:     req.Key,
-		From:    p.Name,
-		WorkMs:  req.WorkMs,
-		LimitMs: float64(timeout) / float64(time.Millisecond),
+	answer, err := p.poolOf(endpoint).roundTrip(ctx, &wire.Request{
+		RequestID: req.RequestID,
+		Class:     req.Class,
+		Key:       req.Key,
+		From:      p.Name,
+		WorkMs:    req.WorkMs,
+		TimeoutMs: float64(timeout) / float64(time.Millisecond),
 	})
-	succeeded := err == nil && answer.Outcome == wire.Fine
-	var load []wire.Figure
+	succeeded := err == nil && answer.Outcome == wire.Succeeded
+	var load []wire.LoadMetric
 	if answer != nil {
 		load = answer.Load
 	}
--- a/internal/testbed/proxy/session.go
+++ b/internal/testbed/proxy/session.go
@@ -105,10 +105,10 @@
 		process: p,
 		stream:  stream,
 		pilot:   welcome.Pilot,
-		beat:    time.Duration(welcome.BeatMs) * time.Millisecond,
+		beat:    time.Duration(welcome.HeartbeatMs) * time.Millisecond,
 		acks:    make(chan wire.Message, maxQueuedAcks),
 	}
-	s.periodMs.Store(int64(welcome.PeriodMs))
+	s.periodMs.Store(int64(welcome.ReportPeriodMs))
 	return s
 }
 
@@ -142,7 +142,7 @@
 			return
 		case message = <-s.acks:
 		case <-beats.C:
-			message = &wire.Beat{Seen: s.seen.Load()}
+			message = &wire.Heartbeat{LastProcessed: s.seen.Load()}
 		case <-reports.C:
 			reports.Reset(s.reportPeriod())
 			message = s.report()
@@ -162,7 +162,7 @@
 	return period
 }
 
-func (s *session) report() *wire.Sums {
+func (s *session) report() *wire.LoadReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.router.Report(s.events.Now()+s.ClockOffsetMs, s.reportRequest)
@@ -188,7 +188,7 @@
 // receive carries out one message and returns whether the stream goes on.
 func (s *session) receive(ctx context.Context, message wire.Message) bool {
 	switch m := message.(type) {
-	case *wire.Orders:
+	case *wire.Commands:
 		return s.receiveOrders(ctx, m)
 	case *wire.Pace:
 		s.setReportRequest(m)
@@ -199,9 +199,9 @@
 }
 
 // receiveOrders applies the lines of a message and hands the acks that it asks for to the sending goroutine.
-func (s *session) receiveOrders(ctx context.Context, m *wire.Orders) bool {
+func (s *session) receiveOrders(ctx context.Context, m *wire.Commands) bool {
 	arrived := time.Now()
-	s.events.Add(eventlog.Event{What: eventlog.Got, Peer: s.pilot, N: m.Lines, Value: m.AgeMs, Since: m.AtMs})
+	s.events.Add(eventlog.Event{What: eventlog.Got, Peer: s.pilot, N: m.CostLines, Value: m.AgeMs, Since: m.AtMs})
 	for _, number := range s.apply(m) {
 		tookMs := float64(time.Since(arrived)) / float64(time.Millisecond)
 		select {
@@ -218,14 +218,14 @@
 		return
 	}
 	s.mu.Lock()
-	s.reportRequest = routing.ReportRequest{MaxEndpoints: m.Lines, ChangesOnly: m.Changes}
+	s.reportRequest = routing.ReportRequest{MaxEndpoints: m.MaxLines, ChangesOnly: m.ChangedOnly}
 	s.mu.Unlock()
 	s.periodMs.Store(int64(m.PeriodMs))
 }
 
 // apply applies the lines of a message, with no request routed for as long as they take, and returns the numbers of
 // the acks that it asks for.
-func (p *process) apply(m *wire.Orders) (ackRequests []int) {
+func (p *process) apply(m *wire.Commands) (ackRequests []int) {
 	p.applying.Lock()
 	defer p.applying.Unlock()
 	if p.ApplyPerLine > 0 {
--- a/internal/testbed/registry/subscriber.go
+++ b/internal/testbed/registry/subscriber.go
@@ -65,7 +65,7 @@
 		if err != nil {
 			return
 		}
-		ask, ok := message.(*wire.ListAsk)
+		ask, ok := message.(*wire.ListRequest)
 		if !ok {
 			return
 		}
@@ -86,10 +86,10 @@
 }
 
 // answer queues what a pilot asks for.
-func (r *Registry) answer(s *subscriber, ask *wire.ListAsk) {
+func (r *Registry) answer(s *subscriber, ask *wire.ListRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s.name = ask.Who
+	s.name = ask.Pilot
 	s.watches = s.watches || ask.Watch
 	if !ask.Whole {
 		return
@@ -113,7 +113,7 @@
 	beats := time.NewTicker(beatInterval)
 	defer beats.Stop()
 	for {
-		var message wire.Message = &wire.Beat{}
+		var message wire.Message = &wire.Heartbeat{}
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/testbed/routing/apply.go
+++ b/internal/testbed/routing/apply.go
@@ -7,21 +7,21 @@
 	defer r.invalidateCandidates()
 	for _, o := range ops {
 		switch o.Kind {
-		case wire.OpBind:
+		case wire.OpAssignTable:
 			r.assign(o)
-		case wire.OpSet:
+		case wire.OpSetWeight:
 			r.table(o.Table).setWeight(o.Endpoint, o.Weight)
-		case wire.OpClear:
+		case wire.OpClearTable:
 			t := r.table(o.Table)
 			clear(t.lines)
 			clear(t.admission)
-		case wire.OpWithdraw:
-			r.setExcluded(o.Endpoint, o.Out)
-		case wire.OpAdmit:
+		case wire.OpSetExcluded:
+			r.setExcluded(o.Endpoint, o.Remove)
+		case wire.OpSetAdmission:
 			r.setAdmission(o)
-		case wire.OpMark:
-			ackRequests = append(ackRequests, o.Number)
-		case wire.OpRange:
+		case wire.OpAckRequest:
+			ackRequests = append(ackRequests, o.AckNumber)
+		case wire.OpAssignRange:
 			r.assignRange(o)
 		}
 	}
--- a/internal/testbed/routing/reports.go
+++ b/internal/testbed/routing/reports.go
@@ -27,15 +27,15 @@
 
 // endpointStats is what attempts at one endpoint showed since a report last named it.
 type endpointStats struct {
-	counts         wire.Met
+	counts         wire.EndpointStats
 	latencySumMs   float64 // of those that succeeded
 	succeeded      int
 	skippedReports int // that left it out
 }
 
 // add counts one attempt.
-func (s *endpointStats) add(succeeded bool, tookMs float64, load []wire.Figure) {
-	s.counts.Tries++
+func (s *endpointStats) add(succeeded bool, tookMs float64, load []wire.LoadMetric) {
+	s.counts.Attempts++
 	if len(load) > 0 {
 		s.counts.Load = load
 	}
@@ -67,9 +67,9 @@
 
 // RequestArrived counts a request that a client sent.
 func (r *Router) RequestArrived(class int, key string) {
-	r.demandOfClass(class).Reqs++
+	r.demandOfClass(class).Requests++
 	if slice := r.sliceTable(key); slice != noSlice {
-		r.demandOfSlice(slice, class).Reqs++
+		r.demandOfSlice(slice, class).Requests++
 	}
 }
 
@@ -81,44 +81,44 @@
 	if slice := r.sliceTable(key); slice != noSlice {
 		demand := r.demandOfSlice(slice, class)
 		demand.Unanswered++
-		demand.Reqs = max(demand.Reqs, demand.Unanswered)
+		demand.Requests = max(demand.Requests, demand.Unanswered)
 	}
 }
 
 func (r *Router) statsOf(endpoint string) *endpointStats {
 	if r.stats[endpoint] == nil {
-		r.stats[endpoint] = &endpointStats{counts: wire.Met{Endpoint: endpoint}}
+		r.stats[endpoint] = &endpointStats{counts: wire.EndpointStats{Endpoint: endpoint}}
 	}
 	return r.stats[endpoint]
 }
 
-func (r *Router) demandOfClass(class int) *wire.Demand {
+func (r *Router) demandOfClass(class int) *wire.RequestStats {
 	name := r.policy.Classes[class]
 	if r.demand[name] == nil {
-		r.demand[name] = &wire.Demand{Kind: name}
+		r.demand[name] = &wire.RequestStats{Class: name}
 	}
 	return r.demand[name]
 }
 
-func (r *Router) demandOfSlice(table, class int) *wire.SliceLoad {
+func (r *Router) demandOfSlice(table, class int) *wire.SliceStats {
 	key := sliceClass{table, r.policy.Classes[class]}
 	if r.sliceDemand[key] == nil {
-		r.sliceDemand[key] = &wire.SliceLoad{Slice: table, Kind: key.class}
+		r.sliceDemand[key] = &wire.SliceStats{Slice: table, Class: key.class}
 	}
 	return r.sliceDemand[key]
 }
 
 // Report returns the load report since the last call. Endpoints that it leaves out by the pilot's request add up for a
 // later one.
-func (r *Router) Report(nowMs float64, request ReportRequest) *wire.Sums {
+func (r *Router) Report(nowMs float64, request ReportRequest) *wire.LoadReport {
 	r.reportSeq++
-	report := &wire.Sums{Seq: r.reportSeq, AtMs: nowMs, SpanMs: math.Max(0, nowMs-r.lastReportMs)}
-	report.Met = r.reportEndpoints(request)
+	report := &wire.LoadReport{Seq: r.reportSeq, AtMs: nowMs, SpanMs: math.Max(0, nowMs-r.lastReportMs)}
+	report.EndpointStats = r.reportEndpoints(request)
 	for _, class := range slices.Sorted(maps.Keys(r.demand)) {
-		report.Demand = append(report.Demand, *r.demand[class])
+		report.RequestStats = append(report.RequestStats, *r.demand[class])
 	}
 	for _, key := range slices.SortedFunc(maps.Keys(r.sliceDemand), compareSliceClass) {
-		report.Slices = append(report.Slices, *r.sliceDemand[key])
+		report.SliceStats = append(report.SliceStats, *r.sliceDemand[key])
 	}
 	clear(r.demand)
 	clear(r.sliceDemand)
@@ -128,7 +128,7 @@
 
 // reportEndpoints takes the stats of the endpoints that a report names: those that failed first, then those that were
 // left out longest.
-func (r *Router) reportEndpoints(request ReportRequest) (reported []wire.Met) {
+func (r *Router) reportEndpoints(request ReportRequest) (reported []wire.EndpointStats) {
 	endpoints := slices.Sorted(maps.Keys(r.stats))
 	if request.MaxEndpoints > 0 || request.ChangesOnly {
 		slices.SortStableFunc(endpoints, func(a, b string) int { return r.stats[b].rank() - r.stats[a].rank() })
--- a/internal/testbed/routing/router.go
+++ b/internal/testbed/routing/router.go
@@ -41,8 +41,8 @@
 
 	// What the next load report will say.
 	stats        map[string]*endpointStats
-	demand       map[string]*wire.Demand
-	sliceDemand  map[sliceClass]*wire.SliceLoad
+	demand       map[string]*wire.RequestStats
+	sliceDemand  map[sliceClass]*wire.SliceStats
 	lastReportMs float64
 	reportSeq    uint64 // number of the last report in this stream
 }
@@ -63,8 +63,8 @@
 		consecutiveFailures: map[string]int{},
 		ejectedUntilMs:      map[string]float64{},
 		stats:               map[string]*endpointStats{},
-		demand:              map[string]*wire.Demand{},
-		sliceDemand:         map[sliceClass]*wire.SliceLoad{},
+		demand:              map[string]*wire.RequestStats{},
+		sliceDemand:         map[sliceClass]*wire.SliceStats{},
 	}
 	static := newTable()
 	for _, endpoint := range staticEndpoints {
--- a/internal/testbed/routing/table.go
+++ b/internal/testbed/routing/table.go
@@ -46,7 +46,7 @@
 // before left in it. A class mask of 0 stands for all classes.
 func (r *Router) assign(o wire.Op) {
 	t := newTable()
-	if old := r.previousTables[o.Table]; o.Keep && old != nil {
+	if old := r.previousTables[o.Table]; o.KeepLines && old != nil {
 		t = old
 		clear(t.admission) // the pilot sends all of it again
 	}
@@ -55,7 +55,7 @@
 	}
 	r.tables[o.Table] = t
 	for class := range r.byClass {
-		if o.Kinds == 0 || o.Kinds&(1<<class) != 0 {
+		if o.Classes == 0 || o.Classes&(1<<class) != 0 {
 			r.byClass[class] = t
 			r.assigned[class] = true
 		}
@@ -78,7 +78,7 @@
 func (r *Router) assignRange(o wire.Op) {
 	r.ranges = slices.DeleteFunc(r.ranges, func(keys keyRange) bool { return keys.table == o.Table })
 	delete(r.tables, o.Table)
-	if o.Out {
+	if o.Remove {
 		return
 	}
 	r.tables[o.Table] = newTable()
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -43,7 +43,7 @@
 				line, welcome, err := tr.join(nil)(t.Context(), dial, address, hello())
 				require.NoError(t, err)
 				defer line.Close()
-				assert.Equal(t, &wire.Welcome{Version: 1, Pilot: "one", BeatMs: 100, PeriodMs: 1000}, welcome)
+				assert.Equal(t, &wire.Welcome{Version: 1, Pilot: "one", HeartbeatMs: 100, ReportPeriodMs: 1000}, welcome)
 				joined := next[controller.ProxyJoined](t, in)
 				assert.Equal(t, *hello(), joined.Hello)
 				c.run(t, session{server: s, inbox: in, stream: joined.Stream, line: line, stop: stop})
@@ -53,16 +53,16 @@
 }
 
 // someOrders returns orders with an op of each kind.
-func someOrders() *wire.Orders {
-	return &wire.Orders{AtMs: 10, AgeMs: 3, Lines: 9, Ops: []wire.Op{
-		{Kind: wire.OpBind, Table: 2, Kinds: 3, Keep: true},
-		{Kind: wire.OpSet, Table: 2, Endpoint: "x", Weight: 1},
-		{Kind: wire.OpSet, Table: 2, Endpoint: "y", Weight: 0.5},
-		{Kind: wire.OpWithdraw, Endpoint: "y", Out: true},
-		{Kind: wire.OpAdmit, Table: 2, Kinds: 1, Weight: 0.5, Again: 1},
-		{Kind: wire.OpRange, Table: 3, From: "a", To: "k"},
-		{Kind: wire.OpRange, Table: 4, Out: true},
-		{Kind: wire.OpMark, Number: 7},
+func someOrders() *wire.Commands {
+	return &wire.Commands{AtMs: 10, AgeMs: 3, CostLines: 9, Ops: []wire.Op{
+		{Kind: wire.OpAssignTable, Table: 2, Classes: 3, KeepLines: true},
+		{Kind: wire.OpSetWeight, Table: 2, Endpoint: "x", Weight: 1},
+		{Kind: wire.OpSetWeight, Table: 2, Endpoint: "y", Weight: 0.5},
+		{Kind: wire.OpSetExcluded, Endpoint: "y", Remove: true},
+		{Kind: wire.OpSetAdmission, Table: 2, Classes: 1, Weight: 0.5, RetryMode: 1},
+		{Kind: wire.OpAssignRange, Table: 3, From: "a", To: "k"},
+		{Kind: wire.OpAssignRange, Table: 4, Remove: true},
+		{Kind: wire.OpAckRequest, AckNumber: 7},
 	}}
 }
 
@@ -75,27 +75,27 @@
 }
 
 func report(t *testing.T, s session) {
-	sums := &wire.Sums{
+	sums := &wire.LoadReport{
 		Seq:    1,
 		AtMs:   5,
 		SpanMs: 1000,
-		Met: []wire.Met{{
+		EndpointStats: []wire.EndpointStats{{
 			Endpoint: "x",
-			Tries:    4,
+			Attempts: 4,
 			Failed:   1,
 			MeanMs:   2,
-			Load:     []wire.Figure{{Name: "rate", Value: 3}, {Name: "util", Value: 0.5}},
+			Load:     []wire.LoadMetric{{Name: "rate", Value: 3}, {Name: "util", Value: 0.5}},
 		}},
-		Demand: []wire.Demand{{Kind: "read", Reqs: 5, Unanswered: 1}},
-		Slices: []wire.SliceLoad{{Slice: 7, Kind: "read", Reqs: 3, Unanswered: 1}},
+		RequestStats: []wire.RequestStats{{Class: "read", Requests: 5, Unanswered: 1}},
+		SliceStats:   []wire.SliceStats{{Slice: 7, Class: "read", Requests: 3, Unanswered: 1}},
 	}
 	require.NoError(t, s.line.Write(sums, time.Second))
 	assert.Equal(t, controller.LoadReported{Stream: s.stream, Sums: sums}, next[controller.LoadReported](t, s.inbox))
 }
 
 func advice(t *testing.T, s session) {
-	require.NoError(t, s.stream.Ask(&wire.Pace{PeriodMs: 4000, Lines: 9, Changes: true}))
-	assert.Equal(t, &wire.Pace{PeriodMs: 4000, Lines: 9, Changes: true}, read(t, s.line))
+	require.NoError(t, s.stream.Ask(&wire.Pace{PeriodMs: 4000, MaxLines: 9, ChangedOnly: true}))
+	assert.Equal(t, &wire.Pace{PeriodMs: 4000, MaxLines: 9, ChangedOnly: true}, read(t, s.line))
 }
 
 func closedWithReason(t *testing.T, s session) {
@@ -141,7 +141,7 @@
 			assert.Equal(t, s.stream, x.Stream)
 			return
 		case <-time.After(30 * time.Millisecond):
-			_ = s.line.Write(&wire.Beat{}, time.Second) // fails once the stream has ended
+			_ = s.line.Write(&wire.Heartbeat{}, time.Second) // fails once the stream has ended
 		}
 	}
 }
--- a/internal/transport/framed/framed_test.go
+++ b/internal/transport/framed/framed_test.go
@@ -112,7 +112,7 @@
 		if err != nil {
 			return last
 		}
-		if _, beat := m.(*wire.Beat); !beat {
+		if _, beat := m.(*wire.Heartbeat); !beat {
 			last = m
 		}
 	}
@@ -152,15 +152,15 @@
 					open = false
 				case <-time.After(50 * time.Millisecond):
 				}
-				_, err := goodW.Write(&wire.Beat{})
+				_, err := goodW.Write(&wire.Heartbeat{})
 				require.NoError(t, err)
 			}
 			in.left(t, in.joined(t, "bad"))
-			require.NoError(t, in.joined(t, "good").Send(&wire.Orders{Lines: 5}))
+			require.NoError(t, in.joined(t, "good").Send(&wire.Commands{CostLines: 5}))
 			for {
 				m, err := goodR.Read()
 				require.NoError(t, err)
-				if _, orders := m.(*wire.Orders); orders {
+				if _, orders := m.(*wire.Commands); orders {
 					return
 				}
 			}
@@ -175,7 +175,7 @@
 		first  wire.Message
 		answer wire.Message
 	}{
-		{"no hello", &wire.Beat{}, &wire.Refuse{Reason: "a hello must come first"}},
+		{"no hello", &wire.Heartbeat{}, &wire.Refuse{Reason: "a hello must come first"}},
 		{
 			"another version", &wire.Hello{Version: 9, Proxy: "p", Zone: "a"},
 			&wire.Refuse{Reason: "version 9 is not spoken here, 1 is"},
@@ -203,9 +203,9 @@
 	_, r, w := join(t, address, "quick")
 	join(t, address, "slow")
 	slow, quick := in.joined(t, "slow"), in.joined(t, "quick")
-	big := &wire.Orders{}
+	big := &wire.Commands{}
 	for range 20000 {
-		big.Ops = append(big.Ops, wire.Op{Kind: wire.OpSet, Endpoint: "127.0.0.1:12345", Weight: 1})
+		big.Ops = append(big.Ops, wire.Op{Kind: wire.OpSetWeight, Endpoint: "127.0.0.1:12345", Weight: 1})
 	}
 	got := make(chan int, 1)
 	go func() {
@@ -215,9 +215,9 @@
 			if err != nil {
 				break
 			}
-			if _, ok := m.(*wire.Orders); ok {
+			if _, ok := m.(*wire.Commands); ok {
 				n++
-				_, _ = w.Write(&wire.Beat{})
+				_, _ = w.Write(&wire.Heartbeat{})
 			}
 		}
 		got <- n
@@ -227,7 +227,7 @@
 		if slowErr == nil {
 			slowErr = slow.Send(big)
 		}
-		for quick.Send(&wire.Orders{Lines: 1}) != nil {
+		for quick.Send(&wire.Commands{CostLines: 1}) != nil {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -246,18 +246,18 @@
 	st := in.joined(t, "deaf")
 	alive := func(seen uint32, during time.Duration) (err error) {
 		for end := time.Now().Add(during); time.Now().Before(end) && err == nil; time.Sleep(20 * time.Millisecond) {
-			_, err = w.Write(&wire.Beat{Seen: seen})
+			_, err = w.Write(&wire.Heartbeat{LastProcessed: seen})
 		}
 		return err
 	}
-	require.NoError(t, st.Send(&wire.Orders{Lines: 1}))
+	require.NoError(t, st.Send(&wire.Commands{CostLines: 1}))
 	require.NoError(t, alive(1, 300*time.Millisecond))
 	for r.Last() < 2 {
 		_, err := r.Read()
 		require.NoError(t, err)
 	}
 	require.NoError(t, alive(9, 700*time.Millisecond), "all is dealt with")
-	require.NoError(t, st.Send(&wire.Orders{Lines: 1}))
+	require.NoError(t, st.Send(&wire.Commands{CostLines: 1}))
 	assert.Error(t, alive(1, 5*time.Second))
 	in.left(t, st)
 	_ = c.Close() // the server has closed it
--- a/internal/transport/framed/session.go
+++ b/internal/transport/framed/session.go
@@ -85,12 +85,12 @@
 // receive handles one message of a proxy.
 func (s *Server) receive(ctx context.Context, st *stream, m wire.Message) error {
 	switch m := m.(type) {
-	case *wire.Sums:
+	case *wire.LoadReport:
 		return s.inbox.Post(ctx, controller.LoadReported{Stream: st, Sums: m})
 	case *wire.Done:
 		return s.inbox.Post(ctx, controller.Acked{Stream: st, Done: *m})
-	case *wire.Beat:
-		st.unacked.acknowledge(m.Seen)
+	case *wire.Heartbeat:
+		st.unacked.acknowledge(m.LastProcessed)
 		if st.unacked.olderThan(time.Now().Add(-s.config.SeenWithin)) {
 			return ErrSlow
 		}
@@ -111,7 +111,7 @@
 			}
 			st.unacked.add(w.Last(), time.Now())
 		case <-heartbeat.C:
-			if err := s.write(st, w, &wire.Beat{}); err != nil {
+			if err := s.write(st, w, &wire.Heartbeat{}); err != nil {
 				return err
 			}
 		case <-st.end.Done():
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -72,8 +72,8 @@
 }
 
 // reportFrom decodes and validates a load report. The error wraps wire.ErrValue.
-func reportFrom(r *pb.Report) (*wire.Sums, error) {
-	sums := &wire.Sums{Seq: r.GetNumber(), AtMs: r.GetAtMs(), SpanMs: r.GetSpanMs()}
+func reportFrom(r *pb.Report) (*wire.LoadReport, error) {
+	sums := &wire.LoadReport{Seq: r.GetNumber(), AtMs: r.GetAtMs(), SpanMs: r.GetSpanMs()}
 	if len(r.GetEndpoints()) > wire.MaxItems || len(r.GetKinds()) > wire.MaxItems {
 		return nil, fmt.Errorf("report of %d lines: %w", len(r.GetEndpoints()), wire.ErrValue)
 	}
@@ -85,71 +85,71 @@
 		if err != nil {
 			return nil, err
 		}
-		sums.Met = append(sums.Met, met)
+		sums.EndpointStats = append(sums.EndpointStats, met)
 	}
 	for _, k := range r.GetKinds() {
-		demand := wire.Demand{Kind: k.GetKind(), Reqs: int(k.GetReqs()), Unanswered: int(k.GetUnanswered())}
-		if err := checkText(demand.Kind); err != nil {
+		demand := wire.RequestStats{Class: k.GetKind(), Requests: int(k.GetReqs()), Unanswered: int(k.GetUnanswered())}
+		if err := checkText(demand.Class); err != nil {
 			return nil, err
 		}
-		sums.Demand = append(sums.Demand, demand)
+		sums.RequestStats = append(sums.RequestStats, demand)
 	}
 	for _, l := range r.GetSlices() {
 		slice, err := sliceLoadFrom(l)
 		if err != nil {
 			return nil, err
 		}
-		sums.Slices = append(sums.Slices, slice)
+		sums.SliceStats = append(sums.SliceStats, slice)
 	}
 	return sums, nil
 }
 
 // endpointLoadFrom decodes and validates the load of one endpoint. The figures are sorted by name, since the iteration
 // order of a map varies.
-func endpointLoadFrom(e *pb.EndpointLoad) (wire.Met, error) {
-	met := wire.Met{
+func endpointLoadFrom(e *pb.EndpointLoad) (wire.EndpointStats, error) {
+	met := wire.EndpointStats{
 		Endpoint: e.GetEndpoint(),
-		Tries:    int(e.GetTries()),
+		Attempts: int(e.GetTries()),
 		Failed:   int(e.GetFailed()),
 		MeanMs:   e.GetMeanMs(),
 	}
 	if err := cmp.Or(checkText(met.Endpoint), checkFigure(met.MeanMs)); err != nil {
-		return wire.Met{}, err
+		return wire.EndpointStats{}, err
 	}
-	if met.Failed > met.Tries {
-		return wire.Met{}, fmt.Errorf("%d failed of %d: %w", met.Failed, met.Tries, wire.ErrValue)
+	if met.Failed > met.Attempts {
+		return wire.EndpointStats{}, fmt.Errorf("%d failed of %d: %w", met.Failed, met.Attempts, wire.ErrValue)
 	}
 	for name, value := range e.GetFigures() {
 		if err := cmp.Or(checkText(name), checkFigure(value)); err != nil {
-			return wire.Met{}, err
+			return wire.EndpointStats{}, err
 		}
-		met.Load = append(met.Load, wire.Figure{Name: name, Value: value})
+		met.Load = append(met.Load, wire.LoadMetric{Name: name, Value: value})
 	}
-	slices.SortFunc(met.Load, func(a, b wire.Figure) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(met.Load, func(a, b wire.LoadMetric) int { return cmp.Compare(a.Name, b.Name) })
 	return met, nil
 }
 
 // sliceLoadFrom decodes and validates the load of one slice.
-func sliceLoadFrom(l *pb.SliceLoad) (wire.SliceLoad, error) {
-	slice := wire.SliceLoad{
+func sliceLoadFrom(l *pb.SliceLoad) (wire.SliceStats, error) {
+	slice := wire.SliceStats{
 		Slice:      int(l.GetSlice()),
-		Kind:       l.GetKind(),
-		Reqs:       int(l.GetReqs()),
+		Class:      l.GetKind(),
+		Requests:   int(l.GetReqs()),
 		Unanswered: int(l.GetUnanswered()),
 	}
-	return slice, checkText(slice.Kind)
+	return slice, checkText(slice.Class)
 }
 
 // OrdersFrom decodes an assignment on the proxy's side. Unknown steps are ignored; marks come last.
-func OrdersFrom(a *pb.Assignment) *wire.Orders {
-	orders := &wire.Orders{AtMs: a.GetOrderedMs(), AgeMs: a.GetWaitedMs(), Lines: int(a.GetLines())}
+func OrdersFrom(a *pb.Assignment) *wire.Commands {
+	orders := &wire.Commands{AtMs: a.GetOrderedMs(), AgeMs: a.GetWaitedMs(), CostLines: int(a.GetLines())}
 	for _, s := range a.GetSteps() {
 		if op, known := opFrom(s); known {
 			orders.Ops = append(orders.Ops, op)
 		}
 	}
 	for _, number := range a.GetMarks() {
-		orders.Ops = append(orders.Ops, wire.Op{Kind: wire.OpMark, Number: int(number)})
+		orders.Ops = append(orders.Ops, wire.Op{Kind: wire.OpAckRequest, AckNumber: int(number)})
 	}
 	return orders
 }
@@ -159,15 +159,15 @@
 	switch does := s.GetDoes().(type) {
 	case *pb.Step_Bind:
 		b := does.Bind
-		return wire.Op{Kind: wire.OpBind, Table: int(b.GetTable()), Kinds: int(b.GetKinds()), Keep: b.GetKeep()}, true
+		return wire.Op{Kind: wire.OpAssignTable, Table: int(b.GetTable()), Classes: int(b.GetKinds()), KeepLines: b.GetKeep()}, true
 	case *pb.Step_Line:
 		l := does.Line
-		return wire.Op{Kind: wire.OpSet, Table: int(l.GetTable()), Endpoint: l.GetEndpoint(), Weight: l.GetWeight()}, true
+		return wire.Op{Kind: wire.OpSetWeight, Table: int(l.GetTable()), Endpoint: l.GetEndpoint(), Weight: l.GetWeight()}, true
 	case *pb.Step_Clear:
-		return wire.Op{Kind: wire.OpClear, Table: int(does.Clear.GetTable())}, true
+		return wire.Op{Kind: wire.OpClearTable, Table: int(does.Clear.GetTable())}, true
 	case *pb.Step_Withdraw:
 		w := does.Withdraw
-		return wire.Op{Kind: wire.OpWithdraw, Endpoint: w.GetEndpoint(), Out: w.GetOut()}, true
+		return wire.Op{Kind: wire.OpSetExcluded, Endpoint: w.GetEndpoint(), Remove: w.GetOut()}, true
 	case *pb.Step_Level:
 		return levelOpFrom(does.Level), true
 	case *pb.Step_Range:
@@ -178,20 +178,20 @@
 
 func levelOpFrom(l *pb.Level) wire.Op {
 	return wire.Op{
-		Kind:   wire.OpAdmit,
-		Table:  int(l.GetTable()),
-		Kinds:  int(l.GetKinds()),
-		Weight: l.GetShare(),
-		Again:  int(l.GetAgain()),
+		Kind:      wire.OpSetAdmission,
+		Table:     int(l.GetTable()),
+		Classes:   int(l.GetKinds()),
+		Weight:    l.GetShare(),
+		RetryMode: int(l.GetAgain()),
 	}
 }
 
 func rangeOpFrom(r *pb.KeyRange) wire.Op {
 	return wire.Op{
-		Kind:  wire.OpRange,
-		Table: int(r.GetTable()),
-		From:  string(r.GetFrom()),
-		To:    string(r.GetTo()),
-		Out:   r.GetGone(),
+		Kind:   wire.OpAssignRange,
+		Table:  int(r.GetTable()),
+		From:   string(r.GetFrom()),
+		To:     string(r.GetTo()),
+		Remove: r.GetGone(),
 	}
 }
--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -27,20 +27,20 @@
 }
 
 // Report encodes a load report.
-func Report(s *wire.Sums) *pb.Report {
+func Report(s *wire.LoadReport) *pb.Report {
 	report := &pb.Report{Number: s.Seq, AtMs: s.AtMs, SpanMs: s.SpanMs}
-	for i := range s.Met {
-		report.Endpoints = append(report.Endpoints, endpointLoad(&s.Met[i]))
+	for i := range s.EndpointStats {
+		report.Endpoints = append(report.Endpoints, endpointLoad(&s.EndpointStats[i]))
 	}
-	for _, d := range s.Demand {
-		kind := &pb.KindLoad{Kind: d.Kind, Reqs: uint32(d.Reqs), Unanswered: uint32(d.Unanswered)}
+	for _, d := range s.RequestStats {
+		kind := &pb.KindLoad{Kind: d.Class, Reqs: uint32(d.Requests), Unanswered: uint32(d.Unanswered)}
 		report.Kinds = append(report.Kinds, kind)
 	}
-	for _, l := range s.Slices {
+	for _, l := range s.SliceStats {
 		slice := &pb.SliceLoad{
 			Slice:      uint32(l.Slice),
-			Kind:       l.Kind,
-			Reqs:       uint32(l.Reqs),
+			Kind:       l.Class,
+			Reqs:       uint32(l.Requests),
 			Unanswered: uint32(l.Unanswered),
 		}
 		report.Slices = append(report.Slices, slice)
@@ -49,10 +49,10 @@
 }
 
 // endpointLoad encodes the load of one endpoint.
-func endpointLoad(m *wire.Met) *pb.EndpointLoad {
+func endpointLoad(m *wire.EndpointStats) *pb.EndpointLoad {
 	load := &pb.EndpointLoad{
 		Endpoint: m.Endpoint,
-		Tries:    uint32(m.Tries),
+		Tries:    uint32(m.Attempts),
 		Failed:   uint32(m.Failed),
 		MeanMs:   m.MeanMs,
 	}
@@ -68,8 +68,8 @@
 // steps encodes the ops of an assignment. Marks are returned separately.
 func steps(ops []wire.Op) (list []*pb.Step, marks []uint32) {
 	for i := range ops {
-		if ops[i].Kind == wire.OpMark {
-			marks = append(marks, uint32(ops[i].Number))
+		if ops[i].Kind == wire.OpAckRequest {
+			marks = append(marks, uint32(ops[i].AckNumber))
 			continue
 		}
 		list = append(list, step(&ops[i]))
@@ -80,17 +80,17 @@
 // step encodes one op other than a mark.
 func step(op *wire.Op) *pb.Step {
 	switch op.Kind {
-	case wire.OpBind:
+	case wire.OpAssignTable:
 		return bindStep(op)
-	case wire.OpSet:
+	case wire.OpSetWeight:
 		return lineStep(op)
-	case wire.OpClear:
+	case wire.OpClearTable:
 		return &pb.Step{Does: &pb.Step_Clear{Clear: &pb.Clear{Table: uint32(op.Table)}}}
-	case wire.OpWithdraw:
-		return &pb.Step{Does: &pb.Step_Withdraw{Withdraw: &pb.Withdraw{Endpoint: op.Endpoint, Out: op.Out}}}
-	case wire.OpAdmit:
+	case wire.OpSetExcluded:
+		return &pb.Step{Does: &pb.Step_Withdraw{Withdraw: &pb.Withdraw{Endpoint: op.Endpoint, Out: op.Remove}}}
+	case wire.OpSetAdmission:
 		return levelStep(op)
-	case wire.OpRange:
+	case wire.OpAssignRange:
 		return rangeStep(op)
 	}
 	return nil
@@ -99,8 +99,8 @@
 func bindStep(op *wire.Op) *pb.Step {
 	return &pb.Step{Does: &pb.Step_Bind{Bind: &pb.Bind{
 		Table: uint32(op.Table),
-		Kinds: uint32(op.Kinds),
-		Keep:  op.Keep,
+		Kinds: uint32(op.Classes),
+		Keep:  op.KeepLines,
 	}}}
 }
 
@@ -115,9 +115,9 @@
 func levelStep(op *wire.Op) *pb.Step {
 	return &pb.Step{Does: &pb.Step_Level{Level: &pb.Level{
 		Table: uint32(op.Table),
-		Kinds: uint32(op.Kinds),
+		Kinds: uint32(op.Classes),
 		Share: op.Weight,
-		Again: uint32(op.Again),
+		Again: uint32(op.RetryMode),
 	}}}
 }
 
@@ -126,6 +126,6 @@
 		Table: uint32(op.Table),
 		From:  []byte(op.From),
 		To:    []byte(op.To),
-		Gone:  op.Out,
+		Gone:  op.Remove,
 	}}}
 }
--- a/internal/transport/grpcapi/grpcapi_test.go
+++ b/internal/transport/grpcapi/grpcapi_test.go
@@ -141,10 +141,10 @@
 func hello(name string) *pb.Hello { return &pb.Hello{Version: 1, Proxy: name, Zone: "a"} }
 
 func set(e string, w float64) wire.Op {
-	return wire.Op{Kind: wire.OpSet, Table: 1, Endpoint: e, Weight: w}
+	return wire.Op{Kind: wire.OpSetWeight, Table: 1, Endpoint: e, Weight: w}
 }
 
-var bind = wire.Op{Kind: wire.OpBind, Table: 1, Kinds: 3}
+var bind = wire.Op{Kind: wire.OpAssignTable, Table: 1, Classes: 3}
 
 // TestMisbehavingClient checks the status with which a stream ends after an invalid message of the client.
 func TestMisbehavingClient(t *testing.T) {
@@ -175,7 +175,7 @@
 			_, in, conn := serve(t, nil)
 			cl := follow(t, conn)
 			cl.hello(hello("p"))
-			require.NoError(t, in.joins(t, 1)[0].Send(&wire.Orders{Ops: []wire.Op{bind, set("x", 1)}}))
+			require.NoError(t, in.joins(t, 1)[0].Send(&wire.Commands{Ops: []wire.Op{bind, set("x", 1)}}))
 			cl.assignment()
 			c.do(cl)
 			assert.Equal(t, c.want, status.Code(cl.end()))
@@ -258,8 +258,8 @@
 func TestCollapse(t *testing.T) {
 	st := newStream(10)
 	for i := range 1000 {
-		ops := []wire.Op{set("x", float64(i)), set("y", 1), {Kind: wire.OpMark, Number: 1}}
-		require.NoError(t, st.Send(&wire.Orders{Lines: 2, Ops: ops}))
+		ops := []wire.Op{set("x", float64(i)), set("y", 1), {Kind: wire.OpAckRequest, AckNumber: 1}}
+		require.NoError(t, st.Send(&wire.Commands{CostLines: 2, Ops: ops}))
 	}
 	a := st.next().GetAssignment()
 	require.Len(t, a.GetSteps(), 2)
@@ -268,7 +268,7 @@
 	assert.EqualValues(t, 2000, a.GetLines())
 	var err error
 	for i := range 20 {
-		err = st.Send(&wire.Orders{Ops: []wire.Op{set(strings.Repeat("e", i+1), 1)}})
+		err = st.Send(&wire.Commands{Ops: []wire.Op{set(strings.Repeat("e", i+1), 1)}})
 	}
 	assert.ErrorIs(t, err, ErrSlow)
 }
--- a/internal/transport/grpcapi/stream.go
+++ b/internal/transport/grpcapi/stream.go
@@ -40,7 +40,7 @@
 }
 
 // Send queues orders. It returns ErrSlow if the queue exceeds its limit.
-func (st *stream) Send(o *wire.Orders) error {
+func (st *stream) Send(o *wire.Commands) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if err := st.pending.add(o); err != nil {
@@ -88,8 +88,8 @@
 		}
 		return &pb.Downward{Says: &pb.Downward_Pace{Pace: &pb.Pace{
 			PeriodMs: uint32(advice.PeriodMs),
-			Lines:    uint32(advice.Lines),
-			Changes:  advice.Changes,
+			Lines:    uint32(advice.MaxLines),
+			Changes:  advice.ChangedOnly,
 		}}}
 	}
 	if st.pending.empty() {
@@ -145,14 +145,14 @@
 func (p *pendingOps) empty() bool { return len(p.ops) == 0 }
 
 // add appends orders. It returns ErrSlow if the ops exceed the limit even when collapsed.
-func (p *pendingOps) add(o *wire.Orders) error {
+func (p *pendingOps) add(o *wire.Commands) error {
 	if p.empty() {
 		p.orderedMs = o.AtMs
 		p.waitedMs = o.AgeMs
 		p.lines = 0
 	}
 	p.ops = append(p.ops, o.Ops...)
-	p.lines += o.Lines
+	p.lines += o.CostLines
 	if len(p.ops) > p.limit {
 		p.ops = wire.Collapse(p.ops)
 	}
--- a/internal/transport/xds/hostile_test.go
+++ b/internal/transport/xds/hostile_test.go
@@ -25,8 +25,8 @@
 	for i := range 5000 {
 		_, err := st.request(&ads.DiscoveryRequest{TypeUrl: fmt.Sprint("type/", i), ResourceNames: []string{"read"}})
 		require.NoError(t, err)
-		ops := []wire.Op{{Kind: wire.OpBind, Table: 1, Kinds: 1}, {Kind: wire.OpMark, Number: i}}
-		require.NoError(t, st.Send(&wire.Orders{Ops: ops}))
+		ops := []wire.Op{{Kind: wire.OpAssignTable, Table: 1, Classes: 1}, {Kind: wire.OpAckRequest, AckNumber: i}}
+		require.NoError(t, st.Send(&wire.Commands{Ops: ops}))
 	}
 	assert.Empty(t, st.subscriptions.names)
 	assert.LessOrEqual(t, len(st.subscriptions.due), 1)
@@ -81,11 +81,11 @@
 			return
 		}
 		assert.True(t, s.SpanMs > 0 && !math.IsInf(s.SpanMs, 0), "%v", s.SpanMs)
-		for _, m := range s.Met {
-			assert.True(t, m.Failed >= 0 && m.Failed <= m.Tries, "%+v", m)
+		for _, m := range s.EndpointStats {
+			assert.True(t, m.Failed >= 0 && m.Failed <= m.Attempts, "%+v", m)
 		}
-		for _, d := range s.Demand {
-			assert.True(t, d.Unanswered >= 0 && d.Unanswered <= d.Reqs, "%+v", d)
+		for _, d := range s.RequestStats {
+			assert.True(t, d.Unanswered >= 0 && d.Unanswered <= d.Requests, "%+v", d)
 		}
 	})
 }
--- a/internal/transport/xds/lrs.go
+++ b/internal/transport/xds/lrs.go
@@ -56,7 +56,7 @@
 }
 
 // sums converts a load report, sent at atMs on the stream's clock. The result is nil if the report covers no time.
-func (st *stream) sums(r *lrs.LoadStatsRequest, atMs float64) (*wire.Sums, error) {
+func (st *stream) sums(r *lrs.LoadStatsRequest, atMs float64) (*wire.LoadReport, error) {
 	sums, err := sumsFrom(r, st.classes)
 	if err != nil || sums.SpanMs <= 0 {
 		return nil, err
@@ -76,9 +76,9 @@
 
 // sumsFrom sums a load report by endpoint and by request class. Clusters that are not request classes are ignored. LRS
 // carries no response times, so means are 0.
-func sumsFrom(r *lrs.LoadStatsRequest, classes []string) (*wire.Sums, error) {
-	sums := &wire.Sums{}
-	byEndpoint := map[string]*wire.Met{}
+func sumsFrom(r *lrs.LoadStatsRequest, classes []string) (*wire.LoadReport, error) {
+	sums := &wire.LoadReport{}
+	byEndpoint := map[string]*wire.EndpointStats{}
 	for _, c := range r.GetClusterStats() {
 		if !slices.Contains(classes, c.GetClusterName()) {
 			continue
@@ -87,43 +87,43 @@
 			return nil, fmt.Errorf("load of %d localities: %w", len(c.GetUpstreamLocalityStats()), wire.ErrValue)
 		}
 		sums.SpanMs = math.Max(sums.SpanMs, milliseconds(c.GetLoadReportInterval().AsDuration()))
-		sums.Demand = append(sums.Demand, addCluster(byEndpoint, c))
+		sums.RequestStats = append(sums.RequestStats, addCluster(byEndpoint, c))
 	}
 	for _, name := range slices.Sorted(maps.Keys(byEndpoint)) {
-		sums.Met = append(sums.Met, *byEndpoint[name])
+		sums.EndpointStats = append(sums.EndpointStats, *byEndpoint[name])
 	}
 	return sums, nil
 }
 
 // addCluster adds the load of a cluster to its endpoints and returns the cluster's requests. Requests that the client
 // dropped under the drop policy are included.
-func addCluster(byEndpoint map[string]*wire.Met, c *endpoint.ClusterStats) wire.Demand {
-	demand := wire.Demand{Kind: c.GetClusterName(), Reqs: count(c.GetTotalDroppedRequests())}
+func addCluster(byEndpoint map[string]*wire.EndpointStats, c *endpoint.ClusterStats) wire.RequestStats {
+	demand := wire.RequestStats{Class: c.GetClusterName(), Requests: count(c.GetTotalDroppedRequests())}
 	for _, l := range c.GetUpstreamLocalityStats() {
 		name := l.GetLocality().GetSubZone()
 		met := byEndpoint[name]
 		if met == nil {
-			met = &wire.Met{Endpoint: name}
+			met = &wire.EndpointStats{Endpoint: name}
 			byEndpoint[name] = met
 		}
 		succeeded := count(l.GetTotalSuccessfulRequests())
 		failed := count(l.GetTotalErrorRequests())
-		met.Tries += succeeded + failed
+		met.Attempts += succeeded + failed
 		met.Failed += failed
 		met.Load = append(met.Load, figures(l)...)
-		demand.Reqs += succeeded + failed
+		demand.Requests += succeeded + failed
 		demand.Unanswered += failed
 	}
 	return demand
 }
 
 // figures returns the mean of each figure of the endpoint's own load report, if the client forwards it (ORCA).
-func figures(l *endpoint.UpstreamLocalityStats) []wire.Figure {
-	var list []wire.Figure
+func figures(l *endpoint.UpstreamLocalityStats) []wire.LoadMetric {
+	var list []wire.LoadMetric
 	for _, f := range l.GetLoadMetricStats() {
 		n := f.GetNumRequestsFinishedWithMetric()
 		if n > 0 && f.GetTotalMetricValue() >= 0 {
-			list = append(list, wire.Figure{Name: f.GetMetricName(), Value: f.GetTotalMetricValue() / float64(n)})
+			list = append(list, wire.LoadMetric{Name: f.GetMetricName(), Value: f.GetTotalMetricValue() / float64(n)})
 		}
 	}
 	return list
--- a/internal/transport/xds/routing.go
+++ b/internal/transport/xds/routing.go
@@ -34,20 +34,20 @@
 // apply applies an op. Key ranges can't be represented in xDS and are ignored.
 func (r *routing) apply(op *wire.Op) {
 	switch op.Kind {
-	case wire.OpBind:
-		r.bind(op.Table, op.Kinds)
-	case wire.OpSet:
+	case wire.OpAssignTable:
+		r.bind(op.Table, op.Classes)
+	case wire.OpSetWeight:
 		r.setWeight(op.Table, op.Endpoint, op.Weight)
-	case wire.OpClear:
+	case wire.OpClearTable:
 		delete(r.tables, op.Table)
-	case wire.OpWithdraw:
-		if op.Out {
+	case wire.OpSetExcluded:
+		if op.Remove {
 			r.excluded[op.Endpoint] = true
 		} else {
 			delete(r.excluded, op.Endpoint)
 		}
-	case wire.OpAdmit:
-		r.table(op.Table).levels[op.Kinds] = op.Weight
+	case wire.OpSetAdmission:
+		r.table(op.Table).levels[op.Classes] = op.Weight
 	}
 }
 
@@ -86,7 +86,7 @@
 func (r *routing) level(t *table, class string) float64 {
 	level := 1.0
 	i := slices.Index(r.classes, class)
-	for _, levels := range []map[int]float64{t.levels, r.table(wire.EveryTable).levels} {
+	for _, levels := range []map[int]float64{t.levels, r.table(wire.AllTables).levels} {
 		for mask, v := range levels {
 			if inMask(mask, i) {
 				level = math.Min(level, v)
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -5,50 +5,50 @@
 	"fmt"
 )
 
-// Version is the version of the protocol that a Hello and a Welcome announce.
+// Version is the protocol version of this package. Hello and Welcome messages contain it.
 const Version = 1
 
-// Errors that end a stream. None of them is temporary.
+// Errors of encoding, decoding and framing. They are permanent: repeating the operation cannot succeed.
 var (
-	ErrTooLarge  = errors.New("frame larger than the limit")
+	ErrTooLarge  = errors.New("message body exceeds the size limit")
 	ErrSequence  = errors.New("frame repeated, missing or out of order")
-	ErrTruncated = errors.New("body ends too early")
-	ErrTrailing  = errors.New("body longer than its message")
-	ErrType      = errors.New("unknown type of message")
+	ErrTruncated = errors.New("message body is truncated")
+	ErrTrailing  = errors.New("unexpected bytes after the message")
+	ErrType      = errors.New("unexpected message type")
 	ErrValue     = errors.New("value out of range")
 )
 
-// Message is one of the messages of this package.
+// Message is implemented by all message types of the protocol.
 type Message interface {
 	messageType() Type
 	encode(*encoder)
 	decode(*decoder)
 }
 
-// Type is the number of a message type in a frame's header.
+// Type is the message type in a frame header.
 type Type byte
 
-// The message types. Their values are part of the protocol.
+// The message types. The numbers are part of the protocol.
 const (
-	typeHello    Type = 1
-	typeWelcome  Type = 2
-	typeRefuse   Type = 3
-	typeBeat     Type = 4
-	typeSums     Type = 5
-	typeDone     Type = 6
-	typeOrders   Type = 7
-	typeRedirect Type = 8
-	typeBye      Type = 9
-	typeListAsk  Type = 10
-	typeList     Type = 11
-	typeReq      Type = 12
-	typeAnswer   Type = 13
-	typeProbe    Type = 14
-	typePace     Type = 15
-	typeSlices   Type = 16
+	typeHello       Type = 1
+	typeWelcome     Type = 2
+	typeRefuse      Type = 3
+	typeHeartbeat   Type = 4
+	typeLoadReport  Type = 5
+	typeDone        Type = 6
+	typeCommands    Type = 7
+	typeRedirect    Type = 8
+	typeBye         Type = 9
+	typeListRequest Type = 10
+	typeList        Type = 11
+	typeRequest     Type = 12
+	typeResponse    Type = 13
+	typeProbe       Type = 14
+	typePace        Type = 15
+	typeSlices      Type = 16
 )
 
-// newMessage returns an empty message of a type, nil if the type is unknown.
+// newMessage returns an empty message of the given type, or nil if the type is unknown.
 func newMessage(t Type) Message {
 	switch t {
 	case typeHello:
@@ -57,26 +57,26 @@
 		return &Welcome{}
 	case typeRefuse:
 		return &Refuse{}
-	case typeBeat:
-		return &Beat{}
-	case typeSums:
-		return &Sums{}
+	case typeHeartbeat:
+		return &Heartbeat{}
+	case typeLoadReport:
+		return &LoadReport{}
 	case typeDone:
 		return &Done{}
-	case typeOrders:
-		return &Orders{}
+	case typeCommands:
+		return &Commands{}
 	case typeRedirect:
 		return &Redirect{}
 	case typeBye:
 		return &Bye{}
-	case typeListAsk:
-		return &ListAsk{}
+	case typeListRequest:
+		return &ListRequest{}
 	case typeList:
 		return &List{}
-	case typeReq:
-		return &Req{}
-	case typeAnswer:
-		return &Answer{}
+	case typeRequest:
+		return &Request{}
+	case typeResponse:
+		return &Response{}
 	case typeProbe:
 		return &Probe{}
 	case typePace:
@@ -87,20 +87,20 @@
 	return nil
 }
 
-// Decode decodes the body of a frame. The message doesn't refer to body.
+// Decode decodes a frame body into a new message of the given type. The message does not retain body.
 func Decode(t Type, body []byte) (Message, error) {
 	m := newMessage(t)
 	if m == nil {
 		return nil, fmt.Errorf("type %d: %w", t, ErrType)
 	}
-	if err := Unbody(m, body); err != nil {
+	if err := DecodeBody(m, body); err != nil {
 		return nil, fmt.Errorf("%T: %w", m, err)
 	}
 	return m, nil
 }
 
-// Body encodes a message without a frame, for records and other stores.
-func Body(m Message) ([]byte, error) {
+// EncodeBody encodes a message without a frame, for storage.
+func EncodeBody(m Message) ([]byte, error) {
 	var e encoder
 	m.encode(&e)
 	if len(e.b) > MaxFrame {
@@ -109,8 +109,8 @@
 	return e.b, nil
 }
 
-// Unbody decodes what Body encoded into a message. After an error the message may be filled in part.
-func Unbody(into Message, body []byte) error {
+// DecodeBody decodes a body from EncodeBody into an existing message. After an error the message may be incomplete.
+func DecodeBody(into Message, body []byte) error {
 	d := decoder{b: body}
 	into.decode(&d)
 	if d.err == nil && len(d.b) > 0 {
--- a/internal/wire/report.go
+++ b/internal/wire/report.go
@@ -1,134 +1,140 @@
 package wire
 
-// Sums is a proxy's report on what happened since its last one.
-type Sums struct {
-	Seq    uint64  // number of the report in its stream, from 1
-	AtMs   float64 // on the proxy's own clock, of which only differences have a meaning
-	SpanMs float64 // time that the report covers
-	Met    []Met
-	Demand []Demand
-	Slices []SliceLoad // only in a deployment with slices
-}
-
-// Met sums a proxy's attempts at one endpoint.
-type Met struct {
+// LoadReport is the report of a proxy about its traffic since its previous report.
+type LoadReport struct {
+	Seq           uint64  // sequence number of the report in its stream, from 1
+	AtMs          float64 // time of sending, ms on the proxy's clock, which need not agree with the receiver's
+	SpanMs        float64 // length of the reported period, ms
+	EndpointStats []EndpointStats
+	RequestStats  []RequestStats
+	SliceStats    []SliceStats // empty in a deployment without slices
+}
+
+// EndpointStats holds the statistics of a proxy's attempts at one endpoint.
+type EndpointStats struct {
 	Endpoint string
-	Tries    int
-	Failed   int // of Tries
-	MeanMs   float64
-	Load     []Figure // the last load report among the answers
+	Attempts int
+	Failed   int          // number of failed attempts
+	MeanMs   float64      // mean duration of successful attempts
+	Load     []LoadMetric // last load report that a response of the endpoint contained
 }
 
-// Figure is one value of a load report.
-type Figure struct {
+// LoadMetric is one value of the load report of an endpoint, such as its utilization.
+type LoadMetric struct {
 	Name  string
 	Value float64
 }
 
-// Demand sums the requests of one class that a proxy received.
-type Demand struct {
-	Kind       string
-	Reqs       int
+// RequestStats counts the requests of one class that a proxy received, and those that it did not answer.
+type RequestStats struct {
+	Class      string
+	Requests   int
 	Unanswered int
 }
 
-// SliceLoad sums the requests of one class for the keys of one slice.
-type SliceLoad struct {
+// SliceStats counts the requests of one class for the keys of one slice, and those that were not answered.
+type SliceStats struct {
 	Slice      int
-	Kind       string
-	Reqs       int
+	Class      string
+	Requests   int
 	Unanswered int
 }
 
-func (*Sums) messageType() Type { return typeSums }
+func (*LoadReport) messageType() Type { return typeLoadReport }
 
-func (m *Sums) encode(e *encoder) {
+func (m *LoadReport) encode(e *encoder) {
 	e.uvarint(m.Seq)
 	e.float(m.AtMs)
 	e.float(m.SpanMs)
-	e.length(len(m.Met))
-	for i := range m.Met {
-		e.met(&m.Met[i])
+	e.length(len(m.EndpointStats))
+	for i := range m.EndpointStats {
+		e.endpointStats(&m.EndpointStats[i])
 	}
-	e.length(len(m.Demand))
-	for _, demand := range m.Demand {
-		e.text(demand.Kind)
-		e.varint(demand.Reqs)
-		e.varint(demand.Unanswered)
+	e.length(len(m.RequestStats))
+	for _, stats := range m.RequestStats {
+		e.text(stats.Class)
+		e.varint(stats.Requests)
+		e.varint(stats.Unanswered)
 	}
-	e.length(len(m.Slices))
-	for _, load := range m.Slices {
-		e.varint(load.Slice)
-		e.text(load.Kind)
-		e.varint(load.Reqs)
-		e.varint(load.Unanswered)
+	e.length(len(m.SliceStats))
+	for _, stats := range m.SliceStats {
+		e.varint(stats.Slice)
+		e.text(stats.Class)
+		e.varint(stats.Requests)
+		e.varint(stats.Unanswered)
 	}
 }
 
-func (m *Sums) decode(d *decoder) {
+func (m *LoadReport) decode(d *decoder) {
 	m.Seq = d.uvarint()
 	m.AtMs = d.float()
 	m.SpanMs = d.float()
-	m.Met = decodeList(d, (*decoder).met)
-	m.Demand = decodeList(d, (*decoder).demand)
-	m.Slices = decodeList(d, (*decoder).sliceLoad)
+	m.EndpointStats = decodeList(d, (*decoder).endpointStats)
+	m.RequestStats = decodeList(d, (*decoder).requestStats)
+	m.SliceStats = decodeList(d, (*decoder).sliceStats)
 }
 
-func (e *encoder) met(m *Met) {
+func (e *encoder) endpointStats(m *EndpointStats) {
 	e.text(m.Endpoint)
-	e.varint(m.Tries)
+	e.varint(m.Attempts)
 	e.varint(m.Failed)
 	e.float(m.MeanMs)
-	e.figures(m.Load)
+	e.loadMetrics(m.Load)
 }
 
-func (d *decoder) met() Met {
-	m := Met{Endpoint: d.text(), Tries: d.count(), Failed: d.count(), MeanMs: d.float(), Load: d.figures()}
-	if m.Failed > m.Tries {
+func (d *decoder) endpointStats() EndpointStats {
+	m := EndpointStats{
+		Endpoint: d.text(),
+		Attempts: d.count(),
+		Failed:   d.count(),
+		MeanMs:   d.float(),
+		Load:     d.loadMetrics(),
+	}
+	if m.Failed > m.Attempts {
 		d.fail(ErrValue)
 	}
 	return m
 }
 
-func (d *decoder) demand() Demand {
-	return Demand{Kind: d.text(), Reqs: d.count(), Unanswered: d.count()}
+func (d *decoder) requestStats() RequestStats {
+	return RequestStats{Class: d.text(), Requests: d.count(), Unanswered: d.count()}
 }
 
-func (d *decoder) sliceLoad() SliceLoad {
-	return SliceLoad{Slice: d.count(), Kind: d.text(), Reqs: d.count(), Unanswered: d.count()}
+func (d *decoder) sliceStats() SliceStats {
+	return SliceStats{Slice: d.count(), Class: d.text(), Requests: d.count(), Unanswered: d.count()}
 }
 
-func (e *encoder) figures(figures []Figure) {
-	e.length(len(figures))
-	for _, figure := range figures {
-		e.text(figure.Name)
-		e.float(figure.Value)
+func (e *encoder) loadMetrics(metrics []LoadMetric) {
+	e.length(len(metrics))
+	for _, metric := range metrics {
+		e.text(metric.Name)
+		e.float(metric.Value)
 	}
 }
 
-func (d *decoder) figures() []Figure { return decodeList(d, (*decoder).figure) }
+func (d *decoder) loadMetrics() []LoadMetric { return decodeList(d, (*decoder).loadMetric) }
 
-func (d *decoder) figure() Figure {
-	return Figure{Name: d.text(), Value: d.float()}
+func (d *decoder) loadMetric() LoadMetric {
+	return LoadMetric{Name: d.text(), Value: d.float()}
 }
 
-// Pace asks a proxy to change its reporting.
+// Pace asks a proxy to change how often and how much it reports.
 type Pace struct {
-	PeriodMs int  // reporting interval
-	Lines    int  // most elements of Sums.Met in a report; 0: all
-	Changes  bool // only elements that have changed
+	PeriodMs    int  // interval between reports, ms
+	MaxLines    int  // largest number of elements of LoadReport.EndpointStats; 0: no limit
+	ChangedOnly bool // report only endpoints whose statistics have changed
 }
 
 func (*Pace) messageType() Type { return typePace }
 
 func (m *Pace) encode(e *encoder) {
 	e.varint(m.PeriodMs)
-	e.varint(m.Lines)
-	e.bool(m.Changes)
+	e.varint(m.MaxLines)
+	e.bool(m.ChangedOnly)
 }
 
 func (m *Pace) decode(d *decoder) {
 	m.PeriodMs = d.count()
-	m.Lines = d.count()
-	m.Changes = d.bool()
+	m.MaxLines = d.count()
+	m.ChangedOnly = d.bool()
 }
--- a/internal/wire/request.go
+++ b/internal/wire/request.go
@@ -1,76 +1,76 @@
 package wire
 
-// Req asks an endpoint, or a proxy in front of endpoints, for work. It belongs to the traffic of the testbed.
-type Req struct {
-	Number  uint64  // pairs it with its Answer on the connection
-	Name    uint64  // the same for all attempts of a request, so that a repeated effect is recognised
-	Kind    string  // request class
-	From    string  // name of the sender
-	Key     string  // in a deployment with slices
-	WorkMs  float64 // time that it takes on a core of speed 1
-	LimitMs float64 // for which the sender waits
+// Request is an attempt of the testbed at an endpoint, or a request of a testbed client to a proxy.
+type Request struct {
+	Number    uint64  // identifies the Response on the same connection
+	RequestID uint64  // equal for all attempts of a request, so that repeated execution can be detected
+	Class     string  // name of the request class
+	From      string  // name of the sender
+	Key       string  // key that the request accesses, in a deployment with slices
+	WorkMs    float64 // processing time on a core of speed 1, ms
+	TimeoutMs float64 // time for which the sender waits for the response, ms
 }
 
-func (*Req) messageType() Type { return typeReq }
+func (*Request) messageType() Type { return typeRequest }
 
-func (m *Req) encode(e *encoder) {
+func (m *Request) encode(e *encoder) {
 	e.uvarint(m.Number)
-	e.uvarint(m.Name)
-	e.text(m.Kind)
+	e.uvarint(m.RequestID)
+	e.text(m.Class)
 	e.text(m.From)
 	e.float(m.WorkMs)
-	e.float(m.LimitMs)
+	e.float(m.TimeoutMs)
 	e.text(m.Key)
 }
 
-func (m *Req) decode(d *decoder) {
+func (m *Request) decode(d *decoder) {
 	m.Number = d.uvarint()
-	m.Name = d.uvarint()
-	m.Kind = d.text()
+	m.RequestID = d.uvarint()
+	m.Class = d.text()
 	m.From = d.text()
 	m.WorkMs = d.float()
-	m.LimitMs = d.float()
+	m.TimeoutMs = d.float()
 	m.Key = d.text()
 }
 
-// Outcome is how an attempt ended.
+// Outcome is the result of a request or health check.
 type Outcome byte
 
-// The outcomes of an Answer. Their values are part of the protocol.
+// The outcomes of a Response. The numbers are part of the protocol.
 const (
-	Fine    Outcome = 1
-	Errored Outcome = 2 // it was executed, or may have been, and failed
-	Denied  Outcome = 3 // it was rejected before it was executed
+	Succeeded Outcome = 1
+	Errored   Outcome = 2 // it failed, and may have been executed
+	Denied    Outcome = 3 // it was rejected without being executed
 )
 
-// Answer ends a Req or a Probe.
-type Answer struct {
-	Number     uint64
-	Outcome    Outcome
-	ComeBackMs float64  // Denied: retry after this time
-	Load       []Figure // the endpoint's load report
+// Response answers a Request or a Probe.
+type Response struct {
+	Number       uint64
+	Outcome      Outcome
+	RetryAfterMs float64      // if Denied: time after which a retry is allowed, ms
+	Load         []LoadMetric // load report of the endpoint
 }
 
-func (*Answer) messageType() Type { return typeAnswer }
+func (*Response) messageType() Type { return typeResponse }
 
-func (m *Answer) encode(e *encoder) {
+func (m *Response) encode(e *encoder) {
 	e.uvarint(m.Number)
 	e.byte(byte(m.Outcome))
-	e.float(m.ComeBackMs)
-	e.figures(m.Load)
+	e.float(m.RetryAfterMs)
+	e.loadMetrics(m.Load)
 }
 
-func (m *Answer) decode(d *decoder) {
+func (m *Response) decode(d *decoder) {
 	m.Number = d.uvarint()
 	m.Outcome = Outcome(d.byte())
-	m.ComeBackMs = d.float()
-	if m.Outcome < Fine || m.Outcome > Denied {
+	m.RetryAfterMs = d.float()
+	if m.Outcome < Succeeded || m.Outcome > Denied {
 		d.fail(ErrValue)
 	}
-	m.Load = d.figures()
+	m.Load = d.loadMetrics()
 }
 
-// Probe is a health check: it asks an endpoint for a load report, which is answered without queueing.
+// Probe is a health check. The endpoint answers it with a load report, without queueing it behind requests.
 type Probe struct{ Number uint64 }
 
 func (*Probe) messageType() Type { return typeProbe }
--- a/recovery/predecessor.go
+++ b/recovery/predecessor.go
@@ -1,19 +1,21 @@
 package recovery
 
-// Predecessor is the state machine of the process that runs the controller. Its zero value serves.
+// Predecessor is the state machine of the process that runs the controller and may hand it over. The zero value is
+// ready to use.
 type Predecessor struct {
-	// Patience is how often the lock is tried after the successor was lost. If another process holds it all the while,
-	// that one serves.
-	Patience int
+	// MaxLockAttempts is the number of attempts to acquire the lock after the connection to the successor was lost. If
+	// all of them fail, another process runs the controller. At least one attempt is made.
+	MaxLockAttempts int
 
-	state    state
-	refusals int // of the lock, in a row
+	state              state
+	failedLockAttempts int // consecutive attempts at which another process held the lock
 }
 
-// Replaced returns whether another process serves now.
+// Replaced reports whether another process has taken over the controller.
 func (o *Predecessor) Replaced() bool { return o.state == stateEnded }
 
-// Next takes in an event and returns what to do. An event that does not fit the state changes nothing.
+// Next processes an event and returns the next action. An event that is not expected in the current state is ignored,
+// except where a state treats it as the loss of the successor.
 func (o *Predecessor) Next(e Event) Action {
 	switch o.state {
 	case stateServing:
@@ -27,60 +29,64 @@
 	case stateReclaiming:
 		return o.whenReclaiming(e)
 	}
-	return Nothing
+	return NoAction
 }
 
+// whenServing offers the listeners to a process that requests to take over.
 func (o *Predecessor) whenServing(e Event) Action {
-	if e != Asked {
-		return Nothing
+	if e != TakeoverRequested {
+		return NoAction
 	}
 	o.state = stateOffered
-	return SayOffer
+	return SendOffer
 }
 
-// whenOffered goes back to serving if the successor gave up: nothing was stopped.
+// whenOffered stops the controller when the successor is ready. On any other event it returns to serving, because the
+// controller is still running.
 func (o *Predecessor) whenOffered(e Event) Action {
-	if e != ReadyCame {
+	if e != ReadyReceived {
 		o.state = stateServing
-		return Nothing
+		return NoAction
 	}
 	o.state = stateStopping
 	return StopPilot
 }
 
+// whenStopping tells the successor to go ahead when the controller has stopped.
 func (o *Predecessor) whenStopping(e Event) Action {
-	if e != Stopped {
-		return Nothing
+	if e != PilotStopped {
+		return NoAction
 	}
 	o.state = stateReleased
-	return SayGo
+	return SendGo
 }
 
-// whenReleased tries the lock unless the successor says that it serves: whether it does or has died, only the lock
-// tells.
+// whenReleased ends if the successor reports that it runs the controller. On any other event it tries to acquire the
+// lock, because only the lock shows whether the successor runs the controller or has exited.
 func (o *Predecessor) whenReleased(e Event) Action {
-	if e == ServingCame {
+	if e == ServingReceived {
 		o.state = stateEnded
 		return End
 	}
 	o.state = stateReclaiming
-	o.refusals = 0
-	return Claim
+	o.failedLockAttempts = 0
+	return AcquireLock
 }
 
-// whenReclaiming serves again with the lock, and ends if another process keeps it.
+// whenReclaiming restarts the controller if the lock was acquired. It ends if another process has held the lock at
+// MaxLockAttempts attempts in a row.
 func (o *Predecessor) whenReclaiming(e Event) Action {
 	switch e {
-	case Claimed:
+	case LockAcquired:
 		o.state = stateServing
 		return StartPilot
-	case Refused:
-		o.refusals++
-		if o.refusals < o.Patience {
-			return Claim
+	case LockRefused:
+		o.failedLockAttempts++
+		if o.failedLockAttempts < o.MaxLockAttempts {
+			return AcquireLock
 		}
 		o.state = stateEnded
 		return End
 	}
-	return Nothing
+	return NoAction
 }
--- a/recovery/world_steps_test.go
+++ b/recovery/world_steps_test.go
@@ -9,10 +9,12 @@
 	"indigousher/recovery"
 )
 
-// steps are what can happen now, by name. Those whose name begins with "!" are faults: nothing waits for them.
+// steps holds the steps that are possible in a state, by name. Names of faults begin with "!": a state in which only
+// faults are possible is final.
 type steps map[string]func()
 
-func (w *world) steps() steps {
+// steps returns the steps that are possible in the state.
+func (w *system) steps() steps {
 	s := steps{}
 	w.addRequest(s)
 	for i, p := range w.processes {
@@ -20,32 +22,33 @@
 			w.addProcessSteps(s, i)
 		}
 	}
-	w.addWorldSteps(s)
+	w.addEnvironmentSteps(s)
 	w.addProxySteps(s)
 	return w.reduce(s)
 }
 
-// addRequest lets the successor request to take over.
-func (w *world) addRequest(s steps) {
+// addRequest adds the step in which the successor requests to take over.
+func (w *system) addRequest(s steps) {
 	successor := w.processes[successorIndex]
 	if !successor.alive || successor.requested {
 		return
 	}
 	s["ask"] = func() {
 		successor.requested = true
-		if w.cut || !w.processes[predecessorIndex].alive {
-			w.report(successorIndex, recovery.Lost)
+		if w.disconnected || !w.processes[predecessorIndex].alive {
+			w.report(successorIndex, recovery.PeerLost)
 			return
 		}
-		w.report(predecessorIndex, recovery.Asked)
+		w.report(predecessorIndex, recovery.TakeoverRequested)
 		successor.waiting = true
 	}
 }
 
-// addProcessSteps lets a process act, hear of the other or of the endpoint list, or crash.
-func (w *world) addProcessSteps(s steps, i int) {
+// addProcessSteps adds the steps of one process: execute its next action, receive a message, detect a lost connection,
+// receive the endpoint list, and crash.
+func (w *system) addProcessSteps(s steps, i int) {
 	p := w.processes[i]
-	if p.action != recovery.Nothing {
+	if p.action != recovery.NoAction {
 		s[fmt.Sprint("do ", i)] = func() { w.act(i) }
 	}
 	if p.waiting && len(w.messages[i]) > 0 {
@@ -55,10 +58,10 @@
 			w.report(i, e)
 		}
 	}
-	if p.waiting && len(w.messages[i]) == 0 && (w.cut || !w.processes[1-i].alive) {
+	if p.waiting && len(w.messages[i]) == 0 && (w.disconnected || !w.processes[1-i].alive) {
 		s[fmt.Sprint("lost ", i)] = func() {
-			w.cut = true
-			w.report(i, recovery.Lost)
+			w.disconnected = true
+			w.report(i, recovery.PeerLost)
 		}
 	}
 	if w.crashes == 0 {
@@ -72,8 +75,8 @@
 	}
 }
 
-// crash ends a process; what it had not committed is gone.
-func (w *world) crash(i int) {
+// crash ends a process and discards the turns that it had not committed to disk.
+func (w *system) crash(i int) {
 	p := w.processes[i]
 	w.crashes++
 	if p.core != nil {
@@ -82,17 +85,17 @@
 	w.stopController(i)
 	w.releaseLock(i)
 	p.alive = false
-	p.action = recovery.Nothing
+	p.action = recovery.NoAction
 	p.waiting = false
 }
 
-// addWorldSteps lets the connection break, the endpoint list change, gossip come, the disk catch up, and a process be
-// restarted by whoever watches over processes.
-func (w *world) addWorldSteps(s steps) {
-	if w.losses == 0 && !w.cut {
+// addEnvironmentSteps adds the steps outside the processes: the connection fails, the endpoint list changes, a gossip
+// message arrives, turns are committed to disk, and the supervisor restarts a process.
+func (w *system) addEnvironmentSteps(s steps) {
+	if w.connectionLosses == 0 && !w.disconnected {
 		s["!cut"] = func() {
-			w.losses++
-			w.cut = true
+			w.connectionLosses++
+			w.disconnected = true
 		}
 	}
 	if w.listChanges == 0 {
@@ -116,23 +119,24 @@
 	}
 }
 
-// restart starts the first process again, with its controller if the lock is free.
-func (w *world) restart() {
+// restart starts the first process again, and its controller if the lock is free.
+func (w *system) restart() {
 	w.restarts++
 	p := w.processes[predecessorIndex]
 	p.alive = true
-	p.predecessor = &recovery.Predecessor{Patience: lockTries}
+	p.predecessor = &recovery.Predecessor{MaxLockAttempts: maxLockAttempts}
 	if w.acquireLock(predecessorIndex) {
 		w.startController(predecessorIndex)
 	}
 }
 
-// addProxySteps lets proxies apply what came and join whoever runs a controller.
-func (w *world) addProxySteps(s steps) {
+// addProxySteps adds the steps of the proxies: apply received commands, and connect to a process that runs the
+// controller.
+func (w *system) addProxySteps(s steps) {
 	for k, p := range w.proxies {
 		if len(p.incoming) > 0 {
 			s[fmt.Sprint("apply ", k)] = func() {
-				p.follower.Apply(p.incoming[0].Ops)
+				p.router.Apply(p.incoming[0].Ops)
 				p.incoming = p.incoming[1:]
 			}
 		}
@@ -147,27 +151,27 @@
 	}
 }
 
-// join opens a proxy's stream to a process.
-func (w *world) join(k, i int) {
+// join opens a stream from proxy k to process i.
+func (w *system) join(k, i int) {
 	p := w.proxies[k]
 	hello := wire.Hello{
 		Version: 1,
 		Proxy:   fmt.Sprint("p", k),
 		Zone:    "a",
 		Rate:    1,
-		Fresh:   p.follower.Fresh(),
-		Holds:   p.follower.Endpoints(),
-		Tables:  p.follower.HeldTables(),
+		Fresh:   p.router.Fresh(),
+		Holds:   p.router.Endpoints(),
+		Tables:  p.router.HeldTables(),
 	}
 	p.joined = i
-	p.stream = &stream{world: w, process: i, proxy: k}
-	p.follower.StreamJoined()
+	p.stream = &stream{system: w, process: i, proxy: k}
+	p.router.StreamJoined()
 	w.feed(i, controller.ProxyJoined{Stream: p.stream, Hello: hello})
 }
 
-// reduce leaves out orders of steps that come to the same: what a proxy applies touches nothing but itself, so it comes
-// first, unless its stream could end before.
-func (w *world) reduce(s steps) steps {
+// reduce drops steps whose order does not matter (partial order reduction). Applying commands affects only the proxy,
+// so it is executed before all steps except those that could end the stream of the proxy.
+func (w *system) reduce(s steps) steps {
 	for k := range w.proxies {
 		apply := fmt.Sprint("apply ", k)
 		if s[apply] == nil {
--- a/recovery/world_test.go
+++ b/recovery/world_test.go
@@ -10,112 +10,113 @@
 	"indigousher/recovery"
 )
 
-// process is one of the two, with one of the two state machines.
+// process is one of the two processes. Exactly one of predecessor and successor is set.
 type process struct {
 	alive       bool
 	predecessor *recovery.Predecessor
 	successor   *recovery.Successor
-	action      recovery.Action  // to be done next
-	waiting     bool             // for the other's answer
-	requested   bool             // to take over
-	core        *controller.Core // nil while no controller runs
-	listed      int              // changes of the endpoint list that it knows of, -1 none
-	locked      bool             // it holds the lock
+	action      recovery.Action  // next action of the state machine
+	waiting     bool             // it waits for a message of the other process
+	requested   bool             // the successor has requested to take over
+	core        *controller.Core // controller; nil while it is not running
+	listed      int              // number of list changes in the last endpoint list it received; -1: no list yet
+	locked      bool             // the process holds the lock
 }
 
-// faults are planted.
+// faults selects the variant of the model and the faults that are injected into it.
 type faults struct {
-	withGossip      bool // gossip comes instead of a change of the endpoint list
-	resumesUnlocked bool // the predecessor goes on without the lock, as it did before there was one
-	startsUnlocked  bool // the successor starts without the lock
-	replaySends     bool // what is replayed goes out again
+	withGossip      bool // a gossip message arrives instead of a change of the endpoint list
+	resumesUnlocked bool // the predecessor restarts its controller without the lock, as before the lock was introduced
+	startsUnlocked  bool // the successor starts its controller without the lock
+	replaySends     bool // commands of a replay are sent again
 }
 
-// proxy follows whoever has its stream.
+// proxy is a simulated proxy with the routing tables of the testbed.
 type proxy struct {
-	follower *routing.Router
-	joined   int // a process, -1 none
-	incoming []*wire.Orders
+	router   *routing.Router
+	joined   int // index of the process it is connected to; -1: none
+	incoming []*wire.Commands
 	stream   *stream
 }
 
-// stream is a proxy's end in a process.
+// stream is the controller's end of a connection between a process and a proxy.
 type stream struct {
-	world   *world
+	system  *system
 	process int
 	proxy   int
 }
 
-// Send hands commands to the proxy, if this is its stream still.
-func (s *stream) Send(commands *wire.Orders) error {
-	if !s.world.processes[s.process].locked {
-		s.world.violation = "a process without the claim wrote to a proxy"
+// Send queues commands at the proxy, unless the proxy has another stream by now.
+func (s *stream) Send(commands *wire.Commands) error {
+	if !s.system.processes[s.process].locked {
+		s.system.violation = "a process without the lock wrote to a proxy"
 	}
-	p := s.world.proxies[s.proxy]
+	p := s.system.proxies[s.proxy]
 	if p.stream == s {
 		p.incoming = append(p.incoming, commands)
 	}
 	return nil
 }
 
-// Ask does nothing.
+// Ask ignores changes of the reporting interval.
 func (s *stream) Ask(*wire.Pace) error { return nil }
 
-// Close does nothing.
+// Close ignores that the controller closes the stream.
 func (s *stream) Close(string) {}
 
-// world is one state, built by its steps.
-type world struct {
-	faults          faults
-	processes       [2]*process
-	proxies         [3]*proxy
-	lockHolder      int                 // a process, -1 none
-	messages        [2][]recovery.Event // on their way to each process
-	cut             bool                // the connection between the two
-	turns           []record.Turn       // recorded
-	committed       int                 // of these on the disk
-	listChanges     int                 // so far
-	crashes         int
-	losses          int // of the connection
-	restarts        int
-	gossipSent      int
-	gossipCommanded int
-	violation       string // of what no state may show; "": none
-	nowMs           float64
+// system is one state of the model. It is reached from newSystem by executing steps.
+type system struct {
+	faults           faults
+	processes        [2]*process
+	proxies          [3]*proxy
+	lockHolder       int                 // index of the process that holds the lock; -1: none
+	messages         [2][]recovery.Event // undelivered messages to each process
+	disconnected     bool                // the connection between the processes has failed
+	turns            []record.Turn       // recorded turns
+	committed        int                 // number of recorded turns that are committed to disk
+	listChanges      int                 // changes of the endpoint list so far
+	crashes          int
+	connectionLosses int // failures of the connection between the processes so far
+	restarts         int
+	gossipSent       int
+	gossipCommanded  int
+	violation        string // first violation found while executing steps; "": none
+	nowMs            float64
 }
 
 const (
 	endpoints        = 2
-	lockTries        = 2 // of the predecessor after the successor was lost
+	maxLockAttempts  = 2 // attempts of the predecessor to acquire the lock after the successor was lost
 	predecessorIndex = 0
 	successorIndex   = 1
 )
 
-func newWorld(planted faults) *world {
-	w := &world{faults: planted, lockHolder: predecessorIndex}
-	if planted.withGossip {
+// newSystem returns the initial state, in which the predecessor runs the controller.
+func newSystem(injected faults) *system {
+	w := &system{faults: injected, lockHolder: predecessorIndex}
+	if injected.withGossip {
 		w.listChanges = 1
 	} else {
 		w.gossipSent = 1
 	}
 	w.processes[predecessorIndex] = &process{
 		alive:       true,
-		predecessor: &recovery.Predecessor{Patience: lockTries},
+		predecessor: &recovery.Predecessor{MaxLockAttempts: maxLockAttempts},
 		locked:      true,
 		listed:      -1,
 	}
-	w.processes[successorIndex] = &process{alive: true, successor: recovery.NewSuccessor(), action: recovery.Nothing}
+	w.processes[successorIndex] = &process{alive: true, successor: recovery.NewSuccessor(), action: recovery.NoAction}
 	for i := range w.proxies {
-		habits := routing.Policy{Classes: []string{"read"}}
-		follower := routing.NewRouter(habits, []string{"e0", "e1"}, uint64(i))
-		w.proxies[i] = &proxy{joined: -1, follower: follower}
+		policy := routing.Policy{Classes: []string{"read"}}
+		router := routing.NewRouter(policy, []string{"e0", "e1"}, uint64(i))
+		w.proxies[i] = &proxy{joined: -1, router: router}
 	}
 	w.startController(predecessorIndex)
 	return w
 }
 
-// startController starts a process's controller on what the disk holds.
-func (w *world) startController(i int) {
+// startController starts the controller of process i from the committed turns.
+func (w *system) startController(i int) {
 	p := w.processes[i]
 	core := w.restoredCore()
 	options := w.options(false)
@@ -131,13 +132,13 @@
 	p.listed = -1
 	for k, other := range w.processes {
 		if k != i && other.core != nil {
-			w.violation = "two processes run the pilot"
+			w.violation = "two processes run the controller"
 		}
 	}
 }
 
-// restoredCore returns a core rebuilt from what the disk holds, nil if that is nothing.
-func (w *world) restoredCore() *controller.Core {
+// restoredCore returns a controller core restored from the committed turns, or nil if there are none.
+func (w *system) restoredCore() *controller.Core {
 	if w.committed == 0 {
 		return nil
 	}
@@ -149,8 +150,8 @@
 	return core
 }
 
-// stopController ends a process's controller and the streams to it.
-func (w *world) stopController(i int) {
+// stopController stops the controller of process i and closes its streams.
+func (w *system) stopController(i int) {
 	w.processes[i].core = nil
 	for _, p := range w.proxies {
 		if p.joined == i {
@@ -161,16 +162,16 @@
 	}
 }
 
-// feed gives a process's controller an input.
-func (w *world) feed(i int, in controller.Input) {
+// feed passes an input to the controller of process i and sends the resulting commands.
+func (w *system) feed(i int, in controller.Input) {
 	p := w.processes[i]
 	w.nowMs++
 	p.core.Handle(w.nowMs, []controller.Input{in})
 	p.core.Channel.Send(w.nowMs)
 }
 
-// acquireLock returns whether a process holds the lock, which it gets if nobody does.
-func (w *world) acquireLock(i int) bool {
+// acquireLock acquires the lock for process i if it is free, and reports whether the process holds it.
+func (w *system) acquireLock(i int) bool {
 	if w.lockHolder < 0 {
 		w.lockHolder = i
 		w.processes[i].locked = true
@@ -178,15 +179,16 @@
 	return w.lockHolder == i
 }
 
-func (w *world) releaseLock(i int) {
+// releaseLock releases the lock if process i holds it.
+func (w *system) releaseLock(i int) {
 	if w.processes[i].locked {
 		w.lockHolder = -1
 		w.processes[i].locked = false
 	}
 }
 
-// report hands an event to a process's state machine.
-func (w *world) report(i int, e recovery.Event) {
+// report passes an event to the state machine of process i and stores the resulting action.
+func (w *system) report(i int, e recovery.Event) {
 	p := w.processes[i]
 	p.waiting = false
 	if p.successor != nil {
@@ -196,46 +198,47 @@
 	}
 }
 
-// send sends a message to the other process, as the event that it will be there.
-func (w *world) send(from int, e recovery.Event) {
-	if !w.cut {
+// send queues a message for the other process, represented by the event that it causes there. The message is lost if
+// the connection has failed.
+func (w *system) send(from int, e recovery.Event) {
+	if !w.disconnected {
 		w.messages[1-from] = append(w.messages[1-from], e)
 	}
 }
 
-// sendAndWait sends a message that wants an answer.
-func (w *world) sendAndWait(from int, e recovery.Event) {
+// sendAndWait sends a message and waits for an answer.
+func (w *system) sendAndWait(from int, e recovery.Event) {
 	w.send(from, e)
 	w.processes[from].waiting = true
 }
 
-// act does what a process's state machine wants.
-func (w *world) act(i int) {
+// act executes the next action of process i.
+func (w *system) act(i int) {
 	p := w.processes[i]
 	action := p.action
-	p.action = recovery.Nothing
+	p.action = recovery.NoAction
 	switch action {
-	case recovery.SayOffer:
-		w.sendAndWait(i, recovery.Offered)
-	case recovery.SayReady:
-		w.sendAndWait(i, recovery.ReadyCame)
-	case recovery.SayGo:
-		w.sendAndWait(i, recovery.GoCame)
-	case recovery.SayServing:
-		w.send(i, recovery.ServingCame)
+	case recovery.SendOffer:
+		w.sendAndWait(i, recovery.OfferReceived)
+	case recovery.SendReady:
+		w.sendAndWait(i, recovery.ReadyReceived)
+	case recovery.SendGo:
+		w.sendAndWait(i, recovery.GoReceived)
+	case recovery.SendServing:
+		w.send(i, recovery.ServingReceived)
 	case recovery.StopPilot:
 		w.committed = len(w.turns)
 		w.stopController(i)
 		w.releaseLock(i)
-		w.report(i, recovery.Stopped)
-	case recovery.Claim:
+		w.report(i, recovery.PilotStopped)
+	case recovery.AcquireLock:
 		w.report(i, w.tryLock(i))
 	case recovery.StartPilot:
 		w.startController(i)
 		if p.successor != nil {
-			w.report(i, recovery.Started)
+			w.report(i, recovery.PilotStarted)
 		}
-	case recovery.LetGo, recovery.End:
+	case recovery.ReleaseLock, recovery.End:
 		if p.successor != nil || p.predecessor.Replaced() {
 			w.releaseLock(i)
 			p.alive = false
@@ -243,20 +246,21 @@
 	}
 }
 
-// tryLock returns what came of trying the lock. A planted fault takes it for got.
-func (w *world) tryLock(i int) recovery.Event {
+// tryLock tries to acquire the lock for process i and returns the resulting event. With an injected fault it returns
+// LockAcquired even if another process holds the lock.
+func (w *system) tryLock(i int) recovery.Event {
 	ignoresLock := w.faults.resumesUnlocked
 	if w.processes[i].successor != nil {
 		ignoresLock = w.faults.startsUnlocked
 	}
 	if w.acquireLock(i) || ignoresLock {
-		return recovery.Claimed
+		return recovery.LockAcquired
 	}
-	return recovery.Refused
+	return recovery.LockRefused
 }
 
-// endpointList is the whole list as it is now: endpoint 0 drains after its change.
-func (w *world) endpointList() controller.Input {
+// endpointList returns the current, complete endpoint list. Endpoint 0 is draining after the list has changed.
+func (w *system) endpointList() controller.Input {
 	l := &wire.List{Version: w.listChanges, Whole: true}
 	for i := range endpoints {
 		e := wire.Entry{Endpoint: fmt.Sprint("e", i), Zone: "a", Machine: "std", Weight: 1}
--- a/telemetry/flush_test.go
+++ b/telemetry/flush_test.go
@@ -7,12 +7,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFailingSeenInBurst checks that an endpoint with a tenth of the others' traffic that begins to fail during a
-// hundredfold burst of reports is flushed within two periods of when an unlimited aggregator flushes it.
+// TestFailingSeenInBurst checks that the failures of an endpoint with a tenth of the usual traffic reach the planner at
+// most two periods later than without limits, while senders report a hundred times as often as they should.
 func TestFailingSeenInBurst(t *testing.T) {
-	first := func(limit float64) (at float64) {
+	firstFlushMs := func(limit float64) (at float64) {
 		options := testOptions()
-		options.LinesPerS, options.ToldPerS = limit, limit/10
+		options.LinesPerS, options.FlushedPerS = limit, limit/10
 		c := newFleet(options, 60, 20, 3)
 		c.rates = func(_, e int) float64 {
 			if e == 13 {
@@ -20,7 +20,7 @@
 			}
 			return 5
 		}
-		c.fails = func(e int, now float64) float64 {
+		c.failureRate = func(e int, now float64) float64 {
 			if e == 13 && now > 20300 {
 				return 1
 			}
@@ -31,15 +31,15 @@
 			s.reportsPerPeriod = 100
 		}
 		c.run(8000, func(now float64, batch Batch[float64]) {
-			for _, m := range batch.Mets {
-				if m.Endpoint == 13 && m.Failed > 0.5*m.Tries && at == 0 {
+			for _, m := range batch.EndpointSums {
+				if m.Endpoint == 13 && m.Failed > 0.5*m.Attempts && at == 0 {
 					at = now
 				}
 			}
 		})
 		return at
 	}
-	unlimited, limited := first(0), first(800)
+	unlimited, limited := firstFlushMs(0), firstFlushMs(800)
 	require.NotZero(t, unlimited)
 	require.NotZero(t, limited)
 	assert.LessOrEqual(t, limited, unlimited+2000)
--- a/telemetry/queue_test.go
+++ b/telemetry/queue_test.go
@@ -6,13 +6,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestPendingLimit checks the limit of pending sums, and that there is room for urgent ones.
+// TestPendingLimit checks that no more sums are pending than the limit allows, and that a failing endpoint is flushed
+// even when the limit is reached.
 func TestPendingLimit(t *testing.T) {
 	options := testOptions()
-	options.Standing, options.ToldPerS = 10, 5
+	options.MaxPending, options.FlushedPerS = 10, 5
 	c := newFleet(options, 30, 40, 3)
 	urgent := false
-	c.fails = func(e int, now float64) float64 {
+	c.failureRate = func(e int, now float64) float64 {
 		if e == 39 && now > 5000 {
 			return 1
 		}
@@ -20,11 +21,11 @@
 	}
 	c.rates = func(int, int) float64 { return 3 }
 	c.run(9000, func(_ float64, batch Batch[float64]) {
-		for _, m := range batch.Mets {
+		for _, m := range batch.EndpointSums {
 			urgent = urgent || m.Endpoint == 39 && m.Failed > 0
 		}
 	})
-	assert.LessOrEqual(t, c.mostPending, 10)
+	assert.LessOrEqual(t, c.maxPending, 10)
 	assert.True(t, urgent)
-	assert.Positive(t, c.in.Counts[Evicted])
+	assert.Positive(t, c.aggregator.Counts[Evicted])
 }
