--- a/planner/settings.go
+++ b/planner/settings.go
@@ -64,7 +64,7 @@
 	DiscoveryOnRequest bool     // changes of the endpoint list come only after WatchEndpoints
 
 	// The endpoints.
-	LeastConnections   Optional // connection limit of the endpoint with the lowest one
+	MinConnectionLimit Optional // connection limit of the endpoint with the lowest one
 	CrossZoneCost      float64  // cost of a request that leaves its zone, in the deployment's units; default 0.1
 	WarmUpMs           float64  // time from an endpoint's start until it has its full capacity; default 10 s
 	WarmUpStart        float64  // fraction of its capacity that an endpoint has at its start; default 0.1
@@ -174,7 +174,7 @@
 
 // readEndpoints reads the settings of the endpoints.
 func (r *settingsReader) readEndpoints(s *Settings) {
-	s.LeastConnections = r.number("conns_least")
+	s.MinConnectionLimit = r.number("conns_least")
 	s.CrossZoneCost = r.number("cross_zone").Or(defaultCrossZoneCost)
 	s.WarmUpMs = r.number("cold").Or(defaultWarmUpMs)
 	s.WarmUpStart = r.number("cold_from").Or(defaultWarmUpStart)
--- a/planner/subset.go
+++ b/planner/subset.go
@@ -43,7 +43,7 @@
 // many of an endpoint's connections.
 func subsetsOfZone(settings Settings, groups int) int {
 	proxies := settings.ProxyCount.Or(1)
-	if proxies <= connectionUse*settings.LeastConnections.Or(math.MaxFloat64) {
+	if proxies <= connectionUse*settings.MinConnectionLimit.Or(math.MaxFloat64) {
 		return 1
 	}
 	tablesOfSubset := max(1, settings.ZoneCount*groups)
@@ -117,7 +117,7 @@
 	proxies := settings.ProxyCount.Or(1)
 	lines := settings.LinesPerSecond.Or(unlimitedLines) * settings.DrainGraceMs / 1000
 	sendable := lines/proxies - r.planner.publisher.headerLines()
-	connectable := connectionUse * settings.LeastConnections.Or(unlimitedConnections) * ready / proxies
+	connectable := connectionUse * settings.MinConnectionLimit.Or(unlimitedConnections) * ready / proxies
 	return math.Min(sendable, connectable)
 }
 
