--- a/planner/planner.go
+++ b/planner/planner.go
@@ -249,7 +249,7 @@
 // demandSeen returns the fraction of the demand that this planner sees: that of the proxies that joined it. The other
 // controllers plan for the rest, so each corrects only its fraction of an imbalance.
 func (p *Planner) demandSeen() float64 {
-	if p.settings.ZonesKeptWhole {
+	if p.settings.OneControllerPerZone {
 		return 1
 	}
 	return math.Min(1, float64(len(p.proxies))/p.settings.ProxyCount.Or(1))
--- a/planner/settings.go
+++ b/planner/settings.go
@@ -56,12 +56,12 @@
 	Rank      float64 // of this one among them, from 0
 
 	// The fleet.
-	ProxyCount         Optional // proxies of all controllers together
-	ZoneCount          int      // zones that are named
-	ZonesKeptWhole     bool     // all proxies of a zone join the same controller, which so sees the zone's whole demand
-	Sliced             bool     // requests go by slices of a key space; the planner leaves their stored owners alone
-	StandingLines      float64  // lines of the table that a proxy has before any is assigned; default 1e-9
-	DiscoveryOnRequest bool     // changes of the endpoint list come only after WatchEndpoints
+	ProxyCount           Optional // proxies of all controllers together
+	ZoneCount            int      // zones that are named
+	OneControllerPerZone bool     // all proxies of a zone join the same controller, which so sees the zone's whole demand
+	Sliced               bool     // requests go by slices of a key space; the planner leaves their stored owners alone
+	StandingLines        float64  // lines of the table that a proxy has before any is assigned; default 1e-9
+	DiscoveryOnRequest   bool     // changes of the endpoint list come only after WatchEndpoints
 
 	// The endpoints.
 	MinConnectionLimit Optional // connection limit of the endpoint with the lowest one
@@ -166,7 +166,7 @@
 	s.Rank = r.number("rank").Or(0)
 	s.ProxyCount = r.number("proxy_count")
 	s.ZoneCount = len(value[[]any](r, "zones", "a list"))
-	s.ZonesKeptWhole = value[bool](r, "by_zone", "true or false")
+	s.OneControllerPerZone = value[bool](r, "by_zone", "true or false")
 	s.Sliced = r.number("slices") > 0
 	s.StandingLines = r.number("standing").Or(defaultStandingLines)
 	s.DiscoveryOnRequest = value[string](r, "discovery", "a string") == discoveryOnRequest
--- a/planner/settings_test.go
+++ b/planner/settings_test.go
@@ -54,7 +54,7 @@
 	assert.Equal(t, 7.0, settings.ProxyCount.Or(1))
 	assert.Equal(t, 9.0, settings.MinConnectionLimit.Or(9), "a missing number takes the fallback of its formula")
 	assert.Equal(t, 2, settings.ZoneCount)
-	assert.True(t, settings.ZonesKeptWhole && settings.Sliced && settings.DiscoveryOnRequest)
+	assert.True(t, settings.OneControllerPerZone && settings.Sliced && settings.DiscoveryOnRequest)
 	assert.True(t, settings.ReportsUtilization && settings.ProxiesEject)
 	assert.Equal(t, 2, settings.DefaultRetry)
 	assert.Equal(t, AdmitByRate, settings.Admission)
--- a/planner/zonecost.go
+++ b/planner/zonecost.go
@@ -80,7 +80,7 @@
 		totals.penalties[c.Zone] += (1 - ownPenaltyPart) * weight * c.penalty
 		totals.load += weight * c.load
 		totals.weight += weight
-		if !p.settings.ZonesKeptWhole || p.demand.rates[c.Zone] > 0 {
+		if !p.settings.OneControllerPerZone || p.demand.rates[c.Zone] > 0 {
 			totals.served += weight
 		}
 	}
