--- a/planner/membership.go
+++ b/planner/membership.go
@@ -202,5 +202,5 @@
 func (r *region) chanceDivergence(endpoints float64) float64 {
 	p := r.planner
 	zones := float64(len(p.regions))
-	return math.Sqrt(endpoints * zones * p.demand.concentration / p.settings.StandingLines)
+	return math.Sqrt(endpoints * zones * p.demand.concentration / p.settings.StaticTableLines)
 }
--- a/planner/settings.go
+++ b/planner/settings.go
@@ -60,7 +60,7 @@
 	ZoneCount            int      // zones that are named
 	OneControllerPerZone bool     // all proxies of a zone join the same controller, which so sees the zone's whole demand
 	Sliced               bool     // requests go by slices of a key space; the planner leaves their stored owners alone
-	StandingLines        float64  // lines of the table that a proxy has before any is assigned; default 1e-9
+	StaticTableLines     float64  // lines of the table that a proxy has before any is assigned; default 1e-9
 	DiscoveryOnRequest   bool     // changes of the endpoint list come only after WatchEndpoints
 
 	// The endpoints.
@@ -168,7 +168,7 @@
 	s.ZoneCount = len(value[[]any](r, "zones", "a list"))
 	s.OneControllerPerZone = value[bool](r, "by_zone", "true or false")
 	s.Sliced = r.number("slices") > 0
-	s.StandingLines = r.number("standing").Or(defaultStandingLines)
+	s.StaticTableLines = r.number("standing").Or(defaultStandingLines)
 	s.DiscoveryOnRequest = value[string](r, "discovery", "a string") == discoveryOnRequest
 }
 
