--- a/planner/settings.go
+++ b/planner/settings.go
@@ -64,13 +64,13 @@
 	DiscoveryOnRequest   bool     // changes of the endpoint list come only after WatchEndpoints
 
 	// The endpoints.
-	MinConnectionLimit Optional // connection limit of the endpoint with the lowest one
-	CrossZoneCost      float64  // cost of a request that leaves its zone, in the deployment's units; default 0.1
-	WarmUpMs           float64  // time from an endpoint's start until it has its full capacity; default 10 s
-	WarmUpStart        float64  // fraction of its capacity that an endpoint has at its start; default 0.1
-	OverloadMultiple   float64  // load, as a multiple of capacity, at which an endpoint fails; default 1
-	HealthChecks       bool     // the controller may check the health of endpoints
-	ReportsUtilization bool     // load reports contain the utilization, which rises before queues do
+	MinConnectionLimit    Optional // connection limit of the endpoint with the lowest one
+	CrossZoneCost         float64  // cost of a request that leaves its zone, in the deployment's units; default 0.1
+	WarmUpMs              float64  // time from an endpoint's start until it has its full capacity; default 10 s
+	WarmUpInitialCapacity float64  // fraction of its capacity that an endpoint has at its start; default 0.1
+	OverloadMultiple      float64  // load, as a multiple of capacity, at which an endpoint fails; default 1
+	HealthChecks          bool     // the controller may check the health of endpoints
+	ReportsUtilization    bool     // load reports contain the utilization, which rises before queues do
 
 	// The proxies' own behavior.
 	ProxiesEject   bool    // proxies avoid endpoints that have failed several times in a row
@@ -177,7 +177,7 @@
 	s.MinConnectionLimit = r.number("conns_least")
 	s.CrossZoneCost = r.number("cross_zone").Or(defaultCrossZoneCost)
 	s.WarmUpMs = r.number("cold").Or(defaultWarmUpMs)
-	s.WarmUpStart = r.number("cold_from").Or(defaultWarmUpStart)
+	s.WarmUpInitialCapacity = r.number("cold_from").Or(defaultWarmUpStart)
 	s.OverloadMultiple = r.number("fall_multiple").Or(defaultOverloadMultiple)
 	s.HealthChecks = value[bool](r, "probing", "true or false")
 	for i, element := range value[[]any](r, "fields", "a list") {
--- a/planner/slowstart.go
+++ b/planner/slowstart.go
@@ -39,7 +39,7 @@
 		return 1
 	}
 	age := (p.now - started) / p.settings.WarmUpMs
-	from := p.settings.WarmUpStart
+	from := p.settings.WarmUpInitialCapacity
 	return math.Min(1, from+(1-from)*math.Max(0, age))
 }
 
