--- a/planner/settings.go
+++ b/planner/settings.go
@@ -68,7 +68,7 @@
 	CrossZoneCost         float64  // cost of a request that leaves its zone, in the deployment's units; default 0.1
 	WarmUpMs              float64  // time from an endpoint's start until it has its full capacity; default 10 s
 	WarmUpInitialCapacity float64  // fraction of its capacity that an endpoint has at its start; default 0.1
-	OverloadMultiple      float64  // load, as a multiple of capacity, at which an endpoint fails; default 1
+	FailureLoad           float64  // load, as a multiple of capacity, at which an endpoint fails; default 1
 	HealthChecks          bool     // the controller may check the health of endpoints
 	ReportsUtilization    bool     // load reports contain the utilization, which rises before queues do
 
@@ -178,7 +178,7 @@
 	s.CrossZoneCost = r.number("cross_zone").Or(defaultCrossZoneCost)
 	s.WarmUpMs = r.number("cold").Or(defaultWarmUpMs)
 	s.WarmUpInitialCapacity = r.number("cold_from").Or(defaultWarmUpStart)
-	s.OverloadMultiple = r.number("fall_multiple").Or(defaultOverloadMultiple)
+	s.FailureLoad = r.number("fall_multiple").Or(defaultOverloadMultiple)
 	s.HealthChecks = value[bool](r, "probing", "true or false")
 	for i, element := range value[[]any](r, "fields", "a list") {
 		if element == reportFieldUtilization {
--- a/planner/slowstart.go
+++ b/planner/slowstart.go
@@ -103,7 +103,7 @@
 	settings := &r.planner.settings
 	proxies := r.planner.demand.proxiesOfZone[r.zone]
 	crowd := totals.weight * (proxies - ordinaryProxies) / settings.ProxyCount.Or(manyProxies)
-	overload := repeats * load / totals.warmingWeight / settings.OverloadMultiple
+	overload := repeats * load / totals.warmingWeight / settings.FailureLoad
 	return overload * math.Max(totals.homeWeight, crowd)
 }
 
