--- a/planner/publisher.go
+++ b/planner/publisher.go
@@ -142,7 +142,7 @@
 
 // messageInterval returns how far apart the messages of a proxy are, in ms.
 func (pb *publisher) messageInterval() float64 {
-	return messageSpacing * pb.planner.settings.MessageSpanMs / pb.planner.settings.MessageLimit
+	return messageSpacing * pb.planner.settings.MessageWindowMs / pb.planner.settings.MessageLimit
 }
 
 // delta is what goes out of a table in one push.
--- a/planner/settings.go
+++ b/planner/settings.go
@@ -79,13 +79,13 @@
 	Admission      AdmissionMode
 
 	// The channel to the proxies.
-	LinesPerSecond Optional // that it carries
-	BacklogLines   float64  // that may wait in it; default 1000
-	HeaderLines    float64  // that a message costs beside those it brings; default 4
-	MessageLimit   float64  // messages that a proxy may get within MessageSpanMs; default: no limit
-	MessageSpanMs  float64  // default 10 s
-	DeliveryMs     float64  // longest way of a message; default 500 ms
-	DrainGraceMs   float64  // from the notice that an endpoint drains until its connections are cut; default 2 s
+	LinesPerSecond  Optional // that it carries
+	BacklogLines    float64  // that may wait in it; default 1000
+	HeaderLines     float64  // that a message costs beside those it brings; default 4
+	MessageLimit    float64  // messages that a proxy may get within MessageWindowMs; default: no limit
+	MessageWindowMs float64  // default 10 s
+	DeliveryMs      float64  // longest way of a message; default 500 ms
+	DrainGraceMs    float64  // from the notice that an endpoint drains until its connections are cut; default 2 s
 
 	Classes []RequestClass
 }
@@ -203,7 +203,7 @@
 	s.BacklogLines = r.number("backlog").Or(defaultBacklogLines)
 	s.HeaderLines = r.number("head_lines").Or(defaultHeaderLines)
 	s.MessageLimit = r.number("messages_most").Or(noMessageLimit)
-	s.MessageSpanMs = r.number("messages_over").Or(defaultMessageSpanMs)
+	s.MessageWindowMs = r.number("messages_over").Or(defaultMessageSpanMs)
 	s.DeliveryMs = r.number("late_most").Or(defaultDeliveryMs)
 	s.DrainGraceMs = r.number("drain_grace").Or(defaultDrainGraceMs)
 }
