--- a/planner/flowcontrol.go
+++ b/planner/flowcontrol.go
@@ -89,7 +89,7 @@
 // all earlier lines have left.
 func (pb *publisher) probe() {
 	p := pb.planner
-	due := pb.window.nextProbeAt(probeWays * p.settings.DeliveryMs)
+	due := pb.window.nextProbeAt(probeWays * p.settings.MaxDeliveryMs)
 	if due > p.now {
 		if pb.blocked.probeAt != due {
 			pb.blocked.probeAt = due
--- a/planner/settings.go
+++ b/planner/settings.go
@@ -84,7 +84,7 @@
 	HeaderLines     float64  // that a message costs beside those it brings; default 4
 	MessageLimit    float64  // messages that a proxy may get within MessageWindowMs; default: no limit
 	MessageWindowMs float64  // default 10 s
-	DeliveryMs      float64  // longest way of a message; default 500 ms
+	MaxDeliveryMs   float64  // longest way of a message; default 500 ms
 	DrainGraceMs    float64  // from the notice that an endpoint drains until its connections are cut; default 2 s
 
 	Classes []RequestClass
@@ -204,7 +204,7 @@
 	s.HeaderLines = r.number("head_lines").Or(defaultHeaderLines)
 	s.MessageLimit = r.number("messages_most").Or(noMessageLimit)
 	s.MessageWindowMs = r.number("messages_over").Or(defaultMessageSpanMs)
-	s.DeliveryMs = r.number("late_most").Or(defaultDeliveryMs)
+	s.MaxDeliveryMs = r.number("late_most").Or(defaultDeliveryMs)
 	s.DrainGraceMs = r.number("drain_grace").Or(defaultDrainGraceMs)
 }
 
--- a/planner/settings_test.go
+++ b/planner/settings_test.go
@@ -16,7 +16,7 @@
 	assert.Equal(t, Settings{
 		Instances: 1, StaticTableLines: 1e-9, CrossZoneCost: 0.1, WarmUpMs: 10000, WarmUpInitialCapacity: 0.1, FailureLoad: 1,
 		FirstRetryWait: 1, BacklogLines: 1000, HeaderLines: 4, MessageLimit: math.MaxFloat64, MessageWindowMs: 10000,
-		DeliveryMs: 500, DrainGraceMs: 2000,
+		MaxDeliveryMs: 500, DrainGraceMs: 2000,
 	}, defaults)
 	keys := []string{
 		"instances", "rank", "proxy_count", "standing", "conns_least", "cross_zone", "cold", "cold_from",
