--- a/planner/admission.go
+++ b/planner/admission.go
@@ -131,7 +131,7 @@
 	if retriesHelp && p.classes[class].Retryable {
 		return retryAnyFailure
 	}
-	return p.settings.DefaultRetry
+	return p.settings.DefaultRetryMode
 }
 
 // classCut returns the fraction of the next class to reject, given what is left to shed, in whole classes.
--- a/planner/settings.go
+++ b/planner/settings.go
@@ -73,10 +73,10 @@
 	ReportsUtilization    bool     // load reports contain the utilization, which rises before queues do
 
 	// The proxies' own behavior.
-	ProxiesEject   bool    // proxies avoid endpoints that have failed several times in a row
-	DefaultRetry   int     // retry policy of proxies that have received none
-	FirstRetryWait float64 // before a retry, in units of the class's response target; default 1
-	Admission      AdmissionMode
+	ProxiesEject     bool    // proxies avoid endpoints that have failed several times in a row
+	DefaultRetryMode int     // retry policy of proxies that have received none
+	FirstRetryWait   float64 // before a retry, in units of the class's response target; default 1
+	Admission        AdmissionMode
 
 	// The channel to the proxies.
 	LinesPerSecond  Optional // that it carries
@@ -192,7 +192,7 @@
 // readProxies reads the settings of the proxies' own behavior.
 func (r *settingsReader) readProxies(s *Settings) {
 	s.ProxiesEject = r.number("ejects_after") > 0
-	s.DefaultRetry = int(r.number("retry_default"))
+	s.DefaultRetryMode = int(r.number("retry_default"))
 	s.FirstRetryWait = r.number("first_wait").Or(defaultFirstRetryWait)
 	s.Admission = AdmissionMode(value[string](r, "admission", "a string"))
 }
--- a/planner/settings_test.go
+++ b/planner/settings_test.go
@@ -56,7 +56,7 @@
 	assert.Equal(t, 2, settings.ZoneCount)
 	assert.True(t, settings.OneControllerPerZone && settings.Sliced && settings.DiscoveryOnRequest)
 	assert.True(t, settings.ReportsUtilization && settings.ProxiesEject)
-	assert.Equal(t, 2, settings.DefaultRetry)
+	assert.Equal(t, 2, settings.DefaultRetryMode)
 	assert.Equal(t, AdmitByRate, settings.Admission)
 	assert.Equal(t, 500.0, settings.WarmUpMs)
 	assert.Equal(t, []RequestClass{
