--- a/planner/classgroup.go
+++ b/planner/classgroup.go
@@ -51,7 +51,7 @@
 
 // mayUse returns whether an endpoint may serve the group's requests that come to a zone's proxies.
 func (g *classGroup) mayUse(zone int, c *candidate) bool {
-	return (!g.ownZoneOnly || c.Zone == zone) && g.onlyMachines.Has(c.Machine) && g.onlyZones.Has(c.Zone)
+	return (!g.ownZoneOnly || c.Zone == zone) && g.onlyMachines.Allows(c.Machine) && g.onlyZones.Allows(c.Zone)
 }
 
 // workPart returns a group's fraction of all work. The work of a request is estimated by its class's response target.
--- a/planner/settings.go
+++ b/planner/settings.go
@@ -124,7 +124,7 @@
 type IndexList []int
 
 // Has returns whether the list names an index.
-func (l IndexList) Has(index int) bool {
+func (l IndexList) Allows(index int) bool {
 	return len(l) == 0 || slices.Contains(l, index)
 }
 
--- a/planner/settings_test.go
+++ b/planner/settings_test.go
@@ -63,9 +63,9 @@
 		{PriorityWeight: 3, ResponseTargetMs: 250, Retryable: true},
 		{PriorityWeight: 1, ResponseTargetMs: 1000, OwnZoneOnly: true, OnlyMachines: IndexList{1}},
 	}, settings.Classes)
-	assert.True(t, settings.Classes[0].OnlyMachines.Has(5), "an empty list names all")
-	assert.True(t, settings.Classes[1].OnlyMachines.Has(1))
-	assert.False(t, settings.Classes[1].OnlyMachines.Has(0))
+	assert.True(t, settings.Classes[0].OnlyMachines.Allows(5), "an empty list names all")
+	assert.True(t, settings.Classes[1].OnlyMachines.Allows(1))
+	assert.False(t, settings.Classes[1].OnlyMachines.Allows(0))
 }
 
 // TestSettingsOfWrongType shows that each value of a wrong type is named, and that its default stands.
@@ -105,8 +105,8 @@
 	assert.ElementsMatch(t, []string{"req_kinds[0]", "req_kinds[1].payoff", "req_kinds[1].only_zones[0]", "cold"}, keys)
 	require.Len(t, settings.Classes, 2)
 	assert.Equal(t, RequestClass{PriorityWeight: 1, ResponseTargetMs: 1000}, settings.Classes[0])
-	assert.False(t, settings.Classes[1].OnlyZones.Has(0), "what is no index names nothing")
-	assert.True(t, settings.Classes[1].OnlyZones.Has(2))
+	assert.False(t, settings.Classes[1].OnlyZones.Allows(0), "what is no index names nothing")
+	assert.True(t, settings.Classes[1].OnlyZones.Allows(2))
 	assert.ErrorContains(t, err, "setting cold: want a number, got bool")
 }
 
