--- a/planner/admission.go
+++ b/planner/admission.go
@@ -81,7 +81,7 @@
 	remaining := r.shed[group] * float64(bits.OnesCount(uint(mask))) // in whole classes
 	requests := p.totalRequests()
 	for _, class := range p.shedSequence {
-		if !p.groups[group].has(class) {
+		if !p.groups[group].contains(class) {
 			continue
 		}
 		cut := p.rejectedFraction(remaining)
--- a/planner/solver.go
+++ b/planner/solver.go
@@ -44,7 +44,7 @@
 			a.ring = homeRing
 		}
 		if c.Phase == Ready && r.planner.groups[group].mayUse(r.zone, c) {
-			a.weight = r.weightFor(group, c)
+			a.weight = r.remainingWeight(group, c)
 			a.cost = costs.byZone[c.Zone] + ownPenaltyPart*c.penalty
 			a.limit = 1
 			totals.add(&a, c)
--- a/planner/zonecost.go
+++ b/planner/zonecost.go
@@ -75,7 +75,7 @@
 		if !p.groups[group].mayUse(r.zone, c) {
 			continue
 		}
-		weight := r.weightFor(group, c) * c.usablePart()
+		weight := r.remainingWeight(group, c) * c.usablePart()
 		totals.weights[c.Zone] += weight
 		totals.penalties[c.Zone] += (1 - ownPenaltyPart) * weight * c.penalty
 		totals.load += weight * c.load
