--- a/planner/admission.go
+++ b/planner/admission.go
@@ -147,7 +147,7 @@
 func (p *Planner) totalRequests() float64 {
 	sum := 1e-9
 	for class := range p.classes {
-		sum += p.demand.ofClass(class)
+		sum += p.demand.classRequests(class)
 	}
 	return sum
 }
@@ -160,7 +160,7 @@
 	if p.settings.Admission != AdmitByRate {
 		return math.Round(shareSteps*(1-rejected)) / shareSteps
 	}
-	mean := p.demand.perProxy(r.zone) / requests * p.demand.ofClass(class)
+	mean := p.demand.ratePerProxy(r.zone) / requests * p.demand.classRequests(class)
 	if rejected*mean > 0 {
 		return math.Exp2(math.Round(rateStepsPerOctave*math.Log2(-mean*math.Log(rejected))) / rateStepsPerOctave)
 	}
--- a/planner/classgroup.go
+++ b/planner/classgroup.go
@@ -59,7 +59,7 @@
 	own := 0.0
 	all := 1e-9
 	for i, class := range p.classes {
-		work := p.demand.ofClass(i) * class.ResponseTargetMs
+		work := p.demand.classRequests(i) * class.ResponseTargetMs
 		if p.groups[group].contains(i) {
 			own += work
 		}
--- a/planner/demand.go
+++ b/planner/demand.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// demandFade is the factor by which older counts fade with each report of a proxy's requests.
-	demandFade = 0.97
+	// demandDecay is the factor by which older counts fade with each report of a proxy's requests.
+	demandDecay = 0.97
 
 	// priorRequests is the weight, in requests, of the prior assumption that a zone's demand is ordinary and that all
 	// classes are in equal demand.
@@ -26,7 +26,7 @@
 	// As of the latest round.
 	rates         map[int]float64 // requests a second, by the proxies' zone
 	total         float64         // requests a second
-	proxiesOfZone map[int]float64
+	proxiesByZone map[int]float64
 
 	// concentration is the Herfindahl index of the demand over the proxies of all controllers: the inverse of the
 	// number of proxies with equal rates that would spread requests as evenly.
@@ -37,17 +37,17 @@
 func newDemand() demand {
 	return demand{
 		observed: map[int]float64{}, baseline: map[int]float64{}, byClass: map[int]float64{},
-		rates: map[int]float64{}, proxiesOfZone: map[int]float64{},
+		rates: map[int]float64{}, proxiesByZone: map[int]float64{},
 	}
 }
 
 // observe counts the requests of a class that came to a joined proxy. The proxy's ordinary rate covers all classes;
 // each class is taken for an equal part of it.
-func (d *demand) observe(sum RequestStats, proxy ProxyJoined, classes int) {
-	requests := float64(sum.Requests)
-	d.observed[proxy.Zone] = demandFade*d.observed[proxy.Zone] + requests
-	d.byClass[sum.Class] = demandFade*d.byClass[sum.Class] + requests
-	d.baseline[proxy.Zone] = demandFade*d.baseline[proxy.Zone] + proxy.Rate*sum.SpanMs/1000/float64(classes)
+func (d *demand) observe(stats RequestStats, proxy ProxyJoined, classes int) {
+	requests := float64(stats.Requests)
+	d.observed[proxy.Zone] = demandDecay*d.observed[proxy.Zone] + requests
+	d.byClass[stats.Class] = demandDecay*d.byClass[stats.Class] + requests
+	d.baseline[proxy.Zone] = demandDecay*d.baseline[proxy.Zone] + proxy.Rate*stats.SpanMs/1000/float64(classes)
 }
 
 // surge returns the recent demand of a zone as a multiple of its ordinary demand.
@@ -55,29 +55,29 @@
 	return (d.observed[zone] + priorRequests) / (d.baseline[zone] + priorRequests)
 }
 
-// ofClass returns how many requests of a class came recently, shrunk towards equal demand of all classes.
-func (d *demand) ofClass(class int) float64 { return d.byClass[class] + priorRequests }
+// classRequests returns how many requests of a class came recently, shrunk towards equal demand of all classes.
+func (d *demand) classRequests(class int) float64 { return d.byClass[class] + priorRequests }
 
-// perProxy returns the mean requests a second of a zone's proxies.
-func (d *demand) perProxy(zone int) float64 {
-	return d.rates[zone] / math.Max(1, d.proxiesOfZone[zone])
+// ratePerProxy returns the mean requests a second of a zone's proxies.
+func (d *demand) ratePerProxy(zone int) float64 {
+	return d.rates[zone] / math.Max(1, d.proxiesByZone[zone])
 }
 
 // update forecasts the demand by zone: the joined proxies' ordinary rates, corrected by each zone's surge. The fleet
 // is the number of proxies of all controllers.
-func (d *demand) update(proxies map[int]ProxyJoined, fleet float64) {
-	clear(d.proxiesOfZone)
+func (d *demand) update(proxies map[int]ProxyJoined, fleetProxies float64) {
+	clear(d.proxiesByZone)
 	clear(d.rates)
 	d.total = 0
-	squares := 0.0
+	sumOfSquares := 0.0
 	for _, i := range slices.Sorted(maps.Keys(proxies)) {
 		zone := proxies[i].Zone
 		rate := proxies[i].Rate * d.surge(zone)
 		d.rates[zone] += rate
 		d.total += rate
-		d.proxiesOfZone[zone]++
-		squares += rate * rate
+		d.proxiesByZone[zone]++
+		sumOfSquares += rate * rate
 	}
-	unevenness := float64(len(proxies)) / math.Max(1e-9, d.total*d.total) * squares
-	d.concentration = math.Max(1, unevenness) / fleet
+	unevenness := float64(len(proxies)) / math.Max(1e-9, d.total*d.total) * sumOfSquares
+	d.concentration = math.Max(1, unevenness) / fleetProxies
 }
--- a/planner/slowstart.go
+++ b/planner/slowstart.go
@@ -101,7 +101,7 @@
 // if that is more: a crowded zone that is cut off from the others has only its own endpoints.
 func (r *region) warmUpOverload(totals candidateTotals, load, repeats float64) float64 {
 	settings := &r.planner.settings
-	proxies := r.planner.demand.proxiesOfZone[r.zone]
+	proxies := r.planner.demand.proxiesByZone[r.zone]
 	crowd := totals.weight * (proxies - ordinaryProxies) / settings.ProxyCount.Or(manyProxies)
 	overload := repeats * load / totals.warmingWeight / settings.FailureLoad
 	return overload * math.Max(totals.homeWeight, crowd)
