--- a/planner/endpoint.go
+++ b/planner/endpoint.go
@@ -36,9 +36,9 @@
 		e.updateEntry(message)
 	case EndpointStats:
 		e.healthIn(message.Zone).count(message)
-		e.takeReport(message.Load)
+		e.applyReport(message.Load)
 	case HealthCheckResult:
-		e.takeReport(message.Load)
+		e.applyReport(message.Load)
 	case plannedShare:
 		e.plans.set(message.plan, message.share)
 	case roundStart:
@@ -62,8 +62,8 @@
 	e.listed = true
 }
 
-// takeReport applies a load report.
-func (e *endpoint) takeReport(report Load) {
+// applyReport applies a load report.
+func (e *endpoint) applyReport(report Load) {
 	e.countSpeed(report)
 	if load, known := e.load.fromReport(report); known {
 		e.load.add(load, e.planner.now)
@@ -114,11 +114,11 @@
 	if !e.planner.settings.HealthChecks || e.Phase != Ready {
 		return
 	}
-	every := 1
+	interval := 1
 	if _, reports := e.load.speeds.mean(); reports >= enoughSpeeds {
-		every = max(1, int(e.planner.settings.Instances))
+		interval = max(1, int(e.planner.settings.Instances))
 	}
-	if (e.planner.rounds+e.Endpoint)%every == 0 {
+	if (e.planner.rounds+e.Endpoint)%interval == 0 {
 		e.planner.command(HealthCheck{Endpoint: e.Endpoint})
 	}
 }
@@ -134,7 +134,7 @@
 	if speed <= 0 {
 		return weight
 	}
-	usual, _ := e.planner.load.speeds.mean()
-	correction := math.Max(minSpeedCorrection, math.Min(maxSpeedCorrection, speed/usual))
+	fleetSpeed, _ := e.planner.load.speeds.mean()
+	correction := math.Max(minSpeedCorrection, math.Min(maxSpeedCorrection, speed/fleetSpeed))
 	return weight * math.Pow(correction, reports/(reports+priorSpeeds))
 }
