--- a/planner/endpoint.go
+++ b/planner/endpoint.go
@@ -64,7 +64,7 @@
 
 // applyReport applies a load report.
 func (e *endpoint) applyReport(report Load) {
-	e.countSpeed(report)
+	e.recordSpeed(report)
 	if load, known := e.load.fromReport(report); known {
 		e.load.add(load, e.planner.now)
 	}
@@ -115,7 +115,7 @@
 		return
 	}
 	interval := 1
-	if _, reports := e.load.speeds.mean(); reports >= enoughSpeeds {
+	if _, reports := e.load.speeds.mean(); reports >= minSpeedReports {
 		interval = max(1, int(e.planner.settings.Instances))
 	}
 	if (e.planner.rounds+e.Endpoint)%interval == 0 {
@@ -136,5 +136,5 @@
 	}
 	fleetSpeed, _ := e.planner.load.speeds.mean()
 	correction := math.Max(minSpeedCorrection, math.Min(maxSpeedCorrection, speed/fleetSpeed))
-	return weight * math.Pow(correction, reports/(reports+priorSpeeds))
+	return weight * math.Pow(correction, reports/(reports+priorSpeedReports))
 }
--- a/planner/load.go
+++ b/planner/load.go
@@ -16,8 +16,8 @@
 	// latestReportGain is the weight of the latest report against the mean of those before.
 	latestReportGain = 0.7
 
-	// fullQueue is the queue length, in requests, that adds 1 to the load.
-	fullQueue = 10.0
+	// queueLengthPerLoad is the queue length, in requests, that adds 1 to the load.
+	queueLengthPerLoad = 10.0
 
 	// residenceGain is the weight of the latest residence time against the mean of those before.
 	residenceGain = 0.25
@@ -25,30 +25,30 @@
 	// intervalGain is the weight of the latest time between two reports against the mean of those before.
 	intervalGain = 0.25
 
-	// noLoad is the load of an endpoint without a report.
-	noLoad = -1.0
+	// unknownLoad is the load of an endpoint without a report.
+	unknownLoad = -1.0
 )
 
 // The speed of an endpoint: requests a second at full load for each unit of its listed weight.
 const (
-	minSpeedLoad       = 0.15 // below this load, the ratio of rate and load is too noisy
-	minSpeedWeight     = 1e-3 // lower bound of the listed weight in the ratio
+	minLoadForSpeed    = 0.15 // below this load, the ratio of rate and load is too noisy
+	minWeightForSpeed  = 1e-3 // lower bound of the listed weight in the ratio
 	minSpeedCorrection = 0.4  // bounds of the factor on the listed weight
 	maxSpeedCorrection = 2.5
-	priorSpeeds        = 2.0 // weight, in reports, of the prior assumption that the listed weight is right
-	enoughSpeeds       = 8   // reports after which controllers take turns with health checks
-	speedsOfEndpoint   = 24  // reports in an endpoint's histogram before its counts are halved
+	priorSpeedReports  = 2.0 // weight, in reports, of the prior assumption that the listed weight is right
+	minSpeedReports    = 8   // reports after which controllers take turns with health checks
+	maxSpeedReports    = 24  // reports in an endpoint's histogram before its counts are halved
 )
 
 // loadEstimate is an endpoint's load as estimated from its reports.
 type loadEstimate struct {
-	value     float64 // fraction of the capacity in use, mean of recent reports; noLoad before the first
+	value     float64 // fraction of the capacity in use, mean of recent reports; unknownLoad before the first
 	updatedAt float64 // ms, arrival of the latest report
 	interval  float64 // mean ms between recent reports
 
 	// Time that a request spends at the endpoint, in seconds; 0: unknown.
-	residence     float64 // mean of recent reports
-	bestResidence float64 // lowest mean so far, taken for that of an idle endpoint
+	residenceTime    float64 // mean of recent reports
+	minResidenceTime float64 // lowest mean so far, taken for that of an idle endpoint
 
 	speeds histogram
 }
@@ -62,9 +62,9 @@
 
 // reset forgets the load of a former incarnation. Speed, best residence time and report interval are kept.
 func (l *loadEstimate) reset() {
-	l.value = noLoad
+	l.value = unknownLoad
 	l.updatedAt = -staleMs
-	l.residence = 0
+	l.residenceTime = 0
 }
 
 // age returns the time since the latest report, in ms.
@@ -80,37 +80,37 @@
 		return utilization, true
 	}
 	if queue, has := report[reportFieldQueue]; has {
-		return loadOfQueue(queue), true
+		return loadFromQueue(queue), true
 	}
 	inFlight := report[reportFieldInFlight]
 	rate := report[reportFieldRate]
 	if inFlight > 0 && rate > 0 {
-		return l.loadOfResidence(inFlight / rate), true
+		return l.loadFromResidenceTime(inFlight / rate), true
 	}
 	return 0, false
 }
 
-// loadOfQueue returns the load rho at which a single server has a mean queue of that length (M/M/1: q = rho^2/(1-rho)),
+// loadFromQueue returns the load rho at which a single server has a mean queue of that length (M/M/1: q = rho^2/(1-rho)),
 // plus a term that grows with the queue, since rho stays below 1.
-func loadOfQueue(queue float64) float64 {
-	return (math.Sqrt(queue*queue+4*queue)-queue)/2 + queue/fullQueue
+func loadFromQueue(queue float64) float64 {
+	return (math.Sqrt(queue*queue+4*queue)-queue)/2 + queue/queueLengthPerLoad
 }
 
-// loadOfResidence returns the load that a residence time shows: the fraction of the mean residence time that exceeds
+// loadFromResidenceTime returns the load that a residence time shows: the fraction of the mean residence time that exceeds
 // the best so far. By Little's law it is the requests in flight divided by their rate. The number in flight alone
 // shows nothing, since an endpoint's parallelism is unknown.
-func (l *loadEstimate) loadOfResidence(seconds float64) float64 {
+func (l *loadEstimate) loadFromResidenceTime(seconds float64) float64 {
 	gain := 1.0
-	if l.residence > 0 {
+	if l.residenceTime > 0 {
 		gain = residenceGain
 	}
-	l.residence += (seconds - l.residence) * gain
-	best := l.residence
-	if l.bestResidence > 0 {
-		best = l.bestResidence
+	l.residenceTime += (seconds - l.residenceTime) * gain
+	best := l.residenceTime
+	if l.minResidenceTime > 0 {
+		best = l.minResidenceTime
 	}
-	l.bestResidence = math.Min(l.residence, best)
-	return 1 - l.bestResidence/l.residence
+	l.minResidenceTime = math.Min(l.residenceTime, best)
+	return 1 - l.minResidenceTime/l.residenceTime
 }
 
 // add updates the estimate with the load of a report. After a long gap the mean of earlier reports is obsolete.
@@ -127,15 +127,15 @@
 	l.updatedAt = now
 }
 
-// countSpeed adds the speed that a report shows to the endpoint's and the fleet's histograms.
-func (e *endpoint) countSpeed(report Load) {
+// recordSpeed adds the speed that a report shows to the endpoint's and the fleet's histograms.
+func (e *endpoint) recordSpeed(report Load) {
 	load, known := report[reportFieldUtilization]
 	rate := report[reportFieldRate]
-	if known && load > minSpeedLoad && rate > 0 {
-		speed := rate / load / math.Max(e.Weight, minSpeedWeight)
+	if known && load > minLoadForSpeed && rate > 0 {
+		speed := rate / load / math.Max(e.Weight, minWeightForSpeed)
 		fleet := e.planner
-		e.load.speeds.add(speed, speedsOfEndpoint)
-		fleet.load.speeds.add(speed, speedsOfEndpoint*float64(len(fleet.endpoints)))
+		e.load.speeds.add(speed, maxSpeedReports)
+		fleet.load.speeds.add(speed, maxSpeedReports*float64(len(fleet.endpoints)))
 	}
 }
 
