--- a/planner/endpoint.go
+++ b/planner/endpoint.go
@@ -101,7 +101,7 @@
 	if timed {
 		e.updateHealth(r, health)
 	}
-	offer.trust = health.trust
+	offer.trust = health.weightFactor
 	if health.ejected {
 		offer.trust = 0
 	}
--- a/planner/outlier.go
+++ b/planner/outlier.go
@@ -10,8 +10,8 @@
 import "math"
 
 const (
-	// countFade is the factor by which counts fade in each round.
-	countFade = 0.6
+	// countDecay is the factor by which counts fade in each round.
+	countDecay = 0.6
 
 	// minFailures is the least fading count of failed attempts for an ejection.
 	minFailures = 3
@@ -21,22 +21,22 @@
 	baseFailureRate       = 0.3
 	zoneFailureRateFactor = 1.5
 
-	// fewAnswers is the fading count of answers below which an endpoint counts as not answering.
-	fewAnswers = 0.5
+	// minAnswers is the fading count of answers below which an endpoint counts as not answering.
+	minAnswers = 0.5
 
-	// silenceMs is the time without a load report after which an endpoint that does not answer counts as gone or
+	// reportTimeoutMs is the time without a load report after which an endpoint that does not answer counts as gone or
 	// hanging, even if its whole zone is.
-	silenceMs = 3 * roundMs
+	reportTimeoutMs = 3 * roundMs
 )
 
 // Ejection and trials.
 const (
-	firstEjectionMs = 2000.0
-	maxEjectionMs   = 20000.0
-	ejectionGrowth  = 2.0  // factor of the ejection time, with each relapse
-	trialTrust      = 0.12 // fraction of its normal weight that an endpoint on trial has
-	trustGrowth     = 2.0  // growth of the trust in a round of a trial with answers
-	trialAnswers    = 0.3  // fading count of answers that a trial needs
+	firstEjectionMs   = 2000.0
+	maxEjectionMs     = 20000.0
+	ejectionGrowth    = 2.0  // factor of the ejection time, with each relapse
+	trialWeightFactor = 0.12 // fraction of its normal weight that an endpoint on trial has
+	trialWeightGrowth = 2.0  // growth of the trust in a round of a trial with answers
+	minTrialAnswers   = 0.3  // fading count of answers that a trial needs
 )
 
 // zoneHealth is the health of an endpoint as the proxies of one zone see it. An endpoint may be unreachable for one
@@ -51,13 +51,13 @@
 	ejected      bool
 	ejectedUntil float64 // ms
 	nextEjection float64 // duration of the next ejection, ms
-	trust        float64 // fraction of its normal weight; below 1 on trial
+	weightFactor float64 // fraction of its normal weight; below 1 on trial
 }
 
 // healthIn returns the endpoint's health for the proxies of a zone.
 func (e *endpoint) healthIn(zone int) *zoneHealth {
 	if e.health[zone] == nil {
-		e.health[zone] = &zoneHealth{trust: 1, nextEjection: firstEjectionMs}
+		e.health[zone] = &zoneHealth{weightFactor: 1, nextEjection: firstEjectionMs}
 	}
 	return e.health[zone]
 }
@@ -82,13 +82,13 @@
 		e.planner.logf("endpoint %d zone %d: out, good %.1f bad %.1f all %.2f", e.Endpoint, r.zone,
 			h.answered, h.failed, r.failureRate)
 		h.eject(e.planner.now)
-		h.fadeEvidence()
+		h.decayTrialCounts()
 	default:
 		h.continueTrial()
-		h.fadeEvidence()
+		h.decayTrialCounts()
 	}
-	h.attempts *= countFade
-	h.failures *= countFade
+	h.attempts *= countDecay
+	h.failures *= countDecay
 }
 
 // isFailing returns whether an endpoint fails for a region's proxies: more than others do while it is not overloaded,
@@ -99,9 +99,9 @@
 	}
 	now := e.planner.now
 	overloaded := e.load.value > e.planner.targetLoad && e.load.age(now) < staleMs
-	silent := h.answered < fewAnswers && e.load.age(now) > silenceMs
-	bound := (baseFailureRate + zoneFailureRateFactor*r.failureRate) * (h.answered + h.failed)
-	return h.failed > bound && !overloaded || silent
+	silent := h.answered < minAnswers && e.load.age(now) > reportTimeoutMs
+	failureLimit := (baseFailureRate + zoneFailureRateFactor*r.failureRate) * (h.answered + h.failed)
+	return h.failed > failureLimit && !overloaded || silent
 }
 
 // eject takes the endpoint out of the zone's tables.
@@ -118,7 +118,7 @@
 	}
 	h.ejected = false
 	h.ejectedUntil = 0
-	h.trust = trialTrust
+	h.weightFactor = trialWeightFactor
 	h.answered = 0
 	h.failed = 0
 	e.planner.logf("endpoint %d zone %d: trial", e.Endpoint, r.zone)
@@ -126,13 +126,13 @@
 
 // continueTrial raises the trust in an endpoint on trial if it has answered.
 func (h *zoneHealth) continueTrial() {
-	if h.trust < 1 && h.answered >= trialAnswers {
-		h.trust = math.Min(1, h.trust*trustGrowth)
+	if h.weightFactor < 1 && h.answered >= minTrialAnswers {
+		h.weightFactor = math.Min(1, h.weightFactor*trialWeightGrowth)
 	}
 }
 
-// fadeEvidence reduces the weight of older attempts.
-func (h *zoneHealth) fadeEvidence() {
-	h.answered *= countFade
-	h.failed *= countFade
+// decayTrialCounts reduces the weight of older attempts.
+func (h *zoneHealth) decayTrialCounts() {
+	h.answered *= countDecay
+	h.failed *= countDecay
 }
