--- a/planner/penalty.go
+++ b/planner/penalty.go
@@ -56,18 +56,18 @@
 // after the plan has moved requests away, and would oscillate.
 func (e *endpoint) reportCorrection() float64 {
 	p := e.planner
-	reported, present := 0.0, 0.0
-	for _, plan := range e.plans.known() {
+	loadAtReport, currentLoad := 0.0, 0.0
+	for _, plan := range e.plans.planNumbers() {
 		zone := p.zoneOfPlan(plan)
-		ordinary := p.demand.rates[zone] / p.demand.surge(zone)
-		reported += ordinary * e.plans.reported(plan)
-		present += ordinary * e.plans.present(plan)
+		baselineRate := p.demand.rates[zone] / p.demand.surge(zone)
+		loadAtReport += baselineRate * e.plans.reportedShare(plan)
+		currentLoad += baselineRate * e.plans.currentShare(plan)
 	}
 	e.plans.advance()
 	correction := 1.0
-	if reported > 0 {
-		change := present / math.Max(reported, 1e-9)
-		bounded := math.Max(minReportCorrection, math.Min(maxReportCorrection, change))
+	if loadAtReport > 0 {
+		ratio := currentLoad / math.Max(loadAtReport, 1e-9)
+		bounded := math.Max(minReportCorrection, math.Min(maxReportCorrection, ratio))
 		correction = 1 + p.demandSeen()*(bounded-1)
 	}
 	return correction
@@ -88,13 +88,13 @@
 func (h planHistory) set(plan int, share float64) { h[0][plan] = share }
 
 // known returns the numbers of the plans that the endpoint has been in, in ascending order.
-func (h planHistory) known() []int { return slices.Sorted(maps.Keys(h[0])) }
+func (h planHistory) planNumbers() []int { return slices.Sorted(maps.Keys(h[0])) }
 
 // present returns the endpoint's share in a present plan.
-func (h planHistory) present(plan int) float64 { return h[0][plan] }
+func (h planHistory) currentShare(plan int) float64 { return h[0][plan] }
 
 // reported returns the endpoint's share in a plan when the latest reports were made.
-func (h planHistory) reported(plan int) float64 { return h[reportDelayRounds+1][plan] }
+func (h planHistory) reportedShare(plan int) float64 { return h[reportDelayRounds+1][plan] }
 
 // advance starts a new round, which begins with the present plans.
 func (h planHistory) advance() {
--- a/planner/penalty_test.go
+++ b/planner/penalty_test.go
@@ -71,9 +71,9 @@
 	e := h.planner.endpoint(0)
 	e.plans.set(0, 0.5)
 	for range reportDelayRounds + 1 {
-		assert.Zero(t, e.plans.reported(0))
+		assert.Zero(t, e.plans.reportedShare(0))
 		e.stepPenalty(0.3, false)
 	}
-	assert.Equal(t, 0.5, e.plans.reported(0))
-	assert.Equal(t, 0.5, e.plans.present(0), "and the present plan stands")
+	assert.Equal(t, 0.5, e.plans.reportedShare(0))
+	assert.Equal(t, 0.5, e.plans.currentShare(0), "and the present plan stands")
 }
