--- a/planner/admission.go
+++ b/planner/admission.go
@@ -78,7 +78,7 @@
 	p := r.planner
 	mask := p.groups[group].mask
 	retriesHelp := r.retriesHelp(load)
-	remaining := r.shed[group] * float64(bits.OnesCount(uint(mask))) // in whole classes
+	remaining := r.shedFraction[group] * float64(bits.OnesCount(uint(mask))) // in whole classes
 	requests := p.totalRequests()
 	for _, class := range p.shedSequence {
 		if !p.groups[group].contains(class) {
@@ -105,16 +105,16 @@
 // updateShedFraction updates the fraction of a group's requests to reject: it grows while the group's endpoints are
 // overloaded as a whole, and shrinks afterwards.
 func (r *region) updateShedFraction(group int, load float64) {
-	before := r.shed[group]
+	before := r.shedFraction[group]
 	overloaded := load > overloadThreshold || load > r.planner.targetLoad && r.failureRate > minOverloadFailureRate
 	if overloaded {
-		r.shed[group] = math.Min(maxShedFraction, before+(1-before)*(shedStep+r.failureRate/shedFailureDivisor))
+		r.shedFraction[group] = math.Min(maxShedFraction, before+(1-before)*(shedStep+r.failureRate/shedFailureDivisor))
 	} else if load < overloadThreshold-overloadHysteresis {
-		r.shed[group] = math.Max(0, shedDecay*before-shedDecayStep)
+		r.shedFraction[group] = math.Max(0, shedDecay*before-shedDecayStep)
 	}
-	if (before == 0) != (r.shed[group] == 0) {
+	if (before == 0) != (r.shedFraction[group] == 0) {
 		r.planner.logf("zone %d kinds %b: denying %.2f load %.2f fail %.2f", r.zone, r.planner.groups[group].mask,
-			r.shed[group], load, r.failureRate)
+			r.shedFraction[group], load, r.failureRate)
 	}
 }
 
--- a/planner/endpoint.go
+++ b/planner/endpoint.go
@@ -86,7 +86,7 @@
 	}
 	offer := candidate{
 		Entry: e.Entry, load: load, penalty: e.penalty, weight: e.effectiveWeight(),
-		warmUp: e.planner.warmUp(e.Started),
+		warmUpFraction: e.planner.warmUp(e.Started),
 	}
 	for _, r := range e.planner.regions {
 		e.offerTo(r, offer, timed)
@@ -101,9 +101,9 @@
 	if timed {
 		e.updateHealth(r, health)
 	}
-	offer.trust = health.weightFactor
+	offer.healthFactor = health.weightFactor
 	if health.ejected {
-		offer.trust = 0
+		offer.healthFactor = 0
 	}
 	r.mailbox.enqueue(&offer)
 }
--- a/planner/membership.go
+++ b/planner/membership.go
@@ -191,7 +191,7 @@
 	switch {
 	case c.Phase != Ready:
 		return unavailableDivergence
-	case r.planner.endpoints[c.Endpoint].restarted && c.warmUp < 1:
+	case r.planner.endpoints[c.Endpoint].restarted && c.warmUpFraction < 1:
 		return restartDivergence
 	}
 	return 0
--- a/planner/region.go
+++ b/planner/region.go
@@ -15,8 +15,8 @@
 	// latencyGain is the weight of the latest latency of a zone in the moving average.
 	latencyGain = 0.125
 
-	// fewAttempts is the least divisor of the failure rate, so that a few failed attempts do not make it high.
-	fewAttempts = 8.0
+	// minAttemptsDivisor is the least divisor of the failure rate, so that a few failed attempts do not make it high.
+	minAttemptsDivisor = 8.0
 )
 
 // region is an actor: it keeps the candidates for a zone's proxies and what these observe, and plans for them.
@@ -29,8 +29,8 @@
 	latency     map[int]float64    // ms, as measured by the zone's proxies, by the zone of the endpoints
 	failureRate float64            // fraction of the attempts of the zone's proxies that fail
 
-	shed       map[int]float64    // fraction of the requests to reject, by group
-	runLengths map[int][2]float64 // tables that an endpoint is in, by group and ring; see subset.go
+	shedFraction map[int]float64    // fraction of the requests to reject, by group
+	arcLengths   map[int][2]float64 // tables that an endpoint is in, by group and ring; see subset.go
 
 	// As of the latest plan.
 	groupWeight []float64 // of the ready endpoints that each group may use
@@ -40,20 +40,20 @@
 // candidate is an endpoint as a region sees it in a round.
 type candidate struct {
 	Entry
-	weight   float64 // listed, corrected by the speed that reports show
-	load     float64
-	penalty  float64
-	warmUp   float64 // fraction of its capacity that it has so soon after its start
-	trust    float64 // fraction of its normal weight that its health allows; 0: ejected
-	attempts float64 // of the zone's proxies, fading
-	failures float64 // of these
+	weight         float64 // listed, corrected by the speed that reports show
+	load           float64
+	penalty        float64
+	warmUpFraction float64 // fraction of its capacity that it has so soon after its start
+	healthFactor   float64 // fraction of its normal weight that its health allows; 0: ejected
+	attempts       float64 // of the zone's proxies, fading
+	failures       float64 // of these
 }
 
 // newRegion returns the region of a zone.
 func newRegion(p *Planner, zone int) *region {
 	r := &region{
 		planner: p, zone: zone, candidates: map[int]*candidate{}, latency: map[int]float64{},
-		shed: map[int]float64{}, runLengths: map[int][2]float64{},
+		shedFraction: map[int]float64{}, arcLengths: map[int][2]float64{},
 	}
 	r.mailbox.receive = r.receive
 	return r
@@ -63,7 +63,7 @@
 func (r *region) receive(message regionMessage) {
 	switch message := message.(type) {
 	case EndpointStats:
-		r.measureLatency(message)
+		r.updateLatency(message)
 	case *candidate:
 		r.candidates[message.Endpoint] = message
 	case roundStart:
@@ -71,8 +71,8 @@
 	}
 }
 
-// measureLatency updates the latency of an endpoint's zone.
-func (r *region) measureLatency(stats EndpointStats) {
+// updateLatency updates the latency of an endpoint's zone.
+func (r *region) updateLatency(stats EndpointStats) {
 	c := r.candidates[stats.Endpoint]
 	if c != nil && stats.MeanMs > 0 {
 		mean := r.latency[c.Zone]
@@ -108,7 +108,7 @@
 		attempts += r.candidates[i].attempts
 		failures += r.candidates[i].failures
 	}
-	r.failureRate = failures / math.Max(fewAttempts, attempts)
+	r.failureRate = failures / math.Max(minAttemptsDivisor, attempts)
 }
 
 // updateGroupWeights sums up the weight of the endpoints that each group may use.
@@ -130,17 +130,17 @@
 	costs := r.priceZones(group, indices)
 	allocations := r.allocations(group, indices, costs)
 	solveShares(allocations, costs.homePart)
-	r.divergence = math.Max(r.divergence, r.planDivergence(group, allocations)+r.shed[group])
-	r.announceShares(group, allocations)
+	r.divergence = math.Max(r.divergence, r.planDivergence(group, allocations)+r.shedFraction[group])
+	r.sendPlannedShares(group, allocations)
 	r.assignSubsets(group, allocations)
 	if timed {
 		r.updateAdmission(group, r.plannedLoad(allocations))
 	}
 }
 
-// announceShares lets the endpoints know their shares of a plan, at the recent demand, so that they can correct load
+// sendPlannedShares lets the endpoints know their shares of a plan, at the recent demand, so that they can correct load
 // reports that were made under other plans.
-func (r *region) announceShares(group int, allocations []allocation) {
+func (r *region) sendPlannedShares(group int, allocations []allocation) {
 	plan := r.planner.planNumber(r.zone, group)
 	surge := r.planner.demand.surge(r.zone)
 	for i := range allocations {
--- a/planner/slowstart.go
+++ b/planner/slowstart.go
@@ -32,7 +32,7 @@
 	manyProxies = 1e9
 )
 
-// warmUp returns the fraction of its capacity that an endpoint has that started at a given time: it rises linearly from
+// warmUpFraction returns the fraction of its capacity that an endpoint has that started at a given time: it rises linearly from
 // the configured start to 1 within the configured time. A start at 0 is long ago.
 func (p *Planner) warmUp(started float64) float64 {
 	if started == 0 {
@@ -63,11 +63,11 @@
 	if a.ring == homeRing {
 		t.homeWeight += a.weight
 	}
-	if a.ring == homeRing && c.warmUp < 1 {
-		t.warmingWeight += a.weight * c.warmUp
+	if a.ring == homeRing && c.warmUpFraction < 1 {
+		t.warmingWeight += a.weight * c.warmUpFraction
 	}
-	if c.warmUp >= 1 {
-		t.warmTrust += c.trust
+	if c.warmUpFraction >= 1 {
+		t.warmTrust += c.healthFactor
 	}
 }
 
@@ -126,7 +126,7 @@
 		a.limit = r.shareLimit(a, c, totals, start)
 		a.weight /= totals.weight
 		a.share = a.weight
-		if c.warmUp < 1 {
+		if c.warmUpFraction < 1 {
 			warming += a.limit
 		} else {
 			settled += a.limit
@@ -138,15 +138,15 @@
 // shareLimit returns the largest share that an endpoint may get. Trust counts only while some endpoint that does not
 // warm up has any: otherwise all are used.
 func (r *region) shareLimit(a *allocation, c *candidate, totals candidateTotals, start slowStart) float64 {
-	part := math.Pow(c.warmUp, start.exponent)
+	part := math.Pow(c.warmUpFraction, start.exponent)
 	if totals.warmTrust > 0 {
-		part *= c.trust
+		part *= c.healthFactor
 	}
 	limited := a.weight > 0 && part < 1
 	switch {
 	case !limited:
 		return a.limit
-	case c.warmUp < 1:
+	case c.warmUpFraction < 1:
 		return part * (start.factor * r.warmUpRoom(a, c, totals))
 	default:
 		return part * (a.weight / totals.weight)
@@ -167,7 +167,7 @@
 func (r *region) widenTrials(allocations []allocation, by float64) {
 	factor := math.Max(1, by)
 	for i := range allocations {
-		if r.candidates[allocations[i].endpoint].warmUp < 1 {
+		if r.candidates[allocations[i].endpoint].warmUpFraction < 1 {
 			continue
 		}
 		allocations[i].limit *= factor
--- a/planner/subset.go
+++ b/planner/subset.go
@@ -82,7 +82,7 @@
 			laid.lines[a.ring]++
 		}
 		laid.sum[a.ring] += laid.used[i]
-		if c.Phase == Ready && c.trust > 0 {
+		if c.Phase == Ready && c.healthFactor > 0 {
 			laid.ready++
 		}
 	}
@@ -124,11 +124,11 @@
 // updateRunLengths updates the lengths of a group's runs, in tables that each line is in. The lines of other zones
 // get the room that the own ones leave.
 func (r *region) updateRunLengths(group int, laid rings) {
-	lengths := r.runLengths[group]
+	lengths := r.arcLengths[group]
 	room := r.maxRunLines(laid.ready)
 	lengths[homeRing] = r.runLength(lengths[homeRing], room, laid.lines[homeRing])
 	lengths[spillRing] = r.runLength(lengths[spillRing], room-laid.lines[homeRing], laid.lines[spillRing])
-	r.runLengths[group] = lengths
+	r.arcLengths[group] = lengths
 }
 
 // runLength returns the length of a run, in tables that each line is in, with room for some of the lines of a ring.
@@ -150,7 +150,7 @@
 	p := r.planner
 	t := p.publisher.tables[p.tableNumber(r.zone*p.subsetsOfZone+subset, group)]
 	subsets := float64(p.subsetsOfZone)
-	lengths := r.runLengths[group]
+	lengths := r.arcLengths[group]
 	places := [2]float64{} // place of the next line on each ring
 	for i := range allocations {
 		a := &allocations[i]
--- a/planner/zonecost.go
+++ b/planner/zonecost.go
@@ -92,7 +92,7 @@
 	if c.Phase != Ready {
 		return minWeightPart
 	}
-	return math.Max(minWeightPart, c.trust*c.warmUp)
+	return math.Max(minWeightPart, c.healthFactor*c.warmUpFraction)
 }
 
 // rankZones sorts zones that have weight: the own one first, then by latency in steps. Zones of the same step follow by
