--- a/planner/settings.go
+++ b/planner/settings.go
@@ -13,23 +13,23 @@
 // Defaults of settings that a deployment may leave out. Three numbers have no single default, because different
 // formulas need different fallbacks: see Optional.
 const (
-	defaultInstances        = 1.0
-	defaultCrossZoneCost    = 0.1
-	defaultWarmUpMs         = 10000.0
-	defaultWarmUpStart      = 0.1
-	defaultOverloadMultiple = 1.0
-	defaultFirstRetryWait   = 1.0
-	defaultHeaderLines      = 4.0
-	defaultBacklogLines     = 1000.0
-	defaultMessageSpanMs    = 10000.0
-	defaultDrainGraceMs     = 2000.0
-	defaultDeliveryMs       = 500.0
-	defaultPriorityWeight   = 1.0
-	defaultResponseTargetMs = 1000.0
-
-	// defaultStandingLines is so small that standing tables count as diverging from any plan: tables are always
+	defaultInstances             = 1.0
+	defaultCrossZoneCost         = 0.1
+	defaultWarmUpMs              = 10000.0
+	defaultWarmUpInitialCapacity = 0.1
+	defaultFailureLoad           = 1.0
+	defaultFirstRetryWait        = 1.0
+	defaultHeaderLines           = 4.0
+	defaultBacklogLines          = 1000.0
+	defaultMessageWindowMs       = 10000.0
+	defaultDrainGraceMs          = 2000.0
+	defaultMaxDeliveryMs         = 500.0
+	defaultPriorityWeight        = 1.0
+	defaultResponseTargetMs      = 1000.0
+
+	// defaultStaticTableLines is so small that standing tables count as diverging from any plan: tables are always
 	// assigned.
-	defaultStandingLines = 1e-9
+	defaultStaticTableLines = 1e-9
 
 	// noMessageLimit is a number of messages to a proxy that is never reached.
 	noMessageLimit = math.MaxFloat64
@@ -45,8 +45,8 @@
 // maxClasses is the number of request classes that fit the bit masks of the commands; further ones are ignored.
 const maxClasses = 31
 
-// indexOfNothing stands in an IndexList for an element that is not an index.
-const indexOfNothing = -1
+// invalidIndex stands in an IndexList for an element that is not an index.
+const invalidIndex = -1
 
 // Settings is all that is configured of the deployment. Times are in milliseconds. A number that is missing, not
 // above zero, infinite or of another type takes the default named beside it.
@@ -165,11 +165,11 @@
 	s.Instances = r.number("instances").Or(defaultInstances)
 	s.Rank = r.number("rank").Or(0)
 	s.ProxyCount = r.number("proxy_count")
-	s.ZoneCount = len(value[[]any](r, "zones", "a list"))
-	s.OneControllerPerZone = value[bool](r, "by_zone", "true or false")
+	s.ZoneCount = len(readValue[[]any](r, "zones", "a list"))
+	s.OneControllerPerZone = readValue[bool](r, "by_zone", "true or false")
 	s.Sliced = r.number("slices") > 0
-	s.StaticTableLines = r.number("standing").Or(defaultStandingLines)
-	s.DiscoveryOnRequest = value[string](r, "discovery", "a string") == discoveryOnRequest
+	s.StaticTableLines = r.number("standing").Or(defaultStaticTableLines)
+	s.DiscoveryOnRequest = readValue[string](r, "discovery", "a string") == discoveryOnRequest
 }
 
 // readEndpoints reads the settings of the endpoints.
@@ -177,14 +177,14 @@
 	s.MinConnectionLimit = r.number("conns_least")
 	s.CrossZoneCost = r.number("cross_zone").Or(defaultCrossZoneCost)
 	s.WarmUpMs = r.number("cold").Or(defaultWarmUpMs)
-	s.WarmUpInitialCapacity = r.number("cold_from").Or(defaultWarmUpStart)
-	s.FailureLoad = r.number("fall_multiple").Or(defaultOverloadMultiple)
-	s.HealthChecks = value[bool](r, "probing", "true or false")
-	for i, element := range value[[]any](r, "fields", "a list") {
+	s.WarmUpInitialCapacity = r.number("cold_from").Or(defaultWarmUpInitialCapacity)
+	s.FailureLoad = r.number("fall_multiple").Or(defaultFailureLoad)
+	s.HealthChecks = readValue[bool](r, "probing", "true or false")
+	for i, element := range readValue[[]any](r, "fields", "a list") {
 		if element == reportFieldUtilization {
 			s.ReportsUtilization = true
 		} else if _, ok := element.(string); !ok {
-			r.complain(fmt.Sprintf("fields[%d]", i), "a string", element)
+			r.addTypeError(fmt.Sprintf("fields[%d]", i), "a string", element)
 		}
 	}
 }
@@ -194,7 +194,7 @@
 	s.ProxiesEject = r.number("ejects_after") > 0
 	s.DefaultRetryMode = int(r.number("retry_default"))
 	s.FirstRetryWait = r.number("first_wait").Or(defaultFirstRetryWait)
-	s.Admission = AdmissionMode(value[string](r, "admission", "a string"))
+	s.Admission = AdmissionMode(readValue[string](r, "admission", "a string"))
 }
 
 // readChannel reads the settings of the channel to the proxies.
@@ -203,25 +203,25 @@
 	s.BacklogLines = r.number("backlog").Or(defaultBacklogLines)
 	s.HeaderLines = r.number("head_lines").Or(defaultHeaderLines)
 	s.MessageLimit = r.number("messages_most").Or(noMessageLimit)
-	s.MessageWindowMs = r.number("messages_over").Or(defaultMessageSpanMs)
-	s.MaxDeliveryMs = r.number("late_most").Or(defaultDeliveryMs)
+	s.MessageWindowMs = r.number("messages_over").Or(defaultMessageWindowMs)
+	s.MaxDeliveryMs = r.number("late_most").Or(defaultMaxDeliveryMs)
 	s.DrainGraceMs = r.number("drain_grace").Or(defaultDrainGraceMs)
 }
 
 // classes reads the request classes. What is no map of settings counts as a class without settings.
 func (r *settingsReader) classes() []RequestClass {
-	list := value[[]any](r, "req_kinds", "a list")
-	ownZone := value[[]any](r, "kind_own_zone", "a list")
+	list := readValue[[]any](r, "req_kinds", "a list")
+	ownZone := readValue[[]any](r, "kind_own_zone", "a list")
 	var classes []RequestClass
 	for i, element := range list[:min(len(list), maxClasses)] {
 		key := fmt.Sprintf("req_kinds[%d]", i)
 		raw, ok := element.(map[string]any)
 		if !ok {
-			r.complain(key, "a map", element)
+			r.addTypeError(key, "a map", element)
 		}
-		of := &settingsReader{raw: raw, prefix: r.prefix + key + "."}
-		class := of.class()
-		r.errs = append(r.errs, of.errs...)
+		classReader := &settingsReader{raw: raw, prefix: r.prefix + key + "."}
+		class := classReader.class()
+		r.errs = append(r.errs, classReader.errs...)
 		if i < len(ownZone) {
 			class.OwnZoneOnly = ownZone[i] == true
 		}
@@ -235,7 +235,7 @@
 	return RequestClass{
 		PriorityWeight:   r.number("payoff").Or(defaultPriorityWeight),
 		ResponseTargetMs: r.number("response_target").Or(defaultResponseTargetMs),
-		Retryable:        value[string](r, "repeats", "a string") == repeatsReplayable,
+		Retryable:        readValue[string](r, "repeats", "a string") == repeatsReplayable,
 		OnlyMachines:     r.indices("only_machines"),
 		OnlyZones:        r.indices("only_zones"),
 	}
@@ -243,7 +243,7 @@
 
 // number reads a number; it is missing where the value is not above zero, infinite or no number.
 func (r *settingsReader) number(key string) Optional {
-	number := value[float64](r, key, "a number")
+	number := readValue[float64](r, key, "a number")
 	if number > 0 && !math.IsInf(number, 0) {
 		return Optional(number)
 	}
@@ -253,12 +253,12 @@
 // indices reads a list of indices. An element that is none names nothing, but the list counts as not empty.
 func (r *settingsReader) indices(key string) IndexList {
 	var list IndexList
-	for i, element := range value[[]any](r, key, "a list") {
+	for i, element := range readValue[[]any](r, key, "a list") {
 		number, ok := element.(float64)
 		index := int(number)
 		if !ok || float64(index) != number || index < 0 {
-			r.complain(fmt.Sprintf("%s[%d]", key, i), "an index", element)
-			index = indexOfNothing
+			r.addTypeError(fmt.Sprintf("%s[%d]", key, i), "an index", element)
+			index = invalidIndex
 		}
 		list = append(list, index)
 	}
@@ -266,20 +266,20 @@
 }
 
 // complain notes a value of the wrong type.
-func (r *settingsReader) complain(key, want string, got any) {
+func (r *settingsReader) addTypeError(key, want string, got any) {
 	r.errs = append(r.errs, &SettingError{Key: r.prefix + key, Want: want, Got: got})
 }
 
 // value reads a value of one type; a missing one and one of another type are the type's zero value.
-func value[T any](r *settingsReader, key, want string) T {
-	var none T
-	raw, set := r.raw[key]
-	if !set || raw == nil {
-		return none
+func readValue[T any](r *settingsReader, key, want string) T {
+	var zero T
+	raw, present := r.raw[key]
+	if !present || raw == nil {
+		return zero
 	}
 	typed, ok := raw.(T)
 	if !ok {
-		r.complain(key, want, raw)
+		r.addTypeError(key, want, raw)
 	}
 	return typed
 }
