--- a/planner/endpoint.go
+++ b/planner/endpoint.go
@@ -86,7 +86,7 @@
 	}
 	offer := candidate{
 		Entry: e.Entry, load: load, penalty: e.penalty, weight: e.effectiveWeight(),
-		warmUpFraction: e.planner.warmUp(e.Started),
+		warmUpFraction: e.planner.warmUpFraction(e.Started),
 	}
 	for _, r := range e.planner.regions {
 		e.offerTo(r, offer, timed)
--- a/planner/slowstart.go
+++ b/planner/slowstart.go
@@ -6,35 +6,35 @@
 import "math"
 
 const (
-	// foreignWarmUpPart is the fraction of its share of the fleet's weight that an endpoint that warms up gets from
+	// foreignWarmUpFraction is the fraction of its share of the fleet's weight that an endpoint that warms up gets from
 	// other zones.
-	foreignWarmUpPart = 0.1
+	foreignWarmUpFraction = 0.1
 
 	// Overloads of the endpoints that warm up, relative to the load at which endpoints fail, if all requests of their
 	// zone turned to them: below safeOverload there is no risk; at fatalOverload they get nothing.
 	safeOverload  = 0.8
 	fatalOverload = 3.0
 
-	// Above safeOverload they also get nothing at a mean load of noWarmUpLoad, and less from warmUpLoadMargin below it.
-	noWarmUpLoad     = 0.85
+	// Above safeOverload they also get nothing at a mean load of maxWarmUpLoad, and less from warmUpLoadMargin below it.
+	maxWarmUpLoad    = 0.85
 	warmUpLoadMargin = 0.2
 
-	// failureRateWeight makes them get nothing, above safeOverload, once a quarter of the attempts fail.
-	failureRateWeight = 4.0
+	// warmUpFailureGain makes them get nothing, above safeOverload, once a quarter of the attempts fail.
+	warmUpFailureGain = 4.0
 
 	// maxWarmUpExponent is the largest exponent of the warm-up fraction in the limit, at full risk.
 	maxWarmUpExponent = 3.0
 
-	// ordinaryProxies is the number of a zone's proxies that do not count in the comparison with the fleet's proxies.
-	ordinaryProxies = 10
+	// uncountedProxies is the number of a zone's proxies that do not count in the comparison with the fleet's proxies.
+	uncountedProxies = 10
 
-	// manyProxies stands in for an unknown number of proxies, so that no zone counts as crowded.
-	manyProxies = 1e9
+	// unknownProxyCount stands in for an unknown number of proxies, so that no zone counts as crowded.
+	unknownProxyCount = 1e9
 )
 
 // warmUpFraction returns the fraction of its capacity that an endpoint has that started at a given time: it rises linearly from
 // the configured start to 1 within the configured time. A start at 0 is long ago.
-func (p *Planner) warmUp(started float64) float64 {
+func (p *Planner) warmUpFraction(started float64) float64 {
 	if started == 0 {
 		return 1
 	}
@@ -54,7 +54,7 @@
 	weight        float64 // of all
 	homeWeight    float64 // in the region's own zone, or of an average zone if that is more
 	warmingWeight float64 // of those in the own zone that warm up, times their warm-up fractions
-	warmTrust     float64 // sum over those that do not warm up
+	settledHealth float64 // sum over those that do not warm up
 }
 
 // add counts an endpoint that may be used.
@@ -67,7 +67,7 @@
 		t.warmingWeight += a.weight * c.warmUpFraction
 	}
 	if c.warmUpFraction >= 1 {
-		t.warmTrust += c.healthFactor
+		t.settledHealth += c.healthFactor
 	}
 }
 
@@ -78,20 +78,20 @@
 	exponent float64 // 1, or up to maxWarmUpExponent at risk
 }
 
-// planSlowStart returns the limits for endpoints that warm up. Load is the mean load of the group's endpoints. Since
+// slowStartLimits returns the limits for endpoints that warm up. Load is the mean load of the group's endpoints. Since
 // failed requests are repeated, the limits shrink with the failure rate and the surge of demand.
-func (r *region) planSlowStart(totals candidateTotals, load float64) slowStart {
+func (r *region) slowStartLimits(totals candidateTotals, load float64) slowStart {
 	p := r.planner
-	repeats := math.Max(1, p.demand.surge(r.zone))
+	surge := math.Max(1, p.demand.surge(r.zone))
 	start := slowStart{exponent: 1}
 	if p.rounds >= settlingRounds {
-		start.factor = (1 - r.failureRate) / repeats
+		start.factor = (1 - r.failureRate) / surge
 	}
-	overload := r.warmUpOverload(totals, load, repeats)
+	overload := r.warmUpOverload(totals, load, surge)
 	if p.settings.ProxiesEject && overload > safeOverload { // proxies that avoid what fails turn to what is left
-		ease := r.warmUpEase(overload, load)
-		start.factor = math.Min(start.factor, ease)
-		start.exponent = maxWarmUpExponent - (maxWarmUpExponent-1)*ease
+		allowance := r.warmUpAllowance(overload, load)
+		start.factor = math.Min(start.factor, allowance)
+		start.exponent = maxWarmUpExponent - (maxWarmUpExponent-1)*allowance
 	}
 	return start
 }
@@ -99,20 +99,20 @@
 // warmUpOverload returns the load of the endpoints that warm up if all requests of their zone turned to them,
 // relative to the load at which endpoints fail. The zone's requests go by its share of the weight, or of the proxies
 // if that is more: a crowded zone that is cut off from the others has only its own endpoints.
-func (r *region) warmUpOverload(totals candidateTotals, load, repeats float64) float64 {
+func (r *region) warmUpOverload(totals candidateTotals, load, surge float64) float64 {
 	settings := &r.planner.settings
 	proxies := r.planner.demand.proxiesByZone[r.zone]
-	crowd := totals.weight * (proxies - ordinaryProxies) / settings.ProxyCount.Or(manyProxies)
-	overload := repeats * load / totals.warmingWeight / settings.FailureLoad
-	return overload * math.Max(totals.homeWeight, crowd)
+	crowdedWeight := totals.weight * (proxies - uncountedProxies) / settings.ProxyCount.Or(unknownProxyCount)
+	overload := surge * load / totals.warmingWeight / settings.FailureLoad
+	return overload * math.Max(totals.homeWeight, crowdedWeight)
 }
 
-// warmUpEase returns how much of the limit stands at risk, from 0 (endpoints that warm up get nothing) to 1, by the
+// warmUpAllowance returns how much of the limit stands at risk, from 0 (endpoints that warm up get nothing) to 1, by the
 // possible overload, the failure rate, and the mean load.
-func (r *region) warmUpEase(overload, load float64) float64 {
+func (r *region) warmUpAllowance(overload, load float64) float64 {
 	byOverload := math.Min(1, fatalOverload-overload)
-	byFailures := 1 - failureRateWeight*r.failureRate
-	byLoad := (noWarmUpLoad - load) / warmUpLoadMargin
+	byFailures := 1 - warmUpFailureGain*r.failureRate
+	byLoad := (maxWarmUpLoad - load) / warmUpLoadMargin
 	return math.Max(0, math.Min(byOverload, math.Min(byFailures, byLoad)))
 }
 
@@ -132,40 +132,40 @@
 			settled += a.limit
 		}
 	}
-	r.widenTrials(allocations, (1-warming)/settled)
+	r.raiseSettledLimits(allocations, (1-warming)/settled)
 }
 
 // shareLimit returns the largest share that an endpoint may get. Trust counts only while some endpoint that does not
 // warm up has any: otherwise all are used.
 func (r *region) shareLimit(a *allocation, c *candidate, totals candidateTotals, start slowStart) float64 {
-	part := math.Pow(c.warmUpFraction, start.exponent)
-	if totals.warmTrust > 0 {
-		part *= c.healthFactor
+	fraction := math.Pow(c.warmUpFraction, start.exponent)
+	if totals.settledHealth > 0 {
+		fraction *= c.healthFactor
 	}
-	limited := a.weight > 0 && part < 1
+	limited := a.weight > 0 && fraction < 1
 	switch {
 	case !limited:
 		return a.limit
 	case c.warmUpFraction < 1:
-		return part * (start.factor * r.warmUpRoom(a, c, totals))
+		return fraction * (start.factor * r.fullCapacityShare(a, c, totals))
 	default:
-		return part * (a.weight / totals.weight)
+		return fraction * (a.weight / totals.weight)
 	}
 }
 
-// warmUpRoom returns the share that an endpoint that warms up could have at full capacity: its part of the zone's
+// fullCapacityShare returns the share that an endpoint that warms up could have at full capacity: its part of the zone's
 // weight for requests of its own zone, and a small part of the fleet's for those of others.
-func (r *region) warmUpRoom(a *allocation, c *candidate, totals candidateTotals) float64 {
+func (r *region) fullCapacityShare(a *allocation, c *candidate, totals candidateTotals) float64 {
 	if c.Zone == r.zone {
 		return a.weight / totals.homeWeight
 	}
-	return foreignWarmUpPart * a.weight / totals.weight
+	return foreignWarmUpFraction * a.weight / totals.weight
 }
 
-// widenTrials raises the limits of all that do not warm up if the limits leave some requests unassigned: a failing
+// raiseSettledLimits raises the limits of all that do not warm up if the limits leave some requests unassigned: a failing
 // trial does less harm than an overloaded endpoint that warms up.
-func (r *region) widenTrials(allocations []allocation, by float64) {
-	factor := math.Max(1, by)
+func (r *region) raiseSettledLimits(allocations []allocation, ratio float64) {
+	factor := math.Max(1, ratio)
 	for i := range allocations {
 		if r.candidates[allocations[i].endpoint].warmUpFraction < 1 {
 			continue
--- a/planner/solver.go
+++ b/planner/solver.go
@@ -54,7 +54,7 @@
 	meanZone := totals.weight / float64(len(r.planner.regions))
 	// The last endpoint of a zone cannot serve all its requests.
 	totals.homeWeight = math.Max(totals.homeWeight, meanZone)
-	r.limitShares(allocations, totals, r.planSlowStart(totals, costs.load))
+	r.limitShares(allocations, totals, r.slowStartLimits(totals, costs.load))
 	return allocations
 }
 
