--- a/planner/solver.go
+++ b/planner/solver.go
@@ -14,7 +14,7 @@
 
 	gradientSteps   = 24
 	projectionSteps = 12  // enough to spread the rest: each step reaches a limit or is exact
-	minHomePart     = 0.1 // least fraction of the home zone, to bound the length of a step
+	minHomeFraction = 0.1 // least fraction of the home zone, to bound the length of a step
 )
 
 // The rings on which shares are laid out for subsets (subset.go): of the region's own endpoints, and of others.
@@ -60,7 +60,7 @@
 
 // solveShares moves shares down the gradient of the cost. Each moves in proportion to its weight, so that endpoints
 // of the same cost keep their ratio.
-func solveShares(allocations []allocation, homePart float64) {
+func solveShares(allocations []allocation, homeFraction float64) {
 	projectShares(allocations)
 	for range gradientSteps {
 		mean := 0.0
@@ -69,7 +69,7 @@
 		}
 		for i := range allocations {
 			a := &allocations[i]
-			a.share -= gradientLength / max(homePart, minHomePart) / gradientSteps * a.weight * (a.cost - mean)
+			a.share -= gradientLength / max(homeFraction, minHomeFraction) / gradientSteps * a.weight * (a.cost - mean)
 		}
 		projectShares(allocations)
 	}
@@ -79,36 +79,36 @@
 // can still move; if none can, all are scaled, beyond their limits.
 func projectShares(allocations []allocation) {
 	for range projectionSteps {
-		rest := clampShares(allocations)
-		movable := movableWeight(allocations, rest)
+		residual := clampShares(allocations)
+		movable := movableWeight(allocations, residual)
 		for i := range allocations {
 			a := &allocations[i]
 			if movable == 0 {
-				a.share /= max(1-rest, 1e-9)
+				a.share /= max(1-residual, 1e-9)
 			} else {
-				a.share += rest * a.weight / max(movable, 1e-9)
+				a.share += residual * a.weight / max(movable, 1e-9)
 			}
 		}
 	}
 }
 
 // clampShares clamps each share to between 0 and its limit, and returns the difference between 1 and their sum.
-func clampShares(allocations []allocation) (rest float64) {
-	rest = 1
+func clampShares(allocations []allocation) (residual float64) {
+	residual = 1
 	for i := range allocations {
 		a := &allocations[i]
 		a.share = max(0, min(a.limit, a.share))
-		rest -= a.share
+		residual -= a.share
 	}
-	return rest
+	return residual
 }
 
 // movableWeight returns the weight of the shares that can move in the direction of the rest.
-func movableWeight(allocations []allocation, rest float64) float64 {
+func movableWeight(allocations []allocation, residual float64) float64 {
 	movable := 0.0
 	for i := range allocations {
 		a := &allocations[i]
-		if rest > 0 && a.share < a.limit || rest < 0 && a.share > 0 {
+		if residual > 0 && a.share < a.limit || residual < 0 && a.share > 0 {
 			movable += a.weight
 		}
 	}
--- a/planner/zonecost.go
+++ b/planner/zonecost.go
@@ -111,7 +111,7 @@
 	return zones
 }
 
-// homePart returns the fraction of all weight in the first of the ranked zones.
+// homeFraction returns the fraction of all weight in the first of the ranked zones.
 func homePart(zones []int, totals zoneTotals) float64 {
 	if len(zones) == 0 {
 		return 1
