--- a/planner/subset_test.go
+++ b/planner/subset_test.go
@@ -138,17 +138,17 @@
 // TestRunOverlap holds the overlap of lines with a run, which may wrap around.
 func TestRunOverlap(t *testing.T) {
 	for name, c := range map[string]struct {
-		run         run
+		run         arc
 		place, mass float64
 		want        float64
 	}{
-		"inside":             {run{0.25, 0.5}, 0.3, 0.2, 0.2},
-		"across its end":     {run{0.25, 0.5}, 0.7, 0.2, 0.05},
-		"outside":            {run{0.25, 0.5}, 0.8, 0.1, 0},
-		"wrapped":            {run{0.75, 0.5}, 0.1, 0.1, 0.1},
-		"across a wrapped":   {run{0.75, 0.5}, 0.2, 0.2, 0.05},
-		"a whole ring":       {run{0.5, 1}, 0, 0.25, 0.25},
-		"beside a short run": {run{0, 0.125}, 0.125, 0.125, 0},
+		"inside":             {arc{0.25, 0.5}, 0.3, 0.2, 0.2},
+		"across its end":     {arc{0.25, 0.5}, 0.7, 0.2, 0.05},
+		"outside":            {arc{0.25, 0.5}, 0.8, 0.1, 0},
+		"wrapped":            {arc{0.75, 0.5}, 0.1, 0.1, 0.1},
+		"across a wrapped":   {arc{0.75, 0.5}, 0.2, 0.2, 0.05},
+		"a whole ring":       {arc{0.5, 1}, 0, 0.25, 0.25},
+		"beside a short run": {arc{0, 0.125}, 0.125, 0.125, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			assert.InDelta(t, c.want, c.run.overlap(c.place, c.mass), 1e-9)
