--- a/planner/region.go
+++ b/planner/region.go
@@ -127,9 +127,9 @@
 // planGroup solves for the shares of a class group and passes them on to the endpoints, and to the publisher as lines
 // of tables.
 func (r *region) planGroup(group int, indices []int, timed bool) {
-	costs := r.priceZones(group, indices)
+	costs := r.computeZoneCosts(group, indices)
 	allocations := r.allocations(group, indices, costs)
-	solveShares(allocations, costs.homePart)
+	solveShares(allocations, costs.homeFraction)
 	r.divergence = math.Max(r.divergence, r.planDivergence(group, allocations)+r.shedFraction[group])
 	r.sendPlannedShares(group, allocations)
 	r.assignSubsets(group, allocations)
--- a/planner/solver.go
+++ b/planner/solver.go
@@ -45,7 +45,7 @@
 		}
 		if c.Phase == Ready && r.planner.groups[group].mayUse(r.zone, c) {
 			a.weight = r.remainingWeight(group, c)
-			a.cost = costs.byZone[c.Zone] + ownPenaltyPart*c.penalty
+			a.cost = costs.byZone[c.Zone] + ownPenaltyWeight*c.penalty
 			a.limit = 1
 			totals.add(&a, c)
 		}
