--- a/planner/admission.go
+++ b/planner/admission.go
@@ -1,12 +1,12 @@
 package planner
 
-// This file sheds load by priority and sets the retry policy: how much of each class a group's tables admit, and
-// which classes proxies retry.
+// This file implements load shedding and the retry policy: which fraction of each request class the proxies of a zone
+// admit, and which classes they retry.
 //
-// A retry is a second attempt of a proxy at the same request. Retries after any failure are commanded only for
-// classes that may be repeated even if the first attempt has run (RequestClass.Retryable), and only while most of
-// them would bring an answer in time and the endpoints have room for them (retriesHelp). Otherwise the deployment's
-// default applies. The proxies limit the number of attempts.
+// A retry is a second attempt of a proxy at the same request. The planner enables retries after any failure only for
+// classes whose requests may be executed twice (RequestClass.Retryable), and only while most retries would be answered
+// in time and the endpoints have capacity for them (retriesHelp). Otherwise the deployment's default retry mode
+// applies. The proxies limit the number of attempts.
 
 import (
 	"cmp"
@@ -16,52 +16,58 @@
 )
 
 const (
-	// overloadThreshold is the mean load above which a group's endpoints count as overloaded; shedding stops below
-	// overloadThreshold-overloadHysteresis.
+	// overloadThreshold is the mean load above which the endpoints of a class group count as overloaded, as a fraction
+	// of their capacity. The shed fraction decreases once the load is below overloadThreshold-overloadHysteresis.
 	overloadThreshold  = 0.9
 	overloadHysteresis = 0.05
 
-	// minOverloadFailureRate is the failure rate above which the target load already counts as overload.
+	// minOverloadFailureRate is the fraction of failed attempts above which any load above the target load counts as
+	// overload.
 	minOverloadFailureRate = 0.2
 
-	maxShedFraction    = 0.9   // of a group's requests
-	shedStep           = 0.06  // fraction of the admitted requests that a round of overload sheds
-	shedFailureDivisor = 8.0   // divisor of the failure rate that is added to the step
-	shedDecay          = 0.92  // factor of the shed fraction in a round without overload
-	shedDecayStep      = 0.005 // further decrease, so that shedding ends
+	maxShedFraction    = 0.9   // upper bound of the fraction of a group's requests that is rejected
+	shedStep           = 0.06  // fraction of the admitted requests that a round of overload additionally rejects
+	shedFailureDivisor = 8.0   // the failure rate divided by this is added to shedStep
+	shedDecay          = 0.92  // factor applied to the shed fraction in each round without overload
+	shedDecayStep      = 0.005 // subtracted from the shed fraction as well, so that it reaches 0
 
-	// minAdmittedFraction is the fraction of each class that is admitted at any load.
+	// minAdmittedFraction is the fraction of each class's requests that is admitted at any load.
 	minAdmittedFraction = 0.1
 
-	// shareSteps is the number of steps of an admitted share: fewer steps need fewer messages.
+	// shareSteps is the number of steps between 0 and 1 that an admitted share is rounded to. Fewer steps cause fewer
+	// messages to the proxies.
 	shareSteps = 20.0
 
-	// rateStepsPerOctave is the number of steps in which an admitted rate doubles.
+	// rateStepsPerOctave is the number of logarithmic steps between a rate limit and twice that limit. Rate limits are
+	// rounded to these steps.
 	rateStepsPerOctave = 4.0
 
-	// unlimitedRate is a rate of a proxy, in requests a second, that admits all.
+	// unlimitedRate is a rate limit, in requests per second, that no proxy reaches: all requests are admitted.
 	unlimitedRate = 1e6
 )
 
-// Retry policies of a table.
+// Retry modes and the conditions for retries.
 const (
-	// retryModeAnyFailure has a proxy retry after any failure, even if the attempt may have run.
+	// retryModeAnyFailure is the retry mode in which a proxy retries after any failure, even if the endpoint may have
+	// executed the failed attempt.
 	retryModeAnyFailure = 2
 
-	// Retries are commanded while the failure rate lies between these. Below the first there is no need; above the
-	// second an answer would take more than two attempts on average.
+	// Retries after any failure are enabled only while the failure rate is between these bounds. Below the lower bound
+	// they are not needed; above the upper bound an answer would take more than two attempts on average.
 	minRetryFailureRate = 0.02
 	maxRetryFailureRate = 0.5
 
-	// maxRetryLoad is the largest load, including the retries, at which there is room for them.
+	// maxRetryLoad is the load below which endpoints have capacity for retries, as a fraction of their capacity. The
+	// load includes the expected retries.
 	maxRetryLoad = 0.7
 
-	// maxRetryWait is the longest wait before a retry, in response targets, that leaves time for an answer.
+	// maxRetryWait is the longest wait before a first retry, as a multiple of the class's response target, with which
+	// retries are still useful.
 	maxRetryWait = 1.0
 )
 
-// shedSequence returns the classes in the order in which their requests are rejected: lowest priority weight per work
-// first. The work of a request is estimated by its response target.
+// shedSequence returns the indices of the classes in the order in which their requests are rejected: lowest priority
+// weight per unit of work first. The work of a request is estimated by its response target.
 func shedSequence(classes []RequestClass) []int {
 	weightPerWork := func(class int) float64 { return classes[class].PriorityWeight / classes[class].ResponseTargetMs }
 	order := make([]int, len(classes))
@@ -72,13 +78,14 @@
 	return order
 }
 
-// updateAdmission gives the publisher the admission levels and retry policies that a group's tables should have.
+// updateAdmission computes the admission levels and retry modes of a class group's tables and passes them to the
+// publisher. Load is the mean load of the group's endpoints.
 func (r *region) updateAdmission(group int, load float64) {
 	r.updateShedFraction(group, load)
 	p := r.planner
 	mask := p.groups[group].mask
 	retriesHelp := r.retriesHelp(load)
-	remaining := r.shedFraction[group] * float64(bits.OnesCount(uint(mask))) // in whole classes
+	remaining := r.shedFraction[group] * float64(bits.OnesCount(uint(mask))) // in units of all requests of one class
 	requests := p.totalRequests()
 	for _, class := range p.shedSequence {
 		if !p.groups[group].contains(class) {
@@ -93,7 +100,8 @@
 	}
 }
 
-// enqueueAdmission gives the publisher the admission of one class, for the tables of all the zone's subsets.
+// enqueueAdmission passes the admission level of one class to the publisher, for the tables of all proxy subsets of
+// the zone. It sets the table number of the command.
 func (r *region) enqueueAdmission(group int, command SetAdmission) {
 	p := r.planner
 	for subset := range p.subsetsOfZone {
@@ -102,8 +110,8 @@
 	}
 }
 
-// updateShedFraction updates the fraction of a group's requests to reject: it grows while the group's endpoints are
-// overloaded as a whole, and shrinks afterwards.
+// updateShedFraction updates the fraction of a group's requests to reject. It grows while the mean load of the group's
+// endpoints shows overload, and shrinks afterwards.
 func (r *region) updateShedFraction(group int, load float64) {
 	before := r.shedFraction[group]
 	overloaded := load > overloadThreshold || load > r.planner.targetLoad && r.failureRate > minOverloadFailureRate
@@ -118,7 +126,7 @@
 	}
 }
 
-// retriesHelp returns whether second attempts would mostly bring an answer in time.
+// retriesHelp returns whether most retries would be answered in time at the given mean load of the endpoints.
 func (r *region) retriesHelp(load float64) bool {
 	inTime := r.planner.settings.FirstRetryWait <= maxRetryWait
 	someFail := r.failureRate > minRetryFailureRate && r.failureRate < maxRetryFailureRate
@@ -126,7 +134,8 @@
 	return inTime && someFail && hasCapacity
 }
 
-// retryPolicy returns the retry policy of a class.
+// retryPolicy returns the retry mode of a class: retryModeAnyFailure if retries help and the class allows them,
+// otherwise the deployment's default.
 func (p *Planner) retryPolicy(class int, retriesHelp bool) int {
 	if retriesHelp && p.classes[class].Retryable {
 		return retryModeAnyFailure
@@ -134,7 +143,8 @@
 	return p.settings.DefaultRetryMode
 }
 
-// rejectedFraction returns the fraction of the next class to reject, given what is left to shed, in whole classes.
+// rejectedFraction returns the fraction of a class's requests to reject. Remaining is the amount that is still to be
+// shed, where 1 stands for all requests of one class. If the deployment supports no admission control, it returns 0.
 func (p *Planner) rejectedFraction(remaining float64) float64 {
 	switch p.settings.Admission {
 	case AdmitByShare, AdmitByRate:
@@ -143,7 +153,7 @@
 	return 0
 }
 
-// totalRequests returns how many requests of all classes came recently.
+// totalRequests returns the recent number of requests of all classes. It is always above zero.
 func (p *Planner) totalRequests() float64 {
 	sum := 1e-9
 	for class := range p.classes {
@@ -152,9 +162,10 @@
 	return sum
 }
 
-// admissionLevel returns the level that rejects a fraction of a class: the admitted share or, where proxies take
-// rates, the rate limit of each proxy that rejects as much. Proxies' rates are assumed to be distributed
-// exponentially: with a mean rate m, a limit of -m*ln(c) rejects the fraction c of the requests.
+// admissionLevel returns the admission level that rejects a fraction of a class's requests: the admitted share (0 to
+// 1) or, if the deployment limits rates, a limit for each proxy in requests per second. The request rates of proxies
+// are assumed to be exponentially distributed: with a mean rate m, a limit of -m*ln(c) rejects the fraction c of the
+// requests. Requests is the recent number of requests of all classes.
 func (r *region) admissionLevel(class int, rejected, requests float64) float64 {
 	p := r.planner
 	if p.settings.Admission != AdmitByRate {
