--- a/planner/classgroup.go
+++ b/planner/classgroup.go
@@ -1,6 +1,7 @@
 package planner
 
-// This file groups request classes that the same endpoints may serve: each group has a plan and tables of its own.
+// This file groups request classes that may be served by the same endpoints. Each group has its own plan and routing
+// tables.
 
 import (
 	"math"
@@ -8,22 +9,24 @@
 )
 
 const (
-	// scarcerWeightRatio is the fraction of a group's endpoint weight below which another group counts as more restricted.
+	// scarcerWeightRatio is the ratio of two groups' endpoint weights below which the group with the lower weight
+	// counts as more restricted.
 	scarcerWeightRatio = 0.99
 
-	// minRemainingFraction is the least fraction of an endpoint's weight that more restricted groups leave to the others.
+	// minRemainingFraction is the lower bound of the fraction of an endpoint's weight that remains for a group after
+	// the demand of more restricted groups is subtracted.
 	minRemainingFraction = 0.05
 )
 
-// classGroup is a set of request classes that the same endpoints may serve.
+// classGroup is a set of request classes that may be served by the same endpoints.
 type classGroup struct {
-	mask         int // a bit for each class
+	mask         int // bit i is set if class i is in the group
 	ownZoneOnly  bool
 	onlyMachines IndexList
 	onlyZones    IndexList
 }
 
-// groupClasses groups classes. Groups are ordered by their first class.
+// groupClasses groups the classes by the endpoints that may serve them. Groups are ordered by their first class.
 func groupClasses(classes []RequestClass) []classGroup {
 	var groups []classGroup
 	for i, class := range classes {
@@ -40,21 +43,22 @@
 	return groups
 }
 
-// matches returns whether a class may be served by exactly the group's endpoints.
+// matches returns whether a class has the same endpoint restrictions as the group.
 func (g *classGroup) matches(class RequestClass) bool {
 	return g.ownZoneOnly == class.OwnZoneOnly && slices.Equal(g.onlyMachines, class.OnlyMachines) &&
 		slices.Equal(g.onlyZones, class.OnlyZones)
 }
 
-// has returns whether a class is in the group.
+// contains returns whether the class with this index is in the group.
 func (g *classGroup) contains(class int) bool { return g.mask&(1<<class) != 0 }
 
-// mayUse returns whether an endpoint may serve the group's requests that come to a zone's proxies.
+// mayUse returns whether an endpoint may serve requests of the group that arrive at the proxies of a zone.
 func (g *classGroup) mayUse(zone int, c *candidate) bool {
 	return (!g.ownZoneOnly || c.Zone == zone) && g.onlyMachines.Allows(c.Machine) && g.onlyZones.Allows(c.Zone)
 }
 
-// workFraction returns a group's fraction of all work. The work of a request is estimated by its class's response target.
+// workFraction returns a group's fraction of the recent work of all groups. The work of a request is estimated by the
+// response target of its class.
 func (p *Planner) workFraction(group int) float64 {
 	own := 0.0
 	all := 1e-9
@@ -68,7 +72,8 @@
 	return own / all
 }
 
-// remainingWeight returns the weight that an endpoint has left for a group after more restricted groups have taken theirs.
+// remainingWeight returns the weight of an endpoint that remains for a group after the expected work of more
+// restricted groups is subtracted.
 func (r *region) remainingWeight(group int, c *candidate) float64 {
 	remaining := 1.0
 	for other := range r.planner.groups {
