--- a/planner/demand.go
+++ b/planner/demand.go
@@ -1,6 +1,6 @@
 package planner
 
-// This file tracks how many requests come to the joined proxies, by zone and by request class.
+// This file tracks how many requests arrive at the joined proxies, by zone and by request class.
 
 import (
 	"maps"
@@ -9,31 +9,33 @@
 )
 
 const (
-	// demandDecay is the factor by which older counts fade with each report of a proxy's requests.
+	// demandDecay is the factor by which earlier counts are reduced with each RequestStats event.
 	demandDecay = 0.97
 
-	// priorRequests is the weight, in requests, of the prior assumption that a zone's demand is ordinary and that all
-	// classes are in equal demand.
+	// priorRequests is the weight, in requests, of the prior assumption that a zone's demand equals its baseline and
+	// that all classes have equal demand.
 	priorRequests = 20.0
 )
 
-// demand is what is known of the requests that come to the joined proxies.
+// demand holds estimates of the requests that arrive at the joined proxies. Counts decay exponentially, so that recent
+// requests have the most weight.
 type demand struct {
-	observed map[int]float64 // requests by the proxies' zone, fading
-	baseline map[int]float64 // requests that these proxies ordinarily receive in the same time, fading
-	byClass  map[int]float64 // requests by class, fading
+	observed map[int]float64 // requests that arrived, by the proxies' zone
+	baseline map[int]float64 // requests that these proxies ordinarily receive in the same time, by zone
+	byClass  map[int]float64 // requests that arrived, by class index
 
-	// As of the latest round.
-	rates         map[int]float64 // requests a second, by the proxies' zone
-	total         float64         // requests a second
-	proxiesByZone map[int]float64
+	// The following fields are computed once per control round.
+	rates         map[int]float64 // requests per second, by the proxies' zone
+	total         float64         // requests per second, all zones
+	proxiesByZone map[int]float64 // number of joined proxies
 
-	// concentration is the Herfindahl index of the demand over the proxies of all controllers: the inverse of the
-	// number of proxies with equal rates that would spread requests as evenly.
+	// concentration is the Herfindahl index of the demand over the proxies of all controllers: the sum of the squared
+	// fractions of the demand, estimated from the joined proxies. It is 1/n for n proxies with equal rates, and higher
+	// for uneven rates.
 	concentration float64
 }
 
-// newDemand returns an empty demand.
+// newDemand returns the estimates before any request has been reported.
 func newDemand() demand {
 	return demand{
 		observed: map[int]float64{}, baseline: map[int]float64{}, byClass: map[int]float64{},
@@ -41,8 +43,8 @@
 	}
 }
 
-// observe counts the requests of a class that came to a joined proxy. The proxy's ordinary rate covers all classes;
-// each class is taken for an equal part of it.
+// observe counts the requests of one class that arrived at a joined proxy. The proxy's ordinary rate covers all
+// classes, whose number is given by classes, and is divided equally among them.
 func (d *demand) observe(stats RequestStats, proxy ProxyJoined, classes int) {
 	requests := float64(stats.Requests)
 	d.observed[proxy.Zone] = demandDecay*d.observed[proxy.Zone] + requests
@@ -50,21 +52,22 @@
 	d.baseline[proxy.Zone] = demandDecay*d.baseline[proxy.Zone] + proxy.Rate*stats.SpanMs/1000/float64(classes)
 }
 
-// surge returns the recent demand of a zone as a multiple of its ordinary demand.
+// surge returns the recent demand of a zone as a multiple of its baseline demand; 1 if nothing has been reported.
 func (d *demand) surge(zone int) float64 {
 	return (d.observed[zone] + priorRequests) / (d.baseline[zone] + priorRequests)
 }
 
-// classRequests returns how many requests of a class came recently, shrunk towards equal demand of all classes.
+// classRequests returns the recent number of requests of a class. The prior in it makes the classes' demand appear
+// equal while few requests have been reported.
 func (d *demand) classRequests(class int) float64 { return d.byClass[class] + priorRequests }
 
-// ratePerProxy returns the mean requests a second of a zone's proxies.
+// ratePerProxy returns the mean request rate of a zone's proxies, in requests per second.
 func (d *demand) ratePerProxy(zone int) float64 {
 	return d.rates[zone] / math.Max(1, d.proxiesByZone[zone])
 }
 
-// update forecasts the demand by zone: the joined proxies' ordinary rates, corrected by each zone's surge. The fleet
-// is the number of proxies of all controllers.
+// update forecasts the demand of each zone: the sum of the ordinary rates of its joined proxies, multiplied by the
+// zone's surge. The number of proxies of all controllers together is given by fleetProxies.
 func (d *demand) update(proxies map[int]ProxyJoined, fleetProxies float64) {
 	clear(d.proxiesByZone)
 	clear(d.rates)
