--- a/planner/endpoint.go
+++ b/planner/endpoint.go
@@ -4,22 +4,22 @@
 
 import "math"
 
-// endpoint is an actor: it keeps what is known of one endpoint, and offers it to the regions in each round. Load and
-// health belong to one incarnation of the process and are reset when the endpoint restarts.
+// endpoint is an actor that holds the state of one endpoint and sends it to the regions as a candidate in each control
+// round. Load and health are reset when the endpoint's process restarts.
 type endpoint struct {
-	Entry   // as last listed
+	Entry   // latest entry of the endpoint list
 	mailbox mailbox[endpointMessage]
 	planner *Planner
 
-	listed    bool
-	restarted bool // it has restarted since it was first listed
+	listed    bool // it has been in the endpoint list at least once
+	restarted bool // its process has restarted since it was first listed
 	load      loadEstimate
-	penalty   float64             // lambda in the paper
+	penalty   float64             // lambda in the ACCO paper
 	health    map[int]*zoneHealth // by the zone of the observing proxies
 	plans     planHistory
 }
 
-// newEndpoint returns an endpoint that has not been listed yet.
+// newEndpoint returns the state of an endpoint that has not been listed yet.
 func newEndpoint(p *Planner, index int) *endpoint {
 	e := &endpoint{
 		Entry: Entry{Endpoint: index}, planner: p, load: newLoadEstimate(), plans: newPlanHistory(),
@@ -46,7 +46,8 @@
 	}
 }
 
-// updateEntry applies an entry of the endpoint list. If the endpoint has restarted, it forgets the former incarnation.
+// updateEntry applies an entry of the endpoint list. If the endpoint's process has restarted, the load, health and
+// penalty of the previous process are discarded.
 func (e *endpoint) updateEntry(entry Entry) {
 	if e.listed && entry.Started != e.Started {
 		e.health = map[int]*zoneHealth{}
@@ -62,7 +63,7 @@
 	e.listed = true
 }
 
-// applyReport applies a load report.
+// applyReport updates the speed and load estimates from a load report. An empty report changes nothing.
 func (e *endpoint) applyReport(report Load) {
 	e.recordSpeed(report)
 	if load, known := e.load.fromReport(report); known {
@@ -70,13 +71,14 @@
 	}
 }
 
-// controlRound updates the endpoint and offers it to each region as a candidate.
+// controlRound updates the endpoint and sends it to each region as a candidate. Only timed rounds change the penalty
+// and health. It does nothing until the endpoint has been listed.
 func (e *endpoint) controlRound(timed bool) {
 	if !e.listed {
 		return
 	}
 	fresh := e.load.isFresh(e.planner.now)
-	load := e.planner.load.mean // an endpoint without recent reports counts as average
+	load := e.planner.load.mean // assumed for an endpoint without recent load reports
 	if fresh {
 		load = e.load.value
 	}
@@ -93,7 +95,7 @@
 	}
 }
 
-// offerTo offers the endpoint to a region, with its health as the region's own proxies see it.
+// offerTo sends the endpoint to a region as a candidate, with its health as observed by the region's own proxies.
 func (e *endpoint) offerTo(r *region, offer candidate, timed bool) {
 	health := e.healthIn(r.zone)
 	offer.attempts = health.attempts
@@ -108,8 +110,9 @@
 	r.mailbox.enqueue(&offer)
 }
 
-// checkHealth commands a health check, if the deployment allows for them. Controllers take turns once the endpoint's
-// speed is known well enough.
+// checkHealth commands a health check of a ready endpoint, if the deployment allows health checks. Once enough reports
+// of the endpoint's speed have been received, it does so only in every n-th round, where n is the number of
+// controllers, so that they share the checks.
 func (e *endpoint) checkHealth() {
 	if !e.planner.settings.HealthChecks || e.Phase != Ready {
 		return
@@ -123,8 +126,8 @@
 	}
 }
 
-// effectiveWeight returns the listed weight, corrected by the endpoint's speed relative to the fleet's mean. The
-// correction is bounded, and small while there are few reports.
+// effectiveWeight returns the listed weight (1 if none is listed), multiplied by the endpoint's speed relative to the
+// fleet's mean. The correction is bounded, and close to 1 while there are few reports.
 func (e *endpoint) effectiveWeight() float64 {
 	weight := 1.0
 	if e.Weight > 0 {
