--- a/planner/load.go
+++ b/planner/load.go
@@ -1,54 +1,56 @@
 package planner
 
-// This file estimates an endpoint's load from its load reports. Where no utilization is reported, the load follows from
-// the queue or, by Little's law, from the requests in flight. Reports also show how fast an endpoint is.
+// This file estimates the load of endpoints from their load reports. If a report contains no utilization, the load is
+// estimated from the queue length or, by Little's law, from the requests in flight. The reports also show the speed of
+// an endpoint.
 
 import "math"
 
-// Names of values in a load report; that of the utilization is in settings.go.
+// Names of the values in a load report. The name of the utilization is reportFieldUtilization.
 const (
-	reportFieldRate     = "rate"    // requests a second that were served
-	reportFieldQueue    = "waiting" // requests that wait
-	reportFieldInFlight = "in_hand" // requests that wait or are being processed
+	reportFieldRate     = "rate"    // requests served per second
+	reportFieldQueue    = "waiting" // requests in the queue
+	reportFieldInFlight = "in_hand" // requests in the queue or being processed
 )
 
 const (
-	// latestReportGain is the weight of the latest report against the mean of those before.
+	// latestReportGain is the weight of the latest load in the moving average of reported loads.
 	latestReportGain = 0.7
 
-	// queueLengthPerLoad is the queue length, in requests, that adds 1 to the load.
+	// queueLengthPerLoad is the queue length, in requests, that adds 1 to the estimated load.
 	queueLengthPerLoad = 10.0
 
-	// residenceGain is the weight of the latest residence time against the mean of those before.
+	// residenceGain is the weight of the latest residence time in the moving average.
 	residenceGain = 0.25
 
-	// intervalGain is the weight of the latest time between two reports against the mean of those before.
+	// intervalGain is the weight of the latest time between two reports in the moving average.
 	intervalGain = 0.25
 
-	// unknownLoad is the load of an endpoint without a report.
+	// unknownLoad stands for the load of an endpoint that has not reported any.
 	unknownLoad = -1.0
 )
 
-// The speed of an endpoint: requests a second at full load for each unit of its listed weight.
+// Constants of the speed estimate. The speed of an endpoint is the number of requests per second that it serves at full
+// load, divided by its listed weight.
 const (
-	minLoadForSpeed    = 0.15 // below this load, the ratio of rate and load is too noisy
-	minWeightForSpeed  = 1e-3 // lower bound of the listed weight in the ratio
-	minSpeedCorrection = 0.4  // bounds of the factor on the listed weight
+	minLoadForSpeed    = 0.15 // the ratio of rate to load is too noisy below this load
+	minWeightForSpeed  = 1e-3 // lower bound of the listed weight as a divisor
+	minSpeedCorrection = 0.4  // bounds of the factor applied to the listed weight
 	maxSpeedCorrection = 2.5
 	priorSpeedReports  = 2.0 // weight, in reports, of the prior assumption that the listed weight is right
-	minSpeedReports    = 8   // reports after which controllers take turns with health checks
-	maxSpeedReports    = 24  // reports in an endpoint's histogram before its counts are halved
+	minSpeedReports    = 8   // count of reports from which the controllers share the health checks
+	maxSpeedReports    = 24  // count of reports in an endpoint's histogram at which its counts are halved
 )
 
-// loadEstimate is an endpoint's load as estimated from its reports.
+// loadEstimate is the load of an endpoint, estimated from its load reports.
 type loadEstimate struct {
-	value     float64 // fraction of the capacity in use, mean of recent reports; unknownLoad before the first
-	updatedAt float64 // ms, arrival of the latest report
-	interval  float64 // mean ms between recent reports
+	value     float64 // moving average of the used fraction of the capacity; unknownLoad before the first report
+	updatedAt float64 // ms, when the latest report arrived
+	interval  float64 // ms, moving average of the time between reports
 
-	// Time that a request spends at the endpoint, in seconds; 0: unknown.
-	residenceTime    float64 // mean of recent reports
-	minResidenceTime float64 // lowest mean so far, taken for that of an idle endpoint
+	// Time that a request spends at the endpoint, queued or being processed, in seconds; 0 if unknown.
+	residenceTime    float64 // moving average
+	minResidenceTime float64 // lowest average so far, assumed for an idle endpoint
 
 	speeds histogram
 }
@@ -60,7 +62,8 @@
 	return estimate
 }
 
-// reset forgets the load of a former incarnation. Speed, best residence time and report interval are kept.
+// reset discards the load of an endpoint whose process has restarted. Speed, lowest residence time and report interval
+// are kept.
 func (l *loadEstimate) reset() {
 	l.value = unknownLoad
 	l.updatedAt = -staleMs
@@ -70,11 +73,11 @@
 // age returns the time since the latest report, in ms.
 func (l *loadEstimate) age(now float64) float64 { return now - l.updatedAt }
 
-// isFresh returns whether the estimate is recent enough to stand for the present load.
+// isFresh returns whether the load is known and recent enough to be used as the present load.
 func (l *loadEstimate) isFresh(now float64) bool { return l.age(now) < staleMs && l.value >= 0 }
 
-// fromReport returns the load that a report shows, if any: the utilization, or what follows from a queue or from the
-// requests in flight.
+// fromReport returns the load that a report shows: the utilization or, if it is missing, an estimate from the queue
+// length or from the requests in flight. Known is false if the report contains none of these.
 func (l *loadEstimate) fromReport(report Load) (load float64, known bool) {
 	if utilization, has := report[reportFieldUtilization]; has {
 		return utilization, true
@@ -90,15 +93,16 @@
 	return 0, false
 }
 
-// loadFromQueue returns the load rho at which a single server has a mean queue of that length (M/M/1: q = rho^2/(1-rho)),
-// plus a term that grows with the queue, since rho stays below 1.
+// loadFromQueue returns the load rho at which a single server has the given mean queue length, in requests (M/M/1: q =
+// rho^2/(1-rho)), plus a term proportional to the queue length, since rho alone stays below 1.
 func loadFromQueue(queue float64) float64 {
 	return (math.Sqrt(queue*queue+4*queue)-queue)/2 + queue/queueLengthPerLoad
 }
 
-// loadFromResidenceTime returns the load that a residence time shows: the fraction of the mean residence time that exceeds
-// the best so far. By Little's law it is the requests in flight divided by their rate. The number in flight alone
-// shows nothing, since an endpoint's parallelism is unknown.
+// loadFromResidenceTime updates the average residence time and returns the load that it shows: the fraction of the
+// average that exceeds the lowest average so far. By Little's law, the residence time is the number of requests in
+// flight divided by the request rate. The requests in flight alone do not show the load, since the parallelism of an
+// endpoint is unknown.
 func (l *loadEstimate) loadFromResidenceTime(seconds float64) float64 {
 	gain := 1.0
 	if l.residenceTime > 0 {
@@ -113,7 +117,8 @@
 	return 1 - l.minResidenceTime/l.residenceTime
 }
 
-// add updates the estimate with the load of a report. After a long gap the mean of earlier reports is obsolete.
+// add updates the estimate with the load of a report. After a gap of more than staleMs, the average of earlier reports
+// is discarded.
 func (l *loadEstimate) add(load, now float64) {
 	gap := l.age(now)
 	if gap < staleMs {
@@ -127,7 +132,8 @@
 	l.updatedAt = now
 }
 
-// recordSpeed adds the speed that a report shows to the endpoint's and the fleet's histograms.
+// recordSpeed adds the speed that a report shows to the endpoint's and the fleet's histograms. Reports without a
+// utilization or a rate, or with too low a load, are ignored.
 func (e *endpoint) recordSpeed(report Load) {
 	load, known := report[reportFieldUtilization]
 	rate := report[reportFieldRate]
@@ -139,14 +145,14 @@
 	}
 }
 
-// fleetLoad sums up the load reports of all endpoints.
+// fleetLoad aggregates the load reports of all endpoints.
 type fleetLoad struct {
-	mean   float64 // of the fresh loads, as of the latest round
+	mean   float64 // mean load of the endpoints with recent reports, computed once per control round
 	speeds histogram
 }
 
-// update computes the mean load. Half the target load counts as one further endpoint's and stands in where no load is
-// fresh.
+// update computes the mean load of the endpoints with recent reports, as a moving average that starts at half the
+// target load. Without recent reports, the result is half the target load.
 func (f *fleetLoad) update(endpoints []*endpoint, targetLoad, now float64) {
 	f.mean = targetLoad / 2
 	for _, e := range endpoints {
