--- a/planner/outlier.go
+++ b/planner/outlier.go
@@ -1,60 +1,61 @@
 package planner
 
-// This file detects outliers, as a service mesh's outlier detection does: an endpoint that fails for the proxies of a
-// zone is ejected from that zone's tables, and returns through a trial with a small share of requests. Ejections get
-// longer with each relapse.
+// This file implements outlier detection, as known from service meshes. An endpoint that fails for the proxies of a
+// zone is ejected from the tables of that zone. After the ejection it is on trial: it receives a small share of the
+// requests, which grows while it answers. Each further ejection lasts longer.
 //
-// isFailing holds the conditions of an ejection, endEjection those of a trial, and continueTrial those of a return to
-// the full weight.
+// The conditions are in isFailing (ejection), endEjection (start of a trial) and continueTrial (return to the full
+// weight).
 
 import "math"
 
 const (
-	// countDecay is the factor by which counts fade in each round.
+	// countDecay is the factor that is applied to the counts of attempts in each round, so that recent attempts have
+	// the most weight.
 	countDecay = 0.6
 
-	// minFailures is the least fading count of failed attempts for an ejection.
+	// minFailures is the decayed count of failed attempts below which an endpoint is not ejected.
 	minFailures = 3
 
-	// An endpoint is failing if the fraction of its attempts that fail exceeds the sum of a base and a multiple of
-	// the whole zone's failure rate, so that a fault that all share ejects none.
+	// An endpoint is failing if its failure rate exceeds baseFailureRate plus zoneFailureRateFactor times the failure
+	// rate of all attempts of the zone's proxies, so that no endpoint is ejected for a fault common to all.
 	baseFailureRate       = 0.3
 	zoneFailureRateFactor = 1.5
 
-	// minAnswers is the fading count of answers below which an endpoint counts as not answering.
+	// minAnswers is the decayed count of answers below which an endpoint counts as not answering.
 	minAnswers = 0.5
 
-	// reportTimeoutMs is the time without a load report after which an endpoint that does not answer counts as gone or
-	// hanging, even if its whole zone is.
+	// reportTimeoutMs is the time without a load report, in ms, after which an endpoint that does not answer counts as
+	// crashed or hanging, even if all endpoints of its zone fail alike.
 	reportTimeoutMs = 3 * roundMs
 )
 
-// Ejection and trials.
+// Durations of ejections, in ms, and constants of trials.
 const (
 	firstEjectionMs   = 2000.0
 	maxEjectionMs     = 20000.0
-	ejectionGrowth    = 2.0  // factor of the ejection time, with each relapse
-	trialWeightFactor = 0.12 // fraction of its normal weight that an endpoint on trial has
-	trialWeightGrowth = 2.0  // growth of the trust in a round of a trial with answers
-	minTrialAnswers   = 0.3  // fading count of answers that a trial needs
+	ejectionGrowth    = 2.0  // factor by which each ejection is longer than the previous one
+	trialWeightFactor = 0.12 // fraction of its normal weight with which an endpoint begins a trial
+	trialWeightGrowth = 2.0  // factor applied to that fraction in each round of a trial with answers
+	minTrialAnswers   = 0.3  // decayed count of answers below which that fraction does not grow
 )
 
-// zoneHealth is the health of an endpoint as the proxies of one zone see it. An endpoint may be unreachable for one
-// zone and healthy for the others.
+// zoneHealth is the health of an endpoint as observed by the proxies of one zone. An endpoint may be unreachable from
+// one zone and healthy for the others. Counts are decayed in each timed round.
 type zoneHealth struct {
-	answered float64 // attempts with an answer since the last trial began, fading
-	failed   float64 // attempts that failed since then, fading
+	answered float64 // attempts with an answer since the latest trial began
+	failed   float64 // attempts that failed since the latest trial began
 
-	attempts float64 // since the endpoint started, fading
-	failures float64 // of these
+	attempts float64 // all attempts since the endpoint's process started
+	failures float64 // all failed attempts since the endpoint's process started
 
 	ejected      bool
-	ejectedUntil float64 // ms
-	nextEjection float64 // duration of the next ejection, ms
-	weightFactor float64 // fraction of its normal weight; below 1 on trial
+	ejectedUntil float64 // ms, end of the ejection; 0 if not ejected
+	nextEjection float64 // ms, duration of the next ejection
+	weightFactor float64 // fraction of its normal weight that the endpoint may have: below 1 on trial, otherwise 1
 }
 
-// healthIn returns the endpoint's health for the proxies of a zone.
+// healthIn returns the endpoint's health as observed by the proxies of a zone, creating it when it is first needed.
 func (e *endpoint) healthIn(zone int) *zoneHealth {
 	if e.health[zone] == nil {
 		e.health[zone] = &zoneHealth{weightFactor: 1, nextEjection: firstEjectionMs}
@@ -62,7 +63,7 @@
 	return e.health[zone]
 }
 
-// count adds attempts.
+// count adds the attempts and failures of an EndpointStats event.
 func (h *zoneHealth) count(stats EndpointStats) {
 	attempts := float64(stats.Attempts)
 	failures := float64(stats.Failed)
@@ -72,8 +73,8 @@
 	h.failures += failures
 }
 
-// updateHealth ejects an endpoint that fails for a region's proxies, starts a trial when an ejection ends, and
-// extends a trial while there are answers.
+// updateHealth ejects an endpoint that fails for a region's proxies, starts a trial when an ejection ends, and raises
+// the weight on trial while the endpoint answers. It is called once per timed round.
 func (e *endpoint) updateHealth(r *region, h *zoneHealth) {
 	switch {
 	case h.ejected:
@@ -91,8 +92,9 @@
 	h.failures *= countDecay
 }
 
-// isFailing returns whether an endpoint fails for a region's proxies: more than others do while it is not overloaded,
-// or without any answer or report. Overload is handled by the penalty.
+// isFailing returns whether an endpoint is to be ejected from a region's tables: it fails more than the region's
+// endpoints on average and is not overloaded, or it sends neither answers nor load reports. Overloaded endpoints are
+// not ejected, since their penalty reduces their load.
 func (e *endpoint) isFailing(r *region, h *zoneHealth) bool {
 	if h.failed < minFailures {
 		return false
@@ -104,14 +106,14 @@
 	return h.failed > failureLimit && !overloaded || silent
 }
 
-// eject takes the endpoint out of the zone's tables.
+// eject starts an ejection, and makes the next one longer, up to maxEjectionMs.
 func (h *zoneHealth) eject(now float64) {
 	h.ejected = true
 	h.ejectedUntil = now + h.nextEjection
 	h.nextEjection = math.Min(maxEjectionMs, h.nextEjection*ejectionGrowth)
 }
 
-// endEjection starts a trial once the ejection time is over, without the evidence that led to the ejection.
+// endEjection starts a trial once the ejection is over. The counts that led to the ejection are discarded.
 func (e *endpoint) endEjection(r *region, h *zoneHealth) {
 	if e.planner.now < h.ejectedUntil {
 		return
@@ -124,14 +126,14 @@
 	e.planner.logf("endpoint %d zone %d: trial", e.Endpoint, r.zone)
 }
 
-// continueTrial raises the trust in an endpoint on trial if it has answered.
+// continueTrial raises the weight of an endpoint on trial if it has answered enough attempts.
 func (h *zoneHealth) continueTrial() {
 	if h.weightFactor < 1 && h.answered >= minTrialAnswers {
 		h.weightFactor = math.Min(1, h.weightFactor*trialWeightGrowth)
 	}
 }
 
-// decayTrialCounts reduces the weight of older attempts.
+// decayTrialCounts decays the counts of attempts since the latest trial began.
 func (h *zoneHealth) decayTrialCounts() {
 	h.answered *= countDecay
 	h.failed *= countDecay
