--- a/planner/penalty.go
+++ b/planner/penalty.go
@@ -1,11 +1,12 @@
 package planner
 
-// This file updates an endpoint's penalty, the dual variable lambda of its capacity constraint in the ACCO algorithm
-// ("A Distributed Hybrid Load Management Model for Anycast CDNs", algorithm 1, line 12):
+// This file updates the penalty of an endpoint. The penalty is the dual variable lambda of the endpoint's capacity
+// constraint in the ACCO algorithm ("A Distributed Hybrid Load Management Model for Anycast CDNs", algorithm 1, line
+// 12):
 //
 //	lambda = max(0, lambda + theta*(B^2 - T^2))
 //
-// B is the load that the endpoint reports, which includes the requests of all controllers; T is the target load.
+// B is the load that the endpoint reports, which includes the requests routed by all controllers. T is the target load.
 
 import (
 	"maps"
@@ -14,26 +15,28 @@
 )
 
 const (
-	// penaltyGain is theta, per round.
+	// penaltyGain is theta, the step size per round.
 	penaltyGain = 0.25
 
-	// maxPenalty bounds lambda. A penalty above the cost of every zone has no further effect, and would take longer
-	// to fall.
+	// maxPenalty is the upper bound of lambda. A penalty higher than the cost of any zone has no additional effect, but
+	// takes longer to decrease.
 	maxPenalty = 1.1
 
-	// maxPenalizedLoad bounds B, so that one report of a long queue does not drive the penalty to its bound.
+	// maxPenalizedLoad is the upper bound of B, so that a single report of a long queue does not raise the penalty to
+	// maxPenalty.
 	maxPenalizedLoad = 1.5
 
-	// reportDelayRounds is the number of rounds until a load report shows what a table changed.
+	// reportDelayRounds is the number of rounds until a change of the tables has an effect on load reports.
 	reportDelayRounds = 3
 
-	// Bounds of the correction of a report for plans that changed since: plans are not exact enough for more.
+	// Bounds of the factor that corrects a load report for later plan changes. Plans are not accurate enough to justify
+	// a larger correction.
 	minReportCorrection = 0.25
 	maxReportCorrection = 4.0
 )
 
-// stepPenalty takes one step of the penalty. The history of plans advances with each step, even if the latest report is
-// stale.
+// stepPenalty updates the penalty for one round. A fresh load is corrected for plans that changed since it was
+// reported. The history of plans advances in each call, even if the load is not fresh.
 func (e *endpoint) stepPenalty(load float64, fresh bool) {
 	correction := e.reportCorrection()
 	load = math.Min(maxPenalizedLoad, load)
@@ -45,15 +48,17 @@
 	e.penalty = math.Max(0, math.Min(maxPenalty, penalty))
 }
 
-// penaltyStep returns theta, scaled by the fraction of the demand that this planner sees, and by the reports per
-// round, so that a report that is used in several rounds counts once.
+// penaltyStep returns theta, multiplied by the fraction of the demand that this planner sees and by the number of load
+// reports per round (at most 1). Without the latter, a report would count again in each round until the next report.
 func (e *endpoint) penaltyStep() float64 {
 	return penaltyGain * e.planner.demandSeen() * math.Min(1, roundMs/math.Max(e.load.interval, 1))
 }
 
-// reportCorrection returns the factor that brings a load report up to date: the ratio of the endpoint's planned load
-// now to that of the time of the report, at the present ordinary demand. Without it a penalty would go on rising
-// after the plan has moved requests away, and would oscillate.
+// reportCorrection returns the factor that corrects a load report for plans that have changed since it was made: the
+// ratio of the endpoint's currently planned load to its planned load at the time of the report, both at the present
+// baseline demand. Without the correction, a penalty would keep rising after requests have been moved away from the
+// endpoint, and would oscillate. The correction is scaled by the fraction of the demand that this planner sees. The
+// method also advances the history of plans.
 func (e *endpoint) reportCorrection() float64 {
 	p := e.planner
 	loadAtReport, currentLoad := 0.0, 0.0
@@ -73,37 +78,37 @@
 	return correction
 }
 
-// planHistory keeps an endpoint's shares in the regions' plans, by plan number: first the present ones, then those of
-// the rounds before, back to the plans under which the latest reports were made.
+// planHistory holds an endpoint's shares in the regions' plans, by round and plan number. Index 0 is the current round;
+// higher indices are earlier rounds, back to the one whose plans the latest load reports reflect.
 type planHistory []map[int]float64
 
-// newPlanHistory returns an empty history.
+// newPlanHistory returns a history without plans.
 func newPlanHistory() planHistory {
 	history := make(planHistory, reportDelayRounds+2)
 	history[0] = map[int]float64{}
 	return history
 }
 
-// set notes the endpoint's share in a present plan.
+// set stores the endpoint's share in a current plan.
 func (h planHistory) set(plan int, share float64) { h[0][plan] = share }
 
-// known returns the numbers of the plans that the endpoint has been in, in ascending order.
+// planNumbers returns the numbers of the plans for which a share has been set, in ascending order.
 func (h planHistory) planNumbers() []int { return slices.Sorted(maps.Keys(h[0])) }
 
-// present returns the endpoint's share in a present plan.
+// currentShare returns the endpoint's share in the current version of a plan.
 func (h planHistory) currentShare(plan int) float64 { return h[0][plan] }
 
-// reported returns the endpoint's share in a plan when the latest reports were made.
+// reportedShare returns the endpoint's share in the version of a plan that the latest load reports reflect.
 func (h planHistory) reportedShare(plan int) float64 { return h[reportDelayRounds+1][plan] }
 
-// advance starts a new round, which begins with the present plans.
+// advance starts a new round with the same plans and drops the oldest one.
 func (h planHistory) advance() {
 	copy(h[1:], h[:len(h)-1])
 	h[0] = maps.Clone(h[1])
 }
 
-// planNumber returns the number of a region's plan for a class group.
+// planNumber returns the number of the plan of a zone's region for a class group.
 func (p *Planner) planNumber(zone, group int) int { return zone*len(p.groups) + group }
 
-// zoneOfPlan returns the zone of the region that a plan belongs to.
+// zoneOfPlan returns the zone that a plan, given by its number, is for.
 func (p *Planner) zoneOfPlan(plan int) int { return plan / len(p.groups) }
