--- a/planner/region.go
+++ b/planner/region.go
@@ -1,9 +1,10 @@
 package planner
 
-// This file holds the state of one region, the paper's set of clients that a sub-controller plans for (R(n)): here the
-// proxies of one zone. A region solves its local problem (paper, equation 6) once in a round for each class group:
-// costs of zones (zonecost.go), limits of endpoints that warm up (slowstart.go), shares (solver.go), their layout over
-// subsets of the proxies (subset.go), and admission (admission.go).
+// This file holds the state of one region. In the ACCO paper, a region R(n) is the set of clients that a sub-controller
+// plans for; here it is the proxies of one zone. In each round, a region solves its local problem (equation 6 of the
+// paper) for each class group. It computes the costs of zones (zonecost.go), limits for endpoints that warm up
+// (slowstart.go), shares (solver.go), their distribution over subsets of the proxies (subset.go) and admission levels
+// (admission.go).
 
 import (
 	"maps"
@@ -12,44 +13,46 @@
 )
 
 const (
-	// latencyGain is the weight of the latest latency of a zone in the moving average.
+	// latencyGain is the weight of the latest measurement in the moving average of a zone's latency.
 	latencyGain = 0.125
 
-	// minAttemptsDivisor is the least divisor of the failure rate, so that a few failed attempts do not make it high.
+	// minAttemptsDivisor is the lower bound of the number of attempts by which failures are divided, so that a few
+	// failed attempts do not yield a high failure rate.
 	minAttemptsDivisor = 8.0
 )
 
-// region is an actor: it keeps the candidates for a zone's proxies and what these observe, and plans for them.
+// region is an actor that plans for the proxies of one zone. It holds the endpoints they may use, and their
+// observations.
 type region struct {
 	mailbox mailbox[regionMessage]
 	planner *Planner
 	zone    int
 
 	candidates  map[int]*candidate // by endpoint
-	latency     map[int]float64    // ms, as measured by the zone's proxies, by the zone of the endpoints
-	failureRate float64            // fraction of the attempts of the zone's proxies that fail
+	latency     map[int]float64    // ms, moving average measured by the zone's proxies, by the endpoints' zone
+	failureRate float64            // fraction of failed attempts of the zone's proxies
 
-	shedFraction map[int]float64    // fraction of the requests to reject, by group
-	arcLengths   map[int][2]float64 // tables that an endpoint is in, by group and ring; see subset.go
+	shedFraction map[int]float64    // fraction of the requests to reject, by class group
+	arcLengths   map[int][2]float64 // number of tables that each line is in, by class group and ring; see subset.go
 
-	// As of the latest plan.
-	groupWeight []float64 // of the ready endpoints that each group may use
-	divergence  float64   // see planDivergence
+	// The following fields are computed in each control round.
+	groupWeight []float64 // total weight of the ready endpoints that may serve a class group, by group
+	divergence  float64   // highest sum of planDivergence and shed fraction of any class group
 }
 
-// candidate is an endpoint as a region sees it in a round.
+// candidate is a snapshot of an endpoint's state for one region, taken in each control round.
 type candidate struct {
 	Entry
-	weight         float64 // listed, corrected by the speed that reports show
-	load           float64
-	penalty        float64
-	warmUpFraction float64 // fraction of its capacity that it has so soon after its start
-	healthFactor   float64 // fraction of its normal weight that its health allows; 0: ejected
-	attempts       float64 // of the zone's proxies, fading
-	failures       float64 // of these
+	weight         float64 // see effectiveWeight
+	load           float64 // fraction of the capacity; the fleet's mean if unknown
+	penalty        float64 // lambda in the ACCO paper
+	warmUpFraction float64 // fraction of its capacity that is available; below 1 while the endpoint warms up
+	healthFactor   float64 // fraction of its normal weight that its health allows; below 1 on trial, 0 if ejected
+	attempts       float64 // attempts of the region's proxies, decayed
+	failures       float64 // failed attempts of the region's proxies, decayed
 }
 
-// newRegion returns the region of a zone.
+// newRegion returns the region of a zone, without candidates.
 func newRegion(p *Planner, zone int) *region {
 	r := &region{
 		planner: p, zone: zone, candidates: map[int]*candidate{}, latency: map[int]float64{},
@@ -71,7 +74,7 @@
 	}
 }
 
-// updateLatency updates the latency of an endpoint's zone.
+// updateLatency updates the average latency of the zone of an endpoint with the latency measured there.
 func (r *region) updateLatency(stats EndpointStats) {
 	c := r.candidates[stats.Endpoint]
 	if c != nil && stats.MeanMs > 0 {
@@ -84,10 +87,10 @@
 	}
 }
 
-// candidateIndices returns the endpoints that are offered, in ascending order.
+// candidateIndices returns the indices of the candidate endpoints in ascending order.
 func (r *region) candidateIndices() []int { return slices.Sorted(maps.Keys(r.candidates)) }
 
-// controlRound plans again for each class group.
+// controlRound computes a new plan for each class group. Only timed rounds update the failure rate and admission.
 func (r *region) controlRound(timed bool) {
 	indices := r.candidateIndices()
 	if timed {
@@ -100,7 +103,7 @@
 	}
 }
 
-// updateFailureRate computes the fraction of the attempts that fail.
+// updateFailureRate computes the fraction of failed attempts over all candidates.
 func (r *region) updateFailureRate(indices []int) {
 	attempts := 0.0
 	failures := 0.0
@@ -111,7 +114,7 @@
 	r.failureRate = failures / math.Max(minAttemptsDivisor, attempts)
 }
 
-// updateGroupWeights sums up the weight of the endpoints that each group may use.
+// updateGroupWeights computes the total weight of the ready endpoints that may serve each class group.
 func (r *region) updateGroupWeights(indices []int) {
 	r.groupWeight = make([]float64, len(r.planner.groups))
 	for _, i := range indices {
@@ -124,8 +127,8 @@
 	}
 }
 
-// planGroup solves for the shares of a class group and passes them on to the endpoints, and to the publisher as lines
-// of tables.
+// planGroup computes the endpoints' shares of a class group's requests. It sends the shares to the endpoints and the
+// resulting table lines to the publisher. Only timed rounds update admission.
 func (r *region) planGroup(group int, indices []int, timed bool) {
 	costs := r.computeZoneCosts(group, indices)
 	allocations := r.allocations(group, indices, costs)
@@ -138,8 +141,8 @@
 	}
 }
 
-// sendPlannedShares lets the endpoints know their shares of a plan, at the recent demand, so that they can correct load
-// reports that were made under other plans.
+// sendPlannedShares informs the endpoints of their shares in a plan, multiplied by the zone's surge of demand. With
+// these they correct load reports that were made under earlier plans.
 func (r *region) sendPlannedShares(group int, allocations []allocation) {
 	plan := r.planner.planNumber(r.zone, group)
 	surge := r.planner.demand.surge(r.zone)
@@ -149,7 +152,7 @@
 	}
 }
 
-// plannedLoad returns the mean load of the endpoints, weighted by their shares. A load above 1 counts as 1.
+// plannedLoad returns the mean load of the endpoints, weighted by their shares. Loads above 1 count as 1.
 func (r *region) plannedLoad(allocations []allocation) float64 {
 	load := 0.0
 	for i := range allocations {
