--- a/planner/settings.go
+++ b/planner/settings.go
@@ -1,7 +1,7 @@
 package planner
 
-// This file turns the settings of a deployment, a map of names to values, into typed values with their
-// defaults. Past ParseSettings, no code of this package looks up a setting by name.
+// This file parses the settings of a deployment, a map of names to values, into a struct with defaults. No other code
+// of this package looks up a setting by name.
 
 import (
 	"errors"
@@ -10,8 +10,8 @@
 	"slices"
 )
 
-// Defaults of settings that a deployment may leave out. Three numbers have no single default, because different
-// formulas need different fallbacks: see Optional.
+// Defaults of optional settings. Times are in milliseconds. Settings of the type Optional have no default here, because
+// different formulas need different fallbacks.
 const (
 	defaultInstances             = 1.0
 	defaultCrossZoneCost         = 0.1
@@ -27,92 +27,92 @@
 	defaultPriorityWeight        = 1.0
 	defaultResponseTargetMs      = 1000.0
 
-	// defaultStaticTableLines is so small that standing tables count as diverging from any plan: tables are always
-	// assigned.
+	// defaultStaticTableLines is so small that static tables count as diverging from any plan, so that proxies are
+	// always assigned tables.
 	defaultStaticTableLines = 1e-9
 
-	// noMessageLimit is a number of messages to a proxy that is never reached.
+	// noMessageLimit is a number of messages to a proxy that is never reached. It stands for a missing limit.
 	noMessageLimit = math.MaxFloat64
 )
 
-// Values of settings that are words.
+// Values of string settings, and of strings in list settings.
 const (
-	discoveryOnRequest     = "on_request" // of "discovery"
-	repeatsReplayable      = "replayable" // of a class's "repeats": a repetition has no further effect
-	reportFieldUtilization = "util"       // in "fields"; the names of the other fields are in load.go
+	discoveryOnRequest     = "on_request" // value of "discovery": the endpoint list is watched only after a request
+	repeatsReplayable      = "replayable" // value of "repeats" of a class: executing a request twice does no harm
+	reportFieldUtilization = "util"       // element of "fields": load reports contain the utilization
 )
 
-// maxClasses is the number of request classes that fit the bit masks of the commands; further ones are ignored.
+// maxClasses is the number of request classes that fit into the bit masks of commands. Further classes are ignored.
 const maxClasses = 31
 
-// invalidIndex stands in an IndexList for an element that is not an index.
+// invalidIndex replaces an element of an IndexList that is not a valid index. It matches no zone or machine type.
 const invalidIndex = -1
 
-// Settings is all that is configured of the deployment. Times are in milliseconds. A number that is missing, not
-// above zero, infinite or of another type takes the default named beside it.
+// Settings is the configuration of the deployment. Times are in milliseconds. A number that is missing, not above zero,
+// infinite or of the wrong type is replaced by the default given in the field's comment.
 type Settings struct {
-	// The controllers, of which this planner serves one.
-	Instances float64 // how many there are; default 1
-	Rank      float64 // of this one among them, from 0
+	// The controllers. This planner belongs to one of them.
+	Instances float64 // number of controllers; default 1
+	Rank      float64 // index of this controller, starting at 0
 
 	// The fleet.
-	ProxyCount           Optional // proxies of all controllers together
-	ZoneCount            int      // zones that are named
-	OneControllerPerZone bool     // all proxies of a zone join the same controller, which so sees the zone's whole demand
-	Sliced               bool     // requests go by slices of a key space; the planner leaves their stored owners alone
-	StaticTableLines     float64  // lines of the table that a proxy has before any is assigned; default 1e-9
-	DiscoveryOnRequest   bool     // changes of the endpoint list come only after WatchEndpoints
+	ProxyCount           Optional // number of proxies of all controllers together
+	ZoneCount            int      // number of configured zones
+	OneControllerPerZone bool     // all proxies of a zone join the same controller, which sees all of its demand
+	Sliced               bool     // requests are routed by slices of the key space; the planner keeps the stored owners
+	StaticTableLines     float64  // lines of the static table that a proxy starts with; default 1e-9
+	DiscoveryOnRequest   bool     // changes of the endpoint list are sent only after a WatchEndpoints command
 
 	// The endpoints.
-	MinConnectionLimit    Optional // connection limit of the endpoint with the lowest one
-	CrossZoneCost         float64  // cost of a request that leaves its zone, in the deployment's units; default 0.1
-	WarmUpMs              float64  // time from an endpoint's start until it has its full capacity; default 10 s
-	WarmUpInitialCapacity float64  // fraction of its capacity that an endpoint has at its start; default 0.1
+	MinConnectionLimit    Optional // lowest connection limit of any endpoint
+	CrossZoneCost         float64  // cost of routing a request to another zone, in the deployment's units; default 0.1
+	WarmUpMs              float64  // time from an endpoint's start until its full capacity is available; default 10000
+	WarmUpInitialCapacity float64  // fraction of an endpoint's capacity that is available at its start; default 0.1
 	FailureLoad           float64  // load, as a multiple of capacity, at which an endpoint fails; default 1
-	HealthChecks          bool     // the controller may check the health of endpoints
-	ReportsUtilization    bool     // load reports contain the utilization, which rises before queues do
+	HealthChecks          bool     // the planner may command health checks of endpoints
+	ReportsUtilization    bool     // load reports contain the utilization, which rises before the queue grows
 
-	// The proxies' own behavior.
-	ProxiesEject     bool    // proxies avoid endpoints that have failed several times in a row
-	DefaultRetryMode int     // retry policy of proxies that have received none
-	FirstRetryWait   float64 // before a retry, in units of the class's response target; default 1
+	// Behavior of the proxies.
+	ProxiesEject     bool    // proxies avoid endpoints after several consecutive failures
+	DefaultRetryMode int     // retry mode of proxies that have not received any
+	FirstRetryWait   float64 // wait before the first retry, as a multiple of the class's response target; default 1
 	Admission        AdmissionMode
 
 	// The channel to the proxies.
-	LinesPerSecond  Optional // that it carries
-	BacklogLines    float64  // that may wait in it; default 1000
-	HeaderLines     float64  // that a message costs beside those it brings; default 4
-	MessageLimit    float64  // messages that a proxy may get within MessageWindowMs; default: no limit
-	MessageWindowMs float64  // default 10 s
-	MaxDeliveryMs   float64  // longest way of a message; default 500 ms
-	DrainGraceMs    float64  // from the notice that an endpoint drains until its connections are cut; default 2 s
+	LinesPerSecond  Optional // throughput of the channel in table lines
+	BacklogLines    float64  // number of lines that may be queued in the channel; default 1000
+	HeaderLines     float64  // cost of a message in lines, in addition to the lines it contains; default 4
+	MessageLimit    float64  // number of messages that a proxy may receive within MessageWindowMs; default: no limit
+	MessageWindowMs float64  // default 10000
+	MaxDeliveryMs   float64  // longest delivery time of a message; default 500
+	DrainGraceMs    float64  // time from the notice that an endpoint drains until its connections close; default 2000
 
 	Classes []RequestClass
 }
 
-// RequestClass is what is configured of one class of requests.
+// RequestClass is the configuration of one class of requests.
 type RequestClass struct {
 	PriorityWeight   float64   // relative value of an answer; default 1
-	ResponseTargetMs float64   // by when an answer is due; default 1 s
-	Retryable        bool      // a repetition does no harm, also after an attempt that may have run
-	OwnZoneOnly      bool      // only endpoints of the requests' own zone may serve it
-	OnlyMachines     IndexList // machine types that may serve it
-	OnlyZones        IndexList // zones whose endpoints may serve it
+	ResponseTargetMs float64   // ms, time within which an answer is due; default 1000
+	Retryable        bool      // executing a request twice does no harm
+	OwnZoneOnly      bool      // only endpoints in the zone of the proxy that receives a request may serve it
+	OnlyMachines     IndexList // machine types that may serve the class
+	OnlyZones        IndexList // zones whose endpoints may serve the class
 }
 
-// AdmissionMode says in which form proxies take admission levels.
+// AdmissionMode determines in which form proxies expect admission levels.
 type AdmissionMode string
 
-// The modes in which load can be shed. With any other value nothing is.
+// The modes that allow load shedding. With any other value, no load is shed.
 const (
-	AdmitByShare AdmissionMode = "share" // the part of the requests that is admitted
-	AdmitByRate  AdmissionMode = "rate"  // requests a second that each proxy admits
+	AdmitByShare AdmissionMode = "share" // levels are fractions of the requests, from 0 to 1
+	AdmitByRate  AdmissionMode = "rate"  // levels are requests per second and proxy
 )
 
-// Optional is a number above zero that the settings may lack; it is 0 then.
+// Optional is a number above zero, or 0 if the settings do not contain it.
 type Optional float64
 
-// Or returns the number, or the fallback if the settings lack it.
+// Or returns the number, or the fallback if the settings do not contain it.
 func (o Optional) Or(fallback float64) float64 {
 	if o > 0 {
 		return float64(o)
@@ -120,19 +120,19 @@
 	return fallback
 }
 
-// IndexList names some zones or machine types by their indices; an empty list names all.
+// IndexList is a restriction to some zones or machine types, given by their indices. An empty list is no restriction.
 type IndexList []int
 
-// Has returns whether the list names an index.
+// Allows returns whether the list contains an index or is empty.
 func (l IndexList) Allows(index int) bool {
 	return len(l) == 0 || slices.Contains(l, index)
 }
 
-// SettingError reports a setting whose value has the wrong type, so that its default stands.
+// SettingError reports a setting whose value has the wrong type. The setting has its default instead.
 type SettingError struct {
-	Key  string // with the place of an element in a list, as in req_kinds[2].payoff
-	Want string // the type that is needed
-	Got  any
+	Key  string // name, with the index of a list element, as in req_kinds[2].payoff
+	Want string // expected type
+	Got  any    // the value
 }
 
 // Error implements the error interface.
@@ -140,8 +140,8 @@
 	return fmt.Sprintf("setting %s: want %s, got %T", e.Key, e.Want, e.Got)
 }
 
-// ParseSettings reads settings out of a map of names to values. Its error joins a SettingError for each value of the
-// wrong type; the settings returned with it have the defaults there. A null counts as missing.
+// ParseSettings parses a map of setting names to values. The error joins a SettingError for each value of the wrong
+// type; the returned settings are valid even so, with defaults in place of these values. A nil value counts as missing.
 func ParseSettings(raw map[string]any) (Settings, error) {
 	r := &settingsReader{raw: raw}
 	s := Settings{}
@@ -153,14 +153,14 @@
 	return s, errors.Join(r.errs...)
 }
 
-// settingsReader reads typed values out of a map and collects complaints.
+// settingsReader reads typed values from a map and collects type errors.
 type settingsReader struct {
 	raw    map[string]any
-	prefix string // of keys in complaints
-	errs   []error
+	prefix string  // prepended to the keys in errors
+	errs   []error // a SettingError for each value of the wrong type
 }
 
-// readFleet reads the settings of the controllers and the fleet.
+// readFleet reads the settings of the controllers and of the fleet.
 func (r *settingsReader) readFleet(s *Settings) {
 	s.Instances = r.number("instances").Or(defaultInstances)
 	s.Rank = r.number("rank").Or(0)
@@ -189,7 +189,7 @@
 	}
 }
 
-// readProxies reads the settings of the proxies' own behavior.
+// readProxies reads the settings of the proxies' behavior.
 func (r *settingsReader) readProxies(s *Settings) {
 	s.ProxiesEject = r.number("ejects_after") > 0
 	s.DefaultRetryMode = int(r.number("retry_default"))
@@ -208,7 +208,7 @@
 	s.DrainGraceMs = r.number("drain_grace").Or(defaultDrainGraceMs)
 }
 
-// classes reads the request classes. What is no map of settings counts as a class without settings.
+// classes reads the request classes. An element that is not a map is an error and yields a class with all defaults.
 func (r *settingsReader) classes() []RequestClass {
 	list := readValue[[]any](r, "req_kinds", "a list")
 	ownZone := readValue[[]any](r, "kind_own_zone", "a list")
@@ -230,7 +230,7 @@
 	return classes
 }
 
-// class reads one request class.
+// class reads the settings of one request class, except OwnZoneOnly.
 func (r *settingsReader) class() RequestClass {
 	return RequestClass{
 		PriorityWeight:   r.number("payoff").Or(defaultPriorityWeight),
@@ -241,7 +241,7 @@
 	}
 }
 
-// number reads a number; it is missing where the value is not above zero, infinite or no number.
+// number reads a number. It returns 0 if the value is missing, not above zero, infinite or not a number.
 func (r *settingsReader) number(key string) Optional {
 	number := readValue[float64](r, key, "a number")
 	if number > 0 && !math.IsInf(number, 0) {
@@ -250,7 +250,8 @@
 	return 0
 }
 
-// indices reads a list of indices. An element that is none names nothing, but the list counts as not empty.
+// indices reads a list of indices. An element that is not an index becomes invalidIndex, so that the list does not
+// become empty, which would allow everything.
 func (r *settingsReader) indices(key string) IndexList {
 	var list IndexList
 	for i, element := range readValue[[]any](r, key, "a list") {
@@ -265,12 +266,13 @@
 	return list
 }
 
-// complain notes a value of the wrong type.
+// addTypeError records that the value of a setting has the wrong type.
 func (r *settingsReader) addTypeError(key, want string, got any) {
 	r.errs = append(r.errs, &SettingError{Key: r.prefix + key, Want: want, Got: got})
 }
 
-// value reads a value of one type; a missing one and one of another type are the type's zero value.
+// readValue reads a value of type T. It returns the zero value if the setting is missing. If the setting has another
+// type, it also records an error, in which want describes the expected type.
 func readValue[T any](r *settingsReader, key, want string) T {
 	var zero T
 	raw, present := r.raw[key]
