--- a/planner/solver.go
+++ b/planner/solver.go
@@ -1,23 +1,25 @@
 package planner
 
-// This file solves a region's local problem (paper, equations 6 and 7): which share of its requests goes to which
-// endpoint. It is a projected gradient descent over the capped simplex: shares that sum to 1, each between 0 and its
-// limit. It starts from the listed weights and is short on purpose: shares move towards lower costs instead of all
-// going to the cheapest endpoint, since costs within a zone are alike and penalties are noisy.
+// This file solves the local problem of a region (equations 6 and 7 of the ACCO paper): which share of its requests is
+// routed to which endpoint. The method is projected gradient descent over the capped simplex, the set of shares that
+// sum to 1 and lie between 0 and a limit each. The descent starts from the listed weights and is short on purpose:
+// shares move towards lower costs instead of all going to the cheapest endpoint, since costs within a zone differ
+// little and penalties are noisy.
 
 import "math"
 
 const (
-	// gradientLength is the total length of the descent, divided by the home zone's fraction of the weight, so that
-	// spillover begins at the same mean penalty whatever the zone's size.
+	// gradientLength is the total step size of the descent. It is divided by the home zone's fraction of the weight, so
+	// that spillover to other zones begins at the same mean penalty for zones of any size.
 	gradientLength = 1.5
 
-	gradientSteps   = 24
-	projectionSteps = 12  // enough to spread the rest: each step reaches a limit or is exact
-	minHomeFraction = 0.1 // least fraction of the home zone, to bound the length of a step
+	gradientSteps   = 24  // number of steps of the descent
+	projectionSteps = 12  // iterations of a projection; each iteration either reaches a limit or is exact
+	minHomeFraction = 0.1 // lower bound of the home zone's fraction as a divisor, which bounds the step size
 )
 
-// The rings on which shares are laid out for subsets (subset.go): of the region's own endpoints, and of others.
+// The rings on which shares are laid out for the proxy subsets (see subset.go): homeRing for endpoints of the region's
+// own zone, spillRing for endpoints of other zones.
 const (
 	homeRing = iota
 	spillRing
@@ -27,13 +29,14 @@
 type allocation struct {
 	endpoint int
 	ring     int     // homeRing or spillRing
-	weight   float64 // share by listed weight, where the descent starts; 0: not to be used
-	cost     float64 // of a request
+	weight   float64 // of the endpoint; limitShares normalizes it to the initial share. 0: not used
+	cost     float64 // cost of a request: zone cost plus penalty
 	limit    float64 // upper bound of the share
-	share    float64 // result
+	share    float64 // fraction of the requests, the result of the descent
 }
 
-// allocations returns the endpoints for a class group as the descent starts.
+// allocations returns an allocation for each candidate as the descent starts. Endpoints that are not ready or may not
+// serve the class group have weight 0.
 func (r *region) allocations(group int, indices []int, costs zoneCosts) []allocation {
 	totals := candidateTotals{weight: 1e-9, homeWeight: 1e-9, warmingWeight: 1e-9}
 	allocations := make([]allocation, 0, len(indices))
@@ -52,14 +55,15 @@
 		allocations = append(allocations, a)
 	}
 	meanZone := totals.weight / float64(len(r.planner.regions))
-	// The last endpoint of a zone cannot serve all its requests.
+	// With this lower bound, the last remaining endpoint of a zone is not planned for all requests of the zone.
 	totals.homeWeight = math.Max(totals.homeWeight, meanZone)
 	r.limitShares(allocations, totals, r.slowStartLimits(totals, costs.load))
 	return allocations
 }
 
-// solveShares moves shares down the gradient of the cost. Each moves in proportion to its weight, so that endpoints
-// of the same cost keep their ratio.
+// solveShares moves the shares along the negative gradient of the cost. Each share moves in proportion to its weight,
+// so that endpoints of the same cost keep their ratio. The parameter homeFraction is the home zone's fraction of the
+// weight.
 func solveShares(allocations []allocation, homeFraction float64) {
 	projectShares(allocations)
 	for range gradientSteps {
@@ -75,8 +79,9 @@
 	}
 }
 
-// projectShares projects shares onto the capped simplex. An excess or a rest is spread by weight over the shares that
-// can still move; if none can, all are scaled, beyond their limits.
+// projectShares projects shares onto the capped simplex. The difference between 1 and the sum of the shares is
+// distributed, in proportion to the weights, over the shares that can still change. If none can, all shares are scaled,
+// even beyond their limits.
 func projectShares(allocations []allocation) {
 	for range projectionSteps {
 		residual := clampShares(allocations)
@@ -92,7 +97,7 @@
 	}
 }
 
-// clampShares clamps each share to between 0 and its limit, and returns the difference between 1 and their sum.
+// clampShares limits each share to the range from 0 to its limit and returns the difference between 1 and their sum.
 func clampShares(allocations []allocation) (residual float64) {
 	residual = 1
 	for i := range allocations {
@@ -103,7 +108,8 @@
 	return residual
 }
 
-// movableWeight returns the weight of the shares that can move in the direction of the rest.
+// movableWeight returns the total weight of the shares that can still change in the direction of the residual: those
+// below their limit if it is positive, those above 0 if it is negative.
 func movableWeight(allocations []allocation, residual float64) float64 {
 	movable := 0.0
 	for i := range allocations {
