--- a/planner/zonecost.go
+++ b/planner/zonecost.go
@@ -1,8 +1,8 @@
 package planner
 
-// This file determines the cost of each zone for a region's requests. The region's own zone costs nothing while it can
-// serve its demand; the others cost more the higher their latency ranks. Penalties are added; where they raise the cost
-// of the own zone above that of the next, requests spill over.
+// This file computes the cost of each zone for the requests of a region. The region's own zone has no cost while it can
+// serve its demand. The cost of other zones increases with their rank by latency. The penalties of the endpoints are
+// added. If they raise the cost of the own zone above that of the next zone, requests spill over.
 
 import (
 	"cmp"
@@ -12,49 +12,56 @@
 )
 
 const (
-	// ownPenaltyWeight is the weight of an endpoint's own penalty against the mean of its zone, as a single endpoint's
-	// penalty is mostly noise.
+	// ownPenaltyWeight is the weight of an endpoint's own penalty in its cost; the remaining weight is that of the mean
+	// penalty of its zone, since the penalty of a single endpoint is mostly noise.
 	ownPenaltyWeight = 0.4
 
-	// latencyStepRatio is the ratio of latencies in one rank: zones whose latencies differ by less rank alike.
+	// latencyStepRatio is the ratio of the upper to the lower bound of a latency step. Zones whose latencies are in the
+	// same step are not ranked by latency.
 	latencyStepRatio = 1.3
 
-	// firstRemoteZoneCost is the cost of the zone that ranks after the own one, and zoneCostStep that of each further rank.
+	// firstRemoteZoneCost is the cost of the zone that ranks first after the own one. Each further rank adds
+	// zoneCostStep.
 	firstRemoteZoneCost = 1.0
 	zoneCostStep        = 0.2
 
-	// minUsableFraction is the least fraction of its weight with which an endpoint counts in its zone's mean, so that a
-	// zone whose endpoints are all unusable still has a cost.
+	// minUsableFraction is the lower bound of the fraction of its weight with which an endpoint counts in its zone's
+	// mean, so that a zone still has a cost if none of its endpoints can be used.
 	minUsableFraction = 0.01
 
-	// lostZoneFraction is the fraction of all weight below which the home zone counts as lost and attracts no requests.
+	// lostZoneFraction is the fraction of all weight up to which the home zone counts as lost. The descent then uses
+	// its smallest step size (see gradientLength), as larger steps would move all requests to one other zone and back.
 	lostZoneFraction = 0.03
 
-	// minForeignFraction is the least fraction of all weight that counts as that of other zones in the forecast.
+	// minForeignFraction is the lower bound of the other zones' fraction of all weight in the forecast of the own
+	// zone's cost.
 	minForeignFraction = 0.1
 )
 
-// zoneCosts is the cost of a request of a class group in each zone.
+// zoneCosts holds the cost of a request of a class group in each zone.
 type zoneCosts struct {
 	byZone       map[int]float64
-	homeFraction float64 // fraction of all weight in the nearest zone that the group may use; 1 if that is lost
+	homeFraction float64 // fraction of all weight in the nearest zone that the group may use; 1 if that zone is lost
 	load         float64 // mean load of the endpoints that the group may use
 }
 
-// zoneTotals sums up the candidates for a class group.
+// zoneTotals holds sums over the candidates that may serve a class group.
 type zoneTotals struct {
 	weights      map[int]float64 // by zone
-	penalties    map[int]float64 // by zone, weighted, without the endpoints' own part
-	weight       float64
-	servedWeight float64 // weight in zones whose demand this planner sees
-	load         float64 // weighted
+	penalties    map[int]float64 // by zone, sum of penalty times weight, without the fraction ownPenaltyWeight
+	weight       float64         // all zones
+	servedWeight float64         // all zones whose demand this planner sees
+	load         float64         // sum of load times weight
 }
 
-// computeZoneCosts returns the costs of the zones: by rank, mean penalty and, for the own zone, forecast.
+// computeZoneCosts returns the cost of each zone for a class group: the mean penalty of its endpoints plus a cost by
+// rank or, for the own zone, the forecast cost.
 func (r *region) computeZoneCosts(group int, indices []int) zoneCosts {
 	totals := r.sumZones(group, indices)
 	zones := r.rankZones(totals.weights)
-	costs := zoneCosts{byZone: totals.penalties, homeFraction: homeFraction(zones, totals), load: totals.load / totals.weight}
+	costs := zoneCosts{
+		byZone: totals.penalties, homeFraction: homeFraction(zones, totals), load: totals.load / totals.weight,
+	}
 	for rank, zone := range zones {
 		penalty := totals.penalties[zone] / totals.weights[zone]
 		if zone == r.zone {
@@ -66,7 +73,7 @@
 	return costs
 }
 
-// sumZones sums up weights, penalties and loads of the endpoints that a class group may use.
+// sumZones sums the weights, penalties and loads of the endpoints that may serve a class group.
 func (r *region) sumZones(group int, indices []int) zoneTotals {
 	p := r.planner
 	totals := zoneTotals{weights: map[int]float64{}, penalties: map[int]float64{}, weight: 1e-9, servedWeight: 1e-9}
@@ -87,7 +94,8 @@
 	return totals
 }
 
-// usableFraction returns the fraction of its weight that an endpoint has in its present state.
+// usableFraction returns the fraction of an endpoint's weight that can be used in its present phase, health and warm-up
+// state. It is at least minUsableFraction.
 func (c *candidate) usableFraction() float64 {
 	if c.Phase != Ready {
 		return minUsableFraction
@@ -95,8 +103,9 @@
 	return math.Max(minUsableFraction, c.healthFactor*c.warmUpFraction)
 }
 
-// rankZones sorts zones that have weight: the own one first, then by latency in steps. Zones of the same step follow by
-// index from the own one on, so that not all regions spill over to the same zone.
+// rankZones returns the zones that have weight in the order of their cost: the own zone first, then the others by
+// latency step. Zones in the same step are sorted by index, starting after the own zone, so that not all regions spill
+// over to the same zone.
 func (r *region) rankZones(weights map[int]float64) []int {
 	count := len(r.planner.regions)
 	key := func(zone int) float64 {
@@ -111,7 +120,8 @@
 	return zones
 }
 
-// homeFraction returns the fraction of all weight in the first of the ranked zones.
+// homeFraction returns the fraction of all weight in the first of the ranked zones. It is 1 if there are no zones or if
+// the first zone counts as lost.
 func homeFraction(zones []int, totals zoneTotals) float64 {
 	if len(zones) == 0 {
 		return 1
@@ -123,19 +133,21 @@
 	return 1
 }
 
-// forecastHomeCost returns the cost at which the own zone keeps the demand that fills it to the target load, before
-// load reports show an overload. Part is the zone's fraction of the weight that serves the demand this planner sees.
+// forecastHomeCost returns the cost of the own zone at which it keeps only as much demand as fills it to the target
+// load. The forecast takes effect before load reports show an overload. It is 0 if the zone can serve its demand.
+// The parameter weightFraction is the zone's fraction of the weight in zones whose demand this planner sees.
 func (r *region) forecastHomeCost(costs zoneCosts, weightFraction float64) float64 {
 	p := r.planner
 	load := costs.load
-	if !p.settings.ReportsUtilization { // a short queue doesn't show how full an endpoint is
+	if !p.settings.ReportsUtilization { // a short queue does not show how high the utilization is
 		load = math.Max(load, p.targetLoad)
 	}
 	seenFraction := p.demandSeen()
 	crowding := seenFraction*p.demand.rates[r.zone]/math.Max(weightFraction*p.demand.total, 1e-9) + 1 - seenFraction
 	keptFraction := math.Max(p.targetLoad, load) / math.Max(load*crowding, 1e-9)
 	if keptFraction < 1 {
-		return math.Max(0, 1-(keptFraction-costs.homeFraction)/(gradientLength*math.Max(1-costs.homeFraction, minForeignFraction)))
+		return math.Max(0, 1-(keptFraction-costs.homeFraction)/
+			(gradientLength*math.Max(1-costs.homeFraction, minForeignFraction)))
 	}
 	return 0
 }
