--- a/planner/admission_test.go
+++ b/planner/admission_test.go
@@ -22,9 +22,9 @@
 	}
 	h.rounds(50, steady(0, 10, 0, 0.3, 0, 1, 2, 3, 4, 5))
 	assert.Equal(t, 1.0, h.admission["0/1"].Level)
-	none := newHarness(t, func(settings map[string]any, _ []Entry) { settings["admission"] = "off" })
-	none.rounds(8, overload)
-	for _, l := range none.admission {
+	disabled := newHarness(t, func(settings map[string]any, _ []Entry) { settings["admission"] = "off" })
+	disabled.rounds(8, overload)
+	for _, l := range disabled.admission {
 		assert.Equal(t, 1.0, l.Level, "retry modes are set, levels are not")
 	}
 }
--- a/planner/histogram_test.go
+++ b/planner/histogram_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestHistogramFades shows that a mean needs two values, and that old ones give way to new ones.
+// TestHistogramDecays shows that a mean needs two values, and that old ones give way to new ones.
 func TestHistogramFades(t *testing.T) {
 	h := histogram{}
 	h.add(4, 8)
--- a/planner/load_test.go
+++ b/planner/load_test.go
@@ -45,11 +45,11 @@
 					return events
 				})
 			}
-			least := 1.0
+			minLevel := 1.0
 			for _, l := range h.admission {
-				least = math.Min(least, l.Level)
+				minLevel = math.Min(minLevel, l.Level)
 			}
-			assert.Equal(t, c.sheds, least < 1)
+			assert.Equal(t, c.sheds, minLevel < 1)
 			assert.Equal(t, c.penalized, h.planner.endpoints[0].penalty > 0.1)
 			assert.False(t, math.IsNaN(h.planner.endpoints[0].load.value))
 		})
--- a/planner/outlier_test.go
+++ b/planner/outlier_test.go
@@ -46,8 +46,8 @@
 			h := newHarness(t, nil)
 			h.rounds(6, steady(0, 20, 0, 0.3, 0, 1, 2, 3, 4, 5))
 			h.rounds(4, c.events)
-			out := func(log string) bool { return strings.HasPrefix(log, "endpoint 0 zone 0: out") }
-			assert.Equal(t, c.ejected, slices.ContainsFunc(h.logs, out), h.logs)
+			isEjection := func(log string) bool { return strings.HasPrefix(log, "endpoint 0 zone 0: out") }
+			assert.Equal(t, c.ejected, slices.ContainsFunc(h.logs, isEjection), h.logs)
 			assert.Greater(t, h.weights[1][2], 0.0, "the other zone's table is judged by its own proxies")
 		})
 	}
@@ -88,9 +88,9 @@
 // 993204896464).
 func TestRestartedZoneForgetsFailures(t *testing.T) {
 	for name, c := range map[string]struct {
-		spanMs       float64 // of the stats that come after the start
-		least, most  float64 // of the zone's attempts that fail
-		shareAtLeast float64
+		spanMs                         float64 // of the stats that come after the start
+		minFailureRate, maxFailureRate float64 // of the zone's attempts that fail
+		minShare                       float64
 	}{"stats of both incarnations": {6000, 0, 0.05, 0.02}, "stats of the new one": {500, 0.9, 1, 0}} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, func(settings map[string]any, _ []Entry) {
@@ -114,9 +114,9 @@
 				}
 				return events
 			})
-			assert.GreaterOrEqual(t, h.planner.regions[0].failureRate, c.least)
-			assert.LessOrEqual(t, h.planner.regions[0].failureRate, c.most)
-			assert.GreaterOrEqual(t, h.share(0, 0, 1), c.shareAtLeast)
+			assert.GreaterOrEqual(t, h.planner.regions[0].failureRate, c.minFailureRate)
+			assert.LessOrEqual(t, h.planner.regions[0].failureRate, c.maxFailureRate)
+			assert.GreaterOrEqual(t, h.share(0, 0, 1), c.minShare)
 		})
 	}
 }
--- a/planner/penalty_test.go
+++ b/planner/penalty_test.go
@@ -22,33 +22,33 @@
 // and shares swung (copies of jadran-docs with 150 and 240 proxies).
 func TestPenaltyStepsOncePerReport(t *testing.T) {
 	for name, c := range map[string]struct {
-		every int // rounds between reports
+		interval int // rounds between reports
 	}{"every round": {1}, "every fourth": {4}} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, nil)
 			round := 0
 			h.rounds(80, func() []Event {
 				round++
-				if round%c.every == 0 {
+				if round%c.interval == 0 {
 					return attempts(0, 20, 0, 0.72, 0)
 				}
 				return nil
 			})
 			e := h.planner.endpoints[0]
-			assert.InDelta(t, float64(c.every)*roundMs, math.Max(e.load.interval, roundMs), 0.3*roundMs)
-			step := penaltyGain * h.planner.demandSeen() / float64(c.every)
+			assert.InDelta(t, float64(c.interval)*roundMs, math.Max(e.load.interval, roundMs), 0.3*roundMs)
+			step := penaltyGain * h.planner.demandSeen() / float64(c.interval)
 			assert.InDelta(t, step, e.penaltyStep(), 0.3*step)
 		})
 	}
 }
 
-// TestTakenOverProxiesAreNoNewLoad guards controllers that take over others' proxies: the report correction took
+// TestTakenOverProxiesAddNoLoad guards controllers that take over others' proxies: the report correction took
 // their demand for new load at endpoints that had it all along, penalties rose to their bound, and zones spilt into
 // each other for 15 s (wide+reset+stale live, seed 993204896464).
 func TestTakenOverProxiesAreNoNewLoad(t *testing.T) {
 	for name, c := range map[string]struct {
-		util        float64
-		least, most float64 // of the zone's table on its own endpoints
+		util               float64
+		minShare, maxShare float64 // of the zone's table on its own endpoints
 	}{"they are served": {0.6, 1, 1}, "they are too many": {1, 0.1, 0.9}} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, func(settings map[string]any, _ []Entry) {
@@ -58,13 +58,13 @@
 			h.rounds(10, steady(0, 20, 0, 0.6, 0, 1))
 			h.join(2, 40, 2, 0.5)
 			h.rounds(6, together(steady(2, 20, 0, c.util, 4, 5), steady(0, 20, 0, 0.6, 0, 1)))
-			assert.GreaterOrEqual(t, h.share(2, 4, 5), c.least-1e-9)
-			assert.LessOrEqual(t, h.share(2, 4, 5), c.most+1e-9)
+			assert.GreaterOrEqual(t, h.share(2, 4, 5), c.minShare-1e-9)
+			assert.LessOrEqual(t, h.share(2, 4, 5), c.maxShare+1e-9)
 		})
 	}
 }
 
-// TestPlansAgeWithoutReports shows that the history of plans advances in each timed round, even if no report is fresh:
+// TestPlanHistoryAdvancesWithoutReports shows that the history of plans advances in each timed round, even if no report is fresh:
 // else the next report would be compared with plans of another time.
 func TestPlansAgeWithoutReports(t *testing.T) {
 	h := newHarness(t, nil)
--- a/planner/slowstart_test.go
+++ b/planner/slowstart_test.go
@@ -27,10 +27,10 @@
 	all := []int{0, 1, 2, 3, 4, 5}
 	for name, c := range map[string]struct {
 		ejectsAfter float64
-		alone       bool // the other endpoint of its zone is lost
+		lastOfZone  bool // the other endpoint of its zone is lost
 		justStarted bool // the planner is
 		events      func() []Event
-		most        float64
+		maxShare    float64
 	}{
 		"calm":                                   {5, false, false, steady(0, 20, 0, 0.3, all...), 0.37},
 		"many attempts fail: nothing":            {5, false, false, steady(0, 10, 10, 0.3, all...), 0},
@@ -46,7 +46,7 @@
 				h.rounds(8, c.events)
 			}
 			list := []Entry{{Endpoint: 0, Zone: 0, Weight: 2, Started: h.now - 5000}}
-			if c.alone {
+			if c.lastOfZone {
 				list = append(list, Entry{Endpoint: 1, Zone: 0, Weight: 2, Phase: Gone})
 			}
 			h.step(EndpointUpdate{Mode: Delta, Entries: list})
@@ -54,8 +54,8 @@
 				assert.LessOrEqual(t, h.share(0, 0), 0.5*0.55+0.005)
 			}
 			h.rounds(2, c.events)
-			assert.LessOrEqual(t, h.share(0, 0), c.most)
-			assert.Equal(t, c.most > 0, h.share(0, 0) > 0)
+			assert.LessOrEqual(t, h.share(0, 0), c.maxShare)
+			assert.Equal(t, c.maxShare > 0, h.share(0, 0) > 0)
 		})
 	}
 }
@@ -91,7 +91,7 @@
 	trials := 0
 	for range 4 {
 		h.rounds(1, steady(0, 1, 0, -1, 1, 2, 3, 4, 5))
-		trials += h.trials()
+		trials += h.trialCount()
 		if trials > 0 {
 			assert.LessOrEqual(t, h.share(0, 0), 0.3)
 		}
@@ -100,7 +100,7 @@
 }
 
 // trials returns how many trials of endpoints have begun.
-func (h *harness) trials() int {
+func (h *harness) trialCount() int {
 	count := 0
 	for _, line := range h.logs {
 		if strings.Contains(line, "trial") {
@@ -110,7 +110,7 @@
 	return count
 }
 
-// TestFewWarmingEndpointsAreHeldBack guards endpoints that warm up in a zone whose others may be lost at any moment:
+// TestFewWarmingEndpointsGetNoRequests guards endpoints that warm up in a zone whose others may be lost at any moment:
 // where all its requests would be three times what fells them, they have none of it yet (jadran-docs-later, rules-4
 // of seed 3276554681: failback).
 func TestFewWarmingEndpointsAreHeldBack(t *testing.T) {
--- a/planner/subset_test.go
+++ b/planner/subset_test.go
@@ -12,7 +12,7 @@
 	for name, c := range map[string]struct {
 		connections, proxies float64
 		subsets              int
-		most                 float64 // part of the proxies at an endpoint
+		maxUsers             float64 // part of the proxies at an endpoint
 	}{
 		"room for all":        {1000, 120, 1, 1},
 		"no limit configured": {0, 120, 1, 1},
@@ -32,10 +32,10 @@
 			})
 			h.step(EndpointUpdate{Mode: Snapshot, Entries: list})
 			assert.Equal(t, c.subsets, h.planner.subsetsOfZone)
-			users, sum := h.subsetShares()
+			users, shares := h.subsetShares()
 			for i := 0; i < 20; i += 2 {
-				assert.LessOrEqual(t, users[i], c.most)
-				assert.InDelta(t, float64(1+i%3)/20, sum[i], 0.03, "each gets its share, endpoint %d", i)
+				assert.LessOrEqual(t, users[i], c.maxUsers)
+				assert.InDelta(t, float64(1+i%3)/20, shares[i], 0.03, "each gets its share, endpoint %d", i)
 			}
 		})
 	}
@@ -88,24 +88,24 @@
 			})
 			h.step(EndpointUpdate{Mode: Snapshot, Entries: list})
 			h.rounds(12, steady(0, 20, 0, c.util, own[:10]...))
-			in := map[int]int{} // tables that an endpoint is in
+			tablesOf := map[int]int{} // tables that an endpoint is in
 			for subset := range h.planner.subsetsOfZone {
 				for i, weight := range h.planner.publisher.tables[subset].wanted {
 					if weight > 0 {
-						in[i]++
+						tablesOf[i]++
 					}
 				}
 			}
-			spilt := 0
+			spillTables := 0
 			for i := range 30 {
 				if i < 10 {
-					assert.Equal(t, h.planner.subsetsOfZone, in[i], "endpoint %d of the zone", i)
+					assert.Equal(t, h.planner.subsetsOfZone, tablesOf[i], "endpoint %d of the zone", i)
 					continue
 				}
-				assert.LessOrEqual(t, in[i], 2, "endpoint %d of another", i)
-				spilt += in[i]
+				assert.LessOrEqual(t, tablesOf[i], 2, "endpoint %d of another", i)
+				spillTables += tablesOf[i]
 			}
-			assert.Equal(t, c.spills, spilt > 0)
+			assert.Equal(t, c.spills, spillTables > 0)
 		})
 	}
 }
@@ -135,7 +135,7 @@
 	}
 }
 
-// TestRunOverlap holds the overlap of lines with a run, which may wrap around.
+// TestArcOverlap holds the overlap of lines with a run, which may wrap around.
 func TestRunOverlap(t *testing.T) {
 	for name, c := range map[string]struct {
 		run         arc
--- a/planner/zonecost_test.go
+++ b/planner/zonecost_test.go
@@ -9,9 +9,9 @@
 func TestSpillover(t *testing.T) {
 	all := []int{0, 1, 2, 3, 4, 5}
 	for name, c := range map[string]struct {
-		loads             func() []Event
-		rounds            int
-		ownLeast, ownMost float64
+		loads                    func() []Event
+		rounds                   int
+		minOwnShare, maxOwnShare float64
 	}{
 		"no reports: own zone alone":       {nil, 5, 1, 1},
 		"modest load: own zone alone":      {steady(0, 10, 0, 0.4, all...), 10, 1, 1},
@@ -22,8 +22,8 @@
 			h := newHarness(t, nil)
 			h.rounds(c.rounds, c.loads)
 			own := h.share(0, 0, 1)
-			assert.GreaterOrEqual(t, own, c.ownLeast-1e-9)
-			assert.LessOrEqual(t, own, c.ownMost+1e-9)
+			assert.GreaterOrEqual(t, own, c.minOwnShare-1e-9)
+			assert.LessOrEqual(t, own, c.maxOwnShare+1e-9)
 		})
 	}
 }
