--- a/planner/admission.go
+++ b/planner/admission.go
@@ -91,11 +91,11 @@
 		if !p.groups[group].contains(class) {
 			continue
 		}
-		cut := p.rejectedFraction(remaining)
-		remaining -= cut
+		rejected := p.rejectedFraction(remaining)
+		remaining -= rejected
 		r.enqueueAdmission(group, SetAdmission{
 			Classes: 1 << class, RetryMode: p.retryPolicy(class, retriesHelp),
-			Level: r.admissionLevel(class, cut, requests),
+			Level: r.admissionLevel(class, rejected, requests),
 		})
 	}
 }
