--- a/planner/demand.go
+++ b/planner/demand.go
@@ -25,8 +25,8 @@
 	byClass  map[int]float64 // requests that arrived, by class index
 
 	// The following fields are computed once per control round.
-	rates         map[int]float64 // requests per second, by the proxies' zone
-	total         float64         // requests per second, all zones
+	rateByZone    map[int]float64 // requests per second, by the proxies' zone
+	totalRate     float64         // requests per second, all zones
 	proxiesByZone map[int]float64 // number of joined proxies
 
 	// concentration is the Herfindahl index of the demand over the proxies of all controllers: the sum of the squared
@@ -39,7 +39,7 @@
 func newDemand() demand {
 	return demand{
 		observed: map[int]float64{}, baseline: map[int]float64{}, byClass: map[int]float64{},
-		rates: map[int]float64{}, proxiesByZone: map[int]float64{},
+		rateByZone: map[int]float64{}, proxiesByZone: map[int]float64{},
 	}
 }
 
@@ -63,24 +63,24 @@
 
 // ratePerProxy returns the mean request rate of a zone's proxies, in requests per second.
 func (d *demand) ratePerProxy(zone int) float64 {
-	return d.rates[zone] / math.Max(1, d.proxiesByZone[zone])
+	return d.rateByZone[zone] / math.Max(1, d.proxiesByZone[zone])
 }
 
 // update forecasts the demand of each zone: the sum of the ordinary rates of its joined proxies, multiplied by the
 // zone's surge. The number of proxies of all controllers together is given by fleetProxies.
 func (d *demand) update(proxies map[int]ProxyJoined, fleetProxies float64) {
 	clear(d.proxiesByZone)
-	clear(d.rates)
-	d.total = 0
+	clear(d.rateByZone)
+	d.totalRate = 0
 	sumOfSquares := 0.0
 	for _, i := range slices.Sorted(maps.Keys(proxies)) {
 		zone := proxies[i].Zone
 		rate := proxies[i].Rate * d.surge(zone)
-		d.rates[zone] += rate
-		d.total += rate
+		d.rateByZone[zone] += rate
+		d.totalRate += rate
 		d.proxiesByZone[zone]++
 		sumOfSquares += rate * rate
 	}
-	unevenness := float64(len(proxies)) / math.Max(1e-9, d.total*d.total) * sumOfSquares
+	unevenness := float64(len(proxies)) / math.Max(1e-9, d.totalRate*d.totalRate) * sumOfSquares
 	d.concentration = math.Max(1, unevenness) / fleetProxies
 }
--- a/planner/penalty.go
+++ b/planner/penalty.go
@@ -64,7 +64,7 @@
 	loadAtReport, currentLoad := 0.0, 0.0
 	for _, plan := range e.plans.planNumbers() {
 		zone := p.zoneOfPlan(plan)
-		baselineRate := p.demand.rates[zone] / p.demand.surge(zone)
+		baselineRate := p.demand.rateByZone[zone] / p.demand.surge(zone)
 		loadAtReport += baselineRate * e.plans.reportedShare(plan)
 		currentLoad += baselineRate * e.plans.currentShare(plan)
 	}
--- a/planner/zonecost.go
+++ b/planner/zonecost.go
@@ -87,7 +87,7 @@
 		totals.penalties[c.Zone] += (1 - ownPenaltyWeight) * weight * c.penalty
 		totals.load += weight * c.load
 		totals.weight += weight
-		if !p.settings.OneControllerPerZone || p.demand.rates[c.Zone] > 0 {
+		if !p.settings.OneControllerPerZone || p.demand.rateByZone[c.Zone] > 0 {
 			totals.servedWeight += weight
 		}
 	}
@@ -143,7 +143,8 @@
 		load = math.Max(load, p.targetLoad)
 	}
 	seenFraction := p.demandSeen()
-	crowding := seenFraction*p.demand.rates[r.zone]/math.Max(weightFraction*p.demand.total, 1e-9) + 1 - seenFraction
+	crowding := seenFraction*p.demand.rateByZone[r.zone]/
+		math.Max(weightFraction*p.demand.totalRate, 1e-9) + 1 - seenFraction
 	keptFraction := math.Max(p.targetLoad, load) / math.Max(load*crowding, 1e-9)
 	if keptFraction < 1 {
 		return math.Max(0, 1-(keptFraction-costs.homeFraction)/
