--- a/planner/outlier.go
+++ b/planner/outlier.go
@@ -43,8 +43,8 @@
 // zoneHealth is the health of an endpoint as observed by the proxies of one zone. An endpoint may be unreachable from
 // one zone and healthy for the others. Counts are decayed in each timed round.
 type zoneHealth struct {
-	answered float64 // attempts with an answer since the latest trial began
-	failed   float64 // attempts that failed since the latest trial began
+	answersSinceTrial  float64 // attempts with an answer since the latest trial began
+	failuresSinceTrial float64 // attempts that failed since the latest trial began
 
 	attempts float64 // all attempts since the endpoint's process started
 	failures float64 // all failed attempts since the endpoint's process started
@@ -67,8 +67,8 @@
 func (h *zoneHealth) count(stats EndpointStats) {
 	attempts := float64(stats.Attempts)
 	failures := float64(stats.Failed)
-	h.answered += math.Max(0, attempts-failures)
-	h.failed += failures
+	h.answersSinceTrial += math.Max(0, attempts-failures)
+	h.failuresSinceTrial += failures
 	h.attempts += attempts
 	h.failures += failures
 }
@@ -81,7 +81,7 @@
 		e.endEjection(r, h)
 	case e.Phase == Ready && e.isFailing(r, h):
 		e.planner.logf("endpoint %d zone %d: out, good %.1f bad %.1f all %.2f", e.Endpoint, r.zone,
-			h.answered, h.failed, r.failureRate)
+			h.answersSinceTrial, h.failuresSinceTrial, r.failureRate)
 		h.eject(e.planner.now)
 		h.decayTrialCounts()
 	default:
@@ -96,14 +96,15 @@
 // endpoints on average and is not overloaded, or it sends neither answers nor load reports. Overloaded endpoints are
 // not ejected, since their penalty reduces their load.
 func (e *endpoint) isFailing(r *region, h *zoneHealth) bool {
-	if h.failed < minFailures {
+	if h.failuresSinceTrial < minFailures {
 		return false
 	}
 	now := e.planner.now
 	overloaded := e.load.value > e.planner.targetLoad && e.load.age(now) < staleMs
-	silent := h.answered < minAnswers && e.load.age(now) > reportTimeoutMs
-	failureLimit := (baseFailureRate + zoneFailureRateFactor*r.failureRate) * (h.answered + h.failed)
-	return h.failed > failureLimit && !overloaded || silent
+	silent := h.answersSinceTrial < minAnswers && e.load.age(now) > reportTimeoutMs
+	failureLimit := (baseFailureRate + zoneFailureRateFactor*r.failureRate) *
+		(h.answersSinceTrial + h.failuresSinceTrial)
+	return h.failuresSinceTrial > failureLimit && !overloaded || silent
 }
 
 // eject starts an ejection, and makes the next one longer, up to maxEjectionMs.
@@ -121,20 +122,20 @@
 	h.ejected = false
 	h.ejectedUntil = 0
 	h.weightFactor = trialWeightFactor
-	h.answered = 0
-	h.failed = 0
+	h.answersSinceTrial = 0
+	h.failuresSinceTrial = 0
 	e.planner.logf("endpoint %d zone %d: trial", e.Endpoint, r.zone)
 }
 
 // continueTrial raises the weight of an endpoint on trial if it has answered enough attempts.
 func (h *zoneHealth) continueTrial() {
-	if h.weightFactor < 1 && h.answered >= minTrialAnswers {
+	if h.weightFactor < 1 && h.answersSinceTrial >= minTrialAnswers {
 		h.weightFactor = math.Min(1, h.weightFactor*trialWeightGrowth)
 	}
 }
 
 // decayTrialCounts decays the counts of attempts since the latest trial began.
 func (h *zoneHealth) decayTrialCounts() {
-	h.answered *= countDecay
-	h.failed *= countDecay
+	h.answersSinceTrial *= countDecay
+	h.failuresSinceTrial *= countDecay
 }
