--- a/planner/admission_test.go
+++ b/planner/admission_test.go
@@ -14,9 +14,9 @@
 	h := newHarness(t, nil)
 	h.rounds(8, overload)
 	low, ok := h.admission["0/1"]
-	require.True(t, ok, "overload sheds the class of the least priority weight for its time")
+	require.True(t, ok, "overload sheds the class with the lowest priority weight per response time")
 	assert.Less(t, low.Level, 0.9)
-	assert.LessOrEqual(t, low.RetryMode, 1, "no class is retried after an attempt that may have run")
+	assert.LessOrEqual(t, low.RetryMode, 1, "no class is retried after an attempt that may have been executed")
 	if high, ok := h.admission["0/2"]; ok {
 		assert.GreaterOrEqual(t, high.Level, low.Level)
 	}
@@ -25,13 +25,13 @@
 	disabled := newHarness(t, func(settings map[string]any, _ []Entry) { settings["admission"] = "off" })
 	disabled.rounds(8, overload)
 	for _, l := range disabled.admission {
-		assert.Equal(t, 1.0, l.Level, "retry modes are set, levels are not")
+		assert.Equal(t, 1.0, l.Level, "without load shedding, only retry modes are commanded")
 	}
 }
 
-// TestLoadSheddingByRate guards proxies that take levels as rates of their own: a share of 1, taken as one request a
-// second, had them reject four of five requests of a customer whose proxies bring 24 (calm+mass of seed 3 with 30
-// nodes, one zone, admission by rate).
+// TestLoadSheddingByRate guards against sending admitted shares to proxies that expect rate limits. Such proxies took a
+// share of 1 as a limit of one request per second and rejected four of five requests of a customer whose proxies
+// receive 24 requests per second (scenario calm+mass with seed 3, 30 nodes, one zone and admission by rate).
 func TestLoadSheddingByRate(t *testing.T) {
 	demand := func() []Event {
 		return []Event{
@@ -44,18 +44,18 @@
 		settings["retry_default"] = 1.0
 	})
 	h.rounds(8, together(steady(0, 10, 2, 0.3, 0, 1, 2, 3, 4, 5), demand))
-	require.Equal(t, 2, h.admission["0/1"].RetryMode, "some are retried")
-	assert.Greater(t, h.admission["0/1"].Level, 1000.0, "and all are admitted")
+	require.Equal(t, 2, h.admission["0/1"].RetryMode, "some attempts fail, so that retries are enabled")
+	assert.Greater(t, h.admission["0/1"].Level, 1000.0, "without overload, all requests are admitted")
 	h.rounds(3, together(steady(0, 10, 10, 1, 0, 1, 2, 3, 4, 5), demand))
-	assert.Less(t, h.admission["0/1"].Level, 15.0, "overload sheds the class of the least priority weight for its time")
+	assert.Less(t, h.admission["0/1"].Level, 15.0, "overload sheds the class with the lowest priority weight per response time")
 	assert.Greater(t, h.admission["0/1"].Level, 0.5)
-	assert.GreaterOrEqual(t, h.admission["0/2"].Level, 5.0, "and the other not yet")
+	assert.GreaterOrEqual(t, h.admission["0/2"].Level, 5.0, "the other class is not shed yet")
 	h.rounds(50, together(steady(0, 10, 0, 0.3, 0, 1, 2, 3, 4, 5), demand))
-	assert.Greater(t, h.admission["0/1"].Level, 1000.0, "then all are admitted again")
+	assert.Greater(t, h.admission["0/1"].Level, 1000.0, "after the overload, all requests are admitted again")
 	h = newHarness(t, func(settings map[string]any, _ []Entry) { settings["admission"] = "rate" })
 	h.rounds(30, steady(0, 10, 10, 1, 0, 1, 2, 3, 4, 5))
 	for _, l := range h.admission {
-		assert.Greater(t, l.Level, 0.0, "no zone without requests is closed")
+		assert.Greater(t, l.Level, 0.0, "a zone without requests still admits some")
 	}
 }
 
@@ -64,16 +64,16 @@
 		util, firstWait float64
 		failed, want    int
 	}{
-		"some fail, load is modest": {0.3, 0.8, 2, 2},
-		"none fail":                 {0.3, 0.8, 0, 1},
-		"load is high":              {0.8, 0.8, 2, 1},
-		"it would come too late":    {0.3, 1.2, 2, 1},
+		"some attempts fail at moderate load": {0.3, 0.8, 2, 2},
+		"no attempts fail":                    {0.3, 0.8, 0, 1},
+		"high load":                           {0.8, 0.8, 2, 1},
+		"a retry would be too late":           {0.3, 1.2, 2, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, func(settings map[string]any, _ []Entry) { settings["first_wait"] = c.firstWait })
 			h.rounds(6, steady(0, 10, c.failed, c.util, 0, 1, 2, 3, 4, 5))
 			assert.Equal(t, c.want, h.admission["0/1"].RetryMode)
-			assert.Equal(t, 1, h.admission["0/2"].RetryMode, "never what is non-replayable")
+			assert.Equal(t, 1, h.admission["0/2"].RetryMode, "non-replayable requests keep the default retry mode")
 		})
 	}
 }
