--- a/planner/histogram_test.go
+++ b/planner/histogram_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestHistogramDecays shows that a mean needs two values, and that old ones give way to new ones.
-func TestHistogramFades(t *testing.T) {
+// TestHistogramDecays checks that a mean needs two values, and that old values lose weight against new ones.
+func TestHistogramDecays(t *testing.T) {
 	h := histogram{}
 	h.add(4, 8)
 	mean, total := h.mean()
@@ -24,6 +24,6 @@
 	assert.LessOrEqual(t, total, 8.0)
 	h.add(0, 8)
 	h.add(1e300, 8)
-	assert.Positive(t, h.bins[0], "values out of range count in the outer bins")
+	assert.Positive(t, h.bins[0], "values out of range count in the first or last bin")
 	assert.Positive(t, h.bins[histogramBins-1])
 }
