--- a/planner/load_test.go
+++ b/planner/load_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestLoadFromRequestsInFlight guards reports of requests in flight without a queue or a utilization: taken for a
-// queue, three of them in an endpoint of eight cores were a load of 1.1, and a calm day rejected 60% of its requests
-// (harbour-one, calm+mass).
+// TestLoadFromRequestsInFlight guards against taking requests in flight for queued requests if reports contain neither
+// a queue length nor a utilization. Three requests in flight at an endpoint with eight cores counted as a load of 1.1,
+// and 60% of the requests were rejected without any overload (deployment harbour-one, scenario calm+mass).
 func TestLoadFromRequestsInFlight(t *testing.T) {
 	inFlight := func(requests, rate float64) Load { return Load{"in_hand": requests, "rate": rate} }
 	for name, c := range map[string]struct {
@@ -20,13 +20,13 @@
 		"many cores, half in use": {
 			func(s float64) Load { return inFlight(12+math.Mod(s, 2), 100) }, false, false,
 		},
-		"more, as fast": {func(s float64) Load { return inFlight(12+s, 100+8*s) }, false, false},
-		"queues fill":   {func(s float64) Load { return inFlight(12+30*max(0, s-5), 100) }, true, true},
-		"no rate":       {func(s float64) Load { return Load{"in_hand": 12 + 30*s} }, false, false},
+		"more requests, same residence time": {func(s float64) Load { return inFlight(12+s, 100+8*s) }, false, false},
+		"queues grow":                        {func(s float64) Load { return inFlight(12+30*max(0, s-5), 100) }, true, true},
+		"no rate":                            {func(s float64) Load { return Load{"in_hand": 12 + 30*s} }, false, false},
 		"nothing in flight": {
 			func(float64) Load { return inFlight(0, 0) }, false, false,
 		},
-		"a queue is reported as well": {
+		"a queue length is reported as well": {
 			func(float64) Load { return Load{"in_hand": 12, "rate": 100, "waiting": 30} }, true, true,
 		},
 	} {
