--- a/planner/outlier_test.go
+++ b/planner/outlier_test.go
@@ -9,8 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSilentZoneIsEjected guards a zone whose endpoints all hang at once: no attempt is answered and
-// nobody reports, so that none fails more than the others, and its traffic would stay with them until the list says so.
+// TestSilentZoneIsEjected guards against routing requests to a zone whose endpoints all hang at once. No endpoint fails
+// more than the others of its zone and none reports its load, so that requests would be routed to them until the
+// endpoint list changes.
 func TestSilentZoneIsEjected(t *testing.T) {
 	h := newHarness(t, nil)
 	h.rounds(6, steady(0, 3, 0, 0.3, 0, 1))
@@ -19,7 +20,7 @@
 	assert.Greater(t, h.share(0, 2, 3, 4, 5), 0.7)
 }
 
-func TestNewSpilloverIsNotSilence(t *testing.T) {
+func TestNewSpilloverTargetIsNotEjected(t *testing.T) {
 	h := newHarness(t, nil)
 	h.rounds(8, steady(0, 40, 0, 0.3, 0, 1))
 	h.rounds(3, steady(0, 40, 0, 1.3, 0, 1))
@@ -48,7 +49,7 @@
 			h.rounds(4, c.events)
 			isEjection := func(log string) bool { return strings.HasPrefix(log, "endpoint 0 zone 0: out") }
 			assert.Equal(t, c.ejected, slices.ContainsFunc(h.logs, isEjection), h.logs)
-			assert.Greater(t, h.weights[1][2], 0.0, "the other zone's table is judged by its own proxies")
+			assert.Greater(t, h.weights[1][2], 0.0, "the other zone's table depends on its own proxies' observations")
 		})
 	}
 }
@@ -62,17 +63,17 @@
 			ejected++
 			return attempts(0, 10, 0, 0.3, 1, 2, 3)
 		}
-		assert.True(t, ejected == 0 || h.share(0, 0) < 0.2, "a trial is small")
+		assert.True(t, ejected == 0 || h.share(0, 0) < 0.2, "an endpoint on trial has a small share")
 		return failing()
 	})
 	assert.Greater(t, ejected, 15)
 	h.rounds(30, func() []Event {
 		return append(attempts(0, 20, 0, 0.6*h.share(0, 0), 0), attempts(0, 20, 0, 0.3, 1, 2, 3)...)
 	})
-	assert.InDelta(t, 0.5, h.share(0, 0), 0.15, "it returns once answers are good")
+	assert.InDelta(t, 0.5, h.share(0, 0), 0.15, "the endpoint returns to its full share once it answers")
 }
 
-func TestTableStandsWhenAllAreEjected(t *testing.T) {
+func TestTableKeepsWeightWhenAllAreEjected(t *testing.T) {
 	h := newHarness(t, nil)
 	h.rounds(6, steady(0, 20, 0, 0.3, 0, 1, 2, 3, 4, 5))
 	h.rounds(20, steady(0, 0, 20, -1, 0, 1, 2, 3, 4, 5))
@@ -83,15 +84,15 @@
 	assert.Greater(t, sum, 0.1)
 }
 
-// TestRestartedZoneForgetsFailures guards zones whose endpoints start again: stats that began before the start, and
-// what was counted then, held them at nothing for ten seconds while they warmed up (wide+reset+stale live, seed
-// 993204896464).
+// TestRestartedZoneForgetsFailures guards against counting failures from before a restart. After all endpoints of a
+// zone had restarted, earlier failures and stats whose span began before the restart kept the endpoints without
+// requests for ten seconds while they warmed up (live run of scenario wide+reset+stale, seed 993204896464).
 func TestRestartedZoneForgetsFailures(t *testing.T) {
 	for name, c := range map[string]struct {
-		spanMs                         float64 // of the stats that come after the start
-		minFailureRate, maxFailureRate float64 // of the zone's attempts that fail
+		spanMs                         float64 // span of the stats that arrive after the restart
+		minFailureRate, maxFailureRate float64 // bounds of the zone's failure rate
 		minShare                       float64
-	}{"stats of both incarnations": {6000, 0, 0.05, 0.02}, "stats of the new one": {500, 0.9, 1, 0}} {
+	}{"span begins before the restart": {6000, 0, 0.05, 0.02}, "span begins after it": {500, 0.9, 1, 0}} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, func(settings map[string]any, _ []Entry) {
 				settings["ejects_after"] = 5.0
@@ -121,10 +122,10 @@
 	}
 }
 
-// TestFirstStatsCount guards a controller's first stats, whose span began before its clock: endpoints that started
-// long ago had them dropped as if they had just started.
+// TestFirstStatsCount guards against dropping the first stats that a controller receives. Their span begins before time
+// 0 of the controller's clock, so that endpoints with start time 0 (long ago) seemed to have started within it.
 func TestFirstStatsCount(t *testing.T) {
-	for name, c := range map[string]struct{ started, failureRate float64 }{"long ago": {0, 1}, "since the span began": {-100, 0}} {
+	for name, c := range map[string]struct{ started, failureRate float64 }{"started long ago": {0, 1}, "started within the span": {-100, 0}} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, func(_ map[string]any, entries []Entry) {
 				for i := range entries {
