--- a/planner/penalty_test.go
+++ b/planner/penalty_test.go
@@ -15,11 +15,12 @@
 	assert.LessOrEqual(t, high, maxPenalty)
 	h.rounds(12, steady(0, 10, 0, 0.2, 0))
 	assert.Zero(t, h.planner.endpoints[0].penalty)
-	assert.Zero(t, h.planner.endpoints[5].penalty, "no reports: the penalty stays 0")
+	assert.Zero(t, h.planner.endpoints[5].penalty, "the penalty stays 0 without reports")
 }
 
-// TestPenaltyStepsOncePerReport guards zones whose reports come every few rounds: each was counted in every round,
-// and shares swung (copies of jadran-docs with 150 and 240 proxies).
+// TestPenaltyStepsOncePerReport guards against counting a load report in several rounds. If reports arrived only every
+// few rounds, each was counted in every round until the next, and shares oscillated (deployment jadran-docs with 150
+// and 240 proxies).
 func TestPenaltyStepsOncePerReport(t *testing.T) {
 	for name, c := range map[string]struct {
 		interval int // rounds between reports
@@ -42,14 +43,14 @@
 	}
 }
 
-// TestTakenOverProxiesAddNoLoad guards controllers that take over others' proxies: the report correction took
-// their demand for new load at endpoints that had it all along, penalties rose to their bound, and zones spilt into
-// each other for 15 s (wide+reset+stale live, seed 993204896464).
-func TestTakenOverProxiesAreNoNewLoad(t *testing.T) {
+// TestTakenOverProxiesAddNoLoad guards against counting the demand of proxies taken over from another controller as
+// additional load of the endpoints that already served it. The report correction did so: penalties rose to their upper
+// bound, and zones spilled over into each other for 15 s (live run of scenario wide+reset+stale, seed 993204896464).
+func TestTakenOverProxiesAddNoLoad(t *testing.T) {
 	for name, c := range map[string]struct {
 		util               float64
-		minShare, maxShare float64 // of the zone's table on its own endpoints
-	}{"they are served": {0.6, 1, 1}, "they are too many": {1, 0.1, 0.9}} {
+		minShare, maxShare float64 // share of the zone's own endpoints in its table
+	}{"endpoints can serve them": {0.6, 1, 1}, "endpoints are overloaded": {1, 0.1, 0.9}} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, func(settings map[string]any, _ []Entry) {
 				settings["by_zone"] = true
@@ -64,9 +65,9 @@
 	}
 }
 
-// TestPlanHistoryAdvancesWithoutReports shows that the history of plans advances in each timed round, even if no report is fresh:
-// else the next report would be compared with plans of another time.
-func TestPlansAgeWithoutReports(t *testing.T) {
+// TestPlanHistoryAdvancesWithoutReports checks that the history of plans advances in each timed round, even without a
+// fresh report. Otherwise the next report would be compared with plans of the wrong time.
+func TestPlanHistoryAdvancesWithoutReports(t *testing.T) {
 	h := newHarness(t, nil)
 	e := h.planner.endpoint(0)
 	e.plans.set(0, 0.5)
@@ -75,5 +76,5 @@
 		e.stepPenalty(0.3, false)
 	}
 	assert.Equal(t, 0.5, e.plans.reportedShare(0))
-	assert.Equal(t, 0.5, e.plans.currentShare(0), "and the present plan stands")
+	assert.Equal(t, 0.5, e.plans.currentShare(0), "the current plan does not change")
 }
