--- a/planner/settings_test.go
+++ b/planner/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSettingsDefaults shows what stands in for numbers that are missing or that none can plan by.
+// TestSettingsDefaults checks the defaults of missing numbers, and that unusable numbers are replaced by them.
 func TestSettingsDefaults(t *testing.T) {
 	defaults, err := ParseSettings(nil)
 	require.NoError(t, err)
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestSettingsRead holds one value of each kind against its field.
+// TestSettingsRead checks that settings of each type are read into their fields.
 func TestSettingsRead(t *testing.T) {
 	settings, err := ParseSettings(map[string]any{
 		"proxy_count": 7.0, "zones": []any{"a", "b"}, "by_zone": true, "slices": 64.0, "discovery": "on_request",
@@ -52,7 +52,7 @@
 	})
 	require.NoError(t, err)
 	assert.Equal(t, 7.0, settings.ProxyCount.Or(1))
-	assert.Equal(t, 9.0, settings.MinConnectionLimit.Or(9), "a missing number takes the fallback of its formula")
+	assert.Equal(t, 9.0, settings.MinConnectionLimit.Or(9), "a missing number is replaced by the fallback")
 	assert.Equal(t, 2, settings.ZoneCount)
 	assert.True(t, settings.OneControllerPerZone && settings.Sliced && settings.DiscoveryOnRequest)
 	assert.True(t, settings.ReportsUtilization && settings.ProxiesEject)
@@ -63,12 +63,12 @@
 		{PriorityWeight: 3, ResponseTargetMs: 250, Retryable: true},
 		{PriorityWeight: 1, ResponseTargetMs: 1000, OwnZoneOnly: true, OnlyMachines: IndexList{1}},
 	}, settings.Classes)
-	assert.True(t, settings.Classes[0].OnlyMachines.Allows(5), "an empty list names all")
+	assert.True(t, settings.Classes[0].OnlyMachines.Allows(5), "an empty list allows all")
 	assert.True(t, settings.Classes[1].OnlyMachines.Allows(1))
 	assert.False(t, settings.Classes[1].OnlyMachines.Allows(0))
 }
 
-// TestSettingsOfWrongType shows that each value of a wrong type is named, and that its default stands.
+// TestSettingsOfWrongType checks that each value of the wrong type is reported and replaced by its default.
 func TestSettingsOfWrongType(t *testing.T) {
 	for key, c := range map[string]struct {
 		raw  any
@@ -105,12 +105,12 @@
 	assert.ElementsMatch(t, []string{"req_kinds[0]", "req_kinds[1].payoff", "req_kinds[1].only_zones[0]", "cold"}, keys)
 	require.Len(t, settings.Classes, 2)
 	assert.Equal(t, RequestClass{PriorityWeight: 1, ResponseTargetMs: 1000}, settings.Classes[0])
-	assert.False(t, settings.Classes[1].OnlyZones.Allows(0), "what is no index names nothing")
+	assert.False(t, settings.Classes[1].OnlyZones.Allows(0), "an element that is not an index allows nothing")
 	assert.True(t, settings.Classes[1].OnlyZones.Allows(2))
 	assert.ErrorContains(t, err, "setting cold: want a number, got bool")
 }
 
-// TestReconfigure shows which settings a running planner follows, and what stays as New derived it.
+// TestReconfigure checks which settings Reconfigure changes, and that values derived by New stay the same.
 func TestReconfigure(t *testing.T) {
 	raw := map[string]any{
 		"backlog": 100.0, "cross_zone": 0.1, "conns_least": 10.0, "proxy_count": 300.0,
@@ -124,7 +124,7 @@
 	raw["cross_zone"] = 0.0
 	raw["conns_least"] = 1e6
 	raw["req_kinds"] = []any{}
-	assert.Equal(t, 100.0, p.settings.BacklogLines, "the map is not read any more")
+	assert.Equal(t, 100.0, p.settings.BacklogLines, "the map is read only by New and Reconfigure")
 	p.Reconfigure(raw)
 	assert.Equal(t, 200.0, p.settings.BacklogLines)
 	assert.Equal(t, 1e6, p.settings.MinConnectionLimit.Or(0))
