--- a/planner/slowstart_test.go
+++ b/planner/slowstart_test.go
@@ -20,25 +20,25 @@
 		last = share
 	}
 	h.rounds(4, nil)
-	assert.InDelta(t, 0.5, h.share(0, 0), 0.1, "at full weight again")
+	assert.InDelta(t, 0.5, h.share(0, 0), 0.1, "full weight after the warm-up")
 }
 
 func TestSlowStartUnderFaults(t *testing.T) {
 	all := []int{0, 1, 2, 3, 4, 5}
 	for name, c := range map[string]struct {
 		ejectsAfter float64
-		lastOfZone  bool // the other endpoint of its zone is lost
-		justStarted bool // the planner is
+		lastOfZone  bool // the other endpoint of its zone is gone
+		justStarted bool // the planner has just started
 		events      func() []Event
 		maxShare    float64
 	}{
-		"calm":                                   {5, false, false, steady(0, 20, 0, 0.3, all...), 0.37},
-		"many attempts fail: nothing":            {5, false, false, steady(0, 10, 10, 0.3, all...), 0},
-		"high load: nothing":                     {5, false, false, steady(0, 20, 0, 0.9, all...), 0},
-		"proxies do not eject: a little":         {0, false, false, steady(0, 20, 0, 0.9, all...), 0.4},
-		"planner just started: nothing":          {5, false, true, steady(0, 20, 0, 0.3, all...), 0},
-		"last of its zone: no more":              {5, true, false, steady(0, 20, 0, 0.3, all...), 0.45},
-		"last of its zone, proxies do not eject": {0, true, false, steady(0, 20, 0, 0.3, all...), 0.45},
+		"normal operation":                                         {5, false, false, steady(0, 20, 0, 0.3, all...), 0.37},
+		"many attempts fail: no requests":                          {5, false, false, steady(0, 10, 10, 0.3, all...), 0},
+		"high load: no requests":                                   {5, false, false, steady(0, 20, 0, 0.9, all...), 0},
+		"high load, proxies do not eject: some requests":           {0, false, false, steady(0, 20, 0, 0.9, all...), 0.4},
+		"planner just started: no requests":                        {5, false, true, steady(0, 20, 0, 0.3, all...), 0},
+		"last endpoint of its zone: limited":                       {5, true, false, steady(0, 20, 0, 0.3, all...), 0.45},
+		"last endpoint of its zone, proxies do not eject: limited": {0, true, false, steady(0, 20, 0, 0.3, all...), 0.45},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, func(settings map[string]any, _ []Entry) { settings["ejects_after"] = c.ejectsAfter })
@@ -50,7 +50,7 @@
 				list = append(list, Entry{Endpoint: 1, Zone: 0, Weight: 2, Phase: Gone})
 			}
 			h.step(EndpointUpdate{Mode: Delta, Entries: list})
-			if name == "calm" { // its half of the zone, times its warm-up fraction
+			if name == "normal operation" { // half of the zone's weight, times the warm-up fraction of 0.55
 				assert.LessOrEqual(t, h.share(0, 0), 0.5*0.55+0.005)
 			}
 			h.rounds(2, c.events)
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestSlowStartUnderSurge guards an endpoint that warms up while failed requests are repeated: what it may get goes
-// by how often they are.
+// TestSlowStartUnderSurge guards against overloading an endpoint that warms up while failed requests are repeated: its
+// share has to decrease with the surge of demand.
 func TestSlowStartUnderSurge(t *testing.T) {
 	var shares []float64
 	for _, requests := range []int{20, 60} {
@@ -81,8 +81,8 @@
 	assert.Less(t, shares[1], 0.7*shares[0], "%v", shares)
 }
 
-// TestSlowStartAmongTrials guards an endpoint that warms up while all others that its zone reaches are on trial: what
-// the trials may not take does not fall to it (incident 019).
+// TestSlowStartAmongTrials guards against overloading an endpoint that warms up while all other endpoints are on trial:
+// requests that exceed the limits of the trials must not be routed to it (incident 019).
 func TestSlowStartAmongTrials(t *testing.T) {
 	h := newHarness(t, func(settings map[string]any, _ []Entry) { settings["ejects_after"] = 0.0 })
 	h.rounds(8, steady(0, 20, 0, 0.3, 0, 1, 2, 3, 4, 5))
@@ -99,7 +99,7 @@
 	assert.Positive(t, trials)
 }
 
-// trials returns how many trials of endpoints have begun.
+// trialCount returns the number of trials that have been logged.
 func (h *harness) trialCount() int {
 	count := 0
 	for _, line := range h.logs {
@@ -110,10 +110,10 @@
 	return count
 }
 
-// TestFewWarmingEndpointsGetNoRequests guards endpoints that warm up in a zone whose others may be lost at any moment:
-// where all its requests would be three times what fells them, they have none of it yet (jadran-docs-later, rules-4
-// of seed 3276554681: failback).
-func TestFewWarmingEndpointsAreHeldBack(t *testing.T) {
+// TestFewWarmingEndpointsGetNoRequests guards against failures of endpoints that warm up when the other endpoints of
+// their zone are lost. While all requests of the zone would be three times the load at which they fail, they get no
+// requests (deployment jadran-docs-later, scenario rules-4 with seed 3276554681, violation of the rule failback).
+func TestFewWarmingEndpointsGetNoRequests(t *testing.T) {
 	for name, c := range map[string]struct {
 		util, age float64
 		used      bool
@@ -133,14 +133,15 @@
 	}
 }
 
-// TestSlowStartInCrowdedZone guards endpoints that warm up in a zone that has more of the proxies than of the
-// endpoints: cut off from the others, all its requests turn to them, and the mean load shows too little of that
-// (zone+mass of seed 5: 47% of the proxies, a third of the endpoints, 3.9 times what one could do).
+// TestSlowStartInCrowdedZone guards against overloading endpoints that warm up in a zone with a larger fraction of the
+// proxies than of the endpoints. If the zone is cut off from the others, its endpoints get all of its requests, which
+// is more than the mean load suggests (scenario zone+mass with seed 5: 47% of the proxies and a third of the endpoints,
+// 3.9 times the capacity of an endpoint).
 func TestSlowStartInCrowdedZone(t *testing.T) {
 	for name, c := range map[string]struct {
-		proxies int // of 90, in its zone
+		proxies int // number of the 90 proxies that are in its zone
 		used    bool
-	}{"a third": {30, true}, "nearly all": {88, false}} {
+	}{"a third of the proxies": {30, true}, "nearly all proxies": {88, false}} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, func(settings map[string]any, _ []Entry) {
 				settings["ejects_after"] = 5.0
