--- a/planner/subset_test.go
+++ b/planner/subset_test.go
@@ -6,19 +6,20 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestSubsets guards endpoints that take fewer connections than there are proxies: with one table for a zone all
-// connected to each, and a fifth of the attempts found none free (live day rate+silent, seed 241915007121).
+// TestSubsets guards against exceeding the connection limits of endpoints. With one table for each zone, all its
+// proxies connected to each endpoint, and a fifth of the attempts found no free connection (live run of scenario
+// rate+silent, seed 241915007121).
 func TestSubsets(t *testing.T) {
 	for name, c := range map[string]struct {
 		connections, proxies float64
 		subsets              int
-		maxUsers             float64 // part of the proxies at an endpoint
+		maxUsers             float64 // upper bound of the fraction of the proxies that use an endpoint
 	}{
-		"room for all":        {1000, 120, 1, 1},
-		"no limit configured": {0, 120, 1, 1},
-		"room for few":        {60, 120, 4, 0.8},
-		"room for very few":   {30, 120, 4, 0.8},
-		"few proxies anyway":  {10, 12, 1, 1},
+		"high connection limit":       {1000, 120, 1, 1},
+		"no limit configured":         {0, 120, 1, 1},
+		"low limit":                   {60, 120, 4, 0.8},
+		"very low limit":              {30, 120, 4, 0.8},
+		"too few proxies for subsets": {10, 12, 1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var list []Entry
@@ -35,14 +36,14 @@
 			users, shares := h.subsetShares()
 			for i := 0; i < 20; i += 2 {
 				assert.LessOrEqual(t, users[i], c.maxUsers)
-				assert.InDelta(t, float64(1+i%3)/20, shares[i], 0.03, "each gets its share, endpoint %d", i)
+				assert.InDelta(t, float64(1+i%3)/20, shares[i], 0.03, "all tables together give endpoint %d its share", i)
 			}
 		})
 	}
 }
 
-// subsetShares returns, by endpoint of zone 0, the part of the zone's proxies whose tables it is in, and the share
-// that it gets by all of them.
+// subsetShares returns, by endpoint, the fraction of the proxies of zone 0 whose tables contain it, and its share of
+// the requests of the zone according to all these tables.
 func (h *harness) subsetShares() (users, shares map[int]float64) {
 	users = map[int]float64{}
 	shares = map[int]float64{}
@@ -53,7 +54,7 @@
 		for _, weight := range wanted {
 			all += weight
 		}
-		assert.Positive(h.t, all, "no proxy is left without a line")
+		assert.Positive(h.t, all, "each table has a line")
 		for endpoint, weight := range wanted {
 			if weight > 0 {
 				users[endpoint] += 1 / subsets
@@ -64,14 +65,14 @@
 	return users, shares
 }
 
-// TestSpilloverKeepsHomeLines guards tables of zones whose proxies are dealt to subsets: a little spillover beside
-// the own lines cut each table to a quarter of them, and all were sent again as it came and went (reload live, seed
-// 371080736025).
+// TestSpilloverKeepsHomeLines guards against removing lines of the own zone from the tables of subsets when requests
+// spill over. A small amount of spillover reduced each table to a quarter of its lines, and all lines were sent again
+// whenever spillover began or ended (live run of scenario reload, seed 371080736025).
 func TestSpilloverKeepsHomeLines(t *testing.T) {
 	for name, c := range map[string]struct {
-		util   float64 // of the own zone's endpoints
+		util   float64 // utilization of the own zone's endpoints
 		spills bool
-	}{"no spill": {0.4, false}, "some": {0.95, true}, "much": {1.2, true}} {
+	}{"no spillover": {0.4, false}, "some spillover": {0.95, true}, "much spillover": {1.2, true}} {
 		t.Run(name, func(t *testing.T) {
 			var list []Entry
 			own := []int{}
@@ -84,11 +85,11 @@
 				settings["conns_least"] = 74.0
 				settings["zones"] = []any{"a", "b", "c"}
 				settings["by_zone"] = true
-				settings["lines_per_s"] = 10000.0 // connections bound the tables here, not the channel
+				settings["lines_per_s"] = 10000.0 // high, so that connections limit the tables, not the channel
 			})
 			h.step(EndpointUpdate{Mode: Snapshot, Entries: list})
 			h.rounds(12, steady(0, 20, 0, c.util, own[:10]...))
-			tablesOf := map[int]int{} // tables that an endpoint is in
+			tablesOf := map[int]int{} // number of tables that contain an endpoint
 			for subset := range h.planner.subsetsOfZone {
 				for i, weight := range h.planner.publisher.tables[subset].wanted {
 					if weight > 0 {
@@ -99,10 +100,10 @@
 			spillTables := 0
 			for i := range 30 {
 				if i < 10 {
-					assert.Equal(t, h.planner.subsetsOfZone, tablesOf[i], "endpoint %d of the zone", i)
+					assert.Equal(t, h.planner.subsetsOfZone, tablesOf[i], "number of tables with endpoint %d of the own zone", i)
 					continue
 				}
-				assert.LessOrEqual(t, tablesOf[i], 2, "endpoint %d of another", i)
+				assert.LessOrEqual(t, tablesOf[i], 2, "number of tables with endpoint %d of another zone", i)
 				spillTables += tablesOf[i]
 			}
 			assert.Equal(t, c.spills, spillTables > 0)
@@ -110,9 +111,10 @@
 	}
 }
 
-// TestThousandsOfProxiesAreAssigned guards a fleet of so many proxies that connections leave each table less than a
-// third of a run: runs stayed at none, no table was ever laid, and 2,400 proxies went by their standing tables
-// (calm+mass in full).
+// TestThousandsOfProxiesAreAssigned guards against empty tables in a fleet with so many proxies that the connection
+// limits allow an arc length of less than a third of a table per line. The difference to 0 was below the hysteresis:
+// arc lengths stayed 0, no table was ever filled, and 2,400 proxies kept using their static tables (scenario calm+mass
+// at full size).
 func TestThousandsOfProxiesAreAssigned(t *testing.T) {
 	h := newHarness(t, func(settings map[string]any, entries []Entry) {
 		settings["proxy_count"] = 2400.0
@@ -135,20 +137,20 @@
 	}
 }
 
-// TestArcOverlap holds the overlap of lines with a run, which may wrap around.
-func TestRunOverlap(t *testing.T) {
+// TestArcOverlap checks the overlap of lines with an arc, which may extend beyond the end of the ring.
+func TestArcOverlap(t *testing.T) {
 	for name, c := range map[string]struct {
 		run         arc
 		place, mass float64
 		want        float64
 	}{
-		"inside":             {arc{0.25, 0.5}, 0.3, 0.2, 0.2},
-		"across its end":     {arc{0.25, 0.5}, 0.7, 0.2, 0.05},
-		"outside":            {arc{0.25, 0.5}, 0.8, 0.1, 0},
-		"wrapped":            {arc{0.75, 0.5}, 0.1, 0.1, 0.1},
-		"across a wrapped":   {arc{0.75, 0.5}, 0.2, 0.2, 0.05},
-		"a whole ring":       {arc{0.5, 1}, 0, 0.25, 0.25},
-		"beside a short run": {arc{0, 0.125}, 0.125, 0.125, 0},
+		"inside":                             {arc{0.25, 0.5}, 0.3, 0.2, 0.2},
+		"across the end of the arc":          {arc{0.25, 0.5}, 0.7, 0.2, 0.05},
+		"outside":                            {arc{0.25, 0.5}, 0.8, 0.1, 0},
+		"inside the wrapped part":            {arc{0.75, 0.5}, 0.1, 0.1, 0.1},
+		"across the end of the wrapped part": {arc{0.75, 0.5}, 0.2, 0.2, 0.05},
+		"a whole ring":                       {arc{0.5, 1}, 0, 0.25, 0.25},
+		"next to a short arc":                {arc{0, 0.125}, 0.125, 0.125, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			assert.InDelta(t, c.want, c.run.overlap(c.place, c.mass), 1e-9)
