--- a/planner/demand.go
+++ b/planner/demand.go
@@ -20,9 +20,9 @@
 // demand holds estimates of the requests that arrive at the joined proxies. Counts decay exponentially, so that recent
 // requests have the most weight.
 type demand struct {
-	observed map[int]float64 // requests that arrived, by the proxies' zone
-	baseline map[int]float64 // requests that these proxies ordinarily receive in the same time, by zone
-	byClass  map[int]float64 // requests that arrived, by class index
+	observed map[int]float64 // decayed count of requests, by the proxies' zone
+	baseline map[int]float64 // decayed count of requests that the proxies ordinarily receive in that time, by zone
+	byClass  map[int]float64 // decayed count of requests, by class index
 
 	// The following fields are computed once per control round.
 	rateByZone    map[int]float64 // requests per second, by the proxies' zone
