--- a/planner/endpoint.go
+++ b/planner/endpoint.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// controlRound updates the endpoint and sends it to each region as a candidate. Only timed rounds change the penalty
-// and health. It does nothing until the endpoint has been listed.
+// controlRound updates the endpoint and sends it to each region as a candidate. Only timed rounds (see roundStart)
+// change the penalty and health. It does nothing until the endpoint has been listed.
 func (e *endpoint) controlRound(timed bool) {
 	if !e.listed {
 		return
