--- a/planner/load.go
+++ b/planner/load.go
@@ -26,7 +26,7 @@
 	// intervalGain is the weight of the latest time between two reports in the moving average.
 	intervalGain = 0.25
 
-	// unknownLoad stands for the load of an endpoint that has not reported any.
+	// unknownLoad is the value of the load while an endpoint has not reported any.
 	unknownLoad = -1.0
 )
 
@@ -49,8 +49,8 @@
 	interval  float64 // ms, moving average of the time between reports
 
 	// Time that a request spends at the endpoint, queued or being processed, in seconds; 0 if unknown.
-	residenceTime    float64 // moving average
-	minResidenceTime float64 // lowest average so far, assumed for an idle endpoint
+	residenceTime    float64 // moving average of the residence time
+	minResidenceTime float64 // lowest moving average so far, assumed to be that of an idle endpoint
 
 	speeds histogram
 }
