--- a/planner/region.go
+++ b/planner/region.go
@@ -28,7 +28,7 @@
 	planner *Planner
 	zone    int
 
-	candidates  map[int]*candidate // by endpoint
+	candidates  map[int]*candidate // latest candidates, by endpoint index
 	latency     map[int]float64    // ms, moving average measured by the zone's proxies, by the endpoints' zone
 	failureRate float64            // fraction of failed attempts of the zone's proxies
 
@@ -90,7 +90,8 @@
 // candidateIndices returns the indices of the candidate endpoints in ascending order.
 func (r *region) candidateIndices() []int { return slices.Sorted(maps.Keys(r.candidates)) }
 
-// controlRound computes a new plan for each class group. Only timed rounds update the failure rate and admission.
+// controlRound computes a new plan for each class group. Only timed rounds (see roundStart) update the failure rate and
+// the admission levels.
 func (r *region) controlRound(timed bool) {
 	indices := r.candidateIndices()
 	if timed {
@@ -128,7 +129,7 @@
 }
 
 // planGroup computes the endpoints' shares of a class group's requests. It sends the shares to the endpoints and the
-// resulting table lines to the publisher. Only timed rounds update admission.
+// resulting table lines to the publisher. Only timed rounds update the admission levels.
 func (r *region) planGroup(group int, indices []int, timed bool) {
 	costs := r.computeZoneCosts(group, indices)
 	allocations := r.allocations(group, indices, costs)
