--- a/planner/settings.go
+++ b/planner/settings.go
@@ -51,11 +51,11 @@
 // Settings is the configuration of the deployment. Times are in milliseconds. A number that is missing, not above zero,
 // infinite or of the wrong type is replaced by the default given in the field's comment.
 type Settings struct {
-	// The controllers. This planner belongs to one of them.
+	// Settings of the controllers. This planner belongs to one of them.
 	Instances float64 // number of controllers; default 1
 	Rank      float64 // index of this controller, starting at 0
 
-	// The fleet.
+	// Settings of the fleet.
 	ProxyCount           Optional // number of proxies of all controllers together
 	ZoneCount            int      // number of configured zones
 	OneControllerPerZone bool     // all proxies of a zone join the same controller, which sees all of its demand
@@ -63,7 +63,7 @@
 	StaticTableLines     float64  // lines of the static table that a proxy starts with; default 1e-9
 	DiscoveryOnRequest   bool     // changes of the endpoint list are sent only after a WatchEndpoints command
 
-	// The endpoints.
+	// Settings of the endpoints.
 	MinConnectionLimit    Optional // lowest connection limit of any endpoint
 	CrossZoneCost         float64  // cost of routing a request to another zone, in the deployment's units; default 0.1
 	WarmUpMs              float64  // time from an endpoint's start until its full capacity is available; default 10000
@@ -72,27 +72,27 @@
 	HealthChecks          bool     // the planner may command health checks of endpoints
 	ReportsUtilization    bool     // load reports contain the utilization, which rises before the queue grows
 
-	// Behavior of the proxies.
-	ProxiesEject     bool    // proxies avoid endpoints after several consecutive failures
-	DefaultRetryMode int     // retry mode of proxies that have not received any
-	FirstRetryWait   float64 // wait before the first retry, as a multiple of the class's response target; default 1
-	Admission        AdmissionMode
+	// Settings of the proxies' behavior.
+	ProxiesEject     bool          // proxies avoid endpoints after several consecutive failures
+	DefaultRetryMode int           // retry mode of proxies that have not received any
+	FirstRetryWait   float64       // wait before the first retry, as a multiple of the response target; default 1
+	Admission        AdmissionMode // form of admission levels; empty: no load shedding
 
-	// The channel to the proxies.
+	// Settings of the channel that carries messages to the proxies.
 	LinesPerSecond  Optional // throughput of the channel in table lines
 	BacklogLines    float64  // number of lines that may be queued in the channel; default 1000
 	HeaderLines     float64  // cost of a message in lines, in addition to the lines it contains; default 4
 	MessageLimit    float64  // number of messages that a proxy may receive within MessageWindowMs; default: no limit
-	MessageWindowMs float64  // default 10000
+	MessageWindowMs float64  // time to which MessageLimit applies; default 10000
 	MaxDeliveryMs   float64  // longest delivery time of a message; default 500
 	DrainGraceMs    float64  // time from the notice that an endpoint drains until its connections close; default 2000
 
-	Classes []RequestClass
+	Classes []RequestClass // request classes, at most maxClasses
 }
 
 // RequestClass is the configuration of one class of requests.
 type RequestClass struct {
-	PriorityWeight   float64   // relative value of an answer; default 1
+	PriorityWeight   float64   // value of an answer relative to those of other classes; default 1
 	ResponseTargetMs float64   // ms, time within which an answer is due; default 1000
 	Retryable        bool      // executing a request twice does no harm
 	OwnZoneOnly      bool      // only endpoints in the zone of the proxy that receives a request may serve it
