--- a/planner/slowstart.go
+++ b/planner/slowstart.go
@@ -57,9 +57,9 @@
 
 // candidateTotals holds sums over the endpoints that a plan may use.
 type candidateTotals struct {
-	weight        float64 // of all endpoints
-	homeWeight    float64 // of the endpoints in the region's own zone, or of an average zone if that is more
-	warmingWeight float64 // of the endpoints in the region's own zone that warm up, times their warm-up fractions
+	weight        float64 // sum of the weights of all endpoints
+	homeWeight    float64 // sum over the region's own zone, or that of an average zone if higher
+	warmingWeight float64 // sum of weight times warm-up fraction over the own zone's endpoints that warm up
 	settledHealth float64 // sum of the health factors of the endpoints that do not warm up
 }
 
