--- a/planner/solver.go
+++ b/planner/solver.go
@@ -29,7 +29,7 @@
 type allocation struct {
 	endpoint int
 	ring     int     // homeRing or spillRing
-	weight   float64 // of the endpoint; limitShares normalizes it to the initial share. 0: not used
+	weight   float64 // weight of the endpoint, normalized by limitShares; 0 if it is not to be used
 	cost     float64 // cost of a request: zone cost plus penalty
 	limit    float64 // upper bound of the share
 	share    float64 // fraction of the requests, the result of the descent
