--- a/planner/zonecost.go
+++ b/planner/zonecost.go
@@ -40,17 +40,17 @@
 
 // zoneCosts holds the cost of a request of a class group in each zone.
 type zoneCosts struct {
-	byZone       map[int]float64
-	homeFraction float64 // fraction of all weight in the nearest zone that the group may use; 1 if that zone is lost
-	load         float64 // mean load of the endpoints that the group may use
+	byZone       map[int]float64 // costs by zone
+	homeFraction float64         // fraction of all weight in the nearest zone that the group may use; 1 if it is lost
+	load         float64         // mean load of the endpoints that the group may use
 }
 
 // zoneTotals holds sums over the candidates that may serve a class group.
 type zoneTotals struct {
-	weights      map[int]float64 // by zone
+	weights      map[int]float64 // by zone, sum of the endpoints' usable weights
 	penalties    map[int]float64 // by zone, sum of penalty times weight, without the fraction ownPenaltyWeight
-	weight       float64         // all zones
-	servedWeight float64         // all zones whose demand this planner sees
+	weight       float64         // sum over all zones
+	servedWeight float64         // sum over the zones whose demand this planner sees
 	load         float64         // sum of load times weight
 }
 
