--- a/planner/outlier.go
+++ b/planner/outlier.go
@@ -94,7 +94,7 @@
 
 // isFailing returns whether an endpoint is to be ejected from a region's tables: it fails more than the region's
 // endpoints on average and is not overloaded, or it sends neither answers nor load reports. Overloaded endpoints are
-// not ejected, since their penalty reduces their load.
+// not ejected, since their penalty reduces their load. With fewer than minFailures failures, it returns false.
 func (e *endpoint) isFailing(r *region, h *zoneHealth) bool {
 	if h.failuresSinceTrial < minFailures {
 		return false
