--- a/planner/flowcontrol.go
+++ b/planner/flowcontrol.go
@@ -92,7 +92,7 @@
 // smallest batch whose acknowledgement proves that all earlier lines have left the channel.
 func (pb *publisher) probe() {
 	p := pb.planner
-	due := pb.window.nextProbeAt(probeWaitDeliveries * p.settings.DeliveryMs)
+	due := pb.window.nextProbeAt(probeWaitDeliveries * p.settings.MaxDeliveryMs)
 	if due > p.now {
 		if pb.blocked.probeAt != due {
 			pb.blocked.probeAt = due
--- a/planner/membership.go
+++ b/planner/membership.go
@@ -198,7 +198,7 @@
 	switch {
 	case c.Phase != Ready:
 		return unavailableDivergence
-	case r.planner.endpoints[c.Endpoint].restarted && c.warmUp < 1:
+	case r.planner.endpoints[c.Endpoint].restarted && c.warmUpFraction < 1:
 		return restartDivergence
 	}
 	return 0
@@ -209,5 +209,5 @@
 func (r *region) chanceDivergence(endpoints float64) float64 {
 	p := r.planner
 	zones := float64(len(p.regions))
-	return math.Sqrt(endpoints * zones * p.demand.concentration / p.settings.StandingLines)
+	return math.Sqrt(endpoints * zones * p.demand.concentration / p.settings.StaticTableLines)
 }
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -257,7 +257,7 @@
 // proxies that joined it. The other pilots plan for the rest, so each corrects only its fraction of an imbalance. It is
 // 1 if all proxies of a zone join the same pilot.
 func (p *Planner) demandFraction() float64 {
-	if p.settings.ZonesKeptWhole {
+	if p.settings.OneControllerPerZone {
 		return 1
 	}
 	return math.Min(1, float64(len(p.proxies))/p.settings.ProxyCount.Or(1))
--- a/planner/publisher.go
+++ b/planner/publisher.go
@@ -147,7 +147,7 @@
 
 // messageInterval returns the minimum time between regular messages to a proxy, in ms.
 func (pb *publisher) messageInterval() float64 {
-	return messageSpacing * pb.planner.settings.MessageSpanMs / pb.planner.settings.MessageLimit
+	return messageSpacing * pb.planner.settings.MessageWindowMs / pb.planner.settings.MessageLimit
 }
 
 // tableUpdate tracks the push of one table, which sends the table's changes to the proxies that hold it.
--- a/planner/solver.go
+++ b/planner/solver.go
@@ -1,23 +1,25 @@
 package planner
 
-// This file solves a region's local problem (paper, equations 6 and 7): which share of its requests goes to which
-// endpoint. It is a projected gradient descent over the capped simplex: shares that sum to 1, each between 0 and its
-// limit. It starts from the listed weights and is short on purpose: shares move towards lower costs instead of all
-// going to the cheapest endpoint, since costs within a zone are alike and penalties are noisy.
+// This file solves the local problem of a region (equations 6 and 7 of the ACCO paper): which share of its requests is
+// routed to which endpoint. The method is projected gradient descent over the capped simplex, the set of shares that
+// sum to 1 and lie between 0 and a limit each. The descent starts from the listed weights and is short on purpose:
+// shares move towards lower costs instead of all going to the cheapest endpoint, since costs within a zone differ
+// little and penalties are noisy.
 
 import "math"
 
 const (
-	// gradientLength is the total length of the descent, divided by the home zone's fraction of the weight, so that
-	// spillover begins at the same mean penalty whatever the zone's size.
+	// gradientLength is the total step size of the descent. It is divided by the home zone's fraction of the weight, so
+	// that spillover to other zones begins at the same mean penalty for zones of any size.
 	gradientLength = 1.5
 
-	gradientSteps   = 24
-	projectionSteps = 12  // enough to spread the rest: each step reaches a limit or is exact
-	minHomePart     = 0.1 // least fraction of the home zone, to bound the length of a step
+	gradientSteps   = 24  // number of steps of the descent
+	projectionSteps = 12  // iterations of a projection; each iteration either reaches a limit or is exact
+	minHomeFraction = 0.1 // lower bound of the home zone's fraction as a divisor, which bounds the step size
 )
 
-// The rings on which shares are laid out for subsets (subset.go): of the region's own endpoints, and of others.
+// The rings on which shares are laid out for the proxy subsets (see subset.go): homeRing for endpoints of the region's
+// own zone, spillRing for endpoints of other zones.
 const (
 	homeRing = iota
 	spillRing
@@ -27,13 +29,14 @@
 type allocation struct {
 	endpoint int
 	ring     int     // homeRing or spillRing
-	weight   float64 // share by listed weight, where the descent starts; 0: not to be used
-	cost     float64 // of a request
+	weight   float64 // weight of the endpoint, normalized by limitShares; 0 if it is not to be used
+	cost     float64 // cost of a request: zone cost plus penalty
 	limit    float64 // upper bound of the share
-	share    float64 // result
+	share    float64 // fraction of the requests, the result of the descent
 }
 
-// allocations returns the endpoints for a class group as the descent starts.
+// allocations returns an allocation for each candidate as the descent starts. Endpoints that are not ready or may not
+// serve the class group have weight 0.
 func (r *region) allocations(group int, indices []int, costs zoneCosts) []allocation {
 	totals := candidateTotals{weight: 1e-9, homeWeight: 1e-9, warmingWeight: 1e-9}
 	allocations := make([]allocation, 0, len(indices))
@@ -44,23 +47,24 @@
 			a.ring = homeRing
 		}
 		if c.Phase == Ready && r.planner.groups[group].mayUse(r.zone, c) {
-			a.weight = r.weightFor(group, c)
-			a.cost = costs.byZone[c.Zone] + ownPenaltyPart*c.penalty
+			a.weight = r.remainingWeight(group, c)
+			a.cost = costs.byZone[c.Zone] + ownPenaltyWeight*c.penalty
 			a.limit = 1
 			totals.add(&a, c)
 		}
 		allocations = append(allocations, a)
 	}
 	meanZone := totals.weight / float64(len(r.planner.regions))
-	// The last endpoint of a zone cannot serve all its requests.
+	// With this lower bound, the last remaining endpoint of a zone is not planned for all requests of the zone.
 	totals.homeWeight = math.Max(totals.homeWeight, meanZone)
-	r.limitShares(allocations, totals, r.planSlowStart(totals, costs.load))
+	r.limitShares(allocations, totals, r.slowStartLimits(totals, costs.load))
 	return allocations
 }
 
-// solveShares moves shares down the gradient of the cost. Each moves in proportion to its weight, so that endpoints
-// of the same cost keep their ratio.
-func solveShares(allocations []allocation, homePart float64) {
+// solveShares moves the shares along the negative gradient of the cost. Each share moves in proportion to its weight,
+// so that endpoints of the same cost keep their ratio. The parameter homeFraction is the home zone's fraction of the
+// weight.
+func solveShares(allocations []allocation, homeFraction float64) {
 	projectShares(allocations)
 	for range gradientSteps {
 		mean := 0.0
@@ -69,46 +73,48 @@
 		}
 		for i := range allocations {
 			a := &allocations[i]
-			a.share -= gradientLength / max(homePart, minHomePart) / gradientSteps * a.weight * (a.cost - mean)
+			a.share -= gradientLength / max(homeFraction, minHomeFraction) / gradientSteps * a.weight * (a.cost - mean)
 		}
 		projectShares(allocations)
 	}
 }
 
-// projectShares projects shares onto the capped simplex. An excess or a rest is spread by weight over the shares that
-// can still move; if none can, all are scaled, beyond their limits.
+// projectShares projects shares onto the capped simplex. The difference between 1 and the sum of the shares is
+// distributed, in proportion to the weights, over the shares that can still change. If none can, all shares are scaled,
+// even beyond their limits.
 func projectShares(allocations []allocation) {
 	for range projectionSteps {
-		rest := clampShares(allocations)
-		movable := movableWeight(allocations, rest)
+		residual := clampShares(allocations)
+		movable := movableWeight(allocations, residual)
 		for i := range allocations {
 			a := &allocations[i]
 			if movable == 0 {
-				a.share /= max(1-rest, 1e-9)
+				a.share /= max(1-residual, 1e-9)
 			} else {
-				a.share += rest * a.weight / max(movable, 1e-9)
+				a.share += residual * a.weight / max(movable, 1e-9)
 			}
 		}
 	}
 }
 
-// clampShares clamps each share to between 0 and its limit, and returns the difference between 1 and their sum.
-func clampShares(allocations []allocation) (rest float64) {
-	rest = 1
+// clampShares limits each share to the range from 0 to its limit and returns the difference between 1 and their sum.
+func clampShares(allocations []allocation) (residual float64) {
+	residual = 1
 	for i := range allocations {
 		a := &allocations[i]
 		a.share = max(0, min(a.limit, a.share))
-		rest -= a.share
+		residual -= a.share
 	}
-	return rest
+	return residual
 }
 
-// movableWeight returns the weight of the shares that can move in the direction of the rest.
-func movableWeight(allocations []allocation, rest float64) float64 {
+// movableWeight returns the total weight of the shares that can still change in the direction of the residual: those
+// below their limit if it is positive, those above 0 if it is negative.
+func movableWeight(allocations []allocation, residual float64) float64 {
 	movable := 0.0
 	for i := range allocations {
 		a := &allocations[i]
-		if rest > 0 && a.share < a.limit || rest < 0 && a.share > 0 {
+		if residual > 0 && a.share < a.limit || residual < 0 && a.share > 0 {
 			movable += a.weight
 		}
 	}
