--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -47,10 +47,10 @@
 // stops in time while calls are in flight.
 func TestPilot(t *testing.T) {
 	fake := &fakePlatform{calls: map[string]int{}}
-	listen := freeAddress(t)
 	first := fake.listen(t)
 	second := fake.listen(t)
 	third := fake.listen(t)
+	listen := freeAddress(t) // last, or the kernel could give the released port to one of the fakes
 	var file atomic.Pointer[placement.Placement] // what readPlacement returns; nil simulates an invalid file
 	readPlacement := func() (*placement.Placement, error) {
 		if p := file.Load(); p != nil {
