--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -13,14 +13,14 @@
 const (
 	// inboxSize is how many inputs may wait before Post blocks the transports.
 	inboxSize = 4096
-	// turnSize bounds the inputs that one turn handles, so that the channel is served in between.
-	turnSize = 4096
-	// longestWaitMs bounds the sleep of the loop: a timer that is far off or missing is looked at again after it.
-	longestWaitMs = 1000
-	// warnFraction is the part of the backlog limit from which waiting lines are logged.
-	warnFraction = 0.8
-	// warnInterval is the shortest time between two such log lines.
-	warnInterval = time.Second
+	// maxTurnInputs bounds the inputs that one turn handles, so that the channel is served in between.
+	maxTurnInputs = 4096
+	// maxWaitMs bounds the sleep of the loop: a timer that is far off or missing is looked at again after it.
+	maxWaitMs = 1000
+	// backlogWarnFraction is the part of the backlog limit from which waiting lines are logged.
+	backlogWarnFraction = 0.8
+	// backlogWarnInterval is the shortest time between two such log lines.
+	backlogWarnInterval = time.Second
 )
 
 // Inbox is where transports put inputs: the loop, mostly.
@@ -31,12 +31,12 @@
 // Loop is the one goroutine that drives a Core: it takes inputs from a bounded inbox and wakes when something is due.
 // Run is that goroutine; the caller starts it, and it ends with its context. Post and State may be called by others.
 type Loop struct {
-	core   *Core // touched by Run alone, but for reports, which have a lock of their own
-	clock  Clock
-	inbox  chan Input
-	log    *zap.Logger
-	start  time.Time // the moment 0 of the core's clock
-	warned time.Time // when the backlog was last logged
+	core       *Core // touched by Run alone, but for reports, which have a lock of their own
+	clock      Clock
+	inbox      chan Input
+	log        *zap.Logger
+	start      time.Time // the moment 0 of the core's clock
+	lastWarned time.Time // when the backlog was last logged
 
 	mu    sync.Mutex // guards state
 	state State
@@ -122,7 +122,7 @@
 			return nil
 		}
 		if in != nil {
-			inputs = l.gather(append(inputs, in))
+			inputs = l.batchInputs(append(inputs, in))
 		}
 	}
 }
@@ -136,13 +136,13 @@
 	}
 	l.core.Channel.Send(l.nowMs())
 	l.publish(inputs)
-	l.warnNearLimit()
+	l.warnBacklog()
 }
 
 // wait returns the next input, or nil when something is due, and whether ctx has ended.
 func (l *Loop) wait(ctx context.Context) (in Input, ended bool) {
 	waitMs := math.Min(l.core.Due(), l.core.Channel.Due()) - l.nowMs()
-	waitMs = math.Max(0, math.Min(waitMs, longestWaitMs))
+	waitMs = math.Max(0, math.Min(waitMs, maxWaitMs))
 	fired, stop := l.clock.After(time.Duration(waitMs * float64(time.Millisecond)))
 	defer stop()
 	select {
@@ -155,9 +155,9 @@
 	}
 }
 
-// gather takes what else has come, so that one turn handles it together.
-func (l *Loop) gather(inputs []Input) []Input {
-	for len(inputs) < turnSize {
+// batchInputs takes what else has come, so that one turn handles it together.
+func (l *Loop) batchInputs(inputs []Input) []Input {
+	for len(inputs) < maxTurnInputs {
 		select {
 		case in := <-l.inbox:
 			inputs = append(inputs, in)
@@ -190,16 +190,16 @@
 	}
 }
 
-// warnNearLimit logs, at most once in warnInterval, that the channel nears its backlog limit.
-func (l *Loop) warnNearLimit() {
+// warnBacklog logs, at most once in backlogWarnInterval, that the channel nears its backlog limit.
+func (l *Loop) warnBacklog() {
 	channel := l.core.Channel
-	if channel.backlog <= 0 || float64(channel.waitingLines) <= warnFraction*channel.backlog {
+	if channel.backlog <= 0 || float64(channel.waitingLines) <= backlogWarnFraction*channel.backlog {
 		return
 	}
 	now := l.clock.Now()
-	if now.Sub(l.warned) <= warnInterval {
+	if now.Sub(l.lastWarned) <= backlogWarnInterval {
 		return
 	}
-	l.warned = now
+	l.lastWarned = now
 	l.log.Warn("channel near its limit", zap.Int("lines", channel.waitingLines), zap.Float64("backlog", channel.backlog))
 }
