--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -31,12 +31,12 @@
 	linesSent       prometheus.Counter
 	waitSeconds     prometheus.Histogram
 
-	// Reports. reportedBefore holds the counts already added to reportLines, by reason.
-	reportLines    *prometheus.CounterVec
-	reportedBefore []uint64
-	waitingSums    prometheus.Gauge
-	ageMedian      prometheus.Gauge
-	ageP99         prometheus.Gauge
+	// Reports. lastReportCounts holds the counts already added to reportLines, by reason.
+	reportLines      *prometheus.CounterVec
+	lastReportCounts []uint64
+	waitingSums      prometheus.Gauge
+	ageMedian        prometheus.Gauge
+	ageP99           prometheus.Gauge
 }
 
 // NewMetrics registers the metrics.
@@ -122,13 +122,13 @@
 }
 
 // messageSent counts a message that left the channel; recent is how many left to its proxy lately, limit how many may.
-func (m *Metrics) messageSent(o *wire.Orders, recent, limit int) {
+func (m *Metrics) messageSent(message *wire.Orders, recent, limit int) {
 	if m == nil {
 		return
 	}
 	m.messagesSent.Inc()
-	m.linesSent.Add(float64(o.Lines))
-	m.waitSeconds.Observe(o.AgeMs / 1000)
+	m.linesSent.Add(float64(message.Lines))
+	m.waitSeconds.Observe(message.AgeMs / 1000)
 	if limit > 0 {
 		m.messageFraction.Set(float64(recent) / float64(limit))
 	}
@@ -140,12 +140,12 @@
 	if m == nil {
 		return
 	}
-	if m.reportedBefore == nil {
-		m.reportedBefore = make([]uint64, len(counts))
+	if m.lastReportCounts == nil {
+		m.lastReportCounts = make([]uint64, len(counts))
 	}
 	for i, r := range telemetry.Reasons() {
-		m.reportLines.WithLabelValues(r.String()).Add(float64(counts[i] - m.reportedBefore[i]))
-		m.reportedBefore[i] = counts[i]
+		m.reportLines.WithLabelValues(r.String()).Add(float64(counts[i] - m.lastReportCounts[i]))
+		m.lastReportCounts[i] = counts[i]
 	}
 	m.waitingSums.Set(float64(waiting))
 	m.ageMedian.Set(float64(ages.ValueAtQuantile(50)))
