--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -92,12 +92,12 @@
 		c.reportMalformed(malformedRelayedProxy, fmt.Sprint(in.Proxy), in.Zone)
 		return events
 	}
-	stood := in.Resumed && c.relayed.joined[in.Proxy]
-	if !stood {
+	resumed := in.Resumed && c.relayed.joined[in.Proxy]
+	if !resumed {
 		events = c.leaveRelayed(events, in.Proxy)
 	}
 	c.relayed.joined[in.Proxy] = true
-	return append(events, planner.ProxyJoined{Proxy: in.Proxy, Zone: zone, Rate: in.Rate, Fresh: in.Fresh, Resumed: stood})
+	return append(events, planner.ProxyJoined{Proxy: in.Proxy, Zone: zone, Rate: in.Rate, Fresh: in.Fresh, Resumed: resumed})
 }
 
 // leaveRelayed appends that a proxy has left, if it had joined. What waits for it at the relay is void.
