--- a/internal/controller/checkpoint.go
+++ b/internal/controller/checkpoint.go
@@ -2,7 +2,7 @@
 
 // Checkpoint returns inputs that bring another core to know who is joined and what is listed.
 func (c *Core) Checkpoint() []Input {
-	inputs := []Input{EndpointsListed{List: c.endpoints.snapshot(c.now)}}
+	inputs := []Input{EndpointsListed{List: c.endpoints.snapshot(c.nowMs)}}
 	for _, s := range c.sessions.inOrder() {
 		inputs = append(inputs, ProxyJoined{s.stream, s.hello})
 	}
@@ -17,9 +17,9 @@
 	for _, s := range c.sessions.inOrder() {
 		left = append(left, ProxyLeft{s.stream})
 	}
-	c.Handle(c.now, left)
+	c.Handle(c.nowMs, left)
 	options.Decider = c.options.Decider
 	options.Settings = c.options.Settings
 	c.applyOptions(options)
-	c.reports.restartPeriod(c.now)
+	c.reports.restartPeriod(c.nowMs)
 }
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -32,9 +32,9 @@
 
 	relayed relayedProxies // where a relay holds the streams
 
-	now      float64         // of the last turn
-	started  bool            // whether the decider was asked at all
-	recorded []planner.Event // telemetry of a replay, for this turn
+	nowMs             float64         // of the last turn
+	started           bool            // whether the decider was asked at all
+	recordedTelemetry []planner.Event // telemetry of a replay, for this turn
 
 	// Channel paces messages to proxies.
 	Channel *Channel
@@ -86,24 +86,24 @@
 
 // Handle runs one turn: it takes in what came, lets the decider decide and fills the channel. Times never go back.
 func (c *Core) Handle(nowMs float64, inputs []Input) {
-	c.now = max(c.now, nowMs)
+	c.nowMs = max(c.nowMs, nowMs)
 	var events []planner.Event
 	for _, in := range inputs {
 		events = c.handleInput(events, in)
 	}
-	for _, name := range c.timers.expire(c.now) {
+	for _, name := range c.timers.expire(c.nowMs) {
 		events = append(events, planner.TimerFired{Name: name})
 	}
-	before := len(events)
+	telemetryStart := len(events)
 	events = c.appendTelemetry(events)
 	commands, asked := c.decide(events)
 	if c.options.OnTurn != nil && (asked || len(inputs) > 0) {
-		c.options.OnTurn(c.now, inputs, events[before:], commands)
+		c.options.OnTurn(c.nowMs, inputs, events[telemetryStart:], commands)
 	}
 	for _, command := range commands {
 		c.execute(command)
 	}
-	c.outbox.flush(c.now, c.Channel)
+	c.outbox.flush(c.nowMs, c.Channel)
 	c.relayed.flush(c.options.Relay, &c.endpoints)
 }
 
@@ -116,13 +116,13 @@
 	c.started = true
 	c.Events += len(events)
 	commands = c.options.Metrics.timeDecider(func() []planner.Command {
-		return c.options.Decider.Handle(c.now, events)
+		return c.options.Decider.Handle(c.nowMs, events)
 	})
 	return commands, true
 }
 
 // Now returns the time of the last turn.
-func (c *Core) Now() float64 { return c.now }
+func (c *Core) Now() float64 { return c.nowMs }
 
 // EndpointName returns the name behind an index of the decider's.
 func (c *Core) EndpointName(i int) string { return c.endpoints.name(i) }
--- a/internal/controller/endpoints.go
+++ b/internal/controller/endpoints.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// retiredMs is how long an endpoint's index stays its own once it is off the list: longer than anything that may
+	// indexReuseDelayMs is how long an endpoint's index stays its own once it is off the list: longer than anything that may
 	// still name it, at proxies or in the decider.
-	retiredMs = 60000
-	// leastStartMs stands for a start at 0 ms of our clock, as 0 means the distant past.
-	leastStartMs = 1e-3
+	indexReuseDelayMs = 60000
+	// minStartMs stands for a start at 0 ms of our clock, as 0 means the distant past.
+	minStartMs = 1e-3
 )
 
 // endpointRegistry knows endpoints by name and by index: which are listed, when each started, and which indices may be
@@ -37,7 +37,7 @@
 
 // startTime is an endpoint's start as the list stamped it, on the list's clock, and as the decider was told, on ours.
 type startTime struct {
-	stamp     uint64
+	listStamp uint64
 	startedMs float64
 }
 
@@ -61,15 +61,15 @@
 
 // beginUpdate takes over the version and the clock of a list. A whole one begins the entries anew. It returns those
 // held before.
-func (r *endpointRegistry) beginUpdate(list *wire.List, nowMs float64) (before map[string]wire.Entry) {
+func (r *endpointRegistry) beginUpdate(list *wire.List, nowMs float64) (previous map[string]wire.Entry) {
 	r.version = list.Version
 	r.listClockMs = list.Now
 	r.clockReadMs = nowMs
-	before = r.listed
+	previous = r.listed
 	if list.Whole {
 		r.listed = map[string]wire.Entry{}
 	}
-	return before
+	return previous
 }
 
 // put takes over an entry.
@@ -90,7 +90,7 @@
 		return i
 	}
 	for _, i := range slices.Sorted(maps.Keys(r.retiredAtMs)) {
-		if nowMs-r.retiredAtMs[i] > retiredMs && r.starts[i].stamp != e.Started {
+		if nowMs-r.retiredAtMs[i] > indexReuseDelayMs && r.starts[i].listStamp != e.Started {
 			delete(r.retiredAtMs, i)
 			r.names.Rename(i, e.Endpoint)
 			return i
@@ -102,17 +102,17 @@
 // startedMs returns an endpoint's start on our clock, 0 for the distant past. It is reckoned from the entry's age when
 // its stamp was first seen, and stays so: the decider takes any other figure for a restart.
 func (r *endpointRegistry) startedMs(i int, e wire.Entry, nowMs float64) float64 {
-	if known, seen := r.starts[i]; seen && known.stamp == e.Started {
+	if known, seen := r.starts[i]; seen && known.listStamp == e.Started {
 		return known.startedMs
 	}
 	startedMs := 0.0
 	if e.Started != 0 {
 		startedMs = nowMs - float64(max(0, int64(r.listClockMs-e.Started)))
 		if startedMs == 0 {
-			startedMs = leastStartMs
+			startedMs = minStartMs
 		}
 	}
-	r.starts[i] = startTime{stamp: e.Started, startedMs: startedMs}
+	r.starts[i] = startTime{listStamp: e.Started, startedMs: startedMs}
 	return startedMs
 }
 
@@ -139,25 +139,25 @@
 
 // applyList takes over entries of the list and returns them as the decider is to hear of them.
 func (c *Core) applyList(in EndpointsListed) planner.Event {
-	before := c.endpoints.beginUpdate(in.List, c.now)
+	previous := c.endpoints.beginUpdate(in.List, c.nowMs)
 	update := planner.EndpointUpdate{Mode: listMode(in), Version: in.List.Version}
 	listed := map[int]bool{}
 	for _, e := range in.List.Entries {
-		entry, valid := c.applyEntry(e, before)
+		entry, valid := c.applyEntry(e, previous)
 		if !valid {
 			continue
 		}
 		listed[entry.Endpoint] = true
 		if c.options.Relay == nil {
-			c.reports.updateEndpoint(c.now, e.Endpoint, entry)
+			c.reports.updateEndpoint(c.nowMs, e.Endpoint, entry)
 		}
 		update.Entries = append(update.Entries, entry)
 	}
 	if c.options.Relay != nil {
 		c.ReportStats.Listed = len(c.endpoints.listed)
-		c.endpoints.retireUnlisted(c.now)
+		c.endpoints.retireUnlisted(c.nowMs)
 	} else if in.List.Whole {
-		c.reports.removeUnlisted(c.now, listed)
+		c.reports.removeUnlisted(c.nowMs, listed)
 	}
 	return update
 }
@@ -176,7 +176,7 @@
 
 // applyEntry takes over one entry of the list. It is not valid in an unknown zone. With a weight that none can be it
 // keeps the weight held before, and its phase counts all the same: a drain is not lost over a wrong weight.
-func (c *Core) applyEntry(e wire.Entry, before map[string]wire.Entry) (entry planner.Entry, valid bool) {
+func (c *Core) applyEntry(e wire.Entry, previous map[string]wire.Entry) (entry planner.Entry, valid bool) {
 	zone, known := c.zones.Find(e.Zone)
 	if !known {
 		c.reportMalformed(malformedEndpointZone, e.Endpoint, e.Zone)
@@ -184,10 +184,10 @@
 	}
 	if !planner.ValidWeight(e.Weight) {
 		c.reportMalformed(malformedEndpointWeight, e.Endpoint, fmt.Sprint(e.Weight))
-		e.Weight = before[e.Endpoint].Weight
+		e.Weight = previous[e.Endpoint].Weight
 	}
 	c.endpoints.put(e)
-	i := c.endpoints.index(e, c.now)
+	i := c.endpoints.index(e, c.nowMs)
 	return planner.Entry{
 		Endpoint: i,
 		Zone:     zone,
@@ -195,6 +195,6 @@
 		Cell:     e.Cell,
 		Phase:    planner.Phase(e.Phase),
 		Weight:   e.Weight,
-		Started:  c.endpoints.startedMs(i, e, c.now),
+		Started:  c.endpoints.startedMs(i, e, c.nowMs),
 	}, true
 }
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -18,7 +18,7 @@
 	case ProxyLeft:
 		return c.leave(events, in)
 	case LoadReported: // in virtual time; on sockets the loop takes it in where it is read
-		c.Report(c.now, in.Stream, in.Sums)
+		c.Report(c.nowMs, in.Stream, in.Sums)
 	case Acked:
 		return c.acknowledge(events, in)
 	case EndpointsListed:
--- a/internal/controller/exclusion.go
+++ b/internal/controller/exclusion.go
@@ -9,8 +9,8 @@
 type exclusions map[int]bool
 
 // set shuts an endpoint out or lets it in again.
-func (e exclusions) set(endpoint int, out bool) {
-	if out {
+func (e exclusions) set(endpoint int, excluded bool) {
+	if excluded {
 		e[endpoint] = true
 	} else {
 		delete(e, endpoint)
@@ -23,15 +23,15 @@
 	c.excluded.set(command.Endpoint, command.Excluded)
 	op := wire.Op{Kind: wire.OpWithdraw, Endpoint: c.endpoints.name(command.Endpoint), Out: command.Excluded}
 	for _, s := range c.sessions.inOrder() {
-		if c.holds(s, command.Endpoint) {
+		if c.mayHold(s, command.Endpoint) {
 			c.outbox.add(s, op)
 		}
 	}
 }
 
-// holds returns whether a proxy may hold a line of an endpoint: from what it held when it joined, until tables cover
+// mayHold returns whether a proxy may hold a line of an endpoint: from what it held when it joined, until tables cover
 // all request classes, from a table that is assigned to it, or from that of a slice.
-func (c *Core) holds(s *session, endpoint int) bool {
+func (c *Core) mayHold(s *session, endpoint int) bool {
 	if s.coveredClasses != c.allClasses() && s.initialEndpoints[endpoint] {
 		return true
 	}
--- a/internal/controller/recorded.go
+++ b/internal/controller/recorded.go
@@ -6,7 +6,7 @@
 func (c *Core) acceptRecorded(telemetry []planner.Event) {
 	for _, event := range telemetry {
 		if c.validRecordedEvent(event) {
-			c.recorded = append(c.recorded, event)
+			c.recordedTelemetry = append(c.recordedTelemetry, event)
 		} else {
 			c.reportMalformed(malformedRecordedEvent)
 		}
@@ -29,14 +29,14 @@
 }
 
 // validRecordedStats returns whether the recorded statistics of an endpoint may be used.
-func (c *Core) validRecordedStats(met planner.EndpointStats) bool {
-	for _, figure := range met.Load {
-		if !planner.ValidRate(figure) {
+func (c *Core) validRecordedStats(stats planner.EndpointStats) bool {
+	for _, value := range stats.Load {
+		if !planner.ValidRate(value) {
 			return false
 		}
 	}
-	return validIndex(met.Endpoint, c.endpoints.len()) && validIndex(met.Zone, c.zones.Len()) &&
-		met.Failed >= 0 && met.Attempts >= met.Failed && planner.ValidRate(met.MeanMs) && planner.ValidRate(met.SpanMs)
+	return validIndex(stats.Endpoint, c.endpoints.len()) && validIndex(stats.Zone, c.zones.Len()) &&
+		stats.Failed >= 0 && stats.Attempts >= stats.Failed && planner.ValidRate(stats.MeanMs) && planner.ValidRate(stats.SpanMs)
 }
 
 // validIndex returns whether i is an index into n things.
--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -190,13 +190,13 @@
 			g.malformed[malformedReportSlice]++
 			continue
 		}
-		demand := byClass[class]
-		if demand == nil {
-			demand = &planner.SliceStats{Slice: load.Slice, Class: class}
-			byClass[class] = demand
+		stats := byClass[class]
+		if stats == nil {
+			stats = &planner.SliceStats{Slice: load.Slice, Class: class}
+			byClass[class] = stats
 		}
-		demand.Requests += load.Reqs
-		demand.Unanswered += load.Unanswered
+		stats.Requests += load.Reqs
+		stats.Unanswered += load.Unanswered
 	}
 }
 
@@ -218,15 +218,15 @@
 	defer g.mu.Unlock()
 	spanMs := nowMs - g.lastFlushMs
 	g.lastFlushMs = nowMs
-	passed := g.aggregator.Flush(nowMs, spanMs)
-	events = g.appendEndpointStats(events, passed.Mets)
-	for _, demand := range passed.Demands {
-		events = append(events, demand)
+	flushed := g.aggregator.Flush(nowMs, spanMs)
+	events = g.appendEndpointStats(events, flushed.Mets)
+	for _, stats := range flushed.Demands {
+		events = append(events, stats)
 	}
 	events = g.appendSliceStats(events, spanMs)
-	g.recordAges(passed.Ages)
+	g.recordAges(flushed.Ages)
 	requests = g.paceRequests(nowMs)
-	metrics.setTelemetry(g.aggregator.Counts[:], passed.Left, g.ages)
+	metrics.setTelemetry(g.aggregator.Counts[:], flushed.Left, g.ages)
 	malformed = g.malformed
 	g.malformed = map[malformedReason]int{}
 	return events, requests, malformed
@@ -249,9 +249,9 @@
 	for _, number := range slices.Sorted(maps.Keys(g.sliceStats)) {
 		byClass := g.sliceStats[number]
 		for _, class := range slices.Sorted(maps.Keys(byClass)) {
-			demand := byClass[class]
-			demand.SpanMs = spanMs
-			events = append(events, *demand)
+			stats := byClass[class]
+			stats.SpanMs = spanMs
+			events = append(events, *stats)
 		}
 		clear(byClass)
 	}
@@ -275,7 +275,7 @@
 }
 
 // stats returns how many sums wait, the most that ever did, and the report lines by what became of them.
-func (g *reportGate) stats() (waiting, mostWaiting int, counts map[string]uint64) {
+func (g *reportGate) stats() (waiting, maxWaiting int, counts map[string]uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	counts = map[string]uint64{}
--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -137,7 +137,7 @@
 		return events
 	}
 	if old := c.sessions.byProxy[proxy]; old != nil {
-		events = append(events, c.drop(old))
+		events = append(events, c.removeSession(old))
 		old.stream.Close(closeReplaced)
 	}
 	s := newSession(in, proxy, zone)
@@ -146,7 +146,7 @@
 			s.initialEndpoints[i] = true
 		}
 	}
-	if !c.reports.addProxy(c.now, s) {
+	if !c.reports.addProxy(c.nowMs, s) {
 		c.reject(in, &joinRejection{malformedSenderCount, []string{in.Hello.Proxy}, closeTooManySenders})
 		return events
 	}
@@ -180,9 +180,9 @@
 }
 
 // reject turns a proxy's join down.
-func (c *Core) reject(in ProxyJoined, why *joinRejection) {
-	c.reportMalformed(why.reason, why.details...)
-	in.Stream.Close(why.closeReason)
+func (c *Core) reject(in ProxyJoined, rejection *joinRejection) {
+	c.reportMalformed(rejection.reason, rejection.details...)
+	in.Stream.Close(rejection.closeReason)
 }
 
 // leave appends that a proxy has left, if the stream that ended is its own.
@@ -191,11 +191,11 @@
 	if s == nil {
 		return events
 	}
-	return append(events, c.drop(s))
+	return append(events, c.removeSession(s))
 }
 
-// drop forgets a session and what waits for it in the channel.
-func (c *Core) drop(s *session) planner.Event {
+// removeSession forgets a session and what waits for it in the channel.
+func (c *Core) removeSession(s *session) planner.Event {
 	c.sessions.remove(s)
 	c.Channel.Drop(s)
 	c.reports.removeProxy(s)
--- a/internal/controller/telemetry.go
+++ b/internal/controller/telemetry.go
@@ -31,8 +31,8 @@
 	case c.options.Relay != nil: // reports came as inputs, summed up
 		return events
 	case c.options.Replayed:
-		events = append(events, c.recorded...)
-		c.recorded = nil
+		events = append(events, c.recordedTelemetry...)
+		c.recordedTelemetry = nil
 		return events
 	default:
 		return c.flushReports(events)
@@ -41,7 +41,7 @@
 
 // flushReports appends what the aggregator passes on, and asks proxies for what it wants of their reports.
 func (c *Core) flushReports(events []planner.Event) []planner.Event {
-	events, requests, malformed := c.reports.flush(events, c.now, c.options.Metrics)
+	events, requests, malformed := c.reports.flush(events, c.nowMs, c.options.Metrics)
 	for _, r := range requests {
 		if err := r.stream.Ask(r.pace); err != nil {
 			r.stream.Close(err.Error())
