--- a/internal/controller/shares.go
+++ b/internal/controller/shares.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// leastRate, in requests a second, stands for the usual rate of a proxy that has none, so that its zone has shares.
-const leastRate = 1e-9
+// minRate, in requests a second, stands for the usual rate of a proxy that has none, so that its zone has shares.
+const minRate = 1e-9
 
 // zoneShares sums the shares of a zone's proxies, each times the proxy's usual rate.
 type zoneShares struct {
@@ -34,14 +34,14 @@
 				zone = &zoneShares{byEndpoint: map[int]float64{}}
 				zones[s.zone] = zone
 			}
-			zone.add(max(s.hello.Rate, leastRate), shares)
+			zone.add(max(s.hello.Rate, minRate), shares)
 		}
 	}
-	out := map[int]map[int]float64{}
+	normalized := map[int]map[int]float64{}
 	for number, zone := range zones {
-		out[number] = zone.normalized()
+		normalized[number] = zone.normalized()
 	}
-	return out
+	return normalized
 }
 
 // add adds a proxy's table.
