--- a/internal/controller/acks.go
+++ b/internal/controller/acks.go
@@ -7,20 +7,21 @@
 	"indigousher/planner"
 )
 
-// maxPendingAcks limits the ack requests that a proxy may leave unanswered; beyond it the oldest are forgotten.
+// maxPendingAcks is the maximum number of unanswered ack requests that are kept per proxy. Beyond it the oldest is
+// dropped.
 const maxPendingAcks = 1024
 
-// pendingAcks are the numbers of the ack requests that were sent to a proxy and not answered yet, oldest first.
+// pendingAcks holds the numbers of the ack requests that were sent to a proxy and not answered yet, oldest first.
 type pendingAcks []int
 
-// add takes in an ack request that is sent.
+// add records an ack request that is being sent. It drops the oldest one if more than maxPendingAcks are pending.
 func (p *pendingAcks) add(number int) {
 	numbers := append(*p, number)
 	*p = numbers[max(0, len(numbers)-maxPendingAcks):]
 }
 
-// acknowledge forgets an ack request and returns whether it was pending. Were any number taken, a proxy that makes them
-// up would have the decider believe that its channel is empty.
+// acknowledge removes an ack request and reports whether it was pending. Numbers that were never sent are not accepted:
+// a proxy that invents them could make the decider believe that the channel is empty.
 func (p *pendingAcks) acknowledge(number int) bool {
 	i := slices.Index(*p, number)
 	if i < 0 {
@@ -30,7 +31,7 @@
 	return true
 }
 
-// acknowledge appends a proxy's answer to an ack request, if that is pending.
+// acknowledge appends an Ack event if the proxy's answer matches a pending ack request.
 func (c *Core) acknowledge(events []planner.Event, in Acked) []planner.Event {
 	s := c.sessions.byStream[in.Stream]
 	if s == nil || !s.acks.acknowledge(in.Done.Mark) {
@@ -39,7 +40,8 @@
 	return append(events, planner.Ack{Proxy: s.proxy, Number: in.Done.Mark, TookMs: in.Done.TookMs})
 }
 
-// requestAcks asks the proxies that this turn reaches, or all, to acknowledge what they were sent.
+// requestAcks adds an ack request to each message of this turn. If command.All is set, proxies without a message in
+// this turn get one too.
 func (c *Core) requestAcks(command planner.AckRequest) {
 	for _, s := range c.sessions.inOrder() {
 		if s.pending != nil || command.All {
