--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -8,8 +8,8 @@
 	"indigousher/planner"
 )
 
-// setAdmission changes an admission level, and the way of retrying that goes with it, at all users of a table or at all
-// joined proxies.
+// setAdmission stores an admission level with its retry mode and sends it to all proxies that use the table, or to all
+// joined proxies if the table is EveryTable.
 func (c *Core) setAdmission(command planner.SetAdmission) {
 	if command.Table != planner.EveryTable {
 		c.tables.table(command.Table).levels[command.Classes] = command
@@ -22,14 +22,14 @@
 	}
 }
 
-// sendLevels sends admission levels to a proxy, in the order of their request classes.
+// sendLevels adds admission levels to a proxy's message, ordered by their request class masks.
 func (c *Core) sendLevels(s *session, levels map[int]planner.SetAdmission) {
 	for _, classes := range slices.Sorted(maps.Keys(levels)) {
 		c.outbox.add(s, admissionOp(levels[classes]))
 	}
 }
 
-// admissionOp returns the line that sets an admission level.
+// admissionOp returns the operation that sets an admission level and its retry mode.
 func admissionOp(command planner.SetAdmission) wire.Op {
 	return wire.Op{
 		Kind:   wire.OpAdmit,
