--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -11,8 +11,8 @@
 // allClasses returns the bit mask of all request classes.
 func (c *Core) allClasses() int { return 1<<c.classes.Len() - 1 }
 
-// assignTable puts a proxy on a table for some request classes, or all, and sends it the table: whole, or what differs
-// from the one that the proxy said it has.
+// assignTable assigns a table to a proxy for the given request classes (0 means all) and sends it. If the proxy listed
+// the table in its hello, only the differences are sent.
 func (c *Core) assignTable(command planner.AssignTable) {
 	s := c.sessions.byProxy[command.Proxy]
 	if s == nil {
@@ -29,9 +29,10 @@
 	c.sendTable(s, command.Table, held, keep)
 }
 
-// sendTable sends a table to a proxy: its lines, which of its endpoints are excluded, its admission levels and those
-// for all. With keep, the proxy keeps the lines that it holds: those of the same weight are not sent, those beyond the
-// table are removed. held is used up.
+// sendTable sends a table to a proxy: its lines, which of its endpoints are excluded, its admission levels and the
+// global ones. held holds the weights, by endpoint name, that the proxy already has in this table. If keep is true,
+// lines with an unchanged weight are not sent. Held lines that are not in the table are removed at the proxy. sendTable
+// modifies held.
 func (c *Core) sendTable(s *session, number int, held map[string]float64, keep bool) {
 	t := c.tables.table(number)
 	for _, endpoint := range t.endpoints() {
