--- a/internal/controller/channel.go
+++ b/internal/controller/channel.go
@@ -11,49 +11,54 @@
 )
 
 const (
-	// pacingBurst is how many lines the rate limiter lets through at once: messages reserve time in pieces of it.
+	// pacingBurst is the burst of the rate limiter, in lines. Larger messages reserve their time in chunks of this
+	// size.
 	pacingBurst = 16
-	// queueLimitFactor times the backlog is the most lines that the queue holds; a message beyond it ends its stream.
+	// queueLimitFactor times the backlog is the maximum number of lines in the queue. A message that exceeds it is
+	// dropped, and its stream is closed.
 	queueLimitFactor = 8
 )
 
-// closeChannelFull is the reason of closing the stream of a proxy whose message does not fit into the queue any more.
+// closeChannelFull is the reason given when a stream is closed because its message no longer fits into the queue.
 const closeChannelFull = "channel overfull"
 
-// queuedMessage is a message in the channel.
+// queuedMessage is a message that waits in the channel. Times are in ms on the core's clock.
 type queuedMessage struct {
 	recipient  *session
 	message    *wire.Orders
-	enqueuedMs float64 // when it was put into the channel
-	dueMs      float64 // when it leaves
+	enqueuedMs float64 // when the message was added
+	dueMs      float64 // when the message may be sent
 }
 
-// Channel is the way from the decider to the proxies: messages leave one after another at a pace counted in lines,
-// heads included. It plans nothing: the decider's own count keeps the limits, the channel shows whether it does.
-// It is used by the goroutine that drives the Core.
+// Channel is the rate-limited FIFO queue of messages to proxies. Its rate is counted in lines, including each message's
+// overhead. The decider has its own model of the queue and keeps within the limits; the channel measures whether it
+// does. A Channel is not safe for concurrent use: only the goroutine that drives the Core may use it.
 type Channel struct {
 	limiter      *rate.Limiter
-	epoch        time.Time // the moment 0 of the core's clock, for the limiter
+	epoch        time.Time // time 0 of the core's clock, for the limiter
 	queue        []*queuedMessage
-	waitingLines int     // of all queued messages
-	lastDueMs    float64 // when the message queued last leaves
+	waitingLines int     // sum over all queued messages
+	lastDueMs    float64 // when the last queued message may be sent
 
-	// Limits by the settings; 0 for none. They are reported, not enforced, but for queueLimitFactor times the backlog.
-	backlog         float64 // lines that may wait
-	messageLimit    int     // messages to one proxy within messageWindowMs
+	// Limits from the settings; 0 means no limit. They are only used for metrics and warnings, except that more than
+	// queueLimitFactor times the backlog closes a stream.
+	backlog         float64 // maximum number of waiting lines
+	messageLimit    int     // maximum number of messages to one proxy within messageWindowMs
 	messageWindowMs float64
 
 	metrics *Metrics
 
-	// MaxLines is the most lines that have waited.
+	// MaxLines is the highest number of waiting lines so far.
 	MaxLines int
-	// MaxMessages is the most messages that left to one proxy within messageWindowMs.
+	// MaxMessages is the highest number of messages sent to one proxy within messageWindowMs so far.
 	MaxMessages int
-	// Sent counts the lines that have left.
+	// Sent is the total number of lines sent.
 	Sent int
 }
 
-// NewChannel returns an empty channel. linesPerS of 0 leaves it unpaced; backlog is in lines, 0 for no limit.
+// NewChannel returns an empty channel. linesPerS is the rate limit in lines per second; 0 or less means unlimited.
+// backlog is the queue limit in lines, and messageLimit the maximum number of messages to one proxy within
+// messageWindowMs; 0 means no limit. m may be nil.
 func NewChannel(linesPerS, backlog float64, messageLimit int, messageWindowMs float64, m *Metrics) *Channel {
 	limit := rate.Limit(linesPerS)
 	if linesPerS <= 0 {
@@ -69,7 +74,7 @@
 	}
 }
 
-// Reconfigure takes over changed limits, by the names of the decider's settings.
+// Reconfigure applies the changed limits among the given decider settings. Other settings are ignored.
 func (c *Channel) Reconfigure(settings map[string]any) {
 	if v, ok := settings["lines_per_s"].(float64); ok && v > 0 {
 		c.limiter.SetLimit(rate.Limit(v))
@@ -82,8 +87,9 @@
 	}
 }
 
-// Enqueue adds a message. Where even the bound of the queue is passed, the proxy's stream is closed: it comes back with
-// what it holds, and the decider hears of both.
+// Enqueue adds a message to the queue. If the message would exceed the hard limit of the queue, the proxy's stream is
+// closed instead. The proxy reconnects and lists the tables that it holds, and the decider gets an event for the
+// disconnect and for the new join.
 func (c *Channel) Enqueue(nowMs float64, recipient *session, m *wire.Orders) {
 	if c.backlog > 0 && float64(c.waitingLines+m.Lines) > queueLimitFactor*c.backlog {
 		c.metrics.streamClosed(closeChannelFull)
@@ -97,7 +103,8 @@
 	c.metrics.setWaiting(c.waitingLines, c.backlog)
 }
 
-// reserve takes the time of so many lines and returns when the last of them leaves: never before those queued earlier.
+// reserve reserves time for a number of lines at the rate limiter and returns when the last of them may be sent, in ms.
+// The result is never earlier than that of an earlier call, so messages keep their order.
 func (c *Channel) reserve(nowMs float64, lines int) float64 {
 	now := c.epoch.Add(time.Duration(nowMs * float64(time.Millisecond)))
 	due := nowMs
@@ -109,7 +116,8 @@
 	return c.lastDueMs
 }
 
-// Drop forgets what waits for a session that has left. The time reserved for it is lost, as are the messages.
+// Drop removes the queued messages of a session that has ended. The time reserved for them at the rate limiter is not
+// released.
 func (c *Channel) Drop(s *session) {
 	kept := c.queue[:0]
 	for _, queued := range c.queue {
@@ -124,7 +132,7 @@
 	c.metrics.setWaiting(c.waitingLines, c.backlog)
 }
 
-// Due returns when the next message leaves: infinity if none waits.
+// Due returns when the next message may be sent, in ms, or +Inf if the queue is empty.
 func (c *Channel) Due() float64 {
 	if len(c.queue) == 0 {
 		return math.Inf(1)
@@ -132,7 +140,7 @@
 	return c.queue[0].dueMs
 }
 
-// Send hands over the messages that have left by now and returns how many lines they held.
+// Send passes all messages that are due to their streams and returns the number of lines in them.
 func (c *Channel) Send(nowMs float64) (lines int) {
 	sent := 0
 	for sent < len(c.queue) && c.queue[sent].dueMs <= nowMs {
@@ -148,7 +156,7 @@
 	return lines
 }
 
-// deliver hands a message to its stream. A stream that fails is closed.
+// deliver passes a message to its stream and updates the statistics. If sending fails, the stream is closed.
 func (c *Channel) deliver(nowMs float64, queued *queuedMessage) {
 	message := queued.message
 	c.waitingLines -= message.Lines
@@ -163,13 +171,13 @@
 	}
 }
 
-// Lines returns how many lines wait.
+// Lines returns the number of lines that wait in the queue, including the messages' overhead.
 func (c *Channel) Lines() int { return c.waitingLines }
 
-// sendTimes are when messages left to one proxy, in ms, oldest first.
+// sendTimes holds the times at which messages were sent to one proxy, in ms, oldest first.
 type sendTimes []float64
 
-// add notes a message, forgets those longer ago than the span, and returns how many are left.
+// add records a message, removes those older than windowMs, and returns how many messages remain.
 func (t *sendTimes) add(nowMs, windowMs float64) int {
 	recent := (*t)[sort.SearchFloat64s(*t, nowMs-windowMs):]
 	*t = append(recent, nowMs)
