--- a/internal/controller/checkpoint.go
+++ b/internal/controller/checkpoint.go
@@ -1,6 +1,6 @@
 package controller
 
-// Checkpoint returns inputs that bring another core to know who is joined and what is listed.
+// Checkpoint returns inputs that reproduce the joined proxies and the endpoint list in another core.
 func (c *Core) Checkpoint() []Input {
 	inputs := []Input{EndpointsListed{List: c.endpoints.snapshot(c.nowMs)}}
 	for _, s := range c.sessions.inOrder() {
@@ -9,10 +9,10 @@
 	return inputs
 }
 
-// FinishRecovery ends a replay: whoever was joined has left, and commands from now on go out by the transports of the
-// given options. The decider and its settings stay those of the replay.
+// FinishRecovery switches a core from replaying a record to live operation. All joined proxies are treated as having
+// left, and later commands go to the transports in options. The decider and its settings from the replay are kept.
 func (c *Core) FinishRecovery(options Options) {
-	clear(c.slices) // the store gives them again
+	clear(c.slices) // the store assigns the slices again after the start
 	var left []Input
 	for _, s := range c.sessions.inOrder() {
 		left = append(left, ProxyLeft{s.stream})
