--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -6,7 +6,7 @@
 	"indigousher/planner"
 )
 
-// execute carries out one command of the decider. What goes to proxies is collected for the end of the turn.
+// execute carries out one command of the decider. Operations for proxies are collected and sent at the end of the turn.
 func (c *Core) execute(command planner.Command) {
 	if c.forwardToRelay(command) {
 		return
