--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -1,8 +1,13 @@
-// Package controller is the runtime around the decisions: it turns what transports report into the decider's events,
-// carries out what the decider commands, and keeps the channel to the proxies. It decides nothing about routing. Core
-// and Channel are driven with explicit times and hold no goroutine, so the same code runs on sockets (Loop) and in
-// virtual time. Transports call Loop.Post and implement the small interfaces of transports.go; cmd/indigousher wires
-// them.
+// Package controller is the runtime of a pilot. It translates inputs from transports into events for the decider (the
+// planner), executes the decider's commands, and queues messages to proxies. It makes no routing decisions.
+//
+// Processing is divided into turns. A turn takes a batch of inputs, calls the decider at most once, and sends at most
+// one message to each proxy. The size of messages is counted in lines: one for each operation, plus a fixed overhead
+// for each message.
+//
+// Core and Channel take the current time as an argument and start no goroutines, so the same code runs in a live
+// process (Loop) and in simulated time. Transports call Loop.Post and implement the interfaces in transports.go;
+// internal/daemon and internal/platform connect them.
 package controller
 
 import (
@@ -10,41 +15,42 @@
 	"indigousher/planner"
 )
 
-// Core is the runtime of one pilot: inputs in, commands out, one turn at a time. It is used by one goroutine, but
-// for Report. Each piece of its state has one owner; times are in ms on the pilot's own clock.
+// Core is the runtime of one pilot. Handle runs one turn: it turns inputs into events, calls the decider and executes
+// its commands. Only Report may be called concurrently; all other methods must be called from one goroutine. Times are
+// in ms on the pilot's own clock.
 type Core struct {
 	options Options
 
-	// Names by index, as the decider knows them.
+	// Names by index. The decider refers to these by index only.
 	zones, machines, classes settings.Names
 	proxies                  settings.Names
 
-	endpoints endpointRegistry // the list, start times and indices of endpoints
+	endpoints endpointRegistry // the endpoint list, and the index and start time of each endpoint
 	sessions  sessionRegistry  // joined proxies
-	reports   *reportGate      // what proxies report, until it is passed on
-	timers    timerQueue       // wake-ups that the decider asked for
-	outbox    outbox           // messages of the turn under way
+	reports   *reportGate      // aggregates load reports until the next flush
+	timers    timerQueue       // timers set by the decider
+	outbox    outbox           // messages of the current turn
 
-	// What the commands so far amount to.
+	// The state that results from the commands executed so far.
 	tables   tableStore
 	excluded exclusions
 	slices   assignedSlices
 
-	relayed relayedProxies // where a relay holds the streams
+	relayed relayedProxies // proxies connected through a relay; unused without one
 
-	nowMs             float64         // of the last turn
-	started           bool            // whether the decider was asked at all
-	recordedTelemetry []planner.Event // telemetry of a replay, for this turn
+	nowMs             float64         // time of the last turn
+	started           bool            // whether the decider has been called
+	recordedTelemetry []planner.Event // replayed telemetry for the current turn
 
-	// Channel paces messages to proxies.
+	// Channel is the rate-limited queue of messages to proxies.
 	Channel *Channel
-	// ReportStats counts what was taken in of reports.
+	// ReportStats counts accepted reports and malformed input.
 	ReportStats ReportStats
-	// Events counts the events handed to the decider.
+	// Events is the total number of events passed to the decider.
 	Events int
 }
 
-// NewCore returns a core that knows no endpoint and no proxy.
+// NewCore returns a core without endpoints or proxies.
 func NewCore(options Options) *Core {
 	c := &Core{
 		endpoints: newEndpointRegistry(),
@@ -68,7 +74,7 @@
 	return c
 }
 
-// applyOptions has the core work by other options from now on, with an empty channel.
+// applyOptions sets the core's options and replaces its channel by an empty one.
 func (c *Core) applyOptions(options Options) {
 	c.options = options
 	c.outbox.headLines = options.HeadLines
@@ -76,15 +82,16 @@
 		options.Metrics)
 }
 
-// Due returns when Handle has something to do without input, in milliseconds of its clock.
+// Due returns the time in ms at which Handle must be called next even if there is no input.
 func (c *Core) Due() float64 {
-	if c.options.Relay != nil { // reports come summed up
+	if c.options.Relay != nil { // the relay aggregates reports, so there is no flush to wait for
 		return c.timers.due()
 	}
 	return min(c.timers.due(), c.reports.due())
 }
 
-// Handle runs one turn: it takes in what came, lets the decider decide and fills the channel. Times never go back.
+// Handle runs one turn: it processes the inputs, calls the decider if there are events, executes its commands and
+// queues the resulting messages. A nowMs earlier than that of the previous turn is replaced by the latter.
 func (c *Core) Handle(nowMs float64, inputs []Input) {
 	c.nowMs = max(c.nowMs, nowMs)
 	var events []planner.Event
@@ -107,8 +114,8 @@
 	c.relayed.flush(c.options.Relay, &c.endpoints)
 }
 
-// decide asks the decider if there is news for it. The first turn asks in any case; from then on the decider wakes
-// itself, by timers, for whatever else is due.
+// decide calls the decider if there are events, and returns its commands and whether it was called. The first turn
+// always calls the decider; after that it relies on timers to be called without other events.
 func (c *Core) decide(events []planner.Event) (commands []planner.Command, asked bool) {
 	if len(events) == 0 && c.started {
 		return nil, false
@@ -121,8 +128,8 @@
 	return commands, true
 }
 
-// Now returns the time of the last turn.
+// Now returns the time of the last turn in ms.
 func (c *Core) Now() float64 { return c.nowMs }
 
-// EndpointName returns the name behind an index of the decider's.
+// EndpointName returns the name of the endpoint with the given index, or "" if there is none.
 func (c *Core) EndpointName(i int) string { return c.endpoints.name(i) }
