--- a/internal/controller/endpoints.go
+++ b/internal/controller/endpoints.go
@@ -11,37 +11,41 @@
 )
 
 const (
-	// indexReuseDelayMs is how long an endpoint's index stays its own once it is off the list: longer than anything that may
-	// still name it, at proxies or in the decider.
+	// indexReuseDelayMs is how long the index of an endpoint stays reserved after the endpoint has left the list. It
+	// exceeds the time for which proxies or the decider may still refer to the endpoint.
 	indexReuseDelayMs = 60000
-	// minStartMs stands for a start at 0 ms of our clock, as 0 means the distant past.
+	// minStartMs replaces a start time of exactly 0 ms, because 0 means that the endpoint started long ago.
 	minStartMs = 1e-3
 )
 
-// endpointRegistry knows endpoints by name and by index: which are listed, when each started, and which indices may be
-// used again.
+// endpointRegistry maps endpoint names to indices. It also holds the endpoint list, the endpoints' start times and the
+// indices that may be reused.
 type endpointRegistry struct {
 	names settings.Names
 
-	// The list as held: its entries by name, its version, and its own clock, listClockMs at clockReadMs of ours.
+	// The current endpoint list: its entries by name, its version, and the time on the list source's clock
+	// (listClockMs) when it was received (clockReadMs, on the pilot's clock).
 	listed      map[string]wire.Entry
 	version     int
 	listClockMs uint64
 	clockReadMs float64
 
-	// starts holds when endpoints started, by index.
+	// starts holds the start times of endpoints by index.
 	starts map[int]startTime
-	// retiredAtMs holds since when endpoints are off the list, by index; it is kept only where indices are used again.
+	// retiredAtMs holds, by index, the time at which an endpoint was found to have left the list. It is only maintained
+	// with a relay, because only then are indices reused.
 	retiredAtMs map[int]float64
 }
 
-// startTime is an endpoint's start as the list stamped it, on the list's clock, and as the decider was told, on ours.
+// startTime is the start of an endpoint on two clocks, in ms: listStamp is its timestamp in the list, on the list
+// source's clock, and startedMs is the time passed to the decider, on the pilot's clock. 0 means that it started long
+// ago.
 type startTime struct {
 	listStamp uint64
 	startedMs float64
 }
 
-// newEndpointRegistry returns a registry that knows no endpoint.
+// newEndpointRegistry returns an empty registry.
 func newEndpointRegistry() endpointRegistry {
 	return endpointRegistry{
 		listed:      map[string]wire.Entry{},
@@ -50,17 +54,17 @@
 	}
 }
 
-// find returns the index of an endpoint that has one.
+// find returns the index of an endpoint. known is false if it has none.
 func (r *endpointRegistry) find(name string) (i int, known bool) { return r.names.Find(name) }
 
-// name returns the name behind an index, or nothing.
+// name returns the name of the endpoint with index i, or "" if there is none.
 func (r *endpointRegistry) name(i int) string { return r.names.Name(i) }
 
-// len returns how many indices there are.
+// len returns the number of indices, including those of endpoints that have left the list.
 func (r *endpointRegistry) len() int { return r.names.Len() }
 
-// beginUpdate takes over the version and the clock of a list. A whole one begins the entries anew. It returns those
-// held before.
+// beginUpdate stores the version and the clock of a received list and returns the entries held before. If the list is
+// whole (a snapshot), the current entries are cleared.
 func (r *endpointRegistry) beginUpdate(list *wire.List, nowMs float64) (previous map[string]wire.Entry) {
 	r.version = list.Version
 	r.listClockMs = list.Now
@@ -72,7 +76,7 @@
 	return previous
 }
 
-// put takes over an entry.
+// put stores an entry of the list, or removes it if its phase is gone.
 func (r *endpointRegistry) put(e wire.Entry) {
 	if e.Phase == wire.PhaseGone {
 		delete(r.listed, e.Endpoint)
@@ -81,9 +85,10 @@
 	r.listed[e.Endpoint] = e
 }
 
-// index returns an endpoint's index, giving it one at its first appearance. Where others hold the streams a pilot
-// lives for long while endpoints come under ever new names: one that is new takes the index of one that is long gone,
-// if its start differs, by which the decider tells that nothing of the old one counts.
+// index returns the index of an endpoint and assigns one if it has none. With a relay, a pilot runs for a long time
+// while endpoints keep appearing under new names, so a new endpoint reuses the index of one that left the list more
+// than indexReuseDelayMs ago. Their start times must differ: this is how the decider detects that its state for the
+// index belongs to another endpoint.
 func (r *endpointRegistry) index(e wire.Entry, nowMs float64) int {
 	if i, known := r.names.Find(e.Endpoint); known {
 		delete(r.retiredAtMs, i)
@@ -99,8 +104,9 @@
 	return r.names.Intern(e.Endpoint)
 }
 
-// startedMs returns an endpoint's start on our clock, 0 for the distant past. It is reckoned from the entry's age when
-// its stamp was first seen, and stays so: the decider takes any other figure for a restart.
+// startedMs returns the start time of an endpoint in ms on the pilot's clock; 0 means that it started long ago. The
+// time is computed from the entry's age when its timestamp is first seen, and cached: the decider would interpret a
+// different value as a restart.
 func (r *endpointRegistry) startedMs(i int, e wire.Entry, nowMs float64) float64 {
 	if known, seen := r.starts[i]; seen && known.listStamp == e.Started {
 		return known.startedMs
@@ -116,7 +122,7 @@
 	return startedMs
 }
 
-// retireUnlisted notes which endpoints are off the list, so that their indices may be used again.
+// retireUnlisted records which endpoints have left the list, so that their indices can be reused later.
 func (r *endpointRegistry) retireUnlisted(nowMs float64) {
 	for i, name := range r.names.All() {
 		_, listed := r.listed[name]
@@ -127,7 +133,7 @@
 	}
 }
 
-// snapshot returns the list as held, with its clock carried on to now.
+// snapshot returns the current list, sorted by name, with its clock advanced to nowMs.
 func (r *endpointRegistry) snapshot(nowMs float64) *wire.List {
 	clockMs := r.listClockMs + uint64(max(0, nowMs-r.clockReadMs))
 	list := &wire.List{Version: r.version, Now: clockMs, Whole: true}
@@ -137,7 +143,7 @@
 	return list
 }
 
-// applyList takes over entries of the list and returns them as the decider is to hear of them.
+// applyList applies a snapshot or delta of the endpoint list and returns the event for the decider.
 func (c *Core) applyList(in EndpointsListed) planner.Event {
 	previous := c.endpoints.beginUpdate(in.List, c.nowMs)
 	update := planner.EndpointUpdate{Mode: listMode(in), Version: in.List.Version}
@@ -162,7 +168,7 @@
 	return update
 }
 
-// listMode returns how entries apply to the list held so far.
+// listMode returns whether an input is a delta, a cached snapshot or a current snapshot.
 func listMode(in EndpointsListed) planner.UpdateMode {
 	switch {
 	case !in.List.Whole:
@@ -174,8 +180,9 @@
 	}
 }
 
-// applyEntry takes over one entry of the list. It is not valid in an unknown zone. With a weight that none can be it
-// keeps the weight held before, and its phase counts all the same: a drain is not lost over a wrong weight.
+// applyEntry stores one entry of the list and converts it for the decider. An entry with an unknown zone is not valid.
+// An entry with an invalid weight keeps its previous weight, but its phase is applied: a drain must not be lost because
+// of a wrong weight.
 func (c *Core) applyEntry(e wire.Entry, previous map[string]wire.Entry) (entry planner.Entry, valid bool) {
 	zone, known := c.zones.Find(e.Zone)
 	if !known {
