--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -7,17 +7,17 @@
 	"indigousher/planner"
 )
 
-// outcomeOK is the outcome of a health check that the endpoint passed.
+// outcomeOK is the outcome of a successful health check.
 const outcomeOK = "ok"
 
-// handleInput takes over what an input says and appends what the decider is to hear of it.
+// handleInput processes one input and appends the resulting events for the decider.
 func (c *Core) handleInput(events []planner.Event, in Input) []planner.Event {
 	switch in := in.(type) {
 	case ProxyJoined:
 		return c.join(events, in)
 	case ProxyLeft:
 		return c.leave(events, in)
-	case LoadReported: // in virtual time; on sockets the loop takes it in where it is read
+	case LoadReported: // only in simulated time; Loop.Post passes reports to the aggregator directly
 		c.Report(c.nowMs, in.Stream, in.Sums)
 	case Acked:
 		return c.acknowledge(events, in)
@@ -41,7 +41,7 @@
 	return events
 }
 
-// healthChecked appends the result of a health check, if its endpoint is known.
+// healthChecked appends the result of a health check. Results for unknown endpoints are ignored.
 func (c *Core) healthChecked(events []planner.Event, in HealthChecked) []planner.Event {
 	endpoint, known := c.endpoints.find(in.Endpoint)
 	if !known {
@@ -57,7 +57,7 @@
 	})
 }
 
-// changeSettings puts changed settings into those of the decider, and into the channel's limits.
+// changeSettings applies changed settings to the decider and to the channel.
 func (c *Core) changeSettings(changed map[string]any) {
 	maps.Copy(c.options.Settings, changed)
 	c.options.Decider.Reconfigure(c.options.Settings)
