--- a/internal/controller/exclusion.go
+++ b/internal/controller/exclusion.go
@@ -5,10 +5,10 @@
 	"indigousher/planner"
 )
 
-// exclusions are the endpoints that are shut out of all tables, by index.
+// exclusions is the set of endpoints, by index, that are excluded from all tables.
 type exclusions map[int]bool
 
-// set shuts an endpoint out or lets it in again.
+// set excludes an endpoint or ends its exclusion.
 func (e exclusions) set(endpoint int, excluded bool) {
 	if excluded {
 		e[endpoint] = true
@@ -17,8 +17,8 @@
 	}
 }
 
-// setExcluded shuts an endpoint out, or lets it in again, at the proxies that hold it, as far as this pilot knows
-// what they hold.
+// setExcluded excludes an endpoint, or ends its exclusion, and sends this to the proxies that may hold it (see
+// mayHold).
 func (c *Core) setExcluded(command planner.SetExcluded) {
 	c.excluded.set(command.Endpoint, command.Excluded)
 	op := wire.Op{Kind: wire.OpWithdraw, Endpoint: c.endpoints.name(command.Endpoint), Out: command.Excluded}
@@ -29,8 +29,9 @@
 	}
 }
 
-// mayHold returns whether a proxy may hold a line of an endpoint: from what it held when it joined, until tables cover
-// all request classes, from a table that is assigned to it, or from that of a slice.
+// mayHold reports whether a proxy may have a line for an endpoint: in a table assigned to it, in the table of a slice,
+// or in the tables that it had when it joined. The latter count until tables have been assigned for all request
+// classes.
 func (c *Core) mayHold(s *session, endpoint int) bool {
 	if s.coveredClasses != c.allClasses() && s.initialEndpoints[endpoint] {
 		return true
