--- a/internal/controller/inputs.go
+++ b/internal/controller/inputs.go
@@ -5,13 +5,13 @@
 	"indigousher/planner"
 )
 
-// Input is what a transport reports to the core: one of the types of this file. Inputs are values; whoever posts one
-// does not change what it points to afterwards.
+// Input is an input of the core: one of the types in this file. Inputs must not be modified after they have been
+// posted, nor may the data that they point to.
 type Input interface{ isInput() }
 
-// Inputs of proxies whose streams this pilot holds.
+// Inputs from proxies that are connected directly to this pilot.
 type (
-	// ProxyJoined reports a proxy's new stream.
+	// ProxyJoined reports a new stream and the hello message of its proxy.
 	ProxyJoined struct {
 		Stream Stream
 		Hello  wire.Hello
@@ -20,38 +20,38 @@
 	// ProxyLeft reports that a stream has ended.
 	ProxyLeft struct{ Stream Stream }
 
-	// LoadReported brings a proxy's report: what it counted since its last one.
+	// LoadReported is a load report of a proxy. It covers the time since the proxy's previous report.
 	LoadReported struct {
 		Stream Stream
 		Sums   *wire.Sums
 	}
 
-	// Acked answers an ack request: the proxy has applied everything sent before it.
+	// Acked is a proxy's answer to an ack request: it has applied everything sent before the request.
 	Acked struct {
 		Stream Stream
 		Done   wire.Done
 	}
 )
 
-// Inputs of the endpoint list and its store.
+// Inputs from the endpoint list and from the store that assigns slices.
 type (
-	// EndpointsListed brings entries of the endpoint list.
+	// EndpointsListed is a snapshot or delta of the endpoint list.
 	EndpointsListed struct {
 		List   *wire.List
-		Cached bool // as it was before this start; it may be old
+		Cached bool // the list was saved before this process started and may be outdated
 	}
 
-	// EndpointListLost reports that a call to the list failed or that its changes stopped.
+	// EndpointListLost reports that a request for the endpoint list failed or that its watch ended.
 	EndpointListLost struct{}
 
-	// SliceAssigned reports that the store has assigned a slice to this pilot or taken it away.
+	// SliceAssigned reports that the store has assigned a slice to this pilot or has revoked it.
 	SliceAssigned struct{ Slices *wire.Slices }
 )
 
-// Inputs of health checks, peers, operators and records.
+// Inputs from health checks, other pilots, operators and recorded telemetry.
 type (
-	// HealthChecked is the result of a health check. Outcome is a short word: ok, error, denied, timeout, unreachable or
-	// reset.
+	// HealthChecked is the result of a health check. Outcome is one of ok, error, denied, timeout, unreachable and
+	// reset. TookMs is its duration in ms; Load is the load that the endpoint reported.
 	HealthChecked struct {
 		Endpoint string
 		Outcome  string
@@ -59,49 +59,52 @@
 		Load     []wire.Figure
 	}
 
-	// GossipReceived brings a peer's text.
+	// GossipReceived is a text sent by another pilot; From is the index of that pilot.
 	GossipReceived struct {
 		From int
 		Text string
 	}
 
-	// SettingsChanged brings changed settings of the decider; only values that it reads anew each time may be among
-	// them.
+	// SettingsChanged holds the decider settings that have changed, by name. Only settings that can change while the
+	// pilot runs may be among them; see Decider.Reconfigure.
 	SettingsChanged struct{ Settings map[string]any }
 
-	// TelemetryBatch brings recorded telemetry, as the aggregator passed it on, in a replay.
+	// TelemetryBatch holds the recorded output of the report aggregator for one turn of a replay.
 	TelemetryBatch struct{ Events []planner.Event }
 )
 
-// Inputs of proxies whose streams a relay holds. They are known by number, not by stream, and their reports come
-// summed up.
+// Inputs from proxies that are connected through a relay. Proxies are identified by number instead of by stream, and
+// the relay aggregates their reports.
 type (
-	// RelayProxyJoined reports that a proxy has joined the relay and is assigned to this pilot. Resumed means that it
-	// is there after a time in which nobody saw whether it left and came back.
+	// RelayProxyJoined reports that a proxy has joined the relay and is assigned to this pilot. Resumed means that the
+	// proxy is joined after a gap in the relay's events; it may have left and joined again during the gap.
 	RelayProxyJoined struct {
 		Proxy          int
 		Zone           string
-		Rate           float64 // usual requests a second
-		Fresh, Resumed bool    // Fresh: it holds only the table that it started with
+		Rate           float64 // usual request rate, in requests per second
+		Fresh, Resumed bool    // Fresh: the proxy has only its static table, none from a pilot
 	}
 
 	// RelayProxyLeft reports that a proxy has left the relay.
 	RelayProxyLeft struct{ Proxy int }
 
-	// RelayAck answers an ack request, whose number is Mark: the proxy has applied everything sent before it.
+	// RelayAck is a proxy's answer to the ack request with the number Mark: it has applied everything sent before the
+	// request. TookMs is the time that this took, in ms.
 	RelayAck struct {
 		Proxy, Mark int
 		TookMs      float64
 	}
 
-	// RelayStalled reports that the relay has taken no commands for so long, or, with 0, that it takes them again.
+	// RelayStalled reports that the relay has accepted no commands for ForMs milliseconds. A ForMs of 0 means that it
+	// accepts commands again.
 	RelayStalled struct {
 		ForMs    float64
-		Repeated []int // ack requests of a call that may have been carried out and is retried
-		Merged   []int // ack requests of commands that go out as one call now
+		Repeated []int // ack requests in a call that is retried although the relay may have executed it
+		Merged   []int // ack requests in commands that were merged into one call
 	}
 
-	// ZoneStats sums the attempts of a zone's proxies at an endpoint.
+	// ZoneStats holds the attempts of one zone's proxies at one endpoint during SpanMs: their number, how many failed,
+	// their mean duration in ms, and the load that the endpoint reported.
 	ZoneStats struct {
 		Zone, Endpoint   string
 		Attempts, Failed int
@@ -109,7 +112,8 @@
 		Load             map[string]float64
 	}
 
-	// ProxyStats sums the requests of a class that came to a proxy.
+	// ProxyStats holds the number of requests of one class that a proxy received during SpanMs, and how many of them
+	// got no answer.
 	ProxyStats struct {
 		Proxy                int
 		Class                string
