--- a/internal/controller/loadreport.go
+++ b/internal/controller/loadreport.go
@@ -5,8 +5,8 @@
 	"indigousher/planner"
 )
 
-// loadReport turns a load report into the decider's form: nil if it has no figures. Figures that none can be are left
-// out and returned.
+// loadReport converts a load report for the decider. The load is nil if the report is empty. Values that are negative,
+// NaN or above planner.MaxFigure are omitted from the load and returned in outOfRange.
 func loadReport(figures []wire.Figure) (load planner.Load, outOfRange []wire.Figure) {
 	if len(figures) == 0 {
 		return nil, nil
