--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -11,81 +11,86 @@
 )
 
 const (
-	// inboxSize is how many inputs may wait before Post blocks the transports.
+	// inboxSize is the capacity of the inbox. When it is full, Post blocks.
 	inboxSize = 4096
-	// maxTurnInputs bounds the inputs that one turn handles, so that the channel is served in between.
+	// maxTurnInputs is the maximum number of inputs in one turn. It ensures that the channel is served regularly under
+	// load.
 	maxTurnInputs = 4096
-	// maxWaitMs bounds the sleep of the loop: a timer that is far off or missing is looked at again after it.
+	// maxWaitMs is the longest time in ms for which the loop sleeps, even if the next timer is later or there is none.
 	maxWaitMs = 1000
-	// backlogWarnFraction is the part of the backlog limit from which waiting lines are logged.
+	// backlogWarnFraction is the fraction of the backlog limit above which the loop logs a warning.
 	backlogWarnFraction = 0.8
-	// backlogWarnInterval is the shortest time between two such log lines.
+	// backlogWarnInterval is the minimum time between two warnings about the backlog.
 	backlogWarnInterval = time.Second
 )
 
-// Inbox is where transports put inputs: the loop, mostly.
+// Inbox accepts inputs from transports. Loop is the usual implementation.
 type Inbox interface {
+	// Post adds an input. It may block; it returns an error if ctx ends first.
 	Post(ctx context.Context, in Input) error
 }
 
-// Loop is the one goroutine that drives a Core: it takes inputs from a bounded inbox and wakes when something is due.
-// Run is that goroutine; the caller starts it, and it ends with its context. Post and State may be called by others.
+// Loop drives a Core in a live process: it takes inputs from a bounded inbox and runs a turn when there is input or a
+// timer is due. The caller starts Run in a goroutine. Post and State are safe for concurrent use.
 type Loop struct {
-	core       *Core // touched by Run alone, but for reports, which have a lock of their own
+	core       *Core // used only by Run, except for Core.Report, which has its own lock
 	clock      Clock
 	inbox      chan Input
 	log        *zap.Logger
-	start      time.Time // the moment 0 of the core's clock
-	lastWarned time.Time // when the backlog was last logged
+	start      time.Time // time 0 of the core's clock
+	lastWarned time.Time // time of the last warning about the backlog
 
 	mu    sync.Mutex // guards state
 	state State
 }
 
-// State is what the loop shows of itself after each turn. Its JSON is shown by the admin listener.
+// State is a snapshot of the loop's state after a turn. The admin listener serves it as JSON.
 type State struct {
-	// Joined proxies and known endpoints.
+	// Proxies and Endpoints count the joined proxies and the endpoint indices in use.
 	Proxies   int `json:"Proxies"`
 	Endpoints int `json:"Endpoints"`
 
-	// Lines that wait in the channel, the most that ever did, and the most messages to one proxy within the span of
-	// the limit on them.
+	// Lines is the number of lines that wait in the channel, and MostLines its maximum so far. MostMessages is the
+	// highest number of messages sent to one proxy within the period of the message limit (Options.MessagesOverMs).
 	Lines        int `json:"Lines"`
 	MostLines    int `json:"MostLines"`
 	MostMessages int `json:"MostMessages"`
 
-	// Turns of the loop since its start.
+	// Turns counts the iterations of the loop since its start.
 	Turns int `json:"Turns"`
 
-	// Sums of reports that wait to be passed on, and the most that ever did.
+	// Standing is the number of aggregated sums that wait to be passed to the decider, and MostStanding its maximum so
+	// far.
 	Standing     int `json:"Standing"`
 	MostStanding int `json:"MostStanding"`
 
-	// Refused counts report lines by what became of them.
+	// Refused counts report lines by what was done with them, for example "merged"; see telemetry.Reason.
 	Refused map[string]uint64 `json:"Refused"`
 
-	// Listed is whether the endpoint list has arrived.
+	// Listed is true once an endpoint list has been received.
 	Listed bool `json:"Listed"`
 
-	// ReportStats counts the reports that were taken in.
+	// ReportStats counts accepted reports and malformed input.
 	ReportStats ReportStats `json:"Believed"`
 
-	// LastTurn is when the last turn ended.
+	// LastTurn is the time at which the last turn ended.
 	LastTurn time.Time `json:"LastTurn"`
 }
 
-// NewLoop returns a loop that has not started.
+// NewLoop returns a loop for a core. Time 0 of the core's clock is the time of this call. The loop starts with Run.
 func NewLoop(core *Core, clock Clock, log *zap.Logger) *Loop {
 	return &Loop{core: core, clock: clock, inbox: make(chan Input, inboxSize), log: log, start: clock.Now()}
 }
 
-// ResumeAt has the loop's time begin at a moment of a core that was recovered. It is called before Run.
+// ResumeAt sets the current time on the core's clock, in ms, so that a recovered core continues from its last turn. It
+// must be called before Run.
 func (l *Loop) ResumeAt(atMs float64) {
 	l.start = l.clock.Now().Add(-time.Duration(atMs * float64(time.Millisecond)))
 }
 
-// Post hands an input to the loop. It waits while the inbox is full, so a source that brings too much is slowed by
-// its own connection; it ends with ctx. Reports don't pass the inbox: they are taken in where they are read.
+// Post adds an input to the loop's inbox. It blocks while the inbox is full, which slows down the connection that the
+// input comes from, and returns an error if ctx ends first. Load reports bypass the inbox: they are aggregated in the
+// caller's goroutine.
 func (l *Loop) Post(ctx context.Context, in Input) error {
 	if r, ok := in.(LoadReported); ok {
 		l.core.Report(l.nowMs(), r.Stream, r.Sums)
@@ -95,23 +100,24 @@
 	case l.inbox <- in:
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("hand %T to the loop: %w", in, context.Cause(ctx))
+		return fmt.Errorf("post %T to the loop: %w", in, context.Cause(ctx))
 	}
 }
 
-// State returns what the last turn left.
+// State returns the state after the last turn.
 func (l *Loop) State() State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state
 }
 
-// nowMs returns the time of the core's clock.
+// nowMs returns the current time on the core's clock, in ms.
 func (l *Loop) nowMs() float64 {
 	return float64(l.clock.Now().Sub(l.start)) / float64(time.Millisecond)
 }
 
-// Run turns until ctx ends, which is no error. The decider hears of the start at once, with a first turn without input.
+// Run runs turns until ctx ends, and then returns nil. The first turn runs immediately and without input, so that the
+// decider can set its timers.
 func (l *Loop) Run(ctx context.Context) error {
 	var inputs []Input
 	for {
@@ -127,7 +133,8 @@
 	}
 }
 
-// turn has the core handle what has come or is due, sends what may leave the channel, and publishes the state.
+// turn runs a turn of the core if there is input or a timer is due, sends the messages that are due in the channel, and
+// publishes the state.
 func (l *Loop) turn(inputs []Input) {
 	now := l.nowMs()
 	if len(inputs) > 0 || l.core.Due() <= now || l.State().Turns == 0 {
@@ -139,7 +146,8 @@
 	l.warnBacklog()
 }
 
-// wait returns the next input, or nil when something is due, and whether ctx has ended.
+// wait waits for the next input and returns it. It returns nil if the core or the channel is due first, and ended is
+// true if ctx has ended.
 func (l *Loop) wait(ctx context.Context) (in Input, ended bool) {
 	waitMs := math.Min(l.core.Due(), l.core.Channel.Due()) - l.nowMs()
 	waitMs = math.Max(0, math.Min(waitMs, maxWaitMs))
@@ -155,7 +163,8 @@
 	}
 }
 
-// batchInputs takes what else has come, so that one turn handles it together.
+// batchInputs appends the inputs that already wait in the inbox, up to maxTurnInputs, so that one turn handles them
+// together.
 func (l *Loop) batchInputs(inputs []Input) []Input {
 	for len(inputs) < maxTurnInputs {
 		select {
@@ -168,7 +177,7 @@
 	return inputs
 }
 
-// publish renews the state that others may look at.
+// publish updates the state returned by State.
 func (l *Loop) publish(inputs []Input) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -190,7 +199,7 @@
 	}
 }
 
-// warnBacklog logs, at most once in backlogWarnInterval, that the channel nears its backlog limit.
+// warnBacklog logs a warning if the channel is near its backlog limit, at most once per backlogWarnInterval.
 func (l *Loop) warnBacklog() {
 	channel := l.core.Channel
 	if channel.backlog <= 0 || float64(channel.waitingLines) <= backlogWarnFraction*channel.backlog {
