--- a/internal/controller/malformed.go
+++ b/internal/controller/malformed.go
@@ -1,10 +1,11 @@
 package controller
 
-// malformedReason says why an input, or a command of the decider, could not be used. It is a label of the metric
-// odd_inputs_total and goes to the log, so its spelling stays.
+// malformedReason is the reason why an input, or a command of the decider, was rejected. It is a label value of the
+// metric odd_inputs_total and appears in the log, so the strings must not change.
 type malformedReason string
 
-// The reasons. What is malformed costs itself alone: it is counted, logged and left out.
+// Reasons for rejecting an input or a command. A malformed item is counted, logged and skipped; the rest of its message
+// is processed.
 const (
 	malformedProxyZone      malformedReason = "proxy of an unknown zone"
 	malformedProxyRate      malformedReason = "rate out of range"
@@ -26,7 +27,8 @@
 	malformedAssignment     malformedReason = "bind of a proxy that has left"
 )
 
-// reportMalformed counts and logs something that could not be used. fields name what it was about.
+// reportMalformed counts and logs a malformed input or command. fields identify it in the log, for example the proxy's
+// name and the invalid value.
 func (c *Core) reportMalformed(reason malformedReason, fields ...string) {
 	c.ReportStats.Malformed++
 	c.options.Metrics.malformedInput(string(reason))
