--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -11,19 +11,19 @@
 	"indigousher/telemetry"
 )
 
-// metricsNamespace is the first part of each metric's name.
+// metricsNamespace is the prefix of all metric names.
 const metricsNamespace = "indigousher"
 
-// Metrics holds the runtime's metrics. A nil Metrics counts nothing.
+// Metrics holds the Prometheus metrics of the runtime. All methods can be called on a nil *Metrics and then do nothing.
 type Metrics struct {
-	// Proxies and the loop.
+	// Metrics of proxies, streams and the loop.
 	proxiesJoined prometheus.Gauge
 	turnInputs    prometheus.Gauge
 	malformed     *prometheus.CounterVec
 	closedStreams *prometheus.CounterVec
 	decideSeconds prometheus.Histogram
 
-	// The channel.
+	// Metrics of the channel.
 	waitingLines    prometheus.Gauge
 	backlogFraction prometheus.Gauge
 	messageFraction prometheus.Gauge
@@ -31,7 +31,7 @@
 	linesSent       prometheus.Counter
 	waitSeconds     prometheus.Histogram
 
-	// Reports. lastReportCounts holds the counts already added to reportLines, by reason.
+	// Metrics of load reports. lastReportCounts holds, by reason, the counts that have been added to reportLines.
 	reportLines      *prometheus.CounterVec
 	lastReportCounts []uint64
 	waitingSums      prometheus.Gauge
@@ -39,46 +39,46 @@
 	ageP99           prometheus.Gauge
 }
 
-// NewMetrics registers the metrics.
+// NewMetrics creates the metrics and registers them with r. It panics if one of the names is already registered.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	f := metricFactory{r}
 	return &Metrics{
-		proxiesJoined:   f.gauge("proxies_joined", "Proxies with a stream to this pilot."),
-		waitingLines:    f.gauge("channel_lines", "Lines that wait in the channel, heads included."),
-		backlogFraction: f.gauge("channel_backlog_part", "Waiting lines as a part of the backlog's limit."),
-		messageFraction: f.gauge("proxy_messages_part", "Messages to the proxy last written to, as a part of their limit."),
-		turnInputs:      f.gauge("inbox_inputs", "Inputs taken in by the last turn of the loop."),
-		waitingSums:     f.gauge("intake_standing", "Sums that wait to be passed on to the module."),
-		ageMedian:       f.gauge("intake_age_ms_p50", "Age of the figures passed on, median, since the start."),
-		ageP99:          f.gauge("intake_age_ms_p99", "Age of the figures passed on, 99th percentile, since the start."),
-		reportLines:     f.counterByReason("intake_lines_total", "Report lines by what became of them."),
-		messagesSent:    f.counter("channel_messages_total", "Messages that left the channel."),
-		linesSent:       f.counter("channel_lines_total", "Lines that left the channel, heads included."),
-		malformed:       f.counterByReason("odd_inputs_total", "Inputs that could not be used, by reason."),
-		closedStreams:   f.counterByReason("streams_cut_total", "Streams ended by this pilot, by reason."),
-		waitSeconds:     f.histogram("channel_wait_seconds", "Time from order to leaving the channel."),
-		decideSeconds:   f.histogram("decide_seconds", "Time of the module for one turn of the loop."),
+		proxiesJoined:   f.gauge("proxies_joined", "Proxies connected to this pilot."),
+		waitingLines:    f.gauge("channel_lines", "Lines that wait in the channel, including message overhead."),
+		backlogFraction: f.gauge("channel_backlog_part", "Waiting lines as a fraction of the backlog limit."),
+		messageFraction: f.gauge("proxy_messages_part", "Recent messages to one proxy as a fraction of the limit."),
+		turnInputs:      f.gauge("inbox_inputs", "Inputs handled in the last turn of the loop."),
+		waitingSums:     f.gauge("intake_standing", "Report sums that wait to be passed to the planner."),
+		ageMedian:       f.gauge("intake_age_ms_p50", "Median age in ms of the report values passed on so far."),
+		ageP99:          f.gauge("intake_age_ms_p99", "99th percentile age in ms of the report values passed on so far."),
+		reportLines:     f.counterByReason("intake_lines_total", "Report lines by what was done with them."),
+		messagesSent:    f.counter("channel_messages_total", "Messages sent through the channel."),
+		linesSent:       f.counter("channel_lines_total", "Lines sent through the channel, including message overhead."),
+		malformed:       f.counterByReason("odd_inputs_total", "Malformed inputs and commands, by reason."),
+		closedStreams:   f.counterByReason("streams_cut_total", "Streams closed because the channel was full, by reason."),
+		waitSeconds:     f.histogram("channel_wait_seconds", "Time in seconds that messages wait in the channel."),
+		decideSeconds:   f.histogram("decide_seconds", "Time in seconds that the planner takes for one turn."),
 	}
 }
 
-// metricFactory makes metrics in the project's namespace and registers them.
+// metricFactory creates metrics with the prefix metricsNamespace and registers them.
 type metricFactory struct{ registry prometheus.Registerer }
 
-// gauge makes and registers a gauge.
+// gauge creates and registers a gauge.
 func (f metricFactory) gauge(name, help string) prometheus.Gauge {
 	g := prometheus.NewGauge(prometheus.GaugeOpts{Namespace: metricsNamespace, Name: name, Help: help})
 	f.registry.MustRegister(g)
 	return g
 }
 
-// counter makes and registers a counter.
+// counter creates and registers a counter.
 func (f metricFactory) counter(name, help string) prometheus.Counter {
 	c := prometheus.NewCounter(prometheus.CounterOpts{Namespace: metricsNamespace, Name: name, Help: help})
 	f.registry.MustRegister(c)
 	return c
 }
 
-// counterByReason makes and registers a counter with the label "reason".
+// counterByReason creates and registers a counter with the label "reason".
 func (f metricFactory) counterByReason(name, help string) *prometheus.CounterVec {
 	c := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: metricsNamespace, Name: name, Help: help},
 		[]string{"reason"})
@@ -86,7 +86,8 @@
 	return c
 }
 
-// histogram makes and registers a histogram of seconds: 14 buckets from 0.1 ms on, each 2.5 times the one before.
+// histogram creates and registers a histogram in seconds with 14 buckets. The first bucket ends at 0.1 ms, and each
+// further one at 2.5 times the previous bound.
 func (f metricFactory) histogram(name, help string) prometheus.Histogram {
 	h := prometheus.NewHistogram(prometheus.HistogramOpts{
 		Namespace: metricsNamespace, Name: name, Help: help,
@@ -96,21 +97,22 @@
 	return h
 }
 
-// setProxies shows how many proxies have a stream.
+// setProxies sets the number of joined proxies.
 func (m *Metrics) setProxies(n int) {
 	if m != nil {
 		m.proxiesJoined.Set(float64(n))
 	}
 }
 
-// setInputs shows how many inputs the last turn handled.
+// setInputs sets the number of inputs handled in the last turn.
 func (m *Metrics) setInputs(inputs int) {
 	if m != nil {
 		m.turnInputs.Set(float64(inputs))
 	}
 }
 
-// setWaiting shows the lines that wait in the channel, also as a part of the backlog limit if there is one.
+// setWaiting sets the number of lines that wait in the channel, and their fraction of the backlog limit. A backlog of 0
+// means that there is no limit; the fraction is then not set.
 func (m *Metrics) setWaiting(lines int, backlog float64) {
 	if m == nil {
 		return
@@ -121,7 +123,8 @@
 	}
 }
 
-// messageSent counts a message that left the channel; recent is how many left to its proxy lately, limit how many may.
+// messageSent counts a message sent through the channel. recent is the number of messages sent to the same proxy within
+// the period of the message limit, and limit the maximum; 0 means no limit.
 func (m *Metrics) messageSent(message *wire.Orders, recent, limit int) {
 	if m == nil {
 		return
@@ -134,8 +137,8 @@
 	}
 }
 
-// setTelemetry shows what became of report lines. counts are those since the start, by reason; waiting is how many sums
-// are left to be passed on.
+// setTelemetry updates the metrics of load reports. counts holds the number of report lines since the start, by reason;
+// waiting is the number of sums that wait to be passed on; ages is a histogram of the values' ages in ms.
 func (m *Metrics) setTelemetry(counts []uint64, waiting int, ages *hdrhistogram.Histogram) {
 	if m == nil {
 		return
@@ -152,21 +155,21 @@
 	m.ageP99.Set(float64(ages.ValueAtQuantile(99)))
 }
 
-// malformedInput counts an input that could not be used.
+// malformedInput counts a malformed input or command.
 func (m *Metrics) malformedInput(reason string) {
 	if m != nil {
 		m.malformed.WithLabelValues(reason).Inc()
 	}
 }
 
-// streamClosed counts a stream that this pilot ended.
+// streamClosed counts a stream that this pilot closed, by reason.
 func (m *Metrics) streamClosed(reason string) {
 	if m != nil {
 		m.closedStreams.WithLabelValues(reason).Inc()
 	}
 }
 
-// timeDecider calls the decider and measures it.
+// timeDecider calls decide and records how long it takes.
 func (m *Metrics) timeDecider(decide func() []planner.Command) []planner.Command {
 	if m == nil {
 		return decide()
