--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -5,47 +5,51 @@
 	"indigousher/telemetry"
 )
 
-// Options names all that a Core is made from.
+// Options holds the configuration and the dependencies of a Core.
 type Options struct {
-	// Decider decides, by Settings: the map that it was made with. Settings that change are put into it.
+	// Decider makes the routing decisions. Settings is the map that the decider was created with; the core writes
+	// changed settings into it.
 	Decider  Decider
 	Settings map[string]any
 
-	// Names by index, as the decider knows zones, machine types and request classes.
+	// Zones, Machines and Classes are the names of zones, machine types and request classes. The decider refers to them
+	// by their index.
 	Zones, Machines, Classes []string
 
-	// Limits of the channel. LinesPerS paces it, 0 not at all; Backlog is how many lines may wait, 0 for no limit;
-	// HeadLines is what each message counts beside its own lines; MaxMessages is how many messages a proxy may be sent
-	// within MessagesOverMs, 0 for no limit.
+	// Limits of the channel. LinesPerS is its rate limit in lines per second, and Backlog the maximum number of waiting
+	// lines. HeadLines is the overhead of a message, in lines. MaxMessages is the maximum number of messages to one
+	// proxy within MessagesOverMs milliseconds. For LinesPerS, Backlog and MaxMessages, 0 means no limit.
 	LinesPerS, Backlog float64
 	HeadLines          int
 	MaxMessages        int
 	MessagesOverMs     float64
 
-	// Telemetry limits what is taken in of reports.
+	// Telemetry holds the options of the report aggregator.
 	Telemetry telemetry.Options
 
-	// MaxProxies is how many distinct proxies may join in a life; more are rejected.
+	// MaxProxies is the maximum number of distinct proxies that may join while the process runs; further ones are
+	// rejected.
 	MaxProxies int
 
-	// The transports. Relay is set where others hold the streams of proxies, nil where they are ours.
+	// The transports. Relay is nil if proxies connect directly to this pilot.
 	EndpointSource EndpointSource
 	HealthChecker  HealthChecker
 	Gossip         GossipSender
 	Relay          Relay
 
-	// Log takes the decider's own log lines; Malformed takes what a transport brought that can't be used, with fields
-	// that name it.
+	// Log writes the decider's log messages. Malformed logs a malformed input or command: what is the reason, and
+	// fields identify the item.
 	Log       func(text string)
 	Malformed func(what string, fields ...string)
 
-	// Metrics counts; it may be nil.
+	// Metrics holds the runtime's metrics; nil disables them.
 	Metrics *Metrics
 
-	// OnTurn, if not nil, is called with each turn: its inputs, the telemetry that the aggregator passed on, and the
-	// decider's commands. The inputs' slice is used again after it returns.
+	// OnTurn, if not nil, is called in each turn that has inputs or calls the decider, before the commands are
+	// executed. Its arguments are the inputs, the events from the report aggregator, and the decider's commands. The
+	// inputs slice is reused after OnTurn returns.
 	OnTurn func(nowMs float64, inputs []Input, telemetry []planner.Event, commands []planner.Command)
 
-	// Replayed means that telemetry comes as TelemetryBatch inputs; the core's own aggregator is not asked.
+	// Replayed is true in a replay: telemetry comes from TelemetryBatch inputs instead of the core's report aggregator.
 	Replayed bool
 }
