--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -6,14 +6,14 @@
 	"indigousher/internal/wire"
 )
 
-// outbox collects what a turn has to say to proxies: one message for each session, held by the session itself until the
-// turn's end.
+// outbox collects the operations that a turn sends to proxies. Each session holds one pending message until the end of
+// the turn.
 type outbox struct {
-	headLines       int        // that a message counts beside its own lines
-	pendingSessions []*session // that have a pending message
+	headLines       int        // overhead of a message, in lines
+	pendingSessions []*session // sessions with a pending message
 }
 
-// add appends a line to a proxy's message of this turn.
+// add appends an operation to the message that this turn sends to a proxy.
 func (o *outbox) add(s *session, op wire.Op) {
 	if s.pending == nil {
 		s.pending = &wire.Orders{Lines: o.headLines}
@@ -23,7 +23,7 @@
 	s.pending.Lines++
 }
 
-// flush puts the messages of this turn into the channel, by proxy.
+// flush adds the messages of this turn to the channel, ordered by proxy index.
 func (o *outbox) flush(nowMs float64, channel *Channel) {
 	slices.SortFunc(o.pendingSessions, func(a, b *session) int { return a.proxy - b.proxy })
 	for _, s := range o.pendingSessions {
@@ -33,8 +33,8 @@
 	o.pendingSessions = o.pendingSessions[:0]
 }
 
-// sendToUsers adds a line to the message of each proxy that uses a table: one assigned to the proxy, or that of a slice
-// assigned to this pilot.
+// sendToUsers adds an operation to the message of each proxy that uses a table. The table of a slice assigned to this
+// pilot is used by all proxies, other tables by those they are assigned to.
 func (c *Core) sendToUsers(number int, op wire.Op) {
 	isSlice := c.slices.has(number)
 	for _, s := range c.sessions.inOrder() {
