--- a/internal/controller/recorded.go
+++ b/internal/controller/recorded.go
@@ -2,7 +2,8 @@
 
 import "indigousher/planner"
 
-// acceptRecorded keeps recorded telemetry for this turn; the decider hears of it where live telemetry would stand.
+// acceptRecorded stores recorded telemetry for this turn. appendTelemetry adds it to the events at the position of live
+// telemetry.
 func (c *Core) acceptRecorded(telemetry []planner.Event) {
 	for _, event := range telemetry {
 		if c.validRecordedEvent(event) {
@@ -13,8 +14,8 @@
 	}
 }
 
-// validRecordedEvent returns whether a recorded event names what there is, in figures that the aggregator would
-// have passed on. The decider takes any index for one that it may use.
+// validRecordedEvent reports whether the indices of a recorded event exist and its values are in the range that the
+// aggregator produces. This must be checked here because the decider does not check indices.
 func (c *Core) validRecordedEvent(event planner.Event) bool {
 	switch event := event.(type) {
 	case planner.EndpointStats:
@@ -28,7 +29,7 @@
 	return false
 }
 
-// validRecordedStats returns whether the recorded statistics of an endpoint may be used.
+// validRecordedStats reports whether recorded endpoint statistics have existing indices and values in range.
 func (c *Core) validRecordedStats(stats planner.EndpointStats) bool {
 	for _, value := range stats.Load {
 		if !planner.ValidRate(value) {
@@ -39,5 +40,5 @@
 		stats.Failed >= 0 && stats.Attempts >= stats.Failed && planner.ValidRate(stats.MeanMs) && planner.ValidRate(stats.SpanMs)
 }
 
-// validIndex returns whether i is an index into n things.
+// validIndex reports whether 0 <= i < n.
 func validIndex(i, n int) bool { return i >= 0 && i < n }
