--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -7,16 +7,16 @@
 	"indigousher/planner"
 )
 
-// relayedProxies are the proxies whose streams a relay holds, and what the turn under way commands them.
+// relayedProxies holds the proxies that are connected through a relay and the commands for them in the current turn.
 type relayedProxies struct {
-	joined   map[int]bool      // by number
-	commands []planner.Command // of this turn
+	joined   map[int]bool      // the joined proxies, by number
+	commands []planner.Command // commands of the current turn
 }
 
-// newRelayedProxies returns a set that no proxy has joined.
+// newRelayedProxies returns an empty set of proxies.
 func newRelayedProxies() relayedProxies { return relayedProxies{joined: map[int]bool{}} }
 
-// flush gives the relay the commands of this turn as one call.
+// flush passes the commands of this turn to the relay in one call.
 func (r *relayedProxies) flush(relay Relay, endpoints *endpointRegistry) {
 	if len(r.commands) == 0 {
 		return
@@ -26,7 +26,7 @@
 	r.commands = r.commands[:0]
 }
 
-// handleRelayInput takes over what an input says of relayed proxies and appends what the decider is to hear of it.
+// handleRelayInput processes an input from the relay and appends the resulting events for the decider.
 func (c *Core) handleRelayInput(events []planner.Event, in Input) []planner.Event {
 	switch in := in.(type) {
 	case RelayProxyJoined:
@@ -47,7 +47,7 @@
 	return events
 }
 
-// zoneStats appends the attempts of a zone's proxies at an endpoint.
+// zoneStats appends an event with the attempts of a zone's proxies at an endpoint.
 func (c *Core) zoneStats(events []planner.Event, in ZoneStats) []planner.Event {
 	zone, zoneKnown := c.zones.Find(in.Zone)
 	endpoint, endpointKnown := c.endpoints.find(in.Endpoint)
@@ -62,7 +62,7 @@
 	})
 }
 
-// proxyStats appends the requests of a class that came to a proxy.
+// proxyStats appends an event with the requests of a class that a proxy received.
 func (c *Core) proxyStats(events []planner.Event, in ProxyStats) []planner.Event {
 	class, known := c.classes.Find(in.Class)
 	if !known || !c.validProxy(in.Proxy) {
@@ -76,16 +76,17 @@
 	})
 }
 
-// countRelayedReport counts a report that came summed up.
+// countRelayedReport counts an aggregated report from the relay that covers spanMs milliseconds.
 func (c *Core) countRelayedReport(spanMs float64) {
 	c.ReportStats.Reports++
 	c.ReportStats.SpanMs += spanMs
 }
 
-// validProxy returns whether the deployment has a proxy of that number.
+// validProxy reports whether a proxy number is in the range given by Options.MaxProxies.
 func (c *Core) validProxy(proxy int) bool { return validIndex(proxy, c.options.MaxProxies) }
 
-// joinRelayed takes in a proxy. One that had joined before has left in between, unless it is said to have stood.
+// joinRelayed records that a proxy has joined and appends an event. If the proxy is already joined and the input does
+// not say that it resumed, an event that it left comes first.
 func (c *Core) joinRelayed(events []planner.Event, in RelayProxyJoined) []planner.Event {
 	zone, known := c.zones.Find(in.Zone)
 	if !known || !c.validProxy(in.Proxy) || !planner.ValidRate(in.Rate) {
@@ -100,7 +101,7 @@
 	return append(events, planner.ProxyJoined{Proxy: in.Proxy, Zone: zone, Rate: in.Rate, Fresh: in.Fresh, Resumed: resumed})
 }
 
-// leaveRelayed appends that a proxy has left, if it had joined. What waits for it at the relay is void.
+// leaveRelayed appends an event that a proxy has left, if it had joined, and has the relay discard its queued commands.
 func (c *Core) leaveRelayed(events []planner.Event, proxy int) []planner.Event {
 	if !c.relayed.joined[proxy] {
 		return events
@@ -110,8 +111,9 @@
 	return append(events, planner.ProxyLeft{Proxy: proxy})
 }
 
-// forwardToRelay collects a command for the relay, if that is where it goes, and returns whether it does. An assignment
-// to a proxy that has left goes nowhere.
+// forwardToRelay adds a command for proxies to those for the relay and reports whether the command has been handled. It
+// returns false if there is no relay or the command is not for proxies. An assignment to a proxy that has left is
+// dropped.
 func (c *Core) forwardToRelay(command planner.Command) bool {
 	if c.options.Relay == nil {
 		return false
