--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -12,16 +12,17 @@
 	"indigousher/telemetry"
 )
 
-// maxAgeMs is the greatest age of a figure that the histogram of ages tells apart.
+// maxAgeMs is the upper limit of the histogram of ages, in ms. Greater ages are recorded as this value.
 const maxAgeMs = 600_000
 
-// ageDigits is how many significant digits the histogram of ages keeps.
+// ageDigits is the number of significant decimal digits in the histogram of ages.
 const ageDigits = 2
 
-// unknownIndex stands for a proxy or an endpoint that has no index; the aggregator counts what names it.
+// unknownIndex is passed to the aggregator instead of the index of an unknown proxy or endpoint. The aggregator rejects
+// and counts such reports and lines.
 const unknownIndex = -1
 
-// The aggregator holds load reports as they came on the wire.
+// Types of package telemetry, instantiated with load reports in their wire format.
 type (
 	reportAggregator = telemetry.Aggregator[[]wire.Figure]
 	report           = telemetry.Report[[]wire.Figure]
@@ -29,33 +30,34 @@
 	endpointSum      = telemetry.EndpointSum[[]wire.Figure]
 )
 
-// reportGate stands between the streams and the loop: reports are taken in where they are read, by any goroutine, and
-// passed on to the loop once a period. What becomes of them the aggregator decides; the gate knows names and holds the
-// lock.
+// reportGate accepts load reports from the goroutines that read the streams and passes their aggregates to the loop
+// once per period. It translates names to indices and provides the locking for the aggregator, which decides what to
+// merge, sample or drop.
 type reportGate struct {
-	mu sync.Mutex // guards all below but periodMs and lastFlushMs, which the loop alone uses
+	mu sync.Mutex // guards the fields below, except periodMs and lastFlushMs, which only the loop uses
 
 	aggregator *reportAggregator
-	scratch    report // of the report being accepted, so that its slices are used again
+	scratch    report // the report being accepted; kept to reuse its slices
 
-	// Indices by what reports name, and back.
+	// Lookup tables for the proxies, endpoints and request classes in reports.
 	proxies   map[Stream]int
 	streams   map[int]Stream
 	endpoints map[string]int
 	classes   map[string]int
 
-	// sliceStats sums, by slice assigned to this pilot and request class, what came since the last flush.
+	// sliceStats sums the requests since the last flush, by slice and request class. It has an entry for each slice
+	// assigned to this pilot.
 	sliceStats map[int]map[int]*planner.SliceStats
-	// malformed counts what could not be used since the last flush.
+	// malformed counts the malformed items in reports since the last flush, by reason.
 	malformed map[malformedReason]int
-	// ages holds the ages of all figures passed on since the start, in ms.
+	// ages is a histogram of the ages in ms of all values passed on since the start.
 	ages *hdrhistogram.Histogram
 
-	periodMs    float64
-	lastFlushMs float64
+	periodMs    float64 // time between two flushes, in ms
+	lastFlushMs float64 // time of the last flush, in ms
 }
 
-// newReportGate returns a gate that no proxy has passed. classes are the request classes by index.
+// newReportGate returns a gate without proxies or endpoints. classes holds the names of the request classes by index.
 func newReportGate(options telemetry.Options, classes []string) *reportGate {
 	g := &reportGate{
 		aggregator: telemetry.New[[]wire.Figure](options),
@@ -74,13 +76,14 @@
 	return g
 }
 
-// due returns when the next flush is.
+// due returns the time of the next flush, in ms.
 func (g *reportGate) due() float64 { return g.lastFlushMs + g.periodMs }
 
-// restartPeriod has the period begin at a time, without a flush.
+// restartPeriod starts a new period at nowMs without flushing.
 func (g *reportGate) restartPeriod(nowMs float64) { g.lastFlushMs = nowMs }
 
-// addProxy takes reports of a session from now on. It returns false if there are too many senders.
+// addProxy registers a session, so that its reports are accepted. It returns false if the aggregator has no capacity
+// for another sender.
 func (g *reportGate) addProxy(nowMs float64, s *session) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -92,7 +95,7 @@
 	return true
 }
 
-// removeProxy ends taking reports of a session.
+// removeProxy unregisters a session. Its later reports are rejected.
 func (g *reportGate) removeProxy(s *session) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -101,7 +104,7 @@
 	delete(g.streams, s.proxy)
 }
 
-// updateEndpoint takes over an entry of the list as the decider hears of it.
+// updateEndpoint stores the index of an endpoint and passes its phase and start time to the aggregator.
 func (g *reportGate) updateEndpoint(nowMs float64, name string, e planner.Entry) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -109,7 +112,7 @@
 	g.aggregator.UpdateEndpoint(nowMs, e.Endpoint, e.Phase, e.Started)
 }
 
-// removeUnlisted takes all endpoints for gone but those whose index is listed.
+// removeUnlisted marks all endpoints as gone whose index is not in listed.
 func (g *reportGate) removeUnlisted(nowMs float64, listed map[int]bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -120,7 +123,7 @@
 	}
 }
 
-// assignSlice begins the demand of a slice anew, or forgets it when the slice is assigned no longer.
+// assignSlice resets the request counts of a slice, or removes them if the slice is no longer assigned.
 func (g *reportGate) assignSlice(number int, assigned bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -130,7 +133,8 @@
 	}
 }
 
-// accept takes in one report.
+// accept adds one report to the aggregator. A report from a stream that has not joined is passed with unknownIndex, and
+// its slice counts are ignored.
 func (g *reportGate) accept(nowMs float64, from Stream, sums *wire.Sums) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -151,7 +155,7 @@
 	}
 }
 
-// fillLines puts what a proxy met at endpoints into a report.
+// fillLines converts a proxy's statistics by endpoint into the lines of a report.
 func (g *reportGate) fillLines(r *report, stats []wire.Met) {
 	r.Lines = r.Lines[:0]
 	for i := range stats {
@@ -168,7 +172,8 @@
 	}
 }
 
-// fillClasses puts the requests that came to a proxy, by class, into a report.
+// fillClasses converts the numbers of requests that a proxy received, by class, and stores them in a report. Unknown
+// classes are counted as malformed and skipped.
 func (g *reportGate) fillClasses(r *report, demands []wire.Demand) {
 	r.Kinds = r.Kinds[:0]
 	for _, d := range demands {
@@ -181,7 +186,8 @@
 	}
 }
 
-// addSliceStats adds up demand for the slices assigned to this pilot; it is bounded by these and the classes.
+// addSliceStats adds request counts to sliceStats. Slices that are not assigned to this pilot and unknown classes are
+// rejected, which bounds the memory used.
 func (g *reportGate) addSliceStats(loads []wire.SliceLoad) {
 	for _, load := range loads {
 		class, known := g.classes[load.Kind]
@@ -200,14 +206,14 @@
 	}
 }
 
-// paceRequest asks a stream's proxy to report otherwise.
+// paceRequest holds new reporting parameters for the proxy of a stream.
 type paceRequest struct {
 	stream Stream
 	pace   *wire.Pace
 }
 
-// flush appends, when the period is over, what the aggregator passes on to events. It also returns what proxies are to
-// be asked for and counts of what could not be used.
+// flush appends the aggregated events if the period is over. It also returns the changes to the proxies' reporting
+// parameters and the numbers of malformed items since the last flush. Before the end of the period it does nothing.
 func (g *reportGate) flush(events []planner.Event, nowMs float64, metrics *Metrics) (
 	_ []planner.Event, requests []paceRequest, malformed map[malformedReason]int,
 ) {
@@ -232,7 +238,8 @@
 	return events, requests, malformed
 }
 
-// appendEndpointStats appends the statistics of endpoints.
+// appendEndpointStats appends one event for each endpoint sum. Invalid values in load reports are counted as malformed
+// and omitted.
 func (g *reportGate) appendEndpointStats(events []planner.Event, stats []endpointSum) []planner.Event {
 	for i := range stats {
 		load, outOfRange := loadReport(stats[i].Load)
@@ -244,7 +251,7 @@
 	return events
 }
 
-// appendSliceStats appends what came for slices in a span and begins their sums anew.
+// appendSliceStats appends the request counts of slices, which cover spanMs milliseconds, and resets them.
 func (g *reportGate) appendSliceStats(events []planner.Event, spanMs float64) []planner.Event {
 	for _, number := range slices.Sorted(maps.Keys(g.sliceStats)) {
 		byClass := g.sliceStats[number]
@@ -258,14 +265,14 @@
 	return events
 }
 
-// recordAges adds ages of figures, in ms, to the histogram.
+// recordAges adds the ages of reported values, in ms, to the histogram.
 func (g *reportGate) recordAges(ages []float64) {
 	for _, age := range ages {
 		_ = g.ages.RecordValue(int64(min(max(age, 0), maxAgeMs))) // no error: the value is within the range
 	}
 }
 
-// paceRequests returns how proxies are to report from now on, where that changes.
+// paceRequests returns the new reporting parameters of those proxies for which the aggregator has changed them.
 func (g *reportGate) paceRequests(nowMs float64) (requests []paceRequest) {
 	for _, advice := range g.aggregator.Rebalance(nowMs) {
 		pace := &wire.Pace{PeriodMs: int(advice.PeriodMs), Lines: advice.Lines, Changes: advice.Changes}
@@ -274,7 +281,8 @@
 	return requests
 }
 
-// stats returns how many sums wait, the most that ever did, and the report lines by what became of them.
+// stats returns the number of sums that wait to be passed on, its maximum so far, and the number of report lines by
+// what was done with them. Reasons with a count of 0 are omitted.
 func (g *reportGate) stats() (waiting, maxWaiting int, counts map[string]uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
