--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -9,7 +9,7 @@
 	"indigousher/planner"
 )
 
-// Reasons of closing a stream that are said to the proxy; their spelling stays.
+// Reasons for closing a stream. They are sent to the proxy, so the strings must not change.
 const (
 	closeUnknownZone    = "unknown zone"
 	closeRateOutOfRange = "rate out of range"
@@ -18,30 +18,31 @@
 	closeReplaced       = "the proxy has come back on another stream"
 )
 
-// session is a joined proxy: its stream and what this pilot has sent to it.
+// session holds the state of a joined proxy: its stream, its tables and the messages for it.
 type session struct {
 	hello       wire.Hello
 	proxy, zone int // indices
 	stream      Stream
 
-	// assignedClasses holds, by table assigned to the proxy, the request classes that use it, as a bit mask;
-	// coveredClasses are those that some table has served since the proxy joined.
+	// assignedClasses maps each table assigned to the proxy to a bit mask of the request classes that use it.
 	assignedClasses map[int]int
-	coveredClasses  int
-	// initialEndpoints are the indices of the endpoints that the proxy held when it joined.
+	// coveredClasses is a bit mask of the request classes that have been assigned a table since the proxy joined.
+	coveredClasses int
+	// initialEndpoints holds the indices of the endpoints that the proxy had in its tables when it joined.
 	initialEndpoints map[int]bool
-	// heldTables are the tables that the proxy said it has and that are not assigned anew: weights by endpoint name.
+	// heldTables holds the tables that the proxy listed in its hello, until they are assigned: by table number, the
+	// weights by endpoint name.
 	heldTables map[int]map[string]float64
 
-	// pending is the message of the turn under way, nil if there is none; see outbox.
+	// pending is the proxy's message in the current turn, or nil if there is none; see outbox.
 	pending *wire.Orders
-	// recentSends are when messages left to the proxy lately; they are the channel's.
+	// recentSends holds the times of the latest messages to the proxy. Only the channel uses it.
 	recentSends sendTimes
-	// acks are the ack requests sent to the proxy that it has not answered.
+	// acks holds the ack requests that the proxy has not answered.
 	acks pendingAcks
 }
 
-// newSession returns the session of a proxy that joins.
+// newSession returns a session for a proxy that joins; proxy and zone are indices.
 func newSession(in ProxyJoined, proxy, zone int) *session {
 	s := &session{
 		hello:            in.Hello,
@@ -62,7 +63,8 @@
 	return s
 }
 
-// assign notes that some request classes use a table from now on, and no other. Tables that no class uses are let go.
+// assign records that the given request classes now use a table instead of any other. Tables that no class uses any
+// more are removed.
 func (s *session) assign(number, classes int) {
 	for other, held := range s.assignedClasses {
 		left := held &^ classes
@@ -76,7 +78,8 @@
 	s.coveredClasses |= classes
 }
 
-// takeHeldTable returns what the proxy said it has of a table, and forgets it.
+// takeHeldTable removes a table from heldTables and returns its weights by endpoint name. held is false if the proxy
+// did not list the table or it has been assigned before.
 func (s *session) takeHeldTable(number int) (weights map[string]float64, held bool) {
 	weights, held = s.heldTables[number]
 	delete(s.heldTables, number)
@@ -87,32 +90,32 @@
 type sessionRegistry struct {
 	byProxy  map[int]*session
 	byStream map[Stream]*session
-	ordered  []*session // by proxy; nil: to be made
+	ordered  []*session // sorted by proxy; nil if it must be rebuilt
 }
 
-// newSessionRegistry returns a registry without sessions.
+// newSessionRegistry returns an empty registry.
 func newSessionRegistry() sessionRegistry {
 	return sessionRegistry{byProxy: map[int]*session{}, byStream: map[Stream]*session{}}
 }
 
-// add takes in a session.
+// add adds a session.
 func (r *sessionRegistry) add(s *session) {
 	r.byProxy[s.proxy] = s
 	r.byStream[s.stream] = s
 	r.ordered = nil
 }
 
-// remove forgets a session.
+// remove removes a session.
 func (r *sessionRegistry) remove(s *session) {
 	delete(r.byProxy, s.proxy)
 	delete(r.byStream, s.stream)
 	r.ordered = nil
 }
 
-// len returns how many proxies are joined.
+// len returns the number of joined proxies.
 func (r *sessionRegistry) len() int { return len(r.byProxy) }
 
-// inOrder returns the sessions by proxy. The list is made anew only after a proxy has joined or left.
+// inOrder returns the sessions sorted by proxy index. The slice is cached until a proxy joins or leaves.
 func (r *sessionRegistry) inOrder() []*session {
 	if r.ordered == nil {
 		for _, proxy := range slices.Sorted(maps.Keys(r.byProxy)) {
@@ -122,14 +125,15 @@
 	return r.ordered
 }
 
-// joinRejection says why a proxy may not join.
+// joinRejection is the reason why a proxy may not join.
 type joinRejection struct {
-	reason      malformedReason // counted and logged
-	details     []string        // logged
-	closeReason string          // said to the proxy
+	reason      malformedReason // for the metric and the log
+	details     []string        // for the log
+	closeReason string          // sent to the proxy
 }
 
-// join takes in a stream. One under the same name is closed first: the newer one is the one that lives.
+// join adds a session for a new stream, or closes the stream if the proxy may not join. If the proxy already has a
+// session, that is closed first: the newer stream replaces the older one.
 func (c *Core) join(events []planner.Event, in ProxyJoined) []planner.Event {
 	proxy, zone, rejection := c.identify(&in.Hello)
 	if rejection != nil {
@@ -158,8 +162,8 @@
 	return append(events, planner.ProxyJoined{Proxy: proxy, Zone: zone, Rate: in.Hello.Rate, Fresh: in.Hello.Fresh})
 }
 
-// identify returns the indices of a proxy that would join and of its zone, or why it may not. A proxy gets its index at
-// its first appearance; they are limited, so that names without end take no memory without end.
+// identify returns the indices of a proxy and of its zone, or the reason why the proxy may not join. A proxy gets an
+// index when it first joins. The number of indices is limited so that memory stays bounded if new names keep appearing.
 func (c *Core) identify(hello *wire.Hello) (proxy, zone int, _ *joinRejection) {
 	zone, known := c.zones.Find(hello.Zone)
 	if !known {
@@ -179,13 +183,14 @@
 	return proxy, zone, nil
 }
 
-// reject turns a proxy's join down.
+// reject logs why a proxy may not join and closes its stream.
 func (c *Core) reject(in ProxyJoined, rejection *joinRejection) {
 	c.reportMalformed(rejection.reason, rejection.details...)
 	in.Stream.Close(rejection.closeReason)
 }
 
-// leave appends that a proxy has left, if the stream that ended is its own.
+// leave ends the session of a stream and appends an event that the proxy has left. Streams without a session, for
+// example replaced ones, are ignored.
 func (c *Core) leave(events []planner.Event, in ProxyLeft) []planner.Event {
 	s := c.sessions.byStream[in.Stream]
 	if s == nil {
@@ -194,7 +199,7 @@
 	return append(events, c.removeSession(s))
 }
 
-// removeSession forgets a session and what waits for it in the channel.
+// removeSession removes a session and its queued messages, and returns the event that the proxy has left.
 func (c *Core) removeSession(s *session) planner.Event {
 	c.sessions.remove(s)
 	c.Channel.Drop(s)
