--- a/internal/controller/shares.go
+++ b/internal/controller/shares.go
@@ -5,20 +5,21 @@
 	"slices"
 )
 
-// minRate, in requests a second, stands for the usual rate of a proxy that has none, so that its zone has shares.
+// minRate is the lowest rate with which a proxy is weighted, in requests per second. It avoids a division by zero for
+// zones whose proxies all have a rate of 0.
 const minRate = 1e-9
 
-// zoneShares sums the shares of a zone's proxies, each times the proxy's usual rate.
+// zoneShares accumulates the endpoint shares of a zone's proxies, weighted by the proxies' usual rates.
 type zoneShares struct {
-	rate       float64         // of all its proxies and their tables
-	byEndpoint map[int]float64 // share times rate
+	rate       float64         // sum of the rates; a proxy counts once for each of its tables
+	byEndpoint map[int]float64 // sum of share times rate, by endpoint
 }
 
-// Shares returns, by zone of the proxies, which part of its requests each endpoint gets by the tables as commanded so
-// far, proxies counted by their usual rate. It is for those who look on: replay, the emulator, operators.
+// Shares returns, by zone of the proxies and by endpoint, the fraction of requests that the current tables direct to
+// the endpoint. Proxies are weighted by their usual rates. It is meant for inspection; the core does not use it.
 func (c *Core) Shares() map[int]map[int]float64 {
 	zones := map[int]*zoneShares{}
-	byTable := map[int]map[int]float64{} // shares by table, made once
+	byTable := map[int]map[int]float64{} // shares by table, computed once each
 	for _, s := range c.sessions.inOrder() {
 		for _, number := range slices.Sorted(maps.Keys(s.assignedClasses)) {
 			shares := byTable[number]
@@ -44,7 +45,7 @@
 	return normalized
 }
 
-// add adds a proxy's table.
+// add adds the shares of one table of a proxy with the given rate.
 func (z *zoneShares) add(rate float64, shares map[int]float64) {
 	z.rate += rate
 	for endpoint, share := range shares {
@@ -52,7 +53,7 @@
 	}
 }
 
-// normalized returns the shares as parts of one.
+// normalized converts the sums to fractions that add up to 1 and returns them. It modifies byEndpoint.
 func (z *zoneShares) normalized() map[int]float64 {
 	for endpoint := range z.byEndpoint {
 		z.byEndpoint[endpoint] /= z.rate
@@ -60,14 +61,14 @@
 	return z.byEndpoint
 }
 
-// tableShares returns the lines of a table whose endpoints are not excluded, as parts of one.
+// tableShares returns the weights in a table as fractions that add up to 1. Excluded endpoints are omitted.
 func (c *Core) tableShares(number int) map[int]float64 {
 	t := c.tables.byNumber[number]
 	if t == nil {
 		return nil
 	}
 	sum := 0.0
-	for _, endpoint := range t.endpoints() { // in order, so that the sum is the same each time
+	for _, endpoint := range t.endpoints() { // in a fixed order, so that rounding is reproducible
 		if !c.excluded[endpoint] {
 			sum += t.weights[endpoint]
 		}
