--- a/internal/controller/slices.go
+++ b/internal/controller/slices.go
@@ -9,28 +9,29 @@
 	"indigousher/planner"
 )
 
-// sliceCountSetting is the decider's setting of how many slices the deployment has.
+// sliceCountSetting is the name of the decider's setting for the number of slices in the deployment.
 const sliceCountSetting = "slices"
 
-// keyRange is which keys fall into a slice: those from from up to to, to not included; an empty to has no end.
+// keyRange is the half-open range [from, to) of a slice's keys. An empty to means that the range has no upper bound.
 type keyRange struct{ from, to string }
 
-// assignedSlices are the key ranges of the slices assigned to this pilot, by number, which is that of the slice's
-// table.
+// assignedSlices holds the key ranges of the slices assigned to this pilot, by slice number. The table of a slice has
+// the same number.
 type assignedSlices map[int]keyRange
 
-// numbers returns the assigned slices in order.
+// numbers returns the numbers of the assigned slices in ascending order.
 func (a assignedSlices) numbers() []int { return slices.Sorted(maps.Keys(a)) }
 
-// has returns whether a slice is assigned.
+// has reports whether a slice is assigned to this pilot.
 func (a assignedSlices) has(number int) bool {
 	_, assigned := a[number]
 	return assigned
 }
 
-// assignSlice takes over that a slice is assigned or no longer, and the lines stored of it. Proxies learn the range of
-// its keys and the stored lines, which stand until the decider commands others. A slice's number is that of its table,
-// so one that the deployment does not have would wipe a zone's table at every proxy.
+// assignSlice processes that a slice has been assigned to this pilot or revoked. On assignment the proxies are sent the
+// slice's key range and its stored lines, which apply until the decider changes them. Slice numbers that the deployment
+// does not have are rejected: slices and zones share the numbering of tables, so such a number would delete the table
+// of a zone at all proxies.
 func (c *Core) assignSlice(events []planner.Event, update *wire.Slices) []planner.Event {
 	if count, _ := c.options.Settings[sliceCountSetting].(float64); float64(update.Slice) >= count {
 		c.reportMalformed(malformedSlice, fmt.Sprint(update.Slice))
@@ -54,7 +55,8 @@
 	return events
 }
 
-// storedLines puts the stored lines of a slice into its table and appends them.
+// storedLines adds the stored lines of a slice to its table and appends an event for each. Lines with an unknown
+// endpoint or an invalid weight are skipped.
 func (c *Core) storedLines(events []planner.Event, update *wire.Slices) []planner.Event {
 	for _, l := range update.Lines {
 		endpoint, known := c.endpoints.find(l.Endpoint)
@@ -68,7 +70,7 @@
 	return events
 }
 
-// sendSlice sends a slice's range of keys with its lines and levels to a proxy.
+// sendSlice sends the key range, the lines and the admission levels of a slice to a proxy.
 func (c *Core) sendSlice(s *session, number int) {
 	keys := c.slices[number]
 	c.outbox.add(s, wire.Op{Kind: wire.OpRange, Table: number, From: keys.from, To: keys.to})
