--- a/internal/controller/tables.go
+++ b/internal/controller/tables.go
@@ -8,31 +8,31 @@
 	"indigousher/planner"
 )
 
-// table is a numbered table as commanded so far.
+// table is a routing table: the weights and admission levels that result from the commands so far.
 type table struct {
-	weights map[int]float64              // its lines: weights by endpoint; 0 only where stored so
-	levels  map[int]planner.SetAdmission // admission levels by request classes, a bit mask
+	weights map[int]float64              // weights by endpoint; 0 only if the store had such a line
+	levels  map[int]planner.SetAdmission // admission levels by bit mask of request classes
 }
 
-// endpoints returns the endpoints of the table's lines in order.
+// endpoints returns the indices of the table's endpoints in ascending order.
 func (t *table) endpoints() []int { return slices.Sorted(maps.Keys(t.weights)) }
 
-// holds returns whether the table has a line of an endpoint.
+// holds reports whether the table has a positive weight for an endpoint.
 func (t *table) holds(endpoint int) bool { return t.weights[endpoint] > 0 }
 
-// tableStore holds all tables as commanded so far.
+// tableStore holds all tables by number.
 type tableStore struct {
 	byNumber map[int]*table
-	// globalLevels are the admission levels that count for all joined proxies, by request classes.
+	// globalLevels holds the admission levels that apply to all tables, by bit mask of request classes.
 	globalLevels map[int]planner.SetAdmission
 }
 
-// newTableStore returns a store without tables.
+// newTableStore returns an empty store.
 func newTableStore() tableStore {
 	return tableStore{byNumber: map[int]*table{}, globalLevels: map[int]planner.SetAdmission{}}
 }
 
-// table returns a table, an empty one at its first use.
+// table returns a table by number. It creates an empty one if there is none.
 func (s *tableStore) table(number int) *table {
 	t := s.byNumber[number]
 	if t == nil {
@@ -42,17 +42,18 @@
 	return t
 }
 
-// remove forgets a table's lines and levels.
+// remove deletes a table with its lines and levels.
 func (s *tableStore) remove(number int) { delete(s.byNumber, number) }
 
-// clearTable removes a table's lines and levels, also at its users.
+// clearTable deletes a table's lines and levels, here and at the proxies that use it.
 func (c *Core) clearTable(command planner.ClearTable) {
 	c.tables.remove(command.Table)
 	c.sendToUsers(command.Table, wire.Op{Kind: wire.OpClear, Table: command.Table})
 }
 
-// setWeight changes a line at all users of its table. An endpoint that is excluded stays so where it was not held
-// before.
+// setWeight sets the weight of an endpoint in a table, here and at the proxies that use the table. If an excluded
+// endpoint is added to the table, its exclusion is sent as well, because proxies that did not have the endpoint do not
+// know of it.
 func (c *Core) setWeight(command planner.SetWeight) {
 	t := c.tables.table(command.Table)
 	name := c.endpoints.name(command.Endpoint)
