--- a/internal/controller/telemetry.go
+++ b/internal/controller/telemetry.go
@@ -9,26 +9,27 @@
 	"indigousher/planner"
 )
 
-// ReportStats counts what the core took in of reports, for the pilot's own book-keeping.
+// ReportStats counts accepted reports and malformed input.
 type ReportStats struct {
-	// Reports that came summed up, by a relay.
+	// Reports is the number of aggregated reports received from a relay.
 	Reports int `json:"Reports"`
-	// Malformed counts malformed input.
+	// Malformed is the number of malformed inputs and commands.
 	Malformed int `json:"Odd"`
-	// SpanMs is the span that the reports covered.
+	// SpanMs is the sum of the periods covered by the relay's reports, in ms.
 	SpanMs float64 `json:"SpanMs"`
-	// Listed is how many endpoints are on the list as held, where a relay holds the streams.
+	// Listed is the number of endpoints on the current list. It is only set with a relay.
 	Listed int `json:"Listed"`
 }
 
-// Report takes in a proxy's report, also in between turns and by any goroutine; the aggregator passes it on when
-// its period is over.
+// Report adds a proxy's load report to the aggregator, which passes it to the decider at the end of the period. It is
+// safe for concurrent use.
 func (c *Core) Report(nowMs float64, s Stream, sums *wire.Sums) { c.reports.accept(nowMs, s, sums) }
 
-// appendTelemetry appends what reports come to in this turn, whichever way they come.
+// appendTelemetry appends the events from load reports in this turn: replayed ones in a replay, otherwise those of the
+// aggregator.
 func (c *Core) appendTelemetry(events []planner.Event) []planner.Event {
 	switch {
-	case c.options.Relay != nil: // reports came as inputs, summed up
+	case c.options.Relay != nil: // the relay's reports are inputs that handleInput has processed
 		return events
 	case c.options.Replayed:
 		events = append(events, c.recordedTelemetry...)
@@ -39,7 +40,7 @@
 	}
 }
 
-// flushReports appends what the aggregator passes on, and asks proxies for what it wants of their reports.
+// flushReports appends the events from the aggregator and sends the proxies their new reporting parameters.
 func (c *Core) flushReports(events []planner.Event) []planner.Event {
 	events, requests, malformed := c.reports.flush(events, c.nowMs, c.options.Metrics)
 	for _, r := range requests {
