--- a/internal/controller/transports.go
+++ b/internal/controller/transports.go
@@ -5,49 +5,50 @@
 	"indigousher/planner"
 )
 
-// Decider is what decides; planner.Planner is the one that ships. It is called by one goroutine and has no effect but
-// what it returns.
+// Decider makes the routing decisions. planner.Planner is the production implementation. A Decider is called from one
+// goroutine and must have no side effects; its only output is the list of returned commands.
 type Decider interface {
-	// Handle takes in what happened by nowMs and returns what is to be done about it.
+	// Handle processes the events up to nowMs and returns the commands to execute.
 	Handle(nowMs float64, events []planner.Event) []planner.Command
-	// Reconfigure takes over changed settings: all of them, changed and not. What was derived from the settings at the
-	// start (zones, request classes, parts of a zone) stays as it is.
+	// Reconfigure applies changed settings; the map holds all settings, including unchanged ones. State that was
+	// derived from the settings at the start (zones, request classes, parts of a zone) is not updated.
 	Reconfigure(settings map[string]any)
 }
 
-// Stream carries messages to one proxy. None of its methods may block or call the core back; all may be called after
-// the stream has ended. Streams are compared: two of them are equal only if they are the same.
+// Stream sends messages to one proxy. Its methods must not block or call the core, and may be called after the stream
+// has ended. Streams are used as map keys, so implementations must be comparable, and different streams must not be
+// equal.
 type Stream interface {
-	// Send takes over a message. An error ends the stream: the core closes it.
+	// Send queues a message, which the stream then owns. If it returns an error, the core closes the stream.
 	Send(*wire.Orders) error
-	// Ask asks the proxy to report otherwise. An error ends the stream, as with Send.
+	// Ask sends the proxy new parameters for its load reports. If it returns an error, the core closes the stream.
 	Ask(*wire.Pace) error
-	// Close ends the stream and tells the proxy why. The transport reports its end as ProxyLeft.
+	// Close ends the stream and sends the reason to the proxy. The transport then posts ProxyLeft.
 	Close(reason string)
 }
 
-// EndpointSource is asked for the endpoint list. Its methods don't block; answers come as EndpointsListed or
+// EndpointSource provides the endpoint list. Its methods do not block; results arrive as EndpointsListed or
 // EndpointListLost inputs.
 type EndpointSource interface {
-	// Watch subscribes to the list's changes, or ends the subscription.
+	// Watch starts (on is true) or ends the subscription to changes of the list.
 	Watch(on bool)
-	// Fetch asks for the whole list once.
+	// Fetch requests one snapshot of the list.
 	Fetch()
 }
 
-// HealthChecker checks the health of an endpoint. Probe doesn't block; the answer comes as a HealthChecked input.
+// HealthChecker checks the health of an endpoint. Probe does not block; the result arrives as a HealthChecked input.
 type HealthChecker interface{ Probe(endpoint string) }
 
-// GossipSender carries a short text to another pilot, or to all with peer -1. Tell doesn't block; the text may be
-// lost.
+// GossipSender sends short texts to other pilots. Tell sends a text to the pilot with index peer, or to all if peer is
+// -1. It does not block, and the text may be lost.
 type GossipSender interface{ Tell(peer int, text string) }
 
-// Relay carries what one turn commands to proxies whose streams others hold. It queues and paces by itself: the core
-// sends no messages and its channel stays empty.
+// Relay passes commands to proxies that are not connected to this pilot directly. It has its own queue and rate limit,
+// so the core sends no messages and its channel stays empty.
 type Relay interface {
-	// Enqueue takes over a turn's commands; endpoint returns the name behind an index. It must not block and keeps
-	// nothing of what it is given.
+	// Enqueue queues the commands of one turn. endpoint returns the name of the endpoint with index i. Enqueue must not
+	// block, and must not retain its arguments.
 	Enqueue(turn []planner.Command, endpoint func(i int) string)
-	// ProxyLeft says that what waits for a proxy is void.
+	// ProxyLeft discards the commands that are queued for a proxy.
 	ProxyLeft(proxy int)
 }
