--- a/internal/controller/assignment_test.go
+++ b/internal/controller/assignment_test.go
@@ -10,9 +10,9 @@
 	"indigousher/planner"
 )
 
-// TestHeld guards a return, to this pilot or another, before or after a crash: of a table that the proxy has only
+// TestAssignTableSendsOnlyDifferences guards a return, to this pilot or another, before or after a crash: of a table that the proxy has only
 // what differs is sent.
-func TestHeld(t *testing.T) {
+func TestAssignTableSendsOnlyDifferences(t *testing.T) {
 	d := &scriptedDecider{commands: [][]planner.Command{nil, {
 		planner.SetWeight{Table: 5, Endpoint: 0, Weight: 1},
 		planner.SetWeight{Table: 5, Endpoint: 1, Weight: 2},
--- a/internal/controller/channel_test.go
+++ b/internal/controller/channel_test.go
@@ -9,8 +9,8 @@
 	"indigousher/internal/wire"
 )
 
-// TestPace guards the channel's pace and order, and that what waits for a proxy which has left is forgotten.
-func TestPace(t *testing.T) {
+// TestChannelPacing guards the channel's pace and order, and that what waits for a proxy which has left is forgotten.
+func TestChannelPacing(t *testing.T) {
 	c := NewChannel(1000, 400, 0, 10000, nil)
 	a, b := &fakeTransport{}, &fakeTransport{}
 	sa, sb := &session{stream: a}, &session{stream: b}
@@ -40,10 +40,10 @@
 	assert.Equal(t, "full", full.closed)
 }
 
-// TestChannelSlowerThanTold guards the backlog where the channel carries less than a quarter of what is told: lines
+// TestChannelSlowerThanConfigured guards the backlog where the channel carries less than a quarter of what is told: lines
 // that were taken for gone at that pace still waited, and answers that said so only ever lowered the count (zone+mass
 // of seed 9: 160 lines a second for 800, 5,054 lines where 4,800 may wait).
-func TestChannelSlowerThanTold(t *testing.T) {
+func TestChannelSlowerThanConfigured(t *testing.T) {
 	const backlog = 4800
 	for name, c := range map[string]struct{ pace, configured float64 }{
 		"as told": {800, 800},
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -12,8 +12,8 @@
 	"indigousher/planner"
 )
 
-// TestNotes shows that every event of the decider's interface has a source.
-func TestNotes(t *testing.T) {
+// TestEventSources shows that every event of the decider's interface has a source.
+func TestEventSources(t *testing.T) {
 	d := &scriptedDecider{commands: [][]planner.Command{
 		{planner.SetTimer{AtMs: 150, Name: "bell"}},
 		nil,
@@ -62,8 +62,8 @@
 	assert.Equal(t, []string{"odd sums of an unknown endpoint"}, transport.calls)
 }
 
-// TestOrders shows what each command amounts to at a proxy or a transport.
-func TestOrders(t *testing.T) {
+// TestCommandEffects shows what each command amounts to at a proxy or a transport.
+func TestCommandEffects(t *testing.T) {
 	set := func(e int, w float64) planner.Command { return planner.SetWeight{Table: 5, Endpoint: e, Weight: w} }
 	setOp := func(e string, w float64) wire.Op {
 		return wire.Op{Kind: wire.OpSet, Table: 5, Endpoint: e, Weight: w}
@@ -175,8 +175,8 @@
 	}
 }
 
-// TestSameOrders shows that the same inputs at the same times give the same messages, with the decider that ships.
-func TestSameOrders(t *testing.T) {
+// TestDeterministicMessages shows that the same inputs at the same times give the same messages, with the decider that ships.
+func TestDeterministicMessages(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.IntRange(0, 5), 1, 60).Draw(rt, "steps")
 		run := func() (all []string) {
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -10,10 +10,10 @@
 	"indigousher/internal/wire"
 )
 
-// TestDrainsOfAHundred guards the drains of about a hundred endpoints at once while one pilot has all of 397
+// TestMassDrain guards the drains of about a hundred endpoints at once while one pilot has all of 397
 // proxies, half of which have just come from a pilot that died: kept within the grace, and the queue within the
 // backlog.
-func TestDrainsOfAHundred(t *testing.T) {
+func TestMassDrain(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		joinedMs      float64 // when the other pilot's proxies come
@@ -165,10 +165,10 @@
 	}
 }
 
-// TestDrainsAfterLostAnswers guards drains against answers that were lost (incident 029): what the pilot counts in
+// TestDrainsAfterLostAcks guards drains against answers that were lost (incident 029): what the pilot counts in
 // the channel stays as it was, while nothing is left in it that could be answered. One proxy is asked, and the drains
 // go out.
-func TestDrainsAfterLostAnswers(t *testing.T) {
+func TestDrainsAfterLostAcks(t *testing.T) {
 	const grace, backlog = 3000.0, 1200.0
 	f, entries := newFleet(30, 80, 800, backlog, grace)
 	f.delayMs = 150
@@ -202,9 +202,9 @@
 	assert.LessOrEqual(t, float64(f.core.Channel.MaxLines), backlog)
 }
 
-// TestDrainsToldToHerds guards drains against proxies that come after them with tables of a pilot that knew of
+// TestDrainsWithLateJoiners guards drains against proxies that come after them with tables of a pilot that knew of
 // none, in two herds one after the other: each has let go of what drains within the grace of its joining.
-func TestDrainsToldToHerds(t *testing.T) {
+func TestDrainsWithLateJoiners(t *testing.T) {
 	const grace = 5000.0
 	f, entries := newFleet(359, 397, 3000, 14000, grace)
 	f.join(f.proxies[:200], entries)
@@ -289,10 +289,10 @@
 	assert.LessOrEqual(t, f.core.Channel.MaxLines, backlog)
 }
 
-// TestDrainsWhileTablesStand guards drains of proxies that are left on what they stand with, as chance among so many is
+// TestDrainsWithInitialTables guards drains of proxies that are left on what they stand with, as chance among so many is
 // small: each is told of what is out in a message of its own, and a few such, one after another, are all that the
 // channel carries within the rest of the grace.
-func TestDrainsWhileTablesStand(t *testing.T) {
+func TestDrainsWithInitialTables(t *testing.T) {
 	const grace, backlog = 56300.0, 43700
 	for name, c := range map[string]struct {
 		drains, intervalMs int // how many, in ms
--- a/internal/controller/endpoints_test.go
+++ b/internal/controller/endpoints_test.go
@@ -11,8 +11,8 @@
 	"indigousher/planner"
 )
 
-// TestRestamped guards the start of an endpoint against jitter of the list's clock, which would look like a restart.
-func TestRestamped(t *testing.T) {
+// TestStartTimeIgnoresListClockJitter guards the start of an endpoint against jitter of the list's clock, which would look like a restart.
+func TestStartTimeIgnoresListClockJitter(t *testing.T) {
 	d := &scriptedDecider{}
 	c := NewCore(newOptions(d, &fakeTransport{}))
 	for i, at := range []uint64{5000, 6003, 9100} {
@@ -29,9 +29,9 @@
 	assert.Equal(t, []float64{-1000, -1000, -1000, 8900}, starts)
 }
 
-// TestGenerations guards memory: endpoints give way to new ones under new names for as long as a pilot lives, and
+// TestEndpointIndexReuse guards memory: endpoints give way to new ones under new names for as long as a pilot lives, and
 // each name would keep an index, its actor and its lines in the decider.
-func TestGenerations(t *testing.T) {
+func TestEndpointIndexReuse(t *testing.T) {
 	settings := map[string]any{
 		"instances":   1.0,
 		"lines_per_s": 1000.0,
--- a/internal/controller/exclusion_test.go
+++ b/internal/controller/exclusion_test.go
@@ -10,9 +10,9 @@
 	"indigousher/planner"
 )
 
-// TestWithdrawnAtAll guards an exclusion against passing over any of the proxies that hold the endpoint: by a table of
+// TestExclusionReachesAllHolders guards an exclusion against passing over any of the proxies that hold the endpoint: by a table of
 // this pilot, by what they held when they joined, or by both.
-func TestWithdrawnAtAll(t *testing.T) {
+func TestExclusionReachesAllHolders(t *testing.T) {
 	assign := func(proxy int) planner.Command { return planner.AssignTable{Table: 5, Proxy: proxy, Classes: 1} }
 	d := &scriptedDecider{commands: [][]planner.Command{
 		nil,
--- a/internal/controller/malformed_test.go
+++ b/internal/controller/malformed_test.go
@@ -22,9 +22,9 @@
 	return p.fleetProxy.Send(m)
 }
 
-// TestHostile guards all that is decided for good proxies against one peer whose messages parse but mean harm: whatever
+// TestHostilePeer guards all that is decided for good proxies against one peer whose messages parse but mean harm: whatever
 // it says, what crosses to the others has sound weights and levels, they keep lines, and the module goes on.
-func TestHostile(t *testing.T) {
+func TestHostilePeer(t *testing.T) {
 	huge, nan, inf := 1e308, math.NaN(), math.Inf(1)
 	met := func(change func(s *wire.Sums, m *wire.Met)) func(*fleet, *fakeTransport) {
 		return func(f *fleet, bad *fakeTransport) {
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -78,9 +78,9 @@
 	}
 }
 
-// TestOneTurnIsOneCall guards the order in which a turn's commands go out, and that one for a proxy that has left is
+// TestRelayGetsOneCallPerTurn guards the order in which a turn's commands go out, and that one for a proxy that has left is
 // none.
-func TestOneTurnIsOneCall(t *testing.T) {
+func TestRelayGetsOneCallPerTurn(t *testing.T) {
 	d := &oneShotDecider{}
 	c, relay := newRelayCore(d)
 	d.commands = []planner.Command{
--- a/internal/controller/reportgate_test.go
+++ b/internal/controller/reportgate_test.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// TestReportLines guards the bound of report lines: what does not fit adds up; what begins to fail goes first, then
+// TestReportLineBudget guards the bound of report lines: what does not fit adds up; what begins to fail goes first, then
 // what has waited longest.
-func TestReportLines(t *testing.T) {
+func TestReportLineBudget(t *testing.T) {
 	d := &scriptedDecider{}
 	stream := &fakeTransport{}
 	p := newOptions(d, &fakeTransport{})
--- a/internal/controller/session_test.go
+++ b/internal/controller/session_test.go
@@ -10,8 +10,8 @@
 	"indigousher/planner"
 )
 
-// TestNames guards against a proxy that comes back while its old stream hangs, names without end, and strangers.
-func TestNames(t *testing.T) {
+// TestRejoinAndRejectedJoins guards against a proxy that comes back while its old stream hangs, names without end, and strangers.
+func TestRejoinAndRejectedJoins(t *testing.T) {
 	d, transport := &scriptedDecider{}, &fakeTransport{}
 	c := NewCore(newOptions(d, transport))
 	first, second := &fakeTransport{}, &fakeTransport{}
