--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -12,10 +12,11 @@
 	"indigousher/planner"
 )
 
-// TestEventSources shows that every event of the decider's interface has a source.
+// TestEventSources checks that inputs and timers produce the expected events for the decider: an update for each
+// endpoint list, one Ack per ack request, and report statistics at the end of the period.
 func TestEventSources(t *testing.T) {
 	d := &scriptedDecider{commands: [][]planner.Command{
-		{planner.SetTimer{AtMs: 150, Name: "bell"}},
+		{planner.SetTimer{AtMs: 150, Name: "timer"}},
 		nil,
 		{planner.AckRequest{Number: 9, All: true}},
 	}}
@@ -30,7 +31,7 @@
 		EndpointListLost{},
 		GossipReceived{3, "hi"},
 		Acked{stream, wire.Done{Mark: 9, TookMs: 2}},
-		Acked{stream, wire.Done{Mark: 9}}, // acknowledged before
+		Acked{stream, wire.Done{Mark: 9}}, // already acknowledged
 		Acked{stream, wire.Done{Mark: 8}}, // never sent
 		HealthChecked{"x", "ok", 5, []wire.Figure{{Name: "util", Value: 0.5}}},
 		LoadReported{stream, &wire.Sums{
@@ -47,7 +48,7 @@
 			{Endpoint: 1, Zone: 1, Weight: 2, Started: -900},
 		}},
 		planner.ProxyJoined{Proxy: 0, Zone: 1, Rate: 2, Fresh: true},
-		planner.TimerFired{Name: "bell"},
+		planner.TimerFired{Name: "timer"},
 		planner.EndpointUpdate{Mode: planner.Delta, Version: 7, Entries: []planner.Entry{
 			{Endpoint: 1, Zone: 1, Weight: 2, Started: -900},
 		}},
@@ -59,10 +60,11 @@
 		planner.RequestStats{Proxy: 0, Class: 1, Requests: 5, Unanswered: 1, SpanMs: 500},
 		planner.ProxyLeft{Proxy: 0},
 	}, d.events)
-	assert.Equal(t, []string{"odd sums of an unknown endpoint"}, transport.calls)
+	assert.Equal(t, []string{"malformed sums of an unknown endpoint"}, transport.calls)
 }
 
-// TestCommandEffects shows what each command amounts to at a proxy or a transport.
+// TestCommandEffects checks which operations are sent to a proxy, and which transport methods are called, for each
+// command of the decider.
 func TestCommandEffects(t *testing.T) {
 	set := func(e int, w float64) planner.Command { return planner.SetWeight{Table: 5, Endpoint: e, Weight: w} }
 	setOp := func(e string, w float64) wire.Op {
@@ -77,71 +79,71 @@
 		want     []wire.Op
 		calls    []string
 	}{
-		{"a table that nobody uses", []planner.Command{set(0, 1)}, nil, nil},
+		{"a table without users is not sent", []planner.Command{set(0, 1)}, nil, nil},
 		{
-			"a bind sends the whole table",
+			"an assignment sends the whole table",
 			[]planner.Command{set(1, 2), set(0, 1), assign},
 			[]wire.Op{assignOp, setOp("x", 1), setOp("y", 2)},
 			nil,
 		},
-		{"a line after a bind", []planner.Command{assign, set(0, 1)}, []wire.Op{assignOp, setOp("x", 1)}, nil},
+		{"a weight set after the assignment", []planner.Command{assign, set(0, 1)}, []wire.Op{assignOp, setOp("x", 1)}, nil},
 		{
-			"a line that goes",
+			"a removed line",
 			[]planner.Command{set(0, 1), assign, set(0, 0)},
 			[]wire.Op{assignOp, setOp("x", 1), setOp("x", 0)},
 			nil,
 		},
 		{
-			"a bind tells what is shut out",
+			"an assignment sends exclusions",
 			[]planner.Command{set(1, 1), planner.SetExcluded{Endpoint: 1, Excluded: true}, assign},
 			[]wire.Op{assignOp, setOp("y", 1), excludeOp("y")},
 			nil,
 		},
 		{
-			"a line of what is shut out",
+			"a weight for an excluded endpoint",
 			[]planner.Command{assign, planner.SetExcluded{Endpoint: 1, Excluded: true}, set(1, 1)},
 			[]wire.Op{assignOp, setOp("y", 1), excludeOp("y")},
 			nil,
 		},
 		{
-			"withdrawn where the standing table holds it",
+			"an exclusion is sent to a proxy that joined with the endpoint",
 			[]planner.Command{planner.SetExcluded{Endpoint: 0, Excluded: true}},
 			[]wire.Op{excludeOp("x")},
 			nil,
 		},
-		{"withdrawn where nobody holds it", []planner.Command{planner.SetExcluded{Endpoint: 1, Excluded: true}}, nil, nil},
+		{"an exclusion without holders is not sent", []planner.Command{planner.SetExcluded{Endpoint: 1, Excluded: true}}, nil, nil},
 		{
-			"a table cleared",
+			"a cleared table",
 			[]planner.Command{set(0, 1), assign, planner.ClearTable{Table: 5}, planner.SetExcluded{Endpoint: 0, Excluded: true}},
 			[]wire.Op{assignOp, setOp("x", 1), {Kind: wire.OpClear, Table: 5}},
 			nil,
 		},
 		{
-			"levels",
+			"admission levels of a table",
 			[]planner.Command{planner.SetAdmission{Table: 5, Classes: 1, Level: 0.5, RetryMode: 1}, assign},
 			[]wire.Op{assignOp, {Kind: wire.OpAdmit, Table: 5, Kinds: 1, Weight: 0.5, Again: 1}},
 			nil,
 		},
 		{
-			"levels for all",
+			"admission levels of all tables",
 			[]planner.Command{planner.SetAdmission{Table: planner.EveryTable, Classes: 1, Level: 0.5}},
 			[]wire.Op{{Kind: wire.OpAdmit, Table: planner.EveryTable, Kinds: 1, Weight: 0.5}},
 			nil,
 		},
 		{
-			"a mark goes with a message",
+			"an ack request is added to a message",
 			[]planner.Command{planner.SetExcluded{Endpoint: 0, Excluded: true}, planner.AckRequest{Number: 4}},
 			[]wire.Op{excludeOp("x"), {Kind: wire.OpMark, Number: 4}},
 			nil,
 		},
-		{"a mark without a message", []planner.Command{planner.AckRequest{Number: 4}}, nil, nil},
+		{"an ack request without a message is not sent", []planner.Command{planner.AckRequest{Number: 4}}, nil, nil},
 		{
-			"a mark for all",
+			"an ack request to all proxies",
 			[]planner.Command{planner.AckRequest{Number: 4, All: true}},
 			[]wire.Op{{Kind: wire.OpMark, Number: 4}},
 			nil,
 		},
-		{"the edges", []planner.Command{
+		{"calls of transports", []planner.Command{
 			planner.HealthCheck{Endpoint: 1},
 			planner.SendGossip{Peer: -1, Text: "t"},
 			planner.WatchEndpoints{On: true},
@@ -149,10 +151,10 @@
 			planner.Log{Text: "l"},
 		}, nil, []string{"probe y", "tell -1 t", "watch true", "fetch", "log l"}},
 		{
-			"a proxy that is not joined",
+			"an assignment to a proxy that has not joined",
 			[]planner.Command{planner.AssignTable{Table: 5, Proxy: 2}},
 			nil,
-			[]string{"odd bind of a proxy that has left"},
+			[]string{"malformed bind of a proxy that has left"},
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -175,7 +177,8 @@
 	}
 }
 
-// TestDeterministicMessages shows that the same inputs at the same times give the same messages, with the decider that ships.
+// TestDeterministicMessages checks, with the production planner, that the same inputs at the same times result in the
+// same messages.
 func TestDeterministicMessages(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.IntRange(0, 5), 1, 60).Draw(rt, "steps")
--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -9,13 +9,14 @@
 	"indigousher/telemetry"
 )
 
-// scriptedDecider returns one scripted list of commands a call and keeps the events and times that it was given.
+// scriptedDecider returns the next list of commands on each call and records the events and times that it receives.
 type scriptedDecider struct {
 	commands [][]planner.Command
 	events   []planner.Event
 	times    []float64
 }
 
+// Handle records its arguments and returns the next list of commands.
 func (s *scriptedDecider) Handle(nowMs float64, events []planner.Event) []planner.Command {
 	s.events = append(s.events, events...)
 	s.times = append(s.times, nowMs)
@@ -27,15 +28,15 @@
 	return o
 }
 
-// Reconfigure keeps nothing: what the settings hold is looked at in the options.
+// Reconfigure does nothing.
 func (s *scriptedDecider) Reconfigure(map[string]any) {}
 
-// fakeTransport stands for a proxy's stream, the endpoint list, the health checker and the peers.
+// fakeTransport is a fake Stream, EndpointSource, HealthChecker and GossipSender that records the calls of its methods.
 type fakeTransport struct {
 	sent   []*wire.Orders
-	closed string
-	calls  []string
-	full   bool
+	closed string   // the reason passed to Close
+	calls  []string // calls of the other methods
+	full   bool     // Send fails
 }
 
 func (f *fakeTransport) Send(m *wire.Orders) error {
@@ -58,7 +59,7 @@
 	f.calls = append(f.calls, fmt.Sprint("tell ", peer, " ", text))
 }
 
-// newOptions returns options whose transports are all one fake.
+// newOptions returns options that use one fake for all transports.
 func newOptions(d Decider, transport *fakeTransport) Options {
 	return Options{
 		Decider:        d,
@@ -74,26 +75,26 @@
 		HealthChecker:  transport,
 		Gossip:         transport,
 		Log:            func(t string) { transport.calls = append(transport.calls, "log "+t) },
-		Malformed:      func(what string, _ ...string) { transport.calls = append(transport.calls, "odd "+what) },
+		Malformed:      func(what string, _ ...string) { transport.calls = append(transport.calls, "malformed "+what) },
 	}
 }
 
-// hello returns what a proxy that holds some endpoints says first.
+// hello returns the hello of a proxy that holds the given endpoints.
 func hello(name, zone string, holds ...string) wire.Hello {
 	return wire.Hello{Version: 1, Proxy: name, Zone: zone, Rate: 2, Fresh: true, Holds: holds}
 }
 
-// listed returns entries of a list whose clock stands at 5000 ms.
+// listed returns an endpoint list whose clock shows 5000 ms.
 func listed(whole bool, entries ...wire.Entry) EndpointsListed {
 	return EndpointsListed{List: &wire.List{Version: 7, Now: 5000, Whole: whole, Entries: entries}}
 }
 
-// entry returns an endpoint of zone b that started at a time of the list's clock.
+// entry returns an endpoint of zone b that started at the given time on the list's clock, in ms.
 func entry(name string, started uint64) wire.Entry {
 	return wire.Entry{Endpoint: name, Zone: "b", Machine: "std", Weight: 2, Started: started}
 }
 
-// oneTurnDecider keeps the events that it was given and returns its commands once.
+// oneShotDecider records the events that it receives and returns its commands on the next call only.
 type oneShotDecider struct {
 	events   []planner.Event
 	commands []planner.Command
@@ -109,9 +110,9 @@
 // Reconfigure does nothing.
 func (s *oneShotDecider) Reconfigure(map[string]any) {}
 
-// recordingRelay is a relay that counts the commands it is given.
+// recordingRelay is a Relay that records what it receives.
 type recordingRelay struct {
-	commands int
+	commands int // number of commands received
 	left     []int
 	names    map[string]bool
 }
@@ -126,7 +127,7 @@
 }
 func (c *recordingRelay) ProxyLeft(proxy int) { c.left = append(c.left, proxy) }
 
-// newRelayCore returns a core whose streams a relay holds.
+// newRelayCore returns a core whose proxies are connected through the returned relay.
 func newRelayCore(d Decider) (*Core, *recordingRelay) {
 	relay := &recordingRelay{names: map[string]bool{}}
 	return NewCore(Options{
