--- a/internal/controller/assignment_test.go
+++ b/internal/controller/assignment_test.go
@@ -10,8 +10,8 @@
 	"indigousher/planner"
 )
 
-// TestAssignTableSendsOnlyDifferences guards a return, to this pilot or another, before or after a crash: of a table that the proxy has only
-// what differs is sent.
+// TestAssignTableSendsOnlyDifferences checks that a proxy that rejoins with a table in its hello, for example after a
+// pilot crashed, is sent only the lines that differ, and that a second assignment sends the whole table.
 func TestAssignTableSendsOnlyDifferences(t *testing.T) {
 	d := &scriptedDecider{commands: [][]planner.Command{nil, {
 		planner.SetWeight{Table: 5, Endpoint: 0, Weight: 1},
