--- a/internal/controller/channel_test.go
+++ b/internal/controller/channel_test.go
@@ -9,7 +9,8 @@
 	"indigousher/internal/wire"
 )
 
-// TestChannelPacing guards the channel's pace and order, and that what waits for a proxy which has left is forgotten.
+// TestChannelPacing checks the rate limit and the order of messages, that messages for a proxy that has left are
+// dropped, that a stream is closed when the queue is full, and that a stream is closed when sending fails.
 func TestChannelPacing(t *testing.T) {
 	c := NewChannel(1000, 400, 0, 10000, nil)
 	a, b := &fakeTransport{}, &fakeTransport{}
@@ -40,15 +41,16 @@
 	assert.Equal(t, "full", full.closed)
 }
 
-// TestChannelSlowerThanConfigured guards the backlog where the channel carries less than a quarter of what is told: lines
-// that were taken for gone at that pace still waited, and answers that said so only ever lowered the count (zone+mass
-// of seed 9: 160 lines a second for 800, 5,054 lines where 4,800 may wait).
+// TestChannelSlowerThanConfigured checks the backlog limit when the channel sends at less than a quarter of its
+// configured rate. The planner used to assume that unacknowledged lines leave at a quarter of that rate, and acks could
+// only lower its count, so it counted waiting lines as sent: at 160 instead of 800 lines/s, 5,054 lines waited where
+// the limit was 4,800 (incident 028, scenario zone+mass with seed 9).
 func TestChannelSlowerThanConfigured(t *testing.T) {
 	const backlog = 4800
 	for name, c := range map[string]struct{ pace, configured float64 }{
-		"as told": {800, 800},
-		"a fifth": {160, 800},
-		"a tenth": {80, 800},
+		"configured rate":                {800, 800},
+		"a fifth of the configured rate": {160, 800},
+		"a tenth of the configured rate": {80, 800},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, entries := newFleet(201, 54, c.pace, backlog, 7200, func(settings map[string]any) {
@@ -57,7 +59,7 @@
 			f.join(f.proxies, entries)
 			f.advanceTo(60000)
 			joinMaxLines := f.core.Channel.MaxLines
-			for step := 0; step < 150; step++ { // a zone comes back, others go, some each fifth of a second
+			for step := 0; step < 150; step++ { // every 200 ms 8 endpoints start draining, or become ready again
 				var changed []wire.Entry
 				for k := range 8 {
 					e := &entries[(8*step+k)%len(entries)]
@@ -70,14 +72,15 @@
 				f.handle(listed(false, changed...))
 				f.advanceTo(f.nowMs + 200)
 			}
-			t.Logf("most lines %d, before %d", f.core.Channel.MaxLines, joinMaxLines)
+			t.Logf("max lines %d, after joining %d", f.core.Channel.MaxLines, joinMaxLines)
 			assert.LessOrEqual(t, f.core.Channel.MaxLines, backlog)
-			assert.Greater(t, f.core.Channel.MaxLines, backlog/3, "there is much to say")
+			assert.Greater(t, f.core.Channel.MaxLines, backlog/3, "the scenario must fill a third of the backlog")
 		})
 	}
 }
 
-// BenchmarkChannel measures the lines a second that go through an unpaced channel: tables of 110 lines for 450 proxies.
+// BenchmarkChannel measures the throughput of a channel without a rate limit, in lines per second, with messages of 110
+// operations to each of 450 proxies.
 func BenchmarkChannel(b *testing.B) {
 	c := NewChannel(0, 0, 0, 10000, nil)
 	ops := make([]wire.Op, 110)
