--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -10,19 +10,18 @@
 	"indigousher/internal/wire"
 )
 
-// TestMassDrain guards the drains of about a hundred endpoints at once while one pilot has all of 397
-// proxies, half of which have just come from a pilot that died: kept within the grace, and the queue within the
-// backlog.
+// TestMassDrain checks that 98 endpoints can be drained at once within the grace period and the backlog limit. One
+// pilot serves all 397 proxies; in most cases half of them join late because their pilot died.
 func TestMassDrain(t *testing.T) {
 	for _, c := range []struct {
 		name          string
-		joinedMs      float64 // when the other pilot's proxies come
-		drainedMs     float64
-		pace, backlog float64
+		joinedMs      float64 // when the other pilot's proxies join
+		drainedMs     float64 // when the drains start
+		pace, backlog float64 // in lines per second and in lines
 	}{
-		{"all settled", 0, 40000, 4300, 14000},
-		{"the others have just come", 30000, 31500, 4300, 14000},
-		{"the others half bound", 30000, 37000, 4300, 14000},
+		{"all proxies have their tables", 0, 40000, 4300, 14000},
+		{"half of the proxies have just joined", 30000, 31500, 4300, 14000},
+		{"half of the new proxies have their tables", 30000, 37000, 4300, 14000},
 		{"a slower channel", 30000, 36000, 3700, 14000},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -56,8 +55,8 @@
 			for _, at := range lastAt {
 				worst = max(worst, at-drainedAt)
 			}
-			t.Logf("worst drain %.0f ms, most lines %d (before %d), crowded %d", worst, f.core.Channel.MaxLines, before,
-				f.core.Channel.MaxMessages)
+			t.Logf("longest drain %.0f ms, max lines %d (before the drains %d), max messages to one proxy %d",
+				worst, f.core.Channel.MaxLines, before, f.core.Channel.MaxMessages)
 			assert.LessOrEqual(t, worst, grace)
 			assert.LessOrEqual(t, float64(f.core.Channel.MaxLines), c.backlog)
 			assert.LessOrEqual(t, f.core.Channel.MaxMessages, 30)
@@ -65,8 +64,9 @@
 	}
 }
 
-// TestDrainsHeldAcrossZones guards drains against proxies that come from another pilot with lines spilt to another
-// zone, while none of that zone's own proxies waits for its tables: they are told all the same (ha15185).
+// TestDrainsHeldAcrossZones checks that exclusions reach proxies that join from another pilot and hold draining
+// endpoints of a zone other than their own. They used to be repeated only while proxies of the endpoint's own zone
+// waited for their tables (incident 020, scenario ha15185).
 func TestDrainsHeldAcrossZones(t *testing.T) {
 	const grace = 5000.0
 	f, entries := newFleet(359, 397, 3000, 14000, grace)
@@ -86,7 +86,7 @@
 		if e.Zone == "b" && i < 60 {
 			e.Phase = wire.PhaseDraining
 			drained = append(drained, e)
-			e.Zone = "a" // as the coming proxies hold it beside their own
+			e.Zone = "a" // the joining proxies of zone a hold it in addition to their own
 			crossZone = append(crossZone, e)
 		}
 	}
@@ -102,30 +102,31 @@
 			}
 		}
 	}
-	t.Logf("worst drain %.0f ms, most lines %d", worst, f.core.Channel.MaxLines)
+	t.Logf("longest drain %.0f ms, max lines %d", worst, f.core.Channel.MaxLines)
 	assert.LessOrEqual(t, worst, grace)
 	assert.LessOrEqual(t, f.core.Channel.MaxLines, 14000)
 }
 
-// TestWholeZoneDrained guards proxies against the drain of all endpoints of their zone at once, while one pilot
-// has all of 397 and half of them may have just come: what replaces the drained lines does not wait behind others,
-// those who have no line left are bound first, and the queue stays within the backlog, heads of lone withdrawals
-// included.
+// TestWholeZoneDrained checks that proxies keep eligible endpoints when all endpoints of their zone drain at once. One
+// pilot serves all 397 proxies, half of which may have just joined. Lines that replace drained ones must be sent before
+// others, proxies without any line must get their tables first, and the queue must stay within the backlog. The planner
+// used to count a message with a single exclusion without its overhead.
 func TestWholeZoneDrained(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		joinedMs      float64
 		drainedMs     float64
 		pace, backlog float64
-		maxBareMs     float64 // ms that a proxy may be bare
-		// fails to keep the drains, as expected: the lines do not fit twice into the grace (docs/review-of-parts.md)
+		maxBareMs     float64 // longest time in ms for which a proxy may have no eligible endpoint
+		// expectLate is true if the drains are expected to exceed the grace period: the channel cannot carry the
+		// required lines twice within it (docs/review-of-parts.md).
 		expectLate bool
 	}{
-		{"all settled", 0, 40000, 4300, 14000, 500, false},
-		{"the others half bound", 30000, 37000, 4300, 14000, 500, false},
-		{"a narrow channel", 0, 40000, 1500, 4000, 1500, true},
-		{"the others have just come", 30000, 31500, 4300, 14000, 4000, true},
-		{"the others have come, a slow channel", 30000, 36000, 2000, 14000, 4000, true},
+		{"all proxies have their tables", 0, 40000, 4300, 14000, 500, false},
+		{"half of the new proxies have their tables", 30000, 37000, 4300, 14000, 500, false},
+		{"a slow channel", 0, 40000, 1500, 4000, 1500, true},
+		{"half of the proxies have just joined", 30000, 31500, 4300, 14000, 4000, true},
+		{"half of the proxies have joined, a slow channel", 30000, 36000, 2000, 14000, 4000, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f, entries := newFleet(359, 397, c.pace, c.backlog, 5000)
@@ -157,7 +158,8 @@
 					}
 				}
 			}
-			t.Logf("bare for %.0f ms, last drain after %.0f ms, most lines %d", worstBare, lastDrain, f.core.Channel.MaxLines)
+			t.Logf("no eligible endpoint for %.0f ms, last drain after %.0f ms, max lines %d",
+				worstBare, lastDrain, f.core.Channel.MaxLines)
 			assert.LessOrEqual(t, worstBare, c.maxBareMs)
 			assert.Equal(t, c.expectLate, lastDrain > 5000, "last drain after %.0f ms", lastDrain)
 			assert.LessOrEqual(t, float64(f.core.Channel.MaxLines), c.backlog)
@@ -165,9 +167,9 @@
 	}
 }
 
-// TestDrainsAfterLostAcks guards drains against answers that were lost (incident 029): what the pilot counts in
-// the channel stays as it was, while nothing is left in it that could be answered. One proxy is asked, and the drains
-// go out.
+// TestDrainsAfterLostAcks checks that drains proceed after acks have been lost (incident 029). The planner still counts
+// the lines as queued although the channel is empty and no more acks will come. It must send an ack request to one
+// proxy to correct its count.
 func TestDrainsAfterLostAcks(t *testing.T) {
 	const grace, backlog = 3000.0, 1200.0
 	f, entries := newFleet(30, 80, 800, backlog, grace)
@@ -183,7 +185,7 @@
 		return drained
 	}
 	f.dropAcks = true
-	for i := range 4 { // more than fits, were it all still there
+	for i := range 4 { // more lines than the backlog allows unless acks free space
 		drain(3 * i)
 		f.advanceTo(f.nowMs + 1500)
 	}
@@ -197,13 +199,14 @@
 			}
 		}
 	}
-	t.Logf("last drain after %.0f ms, most lines %d", lastDrain, f.core.Channel.MaxLines)
+	t.Logf("last drain after %.0f ms, max lines %d", lastDrain, f.core.Channel.MaxLines)
 	assert.LessOrEqual(t, lastDrain, grace)
 	assert.LessOrEqual(t, float64(f.core.Channel.MaxLines), backlog)
 }
 
-// TestDrainsWithLateJoiners guards drains against proxies that come after them with tables of a pilot that knew of
-// none, in two herds one after the other: each has let go of what drains within the grace of its joining.
+// TestDrainsWithLateJoiners checks drains when two groups of proxies join after the drains have started, with tables
+// from a pilot that did not know of the drains. Each proxy must stop using draining endpoints within the grace period
+// after it has joined.
 func TestDrainsWithLateJoiners(t *testing.T) {
 	const grace = 5000.0
 	f, entries := newFleet(359, 397, 3000, 14000, grace)
@@ -236,21 +239,21 @@
 			}
 		}
 	}
-	t.Logf("worst drain %.0f ms, most lines %d", worst, f.core.Channel.MaxLines)
+	t.Logf("longest drain %.0f ms, max lines %d", worst, f.core.Channel.MaxLines)
 	assert.LessOrEqual(t, worst, grace)
 	assert.LessOrEqual(t, f.core.Channel.MaxLines, 14000)
 }
 
-// TestReleaseWithAllAtOnePilot guards drains where four of five pilots die in a release: all proxies come to one,
-// whose channel carries three lines a second for each. Told of each endpoint one by one, those that waited for their
-// tables took all of the channel, nobody was bound for 15 s, and what drained was sent to 7.5 s later (herd+mass of
-// seed 1).
+// TestReleaseWithAllAtOnePilot checks drains when four of five pilots die during a release and all proxies join the
+// fifth. Its channel carries only three lines per second for each proxy. Exclusions sent one by one to proxies that
+// waited for their tables used to fill the channel: no tables were assigned for 15 s, and draining endpoints still got
+// requests 7.5 s later (incident 025, scenario herd+mass with seed 1).
 func TestReleaseWithAllAtOnePilot(t *testing.T) {
 	const grace, backlog = 7200.0, 4800
 	f, entries := newFleet(200, 240, 800, backlog, grace, func(settings map[string]any) {
-		settings["conns_least"], settings["zones"] = 60.0, []any{"a", "b", "c"} // a zone has several tables
+		settings["conns_least"], settings["zones"] = 60.0, []any{"a", "b", "c"} // each zone has several tables
 	})
-	initialTable := func(i int) (held []wire.Entry) { // what another pilot's table of a zone holds
+	initialTable := func(i int) (held []wire.Entry) { // endpoints in a table from another pilot
 		for k := range 60 {
 			held = append(held, entries[(i*13+k)%len(entries)])
 		}
@@ -262,14 +265,14 @@
 	worst := 0.0
 	for step := 0; f.nowMs < 60000; step++ {
 		f.advanceTo(f.nowMs + 50)
-		if n := min(len(left), 4); n > 0 { // 80 a second
+		if n := min(len(left), 4); n > 0 { // 80 proxies per second
 			for i, p := range left[:n] {
 				f.join([]*fleetProxy{p}, initialTable(len(left)+i))
 				joinedAt[p.name] = f.nowMs
 			}
 			left = left[n:]
 		}
-		if wave := step / 40; step%40 == 30 && wave < 4 { // every two seconds, what runs gives way to new ones
+		if wave := step / 40; step%40 == 30 && wave < 4 { // every two seconds, new endpoints replace running ones
 			var changed []wire.Entry
 			for i := wave; i < len(entries) && wave < 3; i += 7 {
 				e := entries[i]
@@ -284,20 +287,20 @@
 		}
 		worst = max(worst, f.longestHeldMs(drainedAt, joinedAt))
 	}
-	t.Logf("worst drain %.0f ms, most lines %d", worst, f.core.Channel.MaxLines)
+	t.Logf("longest drain %.0f ms, max lines %d", worst, f.core.Channel.MaxLines)
 	assert.LessOrEqual(t, worst, grace)
 	assert.LessOrEqual(t, f.core.Channel.MaxLines, backlog)
 }
 
-// TestDrainsWithInitialTables guards drains of proxies that are left on what they stand with, as chance among so many is
-// small: each is told of what is out in a message of its own, and a few such, one after another, are all that the
-// channel carries within the rest of the grace.
+// TestDrainsWithInitialTables checks drains when the planner leaves all proxies on their static tables, because random
+// load imbalance is small with so many proxies. Each proxy then gets each exclusion in a separate message, and the
+// channel can carry only a few exclusions to all proxies within the grace period.
 func TestDrainsWithInitialTables(t *testing.T) {
 	const grace, backlog = 56300.0, 43700
 	for name, c := range map[string]struct {
-		drains, intervalMs int // how many, in ms
+		drains, intervalMs int // number of drains, and the time between them in ms
 	}{
-		"one": {1, 0}, "ten, a second apart": {10, 1000}, "thirty": {30, 300},
+		"one drain": {1, 0}, "ten drains, 1 s apart": {10, 1000}, "thirty drains, 300 ms apart": {30, 300},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, entries := newFleet(240, 640, 800, backlog, grace, func(settings map[string]any) {
@@ -320,7 +323,7 @@
 				}
 				worst = max(worst, f.longestHeldMs(drainedAt, nil))
 			}
-			t.Logf("worst drain %.0f ms, most lines %d", worst, f.core.Channel.MaxLines)
+			t.Logf("longest drain %.0f ms, max lines %d", worst, f.core.Channel.MaxLines)
 			assert.Len(t, drainedAt, c.drains)
 			assert.LessOrEqual(t, worst, grace)
 			assert.LessOrEqual(t, f.core.Channel.MaxLines, backlog)
