--- a/internal/controller/endpoints_test.go
+++ b/internal/controller/endpoints_test.go
@@ -11,7 +11,8 @@
 	"indigousher/planner"
 )
 
-// TestStartTimeIgnoresListClockJitter guards the start of an endpoint against jitter of the list's clock, which would look like a restart.
+// TestStartTimeIgnoresListClockJitter checks that jitter of the list source's clock does not change the start time of
+// an endpoint, which the decider would interpret as a restart.
 func TestStartTimeIgnoresListClockJitter(t *testing.T) {
 	d := &scriptedDecider{}
 	c := NewCore(newOptions(d, &fakeTransport{}))
@@ -29,8 +30,8 @@
 	assert.Equal(t, []float64{-1000, -1000, -1000, 8900}, starts)
 }
 
-// TestEndpointIndexReuse guards memory: endpoints give way to new ones under new names for as long as a pilot lives, and
-// each name would keep an index, its actor and its lines in the decider.
+// TestEndpointIndexReuse checks that memory stays bounded while endpoints are replaced by new ones under new names.
+// Without reuse of indices, each name would keep its index and its state in the planner for the life of the process.
 func TestEndpointIndexReuse(t *testing.T) {
 	settings := map[string]any{
 		"instances":   1.0,
@@ -61,12 +62,12 @@
 			maxIndices = c.endpoints.len()
 		}
 	}
-	assert.LessOrEqual(t, c.endpoints.len(), maxIndices, "indices of those long gone are used again")
+	assert.LessOrEqual(t, c.endpoints.len(), maxIndices, "indices of removed endpoints are reused")
 	assert.Less(t, maxIndices, 100)
 	_, known := c.endpoints.find("e1-0")
-	assert.False(t, known, "the name of one long gone is forgotten")
+	assert.False(t, known, "the name of a removed endpoint is no longer known")
 	assert.LessOrEqual(t, len(c.endpoints.retiredAtMs), maxIndices)
-	assert.True(t, relay.names[last], "a new endpoint under a used index is planned by its own name")
+	assert.True(t, relay.names[last], "the relay gets a new endpoint with a reused index by its own name")
 	assert.Zero(t, c.ReportStats.Malformed)
 	assert.Equal(t, 2000, c.ReportStats.Reports)
 }
