--- a/internal/controller/exclusion_test.go
+++ b/internal/controller/exclusion_test.go
@@ -10,8 +10,8 @@
 	"indigousher/planner"
 )
 
-// TestExclusionReachesAllHolders guards an exclusion against passing over any of the proxies that hold the endpoint: by a table of
-// this pilot, by what they held when they joined, or by both.
+// TestExclusionReachesAllHolders checks that an exclusion is sent to every proxy that holds the endpoint: in an
+// assigned table, in the tables that it had when it joined, or in both.
 func TestExclusionReachesAllHolders(t *testing.T) {
 	assign := func(proxy int) planner.Command { return planner.AssignTable{Table: 5, Proxy: proxy, Classes: 1} }
 	d := &scriptedDecider{commands: [][]planner.Command{
