--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -10,18 +10,18 @@
 	"indigousher/telemetry"
 )
 
-// fleet drives a core with the decider inside and proxies that follow its commands around it, in virtual time: messages
-// and answers take a fixed delay each way, and no requests are served.
+// fleet simulates a pilot with the production planner and a number of proxies in virtual time. Messages and acks take a
+// fixed delay in each direction. No requests are served.
 type fleet struct {
 	core      *Core
 	nowMs     float64
 	delayMs   float64
-	dropAcks  bool // acknowledgements are lost on their way to the pilot
+	dropAcks  bool // acks from proxies are lost
 	scheduled callQueue
 	proxies   []*fleetProxy
 }
 
-// fleetProxy is a proxy of the fleet and its stream.
+// fleetProxy is a simulated proxy and its stream.
 type fleetProxy struct {
 	fleet  *fleet
 	name   string
@@ -46,14 +46,14 @@
 	return nil
 }
 
-// scheduledCall is a function that is due at a virtual time; number orders those of one time.
+// scheduledCall is a function to be called at a virtual time, in ms. Calls at the same time are ordered by number.
 type scheduledCall struct {
 	atMs   float64
 	number int
 	run    func()
 }
 
-// callQueue is a heap of calls by time, then in order of scheduling.
+// callQueue is a heap of calls ordered by time and number.
 type callQueue []scheduledCall
 
 func (l callQueue) Len() int      { return len(l) }
@@ -73,7 +73,7 @@
 	return x
 }
 
-// after schedules a call so many milliseconds from now.
+// schedule schedules a call in ms milliseconds from now.
 func (f *fleet) schedule(ms float64, run func()) {
 	heap.Push(&f.scheduled, scheduledCall{f.nowMs + ms, len(f.scheduled) + int(f.nowMs*1e3), run})
 }
@@ -81,7 +81,7 @@
 // handle runs one turn of the core with the given inputs.
 func (f *fleet) handle(in ...Input) { f.core.Handle(f.nowMs, in) }
 
-// until lets virtual time pass to a moment, in ms.
+// advanceTo advances the virtual time to ms and runs everything that is due until then.
 func (f *fleet) advanceTo(ms float64) {
 	for {
 		next := min(f.core.Due(), f.core.Channel.Due())
@@ -104,8 +104,9 @@
 	}
 }
 
-// newFleet returns a fleet of many endpoints with a pilot that no proxy has joined. pace is in lines a second,
-// backlog in lines, grace in ms; change may alter the decider's settings.
+// newFleet returns a fleet whose proxies have not joined yet, and its endpoint list. pace is the channel's rate in
+// lines per second, backlog its limit in lines, and grace the drain grace period in ms. Each change function may modify
+// the planner's settings.
 func newFleet(endpoints, proxies int, pace, backlog, grace float64, change ...func(settings map[string]any)) (
 	*fleet, []wire.Entry,
 ) {
@@ -150,7 +151,7 @@
 	return f, entries
 }
 
-// join lets some of the proxies in, each holding all endpoints of its zone, as from a pilot that died.
+// join lets proxies join. Each holds all given endpoints of its zone, as if its previous pilot had died.
 func (f *fleet) join(proxies []*fleetProxy, entries []wire.Entry) {
 	for _, p := range proxies {
 		var holds []string
@@ -165,8 +166,9 @@
 	}
 }
 
-// longestHeldMs returns how long a proxy that has joined has held anything that was told to drain, from when that was
-// told or, if later, the proxy joined.
+// longestHeldMs returns the longest time in ms for which a proxy has held a draining endpoint. The time counts from the
+// start of the drain (drainedAt, by endpoint) or from when the proxy joined (joinedAt, by proxy), whichever is later.
+// It is 0 if no proxy holds a draining endpoint.
 func (f *fleet) longestHeldMs(drainedAt, joinedAt map[string]float64) (ms float64) {
 	for _, p := range f.proxies {
 		for name, at := range drainedAt {
