--- a/internal/controller/malformed_test.go
+++ b/internal/controller/malformed_test.go
@@ -17,13 +17,14 @@
 	got []*wire.Orders
 }
 
+// Send records the message and applies it.
 func (p *recordingProxy) Send(m *wire.Orders) error {
 	p.got = append(p.got, m)
 	return p.fleetProxy.Send(m)
 }
 
-// TestHostilePeer guards all that is decided for good proxies against one peer whose messages parse but mean harm: whatever
-// it says, what crosses to the others has sound weights and levels, they keep lines, and the module goes on.
+// TestHostilePeer checks that a peer that sends well-formed messages with harmful values does not affect other proxies:
+// they receive only weights and levels between 0 and 1, keep eligible endpoints, and later drains still reach them.
 func TestHostilePeer(t *testing.T) {
 	huge, nan, inf := 1e308, math.NaN(), math.Inf(1)
 	met := func(change func(s *wire.Sums, m *wire.Met)) func(*fleet, *fakeTransport) {
@@ -57,37 +58,37 @@
 		}
 	}
 	for name, attack := range map[string]func(*fleet, *fakeTransport){
-		"rate not a number": rate(nan), "rate infinite": rate(inf), "rate huge": rate(huge), "rate negative": rate(-huge),
-		"load not a number": load("util", nan), "load infinite": load("util", inf), "load huge": load("util", huge),
+		"rate NaN": rate(nan), "rate infinite": rate(inf), "rate huge": rate(huge), "rate negative": rate(-huge),
+		"load NaN": load("util", nan), "load infinite": load("util", inf), "load huge": load("util", huge),
 		"load negative": load("util", -huge), "queue infinite": load("waiting", inf), "queue huge": load("waiting", huge),
 		"queue negative": load("in_hand", -1), "served huge": load("rate", huge),
-		"mean huge":        met(func(_ *wire.Sums, m *wire.Met) { m.MeanMs = huge }),
-		"mean no number":   met(func(_ *wire.Sums, m *wire.Met) { m.MeanMs = nan }),
-		"no span":          met(func(s *wire.Sums, _ *wire.Met) { s.SpanMs = 5e-324 }),
+		"mean time huge":   met(func(_ *wire.Sums, m *wire.Met) { m.MeanMs = huge }),
+		"mean time NaN":    met(func(_ *wire.Sums, m *wire.Met) { m.MeanMs = nan }),
+		"span tiny":        met(func(s *wire.Sums, _ *wire.Met) { s.SpanMs = 5e-324 }),
 		"span infinite":    met(func(s *wire.Sums, _ *wire.Met) { s.SpanMs = inf }),
-		"far future":       met(func(s *wire.Sums, _ *wire.Met) { s.AtMs = huge }),
-		"last sequence":    met(func(s *wire.Sums, _ *wire.Met) { s.Seq = math.MaxUint64 }),
-		"tries at end":     met(func(_ *wire.Sums, m *wire.Met) { m.Tries, m.Failed = math.MaxInt32, math.MaxInt32 }),
-		"failed above":     met(func(_ *wire.Sums, m *wire.Met) { m.Failed = m.Tries + 1 }),
-		"negative tries":   met(func(_ *wire.Sums, m *wire.Met) { m.Tries, m.Failed = -5, -9 }),
+		"time huge":        met(func(s *wire.Sums, _ *wire.Met) { s.AtMs = huge }),
+		"sequence maximum": met(func(s *wire.Sums, _ *wire.Met) { s.Seq = math.MaxUint64 }),
+		"attempts maximum": met(func(_ *wire.Sums, m *wire.Met) { m.Tries, m.Failed = math.MaxInt32, math.MaxInt32 }),
+		"failed too high":  met(func(_ *wire.Sums, m *wire.Met) { m.Failed = m.Tries + 1 }),
+		"attempts below 0": met(func(_ *wire.Sums, m *wire.Met) { m.Tries, m.Failed = -5, -9 }),
 		"weight huge":      list(func(e *wire.Entry) { e.Weight = huge }),
 		"weight infinite":  list(func(e *wire.Entry) { e.Weight = inf }),
-		"weight no number": list(func(e *wire.Entry) { e.Weight = nan }),
+		"weight NaN":       list(func(e *wire.Entry) { e.Weight = nan }),
 		"weight negative":  list(func(e *wire.Entry) { e.Weight = -1 }),
-		"weight least":     list(func(e *wire.Entry) { e.Weight = 5e-324 }),
-		"start at end":     list(func(e *wire.Entry) { e.Started = math.MaxUint64 }),
-		"start just past":  list(func(e *wire.Entry) { e.Started = 1 }),
-		"cell at end":      list(func(e *wire.Entry) { e.Cell = math.MaxInt32 }),
-		"probe's load": func(f *fleet, _ *fakeTransport) {
+		"weight tiny":      list(func(e *wire.Entry) { e.Weight = 5e-324 }),
+		"start maximum":    list(func(e *wire.Entry) { e.Started = math.MaxUint64 }),
+		"start 1 ms":       list(func(e *wire.Entry) { e.Started = 1 }),
+		"cell maximum":     list(func(e *wire.Entry) { e.Cell = math.MaxInt32 }),
+		"health check load infinite": func(f *fleet, _ *fakeTransport) {
 			f.handle(HealthChecked{"e1", "ok", huge, []wire.Figure{{Name: "util", Value: inf}}})
 		},
-		"marks that never were": func(f *fleet, bad *fakeTransport) {
+		"acks that were never requested": func(f *fleet, bad *fakeTransport) {
 			f.handle(ProxyJoined{bad, wire.Hello{Proxy: "bad", Zone: "a", Rate: 2}})
 			for n := range 70000 {
 				f.handle(Acked{bad, wire.Done{Mark: n}})
 			}
 		},
-		"a slice where there are none": func(f *fleet, _ *fakeTransport) {
+		"slices that do not exist": func(f *fleet, _ *fakeTransport) {
 			for n := range 3 {
 				f.handle(SliceAssigned{&wire.Slices{Slice: n, Given: true}})
 			}
@@ -120,25 +121,25 @@
 						open++
 					}
 				}
-				assert.Greater(t, open, 2, "lines of %s", p.name)
+				assert.Greater(t, open, 2, "eligible endpoints of %s", p.name)
 			}
-			// a drain still goes through
+			// A drain must still reach all proxies.
 			e := entries[4]
 			e.Phase = wire.PhaseDraining
 			f.handle(listed(false, e))
 			f.advanceTo(f.nowMs + 2000)
 			for _, p := range good {
-				assert.False(t, p.router.Eligible(0, "e4"), "%s after a drain", p.name)
+				assert.False(t, p.router.Eligible(0, "e4"), "%s still uses a drained endpoint", p.name)
 			}
 		})
 	}
 }
 
-// joinRecording lets recording proxies in.
+// joinRecording lets recording proxies join.
 func (f *fleet) joinRecording(proxies []*recordingProxy, entries []wire.Entry) {
 	for _, p := range proxies {
 		plain := &p.fleetProxy
-		f.join([]*fleetProxy{plain}, entries) // makes its follower
+		f.join([]*fleetProxy{plain}, entries) // creates its router
 		f.handle(ProxyLeft{plain}, ProxyJoined{p, wire.Hello{Proxy: p.name, Zone: p.zone, Rate: 2, Fresh: true}})
 	}
 }
