--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -10,7 +10,8 @@
 	"indigousher/planner"
 )
 
-// TestRelayedInputs guards what names nobody known: it costs itself alone, and nothing of it is kept.
+// TestRelayedInputs checks the events that result from a relay's inputs. Inputs with unknown proxies, zones, endpoints
+// or classes are skipped and must not create entries.
 func TestRelayedInputs(t *testing.T) {
 	entry := wire.Entry{Endpoint: "x", Zone: "a", Machine: "m", Weight: 1}
 	join := RelayProxyJoined{Proxy: 3, Zone: "a", Rate: 2}
@@ -29,16 +30,16 @@
 			[]planner.Event{joined, planner.ProxyLeft{Proxy: 3}},
 		},
 		"joined again": {[]Input{join, join}, []planner.Event{joined, planner.ProxyLeft{Proxy: 3}, joined}},
-		"has stood": {
+		"resumed": {
 			[]Input{join, resumed},
 			[]planner.Event{joined, planner.ProxyJoined{Proxy: 3, Rate: 2, Resumed: true}},
 		},
-		"unknown has stood": {[]Input{resumed}, []planner.Event{joined}},
+		"resumed without a join": {[]Input{resumed}, []planner.Event{joined}},
 		"stalled": {
 			[]Input{RelayStalled{ForMs: 3, Repeated: []int{7}}, RelayStalled{}},
 			[]planner.Event{planner.ChannelStalled{ForMs: 3, Repeated: []int{7}}, planner.ChannelStalled{}},
 		},
-		"beyond all": {
+		"invalid proxy numbers and zones": {
 			[]Input{
 				RelayProxyJoined{Proxy: 10, Zone: "a"},
 				RelayProxyJoined{Proxy: -1, Zone: "a"},
@@ -46,15 +47,15 @@
 			},
 			nil,
 		},
-		"applied": {
+		"acks": {
 			[]Input{RelayAck{Proxy: 3, Mark: 1}, join, RelayAck{3, 1, 5}},
 			[]planner.Event{joined, planner.Ack{Proxy: 3, Number: 1, TookMs: 5}},
 		},
-		"met": {
+		"zone stats": {
 			[]Input{zoneStats, ZoneStats{Zone: "z", Endpoint: "x"}, ZoneStats{Zone: "a", Endpoint: "y"}},
 			[]planner.Event{planner.EndpointStats{Attempts: 2, Failed: 1, MeanMs: 3, SpanMs: 4, Load: planner.Load{"rate": 2}}},
 		},
-		"demand": {
+		"proxy stats": {
 			[]Input{
 				ProxyStats{Proxy: 2, Class: "read", Requests: 3, SpanMs: 4},
 				ProxyStats{Proxy: 99, Class: "read"},
@@ -78,8 +79,8 @@
 	}
 }
 
-// TestRelayGetsOneCallPerTurn guards the order in which a turn's commands go out, and that one for a proxy that has left is
-// none.
+// TestRelayGetsOneCallPerTurn checks that the commands of a turn are passed to the relay, except those for proxies that
+// have not joined, and that the core's own channel stays empty.
 func TestRelayGetsOneCallPerTurn(t *testing.T) {
 	d := &oneShotDecider{}
 	c, relay := newRelayCore(d)
@@ -91,7 +92,7 @@
 	}
 	c.Handle(0, []Input{RelayProxyJoined{Proxy: 3, Zone: "a"}})
 	assert.Equal(t, 3, relay.commands)
-	assert.Equal(t, 0, c.Channel.Lines(), "nothing is paced twice")
+	assert.Equal(t, 0, c.Channel.Lines(), "the core's own channel is unused")
 	c.Handle(1, []Input{RelayProxyLeft{3}})
 	assert.Equal(t, []int{3}, relay.left)
 }
