--- a/internal/controller/reportgate_test.go
+++ b/internal/controller/reportgate_test.go
@@ -10,8 +10,8 @@
 	"indigousher/planner"
 )
 
-// TestUnjoinedReports guards a proxy's sums against reports on streams that have not joined, or no longer are: they
-// count for nobody, least of all for the proxy with the first number.
+// TestUnjoinedReports checks that reports from streams that have not joined, or have left, produce no events. In
+// particular they must not be counted for the proxy with index 0.
 func TestUnjoinedReports(t *testing.T) {
 	d := &scriptedDecider{}
 	joined := &fakeTransport{}
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestReportLineBudget guards the bound of report lines: what does not fit adds up; what begins to fail goes first, then
-// what has waited longest.
+// TestReportLineBudget checks the limit on report lines passed to the decider, here one per second. Sums that do not
+// fit accumulate. Endpoints that start failing are passed first, then those that have waited longest.
 func TestReportLineBudget(t *testing.T) {
 	d := &scriptedDecider{}
 	stream := &fakeTransport{}
