--- a/internal/controller/session_test.go
+++ b/internal/controller/session_test.go
@@ -10,7 +10,8 @@
 	"indigousher/planner"
 )
 
-// TestRejoinAndRejectedJoins guards against a proxy that comes back while its old stream hangs, names without end, and strangers.
+// TestRejoinAndRejectedJoins checks that a proxy that joins again replaces its old stream, and that joins with an
+// unknown zone or beyond the maximum number of proxies are rejected.
 func TestRejoinAndRejectedJoins(t *testing.T) {
 	d, transport := &scriptedDecider{}, &fakeTransport{}
 	c := NewCore(newOptions(d, transport))
@@ -18,16 +19,16 @@
 	c.Handle(0, []Input{ProxyJoined{first, hello("p", "a")}})
 	c.Handle(1, []Input{ProxyJoined{second, hello("p", "a")}})
 	assert.NotEmpty(t, first.closed)
-	c.Handle(2, []Input{ProxyLeft{first}, Acked{first, wire.Done{Mark: 1}}}) // of no stream that lives
+	c.Handle(2, []Input{ProxyLeft{first}, Acked{first, wire.Done{Mark: 1}}}) // inputs from a replaced stream are ignored
 	assert.Equal(t, 1, c.sessions.len())
 	assert.Equal(t, []planner.Event{
 		planner.ProxyJoined{Rate: 2, Fresh: true},
 		planner.ProxyLeft{},
 		planner.ProxyJoined{Rate: 2, Fresh: true},
 	}, d.events)
-	stranger := &fakeTransport{}
-	c.Handle(3, []Input{ProxyJoined{stranger, hello("q", "nowhere")}})
-	assert.Equal(t, "unknown zone", stranger.closed)
+	rejected := &fakeTransport{}
+	c.Handle(3, []Input{ProxyJoined{rejected, hello("q", "nowhere")}})
+	assert.Equal(t, "unknown zone", rejected.closed)
 	for i := range 4 {
 		c.Handle(4, []Input{ProxyJoined{&fakeTransport{}, hello(fmt.Sprint("r", i), "a")}})
 	}
