--- a/internal/controller/shares_test.go
+++ b/internal/controller/shares_test.go
@@ -8,7 +8,7 @@
 	"indigousher/planner"
 )
 
-// TestShares guards the shares that are shown: by zone, proxies counted by their rate, excluded endpoints left out.
+// TestShares checks that shares are computed by zone, weighted by the proxies' rates, and without excluded endpoints.
 func TestShares(t *testing.T) {
 	d := &scriptedDecider{commands: [][]planner.Command{nil, {
 		planner.SetWeight{Table: 1, Endpoint: 0, Weight: 1},
