--- a/internal/controller/slices_test.go
+++ b/internal/controller/slices_test.go
@@ -9,8 +9,8 @@
 	"indigousher/planner"
 )
 
-// TestSlices shows the events of slices: an assignment with its stored lines, demand for it once a period, and neither
-// for a slice that is not assigned to this pilot.
+// TestSlices checks the events for slices: an assignment with its stored lines, and request counts once per period, but
+// none for slices that are not assigned to this pilot.
 func TestSlices(t *testing.T) {
 	d, transport, stream := &scriptedDecider{}, &fakeTransport{}, &fakeTransport{}
 	c := NewCore(newOptions(d, transport))
