--- a/internal/controller/state_test.go
+++ b/internal/controller/state_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStateJSON guards the names that the admin listener shows under /state.
+// TestStateJSON checks the JSON field names that the admin listener serves under /state; they must not change.
 func TestStateJSON(t *testing.T) {
 	text, err := json.Marshal(State{Refused: map[string]uint64{"a": 1}})
 	require.NoError(t, err)
