--- a/internal/controller/timers_test.go
+++ b/internal/controller/timers_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestTimerQueue guards the order in which timers fire: by time, and those of one time as they were set.
+// TestTimerQueue checks that timers fire ordered by time, and in the order of setting for equal times.
 func TestTimerQueue(t *testing.T) {
 	var q timerQueue
 	assert.True(t, math.IsInf(q.due(), 1))
