--- a/internal/controller/malformed.go
+++ b/internal/controller/malformed.go
@@ -4,8 +4,8 @@
 // metric odd_inputs_total and appears in the log, so the strings must not change.
 type malformedReason string
 
-// Reasons for rejecting an input or a command. A malformed item is counted, logged and skipped; the rest of its message
-// is processed.
+// Reasons for rejecting an input or a command. A malformed item is counted, logged and skipped; it has no effect on
+// other inputs.
 const (
 	malformedProxyZone      malformedReason = "proxy of an unknown zone"
 	malformedProxyRate      malformedReason = "rate out of range"
