--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -14,7 +14,7 @@
 // metricsNamespace is the prefix of all metric names.
 const metricsNamespace = "indigousher"
 
-// Metrics holds the Prometheus metrics of the runtime. All methods can be called on a nil *Metrics and then do nothing.
+// Metrics holds the Prometheus metrics of the runtime. Methods called on a nil *Metrics record nothing.
 type Metrics struct {
 	// Metrics of proxies, streams and the loop.
 	proxiesJoined prometheus.Gauge
