--- a/internal/controller/reportgate.go
+++ b/internal/controller/reportgate.go
@@ -57,7 +57,8 @@
 	lastFlushMs float64 // time of the last flush, in ms
 }
 
-// newReportGate returns a gate without proxies or endpoints. classes holds the names of the request classes by index.
+// newReportGate returns a reportGate without proxies or endpoints. classes holds the names of the request classes by
+// index.
 func newReportGate(options telemetry.Options, classes []string) *reportGate {
 	g := &reportGate{
 		aggregator: telemetry.New[[]wire.Figure](options),
@@ -112,7 +113,7 @@
 	g.aggregator.UpdateEndpoint(nowMs, e.Endpoint, e.Phase, e.Started)
 }
 
-// removeUnlisted marks all endpoints as gone whose index is not in listed.
+// removeUnlisted marks the endpoints whose index is not in listed as gone.
 func (g *reportGate) removeUnlisted(nowMs float64, listed map[int]bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
