--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -91,7 +91,8 @@
 }
 
 // Handle runs one turn: it processes the inputs, calls the decider if there are events, executes its commands and
-// queues the resulting messages. A nowMs earlier than that of the previous turn is replaced by the latter.
+// queues the resulting messages. Time does not go backwards: if nowMs is earlier than the previous turn, the time of
+// the previous turn is used.
 func (c *Core) Handle(nowMs float64, inputs []Input) {
 	c.nowMs = max(c.nowMs, nowMs)
 	var events []planner.Event
@@ -103,8 +104,8 @@
 	}
 	telemetryStart := len(events)
 	events = c.appendTelemetry(events)
-	commands, asked := c.decide(events)
-	if c.options.OnTurn != nil && (asked || len(inputs) > 0) {
+	commands, called := c.decide(events)
+	if c.options.OnTurn != nil && (called || len(inputs) > 0) {
 		c.options.OnTurn(c.nowMs, inputs, events[telemetryStart:], commands)
 	}
 	for _, command := range commands {
@@ -116,7 +117,7 @@
 
 // decide calls the decider if there are events, and returns its commands and whether it was called. The first turn
 // always calls the decider; after that it relies on timers to be called without other events.
-func (c *Core) decide(events []planner.Event) (commands []planner.Command, asked bool) {
+func (c *Core) decide(events []planner.Event) (commands []planner.Command, called bool) {
 	if len(events) == 0 && c.started {
 		return nil, false
 	}
