--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -78,7 +78,7 @@
 func (c *Core) applyOptions(options Options) {
 	c.options = options
 	c.outbox.headLines = options.HeadLines
-	c.Channel = NewChannel(options.LinesPerS, options.Backlog, options.MaxMessages, options.MessagesOverMs,
+	c.Channel = NewChannel(options.LinesPerS, options.Backlog, options.MaxMessages, options.MessageWindowMs,
 		options.Metrics)
 }
 
--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -62,20 +62,20 @@
 // newOptions returns options that use one fake for all transports.
 func newOptions(d Decider, transport *fakeTransport) Options {
 	return Options{
-		Decider:        d,
-		Settings:       map[string]any{"slices": 16.0},
-		Zones:          []string{"a", "b"},
-		Machines:       []string{"std"},
-		Classes:        []string{"read", "book"},
-		HeadLines:      4,
-		MessagesOverMs: 10000,
-		Telemetry:      telemetry.Options{PeriodMs: 1000, HalfMs: 1e9, LongestMs: 60000},
-		MaxProxies:     3,
-		EndpointSource: transport,
-		HealthChecker:  transport,
-		Gossip:         transport,
-		Log:            func(t string) { transport.calls = append(transport.calls, "log "+t) },
-		Malformed:      func(what string, _ ...string) { transport.calls = append(transport.calls, "malformed "+what) },
+		Decider:         d,
+		Settings:        map[string]any{"slices": 16.0},
+		Zones:           []string{"a", "b"},
+		Machines:        []string{"std"},
+		Classes:         []string{"read", "book"},
+		HeadLines:       4,
+		MessageWindowMs: 10000,
+		Telemetry:       telemetry.Options{PeriodMs: 1000, HalfMs: 1e9, LongestMs: 60000},
+		MaxProxies:      3,
+		EndpointSource:  transport,
+		HealthChecker:   transport,
+		Gossip:          transport,
+		Log:             func(t string) { transport.calls = append(transport.calls, "log "+t) },
+		Malformed:       func(what string, _ ...string) { transport.calls = append(transport.calls, "malformed "+what) },
 	}
 }
 
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -51,7 +51,7 @@
 	Endpoints int `json:"Endpoints"`
 
 	// Lines is the number of lines that wait in the channel, and MostLines its maximum so far. MostMessages is the
-	// highest number of messages sent to one proxy within the period of the message limit (Options.MessagesOverMs).
+	// highest number of messages sent to one proxy within the period of the message limit (Options.MessageWindowMs).
 	Lines        int `json:"Lines"`
 	MostLines    int `json:"MostLines"`
 	MostMessages int `json:"MostMessages"`
--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -18,11 +18,11 @@
 
 	// Limits of the channel. LinesPerS is its rate limit in lines per second, and Backlog the maximum number of waiting
 	// lines. HeadLines is the overhead of a message, in lines. MaxMessages is the maximum number of messages to one
-	// proxy within MessagesOverMs milliseconds. For LinesPerS, Backlog and MaxMessages, 0 means no limit.
+	// proxy within MessageWindowMs milliseconds. For LinesPerS, Backlog and MaxMessages, 0 means no limit.
 	LinesPerS, Backlog float64
 	HeadLines          int
 	MaxMessages        int
-	MessagesOverMs     float64
+	MessageWindowMs    float64
 
 	// Telemetry holds the options of the report aggregator.
 	Telemetry telemetry.Options
--- a/internal/record/settings_options.go
+++ b/internal/record/settings_options.go
@@ -18,21 +18,21 @@
 // optionsFromSettings returns a replayed core's options, but for the planner, from the planner's settings.
 func optionsFromSettings(settings map[string]any) (controller.Options, error) {
 	options := controller.Options{
-		Zones:          nameList(settings, "zones"),
-		Machines:       nameList(settings, "machines"),
-		Classes:        nameList(settings, "req_kinds"),
-		LinesPerS:      number(settings, "lines_per_s"),
-		Backlog:        number(settings, "backlog"),
-		HeadLines:      int(number(settings, "head_lines")),
-		MaxMessages:    int(number(settings, "messages_most")),
-		MessagesOverMs: number(settings, "messages_over"),
-		MaxProxies:     replayMaxProxies,
-		EndpointSource: disabledTransports{},
-		HealthChecker:  disabledTransports{},
-		Gossip:         disabledTransports{},
-		Log:            func(string) {},
-		Malformed:      func(string, ...string) {},
-		Replayed:       true,
+		Zones:           nameList(settings, "zones"),
+		Machines:        nameList(settings, "machines"),
+		Classes:         nameList(settings, "req_kinds"),
+		LinesPerS:       number(settings, "lines_per_s"),
+		Backlog:         number(settings, "backlog"),
+		HeadLines:       int(number(settings, "head_lines")),
+		MaxMessages:     int(number(settings, "messages_most")),
+		MessageWindowMs: number(settings, "messages_over"),
+		MaxProxies:      replayMaxProxies,
+		EndpointSource:  disabledTransports{},
+		HealthChecker:   disabledTransports{},
+		Gossip:          disabledTransports{},
+		Log:             func(string) {},
+		Malformed:       func(string, ...string) {},
+		Replayed:        true,
 	}
 	options.Telemetry.PeriodMs = replayPeriodMs
 	options.Telemetry.HalfMs = replayHalfLifeMs
