--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -47,7 +47,7 @@
 	return nil
 }
 
-func (f *fakeTransport) Ask(m *wire.Pace) error {
+func (f *fakeTransport) RequestPace(m *wire.Pace) error {
 	f.calls = append(f.calls, fmt.Sprint("pace ", m.PeriodMs))
 	return nil
 }
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -31,7 +31,7 @@
 
 func (p *fleetProxy) Close(string) {}
 
-func (p *fleetProxy) Ask(*wire.Pace) error { return nil }
+func (p *fleetProxy) RequestPace(*wire.Pace) error { return nil }
 
 func (p *fleetProxy) Send(m *wire.Orders) error {
 	p.fleet.schedule(p.fleet.delayMs, func() {
--- a/internal/controller/telemetry.go
+++ b/internal/controller/telemetry.go
@@ -44,7 +44,7 @@
 func (c *Core) flushReports(events []planner.Event) []planner.Event {
 	events, requests, malformed := c.reports.flush(events, c.nowMs, c.options.Metrics)
 	for _, r := range requests {
-		if err := r.stream.Ask(r.pace); err != nil {
+		if err := r.stream.RequestPace(r.pace); err != nil {
 			r.stream.Close(err.Error())
 		}
 	}
--- a/internal/controller/transports.go
+++ b/internal/controller/transports.go
@@ -21,8 +21,8 @@
 type Stream interface {
 	// Send queues a message, which the stream then owns. If it returns an error, the core closes the stream.
 	Send(*wire.Orders) error
-	// Ask sends the proxy new parameters for its load reports. If it returns an error, the core closes the stream.
-	Ask(*wire.Pace) error
+	// RequestPace sends the proxy new parameters for its load reports. If it returns an error, the core closes the stream.
+	RequestPace(*wire.Pace) error
 	// Close ends the stream and sends the reason to the proxy. The transport then posts ProxyLeft.
 	Close(reason string)
 }
--- a/internal/daemon/core_bench_test.go
+++ b/internal/daemon/core_bench_test.go
@@ -222,8 +222,8 @@
 	return nil
 }
 
-// Ask does nothing.
-func (s *sink) Ask(*wire.Pace) error { return nil }
+// RequestPace does nothing.
+func (s *sink) RequestPace(*wire.Pace) error { return nil }
 
 // Close does nothing.
 func (s *sink) Close(string) {}
--- a/internal/emulator/stream.go
+++ b/internal/emulator/stream.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// Ask brings the pilot's wishes for load reports to the proxy.
-func (s *stream) Ask(pace *wire.Pace) error {
+// RequestPace brings the pilot's wishes for load reports to the proxy.
+func (s *stream) RequestPace(pace *wire.Pace) error {
 	s.sendDown(func() {
 		if !s.ended && s.process.proxy.heedsPace {
 			s.process.reportRequest = routing.ReportRequest{MaxEndpoints: pace.Lines, ChangesOnly: pace.Changes}
--- a/internal/record/replayer.go
+++ b/internal/record/replayer.go
@@ -158,8 +158,8 @@
 	return nil
 }
 
-// Ask does nothing: the record holds what the proxy reported.
-func (s *replayStream) Ask(*wire.Pace) error { return nil }
+// RequestPace does nothing: the record holds what the proxy reported.
+func (s *replayStream) RequestPace(*wire.Pace) error { return nil }
 
 // Close does nothing: the record says when a stream ended.
 func (s *replayStream) Close(string) {}
--- a/internal/transport/contract_test.go
+++ b/internal/transport/contract_test.go
@@ -94,7 +94,7 @@
 }
 
 func advice(t *testing.T, s session) {
-	require.NoError(t, s.stream.Ask(&wire.Pace{PeriodMs: 4000, Lines: 9, Changes: true}))
+	require.NoError(t, s.stream.RequestPace(&wire.Pace{PeriodMs: 4000, Lines: 9, Changes: true}))
 	assert.Equal(t, &wire.Pace{PeriodMs: 4000, Lines: 9, Changes: true}, read(t, s.line))
 }
 
--- a/internal/transport/framed/stream.go
+++ b/internal/transport/framed/stream.go
@@ -24,8 +24,8 @@
 // Send queues orders. It returns ErrSlow if the queue is full.
 func (st *stream) Send(m *wire.Orders) error { return st.enqueue(m) }
 
-// Ask queues advice on load reports. It returns ErrSlow if the queue is full.
-func (st *stream) Ask(m *wire.Pace) error { return st.enqueue(m) }
+// RequestPace queues advice on load reports. It returns ErrSlow if the queue is full.
+func (st *stream) RequestPace(m *wire.Pace) error { return st.enqueue(m) }
 
 func (st *stream) enqueue(m wire.Message) error {
 	select {
--- a/internal/transport/grpcapi/stream.go
+++ b/internal/transport/grpcapi/stream.go
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// Ask queues advice on load reports, in place of earlier advice that was not sent yet.
-func (st *stream) Ask(p *wire.Pace) error {
+// RequestPace queues advice on load reports, in place of earlier advice that was not sent yet.
+func (st *stream) RequestPace(p *wire.Pace) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.advice = p
--- a/internal/transport/xds/stream.go
+++ b/internal/transport/xds/stream.go
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// Ask does nothing: an LRS server states its report interval once.
-func (st *stream) Ask(*wire.Pace) error { return nil }
+// RequestPace does nothing: an LRS server states its report interval once.
+func (st *stream) RequestPace(*wire.Pace) error { return nil }
 
 // Close ends the stream.
 func (st *stream) Close(reason string) { st.end.Close(reason) }
--- a/recovery/world_test.go
+++ b/recovery/world_test.go
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// Ask does nothing.
-func (s *stream) Ask(*wire.Pace) error { return nil }
+// RequestPace does nothing.
+func (s *stream) RequestPace(*wire.Pace) error { return nil }
 
 // Close does nothing.
 func (s *stream) Close(string) {}
