--- a/internal/rehearsal/pilots.go
+++ b/internal/rehearsal/pilots.go
@@ -188,5 +188,5 @@
 	state := d.State()
 	s.maxima.MostLines = max(s.maxima.MostLines, state.MostLines)
 	s.maxima.MostMessages = max(s.maxima.MostMessages, state.MostMessages)
-	s.maxima.MostStanding = max(s.maxima.MostStanding, state.MostStanding)
+	s.maxima.MaxPendingSums = max(s.maxima.MaxPendingSums, state.MaxPendingSums)
 }
--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/rehearsal/rehearsal_test.go
@@ -259,7 +259,7 @@
 	}}.Run(t.Context())
 	require.NoError(t, err)
 	assert.True(t, o.Report.Kept())
-	assert.LessOrEqual(t, o.PilotMaxima.MostStanding, 60)
+	assert.LessOrEqual(t, o.PilotMaxima.MaxPendingSums, 60)
 	sent, all := map[string]float64{}, map[string]float64{}
 	names := map[string]bool{}
 	for _, e := range o.EventLog.Events() {
