--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -59,9 +59,9 @@
 	// Turns counts the iterations of the loop since its start.
 	Turns int `json:"Turns"`
 
-	// Standing is the number of aggregated sums that wait to be passed to the decider, and MaxPendingSums its maximum
+	// PendingSums is the number of aggregated sums that wait to be passed to the decider, and MaxPendingSums its maximum
 	// so far.
-	Standing       int `json:"Standing"`
+	PendingSums    int `json:"Standing"`
 	MaxPendingSums int `json:"MostStanding"`
 
 	// Refused counts report lines by what was done with them, for example "merged"; see telemetry.Reason.
@@ -188,7 +188,7 @@
 	l.state.MostLines = l.core.Channel.MaxLines
 	l.state.MostMessages = l.core.Channel.MaxMessages
 	if l.core.options.Relay == nil {
-		l.state.Standing, l.state.MaxPendingSums, l.state.Refused = l.core.reports.stats()
+		l.state.PendingSums, l.state.MaxPendingSums, l.state.Refused = l.core.reports.stats()
 	}
 	l.state.ReportStats = l.core.ReportStats
 	l.state.LastTurn = l.clock.Now()
