--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -64,8 +64,8 @@
 	PendingSums    int `json:"Standing"`
 	MaxPendingSums int `json:"MostStanding"`
 
-	// Refused counts report lines by what was done with them, for example "merged"; see telemetry.Reason.
-	Refused map[string]uint64 `json:"Refused"`
+	// ReportLines counts report lines by what was done with them, for example "merged"; see telemetry.Reason.
+	ReportLines map[string]uint64 `json:"Refused"`
 
 	// Listed is true once an endpoint list has been received.
 	Listed bool `json:"Listed"`
@@ -188,7 +188,7 @@
 	l.state.MostLines = l.core.Channel.MaxLines
 	l.state.MostMessages = l.core.Channel.MaxMessages
 	if l.core.options.Relay == nil {
-		l.state.PendingSums, l.state.MaxPendingSums, l.state.Refused = l.core.reports.stats()
+		l.state.PendingSums, l.state.MaxPendingSums, l.state.ReportLines = l.core.reports.stats()
 	}
 	l.state.ReportStats = l.core.ReportStats
 	l.state.LastTurn = l.clock.Now()
--- a/internal/transport/xds/xds_test.go
+++ b/internal/transport/xds/xds_test.go
@@ -149,7 +149,7 @@
 	took := s.call(t, client, 2*time.Second)
 	own := float64(took[0] + took[1] + took[2])
 	assert.InDelta(t, 0.6, float64(took[0])/own, 0.15, "three of five parts: %v", took)
-	assert.Positive(t, s.daemon.State().Refused["merged"], "load is reported back")
+	assert.Positive(t, s.daemon.State().ReportLines["merged"], "load is reported back")
 	assert.Equal(t, 1, s.daemon.State().Proxies)
 
 	s.drain(0)
