--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -46,8 +46,8 @@
 	Channel *Channel
 	// ReportStats counts accepted reports and malformed input.
 	ReportStats ReportStats
-	// Events is the total number of events passed to the decider.
-	Events int
+	// EventCount is the total number of events passed to the decider.
+	EventCount int
 }
 
 // NewCore returns a core without endpoints or proxies.
@@ -122,7 +122,7 @@
 		return nil, false
 	}
 	c.started = true
-	c.Events += len(events)
+	c.EventCount += len(events)
 	commands = c.options.Metrics.timeDecider(func() []planner.Command {
 		return c.options.Decider.Handle(c.nowMs, events)
 	})
--- a/internal/daemon/core_bench_test.go
+++ b/internal/daemon/core_bench_test.go
@@ -120,7 +120,7 @@
 		return
 	}
 	time.Sleep(time.Second) // past a commit
-	b.ReportMetric(float64(c.writer.Bytes.Load())/float64(c.core.Events), "bytes/note")
+	b.ReportMetric(float64(c.writer.Bytes.Load())/float64(c.core.EventCount), "bytes/note")
 	b.ReportMetric(float64(c.writer.Bytes.Load())/float64(b.N), "bytes/s-of-pilot")
 	c.stop()
 	c.replay(b)
@@ -139,7 +139,7 @@
 		c.reports = append(c.reports, benchReport(entries, i))
 	}
 	c.planner.took = 0
-	c.core.Events = 0
+	c.core.EventCount = 0
 }
 
 // benchReport returns what a proxy met in a second.
@@ -165,10 +165,10 @@
 		report.Seq++
 		report.AtMs = c.nowMs
 		c.nowMs += 1000.0 / manyProxies
-		events := c.core.Events
+		events := c.core.EventCount
 		began := time.Now()
 		c.core.Handle(c.nowMs, []controller.Input{controller.LoadReported{Stream: stream, Sums: report}})
-		if c.core.Events > events {
+		if c.core.EventCount > events {
 			c.turnsMs = append(c.turnsMs, time.Since(began).Seconds()*1000)
 		}
 		c.core.Channel.Send(c.nowMs)
@@ -183,7 +183,7 @@
 	b.ReportMetric(own/planner, "own/module")
 	b.ReportMetric(planner/float64(b.N)*1000, "module-ms/s")
 	b.ReportMetric(float64(c.inputs)*linesPerReport/own, "report-lines/own-s")
-	b.ReportMetric(float64(c.core.Events)/all, "notes/s")
+	b.ReportMetric(float64(c.core.EventCount)/all, "notes/s")
 	slices.Sort(c.turnsMs)
 	b.ReportMetric(c.turnsMs[len(c.turnsMs)*99/100], "ms-turn-p99")
 }
--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -112,7 +112,7 @@
 		return err
 	}
 	r.core.FinishRecovery(options)
-	r.core.Events = 0
+	r.core.EventCount = 0
 	*r.result = Result{}
 	r.decider.estimator = newEstimator(r.core.Shares)
 	return nil
@@ -162,7 +162,7 @@
 // finish completes the result.
 func (r *lifeReplay) finish() {
 	r.result.SpanMs = r.lastTurnMs - r.firstMs
-	r.result.Events = r.core.Events
+	r.result.Events = r.core.EventCount
 	r.result.Tables = r.sent.Sum64()
 	r.result.Estimate = r.decider.estimator.result()
 }
