--- a/internal/controller/channel.go
+++ b/internal/controller/channel.go
@@ -52,8 +52,8 @@
 	MaxLines int
 	// MaxMessages is the highest number of messages sent to one proxy within messageWindowMs so far.
 	MaxMessages int
-	// Sent is the total number of lines sent.
-	Sent int
+	// LinesSent is the total number of lines sent.
+	LinesSent int
 }
 
 // NewChannel returns an empty channel. linesPerS is the rate limit in lines per second; 0 or less means unlimited.
@@ -160,7 +160,7 @@
 func (c *Channel) deliver(nowMs float64, queued *queuedMessage) {
 	message := queued.message
 	c.waitingLines -= message.Lines
-	c.Sent += message.Lines
+	c.LinesSent += message.Lines
 	message.AtMs = queued.enqueuedMs
 	message.AgeMs = nowMs - queued.enqueuedMs
 	recent := queued.recipient.recentSends.add(nowMs, c.messageWindowMs)
--- a/internal/emulator/pilot.go
+++ b/internal/emulator/pilot.go
@@ -119,7 +119,7 @@
 func (p *emulatedPilot) scheduleLineCount(process *pilotProcess, start int) {
 	p.w.After(settleMs, func() {
 		if p.process == process {
-			p.Starts[start].LinesSent = process.core.Channel.Sent
+			p.Starts[start].LinesSent = process.core.Channel.LinesSent
 		}
 	})
 }
--- a/internal/emulator/play.go
+++ b/internal/emulator/play.go
@@ -130,7 +130,7 @@
 	channel := process.core.Channel
 	w.result.MaxQueueLines = max(w.result.MaxQueueLines, channel.MaxLines)
 	w.result.MaxProxyMessages = max(w.result.MaxProxyMessages, channel.MaxMessages)
-	w.result.LinesSent += channel.Sent
+	w.result.LinesSent += channel.LinesSent
 }
 
 // stopwatch starts measuring real time and returns a function that tells how much has passed, in ms.
