--- a/internal/rehearsal/pilots.go
+++ b/internal/rehearsal/pilots.go
@@ -186,7 +186,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state := d.State()
-	s.maxima.MostLines = max(s.maxima.MostLines, state.MostLines)
+	s.maxima.MaxLines = max(s.maxima.MaxLines, state.MaxLines)
 	s.maxima.MostMessages = max(s.maxima.MostMessages, state.MostMessages)
 	s.maxima.MaxPendingSums = max(s.maxima.MaxPendingSums, state.MaxPendingSums)
 }
