--- a/cmd/indigousher/emulate.go
+++ b/cmd/indigousher/emulate.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	most := controller.State{MaxLines: outcome.MaxQueueLines, MostMessages: outcome.MaxProxyMessages}
+	most := controller.State{MaxLines: outcome.MaxQueueLines, MaxMessages: outcome.MaxProxyMessages}
 	column := rehearsal.Column{Name: "indigousher", Outcome: &rehearsal.Outcome{Report: outcome.Report, PilotMaxima: most}}
 	rehearsal.Print(out, s, []rehearsal.Column{column})
 	printf(out, "%d events in %.0f ms, of these the pilots' turns %.0f ms; digest %016x\n",
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -50,11 +50,11 @@
 	Proxies   int `json:"Proxies"`
 	Endpoints int `json:"Endpoints"`
 
-	// Lines is the number of lines that wait in the channel, and MaxLines its maximum so far. MostMessages is the
+	// Lines is the number of lines that wait in the channel, and MaxLines its maximum so far. MaxMessages is the
 	// highest number of messages sent to one proxy within the period of the message limit (Options.MessageWindowMs).
-	Lines        int `json:"Lines"`
-	MaxLines     int `json:"MostLines"`
-	MostMessages int `json:"MostMessages"`
+	Lines       int `json:"Lines"`
+	MaxLines    int `json:"MostLines"`
+	MaxMessages int `json:"MostMessages"`
 
 	// Turns counts the iterations of the loop since its start.
 	Turns int `json:"Turns"`
@@ -186,7 +186,7 @@
 	l.state.Endpoints = l.core.endpoints.len()
 	l.state.Lines = l.core.Channel.waitingLines
 	l.state.MaxLines = l.core.Channel.MaxLines
-	l.state.MostMessages = l.core.Channel.MaxMessages
+	l.state.MaxMessages = l.core.Channel.MaxMessages
 	if l.core.options.Relay == nil {
 		l.state.PendingSums, l.state.MaxPendingSums, l.state.ReportLines = l.core.reports.stats()
 	}
--- a/internal/rehearsal/pilots.go
+++ b/internal/rehearsal/pilots.go
@@ -187,6 +187,6 @@
 	defer s.mu.Unlock()
 	state := d.State()
 	s.maxima.MaxLines = max(s.maxima.MaxLines, state.MaxLines)
-	s.maxima.MostMessages = max(s.maxima.MostMessages, state.MostMessages)
+	s.maxima.MaxMessages = max(s.maxima.MaxMessages, state.MaxMessages)
 	s.maxima.MaxPendingSums = max(s.maxima.MaxPendingSums, state.MaxPendingSums)
 }
