--- a/internal/controller/fakes_test.go
+++ b/internal/controller/fakes_test.go
@@ -67,7 +67,7 @@
 		Zones:           []string{"a", "b"},
 		Machines:        []string{"std"},
 		Classes:         []string{"read", "book"},
-		HeadLines:       4,
+		MessageOverhead: 4,
 		MessageWindowMs: 10000,
 		Telemetry:       telemetry.Options{PeriodMs: 1000, HalfMs: 1e9, LongestMs: 60000},
 		MaxProxies:      3,
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -128,7 +128,7 @@
 		Classes:         []string{"read"},
 		LinesPerS:       pace,
 		Backlog:         backlog,
-		HeadLines:       3,
+		MessageOverhead: 3,
 		MaxMessages:     30,
 		MessageWindowMs: 10000,
 		Telemetry:       telemetry.Options{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000},
--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -17,10 +17,10 @@
 	Zones, Machines, Classes []string
 
 	// Limits of the channel. LinesPerS is its rate limit in lines per second, and Backlog the maximum number of waiting
-	// lines. HeadLines is the overhead of a message, in lines. MaxMessages is the maximum number of messages to one
-	// proxy within MessageWindowMs milliseconds. For LinesPerS, Backlog and MaxMessages, 0 means no limit.
+	// lines. MessageOverhead is the overhead of a message, in lines. MaxMessages is the maximum number of messages to
+	// one proxy within MessageWindowMs milliseconds. For LinesPerS, Backlog and MaxMessages, 0 means no limit.
 	LinesPerS, Backlog float64
-	HeadLines          int
+	MessageOverhead    int
 	MaxMessages        int
 	MessageWindowMs    float64
 
--- a/internal/daemon/assemble.go
+++ b/internal/daemon/assemble.go
@@ -65,7 +65,7 @@
 		Classes:         cfg.ClassNames(),
 		LinesPerS:       cfg.LinesPerS,
 		Backlog:         cfg.Backlog,
-		HeadLines:       cfg.HeadLines,
+		MessageOverhead: cfg.HeadLines,
 		MaxMessages:     cfg.MessagesMost,
 		MessageWindowMs: float64(cfg.MessagesOver.Milliseconds()),
 		Telemetry:       cfg.TelemetryOptions(),
--- a/internal/daemon/core_bench_test.go
+++ b/internal/daemon/core_bench_test.go
@@ -67,21 +67,21 @@
 	settings := cfg.PlannerSettings(0)
 	bench := &coreBench{settings: settings, planner: &timedDecider{Decider: planner.New(1, settings)}, nowMs: 1}
 	bench.options = controller.Options{
-		Decider:        bench.planner,
-		Settings:       settings,
-		Zones:          zones,
-		Machines:       cfg.Machines,
-		Classes:        cfg.ClassNames(),
-		LinesPerS:      cfg.LinesPerS,
-		Backlog:        cfg.Backlog,
-		HeadLines:      4,
-		Telemetry:      telemetry.Options{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000},
-		MaxProxies:     1 << 16,
-		EndpointSource: idle{},
-		HealthChecker:  idle{},
-		Gossip:         idle{},
-		Log:            func(string) {},
-		Malformed:      func(string, ...string) {},
+		Decider:         bench.planner,
+		Settings:        settings,
+		Zones:           zones,
+		Machines:        cfg.Machines,
+		Classes:         cfg.ClassNames(),
+		LinesPerS:       cfg.LinesPerS,
+		Backlog:         cfg.Backlog,
+		MessageOverhead: 4,
+		Telemetry:       telemetry.Options{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000},
+		MaxProxies:      1 << 16,
+		EndpointSource:  idle{},
+		HealthChecker:   idle{},
+		Gossip:          idle{},
+		Log:             func(string) {},
+		Malformed:       func(string, ...string) {},
 	}
 	return bench
 }
--- a/internal/emulator/pilot.go
+++ b/internal/emulator/pilot.go
@@ -102,7 +102,7 @@
 		Classes:         s.ClassNames(),
 		LinesPerS:       s.LinesPerS,
 		Backlog:         s.Backlog,
-		HeadLines:       s.HeadLines,
+		MessageOverhead: s.HeadLines,
 		MaxMessages:     s.MessagesMost,
 		MessageWindowMs: float64(s.MessagesOver.Milliseconds()),
 		Telemetry:       s.TelemetryOptions(),
--- a/internal/record/settings_options.go
+++ b/internal/record/settings_options.go
@@ -23,7 +23,7 @@
 		Classes:         nameList(settings, "req_kinds"),
 		LinesPerS:       number(settings, "lines_per_s"),
 		Backlog:         number(settings, "backlog"),
-		HeadLines:       int(number(settings, "head_lines")),
+		MessageOverhead: int(number(settings, "head_lines")),
 		MaxMessages:     int(number(settings, "messages_most")),
 		MessageWindowMs: number(settings, "messages_over"),
 		MaxProxies:      replayMaxProxies,
