--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -77,7 +77,7 @@
 // applyOptions sets the core's options and replaces its channel by an empty one.
 func (c *Core) applyOptions(options Options) {
 	c.options = options
-	c.outbox.headLines = options.MessageOverhead
+	c.outbox.messageOverhead = options.MessageOverhead
 	c.Channel = NewChannel(options.LinesPerS, options.Backlog, options.MaxMessages, options.MessageWindowMs,
 		options.Metrics)
 }
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -9,14 +9,14 @@
 // outbox collects the operations that a turn sends to proxies. Each session holds one pending message until the end of
 // the turn.
 type outbox struct {
-	headLines       int        // overhead of a message, in lines
+	messageOverhead int        // overhead of a message, in lines
 	pendingSessions []*session // sessions with a pending message
 }
 
 // add appends an operation to the message that this turn sends to a proxy.
 func (o *outbox) add(s *session, op wire.Op) {
 	if s.pending == nil {
-		s.pending = &wire.Orders{Lines: o.headLines}
+		s.pending = &wire.Orders{Lines: o.messageOverhead}
 		o.pendingSessions = append(o.pendingSessions, s)
 	}
 	s.pending.Ops = append(s.pending.Ops, op)
