--- a/internal/controller/assignment_test.go
+++ b/internal/controller/assignment_test.go
@@ -10,18 +10,18 @@
 	"indigousher/planner"
 )
 
-// TestHeld guards a return, to this pilot or another, before or after a crash: of a table that the proxy has only
-// what differs is sent.
-func TestHeld(t *testing.T) {
+// TestAssignTableSendsOnlyDifferences checks that a proxy that rejoins with a table in its hello, for example after a
+// pilot crashed, is sent only the lines that differ, and that a second assignment sends the whole table.
+func TestAssignTableSendsOnlyDifferences(t *testing.T) {
 	d := &scriptedDecider{commands: [][]planner.Command{nil, {
 		planner.SetWeight{Table: 5, Endpoint: 0, Weight: 1},
 		planner.SetWeight{Table: 5, Endpoint: 1, Weight: 2},
 		planner.AssignTable{Table: 5, Proxy: 0},
 		planner.AssignTable{Table: 5, Proxy: 0},
 	}}}
-	edge := &fakeTransport{}
+	transport := &fakeTransport{}
 	stream := &fakeTransport{}
-	c := NewCore(newOptions(d, edge))
+	c := NewCore(newOptions(d, transport))
 	c.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0))})
 	h := hello("p", "a", "x")
 	h.Tables = []wire.HeldTable{{Table: 5, Lines: []wire.HeldLine{
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -12,16 +12,17 @@
 	"indigousher/planner"
 )
 
-// TestNotes shows that every event of the decider's interface has a source.
-func TestNotes(t *testing.T) {
+// TestEventSources checks that inputs and timers produce the expected events for the decider: an update for each
+// endpoint list, one Ack per ack request, and report statistics at the end of the period.
+func TestEventSources(t *testing.T) {
 	d := &scriptedDecider{commands: [][]planner.Command{
-		{planner.SetTimer{AtMs: 150, Name: "bell"}},
+		{planner.SetTimer{AtMs: 150, Name: "timer"}},
 		nil,
 		{planner.AckRequest{Number: 9, All: true}},
 	}}
-	edge := &fakeTransport{}
+	transport := &fakeTransport{}
 	stream := &fakeTransport{}
-	c := NewCore(newOptions(d, edge))
+	c := NewCore(newOptions(d, transport))
 	c.Handle(0, nil)
 	c.Handle(100, []Input{listed(true, entry("x", 0), entry("y", 4000)), ProxyJoined{stream, hello("p", "b")}})
 	c.Handle(160, nil)
@@ -30,7 +31,7 @@
 		EndpointListLost{},
 		GossipReceived{3, "hi"},
 		Acked{stream, wire.Done{Mark: 9, TookMs: 2}},
-		Acked{stream, wire.Done{Mark: 9}}, // acknowledged before
+		Acked{stream, wire.Done{Mark: 9}}, // already acknowledged
 		Acked{stream, wire.Done{Mark: 8}}, // never sent
 		HealthChecked{"x", "ok", 5, []wire.LoadMetric{{Name: "util", Value: 0.5}}},
 		LoadReported{stream, &wire.LoadReport{
@@ -47,7 +48,7 @@
 			{Endpoint: 1, Zone: 1, Weight: 2, Started: -900},
 		}},
 		planner.ProxyJoined{Proxy: 0, Zone: 1, Rate: 2, Fresh: true},
-		planner.TimerFired{Name: "bell"},
+		planner.TimerFired{Name: "timer"},
 		planner.EndpointUpdate{Mode: planner.Delta, Version: 7, Entries: []planner.Entry{
 			{Endpoint: 1, Zone: 1, Weight: 2, Started: -900},
 		}},
@@ -59,89 +60,90 @@
 		planner.RequestStats{Proxy: 0, Class: 1, Requests: 5, Unanswered: 1, SpanMs: 500},
 		planner.ProxyLeft{Proxy: 0},
 	}, d.events)
-	assert.Equal(t, []string{"odd sums of an unknown endpoint"}, edge.calls)
+	assert.Equal(t, []string{"malformed sums of an unknown endpoint"}, transport.calls)
 }
 
-// TestOrders shows what each command amounts to at a proxy or a transport.
-func TestOrders(t *testing.T) {
+// TestCommandEffects checks which operations are sent to a proxy, and which transport methods are called, for each
+// command of the decider.
+func TestCommandEffects(t *testing.T) {
 	set := func(e int, w float64) planner.Command { return planner.SetWeight{Table: 5, Endpoint: e, Weight: w} }
 	setOp := func(e string, w float64) wire.Op {
 		return wire.Op{Kind: wire.OpSetWeight, Table: 5, Endpoint: e, Weight: w}
 	}
-	bindOp := wire.Op{Kind: wire.OpAssignTable, Table: 5, Classes: 3}
-	out := func(e string) wire.Op { return wire.Op{Kind: wire.OpSetExcluded, Endpoint: e, Remove: true} }
-	bind := planner.AssignTable{Table: 5, Proxy: 0}
+	assignOp := wire.Op{Kind: wire.OpAssignTable, Table: 5, Classes: 3}
+	excludeOp := func(e string) wire.Op { return wire.Op{Kind: wire.OpSetExcluded, Endpoint: e, Remove: true} }
+	assign := planner.AssignTable{Table: 5, Proxy: 0}
 	for _, c := range []struct {
 		name     string
 		commands []planner.Command
 		want     []wire.Op
 		calls    []string
 	}{
-		{"a table that nobody uses", []planner.Command{set(0, 1)}, nil, nil},
+		{"a table without users is not sent", []planner.Command{set(0, 1)}, nil, nil},
 		{
-			"a bind sends the whole table",
-			[]planner.Command{set(1, 2), set(0, 1), bind},
-			[]wire.Op{bindOp, setOp("x", 1), setOp("y", 2)},
+			"an assignment sends the whole table",
+			[]planner.Command{set(1, 2), set(0, 1), assign},
+			[]wire.Op{assignOp, setOp("x", 1), setOp("y", 2)},
 			nil,
 		},
-		{"a line after a bind", []planner.Command{bind, set(0, 1)}, []wire.Op{bindOp, setOp("x", 1)}, nil},
+		{"a weight set after the assignment", []planner.Command{assign, set(0, 1)}, []wire.Op{assignOp, setOp("x", 1)}, nil},
 		{
-			"a line that goes",
-			[]planner.Command{set(0, 1), bind, set(0, 0)},
-			[]wire.Op{bindOp, setOp("x", 1), setOp("x", 0)},
+			"a removed line",
+			[]planner.Command{set(0, 1), assign, set(0, 0)},
+			[]wire.Op{assignOp, setOp("x", 1), setOp("x", 0)},
 			nil,
 		},
 		{
-			"a bind tells what is shut out",
-			[]planner.Command{set(1, 1), planner.SetExcluded{Endpoint: 1, Excluded: true}, bind},
-			[]wire.Op{bindOp, setOp("y", 1), out("y")},
+			"an assignment sends exclusions",
+			[]planner.Command{set(1, 1), planner.SetExcluded{Endpoint: 1, Excluded: true}, assign},
+			[]wire.Op{assignOp, setOp("y", 1), excludeOp("y")},
 			nil,
 		},
 		{
-			"a line of what is shut out",
-			[]planner.Command{bind, planner.SetExcluded{Endpoint: 1, Excluded: true}, set(1, 1)},
-			[]wire.Op{bindOp, setOp("y", 1), out("y")},
+			"a weight for an excluded endpoint",
+			[]planner.Command{assign, planner.SetExcluded{Endpoint: 1, Excluded: true}, set(1, 1)},
+			[]wire.Op{assignOp, setOp("y", 1), excludeOp("y")},
 			nil,
 		},
 		{
-			"withdrawn where the standing table holds it",
+			"an exclusion is sent to a proxy that joined with the endpoint",
 			[]planner.Command{planner.SetExcluded{Endpoint: 0, Excluded: true}},
-			[]wire.Op{out("x")},
+			[]wire.Op{excludeOp("x")},
 			nil,
 		},
-		{"withdrawn where nobody holds it", []planner.Command{planner.SetExcluded{Endpoint: 1, Excluded: true}}, nil, nil},
+		{"an exclusion without holders is not sent", []planner.Command{planner.SetExcluded{Endpoint: 1, Excluded: true}}, nil, nil},
 		{
-			"a table cleared",
-			[]planner.Command{set(0, 1), bind, planner.ClearTable{Table: 5}, planner.SetExcluded{Endpoint: 0, Excluded: true}},
-			[]wire.Op{bindOp, setOp("x", 1), {Kind: wire.OpClearTable, Table: 5}},
+			"a cleared table",
+			[]planner.Command{set(0, 1), assign, planner.ClearTable{Table: 5}, planner.SetExcluded{Endpoint: 0, Excluded: true}},
+			[]wire.Op{assignOp, setOp("x", 1), {Kind: wire.OpClearTable, Table: 5}},
 			nil,
 		},
 		{
-			"levels",
-			[]planner.Command{planner.SetAdmission{Table: 5, Classes: 1, Level: 0.5, RetryMode: 1}, bind},
-			[]wire.Op{bindOp, {Kind: wire.OpSetAdmission, Table: 5, Classes: 1, Weight: 0.5, RetryMode: 1}},
+			"admission levels of a table",
+			[]planner.Command{planner.SetAdmission{Table: 5, Classes: 1, Level: 0.5, RetryMode: 1}, assign},
+			[]wire.Op{assignOp, {Kind: wire.OpSetAdmission, Table: 5, Classes: 1, Weight: 0.5, RetryMode: 1}},
 			nil,
 		},
 		{
-			"levels for all",
+			"admission levels of all tables",
 			[]planner.Command{planner.SetAdmission{Table: planner.EveryTable, Classes: 1, Level: 0.5}},
 			[]wire.Op{{Kind: wire.OpSetAdmission, Table: planner.EveryTable, Classes: 1, Weight: 0.5}},
 			nil,
 		},
 		{
-			"a mark goes with a message",
+			"an ack request is added to a message",
 			[]planner.Command{planner.SetExcluded{Endpoint: 0, Excluded: true}, planner.AckRequest{Number: 4}},
-			[]wire.Op{out("x"), {Kind: wire.OpAckRequest, AckNumber: 4}},
+			[]wire.Op{excludeOp("x"), {Kind: wire.OpAckRequest, AckNumber: 4}},
 			nil,
 		},
-		{"a mark without a message", []planner.Command{planner.AckRequest{Number: 4}}, nil, nil},
+		{"an ack request without a message is not sent", []planner.Command{planner.AckRequest{Number: 4}}, nil, nil},
 		{
-			"a mark for all",
+			"an ack request to all proxies",
 			[]planner.Command{planner.AckRequest{Number: 4, All: true}},
 			[]wire.Op{{Kind: wire.OpAckRequest, AckNumber: 4}},
 			nil,
 		},
-		{"the edges", []planner.Command{
+		{"calls of transports", []planner.Command{
 			planner.HealthCheck{Endpoint: 1},
 			planner.SendGossip{Peer: -1, Text: "t"},
 			planner.WatchEndpoints{On: true},
@@ -149,17 +151,17 @@
 			planner.Log{Text: "l"},
 		}, nil, []string{"probe y", "tell -1 t", "watch true", "fetch", "log l"}},
 		{
-			"a proxy that is not joined",
+			"an assignment to a proxy that has not joined",
 			[]planner.Command{planner.AssignTable{Table: 5, Proxy: 2}},
 			nil,
-			[]string{"odd bind of a proxy that has left"},
+			[]string{"malformed bind of a proxy that has left"},
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := &scriptedDecider{commands: [][]planner.Command{nil, c.commands}}
-			edge := &fakeTransport{}
+			transport := &fakeTransport{}
 			stream := &fakeTransport{}
-			core := NewCore(newOptions(d, edge))
+			core := NewCore(newOptions(d, transport))
 			core.Handle(0, []Input{listed(true, entry("x", 0), entry("y", 0))})
 			core.Handle(1, []Input{ProxyJoined{stream, hello("p", "a", "x", "unknown")}})
 			lines := core.Channel.Send(1)
@@ -170,19 +172,20 @@
 				assert.Equal(t, lines, m.CostLines, "one message for each proxy")
 			}
 			assert.Equal(t, c.want, ops)
-			assert.Equal(t, c.calls, edge.calls)
+			assert.Equal(t, c.calls, transport.calls)
 		})
 	}
 }
 
-// TestSameOrders shows that the same inputs at the same times give the same messages, with the decider that ships.
-func TestSameOrders(t *testing.T) {
+// TestDeterministicMessages checks, with the production planner, that the same inputs at the same times result in the
+// same messages.
+func TestDeterministicMessages(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.IntRange(0, 5), 1, 60).Draw(rt, "steps")
-		play := func() (all []string) {
-			terms := map[string]any{"req_kinds": []any{map[string]any{"name": "read"}, map[string]any{"name": "book"}}}
-			edge := &fakeTransport{}
-			c := NewCore(newOptions(planner.New(1, terms), edge))
+		run := func() (all []string) {
+			settings := map[string]any{"req_kinds": []any{map[string]any{"name": "read"}, map[string]any{"name": "book"}}}
+			transport := &fakeTransport{}
+			c := NewCore(newOptions(planner.New(1, settings), transport))
 			streams := []*fakeTransport{{}, {}, {}}
 			for i, s := range steps {
 				now := float64(i) * 170
@@ -213,9 +216,9 @@
 					all = append(all, fmt.Sprintf("%+v", *m))
 				}
 			}
-			return append(all, edge.calls...)
+			return append(all, transport.calls...)
 		}
-		first := play()
-		require.Equal(rt, first, play())
+		first := run()
+		require.Equal(rt, first, run())
 	})
 }
--- a/internal/controller/endpoints_test.go
+++ b/internal/controller/endpoints_test.go
@@ -11,8 +11,9 @@
 	"indigousher/planner"
 )
 
-// TestRestamped guards the start of an endpoint against jitter of the list's clock, which would look like a restart.
-func TestRestamped(t *testing.T) {
+// TestStartTimeIgnoresListClockJitter checks that jitter of the list source's clock does not change the start time of
+// an endpoint, which the decider would interpret as a restart.
+func TestStartTimeIgnoresListClockJitter(t *testing.T) {
 	d := &scriptedDecider{}
 	c := NewCore(newOptions(d, &fakeTransport{}))
 	for i, at := range []uint64{5000, 6003, 9100} {
@@ -29,10 +30,10 @@
 	assert.Equal(t, []float64{-1000, -1000, -1000, 8900}, starts)
 }
 
-// TestGenerations guards memory: endpoints give way to new ones under new names for as long as a pilot lives, and
-// each name would keep an index, its actor and its lines in the decider.
-func TestGenerations(t *testing.T) {
-	terms := map[string]any{
+// TestEndpointIndexReuse checks that memory stays bounded while endpoints are replaced by new ones under new names.
+// Without reuse of indices, each name would keep its index and its state in the planner for the life of the process.
+func TestEndpointIndexReuse(t *testing.T) {
+	settings := map[string]any{
 		"instances":   1.0,
 		"lines_per_s": 1000.0,
 		"backlog":     1500.0,
@@ -40,9 +41,9 @@
 		"zones":       []any{"a", "b"},
 		"req_kinds":   []any{map[string]any{"payoff": 1.0}},
 	}
-	c, relay := newRelayCore(planner.New(1, terms))
+	c, relay := newRelayCore(planner.New(1, settings))
 	c.Handle(0, []Input{RelayProxyJoined{Proxy: 1, Zone: "a", Rate: 5, Fresh: true}})
-	most, last := 0, ""
+	maxIndices, last := 0, ""
 	for g := range 500 {
 		l := &wire.List{Version: g, Whole: g%7 == 0, Now: uint64(1e9 + 5000*g)}
 		for i := range 4 {
@@ -58,15 +59,15 @@
 			c.Handle(float64(5000*g+1000*s), []Input{ZoneStats{Zone: "a", Endpoint: last, Attempts: 9, SpanMs: 1000}})
 		}
 		if g == 100 {
-			most = c.endpoints.len()
+			maxIndices = c.endpoints.len()
 		}
 	}
-	assert.LessOrEqual(t, c.endpoints.len(), most, "indices of those long gone are used again")
-	assert.Less(t, most, 100)
+	assert.LessOrEqual(t, c.endpoints.len(), maxIndices, "indices of removed endpoints are reused")
+	assert.Less(t, maxIndices, 100)
 	_, known := c.endpoints.find("e1-0")
-	assert.False(t, known, "the name of one long gone is forgotten")
-	assert.LessOrEqual(t, len(c.endpoints.retiredAtMs), most)
-	assert.True(t, relay.names[last], "a new endpoint under a used index is planned by its own name")
+	assert.False(t, known, "the name of a removed endpoint is no longer known")
+	assert.LessOrEqual(t, len(c.endpoints.retiredAtMs), maxIndices)
+	assert.True(t, relay.names[last], "the relay gets a new endpoint with a reused index by its own name")
 	assert.Zero(t, c.ReportStats.Malformed)
 	assert.Equal(t, 2000, c.ReportStats.Reports)
 }
--- a/internal/controller/malformed_test.go
+++ b/internal/controller/malformed_test.go
@@ -17,27 +17,28 @@
 	got []*wire.Commands
 }
 
+// Send records the message and applies it.
 func (p *recordingProxy) Send(m *wire.Commands) error {
 	p.got = append(p.got, m)
 	return p.fleetProxy.Send(m)
 }
 
-// TestHostile guards all that is decided for good proxies against one peer whose messages parse but mean harm: whatever
-// it says, what crosses to the others has sound weights and levels, they keep lines, and the module goes on.
-func TestHostile(t *testing.T) {
+// TestHostilePeer checks that a peer that sends well-formed messages with harmful values does not affect other proxies:
+// they receive only weights and levels between 0 and 1, keep eligible endpoints, and later drains still reach them.
+func TestHostilePeer(t *testing.T) {
 	huge, nan, inf := 1e308, math.NaN(), math.Inf(1)
 	met := func(change func(s *wire.LoadReport, m *wire.EndpointStats)) func(*fleet, *fakeTransport) {
 		return func(f *fleet, bad *fakeTransport) {
 			f.handle(ProxyJoined{bad, wire.Hello{Proxy: "bad", Zone: "a", Rate: 2}})
 			for i := range 6 {
-				s := &wire.LoadReport{Seq: uint64(i + 1), AtMs: f.now, SpanMs: 1000}
+				s := &wire.LoadReport{Seq: uint64(i + 1), AtMs: f.nowMs, SpanMs: 1000}
 				for e := range 9 {
 					m := wire.EndpointStats{Endpoint: fmt.Sprint("e", e), Attempts: 9, MeanMs: 20, Load: []wire.LoadMetric{{Name: "util", Value: 0.4}}}
 					change(s, &m)
 					s.EndpointStats = append(s.EndpointStats, m)
 				}
 				f.handle(LoadReported{bad, s})
-				f.until(f.now + 1000)
+				f.advanceTo(f.nowMs + 1000)
 			}
 		}
 	}
@@ -56,38 +57,38 @@
 			f.handle(listed(false, e))
 		}
 	}
-	for name, harm := range map[string]func(*fleet, *fakeTransport){
-		"rate not a number": rate(nan), "rate infinite": rate(inf), "rate huge": rate(huge), "rate negative": rate(-huge),
-		"load not a number": load("util", nan), "load infinite": load("util", inf), "load huge": load("util", huge),
+	for name, attack := range map[string]func(*fleet, *fakeTransport){
+		"rate NaN": rate(nan), "rate infinite": rate(inf), "rate huge": rate(huge), "rate negative": rate(-huge),
+		"load NaN": load("util", nan), "load infinite": load("util", inf), "load huge": load("util", huge),
 		"load negative": load("util", -huge), "queue infinite": load("waiting", inf), "queue huge": load("waiting", huge),
 		"queue negative": load("in_hand", -1), "served huge": load("rate", huge),
-		"mean huge":        met(func(_ *wire.LoadReport, m *wire.EndpointStats) { m.MeanMs = huge }),
-		"mean no number":   met(func(_ *wire.LoadReport, m *wire.EndpointStats) { m.MeanMs = nan }),
-		"no span":          met(func(s *wire.LoadReport, _ *wire.EndpointStats) { s.SpanMs = 5e-324 }),
+		"mean time huge":   met(func(_ *wire.LoadReport, m *wire.EndpointStats) { m.MeanMs = huge }),
+		"mean time NaN":    met(func(_ *wire.LoadReport, m *wire.EndpointStats) { m.MeanMs = nan }),
+		"span tiny":        met(func(s *wire.LoadReport, _ *wire.EndpointStats) { s.SpanMs = 5e-324 }),
 		"span infinite":    met(func(s *wire.LoadReport, _ *wire.EndpointStats) { s.SpanMs = inf }),
-		"far future":       met(func(s *wire.LoadReport, _ *wire.EndpointStats) { s.AtMs = huge }),
-		"last sequence":    met(func(s *wire.LoadReport, _ *wire.EndpointStats) { s.Seq = math.MaxUint64 }),
-		"tries at end":     met(func(_ *wire.LoadReport, m *wire.EndpointStats) { m.Attempts, m.Failed = math.MaxInt32, math.MaxInt32 }),
-		"failed above":     met(func(_ *wire.LoadReport, m *wire.EndpointStats) { m.Failed = m.Attempts + 1 }),
-		"negative tries":   met(func(_ *wire.LoadReport, m *wire.EndpointStats) { m.Attempts, m.Failed = -5, -9 }),
+		"time huge":        met(func(s *wire.LoadReport, _ *wire.EndpointStats) { s.AtMs = huge }),
+		"sequence maximum": met(func(s *wire.LoadReport, _ *wire.EndpointStats) { s.Seq = math.MaxUint64 }),
+		"attempts maximum": met(func(_ *wire.LoadReport, m *wire.EndpointStats) { m.Attempts, m.Failed = math.MaxInt32, math.MaxInt32 }),
+		"failed too high":  met(func(_ *wire.LoadReport, m *wire.EndpointStats) { m.Failed = m.Attempts + 1 }),
+		"attempts below 0": met(func(_ *wire.LoadReport, m *wire.EndpointStats) { m.Attempts, m.Failed = -5, -9 }),
 		"weight huge":      list(func(e *wire.Entry) { e.Weight = huge }),
 		"weight infinite":  list(func(e *wire.Entry) { e.Weight = inf }),
-		"weight no number": list(func(e *wire.Entry) { e.Weight = nan }),
+		"weight NaN":       list(func(e *wire.Entry) { e.Weight = nan }),
 		"weight negative":  list(func(e *wire.Entry) { e.Weight = -1 }),
-		"weight least":     list(func(e *wire.Entry) { e.Weight = 5e-324 }),
-		"start at end":     list(func(e *wire.Entry) { e.Started = math.MaxUint64 }),
-		"start just past":  list(func(e *wire.Entry) { e.Started = 1 }),
-		"cell at end":      list(func(e *wire.Entry) { e.Cell = math.MaxInt32 }),
-		"probe's load": func(f *fleet, _ *fakeTransport) {
+		"weight tiny":      list(func(e *wire.Entry) { e.Weight = 5e-324 }),
+		"start maximum":    list(func(e *wire.Entry) { e.Started = math.MaxUint64 }),
+		"start 1 ms":       list(func(e *wire.Entry) { e.Started = 1 }),
+		"cell maximum":     list(func(e *wire.Entry) { e.Cell = math.MaxInt32 }),
+		"health check load infinite": func(f *fleet, _ *fakeTransport) {
 			f.handle(HealthChecked{"e1", "ok", huge, []wire.LoadMetric{{Name: "util", Value: inf}}})
 		},
-		"marks that never were": func(f *fleet, bad *fakeTransport) {
+		"acks that were never requested": func(f *fleet, bad *fakeTransport) {
 			f.handle(ProxyJoined{bad, wire.Hello{Proxy: "bad", Zone: "a", Rate: 2}})
 			for n := range 70000 {
 				f.handle(Acked{bad, wire.Done{Mark: n}})
 			}
 		},
-		"a slice where there are none": func(f *fleet, _ *fakeTransport) {
+		"slices that do not exist": func(f *fleet, _ *fakeTransport) {
 			for n := range 3 {
 				f.handle(SliceAssigned{&wire.Slices{Slice: n, Given: true}})
 			}
@@ -98,47 +99,47 @@
 			f, entries := newFleet(9, 0, 1000, 1500, 2000)
 			var good []*recordingProxy
 			for i := range 6 {
-				v := &recordingProxy{fleetProxy: fleetProxy{fleet: f, name: fmt.Sprint("p", i), zone: []string{"a", "b", "c"}[i%3]}}
-				good = append(good, v)
+				p := &recordingProxy{fleetProxy: fleetProxy{fleet: f, name: fmt.Sprint("p", i), zone: []string{"a", "b", "c"}[i%3]}}
+				good = append(good, p)
 			}
 			f.joinRecording(good, entries)
-			f.until(8000)
-			harm(f, &fakeTransport{})
+			f.advanceTo(8000)
+			attack(f, &fakeTransport{})
 			before := len(good[0].got)
-			f.until(f.now + 12000)
+			f.advanceTo(f.nowMs + 12000)
 			assert.GreaterOrEqual(t, len(good[0].got), before)
 			assert.LessOrEqual(t, f.core.Channel.MaxLines, 1500)
-			for _, v := range good {
-				for _, m := range v.got {
+			for _, p := range good {
+				for _, m := range p.got {
 					for _, op := range m.Ops {
-						require.False(t, math.IsNaN(op.Weight) || op.Weight < 0 || op.Weight > 1, "%s got %+v", v.name, op)
+						require.False(t, math.IsNaN(op.Weight) || op.Weight < 0 || op.Weight > 1, "%s got %+v", p.name, op)
 					}
 				}
 				open := 0
 				for e := range 9 {
-					if v.follow.Eligible(0, fmt.Sprint("e", e)) {
+					if p.router.Eligible(0, fmt.Sprint("e", e)) {
 						open++
 					}
 				}
-				assert.Greater(t, open, 2, "lines of %s", v.name)
+				assert.Greater(t, open, 2, "eligible endpoints of %s", p.name)
 			}
-			// a drain still goes through
+			// A drain must still reach all proxies.
 			e := entries[4]
 			e.Phase = wire.PhaseDraining
 			f.handle(listed(false, e))
-			f.until(f.now + 2000)
-			for _, v := range good {
-				assert.False(t, v.follow.Eligible(0, "e4"), "%s after a drain", v.name)
+			f.advanceTo(f.nowMs + 2000)
+			for _, p := range good {
+				assert.False(t, p.router.Eligible(0, "e4"), "%s still uses a drained endpoint", p.name)
 			}
 		})
 	}
 }
 
-// joinRecording lets recording proxies in.
-func (f *fleet) joinRecording(some []*recordingProxy, entries []wire.Entry) {
-	for _, v := range some {
-		plain := &v.fleetProxy
-		f.join([]*fleetProxy{plain}, entries) // makes its follower
-		f.handle(ProxyLeft{plain}, ProxyJoined{v, wire.Hello{Proxy: v.name, Zone: v.zone, Rate: 2, Fresh: true}})
+// joinRecording lets recording proxies join.
+func (f *fleet) joinRecording(proxies []*recordingProxy, entries []wire.Entry) {
+	for _, p := range proxies {
+		plain := &p.fleetProxy
+		f.join([]*fleetProxy{plain}, entries) // creates its router
+		f.handle(ProxyLeft{plain}, ProxyJoined{p, wire.Hello{Proxy: p.name, Zone: p.zone, Rate: 2, Fresh: true}})
 	}
 }
--- a/internal/daemon/core_bench_test.go
+++ b/internal/daemon/core_bench_test.go
@@ -67,21 +67,21 @@
 	settings := cfg.PlannerSettings(0)
 	bench := &coreBench{settings: settings, planner: &timedDecider{Decider: planner.New(1, settings)}, nowMs: 1}
 	bench.options = controller.Options{
-		Decider:        bench.planner,
-		Settings:       settings,
-		Zones:          zones,
-		Machines:       cfg.Machines,
-		Classes:        cfg.ClassNames(),
-		LinesPerS:      cfg.LinesPerS,
-		Backlog:        cfg.Backlog,
-		HeadLines:      4,
-		Telemetry:      telemetry.Options{PeriodMs: 1000, HalfLifeMs: 5000, MaxAgeMs: 60000},
-		MaxProxies:     1 << 16,
-		EndpointSource: idle{},
-		HealthChecker:  idle{},
-		Gossip:         idle{},
-		Log:            func(string) {},
-		Malformed:      func(string, ...string) {},
+		Decider:         bench.planner,
+		Settings:        settings,
+		Zones:           zones,
+		Machines:        cfg.Machines,
+		Classes:         cfg.ClassNames(),
+		LinesPerS:       cfg.LinesPerS,
+		Backlog:         cfg.Backlog,
+		MessageOverhead: 4,
+		Telemetry:       telemetry.Options{PeriodMs: 1000, HalfLifeMs: 5000, MaxAgeMs: 60000},
+		MaxProxies:      1 << 16,
+		EndpointSource:  idle{},
+		HealthChecker:   idle{},
+		Gossip:          idle{},
+		Log:             func(string) {},
+		Malformed:       func(string, ...string) {},
 	}
 	return bench
 }
@@ -120,7 +120,7 @@
 		return
 	}
 	time.Sleep(time.Second) // past a commit
-	b.ReportMetric(float64(c.writer.Bytes.Load())/float64(c.core.Events), "bytes/note")
+	b.ReportMetric(float64(c.writer.Bytes.Load())/float64(c.core.EventCount), "bytes/note")
 	b.ReportMetric(float64(c.writer.Bytes.Load())/float64(b.N), "bytes/s-of-pilot")
 	c.stop()
 	c.replay(b)
@@ -139,7 +139,7 @@
 		c.reports = append(c.reports, benchReport(entries, i))
 	}
 	c.planner.took = 0
-	c.core.Events = 0
+	c.core.EventCount = 0
 }
 
 // benchReport returns what a proxy met in a second.
@@ -165,10 +165,10 @@
 		report.Seq++
 		report.AtMs = c.nowMs
 		c.nowMs += 1000.0 / manyProxies
-		events := c.core.Events
+		events := c.core.EventCount
 		began := time.Now()
 		c.core.Handle(c.nowMs, []controller.Input{controller.LoadReported{Stream: stream, Sums: report}})
-		if c.core.Events > events {
+		if c.core.EventCount > events {
 			c.turnsMs = append(c.turnsMs, time.Since(began).Seconds()*1000)
 		}
 		c.core.Channel.Send(c.nowMs)
@@ -183,7 +183,7 @@
 	b.ReportMetric(own/planner, "own/module")
 	b.ReportMetric(planner/float64(b.N)*1000, "module-ms/s")
 	b.ReportMetric(float64(c.inputs)*linesPerReport/own, "report-lines/own-s")
-	b.ReportMetric(float64(c.core.Events)/all, "notes/s")
+	b.ReportMetric(float64(c.core.EventCount)/all, "notes/s")
 	slices.Sort(c.turnsMs)
 	b.ReportMetric(c.turnsMs[len(c.turnsMs)*99/100], "ms-turn-p99")
 }
@@ -223,7 +223,7 @@
 }
 
 // Ask does nothing.
-func (s *sink) Ask(*wire.Pace) error { return nil }
+func (s *sink) RequestPace(*wire.Pace) error { return nil }
 
 // Close does nothing.
 func (s *sink) Close(string) {}
--- a/internal/emulator/pilot.go
+++ b/internal/emulator/pilot.go
@@ -95,23 +95,23 @@
 	s := &p.settings
 	plannerSettings := s.PlannerSettings(p.rank)
 	return controller.Options{
-		Decider:        p.w.Decide(int64(s.Seed), plannerSettings),
-		Settings:       plannerSettings,
-		Zones:          s.Zones,
-		Machines:       s.Machines,
-		Classes:        s.ClassNames(),
-		LinesPerS:      s.LinesPerS,
-		Backlog:        s.Backlog,
-		HeadLines:      s.HeadLines,
-		MaxMessages:    s.MessagesMost,
-		MessagesOverMs: float64(s.MessagesOver.Milliseconds()),
-		Telemetry:      s.TelemetryOptions(),
-		MaxProxies:     s.MostProxies,
-		EndpointSource: endpointSource{pilot: p, process: process},
-		HealthChecker:  healthChecker{pilot: p, process: process},
-		Gossip:         gossip{pilot: p},
-		Log:            func(text string) { p.w.logLine(p, text) },
-		Malformed:      func(what string, _ ...string) { p.w.countMalformed(what) },
+		Decider:         p.w.Decide(int64(s.Seed), plannerSettings),
+		Settings:        plannerSettings,
+		Zones:           s.Zones,
+		Machines:        s.Machines,
+		Classes:         s.ClassNames(),
+		LinesPerS:       s.LinesPerS,
+		Backlog:         s.Backlog,
+		MessageOverhead: s.HeadLines,
+		MaxMessages:     s.MessagesMost,
+		MessageWindowMs: float64(s.MessagesOver.Milliseconds()),
+		Telemetry:       s.TelemetryOptions(),
+		MaxProxies:      s.MostProxies,
+		EndpointSource:  endpointSource{pilot: p, process: process},
+		HealthChecker:   healthChecker{pilot: p, process: process},
+		Gossip:          gossip{pilot: p},
+		Log:             func(text string) { p.w.logLine(p, text) },
+		Malformed:       func(what string, _ ...string) { p.w.countMalformed(what) },
 	}
 }
 
@@ -119,7 +119,7 @@
 func (p *emulatedPilot) scheduleLineCount(process *pilotProcess, start int) {
 	p.w.After(settleMs, func() {
 		if p.process == process {
-			p.Starts[start].LinesSent = process.core.Channel.Sent
+			p.Starts[start].LinesSent = process.core.Channel.LinesSent
 		}
 	})
 }
--- a/recovery/world_test.go
+++ b/recovery/world_test.go
@@ -59,7 +59,7 @@
 }
 
 // Ask ignores changes of the reporting interval.
-func (s *stream) Ask(*wire.Pace) error { return nil }
+func (s *stream) RequestPace(*wire.Pace) error { return nil }
 
 // Close ignores that the controller closes the stream.
 func (s *stream) Close(string) {}
