--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -50,7 +50,7 @@
 	first := fake.listen(t)
 	second := fake.listen(t)
 	third := fake.listen(t)
-	listen := freeAddress(t) // last, or the kernel could give the released port to one of the fakes
+	listen := freeAddress(t)                     // last, or the kernel could give the released port to one of the fakes
 	var file atomic.Pointer[placement.Placement] // what readPlacement returns; nil simulates an invalid file
 	readPlacement := func() (*placement.Placement, error) {
 		if p := file.Load(); p != nil {
