--- a/internal/daemon/assemble.go
+++ b/internal/daemon/assemble.go
@@ -10,7 +10,8 @@
 	"indigousher/internal/transport/discovery"
 )
 
-// assemble puts the controller together, step by step. After an error New closes what stands by then.
+// assemble creates the parts of the controller in dependency order. If it returns an error, New closes the parts that
+// were already created.
 func (d *Daemon) assemble(cfg *config.Pilot) error {
 	if err := d.loadKeys(cfg); err != nil {
 		return err
@@ -36,13 +37,16 @@
 	return nil
 }
 
-// lateLoop passes inputs on to the loop, which is made after the transports that need it.
+// lateLoop forwards inputs to the control loop. The transports need a destination for their inputs when they are
+// created, but the loop is created after them.
 type lateLoop struct{ d *Daemon }
 
-// Post passes an input on; the loop is there once anything runs.
+// Post forwards an input to the loop. It must not be called before buildCore has created the loop; the transports
+// produce no inputs until Run starts them.
 func (l lateLoop) Post(ctx context.Context, in controller.Input) error { return l.d.loop.Post(ctx, in) }
 
-// followEndpointList makes the source of the endpoint list: a stream from a server, or a file.
+// followEndpointList creates the source of the endpoint list: a stream from a server if the configuration has a server
+// address, otherwise a watched file.
 func (d *Daemon) followEndpointList(cfg *config.Pilot) {
 	log := d.options.Log.Named("list")
 	if cfg.ListAddress != "" {
@@ -53,7 +57,7 @@
 	d.endpointSource = discovery.NewFile(cfg.ListFile, config.ReadList, lateLoop{d}, log)
 }
 
-// coreOptions returns a core's options, with a new planner.
+// coreOptions returns the options for a controller core, including a newly created planner.
 func (d *Daemon) coreOptions(cfg *config.Pilot) controller.Options {
 	settings := cfg.PlannerSettings(cfg.Rank)
 	log := d.options.Log
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -8,10 +8,11 @@
 	"indigousher/internal/transport/healthcheck"
 )
 
-// buildCore makes the core and its loop: rebuilt from the record, or new.
+// buildCore creates the controller core and its loop. If the record can be used, the core is restored from it;
+// otherwise it starts empty.
 func (d *Daemon) buildCore(cfg *config.Pilot) error {
 	options := d.coreOptions(cfg)
-	var resumeAtMs float64 // on the controller's clock; 0: it starts at 0
+	var resumeAtMs float64 // controller clock in ms at which the loop resumes; 0: the clock starts at 0
 	if cfg.RecordDir != "" {
 		rebuilt, err := d.openRecord(cfg)
 		if err != nil {
@@ -34,13 +35,15 @@
 	return nil
 }
 
-// newRecorder returns what records the core's turns.
+// newRecorder returns a recorder that writes the core's turns and checkpoints to the record.
 func (d *Daemon) newRecorder() *record.Recorder {
-	checkpoint := func() []controller.Input { return d.core.Checkpoint() } // the core is made after the recorder
+	// A closure, because d.core is assigned after the recorder is created.
+	checkpoint := func() []controller.Input { return d.core.Checkpoint() }
 	return record.NewRecorder(d.recording.writer.Turn, checkpoint)
 }
 
-// replayOptions returns the options of a core that is being rebuilt: nothing that it commands reaches anybody.
+// replayOptions returns the options for a core that replays recorded turns. Transports, metrics and logs are disabled,
+// so that replayed commands have no external effect.
 func (d *Daemon) replayOptions(cfg *config.Pilot) controller.Options {
 	options := d.coreOptions(cfg)
 	options.Replayed = true
@@ -50,12 +53,12 @@
 	options.Metrics = nil
 	options.Log = func(string) {}
 	options.Malformed = func(string, ...string) {}
-	options.LinesPerS = 0 // not paced: the channel leads nowhere
+	options.LinesPerS = 0 // no rate limit during a replay: nothing is sent
 	options.Backlog = 0
 	return options
 }
 
-// disabledSource is a source of the endpoint list that is not asked.
+// disabledSource is an endpoint source that ignores all calls. It is used during a replay.
 type disabledSource struct{}
 
 // Watch does nothing.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -20,44 +20,44 @@
 	"indigousher/internal/transport/xds"
 )
 
-// endpointSource is a source of the endpoint list that runs.
+// endpointSource is a source of the endpoint list with a goroutine of its own: Run blocks until ctx ends.
 type endpointSource interface {
 	controller.EndpointSource
 	Run(ctx context.Context) error
 }
 
-// Daemon is one controller.
+// Daemon is one running controller: the planner with its control loop, transports, listeners and record.
 type Daemon struct {
-	config   atomic.Pointer[config.Pilot] // as it stands after the last reload
+	config   atomic.Pointer[config.Pilot] // current configuration, replaced by Reload
 	options  Options
 	registry *prometheus.Registry
 	metrics  *controller.Metrics
 
 	core      *controller.Core
 	loop      *controller.Loop
-	recording *recording // nil: nothing is recorded
+	recording *recording // nil if recording is disabled
 
-	// The transports; those that the configuration does not ask for are nil.
+	// Transports. A transport that is not configured is nil.
 	framedServer   *framed.Server
 	grpcServer     *grpcapi.Server
-	xdsServer      *xds.Server // with grpcServer, on the same listener
+	xdsServer      *xds.Server // shares grpcListener with grpcServer; nil exactly if grpcServer is nil
 	endpointSource endpointSource
 	healthChecker  *healthcheck.Checker
 	gossip         *gossip.Service
-	keyStore       *identity.KeyStore // nil: all is in plain text
+	keyStore       *identity.KeyStore // nil: all connections are plain text
 
-	// The listeners, and handles on them that may be handed over.
+	// Listeners. listenerFiles holds duplicate file handles of them by name, to pass to another process.
 	streamListener net.Listener
 	grpcListener   net.Listener
 	adminListener  net.Listener
 	listenerFiles  map[string]*os.File
 
-	running   context.Context // ends when everything is to end at once
-	terminate context.CancelFunc
-	killed    atomic.Bool // by Kill
+	running   context.Context    // canceled when all parts must stop immediately
+	terminate context.CancelFunc // cancels running
+	killed    atomic.Bool        // set by Kill
 }
 
-// New opens the listeners and assembles the controller. Nothing runs before Run.
+// New opens the listeners and creates the parts of the controller. Nothing is served until Run is called.
 func New(cfg *config.Pilot, o Options) (*Daemon, error) {
 	o.setDefaults()
 	d := &Daemon{options: o, registry: prometheus.NewRegistry(), listenerFiles: map[string]*os.File{}}
@@ -78,7 +78,7 @@
 	return d, nil
 }
 
-// State returns what the loop shows of itself.
+// State returns a snapshot of the control loop's state, as the admin interface serves it.
 func (d *Daemon) State() controller.State { return d.loop.State() }
 
 // Metrics returns the controller's metrics.
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -12,7 +12,7 @@
 	"indigousher/internal/transport/gossip"
 )
 
-// openGossip opens the socket between controllers, if the configuration names one.
+// openGossip opens the UDP socket for gossip between controllers. It does nothing if no address is configured.
 func (d *Daemon) openGossip(cfg *config.Pilot) error {
 	if cfg.PeersListen == "" {
 		return nil
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// loadGossipSecret returns the secret in a file; without a file there is none.
+// loadGossipSecret loads the shared secret that authenticates gossip. It returns nil if file is "".
 func loadGossipSecret(file string) (*identity.Secret, error) {
 	if file == "" {
 		return nil, nil
@@ -43,7 +43,8 @@
 	return identity.LoadSecret(file)
 }
 
-// addressesByRank returns the controllers' addresses. Their ranks were checked with the configuration.
+// addressesByRank converts the rank keys of the configured peer addresses to integers. The conversion can't fail, because
+// the configuration has been validated.
 func addressesByRank(addresses map[string]string) map[int]string {
 	byRank := map[int]string{}
 	for text, address := range addresses {
@@ -53,7 +54,8 @@
 	return byRank
 }
 
-// peersForCore returns the way to the other controllers, or one that leads nowhere.
+// peersForCore returns the sender of gossip messages to other controllers. If gossip is not configured, the sender
+// discards all messages.
 func (d *Daemon) peersForCore() controller.GossipSender {
 	if d.gossip == nil {
 		return gossip.Disabled{}
--- a/internal/daemon/handoff.go
+++ b/internal/daemon/handoff.go
@@ -9,8 +9,8 @@
 	"indigousher/internal/handover"
 )
 
-// serveHandoff lets other processes take over, if the configuration names a handover socket. Its goroutine ends when
-// one has, or with ctx.
+// serveHandoff accepts takeover requests from other processes on the handover socket. It does nothing if no socket is
+// configured. Its goroutine ends when another process has taken over, when serving fails, or when ctx ends.
 func (h *Host) serveHandoff(ctx context.Context) {
 	h.replaced = make(chan error, 1)
 	if h.config.Handover == "" {
@@ -29,18 +29,19 @@
 	}()
 }
 
-// stopForHandoff ends the controller and releases the lock.
+// stopForHandoff stops the controller and releases the lock, so that the new process can acquire it.
 func (h *Host) stopForHandoff() {
 	h.halt()
 	h.release()
 }
 
-// resume starts the controller again after a handoff that failed.
+// resume restarts the controller on its listeners after a failed handoff. lock is the lock of the handover socket, which
+// the handoff has acquired again.
 func (h *Host) resume(ctx context.Context, lock *handover.Lock) {
 	h.mu.Lock()
 	h.lock = lock
 	h.mu.Unlock()
-	h.options.Log.Warn("handover failed, serving on")
+	h.options.Log.Warn("handover failed, resuming")
 	h.options.Listeners = h.reopenListeners()
 	if err := h.start(ctx); err != nil {
 		h.options.Log.Error("pilot can't resume", zap.Error(err))
@@ -48,13 +49,14 @@
 	}
 }
 
-// reopenListeners makes listeners of the files that were kept. One that can't be made is opened anew by the daemon.
+// reopenListeners creates listeners from the file handles of the first daemon, by name. It omits a listener that can't
+// be created; New then opens a new one.
 func (h *Host) reopenListeners() map[string]net.Listener {
 	listeners := map[string]net.Listener{}
 	for name, file := range h.files {
 		l, err := net.FileListener(file)
 		if err != nil {
-			h.options.Log.Error("listener lost", zap.String("name", name), zap.Error(err))
+			h.options.Log.Error("listener can't be restored, opening a new one", zap.String("name", name), zap.Error(err))
 			continue
 		}
 		listeners[name] = l
--- a/internal/daemon/healthcheck.go
+++ b/internal/daemon/healthcheck.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// healthCheckTimeout is how long an endpoint may take to answer a health check.
+	// healthCheckTimeout is the time limit for one health check, connecting included.
 	healthCheckTimeout = time.Second
-	// maxHealthChecks is how many may run at once; a further one counts as denied.
+	// maxHealthChecks is the maximum number of concurrent health checks. A check beyond it is reported as denied.
 	maxHealthChecks = 64
 )
 
-// startHealthChecks makes the health checker, if the configuration asks for health checks.
+// startHealthChecks creates the health checker. It does nothing if health checks are disabled.
 func (d *Daemon) startHealthChecks(cfg *config.Pilot) {
 	if cfg.Probing {
 		d.healthChecker = healthcheck.New(d.running, d.options.Dial, lateLoop{d}, healthCheckTimeout, maxHealthChecks)
 	}
 }
 
-// proberForCore returns the health checker, or one that checks nothing.
+// proberForCore returns the health checker. If health checks are disabled, it returns one that checks nothing.
 func (d *Daemon) proberForCore() controller.HealthChecker {
 	if d.healthChecker == nil {
 		return healthcheck.Disabled{}
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -12,26 +12,28 @@
 	"indigousher/internal/handover"
 )
 
-// errNoSocket says that a takeover was asked for without a handover socket.
-var errNoSocket = errors.New("take over: the terms name no handover socket")
+// errNoSocket is returned for a takeover if no handover socket is configured.
+var errNoSocket = errors.New("take over: the settings name no handover socket")
 
-// Host runs a controller's process: the controller, its takeover from another process, and its handoff to one.
+// Host manages a controller in its process: it starts the controller, possibly by taking over from a running process,
+// and hands it over to a new process on request.
 type Host struct {
 	config  *config.Pilot
 	options Options
 
-	mu     sync.Mutex // guards what follows; files is set once, by the first start
-	daemon *Daemon    // that runs, or ran last
-	stop   context.CancelFunc
-	ended  chan error          // has the error of the daemon's run once it has ended
-	files  map[string]*os.File // handles on the listeners, of the first daemon; they outlive each
-	lock   *handover.Lock      // nil without a handover socket; with it nobody else serves meanwhile
+	mu     sync.Mutex          // guards daemon, stop, ended, files and lock; files is set once, by the first start
+	daemon *Daemon             // the daemon that runs, or ran last
+	stop   context.CancelFunc  // stops daemon
+	ended  chan error          // receives the result of Daemon.Run
+	files  map[string]*os.File // file handles of the listeners by name; they stay open when a daemon stops
+	lock   *handover.Lock      // prevents other processes from serving; nil without a handover socket
 
-	replaced chan error // the handoff has ended: another process has taken over, or it failed
-	faults   chan error // the daemon has ended by itself
+	replaced chan error // receives nil when another process has taken over, or the error of a failed handoff
+	faults   chan error // receives the result of Daemon.Run if the daemon stopped without being asked to
 }
 
-// Start starts a controller; with takeOver it is taken over from the process that runs.
+// Start starts a controller. If takeOver is true, it takes the listeners over from the process that runs the controller,
+// after that process has stopped serving.
 func Start(ctx context.Context, cfg *config.Pilot, o Options, takeOver bool) (*Host, error) {
 	o.setDefaults()
 	h := &Host{config: cfg, options: o, faults: make(chan error, 1)}
@@ -48,7 +50,8 @@
 	return h, nil
 }
 
-// startFirst starts the controller when no other process runs it, which the lock tells.
+// startFirst starts the controller without a takeover. If a handover socket is configured, it fails when another process
+// holds the lock.
 func (h *Host) startFirst(ctx context.Context) error {
 	if h.config.Handover != "" {
 		lock, err := handover.AcquireLock(h.config.Handover)
@@ -64,7 +67,8 @@
 	return nil
 }
 
-// takeOver starts the controller on the listeners of the process that runs it, once that has stopped.
+// takeOver waits until the process that runs the controller has stopped serving, and starts the controller on that
+// process's listeners.
 func (h *Host) takeOver(ctx context.Context) error {
 	if h.config.Handover == "" {
 		return errNoSocket
@@ -79,7 +83,7 @@
 	}
 	h.options.Listeners = takeover.Listeners
 	if err := h.start(ctx); err != nil {
-		h.lock.Release() // before the old process hears of it
+		h.lock.Release() // before Abort, because the old process acquires the lock to resume
 		takeover.Abort()
 		return err
 	}
@@ -87,8 +91,8 @@
 	return nil
 }
 
-// start makes a daemon, on the listeners that the host has, and runs it. Its goroutine ends when the run does, by stop,
-// by the end of ctx or by a fault.
+// start creates a daemon on the host's listeners and runs it in a goroutine. The goroutine ends when h.stop is called,
+// when ctx ends, or when the daemon fails.
 func (h *Host) start(ctx context.Context) error {
 	d, err := New(h.config, h.options)
 	if err != nil {
@@ -100,14 +104,15 @@
 	go func() {
 		err := d.Run(ctx)
 		ended <- err
-		if ctx.Err() == nil { // by a fault, not asked
+		if ctx.Err() == nil { // the daemon stopped without being asked to
 			h.faults <- err
 		}
 	}()
 	return nil
 }
 
-// setDaemon notes the daemon that runs. Handles on the listeners are kept of the first one.
+// setDaemon stores the running daemon. It keeps the listeners' file handles of the first daemon and closes those of
+// later ones.
 func (h *Host) setDaemon(d *Daemon, stop context.CancelFunc, ended chan error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -121,7 +126,8 @@
 	}
 }
 
-// halt ends the controller and its record; the listeners' files stay open.
+// halt stops the controller and waits until it has stopped and its record is closed. The listeners' file handles stay
+// open.
 func (h *Host) halt() {
 	h.mu.Lock()
 	stop := h.stop
@@ -129,19 +135,20 @@
 	h.mu.Unlock()
 	stop()
 	if err := <-ended; err != nil {
-		h.options.Log.Error("pilot ended", zap.Error(err))
+		h.options.Log.Error("pilot ended with an error", zap.Error(err))
 	}
-	ended <- nil // for whoever waits next
+	ended <- nil // Wait, or another call of halt, may receive from this channel too
 }
 
-// Daemon returns the controller that runs.
+// Daemon returns the current daemon: the one that runs, or the last one if none runs.
 func (h *Host) Daemon() *Daemon {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.daemon
 }
 
-// Wait returns when the controller has ended: asked by ctx, by a fault, or as another process has taken over.
+// Wait blocks until the controller has stopped, because ctx ended, the controller failed, or another process has taken
+// over. It then closes the listeners' file handles and releases the lock.
 func (h *Host) Wait(ctx context.Context) error {
 	defer h.close()
 	h.mu.Lock()
@@ -169,7 +176,7 @@
 	h.release()
 }
 
-// release releases the lock: another process may serve.
+// release releases the lock, so that another process may serve.
 func (h *Host) release() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -178,6 +185,6 @@
 
 func closeFiles(files map[string]*os.File) {
 	for _, file := range files {
-		_ = file.Close() // a second handle; nothing is lost with it
+		_ = file.Close() // a duplicate handle of a listener: no data can be lost
 	}
 }
--- a/internal/daemon/identity.go
+++ b/internal/daemon/identity.go
@@ -15,14 +15,15 @@
 )
 
 const (
-	// expiryWarning is how long before the certificate's end warnings begin; long enough to issue another one by hand.
+	// expiryWarning is the remaining validity of the certificate below which warnings are logged. It leaves enough time to
+	// issue a new certificate manually.
 	expiryWarning = 7 * 24 * time.Hour
-	// keyCheckInterval is how often the certificate's end and the files of keys are looked at.
+	// keyCheckInterval is the interval between checks of the certificate's expiry and of errors when reloading key files.
 	keyCheckInterval = time.Minute
 )
 
-// loadKeys loads this controller's keys, unless the configuration has all in plain text, checks that they are its own,
-// and shows when they end.
+// loadKeys loads the controller's certificate and private key, checks that the certificate was issued to this controller,
+// and registers a metric of the time until it expires. It does nothing if the configuration specifies plain text.
 func (d *Daemon) loadKeys(cfg *config.Pilot) error {
 	if cfg.Plain {
 		return nil
@@ -36,17 +37,17 @@
 		return err
 	}
 	if own := d.keyStore.Identity(); own.Role != identity.Pilot || own.Name != cfg.Name || own.Zone != cfg.Zone {
-		return fmt.Errorf("keys: the certificate is of %s, this is pilot %s of %s", own, cfg.Name, cfg.Zone)
+		return fmt.Errorf("keys: the certificate was issued to %s, not to pilot %s in zone %s", own, cfg.Name, cfg.Zone)
 	}
 	return d.registry.Register(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Namespace: "indigousher",
 		Name:      "certificate_expires_in_seconds",
-		Help:      "Time until this pilot's certificate ends.",
+		Help:      "Time until this pilot's certificate expires, in seconds.",
 	}, func() float64 { return time.Until(d.keyStore.Expires()).Seconds() }))
 }
 
-// withTLS returns a dial that speaks TLS to the server of the endpoint list. Endpoints are checked in plain text, as
-// their proxies speak to them.
+// withTLS wraps dial so that connections to the endpoint list server use TLS. Other connections, which are health
+// checks of endpoints, stay plain text because proxies connect to endpoints in plain text too.
 func (d *Daemon) withTLS(dial dialFunc) dialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
@@ -57,7 +58,7 @@
 	}
 }
 
-// watchKeys warns of keys that end soon and of files that can't be read, until ctx ends.
+// watchKeys calls checkKeys every keyCheckInterval until ctx ends.
 func (d *Daemon) watchKeys(ctx context.Context) error {
 	tick := time.NewTicker(keyCheckInterval)
 	defer tick.Stop()
@@ -71,6 +72,8 @@
 	}
 }
 
+// checkKeys logs a warning if the certificate expires within expiryWarning, and an error if the key files could not be
+// reloaded.
 func (d *Daemon) checkKeys() {
 	if left := time.Until(d.keyStore.Expires()); left < expiryWarning {
 		d.options.Log.Warn("certificate expires soon", zap.Duration("in", left.Round(time.Second)))
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -12,15 +12,15 @@
 	"indigousher/internal/identity"
 )
 
-// Names of the listeners, as one process hands them over to another.
+// Names that identify the listeners when one process hands them over to another.
 const (
 	streamListenerName = "streams"
 	grpcListenerName   = "grpc"
 	adminListenerName  = "admin"
 )
 
-// listenForProxies opens the listener of the framed protocol, and has TLS spoken on it and to the endpoint list if
-// there are keys.
+// listenForProxies opens the listener for the framed protocol. If keys are loaded, it enables TLS on the listener and on
+// connections to the endpoint list server.
 func (d *Daemon) listenForProxies(cfg *config.Pilot) (err error) {
 	d.streamListener, err = d.options.listen(streamListenerName, cfg.Listen)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// listenForOperators opens the listener of the admin interface, if the configuration names one.
+// listenForOperators opens the listener for the admin interface. It does nothing if no address is configured.
 func (d *Daemon) listenForOperators(cfg *config.Pilot) (err error) {
 	if cfg.Admin == "" {
 		return nil
@@ -57,12 +57,13 @@
 	if err := d.keepFile(grpcListenerName, d.grpcListener); err != nil {
 		return err
 	}
-	maxConnections := 2 * cfg.MaxStreams // a proxy of xDS may report its load on a second one
+	maxConnections := 2 * cfg.MaxStreams // an xDS proxy may report its load on a second connection
 	d.grpcListener = netutil.LimitListener(d.grpcListener, maxConnections)
 	return nil
 }
 
-// keepFile keeps a second handle on a listener, if it may be handed over. What dials while nobody accepts waits there.
+// keepFile stores a duplicate file handle of a listener if a handover socket is configured. While the handle is open,
+// connections that no process accepts yet wait in the listener's backlog.
 func (d *Daemon) keepFile(name string, l net.Listener) error {
 	tcp, ok := l.(*net.TCPListener)
 	if !ok || d.config.Load().Handover == "" {
@@ -70,24 +71,26 @@
 	}
 	file, err := tcp.File()
 	if err != nil {
-		return fmt.Errorf("keep listener: %w", err)
+		return fmt.Errorf("duplicate the file handle of listener %q: %w", name, err)
 	}
 	d.listenerFiles[name] = file
 	return nil
 }
 
-// Files returns handles on the listeners, by name. They stay open when the daemon ends; who has them closes them.
+// Files returns duplicate file handles of the listeners by name; it is empty if no handover socket is configured. The
+// daemon never closes them: that is up to the caller.
 func (d *Daemon) Files() map[string]*os.File { return d.listenerFiles }
 
-// Address returns where proxies join.
+// Address returns the address at which proxies connect over the framed protocol.
 func (d *Daemon) Address() string { return d.streamListener.Addr().String() }
 
-// GRPCAddress returns where proxies join over gRPC; "" if they can't.
+// GRPCAddress returns the address at which proxies connect over gRPC and xDS; "" if gRPC is disabled.
 func (d *Daemon) GRPCAddress() string { return addressOf(d.grpcListener) }
 
-// AdminAddress returns where operators ask; "" if they can't.
+// AdminAddress returns the address of the admin interface; "" if it is disabled.
 func (d *Daemon) AdminAddress() string { return addressOf(d.adminListener) }
 
+// addressOf returns the address of a listener; "" for nil.
 func addressOf(l net.Listener) string {
 	if l == nil {
 		return ""
@@ -95,12 +98,12 @@
 	return l.Addr().String()
 }
 
-// close ends all that depends on the running context, and closes the listeners.
+// close cancels the running context and closes the listeners.
 func (d *Daemon) close() {
 	d.terminate()
 	for _, l := range []net.Listener{d.streamListener, d.grpcListener, d.adminListener} {
 		if l != nil {
-			_ = l.Close() // closed already where its server ended it
+			_ = l.Close() // an error means that its server has closed it already
 		}
 	}
 }
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -11,28 +11,30 @@
 	"indigousher/planner"
 )
 
-// dialTimeout is how long a dial of an endpoint or of the endpoint list may take.
+// dialTimeout limits the time to connect to an endpoint or to the endpoint list server.
 const dialTimeout = 2 * time.Second
 
-// dialFunc reaches an address.
+// dialFunc opens a connection to an address; it has the signature of net.Dialer.DialContext.
 type dialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Options is what a controller is started with beside its configuration. Zero fields get what ships.
+// Options holds the dependencies of a controller that are not part of its configuration. Fields that are nil get the
+// production defaults, unless noted otherwise.
 type Options struct {
-	Log   *zap.Logger
-	Level *zap.AtomicLevel // of Log; set by a reload; nil: nothing is set
+	Log   *zap.Logger      // nil: nothing is logged
+	Level *zap.AtomicLevel // level of Log, which a reload changes; nil: the level is fixed
 	Clock controller.Clock
-	// Dial reaches endpoints and the endpoint list.
+	// Dial connects to endpoints and to the endpoint list server.
 	Dial dialFunc
-	// Packet wraps the socket between controllers.
+	// Packet wraps the gossip socket, so that tests can intercept packets. By default the socket is used as it is.
 	Packet func(net.PacketConn) net.PacketConn
-	// Decide makes the planner.
+	// Decide creates the planner.
 	Decide func(seed int64, settings map[string]any) controller.Decider
-	// Listeners that were taken over, by the names that Files gives; others are opened.
+	// Listeners holds listeners taken over from another process, by the names that Daemon.Files uses. Listeners that are
+	// not in the map are opened.
 	Listeners map[string]net.Listener
 }
 
-// setDefaults fills in what ships.
+// setDefaults replaces nil fields by the production defaults.
 func (o *Options) setDefaults() {
 	if o.Log == nil {
 		o.Log = zap.NewNop()
@@ -51,7 +53,7 @@
 	}
 }
 
-// listen returns a listener that was taken over, or opens one.
+// listen returns the listener of that name if it was taken over; otherwise it opens a TCP listener at address.
 func (o *Options) listen(name, address string) (net.Listener, error) {
 	if l := o.Listeners[name]; l != nil {
 		return l, nil
--- a/internal/daemon/recording.go
+++ b/internal/daemon/recording.go
@@ -15,31 +15,32 @@
 	"indigousher/recovery"
 )
 
-// bytesPerMB converts the limit of the configuration.
+// bytesPerMB converts the configured size limit, which is in MiB, to bytes.
 const bytesPerMB = 1 << 20
 
-// recording is the daemon's record: the store, the life that is written, and how it began.
+// recording writes the daemon's record and holds the outcome of the recovery at the start. A record consists of lives:
+// one life is the record of one run of a controller.
 type recording struct {
 	store       *record.Store
 	writer      *record.Writer
-	life        string // ID of the one that is written
-	rebuiltFrom string // ID of the life before it, if this one goes on from there
-	fingerprint string // of the planner
-	settings    string // the planner's at the start, as a life keeps them
-	Verdict     recovery.Decision
-	Took        time.Duration // of the recovery
+	life        string            // ID of the life being written
+	rebuiltFrom string            // ID of the previous life if the state was recovered from it; "": cold start
+	fingerprint string            // identifies the planner's version; only a record with the same one is used
+	settings    string            // planner settings at the start, as JSON
+	Verdict     recovery.Decision // whether the state was recovered, and why not
+	Took        time.Duration     // duration of the recovery
 }
 
-// openRecord opens the store, begins a new life in it, and returns a core rebuilt from the life before; nil for a cold
-// start. What is wrong with a record is logged and never keeps a controller from starting, but for a store that another
-// process holds.
+// openRecord opens the store, starts a new life in it, and returns a core restored from the previous life; nil for a cold
+// start. A record that is corrupt or unusable is logged and doesn't prevent the start. A store that can't be opened or
+// written does, for example because another process has it open.
 func (d *Daemon) openRecord(cfg *config.Pilot) (*controller.Core, error) {
 	store, err := d.openStore(cfg.RecordDir)
 	if err != nil {
 		return nil, err
 	}
 	r := &recording{store: store}
-	d.recording = r // New closes it after an error
+	d.recording = r // set before the first possible error, so that New closes the store
 	r.fingerprint = record.Fingerprint(d.options.Decide)
 	if r.settings, err = plannerSettings(cfg); err != nil {
 		return nil, err
@@ -51,7 +52,8 @@
 	return core, nil
 }
 
-// openStore opens the store. A damaged file is set aside for whoever wants to look, and a new one begun.
+// openStore opens the store in dir. If the file is corrupt, openStore renames it, so that it can be examined, and opens a
+// new store.
 func (d *Daemon) openStore(dir string) (*record.Store, error) {
 	store, err := record.Open(dir, false)
 	if !errors.Is(err, record.ErrCorrupt) {
@@ -63,7 +65,8 @@
 	return record.Open(dir, false)
 }
 
-// recoverOrStartCold returns a core rebuilt from the life before; nil for a cold start, also when the recovery fails.
+// recoverOrStartCold returns a core restored from the previous life, or nil for a cold start. If the recovery fails, it
+// logs the error and returns nil.
 func (d *Daemon) recoverOrStartCold(r *recording, cfg *config.Pilot) *controller.Core {
 	began := time.Now()
 	core, err := d.recover(r, cfg)
@@ -76,7 +79,7 @@
 	return core
 }
 
-// beginLife begins a new life in the store.
+// beginLife starts a new life in the store and creates the writer for it.
 func (d *Daemon) beginLife(r *recording, cfg *config.Pilot) error {
 	r.life = lifeID(time.Now())
 	life := record.Life{
@@ -97,19 +100,20 @@
 	return err
 }
 
-// lifeID names a life so that names sort by start.
+// lifeID returns the ID of a life that starts at t. IDs sort lexically by start time.
 func lifeID(t time.Time) string { return t.UTC().Format("20060102T150405.000000000") }
 
-// plannerSettings returns the planner's settings as a life keeps them.
+// plannerSettings returns the planner's settings as JSON, the form in which a life stores them.
 func plannerSettings(cfg *config.Pilot) (string, error) {
 	settings, err := json.Marshal(cfg.PlannerSettings(cfg.Rank))
 	if err != nil {
-		return "", fmt.Errorf("record terms: %w", err)
+		return "", fmt.Errorf("encode planner settings for the record: %w", err)
 	}
 	return string(settings), nil
 }
 
-// updateSettings stores the settings of a reload: without them a return would take the life for one of other settings.
+// updateSettings stores the planner settings after a reload. Otherwise the next start would compare its settings with
+// outdated ones and start cold.
 func (r *recording) updateSettings(cfg *config.Pilot) error {
 	settings, err := plannerSettings(cfg)
 	if err != nil {
@@ -118,10 +122,10 @@
 	return r.store.UpdateSettings(r.life, settings)
 }
 
-// close closes the store. Nobody may write any more.
+// close closes the store. The writer must have stopped.
 func (r *recording) close() error { return r.store.Close() }
 
-// OpenRecords opens a store for reading.
+// OpenRecords opens the store in dir for reading only. It fails if dir does not exist.
 func OpenRecords(dir string) (*record.Store, error) {
 	if _, err := os.Stat(dir); err != nil {
 		return nil, fmt.Errorf("open records: %w", err)
--- a/internal/daemon/recover.go
+++ b/internal/daemon/recover.go
@@ -10,8 +10,8 @@
 	"indigousher/recovery"
 )
 
-// recover reads the last life and, if its record is good for it, returns a core rebuilt from its end, whose commands
-// were held back. It returns nil for a cold start.
+// recover reads the last life and, if its record is usable, returns a core restored by replaying the end of it. The
+// commands of the replay are not sent. recover returns nil for a cold start, with the reason in r.Verdict.
 func (d *Daemon) recover(r *recording, cfg *config.Pilot) (*controller.Core, error) {
 	limits := recovery.Limits{
 		TailMs: float64(cfg.RecoverTail.Milliseconds()),
@@ -41,8 +41,8 @@
 	return core, nil
 }
 
-// lastLife returns the latest life that left anything, and how many after it left nothing. Without one the life's ID is
-// "".
+// lastLife returns the latest life with recorded data, and the number of later lives without any: starts that failed
+// before they recorded a turn. If no life has data, the ID of the returned life is "".
 func (r *recording) lastLife(lives []record.Life) (last record.Life, failedStarts int) {
 	for i := len(lives) - 1; i >= 0; i-- {
 		if _, chunks := r.store.Size(lives[i].ID); chunks > 0 {
@@ -53,7 +53,8 @@
 	return record.Life{}, failedStarts
 }
 
-// readTail returns the turns that a recovery replays of a life, and notes what speaks for and against it.
+// readTail returns the turns that a recovery replays: the last tailMs milliseconds of a life, preceded by the turns
+// needed to restore the state at that point. It also sets the facts that decide whether the record is used.
 func (r *recording) readTail(last record.Life, tailMs float64, facts *recovery.Facts) ([]record.Turn, error) {
 	turns, torn, err := record.ReadTail(r.store, last.ID, tailMs)
 	if err != nil {
@@ -68,7 +69,7 @@
 	tail := turns[record.ReplayStart(turns, tailMs):]
 	if len(tail) > 0 {
 		spanMs := tail[len(tail)-1].AtMs - tail[0].AtMs
-		facts.SpanMs = max(1, spanMs) // a single turn is worth a replay
+		facts.SpanMs = max(1, spanMs) // at least 1 ms: a span of 0 would rule out a recovery from a single turn
 	}
 	return tail, nil
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -10,8 +10,8 @@
 	"indigousher/internal/controller"
 )
 
-// Reload takes over what may change of a new configuration. It returns the names of the fields that have changed, and
-// of those that want a restart and keep their old values.
+// Reload applies the reloadable fields of a new configuration. It returns the names of the fields that were changed, and
+// the names of the fields that differ but require a restart and therefore keep their old values.
 func (d *Daemon) Reload(ctx context.Context, cfg *config.Pilot) (changed, restart []string, err error) {
 	changed, restart = config.Reload(d.config.Load(), cfg)
 	if len(changed) == 0 {
@@ -24,13 +24,14 @@
 	d.config.Store(config.Merge(d.config.Load(), cfg))
 	if d.recording != nil {
 		if err := d.recording.updateSettings(d.config.Load()); err != nil {
-			d.options.Log.Error("settings not recorded, the next start will be cold", zap.Error(err))
+			d.options.Log.Error("can't record the new settings, the next start will be cold", zap.Error(err))
 		}
 	}
 	return changed, restart, nil
 }
 
-// setLogLevel sets the level of the log, if it can be set. The level was checked with the configuration.
+// setLogLevel sets the log level. It does nothing if Options.Level is nil. An invalid level can't occur, because the
+// configuration has been validated.
 func (d *Daemon) setLogLevel(level string) {
 	if d.options.Level == nil {
 		return
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -11,17 +11,18 @@
 	"indigousher/internal/transport/admin"
 )
 
-// drainPollInterval is how often a shutdown looks whether all streams have ended.
+// drainPollInterval is the interval at which a shutdown checks whether all streams have closed.
 const drainPollInterval = 20 * time.Millisecond
 
-// Run serves until ctx ends, then asks the proxies to dial another controller and waits for them to go, for the time
-// that the configuration gives. A part that fails ends it with an error. When it returns, so have all goroutines.
+// Run serves until ctx ends. It then asks the proxies to reconnect to another controller, and waits for their streams to
+// close for at most the configured DrainOnStop. Run returns an error if a part fails, and nil after Kill. All goroutines
+// have ended when it returns.
 func (d *Daemon) Run(ctx context.Context) error {
 	defer d.close()
 	group, running := errgroup.WithContext(d.running)
 	serving, stopServing := context.WithCancel(running)
 	defer stopServing()
-	d.startParts(running, serving, group) //nolint:contextcheck // the parts outlive ctx: its end begins their shutdown
+	d.startParts(running, serving, group) //nolint:contextcheck // the parts must outlive ctx, whose end starts the graceful shutdown
 	group.Go(func() error {
 		d.shutDownAfter(ctx, running, stopServing)
 		return nil
@@ -29,8 +30,8 @@
 	return d.finish(group.Wait())
 }
 
-// startParts starts a goroutine for each part. The servers for proxies end with serving, which is the first step of a
-// shutdown; everything else ends with running.
+// startParts starts a goroutine for each part. The servers for proxies stop when the context serving ends, the first step
+// of a shutdown; all other parts stop when running ends.
 func (d *Daemon) startParts(running, serving context.Context, group *errgroup.Group) {
 	group.Go(func() error { return d.loop.Run(running) })
 	group.Go(func() error { return d.endpointSource.Run(running) })
@@ -52,8 +53,9 @@
 	}
 }
 
-// shutDownAfter waits for the end of ctx and shuts down gracefully: no new streams, the proxies of the others asked to
-// leave, and when they have, the end of everything. If a part fails meanwhile, running ends by itself.
+// shutDownAfter waits until ctx ends and then shuts down gracefully: it stops accepting streams and asks the connected
+// proxies to leave, waits until they have left or the drain times out, and then stops all parts. It returns immediately
+// if a part fails, which cancels running.
 func (d *Daemon) shutDownAfter(ctx, running context.Context, stopServing context.CancelFunc) {
 	select {
 	case <-ctx.Done():
@@ -69,7 +71,7 @@
 	d.terminate()
 }
 
-// drain waits until all streams have ended; those that are left when the time is over it ends.
+// drain waits until all streams have closed. It closes the remaining streams after the configured DrainOnStop.
 func (d *Daemon) drain(ctx context.Context) {
 	deadline := time.NewTimer(d.config.Load().DrainOnStop)
 	defer deadline.Stop()
@@ -87,7 +89,8 @@
 	}
 }
 
-// finish closes what outlives the parts, and returns the error of the run.
+// finish closes the record, waits for running health checks, and returns the result of the run: err joined with errors of
+// closing, or nil after Kill.
 func (d *Daemon) finish(err error) error {
 	if d.recording != nil {
 		err = errors.Join(err, d.recording.close())
@@ -101,15 +104,15 @@
 	return err
 }
 
-// Kill ends the controller as the end of its process would: all sockets close at once and nobody is notified.
+// Kill stops the controller as if its process had been killed: it closes all sockets without notifying the proxies.
 func (d *Daemon) Kill() {
 	d.killed.Store(true)
-	_ = d.streamListener.Close() // which its server takes for the end
+	_ = d.streamListener.Close() // the framed server treats this as its end and stops accepting
 	d.killStreams()
 	d.terminate()
 }
 
-// openStreams returns how many streams are open, over all transports.
+// openStreams returns the number of open proxy streams on all transports.
 func (d *Daemon) openStreams() int {
 	n := d.framedServer.Streams()
 	if d.grpcServer != nil {
@@ -119,7 +122,7 @@
 	return n
 }
 
-// killStreams ends all streams at once.
+// killStreams closes all proxy streams immediately.
 func (d *Daemon) killStreams() {
 	d.framedServer.Kill()
 	if d.grpcServer != nil {
--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -9,11 +9,11 @@
 	"indigousher/internal/transport/xds"
 )
 
-// linesPerQueueSlot converts the framed protocol's queue of messages into gRPC's queue of lines: so many lines are what
-// a message holds, about.
+// linesPerQueueSlot converts the configured queue length, in messages, to the queue length of gRPC streams, in lines. A
+// message holds about this many lines.
 const linesPerQueueSlot = 100
 
-// openFramed makes the server of the framed protocol.
+// openFramed creates the server for the framed protocol.
 func (d *Daemon) openFramed(cfg *config.Pilot) {
 	d.framedServer = framed.NewServer(framed.ListenerConfig{
 		Pilot:         cfg.Name,
@@ -28,7 +28,7 @@
 	}, d.loop, d.options.Log.Named("streams"))
 }
 
-// openGRPC opens the listener and makes the servers of gRPC and xDS, if the configuration names an address.
+// openGRPC opens the gRPC listener and creates the gRPC and xDS servers. It does nothing if no address is configured.
 func (d *Daemon) openGRPC(cfg *config.Pilot) error {
 	if cfg.GRPC == "" {
 		return nil
@@ -60,7 +60,8 @@
 	return nil
 }
 
-// checkIdentity returns what checks the name and zone that a proxy of xDS claims; nil without keys: nothing can.
+// checkIdentity returns a function that checks the name and zone claimed by an xDS proxy against its certificate. It
+// returns nil if there are no keys, because there are then no certificates to check against.
 func (d *Daemon) checkIdentity() func(ctx context.Context, proxy, zone string) error {
 	if d.keyStore == nil {
 		return nil
