--- a/internal/config/common.go
+++ b/internal/config/common.go
@@ -6,67 +6,68 @@
 	"indigousher/internal/wire"
 )
 
-// Common holds the settings that all instances share, and that a scenario holds too. A reload reports these field names
-// to users, and the JSON keys are those of stored experiment results: both keep their spelling and order.
+// Common holds the settings that all pilots of a deployment share; a scenario contains them too. The field names are
+// shown to users by a reload, and the JSON keys are part of stored experiment results. Both must keep their spelling
+// and order.
 type Common struct {
 	Zones    []string       `json:"Zones"`
 	Machines []string       `json:"Machines"` // machine types
-	Kinds    []RequestClass `json:"Kinds"`
-
-	// Channel to the proxies. A line is one operation of a message.
-	LinesPerS    float64       `json:"LinesPerS"`    // rate limit for all proxies together, heads included
-	Backlog      float64       `json:"Backlog"`      // lines that may wait
-	HeadLines    int           `json:"HeadLines"`    // cost of a message besides its lines, in lines
-	MessagesMost int           `json:"MessagesMost"` // messages to one proxy within MessagesOver; 0: no limit
-	MessagesOver time.Duration `json:"MessagesOver"`
-
-	// Rules that the auditor checks.
-	DrainGrace   time.Duration `json:"DrainGrace"`   // within which proxies stop using an endpoint that drains
-	BareFor      time.Duration `json:"BareFor"`      // for which a proxy may have no endpoint of a class
-	Cold         time.Duration `json:"Cold"`         // slow start: within which an endpoint warms up
-	Fall         time.Duration `json:"Fall"`         // window in which work beyond FallMultiple overloads an endpoint
-	ColdFrom     float64       `json:"ColdFrom"`     // fraction of its capacity that a cold endpoint starts with
-	FallMultiple float64       `json:"FallMultiple"` // multiple of its capacity that overloads an endpoint
+	Kinds    []RequestClass `json:"Kinds"`    // request classes
+
+	// Channel: messages to the proxies. A message consists of lines; each line is one operation.
+	LinesPerS    float64       `json:"LinesPerS"`    // rate limit in lines per second for all proxies together, including HeadLines
+	Backlog      float64       `json:"Backlog"`      // maximum number of queued lines
+	HeadLines    int           `json:"HeadLines"`    // fixed cost of each message, in lines
+	MessagesMost int           `json:"MessagesMost"` // maximum number of messages to one proxy within MessagesOver; 0: no limit
+	MessagesOver time.Duration `json:"MessagesOver"` // window for MessagesMost
+
+	// Limits in the rules that the auditor checks.
+	DrainGrace   time.Duration `json:"DrainGrace"`   // time within which proxies must stop using a draining endpoint
+	BareFor      time.Duration `json:"BareFor"`      // maximum time for which a proxy may have no endpoint for a request class
+	Cold         time.Duration `json:"Cold"`         // slow start: time in which a new endpoint reaches full capacity
+	Fall         time.Duration `json:"Fall"`         // time window over which FallMultiple is measured
+	ColdFrom     float64       `json:"ColdFrom"`     // fraction of its capacity with which a cold endpoint starts
+	FallMultiple float64       `json:"FallMultiple"` // multiple of its capacity at which an endpoint is overloaded
 
 	// Behaviour of the proxies.
-	Proxies     int     `json:"Proxies"`     // number of proxies of all instances together
-	Slices      int     `json:"Slices"`      // number of key slices; 0: a deployment without slices
-	ByZone      bool    `json:"ByZone"`      // proxies join a pilot of their zone if there is one
+	Proxies     int     `json:"Proxies"`     // number of proxies of all pilots together
+	Slices      int     `json:"Slices"`      // number of slices of the key space; 0: requests are not routed by key
+	ByZone      bool    `json:"ByZone"`      // proxies connect to a pilot in their own zone if there is one
 	EjectsAfter int     `json:"EjectsAfter"` // consecutive failures after which a proxy ejects an endpoint; 0: never
-	RetryHow    int     `json:"RetryHow"`    // default retry policy, one of the retry constants
+	RetryHow    int     `json:"RetryHow"`    // default retry policy: retryNever to retryTwice
 	FirstWait   float64 `json:"FirstWait"`   // timeout of an attempt that may be retried, as a fraction of ResponseTarget
-	Admission   string  `json:"Admission"`   // admissionShare or admissionOff
-	Pick        string  `json:"Pick"`        // load balancing of the proxies: weighted, round or two
+	Admission   string  `json:"Admission"`   // admission control: admissionShare or admissionOff
+	Pick        string  `json:"Pick"`        // load balancing policy of the proxies: weighted, round (round robin) or two (the better of two random choices)
 
 	// Reports of the proxies.
-	Fields          []string      `json:"Fields"`          // names of the figures in load reports
+	Fields          []string      `json:"Fields"`          // names of the values in load reports
 	Period          time.Duration `json:"Period"`          // reporting interval
-	ReportLinesPerS int           `json:"ReportLinesPerS"` // report lines a second for the planner; 0: no limit
+	ReportLinesPerS int           `json:"ReportLinesPerS"` // maximum report lines per second passed to the planner; 0: no limit
 
-	CrossZone  float64 `json:"CrossZone"`  // cost of a request across zones, as a fraction of a payoff of 1
-	Probing    bool    `json:"Probing"`    // endpoints may be health-checked
-	AskForList bool    `json:"AskForList"` // the endpoint list is polled, not pushed
+	CrossZone  float64 `json:"CrossZone"`  // cost of a request to another zone; a request class has a payoff of 1 by default
+	Probing    bool    `json:"Probing"`    // whether the planner may request health checks of endpoints
+	AskForList bool    `json:"AskForList"` // whether the endpoint list is polled; false: it is pushed
 	Instances  int     `json:"Instances"`  // number of pilots
 }
 
-// Values of Common.RetryHow, as the proxies number them.
+// Values of Common.RetryHow. The numbers are part of the protocol with the proxies.
 const (
 	retryNever        = 0
-	retryIfNothingRan = 1 // after proof that the request was not executed
-	retryTwice        = 3 // after any failure; 2 is once after any failure
+	retryIfNothingRan = 1 // only if the request is known not to have been executed
+	retryTwice        = 3 // up to twice, after any failure; the value 2 means once, after any failure
 )
 
 // Values of Common.Admission.
 const (
-	admissionShare = "share"
-	admissionOff   = "off" // admission levels are ignored
+	admissionShare = "share" // proxies admit the share of requests that the planner assigns
+	admissionOff   = "off"   // proxies ignore admission levels
 )
 
 const (
-	// maxProxies bounds the number of proxies of a deployment.
+	// maxProxies is the maximum number of proxies of a deployment.
 	maxProxies = 65535
 
-	// maxRank bounds the rank of a pilot among the instances.
+	// maxRank is the maximum rank of a pilot.
 	maxRank = 65535
 )
 
@@ -100,7 +101,7 @@
 	}
 }
 
-// Attributes lists the attributes outside any block.
+// Attributes returns the top-level attributes of the common settings: those outside any block.
 func (c *Common) Attributes() []Field {
 	return []Field{
 		{Name: "zones", Into: &c.Zones, Required: true},
@@ -108,7 +109,7 @@
 	}
 }
 
-// Blocks lists the blocks of the common settings.
+// Blocks returns the blocks of the common settings.
 func (c *Common) Blocks() []Block {
 	return []Block{
 		{Name: requestClassBlock, Labels: 1, Max: maxRequestClasses, Read: c.readRequestClass},
--- a/internal/config/endpoint_list.go
+++ b/internal/config/endpoint_list.go
@@ -12,7 +12,7 @@
 	"indigousher/planner"
 )
 
-// phaseNames are the phases of an endpoint in a file, at the index of their wire.Phase constants.
+// phaseNames lists the names of endpoint phases in a file, indexed by the wire.Phase constants.
 var phaseNames = []string{wire.PhaseReady: "ready", wire.PhaseDraining: "draining", wire.PhaseGone: "gone"}
 
 // ReadList reads and validates an endpoint list file.
@@ -24,9 +24,9 @@
 	return ParseList(path, text)
 }
 
-// ParseList parses an endpoint list in HCL, which has a block endpoint "ADDRESS" for each endpoint; start times are in
-// RFC 3339. It rejects a list without endpoints, because a file that is just being written looks like that. To remove
-// all endpoints, list them with the phase "gone".
+// ParseList parses an endpoint list in HCL. The list has a block endpoint "ADDRESS" for each endpoint, with start times
+// in RFC 3339. ParseList rejects a list without endpoints, because a file that is still being written may be empty. To
+// remove all endpoints, list them with the phase "gone". The name of the file is used in errors.
 func ParseList(name string, text []byte) (*wire.List, error) {
 	body, diags := Open(name, text)
 	if diags.HasErrors() {
@@ -39,7 +39,7 @@
 	diags = Read(body, []Field{{Name: "version", Into: &parser.list.Version}},
 		[]Block{{Name: "endpoint", Labels: 1, Read: parser.readEndpoint}})
 	if len(parser.list.Entries) == 0 {
-		diags = append(diags, Diagnostic(body.MissingItemRange(), "no endpoint stands here"))
+		diags = append(diags, Diagnostic(body.MissingItemRange(), "the list has no endpoints"))
 	}
 	if diags.HasErrors() {
 		return nil, DiagnosticsError(diags)
@@ -72,23 +72,23 @@
 		if err != nil {
 			diags = append(diags, Diagnostic(body.Attributes["started"].Expr.Range(), "started: %v", err))
 		}
-		entry.Started = uint64(max(1, at.UnixMilli())) // 0 stands for an unknown start, long ago
+		entry.Started = uint64(max(1, at.UnixMilli())) // 0 on the wire means an unknown start, long ago
 	}
 	if l.seen[entry.Endpoint] {
-		diags = append(diags, Diagnostic(body.SrcRange, "endpoint %q stands here twice", entry.Endpoint))
+		diags = append(diags, Diagnostic(body.SrcRange, "duplicate endpoint %q", entry.Endpoint))
 	}
 	l.seen[entry.Endpoint] = true
 	l.list.Entries = append(l.list.Entries, entry)
 	return append(diags, checkEntry(body.SrcRange, &entry)...)
 }
 
-// checkEntry reports names that the wire can't carry and weights that the planner doesn't accept.
+// checkEntry reports names that are too short or too long for the wire format, and weights that the planner rejects.
 func checkEntry(at hcl.Range, entry *wire.Entry) (diags hcl.Diagnostics) {
 	diags = append(diags, checkName(at, entry.Endpoint, 1)...)
 	diags = append(diags, checkName(at, entry.Zone, 0)...)
 	diags = append(diags, checkName(at, entry.Machine, 0)...)
 	if !planner.ValidWeight(entry.Weight) {
-		diags = append(diags, Diagnostic(at, "weight %g: 0 or %g to %g is wanted",
+		diags = append(diags, Diagnostic(at, "weight %g: must be 0 or between %g and %g",
 			entry.Weight, 1/planner.MaxValue, planner.MaxValue))
 	}
 	return diags
--- a/internal/config/endpoint_list_test.go
+++ b/internal/config/endpoint_list_test.go
@@ -11,7 +11,7 @@
 	"indigousher/internal/wire"
 )
 
-// TestParseList checks the entries of accepted lists, and the text and the position of errors.
+// TestParseList checks the entries of valid lists, and the text and position of errors for invalid ones.
 func TestParseList(t *testing.T) {
 	for _, c := range []struct {
 		name, text, want string
@@ -27,13 +27,13 @@
 				Phase: wire.PhaseDraining, Started: uint64(time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC).UnixMilli()),
 			}},
 		},
-		{"empty", "", "l.hcl:1:1: no endpoint stands here", nil},
+		{"empty", "", "l.hcl:1:1: the list has no endpoints", nil},
 		{"truncated", "endpoint \"x\" {\n  zone = \"a\"\n", "l.hcl:1:14: Unclosed configuration block", nil},
-		{"empty address", "endpoint \"\" {\n  zone = \"a\"\n}", "l.hcl:1:13: a name of 0 bytes", nil},
+		{"empty address", "endpoint \"\" {\n  zone = \"a\"\n}", "l.hcl:1:13: the name \"\" has 0 bytes", nil},
 		{
 			"address too long",
 			"endpoint \"" + strings.Repeat("x", 256) + "\" {\n  zone = \"a\"\n}",
-			"a name of 256 bytes",
+			"has 256 bytes",
 			nil,
 		},
 		{
@@ -58,13 +58,13 @@
 		{"nested lists", "x = " + strings.Repeat("[", 100000), "l.hcl:1:205: nested deeper than 200", nil},
 		{"closing brackets in strings only", "x = " + strings.Repeat("[\"]\",", 100000), "nested deeper than 200", nil},
 		{"nested templates", "x = " + strings.Repeat("\"${", 100000), "nested deeper than 200", nil},
-		{"too many operators", "x = " + strings.Repeat("!", 100000), "or more than 10000 signs", nil},
-		{"too many conditionals", "x = " + strings.Repeat("a?b:", 100000), "or more than 10000 signs", nil},
+		{"too many operators", "x = " + strings.Repeat("!", 100000), "or more than 10000 operators", nil},
+		{"too many conditionals", "x = " + strings.Repeat("a?b:", 100000), "or more than 10000 operators", nil},
 		{"text too long", strings.Repeat("#", MaxBytes+1), "l.hcl:1:1: longer than 16777216 bytes", nil},
 		{
 			"duplicate endpoint",
 			"endpoint \"x\" {\n  zone = \"a\"\n}\nendpoint \"x\" {\n  zone = \"a\"\n}",
-			"l.hcl:4:14: endpoint \"x\" stands here twice",
+			"l.hcl:4:14: duplicate endpoint \"x\"",
 			nil,
 		},
 		{"malformed time", "endpoint \"x\" {\n  zone = \"a\"\n  started = \"noon\"\n}", "l.hcl:3:13: started:", nil},
@@ -82,7 +82,8 @@
 	}
 }
 
-// FuzzParseList checks that no text crashes the parser, and that the wire and the planner can carry accepted lists.
+// FuzzParseList checks that no input crashes the parser, and that accepted lists can be encoded for the wire and are
+// within the planner's limits.
 func FuzzParseList(f *testing.F) {
 	f.Add([]byte("version = 3\nendpoint \"x:1\" {\n  zone = \"a\"\n  weight = 2\n  started = \"2026-01-02T03:04:05Z\"\n}"))
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// validSettings has all that is required, and no line beyond the 11th.
+// validSettings contains all required settings. It has 11 lines: the tests append text and check the line number of
+// errors.
 const validSettings = `zones    = ["a", "b"]
 machines = ["std", "big"]
 req_kind "read" {}
@@ -24,15 +25,15 @@
 keys { plain = true }
 `
 
-// TestParseErrors checks the text and the position of errors.
+// TestParseErrors checks the text and position of errors for invalid settings.
 func TestParseErrors(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"syntax error", `zones = [`, "f.hcl:1:10"},
 		{"missing attribute", strings.Replace(validSettings, "zones ", "zone ", 1), `"zones" is missing`},
 		{"unknown attribute", validSettings + `pilot { raank = 1 }`, `f.hcl:12:9: "raank" is not known here`},
 		{"unknown block", validSettings + `pilots {}`, `f.hcl:12:1: block "pilots" is not known here`},
-		{"duplicate block", validSettings + "rules {}\nrules {}", `f.hcl:13:1: "rules" stands here once too often`},
-		{"block without its label", validSettings + `req_kind {}`, `f.hcl:12:1: "req_kind" takes 1 names`},
+		{"duplicate block", validSettings + "rules {}\nrules {}", `f.hcl:13:1: too many "rules" blocks`},
+		{"block without its label", validSettings + `req_kind {}`, `f.hcl:12:1: block "req_kind" must have 1 labels`},
 		{
 			"number below its minimum",
 			validSettings + "channel {\n  lines_per_s = 0\n}",
@@ -41,7 +42,7 @@
 		{
 			"duration without a unit",
 			validSettings + `rules { drain_grace = "2" }`,
-			`f.hcl:12:23: drain_grace: a span such as`,
+			`f.hcl:12:23: drain_grace: must be a duration such as`,
 		},
 		{
 			"string that is not in its list",
@@ -58,12 +59,12 @@
 		{
 			"duplicate request class",
 			validSettings + `req_kind "read" {}`,
-			`f.hcl:12:17: req_kind "read" stands here twice`,
+			`f.hcl:12:17: duplicate req_kind "read"`,
 		},
 		{
 			"no request class",
 			"zones = [\"a\"]\nmachines = []\nlist { file = \"x\" }\nkeys { plain = true }\n",
-			"no req_kind is told",
+			"no req_kind block",
 		},
 		{
 			"unlisted zone of the pilot",
@@ -80,17 +81,17 @@
 		{
 			"plain on another address than loopback",
 			validSettings + `pilot { listen = "0.0.0.0:1" }`,
-			"0.0.0.0:1 is no loopback address",
+			"0.0.0.0:1 is not a loopback address",
 		},
 		{"default retry of a class that is not idempotent", validSettings + `proxies { try_again = 2 }
-req_kind "pay" { repeats = "non-replayable" }`, `repeat "pay" by themselves`},
+req_kind "pay" { repeats = "non-replayable" }`, `repeat requests of class "pay"`},
 		{
 			"duplicate zone",
 			strings.Replace(validSettings, `["a", "b"]`, `["a", "a", "b"]`, 1),
-			`zones: "a" stands here twice`,
+			`zones: duplicate name "a"`,
 		},
-		{"empty zone name", strings.Replace(validSettings, `["a", "b"]`, `["a", ""]`, 1), "a name of 0 bytes"},
-		{"name too long", validSettings + `pilot { name = "` + strings.Repeat("x", 256) + `" }`, "a name of 256 bytes"},
+		{"empty zone name", strings.Replace(validSettings, `["a", "b"]`, `["a", ""]`, 1), `the name "" has 0 bytes`},
+		{"name too long", validSettings + `pilot { name = "` + strings.Repeat("x", 256) + `" }`, "has 256 bytes"},
 		{
 			"list too long",
 			strings.Replace(validSettings, `["a", "b"]`, `["a"`+strings.Repeat(`, "z"`, 32768)+"]", 1),
@@ -98,8 +99,8 @@
 		},
 		{
 			"more tables than table numbers",
-			strings.Replace(validSettings, `["a", "b"]`, manyZones(4000), 1) + manyKinds(),
-			"want 124000 tables",
+			strings.Replace(validSettings, `["a", "b"]`, zoneList(4000), 1) + requestClassBlocks(),
+			"need 124000 tables",
 		},
 		{
 			"number above the default maximum",
@@ -107,7 +108,7 @@
 			"f.hcl:12:21: backlog: 1e+308 is outside",
 		},
 		{"number beyond float64", validSettings + `channel { backlog = 1e400 }`, "f.hcl:12:21: backlog:"},
-		{"duration beyond its type", validSettings + `rules { cold = "1e30s" }`, "f.hcl:12:16: cold: a span such as"},
+		{"duration beyond its type", validSettings + `rules { cold = "1e30s" }`, "f.hcl:12:16: cold: must be a duration such as"},
 		{"negative duration", validSettings + `rules { cold = "-1s" }`, "f.hcl:12:16: cold: -1 is outside"},
 		{"nested too deeply", validSettings + strings.Repeat("pilot {\n", 100000), "nested deeper than"},
 		{"not UTF-8", validSettings + "pilot { name = \"\xff\" }", "f.hcl:12:17: Invalid"},
@@ -115,7 +116,7 @@
 		{
 			"peer whose key is not a rank",
 			validSettings + `peers { addresses = { x = "127.0.0.1:1" } }`,
-			`"x" is no rank`,
+			`"x" is not a rank`,
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -127,7 +128,8 @@
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
 
-func manyZones(n int) string {
+// zoneList returns an HCL list of n zone names.
+func zoneList(n int) string {
 	var names []string
 	for i := range n {
 		names = append(names, strconv.Quote("z"+strconv.Itoa(i)))
@@ -135,14 +137,15 @@
 	return "[" + strings.Join(names, ", ") + "]"
 }
 
-func manyKinds() (text string) {
+// requestClassBlocks returns 29 req_kind blocks, which with the two of validSettings make the maximum of 31 classes.
+func requestClassBlocks() (text string) {
 	for i := range 29 {
 		text += "req_kind \"k" + strconv.Itoa(i) + "\" {}\n"
 	}
 	return text
 }
 
-// TestParseTruncated checks that settings truncated after any byte are rejected.
+// TestParseTruncated checks that settings are rejected when they are truncated at any byte.
 func TestParseTruncated(t *testing.T) {
 	for n := range len(validSettings) - 1 {
 		_, err := Parse("f.hcl", []byte(validSettings[:n]))
@@ -150,7 +153,7 @@
 	}
 }
 
-// FuzzParse checks that no text crashes the parser, and that accepted settings have a request class.
+// FuzzParse checks that no input crashes the parser, and that accepted settings have at least one request class.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(validSettings))
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/config/pilot.go
+++ b/internal/config/pilot.go
@@ -10,60 +10,61 @@
 	"indigousher/telemetry"
 )
 
-// Pilot holds the settings of one pilot. A reload reports these field names to users, in this order.
+// Pilot holds the settings of one pilot. The field names are shown to users by a reload, in this order, and must not
+// change.
 type Pilot struct {
 	Common
 
 	// This instance.
 	Name     string
 	Zone     string
-	Rank     int // number of this pilot among the instances, from 0
-	Seed     int
-	Listen   string // address where proxies join over the framed protocol
-	Admin    string // address of the admin endpoints; "": none
-	Handover string // path of the socket over which a new process takes over; "": none
-	GRPC     string // address where proxies join over gRPC and xDS; "": none
-
-	// Certificates and private key of all streams.
+	Rank     int    // index of this pilot among the instances, from 0
+	Seed     int    // seed of the planner's random numbers
+	Listen   string // listen address for proxies that use the framed protocol
+	Admin    string // listen address of the admin interface; "": disabled
+	Handover string // path of the Unix socket through which a new process can take over; "": disabled
+	GRPC     string // listen address for proxies that use gRPC or xDS; "": disabled
+
+	// TLS keys for all connections. Keys is empty exactly if Plain is true.
 	Keys  identity.Files
-	Plain bool // no keys; for loopback addresses only
+	Plain bool // plain text without TLS; allowed for loopback addresses only
 
-	NewPerS float64 // gRPC streams that are accepted in a second; 0: no limit
+	NewPerS float64 // maximum rate of new gRPC streams, per second; 0: no limit
 
-	// Source of the endpoint list: a file or the address of a streaming server.
-	ListFile    string
-	ListAddress string
-	ListSilence time.Duration // without a message after which a streaming server counts as lost
+	// Source of the endpoint list. Exactly one of ListFile and ListAddress is set.
+	ListFile    string        // path of an HCL file, see ParseList
+	ListAddress string        // address of a streaming server
+	ListSilence time.Duration // time without a message after which the streaming server is considered lost
 
 	// Gossip between pilots.
-	PeersListen string
-	Peers       map[string]string // addresses by rank
-	PeersSecret string            // file of keys that seal gossip; required unless Plain
+	PeersListen string            // UDP listen address; "": disabled
+	Peers       map[string]string // addresses of the other pilots by rank
+	PeersSecret string            // file with the shared secret that authenticates gossip; required unless Plain
 
-	// Telemetry: load reports of the proxies.
-	IntakeLinesPerS float64       // report lines that are taken in a second, more are sampled; 0: no limit
-	IntakeStanding  int           // sums that may wait for the planner; 0: no limit
-	IntakeSlowest   int           // multiple of the reporting interval that proxies may be slowed down to
-	IntakeHalf      time.Duration // age at which a figure has half its weight
-	IntakeLongest   time.Duration // reports that cover more time are rejected
+	// Intake: processing of the proxies' load reports.
+	IntakeLinesPerS float64       // report lines per second above which reports are sampled; 0: no limit
+	IntakeStanding  int           // maximum number of sums queued for the planner; 0: no limit
+	IntakeSlowest   int           // maximum factor by which the proxies' reporting interval is extended under load
+	IntakeHalf      time.Duration // half-life of the weight of reported values
+	IntakeLongest   time.Duration // maximum time that one report may cover; longer reports are rejected
 
 	// Streams of the proxies.
 	Beat          time.Duration // heartbeat interval
-	WriteDeadline time.Duration // a write that takes longer ends the stream
-	HelloDeadline time.Duration // within which a new stream must send its Hello
-	SeenWithin    time.Duration // a proxy that has not processed a message by then has its stream closed
-	DrainOnStop   time.Duration // for which a stopping pilot waits for its proxies to reconnect elsewhere
-	MaxFrame      int           // bytes
-	MaxStreams    int           // also the limit of senders of reports
-	Queue         int           // messages that may wait for the writer of one stream
-	MostProxies   int           // distinct proxy names in the life of a process
+	WriteDeadline time.Duration // time limit for one write; the stream is closed when it is exceeded
+	HelloDeadline time.Duration // time within which a new stream must send its Hello
+	SeenWithin    time.Duration // time within which a proxy must process a message; otherwise its stream is closed
+	DrainOnStop   time.Duration // time that a stopping pilot waits for its proxies to reconnect elsewhere
+	MaxFrame      int           // maximum size of a frame, in bytes
+	MaxStreams    int           // maximum number of streams, and of proxies whose reports are tracked
+	Queue         int           // maximum number of messages queued for one stream
+	MostProxies   int           // maximum number of distinct proxy names during the lifetime of a process
 
 	// Record of inputs, and recovery from it.
-	RecordDir     string        // "": nothing is recorded
-	RecordKeep    time.Duration // older segments are deleted
-	RecordMostMB  float64       // MiB; the oldest segments are deleted first
-	RecoverTail   time.Duration // span of recorded inputs that a restarted pilot replays
-	RecoverWithin time.Duration // an older record is not used
+	RecordDir     string        // directory of the record; "": recording is disabled
+	RecordKeep    time.Duration // age above which segments of the record are deleted
+	RecordMostMB  float64       // maximum size of the record in MiB; the oldest segments are deleted first
+	RecoverTail   time.Duration // span of the record that a restarted pilot replays
+	RecoverWithin time.Duration // age above which a record is not used for recovery
 
 	LogLevel  string
 	LogFormat string
@@ -112,12 +113,12 @@
 func ReadPilot(path string) (*Pilot, error) {
 	text, err := ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("read terms: %w", err)
+		return nil, fmt.Errorf("read settings: %w", err)
 	}
 	return Parse(path, text)
 }
 
-// Parse parses and validates a pilot's settings; the name of the file is for errors.
+// Parse parses and validates a pilot's settings. The name of the file is used in errors.
 func Parse(name string, text []byte) (*Pilot, error) {
 	body, diags := Open(name, text)
 	if diags.HasErrors() {
@@ -135,14 +136,14 @@
 	return &p, nil
 }
 
-// setDefaultZone places a pilot without a zone into the first one.
+// setDefaultZone assigns the first zone to a pilot whose zone is not set.
 func (p *Pilot) setDefaultZone() {
 	if p.Zone == "" && len(p.Zones) > 0 {
 		p.Zone = p.Zones[0]
 	}
 }
 
-// String names a pilot for logs.
+// String returns "name@zone", for logs.
 func (p *Pilot) String() string { return strings.Join([]string{p.Name, p.Zone}, "@") }
 
 // TelemetryOptions returns the options of the telemetry package.
--- a/internal/config/pilot_blocks.go
+++ b/internal/config/pilot_blocks.go
@@ -2,7 +2,7 @@
 
 import "indigousher/internal/wire"
 
-// blocks lists the blocks of a pilot besides the common ones, in the order of Text.
+// blocks returns the blocks of a pilot other than the common ones, in the order in which Text writes them.
 func (p *Pilot) blocks() []Block {
 	return []Block{
 		p.pilotBlock(),
--- a/internal/config/planner_settings.go
+++ b/internal/config/planner_settings.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// PlannerSettings returns the settings for the planner, by the planner's keys. Records keep them as JSON, so all
-// numbers are float64. Durations are in milliseconds; zones and machine types of classes are indices into their lists.
+// PlannerSettings returns the settings of the planner, keyed by the planner's names for them. Numbers are float64,
+// because records store the settings as JSON. Durations are in milliseconds. The zones and machine types of request
+// classes are indices into the lists of all zones and machine types.
 func (c *Common) PlannerSettings(rank int) map[string]any {
 	return map[string]any{
 		"zones":         stringValues(c.Zones),
@@ -48,7 +49,7 @@
 	}
 }
 
-// plannerClass returns the planner's settings of one request class.
+// plannerClass returns the planner's settings for one request class.
 func (c *Common) plannerClass(class RequestClass) any {
 	return map[string]any{
 		"name":            class.Name,
@@ -64,7 +65,7 @@
 	}
 }
 
-// discovery returns how the planner gets the endpoint list.
+// discovery returns how the planner obtains the endpoint list: "on_request" if it polls the list, otherwise "pushed".
 func (c *Common) discovery() string {
 	if c.AskForList {
 		return "on_request"
@@ -74,7 +75,7 @@
 
 // ReloadableSettings returns the part of PlannerSettings that a reload may change.
 func (c *Common) ReloadableSettings() map[string]any {
-	const anyRank = 0 // the rank is not reloadable, so its value doesn't matter here
+	const anyRank = 0 // arbitrary: the rank is not among the reloadable settings
 	all := c.PlannerSettings(anyRank)
 	part := map[string]any{}
 	for _, name := range reloadableSettings {
@@ -83,10 +84,10 @@
 	return part
 }
 
-// milliseconds returns a duration with its fraction of a millisecond.
+// milliseconds converts a duration to milliseconds without rounding to whole ones.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// toAny converts the elements of a list, nil if there are none.
+// toAny converts each element of a list. It returns nil for an empty list.
 func toAny[T any](from []T, convert func(T) any) []any {
 	var values []any
 	for _, element := range from {
@@ -99,7 +100,7 @@
 	return toAny(from, func(s string) any { return s })
 }
 
-// indices returns the places of names in a list of known names.
+// indices returns the index of each name in a list of known names; -1 for a name that is not in the list.
 func indices(names, known []string) []any {
 	return toAny(names, func(name string) any { return float64(slices.Index(known, name)) })
 }
--- a/internal/config/planner_settings_test.go
+++ b/internal/config/planner_settings_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestPlannerSettings checks the units and indices in the planner's settings.
+// TestPlannerSettings checks that durations are converted to milliseconds and names to indices.
 func TestPlannerSettings(t *testing.T) {
 	p, err := Parse("f.hcl", []byte(validSettings))
 	require.NoError(t, err)
@@ -18,7 +18,7 @@
 	assert.Equal(t, "a", p.Zone)
 }
 
-// classSettings returns the settings of the class at an index.
+// classSettings returns the planner's settings for the request class at an index.
 func classSettings(t *testing.T, settings map[string]any, index int) map[string]any {
 	t.Helper()
 	classes, ok := settings["req_kinds"].([]any)
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -8,14 +8,15 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// Read decodes a body by its fields and blocks. It reports whatever is unknown, missing or out of range.
+// Read decodes a body into the variables of its fields and blocks. It reports attributes and blocks that are unknown,
+// missing, malformed or out of range.
 func Read(body *hclsyntax.Body, fields []Field, blocks []Block) hcl.Diagnostics {
 	diags := readFields(body, fields)
 	diags = append(diags, unknownAttributes(body, fields)...)
 	return append(diags, readBlocks(body, blocks)...)
 }
 
-// readFields decodes the attributes of a body into its fields.
+// readFields decodes the attributes of a body into the variables of the fields.
 func readFields(body *hclsyntax.Body, fields []Field) (diags hcl.Diagnostics) {
 	for _, f := range fields {
 		attribute := body.Attributes[f.Name]
@@ -32,7 +33,7 @@
 	return diags
 }
 
-// unknownAttributes reports the attributes of a body that no field describes.
+// unknownAttributes reports the attributes of a body that are not among the fields.
 func unknownAttributes(body *hclsyntax.Body, fields []Field) (diags hcl.Diagnostics) {
 	known := map[string]bool{}
 	for _, f := range fields {
@@ -46,12 +47,12 @@
 	return diags
 }
 
-// suggestion proposes a field whose name resembles an unknown one.
+// suggestion returns a hint that names a field similar to an unknown attribute; "" if there is none.
 func suggestion(name string, fields []Field) string {
-	const prefix = 4 // bytes that names must share to resemble each other
+	const prefix = 4 // number of leading bytes that similar names have in common
 	for _, f := range fields {
 		if strings.EqualFold(f.Name, name) || len(name) >= prefix && strings.HasPrefix(f.Name, name[:prefix]) {
-			return fmt.Sprintf("; is %q meant?", f.Name)
+			return fmt.Sprintf("; did you mean %q?", f.Name)
 		}
 	}
 	return ""
@@ -72,7 +73,7 @@
 	return diags
 }
 
-// findBlock returns the description of a type of block, nil if there is none.
+// findBlock returns the description of the block type of that name; nil if there is none.
 func findBlock(blocks []Block, name string) *Block {
 	for i := range blocks {
 		if blocks[i].Name == name {
@@ -82,13 +83,13 @@
 	return nil
 }
 
-// read decodes one block; occurrence counts the blocks of its type from 1.
+// read decodes one block. occurrence is the number of this block among those of its type, from 1.
 func (b *Block) read(found *hclsyntax.Block, occurrence int) hcl.Diagnostics {
 	switch {
 	case len(found.Labels) != b.Labels:
-		return hcl.Diagnostics{Diagnostic(found.TypeRange, "%q takes %d names", found.Type, b.Labels)}
+		return hcl.Diagnostics{Diagnostic(found.TypeRange, "block %q must have %d labels", found.Type, b.Labels)}
 	case b.Max > 0 && occurrence > b.Max:
-		return hcl.Diagnostics{Diagnostic(found.TypeRange, "%q stands here once too often", found.Type)}
+		return hcl.Diagnostics{Diagnostic(found.TypeRange, "too many %q blocks", found.Type)}
 	case b.Read == nil:
 		return Read(found.Body, b.Fields, nil)
 	default:
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// reloadableFields names the fields of Pilot that a reload may change. Reload reports these names to users.
+// reloadableFields lists the fields of Pilot that a reload may change, by their Go names. Users see these names.
 var reloadableFields = []string{
 	"LinesPerS", "Backlog", "MessagesMost", "MessagesOver",
 	"DrainGrace", "BareFor", "Cold", "ColdFrom", "Fall", "FallMultiple",
 	"LogLevel", "DrainOnStop",
 }
 
-// reloadableSettings names those of the reloadable fields that the planner reads, by the planner's keys.
+// reloadableSettings lists the reloadable fields that the planner uses, by their keys in PlannerSettings.
 var reloadableSettings = []string{
 	"lines_per_s", "backlog", "messages_most", "messages_over",
 	"drain_grace", "bare_for", "cold", "cold_from", "fall", "fall_multiple",
 }
 
-// Reload compares the settings in force with new ones. It returns the names of the fields that change at once and of
-// those that require a restart.
+// Reload compares the current settings with new ones. It returns the names of the fields that differ: those that a
+// reload may change, and those that require a restart. It modifies neither of the settings.
 func Reload(old, now *Pilot) (changed, restart []string) {
 	visitDifferences(reflect.ValueOf(*old), reflect.ValueOf(*now), func(name string) {
 		if slices.Contains(reloadableFields, name) {
@@ -31,7 +31,8 @@
 	return changed, restart
 }
 
-// visitDifferences calls visit with the name of each field that differs, those of embedded structs included.
+// visitDifferences calls visit with the name of each field that differs between two structs of the same type. It
+// descends into embedded structs.
 func visitDifferences(a, b reflect.Value, visit func(field string)) {
 	for i := range a.NumField() {
 		field := a.Type().Field(i)
@@ -44,7 +45,7 @@
 	}
 }
 
-// Merge returns the old settings with the reloadable fields of the new ones.
+// Merge returns a copy of the old settings in which the reloadable fields have their new values.
 func Merge(old, now *Pilot) *Pilot {
 	merged := *old
 	to, from := reflect.ValueOf(&merged).Elem(), reflect.ValueOf(*now)
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestReload checks which fields a reload changes, and that the planner gets no other settings.
+// TestReload checks which fields a reload changes, and that the planner's reloadable settings contain no others.
 func TestReload(t *testing.T) {
 	old, err := Parse("f.hcl", []byte(validSettings))
 	require.NoError(t, err)
--- a/internal/config/request_class.go
+++ b/internal/config/request_class.go
@@ -8,36 +8,37 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// requestClassBlock is the type of the block that describes a request class.
+// requestClassBlock is the name of the blocks that describe request classes.
 const requestClassBlock = "req_kind"
 
-// maxRequestClasses is the number of bits of a class mask, which the wire carries as a non-negative 32-bit integer.
+// maxRequestClasses is the maximum number of request classes. Sets of classes are bit masks, which are sent as
+// non-negative 32-bit integers.
 const maxRequestClasses = 31
 
 // Values of RequestClass.Repeats.
 const (
-	RepeatsReplayable    = "replayable"     // idempotent: safe to repeat anywhere
-	RepeatsUniqued       = "uniqued"        // safe to repeat within Group and Window, by an idempotency key
-	RepeatsNonReplayable = "non-replayable" // may be repeated only if it is proven that nothing ran
+	RepeatsReplayable    = "replayable"     // idempotent: safe to repeat at any endpoint
+	RepeatsUniqued       = "uniqued"        // has an idempotency key: safe to repeat within Group and Window
+	RepeatsNonReplayable = "non-replayable" // may be repeated only if it is known not to have been executed
 )
 
 // RequestClass describes one class of requests. The JSON keys are those of stored experiment results.
 type RequestClass struct {
 	Name           string        `json:"Name"`
-	ResponseTarget time.Duration `json:"ResponseTarget"` // latency objective: an answer within it earns Payoff
-	ClientTimeout  time.Duration `json:"ClientTimeout"`  // for which clients wait, all attempts together
-	Payoff         float64       `json:"Payoff"`         // priority weight
-	LatePayoff     float64       `json:"LatePayoff"`     // fraction of Payoff that a later answer earns
-	Repeats        string        `json:"Repeats"`        // whether a request may be repeated: RepeatsReplayable, ...
-	Group          string        `json:"Group"`          // RepeatsUniqued: endpoints that share seen keys: all, zone, cell
-	Window         time.Duration `json:"Window"`         // RepeatsUniqued: for which seen keys are kept
-	OnlyMachines   []string      `json:"OnlyMachines"`   // machine types that may serve it; none means all
-	OnlyZones      []string      `json:"OnlyZones"`      // zones that may serve it; none means all
-	OwnZone        bool          `json:"OwnZone"`        // only the caller's zone may serve it
-	Writes         bool          `json:"Writes"`         // it modifies data
+	ResponseTarget time.Duration `json:"ResponseTarget"` // latency objective: a response within it earns Payoff
+	ClientTimeout  time.Duration `json:"ClientTimeout"`  // time that clients wait for a response, retries included
+	Payoff         float64       `json:"Payoff"`         // priority weight: value of a response within ResponseTarget
+	LatePayoff     float64       `json:"LatePayoff"`     // fraction of Payoff that a later response earns
+	Repeats        string        `json:"Repeats"`        // whether a request may be repeated: one of the Repeats constants
+	Group          string        `json:"Group"`          // for RepeatsUniqued: endpoints that share idempotency keys: all, zone or cell
+	Window         time.Duration `json:"Window"`         // for RepeatsUniqued: time for which endpoints remember idempotency keys
+	OnlyMachines   []string      `json:"OnlyMachines"`   // machine types that may serve the class; empty: all
+	OnlyZones      []string      `json:"OnlyZones"`      // zones that may serve the class; empty: all
+	OwnZone        bool          `json:"OwnZone"`        // whether only endpoints in the caller's zone may serve the class
+	Writes         bool          `json:"Writes"`         // whether requests of the class modify data
 }
 
-// newRequestClass returns a class with the default settings.
+// newRequestClass returns a request class with the default settings.
 func newRequestClass(name string) RequestClass {
 	return RequestClass{
 		Name:           name,
@@ -50,7 +51,7 @@
 	}
 }
 
-// fields lists the attributes of a request class.
+// fields returns the attributes of a request class.
 func (k *RequestClass) fields() []Field {
 	return []Field{
 		{Name: "response_target", Into: &k.ResponseTarget, Min: 0.001},
@@ -74,23 +75,23 @@
 	diags = append(diags, checkListed(body, "only_machines", class.OnlyMachines, c.Machines)...)
 	diags = append(diags, checkListed(body, "only_zones", class.OnlyZones, c.Zones)...)
 	if slices.Contains(c.ClassNames(), class.Name) {
-		diags = append(diags, Diagnostic(body.SrcRange, "req_kind %q stands here twice", class.Name))
+		diags = append(diags, Diagnostic(body.SrcRange, "duplicate req_kind %q", class.Name))
 	}
 	c.Kinds = append(c.Kinds, class)
 	return diags
 }
 
-// checkListed reports the names of an attribute that are not in the top-level list of known ones.
+// checkListed reports names in an attribute that are not in the corresponding top-level list, zones or machines.
 func checkListed(body *hclsyntax.Body, attribute string, names, known []string) (diags hcl.Diagnostics) {
 	for _, name := range names {
 		if !slices.Contains(known, name) {
-			diags = append(diags, Diagnostic(body.SrcRange, "%s: %q is not listed at the top", attribute, name))
+			diags = append(diags, Diagnostic(body.SrcRange, "%s: %q is not listed at the top level", attribute, name))
 		}
 	}
 	return diags
 }
 
-// ClassNames returns the names of the request classes in order.
+// ClassNames returns the names of the request classes in the order of the settings file.
 func (c *Common) ClassNames() (names []string) {
 	for _, class := range c.Kinds {
 		names = append(names, class.Name)
--- a/internal/config/source.go
+++ b/internal/config/source.go
@@ -10,26 +10,27 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// Limits on a source text. HCL's parser recurses into nested constructs, and a Go process that exhausts its stack is
-// killed without a chance to recover, so excessive nesting must be detected before the text is parsed.
+// Limits on a source text. HCL's parser recurses into nested constructs, and Go can't recover from a stack overflow, so
+// excessive nesting must be detected before the text is parsed.
 const (
-	MaxBytes     = 16 << 20 // of a source text
-	maxNesting   = 200      // blocks, lists, templates and parentheses inside each other
-	maxOperators = 10000    // operators that the parser recurses into: ! - ?
+	MaxBytes     = 16 << 20 // maximum size of a source text
+	maxNesting   = 200      // maximum depth of nested blocks, lists, templates and parentheses
+	maxOperators = 10000    // maximum number of operators whose operands the parser parses recursively: ! - ?
 )
 
-// ReadFile reads a file for Open. It reads at most one byte more than MaxBytes, so that Open still rejects a longer
-// file.
+// ReadFile reads a file for Open. It reads at most MaxBytes+1 bytes, which suffices for Open to detect and reject a
+// file that is too long.
 func ReadFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // opened for reading only: closing it can't lose data
+	defer func() { _ = f.Close() }() // no data can be lost, because the file is open for reading only
 	return io.ReadAll(io.LimitReader(f, MaxBytes+1))
 }
 
-// Open checks the size of a text, parses it and returns its body. The name of the file is for diagnostics.
+// Open checks the size and nesting of a text, parses it and returns its body. The name of the file is used in
+// diagnostics.
 func Open(name string, text []byte) (*hclsyntax.Body, hcl.Diagnostics) {
 	if diags := checkSize(name, text); diags.HasErrors() {
 		return nil, diags
@@ -40,7 +41,7 @@
 	}
 	body, ok := f.Body.(*hclsyntax.Body)
 	if !ok {
-		return nil, hcl.Diagnostics{{Severity: hcl.DiagError, Summary: "Not in HCL's native syntax"}}
+		return nil, hcl.Diagnostics{{Severity: hcl.DiagError, Summary: "the text is not in HCL's native syntax"}}
 	}
 	return body, nil
 }
@@ -51,7 +52,7 @@
 		start := hcl.Range{Filename: name, Start: hcl.InitialPos}
 		return hcl.Diagnostics{Diagnostic(start, "longer than %d bytes", MaxBytes)}
 	}
-	tokens, _ := hclsyntax.LexConfig(text, name, hcl.InitialPos) // the parser reports lexical errors
+	tokens, _ := hclsyntax.LexConfig(text, name, hcl.InitialPos) // lexical errors are ignored here; the parser reports them
 	depth, operators := 0, 0
 	for _, token := range tokens {
 		switch token.Type {
@@ -65,19 +66,21 @@
 		}
 		if depth > maxNesting || operators > maxOperators {
 			return hcl.Diagnostics{
-				Diagnostic(token.Range, "nested deeper than %d, or more than %d signs", maxNesting, maxOperators),
+				Diagnostic(token.Range, "nested deeper than %d, or more than %d operators", maxNesting, maxOperators),
 			}
 		}
 	}
 	return nil
 }
 
-// Diagnostic returns an error at a position of the source.
+// Diagnostic returns a diagnostic of severity error at a position of the source. The arguments format its summary as in
+// fmt.Sprintf.
 func Diagnostic(at hcl.Range, format string, args ...any) *hcl.Diagnostic {
 	return &hcl.Diagnostic{Severity: hcl.DiagError, Summary: fmt.Sprintf(format, args...), Subject: &at}
 }
 
-// DiagnosticsError joins diagnostics into one error with a line for each: "file:line:column: summary; detail".
+// DiagnosticsError joins diagnostics into one error with one line per diagnostic, in the form "file:line:column:
+// summary; detail". It returns nil if there are none.
 func DiagnosticsError(diags hcl.Diagnostics) error {
 	var errs []error
 	for _, d := range diags {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -11,18 +11,19 @@
 	"indigousher/internal/wire"
 )
 
-// validator collects errors about settings that can't be checked field by field. They all carry the position of the
-// file's body.
+// validator collects errors about settings that can't be checked field by field. It reports all of them at one
+// position, that of the file's body.
 type validator struct {
 	at    hcl.Range
 	diags hcl.Diagnostics
 }
 
+// errorf adds an error, formatted as in fmt.Errorf.
 func (v *validator) errorf(format string, args ...any) {
 	v.diags = append(v.diags, Diagnostic(v.at, format, args...))
 }
 
-// validate checks the settings against each other.
+// validate checks constraints that involve several settings.
 func (p *Pilot) validate(at hcl.Range) hcl.Diagnostics {
 	v := &validator{at: at}
 	p.validateNames(v)
@@ -36,29 +37,29 @@
 	return v.diags
 }
 
-// validateNames checks that there are classes, that no zone or machine type is listed twice, and that the wire can
-// carry all names.
+// validateNames checks that there is at least one request class, that the lists of zones and machine types contain no
+// duplicates, and that all names have a length that the wire format can represent.
 func (p *Pilot) validateNames(v *validator) {
 	if len(p.Kinds) == 0 {
-		v.errorf("no req_kind is told")
+		v.errorf("no req_kind block: at least one request class is required")
 	}
-	// The planner knows zones and machine types by their index, which a duplicate would make ambiguous.
+	// The planner identifies zones and machine types by index, so a duplicate name would be ambiguous.
 	if name, ok := firstDuplicate(p.Zones); ok {
-		v.errorf("zones: %q stands here twice", name)
+		v.errorf("zones: duplicate name %q", name)
 	}
 	if name, ok := firstDuplicate(p.Machines); ok {
-		v.errorf("machines: %q stands here twice", name)
+		v.errorf("machines: duplicate name %q", name)
 	}
 	for _, name := range slices.Concat([]string{p.Name}, p.ClassNames(), p.Zones, p.Machines) {
 		v.diags = append(v.diags, checkName(v.at, name, 1)...)
 	}
 }
 
-// validateTables checks that the tables, one for each zone and class, can be numbered.
+// validateTables checks that there are enough table numbers for one routing table per zone and request class.
 func (p *Pilot) validateTables(v *validator) {
 	tables := len(p.Zones) * max(1, len(p.Kinds))
 	if tables >= wire.EveryTable {
-		v.errorf("%d zones and %d kinds of req want %d tables, fewer than %d may be",
+		v.errorf("%d zones and %d request classes need %d tables, but fewer than %d are possible",
 			len(p.Zones), len(p.Kinds), tables, wire.EveryTable)
 	}
 }
@@ -72,39 +73,40 @@
 // validateSources checks that there is exactly one source of the endpoint list.
 func (p *Pilot) validateSources(v *validator) {
 	if (p.ListFile == "") == (p.ListAddress == "") {
-		v.errorf("list: one of file and address is wanted")
+		v.errorf("list: exactly one of file and address is required")
 	}
 }
 
-// validateKeys checks that streams are either authenticated or confined to this machine.
+// validateKeys checks that either keys are configured, or all addresses are loopback addresses.
 func (p *Pilot) validateKeys(v *validator) {
 	if p.Plain == (p.Keys != identity.Files{}) {
-		v.errorf("keys: authority, certificate and private_key are wanted, or plain = true")
+		v.errorf("keys: either authority, certificate and private_key are required, or plain = true")
 	}
 	if !p.Plain && p.PeersListen != "" && p.PeersSecret == "" {
-		v.errorf("peers: with keys a secret is wanted, or plain = true")
+		v.errorf("peers: a secret is required, or plain = true")
 	}
 	if !p.Plain {
 		return
 	}
 	for _, address := range []string{p.Listen, p.GRPC, p.Admin, p.PeersListen, p.ListAddress} {
 		if address != "" && !isLoopback(address) {
-			v.errorf("%s is no loopback address, and plain = true is for these only", address)
+			v.errorf("%s is not a loopback address; plain = true is allowed for loopback addresses only", address)
 		}
 	}
 }
 
 func (p *Pilot) validateRank(v *validator) {
 	if p.Rank >= p.Instances {
-		v.errorf("rank %d of %d instances: ranks count from 0", p.Rank, p.Instances)
+		v.errorf("rank %d of %d instances: ranks start at 0, so it must be less than the number of instances", p.Rank, p.Instances)
 	}
 }
 
-// validateRetries checks that the proxies don't repeat non-idempotent requests by default.
+// validateRetries checks that the default retry policy never repeats non-replayable requests that may have been
+// executed.
 func (p *Pilot) validateRetries(v *validator) {
 	for _, class := range p.Kinds {
 		if class.Repeats == RepeatsNonReplayable && p.RetryHow > retryIfNothingRan {
-			v.errorf("proxies: try_again %d has proxies repeat %q by themselves, which is non-replayable; 0 or 1 may stand",
+			v.errorf("proxies: try_again %d lets proxies repeat requests of class %q, which is non-replayable; use 0 or 1",
 				p.RetryHow, class.Name)
 		}
 	}
@@ -113,22 +115,22 @@
 func (p *Pilot) validatePeers(v *validator) {
 	for rank := range p.Peers {
 		if _, err := strconv.Atoi(rank); err != nil {
-			v.errorf("peers: %q is no rank", rank)
+			v.errorf("peers: %q is not a rank", rank)
 		}
 	}
 }
 
-// checkName reports a name that the wire can't carry: shorter than minBytes or longer than wire.MaxText.
+// checkName reports a name that is shorter than minBytes, or longer than the wire format allows.
 func checkName(at hcl.Range, name string, minBytes int) hcl.Diagnostics {
 	if len(name) >= minBytes && len(name) <= wire.MaxText {
 		return nil
 	}
 	return hcl.Diagnostics{
-		Diagnostic(at, "a name of %d bytes, %d to %d are wanted: %.40q", len(name), minBytes, wire.MaxText, name),
+		Diagnostic(at, "the name %.40q has %d bytes, must have %d to %d", name, len(name), minBytes, wire.MaxText),
 	}
 }
 
-// firstDuplicate returns the first name that a list holds for the second time.
+// firstDuplicate returns the first name in a list that equals an earlier one; false if there is none.
 func firstDuplicate(names []string) (string, bool) {
 	seen := map[string]bool{}
 	for _, name := range names {
@@ -140,7 +142,7 @@
 	return "", false
 }
 
-// isLoopback reports whether an address can be reached from this machine only.
+// isLoopback reports whether the host of a host:port address is "localhost" or a loopback IP address.
 func isLoopback(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/internal/config/value.go
+++ b/internal/config/value.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// maxElements bounds a list or map, because converting one takes time quadratic in its length.
+	// maxElements limits the length of a list or map, because the time to convert one is quadratic in its length.
 	maxElements = 4096
 
-	// maxNumber bounds numbers, and durations in seconds, whose field has no Max.
+	// maxNumber is the maximum of numbers, and of durations in seconds, if the field's Max is 0.
 	maxNumber = 1e12
 )
 
-// errNoValue rejects an expression that is null or depends on something unknown.
-var errNoValue = errors.New("a value is wanted")
+// errNoValue is returned for an expression that is null or whose value is not known.
+var errNoValue = errors.New("a value is required")
 
 // decode evaluates an expression, checks its value and assigns it to the field's variable.
 func (f Field) decode(expression hclsyntax.Expression) error {
@@ -58,10 +58,11 @@
 		*into = nil
 		return convertTo(value, cty.Map(cty.String), into)
 	}
-	return fmt.Errorf("a field of type %T can't be read", f.Into)
+	return fmt.Errorf("can't decode a field of type %T", f.Into)
 }
 
-// evaluate returns the value of an expression, which may hold no variables and no more than maxElements elements.
+// evaluate returns the value of an expression. The expression must not contain variables, and a list or map must not
+// have more than maxElements elements.
 func evaluate(expression hclsyntax.Expression) (cty.Value, error) {
 	value, diags := expression.Value(nil)
 	if diags.HasErrors() {
@@ -71,7 +72,7 @@
 		return cty.NilVal, errNoValue
 	}
 	if value.CanIterateElements() && value.LengthInt() > maxElements {
-		return cty.NilVal, fmt.Errorf("%d elements, %d may be", value.LengthInt(), maxElements)
+		return cty.NilVal, fmt.Errorf("%d elements, at most %d are allowed", value.LengthInt(), maxElements)
 	}
 	return value, nil
 }
@@ -85,7 +86,7 @@
 	return gocty.FromCtyValue(converted, into)
 }
 
-// decodeDuration assigns a duration, which HCL holds as a string with a unit.
+// decodeDuration parses a duration, which is written in HCL as a string with a unit, and assigns it to a Go variable.
 func (f Field) decodeDuration(value cty.Value, into *time.Duration) error {
 	var text string
 	if err := convertTo(value, cty.String, &text); err != nil {
@@ -93,7 +94,7 @@
 	}
 	duration, err := time.ParseDuration(text)
 	if err != nil {
-		return fmt.Errorf("a span such as \"300ms\" or \"2s\" is wanted, not %q", text)
+		return fmt.Errorf("must be a duration such as \"300ms\" or \"2s\", not %q", text)
 	}
 	*into = duration
 	return f.checkBounds(duration.Seconds())
@@ -106,12 +107,12 @@
 		limit = maxNumber
 	}
 	if math.IsNaN(v) || v < f.Min || v > limit {
-		return fmt.Errorf("%g is outside %g to %g", v, f.Min, limit)
+		return fmt.Errorf("%g is outside the range %g to %g", v, f.Min, limit)
 	}
 	return nil
 }
 
-// checkOneOf checks a string against OneOf.
+// checkOneOf checks that a string is one of the values in OneOf, if there are any.
 func (f Field) checkOneOf(v string) error {
 	if len(f.OneOf) == 0 || slices.Contains(f.OneOf, v) {
 		return nil
--- a/internal/config/write.go
+++ b/internal/config/write.go
@@ -8,7 +8,7 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// Text returns the settings as HCL, defaults included. Parse restores the same settings from it.
+// Text returns the settings as HCL, including those with default values. Parse returns equal settings for that text.
 func (p *Pilot) Text() []byte {
 	f := hclwrite.NewEmptyFile()
 	body := f.Body()
@@ -27,7 +27,7 @@
 	return f.Bytes()
 }
 
-// writeFields writes the values of fields. It leaves out empty strings, lists and maps.
+// writeFields writes the fields and their values to body. It omits empty strings, lists and maps.
 func writeFields(body *hclwrite.Body, fields []Field) {
 	for _, f := range fields {
 		if value, ok := f.encode(); ok {
@@ -54,8 +54,8 @@
 	case *map[string]string:
 		return encodeMap(*from), len(*from) > 0
 	}
-	// A field's type is fixed in this program, it never comes from a file.
-	panic(fmt.Sprintf("a field of type %T can't be written", f.Into))
+	// Field types are fixed in the source code and don't depend on input, so this is a programming error.
+	panic(fmt.Sprintf("can't encode a field of type %T", f.Into))
 }
 
 func encodeList(from []string) cty.Value {
--- a/internal/config/write_test.go
+++ b/internal/config/write_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestTextRoundTrip checks that settings that were written as HCL are read back unchanged.
+// TestTextRoundTrip checks that Parse returns the settings that Text wrote, unchanged.
 func TestTextRoundTrip(t *testing.T) {
 	p := Defaults()
 	p.Zones = []string{"a", "b"}
--- a/internal/daemon/assemble.go
+++ b/internal/daemon/assemble.go
@@ -37,24 +37,26 @@
 	return nil
 }
 
-// lateLoop forwards inputs to the control loop. The transports need a destination for their inputs when they are
+// deferredLoop forwards inputs to the control loop. The transports need a destination for their inputs when they are
 // created, but the loop is created after them.
-type lateLoop struct{ d *Daemon }
+type deferredLoop struct{ d *Daemon }
 
 // Post forwards an input to the loop. It must not be called before buildCore has created the loop; the transports
 // produce no inputs until Run starts them.
-func (l lateLoop) Post(ctx context.Context, in controller.Input) error { return l.d.loop.Post(ctx, in) }
+func (l deferredLoop) Post(ctx context.Context, in controller.Input) error {
+	return l.d.loop.Post(ctx, in)
+}
 
 // followEndpointList creates the source of the endpoint list: a stream from a server if the configuration has a server
 // address, otherwise a watched file.
 func (d *Daemon) followEndpointList(cfg *config.Pilot) {
 	log := d.options.Log.Named("list")
 	if cfg.ListAddress != "" {
-		d.endpointSource = discovery.NewStream(cfg.Name, cfg.ListAddress, d.options.Dial, lateLoop{d}, cfg.ListSilence,
+		d.endpointSource = discovery.NewStream(cfg.Name, cfg.ListAddress, d.options.Dial, deferredLoop{d}, cfg.ListSilence,
 			log)
 		return
 	}
-	d.endpointSource = discovery.NewFile(cfg.ListFile, config.ReadList, lateLoop{d}, log)
+	d.endpointSource = discovery.NewFile(cfg.ListFile, config.ReadList, deferredLoop{d}, log)
 }
 
 // coreOptions returns the options for a controller core, including a newly created planner.
@@ -75,8 +77,8 @@
 		Telemetry:      cfg.TelemetryOptions(),
 		MaxProxies:     cfg.MostProxies,
 		EndpointSource: d.endpointSource,
-		HealthChecker:  d.proberForCore(),
-		Gossip:         d.peersForCore(),
+		HealthChecker:  d.healthCheckerForCore(),
+		Gossip:         d.gossipForCore(),
 		Log:            func(text string) { log.Info(text, zap.String("source", "planner")) },
 		Malformed:      func(what string, fields ...string) { log.Warn(what, zap.Strings("fields", fields)) },
 		Metrics:        d.metrics,
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -20,7 +20,7 @@
 		}
 		options.OnTurn = d.newRecorder().Turn
 		if rebuilt != nil {
-			resumeAtMs = rebuilt.Now() + d.recording.Verdict.AwayMs
+			resumeAtMs = rebuilt.Now() + d.recording.decision.AwayMs
 			rebuilt.FinishRecovery(options)
 			d.core = rebuilt
 		}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -26,7 +26,7 @@
 	Run(ctx context.Context) error
 }
 
-// Daemon is one running controller: the planner with its control loop, transports, listeners and record.
+// Daemon is one controller: the planner with its control loop, transports, listeners and record.
 type Daemon struct {
 	config   atomic.Pointer[config.Pilot] // current configuration, replaced by Reload
 	options  Options
@@ -52,9 +52,9 @@
 	adminListener  net.Listener
 	listenerFiles  map[string]*os.File
 
-	running   context.Context    // canceled when all parts must stop immediately
-	terminate context.CancelFunc // cancels running
-	killed    atomic.Bool        // set by Kill
+	runContext context.Context    // canceled when all parts must stop immediately
+	terminate  context.CancelFunc // cancels runContext
+	killed     atomic.Bool        // set by Kill
 }
 
 // New opens the listeners and creates the parts of the controller. Nothing is served until Run is called.
@@ -67,7 +67,7 @@
 		collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
 	)
-	d.running, d.terminate = context.WithCancel(context.Background())
+	d.runContext, d.terminate = context.WithCancel(context.Background())
 	if err := d.assemble(cfg); err != nil {
 		if d.recording != nil {
 			err = errors.Join(err, d.recording.close())
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -26,7 +26,7 @@
 		return fmt.Errorf("listen for pilots: %w", err)
 	}
 	log := d.options.Log.Named("peers")
-	service, err := gossip.Open(d.options.Packet(conn), cfg.Rank, addressesByRank(cfg.Peers), lateLoop{d}, log)
+	service, err := gossip.Open(d.options.Packet(conn), cfg.Rank, addressesByRank(cfg.Peers), deferredLoop{d}, log)
 	if err != nil {
 		return errors.Join(err, conn.Close())
 	}
@@ -43,8 +43,8 @@
 	return identity.LoadSecret(file)
 }
 
-// addressesByRank converts the rank keys of the configured peer addresses to integers. The conversion can't fail, because
-// the configuration has been validated.
+// addressesByRank converts the rank keys of the configured peer addresses to integers. The conversion can't fail,
+// because the configuration has been validated.
 func addressesByRank(addresses map[string]string) map[int]string {
 	byRank := map[int]string{}
 	for text, address := range addresses {
@@ -54,9 +54,9 @@
 	return byRank
 }
 
-// peersForCore returns the sender of gossip messages to other controllers. If gossip is not configured, the sender
+// gossipForCore returns the sender of gossip messages to other controllers. If gossip is not configured, the sender
 // discards all messages.
-func (d *Daemon) peersForCore() controller.GossipSender {
+func (d *Daemon) gossipForCore() controller.GossipSender {
 	if d.gossip == nil {
 		return gossip.Disabled{}
 	}
--- a/internal/daemon/handoff.go
+++ b/internal/daemon/handoff.go
@@ -12,7 +12,7 @@
 // serveHandoff accepts takeover requests from other processes on the handover socket. It does nothing if no socket is
 // configured. Its goroutine ends when another process has taken over, when serving fails, or when ctx ends.
 func (h *Host) serveHandoff(ctx context.Context) {
-	h.replaced = make(chan error, 1)
+	h.handoffResult = make(chan error, 1)
 	if h.config.Handover == "" {
 		return
 	}
@@ -24,7 +24,7 @@
 	go func() {
 		taken, err := handoff.Serve(ctx, h.config.Handover)
 		if taken || err != nil {
-			h.replaced <- err
+			h.handoffResult <- err
 		}
 	}()
 }
@@ -35,8 +35,8 @@
 	h.release()
 }
 
-// resume restarts the controller on its listeners after a failed handoff. lock is the lock of the handover socket, which
-// the handoff has acquired again.
+// resume restarts the controller on its listeners after a failed handoff. lock is the lock of the handover socket,
+// which the handoff has acquired again.
 func (h *Host) resume(ctx context.Context, lock *handover.Lock) {
 	h.mu.Lock()
 	h.lock = lock
@@ -45,7 +45,7 @@
 	h.options.Listeners = h.reopenListeners()
 	if err := h.start(ctx); err != nil {
 		h.options.Log.Error("pilot can't resume", zap.Error(err))
-		h.replaced <- err
+		h.handoffResult <- err
 	}
 }
 
--- a/internal/daemon/healthcheck.go
+++ b/internal/daemon/healthcheck.go
@@ -18,12 +18,12 @@
 // startHealthChecks creates the health checker. It does nothing if health checks are disabled.
 func (d *Daemon) startHealthChecks(cfg *config.Pilot) {
 	if cfg.Probing {
-		d.healthChecker = healthcheck.New(d.running, d.options.Dial, lateLoop{d}, healthCheckTimeout, maxHealthChecks)
+		d.healthChecker = healthcheck.New(d.runContext, d.options.Dial, deferredLoop{d}, healthCheckTimeout, maxHealthChecks)
 	}
 }
 
-// proberForCore returns the health checker. If health checks are disabled, it returns one that checks nothing.
-func (d *Daemon) proberForCore() controller.HealthChecker {
+// healthCheckerForCore returns the health checker. If health checks are disabled, it returns one that checks nothing.
+func (d *Daemon) healthCheckerForCore() controller.HealthChecker {
 	if d.healthChecker == nil {
 		return healthcheck.Disabled{}
 	}
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -21,22 +21,22 @@
 	config  *config.Pilot
 	options Options
 
-	mu     sync.Mutex          // guards daemon, stop, ended, files and lock; files is set once, by the first start
-	daemon *Daemon             // the daemon that runs, or ran last
-	stop   context.CancelFunc  // stops daemon
-	ended  chan error          // receives the result of Daemon.Run
-	files  map[string]*os.File // file handles of the listeners by name; they stay open when a daemon stops
-	lock   *handover.Lock      // prevents other processes from serving; nil without a handover socket
-
-	replaced chan error // receives nil when another process has taken over, or the error of a failed handoff
-	faults   chan error // receives the result of Daemon.Run if the daemon stopped without being asked to
+	mu        sync.Mutex          // guards daemon, stop, runResult, files and lock; files is set once, by the first start
+	daemon    *Daemon             // the daemon that runs, or ran last
+	stop      context.CancelFunc  // stops daemon
+	runResult chan error          // receives the result of Daemon.Run
+	files     map[string]*os.File // file handles of the listeners by name; they stay open when a daemon stops
+	lock      *handover.Lock      // prevents other processes from serving; nil without a handover socket
+
+	handoffResult chan error // receives nil when another process has taken over, or the error of a failed handoff
+	failures      chan error // receives the result of Daemon.Run if the daemon stopped without being asked to
 }
 
-// Start starts a controller. If takeOver is true, it takes the listeners over from the process that runs the controller,
-// after that process has stopped serving.
+// Start starts a controller. If takeOver is true, it takes the listeners over from the process that runs the
+// controller, after that process has stopped serving.
 func Start(ctx context.Context, cfg *config.Pilot, o Options, takeOver bool) (*Host, error) {
 	o.setDefaults()
-	h := &Host{config: cfg, options: o, faults: make(chan error, 1)}
+	h := &Host{config: cfg, options: o, failures: make(chan error, 1)}
 	var err error
 	if takeOver {
 		err = h.takeOver(ctx)
@@ -50,8 +50,8 @@
 	return h, nil
 }
 
-// startFirst starts the controller without a takeover. If a handover socket is configured, it fails when another process
-// holds the lock.
+// startFirst starts the controller without a takeover. If a handover socket is configured, it fails when another
+// process holds the lock.
 func (h *Host) startFirst(ctx context.Context) error {
 	if h.config.Handover != "" {
 		lock, err := handover.AcquireLock(h.config.Handover)
@@ -105,7 +105,7 @@
 		err := d.Run(ctx)
 		ended <- err
 		if ctx.Err() == nil { // the daemon stopped without being asked to
-			h.faults <- err
+			h.failures <- err
 		}
 	}()
 	return nil
@@ -118,7 +118,7 @@
 	defer h.mu.Unlock()
 	h.daemon = d
 	h.stop = stop
-	h.ended = ended
+	h.runResult = ended
 	if h.files == nil {
 		h.files = d.Files()
 	} else {
@@ -131,7 +131,7 @@
 func (h *Host) halt() {
 	h.mu.Lock()
 	stop := h.stop
-	ended := h.ended
+	ended := h.runResult
 	h.mu.Unlock()
 	stop()
 	if err := <-ended; err != nil {
@@ -152,18 +152,18 @@
 func (h *Host) Wait(ctx context.Context) error {
 	defer h.close()
 	h.mu.Lock()
-	ended := h.ended
+	ended := h.runResult
 	h.mu.Unlock()
 	if h.config.Handover == "" {
 		return <-ended
 	}
 	select {
-	case err := <-h.replaced:
+	case err := <-h.handoffResult:
 		if err == nil {
 			h.options.Log.Info("another process has taken over")
 		}
 		return err
-	case err := <-h.faults:
+	case err := <-h.failures:
 		return err
 	case <-ctx.Done():
 		h.halt()
--- a/internal/daemon/identity.go
+++ b/internal/daemon/identity.go
@@ -22,8 +22,9 @@
 	keyCheckInterval = time.Minute
 )
 
-// loadKeys loads the controller's certificate and private key, checks that the certificate was issued to this controller,
-// and registers a metric of the time until it expires. It does nothing if the configuration specifies plain text.
+// loadKeys loads the controller's certificate and private key, checks that the certificate was issued to this
+// controller, and registers a metric of the time until it expires. It does nothing if the configuration specifies plain
+// text.
 func (d *Daemon) loadKeys(cfg *config.Pilot) error {
 	if cfg.Plain {
 		return nil
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -19,8 +19,8 @@
 	adminListenerName  = "admin"
 )
 
-// listenForProxies opens the listener for the framed protocol. If keys are loaded, it enables TLS on the listener and on
-// connections to the endpoint list server.
+// listenForProxies opens the listener for the framed protocol. If keys are loaded, it enables TLS on the listener and
+// on connections to the endpoint list server.
 func (d *Daemon) listenForProxies(cfg *config.Pilot) (err error) {
 	d.streamListener, err = d.options.listen(streamListenerName, cfg.Listen)
 	if err != nil {
@@ -98,7 +98,7 @@
 	return l.Addr().String()
 }
 
-// close cancels the running context and closes the listeners.
+// close cancels runContext and closes the listeners.
 func (d *Daemon) close() {
 	d.terminate()
 	for _, l := range []net.Listener{d.streamListener, d.grpcListener, d.adminListener} {
--- a/internal/daemon/oldstore_test.go
+++ b/internal/daemon/oldstore_test.go
@@ -62,7 +62,7 @@
 
 	d, err := New(p, Options{})
 	require.NoError(t, err)
-	assert.Contains(t, d.recording.Verdict.Reason, "recovered from")
+	assert.Contains(t, d.recording.decision.Reason, "recovered from")
 	stop, ended := run(t, d)
 	following(t, func() []string { return []string{d.Address()} })
 	require.Eventually(t, listedAndJoined(d), 5*time.Second, time.Millisecond)
--- a/internal/daemon/recording.go
+++ b/internal/daemon/recording.go
@@ -21,19 +21,19 @@
 // recording writes the daemon's record and holds the outcome of the recovery at the start. A record consists of lives:
 // one life is the record of one run of a controller.
 type recording struct {
-	store       *record.Store
-	writer      *record.Writer
-	life        string            // ID of the life being written
-	rebuiltFrom string            // ID of the previous life if the state was recovered from it; "": cold start
-	fingerprint string            // identifies the planner's version; only a record with the same one is used
-	settings    string            // planner settings at the start, as JSON
-	Verdict     recovery.Decision // whether the state was recovered, and why not
-	Took        time.Duration     // duration of the recovery
+	store         *record.Store
+	writer        *record.Writer
+	life          string            // ID of the life being written
+	recoveredFrom string            // ID of the previous life if the state was recovered from it; "": cold start
+	fingerprint   string            // identifies the planner's version; only a record with the same one is used
+	settings      string            // planner settings at the start, as JSON
+	decision      recovery.Decision // whether the state was recovered, and why not
+	recoveryTime  time.Duration     // duration of the recovery
 }
 
-// openRecord opens the store, starts a new life in it, and returns a core restored from the previous life; nil for a cold
-// start. A record that is corrupt or unusable is logged and doesn't prevent the start. A store that can't be opened or
-// written does, for example because another process has it open.
+// openRecord opens the store, starts a new life in it, and returns a core restored from the previous life; nil for a
+// cold start. A record that is corrupt or unusable is logged and doesn't prevent the start. A store that can't be
+// opened or written does, for example because another process has it open.
 func (d *Daemon) openRecord(cfg *config.Pilot) (*controller.Core, error) {
 	store, err := d.openStore(cfg.RecordDir)
 	if err != nil {
@@ -52,8 +52,8 @@
 	return core, nil
 }
 
-// openStore opens the store in dir. If the file is corrupt, openStore renames it, so that it can be examined, and opens a
-// new store.
+// openStore opens the store in dir. If the file is corrupt, openStore renames it, so that it can be examined, and opens
+// a new store.
 func (d *Daemon) openStore(dir string) (*record.Store, error) {
 	store, err := record.Open(dir, false)
 	if !errors.Is(err, record.ErrCorrupt) {
@@ -72,10 +72,10 @@
 	core, err := d.recover(r, cfg)
 	if err != nil {
 		d.options.Log.Error("recovery failed, starting cold", zap.Error(err))
-		r.Verdict = recovery.Decision{Reason: "cold start: recovery failed"}
+		r.decision = recovery.Decision{Reason: "cold start: recovery failed"}
 	}
-	r.Took = time.Since(began)
-	d.options.Log.Info(r.Verdict.Reason, zap.Duration("took", r.Took))
+	r.recoveryTime = time.Since(began)
+	d.options.Log.Info(r.decision.Reason, zap.Duration("took", r.recoveryTime))
 	return core
 }
 
@@ -89,7 +89,7 @@
 		Module:   r.fingerprint,
 		Settings: r.settings,
 		Started:  time.Now(),
-		After:    r.rebuiltFrom,
+		After:    r.recoveredFrom,
 		TailMs:   float64(cfg.RecoverTail.Milliseconds()),
 	}
 	limits := record.DefaultLimits()
--- a/internal/daemon/recover.go
+++ b/internal/daemon/recover.go
@@ -11,7 +11,7 @@
 )
 
 // recover reads the last life and, if its record is usable, returns a core restored by replaying the end of it. The
-// commands of the replay are not sent. recover returns nil for a cold start, with the reason in r.Verdict.
+// commands of the replay are not sent. recover returns nil for a cold start, with the reason in r.decision.
 func (d *Daemon) recover(r *recording, cfg *config.Pilot) (*controller.Core, error) {
 	limits := recovery.Limits{
 		TailMs: float64(cfg.RecoverTail.Milliseconds()),
@@ -29,15 +29,15 @@
 			return nil, err
 		}
 	}
-	r.Verdict = recovery.Decide(facts, limits)
-	if r.Verdict.Cold() {
+	r.decision = recovery.Decide(facts, limits)
+	if r.decision.Cold() {
 		return nil, nil
 	}
 	core := controller.NewCore(d.replayOptions(cfg))
 	if err := record.Restore(core, tail); err != nil {
 		return nil, err
 	}
-	r.rebuiltFrom = last.ID
+	r.recoveredFrom = last.ID
 	return core, nil
 }
 
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -14,15 +14,15 @@
 // drainPollInterval is the interval at which a shutdown checks whether all streams have closed.
 const drainPollInterval = 20 * time.Millisecond
 
-// Run serves until ctx ends. It then asks the proxies to reconnect to another controller, and waits for their streams to
-// close for at most the configured DrainOnStop. Run returns an error if a part fails, and nil after Kill. All goroutines
-// have ended when it returns.
+// Run serves until ctx ends. It then asks the proxies to reconnect to another controller, and waits for their streams
+// to close for at most the configured DrainOnStop. Run returns an error if a part fails, and nil after Kill. All
+// goroutines have ended when it returns.
 func (d *Daemon) Run(ctx context.Context) error {
 	defer d.close()
-	group, running := errgroup.WithContext(d.running)
+	group, running := errgroup.WithContext(d.runContext)
 	serving, stopServing := context.WithCancel(running)
 	defer stopServing()
-	d.startParts(running, serving, group) //nolint:contextcheck // the parts must outlive ctx, whose end starts the graceful shutdown
+	d.startParts(running, serving, group) //nolint:contextcheck // the end of ctx starts a graceful shutdown
 	group.Go(func() error {
 		d.shutDownAfter(ctx, running, stopServing)
 		return nil
@@ -30,8 +30,8 @@
 	return d.finish(group.Wait())
 }
 
-// startParts starts a goroutine for each part. The servers for proxies stop when the context serving ends, the first step
-// of a shutdown; all other parts stop when running ends.
+// startParts starts a goroutine for each part. The servers for proxies stop when the context serving ends, the first
+// step of a shutdown; all other parts stop when running ends.
 func (d *Daemon) startParts(running, serving context.Context, group *errgroup.Group) {
 	group.Go(func() error { return d.loop.Run(running) })
 	group.Go(func() error { return d.endpointSource.Run(running) })
@@ -55,7 +55,7 @@
 
 // shutDownAfter waits until ctx ends and then shuts down gracefully: it stops accepting streams and asks the connected
 // proxies to leave, waits until they have left or the drain times out, and then stops all parts. It returns immediately
-// if a part fails, which cancels running.
+// if a part fails, which cancels the context running.
 func (d *Daemon) shutDownAfter(ctx, running context.Context, stopServing context.CancelFunc) {
 	select {
 	case <-ctx.Done():
@@ -89,8 +89,8 @@
 	}
 }
 
-// finish closes the record, waits for running health checks, and returns the result of the run: err joined with errors of
-// closing, or nil after Kill.
+// finish closes the record, waits for health checks that have not finished, and returns the result of the run: err
+// joined with errors of closing, or nil after Kill.
 func (d *Daemon) finish(err error) error {
 	if d.recording != nil {
 		err = errors.Join(err, d.recording.close())
--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -54,15 +54,15 @@
 		SeenWithin: cfg.SeenWithin,
 		HelloIn:    cfg.HelloDeadline,
 		MaxStreams: cfg.MaxStreams,
-		Claims:     d.checkIdentity(),
+		Claims:     d.identityChecker(),
 	}, d.loop, d.options.Log.Named("xds"))
 	d.xdsServer.Register(d.grpcServer.Registrar())
 	return nil
 }
 
-// checkIdentity returns a function that checks the name and zone claimed by an xDS proxy against its certificate. It
+// identityChecker returns a function that checks the name and zone claimed by an xDS proxy against its certificate. It
 // returns nil if there are no keys, because there are then no certificates to check against.
-func (d *Daemon) checkIdentity() func(ctx context.Context, proxy, zone string) error {
+func (d *Daemon) identityChecker() func(ctx context.Context, proxy, zone string) error {
 	if d.keyStore == nil {
 		return nil
 	}
--- a/internal/daemon/torn_test.go
+++ b/internal/daemon/torn_test.go
@@ -67,7 +67,7 @@
 			d, err := New(&p, Options{})
 			require.NoError(t, err)
 			if name == "as it was" {
-				assert.Contains(t, d.recording.Verdict.Reason, "recovered")
+				assert.Contains(t, d.recording.decision.Reason, "recovered")
 			}
 			stop, ended := run(t, d)
 			following(t, func() []string { return []string{d.Address()} })
@@ -105,7 +105,7 @@
 	} {
 		back, err := New(c.terms, Options{})
 		require.NoError(t, err)
-		assert.Contains(t, back.recording.Verdict.Reason, c.want)
+		assert.Contains(t, back.recording.decision.Reason, c.want)
 		stop, ended := run(t, back)
 		require.Eventually(t, func() bool { return back.State().Listed }, 5*time.Second, time.Millisecond)
 		time.Sleep(500 * time.Millisecond)
