--- a/internal/config/common.go
+++ b/internal/config/common.go
@@ -15,15 +15,15 @@
 	Kinds    []RequestClass `json:"Kinds"`    // request classes
 
 	// Channel: messages to the proxies. A message consists of lines; each line is one operation.
-	LinesPerS    float64       `json:"LinesPerS"`    // rate limit in lines per second for all proxies together, including HeadLines
+	LinesPerS    float64       `json:"LinesPerS"`    // limit in lines per second, for all proxies together
 	Backlog      float64       `json:"Backlog"`      // maximum number of queued lines
-	HeadLines    int           `json:"HeadLines"`    // fixed cost of each message, in lines
-	MessagesMost int           `json:"MessagesMost"` // maximum number of messages to one proxy within MessagesOver; 0: no limit
+	HeadLines    int           `json:"HeadLines"`    // fixed cost of each message in lines, counted against LinesPerS
+	MessagesMost int           `json:"MessagesMost"` // maximum messages to one proxy in MessagesOver; 0: no limit
 	MessagesOver time.Duration `json:"MessagesOver"` // window for MessagesMost
 
 	// Limits in the rules that the auditor checks.
 	DrainGrace   time.Duration `json:"DrainGrace"`   // time within which proxies must stop using a draining endpoint
-	BareFor      time.Duration `json:"BareFor"`      // maximum time for which a proxy may have no endpoint for a request class
+	BareFor      time.Duration `json:"BareFor"`      // maximum time without an endpoint for a request class, per proxy
 	Cold         time.Duration `json:"Cold"`         // slow start: time in which a new endpoint reaches full capacity
 	Fall         time.Duration `json:"Fall"`         // time window over which FallMultiple is measured
 	ColdFrom     float64       `json:"ColdFrom"`     // fraction of its capacity with which a cold endpoint starts
@@ -37,14 +37,14 @@
 	RetryHow    int     `json:"RetryHow"`    // default retry policy: retryNever to retryTwice
 	FirstWait   float64 `json:"FirstWait"`   // timeout of an attempt that may be retried, as a fraction of ResponseTarget
 	Admission   string  `json:"Admission"`   // admission control: admissionShare or admissionOff
-	Pick        string  `json:"Pick"`        // load balancing policy of the proxies: weighted, round (round robin) or two (the better of two random choices)
+	Pick        string  `json:"Pick"`        // load balancing policy of the proxies: weighted, round or two
 
 	// Reports of the proxies.
 	Fields          []string      `json:"Fields"`          // names of the values in load reports
 	Period          time.Duration `json:"Period"`          // reporting interval
-	ReportLinesPerS int           `json:"ReportLinesPerS"` // maximum report lines per second passed to the planner; 0: no limit
+	ReportLinesPerS int           `json:"ReportLinesPerS"` // limit of report lines per second for the planner; 0: none
 
-	CrossZone  float64 `json:"CrossZone"`  // cost of a request to another zone; a request class has a payoff of 1 by default
+	CrossZone  float64 `json:"CrossZone"`  // cost of a request to another zone; the default payoff is 1
 	Probing    bool    `json:"Probing"`    // whether the planner may request health checks of endpoints
 	AskForList bool    `json:"AskForList"` // whether the endpoint list is polled; false: it is pushed
 	Instances  int     `json:"Instances"`  // number of pilots
@@ -52,9 +52,9 @@
 
 // Values of Common.RetryHow. The numbers are part of the protocol with the proxies.
 const (
-	retryNever        = 0
-	retryIfNothingRan = 1 // only if the request is known not to have been executed
-	retryTwice        = 3 // up to twice, after any failure; the value 2 means once, after any failure
+	retryNever        = 0 // no retries
+	retryIfNothingRan = 1 // one retry, only if the request is known not to have been executed
+	retryTwice        = 3 // two retries after any failure; the value 2 allows one
 )
 
 // Values of Common.Admission.
--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -108,7 +108,11 @@
 			"f.hcl:12:21: backlog: 1e+308 is outside",
 		},
 		{"number beyond float64", validSettings + `channel { backlog = 1e400 }`, "f.hcl:12:21: backlog:"},
-		{"duration beyond its type", validSettings + `rules { cold = "1e30s" }`, "f.hcl:12:16: cold: must be a duration such as"},
+		{
+			"duration beyond its type",
+			validSettings + `rules { cold = "1e30s" }`,
+			"f.hcl:12:16: cold: must be a duration such as",
+		},
 		{"negative duration", validSettings + `rules { cold = "-1s" }`, "f.hcl:12:16: cold: -1 is outside"},
 		{"nested too deeply", validSettings + strings.Repeat("pilot {\n", 100000), "nested deeper than"},
 		{"not UTF-8", validSettings + "pilot { name = \"\xff\" }", "f.hcl:12:17: Invalid"},
--- a/internal/config/pilot.go
+++ b/internal/config/pilot.go
@@ -39,7 +39,7 @@
 	// Gossip between pilots.
 	PeersListen string            // UDP listen address; "": disabled
 	Peers       map[string]string // addresses of the other pilots by rank
-	PeersSecret string            // file with the shared secret that authenticates gossip; required unless Plain
+	PeersSecret string            // file with the keys that encrypt gossip; required unless Plain
 
 	// Intake: processing of the proxies' load reports.
 	IntakeLinesPerS float64       // report lines per second above which reports are sampled; 0: no limit
--- a/internal/config/request_class.go
+++ b/internal/config/request_class.go
@@ -30,8 +30,8 @@
 	Payoff         float64       `json:"Payoff"`         // priority weight: value of a response within ResponseTarget
 	LatePayoff     float64       `json:"LatePayoff"`     // fraction of Payoff that a later response earns
 	Repeats        string        `json:"Repeats"`        // whether a request may be repeated: one of the Repeats constants
-	Group          string        `json:"Group"`          // for RepeatsUniqued: endpoints that share idempotency keys: all, zone or cell
-	Window         time.Duration `json:"Window"`         // for RepeatsUniqued: time for which endpoints remember idempotency keys
+	Group          string        `json:"Group"`          // scope of RepeatsUniqued idempotency keys: all, zone or cell
+	Window         time.Duration `json:"Window"`         // time for which endpoints remember idempotency keys
 	OnlyMachines   []string      `json:"OnlyMachines"`   // machine types that may serve the class; empty: all
 	OnlyZones      []string      `json:"OnlyZones"`      // zones that may serve the class; empty: all
 	OwnZone        bool          `json:"OwnZone"`        // whether only endpoints in the caller's zone may serve the class
--- a/internal/config/source.go
+++ b/internal/config/source.go
@@ -52,7 +52,7 @@
 		start := hcl.Range{Filename: name, Start: hcl.InitialPos}
 		return hcl.Diagnostics{Diagnostic(start, "longer than %d bytes", MaxBytes)}
 	}
-	tokens, _ := hclsyntax.LexConfig(text, name, hcl.InitialPos) // lexical errors are ignored here; the parser reports them
+	tokens, _ := hclsyntax.LexConfig(text, name, hcl.InitialPos) // the parser reports lexical errors
 	depth, operators := 0, 0
 	for _, token := range tokens {
 		switch token.Type {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -97,7 +97,7 @@
 
 func (p *Pilot) validateRank(v *validator) {
 	if p.Rank >= p.Instances {
-		v.errorf("rank %d of %d instances: ranks start at 0, so it must be less than the number of instances", p.Rank, p.Instances)
+		v.errorf("rank %d of %d instances: ranks are 0 to the number of instances minus 1", p.Rank, p.Instances)
 	}
 }
 
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// loadGossipSecret loads the shared secret that authenticates gossip. It returns nil if file is "".
+// loadGossipSecret loads the shared keys that encrypt gossip. It returns nil if file is "": gossip is then plain text.
 func loadGossipSecret(file string) (*identity.Secret, error) {
 	if file == "" {
 		return nil, nil
