--- a/internal/config/common.go
+++ b/internal/config/common.go
@@ -52,9 +52,9 @@
 
 // Values of Common.RetryHow. The numbers are part of the protocol with the proxies.
 const (
-	retryNever        = 0 // no retries
-	retryIfNothingRan = 1 // one retry, only if the request is known not to have been executed
-	retryTwice        = 3 // two retries after any failure; the value 2 allows one
+	retryNever         = 0 // no retries
+	retryIfNotExecuted = 1 // one retry, only if the request is known not to have been executed
+	retryTwice         = 3 // two retries after any failure; the value 2 allows one
 )
 
 // Values of Common.Admission.
@@ -89,7 +89,7 @@
 
 		Proxies:     1,
 		EjectsAfter: 5,
-		RetryHow:    retryIfNothingRan,
+		RetryHow:    retryIfNotExecuted,
 		FirstWait:   1,
 		Admission:   admissionShare,
 		Pick:        "weighted",
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -20,8 +20,8 @@
 
 // Reload compares the current settings with new ones. It returns the names of the fields that differ: those that a
 // reload may change, and those that require a restart. It modifies neither of the settings.
-func Reload(old, now *Pilot) (changed, restart []string) {
-	visitDifferences(reflect.ValueOf(*old), reflect.ValueOf(*now), func(name string) {
+func Reload(current, updated *Pilot) (changed, restart []string) {
+	visitDifferences(reflect.ValueOf(*current), reflect.ValueOf(*updated), func(name string) {
 		if slices.Contains(reloadableFields, name) {
 			changed = append(changed, name)
 		} else {
@@ -45,10 +45,10 @@
 	}
 }
 
-// Merge returns a copy of the old settings in which the reloadable fields have their new values.
-func Merge(old, now *Pilot) *Pilot {
-	merged := *old
-	to, from := reflect.ValueOf(&merged).Elem(), reflect.ValueOf(*now)
+// Merge returns a copy of the current settings in which the reloadable fields have their new values.
+func Merge(current, updated *Pilot) *Pilot {
+	merged := *current
+	to, from := reflect.ValueOf(&merged).Elem(), reflect.ValueOf(*updated)
 	for _, name := range reloadableFields {
 		to.FieldByName(name).Set(from.FieldByName(name))
 	}
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -9,21 +9,21 @@
 
 // TestReload checks which fields a reload changes, and that the planner's reloadable settings contain no others.
 func TestReload(t *testing.T) {
-	old, err := Parse("f.hcl", []byte(validSettings))
+	current, err := Parse("f.hcl", []byte(validSettings))
 	require.NoError(t, err)
-	now, err := Parse("f.hcl", []byte(validSettings+`channel { lines_per_s = 99 }
+	updated, err := Parse("f.hcl", []byte(validSettings+`channel { lines_per_s = 99 }
 rules { cold = "9s" }
 pilot { listen = "127.0.0.1:9" }`))
 	require.NoError(t, err)
 
-	changed, restart := Reload(old, now)
+	changed, restart := Reload(current, updated)
 	assert.Equal(t, []string{"LinesPerS", "Cold"}, changed)
 	assert.Equal(t, []string{"Listen"}, restart)
 
-	merged := Merge(old, now)
+	merged := Merge(current, updated)
 	assert.Equal(t, 99.0, merged.LinesPerS)
-	assert.Equal(t, old.Listen, merged.Listen)
+	assert.Equal(t, current.Listen, merged.Listen)
 
-	assert.Equal(t, 9000.0, now.ReloadableSettings()["cold"])
-	assert.NotContains(t, now.ReloadableSettings(), "req_kinds")
+	assert.Equal(t, 9000.0, updated.ReloadableSettings()["cold"])
+	assert.NotContains(t, updated.ReloadableSettings(), "req_kinds")
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -105,7 +105,7 @@
 // executed.
 func (p *Pilot) validateRetries(v *validator) {
 	for _, class := range p.Kinds {
-		if class.Repeats == RepeatsNonReplayable && p.RetryHow > retryIfNothingRan {
+		if class.Repeats == RepeatsNonReplayable && p.RetryHow > retryIfNotExecuted {
 			v.errorf("proxies: try_again %d lets proxies repeat requests of class %q, which is non-replayable; use 0 or 1",
 				p.RetryHow, class.Name)
 		}
