--- a/cmd/indigousher/emulate.go
+++ b/cmd/indigousher/emulate.go
@@ -15,10 +15,11 @@
 	"indigousher/internal/scenario"
 )
 
-// defaultScenario is played if none is named.
+// defaultScenario is the scenario to play if the command line names none.
 const defaultScenario = "bad-day"
 
-// loadScenario loads the scenario that the arguments name, with another seed unless that is 0.
+// loadScenario loads the scenario named by the first argument, or defaultScenario. A seed other than 0 replaces the
+// scenario's own seed.
 func loadScenario(args []string, seed int) (*scenario.Scenario, error) {
 	name := defaultScenario
 	if len(args) > 0 {
@@ -34,31 +35,32 @@
 	return s, nil
 }
 
-// emulateOptions are the flags of the command.
+// emulateOptions holds the flags of the emulate command.
 type emulateOptions struct {
-	seed      int    // 0: the scenario's
-	log       bool   // show the planner's lines
-	traceFile string // "": no trace
+	seed      int    // seed that replaces the scenario's own; 0: not replaced
+	log       bool   // whether to print the planner's log lines
+	traceFile string // output file for a trace; "": none is written
 }
 
+// emulateCommand returns the command that plays a scenario in virtual time.
 func emulateCommand() *cobra.Command {
 	var o emulateOptions
 	c := &cobra.Command{
-		Use:   "emulate [DAY]",
+		Use:   "emulate [SCENARIO]",
 		Short: "Play a scenario in virtual time and check the five rules",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return emulate(cmd.Context(), cmd.OutOrStdout(), args, o)
 		},
 	}
-	c.Flags().IntVar(&o.seed, "seed", 0, "another seed than the scenario's")
+	c.Flags().IntVar(&o.seed, "seed", 0, "seed that replaces the scenario's; 0: the scenario's")
 	c.Flags().StringVar(&o.traceFile, "trace", "",
-		"write each decision's spans, from report to applied, to this file (OpenTelemetry, JSON)")
-	c.Flags().BoolVar(&o.log, "log", false, "show the planner's log lines")
+		"write a trace of each decision, from load report to applied change, to this file (OpenTelemetry, JSON)")
+	c.Flags().BoolVar(&o.log, "log", false, "print the planner's log lines")
 	return c
 }
 
-// emulate plays a scenario, prints what came of it, and returns errViolation if a rule did not hold.
+// emulate plays a scenario in virtual time and prints the results. It returns errViolation if a rule was violated.
 func emulate(ctx context.Context, out io.Writer, args []string, o emulateOptions) error {
 	s, err := loadScenario(args, o.seed)
 	if err != nil {
@@ -84,7 +86,7 @@
 	return nil
 }
 
-// playTraced plays and writes a trace, if a file is named for it.
+// playTraced plays a scenario and writes a trace to file. If file is "", no trace is written.
 func playTraced(ctx context.Context, play emulator.Play, file string) (*emulator.Outcome, error) {
 	if file == "" {
 		return play.Run(ctx)
--- a/cmd/indigousher/experiment.go
+++ b/cmd/indigousher/experiment.go
@@ -13,27 +13,30 @@
 	"indigousher/internal/experiment"
 )
 
-// gcPercent lets the heap grow to five times what is in use between collections: runs make much that soon goes, and
-// memory is there.
+// gcPercent is the garbage collection target percentage: the heap may grow to five times the live data between
+// collections. Runs allocate many short-lived objects and the machine has enough memory, so fewer collections are
+// faster.
 const gcPercent = 400
 
+// experimentCommand returns the command that runs a planned experiment.
 func experimentCommand() *cobra.Command {
 	var store, html string
 	c := &cobra.Command{
 		Use:   "experiment FILE",
-		Short: "Play scenarios in virtual time with factors varied, beside baselines; keep results as tables and charts",
+		Short: "Play scenarios in virtual time with varied factors and baselines; report results as tables and charts",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			base := strings.TrimSuffix(args[0], ".hcl")
 			return runExperiment(cmd, args[0], cmp.Or(store, base+".db"), cmp.Or(html, base+".html"))
 		},
 	}
-	c.Flags().StringVar(&store, "store", "", "file of results; default: FILE with .db")
-	c.Flags().StringVar(&html, "html", "", "report; default: FILE with .html")
+	c.Flags().StringVar(&store, "store", "", "database of results; default: FILE with the extension .db")
+	c.Flags().StringVar(&html, "html", "", "report to write; default: FILE with the extension .html")
 	return c
 }
 
-// runExperiment plays what a file plans, prints the table, and writes the report.
+// runExperiment runs the experiment that file describes, stores the results in the database store, prints the result
+// table, and writes the report to html.
 func runExperiment(cmd *cobra.Command, file, store, html string) error {
 	plan, err := experiment.Read(file)
 	if err != nil {
--- a/cmd/indigousher/export.go
+++ b/cmd/indigousher/export.go
@@ -14,17 +14,18 @@
 	"indigousher/planner"
 )
 
-// Formats of an export.
+// Values of the flag --as: the formats of an export.
 const (
 	formatJSON = "json"
 	formatCSV  = "csv"
 )
 
+// exportCommand returns the command that exports the turns of a life.
 func exportCommand() *cobra.Command {
 	var format string
 	c := &cobra.Command{
 		Use:   "export DIR LIFE",
-		Short: "Write a life's turns to standard output, as JSON lines or CSV",
+		Short: "Write the turns of a life to standard output, as JSON lines or CSV",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return withStore(args[0], func(s *record.Store) error {
@@ -32,10 +33,11 @@
 			})
 		},
 	}
-	c.Flags().StringVar(&format, "as", formatJSON, "json or csv")
+	c.Flags().StringVar(&format, "as", formatJSON, "format: json or csv")
 	return c
 }
 
+// exportLife writes the turns of the life with that ID to out, in one of the export formats.
 func exportLife(out io.Writer, s *record.Store, life, format string) error {
 	switch format {
 	case formatJSON:
@@ -43,10 +45,10 @@
 	case formatCSV:
 		return exportCSV(out, s, life)
 	}
-	return fmt.Errorf("%q is neither json nor csv", format)
+	return fmt.Errorf("unknown export format %q: must be json or csv", format)
 }
 
-// exportJSON writes a line for each turn.
+// exportJSON writes each turn as one line of JSON.
 func exportJSON(out io.Writer, s *record.Store, life string) error {
 	encoder := json.NewEncoder(out)
 	return s.Read(life, func(turns []record.Turn, _ bool) error {
@@ -59,7 +61,7 @@
 	})
 }
 
-// exportCSV writes a row for each input.
+// exportCSV writes a header and one row for each input of each turn.
 func exportCSV(out io.Writer, s *record.Store, life string) error {
 	table := csv.NewWriter(out)
 	if err := table.Write([]string{"at_ms", "kind", "stream", "what"}); err != nil {
@@ -77,6 +79,7 @@
 	return errors.Join(err, table.Error())
 }
 
+// exportRows writes one CSV row for each input of a turn.
 func exportRows(table *csv.Writer, t *record.Turn) error {
 	for i := range t.Inputs {
 		in := &t.Inputs[i]
@@ -93,8 +96,8 @@
 	return nil
 }
 
-// exportText is the last column of the CSV form: what came in. The names in it are part of the form, whatever the Go
-// fields are called.
+// exportText returns the content of an input for the last CSV column. The field names in the text are part of the
+// export format and must not change, even if the Go fields are renamed.
 func exportText(in *record.Input) string {
 	if in.Message != nil {
 		return fmt.Sprintf("%+v", in.Message)
--- a/cmd/indigousher/log.go
+++ b/cmd/indigousher/log.go
@@ -6,7 +6,7 @@
 	"go.uber.org/zap"
 )
 
-// logger returns a log for people (console) or machines (json), and its level, which a reload may set.
+// logger returns a logger with the format "console" or "json", and its level, which can be changed later.
 func logger(format, level string) (*zap.Logger, zap.AtomicLevel, error) {
 	parsed, err := zap.ParseAtomicLevel(level)
 	if err != nil {
@@ -21,7 +21,7 @@
 	c.Level = parsed
 	log, err := c.Build()
 	if err != nil {
-		return nil, parsed, fmt.Errorf("start log: %w", err)
+		return nil, parsed, fmt.Errorf("create logger: %w", err)
 	}
 	return log, parsed, nil
 }
--- a/cmd/indigousher/main.go
+++ b/cmd/indigousher/main.go
@@ -1,4 +1,5 @@
-// Command indigousher is a central planner behind plain proxies, and its rehearsal kit.
+// Command indigousher runs pilots, which are central planners that control proxies. It also contains tools to rehearse
+// scenarios, run experiments and inspect records.
 package main
 
 import (
@@ -20,11 +21,11 @@
 	}
 }
 
-// root is the command without a subcommand.
+// root returns the root command with all subcommands.
 func root() *cobra.Command {
 	c := &cobra.Command{
 		Use:           "indigousher",
-		Short:         "A central planner behind plain proxies",
+		Short:         "Central planner for proxies, with rehearsal tools",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/cmd/indigousher/output.go
+++ b/cmd/indigousher/output.go
@@ -5,7 +5,8 @@
 	"io"
 )
 
-// printf writes to a command's output. That it can't be written has nobody to be reported to: whoever read it is gone.
+// printf writes formatted text to a command's output. It ignores write errors, which typically mean that the reader has
+// closed a pipe.
 func printf(out io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(out, format, args...)
 }
--- a/cmd/indigousher/pilot.go
+++ b/cmd/indigousher/pilot.go
@@ -13,12 +13,13 @@
 	"indigousher/internal/daemon"
 )
 
+// pilotCommand returns the command that runs a pilot.
 func pilotCommand() *cobra.Command {
 	var file string
 	var takeOver, onPlatform bool
 	c := &cobra.Command{
 		Use:   "pilot -f FILE",
-		Short: "Run a pilot until it is asked to stop (SIGTERM); SIGHUP reloads",
+		Short: "Run a pilot until SIGTERM; SIGHUP reloads its settings",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if onPlatform {
@@ -27,16 +28,18 @@
 			return runPilot(cmd.Context(), file, takeOver)
 		},
 	}
-	c.Flags().StringVarP(&file, "file", "f", "", "the pilot's settings, in HCL")
+	c.Flags().StringVarP(&file, "file", "f", "", "settings file of the pilot, in HCL")
 	c.Flags().BoolVar(&takeOver, "take-over", false,
-		"take listeners and state over from the pilot that runs with these settings")
-	c.Flags().BoolVar(&onPlatform, "platform", false, "run on the operators' platform: NODE_CONFIG names the settings")
+		"take over listeners and state from the pilot that is running with these settings")
+	c.Flags().BoolVar(&onPlatform, "platform", false,
+		"run on the operators' platform: the environment variable NODE_CONFIG names the settings file")
 	c.MarkFlagsOneRequired("file", "platform")
 	c.MarkFlagsMutuallyExclusive("file", "platform")
 	return c
 }
 
-// runPilot runs a controller until ctx ends, it fails, or another process has taken over.
+// runPilot runs a controller with the settings in file until ctx ends, the controller fails, or another process takes
+// over. SIGHUP reloads the settings.
 func runPilot(ctx context.Context, file string, takeOver bool) error {
 	cfg, err := config.ReadPilot(file)
 	if err != nil {
@@ -46,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Sync() }() // a terminal can't be synced
+	defer func() { _ = log.Sync() }() // Sync fails if the log goes to a terminal
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	host, err := daemon.Start(ctx, cfg, daemon.Options{Log: log, Level: &level}, takeOver)
@@ -58,7 +61,7 @@
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	defer signal.Stop(hangup)
-	reloads := make(chan struct{}) // closed when reloadOn has returned, which it does with ctx
+	reloads := make(chan struct{}) // closed when reloadOn has returned, after ctx ends
 	go func() {
 		defer close(reloads)
 		reloadOn(ctx, hangup, host, file, log)
@@ -70,7 +73,7 @@
 	return err
 }
 
-// reloadOn reloads the configuration at each signal until ctx ends.
+// reloadOn reloads the settings from file at each signal received on hangup, until ctx ends.
 func reloadOn(ctx context.Context, hangup <-chan os.Signal, host *daemon.Host, file string, log *zap.Logger) {
 	for {
 		select {
@@ -82,7 +85,8 @@
 	}
 }
 
-// reload reads the configuration again. A wrong one changes nothing.
+// reload reads the settings from file and applies those that can change without a restart. If the settings are invalid,
+// it logs the error and changes nothing.
 func reload(ctx context.Context, d *daemon.Daemon, file string, log *zap.Logger) {
 	cfg, err := config.ReadPilot(file)
 	if err != nil {
@@ -100,10 +104,11 @@
 	}
 }
 
+// checkCommand returns the command that validates a settings file.
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a pilot's settings; print file:line:column of each error",
+		Short: "Validate a pilot's settings file; print each error with file:line:column",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			cfg, err := config.ReadPilot(args[0])
--- a/cmd/indigousher/platform.go
+++ b/cmd/indigousher/platform.go
@@ -14,16 +14,18 @@
 	"indigousher/internal/platform/placement"
 )
 
-// endWithin is how long a pilot on the platform may take to end after SIGTERM.
+// endWithin is the time after SIGTERM at which a pilot on the platform exits, even if it has not finished.
 const endWithin = 300 * time.Millisecond
 
-// maxLinesPerS is how many equal log lines a second are written; further ones are dropped.
+// maxLinesPerS limits the log: of lines with the same level and message, at most this many are written per second, and
+// the rest are dropped.
 const maxLinesPerS = 20
 
-// runOnPlatform runs a controller on the operators' platform until it is told to stop.
+// runOnPlatform runs a controller on the operators' platform until ctx ends or the controller fails. SIGHUP reloads the
+// settings. When ctx ends, the process exits with status 0 after endWithin at the latest.
 func runOnPlatform(ctx context.Context) error {
 	hangup := make(chan os.Signal, 1)
-	signal.Notify(hangup, syscall.SIGHUP) // before anything else: one that comes early must not end the program
+	signal.Notify(hangup, syscall.SIGHUP) // first of all, because an unhandled SIGHUP would end the process
 	defer signal.Stop(hangup)
 	settings, err := placement.Read(os.Getenv)
 	if err != nil {
@@ -31,10 +33,10 @@
 	}
 	platform.SetRuntimeLimits(settings.Limits)
 	log := platformLog()
-	defer func() { _ = log.Sync() }() // a pipe can't be synced
+	defer func() { _ = log.Sync() }() // Sync fails if the log goes to a pipe
 	context.AfterFunc(ctx, func() { time.AfterFunc(endWithin, func() { os.Exit(0) }) })
 	reload := make(chan struct{}, 1)
-	go passOn(hangup, reload) // for as long as the program runs
+	go passOn(hangup, reload) // runs until the process exits
 	log.Info("pilot starting", zap.String("pilot", settings.Name), zap.String("listen", settings.Listen))
 	if settings.Warning != "" {
 		log.Warn("part of the configuration ignored", zap.String("reason", settings.Warning))
@@ -45,7 +47,8 @@
 	return err
 }
 
-// passOn asks for a reload at each signal, unless one is waiting already: that one reads the newest file.
+// passOn requests a reload for each signal. If a request is already pending, it drops the signal, because the pending
+// reload will read the latest file anyway.
 func passOn(hangup <-chan os.Signal, reload chan<- struct{}) {
 	for range hangup {
 		select {
@@ -55,7 +58,7 @@
 	}
 }
 
-// platformLog writes lines for people.
+// platformLog returns a logger that writes human-readable lines to standard output, limited by maxLinesPerS.
 func platformLog() *zap.Logger {
 	encoding := zap.NewDevelopmentEncoderConfig()
 	encoding.EncodeTime = zapcore.TimeEncoderOfLayout("15:04:05.000")
--- a/cmd/indigousher/records.go
+++ b/cmd/indigousher/records.go
@@ -14,9 +14,10 @@
 	"indigousher/internal/record"
 )
 
+// bytesPerMB converts sizes in MiB to bytes.
 const bytesPerMB = 1 << 20
 
-// withStore opens a store for reading and closes it after use.
+// withStore opens the store in dir for reading only, calls f with it, and closes it.
 func withStore(dir string, f func(*record.Store) error) error {
 	s, err := daemon.OpenRecords(dir)
 	if err != nil {
@@ -25,16 +26,18 @@
 	return errors.Join(f(s), s.Close())
 }
 
+// recordsCommand returns the command that groups the commands for records.
 func recordsCommand() *cobra.Command {
-	c := &cobra.Command{Use: "records", Short: "Look after a pilot's records"}
+	c := &cobra.Command{Use: "records", Short: "Inspect and maintain a pilot's records"}
 	c.AddCommand(listCommand(), verifyCommand(), exportCommand(), pruneCommand())
 	return c
 }
 
+// listCommand returns the command that lists the lives in a store. A life is the record of one run of a pilot.
 func listCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "list DIR",
-		Short: "List lives",
+		Short: "List the lives in a record; a life is one run of the pilot",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return withStore(args[0], func(s *record.Store) error { return listLives(cmd.OutOrStdout(), s) })
@@ -42,10 +45,11 @@
 	}
 }
 
+// verifyCommand returns the command that checks whether a store can be read completely.
 func verifyCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "verify DIR",
-		Short: "Read everything; report what is corrupt or missing",
+		Short: "Read all records; report corrupt data and gaps",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return withStore(args[0], func(s *record.Store) error { return verify(cmd.OutOrStdout(), s) })
@@ -53,23 +57,25 @@
 	}
 }
 
+// pruneCommand returns the command that deletes old segments of a store.
 func pruneCommand() *cobra.Command {
 	var keep time.Duration
 	var maxMB float64
 	c := &cobra.Command{
 		Use:   "prune DIR",
-		Short: "Drop the oldest segments; no pilot may have the record open",
+		Short: "Delete the oldest segments of a record; no pilot may have it open",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return prune(cmd.OutOrStdout(), args[0], record.Limits{Bytes: int64(maxMB * bytesPerMB), Age: keep})
 		},
 	}
-	c.Flags().DurationVar(&keep, "keep", 0, "drop what is older; 0: nothing for its age")
-	c.Flags().Float64Var(&maxMB, "most-mb", 0, "drop until all fit; 0: nothing for its size")
+	c.Flags().DurationVar(&keep, "keep", 0, "delete segments older than this; 0: no age limit")
+	c.Flags().Float64Var(&maxMB, "most-mb", 0, "maximum size in MiB; the oldest segments are deleted first; 0: no size limit")
 	return c
 }
 
-// prune drops what is beyond limits from an existing store.
+// prune deletes the segments of an existing store that exceed the limits, and prints their number. It fails if dir does
+// not exist.
 func prune(out io.Writer, dir string, limits record.Limits) error {
 	if _, err := os.Stat(dir); err != nil {
 		return err
@@ -83,7 +89,7 @@
 	return errors.Join(err, s.Close())
 }
 
-// listLives prints a row for each life.
+// listLives prints a table with a row for each life in the store.
 func listLives(out io.Writer, s *record.Store) error {
 	lives, err := s.Lives()
 	if err != nil {
@@ -101,7 +107,8 @@
 	return w.Flush()
 }
 
-// verify reads all lives, prints a line for each, and returns an error for each that can't be read to its end.
+// verify reads all lives and prints a line for each. It returns the joined errors of the lives that can't be read
+// completely.
 func verify(out io.Writer, s *record.Store) error {
 	lives, err := s.Lives()
 	if err != nil {
@@ -116,6 +123,7 @@
 	return all
 }
 
+// verifyLife reads one life and prints the number of its turns and gaps, and its state.
 func verifyLife(out io.Writer, s *record.Store, id string) error {
 	turns := 0
 	gaps := 0
--- a/cmd/indigousher/rehearse.go
+++ b/cmd/indigousher/rehearse.go
@@ -13,25 +13,26 @@
 	"indigousher/internal/scenario"
 )
 
-// errViolation ends a rehearsal in which a rule did not hold.
-var errViolation = errors.New("a rule was broken")
+// errViolation is returned if a rule was violated in a played scenario.
+var errViolation = errors.New("a rule was violated")
 
-// rehearseOptions are the flags of the command.
+// rehearseOptions holds the flags of the rehearse command.
 type rehearseOptions struct {
-	baselines bool   // also play with standing tables and with one even table
-	processes bool   // controllers are processes of their own
-	trails    string // folder for the trails; "": they are not kept
-	records   string // folder for the controllers' records; "": one that goes with the scenario
-	logLevel  string // of the controllers
-	seed      int    // 0: the scenario's
+	baselines bool   // also play the scenario with static tables only, and with one table of equal weights
+	processes bool   // run each controller as a separate process
+	trails    string // directory for the event logs; "": they are not saved
+	records   string // directory for the controllers' records; "": a temporary one
+	logLevel  string // log level of the controllers
+	seed      int    // seed that replaces the scenario's own; 0: not replaced
 }
 
+// rehearseCommand returns the command that plays a scenario in real time on loopback.
 func rehearseCommand() *cobra.Command {
 	var list bool
 	var o rehearseOptions
 	c := &cobra.Command{
-		Use:   "rehearse [DAY]",
-		Short: "Play a scenario on loopback and check the five rules (bad-day if none is named)",
+		Use:   "rehearse [SCENARIO]",
+		Short: "Play a scenario (default: bad-day) on loopback and check the five rules",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if list {
@@ -40,19 +41,20 @@
 			return rehearse(cmd.Context(), cmd.OutOrStdout(), args, o)
 		},
 	}
-	c.Flags().BoolVar(&list, "list", false, "list the scenarios that ship")
+	c.Flags().BoolVar(&list, "list", false, "list the built-in scenarios")
 	c.Flags().BoolVar(&o.baselines, "baselines", false,
-		"also play the scenario with static tables only, and with one even table")
-	c.Flags().StringVar(&o.trails, "record", "", "leave the event logs in this folder, as JSON lines")
-	c.Flags().StringVar(&o.logLevel, "log", "error", "level of the pilots' log: debug, info, warn or error")
+		"also play the scenario with static tables only, and with one table of equal weights for all proxies")
+	c.Flags().StringVar(&o.trails, "record", "", "save the event logs in this directory, as JSON lines")
+	c.Flags().StringVar(&o.logLevel, "log", "error", "log level of the pilots: debug, info, warn or error")
 	c.Flags().StringVar(&o.records, "pilot-records", "",
-		"where pilots keep records in scenarios that have them record; default: a folder removed at the end")
-	c.Flags().BoolVar(&o.processes, "processes", false, "pilots are processes of their own; a kill is signal 9")
-	c.Flags().IntVar(&o.seed, "seed", 0, "another seed than the scenario's")
+		"directory for the pilots' records, if the scenario enables recording; default: a temporary directory")
+	c.Flags().BoolVar(&o.processes, "processes", false,
+		"run pilots as separate processes; kills in the scenario are sent as SIGKILL")
+	c.Flags().IntVar(&o.seed, "seed", 0, "seed that replaces the scenario's; 0: the scenario's")
 	return c
 }
 
-// rehearse plays a scenario, prints what came of it, and returns errViolation if a rule did not hold.
+// rehearse plays a scenario on loopback and prints the results. It returns errViolation if a rule was violated.
 func rehearse(ctx context.Context, out io.Writer, args []string, o rehearseOptions) error {
 	s, err := loadScenario(args, o.seed)
 	if err != nil {
@@ -86,7 +88,7 @@
 	return nil
 }
 
-// play returns how to play a scenario.
+// play returns the options for playing a scenario. Its progress messages are written to out.
 func (o rehearseOptions) play(out io.Writer, s *scenario.Scenario) (rehearsal.Play, error) {
 	log, _, err := logger("console", o.logLevel)
 	if err != nil {
@@ -104,7 +106,7 @@
 	return play, err
 }
 
-// listScenarios prints a line for each scenario that ships.
+// listScenarios prints the name, length in seconds and description of each built-in scenario.
 func listScenarios(out io.Writer) error {
 	for _, name := range scenario.Names() {
 		s, err := scenario.Load(name)
--- a/cmd/indigousher/replay.go
+++ b/cmd/indigousher/replay.go
@@ -15,34 +15,38 @@
 	"indigousher/planner"
 )
 
-// errDiffers ends a replay that did not command what was recorded.
-var errDiffers = errors.New("the replay does not order what was recorded")
+// errDiffers is returned if a replay produced other commands than those recorded.
+var errDiffers = errors.New("the commands of the replay differ from the recorded ones")
 
-// newPlanner makes the planner that ships.
+// newPlanner creates the production planner.
 func newPlanner(seed int64, settings map[string]any) controller.Decider {
 	return planner.New(seed, settings)
 }
 
+// replayCommand returns the command that replays a record.
 func replayCommand() *cobra.Command {
 	var with, life string
 	c := &cobra.Command{
 		Use:   "replay DIR",
-		Short: "Replay a pilot's record, against its own settings or others",
-		Long: "Against its own settings each turn must command what was recorded; the first difference is shown and ends it with status 1.\n" +
-			"Against others (--with) what is commanded is shown beside it. The world's answers stay those of the recorded run: each\n" +
-			"endpoint is held to fail and to take as it did then. The estimate for the own settings beside what was recorded shows\n" +
-			"how good that is; 'trusted' is the part of the tries that went where the record tells of a like load.",
+		Short: "Replay a pilot's record with its own or with other settings",
+		Long: "With the recorded settings, each turn must produce the recorded commands; otherwise the first difference is\n" +
+			"printed and the exit status is 1. With other settings (--with), the results of both are printed. The estimates\n" +
+			"assume that each endpoint fails as often and responds as fast as recorded. To judge their accuracy, compare the\n" +
+			"estimates for the recorded settings with the recorded values. 'trusted' is the fraction of attempts that went to\n" +
+			"endpoints for which the record contains a similar load.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return withStore(args[0], func(s *record.Store) error { return replay(cmd.OutOrStdout(), s, life, with) })
 		},
 	}
-	c.Flags().StringVar(&with, "with", "", "a pilot's settings to replay against")
-	c.Flags().StringVar(&life, "life", "", "only this life")
+	c.Flags().StringVar(&with, "with", "", "settings file of a pilot, to replay with these settings too")
+	c.Flags().StringVar(&life, "life", "", "replay only the life with this ID")
 	return c
 }
 
-// replay replays all lives, or only one, and prints a row for each; with another configuration a second one.
+// replay replays the lives in a store and prints a row for each. If only is not "", it replays just the life with that
+// ID. If with is not "", it replays each life a second time with the settings in that file. It returns errDiffers if a
+// replay with the recorded settings produced other commands than those recorded.
 func replay(out io.Writer, s *record.Store, only, with string) error {
 	lives, err := s.Lives()
 	if err != nil {
@@ -58,7 +62,7 @@
 			continue
 		}
 		if life.Format != record.Format {
-			return fmt.Errorf("life %s: format %d: %w", life.ID, life.Format, record.ErrFormat)
+			return fmt.Errorf("life %s has record format %d: %w", life.ID, life.Format, record.ErrFormat)
 		}
 		if err := t.replayLife(life, other); err != nil {
 			return errors.Join(t.Flush(), err)
@@ -73,7 +77,7 @@
 	return nil
 }
 
-// otherSettings returns the planner's settings of a configuration; nil without one.
+// otherSettings reads a pilot's settings file and returns the planner settings in it. It returns nil if file is "".
 func otherSettings(file string) (map[string]any, error) {
 	if file == "" {
 		return nil, nil
@@ -89,9 +93,10 @@
 type replayTable struct {
 	*tabwriter.Writer
 	store   *record.Store
-	differs bool // a replay commanded otherwise than the record
+	differs bool // whether a replay produced other commands than those recorded
 }
 
+// newReplayTable returns a table that is printed to out, with its header row.
 func newReplayTable(out io.Writer, s *record.Store) *replayTable {
 	t := &replayTable{Writer: tabwriter.NewWriter(out, 0, 4, 2, ' ', 0), store: s}
 	printf(t, "life\tsettings\tspan\tturns\tevents\tgaps\tmessages\tlines\tset\tremoved\texcluded\tlevels\tassigned\tmost queued\t"+
@@ -99,7 +104,7 @@
 	return t
 }
 
-// replayLife replays a life with its own settings and, if there are others, with them.
+// replayLife replays a life with its recorded settings and, if other is not nil, with those planner settings too.
 func (t *replayTable) replayLife(life record.Life, other map[string]any) error {
 	if err := t.replayWith(life, "own", nil); err != nil {
 		return err
@@ -110,6 +115,8 @@
 	return t.replayWith(life, "other", other)
 }
 
+// replayWith replays a life and adds a row with the results. Nil settings are the recorded ones; name is the text in
+// the column "settings".
 func (t *replayTable) replayWith(life record.Life, name string, settings map[string]any) error {
 	began := time.Now()
 	r, err := record.Replay(t.store, life, settings, newPlanner)
--- a/cmd/indigousher/search.go
+++ b/cmd/indigousher/search.go
@@ -16,38 +16,40 @@
 	"indigousher/internal/search"
 )
 
-// rules is how many rules the audit has.
+// rules is the number of rules that the audit checks.
 const rules = 5
 
-// searchOptions are the flags of the command.
+// searchOptions holds the flags of the search command.
 type searchOptions struct {
-	scenarios int    // to draw
-	endpoints int    // of each, about
-	seed      int    // of the first
-	climbs    int    // steps towards each rule's limit
-	folder    string // for scenarios that break a rule
+	scenarios int    // number of random scenarios
+	endpoints int    // approximate number of endpoints in each scenario
+	seed      int    // seed of the first scenario
+	climbs    int    // number of hill-climbing steps towards the limit of each rule; 0: no climbing
+	folder    string // directory for scenarios that violate a rule
 }
 
+// searchCommand returns the command that searches for scenarios that violate a rule.
 func searchCommand() *cobra.Command {
 	var o searchOptions
 	c := &cobra.Command{
 		Use: "search",
-		Short: "Draw scenarios with overlapping faults, play them in virtual time, climb towards limits, " +
-			"shrink what breaks",
+		Short: "Search for scenarios that violate a rule: play random overlapping faults in virtual time, " +
+			"climb towards limits, shrink violating scenarios",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return runSearch(cmd.Context(), cmd.OutOrStdout(), o)
 		},
 	}
-	c.Flags().IntVar(&o.scenarios, "days", 100, "scenarios to draw")
-	c.Flags().IntVar(&o.endpoints, "endpoints", 30, "about how many endpoints")
-	c.Flags().IntVar(&o.seed, "seed", 1, "of the first scenario")
-	c.Flags().IntVar(&o.climbs, "climb", 0, "steps of climbing towards each rule's limit")
-	c.Flags().StringVar(&o.folder, "found", "found", "folder for scenarios that break a rule")
+	c.Flags().IntVar(&o.scenarios, "days", 100, "number of random scenarios")
+	c.Flags().IntVar(&o.endpoints, "endpoints", 30, "approximate number of endpoints of a scenario")
+	c.Flags().IntVar(&o.seed, "seed", 1, "seed of the first scenario")
+	c.Flags().IntVar(&o.climbs, "climb", 0, "number of hill-climbing steps towards the limit of each rule; 0: no climbing")
+	c.Flags().StringVar(&o.folder, "found", "found", "directory for scenarios that violate a rule")
 	return c
 }
 
-// runSearch draws, climbs and shrinks, and returns errViolation if a rule was broken.
+// runSearch plays random scenarios, climbs from them towards the limits of the rules, and shrinks the scenarios that
+// violate a rule. It returns errViolation if there are any.
 func runSearch(ctx context.Context, out io.Writer, o searchOptions) error {
 	s := &search.Search{}
 	finds, err := s.Random(ctx, o.seed, o.scenarios, o.endpoints)
@@ -77,8 +79,9 @@
 	return nil
 }
 
-// climb goes from the find nearest to each rule's limit towards it, and returns finds that break a rule. Rules that
-// were broken already are left out.
+// climb starts, for each rule, from the finding that is nearest to the rule's limit, and searches from there for
+// scenarios nearer to it. It returns the findings that violate a rule. If the finding nearest to a limit already
+// violates a rule, climb skips that limit.
 func climb(
 	ctx context.Context, out io.Writer, s *search.Search, finds []*search.Finding, o searchOptions,
 ) ([]*search.Finding, error) {
@@ -88,7 +91,7 @@
 	var broken []*search.Finding
 	for rule := range audit.Rule(rules) {
 		nearest := slices.MaxFunc(finds, func(a, b *search.Finding) int {
-			return int(1e6 * (a.LimitFractions[rule] - b.LimitFractions[rule])) // the sixth decimal decides
+			return int(1e6 * (a.LimitFractions[rule] - b.LimitFractions[rule])) // compared to six decimal places
 		})
 		if len(nearest.Broken) > 0 {
 			continue
@@ -105,7 +108,8 @@
 	return broken, nil
 }
 
-// shrink takes away of a scenario what it does not need to break a rule, and writes the rest to a file.
+// shrink removes the parts of a scenario that are not needed to violate a rule, and writes the remaining scenario to a
+// file in folder. number makes the file name unique.
 func shrink(ctx context.Context, out io.Writer, s *search.Search, f *search.Finding, number int, folder string) error {
 	shrunk, err := s.Shrink(ctx, f)
 	if err != nil {
@@ -116,7 +120,8 @@
 	return errors.Join(os.MkdirAll(folder, 0o755), os.WriteFile(path, []byte(shrunk.Draft.Text()), 0o644))
 }
 
-// printDistances shows how near scenarios came to each limit.
+// printDistances prints quantiles of how close the scenarios came to the limit of each rule, as fractions of the limit,
+// and of the service lost.
 func printDistances(out io.Writer, finds []*search.Finding, endpoints int) {
 	broken := 0
 	for _, f := range finds {
@@ -132,7 +137,7 @@
 	printf(out, "%-28s%s\n", "service lost", quantiles(finds, func(f *search.Finding) float64 { return 1 - f.Service }))
 }
 
-// quantiles shows the median, the 90th and 99th percentile, and the largest of a figure.
+// quantiles formats the median, the 90th and 99th percentile, and the maximum of a value over all findings.
 func quantiles(finds []*search.Finding, figure func(*search.Finding) float64) string {
 	var values []float64
 	for _, f := range finds {
--- a/cmd/indigousher/version.go
+++ b/cmd/indigousher/version.go
@@ -6,6 +6,7 @@
 	"github.com/spf13/cobra"
 )
 
+// versionCommand returns the command that prints the program's version.
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
@@ -17,7 +18,8 @@
 	}
 }
 
-// buildVersion returns the version and the revision that this program was built from, as far as it knows.
+// buildVersion returns the module version and the VCS revision of this build. It omits the revision if that is unknown,
+// and returns "(devel)" if there is no build information.
 func buildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost runs pilots' decisions on the simulator's wire: batches on standard input, replies on
-// standard output.
+// Command simhost runs planners for the simulator. It reads batches of events from standard input and writes the
+// replies to standard output.
 package main
 
 import (
