--- a/cmd/indigousher/export_test.go
+++ b/cmd/indigousher/export_test.go
@@ -18,9 +18,10 @@
 	"indigousher/planner"
 )
 
-var update = flag.Bool("update", false, "write the exports of testdata anew; only where their form is meant to change")
+var update = flag.Bool("update", false, "rewrite the exports in testdata; only if the export format changes on purpose")
 
-// TestExportStays holds both forms in which a record is exported against those of commit 7c7c6c6: others read them.
+// TestExportStays guards against incompatible changes of the export formats, which other programs read: both must equal
+// the exports written by commit 7c7c6c6.
 func TestExportStays(t *testing.T) {
 	dir := t.TempDir()
 	store, err := record.Open(dir, false)
@@ -48,7 +49,7 @@
 	}
 }
 
-// everyInput has one of each kind of recorded input.
+// everyInput contains one recorded input of each kind.
 var everyInput = []record.Input{
 	{Kind: record.KindProxyJoined, Stream: 3, Message: &wire.Hello{
 		Version: 1, Proxy: "p", Zone: "a", Boot: 8, Rate: 2.5, Fresh: true, Holds: []string{"x"},
--- a/cmd/indigousher/kill_test.go
+++ b/cmd/indigousher/kill_test.go
@@ -26,23 +26,27 @@
 	"indigousher/internal/testbed/routing"
 )
 
-// world is a pilot's process and what it needs.
+// world holds the files and addresses of a pilot that runs as a separate process.
 type world struct {
 	t             *testing.T
-	binary, file  string
-	records       string
-	listen, admin string
+	binary, file  string // paths of the program and of the pilot's settings
+	records       string // directory of the record
+	listen, admin string // listen addresses for proxies and for the admin interface
 }
 
+// mustClose closes c and fails the test on an error.
 func mustClose(t *testing.T, c io.Closer) { assert.NoError(t, c.Close()) }
 
+// freePort returns a listen address that is not in use.
 func freePort(t *testing.T) string {
-	l, err := network.Listen("") // off the address that outgoing connections take ports from
+	l, err := network.Listen("") // an address whose ports are not assigned to outgoing connections
 	require.NoError(t, err)
 	defer mustClose(t, l)
 	return l.Addr().String()
 }
 
+// newWorld builds the program, and writes the settings and an endpoint list with six endpoints to a temporary
+// directory.
 func newWorld(t *testing.T) *world {
 	dir := t.TempDir()
 	w := &world{
@@ -76,7 +80,7 @@
 	return w
 }
 
-// run starts a process and returns it with its log.
+// run starts a pilot process and returns it with the buffer that receives its log.
 func (w *world) run(args ...string) (*exec.Cmd, *bytes.Buffer) {
 	log := &bytes.Buffer{}
 	c := exec.Command(w.binary, append([]string{"pilot", "-f", w.file}, args...)...)
@@ -85,6 +89,7 @@
 	return c, log
 }
 
+// ready reports whether the pilot's readiness check succeeds.
 func (w *world) ready() bool {
 	c := http.Client{Timeout: time.Second}
 	r, err := c.Get("http://" + w.admin + "/readyz")
@@ -96,7 +101,7 @@
 	return r.StatusCode == http.StatusOK
 }
 
-// followed starts proxies that follow the pilot.
+// followed starts three proxies that connect to the pilot, and returns their event log.
 func (w *world) followed() *eventlog.Log {
 	book := eventlog.NewLog()
 	for i := range 3 {
@@ -113,8 +118,9 @@
 	return book
 }
 
-// TestKilled9 guards the record against the real thing: a process killed with -9 at drawn moments, again and again. It
-// starts every time, says how, and what is on the disk can be read to the end.
+// TestKilled9 kills a pilot process with SIGKILL at random times and restarts it. It guards against a record that is
+// damaged by an interrupted write: each start must succeed and log whether it recovered, and all recorded lives must be
+// readable and replay to the recorded commands.
 func TestKilled9(t *testing.T) {
 	w := newWorld(t)
 	w.followed()
@@ -125,7 +131,7 @@
 		require.Eventually(t, w.ready, 10*time.Second, 5*time.Millisecond, "%s", log)
 		time.Sleep(time.Duration(rnd.IntN(700)) * time.Millisecond)
 		require.NoError(t, c.Process.Signal(syscall.SIGKILL))
-		_ = c.Wait() // it was killed
+		_ = c.Wait() // always an error, because the process was killed
 		if strings.Contains(log.String(), "recovered from the last") {
 			recovered++
 		} else {
@@ -148,8 +154,8 @@
 	assert.Positive(t, turns)
 }
 
-// TestUpgraded guards an upgrade of real processes: the new one takes over, the old one ends by itself with status 0,
-// and a new one that is wrong leaves the old in its place.
+// TestUpgraded checks upgrades with real processes: the new process takes over and the old one exits with status 0. If
+// the settings of the new process can't be read, the old one must keep serving.
 func TestUpgraded(t *testing.T) {
 	w := newWorld(t)
 	book := w.followed()
--- a/cmd/indigousher/platform_test.go
+++ b/cmd/indigousher/platform_test.go
@@ -16,15 +16,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestPlatformProcess guards the process as the platform starts it: a wrong file ends it with one line that names the
-// field; SIGHUP, also several and early, never ends it; SIGTERM does with exit code 0, also while all it talks to
-// hangs.
+// TestPlatformProcess checks the pilot process as the platform starts it. An invalid settings file must make it exit
+// with one line that names the field. SIGHUP must never end it, even if several signals arrive or one arrives early.
+// SIGTERM must end it with exit status 0, even while its connections hang.
 func TestPlatformProcess(t *testing.T) {
 	dir := t.TempDir()
 	binary, file := filepath.Join(dir, "indigousher"), filepath.Join(dir, "config.json")
 	out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput()
 	require.NoError(t, err, "%s", out)
-	hanging, err := net.Listen("tcp", "127.0.0.1:0") // takes connections and never answers
+	hanging, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never responds
 	require.NoError(t, err)
 	defer mustClose(t, hanging)
 	listen := freePort(t)
@@ -50,9 +50,9 @@
 		assert.Equal(t, 1, strings.Count(string(out), "\n"), "%s", out)
 	}
 
-	for name, signals := range map[string][]syscall.Signal{ // at once: before it listens, or while it begins
-		"the end": {syscall.SIGTERM}, "the end twice": {syscall.SIGTERM, syscall.SIGTERM},
-		"a reload, then the end": {syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM}, "killed": {syscall.SIGKILL},
+	for name, signals := range map[string][]syscall.Signal{ // sent before the process listens, and right after
+		"SIGTERM": {syscall.SIGTERM}, "SIGTERM twice": {syscall.SIGTERM, syscall.SIGTERM},
+		"SIGHUP, then SIGTERM": {syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM}, "SIGKILL": {syscall.SIGKILL},
 	} {
 		for _, ready := range []bool{false, true} {
 			c := command(text)
@@ -65,21 +65,21 @@
 			}
 			sent := signals
 			if !ready && signals[0] == syscall.SIGHUP {
-				sent = signals[2:] // the platform reloads nobody that is not ready
+				sent = signals[2:] // the platform sends no SIGHUP before a process listens
 			}
 			for _, s := range sent {
-				_ = c.Process.Signal(s) // it may have ended at the one before
+				_ = c.Process.Signal(s) // fails if an earlier signal has ended the process
 			}
 			ended := make(chan struct{})
 			go func() { _ = c.Wait(); close(ended) }()
 			select {
 			case <-ended:
 			case <-time.After(5 * time.Second):
-				t.Errorf("%s, ready %t: it runs on", name, ready)
+				t.Errorf("%s, ready %t: the process is still running", name, ready)
 				_ = c.Process.Kill()
 				<-ended
 			}
-			l, err := net.Listen("tcp", listen) // nothing is left: the next process can listen at once
+			l, err := net.Listen("tcp", listen) // the address must be free for the next process
 			require.NoError(t, err, name)
 			require.NoError(t, l.Close())
 		}
@@ -111,6 +111,6 @@
 		assert.NoError(t, err)
 	case <-time.After(5 * time.Second):
 		require.NoError(t, c.Process.Kill())
-		t.Error("SIGTERM did not end it")
+		t.Error("SIGTERM did not end the process")
 	}
 }
--- a/cmd/indigousher/silence_test.go
+++ b/cmd/indigousher/silence_test.go
@@ -18,17 +18,17 @@
 	"indigousher/internal/testbed/relay"
 )
 
-// Figures of the deployment that falls silent.
+// Parameters of the deployment whose relay stops responding.
 const (
-	silenceProxies   = 80
-	silenceBacklog   = 1200
-	silenceGrace     = 3 * time.Second
-	silenceSlack     = 300 * time.Millisecond // what the rules add on sockets
-	silenceLasts     = 5 * time.Second
-	silenceEndpoints = 30
+	silenceProxies   = 80                     // number of proxies
+	silenceBacklog   = 1200                   // maximum number of queued lines
+	silenceGrace     = 3 * time.Second        // time within which proxies must stop using a draining endpoint
+	silenceSlack     = 300 * time.Millisecond // tolerance that the rules allow on real sockets
+	silenceLasts     = 5 * time.Second        // duration of the relay's outage
+	silenceEndpoints = 30                     // number of endpoints
 )
 
-// lockedBuffer is a log that is read while a process writes to it.
+// lockedBuffer is a buffer that is safe for concurrent use: a test reads the log while a process writes it.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -46,14 +46,15 @@
 	return b.text.String()
 }
 
-// silentSite is a pilot's process between a stand-in relay and a stand-in list.
+// silentSite is a pilot process that is connected to a fake relay and a fake endpoint catalog.
 type silentSite struct {
 	t       *testing.T
 	relay   *relay.Relay
 	catalog *catalog.Catalog
-	log     lockedBuffer
+	log     lockedBuffer // output of the pilot process
 }
 
+// startSilentSite starts the relay, the catalog and a pilot process with the given program.
 func startSilentSite(t *testing.T, binary string) *silentSite {
 	zones, standing := []string{"a", "b", "c"}, map[string][]string{}
 	var members []catalog.Member
@@ -80,6 +81,7 @@
 	return s
 }
 
+// startPilot starts the pilot process, which is stopped at the end of the test. If the test fails, its log is printed.
 func (s *silentSite) startPilot(binary string) {
 	listen, file := freePort(s.t), filepath.Join(s.t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1f","limits":{"cores":1,"memory_mb":64,"sockets":256},
@@ -101,15 +103,16 @@
 	})
 }
 
-// settle waits until every proxy is on a table and the channel is empty.
+// settle waits until every proxy is assigned to a table and no lines are queued.
 func (s *silentSite) settle() {
 	require.Eventually(s.t, func() bool {
 		waiting, _ := s.relay.Waiting()
 		return s.relay.AssignedCount() == silenceProxies && waiting == 0
-	}, 30*time.Second, 10*time.Millisecond, "all are bound")
+	}, 30*time.Second, 10*time.Millisecond, "all proxies are assigned to a table")
 }
 
-// drain has two endpoints of each zone drain, six in all, and returns their names.
+// drain marks six consecutive endpoints as draining, starting with number first: two in each zone. It returns their
+// names.
 func (s *silentSite) drain(first int) (names []string) {
 	for i := range 6 {
 		names = append(names, fmt.Sprint("s-", first+i))
@@ -118,7 +121,7 @@
 	return names
 }
 
-// requireDrained waits until no proxy sends to any of the endpoints.
+// requireDrained checks that all proxies stop sending to the endpoints within that time.
 func (s *silentSite) requireDrained(names []string, within time.Duration) {
 	require.Eventually(s.t, func() bool {
 		for _, name := range names {
@@ -127,19 +130,21 @@
 			}
 		}
 		return true
-	}, within, 10*time.Millisecond, "drains %v are kept within the grace", names)
+	}, within, 10*time.Millisecond, "%v must be drained within the grace period", names)
 }
 
-// TestDrainsAfterASilentRelay plays incident 029 with a real process: the relay says nothing for five seconds while a
-// call that concerns all proxies is under way, and two endpoints of each zone drain a second after it answers again.
+// TestDrainsAfterASilentRelay reproduces incident 029 with a real process. The relay does not respond for five seconds
+// while a call that concerns all proxies is in progress. One second after it responds again, two endpoints in each zone
+// drain; proxies must stop using them within the grace period. The relay executes none, the first or all of the calls
+// that it receives during the outage.
 func TestDrainsAfterASilentRelay(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "indigousher")
 	out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput()
 	require.NoError(t, err, "%s", out)
 	for name, carryOut := range map[string]func(n int) bool{
-		"calls are not carried out": func(int) bool { return false },
-		"the first is":              func(n int) bool { return n == 1 },
-		"all are":                   func(int) bool { return true },
+		"no call is executed":    func(int) bool { return false },
+		"first call is executed": func(n int) bool { return n == 1 },
+		"all calls are executed": func(int) bool { return true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -154,7 +159,7 @@
 			time.Sleep(time.Until(returned.Add(time.Second)))
 			s.requireDrained(s.drain(6), silenceGrace+silenceSlack)
 			_, most := s.relay.Waiting()
-			assert.LessOrEqual(t, most, silenceBacklog, "the channel stays short")
+			assert.LessOrEqual(t, most, silenceBacklog, "maximum number of queued lines")
 		})
 	}
 }
--- a/cmd/indigousher/silences_test.go
+++ b/cmd/indigousher/silences_test.go
@@ -18,36 +18,38 @@
 	"indigousher/internal/testbed/relay"
 )
 
-// Figures of the seeded silences.
+// Parameters of the random outages.
 const (
-	silenceSeeds    = 6 // in CI; SILENCE_SEEDS asks for more
-	silencesLast    = 30 * time.Second
-	drainedFor      = 7 * time.Second // until an endpoint is listed as active again
-	lookEach        = 20 * time.Millisecond
-	mostAtOnce      = 3 // endpoints that drain at once
-	leastLeftActive = 12
+	silenceSeeds    = 6                     // number of seeds; the environment variable SILENCE_SEEDS overrides it
+	silencesLast    = 30 * time.Second      // time in which outages start and endpoints drain
+	drainedFor      = 7 * time.Second       // minimum time after which a draining endpoint becomes active again
+	lookEach        = 20 * time.Millisecond // interval of the checks
+	mostAtOnce      = 3                     // maximum number of endpoints that start to drain at the same time
+	leastLeftActive = 12                    // number of endpoints that are kept active, about
 )
 
-// failureWaits is how long limits still wait after a failure. The rules give 1.5 s from the last call that was silent
-// or unreadable and 0.5 s from one that was reset; the last call may be 0.6 and 0.35 s before the failure's end.
+// failureWaits is the time for which deadlines stay suspended after an outage ends. The rules suspend them for 1.5 s
+// from the last call that got no response or an unreadable one, and for 0.5 s from the last call that was reset. The
+// last call may have been made 0.6 s and 0.35 s, respectively, before the end of the outage.
 var failureWaits = map[relay.Failure]time.Duration{
 	relay.Silent:     900 * time.Millisecond,
 	relay.Unreadable: 1150 * time.Millisecond,
 	relay.Resetting:  150 * time.Millisecond,
 }
 
-// span is a time in which something fails.
+// span is a period in which something fails, relative to the start of the run.
 type span struct{ from, to time.Duration }
 
-// silencePlan is what a seed draws.
+// silencePlan is a random sequence of outages and drains.
 type silencePlan struct {
-	silences []span
-	failures []relay.Failure // how the relay fails in each
-	carried  []float64       // the chance that a call read in that silence is carried out
-	lost     []span          // times in which the event streams are broken and answers to marks are lost
-	drains   []time.Duration
+	silences []span          // outages of the relay
+	failures []relay.Failure // how the relay fails, for each outage
+	carried  []float64       // probability that a call received during the outage is executed, for each outage
+	lost     []span          // periods in which event streams are broken and mark acknowledgements are lost
+	drains   []time.Duration // times at which endpoints start to drain, relative to the start of the run
 }
 
+// drawSilences returns a random plan.
 func drawSilences(r *rand.Rand) (p silencePlan) {
 	between := func(least, most time.Duration) time.Duration {
 		return least + time.Duration(r.Int64N(int64(most-least)))
@@ -69,7 +71,8 @@
 	return p
 }
 
-// deadline returns when a drain has to be kept that was told at some time: silences stop the clock.
+// deadline returns the time by which proxies must have stopped using an endpoint that started to drain at the time
+// told. The grace period is suspended during outages.
 func (p silencePlan) deadline(told time.Duration) time.Duration {
 	end := told + silenceGrace + silenceSlack
 	for i, s := range p.silences {
@@ -80,21 +83,23 @@
 	return end
 }
 
-// silentDay plays a plan and checks what the proxies do.
+// silentDay executes a plan and checks that proxies stop using draining endpoints in time.
 type silentDay struct {
 	*silentSite
 	plan    silencePlan
 	random  *rand.Rand
 	began   time.Time
-	drained map[string]time.Duration // endpoints that drain, and when that was told
-	silent  int                      // silences begun
-	ended   int
-	losing  bool
-	broken  map[string]bool // drains not kept
+	drained map[string]time.Duration // draining endpoints, with the time at which they started to drain
+	silent  int                      // number of outages that have started
+	ended   int                      // number of outages that have ended
+	losing  bool                     // whether the event streams are broken
+	broken  map[string]bool          // endpoints that were not drained in time
 }
 
+// now returns the time since the start of the run.
 func (d *silentDay) now() time.Duration { return time.Since(d.began) }
 
+// play executes the plan.
 func (d *silentDay) play() {
 	d.began = time.Now()
 	for drains := 0; d.now() < silencesLast+silenceGrace; time.Sleep(lookEach) {
@@ -107,7 +112,7 @@
 	}
 }
 
-// strike begins and ends silences and losses.
+// strike starts and ends outages of the relay and of the event streams according to the plan.
 func (d *silentDay) strike() {
 	if d.silent < len(d.plan.silences) && d.now() >= d.plan.silences[d.silent].from {
 		chance := d.plan.carried[d.silent]
@@ -128,7 +133,7 @@
 	}
 }
 
-// drainSome has endpoints return that drained long ago, and others drain.
+// drainSome reactivates endpoints that have been draining long enough, and lets other random endpoints drain.
 func (d *silentDay) drainSome() {
 	var back, out []string
 	for name, told := range d.drained {
@@ -153,7 +158,7 @@
 	}
 }
 
-// look notes drains that are past their limit and still sent to.
+// look reports an error for each endpoint that proxies still send to after its deadline.
 func (d *silentDay) look() {
 	for name, told := range d.drained {
 		if d.now() <= d.plan.deadline(told) || d.broken[name] {
@@ -161,16 +166,17 @@
 		}
 		if senders := d.relay.Senders(name); len(senders) > 0 {
 			d.broken[name] = true
-			d.t.Errorf("%s, told %v, is sent to by %d proxies at %v, limit %v", name, told, len(senders), d.now(),
+			d.t.Errorf("%s draining since %v is used by %d proxies at %v, deadline %v", name, told, len(senders), d.now(),
 				d.plan.deadline(told))
 		}
 	}
 }
 
-// TestDrainsUnderSeededSilences plays drawn days with a real process: the relay is silent, resets its calls or answers
-// in a form that can't be read for 0.3 to 8 s, again and again, and carries out all, half or none of what it reads
-// meanwhile; event streams are broken for up to a second, with the answers to marks; endpoints drain and return. Drains
-// are kept within the grace, which waits in silences, and the channel stays short.
+// TestDrainsUnderSeededSilences checks drains during random outages, with a real process. Repeatedly, the relay does
+// not respond, resets calls or sends unreadable responses for 0.3 to 8 s, and executes all, half or none of the calls
+// that it receives meanwhile. Event streams are broken for up to a second, and mark acknowledgements are lost with
+// them. Endpoints drain and return. Proxies must stop using draining endpoints within the grace period, which is
+// suspended during outages, and the number of queued lines must stay within the backlog.
 func TestDrainsUnderSeededSilences(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "indigousher")
 	out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput()
@@ -191,8 +197,8 @@
 			d.settle()
 			d.play()
 			_, most := d.relay.Waiting()
-			t.Logf("%d silences, %d drains, most lines %d", len(d.plan.silences), len(d.plan.drains), most)
-			assert.LessOrEqual(t, most, silenceBacklog, "the channel stays short")
+			t.Logf("%d outages, %d drains, at most %d queued lines", len(d.plan.silences), len(d.plan.drains), most)
+			assert.LessOrEqual(t, most, silenceBacklog, "maximum number of queued lines")
 		})
 	}
 }
