--- a/internal/daemon/core_bench_test.go
+++ b/internal/daemon/core_bench_test.go
@@ -19,43 +19,45 @@
 	"indigousher/telemetry"
 )
 
-// BenchmarkCore measures the controller's own cost beside the planner's: seconds of load reports at full size, in the
-// core's own clock, without sockets. One operation is one second of the controller.
+// BenchmarkCore compares the cost of the controller with that of the planner. It processes load reports of a full-size
+// deployment, without sockets and on a simulated clock. One operation is one simulated second.
 func BenchmarkCore(b *testing.B) { newCoreBench().run(b) }
 
-// BenchmarkCoreRecorded is the same with a record written beside it.
+// BenchmarkCoreRecorded is BenchmarkCore with recording enabled. It also measures the size of the record and the time
+// of a replay.
 func BenchmarkCoreRecorded(b *testing.B) {
 	bench := newCoreBench()
 	bench.record(b)
 	bench.run(b)
 }
 
-// endpointStep spreads the endpoints that a proxy met over the fleet.
-const endpointStep = 39
+// endpointStride is the distance, in the list of all endpoints, between endpoints in the report of one proxy.
+const endpointStride = 39
 
-// linesPerReport are the lines of a report: eight endpoints and the demand.
+// linesPerReport is the number of lines in a load report: one for each of eight endpoints, and one for the demand.
 const linesPerReport = 9
 
-// coreBench is a core at full size whose planner is timed.
+// coreBench is a controller core with a full-size deployment, whose planner is timed.
 type coreBench struct {
 	planner  *timedDecider
 	settings map[string]any
 	options  controller.Options
 	core     *controller.Core
 
-	streams []*sink
-	reports []*wire.Sums // one for each stream
-	nowMs   float64
-	inputs  int
-	turnsMs []float64 // of those that asked the planner
+	streams         []*discardStream
+	reports         []*wire.Sums // load report of each stream
+	nowMs           float64      // simulated time
+	inputs          int          // number of inputs handled
+	turnDurationsMs []float64    // durations of the turns in which the planner was called
 
-	// With a record.
+	// Set only if recording is enabled.
 	store  *record.Store
 	life   record.Life
 	writer *record.Writer
 	stop   func()
 }
 
+// newCoreBench returns a benchmark without recording.
 func newCoreBench() *coreBench {
 	cfg := config.CommonDefaults()
 	cfg.Zones = zones
@@ -77,16 +79,16 @@
 		HeadLines:      4,
 		Telemetry:      telemetry.Options{PeriodMs: 1000, HalfMs: 5000, LongestMs: 60000},
 		MaxProxies:     1 << 16,
-		EndpointSource: idle{},
-		HealthChecker:  idle{},
-		Gossip:         idle{},
+		EndpointSource: noopTransports{},
+		HealthChecker:  noopTransports{},
+		Gossip:         noopTransports{},
 		Log:            func(string) {},
 		Malformed:      func(string, ...string) {},
 	}
 	return bench
 }
 
-// record has a record written.
+// record enables recording to a temporary directory.
 func (c *coreBench) record(b *testing.B) {
 	var err error
 	c.store, err = record.Open(b.TempDir(), false)
@@ -108,45 +110,45 @@
 	c.options.OnTurn = record.NewRecorder(c.writer.Turn, checkpoint).Turn
 }
 
-// run measures, and reports.
+// run runs the benchmark and reports its metrics.
 func (c *coreBench) run(b *testing.B) {
-	c.join()
+	c.joinAll()
 	b.ReportAllocs()
 	for b.Loop() {
-		c.second()
+		c.simulateSecond()
 	}
 	c.reportMetrics(b)
 	if c.writer == nil {
 		return
 	}
-	time.Sleep(time.Second) // past a commit
+	time.Sleep(time.Second) // longer than the writer's commit interval
 	b.ReportMetric(float64(c.writer.Bytes.Load())/float64(c.core.Events), "bytes/note")
 	b.ReportMetric(float64(c.writer.Bytes.Load())/float64(b.N), "bytes/s-of-pilot")
 	c.stop()
 	c.replay(b)
 }
 
-// join lists all endpoints and joins all proxies.
-func (c *coreBench) join() {
+// joinAll sends the list of all endpoints to the core and lets all proxies join.
+func (c *coreBench) joinAll() {
 	c.core = controller.NewCore(c.options)
-	entries := fleet()
+	entries := allEndpoints()
 	c.core.Handle(0, []controller.Input{controller.EndpointsListed{List: &wire.List{Whole: true, Entries: entries}}})
 	for i := range manyProxies {
-		stream := &sink{}
+		stream := &discardStream{}
 		hello := wire.Hello{Proxy: fmt.Sprint(i), Zone: zones[i%3], Rate: 2}
 		c.core.Handle(1, []controller.Input{controller.ProxyJoined{Stream: stream, Hello: hello}})
 		c.streams = append(c.streams, stream)
 		c.reports = append(c.reports, benchReport(entries, i))
 	}
-	c.planner.took = 0
+	c.planner.elapsed = 0
 	c.core.Events = 0
 }
 
-// benchReport returns what a proxy met in a second.
+// benchReport returns the load report of a proxy for one second.
 func benchReport(entries []wire.Entry, proxy int) *wire.Sums {
 	report := &wire.Sums{SpanMs: 1000, Demand: []wire.Demand{{Kind: "read", Reqs: 2}}}
 	for k := range linesPerReport - 1 {
-		endpoint := entries[(proxy+k*endpointStep)%manyEndpoints].Endpoint
+		endpoint := entries[(proxy+k*endpointStride)%manyEndpoints].Endpoint
 		utilization := 0.4 + 0.3*float64(proxy%7)/7
 		report.Met = append(report.Met, wire.Met{
 			Endpoint: endpoint,
@@ -158,8 +160,8 @@
 	return report
 }
 
-// second brings each proxy's report of a second.
-func (c *coreBench) second() {
+// simulateSecond simulates one second, in which each proxy sends one load report.
+func (c *coreBench) simulateSecond() {
 	for i, stream := range c.streams {
 		report := c.reports[i]
 		report.Seq++
@@ -169,26 +171,28 @@
 		began := time.Now()
 		c.core.Handle(c.nowMs, []controller.Input{controller.LoadReported{Stream: stream, Sums: report}})
 		if c.core.Events > events {
-			c.turnsMs = append(c.turnsMs, time.Since(began).Seconds()*1000)
+			c.turnDurationsMs = append(c.turnDurationsMs, time.Since(began).Seconds()*1000)
 		}
 		c.core.Channel.Send(c.nowMs)
 		c.inputs++
 	}
 }
 
+// reportMetrics reports the cost of the controller relative to the planner's, the throughput, and the 99th percentile
+// of the turn duration.
 func (c *coreBench) reportMetrics(b *testing.B) {
 	all := b.Elapsed().Seconds()
-	planner := c.planner.took.Seconds()
+	planner := c.planner.elapsed.Seconds()
 	own := all - planner
 	b.ReportMetric(own/planner, "own/module")
 	b.ReportMetric(planner/float64(b.N)*1000, "module-ms/s")
 	b.ReportMetric(float64(c.inputs)*linesPerReport/own, "report-lines/own-s")
 	b.ReportMetric(float64(c.core.Events)/all, "notes/s")
-	slices.Sort(c.turnsMs)
-	b.ReportMetric(c.turnsMs[len(c.turnsMs)*99/100], "ms-turn-p99")
+	slices.Sort(c.turnDurationsMs)
+	b.ReportMetric(c.turnDurationsMs[len(c.turnDurationsMs)*99/100], "ms-turn-p99")
 }
 
-// replay measures a replay of the record, which must command the same.
+// replay measures a replay of the record and checks that it produces the recorded commands.
 func (c *coreBench) replay(b *testing.B) {
 	began := time.Now()
 	newDecider := func(seed int64, settings map[string]any) controller.Decider { return planner.New(seed, settings) }
@@ -200,45 +204,45 @@
 	b.ReportMetric(replayedPart*minutesPerDay, "min-replay/day")
 }
 
-// timedDecider measures a planner's own time.
+// timedDecider is a planner that measures the time spent in it.
 type timedDecider struct {
 	controller.Decider
-	took time.Duration
+	elapsed time.Duration
 }
 
-// Handle asks the planner.
+// Handle calls the planner and adds the duration of the call to d.elapsed.
 func (d *timedDecider) Handle(nowMs float64, events []planner.Event) []planner.Command {
 	start := time.Now()
-	defer func() { d.took += time.Since(start) }()
+	defer func() { d.elapsed += time.Since(start) }()
 	return d.Decider.Handle(nowMs, events)
 }
 
-// sink is a stream that takes everything.
-type sink struct{ lines int }
+// discardStream is a stream that counts the lines sent on it and discards everything.
+type discardStream struct{ lines int }
 
-// Send counts lines.
-func (s *sink) Send(m *wire.Orders) error {
+// Send counts the lines of m.
+func (s *discardStream) Send(m *wire.Orders) error {
 	s.lines += m.Lines
 	return nil
 }
 
 // Ask does nothing.
-func (s *sink) Ask(*wire.Pace) error { return nil }
+func (s *discardStream) Ask(*wire.Pace) error { return nil }
 
 // Close does nothing.
-func (s *sink) Close(string) {}
+func (s *discardStream) Close(string) {}
 
-// idle stands for transports that are not measured.
-type idle struct{}
+// noopTransports is a no-op implementation of the transports that the benchmark does not measure.
+type noopTransports struct{}
 
 // Watch does nothing.
-func (idle) Watch(bool) {}
+func (noopTransports) Watch(bool) {}
 
 // Fetch does nothing.
-func (idle) Fetch() {}
+func (noopTransports) Fetch() {}
 
 // Probe does nothing.
-func (idle) Probe(string) {}
+func (noopTransports) Probe(string) {}
 
 // Tell does nothing.
-func (idle) Tell(int, string) {}
+func (noopTransports) Tell(int, string) {}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -27,8 +27,9 @@
 		goleak.IgnoreTopFunction("net/http.(*persistConn).writeLoop"))
 }
 
-// pilotTerms writes a file with the endpoint list and returns a configuration that names it.
-func pilotTerms(t *testing.T, endpoints ...string) *config.Pilot {
+// testConfig returns the configuration of a pilot in zone a that reads a file with the given endpoints as its endpoint
+// list.
+func testConfig(t *testing.T, endpoints ...string) *config.Pilot {
 	path := filepath.Join(t.TempDir(), "endpoints.hcl")
 	list := ""
 	for _, e := range endpoints {
@@ -54,7 +55,7 @@
 	return p
 }
 
-// run runs a daemon until stop is called or the test ends.
+// run runs a daemon until stop is called or the test ends. The result of Daemon.Run is sent to ended.
 func run(t testing.TB, d *Daemon) (stop context.CancelFunc, ended chan error) {
 	ctx, cancel := context.WithCancel(t.Context())
 	ended = make(chan error, 1)
@@ -63,13 +64,15 @@
 	return cancel, ended
 }
 
-// listedAndJoined returns a condition: the daemon has the endpoint list and one proxy.
+// listedAndJoined returns a function that reports whether the daemon has an endpoint list and exactly one proxy.
 func listedAndJoined(d *Daemon) func() bool {
 	return func() bool { return d.State().Listed && d.State().Proxies == 1 }
 }
 
+// mustClose closes c and fails the test on an error.
 func mustClose(t testing.TB, c io.Closer) { assert.NoError(t, c.Close()) }
 
+// get requests a path from the daemon's admin interface and returns the status code and the body.
 func get(t *testing.T, d *Daemon, path string) (int, string) {
 	r, err := http.Get("http://" + d.AdminAddress() + path)
 	require.NoError(t, err)
@@ -79,10 +82,10 @@
 	return r.StatusCode, string(b)
 }
 
-// following starts a proxy of the testbed that follows a controller, and returns what befalls it.
-func following(t *testing.T, addresses func() []string) *eventlog.Log {
+// startProxy starts a testbed proxy that connects to one of the addresses, and returns its event log.
+func startProxy(t *testing.T, addresses func() []string) *eventlog.Log {
 	const name = "p"
-	book := eventlog.NewLog()
+	events := eventlog.NewLog()
 	p := proxy.New(proxy.Options{
 		Name:        name,
 		Zone:        "a",
@@ -92,13 +95,14 @@
 		Pilots:      addresses,
 		Dial:        (&net.Dialer{}).DialContext,
 		RedialPause: 20 * time.Millisecond,
-	}, book.Stream(name))
+	}, events.Stream(name))
 	require.NoError(t, p.Start())
 	t.Cleanup(p.Kill)
-	return book
+	return events
 }
 
-func count(b *eventlog.Log, what eventlog.What) (n int) {
+// countEvents returns the number of events of one type in a log.
+func countEvents(b *eventlog.Log, what eventlog.What) (n int) {
 	for _, e := range b.Events() {
 		if e.What == what {
 			n++
@@ -107,15 +111,16 @@
 	return n
 }
 
-// TestLife takes a pilot from its start over a reload to its end, with a proxy that follows.
-func TestLife(t *testing.T) {
-	p := pilotTerms(t, "x:1", "y:1")
+// TestDaemonLifecycle starts a pilot with one connected proxy, checks its admin interface, reloads its settings and
+// shuts it down.
+func TestDaemonLifecycle(t *testing.T) {
+	p := testConfig(t, "x:1", "y:1")
 	d, err := New(p, Options{})
 	require.NoError(t, err)
 	stop, ended := run(t, d)
-	book := following(t, func() []string { return []string{d.Address()} })
+	events := startProxy(t, func() []string { return []string{d.Address()} })
 	require.Eventually(t, listedAndJoined(d), 5*time.Second, time.Millisecond)
-	require.Eventually(t, func() bool { return count(book, eventlog.Got) > 0 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return countEvents(events, eventlog.Got) > 0 }, 5*time.Second, time.Millisecond)
 	for path, want := range map[string]string{
 		"/healthz": "ok",
 		"/readyz":  "ok",
@@ -126,32 +131,32 @@
 		assert.Equal(t, 200, code, path)
 		assert.Contains(t, body, want, path)
 	}
-	now := *p
-	now.LinesPerS = 50
-	now.Name = "other"
-	changed, restart, err := d.Reload(t.Context(), &now)
+	updated := *p
+	updated.LinesPerS = 50
+	updated.Name = "other"
+	changed, restart, err := d.Reload(t.Context(), &updated)
 	require.NoError(t, err)
 	assert.Equal(t, []string{"LinesPerS"}, changed)
 	assert.Equal(t, []string{"Name"}, restart)
 	stop()
 	assert.NoError(t, <-ended)
-	assert.Equal(t, 1, count(book, eventlog.Leave))
+	assert.Equal(t, 1, countEvents(events, eventlog.Leave))
 }
 
-// TestStopAndReload guards against a reload that comes as the pilot stops: it ends, and nothing hangs.
+// TestStopAndReload checks that neither the pilot nor a reload blocks when settings are reloaded during a shutdown.
 func TestStopAndReload(t *testing.T) {
-	p := pilotTerms(t)
+	p := testConfig(t)
 	d, err := New(p, Options{})
 	require.NoError(t, err)
 	stop, ended := run(t, d)
 	var wg sync.WaitGroup
 	for i := range 20 {
 		wg.Go(func() {
-			now := *p
-			now.LinesPerS = float64(100 + i)
+			updated := *p
+			updated.LinesPerS = float64(100 + i)
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
-			_, _, _ = d.Reload(ctx, &now)
+			_, _, _ = d.Reload(ctx, &updated)
 		})
 	}
 	stop()
@@ -159,27 +164,28 @@
 	wg.Wait()
 }
 
-// TestKilled shows what a killed pilot leaves to its proxies: a broken stream and the other pilot.
+// TestKilled checks that a proxy reconnects to the second pilot when the first one is killed.
 func TestKilled(t *testing.T) {
-	p := pilotTerms(t, "x:1")
+	p := testConfig(t, "x:1")
 	first, err := New(p, Options{})
 	require.NoError(t, err)
 	second, err := New(p, Options{})
 	require.NoError(t, err)
 	_, ended := run(t, first)
 	run(t, second)
-	book := following(t, func() []string { return []string{first.Address(), second.Address()} })
-	joins := func() int { return count(book, eventlog.Join) }
+	events := startProxy(t, func() []string { return []string{first.Address(), second.Address()} })
+	joins := func() int { return countEvents(events, eventlog.Join) }
 	require.Eventually(t, func() bool { return first.State().Proxies == 1 }, 5*time.Second, time.Millisecond)
-	require.Eventually(t, func() bool { return joins() == 1 }, 5*time.Second, time.Millisecond) // it has read the welcome
+	require.Eventually(t, func() bool { return joins() == 1 }, 5*time.Second, time.Millisecond) // Welcome was received
 	first.Kill()
 	assert.NoError(t, <-ended)
 	assert.Eventually(t, func() bool { return second.State().Proxies == 1 }, 5*time.Second, time.Millisecond)
 	assert.Eventually(t, func() bool { return joins() == 2 }, 5*time.Second, time.Millisecond)
 }
 
-// TestNoStart shows how a pilot fails that can't have what it needs.
-func TestNoStart(t *testing.T) {
+// TestStartErrors checks that the error names the cause if a pilot can't open a listener, has an invalid peer address,
+// or can't read its endpoint list.
+func TestStartErrors(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer mustClose(t, taken)
@@ -192,12 +198,12 @@
 			p.Peers = map[string]string{"1": "x"}
 		},
 	} {
-		p := pilotTerms(t)
+		p := testConfig(t)
 		change(p)
 		_, err := New(p, Options{})
 		assert.ErrorContains(t, err, name)
 	}
-	p := pilotTerms(t)
+	p := testConfig(t)
 	p.ListFile = "/nowhere/at/all.hcl"
 	d, err := New(p, Options{})
 	require.NoError(t, err)
--- a/internal/daemon/goodproxy_test.go
+++ b/internal/daemon/goodproxy_test.go
@@ -15,14 +15,14 @@
 	"indigousher/internal/wire"
 )
 
-// goodProxy follows a controller as it should, and keeps what crosses to it.
+// goodProxy is a proxy that conforms to the protocol and stores the operations it receives.
 type goodProxy struct {
-	mu   sync.Mutex
-	ops  []wire.Op
-	left error // why its stream ended before it was told to
+	mu        sync.Mutex // guards ops and streamErr
+	ops       []wire.Op  // all operations received
+	streamErr error      // error with which the stream ended before follow's context did; nil if it did not
 }
 
-// follow joins and acknowledges until ctx or the stream ends.
+// follow connects to a controller and acknowledges its messages until ctx or the stream ends.
 func (g *goodProxy) follow(ctx context.Context, address string, join proxy.Joiner) {
 	hello := &wire.Hello{Version: 1, Proxy: "good", Zone: "a", Rate: 5, Fresh: true}
 	line, _, err := join(ctx, (&net.Dialer{}).DialContext, address, hello)
@@ -32,8 +32,8 @@
 			break
 		}
 		if commands, ok := m.(*wire.Orders); ok {
-			g.keep(commands.Ops)
-			acknowledge(line, commands.Ops)
+			g.store(commands.Ops)
+			acknowledgeMarks(line, commands.Ops)
 		}
 		err = line.Write(&wire.Beat{Seen: line.Last()}, time.Second)
 	}
@@ -43,27 +43,28 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if ctx.Err() == nil {
-		g.left = err
+		g.streamErr = err
 	}
 }
 
-// acknowledge answers the marks among ops.
-func acknowledge(line proxy.Stream, ops []wire.Op) {
+// acknowledgeMarks sends an acknowledgement for each mark among ops.
+func acknowledgeMarks(line proxy.Stream, ops []wire.Op) {
 	for _, op := range ops {
 		if op.Kind == wire.OpMark {
-			_ = line.Write(&wire.Done{Mark: op.Number}, time.Second) // a broken stream shows at the next read
+			_ = line.Write(&wire.Done{Mark: op.Number}, time.Second) // if the stream is broken, the next read fails
 		}
 	}
 }
 
-func (g *goodProxy) keep(ops []wire.Op) {
+// store stores received operations.
+func (g *goodProxy) store(ops []wire.Op) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.ops = append(g.ops, ops...)
 }
 
-// got returns a condition: whether an op came.
-func (g *goodProxy) got(is func(wire.Op) bool) func() bool {
+// received returns a function that reports whether the proxy has received an operation for which is returns true.
+func (g *goodProxy) received(is func(wire.Op) bool) func() bool {
 	return func() bool {
 		g.mu.Lock()
 		defer g.mu.Unlock()
@@ -76,11 +77,12 @@
 	}
 }
 
-// assertValid checks that the stream still stands, and all that came.
+// assertValid checks that the stream is still open and that all received operations are valid: weights are between 0
+// and 1, at least one of the endpoints x:1 and y:1 has a positive weight, and there are no range operations.
 func (g *goodProxy) assertValid(t *testing.T) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	assert.NoError(t, g.left)
+	assert.NoError(t, g.streamErr)
 	weights := map[string]float64{}
 	for _, op := range g.ops {
 		require.False(t, op.Weight < 0 || op.Weight > 1 || math.IsNaN(op.Weight), "%+v", op)
--- a/internal/daemon/hostile_test.go
+++ b/internal/daemon/hostile_test.go
@@ -24,9 +24,10 @@
 	"indigousher/internal/wire"
 )
 
-// TestHostilePorts brings all that is malformed, cut off, too long, slow or meant to harm to every port of a controller
-// that runs, and to its endpoint list and health checks, while a good proxy follows: that one keeps its stream and gets
-// valid weights, drains still reach it, and nothing of the others stays.
+// TestHostilePorts sends malformed, truncated, oversized, slow and malicious input to every port of a running
+// controller, and to its endpoint list and health checks. A conforming proxy is connected meanwhile: its stream must
+// stay open, its weights must be valid, and drains must still reach it. Hostile peers must leave no proxies or
+// goroutines behind.
 func TestHostilePorts(t *testing.T) {
 	source := newListServer(t)
 	endpoint := startHostileEndpoint(t)
@@ -36,7 +37,7 @@
 		listEntry("z:1"),
 		listEntry(endpoint),
 	}
-	source.answers <- framesOf(t, &wire.List{Version: 1, Now: 1e6, Whole: true, Entries: entries})
+	source.responses <- encodeFrames(t, &wire.List{Version: 1, Now: 1e6, Whole: true, Entries: entries})
 	var gossip net.PacketConn
 	capture := func(c net.PacketConn) net.PacketConn {
 		gossip = c
@@ -53,7 +54,7 @@
 		close(followed)
 	}()
 	isBind := func(op wire.Op) bool { return op.Kind == wire.OpBind }
-	require.Eventually(t, good.got(isBind), 10*time.Second, 5*time.Millisecond)
+	require.Eventually(t, good.received(isBind), 10*time.Second, 5*time.Millisecond)
 	before := runtime.NumGoroutine()
 
 	random := rand.New(rand.NewPCG(5, 6))
@@ -65,14 +66,14 @@
 	attackGossip(t, gossip.LocalAddr().String(), random)
 	attackList(t, source)
 	entries[2].Phase = wire.PhaseDraining
-	source.answers <- framesOf(t, &wire.List{Version: 2, Now: 2e6, Whole: true, Entries: entries})
+	source.responses <- encodeFrames(t, &wire.List{Version: 2, Now: 2e6, Whole: true, Entries: entries})
 
 	isDrained := func(op wire.Op) bool {
 		isExcluded := op.Kind == wire.OpWithdraw && op.Out
 		isRemoved := op.Kind == wire.OpSet && op.Weight == 0
 		return op.Endpoint == "z:1" && (isExcluded || isRemoved)
 	}
-	require.Eventually(t, good.got(isDrained), 30*time.Second, 5*time.Millisecond, "a drain still reaches the proxy")
+	require.Eventually(t, good.received(isDrained), 30*time.Second, 5*time.Millisecond, "a drain still reaches the proxy")
 	onlyGoodStays := func() bool { return d.State().Proxies == 1 && runtime.NumGoroutine() <= before+8 }
 	assert.Eventually(t, onlyGoodStays, 10*time.Second, 20*time.Millisecond,
 		"%d goroutines before, %d after, %d proxies", before, runtime.NumGoroutine(), d.State().Proxies)
@@ -83,7 +84,8 @@
 	<-followed
 }
 
-// hostileConfig returns a configuration with every port open and short deadlines.
+// hostileConfig returns a configuration with all listeners enabled and short deadlines. The endpoint list is read from
+// the server at list.
 func hostileConfig(t *testing.T, list net.Addr) *config.Pilot {
 	secret := filepath.Join(t.TempDir(), "secret")
 	require.NoError(t, os.WriteFile(secret, []byte(strings.Repeat("ab", 32)), 0o600))
@@ -119,12 +121,13 @@
 	return p
 }
 
+// listEntry returns an entry of the endpoint list for an endpoint that is ready.
 func listEntry(name string) wire.Entry {
 	return wire.Entry{Endpoint: name, Zone: "a", Machine: "std", Weight: 1, Phase: wire.PhaseReady}
 }
 
-// framesOf encodes messages as one stream.
-func framesOf(t *testing.T, messages ...wire.Message) []byte {
+// encodeFrames encodes messages as consecutive frames of one stream.
+func encodeFrames(t *testing.T, messages ...wire.Message) []byte {
 	var b bytes.Buffer
 	w := wire.NewWriter(&b)
 	for _, m := range messages {
@@ -134,40 +137,41 @@
 	return b.Bytes()
 }
 
-// plausibleHello opens the streams of strangers that get past the hello.
+// plausibleHello is a valid Hello, with which hostile payloads start if they must be accepted as a stream.
 var plausibleHello = &wire.Hello{Version: 1, Proxy: "bad", Zone: "a", Rate: 3, Holds: []string{"x:1"}}
 
-// hostilePayloads returns what a stranger may send to any port: a stream cut off everywhere, with a byte changed, out
-// of order, too long, and of other protocols.
+// hostilePayloads returns payloads to send to a port: streams that are truncated at various lengths, have a changed
+// byte, contain messages out of order or are too long, and data of other protocols.
 func hostilePayloads(t *testing.T, random *rand.Rand) [][]byte {
 	hello := *plausibleHello
 	hello.Rate = 1e308
-	whole := framesOf(t, plausibleHello, hostileReport())
+	valid := encodeFrames(t, plausibleHello, hostileReport())
 	var payloads [][]byte
-	for n := 0; n < len(whole); n += 3 {
-		payloads = append(payloads, whole[:n])
+	for n := 0; n < len(valid); n += 3 {
+		payloads = append(payloads, valid[:n])
 	}
 	for range 40 {
-		b := bytes.Clone(whole)
+		b := bytes.Clone(valid)
 		b[random.IntN(len(b))] ^= byte(1 + random.IntN(255))
 		payloads = append(payloads, b)
 	}
 	const http2Preface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
 	return append(payloads,
-		framesOf(t, &hello),
-		framesOf(t, plausibleHello, plausibleHello),
-		framesOf(t, plausibleHello, &wire.Orders{}),
-		framesOf(t, &wire.Done{Mark: 1}),
+		encodeFrames(t, &hello),
+		encodeFrames(t, plausibleHello, plausibleHello),
+		encodeFrames(t, plausibleHello, &wire.Orders{}),
+		encodeFrames(t, &wire.Done{Mark: 1}),
 		bytes.Repeat([]byte{0}, 1<<20),
 		bytes.Repeat([]byte{0xff}, 1<<20),
 		[]byte(http2Preface),
 		[]byte("GET / HTTP/1.1\r\n\r\n"),
 		append([]byte(http2Preface), bytes.Repeat([]byte{0xff}, 1<<16)...),
-		[]byte{0x16, 3, 1, 0xff, 0xff}, // the head of a TLS record
+		[]byte{0x16, 3, 1, 0xff, 0xff}, // the header of a TLS record
 	)
 }
 
-// hostileReport has figures at the limits of their types, and an endpoint that nobody listed.
+// hostileReport returns a load report with values at the limits of their types, and with an endpoint and a request
+// class that are unknown.
 func hostileReport() *wire.Sums {
 	load := []wire.Figure{{Name: "util", Value: 1e308}}
 	return &wire.Sums{
@@ -182,33 +186,33 @@
 	}
 }
 
-// attackPort sends each payload on a connection of its own.
+// attackPort sends each payload on a separate connection.
 func attackPort(t *testing.T, address string, payloads [][]byte) {
 	for i, payload := range payloads {
 		conn, err := net.Dial("tcp", address)
 		require.NoError(t, err)
 		require.NoError(t, conn.SetDeadline(time.Now().Add(200*time.Millisecond)))
-		_, _ = conn.Write(payload) // it may be refused before the end
+		_, _ = conn.Write(payload) // fails if the controller closes the connection early
 		if i%8 == 0 {
-			_, _ = io.CopyN(io.Discard, conn, 1<<12) // whatever comes
+			_, _ = io.CopyN(io.Discard, conn, 1<<12) // read some of the reply, if any
 		}
 		mustClose(t, conn)
 	}
 }
 
-// attackSlowly sends the start of a stream byte by byte, and never reads.
+// attackSlowly sends the start of a stream byte by byte, without reading the replies.
 func attackSlowly(t *testing.T, address string) {
 	conn, err := net.Dial("tcp", address)
 	require.NoError(t, err)
-	whole := framesOf(t, plausibleHello, hostileReport())
+	valid := encodeFrames(t, plausibleHello, hostileReport())
 	for i := range 10 {
-		_, _ = conn.Write(whole[i : i+1]) // it may be refused before the end
+		_, _ = conn.Write(valid[i : i+1]) // fails if the controller closes the connection early
 		time.Sleep(20 * time.Millisecond)
 	}
 	mustClose(t, conn)
 }
 
-// attackGossip sends packets of random bytes, some with a head that looks right.
+// attackGossip sends packets of random bytes, some of them with a valid header.
 func attackGossip(t *testing.T, address string, random *rand.Rand) {
 	conn, err := net.Dial("udp", address)
 	require.NoError(t, err)
@@ -220,13 +224,13 @@
 		if n%4 == 0 && len(packet) > 8 {
 			copy(packet, "inu\x01\x00\x01")
 		}
-		_, _ = conn.Write(packet) // a full socket drops it
+		_, _ = conn.Write(packet) // a send error is as good as a lost packet
 	}
 	mustClose(t, conn)
 }
 
-// attackList answers the next connections of the endpoint list with entries at the limits of their types, messages that
-// are none of a list, and noise.
+// attackList queues responses for the next connections to the endpoint list server: entries with values at the limits
+// of their types, messages that don't belong to an endpoint list, and random bytes.
 func attackList(t *testing.T, source *listServer) {
 	var messages []wire.Message
 	for _, change := range []func(e *wire.Entry){
@@ -244,24 +248,24 @@
 			&wire.Slices{Slice: wire.EveryTable, Given: true},
 		)
 	}
-	noList := &wire.Hello{Version: 1, Proxy: "p", Zone: "a"} // ends a connection
-	source.answers <- framesOf(t, append(messages, noList)...)
+	unexpectedHello := &wire.Hello{Version: 1, Proxy: "p", Zone: "a"} // makes the controller close the connection
+	source.responses <- encodeFrames(t, append(messages, unexpectedHello)...)
 	for _, noise := range [][]byte{[]byte("no list"), bytes.Repeat([]byte{0xff}, 64)} {
-		source.answers <- append(noise, framesOf(t, noList)...)
+		source.responses <- append(noise, encodeFrames(t, unexpectedHello)...)
 	}
 }
 
-// listServer is a server of the endpoint list that can say anything, one connection after another.
+// listServer is an endpoint list server that sends arbitrary responses. It serves one connection at a time.
 type listServer struct {
-	listener net.Listener
-	answers  chan []byte // what each next connection brings
+	listener  net.Listener
+	responses chan []byte // the response for each of the next connections
 }
 
-// newListServer starts a server; it ends with the test.
+// newListServer starts a server that is stopped at the end of the test.
 func newListServer(t *testing.T) *listServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &listServer{listener: l, answers: make(chan []byte, 64)}
+	s := &listServer{listener: l, responses: make(chan []byte, 64)}
 	var serving sync.WaitGroup
 	serving.Go(func() {
 		for {
@@ -269,7 +273,7 @@
 			if err != nil {
 				return
 			}
-			s.answer(conn)
+			s.respond(conn)
 		}
 	})
 	t.Cleanup(func() {
@@ -279,23 +283,24 @@
 	return s
 }
 
-// answer brings the next answer and waits until the controller has had enough.
-func (s *listServer) answer(conn net.Conn) {
+// respond sends the next response and waits until the controller closes the connection.
+func (s *listServer) respond(conn net.Conn) {
 	gone := make(chan struct{})
 	go func() {
-		_, _ = io.Copy(io.Discard, conn) // until the controller closes it
+		_, _ = io.Copy(io.Discard, conn) // returns when the controller closes the connection
 		close(gone)
 	}()
 	select {
-	case answer := <-s.answers:
-		_, _ = conn.Write(answer) // it may be refused before the end
+	case answer := <-s.responses:
+		_, _ = conn.Write(answer) // fails if the controller closes the connection early
 		<-gone
 	case <-gone:
 	}
-	_ = conn.Close() // the other side has closed it
+	_ = conn.Close() // the controller has already closed its side
 }
 
-// startHostileEndpoint starts an endpoint that answers health checks with anything, and returns its address.
+// startHostileEndpoint starts an endpoint that responds to health checks with valid and invalid data in turn, and
+// returns its address.
 func startHostileEndpoint(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -304,8 +309,8 @@
 		nil,
 		[]byte("HTTP/1.1 200 OK\r\n\r\n"),
 		{0xff, 0xff, 0xff, 0xff, 1, 0, 0, 0, 1},
-		framesOf(t, &wire.Beat{}),
-		framesOf(t, &wire.Answer{Number: 1, Outcome: wire.Fine, Load: load}),
+		encodeFrames(t, &wire.Beat{}),
+		encodeFrames(t, &wire.Answer{Number: 1, Outcome: wire.Fine, Load: load}),
 	}
 	var serving sync.WaitGroup
 	serving.Go(func() {
@@ -314,8 +319,8 @@
 			if err != nil {
 				return
 			}
-			_, _ = conn.Write(answers[i%len(answers)]) // it may be refused
-			_ = conn.Close()                           // whatever was lost
+			_, _ = conn.Write(answers[i%len(answers)]) // fails if the controller closes the connection early
+			_ = conn.Close()                           // data that was not sent yet does not matter
 		}
 	})
 	t.Cleanup(func() {
--- a/internal/daemon/listchange_bench_test.go
+++ b/internal/daemon/listchange_bench_test.go
@@ -17,7 +17,7 @@
 	"indigousher/internal/wire"
 )
 
-// The size that the grown deployments reach.
+// Size of a large deployment.
 const (
 	manyProxies   = 450
 	manyEndpoints = 328
@@ -25,8 +25,8 @@
 
 var zones = []string{"a", "b", "c"}
 
-// fleet returns the entries of all endpoints.
-func fleet() []wire.Entry {
+// allEndpoints returns the endpoint list entries of manyEndpoints endpoints, spread evenly over the zones.
+func allEndpoints() []wire.Entry {
 	var entries []wire.Entry
 	for i := range manyEndpoints {
 		entries = append(entries, wire.Entry{
@@ -39,7 +39,7 @@
 	return entries
 }
 
-// benchConfig returns a configuration without limits of the channel's messages.
+// benchConfig returns a configuration without a limit on the number of messages to a proxy.
 func benchConfig(listAddress string, proxies int) config.Pilot {
 	cfg := config.Defaults()
 	cfg.Zones = zones
@@ -61,8 +61,8 @@
 	return cfg
 }
 
-// drainOrReturn changes the phase of an endpoint of each zone.
-func drainOrReturn(entries []wire.Entry, phase int) []wire.Entry {
+// setPhase sets the phase of one endpoint in each zone, and returns the changed entries.
+func setPhase(entries []wire.Entry, phase int) []wire.Entry {
 	changed := entries[:len(zones)]
 	for i := range changed {
 		changed[i].Phase = phase
@@ -70,8 +70,8 @@
 	return changed
 }
 
-// BenchmarkListChange measures on sockets, at full size, from a change of the endpoint list to each proxy having
-// applied it: one endpoint of each zone drains and comes back.
+// BenchmarkListChange measures the time from a change of the endpoint list until each proxy has applied it, over
+// sockets in a full-size deployment. In each change, one endpoint in each zone starts to drain or becomes ready again.
 func BenchmarkListChange(b *testing.B) {
 	for _, linesPerS := range []float64{12000, 1e9} {
 		b.Run(fmt.Sprintf("lines_per_s=%.0e", linesPerS), func(b *testing.B) { benchmarkListChange(b, linesPerS) })
@@ -79,11 +79,11 @@
 }
 
 func benchmarkListChange(b *testing.B, linesPerS float64) {
-	book := eventlog.NewLog()
-	source := registry.New(book.Stream("list"))
+	events := eventlog.NewLog()
+	source := registry.New(events.Stream("list"))
 	require.NoError(b, source.Start())
 	defer source.Close()
-	entries := fleet()
+	entries := allEndpoints()
 	source.Put(0, entries...)
 	cfg := benchConfig(source.Address(), manyProxies)
 	cfg.LinesPerS = linesPerS
@@ -92,18 +92,18 @@
 	require.NoError(b, err)
 	stop, ended := run(b, d)
 	for i := range manyProxies {
-		p := startBenchProxy(b, d, book, i)
+		p := startBenchProxy(b, d, events, i)
 		defer p.Kill()
 	}
-	bound := awaitLines(book, 0)
-	var all []float64 // ms, of each proxy and change
+	bound := awaitLines(events, 0)
+	var all []float64 // ms until applied, for each proxy and change
 	phase := wire.PhaseReady
 	for b.Loop() {
-		time.Sleep(1500 * time.Millisecond) // a control round lies between
+		time.Sleep(1500 * time.Millisecond) // longer than a control round
 		phase = wire.PhaseDraining - phase
-		since := book.Now()
-		source.Put(0, drainOrReturn(entries, phase)...)
-		all = append(all, awaitLines(book, since)...)
+		since := events.Now()
+		source.Put(0, setPhase(entries, phase)...)
+		all = append(all, awaitLines(events, since)...)
 	}
 	slices.Sort(all)
 	b.ReportMetric(bound[len(bound)-1], "ms-all-bound")
@@ -114,7 +114,8 @@
 	require.NoError(b, <-ended)
 }
 
-func startBenchProxy(b *testing.B, d *Daemon, book *eventlog.Log, i int) *proxy.Proxy {
+// startBenchProxy starts the testbed proxy number i, which connects to the daemon.
+func startBenchProxy(b *testing.B, d *Daemon, events *eventlog.Log, i int) *proxy.Proxy {
 	name := fmt.Sprintf("p%d", i)
 	p := proxy.New(proxy.Options{
 		Name:        name,
@@ -125,15 +126,15 @@
 		Pilots:      func() []string { return []string{d.Address()} },
 		Dial:        (&net.Dialer{}).DialContext,
 		RedialPause: 50 * time.Millisecond,
-	}, book.Stream(name))
+	}, events.Stream(name))
 	require.NoError(b, p.Start())
 	return p
 }
 
-// awaitLines waits until each proxy has applied lines after a time, and returns how long each took, in ms, sorted.
-func awaitLines(book *eventlog.Log, since float64) []float64 {
+// awaitLines waits until each proxy has applied lines at or after the time since, and returns the delays in ms, sorted.
+func awaitLines(events *eventlog.Log, since float64) []float64 {
 	for {
-		applied := linesApplied(book, since)
+		applied := linesApplied(events, since)
 		if len(applied) < manyProxies {
 			time.Sleep(20 * time.Millisecond)
 			continue
@@ -147,10 +148,11 @@
 	}
 }
 
-// linesApplied returns when each proxy applied lines last, of those that have after a time.
-func linesApplied(book *eventlog.Log, since float64) map[string]float64 {
+// linesApplied returns, by proxy name, the time in ms at which the proxy last applied lines. It omits proxies that have
+// not applied any at or after the time since.
+func linesApplied(events *eventlog.Log, since float64) map[string]float64 {
 	applied := map[string]float64{}
-	for _, e := range book.Events() {
+	for _, e := range events.Events() {
 		if e.What == eventlog.Lines && e.At >= since && e.N > 0 {
 			applied[e.Who] = e.At
 		}
--- a/internal/daemon/oldstore_test.go
+++ b/internal/daemon/oldstore_test.go
@@ -21,16 +21,16 @@
 	"indigousher/planner"
 )
 
-var update = flag.Bool("update", false, "write the store of testdata anew; only where the stored format changes")
+var update = flag.Bool("update", false, "rewrite the store in testdata; only if the stored format has changed")
 
-// oldStore is a store that commit 7c7c6c6 wrote, before any type or field that it holds was renamed.
+// oldStore is a store written by commit 7c7c6c6, before types and fields that are stored in it were renamed.
 const oldStore = "testdata/records-7c7c6c6.db.gz"
 
-// TestOldStore guards stored records over changes of names and shape: a store that an earlier version wrote replays to
-// the same commands, and a pilot comes back warm from it.
+// TestOldStore guards against incompatible changes of the stored format, for example by renaming Go types or fields: a
+// store written by an earlier version must replay to the same commands, and a pilot must recover its state from it.
 func TestOldStore(t *testing.T) {
 	if *update {
-		p := recordedLife(t)
+		p := recordShortRun(t)
 		content, err := os.ReadFile(filepath.Join(p.RecordDir, "records.db"))
 		require.NoError(t, err)
 		require.NoError(t, os.MkdirAll(filepath.Dir(oldStore), 0o755))
@@ -41,7 +41,7 @@
 		require.NoError(t, writer.Close())
 		require.NoError(t, os.WriteFile(oldStore, compressed.Bytes(), 0o644))
 	}
-	p := pilotTerms(t, "x:1", "y:1")
+	p := testConfig(t, "x:1", "y:1")
 	p.RecordDir = t.TempDir()
 	unpackStore(t, p.RecordDir)
 	setLastWritten(t, p.RecordDir, time.Now().Add(-time.Second))
@@ -64,9 +64,9 @@
 	require.NoError(t, err)
 	assert.Contains(t, d.recording.decision.Reason, "recovered from")
 	stop, ended := run(t, d)
-	following(t, func() []string { return []string{d.Address()} })
+	startProxy(t, func() []string { return []string{d.Address()} })
 	require.Eventually(t, listedAndJoined(d), 5*time.Second, time.Millisecond)
-	time.Sleep(500 * time.Millisecond) // past a commit
+	time.Sleep(500 * time.Millisecond) // longer than the writer's commit interval
 	stop()
 	require.NoError(t, <-ended)
 
@@ -81,6 +81,7 @@
 	require.NoError(t, store.Close())
 }
 
+// unpackStore decompresses oldStore into dir.
 func unpackStore(t *testing.T, dir string) {
 	file, err := os.Open(oldStore)
 	require.NoError(t, err)
@@ -92,8 +93,8 @@
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "records.db"), content, 0o600))
 }
 
-// setLastWritten gives all chunks of a store the time at, as if they had just been written then. A chunk begins with a
-// checksum (4 bytes, of all that follows) and the time at which it was written (8 bytes, milliseconds since 1970).
+// setLastWritten sets the write time of all chunks in a store to at. A chunk starts with a checksum of the rest of the
+// chunk (4 bytes), followed by the time at which it was written (8 bytes, milliseconds since 1970).
 func setLastWritten(t *testing.T, dir string, at time.Time) {
 	db, err := bbolt.Open(filepath.Join(dir, "records.db"), 0o600, nil)
 	require.NoError(t, err)
--- a/internal/daemon/torn_test.go
+++ b/internal/daemon/torn_test.go
@@ -14,30 +14,30 @@
 	"indigousher/internal/config"
 )
 
-// recordedLife lets a pilot live for a moment with a record and a proxy, and returns its terms.
-func recordedLife(t *testing.T) *config.Pilot {
-	p := pilotTerms(t, "x:1", "y:1")
+// recordShortRun runs a pilot with recording and one proxy for half a second, and returns its configuration.
+func recordShortRun(t *testing.T) *config.Pilot {
+	p := testConfig(t, "x:1", "y:1")
 	p.RecordDir = t.TempDir()
 	d, err := New(p, Options{})
 	require.NoError(t, err)
 	stop, ended := run(t, d)
-	following(t, func() []string { return []string{d.Address()} })
+	startProxy(t, func() []string { return []string{d.Address()} })
 	require.Eventually(t, func() bool { return d.State().Proxies == 1 }, 5*time.Second, time.Millisecond)
-	time.Sleep(500 * time.Millisecond) // past a commit
+	time.Sleep(500 * time.Millisecond) // longer than the writer's commit interval
 	stop()
 	require.NoError(t, <-ended)
 	return p
 }
 
-// TestTornRecord guards a pilot's start against a record whose file was cut off, overwritten or filled with anything:
-// it starts cold, says so, goes on recording, and leaves the old file for whoever wants to look.
+// TestTornRecord checks that a pilot starts and serves a proxy when its record file is truncated, partly overwritten or
+// no record at all.
 func TestTornRecord(t *testing.T) {
-	p := recordedLife(t)
+	p := recordShortRun(t)
 	path := filepath.Join(p.RecordDir, "records.db")
 	whole, err := os.ReadFile(path)
 	require.NoError(t, err)
 	cut := func(n int) []byte { return whole[:n] }
-	spoilt := func(from, to int) []byte {
+	corrupted := func(from, to int) []byte {
 		b := bytes.Clone(whole)
 		for i := from; i < min(to, len(b)); i++ {
 			b[i] ^= byte(0x5a + i)
@@ -45,19 +45,19 @@
 		return b
 	}
 	cases := map[string][]byte{
-		"as it was":       whole,
-		"empty":           cut(0),
-		"no file of ours": make([]byte, 1<<16),
-		"a text":          []byte("not a record"),
-		"first page":      spoilt(0, 4096),
-		"both heads":      spoilt(0, 8192),
+		"unchanged":         whole,
+		"empty":             cut(0),
+		"zeros":             make([]byte, 1<<16),
+		"text":              []byte("not a record"),
+		"first page":        corrupted(0, 4096),
+		"both header pages": corrupted(0, 8192),
 	}
 	for n := 1; n < len(whole); n += len(whole)/12 + 1 {
-		cases[fmt.Sprint("cut off after ", n)] = cut(n)
+		cases[fmt.Sprint("truncated to ", n)] = cut(n)
 	}
 	for n := 8192; n < len(whole); n += 4096 {
-		cases[fmt.Sprint("spoilt from ", n)] = spoilt(n, n+4096)
-		cases[fmt.Sprint("a few bytes from ", n)] = spoilt(n, n+20)
+		cases[fmt.Sprint("corrupted page at ", n)] = corrupted(n, n+4096)
+		cases[fmt.Sprint("corrupted bytes at ", n)] = corrupted(n, n+20)
 	}
 	for name, content := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -66,11 +66,11 @@
 			require.NoError(t, os.WriteFile(filepath.Join(p.RecordDir, "records.db"), content, 0o600))
 			d, err := New(&p, Options{})
 			require.NoError(t, err)
-			if name == "as it was" {
+			if name == "unchanged" {
 				assert.Contains(t, d.recording.decision.Reason, "recovered")
 			}
 			stop, ended := run(t, d)
-			following(t, func() []string { return []string{d.Address()} })
+			startProxy(t, func() []string { return []string{d.Address()} })
 			assert.Eventually(t, listedAndJoined(d), 5*time.Second, time.Millisecond)
 			stop()
 			assert.NoError(t, <-ended)
@@ -78,29 +78,29 @@
 	}
 }
 
-// TestReturnAfterReload guards a return after terms were reloaded: the record is of the terms that were in force last,
-// not of those at the life's start.
+// TestReturnAfterReload checks that a recovery compares the pilot's settings with those of the last reload, not with
+// those at the start of the recorded life.
 func TestReturnAfterReload(t *testing.T) {
-	p := pilotTerms(t, "x:1", "y:1")
+	p := testConfig(t, "x:1", "y:1")
 	p.RecordDir = t.TempDir()
 	d, err := New(p, Options{})
 	require.NoError(t, err)
 	_, ended := run(t, d)
 	require.Eventually(t, func() bool { return d.State().Listed }, 5*time.Second, time.Millisecond)
-	now := *p
-	now.LinesPerS = 777
-	now.DrainGrace = 3 * time.Second
-	changed, _, err := d.Reload(t.Context(), &now)
+	updated := *p
+	updated.LinesPerS = 777
+	updated.DrainGrace = 3 * time.Second
+	changed, _, err := d.Reload(t.Context(), &updated)
 	require.NoError(t, err)
 	assert.Len(t, changed, 2)
-	time.Sleep(500 * time.Millisecond) // past a commit
+	time.Sleep(500 * time.Millisecond) // longer than the writer's commit interval
 	d.Kill()
 	require.NoError(t, <-ended)
 	for _, c := range []struct {
 		terms *config.Pilot
 		want  string
 	}{
-		{&now, "recovered from"},
+		{&updated, "recovered from"},
 		{p, "cold start: the record is of other terms"},
 	} {
 		back, err := New(c.terms, Options{})
--- a/internal/daemon/transports_bench_test.go
+++ b/internal/daemon/transports_bench_test.go
@@ -28,9 +28,9 @@
 	"indigousher/internal/wire"
 )
 
-// BenchmarkTransports measures the transports beside each other: from a change of the endpoint list to the last proxy
-// having it, and what a line costs on both sides together. Proxies and controller share one process. One operation is
-// one change.
+// BenchmarkTransports compares the transports: the time from a change of the endpoint list until the last proxy has
+// received it, and the CPU time and bytes per line, for the proxies and the controller together because they share one
+// process. One operation is one change.
 func BenchmarkTransports(b *testing.B) {
 	authority, err := identity.NewAuthority("bench", time.Hour)
 	require.NoError(b, err)
@@ -43,31 +43,32 @@
 	}
 }
 
-// transportBench is a controller, its endpoint list, and proxies that follow it over one transport.
+// transportBench is a controller, its endpoint list server, and proxies that are connected over one transport.
 type transportBench struct {
 	transport string
-	proxies   int
+	proxies   int // number of proxies
 	authority *identity.Authority
-	keyDir    string // "" without TLS
+	keyDir    string // directory of the certificates; "": no TLS
 	source    *registry.Registry
 	entries   []wire.Entry
 	daemon    *Daemon
 	stop      context.CancelFunc
 	ended     chan error
 
-	seen      *sightings
-	bytesRead atomic.Int64 // by the proxies
-	following sync.WaitGroup
+	receipts        *receipts
+	bytesRead       atomic.Int64   // by all proxies
+	proxyGoroutines sync.WaitGroup // goroutines of the proxies
 }
 
+// newTransportBench starts the endpoint list server and the controller, but no proxies.
 func newTransportBench(b *testing.B, transport string, proxies int, authority *identity.Authority) *transportBench {
 	t := &transportBench{
 		transport: transport,
 		proxies:   proxies,
 		authority: authority,
 		source:    registry.New(eventlog.NewLog().Stream("list")),
-		entries:   fleet(),
-		seen:      &sightings{at: map[string]time.Time{}},
+		entries:   allEndpoints(),
+		receipts:  &receipts{lastReceived: map[string]time.Time{}},
 	}
 	if transport == "framed+tls" || transport == "grpc+tls" {
 		t.keyDir = b.TempDir()
@@ -80,7 +81,7 @@
 	return t
 }
 
-// startDaemon starts the controller, without limits of its own on the channel.
+// startDaemon starts the controller with practically no limits on the rate and backlog of lines.
 func (t *transportBench) startDaemon(b *testing.B) {
 	cfg := benchConfig(t.source.Address(), t.proxies)
 	cfg.LinesPerS = 1e9
@@ -100,6 +101,7 @@
 	t.stop, t.ended = run(b, t.daemon)
 }
 
+// issue writes a certificate for an identity to keyDir.
 func (t *transportBench) issue(b *testing.B, role identity.Role, zone, name string) identity.Files {
 	from := time.Now().Add(-time.Minute)
 	files, err := t.authority.Issue(t.keyDir, identity.Identity{Role: role, Zone: zone, Name: name}, from, time.Hour)
@@ -107,13 +109,14 @@
 	return files
 }
 
+// keyStore issues a certificate for an identity and returns a key store that holds it.
 func (t *transportBench) keyStore(b *testing.B, role identity.Role, zone, name string) *identity.KeyStore {
 	store, err := identity.Load(t.issue(b, role, zone, name), nil)
 	require.NoError(b, err)
 	return store
 }
 
-// run measures, and reports.
+// run starts the proxies, runs the benchmark and reports its metrics.
 func (t *transportBench) run(b *testing.B) {
 	ctx, cancel := context.WithCancel(b.Context())
 	before := heapInUse()
@@ -123,60 +126,61 @@
 	t.awaitAll(b, time.Time{})
 	time.Sleep(1500 * time.Millisecond)
 	heap := heapInUse() - before
-	var all []float64  // ms, of each proxy and change
-	var last []float64 // ms, of the last proxy and each change
+	var all []float64  // ms until received, for each proxy and change
+	var last []float64 // ms until the last proxy has received it, for each change
 	phase := wire.PhaseReady
-	lines := t.seen.lines.Load()
+	lines := t.receipts.lines.Load()
 	bytesRead := t.bytesRead.Load()
 	used := cpuTime()
 	for b.Loop() {
 		time.Sleep(1200 * time.Millisecond)
 		phase = wire.PhaseDraining - phase
 		since := time.Now()
-		t.source.Put(0, drainOrReturn(t.entries, phase)...)
+		t.source.Put(0, setPhase(t.entries, phase)...)
 		took := t.awaitAll(b, since)
 		all = append(all, took...)
 		last = append(last, slices.Max(took))
 	}
 	slices.Sort(all)
 	slices.Sort(last)
-	linesSeen := float64(t.seen.lines.Load() - lines)
+	linesSeen := float64(t.receipts.lines.Load() - lines)
 	b.ReportMetric(all[len(all)/2], "ms-p50")
 	b.ReportMetric(last[len(last)/2], "ms-last")
 	b.ReportMetric(float64(t.bytesRead.Load()-bytesRead)/linesSeen, "bytes/line")
 	b.ReportMetric(float64(cpuTime()-used)/1e3/linesSeen, "cpu-us/line")
 	b.ReportMetric(heap/1024/float64(t.proxies), "KB/stream")
 	cancel()
-	t.following.Wait()
+	t.proxyGoroutines.Wait()
 	t.stop()
 	require.NoError(b, <-t.ended)
 }
 
-// startProxy starts a proxy that follows until ctx ends.
+// startProxy starts proxy number i, which stays connected until ctx ends.
 func (t *transportBench) startProxy(ctx context.Context, b *testing.B, i int) {
 	p := &benchProxy{bench: t, name: fmt.Sprintf("p%d", i), zone: zones[i%3]}
 	if t.keyDir != "" {
 		p.tls = t.keyStore(b, identity.Proxy, p.zone, p.name).Client(identity.Pilot)
 	}
-	t.following.Go(func() {
+	t.proxyGoroutines.Go(func() {
 		if err := p.follow(ctx); err != nil && ctx.Err() == nil {
 			assert.NoError(b, err)
 		}
 	})
 }
 
-// awaitAll waits until each proxy has seen something after a time, and returns how long that took each, in ms.
+// awaitAll waits until each proxy has received commands after the time since, and returns the delay of each in ms. It
+// fails the benchmark after 30 seconds.
 func (t *transportBench) awaitAll(b *testing.B, since time.Time) []float64 {
 	for deadline := time.Now().Add(30 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
-		if took := t.seen.after(since); len(took) >= t.proxies {
+		if took := t.receipts.after(since); len(took) >= t.proxies {
 			return took
 		}
 	}
-	b.Fatalf("%d of %d have it", len(t.seen.after(since)), t.proxies)
+	b.Fatalf("%d of %d proxies have received the change", len(t.receipts.after(since)), t.proxies)
 	return nil
 }
 
-// heapInUse returns the bytes of the heap after a collection.
+// heapInUse returns the heap size in bytes after a garbage collection.
 func heapInUse() float64 {
 	var stats runtime.MemStats
 	runtime.GC()
@@ -184,32 +188,33 @@
 	return float64(stats.HeapInuse)
 }
 
-// cpuTime returns what this process has used.
+// cpuTime returns the user and system CPU time that this process has used.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u) // of the process itself it never fails
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u) // never fails for the calling process
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// sightings note when each proxy has seen its latest commands, and how many lines all of these held.
-type sightings struct {
-	mu    sync.Mutex
-	at    map[string]time.Time
-	lines atomic.Int64
+// receipts stores when each proxy last received commands, and counts the lines in all commands.
+type receipts struct {
+	mu           sync.Mutex           // guards lastReceived
+	lastReceived map[string]time.Time // time of the last commands, by proxy name
+	lines        atomic.Int64         // lines received by all proxies
 }
 
-func (s *sightings) add(name string, lines int) {
+// add stores that a proxy has received commands with that many lines now.
+func (s *receipts) add(name string, lines int) {
 	s.lines.Add(int64(lines))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.at[name] = time.Now()
+	s.lastReceived[name] = time.Now()
 }
 
-// after returns when those that have seen anything after a time did, in ms after it.
-func (s *sightings) after(t time.Time) (took []float64) {
+// after returns, for each proxy that has received commands after the time t, the delay from t in ms.
+func (s *receipts) after(t time.Time) (took []float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, at := range s.at {
+	for _, at := range s.lastReceived {
 		if at.After(t) {
 			took = append(took, float64(at.Sub(t))/float64(time.Millisecond))
 		}
@@ -217,7 +222,7 @@
 	return took
 }
 
-// benchProxy follows over the transport of its benchmark.
+// benchProxy is a proxy that connects over the transport of its benchmark.
 type benchProxy struct {
 	bench *transportBench
 	name  string
@@ -225,7 +230,7 @@
 	tls   *tls.Config // nil: plain text
 }
 
-// follow returns nil when the controller or the benchmark ends.
+// follow connects to the controller and receives commands. It returns nil when the controller or the benchmark ends.
 func (p *benchProxy) follow(ctx context.Context) error {
 	switch p.bench.transport {
 	case "framed", "framed+tls":
@@ -237,16 +242,16 @@
 	}
 }
 
-// dial counts what the connection reads.
+// dial connects to an address and counts the bytes read from the connection.
 func (p *benchProxy) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{Conn: conn, read: &p.bench.bytesRead}, nil
+	return &countingConn{Conn: conn, read: &p.bench.bytesRead}, nil
 }
 
-// followLine reads and acknowledges on a line of the testbed's joiners.
+// followLine receives and acknowledges commands on a stream that join opens: framed or gRPC.
 func (p *benchProxy) followLine(ctx context.Context, join proxy.Joiner, address string) error {
 	line, _, err := join(ctx, p.dial, address, &wire.Hello{Version: 1, Proxy: p.name, Zone: p.zone, Rate: 2})
 	if err != nil {
@@ -260,14 +265,14 @@
 			return nil //nolint:nilerr // the benchmark is over
 		}
 		if commands, ok := m.(*wire.Orders); ok {
-			p.bench.seen.add(p.name, len(commands.Ops))
-			acknowledge(line, commands.Ops)
+			p.bench.receipts.add(p.name, len(commands.Ops))
+			acknowledgeMarks(line, commands.Ops)
 		}
-		_ = line.Write(&wire.Beat{Seen: line.Last()}, time.Second) // a broken stream shows at the next read
+		_ = line.Write(&wire.Beat{Seen: line.Last()}, time.Second) // if the stream is broken, the next read fails
 	}
 }
 
-// followXDS asks for the assignments of one request class and acknowledges them.
+// followXDS subscribes to the assignments of one request class over xDS and acknowledges them.
 func (p *benchProxy) followXDS(ctx context.Context) error {
 	conn, err := p.dialXDS()
 	if err != nil {
@@ -291,7 +296,7 @@
 		if err != nil {
 			return nil //nolint:nilerr // the benchmark is over
 		}
-		p.bench.seen.add(p.name, manyEndpoints/len(zones))
+		p.bench.receipts.add(p.name, manyEndpoints/len(zones))
 		request = &ads.DiscoveryRequest{
 			TypeUrl:       request.TypeUrl,
 			ResourceNames: request.ResourceNames,
@@ -301,6 +306,7 @@
 	}
 }
 
+// dialXDS returns a gRPC client connection to the controller.
 func (p *benchProxy) dialXDS() (*grpc.ClientConn, error) {
 	creds := insecure.NewCredentials()
 	if p.tls != nil {
@@ -313,14 +319,14 @@
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)))
 }
 
-// countedConn counts what a connection reads.
-type countedConn struct {
+// countingConn is a connection that counts the bytes read from it.
+type countingConn struct {
 	net.Conn
 	read *atomic.Int64
 }
 
-// Read counts.
-func (c *countedConn) Read(b []byte) (int, error) {
+// Read reads from the connection and adds the number of bytes to c.read.
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.read.Add(int64(n))
 	return n, err
