--- a/cmd/indigousher/kill_test.go
+++ b/cmd/indigousher/kill_test.go
@@ -26,12 +26,12 @@
 	"indigousher/internal/testbed/routing"
 )
 
-// world holds the files and addresses of a pilot that runs as a separate process.
-type world struct {
-	t             *testing.T
-	binary, file  string // paths of the program and of the pilot's settings
-	records       string // directory of the record
-	listen, admin string // listen addresses for proxies and for the admin interface
+// pilotProcess holds the files and addresses of a pilot that runs as a separate process.
+type pilotProcess struct {
+	t                    *testing.T
+	binary, settingsFile string // paths of the program and of the pilot's settings
+	records              string // directory of the record
+	listen, admin        string // listen addresses for proxies and for the admin interface
 }
 
 // mustClose closes c and fails the test on an error.
@@ -45,12 +45,12 @@
 	return l.Addr().String()
 }
 
-// newWorld builds the program, and writes the settings and an endpoint list with six endpoints to a temporary
+// newPilotProcess builds the program, and writes the settings and an endpoint list with six endpoints to a temporary
 // directory.
-func newWorld(t *testing.T) *world {
+func newPilotProcess(t *testing.T) *pilotProcess {
 	dir := t.TempDir()
-	w := &world{
-		t: t, binary: filepath.Join(dir, "indigousher"), file: filepath.Join(dir, "pilot.hcl"),
+	w := &pilotProcess{
+		t: t, binary: filepath.Join(dir, "indigousher"), settingsFile: filepath.Join(dir, "pilot.hcl"),
 		records: filepath.Join(dir, "records"), listen: freePort(t), admin: freePort(t),
 	}
 	out, err := exec.Command("go", "build", "-o", w.binary, ".").CombinedOutput()
@@ -62,7 +62,7 @@
 		text += fmt.Sprintf("endpoint \"127.0.0.1:%d\" {\n  zone = \"a\"\n}\n", 9000+i)
 	}
 	require.NoError(t, os.WriteFile(list, []byte(text), 0o600))
-	require.NoError(t, os.WriteFile(w.file, []byte(fmt.Sprintf(`zones    = ["a"]
+	require.NoError(t, os.WriteFile(w.settingsFile, []byte(fmt.Sprintf(`zones    = ["a"]
 machines = ["std"]
 req_kind "read" {}
 pilot {
@@ -81,16 +81,16 @@
 }
 
 // run starts a pilot process and returns it with the buffer that receives its log.
-func (w *world) run(args ...string) (*exec.Cmd, *bytes.Buffer) {
+func (w *pilotProcess) run(args ...string) (*exec.Cmd, *bytes.Buffer) {
 	log := &bytes.Buffer{}
-	c := exec.Command(w.binary, append([]string{"pilot", "-f", w.file}, args...)...)
+	c := exec.Command(w.binary, append([]string{"pilot", "-f", w.settingsFile}, args...)...)
 	c.Stderr = log
 	require.NoError(w.t, c.Start())
 	return c, log
 }
 
 // ready reports whether the pilot's readiness check succeeds.
-func (w *world) ready() bool {
+func (w *pilotProcess) ready() bool {
 	c := http.Client{Timeout: time.Second}
 	r, err := c.Get("http://" + w.admin + "/readyz")
 	if err != nil {
@@ -101,9 +101,9 @@
 	return r.StatusCode == http.StatusOK
 }
 
-// followed starts three proxies that connect to the pilot, and returns their event log.
-func (w *world) followed() *eventlog.Log {
-	book := eventlog.NewLog()
+// startProxies starts three proxies that connect to the pilot, and returns their event log.
+func (w *pilotProcess) startProxies() *eventlog.Log {
+	events := eventlog.NewLog()
 	for i := range 3 {
 		name := fmt.Sprint("p", i)
 		p := proxy.New(proxy.Options{
@@ -111,25 +111,25 @@
 			StaticTable: func() []string { return []string{"127.0.0.1:9000"} },
 			Pilots:      func() []string { return []string{w.listen} },
 			Dial:        (&net.Dialer{}).DialContext, RedialPause: 20 * time.Millisecond,
-		}, book.Stream(name))
+		}, events.Stream(name))
 		require.NoError(w.t, p.Start())
 		w.t.Cleanup(p.Kill)
 	}
-	return book
+	return events
 }
 
 // TestKilled9 kills a pilot process with SIGKILL at random times and restarts it. It guards against a record that is
 // damaged by an interrupted write: each start must succeed and log whether it recovered, and all recorded lives must be
 // readable and replay to the recorded commands.
 func TestKilled9(t *testing.T) {
-	w := newWorld(t)
-	w.followed()
-	rnd := rand.New(rand.NewPCG(5, 6))
+	w := newPilotProcess(t)
+	w.startProxies()
+	random := rand.New(rand.NewPCG(5, 6))
 	recovered := 0
 	for i := range 12 {
 		c, log := w.run()
 		require.Eventually(t, w.ready, 10*time.Second, 5*time.Millisecond, "%s", log)
-		time.Sleep(time.Duration(rnd.IntN(700)) * time.Millisecond)
+		time.Sleep(time.Duration(random.IntN(700)) * time.Millisecond)
 		require.NoError(t, c.Process.Signal(syscall.SIGKILL))
 		_ = c.Wait() // always an error, because the process was killed
 		if strings.Contains(log.String(), "recovered from the last") {
@@ -157,12 +157,12 @@
 // TestUpgraded checks upgrades with real processes: the new process takes over and the old one exits with status 0. If
 // the settings of the new process can't be read, the old one must keep serving.
 func TestUpgraded(t *testing.T) {
-	w := newWorld(t)
-	book := w.followed()
+	w := newPilotProcess(t)
+	events := w.startProxies()
 	old, _ := w.run()
 	require.Eventually(t, w.ready, 10*time.Second, 5*time.Millisecond)
-	wrong := exec.Command(w.binary, "pilot", "-f", w.file+".none", "--take-over")
-	assert.Error(t, wrong.Run())
+	invalid := exec.Command(w.binary, "pilot", "-f", w.settingsFile+".none", "--take-over")
+	assert.Error(t, invalid.Run())
 	assert.True(t, w.ready())
 	for i := range 3 {
 		next, log := w.run("--take-over")
@@ -172,7 +172,7 @@
 	}
 	require.Eventually(t, func() bool {
 		joins := 0
-		for _, e := range book.Events() {
+		for _, e := range events.Events() {
 			if e.What == eventlog.Join {
 				joins++
 			}
--- a/cmd/indigousher/log.go
+++ b/cmd/indigousher/log.go
@@ -6,8 +6,8 @@
 	"go.uber.org/zap"
 )
 
-// logger returns a logger with the format "console" or "json", and its level, which can be changed later.
-func logger(format, level string) (*zap.Logger, zap.AtomicLevel, error) {
+// newLogger returns a logger with the format "console" or "json", and its level, which can be changed later.
+func newLogger(format, level string) (*zap.Logger, zap.AtomicLevel, error) {
 	parsed, err := zap.ParseAtomicLevel(level)
 	if err != nil {
 		return nil, parsed, fmt.Errorf("log level: %w", err)
--- a/cmd/indigousher/main.go
+++ b/cmd/indigousher/main.go
@@ -15,14 +15,14 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	if err := root().ExecuteContext(ctx); err != nil {
+	if err := rootCommand().ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-// root returns the root command with all subcommands.
-func root() *cobra.Command {
+// rootCommand returns the root command with all subcommands.
+func rootCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:           "indigousher",
 		Short:         "Central planner for proxies, with rehearsal tools",
--- a/cmd/indigousher/pilot.go
+++ b/cmd/indigousher/pilot.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	log, level, err := logger(cfg.LogFormat, cfg.LogLevel)
+	log, level, err := newLogger(cfg.LogFormat, cfg.LogLevel)
 	if err != nil {
 		return err
 	}
@@ -61,10 +61,10 @@
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	defer signal.Stop(hangup)
-	reloads := make(chan struct{}) // closed when reloadOn has returned, after ctx ends
+	reloads := make(chan struct{}) // closed when reloadOnSignal has returned, after ctx ends
 	go func() {
 		defer close(reloads)
-		reloadOn(ctx, hangup, host, file, log)
+		reloadOnSignal(ctx, hangup, host, file, log)
 	}()
 	err = host.Wait(ctx)
 	cancel()
@@ -73,8 +73,8 @@
 	return err
 }
 
-// reloadOn reloads the settings from file at each signal received on hangup, until ctx ends.
-func reloadOn(ctx context.Context, hangup <-chan os.Signal, host *daemon.Host, file string, log *zap.Logger) {
+// reloadOnSignal reloads the settings from file at each signal received on hangup, until ctx ends.
+func reloadOnSignal(ctx context.Context, hangup <-chan os.Signal, host *daemon.Host, file string, log *zap.Logger) {
 	for {
 		select {
 		case <-hangup:
--- a/cmd/indigousher/platform.go
+++ b/cmd/indigousher/platform.go
@@ -17,9 +17,9 @@
 // endWithin is the time after SIGTERM at which a pilot on the platform exits, even if it has not finished.
 const endWithin = 300 * time.Millisecond
 
-// maxLinesPerS limits the log: of lines with the same level and message, at most this many are written per second, and
-// the rest are dropped.
-const maxLinesPerS = 20
+// maxEqualLinesPerS limits the log: of lines with the same level and message, at most this many are written per second,
+// and the rest are dropped.
+const maxEqualLinesPerS = 20
 
 // runOnPlatform runs a controller on the operators' platform until ctx ends or the controller fails. SIGHUP reloads the
 // settings. When ctx ends, the process exits with status 0 after endWithin at the latest.
@@ -32,11 +32,11 @@
 		return err
 	}
 	platform.SetRuntimeLimits(settings.Limits)
-	log := platformLog()
+	log := newPlatformLogger()
 	defer func() { _ = log.Sync() }() // Sync fails if the log goes to a pipe
 	context.AfterFunc(ctx, func() { time.AfterFunc(endWithin, func() { os.Exit(0) }) })
 	reload := make(chan struct{}, 1)
-	go passOn(hangup, reload) // runs until the process exits
+	go forwardReloads(hangup, reload) // runs until the process exits
 	log.Info("pilot starting", zap.String("pilot", settings.Name), zap.String("listen", settings.Listen))
 	if settings.Warning != "" {
 		log.Warn("part of the configuration ignored", zap.String("reason", settings.Warning))
@@ -47,9 +47,9 @@
 	return err
 }
 
-// passOn requests a reload for each signal. If a request is already pending, it drops the signal, because the pending
-// reload will read the latest file anyway.
-func passOn(hangup <-chan os.Signal, reload chan<- struct{}) {
+// forwardReloads requests a reload for each signal. If a request is already pending, it drops the signal, because the
+// pending reload will read the latest file anyway.
+func forwardReloads(hangup <-chan os.Signal, reload chan<- struct{}) {
 	for range hangup {
 		select {
 		case reload <- struct{}{}:
@@ -58,10 +58,10 @@
 	}
 }
 
-// platformLog returns a logger that writes human-readable lines to standard output, limited by maxLinesPerS.
-func platformLog() *zap.Logger {
+// newPlatformLogger returns a logger that writes human-readable lines to standard output, limited by maxEqualLinesPerS.
+func newPlatformLogger() *zap.Logger {
 	encoding := zap.NewDevelopmentEncoderConfig()
 	encoding.EncodeTime = zapcore.TimeEncoderOfLayout("15:04:05.000")
 	core := zapcore.NewCore(zapcore.NewConsoleEncoder(encoding), zapcore.Lock(os.Stdout), zap.InfoLevel)
-	return zap.New(zapcore.NewSamplerWithOptions(core, time.Second, maxLinesPerS, 0))
+	return zap.New(zapcore.NewSamplerWithOptions(core, time.Second, maxEqualLinesPerS, 0))
 }
--- a/cmd/indigousher/platform_test.go
+++ b/cmd/indigousher/platform_test.go
@@ -38,15 +38,15 @@
 		c.Env = append(os.Environ(), "NODE_CONFIG="+file, "NODE_NAME=n0", "NODE_LISTEN="+listen)
 		return c
 	}
-	for says, wrong := range map[string]string{
+	for message, invalid := range map[string]string{
 		"seed":          strings.Replace(text, `"1f"`, `"?"`, 1),
 		"not readable":  text[:len(text)-9],
 		"relay.address": strings.Replace(text, `"relay":{"address"`, `"relay":{"at"`, 1),
 		"NODE_NAME":     strings.Replace(text, `"n0"`, `"n1"`, 1),
 	} {
-		out, err := command(wrong).CombinedOutput()
+		out, err := command(invalid).CombinedOutput()
 		assert.Error(t, err, "exit code")
-		assert.Contains(t, string(out), says)
+		assert.Contains(t, string(out), message)
 		assert.Equal(t, 1, strings.Count(string(out), "\n"), "%s", out)
 	}
 
--- a/cmd/indigousher/records.go
+++ b/cmd/indigousher/records.go
@@ -70,7 +70,7 @@
 		},
 	}
 	c.Flags().DurationVar(&keep, "keep", 0, "delete segments older than this; 0: no age limit")
-	c.Flags().Float64Var(&maxMB, "most-mb", 0, "maximum size in MiB; the oldest segments are deleted first; 0: no size limit")
+	c.Flags().Float64Var(&maxMB, "most-mb", 0, "maximum size in MiB; the oldest segments are deleted; 0: no limit")
 	return c
 }
 
--- a/cmd/indigousher/rehearse.go
+++ b/cmd/indigousher/rehearse.go
@@ -18,12 +18,12 @@
 
 // rehearseOptions holds the flags of the rehearse command.
 type rehearseOptions struct {
-	baselines bool   // also play the scenario with static tables only, and with one table of equal weights
-	processes bool   // run each controller as a separate process
-	trails    string // directory for the event logs; "": they are not saved
-	records   string // directory for the controllers' records; "": a temporary one
-	logLevel  string // log level of the controllers
-	seed      int    // seed that replaces the scenario's own; 0: not replaced
+	baselines   bool   // also play the scenario with static tables only, and with one table of equal weights
+	processes   bool   // run each controller as a separate process
+	eventLogDir string // directory for the event logs; "": they are not saved
+	recordDir   string // directory for the controllers' records; "": a temporary one
+	logLevel    string // log level of the controllers
+	seed        int    // seed that replaces the scenario's own; 0: not replaced
 }
 
 // rehearseCommand returns the command that plays a scenario in real time on loopback.
@@ -44,9 +44,9 @@
 	c.Flags().BoolVar(&list, "list", false, "list the built-in scenarios")
 	c.Flags().BoolVar(&o.baselines, "baselines", false,
 		"also play the scenario with static tables only, and with one table of equal weights for all proxies")
-	c.Flags().StringVar(&o.trails, "record", "", "save the event logs in this directory, as JSON lines")
+	c.Flags().StringVar(&o.eventLogDir, "record", "", "save the event logs in this directory, as JSON lines")
 	c.Flags().StringVar(&o.logLevel, "log", "error", "log level of the pilots: debug, info, warn or error")
-	c.Flags().StringVar(&o.records, "pilot-records", "",
+	c.Flags().StringVar(&o.recordDir, "pilot-records", "",
 		"directory for the pilots' records, if the scenario enables recording; default: a temporary directory")
 	c.Flags().BoolVar(&o.processes, "processes", false,
 		"run pilots as separate processes; kills in the scenario are sent as SIGKILL")
@@ -75,8 +75,8 @@
 	if err != nil {
 		return err
 	}
-	if o.trails != "" {
-		if err := outcome.EventLog.Save(o.trails); err != nil {
+	if o.eventLogDir != "" {
+		if err := outcome.EventLog.Save(o.eventLogDir); err != nil {
 			return err
 		}
 	}
@@ -90,14 +90,14 @@
 
 // play returns the options for playing a scenario. Its progress messages are written to out.
 func (o rehearseOptions) play(out io.Writer, s *scenario.Scenario) (rehearsal.Play, error) {
-	log, _, err := logger("console", o.logLevel)
+	log, _, err := newLogger("console", o.logLevel)
 	if err != nil {
 		return rehearsal.Play{}, err
 	}
 	play := rehearsal.Play{
 		Scenario: s,
 		Log:      log,
-		Records:  o.records,
+		Records:  o.recordDir,
 		Progress: func(format string, args ...any) { printf(out, format+"\n", args...) },
 	}
 	if o.processes {
--- a/cmd/indigousher/silences_test.go
+++ b/cmd/indigousher/silences_test.go
@@ -20,18 +20,18 @@
 
 // Parameters of the random outages.
 const (
-	silenceSeeds    = 6                     // number of seeds; the environment variable SILENCE_SEEDS overrides it
-	silencesLast    = 30 * time.Second      // time in which outages start and endpoints drain
-	drainedFor      = 7 * time.Second       // minimum time after which a draining endpoint becomes active again
-	lookEach        = 20 * time.Millisecond // interval of the checks
-	mostAtOnce      = 3                     // maximum number of endpoints that start to drain at the same time
-	leastLeftActive = 12                    // number of endpoints that are kept active, about
+	outageSeeds     = 6                     // number of seeds; the environment variable SILENCE_SEEDS overrides it
+	faultPeriod     = 30 * time.Second      // time in which outages start and endpoints drain
+	minDrainTime    = 7 * time.Second       // minimum time after which a draining endpoint becomes active again
+	checkInterval   = 20 * time.Millisecond // interval of the checks
+	maxDrainsAtOnce = 3                     // maximum number of endpoints that start to drain at the same time
+	minActive       = 12                    // number of endpoints that are kept active, about
 )
 
-// failureWaits is the time for which deadlines stay suspended after an outage ends. The rules suspend them for 1.5 s
+// suspensionAfter is the time for which deadlines stay suspended after an outage ends. The rules suspend them for 1.5 s
 // from the last call that got no response or an unreadable one, and for 0.5 s from the last call that was reset. The
 // last call may have been made 0.6 s and 0.35 s, respectively, before the end of the outage.
-var failureWaits = map[relay.Failure]time.Duration{
+var suspensionAfter = map[relay.Failure]time.Duration{
 	relay.Silent:     900 * time.Millisecond,
 	relay.Unreadable: 1150 * time.Millisecond,
 	relay.Resetting:  150 * time.Millisecond,
@@ -40,114 +40,114 @@
 // span is a period in which something fails, relative to the start of the run.
 type span struct{ from, to time.Duration }
 
-// silencePlan is a random sequence of outages and drains.
-type silencePlan struct {
-	silences []span          // outages of the relay
-	failures []relay.Failure // how the relay fails, for each outage
-	carried  []float64       // probability that a call received during the outage is executed, for each outage
-	lost     []span          // periods in which event streams are broken and mark acknowledgements are lost
-	drains   []time.Duration // times at which endpoints start to drain, relative to the start of the run
+// outagePlan is a random sequence of outages and drains.
+type outagePlan struct {
+	outages          []span          // outages of the relay
+	failures         []relay.Failure // how the relay fails, for each outage
+	executionChances []float64       // probability that a call received during the outage is executed, for each outage
+	streamLosses     []span          // periods in which event streams are broken and mark acknowledgements are lost
+	drains           []time.Duration // times at which endpoints start to drain, relative to the start of the run
 }
 
-// drawSilences returns a random plan.
-func drawSilences(r *rand.Rand) (p silencePlan) {
+// randomPlan returns a random plan.
+func randomPlan(r *rand.Rand) (p outagePlan) {
 	between := func(least, most time.Duration) time.Duration {
 		return least + time.Duration(r.Int64N(int64(most-least)))
 	}
-	for at := between(time.Second, 3*time.Second); at < silencesLast-12*time.Second; {
+	for at := between(time.Second, 3*time.Second); at < faultPeriod-12*time.Second; {
 		s := span{at, at + between(300*time.Millisecond, 8*time.Second)}
-		p.silences = append(p.silences, s)
+		p.outages = append(p.outages, s)
 		kinds := []relay.Failure{relay.Silent, relay.Silent, relay.Unreadable, relay.Resetting}
 		p.failures = append(p.failures, kinds[r.IntN(len(kinds))])
-		p.carried = append(p.carried, []float64{0, 0.5, 1}[r.IntN(3)])
+		p.executionChances = append(p.executionChances, []float64{0, 0.5, 1}[r.IntN(3)])
 		at = s.to + between(500*time.Millisecond, 6*time.Second)
 	}
-	for at := between(0, 4*time.Second); at < silencesLast; at += between(2*time.Second, 8*time.Second) {
-		p.lost = append(p.lost, span{at, at + between(100*time.Millisecond, time.Second)})
+	for at := between(0, 4*time.Second); at < faultPeriod; at += between(2*time.Second, 8*time.Second) {
+		p.streamLosses = append(p.streamLosses, span{at, at + between(100*time.Millisecond, time.Second)})
 	}
-	for at := between(0, 2*time.Second); at < silencesLast; at += between(500*time.Millisecond, 3*time.Second) {
+	for at := between(0, 2*time.Second); at < faultPeriod; at += between(500*time.Millisecond, 3*time.Second) {
 		p.drains = append(p.drains, at)
 	}
 	return p
 }
 
 // deadline returns the time by which proxies must have stopped using an endpoint that started to drain at the time
-// told. The grace period is suspended during outages.
-func (p silencePlan) deadline(told time.Duration) time.Duration {
-	end := told + silenceGrace + silenceSlack
-	for i, s := range p.silences {
-		if until := s.to + failureWaits[p.failures[i]]; s.from < end && until > told {
-			end += until - max(told, s.from)
+// drainedAt. The grace period is suspended during outages.
+func (p outagePlan) deadline(drainedAt time.Duration) time.Duration {
+	end := drainedAt + drainGrace + graceTolerance
+	for i, s := range p.outages {
+		if until := s.to + suspensionAfter[p.failures[i]]; s.from < end && until > drainedAt {
+			end += until - max(drainedAt, s.from)
 		}
 	}
 	return end
 }
 
-// silentDay executes a plan and checks that proxies stop using draining endpoints in time.
-type silentDay struct {
-	*silentSite
-	plan    silencePlan
-	random  *rand.Rand
-	began   time.Time
-	drained map[string]time.Duration // draining endpoints, with the time at which they started to drain
-	silent  int                      // number of outages that have started
-	ended   int                      // number of outages that have ended
-	losing  bool                     // whether the event streams are broken
-	broken  map[string]bool          // endpoints that were not drained in time
+// outageRun executes a plan and checks that proxies stop using draining endpoints in time.
+type outageRun struct {
+	*outageSite
+	plan           outagePlan
+	random         *rand.Rand
+	began          time.Time
+	drainingSince  map[string]time.Duration // draining endpoints, with the time at which they started to drain
+	startedOutages int                      // number of outages that have started
+	endedOutages   int                      // number of outages that have ended
+	streamsBroken  bool                     // whether the event streams are broken
+	late           map[string]bool          // endpoints that were not drained in time
 }
 
 // now returns the time since the start of the run.
-func (d *silentDay) now() time.Duration { return time.Since(d.began) }
+func (d *outageRun) now() time.Duration { return time.Since(d.began) }
 
 // play executes the plan.
-func (d *silentDay) play() {
+func (d *outageRun) play() {
 	d.began = time.Now()
-	for drains := 0; d.now() < silencesLast+silenceGrace; time.Sleep(lookEach) {
-		d.strike()
+	for drains := 0; d.now() < faultPeriod+drainGrace; time.Sleep(checkInterval) {
+		d.updateFaults()
 		if drains < len(d.plan.drains) && d.now() >= d.plan.drains[drains] {
 			drains++
 			d.drainSome()
 		}
-		d.look()
+		d.checkDeadlines()
 	}
 }
 
-// strike starts and ends outages of the relay and of the event streams according to the plan.
-func (d *silentDay) strike() {
-	if d.silent < len(d.plan.silences) && d.now() >= d.plan.silences[d.silent].from {
-		chance := d.plan.carried[d.silent]
+// updateFaults starts and ends outages of the relay and of the event streams according to the plan.
+func (d *outageRun) updateFaults() {
+	if d.startedOutages < len(d.plan.outages) && d.now() >= d.plan.outages[d.startedOutages].from {
+		chance := d.plan.executionChances[d.startedOutages]
 		seed := d.random.Uint64()
-		d.relay.Fail(d.plan.failures[d.silent], func(n int) bool {
+		d.relay.Fail(d.plan.failures[d.startedOutages], func(n int) bool {
 			return rand.New(rand.NewPCG(seed, uint64(n))).Float64() < chance
 		})
-		d.silent++
+		d.startedOutages++
 	}
-	if d.ended < d.silent && d.now() >= d.plan.silences[d.ended].to {
+	if d.endedOutages < d.startedOutages && d.now() >= d.plan.outages[d.endedOutages].to {
 		d.relay.Recover()
-		d.ended++
+		d.endedOutages++
 	}
-	losing := slices.ContainsFunc(d.plan.lost, func(s span) bool { return s.from <= d.now() && d.now() < s.to })
-	if losing != d.losing {
-		d.losing = losing
+	losing := slices.ContainsFunc(d.plan.streamLosses, func(s span) bool { return s.from <= d.now() && d.now() < s.to })
+	if losing != d.streamsBroken {
+		d.streamsBroken = losing
 		d.relay.BreakStreams(losing)
 	}
 }
 
 // drainSome reactivates endpoints that have been draining long enough, and lets other random endpoints drain.
-func (d *silentDay) drainSome() {
+func (d *outageRun) drainSome() {
 	var back, out []string
-	for name, told := range d.drained {
-		if d.now() > max(told+drainedFor, d.plan.deadline(told)) {
+	for name, drainedAt := range d.drainingSince {
+		if d.now() > max(drainedAt+minDrainTime, d.plan.deadline(drainedAt)) {
 			back = append(back, name)
-			delete(d.drained, name)
+			delete(d.drainingSince, name)
 		}
 	}
-	for range 1 + d.random.IntN(mostAtOnce) {
-		name := fmt.Sprint("s-", d.random.IntN(silenceEndpoints))
-		if _, drains := d.drained[name]; drains || len(d.drained) > silenceEndpoints-leastLeftActive {
+	for range 1 + d.random.IntN(maxDrainsAtOnce) {
+		name := fmt.Sprint("s-", d.random.IntN(outageEndpoints))
+		if _, drains := d.drainingSince[name]; drains || len(d.drainingSince) > outageEndpoints-minActive {
 			continue
 		}
-		d.drained[name] = d.now()
+		d.drainingSince[name] = d.now()
 		out = append(out, name)
 	}
 	if len(back) > 0 {
@@ -158,16 +158,16 @@
 	}
 }
 
-// look reports an error for each endpoint that proxies still send to after its deadline.
-func (d *silentDay) look() {
-	for name, told := range d.drained {
-		if d.now() <= d.plan.deadline(told) || d.broken[name] {
+// checkDeadlines reports an error for each endpoint that proxies still send to after its deadline.
+func (d *outageRun) checkDeadlines() {
+	for name, drainedAt := range d.drainingSince {
+		if d.now() <= d.plan.deadline(drainedAt) || d.late[name] {
 			continue
 		}
 		if senders := d.relay.Senders(name); len(senders) > 0 {
-			d.broken[name] = true
-			d.t.Errorf("%s draining since %v is used by %d proxies at %v, deadline %v", name, told, len(senders), d.now(),
-				d.plan.deadline(told))
+			d.late[name] = true
+			d.t.Errorf("%s draining since %v is used by %d proxies at %v, deadline %v", name, drainedAt, len(senders), d.now(),
+				d.plan.deadline(drainedAt))
 		}
 	}
 }
@@ -181,7 +181,7 @@
 	binary := filepath.Join(t.TempDir(), "indigousher")
 	out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput()
 	require.NoError(t, err, "%s", out)
-	seeds := silenceSeeds
+	seeds := outageSeeds
 	if asked, err := strconv.Atoi(os.Getenv("SILENCE_SEEDS")); err == nil {
 		seeds = asked
 	}
@@ -189,16 +189,16 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			random := rand.New(rand.NewPCG(uint64(seed), 29))
-			d := &silentDay{
-				plan: drawSilences(random), random: random, drained: map[string]time.Duration{},
-				broken: map[string]bool{},
+			d := &outageRun{
+				plan: randomPlan(random), random: random, drainingSince: map[string]time.Duration{},
+				late: map[string]bool{},
 			}
-			d.silentSite = startSilentSite(t, binary)
+			d.outageSite = startOutageSite(t, binary)
 			d.settle()
 			d.play()
 			_, most := d.relay.Waiting()
-			t.Logf("%d outages, %d drains, at most %d queued lines", len(d.plan.silences), len(d.plan.drains), most)
-			assert.LessOrEqual(t, most, silenceBacklog, "maximum number of queued lines")
+			t.Logf("%d outages, %d drains, at most %d queued lines", len(d.plan.outages), len(d.plan.drains), most)
+			assert.LessOrEqual(t, most, outageBacklog, "maximum number of queued lines")
 		})
 	}
 }
