--- a/internal/daemon/assemble.go
+++ b/internal/daemon/assemble.go
@@ -64,7 +64,7 @@
 	settings := cfg.PlannerSettings(cfg.Rank)
 	log := d.options.Log
 	return controller.Options{
-		Decider:        d.options.Decide(int64(cfg.Seed), settings),
+		Decider:        d.options.NewPlanner(int64(cfg.Seed), settings),
 		Settings:       settings,
 		Zones:          cfg.Zones,
 		Machines:       cfg.Machines,
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -27,8 +27,8 @@
 	Dial dialFunc
 	// Packet wraps the gossip socket, so that tests can intercept packets. By default the socket is used as it is.
 	Packet func(net.PacketConn) net.PacketConn
-	// Decide creates the planner.
-	Decide func(seed int64, settings map[string]any) controller.Decider
+	// NewPlanner creates the planner.
+	NewPlanner func(seed int64, settings map[string]any) controller.Decider
 	// Listeners holds listeners taken over from another process, by the names that Daemon.Files uses. Listeners that are
 	// not in the map are opened.
 	Listeners map[string]net.Listener
@@ -48,8 +48,8 @@
 	if o.Packet == nil {
 		o.Packet = func(c net.PacketConn) net.PacketConn { return c }
 	}
-	if o.Decide == nil {
-		o.Decide = func(seed int64, settings map[string]any) controller.Decider { return planner.New(seed, settings) }
+	if o.NewPlanner == nil {
+		o.NewPlanner = func(seed int64, settings map[string]any) controller.Decider { return planner.New(seed, settings) }
 	}
 }
 
--- a/internal/daemon/recording.go
+++ b/internal/daemon/recording.go
@@ -41,7 +41,7 @@
 	}
 	r := &recording{store: store}
 	d.recording = r // set before the first possible error, so that New closes the store
-	r.fingerprint = record.Fingerprint(d.options.Decide)
+	r.fingerprint = record.Fingerprint(d.options.NewPlanner)
 	if r.settings, err = plannerSettings(cfg); err != nil {
 		return nil, err
 	}
--- a/internal/rehearsal/pilots.go
+++ b/internal/rehearsal/pilots.go
@@ -109,9 +109,9 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	options := daemon.Options{
-		Log:    s.Log.Named(p.name),
-		Dial:   s.network.Dialer(place, pilotDialTimeout),
-		Decide: s.Decide,
+		Log:        s.Log.Named(p.name),
+		Dial:       s.network.Dialer(place, pilotDialTimeout),
+		NewPlanner: s.Decide,
 	}
 	host, err := daemon.Start(ctx, &p.settings, options, takeOver)
 	if err != nil {
