--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -26,7 +26,7 @@
 		return fmt.Errorf("listen for pilots: %w", err)
 	}
 	log := d.options.Log.Named("peers")
-	service, err := gossip.Open(d.options.Packet(conn), cfg.Rank, addressesByRank(cfg.Peers), deferredLoop{d}, log)
+	service, err := gossip.Open(d.options.WrapPacketConn(conn), cfg.Rank, addressesByRank(cfg.Peers), deferredLoop{d}, log)
 	if err != nil {
 		return errors.Join(err, conn.Close())
 	}
--- a/internal/daemon/hostile_test.go
+++ b/internal/daemon/hostile_test.go
@@ -43,7 +43,7 @@
 		gossip = c
 		return c
 	}
-	d, err := New(hostileConfig(t, source.listener.Addr()), Options{Packet: capture})
+	d, err := New(hostileConfig(t, source.listener.Addr()), Options{WrapPacketConn: capture})
 	require.NoError(t, err)
 	stop, ended := run(t, d)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -25,8 +25,8 @@
 	Clock controller.Clock
 	// Dial connects to endpoints and to the endpoint list server.
 	Dial dialFunc
-	// Packet wraps the gossip socket, so that tests can intercept packets. By default the socket is used as it is.
-	Packet func(net.PacketConn) net.PacketConn
+	// WrapPacketConn wraps the gossip socket, so that tests can intercept packets. By default the socket is used as it is.
+	WrapPacketConn func(net.PacketConn) net.PacketConn
 	// NewPlanner creates the planner.
 	NewPlanner func(seed int64, settings map[string]any) controller.Decider
 	// Listeners holds listeners taken over from another process, by the names that Daemon.Files uses. Listeners that are
@@ -45,8 +45,8 @@
 	if o.Dial == nil {
 		o.Dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
 	}
-	if o.Packet == nil {
-		o.Packet = func(c net.PacketConn) net.PacketConn { return c }
+	if o.WrapPacketConn == nil {
+		o.WrapPacketConn = func(c net.PacketConn) net.PacketConn { return c }
 	}
 	if o.NewPlanner == nil {
 		o.NewPlanner = func(seed int64, settings map[string]any) controller.Decider { return planner.New(seed, settings) }
