--- a/internal/config/endpoint_list.go
+++ b/internal/config/endpoint_list.go
@@ -28,7 +28,7 @@
 // in RFC 3339. ParseList rejects a list without endpoints, because a file that is still being written may be empty. To
 // remove all endpoints, list them with the phase "gone". The name of the file is used in errors.
 func ParseList(name string, text []byte) (*wire.List, error) {
-	body, diags := Open(name, text)
+	body, diags := ParseBody(name, text)
 	if diags.HasErrors() {
 		return nil, DiagnosticsError(diags)
 	}
--- a/internal/config/pilot.go
+++ b/internal/config/pilot.go
@@ -120,7 +120,7 @@
 
 // Parse parses and validates a pilot's settings. The name of the file is used in errors.
 func Parse(name string, text []byte) (*Pilot, error) {
-	body, diags := Open(name, text)
+	body, diags := ParseBody(name, text)
 	if diags.HasErrors() {
 		return nil, DiagnosticsError(diags)
 	}
--- a/internal/config/source.go
+++ b/internal/config/source.go
@@ -18,7 +18,7 @@
 	maxOperators = 10000    // maximum number of operators whose operands the parser parses recursively: ! - ?
 )
 
-// ReadFile reads a file for Open. It reads at most MaxBytes+1 bytes, which suffices for Open to detect and reject a
+// ReadFile reads a file for ParseBody. It reads at most MaxBytes+1 bytes, which suffices for ParseBody to detect and reject a
 // file that is too long.
 func ReadFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
@@ -29,9 +29,9 @@
 	return io.ReadAll(io.LimitReader(f, MaxBytes+1))
 }
 
-// Open checks the size and nesting of a text, parses it and returns its body. The name of the file is used in
+// ParseBody checks the size and nesting of a text, parses it and returns its body. The name of the file is used in
 // diagnostics.
-func Open(name string, text []byte) (*hclsyntax.Body, hcl.Diagnostics) {
+func ParseBody(name string, text []byte) (*hclsyntax.Body, hcl.Diagnostics) {
 	if diags := checkSize(name, text); diags.HasErrors() {
 		return nil, diags
 	}
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -82,7 +82,7 @@
 
 // parse reads the text of a plan into it.
 func (p *Plan) parse(path string, text []byte) error {
-	body, diags := config.Open(path, text)
+	body, diags := config.ParseBody(path, text)
 	if !diags.HasErrors() {
 		fields := []config.Field{
 			{Name: "about", Into: &p.About},
--- a/internal/scenario/read.go
+++ b/internal/scenario/read.go
@@ -14,7 +14,7 @@
 
 // Read parses and validates a scenario; name is the path of its file.
 func Read(name string, text []byte) (*Scenario, error) {
-	body, diags := config.Open(name, text)
+	body, diags := config.ParseBody(name, text)
 	if diags.HasErrors() {
 		return nil, config.DiagnosticsError(diags)
 	}
