--- a/internal/config/endpoint_list.go
+++ b/internal/config/endpoint_list.go
@@ -36,7 +36,7 @@
 		list: &wire.List{Whole: true, Now: uint64(time.Now().UnixMilli())},
 		seen: map[string]bool{},
 	}
-	diags = Read(body, []Field{{Name: "version", Into: &parser.list.Version}},
+	diags = DecodeBody(body, []Field{{Name: "version", Into: &parser.list.Version}},
 		[]Block{{Name: "endpoint", Labels: 1, Read: parser.readEndpoint}})
 	if len(parser.list.Entries) == 0 {
 		diags = append(diags, Diagnostic(body.MissingItemRange(), "the list has no endpoints"))
@@ -58,7 +58,7 @@
 	entry := wire.Entry{Endpoint: labels[0], Weight: 1}
 	phase := phaseNames[wire.PhaseReady]
 	started := ""
-	diags := Read(body, []Field{
+	diags := DecodeBody(body, []Field{
 		{Name: "zone", Into: &entry.Zone, Required: true},
 		{Name: "machine", Into: &entry.Machine},
 		{Name: "cell", Into: &entry.Cell},
--- a/internal/config/pilot.go
+++ b/internal/config/pilot.go
@@ -125,7 +125,7 @@
 		return nil, DiagnosticsError(diags)
 	}
 	p := Defaults()
-	diags = Read(body, p.Attributes(), append(p.Blocks(), p.blocks()...))
+	diags = DecodeBody(body, p.Attributes(), append(p.Blocks(), p.blocks()...))
 	if !diags.HasErrors() {
 		p.setDefaultZone()
 		diags = append(diags, p.validate(body.MissingItemRange())...)
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -8,9 +8,9 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// Read decodes a body into the variables of its fields and blocks. It reports attributes and blocks that are unknown,
+// DecodeBody decodes a body into the variables of its fields and blocks. It reports attributes and blocks that are unknown,
 // missing, malformed or out of range.
-func Read(body *hclsyntax.Body, fields []Field, blocks []Block) hcl.Diagnostics {
+func DecodeBody(body *hclsyntax.Body, fields []Field, blocks []Block) hcl.Diagnostics {
 	diags := readFields(body, fields)
 	diags = append(diags, unknownAttributes(body, fields)...)
 	return append(diags, readBlocks(body, blocks)...)
@@ -91,7 +91,7 @@
 	case b.Max > 0 && occurrence > b.Max:
 		return hcl.Diagnostics{Diagnostic(found.TypeRange, "too many %q blocks", found.Type)}
 	case b.Read == nil:
-		return Read(found.Body, b.Fields, nil)
+		return DecodeBody(found.Body, b.Fields, nil)
 	default:
 		return b.Read(found.Labels, found.Body)
 	}
--- a/internal/config/request_class.go
+++ b/internal/config/request_class.go
@@ -71,7 +71,7 @@
 // readRequestClass decodes the block of a request class and appends the class.
 func (c *Common) readRequestClass(labels []string, body *hclsyntax.Body) hcl.Diagnostics {
 	class := newRequestClass(labels[0])
-	diags := Read(body, class.fields(), nil)
+	diags := DecodeBody(body, class.fields(), nil)
 	diags = append(diags, checkListed(body, "only_machines", class.OnlyMachines, c.Machines)...)
 	diags = append(diags, checkListed(body, "only_zones", class.OnlyZones, c.Zones)...)
 	if slices.Contains(c.ClassNames(), class.Name) {
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -91,7 +91,7 @@
 			{Name: "budget", Into: &p.Budget, Min: 1},
 			{Name: "policies", Into: &p.Policies},
 		}
-		diags = config.Read(body, fields, []config.Block{{Name: "factor", Labels: 1, Read: p.parseFactor}})
+		diags = config.DecodeBody(body, fields, []config.Block{{Name: "factor", Labels: 1, Read: p.parseFactor}})
 	}
 	if diags.HasErrors() {
 		return config.DiagnosticsError(diags)
@@ -102,7 +102,7 @@
 // parseFactor reads a factor block; its label is the factor's name.
 func (p *Plan) parseFactor(labels []string, block *hclsyntax.Body) hcl.Diagnostics {
 	var levels []string
-	diags := config.Read(block, []config.Field{{Name: "levels", Into: &levels, Required: true}}, nil)
+	diags := config.DecodeBody(block, []config.Field{{Name: "levels", Into: &levels, Required: true}}, nil)
 	report := func(text string) {
 		diags = append(diags, &hcl.Diagnostic{Severity: hcl.DiagError, Summary: text, Subject: block.SrcRange.Ptr()})
 	}
--- a/internal/scenario/blocks.go
+++ b/internal/scenario/blocks.go
@@ -88,7 +88,7 @@
 // readDemand decodes a block demand "CLASS".
 func (s *Scenario) readDemand(labels []string, body *hclsyntax.Body) hcl.Diagnostics {
 	demand := newDemand(labels[0])
-	diags := config.Read(body, []config.Field{
+	diags := config.DecodeBody(body, []config.Field{
 		{Name: "share", Into: &demand.Share},
 		{Name: "work", Into: &demand.Work, Min: 1e-4},
 		{Name: "cv", Into: &demand.CV, Min: 0.01},
@@ -100,7 +100,7 @@
 // readGroup decodes a block endpoints "MACHINE".
 func (s *Scenario) readGroup(labels []string, body *hclsyntax.Body) hcl.Diagnostics {
 	group := newGroup(labels[0])
-	diags := config.Read(body, []config.Field{
+	diags := config.DecodeBody(body, []config.Field{
 		{Name: "zone", Into: &group.Zone, Required: true, OneOf: s.Zones},
 		{Name: "count", Into: &group.Count, Min: 1, Max: 20000},
 		{Name: "cores", Into: &group.Cores, Min: 1, Max: 64},
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -43,7 +43,7 @@
 // readFault decodes a block trouble "TYPE".
 func (s *Scenario) readFault(labels []string, body *hclsyntax.Body) hcl.Diagnostics {
 	fault := Fault{What: labels[0]}
-	diags := config.Read(body, []config.Field{
+	diags := config.DecodeBody(body, []config.Field{
 		{Name: "at", Into: &fault.At},
 		{Name: "for", Into: &fault.For},
 		{Name: "who", Into: &fault.Who},
--- a/internal/scenario/read.go
+++ b/internal/scenario/read.go
@@ -22,7 +22,7 @@
 	if diags := s.inherit(body); diags.HasErrors() {
 		return nil, config.DiagnosticsError(diags)
 	}
-	diags = config.Read(body, append(s.listAttributes(), s.attributes()...), append(s.Blocks(), s.blocks()...))
+	diags = config.DecodeBody(body, append(s.listAttributes(), s.attributes()...), append(s.Blocks(), s.blocks()...))
 	if !diags.HasErrors() {
 		diags = append(diags, s.validate(body.MissingItemRange())...)
 	}
@@ -42,7 +42,7 @@
 	}
 	likeOnly := &hclsyntax.Body{Attributes: hclsyntax.Attributes{"like": like}}
 	field := config.Field{Name: "like", Into: &s.Base, OneOf: Names()}
-	if diags := config.Read(likeOnly, []config.Field{field}, nil); diags.HasErrors() {
+	if diags := config.DecodeBody(likeOnly, []config.Field{field}, nil); diags.HasErrors() {
 		return diags
 	}
 	base, err := Load(s.Base)
