--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -18,9 +18,9 @@
 	"drain_grace", "bare_for", "cold", "cold_from", "fall", "fall_multiple",
 }
 
-// Reload compares the current settings with new ones. It returns the names of the fields that differ: those that a
+// Diff compares the current settings with new ones. It returns the names of the fields that differ: those that a
 // reload may change, and those that require a restart. It modifies neither of the settings.
-func Reload(current, updated *Pilot) (changed, restart []string) {
+func Diff(current, updated *Pilot) (changed, restart []string) {
 	visitDifferences(reflect.ValueOf(*current), reflect.ValueOf(*updated), func(name string) {
 		if slices.Contains(reloadableFields, name) {
 			changed = append(changed, name)
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -16,7 +16,7 @@
 pilot { listen = "127.0.0.1:9" }`))
 	require.NoError(t, err)
 
-	changed, restart := Reload(current, updated)
+	changed, restart := Diff(current, updated)
 	assert.Equal(t, []string{"LinesPerS", "Cold"}, changed)
 	assert.Equal(t, []string{"Listen"}, restart)
 
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -13,7 +13,7 @@
 // Reload applies the reloadable fields of a new configuration. It returns the names of the fields that were changed,
 // and the names of the fields that differ but require a restart and therefore keep their old values.
 func (d *Daemon) Reload(ctx context.Context, cfg *config.Pilot) (changed, restart []string, err error) {
-	changed, restart = config.Reload(d.config.Load(), cfg)
+	changed, restart = config.Diff(d.config.Load(), cfg)
 	if len(changed) == 0 {
 		return nil, restart, nil
 	}
