--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// Merge returns a copy of the current settings in which the reloadable fields have their new values.
-func Merge(current, updated *Pilot) *Pilot {
+// MergeReloadable returns a copy of the current settings in which the reloadable fields have their new values.
+func MergeReloadable(current, updated *Pilot) *Pilot {
 	merged := *current
 	to, from := reflect.ValueOf(&merged).Elem(), reflect.ValueOf(*updated)
 	for _, name := range reloadableFields {
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -20,7 +20,7 @@
 	assert.Equal(t, []string{"LinesPerS", "Cold"}, changed)
 	assert.Equal(t, []string{"Listen"}, restart)
 
-	merged := Merge(current, updated)
+	merged := MergeReloadable(current, updated)
 	assert.Equal(t, 99.0, merged.LinesPerS)
 	assert.Equal(t, current.Listen, merged.Listen)
 
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -21,7 +21,7 @@
 		return nil, nil, fmt.Errorf("reload: %w", err)
 	}
 	d.setLogLevel(cfg.LogLevel)
-	d.config.Store(config.Merge(d.config.Load(), cfg))
+	d.config.Store(config.MergeReloadable(d.config.Load(), cfg))
 	if d.recording != nil {
 		if err := d.recording.updateSettings(d.config.Load()); err != nil {
 			d.options.Log.Error("can't record the new settings, the next start will be cold", zap.Error(err))
