--- a/cmd/indigousher/log.go
+++ b/cmd/indigousher/log.go
@@ -10,7 +10,7 @@
 func newLogger(format, level string) (*zap.Logger, zap.AtomicLevel, error) {
 	parsed, err := zap.ParseAtomicLevel(level)
 	if err != nil {
-		return nil, parsed, fmt.Errorf("log level: %w", err)
+		return nil, parsed, fmt.Errorf("parse log level: %w", err)
 	}
 	c := zap.NewProductionConfig()
 	if format == "console" {
--- a/internal/config/common.go
+++ b/internal/config/common.go
@@ -39,7 +39,7 @@
 	Admission   string  `json:"Admission"`   // admission control: admissionShare or admissionOff
 	Pick        string  `json:"Pick"`        // load balancing policy of the proxies: weighted, round or two
 
-	// Reports of the proxies.
+	// Load reports of the proxies.
 	Fields          []string      `json:"Fields"`          // names of the values in load reports
 	Period          time.Duration `json:"Period"`          // reporting interval
 	ReportLinesPerS int           `json:"ReportLinesPerS"` // limit of report lines per second for the planner; 0: none
@@ -71,7 +71,8 @@
 	maxRank = 65535
 )
 
-// CommonDefaults returns the default common settings.
+// CommonDefaults returns the default values of the common settings. There are no defaults for zones, machine types and
+// request classes.
 func CommonDefaults() Common {
 	return Common{
 		LinesPerS:    4000,
--- a/internal/config/endpoint_list.go
+++ b/internal/config/endpoint_list.go
@@ -15,7 +15,7 @@
 // phaseNames lists the names of endpoint phases in a file, indexed by the wire.Phase constants.
 var phaseNames = []string{wire.PhaseReady: "ready", wire.PhaseDraining: "draining", wire.PhaseGone: "gone"}
 
-// ReadList reads and validates an endpoint list file.
+// ReadList reads and validates an endpoint list file; see ParseList for its format.
 func ReadList(path string) (*wire.List, error) {
 	text, err := ReadFile(path)
 	if err != nil {
--- a/internal/config/pilot.go
+++ b/internal/config/pilot.go
@@ -15,9 +15,9 @@
 type Pilot struct {
 	Common
 
-	// This instance.
-	Name     string
-	Zone     string
+	// Identity and addresses of this pilot.
+	Name     string // also the name in its certificate
+	Zone     string // zone in which the pilot runs; if the file does not set it, the first of Zones
 	Rank     int    // index of this pilot among the instances, from 0
 	Seed     int    // seed of the planner's random numbers
 	Listen   string // listen address for proxies that use the framed protocol
@@ -48,7 +48,7 @@
 	IntakeHalf      time.Duration // half-life of the weight of reported values
 	IntakeLongest   time.Duration // maximum time that one report may cover; longer reports are rejected
 
-	// Streams of the proxies.
+	// Streams to the proxies.
 	Beat          time.Duration // heartbeat interval
 	WriteDeadline time.Duration // time limit for one write; the stream is closed when it is exceeded
 	HelloDeadline time.Duration // time within which a new stream must send its Hello
@@ -66,11 +66,12 @@
 	RecoverTail   time.Duration // span of the record that a restarted pilot replays
 	RecoverWithin time.Duration // age above which a record is not used for recovery
 
-	LogLevel  string
-	LogFormat string
+	LogLevel  string // debug, info, warn or error
+	LogFormat string // console (human-readable) or json
 }
 
-// Defaults returns the default settings.
+// Defaults returns the default settings of a pilot. Required settings, such as zones, request classes and the source of
+// the endpoint list, are not set.
 func Defaults() Pilot {
 	return Pilot{
 		Common: CommonDefaults(),
@@ -146,7 +147,7 @@
 // String returns "name@zone", for logs.
 func (p *Pilot) String() string { return strings.Join([]string{p.Name, p.Zone}, "@") }
 
-// TelemetryOptions returns the options of the telemetry package.
+// TelemetryOptions converts the settings for load reports to the options of the telemetry package.
 func (p *Pilot) TelemetryOptions() telemetry.Options {
 	return telemetry.Options{
 		LinesPerS:   p.IntakeLinesPerS,
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -8,8 +8,8 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// DecodeBody decodes a body into the variables of its fields and blocks. It reports attributes and blocks that are unknown,
-// missing, malformed or out of range.
+// DecodeBody decodes a body into the variables of its fields and blocks. It reports attributes and blocks that are
+// unknown, missing, malformed or out of range.
 func DecodeBody(body *hclsyntax.Body, fields []Field, blocks []Block) hcl.Diagnostics {
 	diags := readFields(body, fields)
 	diags = append(diags, unknownAttributes(body, fields)...)
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestReload checks which fields a reload changes, and that the planner's reloadable settings contain no others.
-func TestReload(t *testing.T) {
+// TestDiff checks which fields a reload changes, and that the planner's reloadable settings contain no others.
+func TestDiff(t *testing.T) {
 	current, err := Parse("f.hcl", []byte(validSettings))
 	require.NoError(t, err)
 	updated, err := Parse("f.hcl", []byte(validSettings+`channel { lines_per_s = 99 }
--- a/internal/config/source.go
+++ b/internal/config/source.go
@@ -18,8 +18,8 @@
 	maxOperators = 10000    // maximum number of operators whose operands the parser parses recursively: ! - ?
 )
 
-// ReadFile reads a file for ParseBody. It reads at most MaxBytes+1 bytes, which suffices for ParseBody to detect and reject a
-// file that is too long.
+// ReadFile reads a file for ParseBody. It reads at most MaxBytes+1 bytes, which suffices for ParseBody to detect and
+// reject a file that is too long.
 func ReadFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -61,8 +61,8 @@
 // disabledSource is an endpoint source that ignores all calls. It is used during a replay.
 type disabledSource struct{}
 
-// Watch does nothing.
+// Watch implements controller.EndpointSource; it does nothing.
 func (disabledSource) Watch(bool) {}
 
-// Fetch does nothing.
+// Fetch implements controller.EndpointSource; it does nothing.
 func (disabledSource) Fetch() {}
--- a/internal/daemon/core_bench_test.go
+++ b/internal/daemon/core_bench_test.go
@@ -226,23 +226,23 @@
 	return nil
 }
 
-// Ask does nothing.
+// Ask discards a request to change the reporting interval.
 func (s *discardStream) Ask(*wire.Pace) error { return nil }
 
-// Close does nothing.
+// Close does nothing, because there is no connection.
 func (s *discardStream) Close(string) {}
 
 // noopTransports is a no-op implementation of the transports that the benchmark does not measure.
 type noopTransports struct{}
 
-// Watch does nothing.
+// Watch implements controller.EndpointSource; it does nothing.
 func (noopTransports) Watch(bool) {}
 
-// Fetch does nothing.
+// Fetch implements controller.EndpointSource; it does nothing.
 func (noopTransports) Fetch() {}
 
-// Probe does nothing.
+// Probe implements controller.HealthChecker; it does nothing.
 func (noopTransports) Probe(string) {}
 
-// Tell does nothing.
+// Tell implements controller.GossipSender; it does nothing.
 func (noopTransports) Tell(int, string) {}
