--- a/cmd/indigousher/keys.go
+++ b/cmd/indigousher/keys.go
@@ -18,9 +18,8 @@
 	c := &cobra.Command{
 		Use:   "keys DIR ROLE/ZONE/NAME...",
 		Short: "Create a certificate authority and certificates for rehearsals; identities look like proxy/north/p1",
-		Long: "Creates a certificate authority, whose private key is not stored, and one certificate for each identity.\n" +
-			"ROLE is proxy, pilot, operator or source. Production deployments use their own authority; its certificates\n" +
-			"must contain the same identity as a URI.",
+		Long: "Creates an authority, whose private key is not stored, and one certificate for each identity. ROLE is proxy,\n" +
+			"pilot, operator or source. A deployment has its own authority; its certificates need the same identity as a URI.",
 		Args: cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return makeKeys(cmd.OutOrStdout(), args[0], args[1:], secret, lasts)
--- a/cmd/indigousher/replay.go
+++ b/cmd/indigousher/replay.go
@@ -29,11 +29,10 @@
 	c := &cobra.Command{
 		Use:   "replay DIR",
 		Short: "Replay a pilot's record with its own or with other settings",
-		Long: "With the recorded settings, each turn must produce the recorded commands; otherwise the first difference is\n" +
-			"printed and the exit status is 1. With other settings (--with), the results of both are printed. The estimates\n" +
-			"assume that each endpoint fails as often and responds as fast as recorded. To judge their accuracy, compare the\n" +
-			"estimates for the recorded settings with the recorded values. 'trusted' is the fraction of attempts that went to\n" +
-			"endpoints for which the record contains a similar load.",
+		Long: "With the recorded settings, each turn must produce the recorded commands; the first difference is printed and the exit\n" +
+			"status is 1. With other settings (--with), the results of both are printed. The estimates assume that each endpoint fails\n" +
+			"as often and responds as fast as recorded; compare the estimates for the recorded settings with the recorded values to judge\n" +
+			"their accuracy. 'trusted' is the fraction of attempts for which the record contains a similar load of the endpoint.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return withStore(args[0], func(s *record.Store) error { return replay(cmd.OutOrStdout(), s, life, with) })
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -126,7 +126,7 @@
 		return nil
 	}
 	return hcl.Diagnostics{
-		Diagnostic(at, "the name %.40q has %d bytes, must have %d to %d", name, len(name), minBytes, wire.MaxText),
+		Diagnostic(at, "name has %d bytes, must have %d to %d: %.40q", len(name), minBytes, wire.MaxText, name),
 	}
 }
 
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -99,11 +99,11 @@
 		return err
 	}
 	ctx, stop := context.WithCancel(ctx)
-	ended := make(chan error, 1)
-	h.setDaemon(d, stop, ended)
+	runResult := make(chan error, 1)
+	h.setDaemon(d, stop, runResult)
 	go func() {
 		err := d.Run(ctx)
-		ended <- err
+		runResult <- err
 		if ctx.Err() == nil { // the daemon stopped without being asked to
 			h.failures <- err
 		}
@@ -113,12 +113,12 @@
 
 // setDaemon stores the running daemon. It keeps the listeners' file handles of the first daemon and closes those of
 // later ones.
-func (h *Host) setDaemon(d *Daemon, stop context.CancelFunc, ended chan error) {
+func (h *Host) setDaemon(d *Daemon, stop context.CancelFunc, runResult chan error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.daemon = d
 	h.stop = stop
-	h.runResult = ended
+	h.runResult = runResult
 	if h.files == nil {
 		h.files = d.Files()
 	} else {
@@ -131,13 +131,13 @@
 func (h *Host) halt() {
 	h.mu.Lock()
 	stop := h.stop
-	ended := h.runResult
+	runResult := h.runResult
 	h.mu.Unlock()
 	stop()
-	if err := <-ended; err != nil {
+	if err := <-runResult; err != nil {
 		h.options.Log.Error("pilot ended with an error", zap.Error(err))
 	}
-	ended <- nil // Wait, or another call of halt, may receive from this channel too
+	runResult <- nil // Wait, or another call of halt, may receive from this channel too
 }
 
 // Daemon returns the current daemon: the one that runs, or the last one if none runs.
@@ -152,10 +152,10 @@
 func (h *Host) Wait(ctx context.Context) error {
 	defer h.close()
 	h.mu.Lock()
-	ended := h.runResult
+	runResult := h.runResult
 	h.mu.Unlock()
 	if h.config.Handover == "" {
-		return <-ended
+		return <-runResult
 	}
 	select {
 	case err := <-h.handoffResult:
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -19,47 +19,47 @@
 // goroutines have ended when it returns.
 func (d *Daemon) Run(ctx context.Context) error {
 	defer d.close()
-	group, running := errgroup.WithContext(d.runContext)
-	serving, stopServing := context.WithCancel(running)
+	group, runContext := errgroup.WithContext(d.runContext)
+	serving, stopServing := context.WithCancel(runContext)
 	defer stopServing()
-	d.startParts(running, serving, group) //nolint:contextcheck // the end of ctx starts a graceful shutdown
+	d.startParts(runContext, serving, group) //nolint:contextcheck // the end of ctx starts a graceful shutdown
 	group.Go(func() error {
-		d.shutDownAfter(ctx, running, stopServing)
+		d.shutDownAfter(ctx, runContext, stopServing)
 		return nil
 	})
 	return d.finish(group.Wait())
 }
 
 // startParts starts a goroutine for each part. The servers for proxies stop when the context serving ends, the first
-// step of a shutdown; all other parts stop when running ends.
-func (d *Daemon) startParts(running, serving context.Context, group *errgroup.Group) {
-	group.Go(func() error { return d.loop.Run(running) })
-	group.Go(func() error { return d.endpointSource.Run(running) })
+// step of a shutdown; all other parts stop when runContext ends.
+func (d *Daemon) startParts(runContext, serving context.Context, group *errgroup.Group) {
+	group.Go(func() error { return d.loop.Run(runContext) })
+	group.Go(func() error { return d.endpointSource.Run(runContext) })
 	group.Go(func() error { return d.framedServer.Serve(serving, d.streamListener) })
 	if d.grpcServer != nil {
 		group.Go(func() error { return d.grpcServer.Serve(serving, d.grpcListener) })
 	}
 	if d.keyStore != nil {
-		group.Go(func() error { return d.watchKeys(running) })
+		group.Go(func() error { return d.watchKeys(runContext) })
 	}
 	if d.recording != nil {
-		group.Go(func() error { return d.recording.writer.Run(running) })
+		group.Go(func() error { return d.recording.writer.Run(runContext) })
 	}
 	if d.gossip != nil {
-		group.Go(func() error { return d.gossip.Run(running) })
+		group.Go(func() error { return d.gossip.Run(runContext) })
 	}
 	if d.adminListener != nil {
-		group.Go(func() error { return admin.Serve(running, d.adminListener, d.registry, d.loop.State) })
+		group.Go(func() error { return admin.Serve(runContext, d.adminListener, d.registry, d.loop.State) })
 	}
 }
 
 // shutDownAfter waits until ctx ends and then shuts down gracefully: it stops accepting streams and asks the connected
 // proxies to leave, waits until they have left or the drain times out, and then stops all parts. It returns immediately
-// if a part fails, which cancels the context running.
-func (d *Daemon) shutDownAfter(ctx, running context.Context, stopServing context.CancelFunc) {
+// if a part fails, which cancels runContext.
+func (d *Daemon) shutDownAfter(ctx, runContext context.Context, stopServing context.CancelFunc) {
 	select {
 	case <-ctx.Done():
-	case <-running.Done():
+	case <-runContext.Done():
 		return
 	}
 	d.options.Log.Info("shutting down", zap.Int("proxies", d.openStreams()))
@@ -67,7 +67,7 @@
 	if d.xdsServer != nil {
 		d.xdsServer.Stop()
 	}
-	d.drain(running)
+	d.drain(runContext)
 	d.terminate()
 }
 
--- a/internal/daemon/torn_test.go
+++ b/internal/daemon/torn_test.go
@@ -30,7 +30,8 @@
 }
 
 // TestTornRecord checks that a pilot starts and serves a proxy when its record file is truncated, partly overwritten or
-// no record at all.
+// not a record at all. A corrupt page once made the pilot panic at every start. The pilot must instead start cold, say
+// so in the log, continue recording in a new file, and keep the damaged one.
 func TestTornRecord(t *testing.T) {
 	p := recordShortRun(t)
 	path := filepath.Join(p.RecordDir, "records.db")
