--- a/cmd/indigousher/experiment.go
+++ b/cmd/indigousher/experiment.go
@@ -14,8 +14,7 @@
 )
 
 // gcPercent is the garbage collection target percentage: the heap may grow to five times the live data between
-// collections. Runs allocate many short-lived objects and the machine has enough memory, so fewer collections are
-// faster.
+// collections. Runs allocate many short-lived objects, and enough memory is available for that.
 const gcPercent = 400
 
 // experimentCommand returns the command that runs a planned experiment.
