--- a/cmd/indigousher/main.go
+++ b/cmd/indigousher/main.go
@@ -1,4 +1,5 @@
-// Command indigousher is a central planner behind plain proxies, and its rehearsal kit.
+// Command indigousher runs pilots, which are central planners that control proxies. It also contains tools to rehearse
+// scenarios, run experiments and inspect records.
 package main
 
 import (
@@ -14,17 +15,17 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	if err := root().ExecuteContext(ctx); err != nil {
+	if err := rootCommand().ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-// root is the command without a subcommand.
-func root() *cobra.Command {
+// rootCommand returns the root command with all subcommands.
+func rootCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:           "indigousher",
-		Short:         "A central planner behind plain proxies",
+		Short:         "Central planner for proxies, with rehearsal tools",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/cmd/indigousher/search.go
+++ b/cmd/indigousher/search.go
@@ -16,58 +16,60 @@
 	"indigousher/internal/search"
 )
 
-// rules is how many rules the audit has.
-const rules = 5
+// ruleCount is the number of rules that the audit checks.
+const ruleCount = 5
 
-// searchOptions are the flags of the command.
+// searchOptions holds the flags of the search command.
 type searchOptions struct {
-	scenarios int    // to draw
-	endpoints int    // of each, about
-	seed      int    // of the first
-	climbs    int    // steps towards each rule's limit
-	folder    string // for scenarios that break a rule
+	scenarios  int    // number of random scenarios
+	endpoints  int    // approximate number of endpoints in each scenario
+	seed       int    // seed of the first scenario
+	climbSteps int    // number of hill-climbing steps towards the limit of each rule; 0: no climbing
+	outputDir  string // directory for scenarios that violate a rule
 }
 
+// searchCommand returns the command that searches for scenarios that violate a rule.
 func searchCommand() *cobra.Command {
 	var o searchOptions
 	c := &cobra.Command{
 		Use: "search",
-		Short: "Draw scenarios with overlapping faults, play them in virtual time, climb towards limits, " +
-			"shrink what breaks",
+		Short: "Search for scenarios that violate a rule: play random overlapping faults in virtual time, " +
+			"climb towards limits, shrink violating scenarios",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return runSearch(cmd.Context(), cmd.OutOrStdout(), o)
 		},
 	}
-	c.Flags().IntVar(&o.scenarios, "days", 100, "scenarios to draw")
-	c.Flags().IntVar(&o.endpoints, "endpoints", 30, "about how many endpoints")
-	c.Flags().IntVar(&o.seed, "seed", 1, "of the first scenario")
-	c.Flags().IntVar(&o.climbs, "climb", 0, "steps of climbing towards each rule's limit")
-	c.Flags().StringVar(&o.folder, "found", "found", "folder for scenarios that break a rule")
+	c.Flags().IntVar(&o.scenarios, "days", 100, "number of random scenarios")
+	c.Flags().IntVar(&o.endpoints, "endpoints", 30, "approximate number of endpoints of a scenario")
+	c.Flags().IntVar(&o.seed, "seed", 1, "seed of the first scenario")
+	c.Flags().IntVar(&o.climbSteps, "climb", 0, "hill-climbing steps towards the limit of each rule; 0: none")
+	c.Flags().StringVar(&o.outputDir, "found", "found", "directory for scenarios that violate a rule")
 	return c
 }
 
-// runSearch draws, climbs and shrinks, and returns errViolation if a rule was broken.
+// runSearch plays random scenarios, climbs from them towards the limits of the rules, and shrinks the scenarios that
+// violate a rule. It returns errViolation if there are any.
 func runSearch(ctx context.Context, out io.Writer, o searchOptions) error {
 	s := &search.Search{}
-	finds, err := s.Random(ctx, o.seed, o.scenarios, o.endpoints)
+	findings, err := s.Random(ctx, o.seed, o.scenarios, o.endpoints)
 	if err != nil {
 		return err
 	}
-	printDistances(out, finds, o.endpoints)
+	printDistances(out, findings, o.endpoints)
 	var broken []*search.Finding
-	for _, f := range finds {
+	for _, f := range findings {
 		if len(f.Broken) > 0 {
 			broken = append(broken, f)
 		}
 	}
-	climbed, err := climb(ctx, out, s, finds, o)
+	climbed, err := climb(ctx, out, s, findings, o)
 	if err != nil {
 		return err
 	}
 	broken = append(broken, climbed...)
 	for i, f := range broken {
-		if err := shrink(ctx, out, s, f, i, o.folder); err != nil {
+		if err := shrink(ctx, out, s, f, i, o.outputDir); err != nil {
 			return err
 		}
 	}
@@ -77,23 +79,24 @@
 	return nil
 }
 
-// climb goes from the find nearest to each rule's limit towards it, and returns finds that break a rule. Rules that
-// were broken already are left out.
+// climb starts, for each rule, from the finding that is nearest to the rule's limit, and searches from there for
+// scenarios nearer to it. It returns the findings that violate a rule. If the finding nearest to a limit already
+// violates a rule, climb skips that limit.
 func climb(
-	ctx context.Context, out io.Writer, s *search.Search, finds []*search.Finding, o searchOptions,
+	ctx context.Context, out io.Writer, s *search.Search, findings []*search.Finding, o searchOptions,
 ) ([]*search.Finding, error) {
-	if o.climbs == 0 {
+	if o.climbSteps == 0 {
 		return nil, nil
 	}
 	var broken []*search.Finding
-	for rule := range audit.Rule(rules) {
-		nearest := slices.MaxFunc(finds, func(a, b *search.Finding) int {
-			return int(1e6 * (a.LimitFractions[rule] - b.LimitFractions[rule])) // the sixth decimal decides
+	for rule := range audit.Rule(ruleCount) {
+		nearest := slices.MaxFunc(findings, func(a, b *search.Finding) int {
+			return int(1e6 * (a.LimitFractions[rule] - b.LimitFractions[rule])) // compared to six decimal places
 		})
 		if len(nearest.Broken) > 0 {
 			continue
 		}
-		climbed, err := s.Climb(ctx, nearest, rule, o.climbs, uint64(o.seed))
+		climbed, err := s.Climb(ctx, nearest, rule, o.climbSteps, uint64(o.seed))
 		if err != nil {
 			return nil, err
 		}
@@ -105,37 +108,39 @@
 	return broken, nil
 }
 
-// shrink takes away of a scenario what it does not need to break a rule, and writes the rest to a file.
-func shrink(ctx context.Context, out io.Writer, s *search.Search, f *search.Finding, number int, folder string) error {
+// shrink removes the parts of a scenario that are not needed to violate a rule, and writes the remaining scenario to a
+// file in dir. number makes the file name unique.
+func shrink(ctx context.Context, out io.Writer, s *search.Search, f *search.Finding, number int, dir string) error {
 	shrunk, err := s.Shrink(ctx, f)
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(folder, fmt.Sprintf("found-%d-%d.hcl", shrunk.Draft.Seed, number))
+	path := filepath.Join(dir, fmt.Sprintf("found-%d-%d.hcl", shrunk.Draft.Seed, number))
 	printf(out, "BROKEN, shrunk to %d faults, in %s: %v\n", len(shrunk.Draft.Faults), path, shrunk.Broken)
-	return errors.Join(os.MkdirAll(folder, 0o755), os.WriteFile(path, []byte(shrunk.Draft.Text()), 0o644))
+	return errors.Join(os.MkdirAll(dir, 0o755), os.WriteFile(path, []byte(shrunk.Draft.Text()), 0o644))
 }
 
-// printDistances shows how near scenarios came to each limit.
-func printDistances(out io.Writer, finds []*search.Finding, endpoints int) {
+// printDistances prints quantiles of how close the scenarios came to the limit of each rule, as fractions of the limit,
+// and of the service lost.
+func printDistances(out io.Writer, findings []*search.Finding, endpoints int) {
 	broken := 0
-	for _, f := range finds {
+	for _, f := range findings {
 		if len(f.Broken) > 0 {
 			broken++
 		}
 	}
 	printf(out, "%d scenarios of about %d endpoints, %d with a broken rule\n"+
-		"nearest to the limit (1 is the limit): median, 90%%, 99%%, worst\n", len(finds), endpoints, broken)
-	for rule := range audit.Rule(rules) {
-		printf(out, "%-28s%s\n", rule, quantiles(finds, func(f *search.Finding) float64 { return f.LimitFractions[rule] }))
+		"nearest to the limit (1 is the limit): median, 90%%, 99%%, worst\n", len(findings), endpoints, broken)
+	for rule := range audit.Rule(ruleCount) {
+		printf(out, "%-28s%s\n", rule, quantiles(findings, func(f *search.Finding) float64 { return f.LimitFractions[rule] }))
 	}
-	printf(out, "%-28s%s\n", "service lost", quantiles(finds, func(f *search.Finding) float64 { return 1 - f.Service }))
+	printf(out, "%-28s%s\n", "service lost", quantiles(findings, func(f *search.Finding) float64 { return 1 - f.Service }))
 }
 
-// quantiles shows the median, the 90th and 99th percentile, and the largest of a figure.
-func quantiles(finds []*search.Finding, figure func(*search.Finding) float64) string {
+// quantiles formats the median, the 90th and 99th percentile, and the maximum of a value over all findings.
+func quantiles(findings []*search.Finding, figure func(*search.Finding) float64) string {
 	var values []float64
-	for _, f := range finds {
+	for _, f := range findings {
 		values = append(values, figure(f))
 	}
 	slices.Sort(values)
