--- a/internal/record/database.go
+++ b/internal/record/database.go
@@ -17,7 +17,7 @@
 const lockTimeout = time.Second
 
 // tornSuffix ends the name of a damaged file that was set aside.
-const tornSuffix = ".torn"
+const quarantineSuffix = ".torn"
 
 // OpenFile opens or makes a store's file. A damaged one gives ErrCorrupt; one that can't be had, for want of
 // permission, space or its lock, another error.
@@ -39,8 +39,8 @@
 		db, err = bbolt.Open(path, 0o600, &options)
 		return err
 	})
-	var refused syscall.Errno // by the system
-	if err == nil || errors.Is(err, ErrCorrupt) || errors.Is(err, bolterrors.ErrTimeout) || errors.As(err, &refused) {
+	var errno syscall.Errno // by the system
+	if err == nil || errors.Is(err, ErrCorrupt) || errors.Is(err, bolterrors.ErrTimeout) || errors.As(err, &errno) {
 		return db, err
 	}
 	return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
@@ -62,8 +62,8 @@
 		if v != nil {
 			return nil
 		}
-		if below := b.Bucket(k); below != nil {
-			return visitBucket(below)
+		if nested := b.Bucket(k); nested != nil {
+			return visitBucket(nested)
 		}
 		return nil
 	})
@@ -85,7 +85,7 @@
 // path.
 func Quarantine(dir string) (string, error) {
 	from := filepath.Join(dir, fileName)
-	to := from + tornSuffix
+	to := from + quarantineSuffix
 	if err := os.Rename(from, to); err != nil {
 		return "", fmt.Errorf("set records aside: %w", err)
 	}
