--- a/internal/record/digest.go
+++ b/internal/record/digest.go
@@ -7,7 +7,7 @@
 	"indigousher/planner"
 )
 
-var table = crc64.MakeTable(crc64.ECMA)
+var crcTable = crc64.MakeTable(crc64.ECMA)
 
 // The text of each command as format 2 sums it up: the type and field names that the commands had when the format was
 // fixed, in the field order of that time. They are part of the stored format. A record holds the digests of its turns,
@@ -29,44 +29,44 @@
 )
 
 // Digest sums up the commands of a turn, in their order. Turn.Digest holds it in a record.
-func Digest(orders []planner.Command) uint64 {
-	h := crc64.New(table)
+func Digest(commands []planner.Command) uint64 {
+	h := crc64.New(crcTable)
 	var text []byte
-	for _, o := range orders {
-		text = appendDigest(text[:0], o)
+	for _, command := range commands {
+		text = appendDigest(text[:0], command)
 		h.Write(text)
 	}
 	return h.Sum64()
 }
 
 // appendDigest appends the text of one command.
-func appendDigest(text []byte, order planner.Command) []byte {
-	switch o := order.(type) {
+func appendDigest(text []byte, command planner.Command) []byte {
+	switch c := command.(type) {
 	case planner.SetWeight:
-		return fmt.Appendf(text, digestSetLine, o.Table, o.Endpoint, o.Weight)
+		return fmt.Appendf(text, digestSetLine, c.Table, c.Endpoint, c.Weight)
 	case planner.ClearTable:
-		return fmt.Appendf(text, digestClearTable, o.Table)
+		return fmt.Appendf(text, digestClearTable, c.Table)
 	case planner.AssignTable:
-		return fmt.Appendf(text, digestBind, o.Table, o.Proxy, o.Classes)
+		return fmt.Appendf(text, digestBind, c.Table, c.Proxy, c.Classes)
 	case planner.SetExcluded:
-		return fmt.Appendf(text, digestWithdraw, o.Endpoint, o.Excluded)
+		return fmt.Appendf(text, digestWithdraw, c.Endpoint, c.Excluded)
 	case planner.SetAdmission:
-		return fmt.Appendf(text, digestAdmit, o.Table, o.Classes, o.RetryMode, o.Level)
+		return fmt.Appendf(text, digestAdmit, c.Table, c.Classes, c.RetryMode, c.Level)
 	case planner.AckRequest:
-		return fmt.Appendf(text, digestMark, o.Number, o.All)
+		return fmt.Appendf(text, digestMark, c.Number, c.All)
 	case planner.HealthCheck:
-		return fmt.Appendf(text, digestProbe, o.Endpoint)
+		return fmt.Appendf(text, digestProbe, c.Endpoint)
 	case planner.SendGossip:
-		return fmt.Appendf(text, digestTell, o.Peer, o.Text)
+		return fmt.Appendf(text, digestTell, c.Peer, c.Text)
 	case planner.SetTimer:
-		return fmt.Appendf(text, digestWakeAt, o.AtMs, o.Name)
+		return fmt.Appendf(text, digestWakeAt, c.AtMs, c.Name)
 	case planner.WatchEndpoints:
-		return fmt.Appendf(text, digestWatch, o.On)
+		return fmt.Appendf(text, digestWatch, c.On)
 	case planner.FetchEndpoints:
 		return fmt.Append(text, digestFetchList)
 	case planner.Log:
-		return fmt.Appendf(text, digestLog, o.Text)
+		return fmt.Appendf(text, digestLog, c.Text)
 	default:
-		return fmt.Appendf(text, "%T%+v\n", order, order)
+		return fmt.Appendf(text, "%T%+v\n", command, command)
 	}
 }
--- a/internal/record/digest_test.go
+++ b/internal/record/digest_test.go
@@ -15,8 +15,8 @@
 // was renamed: stored records are read by these values.
 func TestDigestBytes(t *testing.T) {
 	for _, c := range []struct {
-		order planner.Command
-		want  string
+		command planner.Command
+		want    string
 	}{
 		{planner.SetWeight{Table: 3, Endpoint: 17, Weight: 0.30000000000000004}, "cabd1f0e29bf2f36"},
 		{planner.SetWeight{Table: 65000, Endpoint: 1, Weight: 1e21}, "5f8061f8931e4099"},
@@ -36,7 +36,7 @@
 		{planner.FetchEndpoints{}, "46f9affef7c5009a"},
 		{planner.Log{Text: "endpoint 3 zone 1: out, good 0.0 bad 9.0 all 0.10"}, "d8c0a69a3de3c6bb"},
 	} {
-		assert.Equal(t, c.want, fmt.Sprintf("%016x", Digest([]planner.Command{c.order})), "%v", c.order)
+		assert.Equal(t, c.want, fmt.Sprintf("%016x", Digest([]planner.Command{c.command})), "%v", c.command)
 	}
 	assert.Equal(t, "0000000000000000", fmt.Sprintf("%016x", Digest(nil)))
 	all := []planner.Command{
@@ -50,6 +50,6 @@
 // TestFingerprintStays guards the value by which a pilot knows the record of one that decides as it does. Commit
 // 7c7c6c6 wrote it into its lives; a change of what the planner decides changes it, a change of names must not.
 func TestFingerprintStays(t *testing.T) {
-	module := func(seed int64, terms map[string]any) controller.Decider { return planner.New(seed, terms) }
-	assert.Equal(t, "701c66171943c29a", Fingerprint(module))
+	newDecider := func(seed int64, settings map[string]any) controller.Decider { return planner.New(seed, settings) }
+	assert.Equal(t, "701c66171943c29a", Fingerprint(newDecider))
 }
--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -83,7 +83,7 @@
 
 // newLifeReplay returns a replay at its start: a new core, rebuilt from the life before if the recorded one was.
 func newLifeReplay(s *Store, l Life, settings map[string]any, newDecider NewDecider) (*lifeReplay, error) {
-	r := &lifeReplay{result: &Result{}, sent: crc64.New(table)}
+	r := &lifeReplay{result: &Result{}, sent: crc64.New(crcTable)}
 	r.decider = &countingDecider{Decider: newDecider(l.Seed, settings), result: r.result}
 	options, err := optionsFromSettings(settings)
 	if err != nil {
