--- a/internal/record/estimate.go
+++ b/internal/record/estimate.go
@@ -9,7 +9,7 @@
 
 const (
 	// retention is the part of an endpoint's counts that is kept from one period to the next, so that they follow it.
-	retention = 0.8
+	decayFactor = 0.8
 	// minAttempts is how many attempts, aged ones included, an endpoint needs until its figures say anything.
 	minAttempts = 10
 	// maxLoadRatio is how many times the attempts that an endpoint got it is held to answer alike.
@@ -32,14 +32,14 @@
 // estimator adds up an estimate.
 type estimator struct {
 	shares             func() map[int]map[int]float64 // of endpoints, by zone, as the replay's tables stand
-	endpoints          map[int]*endpointAnswers
+	endpoints          map[int]*attemptTotals
 	sum                Estimate // totals; result divides them
 	recordedSuccesses  float64
 	estimatedSuccesses float64
 }
 
 // endpointAnswers is how an endpoint answered lately; each period counts less than the one after it.
-type endpointAnswers struct {
+type attemptTotals struct {
 	attempts  float64
 	failed    float64
 	succeeded float64
@@ -47,7 +47,7 @@
 }
 
 func newEstimator(shares func() map[int]map[int]float64) *estimator {
-	return &estimator{shares: shares, endpoints: map[int]*endpointAnswers{}}
+	return &estimator{shares: shares, endpoints: map[int]*attemptTotals{}}
 }
 
 // observe takes in the events of a turn. Those that tell of attempts are a period.
@@ -56,8 +56,8 @@
 	if len(stats) == 0 {
 		return
 	}
-	for _, answers := range e.endpoints {
-		answers.age()
+	for _, totals := range e.endpoints {
+		totals.decay()
 	}
 	attempts := map[int]map[int]float64{} // by zone and endpoint
 	for _, m := range stats {
@@ -85,25 +85,25 @@
 }
 
 // age makes what is known count less.
-func (a *endpointAnswers) age() {
-	a.attempts *= retention
-	a.failed *= retention
-	a.totalMs *= retention
-	a.succeeded *= retention
+func (a *attemptTotals) decay() {
+	a.attempts *= decayFactor
+	a.failed *= decayFactor
+	a.totalMs *= decayFactor
+	a.succeeded *= decayFactor
 }
 
 // addStats adds what was met at an endpoint to what is known of it, and to what was met in truth.
 func (e *estimator) addStats(m planner.EndpointStats) {
-	answers := e.endpoints[m.Endpoint]
-	if answers == nil {
-		answers = &endpointAnswers{}
-		e.endpoints[m.Endpoint] = answers
+	totals := e.endpoints[m.Endpoint]
+	if totals == nil {
+		totals = &attemptTotals{}
+		e.endpoints[m.Endpoint] = totals
 	}
 	succeeded := float64(m.Attempts - m.Failed)
-	answers.attempts += float64(m.Attempts)
-	answers.failed += float64(m.Failed)
-	answers.totalMs += succeeded * m.MeanMs
-	answers.succeeded += succeeded
+	totals.attempts += float64(m.Attempts)
+	totals.failed += float64(m.Failed)
+	totals.totalMs += succeeded * m.MeanMs
+	totals.succeeded += succeeded
 	e.sum.Recorded += float64(m.Failed)
 	e.sum.RecordedMs += succeeded * m.MeanMs
 	e.recordedSuccesses += succeeded
@@ -139,7 +139,7 @@
 func (e *estimator) knownEndpoints(shares map[int]float64) []int {
 	var known []int
 	for _, endpoint := range slices.Sorted(maps.Keys(shares)) {
-		if answers := e.endpoints[endpoint]; answers != nil && answers.attempts >= minAttempts {
+		if totals := e.endpoints[endpoint]; totals != nil && totals.attempts >= minAttempts {
 			known = append(known, endpoint)
 		}
 	}
@@ -147,12 +147,12 @@
 }
 
 // addEstimate adds what an endpoint makes of the attempts assigned to it.
-func (e *estimator) addEstimate(answers *endpointAnswers, assigned float64) {
-	failing := answers.failed / answers.attempts
-	e.sum.Failed += assigned * failing
-	if answers.succeeded > 0 {
-		e.sum.MeanMs += assigned * (1 - failing) * answers.totalMs / answers.succeeded
-		e.estimatedSuccesses += assigned * (1 - failing)
+func (e *estimator) addEstimate(totals *attemptTotals, assigned float64) {
+	failureRate := totals.failed / totals.attempts
+	e.sum.Failed += assigned * failureRate
+	if totals.succeeded > 0 {
+		e.sum.MeanMs += assigned * (1 - failureRate) * totals.totalMs / totals.succeeded
+		e.estimatedSuccesses += assigned * (1 - failureRate)
 	}
 }
 
