--- a/internal/record/database.go
+++ b/internal/record/database.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("open %s: %w", path, err)
 	}
-	if err := panicsAsErrors(func() error { return db.View(checkPages) }); err != nil {
+	if err := recoverCorrupt(func() error { return db.View(checkPages) }); err != nil {
 		return nil, errors.Join(fmt.Errorf("open %s: %w", path, err), db.Close())
 	}
 	return db, nil
@@ -34,7 +34,7 @@
 
 // openDatabase opens the file and gives ErrCorrupt for each error that neither the system nor the lock explains.
 func openDatabase(path string, readOnly bool) (db *bbolt.DB, err error) {
-	err = panicsAsErrors(func() (err error) {
+	err = recoverCorrupt(func() (err error) {
 		options := bbolt.Options{Timeout: lockTimeout, ReadOnly: readOnly, FreelistType: bbolt.FreelistMapType}
 		db, err = bbolt.Open(path, 0o600, &options)
 		return err
@@ -71,7 +71,7 @@
 
 // panicsAsErrors calls f and returns a panic as ErrCorrupt. The database panics on pages that make no sense, and a page
 // that the file no longer has faults; neither must end a controller.
-func panicsAsErrors(f func() error) (err error) {
+func recoverCorrupt(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
--- a/internal/record/encode.go
+++ b/internal/record/encode.go
@@ -6,7 +6,7 @@
 )
 
 // largestCompact bounds the whole numbers that number encodes as a varint; any fits an int once it is doubled.
-const largestCompact = 1 << 31
+const compactLimit = 1 << 31
 
 // encoder appends values to buf. Its methods pair with those of decoder.
 type encoder struct{ buf []byte }
@@ -36,7 +36,7 @@
 // of its double. Any other takes a varint of 1, which is odd, and its eight bytes.
 func (e *encoder) number(v float64) {
 	isNegativeZero := v == 0 && math.Signbit(v)
-	if v == math.Trunc(v) && math.Abs(v) < largestCompact && !isNegativeZero {
+	if v == math.Trunc(v) && math.Abs(v) < compactLimit && !isNegativeZero {
 		e.int(int(v) << 1)
 		return
 	}
--- a/internal/record/prune.go
+++ b/internal/record/prune.go
@@ -17,13 +17,13 @@
 
 // Prune drops the oldest segments until the rest keeps the bounds, and lives of which nothing is left. The last
 // segment, which may be being written, stays. It returns how many were dropped.
-func (s *Store) Prune(b Limits, now time.Time) (dropped int, err error) {
+func (s *Store) Prune(limits Limits, now time.Time) (dropped int, err error) {
 	err = s.update(func(tx *bbolt.Tx) error {
 		segments, err := listSegments(tx)
 		if err != nil {
 			return err
 		}
-		for _, segment := range segments[:excess(segments, b, now)] {
+		for _, segment := range segments[:excessSegments(segments, limits, now)] {
 			if err := tx.Bucket(bucketSegments).DeleteBucket(segment.name); err != nil {
 				return err
 			}
@@ -53,14 +53,14 @@
 }
 
 // excess returns how many segments, from the oldest on, are too old or too much. The last one never is.
-func excess(segments []storedSegment, b Limits, now time.Time) int {
+func excessSegments(segments []storedSegment, limits Limits, now time.Time) int {
 	var total int64
 	for _, segment := range segments {
 		total += segment.bytes
 	}
 	for i, segment := range segments {
-		tooOld := b.Age > 0 && now.Sub(segment.at) > b.Age
-		tooMuch := b.Bytes > 0 && total > b.Bytes
+		tooOld := limits.Age > 0 && now.Sub(segment.at) > limits.Age
+		tooMuch := limits.Bytes > 0 && total > limits.Bytes
 		isLast := i == len(segments)-1
 		if isLast || !tooOld && !tooMuch {
 			return i
--- a/internal/record/recorder.go
+++ b/internal/record/recorder.go
@@ -67,29 +67,29 @@
 }
 
 // appendInputs converts a core's inputs and appends those that are recorded.
-func (r *Recorder) appendInputs(to []Input, inputs []controller.Input) []Input {
+func (r *Recorder) appendInputs(dst []Input, inputs []controller.Input) []Input {
 	for _, in := range inputs {
 		if converted, ok := r.convert(in); ok {
-			to = append(to, converted)
+			dst = append(dst, converted)
 		}
 	}
-	return to
+	return dst
 }
 
 // appendStats appends the events that telemetry made of load reports. They stand for the reports, which are not
 // recorded.
-func appendStats(to []Input, events []planner.Event) []Input {
+func appendStats(dst []Input, events []planner.Event) []Input {
 	for _, event := range events {
 		switch event := event.(type) {
 		case planner.EndpointStats:
-			to = append(to, Input{Kind: KindEndpointStats, Event: event})
+			dst = append(dst, Input{Kind: KindEndpointStats, Event: event})
 		case planner.RequestStats:
-			to = append(to, Input{Kind: KindRequestStats, Event: event})
+			dst = append(dst, Input{Kind: KindRequestStats, Event: event})
 		case planner.SliceStats:
-			to = append(to, Input{Kind: KindSliceStats, Event: event})
+			dst = append(dst, Input{Kind: KindSliceStats, Event: event})
 		}
 	}
-	return to
+	return dst
 }
 
 // convert returns an input as it is recorded, and false for one that is not.
--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -38,24 +38,24 @@
 
 // lifeReplay is a replay under way.
 type lifeReplay struct {
-	result     *Result
-	core       *controller.Core
-	decider    *countingDecider
-	replayer   *replayer
-	sent       hash.Hash64 // of all messages
-	compare    bool        // hold the commands against the record
-	firstMs    float64     // when the first turn was, once there is one
-	lastTurnMs float64
+	result         *Result
+	core           *controller.Core
+	decider        *countingDecider
+	replayer       *replayer
+	sentHash       hash.Hash64 // of all messages
+	compareDigests bool        // hold the commands against the record
+	firstMs        float64     // when the first turn was, once there is one
+	lastTurnMs     float64
 }
 
 // Replay feeds a life to a core in virtual time. Without settings, nil, its own are used and commands are held against
 // the record. With others they can only be looked at, as the endpoints' answers are those of the recorded day. If the
 // life's record is damaged, the result covers what can be read and comes with ErrCorrupt.
 func Replay(s *Store, l Life, settings map[string]any, newDecider NewDecider) (*Result, error) {
-	isOwn := settings == nil
-	if isOwn {
+	useRecorded := settings == nil
+	if useRecorded {
 		var err error
-		if settings, err = ownSettings(l); err != nil {
+		if settings, err = recordedSettings(l); err != nil {
 			return nil, err
 		}
 	}
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.compare = isOwn
+	r.compareDigests = useRecorded
 	err = s.Read(l.ID, r.replayChunk)
 	r.finish()
 	if errors.Is(err, ErrCorrupt) {
@@ -73,7 +73,7 @@
 }
 
 // ownSettings returns the planner's settings at a life's start.
-func ownSettings(l Life) (map[string]any, error) {
+func recordedSettings(l Life) (map[string]any, error) {
 	settings := map[string]any{}
 	if err := json.Unmarshal([]byte(l.Settings), &settings); err != nil {
 		return nil, fmt.Errorf("read terms of %s: %w", l.ID, err)
@@ -83,7 +83,7 @@
 
 // newLifeReplay returns a replay at its start: a new core, rebuilt from the life before if the recorded one was.
 func newLifeReplay(s *Store, l Life, settings map[string]any, newDecider NewDecider) (*lifeReplay, error) {
-	r := &lifeReplay{result: &Result{}, sent: crc64.New(crcTable)}
+	r := &lifeReplay{result: &Result{}, sentHash: crc64.New(crcTable)}
 	r.decider = &countingDecider{Decider: newDecider(l.Seed, settings), result: r.result}
 	options, err := optionsFromSettings(settings)
 	if err != nil {
@@ -122,7 +122,7 @@
 func (r *lifeReplay) countMessage(proxy string, message *wire.Orders) {
 	r.result.Messages++
 	r.result.Lines += message.Lines
-	_, _ = fmt.Fprintf(r.sent, "%s %v\n", proxy, message.Ops) // writes to a hash don't fail
+	_, _ = fmt.Fprintf(r.sentHash, "%s %v\n", proxy, message.Ops) // writes to a hash don't fail
 }
 
 // replayChunk replays a chunk's turns but for checkpoints, which are no part of the life.
@@ -149,7 +149,7 @@
 	if r.result.Turns == 0 {
 		r.firstMs = t.AtMs
 	}
-	if r.compare && r.result.FirstDiff == "" && r.decider.digest != t.Digest {
+	if r.compareDigests && r.result.FirstDiff == "" && r.decider.digest != t.Digest {
 		r.result.FirstDiff = fmt.Sprintf("turn %d at %.3f s, %d inputs, first %s", r.result.Turns, t.AtMs/1000,
 			len(t.Inputs), describeTurn(t))
 	}
@@ -163,7 +163,7 @@
 func (r *lifeReplay) finish() {
 	r.result.SpanMs = r.lastTurnMs - r.firstMs
 	r.result.Events = r.core.Events
-	r.result.Tables = r.sent.Sum64()
+	r.result.Tables = r.sentHash.Sum64()
 	r.result.Estimate = r.decider.estimator.result()
 }
 
--- a/internal/record/store.go
+++ b/internal/record/store.go
@@ -75,10 +75,10 @@
 
 // view runs a transaction that only reads; damage that shows gives ErrCorrupt.
 func (s *Store) view(f func(*bbolt.Tx) error) error {
-	return panicsAsErrors(func() error { return s.db.View(f) })
+	return recoverCorrupt(func() error { return s.db.View(f) })
 }
 
 // update runs a transaction that may write; damage that shows gives ErrCorrupt.
 func (s *Store) update(f func(*bbolt.Tx) error) error {
-	return panicsAsErrors(func() error { return s.db.Update(f) })
+	return recoverCorrupt(func() error { return s.db.Update(f) })
 }
--- a/internal/record/tail.go
+++ b/internal/record/tail.go
@@ -43,8 +43,8 @@
 			turns = nil // what lies before a gap does not lead to what lies after it
 		}
 		turns = append(turns, chunk...)
-		if from := ReplayStart(turns, tailMs); from > 0 && from < len(turns) {
-			turns = slices.Clone(turns[from:]) // lets go of what lies before
+		if start := ReplayStart(turns, tailMs); start > 0 && start < len(turns) {
+			turns = slices.Clone(turns[start:]) // lets go of what lies before
 		}
 		return nil
 	})
--- a/internal/record/writer.go
+++ b/internal/record/writer.go
@@ -25,15 +25,15 @@
 type Writer struct {
 	store  *Store
 	life   string
-	bounds Limits
+	limits Limits
 	log    *zap.Logger
 	update func(f func(*bbolt.Tx) error) error // the store's; tests make it fail
 	turns  chan func() *Turn                   // handed over and not encoded yet
 
 	// Counts, for whoever looks.
-	Turns atomic.Int64 // handed over
-	Bytes atomic.Int64 // of the chunks written
-	lost  atomic.Int64 // turns that are in no chunk and in no gap yet
+	Turns     atomic.Int64 // handed over
+	Bytes     atomic.Int64 // of the chunks written
+	lostTurns atomic.Int64 // turns that are in no chunk and in no gap yet
 
 	// Owned by Run.
 	segment      int // number of the segment that is written
@@ -42,12 +42,12 @@
 }
 
 // NewWriter stores a new life and returns the writer of its turns.
-func NewWriter(s *Store, l Life, b Limits, log *zap.Logger) (*Writer, error) {
+func NewWriter(s *Store, l Life, limits Limits, log *zap.Logger) (*Writer, error) {
 	if err := s.Begin(l); err != nil {
 		return nil, err
 	}
 	turns := make(chan func() *Turn, maxQueuedTurns)
-	return &Writer{store: s, life: l.ID, bounds: b, log: log, update: s.update, turns: turns}, nil
+	return &Writer{store: s, life: l.ID, limits: limits, log: log, update: s.update, turns: turns}, nil
 }
 
 // Turn hands a turn over and never waits; makeTurn is called by Run.
@@ -56,13 +56,13 @@
 	case w.turns <- makeTurn:
 		w.Turns.Add(1)
 	default:
-		w.lost.Add(1)
+		w.lostTurns.Add(1)
 	}
 }
 
 // Run writes until ctx ends, and then what has been handed over by then. Its error is always nil.
 func (w *Writer) Run(ctx context.Context) error {
-	commit := time.NewTicker(w.bounds.CommitInterval)
+	commit := time.NewTicker(w.limits.CommitInterval)
 	defer commit.Stop()
 	prune := time.NewTicker(pruneInterval)
 	defer prune.Stop()
@@ -71,7 +71,7 @@
 		select {
 		case makeTurn := <-w.turns:
 			encoded = w.appendTurn(encoded, makeTurn)
-			if len(encoded) >= w.bounds.SegmentBytes/chunksPerSegment {
+			if len(encoded) >= w.limits.SegmentBytes/chunksPerSegment {
 				w.commit(encoded)
 				encoded = encoded[:0]
 			}
@@ -89,13 +89,13 @@
 
 // appendTurn encodes a turn behind those that are committed next. One that can't be encoded is lost.
 func (w *Writer) appendTurn(encoded []byte, makeTurn func() *Turn) []byte {
-	longer, err := AppendTurn(encoded, makeTurn())
+	extended, err := AppendTurn(encoded, makeTurn())
 	if err != nil {
 		w.log.Error("turn not recorded", zap.Error(err))
-		w.lost.Add(1)
+		w.lostTurns.Add(1)
 		return encoded
 	}
-	return longer
+	return extended
 }
 
 // appendQueued encodes all turns that have been handed over.
@@ -111,7 +111,7 @@
 }
 
 func (w *Writer) prune() {
-	if _, err := w.store.Prune(w.bounds, time.Now()); err != nil {
+	if _, err := w.store.Prune(w.limits, time.Now()); err != nil {
 		w.log.Warn("pruning records failed", zap.Error(err))
 	}
 }
@@ -119,19 +119,19 @@
 // commit writes a chunk, behind a gap if turns were lost before it. A chunk that can't be written is lost itself, and
 // shows as a gap before the next.
 func (w *Writer) commit(encoded []byte) {
-	lost := w.lost.Load()
+	lost := w.lostTurns.Load()
 	if len(encoded) == 0 && lost == 0 {
 		return
 	}
 	err := w.update(func(tx *bbolt.Tx) error { return w.putChunks(tx, encoded, lost > 0) })
 	if err != nil {
-		w.lost.Add(1)
+		w.lostTurns.Add(1)
 		w.log.Error("record not written, continuing with a gap in it", zap.Error(err))
 		return
 	}
-	w.lost.Add(-lost)
+	w.lostTurns.Add(-lost)
 	w.nextChunk += 2 // one for a gap, one for turns
-	if w.segmentBytes >= w.bounds.SegmentBytes {
+	if w.segmentBytes >= w.limits.SegmentBytes {
 		w.segment++
 		w.segmentBytes = 0
 	}
--- a/internal/record/writer_test.go
+++ b/internal/record/writer_test.go
@@ -99,5 +99,5 @@
 	}
 	stop()
 	b.ReportMetric(float64(w.Bytes.Load())/float64(max(1, w.Turns.Load())*50), "bytes/note")
-	b.ReportMetric(float64(w.lost.Load())/float64(b.N), "lost/turn")
+	b.ReportMetric(float64(w.lostTurns.Load())/float64(b.N), "lost/turn")
 }
