--- a/internal/record/life_test.go
+++ b/internal/record/life_test.go
@@ -12,7 +12,7 @@
 // TestLifeJSON guards the form in which lives are stored: an earlier version wrote it, a later one reads it.
 func TestLifeJSON(t *testing.T) {
 	started := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
-	whole := Life{
+	full := Life{
 		Format:         2,
 		ID:             "i",
 		Pilot:          "p",
@@ -26,7 +26,7 @@
 	}
 	for want, life := range map[string]Life{
 		`{"Format":2,"ID":"i","Pilot":"p","Seed":7,"Module":"m","Terms":"t","Now":"n",` +
-			`"Started":"2026-03-01T12:00:00Z","After":"a","TailMs":1.5}`: whole,
+			`"Started":"2026-03-01T12:00:00Z","After":"a","TailMs":1.5}`: full,
 		`{"Format":0,"ID":"","Pilot":"","Seed":0,"Module":"","Terms":"",` +
 			`"Started":"2026-03-01T12:00:00Z","After":"","TailMs":0}`: {Started: started},
 	} {
--- a/internal/record/restore_test.go
+++ b/internal/record/restore_test.go
@@ -17,22 +17,22 @@
 func TestHostileTurns(t *testing.T) {
 	inf := math.Inf(1)
 	nan := math.NaN()
-	met := func(m planner.EndpointStats) Turn { return turnOf(Input{Kind: KindEndpointStats, Event: m}) }
+	statsTurn := func(m planner.EndpointStats) Turn { return turnOf(Input{Kind: KindEndpointStats, Event: m}) }
 	infinite := planner.Load{"util": inf}
-	checked := planner.HealthCheckResult{Load: infinite}
+	infiniteCheck := planner.HealthCheckResult{Load: infinite}
 	for name, c := range map[string]struct {
-		turn Turn
-		torn bool
+		turn    Turn
+		corrupt bool
 	}{
-		"endpoint below":      {met(planner.EndpointStats{Endpoint: -1, Attempts: 1, SpanMs: 1}), false},
-		"endpoint beyond":     {met(planner.EndpointStats{Endpoint: 1 << 40, Attempts: 1, SpanMs: 1}), false},
-		"zone beyond":         {met(planner.EndpointStats{Zone: 1 << 40, Attempts: 1, SpanMs: 1}), false},
-		"zone below":          {met(planner.EndpointStats{Zone: -5, Attempts: 1, SpanMs: 1}), false},
-		"load infinite":       {met(planner.EndpointStats{Attempts: 1, SpanMs: 1, Load: infinite}), false},
-		"mean not a number":   {met(planner.EndpointStats{Attempts: 1, SpanMs: 1, MeanMs: nan}), false},
+		"endpoint below":      {statsTurn(planner.EndpointStats{Endpoint: -1, Attempts: 1, SpanMs: 1}), false},
+		"endpoint beyond":     {statsTurn(planner.EndpointStats{Endpoint: 1 << 40, Attempts: 1, SpanMs: 1}), false},
+		"zone beyond":         {statsTurn(planner.EndpointStats{Zone: 1 << 40, Attempts: 1, SpanMs: 1}), false},
+		"zone below":          {statsTurn(planner.EndpointStats{Zone: -5, Attempts: 1, SpanMs: 1}), false},
+		"load infinite":       {statsTurn(planner.EndpointStats{Attempts: 1, SpanMs: 1, Load: infinite}), false},
+		"mean not a number":   {statsTurn(planner.EndpointStats{Attempts: 1, SpanMs: 1, MeanMs: nan}), false},
 		"kind beyond":         {turnOf(Input{Kind: KindRequestStats, Event: planner.RequestStats{Class: 1 << 40}}), false},
 		"slice's kind beyond": {turnOf(Input{Kind: KindSliceStats, Event: planner.SliceStats{Class: -1}}), false},
-		"probe's load":        {turnOf(Input{Kind: KindHealthChecked, Text: "x", HealthCheck: checked}), false},
+		"probe's load":        {turnOf(Input{Kind: KindHealthChecked, Text: "x", HealthCheck: infiniteCheck}), false},
 		"no time":             {Turn{AtMs: nan}, true},
 		"before all time":     {Turn{AtMs: -inf}, true},
 		"beyond all time":     {Turn{AtMs: 1e300}, true},
@@ -45,7 +45,7 @@
 			turns := append([]Turn{listedTurn}, throughCodec(t, c.turn)...)
 			turns = append(turns, Turn{AtMs: 5000})
 			err := Restore(controller.NewCore(options), turns)
-			if c.torn {
+			if c.corrupt {
 				assert.ErrorIs(t, err, ErrCorrupt)
 				return
 			}
--- a/internal/record/store_test.go
+++ b/internal/record/store_test.go
@@ -28,8 +28,8 @@
 	dropped, err := s.Prune(Limits{Bytes: size}, time.Now())
 	require.NoError(t, err)
 	assert.Positive(t, dropped)
-	left, _ := s.Size("b")
-	assert.LessOrEqual(t, left, size)
+	remaining, _ := s.Size("b")
+	assert.LessOrEqual(t, remaining, size)
 	at, _, err := readLife(s, "b")
 	require.NoError(t, err)
 	assert.Equal(t, 199.0, at[len(at)-1])
@@ -39,9 +39,9 @@
 	require.NoError(t, err)
 	assert.Len(t, lives, 1)
 	require.NoError(t, s.Close())
-	again, err := Open(dir, true)
+	reopened, err := Open(dir, true)
 	require.NoError(t, err)
-	require.NoError(t, again.Close())
+	require.NoError(t, reopened.Close())
 }
 
 // TestTorn guards against bytes that changed on the disk: what lies before them is read, and they are named.
@@ -53,9 +53,9 @@
 	at, _, err := readLife(s, "a")
 	assert.ErrorIs(t, err, ErrCorrupt)
 	assert.NotEmpty(t, at)
-	turns, torn, err := ReadTail(s, "a", 1e9)
+	turns, damaged, err := ReadTail(s, "a", 1e9)
 	require.NoError(t, err)
-	assert.True(t, torn)
+	assert.True(t, damaged)
 	assert.Len(t, turns, len(at))
 }
 
--- a/internal/record/tail_test.go
+++ b/internal/record/tail_test.go
@@ -61,9 +61,9 @@
 		}
 	}
 	for _, tail := range []float64{0, 1000, 60_000, 1e9} {
-		turns, torn, err := ReadTail(s, "a", tail)
+		turns, damaged, err := ReadTail(s, "a", tail)
 		require.NoError(t, err)
-		assert.False(t, torn)
+		assert.False(t, damaged)
 		assert.Equal(t, all[ReplayStart(all, tail):], turns, "%g ms", tail)
 	}
 }
--- a/internal/record/writer_test.go
+++ b/internal/record/writer_test.go
@@ -50,9 +50,9 @@
 	require.NoError(t, err)
 	release := make(chan struct{})
 	update := w.update
-	var held atomic.Bool
+	var blocked atomic.Bool
 	w.update = func(f func(*bbolt.Tx) error) error {
-		if held.CompareAndSwap(false, true) {
+		if blocked.CompareAndSwap(false, true) {
 			<-release
 		}
 		return update(f)
