--- a/internal/record/tail.go
+++ b/internal/record/tail.go
@@ -37,7 +37,7 @@
 
 // ReadTail reads the turns from which a life can be gone on from. Torn tells that what follows them can't be read. No
 // more than the tail and a chunk is held at a time: a life may be a week long.
-func ReadTail(s *Store, life string, tailMs float64) (turns []Turn, torn bool, err error) {
+func ReadTail(s *Store, life string, tailMs float64) (turns []Turn, damaged bool, err error) {
 	err = s.Read(life, func(chunk []Turn, gap bool) error {
 		if gap {
 			turns = nil // what lies before a gap does not lead to what lies after it
