--- a/internal/handover/handoff.go
+++ b/internal/handover/handoff.go
@@ -22,7 +22,7 @@
 	// lockRetryInterval is the pause between two tries of the lock after the successor was lost.
 	lockRetryInterval = 100 * time.Millisecond
 	// defaultPatience is how often the lock is tried then: for ten seconds.
-	defaultPatience = 100
+	defaultLockAttempts = 100
 )
 
 // Handoff is the side that hands off: the process that runs the controller.
@@ -41,18 +41,18 @@
 
 // Serve answers those who want to take over, one at a time, until one has or ctx ends. It returns whether one has. When
 // it returns, so have all goroutines that it started.
-func (o *Handoff) Serve(ctx context.Context, socket string) (bool, error) {
-	o.socket = socket
-	listener, err := listenOn(socket)
+func (h *Handoff) Serve(ctx context.Context, socket string) (bool, error) {
+	h.socket = socket
+	listener, err := listenUnix(socket)
 	if err != nil {
 		return false, fmt.Errorf("offer handover: %w", err)
 	}
-	s := &handoffServer{offer: o, listener: listener, slots: make(chan struct{}, maxRequests)}
+	s := &handoffServer{handoff: h, listener: listener, slots: make(chan struct{}, maxRequests)}
 	return s.serve(ctx)
 }
 
 // listenOn opens the handover socket, in place of one that a killed process left.
-func listenOn(socket string) (*net.UnixListener, error) {
+func listenUnix(socket string) (*net.UnixListener, error) {
 	_ = os.Remove(socket) // if there is one; what else is wrong shows below
 	listener, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: socket, Net: "unixpacket"})
 	if err != nil {
@@ -64,11 +64,11 @@
 
 // handoffServer accepts connections on the handover socket.
 type handoffServer struct {
-	offer    *Handoff
-	listener *net.UnixListener
-	slots    chan struct{} // one for each connection that is looked at
-	busy     atomic.Bool   // a handover is under way
-	taken    atomic.Bool   // another process has taken over
+	handoff   *Handoff
+	listener  *net.UnixListener
+	slots     chan struct{} // one for each connection that is looked at
+	busy      atomic.Bool   // a handover is under way
+	takenOver atomic.Bool   // another process has taken over
 }
 
 // serve accepts until one has taken over, ctx ends or the listener fails. Each of these cancels the inner context,
@@ -84,8 +84,8 @@
 		conn, err := s.listener.AcceptUnix()
 		if err != nil {
 			cancel()
-			if s.taken.Load() || ctx.Err() != nil {
-				return s.taken.Load(), nil
+			if s.takenOver.Load() || ctx.Err() != nil {
+				return s.takenOver.Load(), nil
 			}
 			return false, fmt.Errorf("offer handover: %w", err)
 		}
@@ -112,7 +112,7 @@
 
 // handle serves one connection and closes it. The end of ctx ends the wait that is under way. If the other process has
 // taken over, stop is called while the server is still busy, so that no third one is offered anything.
-func (s *handoffServer) handle(ctx context.Context, stop context.CancelFunc, conn *net.UnixConn) {
+func (s *handoffServer) handle(ctx context.Context, cancel context.CancelFunc, conn *net.UnixConn) {
 	defer func() { _ = conn.Close() }() // all has been said
 	defer context.AfterFunc(ctx, func() { _ = conn.SetReadDeadline(time.Now()) })()
 	if err := expect(conn, stepRequest, requestTimeout); err != nil {
@@ -123,34 +123,34 @@
 		return
 	}
 	defer s.busy.Store(false)
-	if s.offer.handOver(ctx, conn) {
-		s.taken.Store(true)
-		stop()
+	if s.handoff.handOver(ctx, conn) {
+		s.takenOver.Store(true)
+		cancel()
 	}
 }
 
 // handOver goes through the steps with a process that wants to take over and returns whether it has.
-func (o *Handoff) handOver(ctx context.Context, conn *net.UnixConn) bool {
-	machine := recovery.Predecessor{Patience: cmp.Or(o.Patience, defaultPatience)}
+func (h *Handoff) handOver(ctx context.Context, conn *net.UnixConn) bool {
+	machine := recovery.Predecessor{Patience: cmp.Or(h.Patience, defaultLockAttempts)}
 	event := recovery.Asked
 	for {
 		switch machine.Next(event) {
 		case recovery.SayOffer:
-			event = o.offerListeners(conn)
+			event = h.offerListeners(conn)
 		case recovery.StopPilot:
-			o.Stop()
+			h.Stop()
 			event = recovery.Stopped
 		case recovery.SayGo:
 			event = exchange(conn, message{Step: stepGo}, nil, stepServing, recovery.ServingCame)
 		case recovery.Claim:
-			lock, err := AcquireLock(o.socket)
+			lock, err := AcquireLock(h.socket)
 			if err != nil {
 				event = recovery.Refused
 				backoff.Sleep(ctx, lockRetryInterval)
 				continue
 			}
 			machine.Next(recovery.Claimed)
-			o.Resume(lock)
+			h.Resume(lock)
 			return false
 		default:
 			return machine.Replaced()
@@ -159,10 +159,10 @@
 }
 
 // offerListeners sends the listeners and waits until the successor is ready.
-func (o *Handoff) offerListeners(conn *net.UnixConn) recovery.Event {
+func (h *Handoff) offerListeners(conn *net.UnixConn) recovery.Event {
 	m := message{Step: stepOffer}
 	var files []*os.File
-	for name, file := range o.Files {
+	for name, file := range h.Files {
 		m.Names = append(m.Names, name)
 		files = append(files, file)
 	}
@@ -170,12 +170,12 @@
 }
 
 // exchange sends a message and waits for a step of the other side, which gives an event; anything else gives Lost.
-func exchange(conn *net.UnixConn, m message, files []*os.File, step string, came recovery.Event) recovery.Event {
+func exchange(conn *net.UnixConn, m message, files []*os.File, step string, success recovery.Event) recovery.Event {
 	if err := send(conn, m, files); err != nil {
 		return recovery.Lost
 	}
 	if err := expect(conn, step, StepTimeout); err != nil {
 		return recovery.Lost
 	}
-	return came
+	return success
 }
--- a/internal/handover/lock.go
+++ b/internal/handover/lock.go
@@ -33,8 +33,8 @@
 }
 
 // Release releases the lock. Of one that is not held, or nil, nothing is done.
-func (c *Lock) Release() {
-	if c != nil {
-		_ = c.file.Close() // closes it once; again does nothing
+func (l *Lock) Release() {
+	if l != nil {
+		_ = l.file.Close() // closes it once; again does nothing
 	}
 }
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -55,16 +55,16 @@
 }
 
 // expect waits for a message of a step that brings no files; those that come all the same are closed.
-func expect(conn *net.UnixConn, step string, within time.Duration) error {
-	_, files, err := receive(conn, step, within)
+func expect(conn *net.UnixConn, step string, timeout time.Duration) error {
+	_, files, err := receive(conn, step, timeout)
 	closeFiles(files)
 	return err
 }
 
 // receive waits for the next message, which is to be of a step, and returns it with the files that came along. With an
 // error there are none: they are closed.
-func receive(conn *net.UnixConn, step string, within time.Duration) (message, []*os.File, error) {
-	p, err := readPacket(conn, step, within)
+func receive(conn *net.UnixConn, step string, timeout time.Duration) (message, []*os.File, error) {
+	p, err := readPacket(conn, step, timeout)
 	if err != nil {
 		return message{}, nil, err
 	}
@@ -88,10 +88,10 @@
 }
 
 // readPacket waits for a packet. An empty one is the end of the connection.
-func readPacket(conn *net.UnixConn, step string, within time.Duration) (packet, error) {
+func readPacket(conn *net.UnixConn, step string, timeout time.Duration) (packet, error) {
 	text := make([]byte, maxMessageBytes)
 	control := make([]byte, maxMessageBytes)
-	_ = conn.SetReadDeadline(time.Now().Add(within)) // fails only if the read below does
+	_ = conn.SetReadDeadline(time.Now().Add(timeout)) // fails only if the read below does
 	n, controlLen, flags, _, err := conn.ReadMsgUnix(text, control)
 	if err != nil || n == 0 {
 		return packet{}, errors.Join(fmt.Errorf("wait for %s: %w", step, ErrBroken), err)
