--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -17,7 +17,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // patience is how often the predecessor of a test tries the lock.
-const patience = 8
+const lockAttempts = 8
 
 // requestUntilOffered requests to take over, again until somebody listens.
 func requestUntilOffered(t *testing.T, socket string) (takeover *Takeover) {
@@ -56,7 +56,7 @@
 func mustClose(t *testing.T, c io.Closer) { assert.NoError(t, c.Close()) }
 
 // claimed requests to take over until it has the lock.
-func claimed(t *testing.T, socket string) (*Takeover, *Lock) {
+func requestAndClaim(t *testing.T, socket string) (*Takeover, *Lock) {
 	takeover := requestUntilOffered(t, socket)
 	lock, err := takeover.Claim()
 	require.NoError(t, err)
@@ -67,19 +67,19 @@
 // on whenever the successor does not come to serve.
 func TestHandover(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		take    func(t *testing.T, socket string)
-		taken   bool
-		stops   int
-		resumes int
+		name      string
+		successor func(t *testing.T, socket string)
+		takenOver bool
+		stops     int
+		resumes   int
 	}{
 		{"all well", takeOver, true, 1, 0},
 		{"it serves but can't say so", takeOverSilently, true, 1, 0},
-		{"it gives up after the offer", giveUpAfterOffer, false, 0, 0},
+		{"it gives up after the offer", abortAfterOffer, false, 0, 0},
 		{"it dies while it waits", dieWhenReady, false, 1, 1},
 		{"it dies before it serves", dieWithLock, false, 1, 1},
 		{"a second one meanwhile", takeOverBeforeAnother, true, 1, 0},
-		{"noise", sendNoise, false, 0, 0},
+		{"noise", sendMalformed, false, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, file := listenTCP(t)
@@ -94,24 +94,24 @@
 			resumes := 0
 			handoff := Handoff{
 				Files:    map[string]*os.File{"streams": file},
-				Patience: patience,
+				Patience: lockAttempts,
 				Stop:     func() { stops++; lock.Release() },
 				Resume:   func(again *Lock) { resumes++; again.Release() },
 			}
 			ctx, cancel := context.WithCancel(t.Context())
-			taken := make(chan bool, 1)
+			takenOver := make(chan bool, 1)
 			go func() {
 				ok, err := handoff.Serve(ctx, socket)
 				assert.NoError(t, err)
-				taken <- ok
+				takenOver <- ok
 			}()
 			awaitSocket(t, socket)
-			c.take(t, socket)
-			if !c.taken {
+			c.successor(t, socket)
+			if !c.takenOver {
 				time.Sleep(50 * time.Millisecond)
 				cancel()
 			}
-			assert.Equal(t, c.taken, <-taken)
+			assert.Equal(t, c.takenOver, <-takenOver)
 			cancel()
 			assert.Equal(t, c.stops, stops)
 			assert.Equal(t, c.resumes, resumes)
@@ -122,7 +122,7 @@
 }
 
 func takeOver(t *testing.T, socket string) {
-	takeover, lock := claimed(t, socket)
+	takeover, lock := requestAndClaim(t, socket)
 	defer lock.Release()
 	takeover.Started(true)
 	takeover.Abort()
@@ -130,13 +130,13 @@
 
 // takeOverSilently holds the lock for longer than the predecessor's patience.
 func takeOverSilently(t *testing.T, socket string) {
-	takeover, lock := claimed(t, socket)
+	takeover, lock := requestAndClaim(t, socket)
 	takeover.Abort()
-	time.Sleep((patience + 4) * lockRetryInterval)
+	time.Sleep((lockAttempts + 4) * lockRetryInterval)
 	lock.Release()
 }
 
-func giveUpAfterOffer(t *testing.T, socket string) {
+func abortAfterOffer(t *testing.T, socket string) {
 	requestUntilOffered(t, socket).Abort()
 }
 
@@ -148,7 +148,7 @@
 
 // dieWithLock releases the lock within the predecessor's patience, as the kernel does when a process is dead.
 func dieWithLock(t *testing.T, socket string) {
-	takeover, lock := claimed(t, socket)
+	takeover, lock := requestAndClaim(t, socket)
 	takeover.Abort()
 	time.Sleep(3 * lockRetryInterval)
 	lock.Release()
@@ -168,7 +168,7 @@
 	takeover.Abort()
 }
 
-func sendNoise(t *testing.T, socket string) {
+func sendMalformed(t *testing.T, socket string) {
 	conn := dialSocket(t, socket)
 	defer mustClose(t, conn)
 	_, err := conn.Write([]byte("{"))
@@ -194,7 +194,7 @@
 		done <- ok
 	}()
 	awaitSocket(t, socket)
-	takeover, lock := claimed(t, socket)
+	takeover, lock := requestAndClaim(t, socket)
 	defer lock.Release()
 	client, err := net.Dial("tcp", address) // nobody accepts now
 	require.NoError(t, err)
--- a/internal/handover/message_hostile_test.go
+++ b/internal/handover/message_hostile_test.go
@@ -19,10 +19,10 @@
 func TestBadRequester(t *testing.T) {
 	socket := filepath.Join(t.TempDir(), "handover.sock")
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan error, 1)
+	served := make(chan error, 1)
 	handoff := Handoff{Stop: func() { t.Error("stopped for a bad requester") }, Resume: func(*Lock) {}}
-	go func() { _, err := handoff.Serve(ctx, socket); ended <- err }()
-	defer func() { cancel(); assert.NoError(t, <-ended) }()
+	go func() { _, err := handoff.Serve(ctx, socket); served <- err }()
+	defer func() { cancel(); assert.NoError(t, <-served) }()
 	mustClose(t, dialSocket(t, socket))
 	silent := dialSocket(t, socket)
 	defer mustClose(t, silent)
@@ -44,13 +44,13 @@
 		assert.True(t, n == 0 || err != nil, "%s was answered", name)
 		mustClose(t, conn)
 	}
-	assertNoGoroutinesStay(t, socket)
-	assertNoFilesStay(t, socket)
+	assertNoGoroutineLeak(t, socket)
+	assertNoFileLeak(t, socket)
 	requestUntilOffered(t, socket).Abort() // while one is still silent
 }
 
 // assertNoGoroutinesStay makes many connections that end at once.
-func assertNoGoroutinesStay(t *testing.T, socket string) {
+func assertNoGoroutineLeak(t *testing.T, socket string) {
 	before := runtime.NumGoroutine()
 	for range 200 {
 		mustClose(t, dialSocket(t, socket))
@@ -60,7 +60,7 @@
 }
 
 // assertNoFilesStay sends files along with requests, which bring none.
-func assertNoFilesStay(t *testing.T, socket string) {
+func assertNoFileLeak(t *testing.T, socket string) {
 	before, err := openFiles()
 	require.NoError(t, err)
 	for range 20 {
