--- a/internal/identity/authority.go
+++ b/internal/identity/authority.go
@@ -40,12 +40,12 @@
 }
 
 // NewAuthority creates an authority whose certificate is valid for a period from now.
-func NewAuthority(name string, lasts time.Duration) (*Authority, error) {
+func NewAuthority(name string, validity time.Duration) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, fmt.Errorf("make authority: %w", err)
 	}
-	template := newTemplate(name, time.Now().Add(-clockSlack), lasts)
+	template := newTemplate(name, time.Now().Add(-clockSlack), validity)
 	template.IsCA = true
 	template.BasicConstraintsValid = true
 	template.KeyUsage = x509.KeyUsageCertSign
@@ -61,7 +61,7 @@
 }
 
 // newTemplate returns the fields that all certificates have.
-func newTemplate(name string, from time.Time, lasts time.Duration) *x509.Certificate {
+func newTemplate(name string, notBefore time.Time, validity time.Duration) *x509.Certificate {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
 		serial = big.NewInt(time.Now().UnixNano())
@@ -69,21 +69,21 @@
 	return &x509.Certificate{
 		SerialNumber: serial,
 		Subject:      pkix.Name{CommonName: name},
-		NotBefore:    from,
-		NotAfter:     from.Add(lasts),
+		NotBefore:    notBefore,
+		NotAfter:     notBefore.Add(validity),
 	}
 }
 
 // Issue writes a new certificate, its key and the authority's certificate into a directory and returns their paths.
-func (a *Authority) Issue(dir string, who Identity, from time.Time, lasts time.Duration) (Files, error) {
-	certificate, key, err := a.sign(who, from, lasts)
+func (a *Authority) Issue(dir string, id Identity, notBefore time.Time, validity time.Duration) (Files, error) {
+	certificate, key, err := a.sign(id, notBefore, validity)
 	if err != nil {
-		return Files{}, fmt.Errorf("issue %s: %w", who, err)
+		return Files{}, fmt.Errorf("issue %s: %w", id, err)
 	}
 	files := Files{
 		Authority:   filepath.Join(dir, "authority.pem"),
-		Certificate: filepath.Join(dir, who.Name+".pem"),
-		Key:         filepath.Join(dir, who.Name+"-key.pem"),
+		Certificate: filepath.Join(dir, id.Name+".pem"),
+		Key:         filepath.Join(dir, id.Name+"-key.pem"),
 	}
 	// The certificate is written last: once it can be read, so can its key.
 	for _, part := range []struct {
@@ -96,8 +96,8 @@
 		{files.Certificate, pemCertificate, certificate, publicMode},
 	} {
 		text := pem.EncodeToMemory(&pem.Block{Type: part.block, Bytes: part.der})
-		if err := replace(part.path, text, part.mode); err != nil {
-			return Files{}, fmt.Errorf("issue %s: %w", who, err)
+		if err := writeFileAtomic(part.path, text, part.mode); err != nil {
+			return Files{}, fmt.Errorf("issue %s: %w", id, err)
 		}
 	}
 	return files, nil
@@ -105,21 +105,21 @@
 
 // sign returns a new certificate for an identity and its key, both DER-encoded. It is valid for clients and servers on
 // this machine.
-func (a *Authority) sign(who Identity, from time.Time, lasts time.Duration) (certificate, key []byte, err error) {
-	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+func (a *Authority) sign(id Identity, notBefore time.Time, validity time.Duration) (certificate, key []byte, err error) {
+	privateKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, nil, err
 	}
-	template := newTemplate(who.Name, from, lasts)
-	template.URIs = []*url.URL{who.uri()}
+	template := newTemplate(id.Name, notBefore, validity)
+	template.URIs = []*url.URL{id.uri()}
 	template.KeyUsage = x509.KeyUsageDigitalSignature
 	template.IPAddresses = []net.IP{net.IPv4(127, 0, 0, 1), net.IPv6loopback}
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}
-	certificate, err = x509.CreateCertificate(rand.Reader, template, a.cert, &private.PublicKey, a.key)
+	certificate, err = x509.CreateCertificate(rand.Reader, template, a.cert, &privateKey.PublicKey, a.key)
 	if err != nil {
 		return nil, nil, err
 	}
-	key, err = x509.MarshalPKCS8PrivateKey(private)
+	key, err = x509.MarshalPKCS8PrivateKey(privateKey)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/identity/keystore.go
+++ b/internal/identity/keystore.go
@@ -13,14 +13,14 @@
 // Files are the PEM files of a key store.
 type Files struct{ Authority, Certificate, Key string }
 
-func (f Files) list() []string { return []string{f.Authority, f.Certificate, f.Key} }
+func (f Files) paths() []string { return []string{f.Authority, f.Certificate, f.Key} }
 
 // KeyStore is the key store of a process: its own certificate, and the authority that peers are verified against. The
 // files are reloaded at the next handshake after they have changed; if they are invalid, the previous keys stay in
 // force. It is safe for concurrent use.
 type KeyStore struct {
-	files   Files
-	refused func(peer net.Addr, err error) // reports a rejected peer to operators; may be nil
+	files      Files
+	onRejected func(peer net.Addr, err error) // reports a rejected peer to operators; may be nil
 
 	mu    sync.Mutex
 	cert  *tls.Certificate // Leaf is set
@@ -29,8 +29,8 @@
 }
 
 // Load reads a key store. If refused is not nil, it is called for each rejected peer.
-func Load(f Files, refused func(net.Addr, error)) (*KeyStore, error) {
-	k := &KeyStore{files: f, refused: refused}
+func Load(f Files, onRejected func(net.Addr, error)) (*KeyStore, error) {
+	k := &KeyStore{files: f, onRejected: onRejected}
 	if err := k.read(); err != nil {
 		return nil, err
 	}
@@ -39,7 +39,7 @@
 
 // read reads the files. On an error the store is unchanged.
 func (k *KeyStore) read() error {
-	stamp, err := newest(k.files.list()...)
+	stamp, err := newestModTime(k.files.paths()...)
 	if err != nil {
 		return err
 	}
@@ -83,7 +83,7 @@
 func (k *KeyStore) current() (*tls.Certificate, *x509.CertPool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.watch.reload(k.read, k.files.list()...)
+	k.watch.reload(k.read, k.files.paths()...)
 	return k.cert, k.pool
 }
 
--- a/internal/identity/reload.go
+++ b/internal/identity/reload.go
@@ -23,7 +23,7 @@
 		return
 	}
 	w.checkedAt = time.Now()
-	stamp, err := newest(files...)
+	stamp, err := newestModTime(files...)
 	if err != nil {
 		w.err = err
 		return
@@ -34,7 +34,7 @@
 }
 
 // newest returns the modification time of the file that changed last.
-func newest(files ...string) (time.Time, error) {
+func newestModTime(files ...string) (time.Time, error) {
 	var latest time.Time
 	for _, file := range files {
 		info, err := os.Stat(file)
@@ -49,11 +49,11 @@
 }
 
 // replace writes a file under a temporary name and renames it, so that no reader sees a partial file.
-func replace(path string, text []byte, mode os.FileMode) error {
+func writeFileAtomic(path string, data []byte, mode os.FileMode) error {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return err
 	}
-	if err := os.WriteFile(path+".new", text, mode); err != nil {
+	if err := os.WriteFile(path+".new", data, mode); err != nil {
 		return err
 	}
 	return os.Rename(path+".new", path)
--- a/internal/identity/secret.go
+++ b/internal/identity/secret.go
@@ -48,7 +48,7 @@
 	if _, err := rand.Read(key); err != nil {
 		return fmt.Errorf("make secret: %w", err)
 	}
-	return replace(path, []byte(hex.EncodeToString(key)+"\n"), secretMode)
+	return writeFileAtomic(path, []byte(hex.EncodeToString(key)+"\n"), secretMode)
 }
 
 // LoadSecret reads a file of keys.
@@ -62,7 +62,7 @@
 
 // read reads the file. On an error the keys are unchanged.
 func (s *Secret) read() error {
-	stamp, err := newest(s.path)
+	stamp, err := newestModTime(s.path)
 	if err != nil {
 		return fmt.Errorf("secret: %w", err)
 	}
@@ -92,11 +92,11 @@
 		if err != nil || len(key) != secretBytes { // the error must not contain the key
 			return nil, fmt.Errorf("secret: %s:%d: no key of %d bytes in hex", s.path, n, secretBytes)
 		}
-		sealer, err := newCipher(key)
+		aead, err := newCipher(key)
 		if err != nil {
 			return nil, fmt.Errorf("secret: %s:%d: %w", s.path, n, err)
 		}
-		ciphers = append(ciphers, sealer)
+		ciphers = append(ciphers, aead)
 	}
 	if len(ciphers) == 0 || len(ciphers) > maxSecrets {
 		return nil, fmt.Errorf("secret: %s holds %d keys, wanted are 1 to %d", s.path, len(ciphers), maxSecrets)
@@ -129,22 +129,22 @@
 
 // Seal appends a sealed message to b. The data in outside is authenticated but not encrypted. Each message carries a
 // number greater than those before, also across restarts of the process as long as the clock does not go back.
-func (s *Secret) Seal(b, outside, message []byte) ([]byte, error) {
+func (s *Secret) Seal(b, additionalData, message []byte) ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	newest := s.current()[0]
+	sealer := s.current()[0]
 	s.lastNumber = max(s.lastNumber+1, uint64(time.Now().UnixNano()))
-	nonce := make([]byte, newest.NonceSize())
+	nonce := make([]byte, sealer.NonceSize())
 	if _, err := rand.Read(nonce); err != nil {
 		return nil, fmt.Errorf("seal: %w", err)
 	}
-	inside := binary.BigEndian.AppendUint64(nil, s.lastNumber)
-	inside = append(inside, message...)
-	return newest.Seal(append(b, nonce...), nonce, inside, outside), nil
+	plaintext := binary.BigEndian.AppendUint64(nil, s.lastNumber)
+	plaintext = append(plaintext, message...)
+	return sealer.Seal(append(b, nonce...), nonce, plaintext, additionalData), nil
 }
 
 // Open decrypts a sealed message and returns it and its number. It returns ErrSeal if none of the keys opens it.
-func (s *Secret) Open(outside, sealed []byte) (number uint64, message []byte, err error) {
+func (s *Secret) Open(additionalData, sealed []byte) (number uint64, message []byte, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ciphers := s.current()
@@ -153,9 +153,9 @@
 	}
 	for _, key := range ciphers {
 		nonce := sealed[:key.NonceSize()]
-		inside, err := key.Open(nil, nonce, sealed[key.NonceSize():], outside)
+		plaintext, err := key.Open(nil, nonce, sealed[key.NonceSize():], additionalData)
 		if err == nil {
-			return binary.BigEndian.Uint64(inside), inside[numberBytes:], nil
+			return binary.BigEndian.Uint64(plaintext), plaintext[numberBytes:], nil
 		}
 	}
 	return 0, nil, ErrSeal
--- a/internal/identity/tls.go
+++ b/internal/identity/tls.go
@@ -11,18 +11,18 @@
 var nextProtos = []string{"h2"}
 
 // Server returns the configuration of a listener that admits the given roles. Each handshake uses the keys in force.
-func (k *KeyStore) Server(let ...Role) *tls.Config {
+func (k *KeyStore) Server(allowed ...Role) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: nextProtos,
 		GetConfigForClient: func(hello *tls.ClientHelloInfo) (*tls.Config, error) {
-			return k.serverConfig(hello, let), nil
+			return k.serverConfig(hello, allowed), nil
 		},
 	}
 }
 
 // serverConfig returns the configuration of one handshake.
-func (k *KeyStore) serverConfig(hello *tls.ClientHelloInfo, let []Role) *tls.Config {
+func (k *KeyStore) serverConfig(hello *tls.ClientHelloInfo, allowed []Role) *tls.Config {
 	cert, pool := k.current()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
@@ -30,9 +30,9 @@
 		Certificates: []tls.Certificate{*cert},
 		ClientAuth:   tls.RequireAnyClientCert, // VerifyConnection checks the chain and the identity
 		VerifyConnection: func(s tls.ConnectionState) error {
-			err := verify(s, pool, x509.ExtKeyUsageClientAuth, let)
-			if err != nil && k.refused != nil {
-				k.refused(hello.Conn.RemoteAddr(), err)
+			err := verify(s, pool, x509.ExtKeyUsageClientAuth, allowed)
+			if err != nil && k.onRejected != nil {
+				k.onRejected(hello.Conn.RemoteAddr(), err)
 			}
 			return err
 		},
@@ -41,7 +41,7 @@
 
 // Client returns the configuration for dialling a peer with one of the given roles. The peer's identity is verified,
 // not its host name.
-func (k *KeyStore) Client(want ...Role) *tls.Config {
+func (k *KeyStore) Client(allowed ...Role) *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
 		NextProtos:         nextProtos,
@@ -52,13 +52,13 @@
 		},
 		VerifyConnection: func(s tls.ConnectionState) error {
 			_, pool := k.current()
-			return verify(s, pool, x509.ExtKeyUsageServerAuth, want)
+			return verify(s, pool, x509.ExtKeyUsageServerAuth, allowed)
 		},
 	}
 }
 
 // verify checks a peer's certificate chain and role.
-func verify(s tls.ConnectionState, pool *x509.CertPool, use x509.ExtKeyUsage, let []Role) error {
+func verify(s tls.ConnectionState, pool *x509.CertPool, usage x509.ExtKeyUsage, allowed []Role) error {
 	if len(s.PeerCertificates) == 0 {
 		return fmt.Errorf("no certificate: %w", ErrIdentity)
 	}
@@ -67,7 +67,7 @@
 	for _, c := range s.PeerCertificates[1:] {
 		intermediates.AddCert(c)
 	}
-	options := x509.VerifyOptions{Roots: pool, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{use}}
+	options := x509.VerifyOptions{Roots: pool, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{usage}}
 	if _, err := leaf.Verify(options); err != nil {
 		return fmt.Errorf("certificate %q: %w", leaf.Subject.CommonName, err)
 	}
@@ -75,8 +75,8 @@
 	if err != nil {
 		return err
 	}
-	if !slices.Contains(let, identity.Role) {
-		return fmt.Errorf("%s among %v: %w", identity, let, ErrIdentity)
+	if !slices.Contains(allowed, identity.Role) {
+		return fmt.Errorf("%s among %v: %w", identity, allowed, ErrIdentity)
 	}
 	return nil
 }
