--- a/internal/record/doc.go
+++ b/internal/record/doc.go
@@ -1,11 +1,13 @@
-// Package record keeps the inputs of a controller, turn by turn, so that its state can be rebuilt after a crash and its
-// run can be replayed afterwards: each turn's time and inputs, and a digest of the commands that came of them. Turns
-// are encoded here and kept in an embedded database. It decides nothing about routing; docs/records.md has the layout.
+// Package record stores the inputs of a controller, so that its state can be rebuilt after a crash and its run can be
+// replayed later. For each turn of the control loop it stores the time, the inputs and a digest of the commands that
+// the planner returned. The record of one incarnation of a controller, from its start to its end, is called a life.
+// Turns are stored in an embedded database. The package makes no routing decisions; docs/records.md describes the
+// layout.
 //
-//	turn.go, kinds.go          what a record holds
-//	codec.go, input_codec.go   its bytes; primitives in encode.go and decode.go
-//	store.go, database.go      the file; chunk.go, segments.go, life.go, limits.go what lies in it
-//	recorder.go, writer.go     from the control loop to the file
-//	tail.go, replayer.go       from the file to a rebuilt controller
-//	replay.go                  a whole life once more, counted (counting.go) and weighed (estimate.go)
+//	turn.go, kinds.go          turns and their inputs
+//	codec.go, input_codec.go   encoding of turns; primitives in encode.go and decode.go
+//	store.go, database.go      the database file; chunk.go, segments.go, life.go and limits.go its contents
+//	recorder.go, writer.go     recording: from the control loop to the file
+//	tail.go, replayer.go       recovery: from the file to a rebuilt controller
+//	replay.go                  replay of a whole life, with counts (counting.go) and an estimate (estimate.go)
 package record
