--- a/internal/record/codec.go
+++ b/internal/record/codec.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// AppendTurn encodes a turn and appends it to b. If an input can't be encoded, b is returned as it was.
+// AppendTurn appends the encoding of a turn to b. If an input can't be encoded, it returns b unchanged and an error.
 func AppendTurn(b []byte, t *Turn) ([]byte, error) {
 	e := encoder{b}
 	e.fixed64(math.Float64bits(t.AtMs))
@@ -16,8 +16,8 @@
 	return e.buf, nil
 }
 
-// DecodeTurns decodes turns that Append put one behind another. With an error, which is ErrCorrupt, it returns those
-// before it.
+// DecodeTurns decodes consecutive turns that AppendTurn wrote. If the data is damaged, it returns the turns before the
+// damage and an error that wraps ErrCorrupt.
 func DecodeTurns(b []byte) ([]Turn, error) {
 	d := decoder{buf: b}
 	var turns []Turn
@@ -31,7 +31,7 @@
 	return turns, nil
 }
 
-// turn decodes one turn; it stops at the first error.
+// turn decodes one turn. It stops at the first error, which it leaves in d.err.
 func (d *decoder) turn() Turn {
 	var t Turn
 	t.AtMs = math.Float64frombits(d.fixed64())
@@ -46,7 +46,7 @@
 	return t
 }
 
-// input encodes one input: its kind as a byte, then the fields of that kind.
+// input encodes one input: its kind as one byte, followed by the fields of that kind.
 func (e *encoder) input(in *Input) error {
 	e.byte(byte(in.Kind))
 	switch in.Kind {
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// input decodes what encoder.input wrote.
+// input decodes an input that encoder.input wrote. An unknown kind is an error.
 func (d *decoder) input() Input {
 	in := Input{Kind: Kind(d.byte())}
 	switch in.Kind {
--- a/internal/record/codec_test.go
+++ b/internal/record/codec_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestTurns guards the bytes of turns against loss: each kind of input is read as it was written.
-func TestTurns(t *testing.T) {
+// TestTurnsRoundTrip guards against an encoding that loses data: every kind of input must decode to what was encoded.
+func TestTurnsRoundTrip(t *testing.T) {
 	b, err := AppendTurn(nil, sampleTurn(1))
 	require.NoError(t, err)
 	b, err = AppendTurn(b, sampleTurn(2.5))
@@ -16,7 +16,7 @@
 	got, err := DecodeTurns(b)
 	require.NoError(t, err)
 	assert.Equal(t, []Turn{*sampleTurn(1), *sampleTurn(2.5)}, got)
-	for n := range b { // cut short anywhere: what came before it stands, the rest is torn
+	for n := range b { // data that is truncated at any byte gives whole turns or ErrCorrupt
 		_, err := DecodeTurns(b[:n])
 		if n > 0 && err != nil {
 			assert.ErrorIs(t, err, ErrCorrupt)
@@ -24,7 +24,7 @@
 	}
 }
 
-// FuzzTurns guards against bytes that crash the reader of turns.
+// FuzzTurns guards against damaged data that makes DecodeTurns panic. Turns that can be decoded must encode again.
 func FuzzTurns(f *testing.F) {
 	b, err := AppendTurn(nil, sampleTurn(1))
 	require.NoError(f, err)
