--- a/internal/record/counting.go
+++ b/internal/record/counting.go
@@ -5,17 +5,17 @@
 	"indigousher/planner"
 )
 
-// countingDecider passes events on to a planner and counts the commands that come back.
+// countingDecider forwards events to a planner and counts the commands that the planner returns.
 type countingDecider struct {
 	controller.Decider
 	result    *Result
-	digest    uint64 // of the commands given last
+	digest    uint64 // of the commands that the planner returned last
 	estimator *estimator
 }
 
-// Handle asks the planner.
+// Handle forwards events to the planner and counts the commands that it returns.
 func (d *countingDecider) Handle(nowMs float64, events []planner.Event) []planner.Command {
-	d.estimator.observe(events) // with the tables as they stand until now
+	d.estimator.observe(events) // uses the tables as they were before the planner's commands
 	commands := d.Decider.Handle(nowMs, events)
 	d.digest = Digest(commands)
 	for _, command := range commands {
@@ -24,6 +24,7 @@
 	return commands
 }
 
+// count adds a command to the counts of the result.
 func (d *countingDecider) count(command planner.Command) {
 	switch command := command.(type) {
 	case planner.SetWeight:
