--- a/internal/record/decode.go
+++ b/internal/record/decode.go
@@ -5,13 +5,14 @@
 	"math"
 )
 
-// decoder takes values off the front of buf. After the first error, which stays in err, buf is empty and all further
-// values are zero, so that err has to be looked at only before a value is used.
+// decoder reads values from the front of buf. After the first error, which is kept in err, buf is empty and all further
+// values are zero, so err only needs to be checked before a value is used.
 type decoder struct {
 	buf []byte
 	err error
 }
 
+// fail records ErrCorrupt, unless an error is recorded already, and empties buf.
 func (d *decoder) fail() {
 	if d.err == nil {
 		d.err = ErrCorrupt
@@ -71,8 +72,8 @@
 	return s
 }
 
-// number reads what encoder.number wrote: an even varint is the double of a whole number, an odd one announces the
-// eight bytes of a fraction.
+// number decodes a float64 that encoder.number wrote: an even varint is twice a whole number, an odd varint is followed
+// by the eight bytes of any other value.
 func (d *decoder) number() float64 {
 	v := d.int()
 	if v&1 == 0 {
@@ -81,8 +82,8 @@
 	return math.Float64frombits(d.fixed64())
 }
 
-// items reads how many items follow. Each takes at least one byte, so a number beyond what is left is an error: nothing
-// is allocated for it.
+// items decodes the number of items that follow. Each item takes at least one byte, so a number greater than the
+// remaining bytes is an error, which keeps a damaged number from causing a large allocation.
 func (d *decoder) items() uint64 {
 	n := d.uint()
 	if n > uint64(len(d.buf)) {
--- a/internal/record/encode.go
+++ b/internal/record/encode.go
@@ -5,10 +5,11 @@
 	"math"
 )
 
-// largestCompact bounds the whole numbers that number encodes as a varint; any fits an int once it is doubled.
+// compactLimit is the magnitude below which encoder.number writes a whole number as a varint of twice its value, which
+// must fit an int.
 const compactLimit = 1 << 31
 
-// encoder appends values to buf. Its methods pair with those of decoder.
+// encoder appends encoded values to buf. For each of its methods decoder has one that reads the value.
 type encoder struct{ buf []byte }
 
 func (e *encoder) byte(v byte) {
@@ -32,8 +33,9 @@
 	e.buf = append(e.buf, s...)
 }
 
-// number appends a fraction. A small whole number, as most counts and many times are, takes one to five bytes: a varint
-// of its double. Any other takes a varint of 1, which is odd, and its eight bytes.
+// number encodes a float64. A whole number below compactLimit, as most counts and many times are, is encoded as a
+// varint of twice its value, in one to five bytes. Any other value is encoded as the varint 1, which is odd, followed by
+// its eight bytes.
 func (e *encoder) number(v float64) {
 	isNegativeZero := v == 0 && math.Signbit(v)
 	if v == math.Trunc(v) && math.Abs(v) < compactLimit && !isNegativeZero {
