--- a/internal/record/digest.go
+++ b/internal/record/digest.go
@@ -9,10 +9,11 @@
 
 var crcTable = crc64.MakeTable(crc64.ECMA)
 
-// The text of each command as format 2 sums it up: the type and field names that the commands had when the format was
-// fixed, in the field order of that time. They are part of the stored format. A record holds the digests of its turns,
-// and Fingerprint, made of such digests, tells whether a record was written by a decider that decides the same; so the
-// texts stay when a Go type or field is renamed. Floats are written in their shortest form that reads back equal.
+// The text of each command from which format 2 computes digests: the type and field names that the commands had when
+// the format was fixed, in the field order of that time. The texts are part of the stored format and must not change
+// when a Go type or field is renamed: a record holds the digests of its turns, and Fingerprint, which is computed from
+// such digests, tells whether a record was written by a planner that makes the same decisions. Floats are written in
+// the shortest form that parses to the same value.
 const (
 	digestSetLine    = "brain.SetLine{Table:%v Endpoint:%v Weight:%v}\n"
 	digestClearTable = "brain.ClearTable{Table:%v}\n"
@@ -28,7 +29,7 @@
 	digestLog        = "brain.Log{Text:%v}\n"
 )
 
-// Digest sums up the commands of a turn, in their order. Turn.Digest holds it in a record.
+// Digest returns a checksum of the commands of a turn, in their order. It is stored in Turn.Digest.
 func Digest(commands []planner.Command) uint64 {
 	h := crc64.New(crcTable)
 	var text []byte
@@ -39,7 +40,7 @@
 	return h.Sum64()
 }
 
-// appendDigest appends the text of one command.
+// appendDigest appends the text of one command to text.
 func appendDigest(text []byte, command planner.Command) []byte {
 	switch c := command.(type) {
 	case planner.SetWeight:
--- a/internal/record/digest_test.go
+++ b/internal/record/digest_test.go
@@ -11,8 +11,8 @@
 	"indigousher/planner"
 )
 
-// TestDigestBytes holds the digest of each command against the value that commit 7c7c6c6 gave, before any type or field
-// was renamed: stored records are read by these values.
+// TestDigestBytes guards the digests in stored records: the digest of each command must be the one that commit 7c7c6c6
+// computed, before any type or field was renamed.
 func TestDigestBytes(t *testing.T) {
 	for _, c := range []struct {
 		command planner.Command
@@ -47,9 +47,10 @@
 	assert.Equal(t, "1ed775898c4325d5", fmt.Sprintf("%016x", Digest(all)))
 }
 
-// TestFingerprintStays guards the value by which a pilot knows the record of one that decides as it does. Commit
-// 7c7c6c6 wrote it into its lives; a change of what the planner decides changes it, a change of names must not.
-func TestFingerprintStays(t *testing.T) {
+// TestFingerprintUnchanged guards the fingerprint by which a pilot recognizes records of a planner that makes the same
+// decisions. Commit 7c7c6c6 stored this value in its lives. The fingerprint changes with the planner's decisions, but
+// must not change when a type or field is renamed.
+func TestFingerprintUnchanged(t *testing.T) {
 	newDecider := func(seed int64, settings map[string]any) controller.Decider { return planner.New(seed, settings) }
 	assert.Equal(t, "701c66171943c29a", Fingerprint(newDecider))
 }
