--- a/internal/record/errors.go
+++ b/internal/record/errors.go
@@ -2,10 +2,10 @@
 
 import "errors"
 
-// Errors of reading, checked with errors.Is.
+// Errors of reading a record, to be matched with errors.Is.
 var (
-	// ErrCorrupt says that stored bytes are damaged, cut off or make no sense.
-	ErrCorrupt = errors.New("the record is torn")
-	// ErrFormat says that a record was written in another version of the format.
-	ErrFormat = errors.New("the record is of another format")
+	// ErrCorrupt means that stored data is damaged, truncated or invalid.
+	ErrCorrupt = errors.New("corrupt record")
+	// ErrFormat means that a record was written in another version of the stored format.
+	ErrFormat = errors.New("unsupported version of the record format")
 )
