--- a/internal/record/estimate.go
+++ b/internal/record/estimate.go
@@ -8,49 +8,51 @@
 )
 
 const (
-	// retention is the part of an endpoint's counts that is kept from one period to the next, so that they follow it.
+	// decayFactor is the fraction of an endpoint's totals that is kept from one period to the next, so that the totals
+	// follow its recent behaviour.
 	decayFactor = 0.8
-	// minAttempts is how many attempts, aged ones included, an endpoint needs until its figures say anything.
+	// minAttempts is the number of attempts, after decay, that an endpoint's totals need to be used in an estimate.
 	minAttempts = 10
-	// maxLoadRatio is how many times the attempts that an endpoint got it is held to answer alike.
+	// maxLoadRatio is the load, as a multiple of the recorded attempts at an endpoint, up to which the endpoint is
+	// assumed to answer as recorded.
 	maxLoadRatio = 1.5
 )
 
-// Estimate is what a replay's tables would have met, as far as the recorded day can tell: each endpoint's attempts fail
-// and take as they did then, weighted by the share that the tables give it. Recorded and RecordedMs are what was met in
-// truth, so that an estimate for the recorded settings shows how far it can be trusted. What more or less load would
-// have changed it can't tell.
+// Estimate estimates the failures and response times that a replay's tables would have led to. It assumes that each
+// endpoint's attempts fail and take as long as recorded, and weights them by the share that the tables give the
+// endpoint. Recorded and RecordedMs are the recorded values; comparing them with an estimate for the recorded settings
+// shows its accuracy. The estimate ignores how a different load would have changed the endpoints' answers.
 type Estimate struct {
-	Attempts   float64 // attempts
-	Recorded   float64 // part of the attempts that failed, then
-	Failed     float64 // part of the attempts that fail, by these tables
-	RecordedMs float64 // mean of the attempts that succeeded, then
-	MeanMs     float64 // mean of the attempts that succeed, by these tables
-	Trusted    float64 // part of the attempts that goes where the record has enough attempts at a like load
+	Attempts   float64 // number of recorded attempts
+	Recorded   float64 // fraction of the attempts that failed in the record
+	Failed     float64 // estimated fraction of the attempts that fail with the replay's tables
+	RecordedMs float64 // mean response time of the recorded successful attempts, in ms
+	MeanMs     float64 // estimated mean response time of the successful attempts, in ms
+	Trusted    float64 // fraction of the attempts at endpoints with enough recorded attempts at a similar load
 }
 
-// estimator adds up an estimate.
+// estimator computes an Estimate from the events of a replay.
 type estimator struct {
-	shares             func() map[int]map[int]float64 // of endpoints, by zone, as the replay's tables stand
+	shares             func() map[int]map[int]float64 // by zone and endpoint, in the replay's present tables
 	endpoints          map[int]*attemptTotals
-	sum                Estimate // totals; result divides them
+	sum                Estimate // totals, which result divides
 	recordedSuccesses  float64
 	estimatedSuccesses float64
 }
 
-// endpointAnswers is how an endpoint answered lately; each period counts less than the one after it.
+// attemptTotals sums the recent attempts at an endpoint. Each period is weighted by decayFactor relative to the next.
 type attemptTotals struct {
 	attempts  float64
 	failed    float64
 	succeeded float64
-	totalMs   float64 // of those that succeeded
+	totalMs   float64 // sum of the response times of the successful attempts, in ms
 }
 
 func newEstimator(shares func() map[int]map[int]float64) *estimator {
 	return &estimator{shares: shares, endpoints: map[int]*attemptTotals{}}
 }
 
-// observe takes in the events of a turn. Those that tell of attempts are a period.
+// observe processes the events of a turn. A turn whose events report attempts counts as a period.
 func (e *estimator) observe(events []planner.Event) {
 	stats := attemptedStats(events)
 	if len(stats) == 0 {
@@ -73,7 +75,7 @@
 	}
 }
 
-// attemptedStats returns the events that tell of attempts at an endpoint.
+// attemptedStats returns the endpoint stats among events that report attempts.
 func attemptedStats(events []planner.Event) []planner.EndpointStats {
 	var stats []planner.EndpointStats
 	for _, event := range events {
@@ -84,7 +86,7 @@
 	return stats
 }
 
-// age makes what is known count less.
+// decay multiplies the totals by decayFactor.
 func (a *attemptTotals) decay() {
 	a.attempts *= decayFactor
 	a.failed *= decayFactor
@@ -92,7 +94,7 @@
 	a.succeeded *= decayFactor
 }
 
-// addStats adds what was met at an endpoint to what is known of it, and to what was met in truth.
+// addStats adds the stats of an endpoint to its totals and to the recorded values of the estimate.
 func (e *estimator) addStats(m planner.EndpointStats) {
 	totals := e.endpoints[m.Endpoint]
 	if totals == nil {
@@ -109,8 +111,8 @@
 	e.recordedSuccesses += succeeded
 }
 
-// estimateZone spreads a zone's attempts by the shares of the replay's tables. Shares of endpoints of which too little
-// is known go to the others in proportion.
+// estimateZone distributes a zone's attempts by the shares of the replay's tables. The shares of endpoints with too few
+// recorded attempts are distributed to the other endpoints in proportion to theirs.
 func (e *estimator) estimateZone(shares, attempts map[int]float64) {
 	total := 0.0
 	for _, endpoint := range slices.Sorted(maps.Keys(attempts)) {
@@ -135,7 +137,7 @@
 	}
 }
 
-// knownEndpoints returns those with a share that have been met often enough, in order.
+// knownEndpoints returns the endpoints that have a share and at least minAttempts attempts, in ascending order.
 func (e *estimator) knownEndpoints(shares map[int]float64) []int {
 	var known []int
 	for _, endpoint := range slices.Sorted(maps.Keys(shares)) {
@@ -146,7 +148,7 @@
 	return known
 }
 
-// addEstimate adds what an endpoint makes of the attempts assigned to it.
+// addEstimate adds the estimated results of the attempts assigned to an endpoint.
 func (e *estimator) addEstimate(totals *attemptTotals, assigned float64) {
 	failureRate := totals.failed / totals.attempts
 	e.sum.Failed += assigned * failureRate
@@ -156,7 +158,7 @@
 	}
 }
 
-// result divides the totals.
+// result returns the estimate: the totals divided by the number of attempts.
 func (e *estimator) result() Estimate {
 	r := e.sum
 	attempts := max(r.Attempts, 1)
--- a/internal/record/estimate_test.go
+++ b/internal/record/estimate_test.go
@@ -8,8 +8,8 @@
 	"indigousher/planner"
 )
 
-// TestEstimate guards what a replay says of tables that were never in force: endpoint 0 failed half of its attempts,
-// endpoint 1 none, and both had the same share.
+// TestEstimate guards the estimate for tables that were not in force in the record: endpoint 0 failed half of its
+// attempts, endpoint 1 none, and both had the same share.
 func TestEstimate(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -19,11 +19,11 @@
 		trusted float64
 		within  float64
 	}{
-		{"as they were", map[int]float64{0: 0.5, 1: 0.5}, 0.25, 40.0 / 3, 1, 0.001},
-		{"a little from the bad one", map[int]float64{0: 0.3, 1: 0.7}, 0.15, (0.15*20 + 0.7*10) / 0.85, 1, 0.001},
-		{"all from it: more than the other was seen at", map[int]float64{1: 1}, 0, 10, 0, 0.001},
-		{"to one that nobody has met", map[int]float64{0: 0.25, 1: 0.25, 9: 0.5}, 0.25, 40.0 / 3, 0.5, 0.001},
-		{"to nobody known", map[int]float64{9: 1}, 0, 0, 0, 0.001},
+		{"recorded shares", map[int]float64{0: 0.5, 1: 0.5}, 0.25, 40.0 / 3, 1, 0.001},
+		{"smaller share of the failing endpoint", map[int]float64{0: 0.3, 1: 0.7}, 0.15, (0.15*20 + 0.7*10) / 0.85, 1, 0.001},
+		{"all attempts at endpoint 1, beyond its recorded load", map[int]float64{1: 1}, 0, 10, 0, 0.001},
+		{"share of an endpoint without attempts", map[int]float64{0: 0.25, 1: 0.25, 9: 0.5}, 0.25, 40.0 / 3, 0.5, 0.001},
+		{"only an endpoint without attempts", map[int]float64{9: 1}, 0, 0, 0, 0.001},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := newEstimator(func() map[int]map[int]float64 { return map[int]map[int]float64{0: c.shares} })
