--- a/internal/record/fingerprint.go
+++ b/internal/record/fingerprint.go
@@ -7,20 +7,21 @@
 	"indigousher/planner"
 )
 
-// The run that a planner's fingerprint is taken of. Stored lives hold fingerprints: a change of anything here, or of
-// what the planner does in this run, makes each of them one of another planner, and the next start a cold one.
+// Parameters of the run from which a planner's fingerprint is computed. Lives hold the fingerprint of their planner: a
+// change of this run, or of the planner's decisions in it, makes all stored lives count as those of another planner, so
+// that the next start is a cold one.
 const (
 	fingerprintSeed      = 7
-	fingerprintSteps     = 240 // of fingerprintStepMs: one minute
+	fingerprintSteps     = 240 // of fingerprintStepMs each: one minute
 	fingerprintStepMs    = 250.0
 	fingerprintEndpoints = 9
 	fingerprintProxies   = 4
 	fingerprintZones     = 3
-	fingerprintPrime     = 1099511628211 // of FNV with 64 bits; joins the digests of the steps
+	fingerprintPrime     = 1099511628211 // 64-bit FNV prime; combines the digests of the steps
 )
 
-// Fingerprint tells planners apart by what they do: it is the digest of the commands that one gives through a minute of
-// faults which is the same each time.
+// Fingerprint identifies a planner by its decisions. It returns, as 16 hex digits, a digest of the commands that the
+// planner returns in a fixed run of one simulated minute with faults.
 func Fingerprint(newDecider func(seed int64, settings map[string]any) controller.Decider) string {
 	decider := newDecider(fingerprintSeed, fingerprintSettings())
 	var sum uint64
@@ -46,8 +47,8 @@
 	}
 }
 
-// fingerprintEvents returns what a step brings: all endpoints and proxies at first, then a control round and a load
-// report each second, and a change of the endpoint list halfway.
+// fingerprintEvents returns the events of a step: all endpoints and proxies in the first step, then a control round and
+// the endpoints' stats each second, and a change of the endpoint list halfway.
 func fingerprintEvents(step int, nowMs float64) []planner.Event {
 	switch {
 	case step == 0:
@@ -78,7 +79,7 @@
 	return events
 }
 
-// fingerprintReport returns what was met at each endpoint. Endpoint 2 fails all requests for a quarter of the run.
+// fingerprintReport returns the stats of each endpoint. Endpoint 2 fails all attempts for a quarter of the run.
 func fingerprintReport(step int) []planner.Event {
 	const attempts = 9
 	var events []planner.Event
@@ -101,7 +102,7 @@
 	return events
 }
 
-// fingerprintListChange drains one endpoint and adds another that has just started.
+// fingerprintListChange drains endpoint 4 and adds endpoint 9, which has just started.
 func fingerprintListChange(nowMs float64) planner.Event {
 	return planner.EndpointUpdate{Entries: []planner.Entry{
 		{Endpoint: 4, Zone: 1, Weight: 1, Phase: planner.Draining},
--- a/internal/record/fingerprint_test.go
+++ b/internal/record/fingerprint_test.go
@@ -9,7 +9,7 @@
 	"indigousher/planner"
 )
 
-// TestFingerprint shows that planners are told apart by what they do.
+// TestFingerprint checks that equal planners have equal fingerprints and that other decisions give another one.
 func TestFingerprint(t *testing.T) {
 	shipped := func(seed int64, settings map[string]any) controller.Decider { return planner.New(seed, settings) }
 	assert.Equal(t, Fingerprint(shipped), Fingerprint(shipped))
