--- a/internal/record/input_codec.go
+++ b/internal/record/input_codec.go
@@ -8,13 +8,13 @@
 	"indigousher/planner"
 )
 
-// Each pair of functions encodes and decodes the fields of one kind of input, in the same order.
+// Each pair of methods encodes and decodes the fields of one kind of input, in the same order.
 
-// message encodes a message of the wire protocol as the body that it has there, with the number of its stream.
+// message encodes the number of an input's stream and the input's message, in the encoding of the wire protocol.
 func (e *encoder) message(in *Input) error {
 	body, err := wire.Body(in.Message)
 	if err != nil {
-		return fmt.Errorf("lay out input: %w", err)
+		return fmt.Errorf("encode message of input: %w", err)
 	}
 	e.uint(in.Stream)
 	e.text(string(body))
@@ -29,13 +29,13 @@
 	}
 	message := emptyMessage(in.Kind)
 	if err := wire.Unbody(message, []byte(body)); err != nil {
-		d.err = fmt.Errorf("%w: %w", ErrCorrupt, err)
+		d.err = fmt.Errorf("%w: decode message of input: %w", ErrCorrupt, err)
 		return
 	}
 	in.Message = message
 }
 
-// emptyMessage returns a message of the type that a kind of input brings, nil if it brings none.
+// emptyMessage returns an empty message of the type that a kind of input carries, or nil if it carries none.
 func emptyMessage(k Kind) wire.Message {
 	switch k {
 	case KindProxyJoined:
@@ -77,7 +77,7 @@
 func (e *encoder) endpointStats(event planner.Event) error {
 	m, ok := event.(planner.EndpointStats)
 	if !ok {
-		return fmt.Errorf("lay out %T as met", event)
+		return fmt.Errorf("encode input: %T is not endpoint stats", event)
 	}
 	e.int(m.Endpoint)
 	e.int(m.Zone)
@@ -104,7 +104,7 @@
 func (e *encoder) requestStats(event planner.Event) error {
 	s, ok := event.(planner.RequestStats)
 	if !ok {
-		return fmt.Errorf("lay out %T as demand", event)
+		return fmt.Errorf("encode input: %T is not request stats", event)
 	}
 	e.int(s.Proxy)
 	e.int(s.Class)
@@ -127,7 +127,7 @@
 func (e *encoder) sliceStats(event planner.Event) error {
 	s, ok := event.(planner.SliceStats)
 	if !ok {
-		return fmt.Errorf("lay out %T as slice demand", event)
+		return fmt.Errorf("encode input: %T is not slice stats", event)
 	}
 	e.int(s.Slice)
 	e.int(s.Class)
@@ -147,7 +147,7 @@
 	return s
 }
 
-// load encodes a load report by name in sorted order, so that equal reports have equal bytes.
+// load encodes a load report sorted by name, so that equal reports have equal encodings.
 func (e *encoder) load(l planner.Load) {
 	names := make([]string, 0, len(l))
 	for name := range l {
@@ -161,7 +161,7 @@
 	}
 }
 
-// load decodes a load report; an empty one is nil.
+// load decodes a load report. An empty report gives nil.
 func (d *decoder) load() planner.Load {
 	n := d.items()
 	if n == 0 {
