--- a/internal/record/encode.go
+++ b/internal/record/encode.go
@@ -34,8 +34,8 @@
 }
 
 // number encodes a float64. A whole number below compactLimit, as most counts and many times are, is encoded as a
-// varint of twice its value, in one to five bytes. Any other value is encoded as the varint 1, which is odd, followed by
-// its eight bytes.
+// varint of twice its value, in one to five bytes. Any other value is encoded as the varint 1, which is odd, and its
+// eight bytes.
 func (e *encoder) number(v float64) {
 	isNegativeZero := v == 0 && math.Signbit(v)
 	if v == math.Trunc(v) && math.Abs(v) < compactLimit && !isNegativeZero {
