--- a/internal/record/kinds.go
+++ b/internal/record/kinds.go
@@ -1,6 +1,7 @@
 package record
 
-// Kind tells what an input was. Kinds are stored by number: a new one goes before Checkpoint with a new Format.
+// Kind is the kind of an input. It is stored as a number: a new kind is inserted before KindCheckpoint, which changes
+// the number of KindCheckpoint and so needs a new Format.
 type Kind byte
 
 // The kinds of input.
@@ -8,19 +9,19 @@
 	KindProxyJoined      Kind = iota + 1 // a proxy opened a stream
 	KindProxyLeft                        // a proxy's stream ended
 	KindAcked                            // a proxy acknowledged commands
-	KindEndpointsListed                  // endpoints came from the endpoint list
+	KindEndpointsListed                  // the endpoint list delivered endpoints
 	KindEndpointListLost                 // a call to the endpoint list failed
-	KindGossip                           // another controller's gossip
-	KindHealthChecked                    // the result of a health check
-	KindSettingsChanged                  // changed settings
-	KindEndpointStats                    // what proxies met at an endpoint, as telemetry summed it
-	KindRequestStats                     // the requests that came to a proxy, as telemetry summed them
-	KindSliceAssigned                    // a slice was assigned or taken away
-	KindSliceStats                       // the requests that came for a slice, as telemetry summed them
-	KindCheckpoint                       // begins a turn that holds what another core needs to go on from here
+	KindGossip                           // gossip of another controller arrived
+	KindHealthChecked                    // a health check returned a result
+	KindSettingsChanged                  // the planner's settings changed
+	KindEndpointStats                    // attempts at an endpoint, aggregated by telemetry
+	KindRequestStats                     // requests that a proxy received, aggregated by telemetry
+	KindSliceAssigned                    // a slice was assigned to the controller or taken away
+	KindSliceStats                       // requests for a slice, aggregated by telemetry
+	KindCheckpoint                       // first input of a checkpoint, see Turn.IsCheckpoint
 )
 
-// kindNames are shown to people and written by exports.
+// kindNames holds the names of the kinds in the output of commands and in exports.
 var kindNames = [...]string{
 	KindProxyJoined:      "join",
 	KindProxyLeft:        "leave",
@@ -37,7 +38,7 @@
 	KindCheckpoint:       "checkpoint",
 }
 
-// String names a kind.
+// String returns the name of a kind, or "unknown".
 func (k Kind) String() string {
 	if int(k) >= len(kindNames) {
 		return "unknown"
