--- a/internal/record/life_test.go
+++ b/internal/record/life_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLifeJSON guards the form in which lives are stored: an earlier version wrote it, a later one reads it.
+// TestLifeJSON guards the stored form of lives, which other versions of the program read and write.
 func TestLifeJSON(t *testing.T) {
 	started := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 	full := Life{
