--- a/internal/record/main_test.go
+++ b/internal/record/main_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// sampleInputs has one of each input.
+// sampleInputs holds one input of each kind.
 var sampleInputs = []Input{
 	{Kind: KindProxyJoined, Stream: 3, Message: &wire.Hello{
 		Version: 1, Proxy: "p", Zone: "a", Rate: 2.5, Fresh: true,
@@ -66,7 +66,7 @@
 
 func closeStore(t testing.TB, s *Store) { assert.NoError(t, s.Close()) }
 
-// runWriter starts a writer; stop ends it and waits until it has written all that was handed over.
+// runWriter starts a writer. The returned function ends it and waits until it has written all queued turns.
 func runWriter(t testing.TB, w *Writer) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
@@ -77,7 +77,8 @@
 	}
 }
 
-// writeLife records so many turns in one life, with a disk that may fail.
+// writeLife records the given number of turns as one life. The commits for whose number fails returns true fail; a nil
+// fails means that none does.
 func writeLife(t *testing.T, s *Store, life string, turns int, fails func(int) bool) {
 	w, err := NewWriter(s, Life{ID: life}, Limits{SegmentBytes: 2000, CommitInterval: time.Millisecond}, zap.NewNop())
 	require.NoError(t, err)
@@ -100,7 +101,7 @@
 	stop()
 }
 
-// readLife returns the times of the turns that can be read, and how many gaps lie among them.
+// readLife returns the times in ms of a life's readable turns and the number of gaps between them.
 func readLife(s *Store, life string) (at []float64, gaps int, err error) {
 	err = s.Read(life, func(turns []Turn, gap bool) error {
 		for _, t := range turns {
