--- a/internal/record/prune.go
+++ b/internal/record/prune.go
@@ -8,15 +8,15 @@
 	"go.etcd.io/bbolt"
 )
 
-// storedSegment is a segment as pruning sees it.
+// storedSegment describes a stored segment for pruning.
 type storedSegment struct {
 	name  []byte
 	bytes int64
-	at    time.Time // of its last chunk
+	at    time.Time // when its last chunk was written
 }
 
-// Prune drops the oldest segments until the rest keeps the bounds, and lives of which nothing is left. The last
-// segment, which may be being written, stays. It returns how many were dropped.
+// Prune deletes the oldest segments until the others are within the limits, and then lives without segments. It keeps
+// the newest segment, which may still be written to. It returns the number of deleted segments.
 func (s *Store) Prune(limits Limits, now time.Time) (dropped int, err error) {
 	err = s.update(func(tx *bbolt.Tx) error {
 		segments, err := listSegments(tx)
@@ -52,7 +52,8 @@
 	return all, err
 }
 
-// excess returns how many segments, from the oldest on, are too old or too much. The last one never is.
+// excessSegments returns how many segments to delete, starting with the oldest, to satisfy the limits of age and size.
+// The newest segment is never deleted.
 func excessSegments(segments []storedSegment, limits Limits, now time.Time) int {
 	var total int64
 	for _, segment := range segments {
@@ -67,10 +68,11 @@
 		}
 		total -= segment.bytes
 	}
-	return 0 // there are none
+	return 0 // no segments
 }
 
-// dropEmptyLives forgets lives without segments, but for the last, which may be about to write its first.
+// dropEmptyLives deletes lives without segments, except the newest life, which may not have written its first segment
+// yet.
 func dropEmptyLives(tx *bbolt.Tx) error {
 	lives := tx.Bucket(bucketLives)
 	last, _ := lives.Cursor().Last()
@@ -87,7 +89,7 @@
 	return err
 }
 
-// hasSegment returns whether a life has a segment.
+// hasSegment reports whether a life has a segment.
 func hasSegment(tx *bbolt.Tx, life []byte) bool {
 	prefix := segmentPrefix(string(life))
 	name, _ := tx.Bucket(bucketSegments).Cursor().Seek(prefix)
