--- a/internal/record/recorder.go
+++ b/internal/record/recorder.go
@@ -9,34 +9,35 @@
 	"indigousher/planner"
 )
 
-// CheckpointIntervalMs is how far checkpoints are apart, in ms of the controller's clock: a recovery replays up to so
-// much more than its tail.
+// CheckpointIntervalMs is the time between two checkpoints, in ms of the controller's clock. A recovery replays up to
+// this much more than the requested time.
 const CheckpointIntervalMs = 15_000.0
 
-// Recorder turns a core's turns into records. Turn is called by the control loop and only keeps what it is given; all
-// else is done by the functions that it hands to the sink, which are called one after another by whoever writes.
+// Recorder converts the turns of a core to their recorded form. The control loop calls Turn, which only keeps its
+// arguments. The conversion is done by the functions that Turn passes to the sink; the writer calls them one at a time.
 type Recorder struct {
 	sink       func(func() *Turn)
-	checkpoint func() []controller.Input // returns what another core needs to go on from here
+	checkpoint func() []controller.Input // returns inputs that rebuild the core's present state in another core
 
-	// Owned by the control loop.
-	started          bool // the first turn has come
+	// Used by the control loop only.
+	started          bool // the first turn was recorded
 	lastCheckpointMs float64
 
-	// Owned by whoever calls the functions that the sink got.
-	streams    map[controller.Stream]uint64 // numbers of the streams that are open
-	lastStream uint64                       // the number given last
+	// Used only by the functions that are passed to the sink.
+	streams    map[controller.Stream]uint64 // numbers of the open streams
+	lastStream uint64                       // the number assigned last
 }
 
-// NewRecorder returns a recorder that hands turns to a sink; checkpoint is the core's.
+// NewRecorder returns a recorder that passes turns to sink. checkpoint returns inputs that rebuild the core's present
+// state, see controller.Core.Checkpoint.
 func NewRecorder(sink func(func() *Turn), checkpoint func() []controller.Input) *Recorder {
 	return &Recorder{sink: sink, checkpoint: checkpoint, streams: map[controller.Stream]uint64{}}
 }
 
-// Turn records a turn: its inputs, the events that telemetry passed on, and the planner's commands. It is meant for the
-// core's options.
+// Turn records a turn: its time in ms, its inputs, the events from telemetry and the planner's commands. It is called
+// by the core, through the core's options.
 func (r *Recorder) Turn(nowMs float64, inputs []controller.Input, events []planner.Event, commands []planner.Command) {
-	inputs = slices.Clone(inputs) // the loop reuses its slice
+	inputs = slices.Clone(inputs) // the control loop reuses the slice
 	r.sink(func() *Turn {
 		t := &Turn{AtMs: nowMs, Digest: Digest(commands)}
 		t.Inputs = r.appendInputs(t.Inputs, inputs)
@@ -46,8 +47,8 @@
 	r.checkpointIfDue(nowMs)
 }
 
-// checkpointIfDue records a checkpoint if the last one is old enough. A life's first turn counts as one: nothing lies
-// before it.
+// checkpointIfDue records a checkpoint if CheckpointIntervalMs have passed since the last one. The first turn of a life
+// counts as a checkpoint, because no turn precedes it.
 func (r *Recorder) checkpointIfDue(nowMs float64) {
 	if !r.started {
 		r.started = true
@@ -66,7 +67,7 @@
 	r.lastCheckpointMs = nowMs
 }
 
-// appendInputs converts a core's inputs and appends those that are recorded.
+// appendInputs converts a core's inputs and appends those that are recorded to dst.
 func (r *Recorder) appendInputs(dst []Input, inputs []controller.Input) []Input {
 	for _, in := range inputs {
 		if converted, ok := r.convert(in); ok {
@@ -76,8 +77,8 @@
 	return dst
 }
 
-// appendStats appends the events that telemetry made of load reports. They stand for the reports, which are not
-// recorded.
+// appendStats appends the events that telemetry computed from load reports to dst. They are recorded instead of the
+// reports.
 func appendStats(dst []Input, events []planner.Event) []Input {
 	for _, event := range events {
 		switch event := event.(type) {
@@ -92,7 +93,7 @@
 	return dst
 }
 
-// convert returns an input as it is recorded, and false for one that is not.
+// convert returns the recorded form of an input, or false if the input is not recorded.
 func (r *Recorder) convert(in controller.Input) (Input, bool) {
 	switch in := in.(type) {
 	case controller.ProxyJoined:
@@ -121,7 +122,7 @@
 	return Input{}, false
 }
 
-// streamNumber returns a stream's number, and gives it one at its first input.
+// streamNumber returns the number of a stream. A stream is assigned the next number at its first input.
 func (r *Recorder) streamNumber(s controller.Stream) uint64 {
 	number, known := r.streams[s]
 	if !known {
@@ -132,7 +133,7 @@
 	return number
 }
 
-// loadOf returns a load report as the planner knows it; an empty one is nil.
+// loadOf converts a load report to the planner's type. An empty report gives nil.
 func loadOf(figures []wire.Figure) planner.Load {
 	if len(figures) == 0 {
 		return nil
