--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -11,46 +11,47 @@
 	"indigousher/internal/wire"
 )
 
-// Result is what a replay commanded.
+// Result summarizes a replay.
 type Result struct {
-	Turns  int     // replayed, checkpoints left out
-	Events int     // events that the planner got
-	Gaps   int     // in the record
-	SpanMs float64 // from the first turn to the last
-
-	Tables   uint64 // digest of all that was sent to each proxy
-	Messages int    // sent
-	Lines    int    // in these
-
-	Exclusions     int // endpoints excluded
-	Sets           int // weights set
-	Removals       int // of these, weights of zero: lines removed
-	Levels         int // admission levels below 1 that were set
-	Assignments    int // tables assigned
-	MaxQueuedLines int // lines in the channel at once
+	Turns  int     // number of replayed turns, without checkpoints
+	Events int     // number of events passed to the planner
+	Gaps   int     // number of gaps in the record
+	SpanMs float64 // time from the first turn to the last, in ms
+
+	Tables   uint64 // digest of all messages and the proxies they were sent to
+	Messages int    // number of messages sent to proxies
+	Lines    int    // number of table lines in these messages
+
+	Exclusions     int // number of exclusions of endpoints
+	Sets           int // number of weights set
+	Removals       int // number of weights set to zero, which removes the line; included in Sets
+	Levels         int // number of admission levels set to less than 1
+	Assignments    int // number of tables assigned to proxies
+	MaxQueuedLines int // maximum number of lines in the channel at a time
 
 	Estimate  Estimate
-	FirstDiff string // where the replay first commanded otherwise than the record; "": nowhere
+	FirstDiff string // first turn whose commands differ from the record; "": none, or not compared
 }
 
-// NewDecider makes the planner of a replay.
+// NewDecider creates the planner of a replay from a seed and the planner's settings.
 type NewDecider func(seed int64, settings map[string]any) controller.Decider
 
-// lifeReplay is a replay under way.
+// lifeReplay is the state of a replay in progress.
 type lifeReplay struct {
 	result         *Result
 	core           *controller.Core
 	decider        *countingDecider
 	replayer       *replayer
-	sentHash       hash.Hash64 // of all messages
-	compareDigests bool        // hold the commands against the record
-	firstMs        float64     // when the first turn was, once there is one
+	sentHash       hash.Hash64 // of all messages to proxies
+	compareDigests bool        // compare the digest of each turn's commands with the record
+	firstMs        float64     // time of the first turn; unset before it
 	lastTurnMs     float64
 }
 
-// Replay feeds a life to a core in virtual time. Without settings, nil, its own are used and commands are held against
-// the record. With others they can only be looked at, as the endpoints' answers are those of the recorded day. If the
-// life's record is damaged, the result covers what can be read and comes with ErrCorrupt.
+// Replay replays a life in a new core, in virtual time. If settings is nil, the settings at the life's start are used
+// and the commands are compared with the record. Other settings lead to other commands, which are only counted, because
+// the recorded answers of the endpoints don't depend on them. If the life's record is damaged, the result covers the
+// turns before the damage, and the error wraps ErrCorrupt.
 func Replay(s *Store, l Life, settings map[string]any, newDecider NewDecider) (*Result, error) {
 	useRecorded := settings == nil
 	if useRecorded {
@@ -67,21 +68,22 @@
 	err = s.Read(l.ID, r.replayChunk)
 	r.finish()
 	if errors.Is(err, ErrCorrupt) {
-		return r.result, fmt.Errorf("%s after %d turns: %w", l.ID, r.result.Turns, err)
+		return r.result, fmt.Errorf("replay of life %s stopped after %d turns: %w", l.ID, r.result.Turns, err)
 	}
 	return r.result, err
 }
 
-// ownSettings returns the planner's settings at a life's start.
+// recordedSettings returns the planner's settings at the start of a life.
 func recordedSettings(l Life) (map[string]any, error) {
 	settings := map[string]any{}
 	if err := json.Unmarshal([]byte(l.Settings), &settings); err != nil {
-		return nil, fmt.Errorf("read terms of %s: %w", l.ID, err)
+		return nil, fmt.Errorf("decode settings of life %s: %w", l.ID, err)
 	}
 	return settings, nil
 }
 
-// newLifeReplay returns a replay at its start: a new core, rebuilt from the life before if the recorded one was.
+// newLifeReplay prepares a replay in a new core. If the recorded life began with a recovery, it restores the same
+// state.
 func newLifeReplay(s *Store, l Life, settings map[string]any, newDecider NewDecider) (*lifeReplay, error) {
 	r := &lifeReplay{result: &Result{}, sentHash: crc64.New(crcTable)}
 	r.decider = &countingDecider{Decider: newDecider(l.Seed, settings), result: r.result}
@@ -102,7 +104,7 @@
 	return r, nil
 }
 
-// restore rebuilds the core from the end of the life before, of which nothing is counted.
+// restore rebuilds the core's state from the end of the previous life. The turns of that life are not counted.
 func (r *lifeReplay) restore(s *Store, l Life, options controller.Options) error {
 	turns, _, err := ReadTail(s, l.After, l.TailMs)
 	if err != nil {
@@ -118,14 +120,14 @@
 	return nil
 }
 
-// countMessage takes in a message that goes to a proxy.
+// countMessage counts a message to a proxy and adds it to the digest of all messages.
 func (r *lifeReplay) countMessage(proxy string, message *wire.Orders) {
 	r.result.Messages++
 	r.result.Lines += message.Lines
-	_, _ = fmt.Fprintf(r.sentHash, "%s %v\n", proxy, message.Ops) // writes to a hash don't fail
+	_, _ = fmt.Fprintf(r.sentHash, "%s %v\n", proxy, message.Ops) // writing to a hash never fails
 }
 
-// replayChunk replays a chunk's turns but for checkpoints, which are no part of the life.
+// replayChunk replays the turns of a chunk. It skips checkpoints, which the control loop did not process.
 func (r *lifeReplay) replayChunk(turns []Turn, gap bool) error {
 	if gap {
 		r.result.Gaps++
@@ -141,8 +143,9 @@
 	return nil
 }
 
+// replayTurn replays one turn and, if required, compares its commands with the record.
 func (r *lifeReplay) replayTurn(t *Turn) error {
-	r.decider.digest = Digest(nil) // of a turn in which the planner is not asked
+	r.decider.digest = Digest(nil) // kept if the core does not call the planner in this turn
 	if err := r.replayer.replay(t); err != nil {
 		return err
 	}
@@ -159,7 +162,7 @@
 	return nil
 }
 
-// finish completes the result.
+// finish sets the fields of the result that are known only at the end.
 func (r *lifeReplay) finish() {
 	r.result.SpanMs = r.lastTurnMs - r.firstMs
 	r.result.Events = r.core.Events
@@ -167,7 +170,7 @@
 	r.result.Estimate = r.decider.estimator.result()
 }
 
-// describeTurn shows the first input of a turn to people.
+// describeTurn describes the first input of a turn for Result.FirstDiff.
 func describeTurn(t *Turn) string {
 	if len(t.Inputs) == 0 {
 		return "an alarm"
