--- a/internal/record/replayer.go
+++ b/internal/record/replayer.go
@@ -9,35 +9,35 @@
 	"indigousher/planner"
 )
 
-// maxTimeMs is beyond every time of a life, about three thousand years: a turn at a later time is damaged.
+// maxTimeMs is later than any time in a life, about three thousand years: a turn at or after it is damaged.
 const maxTimeMs = 1e14
 
-// replayer feeds recorded turns to a core, whose transports are held back.
+// replayer passes recorded turns to a core whose transports are disabled.
 type replayer struct {
 	core    *controller.Core
-	onSend  func(proxy string, commands *wire.Orders) // gets what goes to a proxy; may be nil
-	streams map[uint64]*replayStream                  // that are open, by their numbers in the record
+	onSend  func(proxy string, commands *wire.Orders) // called with the commands for a proxy; may be nil
+	streams map[uint64]*replayStream                  // the open streams, by their numbers in the record
 }
 
 func newReplayer(core *controller.Core, onSend func(proxy string, commands *wire.Orders)) *replayer {
 	return &replayer{core: core, onSend: onSend, streams: map[uint64]*replayStream{}}
 }
 
-// replay feeds one turn. A turn that makes no sense gives ErrCorrupt and changes nothing of the core.
+// replay passes one turn to the core. For an invalid turn it returns ErrCorrupt and leaves the core unchanged.
 func (r *replayer) replay(t *Turn) error {
 	inputs, err := r.inputs(t)
 	if err != nil {
 		return err
 	}
-	if valid := t.AtMs >= 0 && t.AtMs < maxTimeMs; !valid { // a NaN is neither
-		return fmt.Errorf("a turn at %g ms: %w", t.AtMs, ErrCorrupt)
+	if valid := t.AtMs >= 0 && t.AtMs < maxTimeMs; !valid { // false for NaN
+		return fmt.Errorf("invalid time of turn, %g ms: %w", t.AtMs, ErrCorrupt)
 	}
 	r.core.Handle(t.AtMs, inputs)
 	r.core.Channel.Send(t.AtMs)
 	return nil
 }
 
-// inputs returns a turn's inputs as the core takes them; what telemetry passed on comes last, as one batch.
+// inputs converts a turn's inputs to inputs of the core. Events from telemetry come last, as one batch.
 func (r *replayer) inputs(t *Turn) ([]controller.Input, error) {
 	var inputs []controller.Input
 	var events []planner.Event
@@ -61,8 +61,8 @@
 	return inputs, nil
 }
 
-// convert returns an input as the core takes it. One that has no effect, such as of a stream that nobody opened, gives
-// nil.
+// convert converts a recorded input to an input of the core. It returns nil for an input without effect, such as one of
+// a stream that is not open.
 func (r *replayer) convert(in *Input) (controller.Input, error) {
 	switch in.Kind {
 	case KindProxyJoined:
@@ -91,7 +91,7 @@
 	return nil, nil
 }
 
-// join opens a stream.
+// join opens a stream and returns the input that joins its proxy.
 func (r *replayer) join(in *Input) (controller.Input, error) {
 	hello, ok := in.Message.(*wire.Hello)
 	if !ok {
@@ -105,7 +105,7 @@
 	return controller.ProxyJoined{Stream: s, Hello: *hello}, nil
 }
 
-// leave ends a stream, if it is open.
+// leave closes a stream. It returns nil if the stream is not open.
 func (r *replayer) leave(in *Input) controller.Input {
 	s := r.streams[in.Stream]
 	delete(r.streams, in.Stream)
@@ -115,7 +115,7 @@
 	return controller.ProxyLeft{Stream: s}
 }
 
-// acknowledge brings an acknowledgement on a stream, if it is open.
+// acknowledge returns the acknowledgement of commands by a stream's proxy, or nil if the stream is not open.
 func (r *replayer) acknowledge(in *Input) controller.Input {
 	done, ok := in.Message.(*wire.Done)
 	s := r.streams[in.Stream]
@@ -140,17 +140,18 @@
 func settingsChanged(in *Input) (controller.Input, error) {
 	settings := map[string]any{}
 	if err := json.Unmarshal([]byte(in.Text), &settings); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
+		return nil, fmt.Errorf("%w: decode changed settings: %w", ErrCorrupt, err)
 	}
 	return controller.SettingsChanged{Settings: settings}, nil
 }
 
-// replayStream stands for a proxy's stream in a replay: what is sent to it goes nowhere, or to onSend.
+// replayStream replaces the stream of a proxy in a replay. It passes commands to onSend, or discards them if onSend is
+// nil.
 type replayStream struct {
 	onSend func(*wire.Orders)
 }
 
-// Send hands commands to onSend.
+// Send passes commands to onSend, if it is set, and returns nil.
 func (s *replayStream) Send(commands *wire.Orders) error {
 	if s.onSend != nil {
 		s.onSend(commands)
@@ -158,8 +159,8 @@
 	return nil
 }
 
-// Ask does nothing: the record holds what the proxy reported.
+// Ask does nothing, because the proxy's reports come from the record.
 func (s *replayStream) Ask(*wire.Pace) error { return nil }
 
-// Close does nothing: the record says when a stream ended.
+// Close does nothing, because the end of a stream comes from the record.
 func (s *replayStream) Close(string) {}
