--- a/internal/record/restore_test.go
+++ b/internal/record/restore_test.go
@@ -12,9 +12,10 @@
 	"indigousher/planner"
 )
 
-// TestHostileTurns guards a recovery against a record that reads well and makes no sense: what names nobody, or is no
-// figure, is left out, and neither panics nor makes room for a billion endpoints.
-func TestHostileTurns(t *testing.T) {
+// TestRestoreMalformedTurns guards a recovery against turns that can be decoded but hold invalid values: inputs with an
+// unknown endpoint, zone or class or a number that is not finite must be dropped, and must neither cause a panic nor
+// the allocation of memory for a billion endpoints.
+func TestRestoreMalformedTurns(t *testing.T) {
 	inf := math.Inf(1)
 	nan := math.NaN()
 	statsTurn := func(m planner.EndpointStats) Turn { return turnOf(Input{Kind: KindEndpointStats, Event: m}) }
@@ -24,19 +25,19 @@
 		turn    Turn
 		corrupt bool
 	}{
-		"endpoint below":      {statsTurn(planner.EndpointStats{Endpoint: -1, Attempts: 1, SpanMs: 1}), false},
-		"endpoint beyond":     {statsTurn(planner.EndpointStats{Endpoint: 1 << 40, Attempts: 1, SpanMs: 1}), false},
-		"zone beyond":         {statsTurn(planner.EndpointStats{Zone: 1 << 40, Attempts: 1, SpanMs: 1}), false},
-		"zone below":          {statsTurn(planner.EndpointStats{Zone: -5, Attempts: 1, SpanMs: 1}), false},
-		"load infinite":       {statsTurn(planner.EndpointStats{Attempts: 1, SpanMs: 1, Load: infinite}), false},
-		"mean not a number":   {statsTurn(planner.EndpointStats{Attempts: 1, SpanMs: 1, MeanMs: nan}), false},
-		"kind beyond":         {turnOf(Input{Kind: KindRequestStats, Event: planner.RequestStats{Class: 1 << 40}}), false},
-		"slice's kind beyond": {turnOf(Input{Kind: KindSliceStats, Event: planner.SliceStats{Class: -1}}), false},
-		"probe's load":        {turnOf(Input{Kind: KindHealthChecked, Text: "x", HealthCheck: infiniteCheck}), false},
-		"no time":             {Turn{AtMs: nan}, true},
-		"before all time":     {Turn{AtMs: -inf}, true},
-		"beyond all time":     {Turn{AtMs: 1e300}, true},
-		"terms that are none": {turnOf(Input{Kind: KindSettingsChanged, Text: "[1]"}), true},
+		"negative endpoint":     {statsTurn(planner.EndpointStats{Endpoint: -1, Attempts: 1, SpanMs: 1}), false},
+		"endpoint out of range": {statsTurn(planner.EndpointStats{Endpoint: 1 << 40, Attempts: 1, SpanMs: 1}), false},
+		"zone out of range":     {statsTurn(planner.EndpointStats{Zone: 1 << 40, Attempts: 1, SpanMs: 1}), false},
+		"negative zone":         {statsTurn(planner.EndpointStats{Zone: -5, Attempts: 1, SpanMs: 1}), false},
+		"infinite load":         {statsTurn(planner.EndpointStats{Attempts: 1, SpanMs: 1, Load: infinite}), false},
+		"mean is NaN":           {statsTurn(planner.EndpointStats{Attempts: 1, SpanMs: 1, MeanMs: nan}), false},
+		"class out of range":    {turnOf(Input{Kind: KindRequestStats, Event: planner.RequestStats{Class: 1 << 40}}), false},
+		"negative slice class":  {turnOf(Input{Kind: KindSliceStats, Event: planner.SliceStats{Class: -1}}), false},
+		"infinite check load":   {turnOf(Input{Kind: KindHealthChecked, Text: "x", HealthCheck: infiniteCheck}), false},
+		"time is NaN":           {Turn{AtMs: nan}, true},
+		"negative time":         {Turn{AtMs: -inf}, true},
+		"time out of range":     {Turn{AtMs: 1e300}, true},
+		"settings are a list":   {turnOf(Input{Kind: KindSettingsChanged, Text: "[1]"}), true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			malformed := 0
@@ -55,15 +56,15 @@
 	}
 }
 
-// TestPanickingPlanner guards a recovery against a planner that panics on a record.
-func TestPanickingPlanner(t *testing.T) {
+// TestRestorePanickingPlanner guards a recovery against a planner that panics on a record: Restore returns an error.
+func TestRestorePanickingPlanner(t *testing.T) {
 	options := restoreOptions(t)
 	options.Decider = panickingDecider{}
 	err := Restore(controller.NewCore(options), []Turn{{}})
-	assert.ErrorContains(t, err, "the module panics on the record: index")
+	assert.ErrorContains(t, err, "planner panicked on the record: index")
 }
 
-// listedTurn lists one endpoint.
+// listedTurn is a turn in which the endpoint list delivers one endpoint.
 var listedTurn = Turn{Inputs: []Input{{
 	Kind:    KindEndpointsListed,
 	Message: &wire.List{Whole: true, Entries: []wire.Entry{{Endpoint: "x", Zone: "a", Weight: 1}}},
@@ -71,7 +72,7 @@
 
 func turnOf(in Input) Turn { return Turn{Inputs: []Input{in}} }
 
-// restoreOptions returns the options of a core that is to be restored, with the planner that ships.
+// restoreOptions returns the options of a core for Restore, with the planner of the planner package.
 func restoreOptions(t *testing.T) controller.Options {
 	settings := map[string]any{
 		"zones":     []any{"a"},
@@ -85,7 +86,7 @@
 	return options
 }
 
-// throughCodec returns a turn as it is read from the disk.
+// throughCodec encodes a turn and returns the decoded result.
 func throughCodec(t *testing.T, turn Turn) []Turn {
 	encoded, err := AppendTurn(nil, &turn)
 	require.NoError(t, err)
@@ -94,7 +95,7 @@
 	return turns
 }
 
-// panickingDecider is a planner with a fault.
+// panickingDecider is a planner that panics.
 type panickingDecider struct{}
 
 // Handle panics.
--- a/internal/record/tail.go
+++ b/internal/record/tail.go
@@ -8,9 +8,9 @@
 	"indigousher/internal/controller"
 )
 
-// ReplayStart returns the index of the turn from which a tail is to be replayed: the last start, a checkpoint or the
-// life's first turn, that lies at least tailMs before the end; else the earliest start. Without any it returns
-// len(turns).
+// ReplayStart returns the index of the turn at which to start replaying the last tailMs of turns. A replay can start at
+// a checkpoint or at the life's first turn. ReplayStart returns the last of these that lies at least tailMs before the
+// last turn, or the first of them if none does, or len(turns) if there are none.
 func ReplayStart(turns []Turn, tailMs float64) int {
 	if len(turns) == 0 {
 		return 0
@@ -28,23 +28,23 @@
 	return start
 }
 
-// isStart returns whether a replay can begin at a turn. The first one at hand is taken for the life's first if it is
-// earlier than any checkpoint can be.
+// isStart reports whether a replay can start at a turn: at a checkpoint or at the life's first turn. turns[0] is taken
+// for the life's first turn if it is earlier than the first checkpoint can be.
 func isStart(turns []Turn, i int) bool {
 	isFirst := i == 0 && turns[i].AtMs < CheckpointIntervalMs
 	return isFirst || turns[i].IsCheckpoint()
 }
 
-// ReadTail reads the turns from which a life can be gone on from. Torn tells that what follows them can't be read. No
-// more than the tail and a chunk is held at a time: a life may be a week long.
+// ReadTail reads the turns that are needed to replay the last tailMs of a life. damaged means that later turns of the
+// life can't be read. It keeps no more than these turns and one chunk in memory, because a life may span a week.
 func ReadTail(s *Store, life string, tailMs float64) (turns []Turn, damaged bool, err error) {
 	err = s.Read(life, func(chunk []Turn, gap bool) error {
 		if gap {
-			turns = nil // what lies before a gap does not lead to what lies after it
+			turns = nil // the state after a gap does not follow from the turns before it
 		}
 		turns = append(turns, chunk...)
 		if start := ReplayStart(turns, tailMs); start > 0 && start < len(turns) {
-			turns = slices.Clone(turns[start:]) // lets go of what lies before
+			turns = slices.Clone(turns[start:]) // releases the memory of the earlier turns
 		}
 		return nil
 	})
@@ -54,12 +54,13 @@
 	return turns, false, err
 }
 
-// Restore feeds a tail to a new core whose transports are held back. Its first turn may be a checkpoint; later ones are
-// left out. A planner that panics on what the record holds gives an error: it would panic again at each start.
+// Restore replays turns in a new core whose transports are disabled. The first turn may be a checkpoint; later
+// checkpoints are skipped. If the planner panics, Restore returns an error, because the same record would make the
+// planner panic again at each start.
 func Restore(core *controller.Core, turns []Turn) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			err = fmt.Errorf("the module panics on the record: %v", r)
+			err = fmt.Errorf("planner panicked on the record: %v", r)
 		}
 	}()
 	replayer := newReplayer(core, nil)
