--- a/internal/record/tail_test.go
+++ b/internal/record/tail_test.go
@@ -9,8 +9,9 @@
 	"go.uber.org/zap"
 )
 
-// TestFrom guards which turn a tail begins at. In a life's times a negative one is that of a checkpoint.
-func TestFrom(t *testing.T) {
+// TestReplayStart checks the turn at which a replay starts. In the arguments of life, a negative time stands for a
+// checkpoint at its absolute value.
+func TestReplayStart(t *testing.T) {
 	life := func(times ...float64) (turns []Turn) {
 		for _, at := range times {
 			turn := Turn{AtMs: max(at, -at)}
@@ -27,20 +28,20 @@
 		tail  float64
 		want  int
 	}{
-		{"nothing", nil, 60000, 0},
+		{"no turns", nil, 60000, 0},
 		{"a short life", life(0, 1000, 2000), 60000, 0},
-		{"a long one", life(0, -15000, -30000, -45000, 50000), 20000, 2},
-		{"longer than what is kept", life(-90000, -105000, 110000), 60000, 0},
-		{"begun after a gap without a checkpoint", life(90000, 91000), 60000, 2},
-		{"a checkpoint after the gap", life(90000, -91000, 92000), 60000, 1},
+		{"a long life", life(0, -15000, -30000, -45000, 50000), 20000, 2},
+		{"a tail longer than the stored turns", life(-90000, -105000, 110000), 60000, 0},
+		{"after a gap, without a checkpoint", life(90000, 91000), 60000, 2},
+		{"after a gap, with a checkpoint", life(90000, -91000, 92000), 60000, 1},
 	} {
 		assert.Equal(t, c.want, ReplayStart(c.turns, c.tail), c.name)
 	}
 }
 
-// TestTail guards the memory of a recovery: of a long life no more is held than what is gone on from, and that is the
-// same.
-func TestTail(t *testing.T) {
+// TestReadTail guards the memory use of a recovery: of a long life, ReadTail must return exactly the turns that
+// ReplayStart selects from the whole life.
+func TestReadTail(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	defer closeStore(t, s)
 	w, err := NewWriter(s, Life{ID: "a"}, Limits{SegmentBytes: 1 << 12, CommitInterval: time.Hour}, zap.NewNop())
