--- a/internal/record/segments.go
+++ b/internal/record/segments.go
@@ -8,12 +8,12 @@
 	"go.etcd.io/bbolt"
 )
 
-// segmentName names a life's segment so that names sort by life, then by number.
+// segmentName returns the name of a life's segment. Names sort by life, then by number.
 func segmentName(life string, number int) []byte {
 	return fmt.Appendf(nil, "%s/%08d", life, number)
 }
 
-// segmentPrefix begins the names of a life's segments.
+// segmentPrefix returns the prefix of the names of a life's segments.
 func segmentPrefix(life string) []byte {
 	return []byte(life + "/")
 }
@@ -31,8 +31,9 @@
 	return nil
 }
 
-// Read calls f with each chunk's turns of a life, in order. A damaged chunk ends it with ErrCorrupt; gap tells that
-// turns are missing before what follows, and comes without turns.
+// Read calls f with the turns of each chunk of a life, in order. Where turns were lost, it calls f without turns and
+// with gap set. It stops at a damaged chunk, with an error that wraps ErrCorrupt, and at the first error that f
+// returns.
 func (s *Store) Read(life string, f func(turns []Turn, gap bool) error) error {
 	return s.view(func(tx *bbolt.Tx) error {
 		return forEachSegment(tx, life, func(segment *bbolt.Bucket) error {
@@ -48,9 +49,9 @@
 	})
 }
 
-// Size returns what a life's segments take: the bytes and the number of their chunks.
+// Size returns the total size in bytes and the number of a life's chunks.
 func (s *Store) Size(life string) (size int64, chunks int) {
-	_ = s.view(func(tx *bbolt.Tx) error { // damage shows when the life is read
+	_ = s.view(func(tx *bbolt.Tx) error { // Read reports damage
 		return forEachSegment(tx, life, func(segment *bbolt.Bucket) error {
 			return segment.ForEach(func(_, chunk []byte) error {
 				size += int64(len(chunk))
@@ -62,9 +63,9 @@
 	return size, chunks
 }
 
-// LastAt returns when the last chunk of a life was written, by the machine's clock; zero if there is none.
+// LastAt returns when the last chunk of a life was written, by the system clock, or the zero time if it has no chunks.
 func (s *Store) LastAt(life string) (at time.Time) {
-	_ = s.view(func(tx *bbolt.Tx) error { // damage shows when the life is read
+	_ = s.view(func(tx *bbolt.Tx) error { // Read reports damage
 		return forEachSegment(tx, life, func(segment *bbolt.Bucket) error {
 			_, chunk := segment.Cursor().Last()
 			if written, ok := chunkTime(chunk); ok {
