--- a/internal/record/settings_options.go
+++ b/internal/record/settings_options.go
@@ -6,8 +6,8 @@
 	"indigousher/internal/controller"
 )
 
-// Options of a replayed core that the planner's settings do not hold. Telemetry is not asked in a replay, since what it
-// passed on is in the record; its figures only have to be valid.
+// Options of a replayed core that are not among the planner's settings. A replay takes the events of telemetry from the
+// record and does not run telemetry, so the options of telemetry only have to be valid.
 const (
 	replayMaxProxies      = 65535
 	replayPeriodMs        = 1000
@@ -15,7 +15,7 @@
 	replayLongestPeriodMs = 120_000
 )
 
-// optionsFromSettings returns a replayed core's options, but for the planner, from the planner's settings.
+// optionsFromSettings returns the options of a replayed core, except the planner, from the planner's settings.
 func optionsFromSettings(settings map[string]any) (controller.Options, error) {
 	options := controller.Options{
 		Zones:          nameList(settings, "zones"),
@@ -38,12 +38,13 @@
 	options.Telemetry.HalfMs = replayHalfLifeMs
 	options.Telemetry.LongestMs = replayLongestPeriodMs
 	if len(options.Zones) == 0 || len(options.Classes) == 0 {
-		return options, fmt.Errorf("terms without zones or req kinds: %w", ErrCorrupt)
+		return options, fmt.Errorf("settings without zones or req_kinds: %w", ErrCorrupt)
 	}
 	return options, nil
 }
 
-// nameList returns a setting that lists names, or objects with a name; nil if there is none.
+// nameList returns the names in a setting that is a list of strings or of objects with a name. It returns nil if there
+// is no such setting.
 func nameList(settings map[string]any, key string) []string {
 	items, _ := settings[key].([]any)
 	var names []string
@@ -59,13 +60,13 @@
 	return names
 }
 
-// number returns a setting that is a number, 0 if there is none.
+// number returns a numeric setting, or 0 if there is no such setting.
 func number(settings map[string]any, key string) float64 {
 	v, _ := settings[key].(float64)
 	return v
 }
 
-// disabledTransports stand for the transports that a replayed core has not.
+// disabledTransports replaces the transports of a replayed core and does nothing.
 type disabledTransports struct{}
 
 // Watch does nothing.
