--- a/internal/record/store.go
+++ b/internal/record/store.go
@@ -9,28 +9,28 @@
 	"go.etcd.io/bbolt"
 )
 
-// fileName is the store's file in its folder.
+// fileName is the name of the database file in the store's folder.
 const fileName = "records.db"
 
-// The layout: bucket "lives" holds a Life as JSON by its ID; bucket "segments" holds a bucket for each segment, named
-// LIFE/NUMBER, of chunks (see chunk.go) by number.
+// The buckets of the database: "lives" holds each Life as JSON, by its ID. "segments" holds one bucket per segment,
+// named LIFE/NUMBER, which holds the segment's chunks (see chunk.go) by number.
 var (
 	bucketLives    = []byte("lives")
 	bucketSegments = []byte("segments")
 )
 
-// maxChunkBytes bounds what a chunk may unpack to, so that a damaged one can't take all memory.
+// maxChunkBytes limits the decompressed size of a chunk, so that a damaged chunk can't use up all memory.
 const maxChunkBytes = 256 << 20
 
-// Store is a file of records, opened by one process at a time.
+// Store is a database file of records. While a process has it open for writing, no other process can open it.
 type Store struct {
 	db           *bbolt.DB
 	compressor   *zstd.Encoder
 	decompressor *zstd.Decoder
 }
 
-// Open opens the store in a folder, or makes it there. It fails if another process has it open, and with ErrCorrupt if
-// its file is damaged.
+// Open opens the store in an existing folder; unless readOnly is set, it creates a missing database file. It fails if
+// another process has the store open for writing, and with an error that wraps ErrCorrupt if the file is damaged.
 func Open(dir string, readOnly bool) (*Store, error) {
 	path := filepath.Join(dir, fileName)
 	db, err := OpenFile(path, readOnly)
@@ -48,7 +48,7 @@
 	return s, nil
 }
 
-// openCompression makes the compressor, which favours speed, and its counterpart. Neither starts goroutines.
+// openCompression creates the compressor, at its fastest level, and the decompressor. Neither starts goroutines.
 func (s *Store) openCompression() (err error) {
 	s.compressor, err = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
 	if err != nil {
@@ -58,6 +58,7 @@
 	return err
 }
 
+// createBuckets creates the buckets that don't exist yet.
 func createBuckets(tx *bbolt.Tx) error {
 	for _, name := range [][]byte{bucketLives, bucketSegments} {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
@@ -73,12 +74,12 @@
 	return errors.Join(s.compressor.Close(), s.db.Close())
 }
 
-// view runs a transaction that only reads; damage that shows gives ErrCorrupt.
+// view runs a read-only transaction. If it meets damage, the error wraps ErrCorrupt.
 func (s *Store) view(f func(*bbolt.Tx) error) error {
 	return recoverCorrupt(func() error { return s.db.View(f) })
 }
 
-// update runs a transaction that may write; damage that shows gives ErrCorrupt.
+// update runs a read-write transaction. If it meets damage, the error wraps ErrCorrupt.
 func (s *Store) update(f func(*bbolt.Tx) error) error {
 	return recoverCorrupt(func() error { return s.db.Update(f) })
 }
--- a/internal/record/store_test.go
+++ b/internal/record/store_test.go
@@ -12,14 +12,14 @@
 	"go.etcd.io/bbolt"
 )
 
-// TestStore guards lives, segments, pruning and a second opener.
+// TestStore checks the lives, sizes and pruning of a store, and that it can't be opened twice for writing.
 func TestStore(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
 	writeLife(t, s, "a", 200, nil)
 	writeLife(t, s, "b", 200, nil)
 	_, err := Open(dir, false)
-	assert.Error(t, err, "another has it open")
+	assert.Error(t, err, "the store is already open")
 	lives, err := s.Lives()
 	require.NoError(t, err)
 	assert.Len(t, lives, 2)
@@ -44,8 +44,8 @@
 	require.NoError(t, reopened.Close())
 }
 
-// TestTorn guards against bytes that changed on the disk: what lies before them is read, and they are named.
-func TestTorn(t *testing.T) {
+// TestDamagedChunk guards against data that changed on disk: the turns before it are read, and the damage is reported.
+func TestDamagedChunk(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	defer closeStore(t, s)
 	writeLife(t, s, "a", 100, nil)
@@ -75,8 +75,8 @@
 	}))
 }
 
-// TestNoFolder shows how a store fails that can't be.
-func TestNoFolder(t *testing.T) {
+// TestMissingFolder checks the error for a store in a folder that does not exist.
+func TestMissingFolder(t *testing.T) {
 	_, err := Open(filepath.Join(t.TempDir(), "none"), false)
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
