--- a/internal/record/writer.go
+++ b/internal/record/writer.go
@@ -11,37 +11,38 @@
 )
 
 const (
-	// maxQueuedTurns may wait for the disk; one more is lost and shows as a gap. It bounds the memory that a disk which
-	// hangs can take.
+	// maxQueuedTurns is how many turns may wait to be written. Further turns are lost and recorded as a gap. It bounds
+	// the memory use while the disk hangs.
 	maxQueuedTurns = 1024
-	// pruneInterval is how often the bounds are looked after; a few segments more in between do no harm.
+	// pruneInterval is how often the limits are enforced. Exceeding them by a few segments in between does no harm.
 	pruneInterval = time.Minute
-	// chunksPerSegment, at least: a chunk is committed before its time when its turns reach this part of a segment.
+	// chunksPerSegment is the minimum number of chunks in a full segment: turns are committed early when their encoding
+	// reaches SegmentBytes/chunksPerSegment.
 	chunksPerSegment = 4
 )
 
-// Writer appends one life's turns away from the control loop. A disk that is full or fails never stops the loop: what
-// can't be kept is a gap in the record, and writing goes on when it can.
+// Writer appends the turns of one life to a store, outside the control loop. A full or failing disk never blocks the
+// loop: turns that can't be written become a gap in the record, and writing resumes when the disk works again.
 type Writer struct {
 	store  *Store
 	life   string
 	limits Limits
 	log    *zap.Logger
-	update func(f func(*bbolt.Tx) error) error // the store's; tests make it fail
-	turns  chan func() *Turn                   // handed over and not encoded yet
+	update func(f func(*bbolt.Tx) error) error // Store.update; tests replace it to simulate failures
+	turns  chan func() *Turn                   // queued turns, which are not encoded yet
 
-	// Counts, for whoever looks.
-	Turns     atomic.Int64 // handed over
-	Bytes     atomic.Int64 // of the chunks written
-	lostTurns atomic.Int64 // turns that are in no chunk and in no gap yet
+	// Counters, which may be read at any time.
+	Turns     atomic.Int64 // turns that were queued
+	Bytes     atomic.Int64 // total size of the written chunks
+	lostTurns atomic.Int64 // lost turns that no gap stands for yet; a chunk that failed counts as one
 
-	// Owned by Run.
-	segment      int // number of the segment that is written
-	segmentBytes int // that it has so far
+	// Used by Run only.
+	segment      int // number of the segment that is being written
+	segmentBytes int // size of that segment so far
 	nextChunk    uint64
 }
 
-// NewWriter stores a new life and returns the writer of its turns.
+// NewWriter stores a new life and returns a writer for its turns.
 func NewWriter(s *Store, l Life, limits Limits, log *zap.Logger) (*Writer, error) {
 	if err := s.Begin(l); err != nil {
 		return nil, err
@@ -50,7 +51,7 @@
 	return &Writer{store: s, life: l.ID, limits: limits, log: log, update: s.update, turns: turns}, nil
 }
 
-// Turn hands a turn over and never waits; makeTurn is called by Run.
+// Turn queues a turn, which Run obtains by calling makeTurn. It never blocks: if the queue is full, the turn is lost.
 func (w *Writer) Turn(makeTurn func() *Turn) {
 	select {
 	case w.turns <- makeTurn:
@@ -60,13 +61,13 @@
 	}
 }
 
-// Run writes until ctx ends, and then what has been handed over by then. Its error is always nil.
+// Run writes queued turns until ctx ends, then those that are still queued. It always returns nil.
 func (w *Writer) Run(ctx context.Context) error {
 	commit := time.NewTicker(w.limits.CommitInterval)
 	defer commit.Stop()
 	prune := time.NewTicker(pruneInterval)
 	defer prune.Stop()
-	var encoded []byte // turns since the last commit
+	var encoded []byte // encoded turns since the last commit
 	for {
 		select {
 		case makeTurn := <-w.turns:
@@ -87,18 +88,18 @@
 	}
 }
 
-// appendTurn encodes a turn behind those that are committed next. One that can't be encoded is lost.
+// appendTurn encodes a turn and appends it to encoded. A turn that can't be encoded is lost.
 func (w *Writer) appendTurn(encoded []byte, makeTurn func() *Turn) []byte {
 	extended, err := AppendTurn(encoded, makeTurn())
 	if err != nil {
-		w.log.Error("turn not recorded", zap.Error(err))
+		w.log.Error("encoding a turn failed, it is lost from the record", zap.Error(err))
 		w.lostTurns.Add(1)
 		return encoded
 	}
 	return extended
 }
 
-// appendQueued encodes all turns that have been handed over.
+// appendQueued encodes all queued turns and appends them to encoded.
 func (w *Writer) appendQueued(encoded []byte) []byte {
 	for {
 		select {
@@ -110,14 +111,15 @@
 	}
 }
 
+// prune deletes records that exceed the limits.
 func (w *Writer) prune() {
 	if _, err := w.store.Prune(w.limits, time.Now()); err != nil {
 		w.log.Warn("pruning records failed", zap.Error(err))
 	}
 }
 
-// commit writes a chunk, behind a gap if turns were lost before it. A chunk that can't be written is lost itself, and
-// shows as a gap before the next.
+// commit writes encoded turns as a chunk, preceded by a gap if turns were lost. If the write fails, the chunk is lost
+// and the next one is preceded by a gap.
 func (w *Writer) commit(encoded []byte) {
 	lost := w.lostTurns.Load()
 	if len(encoded) == 0 && lost == 0 {
@@ -126,18 +128,18 @@
 	err := w.update(func(tx *bbolt.Tx) error { return w.putChunks(tx, encoded, lost > 0) })
 	if err != nil {
 		w.lostTurns.Add(1)
-		w.log.Error("record not written, continuing with a gap in it", zap.Error(err))
+		w.log.Error("writing a chunk of turns failed, recording continues after a gap", zap.Error(err))
 		return
 	}
 	w.lostTurns.Add(-lost)
-	w.nextChunk += 2 // one for a gap, one for turns
+	w.nextChunk += 2 // a number for the gap and one for the turns, used or not
 	if w.segmentBytes >= w.limits.SegmentBytes {
 		w.segment++
 		w.segmentBytes = 0
 	}
 }
 
-// putChunks puts a gap, if one is due, and a chunk of turns, if there are any, into the segment that is written.
+// putChunks adds chunks to the current segment: a gap if gap is set, then the encoded turns unless they are empty.
 func (w *Writer) putChunks(tx *bbolt.Tx, encoded []byte, gap bool) error {
 	segment, err := tx.Bucket(bucketSegments).CreateBucketIfNotExists(segmentName(w.life, w.segment))
 	if err != nil {
@@ -157,7 +159,7 @@
 	return segment.Put(chunkKey(w.nextChunk+1), chunk)
 }
 
-// chunkKey is a chunk's number in an order that the database keeps.
+// chunkKey returns the key of a chunk. It is big-endian, so that the database sorts chunks by number.
 func chunkKey(number uint64) []byte {
 	return binary.BigEndian.AppendUint64(nil, number)
 }
--- a/internal/record/writer_test.go
+++ b/internal/record/writer_test.go
@@ -15,17 +15,18 @@
 	"indigousher/planner"
 )
 
-// TestDisk shows what each fault of the disk leaves: never a turn that was not, never a stop, always a gap that shows.
-func TestDisk(t *testing.T) {
+// TestWriteFailures guards the record against a failing disk: recording continues, the readable turns are in order, and
+// lost turns are marked by gaps.
+func TestWriteFailures(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		fails func(int) bool
 		gaps  bool
 	}{
-		{"all well", nil, false},
-		{"a commit fails", func(n int) bool { return n == 1 }, true},
-		{"full for a while", func(n int) bool { return n > 2 && n < 8 }, true},
-		{"failing by chance", func(n int) bool { return rand.New(rand.NewPCG(1, uint64(n))).Float64() < 0.4 }, true},
+		{"no failure", nil, false},
+		{"one commit fails", func(n int) bool { return n == 1 }, true},
+		{"disk full for a while", func(n int) bool { return n > 2 && n < 8 }, true},
+		{"random commits fail", func(n int) bool { return rand.New(rand.NewPCG(1, uint64(n))).Float64() < 0.4 }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := openStore(t, t.TempDir())
@@ -42,8 +43,9 @@
 	}
 }
 
-// TestSlowDisk guards the loop against a disk that hangs: handing over never waits, and what did not fit is a gap.
-func TestSlowDisk(t *testing.T) {
+// TestHangingDisk guards the control loop against a disk that hangs: queuing a turn never blocks, and turns that don't
+// fit into the queue leave a gap.
+func TestHangingDisk(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	defer closeStore(t, s)
 	w, err := NewWriter(s, Life{ID: "a"}, Limits{SegmentBytes: 1 << 20, CommitInterval: time.Millisecond}, zap.NewNop())
@@ -70,7 +72,7 @@
 	assert.Less(t, len(at), 3*maxQueuedTurns)
 }
 
-// BenchmarkTurn measures what recording costs the loop: one operation is a turn of 50 report lines.
+// BenchmarkTurn measures the cost of recording for the control loop. One operation is a turn with 50 endpoint stats.
 func BenchmarkTurn(b *testing.B) {
 	s, err := Open(b.TempDir(), false)
 	require.NoError(b, err)
