--- a/internal/handover/errors.go
+++ b/internal/handover/errors.go
@@ -2,12 +2,12 @@
 
 import "errors"
 
-// Errors of a handover, checked with errors.Is.
+// Errors of a handover, to be matched with errors.Is.
 var (
-	// ErrBusy says that the running process is handing over to another one.
-	ErrBusy = errors.New("another handover is under way")
-	// ErrBroken says that the connection or a message on it was not as it should be.
-	ErrBroken = errors.New("the handover broke")
-	// ErrLocked says that another process holds the lock.
-	ErrLocked = errors.New("another process of this pilot serves")
+	// ErrBusy means that the running process is already handing over to another process.
+	ErrBusy = errors.New("another handover is in progress")
+	// ErrBroken means that the connection failed or that a message on it was invalid.
+	ErrBroken = errors.New("handover connection failed or sent an invalid message")
+	// ErrLocked means that another process holds the lock.
+	ErrLocked = errors.New("another process of this pilot holds the lock")
 )
