--- a/internal/handover/handoff.go
+++ b/internal/handover/handoff.go
@@ -15,50 +15,50 @@
 )
 
 const (
-	// maxRequests is how many connections are looked at once; more than any operator makes.
+	// maxRequests is the number of connections that are handled concurrently, more than an operator ever opens.
 	maxRequests = 16
-	// requestTimeout is how long a connection may take to request a takeover, so that silent ones keep nobody out.
+	// requestTimeout limits the wait for a connection's request, so that silent connections don't occupy all slots.
 	requestTimeout = 2 * time.Second
-	// lockRetryInterval is the pause between two tries of the lock after the successor was lost.
+	// lockRetryInterval is the pause between two attempts to acquire the lock after the successor was lost.
 	lockRetryInterval = 100 * time.Millisecond
-	// defaultPatience is how often the lock is tried then: for ten seconds.
+	// defaultLockAttempts is the default number of these attempts, which take ten seconds.
 	defaultLockAttempts = 100
 )
 
-// Handoff is the side that hands off: the process that runs the controller.
+// Handoff is the predecessor's side of a handover, in the process that runs the controller.
 type Handoff struct {
 	Files map[string]*os.File // listeners by name
-	// Stop ends the controller, its streams and its record, releases the lock, and returns when nothing of it writes
-	// any more.
+	// Stop stops the controller, ends its streams, closes its record and releases the lock. When it returns, the
+	// controller no longer writes anything.
 	Stop func()
-	// Resume starts the controller again, on the same listeners, with the lock got anew.
+	// Resume starts the controller again, on the same listeners. Its argument is the lock, which was acquired again.
 	Resume func(*Lock)
-	// Patience is how often, 0.1 s apart, the lock is tried after the new process was lost; 0: a hundred times.
+	// Patience is the number of attempts, 0.1 s apart, to acquire the lock after the successor was lost; 0: 100.
 	Patience int
 
 	socket string
 }
 
-// Serve answers those who want to take over, one at a time, until one has or ctx ends. It returns whether one has. When
-// it returns, so have all goroutines that it started.
+// Serve serves requests to take over on a Unix socket, one at a time, until a process has taken over or ctx ends. It
+// reports whether a process has taken over. All goroutines that it started end before it returns.
 func (h *Handoff) Serve(ctx context.Context, socket string) (bool, error) {
 	h.socket = socket
 	listener, err := listenUnix(socket)
 	if err != nil {
-		return false, fmt.Errorf("offer handover: %w", err)
+		return false, fmt.Errorf("listen for handover requests: %w", err)
 	}
 	s := &handoffServer{handoff: h, listener: listener, slots: make(chan struct{}, maxRequests)}
 	return s.serve(ctx)
 }
 
-// listenOn opens the handover socket, in place of one that a killed process left.
+// listenUnix listens on the handover socket. It replaces a socket file that a killed process left behind.
 func listenUnix(socket string) (*net.UnixListener, error) {
-	_ = os.Remove(socket) // if there is one; what else is wrong shows below
+	_ = os.Remove(socket) // it may not exist; listening reports any other problem
 	listener, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: socket, Net: "unixpacket"})
 	if err != nil {
 		return nil, err
 	}
-	listener.SetUnlinkOnClose(false) // by then the path may be the successor's
+	listener.SetUnlinkOnClose(false) // by then the successor may listen on the same path
 	return listener, nil
 }
 
@@ -66,17 +66,18 @@
 type handoffServer struct {
 	handoff   *Handoff
 	listener  *net.UnixListener
-	slots     chan struct{} // one for each connection that is looked at
-	busy      atomic.Bool   // a handover is under way
+	slots     chan struct{} // holds one value for each connection that is handled
+	busy      atomic.Bool   // a handover is in progress
 	takenOver atomic.Bool   // another process has taken over
 }
 
-// serve accepts until one has taken over, ctx ends or the listener fails. Each of these cancels the inner context,
-// which closes the listener and ends the waits of all connections; serve returns when the last of their goroutines has.
+// serve accepts connections until a process has taken over, ctx ends or the listener fails. Each of these cancels the
+// inner context, which closes the listener and ends all reads from connections. serve returns after the last goroutine
+// of a connection has ended.
 func (s *handoffServer) serve(ctx context.Context) (bool, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stop := context.AfterFunc(ctx, func() { _ = s.listener.Close() }) // ends AcceptUnix
+	stop := context.AfterFunc(ctx, func() { _ = s.listener.Close() }) // makes AcceptUnix return
 	defer stop()
 	var connections sync.WaitGroup
 	defer connections.Wait()
@@ -87,10 +88,10 @@
 			if s.takenOver.Load() || ctx.Err() != nil {
 				return s.takenOver.Load(), nil
 			}
-			return false, fmt.Errorf("offer handover: %w", err)
+			return false, fmt.Errorf("accept handover request: %w", err)
 		}
 		if !s.takeSlot() {
-			_ = conn.Close() // nothing was sent on it
+			_ = conn.Close() // no data was written, so no error can matter
 			continue
 		}
 		connections.Go(func() {
@@ -100,7 +101,7 @@
 	}
 }
 
-// takeSlot returns whether one more connection may be looked at.
+// takeSlot reserves a slot for one more connection. It returns false if all slots are in use.
 func (s *handoffServer) takeSlot() bool {
 	select {
 	case s.slots <- struct{}{}:
@@ -110,16 +111,16 @@
 	}
 }
 
-// handle serves one connection and closes it. The end of ctx ends the wait that is under way. If the other process has
-// taken over, stop is called while the server is still busy, so that no third one is offered anything.
+// handle serves one connection and closes it. The end of ctx ends a read in progress. If the successor has taken over,
+// handle calls cancel while busy is still set, so that no third process is offered the listeners.
 func (s *handoffServer) handle(ctx context.Context, cancel context.CancelFunc, conn *net.UnixConn) {
-	defer func() { _ = conn.Close() }() // all has been said
+	defer func() { _ = conn.Close() }() // all messages were sent
 	defer context.AfterFunc(ctx, func() { _ = conn.SetReadDeadline(time.Now()) })()
 	if err := expect(conn, stepRequest, requestTimeout); err != nil {
-		return // it means something else, or nothing
+		return // not a valid request, or none within the timeout
 	}
 	if !s.busy.CompareAndSwap(false, true) {
-		_ = send(conn, message{Step: stepBusy}, nil) // if this fails the other process sees the connection end
+		_ = send(conn, message{Step: stepBusy}, nil) // if this fails, the other process detects the closed connection
 		return
 	}
 	defer s.busy.Store(false)
@@ -129,7 +130,8 @@
 	}
 }
 
-// handOver goes through the steps with a process that wants to take over and returns whether it has.
+// handOver executes the steps of a handover to the process at the other end of conn. It reports whether that process
+// has taken over.
 func (h *Handoff) handOver(ctx context.Context, conn *net.UnixConn) bool {
 	machine := recovery.Predecessor{Patience: cmp.Or(h.Patience, defaultLockAttempts)}
 	event := recovery.Asked
@@ -158,7 +160,7 @@
 	}
 }
 
-// offerListeners sends the listeners and waits until the successor is ready.
+// offerListeners sends the listeners and waits until the successor is ready. It returns ReadyCame or Lost.
 func (h *Handoff) offerListeners(conn *net.UnixConn) recovery.Event {
 	m := message{Step: stepOffer}
 	var files []*os.File
@@ -169,7 +171,8 @@
 	return exchange(conn, m, files, stepReady, recovery.ReadyCame)
 }
 
-// exchange sends a message and waits for a step of the other side, which gives an event; anything else gives Lost.
+// exchange sends a message and waits for the given step of the successor. It returns success if that step comes, and
+// Lost on any error.
 func exchange(conn *net.UnixConn, m message, files []*os.File, step string, success recovery.Event) recovery.Event {
 	if err := send(conn, m, files); err != nil {
 		return recovery.Lost
