--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -10,33 +10,33 @@
 	"time"
 )
 
-// protocolVersion is the version of the messages. Sides of different versions do not hand over.
+// protocolVersion is the version of the messages. Processes with different versions can't hand over to each other.
 const protocolVersion = 1
 
-// The steps of a handover, each a message of one side.
+// The steps of a handover. Each is a message of the successor or the predecessor.
 const (
-	stepRequest = "take"    // successor: it wants to take over
-	stepOffer   = "offer"   // predecessor: the listeners come along
+	stepRequest = "take"    // successor: it requests to take over
+	stepOffer   = "offer"   // predecessor: the message carries the listeners
 	stepBusy    = "busy"    // predecessor: it is handing over to another process
-	stepReady   = "ready"   // successor: it can start
-	stepGo      = "go"      // predecessor: it has stopped
-	stepServing = "serving" // successor: it serves
+	stepReady   = "ready"   // successor: it is ready to start its controller
+	stepGo      = "go"      // predecessor: its controller has stopped
+	stepServing = "serving" // successor: its controller runs
 )
 
-// StepTimeout is how long a side waits for each step of the other, and for its own message to go out.
+// StepTimeout limits the wait for each message of the other process, and the time to send a message.
 const StepTimeout = 20 * time.Second
 
-// maxMessageBytes bounds a message, and the files that come along, as they are in its control data.
+// maxMessageBytes is the maximum size of a message, and also of its control data, which holds the file descriptors.
 const maxMessageBytes = 4096
 
-// message is one packet on the socket, as JSON.
+// message is the content of one packet on the socket, which is encoded as JSON.
 type message struct {
 	Version int      `json:"Version"`
 	Step    string   `json:"Step"`
-	Names   []string `json:"Names,omitempty"` // of the listeners that come along, in their order
+	Names   []string `json:"Names,omitempty"` // names of the attached listeners, in the order of their files
 }
 
-// send sends a message, with files if there are any.
+// send sends a message with files attached, if there are any.
 func send(conn *net.UnixConn, m message, files []*os.File) error {
 	m.Version = protocolVersion
 	text, err := json.Marshal(m)
@@ -47,22 +47,22 @@
 	for _, file := range files {
 		descriptors = append(descriptors, int(file.Fd()))
 	}
-	_ = conn.SetWriteDeadline(time.Now().Add(StepTimeout)) // fails only if the write below does
+	_ = conn.SetWriteDeadline(time.Now().Add(StepTimeout)) // if this fails, so does the write below
 	if _, _, err := conn.WriteMsgUnix(text, syscall.UnixRights(descriptors...), nil); err != nil {
-		return fmt.Errorf("say %s: %w", m.Step, err)
+		return fmt.Errorf("send message %q: %w", m.Step, err)
 	}
 	return nil
 }
 
-// expect waits for a message of a step that brings no files; those that come all the same are closed.
+// expect waits for the message of a step without files. It closes any files that are attached.
 func expect(conn *net.UnixConn, step string, timeout time.Duration) error {
 	_, files, err := receive(conn, step, timeout)
 	closeFiles(files)
 	return err
 }
 
-// receive waits for the next message, which is to be of a step, and returns it with the files that came along. With an
-// error there are none: they are closed.
+// receive waits for the next message, which must be of the given step, and returns it with the attached files. On an
+// error it closes the files and returns none.
 func receive(conn *net.UnixConn, step string, timeout time.Duration) (message, []*os.File, error) {
 	p, err := readPacket(conn, step, timeout)
 	if err != nil {
@@ -80,26 +80,27 @@
 	return m, files, nil
 }
 
-// packet is a message as it came.
+// packet is a received message before decoding.
 type packet struct {
 	text    []byte
-	control []byte // holds the descriptors of the files
-	flags   int    // of the system
+	control []byte // control data, which holds the file descriptors
+	flags   int    // flags of recvmsg
 }
 
-// readPacket waits for a packet. An empty one is the end of the connection.
+// readPacket waits for a packet of the given step. An empty packet means that the connection was closed, which is an
+// error.
 func readPacket(conn *net.UnixConn, step string, timeout time.Duration) (packet, error) {
 	text := make([]byte, maxMessageBytes)
 	control := make([]byte, maxMessageBytes)
-	_ = conn.SetReadDeadline(time.Now().Add(timeout)) // fails only if the read below does
+	_ = conn.SetReadDeadline(time.Now().Add(timeout)) // if this fails, so does the read below
 	n, controlLen, flags, _, err := conn.ReadMsgUnix(text, control)
 	if err != nil || n == 0 {
-		return packet{}, errors.Join(fmt.Errorf("wait for %s: %w", step, ErrBroken), err)
+		return packet{}, errors.Join(fmt.Errorf("receive message %q: %w", step, ErrBroken), err)
 	}
 	return packet{text: text[:n], control: control[:controlLen], flags: flags}, nil
 }
 
-// files returns the files that came along. They are the caller's to close, also with an error.
+// files returns the attached files. The caller must close them, even if there is an error.
 func (p *packet) files() ([]*os.File, error) {
 	var files []*os.File
 	controls, err := syscall.ParseSocketControlMessage(p.control)
@@ -112,12 +113,12 @@
 		}
 	}
 	if p.flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0 {
-		err = errors.Join(err, fmt.Errorf("longer than %d bytes: %w", maxMessageBytes, ErrBroken))
+		err = errors.Join(err, fmt.Errorf("message or control data longer than %d bytes: %w", maxMessageBytes, ErrBroken))
 	}
 	return files, err
 }
 
-// message parses the text, which is to be of this version and of a step.
+// message decodes the text, which must be of this protocol version and of the given step.
 func (p *packet) message(step string) (message, error) {
 	var m message
 	if err := json.Unmarshal(p.text, &m); err != nil {
@@ -125,17 +126,17 @@
 	}
 	switch {
 	case m.Version != protocolVersion:
-		return m, fmt.Errorf("version %d, %d is spoken: %w", m.Version, protocolVersion, ErrBroken)
+		return m, fmt.Errorf("message has protocol version %d instead of %d: %w", m.Version, protocolVersion, ErrBroken)
 	case m.Step == stepBusy:
 		return m, ErrBusy
 	case m.Step != step:
-		return m, fmt.Errorf("%q where %q was due: %w", m.Step, step, ErrBroken)
+		return m, fmt.Errorf("received message %q instead of %q: %w", m.Step, step, ErrBroken)
 	}
 	return m, nil
 }
 
 func closeFiles(files []*os.File) {
 	for _, file := range files {
-		_ = file.Close() // a handle of this process; the listener itself is not touched
+		_ = file.Close() // closes only this descriptor; the listener stays open
 	}
 }
