--- a/internal/handover/takeover.go
+++ b/internal/handover/takeover.go
@@ -9,22 +9,22 @@
 	"indigousher/recovery"
 )
 
-// Takeover is the side that takes over: a new process that has been offered the listeners. Claim comes first, then
-// Started or Abort.
+// Takeover is the successor's side of a handover, in a new process that has received the listeners. Claim must be
+// called first, then Started or Abort.
 type Takeover struct {
-	Listeners map[string]net.Listener // by name; the caller's to close after Claim
+	Listeners map[string]net.Listener // by name; the caller must close them after Claim
 
 	conn    *net.UnixConn
 	socket  string
 	machine *recovery.Successor
 }
 
-// RequestTakeover asks the process that runs for its listeners. The error is ErrBusy if it is handing over to another
-// one, and os.ErrNotExist if there is no handover socket.
+// RequestTakeover requests the listeners of the running process. The error wraps ErrBusy if that process is handing
+// over to another process, and os.ErrNotExist if there is no handover socket.
 func RequestTakeover(socket string) (*Takeover, error) {
 	conn, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: socket, Net: "unixpacket"})
 	if err != nil {
-		return nil, fmt.Errorf("take over: %w", err)
+		return nil, fmt.Errorf("connect to handover socket: %w", err)
 	}
 	t := &Takeover{
 		Listeners: map[string]net.Listener{},
@@ -39,38 +39,40 @@
 	return t, nil
 }
 
-// requestListeners sends the request and takes in the offer.
+// requestListeners sends the request and receives the listeners.
 func (t *Takeover) requestListeners() error {
 	if err := send(t.conn, message{Step: stepRequest}, nil); err != nil {
 		return err
 	}
 	m, files, err := receive(t.conn, stepOffer, StepTimeout)
 	if err != nil {
-		return fmt.Errorf("take over: %w", err)
+		return fmt.Errorf("request listeners: %w", err)
 	}
-	defer closeFiles(files) // the listeners have their own handles
+	defer closeFiles(files) // the listeners have their own descriptors
 	if len(files) != len(m.Names) {
-		return fmt.Errorf("%d listeners, %d names: %w", len(files), len(m.Names), ErrBroken)
+		return fmt.Errorf("received %d listeners and %d names: %w", len(files), len(m.Names), ErrBroken)
 	}
 	return t.addListeners(m.Names, files)
 }
 
+// addListeners makes a listener of each file and adds it to Listeners.
 func (t *Takeover) addListeners(names []string, files []*os.File) error {
 	for i, file := range files {
 		listener, err := net.FileListener(file)
 		if err != nil {
-			return fmt.Errorf("take over %s: %w", names[i], err)
+			return fmt.Errorf("take over listener %s: %w", names[i], err)
 		}
 		t.Listeners[names[i]] = listener
 	}
 	return nil
 }
 
-// Claim says that all that can be checked is good, waits until the old process has stopped its controller and takes the
-// lock. If the old process is lost instead, the lock tells whether it still serves.
+// Claim notifies the predecessor that this process is ready, waits until the predecessor has stopped its controller and
+// acquires the lock. If the connection to the predecessor is lost, Claim tries the lock, which is free only if the
+// predecessor does not serve.
 func (t *Takeover) Claim() (*Lock, error) {
 	event := recovery.Offered
-	var failure error // what led to the end
+	var failure error // the reason if the takeover fails
 	for {
 		switch t.machine.Next(event) {
 		case recovery.SayReady:
@@ -87,12 +89,13 @@
 			event = recovery.Refused
 			failure = errors.Join(failure, err)
 		default:
-			return nil, fmt.Errorf("take over: %w", failure)
+			return nil, fmt.Errorf("claim lock for takeover: %w", failure)
 		}
 	}
 }
 
-// awaitStop says that this process can start and waits until the old one has stopped its controller.
+// awaitStop notifies the predecessor that this process is ready and waits until the predecessor has stopped its
+// controller.
 func (t *Takeover) awaitStop() error {
 	if err := send(t.conn, message{Step: stepReady}, nil); err != nil {
 		return err
@@ -100,8 +103,8 @@
 	return expect(t.conn, stepGo, StepTimeout)
 }
 
-// Started reports whether the controller runs; if so the old process is notified, and ends. That it may not hear
-// changes nothing: who holds the lock serves.
+// Started ends the handover after the controller has started or, if runs is false, has failed to start. If it runs, the
+// predecessor is notified, and exits. Losing this message is harmless, because the process that holds the lock serves.
 func (t *Takeover) Started(runs bool) {
 	event := recovery.Started
 	if !runs {
@@ -113,10 +116,10 @@
 	_ = t.conn.Close()
 }
 
-// Abort gives up: the old process goes on.
+// Abort ends the handover and closes the listeners, so that the predecessor resumes.
 func (t *Takeover) Abort() {
 	for _, listener := range t.Listeners {
-		_ = listener.Close() // a handle of this process
+		_ = listener.Close() // closes only this process's descriptor
 	}
 	_ = t.conn.Close()
 }
