--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -16,10 +16,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience is how often the predecessor of a test tries the lock.
+// lockAttempts is how often the predecessor of a test tries to acquire the lock.
 const lockAttempts = 8
 
-// requestUntilOffered requests to take over, again until somebody listens.
+// requestUntilOffered requests a takeover and repeats the request until a predecessor offers its listeners.
 func requestUntilOffered(t *testing.T, socket string) (takeover *Takeover) {
 	require.Eventually(t, func() bool {
 		var err error
@@ -29,8 +29,8 @@
 	return takeover
 }
 
-// dialSocket connects to a handover socket, again until somebody listens: the path is there from bind on, but a dial is
-// refused until listen.
+// dialSocket connects to a handover socket and retries until the predecessor listens: the path exists after bind, but
+// connections are refused until listen.
 func dialSocket(t *testing.T, socket string) (conn *net.UnixConn) {
 	require.Eventually(t, func() bool {
 		var err error
@@ -40,7 +40,7 @@
 	return conn
 }
 
-// listenTCP opens a listener and returns it with a handle on it; both are the caller's to close.
+// listenTCP opens a listener and returns it with a file of its descriptor. The caller must close both.
 func listenTCP(t *testing.T) (net.Listener, *os.File) {
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
@@ -55,7 +55,7 @@
 
 func mustClose(t *testing.T, c io.Closer) { assert.NoError(t, c.Close()) }
 
-// claimed requests to take over until it has the lock.
+// requestAndClaim requests a takeover and claims the lock.
 func requestAndClaim(t *testing.T, socket string) (*Takeover, *Lock) {
 	takeover := requestUntilOffered(t, socket)
 	lock, err := takeover.Claim()
@@ -63,8 +63,8 @@
 	return takeover, lock
 }
 
-// TestHandover takes every way that a handover can go: the predecessor stops only when the successor is ready, and goes
-// on whenever the successor does not come to serve.
+// TestHandover checks every outcome of a handover: the predecessor stops only if the successor is ready, and resumes
+// whenever the successor fails before it serves.
 func TestHandover(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -73,13 +73,13 @@
 		stops     int
 		resumes   int
 	}{
-		{"all well", takeOver, true, 1, 0},
-		{"it serves but can't say so", takeOverSilently, true, 1, 0},
-		{"it gives up after the offer", abortAfterOffer, false, 0, 0},
-		{"it dies while it waits", dieWhenReady, false, 1, 1},
-		{"it dies before it serves", dieWithLock, false, 1, 1},
-		{"a second one meanwhile", takeOverBeforeAnother, true, 1, 0},
-		{"noise", sendMalformed, false, 0, 0},
+		{"success", takeOver, true, 1, 0},
+		{"successor serves but can't confirm it", takeOverSilently, true, 1, 0},
+		{"successor aborts after the offer", abortAfterOffer, false, 0, 0},
+		{"successor dies when ready", dieWhenReady, false, 1, 1},
+		{"successor dies with the lock", dieWithLock, false, 1, 1},
+		{"another successor is rejected", takeOverBeforeAnother, true, 1, 0},
+		{"malformed request", sendMalformed, false, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, file := listenTCP(t)
@@ -128,7 +128,7 @@
 	takeover.Abort()
 }
 
-// takeOverSilently holds the lock for longer than the predecessor's patience.
+// takeOverSilently holds the lock for longer than the predecessor tries to acquire it.
 func takeOverSilently(t *testing.T, socket string) {
 	takeover, lock := requestAndClaim(t, socket)
 	takeover.Abort()
@@ -146,7 +146,7 @@
 	takeover.Abort()
 }
 
-// dieWithLock releases the lock within the predecessor's patience, as the kernel does when a process is dead.
+// dieWithLock releases the lock while the predecessor tries to acquire it, as the kernel does when a process dies.
 func dieWithLock(t *testing.T, socket string) {
 	takeover, lock := requestAndClaim(t, socket)
 	takeover.Abort()
@@ -177,7 +177,7 @@
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-// TestListenerPassed shows that a connection which came while nobody accepted is served by the process that took over.
+// TestListenerPassed checks that the successor accepts a connection that a client opened while no process accepted any.
 func TestListenerPassed(t *testing.T) {
 	l, file := listenTCP(t)
 	address := l.Addr().String()
@@ -196,7 +196,7 @@
 	awaitSocket(t, socket)
 	takeover, lock := requestAndClaim(t, socket)
 	defer lock.Release()
-	client, err := net.Dial("tcp", address) // nobody accepts now
+	client, err := net.Dial("tcp", address) // no process accepts connections now
 	require.NoError(t, err)
 	defer mustClose(t, client)
 	takeover.Started(true)
--- a/internal/handover/message_hostile_test.go
+++ b/internal/handover/message_hostile_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestBadRequester guards the handover socket against those who ask and mean harm, or nothing: each is let go of, none
-// holds up one that really takes over, and nothing of them stays.
+// TestBadRequester guards the handover socket against malformed requests and silent connections. Malformed requests
+// must be closed without an answer. None may block a valid takeover or leave goroutines or files behind.
 func TestBadRequester(t *testing.T) {
 	socket := filepath.Join(t.TempDir(), "handover.sock")
 	ctx, cancel := context.WithCancel(t.Context())
@@ -27,8 +27,8 @@
 	silent := dialSocket(t, socket)
 	defer mustClose(t, silent)
 	for name, text := range map[string]string{
-		"no JSON":         "take",
-		"cut off":         `{"Version":1,"Step":"ta`,
+		"not JSON":        "take",
+		"truncated":       `{"Version":1,"Step":"ta`,
 		"another version": `{"Version":2,"Step":"take"}`,
 		"another step":    `{"Version":1,"Step":"go"}`,
 		"nested":          strings.Repeat("[", maxMessageBytes),
@@ -46,25 +46,25 @@
 	}
 	assertNoGoroutineLeak(t, socket)
 	assertNoFileLeak(t, socket)
-	requestUntilOffered(t, socket).Abort() // while one is still silent
+	requestUntilOffered(t, socket).Abort() // while another connection is silent
 }
 
-// assertNoGoroutinesStay makes many connections that end at once.
+// assertNoGoroutineLeak opens many connections and closes them at once.
 func assertNoGoroutineLeak(t *testing.T, socket string) {
 	before := runtime.NumGoroutine()
 	for range 200 {
 		mustClose(t, dialSocket(t, socket))
 	}
 	assert.Eventually(t, func() bool { return runtime.NumGoroutine() <= before+2 }, 5*time.Second, time.Millisecond,
-		"goroutines of those who have gone stay")
+		"goroutines of closed connections are still running")
 }
 
-// assertNoFilesStay sends files along with requests, which bring none.
+// assertNoFileLeak attaches files to requests, which must not have any.
 func assertNoFileLeak(t *testing.T, socket string) {
 	before, err := openFiles()
 	require.NoError(t, err)
 	for range 20 {
-		require.Eventually(t, func() bool { // the one before may still be on its way out
+		require.Eventually(t, func() bool { // the previous request may still be in progress
 			conn := dialSocket(t, socket)
 			defer mustClose(t, conn)
 			return requestWithFiles(conn) == nil
@@ -73,7 +73,7 @@
 	assert.Eventually(t, func() bool {
 		now, err := openFiles()
 		return err == nil && now <= before+3
-	}, 5*time.Second, time.Millisecond, "files of those who have gone stay")
+	}, 5*time.Second, time.Millisecond, "files of closed connections are still open")
 }
 
 func requestWithFiles(conn *net.UnixConn) error {
@@ -83,7 +83,7 @@
 	return expect(conn, stepOffer, 5*time.Second)
 }
 
-// openFiles returns how many files this process has open.
+// openFiles returns the number of open files of this process.
 func openFiles() (int, error) {
 	files, err := os.ReadDir("/proc/self/fd")
 	return len(files), err
--- a/internal/handover/message_test.go
+++ b/internal/handover/message_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestMessageJSON guards the form of a handover's messages: the process that is replaced may be of an earlier version.
+// TestMessageJSON guards the encoding of messages, because the predecessor may run an earlier version of the program.
 func TestMessageJSON(t *testing.T) {
 	for want, m := range map[string]message{
 		`{"Version":1,"Step":"offer","Names":["proxies","admin"]}`: {
