--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// Role is what the holder of a certificate may act as.
+// Role is the role in which the holder of a certificate is authorized to act.
 type Role string
 
 // The roles.
@@ -18,7 +18,7 @@
 	Proxy    Role = "proxy"
 	Pilot    Role = "pilot"
 	Operator Role = "operator"
-	Source   Role = "source" // of the endpoint list
+	Source   Role = "source" // the source of the endpoint list
 )
 
 var roles = []Role{Proxy, Pilot, Operator, Source}
@@ -27,7 +27,7 @@
 const scheme = "indigousher"
 
 // ErrIdentity means that a certificate has no valid identity, or one that is not authorized.
-var ErrIdentity = errors.New("not an identity that is let in")
+var ErrIdentity = errors.New("identity is invalid or not authorized")
 
 // Identity identifies the holder of a certificate.
 type Identity struct {
@@ -35,7 +35,7 @@
 	Zone, Name string
 }
 
-// String returns the identity as it is written in the certificate.
+// String returns the URI that represents the identity in a certificate.
 func (i Identity) String() string {
 	return fmt.Sprintf("%s://%s/%s/%s", scheme, i.Role, i.Zone, i.Name)
 }
@@ -45,16 +45,18 @@
 	return &url.URL{Scheme: scheme, Host: string(i.Role), Path: "/" + i.Zone + "/" + i.Name}
 }
 
-// New returns an identity. The error wraps ErrIdentity if the parts are not valid in a certificate.
+// New returns an identity. The error wraps ErrIdentity if the role is unknown or a part can't be written in a
+// certificate.
 func New(role, zone, name string) (Identity, error) {
 	identity, ok := parseURI(Identity{Role: Role(role), Zone: zone, Name: name}.uri())
 	if !ok || zone == "" {
-		return Identity{}, fmt.Errorf("%s/%s/%s, roles are %v: %w", role, zone, name, roles, ErrIdentity)
+		return Identity{}, fmt.Errorf("%s/%s/%s, valid roles are %v: %w", role, zone, name, roles, ErrIdentity)
 	}
 	return identity, nil
 }
 
-// FromCertificate returns the identity in a certificate. The error wraps ErrIdentity if it has none or several.
+// FromCertificate returns the identity in a certificate. The error wraps ErrIdentity if the certificate has none or
+// more than one.
 func FromCertificate(c *x509.Certificate) (Identity, error) {
 	var found []Identity
 	for _, u := range c.URIs {
@@ -63,20 +65,21 @@
 		}
 	}
 	if len(found) != 1 {
-		return Identity{}, fmt.Errorf("certificate %q names %d identities: %w", c.Subject.CommonName, len(found), ErrIdentity)
+		return Identity{}, fmt.Errorf("certificate %q has %d identities: %w", c.Subject.CommonName, len(found), ErrIdentity)
 	}
 	return found[0], nil
 }
 
-// FromConnection returns the identity of a connection's peer.
+// FromConnection returns the identity of a connection's peer. The error wraps ErrIdentity if the peer has no
+// certificate or no valid identity.
 func FromConnection(s tls.ConnectionState) (Identity, error) {
 	if len(s.PeerCertificates) == 0 {
-		return Identity{}, fmt.Errorf("no certificate: %w", ErrIdentity)
+		return Identity{}, fmt.Errorf("peer has no certificate: %w", ErrIdentity)
 	}
 	return FromCertificate(s.PeerCertificates[0])
 }
 
-// parseURI returns the identity that a URI represents, if it represents one.
+// parseURI returns the identity that a URI represents, or false if it represents none.
 func parseURI(u *url.URL) (Identity, bool) {
 	role := Role(u.Host)
 	path := strings.Split(strings.TrimPrefix(u.Path, "/"), "/")
