--- a/internal/identity/keystore.go
+++ b/internal/identity/keystore.go
@@ -10,9 +10,10 @@
 	"time"
 )
 
-// Files are the PEM files of a key store.
+// Files holds the paths of the PEM files of a key store.
 type Files struct{ Authority, Certificate, Key string }
 
+// paths returns the paths of all files.
 func (f Files) paths() []string { return []string{f.Authority, f.Certificate, f.Key} }
 
 // KeyStore is the key store of a process: its own certificate, and the authority that peers are verified against. The
@@ -20,7 +21,7 @@
 // force. It is safe for concurrent use.
 type KeyStore struct {
 	files      Files
-	onRejected func(peer net.Addr, err error) // reports a rejected peer to operators; may be nil
+	onRejected func(peer net.Addr, err error) // called for each rejected peer, to inform operators; may be nil
 
 	mu    sync.Mutex
 	cert  *tls.Certificate // Leaf is set
@@ -28,7 +29,7 @@
 	watch fileWatch
 }
 
-// Load reads a key store. If refused is not nil, it is called for each rejected peer.
+// Load reads a key store. If onRejected is not nil, it is called with the address of each rejected peer and the reason.
 func Load(f Files, onRejected func(net.Addr, error)) (*KeyStore, error) {
 	k := &KeyStore{files: f, onRejected: onRejected}
 	if err := k.read(); err != nil {
@@ -45,15 +46,15 @@
 	}
 	cert, err := readCertificate(k.files.Certificate, k.files.Key)
 	if err != nil {
-		return fmt.Errorf("keys: %s: %w", k.files.Certificate, err)
+		return fmt.Errorf("load certificate %s: %w", k.files.Certificate, err)
 	}
 	authority, err := os.ReadFile(k.files.Authority)
 	if err != nil {
-		return fmt.Errorf("keys: %w", err)
+		return fmt.Errorf("read certificate of the authority: %w", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(authority) {
-		return fmt.Errorf("keys: %s holds no certificate", k.files.Authority)
+		return fmt.Errorf("file of the authority %s contains no certificate", k.files.Authority)
 	}
 	k.cert = cert
 	k.pool = pool
@@ -61,7 +62,7 @@
 	return nil
 }
 
-// readCertificate reads a certificate with an identity, and its key.
+// readCertificate reads a certificate and its key. It returns an error if the certificate has no valid identity.
 func readCertificate(certFile, keyFile string) (*tls.Certificate, error) {
 	cert, err := tls.LoadX509KeyPair(certFile, keyFile)
 	if err != nil {
@@ -79,7 +80,7 @@
 	return &cert, nil
 }
 
-// current returns the keys in force, reloaded if the files have changed.
+// current returns the present certificate and pool of authorities. It first reloads them if the files have changed.
 func (k *KeyStore) current() (*tls.Certificate, *x509.CertPool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -87,7 +88,7 @@
 	return k.cert, k.pool
 }
 
-// Err returns the error of the last reload, or nil if the files in force are the latest.
+// Err returns the error of the last reload, or nil if the keys in use are those in the files.
 func (k *KeyStore) Err() error {
 	k.current()
 	k.mu.Lock()
@@ -104,6 +105,6 @@
 // Identity returns the identity in the process's own certificate.
 func (k *KeyStore) Identity() Identity {
 	cert, _ := k.current()
-	identity, _ := FromCertificate(cert.Leaf) // checked when it was read
+	identity, _ := FromCertificate(cert.Leaf) // can't fail: readCertificate checks it
 	return identity
 }
--- a/internal/identity/reload.go
+++ b/internal/identity/reload.go
@@ -10,14 +10,14 @@
 // checkInterval is the shortest time between two checks of the same files.
 const checkInterval = 200 * time.Millisecond
 
-// fileWatch detects files that have changed since they were read. It is guarded by its owner's lock.
+// fileWatch detects files that have changed since they were read. The lock of the owning struct guards it.
 type fileWatch struct {
-	readStamp time.Time // modification time of the newest file when the files were read
-	checkedAt time.Time
-	err       error // of the last check or reload
+	readStamp time.Time // latest modification time of the files when they were read
+	checkedAt time.Time // time of the last check
+	err       error     // error of the last check or reload
 }
 
-// reload calls read if the files have changed since they were read. Checks are limited to one per checkInterval.
+// reload calls read if the files have changed since they were read. It checks the files at most once per checkInterval.
 func (w *fileWatch) reload(read func() error, files ...string) {
 	if time.Since(w.checkedAt) <= checkInterval {
 		return
@@ -33,13 +33,13 @@
 	}
 }
 
-// newest returns the modification time of the file that changed last.
+// newestModTime returns the latest modification time of the files.
 func newestModTime(files ...string) (time.Time, error) {
 	var latest time.Time
 	for _, file := range files {
 		info, err := os.Stat(file)
 		if err != nil {
-			return latest, fmt.Errorf("keys: %w", err)
+			return latest, fmt.Errorf("read modification time of key file: %w", err)
 		}
 		if info.ModTime().After(latest) {
 			latest = info.ModTime()
@@ -48,7 +48,8 @@
 	return latest, nil
 }
 
-// replace writes a file under a temporary name and renames it, so that no reader sees a partial file.
+// writeFileAtomic writes a file under a temporary name and renames it, so that no reader sees a partial file. It
+// creates missing directories.
 func writeFileAtomic(path string, data []byte, mode os.FileMode) error {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return err
