--- a/internal/identity/replay.go
+++ b/internal/identity/replay.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	// replayWindow is the number of accepted numbers that are remembered.
+	// replayWindow is the maximum number of accepted message numbers that are remembered.
 	replayWindow = 1024
-	// maxNumberAge is how far below the newest number a number may be. Numbers are times in nanoseconds, see
-	// Secret.Seal.
+	// maxNumberAge is how far below the greatest accepted number a number may be. Numbers are times in nanoseconds,
+	// see Secret.Seal.
 	maxNumberAge = uint64(5 * time.Second)
 )
 
-// ReplayFilter is a replay filter for the numbered messages of one sender: it accepts each number once, and none far
-// below the newest. The zero value is ready for use. It is not safe for concurrent use.
+// ReplayFilter detects replayed messages of one sender by their numbers. It accepts each number once, and no number
+// that is more than maxNumberAge below the greatest accepted one. The zero value is ready for use. It is not safe for
+// concurrent use.
 type ReplayFilter struct {
-	accepted []uint64 // the greatest ones, in ascending order
-	newest   uint64
+	accepted []uint64 // the greatest accepted numbers, at most replayWindow, in ascending order
+	newest   uint64   // the greatest accepted number
 }
 
-// Accept reports whether the message with a number is accepted, and remembers the number if it is.
+// Accept reports whether a message with the given number is new, and remembers the number if it is.
 func (f *ReplayFilter) Accept(number uint64) bool {
 	tooOld := number+maxNumberAge < f.newest
 	full := len(f.accepted) == replayWindow
--- a/internal/identity/replay_test.go
+++ b/internal/identity/replay_test.go
@@ -6,14 +6,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestReplayFilter checks messages that are repeated at once or after many others, and ones that are too old.
+// TestReplayFilter checks that repeated messages are rejected, immediately and after many others, and so are old ones.
 func TestReplayFilter(t *testing.T) {
 	const now = uint64(1e18)
 	filter := &ReplayFilter{}
 	assert.True(t, filter.Accept(now))
-	assert.False(t, filter.Accept(now), "at once")
-	assert.True(t, filter.Accept(now-maxNumberAge+1), "overtaken on its way")
-	assert.False(t, filter.Accept(now-maxNumberAge-1), "too old, though it was never seen")
+	assert.False(t, filter.Accept(now), "repeated immediately")
+	assert.True(t, filter.Accept(now-maxNumberAge+1), "arrives after a newer message")
+	assert.False(t, filter.Accept(now-maxNumberAge-1), "too old, although not a repetition")
 	assert.False(t, filter.Accept(0))
 	for i := range uint64(3 * replayWindow) {
 		assert.True(t, filter.Accept(now+1+i))
