--- a/internal/identity/doc.go
+++ b/internal/identity/doc.go
@@ -2,6 +2,6 @@
 // change, the identity (role, zone and name) in a peer's certificate, authenticated encryption of datagrams between
 // controllers with replay protection, and a small certificate authority for rehearsals and tests.
 //
-// Why a peer's certificate was rejected is reported to operators only. The peer learns no more than that it was
+// The reason why a peer's certificate was rejected is reported to operators only. The peer is only informed that it was
 // rejected.
 package identity
--- a/internal/identity/tls.go
+++ b/internal/identity/tls.go
@@ -7,10 +7,11 @@
 	"slices"
 )
 
-// nextProtos is the protocol that gRPC negotiates. The framed protocol ignores it.
+// nextProtos is the protocol that gRPC negotiates by ALPN. The framed protocol ignores it.
 var nextProtos = []string{"h2"}
 
-// Server returns the configuration of a listener that admits the given roles. Each handshake uses the keys in force.
+// Server returns the configuration of a listener that accepts peers with one of the allowed roles. Each handshake uses
+// the present keys, which are reloaded if their files have changed.
 func (k *KeyStore) Server(allowed ...Role) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -39,13 +40,13 @@
 	}
 }
 
-// Client returns the configuration for dialling a peer with one of the given roles. The peer's identity is verified,
+// Client returns the configuration for dialling a peer with one of the allowed roles. The peer's identity is verified,
 // not its host name.
 func (k *KeyStore) Client(allowed ...Role) *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
 		NextProtos:         nextProtos,
-		InsecureSkipVerify: true, // no host name; VerifyConnection checks the chain and the identity
+		InsecureSkipVerify: true, // skips the host name only; VerifyConnection checks the chain and the identity
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			cert, _ := k.current()
 			return cert, nil
@@ -57,10 +58,10 @@
 	}
 }
 
-// verify checks a peer's certificate chain and role.
+// verify checks a peer's certificate chain for the given key usage, and that the peer has one of the allowed roles.
 func verify(s tls.ConnectionState, pool *x509.CertPool, usage x509.ExtKeyUsage, allowed []Role) error {
 	if len(s.PeerCertificates) == 0 {
-		return fmt.Errorf("no certificate: %w", ErrIdentity)
+		return fmt.Errorf("peer has no certificate: %w", ErrIdentity)
 	}
 	leaf := s.PeerCertificates[0]
 	intermediates := x509.NewCertPool()
@@ -69,14 +70,14 @@
 	}
 	options := x509.VerifyOptions{Roots: pool, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{usage}}
 	if _, err := leaf.Verify(options); err != nil {
-		return fmt.Errorf("certificate %q: %w", leaf.Subject.CommonName, err)
+		return fmt.Errorf("verify certificate %q: %w", leaf.Subject.CommonName, err)
 	}
 	identity, err := FromCertificate(leaf)
 	if err != nil {
 		return err
 	}
 	if !slices.Contains(allowed, identity.Role) {
-		return fmt.Errorf("%s among %v: %w", identity, allowed, ErrIdentity)
+		return fmt.Errorf("role of %s is not among %v: %w", identity, allowed, ErrIdentity)
 	}
 	return nil
 }
