--- a/internal/record/codec_test.go
+++ b/internal/record/codec_test.go
@@ -16,7 +16,7 @@
 	got, err := DecodeTurns(b)
 	require.NoError(t, err)
 	assert.Equal(t, []Turn{*sampleTurn(1), *sampleTurn(2.5)}, got)
-	for n := range b { // data that is truncated at any byte gives whole turns or ErrCorrupt
+	for n := range b { // truncated data gives whole turns or ErrCorrupt
 		_, err := DecodeTurns(b[:n])
 		if n > 0 && err != nil {
 			assert.ErrorIs(t, err, ErrCorrupt)
--- a/internal/record/database.go
+++ b/internal/record/database.go
@@ -76,7 +76,7 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
-			err = fmt.Errorf("%v: %w", r, ErrCorrupt)
+			err = fmt.Errorf("database panicked: %v: %w", r, ErrCorrupt)
 		}
 	}()
 	return f()
--- a/internal/record/estimate.go
+++ b/internal/record/estimate.go
@@ -33,11 +33,11 @@
 
 // estimator computes an Estimate from the events of a replay.
 type estimator struct {
-	shares             func() map[int]map[int]float64 // by zone and endpoint, in the replay's present tables
-	endpoints          map[int]*attemptTotals
-	sum                Estimate // totals, which result divides
-	recordedSuccesses  float64
-	estimatedSuccesses float64
+	shares             func() map[int]map[int]float64 // by zone and endpoint, in the replay's current tables
+	endpoints          map[int]*attemptTotals         // by endpoint
+	sum                Estimate                       // totals, which result divides
+	recordedSuccesses  float64                        // successful attempts in the record
+	estimatedSuccesses float64                        // successful attempts with the replay's tables
 }
 
 // attemptTotals sums the recent attempts at an endpoint. Each period is weighted by decayFactor relative to the next.
--- a/internal/record/prune.go
+++ b/internal/record/prune.go
@@ -11,7 +11,7 @@
 // storedSegment describes a stored segment for pruning.
 type storedSegment struct {
 	name  []byte
-	bytes int64
+	bytes int64     // total size of its chunks
 	at    time.Time // when its last chunk was written
 }
 
--- a/internal/record/recorder.go
+++ b/internal/record/recorder.go
@@ -17,19 +17,19 @@
 // arguments. The conversion is done by the functions that Turn passes to the sink; the writer calls them one at a time.
 type Recorder struct {
 	sink       func(func() *Turn)
-	checkpoint func() []controller.Input // returns inputs that rebuild the core's present state in another core
+	checkpoint func() []controller.Input // returns inputs that rebuild the core's state in another core
 
 	// Used by the control loop only.
-	started          bool // the first turn was recorded
-	lastCheckpointMs float64
+	started          bool    // the first turn was recorded
+	lastCheckpointMs float64 // time of the last checkpoint, or of the first turn
 
 	// Used only by the functions that are passed to the sink.
 	streams    map[controller.Stream]uint64 // numbers of the open streams
 	lastStream uint64                       // the number assigned last
 }
 
-// NewRecorder returns a recorder that passes turns to sink. checkpoint returns inputs that rebuild the core's present
-// state, see controller.Core.Checkpoint.
+// NewRecorder returns a recorder that passes turns to sink. checkpoint returns inputs that rebuild the core's
+// current state, see controller.Core.Checkpoint.
 func NewRecorder(sink func(func() *Turn), checkpoint func() []controller.Input) *Recorder {
 	return &Recorder{sink: sink, checkpoint: checkpoint, streams: map[controller.Stream]uint64{}}
 }
--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -44,8 +44,8 @@
 	replayer       *replayer
 	sentHash       hash.Hash64 // of all messages to proxies
 	compareDigests bool        // compare the digest of each turn's commands with the record
-	firstMs        float64     // time of the first turn; unset before it
-	lastTurnMs     float64
+	firstMs        float64     // time of the first turn; 0 before it
+	lastTurnMs     float64     // time of the latest turn
 }
 
 // Replay replays a life in a new core, in virtual time. If settings is nil, the settings at the life's start are used
--- a/internal/record/writer.go
+++ b/internal/record/writer.go
@@ -33,13 +33,13 @@
 
 	// Counters, which may be read at any time.
 	Turns     atomic.Int64 // turns that were queued
-	Bytes     atomic.Int64 // total size of the written chunks
+	Bytes     atomic.Int64 // total size of the written chunks, in bytes
 	lostTurns atomic.Int64 // lost turns that no gap stands for yet; a chunk that failed counts as one
 
 	// Used by Run only.
-	segment      int // number of the segment that is being written
-	segmentBytes int // size of that segment so far
-	nextChunk    uint64
+	segment      int    // number of the segment that is being written
+	segmentBytes int    // size of that segment so far, in bytes
+	nextChunk    uint64 // number of the next chunk
 }
 
 // NewWriter stores a new life and returns a writer for its turns.
