--- a/internal/handover/handoff.go
+++ b/internal/handover/handoff.go
@@ -21,7 +21,8 @@
 	requestTimeout = 2 * time.Second
 	// lockRetryInterval is the pause between two attempts to acquire the lock after the successor was lost.
 	lockRetryInterval = 100 * time.Millisecond
-	// defaultLockAttempts is the default number of these attempts, which take ten seconds.
+	// defaultLockAttempts is the default number of attempts to acquire the lock after the successor was lost. With
+	// lockRetryInterval between them they take ten seconds.
 	defaultLockAttempts = 100
 )
 
@@ -114,7 +115,7 @@
 // handle serves one connection and closes it. The end of ctx ends a read in progress. If the successor has taken over,
 // handle calls cancel while busy is still set, so that no third process is offered the listeners.
 func (s *handoffServer) handle(ctx context.Context, cancel context.CancelFunc, conn *net.UnixConn) {
-	defer func() { _ = conn.Close() }() // all messages were sent
+	defer func() { _ = conn.Close() }() // all messages were sent, so no error can matter
 	defer context.AfterFunc(ctx, func() { _ = conn.SetReadDeadline(time.Now()) })()
 	if err := expect(conn, stepRequest, requestTimeout); err != nil {
 		return // not a valid request, or none within the timeout
--- a/internal/handover/message_hostile_test.go
+++ b/internal/handover/message_hostile_test.go
@@ -14,13 +14,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestBadRequester guards the handover socket against malformed requests and silent connections. Malformed requests
-// must be closed without an answer. None may block a valid takeover or leave goroutines or files behind.
-func TestBadRequester(t *testing.T) {
+// TestMalformedRequests guards the handover socket against malformed requests and silent connections. Malformed
+// requests must be closed without an answer. None may block a valid takeover or leave goroutines or files behind.
+func TestMalformedRequests(t *testing.T) {
 	socket := filepath.Join(t.TempDir(), "handover.sock")
 	ctx, cancel := context.WithCancel(t.Context())
 	served := make(chan error, 1)
-	handoff := Handoff{Stop: func() { t.Error("stopped for a bad requester") }, Resume: func(*Lock) {}}
+	handoff := Handoff{Stop: func() { t.Error("controller was stopped for a malformed request") }, Resume: func(*Lock) {}}
 	go func() { _, err := handoff.Serve(ctx, socket); served <- err }()
 	defer func() { cancel(); assert.NoError(t, <-served) }()
 	mustClose(t, dialSocket(t, socket))
--- a/internal/handover/takeover.go
+++ b/internal/handover/takeover.go
@@ -55,7 +55,7 @@
 	return t.addListeners(m.Names, files)
 }
 
-// addListeners makes a listener of each file and adds it to Listeners.
+// addListeners creates a listener from each file and adds it to Listeners.
 func (t *Takeover) addListeners(names []string, files []*os.File) error {
 	for i, file := range files {
 		listener, err := net.FileListener(file)
