--- a/internal/identity/keystore.go
+++ b/internal/identity/keystore.go
@@ -24,8 +24,8 @@
 	onRejected func(peer net.Addr, err error) // called for each rejected peer, to inform operators; may be nil
 
 	mu    sync.Mutex
-	cert  *tls.Certificate // Leaf is set
-	pool  *x509.CertPool
+	cert  *tls.Certificate // with Leaf set
+	pool  *x509.CertPool   // the authority's certificates
 	watch fileWatch
 }
 
@@ -80,7 +80,7 @@
 	return &cert, nil
 }
 
-// current returns the present certificate and pool of authorities. It first reloads them if the files have changed.
+// current returns the current certificate and pool of authorities. It first reloads them if the files have changed.
 func (k *KeyStore) current() (*tls.Certificate, *x509.CertPool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/identity/secret.go
+++ b/internal/identity/secret.go
@@ -38,7 +38,7 @@
 	path string
 
 	mu         sync.Mutex
-	ciphers    []cipher.AEAD
+	ciphers    []cipher.AEAD // one per key, in the order of the file
 	watch      fileWatch
 	lastNumber uint64 // number of the message that was sealed last
 }
@@ -114,7 +114,7 @@
 	return cipher.NewGCM(block)
 }
 
-// current returns the ciphers of the present keys. It first reloads them if the file has changed. The caller must hold
+// current returns the ciphers of the current keys. It first reloads them if the file has changed. The caller must hold
 // the lock.
 func (s *Secret) current() []cipher.AEAD {
 	s.watch.reload(s.read, s.path)
--- a/internal/identity/tls.go
+++ b/internal/identity/tls.go
@@ -11,7 +11,7 @@
 var nextProtos = []string{"h2"}
 
 // Server returns the configuration of a listener that accepts peers with one of the allowed roles. Each handshake uses
-// the present keys, which are reloaded if their files have changed.
+// the current keys, which are reloaded if their files have changed.
 func (k *KeyStore) Server(allowed ...Role) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -46,7 +46,7 @@
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
 		NextProtos:         nextProtos,
-		InsecureSkipVerify: true, // skips the host name only; VerifyConnection checks the chain and the identity
+		InsecureSkipVerify: true, // disables the host name check; VerifyConnection checks the chain and identity
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			cert, _ := k.current()
 			return cert, nil
