--- a/internal/identity/tls.go
+++ b/internal/identity/tls.go
@@ -17,13 +17,13 @@
 		MinVersion: tls.VersionTLS13,
 		NextProtos: nextProtos,
 		GetConfigForClient: func(hello *tls.ClientHelloInfo) (*tls.Config, error) {
-			return k.serverConfig(hello, allowed), nil
+			return k.handshakeConfig(hello, allowed), nil
 		},
 	}
 }
 
 // serverConfig returns the configuration of one handshake.
-func (k *KeyStore) serverConfig(hello *tls.ClientHelloInfo, allowed []Role) *tls.Config {
+func (k *KeyStore) handshakeConfig(hello *tls.ClientHelloInfo, allowed []Role) *tls.Config {
 	cert, pool := k.current()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
--- a/internal/record/estimate_test.go
+++ b/internal/record/estimate_test.go
@@ -12,12 +12,12 @@
 // attempts, endpoint 1 none, and both had the same share.
 func TestEstimate(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		shares  map[int]float64
-		failed  float64
-		mean    float64 // ms
-		trusted float64
-		within  float64
+		name      string
+		shares    map[int]float64
+		failed    float64
+		mean      float64 // ms
+		trusted   float64
+		tolerance float64
 	}{
 		{"recorded shares", map[int]float64{0: 0.5, 1: 0.5}, 0.25, 40.0 / 3, 1, 0.001},
 		{"smaller share of the failing endpoint", map[int]float64{0: 0.3, 1: 0.7}, 0.15, (0.15*20 + 0.7*10) / 0.85, 1, 0.001},
@@ -35,9 +35,9 @@
 			}
 			r := e.result()
 			assert.InDelta(t, 0.25, r.Recorded, 1e-9)
-			assert.InDelta(t, c.failed, r.Failed, c.within)
-			assert.InDelta(t, c.mean, r.MeanMs, c.within)
-			assert.InDelta(t, c.trusted, r.Trusted, c.within)
+			assert.InDelta(t, c.failed, r.Failed, c.tolerance)
+			assert.InDelta(t, c.mean, r.MeanMs, c.tolerance)
+			assert.InDelta(t, c.trusted, r.Trusted, c.tolerance)
 		})
 	}
 }
--- a/internal/record/prune.go
+++ b/internal/record/prune.go
@@ -10,9 +10,9 @@
 
 // storedSegment describes a stored segment for pruning.
 type storedSegment struct {
-	name  []byte
-	bytes int64     // total size of its chunks
-	at    time.Time // when its last chunk was written
+	name      []byte
+	bytes     int64     // total size of its chunks
+	writtenAt time.Time // when its last chunk was written
 }
 
 // Prune deletes the oldest segments until the others are within the limits, and then lives without segments. It keeps
@@ -42,7 +42,7 @@
 		err := segments.Bucket(name).ForEach(func(_, chunk []byte) error {
 			segment.bytes += int64(len(chunk))
 			if at, ok := chunkTime(chunk); ok {
-				segment.at = at
+				segment.writtenAt = at
 			}
 			return nil
 		})
@@ -60,7 +60,7 @@
 		total += segment.bytes
 	}
 	for i, segment := range segments {
-		tooOld := limits.Age > 0 && now.Sub(segment.at) > limits.Age
+		tooOld := limits.Age > 0 && now.Sub(segment.writtenAt) > limits.Age
 		tooMuch := limits.Bytes > 0 && total > limits.Bytes
 		isLast := i == len(segments)-1
 		if isLast || !tooOld && !tooMuch {
