--- a/internal/handover/handoff.go
+++ b/internal/handover/handoff.go
@@ -35,7 +35,7 @@
 	// Resume starts the controller again, on the same listeners. Its argument is the lock, which was acquired again.
 	Resume func(*Lock)
 	// Patience is the number of attempts, 0.1 s apart, to acquire the lock after the successor was lost; 0: 100.
-	Patience int
+	LockAttempts int
 
 	socket string
 }
@@ -134,7 +134,7 @@
 // handOver executes the steps of a handover to the process at the other end of conn. It reports whether that process
 // has taken over.
 func (h *Handoff) handOver(ctx context.Context, conn *net.UnixConn) bool {
-	machine := recovery.Predecessor{Patience: cmp.Or(h.Patience, defaultLockAttempts)}
+	machine := recovery.Predecessor{Patience: cmp.Or(h.LockAttempts, defaultLockAttempts)}
 	event := recovery.Asked
 	for {
 		switch machine.Next(event) {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -93,10 +93,10 @@
 			stops := 0
 			resumes := 0
 			handoff := Handoff{
-				Files:    map[string]*os.File{"streams": file},
-				Patience: lockAttempts,
-				Stop:     func() { stops++; lock.Release() },
-				Resume:   func(again *Lock) { resumes++; again.Release() },
+				Files:        map[string]*os.File{"streams": file},
+				LockAttempts: lockAttempts,
+				Stop:         func() { stops++; lock.Release() },
+				Resume:       func(again *Lock) { resumes++; again.Release() },
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			takenOver := make(chan bool, 1)
