--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -95,7 +95,7 @@
 	_ = conn.SetReadDeadline(time.Now().Add(timeout)) // if this fails, so does the read below
 	n, controlLen, flags, _, err := conn.ReadMsgUnix(text, control)
 	if err != nil || n == 0 {
-		return packet{}, errors.Join(fmt.Errorf("receive message %q: %w", step, ErrBroken), err)
+		return packet{}, errors.Join(fmt.Errorf("receive message %q: %w", step, ErrConnection), err)
 	}
 	return packet{text: text[:n], control: control[:controlLen], flags: flags}, nil
 }
@@ -113,7 +113,7 @@
 		}
 	}
 	if p.flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0 {
-		err = errors.Join(err, fmt.Errorf("message or control data longer than %d bytes: %w", maxMessageBytes, ErrBroken))
+		err = errors.Join(err, fmt.Errorf("message or control data longer than %d bytes: %w", maxMessageBytes, ErrConnection))
 	}
 	return files, err
 }
@@ -126,11 +126,11 @@
 	}
 	switch {
 	case m.Version != protocolVersion:
-		return m, fmt.Errorf("message has protocol version %d instead of %d: %w", m.Version, protocolVersion, ErrBroken)
+		return m, fmt.Errorf("message has protocol version %d instead of %d: %w", m.Version, protocolVersion, ErrConnection)
 	case m.Step == stepBusy:
 		return m, ErrBusy
 	case m.Step != step:
-		return m, fmt.Errorf("received message %q instead of %q: %w", m.Step, step, ErrBroken)
+		return m, fmt.Errorf("received message %q instead of %q: %w", m.Step, step, ErrConnection)
 	}
 	return m, nil
 }
--- a/internal/handover/takeover.go
+++ b/internal/handover/takeover.go
@@ -50,7 +50,7 @@
 	}
 	defer closeFiles(files) // the listeners have their own descriptors
 	if len(files) != len(m.Names) {
-		return fmt.Errorf("received %d listeners and %d names: %w", len(files), len(m.Names), ErrBroken)
+		return fmt.Errorf("received %d listeners and %d names: %w", len(files), len(m.Names), ErrConnection)
 	}
 	return t.addListeners(m.Names, files)
 }
