--- a/internal/record/life.go
+++ b/internal/record/life.go
@@ -42,7 +42,7 @@
 }
 
 // Begin stores a new life and sets its Format to the current one.
-func (s *Store) Begin(l Life) error {
+func (s *Store) BeginLife(l Life) error {
 	l.Format = Format
 	v, err := json.Marshal(l)
 	if err != nil {
--- a/internal/record/writer.go
+++ b/internal/record/writer.go
@@ -44,7 +44,7 @@
 
 // NewWriter stores a new life and returns a writer for its turns.
 func NewWriter(s *Store, l Life, limits Limits, log *zap.Logger) (*Writer, error) {
-	if err := s.Begin(l); err != nil {
+	if err := s.BeginLife(l); err != nil {
 		return nil, err
 	}
 	turns := make(chan func() *Turn, maxQueuedTurns)
