--- a/cmd/indigousher/records.go
+++ b/cmd/indigousher/records.go
@@ -94,7 +94,7 @@
 	for _, l := range lives {
 		size, chunks := s.Size(l.ID)
 		started := l.Started.Format(time.RFC3339)
-		lastWritten := s.LastAt(l.ID).Format(time.RFC3339)
+		lastWritten := s.LastWritten(l.ID).Format(time.RFC3339)
 		printf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%s\t%s\n", l.ID, l.Pilot, started, lastWritten, size/1024, chunks, l.Module,
 			l.After)
 	}
--- a/internal/daemon/recover.go
+++ b/internal/daemon/recover.go
@@ -64,7 +64,7 @@
 	facts.SameFormat = true
 	facts.SameModule = last.Module == r.fingerprint
 	facts.SameSettings = cmp.Or(last.LatestSettings, last.Settings) == r.settings
-	facts.GapMs = float64(time.Since(r.store.LastAt(last.ID)).Milliseconds())
+	facts.GapMs = float64(time.Since(r.store.LastWritten(last.ID)).Milliseconds())
 	tail := turns[record.ReplayStart(turns, tailMs):]
 	if len(tail) > 0 {
 		spanMs := tail[len(tail)-1].AtMs - tail[0].AtMs
