--- a/internal/daemon/oldstore_test.go
+++ b/internal/daemon/oldstore_test.go
@@ -76,7 +76,7 @@
 	require.NoError(t, err)
 	require.Len(t, lives, 2)
 	assert.Equal(t, "701c66171943c29a", lives[1].Module)
-	assert.Equal(t, lives[0].ID, lives[1].After)
+	assert.Equal(t, lives[0].ID, lives[1].RestoredFrom)
 	assert.Equal(t, lives[0].Settings, lives[1].Settings)
 	require.NoError(t, store.Close())
 }
--- a/internal/record/life.go
+++ b/internal/record/life.go
@@ -18,7 +18,7 @@
 	Settings       string    `json:"Terms"`         // the planner's settings at the start, as JSON
 	LatestSettings string    `json:"Now,omitempty"` // the settings after the last reload, as JSON; "": as at the start
 	Started        time.Time `json:"Started"`       // by the system clock, for display
-	After          string    `json:"After"`         // ID of the life restored at the start; "": a cold start
+	RestoredFrom   string    `json:"After"`         // ID of the life restored at the start; "": a cold start
 	TailMs         float64   `json:"TailMs"`        // the time to replay from the end of that life, in ms, as requested
 }
 
--- a/internal/record/life_test.go
+++ b/internal/record/life_test.go
@@ -21,7 +21,7 @@
 		Settings:       "t",
 		LatestSettings: "n",
 		Started:        started,
-		After:          "a",
+		RestoredFrom:   "a",
 		TailMs:         1.5,
 	}
 	for want, life := range map[string]Life{
--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -95,7 +95,7 @@
 	options.Settings = settings
 	r.core = controller.NewCore(options)
 	r.decider.estimator = newEstimator(r.core.Shares)
-	if l.After != "" {
+	if l.RestoredFrom != "" {
 		if err := r.restore(s, l, options); err != nil {
 			return nil, err
 		}
@@ -106,7 +106,7 @@
 
 // restore rebuilds the core's state from the end of the previous life. The turns of that life are not counted.
 func (r *lifeReplay) restore(s *Store, l Life, options controller.Options) error {
-	turns, _, err := ReadTail(s, l.After, l.TailMs)
+	turns, _, err := ReadTail(s, l.RestoredFrom, l.TailMs)
 	if err != nil {
 		return err
 	}
--- a/internal/rehearsal/record_test.go
+++ b/internal/rehearsal/record_test.go
@@ -50,7 +50,7 @@
 		lives, err := s.Lives()
 		require.NoError(t, err)
 		require.Len(t, lives, 2)
-		assert.Equal(t, lives[0].ID, lives[1].After)
+		assert.Equal(t, lives[0].ID, lives[1].RestoredFrom)
 		for _, l := range lives {
 			r, err := record.Replay(s, l, nil, newPlanner)
 			require.NoError(t, err)
