--- a/cmd/indigousher/export_test.go
+++ b/cmd/indigousher/export_test.go
@@ -30,8 +30,8 @@
 	writer, err := record.NewWriter(store, record.Life{ID: "life"}, limits, zap.NewNop())
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
-	writer.Turn(func() *record.Turn { return &record.Turn{AtMs: 1250.5, Digest: 77, Inputs: everyInput} })
-	writer.Turn(func() *record.Turn { return &record.Turn{AtMs: 1300} })
+	writer.Enqueue(func() *record.Turn { return &record.Turn{AtMs: 1250.5, Digest: 77, Inputs: everyInput} })
+	writer.Enqueue(func() *record.Turn { return &record.Turn{AtMs: 1300} })
 	cancel()
 	require.NoError(t, writer.Run(ctx))
 	for _, format := range []string{"json", "csv"} {
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -37,7 +37,7 @@
 // newRecorder returns what records the core's turns.
 func (d *Daemon) newRecorder() *record.Recorder {
 	checkpoint := func() []controller.Input { return d.core.Checkpoint() } // the core is made after the recorder
-	return record.NewRecorder(d.recording.writer.Turn, checkpoint)
+	return record.NewRecorder(d.recording.writer.Enqueue, checkpoint)
 }
 
 // replayOptions returns the options of a core that is being rebuilt: nothing that it commands reaches anybody.
--- a/internal/daemon/core_bench_test.go
+++ b/internal/daemon/core_bench_test.go
@@ -105,7 +105,7 @@
 		require.NoError(b, <-done)
 	}
 	checkpoint := func() []controller.Input { return c.core.Checkpoint() }
-	c.options.OnTurn = record.NewRecorder(c.writer.Turn, checkpoint).Turn
+	c.options.OnTurn = record.NewRecorder(c.writer.Enqueue, checkpoint).Turn
 }
 
 // run measures, and reports.
--- a/internal/record/main_test.go
+++ b/internal/record/main_test.go
@@ -93,7 +93,7 @@
 	}
 	stop := runWriter(t, w)
 	for i := range turns {
-		w.Turn(func() *Turn { return sampleTurn(float64(i)) })
+		w.Enqueue(func() *Turn { return sampleTurn(float64(i)) })
 		if i%10 == 0 {
 			time.Sleep(3 * time.Millisecond)
 		}
--- a/internal/record/writer.go
+++ b/internal/record/writer.go
@@ -52,7 +52,7 @@
 }
 
 // Turn queues a turn, which Run obtains by calling makeTurn. It never blocks: if the queue is full, the turn is lost.
-func (w *Writer) Turn(makeTurn func() *Turn) {
+func (w *Writer) Enqueue(makeTurn func() *Turn) {
 	select {
 	case w.turns <- makeTurn:
 		w.Turns.Add(1)
--- a/internal/record/writer_test.go
+++ b/internal/record/writer_test.go
@@ -61,7 +61,7 @@
 	}
 	stop := runWriter(t, w)
 	for i := range 3 * maxQueuedTurns {
-		w.Turn(func() *Turn { return sampleTurn(float64(i)) })
+		w.Enqueue(func() *Turn { return sampleTurn(float64(i)) })
 	}
 	close(release)
 	time.Sleep(20 * time.Millisecond)
@@ -80,7 +80,7 @@
 	w, err := NewWriter(s, Life{ID: "a"}, DefaultLimits(), zap.NewNop())
 	require.NoError(b, err)
 	stop := runWriter(b, w)
-	r := NewRecorder(w.Turn, func() []controller.Input { return nil })
+	r := NewRecorder(w.Enqueue, func() []controller.Input { return nil })
 	var events []planner.Event
 	for i := range 50 {
 		events = append(events, planner.EndpointStats{
