--- a/cmd/indigousher/records.go
+++ b/cmd/indigousher/records.go
@@ -95,7 +95,7 @@
 		size, chunks := s.Size(l.ID)
 		started := l.Started.Format(time.RFC3339)
 		lastWritten := s.LastWritten(l.ID).Format(time.RFC3339)
-		printf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%s\t%s\n", l.ID, l.Pilot, started, lastWritten, size/1024, chunks, l.Module,
+		printf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%s\t%s\n", l.ID, l.Pilot, started, lastWritten, size/1024, chunks, l.PlannerFingerprint,
 			l.RestoredFrom)
 	}
 	return w.Flush()
--- a/internal/daemon/oldstore_test.go
+++ b/internal/daemon/oldstore_test.go
@@ -51,7 +51,7 @@
 	lives, err := store.Lives()
 	require.NoError(t, err)
 	require.Len(t, lives, 1)
-	assert.Equal(t, "701c66171943c29a", lives[0].Module)
+	assert.Equal(t, "701c66171943c29a", lives[0].PlannerFingerprint)
 	result, err := record.Replay(store, lives[0], nil, func(seed int64, settings map[string]any) controller.Decider {
 		return planner.New(seed, settings)
 	})
@@ -75,7 +75,7 @@
 	lives, err = store.Lives()
 	require.NoError(t, err)
 	require.Len(t, lives, 2)
-	assert.Equal(t, "701c66171943c29a", lives[1].Module)
+	assert.Equal(t, "701c66171943c29a", lives[1].PlannerFingerprint)
 	assert.Equal(t, lives[0].ID, lives[1].RestoredFrom)
 	assert.Equal(t, lives[0].Settings, lives[1].Settings)
 	require.NoError(t, store.Close())
--- a/internal/daemon/recording.go
+++ b/internal/daemon/recording.go
@@ -80,14 +80,14 @@
 func (d *Daemon) beginLife(r *recording, cfg *config.Pilot) error {
 	r.life = lifeID(time.Now())
 	life := record.Life{
-		ID:           r.life,
-		Pilot:        cfg.Name,
-		Seed:         int64(cfg.Seed),
-		Module:       r.fingerprint,
-		Settings:     r.settings,
-		Started:      time.Now(),
-		RestoredFrom: r.rebuiltFrom,
-		TailMs:       float64(cfg.RecoverTail.Milliseconds()),
+		ID:                 r.life,
+		Pilot:              cfg.Name,
+		Seed:               int64(cfg.Seed),
+		PlannerFingerprint: r.fingerprint,
+		Settings:           r.settings,
+		Started:            time.Now(),
+		RestoredFrom:       r.rebuiltFrom,
+		TailMs:             float64(cfg.RecoverTail.Milliseconds()),
 	}
 	limits := record.DefaultLimits()
 	limits.Bytes = int64(cfg.RecordMostMB * bytesPerMB)
--- a/internal/daemon/recover.go
+++ b/internal/daemon/recover.go
@@ -62,7 +62,7 @@
 	facts.Turns = len(turns)
 	facts.Torn = torn
 	facts.SameFormat = true
-	facts.SameModule = last.Module == r.fingerprint
+	facts.SameModule = last.PlannerFingerprint == r.fingerprint
 	facts.SameSettings = cmp.Or(last.LatestSettings, last.Settings) == r.settings
 	facts.GapMs = float64(time.Since(r.store.LastWritten(last.ID)).Milliseconds())
 	tail := turns[record.ReplayStart(turns, tailMs):]
--- a/internal/record/life.go
+++ b/internal/record/life.go
@@ -10,16 +10,16 @@
 
 // Life describes the record of one incarnation of a controller, from its start to its end.
 type Life struct {
-	Format         int       `json:"Format"`        // version of the stored format, see the constant Format
-	ID             string    `json:"ID"`            // unique; IDs sort by the time of the start
-	Pilot          string    `json:"Pilot"`         // the controller's name
-	Seed           int64     `json:"Seed"`          // seed of the planner's random numbers
-	Module         string    `json:"Module"`        // fingerprint of the planner, see Fingerprint
-	Settings       string    `json:"Terms"`         // the planner's settings at the start, as JSON
-	LatestSettings string    `json:"Now,omitempty"` // the settings after the last reload, as JSON; "": as at the start
-	Started        time.Time `json:"Started"`       // by the system clock, for display
-	RestoredFrom   string    `json:"After"`         // ID of the life restored at the start; "": a cold start
-	TailMs         float64   `json:"TailMs"`        // the time to replay from the end of that life, in ms, as requested
+	Format             int       `json:"Format"`        // version of the stored format, see the constant Format
+	ID                 string    `json:"ID"`            // unique; IDs sort by the time of the start
+	Pilot              string    `json:"Pilot"`         // the controller's name
+	Seed               int64     `json:"Seed"`          // seed of the planner's random numbers
+	PlannerFingerprint string    `json:"Module"`        // fingerprint of the planner, see Fingerprint
+	Settings           string    `json:"Terms"`         // the planner's settings at the start, as JSON
+	LatestSettings     string    `json:"Now,omitempty"` // the settings after the last reload, as JSON; "": as at the start
+	Started            time.Time `json:"Started"`       // by the system clock, for display
+	RestoredFrom       string    `json:"After"`         // ID of the life restored at the start; "": a cold start
+	TailMs             float64   `json:"TailMs"`        // the time to replay from the end of that life, in ms, as requested
 }
 
 // Lives returns all lives, oldest first.
--- a/internal/record/life_test.go
+++ b/internal/record/life_test.go
@@ -13,16 +13,16 @@
 func TestLifeJSON(t *testing.T) {
 	started := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 	full := Life{
-		Format:         2,
-		ID:             "i",
-		Pilot:          "p",
-		Seed:           7,
-		Module:         "m",
-		Settings:       "t",
-		LatestSettings: "n",
-		Started:        started,
-		RestoredFrom:   "a",
-		TailMs:         1.5,
+		Format:             2,
+		ID:                 "i",
+		Pilot:              "p",
+		Seed:               7,
+		PlannerFingerprint: "m",
+		Settings:           "t",
+		LatestSettings:     "n",
+		Started:            started,
+		RestoredFrom:       "a",
+		TailMs:             1.5,
 	}
 	for want, life := range map[string]Life{
 		`{"Format":2,"ID":"i","Pilot":"p","Seed":7,"Module":"m","Terms":"t","Now":"n",` +
