--- a/internal/handover/handoff.go
+++ b/internal/handover/handoff.go
@@ -34,7 +34,7 @@
 	Stop func()
 	// Resume starts the controller again, on the same listeners. Its argument is the lock, which was acquired again.
 	Resume func(*Lock)
-	// Patience is the number of attempts, 0.1 s apart, to acquire the lock after the successor was lost; 0: 100.
+	// LockAttempts is the number of attempts, 0.1 s apart, to acquire the lock after the successor was lost; 0: 100.
 	LockAttempts int
 
 	socket string
--- a/internal/record/life.go
+++ b/internal/record/life.go
@@ -41,7 +41,7 @@
 	return lives, err
 }
 
-// Begin stores a new life and sets its Format to the current one.
+// BeginLife stores a new life and sets its Format to the current one.
 func (s *Store) BeginLife(l Life) error {
 	l.Format = Format
 	v, err := json.Marshal(l)
--- a/internal/record/segments.go
+++ b/internal/record/segments.go
@@ -63,7 +63,8 @@
 	return size, chunks
 }
 
-// LastAt returns when the last chunk of a life was written, by the system clock, or the zero time if it has no chunks.
+// LastWritten returns when the last chunk of a life was written, by the system clock, or the zero time if it has no
+// chunks.
 func (s *Store) LastWritten(life string) (at time.Time) {
 	_ = s.view(func(tx *bbolt.Tx) error { // Read reports damage
 		return forEachSegment(tx, life, func(segment *bbolt.Bucket) error {
--- a/internal/record/writer.go
+++ b/internal/record/writer.go
@@ -51,7 +51,8 @@
 	return &Writer{store: s, life: l.ID, limits: limits, log: log, update: s.update, turns: turns}, nil
 }
 
-// Turn queues a turn, which Run obtains by calling makeTurn. It never blocks: if the queue is full, the turn is lost.
+// Enqueue queues a turn, which Run obtains by calling makeTurn. It never blocks: if the queue is full, the turn is
+// lost.
 func (w *Writer) Enqueue(makeTurn func() *Turn) {
 	select {
 	case w.turns <- makeTurn:
