--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -18,9 +18,9 @@
 	Gaps   int     // number of gaps in the record
 	SpanMs float64 // time from the first turn to the last, in ms
 
-	Tables   uint64 // digest of all messages and the proxies they were sent to
-	Messages int    // number of messages sent to proxies
-	Lines    int    // number of table lines in these messages
+	MessagesDigest uint64 // digest of all messages and the proxies they were sent to
+	Messages       int    // number of messages sent to proxies
+	Lines          int    // number of table lines in these messages
 
 	Exclusions     int // number of exclusions of endpoints
 	Sets           int // number of weights set
@@ -166,7 +166,7 @@
 func (r *lifeReplay) finish() {
 	r.result.SpanMs = r.lastTurnMs - r.firstMs
 	r.result.Events = r.core.Events
-	r.result.Tables = r.sentHash.Sum64()
+	r.result.MessagesDigest = r.sentHash.Sum64()
 	r.result.Estimate = r.decider.estimator.result()
 }
 
