--- a/cmd/indigousher/replay.go
+++ b/cmd/indigousher/replay.go
@@ -118,7 +118,7 @@
 	}
 	printf(t, "%s\t%s\t%.1f s\t", life.ID, name, r.SpanMs/1000)
 	printf(t, "%d\t%d\t%d\t%d\t%d\t", r.Turns, r.Events, r.Gaps, r.Messages, r.Lines)
-	printf(t, "%d\t%d\t%d\t%d\t%d\t", r.Sets, r.Removals, r.Exclusions, r.Levels, r.Assignments)
+	printf(t, "%d\t%d\t%d\t%d\t%d\t", r.Sets, r.Removals, r.Exclusions, r.ReducedAdmissions, r.Assignments)
 	printf(t, "%d\t%016x\t", r.MaxQueuedLines, r.MessagesDigest)
 	e := r.Estimate
 	printf(t, "%.4f\t%.4f\t%.1f\t%.1f\t%.2f\t", e.Recorded, e.Failed, e.RecordedMs, e.MeanMs, e.Trusted)
--- a/internal/record/counting.go
+++ b/internal/record/counting.go
@@ -38,7 +38,7 @@
 		}
 	case planner.SetAdmission:
 		if command.Level < 1 {
-			d.result.Levels++
+			d.result.ReducedAdmissions++
 		}
 	case planner.AssignTable:
 		d.result.Assignments++
--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -22,12 +22,12 @@
 	Messages       int    // number of messages sent to proxies
 	Lines          int    // number of table lines in these messages
 
-	Exclusions     int // number of exclusions of endpoints
-	Sets           int // number of weights set
-	Removals       int // number of weights set to zero, which removes the line; included in Sets
-	Levels         int // number of admission levels set to less than 1
-	Assignments    int // number of tables assigned to proxies
-	MaxQueuedLines int // maximum number of lines in the channel at a time
+	Exclusions        int // number of exclusions of endpoints
+	Sets              int // number of weights set
+	Removals          int // number of weights set to zero, which removes the line; included in Sets
+	ReducedAdmissions int // number of admission levels set to less than 1
+	Assignments       int // number of tables assigned to proxies
+	MaxQueuedLines    int // maximum number of lines in the channel at a time
 
 	Estimate  Estimate
 	FirstDiff string // first turn whose commands differ from the record; "": none, or not compared
