--- a/internal/record/life.go
+++ b/internal/record/life.go
@@ -19,7 +19,7 @@
 	LatestSettings     string    `json:"Now,omitempty"` // the settings after the last reload, as JSON; "": as at the start
 	Started            time.Time `json:"Started"`       // by the system clock, for display
 	RestoredFrom       string    `json:"After"`         // ID of the life restored at the start; "": a cold start
-	TailMs             float64   `json:"TailMs"`        // the time to replay from the end of that life, in ms, as requested
+	TailMs             float64   `json:"TailMs"`        // the requested time to replay from the end of that life, in ms
 }
 
 // Lives returns all lives, oldest first.
