--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -39,7 +39,7 @@
 func (d *Daemon) newRecorder() *record.Recorder {
 	// A closure, because d.core is assigned after the recorder is created.
 	checkpoint := func() []controller.Input { return d.core.Checkpoint() }
-	return record.NewRecorder(d.recording.writer.Turn, checkpoint)
+	return record.NewRecorder(d.recording.writer.Enqueue, checkpoint)
 }
 
 // replayOptions returns the options for a core that replays recorded turns. Transports, metrics and logs are disabled,
--- a/internal/daemon/core_bench_test.go
+++ b/internal/daemon/core_bench_test.go
@@ -107,7 +107,7 @@
 		require.NoError(b, <-done)
 	}
 	checkpoint := func() []controller.Input { return c.core.Checkpoint() }
-	c.options.OnTurn = record.NewRecorder(c.writer.Turn, checkpoint).Turn
+	c.options.OnTurn = record.NewRecorder(c.writer.Enqueue, checkpoint).Turn
 }
 
 // run runs the benchmark and reports its metrics.
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -16,10 +16,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience is how often the predecessor of a test tries the lock.
-const patience = 8
+// lockAttempts is how often the predecessor of a test tries to acquire the lock.
+const lockAttempts = 8
 
-// requestUntilOffered requests to take over, again until somebody listens.
+// requestUntilOffered requests a takeover and repeats the request until a predecessor offers its listeners.
 func requestUntilOffered(t *testing.T, socket string) (takeover *Takeover) {
 	require.Eventually(t, func() bool {
 		var err error
@@ -29,8 +29,8 @@
 	return takeover
 }
 
-// dialSocket connects to a handover socket, again until somebody listens: the path is there from bind on, but a dial is
-// refused until listen.
+// dialSocket connects to a handover socket and retries until the predecessor listens: the path exists after bind, but
+// connections are refused until listen.
 func dialSocket(t *testing.T, socket string) (conn *net.UnixConn) {
 	require.Eventually(t, func() bool {
 		var err error
@@ -40,7 +40,7 @@
 	return conn
 }
 
-// listenTCP opens a listener and returns it with a handle on it; both are the caller's to close.
+// listenTCP opens a listener and returns it with a file of its descriptor. The caller must close both.
 func listenTCP(t *testing.T) (net.Listener, *os.File) {
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
@@ -55,31 +55,31 @@
 
 func mustClose(t *testing.T, c io.Closer) { assert.NoError(t, c.Close()) }
 
-// claimed requests to take over until it has the lock.
-func claimed(t *testing.T, socket string) (*Takeover, *Lock) {
+// requestAndClaim requests a takeover and claims the lock.
+func requestAndClaim(t *testing.T, socket string) (*Takeover, *Lock) {
 	takeover := requestUntilOffered(t, socket)
 	lock, err := takeover.Claim()
 	require.NoError(t, err)
 	return takeover, lock
 }
 
-// TestHandover takes every way that a handover can go: the predecessor stops only when the successor is ready, and goes
-// on whenever the successor does not come to serve.
+// TestHandover checks every outcome of a handover: the predecessor stops only if the successor is ready, and resumes
+// whenever the successor fails before it serves.
 func TestHandover(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		take    func(t *testing.T, socket string)
-		taken   bool
-		stops   int
-		resumes int
+		name      string
+		successor func(t *testing.T, socket string)
+		takenOver bool
+		stops     int
+		resumes   int
 	}{
-		{"all well", takeOver, true, 1, 0},
-		{"it serves but can't say so", takeOverSilently, true, 1, 0},
-		{"it gives up after the offer", giveUpAfterOffer, false, 0, 0},
-		{"it dies while it waits", dieWhenReady, false, 1, 1},
-		{"it dies before it serves", dieWithLock, false, 1, 1},
-		{"a second one meanwhile", takeOverBeforeAnother, true, 1, 0},
-		{"noise", sendNoise, false, 0, 0},
+		{"success", takeOver, true, 1, 0},
+		{"successor serves but can't confirm it", takeOverSilently, true, 1, 0},
+		{"successor aborts after the offer", abortAfterOffer, false, 0, 0},
+		{"successor dies when ready", dieWhenReady, false, 1, 1},
+		{"successor dies with the lock", dieWithLock, false, 1, 1},
+		{"another successor is rejected", takeOverBeforeAnother, true, 1, 0},
+		{"malformed request", sendMalformed, false, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, file := listenTCP(t)
@@ -93,25 +93,25 @@
 			stops := 0
 			resumes := 0
 			handoff := Handoff{
-				Files:    map[string]*os.File{"streams": file},
-				Patience: patience,
-				Stop:     func() { stops++; lock.Release() },
-				Resume:   func(again *Lock) { resumes++; again.Release() },
+				Files:        map[string]*os.File{"streams": file},
+				LockAttempts: lockAttempts,
+				Stop:         func() { stops++; lock.Release() },
+				Resume:       func(again *Lock) { resumes++; again.Release() },
 			}
 			ctx, cancel := context.WithCancel(t.Context())
-			taken := make(chan bool, 1)
+			takenOver := make(chan bool, 1)
 			go func() {
 				ok, err := handoff.Serve(ctx, socket)
 				assert.NoError(t, err)
-				taken <- ok
+				takenOver <- ok
 			}()
 			awaitSocket(t, socket)
-			c.take(t, socket)
-			if !c.taken {
+			c.successor(t, socket)
+			if !c.takenOver {
 				time.Sleep(50 * time.Millisecond)
 				cancel()
 			}
-			assert.Equal(t, c.taken, <-taken)
+			assert.Equal(t, c.takenOver, <-takenOver)
 			cancel()
 			assert.Equal(t, c.stops, stops)
 			assert.Equal(t, c.resumes, resumes)
@@ -122,21 +122,21 @@
 }
 
 func takeOver(t *testing.T, socket string) {
-	takeover, lock := claimed(t, socket)
+	takeover, lock := requestAndClaim(t, socket)
 	defer lock.Release()
 	takeover.Started(true)
 	takeover.Abort()
 }
 
-// takeOverSilently holds the lock for longer than the predecessor's patience.
+// takeOverSilently holds the lock for longer than the predecessor tries to acquire it.
 func takeOverSilently(t *testing.T, socket string) {
-	takeover, lock := claimed(t, socket)
+	takeover, lock := requestAndClaim(t, socket)
 	takeover.Abort()
-	time.Sleep((patience + 4) * lockRetryInterval)
+	time.Sleep((lockAttempts + 4) * lockRetryInterval)
 	lock.Release()
 }
 
-func giveUpAfterOffer(t *testing.T, socket string) {
+func abortAfterOffer(t *testing.T, socket string) {
 	requestUntilOffered(t, socket).Abort()
 }
 
@@ -146,9 +146,9 @@
 	takeover.Abort()
 }
 
-// dieWithLock releases the lock within the predecessor's patience, as the kernel does when a process is dead.
+// dieWithLock releases the lock while the predecessor tries to acquire it, as the kernel does when a process dies.
 func dieWithLock(t *testing.T, socket string) {
-	takeover, lock := claimed(t, socket)
+	takeover, lock := requestAndClaim(t, socket)
 	takeover.Abort()
 	time.Sleep(3 * lockRetryInterval)
 	lock.Release()
@@ -168,7 +168,7 @@
 	takeover.Abort()
 }
 
-func sendNoise(t *testing.T, socket string) {
+func sendMalformed(t *testing.T, socket string) {
 	conn := dialSocket(t, socket)
 	defer mustClose(t, conn)
 	_, err := conn.Write([]byte("{"))
@@ -177,7 +177,7 @@
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-// TestListenerPassed shows that a connection which came while nobody accepted is served by the process that took over.
+// TestListenerPassed checks that the successor accepts a connection that a client opened while no process accepted any.
 func TestListenerPassed(t *testing.T) {
 	l, file := listenTCP(t)
 	address := l.Addr().String()
@@ -194,9 +194,9 @@
 		done <- ok
 	}()
 	awaitSocket(t, socket)
-	takeover, lock := claimed(t, socket)
+	takeover, lock := requestAndClaim(t, socket)
 	defer lock.Release()
-	client, err := net.Dial("tcp", address) // nobody accepts now
+	client, err := net.Dial("tcp", address) // no process accepts connections now
 	require.NoError(t, err)
 	defer mustClose(t, client)
 	takeover.Started(true)
--- a/internal/identity/tls.go
+++ b/internal/identity/tls.go
@@ -7,22 +7,23 @@
 	"slices"
 )
 
-// nextProtos is the protocol that gRPC negotiates. The framed protocol ignores it.
+// nextProtos is the protocol that gRPC negotiates by ALPN. The framed protocol ignores it.
 var nextProtos = []string{"h2"}
 
-// Server returns the configuration of a listener that admits the given roles. Each handshake uses the keys in force.
-func (k *KeyStore) Server(let ...Role) *tls.Config {
+// Server returns the configuration of a listener that accepts peers with one of the allowed roles. Each handshake uses
+// the current keys, which are reloaded if their files have changed.
+func (k *KeyStore) Server(allowed ...Role) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: nextProtos,
 		GetConfigForClient: func(hello *tls.ClientHelloInfo) (*tls.Config, error) {
-			return k.serverConfig(hello, let), nil
+			return k.handshakeConfig(hello, allowed), nil
 		},
 	}
 }
 
 // serverConfig returns the configuration of one handshake.
-func (k *KeyStore) serverConfig(hello *tls.ClientHelloInfo, let []Role) *tls.Config {
+func (k *KeyStore) handshakeConfig(hello *tls.ClientHelloInfo, allowed []Role) *tls.Config {
 	cert, pool := k.current()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
@@ -30,53 +31,53 @@
 		Certificates: []tls.Certificate{*cert},
 		ClientAuth:   tls.RequireAnyClientCert, // VerifyConnection checks the chain and the identity
 		VerifyConnection: func(s tls.ConnectionState) error {
-			err := verify(s, pool, x509.ExtKeyUsageClientAuth, let)
-			if err != nil && k.refused != nil {
-				k.refused(hello.Conn.RemoteAddr(), err)
+			err := verify(s, pool, x509.ExtKeyUsageClientAuth, allowed)
+			if err != nil && k.onRejected != nil {
+				k.onRejected(hello.Conn.RemoteAddr(), err)
 			}
 			return err
 		},
 	}
 }
 
-// Client returns the configuration for dialling a peer with one of the given roles. The peer's identity is verified,
+// Client returns the configuration for dialling a peer with one of the allowed roles. The peer's identity is verified,
 // not its host name.
-func (k *KeyStore) Client(want ...Role) *tls.Config {
+func (k *KeyStore) Client(allowed ...Role) *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
 		NextProtos:         nextProtos,
-		InsecureSkipVerify: true, // no host name; VerifyConnection checks the chain and the identity
+		InsecureSkipVerify: true, // disables the host name check; VerifyConnection checks the chain and identity
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			cert, _ := k.current()
 			return cert, nil
 		},
 		VerifyConnection: func(s tls.ConnectionState) error {
 			_, pool := k.current()
-			return verify(s, pool, x509.ExtKeyUsageServerAuth, want)
+			return verify(s, pool, x509.ExtKeyUsageServerAuth, allowed)
 		},
 	}
 }
 
-// verify checks a peer's certificate chain and role.
-func verify(s tls.ConnectionState, pool *x509.CertPool, use x509.ExtKeyUsage, let []Role) error {
+// verify checks a peer's certificate chain for the given key usage, and that the peer has one of the allowed roles.
+func verify(s tls.ConnectionState, pool *x509.CertPool, usage x509.ExtKeyUsage, allowed []Role) error {
 	if len(s.PeerCertificates) == 0 {
-		return fmt.Errorf("no certificate: %w", ErrIdentity)
+		return fmt.Errorf("peer has no certificate: %w", ErrIdentity)
 	}
 	leaf := s.PeerCertificates[0]
 	intermediates := x509.NewCertPool()
 	for _, c := range s.PeerCertificates[1:] {
 		intermediates.AddCert(c)
 	}
-	options := x509.VerifyOptions{Roots: pool, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{use}}
+	options := x509.VerifyOptions{Roots: pool, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{usage}}
 	if _, err := leaf.Verify(options); err != nil {
-		return fmt.Errorf("certificate %q: %w", leaf.Subject.CommonName, err)
+		return fmt.Errorf("verify certificate %q: %w", leaf.Subject.CommonName, err)
 	}
 	identity, err := FromCertificate(leaf)
 	if err != nil {
 		return err
 	}
-	if !slices.Contains(let, identity.Role) {
-		return fmt.Errorf("%s among %v: %w", identity, let, ErrIdentity)
+	if !slices.Contains(allowed, identity.Role) {
+		return fmt.Errorf("role of %s is not among %v: %w", identity, allowed, ErrIdentity)
 	}
 	return nil
 }
--- a/internal/record/digest_test.go
+++ b/internal/record/digest_test.go
@@ -11,12 +11,12 @@
 	"indigousher/planner"
 )
 
-// TestDigestBytes holds the digest of each command against the value that commit 7c7c6c6 gave, before any type or field
-// was renamed: stored records are read by these values.
+// TestDigestBytes guards the digests in stored records: the digest of each command must be the one that commit 7c7c6c6
+// computed, before any type or field was renamed.
 func TestDigestBytes(t *testing.T) {
 	for _, c := range []struct {
-		order planner.Command
-		want  string
+		command planner.Command
+		want    string
 	}{
 		{planner.SetWeight{Table: 3, Endpoint: 17, Weight: 0.30000000000000004}, "cabd1f0e29bf2f36"},
 		{planner.SetWeight{Table: 65000, Endpoint: 1, Weight: 1e21}, "5f8061f8931e4099"},
@@ -36,7 +36,7 @@
 		{planner.FetchEndpoints{}, "46f9affef7c5009a"},
 		{planner.Log{Text: "endpoint 3 zone 1: out, good 0.0 bad 9.0 all 0.10"}, "d8c0a69a3de3c6bb"},
 	} {
-		assert.Equal(t, c.want, fmt.Sprintf("%016x", Digest([]planner.Command{c.order})), "%v", c.order)
+		assert.Equal(t, c.want, fmt.Sprintf("%016x", Digest([]planner.Command{c.command})), "%v", c.command)
 	}
 	assert.Equal(t, "0000000000000000", fmt.Sprintf("%016x", Digest(nil)))
 	all := []planner.Command{
@@ -47,9 +47,10 @@
 	assert.Equal(t, "1ed775898c4325d5", fmt.Sprintf("%016x", Digest(all)))
 }
 
-// TestFingerprintStays guards the value by which a pilot knows the record of one that decides as it does. Commit
-// 7c7c6c6 wrote it into its lives; a change of what the planner decides changes it, a change of names must not.
-func TestFingerprintStays(t *testing.T) {
-	module := func(seed int64, terms map[string]any) controller.Decider { return planner.New(seed, terms) }
-	assert.Equal(t, "701c66171943c29a", Fingerprint(module))
+// TestFingerprintUnchanged guards the fingerprint by which a pilot recognizes records of a planner that makes the same
+// decisions. Commit 7c7c6c6 stored this value in its lives. The fingerprint changes with the planner's decisions, but
+// must not change when a type or field is renamed.
+func TestFingerprintUnchanged(t *testing.T) {
+	newDecider := func(seed int64, settings map[string]any) controller.Decider { return planner.New(seed, settings) }
+	assert.Equal(t, "701c66171943c29a", Fingerprint(newDecider))
 }
--- a/internal/record/store_test.go
+++ b/internal/record/store_test.go
@@ -12,14 +12,14 @@
 	"go.etcd.io/bbolt"
 )
 
-// TestStore guards lives, segments, pruning and a second opener.
+// TestStore checks the lives, sizes and pruning of a store, and that it can't be opened twice for writing.
 func TestStore(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
 	writeLife(t, s, "a", 200, nil)
 	writeLife(t, s, "b", 200, nil)
 	_, err := Open(dir, false)
-	assert.Error(t, err, "another has it open")
+	assert.Error(t, err, "the store is already open")
 	lives, err := s.Lives()
 	require.NoError(t, err)
 	assert.Len(t, lives, 2)
@@ -28,8 +28,8 @@
 	dropped, err := s.Prune(Limits{Bytes: size}, time.Now())
 	require.NoError(t, err)
 	assert.Positive(t, dropped)
-	left, _ := s.Size("b")
-	assert.LessOrEqual(t, left, size)
+	remaining, _ := s.Size("b")
+	assert.LessOrEqual(t, remaining, size)
 	at, _, err := readLife(s, "b")
 	require.NoError(t, err)
 	assert.Equal(t, 199.0, at[len(at)-1])
@@ -39,13 +39,13 @@
 	require.NoError(t, err)
 	assert.Len(t, lives, 1)
 	require.NoError(t, s.Close())
-	again, err := Open(dir, true)
+	reopened, err := Open(dir, true)
 	require.NoError(t, err)
-	require.NoError(t, again.Close())
+	require.NoError(t, reopened.Close())
 }
 
-// TestTorn guards against bytes that changed on the disk: what lies before them is read, and they are named.
-func TestTorn(t *testing.T) {
+// TestDamagedChunk guards against data that changed on disk: the turns before it are read, and the damage is reported.
+func TestDamagedChunk(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	defer closeStore(t, s)
 	writeLife(t, s, "a", 100, nil)
@@ -53,9 +53,9 @@
 	at, _, err := readLife(s, "a")
 	assert.ErrorIs(t, err, ErrCorrupt)
 	assert.NotEmpty(t, at)
-	turns, torn, err := ReadTail(s, "a", 1e9)
+	turns, damaged, err := ReadTail(s, "a", 1e9)
 	require.NoError(t, err)
-	assert.True(t, torn)
+	assert.True(t, damaged)
 	assert.Len(t, turns, len(at))
 }
 
@@ -75,8 +75,8 @@
 	}))
 }
 
-// TestNoFolder shows how a store fails that can't be.
-func TestNoFolder(t *testing.T) {
+// TestMissingFolder checks the error for a store in a folder that does not exist.
+func TestMissingFolder(t *testing.T) {
 	_, err := Open(filepath.Join(t.TempDir(), "none"), false)
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
