--- a/internal/emulator/clock.go
+++ b/internal/emulator/clock.go
@@ -3,28 +3,28 @@
 // Clock is a clock of virtual time with timers. Timers fire by time, those of one moment in the order in which they
 // were set. Its zero value stands at 0.
 type Clock struct {
-	now    float64 // ms
-	set    uint64  // timers set so far
-	heap   []timer // the root is the next to fire
-	Events uint64  // timers that have fired
+	now       float64 // ms
+	timersSet uint64  // timers set so far
+	heap      []timer // the root is the next to fire
+	Events    uint64  // timers that have fired
 }
 
 // heapWidth is the number of children of a node in the heap. Four are faster than two: a level less to walk, and the
 // children lie together in memory.
-const heapWidth = 4
+const heapArity = 4
 
 // timer is something that happens at a time.
 type timer struct {
-	at     float64 // ms
-	number uint64  // in the order of setting
-	run    func()
+	at       float64 // ms
+	sequence uint64  // in the order of setting
+	run      func()
 }
 
 func (t *timer) before(other *timer) bool {
 	if t.at != other.at {
 		return t.at < other.at
 	}
-	return t.number < other.number
+	return t.sequence < other.sequence
 }
 
 // Now returns the time in ms.
@@ -35,8 +35,8 @@
 
 // At runs something at a time in ms; one that has passed counts as now.
 func (c *Clock) At(at float64, run func()) {
-	c.set++
-	c.heap = append(c.heap, timer{at: max(at, c.now), number: c.set, run: run})
+	c.timersSet++
+	c.heap = append(c.heap, timer{at: max(at, c.now), sequence: c.timersSet, run: run})
 	c.siftUp(len(c.heap) - 1)
 }
 
@@ -64,7 +64,7 @@
 
 func (c *Clock) siftUp(i int) {
 	for i > 0 {
-		parent := (i - 1) / heapWidth
+		parent := (i - 1) / heapArity
 		if !c.heap[i].before(&c.heap[parent]) {
 			return
 		}
@@ -76,8 +76,8 @@
 func (c *Clock) siftDown(i int) {
 	for {
 		least := i
-		firstChild := heapWidth*i + 1
-		for child := firstChild; child < firstChild+heapWidth && child < len(c.heap); child++ {
+		firstChild := heapArity*i + 1
+		for child := firstChild; child < firstChild+heapArity && child < len(c.heap); child++ {
 			if c.heap[child].before(&c.heap[least]) {
 				least = child
 			}
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -14,7 +14,7 @@
 type emulatedEndpoint struct {
 	endpoint.Model
 	w           *World
-	place       place
+	location    location
 	random      *rand.Rand       // a sequence of its own
 	sharesCores bool             // all requests in flight share the cores; otherwise each waits for one
 	thrash      float64          // by how much it slows for each request in flight beyond its cores
@@ -39,9 +39,9 @@
 	served    float64 // requests so far
 
 	// With sharesCores.
-	sharing    []*task // all in flight
-	countedAt  float64 // ms; up to when their work has been counted off
-	wakeNumber uint64  // of the last timer; earlier ones are void
+	sharedTasks      []*task // all in flight
+	workCountedUntil float64 // ms; up to when their work has been counted off
+	timerGeneration  uint64  // of the last timer; earlier ones are void
 
 	// Overload while it warms up; once collapsed it answers nothing.
 	overload  endpoint.WarmUpLoad
@@ -76,7 +76,7 @@
 	added := &emulatedEndpoint{
 		Model:       model,
 		w:           w,
-		place:       place{name: name, zone: g.Zone},
+		location:    location{name: name, zone: g.Zone},
 		random:      rand.New(rand.NewPCG(seed, endpointStream)),
 		sharesCores: g.Discipline == disciplineSharing,
 		thrash:      g.Thrash,
@@ -96,7 +96,7 @@
 // start begins a process.
 func (e *emulatedEndpoint) start(cold bool) {
 	e.starts++
-	e.process = &endpointProcess{startedAt: e.w.now, cold: cold, connections: map[string]bool{}, countedAt: e.w.now}
+	e.process = &endpointProcess{startedAt: e.w.now, cold: cold, connections: map[string]bool{}, workCountedUntil: e.w.now}
 	kind := "warm"
 	if cold {
 		kind = "cold"
@@ -129,7 +129,7 @@
 }
 
 // warmth returns the fraction of its speed at which a process works, by its age and by how many requests are in flight.
-func (e *emulatedEndpoint) warmth(process *endpointProcess) float64 {
+func (e *emulatedEndpoint) speedFactor(process *endpointProcess) float64 {
 	warmth := e.SpeedFraction(process.cold, e.age(process))
 	excess := process.inFlight - e.Cores
 	if e.thrash > 0 && excess > 0 {
@@ -154,7 +154,7 @@
 	process.connections[from] = true
 	costMs = e.HandshakeMs + e.fault.ExtraHandshakeMs
 	if costMs > 0 {
-		costMs /= e.Speed * e.warmth(process)
+		costMs /= e.Speed * e.speedFactor(process)
 		process.busyMs += costMs
 	}
 	return true, costMs
@@ -192,16 +192,16 @@
 	}
 	process.inFlight++
 	t.workMs = t.request.WorkMs
-	e.begin(process, t)
+	e.assignCore(process, t)
 }
 
 // begin has a request worked on, at once or once a core is free.
-func (e *emulatedEndpoint) begin(process *endpointProcess, t *task) {
+func (e *emulatedEndpoint) assignCore(process *endpointProcess, t *task) {
 	switch {
 	case e.sharesCores:
 		e.countSharedWork(process)
-		process.sharing = append(process.sharing, t)
-		e.scheduleSharedEnd(process)
+		process.sharedTasks = append(process.sharedTasks, t)
+		e.scheduleSharedCompletion(process)
 	case process.busyCores < e.Cores:
 		e.runOnCore(process, t)
 	default:
@@ -225,7 +225,7 @@
 // runOnCore has a core work on a request, then on the next that waits.
 func (e *emulatedEndpoint) runOnCore(process *endpointProcess, t *task) {
 	process.busyCores++
-	tookMs := t.workMs / (e.Speed * e.warmth(process))
+	tookMs := t.workMs / (e.Speed * e.speedFactor(process))
 	if e.pausedUntil > e.w.now {
 		tookMs += e.pausedUntil - e.w.now
 	}
--- a/internal/emulator/faults_endpoint.go
+++ b/internal/emulator/faults_endpoint.go
@@ -10,14 +10,14 @@
 
 const (
 	// lostListFactor is how many times as long the registry takes to notice an endpoint that vanishes without a word.
-	lostListFactor = 4
+	lostEndpointDelayFactor = 4
 	// replaceSlackMs is how long after its drain deadline a replaced endpoint ends.
 	replaceSlackMs = 500
 	// A flapping endpoint is up for the first part of its period and down for the rest. Each flaps at a rate of its
 	// own.
-	flapUp        = 0.6
-	flapDown      = 0.4
-	flapRateSteps = 7
+	flapUpFraction   = 0.6
+	flapDownFraction = 0.4
+	flapRateSteps    = 7
 )
 
 // faultEndpoints draws the endpoints that a fault strikes.
@@ -92,7 +92,7 @@
 func (w *World) vanishEndpoints(fault scenario.Fault) {
 	for _, e := range w.faultEndpoints(fault) {
 		w.setBlackhole(e.Name, true)
-		w.setPhase(e.Name, lostListFactor*w.listDelayMs(), wire.PhaseGone)
+		w.setPhase(e.Name, lostEndpointDelayFactor*w.listDelayMs(), wire.PhaseGone)
 		w.After(milliseconds(fault.For), func() {
 			e.kill()
 			w.setBlackhole(e.Name, false)
@@ -167,9 +167,9 @@
 	if w.now >= until {
 		return
 	}
-	w.After(flapUp*periodMs, func() {
+	w.After(flapUpFraction*periodMs, func() {
 		e.kill()
-		w.After(flapDown*periodMs, func() {
+		w.After(flapDownFraction*periodMs, func() {
 			w.restartCold(e)
 			w.flap(e, until, periodMs)
 		})
--- a/internal/emulator/faults_network.go
+++ b/internal/emulator/faults_network.go
@@ -23,17 +23,17 @@
 func (w *World) setBlackhole(name string, cut bool) {
 	w.network.blackholed[name] = cut
 	w.logEvent(linksName, eventlog.Event{What: cutEvent(cut), Peer: name})
-	w.cutChanged(cut)
+	w.linkStateChanged(cut)
 }
 
 // setZoneCut begins or ends the cut between a zone and all others.
 func (w *World) setZoneCut(zone string, cut bool) {
 	w.network.zone(zone).cut = cut
 	w.logEvent(linksName, eventlog.Event{What: cutEvent(cut), Text: zone})
-	w.cutChanged(cut)
+	w.linkStateChanged(cut)
 }
 
-func (w *World) cutChanged(cut bool) {
+func (w *World) linkStateChanged(cut bool) {
 	if !cut {
 		w.network.releaseHeld()
 	}
@@ -44,7 +44,7 @@
 func (w *World) endSilentStreams() {
 	w.After(missedHeartbeats*milliseconds(w.Scenario.Beat), func() {
 		for _, proxy := range w.proxies {
-			if s := proxy.stream(); s != nil && !w.network.open(proxy.place, s.pilot.place) {
+			if s := proxy.stream(); s != nil && !w.network.reachable(proxy.location, s.pilot.location) {
 				s.end(true)
 			}
 		}
--- a/internal/emulator/faults_pilot.go
+++ b/internal/emulator/faults_pilot.go
@@ -14,8 +14,8 @@
 	var names []string
 	byName := map[string]*emulatedPilot{}
 	for _, pilot := range w.pilots {
-		names = append(names, pilot.place.name)
-		byName[pilot.place.name] = pilot
+		names = append(names, pilot.location.name)
+		byName[pilot.location.name] = pilot
 	}
 	var struck []*emulatedPilot
 	for _, name := range fault.Targets(names, w.random) {
@@ -46,8 +46,8 @@
 func (w *World) pausePilots(fault scenario.Fault) {
 	for _, pilot := range w.faultPilots(fault) {
 		pilot.pausedUntil = w.now + milliseconds(fault.For)
-		w.setBlackhole(pilot.place.name, true)
-		w.After(milliseconds(fault.For), func() { w.setBlackhole(pilot.place.name, false) })
+		w.setBlackhole(pilot.location.name, true)
+		w.After(milliseconds(fault.For), func() { w.setBlackhole(pilot.location.name, false) })
 	}
 }
 
--- a/internal/emulator/faults_proxy.go
+++ b/internal/emulator/faults_proxy.go
@@ -7,9 +7,9 @@
 	var names []string
 	byName := map[string]*emulatedProxy{}
 	for _, proxy := range w.proxies {
-		if fault.Zone == "" || proxy.place.zone == fault.Zone {
-			names = append(names, proxy.place.name)
-			byName[proxy.place.name] = proxy
+		if fault.Zone == "" || proxy.location.zone == fault.Zone {
+			names = append(names, proxy.location.name)
+			byName[proxy.location.name] = proxy
 		}
 	}
 	var struck []*emulatedProxy
@@ -20,7 +20,7 @@
 }
 
 // strikeProxies does something to the proxies that a fault strikes, and something else at the fault's end.
-func (w *World) strikeProxies(fault scenario.Fault, begin, end func(*emulatedProxy)) {
+func (w *World) applyToProxies(fault scenario.Fault, begin, end func(*emulatedProxy)) {
 	struck := w.faultProxies(fault)
 	for _, proxy := range struck {
 		begin(proxy)
@@ -33,7 +33,7 @@
 }
 
 func (w *World) reconnectProxies(fault scenario.Fault) {
-	w.strikeProxies(fault, (*emulatedProxy).breakStream, func(*emulatedProxy) {})
+	w.applyToProxies(fault, (*emulatedProxy).breakStream, func(*emulatedProxy) {})
 }
 
 // isolateProxies has proxies reach no pilot.
@@ -42,30 +42,30 @@
 		proxy.unreachable = true
 		proxy.breakStream()
 	}
-	w.strikeProxies(fault, isolate, func(proxy *emulatedProxy) { proxy.unreachable = false })
+	w.applyToProxies(fault, isolate, func(proxy *emulatedProxy) { proxy.unreachable = false })
 }
 
 // muteProxies has proxies read nothing from their streams.
 func (w *World) muteProxies(fault scenario.Fault) {
-	w.strikeProxies(fault, func(proxy *emulatedProxy) { proxy.muted = true }, (*emulatedProxy).resumeReading)
+	w.applyToProxies(fault, func(proxy *emulatedProxy) { proxy.muted = true }, (*emulatedProxy).resumeReading)
 }
 
 // silenceProxies cuts proxies off without closing their connections.
 func (w *World) silenceProxies(fault scenario.Fault) {
-	w.strikeProxies(fault,
-		func(proxy *emulatedProxy) { w.setBlackhole(proxy.place.name, true) },
-		func(proxy *emulatedProxy) { w.setBlackhole(proxy.place.name, false) })
+	w.applyToProxies(fault,
+		func(proxy *emulatedProxy) { w.setBlackhole(proxy.location.name, true) },
+		func(proxy *emulatedProxy) { w.setBlackhole(proxy.location.name, false) })
 }
 
 // floodReports has proxies report more often.
 func (w *World) floodReports(fault scenario.Fault) {
-	w.strikeProxies(fault,
+	w.applyToProxies(fault,
 		func(proxy *emulatedProxy) { proxy.reportFactor = fault.Size },
 		func(proxy *emulatedProxy) { proxy.reportFactor = 1 })
 }
 
 func (w *World) crashProxies(fault scenario.Fault) {
-	w.strikeProxies(fault, (*emulatedProxy).kill, (*emulatedProxy).startUnlessRunning)
+	w.applyToProxies(fault, (*emulatedProxy).kill, (*emulatedProxy).startUnlessRunning)
 }
 
 // rollProxies restarts proxies one after another.
--- a/internal/emulator/faults_zone.go
+++ b/internal/emulator/faults_zone.go
@@ -6,18 +6,18 @@
 )
 
 // wholeZoneSize is the size of a zone loss above which the zone's proxies and pilots are lost as well.
-const wholeZoneSize = 0.5
+const wholeZoneThreshold = 0.5
 
 // loseZone ends a zone's endpoints, and its proxies and pilots where the loss is large. All come back at the end.
 func (w *World) loseZone(fault scenario.Fault) {
 	endpoints := w.faultEndpoints(fault)
 	for _, e := range endpoints {
 		e.kill()
-		w.setPhase(e.Name, lostListFactor*w.listDelayMs(), wire.PhaseGone)
+		w.setPhase(e.Name, lostEndpointDelayFactor*w.listDelayMs(), wire.PhaseGone)
 	}
 	var proxies []*emulatedProxy
 	var pilots []*emulatedPilot
-	if fault.Size > wholeZoneSize {
+	if fault.Size > wholeZoneThreshold {
 		proxies = w.killProxiesOf(fault.Zone)
 		pilots = w.killPilotsOf(fault.Zone)
 	}
@@ -38,7 +38,7 @@
 func (w *World) killProxiesOf(zone string) []*emulatedProxy {
 	var killed []*emulatedProxy
 	for _, proxy := range w.proxies {
-		if proxy.place.zone == zone {
+		if proxy.location.zone == zone {
 			proxy.kill()
 			killed = append(killed, proxy)
 		}
@@ -50,7 +50,7 @@
 func (w *World) killPilotsOf(zone string) []*emulatedPilot {
 	var killed []*emulatedPilot
 	for _, pilot := range w.pilots {
-		if pilot.place.zone == zone {
+		if pilot.location.zone == zone {
 			pilot.stop(true)
 			killed = append(killed, pilot)
 		}
--- a/internal/emulator/forwarding.go
+++ b/internal/emulator/forwarding.go
@@ -14,7 +14,7 @@
 	// dialTimeoutMs is how long a proxy waits for a connection to an endpoint.
 	dialTimeoutMs = 250
 	// connectTrips is how many one-way trips the opening of a connection takes before a request can be sent on it.
-	connectTrips = 2
+	connectOneWayTrips = 2
 	// deadlineToleranceMs is less time than counts; rounding may leave it before a deadline that has come.
 	deadlineToleranceMs = 1e-6
 )
@@ -66,7 +66,7 @@
 	process.follower.RequestArrived(class, request.Key)
 	if !process.follower.Admit(class) {
 		p.logRejected(request, rejectedByAdmission)
-		answer(rejection())
+		answer(rejectedResponse())
 		return
 	}
 	forwarded := &proxyRequest{
@@ -84,7 +84,7 @@
 }
 
 // rejection is the answer to a request that has had no effect.
-func rejection() *wire.Response {
+func rejectedResponse() *wire.Response {
 	return &wire.Response{Outcome: wire.Denied, RetryAfterMs: routing.RetryAfterMs}
 }
 
@@ -121,19 +121,19 @@
 	p := pp.proxy
 	endpoint := p.w.endpointByName[a.endpoint]
 	if endpoint == nil {
-		p.w.After(p.w.network.oneWayMs, func() { pp.notSent(a) })
+		p.w.After(p.w.network.oneWayMs, func() { pp.attemptNotSent(a) })
 		return
 	}
 	if pp.isConnected(endpoint) {
-		p.w.network.carry(p.place, endpoint.place, func() { pp.arrive(a, endpoint, waitMs) })
+		p.w.network.transmit(p.location, endpoint.location, func() { pp.arrive(a, endpoint, waitMs) })
 		return
 	}
-	if !p.w.network.open(p.place, endpoint.place) {
-		p.w.After(dialTimeoutMs, func() { pp.notSent(a) })
+	if !p.w.network.reachable(p.location, endpoint.location) {
+		p.w.After(dialTimeoutMs, func() { pp.attemptNotSent(a) })
 		return
 	}
-	p.w.network.carry(p.place, endpoint.place, func() {
-		p.w.After(connectTrips*p.w.network.oneWayMs, func() { pp.arrive(a, endpoint, waitMs) })
+	p.w.network.transmit(p.location, endpoint.location, func() {
+		p.w.After(connectOneWayTrips*p.w.network.oneWayMs, func() { pp.arrive(a, endpoint, waitMs) })
 	})
 }
 
@@ -146,16 +146,16 @@
 // arrive hands an attempt to its endpoint, once the endpoint has accepted the connection.
 func (pp *proxyProcess) arrive(a *attempt, endpoint *emulatedEndpoint, waitMs float64) {
 	p := pp.proxy
-	accepted, costMs := endpoint.connect(p.place.name)
+	accepted, costMs := endpoint.connect(p.location.name)
 	if !accepted {
-		p.w.network.carry(endpoint.place, p.place, func() { pp.notSent(a) })
+		p.w.network.transmit(endpoint.location, p.location, func() { pp.attemptNotSent(a) })
 		return
 	}
 	if !pp.isConnected(endpoint) {
 		pp.connections[a.endpoint] = &connection{process: endpoint.process, attempts: map[*attempt]bool{}}
 	}
 	pp.connections[a.endpoint].attempts[a] = true
-	received := a.received(endpoint, waitMs)
+	received := a.asEndpointTask(endpoint, waitMs)
 	if costMs > 0 {
 		p.w.After(costMs+endpoint.dialDelayMs(), func() { endpoint.accept(received) })
 		return
@@ -164,18 +164,18 @@
 }
 
 // received returns an attempt as the endpoint sees it; its answer goes back over the network.
-func (a *attempt) received(endpoint *emulatedEndpoint, waitMs float64) *task {
+func (a *attempt) asEndpointTask(endpoint *emulatedEndpoint, waitMs float64) *task {
 	process := a.request.process
 	p := process.proxy
 	request := &wire.Request{
 		RequestID: a.request.request.RequestID,
 		Class:     a.request.request.Class,
-		From:      p.place.name,
+		From:      p.location.name,
 		WorkMs:    a.request.request.WorkMs,
 		TimeoutMs: waitMs,
 	}
 	answer := func(outcome wire.Outcome, comeBackMs float64, load []wire.LoadMetric) {
-		p.w.network.carry(endpoint.place, p.place, func() {
+		p.w.network.transmit(endpoint.location, p.location, func() {
 			process.attemptEnded(a, &wire.Response{Outcome: outcome, RetryAfterMs: comeBackMs, Load: load})
 		})
 	}
@@ -183,7 +183,7 @@
 }
 
 // notSent ends an attempt that never left: it proves that the request has not run.
-func (pp *proxyProcess) notSent(a *attempt) {
+func (pp *proxyProcess) attemptNotSent(a *attempt) {
 	if a.ended {
 		return
 	}
@@ -228,7 +228,7 @@
 	broken := process.connections[name]
 	delete(process.connections, name)
 	for _, a := range sortedAttempts(broken.attempts) {
-		p.w.network.carry(place{name: name}, p.place, func() { process.attemptEnded(a, nil) })
+		p.w.network.transmit(location{name: name}, p.location, func() { process.attemptEnded(a, nil) })
 	}
 }
 
@@ -261,7 +261,7 @@
 // fail answers a request that did not succeed: as rejected if it certainly has had no effect.
 func (r *proxyRequest) fail() {
 	if !r.mayHaveRun {
-		r.answer(rejection())
+		r.answer(rejectedResponse())
 		return
 	}
 	r.process.follower.RequestUnanswered(r.class, r.request.Key)
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -1,7 +1,7 @@
 package emulator
 
 // place is where something stands. The zone "" reaches all others, as the registry does.
-type place struct{ name, zone string }
+type location struct{ name, zone string }
 
 // zoneLink is the state of the links between one zone and all others.
 type zoneLink struct {
@@ -23,7 +23,7 @@
 }
 
 type heldMessage struct {
-	from, to place
+	from, to location
 	deliver  func()
 }
 
@@ -40,12 +40,12 @@
 }
 
 // crossesZones returns whether the links between zones matter between two places.
-func crossesZones(from, to place) bool {
+func crossesZones(from, to location) bool {
 	return from.zone != to.zone && from.zone != "" && to.zone != ""
 }
 
 // open returns whether messages pass between two places.
-func (n *network) open(from, to place) bool {
+func (n *network) reachable(from, to location) bool {
 	if n.blackholed[from.name] || n.blackholed[to.name] {
 		return false
 	}
@@ -56,7 +56,7 @@
 }
 
 // delay returns how long a message takes, in ms. It may draw whether the message is lost at first.
-func (n *network) delay(from, to place) float64 {
+func (n *network) delay(from, to location) float64 {
 	delayMs := n.oneWayMs
 	if !crossesZones(from, to) {
 		return delayMs
@@ -72,13 +72,13 @@
 }
 
 // carry delivers a message to another place after its delay. A cut holds it back, at its sending or its arrival.
-func (n *network) carry(from, to place, deliver func()) {
-	if !n.open(from, to) {
+func (n *network) transmit(from, to location, deliver func()) {
+	if !n.reachable(from, to) {
 		n.held = append(n.held, heldMessage{from: from, to: to, deliver: deliver})
 		return
 	}
 	n.w.After(n.delay(from, to), func() {
-		if !n.open(from, to) {
+		if !n.reachable(from, to) {
 			n.held = append(n.held, heldMessage{from: from, to: to, deliver: deliver})
 			return
 		}
@@ -91,6 +91,6 @@
 	waiting := n.held
 	n.held = nil
 	for _, message := range waiting {
-		n.carry(message.from, message.to, message.deliver)
+		n.transmit(message.from, message.to, message.deliver)
 	}
 }
--- a/internal/emulator/pilot.go
+++ b/internal/emulator/pilot.go
@@ -12,7 +12,7 @@
 // emulatedPilot is a pilot; its process can end and come back.
 type emulatedPilot struct {
 	w           *World
-	place       place
+	location    location
 	rank        int // its number among the pilots
 	settings    config.Pilot
 	process     *pilotProcess // nil while it does not run
@@ -33,10 +33,10 @@
 	core      *controller.Core
 
 	// The loop. Inputs of one moment are handled in one turn.
-	inputs        []controller.Input
-	turnScheduled bool
-	wakeAt        float64 // ms; when the next timer fires, noWake: none is set
-	wakeNumber    uint64  // of the last timer; earlier ones are void
+	inputs          []controller.Input
+	turnScheduled   bool
+	wakeAt          float64 // ms; when the next timer fires, noWake: none is set
+	timerGeneration uint64  // of the last timer; earlier ones are void
 
 	uncommitted []record.Turn
 
@@ -50,18 +50,18 @@
 	// is less than any time that counts.
 	clockEpsilonMs = 1e-6
 	// settleMs is how long after a start the lines sent since are counted.
-	settleMs = 10_000
+	lineCountWindowMs = 10_000
 	// noWake is pilotProcess.wakeAt where no timer is set.
 	noWake = -1
 	// farAheadMs is further ahead than any run lasts; no timer is set for what is due then.
-	farAheadMs = 1e9
+	maxTimerDelayMs = 1e9
 )
 
 func (p *emulatedPilot) running() bool { return p.process != nil }
 
 // start begins a process, recovered from the record where the scenario has pilots record.
 func (p *emulatedPilot) start() {
-	p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Start, Kind: "pilot", Text: p.place.zone})
+	p.w.logEvent(p.location.name, eventlog.Event{What: eventlog.Start, Kind: "pilot", Text: p.location.zone})
 	process := &pilotProcess{pilot: p, startedAt: p.w.now, wakeAt: noWake}
 	p.process = process
 	options := p.controllerOptions(process)
@@ -117,7 +117,7 @@
 
 // scheduleLineCount notes how many lines a process sent in its first time.
 func (p *emulatedPilot) scheduleLineCount(process *pilotProcess, start int) {
-	p.w.After(settleMs, func() {
+	p.w.After(lineCountWindowMs, func() {
 		if p.process == process {
 			p.Starts[start].LinesSent = process.core.Channel.Sent
 		}
@@ -134,8 +134,8 @@
 		p.commit(process)
 	}
 	p.process = nil
-	p.w.logEvent(p.place.name, eventlog.Event{What: eventlog.Stop})
-	p.w.countStopped(process)
+	p.w.logEvent(p.location.name, eventlog.Event{What: eventlog.Stop})
+	p.w.addPilotCounters(process)
 	for _, s := range p.w.streamsOf(p) {
 		s.end(true)
 	}
@@ -201,15 +201,15 @@
 	if pp.wakeAt >= w.now && pp.wakeAt <= due {
 		return
 	}
-	pp.wakeNumber++
-	number := pp.wakeNumber
-	if due-w.now > farAheadMs {
+	pp.timerGeneration++
+	number := pp.timerGeneration
+	if due-w.now > maxTimerDelayMs {
 		pp.wakeAt = noWake
 		return
 	}
 	pp.wakeAt = max(due, pilot.pausedUntil)
 	w.At(pp.wakeAt, func() {
-		if pilot.process == pp && pp.wakeNumber == number {
+		if pilot.process == pp && pp.timerGeneration == number {
 			pp.wakeAt = noWake
 			pp.turn()
 		}
--- a/internal/emulator/pilotports.go
+++ b/internal/emulator/pilotports.go
@@ -62,13 +62,13 @@
 	if endpoint == nil {
 		return
 	}
-	w.network.carry(c.pilot.place, endpoint.place, func() {
+	w.network.transmit(c.pilot.location, endpoint.location, func() {
 		switch {
 		case endpoint.process == nil:
-			w.network.carry(endpoint.place, c.pilot.place, func() { answer(healthUnreachable, nil) })
+			w.network.transmit(endpoint.location, c.pilot.location, func() { answer(healthUnreachable, nil) })
 		case !endpoint.fault.Hang:
 			load := endpoint.process.load
-			w.network.carry(endpoint.place, c.pilot.place, func() { answer(healthOK, load) })
+			w.network.transmit(endpoint.location, c.pilot.location, func() { answer(healthOK, load) })
 		}
 	})
 }
@@ -87,10 +87,10 @@
 	w := g.pilot.w
 	for _, other := range w.pilots {
 		isAddressed := peer < 0 || other.rank == peer
-		if other == g.pilot || !isAddressed || !w.network.open(g.pilot.place, other.place) {
+		if other == g.pilot || !isAddressed || !w.network.reachable(g.pilot.location, other.location) {
 			continue
 		}
-		w.After(w.network.delay(g.pilot.place, other.place), func() {
+		w.After(w.network.delay(g.pilot.location, other.location), func() {
 			other.post(controller.GossipReceived{From: g.pilot.rank, Text: text})
 		})
 	}
--- a/internal/emulator/pilotrecord.go
+++ b/internal/emulator/pilotrecord.go
@@ -21,7 +21,7 @@
 	// commitEveryMs is how often the record is committed.
 	commitEveryMs = 200
 	// keptTails is how many times the longest replay the record reaches back at least.
-	keptTails = 2
+	retainedReplaySpans = 2
 )
 
 // recoverCore has the process recorded, and replays the record of the last one where recovery decides so. It returns
@@ -80,7 +80,7 @@
 	core := controller.NewCore(silent)
 	elapsed := stopwatch()
 	if err := record.Restore(core, p.storedTurns[from:]); err != nil {
-		p.w.fail(fmt.Errorf("restore %s: %w", p.place.name, err))
+		p.w.fail(fmt.Errorf("restore %s: %w", p.location.name, err))
 		return
 	}
 	begun.Replayed = len(p.storedTurns) - from
@@ -106,7 +106,7 @@
 	p.storedTurns = append(p.storedTurns, process.uncommitted...)
 	p.storedAt = p.w.now
 	process.uncommitted = nil
-	from := record.ReplayStart(p.storedTurns, keptTails*float64(p.settings.RecoverTail.Milliseconds()))
+	from := record.ReplayStart(p.storedTurns, retainedReplaySpans*float64(p.settings.RecoverTail.Milliseconds()))
 	if from > 0 && from < len(p.storedTurns) {
 		p.storedTurns = append([]record.Turn{}, p.storedTurns[from:]...)
 	}
--- a/internal/emulator/play.go
+++ b/internal/emulator/play.go
@@ -106,9 +106,9 @@
 func (w *World) outcome(elapsedMs float64) *Outcome {
 	for _, pilot := range w.pilots {
 		if pilot.process != nil {
-			w.countStopped(pilot.process)
+			w.addPilotCounters(pilot.process)
 		}
-		w.result.Starts[pilot.place.name] = pilot.Starts
+		w.result.Starts[pilot.location.name] = pilot.Starts
 	}
 	for _, endpoint := range w.endpoints {
 		w.result.ZoneOf[endpoint.Name] = endpoint.Zone
@@ -126,7 +126,7 @@
 }
 
 // countStopped adds up what a pilot's process counted, at its end.
-func (w *World) countStopped(process *pilotProcess) {
+func (w *World) addPilotCounters(process *pilotProcess) {
 	channel := process.core.Channel
 	w.result.MaxQueueLines = max(w.result.MaxQueueLines, channel.MaxLines)
 	w.result.MaxProxyMessages = max(w.result.MaxProxyMessages, channel.MaxMessages)
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -12,20 +12,20 @@
 
 // emulatedProxy is a proxy: the routing of the testbed's proxy, with its attempts and its stream in virtual time.
 type emulatedProxy struct {
-	w       *World
-	place   place
-	policy  routing.Policy
-	rate    float64 // requests a second that it says it usually gets
-	home    int     // number of the pilot that it dials first
-	seed    uint64
-	process *proxyProcess // nil while it does not run
-	starts  int
+	w         *World
+	location  location
+	policy    routing.Policy
+	rate      float64 // requests a second that it says it usually gets
+	homePilot int     // number of the pilot that it dials first
+	seed      uint64
+	process   *proxyProcess // nil while it does not run
+	starts    int
 
 	// Faults.
-	unreachable  bool    // it reaches no pilot
-	muted        bool    // it does not read
-	reportFactor float64 // how many times as often it reports
-	heedsPace    bool    // it reports as the pilot asks it to
+	unreachable          bool    // it reaches no pilot
+	muted                bool    // it does not read
+	reportFactor         float64 // how many times as often it reports
+	honorsReportRequests bool    // it reports as the pilot asks it to
 }
 
 // proxyProcess is one process of a proxy.
@@ -42,14 +42,14 @@
 }
 
 // minOwnZone is how many endpoints its own zone must have for a proxy's static table to hold only those.
-const minOwnZone = 3
+const minSameZoneEndpoints = 3
 
 // start begins a process, on a static table.
 func (p *emulatedProxy) start() {
 	p.starts++
 	process := &proxyProcess{
 		proxy:       p,
-		follower:    routing.NewRouter(p.policy, p.w.drawStaticTable(p.place.zone), p.seed+uint64(p.starts)),
+		follower:    routing.NewRouter(p.policy, p.w.drawStaticTable(p.location.zone), p.seed+uint64(p.starts)),
 		random:      rand.New(rand.NewPCG(p.seed, uint64(p.starts))),
 		loggedLines: make([]int, len(p.policy.Classes)),
 		connections: map[string]*connection{},
@@ -58,7 +58,7 @@
 		process.loggedLines[class] = -1
 	}
 	p.process = process
-	p.logEvent(eventlog.Event{What: eventlog.Start, N: p.starts, Text: p.place.zone})
+	p.logEvent(eventlog.Event{What: eventlog.Start, N: p.starts, Text: p.location.zone})
 	process.logLines()
 	process.dial(0)
 }
@@ -83,12 +83,12 @@
 	}
 	for _, endpoint := range p.w.endpoints {
 		if endpoint.process != nil {
-			delete(endpoint.process.connections, p.place.name)
+			delete(endpoint.process.connections, p.location.name)
 		}
 	}
 }
 
-func (p *emulatedProxy) logEvent(e eventlog.Event) { p.w.logEvent(p.place.name, e) }
+func (p *emulatedProxy) logEvent(e eventlog.Event) { p.w.logEvent(p.location.name, e) }
 
 // stream returns the proxy's stream to a pilot, nil if there is none.
 func (p *emulatedProxy) stream() *stream {
@@ -133,7 +133,7 @@
 		}
 	}
 	candidates := all
-	if len(near) >= minOwnZone {
+	if len(near) >= minSameZoneEndpoints {
 		candidates = near
 	}
 	count := min(len(candidates), w.Scenario.Standing)
@@ -149,10 +149,10 @@
 	if p.unreachable || len(w.pilots) == 0 {
 		return nil
 	}
-	home := p.home % len(w.pilots)
+	home := p.homePilot % len(w.pilots)
 	if w.Scenario.ByZone {
 		inZone := slices.IndexFunc(w.pilots, func(pilot *emulatedPilot) bool {
-			return pilot.place.zone == p.place.zone
+			return pilot.location.zone == p.location.zone
 		})
 		if inZone >= 0 {
 			home = inZone
@@ -189,7 +189,7 @@
 		pp.redial(attempt + 1)
 		return
 	}
-	roundTripMs := 2 * p.w.network.delay(p.place, pilot.place)
+	roundTripMs := 2 * p.w.network.delay(p.location, pilot.location)
 	p.w.After(roundTripMs, func() {
 		if p.process != pp || pp.stream != nil {
 			return
@@ -203,7 +203,7 @@
 }
 
 func (pp *proxyProcess) canReach(pilot *emulatedPilot) bool {
-	return pilot.running() && pp.proxy.w.network.open(pp.proxy.place, pilot.place)
+	return pilot.running() && pp.proxy.w.network.reachable(pp.proxy.location, pilot.location)
 }
 
 // redial dials after a pause, spread so that proxies do not come back all at once.
@@ -217,8 +217,8 @@
 	p := pp.proxy
 	hello := wire.Hello{
 		Version: wire.Version,
-		Proxy:   p.place.name,
-		Zone:    p.place.zone,
+		Proxy:   p.location.name,
+		Zone:    p.location.zone,
 		Boot:    uint64(p.starts),
 		Rate:    p.rate,
 		Fresh:   pp.follower.Fresh(),
@@ -229,7 +229,7 @@
 	pilot.streams[pp.stream] = true
 	pp.follower.StreamJoined()
 	pp.reportRequest = routing.ReportRequest{}
-	p.logEvent(eventlog.Event{What: eventlog.Join, Peer: pilot.place.name, Kind: p.place.zone})
+	p.logEvent(eventlog.Event{What: eventlog.Join, Peer: pilot.location.name, Kind: p.location.zone})
 	pilot.post(controller.ProxyJoined{Stream: pp.stream, Hello: hello})
 	pp.reportPeriodMs = p.w.reportPeriodMs
 	firstMs := pp.reportPeriodMs * pp.random.Float64() // so that proxies do not report all at once
@@ -259,7 +259,7 @@
 	receivedAt := p.w.now
 	p.logEvent(eventlog.Event{
 		What:  eventlog.Got,
-		Peer:  s.pilot.place.name,
+		Peer:  s.pilot.location.name,
 		N:     message.CostLines,
 		Value: message.AgeMs,
 		Since: s.pilot.process.startedAt + message.AtMs,
@@ -301,7 +301,7 @@
 		}
 		delete(pp.connections, name)
 		if c.process != nil {
-			delete(c.process.connections, pp.proxy.place.name)
+			delete(c.process.connections, pp.proxy.location.name)
 		}
 	}
 }
--- a/internal/emulator/registry.go
+++ b/internal/emulator/registry.go
@@ -16,10 +16,10 @@
 const epochMs = 1e12
 
 // listSilenceMs is after how long a pilot takes a silent endpoint list for lost.
-const listSilenceMs = 2000
+const listTimeoutMs = 2000
 
 // longAgo is the age in a logged list entry of an endpoint whose start is not known.
-const longAgo = -1.0
+const unknownAge = -1.0
 
 // snapshotMarker is Event.N where a snapshot of the list begins.
 const snapshotMarker = -1
@@ -27,7 +27,7 @@
 // registry is the source of the endpoint list. It notifies the pilots that watch it of changes, with a delay.
 type registry struct {
 	w        *World
-	place    place
+	location location
 	entries  map[string]wire.Entry
 	slices   map[int]wire.Slices
 	version  int
@@ -38,7 +38,7 @@
 func newRegistry(w *World) *registry {
 	return &registry{
 		w:        w,
-		place:    place{name: registryName},
+		location: location{name: registryName},
 		entries:  map[string]wire.Entry{},
 		slices:   map[int]wire.Slices{},
 		watchers: map[*emulatedPilot]*pilotProcess{},
@@ -101,7 +101,7 @@
 
 // notify brings a message to a pilot's process and logs what the pilot learns.
 func (r *registry) notify(pilot *emulatedPilot, process *pilotProcess, list *wire.List) {
-	r.w.network.carry(r.place, pilot.place, func() {
+	r.w.network.transmit(r.location, pilot.location, func() {
 		if pilot.process != process || r.stopped {
 			return
 		}
@@ -112,16 +112,16 @@
 
 func (r *registry) logNotified(pilot *emulatedPilot, list *wire.List) {
 	if list.Whole {
-		r.w.logEvent(registryName, eventlog.Event{What: eventlog.Told, Peer: pilot.place.name, N: snapshotMarker})
+		r.w.logEvent(registryName, eventlog.Event{What: eventlog.Told, Peer: pilot.location.name, N: snapshotMarker})
 	}
 	for _, entry := range list.Entries {
-		age := longAgo
+		age := unknownAge
 		if entry.Started != 0 {
 			age = float64(list.Now - entry.Started)
 		}
 		r.w.logEvent(registryName, eventlog.Event{
 			What:  eventlog.Told,
-			Peer:  pilot.place.name,
+			Peer:  pilot.location.name,
 			Text:  entry.Endpoint,
 			Kind:  entry.Zone + "/" + entry.Machine,
 			N:     entry.Phase,
@@ -132,7 +132,7 @@
 
 // watch has a pilot's process notified of changes from now on.
 func (r *registry) watch(pilot *emulatedPilot, process *pilotProcess) {
-	r.w.network.carry(pilot.place, r.place, func() {
+	r.w.network.transmit(pilot.location, r.location, func() {
 		if !r.stopped {
 			r.watchers[pilot] = process
 		}
@@ -142,10 +142,10 @@
 // sendSnapshot answers a pilot's request for the complete list. While the registry is stopped the pilot takes the list
 // for lost after a while.
 func (r *registry) sendSnapshot(pilot *emulatedPilot, process *pilotProcess) {
-	r.w.network.carry(pilot.place, r.place, func() {
+	r.w.network.transmit(pilot.location, r.location, func() {
 		r.watchers[pilot] = process
 		if r.stopped {
-			r.w.After(listSilenceMs, func() {
+			r.w.After(listTimeoutMs, func() {
 				if pilot.process == process {
 					pilot.post(controller.EndpointListLost{})
 				}
@@ -170,7 +170,7 @@
 }
 
 func (r *registry) sendSlice(pilot *emulatedPilot, process *pilotProcess, assignment wire.Slices) {
-	r.w.network.carry(r.place, pilot.place, func() {
+	r.w.network.transmit(r.location, pilot.location, func() {
 		if pilot.process == process && !r.stopped {
 			pilot.post(controller.SliceAssigned{Slices: &assignment})
 		}
@@ -181,7 +181,7 @@
 func (r *registry) stop() {
 	r.stopped = true
 	r.eachWatcher(func(pilot *emulatedPilot, process *pilotProcess) {
-		r.w.After(listSilenceMs, func() {
+		r.w.After(listTimeoutMs, func() {
 			if pilot.process == process && r.stopped {
 				pilot.post(controller.EndpointListLost{})
 			}
--- a/internal/emulator/stream.go
+++ b/internal/emulator/stream.go
@@ -29,12 +29,12 @@
 
 // sendDown brings something to the proxy.
 func (s *stream) sendDown(deliver func()) {
-	s.w.network.carry(s.pilot.place, s.process.proxy.place, deliver)
+	s.w.network.transmit(s.pilot.location, s.process.proxy.location, deliver)
 }
 
 // sendUp brings something to the pilot.
 func (s *stream) sendUp(deliver func()) {
-	s.w.network.carry(s.process.proxy.place, s.pilot.place, func() {
+	s.w.network.transmit(s.process.proxy.location, s.pilot.location, func() {
 		if !s.ended && s.reachesPilot() {
 			deliver()
 		}
@@ -69,19 +69,19 @@
 	if tracer == nil || s.pilotProcess == nil {
 		return nil
 	}
-	proxy := s.process.proxy.place.name
+	proxy := s.process.proxy.location.name
 	decidedAt := min(s.pilotProcess.startedAt+message.AtMs, s.w.now)
 	decision := tracer.recordMessage(s.pilotProcess, proxy, decidedAt, message.CostLines)
 	sentAt := s.w.now
 	return func(name string, from float64) {
-		tracer.recordPart(decision, name, proxy, max(from, sentAt), s.w.now, message.CostLines)
+		tracer.recordChildSpan(decision, name, proxy, max(from, sentAt), s.w.now, message.CostLines)
 	}
 }
 
 // Ask brings the pilot's wishes for load reports to the proxy.
 func (s *stream) Ask(pace *wire.Pace) error {
 	s.sendDown(func() {
-		if !s.ended && s.process.proxy.heedsPace {
+		if !s.ended && s.process.proxy.honorsReportRequests {
 			s.process.reportRequest = routing.ReportRequest{MaxEndpoints: pace.MaxLines, ChangesOnly: pace.ChangedOnly}
 			s.process.reportPeriodMs = math.Max(1, float64(pace.PeriodMs))
 		}
@@ -110,7 +110,7 @@
 	if proxy.process != s.process {
 		return
 	}
-	proxy.logEvent(eventlog.Event{What: eventlog.Leave, Peer: s.pilot.place.name})
+	proxy.logEvent(eventlog.Event{What: eventlog.Leave, Peer: s.pilot.location.name})
 	if redial {
 		s.process.redial(0)
 	}
--- a/internal/emulator/trace.go
+++ b/internal/emulator/trace.go
@@ -77,7 +77,7 @@
 	return time.UnixMilli(epochMs).Add(time.Duration(atMs * float64(time.Millisecond)))
 }
 
-func at(atMs float64) api.SpanEventOption { return api.WithTimestamp(wallTime(atMs)) }
+func spanTimestamp(atMs float64) api.SpanEventOption { return api.WithTimestamp(wallTime(atMs)) }
 
 // recordMessage notes that a message left the channel of a pilot's process, and returns the decision that it belongs
 // to: that made at decidedAt.
@@ -87,7 +87,7 @@
 		t.endDecision(process)
 		d = t.beginDecision(process, decidedAt)
 	}
-	t.recordPart(d, spanChannel, proxy, decidedAt, process.pilot.w.now, lines)
+	t.recordChildSpan(d, spanChannel, proxy, decidedAt, process.pilot.w.now, lines)
 	return d
 }
 
@@ -97,11 +97,11 @@
 	if process.pendingReports > 0 {
 		from = min(decidedAt, process.firstReport)
 	}
-	ctx, span := t.tracer.Start(context.Background(), spanDecision, at(from), api.WithAttributes(
-		attribute.String("pilot", process.pilot.place.name),
+	ctx, span := t.tracer.Start(context.Background(), spanDecision, spanTimestamp(from), api.WithAttributes(
+		attribute.String("pilot", process.pilot.location.name),
 		attribute.Int("reports", process.pendingReports)))
-	_, gather := t.tracer.Start(ctx, spanGather, at(from))
-	gather.End(at(decidedAt))
+	_, gather := t.tracer.Start(ctx, spanGather, spanTimestamp(from))
+	gather.End(spanTimestamp(decidedAt))
 	process.pendingReports = 0
 	d := &decision{ctx: ctx, span: span, decidedAt: decidedAt, endedAt: decidedAt}
 	t.openDecisions[process] = d
@@ -111,16 +111,16 @@
 // endDecision closes the span of a process's last decision.
 func (t *Tracer) endDecision(process *pilotProcess) {
 	if d := t.openDecisions[process]; d != nil {
-		d.span.End(at(d.endedAt))
+		d.span.End(spanTimestamp(d.endedAt))
 		delete(t.openDecisions, process)
 	}
 }
 
 // recordPart writes a child span of a decision, for a message to a proxy.
-func (t *Tracer) recordPart(d *decision, name, proxy string, from, to float64, lines int) {
-	_, span := t.tracer.Start(d.ctx, name, at(from), api.WithAttributes(
+func (t *Tracer) recordChildSpan(d *decision, name, proxy string, from, to float64, lines int) {
+	_, span := t.tracer.Start(d.ctx, name, spanTimestamp(from), api.WithAttributes(
 		attribute.String("proxy", proxy),
 		attribute.Int("lines", lines)))
-	span.End(at(to))
+	span.End(spanTimestamp(to))
 	d.endedAt = max(d.endedAt, to)
 }
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -121,7 +121,7 @@
 // logLine hands on a line that a pilot's planner logged.
 func (w *World) logLine(pilot *emulatedPilot, text string) {
 	if w.Log != nil {
-		w.Log(w.now, pilot.place.name, text)
+		w.Log(w.now, pilot.location.name, text)
 	}
 }
 
@@ -156,10 +156,10 @@
 func (w *World) startPilots() {
 	for rank, zone := range w.Scenario.PilotZones {
 		pilot := &emulatedPilot{
-			w:       w,
-			place:   place{name: fmt.Sprintf("pilot-%d", rank), zone: zone},
-			rank:    rank,
-			streams: map[*stream]bool{},
+			w:        w,
+			location: location{name: fmt.Sprintf("pilot-%d", rank), zone: zone},
+			rank:     rank,
+			streams:  map[*stream]bool{},
 		}
 		pilot.settings = w.pilotSettings(pilot)
 		w.pilots = append(w.pilots, pilot)
@@ -172,8 +172,8 @@
 func (w *World) pilotSettings(pilot *emulatedPilot) config.Pilot {
 	settings := config.Defaults()
 	settings.Common = w.Scenario.Common
-	settings.Name = pilot.place.name
-	settings.Zone = pilot.place.zone
+	settings.Name = pilot.location.name
+	settings.Zone = pilot.location.zone
 	settings.Rank = pilot.rank
 	settings.Seed = w.Scenario.Seed + pilot.rank
 	settings.IntakeLinesPerS = w.Scenario.IntakeLinesPerS
@@ -189,11 +189,11 @@
 		name := fmt.Sprintf("proxy-%s-%d", zone, inZone[zone])
 		inZone[zone]++
 		proxy := &emulatedProxy{
-			w:     w,
-			place: place{name: name, zone: zone},
-			rate:  s.Rate / float64(len(s.ProxyZones)),
-			home:  number,
-			seed:  uint64(s.Seed*1000 + number),
+			w:         w,
+			location:  location{name: name, zone: zone},
+			rate:      s.Rate / float64(len(s.ProxyZones)),
+			homePilot: number,
+			seed:      uint64(s.Seed*1000 + number),
 			policy: routing.Policy{
 				Classes:    s.ClassNames(),
 				Algorithm:  s.Pick,
@@ -201,8 +201,8 @@
 				EjectionMs: milliseconds(s.EjectFor),
 				RetryMode:  s.RetryHow,
 			},
-			reportFactor: 1,
-			heedsPace:    !slices.Contains(s.IgnoresPace, name),
+			reportFactor:         1,
+			honorsReportRequests: !slices.Contains(s.IgnoresPace, name),
 		}
 		w.proxies = append(w.proxies, proxy)
 		proxy.start()
