--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -6,17 +6,18 @@
 	"indigousher/internal/wire"
 )
 
-// clientsName is who logs the clients' events.
+// clientsName is the value of Event.Who in events that clients log.
 const clientsName = "clients"
 
-// Outcomes of a request as its client logs them.
+// Outcomes of a request, as stored in the Text field of the client's Answered event.
 const (
 	outcomeDone     = "done"
 	outcomeRejected = "denied"
 	outcomeErrored  = "errored"
 )
 
-// scheduleClients has requests sent at their times. Each is drawn once the one before it has been sent.
+// scheduleClients schedules the client requests of the scenario. The next request is generated only after the
+// previous one has been sent, so that at most one pending request is on the clock.
 func (w *World) scheduleClients() {
 	load := loadgen.FromScenario(w.Scenario)
 	source := loadgen.NewSource(load)
@@ -36,8 +37,8 @@
 	scheduleNext()
 }
 
-// clientRequest is a client's request with its attempts. It ends with the first success, with its last retry or at the
-// client's timeout.
+// clientRequest is one request of a client, including its retries. It ends at the first success, after the last
+// allowed attempt has failed, or at the client's timeout.
 type clientRequest struct {
 	w         *World
 	number    uint64
@@ -45,9 +46,9 @@
 	class     *loadgen.RequestClass
 	startedAt float64 // ms
 	deadline  float64 // ms
-	attempts  int     // after the first
-	retries   int     // that the client makes at most
-	backoffMs float64 // before each retry
+	attempts  int     // retries made so far, not counting the first attempt
+	retries   int     // maximum number of retries
+	backoffMs float64 // minimum delay before each retry
 	ended     bool
 }
 
@@ -70,7 +71,7 @@
 	c.attempt()
 }
 
-// attempt sends the request to its proxy, with what is left of the client's timeout.
+// attempt sends the request to its proxy. The time limit is the remaining part of the client's timeout.
 func (c *clientRequest) attempt() {
 	if c.ended {
 		return
@@ -85,7 +86,8 @@
 	c.w.proxies[c.request.Proxy].handle(request, c.deadline-c.w.now, c.answered)
 }
 
-// answered takes the proxy's answer to an attempt; nil means that the proxy does not run and has done nothing.
+// answered handles the proxy's response to an attempt: it ends the request or schedules a retry. A nil answer means
+// that the proxy is not running and has not forwarded the request.
 func (c *clientRequest) answered(answer *wire.Response) {
 	if answer != nil && answer.Outcome == wire.Succeeded {
 		c.end(outcomeDone)
@@ -105,7 +107,8 @@
 	c.w.After(wait, c.attempt)
 }
 
-// endFailed ends a request that got no answer. One that never ran anywhere counts as rejected.
+// endFailed ends a request that did not succeed. It is logged as rejected if no endpoint processed it, otherwise as
+// errored.
 func (c *clientRequest) endFailed(neverRan bool) {
 	if neverRan {
 		c.end(outcomeRejected)
@@ -114,12 +117,13 @@
 	c.end(outcomeErrored)
 }
 
-// isOver implements expirable.
+// isOver implements expirable. It reports whether the request has an outcome.
 func (c *clientRequest) isOver() bool { return c.ended }
 
-// expire ends the request at the client's timeout.
+// expire implements expirable. It ends the request as errored at the client's timeout.
 func (c *clientRequest) expire() { c.end(outcomeErrored) }
 
+// end logs the outcome of the request and records the latency of a successful one. Later calls have no effect.
 func (c *clientRequest) end(outcome string) {
 	if c.ended {
 		return
@@ -128,7 +132,7 @@
 	tookMs := c.w.now - c.startedAt
 	if outcome == outcomeDone {
 		micros := max(minLatencyMicros, int64(tookMs*1000))
-		_ = c.w.result.Latency.RecordValue(micros) // within its range: the client's timeout is shorter
+		_ = c.w.result.Latency.RecordValue(micros) // cannot fail: the client's timeout is below maxLatencyMicros
 	}
 	c.w.logEvent(clientsName, eventlog.Event{
 		What:  eventlog.Answered,
--- a/internal/emulator/clock.go
+++ b/internal/emulator/clock.go
@@ -1,25 +1,26 @@
 package emulator
 
-// Clock is a clock of virtual time with timers. Timers fire by time, those of one moment in the order in which they
-// were set. Its zero value stands at 0.
+// Clock is a virtual clock with timers. Timers fire in order of time; timers with the same time fire in the order in
+// which they were set. The zero value is a clock at 0 ms without timers.
 type Clock struct {
-	now       float64 // ms
-	timersSet uint64  // timers set so far
-	heap      []timer // the root is the next to fire
-	Events    uint64  // timers that have fired
+	now       float64 // ms since the start of the run
+	timersSet uint64  // number of timers set so far
+	heap      []timer // min-heap; the root is the next timer to fire
+	Events    uint64  // number of timers that have fired
 }
 
-// heapWidth is the number of children of a node in the heap. Four are faster than two: a level less to walk, and the
-// children lie together in memory.
+// heapArity is the number of children of a heap node. Four children are faster than two: the heap has fewer levels,
+// and the children of a node are adjacent in memory.
 const heapArity = 4
 
-// timer is something that happens at a time.
+// timer is a function that is scheduled for a point in virtual time.
 type timer struct {
 	at       float64 // ms
-	sequence uint64  // in the order of setting
+	sequence uint64  // orders timers with the same time
 	run      func()
 }
 
+// before reports whether the timer fires before another one.
 func (t *timer) before(other *timer) bool {
 	if t.at != other.at {
 		return t.at < other.at
@@ -27,20 +28,20 @@
 	return t.sequence < other.sequence
 }
 
-// Now returns the time in ms.
+// Now returns the virtual time in ms.
 func (c *Clock) Now() float64 { return c.now }
 
-// After runs something after a delay in ms.
+// After schedules a function to run after a delay in ms.
 func (c *Clock) After(delayMs float64, run func()) { c.At(c.now+delayMs, run) }
 
-// At runs something at a time in ms; one that has passed counts as now.
+// At schedules a function to run at a time in ms. A time in the past is replaced by the current time.
 func (c *Clock) At(at float64, run func()) {
 	c.timersSet++
 	c.heap = append(c.heap, timer{at: max(at, c.now), sequence: c.timersSet, run: run})
 	c.siftUp(len(c.heap) - 1)
 }
 
-// Until lets time pass up to a moment in ms and runs what is due.
+// Until advances the clock to a time in ms and runs all timers that are due by then.
 func (c *Clock) Until(at float64) {
 	for len(c.heap) > 0 && c.heap[0].at <= at {
 		next := c.pop()
@@ -51,17 +52,18 @@
 	c.now = max(c.now, at)
 }
 
-// pop removes the next timer from the heap.
+// pop removes the next timer to fire from the heap and returns it.
 func (c *Clock) pop() timer {
 	first := c.heap[0]
 	last := len(c.heap) - 1
 	c.heap[0] = c.heap[last]
-	c.heap[last] = timer{} // lets go of its function
+	c.heap[last] = timer{} // releases the function for garbage collection
 	c.heap = c.heap[:last]
 	c.siftDown(0)
 	return first
 }
 
+// siftUp restores the heap order after the timer at index i was added.
 func (c *Clock) siftUp(i int) {
 	for i > 0 {
 		parent := (i - 1) / heapArity
@@ -73,6 +75,7 @@
 	}
 }
 
+// siftDown restores the heap order after the timer at index i was replaced by a later one.
 func (c *Clock) siftDown(i int) {
 	for {
 		least := i
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -10,64 +10,70 @@
 	"indigousher/internal/wire"
 )
 
-// emulatedEndpoint is an endpoint. It follows the model of the testbed's endpoint, with the work done in virtual time.
+// emulatedEndpoint is an endpoint that uses the same model as the testbed's endpoint and processes requests in
+// virtual time.
 type emulatedEndpoint struct {
 	endpoint.Model
 	w           *World
 	location    location
-	random      *rand.Rand       // a sequence of its own
-	sharesCores bool             // all requests in flight share the cores; otherwise each waits for one
-	thrash      float64          // by how much it slows for each request in flight beyond its cores
-	process     *endpointProcess // nil while it does not run
-	starts      int
-	completed   map[uint64]bool // requests that took effect, of classes whose repeats are dropped; outlives the process
+	random      *rand.Rand       // random numbers of this endpoint only
+	sharesCores bool             // requests in flight share the cores; false: each occupies one core or waits
+	thrash      float64          // relative slowdown for each request in flight beyond the number of cores; 0: none
+	process     *endpointProcess // nil while the endpoint is not running
+	starts      int              // number of processes started so far
+	completed   map[uint64]bool  // IDs of completed requests of deduplicated classes; kept across restarts
 
 	fault       endpoint.FaultMode
-	pausedUntil float64 // ms; all cores stand still until then
+	pausedUntil float64 // ms; no core makes progress before this time
 }
 
-// endpointProcess is one process of an endpoint.
+// endpointProcess is the state of an endpoint between a start and the next stop. Requests and connections are lost
+// with it.
 type endpointProcess struct {
-	startedAt   float64 // ms
-	cold        bool    // it warms up first
-	connections map[string]bool
+	startedAt   float64         // ms
+	cold        bool            // it starts with reduced speed and warms up
+	connections map[string]bool // open connections, by name of the proxy
 
-	inFlight  int     // requests that were accepted and not answered
+	inFlight  int     // requests accepted and not yet answered
 	queue     []*task // waiting for a core
-	busyCores int
-	busyMs    float64 // core-ms spent so far
-	served    float64 // requests so far
+	busyCores int     // cores that process a request
+	busyMs    float64 // core time used so far, in ms
+	served    float64 // number of requests completed so far
 
-	// With sharesCores.
-	sharedTasks      []*task // all in flight
-	workCountedUntil float64 // ms; up to when their work has been counted off
-	timerGeneration  uint64  // of the last timer; earlier ones are void
+	// Used only if the endpoint shares its cores among all requests.
+	sharedTasks      []*task // all requests in flight
+	workCountedUntil float64 // ms; time up to which completed work has been subtracted from the requests
+	timerGeneration  uint64  // number of the latest completion timer; earlier timers are ignored
 
-	// Overload while it warms up; once collapsed it answers nothing.
+	// Overload during warm-up. A collapsed process no longer answers requests.
 	overload  endpoint.WarmUpLoad
 	collapsed bool
 
-	// Load report: what is shown, what follows it with the lag, and the sums at the last one.
+	// Load report: the metrics sent with answers, the metrics that replace them after the report lag, and the counters at
+	// the time of the last report.
 	load           []wire.LoadMetric
 	nextLoad       []wire.LoadMetric
 	reportedBusyMs float64
 	reportedServed float64
 }
 
-// task is a request in flight at an endpoint.
+// task is a request that has arrived at an endpoint. answer sends the response to the proxy, with the time in ms
+// after which a rejected request may be retried.
 type task struct {
 	request *wire.Request
-	workMs  float64 // left, on a core of speed 1
-	answer  func(outcome wire.Outcome, comeBackMs float64, load []wire.LoadMetric)
+	workMs  float64 // remaining work, as time on a core of speed 1
+	answer  func(outcome wire.Outcome, retryAfterMs float64, load []wire.LoadMetric)
 }
 
-// endpointSeedStep keeps the sequences of runs with neighbouring seeds apart.
+// endpointSeedStep is the distance between the endpoint seeds of consecutive scenario seeds, so that runs with
+// consecutive seeds do not share random sequences.
 const endpointSeedStep = 7919
 
-// disciplineSharing is the setting of endpoints whose requests share the cores.
+// disciplineSharing is the value of scenario.Group.Discipline for endpoints whose requests share the cores.
 const disciplineSharing = "sharing"
 
-// addEndpoint starts an endpoint of a group of the scenario.
+// addEndpoint creates and starts an endpoint of the scenario group with the given index. A cold endpoint warms up
+// after its start.
 func (w *World) addEndpoint(name string, group int, cold bool) {
 	g := w.Scenario.Groups[group]
 	speed := g.Speed * math.Exp(g.Spread*w.random.NormFloat64())
@@ -93,7 +99,7 @@
 	added.start(cold)
 }
 
-// start begins a process.
+// start starts a new process, which warms up first if cold is set.
 func (e *emulatedEndpoint) start(cold bool) {
 	e.starts++
 	e.process = &endpointProcess{startedAt: e.w.now, cold: cold, connections: map[string]bool{}, workCountedUntil: e.w.now}
@@ -111,7 +117,7 @@
 	e.scheduleLoadReport(e.process)
 }
 
-// kill ends the process. Its connections break, so that what was in flight fails at the proxies.
+// kill ends the process. Its connections break, so that the attempts in flight fail at the proxies.
 func (e *emulatedEndpoint) kill() {
 	if e.process == nil {
 		return
@@ -123,23 +129,24 @@
 	}
 }
 
-// age returns how long a process has run.
+// age returns the time since a process started.
 func (e *emulatedEndpoint) age(process *endpointProcess) time.Duration {
 	return time.Duration((e.w.now - process.startedAt) * float64(time.Millisecond))
 }
 
-// warmth returns the fraction of its speed at which a process works, by its age and by how many requests are in flight.
+// speedFactor returns the fraction of the endpoint's nominal speed at which a process works. It is reduced during
+// warm-up and by requests in flight beyond the number of cores.
 func (e *emulatedEndpoint) speedFactor(process *endpointProcess) float64 {
-	warmth := e.SpeedFraction(process.cold, e.age(process))
+	factor := e.SpeedFraction(process.cold, e.age(process))
 	excess := process.inFlight - e.Cores
 	if e.thrash > 0 && excess > 0 {
-		warmth /= 1 + e.thrash*float64(excess)
+		factor /= 1 + e.thrash*float64(excess)
 	}
-	return warmth
+	return factor
 }
 
-// connect returns whether a proxy's connection is accepted, and what the handshake costs in ms; nothing for one that is
-// there already.
+// connect opens a connection from a proxy. It returns whether the connection is accepted, and the duration of the
+// handshake in ms, which is 0 for a connection that is already open.
 func (e *emulatedEndpoint) connect(from string) (accepted bool, costMs float64) {
 	process := e.process
 	if process == nil {
@@ -160,10 +167,11 @@
 	return true, costMs
 }
 
-// dialDelayMs returns what a fault adds to each new connection.
+// dialDelayMs returns the delay in ms that a fault adds to each new connection; 0 without such a fault.
 func (e *emulatedEndpoint) dialDelayMs() float64 { return e.w.dialDelayMs[e.Name] }
 
-// accept takes a request that arrives: it is processed, rejected, failed, or never answered.
+// accept handles an arriving request. Depending on the load and the injected fault, the request is processed,
+// rejected, failed or never answered.
 func (e *emulatedEndpoint) accept(t *task) {
 	process := e.process
 	if process == nil {
@@ -195,7 +203,7 @@
 	e.assignCore(process, t)
 }
 
-// begin has a request worked on, at once or once a core is free.
+// assignCore starts processing a request if a core is free or cores are shared, and queues it otherwise.
 func (e *emulatedEndpoint) assignCore(process *endpointProcess, t *task) {
 	switch {
 	case e.sharesCores:
@@ -209,7 +217,8 @@
 	}
 }
 
-// overloaded counts the work that arrives while a process warms up, and returns whether the process has collapsed.
+// overloaded adds the work of an arriving request to the warm-up load of a cold process, and returns whether the
+// process has collapsed under it. A process that started warm never collapses.
 func (e *emulatedEndpoint) overloaded(process *endpointProcess, workMs float64) bool {
 	if process.collapsed || !process.cold {
 		return process.collapsed
@@ -222,7 +231,7 @@
 	return over
 }
 
-// runOnCore has a core work on a request, then on the next that waits.
+// runOnCore occupies a core with a request until it is complete, then starts the next queued request.
 func (e *emulatedEndpoint) runOnCore(process *endpointProcess, t *task) {
 	process.busyCores++
 	tookMs := t.workMs / (e.Speed * e.speedFactor(process))
@@ -244,7 +253,8 @@
 	})
 }
 
-// finish lets a request take effect and answers it. A repeat that is dropped is answered as well.
+// finish completes a request: it logs the effect and answers it with success. A deduplicated repeat is answered
+// without a second effect.
 func (e *emulatedEndpoint) finish(process *endpointProcess, t *task) {
 	process.inFlight--
 	process.served++
--- a/internal/emulator/forwarding.go
+++ b/internal/emulator/forwarding.go
@@ -174,9 +174,9 @@
 		WorkMs:    a.request.request.WorkMs,
 		TimeoutMs: waitMs,
 	}
-	answer := func(outcome wire.Outcome, comeBackMs float64, load []wire.LoadMetric) {
+	answer := func(outcome wire.Outcome, retryAfterMs float64, load []wire.LoadMetric) {
 		p.w.network.transmit(endpoint.location, p.location, func() {
-			process.attemptEnded(a, &wire.Response{Outcome: outcome, RetryAfterMs: comeBackMs, Load: load})
+			process.attemptEnded(a, &wire.Response{Outcome: outcome, RetryAfterMs: retryAfterMs, Load: load})
 		})
 	}
 	return &task{request: request, answer: answer}
