--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -5,10 +5,11 @@
 	"indigousher/internal/testbed/eventlog"
 )
 
-// faultHandlers play the faults by their names in scenario files, as the rehearsal does on sockets. Names that are not
-// here, as bursts, are faults of the clients: the load generator plays them.
+// faultHandlers maps the fault types of scenario files to the functions that inject them. The rehearsal injects the
+// same faults over sockets. Fault types that concern the clients' load, such as "burst", are missing here because
+// the load generator applies them.
 var faultHandlers = map[string]func(*World, scenario.Fault){
-	// Endpoints that answer otherwise than they should.
+	// Endpoints that answer wrongly, late or not at all.
 	"hang":           (*World).hang,
 	"fast_errors":    (*World).failRequests,
 	"class_fail":     (*World).failRequests,
@@ -16,7 +17,7 @@
 	"answers_twice":  (*World).answerTwice,
 	"pause":          (*World).pauseEndpoints,
 
-	// Endpoints' processes.
+	// Starts and stops of endpoint processes.
 	"vanish":   (*World).vanishEndpoints,
 	"crash":    (*World).crashEndpoints,
 	"restart":  (*World).restartEndpoints,
@@ -50,7 +51,7 @@
 	"reload":      (*World).reloadPilots,
 }
 
-// scheduleFaults has the faults of the scenario played at their times.
+// scheduleFaults schedules all faults of the scenario.
 func (w *World) scheduleFaults() {
 	for _, fault := range w.Scenario.Faults {
 		w.At(milliseconds(fault.At), func() {
@@ -60,7 +61,8 @@
 	}
 }
 
-// playFault begins a fault; the handler schedules its end.
+// playFault injects a fault. The handler also schedules the end of the fault. Fault types without a handler are
+// ignored.
 func (w *World) playFault(fault scenario.Fault) {
 	if handler := faultHandlers[fault.What]; handler != nil {
 		handler(w, fault)
--- a/internal/emulator/faults_endpoint.go
+++ b/internal/emulator/faults_endpoint.go
@@ -9,18 +9,20 @@
 )
 
 const (
-	// lostListFactor is how many times as long the registry takes to notice an endpoint that vanishes without a word.
+	// lostEndpointDelayFactor is the multiple of the list delay after which the registry removes an endpoint that
+	// disappears without deregistering.
 	lostEndpointDelayFactor = 4
-	// replaceSlackMs is how long after its drain deadline a replaced endpoint ends.
+	// replaceSlackMs is the time in ms between the drain deadline of a replaced endpoint and its termination.
 	replaceSlackMs = 500
-	// A flapping endpoint is up for the first part of its period and down for the rest. Each flaps at a rate of its
-	// own.
+	// A flapping endpoint is up for the fraction flapUpFraction of its period and down for the rest. The period of the
+	// endpoint with index i is longer by i/flapRateSteps, so that the endpoints do not flap in step.
 	flapUpFraction   = 0.6
 	flapDownFraction = 0.4
 	flapRateSteps    = 7
 )
 
-// faultEndpoints draws the endpoints that a fault strikes.
+// faultEndpoints selects the endpoints that a fault affects; the selection is random if the fault affects only a
+// part of the matching endpoints.
 func (w *World) faultEndpoints(fault scenario.Fault) []*emulatedEndpoint {
 	var names []string
 	for _, e := range w.endpoints {
@@ -28,67 +30,75 @@
 			names = append(names, e.Name)
 		}
 	}
-	var struck []*emulatedEndpoint
+	var affected []*emulatedEndpoint
 	for _, name := range fault.Targets(names, w.random) {
-		struck = append(struck, w.endpointByName[name])
+		affected = append(affected, w.endpointByName[name])
 	}
-	return struck
+	return affected
 }
 
-// setFaultMode has some endpoints answer otherwise until the fault ends.
+// setFaultMode sets a fault mode on the affected endpoints until the fault ends, and returns these endpoints.
 func (w *World) setFaultMode(fault scenario.Fault, mode endpoint.FaultMode) []*emulatedEndpoint {
-	struck := w.faultEndpoints(fault)
-	for _, e := range struck {
+	affected := w.faultEndpoints(fault)
+	for _, e := range affected {
 		e.fault = mode
 	}
-	w.scheduleRepair(fault, struck)
-	return struck
+	w.scheduleRepair(fault, affected)
+	return affected
 }
 
-// scheduleRepair ends what is wrong with some endpoints at the fault's end.
-func (w *World) scheduleRepair(fault scenario.Fault, struck []*emulatedEndpoint) {
+// scheduleRepair schedules the reset of the fault mode and the dial delay of the affected endpoints at the end of
+// the fault.
+func (w *World) scheduleRepair(fault scenario.Fault, affected []*emulatedEndpoint) {
 	w.After(milliseconds(fault.For), func() {
-		for _, e := range struck {
+		for _, e := range affected {
 			e.fault = endpoint.FaultMode{}
 			delete(w.dialDelayMs, e.Name)
 		}
 	})
 }
 
+// hang makes endpoints accept requests of the affected class without answering them.
 func (w *World) hang(fault scenario.Fault) {
 	w.setFaultMode(fault, endpoint.FaultMode{Hang: true, OnlyClass: fault.Kind})
 }
 
+// failRequests makes endpoints fail a fraction of their requests at once.
 func (w *World) failRequests(fault scenario.Fault) {
 	w.setFaultMode(fault, endpoint.FaultMode{ErrorFraction: fault.Size, OnlyClass: fault.Kind})
 }
 
+// slowHandshakes makes new connections to endpoints cost more work and take longer.
 func (w *World) slowHandshakes(fault scenario.Fault) {
 	for _, e := range w.setFaultMode(fault, endpoint.FaultMode{ExtraHandshakeMs: fault.Size}) {
 		w.dialDelayMs[e.Name] = milliseconds(fault.Extra)
 	}
 }
 
-// answerTwice draws its targets as on sockets but changes nothing: a second answer has nowhere to go in virtual time.
+// answerTwice selects endpoints as the rehearsal does but has no other effect, because the emulator delivers exactly
+// one answer to each attempt. The selection keeps the sequence of random numbers the same.
 func (w *World) answerTwice(fault scenario.Fault) { w.scheduleRepair(fault, w.faultEndpoints(fault)) }
 
+// pauseEndpoints stops all cores of endpoints until the fault ends.
 func (w *World) pauseEndpoints(fault scenario.Fault) {
-	struck := w.faultEndpoints(fault)
-	for _, e := range struck {
+	affected := w.faultEndpoints(fault)
+	for _, e := range affected {
 		e.pausedUntil = w.now + milliseconds(fault.For)
 	}
-	w.scheduleRepair(fault, struck)
+	w.scheduleRepair(fault, affected)
 }
 
+// listDelayMs returns the delay in ms after which the endpoint list reflects a change.
 func (w *World) listDelayMs() float64 { return milliseconds(w.Scenario.ListLate) }
 
-// killEndpoint ends an endpoint's process and has the list say so.
+// killEndpoint ends an endpoint's process and removes the endpoint from the list after the list delay.
 func (w *World) killEndpoint(e *emulatedEndpoint) {
 	e.kill()
 	w.setPhase(e.Name, w.listDelayMs(), wire.PhaseGone)
 }
 
-// vanishEndpoints cuts endpoints off; at the end they come back cold.
+// vanishEndpoints disconnects endpoints from the network without closing their connections. At the end of the fault
+// they restart cold.
 func (w *World) vanishEndpoints(fault scenario.Fault) {
 	for _, e := range w.faultEndpoints(fault) {
 		w.setBlackhole(e.Name, true)
@@ -101,6 +111,7 @@
 	}
 }
 
+// crashEndpoints kills endpoints and restarts them cold at the end of the fault.
 func (w *World) crashEndpoints(fault scenario.Fault) {
 	for _, e := range w.faultEndpoints(fault) {
 		w.killEndpoint(e)
@@ -108,6 +119,7 @@
 	}
 }
 
+// restartEndpoints kills endpoints and restarts them cold at once.
 func (w *World) restartEndpoints(fault scenario.Fault) {
 	for _, e := range w.faultEndpoints(fault) {
 		e.kill()
@@ -115,14 +127,15 @@
 	}
 }
 
-// drainEndpoints has endpoints drain and end for good.
+// drainEndpoints drains endpoints and then kills them without a restart.
 func (w *World) drainEndpoints(fault scenario.Fault) {
 	for _, e := range w.faultEndpoints(fault) {
 		w.drainThenKill(fault, e, func() {})
 	}
 }
 
-// preemptEndpoints has endpoints drain, end, and later be replaced by new ones.
+// preemptEndpoints drains and kills endpoints, and starts a replacement for each of them after the fault's Extra
+// delay.
 func (w *World) preemptEndpoints(fault scenario.Fault) {
 	for _, e := range w.faultEndpoints(fault) {
 		w.drainThenKill(fault, e, func() {
@@ -131,6 +144,8 @@
 	}
 }
 
+// drainThenKill marks an endpoint as draining in the list, kills it once the fault's duration has passed since the
+// list was updated, and then calls then.
 func (w *World) drainThenKill(fault scenario.Fault, e *emulatedEndpoint, then func()) {
 	w.setPhase(e.Name, w.listDelayMs(), wire.PhaseDraining)
 	w.After(w.listDelayMs()+milliseconds(fault.For), func() {
@@ -139,7 +154,8 @@
 	})
 }
 
-// replaceEndpoints replaces endpoints one after another: the new one starts first, then the old one drains and ends.
+// replaceEndpoints replaces endpoints one after another. The new endpoint starts first; then the old one is drained
+// and killed.
 func (w *World) replaceEndpoints(fault scenario.Fault) {
 	for i, e := range w.faultEndpoints(fault) {
 		w.After(float64(i)*milliseconds(fault.Every), func() {
@@ -153,7 +169,7 @@
 	}
 }
 
-// flapEndpoints has endpoints fail and recover by turns.
+// flapEndpoints makes endpoints crash and restart periodically until the fault ends.
 func (w *World) flapEndpoints(fault scenario.Fault) {
 	until := w.now + milliseconds(fault.For)
 	for i, e := range w.faultEndpoints(fault) {
@@ -162,7 +178,7 @@
 	}
 }
 
-// flap has an endpoint fail and recover, again and again until a time in ms.
+// flap makes an endpoint crash and restart with a period in ms. No new period begins after the time until, in ms.
 func (w *World) flap(e *emulatedEndpoint, until, periodMs float64) {
 	if w.now >= until {
 		return
@@ -176,7 +192,8 @@
 	})
 }
 
-// restartCold starts an endpoint's process and has the list say so, unless another fault's end has started it.
+// restartCold starts an endpoint's process cold and updates its list entry. It does nothing if the end of an
+// overlapping fault has already restarted the endpoint.
 func (w *World) restartCold(e *emulatedEndpoint) {
 	if e.process != nil {
 		return
@@ -188,7 +205,8 @@
 	})
 }
 
-// addSuccessor starts a new endpoint beside one that goes, of the same group.
+// addSuccessor starts a cold endpoint of the same group as one that is being replaced, unless this successor already
+// exists.
 func (w *World) addSuccessor(e *emulatedEndpoint) {
 	name := e.Name + "-next"
 	if w.endpointByName[name] != nil {
--- a/internal/emulator/faults_pilot.go
+++ b/internal/emulator/faults_pilot.go
@@ -3,13 +3,13 @@
 import "indigousher/internal/scenario"
 
 const (
-	// handoverMs is how long nobody serves while one process takes over from another.
+	// handoverMs is the time in ms between the stop of a pilot's old process and the start of the new one in a handover.
 	handoverMs = 1
-	// minHandoverEveryMs is the least time between two handovers.
+	// minHandoverEveryMs is the minimum time in ms between two handovers of a pilot.
 	minHandoverEveryMs = 1
 )
 
-// faultPilots draws the pilots that a fault strikes.
+// faultPilots selects the pilots that a fault affects.
 func (w *World) faultPilots(fault scenario.Fault) []*emulatedPilot {
 	var names []string
 	byName := map[string]*emulatedPilot{}
@@ -17,13 +17,14 @@
 		names = append(names, pilot.location.name)
 		byName[pilot.location.name] = pilot
 	}
-	var struck []*emulatedPilot
+	var affected []*emulatedPilot
 	for _, name := range fault.Targets(names, w.random) {
-		struck = append(struck, byName[name])
+		affected = append(affected, byName[name])
 	}
-	return struck
+	return affected
 }
 
+// killPilots kills pilots without a last commit and restarts them at the end of the fault.
 func (w *World) killPilots(fault scenario.Fault) {
 	for _, pilot := range w.faultPilots(fault) {
 		pilot.stop(true)
@@ -31,7 +32,7 @@
 	}
 }
 
-// rollPilots restarts pilots one after another.
+// rollPilots restarts pilots one after another. Each is down for the fault's Extra time.
 func (w *World) rollPilots(fault scenario.Fault) {
 	downMs := milliseconds(fault.Extra)
 	for i, pilot := range w.faultPilots(fault) {
@@ -42,7 +43,7 @@
 	}
 }
 
-// pausePilots has pilots stand still. Nothing reaches them meanwhile, and nobody hears of them.
+// pausePilots suspends pilots until the fault ends. Meanwhile no message to or from them is delivered.
 func (w *World) pausePilots(fault scenario.Fault) {
 	for _, pilot := range w.faultPilots(fault) {
 		pilot.pausedUntil = w.now + milliseconds(fault.For)
@@ -51,6 +52,7 @@
 	}
 }
 
+// reloadPilots makes running pilots reload their settings with the channel rate multiplied by the fault's Size.
 func (w *World) reloadPilots(fault scenario.Fault) {
 	for _, pilot := range w.faultPilots(fault) {
 		if pilot.running() {
@@ -59,6 +61,7 @@
 	}
 }
 
+// handOverPilots makes pilots hand over to a new process periodically until the fault ends.
 func (w *World) handOverPilots(fault scenario.Fault) {
 	until := w.now + milliseconds(fault.For)
 	everyMs := max(milliseconds(fault.Every), minHandoverEveryMs)
@@ -67,8 +70,8 @@
 	}
 }
 
-// handOver has one process of a pilot after another take over, until a time in ms: the old one ends in order and the
-// new one begins.
+// handOver replaces a pilot's process every everyMs: it stops the old process gracefully and starts a new one. No
+// handover begins after the time until, in ms.
 func (w *World) handOver(pilot *emulatedPilot, until, everyMs float64) {
 	if w.now >= until {
 		return
--- a/internal/emulator/faults_proxy.go
+++ b/internal/emulator/faults_proxy.go
@@ -2,7 +2,7 @@
 
 import "indigousher/internal/scenario"
 
-// faultProxies draws the proxies that a fault strikes.
+// faultProxies selects the proxies that a fault affects.
 func (w *World) faultProxies(fault scenario.Fault) []*emulatedProxy {
 	var names []string
 	byName := map[string]*emulatedProxy{}
@@ -12,31 +12,32 @@
 			byName[proxy.location.name] = proxy
 		}
 	}
-	var struck []*emulatedProxy
+	var affected []*emulatedProxy
 	for _, name := range fault.Targets(names, w.random) {
-		struck = append(struck, byName[name])
+		affected = append(affected, byName[name])
 	}
-	return struck
+	return affected
 }
 
-// strikeProxies does something to the proxies that a fault strikes, and something else at the fault's end.
+// applyToProxies calls begin for each affected proxy now, and end for each of them at the end of the fault.
 func (w *World) applyToProxies(fault scenario.Fault, begin, end func(*emulatedProxy)) {
-	struck := w.faultProxies(fault)
-	for _, proxy := range struck {
+	affected := w.faultProxies(fault)
+	for _, proxy := range affected {
 		begin(proxy)
 	}
 	w.After(milliseconds(fault.For), func() {
-		for _, proxy := range struck {
+		for _, proxy := range affected {
 			end(proxy)
 		}
 	})
 }
 
+// reconnectProxies breaks the streams of proxies, which then dial again.
 func (w *World) reconnectProxies(fault scenario.Fault) {
 	w.applyToProxies(fault, (*emulatedProxy).breakStream, func(*emulatedProxy) {})
 }
 
-// isolateProxies has proxies reach no pilot.
+// isolateProxies breaks the streams of proxies and prevents them from connecting to any pilot until the fault ends.
 func (w *World) isolateProxies(fault scenario.Fault) {
 	isolate := func(proxy *emulatedProxy) {
 		proxy.unreachable = true
@@ -45,30 +46,31 @@
 	w.applyToProxies(fault, isolate, func(proxy *emulatedProxy) { proxy.unreachable = false })
 }
 
-// muteProxies has proxies read nothing from their streams.
+// muteProxies stops proxies from reading their streams until the fault ends.
 func (w *World) muteProxies(fault scenario.Fault) {
 	w.applyToProxies(fault, func(proxy *emulatedProxy) { proxy.muted = true }, (*emulatedProxy).resumeReading)
 }
 
-// silenceProxies cuts proxies off without closing their connections.
+// silenceProxies disconnects proxies from the network until the fault ends, without closing their connections.
 func (w *World) silenceProxies(fault scenario.Fault) {
 	w.applyToProxies(fault,
 		func(proxy *emulatedProxy) { w.setBlackhole(proxy.location.name, true) },
 		func(proxy *emulatedProxy) { w.setBlackhole(proxy.location.name, false) })
 }
 
-// floodReports has proxies report more often.
+// floodReports multiplies the report frequency of proxies by the fault's Size until the fault ends.
 func (w *World) floodReports(fault scenario.Fault) {
 	w.applyToProxies(fault,
 		func(proxy *emulatedProxy) { proxy.reportFactor = fault.Size },
 		func(proxy *emulatedProxy) { proxy.reportFactor = 1 })
 }
 
+// crashProxies kills proxies and restarts them at the end of the fault.
 func (w *World) crashProxies(fault scenario.Fault) {
 	w.applyToProxies(fault, (*emulatedProxy).kill, (*emulatedProxy).startUnlessRunning)
 }
 
-// rollProxies restarts proxies one after another.
+// rollProxies restarts proxies one after another. Each is down for the fault's Extra time.
 func (w *World) rollProxies(fault scenario.Fault) {
 	downMs := milliseconds(fault.Extra)
 	for i, proxy := range w.faultProxies(fault) {
--- a/internal/emulator/faults_zone.go
+++ b/internal/emulator/faults_zone.go
@@ -5,10 +5,11 @@
 	"indigousher/internal/wire"
 )
 
-// wholeZoneSize is the size of a zone loss above which the zone's proxies and pilots are lost as well.
+// wholeZoneThreshold is the fault Size above which a zone loss also stops the zone's proxies and pilots.
 const wholeZoneThreshold = 0.5
 
-// loseZone ends a zone's endpoints, and its proxies and pilots where the loss is large. All come back at the end.
+// loseZone kills a zone's endpoints, and above wholeZoneThreshold also its proxies and pilots. All of them restart
+// at the end of the fault.
 func (w *World) loseZone(fault scenario.Fault) {
 	endpoints := w.faultEndpoints(fault)
 	for _, e := range endpoints {
@@ -34,7 +35,7 @@
 	})
 }
 
-// killProxiesOf ends the proxies of a zone and returns them.
+// killProxiesOf kills the proxies of a zone and returns them.
 func (w *World) killProxiesOf(zone string) []*emulatedProxy {
 	var killed []*emulatedProxy
 	for _, proxy := range w.proxies {
@@ -46,7 +47,7 @@
 	return killed
 }
 
-// killPilotsOf ends the pilots of a zone and returns them.
+// killPilotsOf kills the pilots of a zone, without a last commit, and returns them.
 func (w *World) killPilotsOf(zone string) []*emulatedPilot {
 	var killed []*emulatedPilot
 	for _, pilot := range w.pilots {
--- a/internal/emulator/forwarding.go
+++ b/internal/emulator/forwarding.go
@@ -11,28 +11,30 @@
 )
 
 const (
-	// dialTimeoutMs is how long a proxy waits for a connection to an endpoint.
+	// dialTimeoutMs is the time in ms that a proxy waits for a connection to an endpoint.
 	dialTimeoutMs = 250
-	// connectTrips is how many one-way trips the opening of a connection takes before a request can be sent on it.
+	// connectOneWayTrips is the number of one-way network delays that the opening of a connection adds to the first
+	// request.
 	connectOneWayTrips = 2
-	// deadlineToleranceMs is less time than counts; rounding may leave it before a deadline that has come.
+	// deadlineToleranceMs is the remaining time in ms that is treated as 0. Floating-point rounding may leave such a
+	// remainder when a deadline has been reached.
 	deadlineToleranceMs = 1e-6
 )
 
-// Reasons for which a proxy rejects a request, as it logs them.
+// Reasons for which a proxy rejects a request, as stored in the Text field of Refuse events.
 const (
 	rejectedByAdmission  = "level"
 	rejectedWithoutRoute = "no line"
 )
 
-// proxyRequest is a request that a proxy forwards, with its attempts.
+// proxyRequest is the state of a request that a proxy forwards, over all its attempts.
 type proxyRequest struct {
 	process    *proxyProcess
 	request    *wire.Request
-	class      int      // number of the request class
+	class      int      // index of the request class
 	deadline   float64  // ms
-	tried      []string // endpoints, in the order of the attempts
-	mayHaveRun bool     // some attempt did not prove that it had no effect
+	tried      []string // endpoints of the attempts so far, in order
+	mayHaveRun bool     // an attempt may have had an effect; false: no attempt reached the application code
 	answer     func(*wire.Response)
 }
 
@@ -44,14 +46,14 @@
 	ended     bool
 }
 
-// connection is a proxy's connection to one endpoint.
+// connection is an open connection of a proxy to one endpoint.
 type connection struct {
-	process  *endpointProcess // that accepted it
-	attempts map[*attempt]bool
+	process  *endpointProcess  // process that accepted the connection
+	attempts map[*attempt]bool // attempts in flight
 }
 
-// handle forwards a request and answers it within a limit in ms. One that comes while a message is applied waits for
-// that. The answer is nil where the proxy does not run.
+// handle forwards a request and answers it within a limit in ms. A request that arrives while the proxy applies a
+// message is delayed until the message has been applied. The answer is nil if the proxy is not running.
 func (p *emulatedProxy) handle(request *wire.Request, limitMs float64, answer func(*wire.Response)) {
 	process := p.process
 	if process == nil {
@@ -79,16 +81,17 @@
 	forwarded.sendNext()
 }
 
+// logRejected logs that the proxy rejected a request or an attempt for it.
 func (p *emulatedProxy) logRejected(request *wire.Request, reason string) {
 	p.logEvent(eventlog.Event{What: eventlog.Refuse, Kind: request.Class, Req: request.RequestID, Text: reason})
 }
 
-// rejection is the answer to a request that has had no effect.
+// rejectedResponse returns the response to a request that certainly had no effect.
 func rejectedResponse() *wire.Response {
 	return &wire.Response{Outcome: wire.Denied, RetryAfterMs: routing.RetryAfterMs}
 }
 
-// sendNext picks an endpoint for the next attempt and sends it there.
+// sendNext selects an endpoint and sends the next attempt to it. Without an eligible endpoint the request fails.
 func (r *proxyRequest) sendNext() {
 	w := r.process.proxy.w
 	follower := r.process.follower
@@ -116,7 +119,8 @@
 	r.process.send(next, waitMs)
 }
 
-// send brings an attempt to its endpoint over the proxy's connection, which is opened first if need be.
+// send sends an attempt to its endpoint over the proxy's connection, which is opened first if necessary. waitMs is
+// the timeout of the attempt.
 func (pp *proxyProcess) send(a *attempt, waitMs float64) {
 	p := pp.proxy
 	endpoint := p.w.endpointByName[a.endpoint]
@@ -137,13 +141,15 @@
 	})
 }
 
-// isConnected returns whether there is a connection to an endpoint's present process.
+// isConnected returns whether the proxy has a connection to the endpoint's current process. A connection to an
+// earlier process of the endpoint does not count.
 func (pp *proxyProcess) isConnected(endpoint *emulatedEndpoint) bool {
 	c := pp.connections[endpoint.Name]
 	return c != nil && c.process == endpoint.process
 }
 
-// arrive hands an attempt to its endpoint, once the endpoint has accepted the connection.
+// arrive delivers an attempt to its endpoint. If the endpoint does not accept the connection, the attempt fails as
+// not sent.
 func (pp *proxyProcess) arrive(a *attempt, endpoint *emulatedEndpoint, waitMs float64) {
 	p := pp.proxy
 	accepted, costMs := endpoint.connect(p.location.name)
@@ -163,7 +169,7 @@
 	endpoint.accept(received)
 }
 
-// received returns an attempt as the endpoint sees it; its answer goes back over the network.
+// asEndpointTask converts an attempt to a task for the endpoint. The task's answer travels back over the network.
 func (a *attempt) asEndpointTask(endpoint *emulatedEndpoint, waitMs float64) *task {
 	process := a.request.process
 	p := process.proxy
@@ -182,7 +188,7 @@
 	return &task{request: request, answer: answer}
 }
 
-// notSent ends an attempt that never left: it proves that the request has not run.
+// attemptNotSent ends an attempt that was not sent to its endpoint, and so certainly had no effect.
 func (pp *proxyProcess) attemptNotSent(a *attempt) {
 	if a.ended {
 		return
@@ -193,13 +199,14 @@
 	a.request.retryOrEnd(wire.Denied)
 }
 
-// isOver implements expirable.
+// isOver implements expirable. It reports whether the attempt has an outcome.
 func (a *attempt) isOver() bool { return a.ended }
 
-// expire ends an attempt that was not answered in time.
+// expire implements expirable. It ends an attempt that was not answered within its timeout.
 func (a *attempt) expire() { a.request.process.attemptEnded(a, nil) }
 
-// attemptEnded takes the answer to an attempt; nil means that there was none.
+// attemptEnded records the outcome of an attempt and continues with its request. A nil answer means that the attempt
+// timed out or its connection broke.
 func (pp *proxyProcess) attemptEnded(a *attempt, answer *wire.Response) {
 	if a.ended {
 		return
@@ -219,7 +226,7 @@
 	a.request.retryOrEnd(outcome)
 }
 
-// endpointDied ends what is in flight to an endpoint whose process has ended.
+// endpointDied fails the attempts in flight to an endpoint whose process has ended.
 func (p *emulatedProxy) endpointDied(name string) {
 	process := p.process
 	if process == nil || process.connections[name] == nil {
@@ -232,7 +239,8 @@
 	}
 }
 
-// retryOrEnd answers a request after an attempt, or sends it once more where the retry policy lets it.
+// retryOrEnd answers the request if the attempt succeeded. Otherwise it sends another attempt if the retry policy
+// allows one, and fails the request if not.
 func (r *proxyRequest) retryOrEnd(outcome wire.Outcome) {
 	if outcome == wire.Succeeded {
 		r.answer(&wire.Response{Outcome: wire.Succeeded})
@@ -249,7 +257,8 @@
 	r.fail()
 }
 
-// mayRetry returns whether another attempt may follow one that failed.
+// mayRetry returns whether another attempt may follow a failed one: the retry policy allows it, the deadline has not
+// passed and the proxy's process is still running.
 func (r *proxyRequest) mayRetry(didNotRun bool) bool {
 	p := r.process.proxy
 	if !routing.RetryAllowed(r.process.follower.RetryMode(r.class), len(r.tried), didNotRun) {
@@ -258,7 +267,7 @@
 	return p.w.now < r.deadline-deadlineToleranceMs && p.process == r.process
 }
 
-// fail answers a request that did not succeed: as rejected if it certainly has had no effect.
+// fail answers a request that did not succeed: as rejected if it certainly had no effect, otherwise as errored.
 func (r *proxyRequest) fail() {
 	if !r.mayHaveRun {
 		r.answer(rejectedResponse())
@@ -268,7 +277,7 @@
 	r.answer(&wire.Response{Outcome: wire.Errored})
 }
 
-// sortedAttempts lists attempts by request, those of one request by when they were sent.
+// sortedAttempts returns attempts sorted by request ID, then by start time. The fixed order keeps runs reproducible.
 func sortedAttempts(attempts map[*attempt]bool) []*attempt {
 	list := slices.Collect(maps.Keys(attempts))
 	slices.SortFunc(list, func(x, y *attempt) int {
