--- a/internal/emulator/faults_endpoint.go
+++ b/internal/emulator/faults_endpoint.go
@@ -76,7 +76,7 @@
 }
 
 // answerTwice selects endpoints as the rehearsal does but has no other effect, because the emulator delivers exactly
-// one answer to each attempt. The selection keeps the sequence of random numbers the same.
+// one answer to each attempt. It still draws the random selection.
 func (w *World) answerTwice(fault scenario.Fault) { w.scheduleRepair(fault, w.faultEndpoints(fault)) }
 
 // pauseEndpoints stops all cores of endpoints until the fault ends.
--- a/internal/emulator/loadreport.go
+++ b/internal/emulator/loadreport.go
@@ -6,16 +6,16 @@
 	"indigousher/internal/wire"
 )
 
-// Names of the figures in a load report, as endpoints spell them.
+// Names of the metrics in an endpoint's load report.
 const (
 	figureUtilization = "util"    // busy fraction of the cores
-	figureRate        = "rate"    // requests a second
-	figureWaiting     = "waiting" // requests beyond the cores
-	figureInFlight    = "in_hand" // requests
+	figureRate        = "rate"    // requests per second
+	figureWaiting     = "waiting" // requests in flight beyond the number of cores
+	figureInFlight    = "in_hand" // requests in flight
 )
 
-// scheduleLoadReport renews a process's load report from time to time, until the process ends. What it shows is as old
-// as the lag.
+// scheduleLoadReport measures a process's load every ReportEvery until the process ends. With a ReportLag, answers
+// carry the previous measurement instead of the latest one.
 func (e *emulatedEndpoint) scheduleLoadReport(process *endpointProcess) {
 	e.w.After(milliseconds(e.ReportEvery), func() {
 		if e.process != process {
@@ -32,7 +32,8 @@
 	})
 }
 
-// measureLoad returns the load since the last report, with noise on what is measured over time.
+// measureLoad returns the load since the last report. Utilization and rate, which are averages over the interval,
+// have random noise added.
 func (e *emulatedEndpoint) measureLoad(process *endpointProcess) []wire.LoadMetric {
 	if e.sharesCores {
 		e.countSharedWork(process)
@@ -50,7 +51,7 @@
 	}
 }
 
-// noise draws a factor around 1.
+// noise returns a random factor with mean 1 and standard deviation ReportNoise, but not below 0.
 func (e *emulatedEndpoint) noise() float64 {
 	return math.Max(0, 1+e.ReportNoise*e.random.NormFloat64())
 }
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -1,27 +1,30 @@
 package emulator
 
-// place is where something stands. The zone "" reaches all others, as the registry does.
+// location is the name and the zone of an endpoint, proxy, pilot or the registry. A location with the zone "", such
+// as the registry, is not affected by faults between zones.
 type location struct{ name, zone string }
 
 // zoneLink is the state of the links between one zone and all others.
 type zoneLink struct {
-	cut          bool
-	extraDelayMs float64
-	loss         float64 // part of the messages that come only with TCP's retransmission
+	cut          bool    // no message passes between the zone and the others
+	extraDelayMs float64 // added to the one-way delay
+	loss         float64 // fraction of the messages that arrive only after a TCP retransmission
 }
 
-// retransmitMs is how much later TCP's retransmission brings what was lost.
+// retransmitMs is the additional delay in ms of a lost message, which arrives by TCP retransmission.
 const retransmitMs = 200
 
-// network carries messages between places. What a cut holds back comes once it is mended, as with TCP.
+// network delivers messages between locations after a delay. As with TCP, messages that a cut holds back are
+// delivered after the end of the cut.
 type network struct {
 	w          *World
 	zones      map[string]*zoneLink
-	blackholed map[string]bool // by name: nothing passes to or from it
-	held       []heldMessage   // in the order in which they were held back
-	oneWayMs   float64         // within a zone
+	blackholed map[string]bool // isolated endpoints, proxies and pilots, by name
+	held       []heldMessage   // messages that a cut holds back, in order of sending
+	oneWayMs   float64         // one-way delay without faults
 }
 
+// heldMessage is a message that a cut holds back.
 type heldMessage struct {
 	from, to location
 	deliver  func()
@@ -31,7 +34,7 @@
 	return &network{w: w, zones: map[string]*zoneLink{}, blackholed: map[string]bool{}, oneWayMs: oneWayMs}
 }
 
-// zone returns the links of a zone.
+// zone returns the link state of a zone, which is created on first use.
 func (n *network) zone(name string) *zoneLink {
 	if n.zones[name] == nil {
 		n.zones[name] = &zoneLink{}
@@ -39,12 +42,12 @@
 	return n.zones[name]
 }
 
-// crossesZones returns whether the links between zones matter between two places.
+// crossesZones returns whether a message between two locations uses a link between zones.
 func crossesZones(from, to location) bool {
 	return from.zone != to.zone && from.zone != "" && to.zone != ""
 }
 
-// open returns whether messages pass between two places.
+// reachable returns whether messages can pass between two locations now.
 func (n *network) reachable(from, to location) bool {
 	if n.blackholed[from.name] || n.blackholed[to.name] {
 		return false
@@ -55,7 +58,8 @@
 	return !n.zone(from.zone).cut && !n.zone(to.zone).cut
 }
 
-// delay returns how long a message takes, in ms. It may draw whether the message is lost at first.
+// delay returns the delay of a message in ms. If a link has loss, it draws at random whether the message needs a
+// retransmission.
 func (n *network) delay(from, to location) float64 {
 	delayMs := n.oneWayMs
 	if !crossesZones(from, to) {
@@ -71,7 +75,8 @@
 	return delayMs
 }
 
-// carry delivers a message to another place after its delay. A cut holds it back, at its sending or its arrival.
+// transmit calls deliver after the network delay between two locations. If a cut separates them when the message is
+// sent or when it would arrive, the message is held until the cut ends.
 func (n *network) transmit(from, to location, deliver func()) {
 	if !n.reachable(from, to) {
 		n.held = append(n.held, heldMessage{from: from, to: to, deliver: deliver})
@@ -86,7 +91,7 @@
 	})
 }
 
-// releaseHeld sends again, in order, what was held back; what still can't pass is held again.
+// releaseHeld sends all held messages again, in order. Messages that another cut still blocks are held again.
 func (n *network) releaseHeld() {
 	waiting := n.held
 	n.held = nil
--- a/internal/emulator/pilot.go
+++ b/internal/emulator/pilot.go
@@ -9,57 +9,58 @@
 	"indigousher/internal/wire"
 )
 
-// emulatedPilot is a pilot; its process can end and come back.
+// emulatedPilot is a pilot. Its processes can be stopped and restarted during a run.
 type emulatedPilot struct {
 	w           *World
 	location    location
-	rank        int // its number among the pilots
+	rank        int // index among the pilots, from 0
 	settings    config.Pilot
-	process     *pilotProcess // nil while it does not run
-	streams     map[*stream]bool
-	pausedUntil float64 // ms; its loop stands still until then
-	Starts      []Start // of its processes
+	process     *pilotProcess    // nil while the pilot is not running
+	streams     map[*stream]bool // open streams from proxies
+	pausedUntil float64          // ms; the loop takes no turn before this time
+	Starts      []Start          // one for each process, in order
 
-	// The record, as committed.
+	// The committed part of the record.
 	storedTurns       []record.Turn
-	storedAt          float64 // ms; last commit
-	storedFingerprint string  // of what decided then
+	storedAt          float64 // ms; time of the last commit
+	storedFingerprint string  // fingerprint of the planner that made the record
 }
 
-// pilotProcess is one process of a pilot: the shipped runtime, driven by virtual time.
+// pilotProcess is one process of a pilot. It runs the production runtime in virtual time.
 type pilotProcess struct {
 	pilot     *emulatedPilot
-	startedAt float64 // ms; when the process's own clock showed 0
+	startedAt float64 // ms; time of the run at which the process's own clock was 0
 	core      *controller.Core
 
-	// The loop. Inputs of one moment are handled in one turn.
+	// State of the event loop. Inputs that arrive at the same time are handled in one turn.
 	inputs          []controller.Input
 	turnScheduled   bool
-	wakeAt          float64 // ms; when the next timer fires, noWake: none is set
-	timerGeneration uint64  // of the last timer; earlier ones are void
+	wakeAt          float64 // ms; time of the next timer; noWake: no timer is set
+	timerGeneration uint64  // number of the latest timer; earlier timers are ignored
 
-	uncommitted []record.Turn
+	uncommitted []record.Turn // turns recorded since the last commit
 
-	// For the tracer: load reports since the last decision that was traced, and when the first of them came.
+	// For the tracer: number of load reports since the last traced decision, and arrival time in ms of the first one.
 	pendingReports int
 	firstReport    float64
 }
 
 const (
-	// clockEpsilonMs is added to the loop's clock, so that rounding does not leave what is due for ever just ahead. It
-	// is less than any time that counts.
+	// clockEpsilonMs is added to the time that the loop sees. Without it, rounding could leave a due timer just ahead of
+	// the clock forever. It is far smaller than any interval in a scenario.
 	clockEpsilonMs = 1e-6
-	// settleMs is how long after a start the lines sent since are counted.
+	// lineCountWindowMs is the time in ms after a process's start over which Start.LinesSent is counted.
 	lineCountWindowMs = 10_000
-	// noWake is pilotProcess.wakeAt where no timer is set.
+	// noWake is the value of pilotProcess.wakeAt if no timer is set.
 	noWake = -1
-	// farAheadMs is further ahead than any run lasts; no timer is set for what is due then.
+	// maxTimerDelayMs is longer than any run. No timer is set for a time further ahead.
 	maxTimerDelayMs = 1e9
 )
 
+// running reports whether the pilot has a process.
 func (p *emulatedPilot) running() bool { return p.process != nil }
 
-// start begins a process, recovered from the record where the scenario has pilots record.
+// start starts a process. If pilots keep a record in this scenario, the process may recover its state from it.
 func (p *emulatedPilot) start() {
 	p.w.logEvent(p.location.name, eventlog.Event{What: eventlog.Start, Kind: "pilot", Text: p.location.zone})
 	process := &pilotProcess{pilot: p, startedAt: p.w.now, wakeAt: noWake}
@@ -83,14 +84,15 @@
 	p.w.registry.sendSnapshot(p, process)
 }
 
-// startUnlessRunning begins a process after a fault, unless another fault's end has begun one.
+// startUnlessRunning starts a process after a fault. It does nothing if the end of an overlapping fault has already
+// started one.
 func (p *emulatedPilot) startUnlessRunning() {
 	if p.process == nil {
 		p.start()
 	}
 }
 
-// controllerOptions returns the options of the runtime for a process, as the shipped daemon sets them.
+// controllerOptions returns the runtime options of a process, set as in the production daemon.
 func (p *emulatedPilot) controllerOptions(process *pilotProcess) controller.Options {
 	s := &p.settings
 	plannerSettings := s.PlannerSettings(p.rank)
@@ -115,7 +117,7 @@
 	}
 }
 
-// scheduleLineCount notes how many lines a process sent in its first time.
+// scheduleLineCount sets LinesSent of the given start after lineCountWindowMs, unless the process has ended by then.
 func (p *emulatedPilot) scheduleLineCount(process *pilotProcess, start int) {
 	p.w.After(lineCountWindowMs, func() {
 		if p.process == process {
@@ -124,7 +126,8 @@
 	})
 }
 
-// stop ends the process. One that is killed loses what it has not committed; one that is asked commits first.
+// stop ends the process and its streams. A killed process loses its uncommitted turns; a process that stops
+// gracefully commits them first.
 func (p *emulatedPilot) stop(kill bool) {
 	process := p.process
 	if process == nil {
@@ -141,7 +144,8 @@
 	}
 }
 
-// post hands an input to the loop; inputs of one moment are handled in one turn.
+// post queues an input for the loop and schedules a turn. Inputs that arrive at the same time are handled in one
+// turn.
 func (p *emulatedPilot) post(input controller.Input) {
 	process := p.process
 	if process == nil {
@@ -159,7 +163,7 @@
 	})
 }
 
-// report hands a load report to telemetry without a turn of the loop, as the shipped transports do.
+// report passes a load report to telemetry without a turn of the loop, as the production transports do.
 func (p *emulatedPilot) report(s *stream, sums *wire.LoadReport) {
 	process := p.process
 	if process == nil {
@@ -173,13 +177,14 @@
 	process.scheduleWake()
 }
 
-// reload changes the rate of the running pilot's channel by a factor.
+// reload multiplies the rate of the pilot's channel by a factor and applies the changed settings to the running
+// process.
 func (p *emulatedPilot) reload(factor float64) {
 	p.settings.LinesPerS *= factor
 	p.post(controller.SettingsChanged{Settings: p.settings.ReloadableSettings()})
 }
 
-// turn is one turn of the loop.
+// turn runs one turn of the loop: it handles the queued inputs and due timers and sends the resulting commands.
 func (pp *pilotProcess) turn() {
 	pp.turnScheduled = false
 	w := pp.pilot.w
@@ -193,7 +198,8 @@
 	pp.scheduleWake()
 }
 
-// scheduleWake sets the timer for a turn when the core or the channel has something due, unless an earlier one is set.
+// scheduleWake sets a timer for the next turn at which the core or the channel is due, unless a timer is already set
+// for that time or earlier.
 func (pp *pilotProcess) scheduleWake() {
 	pilot := pp.pilot
 	w := pilot.w
--- a/internal/emulator/pilotports.go
+++ b/internal/emulator/pilotports.go
@@ -5,45 +5,47 @@
 	"indigousher/internal/wire"
 )
 
-// endpointSource connects a pilot's process to the registry. It implements controller.EndpointSource; its zero value
-// does nothing.
+// endpointSource connects a pilot's process to the registry. It implements controller.EndpointSource. The methods of
+// the zero value do nothing.
 type endpointSource struct {
 	pilot   *emulatedPilot
 	process *pilotProcess
 }
 
-// Watch begins to watch the endpoint list. A watch in virtual time needs no end: it goes with the process.
+// Watch subscribes to changes of the endpoint list if on is true. Unsubscribing does nothing, because the registry
+// drops the subscriptions of processes that have ended.
 func (s endpointSource) Watch(on bool) {
 	if s.pilot != nil && on {
 		s.pilot.w.registry.watch(s.pilot, s.process)
 	}
 }
 
-// Fetch asks for a snapshot of the endpoint list.
+// Fetch requests a snapshot of the endpoint list.
 func (s endpointSource) Fetch() {
 	if s.pilot != nil {
 		s.pilot.w.registry.sendSnapshot(s.pilot, s.process)
 	}
 }
 
-// healthChecker examines endpoints for a pilot's process. It implements controller.HealthChecker; its zero value does
-// nothing.
+// healthChecker performs health checks of endpoints for a pilot's process. It implements controller.HealthChecker.
+// The methods of the zero value do nothing.
 type healthChecker struct {
 	pilot   *emulatedPilot
 	process *pilotProcess
 }
 
-// healthCheckTimeoutMs is how long the answer to a health check is waited for.
+// healthCheckTimeoutMs is the timeout of a health check in ms.
 const healthCheckTimeoutMs = 1000
 
-// Outcomes of a health check.
+// Values of controller.HealthChecked.Outcome.
 const (
 	healthOK          = "ok"
 	healthTimeout     = "timeout"
 	healthUnreachable = "unreachable"
 )
 
-// Probe examines an endpoint and posts the outcome to the pilot's loop, at the timeout at the latest.
+// Probe starts a health check of an endpoint. It posts one outcome to the pilot's loop, at the latest after
+// healthCheckTimeoutMs. It does nothing if probing is disabled in the pilot's settings.
 func (c healthChecker) Probe(name string) {
 	if c.pilot == nil || !c.pilot.settings.Probing {
 		return
@@ -73,13 +75,13 @@
 	})
 }
 
-// gossip sends short texts to the other pilots; a cut loses them. It implements controller.GossipSender; its zero value
-// does nothing.
+// gossip sends short text messages to the other pilots. Messages sent during a cut are lost. It implements
+// controller.GossipSender. The methods of the zero value do nothing.
 type gossip struct {
 	pilot *emulatedPilot
 }
 
-// Tell sends a text to one pilot, or to all others if the number is negative.
+// Tell sends a text to the pilot with the given index, or to all other pilots if peer is negative.
 func (g gossip) Tell(peer int, text string) {
 	if g.pilot == nil || !g.pilot.w.Gossip {
 		return
--- a/internal/emulator/pilotrecord.go
+++ b/internal/emulator/pilotrecord.go
@@ -8,24 +8,25 @@
 	"indigousher/recovery"
 )
 
-// Start is how a pilot's process began.
+// Start describes the start of a pilot process and its recovery from the record.
 type Start struct {
-	AtMs      float64
-	Verdict   recovery.Decision
-	Replayed  int     // turns of the record
-	TookMs    float64 // real time of the replay
-	LinesSent int     // in the first settleMs
+	AtMs      float64           // time of the run
+	Verdict   recovery.Decision // whether the record was replayed; the zero value if pilots keep no record
+	Replayed  int               // number of turns replayed from the record
+	TookMs    float64           // real time taken by the replay
+	LinesSent int               // lines sent in the first lineCountWindowMs
 }
 
 const (
-	// commitEveryMs is how often the record is committed.
+	// commitEveryMs is the interval in ms between commits of the record.
 	commitEveryMs = 200
-	// keptTails is how many times the longest replay the record reaches back at least.
+	// retainedReplaySpans is how far back the record is kept, as a multiple of the longest span that a recovery may
+	// replay.
 	retainedReplaySpans = 2
 )
 
-// recoverCore has the process recorded, and replays the record of the last one where recovery decides so. It returns
-// the options with the recorder.
+// recoverCore starts recording the turns of the process. If recovery allows it, it also replays the record of the
+// previous process. It returns the options with the recorder installed, and completes begun.
 func (p *emulatedPilot) recoverCore(
 	options controller.Options, process *pilotProcess, begun *Start,
 ) controller.Options {
@@ -49,7 +50,7 @@
 	return options
 }
 
-// recoveryFacts describes the record from a turn on.
+// recoveryFacts describes the part of the record that begins at turn index from, as input to the recovery decision.
 func (p *emulatedPilot) recoveryFacts(from int) recovery.RecordInfo {
 	facts := recovery.RecordInfo{
 		SameFormat:   true,
@@ -65,7 +66,8 @@
 	return facts
 }
 
-// replay rebuilds the core of a process from the record. Nothing that is decided meanwhile leaves the core.
+// replay rebuilds the core of a process from the record, beginning at turn index from. Commands, requests and log
+// lines that the core produces during the replay are discarded.
 func (p *emulatedPilot) replay(options controller.Options, process *pilotProcess, begun *Start, from int) {
 	silent := options
 	silent.OnTurn = nil
@@ -90,7 +92,7 @@
 	process.startedAt = p.w.now - core.Now() - begun.Verdict.DowntimeMs
 }
 
-// scheduleCommit commits the record from time to time, until the process ends.
+// scheduleCommit commits the record every commitEveryMs until the process ends.
 func (p *emulatedPilot) scheduleCommit(process *pilotProcess) {
 	p.w.After(commitEveryMs, func() {
 		if p.process != process {
@@ -101,7 +103,7 @@
 	})
 }
 
-// commit stores what has been recorded, and drops what is older than any replay needs.
+// commit stores the recorded turns and drops turns that are older than any recovery can need.
 func (p *emulatedPilot) commit(process *pilotProcess) {
 	p.storedTurns = append(p.storedTurns, process.uncommitted...)
 	p.storedAt = p.w.now
--- a/internal/emulator/play.go
+++ b/internal/emulator/play.go
@@ -1,6 +1,7 @@
-// Package emulator plays scenarios in virtual time: the shipped runtime, telemetry, channel and planner, the proxies'
-// routing and the audit of the rehearsal, around models of endpoints, network and clients. One seed gives one order of
-// events. Nothing here decides anything about routing.
+// Package emulator runs scenarios in virtual time. It combines production code (runtime, telemetry, channel,
+// planner, the proxies' routing) and the audit of the rehearsal with models of endpoints, network and clients. Runs
+// are deterministic: the same scenario and seed give the same order of events. The package itself makes no routing
+// decisions.
 package emulator
 
 import (
@@ -17,57 +18,57 @@
 	"indigousher/internal/testbed/eventlog"
 )
 
-// Play is one run of a scenario.
+// Play holds the options of one run of a scenario.
 type Play struct {
 	Scenario *scenario.Scenario
-	// Decide makes what decides in a pilot; nil: the planner.
+	// Decide creates the decider of a pilot; nil means the planner.
 	Decide func(seed int64, settings map[string]any) controller.Decider
-	// WithoutPilots leaves the proxies on their static tables.
+	// WithoutPilots starts no pilots, so that the proxies use their static tables throughout.
 	WithoutPilots bool
-	// Gossip lets pilots send gossip to each other.
+	// Gossip delivers gossip messages between pilots; false drops them.
 	Gossip bool
-	// KeepEvents keeps all events in the outcome.
+	// KeepEvents stores all events in Outcome.Events.
 	KeepEvents bool
-	// Audited has the five rules checked; leaving it out saves time.
+	// Audited checks the five rules of the audit during the run. Runs without the audit are faster.
 	Audited bool
-	// Log takes the planner's log lines; nil: they are dropped.
+	// Log receives the planner's log lines, with the time of the run in ms; nil drops them.
 	Log func(atMs float64, pilot, text string)
-	// Trace takes the spans of one run; nil: there are none.
+	// Trace receives the spans of the run; nil disables tracing. A tracer serves one run only.
 	Trace *Tracer
 }
 
 // Outcome is the result of a run.
 type Outcome struct {
 	Report *audit.Report
-	Events []eventlog.Event
-	// Digest of all events; the same for the same scenario and program.
+	Events []eventlog.Event // only with Play.KeepEvents
+	// Digest is a hash of all events. It is the same for each run of the same program with the same scenario.
 	Digest uint64
 
-	ClockEvents      uint64 // timers that fired
-	Requests         uint64 // sent by clients
-	Attempts         uint64 // forwarded by proxies
-	MaxQueueLines    int    // in any pilot's channel
-	MaxProxyMessages int    // to one proxy within the span over which messages are counted
-	LinesSent        int    // by all pilots
-	Malformed        map[string]int
+	ClockEvents      uint64         // number of timers that fired
+	Requests         uint64         // number of requests sent by clients
+	Attempts         uint64         // number of attempts sent by proxies
+	MaxQueueLines    int            // maximum queue length of any pilot's channel
+	MaxProxyMessages int            // maximum number of messages to one proxy within the span of the message limit
+	LinesSent        int            // number of lines sent by all pilots
+	Malformed        map[string]int // number of malformed inputs to pilots, by reason
 
-	Starts  map[string][]Start      // of pilots' processes, by pilot
-	Latency *hdrhistogram.Histogram // µs, of requests that succeeded
-	Load    map[string]float64      // busy fraction of an endpoint's cores since its start, by endpoint
-	ZoneOf  map[string]string       // by endpoint
+	Starts  map[string][]Start      // starts of the pilot processes, by name of the pilot
+	Latency *hdrhistogram.Histogram // latency of successful requests, in µs
+	Load    map[string]float64      // busy fraction of the cores since the endpoint's last start, by endpoint
+	ZoneOf  map[string]string       // zone, by endpoint
 
-	PilotMs   float64 // real time taken by the pilots' turns
+	PilotMs   float64 // real time spent in the pilots' turns
 	ElapsedMs float64 // real time of the whole run
 }
 
-// Latencies are recorded in µs up to ten minutes, to three significant figures.
+// Latencies are recorded in µs, from 1 µs to ten minutes, with three significant digits.
 const (
 	minLatencyMicros   = 1
 	maxLatencyMicros   = 600_000_000
 	latencySignificant = 3
 )
 
-// stepMs is how much virtual time passes between two looks at whether the run was stopped.
+// stepMs is the virtual time in ms between two checks for a cancelled context or a failed run.
 const stepMs = 100
 
 func newOutcome() *Outcome {
@@ -80,8 +81,8 @@
 	}
 }
 
-// Run plays the scenario to its end, or until ctx ends. It goes on for twice the longest client timeout after the end,
-// so that every request has an outcome.
+// Run runs the scenario to its end, or until ctx is cancelled. After the end of the scenario it continues for twice
+// the longest client timeout, so that every request has an outcome.
 func (p Play) Run(ctx context.Context) (*Outcome, error) {
 	w := newWorld(p)
 	elapsed := stopwatch()
@@ -96,13 +97,13 @@
 			return nil, w.err
 		}
 		if err := ctx.Err(); err != nil {
-			return nil, fmt.Errorf("the day was stopped: %w", err)
+			return nil, fmt.Errorf("run of scenario %q cancelled: %w", p.Scenario.Name, err)
 		}
 	}
 	return w.outcome(elapsed()), nil
 }
 
-// outcome collects the result at the end of a run.
+// outcome completes the result at the end of a run.
 func (w *World) outcome(elapsedMs float64) *Outcome {
 	for _, pilot := range w.pilots {
 		if pilot.process != nil {
@@ -125,7 +126,7 @@
 	return w.result
 }
 
-// countStopped adds up what a pilot's process counted, at its end.
+// addPilotCounters adds the channel counters of a pilot process to the result, at the end of the process or of the run.
 func (w *World) addPilotCounters(process *pilotProcess) {
 	channel := process.core.Channel
 	w.result.MaxQueueLines = max(w.result.MaxQueueLines, channel.MaxLines)
@@ -133,10 +134,11 @@
 	w.result.LinesSent += channel.Sent
 }
 
-// stopwatch starts measuring real time and returns a function that tells how much has passed, in ms.
+// stopwatch returns a function that returns the real time in ms since the call of stopwatch.
 func stopwatch() func() float64 {
 	start := time.Now()
 	return func() float64 { return milliseconds(time.Since(start)) }
 }
 
+// milliseconds converts a duration to ms.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
