--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -10,41 +10,43 @@
 	"indigousher/internal/wire"
 )
 
-// emulatedProxy is a proxy: the routing of the testbed's proxy, with its attempts and its stream in virtual time.
+// emulatedProxy is a proxy. It uses the routing code of the testbed's proxy; its attempts and its stream are
+// emulated in virtual time.
 type emulatedProxy struct {
 	w         *World
 	location  location
 	policy    routing.Policy
-	rate      float64 // requests a second that it says it usually gets
-	homePilot int     // number of the pilot that it dials first
-	seed      uint64
-	process   *proxyProcess // nil while it does not run
-	starts    int
+	rate      float64       // usual requests per second, as stated in its hello
+	homePilot int           // index of the pilot that it dials first, modulo the number of pilots
+	seed      uint64        // of its random numbers
+	process   *proxyProcess // nil while the proxy is not running
+	starts    int           // number of processes started so far
 
-	// Faults.
-	unreachable          bool    // it reaches no pilot
-	muted                bool    // it does not read
-	reportFactor         float64 // how many times as often it reports
-	honorsReportRequests bool    // it reports as the pilot asks it to
+	// State of injected faults.
+	unreachable          bool    // it cannot connect to any pilot
+	muted                bool    // it does not read from its stream
+	reportFactor         float64 // multiplier of the report frequency; 1: no fault
+	honorsReportRequests bool    // it follows the pilot's requests about report period and size
 }
 
-// proxyProcess is one process of a proxy.
+// proxyProcess is the state of a proxy between a start and the next stop.
 type proxyProcess struct {
 	proxy          *emulatedProxy
 	follower       *routing.Router
 	random         *rand.Rand
-	stream         *stream // to a pilot; nil: none
-	reportRequest  routing.ReportRequest
-	reportPeriodMs float64
-	busyUntil      float64                // ms; it applies a message until then and forwards nothing
-	loggedLines    []int                  // endpoints last logged, by request class; -1: none yet
+	stream         *stream                // stream to a pilot; nil while not connected
+	reportRequest  routing.ReportRequest  // last request of the pilot about the content of reports
+	reportPeriodMs float64                // between two reports
+	busyUntil      float64                // ms; the proxy applies messages and forwards nothing before this time
+	loggedLines    []int                  // number of eligible endpoints last logged, by request class; -1: not logged yet
 	connections    map[string]*connection // by endpoint
 }
 
-// minOwnZone is how many endpoints its own zone must have for a proxy's static table to hold only those.
+// minSameZoneEndpoints is the number of ready endpoints in a proxy's zone from which on its static table contains
+// only endpoints of that zone.
 const minSameZoneEndpoints = 3
 
-// start begins a process, on a static table.
+// start starts a process. It uses a static table until it gets commands from a pilot.
 func (p *emulatedProxy) start() {
 	p.starts++
 	process := &proxyProcess{
@@ -63,14 +65,15 @@
 	process.dial(0)
 }
 
-// startUnlessRunning begins a process after a fault, unless another fault's end has begun one.
+// startUnlessRunning starts a process after a fault. It does nothing if the end of an overlapping fault has already
+// started one.
 func (p *emulatedProxy) startUnlessRunning() {
 	if p.process == nil {
 		p.start()
 	}
 }
 
-// kill ends the process; its stream and its connections break.
+// kill ends the process. Its stream and its connections break.
 func (p *emulatedProxy) kill() {
 	process := p.process
 	if process == nil {
@@ -88,9 +91,10 @@
 	}
 }
 
+// logEvent logs an event of this proxy.
 func (p *emulatedProxy) logEvent(e eventlog.Event) { p.w.logEvent(p.location.name, e) }
 
-// stream returns the proxy's stream to a pilot, nil if there is none.
+// stream returns the proxy's stream to a pilot, or nil if it has none.
 func (p *emulatedProxy) stream() *stream {
 	if p.process == nil {
 		return nil
@@ -98,14 +102,14 @@
 	return p.process.stream
 }
 
-// breakStream ends the stream to the pilot, as a lost connection does.
+// breakStream ends the stream to the pilot as if the connection was lost.
 func (p *emulatedProxy) breakStream() {
 	if s := p.stream(); s != nil {
 		s.end(true)
 	}
 }
 
-// resumeReading ends a mute: what has come meanwhile is applied in order.
+// resumeReading ends a mute fault and applies, in order, the messages that have arrived in the meantime.
 func (p *emulatedProxy) resumeReading() {
 	p.muted = false
 	s := p.stream()
@@ -119,8 +123,8 @@
 	}
 }
 
-// drawStaticTable draws the endpoints of a proxy's static table from those that are ready: from its own zone if that
-// has enough.
+// drawStaticTable selects the endpoints of a proxy's static table at random from those that are ready. It selects
+// only from the proxy's zone if that has at least minSameZoneEndpoints.
 func (w *World) drawStaticTable(zone string) []string {
 	var all, near []string
 	for _, endpoint := range w.endpoints {
@@ -144,7 +148,8 @@
 	return candidates[:count]
 }
 
-// reachablePilots lists the pilots that a proxy may dial, in the order in which it does: its home first.
+// reachablePilots returns the pilots that a proxy may dial, in dialing order. The first is the home pilot or, with
+// ByZone, a pilot of the proxy's zone.
 func (w *World) reachablePilots(p *emulatedProxy) []*emulatedPilot {
 	if p.unreachable || len(w.pilots) == 0 {
 		return nil
@@ -161,7 +166,7 @@
 	return append(slices.Clone(w.pilots[home:]), w.pilots[:home]...)
 }
 
-// logLines logs how many endpoints the tables have for each request class, where that has changed.
+// logLines logs the number of eligible endpoints of each request class for which it has changed.
 func (pp *proxyProcess) logLines() {
 	for class, name := range pp.proxy.policy.Classes {
 		lines := pp.follower.EligibleCount(class)
@@ -173,7 +178,8 @@
 	}
 }
 
-// dial tries to join a pilot, the next one in order for each failed attempt.
+// dial tries to join a pilot. attempt is the number of failed attempts so far; each attempt uses the next pilot in
+// dialing order.
 func (pp *proxyProcess) dial(attempt int) {
 	p := pp.proxy
 	if p.process != pp {
@@ -202,11 +208,13 @@
 	})
 }
 
+// canReach reports whether a pilot is running and not cut off from the proxy.
 func (pp *proxyProcess) canReach(pilot *emulatedPilot) bool {
 	return pilot.running() && pp.proxy.w.network.reachable(pp.proxy.location, pilot.location)
 }
 
-// redial dials after a pause, spread so that proxies do not come back all at once.
+// redial dials after a random delay of 0.5 to 1.5 times the scenario's redial delay, so that proxies do not
+// reconnect all at once.
 func (pp *proxyProcess) redial(attempt int) {
 	jitter := 0.5 + pp.random.Float64()
 	pp.proxy.w.After(jitter*pp.proxy.w.redialMs, func() { pp.dial(attempt) })
@@ -232,11 +240,11 @@
 	p.logEvent(eventlog.Event{What: eventlog.Join, Peer: pilot.location.name, Kind: p.location.zone})
 	pilot.post(controller.ProxyJoined{Stream: pp.stream, Hello: hello})
 	pp.reportPeriodMs = p.w.reportPeriodMs
-	firstMs := pp.reportPeriodMs * pp.random.Float64() // so that proxies do not report all at once
+	firstMs := pp.reportPeriodMs * pp.random.Float64() // random, so that proxies do not report all at once
 	pp.scheduleReport(pp.stream, firstMs)
 }
 
-// scheduleReport sends a report after a delay and one each period from then on, until the stream ends.
+// scheduleReport sends a load report after a delay in ms and then one in each report period, until the stream ends.
 func (pp *proxyProcess) scheduleReport(s *stream, delayMs float64) {
 	pp.proxy.w.After(delayMs, func() {
 		if pp.stream != s {
@@ -248,8 +256,8 @@
 	})
 }
 
-// apply carries out a message of the pilot; the proxy forwards nothing for as long as its lines take. Traced notes in
-// the trace when the message has been applied; it may be nil.
+// apply applies a message of the pilot. The proxy forwards no requests while it applies the lines of the message. A
+// muted proxy queues the message instead. traced records the application in the trace; it may be nil.
 func (pp *proxyProcess) apply(s *stream, message *wire.Commands, traced spanEnd) {
 	p := pp.proxy
 	if p.muted {
@@ -279,14 +287,16 @@
 	})
 }
 
-// acknowledge tells the pilot that everything sent before an ack request has been applied.
+// acknowledge sends an acknowledgement to the pilot that everything sent before the ack request with the given mark
+// has been applied. tookMs is the time since the message arrived.
 func (pp *proxyProcess) acknowledge(s *stream, mark int, tookMs float64) {
 	s.sendUp(func() {
 		s.pilot.post(controller.Acked{Stream: s, Done: wire.Done{Mark: mark, TookMs: tookMs}})
 	})
 }
 
-// closeUnused closes the connections to endpoints that no table names any more, unless something is in flight on them.
+// closeUnused closes the connections to endpoints that are in no table any more. Connections with attempts in flight
+// stay open.
 func (pp *proxyProcess) closeUnused() {
 	if len(pp.connections) == 0 {
 		return
--- a/internal/emulator/registry.go
+++ b/internal/emulator/registry.go
@@ -9,30 +9,32 @@
 	"indigousher/internal/wire"
 )
 
-// registryName is the registry's name, and who logs what it tells pilots.
+// registryName is the registry's name in the network, and the value of Event.Who in events about notifications to
+// pilots.
 const registryName = "list"
 
-// epochMs is the registry's clock at the start of the run, in Unix ms.
+// epochMs is the registry's wall-clock time at the start of the run, in Unix ms.
 const epochMs = 1e12
 
-// listSilenceMs is after how long a pilot takes a silent endpoint list for lost.
+// listTimeoutMs is the time in ms without an answer from the registry after which a pilot considers the endpoint
+// list lost.
 const listTimeoutMs = 2000
 
-// longAgo is the age in a logged list entry of an endpoint whose start is not known.
+// unknownAge is the age that is logged for a list entry whose endpoint has no known start time.
 const unknownAge = -1.0
 
-// snapshotMarker is Event.N where a snapshot of the list begins.
+// snapshotMarker is the value of Event.N in the event that marks the beginning of a snapshot of the list.
 const snapshotMarker = -1
 
-// registry is the source of the endpoint list. It notifies the pilots that watch it of changes, with a delay.
+// registry is the source of the endpoint list. It notifies the subscribed pilots of changes.
 type registry struct {
 	w        *World
 	location location
-	entries  map[string]wire.Entry
-	slices   map[int]wire.Slices
-	version  int
-	stopped  bool
-	watchers map[*emulatedPilot]*pilotProcess
+	entries  map[string]wire.Entry            // the list, by endpoint
+	slices   map[int]wire.Slices              // slice assignments, by slice
+	version  int                              // number of updates so far
+	stopped  bool                             // a fault makes the registry unavailable
+	watchers map[*emulatedPilot]*pilotProcess // subscribed process of each pilot
 }
 
 func newRegistry(w *World) *registry {
@@ -45,7 +47,7 @@
 	}
 }
 
-// listAll puts all endpoints on the list at once.
+// listAll adds all endpoints to the list without the usual list delay.
 func (w *World) listAll() {
 	var all []wire.Entry
 	for _, endpoint := range w.endpoints {
@@ -54,7 +56,7 @@
 	w.registry.update(0, all...)
 }
 
-// updateEntry changes an endpoint's entry, and the list after a delay in ms.
+// updateEntry changes an endpoint's true entry now, and the list after a delay in ms.
 func (w *World) updateEntry(name string, delayMs float64, change func(*wire.Entry)) {
 	entry := w.entries[name]
 	change(&entry)
@@ -62,15 +64,16 @@
 	w.registry.update(delayMs, entry)
 }
 
-// setPhase changes the phase of an endpoint, and the list after a delay in ms.
+// setPhase changes the true phase of an endpoint now, and the list after a delay in ms.
 func (w *World) setPhase(name string, delayMs float64, phase int) {
 	w.updateEntry(name, delayMs, func(entry *wire.Entry) { entry.Phase = phase })
 }
 
-// clock returns the registry's time in Unix ms.
+// clock returns the registry's wall-clock time in Unix ms.
 func (r *registry) clock() uint64 { return uint64(epochMs + r.w.now) }
 
-// update changes entries after a delay in ms and notifies the watchers.
+// update changes list entries after a delay in ms and notifies the subscribed pilots. A stopped registry changes its
+// list without notifying anyone.
 func (r *registry) update(delayMs float64, entries ...wire.Entry) {
 	r.w.After(delayMs, func() {
 		r.version++
@@ -90,7 +93,7 @@
 	})
 }
 
-// eachWatcher visits the watching processes that still run, in the order of the pilots.
+// eachWatcher calls visit for each subscribed process that is still running, in the order of the pilots.
 func (r *registry) eachWatcher(visit func(*emulatedPilot, *pilotProcess)) {
 	for _, pilot := range r.w.pilots {
 		if process := r.watchers[pilot]; process != nil && pilot.process == process {
@@ -99,7 +102,8 @@
 	}
 }
 
-// notify brings a message to a pilot's process and logs what the pilot learns.
+// notify sends a list message to a pilot's process and logs its content on arrival. The message is lost if the
+// registry is stopped by then.
 func (r *registry) notify(pilot *emulatedPilot, process *pilotProcess, list *wire.List) {
 	r.w.network.transmit(r.location, pilot.location, func() {
 		if pilot.process != process || r.stopped {
@@ -110,6 +114,7 @@
 	})
 }
 
+// logNotified logs the entries of a list message that a pilot has received.
 func (r *registry) logNotified(pilot *emulatedPilot, list *wire.List) {
 	if list.Whole {
 		r.w.logEvent(registryName, eventlog.Event{What: eventlog.Told, Peer: pilot.location.name, N: snapshotMarker})
@@ -130,7 +135,7 @@
 	}
 }
 
-// watch has a pilot's process notified of changes from now on.
+// watch subscribes a pilot's process to changes of the list. It has no effect while the registry is stopped.
 func (r *registry) watch(pilot *emulatedPilot, process *pilotProcess) {
 	r.w.network.transmit(pilot.location, r.location, func() {
 		if !r.stopped {
@@ -139,8 +144,8 @@
 	})
 }
 
-// sendSnapshot answers a pilot's request for the complete list. While the registry is stopped the pilot takes the list
-// for lost after a while.
+// sendSnapshot handles a pilot's request for the complete list and subscribes the pilot. If the registry is stopped,
+// the pilot considers the list lost after listTimeoutMs.
 func (r *registry) sendSnapshot(pilot *emulatedPilot, process *pilotProcess) {
 	r.w.network.transmit(pilot.location, r.location, func() {
 		r.watchers[pilot] = process
@@ -163,12 +168,14 @@
 	})
 }
 
-// assignSlice keeps a slice's owner and notifies the watchers.
+// assignSlice stores a slice assignment and notifies the subscribed pilots.
 func (r *registry) assignSlice(assignment wire.Slices) {
 	r.slices[assignment.Slice] = assignment
 	r.eachWatcher(func(pilot *emulatedPilot, process *pilotProcess) { r.sendSlice(pilot, process, assignment) })
 }
 
+// sendSlice sends a slice assignment to a pilot's process. The message is lost if the registry is stopped on its
+// arrival.
 func (r *registry) sendSlice(pilot *emulatedPilot, process *pilotProcess, assignment wire.Slices) {
 	r.w.network.transmit(r.location, pilot.location, func() {
 		if pilot.process == process && !r.stopped {
@@ -177,7 +184,8 @@
 	})
 }
 
-// stop takes the registry away. The pilots notice by its silence, unless it is back by then.
+// stop makes the registry unavailable. Subscribed pilots consider the list lost after listTimeoutMs if the registry
+// is still stopped then.
 func (r *registry) stop() {
 	r.stopped = true
 	r.eachWatcher(func(pilot *emulatedPilot, process *pilotProcess) {
@@ -189,7 +197,7 @@
 	})
 }
 
-// resume brings the registry back: all running pilots connect again and get a snapshot.
+// resume makes the registry available again. All running pilots reconnect and get a snapshot.
 func (r *registry) resume() {
 	r.stopped = false
 	for _, pilot := range r.w.pilots {
--- a/internal/emulator/sharing.go
+++ b/internal/emulator/sharing.go
@@ -2,10 +2,12 @@
 
 import "math"
 
-// workToleranceMs is less work than counts; rounding may leave it of a request that is done.
+// workToleranceMs is the remaining work in ms up to which a request counts as complete. Floating-point rounding may
+// leave such a remainder.
 const workToleranceMs = 1e-9
 
-// countSharedWork counts off the work done since the last time: each request in flight has its part of the cores.
+// countSharedWork subtracts the work done since the last call from each request in flight. All requests get an equal
+// share of the cores, up to one core each. No work is done during a pause fault.
 func (e *emulatedEndpoint) countSharedWork(process *endpointProcess) {
 	spanMs := e.w.now - max(process.workCountedUntil, min(e.pausedUntil, e.w.now))
 	process.workCountedUntil = e.w.now
@@ -20,13 +22,14 @@
 	process.busyMs += spanMs * float64(min(inFlight, e.Cores))
 }
 
-// shareOfCores returns how much of a core each of some requests has.
+// shareOfCores returns the fraction of one core that each request gets if the given number of requests share the
+// cores.
 func (e *emulatedEndpoint) shareOfCores(requests int) float64 {
 	return min(1, float64(e.Cores)/float64(requests))
 }
 
-// scheduleSharedEnd sets the timer for when the request with the least work left is done. Each call makes earlier
-// timers void, since the requests' parts have changed.
+// scheduleSharedCompletion sets a timer for the completion of the request with the least remaining work. Each call
+// invalidates earlier timers, because the shares of the requests have changed.
 func (e *emulatedEndpoint) scheduleSharedCompletion(process *endpointProcess) {
 	inFlight := len(process.sharedTasks)
 	if inFlight == 0 {
@@ -51,7 +54,7 @@
 	})
 }
 
-// takeDone removes the requests that are done and returns them.
+// removeCompleted removes the completed requests and returns them.
 func (p *endpointProcess) removeCompleted() []*task {
 	left := p.sharedTasks[:0]
 	var done []*task
--- a/internal/emulator/slices.go
+++ b/internal/emulator/slices.go
@@ -7,10 +7,11 @@
 	"indigousher/internal/testbed/loadgen"
 )
 
-// rehearsalName is who logs what the run itself does.
+// rehearsalName is the value of Event.Who in events of the run itself, such as injected faults and slice
+// assignments.
 const rehearsalName = "rehearsal"
 
-// assignSlices gives the slices of the key space to the endpoints, in turn.
+// assignSlices assigns the slices of the key space to the endpoints in round-robin order.
 func (w *World) assignSlices() {
 	for slice := range w.Scenario.Slices {
 		owner := w.endpoints[slice%len(w.endpoints)]
@@ -19,7 +20,7 @@
 	}
 }
 
-// announceSlice has the registry notify the pilots of a slice's owner.
+// announceSlice logs the owner of a slice and makes the registry notify the pilots of it.
 func (w *World) announceSlice(slice int) {
 	owner := w.sliceOwners[slice]
 	assignment := loadgen.SliceAssignment(slice, owner)
@@ -27,7 +28,8 @@
 	w.registry.assignSlice(assignment)
 }
 
-// moveSlices gives the slices of some endpoints to the others, in turn.
+// moveSlices reassigns the slices of the given endpoints to the other endpoints in round-robin order. It does
+// nothing if there are no other endpoints.
 func (w *World) moveSlices(from []*emulatedEndpoint) {
 	var staying []string
 	for _, endpoint := range w.endpoints {
--- a/internal/emulator/stream.go
+++ b/internal/emulator/stream.go
@@ -9,30 +9,31 @@
 	"indigousher/internal/wire"
 )
 
-// stream is a proxy's stream to a pilot. It implements controller.Stream.
+// stream is an emulated stream between a proxy process and a pilot process. It implements controller.Stream.
 type stream struct {
 	w            *World
 	process      *proxyProcess
 	pilot        *emulatedPilot
 	pilotProcess *pilotProcess
 	ended        bool
-	unread       []func() // messages that a muted proxy has yet to apply
+	unread       []func() // messages that a muted proxy has received but not yet applied
 }
 
-// isCurrent returns whether the stream goes to the proxy's present process.
+// isCurrent returns whether the stream is open and belongs to the proxy's current process.
 func (s *stream) isCurrent() bool { return !s.ended && s.process.proxy.process == s.process }
 
-// reachesPilot returns whether the pilot's process is still the one that the proxy joined.
+// reachesPilot returns whether the pilot process that the proxy joined is still running.
 func (s *stream) reachesPilot() bool {
 	return s.pilotProcess != nil && s.pilot.process == s.pilotProcess
 }
 
-// sendDown brings something to the proxy.
+// sendDown calls deliver when a message sent now arrives at the proxy.
 func (s *stream) sendDown(deliver func()) {
 	s.w.network.transmit(s.pilot.location, s.process.proxy.location, deliver)
 }
 
-// sendUp brings something to the pilot.
+// sendUp calls deliver when a message sent now arrives at the pilot, unless the stream or the pilot's process has
+// ended by then.
 func (s *stream) sendUp(deliver func()) {
 	s.w.network.transmit(s.process.proxy.location, s.pilot.location, func() {
 		if !s.ended && s.reachesPilot() {
@@ -41,8 +42,8 @@
 	})
 }
 
-// Send brings a message with commands to the proxy. A muted proxy has its stream ended once it has read nothing for as
-// long as it may.
+// Send sends a message with commands to the proxy. If the proxy is muted and still has unread messages after
+// World.muteLimitMs, the stream ends. The error is always nil.
 func (s *stream) Send(message *wire.Commands) error {
 	traced := s.trace(message)
 	sentAt := s.w.now
@@ -62,8 +63,8 @@
 	return nil
 }
 
-// trace notes that a message leaves the channel, and returns what notes the further parts of its way; nil without a
-// tracer.
+// trace records in the trace that a message has left the channel. It returns a function that records its
+// transmission and application, or nil if tracing is disabled.
 func (s *stream) trace(message *wire.Commands) spanEnd {
 	tracer := s.w.Trace
 	if tracer == nil || s.pilotProcess == nil {
@@ -78,7 +79,7 @@
 	}
 }
 
-// Ask brings the pilot's wishes for load reports to the proxy.
+// Ask sends the pilot's request about the period and content of load reports to the proxy. The error is always nil.
 func (s *stream) Ask(pace *wire.Pace) error {
 	s.sendDown(func() {
 		if !s.ended && s.process.proxy.honorsReportRequests {
@@ -89,10 +90,11 @@
 	return nil
 }
 
-// Close ends the stream from the pilot's side, once the present turn is over.
+// Close ends the stream from the pilot's side after the current turn of the pilot's loop. The reason is ignored.
 func (s *stream) Close(string) { s.w.After(0, func() { s.end(true) }) }
 
-// end ends the stream on both sides: the pilot is notified, and the proxy dials again if it is to.
+// end closes the stream on both sides. It notifies the pilot, and makes the proxy dial again if redial is set and
+// the proxy's process is still running.
 func (s *stream) end(redial bool) {
 	if s.ended {
 		return
@@ -116,7 +118,7 @@
 	}
 }
 
-// streamsOf lists a pilot's streams, in the order of the proxies.
+// streamsOf returns a pilot's open streams in the order of the proxies, so that runs are reproducible.
 func (w *World) streamsOf(pilot *emulatedPilot) []*stream {
 	var list []*stream
 	for _, proxy := range w.proxies {
--- a/internal/emulator/trace.go
+++ b/internal/emulator/trace.go
@@ -12,18 +12,20 @@
 	api "go.opentelemetry.io/otel/trace"
 )
 
-// Names of the spans: a decision and its parts.
+// Span names: a decision and its child spans.
 const (
 	spanDecision = "decision"
-	spanGather   = "gather"  // load reports come in
+	spanGather   = "gather"  // load reports arrive at the pilot
 	spanChannel  = "channel" // a message waits in the pilot's channel
-	spanNetwork  = "way"     // it is on its way to the proxy
-	spanApply    = "apply"   // the proxy applies it
+	spanNetwork  = "way"     // the message is transmitted to the proxy
+	spanApply    = "apply"   // the proxy applies the message
 )
 
-// spanEnd notes that a part of a message's way has ended now, and since when it lasted. Nil notes nothing.
+// spanEnd records a child span with the given name that started at from, in ms, and ends now. A nil spanEnd records
+// nothing.
 type spanEnd func(name string, from float64)
 
+// end calls e unless it is nil.
 func (e spanEnd) end(name string, from float64) {
 	if e != nil {
 		e(name, from)
@@ -31,27 +33,27 @@
 }
 
 // Tracer writes the decisions of a run as OpenTelemetry spans in virtual time. A decision begins with the first load
-// report that went into it and ends when the last proxy has applied it. Its child spans are the gathering of reports
-// and, for each message, the wait in the channel, the way and the application.
+// report that contributed to it and ends when the last proxy has applied it. Its child spans are the collection of
+// load reports and, for each message, the wait in the channel, the transmission and the application.
 type Tracer struct {
 	provider      *trace.TracerProvider
 	tracer        api.Tracer
-	openDecisions map[*pilotProcess]*decision // the last of each process; it ends with the next
+	openDecisions map[*pilotProcess]*decision // latest decision of each pilot process; its span ends when the next decision begins
 }
 
-// decision is a turn of a pilot that sent messages.
+// decision is the span of a pilot's turn that sent messages.
 type decision struct {
-	ctx       context.Context // of its span, for the child spans
+	ctx       context.Context // parent context of the child spans
 	span      api.Span
 	decidedAt float64 // ms
 	endedAt   float64 // ms; end of its last child span so far
 }
 
-// NewTracer returns a tracer that writes spans to out, one JSON object each.
+// NewTracer returns a tracer that writes each span to out as a JSON object.
 func NewTracer(out io.Writer) (*Tracer, error) {
 	exporter, err := stdouttrace.New(stdouttrace.WithWriter(out))
 	if err != nil {
-		return nil, fmt.Errorf("trace: %w", err)
+		return nil, fmt.Errorf("create span exporter: %w", err)
 	}
 	provider := trace.NewTracerProvider(trace.WithBatcher(exporter))
 	return &Tracer{
@@ -61,26 +63,27 @@
 	}, nil
 }
 
-// Close ends the decisions that are open and writes what is left.
+// Close ends the open decision spans and writes all spans that have not been written yet.
 func (t *Tracer) Close(ctx context.Context) error {
 	for process := range t.openDecisions {
 		t.endDecision(process)
 	}
 	if err := t.provider.Shutdown(ctx); err != nil {
-		return fmt.Errorf("trace: %w", err)
+		return fmt.Errorf("flush spans: %w", err)
 	}
 	return nil
 }
 
-// wallTime returns a time of the run, in ms, as a wall clock would show it.
+// wallTime converts a time of the run in ms to wall-clock time, which starts at epochMs.
 func wallTime(atMs float64) time.Time {
 	return time.UnixMilli(epochMs).Add(time.Duration(atMs * float64(time.Millisecond)))
 }
 
+// spanTimestamp returns the option that sets a span's start or end to a time of the run in ms.
 func spanTimestamp(atMs float64) api.SpanEventOption { return api.WithTimestamp(wallTime(atMs)) }
 
-// recordMessage notes that a message left the channel of a pilot's process, and returns the decision that it belongs
-// to: that made at decidedAt.
+// recordMessage records that a message has left the channel of a pilot process. It returns the decision that the
+// message belongs to, which was made at decidedAt in ms, and opens its span on the first message.
 func (t *Tracer) recordMessage(process *pilotProcess, proxy string, decidedAt float64, lines int) *decision {
 	d := t.openDecisions[process]
 	if d == nil || d.decidedAt != decidedAt {
@@ -91,7 +94,8 @@
 	return d
 }
 
-// beginDecision opens the span of a decision, with the gathering of the reports since the last one.
+// beginDecision opens the span of a decision. Its first child span is the collection of the load reports since the
+// previous decision.
 func (t *Tracer) beginDecision(process *pilotProcess, decidedAt float64) *decision {
 	from := decidedAt
 	if process.pendingReports > 0 {
@@ -108,7 +112,7 @@
 	return d
 }
 
-// endDecision closes the span of a process's last decision.
+// endDecision closes the span of a process's latest decision, if one is open.
 func (t *Tracer) endDecision(process *pilotProcess) {
 	if d := t.openDecisions[process]; d != nil {
 		d.span.End(spanTimestamp(d.endedAt))
@@ -116,7 +120,7 @@
 	}
 }
 
-// recordPart writes a child span of a decision, for a message to a proxy.
+// recordChildSpan writes a child span of a decision for one message to a proxy. Times are in ms.
 func (t *Tracer) recordChildSpan(d *decision, name, proxy string, from, to float64, lines int) {
 	_, span := t.tracer.Start(d.ctx, name, spanTimestamp(from), api.WithAttributes(
 		attribute.String("proxy", proxy),
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -16,51 +16,52 @@
 	"indigousher/planner"
 )
 
-// World holds everything that takes part in a run.
+// World is the state of one run: the clock, the network and all emulated processes.
 type World struct {
 	Play
 	Clock
-	random *rand.Rand // draws in the order of events
+	random *rand.Rand // random numbers of the run; used in the order of events
 
 	network        *network
 	registry       *registry
 	endpoints      []*emulatedEndpoint
 	endpointByName map[string]*emulatedEndpoint
-	entries        map[string]wire.Entry // endpoints as they truly are, whatever the registry says
-	dialDelayMs    map[string]float64    // that a fault adds to new connections, by endpoint
+	entries        map[string]wire.Entry // true state of the endpoints, which the registry's list follows with a delay
+	dialDelayMs    map[string]float64    // delay that a fault adds to new connections, by endpoint
 	proxies        []*emulatedProxy
 	pilots         []*emulatedPilot
-	sliceOwners    []string // endpoints, by slice
+	sliceOwners    []string // owning endpoint, by slice
 
 	// By request class, in the order of the scenario.
-	classIndex       map[string]int
-	timeoutsMs       []float64 // of clients
-	targetsMs        []float64 // latency objectives
-	attemptDeadlines []*deadlineQueue
-	clientDeadlines  []*deadlineQueue
-
-	// Timing of proxies.
-	redialMs        float64 // mean pause before a proxy dials a pilot again
-	applyMs         float64 // that a proxy takes for each line of a message
-	reportPeriodMs  float64
-	firstWaitFactor float64 // how long a first attempt is waited for, in latency objectives
-	muteLimitMs     float64 // for which a proxy may read nothing before its stream is ended
+	classIndex       map[string]int   // by name of the class
+	timeoutsMs       []float64        // client timeouts
+	targetsMs        []float64        // latency objectives
+	attemptDeadlines []*deadlineQueue // timeouts of proxies' attempts
+	clientDeadlines  []*deadlineQueue // timeouts of client requests
+
+	// Timing of the proxies.
+	redialMs        float64 // mean delay before a proxy dials a pilot again
+	applyMs         float64 // time that a proxy takes to apply each line of a message
+	reportPeriodMs  float64 // between load reports, unless the pilot requests another period
+	firstWaitFactor float64 // timeout of a first attempt, as a multiple of the latency objective
+	muteLimitMs     float64 // time that a proxy may read nothing before its stream is ended
 
 	auditor     *audit.Auditor
 	digest      eventDigest
 	result      *Outcome
-	Attempts    uint64  // so far
-	PilotMs     float64 // real time taken by pilots' turns so far
-	fingerprint string  // of what decides; empty where pilots do not record
-	err         error   // ends the run
+	Attempts    uint64  // attempts sent by proxies so far
+	PilotMs     float64 // real time spent in pilots' turns so far
+	fingerprint string  // fingerprint of the decider; empty if pilots keep no record
+	err         error   // ends the run at the next step; nil: no failure
 }
 
-// worldStream and endpointStream tell the random sequences of one seed apart.
+// worldStream and endpointStream select different random sequences for the same seed.
 const (
 	worldStream    = 5
 	endpointStream = 11
 )
 
+// newWorld returns the state of a run before its start.
 func newWorld(p Play) *World {
 	s := p.Scenario
 	w := &World{
@@ -96,7 +97,8 @@
 	return w
 }
 
-// trueLoad returns the busy fraction of an endpoint's cores, and whether it answers at all: what no pilot can know.
+// trueLoad returns the number of requests in flight at an endpoint divided by its cores, and whether the endpoint
+// answers requests. Only the oracle baseline uses it, since a real pilot cannot observe these values.
 func (w *World) trueLoad(name string) (busy float64, runs bool) {
 	endpoint := w.endpointByName[name]
 	if endpoint == nil || endpoint.process == nil || endpoint.process.collapsed || endpoint.fault.Hang {
@@ -105,7 +107,8 @@
 	return float64(endpoint.process.inFlight) / float64(endpoint.Cores), true
 }
 
-// logEvent adds an event of the present moment to the event log.
+// logEvent adds an event with the current time to the digest, and to the audit and the event log if they are
+// enabled.
 func (w *World) logEvent(who string, e eventlog.Event) {
 	e.At = w.now
 	e.Who = who
@@ -118,19 +121,20 @@
 	}
 }
 
-// logLine hands on a line that a pilot's planner logged.
+// logLine passes a log line of a pilot's planner to Play.Log.
 func (w *World) logLine(pilot *emulatedPilot, text string) {
 	if w.Log != nil {
 		w.Log(w.now, pilot.location.name, text)
 	}
 }
 
+// countMalformed counts a malformed input to a pilot by its reason.
 func (w *World) countMalformed(what string) { w.result.Malformed[what]++ }
 
-// fail ends the run with an error at the next step.
+// fail makes the run end with an error at the next step.
 func (w *World) fail(err error) { w.err = errors.Join(w.err, err) }
 
-// startAll starts endpoints, registry, pilots and proxies, in this order.
+// startAll starts the endpoints, the registry, the pilots and the proxies, in this order.
 func (w *World) startAll() {
 	w.startEndpoints()
 	if !w.Scenario.ListEmpty {
@@ -144,6 +148,7 @@
 	w.startProxies()
 }
 
+// startEndpoints starts the endpoints of all groups of the scenario, already warmed up.
 func (w *World) startEndpoints() {
 	for group, g := range w.Scenario.Groups {
 		for i := range g.Count {
@@ -152,7 +157,8 @@
 	}
 }
 
-// startPilots starts the pilots once all are known: the first may send to the others at once.
+// startPilots creates all pilots before it starts the first, because a pilot may send gossip to the others as soon
+// as it starts.
 func (w *World) startPilots() {
 	for rank, zone := range w.Scenario.PilotZones {
 		pilot := &emulatedPilot{
@@ -169,6 +175,7 @@
 	}
 }
 
+// pilotSettings returns the default pilot settings with the values that the scenario sets.
 func (w *World) pilotSettings(pilot *emulatedPilot) config.Pilot {
 	settings := config.Defaults()
 	settings.Common = w.Scenario.Common
@@ -182,6 +189,7 @@
 	return settings
 }
 
+// startProxies starts one proxy for each entry of the scenario's ProxyZones.
 func (w *World) startProxies() {
 	s := w.Scenario
 	inZone := map[string]int{}
