--- a/internal/emulator/commands_test.go
+++ b/internal/emulator/commands_test.go
@@ -22,19 +22,19 @@
 	"indigousher/planner"
 )
 
-var update = flag.Bool("update", false, "write the digests anew; only where a change of decisions is meant")
+var update = flag.Bool("update", false, "rewrite the golden digests; use only if decisions change on purpose")
 
-// goldenPath holds a line for each sequence: its name, how many turns all pilots took, and a digest of what they
-// commanded in each of them, with its time. Written on commit 7c7c6c6.
+// goldenPath is the golden file. It has one line for each sequence: its name, the number of turns of all pilots, and
+// a digest of the commands and the time of each turn. It was written at commit 7c7c6c6.
 const goldenPath = "testdata/commands.golden"
 
-// sequence is a fixed course of events: a fleet of some size and the faults that strike it.
+// sequence is a scenario whose events are always the same: a fleet of fixed size and the faults injected into it.
 type sequence struct {
 	name string
 	read func() (*scenario.Scenario, error)
 }
 
-// sequences covers each kind of fault that a day file can name, with 2 to 500 proxies.
+// sequences returns scenarios that together contain each fault type of scenario files, with 2 to 500 proxies.
 func sequences() (all []sequence) {
 	for _, name := range scenario.Names() {
 		all = append(all, sequence{name, func() (*scenario.Scenario, error) { return scenario.Load(name) }})
@@ -53,10 +53,12 @@
 	return all
 }
 
-// drawnSeeds are of days that the search draws: faults that overlap, among them those that no day that ships has.
+// drawnSeeds are the seeds of scenarios that the search generates. They have overlapping faults, including fault
+// types that no embedded scenario has.
 var drawnSeeds = []int{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24}
 
-// resized returns a day that ships with another number of proxies, spread over its zones as before.
+// resized returns an embedded scenario with a different number of proxies, which are distributed over its zones in
+// the same proportions.
 func resized(name string, proxies int) (*scenario.Scenario, error) {
 	d, err := scenario.Load(name)
 	if err != nil {
@@ -71,7 +73,7 @@
 	return d, nil
 }
 
-// turnLog sums up what the pilots of one play command, turn by turn.
+// turnLog collects a line with the digest of the commands for each turn of the pilots in one run.
 type turnLog struct {
 	mu    sync.Mutex
 	turns int
@@ -85,7 +87,7 @@
 	fmt.Fprintf(&l.lines, "%d %v %016x\n", seed, nowMs, record.Digest(commands))
 }
 
-// digested hands on what the planner decides and logs it.
+// digested wraps a decider and adds the digest of its commands to a turnLog.
 type digested struct {
 	controller.Decider
 	seed int64
@@ -98,8 +100,9 @@
 	return commands
 }
 
-// TestCommandsStay plays fixed sequences of events and holds what the planner commands, turn by turn, against digests
-// that were taken before the code was put into its present shape: a change of names or shape changes none.
+// TestCommandsStay guards against refactorings that change decisions. It runs fixed sequences of events and compares
+// the planner's commands in each turn with digests in the golden file, which were taken before the code was
+// restructured.
 func TestCommandsStay(t *testing.T) {
 	all := sequences()
 	got := make([]string, len(all))
@@ -129,7 +132,8 @@
 	assert.Equal(t, strings.Split(strings.TrimSpace(string(golden)), "\n"), got)
 }
 
-// TestSequencesCoverFaults guards the list above: each kind of fault strikes in at least one sequence.
+// TestSequencesCoverFaults checks that each fault type occurs in at least one sequence, so that TestCommandsStay
+// covers all of them.
 func TestSequencesCoverFaults(t *testing.T) {
 	struck := map[string]bool{}
 	for _, s := range sequences() {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -17,7 +17,7 @@
 	"indigousher/internal/testbed/eventlog"
 )
 
-// TestClock guards the one order of events: by time, those of one moment as they were asked for.
+// TestClock checks the order of timers: by time, and timers with the same time in the order in which they were set.
 func TestClock(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c := &Clock{}
@@ -38,8 +38,8 @@
 	})
 }
 
-// TestDays plays every day that ships, and drawn ones that once broke rule 4 (incident 019): the rules hold, drains and
-// lists are looked at in truth, and the same day gives the same events twice.
+// TestDays runs all embedded scenarios, and generated ones that once violated rule 4 (incident 019). It checks that
+// no rule is violated, that the audit did check drain deadlines, and that a second run has the same events.
 func TestDays(t *testing.T) {
 	for _, name := range append(scenario.Names(), "../../experiments/found-5216.hcl", "../../experiments/found-5216-4.hcl",
 		"../../experiments/found-5216-hang.hcl") {
@@ -62,8 +62,9 @@
 	}
 }
 
-// TestToldInTime guards against a list that pilots do not hear of, as once here: all rules hold where nothing is told.
-func TestToldInTime(t *testing.T) {
+// TestPilotsNotifiedOfListChanges guards against a registry that does not notify the pilots of list changes. The emulator once had
+// this fault and no rule of the audit was violated, because the audit has nothing to check without notifications.
+func TestPilotsNotifiedOfListChanges(t *testing.T) {
 	d, err := scenario.Load("replacement")
 	require.NoError(t, err)
 	o, err := Play{Scenario: d, KeepEvents: true}.Run(t.Context())
@@ -77,7 +78,8 @@
 	assert.Greater(t, told, 40)
 }
 
-// TestTrace follows decisions from the first report that went into them to their application, in virtual time.
+// TestTrace checks that tracing does not change the events of a run, that child spans lie within the span of their
+// decision, and that decisions have spans from the first load report to the application at a proxy.
 func TestTrace(t *testing.T) {
 	d, err := scenario.Load("bad-day-short")
 	require.NoError(t, err)
@@ -89,7 +91,7 @@
 	require.NoError(t, trace.Close(t.Context()))
 	plain, err := Play{Scenario: d}.Run(t.Context())
 	require.NoError(t, err)
-	assert.Equal(t, plain.Digest, o.Digest, "to be looked at changes nothing")
+	assert.Equal(t, plain.Digest, o.Digest, "tracing must not change the events")
 	type span struct {
 		Name               string
 		StartTime, EndTime time.Time
@@ -120,7 +122,8 @@
 	assert.Greater(t, whole, 10)
 }
 
-// singleGroup is a fleet of endpoints alike behind one proxy that has a line to each, and no pilot.
+// singleGroup returns a scenario without pilots, in which one proxy distributes requests over identical endpoints.
+// The proxy's static table contains all endpoints.
 func singleGroup(endpoints, cores, queue int, discipline string, rate, workMs, cv float64, length time.Duration, pick string) *scenario.Scenario {
 	d, err := scenario.Read("one.hcl", []byte(fmt.Sprintf(`zones = ["a"]
 machines = ["std"]
@@ -150,13 +153,13 @@
 }
 `, int(length.Seconds()), workMs, cv, endpoints, pick, rate, endpoints, cores, queue, discipline)))
 	if err != nil {
-		panic(err) // the text above is wrong
+		panic(err) // the scenario text above is invalid
 	}
 	return d
 }
 
-// TestClosedForms holds means against queueing theory: waiting by Erlang C and by Pollaczek-Khinchine, loss by Erlang
-// B, sharing, Little's law, and two choices beside one.
+// TestClosedForms compares mean latencies and losses of the emulator with queueing theory: waiting by Erlang C and
+// Pollaczek-Khinchine, loss by Erlang B, processor sharing, and two random choices instead of one.
 func TestClosedForms(t *testing.T) {
 	mean := func(t *testing.T, d *scenario.Scenario) (took, lost float64) {
 		var means, losses []float64
@@ -169,51 +172,52 @@
 		}
 		return mean(means), mean(losses)
 	}
-	// work is lognormal: with a variation of 1 the mean of one server's queue follows Pollaczek-Khinchine as M/M/1's
-	// does
+	// Work is lognormally distributed. With a coefficient of variation of 1, the Pollaczek-Khinchine mean of a single
+	// server equals that of M/M/1.
 	for _, c := range []struct {
 		name             string
 		cores            int
 		discipline       string
 		rate, workMs, cv float64
 		queue            int
-		want             float64 // mean ms in the system
-		within           float64
+		want             float64 // mean time in the system in ms
+		within           float64 // tolerated relative error
 	}{
-		{"M/G/1 with a variation of 1, as M/M/1", 1, "queue", 50, 10, 1, 1e6, 10 / (1 - 0.5), 0.05},
-		{"M/G/1 with little variation", 1, "queue", 70, 10, 0.3, 1e6, 10 + 0.7*10*(1+0.09)/(2*0.3), 0.05},
-		{"M/G/1 with much", 1, "queue", 50, 10, 2, 1e6, 10 + 0.5*10*(1+4)/(2*0.5), 0.12},
-		{"M/G/c, by Erlang C and the usual correction", 4, "queue", 280, 10, 1, 1e6, 10 + erlangC(4, 2.8)*10/(4-2.8), 0.05},
-		{"sharing, whatever the variation", 1, "sharing", 60, 10, 2, 1e6, 10 / (1 - 0.6), 0.08},
+		{"M/G/1 with a variation of 1, equal to M/M/1", 1, "queue", 50, 10, 1, 1e6, 10 / (1 - 0.5), 0.05},
+		{"M/G/1 with low variation", 1, "queue", 70, 10, 0.3, 1e6, 10 + 0.7*10*(1+0.09)/(2*0.3), 0.05},
+		{"M/G/1 with high variation", 1, "queue", 50, 10, 2, 1e6, 10 + 0.5*10*(1+4)/(2*0.5), 0.12},
+		{"M/G/c by Erlang C with the correction for variation", 4, "queue", 280, 10, 1, 1e6, 10 + erlangC(4, 2.8)*10/(4-2.8), 0.05},
+		{"processor sharing, independent of the variation", 1, "sharing", 60, 10, 2, 1e6, 10 / (1 - 0.6), 0.08},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			got, _ := mean(t, singleGroup(1, c.cores, c.queue, c.discipline, c.rate, c.workMs, c.cv, 200*time.Second, "weighted"))
-			t.Logf("%.2f ms, %.2f by theory", got, c.want)
+			t.Logf("measured %.2f ms, theory %.2f ms", got, c.want)
 			assert.InEpsilon(t, c.want, got, c.within)
 		})
 	}
-	t.Run("M/G/c/c loses by Erlang B, whatever the variation", func(t *testing.T) {
+	t.Run("M/G/c/c loss by Erlang B, independent of the variation", func(t *testing.T) {
 		t.Parallel()
 		_, lost := mean(t, singleGroup(1, 4, 0, "queue", 300, 10, 1, 100*time.Second, "weighted"))
-		t.Logf("%.4f, %.4f by theory", lost, erlangB(4, 3))
+		t.Logf("measured loss %.4f, theory %.4f", lost, erlangB(4, 3))
 		assert.InEpsilon(t, erlangB(4, 3), lost, 0.05)
 	})
-	t.Run("two choices beside one", func(t *testing.T) {
+	t.Run("two choices compared with one", func(t *testing.T) {
 		t.Parallel()
 		single, _ := mean(t, singleGroup(50, 1, 1e6, "queue", 4500, 10, 1, 10*time.Second, "weighted"))
 		two, _ := mean(t, singleGroup(50, 1, 1e6, "queue", 4500, 10, 1, 10*time.Second, "two"))
-		want := 0.0 // mean time with two choices among many: the sum over i of rho^(2^i-2), by Mitzenmacher
+		want := 0.0 // mean time with two choices in a large fleet, by Mitzenmacher: the sum over i of rho^(2^i-2)
 		for i := 1; i < 30; i++ {
 			want += math.Pow(0.9, math.Pow(2, float64(i))-2)
 		}
-		t.Logf("one choice %.1f ms, two %.1f; by theory for endless many %.1f and %.1f", single, two, 10/(1-0.9), 10*want)
+		t.Logf("measured: one choice %.1f ms, two choices %.1f ms; theory for infinitely many endpoints: %.1f ms and %.1f ms", single, two, 10/(1-0.9), 10*want)
 		assert.InEpsilon(t, 10*want, two, 0.15)
 		assert.Greater(t, single, 2*two)
 	})
 }
 
-// TestLittle holds the mean number in hand, looked at from outside, against rate times time in the system.
+// TestLittle checks Little's law: the mean number of requests in flight, sampled every 7.3 ms, equals the request
+// rate times the mean time in the system.
 func TestLittle(t *testing.T) {
 	d := singleGroup(1, 4, 1e6, "queue", 300, 10, 1, 200*time.Second, "weighted")
 	w := newWorld(Play{Scenario: d, WithoutPilots: true})
@@ -228,16 +232,17 @@
 	assert.InEpsilon(t, float64(o.Latency.TotalCount())/200*o.Latency.Mean()/1e6, sum/looks, 0.02)
 }
 
-// TestLong guards days that are long, overloaded without end, or almost without requests on many endpoints: they end,
-// keep the rules and repeat themselves.
-func TestLong(t *testing.T) {
+// TestExtremeScenarios checks extreme scenarios: a long one, one with permanent overload, and one with many endpoints and few
+// requests. They must end without rule violations, serve the expected fraction of requests, and give the same events
+// in a second run.
+func TestExtremeScenarios(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
-		served     float64
+		served     float64 // minimum fraction of requests that are served
 	}{
-		{"two hours of few reqs", "length = \"2h\"\nclients {\n rate = 0.2\n}\nreports {\n period = \"10s\"\n}\nfleet {\n pilots = [\"a\"]\n proxies = [\"a\"]\n}\ntrouble \"drain\" {\n at = \"1h\"\n for = \"10s\"\n who = [\"a-std-0\"]\n}\n", 0.999},
-		{"overload without end", "length = \"20s\"\nclients {\n rate = 2500\n retries = 2\n}\n", 0.05},
-		{"a thousand endpoints and a req now and then", "length = \"20s\"\nclients {\n rate = 2\n}\nendpoints \"std\" {\n zone = \"a\"\n count = 1000\n}\n", 0.999},
+		{"two hours with few requests", "length = \"2h\"\nclients {\n rate = 0.2\n}\nreports {\n period = \"10s\"\n}\nfleet {\n pilots = [\"a\"]\n proxies = [\"a\"]\n}\ntrouble \"drain\" {\n at = \"1h\"\n for = \"10s\"\n who = [\"a-std-0\"]\n}\n", 0.999},
+		{"permanent overload", "length = \"20s\"\nclients {\n rate = 2500\n retries = 2\n}\n", 0.05},
+		{"a thousand endpoints with few requests", "length = \"20s\"\nclients {\n rate = 2\n}\nendpoints \"std\" {\n zone = \"a\"\n count = 1000\n}\n", 0.999},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -257,6 +262,7 @@
 	}
 }
 
+// mean returns the arithmetic mean.
 func mean(list []float64) float64 {
 	sum := 0.0
 	for _, x := range list {
@@ -265,6 +271,7 @@
 	return sum / float64(len(list))
 }
 
+// erlangB returns the blocking probability of M/G/c/c with an offered load in Erlang.
 func erlangB(c int, load float64) float64 {
 	b := 1.0
 	for i := 1; i <= c; i++ {
@@ -273,12 +280,13 @@
 	return b
 }
 
+// erlangC returns the probability of waiting in M/M/c with an offered load in Erlang.
 func erlangC(c int, load float64) float64 {
 	b := erlangB(c, load)
 	return b / (1 - load/float64(c)*(1-b))
 }
 
-// BenchmarkWholeDay plays 24 virtual hours of one pilot and few requests.
+// BenchmarkWholeDay measures a run over 24 virtual hours with one pilot and few requests.
 func BenchmarkWholeDay(b *testing.B) {
 	d, err := scenario.Read("whole.hcl", []byte("like = \"quiet\"\nlength = \"24h\"\nclients {\n rate = 0.2\n}\nreports {\n period = \"10s\"\n}\nfleet {\n pilots = [\"a\"]\n proxies = [\"a\"]\n}\n"))
 	require.NoError(b, err)
@@ -292,7 +300,8 @@
 	b.ReportMetric(float64(events)/b.Elapsed().Seconds(), "events/s")
 }
 
-// BenchmarkEmulator measures events a second beside a plain loop over the same number of events.
+// BenchmarkEmulator measures clock events per second, and for comparison the rate of a clock whose timers do no
+// work.
 func BenchmarkEmulator(b *testing.B) {
 	for _, times := range []int{1, 10, 100} {
 		b.Run(fmt.Sprintf("proxies=%d", 6*times), func(b *testing.B) {
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -49,8 +49,8 @@
 	overload  endpoint.WarmUpLoad
 	collapsed bool
 
-	// Load report: the metrics sent with answers, the metrics that replace them after the report lag, and the counters at
-	// the time of the last report.
+	// Load report: the metrics sent with answers, the metrics that replace them after the report lag, and the counters
+	// at the last report.
 	load           []wire.LoadMetric
 	nextLoad       []wire.LoadMetric
 	reportedBusyMs float64
@@ -102,7 +102,12 @@
 // start starts a new process, which warms up first if cold is set.
 func (e *emulatedEndpoint) start(cold bool) {
 	e.starts++
-	e.process = &endpointProcess{startedAt: e.w.now, cold: cold, connections: map[string]bool{}, workCountedUntil: e.w.now}
+	e.process = &endpointProcess{
+		startedAt:        e.w.now,
+		cold:             cold,
+		connections:      map[string]bool{},
+		workCountedUntil: e.w.now,
+	}
 	kind := "warm"
 	if cold {
 		kind = "cold"
--- a/internal/emulator/nostate_test.go
+++ b/internal/emulator/nostate_test.go
@@ -10,8 +10,8 @@
 	"indigousher/internal/testbed/eventlog"
 )
 
-// healthyAfter returns how long after a time the tables were sound again: from then on until another time, in each
-// second, fewer than a part of the attempts went to some endpoints.
+// healthyAfter returns the time in ms after from at which the tables exclude the affected endpoints: in each later
+// second up to the time to, at most the fraction part of the attempts go to these endpoints.
 func healthyAfter(o *Outcome, struck []string, from, to, part float64) float64 {
 	names, tries, bad := map[string]bool{}, map[int]float64{}, map[int]float64{}
 	for _, n := range struck {
@@ -35,9 +35,10 @@
 	return sound
 }
 
-// TestNoState guards pilots that come back in the middle of a rough day with no record and no list, to proxies under
-// heavy load, half of which have just started with standing tables, while endpoints hang, drain and are cold: the rules
-// hold, and the tables are sound again soon after there is a list. Beside it the same day with state.
+// TestNoState guards against pilots that harm a fleet when they restart without a record and without an endpoint
+// list. Meanwhile the load is high, half of the proxies have just started with static tables, and endpoints hang,
+// drain or warm up. No rule may be violated, and the tables must exclude hanging endpoints soon after the list is
+// available. The same scenario with a record is run for comparison.
 func TestNoState(t *testing.T) {
 	const back, listed, healed = 17200, 21000, 28000
 	for seed := 3; seed < 7; seed++ {
@@ -54,9 +55,9 @@
 			}
 			service[i] = o.Report.Service.All.Share()
 			w := o.Report.Service.Windows
-			sound := healthyAfter(o, []string{"a-std-0", "b-std-0"}, back, healed, 0.08) // half of an even share
+			sound := healthyAfter(o, []string{"a-std-0", "b-std-0"}, back, healed, 0.08) // half of the share under an even distribution
 			assert.LessOrEqual(t, sound, float64(listed-back+5000), "seed %d, record %v", seed, record)
-			t.Logf("seed %d, record %v: service %.3f, from 15 s %.3f %.3f %.3f, sound %.0f ms after the return",
+			t.Logf("seed %d, record %v: service %.3f, windows from 15 s %.3f %.3f %.3f, tables healthy %.0f ms after the restart",
 				seed, record, service[i], w[3].Share(), w[4].Share(), w[5].Share(), sound)
 		}
 		assert.Greater(t, service[0], service[1]-0.03, "seed %d", seed)
--- a/internal/emulator/play.go
+++ b/internal/emulator/play.go
@@ -126,7 +126,8 @@
 	return w.result
 }
 
-// addPilotCounters adds the channel counters of a pilot process to the result, at the end of the process or of the run.
+// addPilotCounters adds the channel counters of a pilot process to the result. It is called when the process or the
+// run ends.
 func (w *World) addPilotCounters(process *pilotProcess) {
 	channel := process.core.Channel
 	w.result.MaxQueueLines = max(w.result.MaxQueueLines, channel.MaxLines)
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -38,7 +38,7 @@
 	reportRequest  routing.ReportRequest  // last request of the pilot about the content of reports
 	reportPeriodMs float64                // between two reports
 	busyUntil      float64                // ms; the proxy applies messages and forwards nothing before this time
-	loggedLines    []int                  // number of eligible endpoints last logged, by request class; -1: not logged yet
+	loggedLines    []int                  // eligible endpoints last logged, by request class; -1: none logged
 	connections    map[string]*connection // by endpoint
 }
 
--- a/internal/emulator/trace.go
+++ b/internal/emulator/trace.go
@@ -38,7 +38,7 @@
 type Tracer struct {
 	provider      *trace.TracerProvider
 	tracer        api.Tracer
-	openDecisions map[*pilotProcess]*decision // latest decision of each pilot process; its span ends when the next decision begins
+	openDecisions map[*pilotProcess]*decision // latest decision of each process; ends with the next
 }
 
 // decision is the span of a pilot's turn that sent messages.
--- a/internal/emulator/tries_test.go
+++ b/internal/emulator/tries_test.go
@@ -11,16 +11,18 @@
 	"indigousher/internal/testbed/eventlog"
 )
 
-// attemptCounts is what a day's event logs tell of the attempts of one request class.
+// attemptCounts holds the counts of requests and attempts of one request class, taken from the events of a run.
 type attemptCounts struct {
 	requests, sends, arrives int
-	maxAttempts, maxEffects  int     // tries of one req; of these, such as took effect
-	lastAttempt, lastAnswer  float64 // ms after it was asked: the last try, the last answer
+	maxAttempts, maxEffects  int     // maximum attempts of one request; maximum effects of one request
+	lastAttempt, lastAnswer  float64 // ms after the client's request: latest attempt; latest answer
 }
 
+// perRequest returns the mean number of attempts per request.
 func (c *attemptCounts) perRequest() float64 { return float64(c.sends) / float64(max(1, c.requests)) }
 
-// countAttempts counts over all layers, by request class, between two times.
+// countAttempts returns the counts by request class, over the requests that clients sent from time from up to time
+// to, in ms. It includes the retries of clients and proxies.
 func countAttempts(events []eventlog.Event, from, to float64) map[string]*attemptCounts {
 	type one struct {
 		kind        string
@@ -57,7 +59,8 @@
 	return out
 }
 
-// failingScenario is a day whose whole fleet fails in one way from 8 to 20 s, with a third of it to spare before.
+// failingScenario returns the text of a scenario whose whole fleet fails from 8 s to 20 s. way is the text of the
+// fault blocks, usual the default retry policy. Before the fault a third of the capacity is free.
 func failingScenario(way string, usual int) string {
 	return fmt.Sprintf(`like = "quiet"
 length = "26s"
@@ -90,9 +93,10 @@
 %s`, usual, way)
 }
 
-// TestTriesOverAllLayers counts what one request can cause at endpoints, by clients' retries, proxies' retries and
-// pilots that restart together, while a whole fleet fails: never more than docs/design.md says, none after the client
-// timeout, and no non-replayable one twice once it may have run.
+// TestTriesOverAllLayers guards against retry storms. While a whole fleet fails, it counts the attempts that one
+// request causes through retries of clients and proxies, also while pilots restart. They must not exceed the limits
+// in docs/design.md, none may start after the client timeout, and a non-replayable request must not take effect
+// twice.
 func TestTriesOverAllLayers(t *testing.T) {
 	trouble := func(what string) string {
 		return fmt.Sprintf("trouble %q {\n  at = \"8s\"\n  for = \"12s\"\n  size = 1\n}\n", what)
@@ -112,13 +116,13 @@
 				o, err := Play{Scenario: d, KeepEvents: true}.Run(t.Context())
 				require.NoError(t, err)
 				for kind, c := range countAttempts(o.Events, 8000, 20000) {
-					t.Logf("%s: %.2f tries a req, %.2f came in, most %d, %d took effect, last try after %.0f ms, last answer after %.0f",
+					t.Logf("%s: %.2f attempts per request, %.2f arrived, maximum %d, effects %d, last attempt after %.0f ms, last answer after %.0f ms",
 						kind, c.perRequest(), float64(c.arrives)/float64(c.requests), c.maxAttempts, c.maxEffects, c.lastAttempt, c.lastAnswer)
 					limit := map[string]float64{"read": 1500, "post": 2000, "book": 2000}[kind]
-					assert.LessOrEqual(t, c.maxAttempts, 2*(1+d.Retries), "%s: two tries for each time that a client asks", kind)
-					assert.LessOrEqual(t, c.perRequest(), 3.4, "%s: mostly one while most of them fail", kind)
-					assert.True(t, kind != "book" || c.maxEffects <= 1, "non-replayable")
-					assert.Less(t, c.lastAttempt, limit, "%s: last try", kind)
+					assert.LessOrEqual(t, c.maxAttempts, 2*(1+d.Retries), "%s: at most two attempts for each attempt of the client", kind)
+					assert.LessOrEqual(t, c.perRequest(), 3.4, "%s: mean attempts per request while most fail", kind)
+					assert.True(t, kind != "book" || c.maxEffects <= 1, "a non-replayable request took effect twice")
+					assert.Less(t, c.lastAttempt, limit, "%s: last attempt", kind)
 					assert.Less(t, c.lastAnswer, limit+50, "%s: last answer", kind)
 				}
 				assert.True(t, o.Report.Kept())
