--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -25,7 +25,7 @@
 const oracleName = "oracle"
 
 // named is a policy under its name.
-type named struct {
+type policySpec struct {
 	name      string
 	weights   weightFunc
 	everyMs   float64
@@ -33,7 +33,7 @@
 }
 
 // policies lists the policies but the oracle, in the order in which they are shown.
-var policies = []named{
+var policies = []policySpec{
 	{name: "even", weights: (*policy).even, everyMs: onChangesOnly},
 	{name: "subset", weights: (*policy).subset, everyMs: onChangesOnly, ownTables: true},
 	{name: "aperture", weights: (*policy).aperture, everyMs: onChangesOnly, ownTables: true},
@@ -67,7 +67,7 @@
 type Oracle struct{ *policy }
 
 func newOracle(seed int64, _ map[string]any) controller.Decider {
-	return &Oracle{policy: newPolicy(named{name: oracleName, weights: (*policy).oracle, everyMs: oracleEveryMs}, seed)}
+	return &Oracle{policy: newPolicy(policySpec{name: oracleName, weights: (*policy).oracle, everyMs: oracleEveryMs}, seed)}
 }
 
 // SetTrueLoad says where the true load is to be had: the busy fraction of an endpoint's cores, and whether it runs.
--- a/internal/baseline/policy.go
+++ b/internal/baseline/policy.go
@@ -19,11 +19,11 @@
 // policy is a routing policy. It knows the endpoint list, the joined proxies and the tables as last sent, and sends at
 // once what differs.
 type policy struct {
-	seed      int64
-	weights   weightFunc
-	everyMs   float64 // how often the tables are renewed; 0: on changes of the endpoint list only
-	ownTables bool    // each proxy has a table of its own; otherwise all share one
-	dueMs     float64 // next renewal
+	seed          int64
+	weights       weightFunc
+	everyMs       float64 // how often the tables are renewed; 0: on changes of the endpoint list only
+	ownTables     bool    // each proxy has a table of its own; otherwise all share one
+	nextRenewalMs float64 // next renewal
 
 	listed  map[int]planner.Entry
 	ready   []int // endpoints that are ready, in order
@@ -35,7 +35,7 @@
 	trueLoad       func(endpoint int) (busy float64, runs bool)
 }
 
-func newPolicy(n named, seed int64) *policy {
+func newPolicy(n policySpec, seed int64) *policy {
 	return &policy{
 		seed:           seed,
 		weights:        n.weights,
@@ -53,14 +53,14 @@
 func (p *policy) Handle(nowMs float64, events []planner.Event) []planner.Command {
 	listChanged, joined := p.apply(events)
 	var commands []planner.Command
-	isDue := p.everyMs > 0 && nowMs >= p.dueMs
+	isDue := p.everyMs > 0 && nowMs >= p.nextRenewalMs
 	if isDue {
-		p.dueMs = nowMs + p.everyMs
-		commands = append(commands, planner.SetTimer{AtMs: p.dueMs, Name: renewTimer})
+		p.nextRenewalMs = nowMs + p.everyMs
+		commands = append(commands, planner.SetTimer{AtMs: p.nextRenewalMs, Name: renewTimer})
 	}
 	needsTables := p.ownTables && len(joined) > 0
 	if listChanged || isDue || needsTables {
-		commands = append(commands, p.publish()...)
+		commands = append(commands, p.updateTables()...)
 	}
 	for _, proxy := range joined {
 		commands = append(commands, planner.AssignTable{Table: p.table(proxy), Proxy: proxy})
@@ -116,19 +116,19 @@
 }
 
 // publish returns the commands that bring all tables to the weights they should have.
-func (p *policy) publish() []planner.Command {
+func (p *policy) updateTables() []planner.Command {
 	if !p.ownTables {
-		return p.publishTable(sharedTable, p.weights(p, 0))
+		return p.updateTable(sharedTable, p.weights(p, 0))
 	}
 	var commands []planner.Command
 	for _, proxy := range slices.Sorted(maps.Keys(p.proxies)) {
-		commands = append(commands, p.publishTable(p.table(proxy), p.weights(p, proxy))...)
+		commands = append(commands, p.updateTable(p.table(proxy), p.weights(p, proxy))...)
 	}
 	return commands
 }
 
 // publishTable returns the commands for one table: removals first.
-func (p *policy) publishTable(table int, wanted map[int]float64) []planner.Command {
+func (p *policy) updateTable(table int, wanted map[int]float64) []planner.Command {
 	sent := p.tables[table]
 	if sent == nil {
 		sent = map[int]float64{}
--- a/internal/search/neighbours.go
+++ b/internal/search/neighbours.go
@@ -8,17 +8,17 @@
 
 const (
 	// minFaultMs is the least length of a fault that a mutation leaves, in ms.
-	minFaultMs = 100
+	minMutatedFaultMs = 100
 	// minHalvedFault is how long a fault must last for its length to be halved.
 	minHalvedFault = 400 * time.Millisecond
 	// afterLastFault is how much of a shortened scenario follows its last fault; one is shortened only if more than
 	// minAfterLastFault does.
-	afterLastFault    = 6 * time.Second
-	minAfterLastFault = 8 * time.Second
+	keptAfterLastFault = 6 * time.Second
+	minAfterLastFault  = 8 * time.Second
 )
 
 // mutations is how many kinds of change mutate draws from.
-const mutations = 7
+const mutationKinds = 7
 
 // mutate returns a copy of a draft with one thing changed.
 func mutate(random *rand.Rand, d *Draft) *Draft {
@@ -27,10 +27,10 @@
 	if len(c.Faults) > 0 {
 		i = random.IntN(len(c.Faults))
 	}
-	switch kind := random.IntN(mutations); {
+	switch kind := random.IntN(mutationKinds); {
 	case kind == 0 || len(c.Faults) == 0:
 		g := &generator{random: random, draft: c}
-		c.Faults = append(c.Faults, g.faults()...)
+		c.Faults = append(c.Faults, g.drawFaults()...)
 	case kind == 1 && len(c.Faults) > 1:
 		c.Faults = slices.Delete(c.Faults, i, i+1)
 	case kind == 2:
@@ -38,7 +38,7 @@
 		c.Faults[i].At = min(max(0, moved), c.Length-time.Second)
 	case kind == 3:
 		scaled := time.Duration(float64(c.Faults[i].For) * (0.5 + random.Float64()))
-		c.Faults[i].For = max(milliseconds(minFaultMs), scaled)
+		c.Faults[i].For = max(milliseconds(minMutatedFaultMs), scaled)
 	case kind == 4:
 		c.Faults[i].Part = min(1, c.Faults[i].Part*(0.6+random.Float64()))
 	case kind == 5:
@@ -52,7 +52,7 @@
 
 // smaller lists copies of a draft with one thing less, the greatest steps first: a fault, half of the fleet, a pilot,
 // the time after the last fault, half of a fault's length.
-func smaller(d *Draft) []*Draft {
+func reductions(d *Draft) []*Draft {
 	var list []*Draft
 	add := func(change func(c *Draft)) {
 		c := d.clone()
@@ -69,7 +69,7 @@
 		add(func(c *Draft) { c.Pilots-- })
 	}
 	if lastEnd := d.lastFaultEnd(); lastEnd+minAfterLastFault < d.Length {
-		add(func(c *Draft) { c.Length = (lastEnd + afterLastFault).Round(time.Second) })
+		add(func(c *Draft) { c.Length = (lastEnd + keptAfterLastFault).Round(time.Second) })
 	}
 	for i, fault := range d.Faults {
 		if fault.For > minHalvedFault {
--- a/internal/search/search.go
+++ b/internal/search/search.go
@@ -108,7 +108,7 @@
 	rule, _, _ := strings.Cut(f.Broken[0], ":")
 	best := f
 	for {
-		next, err := s.firstBreaking(ctx, smaller(best.Draft), rule)
+		next, err := s.firstBreaking(ctx, reductions(best.Draft), rule)
 		if err != nil {
 			return best, err
 		}
--- a/internal/search/text.go
+++ b/internal/search/text.go
@@ -11,8 +11,8 @@
 const (
 	// coresEach and workSeconds give the capacity of a drawn fleet: cores of an endpoint, and the mean work of a
 	// request of the scenario that drafts are like, in seconds on one core.
-	coresEach   = 2
-	workSeconds = 0.0325
+	coresPerEndpoint = 2
+	meanWorkSeconds  = 0.0325
 )
 
 // Text returns the draft as a scenario file.
@@ -48,7 +48,7 @@
 }
 
 func (d *Draft) writeLoad(b *strings.Builder) {
-	rate := d.Load * float64(len(zones)*d.Endpoints*coresEach) / workSeconds
+	rate := d.Load * float64(len(zones)*d.Endpoints*coresPerEndpoint) / meanWorkSeconds
 	fmt.Fprintf(b, "clients {\n  rate    = %.1f\n  retries = %d\n  uneven  = %.2f\n}\n",
 		rate, d.Retries, d.DemandSpread)
 	for _, zone := range zones {
