--- a/internal/scenario/blocks.go
+++ b/internal/scenario/blocks.go
@@ -10,7 +10,8 @@
 // maxLength bounds the length of a scenario in seconds: a week.
 const maxLength = 7 * 86400
 
-// listAttributes lists the attributes of the common settings. A scenario that inherits them need not have them.
+// listAttributes returns the attributes of the common settings. None of them is required in a scenario that inherits
+// from another one.
 func (s *Scenario) listAttributes() []config.Field {
 	fields := s.Attributes()
 	for i := range fields {
@@ -19,7 +20,7 @@
 	return fields
 }
 
-// attributes lists the scenario's own attributes outside any block.
+// attributes returns the top-level attributes that only scenario files have.
 func (s *Scenario) attributes() []config.Field {
 	return []config.Field{
 		{Name: "about", Into: &s.About},
@@ -29,7 +30,7 @@
 	}
 }
 
-// blocks lists the scenario's blocks besides the common ones.
+// blocks returns the blocks that only scenario files have.
 func (s *Scenario) blocks() []config.Block {
 	return []config.Block{
 		s.fleetBlock(),
@@ -42,6 +43,7 @@
 	}
 }
 
+// fleetBlock returns the block fleet: pilots, proxies and their streams.
 func (s *Scenario) fleetBlock() config.Block {
 	return config.SingleBlock("fleet",
 		config.Field{Name: "grpc", Into: &s.OverGRPC},
@@ -61,6 +63,7 @@
 	)
 }
 
+// intakeBlock returns the block intake: how fast pilots take in load reports.
 func (s *Scenario) intakeBlock() config.Block {
 	return config.SingleBlock("intake",
 		config.Field{Name: "lines_per_s", Into: &s.IntakeLinesPerS},
@@ -69,6 +72,7 @@
 	)
 }
 
+// listBlock returns the block list: the state of the endpoint list.
 func (s *Scenario) listBlock() config.Block {
 	return config.SingleBlock("list",
 		config.Field{Name: "late", Into: &s.ListLate},
@@ -76,6 +80,7 @@
 	)
 }
 
+// clientsBlock returns the block clients: request rate and retries of the clients.
 func (s *Scenario) clientsBlock() config.Block {
 	return config.SingleBlock("clients",
 		config.Field{Name: "rate", Into: &s.Rate, Min: 0.1},
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -14,23 +14,23 @@
 	"indigousher/internal/config"
 )
 
-// Fault is one fault of a scenario. Which fields are used depends on What; docs/rehearsal.md describes them.
+// Fault is one fault of a scenario. Which of the fields are used depends on What, as described in docs/rehearsal.md.
 type Fault struct {
-	What  string        `json:"What"` // one of faultTypes
-	At    time.Duration `json:"At"`   // from the start of the scenario
-	For   time.Duration `json:"For"`
-	Who   []string      `json:"Who"`   // names or patterns of endpoints, proxies or pilots; none means all
-	Zone  string        `json:"Zone"`  // zone that is affected
-	Kind  string        `json:"Kind"`  // request class that is affected
-	Part  float64       `json:"Part"`  // fraction of those that match Who; 0: all
-	Count int           `json:"Count"` // number of those that match Who, overrides Part; 0: by Part
-	Size  float64       `json:"Size"`  // strength, in a unit that depends on What
-	Loss  float64       `json:"Loss"`  // probability that a message is lost
-	Every time.Duration `json:"Every"` // between repetitions, or from one affected name to the next
-	Extra time.Duration `json:"Extra"` // additional delay
+	What  string        `json:"What"`  // fault type, one of faultTypes
+	At    time.Duration `json:"At"`    // start, from the start of the scenario
+	For   time.Duration `json:"For"`   // duration of the fault
+	Who   []string      `json:"Who"`   // names or patterns of affected endpoints, proxies or pilots; empty: all
+	Zone  string        `json:"Zone"`  // affected zone; "": any
+	Kind  string        `json:"Kind"`  // affected request class; "": all
+	Part  float64       `json:"Part"`  // fraction of the names matching Who, 0 to 1; 0: all
+	Count int           `json:"Count"` // number of the names matching Who; 0: use Part
+	Size  float64       `json:"Size"`  // strength of the fault, in a unit that depends on What
+	Loss  float64       `json:"Loss"`  // probability of a message loss, 0 to 0.9
+	Every time.Duration `json:"Every"` // interval between repetitions, or between affected names
+	Extra time.Duration `json:"Extra"` // additional delay or downtime, depending on What
 }
 
-// faultTypes lists the faults that can be played, in the order of the error about an unknown one.
+// faultTypes lists the valid fault types, in the order in which the error about an unknown type lists them.
 var faultTypes = []string{
 	"hang", "fast_errors", "class_fail", "vanish", "crash", "restart", "drain", "preempt", "replace", "flapping",
 	"zone_cut", "zone_loss", "slow_link", "handshake_slow",
@@ -57,15 +57,15 @@
 		{Name: "extra", Into: &fault.Extra},
 	}, nil)
 	if !slices.Contains(faultTypes, fault.What) {
-		diags = append(diags, config.Diagnostic(body.SrcRange, "trouble %q is not known; there are %s",
+		diags = append(diags, config.Diagnostic(body.SrcRange, "unknown trouble %q, want one of %s",
 			fault.What, strings.Join(faultTypes, ", ")))
 	}
 	s.Faults = append(s.Faults, fault)
 	return diags
 }
 
-// Targets returns the names that the fault affects: of those that match Who, the fraction Part or the number Count,
-// drawn at random.
+// Targets returns the names that the fault affects. If Count or Part limits the number of affected names, they are
+// chosen at random from the names that match Who.
 func (f Fault) Targets(names []string, rnd *rand.Rand) []string {
 	var matching []string
 	for _, name := range names {
--- a/internal/scenario/load.go
+++ b/internal/scenario/load.go
@@ -11,7 +11,7 @@
 	"indigousher/internal/config"
 )
 
-// extension ends the names of scenario files.
+// extension is the file name extension of scenario files.
 const extension = ".hcl"
 
 //go:embed days/*.hcl
@@ -33,19 +33,20 @@
 	return names
 }
 
-// Load reads a scenario, by the name of an embedded one or by the path of a file.
+// Load reads a scenario. name is the name of an embedded scenario or the path of a file; embedded scenarios take
+// precedence.
 func Load(name string) (*Scenario, error) {
 	if slices.Contains(Names(), name) {
 		file := path.Join(embeddedDir, name+extension)
 		text, err := embedded.ReadFile(file)
 		if err != nil {
-			return nil, fmt.Errorf("read day: %w", err)
+			return nil, fmt.Errorf("read embedded scenario %q: %w", name, err)
 		}
 		return Read(file, text)
 	}
 	text, err := config.ReadFile(name)
 	if err != nil {
-		return nil, fmt.Errorf("%q is no day that ships (%s) and can't be read as a file: %w", name,
+		return nil, fmt.Errorf("%q is neither an embedded scenario (%s) nor a readable file: %w", name,
 			strings.Join(Names(), ", "), err)
 	}
 	return Read(name, text)
--- a/internal/scenario/read.go
+++ b/internal/scenario/read.go
@@ -12,7 +12,8 @@
 	"indigousher/internal/config"
 )
 
-// Read parses and validates a scenario; name is the path of its file.
+// Read parses and validates the text of a scenario file. name is the path of the file; its base name without
+// extension becomes the name of the scenario.
 func Read(name string, text []byte) (*Scenario, error) {
 	body, diags := config.Open(name, text)
 	if diags.HasErrors() {
@@ -33,8 +34,9 @@
 	return s, nil
 }
 
-// inherit copies the fleet, the settings and the load of the scenario that the attribute like names, but not its
-// faults. Request classes, demands and groups are not copied if the body has blocks of their type.
+// inherit copies fleet, settings and load, but not the faults, from the scenario that the attribute like names. It
+// does not copy request classes, demands or groups if the body has blocks of the same type. Without the attribute
+// like it does nothing.
 func (s *Scenario) inherit(body *hclsyntax.Body) hcl.Diagnostics {
 	like := body.Attributes["like"]
 	if like == nil {
@@ -67,36 +69,36 @@
 	return nil
 }
 
-// complete derives the settings that follow from others.
+// complete sets the fields that are derived from others, and sorts the faults by time.
 func (s *Scenario) complete() {
 	s.ProxyZones = slices.Repeat(s.ProxyZones, s.ProxyMultiple)
-	s.ProxyMultiple = 1 // now part of ProxyZones, which another scenario may inherit
+	s.ProxyMultiple = 1 // ProxyZones is already repeated; an inheriting scenario must not repeat it again
 	s.Proxies = len(s.ProxyZones)
 	s.Instances = max(1, len(s.PilotZones))
 	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 }
 
-// validate checks the settings against each other.
+// validate checks that the settings are consistent with each other. All errors are reported at the position at.
 func (s *Scenario) validate(at hcl.Range) (diags hcl.Diagnostics) {
 	errorf := func(format string, args ...any) {
 		diags = append(diags, config.Diagnostic(at, format, args...))
 	}
 	if len(s.ProxyZones) == 0 || len(s.Groups) == 0 || len(s.Demands) == 0 {
-		errorf("a day wants proxies, endpoints and demand")
+		errorf("a scenario needs proxies, endpoints and demand")
 	}
 	for _, zone := range slices.Concat(s.PilotZones, s.ProxyZones) {
 		if !slices.Contains(s.Zones, zone) {
-			errorf("%q is no zone of this day", zone)
+			errorf("%q is not a zone of this scenario", zone)
 		}
 	}
 	for _, demand := range s.Demands {
 		if !slices.Contains(s.ClassNames(), demand.Kind) {
-			errorf("demand for %q, which is no req_kind", demand.Kind)
+			errorf("demand for %q, which is not a req_kind", demand.Kind)
 		}
 	}
 	for _, fault := range s.Faults {
 		if fault.At > s.Length {
-			errorf("trouble %q comes after the day's end", fault.What)
+			errorf("trouble %q starts after the end of the scenario", fault.What)
 		}
 	}
 	return diags
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,6 +1,6 @@
-// Package scenario reads scenario files in HCL: a fleet, the load that clients put on it and the faults that happen.
-// The rehearsal plays a scenario over sockets, the emulator in virtual time. docs/rehearsal.md describes the files,
-// which users know as days.
+// Package scenario reads scenario files in HCL. A scenario describes a fleet, the load from its clients and the
+// faults that are injected. The rehearsal runs a scenario over sockets, the emulator in virtual time. The file
+// format is documented in docs/rehearsal.md, which calls scenarios days.
 package scenario
 
 import (
@@ -9,48 +9,49 @@
 	"indigousher/internal/config"
 )
 
-// Scenario is the content of one scenario file. The JSON keys are those of stored experiment results.
+// Scenario is the content of one scenario file. The JSON keys are part of the stored experiment results and must not
+// change.
 type Scenario struct {
 	config.Common
-	Name   string        `json:"Name"`
-	About  string        `json:"About"`
-	Base   string        `json:"Like"` // the scenario whose fleet, settings and load this one inherits; "": none
-	Length time.Duration `json:"Length"`
-	Seed   int           `json:"Seed"` // of the random draws
+	Name   string        `json:"Name"`   // base name of the file without extension
+	About  string        `json:"About"`  // description, for users
+	Base   string        `json:"Like"`   // scenario from which fleet, settings and load are inherited; "": none
+	Length time.Duration `json:"Length"` // duration of the run
+	Seed   int           `json:"Seed"`   // seed of all random numbers
 
 	// Fleet.
-	PilotZones    []string      `json:"PilotZones"`   // one pilot in each
-	ProxyZones    []string      `json:"ProxyZones"`   // one proxy in each
-	ProxyMultiple int           `json:"Times"`        // times that the list ProxyZones is repeated
-	OverGRPC      []string      `json:"OverGRPC"`     // names or patterns of the proxies that join over gRPC
-	Keys          bool          `json:"Keys"`         // TLS on all streams, by an authority of the scenario's own
-	Record        bool          `json:"Record"`       // pilots record their inputs and recover from them
-	Standing      int           `json:"Standing"`     // endpoints in a proxy's bootstrap table
+	PilotZones    []string      `json:"PilotZones"`   // zone of each pilot
+	ProxyZones    []string      `json:"ProxyZones"`   // zone of each proxy
+	ProxyMultiple int           `json:"Times"`        // number of repetitions of the list ProxyZones
+	OverGRPC      []string      `json:"OverGRPC"`     // names or patterns of the proxies that connect over gRPC
+	Keys          bool          `json:"Keys"`         // use TLS, with a certificate authority created for the run
+	Record        bool          `json:"Record"`       // pilots record their inputs and use the record to recover
+	Standing      int           `json:"Standing"`     // number of endpoints in a proxy's static table
 	Redial        time.Duration `json:"Redial"`       // mean backoff before a proxy connects again
 	Apply         time.Duration `json:"Apply"`        // time that a proxy takes to apply one line
-	EjectFor      time.Duration `json:"EjectFor"`     // time that a proxy ejects an endpoint
+	EjectFor      time.Duration `json:"EjectFor"`     // time for which a proxy ejects a failing endpoint
 	Beat          time.Duration `json:"Beat"`         // heartbeat interval
 	WriteWithin   time.Duration `json:"WriteWithin"`  // write deadline of a stream
 	NoisyReports  float64       `json:"NoisyReports"` // relative standard deviation of load report figures
-	OneWayDelay   time.Duration `json:"Way"`          // network delay between two places (emulator only)
+	OneWayDelay   time.Duration `json:"Way"`          // one-way network delay (emulator only)
 
 	// Telemetry.
-	IntakeLinesPerS float64  `json:"IntakeLinesPerS"` // report lines that a pilot takes in a second
-	IntakeStanding  int      `json:"IntakeStanding"`  // sums that may wait for its planner
-	IgnoresPace     []string `json:"Heedless"`        // proxies that ignore requests to report less
+	IntakeLinesPerS float64  `json:"IntakeLinesPerS"` // load report lines that a pilot processes per second
+	IntakeStanding  int      `json:"IntakeStanding"`  // aggregated load values that may wait for the planner
+	IgnoresPace     []string `json:"Heedless"`        // names of the proxies that ignore requests to report less
 
 	// Endpoint list.
-	ListLate  time.Duration `json:"ListLate"`  // delay of the list behind events
+	ListLate  time.Duration `json:"ListLate"`  // delay between a change and its appearance in the list
 	ListEmpty bool          `json:"ListEmpty"` // the list is empty at the start
 
 	// Clients.
-	Rate    float64       `json:"Rate"`    // requests a second of all clients
-	Retries int           `json:"Retries"` // a client's further attempts
-	Backoff time.Duration `json:"Backoff"` // between a client's attempts
+	Rate    float64       `json:"Rate"`    // requests per second of all clients
+	Retries int           `json:"Retries"` // maximum number of retries by a client for each request
+	Backoff time.Duration `json:"Backoff"` // minimum delay between a client's attempts
 	Uneven  float64       `json:"Uneven"`  // standard deviation of the logarithm of the clients' relative rates
-	Demands []Demand      `json:"Demands"`
+	Demands []Demand      `json:"Demands"` // one for each request class that clients send
 
-	Groups []Group `json:"Groups"`
+	Groups []Group `json:"Groups"`   // endpoints of the fleet
 	Faults []Fault `json:"Troubles"` // sorted by At
 }
 
@@ -61,33 +62,33 @@
 type Demand struct {
 	Kind  string        `json:"Kind"`  // name of the request class
 	Share float64       `json:"Share"` // weight of the class among the clients' requests
-	Work  time.Duration `json:"Work"`  // mean time on a core of speed 1
-	CV    float64       `json:"CV"`    // coefficient of variation of the work
+	Work  time.Duration `json:"Work"`  // mean processing time on a core of speed 1
+	CV    float64       `json:"CV"`    // coefficient of variation of the processing time
 }
 
 // Group describes endpoints of the same kind.
 type Group struct {
-	Machine        string        `json:"Machine"` // machine type
-	Zone           string        `json:"Zone"`
-	Count          int           `json:"Count"` // number of endpoints
-	Cores          int           `json:"Cores"`
-	Speed          float64       `json:"Speed"`
-	Spread         float64       `json:"Spread"` // standard deviation of the logarithm of the speed
-	Queue          int           `json:"Queue"`  // requests that may wait
-	MaxConnections int           `json:"Conns"`
+	Machine        string        `json:"Machine"`    // machine type
+	Zone           string        `json:"Zone"`       // zone of the endpoints
+	Count          int           `json:"Count"`      // number of endpoints
+	Cores          int           `json:"Cores"`      // cores of each endpoint
+	Speed          float64       `json:"Speed"`      // work done per unit of time on one core; 1: nominal
+	Spread         float64       `json:"Spread"`     // standard deviation of the logarithm of the endpoints' speed
+	Queue          int           `json:"Queue"`      // requests that may wait for a core; more are rejected
+	MaxConnections int           `json:"Conns"`      // connections that an endpoint accepts
 	Handshake      time.Duration `json:"Handshake"`  // work of accepting a connection
 	Discipline     string        `json:"Discipline"` // disciplineQueue or disciplineSharing
-	Thrash         float64       `json:"Thrash"`     // slowdown by each request beyond the cores (emulator only)
+	Thrash         float64       `json:"Thrash"`     // relative slowdown per request beyond the cores (emulator only)
 }
 
 // Values of Group.Discipline.
 const (
-	disciplineQueue   = "queue"   // each request has a core, others wait
+	disciplineQueue   = "queue"   // each request occupies one core; further requests wait
 	disciplineSharing = "sharing" // all requests in flight share the cores (emulator only)
 )
 
-// defaults returns a scenario with the default settings. Rules are stricter than a pilot's defaults, because scenarios
-// are short.
+// defaults returns a scenario with the default settings. The times Fall and Cold are shorter than a pilot's
+// defaults, because scenarios are short.
 func defaults(name string) *Scenario {
 	s := &Scenario{
 		Common: config.CommonDefaults(),
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// TestLoadFile checks that a path loads a file, and that an unknown name is an error that can be examined.
+// TestLoadFile checks that a path loads a file, and that an unknown name gives an error that wraps os.ErrNotExist.
 func TestLoadFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "small.hcl")
 	require.NoError(t, os.WriteFile(file, []byte(small), 0o600))
@@ -50,10 +50,10 @@
 
 	_, err = Load("no-such-scenario")
 	assert.ErrorIs(t, err, os.ErrNotExist)
-	assert.ErrorContains(t, err, `"no-such-scenario" is no day that ships`)
+	assert.ErrorContains(t, err, `"no-such-scenario" is neither an embedded scenario`)
 }
 
-// TestRead checks what follows from the settings of a file.
+// TestRead checks the fields that Read derives from the settings of a file.
 func TestRead(t *testing.T) {
 	s, err := Read("days/small.hcl", []byte(small))
 	require.NoError(t, err)
@@ -63,7 +63,7 @@
 	assert.Equal(t, []string{"crash", "hang"}, []string{s.Faults[0].What, s.Faults[1].What}, "sorted by time")
 }
 
-// TestInherit checks that a scenario inherits all but the faults of another.
+// TestInherit checks that a scenario inherits everything from another one except its faults.
 func TestInherit(t *testing.T) {
 	base, err := Load("bad-day")
 	require.NoError(t, err)
@@ -86,17 +86,21 @@
 	for _, c := range []struct{ name, text, want string }{
 		{"empty", "", `s.hcl:1:1: "zones" is missing`},
 		{"unknown base", `like = "no-such"`, `s.hcl:1:8: like: "no-such" is none of`},
-		{"no fleet", "zones = [\"a\"]\nmachines = []\n", "a day wants proxies, endpoints and demand"},
+		{"no fleet", "zones = [\"a\"]\nmachines = []\n", "a scenario needs proxies, endpoints and demand"},
 		{"unknown attribute", small + `zone = "c"`, `s.hcl:15:1: "zone" is not known here`},
 		{
 			"unknown zone of a proxy",
 			strings.Replace(small, `proxies = ["a", "b"]`, `proxies = ["c"]`, 1),
-			`"c" is no zone of this day`,
+			`"c" is not a zone of this scenario`,
 		},
 		{"unknown zone of a group", small + `endpoints "std" { zone = "c" }`, `s.hcl:15:26: zone: "c" is none of a, b`},
-		{"unknown class", small + `demand "write" {}`, `demand for "write", which is no req_kind`},
-		{"unknown fault", small + `trouble "flood" {}`, `trouble "flood" is not known; there are hang,`},
-		{"fault after the end", small + `trouble "hang" { at = "41s" }`, `trouble "hang" comes after the day's end`},
+		{"unknown class", small + `demand "write" {}`, `demand for "write", which is not a req_kind`},
+		{"unknown fault", small + `trouble "flood" {}`, `unknown trouble "flood", want one of hang,`},
+		{
+			"fault after the end",
+			small + `trouble "hang" { at = "41s" }`,
+			`trouble "hang" starts after the end of the scenario`,
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Read("s.hcl", []byte(c.text))
@@ -105,7 +109,7 @@
 	}
 }
 
-// TestTargets checks how many of which names a fault affects.
+// TestTargets checks which names a fault affects, and how many.
 func TestTargets(t *testing.T) {
 	names := []string{"a-1", "a-2", "a-3", "b-1"}
 	for _, c := range []struct {
@@ -128,12 +132,12 @@
 			assert.Len(t, targets, c.count)
 			assert.Subset(t, c.among, targets)
 			again := c.fault.Targets(names, rand.New(rand.NewPCG(1, 2)))
-			assert.Equal(t, targets, again, "the same draws")
+			assert.Equal(t, targets, again, "the same seed must select the same names")
 		})
 	}
 }
 
-// TestFaultString checks the line that names a fault in reports.
+// TestFaultString checks the one-line description of a fault.
 func TestFaultString(t *testing.T) {
 	fault := Fault{What: "zone_loss", Who: []string{"x", "y"}, Zone: "a", Kind: "read", For: 2 * time.Second}
 	assert.Equal(t, "zone_loss x,y a read for 2s", fault.String())
