--- a/internal/search/draft.go
+++ b/internal/search/draft.go
@@ -8,52 +8,55 @@
 	"indigousher/internal/scenario"
 )
 
-// Draft is a drawn scenario: its fleet and its faults, as a scenario file would tell them.
+// Draft is a randomly generated scenario, reduced to the settings that the search varies. Text converts it to a
+// scenario file.
 type Draft struct {
-	Seed   int
-	Length time.Duration
+	Seed   int           // from which Draw generated the draft; also the seed of the scenario
+	Length time.Duration // duration of the scenario
 
 	// Fleet.
-	Endpoints   int // in each zone
-	Proxies     int // in each zone
-	Pilots      int
-	ByZone      bool    // proxies dial the pilot of their zone first
-	Record      bool    // pilots record
-	Queue       int     // requests that wait at an endpoint
-	SpeedSpread float64 // of endpoints, as the deviation of the logarithm
+	Endpoints   int     // in each zone
+	Proxies     int     // in each zone
+	Pilots      int     // in all zones
+	ByZone      bool    // proxies dial a pilot of their own zone first
+	Record      bool    // pilots record their inputs and use the record to recover
+	Queue       int     // requests that may wait at an endpoint
+	SpeedSpread float64 // standard deviation of the logarithm of the endpoints' speed
 
 	// Load.
-	Load         float64 // of the fleet's capacity
-	DemandSpread float64 // of proxies, as the deviation of the logarithm
-	RetryHow     int     // retry policy of proxies before a pilot sets one
-	Retries      int     // of clients
+	Load         float64 // request rate as a fraction of the fleet's capacity
+	DemandSpread float64 // standard deviation of the logarithm of the proxies' request rates
+	RetryHow     int     // retry policy of proxies until a pilot sets one
+	Retries      int     // maximum number of retries by a client for each request
 
-	// Information and channel.
-	ListLate    time.Duration // after which pilots learn of a change in the endpoint list
+	// Endpoint list, load reports and channel.
+	ListLate    time.Duration // delay between a change and its appearance in the endpoint list
 	Period      time.Duration // between load reports
-	LinesPerS   int           // rate of each pilot's channel
-	MaxMessages int           // to one proxy within the span over which they are counted
+	LinesPerS   int           // rate of each pilot's channel, in lines per second
+	MaxMessages int           // maximum messages to one proxy within the span of the limit
 
-	Faults []scenario.Fault // by time
+	Faults []scenario.Fault // sorted by start time
 }
 
-// zones are the zones of all drawn scenarios.
+// zones are the zones of all generated scenarios.
 var zones = []string{"a", "b", "c"}
 
+// milliseconds converts a number of ms to a duration. Fractions of a millisecond are dropped.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// Scenario reads the draft as a scenario file would be read.
+// Scenario converts the draft to a scenario by parsing its text as a scenario file.
 func (d *Draft) Scenario() (*scenario.Scenario, error) {
 	return scenario.Read(fmt.Sprintf("drawn-%d.hcl", d.Seed), []byte(d.Text()))
 }
 
-// clone returns a copy whose faults can be changed.
+// clone returns a copy of the draft that does not share the fault list.
 func (d *Draft) clone() *Draft {
 	c := *d
 	c.Faults = slices.Clone(d.Faults)
 	return &c
 }
 
+// sortFaults sorts the faults by start time.
 func (d *Draft) sortFaults() {
 	slices.SortStableFunc(d.Faults, func(a, b scenario.Fault) int { return int(a.At - b.At) })
 }
--- a/internal/search/draw.go
+++ b/internal/search/draw.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// drawStream tells the random sequence of a draft apart from others of the same seed.
+	// drawStream selects the random sequence of Draw among those of the same seed.
 	drawStream = 41
-	// draftLength is the length of a drawn scenario.
+	// draftLength is the duration of a generated scenario.
 	draftLength = 40 * time.Second
-	// minLinesPerS is the least rate of a drawn channel.
+	// minLinesPerS is the minimum rate of a generated channel, in lines per second.
 	minLinesPerS = 300
-	// composedKinds is how many times as likely a composed fault is as any one kind of the list.
+	// composedFaultWeight is the probability of a composed fault relative to that of each entry of faultKinds.
 	composedFaultWeight = 2
-	// endpointsAlike is from how many endpoints of a zone a composed fault draws the one that it strikes first.
+	// firstTargetCandidates is the number of endpoint indexes, from 0, among which a composed fault selects its target.
 	firstTargetCandidates = 10
 )
 
-// Draw draws a scenario of about so many endpoints. The order of the draws is fixed: a seed stands for its scenario.
+// Draw generates a random scenario with about the given number of endpoints. The order of the random draws must not
+// change, because stored seeds would then give other scenarios.
 func Draw(seed, endpoints int) *Draft {
 	g := &generator{random: rand.New(rand.NewPCG(uint64(seed), drawStream))}
 	d := &Draft{Seed: seed, Endpoints: max(1, endpoints/len(zones)), Length: draftLength}
@@ -49,35 +50,38 @@
 	return d
 }
 
-// generator draws the faults of a draft.
+// generator generates the faults of a draft.
 type generator struct {
 	random *rand.Rand
 	draft  *Draft
-	zone   string // drawn for each fault
+	zone   string // zone of the current fault
 }
 
+// uniform returns a uniformly distributed random number between low and high.
 func (g *generator) uniform(low, high float64) float64 { return low + (high-low)*g.random.Float64() }
 
-// part draws what part of those of its kind a fault strikes, or a size from 0 to 1.
+// drawFraction returns a random number between 0.02 and most, rounded to three decimal places. It is used for
+// Fault.Part and for values of Fault.Size that are fractions.
 func (g *generator) drawFraction(most float64) float64 {
 	return math.Round(g.uniform(0.02, most)*1000) / 1000
 }
 
-// duration draws a duration between bounds in ms.
+// drawDuration returns a random duration between bounds in ms.
 func (g *generator) drawDuration(low, high float64) time.Duration {
 	return milliseconds(g.uniform(low, high))
 }
 
-// pilots draws a number of pilots.
+// drawPilotCount returns a random number of pilots, between 1 and all pilots of the draft.
 func (g *generator) drawPilotCount() int { return 1 + g.random.IntN(g.draft.Pilots) }
 
-// faultKind is a kind of fault, by its name in scenario files, with what is drawn for it.
+// faultKind is a fault type of scenario files. draw sets the random parameters of a fault of this type.
 type faultKind struct {
 	name string
 	draw func(g *generator, f *scenario.Fault)
 }
 
-// faultKinds are the kinds that are drawn. Their order belongs to the meaning of a seed.
+// faultKinds lists the fault types of generated scenarios. Their order must not change, because stored seeds would
+// then give other scenarios.
 var faultKinds = []faultKind{
 	{"hang", fractionDrawer(0.3)},
 	{"fast_errors", func(g *generator, f *scenario.Fault) {
@@ -133,12 +137,12 @@
 	{"pause", fractionDrawer(0.4)},
 }
 
-// drawPart returns what draws a part of at most so much.
+// fractionDrawer returns a draw function that sets Fault.Part to a random fraction up to most.
 func fractionDrawer(most float64) func(*generator, *scenario.Fault) {
 	return func(g *generator, f *scenario.Fault) { f.Part = g.drawFraction(most) }
 }
 
-// faults draws one fault, or several that strike the same at once.
+// drawFaults returns one random fault, or a composed fault, which consists of several faults.
 func (g *generator) drawFaults() []scenario.Fault {
 	fault := scenario.Fault{At: g.drawDuration(4000, 30000)}
 	fault.For = g.drawDuration(300, 9000)
@@ -152,35 +156,37 @@
 	return []scenario.Fault{fault}
 }
 
-// composedFaults makes a fault that is on no list out of others: what stops for those who are struck, what is late or
-// wrong meanwhile, and how they return.
+// drawComposedFaults combines faults into one that faultKinds does not contain: an outage of some endpoints, a loss
+// of information at the pilots during the outage, and the way in which the endpoints return. frame has the start and
+// the duration of the composed fault.
 func (g *generator) drawComposedFaults(frame scenario.Fault) []scenario.Fault {
-	struck := g.drawTargetPattern()
+	pattern := g.drawTargetPattern()
 	var all []scenario.Fault
-	all = append(all, g.drawOutage(frame, struck)...)
+	all = append(all, g.drawOutage(frame, pattern)...)
 	all = append(all, g.drawInformationLoss(frame)...)
-	return append(all, g.drawReturn(frame, struck)...)
+	return append(all, g.drawReturn(frame, pattern)...)
 }
 
-// struckTogether draws a pattern of endpoints' names: one endpoint, or some that a rack might hold.
+// drawTargetPattern returns a random pattern of endpoint names. It matches one endpoint, or several endpoints that
+// could fail together, such as those of one rack.
 func (g *generator) drawTargetPattern() string {
 	zone := zones[g.random.IntN(len(zones))]
 	name := fmt.Sprintf("%s-std-%d", zone, g.random.IntN(firstTargetCandidates))
 	switch g.random.IntN(3) {
 	case 0:
-		return name + "*" // of one zone
+		return name + "*" // endpoints of one zone whose names begin alike
 	case 1:
-		return "*" + name[1:] // of all zones
+		return "*" + name[1:] // the same endpoint in each zone
 	}
 	return name
 }
 
-// stoppage draws what stops for those who are struck.
-func (g *generator) drawOutage(frame scenario.Fault, struck string) []scenario.Fault {
+// drawOutage returns a random fault that stops or slows the affected endpoints.
+func (g *generator) drawOutage(frame scenario.Fault, pattern string) []scenario.Fault {
 	names := []string{"hang", "pause", "fast_errors", "handshake_slow"}
 	name := names[g.random.IntN(len(names))]
 	lasts := 0.2 + 0.8*g.random.Float64()
-	fault := derivedFault(frame, name, struck, 0, lasts)
+	fault := derivedFault(frame, name, pattern, 0, lasts)
 	switch name {
 	case "fast_errors":
 		fault.Size = g.random.Float64()
@@ -191,7 +197,8 @@
 	return g.keepIfBeforeEnd(fault)
 }
 
-// misinformation draws what the pilots do not learn meanwhile, if anything.
+// drawInformationLoss returns a random fault that keeps information from the pilots or proxies during the outage, or
+// nil.
 func (g *generator) drawInformationLoss(frame scenario.Fault) []scenario.Fault {
 	fault := frame
 	switch g.random.IntN(5) {
@@ -209,34 +216,36 @@
 	return []scenario.Fault{fault}
 }
 
-// comeback draws how those who were struck return, if not by themselves.
-func (g *generator) drawReturn(frame scenario.Fault, struck string) []scenario.Fault {
+// drawReturn returns a random fault that restarts, crashes or drains the affected endpoints, or nil if they recover
+// when the outage ends.
+func (g *generator) drawReturn(frame scenario.Fault, pattern string) []scenario.Fault {
 	switch g.random.IntN(4) {
 	case 0:
 		after := 0.5 + g.random.Float64()
-		return g.keepIfBeforeEnd(derivedFault(frame, "restart", struck, after, 0))
+		return g.keepIfBeforeEnd(derivedFault(frame, "restart", pattern, after, 0))
 	case 1:
 		after := 0.5 + g.random.Float64()
 		lasts := g.random.Float64()
-		return g.keepIfBeforeEnd(derivedFault(frame, "crash", struck, after, lasts))
+		return g.keepIfBeforeEnd(derivedFault(frame, "crash", pattern, after, lasts))
 	case 2:
 		after := g.random.Float64()
-		return g.keepIfBeforeEnd(derivedFault(frame, "drain", struck, after, 0.5))
+		return g.keepIfBeforeEnd(derivedFault(frame, "drain", pattern, after, 0.5))
 	}
 	return nil
 }
 
-// within returns a fault that begins and lasts for so many times the length of another.
-func derivedFault(frame scenario.Fault, name, struck string, after, lasts float64) scenario.Fault {
+// derivedFault returns a fault of the given type. It starts after the start of frame by the fraction after of
+// frame's duration, and lasts for the fraction lasts of it. Both fractions may exceed 1.
+func derivedFault(frame scenario.Fault, name, pattern string, after, lasts float64) scenario.Fault {
 	fault := frame
 	fault.What = name
-	fault.Who = []string{struck}
+	fault.Who = []string{pattern}
 	fault.At = frame.At + time.Duration(after*float64(frame.For))
 	fault.For = time.Duration(lasts * float64(frame.For))
 	return fault
 }
 
-// beforeEnd leaves out a fault that would begin after the scenario's end.
+// keepIfBeforeEnd returns the fault as a list, or nil if it starts at or after the end of the scenario.
 func (g *generator) keepIfBeforeEnd(fault scenario.Fault) []scenario.Fault {
 	if fault.At >= g.draft.Length {
 		return nil
--- a/internal/search/neighbours.go
+++ b/internal/search/neighbours.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	// minFaultMs is the least length of a fault that a mutation leaves, in ms.
+	// minMutatedFaultMs is the minimum duration of a fault after a mutation, in ms.
 	minMutatedFaultMs = 100
-	// minHalvedFault is how long a fault must last for its length to be halved.
+	// minHalvedFault is the duration above which reductions tries to halve a fault.
 	minHalvedFault = 400 * time.Millisecond
-	// afterLastFault is how much of a shortened scenario follows its last fault; one is shortened only if more than
-	// minAfterLastFault does.
+	// keptAfterLastFault is the time after the last fault in a shortened scenario. A scenario is shortened only if more
+	// than minAfterLastFault follows its last fault.
 	keptAfterLastFault = 6 * time.Second
 	minAfterLastFault  = 8 * time.Second
 )
 
-// mutations is how many kinds of change mutate draws from.
+// mutationKinds is the number of kinds of change among which mutate chooses.
 const mutationKinds = 7
 
-// mutate returns a copy of a draft with one thing changed.
+// mutate returns a copy of a draft with one random change: a fault is added, removed, moved or changed, or the load
+// or the delay of the endpoint list is changed.
 func mutate(random *rand.Rand, d *Draft) *Draft {
 	c := d.clone()
 	var i int
@@ -50,8 +51,8 @@
 	return c
 }
 
-// smaller lists copies of a draft with one thing less, the greatest steps first: a fault, half of the fleet, a pilot,
-// the time after the last fault, half of a fault's length.
+// reductions returns copies of a draft, each with one simplification. In this order: one fault removed, the fleet
+// halved, one pilot removed, the time after the last fault shortened, one fault halved in duration.
 func reductions(d *Draft) []*Draft {
 	var list []*Draft
 	add := func(change func(c *Draft)) {
@@ -79,13 +80,14 @@
 	return list
 }
 
+// halveFleet halves the endpoints, the proxies and the channel rate of a draft.
 func halveFleet(c *Draft) {
 	c.Endpoints /= 2
 	c.Proxies = max(1, c.Proxies/2)
 	c.LinesPerS = max(minLinesPerS, c.LinesPerS/2)
 }
 
-// lastFaultEnd returns when the last fault ends; 0 if there is none.
+// lastFaultEnd returns the time at which the last fault ends, or 0 if there are no faults.
 func (d *Draft) lastFaultEnd() time.Duration {
 	var last time.Duration
 	for _, fault := range d.Faults {
--- a/internal/search/search.go
+++ b/internal/search/search.go
@@ -1,5 +1,6 @@
-// Package search draws scenarios with overlapping faults, looks for those that come near to a limit or break a rule,
-// and shrinks what it finds to what matters. It plays them in the emulator and judges by the audit; it changes nothing.
+// Package search looks for scenarios in which a pilot violates a rule of the audit or comes close to its limit. It
+// generates random scenarios with overlapping faults, runs them in the emulator, and reduces those that violate a
+// rule to the parts that are necessary for it.
 package search
 
 import (
@@ -17,35 +18,35 @@
 	"indigousher/internal/emulator"
 )
 
-// climbStream tells the random sequence of a climb apart from others of the same seed.
+// climbStream selects the random sequence of Climb among those of the same seed.
 const climbStream = 43
 
-// Finding is what one drawn scenario came to.
+// Finding is the result of the run of one draft.
 type Finding struct {
 	Draft          *Draft
-	Service        float64
-	LimitFractions [audit.RuleCount]float64 // how near to each rule's limit it came; 1 is the limit
-	Broken         []string                 // rules, each with its first violation
-	Events         uint64                   // of the emulator's clock
+	Service        float64                  // share of the service that the clients got, as the audit computes it; 1: all
+	LimitFractions [audit.RuleCount]float64 // worst value for each rule as a fraction of its limit; above 1: violated
+	Broken         []string                 // violated rules, each with its first violation, as "RULE: VIOLATION"
+	Events         uint64                   // number of timers that fired on the emulator's clock
 }
 
-// Search plays drawn scenarios.
+// Search holds the options for running drafts.
 type Search struct {
-	// Decide makes what decides in a pilot; nil: the planner.
+	// Decide creates the decider of a pilot; nil means the planner.
 	Decide func(seed int64, settings map[string]any) controller.Decider
-	// Progress is called with each finding of Random, one at a time; may be nil.
+	// Progress is called with each finding of Random, never concurrently; it may be nil.
 	Progress func(f *Finding)
 }
 
-// Play plays one draft.
+// Play runs one draft and returns the result.
 func (s *Search) Play(ctx context.Context, d *Draft) (*Finding, error) {
 	drawn, err := d.Scenario()
 	if err != nil {
-		return nil, fmt.Errorf("drawn day %d: %w", d.Seed, err)
+		return nil, fmt.Errorf("read generated scenario %d: %w", d.Seed, err)
 	}
 	outcome, err := emulator.Play{Scenario: drawn, Audited: true, Decide: s.Decide}.Run(ctx)
 	if err != nil {
-		return nil, fmt.Errorf("drawn day %d: %w", d.Seed, err)
+		return nil, fmt.Errorf("run generated scenario %d: %w", d.Seed, err)
 	}
 	f := &Finding{Draft: d, Service: outcome.Report.Service.All.Share(), Events: outcome.ClockEvents}
 	for i := range outcome.Report.Verdicts {
@@ -59,14 +60,15 @@
 	return f, nil
 }
 
-// Random plays scenarios of consecutive seeds on all cores and returns the findings by seed.
+// Random generates scenarios from count consecutive seeds, runs them in parallel on all cores and returns the
+// findings in order of the seeds. It stops at the first error.
 func (s *Search) Random(ctx context.Context, firstSeed, count, endpoints int) ([]*Finding, error) {
 	findings := make([]*Finding, count)
 	var mu sync.Mutex
 	runs, ctx := errgroup.WithContext(ctx)
 	runs.SetLimit(runtime.GOMAXPROCS(0))
 	for i := range count {
-		runs.Go(func() error { // ends with its run or with ctx
+		runs.Go(func() error { // the goroutine ends with its run or when ctx is cancelled
 			f, err := s.Play(ctx, Draw(firstSeed+i, endpoints))
 			if err != nil {
 				return err
@@ -83,7 +85,9 @@
 	return findings, runs.Wait()
 }
 
-// Climb changes a draft step by step and keeps what comes nearer to a rule's limit, until a rule breaks.
+// Climb is a hill climbing search for a violation of a rule. In each step it runs a random mutation of the best
+// draft so far, and keeps the mutation if it comes closer to the limit of the rule. It ends after the given number
+// of steps, or earlier when any rule is violated, and returns the best finding.
 func (s *Search) Climb(ctx context.Context, f *Finding, rule audit.Rule, steps int, seed uint64) (*Finding, error) {
 	random := rand.New(rand.NewPCG(seed, climbStream))
 	best := f
@@ -102,8 +106,9 @@
 	return best, nil
 }
 
-// Shrink takes away all that the violation of the first broken rule does not need, step by step: of the smaller drafts,
-// the first that still breaks the rule is taken, until none does.
+// Shrink reduces a draft that violates a rule, as long as the first violated rule stays violated. In each step it
+// continues with the first reduction that still violates the rule, and it ends when there is none. The finding must
+// have a violated rule.
 func (s *Search) Shrink(ctx context.Context, f *Finding) (*Finding, error) {
 	rule, _, _ := strings.Cut(f.Broken[0], ":")
 	best := f
@@ -119,7 +124,8 @@
 	}
 }
 
-// firstBreaking plays drafts until one breaks a rule, and returns that finding; nil if none does.
+// firstBreaking runs drafts until one violates the rule with the given name, and returns its finding, or nil if none
+// does.
 func (s *Search) firstBreaking(ctx context.Context, drafts []*Draft, rule string) (*Finding, error) {
 	for _, d := range drafts {
 		f, err := s.Play(ctx, d)
@@ -133,7 +139,7 @@
 	return nil, nil
 }
 
-// breaks returns whether a rule is among the broken ones.
+// breaks returns whether the finding violates the rule with the given name.
 func (f *Finding) breaks(rule string) bool {
 	for _, broken := range f.Broken {
 		if strings.HasPrefix(broken, rule+":") {
--- a/internal/search/search_test.go
+++ b/internal/search/search_test.go
@@ -12,8 +12,9 @@
 	"indigousher/planner"
 )
 
-// TestDrawn guards the way from a draft to a day file and back: what is drawn can be read, for many seeds and sizes.
-func TestDrawn(t *testing.T) {
+// TestDraftsAreValidScenarios checks for many seeds and fleet sizes that the text of a generated draft is a valid scenario file with
+// all its faults, that the same seed gives the same draft, and that most fault types occur.
+func TestDraftsAreValidScenarios(t *testing.T) {
 	whats := map[string]bool{}
 	for seed := range 300 {
 		d := Draw(seed, 10+seed)
@@ -28,7 +29,8 @@
 	assert.Greater(t, len(whats), 22)
 }
 
-// neverExcludes leaves a planted fault in the planner's commands: endpoints are never shut out.
+// neverExcludes wraps a decider and drops the commands that remove endpoints from tables. It is the defect that
+// TestShrunk finds.
 type neverExcludes struct{ controller.Decider }
 
 func (h neverExcludes) Handle(now float64, notes []planner.Event) (out []planner.Command) {
@@ -44,7 +46,8 @@
 	return out
 }
 
-// TestShrunk shows that a planted fault is found, and that what is found is shrunk to the fault it needs.
+// TestShrunk checks that the search finds a defect that is injected into the planner's commands, and that Shrink
+// reduces the draft to a single fault that triggers it.
 func TestShrunk(t *testing.T) {
 	s := &Search{Decide: func(seed int64, terms map[string]any) controller.Decider {
 		return neverExcludes{planner.New(seed, terms)}
@@ -57,23 +60,23 @@
 	require.NoError(t, err)
 	require.NotEmpty(t, f.Broken)
 	require.Greater(t, f.LimitFractions[audit.DrainDeadline], 1.0)
-	f.Broken = []string{audit.DrainDeadline.String() + ": planted"}
+	f.Broken = []string{audit.DrainDeadline.String() + ": injected"}
 	small, err := s.Shrink(t.Context(), f)
 	require.NoError(t, err)
 	require.Len(t, small.Draft.Faults, 1, "%s", small.Draft.Text())
 	assert.Contains(t, []string{"drain", "preempt", "replace", "crash", "vanish", "zone_loss"}, small.Draft.Faults[0].What)
 	kept, err := (&Search{}).Play(t.Context(), small.Draft)
 	require.NoError(t, err)
-	assert.Empty(t, kept.Broken, "the module as it ships")
+	assert.Empty(t, kept.Broken, "the planner without the injected defect")
 }
 
-// TestClimbed shows that climbing comes nearer to a limit.
-func TestClimbed(t *testing.T) {
+// TestClimbApproachesLimit checks that Climb comes closer to the limit of a rule.
+func TestClimbApproachesLimit(t *testing.T) {
 	s := &Search{}
 	f, err := s.Play(t.Context(), Draw(3, 12))
 	require.NoError(t, err)
 	best := f
-	for seed := uint64(1); seed < 6 && best.LimitFractions == f.LimitFractions; seed++ { // not every way up begins in a few steps
+	for seed := uint64(1); seed < 6 && best.LimitFractions == f.LimitFractions; seed++ { // a climb may find no improvement within its few steps
 		best, err = s.Climb(t.Context(), f, audit.ChannelQueue, 10, seed)
 		require.NoError(t, err)
 	}
--- a/internal/search/text.go
+++ b/internal/search/text.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// coresEach and workSeconds give the capacity of a drawn fleet: cores of an endpoint, and the mean work of a
-	// request of the scenario that drafts are like, in seconds on one core.
+	// coresPerEndpoint and meanWorkSeconds determine the capacity of a generated fleet. meanWorkSeconds is the mean
+	// processing time of a request in the scenario "quiet", from which drafts inherit, in seconds on one core.
 	coresPerEndpoint = 2
 	meanWorkSeconds  = 0.0325
 )
 
-// Text returns the draft as a scenario file.
+// Text returns the text of a scenario file for the draft.
 func (d *Draft) Text() string {
 	var b strings.Builder
 	d.writeHead(&b)
@@ -27,12 +27,14 @@
 	return b.String()
 }
 
+// writeHead writes the top-level attributes.
 func (d *Draft) writeHead(b *strings.Builder) {
 	fmt.Fprintf(b, "about  = \"Drawn: %d endpoints, %d proxies, %d pilots, load %.2f.\"\n",
 		len(zones)*d.Endpoints, len(zones)*d.Proxies, d.Pilots, d.Load)
 	fmt.Fprintf(b, "like   = \"quiet\"\nlength = %q\nseed   = %d\n\n", d.Length, d.Seed)
 }
 
+// writeFleet writes the settings of pilots, proxies, load reports, endpoint list and channel.
 func (d *Draft) writeFleet(b *strings.Builder) {
 	var pilots []string
 	for i := range d.Pilots {
@@ -47,6 +49,7 @@
 		d.LinesPerS, queueLimit, d.MaxMessages)
 }
 
+// writeLoad writes the clients' load and the endpoints.
 func (d *Draft) writeLoad(b *strings.Builder) {
 	rate := d.Load * float64(len(zones)*d.Endpoints*coresPerEndpoint) / meanWorkSeconds
 	fmt.Fprintf(b, "clients {\n  rate    = %.1f\n  retries = %d\n  uneven  = %.2f\n}\n",
@@ -57,7 +60,7 @@
 	}
 }
 
-// writeFault writes a fault; fields of 0 are left out.
+// writeFault writes a trouble block. Except for what and at, zero values are omitted.
 func writeFault(b *strings.Builder, f *scenario.Fault) {
 	fmt.Fprintf(b, "trouble %q {\n  at = %q\n", f.What, f.At)
 	if len(f.Who) > 0 {
@@ -75,25 +78,28 @@
 	b.WriteString("}\n")
 }
 
+// writeDuration writes an attribute of a fault unless the value is 0.
 func writeDuration(b *strings.Builder, key string, value time.Duration) {
 	if value > 0 {
 		fmt.Fprintf(b, "  %s = %q\n", key, value)
 	}
 }
 
+// writeNumber writes an attribute of a fault unless the value is 0.
 func writeNumber(b *strings.Builder, key string, value float64) {
 	if value > 0 {
 		fmt.Fprintf(b, "  %s = %g\n", key, value)
 	}
 }
 
+// writeString writes an attribute of a fault unless the value is empty.
 func writeString(b *strings.Builder, key, value string) {
 	if value != "" {
 		fmt.Fprintf(b, "  %s = %q\n", key, value)
 	}
 }
 
-// quotedList returns a list of strings as it stands in a scenario file.
+// quotedList returns a list of strings in the syntax of scenario files.
 func quotedList(list []string) string {
 	var quoted []string
 	for _, s := range list {
