--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -1,5 +1,6 @@
-// Package baseline holds routing policies to compare the planner with, in rehearsals and experiments. On purpose they
-// pace nothing and keep no rule; none ships in a pilot.
+// Package baseline implements simple routing policies with which rehearsals and experiments compare the planner. The
+// policies deliberately neither limit their rate of changes nor observe the rules of the audit. They are not
+// available in production pilots.
 package baseline
 
 import (
@@ -9,22 +10,23 @@
 	"indigousher/internal/controller"
 )
 
-// Factory makes a policy for one pilot.
+// Factory creates a policy for one pilot.
 type Factory func(seed int64, settings map[string]any) controller.Decider
 
-// ErrUnknownPolicy is returned by Named for a name that is not in Names.
-var ErrUnknownPolicy = errors.New("not known")
+// ErrUnknownPolicy is the error that Named returns, wrapped, for a name that Names does not return.
+var ErrUnknownPolicy = errors.New("unknown policy")
 
-// How often policies that follow load renew their tables, in ms.
+// Intervals in ms at which policies renew their tables. onChangesOnly means only on changes of the endpoint list.
 const (
 	onChangesOnly = 0
-	reportEveryMs = 1000 // about as often as load reports come
+	reportEveryMs = 1000 // close to the usual period of load reports
 	oracleEveryMs = 100
 )
 
+// oracleName is the name of the policy with the true load.
 const oracleName = "oracle"
 
-// named is a policy under its name.
+// policySpec describes a policy. Its fields have the same meaning as those of policy.
 type policySpec struct {
 	name      string
 	weights   weightFunc
@@ -32,7 +34,7 @@
 	ownTables bool
 }
 
-// policies lists the policies but the oracle, in the order in which they are shown.
+// policies lists all policies except the oracle, in the order of Names.
 var policies = []policySpec{
 	{name: "even", weights: (*policy).even, everyMs: onChangesOnly},
 	{name: "subset", weights: (*policy).subset, everyMs: onChangesOnly, ownTables: true},
@@ -41,7 +43,7 @@
 	{name: "feedback", weights: (*policy).feedback, everyMs: reportEveryMs},
 }
 
-// Names lists the policies that Named knows, in the order in which they are shown.
+// Names returns the names of all policies, in the order in which reports show them.
 func Names() []string {
 	var names []string
 	for _, p := range policies {
@@ -50,7 +52,7 @@
 	return append(names, oracleName)
 }
 
-// Named returns a policy by name.
+// Named returns the factory of the policy with the given name.
 func Named(name string) (Factory, error) {
 	if name == oracleName {
 		return newOracle, nil
@@ -60,17 +62,22 @@
 			return func(seed int64, _ map[string]any) controller.Decider { return newPolicy(p, seed) }, nil
 		}
 	}
-	return nil, fmt.Errorf("baseline %q is %w; there are %v", name, ErrUnknownPolicy, Names())
+	return nil, fmt.Errorf("baseline %q: %w, want one of %v", name, ErrUnknownPolicy, Names())
 }
 
-// Oracle gives weights by the true load, which no pilot can know. Whoever runs it must hand that in.
+// Oracle is a policy that sets weights by the true load, which a real pilot cannot observe. The caller must provide
+// the true load with SetTrueLoad.
 type Oracle struct{ *policy }
 
+// newOracle is the Factory of Oracle.
 func newOracle(seed int64, _ map[string]any) controller.Decider {
-	return &Oracle{policy: newPolicy(policySpec{name: oracleName, weights: (*policy).oracle, everyMs: oracleEveryMs}, seed)}
+	return &Oracle{policy: newPolicy(policySpec{
+		name: oracleName, weights: (*policy).oracle, everyMs: oracleEveryMs,
+	}, seed)}
 }
 
-// SetTrueLoad says where the true load is to be had: the busy fraction of an endpoint's cores, and whether it runs.
+// SetTrueLoad sets the function that returns the true load of an endpoint: the busy fraction of its cores, and
+// whether it is running. Until it is set, all endpoints count as idle and running.
 func (o *Oracle) SetTrueLoad(trueLoad func(endpoint int) (busy float64, runs bool)) {
 	o.trueLoad = trueLoad
 }
--- a/internal/baseline/policy.go
+++ b/internal/baseline/policy.go
@@ -7,32 +7,32 @@
 	"indigousher/planner"
 )
 
-// weightFunc returns the weights of a proxy's table, by endpoint; the proxy does not matter where all share one table.
+// weightFunc returns the weights of a proxy's table, by endpoint. Policies with one shared table ignore the proxy.
 type weightFunc func(p *policy, proxy int) map[int]float64
 
-// sharedTable is the table of all proxies, where they share one.
+// sharedTable is the number of the table that all proxies share.
 const sharedTable = 0
 
-// renewTimer is the name of the timer for the next renewal of the tables.
+// renewTimer is the name of the timer that triggers the next renewal of the tables.
 const renewTimer = "again"
 
-// policy is a routing policy. It knows the endpoint list, the joined proxies and the tables as last sent, and sends at
-// once what differs.
+// policy is a routing policy. It keeps the endpoint list, the connected proxies and the tables as last sent, and
+// sends all changes of the tables at once.
 type policy struct {
 	seed          int64
 	weights       weightFunc
-	everyMs       float64 // how often the tables are renewed; 0: on changes of the endpoint list only
-	ownTables     bool    // each proxy has a table of its own; otherwise all share one
-	nextRenewalMs float64 // next renewal
-
-	listed  map[int]planner.Entry
-	ready   []int // endpoints that are ready, in order
-	proxies map[int]planner.ProxyJoined
-	tables  map[int]map[int]float64 // weights as sent, by table and endpoint
-
-	utilization    map[int]float64 // as last reported, by endpoint
-	feedbackWeight map[int]float64
-	trueLoad       func(endpoint int) (busy float64, runs bool)
+	everyMs       float64 // interval in ms between renewals; 0: only on changes of the endpoint list
+	ownTables     bool    // each proxy has its own table; false: all proxies share one
+	nextRenewalMs float64 // time of the next renewal
+
+	listed  map[int]planner.Entry       // the endpoint list, by endpoint
+	ready   []int                       // ready endpoints, in ascending order
+	proxies map[int]planner.ProxyJoined // connected proxies
+	tables  map[int]map[int]float64     // weights as last sent, by table and endpoint
+
+	utilization    map[int]float64                              // busy fraction last reported, by endpoint
+	feedbackWeight map[int]float64                              // unrounded weights of the feedback policy
+	trueLoad       func(endpoint int) (busy float64, runs bool) // for the oracle; nil: all endpoints idle
 }
 
 func newPolicy(n policySpec, seed int64) *policy {
@@ -49,7 +49,8 @@
 	}
 }
 
-// Handle follows the endpoint list, the proxies and the load reports, and returns what changes in the tables.
+// Handle updates the state of the policy with events of the endpoint list, the proxies and the load reports, and
+// returns the commands that change the tables.
 func (p *policy) Handle(nowMs float64, events []planner.Event) []planner.Command {
 	listChanged, joined := p.apply(events)
 	var commands []planner.Command
@@ -68,7 +69,8 @@
 	return commands
 }
 
-// apply takes in events. It returns whether the endpoint list changed, and the proxies that joined.
+// apply updates the state of the policy with events. It returns whether the endpoint list changed, and the proxies
+// that joined.
 func (p *policy) apply(events []planner.Event) (listChanged bool, joined []int) {
 	for _, event := range events {
 		switch event := event.(type) {
@@ -89,7 +91,7 @@
 	return listChanged, joined
 }
 
-// Reconfigure does nothing: the policies read no settings.
+// Reconfigure does nothing, because the policies have no settings.
 func (p *policy) Reconfigure(map[string]any) {}
 
 // table returns the number of a proxy's table.
@@ -100,6 +102,7 @@
 	return sharedTable
 }
 
+// updateList applies an update of the endpoint list.
 func (p *policy) updateList(update planner.EndpointUpdate) {
 	if update.Mode == planner.Snapshot {
 		clear(p.listed)
@@ -115,7 +118,7 @@
 	}
 }
 
-// publish returns the commands that bring all tables to the weights they should have.
+// updateTables returns the commands that change all tables to the current weights of the policy.
 func (p *policy) updateTables() []planner.Command {
 	if !p.ownTables {
 		return p.updateTable(sharedTable, p.weights(p, 0))
@@ -127,7 +130,8 @@
 	return commands
 }
 
-// publishTable returns the commands for one table: removals first.
+// updateTable returns the commands that change one table to the wanted weights. Removals come first. A weight of 0
+// removes an endpoint.
 func (p *policy) updateTable(table int, wanted map[int]float64) []planner.Command {
 	sent := p.tables[table]
 	if sent == nil {
--- a/internal/baseline/weights.go
+++ b/internal/baseline/weights.go
@@ -9,29 +9,32 @@
 )
 
 const (
-	// subsetSize is how many endpoints a proxy with a table of its own gets.
+	// subsetSize is the number of endpoints in the table of a proxy that does not share its table.
 	subsetSize = 8
-	// minWeight stands for listed weights of 0: a weight of 0 would remove the endpoint from the table.
+	// minWeight replaces smaller weights of the endpoint list, because a weight of 0 would remove the endpoint from the
+	// table.
 	minWeight = 1e-9
-	// minUtilization bounds what the policy by inverse load gives an idle endpoint.
+	// minUtilization is the lower bound of the utilization in the inverse policy. It limits the weight of an idle
+	// endpoint.
 	minUtilization = 0.05
-	// maxFeedbackStep bounds by how much the feedback moves a weight at once, as the logarithm of a factor.
+	// maxFeedbackStep limits the change of a weight in one step of the feedback policy, as the logarithm of the factor.
 	maxFeedbackStep = 0.5
-	// oracleIdleLoad is the load that an idle endpoint counts for with the oracle.
+	// oracleIdleLoad is added to the squared load in the oracle policy. It limits the weight of an idle endpoint.
 	oracleIdleLoad = 0.2
-	// weightSteps is how many values of a weight are told apart within a factor of e.
+	// weightSteps is the number of distinct rounded weights within a factor of e.
 	weightSteps = 20
 )
 
-// listedWeight returns an endpoint's weight in the endpoint list, never 0.
+// listedWeight returns an endpoint's weight in the endpoint list, but at least minWeight.
 func (p *policy) listedWeight(endpoint int) float64 { return max(p.listed[endpoint].Weight, minWeight) }
 
-// roundWeight keeps a weight to about two figures, so that not every line of a table differs each time.
+// roundWeight rounds a weight to about two significant digits, so that small changes of the load do not change every
+// line of a table.
 func roundWeight(weight float64) float64 {
 	return math.Exp(math.Round(math.Log(weight)*weightSteps) / weightSteps)
 }
 
-// even gives each endpoint its listed weight.
+// even returns the listed weight of each ready endpoint.
 func (p *policy) even(int) map[int]float64 {
 	weights := map[int]float64{}
 	for _, endpoint := range p.ready {
@@ -40,7 +43,7 @@
 	return weights
 }
 
-// subset gives each proxy a few endpoints, drawn by rendezvous hashing.
+// subset returns the listed weights of subsetSize endpoints that are selected for the proxy by rendezvous hashing.
 func (p *policy) subset(proxy int) map[int]float64 {
 	ranked := slices.Clone(p.ready)
 	slices.SortFunc(ranked, func(a, b int) int { return p.rank(proxy, a) - p.rank(proxy, b) })
@@ -51,20 +54,21 @@
 	return weights
 }
 
-// rank is a hash of a proxy and an endpoint, of 31 bits.
+// rank returns the 31-bit hash of a proxy and an endpoint by which subset orders the endpoints.
 func (p *policy) rank(proxy, endpoint int) int {
 	return int(crc32.ChecksumIEEE(fmt.Appendf(nil, "%d %d %d", p.seed, proxy, endpoint)) >> 1)
 }
 
-// aperture gives each proxy a few endpoints in a row on a ring; the proxies' windows lie evenly around it.
+// aperture returns the listed weights of subsetSize consecutive endpoints on a ring. The proxies' ranges are
+// distributed evenly around the ring.
 func (p *policy) aperture(proxy int) map[int]float64 {
 	weights := map[int]float64{}
 	ringSize := len(p.ready)
 	if ringSize == 0 {
 		return weights
 	}
-	place, _ := slices.BinarySearch(slices.Sorted(maps.Keys(p.proxies)), proxy)
-	from := float64(place) / float64(max(1, len(p.proxies))) * float64(ringSize)
+	position, _ := slices.BinarySearch(slices.Sorted(maps.Keys(p.proxies)), proxy)
+	from := float64(position) / float64(max(1, len(p.proxies))) * float64(ringSize)
 	for offset := range min(subsetSize, ringSize) {
 		endpoint := p.ready[(int(from)+offset)%ringSize]
 		weights[endpoint] = p.listedWeight(endpoint)
@@ -72,7 +76,7 @@
 	return weights
 }
 
-// inverse gives weights by the inverse of the load last reported.
+// inverse returns weights that are inversely proportional to the utilization last reported.
 func (p *policy) inverse(int) map[int]float64 {
 	weights := map[int]float64{}
 	for _, endpoint := range p.ready {
@@ -81,7 +85,8 @@
 	return weights
 }
 
-// feedback moves each weight by how far the endpoint's load is from the mean, without any price for what it costs.
+// feedback changes each weight by the difference between the mean utilization and the endpoint's own. It does not
+// consider the cost of the changes, such as messages to proxies.
 func (p *policy) feedback(int) map[int]float64 {
 	sum := 0.0
 	for _, endpoint := range p.ready {
@@ -100,7 +105,8 @@
 	return weights
 }
 
-// oracle gives weights by the true load. Where nothing runs it gives them as even does.
+// oracle returns weights that fall with the square of the true load. Endpoints that are not running get no weight;
+// if none is running, the weights are those of even.
 func (p *policy) oracle(int) map[int]float64 {
 	weights := map[int]float64{}
 	for _, endpoint := range p.ready {
