--- a/internal/search/draft.go
+++ b/internal/search/draft.go
@@ -26,7 +26,7 @@
 	// Load.
 	Load         float64 // request rate as a fraction of the fleet's capacity
 	DemandSpread float64 // standard deviation of the logarithm of the proxies' request rates
-	RetryHow     int     // retry policy of proxies until a pilot sets one
+	RetryMode    int     // retry policy of proxies until a pilot sets one
 	Retries      int     // maximum number of retries by a client for each request
 
 	// Endpoint list, load reports and channel.
--- a/internal/search/draw.go
+++ b/internal/search/draw.go
@@ -34,7 +34,7 @@
 	d.SpeedSpread = g.uniform(0, 0.35)
 	d.DemandSpread = g.uniform(0, 1)
 	d.Queue = int(g.uniform(5, 60))
-	d.RetryHow = g.random.IntN(2)
+	d.RetryMode = g.random.IntN(2)
 	d.Retries = g.random.IntN(3)
 	d.Record = g.random.IntN(2) == 0
 	d.ByZone = g.random.IntN(2) == 0
