--- a/internal/search/draw.go
+++ b/internal/search/draw.go
@@ -29,7 +29,7 @@
 	d := &Draft{Seed: seed, Endpoints: max(1, endpoints/len(zones)), Length: draftLength}
 	g.draft = d
 	d.Load = g.uniform(0.3, 0.75)
-	d.ListLate = milliseconds(g.uniform(100, 1500))
+	d.ListDelay = milliseconds(g.uniform(100, 1500))
 	d.Period = milliseconds(g.uniform(400, 2000))
 	d.SpeedSpread = g.uniform(0, 0.35)
 	d.DemandSpread = g.uniform(0, 1)
--- a/internal/search/neighbours.go
+++ b/internal/search/neighbours.go
@@ -45,7 +45,7 @@
 	case kind == 5:
 		c.Load = min(0.9, max(0.1, c.Load+0.08*random.NormFloat64()))
 	default:
-		c.ListLate = milliseconds(2000 * random.Float64())
+		c.ListDelay = milliseconds(2000 * random.Float64())
 	}
 	c.sortFaults()
 	return c
