--- a/internal/search/draft.go
+++ b/internal/search/draft.go
@@ -30,10 +30,10 @@
 	Retries      int     // maximum number of retries by a client for each request
 
 	// Endpoint list, load reports and channel.
-	ListDelay   time.Duration // delay between a change and its appearance in the endpoint list
-	Period      time.Duration // between load reports
-	LinesPerS   int           // rate of each pilot's channel, in lines per second
-	MaxMessages int           // maximum messages to one proxy within the span of the limit
+	ListDelay    time.Duration // delay between a change and its appearance in the endpoint list
+	ReportPeriod time.Duration // between load reports
+	LinesPerS    int           // rate of each pilot's channel, in lines per second
+	MaxMessages  int           // maximum messages to one proxy within the span of the limit
 
 	Faults []scenario.Fault // sorted by start time
 }
--- a/internal/search/draw.go
+++ b/internal/search/draw.go
@@ -30,7 +30,7 @@
 	g.draft = d
 	d.Load = g.uniform(0.3, 0.75)
 	d.ListDelay = milliseconds(g.uniform(100, 1500))
-	d.Period = milliseconds(g.uniform(400, 2000))
+	d.ReportPeriod = milliseconds(g.uniform(400, 2000))
 	d.SpeedSpread = g.uniform(0, 0.35)
 	d.DemandSpread = g.uniform(0, 1)
 	d.Queue = int(g.uniform(5, 60))
--- a/internal/search/text.go
+++ b/internal/search/text.go
@@ -43,7 +43,7 @@
 	fmt.Fprintf(b, "fleet {\n  pilots  = %s\n  proxies = %s\n  times   = %d\n  record  = %v\n}\n",
 		quotedList(pilots), quotedList(zones), d.Proxies, d.Record)
 	fmt.Fprintf(b, "proxies {\n  by_zone   = %v\n  try_again = %d\n}\n", d.ByZone, d.RetryMode)
-	fmt.Fprintf(b, "reports {\n  period = %q\n}\nlist {\n  late = %q\n}\n", d.Period, d.ListDelay)
+	fmt.Fprintf(b, "reports {\n  period = %q\n}\nlist {\n  late = %q\n}\n", d.ReportPeriod, d.ListDelay)
 	queueLimit := d.LinesPerS * 3 / 2
 	fmt.Fprintf(b, "channel {\n  lines_per_s   = %d\n  backlog       = %d\n  messages_most = %d\n}\n",
 		d.LinesPerS, queueLimit, d.MaxMessages)
