--- a/cmd/indigousher/search.go
+++ b/cmd/indigousher/search.go
@@ -57,7 +57,7 @@
 	printDistances(out, finds, o.endpoints)
 	var broken []*search.Finding
 	for _, f := range finds {
-		if len(f.Broken) > 0 {
+		if len(f.ViolatedRules) > 0 {
 			broken = append(broken, f)
 		}
 	}
@@ -90,7 +90,7 @@
 		nearest := slices.MaxFunc(finds, func(a, b *search.Finding) int {
 			return int(1e6 * (a.LimitFractions[rule] - b.LimitFractions[rule])) // the sixth decimal decides
 		})
-		if len(nearest.Broken) > 0 {
+		if len(nearest.ViolatedRules) > 0 {
 			continue
 		}
 		climbed, err := s.Climb(ctx, nearest, rule, o.climbs, uint64(o.seed))
@@ -98,7 +98,7 @@
 			return nil, err
 		}
 		printf(out, "climbed towards %q: %.2f to %.2f\n", rule, nearest.LimitFractions[rule], climbed.LimitFractions[rule])
-		if len(climbed.Broken) > 0 {
+		if len(climbed.ViolatedRules) > 0 {
 			broken = append(broken, climbed)
 		}
 	}
@@ -112,7 +112,7 @@
 		return err
 	}
 	path := filepath.Join(folder, fmt.Sprintf("found-%d-%d.hcl", shrunk.Draft.Seed, number))
-	printf(out, "BROKEN, shrunk to %d faults, in %s: %v\n", len(shrunk.Draft.Faults), path, shrunk.Broken)
+	printf(out, "BROKEN, shrunk to %d faults, in %s: %v\n", len(shrunk.Draft.Faults), path, shrunk.ViolatedRules)
 	return errors.Join(os.MkdirAll(folder, 0o755), os.WriteFile(path, []byte(shrunk.Draft.Text()), 0o644))
 }
 
@@ -120,7 +120,7 @@
 func printDistances(out io.Writer, finds []*search.Finding, endpoints int) {
 	broken := 0
 	for _, f := range finds {
-		if len(f.Broken) > 0 {
+		if len(f.ViolatedRules) > 0 {
 			broken++
 		}
 	}
--- a/internal/search/search.go
+++ b/internal/search/search.go
@@ -26,7 +26,7 @@
 	Draft          *Draft
 	Service        float64                  // share of the service that the clients got, as the audit computes it; 1: all
 	LimitFractions [audit.RuleCount]float64 // worst value for each rule as a fraction of its limit; above 1: violated
-	Broken         []string                 // violated rules, each with its first violation, as "RULE: VIOLATION"
+	ViolatedRules  []string                 // violated rules, each with its first violation, as "RULE: VIOLATION"
 	Events         uint64                   // number of timers that fired on the emulator's clock
 }
 
@@ -54,7 +54,7 @@
 		f.LimitFractions[i] = v.LimitFraction
 		if !v.Kept() {
 			first := v.Violations[0]
-			f.Broken = append(f.Broken, fmt.Sprintf("%s: %.2f s %s %s", v.Rule, first.At/1000, first.Who, first.Text))
+			f.ViolatedRules = append(f.ViolatedRules, fmt.Sprintf("%s: %.2f s %s %s", v.Rule, first.At/1000, first.Who, first.Text))
 		}
 	}
 	return f, nil
@@ -99,7 +99,7 @@
 		if next.LimitFractions[rule] > best.LimitFractions[rule] {
 			best = next
 		}
-		if len(best.Broken) > 0 {
+		if len(best.ViolatedRules) > 0 {
 			break
 		}
 	}
@@ -110,7 +110,7 @@
 // continues with the first reduction that still violates the rule, and it ends when there is none. The finding must
 // have a violated rule.
 func (s *Search) Shrink(ctx context.Context, f *Finding) (*Finding, error) {
-	rule, _, _ := strings.Cut(f.Broken[0], ":")
+	rule, _, _ := strings.Cut(f.ViolatedRules[0], ":")
 	best := f
 	for {
 		next, err := s.firstBreaking(ctx, reductions(best.Draft), rule)
@@ -141,7 +141,7 @@
 
 // breaks returns whether the finding violates the rule with the given name.
 func (f *Finding) breaks(rule string) bool {
-	for _, broken := range f.Broken {
+	for _, broken := range f.ViolatedRules {
 		if strings.HasPrefix(broken, rule+":") {
 			return true
 		}
--- a/internal/search/search_test.go
+++ b/internal/search/search_test.go
@@ -58,16 +58,16 @@
 	d.sortFaults()
 	f, err := s.Play(t.Context(), d)
 	require.NoError(t, err)
-	require.NotEmpty(t, f.Broken)
+	require.NotEmpty(t, f.ViolatedRules)
 	require.Greater(t, f.LimitFractions[audit.DrainDeadline], 1.0)
-	f.Broken = []string{audit.DrainDeadline.String() + ": injected"}
+	f.ViolatedRules = []string{audit.DrainDeadline.String() + ": injected"}
 	small, err := s.Shrink(t.Context(), f)
 	require.NoError(t, err)
 	require.Len(t, small.Draft.Faults, 1, "%s", small.Draft.Text())
 	assert.Contains(t, []string{"drain", "preempt", "replace", "crash", "vanish", "zone_loss"}, small.Draft.Faults[0].What)
 	kept, err := (&Search{}).Play(t.Context(), small.Draft)
 	require.NoError(t, err)
-	assert.Empty(t, kept.Broken, "the planner without the injected defect")
+	assert.Empty(t, kept.ViolatedRules, "the planner without the injected defect")
 }
 
 // TestClimbApproachesLimit checks that Climb comes closer to the limit of a rule.
