--- a/internal/emulator/nostate_test.go
+++ b/internal/emulator/nostate_test.go
@@ -51,7 +51,7 @@
 			require.NoError(t, err)
 			assert.True(t, o.Report.Kept(), "seed %d, record %v", seed, record)
 			for name, starts := range o.Starts {
-				assert.Equal(t, !record, starts[1].Verdict.Cold(), "%s of seed %d", name, seed)
+				assert.Equal(t, !record, starts[1].RecoveryDecision.Cold(), "%s of seed %d", name, seed)
 			}
 			service[i] = o.Report.Service.All.Share()
 			w := o.Report.Service.Windows
--- a/internal/emulator/pilotrecord.go
+++ b/internal/emulator/pilotrecord.go
@@ -10,11 +10,11 @@
 
 // Start describes the start of a pilot process and its recovery from the record.
 type Start struct {
-	AtMs      float64           // time of the run
-	Verdict   recovery.Decision // whether the record was replayed; the zero value if pilots keep no record
-	Replayed  int               // number of turns replayed from the record
-	TookMs    float64           // real time taken by the replay
-	LinesSent int               // lines sent in the first lineCountWindowMs
+	AtMs             float64           // time of the run
+	RecoveryDecision recovery.Decision // whether the record was replayed; the zero value if pilots keep no record
+	Replayed         int               // number of turns replayed from the record
+	TookMs           float64           // real time taken by the replay
+	LinesSent        int               // lines sent in the first lineCountWindowMs
 }
 
 const (
@@ -40,8 +40,8 @@
 		func(turn func() *record.Turn) { process.uncommitted = append(process.uncommitted, *turn()) },
 		func() []controller.Input { return process.core.Checkpoint() })
 	options.OnTurn = recorder.Turn
-	begun.Verdict = recovery.Decide(facts, limits)
-	if !begun.Verdict.Cold() {
+	begun.RecoveryDecision = recovery.Decide(facts, limits)
+	if !begun.RecoveryDecision.Cold() {
 		p.replay(options, process, begun, from)
 	}
 	p.storedTurns = nil
@@ -89,7 +89,7 @@
 	begun.TookMs = elapsed()
 	core.FinishRecovery(options)
 	process.core = core
-	process.startedAt = p.w.now - core.Now() - begun.Verdict.DowntimeMs
+	process.startedAt = p.w.now - core.Now() - begun.RecoveryDecision.DowntimeMs
 }
 
 // scheduleCommit commits the record every commitEveryMs until the process ends.
