--- a/internal/emulator/pilot.go
+++ b/internal/emulator/pilot.go
@@ -18,7 +18,7 @@
 	process     *pilotProcess    // nil while the pilot is not running
 	streams     map[*stream]bool // open streams from proxies
 	pausedUntil float64          // ms; the loop takes no turn before this time
-	Starts      []Start          // one for each process, in order
+	Starts      []PilotStart     // one for each process, in order
 
 	// The committed part of the record.
 	storedTurns       []record.Turn
@@ -66,7 +66,7 @@
 	process := &pilotProcess{pilot: p, startedAt: p.w.now, wakeAt: noWake}
 	p.process = process
 	options := p.controllerOptions(process)
-	begun := Start{AtMs: p.w.now}
+	begun := PilotStart{AtMs: p.w.now}
 	if p.w.Scenario.Record {
 		options = p.recoverCore(options, process, &begun)
 	}
--- a/internal/emulator/pilotrecord.go
+++ b/internal/emulator/pilotrecord.go
@@ -9,7 +9,7 @@
 )
 
 // Start describes the start of a pilot process and its recovery from the record.
-type Start struct {
+type PilotStart struct {
 	AtMs             float64           // time of the run
 	RecoveryDecision recovery.Decision // whether the record was replayed; the zero value if pilots keep no record
 	Replayed         int               // number of turns replayed from the record
@@ -28,7 +28,7 @@
 // recoverCore starts recording the turns of the process. If recovery allows it, it also replays the record of the
 // previous process. It returns the options with the recorder installed, and completes begun.
 func (p *emulatedPilot) recoverCore(
-	options controller.Options, process *pilotProcess, begun *Start,
+	options controller.Options, process *pilotProcess, begun *PilotStart,
 ) controller.Options {
 	limits := recovery.Limits{
 		MaxReplayMs: float64(p.settings.RecoverTail.Milliseconds()),
@@ -68,7 +68,7 @@
 
 // replay rebuilds the core of a process from the record, beginning at turn index from. Commands, requests and log
 // lines that the core produces during the replay are discarded.
-func (p *emulatedPilot) replay(options controller.Options, process *pilotProcess, begun *Start, from int) {
+func (p *emulatedPilot) replay(options controller.Options, process *pilotProcess, begun *PilotStart, from int) {
 	silent := options
 	silent.OnTurn = nil
 	silent.Replayed = true
--- a/internal/emulator/play.go
+++ b/internal/emulator/play.go
@@ -52,7 +52,7 @@
 	LinesSent        int            // number of lines sent by all pilots
 	Malformed        map[string]int // number of malformed inputs to pilots, by reason
 
-	Starts  map[string][]Start      // starts of the pilot processes, by name of the pilot
+	Starts  map[string][]PilotStart // starts of the pilot processes, by name of the pilot
 	Latency *hdrhistogram.Histogram // latency of successful requests, in µs
 	Load    map[string]float64      // busy fraction of the cores since the endpoint's last start, by endpoint
 	ZoneOf  map[string]string       // zone, by endpoint
@@ -77,7 +77,7 @@
 		Load:      map[string]float64{},
 		ZoneOf:    map[string]string{},
 		Malformed: map[string]int{},
-		Starts:    map[string][]Start{},
+		Starts:    map[string][]PilotStart{},
 	}
 }
 
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -135,7 +135,7 @@
 }
 
 // setRecovery looks at the pilots' starts but each one's first.
-func (r *Result) setRecovery(starts map[string][]emulator.Start) {
+func (r *Result) setRecovery(starts map[string][]emulator.PilotStart) {
 	returned := 0.0
 	for _, all := range starts {
 		for _, start := range all[min(1, len(all)):] {
