--- a/internal/emulator/clock.go
+++ b/internal/emulator/clock.go
@@ -42,7 +42,7 @@
 }
 
 // Until advances the clock to a time in ms and runs all timers that are due by then.
-func (c *Clock) Until(at float64) {
+func (c *Clock) AdvanceTo(at float64) {
 	for len(c.heap) > 0 && c.heap[0].at <= at {
 		next := c.pop()
 		c.now = next.at
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -33,7 +33,7 @@
 		for i, x := range times {
 			c.At(float64(x), func() { got = append(got, fmt.Sprint(c.Now(), " ", i)) })
 		}
-		c.Until(9)
+		c.AdvanceTo(9)
 		assert.Equal(rt, want, got)
 	})
 }
@@ -225,7 +225,7 @@
 	w.scheduleClients()
 	sum, looks := 0.0, 0.0
 	for at := 1000.0; at < 200_000; at += 7.3 {
-		w.Until(at)
+		w.AdvanceTo(at)
 		sum, looks = sum+float64(w.endpoints[0].process.inFlight), looks+1
 	}
 	o := w.outcome(0)
@@ -335,7 +335,7 @@
 			for range 1000 {
 				c.After(0, next)
 			}
-			c.Until(math.Inf(1))
+			c.AdvanceTo(math.Inf(1))
 			b.ReportMetric(float64(c.Events)/time.Since(began).Seconds(), "plain-events/s")
 		})
 	}
--- a/internal/emulator/play.go
+++ b/internal/emulator/play.go
@@ -92,7 +92,7 @@
 	end := milliseconds(p.Scenario.Length) + 2*slices.Max(w.timeoutsMs)
 	for at := 0.0; at < end; {
 		at = min(at+stepMs, end)
-		w.Until(at)
+		w.AdvanceTo(at)
 		if w.err != nil {
 			return nil, w.err
 		}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -140,7 +140,7 @@
 	if !w.Scenario.ListEmpty {
 		w.listAll()
 	}
-	w.Until(0)
+	w.AdvanceTo(0)
 	w.assignSlices()
 	if !w.WithoutPilots {
 		w.startPilots()
