--- a/internal/emulator/faults_network.go
+++ b/internal/emulator/faults_network.go
@@ -44,7 +44,7 @@
 
 // endSilentStreams ends the streams whose link is still cut once missedHeartbeats heartbeat intervals have passed.
 func (w *World) endSilentStreams() {
-	w.After(missedHeartbeats*milliseconds(w.Scenario.Beat), func() {
+	w.After(missedHeartbeats*milliseconds(w.Scenario.HeartbeatInterval), func() {
 		for _, proxy := range w.proxies {
 			if s := proxy.stream(); s != nil && !w.network.reachable(proxy.location, s.pilot.location) {
 				s.end(true)
--- a/internal/rehearsal/pilots.go
+++ b/internal/rehearsal/pilots.go
@@ -59,7 +59,7 @@
 	settings.Listen = net.JoinHostPort(network.Host, "0")
 	settings.Admin = ""
 	settings.ListAddress = s.registry.Address()
-	settings.Beat = s.Scenario.Beat
+	settings.Beat = s.Scenario.HeartbeatInterval
 	settings.WriteDeadline = s.Scenario.WriteWithin
 	settings.ListSilence = listSilence
 	settings.SeenWithin = s.Scenario.DrainGrace / 2
