--- a/internal/rehearsal/pilots.go
+++ b/internal/rehearsal/pilots.go
@@ -60,7 +60,7 @@
 	settings.Admin = ""
 	settings.ListAddress = s.registry.Address()
 	settings.Beat = s.Scenario.HeartbeatInterval
-	settings.WriteDeadline = s.Scenario.WriteWithin
+	settings.WriteDeadline = s.Scenario.WriteTimeout
 	settings.ListSilence = listSilence
 	settings.SeenWithin = s.Scenario.DrainGrace / 2
 	settings.IntakeLinesPerS = s.Scenario.IntakeLinesPerS
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -31,7 +31,7 @@
 	Apply             time.Duration `json:"Apply"`        // time that a proxy takes to apply one line
 	EjectFor          time.Duration `json:"EjectFor"`     // time for which a proxy ejects a failing endpoint
 	HeartbeatInterval time.Duration `json:"Beat"`         // heartbeat interval
-	WriteWithin       time.Duration `json:"WriteWithin"`  // write deadline of a stream
+	WriteTimeout      time.Duration `json:"WriteWithin"`  // write deadline of a stream
 	NoisyReports      float64       `json:"NoisyReports"` // relative standard deviation of load report figures
 	OneWayDelay       time.Duration `json:"Way"`          // one-way network delay (emulator only)
 
@@ -102,7 +102,7 @@
 		Apply:             20 * time.Microsecond,
 		EjectFor:          3 * time.Second,
 		HeartbeatInterval: 300 * time.Millisecond,
-		WriteWithin:       800 * time.Millisecond,
+		WriteTimeout:      800 * time.Millisecond,
 		NoisyReports:      0.08,
 		OneWayDelay:       100 * time.Microsecond,
 
