--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -71,7 +71,7 @@
 		entries:         map[string]wire.Entry{},
 		dialDelayMs:     map[string]float64{},
 		classIndex:      map[string]int{},
-		redialMs:        milliseconds(s.Redial),
+		redialMs:        milliseconds(s.RedialDelay),
 		applyMs:         milliseconds(s.Apply),
 		reportPeriodMs:  milliseconds(s.Period),
 		firstWaitFactor: s.FirstWait,
--- a/internal/rehearsal/proxies.go
+++ b/internal/rehearsal/proxies.go
@@ -74,7 +74,7 @@
 		StaticTable:          func() []string { return s.drawStaticTable(zone) },
 		Dial:                 s.network.Dialer(network.Place{Name: name, Zone: zone}, proxyDialTimeout),
 		DialTimeout:          endpointDialTimeout,
-		RedialPause:          s.Scenario.Redial,
+		RedialPause:          s.Scenario.RedialDelay,
 		ApplyPerLine:         s.Scenario.Apply,
 		FirstAttemptShare:    s.Scenario.FirstWait,
 		LatencyObjectives:    targets,
--- a/internal/scenario/blocks.go
+++ b/internal/scenario/blocks.go
@@ -53,7 +53,7 @@
 		config.Field{Name: "pilots", Into: &s.PilotZones},
 		config.Field{Name: "proxies", Into: &s.ProxyZones},
 		config.Field{Name: "standing", Into: &s.Standing},
-		config.Field{Name: "redial", Into: &s.Redial},
+		config.Field{Name: "redial", Into: &s.RedialDelay},
 		config.Field{Name: "apply", Into: &s.Apply},
 		config.Field{Name: "eject_for", Into: &s.EjectFor},
 		config.Field{Name: "beat", Into: &s.HeartbeatInterval, Min: 0.02},
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -27,7 +27,7 @@
 	Keys              bool          `json:"Keys"`         // use TLS, with a certificate authority created for the run
 	Record            bool          `json:"Record"`       // pilots record their inputs and use the record to recover
 	Standing          int           `json:"Standing"`     // number of endpoints in a proxy's static table
-	Redial            time.Duration `json:"Redial"`       // mean backoff before a proxy connects again
+	RedialDelay       time.Duration `json:"Redial"`       // mean backoff before a proxy connects again
 	Apply             time.Duration `json:"Apply"`        // time that a proxy takes to apply one line
 	EjectFor          time.Duration `json:"EjectFor"`     // time for which a proxy ejects a failing endpoint
 	HeartbeatInterval time.Duration `json:"Beat"`         // heartbeat interval
@@ -98,7 +98,7 @@
 
 		ProxyMultiple:     1,
 		Standing:          4,
-		Redial:            300 * time.Millisecond,
+		RedialDelay:       300 * time.Millisecond,
 		Apply:             20 * time.Microsecond,
 		EjectFor:          3 * time.Second,
 		HeartbeatInterval: 300 * time.Millisecond,
