--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -72,7 +72,7 @@
 		dialDelayMs:     map[string]float64{},
 		classIndex:      map[string]int{},
 		redialMs:        milliseconds(s.RedialDelay),
-		applyMs:         milliseconds(s.Apply),
+		applyMs:         milliseconds(s.ApplyTimePerLine),
 		reportPeriodMs:  milliseconds(s.Period),
 		firstWaitFactor: s.FirstWait,
 		muteLimitMs:     milliseconds(s.DrainGrace) / 2,
--- a/internal/rehearsal/proxies.go
+++ b/internal/rehearsal/proxies.go
@@ -75,7 +75,7 @@
 		Dial:                 s.network.Dialer(network.Place{Name: name, Zone: zone}, proxyDialTimeout),
 		DialTimeout:          endpointDialTimeout,
 		RedialPause:          s.Scenario.RedialDelay,
-		ApplyPerLine:         s.Scenario.Apply,
+		ApplyPerLine:         s.Scenario.ApplyTimePerLine,
 		FirstAttemptShare:    s.Scenario.FirstWait,
 		LatencyObjectives:    targets,
 		ClientTimeouts:       limits,
--- a/internal/scenario/blocks.go
+++ b/internal/scenario/blocks.go
@@ -54,7 +54,7 @@
 		config.Field{Name: "proxies", Into: &s.ProxyZones},
 		config.Field{Name: "standing", Into: &s.Standing},
 		config.Field{Name: "redial", Into: &s.RedialDelay},
-		config.Field{Name: "apply", Into: &s.Apply},
+		config.Field{Name: "apply", Into: &s.ApplyTimePerLine},
 		config.Field{Name: "eject_for", Into: &s.EjectFor},
 		config.Field{Name: "beat", Into: &s.HeartbeatInterval, Min: 0.02},
 		config.Field{Name: "write_within", Into: &s.WriteTimeout, Min: 0.05},
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -28,7 +28,7 @@
 	Record            bool          `json:"Record"`       // pilots record their inputs and use the record to recover
 	Standing          int           `json:"Standing"`     // number of endpoints in a proxy's static table
 	RedialDelay       time.Duration `json:"Redial"`       // mean backoff before a proxy connects again
-	Apply             time.Duration `json:"Apply"`        // time that a proxy takes to apply one line
+	ApplyTimePerLine  time.Duration `json:"Apply"`        // time that a proxy takes to apply one line
 	EjectFor          time.Duration `json:"EjectFor"`     // time for which a proxy ejects a failing endpoint
 	HeartbeatInterval time.Duration `json:"Beat"`         // heartbeat interval
 	WriteTimeout      time.Duration `json:"WriteWithin"`  // write deadline of a stream
@@ -99,7 +99,7 @@
 		ProxyMultiple:     1,
 		Standing:          4,
 		RedialDelay:       300 * time.Millisecond,
-		Apply:             20 * time.Microsecond,
+		ApplyTimePerLine:  20 * time.Microsecond,
 		EjectFor:          3 * time.Second,
 		HeartbeatInterval: 300 * time.Millisecond,
 		WriteTimeout:      800 * time.Millisecond,
