--- a/internal/emulator/faults_endpoint.go
+++ b/internal/emulator/faults_endpoint.go
@@ -89,7 +89,7 @@
 }
 
 // listDelayMs returns the delay in ms after which the endpoint list reflects a change.
-func (w *World) listDelayMs() float64 { return milliseconds(w.Scenario.ListLate) }
+func (w *World) listDelayMs() float64 { return milliseconds(w.Scenario.ListDelay) }
 
 // killEndpoint ends an endpoint's process and removes the endpoint from the list after the list delay.
 func (w *World) killEndpoint(e *emulatedEndpoint) {
--- a/internal/rehearsal/faults_endpoint.go
+++ b/internal/rehearsal/faults_endpoint.go
@@ -99,14 +99,14 @@
 // killEndpoint ends an endpoint's process and has the list say so.
 func (s *stage) killEndpoint(e *endpoint.Endpoint) {
 	e.Kill()
-	s.setPhase(e.Name, s.Scenario.ListLate, wire.PhaseGone)
+	s.setPhase(e.Name, s.Scenario.ListDelay, wire.PhaseGone)
 }
 
 // vanishEndpoints cuts endpoints off; at the end they come back cold.
 func (s *stage) vanishEndpoints(ctx context.Context, fault scenario.Fault) error {
 	return s.forEachEndpoint(fault, func(e *endpoint.Endpoint, _ int) error {
 		s.network.SetBlackhole(e.Name, true)
-		s.setPhase(e.Name, lostListFactor*s.Scenario.ListLate, wire.PhaseGone)
+		s.setPhase(e.Name, lostListFactor*s.Scenario.ListDelay, wire.PhaseGone)
 		backoff.Sleep(ctx, fault.For)
 		e.Kill()
 		s.network.SetBlackhole(e.Name, false)
@@ -149,8 +149,8 @@
 }
 
 func (s *stage) drainThenKill(ctx context.Context, fault scenario.Fault, e *endpoint.Endpoint) {
-	s.setPhase(e.Name, s.Scenario.ListLate, wire.PhaseDraining)
-	backoff.Sleep(ctx, s.Scenario.ListLate+fault.For)
+	s.setPhase(e.Name, s.Scenario.ListDelay, wire.PhaseDraining)
+	backoff.Sleep(ctx, s.Scenario.ListDelay+fault.For)
 	s.killEndpoint(e)
 }
 
@@ -164,8 +164,8 @@
 			return err
 		}
 		backoff.Sleep(ctx, fault.Extra)
-		s.setPhase(e.Name, s.Scenario.ListLate, wire.PhaseDraining)
-		backoff.Sleep(ctx, s.Scenario.ListLate+s.Scenario.DrainGrace+replaceSlack)
+		s.setPhase(e.Name, s.Scenario.ListDelay, wire.PhaseDraining)
+		backoff.Sleep(ctx, s.Scenario.ListDelay+s.Scenario.DrainGrace+replaceSlack)
 		s.killEndpoint(e)
 		return nil
 	})
@@ -195,7 +195,7 @@
 	if err := e.Start(true); err != nil {
 		return err
 	}
-	s.updateEntry(e.Name, s.Scenario.ListLate, func(entry *wire.Entry) {
+	s.updateEntry(e.Name, s.Scenario.ListDelay, func(entry *wire.Entry) {
 		entry.Phase = wire.PhaseReady
 		entry.Started = registry.Stamp(time.Now())
 	})
@@ -211,6 +211,6 @@
 	if err := s.addEndpoint(name, group, true); err != nil {
 		return fmt.Errorf("replace %s: %w", e.Name, err)
 	}
-	s.updateEntry(name, s.Scenario.ListLate, func(*wire.Entry) {})
+	s.updateEntry(name, s.Scenario.ListDelay, func(*wire.Entry) {})
 	return nil
 }
--- a/internal/rehearsal/faults_zone.go
+++ b/internal/rehearsal/faults_zone.go
@@ -18,7 +18,7 @@
 	endpoints := s.faultEndpoints(fault)
 	for _, e := range endpoints {
 		e.Kill()
-		s.setPhase(e.Name, lostListFactor*s.Scenario.ListLate, wire.PhaseGone)
+		s.setPhase(e.Name, lostListFactor*s.Scenario.ListDelay, wire.PhaseGone)
 	}
 	var proxies []*proxy.Proxy
 	var pilots []*pilot
--- a/internal/scenario/blocks.go
+++ b/internal/scenario/blocks.go
@@ -75,7 +75,7 @@
 // listBlock returns the block list: the state of the endpoint list.
 func (s *Scenario) listBlock() config.Block {
 	return config.SingleBlock("list",
-		config.Field{Name: "late", Into: &s.ListLate},
+		config.Field{Name: "late", Into: &s.ListDelay},
 		config.Field{Name: "empty", Into: &s.ListEmpty},
 	)
 }
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -41,7 +41,7 @@
 	IgnoresPace     []string `json:"Heedless"`        // names of the proxies that ignore requests to report less
 
 	// Endpoint list.
-	ListLate  time.Duration `json:"ListLate"`  // delay between a change and its appearance in the list
+	ListDelay time.Duration `json:"ListLate"`  // delay between a change and its appearance in the list
 	ListEmpty bool          `json:"ListEmpty"` // the list is empty at the start
 
 	// Clients.
@@ -108,7 +108,7 @@
 
 		IntakeLinesPerS: 20_000,
 		IntakeStanding:  10_000,
-		ListLate:        700 * time.Millisecond,
+		ListDelay:       700 * time.Millisecond,
 
 		Rate:    100,
 		Backoff: 100 * time.Millisecond,
