--- a/internal/scenario/blocks.go
+++ b/internal/scenario/blocks.go
@@ -58,7 +58,7 @@
 		config.Field{Name: "eject_for", Into: &s.EjectFor},
 		config.Field{Name: "beat", Into: &s.HeartbeatInterval, Min: 0.02},
 		config.Field{Name: "write_within", Into: &s.WriteTimeout, Min: 0.05},
-		config.Field{Name: "report_noise", Into: &s.NoisyReports},
+		config.Field{Name: "report_noise", Into: &s.ReportNoise},
 		config.Field{Name: "way", Into: &s.OneWayDelay},
 	)
 }
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -32,7 +32,7 @@
 	EjectFor          time.Duration `json:"EjectFor"`     // time for which a proxy ejects a failing endpoint
 	HeartbeatInterval time.Duration `json:"Beat"`         // heartbeat interval
 	WriteTimeout      time.Duration `json:"WriteWithin"`  // write deadline of a stream
-	NoisyReports      float64       `json:"NoisyReports"` // relative standard deviation of load report figures
+	ReportNoise       float64       `json:"NoisyReports"` // relative standard deviation of load report figures
 	OneWayDelay       time.Duration `json:"Way"`          // one-way network delay (emulator only)
 
 	// Telemetry.
@@ -103,7 +103,7 @@
 		EjectFor:          3 * time.Second,
 		HeartbeatInterval: 300 * time.Millisecond,
 		WriteTimeout:      800 * time.Millisecond,
-		NoisyReports:      0.08,
+		ReportNoise:       0.08,
 		OneWayDelay:       100 * time.Microsecond,
 
 		IntakeLinesPerS: 20_000,
--- a/internal/testbed/endpoint/scenario.go
+++ b/internal/testbed/endpoint/scenario.go
@@ -35,7 +35,7 @@
 		HandshakeMs:      float64(g.Handshake) / float64(time.Millisecond),
 		ReportEvery:      loadReportEvery,
 		ReportLag:        loadReportLag,
-		ReportNoise:      s.NoisyReports,
+		ReportNoise:      s.ReportNoise,
 		WarmUp:           s.Cold,
 		WarmUpFrom:       s.ColdFrom,
 		OverloadMultiple: s.FallMultiple,
