--- a/internal/experiment/factors.go
+++ b/internal/experiment/factors.go
@@ -23,7 +23,7 @@
 	"report_s":  func(s *scenario.Scenario, level float64) { s.Period = scaled(level, time.Second) },
 	"way_ms":    func(s *scenario.Scenario, level float64) { s.OneWayDelay = scaled(level, time.Millisecond) },
 	"record":    func(s *scenario.Scenario, level float64) { s.Record = level > 0 },
-	"uneven":    func(s *scenario.Scenario, level float64) { s.Uneven = level },
+	"uneven":    func(s *scenario.Scenario, level float64) { s.ClientRateSpread = level },
 	"length_s":  func(s *scenario.Scenario, level float64) { s.Length = scaled(level, time.Second) },
 }
 
--- a/internal/scenario/blocks.go
+++ b/internal/scenario/blocks.go
@@ -86,7 +86,7 @@
 		config.Field{Name: "rate", Into: &s.Rate, Min: 0.1},
 		config.Field{Name: "retries", Into: &s.Retries},
 		config.Field{Name: "backoff", Into: &s.Backoff},
-		config.Field{Name: "uneven", Into: &s.Uneven},
+		config.Field{Name: "uneven", Into: &s.ClientRateSpread},
 	)
 }
 
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -45,11 +45,11 @@
 	ListEmpty bool          `json:"ListEmpty"` // the list is empty at the start
 
 	// Clients.
-	Rate    float64       `json:"Rate"`    // requests per second of all clients
-	Retries int           `json:"Retries"` // maximum number of retries by a client for each request
-	Backoff time.Duration `json:"Backoff"` // minimum delay between a client's attempts
-	Uneven  float64       `json:"Uneven"`  // standard deviation of the logarithm of the clients' relative rates
-	Demands []Demand      `json:"Demands"` // one for each request class that clients send
+	Rate             float64       `json:"Rate"`    // requests per second of all clients
+	Retries          int           `json:"Retries"` // maximum number of retries by a client for each request
+	Backoff          time.Duration `json:"Backoff"` // minimum delay between a client's attempts
+	ClientRateSpread float64       `json:"Uneven"`  // standard deviation of the logarithm of the clients' relative rates
+	Demands          []Demand      `json:"Demands"` // one for each request class that clients send
 
 	Groups []Group `json:"Groups"`   // endpoints of the fleet
 	Faults []Fault `json:"Troubles"` // sorted by At
@@ -110,9 +110,9 @@
 		IntakeStanding:  10_000,
 		ListDelay:       700 * time.Millisecond,
 
-		Rate:    100,
-		Backoff: 100 * time.Millisecond,
-		Uneven:  0.5,
+		Rate:             100,
+		Backoff:          100 * time.Millisecond,
+		ClientRateSpread: 0.5,
 	}
 	s.Fall = time.Second
 	s.Cold = 8 * time.Second
--- a/internal/testbed/loadgen/load.go
+++ b/internal/testbed/loadgen/load.go
@@ -91,7 +91,7 @@
 	}
 	random := rand.New(rand.NewPCG(uint64(s.Seed), weightStream))
 	for range s.ProxyZones {
-		load.Weights = append(load.Weights, math.Exp(s.Uneven*random.NormFloat64()))
+		load.Weights = append(load.Weights, math.Exp(s.ClientRateSpread*random.NormFloat64()))
 	}
 	for _, fault := range s.Faults {
 		if spike, ok := spikeOf(fault, s.ProxyZones); ok {
