--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -140,7 +140,7 @@
 	if len(near) >= minSameZoneEndpoints {
 		candidates = near
 	}
-	count := min(len(candidates), w.Scenario.Standing)
+	count := min(len(candidates), w.Scenario.BootstrapEndpoints)
 	for i := range count { // the first steps of a Fisher-Yates shuffle
 		j := i + w.random.IntN(len(candidates)-i)
 		candidates[i], candidates[j] = candidates[j], candidates[i]
--- a/internal/rehearsal/endpoints.go
+++ b/internal/rehearsal/endpoints.go
@@ -87,5 +87,5 @@
 		candidates = near
 	}
 	s.random.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
-	return candidates[:min(len(candidates), s.Scenario.Standing)]
+	return candidates[:min(len(candidates), s.Scenario.BootstrapEndpoints)]
 }
--- a/internal/scenario/blocks.go
+++ b/internal/scenario/blocks.go
@@ -52,7 +52,7 @@
 		config.Field{Name: "times", Into: &s.ProxyMultiple, Min: 1, Max: 100000},
 		config.Field{Name: "pilots", Into: &s.PilotZones},
 		config.Field{Name: "proxies", Into: &s.ProxyZones},
-		config.Field{Name: "standing", Into: &s.Standing},
+		config.Field{Name: "standing", Into: &s.BootstrapEndpoints},
 		config.Field{Name: "redial", Into: &s.RedialDelay},
 		config.Field{Name: "apply", Into: &s.ApplyTimePerLine},
 		config.Field{Name: "eject_for", Into: &s.EjectFor},
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -20,20 +20,20 @@
 	Seed   int           `json:"Seed"`   // seed of all random numbers
 
 	// Fleet.
-	PilotZones        []string      `json:"PilotZones"`   // zone of each pilot
-	ProxyZones        []string      `json:"ProxyZones"`   // zone of each proxy
-	ProxyMultiple     int           `json:"Times"`        // number of repetitions of the list ProxyZones
-	OverGRPC          []string      `json:"OverGRPC"`     // names or patterns of the proxies that connect over gRPC
-	Keys              bool          `json:"Keys"`         // use TLS, with a certificate authority created for the run
-	Record            bool          `json:"Record"`       // pilots record their inputs and use the record to recover
-	Standing          int           `json:"Standing"`     // number of endpoints in a proxy's static table
-	RedialDelay       time.Duration `json:"Redial"`       // mean backoff before a proxy connects again
-	ApplyTimePerLine  time.Duration `json:"Apply"`        // time that a proxy takes to apply one line
-	EjectFor          time.Duration `json:"EjectFor"`     // time for which a proxy ejects a failing endpoint
-	HeartbeatInterval time.Duration `json:"Beat"`         // heartbeat interval
-	WriteTimeout      time.Duration `json:"WriteWithin"`  // write deadline of a stream
-	ReportNoise       float64       `json:"NoisyReports"` // relative standard deviation of load report figures
-	OneWayDelay       time.Duration `json:"Way"`          // one-way network delay (emulator only)
+	PilotZones         []string      `json:"PilotZones"`   // zone of each pilot
+	ProxyZones         []string      `json:"ProxyZones"`   // zone of each proxy
+	ProxyMultiple      int           `json:"Times"`        // number of repetitions of the list ProxyZones
+	OverGRPC           []string      `json:"OverGRPC"`     // names or patterns of the proxies that connect over gRPC
+	Keys               bool          `json:"Keys"`         // use TLS, with a certificate authority created for the run
+	Record             bool          `json:"Record"`       // pilots record their inputs and use the record to recover
+	BootstrapEndpoints int           `json:"Standing"`     // number of endpoints in a proxy's static table
+	RedialDelay        time.Duration `json:"Redial"`       // mean backoff before a proxy connects again
+	ApplyTimePerLine   time.Duration `json:"Apply"`        // time that a proxy takes to apply one line
+	EjectFor           time.Duration `json:"EjectFor"`     // time for which a proxy ejects a failing endpoint
+	HeartbeatInterval  time.Duration `json:"Beat"`         // heartbeat interval
+	WriteTimeout       time.Duration `json:"WriteWithin"`  // write deadline of a stream
+	ReportNoise        float64       `json:"NoisyReports"` // relative standard deviation of load report figures
+	OneWayDelay        time.Duration `json:"Way"`          // one-way network delay (emulator only)
 
 	// Telemetry.
 	IntakeLinesPerS float64  `json:"IntakeLinesPerS"` // load report lines that a pilot processes per second
@@ -96,15 +96,15 @@
 		Length: 40 * time.Second,
 		Seed:   1,
 
-		ProxyMultiple:     1,
-		Standing:          4,
-		RedialDelay:       300 * time.Millisecond,
-		ApplyTimePerLine:  20 * time.Microsecond,
-		EjectFor:          3 * time.Second,
-		HeartbeatInterval: 300 * time.Millisecond,
-		WriteTimeout:      800 * time.Millisecond,
-		ReportNoise:       0.08,
-		OneWayDelay:       100 * time.Microsecond,
+		ProxyMultiple:      1,
+		BootstrapEndpoints: 4,
+		RedialDelay:        300 * time.Millisecond,
+		ApplyTimePerLine:   20 * time.Microsecond,
+		EjectFor:           3 * time.Second,
+		HeartbeatInterval:  300 * time.Millisecond,
+		WriteTimeout:       800 * time.Millisecond,
+		ReportNoise:        0.08,
+		OneWayDelay:        100 * time.Microsecond,
 
 		IntakeLinesPerS: 20_000,
 		IntakeStanding:  10_000,
