--- a/internal/emulator/commands_test.go
+++ b/internal/emulator/commands_test.go
@@ -140,7 +140,7 @@
 		d, err := s.read()
 		require.NoError(t, err)
 		for _, fault := range d.Faults {
-			struck[fault.What] = true
+			struck[fault.Type] = true
 		}
 	}
 	for _, what := range []string{
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -64,7 +64,7 @@
 // playFault injects a fault. The handler also schedules the end of the fault. Fault types without a handler are
 // ignored.
 func (w *World) playFault(fault scenario.Fault) {
-	if handler := faultHandlers[fault.What]; handler != nil {
+	if handler := faultHandlers[fault.Type]; handler != nil {
 		handler(w, fault)
 	}
 }
--- a/internal/rehearsal/faults.go
+++ b/internal/rehearsal/faults.go
@@ -58,7 +58,7 @@
 
 // playFault plays a fault from its beginning to its end, or until ctx ends.
 func (s *stage) playFault(ctx context.Context, fault scenario.Fault) error {
-	handler := faultHandlers[fault.What]
+	handler := faultHandlers[fault.Type]
 	if handler == nil {
 		return nil
 	}
--- a/internal/rehearsal/pilots.go
+++ b/internal/rehearsal/pilots.go
@@ -69,7 +69,7 @@
 	if s.Scenario.Keys {
 		settings.Keys = s.pilotKeys(p)
 	}
-	if slices.ContainsFunc(s.Scenario.Faults, func(f scenario.Fault) bool { return f.What == faultHandover }) {
+	if slices.ContainsFunc(s.Scenario.Faults, func(f scenario.Fault) bool { return f.Type == faultHandover }) {
 		settings.Handover = filepath.Join(s.Records, p.name+".sock")
 	}
 	if s.Scenario.Record {
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -16,7 +16,7 @@
 
 // Fault is one fault of a scenario. Which of the fields are used depends on What, as described in docs/rehearsal.md.
 type Fault struct {
-	What  string        `json:"What"`  // fault type, one of faultTypes
+	Type  string        `json:"What"`  // fault type, one of faultTypes
 	At    time.Duration `json:"At"`    // start, from the start of the scenario
 	For   time.Duration `json:"For"`   // duration of the fault
 	Who   []string      `json:"Who"`   // names or patterns of affected endpoints, proxies or pilots; empty: all
@@ -42,7 +42,7 @@
 
 // readFault decodes a block trouble "TYPE".
 func (s *Scenario) readFault(labels []string, body *hclsyntax.Body) hcl.Diagnostics {
-	fault := Fault{What: labels[0]}
+	fault := Fault{Type: labels[0]}
 	diags := config.Read(body, []config.Field{
 		{Name: "at", Into: &fault.At},
 		{Name: "for", Into: &fault.For},
@@ -56,9 +56,9 @@
 		{Name: "every", Into: &fault.Every},
 		{Name: "extra", Into: &fault.Extra},
 	}, nil)
-	if !slices.Contains(faultTypes, fault.What) {
+	if !slices.Contains(faultTypes, fault.Type) {
 		diags = append(diags, config.Diagnostic(body.SrcRange, "unknown trouble %q, want one of %s",
-			fault.What, strings.Join(faultTypes, ", ")))
+			fault.Type, strings.Join(faultTypes, ", ")))
 	}
 	s.Faults = append(s.Faults, fault)
 	return diags
@@ -105,7 +105,7 @@
 
 // String describes the fault in one line.
 func (f Fault) String() string {
-	parts := []string{f.What}
+	parts := []string{f.Type}
 	if len(f.Who) > 0 {
 		parts = append(parts, strings.Join(f.Who, ","))
 	}
--- a/internal/scenario/read.go
+++ b/internal/scenario/read.go
@@ -98,7 +98,7 @@
 	}
 	for _, fault := range s.Faults {
 		if fault.At > s.Length {
-			errorf("trouble %q starts after the end of the scenario", fault.What)
+			errorf("trouble %q starts after the end of the scenario", fault.Type)
 		}
 	}
 	return diags
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -60,7 +60,7 @@
 	assert.Equal(t, []string{"a", "b", "a", "b", "a", "b"}, s.ProxyZones)
 	assert.Equal(t, 6, s.Proxies)
 	assert.Equal(t, 2, s.Instances)
-	assert.Equal(t, []string{"crash", "hang"}, []string{s.Faults[0].What, s.Faults[1].What}, "sorted by time")
+	assert.Equal(t, []string{"crash", "hang"}, []string{s.Faults[0].Type, s.Faults[1].Type}, "sorted by time")
 }
 
 // TestInherit checks that a scenario inherits everything from another one except its faults.
@@ -139,7 +139,7 @@
 
 // TestFaultString checks the one-line description of a fault.
 func TestFaultString(t *testing.T) {
-	fault := Fault{What: "zone_loss", Who: []string{"x", "y"}, Zone: "a", Kind: "read", For: 2 * time.Second}
+	fault := Fault{Type: "zone_loss", Who: []string{"x", "y"}, Zone: "a", Kind: "read", For: 2 * time.Second}
 	assert.Equal(t, "zone_loss x,y a read for 2s", fault.String())
-	assert.Equal(t, "hang", Fault{What: "hang"}.String())
+	assert.Equal(t, "hang", Fault{Type: "hang"}.String())
 }
--- a/internal/search/draw.go
+++ b/internal/search/draw.go
@@ -151,7 +151,7 @@
 	if kind >= len(faultKinds) {
 		return g.drawComposedFaults(fault)
 	}
-	fault.What = faultKinds[kind].name
+	fault.Type = faultKinds[kind].name
 	faultKinds[kind].draw(g, &fault)
 	return []scenario.Fault{fault}
 }
@@ -203,12 +203,12 @@
 	fault := frame
 	switch g.random.IntN(5) {
 	case 0:
-		fault.What = "list_down"
+		fault.Type = "list_down"
 	case 1:
-		fault.What = "pilot_pause"
+		fault.Type = "pilot_pause"
 		fault.Count = 1
 	case 2:
-		fault.What = "counter_down"
+		fault.Type = "counter_down"
 		fault.Part = g.random.Float64()
 	default:
 		return nil
@@ -238,7 +238,7 @@
 // frame's duration, and lasts for the fraction lasts of it. Both fractions may exceed 1.
 func derivedFault(frame scenario.Fault, name, pattern string, after, lasts float64) scenario.Fault {
 	fault := frame
-	fault.What = name
+	fault.Type = name
 	fault.Who = []string{pattern}
 	fault.At = frame.At + time.Duration(after*float64(frame.For))
 	fault.For = time.Duration(lasts * float64(frame.For))
--- a/internal/search/search_test.go
+++ b/internal/search/search_test.go
@@ -23,7 +23,7 @@
 		assert.Len(t, x.Faults, len(d.Faults))
 		assert.Equal(t, d.Text(), Draw(seed, 10+seed).Text())
 		for _, tr := range x.Faults {
-			whats[tr.What] = true
+			whats[tr.Type] = true
 		}
 	}
 	assert.Greater(t, len(whats), 22)
@@ -53,8 +53,8 @@
 		return neverExcludes{planner.New(seed, terms)}
 	}}
 	d := Draw(7, 12)
-	d.Faults = append(d.Faults, scenario.Fault{What: "drain", At: 9e9, For: 8e9, Part: 0.3}, scenario.Fault{What: "burst", At: 4e9, For: 2e9, Size: 1.2},
-		scenario.Fault{What: "reconnect", At: 6e9, Part: 0.5})
+	d.Faults = append(d.Faults, scenario.Fault{Type: "drain", At: 9e9, For: 8e9, Part: 0.3}, scenario.Fault{Type: "burst", At: 4e9, For: 2e9, Size: 1.2},
+		scenario.Fault{Type: "reconnect", At: 6e9, Part: 0.5})
 	d.sortFaults()
 	f, err := s.Play(t.Context(), d)
 	require.NoError(t, err)
@@ -64,7 +64,7 @@
 	small, err := s.Shrink(t.Context(), f)
 	require.NoError(t, err)
 	require.Len(t, small.Draft.Faults, 1, "%s", small.Draft.Text())
-	assert.Contains(t, []string{"drain", "preempt", "replace", "crash", "vanish", "zone_loss"}, small.Draft.Faults[0].What)
+	assert.Contains(t, []string{"drain", "preempt", "replace", "crash", "vanish", "zone_loss"}, small.Draft.Faults[0].Type)
 	kept, err := (&Search{}).Play(t.Context(), small.Draft)
 	require.NoError(t, err)
 	assert.Empty(t, kept.ViolatedRules, "the planner without the injected defect")
