--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -16,18 +16,18 @@
 
 // Fault is one fault of a scenario. Which of the fields are used depends on What, as described in docs/rehearsal.md.
 type Fault struct {
-	Type  string        `json:"What"`  // fault type, one of faultTypes
-	At    time.Duration `json:"At"`    // start, from the start of the scenario
-	For   time.Duration `json:"For"`   // duration of the fault
-	Who   []string      `json:"Who"`   // names or patterns of affected endpoints, proxies or pilots; empty: all
-	Zone  string        `json:"Zone"`  // affected zone; "": any
-	Kind  string        `json:"Kind"`  // affected request class; "": all
-	Part  float64       `json:"Part"`  // fraction of the names matching Who, 0 to 1; 0: all
-	Count int           `json:"Count"` // number of the names matching Who; 0: use Part
-	Size  float64       `json:"Size"`  // strength of the fault, in a unit that depends on What
-	Loss  float64       `json:"Loss"`  // probability of a message loss, 0 to 0.9
-	Every time.Duration `json:"Every"` // interval between repetitions, or between affected names
-	Extra time.Duration `json:"Extra"` // additional delay or downtime, depending on What
+	Type           string        `json:"What"`  // fault type, one of faultTypes
+	At             time.Duration `json:"At"`    // start, from the start of the scenario
+	For            time.Duration `json:"For"`   // duration of the fault
+	TargetPatterns []string      `json:"Who"`   // names or patterns of affected endpoints, proxies or pilots; empty: all
+	Zone           string        `json:"Zone"`  // affected zone; "": any
+	Kind           string        `json:"Kind"`  // affected request class; "": all
+	Part           float64       `json:"Part"`  // fraction of the names matching Who, 0 to 1; 0: all
+	Count          int           `json:"Count"` // number of the names matching Who; 0: use Part
+	Size           float64       `json:"Size"`  // strength of the fault, in a unit that depends on What
+	Loss           float64       `json:"Loss"`  // probability of a message loss, 0 to 0.9
+	Every          time.Duration `json:"Every"` // interval between repetitions, or between affected names
+	Extra          time.Duration `json:"Extra"` // additional delay or downtime, depending on What
 }
 
 // faultTypes lists the valid fault types, in the order in which the error about an unknown type lists them.
@@ -46,7 +46,7 @@
 	diags := config.Read(body, []config.Field{
 		{Name: "at", Into: &fault.At},
 		{Name: "for", Into: &fault.For},
-		{Name: "who", Into: &fault.Who},
+		{Name: "who", Into: &fault.TargetPatterns},
 		{Name: "zone", Into: &fault.Zone},
 		{Name: "kind", Into: &fault.Kind},
 		{Name: "part", Into: &fault.Part, Max: 1},
@@ -83,10 +83,10 @@
 
 // matches reports whether Who includes a name. Malformed patterns match nothing.
 func (f Fault) matches(name string) bool {
-	if len(f.Who) == 0 {
+	if len(f.TargetPatterns) == 0 {
 		return true
 	}
-	return slices.ContainsFunc(f.Who, func(pattern string) bool {
+	return slices.ContainsFunc(f.TargetPatterns, func(pattern string) bool {
 		ok, err := path.Match(pattern, name)
 		return err == nil && ok
 	})
@@ -106,8 +106,8 @@
 // String describes the fault in one line.
 func (f Fault) String() string {
 	parts := []string{f.Type}
-	if len(f.Who) > 0 {
-		parts = append(parts, strings.Join(f.Who, ","))
+	if len(f.TargetPatterns) > 0 {
+		parts = append(parts, strings.Join(f.TargetPatterns, ","))
 	}
 	if f.Zone != "" {
 		parts = append(parts, f.Zone)
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -119,10 +119,10 @@
 		count int
 	}{
 		{"all", Fault{}, names, 4},
-		{"by pattern", Fault{Who: []string{"a-*"}}, names[:3], 3},
-		{"by name or pattern", Fault{Who: []string{"b-1", "*-3"}}, names[2:], 2},
-		{"malformed pattern", Fault{Who: []string{"["}}, nil, 0},
-		{"fraction, rounded up", Fault{Who: []string{"a-*"}, Part: 0.5}, names[:3], 2},
+		{"by pattern", Fault{TargetPatterns: []string{"a-*"}}, names[:3], 3},
+		{"by name or pattern", Fault{TargetPatterns: []string{"b-1", "*-3"}}, names[2:], 2},
+		{"malformed pattern", Fault{TargetPatterns: []string{"["}}, nil, 0},
+		{"fraction, rounded up", Fault{TargetPatterns: []string{"a-*"}, Part: 0.5}, names[:3], 2},
 		{"number", Fault{Count: 3}, names, 3},
 		{"number before fraction", Fault{Count: 1, Part: 1}, names, 1},
 		{"number beyond all", Fault{Count: 9}, names, 4},
@@ -139,7 +139,7 @@
 
 // TestFaultString checks the one-line description of a fault.
 func TestFaultString(t *testing.T) {
-	fault := Fault{Type: "zone_loss", Who: []string{"x", "y"}, Zone: "a", Kind: "read", For: 2 * time.Second}
+	fault := Fault{Type: "zone_loss", TargetPatterns: []string{"x", "y"}, Zone: "a", Kind: "read", For: 2 * time.Second}
 	assert.Equal(t, "zone_loss x,y a read for 2s", fault.String())
 	assert.Equal(t, "hang", Fault{Type: "hang"}.String())
 }
--- a/internal/search/draw.go
+++ b/internal/search/draw.go
@@ -239,7 +239,7 @@
 func derivedFault(frame scenario.Fault, name, pattern string, after, lasts float64) scenario.Fault {
 	fault := frame
 	fault.Type = name
-	fault.Who = []string{pattern}
+	fault.TargetPatterns = []string{pattern}
 	fault.At = frame.At + time.Duration(after*float64(frame.For))
 	fault.For = time.Duration(lasts * float64(frame.For))
 	return fault
--- a/internal/search/text.go
+++ b/internal/search/text.go
@@ -63,8 +63,8 @@
 // writeFault writes a trouble block. Except for what and at, zero values are omitted.
 func writeFault(b *strings.Builder, f *scenario.Fault) {
 	fmt.Fprintf(b, "trouble %q {\n  at = %q\n", f.Type, f.At)
-	if len(f.Who) > 0 {
-		fmt.Fprintf(b, "  who = %s\n", quotedList(f.Who))
+	if len(f.TargetPatterns) > 0 {
+		fmt.Fprintf(b, "  who = %s\n", quotedList(f.TargetPatterns))
 	}
 	writeDuration(b, "for", f.For)
 	writeDuration(b, "every", f.Every)
