--- a/internal/emulator/faults_endpoint.go
+++ b/internal/emulator/faults_endpoint.go
@@ -50,7 +50,7 @@
 // scheduleRepair schedules the reset of the fault mode and the dial delay of the affected endpoints at the end of
 // the fault.
 func (w *World) scheduleRepair(fault scenario.Fault, affected []*emulatedEndpoint) {
-	w.After(milliseconds(fault.For), func() {
+	w.After(milliseconds(fault.Duration), func() {
 		for _, e := range affected {
 			e.fault = endpoint.FaultMode{}
 			delete(w.dialDelayMs, e.Name)
@@ -83,7 +83,7 @@
 func (w *World) pauseEndpoints(fault scenario.Fault) {
 	affected := w.faultEndpoints(fault)
 	for _, e := range affected {
-		e.pausedUntil = w.now + milliseconds(fault.For)
+		e.pausedUntil = w.now + milliseconds(fault.Duration)
 	}
 	w.scheduleRepair(fault, affected)
 }
@@ -103,7 +103,7 @@
 	for _, e := range w.faultEndpoints(fault) {
 		w.setBlackhole(e.Name, true)
 		w.setPhase(e.Name, lostEndpointDelayFactor*w.listDelayMs(), wire.PhaseGone)
-		w.After(milliseconds(fault.For), func() {
+		w.After(milliseconds(fault.Duration), func() {
 			e.kill()
 			w.setBlackhole(e.Name, false)
 			w.restartCold(e)
@@ -115,7 +115,7 @@
 func (w *World) crashEndpoints(fault scenario.Fault) {
 	for _, e := range w.faultEndpoints(fault) {
 		w.killEndpoint(e)
-		w.After(milliseconds(fault.For), func() { w.restartCold(e) })
+		w.After(milliseconds(fault.Duration), func() { w.restartCold(e) })
 	}
 }
 
@@ -148,7 +148,7 @@
 // list was updated, and then calls then.
 func (w *World) drainThenKill(fault scenario.Fault, e *emulatedEndpoint, then func()) {
 	w.setPhase(e.Name, w.listDelayMs(), wire.PhaseDraining)
-	w.After(w.listDelayMs()+milliseconds(fault.For), func() {
+	w.After(w.listDelayMs()+milliseconds(fault.Duration), func() {
 		w.killEndpoint(e)
 		then()
 	})
@@ -171,7 +171,7 @@
 
 // flapEndpoints makes endpoints crash and restart periodically until the fault ends.
 func (w *World) flapEndpoints(fault scenario.Fault) {
-	until := w.now + milliseconds(fault.For)
+	until := w.now + milliseconds(fault.Duration)
 	for i, e := range w.faultEndpoints(fault) {
 		periodMs := milliseconds(fault.Every) * (1 + float64(i)/flapRateSteps)
 		w.flap(e, until, periodMs)
--- a/internal/emulator/faults_network.go
+++ b/internal/emulator/faults_network.go
@@ -56,7 +56,7 @@
 // cutZone partitions a zone from all others until the fault ends.
 func (w *World) cutZone(fault scenario.Fault) {
 	w.setZoneCut(fault.Zone, true)
-	w.After(milliseconds(fault.For), func() { w.setZoneCut(fault.Zone, false) })
+	w.After(milliseconds(fault.Duration), func() { w.setZoneCut(fault.Zone, false) })
 }
 
 // slowZone adds delay and loss to all messages between a zone and the others until the fault ends.
@@ -64,7 +64,7 @@
 	link := w.network.zone(fault.Zone)
 	link.extraDelayMs = milliseconds(fault.Extra)
 	link.loss = fault.Loss
-	w.After(milliseconds(fault.For), func() {
+	w.After(milliseconds(fault.Duration), func() {
 		link.extraDelayMs = 0
 		link.loss = 0
 	})
@@ -73,5 +73,5 @@
 // stopRegistry makes the registry unavailable until the fault ends.
 func (w *World) stopRegistry(fault scenario.Fault) {
 	w.registry.stop()
-	w.After(milliseconds(fault.For), w.registry.resume)
+	w.After(milliseconds(fault.Duration), w.registry.resume)
 }
--- a/internal/emulator/faults_pilot.go
+++ b/internal/emulator/faults_pilot.go
@@ -28,7 +28,7 @@
 func (w *World) killPilots(fault scenario.Fault) {
 	for _, pilot := range w.faultPilots(fault) {
 		pilot.stop(true)
-		w.After(milliseconds(fault.For), pilot.startUnlessRunning)
+		w.After(milliseconds(fault.Duration), pilot.startUnlessRunning)
 	}
 }
 
@@ -46,9 +46,9 @@
 // pausePilots suspends pilots until the fault ends. Meanwhile no message to or from them is delivered.
 func (w *World) pausePilots(fault scenario.Fault) {
 	for _, pilot := range w.faultPilots(fault) {
-		pilot.pausedUntil = w.now + milliseconds(fault.For)
+		pilot.pausedUntil = w.now + milliseconds(fault.Duration)
 		w.setBlackhole(pilot.location.name, true)
-		w.After(milliseconds(fault.For), func() { w.setBlackhole(pilot.location.name, false) })
+		w.After(milliseconds(fault.Duration), func() { w.setBlackhole(pilot.location.name, false) })
 	}
 }
 
@@ -63,7 +63,7 @@
 
 // handOverPilots makes pilots hand over to a new process periodically until the fault ends.
 func (w *World) handOverPilots(fault scenario.Fault) {
-	until := w.now + milliseconds(fault.For)
+	until := w.now + milliseconds(fault.Duration)
 	everyMs := max(milliseconds(fault.Every), minHandoverEveryMs)
 	for _, pilot := range w.faultPilots(fault) {
 		w.handOver(pilot, until, everyMs)
--- a/internal/emulator/faults_proxy.go
+++ b/internal/emulator/faults_proxy.go
@@ -25,7 +25,7 @@
 	for _, proxy := range affected {
 		begin(proxy)
 	}
-	w.After(milliseconds(fault.For), func() {
+	w.After(milliseconds(fault.Duration), func() {
 		for _, proxy := range affected {
 			end(proxy)
 		}
--- a/internal/emulator/faults_zone.go
+++ b/internal/emulator/faults_zone.go
@@ -22,7 +22,7 @@
 		proxies = w.killProxiesOf(fault.Zone)
 		pilots = w.killPilotsOf(fault.Zone)
 	}
-	w.After(milliseconds(fault.For), func() {
+	w.After(milliseconds(fault.Duration), func() {
 		for _, e := range endpoints {
 			w.restartCold(e)
 		}
--- a/internal/rehearsal/faults.go
+++ b/internal/rehearsal/faults.go
@@ -67,14 +67,14 @@
 
 func (s *stage) cutZone(ctx context.Context, fault scenario.Fault) error {
 	s.network.Cut(fault.Zone, true)
-	backoff.Sleep(ctx, fault.For)
+	backoff.Sleep(ctx, fault.Duration)
 	s.network.Cut(fault.Zone, false)
 	return nil
 }
 
 func (s *stage) slowZone(ctx context.Context, fault scenario.Fault) error {
 	s.network.Slow(fault.Zone, fault.Extra, fault.Loss)
-	backoff.Sleep(ctx, fault.For)
+	backoff.Sleep(ctx, fault.Duration)
 	s.network.Slow(fault.Zone, 0, 0)
 	return nil
 }
@@ -82,7 +82,7 @@
 // stopRegistry takes the registry away. At the end of the run it stays so.
 func (s *stage) stopRegistry(ctx context.Context, fault scenario.Fault) error {
 	s.registry.Stop()
-	if !backoff.Sleep(ctx, fault.For) {
+	if !backoff.Sleep(ctx, fault.Duration) {
 		return nil
 	}
 	return s.registry.Start() //nolint:contextcheck // ends in stopAll, not with the fault
--- a/internal/rehearsal/faults_endpoint.go
+++ b/internal/rehearsal/faults_endpoint.go
@@ -68,7 +68,7 @@
 	for _, e := range struck {
 		e.SetFaultMode(mode)
 	}
-	backoff.Sleep(ctx, fault.For)
+	backoff.Sleep(ctx, fault.Duration)
 	for _, e := range struck {
 		e.SetFaultMode(endpoint.FaultMode{})
 		s.network.SlowDial(e.Name, 0)
@@ -107,7 +107,7 @@
 	return s.forEachEndpoint(fault, func(e *endpoint.Endpoint, _ int) error {
 		s.network.SetBlackhole(e.Name, true)
 		s.setPhase(e.Name, lostListFactor*s.Scenario.ListDelay, wire.PhaseGone)
-		backoff.Sleep(ctx, fault.For)
+		backoff.Sleep(ctx, fault.Duration)
 		e.Kill()
 		s.network.SetBlackhole(e.Name, false)
 		return s.restartCold(e)
@@ -117,7 +117,7 @@
 func (s *stage) crashEndpoints(ctx context.Context, fault scenario.Fault) error {
 	return s.forEachEndpoint(fault, func(e *endpoint.Endpoint, _ int) error {
 		s.killEndpoint(e)
-		backoff.Sleep(ctx, fault.For)
+		backoff.Sleep(ctx, fault.Duration)
 		return s.restartCold(e)
 	})
 }
@@ -150,7 +150,7 @@
 
 func (s *stage) drainThenKill(ctx context.Context, fault scenario.Fault, e *endpoint.Endpoint) {
 	s.setPhase(e.Name, s.Scenario.ListDelay, wire.PhaseDraining)
-	backoff.Sleep(ctx, s.Scenario.ListDelay+fault.For)
+	backoff.Sleep(ctx, s.Scenario.ListDelay+fault.Duration)
 	s.killEndpoint(e)
 }
 
@@ -174,7 +174,7 @@
 // flapEndpoints has endpoints fail and recover by turns, each with a period of its own.
 func (s *stage) flapEndpoints(ctx context.Context, fault scenario.Fault) error {
 	return s.forEachEndpoint(fault, func(e *endpoint.Endpoint, i int) error {
-		until := time.Now().Add(fault.For)
+		until := time.Now().Add(fault.Duration)
 		period := fault.Every + time.Duration(i)*fault.Every/flapRateSteps
 		for ctx.Err() == nil && time.Now().Before(until) {
 			if !backoff.Sleep(ctx, period*6/10) {
--- a/internal/rehearsal/faults_pilot.go
+++ b/internal/rehearsal/faults_pilot.go
@@ -29,7 +29,7 @@
 // handOverPilots has new processes take over from the pilots, one pilot after another, until the fault ends.
 func (s *stage) handOverPilots(ctx context.Context, fault scenario.Fault) error {
 	struck := s.faultPilots(fault)
-	until := time.Now().Add(fault.For)
+	until := time.Now().Add(fault.Duration)
 	for ctx.Err() == nil && time.Now().Before(until) {
 		for _, p := range struck {
 			if err := s.handOver(p); err != nil { //nolint:contextcheck // ends in stopAll, not with the fault
@@ -47,7 +47,7 @@
 	for _, p := range struck {
 		s.stopPilot(p, true)
 	}
-	if !backoff.Sleep(ctx, fault.For) {
+	if !backoff.Sleep(ctx, fault.Duration) {
 		return nil
 	}
 	for _, p := range struck {
--- a/internal/rehearsal/faults_proxy.go
+++ b/internal/rehearsal/faults_proxy.go
@@ -29,7 +29,7 @@
 	for _, p := range struck {
 		begin(p)
 	}
-	backoff.Sleep(ctx, fault.For)
+	backoff.Sleep(ctx, fault.Duration)
 	for _, p := range struck {
 		end(p)
 	}
@@ -78,7 +78,7 @@
 	for _, p := range struck {
 		p.Kill()
 	}
-	if !backoff.Sleep(ctx, fault.For) {
+	if !backoff.Sleep(ctx, fault.Duration) {
 		return nil
 	}
 	for _, p := range struck {
--- a/internal/rehearsal/faults_zone.go
+++ b/internal/rehearsal/faults_zone.go
@@ -26,7 +26,7 @@
 		proxies = s.killProxiesOf(fault.Zone)
 		pilots = s.killPilotsOf(fault.Zone)
 	}
-	if !backoff.Sleep(ctx, fault.For) {
+	if !backoff.Sleep(ctx, fault.Duration) {
 		return nil
 	}
 	var errs []error
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -18,7 +18,7 @@
 type Fault struct {
 	Type           string        `json:"What"`  // fault type, one of faultTypes
 	At             time.Duration `json:"At"`    // start, from the start of the scenario
-	For            time.Duration `json:"For"`   // duration of the fault
+	Duration       time.Duration `json:"For"`   // duration of the fault
 	TargetPatterns []string      `json:"Who"`   // names or patterns of affected endpoints, proxies or pilots; empty: all
 	Zone           string        `json:"Zone"`  // affected zone; "": any
 	Kind           string        `json:"Kind"`  // affected request class; "": all
@@ -45,7 +45,7 @@
 	fault := Fault{Type: labels[0]}
 	diags := config.Read(body, []config.Field{
 		{Name: "at", Into: &fault.At},
-		{Name: "for", Into: &fault.For},
+		{Name: "for", Into: &fault.Duration},
 		{Name: "who", Into: &fault.TargetPatterns},
 		{Name: "zone", Into: &fault.Zone},
 		{Name: "kind", Into: &fault.Kind},
@@ -115,8 +115,8 @@
 	if f.Kind != "" {
 		parts = append(parts, f.Kind)
 	}
-	if f.For > 0 {
-		parts = append(parts, "for "+f.For.String())
+	if f.Duration > 0 {
+		parts = append(parts, "for "+f.Duration.String())
 	}
 	return strings.Join(parts, " ")
 }
--- a/internal/search/draw.go
+++ b/internal/search/draw.go
@@ -145,7 +145,7 @@
 // drawFaults returns one random fault, or a composed fault, which consists of several faults.
 func (g *generator) drawFaults() []scenario.Fault {
 	fault := scenario.Fault{At: g.drawDuration(4000, 30000)}
-	fault.For = g.drawDuration(300, 9000)
+	fault.Duration = g.drawDuration(300, 9000)
 	g.zone = zones[g.random.IntN(len(zones))]
 	kind := g.random.IntN(len(faultKinds) + composedFaultWeight)
 	if kind >= len(faultKinds) {
@@ -240,8 +240,8 @@
 	fault := frame
 	fault.Type = name
 	fault.TargetPatterns = []string{pattern}
-	fault.At = frame.At + time.Duration(after*float64(frame.For))
-	fault.For = time.Duration(lasts * float64(frame.For))
+	fault.At = frame.At + time.Duration(after*float64(frame.Duration))
+	fault.Duration = time.Duration(lasts * float64(frame.Duration))
 	return fault
 }
 
--- a/internal/search/neighbours.go
+++ b/internal/search/neighbours.go
@@ -38,8 +38,8 @@
 		moved := c.Faults[i].At + milliseconds(2000*random.NormFloat64())
 		c.Faults[i].At = min(max(0, moved), c.Length-time.Second)
 	case kind == 3:
-		scaled := time.Duration(float64(c.Faults[i].For) * (0.5 + random.Float64()))
-		c.Faults[i].For = max(milliseconds(minMutatedFaultMs), scaled)
+		scaled := time.Duration(float64(c.Faults[i].Duration) * (0.5 + random.Float64()))
+		c.Faults[i].Duration = max(milliseconds(minMutatedFaultMs), scaled)
 	case kind == 4:
 		c.Faults[i].Part = min(1, c.Faults[i].Part*(0.6+random.Float64()))
 	case kind == 5:
@@ -73,8 +73,8 @@
 		add(func(c *Draft) { c.Length = (lastEnd + keptAfterLastFault).Round(time.Second) })
 	}
 	for i, fault := range d.Faults {
-		if fault.For > minHalvedFault {
-			add(func(c *Draft) { c.Faults[i].For = fault.For / 2 })
+		if fault.Duration > minHalvedFault {
+			add(func(c *Draft) { c.Faults[i].Duration = fault.Duration / 2 })
 		}
 	}
 	return list
@@ -91,7 +91,7 @@
 func (d *Draft) lastFaultEnd() time.Duration {
 	var last time.Duration
 	for _, fault := range d.Faults {
-		last = max(last, fault.At+fault.For)
+		last = max(last, fault.At+fault.Duration)
 	}
 	return last
 }
--- a/internal/search/text.go
+++ b/internal/search/text.go
@@ -66,7 +66,7 @@
 	if len(f.TargetPatterns) > 0 {
 		fmt.Fprintf(b, "  who = %s\n", quotedList(f.TargetPatterns))
 	}
-	writeDuration(b, "for", f.For)
+	writeDuration(b, "for", f.Duration)
 	writeDuration(b, "every", f.Every)
 	writeDuration(b, "extra", f.Extra)
 	writeNumber(b, "part", f.Part)
--- a/internal/testbed/loadgen/load.go
+++ b/internal/testbed/loadgen/load.go
@@ -103,7 +103,7 @@
 
 // spikeOf returns how a fault changes the load, or false if it doesn't.
 func spikeOf(fault scenario.Fault, proxyZones []string) (Spike, bool) {
-	spike := Spike{From: fault.At, For: fault.For}
+	spike := Spike{From: fault.At, For: fault.Duration}
 	switch fault.Type {
 	case "burst":
 		spike.Factor = fault.Size
