--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -22,7 +22,7 @@
 	TargetPatterns []string      `json:"Who"`   // names or patterns of affected endpoints, proxies or pilots; empty: all
 	Zone           string        `json:"Zone"`  // affected zone; "": any
 	Kind           string        `json:"Kind"`  // affected request class; "": all
-	Part           float64       `json:"Part"`  // fraction of the names matching Who, 0 to 1; 0: all
+	Fraction       float64       `json:"Part"`  // fraction of the names matching Who, 0 to 1; 0: all
 	Count          int           `json:"Count"` // number of the names matching Who; 0: use Part
 	Size           float64       `json:"Size"`  // strength of the fault, in a unit that depends on What
 	Loss           float64       `json:"Loss"`  // probability of a message loss, 0 to 0.9
@@ -49,7 +49,7 @@
 		{Name: "who", Into: &fault.TargetPatterns},
 		{Name: "zone", Into: &fault.Zone},
 		{Name: "kind", Into: &fault.Kind},
-		{Name: "part", Into: &fault.Part, Max: 1},
+		{Name: "part", Into: &fault.Fraction, Max: 1},
 		{Name: "count", Into: &fault.Count},
 		{Name: "size", Into: &fault.Size},
 		{Name: "loss", Into: &fault.Loss, Max: 0.9},
@@ -97,8 +97,8 @@
 	switch {
 	case f.Count > 0:
 		return min(f.Count, matching)
-	case f.Part > 0:
-		return int(math.Ceil(f.Part * float64(matching)))
+	case f.Fraction > 0:
+		return int(math.Ceil(f.Fraction * float64(matching)))
 	}
 	return matching
 }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -122,9 +122,9 @@
 		{"by pattern", Fault{TargetPatterns: []string{"a-*"}}, names[:3], 3},
 		{"by name or pattern", Fault{TargetPatterns: []string{"b-1", "*-3"}}, names[2:], 2},
 		{"malformed pattern", Fault{TargetPatterns: []string{"["}}, nil, 0},
-		{"fraction, rounded up", Fault{TargetPatterns: []string{"a-*"}, Part: 0.5}, names[:3], 2},
+		{"fraction, rounded up", Fault{TargetPatterns: []string{"a-*"}, Fraction: 0.5}, names[:3], 2},
 		{"number", Fault{Count: 3}, names, 3},
-		{"number before fraction", Fault{Count: 1, Part: 1}, names, 1},
+		{"number before fraction", Fault{Count: 1, Fraction: 1}, names, 1},
 		{"number beyond all", Fault{Count: 9}, names, 4},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/search/draw.go
+++ b/internal/search/draw.go
@@ -85,11 +85,11 @@
 var faultKinds = []faultKind{
 	{"hang", fractionDrawer(0.3)},
 	{"fast_errors", func(g *generator, f *scenario.Fault) {
-		f.Part = g.drawFraction(0.3)
+		f.Fraction = g.drawFraction(0.3)
 		f.Size = g.drawFraction(1)
 	}},
 	{"class_fail", func(g *generator, f *scenario.Fault) {
-		f.Part = g.drawFraction(0.4)
+		f.Fraction = g.drawFraction(0.4)
 		f.Size = g.drawFraction(1)
 		f.Kind = "book"
 	}},
@@ -98,11 +98,11 @@
 	{"restart", fractionDrawer(0.3)},
 	{"drain", fractionDrawer(0.3)},
 	{"preempt", func(g *generator, f *scenario.Fault) {
-		f.Part = g.drawFraction(0.3)
+		f.Fraction = g.drawFraction(0.3)
 		f.Extra = g.drawDuration(100, 3000)
 	}},
 	{"flapping", func(g *generator, f *scenario.Fault) {
-		f.Part = g.drawFraction(0.15)
+		f.Fraction = g.drawFraction(0.15)
 		f.Every = g.drawDuration(1500, 6000)
 	}},
 	{"zone_cut", func(g *generator, f *scenario.Fault) { f.Zone = g.zone }},
@@ -121,7 +121,7 @@
 	{"mute_proxy", fractionDrawer(0.4)},
 	{"silent", fractionDrawer(0.3)},
 	{"report_burst", func(g *generator, f *scenario.Fault) {
-		f.Part = g.drawFraction(0.5)
+		f.Fraction = g.drawFraction(0.5)
 		f.Size = g.uniform(2, 20)
 	}},
 	{"pilot_kill", func(g *generator, f *scenario.Fault) { f.Count = g.drawPilotCount() }},
@@ -131,7 +131,7 @@
 	{"burst", func(g *generator, f *scenario.Fault) { f.Size = g.uniform(1.1, 2) }},
 	{"hot_caller", fractionDrawer(0.3)},
 	{"heavy_tail", func(g *generator, f *scenario.Fault) {
-		f.Part = g.drawFraction(0.1)
+		f.Fraction = g.drawFraction(0.1)
 		f.Size = g.uniform(2, 20)
 	}},
 	{"pause", fractionDrawer(0.4)},
@@ -139,7 +139,7 @@
 
 // fractionDrawer returns a draw function that sets Fault.Part to a random fraction up to most.
 func fractionDrawer(most float64) func(*generator, *scenario.Fault) {
-	return func(g *generator, f *scenario.Fault) { f.Part = g.drawFraction(most) }
+	return func(g *generator, f *scenario.Fault) { f.Fraction = g.drawFraction(most) }
 }
 
 // drawFaults returns one random fault, or a composed fault, which consists of several faults.
@@ -209,7 +209,7 @@
 		fault.Count = 1
 	case 2:
 		fault.Type = "counter_down"
-		fault.Part = g.random.Float64()
+		fault.Fraction = g.random.Float64()
 	default:
 		return nil
 	}
--- a/internal/search/neighbours.go
+++ b/internal/search/neighbours.go
@@ -41,7 +41,7 @@
 		scaled := time.Duration(float64(c.Faults[i].Duration) * (0.5 + random.Float64()))
 		c.Faults[i].Duration = max(milliseconds(minMutatedFaultMs), scaled)
 	case kind == 4:
-		c.Faults[i].Part = min(1, c.Faults[i].Part*(0.6+random.Float64()))
+		c.Faults[i].Fraction = min(1, c.Faults[i].Fraction*(0.6+random.Float64()))
 	case kind == 5:
 		c.Load = min(0.9, max(0.1, c.Load+0.08*random.NormFloat64()))
 	default:
--- a/internal/search/search_test.go
+++ b/internal/search/search_test.go
@@ -53,8 +53,8 @@
 		return neverExcludes{planner.New(seed, terms)}
 	}}
 	d := Draw(7, 12)
-	d.Faults = append(d.Faults, scenario.Fault{Type: "drain", At: 9e9, Duration: 8e9, Part: 0.3}, scenario.Fault{Type: "burst", At: 4e9, Duration: 2e9, Size: 1.2},
-		scenario.Fault{Type: "reconnect", At: 6e9, Part: 0.5})
+	d.Faults = append(d.Faults, scenario.Fault{Type: "drain", At: 9e9, Duration: 8e9, Fraction: 0.3}, scenario.Fault{Type: "burst", At: 4e9, Duration: 2e9, Size: 1.2},
+		scenario.Fault{Type: "reconnect", At: 6e9, Fraction: 0.5})
 	d.sortFaults()
 	f, err := s.Play(t.Context(), d)
 	require.NoError(t, err)
--- a/internal/search/text.go
+++ b/internal/search/text.go
@@ -69,7 +69,7 @@
 	writeDuration(b, "for", f.Duration)
 	writeDuration(b, "every", f.Every)
 	writeDuration(b, "extra", f.Extra)
-	writeNumber(b, "part", f.Part)
+	writeNumber(b, "part", f.Fraction)
 	writeNumber(b, "size", f.Size)
 	writeNumber(b, "loss", f.Loss)
 	writeNumber(b, "count", float64(f.Count))
--- a/internal/testbed/loadgen/load.go
+++ b/internal/testbed/loadgen/load.go
@@ -109,14 +109,14 @@
 		spike.Factor = fault.Size
 	case "hot_caller":
 		spike.HotProxy = 1
-		spike.Fraction = fault.Part
+		spike.Fraction = fault.Fraction
 	case "heavy_tail":
 		spike.Factor = fault.Size
-		spike.HeavyFraction = fault.Part
+		spike.HeavyFraction = fault.Fraction
 		spike.HeavyClass = fault.Kind
 	case "shift":
 		spike.For = 0
-		spike.Fraction = fault.Part
+		spike.Fraction = fault.Fraction
 		for i, zone := range proxyZones {
 			if zone == fault.Zone {
 				spike.TargetProxies = append(spike.TargetProxies, i)
