--- a/internal/emulator/faults_endpoint.go
+++ b/internal/emulator/faults_endpoint.go
@@ -60,12 +60,12 @@
 
 // hang makes endpoints accept requests of the affected class without answering them.
 func (w *World) hang(fault scenario.Fault) {
-	w.setFaultMode(fault, endpoint.FaultMode{Hang: true, OnlyClass: fault.Kind})
+	w.setFaultMode(fault, endpoint.FaultMode{Hang: true, OnlyClass: fault.Class})
 }
 
 // failRequests makes endpoints fail a fraction of their requests at once.
 func (w *World) failRequests(fault scenario.Fault) {
-	w.setFaultMode(fault, endpoint.FaultMode{ErrorFraction: fault.Size, OnlyClass: fault.Kind})
+	w.setFaultMode(fault, endpoint.FaultMode{ErrorFraction: fault.Size, OnlyClass: fault.Class})
 }
 
 // slowHandshakes makes new connections to endpoints cost more work and take longer.
--- a/internal/rehearsal/faults_endpoint.go
+++ b/internal/rehearsal/faults_endpoint.go
@@ -76,11 +76,11 @@
 }
 
 func (s *stage) hang(ctx context.Context, fault scenario.Fault) error {
-	return s.setFaultMode(ctx, fault, endpoint.FaultMode{Hang: true, OnlyClass: fault.Kind})
+	return s.setFaultMode(ctx, fault, endpoint.FaultMode{Hang: true, OnlyClass: fault.Class})
 }
 
 func (s *stage) failRequests(ctx context.Context, fault scenario.Fault) error {
-	return s.setFaultMode(ctx, fault, endpoint.FaultMode{ErrorFraction: fault.Size, OnlyClass: fault.Kind})
+	return s.setFaultMode(ctx, fault, endpoint.FaultMode{ErrorFraction: fault.Size, OnlyClass: fault.Class})
 }
 
 func (s *stage) answerTwice(ctx context.Context, fault scenario.Fault) error {
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -21,7 +21,7 @@
 	Duration       time.Duration `json:"For"`   // duration of the fault
 	TargetPatterns []string      `json:"Who"`   // names or patterns of affected endpoints, proxies or pilots; empty: all
 	Zone           string        `json:"Zone"`  // affected zone; "": any
-	Kind           string        `json:"Kind"`  // affected request class; "": all
+	Class          string        `json:"Kind"`  // affected request class; "": all
 	Fraction       float64       `json:"Part"`  // fraction of the names matching Who, 0 to 1; 0: all
 	Count          int           `json:"Count"` // number of the names matching Who; 0: use Part
 	Size           float64       `json:"Size"`  // strength of the fault, in a unit that depends on What
@@ -48,7 +48,7 @@
 		{Name: "for", Into: &fault.Duration},
 		{Name: "who", Into: &fault.TargetPatterns},
 		{Name: "zone", Into: &fault.Zone},
-		{Name: "kind", Into: &fault.Kind},
+		{Name: "kind", Into: &fault.Class},
 		{Name: "part", Into: &fault.Fraction, Max: 1},
 		{Name: "count", Into: &fault.Count},
 		{Name: "size", Into: &fault.Size},
@@ -112,8 +112,8 @@
 	if f.Zone != "" {
 		parts = append(parts, f.Zone)
 	}
-	if f.Kind != "" {
-		parts = append(parts, f.Kind)
+	if f.Class != "" {
+		parts = append(parts, f.Class)
 	}
 	if f.Duration > 0 {
 		parts = append(parts, "for "+f.Duration.String())
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -139,7 +139,7 @@
 
 // TestFaultString checks the one-line description of a fault.
 func TestFaultString(t *testing.T) {
-	fault := Fault{Type: "zone_loss", TargetPatterns: []string{"x", "y"}, Zone: "a", Kind: "read", Duration: 2 * time.Second}
+	fault := Fault{Type: "zone_loss", TargetPatterns: []string{"x", "y"}, Zone: "a", Class: "read", Duration: 2 * time.Second}
 	assert.Equal(t, "zone_loss x,y a read for 2s", fault.String())
 	assert.Equal(t, "hang", Fault{Type: "hang"}.String())
 }
--- a/internal/search/draw.go
+++ b/internal/search/draw.go
@@ -91,7 +91,7 @@
 	{"class_fail", func(g *generator, f *scenario.Fault) {
 		f.Fraction = g.drawFraction(0.4)
 		f.Size = g.drawFraction(1)
-		f.Kind = "book"
+		f.Class = "book"
 	}},
 	{"vanish", fractionDrawer(0.25)},
 	{"crash", fractionDrawer(0.3)},
--- a/internal/search/text.go
+++ b/internal/search/text.go
@@ -74,7 +74,7 @@
 	writeNumber(b, "loss", f.Loss)
 	writeNumber(b, "count", float64(f.Count))
 	writeString(b, "zone", f.Zone)
-	writeString(b, "kind", f.Kind)
+	writeString(b, "kind", f.Class)
 	b.WriteString("}\n")
 }
 
--- a/internal/testbed/loadgen/load.go
+++ b/internal/testbed/loadgen/load.go
@@ -113,7 +113,7 @@
 	case "heavy_tail":
 		spike.Factor = fault.Size
 		spike.HeavyFraction = fault.Fraction
-		spike.HeavyClass = fault.Kind
+		spike.HeavyClass = fault.Class
 	case "shift":
 		spike.For = 0
 		spike.Fraction = fault.Fraction
