--- a/internal/emulator/faults_endpoint.go
+++ b/internal/emulator/faults_endpoint.go
@@ -158,7 +158,7 @@
 // and killed.
 func (w *World) replaceEndpoints(fault scenario.Fault) {
 	for i, e := range w.faultEndpoints(fault) {
-		w.After(float64(i)*milliseconds(fault.Every), func() {
+		w.After(float64(i)*milliseconds(fault.Interval), func() {
 			w.addSuccessor(e)
 			w.After(milliseconds(fault.Extra), func() {
 				w.setPhase(e.Name, w.listDelayMs(), wire.PhaseDraining)
@@ -173,7 +173,7 @@
 func (w *World) flapEndpoints(fault scenario.Fault) {
 	until := w.now + milliseconds(fault.Duration)
 	for i, e := range w.faultEndpoints(fault) {
-		periodMs := milliseconds(fault.Every) * (1 + float64(i)/flapRateSteps)
+		periodMs := milliseconds(fault.Interval) * (1 + float64(i)/flapRateSteps)
 		w.flap(e, until, periodMs)
 	}
 }
--- a/internal/emulator/faults_pilot.go
+++ b/internal/emulator/faults_pilot.go
@@ -36,7 +36,7 @@
 func (w *World) rollPilots(fault scenario.Fault) {
 	downMs := milliseconds(fault.Extra)
 	for i, pilot := range w.faultPilots(fault) {
-		w.After(float64(i)*(downMs+milliseconds(fault.Every)), func() {
+		w.After(float64(i)*(downMs+milliseconds(fault.Interval)), func() {
 			pilot.stop(false)
 			w.After(downMs, pilot.startUnlessRunning)
 		})
@@ -64,7 +64,7 @@
 // handOverPilots makes pilots hand over to a new process periodically until the fault ends.
 func (w *World) handOverPilots(fault scenario.Fault) {
 	until := w.now + milliseconds(fault.Duration)
-	everyMs := max(milliseconds(fault.Every), minHandoverEveryMs)
+	everyMs := max(milliseconds(fault.Interval), minHandoverEveryMs)
 	for _, pilot := range w.faultPilots(fault) {
 		w.handOver(pilot, until, everyMs)
 	}
--- a/internal/emulator/faults_proxy.go
+++ b/internal/emulator/faults_proxy.go
@@ -74,7 +74,7 @@
 func (w *World) rollProxies(fault scenario.Fault) {
 	downMs := milliseconds(fault.Extra)
 	for i, proxy := range w.faultProxies(fault) {
-		w.After(float64(i)*(downMs+milliseconds(fault.Every)), func() {
+		w.After(float64(i)*(downMs+milliseconds(fault.Interval)), func() {
 			proxy.kill()
 			w.After(downMs, proxy.startUnlessRunning)
 		})
--- a/internal/rehearsal/faults_endpoint.go
+++ b/internal/rehearsal/faults_endpoint.go
@@ -157,7 +157,7 @@
 // replaceEndpoints replaces endpoints one after another: the new one starts first, then the old one drains and ends.
 func (s *stage) replaceEndpoints(ctx context.Context, fault scenario.Fault) error {
 	return s.forEachEndpoint(fault, func(e *endpoint.Endpoint, i int) error {
-		if !backoff.Sleep(ctx, time.Duration(i)*fault.Every) {
+		if !backoff.Sleep(ctx, time.Duration(i)*fault.Interval) {
 			return nil
 		}
 		if err := s.addSuccessor(e); err != nil {
@@ -175,7 +175,7 @@
 func (s *stage) flapEndpoints(ctx context.Context, fault scenario.Fault) error {
 	return s.forEachEndpoint(fault, func(e *endpoint.Endpoint, i int) error {
 		until := time.Now().Add(fault.Duration)
-		period := fault.Every + time.Duration(i)*fault.Every/flapRateSteps
+		period := fault.Interval + time.Duration(i)*fault.Interval/flapRateSteps
 		for ctx.Err() == nil && time.Now().Before(until) {
 			if !backoff.Sleep(ctx, period*6/10) {
 				return nil
--- a/internal/rehearsal/faults_pilot.go
+++ b/internal/rehearsal/faults_pilot.go
@@ -36,7 +36,7 @@
 				return err
 			}
 			s.ownLog.Add(eventlog.Event{What: eventlog.Note, Peer: p.name, Text: "handed over"})
-			backoff.Sleep(ctx, fault.Every)
+			backoff.Sleep(ctx, fault.Interval)
 		}
 	}
 	return nil
@@ -68,7 +68,7 @@
 		if err := s.startPilot(p, false); err != nil { //nolint:contextcheck // ends in stopAll, not with the fault
 			return err
 		}
-		backoff.Sleep(ctx, fault.Every)
+		backoff.Sleep(ctx, fault.Interval)
 	}
 	return nil
 }
--- a/internal/rehearsal/faults_proxy.go
+++ b/internal/rehearsal/faults_proxy.go
@@ -99,7 +99,7 @@
 		if err := p.Start(); err != nil { //nolint:contextcheck // ends in stopAll, not with the fault
 			return err
 		}
-		backoff.Sleep(ctx, fault.Every)
+		backoff.Sleep(ctx, fault.Interval)
 	}
 	return nil
 }
--- a/internal/rehearsal/record_test.go
+++ b/internal/rehearsal/record_test.go
@@ -77,7 +77,7 @@
 	require.NoError(t, err)
 	day.Length = 10_000_000_000
 	day.Faults = day.Faults[:1]
-	day.Faults[0].At, day.Faults[0].Duration, day.Faults[0].Every = 1_000_000_000, 8_000_000_000, 200_000_000
+	day.Faults[0].At, day.Faults[0].Duration, day.Faults[0].Interval = 1_000_000_000, 8_000_000_000, 200_000_000
 	o, err := Play{Scenario: day}.Run(t.Context())
 	require.NoError(t, err)
 	assert.True(t, o.Report.Kept())
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -26,7 +26,7 @@
 	Count          int           `json:"Count"` // number of the names matching Who; 0: use Part
 	Size           float64       `json:"Size"`  // strength of the fault, in a unit that depends on What
 	Loss           float64       `json:"Loss"`  // probability of a message loss, 0 to 0.9
-	Every          time.Duration `json:"Every"` // interval between repetitions, or between affected names
+	Interval       time.Duration `json:"Every"` // interval between repetitions, or between affected names
 	Extra          time.Duration `json:"Extra"` // additional delay or downtime, depending on What
 }
 
@@ -53,7 +53,7 @@
 		{Name: "count", Into: &fault.Count},
 		{Name: "size", Into: &fault.Size},
 		{Name: "loss", Into: &fault.Loss, Max: 0.9},
-		{Name: "every", Into: &fault.Every},
+		{Name: "every", Into: &fault.Interval},
 		{Name: "extra", Into: &fault.Extra},
 	}, nil)
 	if !slices.Contains(faultTypes, fault.Type) {
--- a/internal/search/draw.go
+++ b/internal/search/draw.go
@@ -103,7 +103,7 @@
 	}},
 	{"flapping", func(g *generator, f *scenario.Fault) {
 		f.Fraction = g.drawFraction(0.15)
-		f.Every = g.drawDuration(1500, 6000)
+		f.Interval = g.drawDuration(1500, 6000)
 	}},
 	{"zone_cut", func(g *generator, f *scenario.Fault) { f.Zone = g.zone }},
 	{"slow_link", func(g *generator, f *scenario.Fault) {
--- a/internal/search/text.go
+++ b/internal/search/text.go
@@ -67,7 +67,7 @@
 		fmt.Fprintf(b, "  who = %s\n", quotedList(f.TargetPatterns))
 	}
 	writeDuration(b, "for", f.Duration)
-	writeDuration(b, "every", f.Every)
+	writeDuration(b, "every", f.Interval)
 	writeDuration(b, "extra", f.Extra)
 	writeNumber(b, "part", f.Fraction)
 	writeNumber(b, "size", f.Size)
