--- a/internal/emulator/faults_endpoint.go
+++ b/internal/emulator/faults_endpoint.go
@@ -71,7 +71,7 @@
 // slowHandshakes makes new connections to endpoints cost more work and take longer.
 func (w *World) slowHandshakes(fault scenario.Fault) {
 	for _, e := range w.setFaultMode(fault, endpoint.FaultMode{ExtraHandshakeMs: fault.Size}) {
-		w.dialDelayMs[e.Name] = milliseconds(fault.Extra)
+		w.dialDelayMs[e.Name] = milliseconds(fault.ExtraDelay)
 	}
 }
 
@@ -139,7 +139,7 @@
 func (w *World) preemptEndpoints(fault scenario.Fault) {
 	for _, e := range w.faultEndpoints(fault) {
 		w.drainThenKill(fault, e, func() {
-			w.After(milliseconds(fault.Extra), func() { w.addSuccessor(e) })
+			w.After(milliseconds(fault.ExtraDelay), func() { w.addSuccessor(e) })
 		})
 	}
 }
@@ -160,7 +160,7 @@
 	for i, e := range w.faultEndpoints(fault) {
 		w.After(float64(i)*milliseconds(fault.Interval), func() {
 			w.addSuccessor(e)
-			w.After(milliseconds(fault.Extra), func() {
+			w.After(milliseconds(fault.ExtraDelay), func() {
 				w.setPhase(e.Name, w.listDelayMs(), wire.PhaseDraining)
 				drainMs := w.listDelayMs() + milliseconds(w.Scenario.DrainGrace) + replaceSlackMs
 				w.After(drainMs, func() { w.killEndpoint(e) })
--- a/internal/emulator/faults_network.go
+++ b/internal/emulator/faults_network.go
@@ -62,7 +62,7 @@
 // slowZone adds delay and loss to all messages between a zone and the others until the fault ends.
 func (w *World) slowZone(fault scenario.Fault) {
 	link := w.network.zone(fault.Zone)
-	link.extraDelayMs = milliseconds(fault.Extra)
+	link.extraDelayMs = milliseconds(fault.ExtraDelay)
 	link.loss = fault.Loss
 	w.After(milliseconds(fault.Duration), func() {
 		link.extraDelayMs = 0
--- a/internal/emulator/faults_pilot.go
+++ b/internal/emulator/faults_pilot.go
@@ -34,7 +34,7 @@
 
 // rollPilots restarts pilots one after another. Each is down for the fault's Extra time.
 func (w *World) rollPilots(fault scenario.Fault) {
-	downMs := milliseconds(fault.Extra)
+	downMs := milliseconds(fault.ExtraDelay)
 	for i, pilot := range w.faultPilots(fault) {
 		w.After(float64(i)*(downMs+milliseconds(fault.Interval)), func() {
 			pilot.stop(false)
--- a/internal/emulator/faults_proxy.go
+++ b/internal/emulator/faults_proxy.go
@@ -72,7 +72,7 @@
 
 // rollProxies restarts proxies one after another. Each is down for the fault's Extra time.
 func (w *World) rollProxies(fault scenario.Fault) {
-	downMs := milliseconds(fault.Extra)
+	downMs := milliseconds(fault.ExtraDelay)
 	for i, proxy := range w.faultProxies(fault) {
 		w.After(float64(i)*(downMs+milliseconds(fault.Interval)), func() {
 			proxy.kill()
--- a/internal/rehearsal/faults.go
+++ b/internal/rehearsal/faults.go
@@ -73,7 +73,7 @@
 }
 
 func (s *stage) slowZone(ctx context.Context, fault scenario.Fault) error {
-	s.network.Slow(fault.Zone, fault.Extra, fault.Loss)
+	s.network.Slow(fault.Zone, fault.ExtraDelay, fault.Loss)
 	backoff.Sleep(ctx, fault.Duration)
 	s.network.Slow(fault.Zone, 0, 0)
 	return nil
--- a/internal/rehearsal/faults_endpoint.go
+++ b/internal/rehearsal/faults_endpoint.go
@@ -90,7 +90,7 @@
 func (s *stage) slowHandshakes(ctx context.Context, fault scenario.Fault) error {
 	struck := s.faultEndpoints(fault)
 	for _, e := range struck {
-		s.network.SlowDial(e.Name, fault.Extra)
+		s.network.SlowDial(e.Name, fault.ExtraDelay)
 	}
 	s.setFaultModeOf(ctx, fault, endpoint.FaultMode{ExtraHandshakeMs: fault.Size}, struck)
 	return nil
@@ -141,7 +141,7 @@
 func (s *stage) preemptEndpoints(ctx context.Context, fault scenario.Fault) error {
 	return s.forEachEndpoint(fault, func(e *endpoint.Endpoint, _ int) error {
 		s.drainThenKill(ctx, fault, e)
-		if !backoff.Sleep(ctx, fault.Extra) {
+		if !backoff.Sleep(ctx, fault.ExtraDelay) {
 			return nil
 		}
 		return s.addSuccessor(e)
@@ -163,7 +163,7 @@
 		if err := s.addSuccessor(e); err != nil {
 			return err
 		}
-		backoff.Sleep(ctx, fault.Extra)
+		backoff.Sleep(ctx, fault.ExtraDelay)
 		s.setPhase(e.Name, s.Scenario.ListDelay, wire.PhaseDraining)
 		backoff.Sleep(ctx, s.Scenario.ListDelay+s.Scenario.DrainGrace+replaceSlack)
 		s.killEndpoint(e)
--- a/internal/rehearsal/faults_pilot.go
+++ b/internal/rehearsal/faults_pilot.go
@@ -62,7 +62,7 @@
 func (s *stage) rollPilots(ctx context.Context, fault scenario.Fault) error {
 	for _, p := range s.faultPilots(fault) {
 		s.stopPilot(p, false)
-		if !backoff.Sleep(ctx, fault.Extra) {
+		if !backoff.Sleep(ctx, fault.ExtraDelay) {
 			return nil
 		}
 		if err := s.startPilot(p, false); err != nil { //nolint:contextcheck // ends in stopAll, not with the fault
--- a/internal/rehearsal/faults_proxy.go
+++ b/internal/rehearsal/faults_proxy.go
@@ -93,7 +93,7 @@
 func (s *stage) rollProxies(ctx context.Context, fault scenario.Fault) error {
 	for _, p := range s.faultProxies(fault) {
 		p.Kill()
-		if !backoff.Sleep(ctx, fault.Extra) {
+		if !backoff.Sleep(ctx, fault.ExtraDelay) {
 			return nil
 		}
 		if err := p.Start(); err != nil { //nolint:contextcheck // ends in stopAll, not with the fault
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -27,7 +27,7 @@
 	Size           float64       `json:"Size"`  // strength of the fault, in a unit that depends on What
 	Loss           float64       `json:"Loss"`  // probability of a message loss, 0 to 0.9
 	Interval       time.Duration `json:"Every"` // interval between repetitions, or between affected names
-	Extra          time.Duration `json:"Extra"` // additional delay or downtime, depending on What
+	ExtraDelay     time.Duration `json:"Extra"` // additional delay or downtime, depending on What
 }
 
 // faultTypes lists the valid fault types, in the order in which the error about an unknown type lists them.
@@ -54,7 +54,7 @@
 		{Name: "size", Into: &fault.Size},
 		{Name: "loss", Into: &fault.Loss, Max: 0.9},
 		{Name: "every", Into: &fault.Interval},
-		{Name: "extra", Into: &fault.Extra},
+		{Name: "extra", Into: &fault.ExtraDelay},
 	}, nil)
 	if !slices.Contains(faultTypes, fault.Type) {
 		diags = append(diags, config.Diagnostic(body.SrcRange, "unknown trouble %q, want one of %s",
--- a/internal/search/draw.go
+++ b/internal/search/draw.go
@@ -99,7 +99,7 @@
 	{"drain", fractionDrawer(0.3)},
 	{"preempt", func(g *generator, f *scenario.Fault) {
 		f.Fraction = g.drawFraction(0.3)
-		f.Extra = g.drawDuration(100, 3000)
+		f.ExtraDelay = g.drawDuration(100, 3000)
 	}},
 	{"flapping", func(g *generator, f *scenario.Fault) {
 		f.Fraction = g.drawFraction(0.15)
@@ -108,7 +108,7 @@
 	{"zone_cut", func(g *generator, f *scenario.Fault) { f.Zone = g.zone }},
 	{"slow_link", func(g *generator, f *scenario.Fault) {
 		f.Zone = g.zone
-		f.Extra = g.drawDuration(20, 600)
+		f.ExtraDelay = g.drawDuration(20, 600)
 		f.Loss = g.drawFraction(0.3)
 	}},
 	{"zone_loss", func(g *generator, f *scenario.Fault) {
@@ -126,7 +126,7 @@
 	}},
 	{"pilot_kill", func(g *generator, f *scenario.Fault) { f.Count = g.drawPilotCount() }},
 	{"pilot_pause", func(g *generator, f *scenario.Fault) { f.Count = g.drawPilotCount() }},
-	{"pilot_roll", func(g *generator, f *scenario.Fault) { f.Extra = g.drawDuration(100, 2000) }},
+	{"pilot_roll", func(g *generator, f *scenario.Fault) { f.ExtraDelay = g.drawDuration(100, 2000) }},
 	{"list_down", func(*generator, *scenario.Fault) {}},
 	{"burst", func(g *generator, f *scenario.Fault) { f.Size = g.uniform(1.1, 2) }},
 	{"hot_caller", fractionDrawer(0.3)},
@@ -192,7 +192,7 @@
 		fault.Size = g.random.Float64()
 	case "handshake_slow":
 		fault.Size = 50 * g.random.Float64()
-		fault.Extra = milliseconds(300 * g.random.Float64())
+		fault.ExtraDelay = milliseconds(300 * g.random.Float64())
 	}
 	return g.keepIfBeforeEnd(fault)
 }
--- a/internal/search/text.go
+++ b/internal/search/text.go
@@ -68,7 +68,7 @@
 	}
 	writeDuration(b, "for", f.Duration)
 	writeDuration(b, "every", f.Interval)
-	writeDuration(b, "extra", f.Extra)
+	writeDuration(b, "extra", f.ExtraDelay)
 	writeNumber(b, "part", f.Fraction)
 	writeNumber(b, "size", f.Size)
 	writeNumber(b, "loss", f.Loss)
