--- a/internal/scenario/read.go
+++ b/internal/scenario/read.go
@@ -92,8 +92,8 @@
 		}
 	}
 	for _, demand := range s.Demands {
-		if !slices.Contains(s.ClassNames(), demand.Kind) {
-			errorf("demand for %q, which is not a req_kind", demand.Kind)
+		if !slices.Contains(s.ClassNames(), demand.Class) {
+			errorf("demand for %q, which is not a req_kind", demand.Class)
 		}
 	}
 	for _, fault := range s.Faults {
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -60,7 +60,7 @@
 
 // Demand describes the clients' requests of one class.
 type Demand struct {
-	Kind  string        `json:"Kind"`  // name of the request class
+	Class string        `json:"Kind"`  // name of the request class
 	Share float64       `json:"Share"` // weight of the class among the clients' requests
 	Work  time.Duration `json:"Work"`  // mean processing time on a core of speed 1
 	CV    float64       `json:"CV"`    // coefficient of variation of the processing time
@@ -121,7 +121,7 @@
 
 // newDemand returns the default demand for a request class.
 func newDemand(class string) Demand {
-	return Demand{Kind: class, Share: 1, Work: 30 * time.Millisecond, CV: 0.5}
+	return Demand{Class: class, Share: 1, Work: 30 * time.Millisecond, CV: 0.5}
 }
 
 // newGroup returns the default group of a machine type.
--- a/internal/testbed/loadgen/load.go
+++ b/internal/testbed/loadgen/load.go
@@ -79,9 +79,9 @@
 		Keys:    s.Slices * scenario.KeysPerSlice,
 	}
 	for _, demand := range s.Demands {
-		class := s.Kinds[slices.Index(s.ClassNames(), demand.Kind)]
+		class := s.Kinds[slices.Index(s.ClassNames(), demand.Class)]
 		load.Classes = append(load.Classes, RequestClass{
-			Name:       demand.Kind,
+			Name:       demand.Class,
 			Share:      demand.Share,
 			WorkMs:     float64(demand.Work) / float64(time.Millisecond),
 			CV:         demand.CV,
