--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -76,7 +76,7 @@
 // after its start.
 func (w *World) addEndpoint(name string, group int, cold bool) {
 	g := w.Scenario.Groups[group]
-	speed := g.Speed * math.Exp(g.Spread*w.random.NormFloat64())
+	speed := g.Speed * math.Exp(g.SpeedSpread*w.random.NormFloat64())
 	model := endpoint.FromScenario(w.Scenario, group, name, speed)
 	seed := uint64(w.Scenario.Seed*endpointSeedStep + len(w.endpoints))
 	added := &emulatedEndpoint{
--- a/internal/rehearsal/endpoints.go
+++ b/internal/rehearsal/endpoints.go
@@ -20,7 +20,7 @@
 func (s *stage) addEndpoint(name string, group int, cold bool) error {
 	g := s.Scenario.Groups[group]
 	s.mu.Lock()
-	speed := g.Speed * math.Exp(g.Spread*s.random.NormFloat64())
+	speed := g.Speed * math.Exp(g.SpeedSpread*s.random.NormFloat64())
 	s.mu.Unlock()
 	model := endpoint.FromScenario(s.Scenario, group, name, speed)
 	model.Seed = uint64(s.Scenario.Seed + len(name)*endpointSeedStep)
--- a/internal/scenario/blocks.go
+++ b/internal/scenario/blocks.go
@@ -110,7 +110,7 @@
 		{Name: "count", Into: &group.Count, Min: 1, Max: 20000},
 		{Name: "cores", Into: &group.Cores, Min: 1, Max: 64},
 		{Name: "speed", Into: &group.Speed, Min: 0.01},
-		{Name: "spread", Into: &group.Spread, Max: 0.9},
+		{Name: "spread", Into: &group.SpeedSpread, Max: 0.9},
 		{Name: "queue", Into: &group.Queue},
 		{Name: "conns", Into: &group.MaxConnections, Min: 1},
 		{Name: "handshake", Into: &group.Handshake},
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -73,7 +73,7 @@
 	Count          int           `json:"Count"`      // number of endpoints
 	Cores          int           `json:"Cores"`      // cores of each endpoint
 	Speed          float64       `json:"Speed"`      // work done per unit of time on one core; 1: nominal
-	Spread         float64       `json:"Spread"`     // standard deviation of the logarithm of the endpoints' speed
+	SpeedSpread    float64       `json:"Spread"`     // standard deviation of the logarithm of the endpoints' speed
 	Queue          int           `json:"Queue"`      // requests that may wait for a core; more are rejected
 	MaxConnections int           `json:"Conns"`      // connections that an endpoint accepts
 	Handshake      time.Duration `json:"Handshake"`  // work of accepting a connection
