--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -85,7 +85,7 @@
 		location:    location{name: name, zone: g.Zone},
 		random:      rand.New(rand.NewPCG(seed, endpointStream)),
 		sharesCores: g.Discipline == disciplineSharing,
-		thrash:      g.Thrash,
+		thrash:      g.OverloadSlowdown,
 		completed:   map[uint64]bool{},
 	}
 	w.auditor.AddAddress(name, name)
--- a/internal/scenario/blocks.go
+++ b/internal/scenario/blocks.go
@@ -114,7 +114,7 @@
 		{Name: "queue", Into: &group.Queue},
 		{Name: "conns", Into: &group.MaxConnections, Min: 1},
 		{Name: "handshake", Into: &group.Handshake},
-		{Name: "thrash", Into: &group.Thrash, Max: 1},
+		{Name: "thrash", Into: &group.OverloadSlowdown, Max: 1},
 		{Name: "discipline", Into: &group.Discipline, OneOf: []string{disciplineQueue, disciplineSharing}},
 	}, nil)
 	s.Groups = append(s.Groups, group)
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -68,17 +68,17 @@
 
 // Group describes endpoints of the same kind.
 type Group struct {
-	Machine        string        `json:"Machine"`    // machine type
-	Zone           string        `json:"Zone"`       // zone of the endpoints
-	Count          int           `json:"Count"`      // number of endpoints
-	Cores          int           `json:"Cores"`      // cores of each endpoint
-	Speed          float64       `json:"Speed"`      // work done per unit of time on one core; 1: nominal
-	SpeedSpread    float64       `json:"Spread"`     // standard deviation of the logarithm of the endpoints' speed
-	Queue          int           `json:"Queue"`      // requests that may wait for a core; more are rejected
-	MaxConnections int           `json:"Conns"`      // connections that an endpoint accepts
-	Handshake      time.Duration `json:"Handshake"`  // work of accepting a connection
-	Discipline     string        `json:"Discipline"` // disciplineQueue or disciplineSharing
-	Thrash         float64       `json:"Thrash"`     // relative slowdown per request beyond the cores (emulator only)
+	Machine          string        `json:"Machine"`    // machine type
+	Zone             string        `json:"Zone"`       // zone of the endpoints
+	Count            int           `json:"Count"`      // number of endpoints
+	Cores            int           `json:"Cores"`      // cores of each endpoint
+	Speed            float64       `json:"Speed"`      // work done per unit of time on one core; 1: nominal
+	SpeedSpread      float64       `json:"Spread"`     // standard deviation of the logarithm of the endpoints' speed
+	Queue            int           `json:"Queue"`      // requests that may wait for a core; more are rejected
+	MaxConnections   int           `json:"Conns"`      // connections that an endpoint accepts
+	Handshake        time.Duration `json:"Handshake"`  // work of accepting a connection
+	Discipline       string        `json:"Discipline"` // disciplineQueue or disciplineSharing
+	OverloadSlowdown float64       `json:"Thrash"`     // relative slowdown per request beyond the cores (emulator only)
 }
 
 // Values of Group.Discipline.
