--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -53,7 +53,7 @@
 }
 
 // Named returns the factory of the policy with the given name.
-func Named(name string) (Factory, error) {
+func Lookup(name string) (Factory, error) {
 	if name == oracleName {
 		return newOracle, nil
 	}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -132,7 +132,7 @@
 		s.Pick = "two"
 		policy = "even"
 	}
-	factory, err := baseline.Named(policy)
+	factory, err := baseline.Lookup(policy)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/rehearsal/baselines.go
+++ b/internal/rehearsal/baselines.go
@@ -9,7 +9,7 @@
 
 // Baselines plays a scenario with static tables only and with one even table for all proxies, to compare with.
 func Baselines(ctx context.Context, p Play) ([]Column, error) {
-	evenTable, err := baseline.Named("even")
+	evenTable, err := baseline.Lookup("even")
 	if err != nil {
 		return nil, err
 	}
