--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -13,7 +13,7 @@
 // Factory creates a policy for one pilot.
 type Factory func(seed int64, settings map[string]any) controller.Decider
 
-// ErrUnknownPolicy is the error that Named returns, wrapped, for a name that Names does not return.
+// ErrUnknownPolicy is the error that Lookup returns, wrapped, for a name that Names does not return.
 var ErrUnknownPolicy = errors.New("unknown policy")
 
 // Intervals in ms at which policies renew their tables. onChangesOnly means only on changes of the endpoint list.
@@ -52,7 +52,7 @@
 	return append(names, oracleName)
 }
 
-// Named returns the factory of the policy with the given name.
+// Lookup returns the factory of the policy with the given name.
 func Lookup(name string) (Factory, error) {
 	if name == oracleName {
 		return newOracle, nil
--- a/internal/emulator/clock.go
+++ b/internal/emulator/clock.go
@@ -41,7 +41,7 @@
 	c.siftUp(len(c.heap) - 1)
 }
 
-// Until advances the clock to a time in ms and runs all timers that are due by then.
+// AdvanceTo advances the clock to a time in ms and runs all timers that are due by then.
 func (c *Clock) AdvanceTo(at float64) {
 	for len(c.heap) > 0 && c.heap[0].at <= at {
 		next := c.pop()
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -62,8 +62,9 @@
 	}
 }
 
-// TestPilotsNotifiedOfListChanges guards against a registry that does not notify the pilots of list changes. The emulator once had
-// this fault and no rule of the audit was violated, because the audit has nothing to check without notifications.
+// TestPilotsNotifiedOfListChanges guards against a registry that does not notify the pilots of list changes. The
+// emulator once had this fault and no rule of the audit was violated, because the audit has nothing to check without
+// notifications.
 func TestPilotsNotifiedOfListChanges(t *testing.T) {
 	d, err := scenario.Load("replacement")
 	require.NoError(t, err)
@@ -232,7 +233,7 @@
 	assert.InEpsilon(t, float64(o.Latency.TotalCount())/200*o.Latency.Mean()/1e6, sum/looks, 0.02)
 }
 
-// TestExtremeScenarios checks extreme scenarios: a long one, one with permanent overload, and one with many endpoints and few
+// TestExtremeScenarios checks a long scenario, one with permanent overload, and one with many endpoints and few
 // requests. They must end without rule violations, serve the expected fraction of requests, and give the same events
 // in a second run.
 func TestExtremeScenarios(t *testing.T) {
--- a/internal/emulator/faults_endpoint.go
+++ b/internal/emulator/faults_endpoint.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// preemptEndpoints drains and kills endpoints, and starts a replacement for each of them after the fault's Extra
+// preemptEndpoints drains and kills endpoints, and starts a replacement for each of them after the fault's ExtraDelay
 // delay.
 func (w *World) preemptEndpoints(fault scenario.Fault) {
 	for _, e := range w.faultEndpoints(fault) {
--- a/internal/emulator/faults_pilot.go
+++ b/internal/emulator/faults_pilot.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// rollPilots restarts pilots one after another. Each is down for the fault's Extra time.
+// rollPilots restarts pilots one after another. Each is down for the fault's ExtraDelay.
 func (w *World) rollPilots(fault scenario.Fault) {
 	downMs := milliseconds(fault.ExtraDelay)
 	for i, pilot := range w.faultPilots(fault) {
--- a/internal/emulator/faults_proxy.go
+++ b/internal/emulator/faults_proxy.go
@@ -70,7 +70,7 @@
 	w.applyToProxies(fault, (*emulatedProxy).kill, (*emulatedProxy).startUnlessRunning)
 }
 
-// rollProxies restarts proxies one after another. Each is down for the fault's Extra time.
+// rollProxies restarts proxies one after another. Each is down for the fault's ExtraDelay.
 func (w *World) rollProxies(fault scenario.Fault) {
 	downMs := milliseconds(fault.ExtraDelay)
 	for i, proxy := range w.faultProxies(fault) {
--- a/internal/emulator/pilot.go
+++ b/internal/emulator/pilot.go
@@ -49,7 +49,7 @@
 	// clockEpsilonMs is added to the time that the loop sees. Without it, rounding could leave a due timer just ahead of
 	// the clock forever. It is far smaller than any interval in a scenario.
 	clockEpsilonMs = 1e-6
-	// lineCountWindowMs is the time in ms after a process's start over which Start.LinesSent is counted.
+	// lineCountWindowMs is the time in ms after a process's start over which PilotStart.LinesSent is counted.
 	lineCountWindowMs = 10_000
 	// noWake is the value of pilotProcess.wakeAt if no timer is set.
 	noWake = -1
--- a/internal/emulator/pilotrecord.go
+++ b/internal/emulator/pilotrecord.go
@@ -8,7 +8,7 @@
 	"indigousher/recovery"
 )
 
-// Start describes the start of a pilot process and its recovery from the record.
+// PilotStart describes the start of a pilot process and its recovery from the record.
 type PilotStart struct {
 	AtMs             float64           // time of the run
 	RecoveryDecision recovery.Decision // whether the record was replayed; the zero value if pilots keep no record
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -14,7 +14,7 @@
 	"indigousher/internal/config"
 )
 
-// Fault is one fault of a scenario. Which of the fields are used depends on What, as described in docs/rehearsal.md.
+// Fault is one fault of a scenario. Which of the fields are used depends on Type, as described in docs/rehearsal.md.
 type Fault struct {
 	Type           string        `json:"What"`  // fault type, one of faultTypes
 	At             time.Duration `json:"At"`    // start, from the start of the scenario
@@ -22,12 +22,12 @@
 	TargetPatterns []string      `json:"Who"`   // names or patterns of affected endpoints, proxies or pilots; empty: all
 	Zone           string        `json:"Zone"`  // affected zone; "": any
 	Class          string        `json:"Kind"`  // affected request class; "": all
-	Fraction       float64       `json:"Part"`  // fraction of the names matching Who, 0 to 1; 0: all
-	Count          int           `json:"Count"` // number of the names matching Who; 0: use Part
-	Size           float64       `json:"Size"`  // strength of the fault, in a unit that depends on What
+	Fraction       float64       `json:"Part"`  // fraction of the names matching TargetPatterns, 0 to 1; 0: all
+	Count          int           `json:"Count"` // number of the names matching TargetPatterns; 0: use Fraction
+	Size           float64       `json:"Size"`  // strength of the fault, in a unit that depends on Type
 	Loss           float64       `json:"Loss"`  // probability of a message loss, 0 to 0.9
 	Interval       time.Duration `json:"Every"` // interval between repetitions, or between affected names
-	ExtraDelay     time.Duration `json:"Extra"` // additional delay or downtime, depending on What
+	ExtraDelay     time.Duration `json:"Extra"` // additional delay or downtime, depending on Type
 }
 
 // faultTypes lists the valid fault types, in the order in which the error about an unknown type lists them.
@@ -64,8 +64,8 @@
 	return diags
 }
 
-// Targets returns the names that the fault affects. If Count or Part limits the number of affected names, they are
-// chosen at random from the names that match Who.
+// Targets returns the names that the fault affects. If Count or Fraction limits the number of affected names, they are
+// chosen at random from the names that match TargetPatterns.
 func (f Fault) Targets(names []string, rnd *rand.Rand) []string {
 	var matching []string
 	for _, name := range names {
@@ -81,7 +81,7 @@
 	return matching
 }
 
-// matches reports whether Who includes a name. Malformed patterns match nothing.
+// matches reports whether TargetPatterns includes a name. Malformed patterns match nothing.
 func (f Fault) matches(name string) bool {
 	if len(f.TargetPatterns) == 0 {
 		return true
--- a/internal/search/draw.go
+++ b/internal/search/draw.go
@@ -61,7 +61,7 @@
 func (g *generator) uniform(low, high float64) float64 { return low + (high-low)*g.random.Float64() }
 
 // drawFraction returns a random number between 0.02 and most, rounded to three decimal places. It is used for
-// Fault.Part and for values of Fault.Size that are fractions.
+// Fault.Fraction and for values of Fault.Size that are fractions.
 func (g *generator) drawFraction(most float64) float64 {
 	return math.Round(g.uniform(0.02, most)*1000) / 1000
 }
@@ -137,7 +137,7 @@
 	{"pause", fractionDrawer(0.4)},
 }
 
-// fractionDrawer returns a draw function that sets Fault.Part to a random fraction up to most.
+// fractionDrawer returns a draw function that sets Fault.Fraction to a random fraction up to most.
 func fractionDrawer(most float64) func(*generator, *scenario.Fault) {
 	return func(g *generator, f *scenario.Fault) { f.Fraction = g.drawFraction(most) }
 }
--- a/internal/search/search_test.go
+++ b/internal/search/search_test.go
@@ -12,8 +12,8 @@
 	"indigousher/planner"
 )
 
-// TestDraftsAreValidScenarios checks for many seeds and fleet sizes that the text of a generated draft is a valid scenario file with
-// all its faults, that the same seed gives the same draft, and that most fault types occur.
+// TestDraftsAreValidScenarios checks for many seeds and fleet sizes that the text of a generated draft is a valid
+// scenario file with all its faults, that the same seed gives the same draft, and that most fault types occur.
 func TestDraftsAreValidScenarios(t *testing.T) {
 	whats := map[string]bool{}
 	for seed := range 300 {
