--- a/internal/emulator/commands_test.go
+++ b/internal/emulator/commands_test.go
@@ -94,8 +94,8 @@
 	log  *turnLog
 }
 
-func (d digested) Handle(nowMs float64, notes []planner.Event) []planner.Command {
-	commands := d.Decider.Handle(nowMs, notes)
+func (d digested) Handle(nowMs float64, events []planner.Event) []planner.Command {
+	commands := d.Decider.Handle(nowMs, events)
 	d.log.add(d.seed, nowMs, commands)
 	return commands
 }
@@ -135,12 +135,12 @@
 // TestSequencesCoverFaults checks that each fault type occurs in at least one sequence, so that TestCommandsStay
 // covers all of them.
 func TestSequencesCoverFaults(t *testing.T) {
-	struck := map[string]bool{}
+	covered := map[string]bool{}
 	for _, s := range sequences() {
 		d, err := s.read()
 		require.NoError(t, err)
 		for _, fault := range d.Faults {
-			struck[fault.Type] = true
+			covered[fault.Type] = true
 		}
 	}
 	for _, what := range []string{
@@ -149,7 +149,7 @@
 		"pilot_roll", "reconnect", "counter_down", "burst", "hot_caller", "heavy_tail", "shift", "list_down", "list_all",
 		"reload", "mute_proxy", "report_burst", "answers_twice", "silent", "handover", "slice_move", "pause", "pilot_pause",
 	} {
-		assert.Contains(t, struck, what)
+		assert.Contains(t, covered, what)
 	}
 	proxies := []int{}
 	for _, s := range sequences() {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -70,13 +70,13 @@
 	require.NoError(t, err)
 	o, err := Play{Scenario: d, KeepEvents: true}.Run(t.Context())
 	require.NoError(t, err)
-	told := 0
+	notifications := 0
 	for _, e := range o.Events {
 		if e.What == eventlog.Told && e.At > 5000 {
-			told++
+			notifications++
 		}
 	}
-	assert.Greater(t, told, 40)
+	assert.Greater(t, notifications, 40)
 }
 
 // TestTrace checks that tracing does not change the events of a run, that child spans lie within the span of their
@@ -105,7 +105,7 @@
 		spans[s.SpanContext.TraceID] = append(spans[s.SpanContext.TraceID], s)
 	}
 	require.Greater(t, len(spans), 10)
-	whole := 0
+	complete := 0
 	for _, of := range spans {
 		byName := map[string]span{}
 		for _, s := range of {
@@ -117,10 +117,10 @@
 			assert.False(t, s.StartTime.Before(root.StartTime) || s.EndTime.After(root.EndTime), "%s outside its decision", s.Name)
 		}
 		if byName["gather"].Name != "" && byName["channel"].Name != "" && byName["way"].Name != "" && byName["apply"].Name != "" {
-			whole++
+			complete++
 		}
 	}
-	assert.Greater(t, whole, 10)
+	assert.Greater(t, complete, 10)
 }
 
 // singleGroup returns a scenario without pilots, in which one proxy distributes requests over identical endpoints.
@@ -224,13 +224,13 @@
 	w := newWorld(Play{Scenario: d, WithoutPilots: true})
 	w.startAll()
 	w.scheduleClients()
-	sum, looks := 0.0, 0.0
+	sum, samples := 0.0, 0.0
 	for at := 1000.0; at < 200_000; at += 7.3 {
 		w.AdvanceTo(at)
-		sum, looks = sum+float64(w.endpoints[0].process.inFlight), looks+1
+		sum, samples = sum+float64(w.endpoints[0].process.inFlight), samples+1
 	}
 	o := w.outcome(0)
-	assert.InEpsilon(t, float64(o.Latency.TotalCount())/200*o.Latency.Mean()/1e6, sum/looks, 0.02)
+	assert.InEpsilon(t, float64(o.Latency.TotalCount())/200*o.Latency.Mean()/1e6, sum/samples, 0.02)
 }
 
 // TestExtremeScenarios checks a long scenario, one with permanent overload, and one with many endpoints and few
--- a/internal/emulator/faults_endpoint.go
+++ b/internal/emulator/faults_endpoint.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// preemptEndpoints drains and kills endpoints, and starts a replacement for each of them after the fault's ExtraDelay
-// delay.
+// preemptEndpoints drains and kills endpoints, and starts a replacement for each of them after the fault's
+// ExtraDelay.
 func (w *World) preemptEndpoints(fault scenario.Fault) {
 	for _, e := range w.faultEndpoints(fault) {
 		w.drainThenKill(fault, e, func() {
--- a/internal/emulator/nostate_test.go
+++ b/internal/emulator/nostate_test.go
@@ -12,27 +12,27 @@
 
 // healthyAfter returns the time in ms after from at which the tables exclude the affected endpoints: in each later
 // second up to the time to, at most the fraction part of the attempts go to these endpoints.
-func healthyAfter(o *Outcome, struck []string, from, to, part float64) float64 {
-	names, tries, bad := map[string]bool{}, map[int]float64{}, map[int]float64{}
-	for _, n := range struck {
+func healthyAfter(o *Outcome, affected []string, from, to, part float64) float64 {
+	names, attempts, toAffected := map[string]bool{}, map[int]float64{}, map[int]float64{}
+	for _, n := range affected {
 		names[n] = true
 	}
 	for _, e := range o.Events {
 		if e.What == eventlog.Arrive && e.At >= from && e.At < to {
 			s := int((e.At - from) / 1000)
-			tries[s]++
+			attempts[s]++
 			if names[e.Who] {
-				bad[s]++
+				toAffected[s]++
 			}
 		}
 	}
-	sound := 0.0
-	for s, n := range tries {
-		if bad[s] > part*n {
-			sound = max(sound, float64(s+1)*1000)
+	healthyMs := 0.0
+	for s, n := range attempts {
+		if toAffected[s] > part*n {
+			healthyMs = max(healthyMs, float64(s+1)*1000)
 		}
 	}
-	return sound
+	return healthyMs
 }
 
 // TestNoState guards against pilots that harm a fleet when they restart without a record and without an endpoint
@@ -40,7 +40,7 @@
 // drain or warm up. No rule may be violated, and the tables must exclude hanging endpoints soon after the list is
 // available. The same scenario with a record is run for comparison.
 func TestNoState(t *testing.T) {
-	const back, listed, healed = 17200, 21000, 28000
+	const restartedMs, listedMs, repairedMs = 17200, 21000, 28000
 	for seed := 3; seed < 7; seed++ {
 		var service [2]float64
 		for i, record := range []bool{false, true} {
@@ -55,10 +55,10 @@
 			}
 			service[i] = o.Report.Service.All.Share()
 			w := o.Report.Service.Windows
-			sound := healthyAfter(o, []string{"a-std-0", "b-std-0"}, back, healed, 0.08) // half of the share under an even distribution
-			assert.LessOrEqual(t, sound, float64(listed-back+5000), "seed %d, record %v", seed, record)
+			healthyMs := healthyAfter(o, []string{"a-std-0", "b-std-0"}, restartedMs, repairedMs, 0.08) // half of the share under an even distribution
+			assert.LessOrEqual(t, healthyMs, float64(listedMs-restartedMs+5000), "seed %d, record %v", seed, record)
 			t.Logf("seed %d, record %v: service %.3f, windows from 15 s %.3f %.3f %.3f, tables healthy %.0f ms after the restart",
-				seed, record, service[i], w[3].Share(), w[4].Share(), w[5].Share(), sound)
+				seed, record, service[i], w[3].Share(), w[4].Share(), w[5].Share(), healthyMs)
 		}
 		assert.Greater(t, service[0], service[1]-0.03, "seed %d", seed)
 	}
--- a/internal/emulator/pilot.go
+++ b/internal/emulator/pilot.go
@@ -66,9 +66,9 @@
 	process := &pilotProcess{pilot: p, startedAt: p.w.now, wakeAt: noWake}
 	p.process = process
 	options := p.controllerOptions(process)
-	begun := PilotStart{AtMs: p.w.now}
+	pilotStart := PilotStart{AtMs: p.w.now}
 	if p.w.Scenario.Record {
-		options = p.recoverCore(options, process, &begun)
+		options = p.recoverCore(options, process, &pilotStart)
 	}
 	if process.core == nil {
 		process.core = controller.NewCore(options)
@@ -78,7 +78,7 @@
 			return p.w.trueLoad(process.core.EndpointName(endpoint))
 		})
 	}
-	p.Starts = append(p.Starts, begun)
+	p.Starts = append(p.Starts, pilotStart)
 	p.scheduleLineCount(process, len(p.Starts)-1)
 	process.turn()
 	p.w.registry.sendSnapshot(p, process)
--- a/internal/emulator/pilotrecord.go
+++ b/internal/emulator/pilotrecord.go
@@ -26,9 +26,9 @@
 )
 
 // recoverCore starts recording the turns of the process. If recovery allows it, it also replays the record of the
-// previous process. It returns the options with the recorder installed, and completes begun.
+// previous process. It returns the options with the recorder installed, and completes pilotStart.
 func (p *emulatedPilot) recoverCore(
-	options controller.Options, process *pilotProcess, begun *PilotStart,
+	options controller.Options, process *pilotProcess, pilotStart *PilotStart,
 ) controller.Options {
 	limits := recovery.Limits{
 		MaxReplayMs: float64(p.settings.RecoverTail.Milliseconds()),
@@ -40,9 +40,9 @@
 		func(turn func() *record.Turn) { process.uncommitted = append(process.uncommitted, *turn()) },
 		func() []controller.Input { return process.core.Checkpoint() })
 	options.OnTurn = recorder.Turn
-	begun.RecoveryDecision = recovery.Decide(facts, limits)
-	if !begun.RecoveryDecision.Cold() {
-		p.replay(options, process, begun, from)
+	pilotStart.RecoveryDecision = recovery.Decide(facts, limits)
+	if !pilotStart.RecoveryDecision.Cold() {
+		p.replay(options, process, pilotStart, from)
 	}
 	p.storedTurns = nil
 	p.storedFingerprint = p.w.fingerprint
@@ -68,7 +68,7 @@
 
 // replay rebuilds the core of a process from the record, beginning at turn index from. Commands, requests and log
 // lines that the core produces during the replay are discarded.
-func (p *emulatedPilot) replay(options controller.Options, process *pilotProcess, begun *PilotStart, from int) {
+func (p *emulatedPilot) replay(options controller.Options, process *pilotProcess, pilotStart *PilotStart, from int) {
 	silent := options
 	silent.OnTurn = nil
 	silent.Replayed = true
@@ -85,11 +85,11 @@
 		p.w.fail(fmt.Errorf("restore %s: %w", p.location.name, err))
 		return
 	}
-	begun.Replayed = len(p.storedTurns) - from
-	begun.TookMs = elapsed()
+	pilotStart.Replayed = len(p.storedTurns) - from
+	pilotStart.TookMs = elapsed()
 	core.FinishRecovery(options)
 	process.core = core
-	process.startedAt = p.w.now - core.Now() - begun.RecoveryDecision.DowntimeMs
+	process.startedAt = p.w.now - core.Now() - pilotStart.RecoveryDecision.DowntimeMs
 }
 
 // scheduleCommit commits the record every commitEveryMs until the process ends.
--- a/internal/emulator/tries_test.go
+++ b/internal/emulator/tries_test.go
@@ -24,15 +24,15 @@
 // countAttempts returns the counts by request class, over the requests that clients sent from time from up to time
 // to, in ms. It includes the retries of clients and proxies.
 func countAttempts(events []eventlog.Event, from, to float64) map[string]*attemptCounts {
-	type one struct {
+	type requestCounts struct {
 		kind        string
 		asked       float64
 		sends, runs int
 	}
-	reqs, out := map[uint64]*one{}, map[string]*attemptCounts{}
+	reqs, out := map[uint64]*requestCounts{}, map[string]*attemptCounts{}
 	for _, e := range events {
 		if e.What == eventlog.Asked && e.At >= from && e.At < to {
-			reqs[e.Req] = &one{kind: e.Kind, asked: e.At}
+			reqs[e.Req] = &requestCounts{kind: e.Kind, asked: e.At}
 			if out[e.Kind] == nil {
 				out[e.Kind] = &attemptCounts{}
 			}
@@ -59,9 +59,9 @@
 	return out
 }
 
-// failingScenario returns the text of a scenario whose whole fleet fails from 8 s to 20 s. way is the text of the
-// fault blocks, usual the default retry policy. Before the fault a third of the capacity is free.
-func failingScenario(way string, usual int) string {
+// failingScenario returns the text of a scenario whose whole fleet fails from 8 s to 20 s. faultBlocks is the text
+// of the fault blocks, retryMode the default retry policy. Before the fault a third of the capacity is free.
+func failingScenario(faultBlocks string, retryMode int) string {
 	return fmt.Sprintf(`like = "quiet"
 length = "26s"
 seed = 7
@@ -90,7 +90,7 @@
   rate = 250
   retries = 2
 }
-%s`, usual, way)
+%s`, retryMode, faultBlocks)
 }
 
 // TestTriesOverAllLayers guards against retry storms. While a whole fleet fails, it counts the attempts that one
@@ -102,16 +102,16 @@
 		return fmt.Sprintf("trouble %q {\n  at = \"8s\"\n  for = \"12s\"\n  size = 1\n}\n", what)
 	}
 	killed := "trouble \"pilot_kill\" {\n  at = \"12s\"\n  for = \"2s\"\n}\ntrouble \"proxy_crash\" {\n  at = \"15s\"\n  for = \"1s\"\n  part = 0.5\n}\n"
-	for name, way := range map[string]string{
+	for name, faultBlocks := range map[string]string{
 		"errored": trouble("fast_errors"), "silent": trouble("hang"), "gone": trouble("vanish"),
 		"slow":                      "trouble \"burst\" {\n  at = \"8s\"\n  for = \"12s\"\n  size = 4\n}\n",
 		"errored, pilots restarted": trouble("fast_errors") + killed,
 		"silent, pilots restarted":  trouble("hang") + killed,
 	} {
-		for _, usual := range []int{0, 1} {
-			t.Run(fmt.Sprint(name, ", usual ", usual), func(t *testing.T) {
+		for _, retryMode := range []int{0, 1} {
+			t.Run(fmt.Sprint(name, ", retry mode ", retryMode), func(t *testing.T) {
 				t.Parallel()
-				d, err := scenario.Read("tries.hcl", []byte(failingScenario(way, usual)))
+				d, err := scenario.Read("tries.hcl", []byte(failingScenario(faultBlocks, retryMode)))
 				require.NoError(t, err)
 				o, err := Play{Scenario: d, KeepEvents: true}.Run(t.Context())
 				require.NoError(t, err)
--- a/internal/search/search_test.go
+++ b/internal/search/search_test.go
@@ -15,26 +15,26 @@
 // TestDraftsAreValidScenarios checks for many seeds and fleet sizes that the text of a generated draft is a valid
 // scenario file with all its faults, that the same seed gives the same draft, and that most fault types occur.
 func TestDraftsAreValidScenarios(t *testing.T) {
-	whats := map[string]bool{}
+	faultTypes := map[string]bool{}
 	for seed := range 300 {
 		d := Draw(seed, 10+seed)
 		x, err := d.Scenario()
 		require.NoError(t, err, "%s", d.Text())
 		assert.Len(t, x.Faults, len(d.Faults))
 		assert.Equal(t, d.Text(), Draw(seed, 10+seed).Text())
-		for _, tr := range x.Faults {
-			whats[tr.Type] = true
+		for _, fault := range x.Faults {
+			faultTypes[fault.Type] = true
 		}
 	}
-	assert.Greater(t, len(whats), 22)
+	assert.Greater(t, len(faultTypes), 22)
 }
 
 // neverExcludes wraps a decider and drops the commands that remove endpoints from tables. It is the defect that
 // TestShrunk finds.
 type neverExcludes struct{ controller.Decider }
 
-func (h neverExcludes) Handle(now float64, notes []planner.Event) (out []planner.Command) {
-	for _, o := range h.Decider.Handle(now, notes) {
+func (h neverExcludes) Handle(now float64, events []planner.Event) (out []planner.Command) {
+	for _, o := range h.Decider.Handle(now, events) {
 		if _, is := o.(planner.SetExcluded); is {
 			continue
 		}
@@ -49,8 +49,8 @@
 // TestShrunk checks that the search finds a defect that is injected into the planner's commands, and that Shrink
 // reduces the draft to a single fault that triggers it.
 func TestShrunk(t *testing.T) {
-	s := &Search{Decide: func(seed int64, terms map[string]any) controller.Decider {
-		return neverExcludes{planner.New(seed, terms)}
+	s := &Search{Decide: func(seed int64, settings map[string]any) controller.Decider {
+		return neverExcludes{planner.New(seed, settings)}
 	}}
 	d := Draw(7, 12)
 	d.Faults = append(d.Faults, scenario.Fault{Type: "drain", At: 9e9, Duration: 8e9, Fraction: 0.3}, scenario.Fault{Type: "burst", At: 4e9, Duration: 2e9, Size: 1.2},
