--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -93,9 +93,9 @@
 
 // releaseHeld sends all held messages again, in order. Messages that another cut still blocks are held again.
 func (n *network) releaseHeld() {
-	waiting := n.held
+	held := n.held
 	n.held = nil
-	for _, message := range waiting {
+	for _, message := range held {
 		n.transmit(message.from, message.to, message.deliver)
 	}
 }
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -116,9 +116,9 @@
 	if s == nil {
 		return
 	}
-	waiting := s.unread
+	unread := s.unread
 	s.unread = nil
-	for _, apply := range waiting {
+	for _, apply := range unread {
 		apply()
 	}
 }
@@ -126,19 +126,19 @@
 // drawStaticTable selects the endpoints of a proxy's static table at random from those that are ready. It selects
 // only from the proxy's zone if that has at least minSameZoneEndpoints.
 func (w *World) drawStaticTable(zone string) []string {
-	var all, near []string
+	var all, sameZone []string
 	for _, endpoint := range w.endpoints {
 		if w.entries[endpoint.Name].Phase != wire.PhaseReady {
 			continue
 		}
 		all = append(all, endpoint.Name)
 		if endpoint.Zone == zone {
-			near = append(near, endpoint.Name)
+			sameZone = append(sameZone, endpoint.Name)
 		}
 	}
 	candidates := all
-	if len(near) >= minSameZoneEndpoints {
-		candidates = near
+	if len(sameZone) >= minSameZoneEndpoints {
+		candidates = sameZone
 	}
 	count := min(len(candidates), w.Scenario.BootstrapEndpoints)
 	for i := range count { // the first steps of a Fisher-Yates shuffle
