--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -93,9 +93,9 @@
 
 // releaseHeld sends all held messages again, in order. Messages that another cut still blocks are held again.
 func (n *network) releaseHeld() {
-	held := n.held
+	messages := n.held
 	n.held = nil
-	for _, message := range held {
+	for _, message := range messages {
 		n.transmit(message.from, message.to, message.deliver)
 	}
 }
--- a/internal/emulator/proxy.go
+++ b/internal/emulator/proxy.go
@@ -116,9 +116,9 @@
 	if s == nil {
 		return
 	}
-	unread := s.unread
+	messages := s.unread
 	s.unread = nil
-	for _, apply := range unread {
+	for _, apply := range messages {
 		apply()
 	}
 }
