--- a/internal/emulator/pilotrecord.go
+++ b/internal/emulator/pilotrecord.go
@@ -8,26 +8,27 @@
 	"indigousher/recovery"
 )
 
-// Start is how a pilot's process began.
-type Start struct {
-	AtMs      float64
-	Verdict   recovery.Decision
-	Replayed  int     // turns of the record
-	TookMs    float64 // real time of the replay
-	LinesSent int     // in the first settleMs
+// PilotStart describes the start of a pilot process and its recovery from the record.
+type PilotStart struct {
+	AtMs             float64           // time of the run
+	RecoveryDecision recovery.Decision // whether the record was replayed; the zero value if pilots keep no record
+	Replayed         int               // number of turns replayed from the record
+	TookMs           float64           // real time taken by the replay
+	LinesSent        int               // lines sent in the first lineCountWindowMs
 }
 
 const (
-	// commitEveryMs is how often the record is committed.
+	// commitEveryMs is the interval in ms between commits of the record.
 	commitEveryMs = 200
-	// keptTails is how many times the longest replay the record reaches back at least.
-	keptTails = 2
+	// retainedReplaySpans is how far back the record is kept, as a multiple of the longest span that a recovery may
+	// replay.
+	retainedReplaySpans = 2
 )
 
-// recoverCore has the process recorded, and replays the record of the last one where recovery decides so. It returns
-// the options with the recorder.
+// recoverCore starts recording the turns of the process. If recovery allows it, it also replays the record of the
+// previous process. It returns the options with the recorder installed, and completes pilotStart.
 func (p *emulatedPilot) recoverCore(
-	options controller.Options, process *pilotProcess, begun *Start,
+	options controller.Options, process *pilotProcess, pilotStart *PilotStart,
 ) controller.Options {
 	limits := recovery.Limits{
 		MaxReplayMs: float64(p.settings.RecoverTail.Milliseconds()),
@@ -39,9 +40,9 @@
 		func(turn func() *record.Turn) { process.uncommitted = append(process.uncommitted, *turn()) },
 		func() []controller.Input { return process.core.Checkpoint() })
 	options.OnTurn = recorder.Turn
-	begun.Verdict = recovery.Decide(facts, limits)
-	if !begun.Verdict.Cold() {
-		p.replay(options, process, begun, from)
+	pilotStart.RecoveryDecision = recovery.Decide(facts, limits)
+	if !pilotStart.RecoveryDecision.Cold() {
+		p.replay(options, process, pilotStart, from)
 	}
 	p.storedTurns = nil
 	p.storedFingerprint = p.w.fingerprint
@@ -49,7 +50,7 @@
 	return options
 }
 
-// recoveryFacts describes the record from a turn on.
+// recoveryFacts describes the part of the record that begins at turn index from, as input to the recovery decision.
 func (p *emulatedPilot) recoveryFacts(from int) recovery.RecordInfo {
 	facts := recovery.RecordInfo{
 		SameFormat:   true,
@@ -65,8 +66,9 @@
 	return facts
 }
 
-// replay rebuilds the core of a process from the record. Nothing that is decided meanwhile leaves the core.
-func (p *emulatedPilot) replay(options controller.Options, process *pilotProcess, begun *Start, from int) {
+// replay rebuilds the core of a process from the record, beginning at turn index from. Commands, requests and log
+// lines that the core produces during the replay are discarded.
+func (p *emulatedPilot) replay(options controller.Options, process *pilotProcess, pilotStart *PilotStart, from int) {
 	silent := options
 	silent.OnTurn = nil
 	silent.Replayed = true
@@ -80,17 +82,17 @@
 	core := controller.NewCore(silent)
 	elapsed := stopwatch()
 	if err := record.Restore(core, p.storedTurns[from:]); err != nil {
-		p.w.fail(fmt.Errorf("restore %s: %w", p.place.name, err))
+		p.w.fail(fmt.Errorf("restore %s: %w", p.location.name, err))
 		return
 	}
-	begun.Replayed = len(p.storedTurns) - from
-	begun.TookMs = elapsed()
+	pilotStart.Replayed = len(p.storedTurns) - from
+	pilotStart.TookMs = elapsed()
 	core.FinishRecovery(options)
 	process.core = core
-	process.startedAt = p.w.now - core.Now() - begun.Verdict.DowntimeMs
+	process.startedAt = p.w.now - core.Now() - pilotStart.RecoveryDecision.DowntimeMs
 }
 
-// scheduleCommit commits the record from time to time, until the process ends.
+// scheduleCommit commits the record every commitEveryMs until the process ends.
 func (p *emulatedPilot) scheduleCommit(process *pilotProcess) {
 	p.w.After(commitEveryMs, func() {
 		if p.process != process {
@@ -101,12 +103,12 @@
 	})
 }
 
-// commit stores what has been recorded, and drops what is older than any replay needs.
+// commit stores the recorded turns and drops turns that are older than any recovery can need.
 func (p *emulatedPilot) commit(process *pilotProcess) {
 	p.storedTurns = append(p.storedTurns, process.uncommitted...)
 	p.storedAt = p.w.now
 	process.uncommitted = nil
-	from := record.ReplayStart(p.storedTurns, keptTails*float64(p.settings.RecoverTail.Milliseconds()))
+	from := record.ReplayStart(p.storedTurns, retainedReplaySpans*float64(p.settings.RecoverTail.Milliseconds()))
 	if from > 0 && from < len(p.storedTurns) {
 		p.storedTurns = append([]record.Turn{}, p.storedTurns[from:]...)
 	}
--- a/internal/rehearsal/faults_endpoint.go
+++ b/internal/rehearsal/faults_endpoint.go
@@ -68,7 +68,7 @@
 	for _, e := range struck {
 		e.SetFaultMode(mode)
 	}
-	backoff.Sleep(ctx, fault.For)
+	backoff.Sleep(ctx, fault.Duration)
 	for _, e := range struck {
 		e.SetFaultMode(endpoint.FaultMode{})
 		s.network.SlowDial(e.Name, 0)
@@ -76,11 +76,11 @@
 }
 
 func (s *stage) hang(ctx context.Context, fault scenario.Fault) error {
-	return s.setFaultMode(ctx, fault, endpoint.FaultMode{Hang: true, OnlyClass: fault.Kind})
+	return s.setFaultMode(ctx, fault, endpoint.FaultMode{Hang: true, OnlyClass: fault.Class})
 }
 
 func (s *stage) failRequests(ctx context.Context, fault scenario.Fault) error {
-	return s.setFaultMode(ctx, fault, endpoint.FaultMode{ErrorFraction: fault.Size, OnlyClass: fault.Kind})
+	return s.setFaultMode(ctx, fault, endpoint.FaultMode{ErrorFraction: fault.Size, OnlyClass: fault.Class})
 }
 
 func (s *stage) answerTwice(ctx context.Context, fault scenario.Fault) error {
@@ -90,7 +90,7 @@
 func (s *stage) slowHandshakes(ctx context.Context, fault scenario.Fault) error {
 	struck := s.faultEndpoints(fault)
 	for _, e := range struck {
-		s.network.SlowDial(e.Name, fault.Extra)
+		s.network.SlowDial(e.Name, fault.ExtraDelay)
 	}
 	s.setFaultModeOf(ctx, fault, endpoint.FaultMode{ExtraHandshakeMs: fault.Size}, struck)
 	return nil
@@ -99,15 +99,15 @@
 // killEndpoint ends an endpoint's process and has the list say so.
 func (s *stage) killEndpoint(e *endpoint.Endpoint) {
 	e.Kill()
-	s.setPhase(e.Name, s.Scenario.ListLate, wire.PhaseGone)
+	s.setPhase(e.Name, s.Scenario.ListDelay, wire.PhaseGone)
 }
 
 // vanishEndpoints cuts endpoints off; at the end they come back cold.
 func (s *stage) vanishEndpoints(ctx context.Context, fault scenario.Fault) error {
 	return s.forEachEndpoint(fault, func(e *endpoint.Endpoint, _ int) error {
 		s.network.SetBlackhole(e.Name, true)
-		s.setPhase(e.Name, lostListFactor*s.Scenario.ListLate, wire.PhaseGone)
-		backoff.Sleep(ctx, fault.For)
+		s.setPhase(e.Name, lostListFactor*s.Scenario.ListDelay, wire.PhaseGone)
+		backoff.Sleep(ctx, fault.Duration)
 		e.Kill()
 		s.network.SetBlackhole(e.Name, false)
 		return s.restartCold(e)
@@ -117,7 +117,7 @@
 func (s *stage) crashEndpoints(ctx context.Context, fault scenario.Fault) error {
 	return s.forEachEndpoint(fault, func(e *endpoint.Endpoint, _ int) error {
 		s.killEndpoint(e)
-		backoff.Sleep(ctx, fault.For)
+		backoff.Sleep(ctx, fault.Duration)
 		return s.restartCold(e)
 	})
 }
@@ -141,7 +141,7 @@
 func (s *stage) preemptEndpoints(ctx context.Context, fault scenario.Fault) error {
 	return s.forEachEndpoint(fault, func(e *endpoint.Endpoint, _ int) error {
 		s.drainThenKill(ctx, fault, e)
-		if !backoff.Sleep(ctx, fault.Extra) {
+		if !backoff.Sleep(ctx, fault.ExtraDelay) {
 			return nil
 		}
 		return s.addSuccessor(e)
@@ -149,23 +149,23 @@
 }
 
 func (s *stage) drainThenKill(ctx context.Context, fault scenario.Fault, e *endpoint.Endpoint) {
-	s.setPhase(e.Name, s.Scenario.ListLate, wire.PhaseDraining)
-	backoff.Sleep(ctx, s.Scenario.ListLate+fault.For)
+	s.setPhase(e.Name, s.Scenario.ListDelay, wire.PhaseDraining)
+	backoff.Sleep(ctx, s.Scenario.ListDelay+fault.Duration)
 	s.killEndpoint(e)
 }
 
 // replaceEndpoints replaces endpoints one after another: the new one starts first, then the old one drains and ends.
 func (s *stage) replaceEndpoints(ctx context.Context, fault scenario.Fault) error {
 	return s.forEachEndpoint(fault, func(e *endpoint.Endpoint, i int) error {
-		if !backoff.Sleep(ctx, time.Duration(i)*fault.Every) {
+		if !backoff.Sleep(ctx, time.Duration(i)*fault.Interval) {
 			return nil
 		}
 		if err := s.addSuccessor(e); err != nil {
 			return err
 		}
-		backoff.Sleep(ctx, fault.Extra)
-		s.setPhase(e.Name, s.Scenario.ListLate, wire.PhaseDraining)
-		backoff.Sleep(ctx, s.Scenario.ListLate+s.Scenario.DrainGrace+replaceSlack)
+		backoff.Sleep(ctx, fault.ExtraDelay)
+		s.setPhase(e.Name, s.Scenario.ListDelay, wire.PhaseDraining)
+		backoff.Sleep(ctx, s.Scenario.ListDelay+s.Scenario.DrainGrace+replaceSlack)
 		s.killEndpoint(e)
 		return nil
 	})
@@ -174,8 +174,8 @@
 // flapEndpoints has endpoints fail and recover by turns, each with a period of its own.
 func (s *stage) flapEndpoints(ctx context.Context, fault scenario.Fault) error {
 	return s.forEachEndpoint(fault, func(e *endpoint.Endpoint, i int) error {
-		until := time.Now().Add(fault.For)
-		period := fault.Every + time.Duration(i)*fault.Every/flapRateSteps
+		until := time.Now().Add(fault.Duration)
+		period := fault.Interval + time.Duration(i)*fault.Interval/flapRateSteps
 		for ctx.Err() == nil && time.Now().Before(until) {
 			if !backoff.Sleep(ctx, period*6/10) {
 				return nil
@@ -195,7 +195,7 @@
 	if err := e.Start(true); err != nil {
 		return err
 	}
-	s.updateEntry(e.Name, s.Scenario.ListLate, func(entry *wire.Entry) {
+	s.updateEntry(e.Name, s.Scenario.ListDelay, func(entry *wire.Entry) {
 		entry.Phase = wire.PhaseReady
 		entry.Started = registry.Stamp(time.Now())
 	})
@@ -211,6 +211,6 @@
 	if err := s.addEndpoint(name, group, true); err != nil {
 		return fmt.Errorf("replace %s: %w", e.Name, err)
 	}
-	s.updateEntry(name, s.Scenario.ListLate, func(*wire.Entry) {})
+	s.updateEntry(name, s.Scenario.ListDelay, func(*wire.Entry) {})
 	return nil
 }
--- a/internal/rehearsal/faults_pilot.go
+++ b/internal/rehearsal/faults_pilot.go
@@ -29,14 +29,14 @@
 // handOverPilots has new processes take over from the pilots, one pilot after another, until the fault ends.
 func (s *stage) handOverPilots(ctx context.Context, fault scenario.Fault) error {
 	struck := s.faultPilots(fault)
-	until := time.Now().Add(fault.For)
+	until := time.Now().Add(fault.Duration)
 	for ctx.Err() == nil && time.Now().Before(until) {
 		for _, p := range struck {
 			if err := s.handOver(p); err != nil { //nolint:contextcheck // ends in stopAll, not with the fault
 				return err
 			}
 			s.ownLog.Add(eventlog.Event{What: eventlog.Note, Peer: p.name, Text: "handed over"})
-			backoff.Sleep(ctx, fault.Every)
+			backoff.Sleep(ctx, fault.Interval)
 		}
 	}
 	return nil
@@ -47,7 +47,7 @@
 	for _, p := range struck {
 		s.stopPilot(p, true)
 	}
-	if !backoff.Sleep(ctx, fault.For) {
+	if !backoff.Sleep(ctx, fault.Duration) {
 		return nil
 	}
 	for _, p := range struck {
@@ -62,13 +62,13 @@
 func (s *stage) rollPilots(ctx context.Context, fault scenario.Fault) error {
 	for _, p := range s.faultPilots(fault) {
 		s.stopPilot(p, false)
-		if !backoff.Sleep(ctx, fault.Extra) {
+		if !backoff.Sleep(ctx, fault.ExtraDelay) {
 			return nil
 		}
 		if err := s.startPilot(p, false); err != nil { //nolint:contextcheck // ends in stopAll, not with the fault
 			return err
 		}
-		backoff.Sleep(ctx, fault.Every)
+		backoff.Sleep(ctx, fault.Interval)
 	}
 	return nil
 }
--- a/internal/rehearsal/faults_zone.go
+++ b/internal/rehearsal/faults_zone.go
@@ -18,7 +18,7 @@
 	endpoints := s.faultEndpoints(fault)
 	for _, e := range endpoints {
 		e.Kill()
-		s.setPhase(e.Name, lostListFactor*s.Scenario.ListLate, wire.PhaseGone)
+		s.setPhase(e.Name, lostListFactor*s.Scenario.ListDelay, wire.PhaseGone)
 	}
 	var proxies []*proxy.Proxy
 	var pilots []*pilot
@@ -26,7 +26,7 @@
 		proxies = s.killProxiesOf(fault.Zone)
 		pilots = s.killPilotsOf(fault.Zone)
 	}
-	if !backoff.Sleep(ctx, fault.For) {
+	if !backoff.Sleep(ctx, fault.Duration) {
 		return nil
 	}
 	var errs []error
--- a/internal/rehearsal/pilots.go
+++ b/internal/rehearsal/pilots.go
@@ -59,8 +59,8 @@
 	settings.Listen = net.JoinHostPort(network.Host, "0")
 	settings.Admin = ""
 	settings.ListAddress = s.registry.Address()
-	settings.Beat = s.Scenario.Beat
-	settings.WriteDeadline = s.Scenario.WriteWithin
+	settings.Beat = s.Scenario.HeartbeatInterval
+	settings.WriteDeadline = s.Scenario.WriteTimeout
 	settings.ListSilence = listSilence
 	settings.SeenWithin = s.Scenario.DrainGrace / 2
 	settings.IntakeLinesPerS = s.Scenario.IntakeLinesPerS
@@ -69,7 +69,7 @@
 	if s.Scenario.Keys {
 		settings.Keys = s.pilotKeys(p)
 	}
-	if slices.ContainsFunc(s.Scenario.Faults, func(f scenario.Fault) bool { return f.What == faultHandover }) {
+	if slices.ContainsFunc(s.Scenario.Faults, func(f scenario.Fault) bool { return f.Type == faultHandover }) {
 		settings.Handover = filepath.Join(s.Records, p.name+".sock")
 	}
 	if s.Scenario.Record {
--- a/internal/scenario/blocks.go
+++ b/internal/scenario/blocks.go
@@ -10,7 +10,8 @@
 // maxLength bounds the length of a scenario in seconds: a week.
 const maxLength = 7 * 86400
 
-// listAttributes lists the attributes of the common settings. A scenario that inherits them need not have them.
+// listAttributes returns the attributes of the common settings. None of them is required in a scenario that inherits
+// from another one.
 func (s *Scenario) listAttributes() []config.Field {
 	fields := s.Attributes()
 	for i := range fields {
@@ -19,7 +20,7 @@
 	return fields
 }
 
-// attributes lists the scenario's own attributes outside any block.
+// attributes returns the top-level attributes that only scenario files have.
 func (s *Scenario) attributes() []config.Field {
 	return []config.Field{
 		{Name: "about", Into: &s.About},
@@ -29,7 +30,7 @@
 	}
 }
 
-// blocks lists the scenario's blocks besides the common ones.
+// blocks returns the blocks that only scenario files have.
 func (s *Scenario) blocks() []config.Block {
 	return []config.Block{
 		s.fleetBlock(),
@@ -42,6 +43,7 @@
 	}
 }
 
+// fleetBlock returns the block fleet: pilots, proxies and their streams.
 func (s *Scenario) fleetBlock() config.Block {
 	return config.SingleBlock("fleet",
 		config.Field{Name: "grpc", Into: &s.OverGRPC},
@@ -50,17 +52,18 @@
 		config.Field{Name: "times", Into: &s.ProxyMultiple, Min: 1, Max: 100000},
 		config.Field{Name: "pilots", Into: &s.PilotZones},
 		config.Field{Name: "proxies", Into: &s.ProxyZones},
-		config.Field{Name: "standing", Into: &s.Standing},
-		config.Field{Name: "redial", Into: &s.Redial},
-		config.Field{Name: "apply", Into: &s.Apply},
+		config.Field{Name: "standing", Into: &s.BootstrapEndpoints},
+		config.Field{Name: "redial", Into: &s.RedialDelay},
+		config.Field{Name: "apply", Into: &s.ApplyTimePerLine},
 		config.Field{Name: "eject_for", Into: &s.EjectFor},
-		config.Field{Name: "beat", Into: &s.Beat, Min: 0.02},
-		config.Field{Name: "write_within", Into: &s.WriteWithin, Min: 0.05},
-		config.Field{Name: "report_noise", Into: &s.NoisyReports},
+		config.Field{Name: "beat", Into: &s.HeartbeatInterval, Min: 0.02},
+		config.Field{Name: "write_within", Into: &s.WriteTimeout, Min: 0.05},
+		config.Field{Name: "report_noise", Into: &s.ReportNoise},
 		config.Field{Name: "way", Into: &s.OneWayDelay},
 	)
 }
 
+// intakeBlock returns the block intake: how fast pilots take in load reports.
 func (s *Scenario) intakeBlock() config.Block {
 	return config.SingleBlock("intake",
 		config.Field{Name: "lines_per_s", Into: &s.IntakeLinesPerS},
@@ -69,19 +72,21 @@
 	)
 }
 
+// listBlock returns the block list: the state of the endpoint list.
 func (s *Scenario) listBlock() config.Block {
 	return config.SingleBlock("list",
-		config.Field{Name: "late", Into: &s.ListLate},
+		config.Field{Name: "late", Into: &s.ListDelay},
 		config.Field{Name: "empty", Into: &s.ListEmpty},
 	)
 }
 
+// clientsBlock returns the block clients: request rate and retries of the clients.
 func (s *Scenario) clientsBlock() config.Block {
 	return config.SingleBlock("clients",
 		config.Field{Name: "rate", Into: &s.Rate, Min: 0.1},
 		config.Field{Name: "retries", Into: &s.Retries},
 		config.Field{Name: "backoff", Into: &s.Backoff},
-		config.Field{Name: "uneven", Into: &s.Uneven},
+		config.Field{Name: "uneven", Into: &s.ClientRateSpread},
 	)
 }
 
@@ -105,11 +110,11 @@
 		{Name: "count", Into: &group.Count, Min: 1, Max: 20000},
 		{Name: "cores", Into: &group.Cores, Min: 1, Max: 64},
 		{Name: "speed", Into: &group.Speed, Min: 0.01},
-		{Name: "spread", Into: &group.Spread, Max: 0.9},
+		{Name: "spread", Into: &group.SpeedSpread, Max: 0.9},
 		{Name: "queue", Into: &group.Queue},
 		{Name: "conns", Into: &group.MaxConnections, Min: 1},
 		{Name: "handshake", Into: &group.Handshake},
-		{Name: "thrash", Into: &group.Thrash, Max: 1},
+		{Name: "thrash", Into: &group.OverloadSlowdown, Max: 1},
 		{Name: "discipline", Into: &group.Discipline, OneOf: []string{disciplineQueue, disciplineSharing}},
 	}, nil)
 	s.Groups = append(s.Groups, group)
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -14,23 +14,23 @@
 	"indigousher/internal/config"
 )
 
-// Fault is one fault of a scenario. Which fields are used depends on What; docs/rehearsal.md describes them.
+// Fault is one fault of a scenario. Which of the fields are used depends on Type, as described in docs/rehearsal.md.
 type Fault struct {
-	What  string        `json:"What"` // one of faultTypes
-	At    time.Duration `json:"At"`   // from the start of the scenario
-	For   time.Duration `json:"For"`
-	Who   []string      `json:"Who"`   // names or patterns of endpoints, proxies or pilots; none means all
-	Zone  string        `json:"Zone"`  // zone that is affected
-	Kind  string        `json:"Kind"`  // request class that is affected
-	Part  float64       `json:"Part"`  // fraction of those that match Who; 0: all
-	Count int           `json:"Count"` // number of those that match Who, overrides Part; 0: by Part
-	Size  float64       `json:"Size"`  // strength, in a unit that depends on What
-	Loss  float64       `json:"Loss"`  // probability that a message is lost
-	Every time.Duration `json:"Every"` // between repetitions, or from one affected name to the next
-	Extra time.Duration `json:"Extra"` // additional delay
+	Type           string        `json:"What"`  // fault type, one of faultTypes
+	At             time.Duration `json:"At"`    // start, from the start of the scenario
+	Duration       time.Duration `json:"For"`   // duration of the fault
+	TargetPatterns []string      `json:"Who"`   // names or patterns of affected endpoints, proxies or pilots; empty: all
+	Zone           string        `json:"Zone"`  // affected zone; "": any
+	Class          string        `json:"Kind"`  // affected request class; "": all
+	Fraction       float64       `json:"Part"`  // fraction of the names matching TargetPatterns, 0 to 1; 0: all
+	Count          int           `json:"Count"` // number of the names matching TargetPatterns; 0: use Fraction
+	Size           float64       `json:"Size"`  // strength of the fault, in a unit that depends on Type
+	Loss           float64       `json:"Loss"`  // probability of a message loss, 0 to 0.9
+	Interval       time.Duration `json:"Every"` // interval between repetitions, or between affected names
+	ExtraDelay     time.Duration `json:"Extra"` // additional delay or downtime, depending on Type
 }
 
-// faultTypes lists the faults that can be played, in the order of the error about an unknown one.
+// faultTypes lists the valid fault types, in the order in which the error about an unknown type lists them.
 var faultTypes = []string{
 	"hang", "fast_errors", "class_fail", "vanish", "crash", "restart", "drain", "preempt", "replace", "flapping",
 	"zone_cut", "zone_loss", "slow_link", "handshake_slow",
@@ -42,30 +42,30 @@
 
 // readFault decodes a block trouble "TYPE".
 func (s *Scenario) readFault(labels []string, body *hclsyntax.Body) hcl.Diagnostics {
-	fault := Fault{What: labels[0]}
+	fault := Fault{Type: labels[0]}
 	diags := config.DecodeBody(body, []config.Field{
 		{Name: "at", Into: &fault.At},
-		{Name: "for", Into: &fault.For},
-		{Name: "who", Into: &fault.Who},
+		{Name: "for", Into: &fault.Duration},
+		{Name: "who", Into: &fault.TargetPatterns},
 		{Name: "zone", Into: &fault.Zone},
-		{Name: "kind", Into: &fault.Kind},
-		{Name: "part", Into: &fault.Part, Max: 1},
+		{Name: "kind", Into: &fault.Class},
+		{Name: "part", Into: &fault.Fraction, Max: 1},
 		{Name: "count", Into: &fault.Count},
 		{Name: "size", Into: &fault.Size},
 		{Name: "loss", Into: &fault.Loss, Max: 0.9},
-		{Name: "every", Into: &fault.Every},
-		{Name: "extra", Into: &fault.Extra},
+		{Name: "every", Into: &fault.Interval},
+		{Name: "extra", Into: &fault.ExtraDelay},
 	}, nil)
-	if !slices.Contains(faultTypes, fault.What) {
-		diags = append(diags, config.Diagnostic(body.SrcRange, "trouble %q is not known; there are %s",
-			fault.What, strings.Join(faultTypes, ", ")))
+	if !slices.Contains(faultTypes, fault.Type) {
+		diags = append(diags, config.Diagnostic(body.SrcRange, "unknown trouble %q, want one of %s",
+			fault.Type, strings.Join(faultTypes, ", ")))
 	}
 	s.Faults = append(s.Faults, fault)
 	return diags
 }
 
-// Targets returns the names that the fault affects: of those that match Who, the fraction Part or the number Count,
-// drawn at random.
+// Targets returns the names that the fault affects. If Count or Fraction limits the number of affected names, they are
+// chosen at random from the names that match TargetPatterns.
 func (f Fault) Targets(names []string, rnd *rand.Rand) []string {
 	var matching []string
 	for _, name := range names {
@@ -81,12 +81,12 @@
 	return matching
 }
 
-// matches reports whether Who includes a name. Malformed patterns match nothing.
+// matches reports whether TargetPatterns includes a name. Malformed patterns match nothing.
 func (f Fault) matches(name string) bool {
-	if len(f.Who) == 0 {
+	if len(f.TargetPatterns) == 0 {
 		return true
 	}
-	return slices.ContainsFunc(f.Who, func(pattern string) bool {
+	return slices.ContainsFunc(f.TargetPatterns, func(pattern string) bool {
 		ok, err := path.Match(pattern, name)
 		return err == nil && ok
 	})
@@ -97,26 +97,26 @@
 	switch {
 	case f.Count > 0:
 		return min(f.Count, matching)
-	case f.Part > 0:
-		return int(math.Ceil(f.Part * float64(matching)))
+	case f.Fraction > 0:
+		return int(math.Ceil(f.Fraction * float64(matching)))
 	}
 	return matching
 }
 
 // String describes the fault in one line.
 func (f Fault) String() string {
-	parts := []string{f.What}
-	if len(f.Who) > 0 {
-		parts = append(parts, strings.Join(f.Who, ","))
+	parts := []string{f.Type}
+	if len(f.TargetPatterns) > 0 {
+		parts = append(parts, strings.Join(f.TargetPatterns, ","))
 	}
 	if f.Zone != "" {
 		parts = append(parts, f.Zone)
 	}
-	if f.Kind != "" {
-		parts = append(parts, f.Kind)
+	if f.Class != "" {
+		parts = append(parts, f.Class)
 	}
-	if f.For > 0 {
-		parts = append(parts, "for "+f.For.String())
+	if f.Duration > 0 {
+		parts = append(parts, "for "+f.Duration.String())
 	}
 	return strings.Join(parts, " ")
 }
--- a/internal/search/search_test.go
+++ b/internal/search/search_test.go
@@ -12,27 +12,29 @@
 	"indigousher/planner"
 )
 
-// TestDrawn guards the way from a draft to a day file and back: what is drawn can be read, for many seeds and sizes.
-func TestDrawn(t *testing.T) {
-	whats := map[string]bool{}
+// TestDraftsAreValidScenarios checks for many seeds and fleet sizes that the text of a generated draft is a valid
+// scenario file with all its faults, that the same seed gives the same draft, and that most fault types occur.
+func TestDraftsAreValidScenarios(t *testing.T) {
+	faultTypes := map[string]bool{}
 	for seed := range 300 {
 		d := Draw(seed, 10+seed)
 		x, err := d.Scenario()
 		require.NoError(t, err, "%s", d.Text())
 		assert.Len(t, x.Faults, len(d.Faults))
 		assert.Equal(t, d.Text(), Draw(seed, 10+seed).Text())
-		for _, tr := range x.Faults {
-			whats[tr.What] = true
+		for _, fault := range x.Faults {
+			faultTypes[fault.Type] = true
 		}
 	}
-	assert.Greater(t, len(whats), 22)
+	assert.Greater(t, len(faultTypes), 22)
 }
 
-// neverExcludes leaves a planted fault in the planner's commands: endpoints are never shut out.
+// neverExcludes wraps a decider and drops the commands that remove endpoints from tables. It is the defect that
+// TestShrunk finds.
 type neverExcludes struct{ controller.Decider }
 
-func (h neverExcludes) Handle(now float64, notes []planner.Event) (out []planner.Command) {
-	for _, o := range h.Decider.Handle(now, notes) {
+func (h neverExcludes) Handle(now float64, events []planner.Event) (out []planner.Command) {
+	for _, o := range h.Decider.Handle(now, events) {
 		if _, is := o.(planner.SetExcluded); is {
 			continue
 		}
@@ -44,36 +46,37 @@
 	return out
 }
 
-// TestShrunk shows that a planted fault is found, and that what is found is shrunk to the fault it needs.
+// TestShrunk checks that the search finds a defect that is injected into the planner's commands, and that Shrink
+// reduces the draft to a single fault that triggers it.
 func TestShrunk(t *testing.T) {
-	s := &Search{Decide: func(seed int64, terms map[string]any) controller.Decider {
-		return neverExcludes{planner.New(seed, terms)}
+	s := &Search{Decide: func(seed int64, settings map[string]any) controller.Decider {
+		return neverExcludes{planner.New(seed, settings)}
 	}}
 	d := Draw(7, 12)
-	d.Faults = append(d.Faults, scenario.Fault{What: "drain", At: 9e9, For: 8e9, Part: 0.3}, scenario.Fault{What: "burst", At: 4e9, For: 2e9, Size: 1.2},
-		scenario.Fault{What: "reconnect", At: 6e9, Part: 0.5})
+	d.Faults = append(d.Faults, scenario.Fault{Type: "drain", At: 9e9, Duration: 8e9, Fraction: 0.3}, scenario.Fault{Type: "burst", At: 4e9, Duration: 2e9, Size: 1.2},
+		scenario.Fault{Type: "reconnect", At: 6e9, Fraction: 0.5})
 	d.sortFaults()
 	f, err := s.Play(t.Context(), d)
 	require.NoError(t, err)
-	require.NotEmpty(t, f.Broken)
+	require.NotEmpty(t, f.ViolatedRules)
 	require.Greater(t, f.LimitFractions[audit.DrainDeadline], 1.0)
-	f.Broken = []string{audit.DrainDeadline.String() + ": planted"}
+	f.ViolatedRules = []string{audit.DrainDeadline.String() + ": injected"}
 	small, err := s.Shrink(t.Context(), f)
 	require.NoError(t, err)
 	require.Len(t, small.Draft.Faults, 1, "%s", small.Draft.Text())
-	assert.Contains(t, []string{"drain", "preempt", "replace", "crash", "vanish", "zone_loss"}, small.Draft.Faults[0].What)
+	assert.Contains(t, []string{"drain", "preempt", "replace", "crash", "vanish", "zone_loss"}, small.Draft.Faults[0].Type)
 	kept, err := (&Search{}).Play(t.Context(), small.Draft)
 	require.NoError(t, err)
-	assert.Empty(t, kept.Broken, "the module as it ships")
+	assert.Empty(t, kept.ViolatedRules, "the planner without the injected defect")
 }
 
-// TestClimbed shows that climbing comes nearer to a limit.
-func TestClimbed(t *testing.T) {
+// TestClimbApproachesLimit checks that Climb comes closer to the limit of a rule.
+func TestClimbApproachesLimit(t *testing.T) {
 	s := &Search{}
 	f, err := s.Play(t.Context(), Draw(3, 12))
 	require.NoError(t, err)
 	best := f
-	for seed := uint64(1); seed < 6 && best.LimitFractions == f.LimitFractions; seed++ { // not every way up begins in a few steps
+	for seed := uint64(1); seed < 6 && best.LimitFractions == f.LimitFractions; seed++ { // a climb may find no improvement within its few steps
 		best, err = s.Climb(t.Context(), f, audit.ChannelQueue, 10, seed)
 		require.NoError(t, err)
 	}
--- a/internal/testbed/loadgen/load.go
+++ b/internal/testbed/loadgen/load.go
@@ -79,9 +79,9 @@
 		Keys:    s.Slices * scenario.KeysPerSlice,
 	}
 	for _, demand := range s.Demands {
-		class := s.Kinds[slices.Index(s.ClassNames(), demand.Kind)]
+		class := s.Kinds[slices.Index(s.ClassNames(), demand.Class)]
 		load.Classes = append(load.Classes, RequestClass{
-			Name:       demand.Kind,
+			Name:       demand.Class,
 			Share:      demand.Share,
 			WorkMs:     float64(demand.Work) / float64(time.Millisecond),
 			CV:         demand.CV,
@@ -91,7 +91,7 @@
 	}
 	random := rand.New(rand.NewPCG(uint64(s.Seed), weightStream))
 	for range s.ProxyZones {
-		load.Weights = append(load.Weights, math.Exp(s.Uneven*random.NormFloat64()))
+		load.Weights = append(load.Weights, math.Exp(s.ClientRateSpread*random.NormFloat64()))
 	}
 	for _, fault := range s.Faults {
 		if spike, ok := spikeOf(fault, s.ProxyZones); ok {
@@ -103,20 +103,20 @@
 
 // spikeOf returns how a fault changes the load, or false if it doesn't.
 func spikeOf(fault scenario.Fault, proxyZones []string) (Spike, bool) {
-	spike := Spike{From: fault.At, For: fault.For}
-	switch fault.What {
+	spike := Spike{From: fault.At, For: fault.Duration}
+	switch fault.Type {
 	case "burst":
 		spike.Factor = fault.Size
 	case "hot_caller":
 		spike.HotProxy = 1
-		spike.Fraction = fault.Part
+		spike.Fraction = fault.Fraction
 	case "heavy_tail":
 		spike.Factor = fault.Size
-		spike.HeavyFraction = fault.Part
-		spike.HeavyClass = fault.Kind
+		spike.HeavyFraction = fault.Fraction
+		spike.HeavyClass = fault.Class
 	case "shift":
 		spike.For = 0
-		spike.Fraction = fault.Part
+		spike.Fraction = fault.Fraction
 		for i, zone := range proxyZones {
 			if zone == fault.Zone {
 				spike.TargetProxies = append(spike.TargetProxies, i)
