--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,6 +1,6 @@
-// Package audit judges a run of a scenario by what crossed the sockets. It reads the event logs of the testbed and the
-// settings, nothing of the pilot, and gives a verdict on each of the five rules with its evidence, and the service that
-// the clients had.
+// Package audit checks a run of a scenario against the five rules that every pilot must keep. It reads only the
+// settings and the event logs of the testbed, which record the traffic on the sockets; it uses no state of the pilots.
+// Its report holds a verdict with evidence for each rule, and the service that the clients received.
 package audit
 
 import (
@@ -8,32 +8,34 @@
 	"indigousher/internal/testbed/eventlog"
 )
 
-// checkIntervalMs is how often conditions that last are checked, in ms; far below the limits, which are seconds.
+// checkIntervalMs is the interval in ms at which the coverage rule is checked. It is far below the limit of the rule,
+// which is in seconds.
 const checkIntervalMs = 50.0
 
-// Auditor goes through the events of a run once, in the order of their times.
+// Auditor checks the rules in one pass over the events of a run, which must be added in the order of their times.
 type Auditor struct {
 	settings  *config.Common
 	service   *serviceMeter
 	report    *Report
-	checkedAt float64 // ms; when lasting conditions were last checked
+	checkedAt float64 // time in ms up to which the coverage rule has been checked
 
-	// Names of endpoints in the event logs and their addresses. A name may have had several addresses.
+	// Names of endpoints in the event logs and their addresses. An endpoint can have several addresses during a run.
 	nameByAddress   map[string]string
 	addressesByName map[string][]string
 
-	// What the events have shown so far, by name.
+	// State derived from the events so far, keyed by the process's name in the event logs.
 	proxies       map[string]*proxyState
-	sortedProxies []*proxyState // by name
+	sortedProxies []*proxyState // the values of proxies, sorted by name
 	pilots        map[string]*pilotState
 	endpoints     map[string]*endpointState
 
-	effectCounts map[string]map[uint64]int // of each request, by request class
-	cutZones     map[string]bool
-	blackholed   map[string]bool // by name: nothing passes to or from it
+	effectCounts map[string]map[uint64]int // number of effects by request class and request ID
+	cutZones     map[string]bool           // zones that are cut off from the other zones
+	blackholed   map[string]bool           // names of processes whose traffic is all dropped
 }
 
-// Check audits a complete run. Addresses maps an endpoint's address to its name in the event logs.
+// Check audits a complete run. The events must be in the order of their times; addresses maps an endpoint's address to
+// its name in the event logs.
 func Check(events []eventlog.Event, settings *config.Common, addresses map[string]string) *Report {
 	a := New(settings)
 	for address, name := range addresses {
@@ -45,7 +47,7 @@
 	return a.Report()
 }
 
-// New returns an auditor that has seen no events.
+// New returns an auditor for a run with these settings, without any events.
 func New(settings *config.Common) *Auditor {
 	return &Auditor{
 		settings:        settings,
@@ -68,7 +70,7 @@
 	a.addressesByName[name] = append(a.addressesByName[name], address)
 }
 
-// Add takes in the next event. Lasting conditions are first checked up to its time.
+// Add processes the next event. Before that it checks the coverage rule at each interval up to the event's time.
 func (a *Auditor) Add(e eventlog.Event) {
 	for a.checkedAt+checkIntervalMs <= e.At {
 		a.checkedAt += checkIntervalMs
@@ -78,17 +80,17 @@
 	a.apply(e)
 }
 
-// Report ends the audit and returns its result.
+// Report finishes the audit and returns its result. It must be called once, after the last event.
 func (a *Auditor) Report() *Report {
 	a.checkQueues()
 	a.report.Service = a.service.Service
 	return a.report
 }
 
-// verdict returns the verdict on a rule.
+// verdict returns a rule's verdict in the report, to be updated in place.
 func (a *Auditor) verdict(r Rule) *Verdict { return &a.report.Verdicts[r] }
 
-// apply updates the state by one event and checks the rules that it bears on.
+// apply updates the state with one event and checks the rules that the event can violate.
 func (a *Auditor) apply(e eventlog.Event) {
 	switch e.What {
 	case eventlog.Start:
