--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -11,7 +11,8 @@
 	"indigousher/internal/wire"
 )
 
-// baseEvents is a pilot, a proxy that follows it and a warm endpoint x at x:1; y at y:1 is there as well.
+// baseEvents returns the events that all cases begin with: a pilot, a proxy p that has joined it, and a warm endpoint x
+// at address x:1, which the pilot knows and the proxy has in its tables.
 func baseEvents() []eventlog.Event {
 	return []eventlog.Event{
 		{At: 0, Who: "pilot-0", What: eventlog.Start, Kind: "pilot", Text: "a"},
@@ -23,8 +24,8 @@
 	}
 }
 
-// TestLimits holds each rule's verdict against its limit, from both sides, on event logs made by hand: within it is
-// kept, a little beyond it is broken. A fault in the audit would pass for the program's merit.
+// TestLimits checks each rule on handwritten event logs just within and just beyond its limit: the first must be kept,
+// the second violated. An audit that misses violations would make a faulty pilot pass.
 func TestLimits(t *testing.T) {
 	c := config.CommonDefaults()
 	c.Zones, c.Machines, c.Kinds = []string{"a"}, []string{"std"}, []config.RequestClass{
@@ -73,89 +74,101 @@
 		}
 		return list
 	}
-	// at 12 s of 15 a cold endpoint does 0.2+0.8*12/15 of its 1 ms a ms: 3 times that for 1.5 s are 3,780 ms, and 4
-	// requests of slack
-	const bearable = 94 // of 40 ms each
+	// At 12 s of its 15 s warm-up an endpoint has 0.2+0.8*12/15 of its capacity of 1 ms of work per ms. The budget is 3
+	// times that over 1.5 s, which is 3,780 ms, and 4 requests of slack.
+	const bearable = 94 // largest number of requests of 40 ms within the budget
 	for _, x := range []struct {
 		name   string
 		rule   Rule
 		broken bool
 		events []eventlog.Event
 	}{
-		{"bare for less than it may be", EndpointCoverage, false, bare(1000, 3900)},
-		{"bare for longer", EndpointCoverage, true, bare(1000, 4200)},
-		{"bare twice, each for less", EndpointCoverage, false, append(bare(1000, 3500), bare(3600, 6000)...)},
+		{"no endpoint, within the limit", EndpointCoverage, false, bare(1000, 3900)},
+		{"no endpoint, beyond the limit", EndpointCoverage, true, bare(1000, 4200)},
 		{
-			"bare while no warm one is listed", EndpointCoverage, false,
+			"no endpoint twice, each within the limit", EndpointCoverage, false,
+			append(bare(1000, 3500), bare(3600, 6000)...),
+		},
+		{
+			"no endpoint while none is ready", EndpointCoverage, false,
 			append([]eventlog.Event{told(500, "x:1", wire.PhaseDraining, -1)}, bare(1000, 9000)...),
 		},
 		{
-			"bare while only a cold one is listed", EndpointCoverage, false,
+			"no endpoint while the only one warms up", EndpointCoverage, false,
 			append([]eventlog.Event{told(500, "x:1", wire.PhaseReady, 10)}, bare(1000, 9000)...),
 		},
 		{
-			"bare once the cold one is warm", EndpointCoverage, true,
+			"no endpoint after the only one warmed up", EndpointCoverage, true,
 			append([]eventlog.Event{told(500, "x:1", wire.PhaseReady, 10)}, bare(1000, 19000)...),
 		},
 		{
-			"bare while it has no pilot", EndpointCoverage, false,
+			"no endpoint while the proxy has no pilot", EndpointCoverage, false,
 			append([]eventlog.Event{{At: 900, Who: "p", What: eventlog.Leave, Peer: "pilot-0"}}, bare(1000, 9000)...),
 		},
 		{"one effect", SingleEffect, false, effects("book", 1)},
 		{"two effects", SingleEffect, true, effects("book", 2)},
-		{"two of a replayable kind", SingleEffect, false, effects("read", 2)},
-		{"a drain kept", DrainDeadline, false, []eventlog.Event{told(1000, "x:1", wire.PhaseDraining, -1), sent(2990)}},
+		{"two effects of a replayable class", SingleEffect, false, effects("read", 2)},
+		{
+			"sent before the drain deadline", DrainDeadline, false,
+			[]eventlog.Event{told(1000, "x:1", wire.PhaseDraining, -1), sent(2990)},
+		},
 		{
-			"a drain broken", DrainDeadline, true,
+			"sent after the drain deadline", DrainDeadline, true,
 			[]eventlog.Event{told(1000, "x:1", wire.PhaseDraining, -1), sent(3010)},
 		},
-		{"gone, broken", DrainDeadline, true, []eventlog.Event{told(1000, "x:1", wire.PhaseGone, -1), sent(3010)}},
 		{
-			"back again", DrainDeadline, false,
+			"sent to a removed endpoint", DrainDeadline, true,
+			[]eventlog.Event{told(1000, "x:1", wire.PhaseGone, -1), sent(3010)},
+		},
+		{
+			"sent to an endpoint that is ready again", DrainDeadline, false,
 			[]eventlog.Event{told(1000, "x:1", wire.PhaseDraining, -1), told(2000, "x:1", wire.PhaseReady, -1), sent(3500)},
 		},
-		{"named by the whole list", DrainDeadline, false, []eventlog.Event{
+		{"sent to an endpoint in the snapshot", DrainDeadline, false, []eventlog.Event{
 			{At: 1000, Who: "list", What: eventlog.Told, Peer: "pilot-0", N: -1},
 			told(1000, "x:1", wire.PhaseReady, -1), sent(3500),
 		}},
 		{
-			"not named by the whole list", DrainDeadline, true,
+			"sent to an endpoint missing from the snapshot", DrainDeadline, true,
 			[]eventlog.Event{{At: 1000, Who: "list", What: eventlog.Told, Peer: "pilot-0", N: -1}, sent(3500)},
 		},
-		{"joined since", DrainDeadline, false, []eventlog.Event{
+		{"sent by a proxy that joined during the drain", DrainDeadline, false, []eventlog.Event{
 			told(1000, "x:1", wire.PhaseDraining, -1),
 			{At: 2500, Who: "p", What: eventlog.Join, Peer: "pilot-0", Kind: "a"},
 			sent(4400),
 		}},
 		{
-			"while it is cut off", DrainDeadline, false,
+			"sent while the proxy is cut off", DrainDeadline, false,
 			[]eventlog.Event{
 				told(1000, "x:1", wire.PhaseDraining, -1),
 				{At: 1500, Who: "links", What: eventlog.Cut, Peer: "p"},
 				sent(4400),
 			},
 		},
-		{"a cold one bears it", SlowStartBudget, false, cold(1000, 12000, 40, bearable, true)},
-		{"a cold one pushed over", SlowStartBudget, true, cold(1000, 12000, 40, bearable+14, true)},
-		{"by proxies whose pilot can't know", SlowStartBudget, false, cold(1000, 12000, 40, bearable+14, false)},
-		{"just before it is warm", SlowStartBudget, true, cold(1000, 13500, 40, 140, true)},
-		{"once it is warm", SlowStartBudget, false, cold(1000, 15001, 40, 400, true)},
+		{"work within the warm-up budget", SlowStartBudget, false, cold(1000, 12000, 40, bearable, true)},
+		{"work beyond the warm-up budget", SlowStartBudget, true, cold(1000, 12000, 40, bearable+14, true)},
+		{"start unknown to the pilot", SlowStartBudget, false, cold(1000, 12000, 40, bearable+14, false)},
+		{"overload at the end of the warm-up", SlowStartBudget, true, cold(1000, 13500, 40, 140, true)},
+		{"overload after the warm-up", SlowStartBudget, false, cold(1000, 15001, 40, 400, true)},
 		{
-			"spread over more than the span", SlowStartBudget, false,
+			"work spread over more than the span", SlowStartBudget, false,
 			append(cold(1000, 11000, 40, 60, true), cold(1000, 13000, 40, 60, true)[2:]...),
 		},
 		{
-			"as many lines as may wait", ChannelQueue, false,
+			"as many lines as the queue limit", ChannelQueue, false,
 			[]eventlog.Event{got(200, 100, 100, 3000), got(250, 100, 150, 3000)},
 		},
-		{"more lines", ChannelQueue, true, []eventlog.Event{got(200, 100, 100, 3000), got(250, 100, 150, 3001)}},
 		{
-			"more, one after the other", ChannelQueue, false,
+			"more lines than the queue limit", ChannelQueue, true,
+			[]eventlog.Event{got(200, 100, 100, 3000), got(250, 100, 150, 3001)},
+		},
+		{
+			"more lines, but not queued together", ChannelQueue, false,
 			[]eventlog.Event{got(200, 100, 100, 3000), got(300, 200, 100, 3001)},
 		},
-		{"as many messages as may be", ChannelQueue, false, messages(30, 100)},
-		{"more messages", ChannelQueue, true, messages(31, 300)},
-		{"more, over a longer time", ChannelQueue, false, messages(60, 350)},
+		{"as many messages as the limit", ChannelQueue, false, messages(30, 100)},
+		{"more messages than the limit", ChannelQueue, true, messages(31, 300)},
+		{"more messages over a longer time", ChannelQueue, false, messages(60, 350)},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			r := Check(append(baseEvents(), x.events...), &c, map[string]string{"x:1": "x", "y:1": "y"})
@@ -165,7 +178,7 @@
 			}
 
 			if x.broken {
-				assert.Contains(t, fmt.Sprint(r.Verdicts[x.rule].Worst), "s ", "says when")
+				assert.Contains(t, fmt.Sprint(r.Verdicts[x.rule].Worst), "s ", "the description contains the time")
 			}
 		})
 	}
