--- a/internal/audit/channel.go
+++ b/internal/audit/channel.go
@@ -8,21 +8,21 @@
 	"indigousher/internal/testbed/eventlog"
 )
 
-// queuedMessage is a message that lay in a pilot's channel before it was sent.
+// queuedMessage is a message that was queued in a pilot's channel before it was sent.
 type queuedMessage struct {
-	from  float64 // ms; when it was queued
-	to    float64 // ms; when it was sent
-	lines int
+	from  float64 // time in ms at which it was queued
+	to    float64 // time in ms at which it was sent
+	lines int     // number of lines in the message
 }
 
-// queueChange is a moment at which the length of a queue changed.
+// queueChange is a change of the length of a channel's queue.
 type queueChange struct {
-	at    float64 // ms
-	lines int     // negative for a message that was sent
+	at    float64 // time in ms
+	lines int     // lines added; negative for a message that was sent
 }
 
-// recordMessage notes a message that a proxy received, and checks the first half of the rule ChannelQueue: no proxy
-// receives more messages within a span than it may.
+// recordMessage records a message that a proxy received and checks the first half of the rule ChannelQueue: a proxy
+// receives at most MessagesMost messages within any MessagesOver. A limit of 0 or less turns this check off.
 func (a *Auditor) recordMessage(e eventlog.Event) {
 	proxy := a.proxy(e.Who)
 	proxy.lastCommandAt = e.At - e.Value
@@ -45,8 +45,8 @@
 		count, e.Peer, limit)
 }
 
-// checkQueues checks the second half of the rule ChannelQueue: no channel holds more lines than its queue limit. It is
-// done at the end, since a message shows only when it is received how long it was queued.
+// checkQueues checks the second half of the rule ChannelQueue: no channel holds more lines than its queue limit. It
+// runs after the last event, because the time that a message was queued is known only from its receipt.
 func (a *Auditor) checkQueues() {
 	for _, name := range slices.Sorted(maps.Keys(a.pilots)) {
 		for _, messages := range a.pilots[name].queued {
@@ -55,7 +55,7 @@
 	}
 }
 
-// checkQueue checks the queue of one incarnation of a pilot.
+// checkQueue checks the queue of one incarnation of a pilot, from all messages that this incarnation sent.
 func (a *Auditor) checkQueue(pilot string, messages []queuedMessage) {
 	lines := 0
 	for _, change := range queueChanges(messages) {
@@ -65,7 +65,8 @@
 	}
 }
 
-// queueChanges returns by time how the length of a queue changed; at the same moment, what is sent goes first.
+// queueChanges returns the changes of a queue's length, sorted by time. Of changes at the same time, lines that leave
+// the queue come before lines that are added, so that they are not counted together.
 func queueChanges(messages []queuedMessage) []queueChange {
 	var changes []queueChange
 	for _, m := range messages {
