--- a/internal/audit/coverage.go
+++ b/internal/audit/coverage.go
@@ -6,7 +6,7 @@
 	"indigousher/internal/wire"
 )
 
-// recordLines notes how many endpoints a proxy's table has for a request class.
+// recordLines records how many endpoints the proxy's table has for the request class of the event.
 func (p *proxyState) recordLines(e eventlog.Event, classes []config.RequestClass) {
 	p.lineCounts[e.Kind] = e.N
 	p.uncovered = false
@@ -19,8 +19,8 @@
 	}
 }
 
-// checkCoverage checks the rule EndpointCoverage: no connected proxy is without an endpoint for a request class for
-// longer than the limit while its pilot knows of a warm one.
+// checkCoverage checks the rule EndpointCoverage at the time checkedAt: no connected proxy's table lacks endpoints for
+// a request class for longer than BareFor while its pilot knows a warm endpoint for that class.
 func (a *Auditor) checkCoverage() {
 	for _, proxy := range a.sortedProxies {
 		if !proxy.uncovered {
@@ -34,7 +34,7 @@
 	}
 }
 
-// checkClassCoverage checks one request class of a proxy; pilot is nil where it is connected to none.
+// checkClassCoverage checks one request class of a proxy. The pilot is nil if the proxy is not connected to one.
 func (a *Auditor) checkClassCoverage(proxy *proxyState, pilot *pilotState, class *config.RequestClass) {
 	verdict := a.verdict(EndpointCoverage)
 	if pilot == nil || proxy.lineCounts[class.Name] > 0 || !a.hasWarmEndpoint(pilot, proxy.zone, class) {
@@ -53,8 +53,8 @@
 		"no line for %s for %.0f ms of %.0f", class.Name, lasted, limit)
 }
 
-// hasWarmEndpoint returns whether a pilot's list shows a ready, warm endpoint that may serve a request class for
-// proxies of a zone.
+// hasWarmEndpoint returns whether the pilot's endpoint list contains an endpoint that is ready, has finished its
+// warm-up, and may serve the request class for proxies in the zone.
 func (a *Auditor) hasWarmEndpoint(pilot *pilotState, zone string, class *config.RequestClass) bool {
 	warmUpMs := float64(a.settings.Cold.Milliseconds())
 	for _, listed := range pilot.listed {
