--- a/internal/audit/drains.go
+++ b/internal/audit/drains.go
@@ -7,8 +7,9 @@
 	"indigousher/internal/wire"
 )
 
-// checkDrain checks the rule DrainDeadline: a proxy sends nothing to an endpoint once the drain deadline has passed,
-// counted from when its pilot was notified or, if that was later, from when the proxy joined.
+// checkDrain checks the rule DrainDeadline when a proxy sends an attempt: a proxy sends nothing to a draining or
+// removed endpoint after the drain deadline. The deadline is DrainGrace after the pilot was notified of the drain or,
+// if that was later, after the proxy joined the pilot.
 func (a *Auditor) checkDrain(e eventlog.Event) {
 	verdict := a.verdict(DrainDeadline)
 	verdict.Checked++
