--- a/internal/audit/effects.go
+++ b/internal/audit/effects.go
@@ -7,7 +7,7 @@
 	"indigousher/internal/testbed/eventlog"
 )
 
-// checkEffect checks the rule SingleEffect: a request that is not idempotent takes effect at most once.
+// checkEffect checks the rule SingleEffect: a request of a class that is not replayable takes effect at most once.
 func (a *Auditor) checkEffect(e eventlog.Event) {
 	class := slices.IndexFunc(a.settings.Kinds, func(c config.RequestClass) bool { return c.Name == e.Kind })
 	if class < 0 || a.settings.Kinds[class].Repeats == config.RepeatsReplayable {
@@ -20,7 +20,7 @@
 	}
 	counts[e.Req]++
 	count := counts[e.Req]
-	// The first effect is 0, the second already twice the limit: there is nothing in between.
+	// One effect is a fraction of 0 and two are a fraction of 2, because a count has no values near its limit.
 	fraction := float64(count-1) * 2
 	a.verdict(SingleEffect).observe(fraction, e.At, e.Who, "%s %d took effect %d times", e.Kind, e.Req, count)
 }
