--- a/internal/audit/report.go
+++ b/internal/audit/report.go
@@ -1,12 +1,12 @@
 package audit
 
-// Report is the whole judgement on one run of a scenario.
+// Report is the result of auditing one run of a scenario.
 type Report struct {
-	Verdicts [RuleCount]Verdict // by Rule
-	Service  Service
+	Verdicts [RuleCount]Verdict // indexed by Rule
+	Service  Service            // what the clients received
 }
 
-// newReport returns a report in which no rule has been observed yet.
+// newReport returns a report without observations, in which every rule counts as kept.
 func newReport() *Report {
 	r := &Report{}
 	for i := range r.Verdicts {
@@ -15,7 +15,7 @@
 	return r
 }
 
-// Kept returns whether all rules held.
+// Kept returns whether no rule was violated.
 func (r *Report) Kept() bool {
 	for i := range r.Verdicts {
 		if !r.Verdicts[i].Kept() {
