--- a/internal/audit/service.go
+++ b/internal/audit/service.go
@@ -5,19 +5,19 @@
 	"indigousher/internal/testbed/eventlog"
 )
 
-// WindowMs is the width of a window of Service.Windows, in ms.
+// WindowMs is the length in ms of each time window of Service.Windows.
 const WindowMs = 5000.0
 
-// Outcomes of a request as a client logs them in Event.Text; any other is an error.
+// Outcomes of a request as clients log them in Event.Text. Any other text counts as an error.
 const (
 	outcomeDone     = "done"
 	outcomeRejected = "denied"
 )
 
-// Earnings is the sum of priority weights earned by answers, and of those asked for.
+// Earnings compares the priority weight that answers earned (Earned) with that of all requests (Asked).
 type Earnings struct{ Earned, Asked float64 }
 
-// Share is earned over asked, 1 where nothing was asked.
+// Share returns Earned as a fraction of Asked, or 1 if there were no requests.
 func (e Earnings) Share() float64 {
 	if e.Asked == 0 {
 		return 1
@@ -25,24 +25,25 @@
 	return e.Earned / e.Asked
 }
 
-// Service is the priority weight of the answers within the latency objective, over that of all requests. A late answer
-// earns the reduced weight of its class.
+// Service measures how well clients were served: the priority weight of the answers within the latency objective,
+// compared with that of all requests. A late answer earns the reduced weight of its request class.
 type Service struct {
-	All     Earnings
-	Windows []Earnings // by when the requests were sent, each WindowMs wide
+	All     Earnings   // of the whole run
+	Windows []Earnings // by time window in which the requests were sent; each is WindowMs long
 	Kinds   []Earnings // by request class, in the order of the settings
 
-	// Counts of requests by outcome. Late ones are among those done.
+	// Numbers of requests that succeeded, were rejected and failed.
 	Done, Denied, Errored int
-	Late                  int
+	// Late is the number of succeeded requests that missed the latency objective; Done includes them.
+	Late int
 }
 
-// serviceMeter adds up the service from the clients' events.
+// serviceMeter computes the service from the clients' events.
 type serviceMeter struct {
 	Service
 	settings   *config.Common
-	classIndex map[string]int     // by name
-	askedAt    map[uint64]float64 // ms, by request; of those not answered yet
+	classIndex map[string]int     // index of a request class in the settings, by name
+	askedAt    map[uint64]float64 // send time in ms of each unanswered request, by request ID
 }
 
 func newServiceMeter(settings *config.Common) *serviceMeter {
@@ -58,7 +59,7 @@
 	return s
 }
 
-// record takes in an event; all but those of clients are ignored.
+// record processes an event. Events that do not come from clients are ignored.
 func (s *serviceMeter) record(e eventlog.Event) {
 	switch e.What {
 	case eventlog.Asked:
@@ -68,7 +69,8 @@
 	}
 }
 
-// recordAnswer adds the end of a request. Its service counts in the window in which the request was sent.
+// recordAnswer adds an answered request to the service. It counts in the window in which the request was sent. Requests
+// of a class that is not in the settings are ignored.
 func (s *serviceMeter) recordAnswer(e eventlog.Event) {
 	askedAt := s.askedAt[e.Req]
 	delete(s.askedAt, e.Req)
@@ -88,7 +90,8 @@
 	}
 }
 
-// earned counts the outcome of a request and returns the priority weight that it earned.
+// earned counts the outcome of a request and returns the priority weight that it earned, which is 0 if the request was
+// rejected or failed.
 func (s *serviceMeter) earned(e eventlog.Event, class *config.RequestClass) float64 {
 	switch e.Text {
 	case outcomeDone:
