--- a/internal/audit/slowstart.go
+++ b/internal/audit/slowstart.go
@@ -6,22 +6,24 @@
 	"indigousher/internal/testbed/eventlog"
 )
 
-// slowStartSlack is how many requests of the size at hand chance may bring together beyond the budget of an endpoint
-// that warms up.
+// slowStartSlack is the number of requests, each as large as the current one, by which the work sent to an endpoint in
+// warm-up may exceed its budget. It allows for requests that happen to arrive together.
 const slowStartSlack = 4
 
-// sameStartMs is how far an endpoint's start and its start in the endpoint list may lie apart.
+// sameStartMs is the largest difference in ms between an endpoint's start in the event log and a start in the pilot's
+// endpoint list at which both count as the same start.
 const sameStartMs = 1000
 
-// arrival is a request that came to an endpoint while it was warming up.
+// arrival is an attempt that arrived at an endpoint during its warm-up.
 type arrival struct {
-	at       float64 // ms
-	work     float64 // ms on one core
-	informed bool    // the sender's pilot knew of the start
+	at       float64 // time in ms
+	work     float64 // ms of processing on one core
+	informed bool    // the sending proxy's pilot had time to react to the endpoint's start
 }
 
-// checkSlowStart checks the rule SlowStartBudget: the work that is sent within a span to an endpoint that warms up
-// stays within its budget.
+// checkSlowStart checks the rule SlowStartBudget when an attempt arrives: the work sent to an endpoint in warm-up
+// during the span Fall is at most FallMultiple times what the endpoint can process in that span, plus slowStartSlack
+// requests.
 func (a *Auditor) checkSlowStart(e eventlog.Event) {
 	endpoint := a.endpoints[e.Who]
 	age := e.At - endpoint.startedAt
@@ -37,14 +39,15 @@
 	budget := a.settings.FallMultiple*endpoint.capacity*warmth*span + slowStartSlack*e.Value
 	fraction := total / budget
 	if informed < total*2/3 {
-		// Less than two thirds came from proxies whose pilots knew: no pilot could have prevented the overload.
+		// Less than two thirds of the work came from proxies whose pilots had time to react to the endpoint's start.
+		// No pilot could have prevented the overload, so it is not a violation.
 		fraction = math.Min(fraction, 1)
 	}
 	a.verdict(SlowStartBudget).observe(fraction, e.At, e.Who,
 		"%.0f ms of work in %.0f ms, %.0f of it informed, %.0f bearable", total, span, informed, budget)
 }
 
-// addArrival adds an arrival and forgets those that lie more than a span, in ms, before it.
+// addArrival adds an arrival and removes those that are more than span, in ms, older.
 func (s *endpointState) addArrival(next arrival, span float64) {
 	s.arrivals = append(s.arrivals, next)
 	for s.arrivals[0].at < next.at-span {
@@ -52,7 +55,7 @@
 	}
 }
 
-// arrivedWork returns the work of the kept arrivals in ms, and the part of it that was sent knowingly.
+// arrivedWork returns the work of the recorded arrivals in ms: all of it, and that of the informed arrivals.
 func (s *endpointState) arrivedWork() (total, informed float64) {
 	for _, x := range s.arrivals {
 		total += x.work
@@ -63,8 +66,8 @@
 	return total, informed
 }
 
-// pilotKnewOfStart returns whether the pilot of the proxy that sent a request had the time to learn of the endpoint's
-// start and to act on it.
+// pilotKnewOfStart returns whether the pilot of the proxy that sent the attempt knew of the endpoint's start and had
+// time to react: it has sent the proxy a message decided since then, or DrainGrace has passed since it was notified.
 func (a *Auditor) pilotKnewOfStart(e eventlog.Event, endpoint *endpointState) bool {
 	proxy := a.proxies[e.Peer]
 	if proxy == nil || proxy.pilot == "" {
