--- a/internal/audit/state.go
+++ b/internal/audit/state.go
@@ -10,66 +10,67 @@
 	"indigousher/internal/wire"
 )
 
-// Values of Event.Kind in a Start event. A proxy's start has none of them.
+// Values of Event.Kind in a Start event. The start of a proxy has another value.
 const (
-	startedCold  = "cold"  // an endpoint that warms up first
-	startedWarm  = "warm"  // an endpoint that is warm at once
+	startedCold  = "cold"  // an endpoint that needs a warm-up
+	startedWarm  = "warm"  // an endpoint that has its full capacity at once
 	startedPilot = "pilot" // a pilot
 )
 
-// snapshotMarker is Event.N of the Told event with which an endpoint list sent as a whole begins.
+// snapshotMarker is the value of Event.N in the Told event that begins a snapshot of the whole endpoint list.
 const snapshotMarker = -1
 
-// startToleranceMs is how far two reports of an endpoint's start may lie apart and still mean the same start: the age
-// in a message is taken when it is sent, not when it is received.
+// startToleranceMs is the largest difference in ms between two reported start times of an endpoint that still count as
+// the same start. They differ because the age in a message is that at its sending, not at its receipt.
 const startToleranceMs = 500
 
-// proxyState is what the events show of a proxy.
+// proxyState is the state of a proxy, derived from the events.
 type proxyState struct {
 	name  string
 	zone  string
-	pilot string // that it has joined; empty: none
+	pilot string // name of the pilot that it has joined; empty if none
 
-	joinedAt       float64            // ms
-	lineCounts     map[string]int     // endpoints in its table, by request class
-	uncovered      bool               // some request class has no endpoint
-	uncoveredSince map[string]float64 // ms, by request class
-	lastCommandAt  float64            // ms; when the pilot decided on what it last received
-	messageTimes   []float64          // ms, within the span over which messages are counted
+	joinedAt       float64            // time in ms at which it joined its pilot
+	lineCounts     map[string]int     // number of endpoints in its table, by request class
+	uncovered      bool               // at least one request class has no endpoint
+	uncoveredSince map[string]float64 // time in ms at which the check first found no endpoint, by request class
+	lastCommandAt  float64            // time in ms at which the pilot queued the message that the proxy received last
+	messageTimes   []float64          // times in ms of the messages received within the last MessagesOver
 }
 
-// pilotState is what the events show of a pilot.
+// pilotState is the state of a pilot, derived from the events.
 type pilotState struct {
 	zone        string
-	incarnation int
-	listed      map[string]*listedEndpoint // by address
-	queued      map[int][]queuedMessage    // by incarnation
+	incarnation int                        // number of starts so far
+	listed      map[string]*listedEndpoint // the pilot's endpoint list, by address
+	queued      map[int][]queuedMessage    // messages that it sent, by incarnation
 }
 
-// listedEndpoint is what a pilot's endpoint list says of an endpoint.
+// listedEndpoint is an endpoint as a pilot's endpoint list describes it.
 type listedEndpoint struct {
 	zone    string
 	machine string // hardware generation
 
-	phase      int
-	phaseSince float64 // ms
-	// Phase and time before a snapshot began that has yet to name the endpoint again.
+	phase      int     // one of the wire.Phase constants
+	phaseSince float64 // time in ms at which the phase began
+	// The phase and its beginning (ms) before the last snapshot began. They are restored if the snapshot lists the
+	// endpoint with the same phase.
 	earlierPhase int
 	earlierSince float64
 
-	startedAt     float64 // ms; -Inf where the list names no start: long ago
-	startListedAt float64 // ms; when the pilot was notified of this start
+	startedAt     float64 // time in ms; -Inf if the list gives no age, as the start was long ago
+	startListedAt float64 // time in ms at which the pilot was notified of this start
 }
 
-// endpointState is what the events show of an endpoint's process.
+// endpointState is the state of an endpoint's process, derived from the events.
 type endpointState struct {
-	startedAt float64 // ms
-	slowStart bool    // it warms up after its start
-	capacity  float64 // ms of work per ms, once warm
-	arrivals  []arrival
+	startedAt float64   // time in ms
+	slowStart bool      // it needs a warm-up after its start
+	capacity  float64   // ms of work per ms, after the warm-up
+	arrivals  []arrival // within the last Fall, during the warm-up
 }
 
-// proxy returns the state of a proxy, and begins one at its first event.
+// proxy returns the state of a proxy and creates it if there is none.
 func (a *Auditor) proxy(name string) *proxyState {
 	if p := a.proxies[name]; p != nil {
 		return p
@@ -81,7 +82,7 @@
 	return p
 }
 
-// pilot returns the state of a pilot, and begins one at its first event.
+// pilot returns the state of a pilot and creates it if there is none.
 func (a *Auditor) pilot(name string) *pilotState {
 	if p := a.pilots[name]; p != nil {
 		return p
@@ -91,8 +92,8 @@
 	return p
 }
 
-// connectedPilot returns a proxy's pilot while their connection carries data, and nil otherwise. A proxy behind a cut
-// counts as disconnected from the cut on, as its pilot can do nothing there.
+// connectedPilot returns the pilot that the proxy has joined, or nil if there is none or no data can pass between them.
+// A proxy counts as disconnected from the beginning of a network cut, because its pilot cannot reach it.
 func (a *Auditor) connectedPilot(p *proxyState) *pilotState {
 	if p.pilot == "" || a.blackholed[p.name] || a.blackholed[p.pilot] {
 		return nil
@@ -104,10 +105,10 @@
 	return pilot
 }
 
-// recordStart begins a process of an endpoint, a pilot or a proxy.
+// recordStart records the start of a process of an endpoint, a pilot or a proxy.
 func (a *Auditor) recordStart(e eventlog.Event) {
 	switch e.Kind {
-	case startedCold, startedWarm: // a new state: the name may have been that of an earlier process
+	case startedCold, startedWarm: // replaces the state of an earlier process with the same name
 		a.endpoints[e.Who] = &endpointState{startedAt: e.At, slowStart: e.Kind == startedCold, capacity: e.Value}
 	case startedPilot:
 		pilot := a.pilot(e.Who)
@@ -121,14 +122,15 @@
 	}
 }
 
-// recordStop ends a process. Only a proxy's end matters: what is not sent can't break a rule.
+// recordStop records the end of a process. Only the end of a proxy changes the state; it then has no pilot. A stopped
+// endpoint or pilot needs no handling, because a process that sends nothing cannot violate a rule.
 func (a *Auditor) recordStop(e eventlog.Event) {
 	if p := a.proxies[e.Who]; p != nil {
 		p.pilot = ""
 	}
 }
 
-// recordJoin connects a proxy to a pilot; what an earlier pilot did no longer counts.
+// recordJoin records that a proxy joined a pilot, and discards the messages and times that concern an earlier pilot.
 func (a *Auditor) recordJoin(e eventlog.Event) {
 	p := a.proxy(e.Who)
 	p.zone = e.Kind
@@ -139,7 +141,8 @@
 	clear(p.uncoveredSince)
 }
 
-// recordCut begins or ends a cut, of a zone or of everything around one name.
+// recordCut records the beginning or end of a network cut: of a zone if Event.Text names one, otherwise of the single
+// process named by Event.Peer.
 func (a *Auditor) recordCut(e eventlog.Event) {
 	isCut := e.What == eventlog.Cut
 	if e.Text != "" {
@@ -149,7 +152,7 @@
 	a.blackholed[e.Peer] = isCut
 }
 
-// recordListed updates a pilot's endpoint list.
+// recordListed updates a pilot's endpoint list with one entry, or begins a snapshot of the list.
 func (a *Auditor) recordListed(e eventlog.Event) {
 	pilot := a.pilot(e.Peer)
 	if e.N <= snapshotMarker {
@@ -169,7 +172,7 @@
 	}
 }
 
-// beginSnapshot takes all endpoints as gone until the snapshot names them again.
+// beginSnapshot marks all endpoints as gone at a time in ms, until the snapshot lists them again.
 func (p *pilotState) beginSnapshot(at float64) {
 	for _, listed := range p.listed {
 		if listed.phase == wire.PhaseGone {
@@ -182,8 +185,8 @@
 	}
 }
 
-// setPhase changes the phase of an endpoint. A snapshot that names the phase of before it leaves its beginning as it
-// was.
+// setPhase sets the phase of an endpoint at a time in ms. If a snapshot has just begun and lists the endpoint with the
+// same phase as before, the phase keeps its earlier beginning.
 func (l *listedEndpoint) setPhase(phase int, at float64) {
 	if l.phase == phase {
 		return
@@ -196,7 +199,8 @@
 	l.phaseSince = since
 }
 
-// setStart notes when an endpoint started, from its age in ms; a negative age means long ago.
+// setStart records when an endpoint started, from its age in ms at the time at, in ms. A negative age means that the
+// start was long ago.
 func (l *listedEndpoint) setStart(at, age float64) {
 	startedAt := math.Inf(-1)
 	if age >= 0 {
@@ -210,7 +214,7 @@
 	}
 }
 
-// opensTo returns whether an endpoint may serve a request class for proxies of a zone.
+// opensTo returns whether the endpoint may serve a request class for proxies in a zone.
 func (l *listedEndpoint) opensTo(class *config.RequestClass, zone string) bool {
 	if len(class.OnlyMachines) > 0 && !slices.Contains(class.OnlyMachines, l.machine) {
 		return false
