--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -8,16 +8,16 @@
 	"indigousher/internal/testbed/eventlog"
 )
 
-// checkIntervalMs is the interval in ms at which the coverage rule is checked. It is far below the limit of the rule,
-// which is in seconds.
-const checkIntervalMs = 50.0
+// coverageCheckIntervalMs is the interval in ms at which the coverage rule is checked, which is far below the limit of
+// the rule, which is in seconds. A snapshot must also list an endpoint within this time to preserve its phase.
+const coverageCheckIntervalMs = 50.0
 
 // Auditor checks the rules in one pass over the events of a run, which must be added in the order of their times.
 type Auditor struct {
-	settings  *config.Common
-	service   *serviceMeter
-	report    *Report
-	checkedAt float64 // time in ms up to which the coverage rule has been checked
+	settings          *config.Common
+	service           *serviceMeter
+	report            *Report
+	coverageCheckedAt float64 // time in ms up to which the coverage rule has been checked
 
 	// Names of endpoints in the event logs and their addresses. An endpoint can have several addresses during a run.
 	nameByAddress   map[string]string
@@ -31,7 +31,7 @@
 
 	effectCounts map[string]map[uint64]int // number of effects by request class and request ID
 	cutZones     map[string]bool           // zones that are cut off from the other zones
-	blackholed   map[string]bool           // names of processes whose traffic is all dropped
+	isolated     map[string]bool           // names of processes whose traffic is all dropped
 }
 
 // Check audits a complete run. The events must be in the order of their times; addresses maps an endpoint's address to
@@ -60,7 +60,7 @@
 		endpoints:       map[string]*endpointState{},
 		effectCounts:    map[string]map[uint64]int{},
 		cutZones:        map[string]bool{},
-		blackholed:      map[string]bool{},
+		isolated:        map[string]bool{},
 	}
 }
 
@@ -72,8 +72,8 @@
 
 // Add processes the next event. Before that it checks the coverage rule at each interval up to the event's time.
 func (a *Auditor) Add(e eventlog.Event) {
-	for a.checkedAt+checkIntervalMs <= e.At {
-		a.checkedAt += checkIntervalMs
+	for a.coverageCheckedAt+coverageCheckIntervalMs <= e.At {
+		a.coverageCheckedAt += coverageCheckIntervalMs
 		a.checkCoverage()
 	}
 	a.service.record(e)
--- a/internal/audit/coverage.go
+++ b/internal/audit/coverage.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// checkCoverage checks the rule EndpointCoverage at the time checkedAt: no connected proxy's table lacks endpoints for
-// a request class for longer than BareFor while its pilot knows a warm endpoint for that class.
+// checkCoverage checks the rule EndpointCoverage at the time coverageCheckedAt: no connected proxy's table lacks
+// endpoints for a request class for longer than BareFor while its pilot knows a warm endpoint for that class.
 func (a *Auditor) checkCoverage() {
 	for _, proxy := range a.sortedProxies {
 		if !proxy.uncovered {
@@ -44,12 +44,12 @@
 	}
 	since, known := proxy.uncoveredSince[class.Name]
 	if !known {
-		since = a.checkedAt
+		since = a.coverageCheckedAt
 		proxy.uncoveredSince[class.Name] = since
 	}
-	lasted := a.checkedAt - since
+	lasted := a.coverageCheckedAt - since
 	limit := float64(a.settings.BareFor.Milliseconds())
-	verdict.observe(lasted/limit, a.checkedAt, proxy.name,
+	verdict.observe(lasted/limit, a.coverageCheckedAt, proxy.name,
 		"no line for %s for %.0f ms of %.0f", class.Name, lasted, limit)
 }
 
@@ -58,8 +58,8 @@
 func (a *Auditor) hasWarmEndpoint(pilot *pilotState, zone string, class *config.RequestClass) bool {
 	warmUpMs := float64(a.settings.Cold.Milliseconds())
 	for _, listed := range pilot.listed {
-		isWarm := a.checkedAt-listed.startedAt >= warmUpMs
-		if listed.phase == wire.PhaseReady && isWarm && listed.opensTo(class, zone) {
+		isWarm := a.coverageCheckedAt-listed.startedAt >= warmUpMs
+		if listed.phase == wire.PhaseReady && isWarm && listed.mayServe(class, zone) {
 			return true
 		}
 	}
--- a/internal/audit/slowstart.go
+++ b/internal/audit/slowstart.go
@@ -10,9 +10,9 @@
 // warm-up may exceed its budget. It allows for requests that happen to arrive together.
 const slowStartSlack = 4
 
-// sameStartMs is the largest difference in ms between an endpoint's start in the event log and a start in the pilot's
-// endpoint list at which both count as the same start.
-const sameStartMs = 1000
+// startMatchToleranceMs is the largest difference in ms between an endpoint's start in the event log and a start in the
+// pilot's endpoint list at which both count as the same start.
+const startMatchToleranceMs = 1000
 
 // arrival is an attempt that arrived at an endpoint during its warm-up.
 type arrival struct {
@@ -79,7 +79,7 @@
 		if listed == nil || a.nameByAddress[address] != e.Who {
 			continue
 		}
-		if math.Abs(listed.startedAt-endpoint.startedAt) < sameStartMs {
+		if math.Abs(listed.startedAt-endpoint.startedAt) < startMatchToleranceMs {
 			reactionMs := float64(a.settings.DrainGrace.Milliseconds())
 			return proxy.lastCommandAt >= listed.startListedAt || e.At >= listed.startListedAt+reactionMs
 		}
--- a/internal/audit/state.go
+++ b/internal/audit/state.go
@@ -95,7 +95,7 @@
 // connectedPilot returns the pilot that the proxy has joined, or nil if there is none or no data can pass between them.
 // A proxy counts as disconnected from the beginning of a network cut, because its pilot cannot reach it.
 func (a *Auditor) connectedPilot(p *proxyState) *pilotState {
-	if p.pilot == "" || a.blackholed[p.name] || a.blackholed[p.pilot] {
+	if p.pilot == "" || a.isolated[p.name] || a.isolated[p.pilot] {
 		return nil
 	}
 	pilot := a.pilot(p.pilot)
@@ -149,7 +149,7 @@
 		a.cutZones[e.Text] = isCut
 		return
 	}
-	a.blackholed[e.Peer] = isCut
+	a.isolated[e.Peer] = isCut
 }
 
 // recordListed updates a pilot's endpoint list with one entry, or begins a snapshot of the list.
@@ -192,7 +192,7 @@
 		return
 	}
 	since := at
-	if l.earlierPhase == phase && at-l.phaseSince < checkIntervalMs {
+	if l.earlierPhase == phase && at-l.phaseSince < coverageCheckIntervalMs {
 		since = l.earlierSince
 	}
 	l.phase = phase
@@ -214,8 +214,8 @@
 	}
 }
 
-// opensTo returns whether the endpoint may serve a request class for proxies in a zone.
-func (l *listedEndpoint) opensTo(class *config.RequestClass, zone string) bool {
+// mayServe returns whether the endpoint may serve a request class for proxies in a zone.
+func (l *listedEndpoint) mayServe(class *config.RequestClass, zone string) bool {
 	if len(class.OnlyMachines) > 0 && !slices.Contains(class.OnlyMachines, l.machine) {
 		return false
 	}
