--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -103,7 +103,10 @@
 		},
 		{
 			"no endpoint while the proxy has no pilot", EndpointCoverage, false,
-			append([]eventlog.Event{{At: 900, Who: "p", What: eventlog.Leave, Peer: "pilot-0"}}, withoutEndpoints(1000, 9000)...),
+			append(
+				[]eventlog.Event{{At: 900, Who: "p", What: eventlog.Leave, Peer: "pilot-0"}},
+				withoutEndpoints(1000, 9000)...,
+			),
 		},
 		{"one effect", SingleEffect, false, effects("book", 1)},
 		{"two effects", SingleEffect, true, effects("book", 2)},
