--- a/internal/rehearsal/baselines.go
+++ b/internal/rehearsal/baselines.go
@@ -7,7 +7,8 @@
 	"indigousher/internal/baseline"
 )
 
-// Baselines plays a scenario with static tables only and with one even table for all proxies, to compare with.
+// Baselines runs a scenario under two simple policies for comparison: proxies that only use their static tables, and
+// pilots that send every proxy the same table with even weights. It returns one column for each.
 func Baselines(ctx context.Context, p Play) ([]Column, error) {
 	evenTable, err := baseline.Named("even")
 	if err != nil {
