--- a/internal/rehearsal/endpoints.go
+++ b/internal/rehearsal/endpoints.go
@@ -10,13 +10,16 @@
 	"indigousher/internal/wire"
 )
 
-// endpointSeedStep keeps the sequences of endpoints with names of different lengths apart.
+// endpointSeedStep is multiplied by the length of an endpoint's name and added to the scenario's seed, so that
+// endpoints whose names differ in length get different random sequences.
 const endpointSeedStep = 7919
 
-// minOwnZone is how many endpoints its own zone must have for a proxy's static table to hold only those.
+// minOwnZone is the number of ready endpoints that a proxy's zone must have for its static table to hold only endpoints
+// of that zone.
 const minOwnZone = 3
 
-// addEndpoint starts an endpoint of a group of the scenario.
+// addEndpoint creates and starts an endpoint of a group of the scenario, given by the group's index. If cold is set,
+// the endpoint needs a warm-up. It is not yet published in the registry.
 func (s *stage) addEndpoint(name string, group int, cold bool) error {
 	g := s.Scenario.Groups[group]
 	s.mu.Lock()
@@ -40,7 +43,7 @@
 	return nil
 }
 
-// updateEntry changes an endpoint's entry, and the list after a delay.
+// updateEntry changes an endpoint's entry at once and publishes it in the registry after a delay.
 func (s *stage) updateEntry(name string, delay time.Duration, change func(*wire.Entry)) {
 	s.mu.Lock()
 	entry := s.entries[name]
@@ -50,12 +53,12 @@
 	s.registry.Put(delay, entry)
 }
 
-// setPhase changes the phase of an endpoint, and the list after a delay.
+// setPhase changes the phase of an endpoint at once and publishes it in the registry after a delay.
 func (s *stage) setPhase(name string, delay time.Duration, phase int) {
 	s.updateEntry(name, delay, func(entry *wire.Entry) { entry.Phase = phase })
 }
 
-// listAll puts all endpoints on the list at once.
+// listAll publishes all endpoints in the registry without delay.
 func (s *stage) listAll() {
 	s.mu.Lock()
 	var all []wire.Entry
@@ -66,8 +69,8 @@
 	s.registry.Put(0, all...)
 }
 
-// drawStaticTable draws the endpoints of a proxy's static table from those that are ready: from its own zone if that
-// has enough.
+// drawStaticTable draws random ready endpoints for the static table of a proxy in a zone. They come from that zone if
+// it has at least minOwnZone of them, otherwise from all zones. It returns their addresses.
 func (s *stage) drawStaticTable(zone string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
