--- a/internal/rehearsal/faults.go
+++ b/internal/rehearsal/faults.go
@@ -7,23 +7,24 @@
 	"indigousher/internal/scenario"
 )
 
-// faultHandover is the name of the fault for which pilots need a handover socket.
+// faultHandover is the name of the fault in which pilots are replaced by handover. Scenarios that have it configure a
+// handover socket for each pilot.
 const faultHandover = "handover"
 
-// faultHandler plays a fault from its beginning to its end, or until ctx ends.
+// faultHandler injects a fault and returns after it has ended, or when ctx is cancelled.
 type faultHandler func(s *stage, ctx context.Context, fault scenario.Fault) error
 
-// faultHandlers play the faults by their names in scenario files. Names that are not here, as bursts, are faults of the
-// clients: the load generator plays them.
+// faultHandlers maps the names of faults in scenario files to their handlers. Faults without a handler, such as bursts,
+// concern the clients and are injected by the load generator.
 var faultHandlers = map[string]faultHandler{
-	// Endpoints that answer otherwise than they should.
+	// Endpoints that answer incorrectly or not at all.
 	"hang":           (*stage).hang,
 	"fast_errors":    (*stage).failRequests,
 	"class_fail":     (*stage).failRequests,
 	"answers_twice":  (*stage).answerTwice,
 	"handshake_slow": (*stage).slowHandshakes,
 
-	// Endpoints' processes.
+	// Endpoints whose processes end, restart or are replaced.
 	"vanish":   (*stage).vanishEndpoints,
 	"crash":    (*stage).crashEndpoints,
 	"restart":  (*stage).restartEndpoints,
@@ -56,7 +57,8 @@
 	faultHandover: (*stage).handOverPilots,
 }
 
-// playFault plays a fault from its beginning to its end, or until ctx ends.
+// playFault injects a fault and returns after it has ended, or when ctx is cancelled. Faults of the clients are
+// ignored.
 func (s *stage) playFault(ctx context.Context, fault scenario.Fault) error {
 	handler := faultHandlers[fault.What]
 	if handler == nil {
@@ -79,13 +81,13 @@
 	return nil
 }
 
-// stopRegistry takes the registry away. At the end of the run it stays so.
+// stopRegistry stops the registry for the duration of the fault. If the run ends first, it is not started again.
 func (s *stage) stopRegistry(ctx context.Context, fault scenario.Fault) error {
 	s.registry.Stop()
 	if !backoff.Sleep(ctx, fault.For) {
 		return nil
 	}
-	return s.registry.Start() //nolint:contextcheck // ends in stopAll, not with the fault
+	return s.registry.Start() //nolint:contextcheck // stopped by stopAll, not by ctx
 }
 
 func (s *stage) listAllNow(context.Context, scenario.Fault) error {
