--- a/internal/rehearsal/faults_endpoint.go
+++ b/internal/rehearsal/faults_endpoint.go
@@ -16,15 +16,16 @@
 )
 
 const (
-	// lostListFactor is how many times as long the registry takes to notice an endpoint that vanishes without a word.
+	// lostListFactor multiplies the registry's delay for endpoints that disappear without deregistering.
 	lostListFactor = 4
-	// replaceSlack is how long after its drain deadline a replaced endpoint ends.
+	// replaceSlack is the time from a replaced endpoint's drain deadline to the end of its process.
 	replaceSlack = 500 * time.Millisecond
-	// flapRateSteps spreads the periods of flapping endpoints: each takes a part of so many longer than the one before.
+	// flapRateSteps spreads the periods of flapping endpoints: each period is 1/flapRateSteps of the fault's interval
+	// longer than the one before.
 	flapRateSteps = 7
 )
 
-// faultEndpoints draws the endpoints that a fault strikes.
+// faultEndpoints draws the endpoints that a fault affects.
 func (s *stage) faultEndpoints(fault scenario.Fault) []*endpoint.Endpoint {
 	s.mu.Lock()
 	var names []string
@@ -43,8 +44,8 @@
 	return struck
 }
 
-// forEachEndpoint runs a step for all endpoints that a fault strikes at once, waits for all, and joins their errors.
-// The step also gets the place of the endpoint in the order.
+// forEachEndpoint runs a step concurrently for all endpoints that a fault affects, waits for all of them, and joins
+// their errors. The step also gets the endpoint's index among those affected.
 func (s *stage) forEachEndpoint(fault scenario.Fault, step func(e *endpoint.Endpoint, i int) error) error {
 	struck := s.faultEndpoints(fault)
 	errs := make([]error, len(struck))
@@ -56,7 +57,7 @@
 	return errors.Join(errs...)
 }
 
-// setFaultMode has some endpoints answer otherwise until the fault ends.
+// setFaultMode sets a fault mode on the endpoints that a fault affects, and clears it when the fault ends.
 func (s *stage) setFaultMode(ctx context.Context, fault scenario.Fault, mode endpoint.FaultMode) error {
 	s.setFaultModeOf(ctx, fault, mode, s.faultEndpoints(fault))
 	return nil
@@ -96,13 +97,14 @@
 	return nil
 }
 
-// killEndpoint ends an endpoint's process and has the list say so.
+// killEndpoint ends an endpoint's process and publishes that it is gone after the registry's delay.
 func (s *stage) killEndpoint(e *endpoint.Endpoint) {
 	e.Kill()
 	s.setPhase(e.Name, s.Scenario.ListLate, wire.PhaseGone)
 }
 
-// vanishEndpoints cuts endpoints off; at the end they come back cold.
+// vanishEndpoints drops all traffic of endpoints until the fault ends, and then restarts their processes, which need a
+// warm-up. The registry notices the loss late, as the endpoints do not deregister.
 func (s *stage) vanishEndpoints(ctx context.Context, fault scenario.Fault) error {
 	return s.forEachEndpoint(fault, func(e *endpoint.Endpoint, _ int) error {
 		s.network.SetBlackhole(e.Name, true)
@@ -129,7 +131,7 @@
 	})
 }
 
-// drainEndpoints has endpoints drain and end for good.
+// drainEndpoints drains endpoints and then ends them. They are not restarted.
 func (s *stage) drainEndpoints(ctx context.Context, fault scenario.Fault) error {
 	return s.forEachEndpoint(fault, func(e *endpoint.Endpoint, _ int) error {
 		s.drainThenKill(ctx, fault, e)
@@ -137,7 +139,7 @@
 	})
 }
 
-// preemptEndpoints has endpoints drain, end, and later be replaced by new ones.
+// preemptEndpoints drains endpoints, ends them, and starts a new endpoint for each after a pause.
 func (s *stage) preemptEndpoints(ctx context.Context, fault scenario.Fault) error {
 	return s.forEachEndpoint(fault, func(e *endpoint.Endpoint, _ int) error {
 		s.drainThenKill(ctx, fault, e)
@@ -154,7 +156,8 @@
 	s.killEndpoint(e)
 }
 
-// replaceEndpoints replaces endpoints one after another: the new one starts first, then the old one drains and ends.
+// replaceEndpoints replaces endpoints in a staggered way. For each, the new endpoint starts first; then the old one is
+// drained and ends.
 func (s *stage) replaceEndpoints(ctx context.Context, fault scenario.Fault) error {
 	return s.forEachEndpoint(fault, func(e *endpoint.Endpoint, i int) error {
 		if !backoff.Sleep(ctx, time.Duration(i)*fault.Every) {
@@ -171,7 +174,8 @@
 	})
 }
 
-// flapEndpoints has endpoints fail and recover by turns, each with a period of its own.
+// flapEndpoints repeatedly kills and restarts endpoints until the fault ends. Each endpoint has a different period, and
+// is up for 60% of it.
 func (s *stage) flapEndpoints(ctx context.Context, fault scenario.Fault) error {
 	return s.forEachEndpoint(fault, func(e *endpoint.Endpoint, i int) error {
 		until := time.Now().Add(fault.For)
@@ -190,7 +194,8 @@
 	})
 }
 
-// restartCold starts an endpoint's process and has the list say so.
+// restartCold starts an endpoint's process again, in need of a warm-up, and publishes it as ready after the registry's
+// delay.
 func (s *stage) restartCold(e *endpoint.Endpoint) error {
 	if err := e.Start(true); err != nil {
 		return err
@@ -202,7 +207,8 @@
 	return nil
 }
 
-// addSuccessor starts a new endpoint beside one that goes, of the same group.
+// addSuccessor starts a new endpoint of the same group as the endpoint that it replaces, and publishes it after the
+// registry's delay.
 func (s *stage) addSuccessor(e *endpoint.Endpoint) error {
 	group := slices.IndexFunc(s.Scenario.Groups, func(g scenario.Group) bool {
 		return g.Zone == e.Zone && g.Machine == e.Machine
