--- a/internal/rehearsal/faults_pilot.go
+++ b/internal/rehearsal/faults_pilot.go
@@ -13,7 +13,7 @@
 	"indigousher/internal/testbed/eventlog"
 )
 
-// faultPilots draws the pilots that a fault strikes.
+// faultPilots draws the pilots that a fault affects.
 func (s *stage) faultPilots(fault scenario.Fault) []*pilot {
 	var names []string
 	for _, p := range s.pilots {
@@ -26,13 +26,13 @@
 	return struck
 }
 
-// handOverPilots has new processes take over from the pilots, one pilot after another, until the fault ends.
+// handOverPilots repeatedly replaces the pilots by handover, one after another, until the fault ends.
 func (s *stage) handOverPilots(ctx context.Context, fault scenario.Fault) error {
 	struck := s.faultPilots(fault)
 	until := time.Now().Add(fault.For)
 	for ctx.Err() == nil && time.Now().Before(until) {
 		for _, p := range struck {
-			if err := s.handOver(p); err != nil { //nolint:contextcheck // ends in stopAll, not with the fault
+			if err := s.handOver(p); err != nil { //nolint:contextcheck // stopped by stopAll, not by ctx
 				return err
 			}
 			s.ownLog.Add(eventlog.Event{What: eventlog.Note, Peer: p.name, Text: "handed over"})
@@ -51,21 +51,21 @@
 		return nil
 	}
 	for _, p := range struck {
-		if err := s.startPilot(p, false); err != nil { //nolint:contextcheck // ends in stopAll, not with the fault
+		if err := s.startPilot(p, false); err != nil { //nolint:contextcheck // stopped by stopAll, not by ctx
 			return err
 		}
 	}
 	return nil
 }
 
-// rollPilots restarts pilots one after another.
+// rollPilots stops and restarts pilots one after another.
 func (s *stage) rollPilots(ctx context.Context, fault scenario.Fault) error {
 	for _, p := range s.faultPilots(fault) {
 		s.stopPilot(p, false)
 		if !backoff.Sleep(ctx, fault.Extra) {
 			return nil
 		}
-		if err := s.startPilot(p, false); err != nil { //nolint:contextcheck // ends in stopAll, not with the fault
+		if err := s.startPilot(p, false); err != nil { //nolint:contextcheck // stopped by stopAll, not by ctx
 			return err
 		}
 		backoff.Sleep(ctx, fault.Every)
@@ -82,8 +82,9 @@
 	return nil
 }
 
-// reload hands a running pilot new settings: the rate of its channel changed by a factor, which applies at once, and a
-// number of streams that needs a restart. It returns an error where the pilot says otherwise.
+// reload reloads a running pilot with changed settings: LinesPerS multiplied by a factor, which takes effect at once,
+// and one more in MaxStreams, which needs a restart. It returns an error if the pilot reports other changes. A pilot
+// that does not run is skipped.
 func (s *stage) reload(ctx context.Context, p *pilot, factor float64) error {
 	p.mu.Lock()
 	host := p.host
@@ -100,7 +101,8 @@
 		return err
 	}
 	if strings.Join(changed, ",") != "LinesPerS" || strings.Join(restart, ",") != "MaxStreams" {
-		return fmt.Errorf("reload of %s changed %v and left %v", p.name, changed, restart)
+		return fmt.Errorf("reload of %s: applied %v and deferred %v to a restart, want [LinesPerS] and [MaxStreams]",
+			p.name, changed, restart)
 	}
 	return nil
 }
