--- a/internal/rehearsal/faults_proxy.go
+++ b/internal/rehearsal/faults_proxy.go
@@ -8,7 +8,7 @@
 	"indigousher/internal/testbed/proxy"
 )
 
-// faultProxies draws the proxies that a fault strikes, of whatever zone.
+// faultProxies draws the proxies that a fault affects. The fault's zone is ignored.
 func (s *stage) faultProxies(fault scenario.Fault) []*proxy.Proxy {
 	var names []string
 	byName := map[string]*proxy.Proxy{}
@@ -23,7 +23,8 @@
 	return struck
 }
 
-// strikeProxies does something to the proxies that a fault strikes, and undoes it at the fault's end or when ctx ends.
+// strikeProxies calls begin for all proxies that a fault affects, and end for them when the fault ends or ctx is
+// cancelled.
 func (s *stage) strikeProxies(ctx context.Context, fault scenario.Fault, begin, end func(*proxy.Proxy)) error {
 	struck := s.faultProxies(fault)
 	for _, p := range struck {
@@ -43,7 +44,7 @@
 	return nil
 }
 
-// isolateProxies has proxies reach no pilot.
+// isolateProxies closes the streams of proxies and keeps them from connecting to any pilot until the fault ends.
 func (s *stage) isolateProxies(ctx context.Context, fault scenario.Fault) error {
 	isolate := func(p *proxy.Proxy) {
 		s.isolated[p.Name].Store(true)
@@ -52,21 +53,22 @@
 	return s.strikeProxies(ctx, fault, isolate, func(p *proxy.Proxy) { s.isolated[p.Name].Store(false) })
 }
 
-// muteProxies has proxies read nothing from their streams.
+// muteProxies makes proxies stop reading from their streams until the fault ends.
 func (s *stage) muteProxies(ctx context.Context, fault scenario.Fault) error {
 	return s.strikeProxies(ctx, fault,
 		func(p *proxy.Proxy) { s.muted[p.Name].Store(true) },
 		func(p *proxy.Proxy) { s.muted[p.Name].Store(false) })
 }
 
-// silenceProxies cuts proxies off without closing their connections, in the middle of whatever they send.
+// silenceProxies drops all traffic of proxies until the fault ends. Their connections stay open, and messages can be
+// cut off in the middle.
 func (s *stage) silenceProxies(ctx context.Context, fault scenario.Fault) error {
 	return s.strikeProxies(ctx, fault,
 		func(p *proxy.Proxy) { s.network.SetBlackhole(p.Name, true) },
 		func(p *proxy.Proxy) { s.network.SetBlackhole(p.Name, false) })
 }
 
-// floodReports has proxies report more often.
+// floodReports makes proxies send load reports fault.Size times as often until the fault ends.
 func (s *stage) floodReports(ctx context.Context, fault scenario.Fault) error {
 	return s.strikeProxies(ctx, fault,
 		func(p *proxy.Proxy) { s.reportFactors[p.Name].Store(int64(fault.Size * factorUnit)) },
@@ -82,21 +84,21 @@
 		return nil
 	}
 	for _, p := range struck {
-		if err := p.Start(); err != nil { //nolint:contextcheck // ends in stopAll, not with the fault
+		if err := p.Start(); err != nil { //nolint:contextcheck // stopped by stopAll, not by ctx
 			return err
 		}
 	}
 	return nil
 }
 
-// rollProxies restarts proxies one after another.
+// rollProxies kills and restarts proxies one after another.
 func (s *stage) rollProxies(ctx context.Context, fault scenario.Fault) error {
 	for _, p := range s.faultProxies(fault) {
 		p.Kill()
 		if !backoff.Sleep(ctx, fault.Extra) {
 			return nil
 		}
-		if err := p.Start(); err != nil { //nolint:contextcheck // ends in stopAll, not with the fault
+		if err := p.Start(); err != nil { //nolint:contextcheck // stopped by stopAll, not by ctx
 			return err
 		}
 		backoff.Sleep(ctx, fault.Every)
