--- a/internal/rehearsal/faults_zone.go
+++ b/internal/rehearsal/faults_zone.go
@@ -10,10 +10,11 @@
 	"indigousher/internal/wire"
 )
 
-// wholeZoneSize is the size of a zone loss above which the zone's proxies and pilots are lost as well.
+// wholeZoneSize is the fault size (a fraction) above which a zone loss also kills the zone's proxies and pilots.
 const wholeZoneSize = 0.5
 
-// loseZone ends a zone's endpoints, and its proxies and pilots where the loss is large. All come back at the end.
+// loseZone kills endpoints of a zone, and all its proxies and pilots if the fault is larger than wholeZoneSize. All are
+// restarted when the fault ends.
 func (s *stage) loseZone(ctx context.Context, fault scenario.Fault) error {
 	endpoints := s.faultEndpoints(fault)
 	for _, e := range endpoints {
@@ -34,15 +35,15 @@
 		errs = append(errs, s.restartCold(e))
 	}
 	for _, p := range pilots {
-		errs = append(errs, s.startPilot(p, false)) //nolint:contextcheck // ends in stopAll, not with the fault
+		errs = append(errs, s.startPilot(p, false)) //nolint:contextcheck // stopped by stopAll, not by ctx
 	}
 	for _, p := range proxies {
-		errs = append(errs, p.Start()) //nolint:contextcheck // ends in stopAll, not with the fault
+		errs = append(errs, p.Start()) //nolint:contextcheck // stopped by stopAll, not by ctx
 	}
 	return errors.Join(errs...)
 }
 
-// killProxiesOf ends the proxies of a zone and returns them.
+// killProxiesOf kills all proxies of a zone and returns them.
 func (s *stage) killProxiesOf(zone string) []*proxy.Proxy {
 	var killed []*proxy.Proxy
 	for _, p := range s.proxies {
@@ -54,7 +55,7 @@
 	return killed
 }
 
-// killPilotsOf ends the pilots of a zone and returns them.
+// killPilotsOf kills all pilots of a zone and returns them.
 func (s *stage) killPilotsOf(zone string) []*pilot {
 	var killed []*pilot
 	for _, p := range s.pilots {
