--- a/internal/rehearsal/keys.go
+++ b/internal/rehearsal/keys.go
@@ -9,20 +9,22 @@
 )
 
 const (
-	// keyLifetime is longer than any run.
+	// keyLifetime is the validity period of certificates. It is longer than any run.
 	keyLifetime = time.Hour
-	// keyBackdate makes keys valid at once, whatever rounding does to the times in them.
+	// keyBackdate is how far the start of the validity period lies in the past, so that certificates are valid at once
+	// although the times in them are rounded.
 	keyBackdate = time.Minute
 )
 
-// openKeys makes the authority of the run and the keys of the registry, where the scenario has keys.
+// openKeys creates a certificate authority for the run and the keys of the registry. It does nothing if the scenario
+// uses no keys.
 func (s *stage) openKeys() error {
 	if !s.Scenario.Keys {
 		return nil
 	}
 	dir, err := os.MkdirTemp("", "indigousher-rehearsal-")
 	if err != nil {
-		return fmt.Errorf("make keys: %w", err)
+		return fmt.Errorf("create key directory: %w", err)
 	}
 	s.keyDir = dir
 	s.authority, err = identity.NewAuthority("rehearsal", keyLifetime)
@@ -37,12 +39,12 @@
 	return nil
 }
 
-// issueFiles issues the key files of an identity.
+// issueFiles issues a certificate and key for an identity and writes them to files in the key directory.
 func (s *stage) issueFiles(who identity.Identity) (identity.Files, error) {
 	return s.authority.Issue(s.keyDir, who, time.Now().Add(-keyBackdate), keyLifetime)
 }
 
-// issueKeys issues the keys of an identity and loads them.
+// issueKeys issues a certificate and key for an identity and loads them from their files.
 func (s *stage) issueKeys(who identity.Identity) (*identity.KeyStore, error) {
 	files, err := s.issueFiles(who)
 	if err != nil {
