--- a/internal/rehearsal/pilots.go
+++ b/internal/rehearsal/pilots.go
@@ -21,34 +21,34 @@
 )
 
 const (
-	// listSilence is after how long a pilot takes a silent endpoint list for lost.
+	// listSilence is the time without messages after which a pilot considers its connection to the registry lost.
 	listSilence = 2 * time.Second
-	// pilotDialTimeout is how long a pilot waits for a connection.
+	// pilotDialTimeout is the timeout for connections that a pilot opens.
 	pilotDialTimeout = 2 * time.Second
-	// recordFolderMode is the mode of the folders of records.
+	// recordFolderMode is the file mode of the directories that hold the pilots' records.
 	recordFolderMode = 0o755
 )
 
-// pilot is a pilot; its process can end and come back.
+// pilot is a pilot of the run. It can be stopped and started again.
 type pilot struct {
 	name, zone string
 
-	mu       sync.Mutex // guards the rest
+	mu       sync.Mutex // guards the fields below
 	settings config.Pilot
-	host     *daemon.Host       // nil while it does not run
-	cancel   context.CancelFunc // ends the host
-	done     chan struct{}      // closed when the host has ended
-	process  *process           // with Play.Binary, in place of the host
+	host     *daemon.Host       // nil while it does not run, or if it runs as a separate process
+	cancel   context.CancelFunc // stops the host
+	done     chan struct{}      // closed when the host has stopped
+	process  *process           // used instead of host if Play.Binary is set; nil while it does not run
 }
 
-// runningHost returns the pilot's host, nil while it does not run in this process.
+// runningHost returns the pilot's host, or nil if it does not run inside this process.
 func (p *pilot) runningHost() *daemon.Host {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.host
 }
 
-// pilotSettings returns the settings of a pilot as the scenario has them.
+// pilotSettings returns the settings of a pilot that follow from the scenario. The rank is the pilot's index.
 func (s *stage) pilotSettings(p *pilot, rank int) config.Pilot {
 	settings := config.Defaults()
 	settings.Common = s.Scenario.Common
@@ -81,26 +81,27 @@
 	return settings
 }
 
-// pilotKeys issues the keys of a pilot. One that has none says so at its start.
+// pilotKeys issues the key files of a pilot. An error is only logged, because the pilot then fails to start.
 func (s *stage) pilotKeys(p *pilot) identity.Files {
 	files, err := s.issueFiles(identity.Identity{Role: identity.Pilot, Zone: p.zone, Name: p.name})
 	if err != nil {
-		s.Log.Error("issue keys", zap.Error(err))
+		s.Log.Error("cannot issue the pilot's keys", zap.Error(err))
 	}
 	return files
 }
 
-// recordFolder makes the folder of a pilot's records. A pilot whose folder is missing says so at its start.
+// recordFolder creates the directory for a pilot's records and returns its path. An error is only logged, because the
+// pilot then fails to start.
 func (s *stage) recordFolder(p *pilot) string {
 	dir := filepath.Join(s.Records, p.name)
 	if err := os.MkdirAll(dir, recordFolderMode); err != nil {
-		s.Log.Error("make folder for records", zap.Error(err))
+		s.Log.Error("cannot create the pilot's record directory", zap.Error(err))
 	}
 	return dir
 }
 
-// startPilot begins a pilot's process, at the address of its first one, or has a new one take over from the running
-// one. It ends in stopPilot or by a handover.
+// startPilot starts a pilot, at the same address each time. If takeOver is set, the new instance takes over from the
+// running one. The pilot runs until stopPilot or until a later instance takes over.
 func (s *stage) startPilot(p *pilot, takeOver bool) error {
 	place := network.Place{Name: p.name, Zone: p.zone}
 	s.eventLog.Stream(p.name).Add(eventlog.Event{What: eventlog.Start, Kind: "pilot", Text: p.zone})
@@ -130,16 +131,17 @@
 		s.network.Put(address, place)
 	}
 	p.mu.Unlock()
-	go func() { // ends with the host: by cancel, a kill or a handover
+	go func() { // returns when the host stops: by cancel, a kill or a handover
 		defer close(done)
 		if err := host.Wait(ctx); err != nil {
-			s.Log.Error("pilot ended", zap.String("pilot", p.name), zap.Error(err))
+			s.Log.Error("pilot stopped with an error", zap.String("pilot", p.name), zap.Error(err))
 		}
 	}()
 	return nil
 }
 
-// handOver has a new process of a pilot take over, and waits for the end of the old one.
+// handOver starts a new instance of a pilot that takes over from the running one, and waits until the old one has
+// stopped.
 func (s *stage) handOver(p *pilot) error {
 	p.mu.Lock()
 	cancel := p.cancel
@@ -153,7 +155,8 @@
 	return nil
 }
 
-// stopPilot ends a pilot's process, by a kill or by asking, and waits for its end.
+// stopPilot stops a pilot and waits until it has stopped. If kill is set, it stops at once, otherwise gracefully. It
+// does nothing if the pilot does not run.
 func (s *stage) stopPilot(p *pilot, kill bool) {
 	p.mu.Lock()
 	host := p.host
@@ -181,7 +184,7 @@
 	s.recordMaxima(stopped)
 }
 
-// recordMaxima keeps the most that any pilot counted itself.
+// recordMaxima updates the run's maxima from the counters of a pilot.
 func (s *stage) recordMaxima(d *daemon.Daemon) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
