--- a/internal/rehearsal/play.go
+++ b/internal/rehearsal/play.go
@@ -1,5 +1,6 @@
-// Package rehearsal plays a scenario on loopback sockets: it starts testbed and pilots as the scenario says, plays its
-// faults at their times, and has the audit judge the event logs. It is no part of what ships beside the command.
+// Package rehearsal runs a scenario on loopback sockets: it starts the testbed and the pilots that the scenario
+// defines, injects its faults at their times, and audits the event logs. It is used by the command's rehearsal and
+// emulation modes, not by a running pilot.
 package rehearsal
 
 import (
@@ -20,25 +21,27 @@
 	"indigousher/internal/testbed/loadgen"
 )
 
-// Decide makes what decides in a pilot.
+// Decide creates the decision logic of a pilot from a seed and the pilot's settings.
 type Decide func(seed int64, settings map[string]any) controller.Decider
 
-// Play is one run of a scenario.
+// Play describes one run of a scenario.
 type Play struct {
 	Scenario *scenario.Scenario
-	// Decide makes what decides in a pilot; nil: the planner.
+	// Decide creates the decision logic of each pilot. If nil, the planner decides.
 	Decide Decide
-	// WithoutPilots leaves the proxies on their static tables.
+	// WithoutPilots starts no pilots, so that the proxies use their static tables.
 	WithoutPilots bool
-	// Log takes the log lines of pilots and testbed; nil: they are dropped.
+	// Log receives the log output of the pilots and the testbed. If nil, it is discarded.
 	Log *zap.Logger
-	// Progress is called when a fault begins; may be nil.
+	// Progress is called with a message when a fault or a baseline begins. It may be nil for Run, but not for
+	// Baselines.
 	Progress func(format string, args ...any)
-	// Records is the folder for the pilots' records in scenarios that have them record; if empty, a temporary folder
-	// that is removed after the run.
+	// Records is the directory for the pilots' records, settings, logs and handover sockets. If empty, a temporary
+	// directory is used and removed after the run.
 	Records string
-	// Binary, if set, is the program: pilots then are processes of their own, and a kill ends them with SIGKILL.
-	// Registry, proxies and clients stay in this process; cuts between a pilot and the registry are not played.
+	// Binary is the path of the program. If set, each pilot runs as a separate process, and a kill ends it with
+	// SIGKILL. Registry, proxies and clients still run in this process. Network cuts between pilots and the registry
+	// then have no effect.
 	Binary string
 }
 
@@ -46,12 +49,12 @@
 type Outcome struct {
 	Report        *audit.Report
 	EventLog      *eventlog.Log
-	PilotMaxima   controller.State // the most lines and messages that any pilot counted itself
-	Elapsed       time.Duration
-	ZoneByAddress map[string]string // of endpoints
+	PilotMaxima   controller.State  // highest counts of lines, messages and pending sums that any pilot reported
+	Elapsed       time.Duration     // real time that the run took
+	ZoneByAddress map[string]string // zones of the endpoints
 }
 
-// Run plays the scenario and judges it. All that it started has ended when it returns.
+// Run runs the scenario and audits it. Everything that it started has stopped when it returns.
 func (p Play) Run(ctx context.Context) (*Outcome, error) {
 	p.setDefaults()
 	began := time.Now()
@@ -60,12 +63,12 @@
 	if s.Records == "" {
 		dir, err := os.MkdirTemp("", "indigousher-records-")
 		if err != nil {
-			return nil, fmt.Errorf("make folder for records: %w", err)
+			return nil, fmt.Errorf("create record directory: %w", err)
 		}
 		s.Records = dir
 		defer removeTemporary(dir)
 	}
-	if err := s.startAll(); err != nil { //nolint:contextcheck // ends in stopAll, not with ctx
+	if err := s.startAll(); err != nil { //nolint:contextcheck // stopped by stopAll, not by ctx
 		return nil, err
 	}
 	if err := s.play(ctx); err != nil {
@@ -83,10 +86,10 @@
 	}
 }
 
-// removeTemporary removes a temporary folder. What can't be removed is left to the system.
+// removeTemporary removes a temporary directory. Errors are ignored, as the system cleans up temporary files.
 func removeTemporary(dir string) { _ = os.RemoveAll(dir) }
 
-// play runs the clients and the faults until the clients are through.
+// play runs the clients and injects the faults. It returns when the clients have finished or ctx is cancelled.
 func (s *stage) play(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -96,7 +99,7 @@
 	}
 	load := loadgen.FromScenario(s.Scenario)
 
-	// Each fault has a goroutine of its own, which ends with the fault or with ctx.
+	// Each fault runs in its own goroutine, which returns when the fault ends or ctx is cancelled.
 	var faults sync.WaitGroup
 	start := time.Now()
 	errs := make([]error, len(s.Scenario.Faults))
@@ -114,12 +117,12 @@
 	cancel()
 	faults.Wait()
 	if stopped != nil {
-		return fmt.Errorf("the day was stopped: %w", stopped)
+		return fmt.Errorf("scenario run cancelled: %w", stopped)
 	}
 	return errors.Join(errs...)
 }
 
-// outcome judges the run.
+// outcome audits the run and returns its result.
 func (s *stage) outcome(began time.Time) *Outcome {
 	nameByAddress := map[string]string{}
 	zoneByAddress := map[string]string{}
