--- a/internal/rehearsal/print.go
+++ b/internal/rehearsal/print.go
@@ -9,24 +9,24 @@
 	"indigousher/internal/scenario"
 )
 
-// Column is one run of a scenario under a name.
+// Column is the outcome of one run, shown as a column of the printed table.
 type Column struct {
-	Name    string
+	Name    string // head of the column
 	Outcome *Outcome
 }
 
-// printer writes text. It ignores write errors: where the terminal has gone there is no reader either.
+// printer writes formatted text. It ignores write errors, because a closed terminal leaves nobody to report them to.
 type printer struct{ io.Writer }
 
 func (p printer) printf(format string, args ...any) { _, _ = fmt.Fprintf(p, format, args...) }
 
-// Print writes the verdicts on the first of some runs, and the service of all, as tables.
+// Print writes the verdicts, violations and totals of the first run, and a table with the service of all runs.
 func Print(out io.Writer, s *scenario.Scenario, columns []Column) {
 	first := columns[0].Outcome
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	printVerdicts(printer{table}, first.Report)
 	printService(printer{table}, s, columns)
-	_ = table.Flush() // as printer does
+	_ = table.Flush() // write errors are ignored, as in printer
 	printViolations(printer{out}, first.Report)
 	printTotals(printer{out}, first)
 }
@@ -43,7 +43,8 @@
 	}
 }
 
-// printService writes a row for each window of the first run, for each request class, and for the whole run.
+// printService writes the service of all runs: a row for each time window of the first run, for each request class, and
+// for the whole run.
 func printService(p printer, s *scenario.Scenario, columns []Column) {
 	p.printf("\nservice")
 	for _, c := range columns {
@@ -66,7 +67,7 @@
 	printEarnings(p, "whole run", columns, func(s *audit.Service) audit.Earnings { return s.All })
 }
 
-// printEarnings writes one row: a share of the service for each run.
+// printEarnings writes one row: the earned fraction of the priority weight for each run.
 func printEarnings(p printer, name string, columns []Column, earnings func(*audit.Service) audit.Earnings) {
 	p.printf("%s", name)
 	for _, c := range columns {
