--- a/internal/rehearsal/process.go
+++ b/internal/rehearsal/process.go
@@ -13,36 +13,36 @@
 	"indigousher/internal/testbed/network"
 )
 
-// process is a pilot as a process of its own.
+// process is a pilot that runs as a separate process.
 type process struct {
 	cmd  *exec.Cmd
-	log  *os.File
-	done chan struct{} // closed when the process has ended
+	log  *os.File      // receives the process's standard error
+	done chan struct{} // closed when the process has exited
 }
 
 const (
-	// readyWithin is how long a pilot's process may take until it says that it is ready.
+	// readyWithin is the time within which a pilot's process must become ready.
 	readyWithin = 20 * time.Second
-	// readyTimeout is how long an answer to whether it is ready is waited for.
+	// readyTimeout is the timeout of one readiness request.
 	readyTimeout = time.Second
-	// readyPollEvery is the pause between two such questions.
+	// readyPollEvery is the pause between two readiness requests.
 	readyPollEvery = 5 * time.Millisecond
-	// fileMode is the mode of settings and log files.
+	// fileMode is the mode of a pilot's settings and log files.
 	fileMode = 0o600
 )
 
-// freeAddress returns an address on which nobody listens.
+// freeAddress returns a loopback address with a free port.
 func freeAddress() (string, error) {
 	listener, err := network.Listen("")
 	if err != nil {
-		return "", fmt.Errorf("find an address: %w", err)
+		return "", fmt.Errorf("find a free address: %w", err)
 	}
 	address := listener.Addr().String()
-	_ = listener.Close() // if it stays open the process says so when it listens there
+	_ = listener.Close() // if this fails, the pilot's process fails to listen and reports that
 	return address, nil
 }
 
-// startProcess begins a pilot's process, at the address of its first one, and returns when it is ready.
+// startProcess starts a pilot's process, at the same addresses each time, and returns when it is ready.
 func (s *stage) startProcess(p *pilot, place network.Place) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -57,12 +57,12 @@
 	}
 	p.process = started
 	if !awaitReady(p.settings.Admin) {
-		return fmt.Errorf("start %s: not ready within %s, see its log", p.name, readyWithin)
+		return fmt.Errorf("start %s: not ready within %s, see its log file", p.name, readyWithin)
 	}
 	return nil
 }
 
-// assignAddresses gives a pilot the addresses that all its processes use.
+// assignAddresses chooses the listen and admin addresses that all processes of a pilot use.
 func (s *stage) assignAddresses(p *pilot, place network.Place) error {
 	listen, listenErr := freeAddress()
 	admin, adminErr := freeAddress()
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// launch writes a pilot's settings and begins its process.
+// launch writes a pilot's settings file and starts its process. It does not wait until the process is ready.
 func (s *stage) launch(p *pilot) (*process, error) {
 	settings := filepath.Join(s.Records, p.name+".hcl")
 	if err := os.WriteFile(settings, p.settings.Text(), fileMode); err != nil {
@@ -90,14 +90,14 @@
 	if err := started.cmd.Start(); err != nil {
 		return nil, errors.Join(err, log.Close())
 	}
-	go func() { // ends with the process
+	go func() { // returns when the process exits
 		defer close(started.done)
-		_ = started.cmd.Wait() // it was killed or asked to end; its log tells more
+		_ = started.cmd.Wait() // stopped on purpose, or the cause is in its log file
 	}()
 	return started, nil
 }
 
-// awaitReady waits until a pilot says at its admin address that it is ready, and returns whether it did in time.
+// awaitReady polls a pilot's admin address until the pilot is ready, and returns whether it was within readyWithin.
 func awaitReady(admin string) bool {
 	client := http.Client{Timeout: readyTimeout}
 	end := time.Now().Add(readyWithin)
@@ -115,17 +115,17 @@
 	if err != nil {
 		return false
 	}
-	_ = response.Body.Close() // only the status counts
+	_ = response.Body.Close() // only the status code is used
 	return response.StatusCode == http.StatusOK
 }
 
-// stop ends the process, by SIGKILL or by SIGTERM, and waits for its end.
+// stop sends the process SIGKILL if kill is set, SIGTERM otherwise, and waits until it has exited.
 func (p *process) stop(kill bool) {
 	signal := syscall.SIGTERM
 	if kill {
 		signal = syscall.SIGKILL
 	}
-	_ = p.cmd.Process.Signal(signal) // one that has ended can't be signalled
+	_ = p.cmd.Process.Signal(signal) // fails only if the process has already exited
 	<-p.done
-	_ = p.log.Close() // nothing is written to it any more
+	_ = p.log.Close() // the process, its only writer, has exited
 }
