--- a/internal/rehearsal/proxies.go
+++ b/internal/rehearsal/proxies.go
@@ -14,17 +14,18 @@
 )
 
 const (
-	// proxyDialTimeout is how long a proxy waits for a connection to a pilot.
+	// proxyDialTimeout is the timeout for a proxy's connections to pilots.
 	proxyDialTimeout = time.Second
-	// endpointDialTimeout is how long a proxy waits for a connection to an endpoint.
+	// endpointDialTimeout is the timeout for a proxy's connections to endpoints.
 	endpointDialTimeout = 250 * time.Millisecond
-	// proxySeedStep keeps the sequences of proxies in runs with neighbouring seeds apart.
+	// proxySeedStep is the difference between a proxy's seeds in two runs with consecutive scenario seeds. It is large
+	// so that proxies with different numbers do not get the same random sequence in such runs.
 	proxySeedStep = 1000
-	// factorUnit is the unit of stage.reportFactors: they are kept in thousandths.
+	// factorUnit is the integer that stands for a factor of 1 in stage.reportFactors, which are in thousandths.
 	factorUnit = 1000
 )
 
-// addProxy starts a proxy.
+// addProxy creates and starts a proxy. The number is its index among all proxies.
 func (s *stage) addProxy(name, zone string, number int) error {
 	isolated := &atomic.Bool{}
 	muted := &atomic.Bool{}
@@ -53,7 +54,7 @@
 	return nil
 }
 
-// proxyOptions returns the options of a proxy that come from the scenario alone.
+// proxyOptions returns the options of a proxy that do not depend on its faults and on how it connects to pilots.
 func (s *stage) proxyOptions(name, zone string, number int) proxy.Options {
 	var targets, limits []time.Duration
 	for _, class := range s.Scenario.Kinds {
@@ -84,7 +85,7 @@
 	}
 }
 
-// speaksGRPC returns whether a proxy joins over gRPC, by the patterns of the scenario.
+// speaksGRPC returns whether a proxy connects to pilots over gRPC: if its name matches one of the scenario's patterns.
 func (s *stage) speaksGRPC(name string) bool {
 	return slices.ContainsFunc(s.Scenario.OverGRPC, func(pattern string) bool {
 		matches, err := path.Match(pattern, name)
@@ -92,7 +93,8 @@
 	})
 }
 
-// joiner returns how a proxy joins, with keys of its own if the scenario has them.
+// joiner returns a constructor of the client with which a proxy joins a pilot: over gRPC or the framed protocol, with
+// TLS if the scenario uses keys.
 func (s *stage) joiner(name, zone string, overGRPC bool) (func() proxy.Joiner, error) {
 	var tlsConfig *tls.Config
 	if s.Scenario.Keys {
@@ -110,8 +112,9 @@
 	}, nil
 }
 
-// reachablePilots lists the addresses of the pilots that a proxy may dial, in the order in which it does: its home
-// first.
+// reachablePilots returns the addresses of the pilots that a proxy may dial, in the order in which it tries them. The
+// first is its home pilot: one in its zone if the scenario assigns proxies by zone, otherwise one chosen by its number.
+// It returns nil if the proxy is isolated or there are no pilots.
 func (s *stage) reachablePilots(zone string, number int, isolated *atomic.Bool, overGRPC bool) []string {
 	if isolated.Load() || len(s.pilots) == 0 {
 		return nil
@@ -131,7 +134,7 @@
 	return addresses
 }
 
-// address returns where a pilot accepts proxies.
+// address returns the address at which a pilot accepts proxies, over gRPC or the framed protocol.
 func (p *pilot) address(overGRPC bool) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
