--- a/internal/rehearsal/record_test.go
+++ b/internal/rehearsal/record_test.go
@@ -15,8 +15,8 @@
 
 func newPlanner(seed int64, terms map[string]any) controller.Decider { return planner.New(seed, terms) }
 
-// TestRecordedDay guards the record of a day on sockets: pilots that are killed come back by it and keep the rules, and
-// a replay of each life orders the same, byte for byte.
+// TestRecordedDay checks the records of a run on sockets. Pilots that are killed must restore their state from their
+// records and keep the rules, and a replay of each life must produce the same commands, byte for byte.
 func TestRecordedDay(t *testing.T) {
 	t.Parallel()
 	day, err := scenario.Read("recorded.hcl", []byte(`like = "bad-day-short"
@@ -58,19 +58,19 @@
 			assert.Positive(t, r.Sets)
 			assert.Greater(t, r.Turns, 5)
 			g := r.Estimate
-			assert.Positive(t, g.Attempts) // how near an estimate comes is TestEstimate's
+			assert.Positive(t, g.Attempts) // TestEstimate checks the accuracy of the estimate
 			assert.LessOrEqual(t, g.Failed, 1.0)
 			assert.LessOrEqual(t, g.Trusted, 1.0001)
 			again, err := record.Replay(s, l, nil, newPlanner)
 			require.NoError(t, err)
-			assert.Equal(t, r, again, "a replay repeats itself")
+			assert.Equal(t, r, again, "two replays of one life differ")
 		}
 		require.NoError(t, s.Close())
 	}
 }
 
-// TestHandovers guards requests against upgrades: pilots hand over under steady traffic and no request is lost, denied
-// or done twice.
+// TestHandovers checks that upgrades do not disturb clients: while pilots are replaced by handover under steady
+// traffic, no request fails, is rejected or takes effect twice.
 func TestHandovers(t *testing.T) {
 	t.Parallel()
 	day, err := scenario.Load("handover")
