--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/rehearsal/rehearsal_test.go
@@ -21,9 +21,9 @@
 	"indigousher/planner"
 )
 
-// TestDays guards the five rules through the whole program: endpoints that hang, vanish and drain, a cut, broken
-// streams and a dead pilot; and, all over gRPC with keys, one that answers twice and a proxy that goes silent in
-// mid-report.
+// TestDays checks that the whole program keeps the five rules under faults. One scenario has endpoints that hang,
+// vanish and drain, a network cut, broken streams and a killed pilot. The other uses gRPC with TLS, and has an endpoint
+// that answers twice and a proxy whose traffic stops in the middle of a report.
 func TestDays(t *testing.T) {
 	for _, name := range []string{"bad-day-short", "month-end"} {
 		t.Run(name, func(t *testing.T) {
@@ -34,14 +34,14 @@
 			require.NoError(t, err)
 			for _, v := range o.Report.Verdicts {
 				assert.True(t, v.Kept(), "%s: %v", v.Rule, v.Violations)
-				assert.True(t, v.Checked > 0 || v.Rule == audit.SlowStartBudget, "%s was not looked at", v.Rule)
+				assert.True(t, v.Checked > 0 || v.Rule == audit.SlowStartBudget, "rule %q was never checked", v.Rule)
 			}
 			assert.Greater(t, o.Report.Service.All.Share(), 0.8)
 		})
 	}
 }
 
-// tampering passes the planner's commands on through a planted break.
+// tampering wraps a planner and modifies its commands.
 type tampering struct {
 	decider *planner.Planner
 	spoil   func(nowMs float64, orders []planner.Command) []planner.Command
@@ -53,7 +53,7 @@
 	return m.spoil(nowMs, m.decider.Handle(nowMs, notes))
 }
 
-// each replaces commands one by one.
+// each returns a function that replaces each command by the result of f.
 func each(f func(nowMs float64, o planner.Command) []planner.Command) func(float64, []planner.Command) []planner.Command {
 	return func(nowMs float64, orders []planner.Command) (out []planner.Command) {
 		for _, o := range orders {
@@ -63,7 +63,8 @@
 	}
 }
 
-// TestPlantedBreaks shows that the audit sees each rule broken when the planner's commands are falsified on their way.
+// TestPlantedBreaks checks that the audit detects a violation of each rule when the planner's commands are modified to
+// cause it. A rule that the audit cannot see violated would always pass.
 func TestPlantedBreaks(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -141,7 +142,7 @@
 			}`,
 			func(now float64, orders []planner.Command) []planner.Command {
 				for table := range 3 {
-					if now > 3500 && len(orders) > 0 { // the sixth is the one that comes after the first five
+					if now > 3500 && len(orders) > 0 { // endpoint 5 is the new one, after the first five (0 to 4)
 						orders = append(orders, planner.SetWeight{Table: table, Endpoint: 5, Weight: 1000})
 					}
 				}
@@ -173,14 +174,14 @@
 			require.NoError(t, err)
 			for _, v := range o.Report.Verdicts {
 				if v.Rule == c.rule {
-					assert.False(t, v.Kept(), "%s held: %+v", v.Rule, v)
+					assert.False(t, v.Kept(), "rule %q was not violated: %+v", v.Rule, v)
 				}
 			}
 		})
 	}
 }
 
-// TestDaysRead guards the shipped days against slips of the pen.
+// TestDaysRead checks that all built-in scenarios can be read, and that a mistake in a file is reported with its place.
 func TestDaysRead(t *testing.T) {
 	for _, name := range scenario.Names() {
 		_, err := scenario.Load(name)
@@ -190,7 +191,7 @@
 	assert.ErrorContains(t, err, "x.hcl:3:3")
 }
 
-// TestStopped guards against goroutines that outlive a day which is stopped half-way.
+// TestStopped checks that no goroutine leaks when a run is cancelled halfway.
 func TestStopped(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	day, err := scenario.Load("bad-day-short")
@@ -205,11 +206,11 @@
 	assert.ErrorIs(t, err, context.Canceled)
 }
 
-// loadListener passes events on and keeps what the planner was told of load.
+// loadListener passes events on to a decider and records the load that they report.
 type loadListener struct {
 	controller.Decider
 	mu   *sync.Mutex
-	told map[string]*[2]float64 // tries and span by zone and endpoint
+	told map[string]*[2]float64 // number of attempts and time span in ms, by "zone/endpoint"
 }
 
 func (l *loadListener) Handle(nowMs float64, notes []planner.Event) []planner.Command {
@@ -228,8 +229,9 @@
 	return l.Decider.Handle(nowMs, notes)
 }
 
-// TestReportBurst guards the load that the planner is told, and the bound of what waits, while reports come tenfold and
-// then a hundredfold over real sockets. Load is compared with the attempts that the proxies sent.
+// TestReportBurst checks that the planner receives correct load figures, and that the number of pending sums stays
+// within its limit, while proxies report 10 times and then 100 times as often. The load that the planner receives is
+// compared with the attempts that the proxies sent.
 func TestReportBurst(t *testing.T) {
 	t.Parallel()
 	day, err := scenario.Read("burst.hcl", []byte(`like = "quiet"
@@ -265,7 +267,7 @@
 	for _, e := range o.EventLog.Events() {
 		if e.What == eventlog.Send {
 			zone := strings.Split(e.Who, "-")[1]
-			if o.ZoneByAddress[e.Peer] == zone { // others are crossed to only now and then
+			if o.ZoneByAddress[e.Peer] == zone { // attempts to other zones are too few to compare
 				sent[zone+" "+e.Peer]++
 			}
 			all[zone]++
@@ -273,7 +275,8 @@
 		}
 	}
 	index := map[string]int{}
-	for i, n := range slices.Sorted(maps.Keys(names)) { // the list names them in this order
+	// The planner numbers the endpoints in the order in which the registry lists them, which is that of their addresses.
+	for i, n := range slices.Sorted(maps.Keys(names)) {
 		index[n] = i
 	}
 	require.Len(t, index, 12)
@@ -285,6 +288,6 @@
 		x := told[fmt.Sprint(slices.Index(day.Zones, zone), "/", index[name])]
 		require.NotNil(t, x, key)
 		rate, truth := x[0]/x[1]*1000, n/day.Length.Seconds()
-		assert.InDelta(t, 1, rate/truth, 0.2, "%s: told %.1f a second, sent %.1f", key, rate, truth)
+		assert.InDelta(t, 1, rate/truth, 0.2, "%s: planner received %.1f attempts/s, proxies sent %.1f", key, rate, truth)
 	}
 }
