--- a/internal/rehearsal/slices.go
+++ b/internal/rehearsal/slices.go
@@ -6,7 +6,7 @@
 	"indigousher/internal/testbed/loadgen"
 )
 
-// assignSlices gives the slices of the key space to the endpoints, in turn.
+// assignSlices assigns the slices of the key space to the endpoints in round-robin order.
 func (s *stage) assignSlices() {
 	for slice := range s.Scenario.Slices {
 		owner := s.endpoints[slice%len(s.endpoints)]
@@ -15,7 +15,7 @@
 	}
 }
 
-// announceSlice has the registry notify the pilots of a slice's owner.
+// announceSlice publishes the owner of a slice in the registry and records the assignment in the event log.
 func (s *stage) announceSlice(slice int) {
 	owner := s.sliceOwners[slice]
 	assignment := loadgen.SliceAssignment(slice, owner)
@@ -23,7 +23,7 @@
 	s.registry.AssignSlice(assignment)
 }
 
-// moveSlices gives the slices of some endpoints to the others, in turn.
+// moveSlices reassigns the slices of some endpoints to the remaining ones. It does nothing if none remain.
 func (s *stage) moveSlices(from []*endpoint.Endpoint) {
 	leaving := map[string]bool{}
 	for _, e := range from {
@@ -41,7 +41,7 @@
 	}
 }
 
-// addressesExcept lists the addresses of all other endpoints.
+// addressesExcept returns the addresses of all endpoints whose address is not in the set.
 func (s *stage) addressesExcept(leaving map[string]bool) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
