--- a/internal/rehearsal/slices_test.go
+++ b/internal/rehearsal/slices_test.go
@@ -11,8 +11,8 @@
 	"indigousher/internal/testbed/eventlog"
 )
 
-// TestSlices shows ranges of keys on both wires: what crossed the sockets went to the endpoint to which the store had
-// given the key's slice, or, for a short time after a move, to the one before.
+// TestSlices checks routing by key slices over both protocols: each attempt must go to the endpoint that owns the key's
+// slice or, for a short time after the slice has moved, to its previous owner.
 func TestSlices(t *testing.T) {
 	t.Parallel()
 	day, err := scenario.Load("slices")
@@ -28,7 +28,7 @@
 	}
 	given, firsts := map[string][]gift{}, []string{}
 	sent, astray, moved := 0, 0, 0
-	const joined, follows = 1500, 600 // ms
+	const joined, follows = 1500, 600 // ms: time for all proxies to join, and to follow the move of a slice
 	for _, e := range o.EventLog.Events() {
 		switch e.What {
 		case eventlog.Given:
