--- a/internal/rehearsal/stage.go
+++ b/internal/rehearsal/stage.go
@@ -17,35 +17,36 @@
 	"indigousher/internal/wire"
 )
 
-// stage holds all that takes part in a run.
+// stage holds the components and the state of a run.
 type stage struct {
 	Play
 	eventLog *eventlog.Log
-	ownLog   *eventlog.Stream // of what the rehearsal itself does
+	ownLog   *eventlog.Stream // events of the rehearsal itself, such as the beginning of faults
 	network  *network.Network
 	registry *registry.Registry
 
-	// Set up before the run begins and not changed after.
+	// Set before the clients start and constant after that.
 	proxies   []*proxy.Proxy
 	pilots    []*pilot
 	authority *identity.Authority
 	keyDir    string
 
-	// Faults of proxies, by name; the maps are not changed once the run has begun.
-	isolated      map[string]*atomic.Bool  // it reaches no pilot
-	muted         map[string]*atomic.Bool  // it reads nothing
-	reportFactors map[string]*atomic.Int64 // how many times as often it reports, in thousandths
+	// Faults that are active on proxies, by proxy name. Only the values change after the clients start, not the maps.
+	isolated      map[string]*atomic.Bool  // the proxy can reach no pilot
+	muted         map[string]*atomic.Bool  // the proxy reads nothing from its stream
+	reportFactors map[string]*atomic.Int64 // multiplies the proxy's report rate, in thousandths (1000: unchanged)
 
-	sliceOwners []string // addresses of endpoints, by slice
+	sliceOwners []string // address of the endpoint that owns each slice, by slice number
 
-	mu        sync.Mutex // guards the rest
+	mu        sync.Mutex // guards the fields below
 	endpoints []*endpoint.Endpoint
-	entries   map[string]wire.Entry // endpoints as they truly are, by name, whatever the registry says
+	entries   map[string]wire.Entry // actual state of the endpoints, by name; the registry publishes it with a delay
 	random    *rand.Rand
-	maxima    controller.State
+	maxima    controller.State // highest counts that any pilot reported
 }
 
-// randomStream tells the random sequence of a run apart from others of the same seed.
+// randomStream is the second seed of the run's random generator. It separates its sequence from those of other
+// generators with the same first seed.
 const randomStream = 5
 
 func newStage(p Play) *stage {
@@ -64,7 +65,7 @@
 	return s
 }
 
-// startAll starts registry, endpoints, pilots and proxies, in this order.
+// startAll starts the registry, the endpoints, the pilots and the proxies, in this order.
 func (s *stage) startAll() error {
 	if err := s.openKeys(); err != nil {
 		return err
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// stopAll ends all that runs. Cuts are mended last, so that what they hold back ends as well.
+// stopAll stops all components. It ends network cuts last, so that connections blocked by them can close as well.
 func (s *stage) stopAll() {
 	if s.keyDir != "" {
 		defer removeTemporary(s.keyDir)
@@ -156,7 +157,7 @@
 	}
 }
 
-// targets draws the names that a fault strikes.
+// targets draws the names that a fault affects from a list of names.
 func (s *stage) targets(fault scenario.Fault, names []string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
