--- a/internal/rehearsal/endpoints.go
+++ b/internal/rehearsal/endpoints.go
@@ -20,7 +20,7 @@
 
 // addEndpoint creates and starts an endpoint of a group of the scenario, given by the group's index. If cold is set,
 // the endpoint needs a warm-up. It is not yet published in the registry.
-func (s *stage) addEndpoint(name string, group int, cold bool) error {
+func (s *environment) addEndpoint(name string, group int, cold bool) error {
 	g := s.Scenario.Groups[group]
 	s.mu.Lock()
 	speed := g.Speed * math.Exp(g.Spread*s.random.NormFloat64())
@@ -44,7 +44,7 @@
 }
 
 // updateEntry changes an endpoint's entry at once and publishes it in the registry after a delay.
-func (s *stage) updateEntry(name string, delay time.Duration, change func(*wire.Entry)) {
+func (s *environment) updateEntry(name string, delay time.Duration, change func(*wire.Entry)) {
 	s.mu.Lock()
 	entry := s.entries[name]
 	change(&entry)
@@ -54,12 +54,12 @@
 }
 
 // setPhase changes the phase of an endpoint at once and publishes it in the registry after a delay.
-func (s *stage) setPhase(name string, delay time.Duration, phase int) {
+func (s *environment) setPhase(name string, delay time.Duration, phase int) {
 	s.updateEntry(name, delay, func(entry *wire.Entry) { entry.Phase = phase })
 }
 
 // listAll publishes all endpoints in the registry without delay.
-func (s *stage) listAll() {
+func (s *environment) listAll() {
 	s.mu.Lock()
 	var all []wire.Entry
 	for _, e := range s.endpoints {
@@ -71,7 +71,7 @@
 
 // drawStaticTable draws random ready endpoints for the static table of a proxy in a zone. They come from that zone if
 // it has at least minOwnZone of them, otherwise from all zones. It returns their addresses.
-func (s *stage) drawStaticTable(zone string) []string {
+func (s *environment) drawStaticTable(zone string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var all, near []string
--- a/internal/rehearsal/faults_pilot.go
+++ b/internal/rehearsal/faults_pilot.go
@@ -14,43 +14,43 @@
 )
 
 // faultPilots draws the pilots that a fault affects.
-func (s *stage) faultPilots(fault scenario.Fault) []*pilot {
+func (s *environment) faultPilots(fault scenario.Fault) []*pilot {
 	var names []string
 	for _, p := range s.pilots {
 		names = append(names, p.name)
 	}
-	var struck []*pilot
+	var affected []*pilot
 	for _, name := range s.targets(fault, names) {
-		struck = append(struck, s.pilots[slices.Index(names, name)])
+		affected = append(affected, s.pilots[slices.Index(names, name)])
 	}
-	return struck
+	return affected
 }
 
 // handOverPilots repeatedly replaces the pilots by handover, one after another, until the fault ends.
-func (s *stage) handOverPilots(ctx context.Context, fault scenario.Fault) error {
-	struck := s.faultPilots(fault)
+func (s *environment) handOverPilots(ctx context.Context, fault scenario.Fault) error {
+	affected := s.faultPilots(fault)
 	until := time.Now().Add(fault.For)
 	for ctx.Err() == nil && time.Now().Before(until) {
-		for _, p := range struck {
+		for _, p := range affected {
 			if err := s.handOver(p); err != nil { //nolint:contextcheck // stopped by stopAll, not by ctx
 				return err
 			}
-			s.ownLog.Add(eventlog.Event{What: eventlog.Note, Peer: p.name, Text: "handed over"})
+			s.rehearsalLog.Add(eventlog.Event{What: eventlog.Note, Peer: p.name, Text: "handed over"})
 			backoff.Sleep(ctx, fault.Every)
 		}
 	}
 	return nil
 }
 
-func (s *stage) killPilots(ctx context.Context, fault scenario.Fault) error {
-	struck := s.faultPilots(fault)
-	for _, p := range struck {
+func (s *environment) killPilots(ctx context.Context, fault scenario.Fault) error {
+	affected := s.faultPilots(fault)
+	for _, p := range affected {
 		s.stopPilot(p, true)
 	}
 	if !backoff.Sleep(ctx, fault.For) {
 		return nil
 	}
-	for _, p := range struck {
+	for _, p := range affected {
 		if err := s.startPilot(p, false); err != nil { //nolint:contextcheck // stopped by stopAll, not by ctx
 			return err
 		}
@@ -59,7 +59,7 @@
 }
 
 // rollPilots stops and restarts pilots one after another.
-func (s *stage) rollPilots(ctx context.Context, fault scenario.Fault) error {
+func (s *environment) rollPilots(ctx context.Context, fault scenario.Fault) error {
 	for _, p := range s.faultPilots(fault) {
 		s.stopPilot(p, false)
 		if !backoff.Sleep(ctx, fault.Extra) {
@@ -73,7 +73,7 @@
 	return nil
 }
 
-func (s *stage) reloadPilots(ctx context.Context, fault scenario.Fault) error {
+func (s *environment) reloadPilots(ctx context.Context, fault scenario.Fault) error {
 	for _, p := range s.faultPilots(fault) {
 		if err := s.reload(ctx, p, fault.Size); err != nil {
 			return err
@@ -85,7 +85,7 @@
 // reload reloads a running pilot with changed settings: LinesPerS multiplied by a factor, which takes effect at once,
 // and one more in MaxStreams, which needs a restart. It returns an error if the pilot reports other changes. A pilot
 // that does not run is skipped.
-func (s *stage) reload(ctx context.Context, p *pilot, factor float64) error {
+func (s *environment) reload(ctx context.Context, p *pilot, factor float64) error {
 	p.mu.Lock()
 	host := p.host
 	settings := p.settings
--- a/internal/rehearsal/faults_zone.go
+++ b/internal/rehearsal/faults_zone.go
@@ -10,20 +10,20 @@
 	"indigousher/internal/wire"
 )
 
-// wholeZoneSize is the fault size (a fraction) above which a zone loss also kills the zone's proxies and pilots.
-const wholeZoneSize = 0.5
+// wholeZoneThreshold is the fault size (a fraction) above which a zone loss also kills the zone's proxies and pilots.
+const wholeZoneThreshold = 0.5
 
-// loseZone kills endpoints of a zone, and all its proxies and pilots if the fault is larger than wholeZoneSize. All are
-// restarted when the fault ends.
-func (s *stage) loseZone(ctx context.Context, fault scenario.Fault) error {
+// loseZone kills endpoints of a zone, and all its proxies and pilots if the fault is larger than wholeZoneThreshold.
+// All are restarted when the fault ends.
+func (s *environment) loseZone(ctx context.Context, fault scenario.Fault) error {
 	endpoints := s.faultEndpoints(fault)
 	for _, e := range endpoints {
 		e.Kill()
-		s.setPhase(e.Name, lostListFactor*s.Scenario.ListLate, wire.PhaseGone)
+		s.setPhase(e.Name, lossDelayFactor*s.Scenario.ListLate, wire.PhaseGone)
 	}
 	var proxies []*proxy.Proxy
 	var pilots []*pilot
-	if fault.Size > wholeZoneSize {
+	if fault.Size > wholeZoneThreshold {
 		proxies = s.killProxiesOf(fault.Zone)
 		pilots = s.killPilotsOf(fault.Zone)
 	}
@@ -44,7 +44,7 @@
 }
 
 // killProxiesOf kills all proxies of a zone and returns them.
-func (s *stage) killProxiesOf(zone string) []*proxy.Proxy {
+func (s *environment) killProxiesOf(zone string) []*proxy.Proxy {
 	var killed []*proxy.Proxy
 	for _, p := range s.proxies {
 		if p.Zone == zone {
@@ -56,7 +56,7 @@
 }
 
 // killPilotsOf kills all pilots of a zone and returns them.
-func (s *stage) killPilotsOf(zone string) []*pilot {
+func (s *environment) killPilotsOf(zone string) []*pilot {
 	var killed []*pilot
 	for _, p := range s.pilots {
 		if p.zone == zone {
--- a/internal/rehearsal/keys.go
+++ b/internal/rehearsal/keys.go
@@ -18,7 +18,7 @@
 
 // openKeys creates a certificate authority for the run and the keys of the registry. It does nothing if the scenario
 // uses no keys.
-func (s *stage) openKeys() error {
+func (s *environment) openKeys() error {
 	if !s.Scenario.Keys {
 		return nil
 	}
@@ -40,12 +40,12 @@
 }
 
 // issueFiles issues a certificate and key for an identity and writes them to files in the key directory.
-func (s *stage) issueFiles(who identity.Identity) (identity.Files, error) {
+func (s *environment) issueFiles(who identity.Identity) (identity.Files, error) {
 	return s.authority.Issue(s.keyDir, who, time.Now().Add(-keyBackdate), keyLifetime)
 }
 
 // issueKeys issues a certificate and key for an identity and loads them from their files.
-func (s *stage) issueKeys(who identity.Identity) (*identity.KeyStore, error) {
+func (s *environment) issueKeys(who identity.Identity) (*identity.KeyStore, error) {
 	files, err := s.issueFiles(who)
 	if err != nil {
 		return nil, err
--- a/internal/rehearsal/pilots.go
+++ b/internal/rehearsal/pilots.go
@@ -49,7 +49,7 @@
 }
 
 // pilotSettings returns the settings of a pilot that follow from the scenario. The rank is the pilot's index.
-func (s *stage) pilotSettings(p *pilot, rank int) config.Pilot {
+func (s *environment) pilotSettings(p *pilot, rank int) config.Pilot {
 	settings := config.Defaults()
 	settings.Common = s.Scenario.Common
 	settings.Name = p.name
@@ -82,7 +82,7 @@
 }
 
 // pilotKeys issues the key files of a pilot. An error is only logged, because the pilot then fails to start.
-func (s *stage) pilotKeys(p *pilot) identity.Files {
+func (s *environment) pilotKeys(p *pilot) identity.Files {
 	files, err := s.issueFiles(identity.Identity{Role: identity.Pilot, Zone: p.zone, Name: p.name})
 	if err != nil {
 		s.Log.Error("cannot issue the pilot's keys", zap.Error(err))
@@ -92,7 +92,7 @@
 
 // recordFolder creates the directory for a pilot's records and returns its path. An error is only logged, because the
 // pilot then fails to start.
-func (s *stage) recordFolder(p *pilot) string {
+func (s *environment) recordFolder(p *pilot) string {
 	dir := filepath.Join(s.Records, p.name)
 	if err := os.MkdirAll(dir, recordFolderMode); err != nil {
 		s.Log.Error("cannot create the pilot's record directory", zap.Error(err))
@@ -102,7 +102,7 @@
 
 // startPilot starts a pilot, at the same address each time. If takeOver is set, the new instance takes over from the
 // running one. The pilot runs until stopPilot or until a later instance takes over.
-func (s *stage) startPilot(p *pilot, takeOver bool) error {
+func (s *environment) startPilot(p *pilot, takeOver bool) error {
 	place := network.Place{Name: p.name, Zone: p.zone}
 	s.eventLog.Stream(p.name).Add(eventlog.Event{What: eventlog.Start, Kind: "pilot", Text: p.zone})
 	if s.Binary != "" {
@@ -142,7 +142,7 @@
 
 // handOver starts a new instance of a pilot that takes over from the running one, and waits until the old one has
 // stopped.
-func (s *stage) handOver(p *pilot) error {
+func (s *environment) handOver(p *pilot) error {
 	p.mu.Lock()
 	cancel := p.cancel
 	done := p.done
@@ -157,7 +157,7 @@
 
 // stopPilot stops a pilot and waits until it has stopped. If kill is set, it stops at once, otherwise gracefully. It
 // does nothing if the pilot does not run.
-func (s *stage) stopPilot(p *pilot, kill bool) {
+func (s *environment) stopPilot(p *pilot, kill bool) {
 	p.mu.Lock()
 	host := p.host
 	cancel := p.cancel
@@ -185,7 +185,7 @@
 }
 
 // recordMaxima updates the run's maxima from the counters of a pilot.
-func (s *stage) recordMaxima(d *daemon.Daemon) {
+func (s *environment) recordMaxima(d *daemon.Daemon) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state := d.State()
--- a/internal/rehearsal/play.go
+++ b/internal/rehearsal/play.go
@@ -58,7 +58,7 @@
 func (p Play) Run(ctx context.Context) (*Outcome, error) {
 	p.setDefaults()
 	began := time.Now()
-	s := newStage(p)
+	s := newEnvironment(p)
 	defer s.stopAll()
 	if s.Records == "" {
 		dir, err := os.MkdirTemp("", "indigousher-records-")
@@ -71,7 +71,7 @@
 	if err := s.startAll(); err != nil { //nolint:contextcheck // stopped by stopAll, not by ctx
 		return nil, err
 	}
-	if err := s.play(ctx); err != nil {
+	if err := s.runClientsAndFaults(ctx); err != nil {
 		return nil, err
 	}
 	return s.outcome(began), nil
@@ -89,8 +89,9 @@
 // removeTemporary removes a temporary directory. Errors are ignored, as the system cleans up temporary files.
 func removeTemporary(dir string) { _ = os.RemoveAll(dir) }
 
-// play runs the clients and injects the faults. It returns when the clients have finished or ctx is cancelled.
-func (s *stage) play(ctx context.Context) error {
+// runClientsAndFaults runs the clients and injects the faults. It returns when the clients have finished or ctx is
+// cancelled.
+func (s *environment) runClientsAndFaults(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var addresses []string
@@ -106,9 +107,9 @@
 	for i, fault := range s.Scenario.Faults {
 		faults.Go(func() {
 			if backoff.Sleep(ctx, time.Until(start.Add(fault.At))) {
-				s.ownLog.Add(eventlog.Event{What: eventlog.Note, Text: fault.String()})
+				s.rehearsalLog.Add(eventlog.Event{What: eventlog.Note, Text: fault.String()})
 				s.Progress("%5.1fs  %s", time.Since(start).Seconds(), fault)
-				errs[i] = s.playFault(ctx, fault)
+				errs[i] = s.injectFault(ctx, fault)
 			}
 		})
 	}
@@ -123,7 +124,7 @@
 }
 
 // outcome audits the run and returns its result.
-func (s *stage) outcome(began time.Time) *Outcome {
+func (s *environment) outcome(began time.Time) *Outcome {
 	nameByAddress := map[string]string{}
 	zoneByAddress := map[string]string{}
 	for _, endpoint := range s.endpoints {
--- a/internal/rehearsal/process.go
+++ b/internal/rehearsal/process.go
@@ -43,7 +43,7 @@
 }
 
 // startProcess starts a pilot's process, at the same addresses each time, and returns when it is ready.
-func (s *stage) startProcess(p *pilot, place network.Place) error {
+func (s *environment) startProcess(p *pilot, place network.Place) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.settings.Admin == "" {
@@ -63,7 +63,7 @@
 }
 
 // assignAddresses chooses the listen and admin addresses that all processes of a pilot use.
-func (s *stage) assignAddresses(p *pilot, place network.Place) error {
+func (s *environment) assignAddresses(p *pilot, place network.Place) error {
 	listen, listenErr := freeAddress()
 	admin, adminErr := freeAddress()
 	p.settings.Listen = listen
@@ -76,7 +76,7 @@
 }
 
 // launch writes a pilot's settings file and starts its process. It does not wait until the process is ready.
-func (s *stage) launch(p *pilot) (*process, error) {
+func (s *environment) launch(p *pilot) (*process, error) {
 	settings := filepath.Join(s.Records, p.name+".hcl")
 	if err := os.WriteFile(settings, p.settings.Text(), fileMode); err != nil {
 		return nil, err
--- a/internal/rehearsal/proxies.go
+++ b/internal/rehearsal/proxies.go
@@ -21,12 +21,12 @@
 	// proxySeedStep is the difference between a proxy's seeds in two runs with consecutive scenario seeds. It is large
 	// so that proxies with different numbers do not get the same random sequence in such runs.
 	proxySeedStep = 1000
-	// factorUnit is the integer that stands for a factor of 1 in stage.reportFactors, which are in thousandths.
+	// factorUnit is the integer that stands for a factor of 1 in environment.reportFactors, which are in thousandths.
 	factorUnit = 1000
 )
 
 // addProxy creates and starts a proxy. The number is its index among all proxies.
-func (s *stage) addProxy(name, zone string, number int) error {
+func (s *environment) addProxy(name, zone string, number int) error {
 	isolated := &atomic.Bool{}
 	muted := &atomic.Bool{}
 	reportFactor := &atomic.Int64{}
@@ -55,7 +55,7 @@
 }
 
 // proxyOptions returns the options of a proxy that do not depend on its faults and on how it connects to pilots.
-func (s *stage) proxyOptions(name, zone string, number int) proxy.Options {
+func (s *environment) proxyOptions(name, zone string, number int) proxy.Options {
 	var targets, limits []time.Duration
 	for _, class := range s.Scenario.Kinds {
 		targets = append(targets, class.ResponseTarget)
@@ -86,7 +86,7 @@
 }
 
 // speaksGRPC returns whether a proxy connects to pilots over gRPC: if its name matches one of the scenario's patterns.
-func (s *stage) speaksGRPC(name string) bool {
+func (s *environment) speaksGRPC(name string) bool {
 	return slices.ContainsFunc(s.Scenario.OverGRPC, func(pattern string) bool {
 		matches, err := path.Match(pattern, name)
 		return err == nil && matches
@@ -95,7 +95,7 @@
 
 // joiner returns a constructor of the client with which a proxy joins a pilot: over gRPC or the framed protocol, with
 // TLS if the scenario uses keys.
-func (s *stage) joiner(name, zone string, overGRPC bool) (func() proxy.Joiner, error) {
+func (s *environment) joiner(name, zone string, overGRPC bool) (func() proxy.Joiner, error) {
 	var tlsConfig *tls.Config
 	if s.Scenario.Keys {
 		keys, err := s.issueKeys(identity.Identity{Role: identity.Proxy, Zone: zone, Name: name})
@@ -115,7 +115,7 @@
 // reachablePilots returns the addresses of the pilots that a proxy may dial, in the order in which it tries them. The
 // first is its home pilot: one in its zone if the scenario assigns proxies by zone, otherwise one chosen by its number.
 // It returns nil if the proxy is isolated or there are no pilots.
-func (s *stage) reachablePilots(zone string, number int, isolated *atomic.Bool, overGRPC bool) []string {
+func (s *environment) reachablePilots(zone string, number int, isolated *atomic.Bool, overGRPC bool) []string {
 	if isolated.Load() || len(s.pilots) == 0 {
 		return nil
 	}
--- a/internal/rehearsal/slices.go
+++ b/internal/rehearsal/slices.go
@@ -7,7 +7,7 @@
 )
 
 // assignSlices assigns the slices of the key space to the endpoints in round-robin order.
-func (s *stage) assignSlices() {
+func (s *environment) assignSlices() {
 	for slice := range s.Scenario.Slices {
 		owner := s.endpoints[slice%len(s.endpoints)]
 		s.sliceOwners = append(s.sliceOwners, owner.Address())
@@ -16,15 +16,15 @@
 }
 
 // announceSlice publishes the owner of a slice in the registry and records the assignment in the event log.
-func (s *stage) announceSlice(slice int) {
+func (s *environment) announceSlice(slice int) {
 	owner := s.sliceOwners[slice]
 	assignment := loadgen.SliceAssignment(slice, owner)
-	s.ownLog.Add(eventlog.Event{What: eventlog.Given, Peer: owner, N: slice, Text: assignment.From})
+	s.rehearsalLog.Add(eventlog.Event{What: eventlog.Given, Peer: owner, N: slice, Text: assignment.From})
 	s.registry.AssignSlice(assignment)
 }
 
 // moveSlices reassigns the slices of some endpoints to the remaining ones. It does nothing if none remain.
-func (s *stage) moveSlices(from []*endpoint.Endpoint) {
+func (s *environment) moveSlices(from []*endpoint.Endpoint) {
 	leaving := map[string]bool{}
 	for _, e := range from {
 		leaving[e.Address()] = true
@@ -42,7 +42,7 @@
 }
 
 // addressesExcept returns the addresses of all endpoints whose address is not in the set.
-func (s *stage) addressesExcept(leaving map[string]bool) []string {
+func (s *environment) addressesExcept(leaving map[string]bool) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var staying []string
--- a/internal/rehearsal/stage.go
+++ b/internal/rehearsal/stage.go
@@ -17,13 +17,13 @@
 	"indigousher/internal/wire"
 )
 
-// stage holds the components and the state of a run.
-type stage struct {
+// environment holds the components and the state of a run.
+type environment struct {
 	Play
-	eventLog *eventlog.Log
-	ownLog   *eventlog.Stream // events of the rehearsal itself, such as the beginning of faults
-	network  *network.Network
-	registry *registry.Registry
+	eventLog     *eventlog.Log
+	rehearsalLog *eventlog.Stream // events of the rehearsal itself, such as the beginning of faults
+	network      *network.Network
+	registry     *registry.Registry
 
 	// Set before the clients start and constant after that.
 	proxies   []*proxy.Proxy
@@ -49,8 +49,8 @@
 // generators with the same first seed.
 const randomStream = 5
 
-func newStage(p Play) *stage {
-	s := &stage{
+func newEnvironment(p Play) *environment {
+	s := &environment{
 		Play:          p,
 		eventLog:      eventlog.NewLog(),
 		isolated:      map[string]*atomic.Bool{},
@@ -59,14 +59,14 @@
 		entries:       map[string]wire.Entry{},
 		random:        rand.New(rand.NewPCG(uint64(p.Scenario.Seed), randomStream)),
 	}
-	s.ownLog = s.eventLog.Stream("rehearsal")
+	s.rehearsalLog = s.eventLog.Stream("rehearsal")
 	s.network = network.New(s.eventLog.Stream("links"), uint64(p.Scenario.Seed))
 	s.registry = registry.New(s.eventLog.Stream("list"))
 	return s
 }
 
 // startAll starts the registry, the endpoints, the pilots and the proxies, in this order.
-func (s *stage) startAll() error {
+func (s *environment) startAll() error {
 	if err := s.openKeys(); err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 	return s.startProxies()
 }
 
-func (s *stage) startEndpoints() error {
+func (s *environment) startEndpoints() error {
 	for group, g := range s.Scenario.Groups {
 		for i := range g.Count {
 			if err := s.addEndpoint(fmt.Sprintf("%s-%s-%d", g.Zone, g.Machine, i), group, false); err != nil {
@@ -100,7 +100,7 @@
 	return nil
 }
 
-func (s *stage) startPilots() error {
+func (s *environment) startPilots() error {
 	for rank, zone := range s.Scenario.PilotZones {
 		p := &pilot{name: fmt.Sprintf("pilot-%d", rank), zone: zone}
 		p.settings = s.pilotSettings(p, rank)
@@ -112,7 +112,7 @@
 	return nil
 }
 
-func (s *stage) startProxies() error {
+func (s *environment) startProxies() error {
 	inZone := map[string]int{}
 	for number, zone := range s.Scenario.ProxyZones {
 		name := fmt.Sprintf("proxy-%s-%d", zone, inZone[zone])
@@ -125,7 +125,7 @@
 }
 
 // stopAll stops all components. It ends network cuts last, so that connections blocked by them can close as well.
-func (s *stage) stopAll() {
+func (s *environment) stopAll() {
 	if s.keyDir != "" {
 		defer removeTemporary(s.keyDir)
 	}
@@ -139,10 +139,10 @@
 	for _, endpoint := range s.endpoints {
 		endpoint.Kill()
 	}
-	s.mendAll()
+	s.endNetworkCuts()
 }
 
-func (s *stage) mendAll() {
+func (s *environment) endNetworkCuts() {
 	for _, zone := range s.Scenario.Zones {
 		s.network.Cut(zone, false)
 	}
@@ -158,7 +158,7 @@
 }
 
 // targets draws the names that a fault affects from a list of names.
-func (s *stage) targets(fault scenario.Fault, names []string) []string {
+func (s *environment) targets(fault scenario.Fault, names []string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return fault.Targets(names, s.random)
