--- a/internal/rehearsal/record_test.go
+++ b/internal/rehearsal/record_test.go
@@ -82,11 +82,11 @@
 	require.NoError(t, err)
 	assert.True(t, o.Report.Kept())
 	assert.Zero(t, o.Report.Service.Denied+o.Report.Service.Errored)
-	handed := 0
+	handovers := 0
 	for _, e := range o.EventLog.Events() {
 		if e.Text == "handed over" {
-			handed++
+			handovers++
 		}
 	}
-	assert.Greater(t, handed, 10)
+	assert.Greater(t, handovers, 10)
 }
--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/rehearsal/rehearsal_test.go
@@ -41,20 +41,20 @@
 	}
 }
 
-// tampering wraps a planner and modifies its commands.
-type tampering struct {
+// tamperingDecider wraps a planner and modifies its commands.
+type tamperingDecider struct {
 	decider *planner.Planner
-	spoil   func(nowMs float64, orders []planner.Command) []planner.Command
+	modify  func(nowMs float64, orders []planner.Command) []planner.Command
 }
 
-func (m *tampering) Reconfigure(settings map[string]any) { m.decider.Reconfigure(settings) }
+func (m *tamperingDecider) Reconfigure(settings map[string]any) { m.decider.Reconfigure(settings) }
 
-func (m *tampering) Handle(nowMs float64, notes []planner.Event) []planner.Command {
-	return m.spoil(nowMs, m.decider.Handle(nowMs, notes))
+func (m *tamperingDecider) Handle(nowMs float64, notes []planner.Event) []planner.Command {
+	return m.modify(nowMs, m.decider.Handle(nowMs, notes))
 }
 
-// each returns a function that replaces each command by the result of f.
-func each(f func(nowMs float64, o planner.Command) []planner.Command) func(float64, []planner.Command) []planner.Command {
+// mapCommands returns a function that replaces each command by the result of f.
+func mapCommands(f func(nowMs float64, o planner.Command) []planner.Command) func(float64, []planner.Command) []planner.Command {
 	return func(nowMs float64, orders []planner.Command) (out []planner.Command) {
 		for _, o := range orders {
 			out = append(out, f(nowMs, o)...)
@@ -67,14 +67,14 @@
 // cause it. A rule that the audit cannot see violated would always pass.
 func TestPlantedBreaks(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		rule  audit.Rule
-		day   string
-		spoil func(float64, []planner.Command) []planner.Command
+		name   string
+		rule   audit.Rule
+		day    string
+		modify func(float64, []planner.Command) []planner.Command
 	}{
 		{
 			"a table emptied", audit.EndpointCoverage, `rules { bare_for = "1500ms" }`,
-			each(func(now float64, o planner.Command) []planner.Command {
+			mapCommands(func(now float64, o planner.Command) []planner.Command {
 				if s, ok := o.(planner.SetWeight); ok {
 					s.Weight = 0
 					return []planner.Command{s}
@@ -93,7 +93,7 @@
 				zone = "a"
 				count = 4
 			}`,
-			each(func(now float64, o planner.Command) []planner.Command {
+			mapCommands(func(now float64, o planner.Command) []planner.Command {
 				if a, ok := o.(planner.SetAdmission); ok {
 					a.RetryMode = 3
 					return []planner.Command{a}
@@ -108,7 +108,7 @@
 				for = "5s"
 				who = ["a-std-1"]
 			}`,
-			each(func(now float64, o planner.Command) []planner.Command {
+			mapCommands(func(now float64, o planner.Command) []planner.Command {
 				switch o := o.(type) {
 				case planner.SetExcluded:
 					return nil
@@ -169,7 +169,7 @@
 			day, err := scenario.Read(c.name+".hcl", []byte("like = \"quiet\"\nlength = \"9s\"\nlist {\n late = \"200ms\"\n}\n"+c.day))
 			require.NoError(t, err)
 			o, err := Play{Scenario: day, Decide: func(seed int64, terms map[string]any) controller.Decider {
-				return &tampering{planner.New(seed, terms), c.spoil}
+				return &tamperingDecider{planner.New(seed, terms), c.modify}
 			}}.Run(t.Context())
 			require.NoError(t, err)
 			for _, v := range o.Report.Verdicts {
@@ -206,23 +206,23 @@
 	assert.ErrorIs(t, err, context.Canceled)
 }
 
-// loadListener passes events on to a decider and records the load that they report.
-type loadListener struct {
+// loadRecorder passes events on to a decider and records the load that they report.
+type loadRecorder struct {
 	controller.Decider
-	mu   *sync.Mutex
-	told map[string]*[2]float64 // number of attempts and time span in ms, by "zone/endpoint"
+	mu       *sync.Mutex
+	received map[string]*[2]float64 // number of attempts and time span in ms, by "zone/endpoint"
 }
 
-func (l *loadListener) Handle(nowMs float64, notes []planner.Event) []planner.Command {
+func (l *loadRecorder) Handle(nowMs float64, notes []planner.Event) []planner.Command {
 	l.mu.Lock()
 	for _, n := range notes {
 		if m, ok := n.(planner.EndpointStats); ok {
 			key := fmt.Sprint(m.Zone, "/", m.Endpoint)
-			if l.told[key] == nil {
-				l.told[key] = &[2]float64{}
+			if l.received[key] == nil {
+				l.received[key] = &[2]float64{}
 			}
-			l.told[key][0] += float64(m.Attempts)
-			l.told[key][1] += m.SpanMs
+			l.received[key][0] += float64(m.Attempts)
+			l.received[key][1] += m.SpanMs
 		}
 	}
 	l.mu.Unlock()
@@ -255,9 +255,9 @@
 }
 `))
 	require.NoError(t, err)
-	told, mu := map[string]*[2]float64{}, &sync.Mutex{}
+	received, mu := map[string]*[2]float64{}, &sync.Mutex{}
 	o, err := Play{Scenario: day, Decide: func(seed int64, terms map[string]any) controller.Decider {
-		return &loadListener{planner.New(seed, terms), mu, told}
+		return &loadRecorder{planner.New(seed, terms), mu, received}
 	}}.Run(t.Context())
 	require.NoError(t, err)
 	assert.True(t, o.Report.Kept())
@@ -275,7 +275,8 @@
 		}
 	}
 	index := map[string]int{}
-	// The planner numbers the endpoints in the order in which the registry lists them, which is that of their addresses.
+	// The planner numbers the endpoints in the order in which the registry lists them, which is that of their
+	// addresses.
 	for i, n := range slices.Sorted(maps.Keys(names)) {
 		index[n] = i
 	}
@@ -285,7 +286,7 @@
 		if n < all[zone]/100 {
 			continue
 		}
-		x := told[fmt.Sprint(slices.Index(day.Zones, zone), "/", index[name])]
+		x := received[fmt.Sprint(slices.Index(day.Zones, zone), "/", index[name])]
 		require.NotNil(t, x, key)
 		rate, truth := x[0]/x[1]*1000, n/day.Length.Seconds()
 		assert.InDelta(t, 1, rate/truth, 0.2, "%s: planner received %.1f attempts/s, proxies sent %.1f", key, rate, truth)
--- a/internal/rehearsal/slices_test.go
+++ b/internal/rehearsal/slices_test.go
@@ -22,34 +22,34 @@
 	for _, v := range o.Report.Verdicts {
 		assert.True(t, v.Kept(), "%s: %v", v.Rule, v.Violations)
 	}
-	type gift struct {
+	type assignment struct {
 		at    float64
 		owner string
 	}
-	given, firsts := map[string][]gift{}, []string{}
-	sent, astray, moved := 0, 0, 0
-	const joined, follows = 1500, 600 // ms: time for all proxies to join, and to follow the move of a slice
+	assignments, firstKeys := map[string][]assignment{}, []string{}
+	sent, misrouted, moved := 0, 0, 0
+	const joinTime, followTime = 1500, 600 // ms: time for all proxies to join, and to follow the move of a slice
 	for _, e := range o.EventLog.Events() {
 		switch e.What {
 		case eventlog.Given:
-			if given[e.Text] = append(given[e.Text], gift{e.At, e.Peer}); len(given[e.Text]) == 1 {
-				firsts = append(firsts, e.Text)
-				sort.Strings(firsts)
+			if assignments[e.Text] = append(assignments[e.Text], assignment{e.At, e.Peer}); len(assignments[e.Text]) == 1 {
+				firstKeys = append(firstKeys, e.Text)
+				sort.Strings(firstKeys)
 			} else {
 				moved++
 			}
 		case eventlog.Send:
 			sent++
-			gifts := given[firsts[sort.Search(len(firsts), func(i int) bool { return firsts[i] > e.Text })-1]]
-			last := gifts[len(gifts)-1]
-			before := len(gifts) > 1 && e.At < last.at+follows && e.Peer == gifts[len(gifts)-2].owner
-			if e.Peer != last.owner && !before && e.At > joined {
-				astray++
+			history := assignments[firstKeys[sort.Search(len(firstKeys), func(i int) bool { return firstKeys[i] > e.Text })-1]]
+			last := history[len(history)-1]
+			toPrevious := len(history) > 1 && e.At < last.at+followTime && e.Peer == history[len(history)-2].owner
+			if e.Peer != last.owner && !toPrevious && e.At > joinTime {
+				misrouted++
 			}
 		}
 	}
 	assert.Greater(t, sent, 2000)
 	assert.Equal(t, 6, moved)
-	assert.Zero(t, astray)
+	assert.Zero(t, misrouted)
 	assert.Greater(t, o.Report.Service.All.Share(), 0.9)
 }
