--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -36,7 +36,7 @@
 	return p
 }
 
-// printed is a table as people see it, without what is of real time.
+// printed returns a table as text, without the metrics of real time, which differ between runs.
 func printed(t *testing.T, x *Table) string {
 	for _, cell := range x.Results {
 		for _, r := range cell {
@@ -48,8 +48,8 @@
 	return b.String()
 }
 
-// TestResumed guards experiments that are interrupted: they go on where they were, give the tables of one that was not,
-// and take nothing from another program's runs.
+// TestResumed checks that an interrupted experiment can be resumed: finished runs are reused, and the table is the same
+// as without the interruption. It also checks that results of another program are not reused.
 func TestResumed(t *testing.T) {
 	p := readPlan(t, planText)
 	whole := &Runner{Plan: p, Store: filepath.Join(t.TempDir(), "whole.db"), Program: "one"}
@@ -84,8 +84,8 @@
 	assert.Contains(t, b.String(), "54 runs were left out")
 }
 
-// TestTornStore guards against a store of results that was cut off or overwritten: the experiment says which file it
-// is, and neither panics nor takes anything from it.
+// TestTornStore checks that a truncated or partly overwritten store is reported with its file name. Such a store used
+// to end the experiment in a panic. Every page of the store is damaged in turn.
 func TestTornStore(t *testing.T) {
 	p := readPlan(t, planText)
 	r := &Runner{Plan: p, Store: filepath.Join(t.TempDir(), "x.db"), Program: "one"}
@@ -100,9 +100,9 @@
 			b[i] ^= 0x5a
 		}
 		for _, text := range [][]byte{whole[:n], b} {
-			r.Store = filepath.Join(t.TempDir(), "x.db") // one that ended in a panic may still be locked
+			r.Store = filepath.Join(t.TempDir(), "x.db") // a new path, because a panic can leave a file locked
 			require.NoError(t, os.WriteFile(r.Store, text, 0o600))
-			if db, err := record.OpenFile(r.Store, true); err == nil { // a page that nothing refers to may be anything
+			if db, err := record.OpenFile(r.Store, true); err == nil { // damage to an unused page is harmless
 				require.NoError(t, db.Close())
 				continue
 			}
@@ -117,7 +117,7 @@
 	assert.Greater(t, torn, 3)
 }
 
-// TestReport guards the report against what would need a network: it holds its charts and names no address.
+// TestReport checks that the report is self-contained: it contains the charts and no links that need a network.
 func TestReport(t *testing.T) {
 	p := readPlan(t, strings.Replace(planText, "repeats = 3", "repeats = 2", 1))
 	x, err := (&Runner{Plan: p, Store: filepath.Join(t.TempDir(), "x.db"), Program: "one"}).Run(t.Context())
@@ -126,7 +126,7 @@
 	require.NoError(t, x.Report(&b))
 	assert.Greater(t, strings.Count(b.String(), "<svg"), 4)
 	for _, address := range regexp.MustCompile(`(src|href)="[^"#]*"`).FindAllString(b.String(), -1) {
-		assert.Fail(t, "an address", address)
+		assert.Fail(t, "the report links to another resource", address)
 	}
 	ours, even := -1, -1
 	for i, c := range x.Cells {
@@ -136,23 +136,24 @@
 			even = i
 		}
 	}
-	assert.Greater(t, x.Figure(ours, Metrics[0]).Mean, x.Figure(even, Metrics[0]).Mean, "a hang costs one even table more")
+	assert.Greater(t, x.Figure(ours, Metrics[0]).Mean, x.Figure(even, Metrics[0]).Mean,
+		"the planner loses less service to a hanging endpoint than even weights")
 	assert.Negative(t, x.Difference(even, Metrics[0]).Mean)
 }
 
-// TestFigure holds the interval against a textbook's: five values, t of 2.776.
+// TestFigure checks the confidence interval for five values, for which Student's t is 2.776 in statistical tables.
 func TestFigure(t *testing.T) {
 	f := newFigure([]float64{1, 2, 3, 4, 5})
 	assert.InDelta(t, 3, f.Mean, 1e-9)
 	assert.InDelta(t, 2.776*1.5811/2.2361, f.HalfWidth, 1e-3)
 }
 
-// TestWrong guards against files that name what is not there.
+// TestWrong checks that files with unknown factors, policies or scenarios, or with malformed levels, are rejected.
 func TestWrong(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{`"load"`, `"lode"`, `factor "lode" is not known`},
 		{`"even"`, `"evn"`, `policy "evn" is not known`},
-		{`"0.5"`, `"half"`, "no number"},
+		{`"0.5"`, `"half"`, "not a number"},
 		{`"day.hcl"`, `"none.hcl"`, "none.hcl"},
 	} {
 		path := filepath.Join(t.TempDir(), "wrong.hcl")
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -1,6 +1,6 @@
-// Package experiment plays emulated scenarios over and over, with factors varied, beside baselines, and shows the
-// results as tables and charts. Results are kept in a store: an experiment that was interrupted goes on, and results of
-// another program are never mixed in.
+// Package experiment runs emulated scenarios repeatedly, with varied factors and under several policies, and presents
+// the results as tables and charts. Results are saved in a file, so that an interrupted experiment can be resumed.
+// Results of another build of the program are not reused.
 package experiment
 
 import (
@@ -20,40 +20,41 @@
 	"indigousher/internal/scenario"
 )
 
-// Policies of an experiment beside those of package baseline.
+// Policies of an experiment in addition to those of package baseline.
 const (
-	// Planner is the planner that ships.
+	// Planner is the policy that uses the program's own planner.
 	Planner = "indigousher"
-	// Standing is no pilot at all: the proxies keep their static tables.
+	// Standing is the policy without pilots, in which proxies use only their static tables.
 	Standing = "standing"
-	// TwoChoices is even tables whose proxies take the less busy of two endpoints, by what they know themselves.
+	// TwoChoices is the policy of tables with even weights in which proxies choose between two endpoints for each
+	// request and take the one that they know to be less loaded.
 	TwoChoices = "two"
 )
 
-// ErrUnknownPolicy is returned by Read for a plan with a policy that there is not.
+// ErrUnknownPolicy is returned by Read if a plan names a policy that does not exist.
 var ErrUnknownPolicy = errors.New("not known")
 
-// Defaults and bounds of a plan.
+// Defaults and limits of a plan's settings.
 const (
 	defaultRepeats = 5
 	maxRepeats     = 10000
 	defaultBudget  = 10 * time.Minute
 )
 
-// Plan is one experiment file.
+// Plan describes an experiment, as read from an experiment file.
 type Plan struct {
 	Name, About string
-	Day         string        // scenario: one that ships, or a file beside this one
-	Repeats     int           // seeds for each cell
-	Budget      time.Duration // of real time; what is not played by then is left out, and the table says so
-	Policies    []string      // the first is the one to compare with
+	Day         string        // scenario: a built-in one, or a file in the folder of the experiment file
+	Repeats     int           // number of runs of each cell, with different seeds
+	Budget      time.Duration // real time; runs that have not finished by then are left out, and the table shows how many
+	Policies    []string      // all others are compared with the first
 	Factors     []Factor
-	folder      string // of the file
+	folder      string // that contains the experiment file
 }
 
 func policies() []string { return append([]string{Planner, Standing, TwoChoices}, baseline.Names()...) }
 
-// Read reads and checks an experiment file.
+// Read reads an experiment file and checks it, including its policies and its scenario.
 func Read(path string) (*Plan, error) {
 	text, err := config.ReadFile(path)
 	if err != nil {
@@ -80,7 +81,7 @@
 	return p, nil
 }
 
-// parse reads the text of a plan into it.
+// parse parses the text of an experiment file into the plan. The path is used in error messages.
 func (p *Plan) parse(path string, text []byte) error {
 	body, diags := config.Open(path, text)
 	if !diags.HasErrors() {
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// parseFactor reads a factor block; its label is the factor's name.
+// parseFactor parses a factor block and adds the factor to the plan. The block's label is the factor's name.
 func (p *Plan) parseFactor(labels []string, block *hclsyntax.Body) hcl.Diagnostics {
 	var levels []string
 	diags := config.Read(block, []config.Field{{Name: "levels", Into: &levels, Required: true}}, nil)
@@ -113,7 +114,7 @@
 	for _, text := range levels {
 		level, err := strconv.ParseFloat(text, 64)
 		if err != nil || level < 0 {
-			report(fmt.Sprintf("level %q is no number from 0 up", text))
+			report(fmt.Sprintf("level %q is not a number of at least 0", text))
 		}
 		factor.Levels = append(factor.Levels, level)
 	}
@@ -121,7 +122,7 @@
 	return diags
 }
 
-// loadScenario reads the scenario anew: each run changes its own.
+// loadScenario reads the plan's scenario. Each run needs a separate copy, because it modifies the scenario.
 func (p *Plan) loadScenario() (*scenario.Scenario, error) {
 	if slices.Contains(scenario.Names(), p.Day) || filepath.IsAbs(p.Day) {
 		return scenario.Load(p.Day)
@@ -129,13 +130,13 @@
 	return scenario.Load(filepath.Join(p.folder, p.Day))
 }
 
-// Cell is one combination of levels, for one policy.
+// Cell is one combination of the factors' levels under one policy. It is run once for each seed.
 type Cell struct {
 	Policy string
 	Levels []float64 // by factor, in the order of the plan
 }
 
-// Cells lists all cells, those of one policy together.
+// Cells returns all cells of the plan, grouped by policy.
 func (p *Plan) Cells() []Cell {
 	combinations := p.combinations()
 	var cells []Cell
@@ -147,7 +148,8 @@
 	return cells
 }
 
-// combinations lists all combinations of levels; the last factor varies fastest.
+// combinations returns all combinations of the factors' levels. The last factor varies fastest. Without factors there
+// is one empty combination.
 func (p *Plan) combinations() [][]float64 {
 	combinations := [][]float64{nil}
 	for _, factor := range p.Factors {
@@ -162,7 +164,7 @@
 	return combinations
 }
 
-// Label names a combination of levels.
+// Label returns a readable name of a combination of levels, such as "load 0.5, pilots 2".
 func (p *Plan) Label(levels []float64) string {
 	var parts []string
 	for i, factor := range p.Factors {
