--- a/internal/experiment/charts.go
+++ b/internal/experiment/charts.go
@@ -17,17 +17,17 @@
 	"indigousher/internal/audit"
 )
 
-// chart is a drawn plot.
+// chart is a rendered plot with its title.
 type chart struct {
 	Title string
 	SVG   template.HTML
 }
 
-// logScaleFrom is from which ratio of the last to the first level on the axis of levels is logarithmic.
+// logScaleFrom is the smallest ratio of the last to the first level of a factor at which its axis is logarithmic.
 const logScaleFrom = 10
 
-// charts draws each metric that differs against the first factor, and the curves over time, quantiles and endpoints at
-// each combination of levels.
+// charts draws all charts of the report: each metric that varies against the first factor and, for each combination of
+// levels, service over time, latency over quantiles and load over endpoints.
 func (t *Table) charts() ([]chart, error) {
 	list, err := t.factorCharts()
 	if err != nil {
@@ -48,7 +48,8 @@
 	return list, nil
 }
 
-// factorCharts draws each metric that differs against the first factor, if that has several levels.
+// factorCharts draws each metric that is not the same everywhere against the first factor. It returns nil if there are
+// no factors or the first has only one level.
 func (t *Table) factorCharts() ([]chart, error) {
 	if len(t.Plan.Factors) == 0 || len(t.Plan.Factors[0].Levels) < 2 {
 		return nil, nil
@@ -66,8 +67,8 @@
 	return list, nil
 }
 
-// against draws a metric against the first factor, one line for each policy at the first levels of the others. It also
-// returns whether the metric differs anywhere.
+// against draws a metric against the first factor, one line for each policy, with all other factors at their first
+// levels. It also returns whether the points differ in their values.
 func (t *Table) against(m Metric) (drawn chart, differs bool, err error) {
 	factor := t.Plan.Factors[0]
 	p := plot.New()
@@ -97,7 +98,8 @@
 	return chart{Title: m.Name + " against " + factor.Name, SVG: svg}, differs, err
 }
 
-// factorLine returns the means of a metric against the first factor for a policy, with the bars of their intervals.
+// factorLine returns the means of a metric against the first factor for a policy, with error bars that show their
+// confidence intervals. Cells without results are skipped.
 func (t *Table) factorLine(policy string, m Metric) (plotter.XYs, plotter.YErrors) {
 	var points plotter.XYs
 	var bars plotter.YErrors
@@ -115,7 +117,7 @@
 	return points, bars
 }
 
-// firstOfOthers returns whether all factors but the first are at their first levels.
+// firstOfOthers returns whether all factors except the first are at their first levels.
 func (t *Table) firstOfOthers(levels []float64) bool {
 	for i, factor := range t.Plan.Factors[1:] {
 		if levels[i+1] != factor.Levels[0] {
@@ -125,7 +127,8 @@
 	return true
 }
 
-// addLine adds a line with its dots to a plot, and bars if there are any. The number gives the colour.
+// addLine adds a line with a dot at each point to a plot, and error bars unless bars is nil. The number selects the
+// colour.
 func addLine(p *plot.Plot, number int, name string, points plotter.XYs, bars plotter.YErrors) error {
 	line, dots, err := plotter.NewLinePoints(points)
 	if err != nil {
@@ -150,7 +153,7 @@
 	return nil
 }
 
-// byTime draws service by windows of time.
+// byTime draws the service of each policy over time (s), at a combination of levels.
 func (t *Table) byTime(levels []float64) (chart, error) {
 	p := plot.New()
 	p.X.Label.Text = "s"
@@ -166,7 +169,8 @@
 	})
 }
 
-// byQuantile draws latency by quantile; the last steps are wide on a scale of what is left.
+// byQuantile draws the latency (ms) of each policy over its quantiles q, at a combination of levels. The horizontal
+// axis is -log10(1-q), which spreads out the highest quantiles.
 func (t *Table) byQuantile(levels []float64) (chart, error) {
 	p := plot.New()
 	p.X.Label.Text = "nines of the quantile"
@@ -180,7 +184,8 @@
 	})
 }
 
-// byEndpoint draws what endpoints carried, least first.
+// byEndpoint draws the loads of the endpoints (busy fractions) for each policy in ascending order, at a combination of
+// levels.
 func (t *Table) byEndpoint(levels []float64) (chart, error) {
 	p := plot.New()
 	p.X.Label.Text = "part of the endpoints"
@@ -194,7 +199,8 @@
 	})
 }
 
-// curves draws the mean curve of each policy's runs.
+// curves draws the mean curve of each policy's runs at a combination of levels. The function of returns the curve of
+// one run.
 func (t *Table) curves(p *plot.Plot, title string, levels []float64, of func(*Result) plotter.XYs) (chart, error) {
 	for number, policy := range t.Plan.Policies {
 		points := meanCurve(t.Results[t.cell(policy, levels)], of)
@@ -209,7 +215,8 @@
 	return chart{Title: title, SVG: svg}, err
 }
 
-// meanCurve returns the mean of the curves of some results; those that were left out are nil.
+// meanCurve returns the point-wise mean of the curves of some results. Nil results, from runs that were left out, are
+// skipped.
 func meanCurve(results []*Result, of func(*Result) plotter.XYs) plotter.XYs {
 	var mean plotter.XYs
 	runs := 0.0
@@ -231,13 +238,13 @@
 	return mean
 }
 
-// Size of a chart.
+// Size of a chart in the report.
 const (
 	chartWidth  = 20 * vg.Centimeter
 	chartHeight = 10 * vg.Centimeter
 )
 
-// render returns a plot as SVG to stand within a page.
+// render returns a plot as an SVG element that can be embedded in an HTML page.
 func render(p *plot.Plot) (template.HTML, error) {
 	p.BackgroundColor = color.White
 	p.Legend.Top = true
@@ -249,8 +256,8 @@
 		return "", fmt.Errorf("draw: %w", err)
 	}
 	text := b.Bytes()
-	if i := bytes.Index(text, []byte("<svg")); i > 0 { // what comes before belongs to a file of its own
+	if i := bytes.Index(text, []byte("<svg")); i > 0 { // the XML declaration is only valid in a separate file
 		text = text[i:]
 	}
-	return template.HTML(text), nil // made by the plotting library from our own labels
+	return template.HTML(text), nil // safe: the plotting library generated it
 }
