--- a/internal/experiment/factors.go
+++ b/internal/experiment/factors.go
@@ -7,13 +7,14 @@
 	"indigousher/internal/scenario"
 )
 
-// Factor is something that is varied.
+// Factor is a property of the scenario that an experiment varies.
 type Factor struct {
-	Name   string
-	Levels []float64
+	Name   string    // key in factorEffects
+	Levels []float64 // values to run, in the order of the experiment file
 }
 
-// factorEffects are the factors by name, and what a level of each does to a scenario.
+// factorEffects maps the name of each factor to a function that applies a level to a scenario. Names that end in _s or
+// _ms give the unit of the levels; size, endpoints, proxies and load multiply the scenario's values.
 var factorEffects = map[string]func(s *scenario.Scenario, level float64){
 	"size":      scaleAll,
 	"endpoints": scaleEndpoints,
@@ -31,10 +32,11 @@
 	return time.Duration(level * float64(unit))
 }
 
-// scaledCount returns a count times a factor, rounded, at least 1.
+// scaledCount returns a count multiplied by a factor and rounded, at least 1.
 func scaledCount(count int, factor float64) int { return max(1, int(float64(count)*factor+0.5)) }
 
-// scaleAll scales endpoints, proxies, requests, channel and telemetry together.
+// scaleAll multiplies the size of the whole scenario by a factor: endpoints, proxies, request rate, and the limits of
+// channels and of the intake of load reports.
 func scaleAll(s *scenario.Scenario, factor float64) {
 	scaleEndpoints(s, factor)
 	scaleProxies(s, factor)
@@ -51,7 +53,8 @@
 	}
 }
 
-// scaleProxies keeps the zones' parts of the proxies, as far as whole numbers do.
+// scaleProxies multiplies the number of proxies by a factor. Each zone's fraction of the proxies stays the same, except
+// for rounding.
 func scaleProxies(s *scenario.Scenario, factor float64) {
 	zones := slices.Clone(s.ProxyZones)
 	s.ProxyZones = nil
@@ -61,7 +64,7 @@
 	s.Proxies = len(s.ProxyZones)
 }
 
-// setPilots sets the number of pilots, and spreads them over the zones.
+// setPilots sets the number of pilots and distributes them over the zones in round-robin order.
 func setPilots(s *scenario.Scenario, level float64) {
 	count := int(level)
 	s.PilotZones = nil
