--- a/internal/experiment/heatmap.go
+++ b/internal/experiment/heatmap.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// heat is a row of the heat map: the mean load of each zone, for a cell.
+// heat is a row of the heat map: the mean load of each zone for one cell of the experiment.
 type heat struct {
 	Policy, Levels string
 	Cells          []heatCell
@@ -15,14 +15,14 @@
 
 type heatCell struct {
 	Zone  string
-	Load  float64 // mean busy fraction of its endpoints
-	Shade template.CSS
+	Load  float64      // mean busy fraction of the zone's endpoints
+	Shade template.CSS // background colour
 }
 
-// idleHue is the hue of an idle zone, green, in degrees; a busy one is red at 0.
+// idleHue is the hue in degrees for a load of 0, which is green. The hue for a load of 1 is 0 degrees, which is red.
 const idleHue = 120
 
-// heats returns the heat map.
+// heats returns the rows of the heat map, one for each cell of the experiment.
 func (t *Table) heats() []heat {
 	var list []heat
 	for i, c := range t.Cells {
@@ -36,7 +36,8 @@
 	return list
 }
 
-// meanZoneLoads returns the mean load of each zone over some results; those that were left out are nil.
+// meanZoneLoads returns the mean load of each zone over some results. Nil results, from runs that were left out, are
+// skipped.
 func meanZoneLoads(results []*Result) map[string]float64 {
 	loads := map[string]float64{}
 	runs := 0.0
@@ -55,7 +56,7 @@
 	return loads
 }
 
-// shade returns the background for a load.
+// shade returns the background colour for a load (a fraction). Loads above 1 get the colour of 1.
 func shade(load float64) template.CSS {
 	hue := idleHue * (1 - min(1, load))
 	return template.CSS(fmt.Sprintf("background:hsl(%.0f,80%%,75%%)", hue))
