--- a/internal/experiment/metrics.go
+++ b/internal/experiment/metrics.go
@@ -1,15 +1,15 @@
 package experiment
 
-// Metric is one figure of a result.
+// Metric is a number that can be taken from a result.
 type Metric struct {
-	Name string
-	Of   func(*Result) float64
+	Name string                // column head and axis label
+	Of   func(*Result) float64 // returns the metric's value for a result
 }
 
-// broken counts the rules that were broken.
+// broken is the number of rules that were violated in a run.
 var broken = Metric{"rules broken", func(r *Result) float64 { return r.Broken }}
 
-// Metrics are those shown, in this order.
+// Metrics lists the metrics in the order of the table's columns.
 var Metrics = []Metric{
 	{"service", func(r *Result) float64 { return r.Service }},
 	{"worst 5 s", func(r *Result) float64 { return r.Worst }},
