--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -6,7 +6,7 @@
 	"io"
 )
 
-// page stands alone: no file, script or address of others.
+// page is the template of the report. The page is self-contained: it uses no other files, no scripts and no network.
 var page = template.Must(template.New("page").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Name}}</title><style>
 body{font:14px/1.5 sans-serif;max-width:1200px;margin:2em auto;padding:0 1em;color:#222}
@@ -22,24 +22,24 @@
 {{end}}</table>{{range .Charts}}<h2>{{.Title}}</h2>{{.SVG}}{{end}}</body></html>
 `))
 
-// pageView is what the page is made of.
+// pageView is the data for the page template.
 type pageView struct {
 	Name, About, Day string
-	Repeats, Left    int
-	Heads            []string
+	Repeats, Left    int      // seeds for each cell; number of runs that were left out
+	Heads            []string // column heads of the metrics
 	Rows             []pageRow
 	Charts           []chart
-	Heats            []heat
+	Heats            []heat // rows of the heat map
 }
 
-// pageRow is a row of the page's table.
+// pageRow is a row of the table in the report, for one cell of the experiment.
 type pageRow struct {
 	Policy, Levels string
-	Cells          []string
-	Broken         bool
+	Cells          []string // formatted metrics
+	Broken         bool     // a rule was violated in at least one run
 }
 
-// Report writes the table and its charts as one HTML file.
+// Report writes a self-contained HTML page with the table, the heat map and the charts.
 func (t *Table) Report(out io.Writer) error {
 	charts, err := t.charts()
 	if err != nil {
