--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -13,39 +13,40 @@
 	"indigousher/internal/emulator"
 )
 
-// Result is what one run gave. It is stored as JSON: names and order of the fields stay.
+// Result holds the metrics of one run. It is stored as JSON, so names and order of the fields must not change.
 type Result struct {
-	Service    float64            `json:"Service"`    // priority weight earned over that asked for
-	Worst      float64            `json:"Worst"`      // service of the worst window
-	Windows    []float64          `json:"Windows"`    // service by window of audit.WindowMs
-	Errored    float64            `json:"Errored"`    // fraction of the requests
-	Denied     float64            `json:"Denied"`     // fraction of the requests that was rejected
-	TriesEach  float64            `json:"TriesEach"`  // attempts for each request
-	P50        float64            `json:"P50"`        // ms, of requests that succeeded
-	P99        float64            `json:"P99"`        // ms, of requests that succeeded
-	Spread     float64            `json:"Spread"`     // load of the busiest endpoint over the mean
-	LinesPerS  float64            `json:"LinesPerS"`  // of all pilots
-	MostLines  float64            `json:"MostLines"`  // in one channel, as a fraction of the queue limit
-	Broken     float64            `json:"Broken"`     // rules
-	Nearest    float64            `json:"Nearest"`    // to any rule's limit: 1 is the limit
-	RebuiltMs  float64            `json:"RebuiltMs"`  // longest replay of a pilot that returned, in real time
-	LinesAfter float64            `json:"LinesAfter"` // that a pilot which returned sent in its first 10 s, mean
-	PilotMs    float64            `json:"PilotMs"`    // real time of the pilots' turns for a virtual second
-	Events     float64            `json:"Events"`     // of the emulator's clock
-	TookMs     float64            `json:"TookMs"`     // real time
-	Text       string             `json:"Text"`       // first violation of each broken rule
-	Quantiles  []float64          `json:"Quantiles"`  // of latency in ms, at each of quantiles
-	Loads      []float64          `json:"Loads"`      // busy fractions of endpoints, at loadSteps+1 quantiles
+	Service    float64            `json:"Service"`    // priority weight earned, as a fraction of that of all requests
+	Worst      float64            `json:"Worst"`      // lowest service of any time window
+	Windows    []float64          `json:"Windows"`    // service by time window of audit.WindowMs
+	Errored    float64            `json:"Errored"`    // fraction of the requests that failed
+	Denied     float64            `json:"Denied"`     // fraction of the requests that were rejected
+	TriesEach  float64            `json:"TriesEach"`  // mean number of attempts per request
+	P50        float64            `json:"P50"`        // median latency of succeeded requests, ms
+	P99        float64            `json:"P99"`        // 99th percentile of the latency of succeeded requests, ms
+	Spread     float64            `json:"Spread"`     // load of the busiest endpoint divided by the mean load
+	LinesPerS  float64            `json:"LinesPerS"`  // lines that all pilots sent per virtual second
+	MostLines  float64            `json:"MostLines"`  // longest queue of a channel, as a fraction of the queue limit
+	Broken     float64            `json:"Broken"`     // number of rules that were violated
+	Nearest    float64            `json:"Nearest"`    // highest value of any rule, as a fraction of its limit
+	RebuiltMs  float64            `json:"RebuiltMs"`  // longest recovery of a restarted pilot, ms of real time
+	LinesAfter float64            `json:"LinesAfter"` // mean number of lines in the first 10 s of a restarted pilot
+	PilotMs    float64            `json:"PilotMs"`    // ms of real time that the pilots used per virtual second
+	Events     float64            `json:"Events"`     // number of events that the emulator's clock processed
+	TookMs     float64            `json:"TookMs"`     // ms of real time that the run took
+	Text       string             `json:"Text"`       // first violation of each violated rule
+	Quantiles  []float64          `json:"Quantiles"`  // latency in ms at each entry of quantiles
+	Loads      []float64          `json:"Loads"`      // busy fractions of the endpoints at loadSteps+1 even quantiles
 	Zones      map[string]float64 `json:"Zones"`      // mean busy fraction of each zone's endpoints
 }
 
-// quantiles are those of the latency curve.
+// quantiles lists the quantiles at which the latency curve is stored.
 var quantiles = []float64{0.05, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.999}
 
-// loadSteps is into how many steps the curve of endpoints' loads is divided.
+// loadSteps is the number of steps into which the curve of the endpoints' loads is divided.
 const loadSteps = 20
 
-// newResult returns the figures of a run of so many virtual seconds, with a queue limit in lines.
+// newResult computes the metrics of a run from its outcome, its length in virtual seconds and the channels' queue limit
+// in lines.
 func newResult(o *emulator.Outcome, seconds, queueLimit float64) *Result {
 	r := &Result{
 		LinesPerS: float64(o.LinesSent) / seconds,
@@ -98,7 +99,7 @@
 	}
 }
 
-// setSpread compares the busiest endpoint with the mean.
+// setSpread sets Spread from the loads of the endpoints, by name. It stays 0 if no endpoint had any load.
 func (r *Result) setSpread(load map[string]float64) {
 	var sum, most float64
 	for _, busy := range load {
@@ -110,13 +111,13 @@
 	}
 }
 
-// setLoads sets the curve of the endpoints' loads and the mean load of each zone.
+// setLoads sets the curve of the endpoints' loads and the mean load of each zone. Loads and zones are by endpoint name.
 func (r *Result) setLoads(load map[string]float64, zoneOf map[string]string) {
 	if len(load) == 0 {
 		return
 	}
 	var all []float64
-	endpoints := map[string]float64{} // by zone
+	endpoints := map[string]float64{} // number of endpoints by zone
 	r.Zones = map[string]float64{}
 	for _, name := range slices.Sorted(maps.Keys(load)) {
 		zone := zoneOf[name]
@@ -134,7 +135,7 @@
 	}
 }
 
-// setRecovery looks at the pilots' starts but each one's first.
+// setRecovery sets the metrics of recovery from the pilots' starts, by pilot. The first start of each pilot is ignored.
 func (r *Result) setRecovery(starts map[string][]emulator.Start) {
 	returned := 0.0
 	for _, all := range starts {
