--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -17,39 +17,42 @@
 	"indigousher/internal/scenario"
 )
 
-// errBudget ends runs once the budget is spent. What they would have given is left out.
+// errBudget is the cause with which runs are cancelled when the experiment's budget is spent. Their results are left
+// out.
 var errBudget = fmt.Errorf("the experiment's budget is spent: %w", context.DeadlineExceeded)
 
-// seedStep keeps the seeds of runs of scenarios with neighbouring seeds apart.
+// seedStep is multiplied by the scenario's seed before the number of the repeat is added, so that scenarios with
+// consecutive seeds do not share seeds.
 const seedStep = 100_003
 
-// Runner plays a plan.
+// Runner runs an experiment.
 type Runner struct {
 	Plan     *Plan
-	Store    string              // file; results in it are not played again
-	Program  string              // results of another one are not taken
-	Progress func(done, all int) // called after each run, one at a time; may be nil
-	Workers  int                 // runs at the same time; 0: one for each core
+	Store    string              // file with results; runs whose results are in it are skipped
+	Program  string              // identifies the program's build; only its results are reused
+	Progress func(done, all int) // called after each run, never concurrently; may be nil
+	Workers  int                 // number of concurrent runs; 0 means GOMAXPROCS
 }
 
-// Run plays what the store does not have. Runs of one seed share their random numbers over all cells.
+// Run runs all cells whose results are not in the store, and returns a table of all results. All cells use the same
+// random numbers for the same repeat, so that they can be compared in pairs.
 func (r *Runner) Run(ctx context.Context) (*Table, error) {
 	db, err := record.OpenFile(r.Store, false)
 	if err != nil {
 		return nil, fmt.Errorf("open results: %w", err)
 	}
-	defer func() { _ = db.Close() }() // each result was committed on its own
+	defer func() { _ = db.Close() }() // nothing is lost if this fails, as each result was committed
 	table := newTable(r.Plan)
 	ctx, cancel := context.WithTimeoutCause(ctx, r.Plan.Budget, errBudget)
 	defer cancel()
 	runs, ctx := errgroup.WithContext(ctx)
 	runs.SetLimit(r.workers())
-	var mu sync.Mutex // guards the table and calls of Progress
+	var mu sync.Mutex // guards table and done, and serializes calls of Progress
 	done := 0
 	all := len(table.Cells) * r.Plan.Repeats
-	for repeat := range r.Plan.Repeats { // all cells of one seed before the next: an early end leaves pairs
+	for repeat := range r.Plan.Repeats { // the outer loop, so that an early end leaves complete sets of cells to compare
 		for cell := range table.Cells {
-			runs.Go(func() error { // ends with its run or with ctx
+			runs.Go(func() error { // returns when its run ends or ctx is cancelled
 				result, reused, err := r.runCell(ctx, db, table.Cells[cell], repeat+1)
 				if errors.Is(err, context.DeadlineExceeded) {
 					err = nil
@@ -75,7 +78,8 @@
 	return r.Workers
 }
 
-// runCell returns the result of a cell with a seed, and whether it was in the store.
+// runCell returns the result of a cell with a seed, from the store or from a new run, which it then stores. It also
+// returns whether the result was reused from the store.
 func (r *Runner) runCell(
 	ctx context.Context, db *bbolt.DB, cell Cell, seed int,
 ) (result *Result, reused bool, err error) {
@@ -106,7 +110,7 @@
 	return result, false, storeResult(db, key, result)
 }
 
-// cellScenario returns the scenario of a cell with a seed.
+// cellScenario returns a new copy of the scenario with the cell's levels and a seed applied.
 func (r *Runner) cellScenario(cell Cell, seed int) (*scenario.Scenario, error) {
 	s, err := r.Plan.loadScenario()
 	if err != nil {
@@ -119,7 +123,7 @@
 	return s, nil
 }
 
-// newPlay sets up a run of a scenario under a policy.
+// newPlay returns a run of a scenario under a policy. It can modify the scenario.
 func newPlay(s *scenario.Scenario, policy string) (*emulator.Play, error) {
 	play := &emulator.Play{Scenario: s, Audited: true}
 	switch policy {
