--- a/internal/experiment/stored_test.go
+++ b/internal/experiment/stored_test.go
@@ -12,8 +12,8 @@
 	"indigousher/internal/scenario"
 )
 
-// TestStoredNames guards the names under which results are kept: the JSON of a day is part of the key of its results,
-// and a result is kept as JSON.
+// TestStoredNames checks that the JSON encodings of scenarios and results do not change. The JSON of a scenario is part
+// of the key of its results, and results are stored as JSON, so a renamed field would lose stored results.
 func TestStoredNames(t *testing.T) {
 	sum := sha256.New()
 	for _, name := range scenario.Names() {
