--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -15,9 +15,9 @@
 type Table struct {
 	Plan    *Plan
 	Cells   []Cell
-	Results [][]*Result // by cell and repeat; nil where a run was left out
-	LeftOut int         // runs that the budget did not allow
-	Reused  int         // results from the store
+	Results [][]*Result // by cell and repeat; nil if the run was left out
+	LeftOut int         // number of runs that did not finish within the budget or were cancelled
+	Reused  int         // number of results that were taken from the store
 }
 
 func newTable(p *Plan) *Table {
@@ -29,7 +29,7 @@
 	return t
 }
 
-// add sets a result, nil for a run that was left out.
+// add sets the result of a cell and repeat and counts it. The result is nil if the run was left out.
 func (t *Table) add(cell, repeat int, result *Result, reused bool) {
 	t.Results[cell][repeat] = result
 	if result == nil {
@@ -39,17 +39,17 @@
 	}
 }
 
-// confidence is the quantile of Student's t for an interval of 95% on both sides.
+// confidence is the quantile of Student's t distribution that gives a two-sided 95% confidence interval.
 const confidence = 0.975
 
-// Figure is a mean with half the width of its 95% confidence interval, by Student's t. With 0 runs there is none.
+// Figure is the mean of a metric over some runs, with its 95% confidence interval by Student's t distribution.
 type Figure struct {
 	Mean      float64
-	HalfWidth float64
-	Runs      int
+	HalfWidth float64 // half the width of the confidence interval; 0 with fewer than two runs or equal values
+	Runs      int     // number of runs; 0 means that there is no mean
 }
 
-// String shows a figure.
+// String returns the mean, followed by ± and the half-width if that is not 0. Without runs it returns "-".
 func (f Figure) String() string {
 	switch {
 	case f.Runs == 0:
@@ -60,7 +60,7 @@
 	return fmt.Sprintf("%.4g ±%.2g", f.Mean, f.HalfWidth)
 }
 
-// newFigure returns the figure of some values.
+// newFigure returns the mean of some values with its confidence interval.
 func newFigure(values []float64) Figure {
 	f := Figure{Runs: len(values)}
 	if len(values) == 0 {
@@ -75,10 +75,10 @@
 	return f
 }
 
-// Figure returns a metric of a cell.
+// Figure returns the mean of a metric over the runs of a cell, which is given by its index in Cells.
 func (t *Table) Figure(cell int, m Metric) Figure { return newFigure(t.values(cell, m)) }
 
-// values returns a metric of a cell's results, by seed.
+// values returns the metric of each run of a cell, in the order of the seeds. Runs that were left out are skipped.
 func (t *Table) values(cell int, m Metric) []float64 {
 	var values []float64
 	for _, r := range t.Results[cell] {
@@ -89,7 +89,8 @@
 	return values
 }
 
-// Difference returns a metric of a cell less that of the first policy at the same levels, paired by seed.
+// Difference returns the mean difference of a metric between a cell and the cell of the first policy at the same
+// levels, paired by seed. For cells of the first policy it returns an empty figure.
 func (t *Table) Difference(cell int, m Metric) Figure {
 	base := t.base(cell)
 	if base < 0 || base == cell {
@@ -104,20 +105,20 @@
 	return newFigure(differences)
 }
 
-// base returns the cell of the first policy at the same levels, -1 if there is none.
+// base returns the index of the cell of the first policy at the same levels as a cell, or -1 if there is none.
 func (t *Table) base(cell int) int { return t.cell(t.Plan.Policies[0], t.Cells[cell].Levels) }
 
-// cell returns the cell of a policy at some levels, -1 if there is none.
+// cell returns the index of the cell of a policy at a combination of levels, or -1 if there is none.
 func (t *Table) cell(policy string, levels []float64) int {
 	return slices.IndexFunc(t.Cells, func(c Cell) bool {
 		return c.Policy == policy && slices.Equal(c.Levels, levels)
 	})
 }
 
-// Print writes the table as text.
+// Print writes the table as aligned text, followed by the planner's runs in which a rule was violated.
 func (t *Table) Print(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	// Errors of the writer show at the end, in Flush.
+	// Write errors are ignored here, because Flush returns them.
 	printf := func(format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
 	printf("policy\tlevels\truns")
 	for _, m := range Metrics {
@@ -138,7 +139,7 @@
 	return w.Flush()
 }
 
-// printBroken lists the runs of the planner in which a rule was broken.
+// printBroken lists the planner's runs in which a rule was violated, with their first violations.
 func (t *Table) printBroken(printf func(format string, args ...any)) {
 	for i, c := range t.Cells {
 		if c.Policy != Planner {
