--- a/internal/samplingerror/errors.go
+++ b/internal/samplingerror/errors.go
@@ -7,20 +7,22 @@
 )
 
 const (
-	// warmupSeconds are left out, because the intake still divides its pace among the senders.
+	// warmupSeconds is the length of the beginning of the stream that is not evaluated, because the intake has not yet
+	// divided its rate limit among the senders.
 	warmupSeconds = 5
 
-	// minShare leaves out endpoints with less than one in minShare of all attempts of a second.
+	// minShare excludes small endpoints: those with less than 1/minShare of all attempts in a second.
 	minShare = 100
 )
 
-// relativeError summarises the relative errors of an estimate.
+// relativeError summarises the relative errors of an estimate. Its values are fractions of the true attempts.
 type relativeError struct {
 	rms  float64 // root mean square
 	bias float64 // mean
 }
 
-// compare returns the relative errors over seconds and endpoints, without the warm-up and small endpoints.
+// compare returns the relative errors of an estimate over all seconds and endpoints, without the warm-up and without
+// small endpoints. Both arguments hold attempts by second and endpoint.
 func compare(estimate, truth [][]float64) relativeError {
 	var squares, signed []float64
 	for second := warmupSeconds; second < seconds; second++ {
@@ -40,8 +42,8 @@
 	return relativeError{rms: math.Sqrt(stat.Mean(squares, nil)), bias: stat.Mean(signed, nil)}
 }
 
-// uniformSampleError returns the standard error of a uniform sample in theory: each line is kept with the same
-// probability p, so the variance of an endpoint's sum is (1-p)/p times the sum of the squares of its lines.
+// uniformSampleError returns the theoretical relative standard error of a uniform sample. Each line is kept with the
+// same probability p, so the variance of an endpoint's sum is (1-p)/p times the sum of the squares of its lines.
 func uniformSampleError(lines []line, p float64) float64 {
 	type key struct{ second, endpoint int }
 	sums := map[key]float64{}
