--- a/internal/samplingerror/main.go
+++ b/internal/samplingerror/main.go
@@ -1,7 +1,7 @@
 // Command samplingerror compares methods of sampling load reports on the same random stream, for docs/intake.md: the
-// error of each endpoint's estimated attempts against the fraction of report lines that is kept. It is run by hand (go
-// run ./internal/samplingerror DIR), writes a table to standard output and a plot, intake-error.svg, to DIR. It is not
-// part of the product.
+// error of each endpoint's estimated attempts against the fraction of report lines that are kept. It is a development
+// tool that is run by hand (go run ./internal/samplingerror DIR). It writes a table to standard output and a plot,
+// intake-error.svg, to DIR.
 package main
 
 import (
@@ -19,7 +19,7 @@
 
 const plotFile = "intake-error.svg"
 
-// minPlotted keeps errors of 0 on the logarithmic scale of the plot.
+// minPlotted replaces smaller errors in the plot, because its logarithmic scale cannot show 0.
 const minPlotted = 1e-3
 
 func main() {
@@ -33,7 +33,7 @@
 	}
 }
 
-// run measures all methods, prints the table and saves the plot into a directory.
+// run measures all methods, prints the table and saves the plot in a directory.
 func run(dir string) error {
 	lines, truth := drawStream(1)
 	kept := []float64{1, 0.5, 0.2, 0.1, 0.05, 0.02}
@@ -52,7 +52,7 @@
 	points []relativeError
 }
 
-// measure runs a method at each kept fraction, with the same draws for all methods.
+// measure returns the error of a method at each kept fraction. All methods use the same random seeds.
 func measure(m method, lines []line, truth [][]float64, kept []float64) curve {
 	c := curve{name: m.name}
 	for i, fraction := range kept {
@@ -62,7 +62,7 @@
 	return c
 }
 
-// uniformBound returns the theoretical error of a uniform sample.
+// uniformBound returns the theoretical error of a uniform sample at each kept fraction. Its bias is 0.
 func uniformBound(lines []line, kept []float64) curve {
 	c := curve{name: "bound of a uniform sample"}
 	for _, fraction := range kept {
@@ -71,7 +71,8 @@
 	return c
 }
 
-// printTable prints the curves as a Markdown table, the mean error in parentheses.
+// printTable prints the curves as a Markdown table: the root mean square error, and the bias in parentheses. The
+// argument lines is the number of lines of the whole stream.
 func printTable(lines int, kept []float64, curves []curve) {
 	fmt.Printf("%d lines a second, %d senders, %d endpoints\n\n| method |", lines/seconds, senders, endpoints)
 	for _, fraction := range kept {
@@ -99,7 +100,7 @@
 	p.Y.Tick.Marker = plot.LogTicks{Prec: -1}
 	p.Legend.Top = true
 
-	var named []any // names and points by turns, as AddLinePoints expects them
+	var named []any // alternating names and points, as AddLinePoints expects
 	for _, c := range curves {
 		var points plotter.XYs
 		for i, fraction := range kept {
