--- a/internal/samplingerror/methods.go
+++ b/internal/samplingerror/methods.go
@@ -9,13 +9,13 @@
 	"indigousher/telemetry"
 )
 
-// method estimates the attempts by second and endpoint from a fraction of the lines.
+// method is a sampling method. Its function estimates the attempts by second and endpoint from a fraction of the lines.
 type method struct {
 	name     string
 	estimate func(lines []line, fraction float64, rnd *rand.Rand) [][]float64
 }
 
-// methods are listed in the order of the table in docs/intake.md.
+// methods lists the compared methods in the order of the table in docs/intake.md.
 var methods = []method{
 	{"drop newest", dropNewest},
 	{"drop oldest", dropOldest},
@@ -31,7 +31,7 @@
 	}},
 }
 
-// scaled returns the attempts of a kept line, scaled up to all lines of its second.
+// scaled returns the attempts of a kept line multiplied by the ratio of all lines of its second to those kept.
 func scaled(l line, all, keep int) float64 {
 	return l.tries * float64(all) / float64(keep)
 }
@@ -69,8 +69,9 @@
 	return estimate
 }
 
-// prioritySample keeps the lines of the highest priority, which is the attempts over a uniform random number. A line
-// counts as the first priority that is not kept if it has fewer attempts (Duffield, Lund, Thorup: priority sampling).
+// prioritySample keeps the lines with the highest priorities in each second (Duffield, Lund, Thorup: priority
+// sampling). The priority of a line is its attempts divided by a uniform random number. The highest priority that is
+// not kept is the threshold, and a kept line with fewer attempts than that counts as the threshold.
 func prioritySample(lines []line, fraction float64, rnd *rand.Rand) [][]float64 {
 	type ranked struct {
 		line
@@ -94,8 +95,8 @@
 	return estimate
 }
 
-// spaceSaving counts the endpoints with the most attempts with a limited number of counters (Metwally et al.:
-// Space-Saving).
+// spaceSaving counts the attempts of the busiest endpoints in each second with a limited number of counters (Metwally
+// et al.: Space-Saving). The fraction is that of counters to endpoints.
 func spaceSaving(lines []line, fraction float64, _ *rand.Rand) [][]float64 {
 	estimate := newEstimate()
 	counters := max(1, int(fraction*endpoints))
@@ -116,7 +117,8 @@
 	return estimate
 }
 
-// smallestCounter returns the endpoint with the smallest count, of equal ones the first; -1 if there are no counters.
+// smallestCounter returns the endpoint with the smallest count, or -1 if there are no counters. Of several endpoints
+// with equal counts it returns the one with the lowest number.
 func smallestCounter(counts map[int]float64) int {
 	smallest := -1
 	for endpoint := range endpoints {
@@ -128,15 +130,15 @@
 	return smallest
 }
 
-// intake passes the lines through the telemetry package at a pace that keeps a fraction of them. halfMs is the age at
-// which a figure has half its weight.
+// intake passes the lines through the telemetry package with a rate limit that keeps a fraction of them. Old figures
+// lose weight with a half-life of halfMs, in ms.
 func intake(lines []line, fraction, halfMs float64) [][]float64 {
 	aggregator := newAggregator(lines, fraction, halfMs)
 	estimate := newEstimate()
 	bySecond(lines, 1, func(second int, lines []line, _ int) {
 		addReports(aggregator, second, lines)
 		end := float64(second+1) * 1000
-		if second > 0 { // an endpoint without a new figure keeps its last one
+		if second > 0 { // endpoints without new data keep their last estimate
 			copy(estimate[second], estimate[second-1])
 		}
 		for _, m := range aggregator.Flush(end, 1000).EndpointSums {
@@ -147,7 +149,8 @@
 	return estimate
 }
 
-// newAggregator returns an aggregator that knows all endpoints and senders.
+// newAggregator returns an aggregator with a rate limit that keeps a fraction of the lines, and with all endpoints and
+// senders registered.
 func newAggregator(lines []line, fraction, halfMs float64) *telemetry.Aggregator[int] {
 	pace := fraction * float64(len(lines)) / seconds
 	if fraction == 1 {
@@ -169,7 +172,8 @@
 	return aggregator
 }
 
-// addReports adds the lines of one second as a report of each sender, spread evenly over the second.
+// addReports adds the lines of one second to the aggregator as one report per sender. The reports are spread evenly
+// over the second.
 func addReports(aggregator *telemetry.Aggregator[int], second int, lines []line) {
 	for len(lines) > 0 {
 		sender := lines[0].sender
