--- a/internal/samplingerror/stream.go
+++ b/internal/samplingerror/stream.go
@@ -7,14 +7,14 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Size of the stream: senders of different size report once a second on endpoints of different load.
+// Size of the generated stream. Senders of different sizes report once a second on endpoints of different loads.
 const (
 	senders   = 300
 	endpoints = 80
 	seconds   = 40
 )
 
-// line is one report line. The second and the sender identify its report.
+// line is one line of a load report. The second and the sender identify the report.
 type line struct {
 	second   int
 	sender   int
@@ -22,8 +22,8 @@
 	tries    float64 // attempts that the sender made at the endpoint
 }
 
-// drawStream draws the lines in the order of their arrival, and returns the true attempts by second and endpoint.
-// Within a second the senders always report in the same order.
+// drawStream generates random lines in the order of their arrival, and returns them with the true attempts by second
+// and endpoint. Within a second the senders always report in the same order.
 func drawStream(seed uint64) (lines []line, truth [][]float64) {
 	source := rand.NewPCG(seed, 1)
 	rnd := rand.New(source)
@@ -47,7 +47,7 @@
 	return lines, truth
 }
 
-// newEstimate returns zero attempts by second and endpoint.
+// newEstimate returns a table of attempts by second and endpoint that is filled with zeros.
 func newEstimate() (estimate [][]float64) {
 	for range seconds {
 		estimate = append(estimate, make([]float64, endpoints))
@@ -55,7 +55,8 @@
 	return estimate
 }
 
-// bySecond calls visit with the lines of each second and the number of them that may be kept, 1 at least.
+// bySecond calls visit for each second with its lines and the number of lines to keep, which is the fraction of them
+// but at least 1.
 func bySecond(lines []line, fraction float64, visit func(second int, lines []line, keep int)) {
 	for len(lines) > 0 {
 		n := 1
