--- a/internal/protogen/main.go
+++ b/internal/protogen/main.go
@@ -1,5 +1,6 @@
 // Command protogen compiles .proto files and runs the two Go generators, protoc-gen-go and protoc-gen-go-grpc, at the
-// versions that go.mod pins. So the generated code is reproducible without an installed protoc. go generate runs it.
+// versions pinned in go.mod, so that the generated code is reproducible and no installed protoc is needed. It is run by
+// go generate.
 package main
 
 import (
@@ -17,13 +18,13 @@
 	"google.golang.org/protobuf/types/pluginpb"
 )
 
-// plugins are the packages of the generators.
+// plugins lists the import paths of the generators, which are run as protoc plugins.
 var plugins = []string{
 	"google.golang.org/protobuf/cmd/protoc-gen-go",
 	"google.golang.org/grpc/cmd/protoc-gen-go-grpc",
 }
 
-// generatedMode is the mode of generated files, which are checked in.
+// generatedMode is the file mode of generated files. They are readable for all, as they are checked in.
 const generatedMode = 0o644
 
 func main() {
@@ -37,7 +38,7 @@
 	}
 }
 
-// run compiles the files, whose paths are relative to root, and writes the generated code beside them.
+// run compiles .proto files, whose paths are relative to root, and writes the generated code next to them.
 func run(ctx context.Context, root string, files []string) error {
 	request, err := compile(ctx, root, files)
 	if err != nil {
@@ -51,7 +52,7 @@
 	return nil
 }
 
-// compile returns the encoded request that generators expect on standard input.
+// compile compiles .proto files and returns the encoded CodeGeneratorRequest that plugins read from standard input.
 func compile(ctx context.Context, root string, files []string) ([]byte, error) {
 	compiler := protocompile.Compiler{
 		Resolver:       protocompile.WithStandardImports(&protocompile.SourceResolver{ImportPaths: []string{root}}),
@@ -59,7 +60,7 @@
 	}
 	compiled, err := compiler.Compile(ctx, files...)
 	if err != nil {
-		return nil, fmt.Errorf("compile: %w", err)
+		return nil, fmt.Errorf("compile proto files: %w", err)
 	}
 	request := &pluginpb.CodeGeneratorRequest{FileToGenerate: files, Parameter: proto.String("paths=source_relative")}
 	for _, file := range compiled {
@@ -67,23 +68,23 @@
 	}
 	encoded, err := proto.Marshal(request)
 	if err != nil {
-		return nil, fmt.Errorf("encode request: %w", err)
+		return nil, fmt.Errorf("encode generator request: %w", err)
 	}
 	return encoded, nil
 }
 
-// generate runs one generator and writes the files of its response below root.
+// generate runs one generator with an encoded request and writes the files of its response into root.
 func generate(ctx context.Context, plugin string, request []byte, root string) error {
 	cmd := exec.CommandContext(ctx, "go", "run", plugin)
 	cmd.Stdin = bytes.NewReader(request)
 	cmd.Stderr = os.Stderr
 	output, err := cmd.Output()
 	if err != nil {
-		return fmt.Errorf("run: %w", err)
+		return fmt.Errorf("run generator: %w", err)
 	}
 	var response pluginpb.CodeGeneratorResponse
 	if err := proto.Unmarshal(output, &response); err != nil {
-		return fmt.Errorf("decode response: %w", err)
+		return fmt.Errorf("decode generator response: %w", err)
 	}
 	if response.Error != nil {
 		return errors.New(response.GetError())
