--- a/internal/experiment/charts.go
+++ b/internal/experiment/charts.go
@@ -56,7 +56,7 @@
 	}
 	var list []chart
 	for _, m := range Metrics {
-		drawn, differs, err := t.against(m)
+		drawn, differs, err := t.factorChart(m)
 		if err != nil {
 			return nil, err
 		}
@@ -67,9 +67,9 @@
 	return list, nil
 }
 
-// against draws a metric against the first factor, one line for each policy, with all other factors at their first
+// factorChart draws a metric against the first factor, one line for each policy, with all other factors at their first
 // levels. It also returns whether the points differ in their values.
-func (t *Table) against(m Metric) (drawn chart, differs bool, err error) {
+func (t *Table) factorChart(m Metric) (drawn chart, differs bool, err error) {
 	factor := t.Plan.Factors[0]
 	p := plot.New()
 	p.X.Label.Text = factor.Name
@@ -104,7 +104,7 @@
 	var points plotter.XYs
 	var bars plotter.YErrors
 	for i, c := range t.Cells {
-		if c.Policy != policy || !t.firstOfOthers(c.Levels) {
+		if c.Policy != policy || !t.othersAtFirstLevel(c.Levels) {
 			continue
 		}
 		figure := t.Figure(i, m)
@@ -117,8 +117,8 @@
 	return points, bars
 }
 
-// firstOfOthers returns whether all factors except the first are at their first levels.
-func (t *Table) firstOfOthers(levels []float64) bool {
+// othersAtFirstLevel returns whether all factors except the first are at their first levels.
+func (t *Table) othersAtFirstLevel(levels []float64) bool {
 	for i, factor := range t.Plan.Factors[1:] {
 		if levels[i+1] != factor.Levels[0] {
 			return false
@@ -203,7 +203,7 @@
 // one run.
 func (t *Table) curves(p *plot.Plot, title string, levels []float64, of func(*Result) plotter.XYs) (chart, error) {
 	for number, policy := range t.Plan.Policies {
-		points := meanCurve(t.Results[t.cell(policy, levels)], of)
+		points := meanCurve(t.Results[t.cellIndex(policy, levels)], of)
 		if len(points) == 0 {
 			continue
 		}
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -36,8 +36,8 @@
 	return p
 }
 
-// printed returns a table as text, without the metrics of real time, which differ between runs.
-func printed(t *testing.T, x *Table) string {
+// tableText returns a table as text, without the metrics of real time, which differ between runs.
+func tableText(t *testing.T, x *Table) string {
 	for _, cell := range x.Results {
 		for _, r := range cell {
 			r.PilotMs, r.TookMs = 0, 0
@@ -69,7 +69,7 @@
 	require.NoError(t, err)
 	assert.GreaterOrEqual(t, got.Reused, 4)
 	assert.Less(t, got.Reused, 10)
-	assert.Equal(t, printed(t, want), printed(t, got))
+	assert.Equal(t, tableText(t, want), tableText(t, got))
 	broken.Program = "another"
 	got, err = broken.Run(t.Context())
 	require.NoError(t, err)
--- a/internal/experiment/heatmap.go
+++ b/internal/experiment/heatmap.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// heat is a row of the heat map: the mean load of each zone for one cell of the experiment.
-type heat struct {
+// heatRow is a row of the heat map: the mean load of each zone for one cell of the experiment.
+type heatRow struct {
 	Policy, Levels string
 	Cells          []heatCell
 }
@@ -22,11 +22,11 @@
 // idleHue is the hue in degrees for a load of 0, which is green. The hue for a load of 1 is 0 degrees, which is red.
 const idleHue = 120
 
-// heats returns the rows of the heat map, one for each cell of the experiment.
-func (t *Table) heats() []heat {
-	var list []heat
+// heatMap returns the rows of the heat map, one for each cell of the experiment.
+func (t *Table) heatMap() []heatRow {
+	var list []heatRow
 	for i, c := range t.Cells {
-		row := heat{Policy: c.Policy, Levels: t.Plan.Label(c.Levels)}
+		row := heatRow{Policy: c.Policy, Levels: t.Plan.Label(c.Levels)}
 		loads := meanZoneLoads(t.Results[i])
 		for _, zone := range slices.Sorted(maps.Keys(loads)) {
 			row.Cells = append(row.Cells, heatCell{Zone: zone, Load: loads[zone], Shade: shade(loads[zone])})
--- a/internal/experiment/metrics.go
+++ b/internal/experiment/metrics.go
@@ -6,8 +6,8 @@
 	Of   func(*Result) float64 // returns the metric's value for a result
 }
 
-// broken is the number of rules that were violated in a run.
-var broken = Metric{"rules broken", func(r *Result) float64 { return r.Broken }}
+// rulesBroken is the number of rules that were violated in a run.
+var rulesBroken = Metric{"rules broken", func(r *Result) float64 { return r.Broken }}
 
 // Metrics lists the metrics in the order of the table's columns.
 var Metrics = []Metric{
@@ -21,7 +21,7 @@
 	{"busiest / mean", func(r *Result) float64 { return r.Spread }},
 	{"lines / s", func(r *Result) float64 { return r.LinesPerS }},
 	{"queue / backlog", func(r *Result) float64 { return r.MostLines }},
-	broken,
+	rulesBroken,
 	{"nearest limit", func(r *Result) float64 { return r.Nearest }},
 	{"recovery ms", func(r *Result) float64 { return r.RebuiltMs }},
 	{"lines after", func(r *Result) float64 { return r.LinesAfter }},
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -6,8 +6,9 @@
 	"io"
 )
 
-// page is the template of the report. The page is self-contained: it uses no other files, no scripts and no network.
-var page = template.Must(template.New("page").Parse(`<!doctype html>
+// pageTemplate is the template of the report. The page is self-contained: it uses no other files, no scripts and no
+// network.
+var pageTemplate = template.Must(template.New("page").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Name}}</title><style>
 body{font:14px/1.5 sans-serif;max-width:1200px;margin:2em auto;padding:0 1em;color:#222}
 table{border-collapse:collapse;font-size:12px;display:block;overflow-x:auto}td,th{border:1px solid #ccc;padding:.25em .5em;text-align:right;white-space:nowrap}
@@ -29,7 +30,7 @@
 	Heads            []string // column heads of the metrics
 	Rows             []pageRow
 	Charts           []chart
-	Heats            []heat // rows of the heat map
+	Heats            []heatRow // rows of the heat map
 }
 
 // pageRow is a row of the table in the report, for one cell of the experiment.
@@ -53,13 +54,13 @@
 		Left:    t.LeftOut,
 		Rows:    t.pageRows(),
 		Charts:  charts,
-		Heats:   t.heats(),
+		Heats:   t.heatMap(),
 	}
 	for _, m := range Metrics {
 		view.Heads = append(view.Heads, m.Name)
 	}
 	view.Heads = append(view.Heads, "service beside "+t.Plan.Policies[0])
-	if err := page.Execute(out, view); err != nil {
+	if err := pageTemplate.Execute(out, view); err != nil {
 		return fmt.Errorf("write report: %w", err)
 	}
 	return nil
@@ -73,7 +74,7 @@
 			row.Cells = append(row.Cells, t.Figure(i, m).String())
 		}
 		row.Cells = append(row.Cells, t.Difference(i, Metrics[0]).String())
-		row.Broken = t.Figure(i, broken).Mean > 0
+		row.Broken = t.Figure(i, rulesBroken).Mean > 0
 		rows = append(rows, row)
 	}
 	return rows
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -13,8 +13,8 @@
 	"indigousher/internal/scenario"
 )
 
-// bucket is the name of the database bucket that maps each resultKey to a result in JSON.
-var bucket = []byte("runs")
+// resultsBucket is the name of the database bucket that maps each resultKey to a result in JSON.
+var resultsBucket = []byte("runs")
 
 // programDigestBytes is the number of bytes of the executable's digest that identify the program.
 const programDigestBytes = 16
@@ -52,7 +52,7 @@
 func storedResult(db *bbolt.DB, key resultKey) (*Result, error) {
 	var found *Result
 	err := db.View(func(tx *bbolt.Tx) error {
-		runs := tx.Bucket(bucket)
+		runs := tx.Bucket(resultsBucket)
 		if runs == nil {
 			return nil
 		}
@@ -73,7 +73,7 @@
 		return fmt.Errorf("encode result: %w", err)
 	}
 	return db.Batch(func(tx *bbolt.Tx) error {
-		runs, err := tx.CreateBucketIfNotExists(bucket)
+		runs, err := tx.CreateBucketIfNotExists(resultsBucket)
 		if err != nil {
 			return err
 		}
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// confidence is the quantile of Student's t distribution that gives a two-sided 95% confidence interval.
-const confidence = 0.975
+// confidenceQuantile is the quantile of Student's t distribution that gives a two-sided 95% confidence interval.
+const confidenceQuantile = 0.975
 
 // Figure is the mean of a metric over some runs, with its 95% confidence interval by Student's t distribution.
 type Figure struct {
@@ -69,7 +69,7 @@
 	mean, deviation := stat.MeanStdDev(values, nil)
 	f.Mean = mean
 	if len(values) > 1 && deviation > 0 {
-		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(values) - 1)}.Quantile(confidence)
+		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(values) - 1)}.Quantile(confidenceQuantile)
 		f.HalfWidth = t * deviation / math.Sqrt(float64(len(values)))
 	}
 	return f
@@ -92,7 +92,7 @@
 // Difference returns the mean difference of a metric between a cell and the cell of the first policy at the same
 // levels, paired by seed. For cells of the first policy it returns an empty figure.
 func (t *Table) Difference(cell int, m Metric) Figure {
-	base := t.base(cell)
+	base := t.baselineCell(cell)
 	if base < 0 || base == cell {
 		return Figure{}
 	}
@@ -105,11 +105,13 @@
 	return newFigure(differences)
 }
 
-// base returns the index of the cell of the first policy at the same levels as a cell, or -1 if there is none.
-func (t *Table) base(cell int) int { return t.cell(t.Plan.Policies[0], t.Cells[cell].Levels) }
+// baselineCell returns the index of the cell of the first policy at the same levels as a cell, or -1 if there is none.
+func (t *Table) baselineCell(cell int) int {
+	return t.cellIndex(t.Plan.Policies[0], t.Cells[cell].Levels)
+}
 
-// cell returns the index of the cell of a policy at a combination of levels, or -1 if there is none.
-func (t *Table) cell(policy string, levels []float64) int {
+// cellIndex returns the index of the cell of a policy at a combination of levels, or -1 if there is none.
+func (t *Table) cellIndex(policy string, levels []float64) int {
 	return slices.IndexFunc(t.Cells, func(c Cell) bool {
 		return c.Policy == policy && slices.Equal(c.Levels, levels)
 	})
