--- a/internal/samplingerror/errors.go
+++ b/internal/samplingerror/errors.go
@@ -51,9 +51,9 @@
 	all := map[int]float64{}
 	for _, l := range lines {
 		k := key{l.second, l.endpoint}
-		sums[k] += l.tries
-		squares[k] += l.tries * l.tries
-		all[l.second] += l.tries
+		sums[k] += l.attempts
+		squares[k] += l.attempts * l.attempts
+		all[l.second] += l.attempts
 	}
 	var variances []float64
 	for k, n := range sums {
--- a/internal/samplingerror/methods.go
+++ b/internal/samplingerror/methods.go
@@ -33,7 +33,7 @@
 
 // scaled returns the attempts of a kept line multiplied by the ratio of all lines of its second to those kept.
 func scaled(l line, all, keep int) float64 {
-	return l.tries * float64(all) / float64(keep)
+	return l.attempts * float64(all) / float64(keep)
 }
 
 // dropNewest keeps the first lines of each second.
@@ -81,7 +81,7 @@
 	bySecond(lines, fraction, func(second int, lines []line, keep int) {
 		var all []ranked
 		for _, l := range lines {
-			all = append(all, ranked{l, l.tries / (1 - rnd.Float64())})
+			all = append(all, ranked{l, l.attempts / (1 - rnd.Float64())})
 		}
 		slices.SortFunc(all, func(a, b ranked) int { return int(math.Copysign(1, b.priority-a.priority)) })
 		threshold := 0.0
@@ -89,7 +89,7 @@
 			threshold = all[keep].priority
 		}
 		for _, l := range all[:keep] {
-			estimate[second][l.endpoint] += math.Max(l.tries, threshold)
+			estimate[second][l.endpoint] += math.Max(l.attempts, threshold)
 		}
 	})
 	return estimate
@@ -108,7 +108,7 @@
 				counts[l.endpoint] = counts[smallest]
 				delete(counts, smallest)
 			}
-			counts[l.endpoint] += l.tries
+			counts[l.endpoint] += l.attempts
 		}
 		for endpoint, n := range counts {
 			estimate[second][endpoint] = n
@@ -131,9 +131,9 @@
 }
 
 // intake passes the lines through the telemetry package with a rate limit that keeps a fraction of them. Old figures
-// lose weight with a half-life of halfMs, in ms.
-func intake(lines []line, fraction, halfMs float64) [][]float64 {
-	aggregator := newAggregator(lines, fraction, halfMs)
+// lose weight with a half-life of halfLifeMs, in ms.
+func intake(lines []line, fraction, halfLifeMs float64) [][]float64 {
+	aggregator := newAggregator(lines, fraction, halfLifeMs)
 	estimate := newEstimate()
 	bySecond(lines, 1, func(second int, lines []line, _ int) {
 		addReports(aggregator, second, lines)
@@ -151,7 +151,7 @@
 
 // newAggregator returns an aggregator with a rate limit that keeps a fraction of the lines, and with all endpoints and
 // senders registered.
-func newAggregator(lines []line, fraction, halfMs float64) *telemetry.Aggregator[int] {
+func newAggregator(lines []line, fraction, halfLifeMs float64) *telemetry.Aggregator[int] {
 	pace := fraction * float64(len(lines)) / seconds
 	if fraction == 1 {
 		pace = 0 // no limit
@@ -159,7 +159,7 @@
 	aggregator := telemetry.New[int](telemetry.Options{
 		LinesPerS:   pace,
 		PeriodMs:    1000,
-		HalfLifeMs:  halfMs,
+		HalfLifeMs:  halfLifeMs,
 		MaxAgeMs:    60000,
 		MaxSlowdown: 1,
 	})
@@ -181,7 +181,7 @@
 		report := telemetry.Report[int]{Sender: sender, Seq: uint64(second + 1), AtMs: now, SpanMs: 1000}
 		n := 0
 		for n < len(lines) && lines[n].sender == sender {
-			l := telemetry.EndpointLine[int]{Endpoint: lines[n].endpoint, Attempts: int(lines[n].tries)}
+			l := telemetry.EndpointLine[int]{Endpoint: lines[n].endpoint, Attempts: int(lines[n].attempts)}
 			report.EndpointLines = append(report.EndpointLines, l)
 			n++
 		}
--- a/internal/samplingerror/stream.go
+++ b/internal/samplingerror/stream.go
@@ -19,7 +19,7 @@
 	second   int
 	sender   int
 	endpoint int
-	tries    float64 // attempts that the sender made at the endpoint
+	attempts float64 // attempts that the sender made at the endpoint
 }
 
 // drawStream generates random lines in the order of their arrival, and returns them with the true attempts by second
@@ -36,10 +36,10 @@
 		for sender := range senders {
 			for endpoint := range endpoints {
 				rate := 4 * sizes[sender] / (1 + 0.1*float64(endpoint))
-				tries := distuv.Poisson{Lambda: rate, Src: source}.Rand()
-				if tries > 0 {
-					lines = append(lines, line{second, sender, endpoint, tries})
-					truth[second][endpoint] += tries
+				attempts := distuv.Poisson{Lambda: rate, Src: source}.Rand()
+				if attempts > 0 {
+					lines = append(lines, line{second, sender, endpoint, attempts})
+					truth[second][endpoint] += attempts
 				}
 			}
 		}
