--- a/internal/audit/service.go
+++ b/internal/audit/service.go
@@ -33,8 +33,8 @@
 	Kinds   []Earnings // by request class, in the order of the settings
 
 	// Numbers of requests that succeeded, were rejected and failed.
-	Done, Denied, Errored int
-	// Late is the number of succeeded requests that missed the latency objective; Done includes them.
+	Succeeded, Denied, Errored int
+	// Late is the number of succeeded requests that missed the latency objective; Succeeded includes them.
 	Late int
 }
 
@@ -95,7 +95,7 @@
 func (s *serviceMeter) earned(e eventlog.Event, class *config.RequestClass) float64 {
 	switch e.Text {
 	case outcomeDone:
-		s.Done++
+		s.Succeeded++
 		if e.Value <= float64(class.ResponseTarget.Milliseconds()) {
 			return class.Payoff
 		}
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -65,7 +65,7 @@
 }
 
 func (r *Result) setService(s *audit.Service, attempts uint64) {
-	requests := math.Max(1, float64(s.Done+s.Denied+s.Errored))
+	requests := math.Max(1, float64(s.Succeeded+s.Denied+s.Errored))
 	r.Service = s.All.Share()
 	r.Errored = float64(s.Errored) / requests
 	r.Denied = float64(s.Denied) / requests
