--- a/internal/audit/service.go
+++ b/internal/audit/service.go
@@ -33,7 +33,7 @@
 	Kinds   []Earnings // by request class, in the order of the settings
 
 	// Numbers of requests that succeeded, were rejected and failed.
-	Succeeded, Denied, Errored int
+	Succeeded, Rejected, Errored int
 	// Late is the number of succeeded requests that missed the latency objective; Succeeded includes them.
 	Late int
 }
@@ -102,7 +102,7 @@
 		s.Late++
 		return class.Payoff * class.LatePayoff
 	case outcomeRejected:
-		s.Denied++
+		s.Rejected++
 	default:
 		s.Errored++
 	}
