--- a/internal/audit/service.go
+++ b/internal/audit/service.go
@@ -33,7 +33,7 @@
 	Kinds   []Earnings // by request class, in the order of the settings
 
 	// Numbers of requests that succeeded, were rejected and failed.
-	Succeeded, Rejected, Errored int
+	Succeeded, Rejected, Failed int
 	// Late is the number of succeeded requests that missed the latency objective; Succeeded includes them.
 	Late int
 }
@@ -104,7 +104,7 @@
 	case outcomeRejected:
 		s.Rejected++
 	default:
-		s.Errored++
+		s.Failed++
 	}
 	return 0
 }
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -65,9 +65,9 @@
 }
 
 func (r *Result) setService(s *audit.Service, attempts uint64) {
-	requests := math.Max(1, float64(s.Succeeded+s.Rejected+s.Errored))
+	requests := math.Max(1, float64(s.Succeeded+s.Rejected+s.Failed))
 	r.Service = s.All.Share()
-	r.Errored = float64(s.Errored) / requests
+	r.Errored = float64(s.Failed) / requests
 	r.Denied = float64(s.Rejected) / requests
 	r.TriesEach = float64(attempts) / requests
 	r.Worst = 1
--- a/internal/rehearsal/print.go
+++ b/internal/rehearsal/print.go
@@ -88,5 +88,5 @@
 func printTotals(p printer, o *Outcome) {
 	s := &o.Report.Service
 	p.printf("%d succeeded (%d late), %d rejected, %d failed; at most %d lines in a channel, %d messages to a proxy\n",
-		s.Succeeded, s.Late, s.Rejected, s.Errored, o.PilotMaxima.MostLines, o.PilotMaxima.MostMessages)
+		s.Succeeded, s.Late, s.Rejected, s.Failed, o.PilotMaxima.MostLines, o.PilotMaxima.MostMessages)
 }
--- a/internal/rehearsal/record_test.go
+++ b/internal/rehearsal/record_test.go
@@ -81,7 +81,7 @@
 	o, err := Play{Scenario: day}.Run(t.Context())
 	require.NoError(t, err)
 	assert.True(t, o.Report.Kept())
-	assert.Zero(t, o.Report.Service.Rejected+o.Report.Service.Errored)
+	assert.Zero(t, o.Report.Service.Rejected+o.Report.Service.Failed)
 	handovers := 0
 	for _, e := range o.EventLog.Events() {
 		if e.Text == "handed over" {
