--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -24,8 +24,8 @@
 const (
 	// Planner is the policy that uses the program's own planner.
 	Planner = "indigousher"
-	// Standing is the policy without pilots, in which proxies use only their static tables.
-	Standing = "standing"
+	// StaticTables is the policy without pilots, in which proxies use only their static tables.
+	StaticTables = "standing"
 	// TwoChoices is the policy of tables with even weights in which proxies choose between two endpoints for each
 	// request and take the one that they know to be less loaded.
 	TwoChoices = "two"
@@ -52,7 +52,9 @@
 	folder      string // that contains the experiment file
 }
 
-func policies() []string { return append([]string{Planner, Standing, TwoChoices}, baseline.Names()...) }
+func policies() []string {
+	return append([]string{Planner, StaticTables, TwoChoices}, baseline.Names()...)
+}
 
 // Read reads an experiment file and checks it, including its policies and its scenario.
 func Read(path string) (*Plan, error) {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -129,7 +129,7 @@
 	switch policy {
 	case Planner:
 		return play, nil
-	case Standing:
+	case StaticTables:
 		play.WithoutPilots = true
 		return play, nil
 	case TwoChoices:
