--- a/internal/rehearsal/record_test.go
+++ b/internal/rehearsal/record_test.go
@@ -16,7 +16,8 @@
 func newPlanner(seed int64, terms map[string]any) controller.Decider { return planner.New(seed, terms) }
 
 // TestRecordedDay checks the records of a run on sockets. Pilots that are killed must restore their state from their
-// records and keep the rules, and a replay of each life must produce the same commands, byte for byte.
+// records and keep the rules. A replay of each life, which is one run of a pilot, must produce the same commands, byte
+// for byte.
 func TestRecordedDay(t *testing.T) {
 	t.Parallel()
 	day, err := scenario.Read("recorded.hcl", []byte(`like = "bad-day-short"
