--- a/internal/audit/state.go
+++ b/internal/audit/state.go
@@ -49,7 +49,7 @@
 // listedEndpoint is an endpoint as a pilot's endpoint list describes it.
 type listedEndpoint struct {
 	zone    string
-	machine string // hardware generation
+	machine string // name of the hardware generation
 
 	phase      int     // one of the wire.Phase constants
 	phaseSince float64 // time in ms at which the phase began
