--- a/internal/experiment/heatmap.go
+++ b/internal/experiment/heatmap.go
@@ -13,6 +13,7 @@
 	Cells          []heatCell
 }
 
+// heatCell is the mean load of one zone in a row of the heat map.
 type heatCell struct {
 	Zone  string
 	Load  float64      // mean busy fraction of the zone's endpoints
