--- a/internal/samplingerror/errors.go
+++ b/internal/samplingerror/errors.go
@@ -17,8 +17,8 @@
 
 // relativeError summarises the relative errors of an estimate. Its values are fractions of the true attempts.
 type relativeError struct {
-	rms  float64 // root mean square
-	bias float64 // mean
+	rms  float64 // root mean square of the errors
+	bias float64 // mean of the errors; positive if the estimates are too high
 }
 
 // compare returns the relative errors of an estimate over all seconds and endpoints, without the warm-up and without
