--- a/internal/samplingerror/methods.go
+++ b/internal/samplingerror/methods.go
@@ -36,7 +36,7 @@
 	return l.attempts * float64(all) / float64(keep)
 }
 
-// dropNewest keeps the first lines of each second.
+// dropNewest keeps the first lines of each second, as a full queue does that drops new lines.
 func dropNewest(lines []line, fraction float64, _ *rand.Rand) [][]float64 {
 	estimate := newEstimate()
 	bySecond(lines, fraction, func(second int, lines []line, keep int) {
@@ -47,7 +47,7 @@
 	return estimate
 }
 
-// dropOldest keeps the last lines of each second.
+// dropOldest keeps the last lines of each second, as a full queue does that drops its oldest lines.
 func dropOldest(lines []line, fraction float64, _ *rand.Rand) [][]float64 {
 	estimate := newEstimate()
 	bySecond(lines, fraction, func(second int, lines []line, keep int) {
@@ -58,7 +58,7 @@
 	return estimate
 }
 
-// reservoir keeps a uniform sample of each second.
+// reservoir keeps a uniform random sample of the lines of each second.
 func reservoir(lines []line, fraction float64, rnd *rand.Rand) [][]float64 {
 	estimate := newEstimate()
 	bySecond(lines, fraction, func(second int, lines []line, keep int) {
