--- a/internal/rehearsal/faults_pilot.go
+++ b/internal/rehearsal/faults_pilot.go
@@ -13,59 +13,59 @@
 	"indigousher/internal/testbed/eventlog"
 )
 
-// faultPilots draws the pilots that a fault strikes.
-func (s *stage) faultPilots(fault scenario.Fault) []*pilot {
+// faultPilots draws the pilots that a fault affects.
+func (s *environment) faultPilots(fault scenario.Fault) []*pilot {
 	var names []string
 	for _, p := range s.pilots {
 		names = append(names, p.name)
 	}
-	var struck []*pilot
+	var affected []*pilot
 	for _, name := range s.targets(fault, names) {
-		struck = append(struck, s.pilots[slices.Index(names, name)])
+		affected = append(affected, s.pilots[slices.Index(names, name)])
 	}
-	return struck
+	return affected
 }
 
-// handOverPilots has new processes take over from the pilots, one pilot after another, until the fault ends.
-func (s *stage) handOverPilots(ctx context.Context, fault scenario.Fault) error {
-	struck := s.faultPilots(fault)
+// handOverPilots repeatedly replaces the pilots by handover, one after another, until the fault ends.
+func (s *environment) handOverPilots(ctx context.Context, fault scenario.Fault) error {
+	affected := s.faultPilots(fault)
 	until := time.Now().Add(fault.Duration)
 	for ctx.Err() == nil && time.Now().Before(until) {
-		for _, p := range struck {
-			if err := s.handOver(p); err != nil { //nolint:contextcheck // ends in stopAll, not with the fault
+		for _, p := range affected {
+			if err := s.handOver(p); err != nil { //nolint:contextcheck // stopped by stopAll, not by ctx
 				return err
 			}
-			s.ownLog.Add(eventlog.Event{What: eventlog.Note, Peer: p.name, Text: "handed over"})
+			s.rehearsalLog.Add(eventlog.Event{What: eventlog.Note, Peer: p.name, Text: "handed over"})
 			backoff.Sleep(ctx, fault.Interval)
 		}
 	}
 	return nil
 }
 
-func (s *stage) killPilots(ctx context.Context, fault scenario.Fault) error {
-	struck := s.faultPilots(fault)
-	for _, p := range struck {
+func (s *environment) killPilots(ctx context.Context, fault scenario.Fault) error {
+	affected := s.faultPilots(fault)
+	for _, p := range affected {
 		s.stopPilot(p, true)
 	}
 	if !backoff.Sleep(ctx, fault.Duration) {
 		return nil
 	}
-	for _, p := range struck {
-		if err := s.startPilot(p, false); err != nil { //nolint:contextcheck // ends in stopAll, not with the fault
+	for _, p := range affected {
+		if err := s.startPilot(p, false); err != nil { //nolint:contextcheck // stopped by stopAll, not by ctx
 			return err
 		}
 	}
 	return nil
 }
 
-// rollPilots restarts pilots one after another.
-func (s *stage) rollPilots(ctx context.Context, fault scenario.Fault) error {
+// rollPilots stops and restarts pilots one after another.
+func (s *environment) rollPilots(ctx context.Context, fault scenario.Fault) error {
 	for _, p := range s.faultPilots(fault) {
 		s.stopPilot(p, false)
 		if !backoff.Sleep(ctx, fault.ExtraDelay) {
 			return nil
 		}
-		if err := s.startPilot(p, false); err != nil { //nolint:contextcheck // ends in stopAll, not with the fault
+		if err := s.startPilot(p, false); err != nil { //nolint:contextcheck // stopped by stopAll, not by ctx
 			return err
 		}
 		backoff.Sleep(ctx, fault.Interval)
@@ -73,7 +73,7 @@
 	return nil
 }
 
-func (s *stage) reloadPilots(ctx context.Context, fault scenario.Fault) error {
+func (s *environment) reloadPilots(ctx context.Context, fault scenario.Fault) error {
 	for _, p := range s.faultPilots(fault) {
 		if err := s.reload(ctx, p, fault.Size); err != nil {
 			return err
@@ -82,9 +82,10 @@
 	return nil
 }
 
-// reload hands a running pilot new settings: the rate of its channel changed by a factor, which applies at once, and a
-// number of streams that needs a restart. It returns an error where the pilot says otherwise.
-func (s *stage) reload(ctx context.Context, p *pilot, factor float64) error {
+// reload reloads a running pilot with changed settings: LinesPerS multiplied by a factor, which takes effect at once,
+// and one more in MaxStreams, which needs a restart. It returns an error if the pilot reports other changes. A pilot
+// that does not run is skipped.
+func (s *environment) reload(ctx context.Context, p *pilot, factor float64) error {
 	p.mu.Lock()
 	host := p.host
 	settings := p.settings
@@ -100,7 +101,8 @@
 		return err
 	}
 	if strings.Join(changed, ",") != "LinesPerS" || strings.Join(restart, ",") != "MaxStreams" {
-		return fmt.Errorf("reload of %s changed %v and left %v", p.name, changed, restart)
+		return fmt.Errorf("reload of %s: applied %v and deferred %v to a restart, want [LinesPerS] and [MaxStreams]",
+			p.name, changed, restart)
 	}
 	return nil
 }
--- a/internal/rehearsal/slices.go
+++ b/internal/rehearsal/slices.go
@@ -6,8 +6,8 @@
 	"indigousher/internal/testbed/loadgen"
 )
 
-// assignSlices gives the slices of the key space to the endpoints, in turn.
-func (s *stage) assignSlices() {
+// assignSlices assigns the slices of the key space to the endpoints in round-robin order.
+func (s *environment) assignSlices() {
 	for slice := range s.Scenario.Slices {
 		owner := s.endpoints[slice%len(s.endpoints)]
 		s.sliceOwners = append(s.sliceOwners, owner.Address())
@@ -15,16 +15,16 @@
 	}
 }
 
-// announceSlice has the registry notify the pilots of a slice's owner.
-func (s *stage) announceSlice(slice int) {
+// announceSlice publishes the owner of a slice in the registry and records the assignment in the event log.
+func (s *environment) announceSlice(slice int) {
 	owner := s.sliceOwners[slice]
 	assignment := loadgen.SliceAssignment(slice, owner)
-	s.ownLog.Add(eventlog.Event{What: eventlog.Given, Peer: owner, N: slice, Text: assignment.From})
+	s.rehearsalLog.Add(eventlog.Event{What: eventlog.Given, Peer: owner, N: slice, Text: assignment.From})
 	s.registry.AssignSlice(assignment)
 }
 
-// moveSlices gives the slices of some endpoints to the others, in turn.
-func (s *stage) moveSlices(from []*endpoint.Endpoint) {
+// moveSlices reassigns the slices of some endpoints to the remaining ones. It does nothing if none remain.
+func (s *environment) moveSlices(from []*endpoint.Endpoint) {
 	leaving := map[string]bool{}
 	for _, e := range from {
 		leaving[e.Address()] = true
@@ -41,8 +41,8 @@
 	}
 }
 
-// addressesExcept lists the addresses of all other endpoints.
-func (s *stage) addressesExcept(leaving map[string]bool) []string {
+// addressesExcept returns the addresses of all endpoints whose address is not in the set.
+func (s *environment) addressesExcept(leaving map[string]bool) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var staying []string
--- a/internal/rehearsal/stage.go
+++ b/internal/rehearsal/stage.go
@@ -17,39 +17,40 @@
 	"indigousher/internal/wire"
 )
 
-// stage holds all that takes part in a run.
-type stage struct {
+// environment holds the components and the state of a run.
+type environment struct {
 	Play
-	eventLog *eventlog.Log
-	ownLog   *eventlog.Stream // of what the rehearsal itself does
-	network  *network.Network
-	registry *registry.Registry
+	eventLog     *eventlog.Log
+	rehearsalLog *eventlog.Stream // events of the rehearsal itself, such as the beginning of faults
+	network      *network.Network
+	registry     *registry.Registry
 
-	// Set up before the run begins and not changed after.
+	// Set before the clients start and constant after that.
 	proxies   []*proxy.Proxy
 	pilots    []*pilot
 	authority *identity.Authority
 	keyDir    string
 
-	// Faults of proxies, by name; the maps are not changed once the run has begun.
-	isolated      map[string]*atomic.Bool  // it reaches no pilot
-	muted         map[string]*atomic.Bool  // it reads nothing
-	reportFactors map[string]*atomic.Int64 // how many times as often it reports, in thousandths
+	// Faults that are active on proxies, by proxy name. Only the values change after the clients start, not the maps.
+	isolated      map[string]*atomic.Bool  // the proxy can reach no pilot
+	muted         map[string]*atomic.Bool  // the proxy reads nothing from its stream
+	reportFactors map[string]*atomic.Int64 // multiplies the proxy's report rate, in thousandths (1000: unchanged)
 
-	sliceOwners []string // addresses of endpoints, by slice
+	sliceOwners []string // address of the endpoint that owns each slice, by slice number
 
-	mu        sync.Mutex // guards the rest
+	mu        sync.Mutex // guards the fields below
 	endpoints []*endpoint.Endpoint
-	entries   map[string]wire.Entry // endpoints as they truly are, by name, whatever the registry says
+	entries   map[string]wire.Entry // actual state of the endpoints, by name; the registry publishes it with a delay
 	random    *rand.Rand
-	maxima    controller.State
+	maxima    controller.State // highest counts that any pilot reported
 }
 
-// randomStream tells the random sequence of a run apart from others of the same seed.
+// randomStream is the second seed of the run's random generator. It separates its sequence from those of other
+// generators with the same first seed.
 const randomStream = 5
 
-func newStage(p Play) *stage {
-	s := &stage{
+func newEnvironment(p Play) *environment {
+	s := &environment{
 		Play:          p,
 		eventLog:      eventlog.NewLog(),
 		isolated:      map[string]*atomic.Bool{},
@@ -58,14 +59,14 @@
 		entries:       map[string]wire.Entry{},
 		random:        rand.New(rand.NewPCG(uint64(p.Scenario.Seed), randomStream)),
 	}
-	s.ownLog = s.eventLog.Stream("rehearsal")
+	s.rehearsalLog = s.eventLog.Stream("rehearsal")
 	s.network = network.New(s.eventLog.Stream("links"), uint64(p.Scenario.Seed))
 	s.registry = registry.New(s.eventLog.Stream("list"))
 	return s
 }
 
-// startAll starts registry, endpoints, pilots and proxies, in this order.
-func (s *stage) startAll() error {
+// startAll starts the registry, the endpoints, the pilots and the proxies, in this order.
+func (s *environment) startAll() error {
 	if err := s.openKeys(); err != nil {
 		return err
 	}
@@ -88,7 +89,7 @@
 	return s.startProxies()
 }
 
-func (s *stage) startEndpoints() error {
+func (s *environment) startEndpoints() error {
 	for group, g := range s.Scenario.Groups {
 		for i := range g.Count {
 			if err := s.addEndpoint(fmt.Sprintf("%s-%s-%d", g.Zone, g.Machine, i), group, false); err != nil {
@@ -99,7 +100,7 @@
 	return nil
 }
 
-func (s *stage) startPilots() error {
+func (s *environment) startPilots() error {
 	for rank, zone := range s.Scenario.PilotZones {
 		p := &pilot{name: fmt.Sprintf("pilot-%d", rank), zone: zone}
 		p.settings = s.pilotSettings(p, rank)
@@ -111,7 +112,7 @@
 	return nil
 }
 
-func (s *stage) startProxies() error {
+func (s *environment) startProxies() error {
 	inZone := map[string]int{}
 	for number, zone := range s.Scenario.ProxyZones {
 		name := fmt.Sprintf("proxy-%s-%d", zone, inZone[zone])
@@ -123,8 +124,8 @@
 	return nil
 }
 
-// stopAll ends all that runs. Cuts are mended last, so that what they hold back ends as well.
-func (s *stage) stopAll() {
+// stopAll stops all components. It ends network cuts last, so that connections blocked by them can close as well.
+func (s *environment) stopAll() {
 	if s.keyDir != "" {
 		defer removeTemporary(s.keyDir)
 	}
@@ -138,10 +139,10 @@
 	for _, endpoint := range s.endpoints {
 		endpoint.Kill()
 	}
-	s.mendAll()
+	s.endNetworkCuts()
 }
 
-func (s *stage) mendAll() {
+func (s *environment) endNetworkCuts() {
 	for _, zone := range s.Scenario.Zones {
 		s.network.Cut(zone, false)
 	}
@@ -156,8 +157,8 @@
 	}
 }
 
-// targets draws the names that a fault strikes.
-func (s *stage) targets(fault scenario.Fault, names []string) []string {
+// targets draws the names that a fault affects from a list of names.
+func (s *environment) targets(fault scenario.Fault, names []string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return fault.Targets(names, s.random)
--- a/internal/samplingerror/methods.go
+++ b/internal/samplingerror/methods.go
@@ -9,13 +9,13 @@
 	"indigousher/telemetry"
 )
 
-// method estimates the attempts by second and endpoint from a fraction of the lines.
+// method is a sampling method. Its function estimates the attempts by second and endpoint from a fraction of the lines.
 type method struct {
 	name     string
 	estimate func(lines []line, fraction float64, rnd *rand.Rand) [][]float64
 }
 
-// methods are listed in the order of the table in docs/intake.md.
+// methods lists the compared methods in the order of the table in docs/intake.md.
 var methods = []method{
 	{"drop newest", dropNewest},
 	{"drop oldest", dropOldest},
@@ -31,12 +31,12 @@
 	}},
 }
 
-// scaled returns the attempts of a kept line, scaled up to all lines of its second.
+// scaled returns the attempts of a kept line multiplied by the ratio of all lines of its second to those kept.
 func scaled(l line, all, keep int) float64 {
-	return l.tries * float64(all) / float64(keep)
+	return l.attempts * float64(all) / float64(keep)
 }
 
-// dropNewest keeps the first lines of each second.
+// dropNewest keeps the first lines of each second, as a full queue does that drops new lines.
 func dropNewest(lines []line, fraction float64, _ *rand.Rand) [][]float64 {
 	estimate := newEstimate()
 	bySecond(lines, fraction, func(second int, lines []line, keep int) {
@@ -47,7 +47,7 @@
 	return estimate
 }
 
-// dropOldest keeps the last lines of each second.
+// dropOldest keeps the last lines of each second, as a full queue does that drops its oldest lines.
 func dropOldest(lines []line, fraction float64, _ *rand.Rand) [][]float64 {
 	estimate := newEstimate()
 	bySecond(lines, fraction, func(second int, lines []line, keep int) {
@@ -58,7 +58,7 @@
 	return estimate
 }
 
-// reservoir keeps a uniform sample of each second.
+// reservoir keeps a uniform random sample of the lines of each second.
 func reservoir(lines []line, fraction float64, rnd *rand.Rand) [][]float64 {
 	estimate := newEstimate()
 	bySecond(lines, fraction, func(second int, lines []line, keep int) {
@@ -69,8 +69,9 @@
 	return estimate
 }
 
-// prioritySample keeps the lines of the highest priority, which is the attempts over a uniform random number. A line
-// counts as the first priority that is not kept if it has fewer attempts (Duffield, Lund, Thorup: priority sampling).
+// prioritySample keeps the lines with the highest priorities in each second (Duffield, Lund, Thorup: priority
+// sampling). The priority of a line is its attempts divided by a uniform random number. The highest priority that is
+// not kept is the threshold, and a kept line with fewer attempts than that counts as the threshold.
 func prioritySample(lines []line, fraction float64, rnd *rand.Rand) [][]float64 {
 	type ranked struct {
 		line
@@ -80,7 +81,7 @@
 	bySecond(lines, fraction, func(second int, lines []line, keep int) {
 		var all []ranked
 		for _, l := range lines {
-			all = append(all, ranked{l, l.tries / (1 - rnd.Float64())})
+			all = append(all, ranked{l, l.attempts / (1 - rnd.Float64())})
 		}
 		slices.SortFunc(all, func(a, b ranked) int { return int(math.Copysign(1, b.priority-a.priority)) })
 		threshold := 0.0
@@ -88,14 +89,14 @@
 			threshold = all[keep].priority
 		}
 		for _, l := range all[:keep] {
-			estimate[second][l.endpoint] += math.Max(l.tries, threshold)
+			estimate[second][l.endpoint] += math.Max(l.attempts, threshold)
 		}
 	})
 	return estimate
 }
 
-// spaceSaving counts the endpoints with the most attempts with a limited number of counters (Metwally et al.:
-// Space-Saving).
+// spaceSaving counts the attempts of the busiest endpoints in each second with a limited number of counters (Metwally
+// et al.: Space-Saving). The fraction is that of counters to endpoints.
 func spaceSaving(lines []line, fraction float64, _ *rand.Rand) [][]float64 {
 	estimate := newEstimate()
 	counters := max(1, int(fraction*endpoints))
@@ -107,7 +108,7 @@
 				counts[l.endpoint] = counts[smallest]
 				delete(counts, smallest)
 			}
-			counts[l.endpoint] += l.tries
+			counts[l.endpoint] += l.attempts
 		}
 		for endpoint, n := range counts {
 			estimate[second][endpoint] = n
@@ -116,7 +117,8 @@
 	return estimate
 }
 
-// smallestCounter returns the endpoint with the smallest count, of equal ones the first; -1 if there are no counters.
+// smallestCounter returns the endpoint with the smallest count, or -1 if there are no counters. Of several endpoints
+// with equal counts it returns the one with the lowest number.
 func smallestCounter(counts map[int]float64) int {
 	smallest := -1
 	for endpoint := range endpoints {
@@ -128,15 +130,15 @@
 	return smallest
 }
 
-// intake passes the lines through the telemetry package at a pace that keeps a fraction of them. halfMs is the age at
-// which a figure has half its weight.
-func intake(lines []line, fraction, halfMs float64) [][]float64 {
-	aggregator := newAggregator(lines, fraction, halfMs)
+// intake passes the lines through the telemetry package with a rate limit that keeps a fraction of them. Old figures
+// lose weight with a half-life of halfLifeMs, in ms.
+func intake(lines []line, fraction, halfLifeMs float64) [][]float64 {
+	aggregator := newAggregator(lines, fraction, halfLifeMs)
 	estimate := newEstimate()
 	bySecond(lines, 1, func(second int, lines []line, _ int) {
 		addReports(aggregator, second, lines)
 		end := float64(second+1) * 1000
-		if second > 0 { // an endpoint without a new figure keeps its last one
+		if second > 0 { // endpoints without new data keep their last estimate
 			copy(estimate[second], estimate[second-1])
 		}
 		for _, m := range aggregator.Flush(end, 1000).EndpointSums {
@@ -147,8 +149,9 @@
 	return estimate
 }
 
-// newAggregator returns an aggregator that knows all endpoints and senders.
-func newAggregator(lines []line, fraction, halfMs float64) *telemetry.Aggregator[int] {
+// newAggregator returns an aggregator with a rate limit that keeps a fraction of the lines, and with all endpoints and
+// senders registered.
+func newAggregator(lines []line, fraction, halfLifeMs float64) *telemetry.Aggregator[int] {
 	pace := fraction * float64(len(lines)) / seconds
 	if fraction == 1 {
 		pace = 0 // no limit
@@ -156,7 +159,7 @@
 	aggregator := telemetry.New[int](telemetry.Options{
 		LinesPerS:   pace,
 		PeriodMs:    1000,
-		HalfLifeMs:  halfMs,
+		HalfLifeMs:  halfLifeMs,
 		MaxAgeMs:    60000,
 		MaxSlowdown: 1,
 	})
@@ -169,7 +172,8 @@
 	return aggregator
 }
 
-// addReports adds the lines of one second as a report of each sender, spread evenly over the second.
+// addReports adds the lines of one second to the aggregator as one report per sender. The reports are spread evenly
+// over the second.
 func addReports(aggregator *telemetry.Aggregator[int], second int, lines []line) {
 	for len(lines) > 0 {
 		sender := lines[0].sender
@@ -177,7 +181,7 @@
 		report := telemetry.Report[int]{Sender: sender, Seq: uint64(second + 1), AtMs: now, SpanMs: 1000}
 		n := 0
 		for n < len(lines) && lines[n].sender == sender {
-			l := telemetry.EndpointLine[int]{Endpoint: lines[n].endpoint, Attempts: int(lines[n].tries)}
+			l := telemetry.EndpointLine[int]{Endpoint: lines[n].endpoint, Attempts: int(lines[n].attempts)}
 			report.EndpointLines = append(report.EndpointLines, l)
 			n++
 		}
