--- a/internal/transport/framed/framed_test.go
+++ b/internal/transport/framed/framed_test.go
@@ -68,17 +68,17 @@
 
 // serve starts a server and returns its address.
 func serve(t *testing.T, change func(*ListenerConfig)) (*Server, *inbox, string, context.CancelFunc) {
-	d := ListenerConfig{
+	config := ListenerConfig{
 		Pilot: "one", Beat: 100 * time.Millisecond, Period: time.Second, WriteDeadline: 200 * time.Millisecond,
 		HelloDeadline: 300 * time.Millisecond, SeenWithin: 500 * time.Millisecond, MaxFrame: 4096, MaxStreams: 3, Queue: 4,
 	}
 	if change != nil {
-		change(&d)
+		change(&config)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	in := &inbox{}
-	s := NewServer(d, in, zap.NewNop())
+	s := NewServer(config, in, zap.NewNop())
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(ctx, l) }()
@@ -286,7 +286,7 @@
 
 // TestTooMany checks the limit of open streams.
 func TestTooMany(t *testing.T) {
-	s, _, address, _ := serve(t, func(d *ListenerConfig) { d.MaxStreams = 1; d.Beat = time.Second })
+	s, _, address, _ := serve(t, func(config *ListenerConfig) { config.MaxStreams = 1; config.Beat = time.Second })
 	_, _, w := join(t, address, "first")
 	assert.Nil(t, untilEnd(wire.NewReader(dial(t, address), 0)))
 	assert.Equal(t, 1, s.Streams())
--- a/internal/transport/framed/handshake.go
+++ b/internal/transport/framed/handshake.go
@@ -19,7 +19,7 @@
 
 // greet reads, checks and answers the hello. If it rejects the hello, it sends the reason to the proxy and returns an
 // error.
-func (s *Server) greet(st *stream, r *wire.Reader, w *wire.Writer) (*wire.Hello, error) {
+func (s *Server) acceptHello(st *stream, r *wire.Reader, w *wire.Writer) (*wire.Hello, error) {
 	if err := st.conn.SetDeadline(time.Now().Add(s.config.HelloDeadline)); err != nil {
 		return nil, fmt.Errorf("set deadline: %w", err)
 	}
@@ -29,14 +29,14 @@
 	}
 	hello, ok := first.(*wire.Hello)
 	if !ok {
-		return nil, refuse(w, refusalNoHello, errors.New(refusalNoHello))
+		return nil, sendRefusal(w, refusalNoHello, errors.New(refusalNoHello))
 	}
 	if hello.Version != wire.Version {
 		refusal := fmt.Sprintf("version %d is not spoken here, %d is", hello.Version, wire.Version)
-		return nil, refuse(w, refusal, errors.New(refusal))
+		return nil, sendRefusal(w, refusal, errors.New(refusal))
 	}
 	if err := checkIdentity(st.conn, hello); err != nil {
-		return nil, refuse(w, refusalIdentity, err)
+		return nil, sendRefusal(w, refusalIdentity, err)
 	}
 	if _, err := w.Write(s.welcome()); err != nil {
 		return nil, err
@@ -55,9 +55,9 @@
 }
 
 // refuse sends a refusal and returns why, joined with the error of sending.
-func refuse(w *wire.Writer, reason string, why error) error {
+func sendRefusal(w *wire.Writer, reason string, cause error) error {
 	_, err := w.Write(&wire.Refuse{Reason: reason})
-	return errors.Join(why, err)
+	return errors.Join(cause, err)
 }
 
 // checkIdentity returns an error if the certificate of a TLS connection does not match the proxy in the hello. Without
@@ -67,9 +67,9 @@
 	if !ok {
 		return nil
 	}
-	who, err := identity.FromConnection(tlsConn.ConnectionState())
-	if err == nil && who.Name == hello.Proxy && who.Zone == hello.Zone {
+	peer, err := identity.FromConnection(tlsConn.ConnectionState())
+	if err == nil && peer.Name == hello.Proxy && peer.Zone == hello.Zone {
 		return nil
 	}
-	return errors.Join(fmt.Errorf("%s says it is %s of %s: %w", who, hello.Proxy, hello.Zone, identity.ErrIdentity), err)
+	return errors.Join(fmt.Errorf("%s says it is %s of %s: %w", peer, hello.Proxy, hello.Zone, identity.ErrIdentity), err)
 }
--- a/internal/transport/framed/server.go
+++ b/internal/transport/framed/server.go
@@ -18,7 +18,7 @@
 )
 
 // acceptPause is the pause after a temporary failure to accept, such as a lack of file descriptors.
-const acceptPause = 100 * time.Millisecond
+const acceptRetryDelay = 100 * time.Millisecond
 
 // ListenerConfig configures the listener and the streams that it accepts.
 type ListenerConfig struct {
@@ -74,7 +74,7 @@
 			return fmt.Errorf("accept on %s: %w", l.Addr(), err)
 		}
 		s.log.Warn("accept failed", zap.Error(err)) // open streams continue
-		backoff.Sleep(ctx, acceptPause)
+		backoff.Sleep(ctx, acceptRetryDelay)
 	}
 }
 
@@ -117,9 +117,9 @@
 		return nil
 	}
 	st := &stream{
-		conn: conn,
-		out:  make(chan wire.Message, s.config.Queue),
-		end:  shutdown.New[wire.Message](),
+		conn:  conn,
+		queue: make(chan wire.Message, s.config.Queue),
+		end:   shutdown.New[wire.Message](),
 	}
 	s.streams[st] = true
 	return st
--- a/internal/transport/framed/session.go
+++ b/internal/transport/framed/session.go
@@ -23,7 +23,7 @@
 	log := s.log.With(zap.Stringer("from", st.conn.RemoteAddr()))
 	r := wire.NewReader(st.conn, s.config.MaxFrame)
 	w := wire.NewWriter(st.conn)
-	hello, err := s.greet(st, r, w)
+	hello, err := s.acceptHello(st, r, w)
 	if err != nil {
 		log.Warn("hello rejected", zap.Error(err))
 		return
@@ -43,7 +43,7 @@
 	if writeErr := writer.Wait(); writeErr != nil {
 		err = errors.Join(err, writeErr)
 	}
-	log.Info("stream ended", zap.String("reason", st.end.Reason()), zap.Error(withoutEndOfStream(err)))
+	log.Info("stream ended", zap.String("reason", st.end.Reason()), zap.Error(ignoreStreamEnd(err)))
 	s.postLeave(ctx, st)
 }
 
@@ -56,7 +56,7 @@
 }
 
 // withoutEndOfStream drops errors that only mean that a stream has ended.
-func withoutEndOfStream(err error) error {
+func ignoreStreamEnd(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) {
 		return nil
 	}
@@ -105,7 +105,7 @@
 	defer heartbeat.Stop()
 	for {
 		select {
-		case m := <-st.out:
+		case m := <-st.queue:
 			if err := s.write(st, w, m); err != nil {
 				return err
 			}
--- a/internal/transport/framed/stream.go
+++ b/internal/transport/framed/stream.go
@@ -16,7 +16,7 @@
 // stream is the stream of one proxy. It implements controller.Stream.
 type stream struct {
 	conn    net.Conn
-	out     chan wire.Message // queue to the writer
+	queue   chan wire.Message // queue to the writer
 	end     *shutdown.Notice[wire.Message]
 	unacked unackedFrames
 }
@@ -29,7 +29,7 @@
 
 func (st *stream) enqueue(m wire.Message) error {
 	select {
-	case st.out <- m:
+	case st.queue <- m:
 		return nil
 	default:
 		return ErrSlow
