--- a/internal/transport/framed/handshake.go
+++ b/internal/transport/framed/handshake.go
@@ -11,14 +11,17 @@
 	"indigousher/internal/wire"
 )
 
-// Reasons sent to a rejected proxy. Why its identity was rejected is reported to operators only.
+// Reasons in the Refuse message to a rejected proxy. They are part of the protocol.
 const (
-	refusalNoHello  = "a hello must come first"
+	// refusalNoHello is sent if the first message of a stream is not a Hello.
+	refusalNoHello = "a hello must come first"
+	// refusalIdentity is sent if the proxy's certificate does not match its Hello. The details are only logged, so that
+	// unauthenticated peers learn nothing about accepted identities.
 	refusalIdentity = "not let in"
 )
 
-// greet reads, checks and answers the hello. If it rejects the hello, it sends the reason to the proxy and returns an
-// error.
+// acceptHello reads and validates the Hello and answers with a Welcome. If it rejects the Hello, it sends the reason to
+// the proxy and returns an error.
 func (s *Server) acceptHello(st *stream, r *wire.Reader, w *wire.Writer) (*wire.Hello, error) {
 	if err := st.conn.SetDeadline(time.Now().Add(s.config.HelloDeadline)); err != nil {
 		return nil, fmt.Errorf("set deadline: %w", err)
@@ -44,7 +47,7 @@
 	return hello, st.conn.SetWriteDeadline(time.Time{})
 }
 
-// welcome returns the answer to an accepted hello.
+// welcome returns the Welcome message for an accepted proxy.
 func (s *Server) welcome() *wire.Welcome {
 	return &wire.Welcome{
 		Version:        wire.Version,
@@ -54,14 +57,14 @@
 	}
 }
 
-// refuse sends a refusal and returns why, joined with the error of sending.
+// sendRefusal sends a Refuse message and returns cause, joined with the write error if there is one.
 func sendRefusal(w *wire.Writer, reason string, cause error) error {
 	_, err := w.Write(&wire.Refuse{Reason: reason})
 	return errors.Join(cause, err)
 }
 
-// checkIdentity returns an error if the certificate of a TLS connection does not match the proxy in the hello. Without
-// TLS there is nothing to check.
+// checkIdentity returns an error if the peer certificate of a TLS connection does not match the proxy name and zone in
+// the Hello. For connections without TLS it returns nil.
 func checkIdentity(conn net.Conn, hello *wire.Hello) error {
 	tlsConn, ok := conn.(*tls.Conn)
 	if !ok {
@@ -71,5 +74,6 @@
 	if err == nil && peer.Name == hello.Proxy && peer.Zone == hello.Zone {
 		return nil
 	}
-	return errors.Join(fmt.Errorf("%s says it is %s of %s: %w", peer, hello.Proxy, hello.Zone, identity.ErrIdentity), err)
+	return errors.Join(fmt.Errorf("certificate of %s does not match proxy %q in zone %q: %w",
+		peer, hello.Proxy, hello.Zone, identity.ErrIdentity), err)
 }
