--- a/internal/transport/framed/server.go
+++ b/internal/transport/framed/server.go
@@ -17,7 +17,8 @@
 	"indigousher/internal/wire"
 )
 
-// acceptPause is the pause after a temporary failure to accept, such as a lack of file descriptors.
+// acceptRetryDelay is the delay before accepting again after a temporary accept error, such as a lack of file
+// descriptors.
 const acceptRetryDelay = 100 * time.Millisecond
 
 // ListenerConfig configures the listener and the streams that it accepts.
@@ -33,7 +34,7 @@
 	Queue         int           // largest number of messages queued per stream; one more ends it
 }
 
-// Server accepts proxies' streams.
+// Server accepts and serves the streams of proxies.
 type Server struct {
 	config ListenerConfig
 	inbox  controller.Inbox
@@ -41,16 +42,16 @@
 
 	mu      sync.Mutex
 	streams map[*stream]bool // open streams
-	killed  bool             // set by Kill: streams end without a last message
+	killed  bool             // set by Kill; streams are closed without a last message and new ones are rejected
 }
 
-// NewServer returns a server that does not listen yet.
+// NewServer returns a server that posts the messages of proxies to inbox. Serve must be called to accept streams.
 func NewServer(c ListenerConfig, inbox controller.Inbox, log *zap.Logger) *Server {
 	return &Server{config: c, inbox: inbox, log: log, streams: map[*stream]bool{}}
 }
 
-// Serve accepts streams from l until ctx ends. It then redirects each proxy to another controller and returns when all
-// streams are closed. If the listener fails, it returns the error.
+// Serve accepts streams from l until ctx is cancelled. It then redirects each proxy to another pilot and returns nil
+// when all streams are closed. If accepting fails permanently, it returns the error without waiting for open streams.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error {
@@ -73,17 +74,18 @@
 		if !backoff.Temporary(err) {
 			return fmt.Errorf("accept on %s: %w", l.Addr(), err)
 		}
-		s.log.Warn("accept failed", zap.Error(err)) // open streams continue
+		s.log.Warn("accept failed", zap.Error(err)) // open streams are not affected
 		backoff.Sleep(ctx, acceptRetryDelay)
 	}
 }
 
-// start serves a connection in a goroutine of the group. The goroutine ends with the stream.
+// start serves a connection in a new goroutine of g, which returns when the stream ends. If the limit of open streams is
+// reached, it closes the connection.
 func (s *Server) start(ctx context.Context, g *errgroup.Group, conn net.Conn) {
 	st := s.register(conn)
 	if st == nil {
 		s.log.Warn("too many streams", zap.Stringer("from", conn.RemoteAddr()))
-		_ = conn.Close() // nothing was written to it
+		_ = conn.Close() // no data was written that could be lost
 		return
 	}
 	g.Go(func() error {
@@ -92,7 +94,7 @@
 	})
 }
 
-// Kill closes every stream without a last message, like the death of the process.
+// Kill closes all connections without a last message, as if the process had crashed.
 func (s *Server) Kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,7 +111,8 @@
 	return len(s.streams)
 }
 
-// register creates the stream of a connection, or returns nil if the limit is reached.
+// register creates the stream of a connection. It returns nil if the limit of open streams is reached or the server has
+// been killed.
 func (s *Server) register(conn net.Conn) *stream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,14 +128,15 @@
 	return st
 }
 
-// unregister removes a stream that has ended.
+// unregister removes an ended stream from the open streams.
 func (s *Server) unregister(st *stream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.streams, st)
 }
 
-// redirectAll ends all streams with a redirect to another controller.
+// redirectAll ends all streams with a Redirect message, upon which the proxies connect to another pilot. If the server
+// has been killed, it closes the connections instead.
 func (s *Server) redirectAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
