--- a/internal/transport/framed/session.go
+++ b/internal/transport/framed/session.go
@@ -16,7 +16,8 @@
 	"indigousher/internal/wire"
 )
 
-// serveStream serves a stream to its end. It reads in this goroutine and writes in another, which it waits for.
+// serveStream serves a stream until it ends. It reads in the calling goroutine, writes in a second one, and waits for the
+// second one before it returns.
 func (s *Server) serveStream(ctx context.Context, st *stream) {
 	defer s.unregister(st)
 	defer st.closeConn()
@@ -31,7 +32,7 @@
 	log = log.With(zap.String("proxy", hello.Proxy))
 	var writer errgroup.Group
 	writer.Go(func() error {
-		defer st.closeConn() // also ends the reader
+		defer st.closeConn() // unblocks the reader
 		return s.writeAll(st, w)
 	})
 	err = s.inbox.Post(ctx, controller.ProxyJoined{Stream: st, Hello: *hello})
@@ -47,15 +48,15 @@
 	s.postLeave(ctx, st)
 }
 
-// postLeave reports to the controller that a proxy has left. The loop must learn of it even after ctx has ended, unless
-// the loop has ended as well.
+// postLeave posts controller.ProxyLeft for a stream. It ignores the cancellation of ctx, because the control loop has to
+// process the input during a shutdown as well, and gives up after shutdown.LeaveTimeout.
 func (s *Server) postLeave(ctx context.Context, st *stream) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdown.LeaveTimeout)
 	defer cancel()
-	_ = s.inbox.Post(ctx, controller.ProxyLeft{Stream: st}) // fails only if the loop has ended
+	_ = s.inbox.Post(ctx, controller.ProxyLeft{Stream: st}) // fails only if the control loop has stopped
 }
 
-// withoutEndOfStream drops errors that only mean that a stream has ended.
+// ignoreStreamEnd returns nil if err only means that the connection was closed, and err otherwise.
 func ignoreStreamEnd(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) {
 		return nil
@@ -63,7 +64,8 @@
 	return err
 }
 
-// readAll reads messages until the stream ends, the proxy says goodbye, or it is silent for too long.
+// readAll reads and handles messages until the stream ends, the proxy sends a Bye, or no message arrives for
+// shutdown.SilentBeats heartbeat intervals. It returns nil after a Bye.
 func (s *Server) readAll(ctx context.Context, st *stream, r *wire.Reader) error {
 	for {
 		if err := st.conn.SetReadDeadline(time.Now().Add(shutdown.SilentBeats * s.config.Beat)); err != nil {
@@ -82,7 +84,7 @@
 	}
 }
 
-// receive handles one message of a proxy.
+// receive handles one message of a proxy. It returns ErrSlow if a frame has been unacknowledged for too long.
 func (s *Server) receive(ctx context.Context, st *stream, m wire.Message) error {
 	switch m := m.(type) {
 	case *wire.LoadReport:
@@ -99,7 +101,7 @@
 	return fmt.Errorf("%T from a proxy: %w", m, wire.ErrType)
 }
 
-// writeAll writes queued messages and heartbeats until the stream ends, and then the last message.
+// writeAll writes queued messages and heartbeats until the stream ends, and then its last message.
 func (s *Server) writeAll(st *stream, w *wire.Writer) error {
 	heartbeat := time.NewTicker(s.config.Beat)
 	defer heartbeat.Stop()
@@ -120,7 +122,7 @@
 	}
 }
 
-// write writes a message within the write deadline.
+// write writes a message and fails if that takes longer than the write timeout.
 func (s *Server) write(st *stream, w *wire.Writer, m wire.Message) error {
 	if err := st.conn.SetWriteDeadline(time.Now().Add(s.config.WriteDeadline)); err != nil {
 		return fmt.Errorf("set deadline: %w", err)
@@ -135,7 +137,7 @@
 	if !ok {
 		return nil
 	}
-	_ = st.conn.SetWriteDeadline(time.Now().Add(s.config.WriteDeadline)) // if this fails, so does the write
+	_ = st.conn.SetWriteDeadline(time.Now().Add(s.config.WriteDeadline)) // if this fails, the write below fails too
 	_, err := w.Write(last)
 	return err
 }
