--- a/internal/transport/framed/stream.go
+++ b/internal/transport/framed/stream.go
@@ -10,23 +10,24 @@
 	"indigousher/internal/wire"
 )
 
-// ErrSlow ends the stream of a proxy that does not keep up with reading.
+// ErrSlow means that a proxy does not read or process messages fast enough. Its stream is closed.
 var ErrSlow = errors.New("the proxy reads too slowly or not at all")
 
-// stream is the stream of one proxy. It implements controller.Stream.
+// stream is the connection of one proxy. It implements controller.Stream.
 type stream struct {
 	conn    net.Conn
-	queue   chan wire.Message // queue to the writer
+	queue   chan wire.Message // messages to be sent by the writer goroutine
 	end     *shutdown.Notice[wire.Message]
 	unacked unackedFrames
 }
 
-// Send queues orders. It returns ErrSlow if the queue is full.
+// Send queues commands for the proxy. It returns ErrSlow if the queue is full.
 func (st *stream) Send(m *wire.Commands) error { return st.enqueue(m) }
 
-// Ask queues advice on load reports. It returns ErrSlow if the queue is full.
+// Ask queues a Pace message, which changes how the proxy reports load. It returns ErrSlow if the queue is full.
 func (st *stream) Ask(m *wire.Pace) error { return st.enqueue(m) }
 
+// enqueue queues a message without blocking. It returns ErrSlow if the queue is full.
 func (st *stream) enqueue(m wire.Message) error {
 	select {
 	case st.queue <- m:
@@ -36,36 +37,37 @@
 	}
 }
 
-// Close ends the stream and sends the reason to the proxy.
+// Close ends the stream and sends the reason to the proxy, truncated to wire.MaxText bytes.
 func (st *stream) Close(reason string) {
 	st.end.CloseWith(reason, &wire.Refuse{Reason: reason[:min(len(reason), wire.MaxText)]})
 }
 
-// closeConn closes the connection, which ends both goroutines. It may be called repeatedly.
+// closeConn closes the connection, which unblocks the reader and the writer. It may be called repeatedly.
 func (st *stream) closeConn() {
-	_ = st.conn.Close() // fails when called again
+	_ = st.conn.Close() // returns an error if the connection is closed already
 }
 
-// unackedFrames are the frames that a proxy has not acknowledged yet. The writer adds and the reader removes them.
+// unackedFrames holds the sent frames that the proxy has not acknowledged yet. The writer goroutine adds frames and the
+// reader goroutine removes them.
 type unackedFrames struct {
 	mu     sync.Mutex
-	frames []frame // in ascending order of numbers
+	frames []frame // sorted by sequence number
 }
 
-// frame is a written frame.
+// frame records when a frame was written.
 type frame struct {
-	number    uint32
+	number    uint32 // sequence number
 	writtenAt time.Time
 }
 
-// add adds a written frame. Numbers increase.
+// add records a written frame. Each number must be greater than the previous one.
 func (u *unackedFrames) add(number uint32, at time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.frames = append(u.frames, frame{number, at})
 }
 
-// acknowledge removes the frames up to a number.
+// acknowledge removes all frames with sequence numbers up to and including number.
 func (u *unackedFrames) acknowledge(number uint32) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -74,7 +76,7 @@
 	}
 }
 
-// olderThan reports whether a frame written before a time is unacknowledged.
+// olderThan reports whether any unacknowledged frame was written before the given time.
 func (u *unackedFrames) olderThan(before time.Time) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
