--- a/internal/transport/framed/framed_test.go
+++ b/internal/transport/framed/framed_test.go
@@ -23,12 +23,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// inbox records inputs.
+// inbox records the posted inputs in order.
 type inbox struct {
 	mu  sync.Mutex
 	got []controller.Input
 }
 
+// Post implements controller.Inbox.
 func (i *inbox) Post(_ context.Context, in controller.Input) error {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -36,7 +37,7 @@
 	return nil
 }
 
-// joined returns the stream of a proxy that has joined.
+// joined waits until the proxy with the given name has joined and returns its stream.
 func (i *inbox) joined(t *testing.T, name string) (s controller.Stream) {
 	require.Eventually(t, func() bool {
 		i.mu.Lock()
@@ -51,7 +52,7 @@
 	return s
 }
 
-// left waits until the end of a stream has been reported, exactly once.
+// left waits until exactly one ProxyLeft input has been posted for a stream.
 func (i *inbox) left(t *testing.T, s controller.Stream) {
 	require.Eventually(t, func() bool {
 		i.mu.Lock()
@@ -66,7 +67,8 @@
 	}, 5*time.Second, time.Millisecond)
 }
 
-// serve starts a server and returns its address.
+// serve starts a server with short timeouts, which change may modify unless it is nil. It returns the server, its inbox,
+// its address and a function that stops it.
 func serve(t *testing.T, change func(*ListenerConfig)) (*Server, *inbox, string, context.CancelFunc) {
 	config := ListenerConfig{
 		Pilot: "one", Beat: 100 * time.Millisecond, Period: time.Second, WriteDeadline: 200 * time.Millisecond,
@@ -86,6 +88,7 @@
 	return s, in, l.Addr().String(), cancel
 }
 
+// dial connects to an address, with a deadline of 10 s for the whole connection.
 func dial(t *testing.T, address string) net.Conn {
 	c, err := net.Dial("tcp", address)
 	require.NoError(t, err)
@@ -94,6 +97,7 @@
 	return c
 }
 
+// join connects a proxy with the given name and waits for the Welcome.
 func join(t *testing.T, address, name string) (net.Conn, *wire.Reader, *wire.Writer) {
 	c := dial(t, address)
 	w, r := wire.NewWriter(c), wire.NewReader(c, 0)
@@ -105,7 +109,7 @@
 	return c, r, w
 }
 
-// untilEnd reads to the end of the stream and returns the last message other than a heartbeat.
+// untilEnd reads until the stream ends and returns the last message other than a heartbeat, or nil if there was none.
 func untilEnd(r *wire.Reader) (last wire.Message) {
 	for {
 		m, err := r.Read()
@@ -118,24 +122,24 @@
 	}
 }
 
-// TestBadStreams checks that an error on one stream ends that stream only.
+// TestBadStreams checks that invalid data or silence on one stream ends only that stream.
 func TestBadStreams(t *testing.T) {
-	raw := func(size uint32, kind byte, number uint32, body string) []byte {
+	rawFrame := func(size uint32, kind byte, number uint32, body string) []byte {
 		b := binary.BigEndian.AppendUint32(nil, size)
 		return append(binary.BigEndian.AppendUint32(append(b, kind), number), body...)
 	}
 	for _, c := range []struct {
 		name  string
-		after []byte // the hello
+		after []byte // data sent after the Hello
 	}{
-		{"a frame beyond the limit", raw(5000, 4, 2, "")},
-		{"a frame out of order", raw(1, 4, 7, "\x00")},
-		{"a frame repeated", append(raw(1, 4, 2, "\x00"), raw(1, 4, 2, "\x00")...)},
-		{"an unknown type", raw(0, 99, 2, "")},
-		{"a body that ends too early", raw(3, 5, 2, "abc")},
-		{"a message that proxies don't send", raw(1, 3, 2, "\x00")},
-		{"noise", []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n")},
-		{"half a frame, then silence", raw(10, 5, 2, "abc")},
+		{"a frame beyond the limit", rawFrame(5000, 4, 2, "")},
+		{"a frame out of order", rawFrame(1, 4, 7, "\x00")},
+		{"a repeated frame", append(rawFrame(1, 4, 2, "\x00"), rawFrame(1, 4, 2, "\x00")...)},
+		{"an unknown type", rawFrame(0, 99, 2, "")},
+		{"a body that ends too early", rawFrame(3, 5, 2, "abc")},
+		{"a message that proxies don't send", rawFrame(1, 3, 2, "\x00")},
+		{"another protocol", []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n")},
+		{"half a frame, then silence", rawFrame(10, 5, 2, "abc")},
 		{"silence", nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -160,7 +164,7 @@
 			for {
 				m, err := goodR.Read()
 				require.NoError(t, err)
-				if _, orders := m.(*wire.Commands); orders {
+				if _, isCommands := m.(*wire.Commands); isCommands {
 					return
 				}
 			}
@@ -168,7 +172,7 @@
 	}
 }
 
-// TestRefusedHellos checks the answers to invalid hellos.
+// TestRefusedHellos checks which Refuse message answers an invalid first message.
 func TestRefusedHellos(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -196,18 +200,18 @@
 	}
 }
 
-// TestSlowReader checks that a proxy that does not read loses its stream, by the write deadline or because its queue is
-// full, and that other proxies are not affected.
+// TestSlowReader checks that the stream of a proxy that does not read is closed, because a write times out or the queue
+// is full, and that other proxies are not affected.
 func TestSlowReader(t *testing.T) {
 	_, in, address, _ := serve(t, nil)
 	_, r, w := join(t, address, "quick")
 	join(t, address, "slow")
 	slow, quick := in.joined(t, "slow"), in.joined(t, "quick")
-	big := &wire.Commands{}
+	large := &wire.Commands{}
 	for range 20000 {
-		big.Ops = append(big.Ops, wire.Op{Kind: wire.OpSetWeight, Endpoint: "127.0.0.1:12345", Weight: 1})
+		large.Ops = append(large.Ops, wire.Op{Kind: wire.OpSetWeight, Endpoint: "127.0.0.1:12345", Weight: 1})
 	}
-	got := make(chan int, 1)
+	received := make(chan int, 1)
 	go func() {
 		n := 0
 		for n < 20 {
@@ -220,12 +224,12 @@
 				_, _ = w.Write(&wire.Heartbeat{})
 			}
 		}
-		got <- n
+		received <- n
 	}()
 	var slowErr error
 	for range 20 {
 		if slowErr == nil {
-			slowErr = slow.Send(big)
+			slowErr = slow.Send(large)
 		}
 		for quick.Send(&wire.Commands{CostLines: 1}) != nil {
 			time.Sleep(time.Millisecond)
@@ -235,42 +239,43 @@
 		assert.ErrorIs(t, slowErr, ErrSlow)
 		slow.Close(slowErr.Error())
 	}
-	assert.Equal(t, 20, <-got)
+	assert.Equal(t, 20, <-received)
 	in.left(t, slow)
 }
 
-// TestUnacknowledged checks that the stream ends if a proxy keeps sending but no longer acknowledges what it receives.
+// TestUnacknowledged checks that the stream of a proxy is closed if the proxy keeps sending heartbeats but does not
+// acknowledge a frame within SeenWithin.
 func TestUnacknowledged(t *testing.T) {
 	_, in, address, _ := serve(t, nil)
 	c, r, w := join(t, address, "deaf")
 	st := in.joined(t, "deaf")
-	alive := func(seen uint32, during time.Duration) (err error) {
+	sendHeartbeats := func(lastProcessed uint32, during time.Duration) (err error) {
 		for end := time.Now().Add(during); time.Now().Before(end) && err == nil; time.Sleep(20 * time.Millisecond) {
-			_, err = w.Write(&wire.Heartbeat{LastProcessed: seen})
+			_, err = w.Write(&wire.Heartbeat{LastProcessed: lastProcessed})
 		}
 		return err
 	}
 	require.NoError(t, st.Send(&wire.Commands{CostLines: 1}))
-	require.NoError(t, alive(1, 300*time.Millisecond))
+	require.NoError(t, sendHeartbeats(1, 300*time.Millisecond))
 	for r.Last() < 2 {
 		_, err := r.Read()
 		require.NoError(t, err)
 	}
-	require.NoError(t, alive(9, 700*time.Millisecond), "all is dealt with")
+	require.NoError(t, sendHeartbeats(9, 700*time.Millisecond), "every frame is acknowledged")
 	require.NoError(t, st.Send(&wire.Commands{CostLines: 1}))
-	assert.Error(t, alive(1, 5*time.Second))
+	assert.Error(t, sendHeartbeats(1, 5*time.Second))
 	in.left(t, st)
-	_ = c.Close() // the server has closed it
+	_ = c.Close() // the server has closed the connection already
 }
 
-// TestStop checks that a server that is stopped redirects its proxies, and that one that is killed sends nothing.
+// TestStop checks that a stopped server redirects its proxies and that a killed server sends no last message.
 func TestStop(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		stop func(*Server, context.CancelFunc)
 		want wire.Message
 	}{
-		{"asked", func(_ *Server, cancel context.CancelFunc) { cancel() }, &wire.Redirect{Reason: "this pilot stops"}},
+		{"stopped", func(_ *Server, cancel context.CancelFunc) { cancel() }, &wire.Redirect{Reason: "this pilot stops"}},
 		{"killed", func(s *Server, _ context.CancelFunc) { s.Kill() }, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -284,7 +289,7 @@
 	}
 }
 
-// TestTooMany checks the limit of open streams.
+// TestTooMany checks that a stream beyond MaxStreams is closed and that a new one is accepted after another has ended.
 func TestTooMany(t *testing.T) {
 	s, _, address, _ := serve(t, func(config *ListenerConfig) { config.MaxStreams = 1; config.Beat = time.Second })
 	_, _, w := join(t, address, "first")
@@ -296,25 +301,27 @@
 	join(t, address, "second")
 }
 
-// exhaustedListener is a listener in a process that temporarily has no file descriptors left.
+// exhaustedListener is a listener whose Accept first fails a number of times for lack of file descriptors.
 type exhaustedListener struct {
 	net.Listener
-	left atomic.Int32
+	failures atomic.Int32 // remaining failures
 }
 
+// Accept implements net.Listener.
 func (l *exhaustedListener) Accept() (net.Conn, error) {
-	if l.left.Add(-1) >= 0 {
+	if l.failures.Add(-1) >= 0 {
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 	}
 	return l.Listener.Accept()
 }
 
-// TestNoDescriptor checks that the server survives a temporary lack of file descriptors, but not a closed listener.
+// TestNoDescriptor checks that Serve continues after a temporary lack of file descriptors and returns an error if the
+// listener is closed.
 func TestNoDescriptor(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	out := &exhaustedListener{Listener: l}
-	out.left.Store(3)
+	exhausted := &exhaustedListener{Listener: l}
+	exhausted.failures.Store(3)
 	in := &inbox{}
 	s := NewServer(ListenerConfig{
 		Pilot: "one", Beat: time.Second, Period: time.Second, WriteDeadline: time.Second, SeenWithin: time.Second,
@@ -322,16 +329,16 @@
 	}, in, zap.NewNop())
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
-	go func() { done <- s.Serve(ctx, out) }()
+	go func() { done <- s.Serve(ctx, exhausted) }()
 	join(t, l.Addr().String(), "p")
 	in.joined(t, "p")
 	cancel()
 	assert.NoError(t, <-done)
-	broken := &exhaustedListener{Listener: l} // closed meanwhile: that is no passing matter
-	assert.ErrorIs(t, s.Serve(t.Context(), broken), net.ErrClosed)
+	closed := &exhaustedListener{Listener: l} // closed when the first Serve returned, which is a permanent error
+	assert.ErrorIs(t, s.Serve(t.Context(), closed), net.ErrClosed)
 }
 
-// TestRefused checks that the reason with which the controller closes a stream reaches the proxy.
+// TestRefused checks that the reason passed to Stream.Close is sent to the proxy.
 func TestRefused(t *testing.T) {
 	_, in, address, _ := serve(t, nil)
 	c, r, _ := join(t, address, "p")
--- a/internal/transport/framed/stream_test.go
+++ b/internal/transport/framed/stream_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestUnackedFrames checks the age of the oldest unacknowledged frame.
+// TestUnackedFrames checks that acknowledging a number removes all frames up to it, and that olderThan considers the
+// oldest remaining frame.
 func TestUnackedFrames(t *testing.T) {
 	var u unackedFrames
 	start := time.Now()
@@ -19,7 +20,7 @@
 	u.acknowledge(1)
 	assert.False(t, u.olderThan(start.Add(time.Second)))
 	assert.True(t, u.olderThan(start.Add(1500*time.Millisecond)))
-	u.acknowledge(4) // frames between are heartbeats, which are not waited for
+	u.acknowledge(4) // frames 3 and 4 were heartbeats, which are not recorded
 	assert.False(t, u.olderThan(start.Add(2*time.Second)))
 	u.acknowledge(9)
 	assert.False(t, u.olderThan(start.Add(time.Hour)))
