--- a/internal/transport/framed/framed_test.go
+++ b/internal/transport/framed/framed_test.go
@@ -289,8 +289,8 @@
 	}
 }
 
-// TestTooMany checks that a stream beyond MaxStreams is closed and that a new one is accepted after another has ended.
-func TestTooMany(t *testing.T) {
+// TestMaxStreams checks that a stream beyond MaxStreams is closed and that a new one is accepted after another has ended.
+func TestMaxStreams(t *testing.T) {
 	s, _, address, _ := serve(t, func(config *ListenerConfig) { config.MaxStreams = 1; config.Beat = time.Second })
 	_, _, w := join(t, address, "first")
 	assert.Nil(t, untilEnd(wire.NewReader(dial(t, address), 0)))
