--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -11,7 +11,7 @@
 )
 
 // checkText returns an error if a text exceeds the limit of the framed protocol.
-func checkText(s string) error {
+func checkTextLength(s string) error {
 	if len(s) > wire.MaxText {
 		return fmt.Errorf("text of %d bytes: %w", len(s), wire.ErrValue)
 	}
@@ -19,7 +19,7 @@
 }
 
 // checkFigure returns an error unless a figure is finite and not negative.
-func checkFigure(v float64) error {
+func checkNumber(v float64) error {
 	if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 		return fmt.Errorf("figure %v: %w", v, wire.ErrValue)
 	}
@@ -27,7 +27,7 @@
 }
 
 // helloFrom decodes and validates a hello. The error wraps wire.ErrValue.
-func helloFrom(h *pb.Hello) (*wire.Hello, error) {
+func decodeHello(h *pb.Hello) (*wire.Hello, error) {
 	hello := &wire.Hello{
 		Version: int(h.GetVersion()),
 		Proxy:   h.GetProxy(),
@@ -37,18 +37,18 @@
 		Fresh:   h.GetFresh(),
 		Holds:   h.GetHolds(),
 	}
-	if err := cmp.Or(checkText(hello.Proxy), checkText(hello.Zone), checkFigure(hello.Rate)); err != nil {
+	if err := cmp.Or(checkTextLength(hello.Proxy), checkTextLength(hello.Zone), checkNumber(hello.Rate)); err != nil {
 		return nil, err
 	}
 	for _, t := range h.GetTables() {
-		table, err := heldTableFrom(t)
+		table, err := decodeHeldTable(t)
 		if err != nil {
 			return nil, err
 		}
 		hello.Tables = append(hello.Tables, table)
 	}
 	for _, endpoint := range hello.Holds {
-		if err := checkText(endpoint); err != nil {
+		if err := checkTextLength(endpoint); err != nil {
 			return nil, err
 		}
 	}
@@ -59,11 +59,11 @@
 }
 
 // heldTableFrom decodes and validates a table that a proxy holds.
-func heldTableFrom(t *pb.HeldTable) (wire.HeldTable, error) {
+func decodeHeldTable(t *pb.HeldTable) (wire.HeldTable, error) {
 	table := wire.HeldTable{Table: int(t.GetTable())}
 	for _, l := range t.GetLines() {
 		line := wire.HeldLine{Endpoint: l.GetEndpoint(), Weight: l.GetWeight()}
-		if err := cmp.Or(checkText(line.Endpoint), checkFigure(line.Weight)); err != nil {
+		if err := cmp.Or(checkTextLength(line.Endpoint), checkNumber(line.Weight)); err != nil {
 			return wire.HeldTable{}, err
 		}
 		table.Lines = append(table.Lines, line)
@@ -72,111 +72,111 @@
 }
 
 // reportFrom decodes and validates a load report. The error wraps wire.ErrValue.
-func reportFrom(r *pb.Report) (*wire.LoadReport, error) {
-	sums := &wire.LoadReport{Seq: r.GetNumber(), AtMs: r.GetAtMs(), SpanMs: r.GetSpanMs()}
+func decodeReport(r *pb.Report) (*wire.LoadReport, error) {
+	report := &wire.LoadReport{Seq: r.GetNumber(), AtMs: r.GetAtMs(), SpanMs: r.GetSpanMs()}
 	if len(r.GetEndpoints()) > wire.MaxItems || len(r.GetKinds()) > wire.MaxItems {
 		return nil, fmt.Errorf("report of %d lines: %w", len(r.GetEndpoints()), wire.ErrValue)
 	}
-	if err := cmp.Or(checkFigure(sums.AtMs), checkFigure(sums.SpanMs)); err != nil {
+	if err := cmp.Or(checkNumber(report.AtMs), checkNumber(report.SpanMs)); err != nil {
 		return nil, err
 	}
 	for _, e := range r.GetEndpoints() {
-		met, err := endpointLoadFrom(e)
+		stats, err := decodeEndpointLoad(e)
 		if err != nil {
 			return nil, err
 		}
-		sums.EndpointStats = append(sums.EndpointStats, met)
+		report.EndpointStats = append(report.EndpointStats, stats)
 	}
 	for _, k := range r.GetKinds() {
-		demand := wire.RequestStats{Class: k.GetKind(), Requests: int(k.GetReqs()), Unanswered: int(k.GetUnanswered())}
-		if err := checkText(demand.Class); err != nil {
+		stats := wire.RequestStats{Class: k.GetKind(), Requests: int(k.GetReqs()), Unanswered: int(k.GetUnanswered())}
+		if err := checkTextLength(stats.Class); err != nil {
 			return nil, err
 		}
-		sums.RequestStats = append(sums.RequestStats, demand)
+		report.RequestStats = append(report.RequestStats, stats)
 	}
 	for _, l := range r.GetSlices() {
-		slice, err := sliceLoadFrom(l)
+		stats, err := decodeSliceLoad(l)
 		if err != nil {
 			return nil, err
 		}
-		sums.SliceStats = append(sums.SliceStats, slice)
+		report.SliceStats = append(report.SliceStats, stats)
 	}
-	return sums, nil
+	return report, nil
 }
 
 // endpointLoadFrom decodes and validates the load of one endpoint. The figures are sorted by name, since the iteration
 // order of a map varies.
-func endpointLoadFrom(e *pb.EndpointLoad) (wire.EndpointStats, error) {
-	met := wire.EndpointStats{
+func decodeEndpointLoad(e *pb.EndpointLoad) (wire.EndpointStats, error) {
+	stats := wire.EndpointStats{
 		Endpoint: e.GetEndpoint(),
 		Attempts: int(e.GetTries()),
 		Failed:   int(e.GetFailed()),
 		MeanMs:   e.GetMeanMs(),
 	}
-	if err := cmp.Or(checkText(met.Endpoint), checkFigure(met.MeanMs)); err != nil {
+	if err := cmp.Or(checkTextLength(stats.Endpoint), checkNumber(stats.MeanMs)); err != nil {
 		return wire.EndpointStats{}, err
 	}
-	if met.Failed > met.Attempts {
-		return wire.EndpointStats{}, fmt.Errorf("%d failed of %d: %w", met.Failed, met.Attempts, wire.ErrValue)
+	if stats.Failed > stats.Attempts {
+		return wire.EndpointStats{}, fmt.Errorf("%d failed of %d: %w", stats.Failed, stats.Attempts, wire.ErrValue)
 	}
 	for name, value := range e.GetFigures() {
-		if err := cmp.Or(checkText(name), checkFigure(value)); err != nil {
+		if err := cmp.Or(checkTextLength(name), checkNumber(value)); err != nil {
 			return wire.EndpointStats{}, err
 		}
-		met.Load = append(met.Load, wire.LoadMetric{Name: name, Value: value})
+		stats.Load = append(stats.Load, wire.LoadMetric{Name: name, Value: value})
 	}
-	slices.SortFunc(met.Load, func(a, b wire.LoadMetric) int { return cmp.Compare(a.Name, b.Name) })
-	return met, nil
+	slices.SortFunc(stats.Load, func(a, b wire.LoadMetric) int { return cmp.Compare(a.Name, b.Name) })
+	return stats, nil
 }
 
 // sliceLoadFrom decodes and validates the load of one slice.
-func sliceLoadFrom(l *pb.SliceLoad) (wire.SliceStats, error) {
-	slice := wire.SliceStats{
+func decodeSliceLoad(l *pb.SliceLoad) (wire.SliceStats, error) {
+	stats := wire.SliceStats{
 		Slice:      int(l.GetSlice()),
 		Class:      l.GetKind(),
 		Requests:   int(l.GetReqs()),
 		Unanswered: int(l.GetUnanswered()),
 	}
-	return slice, checkText(slice.Class)
+	return stats, checkTextLength(stats.Class)
 }
 
 // OrdersFrom decodes an assignment on the proxy's side. Unknown steps are ignored; marks come last.
 func OrdersFrom(a *pb.Assignment) *wire.Commands {
-	orders := &wire.Commands{AtMs: a.GetOrderedMs(), AgeMs: a.GetWaitedMs(), CostLines: int(a.GetLines())}
+	commands := &wire.Commands{AtMs: a.GetOrderedMs(), AgeMs: a.GetWaitedMs(), CostLines: int(a.GetLines())}
 	for _, s := range a.GetSteps() {
-		if op, known := opFrom(s); known {
-			orders.Ops = append(orders.Ops, op)
+		if op, known := decodeStep(s); known {
+			commands.Ops = append(commands.Ops, op)
 		}
 	}
 	for _, number := range a.GetMarks() {
-		orders.Ops = append(orders.Ops, wire.Op{Kind: wire.OpAckRequest, AckNumber: int(number)})
+		commands.Ops = append(commands.Ops, wire.Op{Kind: wire.OpAckRequest, AckNumber: int(number)})
 	}
-	return orders
+	return commands
 }
 
 // opFrom decodes one step of an assignment.
-func opFrom(s *pb.Step) (op wire.Op, known bool) {
-	switch does := s.GetDoes().(type) {
+func decodeStep(s *pb.Step) (op wire.Op, known bool) {
+	switch content := s.GetDoes().(type) {
 	case *pb.Step_Bind:
-		b := does.Bind
+		b := content.Bind
 		return wire.Op{Kind: wire.OpAssignTable, Table: int(b.GetTable()), Classes: int(b.GetKinds()), KeepLines: b.GetKeep()}, true
 	case *pb.Step_Line:
-		l := does.Line
+		l := content.Line
 		return wire.Op{Kind: wire.OpSetWeight, Table: int(l.GetTable()), Endpoint: l.GetEndpoint(), Weight: l.GetWeight()}, true
 	case *pb.Step_Clear:
-		return wire.Op{Kind: wire.OpClearTable, Table: int(does.Clear.GetTable())}, true
+		return wire.Op{Kind: wire.OpClearTable, Table: int(content.Clear.GetTable())}, true
 	case *pb.Step_Withdraw:
-		w := does.Withdraw
+		w := content.Withdraw
 		return wire.Op{Kind: wire.OpSetExcluded, Endpoint: w.GetEndpoint(), Remove: w.GetOut()}, true
 	case *pb.Step_Level:
-		return levelOpFrom(does.Level), true
+		return decodeLevel(content.Level), true
 	case *pb.Step_Range:
-		return rangeOpFrom(does.Range), true
+		return decodeRange(content.Range), true
 	}
 	return wire.Op{}, false
 }
 
-func levelOpFrom(l *pb.Level) wire.Op {
+func decodeLevel(l *pb.Level) wire.Op {
 	return wire.Op{
 		Kind:      wire.OpSetAdmission,
 		Table:     int(l.GetTable()),
@@ -186,7 +186,7 @@
 	}
 }
 
-func rangeOpFrom(r *pb.KeyRange) wire.Op {
+func decodeRange(r *pb.KeyRange) wire.Op {
 	return wire.Op{
 		Kind:   wire.OpAssignRange,
 		Table:  int(r.GetTable()),
--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -30,26 +30,26 @@
 func Report(s *wire.LoadReport) *pb.Report {
 	report := &pb.Report{Number: s.Seq, AtMs: s.AtMs, SpanMs: s.SpanMs}
 	for i := range s.EndpointStats {
-		report.Endpoints = append(report.Endpoints, endpointLoad(&s.EndpointStats[i]))
+		report.Endpoints = append(report.Endpoints, encodeEndpointLoad(&s.EndpointStats[i]))
 	}
 	for _, d := range s.RequestStats {
-		kind := &pb.KindLoad{Kind: d.Class, Reqs: uint32(d.Requests), Unanswered: uint32(d.Unanswered)}
-		report.Kinds = append(report.Kinds, kind)
+		load := &pb.KindLoad{Kind: d.Class, Reqs: uint32(d.Requests), Unanswered: uint32(d.Unanswered)}
+		report.Kinds = append(report.Kinds, load)
 	}
 	for _, l := range s.SliceStats {
-		slice := &pb.SliceLoad{
+		load := &pb.SliceLoad{
 			Slice:      uint32(l.Slice),
 			Kind:       l.Class,
 			Reqs:       uint32(l.Requests),
 			Unanswered: uint32(l.Unanswered),
 		}
-		report.Slices = append(report.Slices, slice)
+		report.Slices = append(report.Slices, load)
 	}
 	return report
 }
 
 // endpointLoad encodes the load of one endpoint.
-func endpointLoad(m *wire.EndpointStats) *pb.EndpointLoad {
+func encodeEndpointLoad(m *wire.EndpointStats) *pb.EndpointLoad {
 	load := &pb.EndpointLoad{
 		Endpoint: m.Endpoint,
 		Tries:    uint32(m.Attempts),
@@ -66,37 +66,37 @@
 }
 
 // steps encodes the ops of an assignment. Marks are returned separately.
-func steps(ops []wire.Op) (list []*pb.Step, marks []uint32) {
+func encodeOps(ops []wire.Op) (steps []*pb.Step, ackNumbers []uint32) {
 	for i := range ops {
 		if ops[i].Kind == wire.OpAckRequest {
-			marks = append(marks, uint32(ops[i].AckNumber))
+			ackNumbers = append(ackNumbers, uint32(ops[i].AckNumber))
 			continue
 		}
-		list = append(list, step(&ops[i]))
+		steps = append(steps, encodeOp(&ops[i]))
 	}
-	return list, marks
+	return steps, ackNumbers
 }
 
 // step encodes one op other than a mark.
-func step(op *wire.Op) *pb.Step {
+func encodeOp(op *wire.Op) *pb.Step {
 	switch op.Kind {
 	case wire.OpAssignTable:
-		return bindStep(op)
+		return encodeAssignTable(op)
 	case wire.OpSetWeight:
-		return lineStep(op)
+		return encodeSetWeight(op)
 	case wire.OpClearTable:
 		return &pb.Step{Does: &pb.Step_Clear{Clear: &pb.Clear{Table: uint32(op.Table)}}}
 	case wire.OpSetExcluded:
 		return &pb.Step{Does: &pb.Step_Withdraw{Withdraw: &pb.Withdraw{Endpoint: op.Endpoint, Out: op.Remove}}}
 	case wire.OpSetAdmission:
-		return levelStep(op)
+		return encodeSetAdmission(op)
 	case wire.OpAssignRange:
-		return rangeStep(op)
+		return encodeAssignRange(op)
 	}
 	return nil
 }
 
-func bindStep(op *wire.Op) *pb.Step {
+func encodeAssignTable(op *wire.Op) *pb.Step {
 	return &pb.Step{Does: &pb.Step_Bind{Bind: &pb.Bind{
 		Table: uint32(op.Table),
 		Kinds: uint32(op.Classes),
@@ -104,7 +104,7 @@
 	}}}
 }
 
-func lineStep(op *wire.Op) *pb.Step {
+func encodeSetWeight(op *wire.Op) *pb.Step {
 	return &pb.Step{Does: &pb.Step_Line{Line: &pb.Line{
 		Table:    uint32(op.Table),
 		Endpoint: op.Endpoint,
@@ -112,7 +112,7 @@
 	}}}
 }
 
-func levelStep(op *wire.Op) *pb.Step {
+func encodeSetAdmission(op *wire.Op) *pb.Step {
 	return &pb.Step{Does: &pb.Step_Level{Level: &pb.Level{
 		Table: uint32(op.Table),
 		Kinds: uint32(op.Classes),
@@ -121,7 +121,7 @@
 	}}}
 }
 
-func rangeStep(op *wire.Op) *pb.Step {
+func encodeAssignRange(op *wire.Op) *pb.Step {
 	return &pb.Step{Does: &pb.Step_Range{Range: &pb.KeyRange{
 		Table: uint32(op.Table),
 		From:  []byte(op.From),
--- a/internal/transport/grpcapi/grpcapi_test.go
+++ b/internal/transport/grpcapi/grpcapi_test.go
@@ -249,8 +249,8 @@
 	}
 	wg.Wait()
 	assert.Equal(t, many, s.Streams())
-	assert.EqualValues(t, 1000, s.pace.Limit())
-	assert.Equal(t, newStreamBurst, s.pace.Burst())
+	assert.EqualValues(t, 1000, s.newStreamLimiter.Limit())
+	assert.Equal(t, newStreamBurst, s.newStreamLimiter.Burst())
 	assert.Len(t, in.joins(t, many), many)
 }
 
@@ -261,7 +261,7 @@
 		ops := []wire.Op{set("x", float64(i)), set("y", 1), {Kind: wire.OpAckRequest, AckNumber: 1}}
 		require.NoError(t, st.Send(&wire.Commands{CostLines: 2, Ops: ops}))
 	}
-	a := st.next().GetAssignment()
+	a := st.takeNext().GetAssignment()
 	require.Len(t, a.GetSteps(), 2)
 	assert.Equal(t, 999.0, a.GetSteps()[0].GetLine().GetWeight())
 	assert.Equal(t, []uint32{1}, a.GetMarks())
@@ -292,12 +292,12 @@
 			return
 		}
 		if h := m.GetHello(); h != nil {
-			if out, err := helloFrom(h); err == nil {
+			if out, err := decodeHello(h); err == nil {
 				assert.NotEmpty(t, out.Proxy)
 			}
 		}
 		if r := m.GetReport(); r != nil {
-			if out, err := reportFrom(r); err == nil {
+			if out, err := decodeReport(r); err == nil {
 				assert.False(t, out.SpanMs < 0)
 			}
 		}
--- a/internal/transport/grpcapi/handshake.go
+++ b/internal/transport/grpcapi/handshake.go
@@ -24,19 +24,19 @@
 type controlStream = grpc.BidiStreamingServer[pb.Upward, pb.Downward]
 
 // greet reads and checks the hello. Why an identity was rejected is reported to operators only.
-func (s *Server) greet(g controlStream) (*wire.Hello, error) {
+func (s *Server) receiveHello(g controlStream) (*wire.Hello, error) {
 	first, err := handshake.ReceiveFirst(s.config.HelloIn, refusalNoHello, g.Recv)
 	if err != nil {
 		return nil, err
 	}
-	message := first.GetHello()
-	if message == nil {
+	encoded := first.GetHello()
+	if encoded == nil {
 		return nil, status.Error(codes.InvalidArgument, refusalNoHello)
 	}
-	if version := message.GetVersion(); version != wire.Version {
+	if version := encoded.GetVersion(); version != wire.Version {
 		return nil, status.Errorf(codes.FailedPrecondition, "version %d is not spoken here, %d is", version, wire.Version)
 	}
-	hello, err := helloFrom(message)
+	hello, err := decodeHello(encoded)
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
@@ -69,12 +69,12 @@
 	if !ok {
 		return identity.ErrIdentity
 	}
-	who, err := identity.FromConnection(info.State)
+	certified, err := identity.FromConnection(info.State)
 	if err != nil {
 		return err
 	}
-	if who.Name != name || who.Zone != zone {
-		return fmt.Errorf("%s says it is %s of %s: %w", who, name, zone, identity.ErrIdentity)
+	if certified.Name != name || certified.Zone != zone {
+		return fmt.Errorf("%s says it is %s of %s: %w", certified, name, zone, identity.ErrIdentity)
 	}
 	return nil
 }
--- a/internal/transport/grpcapi/server.go
+++ b/internal/transport/grpcapi/server.go
@@ -34,12 +34,12 @@
 	minPingInterval = time.Second
 	// keepaliveBeats is the number of heartbeat intervals after which a silent connection is pinged, and within which
 	// it has to answer.
-	keepaliveBeats = 3
+	keepaliveHeartbeats = 3
 	// idleHellos is how long a connection may be without streams, as a multiple of HelloIn. Idle connections would
 	// otherwise use up file descriptors.
-	idleHellos = 4
+	idleTimeoutFactor = 4
 	// stopPatience is how long a graceful shutdown may take before the remaining streams are closed.
-	stopPatience = time.Second
+	gracefulStopTimeout = time.Second
 )
 
 // ListenerConfig configures the listener and the streams that it accepts.
@@ -59,11 +59,11 @@
 // Server serves proxies' streams.
 type Server struct {
 	pb.UnimplementedControlServer
-	config ListenerConfig
-	inbox  controller.Inbox
-	log    *zap.Logger
-	pace   *rate.Limiter // limits new streams
-	grpc   *grpc.Server
+	config           ListenerConfig
+	inbox            controller.Inbox
+	log              *zap.Logger
+	newStreamLimiter *rate.Limiter // limits new streams
+	grpc             *grpc.Server
 
 	ctx  context.Context // lifetime of the server: ends when Serve returns, or with Kill
 	stop context.CancelFunc
@@ -75,7 +75,7 @@
 // New returns a server that does not listen yet. Other services may be registered with Registrar before Serve.
 func New(c ListenerConfig, inbox controller.Inbox, log *zap.Logger) *Server {
 	s := &Server{config: c, inbox: inbox, log: log, streams: map[*stream]bool{}}
-	s.pace = newPace(c.NewPerS)
+	s.newStreamLimiter = newLimiter(c.NewPerS)
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	s.grpc = grpc.NewServer(serverOptions(c)...)
 	pb.RegisterControlServer(s.grpc, s)
@@ -83,7 +83,7 @@
 }
 
 // newPace returns a limiter of new streams per second; 0 means no limit.
-func newPace(perS float64) *rate.Limiter {
+func newLimiter(perS float64) *rate.Limiter {
 	if perS <= 0 {
 		return rate.NewLimiter(rate.Inf, newStreamBurst)
 	}
@@ -96,9 +96,9 @@
 		grpc.MaxRecvMsgSize(c.MaxMessage),
 		grpc.MaxSendMsgSize(maxSendBytes),
 		grpc.KeepaliveParams(keepalive.ServerParameters{
-			Time:              keepaliveBeats * c.Beat,
-			Timeout:           keepaliveBeats * c.Beat,
-			MaxConnectionIdle: idleHellos * c.HelloIn,
+			Time:              keepaliveHeartbeats * c.Beat,
+			Timeout:           keepaliveHeartbeats * c.Beat,
+			MaxConnectionIdle: idleTimeoutFactor * c.HelloIn,
 		}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{
 			MinTime:             minPingInterval,
@@ -118,15 +118,15 @@
 
 // Serve serves proxies on l until ctx ends. It then redirects each proxy to another controller and shuts down.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
-	stopped := make(chan struct{})
-	disarm := context.AfterFunc(ctx, func() {
-		defer close(stopped)
+	shutDown := make(chan struct{})
+	cancelStop := context.AfterFunc(ctx, func() {
+		defer close(shutDown)
 		s.redirectAll()
 		s.stopGracefully()
 	})
 	err := s.grpc.Serve(l)
-	if !disarm() {
-		<-stopped
+	if !cancelStop() {
+		<-shutDown
 	}
 	s.stop()
 	if ctx.Err() != nil || errors.Is(err, grpc.ErrServerStopped) {
@@ -143,7 +143,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for st := range s.streams {
-		st.end.CloseWith(shutdown.ReasonStopping, redirect(&pb.Redirect{Reason: shutdown.ReasonStopping}))
+		st.end.CloseWith(shutdown.ReasonStopping, newRedirect(&pb.Redirect{Reason: shutdown.ReasonStopping}))
 	}
 }
 
@@ -156,7 +156,7 @@
 	}()
 	select {
 	case <-ended:
-	case <-time.After(stopPatience):
+	case <-time.After(gracefulStopTimeout):
 		s.grpc.Stop() // also ends GracefulStop
 		<-ended
 	}
--- a/internal/transport/grpcapi/session.go
+++ b/internal/transport/grpcapi/session.go
@@ -22,12 +22,12 @@
 // Follow serves the stream of one proxy. It writes in this goroutine and reads in another, which ends when Follow
 // returns.
 func (s *Server) Follow(g controlStream) error {
-	hello, err := s.greet(g)
+	hello, err := s.receiveHello(g)
 	if err != nil {
 		s.log.Warn("hello rejected", zap.Error(err))
 		return err
 	}
-	if err := s.pace.Wait(g.Context()); err != nil { // meanwhile the proxy uses the tables that it has
+	if err := s.newStreamLimiter.Wait(g.Context()); err != nil { // meanwhile the proxy uses the tables that it has
 		return status.Error(codes.Unavailable, "too many at once")
 	}
 	st, err := s.register()
@@ -67,7 +67,7 @@
 		if err != nil {
 			return err
 		}
-		st.heardNow()
+		st.recordReceived()
 		if _, bye := m.GetSays().(*pb.Upward_Bye); bye {
 			return nil
 		}
@@ -79,11 +79,11 @@
 
 // receive handles one message of a proxy. Unknown messages, of later versions, are ignored.
 func (s *Server) receive(st *stream, m *pb.Upward) error {
-	switch says := m.GetSays().(type) {
+	switch content := m.GetSays().(type) {
 	case *pb.Upward_Report:
-		return s.receiveReport(st, says.Report)
+		return s.receiveReport(st, content.Report)
 	case *pb.Upward_Ack:
-		return s.receiveAck(st, says.Ack)
+		return s.receiveAck(st, content.Ack)
 	case *pb.Upward_Hello:
 		return status.Error(codes.InvalidArgument, "a hello comes once")
 	}
@@ -92,11 +92,11 @@
 
 // receiveReport posts a load report to the controller.
 func (s *Server) receiveReport(st *stream, r *pb.Report) error {
-	sums, err := reportFrom(r)
+	report, err := decodeReport(r)
 	if err != nil {
 		return status.Error(codes.InvalidArgument, err.Error())
 	}
-	if s.inbox.Post(s.ctx, controller.LoadReported{Stream: st, Sums: sums}) != nil {
+	if s.inbox.Post(s.ctx, controller.LoadReported{Stream: st, Sums: report}) != nil {
 		return errStopping
 	}
 	return nil
@@ -104,12 +104,12 @@
 
 // receiveAck posts the marks that an acknowledgement answers to the controller. A refusal ends the stream.
 func (s *Server) receiveAck(st *stream, a *pb.Ack) error {
-	marks, err := st.acknowledge(a)
+	ackNumbers, err := st.acknowledge(a)
 	if err != nil {
 		s.log.Warn("assignment rejected", zap.Error(err))
 		return err
 	}
-	for _, number := range marks {
+	for _, number := range ackNumbers {
 		done := wire.Done{Mark: number, TookMs: a.GetTookMs()}
 		if s.inbox.Post(s.ctx, controller.Acked{Stream: st, Done: done}) != nil {
 			return errStopping
@@ -135,10 +135,10 @@
 		case <-st.end.Done():
 			return writeLast(g, st)
 		case <-st.wake:
-			m = st.next()
+			m = st.takeNext()
 		case <-heartbeat.C:
-			if why := st.overdue(s.config.SeenWithin, shutdown.SilentBeats*s.config.Beat); why != "" {
-				return status.Error(codes.DeadlineExceeded, why)
+			if reason := st.overdueReason(s.config.SeenWithin, shutdown.SilentBeats*s.config.Beat); reason != "" {
+				return status.Error(codes.DeadlineExceeded, reason)
 			}
 			m = &pb.Downward{Says: &pb.Downward_Beat{Beat: &pb.Beat{}}}
 		}
@@ -153,10 +153,10 @@
 
 // writeLast writes the last message of a stream that has ended, if there is one, and returns the status of its end.
 func writeLast(g controlStream, st *stream) error {
-	ended := status.Error(codes.Unavailable, st.end.Reason())
+	finalStatus := status.Error(codes.Unavailable, st.end.Reason())
 	last, ok := st.end.LastMessage()
 	if !ok {
-		return ended
+		return finalStatus
 	}
-	return errors.Join(g.Send(last), ended)
+	return errors.Join(g.Send(last), finalStatus)
 }
--- a/internal/transport/grpcapi/stream.go
+++ b/internal/transport/grpcapi/stream.go
@@ -23,11 +23,11 @@
 	wake chan struct{} // has an element if there may be something to send
 	end  *shutdown.Notice[*pb.Downward]
 
-	mu       sync.Mutex
-	pending  pendingOps
-	advice   *wire.Pace // the newest advice on load reports, until it is sent
-	versions versions
-	heardAt  time.Time // time of the proxy's last message; zero before the first check
+	mu             sync.Mutex
+	pending        pendingOps
+	pace           *wire.Pace // the newest advice on load reports, until it is sent
+	versions       versions
+	lastReceivedAt time.Time // time of the proxy's last message; zero before the first check
 }
 
 // newStream returns a stream whose queue holds at most maxOps.
@@ -35,15 +35,15 @@
 	return &stream{
 		wake:    make(chan struct{}, 1),
 		end:     shutdown.New[*pb.Downward](),
-		pending: pendingOps{limit: maxOps},
+		pending: pendingOps{maxOps: maxOps},
 	}
 }
 
 // Send queues orders. It returns ErrSlow if the queue exceeds its limit.
-func (st *stream) Send(o *wire.Commands) error {
+func (st *stream) Send(commands *wire.Commands) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if err := st.pending.add(o); err != nil {
+	if err := st.pending.add(commands); err != nil {
 		return err
 	}
 	st.signal()
@@ -51,21 +51,21 @@
 }
 
 // Ask queues advice on load reports, in place of earlier advice that was not sent yet.
-func (st *stream) Ask(p *wire.Pace) error {
+func (st *stream) Ask(pace *wire.Pace) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.advice = p
+	st.pace = pace
 	st.signal()
 	return nil
 }
 
 // Close ends the stream. It sends the reason to the proxy, which is not to connect to this controller again.
 func (st *stream) Close(reason string) {
-	st.end.CloseWith(reason, redirect(&pb.Redirect{Reason: reason, Final: true}))
+	st.end.CloseWith(reason, newRedirect(&pb.Redirect{Reason: reason, Final: true}))
 }
 
 // redirect encodes a redirect.
-func redirect(r *pb.Redirect) *pb.Downward {
+func newRedirect(r *pb.Redirect) *pb.Downward {
 	return &pb.Downward{Says: &pb.Downward_Redirect{Redirect: r}}
 }
 
@@ -78,85 +78,85 @@
 }
 
 // next removes and returns the next message to send, or nil if there is none. Advice precedes assignments.
-func (st *stream) next() *pb.Downward {
+func (st *stream) takeNext() *pb.Downward {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if advice := st.advice; advice != nil {
-		st.advice = nil
+	if pace := st.pace; pace != nil {
+		st.pace = nil
 		if !st.pending.empty() {
 			st.signal()
 		}
 		return &pb.Downward{Says: &pb.Downward_Pace{Pace: &pb.Pace{
-			PeriodMs: uint32(advice.PeriodMs),
-			Lines:    uint32(advice.MaxLines),
-			Changes:  advice.ChangedOnly,
+			PeriodMs: uint32(pace.PeriodMs),
+			Lines:    uint32(pace.MaxLines),
+			Changes:  pace.ChangedOnly,
 		}}}
 	}
 	if st.pending.empty() {
 		return nil
 	}
 	assignment := st.pending.take()
-	st.versions.send(assignment, time.Now())
+	st.versions.add(assignment, time.Now())
 	return &pb.Downward{Says: &pb.Downward_Assignment{Assignment: assignment}}
 }
 
 // acknowledge returns the marks that an acknowledgement answers. The error, a status, ends the stream; after a refusal
 // neither side knows what the other one has, so the proxy has to start over.
-func (st *stream) acknowledge(a *pb.Ack) (marks []int, err error) {
+func (st *stream) acknowledge(a *pb.Ack) (ackNumbers []int, err error) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.versions.acknowledge(a)
 }
 
 // heardNow records that a message of the proxy has arrived.
-func (st *stream) heardNow() {
+func (st *stream) recordReceived() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.heardAt = time.Now()
+	st.lastReceivedAt = time.Now()
 }
 
 // overdue returns why the stream has to end, or the empty string: an acknowledgement is due for longer than ackWithin,
 // or no message has arrived for longer than silence.
-func (st *stream) overdue(ackWithin, silence time.Duration) string {
+func (st *stream) overdueReason(ackWithin, silence time.Duration) string {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	version, sentAt, waits := st.versions.oldestUnacked()
+	version, sentAt, found := st.versions.oldestUnacked()
 	switch {
-	case waits && time.Since(sentAt) > ackWithin:
+	case found && time.Since(sentAt) > ackWithin:
 		return fmt.Sprintf("version %d is not acknowledged", version)
-	case !st.heardAt.IsZero() && time.Since(st.heardAt) > silence:
+	case !st.lastReceivedAt.IsZero() && time.Since(st.lastReceivedAt) > silence:
 		return "nothing was heard"
-	case st.heardAt.IsZero():
-		st.heardAt = time.Now()
+	case st.lastReceivedAt.IsZero():
+		st.lastReceivedAt = time.Now()
 	}
 	return ""
 }
 
 // pendingOps are the ops to be sent. They are collapsed to the newest state of each line when they exceed the limit.
 type pendingOps struct {
-	ops   []wire.Op
-	limit int
+	ops    []wire.Op
+	maxOps int
 
 	// Times of the first orders since ops was empty, and the total number of lines.
-	orderedMs, waitedMs float64
-	lines               int
+	firstAtMs, firstAgeMs float64
+	costLines             int
 }
 
 func (p *pendingOps) empty() bool { return len(p.ops) == 0 }
 
 // add appends orders. It returns ErrSlow if the ops exceed the limit even when collapsed.
-func (p *pendingOps) add(o *wire.Commands) error {
+func (p *pendingOps) add(commands *wire.Commands) error {
 	if p.empty() {
-		p.orderedMs = o.AtMs
-		p.waitedMs = o.AgeMs
-		p.lines = 0
+		p.firstAtMs = commands.AtMs
+		p.firstAgeMs = commands.AgeMs
+		p.costLines = 0
 	}
-	p.ops = append(p.ops, o.Ops...)
-	p.lines += o.CostLines
-	if len(p.ops) > p.limit {
+	p.ops = append(p.ops, commands.Ops...)
+	p.costLines += commands.CostLines
+	if len(p.ops) > p.maxOps {
 		p.ops = wire.Collapse(p.ops)
 	}
-	if len(p.ops) > p.limit {
+	if len(p.ops) > p.maxOps {
 		return ErrSlow
 	}
 	return nil
@@ -164,8 +164,8 @@
 
 // take removes all ops and returns them as one assignment, still without versions.
 func (p *pendingOps) take() *pb.Assignment {
-	a := &pb.Assignment{WaitedMs: p.waitedMs, OrderedMs: p.orderedMs, Lines: uint32(p.lines)}
-	a.Steps, a.Marks = steps(wire.Collapse(p.ops))
+	a := &pb.Assignment{WaitedMs: p.firstAgeMs, OrderedMs: p.firstAtMs, Lines: uint32(p.costLines)}
+	a.Steps, a.Marks = encodeOps(wire.Collapse(p.ops))
 	p.ops = p.ops[:0]
 	return a
 }
@@ -174,27 +174,27 @@
 type versions struct {
 	newest  uint64 // the newest one sent
 	acked   uint64
-	unacked []sentVersion // in ascending order
+	unacked []unackedVersion // in ascending order
 }
 
 // sentVersion is an assignment that the proxy has not acknowledged.
-type sentVersion struct {
-	version uint64
-	marks   []uint32
-	sentAt  time.Time
+type unackedVersion struct {
+	version    uint64
+	ackNumbers []uint32
+	sentAt     time.Time
 }
 
 // send assigns the next version to an assignment and records it as unacknowledged.
-func (v *versions) send(a *pb.Assignment, now time.Time) {
+func (v *versions) add(a *pb.Assignment, now time.Time) {
 	a.Base = v.newest
 	v.newest++
 	a.Version = v.newest
-	v.unacked = append(v.unacked, sentVersion{a.Version, a.Marks, now})
+	v.unacked = append(v.unacked, unackedVersion{a.Version, a.Marks, now})
 }
 
 // acknowledge returns the marks of the versions up to the acknowledged one. The error is a status: the version was
 // never sent, was acknowledged before, or was refused.
-func (v *versions) acknowledge(a *pb.Ack) (marks []int, err error) {
+func (v *versions) acknowledge(a *pb.Ack) (ackNumbers []int, err error) {
 	refused := a.GetRefusal() != ""
 	if a.GetVersion() > v.newest || a.GetVersion() <= v.acked && !refused {
 		return nil, status.Errorf(codes.InvalidArgument, "version %d acknowledged, %d was sent", a.GetVersion(), v.newest)
@@ -202,17 +202,17 @@
 	if refused {
 		return nil, status.Errorf(codes.Aborted, "version %d refused: %.200s", a.GetVersion(), a.GetRefusal())
 	}
-	if checkFigure(a.GetTookMs()) != nil {
+	if checkNumber(a.GetTookMs()) != nil {
 		return nil, status.Error(codes.InvalidArgument, "an acknowledgement that is no good")
 	}
 	v.acked = a.GetVersion()
 	for len(v.unacked) > 0 && v.unacked[0].version <= v.acked {
-		for _, number := range v.unacked[0].marks {
-			marks = append(marks, int(number))
+		for _, number := range v.unacked[0].ackNumbers {
+			ackNumbers = append(ackNumbers, int(number))
 		}
 		v.unacked = v.unacked[1:]
 	}
-	return marks, nil
+	return ackNumbers, nil
 }
 
 // oldestUnacked returns the oldest unacknowledged version and when it was sent, if there is one.
--- a/internal/transport/grpcapi/stream_test.go
+++ b/internal/transport/grpcapi/stream_test.go
@@ -18,13 +18,13 @@
 	now := time.Now()
 	for i := range uint32(3) {
 		a := &pb.Assignment{Marks: []uint32{10 + i}}
-		v.send(a, now)
+		v.add(a, now)
 		assert.EqualValues(t, i, a.GetBase())
 		assert.EqualValues(t, i+1, a.GetVersion())
 	}
-	marks, err := v.acknowledge(&pb.Ack{Version: 2})
+	ackNumbers, err := v.acknowledge(&pb.Ack{Version: 2})
 	require.NoError(t, err)
-	assert.Equal(t, []int{10, 11}, marks, "those of all versions up to it")
+	assert.Equal(t, []int{10, 11}, ackNumbers, "those of all versions up to it")
 	version, sentAt, ok := v.oldestUnacked()
 	assert.True(t, ok)
 	assert.EqualValues(t, 3, version)
