--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -10,7 +10,8 @@
 	pb "indigousher/proto/indigousher/v1"
 )
 
-// checkText returns an error if a text exceeds the limit of the framed protocol.
+// checkTextLength returns an error that wraps wire.ErrValue if a string is longer than wire.MaxText bytes, the limit of
+// the framed protocol.
 func checkTextLength(s string) error {
 	if len(s) > wire.MaxText {
 		return fmt.Errorf("text of %d bytes: %w", len(s), wire.ErrValue)
@@ -18,7 +19,7 @@
 	return nil
 }
 
-// checkFigure returns an error unless a figure is finite and not negative.
+// checkNumber returns an error that wraps wire.ErrValue unless a number is finite and not negative.
 func checkNumber(v float64) error {
 	if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 		return fmt.Errorf("figure %v: %w", v, wire.ErrValue)
@@ -26,7 +27,7 @@
 	return nil
 }
 
-// helloFrom decodes and validates a hello. The error wraps wire.ErrValue.
+// decodeHello converts and validates a Hello message. The error wraps wire.ErrValue.
 func decodeHello(h *pb.Hello) (*wire.Hello, error) {
 	hello := &wire.Hello{
 		Version: int(h.GetVersion()),
@@ -58,7 +59,7 @@
 	return hello, nil
 }
 
-// heldTableFrom decodes and validates a table that a proxy holds.
+// decodeHeldTable converts and validates a routing table that a proxy already has. The error wraps wire.ErrValue.
 func decodeHeldTable(t *pb.HeldTable) (wire.HeldTable, error) {
 	table := wire.HeldTable{Table: int(t.GetTable())}
 	for _, l := range t.GetLines() {
@@ -71,7 +72,7 @@
 	return table, nil
 }
 
-// reportFrom decodes and validates a load report. The error wraps wire.ErrValue.
+// decodeReport converts and validates a load report. The error wraps wire.ErrValue.
 func decodeReport(r *pb.Report) (*wire.LoadReport, error) {
 	report := &wire.LoadReport{Seq: r.GetNumber(), AtMs: r.GetAtMs(), SpanMs: r.GetSpanMs()}
 	if len(r.GetEndpoints()) > wire.MaxItems || len(r.GetKinds()) > wire.MaxItems {
@@ -104,8 +105,8 @@
 	return report, nil
 }
 
-// endpointLoadFrom decodes and validates the load of one endpoint. The figures are sorted by name, since the iteration
-// order of a map varies.
+// decodeEndpointLoad converts and validates the statistics of one endpoint. Load metrics are sorted by name, because
+// the iteration order of a map is random. The error wraps wire.ErrValue.
 func decodeEndpointLoad(e *pb.EndpointLoad) (wire.EndpointStats, error) {
 	stats := wire.EndpointStats{
 		Endpoint: e.GetEndpoint(),
@@ -129,7 +130,7 @@
 	return stats, nil
 }
 
-// sliceLoadFrom decodes and validates the load of one slice.
+// decodeSliceLoad converts and validates the statistics of one slice. The error wraps wire.ErrValue.
 func decodeSliceLoad(l *pb.SliceLoad) (wire.SliceStats, error) {
 	stats := wire.SliceStats{
 		Slice:      int(l.GetSlice()),
@@ -140,7 +141,8 @@
 	return stats, checkTextLength(stats.Class)
 }
 
-// OrdersFrom decodes an assignment on the proxy's side. Unknown steps are ignored; marks come last.
+// OrdersFrom converts an assignment that a proxy has received to commands. Unknown steps are ignored, for compatibility
+// with later versions. Ack requests follow all other operations.
 func OrdersFrom(a *pb.Assignment) *wire.Commands {
 	commands := &wire.Commands{AtMs: a.GetOrderedMs(), AgeMs: a.GetWaitedMs(), CostLines: int(a.GetLines())}
 	for _, s := range a.GetSteps() {
@@ -154,7 +156,7 @@
 	return commands
 }
 
-// opFrom decodes one step of an assignment.
+// decodeStep converts one step of an assignment to an operation. known is false if the type of the step is unknown.
 func decodeStep(s *pb.Step) (op wire.Op, known bool) {
 	switch content := s.GetDoes().(type) {
 	case *pb.Step_Bind:
@@ -176,6 +178,7 @@
 	return wire.Op{}, false
 }
 
+// decodeLevel converts a Level step to an OpSetAdmission.
 func decodeLevel(l *pb.Level) wire.Op {
 	return wire.Op{
 		Kind:      wire.OpSetAdmission,
@@ -186,6 +189,7 @@
 	}
 }
 
+// decodeRange converts a KeyRange step to an OpAssignRange.
 func decodeRange(r *pb.KeyRange) wire.Op {
 	return wire.Op{
 		Kind:   wire.OpAssignRange,
