--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -5,7 +5,7 @@
 	pb "indigousher/proto/indigousher/v1"
 )
 
-// Hello encodes a hello.
+// Hello converts a Hello message to its protobuf form.
 func Hello(h *wire.Hello) *pb.Hello {
 	hello := &pb.Hello{
 		Version:       uint32(h.Version),
@@ -26,7 +26,7 @@
 	return hello
 }
 
-// Report encodes a load report.
+// Report converts a load report to its protobuf form.
 func Report(s *wire.LoadReport) *pb.Report {
 	report := &pb.Report{Number: s.Seq, AtMs: s.AtMs, SpanMs: s.SpanMs}
 	for i := range s.EndpointStats {
@@ -48,7 +48,7 @@
 	return report
 }
 
-// endpointLoad encodes the load of one endpoint.
+// encodeEndpointLoad converts the statistics of one endpoint.
 func encodeEndpointLoad(m *wire.EndpointStats) *pb.EndpointLoad {
 	load := &pb.EndpointLoad{
 		Endpoint: m.Endpoint,
@@ -65,7 +65,7 @@
 	return load
 }
 
-// steps encodes the ops of an assignment. Marks are returned separately.
+// encodeOps converts operations to the steps of an assignment. The numbers of ack requests are returned separately.
 func encodeOps(ops []wire.Op) (steps []*pb.Step, ackNumbers []uint32) {
 	for i := range ops {
 		if ops[i].Kind == wire.OpAckRequest {
@@ -77,7 +77,7 @@
 	return steps, ackNumbers
 }
 
-// step encodes one op other than a mark.
+// encodeOp converts an operation other than an OpAckRequest to a step. It returns nil if the kind is unknown.
 func encodeOp(op *wire.Op) *pb.Step {
 	switch op.Kind {
 	case wire.OpAssignTable:
@@ -96,6 +96,7 @@
 	return nil
 }
 
+// encodeAssignTable converts an OpAssignTable to a Bind step.
 func encodeAssignTable(op *wire.Op) *pb.Step {
 	return &pb.Step{Does: &pb.Step_Bind{Bind: &pb.Bind{
 		Table: uint32(op.Table),
@@ -104,6 +105,7 @@
 	}}}
 }
 
+// encodeSetWeight converts an OpSetWeight to a Line step.
 func encodeSetWeight(op *wire.Op) *pb.Step {
 	return &pb.Step{Does: &pb.Step_Line{Line: &pb.Line{
 		Table:    uint32(op.Table),
@@ -112,6 +114,7 @@
 	}}}
 }
 
+// encodeSetAdmission converts an OpSetAdmission to a Level step.
 func encodeSetAdmission(op *wire.Op) *pb.Step {
 	return &pb.Step{Does: &pb.Step_Level{Level: &pb.Level{
 		Table: uint32(op.Table),
@@ -121,6 +124,7 @@
 	}}}
 }
 
+// encodeAssignRange converts an OpAssignRange to a KeyRange step.
 func encodeAssignRange(op *wire.Op) *pb.Step {
 	return &pb.Step{Does: &pb.Step_Range{Range: &pb.KeyRange{
 		Table: uint32(op.Table),
