--- a/internal/transport/grpcapi/handshake.go
+++ b/internal/transport/grpcapi/handshake.go
@@ -17,13 +17,15 @@
 	pb "indigousher/proto/indigousher/v1"
 )
 
-// refusalNoHello is the status text for a proxy that sends no hello, or something else first.
+// refusalNoHello is the status text if the first message of a stream is not a Hello or does not arrive in time. It is
+// part of the protocol.
 const refusalNoHello = "a hello must come first"
 
 // controlStream is the gRPC stream of one proxy.
 type controlStream = grpc.BidiStreamingServer[pb.Upward, pb.Downward]
 
-// greet reads and checks the hello. Why an identity was rejected is reported to operators only.
+// receiveHello reads and validates the Hello. The error is a status for the proxy. The details of a rejected identity
+// are only logged, so that unauthenticated peers learn nothing about accepted identities.
 func (s *Server) receiveHello(g controlStream) (*wire.Hello, error) {
 	first, err := handshake.ReceiveFirst(s.config.HelloIn, refusalNoHello, g.Recv)
 	if err != nil {
@@ -49,7 +51,7 @@
 	return hello, nil
 }
 
-// welcome returns the answer to an accepted hello.
+// welcome returns the Welcome message for an accepted proxy.
 func (s *Server) welcome() *pb.Downward {
 	return &pb.Downward{Says: &pb.Downward_Welcome{Welcome: &pb.Welcome{
 		Version:  wire.Version,
@@ -59,7 +61,8 @@
 	}}}
 }
 
-// Claims returns an error unless the certificate of the peer of ctx matches the name and zone that it claims.
+// Claims returns an error unless the peer certificate of the gRPC call in ctx was issued for the given proxy name and
+// zone. Calls without TLS are an error.
 func Claims(ctx context.Context, name, zone string) error {
 	p, ok := peer.FromContext(ctx)
 	if !ok {
@@ -74,7 +77,8 @@
 		return err
 	}
 	if certified.Name != name || certified.Zone != zone {
-		return fmt.Errorf("%s says it is %s of %s: %w", certified, name, zone, identity.ErrIdentity)
+		return fmt.Errorf("certificate of %s does not match proxy %q in zone %q: %w",
+			certified, name, zone, identity.ErrIdentity)
 	}
 	return nil
 }
