--- a/internal/transport/grpcapi/server.go
+++ b/internal/transport/grpcapi/server.go
@@ -24,21 +24,24 @@
 )
 
 const (
-	// newStreamBurst is the number of new streams that are admitted at once before NewPerS limits them.
+	// newStreamBurst is the number of new streams that are accepted at once before ListenerConfig.NewPerS limits the
+	// rate.
 	newStreamBurst = 50
-	// maxSendBytes bounds messages to proxies. Assignments of complete tables are larger than what proxies may send.
+	// maxSendBytes is the largest size of a message to a proxy in bytes. Assignments of complete tables exceed the
+	// limit for messages from proxies.
 	maxSendBytes = wire.MaxFrame * 4
-	// maxStreamsPerConn is the limit of HTTP/2 streams on one connection; a proxy needs one or two.
+	// maxStreamsPerConn is the largest number of concurrent HTTP/2 streams per connection. A proxy uses one or two.
 	maxStreamsPerConn = 64
-	// minPingInterval is the shortest allowed interval of a client's keepalive pings.
+	// minPingInterval is the shortest interval of keepalive pings that a client may use. The connection of a client
+	// that sends pings more often is closed.
 	minPingInterval = time.Second
-	// keepaliveBeats is the number of heartbeat intervals after which a silent connection is pinged, and within which
-	// it has to answer.
+	// keepaliveHeartbeats is the number of heartbeat intervals without received data after which the server sends a
+	// keepalive ping, and also the number of intervals within which the client must answer the ping.
 	keepaliveHeartbeats = 3
-	// idleHellos is how long a connection may be without streams, as a multiple of HelloIn. Idle connections would
-	// otherwise use up file descriptors.
+	// idleTimeoutFactor is the time after which a connection without streams is closed, as a multiple of
+	// ListenerConfig.HelloIn. Otherwise, idle connections could use up the file descriptors.
 	idleTimeoutFactor = 4
-	// stopPatience is how long a graceful shutdown may take before the remaining streams are closed.
+	// gracefulStopTimeout is the longest duration of a graceful shutdown. Streams that are still open then are closed.
 	gracefulStopTimeout = time.Second
 )
 
@@ -56,7 +59,7 @@
 	Keys       *identity.KeyStore // nil: plain text without authentication
 }
 
-// Server serves proxies' streams.
+// Server implements the Control service, which serves the streams of proxies.
 type Server struct {
 	pb.UnimplementedControlServer
 	config           ListenerConfig
@@ -65,14 +68,15 @@
 	newStreamLimiter *rate.Limiter // limits new streams
 	grpc             *grpc.Server
 
-	ctx  context.Context // lifetime of the server: ends when Serve returns, or with Kill
+	ctx  context.Context // cancelled when Serve returns and by Kill
 	stop context.CancelFunc
 
 	mu      sync.Mutex
 	streams map[*stream]bool // open streams
 }
 
-// New returns a server that does not listen yet. Other services may be registered with Registrar before Serve.
+// New returns a server that posts the messages of proxies to inbox. Serve must be called to accept connections. Other
+// services may be registered with Registrar before that.
 func New(c ListenerConfig, inbox controller.Inbox, log *zap.Logger) *Server {
 	s := &Server{config: c, inbox: inbox, log: log, streams: map[*stream]bool{}}
 	s.newStreamLimiter = newLimiter(c.NewPerS)
@@ -82,7 +86,8 @@
 	return s
 }
 
-// newPace returns a limiter of new streams per second; 0 means no limit.
+// newLimiter returns a limiter that allows perS events per second, at least 1, with bursts of newStreamBurst. If perS
+// is 0 or negative, the rate is not limited.
 func newLimiter(perS float64) *rate.Limiter {
 	if perS <= 0 {
 		return rate.NewLimiter(rate.Inf, newStreamBurst)
@@ -90,7 +95,7 @@
 	return rate.NewLimiter(rate.Limit(max(perS, 1)), newStreamBurst)
 }
 
-// serverOptions returns the options that limit connections and messages.
+// serverOptions returns the gRPC options that limit connections and messages, and enable TLS if c.Keys is set.
 func serverOptions(c ListenerConfig) []grpc.ServerOption {
 	options := []grpc.ServerOption{
 		grpc.MaxRecvMsgSize(c.MaxMessage),
@@ -113,10 +118,11 @@
 	return options
 }
 
-// Registrar returns the registrar for other services on the same listener.
+// Registrar returns the registrar for other gRPC services that share the listener.
 func (s *Server) Registrar() grpc.ServiceRegistrar { return s.grpc }
 
-// Serve serves proxies on l until ctx ends. It then redirects each proxy to another controller and shuts down.
+// Serve accepts connections from l until ctx is cancelled. It then redirects each proxy to another pilot, shuts down
+// gracefully and returns nil. If serving fails, it returns the error.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	shutDown := make(chan struct{})
 	cancelStop := context.AfterFunc(ctx, func() {
@@ -138,7 +144,7 @@
 	return nil
 }
 
-// redirectAll ends all streams with a redirect to another controller.
+// redirectAll ends all streams with a Redirect message, upon which the proxies connect to another pilot.
 func (s *Server) redirectAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,7 +153,7 @@
 	}
 }
 
-// stopGracefully waits for all streams to end, and closes the remaining ones after stopPatience.
+// stopGracefully waits until all streams have ended. After gracefulStopTimeout it closes those that are still open.
 func (s *Server) stopGracefully() {
 	ended := make(chan struct{})
 	go func() {
@@ -157,12 +163,12 @@
 	select {
 	case <-ended:
 	case <-time.After(gracefulStopTimeout):
-		s.grpc.Stop() // also ends GracefulStop
+		s.grpc.Stop() // makes GracefulStop return
 		<-ended
 	}
 }
 
-// Kill closes all connections immediately.
+// Kill closes all connections without a last message, as if the process had crashed.
 func (s *Server) Kill() {
 	s.stop()
 	s.grpc.Stop()
@@ -175,7 +181,7 @@
 	return len(s.streams)
 }
 
-// register creates a stream, or returns an error if the limit is reached.
+// register creates a stream. It returns a status error if the limit of open streams is reached.
 func (s *Server) register() (*stream, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,7 +193,7 @@
 	return st, nil
 }
 
-// unregister removes a stream that has ended.
+// unregister removes an ended stream from the open streams.
 func (s *Server) unregister(st *stream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
