--- a/internal/transport/grpcapi/session.go
+++ b/internal/transport/grpcapi/session.go
@@ -16,18 +16,18 @@
 	pb "indigousher/proto/indigousher/v1"
 )
 
-// errStopping ends streams when the controller's loop accepts no more input.
+// errStopping is the final status of a stream when the pilot's control loop accepts no more inputs.
 var errStopping = status.Error(codes.Unavailable, shutdown.ReasonStopping)
 
-// Follow serves the stream of one proxy. It writes in this goroutine and reads in another, which ends when Follow
-// returns.
+// Follow serves the stream of one proxy. It writes in the calling goroutine and reads in a second one, which ends when
+// Follow returns.
 func (s *Server) Follow(g controlStream) error {
 	hello, err := s.receiveHello(g)
 	if err != nil {
 		s.log.Warn("hello rejected", zap.Error(err))
 		return err
 	}
-	if err := s.newStreamLimiter.Wait(g.Context()); err != nil { // meanwhile the proxy uses the tables that it has
+	if err := s.newStreamLimiter.Wait(g.Context()); err != nil { // while it waits, the proxy uses its current tables
 		return status.Error(codes.Unavailable, "too many at once")
 	}
 	st, err := s.register()
@@ -50,14 +50,15 @@
 	return err
 }
 
-// postLeave reports to the controller that a proxy has left.
+// postLeave posts controller.ProxyLeft for a stream. It gives up after shutdown.LeaveTimeout or when the server stops.
 func (s *Server) postLeave(st *stream) {
 	ctx, cancel := context.WithTimeout(s.ctx, shutdown.LeaveTimeout)
 	defer cancel()
-	_ = s.inbox.Post(ctx, controller.ProxyLeft{Stream: st}) // fails only if the loop has ended
+	_ = s.inbox.Post(ctx, controller.ProxyLeft{Stream: st}) // fails only if the control loop or the server has stopped
 }
 
-// readAll reads messages until the stream ends or the proxy says goodbye.
+// readAll reads and handles messages until the stream ends or the proxy sends a Bye. It returns nil after a Bye and if
+// the proxy has closed the stream.
 func (s *Server) readAll(g controlStream, st *stream) error {
 	for {
 		m, err := g.Recv()
@@ -77,7 +78,8 @@
 	}
 }
 
-// receive handles one message of a proxy. Unknown messages, of later versions, are ignored.
+// receive handles one message of a proxy. Unknown message types are ignored, for compatibility with later versions.
+// Heartbeats need no handling, since readAll records the time of each message.
 func (s *Server) receive(st *stream, m *pb.Upward) error {
 	switch content := m.GetSays().(type) {
 	case *pb.Upward_Report:
@@ -90,7 +92,7 @@
 	return nil
 }
 
-// receiveReport posts a load report to the controller.
+// receiveReport posts a load report to the inbox. The error is a status that ends the stream.
 func (s *Server) receiveReport(st *stream, r *pb.Report) error {
 	report, err := decodeReport(r)
 	if err != nil {
@@ -102,7 +104,8 @@
 	return nil
 }
 
-// receiveAck posts the marks that an acknowledgement answers to the controller. A refusal ends the stream.
+// receiveAck posts a controller.Acked input for each ack request that an acknowledgement answers. The error is a status
+// that ends the stream, for example if the proxy has refused an assignment.
 func (s *Server) receiveAck(st *stream, a *pb.Ack) error {
 	ackNumbers, err := st.acknowledge(a)
 	if err != nil {
@@ -118,8 +121,8 @@
 	return nil
 }
 
-// writeAll writes queued messages and heartbeats. It returns when the stream ends, or when the proxy is silent or owes
-// an acknowledgement for too long.
+// writeAll writes queued messages and heartbeats. It returns when the stream ends, when no message of the proxy has
+// arrived for shutdown.SilentBeats heartbeat intervals, or when an acknowledgement is overdue.
 func (s *Server) writeAll(g controlStream, st *stream, readEnded <-chan error) error {
 	heartbeat := time.NewTicker(s.config.Beat)
 	defer heartbeat.Stop()
@@ -143,7 +146,7 @@
 			m = &pb.Downward{Says: &pb.Downward_Beat{Beat: &pb.Beat{}}}
 		}
 		if m == nil {
-			continue // nothing left to write since the wake-up
+			continue // an earlier wake-up has sent everything already
 		}
 		if err := g.Send(m); err != nil {
 			return err
@@ -151,7 +154,8 @@
 	}
 }
 
-// writeLast writes the last message of a stream that has ended, if there is one, and returns the status of its end.
+// writeLast writes the last message of an ended stream, if there is one. It returns the final status of the stream,
+// joined with the write error if there is one.
 func writeLast(g controlStream, st *stream) error {
 	finalStatus := status.Error(codes.Unavailable, st.end.Reason())
 	last, ok := st.end.LastMessage()
