--- a/internal/transport/grpcapi/stream.go
+++ b/internal/transport/grpcapi/stream.go
@@ -14,23 +14,24 @@
 	pb "indigousher/proto/indigousher/v1"
 )
 
-// ErrSlow ends the stream of a proxy whose queue exceeds its limit, even collapsed to the newest state.
+// ErrSlow means that a proxy does not read fast enough: its queue exceeds the limit although superseded operations have
+// been removed from it. The stream is closed.
 var ErrSlow = errors.New("the proxy reads too slowly or not at all")
 
-// stream is the stream of one proxy. It implements controller.Stream: the controller's loop queues messages, the
-// stream's writer sends them, and its reader processes acknowledgements.
+// stream is the state of one proxy's gRPC stream. It implements controller.Stream: the control loop queues messages,
+// the writer goroutine sends them, and the reader goroutine processes acknowledgements.
 type stream struct {
-	wake chan struct{} // has an element if there may be something to send
+	wake chan struct{} // capacity 1; contains an element if there may be a message to send
 	end  *shutdown.Notice[*pb.Downward]
 
 	mu             sync.Mutex
 	pending        pendingOps
-	pace           *wire.Pace // the newest advice on load reports, until it is sent
+	pace           *wire.Pace // newest Pace message that has not been sent yet, or nil
 	versions       versions
-	lastReceivedAt time.Time // time of the proxy's last message; zero before the first check
+	lastReceivedAt time.Time // time of the proxy's last message; zero until a message or the first check of overdueReason
 }
 
-// newStream returns a stream whose queue holds at most maxOps.
+// newStream returns a stream whose queue contains at most maxOps operations.
 func newStream(maxOps int) *stream {
 	return &stream{
 		wake:    make(chan struct{}, 1),
@@ -39,7 +40,7 @@
 	}
 }
 
-// Send queues orders. It returns ErrSlow if the queue exceeds its limit.
+// Send queues commands for the proxy. It returns ErrSlow if the queue exceeds its limit.
 func (st *stream) Send(commands *wire.Commands) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -50,7 +51,8 @@
 	return nil
 }
 
-// Ask queues advice on load reports, in place of earlier advice that was not sent yet.
+// Ask queues a Pace message, which changes how the proxy reports load. It replaces a queued one. The error is always
+// nil.
 func (st *stream) Ask(pace *wire.Pace) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -59,17 +61,18 @@
 	return nil
 }
 
-// Close ends the stream. It sends the reason to the proxy, which is not to connect to this controller again.
+// Close ends the stream and sends the reason to the proxy in a final Redirect, after which the proxy should not connect
+// to this pilot again.
 func (st *stream) Close(reason string) {
 	st.end.CloseWith(reason, newRedirect(&pb.Redirect{Reason: reason, Final: true}))
 }
 
-// redirect encodes a redirect.
+// newRedirect wraps a Redirect message for sending.
 func newRedirect(r *pb.Redirect) *pb.Downward {
 	return &pb.Downward{Says: &pb.Downward_Redirect{Redirect: r}}
 }
 
-// signal wakes the writer.
+// signal wakes the writer goroutine.
 func (st *stream) signal() {
 	select {
 	case st.wake <- struct{}{}:
@@ -77,7 +80,8 @@
 	}
 }
 
-// next removes and returns the next message to send, or nil if there is none. Advice precedes assignments.
+// takeNext removes and returns the next message to send, or nil if there is none. A Pace message is sent before an
+// assignment.
 func (st *stream) takeNext() *pb.Downward {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -100,23 +104,24 @@
 	return &pb.Downward{Says: &pb.Downward_Assignment{Assignment: assignment}}
 }
 
-// acknowledge returns the marks that an acknowledgement answers. The error, a status, ends the stream; after a refusal
-// neither side knows what the other one has, so the proxy has to start over.
+// acknowledge processes an acknowledgement and returns the numbers of the ack requests that it answers. The error is a
+// status that ends the stream. A refusal ends it too, because the pilot then no longer knows the state of the proxy;
+// the proxy has to reconnect and start over.
 func (st *stream) acknowledge(a *pb.Ack) (ackNumbers []int, err error) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.versions.acknowledge(a)
 }
 
-// heardNow records that a message of the proxy has arrived.
+// recordReceived records that a message of the proxy has arrived now.
 func (st *stream) recordReceived() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.lastReceivedAt = time.Now()
 }
 
-// overdue returns why the stream has to end, or the empty string: an acknowledgement is due for longer than ackWithin,
-// or no message has arrived for longer than silence.
+// overdueReason returns the reason to end the stream if an assignment has not been acknowledged within ackWithin or no
+// message has arrived for longer than silence. Otherwise it returns "". The reason is the status text for the proxy.
 func (st *stream) overdueReason(ackWithin, silence time.Duration) string {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -132,19 +137,20 @@
 	return ""
 }
 
-// pendingOps are the ops to be sent. They are collapsed to the newest state of each line when they exceed the limit.
+// pendingOps is the queue of operations to be sent. If it exceeds maxOps, it is collapsed: operations that later ones
+// supersede are removed.
 type pendingOps struct {
 	ops    []wire.Op
 	maxOps int
 
-	// Times of the first orders since ops was empty, and the total number of lines.
+	// AtMs and AgeMs of the first commands in the queue, ms, and the sum of CostLines of all commands in it.
 	firstAtMs, firstAgeMs float64
 	costLines             int
 }
 
 func (p *pendingOps) empty() bool { return len(p.ops) == 0 }
 
-// add appends orders. It returns ErrSlow if the ops exceed the limit even when collapsed.
+// add appends the operations of commands. It returns ErrSlow if the queue exceeds maxOps even after collapsing.
 func (p *pendingOps) add(commands *wire.Commands) error {
 	if p.empty() {
 		p.firstAtMs = commands.AtMs
@@ -162,7 +168,7 @@
 	return nil
 }
 
-// take removes all ops and returns them as one assignment, still without versions.
+// take removes all operations and returns them as one assignment, whose version numbers are not set yet.
 func (p *pendingOps) take() *pb.Assignment {
 	a := &pb.Assignment{WaitedMs: p.firstAgeMs, OrderedMs: p.firstAtMs, Lines: uint32(p.costLines)}
 	a.Steps, a.Marks = encodeOps(wire.Collapse(p.ops))
@@ -170,21 +176,22 @@
 	return a
 }
 
-// versions numbers the assignments of a stream. Each one moves the proxy from one version to the next.
+// versions assigns version numbers to the assignments of a stream and tracks acknowledgements. Version 0 is the state
+// before the first assignment; each assignment changes the proxy's state from one version to the next.
 type versions struct {
-	newest  uint64 // the newest one sent
-	acked   uint64
+	newest  uint64           // version of the last assignment sent; 0: none
+	acked   uint64           // last version that the proxy has acknowledged; 0: none
 	unacked []unackedVersion // in ascending order
 }
 
-// sentVersion is an assignment that the proxy has not acknowledged.
+// unackedVersion is an assignment that the proxy has not acknowledged.
 type unackedVersion struct {
 	version    uint64
-	ackNumbers []uint32
+	ackNumbers []uint32 // ack requests in the assignment
 	sentAt     time.Time
 }
 
-// send assigns the next version to an assignment and records it as unacknowledged.
+// add sets the version numbers of an assignment, which is sent now, and records it as unacknowledged.
 func (v *versions) add(a *pb.Assignment, now time.Time) {
 	a.Base = v.newest
 	v.newest++
@@ -192,8 +199,9 @@
 	v.unacked = append(v.unacked, unackedVersion{a.Version, a.Marks, now})
 }
 
-// acknowledge returns the marks of the versions up to the acknowledged one. The error is a status: the version was
-// never sent, was acknowledged before, or was refused.
+// acknowledge records that all versions up to and including that of a are acknowledged and returns the numbers of their
+// ack requests. It returns a status error if the version was never sent, was acknowledged before or is refused, or if
+// TookMs is invalid.
 func (v *versions) acknowledge(a *pb.Ack) (ackNumbers []int, err error) {
 	refused := a.GetRefusal() != ""
 	if a.GetVersion() > v.newest || a.GetVersion() <= v.acked && !refused {
@@ -215,7 +223,8 @@
 	return ackNumbers, nil
 }
 
-// oldestUnacked returns the oldest unacknowledged version and when it was sent, if there is one.
+// oldestUnacked returns the oldest unacknowledged version and the time at which it was sent. ok is false if all
+// versions are acknowledged.
 func (v *versions) oldestUnacked() (version uint64, sentAt time.Time, ok bool) {
 	if len(v.unacked) == 0 {
 		return 0, time.Time{}, false
