--- a/internal/transport/framed/framed_test.go
+++ b/internal/transport/framed/framed_test.go
@@ -67,8 +67,8 @@
 	}, 5*time.Second, time.Millisecond)
 }
 
-// serve starts a server with short timeouts, which change may modify unless it is nil. It returns the server, its inbox,
-// its address and a function that stops it.
+// serve starts a server with short timeouts, which change may modify unless it is nil. It returns the server, its
+// inbox, its address and a function that stops it.
 func serve(t *testing.T, change func(*ListenerConfig)) (*Server, *inbox, string, context.CancelFunc) {
 	config := ListenerConfig{
 		Pilot: "one", Beat: 100 * time.Millisecond, Period: time.Second, WriteDeadline: 200 * time.Millisecond,
@@ -289,7 +289,8 @@
 	}
 }
 
-// TestMaxStreams checks that a stream beyond MaxStreams is closed and that a new one is accepted after another has ended.
+// TestMaxStreams checks that a stream beyond MaxStreams is closed and that a new one is accepted after another has
+// ended.
 func TestMaxStreams(t *testing.T) {
 	s, _, address, _ := serve(t, func(config *ListenerConfig) { config.MaxStreams = 1; config.Beat = time.Second })
 	_, _, w := join(t, address, "first")
--- a/internal/transport/framed/server.go
+++ b/internal/transport/framed/server.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// start serves a connection in a new goroutine of g, which returns when the stream ends. If the limit of open streams is
-// reached, it closes the connection.
+// start serves a connection in a new goroutine of g, which returns when the stream ends. If the limit of open streams
+// is reached, it closes the connection.
 func (s *Server) start(ctx context.Context, g *errgroup.Group, conn net.Conn) {
 	st := s.register(conn)
 	if st == nil {
--- a/internal/transport/framed/session.go
+++ b/internal/transport/framed/session.go
@@ -16,8 +16,8 @@
 	"indigousher/internal/wire"
 )
 
-// serveStream serves a stream until it ends. It reads in the calling goroutine, writes in a second one, and waits for the
-// second one before it returns.
+// serveStream serves a stream until it ends. It reads in the calling goroutine, writes in a second one, and waits for
+// the second one before it returns.
 func (s *Server) serveStream(ctx context.Context, st *stream) {
 	defer s.unregister(st)
 	defer st.closeConn()
@@ -48,8 +48,8 @@
 	s.postLeave(ctx, st)
 }
 
-// postLeave posts controller.ProxyLeft for a stream. It ignores the cancellation of ctx, because the control loop has to
-// process the input during a shutdown as well, and gives up after shutdown.LeaveTimeout.
+// postLeave posts controller.ProxyLeft for a stream. It ignores the cancellation of ctx, because the control loop has
+// to process the input during a shutdown as well, and gives up after shutdown.LeaveTimeout.
 func (s *Server) postLeave(ctx context.Context, st *stream) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdown.LeaveTimeout)
 	defer cancel()
