--- a/internal/transport/grpcapi/grpcapi_test.go
+++ b/internal/transport/grpcapi/grpcapi_test.go
@@ -27,12 +27,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// inbox records inputs in order.
+// inbox records the posted inputs in order.
 type inbox struct {
 	mu  sync.Mutex
 	got []controller.Input
 }
 
+// Post implements controller.Inbox.
 func (i *inbox) Post(_ context.Context, in controller.Input) error {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -40,8 +41,8 @@
 	return nil
 }
 
-// joins waits until n streams have joined and returns them.
-func (i *inbox) joins(t *testing.T, n int) (list []controller.Stream) {
+// waitForStreams waits until at least n proxies have joined and returns the streams of all that have.
+func (i *inbox) waitForStreams(t *testing.T, n int) (list []controller.Stream) {
 	require.Eventually(t, func() bool {
 		i.mu.Lock()
 		defer i.mu.Unlock()
@@ -56,27 +57,28 @@
 	return list
 }
 
-// client is a proxy's side of one stream.
+// client is the proxy's end of one stream.
 type client struct {
 	t      *testing.T
 	stream grpc.BidiStreamingClient[pb.Upward, pb.Downward]
 	cancel context.CancelFunc
 }
 
-// plainText connects without TLS.
+// plainText is the dial option for connections without TLS.
 var plainText = grpc.WithTransportCredentials(insecure.NewCredentials())
 
-// serve starts a server and returns a connection to it.
+// serve starts a server and returns it with its inbox and a connection to it. change may modify the configuration
+// unless it is nil.
 func serve(t *testing.T, change func(*ListenerConfig)) (*Server, *inbox, *grpc.ClientConn) {
-	d := ListenerConfig{
+	config := ListenerConfig{
 		Pilot: "one", Beat: 100 * time.Millisecond, Period: time.Second, SeenWithin: 5 * time.Second,
 		HelloIn: time.Second, MaxMessage: 1 << 16, MaxStreams: 5000, QueueLines: 50,
 	}
 	if change != nil {
-		change(&d)
+		change(&config)
 	}
 	in := &inbox{}
-	s := New(d, in, zap.NewNop())
+	s := New(config, in, zap.NewNop())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -92,8 +94,8 @@
 	return s, in, conn
 }
 
-// follow opens a stream.
-func follow(t *testing.T, conn *grpc.ClientConn, options ...grpc.CallOption) *client {
+// openStream opens a stream without sending a Hello.
+func openStream(t *testing.T, conn *grpc.ClientConn, options ...grpc.CallOption) *client {
 	ctx, cancel := context.WithCancel(t.Context())
 	g, err := pb.NewControlClient(conn).Follow(ctx, options...)
 	require.NoError(t, err)
@@ -101,36 +103,36 @@
 	return &client{t, g, cancel}
 }
 
-// say sends a message; the stream may have ended.
-func (c *client) say(m *pb.Upward) { _ = c.stream.Send(m) }
+// send sends a message. It ignores errors, since the server may have closed the stream.
+func (c *client) send(m *pb.Upward) { _ = c.stream.Send(m) }
 
-// hello says hello and waits for the welcome.
-func (c *client) hello(h *pb.Hello) {
-	c.say(&pb.Upward{Says: &pb.Upward_Hello{Hello: h}})
+// join sends a Hello and waits for the Welcome.
+func (c *client) join(h *pb.Hello) {
+	c.send(&pb.Upward{Says: &pb.Upward_Hello{Hello: h}})
 	m, err := c.stream.Recv()
 	require.NoError(c.t, err)
 	require.NotNil(c.t, m.GetWelcome())
 }
 
-// ack acknowledges a version, or refuses it with a reason.
-func (c *client) ack(version uint64, refusal string) {
-	c.say(&pb.Upward{Says: &pb.Upward_Ack{Ack: &pb.Ack{Version: version, Refusal: refusal}}})
+// acknowledge acknowledges a version, or refuses it if refusal is not empty.
+func (c *client) acknowledge(version uint64, refusal string) {
+	c.send(&pb.Upward{Says: &pb.Upward_Ack{Ack: &pb.Ack{Version: version, Refusal: refusal}}})
 }
 
-// assignment returns the next assignment; the client sends heartbeats meanwhile.
-func (c *client) assignment() *pb.Assignment {
+// nextAssignment waits for the next assignment. It answers every other message with a heartbeat.
+func (c *client) nextAssignment() *pb.Assignment {
 	for {
 		m, err := c.stream.Recv()
 		require.NoError(c.t, err)
 		if a := m.GetAssignment(); a != nil {
 			return a
 		}
-		c.say(&pb.Upward{Says: &pb.Upward_Beat{Beat: &pb.Beat{}}})
+		c.send(&pb.Upward{Says: &pb.Upward_Beat{Beat: &pb.Beat{}}})
 	}
 }
 
-// end waits for the end of the stream and returns its error.
-func (c *client) end() error {
+// waitForEnd reads until the stream ends and returns the error with which it ended.
+func (c *client) waitForEnd() error {
 	for {
 		if _, err := c.stream.Recv(); err != nil {
 			return err
@@ -138,73 +140,76 @@
 	}
 }
 
-func hello(name string) *pb.Hello { return &pb.Hello{Version: 1, Proxy: name, Zone: "a"} }
+// newHello returns a valid Hello of a proxy.
+func newHello(name string) *pb.Hello { return &pb.Hello{Version: 1, Proxy: name, Zone: "a"} }
 
-func set(e string, w float64) wire.Op {
+// setWeight returns an operation that sets the weight of an endpoint in table 1.
+func setWeight(e string, w float64) wire.Op {
 	return wire.Op{Kind: wire.OpSetWeight, Table: 1, Endpoint: e, Weight: w}
 }
 
-var bind = wire.Op{Kind: wire.OpAssignTable, Table: 1, Classes: 3}
+// assignTable assigns table 1 to the first two request classes.
+var assignTable = wire.Op{Kind: wire.OpAssignTable, Table: 1, Classes: 3}
 
-// TestMisbehavingClient checks the status with which a stream ends after an invalid message of the client.
+// TestMisbehavingClient checks the final status of a stream after an invalid message or the silence of the client.
 func TestMisbehavingClient(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		do   func(c *client)
 		want codes.Code
 	}{
-		{"a version that was never sent", func(c *client) { c.ack(7, "") }, codes.InvalidArgument},
-		{"a refusal", func(c *client) { c.ack(1, "table 1 is unknown to me") }, codes.Aborted},
-		{"a refusal after taking it", func(c *client) { c.ack(1, ""); c.ack(1, "no") }, codes.Aborted},
-		{"the same taken twice", func(c *client) { c.ack(1, ""); c.ack(1, "") }, codes.InvalidArgument},
+		{"a version that was never sent", func(c *client) { c.acknowledge(7, "") }, codes.InvalidArgument},
+		{"a refusal", func(c *client) { c.acknowledge(1, "table 1 is unknown to me") }, codes.Aborted},
+		{"a refusal after an acknowledgement", func(c *client) { c.acknowledge(1, ""); c.acknowledge(1, "no") }, codes.Aborted},
+		{"a repeated acknowledgement", func(c *client) { c.acknowledge(1, ""); c.acknowledge(1, "") }, codes.InvalidArgument},
 		{"a second hello", func(c *client) {
-			c.say(&pb.Upward{Says: &pb.Upward_Hello{Hello: hello("q")}})
+			c.send(&pb.Upward{Says: &pb.Upward_Hello{Hello: newHello("q")}})
 		}, codes.InvalidArgument},
-		{"figures that are none", func(c *client) {
-			c.say(&pb.Upward{Says: &pb.Upward_Report{Report: &pb.Report{SpanMs: -1}}})
+		{"a negative number", func(c *client) {
+			c.send(&pb.Upward{Says: &pb.Upward_Report{Report: &pb.Report{SpanMs: -1}}})
 		}, codes.InvalidArgument},
-		{"more failed than tried", func(c *client) {
-			c.say(&pb.Upward{Says: &pb.Upward_Report{Report: &pb.Report{Endpoints: []*pb.EndpointLoad{{Tries: 1, Failed: 2}}}}})
+		{"more failures than attempts", func(c *client) {
+			c.send(&pb.Upward{Says: &pb.Upward_Report{Report: &pb.Report{Endpoints: []*pb.EndpointLoad{{Tries: 1, Failed: 2}}}}})
 		}, codes.InvalidArgument},
 		{"a message beyond the limit", func(c *client) {
-			c.say(&pb.Upward{Says: &pb.Upward_Ack{Ack: &pb.Ack{Refusal: strings.Repeat("x", 1<<17)}}})
+			c.send(&pb.Upward{Says: &pb.Upward_Ack{Ack: &pb.Ack{Refusal: strings.Repeat("x", 1<<17)}}})
 		}, codes.ResourceExhausted},
 		{"silence", func(*client) {}, codes.DeadlineExceeded},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, in, conn := serve(t, nil)
-			cl := follow(t, conn)
-			cl.hello(hello("p"))
-			require.NoError(t, in.joins(t, 1)[0].Send(&wire.Commands{Ops: []wire.Op{bind, set("x", 1)}}))
-			cl.assignment()
+			cl := openStream(t, conn)
+			cl.join(newHello("p"))
+			require.NoError(t, in.waitForStreams(t, 1)[0].Send(&wire.Commands{Ops: []wire.Op{assignTable, setWeight("x", 1)}}))
+			cl.nextAssignment()
 			c.do(cl)
-			assert.Equal(t, c.want, status.Code(cl.end()))
+			assert.Equal(t, c.want, status.Code(cl.waitForEnd()))
 		})
 	}
 }
 
-// TestCompressedBomb checks that a small message that decompresses to far beyond the limit is rejected. The heartbeat
-// is long, since on a busy machine compressing the message takes longer than the three short intervals after which the
-// stream would end for silence.
+// TestCompressedBomb checks that a small message that decompresses to far more than the size limit is rejected. The
+// heartbeat interval is long, because on a busy machine compressing the message takes longer than the three default
+// intervals after which the stream would be closed for silence.
 func TestCompressedBomb(t *testing.T) {
-	_, in, conn := serve(t, func(d *ListenerConfig) { d.Beat, d.SeenWithin = time.Minute, time.Minute })
-	cl := follow(t, conn, grpc.UseCompressor(gzip.Name))
-	cl.hello(hello("p"))
-	in.joins(t, 1)
-	cl.say(&pb.Upward{Says: &pb.Upward_Ack{Ack: &pb.Ack{Refusal: strings.Repeat("x", 50<<20)}}})
-	assert.Equal(t, codes.ResourceExhausted, status.Code(cl.end()))
+	_, in, conn := serve(t, func(config *ListenerConfig) { config.Beat, config.SeenWithin = time.Minute, time.Minute })
+	cl := openStream(t, conn, grpc.UseCompressor(gzip.Name))
+	cl.join(newHello("p"))
+	in.waitForStreams(t, 1)
+	cl.send(&pb.Upward{Says: &pb.Upward_Ack{Ack: &pb.Ack{Refusal: strings.Repeat("x", 50<<20)}}})
+	assert.Equal(t, codes.ResourceExhausted, status.Code(cl.waitForEnd()))
 }
 
-// TestHellos checks which first messages are accepted.
+// TestHellos checks the status for valid and invalid first messages.
 func TestHellos(t *testing.T) {
-	late := &pb.Hello{Version: 1, Proxy: "p", Zone: "a"}
-	late.ProtoReflect().SetUnknown(protowire.AppendVarint(protowire.AppendTag(nil, 99, protowire.VarintType), 5))
+	withUnknownField := &pb.Hello{Version: 1, Proxy: "p", Zone: "a"}
+	withUnknownField.ProtoReflect().SetUnknown(protowire.AppendVarint(protowire.AppendTag(nil, 99, protowire.VarintType), 5))
 	for _, c := range []struct {
 		name  string
 		first *pb.Upward
 		want  codes.Code
 	}{
-		{"fields of a later version", &pb.Upward{Says: &pb.Upward_Hello{Hello: late}}, codes.OK},
+		{"fields of a later version", &pb.Upward{Says: &pb.Upward_Hello{Hello: withUnknownField}}, codes.OK},
 		{"another version", &pb.Upward{Says: &pb.Upward_Hello{
 			Hello: &pb.Hello{Version: 3, Proxy: "p", Zone: "a"},
 		}}, codes.FailedPrecondition},
@@ -214,9 +219,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, _, conn := serve(t, nil)
-			cl := follow(t, conn)
+			cl := openStream(t, conn)
 			if c.first != nil {
-				cl.say(c.first)
+				cl.send(c.first)
 			}
 			m, err := cl.stream.Recv()
 			assert.Equal(t, c.want, status.Code(err))
@@ -227,38 +232,40 @@
 	}
 }
 
-// TestReconnectStorm checks that many streams at once are admitted at a limited rate, and that none is rejected.
+// TestReconnectStorm checks that many streams opened at once are accepted at the limited rate and that none is
+// rejected.
 func TestReconnectStorm(t *testing.T) {
-	const many = 2000
-	s, in, conn := serve(t, func(d *ListenerConfig) { d.NewPerS = 1000; d.Beat = 5 * time.Second })
+	const streamCount = 2000
+	s, in, conn := serve(t, func(config *ListenerConfig) { config.NewPerS = 1000; config.Beat = 5 * time.Second })
 	var conns []*grpc.ClientConn
-	for range many / 50 {
+	for range streamCount / 50 {
 		c, err := grpc.NewClient(conn.Target(), plainText)
 		require.NoError(t, err)
 		defer func() { assert.NoError(t, c.Close()) }()
 		conns = append(conns, c)
 	}
 	var wg sync.WaitGroup
-	for i := range many {
+	for i := range streamCount {
 		wg.Go(func() {
-			cl := follow(t, conns[i%len(conns)])
-			cl.say(&pb.Upward{Says: &pb.Upward_Hello{Hello: hello(strings.Repeat("p", 1+i%200) + string(rune('a'+i/200)))}})
+			cl := openStream(t, conns[i%len(conns)])
+			cl.send(&pb.Upward{Says: &pb.Upward_Hello{Hello: newHello(strings.Repeat("p", 1+i%200) + string(rune('a'+i/200)))}})
 			_, err := cl.stream.Recv()
 			assert.NoError(t, err)
 		})
 	}
 	wg.Wait()
-	assert.Equal(t, many, s.Streams())
+	assert.Equal(t, streamCount, s.Streams())
 	assert.EqualValues(t, 1000, s.newStreamLimiter.Limit())
 	assert.Equal(t, newStreamBurst, s.newStreamLimiter.Burst())
-	assert.Len(t, in.joins(t, many), many)
+	assert.Len(t, in.waitForStreams(t, streamCount), streamCount)
 }
 
-// TestCollapse checks that the queue of a slow stream keeps the newest state of each line only, and is limited.
+// TestCollapse checks that the queue of a stream that is not read keeps only the last weight of each endpoint, and that
+// Send fails if the queue exceeds its limit nevertheless.
 func TestCollapse(t *testing.T) {
 	st := newStream(10)
 	for i := range 1000 {
-		ops := []wire.Op{set("x", float64(i)), set("y", 1), {Kind: wire.OpAckRequest, AckNumber: 1}}
+		ops := []wire.Op{setWeight("x", float64(i)), setWeight("y", 1), {Kind: wire.OpAckRequest, AckNumber: 1}}
 		require.NoError(t, st.Send(&wire.Commands{CostLines: 2, Ops: ops}))
 	}
 	a := st.takeNext().GetAssignment()
@@ -268,15 +275,16 @@
 	assert.EqualValues(t, 2000, a.GetLines())
 	var err error
 	for i := range 20 {
-		err = st.Send(&wire.Commands{Ops: []wire.Op{set(strings.Repeat("e", i+1), 1)}})
+		err = st.Send(&wire.Commands{Ops: []wire.Op{setWeight(strings.Repeat("e", i+1), 1)}})
 	}
 	assert.ErrorIs(t, err, ErrSlow)
 }
 
-// FuzzUpward decodes arbitrary messages of proxies.
+// FuzzUpward checks that decoding arbitrary messages of proxies does not panic and rejects a Hello without a name and a
+// report with a negative span.
 func FuzzUpward(f *testing.F) {
 	for _, m := range []*pb.Upward{
-		{Says: &pb.Upward_Hello{Hello: hello("p")}},
+		{Says: &pb.Upward_Hello{Hello: newHello("p")}},
 		{Says: &pb.Upward_Report{Report: &pb.Report{Number: 1, Endpoints: []*pb.EndpointLoad{{
 			Endpoint: "x", Tries: 2,
 			Figures: map[string]float64{"util": 1},
--- a/internal/transport/grpcapi/stream_test.go
+++ b/internal/transport/grpcapi/stream_test.go
@@ -12,7 +12,8 @@
 	pb "indigousher/proto/indigousher/v1"
 )
 
-// TestVersions checks cumulative, repeated, premature and invalid acknowledgements.
+// TestVersions checks that an acknowledgement covers all earlier versions, and that repeated, premature, refusing and
+// invalid ones are rejected.
 func TestVersions(t *testing.T) {
 	var v versions
 	now := time.Now()
@@ -24,7 +25,7 @@
 	}
 	ackNumbers, err := v.acknowledge(&pb.Ack{Version: 2})
 	require.NoError(t, err)
-	assert.Equal(t, []int{10, 11}, ackNumbers, "those of all versions up to it")
+	assert.Equal(t, []int{10, 11}, ackNumbers, "ack requests of all versions up to the acknowledged one")
 	version, sentAt, ok := v.oldestUnacked()
 	assert.True(t, ok)
 	assert.EqualValues(t, 3, version)
@@ -37,7 +38,7 @@
 		{"acknowledged before", &pb.Ack{Version: 2}, codes.InvalidArgument},
 		{"never sent", &pb.Ack{Version: 4}, codes.InvalidArgument},
 		{"refused", &pb.Ack{Version: 3, Refusal: "no such table"}, codes.Aborted},
-		{"a negative time", &pb.Ack{Version: 3, TookMs: -1}, codes.InvalidArgument},
+		{"negative TookMs", &pb.Ack{Version: 3, TookMs: -1}, codes.InvalidArgument},
 	} {
 		_, err := v.acknowledge(c.ack)
 		assert.Equal(t, c.want, status.Code(err), c.name)
