--- a/internal/transport/xds/ads.go
+++ b/internal/transport/xds/ads.go
@@ -21,9 +21,9 @@
 
 const (
 	// maxNames is the number of resources of a type that a client may subscribe to. There is one per request class.
-	maxNames = 64
+	maxSubscribedResources = 64
 	// overdueChecks is the number of checks for an overdue acknowledgement within SeenWithin.
-	overdueChecks = 4
+	overdueChecksPerTimeout = 4
 )
 
 // adsStream is the gRPC stream of one proxy.
@@ -41,8 +41,8 @@
 		s.log.Warn("node rejected", zap.Error(err))
 		return err
 	}
-	defer s.remove(st)
-	if s.inbox.Post(g.Context(), controller.ProxyJoined{Stream: st, Hello: helloFrom(first.GetNode())}) != nil {
+	defer s.unregister(st)
+	if s.inbox.Post(g.Context(), controller.ProxyJoined{Stream: st, Hello: newHello(first.GetNode())}) != nil {
 		return status.Error(codes.Unavailable, shutdown.ReasonStopping)
 	}
 	readEnded := make(chan error, 1)
@@ -54,7 +54,7 @@
 }
 
 // helloFrom returns the hello that corresponds to a node. The tables that it holds are unknown, so all will be sent.
-func helloFrom(n *core.Node) wire.Hello {
+func newHello(n *core.Node) wire.Hello {
 	return wire.Hello{
 		Version: wire.Version,
 		Proxy:   n.GetId(),
@@ -90,19 +90,19 @@
 
 // receive handles one request, which subscribes to, acknowledges (ACK) or refuses (NACK) resources.
 func (s *Server) receive(ctx context.Context, st *stream, request *ads.DiscoveryRequest) error {
-	if len(request.GetResourceNames()) > maxNames {
+	if len(request.GetResourceNames()) > maxSubscribedResources {
 		return status.Error(codes.InvalidArgument, "too many resources")
 	}
 	if detail := request.GetErrorDetail(); detail != nil {
-		why := fmt.Sprintf("%.200s", detail.GetMessage())
-		s.log.Warn("assignment rejected", zap.String("proxy", st.name), zap.String("reason", why))
+		reason := fmt.Sprintf("%.200s", detail.GetMessage())
+		s.log.Warn("assignment rejected", zap.String("proxy", st.name), zap.String("reason", reason))
 	}
-	marks, err := st.request(request)
+	acks, err := st.handleRequest(request)
 	if err != nil {
 		return err
 	}
-	for _, done := range marks {
-		if err := s.inbox.Post(ctx, controller.Acked{Stream: st, Done: done}); err != nil {
+	for _, ack := range acks {
+		if err := s.inbox.Post(ctx, controller.Acked{Stream: st, Done: ack}); err != nil {
 			return err
 		}
 	}
@@ -112,7 +112,7 @@
 // writeResponses sends what is subscribed to, at first and when it changes. It returns when the stream ends or an
 // acknowledgement is overdue.
 func (s *Server) writeResponses(g adsStream, st *stream, readEnded <-chan error) error {
-	check := time.NewTicker(s.config.SeenWithin / overdueChecks)
+	check := time.NewTicker(s.config.SeenWithin / overdueChecksPerTimeout)
 	defer check.Stop()
 	for {
 		select {
@@ -127,7 +127,7 @@
 				return status.Error(codes.DeadlineExceeded, "an assignment is not acknowledged")
 			}
 		case <-st.wake:
-			for _, response := range st.responses() {
+			for _, response := range st.takeResponses() {
 				if err := g.Send(response); err != nil {
 					return err
 				}
--- a/internal/transport/xds/assignment.go
+++ b/internal/transport/xds/assignment.go
@@ -15,38 +15,38 @@
 
 const (
 	// weightUnit is the locality weight for a weight of 1. Locality weights are integers.
-	weightUnit = 10000
+	localityWeightScale = 10000
 	// maxWeight bounds locality weights, so that the sum of 4096 fits into 32 bits, as xDS requires.
-	maxWeight = math.MaxUint32 / 4096
+	maxLocalityWeight = math.MaxUint32 / 4096
 	// dropUnits is the denominator of the fraction of requests to drop.
-	dropUnits = 1_000_000
+	dropDenominator = 1_000_000
 )
 
 // assignment returns the table of a request class as an EDS resource: one weighted locality per endpoint, without
 // excluded endpoints. An admission level below 1 becomes a fraction of requests to drop.
-func (r *routing) assignment(class string) *endpoint.ClusterLoadAssignment {
-	assignment := &endpoint.ClusterLoadAssignment{ClusterName: class}
-	number, bound := r.bound[class]
-	if !bound {
-		return assignment
+func (r *routing) loadAssignment(class string) *endpoint.ClusterLoadAssignment {
+	resource := &endpoint.ClusterLoadAssignment{ClusterName: class}
+	tableNumber, assigned := r.tableByClass[class]
+	if !assigned {
+		return resource
 	}
-	t := r.table(number)
-	for _, address := range slices.Sorted(maps.Keys(t.weights)) {
+	table := r.table(tableNumber)
+	for _, address := range slices.Sorted(maps.Keys(table.weights)) {
 		host, port, ok := splitAddress(address)
 		if r.excluded[address] || !ok {
 			continue
 		}
-		assignment.Endpoints = append(assignment.Endpoints, localityOf(address, host, port, t.weights[address]))
+		resource.Endpoints = append(resource.Endpoints, newLocality(address, host, port, table.weights[address]))
 	}
-	if level := r.level(t, class); level < 1 {
-		assignment.Policy = dropPolicy(1 - level)
+	if level := r.admissionLevel(table, class); level < 1 {
+		resource.Policy = dropPolicy(1 - level)
 	}
-	return assignment
+	return resource
 }
 
 // localityOf returns a locality with one endpoint. Its sub-zone is the endpoint's address, by which the client's load
 // reports identify the endpoint.
-func localityOf(address, host string, port uint32, weight float64) *endpoint.LocalityLbEndpoints {
+func newLocality(address, host string, port uint32, weight float64) *endpoint.LocalityLbEndpoints {
 	socket := &core.SocketAddress{
 		Address:       host,
 		PortSpecifier: &core.SocketAddress_PortValue{PortValue: port},
@@ -56,7 +56,7 @@
 	}
 	return &endpoint.LocalityLbEndpoints{
 		Locality:            &core.Locality{Region: "indigousher", SubZone: address},
-		LoadBalancingWeight: wrapperspb.UInt32(wireWeight(weight)),
+		LoadBalancingWeight: wrapperspb.UInt32(localityWeight(weight)),
 		LbEndpoints: []*endpoint.LbEndpoint{{
 			HealthStatus:   core.HealthStatus_HEALTHY,
 			HostIdentifier: &endpoint.LbEndpoint_Endpoint{Endpoint: server},
@@ -65,8 +65,8 @@
 }
 
 // wireWeight returns the locality weight for a weight. It is at least 1, since clients ignore localities of weight 0.
-func wireWeight(weight float64) uint32 {
-	return uint32(math.Max(1, math.Min(math.Round(weight*weightUnit), maxWeight)))
+func localityWeight(weight float64) uint32 {
+	return uint32(math.Max(1, math.Min(math.Round(weight*localityWeightScale), maxLocalityWeight)))
 }
 
 // dropPolicy returns the policy to drop a fraction of the requests.
@@ -75,7 +75,7 @@
 		DropOverloads: []*endpoint.ClusterLoadAssignment_Policy_DropOverload{{
 			Category: "level",
 			DropPercentage: &xdstype.FractionalPercent{
-				Numerator:   uint32(math.Round(fraction * dropUnits)),
+				Numerator:   uint32(math.Round(fraction * dropDenominator)),
 				Denominator: xdstype.FractionalPercent_MILLION,
 			},
 		}},
--- a/internal/transport/xds/hostile_test.go
+++ b/internal/transport/xds/hostile_test.go
@@ -23,22 +23,22 @@
 func TestHostileNode(t *testing.T) {
 	st := newStream("p", []string{"read"})
 	for i := range 5000 {
-		_, err := st.request(&ads.DiscoveryRequest{TypeUrl: fmt.Sprint("type/", i), ResourceNames: []string{"read"}})
+		_, err := st.handleRequest(&ads.DiscoveryRequest{TypeUrl: fmt.Sprint("type/", i), ResourceNames: []string{"read"}})
 		require.NoError(t, err)
 		ops := []wire.Op{{Kind: wire.OpAssignTable, Table: 1, Classes: 1}, {Kind: wire.OpAckRequest, AckNumber: i}}
 		require.NoError(t, st.Send(&wire.Commands{Ops: ops}))
 	}
 	assert.Empty(t, st.subscriptions.names)
-	assert.LessOrEqual(t, len(st.subscriptions.due), 1)
-	assert.Len(t, st.versions.marks, maxMarks)
-	assert.Empty(t, st.responses())
+	assert.LessOrEqual(t, len(st.subscriptions.pending), 1)
+	assert.Len(t, st.versions.ackRequests, maxAckRequests)
+	assert.Empty(t, st.takeResponses())
 	for _, nonce := range []string{"1", "-1x", "99999999999999999999", "NaN"} {
-		_, err := st.request(&ads.DiscoveryRequest{TypeUrl: typeEndpoint, ResponseNonce: nonce})
+		_, err := st.handleRequest(&ads.DiscoveryRequest{TypeUrl: endpointTypeURL, ResponseNonce: nonce})
 		assert.Error(t, err, nonce)
 	}
 }
 
-func stats(change func(c *endpoint.ClusterStats)) *lrs.LoadStatsRequest {
+func newLoadStats(change func(c *endpoint.ClusterStats)) *lrs.LoadStatsRequest {
 	c := &endpoint.ClusterStats{
 		ClusterName: "read", LoadReportInterval: durationpb.New(time.Second),
 		UpstreamLocalityStats: []*endpoint.UpstreamLocalityStats{{
@@ -67,7 +67,7 @@
 		},
 		func(c *endpoint.ClusterStats) { c.TotalDroppedRequests = math.MaxUint64 },
 	} {
-		b, err := proto.Marshal(stats(change))
+		b, err := proto.Marshal(newLoadStats(change))
 		require.NoError(f, err)
 		f.Add(b)
 	}
@@ -76,7 +76,7 @@
 		if proto.Unmarshal(b, &r) != nil {
 			return
 		}
-		s, err := newStream("p", []string{"read"}).sums(&r, 1)
+		s, err := newStream("p", []string{"read"}).newReport(&r, 1)
 		if err != nil || s == nil {
 			return
 		}
--- a/internal/transport/xds/lrs.go
+++ b/internal/transport/xds/lrs.go
@@ -28,13 +28,13 @@
 	if err := s.checkIdentity(g.Context(), name, first.GetNode().GetLocality().GetZone()); err != nil {
 		return err
 	}
-	wanted := &lrs.LoadStatsResponse{Clusters: s.config.Kinds, LoadReportingInterval: durationpb.New(s.config.Period)}
-	if err := g.Send(wanted); err != nil {
+	response := &lrs.LoadStatsResponse{Clusters: s.config.Kinds, LoadReportingInterval: durationpb.New(s.config.Period)}
+	if err := g.Send(response); err != nil {
 		return err
 	}
-	began := time.Now()
+	start := time.Now()
 	for {
-		report, err := g.Recv()
+		request, err := g.Recv()
 		if err != nil {
 			return err
 		}
@@ -42,42 +42,42 @@
 		if st == nil {
 			continue
 		}
-		sums, err := st.sums(report, milliseconds(time.Since(began)))
+		report, err := st.newReport(request, milliseconds(time.Since(start)))
 		if err != nil {
 			return status.Error(codes.InvalidArgument, err.Error())
 		}
-		if sums == nil {
+		if report == nil {
 			continue
 		}
-		if err := s.inbox.Post(g.Context(), controller.LoadReported{Stream: st, Sums: sums}); err != nil {
+		if err := s.inbox.Post(g.Context(), controller.LoadReported{Stream: st, Sums: report}); err != nil {
 			return err
 		}
 	}
 }
 
 // sums converts a load report, sent at atMs on the stream's clock. The result is nil if the report covers no time.
-func (st *stream) sums(r *lrs.LoadStatsRequest, atMs float64) (*wire.LoadReport, error) {
-	sums, err := sumsFrom(r, st.classes)
-	if err != nil || sums.SpanMs <= 0 {
+func (st *stream) newReport(r *lrs.LoadStatsRequest, atMs float64) (*wire.LoadReport, error) {
+	report, err := sumReport(r, st.classes)
+	if err != nil || report.SpanMs <= 0 {
 		return nil, err
 	}
-	sums.AtMs = atMs
-	sums.Seq = st.nextReport()
-	return sums, nil
+	report.AtMs = atMs
+	report.Seq = st.nextSeq()
+	return report, nil
 }
 
 // nextReport returns the sequence number of the next load report, starting at 1.
-func (st *stream) nextReport() uint64 {
+func (st *stream) nextSeq() uint64 {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.reports++
-	return st.reports
+	st.lastSeq++
+	return st.lastSeq
 }
 
 // sumsFrom sums a load report by endpoint and by request class. Clusters that are not request classes are ignored. LRS
 // carries no response times, so means are 0.
-func sumsFrom(r *lrs.LoadStatsRequest, classes []string) (*wire.LoadReport, error) {
-	sums := &wire.LoadReport{}
+func sumReport(r *lrs.LoadStatsRequest, classes []string) (*wire.LoadReport, error) {
+	report := &wire.LoadReport{}
 	byEndpoint := map[string]*wire.EndpointStats{}
 	for _, c := range r.GetClusterStats() {
 		if !slices.Contains(classes, c.GetClusterName()) {
@@ -86,39 +86,39 @@
 		if len(c.GetUpstreamLocalityStats()) > wire.MaxItems {
 			return nil, fmt.Errorf("load of %d localities: %w", len(c.GetUpstreamLocalityStats()), wire.ErrValue)
 		}
-		sums.SpanMs = math.Max(sums.SpanMs, milliseconds(c.GetLoadReportInterval().AsDuration()))
-		sums.RequestStats = append(sums.RequestStats, addCluster(byEndpoint, c))
+		report.SpanMs = math.Max(report.SpanMs, milliseconds(c.GetLoadReportInterval().AsDuration()))
+		report.RequestStats = append(report.RequestStats, addCluster(byEndpoint, c))
 	}
 	for _, name := range slices.Sorted(maps.Keys(byEndpoint)) {
-		sums.EndpointStats = append(sums.EndpointStats, *byEndpoint[name])
+		report.EndpointStats = append(report.EndpointStats, *byEndpoint[name])
 	}
-	return sums, nil
+	return report, nil
 }
 
 // addCluster adds the load of a cluster to its endpoints and returns the cluster's requests. Requests that the client
 // dropped under the drop policy are included.
 func addCluster(byEndpoint map[string]*wire.EndpointStats, c *endpoint.ClusterStats) wire.RequestStats {
-	demand := wire.RequestStats{Class: c.GetClusterName(), Requests: count(c.GetTotalDroppedRequests())}
+	requestStats := wire.RequestStats{Class: c.GetClusterName(), Requests: clampCount(c.GetTotalDroppedRequests())}
 	for _, l := range c.GetUpstreamLocalityStats() {
 		name := l.GetLocality().GetSubZone()
-		met := byEndpoint[name]
-		if met == nil {
-			met = &wire.EndpointStats{Endpoint: name}
-			byEndpoint[name] = met
+		stats := byEndpoint[name]
+		if stats == nil {
+			stats = &wire.EndpointStats{Endpoint: name}
+			byEndpoint[name] = stats
 		}
-		succeeded := count(l.GetTotalSuccessfulRequests())
-		failed := count(l.GetTotalErrorRequests())
-		met.Attempts += succeeded + failed
-		met.Failed += failed
-		met.Load = append(met.Load, figures(l)...)
-		demand.Requests += succeeded + failed
-		demand.Unanswered += failed
+		succeeded := clampCount(l.GetTotalSuccessfulRequests())
+		failed := clampCount(l.GetTotalErrorRequests())
+		stats.Attempts += succeeded + failed
+		stats.Failed += failed
+		stats.Load = append(stats.Load, loadMetrics(l)...)
+		requestStats.Requests += succeeded + failed
+		requestStats.Unanswered += failed
 	}
-	return demand
+	return requestStats
 }
 
 // figures returns the mean of each figure of the endpoint's own load report, if the client forwards it (ORCA).
-func figures(l *endpoint.UpstreamLocalityStats) []wire.LoadMetric {
+func loadMetrics(l *endpoint.UpstreamLocalityStats) []wire.LoadMetric {
 	var list []wire.LoadMetric
 	for _, f := range l.GetLoadMetricStats() {
 		n := f.GetNumRequestsFinishedWithMetric()
@@ -130,7 +130,7 @@
 }
 
 // count limits a count, so that sums of a few counts do not overflow.
-func count(n uint64) int { return int(min(n, math.MaxInt32)) }
+func clampCount(n uint64) int { return int(min(n, math.MaxInt32)) }
 
 // milliseconds returns a duration in milliseconds.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/transport/xds/resources.go
+++ b/internal/transport/xds/resources.go
@@ -13,41 +13,41 @@
 
 // The resource types that are served.
 const (
-	typeListener = "type.googleapis.com/envoy.config.listener.v3.Listener"
-	typeCluster  = "type.googleapis.com/envoy.config.cluster.v3.Cluster"
-	typeEndpoint = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
+	listenerTypeURL = "type.googleapis.com/envoy.config.listener.v3.Listener"
+	clusterTypeURL  = "type.googleapis.com/envoy.config.cluster.v3.Cluster"
+	endpointTypeURL = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 )
 
-var servedTypes = []string{typeListener, typeCluster, typeEndpoint}
+var servedTypes = []string{listenerTypeURL, clusterTypeURL, endpointTypeURL}
 
 // resource returns the resource of a type for a request class.
 func (st *stream) resource(typeURL, class string) proto.Message {
 	switch typeURL {
-	case typeListener:
-		return listenerOf(class)
-	case typeCluster:
-		return clusterOf(class)
+	case listenerTypeURL:
+		return newListener(class)
+	case clusterTypeURL:
+		return newCluster(class)
 	}
-	return st.routing.assignment(class)
+	return st.routing.loadAssignment(class)
 }
 
 // listenerOf returns the listener of a request class, which routes all requests to the cluster of the same name.
-func listenerOf(class string) *listener.Listener {
+func newListener(class string) *listener.Listener {
 	manager := &hcm.HttpConnectionManager{
-		RouteSpecifier: &hcm.HttpConnectionManager_RouteConfig{RouteConfig: routesOf(class)},
+		RouteSpecifier: &hcm.HttpConnectionManager_RouteConfig{RouteConfig: newRoutes(class)},
 		HttpFilters: []*hcm.HttpFilter{{
 			Name:       "router",
-			ConfigType: &hcm.HttpFilter_TypedConfig{TypedConfig: anyOf(&router.Router{})},
+			ConfigType: &hcm.HttpFilter_TypedConfig{TypedConfig: packAny(&router.Router{})},
 		}},
 	}
 	return &listener.Listener{
 		Name:        class,
-		ApiListener: &listener.ApiListener{ApiListener: anyOf(manager)},
+		ApiListener: &listener.ApiListener{ApiListener: packAny(manager)},
 	}
 }
 
 // routesOf returns the route configuration of a request class: one route to its cluster.
-func routesOf(class string) *route.RouteConfiguration {
+func newRoutes(class string) *route.RouteConfiguration {
 	all := &route.RouteMatch{PathSpecifier: &route.RouteMatch_Prefix{Prefix: ""}}
 	toCluster := &route.RouteAction{ClusterSpecifier: &route.RouteAction_Cluster{Cluster: class}}
 	return &route.RouteConfiguration{
@@ -62,7 +62,7 @@
 
 // clusterOf returns the cluster of a request class. It gets its endpoints from the same ADS stream and reports its
 // load to the same server.
-func clusterOf(class string) *cluster.Cluster {
+func newCluster(class string) *cluster.Cluster {
 	return &cluster.Cluster{
 		Name:                 class,
 		ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS},
@@ -80,7 +80,7 @@
 }
 
 // anyOf packs a message. It can't fail for the messages built here.
-func anyOf(m proto.Message) *anypb.Any {
+func packAny(m proto.Message) *anypb.Any {
 	packed, _ := anypb.New(m)
 	return packed
 }
--- a/internal/transport/xds/routing.go
+++ b/internal/transport/xds/routing.go
@@ -10,24 +10,24 @@
 // routing is the routing state of a proxy: its tables, the table that serves each request class, and the endpoints that
 // are excluded from all tables.
 type routing struct {
-	classes  []string // by index
-	tables   map[int]*table
-	bound    map[string]int // table number by request class
-	excluded map[string]bool
+	classes      []string // by index
+	tables       map[int]*table
+	tableByClass map[string]int // table number by request class
+	excluded     map[string]bool
 }
 
 // table holds weights by endpoint, and admission levels by bit mask of classes.
 type table struct {
-	weights map[string]float64
-	levels  map[int]float64
+	weights         map[string]float64
+	admissionByMask map[int]float64
 }
 
 func newRouting(classes []string) routing {
 	return routing{
-		classes:  classes,
-		tables:   map[int]*table{},
-		bound:    map[string]int{},
-		excluded: map[string]bool{},
+		classes:      classes,
+		tables:       map[int]*table{},
+		tableByClass: map[string]int{},
+		excluded:     map[string]bool{},
 	}
 }
 
@@ -35,7 +35,7 @@
 func (r *routing) apply(op *wire.Op) {
 	switch op.Kind {
 	case wire.OpAssignTable:
-		r.bind(op.Table, op.Classes)
+		r.assignTable(op.Table, op.Classes)
 	case wire.OpSetWeight:
 		r.setWeight(op.Table, op.Endpoint, op.Weight)
 	case wire.OpClearTable:
@@ -47,16 +47,16 @@
 			delete(r.excluded, op.Endpoint)
 		}
 	case wire.OpSetAdmission:
-		r.table(op.Table).levels[op.Classes] = op.Weight
+		r.table(op.Table).admissionByMask[op.Classes] = op.Weight
 	}
 }
 
 // bind clears a table and lets it serve the classes of a mask.
-func (r *routing) bind(number, classes int) {
+func (r *routing) assignTable(number, classes int) {
 	delete(r.tables, number)
 	for i, name := range r.classes {
-		if inMask(classes, i) {
-			r.bound[name] = number
+		if maskContains(classes, i) {
+			r.tableByClass[name] = number
 		}
 	}
 }
@@ -74,21 +74,21 @@
 // table returns a table and creates it on first use.
 func (r *routing) table(number int) *table {
 	if r.tables[number] == nil {
-		r.tables[number] = &table{weights: map[string]float64{}, levels: map[int]float64{}}
+		r.tables[number] = &table{weights: map[string]float64{}, admissionByMask: map[int]float64{}}
 	}
 	return r.tables[number]
 }
 
 // anyBound reports whether any class has a table.
-func (r *routing) anyBound() bool { return len(r.bound) > 0 }
+func (r *routing) anyAssigned() bool { return len(r.tableByClass) > 0 }
 
 // level returns the fraction of a class's requests that is admitted: the minimum over its table and wire.EveryTable.
-func (r *routing) level(t *table, class string) float64 {
+func (r *routing) admissionLevel(t *table, class string) float64 {
 	level := 1.0
 	i := slices.Index(r.classes, class)
-	for _, levels := range []map[int]float64{t.levels, r.table(wire.AllTables).levels} {
+	for _, levels := range []map[int]float64{t.admissionByMask, r.table(wire.AllTables).admissionByMask} {
 		for mask, v := range levels {
-			if inMask(mask, i) {
+			if maskContains(mask, i) {
 				level = math.Min(level, v)
 			}
 		}
@@ -97,4 +97,4 @@
 }
 
 // inMask reports whether a mask contains the class of an index. The mask 0 contains all classes.
-func inMask(mask, class int) bool { return mask == 0 || mask&(1<<class) != 0 }
+func maskContains(mask, class int) bool { return mask == 0 || mask&(1<<class) != 0 }
--- a/internal/transport/xds/server.go
+++ b/internal/transport/xds/server.go
@@ -117,7 +117,7 @@
 }
 
 // remove removes a stream that has ended, unless a newer one of the same node has replaced it.
-func (s *Server) remove(st *stream) {
+func (s *Server) unregister(st *stream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.nodes[st.name] == st {
--- a/internal/transport/xds/stream.go
+++ b/internal/transport/xds/stream.go
@@ -26,7 +26,7 @@
 	routing       routing
 	subscriptions subscriptions
 	versions      versions
-	reports       uint64 // number of load reports
+	lastSeq       uint64 // number of load reports
 }
 
 func newStream(name string, classes []string) *stream {
@@ -41,17 +41,17 @@
 }
 
 // Send applies orders to the routing state. Only the newest state is ever sent, so there is no queue to overflow.
-func (st *stream) Send(o *wire.Commands) error {
+func (st *stream) Send(commands *wire.Commands) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	for i := range o.Ops {
-		if o.Ops[i].Kind == wire.OpAckRequest {
-			st.versions.addMark(o.Ops[i].AckNumber, time.Now())
+	for i := range commands.Ops {
+		if commands.Ops[i].Kind == wire.OpAckRequest {
+			st.versions.addAckRequest(commands.Ops[i].AckNumber, time.Now())
 			continue
 		}
-		st.routing.apply(&o.Ops[i])
+		st.routing.apply(&commands.Ops[i])
 	}
-	st.subscriptions.due[typeEndpoint] = true
+	st.subscriptions.pending[endpointTypeURL] = true
 	st.signal()
 	return nil
 }
@@ -71,7 +71,7 @@
 }
 
 // request processes a client's request and returns the marks that it acknowledges. The error is a status.
-func (st *stream) request(r *ads.DiscoveryRequest) ([]wire.Done, error) {
+func (st *stream) handleRequest(r *ads.DiscoveryRequest) ([]wire.Done, error) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	typeURL := r.GetTypeUrl()
@@ -82,10 +82,10 @@
 	if st.subscriptions.update(typeURL, r.GetResourceNames(), nonce == "") {
 		st.signal()
 	}
-	if nonce == "" || typeURL != typeEndpoint {
+	if nonce == "" || typeURL != endpointTypeURL {
 		return nil, nil
 	}
-	return st.versions.answered(nonce, r.GetErrorDetail() != nil)
+	return st.versions.handleAnswer(nonce, r.GetErrorDetail() != nil)
 }
 
 // overdue reports whether an acknowledgement has been due for longer than within.
@@ -97,28 +97,28 @@
 
 // responses returns the responses to send, in the order of types. Types without known names stay due, and so do
 // endpoints before any table is bound: until then the client keeps what it has.
-func (st *stream) responses() (list []*ads.DiscoveryResponse) {
+func (st *stream) takeResponses() (list []*ads.DiscoveryResponse) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	for _, typeURL := range slices.Sorted(maps.Keys(st.subscriptions.due)) {
+	for _, typeURL := range slices.Sorted(maps.Keys(st.subscriptions.pending)) {
 		names := st.knownClasses(st.subscriptions.names[typeURL])
 		if len(names) == 0 {
 			continue
 		}
-		if typeURL == typeEndpoint {
-			if !st.routing.anyBound() {
+		if typeURL == endpointTypeURL {
+			if !st.routing.anyAssigned() {
 				continue
 			}
-			st.versions.next(time.Now())
+			st.versions.startNext(time.Now())
 		}
-		delete(st.subscriptions.due, typeURL)
-		list = append(list, st.response(typeURL, names))
+		delete(st.subscriptions.pending, typeURL)
+		list = append(list, st.newResponse(typeURL, names))
 	}
 	return list
 }
 
 // response returns resources of one type with the present version.
-func (st *stream) response(typeURL string, names []string) *ads.DiscoveryResponse {
+func (st *stream) newResponse(typeURL string, names []string) *ads.DiscoveryResponse {
 	version := strconv.Itoa(st.versions.newest)
 	response := &ads.DiscoveryResponse{TypeUrl: typeURL, VersionInfo: version, Nonce: version}
 	for _, name := range names {
@@ -143,12 +143,12 @@
 
 // subscriptions are the resources that a client has subscribed to, by served type.
 type subscriptions struct {
-	names map[string][]string
-	due   map[string]bool // types that have to be sent
+	names   map[string][]string
+	pending map[string]bool // types that have to be sent
 }
 
 func newSubscriptions() subscriptions {
-	return subscriptions{names: map[string][]string{}, due: map[string]bool{}}
+	return subscriptions{names: map[string][]string{}, pending: map[string]bool{}}
 }
 
 // update records the names subscribed to and reports whether they have to be sent, which is the case for the first
@@ -158,6 +158,6 @@
 		return false
 	}
 	s.names[typeURL] = slices.Clone(names)
-	s.due[typeURL] = true
+	s.pending[typeURL] = true
 	return true
 }
--- a/internal/transport/xds/versions.go
+++ b/internal/transport/xds/versions.go
@@ -14,33 +14,33 @@
 	// maxRefusals is the number of consecutive refusals that end a stream.
 	maxRefusals = 3
 	// maxMarks bounds the marks of a client that does not subscribe to endpoints; the oldest ones are dropped.
-	maxMarks = 1024
+	maxAckRequests = 1024
 )
 
 // versions numbers the EDS responses of a stream and tracks their acknowledgements.
 type versions struct {
-	newest   int // the newest one sent
-	acked    int
-	sentAt   time.Time // of the oldest unacknowledged version
-	refusals int       // consecutive
-	marks    []mark    // unanswered, in the order of their versions
+	newest      int // the newest one sent
+	acked       int
+	sentAt      time.Time    // of the oldest unacknowledged version
+	refusals    int          // consecutive
+	ackRequests []ackRequest // unanswered, in the order of their versions
 }
 
 // mark is answered by the acknowledgement of its version.
-type mark struct {
+type ackRequest struct {
 	number  int
 	version int
 	addedAt time.Time
 }
 
 // addMark adds a mark to the next version.
-func (v *versions) addMark(number int, now time.Time) {
-	v.marks = append(v.marks, mark{number, v.newest + 1, now})
-	v.marks = v.marks[max(0, len(v.marks)-maxMarks):]
+func (v *versions) addAckRequest(number int, now time.Time) {
+	v.ackRequests = append(v.ackRequests, ackRequest{number, v.newest + 1, now})
+	v.ackRequests = v.ackRequests[max(0, len(v.ackRequests)-maxAckRequests):]
 }
 
 // next starts the next version, which is sent now.
-func (v *versions) next(now time.Time) {
+func (v *versions) startNext(now time.Time) {
 	if v.acked == v.newest {
 		v.sentAt = now
 	}
@@ -49,7 +49,7 @@
 
 // answered processes the answer to the version that a nonce identifies, an acknowledgement (ACK) or a refusal (NACK).
 // It returns the marks that are answered, or a status that ends the stream.
-func (v *versions) answered(nonce string, refused bool) ([]wire.Done, error) {
+func (v *versions) handleAnswer(nonce string, refused bool) ([]wire.Done, error) {
 	version, err := strconv.Atoi(nonce)
 	if err != nil || version > v.newest {
 		return nil, status.Errorf(codes.InvalidArgument, "version %q answered, %d was sent", nonce, v.newest)
@@ -63,15 +63,15 @@
 	}
 	v.refusals = 0
 	v.acked = max(v.acked, version)
-	return v.takeAnswered(), nil
+	return v.takeAnsweredRequests(), nil
 }
 
 // takeAnswered removes and returns the marks of all acknowledged versions.
-func (v *versions) takeAnswered() (answered []wire.Done) {
-	for len(v.marks) > 0 && v.marks[0].version <= v.acked {
-		m := v.marks[0]
+func (v *versions) takeAnsweredRequests() (answered []wire.Done) {
+	for len(v.ackRequests) > 0 && v.ackRequests[0].version <= v.acked {
+		m := v.ackRequests[0]
 		answered = append(answered, wire.Done{Mark: m.number, TookMs: milliseconds(time.Since(m.addedAt))})
-		v.marks = v.marks[1:]
+		v.ackRequests = v.ackRequests[1:]
 	}
 	return answered
 }
--- a/internal/transport/xds/xds_test.go
+++ b/internal/transport/xds/xds_test.go
@@ -115,7 +115,7 @@
 }
 
 // call makes calls for a while and returns how many each backend received.
-func (s *site) call(t *testing.T, client healthpb.HealthClient, during time.Duration) (took []int64) {
+func (s *site) call(t *testing.T, client healthpb.HealthClient, during time.Duration) (counts []int64) {
 	var before []int64
 	for _, b := range s.backends {
 		before = append(before, b.calls.Load())
@@ -127,9 +127,9 @@
 		require.NoError(t, err)
 	}
 	for i, b := range s.backends {
-		took = append(took, b.calls.Load()-before[i])
+		counts = append(counts, b.calls.Load()-before[i])
 	}
-	return took
+	return counts
 }
 
 // drain lists a backend as draining.
