--- a/internal/transport/xds/ads.go
+++ b/internal/transport/xds/ads.go
@@ -20,17 +20,19 @@
 )
 
 const (
-	// maxNames is the number of resources of a type that a client may subscribe to. There is one per request class.
+	// maxSubscribedResources is the largest number of resources of one type that a client may subscribe to. Each type
+	// has one resource per request class.
 	maxSubscribedResources = 64
-	// overdueChecks is the number of checks for an overdue acknowledgement within SeenWithin.
+	// overdueChecksPerTimeout is how many times per ListenerConfig.SeenWithin a stream is checked for an overdue
+	// acknowledgement.
 	overdueChecksPerTimeout = 4
 )
 
-// adsStream is the gRPC stream of one proxy.
+// adsStream is the server end of an ADS stream.
 type adsStream = ads.AggregatedDiscoveryService_StreamAggregatedResourcesServer
 
-// StreamAggregatedResources serves the ADS stream of one proxy. It sends responses in this goroutine and reads requests
-// in another, which ends when this method returns.
+// StreamAggregatedResources serves the ADS stream of one proxy. It sends responses in the calling goroutine and reads
+// requests in a second one, which ends when this method returns.
 func (s *Server) StreamAggregatedResources(g adsStream) error {
 	first, err := handshake.ReceiveFirst(s.config.HelloIn, refusalSilence, g.Recv)
 	if err != nil {
@@ -53,7 +55,8 @@
 	return err
 }
 
-// helloFrom returns the hello that corresponds to a node. The tables that it holds are unknown, so all will be sent.
+// newHello converts the node of an xDS client to a Hello. Fresh is set because the client does not say which resources
+// it already has; the pilot therefore sends all of them.
 func newHello(n *core.Node) wire.Hello {
 	return wire.Hello{
 		Version: wire.Version,
@@ -64,14 +67,16 @@
 	}
 }
 
-// postLeave reports to the controller that a proxy has left, also after ctx has ended.
+// postLeave posts controller.ProxyLeft for a stream. It ignores the cancellation of ctx, which is cancelled when the
+// stream has ended, and gives up after shutdown.LeaveTimeout.
 func (s *Server) postLeave(ctx context.Context, st *stream) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdown.LeaveTimeout)
 	defer cancel()
-	_ = s.inbox.Post(ctx, controller.ProxyLeft{Stream: st}) // fails only if the loop has ended
+	_ = s.inbox.Post(ctx, controller.ProxyLeft{Stream: st}) // fails only if the control loop has stopped
 }
 
-// readRequests handles the first request and all further ones until the stream ends.
+// readRequests handles the first request, which has been received already, and then reads and handles further ones. It
+// returns nil if the client has closed the stream.
 func (s *Server) readRequests(g adsStream, st *stream, request *ads.DiscoveryRequest) error {
 	for {
 		if err := s.receive(g.Context(), st, request); err != nil {
@@ -88,7 +93,8 @@
 	}
 }
 
-// receive handles one request, which subscribes to, acknowledges (ACK) or refuses (NACK) resources.
+// receive handles a request, which changes a subscription, acknowledges a response (ACK) or rejects it (NACK). It posts
+// a controller.Acked input for each ack request that the client has answered.
 func (s *Server) receive(ctx context.Context, st *stream, request *ads.DiscoveryRequest) error {
 	if len(request.GetResourceNames()) > maxSubscribedResources {
 		return status.Error(codes.InvalidArgument, "too many resources")
@@ -109,8 +115,8 @@
 	return nil
 }
 
-// writeResponses sends what is subscribed to, at first and when it changes. It returns when the stream ends or an
-// acknowledgement is overdue.
+// writeResponses sends the subscribed resources initially and whenever they change. It returns when the stream ends or
+// an acknowledgement is overdue.
 func (s *Server) writeResponses(g adsStream, st *stream, readEnded <-chan error) error {
 	check := time.NewTicker(s.config.SeenWithin / overdueChecksPerTimeout)
 	defer check.Stop()
