--- a/internal/transport/xds/assignment.go
+++ b/internal/transport/xds/assignment.go
@@ -14,16 +14,19 @@
 )
 
 const (
-	// weightUnit is the locality weight for a weight of 1. Locality weights are integers.
+	// localityWeightScale is the locality weight of an endpoint with weight 1. Locality weights are integers.
 	localityWeightScale = 10000
-	// maxWeight bounds locality weights, so that the sum of 4096 fits into 32 bits, as xDS requires.
+	// maxLocalityWeight is the largest locality weight. xDS requires that the sum of all locality weights fits into 32
+	// bits; this value allows 4096 endpoints.
 	maxLocalityWeight = math.MaxUint32 / 4096
-	// dropUnits is the denominator of the fraction of requests to drop.
+	// dropDenominator is the denominator of the fraction of requests to drop.
 	dropDenominator = 1_000_000
 )
 
-// assignment returns the table of a request class as an EDS resource: one weighted locality per endpoint, without
-// excluded endpoints. An admission level below 1 becomes a fraction of requests to drop.
+// loadAssignment returns the EDS resource of a request class, which contains a weighted locality for each endpoint in
+// the table of the class, except excluded endpoints and those without a valid address. If the admission level is below
+// 1, it also contains the fraction of requests to drop. If no table is assigned to the class, the resource has no
+// endpoints.
 func (r *routing) loadAssignment(class string) *endpoint.ClusterLoadAssignment {
 	resource := &endpoint.ClusterLoadAssignment{ClusterName: class}
 	tableNumber, assigned := r.tableByClass[class]
@@ -44,8 +47,8 @@
 	return resource
 }
 
-// localityOf returns a locality with one endpoint. Its sub-zone is the endpoint's address, by which the client's load
-// reports identify the endpoint.
+// newLocality returns a locality that contains one endpoint. The sub-zone is the endpoint's address, which identifies
+// the endpoint in the load reports of the client.
 func newLocality(address, host string, port uint32, weight float64) *endpoint.LocalityLbEndpoints {
 	socket := &core.SocketAddress{
 		Address:       host,
@@ -64,12 +67,13 @@
 	}
 }
 
-// wireWeight returns the locality weight for a weight. It is at least 1, since clients ignore localities of weight 0.
+// localityWeight converts the weight of an endpoint to a locality weight. The result is at least 1, because clients
+// ignore localities with weight 0.
 func localityWeight(weight float64) uint32 {
 	return uint32(math.Max(1, math.Min(math.Round(weight*localityWeightScale), maxLocalityWeight)))
 }
 
-// dropPolicy returns the policy to drop a fraction of the requests.
+// dropPolicy returns a policy by which the client drops a fraction, from 0 to 1, of its requests.
 func dropPolicy(fraction float64) *endpoint.ClusterLoadAssignment_Policy {
 	return &endpoint.ClusterLoadAssignment_Policy{
 		DropOverloads: []*endpoint.ClusterLoadAssignment_Policy_DropOverload{{
@@ -82,7 +86,7 @@
 	}
 }
 
-// splitAddress returns the host and port of an address, if it has both.
+// splitAddress splits an address of the form host:port. ok is false if the address has no host or no valid port.
 func splitAddress(address string) (host string, port uint32, ok bool) {
 	colon := strings.LastIndexByte(address, ':')
 	if colon <= 0 {
