--- a/internal/transport/xds/lrs.go
+++ b/internal/transport/xds/lrs.go
@@ -18,7 +18,8 @@
 	"indigousher/internal/wire"
 )
 
-// StreamLoadStats receives the load reports of one proxy. Reports of proxies without an ADS stream here are dropped.
+// StreamLoadStats receives the load reports of one proxy and posts them to the inbox. Reports of a proxy without an
+// open ADS stream to this pilot are dropped.
 func (s *Server) StreamLoadStats(g lrs.LoadReportingService_StreamLoadStatsServer) error {
 	first, err := handshake.ReceiveFirst(s.config.HelloIn, refusalSilence, g.Recv)
 	if err != nil {
@@ -55,7 +56,8 @@
 	}
 }
 
-// sums converts a load report, sent at atMs on the stream's clock. The result is nil if the report covers no time.
+// newReport converts a load report and assigns it a sequence number. atMs is the time since the start of the LRS
+// stream, ms. It returns nil without an error if the report covers no time.
 func (st *stream) newReport(r *lrs.LoadStatsRequest, atMs float64) (*wire.LoadReport, error) {
 	report, err := sumReport(r, st.classes)
 	if err != nil || report.SpanMs <= 0 {
@@ -66,7 +68,7 @@
 	return report, nil
 }
 
-// nextReport returns the sequence number of the next load report, starting at 1.
+// nextSeq returns the sequence number of the next load report. The first number is 1.
 func (st *stream) nextSeq() uint64 {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -74,8 +76,8 @@
 	return st.lastSeq
 }
 
-// sumsFrom sums a load report by endpoint and by request class. Clusters that are not request classes are ignored. LRS
-// carries no response times, so means are 0.
+// sumReport adds up the statistics of a load report per endpoint and per request class. Clusters that are not in
+// classes are ignored. MeanMs is 0 in all statistics, because LRS does not report response times.
 func sumReport(r *lrs.LoadStatsRequest, classes []string) (*wire.LoadReport, error) {
 	report := &wire.LoadReport{}
 	byEndpoint := map[string]*wire.EndpointStats{}
@@ -95,8 +97,8 @@
 	return report, nil
 }
 
-// addCluster adds the load of a cluster to its endpoints and returns the cluster's requests. Requests that the client
-// dropped under the drop policy are included.
+// addCluster adds the statistics of a cluster to those of its endpoints and returns the request statistics of the
+// cluster. Requests that the client has dropped because of the drop policy count as requests, but not as attempts.
 func addCluster(byEndpoint map[string]*wire.EndpointStats, c *endpoint.ClusterStats) wire.RequestStats {
 	requestStats := wire.RequestStats{Class: c.GetClusterName(), Requests: clampCount(c.GetTotalDroppedRequests())}
 	for _, l := range c.GetUpstreamLocalityStats() {
@@ -117,7 +119,8 @@
 	return requestStats
 }
 
-// figures returns the mean of each figure of the endpoint's own load report, if the client forwards it (ORCA).
+// loadMetrics returns the mean of each load metric that the endpoint reported about itself (ORCA). The result is empty
+// if the client does not forward them.
 func loadMetrics(l *endpoint.UpstreamLocalityStats) []wire.LoadMetric {
 	var list []wire.LoadMetric
 	for _, f := range l.GetLoadMetricStats() {
@@ -129,8 +132,8 @@
 	return list
 }
 
-// count limits a count, so that sums of a few counts do not overflow.
+// clampCount limits a count to math.MaxInt32, so that adding counts does not overflow.
 func clampCount(n uint64) int { return int(min(n, math.MaxInt32)) }
 
-// milliseconds returns a duration in milliseconds.
+// milliseconds converts a duration to ms.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
