--- a/internal/transport/xds/resources.go
+++ b/internal/transport/xds/resources.go
@@ -11,16 +11,17 @@
 	"google.golang.org/protobuf/types/known/anypb"
 )
 
-// The resource types that are served.
+// The type URLs of the resources that the server provides.
 const (
 	listenerTypeURL = "type.googleapis.com/envoy.config.listener.v3.Listener"
 	clusterTypeURL  = "type.googleapis.com/envoy.config.cluster.v3.Cluster"
 	endpointTypeURL = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 )
 
+// servedTypes lists the type URLs that a client may subscribe to. Requests for other types are ignored.
 var servedTypes = []string{listenerTypeURL, clusterTypeURL, endpointTypeURL}
 
-// resource returns the resource of a type for a request class.
+// resource returns the resource of a request class with the given type, which must be one of servedTypes.
 func (st *stream) resource(typeURL, class string) proto.Message {
 	switch typeURL {
 	case listenerTypeURL:
@@ -31,7 +32,7 @@
 	return st.routing.loadAssignment(class)
 }
 
-// listenerOf returns the listener of a request class, which routes all requests to the cluster of the same name.
+// newListener returns the listener of a request class, which routes all requests to the cluster of the same name.
 func newListener(class string) *listener.Listener {
 	manager := &hcm.HttpConnectionManager{
 		RouteSpecifier: &hcm.HttpConnectionManager_RouteConfig{RouteConfig: newRoutes(class)},
@@ -46,7 +47,7 @@
 	}
 }
 
-// routesOf returns the route configuration of a request class: one route to its cluster.
+// newRoutes returns the route configuration of a request class, which has one route to its cluster.
 func newRoutes(class string) *route.RouteConfiguration {
 	all := &route.RouteMatch{PathSpecifier: &route.RouteMatch_Prefix{Prefix: ""}}
 	toCluster := &route.RouteAction{ClusterSpecifier: &route.RouteAction_Cluster{Cluster: class}}
@@ -60,8 +61,8 @@
 	}
 }
 
-// clusterOf returns the cluster of a request class. It gets its endpoints from the same ADS stream and reports its
-// load to the same server.
+// newCluster returns the cluster of a request class. Clients receive its endpoints on the same ADS stream and report
+// its load to the same server.
 func newCluster(class string) *cluster.Cluster {
 	return &cluster.Cluster{
 		Name:                 class,
@@ -79,7 +80,7 @@
 	}
 }
 
-// anyOf packs a message. It can't fail for the messages built here.
+// packAny packs a message into an Any. The error is ignored because packing cannot fail for the messages built here.
 func packAny(m proto.Message) *anypb.Any {
 	packed, _ := anypb.New(m)
 	return packed
