--- a/internal/transport/xds/routing.go
+++ b/internal/transport/xds/routing.go
@@ -7,16 +7,17 @@
 	"indigousher/internal/wire"
 )
 
-// routing is the routing state of a proxy: its tables, the table that serves each request class, and the endpoints that
+// routing is the routing state of a proxy: its tables, the table assigned to each request class, and the endpoints that
 // are excluded from all tables.
 type routing struct {
-	classes      []string // by index
+	classes      []string // names of the request classes by index
 	tables       map[int]*table
-	tableByClass map[string]int // table number by request class
-	excluded     map[string]bool
+	tableByClass map[string]int  // number of the table assigned to a request class
+	excluded     map[string]bool // by endpoint
 }
 
-// table holds weights by endpoint, and admission levels by bit mask of classes.
+// table is a routing table: the weights of its endpoints, and the admission levels by bit mask of request class
+// indices.
 type table struct {
 	weights         map[string]float64
 	admissionByMask map[int]float64
@@ -31,7 +32,7 @@
 	}
 }
 
-// apply applies an op. Key ranges can't be represented in xDS and are ignored.
+// apply applies an operation. Key ranges cannot be represented in xDS and are ignored.
 func (r *routing) apply(op *wire.Op) {
 	switch op.Kind {
 	case wire.OpAssignTable:
@@ -51,7 +52,7 @@
 	}
 }
 
-// bind clears a table and lets it serve the classes of a mask.
+// assignTable resets a table and assigns it to the request classes in a bit mask.
 func (r *routing) assignTable(number, classes int) {
 	delete(r.tables, number)
 	for i, name := range r.classes {
@@ -61,7 +62,7 @@
 	}
 }
 
-// setWeight sets the weight of an endpoint in a table; 0 removes the endpoint.
+// setWeight sets the weight of an endpoint in a table. A weight of 0 or less removes the endpoint.
 func (r *routing) setWeight(number int, endpoint string, weight float64) {
 	t := r.table(number)
 	if weight <= 0 {
@@ -71,7 +72,7 @@
 	t.weights[endpoint] = weight
 }
 
-// table returns a table and creates it on first use.
+// table returns the table with the given number. It creates the table if it does not exist.
 func (r *routing) table(number int) *table {
 	if r.tables[number] == nil {
 		r.tables[number] = &table{weights: map[string]float64{}, admissionByMask: map[int]float64{}}
@@ -79,10 +80,11 @@
 	return r.tables[number]
 }
 
-// anyBound reports whether any class has a table.
+// anyAssigned reports whether a table is assigned to at least one request class.
 func (r *routing) anyAssigned() bool { return len(r.tableByClass) > 0 }
 
-// level returns the fraction of a class's requests that is admitted: the minimum over its table and wire.EveryTable.
+// admissionLevel returns the fraction of requests of a class to admit: the minimum of the levels in t and
+// wire.AllTables that apply to the class, or 1 if there is none.
 func (r *routing) admissionLevel(t *table, class string) float64 {
 	level := 1.0
 	i := slices.Index(r.classes, class)
@@ -96,5 +98,5 @@
 	return level
 }
 
-// inMask reports whether a mask contains the class of an index. The mask 0 contains all classes.
+// maskContains reports whether a bit mask contains a request class index. The mask 0 contains all classes.
 func maskContains(mask, class int) bool { return mask == 0 || mask&(1<<class) != 0 }
