--- a/internal/transport/xds/server.go
+++ b/internal/transport/xds/server.go
@@ -19,13 +19,14 @@
 )
 
 const (
-	// refusalSilence is the status text for streams without a first message.
+	// refusalSilence is the status text if the first message of a stream does not arrive in time.
 	refusalSilence = "nothing was said"
-	// refusalIdentity is the status text for a rejected identity. The cause is reported to operators only.
+	// refusalIdentity is the status text if the client's certificate does not match its node. The details are only
+	// logged, so that unauthenticated peers learn nothing about accepted identities.
 	refusalIdentity = "not let in"
 )
 
-// ListenerConfig configures the accepted streams.
+// ListenerConfig configures the streams that the server accepts.
 type ListenerConfig struct {
 	Kinds      []string      // names of the request classes, by index
 	Period     time.Duration // interval of load reports
@@ -36,7 +37,7 @@
 	Claims func(ctx context.Context, name, zone string) error
 }
 
-// Server implements ADS and LRS.
+// Server implements the ADS and LRS services of xDS.
 type Server struct {
 	ads.UnimplementedAggregatedDiscoveryServiceServer
 	lrs.UnimplementedLoadReportingServiceServer
@@ -48,12 +49,12 @@
 	nodes map[string]*stream // open ADS streams by node id
 }
 
-// New returns a server that is not registered yet.
+// New returns a server that posts the messages of proxies to inbox. Register must be called to serve.
 func New(c ListenerConfig, inbox controller.Inbox, log *zap.Logger) *Server {
 	return &Server{config: c, inbox: inbox, log: log, nodes: map[string]*stream{}}
 }
 
-// Register adds the services to a gRPC server.
+// Register registers the ADS and LRS services with a gRPC server.
 func (s *Server) Register(r grpc.ServiceRegistrar) {
 	ads.RegisterAggregatedDiscoveryServiceServer(r, s)
 	lrs.RegisterLoadReportingServiceServer(r, s)
@@ -66,7 +67,7 @@
 	return len(s.nodes)
 }
 
-// Stop ends all streams. Their clients connect again, to another controller if they know one.
+// Stop ends all ADS streams. The clients reconnect, to another pilot if they are configured with several.
 func (s *Server) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,7 +76,8 @@
 	}
 }
 
-// admit creates the stream of a node. An older stream of the same node is closed.
+// admit validates a node and creates its stream. An older stream of the same node is closed. The error is a status: the
+// node is invalid, its identity is rejected, or the limit of open streams is reached.
 func (s *Server) admit(ctx context.Context, n *core.Node) (*stream, error) {
 	name := n.GetId()
 	zone := n.GetLocality().GetZone()
@@ -97,7 +99,8 @@
 	return st, nil
 }
 
-// checkIdentity returns a status error if the peer's certificate does not match its name and zone.
+// checkIdentity returns a status error if the client's certificate does not match the given name and zone. Without TLS
+// it returns nil.
 func (s *Server) checkIdentity(ctx context.Context, name, zone string) error {
 	if s.config.Claims == nil {
 		return nil
@@ -109,14 +112,14 @@
 	return nil
 }
 
-// stream returns the open ADS stream of a node, or nil.
+// stream returns the open ADS stream of the node with the given id, or nil if there is none.
 func (s *Server) stream(name string) *stream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.nodes[name]
 }
 
-// remove removes a stream that has ended, unless a newer one of the same node has replaced it.
+// unregister removes an ended stream from the open streams, unless a newer stream of the same node has replaced it.
 func (s *Server) unregister(st *stream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
