--- a/internal/transport/xds/stream.go
+++ b/internal/transport/xds/stream.go
@@ -14,19 +14,19 @@
 	"indigousher/internal/wire"
 )
 
-// stream is the stream of one proxy. It implements controller.Stream: the controller's loop updates the routing state,
-// the ADS writer sends it, and the ADS reader processes subscriptions and acknowledgements.
+// stream is the state of one proxy's ADS stream. It implements controller.Stream: the control loop updates the routing
+// state, the writer goroutine sends it, and the reader goroutine processes subscriptions and acknowledgements.
 type stream struct {
-	name    string
-	classes []string      // names of the request classes by index; constant
-	wake    chan struct{} // has an element if there may be something to send
+	name    string        // node id of the proxy
+	classes []string      // names of the request classes by index; not modified
+	wake    chan struct{} // capacity 1; contains an element if there may be a response to send
 	end     *shutdown.Notice[struct{}]
 
 	mu            sync.Mutex
 	routing       routing
 	subscriptions subscriptions
 	versions      versions
-	lastSeq       uint64 // number of load reports
+	lastSeq       uint64 // sequence number of the last load report; 0: none
 }
 
 func newStream(name string, classes []string) *stream {
@@ -40,7 +40,8 @@
 	}
 }
 
-// Send applies orders to the routing state. Only the newest state is ever sent, so there is no queue to overflow.
+// Send applies commands to the routing state, which the writer then sends. The error is always nil: operations are not
+// queued, as only the latest state is sent.
 func (st *stream) Send(commands *wire.Commands) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -56,13 +57,13 @@
 	return nil
 }
 
-// Ask does nothing: an LRS server states its report interval once.
+// Ask does nothing, because an LRS server announces the report interval only once.
 func (st *stream) Ask(*wire.Pace) error { return nil }
 
-// Close ends the stream.
+// Close ends the stream. The reason becomes the text of its final status.
 func (st *stream) Close(reason string) { st.end.Close(reason) }
 
-// signal wakes the writer.
+// signal wakes the writer goroutine.
 func (st *stream) signal() {
 	select {
 	case st.wake <- struct{}{}:
@@ -70,13 +71,14 @@
 	}
 }
 
-// request processes a client's request and returns the marks that it acknowledges. The error is a status.
+// handleRequest processes a request of the client and returns the answers to the ack requests that it acknowledges. The
+// error is a status that ends the stream.
 func (st *stream) handleRequest(r *ads.DiscoveryRequest) ([]wire.Done, error) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	typeURL := r.GetTypeUrl()
 	if !slices.Contains(servedTypes, typeURL) {
-		return nil, nil // not recorded either, to bound memory
+		return nil, nil // the subscription is not recorded, to bound memory
 	}
 	nonce := r.GetResponseNonce()
 	if st.subscriptions.update(typeURL, r.GetResourceNames(), nonce == "") {
@@ -88,15 +90,16 @@
 	return st.versions.handleAnswer(nonce, r.GetErrorDetail() != nil)
 }
 
-// overdue reports whether an acknowledgement has been due for longer than within.
+// overdue reports whether a response has been unacknowledged for longer than within.
 func (st *stream) overdue(within time.Duration) bool {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.versions.overdue(within)
 }
 
-// responses returns the responses to send, in the order of types. Types without known names stay due, and so do
-// endpoints before any table is bound: until then the client keeps what it has.
+// takeResponses returns the responses to send, sorted by type URL. A type without a subscription to a known request
+// class remains pending. Endpoints also remain pending until a table is assigned; until then the client keeps the ones
+// it has.
 func (st *stream) takeResponses() (list []*ads.DiscoveryResponse) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -117,21 +120,21 @@
 	return list
 }
 
-// response returns resources of one type with the present version.
+// newResponse returns a response that contains the named resources of one type in the newest version.
 func (st *stream) newResponse(typeURL string, names []string) *ads.DiscoveryResponse {
 	version := strconv.Itoa(st.versions.newest)
 	response := &ads.DiscoveryResponse{TypeUrl: typeURL, VersionInfo: version, Nonce: version}
 	for _, name := range names {
 		resource, err := anypb.New(st.resource(typeURL, name))
 		if err != nil {
-			continue // can't be marshalled: the name is not valid UTF-8
+			continue // marshalling fails if the name is not valid UTF-8
 		}
 		response.Resources = append(response.Resources, resource)
 	}
 	return response
 }
 
-// knownClasses returns those of the names that are request classes.
+// knownClasses returns the names that are request classes, in the given order.
 func (st *stream) knownClasses(names []string) (list []string) {
 	for _, name := range names {
 		if slices.Contains(st.classes, name) {
@@ -141,18 +144,18 @@
 	return list
 }
 
-// subscriptions are the resources that a client has subscribed to, by served type.
+// subscriptions records the resources that a client has subscribed to. Only served types are recorded.
 type subscriptions struct {
-	names   map[string][]string
-	pending map[string]bool // types that have to be sent
+	names   map[string][]string // resource names by type URL
+	pending map[string]bool     // type URLs of which a response must be sent
 }
 
 func newSubscriptions() subscriptions {
 	return subscriptions{names: map[string][]string{}, pending: map[string]bool{}}
 }
 
-// update records the names subscribed to and reports whether they have to be sent, which is the case for the first
-// request of a type and after a change.
+// update records the resource names that a client subscribes to. If first is set or the names have changed, it marks
+// the type as pending and returns true.
 func (s *subscriptions) update(typeURL string, names []string, first bool) bool {
 	if !first && slices.Equal(names, s.names[typeURL]) {
 		return false
