--- a/internal/transport/xds/versions.go
+++ b/internal/transport/xds/versions.go
@@ -11,35 +11,36 @@
 )
 
 const (
-	// maxRefusals is the number of consecutive refusals that end a stream.
+	// maxRefusals is the number of consecutive refusals (NACK) after which a stream is closed.
 	maxRefusals = 3
-	// maxMarks bounds the marks of a client that does not subscribe to endpoints; the oldest ones are dropped.
+	// maxAckRequests is the largest number of unanswered ack requests; the oldest ones are dropped. It bounds the
+	// memory for a client that never subscribes to endpoints and therefore answers none.
 	maxAckRequests = 1024
 )
 
-// versions numbers the EDS responses of a stream and tracks their acknowledgements.
+// versions assigns version numbers to the EDS responses of a stream and tracks their acknowledgements.
 type versions struct {
-	newest      int // the newest one sent
-	acked       int
-	sentAt      time.Time    // of the oldest unacknowledged version
-	refusals    int          // consecutive
-	ackRequests []ackRequest // unanswered, in the order of their versions
+	newest      int          // version of the last response sent; 0: none
+	acked       int          // last version that the client has acknowledged; 0: none
+	sentAt      time.Time    // time of sending the first version after acked last equalled newest
+	refusals    int          // number of consecutive refusals
+	ackRequests []ackRequest // unanswered, sorted by version
 }
 
-// mark is answered by the acknowledgement of its version.
+// ackRequest is an OpAckRequest. It is answered when the client acknowledges its version or a later one.
 type ackRequest struct {
 	number  int
-	version int
+	version int // the first version sent after the request
 	addedAt time.Time
 }
 
-// addMark adds a mark to the next version.
+// addAckRequest adds an ack request to the next version.
 func (v *versions) addAckRequest(number int, now time.Time) {
 	v.ackRequests = append(v.ackRequests, ackRequest{number, v.newest + 1, now})
 	v.ackRequests = v.ackRequests[max(0, len(v.ackRequests)-maxAckRequests):]
 }
 
-// next starts the next version, which is sent now.
+// startNext increments the version. A response with the new version is sent now.
 func (v *versions) startNext(now time.Time) {
 	if v.acked == v.newest {
 		v.sentAt = now
@@ -47,8 +48,9 @@
 	v.newest++
 }
 
-// answered processes the answer to the version that a nonce identifies, an acknowledgement (ACK) or a refusal (NACK).
-// It returns the marks that are answered, or a status that ends the stream.
+// handleAnswer processes an acknowledgement (ACK) or a refusal (NACK) of the version that a nonce identifies. It
+// returns the answers to the ack requests of all acknowledged versions, or a status error that ends the stream: the
+// nonce is invalid or the client has refused maxRefusals times in a row.
 func (v *versions) handleAnswer(nonce string, refused bool) ([]wire.Done, error) {
 	version, err := strconv.Atoi(nonce)
 	if err != nil || version > v.newest {
@@ -66,7 +68,7 @@
 	return v.takeAnsweredRequests(), nil
 }
 
-// takeAnswered removes and returns the marks of all acknowledged versions.
+// takeAnsweredRequests removes the ack requests of all acknowledged versions and returns the answers to them.
 func (v *versions) takeAnsweredRequests() (answered []wire.Done) {
 	for len(v.ackRequests) > 0 && v.ackRequests[0].version <= v.acked {
 		m := v.ackRequests[0]
@@ -76,7 +78,7 @@
 	return answered
 }
 
-// overdue reports whether an acknowledgement has been due for longer than within.
+// overdue reports whether a version has been unacknowledged for longer than within.
 func (v *versions) overdue(within time.Duration) bool {
 	return v.acked < v.newest && time.Since(v.sentAt) > within
 }
