--- a/internal/transport/xds/hostile_test.go
+++ b/internal/transport/xds/hostile_test.go
@@ -18,8 +18,8 @@
 	"indigousher/internal/wire"
 )
 
-// TestHostileNode checks that the memory of a stream stays bounded if a client subscribes to ever more types, or to no
-// endpoints so that marks are never answered, and that invalid nonces are rejected.
+// TestHostileNode checks that the memory of a stream stays bounded if a client subscribes to many unknown types, or
+// never to endpoints, so that ack requests remain unanswered, and that invalid nonces are rejected.
 func TestHostileNode(t *testing.T) {
 	st := newStream("p", []string{"read"})
 	for i := range 5000 {
@@ -38,6 +38,7 @@
 	}
 }
 
+// newLoadStats returns a load report with one endpoint, which change may modify.
 func newLoadStats(change func(c *endpoint.ClusterStats)) *lrs.LoadStatsRequest {
 	c := &endpoint.ClusterStats{
 		ClusterName: "read", LoadReportInterval: durationpb.New(time.Second),
@@ -53,8 +54,8 @@
 	return &lrs.LoadStatsRequest{ClusterStats: []*endpoint.ClusterStats{c}}
 }
 
-// FuzzLoad converts arbitrary load reports. The results must be valid in the framed protocol, except for figures, which
-// the controller checks.
+// FuzzLoad checks that arbitrary load reports are converted to valid ones or rejected. The values of load metrics are
+// not checked here, because the pilot validates them later.
 func FuzzLoad(f *testing.F) {
 	for _, change := range []func(c *endpoint.ClusterStats){
 		func(*endpoint.ClusterStats) {},
--- a/internal/transport/xds/xds_test.go
+++ b/internal/transport/xds/xds_test.go
@@ -22,22 +22,24 @@
 	"indigousher/internal/wire"
 )
 
-// backend is a minimal gRPC endpoint that counts calls.
+// backend is a gRPC server that implements only the health service and counts its calls.
 type backend struct {
 	healthpb.UnimplementedHealthServer
-	calls atomic.Int64
-	at    string
+	calls   atomic.Int64
+	address string
 }
 
+// Check implements the health service. The status is always SERVING.
 func (b *backend) Check(context.Context, *healthpb.HealthCheckRequest) (*healthpb.HealthCheckResponse, error) {
 	b.calls.Add(1)
 	return &healthpb.HealthCheckResponse{Status: healthpb.HealthCheckResponse_SERVING}, nil
 }
 
+// newBackend starts a backend.
 func newBackend(t *testing.T) *backend {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	b := &backend{at: l.Addr().String()}
+	b := &backend{address: l.Addr().String()}
 	s := grpc.NewServer()
 	healthpb.RegisterHealthServer(s, b)
 	go func() { _ = s.Serve(l) }()
@@ -45,7 +47,7 @@
 	return b
 }
 
-// site is a controller with its list source and six backends, three in each of two zones.
+// site is a pilot with its endpoint list source and six backends, of which three are in zone a and three in zone b.
 type site struct {
 	source   *registry.Registry
 	backends []*backend
@@ -53,14 +55,14 @@
 	daemon   *daemon.Daemon
 }
 
-// newSite starts a site. The first backend has three times the weight of the others.
+// newSite starts a site in which the first backend has three times the weight of each other one.
 func newSite(t *testing.T) *site {
 	s := &site{source: registry.New(eventlog.NewLog().Stream("list"))}
 	require.NoError(t, s.source.Start())
 	t.Cleanup(s.source.Close)
 	for i := range 6 {
 		b := newBackend(t)
-		entry := wire.Entry{Endpoint: b.at, Zone: []string{"a", "b"}[i/3], Machine: "std", Weight: 1}
+		entry := wire.Entry{Endpoint: b.address, Zone: []string{"a", "b"}[i/3], Machine: "std", Weight: 1}
 		if i == 0 {
 			entry.Weight = 3
 		}
@@ -95,7 +97,7 @@
 	return s
 }
 
-// client returns a health client that uses the xDS client of grpc-go, in zone a.
+// client returns a health service client in zone a that resolves and balances with the xDS client of grpc-go.
 func (s *site) client(t *testing.T) healthpb.HealthClient {
 	bootstrap := fmt.Appendf(nil, `{
 		"xds_servers": [{
@@ -114,8 +116,8 @@
 	return healthpb.NewHealthClient(conn)
 }
 
-// call makes calls for a while and returns how many each backend received.
-func (s *site) call(t *testing.T, client healthpb.HealthClient, during time.Duration) (counts []int64) {
+// countCalls makes calls for the given duration and returns the number of calls that each backend received.
+func (s *site) countCalls(t *testing.T, client healthpb.HealthClient, during time.Duration) (counts []int64) {
 	var before []int64
 	for _, b := range s.backends {
 		before = append(before, b.calls.Load())
@@ -132,35 +134,35 @@
 	return counts
 }
 
-// drain lists a backend as draining.
-func (s *site) drain(i int) {
+// drainBackend marks a backend as draining in the endpoint list.
+func (s *site) drainBackend(i int) {
 	s.entries[i].Phase = wire.PhaseDraining
 	s.source.Put(0, s.entries[i])
 }
 
-// TestUnmodifiedClient checks that the xDS client of grpc-go follows the controller's weights, leaves draining
-// endpoints within the grace period, fails over to the other zone when its own has no endpoints left, and reports
+// TestUnmodifiedClient checks that the xDS client of grpc-go applies the weights of the pilot, stops using draining
+// endpoints within the grace period, fails over to the other zone when all endpoints of its own zone drain, and reports
 // load.
 func TestUnmodifiedClient(t *testing.T) {
-	const takesEffect = 500 * time.Millisecond // a drained endpoint is left by then
+	const takesEffect = 500 * time.Millisecond // time within which clients stop using a draining endpoint
 	s := newSite(t)
 	client := s.client(t)
-	s.call(t, client, 2*time.Second) // bound, and some reports
-	took := s.call(t, client, 2*time.Second)
-	own := float64(took[0] + took[1] + took[2])
-	assert.InDelta(t, 0.6, float64(took[0])/own, 0.15, "three of five parts: %v", took)
-	assert.Positive(t, s.daemon.State().Refused["merged"], "load is reported back")
+	s.countCalls(t, client, 2*time.Second) // until a table is assigned and load has been reported
+	received := s.countCalls(t, client, 2*time.Second)
+	localTotal := float64(received[0] + received[1] + received[2])
+	assert.InDelta(t, 0.6, float64(received[0])/localTotal, 0.15, "the first backend has weight 3 of 5: %v", received)
+	assert.Positive(t, s.daemon.State().Refused["merged"], "load reports have been accepted")
 	assert.Equal(t, 1, s.daemon.State().Proxies)
 
-	s.drain(0)
+	s.drainBackend(0)
 	time.Sleep(takesEffect)
-	took = s.call(t, client, time.Second)
-	assert.Zero(t, took[0], "drained: %v", took)
+	received = s.countCalls(t, client, time.Second)
+	assert.Zero(t, received[0], "calls to a draining backend: %v", received)
 
-	s.drain(1)
-	s.drain(2)
+	s.drainBackend(1)
+	s.drainBackend(2)
 	time.Sleep(takesEffect)
-	took = s.call(t, client, time.Second)
-	assert.Zero(t, took[0]+took[1]+took[2], "%v", took)
-	assert.Positive(t, took[3]+took[4]+took[5], "the next zone: %v", took)
+	received = s.countCalls(t, client, time.Second)
+	assert.Zero(t, received[0]+received[1]+received[2], "calls to draining backends: %v", received)
+	assert.Positive(t, received[3]+received[4]+received[5], "calls to the other zone: %v", received)
 }
