--- a/internal/transport/admin/admin.go
+++ b/internal/transport/admin/admin.go
@@ -22,13 +22,13 @@
 
 // Limits of operators' connections. Clients that send slowly or do not read are disconnected.
 const (
-	readTimeout    = 2 * time.Second  // for a request to arrive
-	writeTimeout   = 10 * time.Second // for a response to be written
-	idleTimeout    = 30 * time.Second // between two requests on a connection
-	shutdownWithin = time.Second      // for responses in progress when the controller stops
-	maxHeaderBytes = 16 << 10
-	maxBodyBytes   = 1 << 10
-	maxConns       = 64 // served concurrently; others wait
+	readTimeout     = 2 * time.Second  // for a request to arrive
+	writeTimeout    = 10 * time.Second // for a response to be written
+	idleTimeout     = 30 * time.Second // between two requests on a connection
+	shutdownTimeout = time.Second      // for responses in progress when the controller stops
+	maxHeaderBytes  = 16 << 10
+	maxBodyBytes    = 1 << 10
+	maxConns        = 64 // served concurrently; others wait
 )
 
 // Serve serves /metrics, /healthz (the loop turns), /readyz (an endpoint list has arrived) and /state on l until ctx
@@ -49,10 +49,10 @@
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", promhttp.HandlerFor(g, promhttp.HandlerOpts{}))
 	mux.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) {
-		writeVerdict(w, time.Since(state().LastTurn) < staleAfter, "the loop has not turned")
+		writeCheckResult(w, time.Since(state().LastTurn) < staleAfter, "the loop has not turned")
 	})
 	mux.HandleFunc("/readyz", func(w http.ResponseWriter, _ *http.Request) {
-		writeVerdict(w, state().Listed, "no endpoint list yet")
+		writeCheckResult(w, state().Listed, "no endpoint list yet")
 	})
 	mux.HandleFunc("/state", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
@@ -76,7 +76,7 @@
 // shutDown stops a server when its responses in progress are written, or after shutdownWithin. The context given has
 // ended already.
 func shutDown(ctx context.Context, server *http.Server) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownWithin)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
 	if server.Shutdown(ctx) != nil {
 		_ = server.Close() // the rest had its time
@@ -84,9 +84,9 @@
 }
 
 // writeVerdict responds with ok, or with the status Service Unavailable and the reason.
-func writeVerdict(w http.ResponseWriter, good bool, why string) {
-	if !good {
-		http.Error(w, why, http.StatusServiceUnavailable)
+func writeCheckResult(w http.ResponseWriter, ok bool, problem string) {
+	if !ok {
+		http.Error(w, problem, http.StatusServiceUnavailable)
 		return
 	}
 	_, _ = fmt.Fprintln(w, "ok") // fails only if the client has gone
--- a/internal/transport/admin/admin_test.go
+++ b/internal/transport/admin/admin_test.go
@@ -30,7 +30,7 @@
 		cancel()
 		assert.NoError(t, <-ended)
 	}()
-	ask := func(text string) string {
+	exchange := func(text string) string {
 		c, err := net.Dial("tcp", l.Addr().String())
 		require.NoError(t, err)
 		defer func() { _ = c.Close() }()
@@ -40,10 +40,10 @@
 		require.False(t, err != nil && strings.Contains(err.Error(), "timeout"), "not cut off")
 		return string(b)
 	}
-	t.Run("all", func(t *testing.T) { badRequests(t, ask, l.Addr().String()) }) // ends when the last of them has
+	t.Run("all", func(t *testing.T) { badRequests(t, exchange, l.Addr().String()) }) // ends when the last of them has
 }
 
-func badRequests(t *testing.T, ask func(string) string, at string) {
+func badRequests(t *testing.T, exchange func(string) string, address string) {
 	const end = "Connection: close\r\n\r\n"
 	for _, c := range []struct{ name, text, want string }{
 		{"good", "GET /readyz HTTP/1.1\r\nHost: x\r\n" + end, "200 OK"},
@@ -56,7 +56,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			got := ask(c.text)
+			got := exchange(c.text)
 			assert.Contains(t, got, c.want)
 			if c.want == "" {
 				assert.NotContains(t, got, "Stale\":", "no more than an error")
@@ -66,10 +66,10 @@
 	t.Run("many idle connections", func(t *testing.T) {
 		t.Parallel()
 		for range maxConns - 8 { // that say nothing
-			c, err := net.Dial("tcp", at)
+			c, err := net.Dial("tcp", address)
 			require.NoError(t, err)
 			defer func() { _ = c.Close() }()
 		}
-		assert.Contains(t, ask("GET /readyz HTTP/1.1\r\nHost: x\r\n"+end), "200 OK")
+		assert.Contains(t, exchange("GET /readyz HTTP/1.1\r\nHost: x\r\n"+end), "200 OK")
 	})
 }
