--- a/internal/transport/discovery/discovery_test.go
+++ b/internal/transport/discovery/discovery_test.go
@@ -34,23 +34,23 @@
 func (i *inbox) Post(_ context.Context, in controller.Input) error {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	word := "lost"
+	summary := "lost"
 	if x, ok := in.(controller.SliceAssigned); ok {
-		word = fmt.Sprint("slice ", x.Slices.Slice, x.Slices.Given, x.Slices.Lines)
+		summary = fmt.Sprint("slice ", x.Slices.Slice, x.Slices.Given, x.Slices.Lines)
 	}
 	if l, ok := in.(controller.EndpointsListed); ok {
-		word = map[bool]string{true: "whole", false: "changes"}[l.List.Whole]
+		summary = map[bool]string{true: "whole", false: "changes"}[l.List.Whole]
 		for _, e := range l.List.Entries {
-			word += " " + e.Endpoint
+			summary += " " + e.Endpoint
 		}
 	}
-	if len(i.got) == 0 || i.got[len(i.got)-1] != word {
-		i.got = append(i.got, word) // a file's write may be seen as several events
+	if len(i.got) == 0 || i.got[len(i.got)-1] != summary {
+		i.got = append(i.got, summary) // a file's write may be seen as several events
 	}
 	return nil
 }
 
-func (i *inbox) has(t *testing.T, want ...string) {
+func (i *inbox) expect(t *testing.T, want ...string) {
 	assert.Eventually(t, func() bool {
 		i.mu.Lock()
 		defer i.mu.Unlock()
@@ -74,23 +74,23 @@
 	in := &inbox{}
 	s := NewStream("one", l.Address(), (&net.Dialer{}).DialContext, in, time.Second, zap.NewNop())
 	run(t, s.Run)
-	in.has(t, "whole x")
+	in.expect(t, "whole x")
 	l.Put(30*time.Millisecond, wire.Entry{Endpoint: "y", Zone: "a"})
-	in.has(t, "whole x", "changes y")
+	in.expect(t, "whole x", "changes y")
 	s.Fetch()
-	in.has(t, "whole x", "changes y", "whole x y")
+	in.expect(t, "whole x", "changes y", "whole x y")
 	l.AssignSlice(wire.Slices{Slice: 7, Given: true, Lines: []wire.HeldLine{{Endpoint: "x", Weight: 1}}})
-	in.has(t, "whole x", "changes y", "whole x y", "slice 7 true [{x 1}]")
+	in.expect(t, "whole x", "changes y", "whole x y", "slice 7 true [{x 1}]")
 	l.Stop()
 	l.Put(0, wire.Entry{Endpoint: "x", Phase: wire.PhaseGone})
-	in.has(t, "whole x", "changes y", "whole x y", "slice 7 true [{x 1}]", "lost")
+	in.expect(t, "whole x", "changes y", "whole x y", "slice 7 true [{x 1}]", "lost")
 	require.NoError(t, l.Start())
-	in.has(t, "whole x", "changes y", "whole x y", "slice 7 true [{x 1}]", "lost", "whole y", "slice 7 true [{x 1}]")
+	in.expect(t, "whole x", "changes y", "whole x y", "slice 7 true [{x 1}]", "lost", "whole y", "slice 7 true [{x 1}]")
 }
 
 // TestSilentStream checks that a source that sends nothing, or something unexpected, is reported as lost.
 func TestSilentStream(t *testing.T) {
-	for name, says := range map[string]wire.Message{
+	for name, first := range map[string]wire.Message{
 		"nothing": nil,
 		"a hello": &wire.Hello{Version: 1, Proxy: "p", Zone: "a"},
 	} {
@@ -104,8 +104,8 @@
 					if err != nil {
 						return
 					}
-					if says != nil {
-						_, _ = wire.NewWriter(c).Write(says)
+					if first != nil {
+						_, _ = wire.NewWriter(c).Write(first)
 					}
 					wg.Go(func() {
 						_, _ = c.Read(make([]byte, 1<<10))
@@ -120,7 +120,7 @@
 			})
 			in := &inbox{}
 			run(t, NewStream("one", l.Addr().String(), (&net.Dialer{}).DialContext, in, 100*time.Millisecond, zap.NewNop()).Run)
-			in.has(t, "lost")
+			in.expect(t, "lost")
 		})
 	}
 }
@@ -135,16 +135,16 @@
 	in := &inbox{}
 	f := NewFile(path, config.ReadList, in, zap.NewNop())
 	run(t, f.Run)
-	in.has(t, "lost")
+	in.expect(t, "lost")
 	write("endpoint \"x\" {\n  zone = \"a\"\n}\n")
-	in.has(t, "lost", "whole x")
+	in.expect(t, "lost", "whole x")
 	write("endpoint {")
-	in.has(t, "lost", "whole x", "lost")
+	in.expect(t, "lost", "whole x", "lost")
 	write("")
 	f.Watch(true)
 	time.Sleep(3 * settleTime)
 	write("endpoint \"y\" {\n  zone = \"a\"\n}\n")
-	in.has(t, "lost", "whole x", "lost", "whole y")
+	in.expect(t, "lost", "whole x", "lost", "whole y")
 }
 
 // TestFileWrittenInPlace checks that a file is not read while it is truncated and rewritten piece by piece: the partial
@@ -157,7 +157,7 @@
 	require.NoError(t, os.WriteFile(path, []byte(whole), 0o600))
 	in := &inbox{}
 	f := NewFile(path, config.ReadList, in, zap.NewNop())
-	f.settle = maxUnsettled / 2 // a machine that is busy may hold the writer up for a while
+	f.settleTime = maxUnsettled / 2 // a machine that is busy may hold the writer up for a while
 	run(t, f.Run)
 	require.Eventually(t, func() bool {
 		in.mu.Lock()
@@ -176,7 +176,7 @@
 		require.NoError(t, file.Close())
 	}
 	time.Sleep(maxUnsettled)
-	in.has(t, want)
+	in.expect(t, want)
 }
 
 // eagerInbox requests the list as soon as it is lost, like the planner.
@@ -200,7 +200,7 @@
 	in := &eagerInbox{}
 	in.f = NewFile(path, config.ReadList, in, zap.NewNop())
 	run(t, in.f.Run)
-	time.Sleep(unreadableFor + unreadableFor/2)
+	time.Sleep(unreadableRetryInterval + unreadableRetryInterval/2)
 	assert.LessOrEqual(t, in.lost.Load(), int64(3))
 	assert.GreaterOrEqual(t, in.lost.Load(), int64(2))
 }
--- a/internal/transport/discovery/file.go
+++ b/internal/transport/discovery/file.go
@@ -19,7 +19,7 @@
 	// maxUnsettled is the longest time that reading is put off while a file keeps changing.
 	maxUnsettled = time.Second
 	// unreadableFor is the shortest time between two reads of an invalid file that has not changed.
-	unreadableFor = time.Second
+	unreadableRetryInterval = time.Second
 )
 
 // Load reads and validates a list file.
@@ -28,21 +28,21 @@
 // File follows an endpoint list in a file. A file that can't be read or parsed is reported as a lost source; the last
 // valid list stays in effect.
 type File struct {
-	path    string
-	load    Load
-	inbox   controller.Inbox
-	log     *zap.Logger
-	settle  time.Duration // settleTime, except in tests
-	fetches chan struct{}
+	path          string
+	load          Load
+	inbox         controller.Inbox
+	log           *zap.Logger
+	settleTime    time.Duration // settleTime, except in tests
+	fetchRequests chan struct{}
 
 	// Result of the last read, owned by Run.
-	failure string // error text, or empty
-	readAt  time.Time
+	lastError  string // error text, or empty
+	lastReadAt time.Time
 }
 
 // NewFile returns a source that has not read its file yet.
 func NewFile(path string, load Load, inbox controller.Inbox, log *zap.Logger) *File {
-	return &File{path: path, load: load, inbox: inbox, log: log, settle: settleTime, fetches: make(chan struct{}, 1)}
+	return &File{path: path, load: load, inbox: inbox, log: log, settleTime: settleTime, fetchRequests: make(chan struct{}, 1)}
 }
 
 // Watch requests a read of the file if on is set. Changes are watched in any case.
@@ -56,23 +56,23 @@
 // it learns of the failure, which would otherwise result in an endless loop.
 func (f *File) Fetch() {
 	select {
-	case f.fetches <- struct{}{}:
+	case f.fetchRequests <- struct{}{}:
 	default: // a request is pending already
 	}
 }
 
 // Run follows the file until ctx ends. It watches the directory, since most writers replace the file.
 func (f *File) Run(ctx context.Context) error {
-	w, err := fsnotify.NewWatcher()
+	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
 		return fmt.Errorf("watch %s: %w", f.path, err)
 	}
-	defer func() { _ = w.Close() }() // nothing is watched any more
-	if err := w.Add(filepath.Dir(f.path)); err != nil {
+	defer func() { _ = watcher.Close() }() // nothing is watched any more
+	if err := watcher.Add(filepath.Dir(f.path)); err != nil {
 		return fmt.Errorf("watch %s: %w", f.path, err)
 	}
 	f.read(ctx)
-	f.follow(ctx, w)
+	f.follow(ctx, watcher)
 	return nil
 }
 
@@ -81,41 +81,41 @@
 	timer := time.NewTimer(time.Hour)
 	timer.Stop()
 	defer timer.Stop()
-	var due schedule
+	var next readSchedule
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-			due = schedule{}
+			next = readSchedule{}
 			f.read(ctx)
 			continue
-		case <-f.fetches:
-			due.advance(f.nextFetch())
+		case <-f.fetchRequests:
+			next.requestAt(f.earliestFetch())
 		case e, ok := <-w.Events:
-			if !ok || !f.changedBy(e) {
+			if !ok || !f.isFileChange(e) {
 				continue
 			}
-			due.putOff(time.Now(), f.settle)
+			next.postpone(time.Now(), f.settleTime)
 		case err, ok := <-w.Errors:
 			if ok {
 				f.log.Warn("watching the endpoint list failed", zap.Error(err))
 			}
 			continue
 		}
-		timer.Reset(time.Until(due.at))
+		timer.Reset(time.Until(next.at))
 	}
 }
 
 // changedBy reports whether an event in the directory may have changed the file's content.
-func (f *File) changedBy(e fsnotify.Event) bool {
+func (f *File) isFileChange(e fsnotify.Event) bool {
 	return filepath.Clean(e.Name) == filepath.Clean(f.path) && !e.Has(fsnotify.Chmod)
 }
 
 // nextFetch returns the earliest time at which a requested read may happen.
-func (f *File) nextFetch() time.Time {
-	if f.failure != "" {
-		return f.readAt.Add(unreadableFor)
+func (f *File) earliestFetch() time.Time {
+	if f.lastError != "" {
+		return f.lastReadAt.Add(unreadableRetryInterval)
 	}
 	return time.Now()
 }
@@ -123,28 +123,28 @@
 // read reads the file and posts the result to the controller. A repeated failure is logged once.
 func (f *File) read(ctx context.Context) {
 	list, err := f.load(f.path)
-	previous := f.failure
-	f.failure = ""
-	f.readAt = time.Now()
+	previous := f.lastError
+	f.lastError = ""
+	f.lastReadAt = time.Now()
 	if err == nil {
 		post(ctx, f.inbox, controller.EndpointsListed{List: list})
 		return
 	}
-	f.failure = err.Error()
-	if f.failure != previous {
+	f.lastError = err.Error()
+	if f.lastError != previous {
 		f.log.Warn("endpoint list can't be read, keeping the last one", zap.String("file", f.path), zap.Error(err))
 	}
 	post(ctx, f.inbox, controller.EndpointListLost{})
 }
 
 // schedule is the time of the next read. The zero value means that none is scheduled.
-type schedule struct {
+type readSchedule struct {
 	at            time.Time
 	changingSince time.Time // zero: no change since the last read
 }
 
 // advance schedules a read at a time, unless an earlier one is scheduled.
-func (s *schedule) advance(at time.Time) {
+func (s *readSchedule) requestAt(at time.Time) {
 	if s.at.IsZero() || at.Before(s.at) {
 		s.at = at
 	}
@@ -152,7 +152,7 @@
 
 // putOff schedules a read for when the file, which has changed now, has been unchanged for settle or changing for
 // maxUnsettled.
-func (s *schedule) putOff(now time.Time, settle time.Duration) {
+func (s *readSchedule) postpone(now time.Time, settle time.Duration) {
 	if s.changingSince.IsZero() {
 		s.changingSince = now
 	}
--- a/internal/transport/discovery/stream.go
+++ b/internal/transport/discovery/stream.go
@@ -22,7 +22,7 @@
 	// stableAfter is how long a connection must have lasted for the backoff to start over.
 	stableAfter = 5 * time.Second
 	// maxQueuedAsks is the number of requests that may be queued; further ones would add nothing.
-	maxQueuedAsks = 16
+	maxQueuedRequests = 16
 )
 
 // Dial opens a connection.
@@ -32,38 +32,38 @@
 // When the connection breaks, Stream reports the loss to the controller and reconnects, upon which a complete list
 // follows.
 type Stream struct {
-	name    string // of this controller
-	address string
-	dial    Dial
-	inbox   controller.Inbox
-	log     *zap.Logger
-	silence time.Duration // time without a message after which the source is lost
-	asks    chan wire.ListRequest
+	name           string // of this controller
+	address        string
+	dial           Dial
+	inbox          controller.Inbox
+	log            *zap.Logger
+	silenceTimeout time.Duration // time without a message after which the source is lost
+	requests       chan wire.ListRequest
 }
 
 // NewStream returns a source that is not connected yet; who is this controller's name.
-func NewStream(who, address string, dial Dial, inbox controller.Inbox, silence time.Duration, log *zap.Logger) *Stream {
+func NewStream(pilot, address string, dial Dial, inbox controller.Inbox, silenceTimeout time.Duration, log *zap.Logger) *Stream {
 	return &Stream{
-		name:    who,
-		address: address,
-		dial:    dial,
-		inbox:   inbox,
-		log:     log,
-		silence: silence,
-		asks:    make(chan wire.ListRequest, maxQueuedAsks),
+		name:           pilot,
+		address:        address,
+		dial:           dial,
+		inbox:          inbox,
+		log:            log,
+		silenceTimeout: silenceTimeout,
+		requests:       make(chan wire.ListRequest, maxQueuedRequests),
 	}
 }
 
 // Watch requests or ends the subscription to changes. A source is subscribed to from the start.
-func (s *Stream) Watch(on bool) { s.ask(wire.ListRequest{Pilot: s.name, Watch: on}) }
+func (s *Stream) Watch(on bool) { s.enqueue(wire.ListRequest{Pilot: s.name, Watch: on}) }
 
 // Fetch requests the complete list once.
-func (s *Stream) Fetch() { s.ask(wire.ListRequest{Pilot: s.name, Watch: true, Whole: true}) }
+func (s *Stream) Fetch() { s.enqueue(wire.ListRequest{Pilot: s.name, Watch: true, Whole: true}) }
 
 // ask queues a request, or drops it if the queue is full.
-func (s *Stream) ask(a wire.ListRequest) {
+func (s *Stream) enqueue(a wire.ListRequest) {
 	select {
-	case s.asks <- a:
+	case s.requests <- a:
 	default:
 	}
 }
@@ -74,7 +74,7 @@
 	retry.InitialInterval = minRetryInterval
 	retry.MaxInterval = maxRetryInterval
 	for ctx.Err() == nil {
-		began := time.Now()
+		start := time.Now()
 		err := s.follow(ctx)
 		if ctx.Err() != nil {
 			return nil //nolint:nilerr // the end of ctx is not a failure
@@ -83,7 +83,7 @@
 		if !post(ctx, s.inbox, controller.EndpointListLost{}) {
 			return nil
 		}
-		if time.Since(began) > stableAfter {
+		if time.Since(start) > stableAfter {
 			retry.Reset()
 		}
 		backoff.Sleep(ctx, retry.NextBackOff())
@@ -110,25 +110,25 @@
 	stop := context.AfterFunc(ctx, closeConn)
 	defer stop()
 	written := make(chan error, 1)
-	go func() { written <- s.writeAsks(ctx, conn) }()
+	go func() { written <- s.writeRequests(ctx, conn) }()
 	err = s.readAll(ctx, conn)
 	cancel()
 	return errors.Join(err, <-written)
 }
 
 // writeAsks requests the complete list, and then writes the controller's requests until ctx ends.
-func (s *Stream) writeAsks(ctx context.Context, conn net.Conn) error {
+func (s *Stream) writeRequests(ctx context.Context, conn net.Conn) error {
 	w := wire.NewWriter(conn)
-	ask := wire.ListRequest{Pilot: s.name, Watch: true, Whole: true}
+	request := wire.ListRequest{Pilot: s.name, Watch: true, Whole: true}
 	for {
-		if err := conn.SetWriteDeadline(time.Now().Add(s.silence)); err != nil {
+		if err := conn.SetWriteDeadline(time.Now().Add(s.silenceTimeout)); err != nil {
 			return nil //nolint:nilerr // the connection is closed, and readAll returns why
 		}
-		if _, err := w.Write(&ask); err != nil {
+		if _, err := w.Write(&request); err != nil {
 			return fmt.Errorf("ask list: %w", err)
 		}
 		select {
-		case ask = <-s.asks:
+		case request = <-s.requests:
 		case <-ctx.Done():
 			return nil
 		}
@@ -139,7 +139,7 @@
 func (s *Stream) readAll(ctx context.Context, conn net.Conn) error {
 	r := wire.NewReader(conn, 0)
 	for {
-		if err := conn.SetReadDeadline(time.Now().Add(s.silence)); err != nil {
+		if err := conn.SetReadDeadline(time.Now().Add(s.silenceTimeout)); err != nil {
 			return fmt.Errorf("set deadline: %w", err)
 		}
 		m, err := r.Read()
