--- a/internal/transport/gossip/datagram.go
+++ b/internal/transport/gossip/datagram.go
@@ -53,11 +53,11 @@
 		return 0, 0, "", ErrDatagram
 	}
 	header := b[:headerBytes]
-	number, inside, err := s.Open(header, b[headerBytes:])
+	number, opened, err := s.Open(header, b[headerBytes:])
 	if err != nil {
 		return 0, 0, "", err
 	}
-	plain := append(append([]byte{}, header...), inside...)
+	plain := append(append([]byte{}, header...), opened...)
 	from, text, err = decodeDatagram(plain)
 	return from, number, text, err
 }
--- a/internal/transport/gossip/gossip.go
+++ b/internal/transport/gossip/gossip.go
@@ -30,8 +30,8 @@
 	limit *rate.Limiter
 
 	// Secret, if not nil, seals all texts, and unsealed ones are dropped. It must be set before Run.
-	Secret  *identity.Secret
-	repeats map[int]*identity.ReplayFilter // by rank, owned by Run
+	Secret        *identity.Secret
+	replayFilters map[int]*identity.ReplayFilter // by rank, owned by Run
 }
 
 // Open returns a service on an open socket, which Run will close. Peers are addresses by rank; this controller's own
@@ -40,13 +40,13 @@
 	conn net.PacketConn, rank int, peers map[int]string, inbox controller.Inbox, log *zap.Logger,
 ) (*Service, error) {
 	s := &Service{
-		conn:    conn,
-		rank:    rank,
-		peers:   map[int]net.Addr{},
-		inbox:   inbox,
-		log:     log,
-		limit:   rate.NewLimiter(maxReceivedPerS, maxReceivedPerS),
-		repeats: map[int]*identity.ReplayFilter{},
+		conn:          conn,
+		rank:          rank,
+		peers:         map[int]net.Addr{},
+		inbox:         inbox,
+		log:           log,
+		limit:         rate.NewLimiter(maxReceivedPerS, maxReceivedPerS),
+		replayFilters: map[int]*identity.ReplayFilter{},
 	}
 	for peer, name := range peers {
 		address, err := net.ResolveUDPAddr("udp", name)
@@ -54,7 +54,7 @@
 			return nil, fmt.Errorf("address of pilot %d: %w", peer, err)
 		}
 		s.peers[peer] = address
-		s.repeats[peer] = &identity.ReplayFilter{}
+		s.replayFilters[peer] = &identity.ReplayFilter{}
 	}
 	return s, nil
 }
@@ -131,7 +131,7 @@
 	if err != nil {
 		return rank, text, err
 	}
-	if seen := s.repeats[rank]; seen != nil && !seen.Accept(number) {
+	if seen := s.replayFilters[rank]; seen != nil && !seen.Accept(number) {
 		return rank, "", fmt.Errorf("it came before: %w", ErrDatagram)
 	}
 	return rank, text, nil
--- a/internal/transport/gossip/gossip_test.go
+++ b/internal/transport/gossip/gossip_test.go
@@ -34,16 +34,16 @@
 // TestGossip checks that texts pass between two controllers, and that other datagrams are dropped.
 func TestGossip(t *testing.T) {
 	sockets := map[int]net.PacketConn{}
-	at := map[int]string{}
+	addresses := map[int]string{}
 	for r := range 2 {
 		c, err := net.ListenPacket("udp", "127.0.0.1:0")
 		require.NoError(t, err)
-		sockets[r], at[r] = c, c.LocalAddr().String()
+		sockets[r], addresses[r] = c, c.LocalAddr().String()
 	}
 	in := inbox(make(chan controller.Input, 8))
 	var services []*Service
 	for r := range 2 {
-		p, err := Open(sockets[r], r, at, in, zap.NewNop())
+		p, err := Open(sockets[r], r, addresses, in, zap.NewNop())
 		require.NoError(t, err)
 		services = append(services, p)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -51,11 +51,11 @@
 		go func() { done <- p.Run(ctx) }()
 		t.Cleanup(func() { cancel(); assert.NoError(t, <-done) })
 	}
-	noise, err := net.Dial("udp", at[1])
+	stranger, err := net.Dial("udp", addresses[1])
 	require.NoError(t, err)
-	defer func() { assert.NoError(t, noise.Close()) }()
+	defer func() { assert.NoError(t, stranger.Close()) }()
 	for _, b := range [][]byte{[]byte("hello"), encodeDatagram(9, "a stranger"), append(encodeDatagram(0, ""), make([]byte, 1100)...)} {
-		_, err := noise.Write(b)
+		_, err := stranger.Write(b)
 		require.NoError(t, err)
 	}
 	services[0].Tell(1, "first")
@@ -79,10 +79,10 @@
 func TestSealed(t *testing.T) {
 	_, ours := newSecret(t)
 	_, others := newSecret(t)
-	s := &Service{Secret: ours, repeats: map[int]*identity.ReplayFilter{3: {}}}
+	s := &Service{Secret: ours, replayFilters: map[int]*identity.ReplayFilter{3: {}}}
 	sealed, err := seal(ours, 3, "load 0.7")
 	require.NoError(t, err)
-	strange, err := seal(others, 3, "load 0.1")
+	foreign, err := seal(others, 3, "load 0.1")
 	require.NoError(t, err)
 	forged := append([]byte{}, sealed...)
 	forged[headerBytes-1] = 4 // another rank outside
@@ -93,7 +93,7 @@
 	}{
 		{"sealed", sealed, "load 0.7"},
 		{"the same again", sealed, ""},
-		{"under another key", strange, ""},
+		{"under another key", foreign, ""},
 		{"another sender's rank", forged, ""},
 		{"in plain", encodeDatagram(3, "x"), ""},
 		{"truncated", sealed[:20], ""},
@@ -108,24 +108,24 @@
 // TestSecretRotated checks that a key is rotated without interruption, and that an invalid file leaves the keys in
 // force.
 func TestSecretRotated(t *testing.T) {
-	const noticed = 250 * time.Millisecond // a changed file is noticed by then
+	const reloadTime = 250 * time.Millisecond // a changed file is noticed by then
 	path, ours := newSecret(t)
 	othersPath, others := newSecret(t)
-	s := &Service{Secret: ours, repeats: map[int]*identity.ReplayFilter{3: {}}}
+	s := &Service{Secret: ours, replayFilters: map[int]*identity.ReplayFilter{3: {}}}
 	first, err := os.ReadFile(path)
 	require.NoError(t, err)
 	second, err := os.ReadFile(othersPath)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(path, append(first, second...), 0o600)) // the other key is added behind ours
 	require.NoError(t, os.Chtimes(path, time.Now(), time.Now().Add(time.Second)))
-	time.Sleep(noticed)
-	fresh, err := seal(others, 3, "load 0.2")
+	time.Sleep(reloadTime)
+	sealed, err := seal(others, 3, "load 0.2")
 	require.NoError(t, err)
-	_, text, err := s.decode(fresh)
+	_, text, err := s.decode(sealed)
 	assert.NoError(t, err)
 	assert.Equal(t, "load 0.2", text)
 	require.NoError(t, os.WriteFile(path, []byte("not hex\n"), 0o600))
-	time.Sleep(noticed)
+	time.Sleep(reloadTime)
 	assert.ErrorContains(t, ours.Err(), "secret:1: no key")
 	_, err = seal(ours, 3, "goes on")
 	assert.NoError(t, err)
