--- a/internal/transport/handshake/handshake.go
+++ b/internal/transport/handshake/handshake.go
@@ -12,7 +12,7 @@
 // DeadlineExceeded with the text why: the stream would otherwise stay open for as long as its connection.
 //
 // The goroutine that waits in recv ends with the stream, that is when the caller returns from its handler.
-func ReceiveFirst[M any](within time.Duration, why string, recv func() (M, error)) (M, error) {
+func ReceiveFirst[M any](timeout time.Duration, timeoutText string, recv func() (M, error)) (M, error) {
 	type result struct {
 		message M
 		err     error
@@ -22,13 +22,13 @@
 		message, err := recv()
 		received <- result{message, err}
 	}()
-	timer := time.NewTimer(within)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case first := <-received:
 		return first.message, first.err
 	case <-timer.C:
 		var none M
-		return none, status.Error(codes.DeadlineExceeded, why)
+		return none, status.Error(codes.DeadlineExceeded, timeoutText)
 	}
 }
