--- a/internal/transport/healthcheck/healthcheck.go
+++ b/internal/transport/healthcheck/healthcheck.go
@@ -42,18 +42,18 @@
 	inbox   controller.Inbox
 	timeout time.Duration
 	slots   chan struct{} // each running check holds one
-	wg      sync.WaitGroup
+	running sync.WaitGroup
 }
 
 // New returns a checker whose checks end with ctx, and each one after timeout. At most so many run concurrently.
-func New(ctx context.Context, dial Dial, inbox controller.Inbox, timeout time.Duration, most int) *Checker {
-	return &Checker{ctx: ctx, dial: dial, inbox: inbox, timeout: timeout, slots: make(chan struct{}, most)}
+func New(ctx context.Context, dial Dial, inbox controller.Inbox, timeout time.Duration, maxConcurrent int) *Checker {
+	return &Checker{ctx: ctx, dial: dial, inbox: inbox, timeout: timeout, slots: make(chan struct{}, maxConcurrent)}
 }
 
 // Probe checks an endpoint in a goroutine that ends with the check. It posts the result to the controller, also when no
 // check could run.
 func (c *Checker) Probe(endpoint string) {
-	c.wg.Go(func() {
+	c.running.Go(func() {
 		result := controller.HealthChecked{Endpoint: endpoint, Outcome: outcomeDenied}
 		select {
 		case c.slots <- struct{}{}:
@@ -66,7 +66,7 @@
 }
 
 // Wait returns when no check is running.
-func (c *Checker) Wait() { c.wg.Wait() }
+func (c *Checker) Wait() { c.running.Wait() }
 
 // check checks an endpoint and returns the result.
 func (c *Checker) check(endpoint string) controller.HealthChecked {
--- a/internal/transport/healthcheck/healthcheck_test.go
+++ b/internal/transport/healthcheck/healthcheck_test.go
@@ -27,7 +27,7 @@
 }
 
 // rudeServer sends an unexpected message on each connection and closes it.
-func rudeServer(t *testing.T) (address string) {
+func unexpectedMessageServer(t *testing.T) (address string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { assert.NoError(t, l.Close()) })
@@ -66,10 +66,10 @@
 		return in.result(t)
 	}
 	time.Sleep(20 * time.Millisecond)
-	fine := check(e.Address())
-	assert.Equal(t, "ok", fine.Outcome)
-	assert.NotEmpty(t, fine.Load)
-	assert.Equal(t, "reset", check(rudeServer(t)).Outcome)
+	healthy := check(e.Address())
+	assert.Equal(t, "ok", healthy.Outcome)
+	assert.NotEmpty(t, healthy.Load)
+	assert.Equal(t, "reset", check(unexpectedMessageServer(t)).Outcome)
 	e.SetFaultMode(endpoint.FaultMode{Hang: true})
 	assert.Equal(t, "timeout", check(e.Address()).Outcome)
 	for range 12 { // ten more than may run
