--- a/internal/transport/shutdown/shutdown_test.go
+++ b/internal/transport/shutdown/shutdown_test.go
@@ -20,9 +20,9 @@
 	e.Close("left")
 	<-e.Done()
 	assert.Equal(t, "slow", e.Reason())
-	word, ok := e.LastMessage()
+	message, ok := e.LastMessage()
 	assert.True(t, ok)
-	assert.Equal(t, "redirect", word)
+	assert.Equal(t, "redirect", message)
 }
 
 // TestEndsWithoutMessage checks an end without a last message, and that a later message does not change the reason.
