--- a/internal/transport/discovery/doc.go
+++ b/internal/transport/discovery/doc.go
@@ -1,3 +1,4 @@
-// Package discovery follows the endpoint list, either a source that streams changes over the framed protocol or a file
-// that is watched for changes. It posts lists and changes to the controller as they arrive.
+// Package discovery follows the endpoint list, which comes either from a source that streams changes over the framed
+// protocol or from a file that is watched for changes. It posts lists and changes to the inbox of the pilot's control
+// loop (internal/controller) as they arrive.
 package discovery
