--- a/internal/transport/discovery/file.go
+++ b/internal/transport/discovery/file.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	// settleTime is how long a file must be unchanged before it is read, as its writer may not be done.
+	// settleTime is how long a file must be unchanged before it is read, because its writer may not have finished.
 	settleTime = 50 * time.Millisecond
-	// maxUnsettled is the longest time that reading is put off while a file keeps changing.
+	// maxUnsettled is the longest time that reading is postponed while a file keeps changing.
 	maxUnsettled = time.Second
-	// unreadableFor is the shortest time between two reads of an invalid file that has not changed.
+	// unreadableRetryInterval is the shortest time between two reads of an invalid file that has not changed.
 	unreadableRetryInterval = time.Second
 )
 
-// Load reads and validates a list file.
+// Load reads and validates the endpoint list in a file.
 type Load func(path string) (*wire.List, error)
 
-// File follows an endpoint list in a file. A file that can't be read or parsed is reported as a lost source; the last
-// valid list stays in effect.
+// File follows an endpoint list in a file. If the file cannot be read or parsed, File posts
+// controller.EndpointListLost, and the last valid list remains in effect.
 type File struct {
 	path          string
 	load          Load
 	inbox         controller.Inbox
 	log           *zap.Logger
-	settleTime    time.Duration // settleTime, except in tests
+	settleTime    time.Duration // the constant settleTime, except in tests
 	fetchRequests chan struct{}
 
 	// Result of the last read, owned by Run.
@@ -40,34 +40,35 @@
 	lastReadAt time.Time
 }
 
-// NewFile returns a source that has not read its file yet.
+// NewFile returns a source that reads the list at path with load and posts it to inbox. Run must be called to start it.
 func NewFile(path string, load Load, inbox controller.Inbox, log *zap.Logger) *File {
 	return &File{path: path, load: load, inbox: inbox, log: log, settleTime: settleTime, fetchRequests: make(chan struct{}, 1)}
 }
 
-// Watch requests a read of the file if on is set. Changes are watched in any case.
+// Watch requests a read of the file if on is set. The file is watched for changes regardless of on.
 func (f *File) Watch(on bool) {
 	if on {
 		f.Fetch()
 	}
 }
 
-// Fetch requests a read of the file. An invalid file is not read again at once: the controller calls Fetch as soon as
-// it learns of the failure, which would otherwise result in an endless loop.
+// Fetch requests a read of the file. If the last read failed, the next one is delayed by unreadableRetryInterval. The
+// planner requests the list as soon as it is lost; without the delay an invalid file would be read in an endless loop.
 func (f *File) Fetch() {
 	select {
 	case f.fetchRequests <- struct{}{}:
-	default: // a request is pending already
+	default: // another request is pending already
 	}
 }
 
-// Run follows the file until ctx ends. It watches the directory, since most writers replace the file.
+// Run follows the file until ctx is cancelled. It watches the directory rather than the file, because most writers
+// replace the file.
 func (f *File) Run(ctx context.Context) error {
 	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
 		return fmt.Errorf("watch %s: %w", f.path, err)
 	}
-	defer func() { _ = watcher.Close() }() // nothing is watched any more
+	defer func() { _ = watcher.Close() }() // the watcher is not used any more
 	if err := watcher.Add(filepath.Dir(f.path)); err != nil {
 		return fmt.Errorf("watch %s: %w", f.path, err)
 	}
@@ -76,7 +77,7 @@
 	return nil
 }
 
-// follow reads the file whenever a read is due, until ctx ends.
+// follow reads the file whenever a scheduled read is due, until ctx is cancelled.
 func (f *File) follow(ctx context.Context, w *fsnotify.Watcher) {
 	timer := time.NewTimer(time.Hour)
 	timer.Stop()
@@ -107,12 +108,12 @@
 	}
 }
 
-// changedBy reports whether an event in the directory may have changed the file's content.
+// isFileChange reports whether an event in the directory may have changed the content of the file.
 func (f *File) isFileChange(e fsnotify.Event) bool {
 	return filepath.Clean(e.Name) == filepath.Clean(f.path) && !e.Has(fsnotify.Chmod)
 }
 
-// nextFetch returns the earliest time at which a requested read may happen.
+// earliestFetch returns the earliest time at which a requested read may happen.
 func (f *File) earliestFetch() time.Time {
 	if f.lastError != "" {
 		return f.lastReadAt.Add(unreadableRetryInterval)
@@ -120,7 +121,7 @@
 	return time.Now()
 }
 
-// read reads the file and posts the result to the controller. A repeated failure is logged once.
+// read reads the file and posts the result to the inbox. If the same error occurs repeatedly, it is logged once.
 func (f *File) read(ctx context.Context) {
 	list, err := f.load(f.path)
 	previous := f.lastError
@@ -137,21 +138,21 @@
 	post(ctx, f.inbox, controller.EndpointListLost{})
 }
 
-// schedule is the time of the next read. The zero value means that none is scheduled.
+// readSchedule is the time of the next read. The zero value means that no read is scheduled.
 type readSchedule struct {
 	at            time.Time
-	changingSince time.Time // zero: no change since the last read
+	changingSince time.Time // time of the first change since the last read; zero: no change
 }
 
-// advance schedules a read at a time, unless an earlier one is scheduled.
+// requestAt schedules a read at the given time, unless an earlier one is scheduled.
 func (s *readSchedule) requestAt(at time.Time) {
 	if s.at.IsZero() || at.Before(s.at) {
 		s.at = at
 	}
 }
 
-// putOff schedules a read for when the file, which has changed now, has been unchanged for settle or changing for
-// maxUnsettled.
+// postpone schedules a read after a change of the file at time now. The read is due after the duration settle, but at
+// the latest maxUnsettled after the first change. It replaces a scheduled read.
 func (s *readSchedule) postpone(now time.Time, settle time.Duration) {
 	if s.changingSince.IsZero() {
 		s.changingSince = now
