--- a/internal/transport/discovery/discovery_test.go
+++ b/internal/transport/discovery/discovery_test.go
@@ -25,12 +25,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// inbox records inputs in short form: the listed names, or "lost".
+// inbox records a summary of each input: "whole" or "changes" with the listed endpoints, "slice" with its assignment,
+// or "lost". Consecutive equal summaries are recorded once.
 type inbox struct {
 	mu  sync.Mutex
 	got []string
 }
 
+// Post implements controller.Inbox.
 func (i *inbox) Post(_ context.Context, in controller.Input) error {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -45,11 +47,12 @@
 		}
 	}
 	if len(i.got) == 0 || i.got[len(i.got)-1] != summary {
-		i.got = append(i.got, summary) // a file's write may be seen as several events
+		i.got = append(i.got, summary) // one write of a file may cause several events and therefore several reads
 	}
 	return nil
 }
 
+// expect waits until the recorded summaries equal want.
 func (i *inbox) expect(t *testing.T, want ...string) {
 	assert.Eventually(t, func() bool {
 		i.mu.Lock()
@@ -58,6 +61,7 @@
 	}, 5*time.Second, 2*time.Millisecond, "want %v", want)
 }
 
+// run calls f in a goroutine. At the end of the test it cancels the context of f and checks that f returns nil.
 func run(t *testing.T, f func(context.Context) error) {
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
@@ -65,7 +69,7 @@
 	t.Cleanup(func() { cancel(); assert.NoError(t, <-done) })
 }
 
-// TestStream checks that the loss of a source is reported, and that a complete list follows its return.
+// TestStream checks that the loss of a source is posted, and that a complete list is posted after reconnecting.
 func TestStream(t *testing.T) {
 	l := registry.New(eventlog.NewLog().Stream("list"))
 	require.NoError(t, l.Start())
@@ -88,7 +92,7 @@
 	in.expect(t, "whole x", "changes y", "whole x y", "slice 7 true [{x 1}]", "lost", "whole y", "slice 7 true [{x 1}]")
 }
 
-// TestSilentStream checks that a source that sends nothing, or something unexpected, is reported as lost.
+// TestSilentStream checks that a source that sends nothing or an unexpected message is reported as lost.
 func TestSilentStream(t *testing.T) {
 	for name, first := range map[string]wire.Message{
 		"nothing": nil,
@@ -110,7 +114,7 @@
 					wg.Go(func() {
 						_, _ = c.Read(make([]byte, 1<<10))
 						time.Sleep(300 * time.Millisecond)
-						_ = c.Close() // the other side may have closed it
+						_ = c.Close() // the client may have closed the connection already
 					})
 				}
 			})
@@ -125,7 +129,7 @@
 	}
 }
 
-// TestFile checks that a file is followed while it is replaced, becomes invalid and becomes valid again.
+// TestFile checks that a file is read again when it is created, replaced, becomes invalid and becomes valid again.
 func TestFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "endpoints.hcl")
 	write := func(text string) {
@@ -147,8 +151,8 @@
 	in.expect(t, "lost", "whole x", "lost", "whole y")
 }
 
-// TestFileWrittenInPlace checks that a file is not read while it is truncated and rewritten piece by piece: the partial
-// content is valid, but would remove the endpoints that are not written yet.
+// TestFileWrittenInPlace checks that a file is not read while a writer truncates and rewrites it piece by piece. The
+// partial content is valid, but endpoints that are not written yet would be removed.
 func TestFileWrittenInPlace(t *testing.T) {
 	path, whole := filepath.Join(t.TempDir(), "endpoints.hcl"), ""
 	for i := range 40 {
@@ -157,7 +161,7 @@
 	require.NoError(t, os.WriteFile(path, []byte(whole), 0o600))
 	in := &inbox{}
 	f := NewFile(path, config.ReadList, in, zap.NewNop())
-	f.settleTime = maxUnsettled / 2 // a machine that is busy may hold the writer up for a while
+	f.settleTime = maxUnsettled / 2 // longer than settleTime, because the writer may be delayed on a busy machine
 	run(t, f.Run)
 	require.Eventually(t, func() bool {
 		in.mu.Lock()
@@ -182,9 +186,10 @@
 // eagerInbox requests the list as soon as it is lost, like the planner.
 type eagerInbox struct {
 	f    *File
-	lost atomic.Int64
+	lost atomic.Int64 // number of losses
 }
 
+// Post implements controller.Inbox.
 func (e *eagerInbox) Post(_ context.Context, in controller.Input) error {
 	if _, lost := in.(controller.EndpointListLost); lost {
 		e.lost.Add(1)
@@ -193,7 +198,8 @@
 	return nil
 }
 
-// TestUnreadableFile checks that an invalid file is not read in an endless loop, although each loss requests it again.
+// TestUnreadableFile checks that an invalid file is not read in an endless loop, although the list is requested again
+// after each loss.
 func TestUnreadableFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "endpoints.hcl")
 	require.NoError(t, os.WriteFile(path, []byte("endpoint {"), 0o600))
