--- a/internal/transport/gossip/gossip.go
+++ b/internal/transport/gossip/gossip.go
@@ -1,6 +1,5 @@
-// Package gossip carries gossip, short texts between controllers, over UDP. Each text is one datagram, which may get
-// lost. Datagrams that are not gossip are dropped. With a secret the texts are sealed, and replays are dropped as
-// well.
+// Package gossip exchanges short texts between pilots over UDP. Each text is one datagram, which may be lost. Invalid
+// datagrams are dropped. If a secret is configured, texts are encrypted and authenticated, and replays are dropped too.
 package gossip
 
 import (
@@ -17,25 +16,27 @@
 	"indigousher/internal/identity"
 )
 
-// maxReceivedPerS is the number of texts accepted per second, all peers together. More would overload the loop.
+// maxReceivedPerS is the largest number of texts accepted per second from all peers together. It protects the control
+// loop from overload; further texts are dropped.
 const maxReceivedPerS = 1000
 
-// Service is a controller's socket for gossip.
+// Service sends and receives the gossip messages of one pilot.
 type Service struct {
 	conn  net.PacketConn
-	rank  int // of this controller
-	peers map[int]net.Addr
+	rank  int              // of this pilot
+	peers map[int]net.Addr // by rank
 	inbox controller.Inbox
 	log   *zap.Logger
 	limit *rate.Limiter
 
-	// Secret, if not nil, seals all texts, and unsealed ones are dropped. It must be set before Run.
+	// Secret encrypts and authenticates all texts. Texts that are not sealed with it are dropped. If it is nil, texts
+	// are sent and accepted in plain. It must be set before Run is called.
 	Secret        *identity.Secret
-	replayFilters map[int]*identity.ReplayFilter // by rank, owned by Run
+	replayFilters map[int]*identity.ReplayFilter // by rank; used only by the goroutine of Run
 }
 
-// Open returns a service on an open socket, which Run will close. Peers are addresses by rank; this controller's own
-// rank is ignored.
+// Open returns a service that uses an open socket, which Run closes. peers contains the addresses of the pilots by
+// rank; rank is the rank of this pilot, to which nothing is sent.
 func Open(
 	conn net.PacketConn, rank int, peers map[int]string, inbox controller.Inbox, log *zap.Logger,
 ) (*Service, error) {
@@ -72,7 +73,7 @@
 	}
 }
 
-// send sends a text to an address.
+// send sends a text in one datagram to an address.
 func (s *Service) send(to net.Addr, text string) error {
 	datagram, err := s.encode(text)
 	if err != nil {
@@ -82,7 +83,7 @@
 	return err
 }
 
-// encode returns a datagram of this controller, sealed if there is a secret.
+// encode returns a datagram with the rank of this pilot, which is sealed if a secret is set.
 func (s *Service) encode(text string) ([]byte, error) {
 	if s.Secret == nil {
 		return encodeDatagram(s.rank, text), nil
@@ -90,9 +91,10 @@
 	return seal(s.Secret, s.rank, text)
 }
 
-// Run receives gossip and posts it to the controller until ctx ends. It closes the socket.
+// Run receives gossip messages and posts them to the inbox until ctx is cancelled. It closes the socket when ctx is
+// cancelled. It returns an error if the socket is closed by others.
 func (s *Service) Run(ctx context.Context) error {
-	stop := context.AfterFunc(ctx, func() { _ = s.conn.Close() }) // ends the read below
+	stop := context.AfterFunc(ctx, func() { _ = s.conn.Close() }) // unblocks ReadFrom
 	defer stop()
 	buffer := make([]byte, readBufferBytes)
 	for {
@@ -101,10 +103,10 @@
 			return nil
 		}
 		if errors.Is(err, net.ErrClosed) {
-			return fmt.Errorf("read notes: %w", err)
+			return fmt.Errorf("read gossip: %w", err)
 		}
 		if err != nil {
-			continue // an ICMP error for a datagram that was sent
+			continue // for example an ICMP error caused by a datagram sent earlier
 		}
 		if !s.receive(ctx, buffer[:n], from) {
 			return nil
@@ -112,7 +114,7 @@
 	}
 }
 
-// receive posts one datagram to the controller, or drops it. It returns false if ctx has ended.
+// receive posts the text of one datagram to the inbox, or drops the datagram. It returns false if ctx is cancelled.
 func (s *Service) receive(ctx context.Context, datagram []byte, from net.Addr) bool {
 	rank, text, err := s.decode(datagram)
 	if err != nil || s.peers[rank] == nil || !s.limit.AllowN(time.Now(), 1) {
@@ -122,7 +124,8 @@
 	return s.inbox.Post(ctx, controller.GossipReceived{From: rank, Text: text}) == nil
 }
 
-// decode returns the sender's rank and the text of a datagram. The error wraps ErrDatagram or identity.ErrSeal.
+// decode returns the sender's rank and the text of a datagram. It returns an error that wraps ErrDatagram or
+// identity.ErrSeal if the datagram is invalid, is not sealed with the secret, or is a replay.
 func (s *Service) decode(b []byte) (rank int, text string, err error) {
 	if s.Secret == nil {
 		return decodeDatagram(b)
@@ -132,12 +135,12 @@
 		return rank, text, err
 	}
 	if seen := s.replayFilters[rank]; seen != nil && !seen.Accept(number) {
-		return rank, "", fmt.Errorf("it came before: %w", ErrDatagram)
+		return rank, "", fmt.Errorf("replay of message %d: %w", number, ErrDatagram)
 	}
 	return rank, text, nil
 }
 
-// Disabled is for controllers that have no peers.
+// Disabled is the gossip sender of a pilot without peers.
 type Disabled struct{}
 
 // Tell does nothing.
