--- a/internal/transport/gossip/gossip_test.go
+++ b/internal/transport/gossip/gossip_test.go
@@ -20,8 +20,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// inbox passes the posted inputs to the test.
 type inbox chan controller.Input
 
+// Post implements controller.Inbox.
 func (i inbox) Post(ctx context.Context, in controller.Input) error {
 	select {
 	case i <- in:
@@ -31,7 +33,8 @@
 	}
 }
 
-// TestGossip checks that texts pass between two controllers, and that other datagrams are dropped.
+// TestGossip checks that texts are exchanged between two pilots, that long ones are truncated, and that invalid
+// datagrams are dropped.
 func TestGossip(t *testing.T) {
 	sockets := map[int]net.PacketConn{}
 	addresses := map[int]string{}
@@ -66,7 +69,7 @@
 	assert.Error(t, err)
 }
 
-// newSecret writes a file with one key and loads it.
+// newSecret creates a secret with one key in a file and returns the path of the file and the secret.
 func newSecret(t *testing.T) (path string, secret *identity.Secret) {
 	path = filepath.Join(t.TempDir(), "secret")
 	require.NoError(t, identity.NewSecret(path))
@@ -75,7 +78,7 @@
 	return path, secret
 }
 
-// TestSealed checks that with a secret only sealed datagrams are accepted, each one once.
+// TestSealed checks that a service with a secret accepts only datagrams sealed with it, and each of them only once.
 func TestSealed(t *testing.T) {
 	_, ours := newSecret(t)
 	_, others := newSecret(t)
@@ -85,7 +88,7 @@
 	foreign, err := seal(others, 3, "load 0.1")
 	require.NoError(t, err)
 	forged := append([]byte{}, sealed...)
-	forged[headerBytes-1] = 4 // another rank outside
+	forged[headerBytes-1] = 4 // the rank in the header
 	for _, c := range []struct {
 		name string
 		data []byte
@@ -105,10 +108,10 @@
 	}
 }
 
-// TestSecretRotated checks that a key is rotated without interruption, and that an invalid file leaves the keys in
-// force.
+// TestSecretRotated checks that a second key can be added without interruption, and that the keys remain in effect if
+// the file becomes invalid.
 func TestSecretRotated(t *testing.T) {
-	const reloadTime = 250 * time.Millisecond // a changed file is noticed by then
+	const reloadTime = 250 * time.Millisecond // time within which a changed file is loaded
 	path, ours := newSecret(t)
 	othersPath, others := newSecret(t)
 	s := &Service{Secret: ours, replayFilters: map[int]*identity.ReplayFilter{3: {}}}
@@ -116,7 +119,7 @@
 	require.NoError(t, err)
 	second, err := os.ReadFile(othersPath)
 	require.NoError(t, err)
-	require.NoError(t, os.WriteFile(path, append(first, second...), 0o600)) // the other key is added behind ours
+	require.NoError(t, os.WriteFile(path, append(first, second...), 0o600)) // add the other key after the first
 	require.NoError(t, os.Chtimes(path, time.Now(), time.Now().Add(time.Second)))
 	time.Sleep(reloadTime)
 	sealed, err := seal(others, 3, "load 0.2")
@@ -131,7 +134,7 @@
 	assert.NoError(t, err)
 }
 
-// FuzzDecode decodes arbitrary datagrams.
+// FuzzDecode checks that decoding arbitrary datagrams does not panic and that encoding restores each valid one.
 func FuzzDecode(f *testing.F) {
 	f.Add(encodeDatagram(3, "text"))
 	f.Fuzz(func(t *testing.T, b []byte) {
