--- a/internal/transport/discovery/file.go
+++ b/internal/transport/discovery/file.go
@@ -36,7 +36,7 @@
 	fetchRequests chan struct{}
 
 	// Result of the last read, owned by Run.
-	lastError  string // error text, or empty
+	lastError  string // error text; "": the read succeeded
 	lastReadAt time.Time
 }
 
