--- a/internal/transport/healthcheck/healthcheck.go
+++ b/internal/transport/healthcheck/healthcheck.go
@@ -1,6 +1,6 @@
 // Package healthcheck checks the health of endpoints. A check sends one request on a new connection, and the endpoint
-// answers with a load report. The number of concurrent checks is limited; further ones result in "denied" without any
-// I/O.
+// answers with its load. The number of concurrent checks is limited; the outcome of further checks is "denied" without
+// any I/O.
 package healthcheck
 
 import (
@@ -16,42 +16,43 @@
 	"indigousher/internal/wire"
 )
 
-// maxAnswerBytes bounds the answer to a health check.
+// maxAnswerBytes is the largest size of the answer to a health check in bytes.
 const maxAnswerBytes = 1 << 16
 
-// The outcomes of a health check, as the planner knows them.
+// Outcomes of a health check, the values of controller.HealthChecked.Outcome.
 const (
-	outcomeOK          = "ok"
+	outcomeOK          = "ok"          // the endpoint answered with its load
 	outcomeError       = "error"       // the endpoint reported a failure
 	outcomeDenied      = "denied"      // the endpoint is at capacity, or too many checks are running
 	outcomeTimeout     = "timeout"     // no answer in time
 	outcomeUnreachable = "unreachable" // no connection
-	outcomeReset       = "reset"       // the connection broke, or the answer was invalid
+	outcomeReset       = "reset"       // the connection was lost, or the answer was invalid
 )
 
-// errDial marks a failure to connect, as opposed to a connection that broke.
+// errDial marks a failure to connect, as opposed to the loss of an established connection.
 var errDial = errors.New("dial")
 
 // Dial opens a connection.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Checker sends health checks.
+// Checker runs health checks and posts the results to an inbox.
 type Checker struct {
-	ctx     context.Context // ends all checks
+	ctx     context.Context // its cancellation aborts all checks
 	dial    Dial
 	inbox   controller.Inbox
-	timeout time.Duration
-	slots   chan struct{} // each running check holds one
+	timeout time.Duration // longest duration of one check
+	slots   chan struct{} // one element per running check; the capacity limits concurrent checks
 	running sync.WaitGroup
 }
 
-// New returns a checker whose checks end with ctx, and each one after timeout. At most so many run concurrently.
+// New returns a checker that runs at most maxConcurrent checks at the same time. A check is aborted after timeout or
+// when ctx is cancelled.
 func New(ctx context.Context, dial Dial, inbox controller.Inbox, timeout time.Duration, maxConcurrent int) *Checker {
 	return &Checker{ctx: ctx, dial: dial, inbox: inbox, timeout: timeout, slots: make(chan struct{}, maxConcurrent)}
 }
 
-// Probe checks an endpoint in a goroutine that ends with the check. It posts the result to the controller, also when no
-// check could run.
+// Probe checks an endpoint in a new goroutine and posts the result to the inbox. If too many checks are running, it
+// posts the outcome "denied" without a check.
 func (c *Checker) Probe(endpoint string) {
 	c.running.Go(func() {
 		result := controller.HealthChecked{Endpoint: endpoint, Outcome: outcomeDenied}
@@ -61,14 +62,14 @@
 			<-c.slots
 		default:
 		}
-		_ = c.inbox.Post(c.ctx, result) // fails only if the controller stops
+		_ = c.inbox.Post(c.ctx, result) // fails only if the pilot is shutting down
 	})
 }
 
-// Wait returns when no check is running.
+// Wait waits until no check is running.
 func (c *Checker) Wait() { c.running.Wait() }
 
-// check checks an endpoint and returns the result.
+// check checks an endpoint and returns the result, including the duration of the check.
 func (c *Checker) check(endpoint string) controller.HealthChecked {
 	ctx, cancel := context.WithTimeout(c.ctx, c.timeout)
 	defer cancel()
@@ -94,7 +95,7 @@
 	return result
 }
 
-// outcomeOf returns the outcome of a check that failed with an error.
+// outcomeOf returns the outcome of a check that failed with err.
 func outcomeOf(err error) string {
 	var netErr net.Error
 	switch {
@@ -106,13 +107,13 @@
 	return outcomeReset
 }
 
-// exchange requests an endpoint's load report and returns the answer.
+// exchange sends a request for the load of an endpoint on a new connection and returns the answer.
 func (c *Checker) exchange(ctx context.Context, endpoint string) (*wire.Response, error) {
 	conn, err := c.dial(ctx, "tcp", endpoint)
 	if err != nil {
 		return nil, errors.Join(errDial, err)
 	}
-	defer func() { _ = conn.Close() }() // the exchange is over
+	defer func() { _ = conn.Close() }() // no data remains to be written
 	deadline, _ := ctx.Deadline()
 	if err := conn.SetDeadline(deadline); err != nil {
 		return nil, fmt.Errorf("set deadline: %w", err)
@@ -126,12 +127,12 @@
 	}
 	answer, ok := m.(*wire.Response)
 	if !ok {
-		return nil, fmt.Errorf("%T to a probe: %w", m, wire.ErrType)
+		return nil, fmt.Errorf("%T in answer to a health check: %w", m, wire.ErrType)
 	}
 	return answer, nil
 }
 
-// Disabled is for controllers that may not check endpoints.
+// Disabled is the health checker of a pilot for which health checks are disabled.
 type Disabled struct{}
 
 // Probe does nothing.
