--- a/internal/transport/healthcheck/healthcheck_test.go
+++ b/internal/transport/healthcheck/healthcheck_test.go
@@ -18,15 +18,17 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// inbox records inputs in order.
+// inbox passes the posted inputs to the test.
 type inbox chan controller.Input
 
+// Post implements controller.Inbox.
 func (i inbox) Post(_ context.Context, in controller.Input) error {
 	i <- in
 	return nil
 }
 
-// rudeServer sends an unexpected message on each connection and closes it.
+// unexpectedMessageServer starts a server that answers each connection with an unexpected message and closes it. It
+// returns the address of the server.
 func unexpectedMessageServer(t *testing.T) (address string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -37,21 +39,22 @@
 			if err != nil {
 				return
 			}
-			_, _ = wire.NewWriter(c).Write(&wire.Heartbeat{}) // the other side may have closed it
+			_, _ = wire.NewWriter(c).Write(&wire.Heartbeat{}) // the client may have closed the connection
 			_ = c.Close()
 		}
 	}()
 	return l.Addr().String()
 }
 
-// result returns the next recorded result.
+// result waits for the next health check result.
 func (i inbox) result(t *testing.T) controller.HealthChecked {
 	r, ok := (<-i).(controller.HealthChecked)
 	require.True(t, ok)
 	return r
 }
 
-// TestProbe checks the outcome for each state of an endpoint, and the limit of concurrent checks.
+// TestProbe checks the outcome for an endpoint that is healthy, sends an unexpected message, hangs or is down, and the
+// limit of concurrent checks.
 func TestProbe(t *testing.T) {
 	model := endpoint.Model{Name: "e", Cores: 1, Speed: 1, MaxConnections: 9, ReportEvery: 5 * time.Millisecond}
 	e := endpoint.New(model, eventlog.NewLog().Stream("e"))
@@ -72,7 +75,7 @@
 	assert.Equal(t, "reset", check(unexpectedMessageServer(t)).Outcome)
 	e.SetFaultMode(endpoint.FaultMode{Hang: true})
 	assert.Equal(t, "timeout", check(e.Address()).Outcome)
-	for range 12 { // ten more than may run
+	for range 12 { // ten more than the limit of concurrent checks
 		p.Probe(e.Address())
 	}
 	denied := 0
