--- a/internal/transport/handshake/handshake.go
+++ b/internal/transport/handshake/handshake.go
@@ -1,4 +1,4 @@
-// Package handshake receives the first message of a gRPC stream within a deadline.
+// Package handshake receives the first message of a gRPC stream with a timeout.
 package handshake
 
 import (
@@ -8,10 +8,12 @@
 	"google.golang.org/grpc/status"
 )
 
-// ReceiveFirst returns a stream's first message, or the error of recv. If nothing arrives in time it returns the status
-// DeadlineExceeded with the text why: the stream would otherwise stay open for as long as its connection.
+// ReceiveFirst calls recv and returns its result, the first message of a stream. If recv does not return within
+// timeout, ReceiveFirst returns a status error with the code DeadlineExceeded and the text timeoutText. Without the
+// timeout, a stream without messages would stay open as long as its connection.
 //
-// The goroutine that waits in recv ends with the stream, that is when the caller returns from its handler.
+// ReceiveFirst calls recv in a goroutine, which after a timeout continues until the stream ends. This is the case when
+// the caller returns from its gRPC handler.
 func ReceiveFirst[M any](timeout time.Duration, timeoutText string, recv func() (M, error)) (M, error) {
 	type result struct {
 		message M
--- a/internal/transport/handshake/handshake_test.go
+++ b/internal/transport/handshake/handshake_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestSilentOpening checks that a stream without a first message ends.
+// TestSilentOpening checks that ReceiveFirst returns an error if no message arrives within the timeout, and the message
+// if one does.
 func TestSilentOpening(t *testing.T) {
 	never := make(chan struct{})
 	defer close(never)
