--- a/internal/transport/shutdown/limits.go
+++ b/internal/transport/shutdown/limits.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// What all transports have in common at the end of a stream.
+// Constants that all transports use to end streams.
 const (
-	// ReasonStopping is sent to proxies when the controller shuts down.
+	// ReasonStopping is the reason sent to proxies when the pilot shuts down.
 	ReasonStopping = "this pilot stops"
-	// SilentBeats is the number of missed heartbeats after which a stream is considered dead.
+	// SilentBeats is the number of heartbeat intervals without a message after which a stream is considered dead.
 	SilentBeats = 3
-	// LeaveTimeout bounds the wait for the controller's loop to accept that a proxy has left while the transport shuts
-	// down.
+	// LeaveTimeout is the longest time that an ended stream waits until the control loop accepts its ProxyLeft input.
+	// The loop may have stopped already when a pilot shuts down.
 	LeaveTimeout = time.Second
 )
--- a/internal/transport/shutdown/shutdown.go
+++ b/internal/transport/shutdown/shutdown.go
@@ -1,23 +1,24 @@
-// Package shutdown coordinates the end of a stream: it ends once, with a reason for the operators and optionally a last
-// message for the peer. All transports use it.
+// Package shutdown coordinates how the goroutines of a stream end it: once, with a reason for the log and optionally a
+// last message to the peer. The transports use it.
 package shutdown
 
 import "sync"
 
-// Notice is the termination state of one stream. W is the type of its last message. It is safe for concurrent use.
+// Notice records whether, why and with which last message a stream has ended. W is the type of the last message. It is
+// safe for concurrent use.
 type Notice[W any] struct {
-	done chan struct{}
+	done chan struct{} // closed when the stream ends
 	once sync.Once
 
 	mu      sync.Mutex
-	reason  string
-	message *W // nil: none
+	reason  string // "" while the stream is open
+	message *W     // last message; nil: none
 }
 
-// New returns the state of an open stream.
+// New returns the Notice of an open stream.
 func New[W any]() *Notice[W] { return &Notice[W]{done: make(chan struct{})} }
 
-// Close ends the stream without a last message. It has no effect if the stream has ended.
+// Close ends the stream with a reason and without a last message. It has no effect if the stream has ended.
 func (n *Notice[W]) Close(reason string) {
 	n.once.Do(func() {
 		n.mu.Lock()
@@ -27,7 +28,7 @@
 	})
 }
 
-// CloseWith ends the stream with a last message. Only the first message counts.
+// CloseWith ends the stream with a reason and a last message. Only the first reason and the first message are recorded.
 func (n *Notice[W]) CloseWith(reason string, message W) {
 	n.mu.Lock()
 	if n.message == nil {
@@ -40,14 +41,14 @@
 // Done returns a channel that is closed when the stream ends.
 func (n *Notice[W]) Done() <-chan struct{} { return n.done }
 
-// Reason returns the reason, which is empty while the stream is open.
+// Reason returns the reason for the end of the stream. It is "" while the stream is open.
 func (n *Notice[W]) Reason() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.reason
 }
 
-// LastMessage returns the last message, if there is one.
+// LastMessage returns the last message to send to the peer. ok is false if there is none.
 func (n *Notice[W]) LastMessage() (message W, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/transport/shutdown/shutdown_test.go
+++ b/internal/transport/shutdown/shutdown_test.go
@@ -7,12 +7,12 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestEndsOnce checks that the first reason and the first message count if a stream is ended repeatedly.
+// TestEndsOnce checks that only the first reason and the first message are recorded if a stream is ended repeatedly.
 func TestEndsOnce(t *testing.T) {
 	e := New[string]()
 	select {
 	case <-e.Done():
-		assert.Fail(t, "ended from the start")
+		assert.Fail(t, "a new stream must be open")
 	default:
 	}
 	e.CloseWith("slow", "redirect")
@@ -25,7 +25,8 @@
 	assert.Equal(t, "redirect", message)
 }
 
-// TestEndsWithoutMessage checks an end without a last message, and that a later message does not change the reason.
+// TestEndsWithoutMessage checks that a stream can be ended concurrently without a last message, and that a later
+// CloseWith does not change the reason.
 func TestEndsWithoutMessage(t *testing.T) {
 	e := New[string]()
 	var wg sync.WaitGroup
