--- a/internal/transport/admin/admin_test.go
+++ b/internal/transport/admin/admin_test.go
@@ -16,8 +16,8 @@
 	"indigousher/internal/controller"
 )
 
-// TestBadRequests checks that clients that send slowly, too much or nothing, or do not read, get an error or are
-// disconnected in time, and that others are served meanwhile.
+// TestBadRequests checks that clients that send invalid, incomplete, too long or no requests get an error or are
+// disconnected in time, and that other clients are served meanwhile.
 func TestBadRequests(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -34,38 +34,39 @@
 		c, err := net.Dial("tcp", l.Addr().String())
 		require.NoError(t, err)
 		defer func() { _ = c.Close() }()
-		_, _ = io.WriteString(c, text) // a refusal may come before the end
+		_, _ = io.WriteString(c, text) // fails if the server rejects the request before it is complete
 		_ = c.SetReadDeadline(time.Now().Add(4 * readTimeout))
 		b, err := io.ReadAll(c)
-		require.False(t, err != nil && strings.Contains(err.Error(), "timeout"), "not cut off")
+		require.False(t, err != nil && strings.Contains(err.Error(), "timeout"), "the server must close the connection")
 		return string(b)
 	}
-	t.Run("all", func(t *testing.T) { badRequests(t, exchange, l.Addr().String()) }) // ends when the last of them has
+	t.Run("all", func(t *testing.T) { badRequests(t, exchange, l.Addr().String()) }) // returns when all parallel subtests have ended
 }
 
+// badRequests runs the subtests in parallel. exchange sends a text on a new connection and returns the response.
 func badRequests(t *testing.T, exchange func(string) string, address string) {
 	const end = "Connection: close\r\n\r\n"
 	for _, c := range []struct{ name, text, want string }{
 		{"good", "GET /readyz HTTP/1.1\r\nHost: x\r\n" + end, "200 OK"},
 		{"state", "GET /state HTTP/1.1\r\nHost: x\r\n" + end, `"Listed":true`},
 		{"unknown path", "GET /nothing HTTP/1.1\r\nHost: x\r\n" + end, "404"},
-		{"no HTTP", "\x00\xff\x00\xff\r\n\r\n", "400"},
+		{"not HTTP", "\x00\xff\x00\xff\r\n\r\n", "400"},
 		{"a long header", "GET /state HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("x", 1<<20) + "\r\n" + end, ""},
-		{"cut off", "GET /state HT", ""},
-		{"a body that never comes", "POST /state HTTP/1.1\r\nHost: x\r\nContent-Length: 1000000000\r\n\r\n", ""},
+		{"an incomplete request line", "GET /state HT", ""},
+		{"a body that is never sent", "POST /state HTTP/1.1\r\nHost: x\r\nContent-Length: 1000000000\r\n\r\n", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			got := exchange(c.text)
 			assert.Contains(t, got, c.want)
 			if c.want == "" {
-				assert.NotContains(t, got, "Stale\":", "no more than an error")
+				assert.NotContains(t, got, "Stale\":", "the response must be only an error")
 			}
 		})
 	}
 	t.Run("many idle connections", func(t *testing.T) {
 		t.Parallel()
-		for range maxConns - 8 { // that say nothing
+		for range maxConns - 8 { // connections that send nothing
 			c, err := net.Dial("tcp", address)
 			require.NoError(t, err)
 			defer func() { _ = c.Close() }()
