--- a/internal/transport/transports_test.go
+++ b/internal/transport/transports_test.go
@@ -23,9 +23,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// inbox records inputs in order.
+// inbox passes the posted inputs to the test.
 type inbox struct{ got chan controller.Input }
 
+// Post implements controller.Inbox.
 func (i *inbox) Post(ctx context.Context, in controller.Input) error {
 	select {
 	case i.got <- in:
@@ -35,6 +36,7 @@
 	}
 }
 
+// next waits for the next input of type T and returns it. Inputs of other types are discarded.
 func next[T any](t *testing.T, i *inbox) T {
 	t.Helper()
 	for {
@@ -45,45 +47,48 @@
 			}
 		case <-time.After(10 * time.Second):
 			var x T
-			require.FailNow(t, "nothing came", "%T", x)
+			require.FailNow(t, "the input did not arrive", "%T", x)
 		}
 	}
 }
 
-// server is the interface that the contract requires of a transport.
+// server contains the methods of a transport's server that the tests use.
 type server interface {
 	Serve(ctx context.Context, l net.Listener) error
 	Kill()
 	Streams() int
 }
 
-// transport creates both ends of a transport.
+// transport creates the two ends of a transport.
 type transport struct {
 	name  string
-	serve func(in *inbox, store *identity.KeyStore) server
-	join  func(c *tls.Config) proxy.Joiner
+	serve func(in *inbox, store *identity.KeyStore) server // creates a server; without TLS if store is nil
+	join  func(c *tls.Config) proxy.Joiner                 // creates a client; without TLS if c is nil
 }
 
 const (
-	beat = 100 * time.Millisecond
-	seen = 600 * time.Millisecond
+	heartbeatInterval = 100 * time.Millisecond
+	ackTimeout        = 600 * time.Millisecond
 )
 
+// transports lists the transports to test.
 var transports = []transport{
 	{"framed", func(in *inbox, store *identity.KeyStore) server {
 		return framed.NewServer(framed.ListenerConfig{
-			Pilot: "one", Beat: beat, Period: time.Second, WriteDeadline: time.Second,
-			SeenWithin: seen, HelloDeadline: time.Second, MaxStreams: 5000, Queue: 64,
+			Pilot: "one", Beat: heartbeatInterval, Period: time.Second, WriteDeadline: time.Second,
+			SeenWithin: ackTimeout, HelloDeadline: time.Second, MaxStreams: 5000, Queue: 64,
 		}, in, zap.NewNop())
 	}, proxy.Framed},
 	{"grpc", func(in *inbox, store *identity.KeyStore) server {
 		return grpcapi.New(grpcapi.ListenerConfig{
-			Pilot: "one", Beat: beat, Period: time.Second, SeenWithin: seen,
+			Pilot: "one", Beat: heartbeatInterval, Period: time.Second, SeenWithin: ackTimeout,
 			HelloIn: time.Second, MaxMessage: 1 << 20, MaxStreams: 5000, QueueLines: 4000, Keys: store,
 		}, in, zap.NewNop())
 	}, func(c *tls.Config) proxy.Joiner { return proxy.GRPC(c, false) }},
 }
 
+// start starts a server, with TLS if store is not nil. It returns the server, its inbox, its address and a function
+// that stops it.
 func start(t *testing.T, tr transport, store *identity.KeyStore) (server, *inbox, string, func()) {
 	in := &inbox{make(chan controller.Input, 8192)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -101,38 +106,40 @@
 	return s, in, address, stop
 }
 
+// dial opens connections of the tests.
 var dial = (&net.Dialer{}).DialContext
 
-func hello() *wire.Hello {
+// newHello returns a valid Hello in which all fields are set.
+func newHello() *wire.Hello {
 	return &wire.Hello{
 		Version: 1, Proxy: "p", Zone: "a", Boot: 3, Rate: 2, Fresh: true, Holds: []string{"x"},
 		Tables: []wire.HeldTable{{Table: 2, Lines: []wire.HeldLine{{Endpoint: "x", Weight: 0.5}}}},
 	}
 }
 
-// read returns the next message other than a heartbeat, and sends heartbeats meanwhile.
-func read(t *testing.T, l proxy.Stream) wire.Message {
+// read returns the next message other than a heartbeat. It answers each heartbeat with a heartbeat.
+func read(t *testing.T, s proxy.Stream) wire.Message {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
-		m, err := l.Read(5 * time.Second)
+		m, err := s.Read(5 * time.Second)
 		require.NoError(t, err)
-		if _, is := m.(*wire.Heartbeat); !is {
+		if _, isHeartbeat := m.(*wire.Heartbeat); !isHeartbeat {
 			return m
 		}
-		require.NoError(t, l.Write(&wire.Heartbeat{LastProcessed: l.Last()}, time.Second))
+		require.NoError(t, s.Write(&wire.Heartbeat{LastProcessed: s.Last()}, time.Second))
 	}
-	require.Fail(t, "only beats")
+	require.Fail(t, "only heartbeats arrived")
 	return nil
 }
 
-// ends waits for the end of a line and returns the last message other than a heartbeat.
-func ends(l proxy.Stream) (last wire.Message) {
+// readToEnd reads until the stream ends and returns the last message other than a heartbeat, or nil.
+func readToEnd(s proxy.Stream) (last wire.Message) {
 	for {
-		m, err := l.Read(5 * time.Second)
+		m, err := s.Read(5 * time.Second)
 		if err != nil {
 			return last
 		}
-		if _, is := m.(*wire.Heartbeat); !is {
+		if _, isHeartbeat := m.(*wire.Heartbeat); !isHeartbeat {
 			last = m
 		}
 	}
