--- a/internal/transport/framed/session.go
+++ b/internal/transport/framed/session.go
@@ -68,7 +68,7 @@
 // shutdown.SilentBeats heartbeat intervals. It returns nil after a Bye.
 func (s *Server) readAll(ctx context.Context, st *stream, r *wire.Reader) error {
 	for {
-		if err := st.conn.SetReadDeadline(time.Now().Add(shutdown.SilentBeats * s.config.Beat)); err != nil {
+		if err := st.conn.SetReadDeadline(time.Now().Add(shutdown.MaxMissedHeartbeats * s.config.Beat)); err != nil {
 			return fmt.Errorf("set deadline: %w", err)
 		}
 		m, err := r.Read()
