--- a/internal/testbed/proxy/grpc.go
+++ b/internal/testbed/proxy/grpc.go
@@ -207,7 +207,7 @@
 			version:     says.Assignment.GetVersion(),
 			ackRequests: says.Assignment.GetMarks(),
 		})
-		return grpcapi.OrdersFrom(says.Assignment)
+		return grpcapi.DecodeAssignment(says.Assignment)
 	case *pb.Downward_Pace:
 		return &wire.Pace{
 			PeriodMs:    int(says.Pace.GetPeriodMs()),
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -143,7 +143,7 @@
 
 // OrdersFrom converts an assignment that a proxy has received to commands. Unknown steps are ignored, for compatibility
 // with later versions. Ack requests follow all other operations.
-func OrdersFrom(a *pb.Assignment) *wire.Commands {
+func DecodeAssignment(a *pb.Assignment) *wire.Commands {
 	commands := &wire.Commands{AtMs: a.GetOrderedMs(), AgeMs: a.GetWaitedMs(), CostLines: int(a.GetLines())}
 	for _, s := range a.GetSteps() {
 		if op, known := decodeStep(s); known {
