--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -65,5 +65,5 @@
 	if d.keyStore == nil {
 		return nil
 	}
-	return grpcapi.Claims
+	return grpcapi.CheckIdentity
 }
--- a/internal/transport/grpcapi/handshake.go
+++ b/internal/transport/grpcapi/handshake.go
@@ -43,7 +43,7 @@
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
 	if s.config.Keys != nil {
-		if err := Claims(g.Context(), hello.Proxy, hello.Zone); err != nil {
+		if err := CheckIdentity(g.Context(), hello.Proxy, hello.Zone); err != nil {
 			s.log.Warn("identity rejected", zap.Error(err))
 			return nil, status.Error(codes.PermissionDenied, "not let in")
 		}
@@ -63,7 +63,7 @@
 
 // Claims returns an error unless the peer certificate of the gRPC call in ctx was issued for the given proxy name and
 // zone. Calls without TLS are an error.
-func Claims(ctx context.Context, name, zone string) error {
+func CheckIdentity(ctx context.Context, name, zone string) error {
 	p, ok := peer.FromContext(ctx)
 	if !ok {
 		return identity.ErrIdentity
