--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -49,12 +49,12 @@
 		Keys:       d.keyStore,
 	}, d.loop, d.options.Log.Named("grpc"))
 	d.xdsServer = xds.New(xds.ListenerConfig{
-		Kinds:      cfg.ClassNames(),
-		Period:     cfg.Period,
-		SeenWithin: cfg.SeenWithin,
-		HelloIn:    cfg.HelloDeadline,
-		MaxStreams: cfg.MaxStreams,
-		Claims:     d.checkIdentity(),
+		Kinds:         cfg.ClassNames(),
+		Period:        cfg.Period,
+		SeenWithin:    cfg.SeenWithin,
+		HelloIn:       cfg.HelloDeadline,
+		MaxStreams:    cfg.MaxStreams,
+		CheckIdentity: d.checkIdentity(),
 	}, d.loop, d.options.Log.Named("xds"))
 	d.xdsServer.Register(d.grpcServer.Registrar())
 	return nil
--- a/internal/transport/xds/server.go
+++ b/internal/transport/xds/server.go
@@ -34,7 +34,7 @@
 	HelloIn    time.Duration // longest time until the first message arrives
 	MaxStreams int           // largest number of open streams; further ones are refused
 	// Claims returns an error unless the certificate of the peer of ctx matches the name and zone; nil without TLS.
-	Claims func(ctx context.Context, name, zone string) error
+	CheckIdentity func(ctx context.Context, name, zone string) error
 }
 
 // Server implements the ADS and LRS services of xDS.
@@ -102,10 +102,10 @@
 // checkIdentity returns a status error if the client's certificate does not match the given name and zone. Without TLS
 // it returns nil.
 func (s *Server) checkIdentity(ctx context.Context, name, zone string) error {
-	if s.config.Claims == nil {
+	if s.config.CheckIdentity == nil {
 		return nil
 	}
-	if err := s.config.Claims(ctx, name, zone); err != nil {
+	if err := s.config.CheckIdentity(ctx, name, zone); err != nil {
 		s.log.Warn("identity rejected", zap.Error(err))
 		return status.Error(codes.PermissionDenied, refusalIdentity)
 	}
