--- a/internal/testbed/proxy/grpc.go
+++ b/internal/testbed/proxy/grpc.go
@@ -115,7 +115,7 @@
 		return nil, err
 	}
 	s.stream = stream
-	if err := stream.Send(&pb.Upward{Says: &pb.Upward_Hello{Hello: grpcapi.Hello(hello)}}); err != nil {
+	if err := stream.Send(&pb.Upward{Says: &pb.Upward_Hello{Hello: grpcapi.EncodeHello(hello)}}); err != nil {
 		return nil, err
 	}
 	return stream.Recv()
--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -6,7 +6,7 @@
 )
 
 // Hello converts a Hello message to its protobuf form.
-func Hello(h *wire.Hello) *pb.Hello {
+func EncodeHello(h *wire.Hello) *pb.Hello {
 	hello := &pb.Hello{
 		Version:       uint32(h.Version),
 		Proxy:         h.Proxy,
