--- a/internal/testbed/proxy/grpc.go
+++ b/internal/testbed/proxy/grpc.go
@@ -144,7 +144,7 @@
 func (s *grpcStream) Write(message wire.Message, _ time.Duration) error {
 	switch m := message.(type) {
 	case *wire.LoadReport:
-		return s.stream.Send(&pb.Upward{Says: &pb.Upward_Report{Report: grpcapi.Report(m)}})
+		return s.stream.Send(&pb.Upward{Says: &pb.Upward_Report{Report: grpcapi.EncodeReport(m)}})
 	case *wire.Done:
 		return s.acknowledge(m.TookMs, func(a assignment) bool {
 			return slices.ContainsFunc(a.ackRequests, func(number uint32) bool { return int(number) == m.Mark })
--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -27,7 +27,7 @@
 }
 
 // Report converts a load report to its protobuf form.
-func Report(s *wire.LoadReport) *pb.Report {
+func EncodeReport(s *wire.LoadReport) *pb.Report {
 	report := &pb.Report{Number: s.Seq, AtMs: s.AtMs, SpanMs: s.SpanMs}
 	for i := range s.EndpointStats {
 		report.Endpoints = append(report.Endpoints, encodeEndpointLoad(&s.EndpointStats[i]))
