--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -49,7 +49,7 @@
 		Keys:       d.keyStore,
 	}, d.loop, d.options.Log.Named("grpc"))
 	d.xdsServer = xds.New(xds.ListenerConfig{
-		Kinds:         cfg.ClassNames(),
+		Classes:       cfg.ClassNames(),
 		Period:        cfg.Period,
 		SeenWithin:    cfg.SeenWithin,
 		HelloIn:       cfg.HelloDeadline,
--- a/internal/transport/xds/server.go
+++ b/internal/transport/xds/server.go
@@ -28,7 +28,7 @@
 
 // ListenerConfig configures the streams that the server accepts.
 type ListenerConfig struct {
-	Kinds      []string      // names of the request classes, by index
+	Classes    []string      // names of the request classes, by index
 	Period     time.Duration // interval of load reports
 	SeenWithin time.Duration // longest time until an assignment is acknowledged
 	HelloIn    time.Duration // longest time until the first message arrives
@@ -94,7 +94,7 @@
 	} else if len(s.nodes) >= s.config.MaxStreams {
 		return nil, status.Error(codes.ResourceExhausted, "too many streams")
 	}
-	st := newStream(name, s.config.Kinds)
+	st := newStream(name, s.config.Classes)
 	s.nodes[name] = st
 	return st, nil
 }
