--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -20,7 +20,7 @@
 		Beat:          cfg.Beat,
 		Period:        cfg.Period,
 		WriteDeadline: cfg.WriteDeadline,
-		SeenWithin:    cfg.SeenWithin,
+		AckTimeout:    cfg.SeenWithin,
 		HelloDeadline: cfg.HelloDeadline,
 		MaxFrame:      cfg.MaxFrame,
 		MaxStreams:    cfg.MaxStreams,
--- a/internal/transport/framed/server.go
+++ b/internal/transport/framed/server.go
@@ -27,7 +27,7 @@
 	Beat          time.Duration // heartbeat interval of both sides
 	Period        time.Duration // interval of load reports
 	WriteDeadline time.Duration // longest duration of a write
-	SeenWithin    time.Duration // longest time until a frame is acknowledged
+	AckTimeout    time.Duration // longest time until a frame is acknowledged
 	HelloDeadline time.Duration // longest time until the hello arrives
 	MaxFrame      int           // largest body of a frame in bytes
 	MaxStreams    int           // largest number of open streams; further ones are closed
--- a/internal/transport/framed/session.go
+++ b/internal/transport/framed/session.go
@@ -93,7 +93,7 @@
 		return s.inbox.Post(ctx, controller.Acked{Stream: st, Done: *m})
 	case *wire.Heartbeat:
 		st.unacked.acknowledge(m.LastProcessed)
-		if st.unacked.olderThan(time.Now().Add(-s.config.SeenWithin)) {
+		if st.unacked.olderThan(time.Now().Add(-s.config.AckTimeout)) {
 			return ErrSlow
 		}
 		return nil
