--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -40,7 +40,7 @@
 		Pilot:      cfg.Name,
 		Beat:       cfg.Beat,
 		Period:     cfg.Period,
-		SeenWithin: cfg.SeenWithin,
+		AckTimeout: cfg.SeenWithin,
 		HelloIn:    cfg.HelloDeadline,
 		MaxMessage: cfg.MaxFrame,
 		MaxStreams: cfg.MaxStreams,
--- a/internal/transport/grpcapi/server.go
+++ b/internal/transport/grpcapi/server.go
@@ -50,7 +50,7 @@
 	Pilot      string             // the controller's name, for the welcome
 	Beat       time.Duration      // heartbeat interval of both sides
 	Period     time.Duration      // interval of load reports
-	SeenWithin time.Duration      // longest time until an assignment is acknowledged
+	AckTimeout time.Duration      // longest time until an assignment is acknowledged
 	HelloIn    time.Duration      // longest time until the hello arrives
 	MaxMessage int                // largest message of a proxy in bytes, after decompression
 	MaxStreams int                // largest number of open streams; further ones are refused
--- a/internal/transport/grpcapi/session.go
+++ b/internal/transport/grpcapi/session.go
@@ -140,7 +140,7 @@
 		case <-st.wake:
 			m = st.takeNext()
 		case <-heartbeat.C:
-			if reason := st.overdueReason(s.config.SeenWithin, shutdown.MaxMissedHeartbeats*s.config.Beat); reason != "" {
+			if reason := st.overdueReason(s.config.AckTimeout, shutdown.MaxMissedHeartbeats*s.config.Beat); reason != "" {
 				return status.Error(codes.DeadlineExceeded, reason)
 			}
 			m = &pb.Downward{Says: &pb.Downward_Beat{Beat: &pb.Beat{}}}
