--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -51,7 +51,7 @@
 	d.xdsServer = xds.New(xds.ListenerConfig{
 		Classes:       cfg.ClassNames(),
 		Period:        cfg.Period,
-		SeenWithin:    cfg.SeenWithin,
+		AckTimeout:    cfg.SeenWithin,
 		HelloIn:       cfg.HelloDeadline,
 		MaxStreams:    cfg.MaxStreams,
 		CheckIdentity: d.checkIdentity(),
--- a/internal/transport/xds/ads.go
+++ b/internal/transport/xds/ads.go
@@ -118,7 +118,7 @@
 // writeResponses sends the subscribed resources initially and whenever they change. It returns when the stream ends or
 // an acknowledgement is overdue.
 func (s *Server) writeResponses(g adsStream, st *stream, readEnded <-chan error) error {
-	check := time.NewTicker(s.config.SeenWithin / overdueChecksPerTimeout)
+	check := time.NewTicker(s.config.AckTimeout / overdueChecksPerTimeout)
 	defer check.Stop()
 	for {
 		select {
@@ -129,7 +129,7 @@
 		case <-st.end.Done():
 			return status.Error(codes.Unavailable, st.end.Reason())
 		case <-check.C:
-			if st.overdue(s.config.SeenWithin) {
+			if st.overdue(s.config.AckTimeout) {
 				return status.Error(codes.DeadlineExceeded, "an assignment is not acknowledged")
 			}
 		case <-st.wake:
--- a/internal/transport/xds/server.go
+++ b/internal/transport/xds/server.go
@@ -30,7 +30,7 @@
 type ListenerConfig struct {
 	Classes    []string      // names of the request classes, by index
 	Period     time.Duration // interval of load reports
-	SeenWithin time.Duration // longest time until an assignment is acknowledged
+	AckTimeout time.Duration // longest time until an assignment is acknowledged
 	HelloIn    time.Duration // longest time until the first message arrives
 	MaxStreams int           // largest number of open streams; further ones are refused
 	// Claims returns an error unless the certificate of the peer of ctx matches the name and zone; nil without TLS.
