--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -21,7 +21,7 @@
 		Period:        cfg.Period,
 		WriteDeadline: cfg.WriteDeadline,
 		AckTimeout:    cfg.SeenWithin,
-		HelloDeadline: cfg.HelloDeadline,
+		HelloTimeout:  cfg.HelloDeadline,
 		MaxFrame:      cfg.MaxFrame,
 		MaxStreams:    cfg.MaxStreams,
 		Queue:         cfg.Queue,
--- a/internal/transport/framed/handshake.go
+++ b/internal/transport/framed/handshake.go
@@ -23,7 +23,7 @@
 // acceptHello reads and validates the Hello and answers with a Welcome. If it rejects the Hello, it sends the reason to
 // the proxy and returns an error.
 func (s *Server) acceptHello(st *stream, r *wire.Reader, w *wire.Writer) (*wire.Hello, error) {
-	if err := st.conn.SetDeadline(time.Now().Add(s.config.HelloDeadline)); err != nil {
+	if err := st.conn.SetDeadline(time.Now().Add(s.config.HelloTimeout)); err != nil {
 		return nil, fmt.Errorf("set deadline: %w", err)
 	}
 	first, err := r.Read()
--- a/internal/transport/framed/server.go
+++ b/internal/transport/framed/server.go
@@ -28,7 +28,7 @@
 	Period        time.Duration // interval of load reports
 	WriteDeadline time.Duration // longest duration of a write
 	AckTimeout    time.Duration // longest time until a frame is acknowledged
-	HelloDeadline time.Duration // longest time until the hello arrives
+	HelloTimeout  time.Duration // longest time until the hello arrives
 	MaxFrame      int           // largest body of a frame in bytes
 	MaxStreams    int           // largest number of open streams; further ones are closed
 	Queue         int           // largest number of messages queued per stream; one more ends it
--- a/internal/transport/transports_test.go
+++ b/internal/transport/transports_test.go
@@ -76,7 +76,7 @@
 	{"framed", func(in *inbox, store *identity.KeyStore) server {
 		return framed.NewServer(framed.ListenerConfig{
 			Pilot: "one", Beat: heartbeatInterval, Period: time.Second, WriteDeadline: time.Second,
-			AckTimeout: ackTimeout, HelloDeadline: time.Second, MaxStreams: 5000, Queue: 64,
+			AckTimeout: ackTimeout, HelloTimeout: time.Second, MaxStreams: 5000, Queue: 64,
 		}, in, zap.NewNop())
 	}, proxy.Framed},
 	{"grpc", func(in *inbox, store *identity.KeyStore) server {
