--- a/internal/transport/grpcapi/handshake.go
+++ b/internal/transport/grpcapi/handshake.go
@@ -27,7 +27,7 @@
 // receiveHello reads and validates the Hello. The error is a status for the proxy. The details of a rejected identity
 // are only logged, so that unauthenticated peers learn nothing about accepted identities.
 func (s *Server) receiveHello(g controlStream) (*wire.Hello, error) {
-	first, err := handshake.ReceiveFirst(s.config.HelloIn, refusalNoHello, g.Recv)
+	first, err := handshake.ReceiveFirst(s.config.HelloTimeout, refusalNoHello, g.Recv)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/transport/grpcapi/server.go
+++ b/internal/transport/grpcapi/server.go
@@ -47,16 +47,16 @@
 
 // ListenerConfig configures the listener and the streams that it accepts.
 type ListenerConfig struct {
-	Pilot      string             // the controller's name, for the welcome
-	Beat       time.Duration      // heartbeat interval of both sides
-	Period     time.Duration      // interval of load reports
-	AckTimeout time.Duration      // longest time until an assignment is acknowledged
-	HelloIn    time.Duration      // longest time until the hello arrives
-	MaxMessage int                // largest message of a proxy in bytes, after decompression
-	MaxStreams int                // largest number of open streams; further ones are refused
-	QueueLines int                // largest number of ops queued per stream, after collapsing
-	NewPerS    float64            // new streams admitted per second, others wait; 0: no limit
-	Keys       *identity.KeyStore // nil: plain text without authentication
+	Pilot        string             // the controller's name, for the welcome
+	Beat         time.Duration      // heartbeat interval of both sides
+	Period       time.Duration      // interval of load reports
+	AckTimeout   time.Duration      // longest time until an assignment is acknowledged
+	HelloTimeout time.Duration      // longest time until the hello arrives
+	MaxMessage   int                // largest message of a proxy in bytes, after decompression
+	MaxStreams   int                // largest number of open streams; further ones are refused
+	QueueLines   int                // largest number of ops queued per stream, after collapsing
+	NewPerS      float64            // new streams admitted per second, others wait; 0: no limit
+	Keys         *identity.KeyStore // nil: plain text without authentication
 }
 
 // Server implements the Control service, which serves the streams of proxies.
@@ -103,14 +103,14 @@
 		grpc.KeepaliveParams(keepalive.ServerParameters{
 			Time:              keepaliveHeartbeats * c.Beat,
 			Timeout:           keepaliveHeartbeats * c.Beat,
-			MaxConnectionIdle: idleTimeoutFactor * c.HelloIn,
+			MaxConnectionIdle: idleTimeoutFactor * c.HelloTimeout,
 		}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{
 			MinTime:             minPingInterval,
 			PermitWithoutStream: true,
 		}),
 		grpc.MaxConcurrentStreams(maxStreamsPerConn),
-		grpc.ConnectionTimeout(c.HelloIn),
+		grpc.ConnectionTimeout(c.HelloTimeout),
 	}
 	if c.Keys != nil {
 		options = append(options, grpc.Creds(credentials.NewTLS(c.Keys.Server(identity.Proxy))))
