--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -52,7 +52,7 @@
 		Classes:       cfg.ClassNames(),
 		Period:        cfg.Period,
 		AckTimeout:    cfg.SeenWithin,
-		HelloIn:       cfg.HelloDeadline,
+		HelloTimeout:  cfg.HelloDeadline,
 		MaxStreams:    cfg.MaxStreams,
 		CheckIdentity: d.checkIdentity(),
 	}, d.loop, d.options.Log.Named("xds"))
--- a/internal/transport/xds/ads.go
+++ b/internal/transport/xds/ads.go
@@ -34,7 +34,7 @@
 // StreamAggregatedResources serves the ADS stream of one proxy. It sends responses in the calling goroutine and reads
 // requests in a second one, which ends when this method returns.
 func (s *Server) StreamAggregatedResources(g adsStream) error {
-	first, err := handshake.ReceiveFirst(s.config.HelloIn, refusalSilence, g.Recv)
+	first, err := handshake.ReceiveFirst(s.config.HelloTimeout, refusalSilence, g.Recv)
 	if err != nil {
 		return err
 	}
--- a/internal/transport/xds/lrs.go
+++ b/internal/transport/xds/lrs.go
@@ -21,7 +21,7 @@
 // StreamLoadStats receives the load reports of one proxy and posts them to the inbox. Reports of a proxy without an
 // open ADS stream to this pilot are dropped.
 func (s *Server) StreamLoadStats(g lrs.LoadReportingService_StreamLoadStatsServer) error {
-	first, err := handshake.ReceiveFirst(s.config.HelloIn, refusalSilence, g.Recv)
+	first, err := handshake.ReceiveFirst(s.config.HelloTimeout, refusalSilence, g.Recv)
 	if err != nil {
 		return err
 	}
