--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -16,15 +16,15 @@
 // openFramed makes the server of the framed protocol.
 func (d *Daemon) openFramed(cfg *config.Pilot) {
 	d.framedServer = framed.NewServer(framed.ListenerConfig{
-		Pilot:         cfg.Name,
-		Beat:          cfg.Beat,
-		Period:        cfg.Period,
-		WriteDeadline: cfg.WriteDeadline,
-		AckTimeout:    cfg.SeenWithin,
-		HelloTimeout:  cfg.HelloDeadline,
-		MaxFrame:      cfg.MaxFrame,
-		MaxStreams:    cfg.MaxStreams,
-		Queue:         cfg.Queue,
+		Pilot:             cfg.Name,
+		HeartbeatInterval: cfg.Beat,
+		Period:            cfg.Period,
+		WriteDeadline:     cfg.WriteDeadline,
+		AckTimeout:        cfg.SeenWithin,
+		HelloTimeout:      cfg.HelloDeadline,
+		MaxFrame:          cfg.MaxFrame,
+		MaxStreams:        cfg.MaxStreams,
+		Queue:             cfg.Queue,
 	}, d.loop, d.options.Log.Named("streams"))
 }
 
--- a/internal/transport/framed/handshake.go
+++ b/internal/transport/framed/handshake.go
@@ -52,7 +52,7 @@
 	return &wire.Welcome{
 		Version:        wire.Version,
 		Pilot:          s.config.Pilot,
-		HeartbeatMs:    int(s.config.Beat.Milliseconds()),
+		HeartbeatMs:    int(s.config.HeartbeatInterval.Milliseconds()),
 		ReportPeriodMs: int(s.config.Period.Milliseconds()),
 	}
 }
--- a/internal/transport/framed/server.go
+++ b/internal/transport/framed/server.go
@@ -23,15 +23,15 @@
 
 // ListenerConfig configures the listener and the streams that it accepts.
 type ListenerConfig struct {
-	Pilot         string        // the controller's name, for the welcome
-	Beat          time.Duration // heartbeat interval of both sides
-	Period        time.Duration // interval of load reports
-	WriteDeadline time.Duration // longest duration of a write
-	AckTimeout    time.Duration // longest time until a frame is acknowledged
-	HelloTimeout  time.Duration // longest time until the hello arrives
-	MaxFrame      int           // largest body of a frame in bytes
-	MaxStreams    int           // largest number of open streams; further ones are closed
-	Queue         int           // largest number of messages queued per stream; one more ends it
+	Pilot             string        // the controller's name, for the welcome
+	HeartbeatInterval time.Duration // heartbeat interval of both sides
+	Period            time.Duration // interval of load reports
+	WriteDeadline     time.Duration // longest duration of a write
+	AckTimeout        time.Duration // longest time until a frame is acknowledged
+	HelloTimeout      time.Duration // longest time until the hello arrives
+	MaxFrame          int           // largest body of a frame in bytes
+	MaxStreams        int           // largest number of open streams; further ones are closed
+	Queue             int           // largest number of messages queued per stream; one more ends it
 }
 
 // Server accepts and serves the streams of proxies.
--- a/internal/transport/framed/session.go
+++ b/internal/transport/framed/session.go
@@ -68,7 +68,7 @@
 // shutdown.SilentBeats heartbeat intervals. It returns nil after a Bye.
 func (s *Server) readAll(ctx context.Context, st *stream, r *wire.Reader) error {
 	for {
-		if err := st.conn.SetReadDeadline(time.Now().Add(shutdown.MaxMissedHeartbeats * s.config.Beat)); err != nil {
+		if err := st.conn.SetReadDeadline(time.Now().Add(shutdown.MaxMissedHeartbeats * s.config.HeartbeatInterval)); err != nil {
 			return fmt.Errorf("set deadline: %w", err)
 		}
 		m, err := r.Read()
@@ -103,7 +103,7 @@
 
 // writeAll writes queued messages and heartbeats until the stream ends, and then its last message.
 func (s *Server) writeAll(st *stream, w *wire.Writer) error {
-	heartbeat := time.NewTicker(s.config.Beat)
+	heartbeat := time.NewTicker(s.config.HeartbeatInterval)
 	defer heartbeat.Stop()
 	for {
 		select {
