--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -37,16 +37,16 @@
 		return err
 	}
 	d.grpcServer = grpcapi.New(grpcapi.ListenerConfig{
-		Pilot:        cfg.Name,
-		Beat:         cfg.Beat,
-		Period:       cfg.Period,
-		AckTimeout:   cfg.SeenWithin,
-		HelloTimeout: cfg.HelloDeadline,
-		MaxMessage:   cfg.MaxFrame,
-		MaxStreams:   cfg.MaxStreams,
-		QueueLines:   cfg.Queue * linesPerQueueSlot,
-		NewPerS:      cfg.NewPerS,
-		Keys:         d.keyStore,
+		Pilot:             cfg.Name,
+		HeartbeatInterval: cfg.Beat,
+		Period:            cfg.Period,
+		AckTimeout:        cfg.SeenWithin,
+		HelloTimeout:      cfg.HelloDeadline,
+		MaxMessage:        cfg.MaxFrame,
+		MaxStreams:        cfg.MaxStreams,
+		QueueLines:        cfg.Queue * linesPerQueueSlot,
+		NewPerS:           cfg.NewPerS,
+		Keys:              d.keyStore,
 	}, d.loop, d.options.Log.Named("grpc"))
 	d.xdsServer = xds.New(xds.ListenerConfig{
 		Classes:       cfg.ClassNames(),
--- a/internal/transport/grpcapi/grpcapi_test.go
+++ b/internal/transport/grpcapi/grpcapi_test.go
@@ -71,7 +71,7 @@
 // unless it is nil.
 func serve(t *testing.T, change func(*ListenerConfig)) (*Server, *inbox, *grpc.ClientConn) {
 	config := ListenerConfig{
-		Pilot: "one", Beat: 100 * time.Millisecond, Period: time.Second, AckTimeout: 5 * time.Second,
+		Pilot: "one", HeartbeatInterval: 100 * time.Millisecond, Period: time.Second, AckTimeout: 5 * time.Second,
 		HelloTimeout: time.Second, MaxMessage: 1 << 16, MaxStreams: 5000, QueueLines: 50,
 	}
 	if change != nil {
@@ -192,7 +192,7 @@
 // heartbeat interval is long, because on a busy machine compressing the message takes longer than the three default
 // intervals after which the stream would be closed for silence.
 func TestCompressedBomb(t *testing.T) {
-	_, in, conn := serve(t, func(config *ListenerConfig) { config.Beat, config.AckTimeout = time.Minute, time.Minute })
+	_, in, conn := serve(t, func(config *ListenerConfig) { config.HeartbeatInterval, config.AckTimeout = time.Minute, time.Minute })
 	cl := openStream(t, conn, grpc.UseCompressor(gzip.Name))
 	cl.join(newHello("p"))
 	in.waitForStreams(t, 1)
@@ -236,7 +236,7 @@
 // rejected.
 func TestReconnectStorm(t *testing.T) {
 	const streamCount = 2000
-	s, in, conn := serve(t, func(config *ListenerConfig) { config.NewPerS = 1000; config.Beat = 5 * time.Second })
+	s, in, conn := serve(t, func(config *ListenerConfig) { config.NewPerS = 1000; config.HeartbeatInterval = 5 * time.Second })
 	var conns []*grpc.ClientConn
 	for range streamCount / 50 {
 		c, err := grpc.NewClient(conn.Target(), plainText)
--- a/internal/transport/grpcapi/handshake.go
+++ b/internal/transport/grpcapi/handshake.go
@@ -56,7 +56,7 @@
 	return &pb.Downward{Says: &pb.Downward_Welcome{Welcome: &pb.Welcome{
 		Version:  wire.Version,
 		Pilot:    s.config.Pilot,
-		BeatMs:   uint32(s.config.Beat.Milliseconds()),
+		BeatMs:   uint32(s.config.HeartbeatInterval.Milliseconds()),
 		PeriodMs: uint32(s.config.Period.Milliseconds()),
 	}}}
 }
--- a/internal/transport/grpcapi/server.go
+++ b/internal/transport/grpcapi/server.go
@@ -47,16 +47,16 @@
 
 // ListenerConfig configures the listener and the streams that it accepts.
 type ListenerConfig struct {
-	Pilot        string             // the controller's name, for the welcome
-	Beat         time.Duration      // heartbeat interval of both sides
-	Period       time.Duration      // interval of load reports
-	AckTimeout   time.Duration      // longest time until an assignment is acknowledged
-	HelloTimeout time.Duration      // longest time until the hello arrives
-	MaxMessage   int                // largest message of a proxy in bytes, after decompression
-	MaxStreams   int                // largest number of open streams; further ones are refused
-	QueueLines   int                // largest number of ops queued per stream, after collapsing
-	NewPerS      float64            // new streams admitted per second, others wait; 0: no limit
-	Keys         *identity.KeyStore // nil: plain text without authentication
+	Pilot             string             // the controller's name, for the welcome
+	HeartbeatInterval time.Duration      // heartbeat interval of both sides
+	Period            time.Duration      // interval of load reports
+	AckTimeout        time.Duration      // longest time until an assignment is acknowledged
+	HelloTimeout      time.Duration      // longest time until the hello arrives
+	MaxMessage        int                // largest message of a proxy in bytes, after decompression
+	MaxStreams        int                // largest number of open streams; further ones are refused
+	QueueLines        int                // largest number of ops queued per stream, after collapsing
+	NewPerS           float64            // new streams admitted per second, others wait; 0: no limit
+	Keys              *identity.KeyStore // nil: plain text without authentication
 }
 
 // Server implements the Control service, which serves the streams of proxies.
@@ -101,8 +101,8 @@
 		grpc.MaxRecvMsgSize(c.MaxMessage),
 		grpc.MaxSendMsgSize(maxSendBytes),
 		grpc.KeepaliveParams(keepalive.ServerParameters{
-			Time:              keepaliveHeartbeats * c.Beat,
-			Timeout:           keepaliveHeartbeats * c.Beat,
+			Time:              keepaliveHeartbeats * c.HeartbeatInterval,
+			Timeout:           keepaliveHeartbeats * c.HeartbeatInterval,
 			MaxConnectionIdle: idleTimeoutFactor * c.HelloTimeout,
 		}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{
--- a/internal/transport/grpcapi/session.go
+++ b/internal/transport/grpcapi/session.go
@@ -124,7 +124,7 @@
 // writeAll writes queued messages and heartbeats. It returns when the stream ends, when no message of the proxy has
 // arrived for shutdown.SilentBeats heartbeat intervals, or when an acknowledgement is overdue.
 func (s *Server) writeAll(g controlStream, st *stream, readEnded <-chan error) error {
-	heartbeat := time.NewTicker(s.config.Beat)
+	heartbeat := time.NewTicker(s.config.HeartbeatInterval)
 	defer heartbeat.Stop()
 	for {
 		var m *pb.Downward
@@ -140,7 +140,7 @@
 		case <-st.wake:
 			m = st.takeNext()
 		case <-heartbeat.C:
-			if reason := st.overdueReason(s.config.AckTimeout, shutdown.MaxMissedHeartbeats*s.config.Beat); reason != "" {
+			if reason := st.overdueReason(s.config.AckTimeout, shutdown.MaxMissedHeartbeats*s.config.HeartbeatInterval); reason != "" {
 				return status.Error(codes.DeadlineExceeded, reason)
 			}
 			m = &pb.Downward{Says: &pb.Downward_Beat{Beat: &pb.Beat{}}}
