--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -18,7 +18,7 @@
 	d.framedServer = framed.NewServer(framed.ListenerConfig{
 		Pilot:             cfg.Name,
 		HeartbeatInterval: cfg.Beat,
-		Period:            cfg.Period,
+		ReportInterval:    cfg.Period,
 		WriteDeadline:     cfg.WriteDeadline,
 		AckTimeout:        cfg.SeenWithin,
 		HelloTimeout:      cfg.HelloDeadline,
--- a/internal/transport/framed/handshake.go
+++ b/internal/transport/framed/handshake.go
@@ -53,7 +53,7 @@
 		Version:        wire.Version,
 		Pilot:          s.config.Pilot,
 		HeartbeatMs:    int(s.config.HeartbeatInterval.Milliseconds()),
-		ReportPeriodMs: int(s.config.Period.Milliseconds()),
+		ReportPeriodMs: int(s.config.ReportInterval.Milliseconds()),
 	}
 }
 
--- a/internal/transport/framed/server.go
+++ b/internal/transport/framed/server.go
@@ -25,7 +25,7 @@
 type ListenerConfig struct {
 	Pilot             string        // the controller's name, for the welcome
 	HeartbeatInterval time.Duration // heartbeat interval of both sides
-	Period            time.Duration // interval of load reports
+	ReportInterval    time.Duration // interval of load reports
 	WriteDeadline     time.Duration // longest duration of a write
 	AckTimeout        time.Duration // longest time until a frame is acknowledged
 	HelloTimeout      time.Duration // longest time until the hello arrives
