--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -39,7 +39,7 @@
 	d.grpcServer = grpcapi.New(grpcapi.ListenerConfig{
 		Pilot:             cfg.Name,
 		HeartbeatInterval: cfg.Beat,
-		Period:            cfg.Period,
+		ReportInterval:    cfg.Period,
 		AckTimeout:        cfg.SeenWithin,
 		HelloTimeout:      cfg.HelloDeadline,
 		MaxMessage:        cfg.MaxFrame,
--- a/internal/transport/grpcapi/grpcapi_test.go
+++ b/internal/transport/grpcapi/grpcapi_test.go
@@ -71,7 +71,7 @@
 // unless it is nil.
 func serve(t *testing.T, change func(*ListenerConfig)) (*Server, *inbox, *grpc.ClientConn) {
 	config := ListenerConfig{
-		Pilot: "one", HeartbeatInterval: 100 * time.Millisecond, Period: time.Second, AckTimeout: 5 * time.Second,
+		Pilot: "one", HeartbeatInterval: 100 * time.Millisecond, ReportInterval: time.Second, AckTimeout: 5 * time.Second,
 		HelloTimeout: time.Second, MaxMessage: 1 << 16, MaxStreams: 5000, QueueLines: 50,
 	}
 	if change != nil {
--- a/internal/transport/grpcapi/handshake.go
+++ b/internal/transport/grpcapi/handshake.go
@@ -57,7 +57,7 @@
 		Version:  wire.Version,
 		Pilot:    s.config.Pilot,
 		BeatMs:   uint32(s.config.HeartbeatInterval.Milliseconds()),
-		PeriodMs: uint32(s.config.Period.Milliseconds()),
+		PeriodMs: uint32(s.config.ReportInterval.Milliseconds()),
 	}}}
 }
 
--- a/internal/transport/grpcapi/server.go
+++ b/internal/transport/grpcapi/server.go
@@ -49,7 +49,7 @@
 type ListenerConfig struct {
 	Pilot             string             // the controller's name, for the welcome
 	HeartbeatInterval time.Duration      // heartbeat interval of both sides
-	Period            time.Duration      // interval of load reports
+	ReportInterval    time.Duration      // interval of load reports
 	AckTimeout        time.Duration      // longest time until an assignment is acknowledged
 	HelloTimeout      time.Duration      // longest time until the hello arrives
 	MaxMessage        int                // largest message of a proxy in bytes, after decompression
