--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -49,12 +49,12 @@
 		Keys:              d.keyStore,
 	}, d.loop, d.options.Log.Named("grpc"))
 	d.xdsServer = xds.New(xds.ListenerConfig{
-		Classes:       cfg.ClassNames(),
-		Period:        cfg.Period,
-		AckTimeout:    cfg.SeenWithin,
-		HelloTimeout:  cfg.HelloDeadline,
-		MaxStreams:    cfg.MaxStreams,
-		CheckIdentity: d.checkIdentity(),
+		Classes:        cfg.ClassNames(),
+		ReportInterval: cfg.Period,
+		AckTimeout:     cfg.SeenWithin,
+		HelloTimeout:   cfg.HelloDeadline,
+		MaxStreams:     cfg.MaxStreams,
+		CheckIdentity:  d.checkIdentity(),
 	}, d.loop, d.options.Log.Named("xds"))
 	d.xdsServer.Register(d.grpcServer.Registrar())
 	return nil
--- a/internal/transport/xds/lrs.go
+++ b/internal/transport/xds/lrs.go
@@ -29,7 +29,7 @@
 	if err := s.checkIdentity(g.Context(), name, first.GetNode().GetLocality().GetZone()); err != nil {
 		return err
 	}
-	response := &lrs.LoadStatsResponse{Clusters: s.config.Classes, LoadReportingInterval: durationpb.New(s.config.Period)}
+	response := &lrs.LoadStatsResponse{Clusters: s.config.Classes, LoadReportingInterval: durationpb.New(s.config.ReportInterval)}
 	if err := g.Send(response); err != nil {
 		return err
 	}
--- a/internal/transport/xds/server.go
+++ b/internal/transport/xds/server.go
@@ -28,11 +28,11 @@
 
 // ListenerConfig configures the streams that the server accepts.
 type ListenerConfig struct {
-	Classes      []string      // names of the request classes, by index
-	Period       time.Duration // interval of load reports
-	AckTimeout   time.Duration // longest time until an assignment is acknowledged
-	HelloTimeout time.Duration // longest time until the first message arrives
-	MaxStreams   int           // largest number of open streams; further ones are refused
+	Classes        []string      // names of the request classes, by index
+	ReportInterval time.Duration // interval of load reports
+	AckTimeout     time.Duration // longest time until an assignment is acknowledged
+	HelloTimeout   time.Duration // longest time until the first message arrives
+	MaxStreams     int           // largest number of open streams; further ones are refused
 	// Claims returns an error unless the certificate of the peer of ctx matches the name and zone; nil without TLS.
 	CheckIdentity func(ctx context.Context, name, zone string) error
 }
