--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -24,7 +24,7 @@
 		HelloTimeout:      cfg.HelloDeadline,
 		MaxFrame:          cfg.MaxFrame,
 		MaxStreams:        cfg.MaxStreams,
-		Queue:             cfg.Queue,
+		MaxQueuedMessages: cfg.Queue,
 	}, d.loop, d.options.Log.Named("streams"))
 }
 
--- a/internal/transport/framed/framed_test.go
+++ b/internal/transport/framed/framed_test.go
@@ -72,7 +72,7 @@
 func serve(t *testing.T, change func(*ListenerConfig)) (*Server, *inbox, string, context.CancelFunc) {
 	config := ListenerConfig{
 		Pilot: "one", HeartbeatInterval: 100 * time.Millisecond, ReportInterval: time.Second, WriteDeadline: 200 * time.Millisecond,
-		HelloTimeout: 300 * time.Millisecond, AckTimeout: 500 * time.Millisecond, MaxFrame: 4096, MaxStreams: 3, Queue: 4,
+		HelloTimeout: 300 * time.Millisecond, AckTimeout: 500 * time.Millisecond, MaxFrame: 4096, MaxStreams: 3, MaxQueuedMessages: 4,
 	}
 	if change != nil {
 		change(&config)
@@ -326,7 +326,7 @@
 	in := &inbox{}
 	s := NewServer(ListenerConfig{
 		Pilot: "one", HeartbeatInterval: time.Second, ReportInterval: time.Second, WriteDeadline: time.Second, AckTimeout: time.Second,
-		HelloTimeout: 5 * time.Second, MaxStreams: 3, Queue: 4,
+		HelloTimeout: 5 * time.Second, MaxStreams: 3, MaxQueuedMessages: 4,
 	}, in, zap.NewNop())
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
--- a/internal/transport/framed/server.go
+++ b/internal/transport/framed/server.go
@@ -31,7 +31,7 @@
 	HelloTimeout      time.Duration // longest time until the hello arrives
 	MaxFrame          int           // largest body of a frame in bytes
 	MaxStreams        int           // largest number of open streams; further ones are closed
-	Queue             int           // largest number of messages queued per stream; one more ends it
+	MaxQueuedMessages int           // largest number of messages queued per stream; one more ends it
 }
 
 // Server accepts and serves the streams of proxies.
@@ -121,7 +121,7 @@
 	}
 	st := &stream{
 		conn:  conn,
-		queue: make(chan wire.Message, s.config.Queue),
+		queue: make(chan wire.Message, s.config.MaxQueuedMessages),
 		end:   shutdown.New[wire.Message](),
 	}
 	s.streams[st] = true
--- a/internal/transport/transports_test.go
+++ b/internal/transport/transports_test.go
@@ -76,7 +76,7 @@
 	{"framed", func(in *inbox, store *identity.KeyStore) server {
 		return framed.NewServer(framed.ListenerConfig{
 			Pilot: "one", HeartbeatInterval: heartbeatInterval, ReportInterval: time.Second, WriteDeadline: time.Second,
-			AckTimeout: ackTimeout, HelloTimeout: time.Second, MaxStreams: 5000, Queue: 64,
+			AckTimeout: ackTimeout, HelloTimeout: time.Second, MaxStreams: 5000, MaxQueuedMessages: 64,
 		}, in, zap.NewNop())
 	}, proxy.Framed},
 	{"grpc", func(in *inbox, store *identity.KeyStore) server {
