--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -44,7 +44,7 @@
 		HelloTimeout:      cfg.HelloDeadline,
 		MaxMessage:        cfg.MaxFrame,
 		MaxStreams:        cfg.MaxStreams,
-		QueueLines:        cfg.Queue * linesPerQueueSlot,
+		MaxQueuedOps:      cfg.Queue * linesPerQueueSlot,
 		NewPerS:           cfg.NewPerS,
 		Keys:              d.keyStore,
 	}, d.loop, d.options.Log.Named("grpc"))
--- a/internal/transport/grpcapi/server.go
+++ b/internal/transport/grpcapi/server.go
@@ -54,7 +54,7 @@
 	HelloTimeout      time.Duration      // longest time until the hello arrives
 	MaxMessage        int                // largest message of a proxy in bytes, after decompression
 	MaxStreams        int                // largest number of open streams; further ones are refused
-	QueueLines        int                // largest number of ops queued per stream, after collapsing
+	MaxQueuedOps      int                // largest number of ops queued per stream, after collapsing
 	NewPerS           float64            // new streams admitted per second, others wait; 0: no limit
 	Keys              *identity.KeyStore // nil: plain text without authentication
 }
@@ -188,7 +188,7 @@
 	if len(s.streams) >= s.config.MaxStreams {
 		return nil, status.Error(codes.ResourceExhausted, "too many streams")
 	}
-	st := newStream(s.config.QueueLines)
+	st := newStream(s.config.MaxQueuedOps)
 	s.streams[st] = true
 	return st, nil
 }
