--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -45,7 +45,7 @@
 		MaxMessage:        cfg.MaxFrame,
 		MaxStreams:        cfg.MaxStreams,
 		MaxQueuedOps:      cfg.Queue * linesPerQueueSlot,
-		NewPerS:           cfg.NewPerS,
+		MaxNewStreamsPerS: cfg.NewPerS,
 		Keys:              d.keyStore,
 	}, d.loop, d.options.Log.Named("grpc"))
 	d.xdsServer = xds.New(xds.ListenerConfig{
--- a/internal/transport/grpcapi/grpcapi_test.go
+++ b/internal/transport/grpcapi/grpcapi_test.go
@@ -236,7 +236,10 @@
 // rejected.
 func TestReconnectStorm(t *testing.T) {
 	const streamCount = 2000
-	s, in, conn := serve(t, func(config *ListenerConfig) { config.NewPerS = 1000; config.HeartbeatInterval = 5 * time.Second })
+	s, in, conn := serve(t, func(config *ListenerConfig) {
+		config.MaxNewStreamsPerS = 1000
+		config.HeartbeatInterval = 5 * time.Second
+	})
 	var conns []*grpc.ClientConn
 	for range streamCount / 50 {
 		c, err := grpc.NewClient(conn.Target(), plainText)
--- a/internal/transport/grpcapi/server.go
+++ b/internal/transport/grpcapi/server.go
@@ -55,7 +55,7 @@
 	MaxMessage        int                // largest message of a proxy in bytes, after decompression
 	MaxStreams        int                // largest number of open streams; further ones are refused
 	MaxQueuedOps      int                // largest number of ops queued per stream, after collapsing
-	NewPerS           float64            // new streams admitted per second, others wait; 0: no limit
+	MaxNewStreamsPerS float64            // new streams admitted per second, others wait; 0: no limit
 	Keys              *identity.KeyStore // nil: plain text without authentication
 }
 
@@ -79,7 +79,7 @@
 // services may be registered with Registrar before that.
 func New(c ListenerConfig, inbox controller.Inbox, log *zap.Logger) *Server {
 	s := &Server{config: c, inbox: inbox, log: log, streams: map[*stream]bool{}}
-	s.newStreamLimiter = newLimiter(c.NewPerS)
+	s.newStreamLimiter = newLimiter(c.MaxNewStreamsPerS)
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	s.grpc = grpc.NewServer(serverOptions(c)...)
 	pb.RegisterControlServer(s.grpc, s)
