--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -19,7 +19,7 @@
 		Pilot:             cfg.Name,
 		HeartbeatInterval: cfg.Beat,
 		ReportInterval:    cfg.Period,
-		WriteDeadline:     cfg.WriteDeadline,
+		WriteTimeout:      cfg.WriteDeadline,
 		AckTimeout:        cfg.SeenWithin,
 		HelloTimeout:      cfg.HelloDeadline,
 		MaxFrame:          cfg.MaxFrame,
--- a/internal/transport/framed/framed_test.go
+++ b/internal/transport/framed/framed_test.go
@@ -71,7 +71,7 @@
 // inbox, its address and a function that stops it.
 func serve(t *testing.T, change func(*ListenerConfig)) (*Server, *inbox, string, context.CancelFunc) {
 	config := ListenerConfig{
-		Pilot: "one", HeartbeatInterval: 100 * time.Millisecond, ReportInterval: time.Second, WriteDeadline: 200 * time.Millisecond,
+		Pilot: "one", HeartbeatInterval: 100 * time.Millisecond, ReportInterval: time.Second, WriteTimeout: 200 * time.Millisecond,
 		HelloTimeout: 300 * time.Millisecond, AckTimeout: 500 * time.Millisecond, MaxFrame: 4096, MaxStreams: 3, MaxQueuedMessages: 4,
 	}
 	if change != nil {
@@ -325,7 +325,7 @@
 	exhausted.failures.Store(3)
 	in := &inbox{}
 	s := NewServer(ListenerConfig{
-		Pilot: "one", HeartbeatInterval: time.Second, ReportInterval: time.Second, WriteDeadline: time.Second, AckTimeout: time.Second,
+		Pilot: "one", HeartbeatInterval: time.Second, ReportInterval: time.Second, WriteTimeout: time.Second, AckTimeout: time.Second,
 		HelloTimeout: 5 * time.Second, MaxStreams: 3, MaxQueuedMessages: 4,
 	}, in, zap.NewNop())
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/transport/framed/server.go
+++ b/internal/transport/framed/server.go
@@ -26,7 +26,7 @@
 	Pilot             string        // the controller's name, for the welcome
 	HeartbeatInterval time.Duration // heartbeat interval of both sides
 	ReportInterval    time.Duration // interval of load reports
-	WriteDeadline     time.Duration // longest duration of a write
+	WriteTimeout      time.Duration // longest duration of a write
 	AckTimeout        time.Duration // longest time until a frame is acknowledged
 	HelloTimeout      time.Duration // longest time until the hello arrives
 	MaxFrame          int           // largest body of a frame in bytes
--- a/internal/transport/framed/session.go
+++ b/internal/transport/framed/session.go
@@ -124,7 +124,7 @@
 
 // write writes a message and fails if that takes longer than the write timeout.
 func (s *Server) write(st *stream, w *wire.Writer, m wire.Message) error {
-	if err := st.conn.SetWriteDeadline(time.Now().Add(s.config.WriteDeadline)); err != nil {
+	if err := st.conn.SetWriteDeadline(time.Now().Add(s.config.WriteTimeout)); err != nil {
 		return fmt.Errorf("set deadline: %w", err)
 	}
 	_, err := w.Write(m)
@@ -137,7 +137,7 @@
 	if !ok {
 		return nil
 	}
-	_ = st.conn.SetWriteDeadline(time.Now().Add(s.config.WriteDeadline)) // if this fails, the write below fails too
+	_ = st.conn.SetWriteDeadline(time.Now().Add(s.config.WriteTimeout)) // if this fails, the write below fails too
 	_, err := w.Write(last)
 	return err
 }
--- a/internal/transport/transports_test.go
+++ b/internal/transport/transports_test.go
@@ -75,7 +75,7 @@
 var transports = []transport{
 	{"framed", func(in *inbox, store *identity.KeyStore) server {
 		return framed.NewServer(framed.ListenerConfig{
-			Pilot: "one", HeartbeatInterval: heartbeatInterval, ReportInterval: time.Second, WriteDeadline: time.Second,
+			Pilot: "one", HeartbeatInterval: heartbeatInterval, ReportInterval: time.Second, WriteTimeout: time.Second,
 			AckTimeout: ackTimeout, HelloTimeout: time.Second, MaxStreams: 5000, MaxQueuedMessages: 64,
 		}, in, zap.NewNop())
 	}, proxy.Framed},
