--- a/internal/transport/framed/stream.go
+++ b/internal/transport/framed/stream.go
@@ -17,7 +17,7 @@
 type stream struct {
 	conn    net.Conn
 	queue   chan wire.Message // messages to be sent by the writer goroutine
-	end     *shutdown.Notice[wire.Message]
+	end     *shutdown.Signal[wire.Message]
 	unacked unackedFrames
 }
 
--- a/internal/transport/grpcapi/stream.go
+++ b/internal/transport/grpcapi/stream.go
@@ -22,7 +22,7 @@
 // the writer goroutine sends them, and the reader goroutine processes acknowledgements.
 type stream struct {
 	wake chan struct{} // capacity 1; contains an element if there may be a message to send
-	end  *shutdown.Notice[*pb.Downward]
+	end  *shutdown.Signal[*pb.Downward]
 
 	mu             sync.Mutex
 	pending        pendingOps
--- a/internal/transport/shutdown/shutdown.go
+++ b/internal/transport/shutdown/shutdown.go
@@ -6,7 +6,7 @@
 
 // Notice records whether, why and with which last message a stream has ended. W is the type of the last message. It is
 // safe for concurrent use.
-type Notice[W any] struct {
+type Signal[W any] struct {
 	done chan struct{} // closed when the stream ends
 	once sync.Once
 
@@ -16,10 +16,10 @@
 }
 
 // New returns the Notice of an open stream.
-func New[W any]() *Notice[W] { return &Notice[W]{done: make(chan struct{})} }
+func New[W any]() *Signal[W] { return &Signal[W]{done: make(chan struct{})} }
 
 // Close ends the stream with a reason and without a last message. It has no effect if the stream has ended.
-func (n *Notice[W]) Close(reason string) {
+func (n *Signal[W]) Close(reason string) {
 	n.once.Do(func() {
 		n.mu.Lock()
 		n.reason = reason
@@ -29,7 +29,7 @@
 }
 
 // CloseWith ends the stream with a reason and a last message. Only the first reason and the first message are recorded.
-func (n *Notice[W]) CloseWith(reason string, message W) {
+func (n *Signal[W]) CloseWith(reason string, message W) {
 	n.mu.Lock()
 	if n.message == nil {
 		n.message = &message
@@ -39,17 +39,17 @@
 }
 
 // Done returns a channel that is closed when the stream ends.
-func (n *Notice[W]) Done() <-chan struct{} { return n.done }
+func (n *Signal[W]) Done() <-chan struct{} { return n.done }
 
 // Reason returns the reason for the end of the stream. It is "" while the stream is open.
-func (n *Notice[W]) Reason() string {
+func (n *Signal[W]) Reason() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.reason
 }
 
 // LastMessage returns the last message to send to the peer. ok is false if there is none.
-func (n *Notice[W]) LastMessage() (message W, ok bool) {
+func (n *Signal[W]) LastMessage() (message W, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.message == nil {
--- a/internal/transport/xds/stream.go
+++ b/internal/transport/xds/stream.go
@@ -20,7 +20,7 @@
 	name    string        // node id of the proxy
 	classes []string      // names of the request classes by index; not modified
 	wake    chan struct{} // capacity 1; contains an element if there may be a response to send
-	end     *shutdown.Notice[struct{}]
+	end     *shutdown.Signal[struct{}]
 
 	mu            sync.Mutex
 	routing       routing
