--- a/internal/transport/framed/framed_test.go
+++ b/internal/transport/framed/framed_test.go
@@ -244,7 +244,7 @@
 }
 
 // TestUnacknowledged checks that the stream of a proxy is closed if the proxy keeps sending heartbeats but does not
-// acknowledge a frame within SeenWithin.
+// acknowledge a frame within AckTimeout.
 func TestUnacknowledged(t *testing.T) {
 	_, in, address, _ := serve(t, nil)
 	c, r, w := join(t, address, "deaf")
--- a/internal/transport/framed/server.go
+++ b/internal/transport/framed/server.go
@@ -23,15 +23,15 @@
 
 // ListenerConfig configures the listener and the streams that it accepts.
 type ListenerConfig struct {
-	Pilot             string        // the controller's name, for the welcome
-	HeartbeatInterval time.Duration // heartbeat interval of both sides
-	ReportInterval    time.Duration // interval of load reports
-	WriteTimeout      time.Duration // longest duration of a write
-	AckTimeout        time.Duration // longest time until a frame is acknowledged
-	HelloTimeout      time.Duration // longest time until the hello arrives
+	Pilot             string        // name of this pilot, sent in the Welcome message
+	HeartbeatInterval time.Duration // interval of heartbeats in both directions
+	ReportInterval    time.Duration // interval between load reports of a proxy
+	WriteTimeout      time.Duration // longest duration of writing one message
+	AckTimeout        time.Duration // longest time until a proxy acknowledges a frame
+	HelloTimeout      time.Duration // longest time until the Hello arrives
 	MaxFrame          int           // largest body of a frame in bytes
 	MaxStreams        int           // largest number of open streams; further ones are closed
-	MaxQueuedMessages int           // largest number of messages queued per stream; one more ends it
+	MaxQueuedMessages int           // largest number of messages queued per stream; a stream with more is closed
 }
 
 // Server accepts and serves the streams of proxies.
--- a/internal/transport/framed/session.go
+++ b/internal/transport/framed/session.go
@@ -65,7 +65,7 @@
 }
 
 // readAll reads and handles messages until the stream ends, the proxy sends a Bye, or no message arrives for
-// shutdown.SilentBeats heartbeat intervals. It returns nil after a Bye.
+// shutdown.MaxMissedHeartbeats heartbeat intervals. It returns nil after a Bye.
 func (s *Server) readAll(ctx context.Context, st *stream, r *wire.Reader) error {
 	for {
 		if err := st.conn.SetReadDeadline(time.Now().Add(shutdown.MaxMissedHeartbeats * s.config.HeartbeatInterval)); err != nil {
--- a/internal/transport/grpcapi/decode.go
+++ b/internal/transport/grpcapi/decode.go
@@ -141,8 +141,8 @@
 	return stats, checkTextLength(stats.Class)
 }
 
-// OrdersFrom converts an assignment that a proxy has received to commands. Unknown steps are ignored, for compatibility
-// with later versions. Ack requests follow all other operations.
+// DecodeAssignment converts an assignment that a proxy has received to commands. Unknown steps are ignored, for
+// compatibility with later versions. Ack requests follow all other operations.
 func DecodeAssignment(a *pb.Assignment) *wire.Commands {
 	commands := &wire.Commands{AtMs: a.GetOrderedMs(), AgeMs: a.GetWaitedMs(), CostLines: int(a.GetLines())}
 	for _, s := range a.GetSteps() {
--- a/internal/transport/grpcapi/encode.go
+++ b/internal/transport/grpcapi/encode.go
@@ -5,7 +5,7 @@
 	pb "indigousher/proto/indigousher/v1"
 )
 
-// Hello converts a Hello message to its protobuf form.
+// EncodeHello converts a Hello message to its protobuf form.
 func EncodeHello(h *wire.Hello) *pb.Hello {
 	hello := &pb.Hello{
 		Version:       uint32(h.Version),
@@ -26,7 +26,7 @@
 	return hello
 }
 
-// Report converts a load report to its protobuf form.
+// EncodeReport converts a load report to its protobuf form.
 func EncodeReport(s *wire.LoadReport) *pb.Report {
 	report := &pb.Report{Number: s.Seq, AtMs: s.AtMs, SpanMs: s.SpanMs}
 	for i := range s.EndpointStats {
--- a/internal/transport/grpcapi/handshake.go
+++ b/internal/transport/grpcapi/handshake.go
@@ -61,8 +61,8 @@
 	}}}
 }
 
-// Claims returns an error unless the peer certificate of the gRPC call in ctx was issued for the given proxy name and
-// zone. Calls without TLS are an error.
+// CheckIdentity returns an error unless the peer certificate of the gRPC call in ctx was issued for the given proxy
+// name and zone. Calls without TLS are an error.
 func CheckIdentity(ctx context.Context, name, zone string) error {
 	p, ok := peer.FromContext(ctx)
 	if !ok {
--- a/internal/transport/grpcapi/server.go
+++ b/internal/transport/grpcapi/server.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	// newStreamBurst is the number of new streams that are accepted at once before ListenerConfig.NewPerS limits the
-	// rate.
+	// newStreamBurst is the number of new streams that are accepted at once before ListenerConfig.MaxNewStreamsPerS
+	// limits the rate.
 	newStreamBurst = 50
 	// maxSendBytes is the largest size of a message to a proxy in bytes. Assignments of complete tables exceed the
 	// limit for messages from proxies.
@@ -39,7 +39,7 @@
 	// keepalive ping, and also the number of intervals within which the client must answer the ping.
 	keepaliveHeartbeats = 3
 	// idleTimeoutFactor is the time after which a connection without streams is closed, as a multiple of
-	// ListenerConfig.HelloIn. Otherwise, idle connections could use up the file descriptors.
+	// ListenerConfig.HelloTimeout. Otherwise, idle connections could use up the file descriptors.
 	idleTimeoutFactor = 4
 	// gracefulStopTimeout is the longest duration of a graceful shutdown. Streams that are still open then are closed.
 	gracefulStopTimeout = time.Second
@@ -47,16 +47,16 @@
 
 // ListenerConfig configures the listener and the streams that it accepts.
 type ListenerConfig struct {
-	Pilot             string             // the controller's name, for the welcome
-	HeartbeatInterval time.Duration      // heartbeat interval of both sides
-	ReportInterval    time.Duration      // interval of load reports
-	AckTimeout        time.Duration      // longest time until an assignment is acknowledged
-	HelloTimeout      time.Duration      // longest time until the hello arrives
+	Pilot             string             // name of this pilot, sent in the Welcome message
+	HeartbeatInterval time.Duration      // interval of heartbeats in both directions
+	ReportInterval    time.Duration      // interval between load reports of a proxy
+	AckTimeout        time.Duration      // longest time until a proxy acknowledges an assignment
+	HelloTimeout      time.Duration      // longest time until the Hello arrives
 	MaxMessage        int                // largest message of a proxy in bytes, after decompression
-	MaxStreams        int                // largest number of open streams; further ones are refused
-	MaxQueuedOps      int                // largest number of ops queued per stream, after collapsing
-	MaxNewStreamsPerS float64            // new streams admitted per second, others wait; 0: no limit
-	Keys              *identity.KeyStore // nil: plain text without authentication
+	MaxStreams        int                // largest number of open streams; further ones are rejected
+	MaxQueuedOps      int                // largest number of operations queued per stream; a stream with more is closed
+	MaxNewStreamsPerS float64            // new streams accepted per second, others wait; 0: no limit
+	Keys              *identity.KeyStore // keys for TLS; nil: plain text without authentication
 }
 
 // Server implements the Control service, which serves the streams of proxies.
--- a/internal/transport/grpcapi/session.go
+++ b/internal/transport/grpcapi/session.go
@@ -122,7 +122,7 @@
 }
 
 // writeAll writes queued messages and heartbeats. It returns when the stream ends, when no message of the proxy has
-// arrived for shutdown.SilentBeats heartbeat intervals, or when an acknowledgement is overdue.
+// arrived for shutdown.MaxMissedHeartbeats heartbeat intervals, or when an acknowledgement is overdue.
 func (s *Server) writeAll(g controlStream, st *stream, readEnded <-chan error) error {
 	heartbeat := time.NewTicker(s.config.HeartbeatInterval)
 	defer heartbeat.Stop()
--- a/internal/transport/shutdown/shutdown.go
+++ b/internal/transport/shutdown/shutdown.go
@@ -4,7 +4,7 @@
 
 import "sync"
 
-// Notice records whether, why and with which last message a stream has ended. W is the type of the last message. It is
+// Signal records whether, why and with which last message a stream has ended. W is the type of the last message. It is
 // safe for concurrent use.
 type Signal[W any] struct {
 	done chan struct{} // closed when the stream ends
@@ -15,7 +15,7 @@
 	message *W     // last message; nil: none
 }
 
-// New returns the Notice of an open stream.
+// New returns the Signal of an open stream.
 func New[W any]() *Signal[W] { return &Signal[W]{done: make(chan struct{})} }
 
 // Close ends the stream with a reason and without a last message. It has no effect if the stream has ended.
--- a/internal/transport/xds/ads.go
+++ b/internal/transport/xds/ads.go
@@ -23,7 +23,7 @@
 	// maxSubscribedResources is the largest number of resources of one type that a client may subscribe to. Each type
 	// has one resource per request class.
 	maxSubscribedResources = 64
-	// overdueChecksPerTimeout is how many times per ListenerConfig.SeenWithin a stream is checked for an overdue
+	// overdueChecksPerTimeout is how many times per ListenerConfig.AckTimeout a stream is checked for an overdue
 	// acknowledgement.
 	overdueChecksPerTimeout = 4
 )
--- a/internal/transport/xds/server.go
+++ b/internal/transport/xds/server.go
@@ -29,11 +29,12 @@
 // ListenerConfig configures the streams that the server accepts.
 type ListenerConfig struct {
 	Classes        []string      // names of the request classes, by index
-	ReportInterval time.Duration // interval of load reports
-	AckTimeout     time.Duration // longest time until an assignment is acknowledged
+	ReportInterval time.Duration // interval between load reports of a proxy
+	AckTimeout     time.Duration // longest time until a proxy acknowledges an assignment
 	HelloTimeout   time.Duration // longest time until the first message arrives
-	MaxStreams     int           // largest number of open streams; further ones are refused
-	// Claims returns an error unless the certificate of the peer of ctx matches the name and zone; nil without TLS.
+	MaxStreams     int           // largest number of open streams; further ones are rejected
+	// CheckIdentity returns an error unless the certificate of the peer of ctx matches the name and zone. It is nil if
+	// identities are not checked.
 	CheckIdentity func(ctx context.Context, name, zone string) error
 }
 
