--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -22,7 +22,7 @@
 		WriteTimeout:      cfg.WriteDeadline,
 		AckTimeout:        cfg.SeenWithin,
 		HelloTimeout:      cfg.HelloDeadline,
-		MaxFrame:          cfg.MaxFrame,
+		MaxFrameBytes:     cfg.MaxFrame,
 		MaxStreams:        cfg.MaxStreams,
 		MaxQueuedMessages: cfg.Queue,
 	}, d.loop, d.options.Log.Named("streams"))
--- a/internal/transport/framed/framed_test.go
+++ b/internal/transport/framed/framed_test.go
@@ -72,7 +72,7 @@
 func serve(t *testing.T, change func(*ListenerConfig)) (*Server, *inbox, string, context.CancelFunc) {
 	config := ListenerConfig{
 		Pilot: "one", HeartbeatInterval: 100 * time.Millisecond, ReportInterval: time.Second, WriteTimeout: 200 * time.Millisecond,
-		HelloTimeout: 300 * time.Millisecond, AckTimeout: 500 * time.Millisecond, MaxFrame: 4096, MaxStreams: 3, MaxQueuedMessages: 4,
+		HelloTimeout: 300 * time.Millisecond, AckTimeout: 500 * time.Millisecond, MaxFrameBytes: 4096, MaxStreams: 3, MaxQueuedMessages: 4,
 	}
 	if change != nil {
 		change(&config)
--- a/internal/transport/framed/server.go
+++ b/internal/transport/framed/server.go
@@ -29,7 +29,7 @@
 	WriteTimeout      time.Duration // longest duration of writing one message
 	AckTimeout        time.Duration // longest time until a proxy acknowledges a frame
 	HelloTimeout      time.Duration // longest time until the Hello arrives
-	MaxFrame          int           // largest body of a frame in bytes
+	MaxFrameBytes     int           // largest body of a frame in bytes
 	MaxStreams        int           // largest number of open streams; further ones are closed
 	MaxQueuedMessages int           // largest number of messages queued per stream; a stream with more is closed
 }
--- a/internal/transport/framed/session.go
+++ b/internal/transport/framed/session.go
@@ -22,7 +22,7 @@
 	defer s.unregister(st)
 	defer st.closeConn()
 	log := s.log.With(zap.Stringer("from", st.conn.RemoteAddr()))
-	r := wire.NewReader(st.conn, s.config.MaxFrame)
+	r := wire.NewReader(st.conn, s.config.MaxFrameBytes)
 	w := wire.NewWriter(st.conn)
 	hello, err := s.acceptHello(st, r, w)
 	if err != nil {
