--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -42,7 +42,7 @@
 		ReportInterval:    cfg.Period,
 		AckTimeout:        cfg.SeenWithin,
 		HelloTimeout:      cfg.HelloDeadline,
-		MaxMessage:        cfg.MaxFrame,
+		MaxMessageBytes:   cfg.MaxFrame,
 		MaxStreams:        cfg.MaxStreams,
 		MaxQueuedOps:      cfg.Queue * linesPerQueueSlot,
 		MaxNewStreamsPerS: cfg.NewPerS,
--- a/internal/transport/grpcapi/grpcapi_test.go
+++ b/internal/transport/grpcapi/grpcapi_test.go
@@ -72,7 +72,7 @@
 func serve(t *testing.T, change func(*ListenerConfig)) (*Server, *inbox, *grpc.ClientConn) {
 	config := ListenerConfig{
 		Pilot: "one", HeartbeatInterval: 100 * time.Millisecond, ReportInterval: time.Second, AckTimeout: 5 * time.Second,
-		HelloTimeout: time.Second, MaxMessage: 1 << 16, MaxStreams: 5000, MaxQueuedOps: 50,
+		HelloTimeout: time.Second, MaxMessageBytes: 1 << 16, MaxStreams: 5000, MaxQueuedOps: 50,
 	}
 	if change != nil {
 		change(&config)
--- a/internal/transport/grpcapi/server.go
+++ b/internal/transport/grpcapi/server.go
@@ -52,7 +52,7 @@
 	ReportInterval    time.Duration      // interval between load reports of a proxy
 	AckTimeout        time.Duration      // longest time until a proxy acknowledges an assignment
 	HelloTimeout      time.Duration      // longest time until the Hello arrives
-	MaxMessage        int                // largest message of a proxy in bytes, after decompression
+	MaxMessageBytes   int                // largest message of a proxy in bytes, after decompression
 	MaxStreams        int                // largest number of open streams; further ones are rejected
 	MaxQueuedOps      int                // largest number of operations queued per stream; a stream with more is closed
 	MaxNewStreamsPerS float64            // new streams accepted per second, others wait; 0: no limit
@@ -98,7 +98,7 @@
 // serverOptions returns the gRPC options that limit connections and messages, and enable TLS if c.Keys is set.
 func serverOptions(c ListenerConfig) []grpc.ServerOption {
 	options := []grpc.ServerOption{
-		grpc.MaxRecvMsgSize(c.MaxMessage),
+		grpc.MaxRecvMsgSize(c.MaxMessageBytes),
 		grpc.MaxSendMsgSize(maxSendBytes),
 		grpc.KeepaliveParams(keepalive.ServerParameters{
 			Time:              keepaliveHeartbeats * c.HeartbeatInterval,
--- a/internal/transport/transports_test.go
+++ b/internal/transport/transports_test.go
@@ -82,7 +82,7 @@
 	{"grpc", func(in *inbox, store *identity.KeyStore) server {
 		return grpcapi.New(grpcapi.ListenerConfig{
 			Pilot: "one", HeartbeatInterval: heartbeatInterval, ReportInterval: time.Second, AckTimeout: ackTimeout,
-			HelloTimeout: time.Second, MaxMessage: 1 << 20, MaxStreams: 5000, MaxQueuedOps: 4000, Keys: store,
+			HelloTimeout: time.Second, MaxMessageBytes: 1 << 20, MaxStreams: 5000, MaxQueuedOps: 4000, Keys: store,
 		}, in, zap.NewNop())
 	}, func(c *tls.Config) proxy.Joiner { return proxy.GRPC(c, false) }},
 }
