--- a/internal/daemon/servers.go
+++ b/internal/daemon/servers.go
@@ -16,15 +16,15 @@
 // openFramed creates the server for the framed protocol.
 func (d *Daemon) openFramed(cfg *config.Pilot) {
 	d.framedServer = framed.NewServer(framed.ListenerConfig{
-		Pilot:         cfg.Name,
-		Beat:          cfg.Beat,
-		Period:        cfg.Period,
-		WriteDeadline: cfg.WriteDeadline,
-		SeenWithin:    cfg.SeenWithin,
-		HelloDeadline: cfg.HelloDeadline,
-		MaxFrame:      cfg.MaxFrame,
-		MaxStreams:    cfg.MaxStreams,
-		Queue:         cfg.Queue,
+		Pilot:             cfg.Name,
+		HeartbeatInterval: cfg.Beat,
+		ReportInterval:    cfg.Period,
+		WriteTimeout:      cfg.WriteDeadline,
+		AckTimeout:        cfg.SeenWithin,
+		HelloTimeout:      cfg.HelloDeadline,
+		MaxFrameBytes:     cfg.MaxFrame,
+		MaxStreams:        cfg.MaxStreams,
+		MaxQueuedMessages: cfg.Queue,
 	}, d.loop, d.options.Log.Named("streams"))
 }
 
@@ -37,24 +37,24 @@
 		return err
 	}
 	d.grpcServer = grpcapi.New(grpcapi.ListenerConfig{
-		Pilot:      cfg.Name,
-		Beat:       cfg.Beat,
-		Period:     cfg.Period,
-		SeenWithin: cfg.SeenWithin,
-		HelloIn:    cfg.HelloDeadline,
-		MaxMessage: cfg.MaxFrame,
-		MaxStreams: cfg.MaxStreams,
-		QueueLines: cfg.Queue * linesPerQueueSlot,
-		NewPerS:    cfg.NewPerS,
-		Keys:       d.keyStore,
+		Pilot:             cfg.Name,
+		HeartbeatInterval: cfg.Beat,
+		ReportInterval:    cfg.Period,
+		AckTimeout:        cfg.SeenWithin,
+		HelloTimeout:      cfg.HelloDeadline,
+		MaxMessageBytes:   cfg.MaxFrame,
+		MaxStreams:        cfg.MaxStreams,
+		MaxQueuedOps:      cfg.Queue * linesPerQueueSlot,
+		MaxNewStreamsPerS: cfg.NewPerS,
+		Keys:              d.keyStore,
 	}, d.loop, d.options.Log.Named("grpc"))
 	d.xdsServer = xds.New(xds.ListenerConfig{
-		Kinds:      cfg.ClassNames(),
-		Period:     cfg.Period,
-		SeenWithin: cfg.SeenWithin,
-		HelloIn:    cfg.HelloDeadline,
-		MaxStreams: cfg.MaxStreams,
-		Claims:     d.identityChecker(),
+		Classes:        cfg.ClassNames(),
+		ReportInterval: cfg.Period,
+		AckTimeout:     cfg.SeenWithin,
+		HelloTimeout:   cfg.HelloDeadline,
+		MaxStreams:     cfg.MaxStreams,
+		CheckIdentity:  d.identityChecker(),
 	}, d.loop, d.options.Log.Named("xds"))
 	d.xdsServer.Register(d.grpcServer.Registrar())
 	return nil
@@ -66,5 +66,5 @@
 	if d.keyStore == nil {
 		return nil
 	}
-	return grpcapi.Claims
+	return grpcapi.CheckIdentity
 }
--- a/internal/testbed/proxy/grpc.go
+++ b/internal/testbed/proxy/grpc.go
@@ -115,7 +115,7 @@
 		return nil, err
 	}
 	s.stream = stream
-	if err := stream.Send(&pb.Upward{Says: &pb.Upward_Hello{Hello: grpcapi.Hello(hello)}}); err != nil {
+	if err := stream.Send(&pb.Upward{Says: &pb.Upward_Hello{Hello: grpcapi.EncodeHello(hello)}}); err != nil {
 		return nil, err
 	}
 	return stream.Recv()
@@ -144,7 +144,7 @@
 func (s *grpcStream) Write(message wire.Message, _ time.Duration) error {
 	switch m := message.(type) {
 	case *wire.LoadReport:
-		return s.stream.Send(&pb.Upward{Says: &pb.Upward_Report{Report: grpcapi.Report(m)}})
+		return s.stream.Send(&pb.Upward{Says: &pb.Upward_Report{Report: grpcapi.EncodeReport(m)}})
 	case *wire.Done:
 		return s.acknowledge(m.TookMs, func(a assignment) bool {
 			return slices.ContainsFunc(a.ackRequests, func(number uint32) bool { return int(number) == m.Mark })
@@ -207,7 +207,7 @@
 			version:     says.Assignment.GetVersion(),
 			ackRequests: says.Assignment.GetMarks(),
 		})
-		return grpcapi.OrdersFrom(says.Assignment)
+		return grpcapi.DecodeAssignment(says.Assignment)
 	case *pb.Downward_Pace:
 		return &wire.Pace{
 			PeriodMs:    int(says.Pace.GetPeriodMs()),
--- a/internal/transport/discovery/discovery_test.go
+++ b/internal/transport/discovery/discovery_test.go
@@ -25,32 +25,35 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// inbox records inputs in short form: the listed names, or "lost".
+// inbox records a summary of each input: "whole" or "changes" with the listed endpoints, "slice" with its assignment,
+// or "lost". Consecutive equal summaries are recorded once.
 type inbox struct {
 	mu  sync.Mutex
 	got []string
 }
 
+// Post implements controller.Inbox.
 func (i *inbox) Post(_ context.Context, in controller.Input) error {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	word := "lost"
+	summary := "lost"
 	if x, ok := in.(controller.SliceAssigned); ok {
-		word = fmt.Sprint("slice ", x.Slices.Slice, x.Slices.Given, x.Slices.Lines)
+		summary = fmt.Sprint("slice ", x.Slices.Slice, x.Slices.Given, x.Slices.Lines)
 	}
 	if l, ok := in.(controller.EndpointsListed); ok {
-		word = map[bool]string{true: "whole", false: "changes"}[l.List.Whole]
+		summary = map[bool]string{true: "whole", false: "changes"}[l.List.Whole]
 		for _, e := range l.List.Entries {
-			word += " " + e.Endpoint
+			summary += " " + e.Endpoint
 		}
 	}
-	if len(i.got) == 0 || i.got[len(i.got)-1] != word {
-		i.got = append(i.got, word) // a file's write may be seen as several events
+	if len(i.got) == 0 || i.got[len(i.got)-1] != summary {
+		i.got = append(i.got, summary) // one write of a file may cause several events and therefore several reads
 	}
 	return nil
 }
 
-func (i *inbox) has(t *testing.T, want ...string) {
+// expect waits until the recorded summaries equal want.
+func (i *inbox) expect(t *testing.T, want ...string) {
 	assert.Eventually(t, func() bool {
 		i.mu.Lock()
 		defer i.mu.Unlock()
@@ -58,6 +61,7 @@
 	}, 5*time.Second, 2*time.Millisecond, "want %v", want)
 }
 
+// run calls f in a goroutine. At the end of the test it cancels the context of f and checks that f returns nil.
 func run(t *testing.T, f func(context.Context) error) {
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
@@ -65,7 +69,7 @@
 	t.Cleanup(func() { cancel(); assert.NoError(t, <-done) })
 }
 
-// TestStream checks that the loss of a source is reported, and that a complete list follows its return.
+// TestStream checks that the loss of a source is posted, and that a complete list is posted after reconnecting.
 func TestStream(t *testing.T) {
 	l := registry.New(eventlog.NewLog().Stream("list"))
 	require.NoError(t, l.Start())
@@ -74,23 +78,23 @@
 	in := &inbox{}
 	s := NewStream("one", l.Address(), (&net.Dialer{}).DialContext, in, time.Second, zap.NewNop())
 	run(t, s.Run)
-	in.has(t, "whole x")
+	in.expect(t, "whole x")
 	l.Put(30*time.Millisecond, wire.Entry{Endpoint: "y", Zone: "a"})
-	in.has(t, "whole x", "changes y")
+	in.expect(t, "whole x", "changes y")
 	s.Fetch()
-	in.has(t, "whole x", "changes y", "whole x y")
+	in.expect(t, "whole x", "changes y", "whole x y")
 	l.AssignSlice(wire.Slices{Slice: 7, Given: true, Lines: []wire.HeldLine{{Endpoint: "x", Weight: 1}}})
-	in.has(t, "whole x", "changes y", "whole x y", "slice 7 true [{x 1}]")
+	in.expect(t, "whole x", "changes y", "whole x y", "slice 7 true [{x 1}]")
 	l.Stop()
 	l.Put(0, wire.Entry{Endpoint: "x", Phase: wire.PhaseGone})
-	in.has(t, "whole x", "changes y", "whole x y", "slice 7 true [{x 1}]", "lost")
+	in.expect(t, "whole x", "changes y", "whole x y", "slice 7 true [{x 1}]", "lost")
 	require.NoError(t, l.Start())
-	in.has(t, "whole x", "changes y", "whole x y", "slice 7 true [{x 1}]", "lost", "whole y", "slice 7 true [{x 1}]")
+	in.expect(t, "whole x", "changes y", "whole x y", "slice 7 true [{x 1}]", "lost", "whole y", "slice 7 true [{x 1}]")
 }
 
-// TestSilentStream checks that a source that sends nothing, or something unexpected, is reported as lost.
+// TestSilentStream checks that a source that sends nothing or an unexpected message is reported as lost.
 func TestSilentStream(t *testing.T) {
-	for name, says := range map[string]wire.Message{
+	for name, first := range map[string]wire.Message{
 		"nothing": nil,
 		"a hello": &wire.Hello{Version: 1, Proxy: "p", Zone: "a"},
 	} {
@@ -104,13 +108,13 @@
 					if err != nil {
 						return
 					}
-					if says != nil {
-						_, _ = wire.NewWriter(c).Write(says)
+					if first != nil {
+						_, _ = wire.NewWriter(c).Write(first)
 					}
 					wg.Go(func() {
 						_, _ = c.Read(make([]byte, 1<<10))
 						time.Sleep(300 * time.Millisecond)
-						_ = c.Close() // the other side may have closed it
+						_ = c.Close() // the client may have closed the connection already
 					})
 				}
 			})
@@ -120,12 +124,12 @@
 			})
 			in := &inbox{}
 			run(t, NewStream("one", l.Addr().String(), (&net.Dialer{}).DialContext, in, 100*time.Millisecond, zap.NewNop()).Run)
-			in.has(t, "lost")
+			in.expect(t, "lost")
 		})
 	}
 }
 
-// TestFile checks that a file is followed while it is replaced, becomes invalid and becomes valid again.
+// TestFile checks that a file is read again when it is created, replaced, becomes invalid and becomes valid again.
 func TestFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "endpoints.hcl")
 	write := func(text string) {
@@ -135,20 +139,20 @@
 	in := &inbox{}
 	f := NewFile(path, config.ReadList, in, zap.NewNop())
 	run(t, f.Run)
-	in.has(t, "lost")
+	in.expect(t, "lost")
 	write("endpoint \"x\" {\n  zone = \"a\"\n}\n")
-	in.has(t, "lost", "whole x")
+	in.expect(t, "lost", "whole x")
 	write("endpoint {")
-	in.has(t, "lost", "whole x", "lost")
+	in.expect(t, "lost", "whole x", "lost")
 	write("")
 	f.Watch(true)
 	time.Sleep(3 * settleTime)
 	write("endpoint \"y\" {\n  zone = \"a\"\n}\n")
-	in.has(t, "lost", "whole x", "lost", "whole y")
+	in.expect(t, "lost", "whole x", "lost", "whole y")
 }
 
-// TestFileWrittenInPlace checks that a file is not read while it is truncated and rewritten piece by piece: the partial
-// content is valid, but would remove the endpoints that are not written yet.
+// TestFileWrittenInPlace checks that a file is not read while a writer truncates and rewrites it piece by piece. The
+// partial content is valid, but endpoints that are not written yet would be removed.
 func TestFileWrittenInPlace(t *testing.T) {
 	path, whole := filepath.Join(t.TempDir(), "endpoints.hcl"), ""
 	for i := range 40 {
@@ -157,7 +161,7 @@
 	require.NoError(t, os.WriteFile(path, []byte(whole), 0o600))
 	in := &inbox{}
 	f := NewFile(path, config.ReadList, in, zap.NewNop())
-	f.settle = maxUnsettled / 2 // a machine that is busy may hold the writer up for a while
+	f.settleTime = maxUnsettled / 2 // longer than settleTime, because the writer may be delayed on a busy machine
 	run(t, f.Run)
 	require.Eventually(t, func() bool {
 		in.mu.Lock()
@@ -176,15 +180,16 @@
 		require.NoError(t, file.Close())
 	}
 	time.Sleep(maxUnsettled)
-	in.has(t, want)
+	in.expect(t, want)
 }
 
 // eagerInbox requests the list as soon as it is lost, like the planner.
 type eagerInbox struct {
 	f    *File
-	lost atomic.Int64
+	lost atomic.Int64 // number of losses
 }
 
+// Post implements controller.Inbox.
 func (e *eagerInbox) Post(_ context.Context, in controller.Input) error {
 	if _, lost := in.(controller.EndpointListLost); lost {
 		e.lost.Add(1)
@@ -193,14 +198,15 @@
 	return nil
 }
 
-// TestUnreadableFile checks that an invalid file is not read in an endless loop, although each loss requests it again.
+// TestUnreadableFile checks that an invalid file is not read in an endless loop, although the list is requested again
+// after each loss.
 func TestUnreadableFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "endpoints.hcl")
 	require.NoError(t, os.WriteFile(path, []byte("endpoint {"), 0o600))
 	in := &eagerInbox{}
 	in.f = NewFile(path, config.ReadList, in, zap.NewNop())
 	run(t, in.f.Run)
-	time.Sleep(unreadableFor + unreadableFor/2)
+	time.Sleep(unreadableRetryInterval + unreadableRetryInterval/2)
 	assert.LessOrEqual(t, in.lost.Load(), int64(3))
 	assert.GreaterOrEqual(t, in.lost.Load(), int64(2))
 }
--- a/internal/transport/framed/session.go
+++ b/internal/transport/framed/session.go
@@ -16,14 +16,15 @@
 	"indigousher/internal/wire"
 )
 
-// serveStream serves a stream to its end. It reads in this goroutine and writes in another, which it waits for.
+// serveStream serves a stream until it ends. It reads in the calling goroutine, writes in a second one, and waits for
+// the second one before it returns.
 func (s *Server) serveStream(ctx context.Context, st *stream) {
 	defer s.unregister(st)
 	defer st.closeConn()
 	log := s.log.With(zap.Stringer("from", st.conn.RemoteAddr()))
-	r := wire.NewReader(st.conn, s.config.MaxFrame)
+	r := wire.NewReader(st.conn, s.config.MaxFrameBytes)
 	w := wire.NewWriter(st.conn)
-	hello, err := s.greet(st, r, w)
+	hello, err := s.acceptHello(st, r, w)
 	if err != nil {
 		log.Warn("hello rejected", zap.Error(err))
 		return
@@ -31,7 +32,7 @@
 	log = log.With(zap.String("proxy", hello.Proxy))
 	var writer errgroup.Group
 	writer.Go(func() error {
-		defer st.closeConn() // also ends the reader
+		defer st.closeConn() // unblocks the reader
 		return s.writeAll(st, w)
 	})
 	err = s.inbox.Post(ctx, controller.ProxyJoined{Stream: st, Hello: *hello})
@@ -43,30 +44,31 @@
 	if writeErr := writer.Wait(); writeErr != nil {
 		err = errors.Join(err, writeErr)
 	}
-	log.Info("stream ended", zap.String("reason", st.end.Reason()), zap.Error(withoutEndOfStream(err)))
+	log.Info("stream ended", zap.String("reason", st.end.Reason()), zap.Error(ignoreStreamEnd(err)))
 	s.postLeave(ctx, st)
 }
 
-// postLeave reports to the controller that a proxy has left. The loop must learn of it even after ctx has ended, unless
-// the loop has ended as well.
+// postLeave posts controller.ProxyLeft for a stream. It ignores the cancellation of ctx, because the control loop has
+// to process the input during a shutdown as well, and gives up after shutdown.LeaveTimeout.
 func (s *Server) postLeave(ctx context.Context, st *stream) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdown.LeaveTimeout)
 	defer cancel()
-	_ = s.inbox.Post(ctx, controller.ProxyLeft{Stream: st}) // fails only if the loop has ended
+	_ = s.inbox.Post(ctx, controller.ProxyLeft{Stream: st}) // fails only if the control loop has stopped
 }
 
-// withoutEndOfStream drops errors that only mean that a stream has ended.
-func withoutEndOfStream(err error) error {
+// ignoreStreamEnd returns nil if err only means that the connection was closed, and err otherwise.
+func ignoreStreamEnd(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) {
 		return nil
 	}
 	return err
 }
 
-// readAll reads messages until the stream ends, the proxy says goodbye, or it is silent for too long.
+// readAll reads and handles messages until the stream ends, the proxy sends a Bye, or no message arrives for
+// shutdown.MaxMissedHeartbeats heartbeat intervals. It returns nil after a Bye.
 func (s *Server) readAll(ctx context.Context, st *stream, r *wire.Reader) error {
 	for {
-		if err := st.conn.SetReadDeadline(time.Now().Add(shutdown.SilentBeats * s.config.Beat)); err != nil {
+		if err := st.conn.SetReadDeadline(time.Now().Add(shutdown.MaxMissedHeartbeats * s.config.HeartbeatInterval)); err != nil {
 			return fmt.Errorf("set deadline: %w", err)
 		}
 		m, err := r.Read()
@@ -82,7 +84,7 @@
 	}
 }
 
-// receive handles one message of a proxy.
+// receive handles one message of a proxy. It returns ErrSlow if a frame has been unacknowledged for too long.
 func (s *Server) receive(ctx context.Context, st *stream, m wire.Message) error {
 	switch m := m.(type) {
 	case *wire.LoadReport:
@@ -91,7 +93,7 @@
 		return s.inbox.Post(ctx, controller.Acked{Stream: st, Done: *m})
 	case *wire.Heartbeat:
 		st.unacked.acknowledge(m.LastProcessed)
-		if st.unacked.olderThan(time.Now().Add(-s.config.SeenWithin)) {
+		if st.unacked.olderThan(time.Now().Add(-s.config.AckTimeout)) {
 			return ErrSlow
 		}
 		return nil
@@ -99,13 +101,13 @@
 	return fmt.Errorf("%T from a proxy: %w", m, wire.ErrType)
 }
 
-// writeAll writes queued messages and heartbeats until the stream ends, and then the last message.
+// writeAll writes queued messages and heartbeats until the stream ends, and then its last message.
 func (s *Server) writeAll(st *stream, w *wire.Writer) error {
-	heartbeat := time.NewTicker(s.config.Beat)
+	heartbeat := time.NewTicker(s.config.HeartbeatInterval)
 	defer heartbeat.Stop()
 	for {
 		select {
-		case m := <-st.out:
+		case m := <-st.queue:
 			if err := s.write(st, w, m); err != nil {
 				return err
 			}
@@ -120,9 +122,9 @@
 	}
 }
 
-// write writes a message within the write deadline.
+// write writes a message and fails if that takes longer than the write timeout.
 func (s *Server) write(st *stream, w *wire.Writer, m wire.Message) error {
-	if err := st.conn.SetWriteDeadline(time.Now().Add(s.config.WriteDeadline)); err != nil {
+	if err := st.conn.SetWriteDeadline(time.Now().Add(s.config.WriteTimeout)); err != nil {
 		return fmt.Errorf("set deadline: %w", err)
 	}
 	_, err := w.Write(m)
@@ -135,7 +137,7 @@
 	if !ok {
 		return nil
 	}
-	_ = st.conn.SetWriteDeadline(time.Now().Add(s.config.WriteDeadline)) // if this fails, so does the write
+	_ = st.conn.SetWriteDeadline(time.Now().Add(s.config.WriteTimeout)) // if this fails, the write below fails too
 	_, err := w.Write(last)
 	return err
 }
--- a/internal/transport/grpcapi/server.go
+++ b/internal/transport/grpcapi/server.go
@@ -24,88 +24,93 @@
 )
 
 const (
-	// newStreamBurst is the number of new streams that are admitted at once before NewPerS limits them.
+	// newStreamBurst is the number of new streams that are accepted at once before ListenerConfig.MaxNewStreamsPerS
+	// limits the rate.
 	newStreamBurst = 50
-	// maxSendBytes bounds messages to proxies. Assignments of complete tables are larger than what proxies may send.
+	// maxSendBytes is the largest size of a message to a proxy in bytes. Assignments of complete tables exceed the
+	// limit for messages from proxies.
 	maxSendBytes = wire.MaxFrame * 4
-	// maxStreamsPerConn is the limit of HTTP/2 streams on one connection; a proxy needs one or two.
+	// maxStreamsPerConn is the largest number of concurrent HTTP/2 streams per connection. A proxy uses one or two.
 	maxStreamsPerConn = 64
-	// minPingInterval is the shortest allowed interval of a client's keepalive pings.
+	// minPingInterval is the shortest interval of keepalive pings that a client may use. The connection of a client
+	// that sends pings more often is closed.
 	minPingInterval = time.Second
-	// keepaliveBeats is the number of heartbeat intervals after which a silent connection is pinged, and within which
-	// it has to answer.
-	keepaliveBeats = 3
-	// idleHellos is how long a connection may be without streams, as a multiple of HelloIn. Idle connections would
-	// otherwise use up file descriptors.
-	idleHellos = 4
-	// stopPatience is how long a graceful shutdown may take before the remaining streams are closed.
-	stopPatience = time.Second
+	// keepaliveHeartbeats is the number of heartbeat intervals without received data after which the server sends a
+	// keepalive ping, and also the number of intervals within which the client must answer the ping.
+	keepaliveHeartbeats = 3
+	// idleTimeoutFactor is the time after which a connection without streams is closed, as a multiple of
+	// ListenerConfig.HelloTimeout. Otherwise, idle connections could use up the file descriptors.
+	idleTimeoutFactor = 4
+	// gracefulStopTimeout is the longest duration of a graceful shutdown. Streams that are still open then are closed.
+	gracefulStopTimeout = time.Second
 )
 
 // ListenerConfig configures the listener and the streams that it accepts.
 type ListenerConfig struct {
-	Pilot      string             // the controller's name, for the welcome
-	Beat       time.Duration      // heartbeat interval of both sides
-	Period     time.Duration      // interval of load reports
-	SeenWithin time.Duration      // longest time until an assignment is acknowledged
-	HelloIn    time.Duration      // longest time until the hello arrives
-	MaxMessage int                // largest message of a proxy in bytes, after decompression
-	MaxStreams int                // largest number of open streams; further ones are refused
-	QueueLines int                // largest number of ops queued per stream, after collapsing
-	NewPerS    float64            // new streams admitted per second, others wait; 0: no limit
-	Keys       *identity.KeyStore // nil: plain text without authentication
+	Pilot             string             // name of this pilot, sent in the Welcome message
+	HeartbeatInterval time.Duration      // interval of heartbeats in both directions
+	ReportInterval    time.Duration      // interval between load reports of a proxy
+	AckTimeout        time.Duration      // longest time until a proxy acknowledges an assignment
+	HelloTimeout      time.Duration      // longest time until the Hello arrives
+	MaxMessageBytes   int                // largest message of a proxy in bytes, after decompression
+	MaxStreams        int                // largest number of open streams; further ones are rejected
+	MaxQueuedOps      int                // largest number of operations queued per stream; a stream with more is closed
+	MaxNewStreamsPerS float64            // new streams accepted per second, others wait; 0: no limit
+	Keys              *identity.KeyStore // keys for TLS; nil: plain text without authentication
 }
 
-// Server serves proxies' streams.
+// Server implements the Control service, which serves the streams of proxies.
 type Server struct {
 	pb.UnimplementedControlServer
-	config ListenerConfig
-	inbox  controller.Inbox
-	log    *zap.Logger
-	pace   *rate.Limiter // limits new streams
-	grpc   *grpc.Server
+	config           ListenerConfig
+	inbox            controller.Inbox
+	log              *zap.Logger
+	newStreamLimiter *rate.Limiter // limits new streams
+	grpc             *grpc.Server
 
-	ctx  context.Context // lifetime of the server: ends when Serve returns, or with Kill
+	ctx  context.Context // cancelled when Serve returns and by Kill
 	stop context.CancelFunc
 
 	mu      sync.Mutex
 	streams map[*stream]bool // open streams
 }
 
-// New returns a server that does not listen yet. Other services may be registered with Registrar before Serve.
+// New returns a server that posts the messages of proxies to inbox. Serve must be called to accept connections. Other
+// services may be registered with Registrar before that.
 func New(c ListenerConfig, inbox controller.Inbox, log *zap.Logger) *Server {
 	s := &Server{config: c, inbox: inbox, log: log, streams: map[*stream]bool{}}
-	s.pace = newPace(c.NewPerS)
+	s.newStreamLimiter = newLimiter(c.MaxNewStreamsPerS)
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	s.grpc = grpc.NewServer(serverOptions(c)...)
 	pb.RegisterControlServer(s.grpc, s)
 	return s
 }
 
-// newPace returns a limiter of new streams per second; 0 means no limit.
-func newPace(perS float64) *rate.Limiter {
+// newLimiter returns a limiter that allows perS events per second, at least 1, with bursts of newStreamBurst. If perS
+// is 0 or negative, the rate is not limited.
+func newLimiter(perS float64) *rate.Limiter {
 	if perS <= 0 {
 		return rate.NewLimiter(rate.Inf, newStreamBurst)
 	}
 	return rate.NewLimiter(rate.Limit(max(perS, 1)), newStreamBurst)
 }
 
-// serverOptions returns the options that limit connections and messages.
+// serverOptions returns the gRPC options that limit connections and messages, and enable TLS if c.Keys is set.
 func serverOptions(c ListenerConfig) []grpc.ServerOption {
 	options := []grpc.ServerOption{
-		grpc.MaxRecvMsgSize(c.MaxMessage),
+		grpc.MaxRecvMsgSize(c.MaxMessageBytes),
 		grpc.MaxSendMsgSize(maxSendBytes),
 		grpc.KeepaliveParams(keepalive.ServerParameters{
-			Time:              keepaliveBeats * c.Beat,
-			Timeout:           keepaliveBeats * c.Beat,
-			MaxConnectionIdle: idleHellos * c.HelloIn,
+			Time:              keepaliveHeartbeats * c.HeartbeatInterval,
+			Timeout:           keepaliveHeartbeats * c.HeartbeatInterval,
+			MaxConnectionIdle: idleTimeoutFactor * c.HelloTimeout,
 		}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{
 			MinTime:             minPingInterval,
 			PermitWithoutStream: true,
 		}),
 		grpc.MaxConcurrentStreams(maxStreamsPerConn),
-		grpc.ConnectionTimeout(c.HelloIn),
+		grpc.ConnectionTimeout(c.HelloTimeout),
 	}
 	if c.Keys != nil {
 		options = append(options, grpc.Creds(credentials.NewTLS(c.Keys.Server(identity.Proxy))))
@@ -113,20 +118,21 @@
 	return options
 }
 
-// Registrar returns the registrar for other services on the same listener.
+// Registrar returns the registrar for other gRPC services that share the listener.
 func (s *Server) Registrar() grpc.ServiceRegistrar { return s.grpc }
 
-// Serve serves proxies on l until ctx ends. It then redirects each proxy to another controller and shuts down.
+// Serve accepts connections from l until ctx is cancelled. It then redirects each proxy to another pilot, shuts down
+// gracefully and returns nil. If serving fails, it returns the error.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
-	stopped := make(chan struct{})
-	disarm := context.AfterFunc(ctx, func() {
-		defer close(stopped)
+	shutDown := make(chan struct{})
+	cancelStop := context.AfterFunc(ctx, func() {
+		defer close(shutDown)
 		s.redirectAll()
 		s.stopGracefully()
 	})
 	err := s.grpc.Serve(l)
-	if !disarm() {
-		<-stopped
+	if !cancelStop() {
+		<-shutDown
 	}
 	s.stop()
 	if ctx.Err() != nil || errors.Is(err, grpc.ErrServerStopped) {
@@ -138,16 +144,16 @@
 	return nil
 }
 
-// redirectAll ends all streams with a redirect to another controller.
+// redirectAll ends all streams with a Redirect message, upon which the proxies connect to another pilot.
 func (s *Server) redirectAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for st := range s.streams {
-		st.end.CloseWith(shutdown.ReasonStopping, redirect(&pb.Redirect{Reason: shutdown.ReasonStopping}))
+		st.end.CloseWith(shutdown.ReasonStopping, newRedirect(&pb.Redirect{Reason: shutdown.ReasonStopping}))
 	}
 }
 
-// stopGracefully waits for all streams to end, and closes the remaining ones after stopPatience.
+// stopGracefully waits until all streams have ended. After gracefulStopTimeout it closes those that are still open.
 func (s *Server) stopGracefully() {
 	ended := make(chan struct{})
 	go func() {
@@ -156,13 +162,13 @@
 	}()
 	select {
 	case <-ended:
-	case <-time.After(stopPatience):
-		s.grpc.Stop() // also ends GracefulStop
+	case <-time.After(gracefulStopTimeout):
+		s.grpc.Stop() // makes GracefulStop return
 		<-ended
 	}
 }
 
-// Kill closes all connections immediately.
+// Kill closes all connections without a last message, as if the process had crashed.
 func (s *Server) Kill() {
 	s.stop()
 	s.grpc.Stop()
@@ -175,19 +181,19 @@
 	return len(s.streams)
 }
 
-// register creates a stream, or returns an error if the limit is reached.
+// register creates a stream. It returns a status error if the limit of open streams is reached.
 func (s *Server) register() (*stream, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.streams) >= s.config.MaxStreams {
 		return nil, status.Error(codes.ResourceExhausted, "too many streams")
 	}
-	st := newStream(s.config.QueueLines)
+	st := newStream(s.config.MaxQueuedOps)
 	s.streams[st] = true
 	return st, nil
 }
 
-// unregister removes a stream that has ended.
+// unregister removes an ended stream from the open streams.
 func (s *Server) unregister(st *stream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/transport/handshake/handshake.go
+++ b/internal/transport/handshake/handshake.go
@@ -1,4 +1,4 @@
-// Package handshake receives the first message of a gRPC stream within a deadline.
+// Package handshake receives the first message of a gRPC stream with a timeout.
 package handshake
 
 import (
@@ -8,11 +8,13 @@
 	"google.golang.org/grpc/status"
 )
 
-// ReceiveFirst returns a stream's first message, or the error of recv. If nothing arrives in time it returns the status
-// DeadlineExceeded with the text why: the stream would otherwise stay open for as long as its connection.
+// ReceiveFirst calls recv and returns its result, the first message of a stream. If recv does not return within
+// timeout, ReceiveFirst returns a status error with the code DeadlineExceeded and the text timeoutText. Without the
+// timeout, a stream without messages would stay open as long as its connection.
 //
-// The goroutine that waits in recv ends with the stream, that is when the caller returns from its handler.
-func ReceiveFirst[M any](within time.Duration, why string, recv func() (M, error)) (M, error) {
+// ReceiveFirst calls recv in a goroutine, which after a timeout continues until the stream ends. This is the case when
+// the caller returns from its gRPC handler.
+func ReceiveFirst[M any](timeout time.Duration, timeoutText string, recv func() (M, error)) (M, error) {
 	type result struct {
 		message M
 		err     error
@@ -22,13 +24,13 @@
 		message, err := recv()
 		received <- result{message, err}
 	}()
-	timer := time.NewTimer(within)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case first := <-received:
 		return first.message, first.err
 	case <-timer.C:
 		var none M
-		return none, status.Error(codes.DeadlineExceeded, why)
+		return none, status.Error(codes.DeadlineExceeded, timeoutText)
 	}
 }
--- a/internal/transport/xds/ads.go
+++ b/internal/transport/xds/ads.go
@@ -20,19 +20,21 @@
 )
 
 const (
-	// maxNames is the number of resources of a type that a client may subscribe to. There is one per request class.
-	maxNames = 64
-	// overdueChecks is the number of checks for an overdue acknowledgement within SeenWithin.
-	overdueChecks = 4
+	// maxSubscribedResources is the largest number of resources of one type that a client may subscribe to. Each type
+	// has one resource per request class.
+	maxSubscribedResources = 64
+	// overdueChecksPerTimeout is how many times per ListenerConfig.AckTimeout a stream is checked for an overdue
+	// acknowledgement.
+	overdueChecksPerTimeout = 4
 )
 
-// adsStream is the gRPC stream of one proxy.
+// adsStream is the server end of an ADS stream.
 type adsStream = ads.AggregatedDiscoveryService_StreamAggregatedResourcesServer
 
-// StreamAggregatedResources serves the ADS stream of one proxy. It sends responses in this goroutine and reads requests
-// in another, which ends when this method returns.
+// StreamAggregatedResources serves the ADS stream of one proxy. It sends responses in the calling goroutine and reads
+// requests in a second one, which ends when this method returns.
 func (s *Server) StreamAggregatedResources(g adsStream) error {
-	first, err := handshake.ReceiveFirst(s.config.HelloIn, refusalSilence, g.Recv)
+	first, err := handshake.ReceiveFirst(s.config.HelloTimeout, refusalSilence, g.Recv)
 	if err != nil {
 		return err
 	}
@@ -41,8 +43,8 @@
 		s.log.Warn("node rejected", zap.Error(err))
 		return err
 	}
-	defer s.remove(st)
-	if s.inbox.Post(g.Context(), controller.ProxyJoined{Stream: st, Hello: helloFrom(first.GetNode())}) != nil {
+	defer s.unregister(st)
+	if s.inbox.Post(g.Context(), controller.ProxyJoined{Stream: st, Hello: newHello(first.GetNode())}) != nil {
 		return status.Error(codes.Unavailable, shutdown.ReasonStopping)
 	}
 	readEnded := make(chan error, 1)
@@ -53,8 +55,9 @@
 	return err
 }
 
-// helloFrom returns the hello that corresponds to a node. The tables that it holds are unknown, so all will be sent.
-func helloFrom(n *core.Node) wire.Hello {
+// newHello converts the node of an xDS client to a Hello. Fresh is set because the client does not say which resources
+// it already has; the pilot therefore sends all of them.
+func newHello(n *core.Node) wire.Hello {
 	return wire.Hello{
 		Version: wire.Version,
 		Proxy:   n.GetId(),
@@ -64,14 +67,16 @@
 	}
 }
 
-// postLeave reports to the controller that a proxy has left, also after ctx has ended.
+// postLeave posts controller.ProxyLeft for a stream. It ignores the cancellation of ctx, which is cancelled when the
+// stream has ended, and gives up after shutdown.LeaveTimeout.
 func (s *Server) postLeave(ctx context.Context, st *stream) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdown.LeaveTimeout)
 	defer cancel()
-	_ = s.inbox.Post(ctx, controller.ProxyLeft{Stream: st}) // fails only if the loop has ended
+	_ = s.inbox.Post(ctx, controller.ProxyLeft{Stream: st}) // fails only if the control loop has stopped
 }
 
-// readRequests handles the first request and all further ones until the stream ends.
+// readRequests handles the first request, which has been received already, and then reads and handles further ones. It
+// returns nil if the client has closed the stream.
 func (s *Server) readRequests(g adsStream, st *stream, request *ads.DiscoveryRequest) error {
 	for {
 		if err := s.receive(g.Context(), st, request); err != nil {
@@ -88,31 +93,32 @@
 	}
 }
 
-// receive handles one request, which subscribes to, acknowledges (ACK) or refuses (NACK) resources.
+// receive handles a request, which changes a subscription, acknowledges a response (ACK) or rejects it (NACK). It posts
+// a controller.Acked input for each ack request that the client has answered.
 func (s *Server) receive(ctx context.Context, st *stream, request *ads.DiscoveryRequest) error {
-	if len(request.GetResourceNames()) > maxNames {
+	if len(request.GetResourceNames()) > maxSubscribedResources {
 		return status.Error(codes.InvalidArgument, "too many resources")
 	}
 	if detail := request.GetErrorDetail(); detail != nil {
-		why := fmt.Sprintf("%.200s", detail.GetMessage())
-		s.log.Warn("assignment rejected", zap.String("proxy", st.name), zap.String("reason", why))
+		reason := fmt.Sprintf("%.200s", detail.GetMessage())
+		s.log.Warn("assignment rejected", zap.String("proxy", st.name), zap.String("reason", reason))
 	}
-	marks, err := st.request(request)
+	acks, err := st.handleRequest(request)
 	if err != nil {
 		return err
 	}
-	for _, done := range marks {
-		if err := s.inbox.Post(ctx, controller.Acked{Stream: st, Done: done}); err != nil {
+	for _, ack := range acks {
+		if err := s.inbox.Post(ctx, controller.Acked{Stream: st, Done: ack}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// writeResponses sends what is subscribed to, at first and when it changes. It returns when the stream ends or an
-// acknowledgement is overdue.
+// writeResponses sends the subscribed resources initially and whenever they change. It returns when the stream ends or
+// an acknowledgement is overdue.
 func (s *Server) writeResponses(g adsStream, st *stream, readEnded <-chan error) error {
-	check := time.NewTicker(s.config.SeenWithin / overdueChecks)
+	check := time.NewTicker(s.config.AckTimeout / overdueChecksPerTimeout)
 	defer check.Stop()
 	for {
 		select {
@@ -123,11 +129,11 @@
 		case <-st.end.Done():
 			return status.Error(codes.Unavailable, st.end.Reason())
 		case <-check.C:
-			if st.overdue(s.config.SeenWithin) {
+			if st.overdue(s.config.AckTimeout) {
 				return status.Error(codes.DeadlineExceeded, "an assignment is not acknowledged")
 			}
 		case <-st.wake:
-			for _, response := range st.responses() {
+			for _, response := range st.takeResponses() {
 				if err := g.Send(response); err != nil {
 					return err
 				}
--- a/internal/transport/xds/assignment.go
+++ b/internal/transport/xds/assignment.go
@@ -14,39 +14,42 @@
 )
 
 const (
-	// weightUnit is the locality weight for a weight of 1. Locality weights are integers.
-	weightUnit = 10000
-	// maxWeight bounds locality weights, so that the sum of 4096 fits into 32 bits, as xDS requires.
-	maxWeight = math.MaxUint32 / 4096
-	// dropUnits is the denominator of the fraction of requests to drop.
-	dropUnits = 1_000_000
+	// localityWeightScale is the locality weight of an endpoint with weight 1. Locality weights are integers.
+	localityWeightScale = 10000
+	// maxLocalityWeight is the largest locality weight. xDS requires that the sum of all locality weights fits into 32
+	// bits; this value allows 4096 endpoints.
+	maxLocalityWeight = math.MaxUint32 / 4096
+	// dropDenominator is the denominator of the fraction of requests to drop.
+	dropDenominator = 1_000_000
 )
 
-// assignment returns the table of a request class as an EDS resource: one weighted locality per endpoint, without
-// excluded endpoints. An admission level below 1 becomes a fraction of requests to drop.
-func (r *routing) assignment(class string) *endpoint.ClusterLoadAssignment {
-	assignment := &endpoint.ClusterLoadAssignment{ClusterName: class}
-	number, bound := r.bound[class]
-	if !bound {
-		return assignment
+// loadAssignment returns the EDS resource of a request class, which contains a weighted locality for each endpoint in
+// the table of the class, except excluded endpoints and those without a valid address. If the admission level is below
+// 1, it also contains the fraction of requests to drop. If no table is assigned to the class, the resource has no
+// endpoints.
+func (r *routing) loadAssignment(class string) *endpoint.ClusterLoadAssignment {
+	resource := &endpoint.ClusterLoadAssignment{ClusterName: class}
+	tableNumber, assigned := r.tableByClass[class]
+	if !assigned {
+		return resource
 	}
-	t := r.table(number)
-	for _, address := range slices.Sorted(maps.Keys(t.weights)) {
+	table := r.table(tableNumber)
+	for _, address := range slices.Sorted(maps.Keys(table.weights)) {
 		host, port, ok := splitAddress(address)
 		if r.excluded[address] || !ok {
 			continue
 		}
-		assignment.Endpoints = append(assignment.Endpoints, localityOf(address, host, port, t.weights[address]))
+		resource.Endpoints = append(resource.Endpoints, newLocality(address, host, port, table.weights[address]))
 	}
-	if level := r.level(t, class); level < 1 {
-		assignment.Policy = dropPolicy(1 - level)
+	if level := r.admissionLevel(table, class); level < 1 {
+		resource.Policy = dropPolicy(1 - level)
 	}
-	return assignment
+	return resource
 }
 
-// localityOf returns a locality with one endpoint. Its sub-zone is the endpoint's address, by which the client's load
-// reports identify the endpoint.
-func localityOf(address, host string, port uint32, weight float64) *endpoint.LocalityLbEndpoints {
+// newLocality returns a locality that contains one endpoint. The sub-zone is the endpoint's address, which identifies
+// the endpoint in the load reports of the client.
+func newLocality(address, host string, port uint32, weight float64) *endpoint.LocalityLbEndpoints {
 	socket := &core.SocketAddress{
 		Address:       host,
 		PortSpecifier: &core.SocketAddress_PortValue{PortValue: port},
@@ -56,7 +59,7 @@
 	}
 	return &endpoint.LocalityLbEndpoints{
 		Locality:            &core.Locality{Region: "indigousher", SubZone: address},
-		LoadBalancingWeight: wrapperspb.UInt32(wireWeight(weight)),
+		LoadBalancingWeight: wrapperspb.UInt32(localityWeight(weight)),
 		LbEndpoints: []*endpoint.LbEndpoint{{
 			HealthStatus:   core.HealthStatus_HEALTHY,
 			HostIdentifier: &endpoint.LbEndpoint_Endpoint{Endpoint: server},
@@ -64,25 +67,26 @@
 	}
 }
 
-// wireWeight returns the locality weight for a weight. It is at least 1, since clients ignore localities of weight 0.
-func wireWeight(weight float64) uint32 {
-	return uint32(math.Max(1, math.Min(math.Round(weight*weightUnit), maxWeight)))
+// localityWeight converts the weight of an endpoint to a locality weight. The result is at least 1, because clients
+// ignore localities with weight 0.
+func localityWeight(weight float64) uint32 {
+	return uint32(math.Max(1, math.Min(math.Round(weight*localityWeightScale), maxLocalityWeight)))
 }
 
-// dropPolicy returns the policy to drop a fraction of the requests.
+// dropPolicy returns a policy by which the client drops a fraction, from 0 to 1, of its requests.
 func dropPolicy(fraction float64) *endpoint.ClusterLoadAssignment_Policy {
 	return &endpoint.ClusterLoadAssignment_Policy{
 		DropOverloads: []*endpoint.ClusterLoadAssignment_Policy_DropOverload{{
 			Category: "level",
 			DropPercentage: &xdstype.FractionalPercent{
-				Numerator:   uint32(math.Round(fraction * dropUnits)),
+				Numerator:   uint32(math.Round(fraction * dropDenominator)),
 				Denominator: xdstype.FractionalPercent_MILLION,
 			},
 		}},
 	}
 }
 
-// splitAddress returns the host and port of an address, if it has both.
+// splitAddress splits an address of the form host:port. ok is false if the address has no host or no valid port.
 func splitAddress(address string) (host string, port uint32, ok bool) {
 	colon := strings.LastIndexByte(address, ':')
 	if colon <= 0 {
--- a/internal/transport/xds/hostile_test.go
+++ b/internal/transport/xds/hostile_test.go
@@ -18,27 +18,28 @@
 	"indigousher/internal/wire"
 )
 
-// TestHostileNode checks that the memory of a stream stays bounded if a client subscribes to ever more types, or to no
-// endpoints so that marks are never answered, and that invalid nonces are rejected.
+// TestHostileNode checks that the memory of a stream stays bounded if a client subscribes to many unknown types, or
+// never to endpoints, so that ack requests remain unanswered, and that invalid nonces are rejected.
 func TestHostileNode(t *testing.T) {
 	st := newStream("p", []string{"read"})
 	for i := range 5000 {
-		_, err := st.request(&ads.DiscoveryRequest{TypeUrl: fmt.Sprint("type/", i), ResourceNames: []string{"read"}})
+		_, err := st.handleRequest(&ads.DiscoveryRequest{TypeUrl: fmt.Sprint("type/", i), ResourceNames: []string{"read"}})
 		require.NoError(t, err)
 		ops := []wire.Op{{Kind: wire.OpAssignTable, Table: 1, Classes: 1}, {Kind: wire.OpAckRequest, AckNumber: i}}
 		require.NoError(t, st.Send(&wire.Commands{Ops: ops}))
 	}
 	assert.Empty(t, st.subscriptions.names)
-	assert.LessOrEqual(t, len(st.subscriptions.due), 1)
-	assert.Len(t, st.versions.marks, maxMarks)
-	assert.Empty(t, st.responses())
+	assert.LessOrEqual(t, len(st.subscriptions.pending), 1)
+	assert.Len(t, st.versions.ackRequests, maxAckRequests)
+	assert.Empty(t, st.takeResponses())
 	for _, nonce := range []string{"1", "-1x", "99999999999999999999", "NaN"} {
-		_, err := st.request(&ads.DiscoveryRequest{TypeUrl: typeEndpoint, ResponseNonce: nonce})
+		_, err := st.handleRequest(&ads.DiscoveryRequest{TypeUrl: endpointTypeURL, ResponseNonce: nonce})
 		assert.Error(t, err, nonce)
 	}
 }
 
-func stats(change func(c *endpoint.ClusterStats)) *lrs.LoadStatsRequest {
+// newLoadStats returns a load report with one endpoint, which change may modify.
+func newLoadStats(change func(c *endpoint.ClusterStats)) *lrs.LoadStatsRequest {
 	c := &endpoint.ClusterStats{
 		ClusterName: "read", LoadReportInterval: durationpb.New(time.Second),
 		UpstreamLocalityStats: []*endpoint.UpstreamLocalityStats{{
@@ -53,8 +54,8 @@
 	return &lrs.LoadStatsRequest{ClusterStats: []*endpoint.ClusterStats{c}}
 }
 
-// FuzzLoad converts arbitrary load reports. The results must be valid in the framed protocol, except for figures, which
-// the controller checks.
+// FuzzLoad checks that arbitrary load reports are converted to valid ones or rejected. The values of load metrics are
+// not checked here, because the pilot validates them later.
 func FuzzLoad(f *testing.F) {
 	for _, change := range []func(c *endpoint.ClusterStats){
 		func(*endpoint.ClusterStats) {},
@@ -67,7 +68,7 @@
 		},
 		func(c *endpoint.ClusterStats) { c.TotalDroppedRequests = math.MaxUint64 },
 	} {
-		b, err := proto.Marshal(stats(change))
+		b, err := proto.Marshal(newLoadStats(change))
 		require.NoError(f, err)
 		f.Add(b)
 	}
@@ -76,7 +77,7 @@
 		if proto.Unmarshal(b, &r) != nil {
 			return
 		}
-		s, err := newStream("p", []string{"read"}).sums(&r, 1)
+		s, err := newStream("p", []string{"read"}).newReport(&r, 1)
 		if err != nil || s == nil {
 			return
 		}
