--- a/internal/testbed/routing/admission.go
+++ b/internal/testbed/routing/admission.go
@@ -9,16 +9,16 @@
 // unsetRetryMode is a retry mode that leaves the choice to the next wider setting.
 const unsetRetryMode = -1
 
-// admission is what a pilot has set for some classes.
+// admission holds the admission level and retry mode that a pilot has set for some request classes.
 type admission struct {
-	admitted  float64 // fraction of the requests
-	retryMode int     // see RetryAllowed
+	admitted  float64 // fraction of requests to admit, from 0 to 1
+	retryMode int     // a retry mode as in RetryAllowed, or unsetRetryMode
 }
 
-// unrestricted holds for classes for which nothing was set.
+// unrestricted is the default for classes without a setting: all requests are admitted and the retry mode is unset.
 var unrestricted = admission{admitted: 1, retryMode: unsetRetryMode}
 
-// setAdmission sets the admission of some classes in one table or in all.
+// setAdmission stores the admission level and retry mode of an operation, for one table or for all tables.
 func (r *Router) setAdmission(o wire.Op) {
 	set := admission{admitted: o.Weight, retryMode: o.RetryMode}
 	if o.Table == wire.AllTables {
@@ -28,8 +28,8 @@
 	}
 }
 
-// Admit draws whether a request of a class is admitted: by the stricter of its table's level and that for all tables.
-// It takes no random number where all are admitted.
+// Admit reports whether to admit a request of a class. The request is admitted at random, with the lower of the two
+// fractions set for its table and for all tables. Admit draws no random number if that fraction is 1.
 func (r *Router) Admit(class int) bool {
 	ofTable := admissionFor(r.byClass[class].admission, class)
 	ofAll := admissionFor(r.admissionOfAll, class)
@@ -37,7 +37,8 @@
 	return admitted >= 1 || r.random.Float64() < admitted
 }
 
-// RetryMode returns how requests of a class are retried: as set for its table, else for all tables, else by the policy.
+// RetryMode returns the retry mode of a class: the one set for its table, else the one set for all tables, else the
+// default of the policy.
 func (r *Router) RetryMode(class int) int {
 	if set := admissionFor(r.byClass[class].admission, class); set.retryMode >= 0 {
 		return set.retryMode
@@ -48,7 +49,8 @@
 	return r.policy.RetryMode
 }
 
-// admissionFor returns the setting whose mask names a class. A mask of 0 names all classes.
+// admissionFor returns the setting whose class mask includes a class, or unrestricted if there is none. A mask of 0
+// includes all classes.
 func admissionFor(byMask map[int]admission, class int) admission {
 	for mask, set := range byMask {
 		if mask == 0 || mask&(1<<class) != 0 {
