--- a/internal/testbed/routing/apply.go
+++ b/internal/testbed/routing/apply.go
@@ -2,7 +2,7 @@
 
 import "indigousher/internal/wire"
 
-// Apply carries out all operations of one message and returns the numbers of the acks that it asks for.
+// Apply applies all operations of one message, in order, and returns the numbers of the acks that the message requests.
 func (r *Router) Apply(ops []wire.Op) (ackRequests []int) {
 	defer r.invalidateCandidates()
 	for _, o := range ops {
@@ -28,7 +28,7 @@
 	return ackRequests
 }
 
-// setExcluded takes an endpoint out of use whatever the tables say, or readmits it.
+// setExcluded excludes an endpoint from all tables regardless of its weight, or ends the exclusion.
 func (r *Router) setExcluded(endpoint string, excluded bool) {
 	if excluded {
 		r.excluded[endpoint] = true
