--- a/internal/testbed/routing/ejection.go
+++ b/internal/testbed/routing/ejection.go
@@ -2,11 +2,11 @@
 
 import "indigousher/internal/wire"
 
-// AttemptStarted counts an attempt that leaves for an endpoint.
+// AttemptStarted records that an attempt is sent to an endpoint.
 func (r *Router) AttemptStarted(endpoint string) { r.inFlight[endpoint]++ }
 
-// AttemptFinished counts an attempt that ended, with the endpoint's load report if its answer had one. An endpoint that
-// fails too often in a row is ejected.
+// AttemptFinished records the result of an attempt and the load that the endpoint reported in its answer; load is nil
+// if there was none. It ejects an endpoint after Policy.EjectAfter consecutive failures.
 func (r *Router) AttemptFinished(nowMs float64, endpoint string, succeeded bool, tookMs float64, load []wire.LoadMetric) {
 	r.inFlight[endpoint]--
 	r.statsOf(endpoint).add(succeeded, tookMs, load)
@@ -20,7 +20,7 @@
 	}
 }
 
-// eject keeps an endpoint from being picked for a while, as long as there are others.
+// eject keeps an endpoint from being picked until untilMs, unless no other candidate is left.
 func (r *Router) eject(endpoint string, untilMs float64) {
 	r.consecutiveFailures[endpoint] = 0
 	r.ejectedUntilMs[endpoint] = untilMs
