--- a/internal/testbed/routing/pick.go
+++ b/internal/testbed/routing/pick.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// candidates are the lines of a table that may be picked, by name, with their weights.
+// candidates holds the endpoints of a table that may be picked, sorted by name, with their weights.
 type candidates struct {
 	names     []string
 	weights   []float64
 	weightSum float64
 }
 
-// draw draws an endpoint in proportion to the weights, or returns "" if there is none.
+// draw returns a random endpoint with probability proportional to its weight, or "" if there are no candidates.
 func (c *candidates) draw(random *rand.Rand) string {
 	if len(c.names) == 0 {
 		return ""
@@ -24,21 +24,22 @@
 			return c.names[i]
 		}
 	}
-	return c.names[len(c.names)-1] // rounding
+	return c.names[len(c.names)-1] // reached only through floating-point rounding
 }
 
-// included returns whether an endpoint is not excluded for a class.
+// included reports whether an endpoint is not excluded for a class. Exclusions of the previous stream still apply to
+// classes that the current stream has not assigned a table.
 func (r *Router) included(class int, endpoint string) bool {
 	return !r.excluded[endpoint] && (r.assigned[class] || !r.previouslyExcluded[endpoint])
 }
 
-// Eligible returns whether a class's table has a line for an endpoint that is not excluded.
+// Eligible reports whether the table of a class contains an endpoint and the endpoint is not excluded.
 func (r *Router) Eligible(class int, endpoint string) bool {
 	return r.byClass[class].lines[endpoint] > 0 && r.included(class, endpoint)
 }
 
-// EligibleCount returns how many lines of its table a class can be sent by. Ejected endpoints count, as they are picked
-// where all are ejected.
+// EligibleCount returns how many endpoints in the table of a class are not excluded. Ejected endpoints count, because
+// they are still picked when all endpoints are ejected.
 func (r *Router) EligibleCount(class int) (n int) {
 	for endpoint := range r.byClass[class].lines {
 		if r.included(class, endpoint) {
@@ -48,8 +49,8 @@
 	return n
 }
 
-// Pick returns the endpoint for an attempt of a request, or "" if its table has none. It avoids ejected endpoints and
-// those tried before as long as there are others.
+// Pick returns the endpoint for an attempt of a request, or "" if its table has none. It prefers endpoints that are not
+// ejected and that the request has not tried yet.
 func (r *Router) Pick(nowMs float64, class int, key string, tried []string) string {
 	t := r.tableFor(class, key)
 	c := r.candidatesFor(class, t)
@@ -63,7 +64,7 @@
 	return first
 }
 
-// lessBusy returns which of two endpoints has fewer requests in flight, the first if they are equal.
+// lessBusy returns the endpoint with fewer attempts in flight, or the first one if they are equal.
 func (r *Router) lessBusy(first, second string) string {
 	if r.inFlight[second] < r.inFlight[first] {
 		return second
@@ -71,7 +72,7 @@
 	return first
 }
 
-// pickFrom picks where some of the candidates may have to be avoided.
+// pickFrom picks an endpoint by the configured algorithm from the preferred candidates, or returns "" if there are none.
 func (r *Router) pickFrom(nowMs float64, t *table, c *candidates, tried []string) string {
 	names := r.preferred(nowMs, c, tried)
 	if len(names) == 0 {
@@ -87,8 +88,8 @@
 	return t.drawAmong(r.random, names)
 }
 
-// preferred returns the candidates that are neither ejected nor tried. If there are none it takes those that are
-// ejected, and if there are still none those that were tried.
+// preferred returns the candidates that are neither ejected nor already tried. If there are none, it returns all untried
+// candidates; if all were tried, it returns all candidates.
 func (r *Router) preferred(nowMs float64, c *candidates, tried []string) []string {
 	var names []string
 	for _, endpoint := range c.names {
@@ -110,7 +111,7 @@
 	return c.names
 }
 
-// drawAmong draws one of some endpoints in proportion to their weights.
+// drawAmong returns a random endpoint of names with probability proportional to its weight in the table.
 func (t *table) drawAmong(random *rand.Rand, names []string) string {
 	weightSum := 0.0
 	for _, endpoint := range names {
@@ -122,11 +123,11 @@
 			return endpoint
 		}
 	}
-	return names[len(names)-1] // rounding
+	return names[len(names)-1] // reached only through floating-point rounding
 }
 
-// nextRoundRobin is smooth weighted round robin: each endpoint earns its weight as credit, the one with the most
-// credit is next and pays the sum of the weights.
+// nextRoundRobin picks the next endpoint by smooth weighted round robin: the credit of each endpoint grows by its
+// weight, the endpoint with the highest credit is picked, and the sum of the weights is subtracted from its credit.
 func (t *table) nextRoundRobin(names []string) string {
 	weightSum := 0.0
 	best := names[0]
@@ -141,8 +142,8 @@
 	return best
 }
 
-// candidatesFor returns the lines of a table that may be picked for a class. They are cached unless exclusions of the
-// stream before hold, as classes of one table may differ then.
+// candidatesFor returns the endpoints of a table that may be picked for a class. The result is cached in the table,
+// except while exclusions of the previous stream apply, because these can differ between classes that share the table.
 func (r *Router) candidatesFor(class int, t *table) *candidates {
 	cacheable := len(r.previouslyExcluded) == 0
 	if t.cached != nil && cacheable {
@@ -162,7 +163,8 @@
 	return c
 }
 
-// invalidateCandidates drops all cached candidates. Whatever changes lines or exclusions calls it.
+// invalidateCandidates clears the cached candidates of all tables. It must be called after any change to table lines or
+// exclusions.
 func (r *Router) invalidateCandidates() {
 	for _, t := range r.tables {
 		t.cached = nil
