--- a/internal/testbed/routing/policy.go
+++ b/internal/testbed/routing/policy.go
@@ -1,20 +1,20 @@
 package routing
 
-// Load balancing algorithms, as the settings spell them.
+// Names of the load balancing algorithms in the settings.
 const (
-	// Weighted draws endpoints at random in proportion to their weights. It also stands for any name not listed here.
+	// Weighted picks endpoints at random in proportion to their weights. Unknown names are treated as Weighted.
 	Weighted = "weighted"
 	// RoundRobin is smooth weighted round robin.
 	RoundRobin = "round"
-	// TwoChoices draws two endpoints by weight and takes the one with fewer requests in flight.
+	// TwoChoices picks two endpoints at random by weight and uses the one with fewer attempts in flight.
 	TwoChoices = "two"
 )
 
-// Policy is how a proxy behaves where its tables leave it open.
+// Policy holds the routing settings of a proxy that its pilot does not send.
 type Policy struct {
-	Classes    []string // request classes; a class is known by its index here
+	Classes    []string // names of the request classes; other code identifies a class by its index in this slice
 	Algorithm  string   // load balancing algorithm
-	EjectAfter int      // consecutive failures until an endpoint is ejected; 0: never
-	EjectionMs float64  // how long an ejection lasts
-	RetryMode  int      // for classes to which no pilot assigned a retry mode, see RetryAllowed
+	EjectAfter int      // number of consecutive failures after which an endpoint is ejected; 0 disables ejection
+	EjectionMs float64  // duration of an ejection, in ms
+	RetryMode  int      // default for classes whose retry mode no pilot has set, see RetryAllowed
 }
