--- a/internal/testbed/routing/reports.go
+++ b/internal/testbed/routing/reports.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	// maxSkippedReports is how many reports in a row may leave out an endpoint that has not failed, where only
-	// changes are asked for.
+	// maxSkippedReports is how many consecutive reports may omit an endpoint without failures when the pilot has
+	// requested only changes.
 	maxSkippedReports = 4
-	// failureRank puts endpoints that failed before all others. It is above any number of skipped reports that
-	// occurs in practice.
+	// failureRank is added to the rank of endpoints with failures, so that they are reported before all others. It
+	// is larger than any number of skipped reports that occurs in practice.
 	failureRank = 1000
 )
 
-// ReportRequest is which endpoints a pilot wants in load reports.
+// ReportRequest describes which endpoints a pilot wants in load reports. The zero value requests all of them.
 type ReportRequest struct {
-	MaxEndpoints int  // 0: all
-	ChangesOnly  bool // endpoints that failed, and the others now and then
+	MaxEndpoints int  // maximum number of endpoints in a report; 0 means no limit
+	ChangesOnly  bool // omit endpoints without failures, for up to maxSkippedReports reports in a row
 }
 
-// endpointStats is what attempts at one endpoint showed since a report last named it.
+// endpointStats holds the results of attempts at one endpoint since a report last included it.
 type endpointStats struct {
 	counts         wire.EndpointStats
-	latencySumMs   float64 // of those that succeeded
-	succeeded      int
-	skippedReports int // that left it out
+	latencySumMs   float64 // total latency of the successful attempts, in ms
+	succeeded      int     // number of successful attempts
+	skippedReports int     // number of reports that omitted the endpoint
 }
 
-// add counts one attempt.
+// add records one finished attempt. A nil load keeps the load reported last.
 func (s *endpointStats) add(succeeded bool, tookMs float64, load []wire.LoadMetric) {
 	s.counts.Attempts++
 	if len(load) > 0 {
@@ -47,7 +47,7 @@
 	}
 }
 
-// rank is higher for an endpoint that a report should name sooner.
+// rank returns the reporting priority of the endpoint: higher values are reported first.
 func (s *endpointStats) rank() int {
 	if s.counts.Failed > 0 {
 		return s.skippedReports + failureRank
@@ -55,7 +55,7 @@
 	return s.skippedReports
 }
 
-// sliceClass is a request class within the key range of one table.
+// sliceClass identifies a request class within one slice; the slice is identified by the number of its table.
 type sliceClass struct {
 	table int
 	class string
@@ -65,7 +65,7 @@
 	return cmp.Or(a.table-b.table, strings.Compare(a.class, b.class))
 }
 
-// RequestArrived counts a request that a client sent.
+// RequestArrived counts a request from a client, for its class and for the slice of its key.
 func (r *Router) RequestArrived(class int, key string) {
 	r.demandOfClass(class).Requests++
 	if slice := r.sliceTable(key); slice != noSlice {
@@ -73,9 +73,9 @@
 	}
 }
 
-// RequestUnanswered counts a request that was admitted and got no answer. It may have arrived before the last report
-// or before its key's range was assigned; as a slice may not report more unanswered requests than requests, its
-// requests are raised to them.
+// RequestUnanswered counts a request that was admitted but not answered. Its arrival may have been counted in an earlier
+// report, or not at all if the key range was assigned later. A report must not contain more unanswered requests than
+// requests for a slice, so the request count of the slice is raised if necessary.
 func (r *Router) RequestUnanswered(class int, key string) {
 	r.demandOfClass(class).Unanswered++
 	if slice := r.sliceTable(key); slice != noSlice {
@@ -108,8 +108,8 @@
 	return r.sliceDemand[key]
 }
 
-// Report returns the load report since the last call. Endpoints that it leaves out by the pilot's request add up for a
-// later one.
+// Report returns a load report for the time since the previous call. Statistics of endpoints that it omits because of
+// the pilot's request accumulate for a later report.
 func (r *Router) Report(nowMs float64, request ReportRequest) *wire.LoadReport {
 	r.reportSeq++
 	report := &wire.LoadReport{Seq: r.reportSeq, AtMs: nowMs, SpanMs: math.Max(0, nowMs-r.lastReportMs)}
@@ -126,8 +126,8 @@
 	return report
 }
 
-// reportEndpoints takes the stats of the endpoints that a report names: those that failed first, then those that were
-// left out longest.
+// reportEndpoints selects the endpoints for a report, returns their statistics and resets them. Endpoints with failures
+// come first, then those that most reports have omitted.
 func (r *Router) reportEndpoints(request ReportRequest) (reported []wire.EndpointStats) {
 	endpoints := slices.Sorted(maps.Keys(r.stats))
 	if request.MaxEndpoints > 0 || request.ChangesOnly {
