--- a/internal/testbed/routing/retry.go
+++ b/internal/testbed/routing/retry.go
@@ -1,22 +1,22 @@
 package routing
 
-// RetryAfterMs goes with a rejected request: how long the client should wait before it asks again.
+// RetryAfterMs is how long a client should wait before it retries a rejected request, in ms.
 const RetryAfterMs = 300
 
-// Retry modes, as they are sent to proxies.
+// Retry modes, with their values in the protocol.
 const (
 	retryNever  = iota // one attempt
-	retryUnsent        // one retry, if the attempt before is known not to have run
+	retryUnsent        // one retry, if the previous attempt is known not to have run
 	retryOnce          // one retry after any failure
 	retryTwice         // two retries after any failure
-	retryModes         // how many there are
+	retryModes         // number of retry modes
 )
 
-// maxAttempts is how many attempts a request may have, by retry mode.
+// maxAttempts is the maximum number of attempts of a request, by retry mode.
 var maxAttempts = [retryModes]int{retryNever: 1, retryUnsent: 2, retryOnce: 2, retryTwice: 3}
 
-// RetryAllowed returns whether another attempt may follow, after so many. NotRun says that the last one is known not to
-// have run.
+// RetryAllowed reports whether a request may be retried after the given number of attempts. notRun means that the last
+// attempt is known not to have run at the endpoint. Unknown retry modes allow no retry.
 func RetryAllowed(retryMode, attempts int, notRun bool) bool {
 	if retryMode < 0 || retryMode >= len(maxAttempts) || attempts >= maxAttempts[retryMode] {
 		return false
@@ -24,8 +24,8 @@
 	return retryMode != retryUnsent || notRun
 }
 
-// AttemptTimeout returns how long an attempt, counted from 1, may take of what is left of a request's time. Where a
-// retry after any failure may follow it waits no longer than first, so that time is left for that.
+// AttemptTimeout returns the timeout of an attempt, counted from 1, given the time left for the request. If the retry
+// mode allows a retry after a timeout, the result is at most first, which leaves time for the retry.
 func AttemptTimeout[T ~int64 | ~float64](retryMode, attempt int, left, first T) T {
 	if retryMode >= retryOnce && attempt < retryMode {
 		return min(left, first)
