--- a/internal/testbed/routing/router.go
+++ b/internal/testbed/routing/router.go
@@ -1,6 +1,7 @@
-// Package routing is how a proxy follows its pilot: it holds the tables, admission levels and exclusions that it was
-// sent, picks an endpoint for each attempt, ejects endpoints that fail, and sums up load reports. It has no I/O, clock
-// or goroutine, so that the proxy on sockets and the one in virtual time share it.
+// Package routing implements the routing of a proxy that is controlled by a pilot: it stores the tables, admission
+// levels and exclusions received from the pilot, picks an endpoint for each attempt, ejects endpoints that fail, and
+// aggregates load reports. It uses no I/O, clock or goroutines, so that the testbed's socket-based proxy and the
+// simulated proxy in virtual time can share it.
 package routing
 
 import (
@@ -11,8 +12,8 @@
 	"indigousher/internal/wire"
 )
 
-// randomStream is the second word of the random generator's seed. It keeps the router's draws apart from those of its
-// proxy, which has the same first word.
+// randomStream is the second word of the random generator's seed. It makes the router's random numbers independent of
+// those of its proxy, which uses the same first word.
 const randomStream = 3
 
 // Router is the routing state of one process of a proxy. It is not safe for concurrent use.
@@ -21,34 +22,35 @@
 	random *rand.Rand
 
 	// Tables. byClass[c] is the table that requests of class c use, unless their key falls into one of the ranges.
-	tables         map[int]*table // of this stream, by number
-	previousTables map[int]*table // of the stream before; a pilot may have them kept
+	tables         map[int]*table // tables of the current stream, by number
+	previousTables map[int]*table // tables of the previous stream, which a pilot may reuse
 	byClass        []*table
-	assigned       []bool     // by class: whether this stream has assigned it a table
-	ranges         []keyRange // by first key
+	assigned       []bool     // by class: whether the current stream has assigned a table to the class
+	ranges         []keyRange // sorted by first key
 
-	// Exclusions, by endpoint. Those of the stream before hold for classes that this stream has not assigned yet.
+	// Excluded endpoints. Exclusions of the previous stream apply to classes that the current stream has not assigned a
+	// table yet.
 	excluded           map[string]bool
 	previouslyExcluded map[string]bool
 
-	admissionOfAll map[int]admission // for all tables, by mask of classes
+	admissionOfAll map[int]admission // settings that apply to all tables, by class mask
 
-	// Attempts and ejections, by endpoint.
+	// Attempts in flight, failures and ejections, by endpoint.
 	inFlight            map[string]int
 	consecutiveFailures map[string]int
 	ejectedUntilMs      map[string]float64
-	lastEjectionEndsMs  float64 // when the latest ejection of any endpoint ends
+	lastEjectionEndsMs  float64 // time at which the latest ejection of any endpoint ends, in ms
 
-	// What the next load report will say.
+	// Statistics for the next load report.
 	stats        map[string]*endpointStats
 	demand       map[string]*wire.RequestStats
 	sliceDemand  map[sliceClass]*wire.SliceStats
 	lastReportMs float64
-	reportSeq    uint64 // number of the last report in this stream
+	reportSeq    uint64 // sequence number of the last report in the current stream; 0 before the first
 }
 
-// NewRouter returns the router of a proxy that no pilot has assigned a table yet: all classes share one static table
-// with equal weights.
+// NewRouter returns a router without tables from a pilot: all classes share one static table in which every endpoint has
+// the same weight.
 func NewRouter(policy Policy, staticEndpoints []string, seed uint64) *Router {
 	r := &Router{
 		policy:              policy,
@@ -76,9 +78,9 @@
 	return r
 }
 
-// StreamJoined begins a new stream. Classes keep their tables until they are assigned others, and endpoints stay
-// excluded for them until then. The numbers of the tables and the admission for all tables end with the stream before.
-// Slices keep their tables and numbers until their pilot says otherwise.
+// StreamJoined resets the state that belongs to one stream, after the proxy has joined a pilot. Each class keeps its
+// table and its excluded endpoints until the new stream assigns it a table. Table numbers and the admission settings for
+// all tables are dropped. Slices keep their tables and table numbers until the pilot changes them.
 func (r *Router) StreamJoined() {
 	defer r.invalidateCandidates()
 	r.previousTables = r.tables
@@ -95,10 +97,10 @@
 	}
 }
 
-// Fresh returns whether no stream has ever assigned a table.
+// Fresh reports whether the router has no table from a pilot.
 func (r *Router) Fresh() bool { return len(r.tables) == 0 && !slices.Contains(r.assigned, true) }
 
-// Endpoints returns the names in all tables in use, sorted.
+// Endpoints returns the sorted names of the endpoints in all tables in use.
 func (r *Router) Endpoints() []string {
 	all := map[string]bool{}
 	for _, t := range r.byClass {
@@ -114,7 +116,8 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// HeldTables returns the tables of the last stream as a hello names them, so that the pilot may send only differences.
+// HeldTables returns the current tables in the form used by the hello message, so that the pilot can send only the
+// differences.
 func (r *Router) HeldTables() (list []wire.HeldTable) {
 	for _, number := range slices.Sorted(maps.Keys(r.tables)) {
 		lines := r.tables[number].lines
