--- a/internal/testbed/routing/table.go
+++ b/internal/testbed/routing/table.go
@@ -10,9 +10,9 @@
 // table is a routing table as the proxy has applied it.
 type table struct {
 	lines            map[string]float64 // weights above 0, by endpoint
-	admission        map[int]admission  // by mask of classes
+	admission        map[int]admission  // by class mask
 	roundRobinCredit map[string]float64 // by endpoint, for smooth weighted round robin
-	cached           *candidates        // made of the lines; nil after any change
+	cached           *candidates        // computed from lines and exclusions; nil after any change
 }
 
 func newTable() *table {
@@ -28,13 +28,13 @@
 	}
 }
 
-// keyRange is the keys from one up to, but without, another that use a table. An empty to is no bound.
+// keyRange is a range of keys that use a table. It includes from and excludes to; an empty to means no upper bound.
 type keyRange struct {
 	from, to string
 	table    int
 }
 
-// table returns a table by its number in this stream, an empty one if it is new.
+// table returns the table with a number in the current stream, and creates an empty one if there is none.
 func (r *Router) table(number int) *table {
 	if r.tables[number] == nil {
 		r.tables[number] = newTable()
@@ -42,13 +42,13 @@
 	return r.tables[number]
 }
 
-// assign puts classes on a table that starts empty, or, where the pilot has it kept, with the lines that the stream
-// before left in it. A class mask of 0 stands for all classes.
+// assign makes classes use a table. The table starts empty, or with its lines from the previous stream if the operation
+// has KeepLines set. A class mask of 0 selects all classes.
 func (r *Router) assign(o wire.Op) {
 	t := newTable()
 	if old := r.previousTables[o.Table]; o.KeepLines && old != nil {
 		t = old
-		clear(t.admission) // the pilot sends all of it again
+		clear(t.admission) // the pilot sends all admission settings again
 	}
 	if replaced := r.tables[o.Table]; replaced != nil {
 		r.replaceTable(replaced, t)
@@ -65,7 +65,7 @@
 	}
 }
 
-// replaceTable moves all classes of one table to another.
+// replaceTable makes all classes that use one table use another.
 func (r *Router) replaceTable(old, replacement *table) {
 	for class := range r.byClass {
 		if r.byClass[class] == old {
@@ -74,7 +74,7 @@
 	}
 }
 
-// assignRange gives a range of keys to a table, which starts empty, or takes its range from it.
+// assignRange assigns a range of keys to a new, empty table, or removes the table and its range.
 func (r *Router) assignRange(o wire.Op) {
 	r.ranges = slices.DeleteFunc(r.ranges, func(keys keyRange) bool { return keys.table == o.Table })
 	delete(r.tables, o.Table)
@@ -86,10 +86,10 @@
 	slices.SortFunc(r.ranges, func(a, b keyRange) int { return strings.Compare(a.from, b.from) })
 }
 
-// noSlice is what sliceTable returns for a key that falls into no range.
+// noSlice is returned by sliceTable for a key outside all ranges.
 const noSlice = -1
 
-// sliceTable returns the number of the table whose range holds a key, or noSlice.
+// sliceTable returns the number of the table whose range contains a key, or noSlice.
 func (r *Router) sliceTable(key string) int {
 	if len(r.ranges) == 0 {
 		return noSlice
@@ -109,7 +109,7 @@
 	return r.ranges[i].table
 }
 
-// tableFor returns the table that a request uses.
+// tableFor returns the table for a request: that of the slice of its key, or else that of its class.
 func (r *Router) tableFor(class int, key string) *table {
 	if slice := r.sliceTable(key); slice != noSlice {
 		return r.table(slice)
