--- a/internal/testbed/endpoint/process.go
+++ b/internal/testbed/endpoint/process.go
@@ -10,34 +10,34 @@
 	"indigousher/internal/wire"
 )
 
-// process is one process of an endpoint. All its goroutines are in wg and end after ctx.
+// process is one run of an endpoint, from a start to a kill. Its goroutines are tracked by wg and end once ctx is done.
 type process struct {
 	*Endpoint
 	started time.Time
 	cold    bool
-	jobs    chan job // has room for all that inFlight lets in
+	jobs    chan job // buffered for the maximum of inFlight, so that sending never blocks
 	ctx     context.Context
 	cancel  context.CancelFunc
 	wg      sync.WaitGroup
 
-	// Guarded by the endpoint's mu.
+	// The fields below are guarded by Endpoint.mu.
 	conns           map[net.Conn]bool
-	busyCoreSeconds float64 // that the cores have worked
-	served          float64 // requests
-	waiting         int     // requests that no core works on yet
-	inFlight        int     // requests admitted and not executed yet
+	busyCoreSeconds float64 // total time that the cores were busy, in seconds
+	served          float64 // number of requests executed
+	waiting         int     // number of admitted requests that wait for a core
+	inFlight        int     // number of admitted requests that have not finished
 	warmUpLoad      WarmUpLoad
-	overloaded      bool // while it warmed up: no request is answered any longer
-	load            []wire.LoadMetric
+	overloaded      bool              // overloaded during warm-up; requests are no longer answered
+	load            []wire.LoadMetric // load attached to answers; nil before the first measurement
 }
 
-// job is an admitted request and the way to answer it.
+// job is an admitted request and the function that sends its answer.
 type job struct {
 	req   *wire.Request
 	reply func(*wire.Response)
 }
 
-// newProcess makes a process that does nothing yet.
+// newProcess returns a process that has not been started.
 func newProcess(e *Endpoint, cold bool) *process {
 	p := &process{
 		Endpoint: e,
@@ -50,7 +50,7 @@
 	return p
 }
 
-// start serves until cancel.
+// start starts the goroutines of the process, which run until ctx is cancelled.
 func (p *process) start(listener net.Listener) {
 	context.AfterFunc(p.ctx, func() { _ = listener.Close() })
 	p.wg.Go(func() { p.accept(listener) })
@@ -60,7 +60,7 @@
 	}
 }
 
-// admit takes a request into the queue, rejects it or fails it.
+// admit queues a request, rejects it if the queue is full, or lets it fail or hang as the injected faults require.
 func (p *process) admit(req *wire.Request, reply func(*wire.Response)) {
 	p.events.Add(eventlog.Event{What: eventlog.Arrive, Peer: req.From, Kind: req.Class, Req: req.RequestID, Value: req.WorkMs})
 	now := time.Now()
@@ -78,7 +78,7 @@
 	p.mu.Unlock()
 	switch {
 	case overloaded || hangs:
-		return // taken and never answered
+		return // the request is never answered
 	case fails:
 		reply(&wire.Response{Number: req.Number, Outcome: wire.Errored, Load: load})
 	case full:
@@ -88,8 +88,8 @@
 	}
 }
 
-// countWarmUpLoad counts work that comes to a process and returns whether it is overloaded, now or since earlier. The
-// caller holds mu.
+// countWarmUpLoad adds the work of a request to the load of a cold process and reports whether the process is or was
+// overloaded by it. The caller must hold mu.
 func (p *process) countWarmUpLoad(now time.Time, workMs float64) bool {
 	if p.overloaded || !p.cold {
 		return p.overloaded
@@ -102,7 +102,7 @@
 	return overloaded
 }
 
-// runCore is one core: it executes one request after another until the process ends.
+// runCore simulates one core: it executes queued requests one at a time until the process ends.
 func (p *process) runCore() {
 	for {
 		select {
@@ -114,8 +114,8 @@
 	}
 }
 
-// execute does the work of a request, logs its effect and answers it. If the process ends meanwhile the request has no
-// effect and no answer.
+// execute performs the work of a request, logs its effect and answers it. If the process ends before the work is done,
+// the request has no effect and is not answered.
 func (p *process) execute(j job) {
 	p.mu.Lock()
 	p.waiting--
@@ -131,8 +131,8 @@
 	j.reply(&wire.Response{Number: j.req.Number, Outcome: wire.Succeeded, Load: load})
 }
 
-// countServed counts a request that has left its core and enters it into the ledger. It returns whether the ledger had
-// it already, and the load report.
+// countServed updates the counters after a request has finished and adds requests of deduplicated classes to the ledger.
+// It returns whether the ledger already contained the request, and the load to attach to the answer.
 func (p *process) countServed(req *wire.Request) (repeat bool, load []wire.LoadMetric) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -145,7 +145,7 @@
 	return repeat, p.load
 }
 
-// work sleeps for as long as work takes at the speed of the moment. It returns false if the process ended meanwhile.
+// work sleeps for as long as workMs ms of work take at the current speed. It returns false if the process ends first.
 func (p *process) work(workMs float64) bool {
 	tookMs := workMs / (p.Speed * p.SpeedFraction(p.cold, time.Since(p.started)))
 	timer := time.NewTimer(time.Duration(tookMs * float64(time.Millisecond)))
