--- a/internal/testbed/endpoint/reports.go
+++ b/internal/testbed/endpoint/reports.go
@@ -13,8 +13,8 @@
 	return p.load
 }
 
-// refreshReports makes a new load report every period until the process ends. With a lag, the report that is shown is
-// the one before.
+// refreshReports measures the load every ReportEvery until the process ends. If ReportLag is above 0, it publishes the
+// previous measurement instead of the latest one.
 func (p *process) refreshReports() {
 	ticker := time.NewTicker(p.ReportEvery)
 	defer ticker.Stop()
@@ -38,15 +38,15 @@
 	}
 }
 
-// loadMeter measures the load of a process from one report to the next.
+// loadMeter measures the load of a process between two calls of measure.
 type loadMeter struct {
 	process         *process
-	last            time.Time // of the last report, as are the counters
-	busyCoreSeconds float64
-	served          float64
+	last            time.Time // time of the last call of measure
+	busyCoreSeconds float64   // value of the process's counter at that time
+	served          float64   // value of the process's counter at that time
 }
 
-// measure returns the load since the last call. The caller holds the endpoint's mu.
+// measure returns the load since the previous call. The caller must hold Endpoint.mu.
 func (m *loadMeter) measure() []wire.LoadMetric {
 	p := m.process
 	span := time.Since(m.last).Seconds()
@@ -63,5 +63,5 @@
 	}
 }
 
-// noise draws the factor by which a reported figure is off. The caller holds mu.
+// noise returns a random factor, with mean about 1, by which a reported value is multiplied. The caller must hold mu.
 func (e *Endpoint) noise() float64 { return math.Max(0, 1+e.ReportNoise*e.random.NormFloat64()) }
