--- a/internal/testbed/endpoint/scenario.go
+++ b/internal/testbed/endpoint/scenario.go
@@ -7,15 +7,15 @@
 	"indigousher/internal/scenario"
 )
 
-// How endpoints of a scenario report and reject.
+// Load reporting and rejection settings of the endpoints of a scenario.
 const (
 	loadReportEvery = 400 * time.Millisecond
 	loadReportLag   = 200 * time.Millisecond
-	rejectionWaitMs = 200 // Retry-After of a rejection
+	rejectionWaitMs = 200 // wait before a retry that rejections ask for, in ms
 )
 
-// FromScenario returns the model of an endpoint of one of a scenario's groups, without a seed. Speed is the endpoint's
-// own, drawn around that of its group.
+// FromScenario returns the model of an endpoint in a group of a scenario; group is an index into s.Groups. The caller
+// sets the seed. speed is the speed of this endpoint, which may differ from that of its group.
 func FromScenario(s *scenario.Scenario, group int, name string, speed float64) Model {
 	g := s.Groups[group]
 	effects := map[string]bool{}
