--- a/internal/testbed/endpoint/server.go
+++ b/internal/testbed/endpoint/server.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// readLimit bounds the messages of requests and health checks, in bytes.
+	// readLimit is the maximum size of a request or health check message, in bytes.
 	readLimit = 1 << 16
-	// answerTimeout is how long an answer may take to write; beyond it the connection has broken.
+	// answerTimeout is the write timeout of an answer; the connection is closed when it expires.
 	answerTimeout = time.Second
 )
 
-// accept takes connections until the listener closes. Those beyond the bound are closed at once.
+// accept serves connections until the listener is closed. Connections beyond MaxConnections are closed immediately.
 func (p *process) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -30,8 +30,8 @@
 	}
 }
 
-// addConn has the process close a connection when it ends. It returns false if there is no room for it, or the process
-// has ended.
+// addConn registers a connection, so that it is closed when the process ends. It returns false if the connection limit is
+// reached or the process has ended.
 func (p *process) addConn(conn net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,7 +48,7 @@
 	delete(p.conns, conn)
 }
 
-// serve reads the requests and health checks of a connection until it ends.
+// serve handles the requests and health checks of a connection until it is closed or sends an unexpected message.
 func (p *process) serve(conn net.Conn) {
 	defer func() {
 		p.removeConn(conn)
@@ -75,17 +75,17 @@
 	}
 }
 
-// handshake does the work that a new connection costs.
+// handshake performs the work for a new connection.
 func (p *process) handshake() { p.work(p.HandshakeMs + p.currentFault().ExtraHandshakeMs) }
 
-// replier returns how answers are written to a connection, from any goroutine.
+// replier returns a function that writes answers to a connection. It is safe for concurrent use.
 func (p *process) replier(conn net.Conn) func(*wire.Response) {
 	var mu sync.Mutex
 	writer := wire.NewWriter(conn)
 	return func(answer *wire.Response) {
 		mu.Lock()
 		defer mu.Unlock()
-		_ = conn.SetWriteDeadline(time.Now().Add(answerTimeout)) // if it failed, so will the write
+		_ = conn.SetWriteDeadline(time.Now().Add(answerTimeout)) // if this fails, the write fails too
 		times := 1
 		if p.currentFault().AnswerTwice {
 			times = 2
