--- a/internal/testbed/endpoint/endpoint.go
+++ b/internal/testbed/endpoint/endpoint.go
@@ -14,8 +14,8 @@
 	"indigousher/internal/testbed/network"
 )
 
-// randomStream is the second word of the random generator's seed. It makes the random numbers of an endpoint independent
-// of those of other generators with the same first word.
+// randomStream is the second word of the random generator's seed. It makes the random numbers of an endpoint
+// independent of those of other generators with the same first word.
 const randomStream = 11
 
 // Model describes the capacity and behavior of an endpoint.
--- a/internal/testbed/endpoint/process.go
+++ b/internal/testbed/endpoint/process.go
@@ -131,8 +131,8 @@
 	j.reply(&wire.Response{Number: j.req.Number, Outcome: wire.Succeeded, Load: load})
 }
 
-// countServed updates the counters after a request has finished and adds requests of deduplicated classes to the ledger.
-// It returns whether the ledger already contained the request, and the load to attach to the answer.
+// countServed updates the counters after a request has finished and adds requests of deduplicated classes to the
+// ledger. It returns whether the ledger already contained the request, and the load to attach to the answer.
 func (p *process) countServed(req *wire.Request) (repeat bool, load []wire.LoadMetric) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/endpoint/server.go
+++ b/internal/testbed/endpoint/server.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// addConn registers a connection, so that it is closed when the process ends. It returns false if the connection limit is
-// reached or the process has ended.
+// addConn registers a connection, so that it is closed when the process ends. It returns false if the connection limit
+// is reached or the process has ended.
 func (p *process) addConn(conn net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/endpoint/warmup.go
+++ b/internal/testbed/endpoint/warmup.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// OverloadSlack is the tolerance of the overload check during warm-up: the work may exceed its budget by this many times
-// the work of the current request, because a few requests can arrive close together by chance.
+// OverloadSlack is the tolerance of the overload check during warm-up: the work may exceed its budget by this many
+// times the work of the current request, because a few requests can arrive close together by chance.
 const OverloadSlack = 4
 
 // SpeedFraction returns the speed of a process of a given age as a fraction of its full speed. It grows linearly during
@@ -18,8 +18,8 @@
 	return math.Min(1, m.WarmUpFrom+(1-m.WarmUpFrom)*float64(age)/float64(m.WarmUp))
 }
 
-// overloadBudget returns how much work a cold process of a given age accepts within OverloadWindow without failing, in ms
-// of work of a core with speed 1.
+// overloadBudget returns how much work a cold process of a given age accepts within OverloadWindow without failing, in
+// ms of work of a core with speed 1.
 func (m *Model) overloadBudget(age time.Duration) float64 {
 	capacity := m.SpeedFraction(true, age) * float64(m.Cores) * m.Speed
 	return m.OverloadMultiple * capacity * float64(m.OverloadWindow) / float64(time.Millisecond)
--- a/internal/testbed/routing/pick.go
+++ b/internal/testbed/routing/pick.go
@@ -72,7 +72,8 @@
 	return first
 }
 
-// pickFrom picks an endpoint by the configured algorithm from the preferred candidates, or returns "" if there are none.
+// pickFrom picks an endpoint by the configured algorithm from the preferred candidates, or returns "" if there are
+// none.
 func (r *Router) pickFrom(nowMs float64, t *table, c *candidates, tried []string) string {
 	names := r.preferred(nowMs, c, tried)
 	if len(names) == 0 {
@@ -88,8 +89,8 @@
 	return t.drawAmong(r.random, names)
 }
 
-// preferred returns the candidates that are neither ejected nor already tried. If there are none, it returns all untried
-// candidates; if all were tried, it returns all candidates.
+// preferred returns the candidates that are neither ejected nor already tried. If there are none, it returns all
+// untried candidates; if all were tried, it returns all candidates.
 func (r *Router) preferred(nowMs float64, c *candidates, tried []string) []string {
 	var names []string
 	for _, endpoint := range c.names {
--- a/internal/testbed/routing/reports.go
+++ b/internal/testbed/routing/reports.go
@@ -73,9 +73,9 @@
 	}
 }
 
-// RequestUnanswered counts a request that was admitted but not answered. Its arrival may have been counted in an earlier
-// report, or not at all if the key range was assigned later. A report must not contain more unanswered requests than
-// requests for a slice, so the request count of the slice is raised if necessary.
+// RequestUnanswered counts a request that was admitted but not answered. Its arrival may have been counted in an
+// earlier report, or not at all if the key range was assigned later. A report must not contain more unanswered requests
+// than requests for a slice, so the request count of the slice is raised if necessary.
 func (r *Router) RequestUnanswered(class int, key string) {
 	r.demandOfClass(class).Unanswered++
 	if slice := r.sliceTable(key); slice != noSlice {
--- a/internal/testbed/routing/router.go
+++ b/internal/testbed/routing/router.go
@@ -49,8 +49,8 @@
 	reportSeq    uint64 // sequence number of the last report in the current stream; 0 before the first
 }
 
-// NewRouter returns a router without tables from a pilot: all classes share one static table in which every endpoint has
-// the same weight.
+// NewRouter returns a router without tables from a pilot: all classes share one static table in which every endpoint
+// has the same weight.
 func NewRouter(policy Policy, staticEndpoints []string, seed uint64) *Router {
 	r := &Router{
 		policy:              policy,
@@ -79,8 +79,8 @@
 }
 
 // StreamJoined resets the state that belongs to one stream, after the proxy has joined a pilot. Each class keeps its
-// table and its excluded endpoints until the new stream assigns it a table. Table numbers and the admission settings for
-// all tables are dropped. Slices keep their tables and table numbers until the pilot changes them.
+// table and its excluded endpoints until the new stream assigns it a table. Table numbers and the admission settings
+// for all tables are dropped. Slices keep their tables and table numbers until the pilot changes them.
 func (r *Router) StreamJoined() {
 	defer r.invalidateCandidates()
 	r.previousTables = r.tables
