--- a/internal/testbed/eventlog/log.go
+++ b/internal/testbed/eventlog/log.go
@@ -1,5 +1,5 @@
-// Package eventlog keeps what each part of the testbed saw on its own sockets, as events with the rehearsal's time.
-// Event logs are the audit's only evidence. A log records; it judges nothing.
+// Package eventlog records the events that each part of the testbed observes on its own sockets, with timestamps of a
+// common clock. The event logs are the only input of package audit, which evaluates them.
 package eventlog
 
 import (
@@ -10,20 +10,21 @@
 	"time"
 )
 
-// Log holds the events of one rehearsal, a stream for each who saw them, and its clock.
+// Log holds the events of one rehearsal, in one stream for each part of the testbed, and the clock of their timestamps.
+// It is safe for concurrent use.
 type Log struct {
 	began   time.Time
 	mu      sync.Mutex
-	streams map[string]*Stream // by who; guarded by mu
+	streams map[string]*Stream // by name of the part that logs; guarded by mu
 }
 
-// NewLog returns an empty log whose clock starts now.
+// NewLog returns an empty log whose clock starts at 0 now.
 func NewLog() *Log { return &Log{began: time.Now(), streams: map[string]*Stream{}} }
 
-// Now returns the time in ms since the log began.
+// Now returns the time since the start of the log, in ms.
 func (l *Log) Now() float64 { return float64(time.Since(l.began)) / float64(time.Millisecond) }
 
-// Stream returns the stream of one part of the testbed.
+// Stream returns the stream with a name and creates it if necessary. The name becomes Event.Who.
 func (l *Log) Stream(who string) *Stream {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -33,7 +34,8 @@
 	return l.streams[who]
 }
 
-// Events returns all events by time; those of one moment by who saw them, then in that one's order.
+// Events returns the events of all streams sorted by time. Events with equal times are sorted by the name of the
+// stream, and within a stream they keep their order.
 func (l *Log) Events() []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -45,7 +47,7 @@
 	return all
 }
 
-// Stream is what one part of the testbed saw.
+// Stream holds the events logged by one part of the testbed. It is safe for concurrent use.
 type Stream struct {
 	who    string
 	log    *Log
@@ -53,7 +55,7 @@
 	events []Event // guarded by mu
 }
 
-// Add logs an event with the time of the call.
+// Add appends an event to the stream. It sets At to the current time and Who to the name of the stream.
 func (s *Stream) Add(e Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,10 +64,10 @@
 	s.events = append(s.events, e)
 }
 
-// Now returns the log's time.
+// Now returns the time since the start of the log, in ms.
 func (s *Stream) Now() float64 { return s.log.Now() }
 
-// appendTo returns a list with the stream's events behind it.
+// appendTo appends the events of the stream to list and returns the extended list.
 func (s *Stream) appendTo(list []Event) []Event {
 	s.mu.Lock()
 	defer s.mu.Unlock()
