--- a/internal/testbed/eventlog/save.go
+++ b/internal/testbed/eventlog/save.go
@@ -9,13 +9,14 @@
 	"path/filepath"
 )
 
-// allStreams is the name of the file that holds all streams merged.
+// allStreams is the name, without extension, of the file with the merged events of all streams.
 const allStreams = "all"
 
-// Save writes each stream as JSON lines into a folder, and all of them merged as all.jsonl.
+// Save writes the events of each stream to a file NAME.jsonl in dir, one JSON object per line, and the merged events of
+// all streams to all.jsonl. It creates dir if necessary.
 func (l *Log) Save(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return fmt.Errorf("save trails: %w", err)
+		return fmt.Errorf("save event logs: %w", err)
 	}
 	byName := map[string][]Event{allStreams: l.Events()}
 	for _, e := range byName[allStreams] {
@@ -29,14 +30,14 @@
 	return nil
 }
 
-// save writes events into a new file, one a line.
+// save writes events to a file, one JSON object per line. It replaces an existing file.
 func save(path string, events []Event) error {
 	file, err := os.Create(path)
 	if err != nil {
-		return fmt.Errorf("save trail: %w", err)
+		return fmt.Errorf("save event log: %w", err)
 	}
 	if err := write(file, events); err != nil {
-		return fmt.Errorf("save %s: %w", path, errors.Join(err, file.Close()))
+		return fmt.Errorf("save event log %s: %w", path, errors.Join(err, file.Close()))
 	}
 	return file.Close()
 }
