--- a/internal/testbed/loadgen/clients.go
+++ b/internal/testbed/loadgen/clients.go
@@ -11,24 +11,24 @@
 	"indigousher/internal/wire"
 )
 
-// dialTimeout is how long a client waits for a connection to a proxy.
+// dialTimeout is the timeout of a client's dial to a proxy.
 const dialTimeout = 250 * time.Millisecond
 
-// Outcomes of a request, as the event log spells them.
+// Outcomes of a request, with their names in the event log.
 const (
 	outcomeDone     = "done"
-	outcomeErrored  = "errored" // it failed and may have run
-	outcomeRejected = "denied"  // it is known not to have run
+	outcomeErrored  = "errored" // the request failed, and an endpoint may have executed it
+	outcomeRejected = "denied"  // the request is known not to have been executed
 )
 
-// Clients sends a load to proxies.
+// Clients simulates the clients that send the requests of a load to proxies.
 type Clients struct {
 	Load    Load
 	Events  *eventlog.Stream
 	Proxies []*proxy.Client
 }
 
-// NewClients returns clients of the proxies at some addresses.
+// NewClients returns clients that send a load to the proxies at addresses. Request.Proxy is an index into addresses.
 func NewClients(load Load, events *eventlog.Stream, addresses []string) *Clients {
 	c := &Clients{Load: load, Events: events}
 	dial := (&net.Dialer{}).DialContext
@@ -38,7 +38,8 @@
 	return c
 }
 
-// Run sends all requests at their times and returns when the last has ended, or soon after ctx.
+// Run sends every request of the load at its time and returns when all have finished, or soon after ctx is done. It
+// then closes the connections to the proxies.
 func (c *Clients) Run(ctx context.Context) {
 	start := time.Now()
 	var requests sync.WaitGroup
@@ -60,7 +61,7 @@
 	}
 }
 
-// run sends one request, with its retries, and logs its outcome.
+// run sends one request, including retries, and logs its outcome.
 func (c *Clients) run(ctx context.Context, name uint64, request Request) {
 	class := c.Load.Classes[request.Class]
 	c.Events.Add(eventlog.Event{What: eventlog.Asked, Kind: class.Name, Req: name})
@@ -72,7 +73,8 @@
 	c.Events.Add(eventlog.Event{What: eventlog.Answered, Kind: class.Name, Req: name, Value: tookMs, Text: outcome})
 }
 
-// sendWithRetries sends a request until it is answered, may not be retried, or ctx ends, and returns its last outcome.
+// sendWithRetries sends a request and retries it until it succeeds, may not be retried, or ctx is done. It returns the
+// outcome of the last attempt.
 func (c *Clients) sendWithRetries(ctx context.Context, name uint64, request Request, deadline time.Time) string {
 	for retries := 0; ; retries++ {
 		outcome, retryAfter := c.send(ctx, name, request, deadline)
@@ -90,7 +92,8 @@
 	}
 }
 
-// send sends a request once. It returns the outcome, and how long the proxy asks to wait before a retry.
+// send sends a request once. It returns the outcome and how long the proxy asks the client to wait before a retry; 0 if
+// it does not ask.
 func (c *Clients) send(ctx context.Context, name uint64, request Request, deadline time.Time) (string, time.Duration) {
 	answer, err := c.Proxies[request.Proxy].Do(ctx, &wire.Request{
 		RequestID: name,
@@ -116,7 +119,7 @@
 	return outcomeErrored, retryAfter
 }
 
-// sleep waits for a while or until ctx ends.
+// sleep waits for d or until ctx is done.
 func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
