--- a/internal/testbed/loadgen/load.go
+++ b/internal/testbed/loadgen/load.go
@@ -1,5 +1,6 @@
-// Package loadgen generates the load of clients: an open loop of requests, drawn ahead from a seed, that are sent to
-// the proxies when their time comes whether or not earlier ones are answered, with retries and client timeouts.
+// Package loadgen generates client load. The load is open-loop: requests are generated from a seed and sent to the
+// proxies at predetermined times, whether or not earlier requests have been answered. Clients retry failed requests and
+// give up after a timeout.
 package loadgen
 
 import (
@@ -14,52 +15,52 @@
 	"indigousher/internal/wire"
 )
 
-// Second words of random generators' seeds. They keep draws of different things apart.
+// Second words of the random generators' seeds. They make the random numbers for weights and requests independent.
 const (
-	weightStream  = 47 // the proxies' weights
-	requestStream = 23 // the requests
+	weightStream  = 47 // for the weights of the proxies
+	requestStream = 23 // for the requests
 )
 
-// Load is what clients ask for.
+// Load describes the requests that clients send during a run.
 type Load struct {
 	Classes []RequestClass
-	Rate    float64   // requests a second, all proxies together
-	Weights []float64 // of the proxies
+	Rate    float64   // total requests per second at all proxies
+	Weights []float64 // by proxy: its share of the requests, relative to the sum of all weights
 	Length  time.Duration
-	Retries int           // of one request by its client
-	Backoff time.Duration // before a retry; longer if the proxy says so
+	Retries int           // maximum number of retries of a request by its client
+	Backoff time.Duration // minimum wait before a retry; a proxy may ask for a longer one
 	Seed    uint64
-	Keys    int // 0: requests have none
+	Keys    int // number of distinct request keys; 0 means that requests have no key
 	Spikes  []Spike
 }
 
-// RequestClass is a request class as clients ask for it.
+// RequestClass describes the requests of one request class.
 type RequestClass struct {
 	Name       string
-	Share      float64 // of all requests
-	WorkMs     float64 // mean; the work is log-normal
-	CV         float64 // coefficient of variation of the work
-	Timeout    time.Duration
-	Replayable bool // may be retried after any failure; others only if they are known not to have run
+	Share      float64       // share of all requests, relative to the sum of all shares
+	WorkMs     float64       // mean work of a request, in ms; the work has a log-normal distribution
+	CV         float64       // coefficient of variation of the work
+	Timeout    time.Duration // time after which a client gives up a request, including retries
+	Replayable bool          // retry after any failure; otherwise only if the request is known not to have been executed
 }
 
-// Spike changes the load for a while. Fields of 0 change nothing.
+// Spike is a temporary change of the load. Fields with the zero value change nothing.
 type Spike struct {
-	From, For time.Duration // For 0: to the end
+	From, For time.Duration // start and duration; a For of 0 means until the end of the load
 
-	Factor        float64 // by which the rate of all requests grows, or the work of heavy ones
-	HeavyFraction float64 // of a class's requests, whose work grows by Factor
-	HeavyClass    string  // with HeavyFraction; empty: all classes
-	Fraction      float64 // of all requests, which move to the proxies below
-	HotProxy      int     // one proxy, counted from 1
-	TargetProxies []int   // several proxies, counted from 0
+	Factor        float64 // multiplies the rate of all requests, or the work of heavy requests if HeavyFraction is set
+	HeavyFraction float64 // fraction of requests that are heavy, that is, whose work is multiplied by Factor
+	HeavyClass    string  // request class of the heavy requests; empty means all classes
+	Fraction      float64 // fraction of all requests that is moved to HotProxy or TargetProxies
+	HotProxy      int     // number of a proxy, counted from 1; 0 means that TargetProxies is used
+	TargetProxies []int   // indices of proxies, counted from 0
 }
 
 func (s Spike) covers(at time.Duration) bool {
 	return at >= s.From && (s.For == 0 || at < s.From+s.For)
 }
 
-// targets returns the proxies that requests move to.
+// targets returns the indices, counted from 0, of the proxies to which requests are moved.
 func (s Spike) targets() []int {
 	if s.HotProxy > 0 {
 		return []int{s.HotProxy - 1}
@@ -67,8 +68,9 @@
 	return s.TargetProxies
 }
 
-// FromScenario returns the load of a scenario and of its faults. The proxies' weights are drawn from the scenario's
-// seed, so that they are the same on sockets and in virtual time.
+// FromScenario returns the load of a scenario, with the spikes that its faults cause. The weights of the proxies are
+// random numbers that depend only on the scenario's seed, so that runs on sockets and in virtual time use the same
+// ones.
 func FromScenario(s *scenario.Scenario) Load {
 	load := Load{
 		Rate:    s.Rate,
@@ -101,7 +103,7 @@
 	return load
 }
 
-// spikeOf returns how a fault changes the load, or false if it doesn't.
+// spikeOf returns the spike that a fault causes, or false if the fault does not change the load.
 func spikeOf(fault scenario.Fault, proxyZones []string) (Spike, bool) {
 	spike := Spike{From: fault.At, For: fault.For}
 	switch fault.What {
@@ -128,10 +130,10 @@
 	return spike, true
 }
 
-// Key returns a key by its number. Keys are ordered as their numbers.
+// Key returns the request key with a number. The lexical order of keys is that of their numbers, below 1000000.
 func Key(i int) string { return fmt.Sprintf("key-%06d", i) }
 
-// SliceAssignment gives a slice of the key space to one endpoint.
+// SliceAssignment returns the message that assigns a slice of the key space to one endpoint.
 func SliceAssignment(slice int, owner string) wire.Slices {
 	return wire.Slices{
 		Slice: slice,
