--- a/internal/testbed/loadgen/source.go
+++ b/internal/testbed/loadgen/source.go
@@ -9,29 +9,29 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Request is one request drawn ahead.
+// Request is a generated request.
 type Request struct {
-	At     time.Duration // since the start
-	Proxy  int
-	Class  int
-	WorkMs float64
-	Key    string
+	At     time.Duration // time at which it is sent, since the start of the load
+	Proxy  int           // index into Load.Weights
+	Class  int           // index into Load.Classes
+	WorkMs float64       // work at an endpoint, in ms
+	Key    string        // empty if the load has no keys
 }
 
-// Source draws the requests of a load one after another. Candidates arrive as a Poisson process at the peak rate and
-// are thinned out to the rate of the moment.
+// Source generates the requests of a load in order of time. It generates candidates as a Poisson process with the peak
+// rate and thins them at random to the rate at each time.
 type Source struct {
 	load         Load
 	random       *rand.Rand
-	interarrival distuv.Exponential // s, at the peak rate
-	peakRate     float64            // requests a second
-	nowSeconds   float64
-	classShares  []float64
-	work         []distuv.LogNormal // ms, by class
-	byWeight     chooser            // of proxies, while no spike moves requests
+	interarrival distuv.Exponential // time between candidates, in seconds
+	peakRate     float64            // candidates per second
+	nowSeconds   float64            // time of the last candidate, in seconds since the start
+	classShares  []float64          // by class
+	work         []distuv.LogNormal // work of a request in ms, by class
+	byWeight     chooser            // chooses a proxy while no spike moves requests
 }
 
-// NewSource returns a source at the load's start.
+// NewSource returns a source that begins at the start of a load.
 func NewSource(load Load) *Source {
 	generator := rand.NewPCG(load.Seed, requestStream)
 	s := &Source{
@@ -53,7 +53,7 @@
 	return s
 }
 
-// Next returns the next request, or false at the load's end.
+// Next returns the next request, or false at the end of the load.
 func (s *Source) Next() (Request, bool) {
 	for {
 		s.nowSeconds += s.interarrival.Rand()
@@ -67,14 +67,14 @@
 	}
 }
 
-// conditions are what the spikes make of the load at one moment.
+// conditions holds the parameters of the load at one time, with all active spikes applied.
 type conditions struct {
-	rate    float64   // requests a second
-	weights []float64 // of the proxies; nil: as the load has them
-	heavy   Spike     // the last one with heavy requests; zero if there is none
+	rate    float64   // requests per second
+	weights []float64 // weights of the proxies; nil means Load.Weights
+	heavy   Spike     // last active spike with heavy requests; the zero value if there is none
 }
 
-// conditionsAt combines all spikes that cover a moment, in their order.
+// conditionsAt returns the conditions at a time. It applies the active spikes in the order of Load.Spikes.
 func (s *Source) conditionsAt(at time.Duration) conditions {
 	c := conditions{rate: s.load.Rate}
 	for _, spike := range s.load.Spikes {
@@ -96,7 +96,7 @@
 	return c
 }
 
-// candidate draws a request at a time, or returns false if it is thinned out.
+// candidate generates a request for a time, or returns false if the candidate is dropped by thinning.
 func (s *Source) candidate(at time.Duration) (request Request, kept bool) {
 	c := s.conditionsAt(at)
 	if s.random.Float64() >= c.rate/s.peakRate {
@@ -119,8 +119,8 @@
 	return request, true
 }
 
-// isHeavy draws whether a request of a class is one of a spike's heavy ones. It takes no random number for a class that
-// has none.
+// isHeavy decides at random whether a request of a class is heavy during a spike. It draws no random number if the
+// spike has no heavy requests in that class.
 func (s *Source) isHeavy(spike Spike, class int) bool {
 	if spike.HeavyFraction <= 0 {
 		return false
