--- a/internal/testbed/loadgen/weights.go
+++ b/internal/testbed/loadgen/weights.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// minTargetWeight keeps moveWeight from dividing by 0 where the targets have no weight.
+// minTargetWeight prevents a division by 0 in moveWeight if the targets have no weight.
 const minTargetWeight = 1e-9
 
-// chooser draws indices in proportion to weights; it holds the sum of the weights up to each.
+// chooser picks indices at random in proportion to weights. Element i is the sum of weights 0 to i.
 type chooser []float64
 
 func newChooser(weights []float64) chooser {
@@ -26,7 +26,7 @@
 	return min(i, len(c)-1)
 }
 
-// drawIndex draws an index in proportion to the weights.
+// drawIndex returns a random index with probability proportional to its weight.
 func drawIndex(random *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, weight := range weights {
@@ -38,10 +38,11 @@
 			return i
 		}
 	}
-	return len(weights) - 1 // rounding
+	return len(weights) - 1 // reached only through floating-point rounding
 }
 
-// moveWeight moves a fraction of all weight to some of the proxies, in proportion to their own weights.
+// moveWeight moves a fraction of the total weight to the targets, which share it in proportion to their weights. It
+// modifies weights in place.
 func moveWeight(weights []float64, targets []int, fraction float64) {
 	sum := 0.0
 	targetSum := minTargetWeight
