--- a/internal/testbed/network/conn.go
+++ b/internal/testbed/network/conn.go
@@ -8,27 +8,28 @@
 )
 
 const (
-	// maxChunksInFlight bounds what is on its way in one direction at once; more waits with the sender.
+	// maxChunksInFlight is the maximum number of chunks in flight in each direction of a link; beyond it writes block.
 	maxChunksInFlight = 256
-	// chunkBytes bounds a chunk.
+	// chunkBytes is the maximum size of a chunk, in bytes.
 	chunkBytes = 16 << 10
-	// retransmitDelay is what each loss of a chunk costs, as TCP's shortest retransmission timeout.
+	// retransmitDelay is the delay that each loss of a chunk adds. It is the minimum retransmission timeout of TCP on
+	// Linux.
 	retransmitDelay = 200 * time.Millisecond
 )
 
-// conn is the caller's end of a connection through the network.
+// conn is the dialing side's end of a connection through the simulated network.
 type conn struct {
 	net.Conn
-	inner net.Conn
+	inner net.Conn // the real connection
 }
 
-// LocalAddr implements net.Conn by the address of the real connection.
+// LocalAddr implements net.Conn. It returns the address of the real connection.
 func (c *conn) LocalAddr() net.Addr { return c.inner.LocalAddr() }
 
-// RemoteAddr implements net.Conn by the address of the real connection.
+// RemoteAddr implements net.Conn. It returns the address of the real connection.
 func (c *conn) RemoteAddr() net.Addr { return c.inner.RemoteAddr() }
 
-// connect puts the network between the caller and an open connection.
+// connect returns a connection whose data passes through the simulated network to and from an open connection.
 func (n *Network) connect(inner net.Conn, from, to Place) net.Conn {
 	near, far := net.Pipe()
 	l := &link{network: n, a: from, b: to, done: make(chan struct{})}
@@ -37,28 +38,28 @@
 		_ = far.Close()
 		_ = inner.Close()
 	})
-	// Both end when either end of the connection closes.
+	// Both goroutines end when either end of the connection closes.
 	go l.forward(far, inner)
 	go l.forward(inner, far)
 	return &conn{Conn: near, inner: inner}
 }
 
-// link is a connection between two places.
+// link forwards the data of one connection between two places.
 type link struct {
 	network *Network
 	a, b    Place
-	done    chan struct{} // closed by close
-	close   func()
+	done    chan struct{} // closed when the link is closed
+	close   func()        // closes both connections and done; safe to call more than once
 }
 
-// chunk is data on its way.
+// chunk is a piece of data in flight.
 type chunk struct {
 	data []byte
-	due  time.Time // when it may arrive
+	due  time.Time // earliest time of delivery
 }
 
-// forward moves the data of one direction, each chunk when it is due and the path is open, and closes the link at the
-// end of the stream.
+// forward delivers the data of one direction. It delivers each chunk once it is due and the path is open, and closes
+// the link at the end of the stream.
 func (l *link) forward(from, to net.Conn) {
 	inFlight := make(chan chunk, maxChunksInFlight)
 	go l.read(from, inFlight) // ends when from closes, or the link does
@@ -71,10 +72,10 @@
 			return
 		}
 	}
-	l.awaitDelivery(time.Time{}) // the end of a stream does not pass a cut either
+	l.awaitDelivery(time.Time{}) // a cut also delays the end of a stream
 }
 
-// read puts what comes from a connection on its way until that closes.
+// read reads chunks from a connection and queues them for delivery until the connection or the link closes.
 func (l *link) read(from net.Conn, inFlight chan<- chunk) {
 	defer close(inFlight)
 	buffer := make([]byte, chunkBytes)
@@ -94,7 +95,7 @@
 	}
 }
 
-// drawDelay returns how long a chunk is on its way, with its retransmissions.
+// drawDelay returns the delay of a chunk: that of the path, plus retransmitDelay for each random loss.
 func (l *link) drawDelay() time.Duration {
 	path := l.network.path(l.a, l.b)
 	delay := path.delay
@@ -104,7 +105,7 @@
 	return delay
 }
 
-// awaitDelivery waits until a time, and then until the path is open. It returns false if the link closes meanwhile.
+// awaitDelivery waits until due and then until the path is open. It returns false if the link is closed first.
 func (l *link) awaitDelivery(due time.Time) bool {
 	if !sleep(time.Until(due), l.done) {
 		return false
