--- a/internal/testbed/network/dial.go
+++ b/internal/testbed/network/dial.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Dialer returns how a place dials.
+// Dialer returns a dial function for a place. Its connections pass through the simulated network. A dial fails after
+// timeout.
 func (n *Network) Dialer(from Place, timeout time.Duration) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -23,7 +24,8 @@
 	}
 }
 
-// destination returns where an address is and how much longer it takes to connect to it.
+// destination returns the place of an address and the additional time that it takes to connect to it. The place is the
+// zero value if the address is not known.
 func (n *Network) destination(address string) (to Place, extra time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -31,7 +33,7 @@
 	return to, n.dialDelay[to.Name]
 }
 
-// awaitDial waits until the path is open, and then for as long as a handshake takes on it.
+// awaitDial waits until the path is open and then for one round trip plus extra. It fails if ctx is done first.
 func (n *Network) awaitDial(ctx context.Context, from, to Place, extra time.Duration) error {
 	path := n.path(from, to)
 	for !path.open {
@@ -48,13 +50,13 @@
 	return nil
 }
 
-// dialTimeoutError is the error of a dial that was not answered in time.
+// dialTimeoutError is returned when a dial times out.
 type dialTimeoutError struct{}
 
 var _ net.Error = dialTimeoutError{}
 
 // Error implements error.
-func (dialTimeoutError) Error() string { return "no answer in time" }
+func (dialTimeoutError) Error() string { return "dial timed out" }
 
 // Timeout implements net.Error.
 func (dialTimeoutError) Timeout() bool { return true }
@@ -62,7 +64,7 @@
 // Temporary implements net.Error.
 func (dialTimeoutError) Temporary() bool { return true }
 
-// sleep waits for a while. It returns false if done is closed meanwhile.
+// sleep waits for d. It returns false if done is closed first.
 func sleep(d time.Duration, done <-chan struct{}) bool {
 	if d <= 0 {
 		return true
