--- a/internal/testbed/network/network.go
+++ b/internal/testbed/network/network.go
@@ -1,7 +1,7 @@
-// Package network is the network between the parts of the testbed: connections that can be cut, slowed, made lossy or
-// blackholed by zone and by place, on loopback and without privileges. Whoever dials does so through a Network, and
-// both directions pass through it. What a cut holds back arrives when it is mended, as TCP's retransmissions would
-// bring it.
+// Package network simulates the network between the parts of the testbed. Connections can be cut, slowed, made lossy or
+// blackholed by zone and by place. The connections use loopback addresses, so no privileges are needed. Every part of
+// the testbed dials through a Network, which forwards both directions of the connection. Data that is held back by a
+// cut is delivered when the cut ends, as it would be by TCP retransmissions.
 package network
 
 import (
@@ -15,19 +15,22 @@
 	"indigousher/internal/testbed/eventlog"
 )
 
-// randomStream is the second word of the random generator's seed. It keeps the network's draws apart from others with
-// the same first word.
+// randomStream is the second word of the random generator's seed. It makes the random numbers of the network
+// independent of those of other generators with the same first word.
 const randomStream = 7
 
-// Place is where something is: its name and its zone. A zone of "" reaches all.
+// Place identifies a part of the testbed by its name and its zone. Faults of zones do not affect a place with an empty
+// zone.
 type Place struct{ Name, Zone string }
 
-// Host is where this process's parts of the testbed listen: a loopback address of its own. Outgoing connections don't
-// take ports from it, so one that restarts finds its port again; and no other rehearsal on the machine is given a port
-// that proxies here still dial (a request of another's once took effect in a ledger here, and looked like a repeat).
+// Host is the loopback address at which the parts of the testbed in this process listen. It is derived from the process
+// ID. Outgoing connections do not use ports of this address, so a restarted part can listen at its old port again.
+// Other rehearsals on the same machine listen at other addresses, so none of them can be assigned a port that proxies
+// of this process still dial: with a shared address, a request of one rehearsal once took effect in the ledger of
+// another and was mistaken for a repeat.
 var Host = fmt.Sprintf("127.%d.%d.1", 1+os.Getpid()%254, os.Getpid()/254%254)
 
-// Listen opens a listener at an address, or at a new one if it is empty.
+// Listen listens at a TCP address, or at a free port of Host if address is empty.
 func Listen(address string) (net.Listener, error) {
 	if address == "" {
 		address = net.JoinHostPort(Host, "0")
@@ -35,27 +38,27 @@
 	return net.Listen("tcp", address)
 }
 
-// impairment is what is wrong with the paths between one zone and all others.
+// impairment describes the faults of the paths between one zone and all others. The zero value means no fault.
 type impairment struct {
 	cut   bool
-	delay time.Duration // one way
-	loss  float64       // probability, for each chunk and each of its retransmissions
+	delay time.Duration // added in each direction
+	loss  float64       // probability that a chunk, or a retransmission of it, is lost
 }
 
-// Network knows where addresses are and what is wrong with the paths between them.
+// Network holds the places of addresses and the faults of the paths between them. It is safe for concurrent use.
 type Network struct {
 	events *eventlog.Stream
 
-	mu         sync.Mutex // guards what follows
-	places     map[string]Place
-	zones      map[string]impairment
-	blackholed map[string]bool          // places that neither send nor receive
-	dialDelay  map[string]time.Duration // by place: how much longer it takes to connect to it
-	changed    chan struct{}            // closed at the next change of what is wrong
+	mu         sync.Mutex               // guards the fields below
+	places     map[string]Place         // by address
+	zones      map[string]impairment    // by name of the zone
+	blackholed map[string]bool          // by name of the place: whether it can neither send nor receive
+	dialDelay  map[string]time.Duration // by name of the place: additional time to connect to it
+	changed    chan struct{}            // closed when any fault changes, and then replaced
 	random     *rand.Rand
 }
 
-// New returns a network with nothing wrong.
+// New returns a network without faults.
 func New(events *eventlog.Stream, seed uint64) *Network {
 	return &Network{
 		events:     events,
@@ -68,14 +71,14 @@
 	}
 }
 
-// Put says where an address is.
+// Put sets the place of an address.
 func (n *Network) Put(address string, p Place) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.places[address] = p
 }
 
-// Cut cuts a zone off from all others, or mends it.
+// Cut cuts a zone off from all others, or ends the cut.
 func (n *Network) Cut(zone string, cut bool) {
 	n.change(func() {
 		state := n.zones[zone]
@@ -85,7 +88,8 @@
 	n.events.Add(eventlog.Event{What: cutOrMended(cut), Text: zone})
 }
 
-// Slow makes the paths between a zone and all others slow and lossy; zeros end it.
+// Slow sets the one-way delay and the loss probability of the paths between a zone and all others; 0 removes each
+// fault.
 func (n *Network) Slow(zone string, delay time.Duration, loss float64) {
 	n.change(func() {
 		state := n.zones[zone]
@@ -95,18 +99,18 @@
 	})
 }
 
-// SetBlackhole has a place neither send nor receive, as a machine that loses its power, or ends that.
+// SetBlackhole stops all data to and from a place, as if its machine had lost power, or lets it pass again.
 func (n *Network) SetBlackhole(name string, blackholed bool) {
 	n.change(func() { n.blackholed[name] = blackholed })
 	n.events.Add(eventlog.Event{What: cutOrMended(blackholed), Peer: name})
 }
 
-// SlowDial makes connections to a place take longer to set up; 0 ends it.
+// SlowDial sets the additional time that it takes to connect to a place; 0 removes the fault.
 func (n *Network) SlowDial(name string, by time.Duration) {
 	n.change(func() { n.dialDelay[name] = by })
 }
 
-// change changes what is wrong, and wakes all that wait for a change.
+// change calls f with mu held, to change faults, and wakes all goroutines that wait for a change.
 func (n *Network) change(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -125,12 +129,12 @@
 // pathState is the state of the path between two places.
 type pathState struct {
 	open    bool
-	delay   time.Duration // one way
-	loss    float64
-	changed <-chan struct{} // closed when anything changes
+	delay   time.Duration   // in each direction
+	loss    float64         // probability that a chunk is lost
+	changed <-chan struct{} // closed when any fault changes
 }
 
-// path returns the state of the path between two places: the worse of their zones'.
+// path returns the state of the path between two places. It combines the worst values of the faults of both zones.
 func (n *Network) path(a, b Place) pathState {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -147,7 +151,7 @@
 	return state
 }
 
-// lost draws whether a chunk is lost.
+// lost decides at random whether a chunk is lost.
 func (n *Network) lost(probability float64) bool {
 	if probability <= 0 {
 		return false
