--- a/internal/testbed/catalog/catalog.go
+++ b/internal/testbed/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog is the platform's discovery agent on loopback for tests: it serves the endpoint list and its changes
-// over HTTP. It decides nothing. Tests start it beside package relay's relay.
+// Package catalog implements a fake of the platform's discovery agent for tests. It serves the endpoint list and its
+// changes over HTTP on a loopback address. Tests use it together with the fake relay of package relay.
 package catalog
 
 import (
@@ -13,32 +13,32 @@
 	"time"
 )
 
-// Statuses of an endpoint, as the platform spells them.
+// Statuses of an endpoint, as the platform's discovery API names them.
 const (
-	Active  = "active"
+	Active  = "active"  // in service
 	Leaving = "leaving" // draining
-	Left    = "left"    // gone: in changes, but not in the whole list
+	Left    = "left"    // removed; reported as a change, but not part of the complete list
 )
 
-// maxWatch bounds how long a watch waits for a change.
+// maxWatch is the maximum time that a call waits for a change.
 const maxWatch = 10 * time.Second
 
-// Member is one endpoint on the list.
+// Member is an endpoint of the list.
 type Member struct{ Name, Zone, Status string }
 
-// Catalog serves a list that the test changes.
+// Catalog serves an endpoint list that a test can change. It is safe for concurrent use.
 type Catalog struct {
 	server  *http.Server
 	address string
 
-	mu      sync.Mutex // guards what follows
-	version int
+	mu      sync.Mutex // guards the fields below
+	version int        // incremented by each change of the list
 	members []Member
-	changed []int         // by member: the version at which it last changed
-	notify  chan struct{} // closed at the next change
+	changed []int         // by index of the member: the version in which it last changed; 0 if it never has
+	notify  chan struct{} // closed when the list changes, and then replaced
 }
 
-// Start serves a first list on a free port of the loopback address.
+// Start serves a list with the given members on a free port of the loopback address.
 func Start(members []Member) (*Catalog, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,17 +54,17 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog/members", c.serve)
 	c.server = &http.Server{Handler: mux, ReadHeaderTimeout: maxWatch}
-	go func() { _ = c.server.Serve(listener) }() // ends with Close, as does its error
+	go func() { _ = c.server.Serve(listener) }() // returns http.ErrServerClosed after Close
 	return c, nil
 }
 
-// Address returns the host and port that the list is served at.
+// Address returns the host and port at which the list is served.
 func (c *Catalog) Address() string { return c.address }
 
-// Close ends the server and all calls under way.
+// Close stops the server and closes the connections of all calls in progress.
 func (c *Catalog) Close() { _ = c.server.Close() }
 
-// Set changes the status of some endpoints in one new version.
+// Set changes the status of the endpoints with the given names, in one new version of the list.
 func (c *Catalog) Set(status string, names ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,15 +83,15 @@
 	query := request.URL.Query()
 	since, err := strconv.Atoi(query.Get("index"))
 	if err != nil {
-		_, _ = w.Write(c.list(0)) // the caller sees a broken answer by itself
+		_, _ = w.Write(c.list(0)) // the client detects a failed write as an incomplete answer
 		return
 	}
-	wait, _ := strconv.Atoi(query.Get("wait")) // absent: no wait
+	wait, _ := strconv.Atoi(query.Get("wait")) // in ms; 0 if absent, which means no wait
 	c.await(request, since, min(maxWatch, time.Duration(wait)*time.Millisecond))
 	_, _ = w.Write(c.list(since))
 }
 
-// await returns once something newer than a version exists, or the wait is over.
+// await returns once the list has a version newer than since, or after wait, or when the request is cancelled.
 func (c *Catalog) await(request *http.Request, since int, wait time.Duration) {
 	c.mu.Lock()
 	version := c.version
@@ -107,7 +107,7 @@
 	}
 }
 
-// list returns the answer with what changed after a version, or with the whole list after version 0.
+// list returns the JSON answer with the members changed after version since, or with the complete list if since is 0.
 func (c *Catalog) list(since int) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,7 +122,7 @@
 		c.version, since == 0, strings.Join(entries, ","))
 }
 
-// isListed returns whether a member belongs into an answer. The caller holds mu.
+// isListed reports whether the member at an index is part of the answer for since, see list. The caller must hold mu.
 func (c *Catalog) isListed(member, since int) bool {
 	if since == 0 {
 		return c.members[member].Status != Left
