--- a/internal/testbed/registry/list.go
+++ b/internal/testbed/registry/list.go
@@ -6,15 +6,17 @@
 	"indigousher/internal/wire"
 )
 
-// clockLag is how far the list's clock is behind, so that pilots can't take it for their own.
+// clockLag is how far the registry's clock is behind the system clock. The difference makes tests fail if a pilot mixes
+// up the registry's clock with its own.
 const clockLag = time.Second
 
-// Stamp returns a time on the list's clock, in ms.
+// Stamp converts a time to the registry's clock, in ms since the Unix epoch.
 func Stamp(t time.Time) uint64 { return uint64(t.Add(-clockLag).UnixMilli()) }
 
 func now() uint64 { return Stamp(time.Now()) }
 
-// Put changes entries, after a while. Entries in wire.PhaseGone are removed.
+// Put adds or replaces entries after a delay; a delay of 0 or less means immediately. Entries with the phase
+// wire.PhaseGone are removed from the list.
 func (r *Registry) Put(after time.Duration, entries ...wire.Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -32,7 +34,7 @@
 	r.timers[timer] = true
 }
 
-// put changes entries now and sends the change to all subscribers that watch. The caller holds mu.
+// put applies a change immediately and sends it to all subscribers that watch the list. The caller must hold mu.
 func (r *Registry) put(entries []wire.Entry) {
 	r.version++
 	for _, entry := range entries {
@@ -49,8 +51,9 @@
 	}
 }
 
-// AssignSlice assigns a slice to all pilots that are connected or will be, or takes it from them, as the store of a
-// deployment with slices would.
+// AssignSlice stores the assignment of a slice, or its removal, and sends it to all connected pilots. Pilots that
+// connect later receive the assigned slices with the complete list. In a deployment with slices, a store sends these
+// messages.
 func (r *Registry) AssignSlice(slice wire.Slices) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
