--- a/internal/testbed/registry/registry.go
+++ b/internal/testbed/registry/registry.go
@@ -1,5 +1,5 @@
-// Package registry is the source of the endpoint list for tests: it streams the whole list and then its changes, late,
-// over the framed protocol, and can die and come back.
+// Package registry implements the source of the endpoint list for tests. It streams the complete list and then its
+// changes over the framed protocol. Changes can be delayed, and the service can be stopped and restarted.
 package registry
 
 import (
@@ -15,23 +15,23 @@
 	"indigousher/internal/wire"
 )
 
-// Registry is the source of the list. The list outlives the service's stops.
+// Registry holds an endpoint list and serves it to pilots. The list is kept while the service is stopped.
 type Registry struct {
 	events    *eventlog.Stream
-	tlsConfig *tls.Config // nil: without TLS
+	tlsConfig *tls.Config // nil means that TLS is not used
 	wg        sync.WaitGroup
 
-	mu          sync.Mutex // guards what follows
-	address     string     // empty before the first start
-	cancel      context.CancelFunc
-	version     int
-	entries     map[string]wire.Entry // by endpoint
-	slices      map[int]wire.Slices   // as last assigned, by slice
+	mu          sync.Mutex            // guards the fields below
+	address     string                // listen address; empty before the first start
+	cancel      context.CancelFunc    // stops the running service; nil before the first start
+	version     int                   // incremented by each change of the list
+	entries     map[string]wire.Entry // by name of the endpoint
+	slices      map[int]wire.Slices   // last assignment or removal, by number of the slice
 	subscribers map[*subscriber]bool
-	timers      map[*time.Timer]bool // of changes that are still to come
+	timers      map[*time.Timer]bool // timers of delayed changes
 }
 
-// New returns a registry with an empty list that is not served.
+// New returns a registry with an empty list. It is not served until Start.
 func New(events *eventlog.Stream) *Registry {
 	return &Registry{
 		events:      events,
@@ -42,16 +42,16 @@
 	}
 }
 
-// UseTLS has the list served under TLS from its next start on.
+// UseTLS sets the TLS configuration for subsequent calls of Start; nil disables TLS.
 func (r *Registry) UseTLS(c *tls.Config) { r.tlsConfig = c }
 
-// Start serves the list, at the address of the first time, until Stop.
+// Start serves the list until Stop. Every start after the first uses the address of the first.
 func (r *Registry) Start() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	listener, err := network.Listen(r.address)
 	if err != nil {
-		return fmt.Errorf("start list: %w", err)
+		return fmt.Errorf("start registry: %w", err)
 	}
 	r.address = listener.Addr().String()
 	if r.tlsConfig != nil {
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// accept serves pilots until the listener closes.
+// accept serves connections of pilots until the listener is closed.
 func (r *Registry) accept(ctx context.Context, listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -76,7 +76,7 @@
 	}
 }
 
-// Stop ends the service and returns when its goroutines have ended. The list is kept.
+// Stop stops the service and waits for its goroutines. The list is kept.
 func (r *Registry) Stop() {
 	r.closeConnections()
 	r.wg.Wait()
@@ -94,7 +94,7 @@
 	}
 }
 
-// Close ends the service and drops the changes that are still to come.
+// Close stops the service and cancels all delayed changes.
 func (r *Registry) Close() {
 	r.stopTimers()
 	r.Stop()
@@ -108,7 +108,7 @@
 	}
 }
 
-// Address returns where pilots connect.
+// Address returns the address at which the list is served, or "" before the first start.
 func (r *Registry) Address() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
