--- a/internal/testbed/registry/subscriber.go
+++ b/internal/testbed/registry/subscriber.go
@@ -13,31 +13,31 @@
 )
 
 const (
-	// maxQueuedChanges is how many changes may wait for a pilot that reads slowly; one more ends its connection.
+	// maxQueuedChanges is the maximum number of messages queued for a slow pilot; beyond it the connection is closed.
 	maxQueuedChanges = 1024
-	// askReadLimit bounds what a pilot may send in one message, in bytes.
+	// askReadLimit is the maximum size of a message from a pilot, in bytes.
 	askReadLimit = 1 << 12
-	// beatInterval is how often a beat shows that the connection lives.
+	// beatInterval is the interval between heartbeats.
 	beatInterval = 300 * time.Millisecond
-	// writeTimeout is how long a message may take to write; beyond it the connection has broken.
+	// writeTimeout is the write timeout of a message; the connection is closed when it expires.
 	writeTimeout = 2 * time.Second
 )
 
-// Values of eventlog.Told.
+// Special values in the fields of events of type eventlog.Told.
 const (
-	wholeList  = -1   // N: a whole list begins; what it does not name is gone
-	unknownAge = -1.0 // Value, in ms
+	wholeList  = -1   // N: a complete list starts; endpoints that it does not contain have been removed
+	unknownAge = -1.0 // Value: the age of the endpoint is unknown
 )
 
-// subscriber is a pilot that is connected. Its name and whether it watches are guarded by the registry's mu.
+// subscriber is a connected pilot. The fields name and watches are guarded by Registry.mu.
 type subscriber struct {
 	conn    net.Conn
-	queue   chan wire.Message // to be written
-	name    string            // empty before it has asked
-	watches bool              // gets changes
+	queue   chan wire.Message // messages to write
+	name    string            // name of the pilot; empty before its first request
+	watches bool              // whether the pilot receives changes
 }
 
-// push queues a message. If the queue is full the connection ends, as the pilot has missed something.
+// push queues a message. If the queue is full, it closes the connection, because the pilot would miss a change.
 func (s *subscriber) push(m wire.Message) {
 	select {
 	case s.queue <- m:
@@ -46,7 +46,8 @@
 	}
 }
 
-// serve answers one connection until it ends. Another goroutine writes; it has ended when serve returns.
+// serve handles the requests of one connection until it is closed. It starts a goroutine that writes messages and waits
+// for it before it returns.
 func (r *Registry) serve(ctx context.Context, conn net.Conn) {
 	s := &subscriber{conn: conn, queue: make(chan wire.Message, maxQueuedChanges)}
 	r.addSubscriber(s)
@@ -85,7 +86,7 @@
 	delete(r.subscribers, s)
 }
 
-// answer queues what a pilot asks for.
+// answer handles a request of a pilot. It queues the complete list and the assigned slices if the pilot asks for them.
 func (r *Registry) answer(s *subscriber, ask *wire.ListRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,9 +107,9 @@
 	}
 }
 
-// write writes what is queued, and beats, until the connection breaks or ctx ends.
+// write writes queued messages and heartbeats until the connection fails or ctx is done.
 func (r *Registry) write(ctx context.Context, s *subscriber) {
-	defer func() { _ = s.conn.Close() }() // the connection is over
+	defer func() { _ = s.conn.Close() }() // also ends the reader in serve
 	writer := wire.NewWriter(s.conn)
 	beats := time.NewTicker(beatInterval)
 	defer beats.Stop()
@@ -123,14 +124,14 @@
 		if list, ok := message.(*wire.List); ok {
 			r.logUpdate(s, list)
 		}
-		_ = s.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // if it failed, so will the write
+		_ = s.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // if this fails, the write fails too
 		if _, err := writer.Write(message); err != nil {
 			return
 		}
 	}
 }
 
-// logUpdate logs what a pilot is told: each entry, and for a whole list first that it begins.
+// logUpdate logs the entries of a list message that is sent to a pilot, preceded by a marker if the list is complete.
 func (r *Registry) logUpdate(s *subscriber, list *wire.List) {
 	r.mu.Lock()
 	pilot := s.name
@@ -150,7 +151,7 @@
 	}
 }
 
-// ageMs returns for how long an endpoint has run at a time on the list's clock.
+// ageMs returns how long an endpoint has been running, in ms, or unknownAge. now is a time on the registry's clock.
 func ageMs(entry wire.Entry, now uint64) float64 {
 	if entry.Started == 0 {
 		return unknownAge
