--- a/internal/testbed/relay/channel.go
+++ b/internal/testbed/relay/channel.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// message is what one call brings to one proxy.
+// message holds the changes that one call causes for one proxy.
 type message struct {
-	proxy   int
+	proxy   int // number of the proxy
 	changes []change
-	lines   int // that it takes in the channel
+	lines   int // size in the channel, in lines, including the overhead of the message
 }
 
-// change is one line of a message.
+// change is one line of a message. At most one kind of change is set.
 type change struct {
-	clear      bool // of all lines; the proxy uses a table from then on
-	endpoint   string
-	weight     *float64 // nil: not a weight
-	excluded   *bool    // nil: not an exclusion
-	ackRequest int      // 0: none
+	clear      bool     // remove all lines and stop using the static table
+	endpoint   string   // endpoint that weight or excluded applies to
+	weight     *float64 // new weight; nil if the change does not set a weight
+	excluded   *bool    // whether the endpoint is excluded; nil if the change does not set this
+	ackRequest int      // ticket of an ack request; 0 if the change is none
 }
 
 func (m *message) add(c change) {
@@ -26,8 +26,8 @@
 	m.lines++
 }
 
-// send puts a message into the channel: it leaves after all before it, and is applied one transit later. The caller
-// holds mu.
+// send queues a message in the channel. The message leaves the channel after all earlier messages, and the proxy
+// applies it after a further Config.Transit. The caller must hold mu.
 func (r *Relay) send(m *message) {
 	r.waiting += m.lines
 	r.mostWaiting = max(r.mostWaiting, r.waiting)
@@ -41,19 +41,19 @@
 	time.AfterFunc(leaves+r.config.Transit, func() { r.arrived(m) })
 }
 
-// sendingTime returns how long a message takes to leave the channel.
+// sendingTime returns how long the channel takes to send a message, at Config.LinesPerSecond.
 func (r *Relay) sendingTime(m *message) time.Duration {
 	return time.Duration(float64(m.lines) / r.config.LinesPerSecond * float64(time.Second))
 }
 
-// left takes a message out of the channel.
+// left removes the lines of a sent message from the count of waiting lines.
 func (r *Relay) left(m *message) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.waiting -= m.lines
 }
 
-// arrived has a proxy apply a message and acknowledge it where asked to.
+// arrived applies a message to the state of its proxy and publishes the requested acks.
 func (r *Relay) arrived(m *message) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
