--- a/internal/testbed/relay/commands.go
+++ b/internal/testbed/relay/commands.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Verbs of commands, as the platform spells them.
+// Verbs of commands, as the platform's relay API names them.
 const (
 	setWeight    = "SET"
 	clearTable   = "DEL"
@@ -18,22 +18,22 @@
 	requestAck   = "SYNC"
 )
 
-// command is one command of a call.
+// command is one command of a call. Which fields are used depends on the verb.
 type command struct {
 	Verb     string  `json:"verb"`
-	Cluster  *int    `json:"cluster"` // number of a table; nil: all
+	Cluster  *int    `json:"cluster"` // number of a table; nil means all tables
 	Endpoint string  `json:"endpoint"`
 	Weight   float64 `json:"w"`
 	Node     int     `json:"node"`   // number of a proxy
-	Ticket   int     `json:"ticket"` // of an ack request
+	Ticket   int     `json:"ticket"` // number of an ack request
 	Set      int     `json:"set"`
 }
 
-// truncatedAnswer is what an unreadable answer looks like.
+// truncatedAnswer is the body of an answer that cannot be parsed: JSON that ends too early.
 const truncatedAnswer = `{"ok_cou`
 
-// handleCall executes a call, unless the relay fails and the call is not to be executed. It returns the answer, and
-// how the relay fails.
+// handleCall executes the commands of a call and returns the answer and the current failure mode. While the relay
+// fails, it executes only the calls that were selected in Fail.
 func (r *Relay) handleCall(body []byte) (answer string, failure Failure) {
 	var call struct {
 		Ops []command `json:"ops"`
@@ -57,8 +57,8 @@
 	return answer, r.failure
 }
 
-// execute executes commands up to the first that names an unknown proxy, and returns how many it executed. The caller
-// holds mu, as for all below.
+// execute executes commands up to the first that names an unknown proxy and returns how many it executed. The caller
+// must hold mu.
 func (r *Relay) execute(commands []command) (executed int) {
 	messages := map[int]*message{} // by proxy
 	for _, c := range commands {
@@ -74,7 +74,8 @@
 	return executed
 }
 
-// apply changes the tables as commanded, and adds what that changes for each proxy to its message.
+// apply executes one command on the tables and exclusions, and adds the resulting changes to the messages of the
+// affected proxies. The caller must hold mu.
 func (r *Relay) apply(c command, messages map[int]*message) {
 	switch c.Verb {
 	case setWeight:
@@ -91,7 +92,7 @@
 		r.excluded[c.Endpoint] = excluded
 		r.addForHolders(messages, c.Endpoint, change{endpoint: c.Endpoint, excluded: &excluded})
 	case setAdmission:
-		r.addForUsers(messages, c.Cluster, change{}) // costs a line; admission itself is of no concern here
+		r.addForUsers(messages, c.Cluster, change{}) // takes a line in the channel; admission levels are not simulated
 	case requestAck:
 		for _, m := range messages {
 			m.add(change{ackRequest: c.Ticket})
@@ -99,7 +100,7 @@
 	}
 }
 
-// table returns the lines of a table as commanded.
+// table returns the weights of a table by endpoint, and creates the table if necessary. The caller must hold mu.
 func (r *Relay) table(number int) map[string]float64 {
 	if r.tables[number] == nil {
 		r.tables[number] = map[string]float64{}
@@ -107,7 +108,8 @@
 	return r.tables[number]
 }
 
-// assign puts a proxy on a table: it gets all lines, and which of the endpoints are excluded.
+// assign makes a proxy use a table. It adds all lines of the table and the exclusions of its endpoints to the message
+// of the proxy. The caller must hold mu.
 func (r *Relay) assign(messages map[int]*message, p *proxyState, table int) {
 	p.table = &table
 	r.addFor(messages, p, change{clear: true})
@@ -122,7 +124,8 @@
 	}
 }
 
-// addForUsers adds a change to the message of each proxy on a table, or of all proxies if the table is nil.
+// addForUsers adds a change to the message of each proxy that uses a table, or of all proxies if table is nil. The
+// caller must hold mu.
 func (r *Relay) addForUsers(messages map[int]*message, table *int, c change) {
 	for _, p := range r.proxies {
 		if table == nil || p.table != nil && *p.table == *table {
@@ -131,7 +134,7 @@
 	}
 }
 
-// addForHolders adds a change to the message of each proxy whose table names an endpoint.
+// addForHolders adds a change to the message of each proxy whose table contains an endpoint. The caller must hold mu.
 func (r *Relay) addForHolders(messages map[int]*message, endpoint string, c change) {
 	for _, p := range r.proxies {
 		holds := slices.Contains(r.config.StaticTable[p.Zone], endpoint)
@@ -144,7 +147,7 @@
 	}
 }
 
-// addFor adds a change to the message of one proxy.
+// addFor adds a change to the message of one proxy and creates the message if necessary. The caller must hold mu.
 func (r *Relay) addFor(messages map[int]*message, p *proxyState, c change) {
 	if messages[p.Number] == nil {
 		messages[p.Number] = &message{proxy: p.Number, lines: r.config.OverheadLines}
