--- a/internal/testbed/relay/events.go
+++ b/internal/testbed/relay/events.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// keepaliveInterval is how often an event stream carries an empty event.
+	// keepaliveInterval is the interval at which an empty event is sent on each event stream.
 	keepaliveInterval = time.Second
-	// streamBuffer is how many events may wait for a reader; one that lags further behind is cut off.
+	// streamBuffer is the maximum number of events queued for a slow reader; beyond it the connection is closed.
 	streamBuffer = 4096
 )
 
-// streamEvents writes which proxies are connected and then every event, until the connection breaks. While the relay is
-// silent events are lost.
+// streamEvents writes the connected proxies and then all events to a connection until it is closed. Events are lost
+// while the relay is in the failure mode Silent.
 func (r *Relay) streamEvents(conn net.Conn) {
 	events, ok := r.subscribe(conn)
 	if !ok {
@@ -25,7 +25,7 @@
 	defer r.unsubscribe(conn)
 	closed := make(chan struct{})
 	go func() {
-		_, _ = io.Copy(io.Discard, conn) // ends when the connection does
+		_, _ = io.Copy(io.Discard, conn) // returns when the connection is closed
 		close(closed)
 	}()
 	ticker := time.NewTicker(keepaliveInterval)
@@ -48,8 +48,9 @@
 	}
 }
 
-// subscribe opens an event stream, which begins with the proxies that are connected. It returns false while streams
-// are broken. A stream that is opened in a silence never carries anything.
+// subscribe opens an event stream and queues a joined event for each connected proxy. It returns false while streams
+// are broken by BreakStreams. A stream that is opened during the failure mode Silent never receives an event, not even
+// after Recover.
 func (r *Relay) subscribe(conn net.Conn) (events chan string, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -75,7 +76,8 @@
 	delete(r.streams, conn)
 }
 
-// publish hands an event to all streams, unless the relay is silent. The caller holds mu.
+// publish queues an event on all streams, unless the failure mode is Silent. It closes streams whose queue is full. The
+// caller must hold mu.
 func (r *Relay) publish(event string) {
 	if r.failure == Silent {
 		return
@@ -89,5 +91,5 @@
 	}
 }
 
-// chunk returns an event as a line in HTTP's chunked encoding.
+// chunk returns an event, followed by a newline, as one chunk of the HTTP chunked transfer encoding.
 func chunk(event string) string { return fmt.Sprintf("%x\r\n%s\n\r\n", len(event)+1, event) }
