--- a/internal/testbed/relay/failure.go
+++ b/internal/testbed/relay/failure.go
@@ -1,21 +1,21 @@
 package relay
 
-// Failure is a way in which the relay fails its calls.
+// Failure is a failure mode of the relay.
 type Failure int
 
 const (
-	// None is no failure.
+	// None means normal operation.
 	None Failure = iota
-	// Silent neither answers calls nor publishes events.
+	// Silent means that the relay neither answers calls nor publishes events.
 	Silent
-	// Unreadable answers calls with what can't be parsed.
+	// Unreadable means that the relay answers calls with invalid JSON.
 	Unreadable
-	// Resetting resets the connection of a call once it is read.
+	// Resetting means that the relay reads each call and then resets its connection.
 	Resetting
 )
 
-// Fail has the relay fail its calls until Recover. The n-th call read meanwhile, from 1, is executed all the same if
-// executes says so.
+// Fail sets the failure mode until Recover. During the failure, the n-th call with commands, counted from 1, is
+// nevertheless executed if executes(n) returns true.
 func (r *Relay) Fail(failure Failure, executes func(n int) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -24,7 +24,7 @@
 	r.calls = 0
 }
 
-// Recover has the relay answer again. If it was silent it resets all connections, as after a restart.
+// Recover ends the failure mode set by Fail. If it was Silent, all connections are reset, as after a restart.
 func (r *Relay) Recover() {
 	r.mu.Lock()
 	ended := r.failure
@@ -35,7 +35,8 @@
 	}
 }
 
-// BreakStreams resets the event streams and every new one, or accepts them again. Events meanwhile are lost.
+// BreakStreams resets all open event streams and every new one, or accepts new streams again if broken is false. Events
+// published while streams are broken are lost.
 func (r *Relay) BreakStreams(broken bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
