--- a/internal/testbed/relay/relay.go
+++ b/internal/testbed/relay/relay.go
@@ -1,7 +1,7 @@
-// Package relay is the platform's relay on loopback for tests. It takes commands and publishes events over HTTP, makes
-// one message for each proxy concerned, and sends the messages one after another at a fixed pace, so that tests see how
-// full the channel gets and when each proxy stops sending to an endpoint. It can fail for a while. It knows one group
-// of request classes, decides nothing, and never calls the pilot.
+// Package relay implements a fake of the platform's relay for tests, on a loopback address. It receives commands and
+// publishes events over HTTP. For each call it creates one message per affected proxy and sends the messages in order
+// at a fixed rate, so that tests can observe how full the channel gets and when each proxy stops sending to an
+// endpoint. Failures can be injected. The relay supports a single group of request classes and never calls the pilot.
 package relay
 
 import (
@@ -15,25 +15,25 @@
 type Proxy struct {
 	Number int
 	Zone   string
-	Rate   float64 // requests a second
+	Rate   float64 // requests per second
 }
 
-// Config is what a relay is started with.
+// Config holds the settings of a relay.
 type Config struct {
 	Proxies        []Proxy
-	StaticTable    map[string][]string // by zone: endpoints that its proxies send to before a table is assigned
-	LinesPerSecond float64             // pace of the channel
-	OverheadLines  int                 // lines that each message costs beside its own
-	Transit        time.Duration       // from leaving the channel to the proxy
+	StaticTable    map[string][]string // by zone: endpoints that proxies send to before they have applied a table
+	LinesPerSecond float64             // rate at which the channel sends lines
+	OverheadLines  int                 // lines that each message takes in the channel in addition to its changes
+	Transit        time.Duration       // time from leaving the channel until a message is applied by the proxy
 }
 
-// proxyState is what a proxy has applied, and which table the relay has it on.
+// proxyState holds the table that is assigned to a proxy and the state that the proxy has applied.
 type proxyState struct {
 	Proxy
-	table    *int               // as commanded; nil before the first
-	assigned bool               // as applied: sends by its lines, no longer by the static table
-	lines    map[string]float64 // as applied: weights by endpoint
-	excluded map[string]bool    // as applied
+	table    *int               // number of the table assigned by the last command; nil before the first
+	assigned bool               // whether the proxy has applied a table and no longer uses the static table
+	lines    map[string]float64 // applied weights, by endpoint
+	excluded map[string]bool    // applied exclusions, by endpoint
 }
 
 // Relay is a running relay.
@@ -41,24 +41,24 @@
 	config Config
 	sockets
 
-	mu       sync.Mutex // guards what follows, and the event streams
-	proxies  map[int]*proxyState
-	tables   map[int]map[string]float64 // as commanded
-	excluded map[string]bool            // as commanded
+	mu       sync.Mutex                 // guards the fields below and sockets.streams
+	proxies  map[int]*proxyState        // by number of the proxy
+	tables   map[int]map[string]float64 // commanded weights, by number of the table and endpoint
+	excluded map[string]bool            // commanded exclusions, by endpoint
 
-	// The channel, in lines.
-	channelFreeAt time.Time // when everything in it has left
-	waiting       int
-	mostWaiting   int
+	// State of the channel.
+	channelFreeAt time.Time // time at which all queued messages will have been sent
+	waiting       int       // lines in the channel
+	mostWaiting   int       // maximum of waiting since the start
 
-	// Faults.
+	// Injected failures.
 	failure       Failure
-	executes      func(call int) bool // whether a call that fails is executed nevertheless
-	calls         int                 // with commands, since the start or since the last failure began
-	streamsBroken bool                // event streams are reset at once
+	executes      func(call int) bool // whether a call is executed although the relay fails, see Fail
+	calls         int                 // number of calls with commands since Start or the last Fail
+	streamsBroken bool                // new event streams are reset immediately
 }
 
-// Start serves on a free port of the loopback address until Close.
+// Start starts a relay on a free port of the loopback address. It runs until Close.
 func Start(config Config) (*Relay, error) {
 	r := &Relay{
 		config:   config,
@@ -75,21 +75,21 @@
 	return r, nil
 }
 
-// Calls returns how many calls with commands were read since the start or since the last failure began.
+// Calls returns the number of calls with commands that were received since Start or the last call of Fail.
 func (r *Relay) Calls() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.calls
 }
 
-// Waiting returns the lines that wait in the channel now, and the most that ever did.
+// Waiting returns the number of lines in the channel now and its maximum since the start.
 func (r *Relay) Waiting() (now, most int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.waiting, r.mostWaiting
 }
 
-// AssignedCount returns how many proxies have applied a table.
+// AssignedCount returns the number of proxies that have applied a table.
 func (r *Relay) AssignedCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -102,7 +102,7 @@
 	return count
 }
 
-// Senders returns the numbers of the proxies that still send to an endpoint, sorted.
+// Senders returns the sorted numbers of the proxies that send to an endpoint according to the state they have applied.
 func (r *Relay) Senders(endpoint string) (proxies []int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
