--- a/internal/testbed/relay/server.go
+++ b/internal/testbed/relay/server.go
@@ -9,33 +9,33 @@
 	"sync"
 )
 
-// eventsPath is where event streams are asked for; everything else is a call.
+// eventsPath is the URL path of event streams. Requests for any other path are calls.
 const eventsPath = "/v1/events"
 
-// sockets are the relay's listener and connections.
+// sockets holds the listener and the connections of a relay.
 type sockets struct {
 	listener net.Listener
 	connsMu  sync.Mutex
 	conns    map[net.Conn]bool        // guarded by connsMu
-	streams  map[net.Conn]chan string // events that wait to be written; guarded by the relay's mu
+	streams  map[net.Conn]chan string // queued events, by connection; guarded by Relay.mu
 }
 
 func (r *Relay) listen() error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return fmt.Errorf("listen for the pilot: %w", err)
+		return fmt.Errorf("listen for relay: %w", err)
 	}
 	r.listener = listener
 	r.conns = map[net.Conn]bool{}
 	r.streams = map[net.Conn]chan string{}
-	go r.accept() // ends with Close
+	go r.accept() // returns after Close
 	return nil
 }
 
-// Address returns the host and port that the relay listens at.
+// Address returns the host and port at which the relay listens.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Close ends the relay and all connections.
+// Close stops the relay and resets all connections.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
 	r.resetAll()
@@ -50,10 +50,10 @@
 	}
 }
 
-// reset ends a connection as a machine does that has come back and knows nothing of it.
+// reset closes a connection with a TCP RST, as a machine does for connections from before its restart.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // if it failed, the connection ends in order
+		_ = tcp.SetLinger(0) // if this fails, the connection is closed with a FIN instead
 	}
 	_ = conn.Close()
 }
@@ -67,7 +67,7 @@
 		r.connsMu.Lock()
 		r.conns[conn] = true
 		r.connsMu.Unlock()
-		go r.serve(conn) // ends when the connection does
+		go r.serve(conn) // returns when the connection is closed
 	}
 }
 
@@ -77,7 +77,7 @@
 	delete(r.conns, conn)
 }
 
-// serve handles the calls of a connection one after another, or streams events over it.
+// serve handles the calls of a connection in order. If the client requests eventsPath, it streams events from then on.
 func (r *Relay) serve(conn net.Conn) {
 	defer func() {
 		_ = conn.Close()
@@ -103,12 +103,12 @@
 	}
 }
 
-// answerCall handles one call and returns whether the connection stays open.
+// answerCall handles one call, answers it as the failure mode requires, and returns whether the connection stays open.
 func (r *Relay) answerCall(conn net.Conn, body []byte) bool {
 	answer, failure := r.handleCall(body)
 	switch failure {
 	case Silent:
-		return true // read on until the connection is reset
+		return true // continue to read until the connection is reset
 	case Resetting:
 		reset(conn)
 		return false
