--- a/internal/testbed/proxy/connection.go
+++ b/internal/testbed/proxy/connection.go
@@ -11,19 +11,19 @@
 	"indigousher/internal/wire"
 )
 
-// errNotSent says that nothing of a request was sent, so that it can't have run.
-var errNotSent = errors.New("the try never left")
+// errNotSent means that no part of a request was sent, so that no endpoint can have executed it.
+var errNotSent = errors.New("request was not sent")
 
-// connection is an open connection with the requests that wait on it.
+// connection is an open connection and the requests that wait for an answer on it.
 type connection struct {
 	conn    net.Conn
 	address string
 
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex // guards the fields below
 	writer     *wire.Writer
-	lastNumber uint64
-	waiting    map[uint64]chan *wire.Response // by number; each has room for its one answer
-	err        error                          // why the connection failed; nil while it is open
+	lastNumber uint64                         // number of the last request; 0 before the first
+	waiting    map[uint64]chan *wire.Response // by number of the request; each channel is buffered for its answer
+	err        error                          // error that closed the connection; nil while it is open
 }
 
 func newConnection(conn net.Conn, address string) *connection {
@@ -45,7 +45,7 @@
 	select {
 	case a, ok := <-answer:
 		if !ok {
-			return nil, fmt.Errorf("connection to %s broke", c.address)
+			return nil, fmt.Errorf("connection to %s closed before the answer", c.address)
 		}
 		return a, nil
 	case <-ctx.Done():
@@ -53,8 +53,8 @@
 	}
 }
 
-// send numbers and sends a request, and returns where its answer will come; the channel is closed if the connection
-// fails. The error of a write is not errNotSent, as part of the request, or all of it, may have arrived.
+// send assigns a number to a request, sends it and returns the channel that will receive the answer; the channel is
+// closed if the connection fails. A write error is not errNotSent, because part or all of the request may have arrived.
 func (c *connection) send(req *wire.Request) (<-chan *wire.Response, error) {
 	answer := make(chan *wire.Response, 1)
 	c.mu.Lock()
@@ -65,7 +65,7 @@
 	c.lastNumber++
 	req.Number = c.lastNumber
 	c.waiting[req.Number] = answer
-	_ = c.conn.SetWriteDeadline(time.Now().Add(requestWriteTimeout)) // if it failed, so will the write
+	_ = c.conn.SetWriteDeadline(time.Now().Add(requestWriteTimeout)) // if this fails, the write fails too
 	_, err := c.writer.Write(req)
 	c.mu.Unlock()
 	if err != nil {
@@ -93,7 +93,7 @@
 	return len(c.waiting) == 0
 }
 
-// fail closes the connection and tells all requests that wait on it.
+// fail closes the connection and the answer channels of all waiting requests. Only the first error is kept.
 func (c *connection) fail(err error) {
 	_ = c.conn.Close()
 	c.mu.Lock()
@@ -108,7 +108,7 @@
 	clear(c.waiting)
 }
 
-// receive hands each answer to its request until the connection fails.
+// receive reads answers and delivers them to the waiting requests until the connection fails.
 func (c *connection) receive() {
 	reader := wire.NewReader(c.conn, requestReadLimit)
 	for {
@@ -126,7 +126,7 @@
 	}
 }
 
-// deliver hands an answer to its request, if that still waits.
+// deliver passes an answer to its request, or drops it if the request is no longer waiting.
 func (c *connection) deliver(answer *wire.Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
