--- a/internal/testbed/proxy/framed.go
+++ b/internal/testbed/proxy/framed.go
@@ -10,7 +10,7 @@
 	"indigousher/internal/wire"
 )
 
-// Framed joins over the framed wire, under TLS if the configuration is not nil.
+// Framed returns a Joiner for the framed protocol. It uses TLS if tlsConfig is not nil.
 func Framed(tlsConfig *tls.Config) Joiner {
 	return func(ctx context.Context, dial Dial, address string, hello *wire.Hello) (Stream, *wire.Welcome, error) {
 		conn, err := dial(ctx, "tcp", address)
@@ -30,14 +30,14 @@
 	}
 }
 
-// framedStream is a stream over the framed wire.
+// framedStream implements Stream over the framed protocol.
 type framedStream struct {
 	conn   net.Conn
 	writer *wire.Writer
 	reader *wire.Reader
 }
 
-// greet says hello and returns the welcome.
+// greet sends the hello message and returns the welcome of the pilot.
 func (s *framedStream) greet(hello *wire.Hello) (*wire.Welcome, error) {
 	if err := s.Write(hello, helloTimeout); err != nil {
 		return nil, err
@@ -48,21 +48,21 @@
 	}
 	welcome, ok := message.(*wire.Welcome)
 	if !ok {
-		return nil, fmt.Errorf("%T to a hello: %w", message, wire.ErrType)
+		return nil, fmt.Errorf("unexpected answer %T to hello: %w", message, wire.ErrType)
 	}
 	return welcome, nil
 }
 
 // Write implements Stream.
 func (s *framedStream) Write(m wire.Message, timeout time.Duration) error {
-	_ = s.conn.SetWriteDeadline(time.Now().Add(timeout)) // if it failed, so will the write
+	_ = s.conn.SetWriteDeadline(time.Now().Add(timeout)) // if this fails, the write fails too
 	_, err := s.writer.Write(m)
 	return err
 }
 
 // Read implements Stream.
 func (s *framedStream) Read(timeout time.Duration) (wire.Message, error) {
-	_ = s.conn.SetReadDeadline(time.Now().Add(timeout)) // if it failed, so will the read
+	_ = s.conn.SetReadDeadline(time.Now().Add(timeout)) // if this fails, the read fails too
 	return s.reader.Read()
 }
 
