--- a/internal/testbed/proxy/grpc.go
+++ b/internal/testbed/proxy/grpc.go
@@ -20,13 +20,14 @@
 	pb "indigousher/proto/indigousher/v1"
 )
 
-// maxGRPCMessage bounds the messages that a proxy takes over gRPC, in bytes. Proto may need more than the framed wire.
+// maxGRPCMessage is the maximum size of a message that a proxy receives over gRPC, in bytes. It is larger than
+// wire.MaxFrame because the protobuf encoding of a message can be larger than its encoding in the framed protocol.
 const maxGRPCMessage = wire.MaxFrame * 4
 
-// errSilent says that a pilot sent nothing for too long.
-var errSilent = errors.New("nothing was heard")
+// errSilent means that no message from the pilot arrived within the read timeout.
+var errSilent = errors.New("no message from the pilot within the timeout")
 
-// GRPC joins over gRPC, under TLS if the configuration is not nil, with compressed messages if asked for.
+// GRPC returns a Joiner for gRPC. It uses TLS if tlsConfig is not nil, and gzip compression if compress is true.
 func GRPC(tlsConfig *tls.Config, compress bool) Joiner {
 	return func(ctx context.Context, dial Dial, address string, hello *wire.Hello) (Stream, *wire.Welcome, error) {
 		conn, err := newGRPCConn(tlsConfig, dial, address)
@@ -45,7 +46,7 @@
 			stream.Close()
 			return nil, nil, err
 		}
-		go stream.receive() // ends after Close, by its context
+		go stream.receive() // returns after Close, which cancels its context
 		return stream, welcome, nil
 	}
 }
@@ -62,39 +63,39 @@
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxGRPCMessage)))
 }
 
-// grpcStream is a stream over gRPC; what it reads and writes takes the form of the framed wire's messages.
+// grpcStream implements Stream over gRPC. It converts between gRPC messages and those of the framed protocol.
 type grpcStream struct {
 	conn     *grpc.ClientConn
 	stream   grpc.BidiStreamingClient[pb.Upward, pb.Downward]
-	cancel   context.CancelFunc // of the stream's context
-	received chan *pb.Downward
-	failed   chan struct{} // closed when nothing more is received
-	err      error         // why; set before failed is closed
-
-	mu             sync.Mutex // guards what follows
-	last           uint32     // number of the last message read
-	unacknowledged []assignment
+	cancel   context.CancelFunc // cancels the context of the stream
+	received chan *pb.Downward  // messages for Read
+	failed   chan struct{}      // closed when receiving has ended
+	err      error              // error that ended receiving; set before failed is closed
+
+	mu             sync.Mutex   // guards the fields below
+	last           uint32       // number of the last message read; 0 before the first
+	unacknowledged []assignment // in the order in which they were read
 }
 
-// assignment is an assignment that was read and not acknowledged yet.
+// assignment is an assignment message that has been read but not acknowledged.
 type assignment struct {
-	message     uint32 // its number in the stream
+	message     uint32 // number of the message in the stream, counted from 1
 	version     uint64
 	ackRequests []uint32
 }
 
-// greet opens the stream, says hello and returns the welcome. Its context is that of the stream; it is cancelled if all
-// that takes too long.
+// greet opens the stream, sends the hello message and returns the welcome of the pilot. ctx is the context of the whole
+// stream; it is cancelled if the welcome does not arrive within helloTimeout.
 func (s *grpcStream) greet(ctx context.Context, hello *wire.Hello, compress bool) (*wire.Welcome, error) {
 	timer := time.AfterFunc(helloTimeout, s.cancel)
 	first, err := s.open(ctx, hello, compress)
 	if !timer.Stop() || err != nil {
-		s.cancel() // the timer may have fired and not cancelled yet
+		s.cancel() // the timer may have fired without having called cancel yet
 		return nil, errors.Join(err, context.Cause(ctx))
 	}
 	welcome := first.GetWelcome()
 	if welcome == nil {
-		return nil, fmt.Errorf("no welcome: %w", wire.ErrType)
+		return nil, fmt.Errorf("first message from the pilot is not a welcome: %w", wire.ErrType)
 	}
 	return &wire.Welcome{
 		Version:        int(welcome.GetVersion()),
@@ -104,7 +105,7 @@
 	}, nil
 }
 
-// open opens the stream, says hello and returns the first message.
+// open opens the stream, sends the hello message and returns the first message from the pilot.
 func (s *grpcStream) open(ctx context.Context, hello *wire.Hello, compress bool) (*pb.Downward, error) {
 	var options []grpc.CallOption
 	if compress {
@@ -121,7 +122,7 @@
 	return stream.Recv()
 }
 
-// receive hands messages to Read until the stream ends, so that Read can have a timeout.
+// receive passes messages to Read until the stream ends. It runs in its own goroutine so that Read can time out.
 func (s *grpcStream) receive() {
 	defer close(s.failed)
 	for {
@@ -139,8 +140,8 @@
 	}
 }
 
-// Write implements Stream. An ack or a beat acknowledges the assignments that it shows to be dealt with. The timeout is
-// not used, as gRPC has none for a single message.
+// Write implements Stream. A wire.Done or wire.Heartbeat message acknowledges the assignments that it reports as
+// processed. The timeout is ignored, because gRPC has no timeout for a single message.
 func (s *grpcStream) Write(message wire.Message, _ time.Duration) error {
 	switch m := message.(type) {
 	case *wire.LoadReport:
@@ -155,10 +156,11 @@
 		}
 		return s.stream.Send(&pb.Upward{Says: &pb.Upward_Beat{Beat: &pb.Beat{}}})
 	}
-	return fmt.Errorf("%T from a proxy: %w", message, wire.ErrType)
+	return fmt.Errorf("proxy cannot send %T over gRPC: %w", message, wire.ErrType)
 }
 
-// acknowledge acknowledges all assignments up to the last that is due.
+// acknowledge acknowledges all assignments up to and including the last one for which due returns true. It sends
+// nothing if there is none. tookMs is how long applying the last one took, in ms; 0 if unknown.
 func (s *grpcStream) acknowledge(tookMs float64, due func(assignment) bool) error {
 	version, found := s.takeDue(due)
 	if !found {
@@ -167,7 +169,7 @@
 	return s.stream.Send(&pb.Upward{Says: &pb.Upward_Ack{Ack: &pb.Ack{Version: version, TookMs: tookMs}}})
 }
 
-// takeDue removes all assignments up to the last that is due, and returns the version of that one.
+// takeDue removes all assignments up to and including the last one for which due returns true, and returns its version.
 func (s *grpcStream) takeDue(due func(assignment) bool) (version uint64, found bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -195,7 +197,8 @@
 	}
 }
 
-// translate numbers a message and returns it in the framed wire's form; what that has no form for counts as a beat.
+// translate counts a message and converts it to a message of the framed protocol. Messages without an equivalent become
+// heartbeats.
 func (s *grpcStream) translate(message *pb.Downward) wire.Message {
 	s.mu.Lock()
 	defer s.mu.Unlock()
