--- a/internal/testbed/proxy/pool.go
+++ b/internal/testbed/proxy/pool.go
@@ -10,25 +10,27 @@
 	"indigousher/internal/wire"
 )
 
-// retireTimeout is how long requests at an endpoint that has left the tables may still be answered.
+// retireTimeout is how long a connection with waiting requests stays open after its endpoint was removed from all
+// tables.
 const retireTimeout = 5 * time.Second
 
-// errDialFailed says that the dial of another request, for which this one waited, opened no connection.
-var errDialFailed = errors.New("dial failed")
+// errDialFailed means that a request waited for the dial of another request and that this dial failed.
+var errDialFailed = errors.New("dial started by another request failed")
 
-// pool keeps one connection to an address, shared by all requests and opened when needed.
+// pool holds at most one connection to an address. All requests share it, and it is opened on demand.
 type pool struct {
 	address string
 	dial    Dial
-	timeout time.Duration // of a dial
+	timeout time.Duration // dial timeout
 
-	mu      sync.Mutex // guards what follows
-	open    *connection
-	dialing chan struct{} // closed when the dial under way has ended; nil if there is none
-	retired bool          // opens no more connections
+	mu      sync.Mutex    // guards the fields below
+	open    *connection   // last connection opened, which may have failed; nil before the first
+	dialing chan struct{} // closed when the dial in progress ends; nil if there is none
+	retired bool          // set by close and retire; a connection dialed afterwards is closed
 }
 
-// roundTrip sends a request and waits for its answer. An error that is errNotSent says that nothing was sent.
+// roundTrip sends a request and waits for its answer. An error that wraps errNotSent means that no part of the request
+// was sent.
 func (p *pool) roundTrip(ctx context.Context, req *wire.Request) (*wire.Response, error) {
 	conn, err := p.connect(ctx)
 	if err != nil {
@@ -37,7 +39,7 @@
 	return conn.roundTrip(ctx, req)
 }
 
-// connect returns the open connection or opens one. Requests that come during a dial wait for it.
+// connect returns the open connection or dials a new one. If a dial is in progress, connect waits for it.
 func (p *pool) connect(ctx context.Context) (*connection, error) {
 	for {
 		p.mu.Lock()
@@ -58,10 +60,10 @@
 	}
 }
 
-// isOpen returns whether there is a connection that has not failed. The caller holds mu.
+// isOpen reports whether there is a connection that has not failed. The caller must hold mu.
 func (p *pool) isOpen() bool { return p.open != nil && p.open.alive() }
 
-// awaitDial waits for the dial of another request.
+// awaitDial waits for a dial started by another request. It returns an error if that dial fails or ctx is done first.
 func (p *pool) awaitDial(ctx context.Context, dialing <-chan struct{}) error {
 	select {
 	case <-dialing:
@@ -76,7 +78,8 @@
 	return nil
 }
 
-// dialConnection opens a connection. It goes on if the request that began it is cancelled, as others wait for it.
+// dialConnection dials a connection. It continues if ctx is cancelled, because other requests may wait for the
+// connection.
 func (p *pool) dialConnection(ctx context.Context) (*connection, error) {
 	dialCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), p.timeout)
 	defer cancel()
@@ -93,11 +96,11 @@
 		return nil, net.ErrClosed
 	}
 	p.open = newConnection(conn, p.address)
-	go p.open.receive() // ends when the connection closes
+	go p.open.receive() // returns when the connection is closed
 	return p.open, nil
 }
 
-// close ends the connection at once.
+// close closes the connection immediately, which fails the requests that wait on it.
 func (p *pool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,7 +110,7 @@
 	}
 }
 
-// retire ends the connection at once if no request waits on it, else after a while.
+// retire closes the connection immediately if no request waits on it, or else after retireTimeout.
 func (p *pool) retire() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
