--- a/internal/testbed/proxy/pool_test.go
+++ b/internal/testbed/proxy/pool_test.go
@@ -13,7 +13,7 @@
 	"indigousher/internal/wire"
 )
 
-// frail is a connection that breaks in the middle of what is written.
+// frail is a connection that closes during a write of more than bears bytes.
 type frail struct {
 	net.Conn
 	bears int
@@ -28,8 +28,8 @@
 	return f.bears, errors.New("broken")
 }
 
-// TestProof guards what counts as proof that an attempt never ran: that no connection came about does; that one broke
-// while the request was written, or before its answer, does not, as the endpoint may have had all of it.
+// TestProof checks which errors mean that a request was not sent. A failed dial does. A connection that closes while
+// the request is written, or before the answer, does not, because the endpoint may have received the whole request.
 func TestProof(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
