--- a/internal/testbed/proxy/process.go
+++ b/internal/testbed/proxy/process.go
@@ -10,33 +10,35 @@
 	"indigousher/internal/testbed/routing"
 )
 
-// unknownCount is no count of lines, so that the first one is logged whatever it is.
+// unknownCount is the initial value in process.eligible. It differs from every real count, so that the first count is
+// always logged.
 const unknownCount = -1
 
-// process is one process of a proxy. All its goroutines are in wg and end after ctx.
+// process is one run of a proxy, from a start to a kill. Its goroutines are tracked by wg and end once ctx is done.
 type process struct {
 	*Options
 	events      *eventlog.Stream
-	incarnation int // counts the starts, from 1
+	incarnation int // number of the start, counted from 1
 	join        Joiner
-	random      *rand.Rand // of the goroutine that keeps the stream
+	random      *rand.Rand // used only by the goroutine that runs maintainStream
 	ctx         context.Context
 	cancel      context.CancelFunc
 	wg          sync.WaitGroup
 
-	// applying is held for writing while lines are applied: no request is routed meanwhile. It is taken before mu.
+	// applying is locked for writing while commands are applied, so that no request is routed during that time. It must
+	// be locked before mu.
 	applying sync.RWMutex
 
-	mu            sync.Mutex // guards what follows
+	mu            sync.Mutex // guards the fields below
 	router        *routing.Router
 	pools         map[string]*pool // by endpoint
 	clients       map[net.Conn]bool
-	currentStream Stream // to the pilot, or the last one; nil before the first
-	eligible      []int  // by class: lines to pick from, as last logged
+	currentStream Stream // current or last stream to a pilot; nil before the first
+	eligible      []int  // by class: last logged number of endpoints to pick from
 	reportRequest routing.ReportRequest
 }
 
-// newProcess makes a process that does nothing yet.
+// newProcess returns a process that has not been started.
 func newProcess(p *Proxy, incarnation int) *process {
 	proc := &process{
 		Options:     &p.Options,
@@ -59,7 +61,7 @@
 	return proc
 }
 
-// start serves clients and dials pilots until kill.
+// start starts the goroutines that serve clients and maintain the stream to a pilot. They run until kill.
 func (p *process) start(listener net.Listener) {
 	p.events.Add(eventlog.Event{What: eventlog.Start, N: p.incarnation, Text: p.Zone})
 	p.logEligible()
@@ -68,7 +70,7 @@
 	p.wg.Go(p.maintainStream)
 }
 
-// kill closes all sockets and waits for the goroutines.
+// kill closes all sockets of the process and waits for its goroutines.
 func (p *process) kill() {
 	p.events.Add(eventlog.Event{What: eventlog.Stop})
 	p.cancel()
@@ -98,8 +100,8 @@
 	}
 }
 
-// logEligible logs how many lines each class can be sent by, where that has changed. The caller holds mu, or no other
-// goroutine runs yet.
+// logEligible logs the number of endpoints that each class can be sent to, if it has changed. The caller must hold mu,
+// unless no other goroutine has been started.
 func (p *process) logEligible() {
 	for class, name := range p.Routing.Classes {
 		if n := p.router.EligibleCount(class); n != p.eligible[class] {
