--- a/internal/testbed/proxy/proxy.go
+++ b/internal/testbed/proxy/proxy.go
@@ -1,5 +1,5 @@
-// Package proxy is a proxy on sockets for tests: it serves clients, keeps a stream to one pilot at a time, and routes
-// requests as package routing does by what the pilot sent.
+// Package proxy implements a socket-based proxy for tests. It serves clients, maintains a stream to one pilot at a
+// time, and routes requests with package routing according to the commands of the pilot.
 package proxy
 
 import (
@@ -14,46 +14,46 @@
 	"indigousher/internal/testbed/routing"
 )
 
-// Dial opens a connection.
+// Dial opens a connection, like net.Dialer.DialContext.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Options is what a proxy is made of.
+// Options holds the settings of a proxy.
 type Options struct {
 	Name, Zone  string
 	Routing     routing.Policy
-	Rate        float64         // requests a second that ordinarily come, as the hello names it
-	StaticTable func() []string // endpoints to use before a pilot assigns tables; asked at each start
+	Rate        float64         // usual number of requests per second, sent in the hello message
+	StaticTable func() []string // returns the endpoints to use before a pilot assigns tables; called at each start
 	Seed        uint64
 
 	// The stream to the pilot.
-	Pilots       func() []string // addresses to dial, the home pilot first
-	NewJoiner    func() Joiner   // called at each start; nil: the framed wire without TLS
-	RedialPause  time.Duration   // mean wait before dialling again
-	ApplyPerLine time.Duration   // how long one line takes to apply; requests wait meanwhile
+	Pilots       func() []string // returns the addresses of the pilots, the home pilot first
+	NewJoiner    func() Joiner   // called at each start; nil means the framed protocol without TLS
+	RedialPause  time.Duration   // mean wait before dialing a pilot again
+	ApplyPerLine time.Duration   // simulated time to apply one operation, during which requests wait
 
 	// Requests.
-	Dial              Dial // to pilots and endpoints
-	DialTimeout       time.Duration
+	Dial              Dial            // dials pilots and endpoints
+	DialTimeout       time.Duration   // timeout of a dial to an endpoint
 	LatencyObjectives []time.Duration // by class
 	ClientTimeouts    []time.Duration // by class
-	FirstAttemptShare float64         // of the latency objective: how long an attempt waits that a retry may follow
+	FirstAttemptShare float64         // timeout of an attempt that may be retried, as a fraction of the latency objective
 
-	// Faults of the proxy itself.
-	StopReading          func() bool    // does not read its stream while true
-	IgnoreReportRequests bool           // reports all endpoints at the first period, whatever the pilot asks for
-	ReportFactor         func() float64 // reports that many times as often
-	ClockOffsetMs        float64        // of the times in its reports
+	// Injected faults of the proxy.
+	StopReading          func() bool    // while it returns true, the proxy does not read its stream; nil means never
+	IgnoreReportRequests bool           // keep the report period of the welcome and report all endpoints
+	ReportFactor         func() float64 // factor by which reports are more frequent; nil means 1
+	ClockOffsetMs        float64        // added to the times in load reports, in ms
 }
 
-// Proxy is one proxy, whose process can die and start again.
+// Proxy is one proxy, whose process can be killed and restarted.
 type Proxy struct {
 	Options
 	events *eventlog.Stream
 
-	mu      sync.Mutex // guards what follows
-	address string     // empty before the first start
-	process *process   // nil while none runs
-	starts  int
+	mu      sync.Mutex // guards the fields below
+	address string     // listen address; empty before the first start
+	process *process   // nil while no process is running
+	starts  int        // number of starts so far
 }
 
 // New returns a proxy that has not started.
@@ -61,16 +61,17 @@
 	return &Proxy{Options: options, events: events}
 }
 
-// Start begins a process, at the address of the first one.
+// Start starts a process. Every process after the first listens at the address of the first. Start fails if a process
+// is already running.
 func (p *Proxy) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.process != nil {
-		return fmt.Errorf("start %s: it runs", p.Name)
+		return fmt.Errorf("start proxy %s: already running", p.Name)
 	}
 	listener, err := network.Listen(p.address)
 	if err != nil {
-		return fmt.Errorf("start %s: %w", p.Name, err)
+		return fmt.Errorf("start proxy %s: %w", p.Name, err)
 	}
 	p.address = listener.Addr().String()
 	p.starts++
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// Kill ends the process and returns when its goroutines have ended. All its sockets close.
+// Kill stops the process, if one is running, closes all its sockets and waits for its goroutines.
 func (p *Proxy) Kill() {
 	p.mu.Lock()
 	running := p.process
@@ -90,7 +91,7 @@
 	}
 }
 
-// DropStream breaks the stream to the pilot.
+// DropStream closes the stream to the pilot, if there is one. The proxy then dials a pilot again.
 func (p *Proxy) DropStream() {
 	p.mu.Lock()
 	running := p.process
@@ -100,7 +101,7 @@
 	}
 }
 
-// Address returns where clients connect.
+// Address returns the address for clients, or "" before the first start.
 func (p *Proxy) Address() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
