--- a/internal/testbed/proxy/request.go
+++ b/internal/testbed/proxy/request.go
@@ -11,13 +11,13 @@
 	"indigousher/internal/wire"
 )
 
-// Reasons of a rejection, as the event log spells them.
+// Reasons for rejecting a request, with their names in the event log.
 const (
-	rejectedByLevel = "level"   // by the admission level
-	noEndpoint      = "no line" // no table has an endpoint for it
+	rejectedByLevel = "level"   // the admission level does not admit the request
+	noEndpoint      = "no line" // the table for the request has no endpoint
 )
 
-// handle takes one request from its arrival to its answer.
+// handle admits and forwards one request and returns the answer for the client.
 func (p *process) handle(req *wire.Request) *wire.Response {
 	class := slices.Index(p.Routing.Classes, req.Class)
 	if class < 0 {
@@ -41,7 +41,7 @@
 	return &wire.Response{Outcome: outcome}
 }
 
-// admit counts a request and draws whether it is admitted. It waits while lines are applied.
+// admit counts a request and decides at random whether to admit it. It waits while commands are applied.
 func (p *process) admit(req *wire.Request, class int) bool {
 	p.applying.RLock()
 	defer p.applying.RUnlock()
@@ -51,8 +51,8 @@
 	return p.router.Admit(class)
 }
 
-// forward sends a request to one endpoint after another, as retries are allowed. It returns wire.Denied only where no
-// attempt can have run.
+// forward sends a request to an endpoint and retries it at others, as far as the retry mode and the deadline allow. It
+// returns wire.Denied only if no attempt can have been executed.
 func (p *process) forward(req *wire.Request, class int, deadline time.Time) wire.Outcome {
 	var tried []string
 	failure := wire.Denied
@@ -81,8 +81,8 @@
 	p.events.Add(eventlog.Event{What: eventlog.Refuse, Kind: req.Class, Req: req.RequestID, Text: reason})
 }
 
-// pickEndpoint picks the endpoint of the next attempt, "" if there is none, and returns the retry mode with it. It
-// waits while lines are applied.
+// pickEndpoint returns the endpoint for the next attempt, or "" if there is none, and the retry mode of the class. It
+// waits while commands are applied.
 func (p *process) pickEndpoint(req *wire.Request, class int, tried []string) (endpoint string, retryMode int) {
 	p.applying.RLock()
 	defer p.applying.RUnlock()
@@ -91,7 +91,7 @@
 	endpoint = p.router.Pick(p.events.Now(), class, req.Key, tried)
 	if endpoint != "" {
 		p.router.AttemptStarted(endpoint)
-		// Logged under the locks, so that no message that is applied comes between the pick and the log.
+		// Logged while the locks are held, so that no commands are applied between the pick and the log entry.
 		p.events.Add(eventlog.Event{
 			What: eventlog.Send, Peer: endpoint, Kind: req.Class, Req: req.RequestID, Text: req.Key, N: len(tried) + 1,
 		})
@@ -105,8 +105,8 @@
 	return routing.AttemptTimeout(retryMode, attempt, time.Until(deadline), first)
 }
 
-// attempt sends a request to one endpoint and waits for its answer. An error that is errNotSent says that the endpoint
-// had nothing of it.
+// attempt sends a request to one endpoint and waits for its answer. An error that wraps errNotSent means that no part
+// of the request was sent to the endpoint.
 func (p *process) attempt(endpoint string, req *wire.Request, timeout time.Duration) (*wire.Response, error) {
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(p.ctx, timeout)
@@ -131,7 +131,7 @@
 	return answer, err
 }
 
-// poolOf returns the connection to an endpoint, one that is not open if it is new.
+// poolOf returns the connection pool of an endpoint and creates it if necessary.
 func (p *process) poolOf(endpoint string) *pool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
