--- a/internal/testbed/proxy/server.go
+++ b/internal/testbed/proxy/server.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// requestReadLimit bounds the messages of requests and answers, in bytes.
+	// requestReadLimit is the maximum size of a request or answer, in bytes.
 	requestReadLimit = 1 << 16
-	// requestWriteTimeout is how long a request or answer may take to write; beyond it the connection has broken.
+	// requestWriteTimeout is the write timeout of a request or answer; the connection is closed when it expires.
 	requestWriteTimeout = time.Second
 )
 
-// accept serves clients until the listener closes.
+// accept serves connections of clients until the listener is closed.
 func (p *process) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -30,7 +30,8 @@
 	}
 }
 
-// addClient has kill close a connection. It returns false if that has passed already.
+// addClient registers a connection of a client, so that kill closes it. It returns false if the process has already
+// been killed.
 func (p *process) addClient(conn net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,7 +48,8 @@
 	delete(p.clients, conn)
 }
 
-// serve answers the requests of one connection, each in its own goroutine, and returns when all of them have ended.
+// serve handles the requests of one connection, each in its own goroutine, until the connection is closed. It returns
+// when all requests have finished.
 func (p *process) serve(conn net.Conn) {
 	defer func() {
 		p.removeClient(conn)
@@ -72,7 +74,7 @@
 			answer.Number = req.Number
 			writing.Lock()
 			defer writing.Unlock()
-			_ = conn.SetWriteDeadline(time.Now().Add(requestWriteTimeout)) // if it failed, so will the write
+			_ = conn.SetWriteDeadline(time.Now().Add(requestWriteTimeout)) // if this fails, the write fails too
 			if _, err := writer.Write(answer); err != nil {
 				_ = conn.Close()
 			}
