--- a/internal/testbed/proxy/session.go
+++ b/internal/testbed/proxy/session.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// streamTimeoutBeats is after how many beats without a message, or with one that can't be written, a stream has
-	// broken.
+	// streamTimeoutBeats is the read and write timeout of a stream, as a multiple of the heartbeat interval. The stream
+	// is closed when it expires.
 	streamTimeoutBeats = 3
-	// maxQueuedAcks is how many acks may wait for the sending goroutine.
+	// maxQueuedAcks is the maximum number of acks queued for the sending goroutine; beyond it receiving blocks.
 	maxQueuedAcks = 16
-	// stopReadingPoll is how often a proxy that does not read looks whether it may again.
+	// stopReadingPoll is the interval at which Options.StopReading is polled while it returns true.
 	stopReadingPoll = 20 * time.Millisecond
 )
 
-// maintainStream keeps a stream to one pilot at a time until the process ends. After a stream it dials the home pilot
-// first; each dial that fails goes on to the next one.
+// maintainStream keeps a stream to one pilot at a time until the process ends. After a stream has ended it dials the
+// home pilot first; after each failed dial it dials the next pilot.
 func (p *process) maintainStream() {
 	for next := 0; p.ctx.Err() == nil; next++ {
 		pilots := p.Pilots()
 		if len(pilots) > 0 && p.runStream(pilots[next%len(pilots)]) {
-			next = -1 // the home pilot, after the increment
+			next = -1 // incremented to 0, the index of the home pilot
 		}
 		if p.ctx.Err() != nil {
 			return
@@ -37,7 +37,7 @@
 	}
 }
 
-// pauseBeforeRedial waits for between a half and one and a half of the mean pause, or until the process ends.
+// pauseBeforeRedial waits for a random time between 0.5 and 1.5 times RedialPause, or until the process ends.
 func (p *process) pauseBeforeRedial() {
 	timer := time.NewTimer(time.Duration((0.5 + p.random.Float64()) * float64(p.RedialPause)))
 	defer timer.Stop()
@@ -47,7 +47,7 @@
 	}
 }
 
-// hello returns what the proxy says of itself at the start of a stream.
+// hello returns the hello message that the proxy sends at the start of a stream.
 func (p *process) hello() *wire.Hello {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,11 +63,12 @@
 	}
 }
 
-// runStream joins a pilot, holds the stream to its end, and returns whether there was one.
+// runStream joins the pilot at an address and runs the stream until it ends. It returns false if the proxy could not
+// join the pilot.
 func (p *process) runStream(address string) bool {
 	stream, welcome, err := p.join(p.ctx, p.Dial, address, p.hello())
 	if err != nil {
-		return false // logged nowhere: the pilot may be down, as tests have it
+		return false // not logged, because tests stop pilots on purpose
 	}
 	defer stream.Close()
 	p.streamJoined(stream)
@@ -80,7 +81,7 @@
 	return true
 }
 
-// streamJoined makes a stream the one that counts.
+// streamJoined makes a stream the current one and resets the state that belonged to the previous stream.
 func (p *process) streamJoined(stream Stream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,15 +90,15 @@
 	p.reportRequest = routing.ReportRequest{}
 }
 
-// session is one stream to a pilot from its welcome to its end.
+// session handles one stream to a pilot, from the welcome until the stream ends.
 type session struct {
 	*process
 	stream   Stream
-	pilot    string
-	beat     time.Duration
-	acks     chan wire.Message // from the receiving to the sending goroutine
-	seen     atomic.Uint32     // number of the last message that was dealt with
-	periodMs atomic.Int64      // of load reports
+	pilot    string            // name of the pilot
+	beat     time.Duration     // heartbeat interval
+	acks     chan wire.Message // acks from the receiving to the sending goroutine
+	seen     atomic.Uint32     // number of the last message that was processed
+	periodMs atomic.Int64      // interval between load reports, in ms
 }
 
 func newSession(p *process, stream Stream, welcome *wire.Welcome) *session {
@@ -112,8 +113,9 @@
 	return s
 }
 
-// run receives in this goroutine and sends in another. Whichever ends first closes the stream, which ends the other:
-// a stream that can't be written to has ended, also for a proxy that does not read.
+// run receives messages in the calling goroutine and sends messages in another. The goroutine that ends first closes
+// the stream, which ends the other. In particular, a write timeout ends the session even if the proxy has stopped
+// reading.
 func (s *session) run() {
 	ctx, cancel := context.WithCancel(s.ctx)
 	defer cancel()
@@ -129,7 +131,7 @@
 	sending.Wait()
 }
 
-// sendLoop sends beats, load reports and acks until the stream breaks or ctx ends.
+// sendLoop sends heartbeats, load reports and acks until the stream fails or ctx is done.
 func (s *session) sendLoop(ctx context.Context) {
 	beats := time.NewTicker(max(s.beat, time.Millisecond))
 	defer beats.Stop()
@@ -153,7 +155,7 @@
 	}
 }
 
-// reportPeriod returns how long after a report the next one is due.
+// reportPeriod returns the interval between load reports, including the injected fault ReportFactor.
 func (s *session) reportPeriod() time.Duration {
 	period := time.Duration(max(s.periodMs.Load(), 1)) * time.Millisecond
 	if s.ReportFactor != nil {
@@ -168,7 +170,7 @@
 	return s.router.Report(s.events.Now()+s.ClockOffsetMs, s.reportRequest)
 }
 
-// receiveLoop carries out what the pilot sends until the stream breaks or the pilot ends it.
+// receiveLoop processes messages from the pilot until the stream fails or the pilot ends it.
 func (s *session) receiveLoop(ctx context.Context) {
 	for {
 		for s.StopReading != nil && s.StopReading() && ctx.Err() == nil {
@@ -185,7 +187,7 @@
 	}
 }
 
-// receive carries out one message and returns whether the stream goes on.
+// receive processes one message from the pilot. It returns false if the stream must be closed.
 func (s *session) receive(ctx context.Context, message wire.Message) bool {
 	switch m := message.(type) {
 	case *wire.Commands:
@@ -198,7 +200,8 @@
 	return true
 }
 
-// receiveOrders applies the lines of a message and hands the acks that it asks for to the sending goroutine.
+// receiveOrders applies the commands of a message and queues the requested acks for the sending goroutine. It returns
+// false if ctx is done first.
 func (s *session) receiveOrders(ctx context.Context, m *wire.Commands) bool {
 	arrived := time.Now()
 	s.events.Add(eventlog.Event{What: eventlog.Got, Peer: s.pilot, N: m.CostLines, Value: m.AgeMs, Since: m.AtMs})
@@ -223,8 +226,8 @@
 	s.periodMs.Store(int64(m.PeriodMs))
 }
 
-// apply applies the lines of a message, with no request routed for as long as they take, and returns the numbers of
-// the acks that it asks for.
+// apply applies the operations of a message and returns the numbers of the requested acks. No request is routed while
+// the operations are applied, which takes ApplyPerLine for each of them.
 func (p *process) apply(m *wire.Commands) (ackRequests []int) {
 	p.applying.Lock()
 	defer p.applying.Unlock()
@@ -239,7 +242,7 @@
 	return ackRequests
 }
 
-// retireUnusedPools lets go of the connections to endpoints that no table names any longer. The caller holds mu.
+// retireUnusedPools retires the connections to endpoints that are no longer in any table. The caller must hold mu.
 func (p *process) retireUnusedPools() {
 	used := p.router.Endpoints()
 	for endpoint, connections := range p.pools {
