--- a/internal/testbed/proxy/framed.go
+++ b/internal/testbed/proxy/framed.go
@@ -21,7 +21,7 @@
 			conn = tls.Client(conn, tlsConfig)
 		}
 		stream := &framedStream{conn: conn, writer: wire.NewWriter(conn), reader: wire.NewReader(conn, 0)}
-		welcome, err := stream.greet(hello)
+		welcome, err := stream.exchangeHello(hello)
 		if err != nil {
 			stream.Close()
 			return nil, nil, err
@@ -37,8 +37,8 @@
 	reader *wire.Reader
 }
 
-// greet sends the hello message and returns the welcome of the pilot.
-func (s *framedStream) greet(hello *wire.Hello) (*wire.Welcome, error) {
+// exchangeHello sends the hello message and returns the welcome of the pilot.
+func (s *framedStream) exchangeHello(hello *wire.Hello) (*wire.Welcome, error) {
 	if err := s.Write(hello, helloTimeout); err != nil {
 		return nil, err
 	}
--- a/internal/testbed/proxy/grpc.go
+++ b/internal/testbed/proxy/grpc.go
@@ -41,7 +41,7 @@
 			received: make(chan *pb.Downward),
 			failed:   make(chan struct{}),
 		}
-		welcome, err := stream.greet(ctx, hello, compress)
+		welcome, err := stream.exchangeHello(ctx, hello, compress)
 		if err != nil {
 			stream.Close()
 			return nil, nil, err
@@ -84,9 +84,9 @@
 	ackRequests []uint32
 }
 
-// greet opens the stream, sends the hello message and returns the welcome of the pilot. ctx is the context of the whole
-// stream; it is cancelled if the welcome does not arrive within helloTimeout.
-func (s *grpcStream) greet(ctx context.Context, hello *wire.Hello, compress bool) (*wire.Welcome, error) {
+// exchangeHello opens the stream, sends the hello message and returns the welcome of the pilot. ctx is the context of
+// the whole stream; it is cancelled if the welcome does not arrive within helloTimeout.
+func (s *grpcStream) exchangeHello(ctx context.Context, hello *wire.Hello, compress bool) (*wire.Welcome, error) {
 	timer := time.AfterFunc(helloTimeout, s.cancel)
 	first, err := s.open(ctx, hello, compress)
 	if !timer.Stop() || err != nil {
--- a/internal/testbed/proxy/pool_test.go
+++ b/internal/testbed/proxy/pool_test.go
@@ -13,13 +13,13 @@
 	"indigousher/internal/wire"
 )
 
-// frail is a connection that closes during a write of more than bears bytes.
-type frail struct {
+// breakingConn is a connection that closes during a write of more than bears bytes.
+type breakingConn struct {
 	net.Conn
 	bears int
 }
 
-func (f *frail) Write(b []byte) (int, error) {
+func (f *breakingConn) Write(b []byte) (int, error) {
 	if len(b) <= f.bears {
 		return f.Conn.Write(b)
 	}
@@ -55,7 +55,7 @@
 		}, true},
 		"broken while it is written": {func(ctx context.Context, network, at string) (net.Conn, error) {
 			c, err := (&net.Dialer{}).DialContext(ctx, network, at)
-			return &frail{c, 7}, err
+			return &breakingConn{c, 7}, err
 		}, false},
 		"broken before the answer": {(&net.Dialer{}).DialContext, false},
 	} {
--- a/internal/testbed/proxy/process.go
+++ b/internal/testbed/proxy/process.go
@@ -10,8 +10,8 @@
 	"indigousher/internal/testbed/routing"
 )
 
-// unknownCount is the initial value in process.eligible. It differs from every real count, so that the first count is
-// always logged.
+// unknownCount is the initial value in process.loggedEligible. It differs from every real count, so that the first
+// count is always logged.
 const unknownCount = -1
 
 // process is one run of a proxy, from a start to a kill. Its goroutines are tracked by wg and end once ctx is done.
@@ -29,30 +29,30 @@
 	// be locked before mu.
 	applying sync.RWMutex
 
-	mu            sync.Mutex // guards the fields below
-	router        *routing.Router
-	pools         map[string]*pool // by endpoint
-	clients       map[net.Conn]bool
-	currentStream Stream // current or last stream to a pilot; nil before the first
-	eligible      []int  // by class: last logged number of endpoints to pick from
-	reportRequest routing.ReportRequest
+	mu             sync.Mutex // guards the fields below
+	router         *routing.Router
+	pools          map[string]*pool // by endpoint
+	clients        map[net.Conn]bool
+	currentStream  Stream // current or last stream to a pilot; nil before the first
+	loggedEligible []int  // by class: last logged number of endpoints to pick from
+	reportRequest  routing.ReportRequest
 }
 
 // newProcess returns a process that has not been started.
 func newProcess(p *Proxy, incarnation int) *process {
 	proc := &process{
-		Options:     &p.Options,
-		events:      p.events,
-		incarnation: incarnation,
-		join:        Framed(nil),
-		random:      rand.New(rand.NewPCG(p.Seed, uint64(incarnation))),
-		router:      routing.NewRouter(p.Routing, p.StaticTable(), p.Seed+uint64(incarnation)),
-		pools:       map[string]*pool{},
-		clients:     map[net.Conn]bool{},
-		eligible:    make([]int, len(p.Routing.Classes)),
+		Options:        &p.Options,
+		events:         p.events,
+		incarnation:    incarnation,
+		join:           Framed(nil),
+		random:         rand.New(rand.NewPCG(p.Seed, uint64(incarnation))),
+		router:         routing.NewRouter(p.Routing, p.StaticTable(), p.Seed+uint64(incarnation)),
+		pools:          map[string]*pool{},
+		clients:        map[net.Conn]bool{},
+		loggedEligible: make([]int, len(p.Routing.Classes)),
 	}
-	for class := range proc.eligible {
-		proc.eligible[class] = unknownCount
+	for class := range proc.loggedEligible {
+		proc.loggedEligible[class] = unknownCount
 	}
 	if p.NewJoiner != nil {
 		proc.join = p.NewJoiner()
@@ -104,8 +104,8 @@
 // unless no other goroutine has been started.
 func (p *process) logEligible() {
 	for class, name := range p.Routing.Classes {
-		if n := p.router.EligibleCount(class); n != p.eligible[class] {
-			p.eligible[class] = n
+		if n := p.router.EligibleCount(class); n != p.loggedEligible[class] {
+			p.loggedEligible[class] = n
 			p.events.Add(eventlog.Event{What: eventlog.Lines, Kind: name, N: n})
 		}
 	}
--- a/internal/testbed/proxy/session.go
+++ b/internal/testbed/proxy/session.go
@@ -93,23 +93,23 @@
 // session handles one stream to a pilot, from the welcome until the stream ends.
 type session struct {
 	*process
-	stream   Stream
-	pilot    string            // name of the pilot
-	beat     time.Duration     // heartbeat interval
-	acks     chan wire.Message // acks from the receiving to the sending goroutine
-	seen     atomic.Uint32     // number of the last message that was processed
-	periodMs atomic.Int64      // interval between load reports, in ms
+	stream            Stream
+	pilot             string            // name of the pilot
+	heartbeatInterval time.Duration     // heartbeat interval
+	acks              chan wire.Message // acks from the receiving to the sending goroutine
+	lastProcessed     atomic.Uint32     // number of the last message that was processed
+	reportPeriodMs    atomic.Int64      // interval between load reports, in ms
 }
 
 func newSession(p *process, stream Stream, welcome *wire.Welcome) *session {
 	s := &session{
-		process: p,
-		stream:  stream,
-		pilot:   welcome.Pilot,
-		beat:    time.Duration(welcome.HeartbeatMs) * time.Millisecond,
-		acks:    make(chan wire.Message, maxQueuedAcks),
+		process:           p,
+		stream:            stream,
+		pilot:             welcome.Pilot,
+		heartbeatInterval: time.Duration(welcome.HeartbeatMs) * time.Millisecond,
+		acks:              make(chan wire.Message, maxQueuedAcks),
 	}
-	s.periodMs.Store(int64(welcome.ReportPeriodMs))
+	s.reportPeriodMs.Store(int64(welcome.ReportPeriodMs))
 	return s
 }
 
@@ -133,7 +133,7 @@
 
 // sendLoop sends heartbeats, load reports and acks until the stream fails or ctx is done.
 func (s *session) sendLoop(ctx context.Context) {
-	beats := time.NewTicker(max(s.beat, time.Millisecond))
+	beats := time.NewTicker(max(s.heartbeatInterval, time.Millisecond))
 	defer beats.Stop()
 	reports := time.NewTimer(s.reportPeriod())
 	defer reports.Stop()
@@ -144,12 +144,12 @@
 			return
 		case message = <-s.acks:
 		case <-beats.C:
-			message = &wire.Heartbeat{LastProcessed: s.seen.Load()}
+			message = &wire.Heartbeat{LastProcessed: s.lastProcessed.Load()}
 		case <-reports.C:
 			reports.Reset(s.reportPeriod())
 			message = s.report()
 		}
-		if err := s.stream.Write(message, streamTimeoutBeats*s.beat); err != nil {
+		if err := s.stream.Write(message, streamTimeoutBeats*s.heartbeatInterval); err != nil {
 			return
 		}
 	}
@@ -157,7 +157,7 @@
 
 // reportPeriod returns the interval between load reports, including the injected fault ReportFactor.
 func (s *session) reportPeriod() time.Duration {
-	period := time.Duration(max(s.periodMs.Load(), 1)) * time.Millisecond
+	period := time.Duration(max(s.reportPeriodMs.Load(), 1)) * time.Millisecond
 	if s.ReportFactor != nil {
 		period = time.Duration(float64(period) / s.ReportFactor())
 	}
@@ -176,14 +176,14 @@
 		for s.StopReading != nil && s.StopReading() && ctx.Err() == nil {
 			time.Sleep(stopReadingPoll)
 		}
-		message, err := s.stream.Read(streamTimeoutBeats * s.beat)
+		message, err := s.stream.Read(streamTimeoutBeats * s.heartbeatInterval)
 		if err != nil {
 			return
 		}
 		if !s.receive(ctx, message) {
 			return
 		}
-		s.seen.Store(s.stream.Last())
+		s.lastProcessed.Store(s.stream.Last())
 	}
 }
 
@@ -191,7 +191,7 @@
 func (s *session) receive(ctx context.Context, message wire.Message) bool {
 	switch m := message.(type) {
 	case *wire.Commands:
-		return s.receiveOrders(ctx, m)
+		return s.receiveCommands(ctx, m)
 	case *wire.Pace:
 		s.setReportRequest(m)
 	case *wire.Redirect, *wire.Refuse:
@@ -200,9 +200,9 @@
 	return true
 }
 
-// receiveOrders applies the commands of a message and queues the requested acks for the sending goroutine. It returns
+// receiveCommands applies the commands of a message and queues the requested acks for the sending goroutine. It returns
 // false if ctx is done first.
-func (s *session) receiveOrders(ctx context.Context, m *wire.Commands) bool {
+func (s *session) receiveCommands(ctx context.Context, m *wire.Commands) bool {
 	arrived := time.Now()
 	s.events.Add(eventlog.Event{What: eventlog.Got, Peer: s.pilot, N: m.CostLines, Value: m.AgeMs, Since: m.AtMs})
 	for _, number := range s.apply(m) {
@@ -223,7 +223,7 @@
 	s.mu.Lock()
 	s.reportRequest = routing.ReportRequest{MaxEndpoints: m.MaxLines, ChangesOnly: m.ChangedOnly}
 	s.mu.Unlock()
-	s.periodMs.Store(int64(m.PeriodMs))
+	s.reportPeriodMs.Store(int64(m.PeriodMs))
 }
 
 // apply applies the operations of a message and returns the numbers of the requested acks. No request is routed while
