--- a/internal/testbed/registry/subscriber.go
+++ b/internal/testbed/registry/subscriber.go
@@ -15,10 +15,10 @@
 const (
 	// maxQueuedChanges is the maximum number of messages queued for a slow pilot; beyond it the connection is closed.
 	maxQueuedChanges = 1024
-	// askReadLimit is the maximum size of a message from a pilot, in bytes.
-	askReadLimit = 1 << 12
-	// beatInterval is the interval between heartbeats.
-	beatInterval = 300 * time.Millisecond
+	// readLimit is the maximum size of a message from a pilot, in bytes.
+	readLimit = 1 << 12
+	// heartbeatInterval is the interval between heartbeats.
+	heartbeatInterval = 300 * time.Millisecond
 	// writeTimeout is the write timeout of a message; the connection is closed when it expires.
 	writeTimeout = 2 * time.Second
 )
@@ -60,7 +60,7 @@
 		r.removeSubscriber(s)
 	}()
 	writing.Go(func() { r.write(ctx, s) })
-	reader := wire.NewReader(conn, askReadLimit)
+	reader := wire.NewReader(conn, readLimit)
 	for {
 		message, err := reader.Read()
 		if err != nil {
@@ -111,7 +111,7 @@
 func (r *Registry) write(ctx context.Context, s *subscriber) {
 	defer func() { _ = s.conn.Close() }() // also ends the reader in serve
 	writer := wire.NewWriter(s.conn)
-	beats := time.NewTicker(beatInterval)
+	beats := time.NewTicker(heartbeatInterval)
 	defer beats.Stop()
 	for {
 		var message wire.Message = &wire.Heartbeat{}
