--- a/internal/testbed/relay/channel.go
+++ b/internal/testbed/relay/channel.go
@@ -30,15 +30,15 @@
 // applies it after a further Config.Transit. The caller must hold mu.
 func (r *Relay) send(m *message) {
 	r.waiting += m.lines
-	r.mostWaiting = max(r.mostWaiting, r.waiting)
+	r.maxWaiting = max(r.maxWaiting, r.waiting)
 	now := time.Now()
 	if r.channelFreeAt.Before(now) {
 		r.channelFreeAt = now
 	}
 	r.channelFreeAt = r.channelFreeAt.Add(r.sendingTime(m))
 	leaves := r.channelFreeAt.Sub(now)
-	time.AfterFunc(leaves, func() { r.left(m) })
-	time.AfterFunc(leaves+r.config.Transit, func() { r.arrived(m) })
+	time.AfterFunc(leaves, func() { r.messageSent(m) })
+	time.AfterFunc(leaves+r.config.Transit, func() { r.applyMessage(m) })
 }
 
 // sendingTime returns how long the channel takes to send a message, at Config.LinesPerSecond.
@@ -46,15 +46,15 @@
 	return time.Duration(float64(m.lines) / r.config.LinesPerSecond * float64(time.Second))
 }
 
-// left removes the lines of a sent message from the count of waiting lines.
-func (r *Relay) left(m *message) {
+// messageSent removes the lines of a sent message from the count of waiting lines.
+func (r *Relay) messageSent(m *message) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.waiting -= m.lines
 }
 
-// arrived applies a message to the state of its proxy and publishes the requested acks.
-func (r *Relay) arrived(m *message) {
+// applyMessage applies a message to the state of its proxy and publishes the requested acks.
+func (r *Relay) applyMessage(m *message) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.proxies[m.proxy]
--- a/internal/testbed/relay/relay.go
+++ b/internal/testbed/relay/relay.go
@@ -49,7 +49,7 @@
 	// State of the channel.
 	channelFreeAt time.Time // time at which all queued messages will have been sent
 	waiting       int       // lines in the channel
-	mostWaiting   int       // maximum of waiting since the start
+	maxWaiting    int       // largest value of waiting since the start
 
 	// Injected failures.
 	failure       Failure
@@ -86,7 +86,7 @@
 func (r *Relay) Waiting() (now, most int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.waiting, r.mostWaiting
+	return r.waiting, r.maxWaiting
 }
 
 // AssignedCount returns the number of proxies that have applied a table.
