--- a/internal/testbed/eventlog/log.go
+++ b/internal/testbed/eventlog/log.go
@@ -13,16 +13,16 @@
 // Log holds the events of one rehearsal, in one stream for each part of the testbed, and the clock of their timestamps.
 // It is safe for concurrent use.
 type Log struct {
-	began   time.Time
+	started time.Time
 	mu      sync.Mutex
 	streams map[string]*Stream // by name of the part that logs; guarded by mu
 }
 
 // NewLog returns an empty log whose clock starts at 0 now.
-func NewLog() *Log { return &Log{began: time.Now(), streams: map[string]*Stream{}} }
+func NewLog() *Log { return &Log{started: time.Now(), streams: map[string]*Stream{}} }
 
 // Now returns the time since the start of the log, in ms.
-func (l *Log) Now() float64 { return float64(time.Since(l.began)) / float64(time.Millisecond) }
+func (l *Log) Now() float64 { return float64(time.Since(l.started)) / float64(time.Millisecond) }
 
 // Stream returns the stream with a name and creates it if necessary. The name becomes Event.Who.
 func (l *Log) Stream(who string) *Stream {
--- a/internal/testbed/eventlog/save.go
+++ b/internal/testbed/eventlog/save.go
@@ -23,26 +23,26 @@
 		byName[e.Who] = append(byName[e.Who], e)
 	}
 	for name, events := range byName {
-		if err := save(filepath.Join(dir, name+".jsonl"), events); err != nil {
+		if err := saveEvents(filepath.Join(dir, name+".jsonl"), events); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// save writes events to a file, one JSON object per line. It replaces an existing file.
-func save(path string, events []Event) error {
+// saveEvents writes events to a file, one JSON object per line. It replaces an existing file.
+func saveEvents(path string, events []Event) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return fmt.Errorf("save event log: %w", err)
 	}
-	if err := write(file, events); err != nil {
+	if err := writeEvents(file, events); err != nil {
 		return fmt.Errorf("save event log %s: %w", path, errors.Join(err, file.Close()))
 	}
 	return file.Close()
 }
 
-func write(file *os.File, events []Event) error {
+func writeEvents(file *os.File, events []Event) error {
 	buffered := bufio.NewWriter(file)
 	encoder := json.NewEncoder(buffered)
 	for _, e := range events {
