--- a/internal/testbed/endpoint/reports.go
+++ b/internal/testbed/endpoint/reports.go
@@ -51,8 +51,8 @@
 	p := m.process
 	span := time.Since(m.last).Seconds()
 	m.last = time.Now()
-	utilization := math.Min(1, (p.busyCoreSeconds-m.busyCoreSeconds)/span/float64(p.Cores)) * p.noise()
-	rate := (p.served - m.served) / span * p.noise()
+	utilization := math.Min(1, (p.busyCoreSeconds-m.busyCoreSeconds)/span/float64(p.Cores)) * p.noiseFactor()
+	rate := (p.served - m.served) / span * p.noiseFactor()
 	m.busyCoreSeconds = p.busyCoreSeconds
 	m.served = p.served
 	return []wire.LoadMetric{
@@ -63,5 +63,6 @@
 	}
 }
 
-// noise returns a random factor, with mean about 1, by which a reported value is multiplied. The caller must hold mu.
-func (e *Endpoint) noise() float64 { return math.Max(0, 1+e.ReportNoise*e.random.NormFloat64()) }
+// noiseFactor returns a random factor, with mean about 1, by which a reported value is multiplied. The caller must hold
+// mu.
+func (e *Endpoint) noiseFactor() float64 { return math.Max(0, 1+e.ReportNoise*e.random.NormFloat64()) }
