--- a/internal/testbed/network/conn.go
+++ b/internal/testbed/network/conn.go
@@ -99,7 +99,7 @@
 func (l *link) drawDelay() time.Duration {
 	path := l.network.path(l.a, l.b)
 	delay := path.delay
-	for l.network.lost(path.loss) {
+	for l.network.drawLoss(path.loss) {
 		delay += retransmitDelay
 	}
 	return delay
--- a/internal/testbed/network/network.go
+++ b/internal/testbed/network/network.go
@@ -85,7 +85,7 @@
 		state.cut = cut
 		n.zones[zone] = state
 	})
-	n.events.Add(eventlog.Event{What: cutOrMended(cut), Text: zone})
+	n.events.Add(eventlog.Event{What: cutEvent(cut), Text: zone})
 }
 
 // Slow sets the one-way delay and the loss probability of the paths between a zone and all others; 0 removes each
@@ -102,7 +102,7 @@
 // SetBlackhole stops all data to and from a place, as if its machine had lost power, or lets it pass again.
 func (n *Network) SetBlackhole(name string, blackholed bool) {
 	n.change(func() { n.blackholed[name] = blackholed })
-	n.events.Add(eventlog.Event{What: cutOrMended(blackholed), Peer: name})
+	n.events.Add(eventlog.Event{What: cutEvent(blackholed), Peer: name})
 }
 
 // SlowDial sets the additional time that it takes to connect to a place; 0 removes the fault.
@@ -119,7 +119,7 @@
 	n.changed = make(chan struct{})
 }
 
-func cutOrMended(cut bool) eventlog.What {
+func cutEvent(cut bool) eventlog.What {
 	if cut {
 		return eventlog.Cut
 	}
@@ -151,8 +151,8 @@
 	return state
 }
 
-// lost decides at random whether a chunk is lost.
-func (n *Network) lost(probability float64) bool {
+// drawLoss decides at random whether a chunk is lost.
+func (n *Network) drawLoss(probability float64) bool {
 	if probability <= 0 {
 		return false
 	}
