--- a/internal/testbed/loadgen/source.go
+++ b/internal/testbed/loadgen/source.go
@@ -28,17 +28,17 @@
 	nowSeconds   float64            // time of the last candidate, in seconds since the start
 	classShares  []float64          // by class
 	work         []distuv.LogNormal // work of a request in ms, by class
-	byWeight     chooser            // chooses a proxy while no spike moves requests
+	proxyChooser chooser            // chooses a proxy while no spike moves requests
 }
 
 // NewSource returns a source that begins at the start of a load.
 func NewSource(load Load) *Source {
 	generator := rand.NewPCG(load.Seed, requestStream)
 	s := &Source{
-		load:     load,
-		random:   rand.New(generator),
-		peakRate: load.Rate,
-		byWeight: newChooser(load.Weights),
+		load:         load,
+		random:       rand.New(generator),
+		peakRate:     load.Rate,
+		proxyChooser: newChooser(load.Weights),
 	}
 	for _, spike := range load.Spikes {
 		s.peakRate = math.Max(s.peakRate, load.Rate*spike.Factor)
@@ -102,7 +102,7 @@
 	if s.random.Float64() >= c.rate/s.peakRate {
 		return Request{}, false
 	}
-	proxies := s.byWeight
+	proxies := s.proxyChooser
 	if c.weights != nil {
 		proxies = newChooser(c.weights)
 	}
