--- a/internal/testbed/registry/list.go
+++ b/internal/testbed/registry/list.go
@@ -6,8 +6,8 @@
 	"indigousher/internal/wire"
 )
 
-// clockLag is how far the registry's clock is behind the system clock. The difference makes tests fail if a pilot mixes
-// up the registry's clock with its own.
+// clockLag is how far the registry's clock is behind the system clock. The difference exposes a pilot that mistakes
+// the registry's clock for its own.
 const clockLag = time.Second
 
 // Stamp converts a time to the registry's clock, in ms since the Unix epoch.
