--- a/internal/testbed/registry/subscriber.go
+++ b/internal/testbed/registry/subscriber.go
@@ -66,11 +66,11 @@
 		if err != nil {
 			return
 		}
-		ask, ok := message.(*wire.ListRequest)
+		request, ok := message.(*wire.ListRequest)
 		if !ok {
 			return
 		}
-		r.answer(s, ask)
+		r.answer(s, request)
 	}
 }
 
@@ -87,12 +87,12 @@
 }
 
 // answer handles a request of a pilot. It queues the complete list and the assigned slices if the pilot asks for them.
-func (r *Registry) answer(s *subscriber, ask *wire.ListRequest) {
+func (r *Registry) answer(s *subscriber, request *wire.ListRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s.name = ask.Pilot
-	s.watches = s.watches || ask.Watch
-	if !ask.Whole {
+	s.name = request.Pilot
+	s.watches = s.watches || request.Watch
+	if !request.Whole {
 		return
 	}
 	list := &wire.List{Version: r.version, Now: now(), Whole: true}
