--- a/internal/testbed/routing/pick.go
+++ b/internal/testbed/routing/pick.go
@@ -18,9 +18,9 @@
 	if len(c.names) == 0 {
 		return ""
 	}
-	rest := random.Float64() * c.weightSum
+	remaining := random.Float64() * c.weightSum
 	for i, weight := range c.weights {
-		if rest -= weight; rest < 0 {
+		if remaining -= weight; remaining < 0 {
 			return c.names[i]
 		}
 	}
@@ -118,9 +118,9 @@
 	for _, endpoint := range names {
 		weightSum += t.lines[endpoint]
 	}
-	rest := random.Float64() * weightSum
+	remaining := random.Float64() * weightSum
 	for _, endpoint := range names {
-		if rest -= t.lines[endpoint]; rest < 0 {
+		if remaining -= t.lines[endpoint]; remaining < 0 {
 			return endpoint
 		}
 	}
