--- a/internal/testbed/loadgen/clients.go
+++ b/internal/testbed/loadgen/clients.go
@@ -44,7 +44,7 @@
 	start := time.Now()
 	var requests sync.WaitGroup
 	source := NewSource(c.Load)
-	for name := uint64(1); ; name++ {
+	for requestID := uint64(1); ; requestID++ {
 		request, more := source.Next()
 		if !more {
 			break
@@ -53,7 +53,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		requests.Go(func() { c.run(ctx, name, request) })
+		requests.Go(func() { c.run(ctx, requestID, request) })
 	}
 	requests.Wait()
 	for _, client := range c.Proxies {
@@ -62,22 +62,22 @@
 }
 
 // run sends one request, including retries, and logs its outcome.
-func (c *Clients) run(ctx context.Context, name uint64, request Request) {
+func (c *Clients) run(ctx context.Context, requestID uint64, request Request) {
 	class := c.Load.Classes[request.Class]
-	c.Events.Add(eventlog.Event{What: eventlog.Asked, Kind: class.Name, Req: name})
+	c.Events.Add(eventlog.Event{What: eventlog.Asked, Kind: class.Name, Req: requestID})
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, class.Timeout)
 	defer cancel()
-	outcome := c.sendWithRetries(ctx, name, request, start.Add(class.Timeout))
+	outcome := c.sendWithRetries(ctx, requestID, request, start.Add(class.Timeout))
 	tookMs := float64(time.Since(start)) / float64(time.Millisecond)
-	c.Events.Add(eventlog.Event{What: eventlog.Answered, Kind: class.Name, Req: name, Value: tookMs, Text: outcome})
+	c.Events.Add(eventlog.Event{What: eventlog.Answered, Kind: class.Name, Req: requestID, Value: tookMs, Text: outcome})
 }
 
 // sendWithRetries sends a request and retries it until it succeeds, may not be retried, or ctx is done. It returns the
 // outcome of the last attempt.
-func (c *Clients) sendWithRetries(ctx context.Context, name uint64, request Request, deadline time.Time) string {
+func (c *Clients) sendWithRetries(ctx context.Context, requestID uint64, request Request, deadline time.Time) string {
 	for retries := 0; ; retries++ {
-		outcome, retryAfter := c.send(ctx, name, request, deadline)
+		outcome, retryAfter := c.send(ctx, requestID, request, deadline)
 		if outcome == outcomeDone {
 			return outcome
 		}
@@ -94,9 +94,9 @@
 
 // send sends a request once. It returns the outcome and how long the proxy asks the client to wait before a retry; 0 if
 // it does not ask.
-func (c *Clients) send(ctx context.Context, name uint64, request Request, deadline time.Time) (string, time.Duration) {
+func (c *Clients) send(ctx context.Context, requestID uint64, request Request, deadline time.Time) (string, time.Duration) {
 	answer, err := c.Proxies[request.Proxy].Do(ctx, &wire.Request{
-		RequestID: name,
+		RequestID: requestID,
 		Class:     c.Load.Classes[request.Class].Name,
 		Key:       request.Key,
 		From:      "client",
--- a/internal/testbed/loadgen/weights.go
+++ b/internal/testbed/loadgen/weights.go
@@ -32,9 +32,9 @@
 	for _, weight := range weights {
 		sum += weight
 	}
-	rest := random.Float64() * sum
+	remaining := random.Float64() * sum
 	for i, weight := range weights {
-		if rest -= weight; rest < 0 {
+		if remaining -= weight; remaining < 0 {
 			return i
 		}
 	}
