--- a/internal/testbed/routing/router.go
+++ b/internal/testbed/routing/router.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// Fresh reports whether the router has no table from a pilot.
+// Fresh reports whether the router holds no table that the current or last stream has assigned or kept.
 func (r *Router) Fresh() bool { return len(r.tables) == 0 && !slices.Contains(r.assigned, true) }
 
 // Endpoints returns the sorted names of the endpoints in all tables in use.
