--- a/internal/controller/loadreport.go
+++ b/internal/controller/loadreport.go
@@ -6,7 +6,7 @@
 )
 
 // loadReport converts a load report for the decider. The load is nil if the report is empty. Values that are negative,
-// NaN or above planner.MaxFigure are omitted from the load and returned in outOfRange.
+// NaN or above planner.MaxValue are omitted from the load and returned in outOfRange.
 func loadReport(figures []wire.LoadMetric) (load planner.Load, outOfRange []wire.LoadMetric) {
 	if len(figures) == 0 {
 		return nil, nil
--- a/internal/daemon/core_bench_test.go
+++ b/internal/daemon/core_bench_test.go
@@ -226,7 +226,7 @@
 	return nil
 }
 
-// Ask discards a request to change the reporting interval.
+// RequestPace discards a request to change the reporting interval.
 func (s *discardStream) RequestPace(*wire.Pace) error { return nil }
 
 // Close does nothing, because there is no connection.
--- a/internal/emulator/stream.go
+++ b/internal/emulator/stream.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// Ask sends the pilot's request about the period and content of load reports to the proxy. The error is always nil.
+// RequestPace sends the pilot's request about the period and content of load reports to the proxy. The error is always nil.
 func (s *stream) RequestPace(pace *wire.Pace) error {
 	s.sendDown(func() {
 		if !s.ended && s.process.proxy.honorsReportRequests {
--- a/internal/handover/handoff.go
+++ b/internal/handover/handoff.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// offerListeners sends the listeners and waits until the successor is ready. It returns ReadyCame or Lost.
+// offerListeners sends the listeners and waits until the successor is ready. It returns ReadyReceived or PeerLost.
 func (h *Handoff) offerListeners(conn *net.UnixConn) recovery.Event {
 	m := message{Step: stepOffer}
 	var files []*os.File
--- a/internal/identity/tls.go
+++ b/internal/identity/tls.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// serverConfig returns the configuration of one handshake.
+// handshakeConfig returns the configuration of one handshake.
 func (k *KeyStore) handshakeConfig(hello *tls.ClientHelloInfo, allowed []Role) *tls.Config {
 	cert, pool := k.current()
 	return &tls.Config{
--- a/internal/record/replayer.go
+++ b/internal/record/replayer.go
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// Ask does nothing, because the proxy's reports come from the record.
+// RequestPace does nothing, because the proxy's reports come from the record.
 func (s *replayStream) RequestPace(*wire.Pace) error { return nil }
 
 // Close does nothing, because the end of a stream comes from the record.
--- a/internal/transport/framed/stream.go
+++ b/internal/transport/framed/stream.go
@@ -24,7 +24,7 @@
 // Send queues commands for the proxy. It returns ErrSlow if the queue is full.
 func (st *stream) Send(m *wire.Commands) error { return st.enqueue(m) }
 
-// Ask queues a Pace message, which changes how the proxy reports load. It returns ErrSlow if the queue is full.
+// RequestPace queues a Pace message, which changes how the proxy reports load. It returns ErrSlow if the queue is full.
 func (st *stream) RequestPace(m *wire.Pace) error { return st.enqueue(m) }
 
 // enqueue queues a message without blocking. It returns ErrSlow if the queue is full.
--- a/internal/transport/grpcapi/stream.go
+++ b/internal/transport/grpcapi/stream.go
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// Ask queues a Pace message, which changes how the proxy reports load. It replaces a queued one. The error is always
+// RequestPace queues a Pace message, which changes how the proxy reports load. It replaces a queued one. The error is always
 // nil.
 func (st *stream) RequestPace(pace *wire.Pace) error {
 	st.mu.Lock()
--- a/internal/transport/xds/stream.go
+++ b/internal/transport/xds/stream.go
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// Ask does nothing, because an LRS server announces the report interval only once.
+// RequestPace does nothing, because an LRS server announces the report interval only once.
 func (st *stream) RequestPace(*wire.Pace) error { return nil }
 
 // Close ends the stream. The reason becomes the text of its final status.
--- a/recovery/world_test.go
+++ b/recovery/world_test.go
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// Ask ignores changes of the reporting interval.
+// RequestPace ignores changes of the reporting interval.
 func (s *stream) RequestPace(*wire.Pace) error { return nil }
 
 // Close ignores that the controller closes the stream.
